--- /dev/null
+++ b/system/jobs/tests/golden/samples.rs
@@ -0,0 +1,120 @@
+//! A state with every kind of record, and every field of a record set to something of its own.
+use magpiegap_jobs::*;
+use magpiegap_protocol::*;
+
+pub fn replica(n: u32) -> Replica {
+    let member = Member { address: 0x0a00_0000 + n, disk: 0xd15c_0000 + u64::from(n) };
+    Replica { member, boot: 0xb007_0000_0000_0000 + u64::from(n) }
+}
+
+pub fn task(job: u64) -> TaskId {
+    TaskId { job: JobId(job), time: 2, step: 3, index: 4 }
+}
+
+pub fn active_run() -> ActiveRun {
+    ActiveRun { run: 5, instance: "w-17/3".to_owned(), checkpoint: "third".to_owned() }
+}
+
+pub fn task_state() -> TaskState {
+    TaskState {
+        done: true,
+        last_run: 6,
+        failures: 7,
+        checkpoint: "second".to_owned(),
+        active: vec![active_run()],
+    }
+}
+
+pub fn step_state() -> StepState {
+    StepState { tasks: vec![task_state(), TaskState::default()], done: 8, gang_failures: (9, 10) }
+}
+
+pub fn time_state() -> TimeState {
+    TimeState { steps: vec![step_state(), StepState::default()] }
+}
+
+pub fn submission(job: u64) -> Submission {
+    let step = StepSpec { count: 11, estimated_ms: 45_000, checkpoints: true, ..StepSpec::default() };
+    Submission {
+        job: JobId(job),
+        queue: "films.example/render/".to_owned(),
+        service: "render".to_owned(),
+        priority: 12,
+        max_attempts: 13,
+        stretch: 1.75,
+        target_latency_ms: 2500,
+        submitted_ms: 1_700_000_000_456,
+        spec: JobSpec { spec: "frames".to_owned(), steps: vec![step], ..JobSpec::default() },
+    }
+}
+
+pub fn job(job: u64, phase: JobPhase) -> Job {
+    Job {
+        submission: submission(job),
+        phase,
+        times: [(14, time_state()), (300, TimeState::default())].into(),
+        next_time: 301,
+        times_done: 15,
+        ended_ms: 1_700_000_000_999,
+    }
+}
+
+pub fn configuration() -> ConfigurationState {
+    ConfigurationState {
+        version: 16,
+        body: b"{\"version\":16}".to_vec(),
+        taken: [(14, 0xfeed_beef), (16, 0x0123_4567_89ab_cdef)].into(),
+        change: vec![0, 200, 7],
+    }
+}
+
+pub fn role_state(n: u32) -> RoleState {
+    RoleState { holder: replica(n), token: 17 + u64::from(n) }
+}
+
+pub fn worker(ended: bool) -> WorkerRecord {
+    WorkerRecord { last_seen: 18, runs: [(task(1), 19), (task(2), 20)].into(), ended }
+}
+
+/// With a job in each phase.
+pub fn state() -> State {
+    let phases =
+        [JobPhase::Pending, JobPhase::Running, JobPhase::Succeeded, JobPhase::Failed, JobPhase::Cancelled];
+    let jobs = (1_u64..).zip(phases);
+    State {
+        position: Position { view: 21, index: 70_001 },
+        configuration: configuration(),
+        roles: [(Role::PlatformReader, role_state(1)), (Role::Scheduler("render".to_owned()), role_state(2))]
+            .into(),
+        jobs: jobs.map(|(id, phase)| (JobId(id), Shared::new(job(id, phase)))).collect(),
+        workers: [("w-17/3".to_owned(), worker(false)), ("w-18/1".to_owned(), worker(true))].into(),
+        open_jobs: [("films.example/render/".to_owned(), 22), ("a.example/b/".to_owned(), 23)].into(),
+    }
+}
+
+pub fn service() -> Service {
+    Service {
+        name: "render".to_owned(),
+        health_path: "/healthy".to_owned(),
+        max_connections: 24,
+        guards: true,
+    }
+}
+
+pub fn limits() -> Limits {
+    Limits { max_body_bytes: 100_000, max_header_bytes: 9000, idle_timeout_ms: 25_000 }
+}
+
+pub fn route() -> Route {
+    Route {
+        name: "films".to_owned(),
+        hostname: "films.example".to_owned(),
+        path_prefix: "/render/".to_owned(),
+        timeout_ms: 3000,
+        target_latency_ms: 250,
+        priority: 26,
+        service: "render".to_owned(),
+        max_attempts: 27,
+        stretch: 1.25,
+    }
+}
--- /dev/null
+++ b/system/jobs/tests/stored_bytes.rs
@@ -0,0 +1,142 @@
+//! A state that was written before is read as the same state, whole or in parts.
+//!
+//! States lie on the disks of the core, and go from coordinator to coordinator while a new version is rolled out. So
+//! these bytes must not change, whatever the types come to be called.
+#[path = "../../protocol/tests/golden/mod.rs"]
+mod golden;
+#[path = "golden/samples.rs"]
+mod samples;
+
+use golden::{hex, Stored};
+use googletest::prelude::*;
+use magpiegap_jobs::*;
+use magpiegap_protocol::{Command, Entry, JobId, JobPhase, Position, ProposalId, RunStart, TaskId};
+use samples::*;
+
+#[googletest::test]
+fn every_record_of_a_state_keeps_its_bytes() {
+    let mut stored = Stored::read(include_str!("golden/records.hex"));
+    stored.keeps("active-run", &active_run());
+    stored.keeps("task", &task_state());
+    stored.keeps("task-untouched", &TaskState::default());
+    stored.keeps("step", &step_state());
+    stored.keeps("time", &time_state());
+    stored.keeps("job", &job(1, JobPhase::Running));
+    stored.keeps("shared-job", &Shared::new(job(2, JobPhase::Failed)));
+    stored.keeps("configuration", &configuration());
+    let unknown = ConfigurationState { change: vec![], ..configuration() };
+    stored.keeps("configuration-change-unknown", &unknown);
+    stored.reads("configuration-before-changes", &unknown);
+    stored.keeps("role", &role_state(3));
+    stored.keeps("worker", &worker(false));
+    stored.keeps("worker-ended", &worker(true));
+    expect_that!(stored.faults(), is_empty());
+}
+
+#[googletest::test]
+fn what_a_configuration_is_made_of_keeps_its_bytes() {
+    let mut stored = Stored::read(include_str!("golden/configuration.hex"));
+    stored.keeps("route", &route());
+    stored.keeps("service", &service());
+    stored.keeps("service-without-guards", &Service { guards: false, ..service() });
+    stored.keeps("limits", &limits());
+    stored.keeps("usual-limits", &Limits::default());
+    expect_that!(stored.faults(), is_empty());
+}
+
+#[googletest::test]
+fn a_whole_state_keeps_its_bytes() {
+    let mut stored = Stored::read(include_str!("golden/state.hex"));
+    stored.keeps("state", &state());
+    stored.keeps("empty-state", &State::default());
+    expect_that!(stored.faults(), is_empty());
+}
+
+/// One more than go into a part.
+const JOBS: u64 = 129;
+
+#[googletest::test]
+fn the_parts_of_a_frozen_state_keep_their_bytes() {
+    let mut stored = Stored::read(include_str!("golden/frozen.hex"));
+    let small = state().freeze();
+    expect_that!((small.parts(), small.position()), eq((2, state().position)));
+    // Each part is a state with some of the records.
+    stored.keeps("all-but-the-jobs", &State { jobs: Default::default(), ..state() });
+    stored.keeps("the-jobs", &State { jobs: state().jobs, ..State::default() });
+    let parts = stored_parts().map(|part| hex(&part));
+    expect_that!(parts_of(&small), eq(&parts.to_vec()));
+    expect_that!(small.part(2), is_empty());
+    expect_that!(stored.faults(), is_empty());
+}
+
+#[googletest::test]
+fn a_state_is_rebuilt_from_the_stored_parts() {
+    let mut builder = StateBuilder::default();
+    for part in stored_parts() {
+        expect_that!(builder.add(&part), ok(anything()));
+    }
+    expect_that!(builder.finish(), some(eq(&state())));
+    // A state in one piece is its only part.
+    let mut stored = Stored::read(include_str!("golden/state.hex"));
+    let mut builder = StateBuilder::default();
+    expect_that!(builder.add(&stored.bytes("state").unwrap_or_default()), ok(anything()));
+    expect_that!(builder.finish(), some(eq(&state())));
+}
+
+#[googletest::test]
+fn the_jobs_of_a_large_state_are_cut_at_the_same_places() {
+    let mut large = state();
+    large.jobs = (1..=JOBS).map(|id| (JobId(id), Shared::new(Job::new(submission(id))))).collect();
+    let parts = parts_of(&large.freeze());
+    let jobs = |range: std::ops::RangeInclusive<u64>| {
+        let jobs = large.jobs.range(JobId(*range.start())..=JobId(*range.end()));
+        State { jobs: jobs.map(|(id, job)| (*id, job.clone())).collect(), ..State::default() }
+    };
+    let head = State { jobs: Default::default(), ..large.clone() };
+    let expected = [head, jobs(1..=JOBS - 1), jobs(JOBS..=JOBS)];
+    let expected: Vec<String> = expected.iter().map(|part| hex(&magpiegap_protocol::encode(part))).collect();
+    expect_that!(parts, eq(&expected));
+}
+
+/// What the commands of a log make of an empty state is kept as well as the form of it.
+#[googletest::test]
+fn the_state_that_a_log_leads_to_keeps_its_bytes() {
+    let mut stored = Stored::read(include_str!("golden/after_a_log.hex"));
+    let mut state = State::default();
+    let task = |index| TaskId { job: JobId(1), time: 0, step: 0, index };
+    let run = |index| RunStart {
+        task: task(index),
+        run: 1,
+        instance: "w-17/3".to_owned(),
+        checkpoint: String::new(),
+    };
+    let commands = [
+        Command::ReplaceConfiguration {
+            base: 0,
+            version: 16,
+            body: b"{\"version\":16}".to_vec(),
+            change: vec![0, 200, 7],
+        },
+        Command::SubmitJob { submission: Box::new(submission(1)), runs: vec![run(0), run(1)] },
+        Command::LoseRuns { runs: vec![RunStart { checkpoint: "half-way".to_owned(), ..run(1) }] },
+        Command::SubmitJob { submission: Box::new(submission(2)), runs: vec![] },
+        Command::CancelJob { job: JobId(2) },
+    ];
+    for (index, command) in (1..).zip(commands) {
+        let proposal = ProposalId { origin: replica(1), sequence: index };
+        let position = Position { view: 1, index };
+        state.apply(&Entry { position, proposal, fence: None, command, wall_ms: 1000 + index });
+    }
+    stored.keeps("state", &state);
+    expect_that!(stored.faults(), is_empty());
+}
+
+fn parts_of(frozen: &FrozenState) -> Vec<String> {
+    (0..frozen.parts()).map(|number| hex(&frozen.part(number))).collect()
+}
+
+/// The parts of the frozen sample, in their order.
+fn stored_parts() -> [Vec<u8>; 2] {
+    let mut stored = Stored::read(include_str!("golden/frozen.hex"));
+    ["all-but-the-jobs", "the-jobs"].map(|name| stored.bytes(name).unwrap_or_default())
+}
