--- /dev/null
+++ b/system/storage/tests/golden.rs
@@ -0,0 +1,169 @@
+//! The bytes of slots and logs, and the names of their files.
+//!
+//! They must not change: a machine that starts with another build must read all that the build before has kept, and may
+//! go back to it while the machines are brought to another build one by one. The stored files are in
+//! `golden/files.hex`, one line for each file, as `folder/file: bytes`. A change of names in the code leaves them as they
+//! are; another version of the format gets folders of its own beside these.
+use googletest::prelude::*;
+use magpiegap_storage::{FileName, FolderDirectory, Recovered, Store};
+use std::path::Path;
+use tempfile::TempDir;
+
+const STORED: &str = include_str!("golden/files.hex");
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap();
+    hex.as_bytes().chunks(2).map(byte).collect()
+}
+
+/// The files stored for a folder: their names and bytes.
+fn stored(folder: &str) -> Vec<(&'static str, &'static str)> {
+    let of_folder = |line: &'static str| line.strip_prefix(folder)?.strip_prefix('/')?.split_once(": ");
+    STORED.lines().filter_map(of_folder).collect()
+}
+
+/// All files of a folder by name: their names and bytes.
+fn files(folder: &Path) -> Vec<(String, String)> {
+    let entries = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap());
+    let mut files: Vec<(String, String)> = entries
+        .map(|entry| {
+            let name = entry.file_name().into_string().unwrap();
+            (name, hex(&std::fs::read(entry.path()).unwrap()))
+        })
+        .collect();
+    files.sort_unstable();
+    files
+}
+
+fn open(folder: &TempDir) -> (Store<FolderDirectory>, Recovered) {
+    Store::open(FolderDirectory::new(folder.path()).unwrap()).unwrap()
+}
+
+/// A folder with the files stored under a name.
+fn stored_folder(name: &str) -> TempDir {
+    let folder = tempfile::tempdir().unwrap();
+    for (file, hex) in stored(name) {
+        std::fs::write(folder.path().join(file), bytes(hex)).unwrap();
+    }
+    folder
+}
+
+/// The files of a folder are those stored under a name, byte by byte.
+fn expect_files(name: &str, folder: &TempDir) {
+    let written = files(folder.path());
+    let names: Vec<&str> = written.iter().map(|(file, _)| file.as_str()).collect();
+    let meant: Vec<&str> = stored(name).iter().map(|(file, _)| *file).collect();
+    expect_that!(names, eq(&meant), "{name}");
+    for ((file, written), (_, kept)) in written.iter().zip(stored(name)) {
+        expect_that!(written, eq(kept), "{name}/{file}");
+    }
+}
+
+fn expect_recovered(name: &str, meant: &Recovered) {
+    expect_that!(&open(&stored_folder(name)).1, eq(meant), "{name}");
+}
+
+fn records(texts: &[&str]) -> Vec<Vec<u8>> {
+    texts.iter().map(|text| text.as_bytes().to_vec()).collect()
+}
+
+/// Records before the first checkpoint.
+fn write_first_records() -> TempDir {
+    let folder = tempfile::tempdir().unwrap();
+    let (mut store, _) = open(&folder);
+    store.append(&records(&["first", ""])).unwrap();
+    store.append(&records(&["third"])).unwrap();
+    folder
+}
+
+/// Records before a checkpoint, and after it.
+fn write_one_checkpoint() -> TempDir {
+    let folder = write_first_records();
+    let (mut store, _) = open(&folder);
+    store.checkpoint(records(&["head", "", "a longer part"])).unwrap();
+    store.append(&records(&["after one", "after one too"])).unwrap();
+    folder
+}
+
+/// Two checkpoints, so that each file is there.
+fn write_two_checkpoints() -> TempDir {
+    let folder = write_one_checkpoint();
+    let (mut store, _) = open(&folder);
+    store.checkpoint(records(&["another head", "tail"])).unwrap();
+    store.append(&records(&["after two"])).unwrap();
+    folder
+}
+
+/// A checkpoint without parts and without records after it.
+fn write_empty_checkpoint() -> TempDir {
+    let folder = tempfile::tempdir().unwrap();
+    let (mut store, _) = open(&folder);
+    store.checkpoint(Vec::new()).unwrap();
+    folder
+}
+
+#[googletest::test]
+fn files_keep_their_names() {
+    expect_that!(FileName::ALL.map(FileName::text), eq(["slot-0", "slot-1", "log-0", "log-1"]));
+}
+
+#[googletest::test]
+fn slots_and_logs_keep_their_bytes() {
+    expect_files("first records", &write_first_records());
+    expect_files("one checkpoint", &write_one_checkpoint());
+    expect_files("two checkpoints", &write_two_checkpoints());
+    expect_files("empty checkpoint", &write_empty_checkpoint());
+}
+
+#[googletest::test]
+fn a_stored_folder_opens_and_gives_what_was_kept() {
+    let first = Recovered { snapshot: None, records: records(&["first", "", "third"]) };
+    expect_recovered("first records", &first);
+    let one = Recovered {
+        snapshot: Some(records(&["head", "", "a longer part"])),
+        records: records(&["after one", "after one too"]),
+    };
+    expect_recovered("one checkpoint", &one);
+    let two =
+        Recovered { snapshot: Some(records(&["another head", "tail"])), records: records(&["after two"]) };
+    expect_recovered("two checkpoints", &two);
+    expect_recovered("empty checkpoint", &Recovered { snapshot: Some(Vec::new()), records: Vec::new() });
+}
+
+/// Nothing writes the first version any more: the stored slot was made by hand, as the head comment of the format says.
+#[googletest::test]
+fn a_stored_slot_of_the_first_version_is_still_read_as_one_part() {
+    let meant =
+        Recovered { snapshot: Some(records(&["a snapshot in one piece"])), records: records(&["after it"]) };
+    expect_recovered("first version", &meant);
+}
+
+#[googletest::test]
+fn a_stored_folder_goes_on_where_it_ended() {
+    let folder = stored_folder("one checkpoint");
+    let (mut store, _) = open(&folder);
+    store.checkpoint(records(&["another head", "tail"])).unwrap();
+    store.append(&records(&["after two"])).unwrap();
+    expect_files("two checkpoints", &folder);
+}
+
+#[googletest::test]
+fn a_stored_folder_with_a_torn_last_record_gives_those_before() {
+    let folder = stored_folder("one checkpoint");
+    let log = folder.path().join("log-1");
+    let mut torn = std::fs::read(&log).unwrap();
+    torn.pop();
+    std::fs::write(&log, torn).unwrap();
+    expect_that!(open(&folder).1.records, eq(&records(&["after one"])));
+}
+
+#[googletest::test]
+fn every_stored_file_is_of_a_folder_that_is_looked_at() {
+    let folders = ["first records", "one checkpoint", "two checkpoints", "empty checkpoint", "first version"];
+    let looked_at: usize = folders.iter().map(|folder| stored(folder).len()).sum();
+    expect_that!(looked_at, eq(STORED.lines().count()));
+}
