--- a/system/magpiegap/tests/worker_bodies.rs
+++ b/system/magpiegap/tests/worker_bodies.rs
@@ -29,6 +29,7 @@
 
 const ORDERS: &str = include_str!("golden/worker/orders.txt");
 const LISTING_AT_FIRST: &str = include_str!("golden/worker/listing_at_first.json");
+const REFUSAL: &str = include_str!("golden/worker/refusal.json");
 const PAGE_1: &str = include_str!("golden/platform/page_1.json");
 const PAGE_2: &str = include_str!("golden/platform/page_2.json");
 const CONFIGURATION: &str = r#"{"version":1,"routes":[{"name":"q","hostname":"h","pathPrefix":"/q/","timeoutMs":5000,"service":"desk"}],"services":[{"name":"desk"}]}"#;
@@ -52,6 +53,8 @@
     pages: BTreeSet<String>,
     /// The end of the first run was asked for.
     fail_first_run: bool,
+    /// The worker says that it has seen a higher token.
+    refuse: bool,
 }
 
 #[derive(Clone)]
@@ -124,7 +127,12 @@
                 sleep(PAUSE).await;
             }
             let body = self.answer(&question, address).replace("ADDRESS", &address.to_string());
-            let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
+            let refused = question.path.starts_with("/-/") && self.with(|seen| seen.refuse);
+            let (status, body) = match refused {
+                true => ("409 Conflict", REFUSAL.to_owned()),
+                false => ("200 OK", body),
+            };
+            let head = format!("HTTP/1.1 {status}\r\ncontent-length: {}\r\n\r\n", body.len());
             if stream.write_all((head + &body).as_bytes()).await.is_err() {
                 return;
             }
@@ -307,7 +315,7 @@
     let stand_ins = StandIns { seen: Arc::default(), begin: Instant::now() };
     let coordinator = Coordinator::start(stand_ins.listen().await);
     let orders: Vec<&str> = ORDERS.lines().collect();
-    let [greeting, hold, stray_stop, first_start, second_start, stop] = orders[..] else {
+    let [greeting, hold, stray_stop, first_start, second_start, stop, next_token] = orders[..] else {
         panic!("there are {} stored orders", orders.len())
     };
     let body = CONFIGURATION.as_bytes().to_vec();
@@ -333,6 +341,9 @@
     let cancel = CoordinatorRequest::Cancel { queue: "h/q/".to_owned(), job: JOB };
     coordinator.ask_until(cancel, CoordinatorAnswer::Accepted).await;
     stand_ins.sent(stop).await;
+    // Whoever is refused for its token claims the role anew, and so gets a higher one.
+    stand_ins.with(|seen| seen.refuse = true);
+    stand_ins.sent(next_token).await;
 
     let pages = stand_ins.with(|seen| seen.pages.clone());
     assert_that!(
