--- /dev/null
+++ b/simhost/tests/golden.rs
@@ -0,0 +1,153 @@
+//! The simulator's wire as it is, byte for byte: what is read of it and what is written. The simulator is the users' and
+//! changes for nobody; a build that reads or writes anything else can't be played in it.
+#[path = "../../tests/common/golden.rs"]
+mod golden;
+
+use golden::{assert_stored, stored};
+use oakflow::{
+    Action, Availability, Ending, Event, Member, Membership, Refusal, Request, RequestId, UpstreamId,
+};
+use oakflow_simhost::wire::{decode, membership, read_frame, Record, Reply};
+use oakflow_simhost::Host;
+
+/// Frames of one simulation, in an order in which they can be played.
+const FRAMES: &str = include_str!("golden/frames.hex");
+const REPLIES: &str = include_str!("golden/replies.hex");
+
+const ID: RequestId = RequestId(0x3132_3334);
+const UPSTREAM: UpstreamId = UpstreamId(0x0a12_0000_0b01);
+const TABLE: u32 = 0x1112_1314;
+/// The length of the settings in the frame that has some.
+const SETTINGS: usize = 254;
+
+fn members() -> Vec<Member> {
+    let member = |at: u16, availability, since| Member {
+        id: UpstreamId(UPSTREAM.0 + u64::from(at)),
+        zone: 0x0102 + 0x0101 * at,
+        kind: 3 + at as u8,
+        group: 0x0405 + 0x0101 * at,
+        availability,
+        since,
+    };
+    vec![
+        member(0, Availability::Ready, 6100.5),
+        member(1, Availability::Draining, 6200.25),
+        member(2, Availability::Gone, 0.0),
+    ]
+}
+
+fn ask(id: u32, class: usize, tenant: usize, deadline: f64, tie: u64) -> Record {
+    Record::Event(Event::Request(Request { id: RequestId(id), class, tenant, deadline, tie }))
+}
+
+fn outcome(ending: Ending, closed: bool, report: &[f32]) -> Record {
+    let event = Event::Outcome { request: ID, attempt: 0x0102, ending, duration: 18.5, closed };
+    Record::Outcome { event, upstream: UPSTREAM, report: report.to_vec() }
+}
+
+/// What each frame says besides the instance that it is for.
+fn frames() -> Vec<(&'static str, Option<Record>)> {
+    let sync = |kind| Record::Sync { kind, table: TABLE };
+    let frames = vec![
+        ("configure", Record::Configure { seed: 0x0102_0304_0506_0708, setup: 3..3 + SETTINGS }),
+        ("table", Record::Table { number: TABLE, members: members() }),
+        ("sync_full", sync(0)),
+        ("sync_failed", sync(1)),
+        ("sync_delta", sync(2)),
+        ("sync_cached", sync(3)),
+        ("ask", ask(0x3132_3334, 0, 0, 9000.5, 0xa3bc_97df_47c5_6233)),
+        (
+            "ask_of_another_class_and_tenant",
+            ask(0x3132_3335, 0xfe, 0x5152_5354, 9001.5, 0x3d03_7944_da8b_2665),
+        ),
+        ("ask_without_a_key", ask(0x3132_3336, 0, 0, 9002.5, 0x2d9d_a3af_f643_72f2)),
+        ("outcome_ok", outcome(Ending::Ok, false, &[14.5, 140.25, 7.75, 1.125])),
+        ("outcome_error", outcome(Ending::Error, false, &[14.5, 140.25, 7.75])),
+        ("outcome_full", outcome(Ending::Full, true, &[14.5, 140.25])),
+        ("outcome_timeout", outcome(Ending::Timeout, false, &[14.5])),
+        ("outcome_connect_failed", outcome(Ending::ConnectFailed, true, &[14.5])),
+        ("outcome_reset", outcome(Ending::Reset, false, &[14.5])),
+        ("outcome_cancelled", outcome(Ending::Cancelled, false, &[14.5])),
+        ("outcome_moot", outcome(Ending::Moot, true, &[])),
+        ("outcome_unknown", outcome(Ending::Unknown, true, &[14.5])),
+        ("streaming", Record::Event(Event::Streaming { request: ID, attempt: 0x0203 })),
+        ("timer", Record::Event(Event::Timer(0x6162_6364))),
+        ("sampled", Record::Skip),
+        ("whisper", Record::Skip),
+        ("dropped", Record::Event(Event::ClientGone(ID))),
+        ("destroy", Record::Destroy),
+    ];
+    let said = frames.into_iter().map(|(name, record)| (name, Some(record)));
+    [("empty", None)].into_iter().chain(said).collect()
+}
+
+#[test]
+fn every_frame_is_read_as_it_was_meant() {
+    let stored = stored(FRAMES);
+    assert_eq!(stored.len(), frames().len());
+    for (at, ((name, bytes), (wanted_name, wanted))) in (1..).zip(stored.iter().zip(frames())) {
+        assert_eq!(*name, wanted_name);
+        let batch = decode(bytes, 0).unwrap_or_else(|e| panic!("{name}: {e}"));
+        assert_eq!((batch.now, batch.number), (8412.25 + f64::from(at), 0x0102_0300 + at), "{name}");
+        let target = |record: &Record| !matches!(record, Record::Table { .. });
+        let wanted: Vec<_> = wanted
+            .into_iter()
+            .flat_map(|record| [target(&record).then_some(Record::Target(0x0304)), Some(record)])
+            .flatten()
+            .collect();
+        assert_eq!(batch.records, wanted, "{name}");
+    }
+}
+
+#[test]
+fn every_kind_of_news_of_upstreams_is_told_from_the_others() {
+    let table = Some(members());
+    assert_eq!(membership(0, table.as_ref()), Ok(Membership::Full(members())));
+    assert_eq!(membership(1, table.as_ref()), Ok(Membership::Failed));
+    assert_eq!(membership(2, table.as_ref()), Ok(Membership::Delta(members())));
+    assert_eq!(membership(3, table.as_ref()), Ok(Membership::Cached(members())));
+}
+
+#[test]
+fn a_host_plays_every_frame_and_echoes_its_number() {
+    let mut host = Host::default();
+    for (name, bytes) in stored(FRAMES) {
+        let frame = read_frame(&mut &bytes[..], 0).expect("reads").expect("a frame");
+        assert_eq!(frame, bytes, "{name}");
+        let batch = decode(&frame, 0).expect("is read");
+        let reply = host.batch(&batch).unwrap_or_else(|e| panic!("{name}: {e}"));
+        assert_eq!(reply[..4], (reply.len() as u32).to_be_bytes(), "{name}");
+        assert_eq!(reply[8..12], batch.number.to_be_bytes(), "{name}");
+    }
+}
+
+/// Each action alone, for one instance, and then all of them in one reply.
+#[test]
+fn every_reply_is_written_as_it_was() {
+    let send = Action::Send { request: ID, upstream: UPSTREAM, timeout: 80.5, write_by: 9000.5 };
+    let reason = Refusal::OverLimit;
+    let actions = [
+        ("fail", Action::Fail { request: ID }),
+        ("close", Action::CloseIdle(UPSTREAM)),
+        ("refuse", Action::Refuse { request: ID, retry_after: 150.25, reason }),
+        ("subscribe", Action::Subscribe),
+        ("log", Action::Log("two servers — known".into())),
+        ("send", send),
+        ("timer", Action::SetTimer { after: 500.75, token: 0x6162_6364 }),
+        ("cancel", Action::Cancel { request: ID, attempt: 0x0102 }),
+    ];
+    let mut reply = Reply::default();
+    let mut made = vec![("empty".to_string(), reply.finish(0x0102_0304))];
+    for (number, (name, action)) in (0x0102_0305..).zip(&actions) {
+        reply.at(0x0304);
+        reply.action(action);
+        made.push((name.to_string(), reply.finish(number)));
+    }
+    for (instance, (_, action)) in (0x0304..).zip(&actions) {
+        reply.at(instance);
+        reply.action(action);
+    }
+    reply.action(&Action::Log("and more".into()));
+    made.push(("all".into(), reply.finish(0x0102_03ff)));
+    assert_stored(REPLIES, &made);
+}
