--- /dev/null
+++ b/settings/tests/golden.rs
@@ -0,0 +1,185 @@
+//! Settings as values, field by field, and the words of the deployments' files. Operators' files are written in these
+//! words and outlive a build: whatever a name inside the program becomes, a key keeps its name and its meaning.
+use oakflow::{Class, DedupScope, Effect, Settings, Tenant};
+use oakflow_settings::{deployment, Deployment};
+use serde_json::Value;
+
+const WHOLE: &str = include_str!("golden/whole.json");
+const LEAST: &str = include_str!("golden/least.json");
+const WIRE: &str = include_str!("../../deploy/sites/wire.json");
+const REAL: &str = include_str!("../../deploy/sites/real.json");
+
+fn names(of: &[&str]) -> Vec<String> {
+    of.iter().map(|name| name.to_string()).collect()
+}
+
+fn guarded(scope: DedupScope, window: f64) -> Effect {
+    Effect::Guarded { scope, window }
+}
+
+fn plain(objective: f64, deadline: f64, effect: Effect) -> Class {
+    Class { objective, deadline, effect, late_worth: 0.0, worth: 1.0, runs_in: None, kinds_only: None }
+}
+
+#[test]
+fn settings_with_every_key_are_read_field_by_field() {
+    let classes = vec![
+        Class { late_worth: 0.25, worth: 8.5, ..plain(101.0, 402.0, Effect::Free) },
+        Class {
+            late_worth: 0.125,
+            worth: 9.5,
+            runs_in: Some(vec![0, 1]),
+            kinds_only: Some(vec![2, 1]),
+            ..plain(103.5, 404.5, guarded(DedupScope::All, 905.0))
+        },
+        Class { runs_in: Some(vec![1]), ..plain(106.0, 407.0, guarded(DedupScope::Zone, 908.0)) },
+        Class { kinds_only: Some(vec![0]), ..plain(109.0, 410.0, guarded(DedupScope::Cell, 911.0)) },
+        plain(112.0, 413.0, guarded(DedupScope::All, 0.0)),
+        plain(114.0, 415.0, Effect::SingleShot),
+    ];
+    let tenants = vec![Tenant { share: 1.5, quota_per_s: 51.0 }, Tenant { share: 2.5, quota_per_s: 0.0 }];
+    let policy = Settings {
+        index: 3,
+        balancers: 7,
+        stage: 2,
+        zone: 1,
+        classes,
+        tenants,
+        attempts_cap: 5,
+        cancel: true,
+        ask_for_list: true,
+        ask_within: 9007.0,
+        idle_close: 5002.0,
+        max_retry_after: 2001.0,
+        cold_from: 0.375,
+        ramp_time: 9004.0,
+        tip_multiple: 3.5,
+        fall: 1006.0,
+        late_shedding: true,
+        cross_zone_price: 0.0625,
+    };
+    let wanted = Deployment {
+        policy,
+        classes: names(&["read", "order", "note", "mark", "plain", "pay"]),
+        tenants: names(&["club", "guild"]),
+        zones: names(&["hampi", "bidar"]),
+        kinds: names(&["m1", "m2", "m3"]),
+        dial_timeout: 254.0,
+        max_open: 9003,
+        peers: true,
+        held_column: Some(2),
+        served_column: Some(1),
+    };
+    assert_eq!(deployment(WHOLE.as_bytes()), Ok(wanted));
+}
+
+#[test]
+fn settings_with_the_least_keys_are_read_field_by_field() {
+    let policy = Settings {
+        index: 0,
+        balancers: 1,
+        stage: 0,
+        zone: 0,
+        classes: vec![plain(101.0, 402.0, Effect::Free)],
+        tenants: Vec::new(),
+        attempts_cap: 3,
+        cancel: false,
+        ask_for_list: false,
+        ask_within: 10_000.0,
+        idle_close: 5000.0,
+        max_retry_after: 0.0,
+        cold_from: 0.375,
+        ramp_time: 9004.0,
+        tip_multiple: 3.5,
+        fall: 3000.0,
+        late_shedding: false,
+        cross_zone_price: 0.0,
+    };
+    let wanted = Deployment {
+        policy,
+        classes: names(&[""]),
+        tenants: Vec::new(),
+        zones: Vec::new(),
+        kinds: Vec::new(),
+        dial_timeout: 250.0,
+        max_open: 20_000,
+        peers: false,
+        held_column: None,
+        served_column: None,
+    };
+    assert_eq!(deployment(LEAST.as_bytes()), Ok(wanted));
+}
+
+/// The leaves of a value, a line for each: the path to it, and what it is.
+fn leaves(path: &str, value: &Value, to: &mut Vec<String>) {
+    let mut further = |key: &str, value| leaves(&format!("{path}/{key}"), value, to);
+    match value {
+        Value::Object(fields) if !fields.is_empty() => {
+            fields.iter().for_each(|(key, value)| further(key, value));
+        }
+        Value::Array(items) if !items.is_empty() => {
+            items.iter().enumerate().for_each(|(at, value)| further(&at.to_string(), value));
+        }
+        leaf => to.push(format!("{path}: {leaf}")),
+    }
+}
+
+fn assert_leaves(json: &str, stored: &str) {
+    let mut made = Vec::new();
+    leaves("", &serde_json::from_str(json).expect("JSON"), &mut made);
+    made.sort();
+    let mut wanted: Vec<&str> = stored.lines().collect();
+    wanted.sort_unstable();
+    assert!(made == wanted, "now:\n{}", made.join("\n"));
+}
+
+#[test]
+fn the_deployments_word_the_simulators_wire_as_they_did() {
+    assert_leaves(WIRE, include_str!("golden/wire.txt"));
+}
+
+#[test]
+fn the_deployments_word_real_requests_as_they_did() {
+    assert_leaves(REAL, include_str!("golden/real.txt"));
+}
+
+/// Keys that the file of the wire gives another name, and that settings are read by: each is in the stored settings, so
+/// that it is read by this name.
+#[test]
+fn settings_are_read_in_the_words_of_the_wire() {
+    let wire: Value = serde_json::from_str(WIRE).expect("JSON");
+    let whole: Value = serde_json::from_str(WHOLE).expect("JSON");
+    let read = [
+        ("zones", ""),
+        ("tier", ""),
+        ("me", ""),
+        ("prices", ""),
+        ("limits", ""),
+        ("rules", ""),
+        ("discovery", ""),
+        ("report", ""),
+        ("fields", "/stats"),
+        ("aim", "/classes/1"),
+        ("worth", "/classes/1"),
+        ("group", "/classes/1"),
+        ("window", "/classes/1"),
+        ("classes.only_zones", "/classes/1"),
+        ("classes.only_kinds", "/classes/1"),
+        ("max_attempts", "/permissions"),
+        ("connect_timeout", "/permissions"),
+        ("conn_idle", "/permissions"),
+        ("cold", "/invariants"),
+        ("fall_multiple", "/invariants"),
+        ("rules.full_may_have_run", "/invariants"),
+    ];
+    for (word, within) in read {
+        let key = wire["init"]["rename"][word].as_str().expect(word);
+        let there = whole.pointer(within).and_then(|object| object.get(key));
+        assert!(there.is_some(), "{word}: no {key} in {within:?}");
+    }
+    let words = ["safe", "keyed", "unsafe", "ask"].map(|word| &wire["init"]["words"][word]);
+    let classes = [0, 1, 5].map(|class| &whole["classes"][class]["effect"]);
+    assert_eq!((words[..3].to_vec(), words[3]), (classes.to_vec(), &whole["membership_mode"]));
+    let least: Value = serde_json::from_str(LEAST).expect("JSON");
+    assert_eq!(wire["init"]["words"]["push"], least["membership_mode"]);
+}
