--- a/src/lib.rs
+++ b/balancer/core/src/lib.rs
@@ -4,7 +4,7 @@
 //! socket, reads no clock and shares nothing with other instances.
 //!
 //! ```
-//! use oakflow::*;
+//! use balancer_core::*;
 //!
 //! let mut balancer = Balancer::new(Settings::default(), 7, 0.0).expect("settings");
 //! let mut actions = Vec::new();
@@ -35,5 +35,5 @@
 
 /// Runs the README's example with the documentation tests.
 #[cfg(doctest)]
-#[doc = include_str!("../README.md")]
+#[doc = include_str!("../../../README.md")]
 struct Readme;
--- a/src/policy.rs
+++ b/balancer/core/src/policy.rs
@@ -1,4 +1,4 @@
-//! Every decision of the balancer. The types it speaks in are in `src/interface`, records in `src/state`.
+//! Every decision of the balancer. The types it speaks in are in `interface`, records in `state`.
 //!
 //! Ordinary path of a request: count it as its tenant's demand; admit it when its tenant is within its
 //! limit or the cycle's capacity is not used up, refuse it otherwise; send it to the less busy of two
--- a/src/state.rs
+++ b/balancer/core/src/state.rs
@@ -1,4 +1,4 @@
-//! Records of what an instance knows, and its random draws. Nothing here decides: that is in `src/policy`.
+//! Records of what an instance knows, and its random draws. Nothing here decides: that is in `policy`.
 mod admission;
 mod answers;
 mod ask;
--- a/tests/common/mod.rs
+++ b/balancer/core/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)] // each test file uses its own part
 pub mod slow_start;
 pub mod tier;
-use oakflow::*;
+use balancer_core::*;
 use std::collections::BTreeMap;
 
 pub fn member(id: u64) -> Member {
--- a/tests/common/slow_start.rs
+++ b/balancer/core/tests/common/slow_start.rs
@@ -1,5 +1,5 @@
 //! Many balancers before upstreams of which some start cold, on injected time: counts what a cold one is sent.
-use oakflow::*;
+use balancer_core::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
--- a/tests/common/tier/clients.rs
+++ b/balancer/core/tests/common/tier/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: what each wants, the replicas that it tries, and the answers that it gets.
 use super::schedule::Due;
 use super::Tier;
-use oakflow::*;
+use balancer_core::*;
 use rand_core::RngCore;
 
 /// What a client wants, over all its tries.
--- a/tests/common/tier/exchange.rs
+++ b/balancer/core/tests/common/tier/exchange.rs
@@ -1,6 +1,6 @@
 //! What the replicas of the tier learn from each other.
 use super::Tier;
-use oakflow::*;
+use balancer_core::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Tier {
--- a/tests/common/tier/measures.rs
+++ b/balancer/core/tests/common/tier/measures.rs
@@ -1,6 +1,6 @@
 //! What a run came to.
 use super::{Answer, Tier, Want};
-use oakflow::UpstreamId;
+use balancer_core::UpstreamId;
 
 impl Tier {
     /// Wants that were met per second in this time, within the aim and as long as copies told clients to wait.
--- a/tests/common/tier/mod.rs
+++ b/balancer/core/tests/common/tier/mod.rs
@@ -9,7 +9,7 @@
 use self::schedule::{At, Due};
 use self::servers::{Out, Server};
 use super::{class, member, tenants};
-use oakflow::*;
+use balancer_core::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
--- a/tests/common/tier/servers.rs
+++ b/balancer/core/tests/common/tier/servers.rs
@@ -1,7 +1,7 @@
 //! Servers with slots and a queue, and the attempts that are out at them.
 use super::schedule::Due;
 use super::{Answer, Tier, QUEUE, SLOTS, TAKES};
-use oakflow::*;
+use balancer_core::*;
 use std::collections::VecDeque;
 
 #[derive(Default)]
--- a/tests/failures/attempts.rs
+++ b/balancer/core/tests/failures/attempts.rs
@@ -1,7 +1,7 @@
 //! The end of a request and its further attempts.
 use crate::common::*;
 use crate::worlds::{shared, world};
-use oakflow::*;
+use balancer_core::*;
 
 /// Where a late answer earns nothing, an attempt that ran on only held slots, in every tier above too.
 #[test]
--- a/tests/failures/capacity.rs
+++ b/balancer/core/tests/failures/capacity.rs
@@ -1,7 +1,7 @@
 //! The limit on calls in flight: how it is learned, and its floor at the stated quotas.
 use crate::common::*;
 use crate::worlds::{fast, shared, slow, world};
-use oakflow::*;
+use balancer_core::*;
 
 /// Capacity once spiralled down on old news and took half a minute to come back.
 #[test]
--- a/tests/failures/choice.rs
+++ b/balancer/core/tests/failures/choice.rs
@@ -1,7 +1,7 @@
 //! Which upstream is taken, and the subset that a balancer connects to.
 use crate::common::*;
 use crate::worlds::{fast, shared, world};
-use oakflow::*;
+use balancer_core::*;
 use std::collections::BTreeMap;
 
 /// Copies that carry little hold nothing at most upstreams: a slow kind got as much as a fast one.
--- a/tests/failures/connections.rs
+++ b/balancer/core/tests/failures/connections.rs
@@ -1,7 +1,7 @@
 //! Idle connections that the network drops unseen.
 use crate::common::*;
 use crate::worlds::{shared, world};
-use oakflow::*;
+use balancer_core::*;
 use std::collections::BTreeMap;
 
 /// A request on connections that are dropped unseen after 300 ms without use: tells whether it got lost. `open` holds
--- a/tests/failures/ejection.rs
+++ b/balancer/core/tests/failures/ejection.rs
@@ -1,7 +1,7 @@
 //! Upstreams that fail, hang or answer nothing: ejection, and its limits.
 use crate::common::*;
 use crate::worlds::{fast, shared, world};
-use oakflow::*;
+use balancer_core::*;
 use std::collections::BTreeMap;
 
 #[test]
--- a/tests/failures/main.rs
+++ b/balancer/core/tests/failures/main.rs
@@ -1,4 +1,4 @@
-//! One test for each failure met: it fails without the guard that `src/policy` names it at.
+//! One test for each failure met: it fails without the guard that `balancer/core/src/policy` names it at.
 mod attempts;
 mod capacity;
 mod choice;
--- a/tests/failures/overload.rs
+++ b/balancer/core/tests/failures/overload.rs
@@ -1,7 +1,7 @@
 //! More requests than the upstreams can serve: what is admitted and what is refused.
 use crate::common::*;
 use crate::worlds::{fast, shared, world};
-use oakflow::*;
+use balancer_core::*;
 
 /// Judged by answers alone, a tier that stops answering looks well until the time-outs come.
 #[test]
--- a/tests/failures/tenants.rs
+++ b/balancer/core/tests/failures/tenants.rs
@@ -1,7 +1,7 @@
 //! Shares of capacity between tenants.
 use crate::common::*;
 use crate::worlds::{fast, shared, world};
-use oakflow::*;
+use balancer_core::*;
 
 #[test]
 fn an_over_limit_tenant_is_refused_and_one_within_its_share_is_not() {
--- a/tests/failures/worlds.rs
+++ b/balancer/core/tests/failures/worlds.rs
@@ -1,6 +1,6 @@
 //! Settings, servers and worlds that the tests share.
 use crate::common::*;
-use oakflow::*;
+use balancer_core::*;
 
 pub fn fast(_: UpstreamId) -> Option<(Ending, f64)> {
     Some((Ending::Ok, 50.0))
--- a/tests/failures/zones.rs
+++ b/balancer/core/tests/failures/zones.rs
@@ -1,7 +1,7 @@
 //! Zones: one that is lost, and the own one against the others.
 use crate::common::*;
 use crate::worlds::{fast, shared};
-use oakflow::*;
+use balancer_core::*;
 
 /// Met in an incident: a whole zone answered nothing, too much to eject server by server.
 #[test]
--- a/tests/late_connections.rs
+++ b/balancer/core/tests/late_connections.rs
@@ -1,7 +1,7 @@
 //! Connections that come up too late, a third of them, whichever upstream they go to.
 mod common;
 use common::*;
-use oakflow::*;
+use balancer_core::*;
 use std::cell::Cell;
 
 /// Two in a row ejected an upstream, however many were out already: a handful of upstreams was out for most of the time,
--- a/tests/limits.rs
+++ b/balancer/core/tests/limits.rs
@@ -1,5 +1,5 @@
 //! The published rule as a pure function: the post's worked table, edges, and what always holds.
-use oakflow::limits;
+use balancer_core::limits;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/tests/observed.rs
+++ b/balancer/core/tests/observed.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::*;
-use oakflow::*;
+use balancer_core::*;
 
 fn world(upstreams: u64) -> World {
     let settings = Settings {
--- a/tests/restored.rs
+++ b/balancer/core/tests/restored.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::*;
-use oakflow::*;
+use balancer_core::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/tests/rules.rs
+++ b/balancer/core/tests/rules.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::*;
-use oakflow::*;
+use balancer_core::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/tests/slow_start.rs
+++ b/balancer/core/tests/slow_start.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::slow_start::*;
-use oakflow::*;
+use balancer_core::*;
 
 /// Balancers, upstreams, and calls a second that a warm upstream carries.
 type FleetSize = (usize, u64, f64);
--- a/tests/tier.rs
+++ b/balancer/core/tests/tier.rs
@@ -3,7 +3,7 @@
 
 use common::tier::*;
 use common::{member, tenants, World};
-use oakflow::*;
+use balancer_core::*;
 use std::cell::Cell;
 
 /// Two tenants of equal shares, each asking for so many times what the servers can do.
--- a/tests/unheard.rs
+++ b/balancer/core/tests/unheard.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::*;
-use oakflow::*;
+use balancer_core::*;
 
 /// Overload, late answers, errors and a zone that goes silent, with a word every 100 ms.
 fn day(word: impl Fn(usize) -> Option<TierWord>) -> Vec<Action> {
--- a/tests/zones.rs
+++ b/balancer/core/tests/zones.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::*;
-use oakflow::*;
+use balancer_core::*;
 use std::cell::Cell;
 
 const ANSWER: f64 = 250.0;
--- a/peers/tests/common/mod.rs
+++ b/balancer/gossip/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use oakflow_peers::{Config, Member, Millis, Own, Peers, Versions, Word, READS};
+use balancer_gossip::{Config, Member, Millis, Own, Peers, Versions, Word, READS};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/peers/tests/knowledge.rs
+++ b/balancer/gossip/tests/knowledge.rs
@@ -1,12 +1,12 @@
 //! Merges commute and repeat without harm, and stay within their bounds.
 use proptest::prelude::*;
 
-use oakflow_peers::knowledge::ages::Clocks;
-use oakflow_peers::knowledge::sums::{self, Entries};
-use oakflow_peers::knowledge::verdicts::{self, Verdicts};
-use oakflow_peers::wire::v1::{Stance, Verdict};
-use oakflow_peers::wire::v2::{Figure, Totals};
-use oakflow_peers::{Figures, Member, Millis, Subject, TenantFigures};
+use balancer_gossip::knowledge::ages::Clocks;
+use balancer_gossip::knowledge::sums::{self, Entries};
+use balancer_gossip::knowledge::verdicts::{self, Verdicts};
+use balancer_gossip::wire::v1::{Stance, Verdict};
+use balancer_gossip::wire::v2::{Figure, Totals};
+use balancer_gossip::{Figures, Member, Millis, Subject, TenantFigures};
 
 fn totals() -> impl Strategy<Value = Totals> {
     (1..8_u16, 0..90_u8, 0.0..100.0_f64).prop_map(|(owner, age, value)| {
--- a/peers/tests/strangers.rs
+++ b/balancer/gossip/tests/strangers.rs
@@ -1,7 +1,7 @@
 //! What anyone who reaches the port can do: nothing.
 mod common;
 use common::{Sim, LOSSY};
-use oakflow_peers::{Member, HEADER, MAGIC};
+use balancer_gossip::{Member, HEADER, MAGIC};
 use proptest::prelude::*;
 
 /// A datagram with a header that holds, whatever its payload.
@@ -42,7 +42,7 @@
             sim.run(5.0);
         }
         let after = sim.with(0, |peers, _| peers.counts());
-        let refused = |counts: oakflow_peers::Counts| counts.broken + counts.foreign + counts.unspoken + counts.old;
+        let refused = |counts: balancer_gossip::Counts| counts.broken + counts.foreign + counts.unspoken + counts.old;
         // A payload of random bytes that happens to be one is rare, and does no harm either.
         prop_assert!(refused(after) - refused(before) + 8 >= dropped, "{before:?} {after:?}");
         sim.run(6_000.0);
--- a/peers/tests/tier.rs
+++ b/balancer/gossip/tests/tier.rs
@@ -1,7 +1,7 @@
 //! Tiers of replicas on a simulated network: what the protocol promises, from seeds, under loss and faults.
 mod common;
 use common::{Net, Sim, LOSSY};
-use oakflow_peers::{Figures, Own, Subject, TenantFigures, READS};
+use balancer_gossip::{Figures, Own, Subject, TenantFigures, READS};
 
 /// What a replica observes; the demand differs from replica to replica by 30 in 100.
 fn own(place: u16, level: f64) -> Own {
@@ -84,7 +84,7 @@
     }
     sim.observe(0, Own { cleared: vec![subject], ..own(0, 100.0) });
     sim.run(500.0);
-    let cleared = |word: oakflow_peers::Word| {
+    let cleared = |word: balancer_gossip::Word| {
         word.evidence.first().map(|evidence| (evidence.observers, evidence.cleared))
     };
     assert!((1..60).all(|at| cleared(sim.word(at)) == Some((0, 1))), "taken back everywhere");
--- a/peers/tests/upgrades.rs
+++ b/balancer/gossip/tests/upgrades.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::{Sim, LOSSY};
-use oakflow_peers::{Figures, Own, TenantFigures, Versions, READS};
+use balancer_gossip::{Figures, Own, TenantFigures, Versions, READS};
 
 const OLD: Versions = Versions { least: 1, most: 1 };
 
--- a/peers/tests/version_agreement.rs
+++ b/balancer/gossip/tests/version_agreement.rs
@@ -1,8 +1,8 @@
 //! The hard cases of an upgrade, each on injected time. What holds in every state is in `version_model.rs`; here is how
 //! soon, how often and with which notifications.
-use oakflow_peers::versions::rules::{FIRST_STEP_UP_DELAY, MAX_STEP_UP_DELAY, SETTLED_AFTER, STEP_UP_DELAY};
-use oakflow_peers::versions::Negotiation;
-use oakflow_peers::{Member, Millis, Versions};
+use balancer_gossip::versions::rules::{FIRST_STEP_UP_DELAY, MAX_STEP_UP_DELAY, SETTLED_AFTER, STEP_UP_DELAY};
+use balancer_gossip::versions::Negotiation;
+use balancer_gossip::{Member, Millis, Versions};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
--- a/peers/tests/version_model.rs
+++ b/balancer/gossip/tests/version_model.rs
@@ -5,9 +5,9 @@
 //! that is delay, loss, repetition and reordering. A replica takes another for live when it has acted on a datagram of
 //! it or when a third reports it, and for gone at any time, wrongly too. Each clock runs as fast as it likes: the
 //! step-up delay ends whenever. Copies start anew in either build with nothing remembered but a larger incarnation.
-use oakflow_peers::versions::agreement::Agreement;
-use oakflow_peers::versions::rules::{Rule, Rules, MAX_STEP_UP_DELAY};
-use oakflow_peers::{Member, Versions};
+use balancer_gossip::versions::agreement::Agreement;
+use balancer_gossip::versions::rules::{Rule, Rules, MAX_STEP_UP_DELAY};
+use balancer_gossip::{Member, Versions};
 use stateright::{Checker, Model, Property};
 
 const REPLICAS: usize = 3;
--- a/peers/tests/wire.rs
+++ b/balancer/gossip/tests/wire.rs
@@ -1,10 +1,10 @@
 //! The bytes of every version as they are, and what becomes of bytes that are none.
 use proptest::prelude::*;
 
-use oakflow_peers::wire::v1::{About, Body, Echo, Head, Kind, Reads, Record, Stance, Status, Verdict, View};
-use oakflow_peers::wire::v2::{Figure, Rest, Row, Totals};
-use oakflow_peers::wire::{open, seal, v1, v2, Header, PAYLOAD};
-use oakflow_peers::{Member, Subject, Versions, DATAGRAM_MOST};
+use balancer_gossip::wire::v1::{About, Body, Echo, Head, Kind, Reads, Record, Stance, Status, Verdict, View};
+use balancer_gossip::wire::v2::{Figure, Rest, Row, Totals};
+use balancer_gossip::wire::{open, seal, v1, v2, Header, PAYLOAD};
+use balancer_gossip::{Member, Subject, Versions, DATAGRAM_MOST};
 
 fn header(version: u8) -> Header {
     let reads = Versions { least: 1, most: 2 };
--- a/node/src/clients/accepting.rs
+++ b/balancer/proxy/src/clients/accepting.rs
@@ -6,7 +6,7 @@
 use crate::driver::Handle;
 use crate::held::Held;
 use crate::sockets::Sockets;
-use oakflow_settings::Deployment;
+use balancer_settings::Deployment;
 use std::io::{self, ErrorKind};
 use std::rc::Rc;
 use std::time::Duration;
--- a/node/src/clients/requests.rs
+++ b/balancer/proxy/src/clients/requests.rs
@@ -8,8 +8,8 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::HeaderMap;
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use oakflow::{Effect, Millis};
-use oakflow_settings::Deployment;
+use balancer_core::{Effect, Millis};
+use balancer_settings::Deployment;
 use std::cell::Cell;
 use tokio::time::{timeout_at, Instant};
 
--- a/node/src/command_line.rs
+++ b/balancer/proxy/src/command_line.rs
@@ -44,7 +44,7 @@
 /// Where options come from, as the command line says it.
 #[derive(clap::Args, Default)]
 pub struct OptionArguments {
-    /// The options file [default: what HERONDOCK_OPTIONS names, or none]
+    /// The options file [default: what BALANCER_OPTIONS names, or none]
     #[arg(long, value_name = "FILE")]
     options: Option<PathBuf>,
     /// Set one option, whatever file and environment say.
@@ -55,8 +55,14 @@
 impl OptionArguments {
     /// The sources of the options; the environment names the file where no argument does.
     pub fn sources(self) -> Sources {
-        let named = || std::env::var_os(options::FILE).filter(|path| !path.is_empty()).map(PathBuf::from);
-        Sources { file: self.options.or_else(named), set: self.set }
+        let named_by =
+            |variable: &str| std::env::var_os(variable).filter(|path| !path.is_empty()).map(PathBuf::from);
+        let current = self.options.or_else(|| named_by(options::FILE));
+        let deprecated_file = current.is_none();
+        match current.or_else(|| named_by(options::OLD_FILE)) {
+            Some(file) => Sources { file: Some(file), deprecated_file, set: self.set },
+            None => Sources { file: None, deprecated_file: false, set: self.set },
+        }
     }
 }
 
--- a/node/src/config.rs
+++ b/balancer/proxy/src/config.rs
@@ -2,7 +2,7 @@
 use crate::listing::{Listing, Names};
 use crate::one_line::one_line;
 use crate::peers::Unread;
-use oakflow_settings::Deployment;
+use balancer_settings::Deployment;
 use serde::Deserialize;
 use serde_json::value::{RawValue, Value};
 use std::collections::HashSet;
@@ -82,7 +82,7 @@
                 path => format!("{path}: {}", e.inner()),
             })?;
         json.end().map_err(|e| e.to_string())?;
-        let deployment = oakflow_settings::deployment(file.settings.get().as_bytes())
+        let deployment = balancer_settings::deployment(file.settings.get().as_bytes())
             .map_err(|e| format!("settings: {e}"))?;
         if file.name.chars().any(char::is_control) {
             return Err(format!("name: {:?} has control characters", file.name));
--- a/node/src/driver.rs
+++ b/balancer/proxy/src/driver.rs
@@ -16,7 +16,7 @@
 use crate::message::Answer;
 use crate::recovery::Recovery;
 use crate::upstreams::Transport;
-use oakflow::{Action, Balancer, Ending, Event, Millis};
+use balancer_core::{Action, Balancer, Ending, Event, Millis};
 use state::{Driver, Due, Shared};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
--- a/node/src/driver/attempts.rs
+++ b/balancer/proxy/src/driver/attempts.rs
@@ -3,7 +3,7 @@
 use crate::figures::{name_of, Ended as How};
 use crate::message::Answer;
 use crate::upstreams::Ended;
-use oakflow::{Ending, Event, Millis, RequestId, UpstreamId};
+use balancer_core::{Ending, Event, Millis, RequestId, UpstreamId};
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/node/src/driver/keeping.rs
+++ b/balancer/proxy/src/driver/keeping.rs
@@ -1,8 +1,8 @@
 //! What outlives the program goes out from here and comes back. Owns no state.
 use super::state::{Driver, Due, Handle};
 use crate::recovery::Recovery;
-use oakflow::{Event, Learned, Millis};
-use oakflow_store::keeper::Written;
+use balancer_core::{Event, Learned, Millis};
+use balancer_snapshots::keeper::Written;
 use tokio::time::Instant;
 
 impl Handle {
--- a/node/src/driver/list.rs
+++ b/balancer/proxy/src/driver/list.rs
@@ -3,7 +3,7 @@
 use super::state::{Driver, Handle};
 use crate::listing::{ListUser, Listing};
 use crate::upstreams::Upstream;
-use oakflow::{Availability, Event, Membership, UpstreamId};
+use balancer_core::{Availability, Event, Membership, UpstreamId};
 
 impl Handle {
     /// Whether an upstream is known that takes requests.
--- a/node/src/driver/requests.rs
+++ b/balancer/proxy/src/driver/requests.rs
@@ -2,7 +2,7 @@
 use super::state::{Driver, Handle, Open};
 use crate::figures::Ended as How;
 use crate::message::{Answer, Outgoing};
-use oakflow::{Event, Millis, Request, RequestId};
+use balancer_core::{Event, Millis, Request, RequestId};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
--- a/node/src/driver/state.rs
+++ b/balancer/proxy/src/driver/state.rs
@@ -4,7 +4,7 @@
 use crate::message::{Answer, Outgoing};
 use crate::recovery::Recovery;
 use crate::upstreams::{Transport, Upstream};
-use oakflow::{Availability, Balancer, Event, Millis, RequestId, UpstreamId};
+use balancer_core::{Availability, Balancer, Event, Millis, RequestId, UpstreamId};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
--- a/node/src/driver/tier.rs
+++ b/balancer/proxy/src/driver/tier.rs
@@ -1,6 +1,6 @@
 //! The tier's other copies, as the module hears of them and tells them. Owns no state.
 use super::state::Handle;
-use oakflow::{Event, Observed, TierWord};
+use balancer_core::{Event, Observed, TierWord};
 
 impl Handle {
     /// Tells the module what this copy has heard of its tier.
--- a/node/src/driver/timers.rs
+++ b/balancer/proxy/src/driver/timers.rs
@@ -1,6 +1,6 @@
 //! What is due when, and what is done then. Owns no state.
 use super::state::{Driver, Due, Handle};
-use oakflow::{Ending, Event};
+use balancer_core::{Ending, Event};
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/node/src/driver/watching.rs
+++ b/balancer/proxy/src/driver/watching.rs
@@ -1,7 +1,7 @@
 //! What an operator is told of requests and attempts: figures and events. Owns no state.
 use super::state::{Driver, Handle};
 use crate::figures::{Ended as How, Figures, Now};
-use oakflow::{Availability, RequestId, UpstreamId};
+use balancer_core::{Availability, RequestId, UpstreamId};
 
 impl Handle {
     /// The figures with what holds now, if anything is counted.
--- a/node/src/ending.rs
+++ b/balancer/proxy/src/ending.rs
@@ -2,7 +2,7 @@
 //! time of that word and from the longest deadline.
 use crate::clients::Phase;
 use crate::driver::Handle;
-use oakflow::Millis;
+use balancer_core::Millis;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
--- a/node/src/figures.rs
+++ b/balancer/proxy/src/figures.rs
@@ -10,8 +10,8 @@
 use crate::log::Lines;
 use crate::recovery::Start;
 use hdrhistogram::Histogram;
-use oakflow::{Ending, Refusal};
-use oakflow_store::keeper::Written;
+use balancer_core::{Ending, Refusal};
+use balancer_snapshots::keeper::Written;
 
 /// Times up to an hour are told apart, in microseconds; longer ones count as that.
 const LONGEST: u64 = 3_600_000_000;
--- a/node/src/figures/snapshot.rs
+++ b/balancer/proxy/src/figures/snapshot.rs
@@ -2,7 +2,7 @@
 use super::Peers;
 use crate::log::Lines;
 use hdrhistogram::Histogram;
-use oakflow_store::keeper::Written;
+use balancer_snapshots::keeper::Written;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
--- a/node/src/lib.rs
+++ b/balancer/proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! herondock: a load balancer on real sockets, as a library with one entry point, [`main`]. The modules that read input
+//! balancer-proxy: a load balancer on real sockets, as a library with one entry point, [`main`]. The modules that read input
 //! are public, so that tests can read it without a process. See the README.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/node/src/listing.rs
+++ b/balancer/proxy/src/listing.rs
@@ -1,7 +1,7 @@
 //! The list of upstreams in discovery's form, and what whoever keeps the list fresh tells of it.
 use crate::one_line::one_line;
-use oakflow::{Availability, Member, UpstreamId};
-use oakflow_settings::Deployment;
+use balancer_core::{Availability, Member, UpstreamId};
+use balancer_settings::Deployment;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/node/src/message.rs
+++ b/balancer/proxy/src/message.rs
@@ -3,7 +3,7 @@
 use http_body_util::Full;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Request, Uri};
-use oakflow::Millis;
+use balancer_core::Millis;
 use std::cell::Cell;
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/node/src/options.rs
+++ b/balancer/proxy/src/options.rs
@@ -9,6 +9,6 @@
 pub use loaded::Loaded;
 #[doc(hidden)]
 pub use read::load;
-pub use read::{Sources, FILE};
+pub use read::{Sources, FILE, OLD_FILE};
 pub use source::Source;
 pub use types::{Format, Level, Log, Options, Peers, Recovery, PARTS};
--- a/node/src/options/loaded.rs
+++ b/balancer/proxy/src/options/loaded.rs
@@ -12,6 +12,8 @@
     pub options: Options,
     /// The source of each key that somebody set.
     pub(super) sources: BTreeMap<String, Source>,
+    /// Variables of the environment that were read under the names of an earlier version.
+    pub deprecated: Vec<String>,
 }
 
 impl Loaded {
--- a/node/src/options/merged.rs
+++ b/balancer/proxy/src/options/merged.rs
@@ -7,7 +7,9 @@
 use toml::{Table, Value};
 
 /// Variables of the environment that set options begin so; the key follows in capitals, with `_` for each dot.
-pub(super) const PREFIX: &str = "HERONDOCK_";
+pub(super) const PREFIX: &str = "BALANCER_OPTION_";
+/// How such variables began in earlier versions. They are read still, before those of today, with a warning.
+pub(super) const OLD_PREFIX: &str = "HERONDOCK_";
 /// The form of the options file that this program writes of and reads; one that names a later form is refused.
 const VERSION: i64 = 1;
 /// Parts of the program that are on the way: their tables have names already, so that a file for a later version is
@@ -100,7 +102,8 @@
 
     /// The key that a variable sets.
     pub(super) fn key_of(&self, variable: &str) -> Result<String, String> {
-        let wanted = variable.trim_start_matches(PREFIX).to_ascii_lowercase();
+        let key = variable.strip_prefix(PREFIX).or_else(|| variable.strip_prefix(OLD_PREFIX)).unwrap_or(variable);
+        let wanted = key.to_ascii_lowercase();
         let parts = PARTS.iter().map(|p| format!("log.parts.{p}"));
         let found = self.known.iter().cloned().chain(parts).find(|key| key.replace('.', "_") == wanted);
         found.ok_or_else(|| format!("{variable}: {}", self.unknown(&wanted.replacen('_', ".", 1))))
--- a/node/src/options/types.rs
+++ b/balancer/proxy/src/options/types.rs
@@ -1,5 +1,5 @@
 //! The options as types, and their defaults. Owns no state.
-use oakflow_peers::READS;
+use balancer_gossip::READS;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
--- a/node/src/peers.rs
+++ b/balancer/proxy/src/peers.rs
@@ -1,4 +1,4 @@
-//! The tier's other copies: the thin end, on a socket and a clock, of the protocol in `oakflow-peers`. Datagrams and
+//! The tier's other copies: the thin end, on a socket and a clock, of the protocol in `balancer-gossip`. Datagrams and
 //! time go in, datagrams and words come out; nothing is decided here. Owns the protocol's state.
 mod addresses;
 mod end;
@@ -13,8 +13,8 @@
 use crate::held::Held;
 use crate::options::{self, Options};
 use end::End;
-use oakflow_peers::{Millis, Peers};
-use oakflow_settings::Deployment;
+use balancer_gossip::{Millis, Peers};
+use balancer_settings::Deployment;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/node/src/peers/addresses.rs
+++ b/balancer/proxy/src/peers/addresses.rs
@@ -1,6 +1,6 @@
 //! Where the copies of the tier hear each other: read from the configuration only where peers are on, since a
 //! deployment without them may say there what it likes. Owns no state.
-use oakflow_peers::Member;
+use balancer_gossip::Member;
 use serde_json::Value;
 use std::collections::HashMap;
 use std::net::{SocketAddr, SocketAddrV4};
--- a/node/src/peers/end.rs
+++ b/balancer/proxy/src/peers/end.rs
@@ -2,7 +2,7 @@
 //! socket and when it was seen empty last.
 use super::Addresses;
 use crate::figures::Dropped;
-use oakflow_peers::{Member, Millis, Transmit, DATAGRAM_MOST};
+use balancer_gossip::{Member, Millis, Transmit, DATAGRAM_MOST};
 use std::cell::Cell;
 use std::collections::HashMap;
 use std::io::{Error, ErrorKind, Result};
--- a/node/src/peers/start.rs
+++ b/balancer/proxy/src/peers/start.rs
@@ -1,6 +1,6 @@
 //! What the tier's protocol is told at its start. Owns no state.
-use oakflow_peers::{Config, Member, Versions, READS};
-use oakflow_settings::Deployment;
+use balancer_gossip::{Config, Member, Versions, READS};
+use balancer_settings::Deployment;
 
 /// Its configuration at one start of this copy.
 pub fn config(d: &Deployment, incarnation: u64, seed: u64, version_most: u8) -> Config {
--- a/node/src/peers/words.rs
+++ b/balancer/proxy/src/peers/words.rs
@@ -3,8 +3,8 @@
 //! state.
 use crate::figures;
 use crate::options;
-use oakflow::{Evidence, Observed, Subject, TenantLoad, TierLoad, TierSums, TierWord, UpstreamId};
-use oakflow_peers as peers;
+use balancer_core::{Evidence, Observed, Subject, TenantLoad, TierLoad, TierSums, TierWord, UpstreamId};
+use balancer_gossip as peers;
 
 /// What the module observes, with the connections that each tenant's callers hold.
 pub fn own(observed: Observed, callers: &[u32]) -> peers::Own {
--- a/node/src/program.rs
+++ b/balancer/proxy/src/program.rs
@@ -27,7 +27,7 @@
 
 /// Says on one line why the program ends.
 fn failed(message: &str, code: u8) -> ExitCode {
-    eprintln!("herondock: {}", one_line(message));
+    eprintln!("balancer-proxy: {}", one_line(message));
     ExitCode::from(code)
 }
 
@@ -64,6 +64,9 @@
         Ok(logging) => logging,
         Err(message) => return failed(&message, FAILED),
     };
+    for variable in &loaded.deprecated {
+        tracing::warn!(target: "run", event = "deprecated_variable", variable, "{variable} is deprecated: its name begins with BALANCER_ now");
+    }
     if !loaded.options.recovery.dir.as_os_str().is_empty() {
         quiet_panics();
     }
--- a/node/src/recovery.rs
+++ b/balancer/proxy/src/recovery.rs
@@ -2,11 +2,11 @@
 //! have learned.
 use crate::listing::{Listing, Names, Roster};
 use crate::options;
-use oakflow::{Learned, Millis, Settings};
-use oakflow_settings::Deployment;
-use oakflow_store::keeper::Written;
-use oakflow_store::store::{look, NoStore, Opened};
-use oakflow_store::{unix_ms, Drill, Found, Keeper, Kind, Owner, Record, Store};
+use balancer_core::{Learned, Millis, Settings};
+use balancer_settings::Deployment;
+use balancer_snapshots::keeper::Written;
+use balancer_snapshots::store::{look, NoStore, Opened};
+use balancer_snapshots::{unix_ms, Drill, Found, Keeper, Kind, Owner, Record, Store};
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
--- a/node/src/serve.rs
+++ b/balancer/proxy/src/serve.rs
@@ -16,7 +16,7 @@
 use crate::snapshots;
 use crate::sockets::Sockets;
 use crate::upstreams;
-use oakflow::Balancer;
+use balancer_core::Balancer;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
--- a/node/src/upstreams/attempt.rs
+++ b/balancer/proxy/src/upstreams/attempt.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode};
-use oakflow::Ending;
+use balancer_core::Ending;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
--- a/node/tests/bad_input_options.rs
+++ b/balancer/proxy/tests/bad_input_options.rs
@@ -2,7 +2,7 @@
 mod common;
 mod mutations;
 use common::*;
-use herondock::options::Sources;
+use balancer_proxy::options::Sources;
 use mutations::{is_one_line, mutated, Numbers};
 use std::ffi::OsStr;
 use std::os::unix::ffi::OsStrExt;
@@ -30,23 +30,23 @@
 fn a_variable_that_sets_an_option_has_to_be_text() {
     let discovery = Discovery::start();
     let mut command = command(&config(discovery.addr, 1024, "null"));
-    command.env("HERONDOCK_LOG_LEVEL", OsStr::from_bytes(b"\xff"));
+    command.env("BALANCER_OPTION_LOG_LEVEL", OsStr::from_bytes(b"\xff"));
     let out = command.stdout(Stdio::piped()).output().expect("runs");
     let errors = String::from_utf8(out.stderr).expect("text");
     assert_eq!((out.status.code(), out.stdout.len()), (Some(2), 0), "{errors}");
-    assert_eq!(errors, "herondock: HERONDOCK_LOG_LEVEL: not UTF-8\n");
+    assert_eq!(errors, "balancer-proxy: BALANCER_OPTION_LOG_LEVEL: not UTF-8\n");
 }
 
 #[test]
 fn a_period_that_cannot_be_added_to_the_clock_is_refused() {
     for key in ["recovery.every", "figures.every"] {
         for period in ["300000000000y", "25h", "0s", "-1s", "1e300s", "", "99999999999999999999s"] {
-            let sources = Sources { file: None, set: vec![format!("{key}={period}")] };
+            let sources = Sources { file: None, deprecated_file: false, set: vec![format!("{key}={period}")] };
             let error = sources.load().expect_err(period);
             is_one_line(&error);
             assert!(error.starts_with(&format!("--set: {key}: ")), "{error}");
         }
-        let sources = Sources { file: None, set: vec![format!("{key}=24h")] };
+        let sources = Sources { file: None, deprecated_file: false, set: vec![format!("{key}=24h")] };
         assert!(sources.load().is_ok());
     }
 }
@@ -60,14 +60,14 @@
     let out = command.stdout(Stdio::piped()).output().expect("runs");
     let errors = String::from_utf8(out.stderr).expect("text");
     assert_eq!((out.status.code(), errors.lines().count()), (Some(2), 1), "{errors}");
-    assert!(errors.starts_with("herondock: --set: recovery.every: "), "{errors}");
+    assert!(errors.starts_with("balancer-proxy: --set: recovery.every: "), "{errors}");
 }
 
 #[test]
 fn mutated_options_are_refused_in_one_line_or_taken() {
     let dir = TempDir::new().expect("a folder");
     let path = dir.path().join("options.toml");
-    let sources = Sources { file: Some(path.clone()), set: Vec::new() };
+    let sources = Sources { file: Some(path.clone()), deprecated_file: false, set: Vec::new() };
     let read = |text: &[u8]| {
         std::fs::write(&path, text).expect("writes");
         sources.load()
--- a/node/tests/bad_input_read.rs
+++ b/balancer/proxy/tests/bad_input_read.rs
@@ -1,9 +1,9 @@
 //! Configuration and lists that can't be used are refused with one line; nothing panics.
 mod mutations;
-use herondock::config::Config;
-use herondock::{Listing, Names};
+use balancer_proxy::config::Config;
+use balancer_proxy::{Listing, Names};
 use mutations::{is_one_line, mutated, Numbers};
-use oakflow::Balancer;
+use balancer_core::Balancer;
 
 const GOOD: &str = r#"{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"8c1f30d27a5be964",
     "limits":{"cores":1.0,"sockets":1024},"peer_listen":"127.0.0.1:7","peers":["127.0.0.1:7","127.0.0.1:8"],
--- a/node/tests/common/node.rs
+++ b/balancer/proxy/tests/common/node.rs
@@ -22,13 +22,13 @@
 
 /// The balancer with this configuration.
 pub fn command(config: &str) -> Command {
-    prepared(config, Command::new(env!("CARGO_BIN_EXE_herondock")))
+    prepared(config, Command::new(env!("CARGO_BIN_EXE_balancer-proxy")))
 }
 
 /// The same under a limit of descriptors that the configuration does not tell of.
 pub fn limited_command(config: &str, descriptors: usize) -> Command {
     let mut shell = Command::new("sh");
-    let exec = format!("ulimit -n {descriptors}; exec {}", env!("CARGO_BIN_EXE_herondock"));
+    let exec = format!("ulimit -n {descriptors}; exec {}", env!("CARGO_BIN_EXE_balancer-proxy"));
     shell.args(["-c", &exec]);
     prepared(config, shell)
 }
--- a/node/tests/common/upstream.rs
+++ b/balancer/proxy/tests/common/upstream.rs
@@ -1,6 +1,6 @@
 //! A fake upstream, and addresses where there is none.
 use super::{read, Message, PATIENCE};
-use oakflow_lab::net::{Manner, Port};
+use balancer_lab::net::{Manner, Port};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/node/tests/config.rs
+++ b/balancer/proxy/tests/config.rs
@@ -1,6 +1,6 @@
 //! What is read of the configuration, and what is said where it can't be used.
-use herondock::config::Config;
-use herondock::Listing;
+use balancer_proxy::config::Config;
+use balancer_proxy::Listing;
 
 const GOOD: &str = r#"{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:9",
     "seed":"8c1f30d27a5be964","limits":{"sockets":1024},
--- a/node/tests/operate.rs
+++ b/balancer/proxy/tests/operate.rs
@@ -45,7 +45,7 @@
     let check = |config: &str, options: &Path| {
         let mut command = command(config);
         command.arg("check").arg("--options").arg(options).args(["--set", "log.rate=7"]);
-        command.env("HERONDOCK_FIGURES_EVERY", "3s");
+        command.env("BALANCER_OPTION_FIGURES_EVERY", "3s");
         ended(command)
     };
     let (status, said, errors) = check(&good, &options);
@@ -57,7 +57,7 @@
     };
     assert_eq!(line("log.level")[1..], ["\"debug\"".to_string(), format!("{}:2", options.display())]);
     assert_eq!(line("log.rate")[1..], ["7", "--set"]);
-    assert_eq!(line("figures.every")[1..], ["\"3s\"", "HERONDOCK_FIGURES_EVERY"]);
+    assert_eq!(line("figures.every")[1..], ["\"3s\"", "BALANCER_OPTION_FIGURES_EVERY"]);
     assert_eq!(line("log.format")[1..], ["\"text\"", "default"]);
     assert!(said.contains(&address));
 
@@ -68,7 +68,7 @@
         assert!(result.2.contains(what), "{what}: {}", result.2);
     };
     unusable(check(&good, &missing), "missing.toml");
-    unusable(check("{", &options), "herondock: ");
+    unusable(check("{", &options), "balancer-proxy: ");
     unusable(check(&good, &written(&dir, "[figures]\ndir = \"/no/such/folder\"\n")), "can't be written to");
     let mut run = command(&good);
     run.args(["run", "--set", "log.level=loud"]);
@@ -134,7 +134,7 @@
     let discovery = Discovery::start();
     let known = listing(1, true, &[(0, upstream.addr, "active")]);
     let mut command = command(&config(discovery.addr, 1024, &known));
-    command.env("HERONDOCK_LOG_FORMAT", "json").env("HERONDOCK_LOG_LEVEL", "debug");
+    command.env("BALANCER_OPTION_LOG_FORMAT", "json").env("BALANCER_OPTION_LOG_LEVEL", "debug");
     let mut child = command.spawn().expect("starts");
     let mut lines = BufReader::new(child.stderr.take().expect("its log")).lines();
     let mut next = move || -> Value {
--- a/node/tests/options.rs
+++ b/balancer/proxy/tests/options.rs
@@ -1,5 +1,5 @@
 //! An operator's options: which source goes first, and what is said of those that can't be used.
-use herondock::options::{load, Level, Loaded, Options, Source};
+use balancer_proxy::options::{load, Level, Loaded, Options, Source};
 use std::path::Path;
 use std::time::Duration;
 
@@ -22,14 +22,14 @@
 #[test]
 fn a_later_source_goes_before_an_earlier_one_and_is_named() {
     let file = "version = 1\n[log]\nlevel = \"warn\"\nrate = 5\nparts = { discovery = \"debug\" }\n[figures]\nevery = \"250ms\"\n";
-    let variables = [("HERONDOCK_LOG_LEVEL", "error"), ("HERONDOCK_LOG_PARTS_MODULE", "off")];
+    let variables = [("BALANCER_OPTION_LOG_LEVEL", "error"), ("BALANCER_OPTION_LOG_PARTS_MODULE", "off")];
     let loaded = read(file, &variables, &["log.level=debug"]).expect("good");
     assert_eq!(loaded.options.log.level, Level::Debug);
     assert_eq!(loaded.options.figures.every, Duration::from_millis(250));
     assert_eq!(loaded.options.log.parts.len(), 2);
     let origin = |key: &str| loaded.source(key).to_string();
     assert_eq!((origin("log.level"), origin("log.rate")), ("--set".into(), "o.toml:4".into()));
-    assert_eq!(origin("log.parts.module"), "HERONDOCK_LOG_PARTS_MODULE");
+    assert_eq!(origin("log.parts.module"), "BALANCER_OPTION_LOG_PARTS_MODULE");
     assert_eq!(origin("log.format"), "default");
 }
 
@@ -58,8 +58,8 @@
         let error = read(text, &[], &[]).expect_err(text);
         assert!(error.contains(wanted) && !error.contains('\n'), "{text:?}: {error}");
     }
-    let error = read("", &[("HERONDOCK_LOG_LEVLE", "info")], &[]).expect_err("unknown");
-    assert!(error.starts_with("HERONDOCK_LOG_LEVLE") && error.contains("log.level"), "{error}");
+    let error = read("", &[("BALANCER_OPTION_LOG_LEVLE", "info")], &[]).expect_err("unknown");
+    assert!(error.starts_with("BALANCER_OPTION_LOG_LEVLE") && error.contains("log.level"), "{error}");
     assert!(read("", &[], &["log.level"]).is_err());
 }
 
@@ -77,3 +77,17 @@
     assert!(follows("[peers]\non = true\n").is_err_and(|e| e.contains("o.toml:2: peers.on")));
     assert!(follows("[peers]\nversion_most = 1\n").is_err_and(|e| e.contains("peers.version_most")));
 }
+
+#[test]
+fn variables_under_the_earlier_prefix_are_read_and_named_as_deprecated() {
+    let old = ("HERONDOCK_LOG_LEVEL", "error");
+    let loaded = read("", &[old], &[]).expect("good");
+    assert_eq!(loaded.options.log.level, Level::Error);
+    assert_eq!(loaded.deprecated, ["HERONDOCK_LOG_LEVEL"]);
+
+    let loaded = read("", &[old, ("BALANCER_OPTION_LOG_LEVEL", "debug")], &[]).expect("good");
+    assert_eq!(loaded.options.log.level, Level::Debug);
+
+    let loaded = read("", &[("BALANCER_OPTION_LOG_LEVEL", "debug")], &[]).expect("good");
+    assert!(loaded.deprecated.is_empty());
+}
--- a/node/tests/peers_addresses.rs
+++ b/balancer/proxy/tests/peers_addresses.rs
@@ -4,7 +4,7 @@
 mod addresses;
 
 use addresses::Unread;
-use oakflow_peers::Member;
+use balancer_gossip::Member;
 use serde_json::{json, Value};
 
 #[test]
--- a/node/tests/peers_observations.rs
+++ b/balancer/proxy/tests/peers_observations.rs
@@ -1,7 +1,7 @@
 //! What the decisions learn from the tier's other replicas, by what the operator has switched off.
-use herondock::{options, tier_word};
-use oakflow::TierWord;
-use oakflow_peers as peers;
+use balancer_proxy::{options, tier_word};
+use balancer_core::TierWord;
+use balancer_gossip as peers;
 
 #[test]
 fn what_is_switched_off_is_not_heard() {
--- a/node/tests/recovery.rs
+++ b/balancer/proxy/tests/recovery.rs
@@ -16,7 +16,7 @@
 
 /// What a verb says of a folder, and its status.
 fn state(verb: &str, dir: &Path) -> (Option<i32>, String) {
-    let out = Command::new(env!("CARGO_BIN_EXE_herondock"))
+    let out = Command::new(env!("CARGO_BIN_EXE_balancer-proxy"))
         .args(["state", verb])
         .arg(dir)
         .stdout(Stdio::piped())
--- a/settings/src/lib.rs
+++ b/balancer/settings/src/lib.rs
@@ -15,7 +15,7 @@
 mod named;
 
 use limits::Lengths;
-use oakflow::{Class, DedupScope, Effect, Settings, Tenant};
+use balancer_core::{Class, DedupScope, Effect, Settings, Tenant};
 use serde::Deserialize;
 
 /// The settings with what the module has no use for but sockets do. Names stand at the position that the
--- a/settings/src/limits.rs
+++ b/balancer/settings/src/limits.rs
@@ -3,7 +3,7 @@
 //! Positions of zones and kinds are numbers of 16 and 8 bits to the module, and a last one stands for names that the
 //! settings don't list: a longer list would give two names one number. What is kept for each tenant and class takes
 //! memory from the start on.
-use oakflow::Class;
+use balancer_core::Class;
 
 /// The simulator names a class by a byte.
 const CLASSES_MOST: usize = 256;
--- a/settings/src/named.rs
+++ b/balancer/settings/src/named.rs
@@ -1,6 +1,6 @@
 //! Names the key of the settings that the decision module refuses: it has names of its own for some of them, and says of
 //! entries of a list only that one is wrong. Owns no state.
-use oakflow::{Class, Settings, SettingsError, Tenant};
+use balancer_core::{Class, Settings, SettingsError, Tenant};
 
 /// The message, with the key at fault first.
 pub fn refusal(settings: &Settings, error: &SettingsError) -> String {
--- a/settings/tests/bad_input.rs
+++ b/balancer/settings/tests/bad_input.rs
@@ -1,8 +1,8 @@
 //! Settings that can't be used are refused with one line that names the field; whatever is taken can be run with.
-use oakflow::{
+use balancer_core::{
     Action, Availability, Balancer, Ending, Event, Member, Membership, Request, RequestId, UpstreamId,
 };
-use oakflow_settings::{deployment, Deployment};
+use balancer_settings::{deployment, Deployment};
 
 const GOOD: &str = r#"{"balancers": 2, "index": 1, "membership_mode": "on_request", "stage": 1, "zone": 0,
     "dcs": ["a", "b"], "kinds": ["m1", "m2"], "stats": {"columns": ["qps", "inflight"]},
--- a/settings/tests/settings.rs
+++ b/balancer/settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! What is read of settings, and what is said where they can't be used.
-use oakflow::{DedupScope, Effect, Settings};
-use oakflow_settings::deployment;
+use balancer_core::{DedupScope, Effect, Settings};
+use balancer_settings::deployment;
 
 fn parse(json: &[u8]) -> Result<Settings, String> {
     deployment(json).map(|d| d.policy)
--- a/settings/tests/slow_start.rs
+++ b/balancer/settings/tests/slow_start.rs
@@ -1,5 +1,5 @@
 //! The window of the slow-start budget reaches the decisions.
-use oakflow_settings::deployment;
+use balancer_settings::deployment;
 
 const INVARIANTS: &str = r#"{"balancers": 2, "index": 1, "membership_mode": "pushed",
     "classes": [{"objective": 100, "deadline": 400, "effect": "free"}],
--- a/simhost/src/host.rs
+++ b/balancer/simulator/src/host.rs
@@ -1,6 +1,6 @@
 //! Hosts the balancers of a simulation: takes the records of a batch to them and their actions into the reply.
 use crate::wire::{self, Batch, Record, Reply, Table};
-use oakflow::{Action, Balancer, Event};
+use balancer_core::{Action, Balancer, Event};
 use std::collections::BTreeMap;
 
 /// The balancers of a simulation and the lists that they were sent.
@@ -36,7 +36,7 @@
             }
             Record::Configure { seed, setup } => {
                 let id = instance()?;
-                let deployment = oakflow_settings::deployment(&batch.tail[setup.clone()])
+                let deployment = balancer_settings::deployment(&batch.tail[setup.clone()])
                     .map_err(|e| format!("settings of instance {id}: {e}"))?;
                 let balancer = Balancer::new(deployment.policy, *seed, now).map_err(|e| e.to_string())?;
                 let columns = [deployment.held_column, deployment.served_column];
--- a/simhost/src/main.rs
+++ b/balancer/simulator/src/main.rs
@@ -1,6 +1,6 @@
-//! Hosts oakflow balancers on the simulator's wire: frames in on standard input, replies out.
+//! Hosts balancer_core balancers on the simulator's wire: frames in on standard input, replies out.
 #![forbid(unsafe_code)]
-use oakflow_simhost::{wire, Host};
+use balancer_simulator::{wire, Host};
 use std::io::{self, Write};
 use std::process::ExitCode;
 
@@ -23,7 +23,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("oakflow-simhost: {message}");
+            eprintln!("balancer-simulator: {message}");
             ExitCode::FAILURE
         }
     }
--- a/simhost/src/wire/batch.rs
+++ b/balancer/simulator/src/wire/batch.rs
@@ -3,7 +3,7 @@
 use super::error::WireError;
 use super::frame::HEADER_IN;
 use super::record::{decode_record, Record};
-use oakflow::Millis;
+use balancer_core::Millis;
 
 /// Bytes of a record.
 const EVENT: usize = 48;
--- a/simhost/src/wire/bytes.rs
+++ b/balancer/simulator/src/wire/bytes.rs
@@ -1,5 +1,5 @@
 //! Reads numbers of the wire, which are big-endian. Whoever calls has checked the length. Owns no state.
-use oakflow::UpstreamId;
+use balancer_core::UpstreamId;
 
 fn take<const N: usize>(b: &[u8], at: usize) -> [u8; N] {
     let mut out = [0; N];
--- a/simhost/src/wire/record.rs
+++ b/balancer/simulator/src/wire/record.rs
@@ -1,6 +1,6 @@
 //! Decodes one record of a batch; what it points at lies in the frame's tail. Owns no state.
 use super::bytes::{f64_at, u16_at, u32_at, u64_at, upstream_at};
-use oakflow::{Availability, Ending, Event, Member, Membership, Request, RequestId, UpstreamId};
+use balancer_core::{Availability, Ending, Event, Member, Membership, Request, RequestId, UpstreamId};
 use std::ops::Range;
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/simhost/src/wire/reply.rs
+++ b/balancer/simulator/src/wire/reply.rs
@@ -1,5 +1,5 @@
 //! Puts replies together.
-use oakflow::Action;
+use balancer_core::Action;
 
 const HEADER_OUT: usize = 12;
 /// Bytes of an action.
--- a/simhost/tests/bad_input.rs
+++ b/balancer/simulator/tests/bad_input.rs
@@ -3,7 +3,7 @@
 use std::process::{Command, Stdio};
 
 fn run(input: &[u8]) -> (bool, Vec<u8>, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_oakflow-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_balancer-simulator"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/simhost/tests/mutated.rs
+++ b/balancer/simulator/tests/mutated.rs
@@ -1,6 +1,6 @@
 //! Frames that are cut off or mutated are refused with one line or answered; nothing panics.
-use oakflow_simhost::wire::{decode, read_frame};
-use oakflow_simhost::Host;
+use balancer_simulator::wire::{decode, read_frame};
+use balancer_simulator::Host;
 
 const SETTINGS: &[u8] = br#"{"balancers":1,"index":0,"membership_mode":"pushed",
     "classes":[{"objective":100,"deadline":400,"effect":"free"}],"stats":{"columns":["inflight","qps"]},
--- a/simhost/tests/wire.rs
+++ b/balancer/simulator/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The codec against the frames that the documentation shows, and against bad ones.
-use oakflow::{Action, Ending, Event, Membership, Request, RequestId, UpstreamId};
-use oakflow_simhost::wire::{decode, membership, read_frame, Record, Reply};
+use balancer_core::{Action, Ending, Event, Membership, Request, RequestId, UpstreamId};
+use balancer_simulator::wire::{decode, membership, read_frame, Record, Reply};
 use xxhash_rust::xxh3::xxh3_64;
 
 fn bytes(hex: &str) -> Vec<u8> {
--- a/store/tests/drill.rs
+++ b/balancer/snapshots/tests/drill.rs
@@ -1,6 +1,6 @@
 //! A disk that does wrong on demand.
-use oakflow_store::drill::Drilled;
-use oakflow_store::Drill;
+use balancer_snapshots::drill::Drilled;
+use balancer_snapshots::Drill;
 use redb::backends::InMemoryBackend;
 use redb::StorageBackend;
 use std::io;
--- a/store/tests/power.rs
+++ b/balancer/snapshots/tests/power.rs
@@ -1,6 +1,6 @@
 //! Power lost at every write and between any two syncs: each image of the disk that could be left is opened.
-use oakflow_store::store::{look, NoStore, FILE};
-use oakflow_store::{Found, Keeper, Kind, Owner, Record, Store};
+use balancer_snapshots::store::{look, NoStore, FILE};
+use balancer_snapshots::{Found, Keeper, Kind, Owner, Record, Store};
 use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, proptest, ProptestConfig};
 use proptest::test_runner::RngSeed;
 use rand::{Rng, SeedableRng};
--- a/store/tests/record.rs
+++ b/balancer/snapshots/tests/record.rs
@@ -1,6 +1,6 @@
 //! The bytes of a record: what is written is read, and nothing else.
-use oakflow_store::record::Unfit;
-use oakflow_store::{Kind, Record};
+use balancer_snapshots::record::Unfit;
+use balancer_snapshots::{Kind, Record};
 
 fn record() -> Record {
     Record { payload: "{\"a\":[1,2.5]}".into(), written_ms: 1.75e12, settings: 7 }
--- a/lab/src/capacity/hollow/member.rs
+++ b/lab/src/capacity/hollow/member.rs
@@ -1,6 +1,6 @@
 //! One hollow member: the loop that the node runs around the protocol. Owns the protocol's state and the socket.
-use oakflow_peers::{Config, ConfigError, Figures, Member, Millis, Own, Peers, Subject, TenantFigures};
-use oakflow_peers::{DATAGRAM_MOST, READS};
+use balancer_gossip::{Config, ConfigError, Figures, Member, Millis, Own, Peers, Subject, TenantFigures};
+use balancer_gossip::{DATAGRAM_MOST, READS};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/lab/src/capacity/hollow/tier.rs
+++ b/lab/src/capacity/hollow/tier.rs
@@ -1,7 +1,7 @@
 //! All hollow members of a tier in one thread, and the questions that the lab asks of it. Owns the thread.
 use super::member::{Addresses, Hollow, Shared};
 use crate::capacity::accounting::thread_processor;
-use oakflow_peers::{Member, Subject, DATAGRAM_MOST, HEADER};
+use balancer_gossip::{Member, Subject, DATAGRAM_MOST, HEADER};
 use std::cell::Cell;
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc as asked;
 use tokio::task::LocalSet;
 
-/// Where a datagram's header has the deployment, as `oakflow_peers::HEADER` tells.
+/// Where a datagram's header has the deployment, as `balancer_gossip::HEADER` tells.
 const DEPLOYMENT_AT: usize = 15;
 /// The pause between two looks for the first datagram.
 const LOOK_PAUSE: Duration = Duration::from_millis(5);
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! oakflow-lab: a fleet of real balancers between emulated upstreams, discovery and clients, with faults between
+//! balancer-lab: a fleet of real balancers between emulated upstreams, discovery and clients, with faults between
 //! them, an oracle that checks the rules from outside, and a report. See `docs/lab.md`.
 //!
 //! [`experiment`] reads what is asked for, [`draw`] makes a plan of it from a seed, [`run`] plays the plan, [`figures`]
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,16 +1,16 @@
 //! The command line of the lab; what each verb does is in the library.
 #![forbid(unsafe_code)]
 use clap::{Parser, Subcommand};
-use oakflow_lab::capacity::scenario::Dimension;
-use oakflow_lab::capacity::sweep::Sweep;
-use oakflow_lab::capacity::table::markdown;
-use oakflow_lab::draw::{self, Plan};
-use oakflow_lab::experiment::{self, Experiment};
-use oakflow_lab::guard::{stand_guard, Guard};
-use oakflow_lab::programs::{builds, deploy, programs, with_options};
-use oakflow_lab::results::{compare, summary, Asked, Results};
-use oakflow_lab::run::{play, Stage};
-use oakflow_lab::stand_in::{self, Choice, Wrong};
+use balancer_lab::capacity::scenario::Dimension;
+use balancer_lab::capacity::sweep::Sweep;
+use balancer_lab::capacity::table::markdown;
+use balancer_lab::draw::{self, Plan};
+use balancer_lab::experiment::{self, Experiment};
+use balancer_lab::guard::{stand_guard, Guard};
+use balancer_lab::programs::{builds, deploy, programs, with_options};
+use balancer_lab::results::{compare, summary, Asked, Results};
+use balancer_lab::run::{play, Stage};
+use balancer_lab::stand_in::{self, Choice, Wrong};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
@@ -117,7 +117,7 @@
     /// Measure for so long each time, after everything has settled.
     #[arg(long, default_value = "5s", value_parser = humantime::parse_duration)]
     span: Duration,
-    /// The balancer's program [default: herondock beside this program]
+    /// The balancer's program [default: balancer-proxy beside this program]
     #[arg(long)]
     program: Option<PathBuf>,
     /// Leave configurations and logs here.
@@ -151,7 +151,7 @@
         Ok(End::Held) => ExitCode::SUCCESS,
         Ok(End::NotHeld) => ExitCode::from(1),
         Err(message) => {
-            eprintln!("oakflow-lab: {}", message.replace('\n', " "));
+            eprintln!("balancer-lab: {}", message.replace('\n', " "));
             ExitCode::from(2)
         }
     }
@@ -270,7 +270,7 @@
         sizes: asked.sizes,
         runs: usize::from(asked.runs),
         span: asked.span,
-        program: asked.program.unwrap_or_else(|| own.with_file_name("herondock")),
+        program: asked.program.unwrap_or_else(|| own.with_file_name("balancer-proxy")),
         folder: asked.out,
     };
     let samples = sweep.measure(|sample| eprintln!("{sample:?}"))?;
--- a/lab/src/process/balancer.rs
+++ b/lab/src/process/balancer.rs
@@ -209,7 +209,8 @@
             .process_group(0)
             .kill_on_drop(true);
         if !runs.options.is_empty() {
-            command.env("HERONDOCK_OPTIONS", &self.options);
+            // Earlier builds of the program know the second name only.
+            command.env("BALANCER_OPTIONS", &self.options).env("HERONDOCK_OPTIONS", &self.options);
         }
         lock(&world.oracle).starts(self.index, world.now());
         lock(&self.numbered).0 = world.clock.unix(world.now());
--- a/lab/tests/capacity/fit.rs
+++ b/lab/tests/capacity/fit.rs
@@ -1,5 +1,5 @@
 //! The line through measured points.
-use oakflow_lab::capacity::fit::{fit, FitError};
+use balancer_lab::capacity::fit::{fit, FitError};
 
 #[test]
 fn points_on_a_line_give_it_back_with_no_residual() {
--- a/lab/tests/capacity/hollow.rs
+++ b/lab/tests/capacity/hollow.rs
@@ -1,5 +1,5 @@
 //! A hollow tier on real datagrams. Times only end a test that has failed.
-use oakflow_lab::capacity::hollow::{learn_deployment, Running, Tier};
+use balancer_lab::capacity::hollow::{learn_deployment, Running, Tier};
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
 
--- a/lab/tests/capacity/sweep.rs
+++ b/lab/tests/capacity/sweep.rs
@@ -1,7 +1,7 @@
 //! A sweep with the real program: what was measured is there and of the right kind. No verdict rests on speed.
-use oakflow_lab::capacity::sample::Sample;
-use oakflow_lab::capacity::scenario::Dimension;
-use oakflow_lab::capacity::sweep::Sweep;
+use balancer_lab::capacity::sample::Sample;
+use balancer_lab::capacity::scenario::Dimension;
+use balancer_lab::capacity::sweep::Sweep;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::Duration;
@@ -12,15 +12,15 @@
 const LONG: Duration = Duration::from_secs(5);
 
 /// The real balancer, built by the same cargo into the same folder.
-fn herondock() -> PathBuf {
+fn balancer_proxy() -> PathBuf {
     static BUILT: std::sync::Once = std::sync::Once::new();
-    let path = Path::new(env!("CARGO_BIN_EXE_oakflow-lab")).with_file_name("herondock");
+    let path = Path::new(env!("CARGO_BIN_EXE_balancer-lab")).with_file_name("balancer-proxy");
     // A test of the whole workspace has built it; a test of this crate alone has not.
     BUILT.call_once(|| {
         if !path.is_file() {
             let release = path.parent().is_some_and(|folder| folder.ends_with("release"));
             let profile = if release { "release" } else { "dev" };
-            let arguments = ["build", "--locked", "-p", "herondock", "--profile", profile];
+            let arguments = ["build", "--locked", "-p", "balancer-proxy", "--profile", profile];
             assert!(Command::new(env!("CARGO")).args(arguments).status().expect("runs cargo").success());
         }
     });
@@ -34,7 +34,7 @@
         sizes: sizes.to_vec(),
         runs: 1,
         span,
-        program: herondock(),
+        program: balancer_proxy(),
         folder: folder.path().to_path_buf(),
     };
     let mut told = 0;
@@ -76,7 +76,7 @@
         sizes: vec![10],
         runs: 1,
         span: SHORT,
-        program: herondock(),
+        program: balancer_proxy(),
         folder: folder.path().to_path_buf(),
     };
     let samples = sweep.measure(|_| ()).expect("measures");
--- a/lab/tests/capacity/table.rs
+++ b/lab/tests/capacity/table.rs
@@ -1,6 +1,6 @@
 //! Samples as markdown.
-use oakflow_lab::capacity::sample::Sample;
-use oakflow_lab::capacity::table::markdown;
+use balancer_lab::capacity::sample::Sample;
+use balancer_lab::capacity::table::markdown;
 
 fn sample(size: usize, figures: &[(&str, f64)]) -> Sample {
     let mut sample = Sample::new(size);
--- a/lab/tests/fleet/common.rs
+++ b/lab/tests/fleet/common.rs
@@ -4,12 +4,12 @@
 use std::process::{Command, Output};
 use tempfile::TempDir;
 
-pub const LAB: &str = env!("CARGO_BIN_EXE_oakflow-lab");
+pub const LAB: &str = env!("CARGO_BIN_EXE_balancer-lab");
 
 /// The real balancer, built by the same cargo into the same folder.
-pub fn herondock() -> PathBuf {
+pub fn balancer_proxy() -> PathBuf {
     static BUILT: std::sync::Once = std::sync::Once::new();
-    let path = Path::new(LAB).with_file_name("herondock");
+    let path = Path::new(LAB).with_file_name("balancer-proxy");
     // A test of the whole workspace has built it; a test of this crate alone has not.
     BUILT.call_once(|| {
         if !path.is_file() {
@@ -19,7 +19,7 @@
                 "dev"
             };
             let built = Command::new(env!("CARGO"))
-                .args(["build", "--locked", "-p", "herondock", "--profile", release])
+                .args(["build", "--locked", "-p", "balancer-proxy", "--profile", release])
                 .status()
                 .expect("runs cargo");
             assert!(built.success());
--- a/lab/tests/fleet/experiments.rs
+++ b/lab/tests/fleet/experiments.rs
@@ -1,7 +1,7 @@
 //! The form of experiments, and what a seed makes of them.
 use crate::common::fleet;
-use oakflow_lab::draw::{plan, Party};
-use oakflow_lab::experiment::{load, parse};
+use balancer_lab::draw::{plan, Party};
+use balancer_lab::experiment::{load, parse};
 use std::path::Path;
 
 fn good() -> String {
--- a/lab/tests/fleet/fleets.rs
+++ b/lab/tests/fleet/fleets.rs
@@ -36,7 +36,7 @@
 for = "500ms"
 on = { names = ["front-2"] }
 "#;
-    let real = format!("real=exec '{}'", herondock().display());
+    let real = format!("real=exec '{}'", balancer_proxy().display());
     let played = Played::new(&fleet(2, 2, "4s", faults), &["--program", &real, "--program", "round-robin"]);
     let play = played.play("real");
     // Its own figures are among the rules: they are set against what the stand-ins saw.
@@ -82,7 +82,7 @@
         let folder = tempfile::TempDir::new().expect("a folder");
         let file = folder.path().join("test.toml");
         std::fs::write(&file, fleet(2, 1, "600s", "[clients]\nrate = 5\n")).expect("writes");
-        let real = format!("real=exec '{}'", herondock().display());
+        let real = format!("real=exec '{}'", balancer_proxy().display());
         let mut lab = Command::new(LAB)
             .arg("run")
             .arg(&file)
@@ -266,7 +266,7 @@
 for = "800ms"
 on = { role = "front" }
 "#;
-    let real = format!("real=exec '{}'", herondock().display());
+    let real = format!("real=exec '{}'", balancer_proxy().display());
     let played = Played::new(&fleet(2, 2, "5s", faults), &["--program", &real]);
     let play = played.play("real");
     assert_eq!(play["counts"], serde_json::json!({}), "{}", played.said());
--- a/lab/tests/fleet/tier.rs
+++ b/lab/tests/fleet/tier.rs
@@ -99,7 +99,7 @@
 size = 1.0
 delay = "100ms"
 "#;
-    let real = format!("real=exec '{}'", herondock().display());
+    let real = format!("real=exec '{}'", balancer_proxy().display());
     let short = fleet(6, 1, "19s", faults).replace("\"8s\"", "\"1s\"").replace("\"5s\"", "\"1s\"");
     let played = Played::new(&short, &["--program", &real]);
     let play = played.play("real");
@@ -151,7 +151,7 @@
 size = 2.5
 of = { class = "read" }
 "#;
-    let real = format!("real=exec '{}'", herondock().display());
+    let real = format!("real=exec '{}'", balancer_proxy().display());
     let slow = fleet(4, 1, "9s", burst).replace("speed = 2.0", "speed = 0.2");
     let played =
         Played::new(&slow.replace("\"8s\"", "\"1s\"").replace("\"5s\"", "\"1s\""), &["--program", &real]);
@@ -168,7 +168,7 @@
 #[test]
 fn sets_of_options_are_played_in_turn_on_the_same_draw() {
     let quiet = "quiet=log.level = \"warn\", figures.dir = \"\"";
-    let real = format!("real=exec '{}'", herondock().display());
+    let real = format!("real=exec '{}'", balancer_proxy().display());
     let experiment = fleet(1, 1, "1s", "[options.figures]\ndir = \"{state}\"\n[clients]\nrate = 30\n");
     let arguments =
         ["--program", real.as_str(), "--options", "plain", "--options", quiet, "--plays", "2", "--new-draws"];
--- a/lab/tests/parts/answers.rs
+++ b/lab/tests/parts/answers.rs
@@ -1,5 +1,5 @@
 //! The marks in the bodies of answers.
-use oakflow_lab::call::{body, mark};
+use balancer_lab::call::{body, mark};
 
 #[test]
 fn the_mark_of_an_answer_is_read_and_no_other_text_has_one() {
--- a/lab/tests/parts/audit.rs
+++ b/lab/tests/parts/audit.rs
@@ -1,6 +1,6 @@
 //! The figures of a balancer against what the stand-ins saw.
-use oakflow_lab::audit::{differs, Counted};
-use oakflow_lab::oracle::Seen;
+use balancer_lab::audit::{differs, Counted};
+use balancer_lab::oracle::Seen;
 
 /// Figures as a balancer writes them.
 fn counted(requests: u64, served: u64, attempts: u64) -> Counted {
--- a/lab/tests/parts/convergence.rs
+++ b/lab/tests/parts/convergence.rs
@@ -1,6 +1,6 @@
 //! Times from a change of who runs until the figures of the balancers show it.
-use oakflow_lab::audit::Tier;
-use oakflow_lab::convergence::Convergence;
+use balancer_lab::audit::Tier;
+use balancer_lab::convergence::Convergence;
 use std::collections::BTreeSet;
 
 fn says(up: u32, in_sums: u32) -> Tier {
--- a/lab/tests/parts/datagrams.rs
+++ b/lab/tests/parts/datagrams.rs
@@ -1,7 +1,7 @@
 //! The network between balancers: addresses, loss, repetition and cuts of datagrams.
-use oakflow_lab::datagrams::{Conditions, Datagrams, LONGEST};
-use oakflow_lab::experiment::Range;
-use oakflow_lab::net::Block;
+use balancer_lab::datagrams::{Conditions, Datagrams, LONGEST};
+use balancer_lab::experiment::Range;
+use balancer_lab::net::Block;
 use std::net::IpAddr;
 use std::time::Duration;
 use tokio::net::UdpSocket;
--- a/lab/tests/parts/machine.rs
+++ b/lab/tests/parts/machine.rs
@@ -1,7 +1,7 @@
 //! An emulated machine: its slots, its queue, its cores, and how overload and a cold start slow it down.
-use oakflow_lab::draw::{Choke, Upstream};
-use oakflow_lab::experiment::Millis;
-use oakflow_lab::machine::{Admission, Machine, Tipping, Token};
+use balancer_lab::draw::{Choke, Upstream};
+use balancer_lab::experiment::Millis;
+use balancer_lab::machine::{Admission, Machine, Tipping, Token};
 
 fn plan() -> Upstream {
     Upstream {
--- a/lab/tests/parts/net.rs
+++ b/lab/tests/parts/net.rs
@@ -1,5 +1,5 @@
 //! Ports that take, refuse or hang, and connections that are cut or reset.
-use oakflow_lab::net::{connect, listener, Block, Direction, Link, Manner, Port};
+use balancer_lab::net::{connect, listener, Block, Direction, Link, Manner, Port};
 use std::io;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/lab/tests/parts/oracle.rs
+++ b/lab/tests/parts/oracle.rs
@@ -1,6 +1,6 @@
 //! The oracle: each rule with cases that keep it and cases that break it.
-use oakflow_lab::experiment::{Effect, Group, Millis};
-use oakflow_lab::oracle::{ClassRules, End, Final, Limits, Oracle, Parts, Place, Rule};
+use balancer_lab::experiment::{Effect, Group, Millis};
+use balancer_lab::oracle::{ClassRules, End, Final, Limits, Oracle, Parts, Place, Rule};
 
 /// Class 0 is safe, 1 keyed by cell, 2 once. Upstreams 0 and 1 share a cell, 2 stands alone.
 fn oracle() -> Oracle {
--- a/lab/tests/parts/state.rs
+++ b/lab/tests/parts/state.rs
@@ -1,6 +1,6 @@
 //! What faults do to the folder that a balancer keeps its state in.
-use oakflow_lab::experiment::Damage;
-use oakflow_lab::state::{copy, damage};
+use balancer_lab::experiment::Damage;
+use balancer_lab::state::{copy, damage};
 use std::fs;
 
 #[test]
--- a/lab/tests/parts/whole_file.rs
+++ b/lab/tests/parts/whole_file.rs
@@ -1,5 +1,5 @@
 //! Files that are replaced while others write beside them.
-use oakflow_lab::whole_file::replace;
+use balancer_lab::whole_file::replace;
 use std::path::Path;
 
 const WRITES: usize = 400;
--- a/simhost/src/lib.rs
+++ /dev/null
@@ -1,7 +0,0 @@
-//! Hosts oakflow balancers on the simulator's wire. The program only carries frames between its pipes and [`Host`].
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-mod host;
-pub mod wire;
-
-pub use host::Host;
--- a/system/distribution/examples/sizes.rs
+++ b/system/distribution/examples/sizes.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo run --profile system -p magpiegap-distribution --example sizes`
 //!
-//! One agent and three coordinators on simulated time (`tests/slow_link`); processor time counts for nothing. The time is
+//! One agent and three coordinators on simulated time (`balancer/core/tests/slow_link`); processor time counts for nothing. The time is
 //! from the order in force at the coordinators until it is in force at the agent.
 #[path = "../tests/common/mod.rs"]
 mod common;
--- a/system/magpiegap/src/proxy/admission.rs
+++ b/system/magpiegap/src/proxy/admission.rs
@@ -2,7 +2,7 @@
 //!
 //! For each service one [`Balancer`] decides: a call is a job that is handed in, a tenant is the queue, and the
 //! upstream is the coordinator that schedules the service. What comes of a call teaches it how many it may admit.
-use oakflow::{
+use balancer_core::{
     Action, Availability, Balancer, Class, Ending, Event, Member, Membership, Refusal, Request, RequestId,
     Settings, Tenant, UpstreamId,
 };
--- a/system/magpiegap/src/proxy/frontend.rs
+++ b/system/magpiegap/src/proxy/frontend.rs
@@ -8,7 +8,7 @@
 use crate::serving::read_body;
 use magpiegap_jobs::{Configuration, Route};
 use magpiegap_protocol::{CoordinatorAnswer, CoordinatorRequest, JobId, Submission};
-use oakflow::Ending;
+use balancer_core::Ending;
 use rocket::{
     data::Data,
     http::{ContentType, Header, Method, Status},
--- a/system/magpiegap/tests/jobs.rs
+++ b/system/magpiegap/tests/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs as clients write them, and their admission.
 use googletest::prelude::*;
 use magpiegap::{admission::Admission, job_body};
-use oakflow::Ending;
+use balancer_core::Ending;
 use std::{
     sync::Arc,
     time::{Duration, Instant},
