--- a/balancer/core/src/interface/ids.rs
+++ b/balancer/core/src/interface/ids.rs
@@ -7,5 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 /// Names one upstream server. Carries no meaning; the same value at every balancer.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct UpstreamId(pub u64);
--- a/balancer/core/src/interface/kept.rs
+++ b/balancer/core/src/interface/kept.rs
@@ -27,7 +27,12 @@
     /// The same for `size` times as many upstreams.
     pub fn scaled(self, size: f64) -> Load {
         let (capacity, recent, peak) = (size * self.capacity, size * self.recent, size * self.peak);
-        Load { capacity, recent, peak, ..self }
+        Load {
+            capacity,
+            recent,
+            peak,
+            ..self
+        }
     }
 
     /// This one, with an older one worth so much beside it: what it says of the load, and of times.
@@ -70,7 +75,12 @@
     pub fn shifted(self, by: Millis) -> Health {
         let at = |then: Millis| (then + by).max(0.0);
         let (ejected_until, lost_until) = (at(self.ejected_until), at(self.lost_until));
-        Health { last_used: at(self.last_used), ejected_until, lost_until, ..self }
+        Health {
+            last_used: at(self.last_used),
+            ejected_until,
+            lost_until,
+            ..self
+        }
     }
 }
 
@@ -106,19 +116,48 @@
 impl Learned {
     /// Checks every figure; the first one at fault is named. What passes can be taken back whole, however old it is.
     pub fn validate(&self, s: &Settings) -> Result<(), SettingsError> {
-        let need = |ok: bool, field, must| if ok { Ok(()) } else { Err(SettingsError { field, must }) };
+        let need = |ok: bool, field, must| {
+            if ok {
+                Ok(())
+            } else {
+                Err(SettingsError { field, must })
+            }
+        };
         let span = |v: f64| (0.0..=1e15).contains(&v);
         let part = |v: f64| (0.0..=1.0).contains(&v);
         let l = &self.load;
-        let rates = [l.capacity, l.recent, l.peak, l.served, self.upstreams_most, self.at];
-        need(rates.into_iter().all(span), "learned.load", "numbers of at least 0")?;
+        let rates = [
+            l.capacity,
+            l.recent,
+            l.peak,
+            l.served,
+            self.upstreams_most,
+            self.at,
+        ];
+        need(
+            rates.into_iter().all(span),
+            "learned.load",
+            "numbers of at least 0",
+        )?;
         let parts = [l.success, l.uncrowded, self.upstreams_usable];
-        need(parts.into_iter().all(part), "learned.load.success", "between 0 and 1")?;
+        need(
+            parts.into_iter().all(part),
+            "learned.load.success",
+            "between 0 and 1",
+        )?;
         // No answer takes longer than the longest deadline. One that took no time would never be grown from again.
         let longest = s.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
-        let parts_most = s.classes.iter().map(|c| c.deadline / c.objective).fold(1.0, f64::max);
+        let parts_most = s
+            .classes
+            .iter()
+            .map(|c| c.deadline / c.objective)
+            .fold(1.0, f64::max);
         let time = |v: f64| (1e-3..=longest).contains(&v);
-        need(time(self.answer) && time(l.unloaded), "learned.answer", "a time that an answer can take")?;
+        need(
+            time(self.answer) && time(l.unloaded),
+            "learned.answer",
+            "a time that an answer can take",
+        )?;
         need(
             (0.0..=longest).contains(&self.deviation),
             "learned.deviation",
@@ -126,14 +165,37 @@
         )?;
         let demands = self.demands.iter().flatten().all(|&d| span(d));
         let places = self.demands.len() == s.tenants.len().max(1) + 1;
-        need(demands && places, "learned.demands", "a rate of at least 0 for each tenant")?;
-        need(self.rest_lost.iter().all(|&p| part(p)), "learned.rest_lost", "between 0 and 1")?;
-        let kind = |&(usual, answers): &(f64, f64)| (0.0..=parts_most).contains(&usual) && span(answers);
-        need(self.kinds.values().all(kind), "learned.kinds", "times that answers can take")?;
+        need(
+            demands && places,
+            "learned.demands",
+            "a rate of at least 0 for each tenant",
+        )?;
+        need(
+            self.rest_lost.iter().all(|&p| part(p)),
+            "learned.rest_lost",
+            "between 0 and 1",
+        )?;
+        let kind =
+            |&(usual, answers): &(f64, f64)| (0.0..=parts_most).contains(&usual) && span(answers);
+        need(
+            self.kinds.values().all(kind),
+            "learned.kinds",
+            "times that answers can take",
+        )?;
         let upstream = |(_, since, h): &(UpstreamId, Millis, Health)| {
-            let spans = [*since, h.slowness, h.last_used, h.ejected_until, h.lost_until];
+            let spans = [
+                *since,
+                h.slowness,
+                h.last_used,
+                h.ejected_until,
+                h.lost_until,
+            ];
             spans.into_iter().all(span) && part(h.fails)
         };
-        need(self.upstreams.iter().all(upstream), "learned.upstreams", "numbers of at least 0")
+        need(
+            self.upstreams.iter().all(upstream),
+            "learned.upstreams",
+            "numbers of at least 0",
+        )
     }
 }
--- a/balancer/core/src/interface/list.rs
+++ b/balancer/core/src/interface/list.rs
@@ -46,8 +46,13 @@
 impl Class {
     /// Whether it may be sent to this upstream at all.
     pub fn admits(&self, m: &Member) -> bool {
-        self.runs_in.as_ref().is_none_or(|zones| zones.contains(&m.zone))
-            && self.kinds_only.as_ref().is_none_or(|kinds| kinds.contains(&m.kind))
+        self.runs_in
+            .as_ref()
+            .is_none_or(|zones| zones.contains(&m.zone))
+            && self
+                .kinds_only
+                .as_ref()
+                .is_none_or(|kinds| kinds.contains(&m.kind))
     }
 }
 
--- a/balancer/core/src/interface/settings.rs
+++ b/balancer/core/src/interface/settings.rs
@@ -22,7 +22,14 @@
 impl Effect {
     /// Whether another try does no harm, wherever it goes.
     pub fn harmless(self) -> bool {
-        matches!(self, Effect::Free | Effect::Guarded { scope: DedupScope::All, .. })
+        matches!(
+            self,
+            Effect::Free
+                | Effect::Guarded {
+                    scope: DedupScope::All,
+                    ..
+                }
+        )
     }
 }
 
@@ -163,35 +170,85 @@
 
     /// Checks every field; the first one at fault is named.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let need = |ok: bool, field, must| if ok { Ok(()) } else { Err(SettingsError { field, must }) };
+        let need = |ok: bool, field, must| {
+            if ok {
+                Ok(())
+            } else {
+                Err(SettingsError { field, must })
+            }
+        };
         // Far beyond any use, and small enough that products of two stay finite.
         let span = |v: f64| (0.0..=1e15).contains(&v);
         need(self.balancers >= 1, "balancers", "at least 1")?;
         need(!self.classes.is_empty(), "classes", "at least one")?;
         need(self.attempts_cap >= 1, "attempts_cap", "at least 1")?;
         for c in &self.classes {
-            need(span(c.objective) && c.objective > 0.0, "classes.objective", "a time above 0")?;
-            need(span(c.deadline) && c.deadline > 0.0, "classes.deadline", "a time above 0")?;
-            need(span(c.late_worth), "classes.late_worth", "a number of at least 0")?;
+            need(
+                span(c.objective) && c.objective > 0.0,
+                "classes.objective",
+                "a time above 0",
+            )?;
+            need(
+                span(c.deadline) && c.deadline > 0.0,
+                "classes.deadline",
+                "a time above 0",
+            )?;
+            need(
+                span(c.late_worth),
+                "classes.late_worth",
+                "a number of at least 0",
+            )?;
             need(span(c.worth), "classes.worth", "a number of at least 0")?;
-            need(c.runs_in.as_ref().is_none_or(|l| !l.is_empty()), "classes.runs_in", "absent or not empty")?;
+            need(
+                c.runs_in.as_ref().is_none_or(|l| !l.is_empty()),
+                "classes.runs_in",
+                "absent or not empty",
+            )?;
             let kinds = c.kinds_only.as_ref();
-            need(kinds.is_none_or(|l| !l.is_empty()), "classes.kinds_only", "absent or not empty")?;
+            need(
+                kinds.is_none_or(|l| !l.is_empty()),
+                "classes.kinds_only",
+                "absent or not empty",
+            )?;
             if let Effect::Guarded { window, .. } = c.effect {
                 need(span(window), "classes.window", "a time of at least 0")?;
             }
         }
         for t in &self.tenants {
             need(span(t.share), "tenants.share", "a number of at least 0")?;
-            need(span(t.quota_per_s), "tenants.quota_per_s", "a rate of at least 0")?;
+            need(
+                span(t.quota_per_s),
+                "tenants.quota_per_s",
+                "a rate of at least 0",
+            )?;
         }
-        need(span(self.ask_within) && self.ask_within > 0.0, "ask_within", "a time above 0")?;
+        need(
+            span(self.ask_within) && self.ask_within > 0.0,
+            "ask_within",
+            "a time above 0",
+        )?;
         need(span(self.idle_close), "idle_close", "a time of at least 0")?;
-        need(span(self.max_retry_after), "max_retry_after", "a time of at least 0")?;
-        need(span(self.cold_from) && self.cold_from <= 1.0, "cold_from", "between 0 and 1")?;
+        need(
+            span(self.max_retry_after),
+            "max_retry_after",
+            "a time of at least 0",
+        )?;
+        need(
+            span(self.cold_from) && self.cold_from <= 1.0,
+            "cold_from",
+            "between 0 and 1",
+        )?;
         need(span(self.ramp_time), "ramp_time", "a time of at least 0")?;
-        need(span(self.tip_multiple), "tip_multiple", "a number of at least 0")?;
+        need(
+            span(self.tip_multiple),
+            "tip_multiple",
+            "a number of at least 0",
+        )?;
         need(span(self.fall) && self.fall > 0.0, "fall", "a time above 0")?;
-        need(span(self.cross_zone_price), "cross_zone_price", "a number of at least 0")
+        need(
+            span(self.cross_zone_price),
+            "cross_zone_price",
+            "a number of at least 0",
+        )
     }
 }
--- a/balancer/core/src/interface/tier.rs
+++ b/balancer/core/src/interface/tier.rs
@@ -94,7 +94,9 @@
             let l = &s.load;
             let totals = [l.demand, l.room, l.firsts, l.retries, s.age, s.error];
             totals.into_iter().all(span)
-                && l.tenants.iter().all(|t| [t.demand, t.calls, t.callers].into_iter().all(span))
+                && l.tenants
+                    .iter()
+                    .all(|t| [t.demand, t.calls, t.callers].into_iter().all(span))
         });
         // As many members as a list can have.
         let placed = self.place < self.up && self.up <= u32::from(u16::MAX);
--- a/balancer/core/src/policy/admission.rs
+++ b/balancer/core/src/policy/admission.rs
@@ -26,7 +26,11 @@
         let full = self.admitted >= tier.load.capacity || inflight >= full;
         // Where the tier has a level, who is above it is as within limits; who is within there goes last.
         let within = t.admitted < t.limit || level != Level::Absent;
-        let most = if level == Level::Within { most * ROOM_SPARE } else { most };
+        let most = if level == Level::Within {
+            most * ROOM_SPARE
+        } else {
+            most
+        };
         if inflight >= most || (full && !within) || level == Level::Below {
             self.crowded |= within && level != Level::Below;
             return false;
@@ -43,15 +47,25 @@
         self.cycle_start = now;
         let gain = part * DEMAND_GAIN;
         for t in self.tenants.iter_mut().filter(|t| t.seen) {
-            t.demand += if part > 0.0 { gain * (t.count / part - t.demand) } else { 0.0 };
+            t.demand += if part > 0.0 {
+                gain * (t.count / part - t.demand)
+            } else {
+                0.0
+            };
             t.count = 0.0;
         }
         let crowded = part >= 0.5 && std::mem::take(&mut self.crowded);
         tier.end_cycle(self.cycle_admitted, part, crowded);
         self.cycle_admitted = 0.0;
         // Tiny counts: a limit at the mean refuses half the cycles of a steady tenant, so one deviation more.
-        let seen: Vec<usize> = (0..self.tenants.len()).filter(|&i| self.tenants[i].seen).collect();
-        let demands: Vec<f64> = seen.iter().map(|&i| self.tenants[i].demand).map(|d| d + d.sqrt()).collect();
+        let seen: Vec<usize> = (0..self.tenants.len())
+            .filter(|&i| self.tenants[i].seen)
+            .collect();
+        let demands: Vec<f64> = seen
+            .iter()
+            .map(|&i| self.tenants[i].demand)
+            .map(|d| d + d.sqrt())
+            .collect();
         let weights: Vec<f64> = seen.iter().map(|&i| self.tenants[i].weight).collect();
         let fresh = limits(tier.load.capacity, &demands, &weights, RESERVATION);
         for (&i, limit) in seen.iter().zip(fresh) {
--- a/balancer/core/src/policy/answers.rs
+++ b/balancer/core/src/policy/answers.rs
@@ -11,7 +11,11 @@
 impl Answers {
     pub fn new(s: &Settings) -> Self {
         let latency = s.mean_objective() / 4.0;
-        Answers { kinds: BTreeMap::new(), latency, deviation: latency / 2.0 }
+        Answers {
+            kinds: BTreeMap::new(),
+            latency,
+            deviation: latency / 2.0,
+        }
     }
 
     /// An answer that takes longer is overdue.
@@ -21,20 +25,35 @@
 
     /// What answers of the fastest kind take, as a part of the objective; zero before the first.
     pub fn soonest(&self) -> f64 {
-        let parts = self.kinds.values().map(|&(usual, _)| usual).filter(|&usual| usual > 0.0);
+        let parts = self
+            .kinds
+            .values()
+            .map(|&(usual, _)| usual)
+            .filter(|&usual| usual > 0.0);
         parts.min_by(f64::total_cmp).unwrap_or(0.0)
     }
 
     /// How many times longer answers of a kind take than the mean one; at least once.
     pub fn slower(&self, kind: u8) -> f64 {
-        let (times, answers) = self.kinds.values().fold((0.0, 0.0), |(t, n), k| (t + k.0 * k.1, n + k.1));
-        self.kinds.get(&kind).map_or(1.0, |kind| (kind.0 * answers / times).max(1.0))
+        let (times, answers) = self
+            .kinds
+            .values()
+            .fold((0.0, 0.0), |(t, n), k| (t + k.0 * k.1, n + k.1));
+        self.kinds
+            .get(&kind)
+            .map_or(1.0, |kind| (kind.0 * answers / times).max(1.0))
     }
 
     /// What its answers take, in objectives, once its kind has answered: its own slowness fades if unused.
     pub fn usual(&self, u: &Upstream, now: Millis) -> Option<f64> {
-        let (kind, _) = self.kinds.get(&u.member.kind).filter(|(kind, _)| *kind > 0.0)?;
-        Some(kind * (1.0 + (u.health.slowness - 1.0) * (-(now - u.health.last_used) / ANSWER_KEPT).exp()))
+        let (kind, _) = self
+            .kinds
+            .get(&u.member.kind)
+            .filter(|(kind, _)| *kind > 0.0)?;
+        Some(
+            kind * (1.0
+                + (u.health.slowness - 1.0) * (-(now - u.health.last_used) / ANSWER_KEPT).exp()),
+        )
     }
 
     /// Takes note of an answer of a kind, or of a failure. Tells what it took of what the kind does.
--- a/balancer/core/src/policy/balancer.rs
+++ b/balancer/core/src/policy/balancer.rs
@@ -28,7 +28,12 @@
         let capacity = Capacity::new(&settings);
         let mut fleet = Fleet::new(&settings);
         fleet.resize_subset(&settings, capacity.load.peak);
-        Ok(Balancer::of(settings, seed, (admission, capacity, fleet), RETRY_SAVED))
+        Ok(Balancer::of(
+            settings,
+            seed,
+            (admission, capacity, fleet),
+            RETRY_SAVED,
+        ))
     }
 
     fn request(&mut self, now: Millis, r: Request, actions: &mut Actions) {
@@ -37,8 +42,14 @@
         }
         let part = |w: &TierWord| (RETRY_SAVED_ALL / f64::from(w.up)).clamp(1.0, RETRY_SAVED);
         let saved = self.tier.word(now).map_or(RETRY_SAVED, part);
-        let crowded = self.tier.sums(now).map(|s| &s.load).filter(|s| s.pressure() > 1.0);
-        let earned = crowded.map_or(RETRY_RATIO, |s| RETRY_CROWDED * (s.firsts / s.demand).min(1.0));
+        let crowded = self
+            .tier
+            .sums(now)
+            .map(|s| &s.load)
+            .filter(|s| s.pressure() > 1.0);
+        let earned = crowded.map_or(RETRY_RATIO, |s| {
+            RETRY_CROWDED * (s.firsts / s.demand).min(1.0)
+        });
         self.retries = (self.retries + earned).min(saved);
         self.meter.asked(r.tenant, now);
         // Hardly any upstream answers in so little time: the call would only keep others waiting. Where there
@@ -52,25 +63,51 @@
             let level = self.tier.sums(now).map_or(Level::Absent, judge);
             !self.admission.admit(tenant, level, now, &mut self.capacity)
         };
-        if let Some(reason) = late.then_some(Refusal::TooLittleTime).or(over.then_some(Refusal::OverLimit)) {
+        if let Some(reason) = late
+            .then_some(Refusal::TooLittleTime)
+            .or(over.then_some(Refusal::OverLimit))
+        {
             let refusal = self.refusal(r.id, reason, now);
             return actions.push(refusal);
         }
         let c = &self.settings.classes[r.class];
         // A late answer that earns nothing only holds a slot in every tier above.
-        let useful = if c.late_worth > 0.0 { f64::INFINITY } else { now + c.objective * AIM_PART };
+        let useful = if c.late_worth > 0.0 {
+            f64::INFINITY
+        } else {
+            now + c.objective * AIM_PART
+        };
         let (class, tenant, ends) = (r.class, r.tenant, r.deadline.min(useful));
-        let fresh = Pending { class, tenant, ends, sends: 0, out: None, ran: None, last: None, over: false };
+        let fresh = Pending {
+            class,
+            tenant,
+            ends,
+            sends: 0,
+            out: None,
+            ran: None,
+            last: None,
+            over: false,
+        };
         self.pending.insert(r.id, fresh);
         if !self.send(now, r.id, actions) {
             self.give_up(r.id, now, actions);
         }
     }
 
-    fn outcome(&mut self, now: Millis, of: (RequestId, u32), how: (Ending, Millis, bool), to: &mut Actions) {
+    fn outcome(
+        &mut self,
+        now: Millis,
+        of: (RequestId, u32),
+        how: (Ending, Millis, bool),
+        to: &mut Actions,
+    ) {
         let ((id, number), (ending, duration, closed)) = (of, how);
-        let Some(p) = self.pending.get_mut(&id) else { return };
-        let Some((_, i, _, rest)) = p.out.take_if(|out| out.0 == number) else { return };
+        let Some(p) = self.pending.get_mut(&id) else {
+            return;
+        };
+        let Some((_, i, _, rest)) = p.out.take_if(|out| out.0 == number) else {
+            return;
+        };
         // Where upstreams also shed work that they had begun, 'full' proves nothing.
         let proof = ending.never_ran() && !(ending == Ending::Full && self.settings.late_shedding);
         if proof && p.ran.is_some_and(|(n, ..)| n == number) {
@@ -83,7 +120,9 @@
         self.shed.took(p.class, ending, duration);
         let part = duration.max(1.0) / objective;
         let how = (ending, duration, part);
-        let own = self.fleet.ended((i, rest), how, now, &self.tier, &mut self.rng);
+        let own = self
+            .fleet
+            .ended((i, rest), how, now, &self.tier, &mut self.rng);
         self.fleet.forget_if_gone(i);
         match ending {
             Ending::Ok => self.capacity.learn(lateness(duration / objective)),
@@ -107,12 +146,18 @@
         let (listed, usable) = self.fleet.count(&self.settings, now);
         let before = std::mem::replace(&mut self.capacity.usable, usable);
         self.capacity.listed = listed;
-        self.capacity.load.capacity *= if usable > 0.0 && before > 0.0 { usable / before } else { 1.0 };
+        self.capacity.load.capacity *= if usable > 0.0 && before > 0.0 {
+            usable / before
+        } else {
+            1.0
+        };
     }
 
     /// What this copy observes, for the others of its tier.
     pub fn observed(&mut self, now: Millis) -> Observed {
-        let load = self.meter.load(self.capacity.load.capacity * 1000.0 / CYCLE, now);
+        let load = self
+            .meter
+            .load(self.capacity.load.capacity * 1000.0 / CYCLE, now);
         self.fleet.observed(load, |i| self.fleet.evidence(i, now))
     }
 
@@ -123,8 +168,14 @@
             self.started = true;
             // Copies started together must not recompute in step.
             let after = CYCLE * (0.5 + 0.5 * unit(&mut self.rng));
-            actions.push(Action::SetTimer { after, token: TIMER_CYCLE });
-            actions.push(Action::SetTimer { after: ZONES_EVERY, token: TIMER_ZONES });
+            actions.push(Action::SetTimer {
+                after,
+                token: TIMER_CYCLE,
+            });
+            actions.push(Action::SetTimer {
+                after: ZONES_EVERY,
+                token: TIMER_ZONES,
+            });
             if self.settings.ask_for_list {
                 actions.push(Action::Subscribe);
             }
@@ -136,7 +187,10 @@
                 let pause = (ASK_AGAIN.0 * f64::from(1u32 << self.ask_failures.min(10))).min(most);
                 self.ask_failures += 1;
                 let after = pause * (0.5 + 0.5 * unit(&mut self.rng));
-                actions.push(Action::SetTimer { after, token: TIMER_ASK });
+                actions.push(Action::SetTimer {
+                    after,
+                    token: TIMER_ASK,
+                });
             }
             Event::Membership(news) => {
                 self.ask_failures *= u32::from(matches!(news, Membership::Cached(_)));
@@ -145,11 +199,20 @@
                 self.take_back(now);
             }
             Event::Restored { learned, age } => {
-                self.kept = learned.validate(&self.settings).ok().map(|()| (learned, now - age.max(0.0)));
+                self.kept = learned
+                    .validate(&self.settings)
+                    .ok()
+                    .map(|()| (learned, now - age.max(0.0)));
                 self.take_back(now);
             }
             Event::Request(r) => self.request(now, r, actions),
-            Event::Outcome { request, attempt, ending, duration, closed } => {
+            Event::Outcome {
+                request,
+                attempt,
+                ending,
+                duration,
+                closed,
+            } => {
                 self.outcome(now, (request, attempt), (ending, duration, closed), actions);
             }
             Event::Served { upstream, per_s } => self.fleet.serves(upstream, per_s, now),
@@ -158,7 +221,10 @@
                 if let Some(p) = self.pending.get_mut(&id) {
                     p.over = true;
                     if let Some((attempt, ..)) = p.out.filter(|_| self.settings.cancel) {
-                        actions.push(Action::Cancel { request: id, attempt });
+                        actions.push(Action::Cancel {
+                            request: id,
+                            attempt,
+                        });
                     }
                 }
             }
@@ -171,19 +237,34 @@
                 self.admission.end_cycle(now, &mut self.capacity);
                 let late = self.capacity.load.success < SUCCESS_WANTED;
                 actions.extend(self.told_late(late));
-                self.fleet.resize_subset(&self.settings, self.capacity.load.recent);
-                actions.push(Action::SetTimer { after: CYCLE, token: TIMER_CYCLE });
+                self.fleet
+                    .resize_subset(&self.settings, self.capacity.load.recent);
+                actions.push(Action::SetTimer {
+                    after: CYCLE,
+                    token: TIMER_CYCLE,
+                });
             }
             Event::Timer(TIMER_ZONES) => {
                 self.watch_zones(now, actions);
-                actions.push(Action::SetTimer { after: ZONES_EVERY, token: TIMER_ZONES });
+                actions.push(Action::SetTimer {
+                    after: ZONES_EVERY,
+                    token: TIMER_ZONES,
+                });
             }
             Event::Timer(TIMER_ASK) => actions.push(Action::Subscribe),
-            Event::EndBy(at) => self.pending.values_mut().for_each(|p| p.ends = p.ends.min(at)),
+            Event::EndBy(at) => self
+                .pending
+                .values_mut()
+                .for_each(|p| p.ends = p.ends.min(at)),
             Event::Tier(word) => {
                 let since = self.tier.hear(word, now);
-                self.shed.hear(self.tier.sums(now), self.capacity.quotas, &self.admission.tenants);
-                self.fleet.hold(&self.tier, &self.settings, (since, now), &mut self.rng);
+                self.shed.hear(
+                    self.tier.sums(now),
+                    self.capacity.quotas,
+                    &self.admission.tenants,
+                );
+                self.fleet
+                    .hold(&self.tier, &self.settings, (since, now), &mut self.rng);
             }
             Event::Streaming { .. } | Event::Timer(_) => {}
         }
--- a/balancer/core/src/policy/capacity.rs
+++ b/balancer/core/src/policy/capacity.rs
@@ -32,26 +32,51 @@
 
 impl Capacity {
     pub fn new(s: &Settings) -> Self {
-        let quota: f64 = s.tenants.iter().map(|t| t.quota_per_s).sum::<f64>() / f64::from(s.balancers);
+        let quota: f64 =
+            s.tenants.iter().map(|t| t.quota_per_s).sum::<f64>() / f64::from(s.balancers);
         // Starting above its quotas, the first tier crowded the servers at once. Tiers below start with more
         // room, as a refusal there wastes the work done above; not with more for upstreams in slow start.
         let start = if s.stage == 0 { 1.0 } else { START_BELOW };
         let stated = start * quota * CYCLE / 1000.0;
         // Quotas count clients' requests: tiers below get several calls for one.
-        let quotas = if s.stage == 0 { stated * f64::from(s.balancers) } else { 0.0 };
+        let quotas = if s.stage == 0 {
+            stated * f64::from(s.balancers)
+        } else {
+            0.0
+        };
         // Without stated quotas nothing is known: the first cycle refuses no one and shows what is carried.
         let capacity = if stated > 0.0 { stated } else { 1000.0 };
         let objective = s.mean_objective();
         let (recent, peak, unloaded) = (stated / start, stated, objective / 4.0);
-        let load = Load { capacity, recent, peak, unloaded, success: 1.0, uncrowded: 1.0, served: 0.0 };
+        let load = Load {
+            capacity,
+            recent,
+            peak,
+            unloaded,
+            success: 1.0,
+            uncrowded: 1.0,
+            served: 0.0,
+        };
         let quota = (quota * CYCLE / 1000.0).max(0.1);
         let (listed, usable, timely) = (1.0, 1.0, TIMELY * objective);
-        Capacity { load, quota, quotas, listed, usable, timely, ..Capacity::default() }
+        Capacity {
+            load,
+            quota,
+            quotas,
+            listed,
+            usable,
+            timely,
+            ..Capacity::default()
+        }
     }
 
     /// The unloaded answer time is the least mean of late, let up only while most answers are in time.
     pub fn note_latency(&mut self, latency: Millis) {
-        let up = if self.load.success < SUCCESS_WANTED { 1.0 } else { 1.0 + UNLOADED_UP };
+        let up = if self.load.success < SUCCESS_WANTED {
+            1.0
+        } else {
+            1.0 + UNLOADED_UP
+        };
         self.load.unloaded = (self.load.unloaded * up).min(latency);
         // Crowded servers stay slow: the floor gives way, and comes back in steps, or so would the crowd.
         if latency > INFLIGHT_MOST * self.load.unloaded {
@@ -64,13 +89,20 @@
 
     /// Books what was admitted in a cycle that lasted `part` of its length.
     pub fn end_cycle(&mut self, admitted: f64, part: f64, crowded: bool) {
-        self.load.recent +=
-            if part > 0.0 { part * DEMAND_GAIN * (admitted / part - self.load.recent) } else { 0.0 };
+        self.load.recent += if part > 0.0 {
+            part * DEMAND_GAIN * (admitted / part - self.load.recent)
+        } else {
+            0.0
+        };
         if part >= 0.5 {
             self.load.peak = (admitted / part).max(self.load.peak * CYCLE_KEPT);
             self.adapt(admitted / part);
             // More is lent than can be carried: back to that, so that limits decide who is refused.
-            let most = if crowded { admitted / part } else { f64::INFINITY };
+            let most = if crowded {
+                admitted / part
+            } else {
+                f64::INFINITY
+            };
             let most = most.min(self.load.peak * CAPACITY_ROOM + 1.0);
             self.load.capacity = self.load.capacity.min(most).max(self.floor());
             if self.load.served > 0.0 && self.quotas > 0.0 {
@@ -88,21 +120,39 @@
 
     /// This balancer's part of the quotas: an even one, or more where clients ask more of it than of others.
     fn share(&self) -> f64 {
-        let part = if self.load.served > 0.0 { (self.load.recent / self.load.served).min(1.0) } else { 0.0 };
+        let part = if self.load.served > 0.0 {
+            (self.load.recent / self.load.served).min(1.0)
+        } else {
+            0.0
+        };
         self.quota.max(self.quotas * part)
     }
 
     pub fn note_served(&mut self, served: Option<f64>) {
-        let before = if self.load.served > 0.0 { self.load.served } else { self.quotas };
+        let before = if self.load.served > 0.0 {
+            self.load.served
+        } else {
+            self.quotas
+        };
         self.load.served = served.map_or(0.0, |served| before + DEMAND_GAIN * (served - before));
     }
 
     /// What the upstreams carry per cycle for this balancer when all is well, though an overload admits less.
     /// More balancers than stated get less each: by what is served in all, else by what each is asked.
     pub fn carried(&self, asked: f64) -> f64 {
-        let (carried, served) = (self.load.recent * self.load.success.max(FLOOR_LEAST), self.load.served);
-        let (told, even) = (served > 0.0 && self.quotas > 0.0, self.quota.min(CAPACITY_ROOM * asked));
-        let part = if told { self.quotas * (carried / served).min(1.0) } else { even };
+        let (carried, served) = (
+            self.load.recent * self.load.success.max(FLOOR_LEAST),
+            self.load.served,
+        );
+        let (told, even) = (
+            served > 0.0 && self.quotas > 0.0,
+            self.quota.min(CAPACITY_ROOM * asked),
+        );
+        let part = if told {
+            self.quotas * (carried / served).min(1.0)
+        } else {
+            even
+        };
         carried.max(part * self.listed)
     }
 
@@ -125,8 +175,8 @@
             self.load.capacity = (self.load.capacity * (1.0 - fall)).max(self.floor());
         } else {
             // What was admitted and answered in time was within capacity, whatever was learned before.
-            self.load.capacity =
-                self.load.capacity.max(admitted) * (1.0 + CAPACITY_UP * (1.0 - mean / LATENESS_REST));
+            self.load.capacity = self.load.capacity.max(admitted)
+                * (1.0 + CAPACITY_UP * (1.0 - mean / LATENESS_REST));
         }
         (self.lateness, self.in_time, self.answers) = (0.0, 0.0, 0.0);
     }
--- a/balancer/core/src/policy/cold.rs
+++ b/balancer/core/src/policy/cold.rs
@@ -7,7 +7,13 @@
 impl Fleet {
     /// Whether a listed upstream may be sent a call now: it is not out, and within its slow-start budget.
     pub fn usable(&mut self, i: usize, ask: &PickRequest) -> bool {
-        let PickRequest { settings: s, now, cold_rate, desperate, .. } = *ask;
+        let PickRequest {
+            settings: s,
+            now,
+            cold_rate,
+            desperate,
+            ..
+        } = *ask;
         let (warmth, out) = (self.slots[i].warmth(s, now), !desperate && self.out(i, now));
         if out || warmth >= 1.0 {
             return !out;
@@ -17,7 +23,9 @@
         // sum of their rates. Unused ones lapse, or what hundreds have saved would come in one burst.
         let rate = cold_rate * warmth / self.answers.slower(u.member.kind);
         u.tokens += rate * (now - u.tokens_at);
-        u.tokens -= (u.tokens - 1.0 - (rate * s.fall * TOKEN_KEPT).min(1.0)).max(0.0).ceil();
+        u.tokens -= (u.tokens - 1.0 - (rate * s.fall * TOKEN_KEPT).min(1.0))
+            .max(0.0)
+            .ceil();
         u.tokens_at = now;
         u.tokens >= 1.0
     }
@@ -31,9 +39,16 @@
             warm += warmth;
             // Errors eject too, but may come from behind and do not show that it can carry nothing.
             let lost = now < u.health.lost_until || self.silent(i, now) || self.crowded(i, now);
-            usable += if lost { 0.0 } else { warmth * (1.0 - self.zones.gone(u.member.zone)) };
+            usable += if lost {
+                0.0
+            } else {
+                warmth * (1.0 - self.zones.gone(u.member.zone))
+            };
         }
         self.most = self.most.max(warm);
-        ((self.subset.ready as f64 / self.most.max(0.1)).min(1.0), usable / self.most.max(0.1))
+        (
+            (self.subset.ready as f64 / self.most.max(0.1)).min(1.0),
+            usable / self.most.max(0.1),
+        )
     }
 }
--- a/balancer/core/src/policy/ejection.rs
+++ b/balancer/core/src/policy/ejection.rs
@@ -37,7 +37,8 @@
     /// Whether an upstream owes answers and has given none for far longer than answers take elsewhere.
     pub fn silent(&self, i: usize, now: Millis) -> bool {
         let u = &self.slots[i];
-        u.inflight > 0 && now - u.silent_since > (SILENT_FACTOR * self.answers.latency).max(SILENT_LEAST)
+        u.inflight > 0
+            && now - u.silent_since > (SILENT_FACTOR * self.answers.latency).max(SILENT_LEAST)
     }
 
     /// Books how an attempt ended, after which part of its objective. Tells whether it is its own fault.
@@ -50,7 +51,8 @@
         rng: &mut Rng,
     ) -> bool {
         let ((i, rest), (ending, duration, part)) = (at, how);
-        self.zones.note(&mut self.slots[i], ending, self.answers.patience(), now);
+        self.zones
+            .note(&mut self.slots[i], ending, self.answers.patience(), now);
         let hung = ending == Ending::Timeout && self.silent(i, now);
         // Neither is the doing of a tier behind, nor does it matter how many others fail.
         let alone = hung || ending == Ending::ConnectFailed;
@@ -59,7 +61,11 @@
         if !cut && ending != Ending::Moot {
             self.rested.note_lost(rest, lost);
         }
-        let ejected = self.by_id.values().filter(|&&k| now < self.slots[k].health.ejected_until).count();
+        let ejected = self
+            .by_id
+            .values()
+            .filter(|&&k| now < self.slots[k].health.ejected_until)
+            .count();
         let room = hung || ejected < ((self.subset.ready as f64 * EJECT_PART) as usize).max(1);
         let u = &mut self.slots[i];
         u.ended(lost || cut, now);
@@ -67,13 +73,21 @@
             return false;
         }
         let failed = ending != Ending::Ok;
-        u.silent_since = if ending != Ending::Timeout { now } else { u.silent_since };
+        u.silent_since = if ending != Ending::Timeout {
+            now
+        } else {
+            u.silent_since
+        };
         let took = self.answers.note(u.member.kind, !failed, duration, part);
         u.health.slowness += ANSWER_GAIN * (took - u.health.slowness);
         self.near.note_took(u.member.zone, took);
         let (bad, h) = (f64::from(u8::from(failed)), &mut u.health);
         // Who takes work and answers nothing while others answer need not be waited for until more time out.
-        h.fails = if hung { 1.0 } else { h.fails + FAIL_GAIN * (bad - h.fails) };
+        h.fails = if hung {
+            1.0
+        } else {
+            h.fails + FAIL_GAIN * (bad - h.fails)
+        };
         h.outcomes += 1;
         // The fleet's figure counts all: where most fail, it is no fault of each one's own.
         self.fails += 0.02 * (bad - self.fails);
@@ -91,7 +105,11 @@
             let length = (EJECT_BASE * f64::from(h.ejections + 1)).min(EJECT_MOST);
             h.ejected_until = now + length * (0.75 + 0.5 * unit(rng));
             h.ejections += 1;
-            h.lost_until = if ending == Ending::Error { h.lost_until } else { h.ejected_until };
+            h.lost_until = if ending == Ending::Error {
+                h.lost_until
+            } else {
+                h.ejected_until
+            };
             // One more failure after its return ejects it again.
             h.fails = EJECT_AT;
         }
@@ -102,17 +120,37 @@
     pub fn evidence(&self, i: usize, now: Millis) -> Option<bool> {
         // Every ejection begins at this part of failures: less tells of an answer.
         let (h, answered) = (&self.slots[i].health, self.slots[i].health.fails < EJECT_AT);
-        let told = h.lost_until > 0.0 && now < h.lost_until + if answered { EJECT_MOST } else { 0.0 };
-        self.silent(i, now).then_some(true).or(told.then_some(!answered))
+        let told =
+            h.lost_until > 0.0 && now < h.lost_until + if answered { EJECT_MOST } else { 0.0 };
+        self.silent(i, now)
+            .then_some(true)
+            .or(told.then_some(!answered))
     }
 
     /// What others have ejected too stays out, until one is answered or by chance it is the own turn.
-    pub fn hold(&mut self, tier: &Tier, s: &Settings, (since, now): (Millis, Millis), rng: &mut Rng) {
-        for u in self.slots.iter_mut().filter(|u| u.health.lost_until > now && tier.word(now).is_some()) {
-            let (h, (first, then)) = (&mut u.health, tier.wait(Subject::Upstream(u.member.id), s, now));
+    pub fn hold(
+        &mut self,
+        tier: &Tier,
+        s: &Settings,
+        (since, now): (Millis, Millis),
+        rng: &mut Rng,
+    ) {
+        for u in self
+            .slots
+            .iter_mut()
+            .filter(|u| u.health.lost_until > now && tier.word(now).is_some())
+        {
+            let (h, (first, then)) = (
+                &mut u.health,
+                tier.wait(Subject::Upstream(u.member.id), s, now),
+            );
             if first > 1.0 {
                 let turn = unit(rng) * EJECT_BASE * then < since;
-                let until = if turn { now } else { h.ejected_until.max(now + WORD_KEPT) };
+                let until = if turn {
+                    now
+                } else {
+                    h.ejected_until.max(now + WORD_KEPT)
+                };
                 (h.ejected_until, h.lost_until) = (until, until);
             }
         }
@@ -134,8 +172,15 @@
 
     /// Calls per cycle that all copies together get served, by what upstreams have said of late.
     pub fn served_by_all(&self, now: Millis) -> Option<f64> {
-        let up = |u: &&Upstream| u.member.availability == Availability::Ready && now >= u.health.lost_until;
-        let up: Vec<&Upstream> = self.by_id.values().map(|&i| &self.slots[i]).filter(up).collect();
+        let up = |u: &&Upstream| {
+            u.member.availability == Availability::Ready && now >= u.health.lost_until
+        };
+        let up: Vec<&Upstream> = self
+            .by_id
+            .values()
+            .map(|&i| &self.slots[i])
+            .filter(up)
+            .collect();
         let heard = |u: &&&Upstream| u.served > 0.0 && now - u.served_at < SAID_KEPT;
         let heard: Vec<f64> = up.iter().filter(heard).map(|u| u.served).collect();
         let mean = heard.iter().sum::<f64>() / heard.len() as f64;
--- a/balancer/core/src/policy/kept.rs
+++ b/balancer/core/src/policy/kept.rs
@@ -29,17 +29,37 @@
         let (a, c, f) = (&mut self.admission, &mut self.capacity, &mut self.fleet);
         let shift = now - age - kept.at;
         for &(id, since, health) in &kept.upstreams {
-            let Some(&i) = f.by_id.get(&id).filter(|&&i| f.slots[i].member.since == since) else { continue };
+            let Some(&i) = f
+                .by_id
+                .get(&id)
+                .filter(|&&i| f.slots[i].member.since == since)
+            else {
+                continue;
+            };
             let u = &mut f.slots[i];
-            u.health = Health { fails: load * health.fails, ..health.shifted(shift) };
+            u.health = Health {
+                fails: load * health.fails,
+                ..health.shifted(shift)
+            };
             u.health.ejected_until = u.health.ejected_until.min(now + EJECT_MOST);
             u.health.lost_until = u.health.lost_until.min(now + EJECT_MOST);
         }
-        for (&kind, &(usual, answers)) in kept.kinds.iter().filter(|(_, k)| k.0 > 0.0 && k.1 * times >= 1.0) {
+        for (&kind, &(usual, answers)) in kept
+            .kinds
+            .iter()
+            .filter(|(_, k)| k.0 > 0.0 && k.1 * times >= 1.0)
+        {
             // Fewer answers to rest on, so that new ones count for more.
-            f.answers.kinds.entry(kind).or_insert((usual, answers * times));
+            f.answers
+                .kinds
+                .entry(kind)
+                .or_insert((usual, answers * times));
         }
-        f.rested.lost.iter_mut().zip(&kept.rest_lost).for_each(|(to, &kept)| mix(to, kept, times));
+        f.rested
+            .lost
+            .iter_mut()
+            .zip(&kept.rest_lost)
+            .for_each(|(to, &kept)| mix(to, kept, times));
         mix(&mut f.answers.latency, kept.answer, times);
         mix(&mut f.answers.deviation, kept.deviation, times);
         // What is listed now may be the few that are left of what was shared out among many.
@@ -47,7 +67,11 @@
         (c.listed, c.usable) = f.count(&self.settings, now);
         let size = (c.usable / kept.upstreams_usable.max(0.01)).min(1.0);
         // Before it is known it is taken for the quotas.
-        c.load.served = if kept.load.served > 0.0 { c.quotas } else { 0.0 };
+        c.load.served = if kept.load.served > 0.0 {
+            c.quotas
+        } else {
+            0.0
+        };
         c.load = c.load.mixed(&kept.load.scaled(size), load, times);
         c.load.uncrowded = c.load.uncrowded.max(FLOOR_LEAST);
         for (t, &kept) in a.tenants.iter_mut().zip(&kept.demands) {
--- a/balancer/core/src/policy/limits.rs
+++ b/balancer/core/src/policy/limits.rs
@@ -12,10 +12,20 @@
 /// and sum to `capacity` at most, up to rounding.
 pub fn limits(capacity: f64, demands: &[f64], weights: &[f64], reservation: f64) -> Vec<f64> {
     let total: f64 = weights.iter().sum();
-    let part = |w: f64| if total > 0.0 { w / total } else { 1.0 / weights.len() as f64 };
+    let part = |w: f64| {
+        if total > 0.0 {
+            w / total
+        } else {
+            1.0 / weights.len() as f64
+        }
+    };
     let share = |of: f64, total: f64| if total > 0.0 { of / total } else { 0.0 };
     let defaults: Vec<f64> = weights.iter().map(|&w| capacity * part(w)).collect();
-    let wanted: Vec<f64> = demands.iter().zip(&defaults).map(|(&d, &q)| d.max(q * reservation)).collect();
+    let wanted: Vec<f64> = demands
+        .iter()
+        .zip(&defaults)
+        .map(|(&d, &q)| d.max(q * reservation))
+        .collect();
     let gaps: Vec<f64> = defaults.iter().zip(&wanted).map(|(q, w)| q - w).collect();
     let deficit: f64 = gaps.iter().filter(|&&g| g < 0.0).map(|g| -g).sum();
     let surplus: f64 = gaps.iter().filter(|&&g| g > 0.0).sum();
--- a/balancer/core/src/policy/pick.rs
+++ b/balancer/core/src/policy/pick.rs
@@ -16,7 +16,11 @@
         let (a, b) = (&self.slots[a], &self.slots[b]);
         let near = |u: &Upstream| Some(u.member.zone) == self.near.zone;
         let usual = |u| self.answers.usual(u, now);
-        let slow = |a, b| usual(a).zip(usual(b)).is_some_and(|(a, b)| a > ANSWER_RATIO * b);
+        let slow = |a, b| {
+            usual(a)
+                .zip(usual(b))
+                .is_some_and(|(a, b)| a > ANSWER_RATIO * b)
+        };
         match a.inflight.cmp(&b.inflight) {
             Ordering::Equal if slow(a, b) => false,
             Ordering::Equal if slow(b, a) => true,
@@ -36,19 +40,34 @@
 
     /// The less busy of two random usable upstreams; one in slow start that has a token is drawn first.
     pub fn pick(&mut self, ask: &PickRequest, rng: &mut Rng) -> Option<usize> {
-        let (n, near) = (self.subset.pools[ask.pool].members.len(), self.subset.pools[ask.pool].near);
+        let (n, near) = (
+            self.subset.pools[ask.pool].members.len(),
+            self.subset.pools[ask.pool].near,
+        );
         if n == 0 {
             return None;
         }
-        let near = if near > 0 && self.left(self.subset.pools[ask.pool].members[0]) { 0 } else { near };
+        let near = if near > 0 && self.left(self.subset.pools[ask.pool].members[0]) {
+            0
+        } else {
+            near
+        };
         let lean = near > 0 && unit(rng) < self.near.lean();
         let both = lean && unit(rng) < NEAR_BOTH;
         let mut best: Option<usize> = None;
         let start = below(rng, n);
         let cold = self.cold_with_token(if lean { near } else { n }, start, ask);
         for draw in 0..DRAWS + n {
-            let drawn = if lean && (both || best.is_none()) { near } else { n };
-            let k = if draw < DRAWS { below(rng, drawn) } else { (start + draw) % n };
+            let drawn = if lean && (both || best.is_none()) {
+                near
+            } else {
+                n
+            };
+            let k = if draw < DRAWS {
+                below(rng, drawn)
+            } else {
+                (start + draw) % n
+            };
             let i = self.subset.pools[ask.pool].members[cold.filter(|_| draw == 0).unwrap_or(k)];
             // Should the draws miss the few that will do, walk once round the list, up to the first: rare.
             let walked = draw >= DRAWS && best.is_some();
@@ -58,7 +77,13 @@
                 continue;
             }
             match best {
-                Some(b) => return Some(if self.less_busy(i, b, ask.now, lean) { i } else { b }),
+                Some(b) => {
+                    return Some(if self.less_busy(i, b, ask.now, lean) {
+                        i
+                    } else {
+                        b
+                    })
+                }
                 None => best = Some(i),
             }
         }
--- a/balancer/core/src/policy/rested.rs
+++ b/balancer/core/src/policy/rested.rs
@@ -17,7 +17,10 @@
             return (0, false);
         }
         let step = (((rested / REST_STEP).max(0.5).log2() + 2.0) as usize).min(REST_STEPS - 1);
-        (step, (1..=step).any(|k| self.dropped(k)) && unit(rng) > REST_TRIALS)
+        (
+            step,
+            (1..=step).any(|k| self.dropped(k)) && unit(rng) > REST_TRIALS,
+        )
     }
 
     /// Whether connections that rested this long get dropped: calls on them are lost more than on fresh ones.
--- a/balancer/core/src/policy/shed.rs
+++ b/balancer/core/src/policy/shed.rs
@@ -18,12 +18,24 @@
     /// keeps to the stated quotas is not: where it finds no room, that is for each copy's own admission.
     pub fn hear(&mut self, sums: Option<&TierSums>, quotas: f64, tenants: &[TenantState]) {
         self.parts.fill(0.0);
-        let Some(s) = sums.filter(|s| s.load.tenants.len() == tenants.len()) else { return };
+        let Some(s) = sums.filter(|s| s.load.tenants.len() == tenants.len()) else {
+            return;
+        };
         let demands: Vec<f64> = s.load.tenants.iter().map(|t| t.demand).collect();
         let weight = |(t, &asked): (&TenantState, &f64)| if asked > 0.0 { t.weight } else { 0.0 };
         let weights: Vec<f64> = tenants.iter().zip(&demands).map(weight).collect();
-        let limits = limits((s.load.room * ROOM_SPARE).max(quotas), &demands, &weights, RESERVATION);
-        for (i, (limit, &asked)) in limits.iter().zip(&demands).enumerate().filter(|t| *t.1 .1 > 0.0) {
+        let limits = limits(
+            (s.load.room * ROOM_SPARE).max(quotas),
+            &demands,
+            &weights,
+            RESERVATION,
+        );
+        for (i, (limit, &asked)) in limits
+            .iter()
+            .zip(&demands)
+            .enumerate()
+            .filter(|t| *t.1 .1 > 0.0)
+        {
             // The smaller a part of the whole, the less sure it is.
             let sure = 1.0 + ERRORS * s.error * (demands.iter().sum::<f64>() / asked).sqrt();
             self.parts[i] = (1.0 - limit * sure / asked).clamp(0.0, PART_MOST);
--- a/balancer/core/src/policy/subset.rs
+++ b/balancer/core/src/policy/subset.rs
@@ -19,28 +19,53 @@
         // Groups stand together on it, so that a guarded request finds others of its group in the subset.
         ring.sort_by_key(|&i| {
             let m = &slots[i].member;
-            (ring_place(UpstreamId(m.group.into())), ring_place(m.id), m.id)
+            (
+                ring_place(UpstreamId(m.group.into())),
+                ring_place(m.id),
+                m.id,
+            )
         });
         self.ready = ring.len();
         let own = |&i: &usize| Some(slots[i].member.zone) == zone;
-        let (even, most) = (f64::from(s.index % s.balancers) / f64::from(s.balancers), self.size);
+        let (even, most) = (
+            f64::from(s.index % s.balancers) / f64::from(s.balancers),
+            self.size,
+        );
         // Even among the copies of a zone as well, however they are numbered.
         let golden = (f64::from(s.index) * 0.618_033_988_749_895).fract();
         let run = |from: &[usize], place: f64, most: usize| -> Vec<usize> {
             let n = from.len();
-            (0..n.min(most)).map(|k| from[((n as f64 * place) as usize + k) % n]).collect()
+            (0..n.min(most))
+                .map(|k| from[((n as f64 * place) as usize + k) % n])
+                .collect()
         };
         for (pool, class) in self.pools.iter_mut().zip(&s.classes) {
-            let allowed = ring.iter().copied().filter(|&i| class.admits(&slots[i].member));
+            let allowed = ring
+                .iter()
+                .copied()
+                .filter(|&i| class.admits(&slots[i].member));
             let (near, far): (Vec<usize>, Vec<usize>) = allowed.partition(own);
             pool.members = run(&near, golden, most);
             pool.near = pool.members.len();
-            pool.members.extend(run(&far, even, if near.is_empty() { most } else { most.div_ceil(2) }));
+            pool.members.extend(run(
+                &far,
+                even,
+                if near.is_empty() {
+                    most
+                } else {
+                    most.div_ceil(2)
+                },
+            ));
         }
         // All balancers of a zone hold the few upstreams that it may have: they share these with more others.
-        let zones: std::collections::BTreeSet<u16> = ring.iter().map(|&i| slots[i].member.zone).collect();
+        let zones: std::collections::BTreeSet<u16> =
+            ring.iter().map(|&i| slots[i].member.zone).collect();
         let near = ring.iter().copied().filter(own).count() * zones.len();
-        let held = self.pools.iter().map(|p| p.members.len()).fold(1, usize::max) as f64;
+        let held = self
+            .pools
+            .iter()
+            .map(|p| p.members.len())
+            .fold(1, usize::max) as f64;
         let held_near = self.pools.iter().map(|p| p.near).fold(1, usize::max) as f64;
         let part = near as f64 / ring.len() as f64 * held / held_near / EVEN_SPREAD;
         self.each = if near > 0 { part.min(1.0) } else { 1.0 } / held;
--- a/balancer/core/src/policy/tier.rs
+++ b/balancer/core/src/policy/tier.rs
@@ -17,28 +17,41 @@
     }
 
     pub fn sums(&self, now: Millis) -> Option<&TierSums> {
-        self.word(now)?.sums.as_ref().filter(|s| s.load.room > 0.0 && s.age + now - self.at <= SAYING_KEPT)
+        self.word(now)?
+            .sums
+            .as_ref()
+            .filter(|s| s.load.room > 0.0 && s.age + now - self.at <= SAYING_KEPT)
     }
 
     /// What others have against it, unless one was answered since.
     fn against(&self, subject: Subject, now: Millis) -> Option<&Evidence> {
-        let e = self.word(now)?.evidence.iter().find(|e| e.subject == subject)?;
+        let e = self
+            .word(now)?
+            .evidence
+            .iter()
+            .find(|e| e.subject == subject)?;
         (e.cleared == 0 && e.age + now - self.at <= SAYING_KEPT).then_some(e)
     }
 
     pub fn backs(&self, subject: Subject, now: Millis) -> bool {
-        self.against(subject, now).is_some_and(|e| e.observers >= BACKERS && e.zones >= BACKER_ZONES)
+        self.against(subject, now)
+            .is_some_and(|e| e.observers >= BACKERS && e.zones >= BACKER_ZONES)
     }
 
     /// How many times longer than alone this copy waits before it first tries what others have left too, and
     /// then between trials. Each has its turn in an order that all know; once one was answered, nobody waits.
     pub fn wait(&self, subject: Subject, s: &Settings, now: Millis) -> (f64, f64) {
         let (first, all) = match (self.word(now), self.against(subject, now)) {
-            (Some(w), Some(e)) if f64::from(e.observers) >= TRIERS => (members_before(w, subject) + 1, w.up),
+            (Some(w), Some(e)) if f64::from(e.observers) >= TRIERS => {
+                (members_before(w, subject) + 1, w.up)
+            }
             // Cut off from others who may be trying as well: by its number, its even part.
             (None, _) if self.met => (s.index % s.balancers + 1, s.balancers),
             _ => (0, 0),
         };
-        ((f64::from(first) / TRIERS).max(1.0), (f64::from(all) / TRIERS).max(1.0))
+        (
+            (f64::from(first) / TRIERS).max(1.0),
+            (f64::from(all) / TRIERS).max(1.0),
+        )
     }
 }
--- a/balancer/core/src/policy/upstreams.rs
+++ b/balancer/core/src/policy/upstreams.rs
@@ -4,11 +4,18 @@
 impl Fleet {
     pub fn new(s: &Settings) -> Self {
         let (subset, answers, near) = (Subset::new(s), Answers::new(s), Near::new(s));
-        Fleet { subset, answers, near, ..Fleet::default() }
+        Fleet {
+            subset,
+            answers,
+            near,
+            ..Fleet::default()
+        }
     }
 
     pub fn apply(&mut self, news: Membership, s: &Settings, now: Millis, rng: &mut Rng) {
-        let Some((members, whole)) = news.members() else { return };
+        let Some((members, whole)) = news.members() else {
+            return;
+        };
         if whole {
             self.drop_unnamed(&members);
         }
@@ -20,22 +27,38 @@
                 let i = self.place(member.id);
                 // Restarted under its old id it is cold again, and its old sins are forgotten.
                 let inflight = known.map_or(0, |i| self.slots[i].inflight);
-                let health = Health { slowness: 1.0, ..Health::default() };
+                let health = Health {
+                    slowness: 1.0,
+                    ..Health::default()
+                };
                 // Hundreds of copies must not each send their first call at once: start in random phase.
                 let (tokens, tokens_at, rested_from, silent_since) = (unit(rng), now, now, now);
-                let times = Upstream { tokens, tokens_at, rested_from, silent_since, ..Upstream::default() };
-                self.slots[i] = Upstream { member, inflight, health, ..times };
+                let times = Upstream {
+                    tokens,
+                    tokens_at,
+                    rested_from,
+                    silent_since,
+                    ..Upstream::default()
+                };
+                self.slots[i] = Upstream {
+                    member,
+                    inflight,
+                    health,
+                    ..times
+                };
             }
         }
         (0..self.slots.len()).for_each(|i| self.forget_if_gone(i));
-        self.subset.choose(&self.slots, &self.by_id, self.near.zone, s);
+        self.subset
+            .choose(&self.slots, &self.by_id, self.near.zone, s);
     }
 
     /// Lets the subset follow the traffic.
     pub fn resize_subset(&mut self, s: &Settings, calls_per_cycle: f64) {
         if let Some(size) = self.subset.wants(self.answers.latency, s, calls_per_cycle) {
             self.subset.size = size;
-            self.subset.choose(&self.slots, &self.by_id, self.near.zone, s);
+            self.subset
+                .choose(&self.slots, &self.by_id, self.near.zone, s);
         }
     }
 }
--- a/balancer/core/src/policy/zones.rs
+++ b/balancer/core/src/policy/zones.rs
@@ -31,7 +31,14 @@
     /// Leaves zones that owe too much. Tells whether there were any.
     pub fn leave(&mut self, tier: &Tier, now: Millis, actions: &mut Actions) -> bool {
         let heard = self.heard;
-        let enough = |zone| ZONE_OWES / if tier.backs(Subject::Zone(zone), now) { 2.0 } else { 1.0 };
+        let enough = |zone| {
+            ZONE_OWES
+                / if tier.backs(Subject::Zone(zone), now) {
+                    2.0
+                } else {
+                    1.0
+                }
+        };
         let quiet = |zone, z: &Zone| z.gone < 1.0 && z.owes > enough(zone) && z.heard < heard;
         let before = actions.len();
         for (zone, z) in self.by_zone.iter_mut().filter(|(zone, z)| quiet(**zone, z)) {
@@ -44,7 +51,11 @@
     /// Zones that answer come back by degrees, each held the longer the more often they were left of late.
     pub fn come_back(&mut self, now: Millis, actions: &mut Actions) {
         for (zone, z) in &mut self.by_zone {
-            let (before, share, bad) = (z.gone, 1.0 - z.gone, z.broken >= 1.0 || z.owes > ZONE_OWES / 2.0);
+            let (before, share, bad) = (
+                z.gone,
+                1.0 - z.gone,
+                z.broken >= 1.0 || z.owes > ZONE_OWES / 2.0,
+            );
             if before == 0.0 {
                 z.falls *= CYCLE_KEPT;
             } else if bad {
@@ -61,11 +72,17 @@
 
     /// Whether one of a zone that is left or returning may be drawn now.
     pub fn stands(&mut self, zone: u16, ask: &PickRequest, rng: &mut Rng) -> bool {
-        let Some(z) = self.by_zone.get_mut(&zone).filter(|z| z.gone > 0.0) else { return true };
+        let Some(z) = self.by_zone.get_mut(&zone).filter(|z| z.gone > 0.0) else {
+            return true;
+        };
         let (first, then) = ask.tier.wait(Subject::Zone(zone), ask.settings, ask.now);
         let pause = ZONE_TRIAL * (1.0 + z.falls) * if z.tries == 0 { first } else { then };
         let tries = ask.harmless && z.heard <= z.since && ask.now - z.tried > pause;
-        (z.tried, z.tries) = if tries { (ask.now, z.tries + 1) } else { (z.tried, z.tries) };
+        (z.tried, z.tries) = if tries {
+            (ask.now, z.tries + 1)
+        } else {
+            (z.tried, z.tries)
+        };
         tries || ask.desperate || unit(rng) >= z.gone
     }
 }
--- a/balancer/core/src/state/admission.rs
+++ b/balancer/core/src/state/admission.rs
@@ -20,12 +20,28 @@
 impl Admission {
     /// Nobody asked for anything yet.
     pub fn new(s: &Settings, now: Millis) -> Self {
-        let none = vec![Tenant { share: 1.0, quota_per_s: 0.0 }];
-        let listed = if s.tenants.is_empty() { &none } else { &s.tenants };
-        let fresh = |weight| TenantState { weight, ..TenantState::default() };
+        let none = vec![Tenant {
+            share: 1.0,
+            quota_per_s: 0.0,
+        }];
+        let listed = if s.tenants.is_empty() {
+            &none
+        } else {
+            &s.tenants
+        };
+        let fresh = |weight| TenantState {
+            weight,
+            ..TenantState::default()
+        };
         let mut tenants: Vec<TenantState> = listed.iter().map(|t| fresh(t.share)).collect();
         // One further place for tenants that the settings do not list, however many they are.
-        tenants.push(fresh(listed.iter().map(|t| t.share).fold(f64::INFINITY, f64::min)));
-        Admission { tenants, cycle_start: now, ..Admission::default() }
+        tenants.push(fresh(
+            listed.iter().map(|t| t.share).fold(f64::INFINITY, f64::min),
+        ));
+        Admission {
+            tenants,
+            cycle_start: now,
+            ..Admission::default()
+        }
     }
 }
--- a/balancer/core/src/state/balancer.rs
+++ b/balancer/core/src/state/balancer.rs
@@ -33,7 +33,12 @@
 
 impl Balancer {
     /// One that has been told nothing yet.
-    pub(crate) fn of(s: Settings, seed: u64, parts: (Admission, Capacity, Fleet), retries: f64) -> Self {
+    pub(crate) fn of(
+        s: Settings,
+        seed: u64,
+        parts: (Admission, Capacity, Fleet),
+        retries: f64,
+    ) -> Self {
         let (admission, capacity, fleet) = parts;
         Balancer {
             rng: Rng::seed_from_u64(seed),
@@ -56,7 +61,11 @@
     /// Tells the operator when answers begin to be late, and when no longer.
     pub(crate) fn told_late(&mut self, late: bool) -> Option<Action> {
         let turned = std::mem::replace(&mut self.late, late) != late;
-        let state = if late { "late or failed: capacity is cut" } else { "in time again" };
+        let state = if late {
+            "late or failed: capacity is cut"
+        } else {
+            "in time again"
+        };
         turned.then(|| Action::Log(format!("answers of tier {} {state}", self.settings.stage)))
     }
 }
--- a/balancer/core/src/state/fleet.rs
+++ b/balancer/core/src/state/fleet.rs
@@ -30,7 +30,11 @@
     /// Marks as gone what a whole list does not name.
     pub fn drop_unnamed(&mut self, members: &[Member]) {
         let named: BTreeSet<UpstreamId> = members.iter().map(|m| m.id).collect();
-        for u in self.slots.iter_mut().filter(|u| !named.contains(&u.member.id)) {
+        for u in self
+            .slots
+            .iter_mut()
+            .filter(|u| !named.contains(&u.member.id))
+        {
             u.member.availability = Availability::Gone;
         }
     }
@@ -38,8 +42,11 @@
     /// The place of an upstream, a new one if it has none.
     pub fn place(&mut self, id: UpstreamId) -> usize {
         let known = self.by_id.get(&id).copied();
-        let i = known.or_else(|| self.free.pop()).unwrap_or(self.slots.len());
-        self.slots.resize_with(self.slots.len().max(i + 1), Upstream::default);
+        let i = known
+            .or_else(|| self.free.pop())
+            .unwrap_or(self.slots.len());
+        self.slots
+            .resize_with(self.slots.len().max(i + 1), Upstream::default);
         self.by_id.insert(id, i);
         i
     }
--- a/balancer/core/src/state/meter.rs
+++ b/balancer/core/src/state/meter.rs
@@ -17,7 +17,10 @@
     }
 
     fn note(&mut self, now: Millis) {
-        *self = Rate { per_s: self.read(now) + 1000.0 / SPAN, at: now };
+        *self = Rate {
+            per_s: self.read(now) + 1000.0 / SPAN,
+            at: now,
+        };
     }
 }
 
@@ -35,7 +38,11 @@
     }
 
     fn change(&mut self, by: f64, now: Millis) {
-        *self = Level { mean: self.read(now), value: self.value + by, at: now };
+        *self = Level {
+            mean: self.read(now),
+            value: self.value + by,
+            at: now,
+        };
     }
 }
 
@@ -73,7 +80,12 @@
 
     /// An attempt of its has begun.
     pub fn sent(&mut self, tenant: usize, first: bool, now: Millis) {
-        if first { &mut self.firsts } else { &mut self.retries }.note(now);
+        if first {
+            &mut self.firsts
+        } else {
+            &mut self.retries
+        }
+        .note(now);
         self.of(tenant).1.change(1.0, now);
     }
 
--- a/balancer/core/src/state/near.rs
+++ b/balancer/core/src/state/near.rs
@@ -15,6 +15,10 @@
     /// Nothing is known yet.
     pub fn new(s: &Settings) -> Self {
         let zone = (s.cross_zone_price > 0.0).then_some(s.zone);
-        Near { zone, took: [1.0; 2], said: [0.0; 2] }
+        Near {
+            zone,
+            took: [1.0; 2],
+            said: [0.0; 2],
+        }
     }
 }
--- a/balancer/core/src/state/shed.rs
+++ b/balancer/core/src/state/shed.rs
@@ -35,7 +35,12 @@
     pub fn new(s: &Settings, tenants: usize) -> Self {
         let mixes = vec![vec![0.0; s.classes.len()]; tenants];
         let takes = s.classes.iter().map(|c| c.objective).collect();
-        Shed { parts: vec![0.0; tenants], again: 1.0, mixes, takes }
+        Shed {
+            parts: vec![0.0; tenants],
+            again: 1.0,
+            mixes,
+            takes,
+        }
     }
 
     /// Takes note of a request.
@@ -56,13 +61,22 @@
 
     /// The part of a tenant's requests that come before this one: those of classes that stand lower, and of those that
     /// stand as high the ones with a lower tie.
-    pub fn before(&self, tenant: usize, (class, tie): (usize, u64), stands: impl Fn(usize) -> f64) -> f64 {
+    pub fn before(
+        &self,
+        tenant: usize,
+        (class, tie): (usize, u64),
+        stands: impl Fn(usize) -> f64,
+    ) -> f64 {
         let (own, tie) = (stands(class), tie as f64 / u64::MAX as f64);
         let part = |c: usize| match stands(c) {
             other if other == own => tie,
             other => f64::from(u8::from(other < own)),
         };
         let mix = &self.mixes[tenant];
-        mix.iter().enumerate().map(|(c, n)| n * part(c)).sum::<f64>() / mix.iter().sum::<f64>()
+        mix.iter()
+            .enumerate()
+            .map(|(c, n)| n * part(c))
+            .sum::<f64>()
+            / mix.iter().sum::<f64>()
     }
 }
--- a/balancer/core/src/state/subset.rs
+++ b/balancer/core/src/state/subset.rs
@@ -25,6 +25,11 @@
 impl Subset {
     /// No upstream is known yet.
     pub fn new(s: &Settings) -> Self {
-        Subset { pools: vec![Pool::default(); s.classes.len()], ready: 0, each: 1.0, size: 0 }
+        Subset {
+            pools: vec![Pool::default(); s.classes.len()],
+            ready: 0,
+            each: 1.0,
+            size: 0,
+        }
     }
 }
--- a/balancer/core/src/state/tier.rs
+++ b/balancer/core/src/state/tier.rs
@@ -28,7 +28,11 @@
         Subject::Upstream(id) => id.0,
         Subject::Zone(zone) => u64::from(zone),
     };
-    let rank = |place: u32| ring_place(UpstreamId(what ^ ring_place(UpstreamId(u64::from(place) + 1))));
+    let rank = |place: u32| {
+        ring_place(UpstreamId(
+            what ^ ring_place(UpstreamId(u64::from(place) + 1)),
+        ))
+    };
     let own = rank(word.place);
     (0..word.up).filter(|&place| rank(place) > own).count() as u32
 }
--- a/balancer/core/src/state/upstream.rs
+++ b/balancer/core/src/state/upstream.rs
@@ -42,7 +42,11 @@
         if rest == 0 {
             self.connections = self.inflight;
         }
-        self.silent_since = if self.inflight == 0 { now } else { self.silent_since };
+        self.silent_since = if self.inflight == 0 {
+            now
+        } else {
+            self.silent_since
+        };
         self.inflight += 1;
         if self.connections <= self.inflight {
             (self.connections, self.rested_from) = (self.inflight, now);
@@ -53,7 +57,11 @@
 
     /// A call ended. A connection whose call got no answer, `cut`, does not come back for another.
     pub fn ended(&mut self, cut: bool, now: Millis) {
-        self.rested_from = if self.inflight >= self.connections { now } else { self.rested_from };
+        self.rested_from = if self.inflight >= self.connections {
+            now
+        } else {
+            self.rested_from
+        };
         self.connections -= self.connections.min(u32::from(cut));
         self.inflight = self.inflight.saturating_sub(1);
         self.health.last_used = now;
--- a/balancer/core/src/state/zone.rs
+++ b/balancer/core/src/state/zone.rs
@@ -23,13 +23,20 @@
     /// Tells the operator that it is left.
     pub fn told_left(&self, zone: u16, now: Millis) -> Action {
         let (owes, since) = (self.owes, now - self.heard);
-        Action::Log(format!("zone {zone} is left: it owes {owes:.1} answer times, since {since:.0} ms"))
+        Action::Log(format!(
+            "zone {zone} is left: it owes {owes:.1} answer times, since {since:.0} ms"
+        ))
     }
 
     /// Tells the operator how far it is back.
     pub fn told_back(&self, zone: u16) -> Action {
-        let (state, part) = (["near", "returning"][usize::from(self.gone > 0.0)], 1.0 - self.gone);
-        Action::Log(format!("zone {zone} is {state}: {part:.3} of its draws stand"))
+        let (state, part) = (
+            ["near", "returning"][usize::from(self.gone > 0.0)],
+            1.0 - self.gone,
+        );
+        Action::Log(format!(
+            "zone {zone} is {state}: {part:.3} of its draws stand"
+        ))
     }
 }
 
--- a/balancer/core/tests/common/mod.rs
+++ b/balancer/core/tests/common/mod.rs
@@ -17,11 +17,22 @@
 }
 
 pub fn class(effect: Effect) -> Class {
-    Class { objective: 500.0, deadline: 2000.0, effect, ..Class::default() }
+    Class {
+        objective: 500.0,
+        deadline: 2000.0,
+        effect,
+        ..Class::default()
+    }
 }
 
 pub fn tenants(shares: &[f64], quota_per_s: f64) -> Vec<Tenant> {
-    shares.iter().map(|&share| Tenant { share, quota_per_s: quota_per_s * share }).collect()
+    shares
+        .iter()
+        .map(|&share| Tenant {
+            share,
+            quota_per_s: quota_per_s * share,
+        })
+        .collect()
 }
 
 /// A request's life as the checker saw it.
@@ -85,7 +96,9 @@
             Membership::Failed => (Vec::new(), false),
         };
         if whole {
-            self.listed.values_mut().for_each(|m| m.availability = Availability::Gone);
+            self.listed
+                .values_mut()
+                .for_each(|m| m.availability = Availability::Gone);
         }
         self.listed.extend(members.into_iter().map(|m| (m.id, m)));
         self.event(Event::Membership(news));
@@ -95,9 +108,22 @@
         let deadline = self.now + self.settings.classes[class].deadline;
         let id = RequestId(id);
         let (sends, until, ended) = (Vec::new(), Vec::new(), Vec::new());
-        let fresh = Seen { class, deadline, sends, until, ended, answered: false };
+        let fresh = Seen {
+            class,
+            deadline,
+            sends,
+            until,
+            ended,
+            answered: false,
+        };
         self.seen.insert(id, fresh);
-        self.event(Event::Request(Request { id, class, tenant, deadline, tie: u64::from(id.0) }))
+        self.event(Event::Request(Request {
+            id,
+            class,
+            tenant,
+            deadline,
+            tie: u64::from(id.0),
+        }))
     }
 
     pub fn outcome(&mut self, id: u32, attempt: usize, ending: Ending) -> Vec<Action> {
@@ -107,11 +133,20 @@
         seen.answered |= ending == Ending::Ok;
         let duration = self.now - seen.sends[attempt].1;
         let closed = seen.answered;
-        self.event(Event::Outcome { request, attempt: attempt as u32, ending, duration, closed })
+        self.event(Event::Outcome {
+            request,
+            attempt: attempt as u32,
+            ending,
+            duration,
+            closed,
+        })
     }
 
     pub fn gone(&mut self, id: u32) -> Vec<Action> {
-        self.seen.get_mut(&RequestId(id)).expect("a known request").answered = true;
+        self.seen
+            .get_mut(&RequestId(id))
+            .expect("a known request")
+            .answered = true;
         self.event(Event::ClientGone(RequestId(id)))
     }
 
@@ -143,7 +178,10 @@
             }
             self.pass(next - self.now);
             // What a timer has sent again has its answers as well.
-            let out = self.seen.iter().filter(|(_, s)| s.ended.last() == Some(&None));
+            let out = self
+                .seen
+                .iter()
+                .filter(|(_, s)| s.ended.last() == Some(&None));
             for id in out.map(|(id, _)| id.0).collect::<Vec<_>>() {
                 self.answer(id, server);
             }
@@ -153,7 +191,9 @@
     /// Puts the answer to the newest attempt of a request on its way.
     fn answer(&mut self, id: u32, server: &dyn Fn(UpstreamId) -> Option<(Ending, f64)>) {
         let seen = &self.seen[&RequestId(id)];
-        let Some(&(upstream, _)) = seen.sends.last() else { return };
+        let Some(&(upstream, _)) = seen.sends.last() else {
+            return;
+        };
         let attempt = seen.sends.len() - 1;
         if seen.ended[attempt].is_none() && self.asked.insert(id, attempt) != Some(attempt) {
             if let Some((ending, after)) = server(upstream) {
@@ -169,7 +209,8 @@
         for s in self.seen.values() {
             let late: Vec<_> = s.sends.iter().filter(|(_, at)| *at >= from).collect();
             requests += usize::from(!late.is_empty());
-            late.iter().for_each(|(id, _)| *to.entry(*id).or_insert(0) += 1);
+            late.iter()
+                .for_each(|(id, _)| *to.entry(*id).or_insert(0) += 1);
         }
         (requests, to)
     }
@@ -182,11 +223,16 @@
                 let out = (0..s.ended.len()).filter(|&n| s.ended[n].is_none());
                 out.min_by(|&a, &b| s.until[a].total_cmp(&s.until[b]))
             };
-            let late = self.seen.iter().filter_map(|(id, s)| Some((id, s, next_out(s)?)));
+            let late = self
+                .seen
+                .iter()
+                .filter_map(|(id, s)| Some((id, s, next_out(s)?)));
             let due = late.map(|(id, s, n)| (s.until[n].max(self.now), Some(*id), n as u32));
             let timers = self.timers.iter().map(|&(at, token)| (at, None, token));
             let next = due.chain(timers).min_by(|a, b| a.0.total_cmp(&b.0));
-            let Some((at, request, token)) = next.filter(|n| n.0 <= until) else { break };
+            let Some((at, request, token)) = next.filter(|n| n.0 <= until) else {
+                break;
+            };
             self.now = at;
             match request {
                 Some(id) => {
@@ -198,7 +244,11 @@
                     );
                 }
                 None => {
-                    let i = self.timers.iter().position(|t| *t == (at, token)).expect("the timer");
+                    let i = self
+                        .timers
+                        .iter()
+                        .position(|t| *t == (at, token))
+                        .expect("the timer");
                     self.timers.remove(i);
                     self.event(Event::Timer(token));
                 }
@@ -233,9 +283,18 @@
         let now = self.now;
         let may = |w: &Self, s: &Seen| s.ended.iter().position(|e| !w.proves(*e));
         match action {
-            Action::Send { request, upstream, timeout, write_by } => {
+            Action::Send {
+                request,
+                upstream,
+                timeout,
+                write_by,
+            } => {
                 let m = &self.listed[upstream];
-                assert_eq!(m.availability, Availability::Ready, "{request:?} sent to {m:?}");
+                assert_eq!(
+                    m.availability,
+                    Availability::Ready,
+                    "{request:?} sent to {m:?}"
+                );
                 let s = &self.seen[request];
                 let c = &self.settings.classes[s.class];
                 assert!(
@@ -256,7 +315,11 @@
                 assert!(!out, "{request:?}: two attempts out");
                 let first = may(self, s);
                 let bounded = first.is_some() && matches!(c.effect, Effect::Guarded { .. });
-                assert_eq!(write_by.is_finite(), bounded, "{request:?}: written by {write_by}");
+                assert_eq!(
+                    write_by.is_finite(),
+                    bounded,
+                    "{request:?}: written by {write_by}"
+                );
                 if let Some(first) = first {
                     match c.effect {
                         Effect::Free => {}
@@ -279,7 +342,11 @@
                 }
                 let s = self.seen.get_mut(request).expect("a known request");
                 assert!(*timeout >= 0.0, "{request:?} times out at once");
-                s.until.push(if *timeout > 0.0 { s.deadline.min(now + timeout) } else { s.deadline });
+                s.until.push(if *timeout > 0.0 {
+                    s.deadline.min(now + timeout)
+                } else {
+                    s.deadline
+                });
                 s.sends.push((*upstream, now));
                 s.ended.push(None);
             }
@@ -288,15 +355,24 @@
                 assert!(!s.answered, "{request:?} answered twice");
                 if matches!(action, Action::Refuse { .. }) {
                     let harmless = match self.settings.classes[s.class].effect {
-                        Effect::Free | Effect::Guarded { scope: DedupScope::All, .. } => true,
+                        Effect::Free
+                        | Effect::Guarded {
+                            scope: DedupScope::All,
+                            ..
+                        } => true,
                         _ => may(self, s).is_none(),
                     };
                     assert!(harmless, "{request:?} refused though it may have run");
                 }
-                self.seen.get_mut(request).expect("a known request").answered = true;
+                self.seen
+                    .get_mut(request)
+                    .expect("a known request")
+                    .answered = true;
             }
             Action::Cancel { request, attempt } => {
-                assert!(self.settings.cancel && (*attempt as usize) < self.seen[request].sends.len());
+                assert!(
+                    self.settings.cancel && (*attempt as usize) < self.seen[request].sends.len()
+                );
             }
             Action::SetTimer { after, token } => self.timers.push((now + after, *token)),
             Action::Subscribe => assert!(self.settings.ask_for_list, "the list is pushed"),
--- a/balancer/core/tests/common/slow_start.rs
+++ b/balancer/core/tests/common/slow_start.rs
@@ -81,7 +81,12 @@
     /// A ready upstream that started then.
     pub fn listed(&self, id: u64, since: f64) -> Member {
         let zone = (self.zone)(UpstreamId(id));
-        Member { kind: (id % 3) as u8, zone, since, ..super::member(id) }
+        Member {
+            kind: (id % 3) as u8,
+            zone,
+            since,
+            ..super::member(id)
+        }
     }
 }
 
@@ -205,14 +210,21 @@
         };
         for index in 0..fleet.day.balancers {
             let balancer = fleet.process(index, 0);
-            fleet.processes.push(Process { balancer, life: 0, open: BTreeMap::new() });
+            fleet.processes.push(Process {
+                balancer,
+                life: 0,
+                open: BTreeMap::new(),
+            });
             fleet.tell(index);
         }
         fleet.after(0.0, Due::Arrival);
         fleet.after(100.0, Due::Restarts);
         fleet.after(COLD_AT, Due::ColdStart);
         let times: Vec<f64> = fleet.day.news.iter().map(|news| news.0).collect();
-        times.into_iter().enumerate().for_each(|(n, at)| fleet.after(at, Due::News(n)));
+        times
+            .into_iter()
+            .enumerate()
+            .for_each(|(n, at)| fleet.after(at, Due::News(n)));
         fleet
     }
 
@@ -244,7 +256,8 @@
 
     fn after(&mut self, span: f64, due: Due) {
         self.number += 1;
-        self.due.push(Reverse(At(self.now + span, self.number, due)));
+        self.due
+            .push(Reverse(At(self.now + span, self.number, due)));
     }
 
     fn unit(&mut self) -> f64 {
@@ -252,7 +265,9 @@
     }
 
     fn run(&mut self) {
-        while let Some(Reverse(At(at, _, due))) = self.due.pop().filter(|due| due.0 .0 <= self.day.span) {
+        while let Some(Reverse(At(at, _, due))) =
+            self.due.pop().filter(|due| due.0 .0 <= self.day.span)
+        {
             self.now = at;
             match due {
                 Due::Arrival => self.arrival(),
@@ -260,7 +275,15 @@
                     self.event(index, Event::Timer(token));
                 }
                 Due::Timer(..) => {}
-                Due::Ended { balancer, life, request, attempt, to, sent, ending } => {
+                Due::Ended {
+                    balancer,
+                    life,
+                    request,
+                    attempt,
+                    to,
+                    sent,
+                    ending,
+                } => {
                     let open = self.processes[balancer].open.get(&request);
                     let out = open.is_some_and(|&(sends, _)| sends == attempt + 1);
                     if self.processes[balancer].life == life && out {
@@ -272,14 +295,20 @@
                         if (self.day.restarts)(index, self.now) {
                             let life = self.processes[index].life + 1;
                             let balancer = self.process(index, life);
-                            self.processes[index] = Process { balancer, life, open: BTreeMap::new() };
+                            self.processes[index] = Process {
+                                balancer,
+                                life,
+                                open: BTreeMap::new(),
+                            };
                             self.tell(index);
                         }
                     }
                     self.after(100.0, Due::Restarts);
                 }
                 Due::ColdStart => {
-                    let cold = (1..=self.day.cold).map(|id| self.day.listed(id, self.now)).collect();
+                    let cold = (1..=self.day.cold)
+                        .map(|id| self.day.listed(id, self.now))
+                        .collect();
                     self.list(cold);
                 }
                 Due::News(n) => {
@@ -292,7 +321,11 @@
 
     fn list(&mut self, news: Vec<Member>) {
         for m in &news {
-            if self.listed.get(&m.id).is_none_or(|known| known.since != m.since) {
+            if self
+                .listed
+                .get(&m.id)
+                .is_none_or(|known| known.since != m.since)
+            {
                 self.sends.insert((m.id, m.since as u64), Vec::new());
             }
             self.listed.insert(m.id, m.clone());
@@ -321,10 +354,26 @@
         let deadline = self.now + 2000.0;
         self.processes[index].open.insert(id, (0, deadline));
         self.asked += usize::from(self.now >= COLD_AT);
-        self.event(index, Event::Request(Request { id, class: 0, tenant: 0, deadline, tie: self.number }));
+        self.event(
+            index,
+            Event::Request(Request {
+                id,
+                class: 0,
+                tenant: 0,
+                deadline,
+                tie: self.number,
+            }),
+        );
     }
 
-    fn ended(&mut self, index: usize, of: (RequestId, u32), to: UpstreamId, ending: Ending, sent: f64) {
+    fn ended(
+        &mut self,
+        index: usize,
+        of: (RequestId, u32),
+        to: UpstreamId,
+        ending: Ending,
+        sent: f64,
+    ) {
         let ((request, attempt), closed) = (of, ending == Ending::Ok);
         if closed {
             self.processes[index].open.remove(&request);
@@ -339,27 +388,52 @@
                     recent.pop_front();
                 }
                 let per_s = recent.len() as f64;
-                self.event(index, Event::Served { upstream: to, per_s });
+                self.event(
+                    index,
+                    Event::Served {
+                        upstream: to,
+                        per_s,
+                    },
+                );
             }
         }
         let duration = self.now - sent;
-        self.event(index, Event::Outcome { request, attempt, ending, duration, closed });
+        self.event(
+            index,
+            Event::Outcome {
+                request,
+                attempt,
+                ending,
+                duration,
+                closed,
+            },
+        );
     }
 
     fn event(&mut self, index: usize, event: Event) {
         let mut actions = Vec::new();
-        self.processes[index].balancer.handle(self.now, event, &mut actions);
+        self.processes[index]
+            .balancer
+            .handle(self.now, event, &mut actions);
         let life = self.processes[index].life;
         for action in actions {
             match action {
-                Action::Send { request, upstream, timeout, .. } => {
-                    self.send(index, request, upstream, timeout)
+                Action::Send {
+                    request,
+                    upstream,
+                    timeout,
+                    ..
+                } => self.send(index, request, upstream, timeout),
+                Action::SetTimer { after, token } => {
+                    self.after(after, Due::Timer(index, life, token))
                 }
-                Action::SetTimer { after, token } => self.after(after, Due::Timer(index, life, token)),
                 Action::Refuse { request, .. } | Action::Fail { request } => {
                     self.processes[index].open.remove(&request);
                 }
-                Action::Cancel { .. } | Action::Log(_) | Action::CloseIdle(_) | Action::Subscribe => {}
+                Action::Cancel { .. }
+                | Action::Log(_)
+                | Action::CloseIdle(_)
+                | Action::Subscribe => {}
             }
         }
     }
@@ -371,24 +445,47 @@
             sends.push(now);
         }
         let life = self.processes[balancer].life;
-        let (sends, deadline) = self.processes[balancer].open.get_mut(&request).expect("an open request");
+        let (sends, deadline) = self.processes[balancer]
+            .open
+            .get_mut(&request)
+            .expect("an open request");
         let (attempt, left) = (*sends, *deadline - now);
         *sends += 1;
-        let patience = if timeout > 0.0 { timeout.min(left) } else { left };
+        let patience = if timeout > 0.0 {
+            timeout.min(left)
+        } else {
+            left
+        };
         let (ending, takes) = match (self.day.ending)(to, now) {
             Ending::Ok => self.work(to),
             Ending::Timeout => (Ending::Timeout, f64::INFINITY),
             bad => (bad, FAILURE),
         };
-        let ending = if takes > patience { Ending::Timeout } else { ending };
-        let due = Due::Ended { balancer, life, request, attempt, to, sent: now, ending };
+        let ending = if takes > patience {
+            Ending::Timeout
+        } else {
+            ending
+        };
+        let due = Due::Ended {
+            balancer,
+            life,
+            request,
+            attempt,
+            to,
+            sent: now,
+            ending,
+        };
         self.after(takes.min(patience), due);
     }
 
     /// An upstream takes a call, as far as it can: how that ends, and after how long.
     fn work(&mut self, to: UpstreamId) -> (Ending, f64) {
         let (now, since) = (self.now, self.listed[&to].since);
-        let warm = if since > 0.0 { warmth(now - since) } else { 1.0 };
+        let warm = if since > 0.0 {
+            warmth(now - since)
+        } else {
+            1.0
+        };
         let per_s = self.day.carries * (self.day.size)(to) * warm;
         let busy_until = self.busy_until.entry(to).or_default();
         let wait = (*busy_until - now).max(0.0);
@@ -396,7 +493,10 @@
             return (Ending::Full, FAILURE);
         }
         *busy_until = now + wait + 1000.0 / per_s;
-        (Ending::Ok, wait + ANSWER * (0.5 + self.unit()) / (self.day.size)(to))
+        (
+            Ending::Ok,
+            wait + ANSWER * (0.5 + self.unit()) / (self.day.size)(to),
+        )
     }
 
     fn judge(&self) -> Outcome {
@@ -425,10 +525,14 @@
                 }
                 sent += 1;
             }
-            let next = self.sends.keys().find(|start| start.0 == *id && start.1 as f64 > since);
+            let next = self
+                .sends
+                .keys()
+                .find(|start| start.0 == *id && start.1 as f64 > since);
             let until = next.map_or(self.day.span, |start| start.1 as f64);
             let cold_for = (until - since).min(RAMP);
-            allowed += MULTIPLE * carries * cold_for / 1000.0 * (COLD_FROM + warmth(cold_for)) / 2.0;
+            allowed +=
+                MULTIPLE * carries * cold_for / 1000.0 * (COLD_FROM + warmth(cold_for)) / 2.0;
         }
         outcome.used = f64::from(sent) / allowed;
         outcome
--- a/balancer/core/tests/common/tier/measures.rs
+++ b/balancer/core/tests/common/tier/measures.rs
@@ -15,13 +15,20 @@
 
     /// The part of what a tenant asked for in this time that was met.
     pub fn met(&self, from: f64, to: f64, tenant: usize) -> f64 {
-        let asked = self.asked.iter().filter(|a| a.0 >= from && a.0 < to && a.1 == tenant).count();
+        let asked = self
+            .asked
+            .iter()
+            .filter(|a| a.0 >= from && a.0 < to && a.1 == tenant)
+            .count();
         self.goodput(from, to, |w| w.tenant == tenant) * (to - from) / 1000.0 / asked as f64
     }
 
     /// Attempts a second in this time that went to such servers.
     pub fn sent(&self, from: f64, to: f64, to_such: impl Fn(UpstreamId) -> bool) -> f64 {
-        let such = self.sends.iter().filter(|s| s.0 >= from && s.0 < to && to_such(s.2));
+        let such = self
+            .sends
+            .iter()
+            .filter(|s| s.0 >= from && s.0 < to && to_such(s.2));
         such.count() as f64 * 1000.0 / (to - from)
     }
 }
--- a/balancer/core/tests/common/tier/mod.rs
+++ b/balancer/core/tests/common/tier/mod.rs
@@ -57,8 +57,13 @@
 }
 
 pub fn settings(copies: usize) -> Settings {
-    let sort =
-        |worth| Class { objective: 500.0, deadline: 2000.0, worth, late_worth: 0.3, ..class(Effect::Free) };
+    let sort = |worth| Class {
+        objective: 500.0,
+        deadline: 2000.0,
+        worth,
+        late_worth: 0.3,
+        ..class(Effect::Free)
+    };
     Settings {
         balancers: copies as u32,
         classes: vec![sort(1.0), sort(8.0)],
@@ -76,8 +81,12 @@
 
 impl Tier {
     pub fn new(copies: usize, servers: usize, settings: Settings, seed: u64) -> Self {
-        let list: Vec<Member> =
-            (0..servers as u64).map(|id| Member { zone: zone_of(UpstreamId(id)), ..member(id) }).collect();
+        let list: Vec<Member> = (0..servers as u64)
+            .map(|id| Member {
+                zone: zone_of(UpstreamId(id)),
+                ..member(id)
+            })
+            .collect();
         let mut tier = Tier {
             now: 0.0,
             copies: Vec::new(),
@@ -98,9 +107,18 @@
             rng: Pcg64Mcg::seed_from_u64(seed),
         };
         for index in 0..copies {
-            let own = Settings { index: index as u32, zone: (index % 3) as u16, ..tier.settings.clone() };
+            let own = Settings {
+                index: index as u32,
+                zone: (index % 3) as u16,
+                ..tier.settings.clone()
+            };
             let balancer = Balancer::new(own, seed * 1000 + index as u64, 0.0).expect("settings");
-            tier.copies.push(Copy { balancer, up: true, joined: true, open: BTreeMap::new() });
+            tier.copies.push(Copy {
+                balancer,
+                up: true,
+                joined: true,
+                open: BTreeMap::new(),
+            });
             tier.event(index, Event::Membership(Membership::Cached(list.clone())));
         }
         (0..tier.rates.len()).for_each(|tenant| tier.after(0.0, Due::Arrival(tenant)));
@@ -119,13 +137,20 @@
 
     fn after(&mut self, span: f64, due: Due) {
         self.number += 1;
-        self.due.push(Reverse(At(self.now + span, self.number, due)));
+        self.due
+            .push(Reverse(At(self.now + span, self.number, due)));
     }
 
     pub fn run(&mut self, span: f64) {
         let until = self.now + span;
-        while self.due.peek().is_some_and(|Reverse(At(at, ..))| *at <= until) {
-            let Some(Reverse(At(at, _, due))) = self.due.pop() else { break };
+        while self
+            .due
+            .peek()
+            .is_some_and(|Reverse(At(at, ..))| *at <= until)
+        {
+            let Some(Reverse(At(at, _, due))) = self.due.pop() else {
+                break;
+            };
             self.now = at;
             match due {
                 Due::Arrival(tenant) => {
@@ -136,7 +161,13 @@
                         let class = usize::from(self.unit() >= first);
                         let tie = self.rng.next_u64();
                         self.asked.push((self.now, tenant));
-                        self.ask(Want { class, tenant, tie, began: self.now, tries: 0 });
+                        self.ask(Want {
+                            class,
+                            tenant,
+                            tie,
+                            began: self.now,
+                            tries: 0,
+                        });
                     }
                 }
                 Due::Try(want) => self.ask(want),
@@ -179,18 +210,28 @@
         if !self.copies[copy].up {
             return;
         }
-        self.copies[copy].balancer.handle(self.now, event, &mut actions);
+        self.copies[copy]
+            .balancer
+            .handle(self.now, event, &mut actions);
         for action in actions {
             self.log.push((copy, action.clone()));
             match action {
-                Action::Send { request, upstream, timeout, .. } => {
-                    self.send(copy, request, upstream, timeout)
-                }
+                Action::Send {
+                    request,
+                    upstream,
+                    timeout,
+                    ..
+                } => self.send(copy, request, upstream, timeout),
                 Action::SetTimer { after, token } => self.after(after, Due::Timer(copy, token)),
-                Action::Refuse { request, retry_after, .. } => self.refused(copy, request, retry_after),
+                Action::Refuse {
+                    request,
+                    retry_after,
+                    ..
+                } => self.refused(copy, request, retry_after),
                 Action::Fail { request } => self.refused(copy, request, 0.0),
                 Action::Cancel { request, attempt } => {
-                    let of = |o: &Out| o.copy == copy && (o.request, o.attempt) == (request, attempt);
+                    let of =
+                        |o: &Out| o.copy == copy && (o.request, o.attempt) == (request, attempt);
                     if let Some(out) = self.outs.iter().find(|(_, o)| of(o)).map(|(&out, _)| out) {
                         self.ended(out, Ending::Cancelled);
                     }
--- a/balancer/core/tests/common/tier/servers.rs
+++ b/balancer/core/tests/common/tier/servers.rs
@@ -23,7 +23,9 @@
     pub(super) fn work(&mut self, server: usize) {
         let slow = (self.slow)(server, self.now);
         while slow.is_finite() && self.servers[server].busy < SLOTS {
-            let Some(out) = self.servers[server].queue.pop_front() else { break };
+            let Some(out) = self.servers[server].queue.pop_front() else {
+                break;
+            };
             self.servers[server].busy += 1;
             let takes = TAKES * slow * (0.5 + self.unit());
             self.after(takes, Due::Done(server, out));
@@ -32,17 +34,50 @@
 
     /// A server works on a call to its end, wanted or not.
     pub(super) fn ended(&mut self, out: u64, ending: Ending) {
-        let Some(Out { copy, request, attempt, sent, .. }) = self.outs.remove(&out) else { return };
+        let Some(Out {
+            copy,
+            request,
+            attempt,
+            sent,
+            ..
+        }) = self.outs.remove(&out)
+        else {
+            return;
+        };
         let closed = ending == Ending::Ok;
-        let (want, duration) = (self.copies[copy].open.get(&request).cloned(), self.now - sent);
-        self.event(copy, Event::Outcome { request, attempt, ending, duration, closed });
+        let (want, duration) = (
+            self.copies[copy].open.get(&request).cloned(),
+            self.now - sent,
+        );
+        self.event(
+            copy,
+            Event::Outcome {
+                request,
+                attempt,
+                ending,
+                duration,
+                closed,
+            },
+        );
         if let Some((want, _)) = want.filter(|_| closed) {
             self.copies[copy].open.remove(&request);
-            self.answers.push(Answer { at: self.now, copy, want, served: true, retry_after: 0.0 });
+            self.answers.push(Answer {
+                at: self.now,
+                copy,
+                want,
+                served: true,
+                retry_after: 0.0,
+            });
         }
     }
 
-    pub(super) fn send(&mut self, copy: usize, request: RequestId, upstream: UpstreamId, timeout: f64) {
+    pub(super) fn send(
+        &mut self,
+        copy: usize,
+        request: RequestId,
+        upstream: UpstreamId,
+        timeout: f64,
+    ) {
         let server = upstream.0 as usize;
         let c = &mut self.copies[copy];
         let (want, sends) = c.open.get_mut(&request).expect("an open request");
@@ -51,8 +86,21 @@
         self.sends.push((self.now, copy, upstream, attempt));
         self.number += 1;
         let out = self.number;
-        self.outs.insert(out, Out { copy, request, attempt, server, sent: self.now });
-        let timeout = if timeout > 0.0 { timeout.min(left) } else { left };
+        self.outs.insert(
+            out,
+            Out {
+                copy,
+                request,
+                attempt,
+                server,
+                sent: self.now,
+            },
+        );
+        let timeout = if timeout > 0.0 {
+            timeout.min(left)
+        } else {
+            left
+        };
         self.after(timeout.max(0.0), Due::Timeout(out));
         if (self.slow)(server, self.now).is_finite() && self.servers[server].queue.len() >= QUEUE {
             return self.ended(out, Ending::Full);
--- a/balancer/core/tests/failures/attempts.rs
+++ b/balancer/core/tests/failures/attempts.rs
@@ -7,11 +7,24 @@
 #[test]
 fn a_request_ends_at_its_aim_where_late_answers_earn_nothing() {
     for (late_worth, most) in [(0.0, 500.0), (0.4, 2000.0)] {
-        let class = Class { late_worth, ..class(Effect::SingleShot) };
-        let mut w = World::new(Settings { classes: vec![class], ..Settings::default() }, 4, vec![member(1)]);
+        let class = Class {
+            late_worth,
+            ..class(Effect::SingleShot)
+        };
+        let mut w = World::new(
+            Settings {
+                classes: vec![class],
+                ..Settings::default()
+            },
+            4,
+            vec![member(1)],
+        );
         w.request(1, 0, 0);
         w.pass(most - 100.0);
-        assert!(!w.seen[&RequestId(1)].answered, "not given up before {most}");
+        assert!(
+            !w.seen[&RequestId(1)].answered,
+            "not given up before {most}"
+        );
         w.pass(100.0);
         assert!(w.seen[&RequestId(1)].answered, "over by {most}");
     }
@@ -25,21 +38,46 @@
     w.traffic(20_000.0, 30.0, &[0], &server);
     let mut again = w.seen.values().filter(|s| s.sends.len() > 1);
     // Left to the end of the aim, 490 ms, the repeat would come too late.
-    assert!(again.any(|s| s.sends[1].1 - s.sends[0].1 < 450.0), "what was lost is repeated in time");
+    assert!(
+        again.any(|s| s.sends[1].1 - s.sends[0].1 < 450.0),
+        "what was lost is repeated in time"
+    );
 }
 
 /// A subset drawn without regard to groups held no other upstream that knows the key.
 #[test]
 fn a_guarded_repeat_finds_another_upstream_of_its_group() {
-    let guarded = Effect::Guarded { scope: DedupScope::Cell, window: 5000.0 };
-    let class = Class { late_worth: 0.5, ..class(guarded) };
-    let settings = Settings { classes: vec![class], balancers: 10, index: 3, ..shared(&[1.0]) };
-    let cells = |id| Member { group: (id % 10) as u16, ..member(id) };
+    let guarded = Effect::Guarded {
+        scope: DedupScope::Cell,
+        window: 5000.0,
+    };
+    let class = Class {
+        late_worth: 0.5,
+        ..class(guarded)
+    };
+    let settings = Settings {
+        classes: vec![class],
+        balancers: 10,
+        index: 3,
+        ..shared(&[1.0])
+    };
+    let cells = |id| Member {
+        group: (id % 10) as u16,
+        ..member(id)
+    };
     let mut w = World::new(settings, 4, (1..=60).map(cells).collect());
     let mut elsewhere = 0;
     for id in 0..40 {
         w.request(id, 0, 0);
-        w.outcome(id, 0, if id % 2 == 0 { Ending::Reset } else { Ending::Ok });
+        w.outcome(
+            id,
+            0,
+            if id % 2 == 0 {
+                Ending::Reset
+            } else {
+                Ending::Ok
+            },
+        );
         let sends = w.seen[&RequestId(id)].sends.clone();
         if let [first, again] = sends[..] {
             elsewhere += u32::from(first.0 != again.0);
@@ -47,7 +85,10 @@
         }
         w.pass(500.0);
     }
-    assert!(elsewhere >= 17, "{elsewhere} of 20 repeats found another of their group");
+    assert!(
+        elsewhere >= 17,
+        "{elsewhere} of 20 repeats found another of their group"
+    );
 }
 
 #[test]
@@ -57,6 +98,9 @@
     let (requests, to) = w.sent_since(0.0);
     let attempts: usize = to.values().sum();
     // A fifth of all requests, refused ones too, and the ten saved at the start.
-    assert!(attempts <= requests + 800 / 5 + 10, "{attempts} attempts for {requests} requests");
+    assert!(
+        attempts <= requests + 800 / 5 + 10,
+        "{attempts} attempts for {requests} requests"
+    );
     assert!(attempts > requests, "some are tried again");
 }
--- a/balancer/core/tests/failures/capacity.rs
+++ b/balancer/core/tests/failures/capacity.rs
@@ -20,17 +20,34 @@
 /// held them there, with answers that took four times as long and yet were in time.
 #[test]
 fn the_floor_gives_way_while_servers_are_crowded() {
-    let class = Class { objective: 1000.0, ..class(Effect::Free) };
-    let mut w = world(Settings { classes: vec![class], ..shared(&[1.0]) }, 4);
+    let class = Class {
+        objective: 1000.0,
+        ..class(Effect::Free)
+    };
+    let mut w = world(
+        Settings {
+            classes: vec![class],
+            ..shared(&[1.0])
+        },
+        4,
+    );
     let out = |w: &World| w.seen.values().filter(|s| s.ended.contains(&None)).count();
     w.traffic(6000.0, 60.0, &[0], &|_| Some((Ending::Ok, 120.0)));
     w.traffic(8000.0, 60.0, &[0], &|_| Some((Ending::Ok, 700.0)));
-    assert!(out(&w) < 14, "{} calls are still out at crowded servers", out(&w));
+    assert!(
+        out(&w) < 14,
+        "{} calls are still out at crowded servers",
+        out(&w)
+    );
     // It comes back once they answer as before.
     w.traffic(9000.0, 60.0, &[0], &|_| Some((Ending::Ok, 120.0)));
     let from = w.now;
     w.traffic(2000.0, 60.0, &[0], &|_| Some((Ending::Ok, 120.0)));
-    assert!(w.sent_since(from).0 > 110, "{} of 120 pass again", w.sent_since(from).0);
+    assert!(
+        w.sent_since(from).0 > 110,
+        "{} of 120 pass again",
+        w.sent_since(from).0
+    );
 }
 
 /// Calls sent before the last cut were left out: with answers slower than a cycle only the fast ones were heard.
@@ -38,11 +55,26 @@
 fn capacity_hears_the_slow_answers_too() {
     let mut w = world(shared(&[1.0]), 8);
     let server = |id: UpstreamId| Some((Ending::Ok, if id.0 < 4 { 60.0 } else { 1400.0 }));
-    let class = Class { objective: 1000.0, deadline: 3000.0, late_worth: 0.5, ..class(Effect::Free) };
-    w = World::new(Settings { classes: vec![class], ..w.settings }, 4, (1..=8).map(member).collect());
+    let class = Class {
+        objective: 1000.0,
+        deadline: 3000.0,
+        late_worth: 0.5,
+        ..class(Effect::Free)
+    };
+    w = World::new(
+        Settings {
+            classes: vec![class],
+            ..w.settings
+        },
+        4,
+        (1..=8).map(member).collect(),
+    );
     w.traffic(10_000.0, 120.0, &[0], &server);
     let (sent, _) = w.sent_since(5000.0);
-    assert!(sent < 450, "{sent} of 600 admitted, though many answers are late; the quotas are 300");
+    assert!(
+        sent < 450,
+        "{sent} of 600 admitted, though many answers are late; the quotas are 300"
+    );
 }
 
 /// Half of a tier went away, and the stated quotas went on as the floor of what was sent to the rest.
@@ -55,14 +87,23 @@
         w.sent_since(5000.0).0
     };
     let (all, half) = (admitted(8), admitted(4));
-    assert!(half * 3 < all * 2, "{half} sent to half of the upstreams, {all} to all");
+    assert!(
+        half * 3 < all * 2,
+        "{half} sent to half of the upstreams, {all} to all"
+    );
 }
 
 /// Tiers below refused for want of capacity at the start, though none of their answers was late.
 #[test]
 fn a_tier_below_starts_with_room() {
     for (stage, least) in [(0, 0), (1, 60)] {
-        let mut w = world(Settings { stage, ..shared(&[1.0]) }, 4);
+        let mut w = world(
+            Settings {
+                stage,
+                ..shared(&[1.0])
+            },
+            4,
+        );
         for id in 0..60 {
             w.request(id, 0, 0);
             w.outcome(id, 0, Ending::Ok);
@@ -86,15 +127,34 @@
     // Answers a little late hold the capacity at its floor: the quotas, 60 a second.
     let mut w = world(shared(&[1.0]), 4);
     assert!(rate(&mut w, &unhurried) > 170, "all pass");
-    let lost = |id| if id > UpstreamId(2) { Some((Ending::ConnectFailed, 100.0)) } else { unhurried(id) };
+    let lost = |id| {
+        if id > UpstreamId(2) {
+            Some((Ending::ConnectFailed, 100.0))
+        } else {
+            unhurried(id)
+        }
+    };
     let sent = rate(&mut w, &lost);
-    assert!((60..140).contains(&sent), "{sent} of 180 pass with half of the upstreams lost");
+    assert!(
+        (60..140).contains(&sent),
+        "{sent} of 180 pass with half of the upstreams lost"
+    );
     let mut w = world(shared(&[1.0]), 4);
     rate(&mut w, &unhurried);
     let since = w.now;
-    w.list(Membership::Delta((3..=4).map(|id| Member { since, ..member(id) }).collect()));
+    w.list(Membership::Delta(
+        (3..=4)
+            .map(|id| Member {
+                since,
+                ..member(id)
+            })
+            .collect(),
+    ));
     let sent = rate(&mut w, &unhurried);
-    assert!((60..140).contains(&sent), "{sent} of 180 pass with half of the upstreams cold");
+    assert!(
+        (60..140).contains(&sent),
+        "{sent} of 180 pass with half of the upstreams cold"
+    );
 }
 
 /// Met on days that replace servers: five of sixteen drained at once, and what had been learned with sixteen crowded
@@ -112,10 +172,16 @@
     let all = hold(&mut w);
     let mut w = world(shared(&[1.0]), 8);
     w.traffic(6000.0, 100.0, &[0], &fast);
-    let draining = |id| Member { availability: Availability::Draining, ..member(id) };
+    let draining = |id| Member {
+        availability: Availability::Draining,
+        ..member(id)
+    };
     w.list(Membership::Delta((1..=4).map(draining).collect()));
     let half = hold(&mut w);
-    assert!(all > 20 && half * 10 < all * 7, "{half} calls pass with half of the upstreams, {all} with all");
+    assert!(
+        all > 20 && half * 10 < all * 7,
+        "{half} calls pass with half of the upstreams, {all} with all"
+    );
 }
 
 /// Met on the earlier days: with four servers, one ejected for errors took a quarter off the floor each time, though the
@@ -123,7 +189,13 @@
 #[test]
 fn an_upstream_ejected_for_errors_still_counts_in_the_floor() {
     let mut w = world(shared(&[1.0]), 4);
-    let server = |id| Some(if id == UpstreamId(4) { (Ending::Error, 50.0) } else { (Ending::Ok, 260.0) });
+    let server = |id| {
+        Some(if id == UpstreamId(4) {
+            (Ending::Error, 50.0)
+        } else {
+            (Ending::Ok, 260.0)
+        })
+    };
     w.traffic(8000.0, 60.0, &[0], &server);
     let from = w.now;
     w.traffic(4000.0, 60.0, &[0], &server);
--- a/balancer/core/tests/failures/choice.rs
+++ b/balancer/core/tests/failures/choice.rs
@@ -8,10 +8,15 @@
 #[test]
 fn of_two_that_hold_as_many_calls_the_one_that_answers_sooner_is_taken() {
     let mut w = world(shared(&[1.0]), 6);
-    let server = |id: UpstreamId| Some((Ending::Ok, if id.0.is_multiple_of(2) { 60.0 } else { 15.0 }));
+    let server =
+        |id: UpstreamId| Some((Ending::Ok, if id.0.is_multiple_of(2) { 60.0 } else { 15.0 }));
     w.traffic(20_000.0, 20.0, &[0], &server);
     let (sent, to) = w.sent_since(5000.0);
-    let slow: usize = to.iter().filter(|(id, _)| id.0 % 2 == 0).map(|(_, n)| n).sum();
+    let slow: usize = to
+        .iter()
+        .filter(|(id, _)| id.0 % 2 == 0)
+        .map(|(_, n)| n)
+        .sum();
     assert!(slow * 3 < sent, "{slow} of {sent} went to the slow ones");
     assert!(slow > 0, "what was learned fades, and they are tried again");
 }
@@ -31,26 +36,46 @@
 fn the_subset_follows_the_traffic_and_is_balanced_between_copies() {
     let mut load = BTreeMap::new();
     for index in 0..20 {
-        let settings = Settings { index, balancers: 20, ..shared(&[1.0]) };
+        let settings = Settings {
+            index,
+            balancers: 20,
+            ..shared(&[1.0])
+        };
         let mut w = World::new(settings, u64::from(index), (1..=40).map(member).collect());
         w.traffic(12_000.0, 8.0, &[0], &fast);
         let (_, to) = w.sent_since(6000.0);
-        assert!((5..=14).contains(&to.len()), "copy {index} used {} upstreams", to.len());
+        assert!(
+            (5..=14).contains(&to.len()),
+            "copy {index} used {} upstreams",
+            to.len()
+        );
         to.keys().for_each(|id| *load.entry(*id).or_insert(0) += 1);
     }
     let most = load.values().max().copied().unwrap_or(0);
-    assert!(load.len() == 40 && most <= 7, "{most} copies on one upstream, {} used", load.len());
+    assert!(
+        load.len() == 40 && most <= 7,
+        "{most} copies on one upstream, {} used",
+        load.len()
+    );
 }
 
 /// Upstreams cap their connections and serve worse with many: a tier ran out of them, and never recovered, when
 /// each of a hundred copies with a few calls in flight kept one open to most upstreams.
 #[test]
 fn a_copy_that_carries_little_keeps_few_connections_from_the_start() {
-    let settings = Settings { balancers: 20, idle_close: 30_000.0, ..shared(&[1.0]) };
+    let settings = Settings {
+        balancers: 20,
+        idle_close: 30_000.0,
+        ..shared(&[1.0])
+    };
     let mut w = World::new(settings, 4, (1..=100).map(member).collect());
     w.traffic(20_000.0, 3.0, &[0], &|_| Some((Ending::Ok, 200.0)));
     let (sent, to) = w.sent_since(0.0);
-    assert!(sent > 40 && to.len() <= 10, "{sent} calls used {} upstreams", to.len());
+    assert!(
+        sent > 40 && to.len() <= 10,
+        "{sent} calls used {} upstreams",
+        to.len()
+    );
 }
 
 /// Met on days of a large fleet: each of many copies had one call at most at a slow upstream, which seemed as little
@@ -59,28 +84,44 @@
 fn many_copies_with_a_call_each_do_not_crowd_a_slow_upstream() {
     const COPIES: u32 = 40;
     let slow = UpstreamId(1);
-    let settings = |index| Settings { index, balancers: COPIES, ..shared(&[1.0]) };
+    let settings = |index| Settings {
+        index,
+        balancers: COPIES,
+        ..shared(&[1.0])
+    };
     let mut worlds: Vec<World> = (0..COPIES).map(|i| world(settings(i), 8)).collect();
     let mut held = BTreeMap::new();
     let (mut due, mut most): (Vec<(f64, usize, u32, UpstreamId)>, _) = (Vec::new(), 0.0);
     for step in 0..1500 {
         for (i, w) in worlds.iter_mut().enumerate() {
             w.pass(10.0);
-            while let Some(k) = due.iter().position(|&(at, copy, ..)| copy == i && at <= w.now) {
+            while let Some(k) = due
+                .iter()
+                .position(|&(at, copy, ..)| copy == i && at <= w.now)
+            {
                 // What the upstream holds for all comes with its answer.
                 let (_, _, id, upstream) = due.swap_remove(k);
                 *held.entry(upstream).or_insert(0.0) -= 1.0;
-                w.event(Event::Load { upstream, held: held[&upstream] });
+                w.event(Event::Load {
+                    upstream,
+                    held: held[&upstream],
+                });
                 w.outcome(id, 0, Ending::Ok);
             }
             // Five calls a second and copy. Seven upstreams take 100 ms; the slow one works on one at a time.
             if (step + i).is_multiple_of(20) {
                 w.request(step as u32, 0, 0);
-                let Some(&(upstream, at)) = w.seen[&RequestId(step as u32)].sends.first() else { continue };
+                let Some(&(upstream, at)) = w.seen[&RequestId(step as u32)].sends.first() else {
+                    continue;
+                };
                 let held = held.entry(upstream).or_insert(0.0);
                 *held += 1.0;
                 due.push((
-                    at + if upstream == slow { 100.0 * *held } else { 100.0 },
+                    at + if upstream == slow {
+                        100.0 * *held
+                    } else {
+                        100.0
+                    },
                     i,
                     step as u32,
                     upstream,
@@ -91,17 +132,31 @@
             most = held.get(&slow).copied().unwrap_or(0.0).max(most);
         }
     }
-    assert!(most < 10.0, "{COPIES} copies have up to {most} calls at the slow upstream");
+    assert!(
+        most < 10.0,
+        "{COPIES} copies have up to {most} calls at the slow upstream"
+    );
 }
 
 #[test]
 fn crowded_upstreams_are_used_where_there_are_no_others_and_odd_reports_do_no_harm() {
     let mut w = world(shared(&[1.0]), 3);
     for odd in [f64::NAN, f64::INFINITY, -1e300] {
-        w.event(Event::Load { upstream: UpstreamId(1), held: odd });
+        w.event(Event::Load {
+            upstream: UpstreamId(1),
+            held: odd,
+        });
     }
-    w.event(Event::Load { upstream: UpstreamId(77), held: 5.0 });
-    (1..=3).for_each(|id| _ = w.event(Event::Load { upstream: UpstreamId(id), held: 1e9 }));
+    w.event(Event::Load {
+        upstream: UpstreamId(77),
+        held: 5.0,
+    });
+    (1..=3).for_each(|id| {
+        _ = w.event(Event::Load {
+            upstream: UpstreamId(id),
+            held: 1e9,
+        })
+    });
     w.traffic(1000.0, 20.0, &[0], &fast);
     assert_eq!(w.sent_since(0.0).0, 20, "all pass");
 }
@@ -112,12 +167,27 @@
 fn copies_keep_off_a_slow_kind_that_they_have_only_heard_of_elsewhere() {
     const COPIES: u32 = 200;
     let slow = |id: UpstreamId| id.0 % 2 == 1;
-    let tenants = vec![Tenant { share: 1.0, quota_per_s: 100.0 * f64::from(COPIES) }];
+    let tenants = vec![Tenant {
+        share: 1.0,
+        quota_per_s: 100.0 * f64::from(COPIES),
+    }];
     let answer = |id| Some((Ending::Ok, if slow(id) { 300.0 } else { 100.0 }));
-    let members = || (1..=40).map(|id| Member { kind: (id % 2) as u8, ..member(id) }).collect();
+    let members = || {
+        (1..=40)
+            .map(|id| Member {
+                kind: (id % 2) as u8,
+                ..member(id)
+            })
+            .collect()
+    };
     let (mut all, mut to_slow) = (0, 0);
     for index in 0..COPIES {
-        let settings = Settings { index, balancers: COPIES, tenants: tenants.clone(), ..shared(&[1.0]) };
+        let settings = Settings {
+            index,
+            balancers: COPIES,
+            tenants: tenants.clone(),
+            ..shared(&[1.0])
+        };
         let mut w = World::new(settings, u64::from(index), members());
         // Ten of 40 upstreams at most have answered this copy.
         w.traffic(100.0, 100.0, &[0], &answer);
@@ -126,8 +196,15 @@
         w.traffic(50.0, 100.0, &[0], &|_| None);
         let (requests, to) = w.sent_since(from);
         all += requests;
-        to_slow += to.iter().filter(|(&id, _)| slow(id)).map(|(_, n)| n).sum::<usize>();
+        to_slow += to
+            .iter()
+            .filter(|(&id, _)| slow(id))
+            .map(|(_, n)| n)
+            .sum::<usize>();
     }
     assert!(all >= 4 * COPIES as usize, "only {all} sent");
-    assert!(to_slow * 5 < all * 2, "{to_slow} of {all} go to the slow half");
+    assert!(
+        to_slow * 5 < all * 2,
+        "{to_slow} of {all} go to the slow half"
+    );
 }
--- a/balancer/core/tests/failures/connections.rs
+++ b/balancer/core/tests/failures/connections.rs
@@ -12,7 +12,9 @@
         match action {
             Action::CloseIdle(upstream) => drop(open.remove(&upstream)),
             Action::Send { upstream, .. } => {
-                let rested = open.insert(upstream, w.now).map_or(0.0, |used| w.now - used);
+                let rested = open
+                    .insert(upstream, w.now)
+                    .map_or(0.0, |used| w.now - used);
                 lost = rested > 300.0 && rested < w.settings.idle_close;
                 if lost {
                     // Nothing comes back, and the connection with it.
@@ -37,14 +39,27 @@
         w.pass(200.0);
     }
     assert!(lost[0] > 5, "it has to be met first: {lost:?}");
-    assert!(lost[1] * 10 < 1000, "later, {} of 1000 calls take a connection that is gone", lost[1]);
+    assert!(
+        lost[1] * 10 < 1000,
+        "later, {} of 1000 calls take a connection that is gone",
+        lost[1]
+    );
 }
 
 /// Lost calls, waited for until their time-outs, filled what may be in flight, and the rest was refused.
 #[test]
 fn calls_lost_with_their_connection_do_not_fill_what_may_be_in_flight() {
-    let class = Class { objective: 200.0, deadline: 6000.0, late_worth: 0.5, ..class(Effect::SingleShot) };
-    let settings = Settings { classes: vec![class], tenants: tenants(&[1.0], 40.0), ..Settings::default() };
+    let class = Class {
+        objective: 200.0,
+        deadline: 6000.0,
+        late_worth: 0.5,
+        ..class(Effect::SingleShot)
+    };
+    let settings = Settings {
+        classes: vec![class],
+        tenants: tenants(&[1.0], 40.0),
+        ..Settings::default()
+    };
     let mut w = world(settings, 12);
     let mut open = BTreeMap::new();
     for id in 0..140 {
@@ -52,5 +67,8 @@
         w.pass(40.0);
     }
     let (sent, _) = w.sent_since(3000.0);
-    assert!(sent > 40, "{sent} of 65 calls pass before the first time-out tells");
+    assert!(
+        sent > 40,
+        "{sent} of 65 calls pass before the first time-out tells"
+    );
 }
--- a/balancer/core/tests/failures/ejection.rs
+++ b/balancer/core/tests/failures/ejection.rs
@@ -7,12 +7,24 @@
 #[test]
 fn a_fast_failing_upstream_does_not_win_every_comparison() {
     let mut w = world(shared(&[1.0]), 6);
-    let server = |id| Some(if id == UpstreamId(2) { (Ending::Error, 2.0) } else { (Ending::Ok, 120.0) });
+    let server = |id| {
+        Some(if id == UpstreamId(2) {
+            (Ending::Error, 2.0)
+        } else {
+            (Ending::Ok, 120.0)
+        })
+    };
     w.traffic(10_000.0, 60.0, &[0], &server);
     let (sent, to) = w.sent_since(3000.0);
     let failing = to.get(&UpstreamId(2)).copied().unwrap_or(0);
-    assert!(failing * 20 < sent, "{failing} of {sent} went to the failing one: {to:?}");
-    assert!(sent > 350, "its failures are its own and cost the others no capacity: {sent} of 420");
+    assert!(
+        failing * 20 < sent,
+        "{failing} of {sent} went to the failing one: {to:?}"
+    );
+    assert!(
+        sent > 350,
+        "its failures are its own and cost the others no capacity: {sent} of 420"
+    );
 }
 
 #[test]
@@ -37,26 +49,49 @@
         let mut failures = failures.borrow_mut();
         let n = failures.entry(id).or_insert(0);
         *n += 1;
-        Some(if id.0 != 4 && *n <= 3 { (Ending::Error, 50.0) } else { (Ending::Ok, 50.0) })
+        Some(if id.0 != 4 && *n <= 3 {
+            (Ending::Error, 50.0)
+        } else {
+            (Ending::Ok, 50.0)
+        })
     });
     let from = w.now;
     w.traffic(1000.0, 60.0, &[0], &fast);
     let (sent, to) = w.sent_since(from);
-    assert!(to.len() >= 3 && to.values().all(|&n| n * 2 < sent), "{sent} calls went to {to:?}");
+    assert!(
+        to.len() >= 3 && to.values().all(|&n| n * 2 < sent),
+        "{sent} calls went to {to:?}"
+    );
 }
 
 /// An upstream that took calls and answered none went on getting more until the first time-out told.
 #[test]
 fn an_upstream_that_owes_an_answer_for_long_is_passed_over_at_once() {
-    let class = Class { late_worth: 0.5, ..class(Effect::SingleShot) };
-    let mut w = world(Settings { classes: vec![class], ..shared(&[1.0]) }, 3);
+    let class = Class {
+        late_worth: 0.5,
+        ..class(Effect::SingleShot)
+    };
+    let mut w = world(
+        Settings {
+            classes: vec![class],
+            ..shared(&[1.0])
+        },
+        3,
+    );
     w.traffic(3000.0, 60.0, &[0], &|_| Some((Ending::Ok, 50.0)));
     let from = w.now;
     let server = |id| (id != UpstreamId(2)).then_some((Ending::Ok, 150.0));
     w.traffic(1800.0, 40.0, &[0], &server);
-    let late =
-        w.seen.values().flat_map(|s| &s.sends).filter(|(to, at)| *to == UpstreamId(2) && *at > from + 600.0);
-    assert_eq!(late.count(), 0, "it has owed an answer for six usual ones by then");
+    let late = w
+        .seen
+        .values()
+        .flat_map(|s| &s.sends)
+        .filter(|(to, at)| *to == UpstreamId(2) && *at > from + 600.0);
+    assert_eq!(
+        late.count(),
+        0,
+        "it has owed an answer for six usual ones by then"
+    );
 }
 
 #[test]
@@ -95,5 +130,8 @@
     let (_, to) = w.sent_since(from);
     let refused: usize = (1..=4).filter_map(|id| to.get(&UpstreamId(id))).sum();
     let all: usize = to.values().sum();
-    assert!(refused * 20 < all, "{refused} of {all} attempts went where no connection comes up");
+    assert!(
+        refused * 20 < all,
+        "{refused} of {all} attempts went where no connection comes up"
+    );
 }
--- a/balancer/core/tests/failures/overload.rs
+++ b/balancer/core/tests/failures/overload.rs
@@ -6,13 +6,25 @@
 /// Judged by answers alone, a tier that stops answering looks well until the time-outs come.
 #[test]
 fn calls_in_flight_are_bounded_before_any_answer_is_late() {
-    let class = Class { late_worth: 0.5, ..class(Effect::Free) };
-    let mut w = world(Settings { classes: vec![class], ..shared(&[1.0]) }, 4);
+    let class = Class {
+        late_worth: 0.5,
+        ..class(Effect::Free)
+    };
+    let mut w = world(
+        Settings {
+            classes: vec![class],
+            ..shared(&[1.0])
+        },
+        4,
+    );
     w.traffic(5000.0, 60.0, &[0], &fast);
     let from = w.now;
     w.traffic(1500.0, 60.0, &[0], &|_| None);
     let (sent, _) = w.sent_since(from);
-    assert!(sent < 60, "{sent} of 90 calls went into a tier that answers nothing");
+    assert!(
+        sent < 60,
+        "{sent} of 90 calls went into a tier that answers nothing"
+    );
 }
 
 /// In an overload each time-out was taken for its upstream's own fault, and capacity never heard of it: all that
@@ -28,15 +40,27 @@
     assert!(sent < 150, "{sent} of 300 calls went where nearly all fail");
     assert!(sent > 0, "some are left to learn from");
     let lines = w.log.iter().filter(|a| matches!(a, Action::Log(_))).count();
-    assert!((1..=3).contains(&lines), "the log tells of a change of state, once: {lines} lines");
+    assert!(
+        (1..=3).contains(&lines),
+        "the log tells of a change of state, once: {lines} lines"
+    );
 }
 
 /// Clients with little time left came again and again. Their calls were sent and given up soon after, and kept
 /// those waiting who had time.
 #[test]
 fn requests_with_less_time_than_answers_take_are_refused_while_others_are_out() {
-    let short = Class { deadline: 80.0, ..class(Effect::Free) };
-    let mut w = world(Settings { classes: vec![class(Effect::Free), short], ..shared(&[1.0]) }, 8);
+    let short = Class {
+        deadline: 80.0,
+        ..class(Effect::Free)
+    };
+    let mut w = world(
+        Settings {
+            classes: vec![class(Effect::Free), short],
+            ..shared(&[1.0])
+        },
+        8,
+    );
     let sent = |w: &World, id: u32| !w.seen[&RequestId(id)].sends.is_empty();
     // Nothing is known yet: it is tried.
     w.request(10_000, 1, 0);
@@ -44,7 +68,10 @@
     w.traffic(3000.0, 40.0, &[0], &|_| Some((Ending::Ok, 120.0)));
     w.request(10_001, 0, 0);
     w.request(10_002, 1, 0);
-    assert!(sent(&w, 10_001) && !sent(&w, 10_002), "one has the time and the other has not");
+    assert!(
+        sent(&w, 10_001) && !sent(&w, 10_002),
+        "one has the time and the other has not"
+    );
     // Nobody waits for an answer: to try it costs nothing, and shows whether answers take less by now.
     w.pass(3000.0);
     w.request(10_003, 1, 0);
@@ -56,8 +83,16 @@
 #[test]
 fn a_busy_copy_may_use_what_others_leave_of_the_quotas() {
     const COPIES: u32 = 40;
-    let tenants = vec![Tenant { share: 1.0, quota_per_s: 10.0 * f64::from(COPIES) }];
-    let settings = |index| Settings { index, balancers: COPIES, tenants: tenants.clone(), ..shared(&[1.0]) };
+    let tenants = vec![Tenant {
+        share: 1.0,
+        quota_per_s: 10.0 * f64::from(COPIES),
+    }];
+    let settings = |index| Settings {
+        index,
+        balancers: COPIES,
+        tenants: tenants.clone(),
+        ..shared(&[1.0])
+    };
     let mut worlds: Vec<World> = (0..COPIES).map(|i| world(settings(i), 8)).collect();
     // Ten copies ask for twice their even part, the others for less than half of it. Answers are a little late, so
     // that nothing more is learned.
@@ -68,7 +103,10 @@
         let from = worlds[0].now;
         for (i, w) in worlds.iter_mut().enumerate() {
             for id in (1..=8).map(UpstreamId).filter(|_| served > 0) {
-                w.event(Event::Served { upstream: id, per_s: f64::from(served) / 8.0 });
+                w.event(Event::Served {
+                    upstream: id,
+                    per_s: f64::from(served) / 8.0,
+                });
             }
             w.traffic(1000.0, asked(i), &[0], &answer);
         }
@@ -85,14 +123,25 @@
 #[test]
 fn a_burst_passes_little_more_than_the_quotas_once_what_was_saved_up_is_spent() {
     const COPIES: u32 = 40;
-    let tenants = vec![Tenant { share: 1.0, quota_per_s: 10.0 * f64::from(COPIES) }];
-    let settings = |index| Settings { index, balancers: COPIES, tenants: tenants.clone(), ..shared(&[1.0]) };
+    let tenants = vec![Tenant {
+        share: 1.0,
+        quota_per_s: 10.0 * f64::from(COPIES),
+    }];
+    let settings = |index| Settings {
+        index,
+        balancers: COPIES,
+        tenants: tenants.clone(),
+        ..shared(&[1.0])
+    };
     let mut worlds: Vec<World> = (0..COPIES).map(|i| world(settings(i), 8)).collect();
     let mut second = |asked: f64, served: usize| -> usize {
         let sent = |w: &mut World| {
             let from = w.now;
             for id in (1..=8).map(UpstreamId) {
-                w.event(Event::Served { upstream: id, per_s: served as f64 / 8.0 });
+                w.event(Event::Served {
+                    upstream: id,
+                    per_s: served as f64 / 8.0,
+                });
             }
             w.traffic(1000.0, asked, &[0], &fast);
             w.sent_since(from).0
--- a/balancer/core/tests/failures/tenants.rs
+++ b/balancer/core/tests/failures/tenants.rs
@@ -7,12 +7,18 @@
 fn an_over_limit_tenant_is_refused_and_one_within_its_share_is_not() {
     let mut w = world(shared(&[0.6, 0.4]), 4);
     // Tenant 0 asks for nine times as much as tenant 1; answers come late, so capacity is short.
-    w.traffic(20_000.0, 150.0, &[0, 0, 0, 0, 0, 0, 0, 0, 0, 1], &|_| Some((Ending::Ok, 232.0)));
+    w.traffic(20_000.0, 150.0, &[0, 0, 0, 0, 0, 0, 0, 0, 0, 1], &|_| {
+        Some((Ending::Ok, 232.0))
+    });
     let share = |tenant: usize| {
         let of = |id: &RequestId| usize::from(id.0 % 10 == 9) == tenant;
-        let asked = w.seen.iter().filter(|(id, s)| of(id) && s.deadline > 12_000.0);
-        let (all, sent) =
-            asked.fold((0u32, 0u32), |(a, n), (_, s)| (a + 1, n + u32::from(!s.sends.is_empty())));
+        let asked = w
+            .seen
+            .iter()
+            .filter(|(id, s)| of(id) && s.deadline > 12_000.0);
+        let (all, sent) = asked.fold((0u32, 0u32), |(a, n), (_, s)| {
+            (a + 1, n + u32::from(!s.sends.is_empty()))
+        });
         f64::from(sent) / f64::from(all)
     };
     assert!(share(1) > 0.95, "within its share: {} passes", share(1));
@@ -28,8 +34,11 @@
     let from = w.now;
     w.traffic(10_000.0, 200.0, &tenants, &|_| Some((Ending::Ok, 190.0)));
     let passed = |of: &dyn Fn(u32) -> bool| {
-        let asked: Vec<_> =
-            w.seen.iter().filter(|(id, s)| of(id.0 % 10) && s.deadline > from + 5000.0).collect();
+        let asked: Vec<_> = w
+            .seen
+            .iter()
+            .filter(|(id, s)| of(id.0 % 10) && s.deadline > from + 5000.0)
+            .collect();
         asked.iter().filter(|(_, s)| !s.sends.is_empty()).count() as f64 / asked.len() as f64
     };
     let (large, small) = (passed(&|t| t < 8), passed(&|t| t >= 8));
@@ -49,8 +58,14 @@
             w.outcome(id, 0, Ending::Ok);
         }
     }
-    assert!(w.seen[&RequestId(299)].sends.is_empty(), "tenant 0 has used up the cycle's capacity");
-    assert!(matches!(w.request(300, 0, 1)[..], [Action::Send { .. }]), "tenant 1 need not wait for the next");
+    assert!(
+        w.seen[&RequestId(299)].sends.is_empty(),
+        "tenant 0 has used up the cycle's capacity"
+    );
+    assert!(
+        matches!(w.request(300, 0, 1)[..], [Action::Send { .. }]),
+        "tenant 1 need not wait for the next"
+    );
 }
 
 /// Equal defaults would hold a tenant with most of the shares to the same as one with a few.
@@ -62,5 +77,10 @@
         let of = |(id, s): &(&RequestId, &Seen)| id.0 % 2 == odd && !s.sends.is_empty();
         w.seen.iter().filter(of).count()
     };
-    assert!(sent(0) > 2 * sent(1), "{} of the large tenant pass, {} of the small one", sent(0), sent(1));
+    assert!(
+        sent(0) > 2 * sent(1),
+        "{} of the large tenant pass, {} of the small one",
+        sent(0),
+        sent(1)
+    );
 }
--- a/balancer/core/tests/failures/worlds.rs
+++ b/balancer/core/tests/failures/worlds.rs
@@ -16,5 +16,9 @@
 
 /// Settings of one class (objective 500 ms) and of tenants with these shares of 60 requests a second.
 pub fn shared(shares: &[f64]) -> Settings {
-    Settings { classes: vec![class(Effect::Free)], tenants: tenants(shares, 60.0), ..Settings::default() }
+    Settings {
+        classes: vec![class(Effect::Free)],
+        tenants: tenants(shares, 60.0),
+        ..Settings::default()
+    }
 }
--- a/balancer/core/tests/failures/zones.rs
+++ b/balancer/core/tests/failures/zones.rs
@@ -6,45 +6,92 @@
 /// Met in an incident: a whole zone answered nothing, too much to eject server by server.
 #[test]
 fn a_zone_that_is_cut_off_is_left_alone() {
-    let members = (1..=12).map(|id| Member { zone: (id % 3) as u16, ..member(id) }).collect();
+    let members = (1..=12)
+        .map(|id| Member {
+            zone: (id % 3) as u16,
+            ..member(id)
+        })
+        .collect();
     let mut w = World::new(shared(&[1.0]), 4, members);
     let server = |id: UpstreamId| {
-        Some(if id.0 % 3 == 2 { (Ending::ConnectFailed, 100.0) } else { (Ending::Ok, 50.0) })
+        Some(if id.0 % 3 == 2 {
+            (Ending::ConnectFailed, 100.0)
+        } else {
+            (Ending::Ok, 50.0)
+        })
     };
     w.traffic(12_000.0, 60.0, &[0], &server);
     let (sent, to) = w.sent_since(4000.0);
-    let lost: usize = to.iter().filter(|(id, _)| id.0 % 3 == 2).map(|(_, n)| n).sum();
-    assert!(lost * 25 < sent, "{lost} of {sent} attempts tried the zone that is cut off");
+    let lost: usize = to
+        .iter()
+        .filter(|(id, _)| id.0 % 3 == 2)
+        .map(|(_, n)| n)
+        .sum();
+    assert!(
+        lost * 25 < sent,
+        "{lost} of {sent} attempts tried the zone that is cut off"
+    );
 }
 
 /// Met in an incident: a copy with one server in its zone, a slow one, sent it every call that it would take.
 #[test]
 fn a_weak_own_zone_does_not_keep_the_calls_from_the_others() {
-    let settings = Settings { cross_zone_price: 0.015, ..shared(&[1.0]) };
-    let members = (0..4).map(|id| Member { zone: id as u16, ..member(id) }).collect();
+    let settings = Settings {
+        cross_zone_price: 0.015,
+        ..shared(&[1.0])
+    };
+    let members = (0..4)
+        .map(|id| Member {
+            zone: id as u16,
+            ..member(id)
+        })
+        .collect();
     let mut w = World::new(settings, 4, members);
     // The one in the own zone is slow, though not so slow that its answers are late.
-    w.traffic(10_000.0, 60.0, &[0], &|id| Some((Ending::Ok, if id.0 == 0 { 190.0 } else { 60.0 })));
+    w.traffic(10_000.0, 60.0, &[0], &|id| {
+        Some((Ending::Ok, if id.0 == 0 { 190.0 } else { 60.0 }))
+    });
     let (_, to) = w.sent_since(0.0);
     let all: usize = to.values().sum();
     let own = to[&UpstreamId(0)];
-    assert!(own * 4 < all, "the slow one in the own zone got {own} of {all} calls");
+    assert!(
+        own * 4 < all,
+        "the slow one in the own zone got {own} of {all} calls"
+    );
     assert!(to.values().all(|&n| n * 20 > all), "all serve: {to:?}");
 }
 
 #[test]
 fn the_own_zone_decides_between_upstreams_that_are_as_busy() {
-    let settings = Settings { cross_zone_price: 0.2, ..shared(&[1.0]) };
-    let in_zones = |id| Member { zone: (id % 2) as u16, ..member(id) };
+    let settings = Settings {
+        cross_zone_price: 0.2,
+        ..shared(&[1.0])
+    };
+    let in_zones = |id| Member {
+        zone: (id % 2) as u16,
+        ..member(id)
+    };
     let mut w = World::new(settings, 4, (1..=12).map(in_zones).collect());
     // Each answer is back before the next call: all are always equally busy.
     w.traffic(4000.0, 15.0, &[0], &fast);
     let (_, to) = w.sent_since(0.0);
-    let near: usize = to.iter().filter(|(id, _)| id.0 % 2 == 0).map(|(_, n)| n).sum();
+    let near: usize = to
+        .iter()
+        .filter(|(id, _)| id.0 % 2 == 0)
+        .map(|(_, n)| n)
+        .sum();
     let all: usize = to.values().sum();
-    assert!(near * 10 > all * 6, "{near} of {all} calls stayed in the zone");
-    w.list(Membership::Full((1..=12).filter(|id| id % 2 == 1).map(in_zones).collect()));
+    assert!(
+        near * 10 > all * 6,
+        "{near} of {all} calls stayed in the zone"
+    );
+    w.list(Membership::Full(
+        (1..=12).filter(|id| id % 2 == 1).map(in_zones).collect(),
+    ));
     let from = w.now;
     w.traffic(4000.0, 15.0, &[0], &fast);
-    assert!(w.sent_since(from).0 > 55, "the other zone serves when the own has none");
+    assert!(
+        w.sent_since(from).0 > 55,
+        "the other zone serves when the own has none"
+    );
 }
--- a/balancer/core/tests/limits.rs
+++ b/balancer/core/tests/limits.rs
@@ -6,7 +6,10 @@
 /// The post prints whole numbers, rounded loosely: it has A at 3 in cycle 3, where its demand was 3.
 fn near(got: &[f64], want: &[f64]) {
     for (g, w) in got.iter().zip(want) {
-        assert!((g - w).abs() <= 0.75, "limits {got:?}, the table has {want:?}");
+        assert!(
+            (g - w).abs() <= 0.75,
+            "limits {got:?}, the table has {want:?}"
+        );
     }
 }
 
@@ -24,13 +27,29 @@
 #[test]
 fn edges() {
     assert_eq!(limits(0.0, &[3.0, 0.0], &[1.0, 1.0], 0.1), [0.0, 0.0]);
-    assert_eq!(limits(12.0, &[50.0], &[1.0], 0.1), [12.0], "one tenant has it all and no one to borrow from");
+    assert_eq!(
+        limits(12.0, &[50.0], &[1.0], 0.1),
+        [12.0],
+        "one tenant has it all and no one to borrow from"
+    );
     assert_eq!(limits(12.0, &[0.0], &[1.0], 0.1), [12.0]);
-    assert_eq!(limits(30.0, &[90.0, 40.0, 70.0], &[1.0; 3], 0.1), [10.0; 3], "all over: the defaults");
-    assert_eq!(limits(10.0, &[5.0, 5.0], &[0.0, 0.0], 0.1), [5.0, 5.0], "shares of an empty total");
+    assert_eq!(
+        limits(30.0, &[90.0, 40.0, 70.0], &[1.0; 3], 0.1),
+        [10.0; 3],
+        "all over: the defaults"
+    );
+    assert_eq!(
+        limits(10.0, &[5.0, 5.0], &[0.0, 0.0], 0.1),
+        [5.0, 5.0],
+        "shares of an empty total"
+    );
     assert!(limits(10.0, &[], &[], 0.1).is_empty());
     let unequal = limits(100.0, &[500.0, 5.0], &[3.0, 1.0], 0.1);
-    assert_eq!(unequal, [95.0, 5.0], "stated shares set the defaults; what is unused is lent");
+    assert_eq!(
+        unequal,
+        [95.0, 5.0],
+        "stated shares set the defaults; what is unused is lent"
+    );
 }
 
 #[test]
@@ -48,6 +67,9 @@
             "{capacity} {demands:?} {weights:?}: {got:?}"
         );
         let sum: f64 = got.iter().sum();
-        assert!(sum <= capacity * (1.0 + 1e-9) + 1e-9, "{capacity} {demands:?} {weights:?}: {got:?}");
+        assert!(
+            sum <= capacity * (1.0 + 1e-9) + 1e-9,
+            "{capacity} {demands:?} {weights:?}: {got:?}"
+        );
     }
 }
--- a/balancer/core/tests/observed.rs
+++ b/balancer/core/tests/observed.rs
@@ -1,8 +1,8 @@
 //! What a copy tells the others of its tier is what happened to it.
 mod common;
 
-use common::*;
 use balancer_core::*;
+use common::*;
 
 fn world(upstreams: u64) -> World {
     let settings = Settings {
@@ -21,14 +21,27 @@
 fn rates_and_calls_in_flight_are_means_over_about_a_second() {
     let mut w = world(6);
     // A fourth of the requests is the second tenant's.
-    w.traffic(12_000.0, 80.0, &[0, 0, 0, 1], &|_| Some((Ending::Ok, 100.0)));
+    w.traffic(12_000.0, 80.0, &[0, 0, 0, 1], &|_| {
+        Some((Ending::Ok, 100.0))
+    });
     let seen = w.balancer.observed(w.now).load;
-    assert!(near(seen.demand, 80.0) && near(seen.firsts, 80.0) && seen.retries < 0.1, "{seen:?}");
+    assert!(
+        near(seen.demand, 80.0) && near(seen.firsts, 80.0) && seen.retries < 0.1,
+        "{seen:?}"
+    );
     assert!(seen.room > 80.0, "{seen:?}");
     // The last place is for tenants that are not listed.
-    let [first, second, other] = seen.tenants[..] else { panic!("{seen:?}") };
-    assert!(near(first.demand, 60.0) && near(second.demand, 20.0) && other.demand == 0.0, "{seen:?}");
-    assert!(near(first.calls, 6.0) && near(second.calls, 2.0) && other.calls == 0.0, "{seen:?}");
+    let [first, second, other] = seen.tenants[..] else {
+        panic!("{seen:?}")
+    };
+    assert!(
+        near(first.demand, 60.0) && near(second.demand, 20.0) && other.demand == 0.0,
+        "{seen:?}"
+    );
+    assert!(
+        near(first.calls, 6.0) && near(second.calls, 2.0) && other.calls == 0.0,
+        "{seen:?}"
+    );
     // Nobody asks any more: it fades, whether or not it was asked for meanwhile.
     let later = w.balancer.observed(w.now + 8000.0).load;
     assert!(later.demand < 0.1 && later.firsts < 0.1, "{later:?}");
@@ -37,12 +50,21 @@
 #[test]
 fn further_attempts_count_as_such() {
     let mut w = world(6);
-    let some = |id: UpstreamId| Some(if id.0 == 1 { (Ending::Error, 10.0) } else { (Ending::Ok, 50.0) });
+    let some = |id: UpstreamId| {
+        Some(if id.0 == 1 {
+            (Ending::Error, 10.0)
+        } else {
+            (Ending::Ok, 50.0)
+        })
+    };
     w.traffic(1500.0, 80.0, &[0], &some);
     let seen = w.balancer.observed(w.now).load;
     assert!(seen.retries > 0.5 && seen.retries < seen.firsts, "{seen:?}");
     let calls: f64 = seen.tenants.iter().map(|t| t.calls).sum();
-    assert!(near(calls, 4.0), "an attempt that failed is out no more: {seen:?}");
+    assert!(
+        near(calls, 4.0),
+        "an attempt that failed is out no more: {seen:?}"
+    );
 }
 
 #[test]
@@ -51,17 +73,37 @@
     let subject = Subject::Upstream(UpstreamId(1));
     w.traffic(4000.0, 80.0, &[0], &|_| Some((Ending::Ok, 50.0)));
     let seen = w.balancer.observed(w.now);
-    assert!(seen.against.is_empty() && seen.cleared.is_empty(), "{seen:?}");
-    let refuses =
-        |id: UpstreamId| Some(if id.0 == 1 { (Ending::ConnectFailed, 1.0) } else { (Ending::Ok, 50.0) });
+    assert!(
+        seen.against.is_empty() && seen.cleared.is_empty(),
+        "{seen:?}"
+    );
+    let refuses = |id: UpstreamId| {
+        Some(if id.0 == 1 {
+            (Ending::ConnectFailed, 1.0)
+        } else {
+            (Ending::Ok, 50.0)
+        })
+    };
     w.traffic(1500.0, 80.0, &[0], &refuses);
     let seen = w.balancer.observed(w.now);
-    assert!(seen.against == [subject] && seen.cleared.is_empty(), "{seen:?}");
+    assert!(
+        seen.against == [subject] && seen.cleared.is_empty(),
+        "{seen:?}"
+    );
     w.traffic(8000.0, 80.0, &[0], &|_| Some((Ending::Ok, 50.0)));
     let seen = w.balancer.observed(w.now);
-    assert!(seen.against.is_empty() && seen.cleared == [subject], "{seen:?}");
+    assert!(
+        seen.against.is_empty() && seen.cleared == [subject],
+        "{seen:?}"
+    );
     // Errors may come from a tier behind: they eject, and are no evidence.
-    let errs = |id: UpstreamId| Some(if id.0 == 2 { (Ending::Error, 10.0) } else { (Ending::Ok, 50.0) });
+    let errs = |id: UpstreamId| {
+        Some(if id.0 == 2 {
+            (Ending::Error, 10.0)
+        } else {
+            (Ending::Ok, 50.0)
+        })
+    };
     w.traffic(2000.0, 80.0, &[0], &errs);
     let seen = w.balancer.observed(w.now);
     assert!(seen.against.is_empty(), "{seen:?}");
@@ -69,7 +111,10 @@
 
 #[test]
 fn a_zone_that_is_left_comes_first() {
-    let member = |id: u64| Member { zone: (id % 2) as u16, ..member(id) };
+    let member = |id: u64| Member {
+        zone: (id % 2) as u16,
+        ..member(id)
+    };
     let settings = Settings {
         classes: vec![class(Effect::Free)],
         tenants: tenants(&[1.0], 400.0),
@@ -77,10 +122,13 @@
     };
     let mut w = World::new(settings, 4, (1..=8).map(member).collect());
     w.traffic(4000.0, 100.0, &[0], &|_| Some((Ending::Ok, 50.0)));
-    w.traffic(1500.0, 100.0, &[0], &|id| (id.0 % 2 == 0).then_some((Ending::Ok, 50.0)));
+    w.traffic(1500.0, 100.0, &[0], &|id| {
+        (id.0 % 2 == 0).then_some((Ending::Ok, 50.0))
+    });
     let seen = w.balancer.observed(w.now);
     assert_eq!(seen.against.first(), Some(&Subject::Zone(1)), "{seen:?}");
-    let odd =
-        |s: &Subject| matches!(s, Subject::Zone(1)) || matches!(s, Subject::Upstream(id) if id.0 % 2 == 1);
+    let odd = |s: &Subject| {
+        matches!(s, Subject::Zone(1)) || matches!(s, Subject::Upstream(id) if id.0 % 2 == 1)
+    };
     assert!(seen.against.iter().all(odd), "{seen:?}");
 }
--- a/balancer/core/tests/restored.rs
+++ b/balancer/core/tests/restored.rs
@@ -1,8 +1,8 @@
 //! What an earlier instance has learned, taken back by a later one.
 mod common;
 
-use common::*;
 use balancer_core::*;
+use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -41,7 +41,10 @@
 /// One that has just started, with a list of `upstreams`, and is given what was learned.
 fn restarted(learned: &Learned, age: f64, upstreams: Vec<Member>) -> World {
     let mut w = World::new(settings(), 5, upstreams);
-    w.event(Event::Restored { learned: Box::new(learned.clone()), age });
+    w.event(Event::Restored {
+        learned: Box::new(learned.clone()),
+        age,
+    });
     w
 }
 
@@ -54,7 +57,10 @@
     let mut w = taught();
     let kept = w.balancer.learned(w.now);
     assert_eq!(kept.validate(&settings()), Ok(()));
-    assert!(kept.load.capacity > 100.0 && kept.demands[0] > Some(80.0), "{kept:?}");
+    assert!(
+        kept.load.capacity > 100.0 && kept.demands[0] > Some(80.0),
+        "{kept:?}"
+    );
     assert!(left(&kept) > 0.0, "{kept:?}");
     let mut back = restarted(&kept, 0.0, listed());
     let again = back.balancer.learned(0.0);
@@ -66,16 +72,29 @@
         kept.load.capacity
     );
     assert!(near(again.answer, kept.answer) && near(again.load.unloaded, kept.load.unloaded));
-    assert_eq!((again.demands, &again.kinds), (kept.demands.clone(), &kept.kinds));
+    assert_eq!(
+        (again.demands, &again.kinds),
+        (kept.demands.clone(), &kept.kinds)
+    );
     let fresh = World::new(settings(), 5, listed()).balancer.learned(0.0);
     let mut last = kept.load.capacity;
     for age in [1.0, 5.0, 10.0, 20.0, 40.0, 80.0, 160.0, 1e6, 1e12] {
-        let now = restarted(&kept, age * 1000.0, listed()).balancer.learned(0.0);
+        let now = restarted(&kept, age * 1000.0, listed())
+            .balancer
+            .learned(0.0);
         let (low, high) = (fresh.load.capacity.min(last) - 1e-6, last + 1e-6);
-        assert!((low..=high).contains(&now.load.capacity), "{} at {age} s after {last}", now.load.capacity);
+        assert!(
+            (low..=high).contains(&now.load.capacity),
+            "{} at {age} s after {last}",
+            now.load.capacity
+        );
         last = now.load.capacity;
     }
-    assert!(near(last, fresh.load.capacity), "{last} in the end, a start has {}", fresh.load.capacity);
+    assert!(
+        near(last, fresh.load.capacity),
+        "{last} in the end, a start has {}",
+        fresh.load.capacity
+    );
 }
 
 #[test]
@@ -85,7 +104,11 @@
     let left = left(&kept);
     let calls_to_it = |w: &mut World| {
         w.traffic(left * 0.8, 100.0, &[0], &|_| Some((Ending::Ok, 50.0)));
-        w.sent_since(0.0).1.get(&UpstreamId(1)).copied().unwrap_or(0)
+        w.sent_since(0.0)
+            .1
+            .get(&UpstreamId(1))
+            .copied()
+            .unwrap_or(0)
     };
     assert_eq!(calls_to_it(&mut restarted(&kept, 0.0, listed())), 0);
     // Its time has run out meanwhile.
@@ -101,13 +124,24 @@
     let kept = w.balancer.learned(w.now);
     let mut late = restarted(&kept, 0.0, Vec::new());
     let before = late.balancer.learned(0.0).load.capacity;
-    assert_eq!(before, World::new(settings(), 5, Vec::new()).balancer.learned(0.0).load.capacity);
+    assert_eq!(
+        before,
+        World::new(settings(), 5, Vec::new())
+            .balancer
+            .learned(0.0)
+            .load
+            .capacity
+    );
     late.pass(400.0);
     late.list(Membership::Full(listed()[..4].to_vec()));
     let capacity = late.balancer.learned(late.now).load.capacity;
     // Seven of eight could be used then, three of four now.
     let part = capacity / kept.load.capacity;
-    assert!((0.4..0.5).contains(&part), "{capacity} of {}", kept.load.capacity);
+    assert!(
+        (0.4..0.5).contains(&part),
+        "{capacity} of {}",
+        kept.load.capacity
+    );
     // An upstream that is named in what was kept and is draining now draws nothing: the world checks it.
     let mut leaving = listed();
     leaving[3].availability = Availability::Draining;
@@ -145,12 +179,18 @@
         demands,
         ..Learned::default()
     };
-    let cold = |id| Member { since: 100_000.0, ..member(id) };
+    let cold = |id| Member {
+        since: 100_000.0,
+        ..member(id)
+    };
     let mut worlds: Vec<World> = (0..COPIES)
         .map(|i| {
             let mut w = World::new(settings(i), u64::from(i), Vec::new());
             w.pass(100_000.0);
-            w.event(Event::Restored { learned: Box::new(kept.clone()), age: 500.0 });
+            w.event(Event::Restored {
+                learned: Box::new(kept.clone()),
+                age: 500.0,
+            });
             w.list(Membership::Full((1..=4).map(cold).collect()));
             w
         })
@@ -173,10 +213,16 @@
     for (second, calls) in calls.iter().enumerate() {
         let warmth = 0.15 + 0.85 * second as f64 / 20.0;
         for &n in calls {
-            assert!(f64::from(n) <= 2.5 * 80.0 * warmth, "{calls:?} in second {second}");
+            assert!(
+                f64::from(n) <= 2.5 * 80.0 * warmth,
+                "{calls:?} in second {second}"
+            );
         }
     }
-    assert!(calls.iter().all(|c| c.iter().sum::<u32>() > 0), "they are warmed up: {calls:?}");
+    assert!(
+        calls.iter().all(|c| c.iter().sum::<u32>() > 0),
+        "they are warmed up: {calls:?}"
+    );
 }
 
 /// Any figure that a file could hold.
--- a/balancer/core/tests/rules.rs
+++ b/balancer/core/tests/rules.rs
@@ -1,8 +1,8 @@
 //! The four rules under random events (fixed seeds), by a checker that knows nothing of the decisions.
 mod common;
 
-use common::*;
 use balancer_core::*;
+use common::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -12,10 +12,15 @@
 
 fn storm(seed: u64) -> Vec<Action> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let guarded = |scope| Effect::Guarded { scope, window: 700.0 };
+    let guarded = |scope| Effect::Guarded {
+        scope,
+        window: 700.0,
+    };
     // Where late answers earn nothing, requests end before the window does: half of the storms let them last.
-    let class =
-        |effect| Class { late_worth: if seed.is_multiple_of(2) { 0.5 } else { 0.0 }, ..class(effect) };
+    let class = |effect| Class {
+        late_worth: if seed.is_multiple_of(2) { 0.5 } else { 0.0 },
+        ..class(effect)
+    };
     let settings = Settings {
         classes: vec![
             class(Effect::Free),
@@ -23,12 +28,26 @@
             class(guarded(DedupScope::Cell)),
             class(guarded(DedupScope::All)),
             class(guarded(DedupScope::Zone)),
-            Class { runs_in: Some(vec![1]), ..class(Effect::SingleShot) },
-            Class { kinds_only: Some(vec![0, 2]), ..class(Effect::Free) },
-            Class { runs_in: Some(vec![0]), kinds_only: Some(vec![1]), ..class(guarded(DedupScope::All)) },
+            Class {
+                runs_in: Some(vec![1]),
+                ..class(Effect::SingleShot)
+            },
+            Class {
+                kinds_only: Some(vec![0, 2]),
+                ..class(Effect::Free)
+            },
+            Class {
+                runs_in: Some(vec![0]),
+                kinds_only: Some(vec![1]),
+                ..class(guarded(DedupScope::All))
+            },
         ],
         late_shedding: seed % 4 < 2,
-        tenants: if seed.is_multiple_of(2) { Vec::new() } else { tenants(&[0.5, 0.3, 0.2], 40.0) },
+        tenants: if seed.is_multiple_of(2) {
+            Vec::new()
+        } else {
+            tenants(&[0.5, 0.3, 0.2], 40.0)
+        },
         attempts_cap: 1 + rng.next_u32() % 4,
         cancel: !seed.is_multiple_of(5),
         ask_for_list: seed % 8 < 4,
@@ -37,7 +56,11 @@
         cross_zone_price: 0.2,
         ..Settings::default()
     };
-    let zoned = |id: u64| Member { zone: (id % 2) as u16, kind: (id % 3) as u8, ..member(id) };
+    let zoned = |id: u64| Member {
+        zone: (id % 2) as u16,
+        kind: (id % 3) as u8,
+        ..member(id)
+    };
     let mut world = World::new(settings, seed, (1..9).map(zoned).collect());
     let mut since = 0.0;
     for id in 0..1500u32 {
@@ -47,10 +70,17 @@
                 since += 1000.0;
                 let id = 1 + u64::from(rng.next_u32() % 12);
                 let ready = Availability::Ready;
-                let availability =
-                    pick(&mut rng, &[ready, ready, Availability::Draining, Availability::Gone]);
-                if availability != Availability::Gone || world.listed.contains_key(&UpstreamId(id)) {
-                    world.list(Membership::Delta(vec![Member { availability, since, ..zoned(id) }]));
+                let availability = pick(
+                    &mut rng,
+                    &[ready, ready, Availability::Draining, Availability::Gone],
+                );
+                if availability != Availability::Gone || world.listed.contains_key(&UpstreamId(id))
+                {
+                    world.list(Membership::Delta(vec![Member {
+                        availability,
+                        since,
+                        ..zoned(id)
+                    }]));
                 }
             }
             1 if id.is_multiple_of(7) => world.list(Membership::Full((1..7).map(zoned).collect())),
@@ -72,7 +102,11 @@
         ];
         for _ in 0..rng.next_u32() % 4 {
             let open = |s: &Seen| s.ended.iter().position(Option::is_none);
-            let out: Vec<_> = world.seen.iter().filter_map(|(id, s)| Some((id.0, open(s)?))).collect();
+            let out: Vec<_> = world
+                .seen
+                .iter()
+                .filter_map(|(id, s)| Some((id.0, open(s)?)))
+                .collect();
             if let Some(&(id, attempt)) = out.get(rng.next_u32() as usize % out.len().max(1)) {
                 match rng.next_u32() % 12 {
                     0 => drop(world.gone(id)),
@@ -82,7 +116,10 @@
         }
     }
     world.pass(10_000.0);
-    assert!(world.seen.values().all(|s| s.answered), "every request has its final answer");
+    assert!(
+        world.seen.values().all(|s| s.answered),
+        "every request has its final answer"
+    );
     world.log
 }
 
@@ -90,9 +127,15 @@
 fn random_storms_keep_the_rules() {
     let mut sends = 0;
     for seed in 0..16 {
-        sends += storm(seed).iter().filter(|a| matches!(a, Action::Send { .. })).count();
+        sends += storm(seed)
+            .iter()
+            .filter(|a| matches!(a, Action::Send { .. }))
+            .count();
     }
-    assert!(sends > 4000, "the storms sent {sends} attempts only: too few to prove anything");
+    assert!(
+        sends > 4000,
+        "the storms sent {sends} attempts only: too few to prove anything"
+    );
 }
 
 #[test]
@@ -103,33 +146,82 @@
 
 fn one_class(effect: Effect) -> Settings {
     // Late answers are worth something, so that requests last until their deadline.
-    let class = Class { late_worth: 0.5, ..class(effect) };
-    Settings { classes: vec![class], ..Settings::default() }
+    let class = Class {
+        late_worth: 0.5,
+        ..class(effect)
+    };
+    Settings {
+        classes: vec![class],
+        ..Settings::default()
+    }
 }
 
 #[test]
 fn a_single_shot_goes_on_after_proof_that_it_never_ran_and_stops_otherwise() {
-    let mut world = World::new(one_class(Effect::SingleShot), 1, (1..5).map(member).collect());
+    let mut world = World::new(
+        one_class(Effect::SingleShot),
+        1,
+        (1..5).map(member).collect(),
+    );
     world.request(1, 0, 0);
-    assert!(matches!(world.outcome(1, 0, Ending::Full)[..], [Action::Send { .. }]), "never ran: sent again");
-    assert!(matches!(world.outcome(1, 1, Ending::Full)[..], [Action::Send { .. }]));
-    assert!(matches!(world.outcome(1, 2, Ending::Full)[..], [Action::Refuse { .. }]), "attempts are spent");
+    assert!(
+        matches!(world.outcome(1, 0, Ending::Full)[..], [Action::Send { .. }]),
+        "never ran: sent again"
+    );
+    assert!(matches!(
+        world.outcome(1, 1, Ending::Full)[..],
+        [Action::Send { .. }]
+    ));
+    assert!(
+        matches!(
+            world.outcome(1, 2, Ending::Full)[..],
+            [Action::Refuse { .. }]
+        ),
+        "attempts are spent"
+    );
     world.request(2, 0, 0);
-    assert!(matches!(world.outcome(2, 0, Ending::Reset)[..], [Action::Fail { .. }]), "it may have run");
+    assert!(
+        matches!(
+            world.outcome(2, 0, Ending::Reset)[..],
+            [Action::Fail { .. }]
+        ),
+        "it may have run"
+    );
 }
 
 #[test]
 fn full_is_no_proof_where_upstreams_shed_work_that_they_had_begun() {
-    let settings = Settings { late_shedding: true, ..one_class(Effect::SingleShot) };
+    let settings = Settings {
+        late_shedding: true,
+        ..one_class(Effect::SingleShot)
+    };
     let mut world = World::new(settings, 1, (1..5).map(member).collect());
     world.request(1, 0, 0);
-    assert!(matches!(world.outcome(1, 0, Ending::Full)[..], [Action::Fail { .. }]), "it may have run");
+    assert!(
+        matches!(world.outcome(1, 0, Ending::Full)[..], [Action::Fail { .. }]),
+        "it may have run"
+    );
     world.request(2, 0, 0);
-    assert!(matches!(world.outcome(2, 0, Ending::ConnectFailed)[..], [Action::Send { .. }]), "it never ran");
+    assert!(
+        matches!(
+            world.outcome(2, 0, Ending::ConnectFailed)[..],
+            [Action::Send { .. }]
+        ),
+        "it never ran"
+    );
 
-    let guarded = Effect::Guarded { scope: DedupScope::Cell, window: 700.0 };
-    let settings = Settings { late_shedding: true, ..one_class(guarded) };
-    let groups = |id| Member { group: (id % 2) as u16, ..member(id) };
+    let guarded = Effect::Guarded {
+        scope: DedupScope::Cell,
+        window: 700.0,
+    };
+    let settings = Settings {
+        late_shedding: true,
+        ..one_class(guarded)
+    };
+    let groups = |id| Member {
+        group: (id % 2) as u16,
+        ..member(id)
+    };
     let mut world = World::new(settings, 1, (1..9).map(groups).collect());
     for id in 0..40 {
         world.request(id, 0, 0);
@@ -144,9 +236,20 @@
 
 #[test]
 fn a_class_goes_only_where_it_is_placed_and_is_refused_when_nothing_there_is_ready() {
-    let placed = Class { runs_in: Some(vec![1]), kinds_only: Some(vec![2]), ..class(Effect::Free) };
-    let settings = Settings { classes: vec![placed], ..Settings::default() };
-    let far = |id| Member { zone: (id % 2) as u16, kind: (id % 3) as u8, ..member(id) };
+    let placed = Class {
+        runs_in: Some(vec![1]),
+        kinds_only: Some(vec![2]),
+        ..class(Effect::Free)
+    };
+    let settings = Settings {
+        classes: vec![placed],
+        ..Settings::default()
+    };
+    let far = |id| Member {
+        zone: (id % 2) as u16,
+        kind: (id % 3) as u8,
+        ..member(id)
+    };
     // Of sixty, ten are open to the class: drawing among all would miss them often.
     let mut world = World::new(settings, 1, (1..=60).map(far).collect());
     for id in 0..200 {
@@ -154,56 +257,113 @@
             matches!(world.request(id, 0, 0)[..], [.., Action::Send { .. }]),
             "request {id} finds a place"
         );
-        world.outcome(id, 0, if id % 9 == 0 { Ending::ConnectFailed } else { Ending::Ok });
+        world.outcome(
+            id,
+            0,
+            if id % 9 == 0 {
+                Ending::ConnectFailed
+            } else {
+                Ending::Ok
+            },
+        );
         if world.seen[&RequestId(id)].ended.last() == Some(&None) {
             world.outcome(id, 1, Ending::Ok);
         }
     }
     let elsewhere = |id: &u64| !(id % 2 == 1 && id % 3 == 2);
-    world.list(Membership::Full((1..=60).filter(elsewhere).map(far).collect()));
-    assert!(matches!(world.request(999, 0, 0)[..], [Action::Refuse { .. }]), "never anywhere else");
+    world.list(Membership::Full(
+        (1..=60).filter(elsewhere).map(far).collect(),
+    ));
+    assert!(
+        matches!(world.request(999, 0, 0)[..], [Action::Refuse { .. }]),
+        "never anywhere else"
+    );
 }
 
 #[test]
 fn bad_settings_name_their_field() {
     let field = |change: &dyn Fn(&mut Settings)| {
-        let mut s = Settings { tenants: tenants(&[1.0], 10.0), ..Settings::default() };
+        let mut s = Settings {
+            tenants: tenants(&[1.0], 10.0),
+            ..Settings::default()
+        };
         change(&mut s);
         Balancer::new(s, 1, 0.0).err().map(|e| e.field)
     };
     assert_eq!(field(&|_| {}), None);
     assert_eq!(field(&|s| s.balancers = 0), Some("balancers"));
     assert_eq!(field(&|s| s.classes.clear()), Some("classes"));
-    assert_eq!(field(&|s| s.classes[0].objective = f64::NAN), Some("classes.objective"));
-    assert_eq!(field(&|s| s.classes[0].deadline = -1.0), Some("classes.deadline"));
-    assert_eq!(field(&|s| s.classes[0].runs_in = Some(Vec::new())), Some("classes.runs_in"));
-    assert_eq!(field(&|s| s.classes[0].kinds_only = Some(Vec::new())), Some("classes.kinds_only"));
-    assert_eq!(field(&|s| s.tenants[0].quota_per_s = 1e300), Some("tenants.quota_per_s"));
+    assert_eq!(
+        field(&|s| s.classes[0].objective = f64::NAN),
+        Some("classes.objective")
+    );
+    assert_eq!(
+        field(&|s| s.classes[0].deadline = -1.0),
+        Some("classes.deadline")
+    );
+    assert_eq!(
+        field(&|s| s.classes[0].runs_in = Some(Vec::new())),
+        Some("classes.runs_in")
+    );
+    assert_eq!(
+        field(&|s| s.classes[0].kinds_only = Some(Vec::new())),
+        Some("classes.kinds_only")
+    );
+    assert_eq!(
+        field(&|s| s.tenants[0].quota_per_s = 1e300),
+        Some("tenants.quota_per_s")
+    );
     assert_eq!(field(&|s| s.ramp_time = f64::INFINITY), Some("ramp_time"));
     assert_eq!(field(&|s| s.ask_within = 0.0), Some("ask_within"));
 }
 
 #[test]
 fn a_guarded_request_is_repeated_within_its_group_and_window_only() {
-    let guarded = Effect::Guarded { scope: DedupScope::Cell, window: 700.0 };
-    let members = |group| (1..5).map(|id| Member { group, ..member(id) }).collect::<Vec<_>>();
+    let guarded = Effect::Guarded {
+        scope: DedupScope::Cell,
+        window: 700.0,
+    };
+    let members = |group| {
+        (1..5)
+            .map(|id| Member {
+                group,
+                ..member(id)
+            })
+            .collect::<Vec<_>>()
+    };
     let mut world = World::new(one_class(guarded), 1, members(4));
     world.request(1, 0, 0);
     world.pass(600.0);
-    assert!(matches!(world.outcome(1, 0, Ending::Error)[..], [Action::Send { .. }]), "they remember it");
+    assert!(
+        matches!(
+            world.outcome(1, 0, Ending::Error)[..],
+            [Action::Send { .. }]
+        ),
+        "they remember it"
+    );
     world.request(2, 0, 0);
     world.pass(701.0);
     assert!(
-        matches!(world.outcome(2, 0, Ending::Error)[..], [Action::Fail { .. }]),
+        matches!(
+            world.outcome(2, 0, Ending::Error)[..],
+            [Action::Fail { .. }]
+        ),
         "they have forgotten it"
     );
-    let strangers = (1..5).map(|id| Member { group: id as u16, ..member(id) }).collect();
+    let strangers = (1..5)
+        .map(|id| Member {
+            group: id as u16,
+            ..member(id)
+        })
+        .collect();
     let mut world = World::new(one_class(guarded), 1, strangers);
     world.request(1, 0, 0);
     let again = world.outcome(1, 0, Ending::Error);
     let to = |a: &Action| matches!(a, Action::Send { upstream, .. } if *upstream == world.seen[&RequestId(1)].sends[0].0);
     assert!(
-        again.iter().all(|a| matches!(a, Action::Fail { .. }) || to(a)),
+        again
+            .iter()
+            .all(|a| matches!(a, Action::Fail { .. }) || to(a)),
         "no other has its key: {again:?}"
     );
 }
@@ -211,67 +371,151 @@
 #[test]
 fn an_upstream_that_drains_or_is_gone_gets_nothing_from_then_on() {
     let mut world = World::new(Settings::default(), 1, (1..4).map(member).collect());
-    let gone = |id, availability| Member { availability, ..member(id) };
-    world.list(Membership::Delta(vec![gone(1, Availability::Draining), gone(2, Availability::Gone)]));
+    let gone = |id, availability| Member {
+        availability,
+        ..member(id)
+    };
+    world.list(Membership::Delta(vec![
+        gone(1, Availability::Draining),
+        gone(2, Availability::Gone),
+    ]));
     for id in 0..50 {
         world.request(id, 0, 0);
         world.outcome(id, 0, Ending::Ok);
     }
-    assert!(world.seen.values().all(|s| s.sends.iter().all(|(to, _)| *to == UpstreamId(3))));
+    assert!(world
+        .seen
+        .values()
+        .all(|s| s.sends.iter().all(|(to, _)| *to == UpstreamId(3))));
     world.list(Membership::Full(Vec::new()));
-    assert!(matches!(world.request(99, 0, 0)[..], [Action::Refuse { .. }]), "what a full list lacks is gone");
+    assert!(
+        matches!(world.request(99, 0, 0)[..], [Action::Refuse { .. }]),
+        "what a full list lacks is gone"
+    );
 }
 
 #[test]
 fn no_ready_upstream_is_a_refusal_at_once() {
     let mut world = World::new(Settings::default(), 1, Vec::new());
-    assert!(matches!(world.request(1, 0, 0)[..], [Action::Refuse { .. }]));
-    world.list(Membership::Full(vec![Member { availability: Availability::Draining, ..member(1) }]));
-    assert!(matches!(world.request(2, 0, 0)[..], [Action::Refuse { .. }]));
+    assert!(matches!(
+        world.request(1, 0, 0)[..],
+        [Action::Refuse { .. }]
+    ));
+    world.list(Membership::Full(vec![Member {
+        availability: Availability::Draining,
+        ..member(1)
+    }]));
+    assert!(matches!(
+        world.request(2, 0, 0)[..],
+        [Action::Refuse { .. }]
+    ));
 }
 
 #[test]
 fn a_killed_instance_starts_from_nothing_but_its_cached_list() {
-    let settings = Settings { ask_for_list: true, ..Settings::default() };
+    let settings = Settings {
+        ask_for_list: true,
+        ..Settings::default()
+    };
     let mut world = World::new(settings.clone(), 5, vec![member(1)]);
     world.request(1, 0, 0);
     let mut again = World::new(settings, 6, vec![member(1)]);
-    assert!(again.log.contains(&Action::Subscribe), "it asks for the list at once");
-    let late =
-        Event::Outcome { request: RequestId(1), attempt: 0, ending: Ending::Ok, duration: 5.0, closed: true };
-    assert!(again.event(late).is_empty(), "outcomes of a former life are ignored");
+    assert!(
+        again.log.contains(&Action::Subscribe),
+        "it asks for the list at once"
+    );
+    let late = Event::Outcome {
+        request: RequestId(1),
+        attempt: 0,
+        ending: Ending::Ok,
+        duration: 5.0,
+        closed: true,
+    };
+    assert!(
+        again.event(late).is_empty(),
+        "outcomes of a former life are ignored"
+    );
     assert!(matches!(again.request(2, 0, 0)[..], [Action::Send { .. }]));
 }
 
 #[test]
 fn unknown_classes_tenants_requests_and_timers_do_no_harm() {
     let mut world = World::new(Settings::default(), 1, vec![member(1)]);
-    let stranger = Request { id: RequestId(9), class: 7, tenant: 7, deadline: 900.0, tie: 0 };
+    let stranger = Request {
+        id: RequestId(9),
+        class: 7,
+        tenant: 7,
+        deadline: 900.0,
+        tie: 0,
+    };
     let mut actions = Vec::new();
-    world.balancer.handle(0.0, Event::Request(stranger), &mut actions);
-    assert!(matches!(actions[..], [Action::Refuse { .. }]), "an unknown class is refused: nothing has run");
+    world
+        .balancer
+        .handle(0.0, Event::Request(stranger), &mut actions);
+    assert!(
+        matches!(actions[..], [Action::Refuse { .. }]),
+        "an unknown class is refused: nothing has run"
+    );
     assert!(world.event(Event::ClientGone(RequestId(77))).is_empty());
     assert!(world.event(Event::Timer(12345)).is_empty());
-    assert!(world.event(Event::Streaming { request: RequestId(77), attempt: 3 }).is_empty());
-    assert!(matches!(world.request(1, 0, 999)[..], [Action::Send { .. }]), "an unlisted tenant is served");
+    assert!(world
+        .event(Event::Streaming {
+            request: RequestId(77),
+            attempt: 3
+        })
+        .is_empty());
+    assert!(
+        matches!(world.request(1, 0, 999)[..], [Action::Send { .. }]),
+        "an unlisted tenant is served"
+    );
 }
 
 /// The module must not panic, whatever the host hands it.
 #[test]
 fn odd_numbers_for_times_do_no_harm() {
-    let odd = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -5.0, 0.0, 1e300, 40.0];
+    let odd = [
+        f64::NAN,
+        f64::INFINITY,
+        f64::NEG_INFINITY,
+        -5.0,
+        0.0,
+        1e300,
+        40.0,
+    ];
     let mut balancer = Balancer::new(one_class(Effect::Free), 3, 0.0).expect("settings");
     let mut actions = Vec::new();
     for (n, &now) in odd.iter().cycle().take(500).enumerate() {
         let (id, value) = (RequestId(n as u32), odd[n / 7 % 7]);
-        let list = (1..5).map(|id| Member { since: value, ..member(id) }).collect();
+        let list = (1..5)
+            .map(|id| Member {
+                since: value,
+                ..member(id)
+            })
+            .collect();
         balancer.handle(now, Event::Membership(Membership::Full(list)), &mut actions);
-        let request = Request { id, class: 0, tenant: n % 3, deadline: value, tie: 0 };
+        let request = Request {
+            id,
+            class: 0,
+            tenant: n % 3,
+            deadline: value,
+            tie: 0,
+        };
         balancer.handle(now, Event::Request(request), &mut actions);
-        let (attempt, ending) =
-            (n as u32 % 2, if n.is_multiple_of(3) { Ending::Timeout } else { Ending::Ok });
-        let outcome =
-            Event::Outcome { request: id, attempt, ending, duration: value, closed: n.is_multiple_of(2) };
+        let (attempt, ending) = (
+            n as u32 % 2,
+            if n.is_multiple_of(3) {
+                Ending::Timeout
+            } else {
+                Ending::Ok
+            },
+        );
+        let outcome = Event::Outcome {
+            request: id,
+            attempt,
+            ending,
+            duration: value,
+            closed: n.is_multiple_of(2),
+        };
         balancer.handle(now, outcome.clone(), &mut actions);
         balancer.handle(now, outcome, &mut actions);
         balancer.handle(now, Event::Timer(0), &mut actions);
@@ -280,12 +524,19 @@
         Action::Send { timeout, .. } => Some(*timeout),
         _ => None,
     });
-    assert!(spans.clone().count() > 0 && !spans.clone().any(f64::is_nan), "{:?}", spans.collect::<Vec<_>>());
+    assert!(
+        spans.clone().count() > 0 && !spans.clone().any(f64::is_nan),
+        "{:?}",
+        spans.collect::<Vec<_>>()
+    );
 }
 
 #[test]
 fn the_list_is_asked_for_again_with_backoff_well_within_ask_within() {
-    let settings = Settings { ask_for_list: true, ..Settings::default() };
+    let settings = Settings {
+        ask_for_list: true,
+        ..Settings::default()
+    };
     let mut world = World::new(settings.clone(), 3, vec![member(1)]);
     let mut waits = Vec::new();
     for _ in 0..12 {
@@ -300,15 +551,24 @@
         waits.push(after);
     }
     assert!(waits[11] > 4.0 * waits[0], "the pauses grow: {waits:?}");
-    assert!(waits.iter().all(|&w| w < settings.ask_within / 2.0), "never counts as told: {waits:?}");
+    assert!(
+        waits.iter().all(|&w| w < settings.ask_within / 2.0),
+        "never counts as told: {waits:?}"
+    );
 }
 
 /// A change counts as told 6 s after discovery had it, whatever a deployment says of `ask_within`: a pause, a call that
 /// falls silent and the next one must fit, 1.5 s for each call.
 #[test]
 fn the_pause_before_the_list_is_asked_for_again_leaves_time_for_two_calls() {
-    for (seed, ask_within) in (0..40).flat_map(|seed| [2_000.0, 10_000.0, 60_000.0].map(|w| (seed, w))) {
-        let settings = Settings { ask_for_list: true, ask_within, ..Settings::default() };
+    for (seed, ask_within) in
+        (0..40).flat_map(|seed| [2_000.0, 10_000.0, 60_000.0].map(|w| (seed, w)))
+    {
+        let settings = Settings {
+            ask_for_list: true,
+            ask_within,
+            ..Settings::default()
+        };
         let mut world = World::new(settings, seed, vec![member(1)]);
         for failures in 1..12 {
             let actions = world.event(Event::Membership(Membership::Failed));
@@ -317,7 +577,10 @@
                 _ => None,
             });
             let pause = pauses.fold(0.0, f64::max);
-            assert!(pause > 0.0 && pause + 2.0 * 1500.0 <= 5_000.0, "{pause} ms after {failures} failures");
+            assert!(
+                pause > 0.0 && pause + 2.0 * 1500.0 <= 5_000.0,
+                "{pause} ms after {failures} failures"
+            );
         }
     }
 }
@@ -335,14 +598,18 @@
         ..Settings::default()
     };
     let members = || (1..=20).map(member).collect::<Vec<_>>();
-    let mut worlds: Vec<World> =
-        (0..COPIES).map(|i| World::new(settings(i), u64::from(i), members())).collect();
+    let mut worlds: Vec<World> = (0..COPIES)
+        .map(|i| World::new(settings(i), u64::from(i), members()))
+        .collect();
     let (mut id, mut sent_to, mut cold_sends) = (0, 0, Vec::new());
     for step in 0..200 {
         // Two calls a second and copy, answered after 50 ms; the upstream restarts after ten seconds.
         for (i, w) in worlds.iter_mut().enumerate() {
             if step == 100 {
-                w.list(Membership::Delta(vec![Member { since: w.now, ..member(1) }]));
+                w.list(Membership::Delta(vec![Member {
+                    since: w.now,
+                    ..member(1)
+                }]));
             }
             if (step + i).is_multiple_of(5) {
                 id += 1;
@@ -365,9 +632,15 @@
     // 400 calls a second over 20 upstreams: each carries 20 a second at least.
     for window in 0..10 {
         let from = 10_000.0 + f64::from(window) * 1000.0;
-        let calls = cold_sends.iter().filter(|&&t| t >= from && t < from + 1000.0).count() as f64;
+        let calls = cold_sends
+            .iter()
+            .filter(|&&t| t >= from && t < from + 1000.0)
+            .count() as f64;
         let warmth = 0.15 + 0.85 * f64::from(window) / 20.0;
-        assert!(calls <= 2.5 * 20.0 * warmth, "{calls} calls in second {window} at warmth {warmth}");
+        assert!(
+            calls <= 2.5 * 20.0 * warmth,
+            "{calls} calls in second {window} at warmth {warmth}"
+        );
     }
     assert!(!cold_sends.is_empty(), "it is warmed up, not shut out");
 }
@@ -387,14 +660,18 @@
         ..Settings::default()
     };
     let members = || (1..=10).map(member).collect::<Vec<_>>();
-    let mut worlds: Vec<World> =
-        (0..COPIES).map(|i| World::new(settings(i), u64::from(i), members())).collect();
+    let mut worlds: Vec<World> = (0..COPIES)
+        .map(|i| World::new(settings(i), u64::from(i), members()))
+        .collect();
     let (mut id, mut cold_sends) = (0, Vec::new());
     for step in 0..200 {
         // One call a second and copy, a tenth of the quotas; the upstream restarts after ten seconds.
         for (i, w) in worlds.iter_mut().enumerate() {
             if step == 100 {
-                w.list(Membership::Delta(vec![Member { since: w.now, ..member(1) }]));
+                w.list(Membership::Delta(vec![Member {
+                    since: w.now,
+                    ..member(1)
+                }]));
             }
             if (step + i).is_multiple_of(10) {
                 id += 1;
@@ -412,11 +689,21 @@
         }
     }
     // 40 calls a second over 10 upstreams, each of which carries 40 a second when the quotas are used.
-    assert!(cold_sends.len() > 30, "{} calls of 400 in ten seconds", cold_sends.len());
+    assert!(
+        cold_sends.len() > 30,
+        "{} calls of 400 in ten seconds",
+        cold_sends.len()
+    );
     for window in 0..10 {
         let from = 10_000.0 + f64::from(window) * 1000.0;
-        let calls = cold_sends.iter().filter(|&&t| t >= from && t < from + 1000.0).count() as f64;
+        let calls = cold_sends
+            .iter()
+            .filter(|&&t| t >= from && t < from + 1000.0)
+            .count() as f64;
         let warmth = 0.15 + 0.85 * f64::from(window) / 20.0;
-        assert!(calls <= 2.5 * 40.0 * warmth, "{calls} calls in second {window} at warmth {warmth}");
+        assert!(
+            calls <= 2.5 * 40.0 * warmth,
+            "{calls} calls in second {window} at warmth {warmth}"
+        );
     }
 }
--- a/balancer/core/tests/slow_start.rs
+++ b/balancer/core/tests/slow_start.rs
@@ -1,8 +1,8 @@
 //! What all balancers together send to an upstream in slow start, against its budget in every sliding window.
 mod common;
 
-use common::slow_start::*;
 use balancer_core::*;
+use common::slow_start::*;
 
 /// Balancers, upstreams, and calls a second that a warm upstream carries.
 type FleetSize = (usize, u64, f64);
@@ -24,29 +24,58 @@
 const KINDS: [Kind; 20] = [
     ("usual load", |_| {}),
     ("overload", |d| d.load = |_| 2.0),
-    ("burst", |d| d.load = |t| if (6_000.0..13_000.0).contains(&t) { 2.5 } else { 0.8 }),
+    ("burst", |d| {
+        d.load = |t| {
+            if (6_000.0..13_000.0).contains(&t) {
+                2.5
+            } else {
+                0.8
+            }
+        }
+    }),
     ("burst after quiet", burst_after_quiet),
-    ("late burst after quiet", |d| d.load = |t| if t < 20_000.0 { 0.1 } else { 2.5 }),
+    ("late burst after quiet", |d| {
+        d.load = |t| if t < 20_000.0 { 0.1 } else { 2.5 }
+    }),
     ("uneven load", |d| d.weight = uneven),
     ("uneven load, burst", |d| {
         d.weight = uneven;
-        d.load = |t| if (6_000.0..13_000.0).contains(&t) { 2.5 } else { 0.8 };
+        d.load = |t| {
+            if (6_000.0..13_000.0).contains(&t) {
+                2.5
+            } else {
+                0.8
+            }
+        };
+    }),
+    ("balancers restart in turn", |d| {
+        d.restarts = |i, t| t > COLD_AT && tenths(t) % 100 == i % 100
+    }),
+    ("all balancers restart, twice", |d| {
+        d.restarts = |_, t| [70, 130].contains(&tenths(t))
+    }),
+    ("the cold one answers errors", |d| {
+        d.ending = |id, t| failing(id.0 == 1, t, Ending::Error)
+    }),
+    ("the cold one is full", |d| {
+        d.ending = |id, t| failing(id.0 == 1, t, Ending::Full)
     }),
-    ("balancers restart in turn", |d| d.restarts = |i, t| t > COLD_AT && tenths(t) % 100 == i % 100),
-    ("all balancers restart, twice", |d| d.restarts = |_, t| [70, 130].contains(&tenths(t))),
-    ("the cold one answers errors", |d| d.ending = |id, t| failing(id.0 == 1, t, Ending::Error)),
-    ("the cold one is full", |d| d.ending = |id, t| failing(id.0 == 1, t, Ending::Full)),
     ("last resort", last_resort),
     ("several cold", |d| d.cold = 4),
     ("all cold", |d| d.cold = d.upstreams),
-    ("restarted twice", |d| d.news = vec![(9_000.0, vec![d.listed(1, 9_000.0)])]),
+    ("restarted twice", |d| {
+        d.news = vec![(9_000.0, vec![d.listed(1, 9_000.0)])]
+    }),
     ("slow kind, overload", |d| {
         d.size = with_slow_kind;
         d.load = |_| 2.0;
     }),
     ("most replaced within four seconds", |d| {
         d.cold = 0;
-        let gone = |id| Member { availability: Availability::Gone, ..d.listed(id, 0.0) };
+        let gone = |id| Member {
+            availability: Availability::Gone,
+            ..d.listed(id, 0.0)
+        };
         let mut news = vec![(5_000.0, (3..=d.upstreams).map(gone).collect())];
         for id in 3..=d.upstreams {
             let at = 5_000.0 + 4_000.0 * id as f64 / d.upstreams as f64;
@@ -57,9 +86,18 @@
     ("a zone lost with its balancers", |d| {
         d.cold = 0;
         let lost = |id: &u64| id.is_multiple_of(3);
-        let gone = |id| Member { availability: Availability::Gone, ..d.listed(id, 0.0) };
+        let gone = |id| Member {
+            availability: Availability::Gone,
+            ..d.listed(id, 0.0)
+        };
         d.news = vec![(5_000.0, (1..=d.upstreams).filter(lost).map(gone).collect())];
-        d.news.push((9_000.0, (1..=d.upstreams).filter(lost).map(|id| d.listed(id, 9_000.0)).collect()));
+        d.news.push((
+            9_000.0,
+            (1..=d.upstreams)
+                .filter(lost)
+                .map(|id| d.listed(id, 9_000.0))
+                .collect(),
+        ));
         d.restarts = |i, t| i.is_multiple_of(3) && tenths(t) == 80;
     }),
     ("a zone returns one by one, calls near", zone_returns),
@@ -77,8 +115,12 @@
     d.near = true;
     d.zone = |id| (id.0 % 3) as u16;
     d.cold = 0;
-    let gone = |id| Member { availability: Availability::Gone, ..d.listed(id, 0.0) };
-    let mut news: Vec<(f64, Vec<Member>)> = vec![(5_000.0, (3..=d.upstreams).step_by(3).map(gone).collect())];
+    let gone = |id| Member {
+        availability: Availability::Gone,
+        ..d.listed(id, 0.0)
+    };
+    let mut news: Vec<(f64, Vec<Member>)> =
+        vec![(5_000.0, (3..=d.upstreams).step_by(3).map(gone).collect())];
     for id in (3..=d.upstreams).step_by(3) {
         let at = 8_000.0 + 500.0 * id as f64;
         news.push((at, vec![d.listed(id, at)]));
@@ -223,11 +265,22 @@
         d.load = |_| 2.0;
         d.says_served = true;
     };
-    for fleet in [(12, 8, 40.0), (100, 8, 40.0), (300, 8, 80.0), (300, 30, 20.0)] {
+    for fleet in [
+        (12, 8, 40.0),
+        (100, 8, 40.0),
+        (300, 8, 80.0),
+        (300, 30, 20.0),
+    ] {
         let worst = worst_of(fleet, 3, many);
-        assert!(worst <= 1.0, "{fleet:?}, usual load: {worst} times the budget");
+        assert!(
+            worst <= 1.0,
+            "{fleet:?}, usual load: {worst} times the budget"
+        );
         let worst = worst_of(fleet, 3, served);
-        assert!(worst <= 1.0, "{fleet:?}, overload, upstreams say what they serve: {worst} times the budget");
+        assert!(
+            worst <= 1.0,
+            "{fleet:?}, overload, upstreams say what they serve: {worst} times the budget"
+        );
     }
 }
 
--- a/balancer/core/tests/unheard.rs
+++ b/balancer/core/tests/unheard.rs
@@ -1,20 +1,28 @@
 //! What the host leaves out of a word, since the operator has switched it off, must be as if nobody had said it.
 mod common;
 
-use common::*;
 use balancer_core::*;
+use common::*;
 
 /// Overload, late answers, errors and a zone that goes silent, with a word every 100 ms.
 fn day(word: impl Fn(usize) -> Option<TierWord>) -> Vec<Action> {
     let settings = Settings {
-        classes: vec![Class { late_worth: 0.5, ..class(Effect::Free) }],
+        classes: vec![Class {
+            late_worth: 0.5,
+            ..class(Effect::Free)
+        }],
         tenants: tenants(&[0.5, 0.5], 80.0),
         balancers: 5,
         cancel: true,
         max_retry_after: 1000.0,
         ..Settings::default()
     };
-    let members = (1..=8).map(|id| Member { zone: (id % 2) as u16, ..member(id) }).collect();
+    let members = (1..=8)
+        .map(|id| Member {
+            zone: (id % 2) as u16,
+            ..member(id)
+        })
+        .collect();
     let mut w = World::new(settings, 4, members);
     for step in 0..160 {
         if let Some(word) = word(step) {
@@ -35,11 +43,26 @@
 #[test]
 fn a_word_without_what_is_switched_off_changes_nothing() {
     let alone = day(|_| None);
-    let refused = alone.iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
-    let left = alone.iter().any(|a| matches!(a, Action::Log(line) if line.contains("is left")));
-    assert!(refused > 50 && left, "a day on which much is decided: {refused} refused, {left}");
-    let none = TierLoad { tenants: vec![TenantLoad::default(); 3], ..TierLoad::default() };
-    let sums = Some(TierSums { load: none, age: 50.0, error: 0.0 });
+    let refused = alone
+        .iter()
+        .filter(|a| matches!(a, Action::Refuse { .. }))
+        .count();
+    let left = alone
+        .iter()
+        .any(|a| matches!(a, Action::Log(line) if line.contains("is left")));
+    assert!(
+        refused > 50 && left,
+        "a day on which much is decided: {refused} refused, {left}"
+    );
+    let none = TierLoad {
+        tenants: vec![TenantLoad::default(); 3],
+        ..TierLoad::default()
+    };
+    let sums = Some(TierSums {
+        load: none,
+        age: 50.0,
+        error: 0.0,
+    });
     for sums in [None, sums] {
         // Cut off for a while as well.
         let word = |step: usize| TierWord {
--- a/balancer/core/tests/zones.rs
+++ b/balancer/core/tests/zones.rs
@@ -1,14 +1,19 @@
 //! Zones that are lost, cut off, slow, flapping or emptied, as one copy sees them.
 mod common;
 
-use common::*;
 use balancer_core::*;
+use common::*;
 use std::cell::Cell;
 
 const ANSWER: f64 = 250.0;
 
 fn settings() -> Settings {
-    let class = Class { objective: 1000.0, deadline: 3000.0, late_worth: 0.5, ..class(Effect::Free) };
+    let class = Class {
+        objective: 1000.0,
+        deadline: 3000.0,
+        late_worth: 0.5,
+        ..class(Effect::Free)
+    };
     Settings {
         classes: vec![class],
         tenants: tenants(&[1.0], 60.0),
@@ -23,7 +28,12 @@
 }
 
 fn listed() -> Vec<Member> {
-    (0..24).map(|id| Member { zone: (id % 3) as u16, ..member(id) }).collect()
+    (0..24)
+        .map(|id| Member {
+            zone: (id % 3) as u16,
+            ..member(id)
+        })
+        .collect()
 }
 
 fn world() -> World {
@@ -32,19 +42,25 @@
 
 /// Sends, with answers that take as long as `slow` says for each zone; a zone of which it says nothing is silent.
 fn live(w: &mut World, span: f64, per_s: f64, slow: impl Fn(u16) -> Option<f64>) {
-    w.traffic(span, per_s, &[0], &|id| slow(zone_of(id)).map(|times| (Ending::Ok, ANSWER * times)));
+    w.traffic(span, per_s, &[0], &|id| {
+        slow(zone_of(id)).map(|times| (Ending::Ok, ANSWER * times))
+    });
 }
 
 /// What is out to a zone gets no answer any more.
 fn cut(w: &mut World, zone: u16) {
     let seen = &w.seen;
-    w.due.retain(|&(_, id, attempt, _)| zone_of(seen[&RequestId(id)].sends[attempt].0) != zone);
+    w.due
+        .retain(|&(_, id, attempt, _)| zone_of(seen[&RequestId(id)].sends[attempt].0) != zone);
 }
 
 /// Attempts since `from` by zone.
 fn sent(w: &World, from: f64) -> [usize; 3] {
     let mut by = [0; 3];
-    w.sent_since(from).1.into_iter().for_each(|(id, n)| by[usize::from(zone_of(id))] += n);
+    w.sent_since(from)
+        .1
+        .into_iter()
+        .for_each(|(id, n)| by[usize::from(zone_of(id))] += n);
     by
 }
 
@@ -75,7 +91,11 @@
     cut(&mut w, 0);
     live(&mut w, 600.0, 60.0, without(0));
     let log = said(&mut w);
-    assert!(log.iter().any(|l| l.starts_with("zone 0 is left: it owes ")), "{log:?}");
+    assert!(
+        log.iter()
+            .any(|l| l.starts_with("zone 0 is left: it owes ")),
+        "{log:?}"
+    );
     let left = w.now;
     live(&mut w, 4000.0, 60.0, without(0));
     let after = sent(&w, left);
@@ -85,10 +105,21 @@
         said(&mut w)
     );
     // What hung in it was sent again elsewhere, and was answered.
-    let hung = |s: &&Seen| s.sends.first().is_some_and(|(id, at)| zone_of(*id) == 0 && *at > lost - ANSWER);
+    let hung = |s: &&Seen| {
+        s.sends
+            .first()
+            .is_some_and(|(id, at)| zone_of(*id) == 0 && *at > lost - ANSWER)
+    };
     let hung: Vec<&Seen> = w.seen.values().filter(hung).collect();
-    let served = hung.iter().filter(|s| s.ended.last() == Some(&Some(Ending::Ok))).count();
-    assert!(hung.len() >= 3 && served * 4 >= hung.len() * 3, "{served} of {}", hung.len());
+    let served = hung
+        .iter()
+        .filter(|s| s.ended.last() == Some(&Some(Ending::Ok)))
+        .count();
+    assert!(
+        hung.len() >= 3 && served * 4 >= hung.len() * 3,
+        "{served} of {}",
+        hung.len()
+    );
     let back = w.now;
     let mut shares = Vec::new();
     for _ in 0..16 {
@@ -97,11 +128,25 @@
         shares.push(sent(&w, from)[0]);
     }
     let log = said(&mut w);
-    assert!(log.iter().any(|l| l == "zone 0 is returning: 0.125 of its draws stand"), "{log:?}");
-    assert!(log.iter().any(|l| l == "zone 0 is near: 1.000 of its draws stand"), "{log:?}");
+    assert!(
+        log.iter()
+            .any(|l| l == "zone 0 is returning: 0.125 of its draws stand"),
+        "{log:?}"
+    );
+    assert!(
+        log.iter()
+            .any(|l| l == "zone 0 is near: 1.000 of its draws stand"),
+        "{log:?}"
+    );
     let whole = sent(&w, back).iter().sum::<usize>() / 16;
-    assert!(shares[1] * 2 < whole.max(2), "not all at once: {shares:?} of {whole}");
-    assert!(shares[15] * 2 > whole, "all in the end: {shares:?} of {whole}");
+    assert!(
+        shares[1] * 2 < whole.max(2),
+        "not all at once: {shares:?} of {whole}"
+    );
+    assert!(
+        shares[15] * 2 > whole,
+        "all in the end: {shares:?} of {whole}"
+    );
 }
 
 /// A shared dependency: leaving any of them would only crowd the rest.
@@ -128,7 +173,10 @@
     let from = w.now;
     live(&mut w, 4000.0, 40.0, |zone| (zone == 0).then_some(1.0));
     let after = sent(&w, from);
-    assert!(after[0] > 20 && after[1] + after[2] <= after[0] / 10, "{after:?}");
+    assert!(
+        after[0] > 20 && after[1] + after[2] <= after[0] / 10,
+        "{after:?}"
+    );
 }
 
 /// One that answers slowly is not lost: fewer calls go to it, and none are called off.
@@ -137,16 +185,27 @@
     let mut w = world();
     live(&mut w, 20_000.0, 40.0, well);
     let near = sent(&w, 10_000.0);
-    assert!(near[0] * 10 > near.iter().sum::<usize>() * 5, "near while it is well: {near:?}");
+    assert!(
+        near[0] * 10 > near.iter().sum::<usize>() * 5,
+        "near while it is well: {near:?}"
+    );
     let from = w.now;
-    live(&mut w, 10_000.0, 40.0, |zone| Some(if zone == 0 { 2.0 } else { 1.0 }));
+    live(&mut w, 10_000.0, 40.0, |zone| {
+        Some(if zone == 0 { 2.0 } else { 1.0 })
+    });
     let slow = sent(&w, from + 5000.0);
-    assert!(slow[0] * 3 < slow.iter().sum::<usize>(), "spilt while it is slow: {slow:?}");
+    assert!(
+        slow[0] * 3 < slow.iter().sum::<usize>(),
+        "spilt while it is slow: {slow:?}"
+    );
     assert_eq!(said(&mut w), Vec::<String>::new());
     let from = w.now;
     live(&mut w, 20_000.0, 40.0, well);
     let again = sent(&w, from + 15_000.0);
-    assert!(again[0] * 10 > again.iter().sum::<usize>() * 5, "near again: {again:?}");
+    assert!(
+        again[0] * 10 > again.iter().sum::<usize>() * 5,
+        "near again: {again:?}"
+    );
 }
 
 /// Half of a zone fails: the half that answers keeps it, and what fails is ejected one by one.
@@ -156,7 +215,11 @@
     live(&mut w, 10_000.0, 60.0, well);
     w.traffic(8000.0, 60.0, &[0], &|id| {
         let fails = zone_of(id) == 1 && id.0 % 2 == 0;
-        Some(if fails { (Ending::ConnectFailed, 1.0) } else { (Ending::Ok, ANSWER) })
+        Some(if fails {
+            (Ending::ConnectFailed, 1.0)
+        } else {
+            (Ending::Ok, ANSWER)
+        })
     });
     assert_eq!(said(&mut w), Vec::<String>::new());
 }
@@ -191,10 +254,17 @@
     let mut w = world();
     live(&mut w, 10_000.0, 60.0, well);
     w.traffic(3000.0, 60.0, &[0], &|id| {
-        Some(if zone_of(id) == 0 { (Ending::ConnectFailed, 1.0) } else { (Ending::Ok, ANSWER) })
+        Some(if zone_of(id) == 0 {
+            (Ending::ConnectFailed, 1.0)
+        } else {
+            (Ending::Ok, ANSWER)
+        })
     });
     let log = said(&mut w);
-    assert!(log.iter().any(|l| l.starts_with("zone 0 is left")), "{log:?}");
+    assert!(
+        log.iter().any(|l| l.starts_with("zone 0 is left")),
+        "{log:?}"
+    );
 }
 
 #[test]
@@ -223,7 +293,12 @@
     let (from, left) = (w.now, Cell::new(None));
     while left.get().is_none() {
         live(&mut w, 200.0, 5.0, without(0));
-        left.set(said(&mut w).iter().any(|l| l.starts_with("zone 0 is left")).then_some(w.now - from));
+        left.set(
+            said(&mut w)
+                .iter()
+                .any(|l| l.starts_with("zone 0 is left"))
+                .then_some(w.now - from),
+        );
         assert!(w.now - from < 5000.0, "not left");
     }
     assert!(left.get() < Some(3000.0), "{left:?}");
--- a/balancer/gossip/src/knowledge/ages.rs
+++ b/balancer/gossip/src/knowledge/ages.rs
@@ -40,25 +40,45 @@
 
 impl Clocks {
     pub fn new(candidates: u16, first: u32, now: Millis) -> Clocks {
-        let peers = vec![Peer { latest: None, offset: None }; usize::from(candidates)];
-        Clocks { peers, first, start: now }
+        let peers = vec![
+            Peer {
+                latest: None,
+                offset: None
+            };
+            usize::from(candidates)
+        ];
+        Clocks {
+            peers,
+            first,
+            start: now,
+        }
     }
 
     /// The stamp for a datagram sent now.
     pub fn stamp(&self, now: Millis) -> u32 {
         // Wraps after 49 days; differences are taken in the same arithmetic.
-        self.first.wrapping_add((now - self.start).max(0.0) as u64 as u32)
+        self.first
+            .wrapping_add((now - self.start).max(0.0) as u64 as u32)
     }
 
     /// The echo for a peer.
     pub fn echo(&self, now: Millis, to: Member) -> Option<Echo> {
         let (stamp, at) = self.peers.get(usize::from(to.0))?.latest?;
         let held = now - at;
-        (held < MAX_ECHO_AGE).then(|| Echo { stamp, held: held.max(0.0) as u32 })
+        (held < MAX_ECHO_AGE).then(|| Echo {
+            stamp,
+            held: held.max(0.0) as u32,
+        })
     }
 
     /// Takes a datagram's stamp and echo; how long it was in transit at most, where that is known.
-    pub fn read(&mut self, now: Millis, from: Member, stamp: u32, echo: Option<Echo>) -> Option<Millis> {
+    pub fn read(
+        &mut self,
+        now: Millis,
+        from: Member,
+        stamp: u32,
+        echo: Option<Echo>,
+    ) -> Option<Millis> {
         let ours = self.stamp(now);
         let since_start = (now - self.start).max(0.0);
         let peer = self.peers.get_mut(usize::from(from.0))?;
@@ -88,7 +108,9 @@
         };
         // A late datagram's stamp is not echoed in place of a later one's.
         let later = peer.latest.is_none_or(|(latest, at)| {
-            (stamp.wrapping_sub(latest) as i32) >= 0 || by_offset.is_none() || now - at > MAX_ECHO_AGE
+            (stamp.wrapping_sub(latest) as i32) >= 0
+                || by_offset.is_none()
+                || now - at > MAX_ECHO_AGE
         });
         if later {
             peer.latest = Some((stamp, now));
