--- a/balancer/gossip/src/knowledge/sums.rs
+++ b/balancer/gossip/src/knowledge/sums.rs
@@ -66,7 +66,9 @@
     /// Takes this replica's own figures.
     pub fn observe(&mut self, now: Millis, figures: Figures) {
         self.figures = figures;
-        self.figures.tenants.resize(self.tenant_count, TenantFigures::default());
+        self.figures
+            .tenants
+            .resize(self.tenant_count, TenantFigures::default());
         self.observed = Some(now);
     }
 
@@ -82,19 +84,35 @@
     ) {
         for entry in totals {
             let created = created(now, entry.age, transit);
-            let Some(known) = self.totals.get_mut(usize::from(entry.owner)) else { continue };
+            let Some(known) = self.totals.get_mut(usize::from(entry.owner)) else {
+                continue;
+            };
             let key = (created, entry.figures);
             let younger = known.is_none_or(|known| key > (known.created, known.figures));
             if entry.owner != self.own.0 && now - created <= MAX_AGE && younger {
-                *known = Some(ReceivedTotals { created, figures: entry.figures });
+                *known = Some(ReceivedTotals {
+                    created,
+                    figures: entry.figures,
+                });
             }
         }
         let Some(rest) = rest else { return };
         let created = created(now, rest.age, transit);
-        let Some(known) = self.tenants.get_mut(usize::from(from.0)) else { return };
-        if now - created <= TENANTS_MAX_AGE && known.as_ref().is_none_or(|known| created > known.created) {
-            let rows = rows.into_iter().filter(|row| usize::from(row.tenant) < self.tenant_count).collect();
-            *known = Some(ReceivedTenants { created, rest: rest.figures.map(Figure::value), rows });
+        let Some(known) = self.tenants.get_mut(usize::from(from.0)) else {
+            return;
+        };
+        if now - created <= TENANTS_MAX_AGE
+            && known.as_ref().is_none_or(|known| created > known.created)
+        {
+            let rows = rows
+                .into_iter()
+                .filter(|row| usize::from(row.tenant) < self.tenant_count)
+                .collect();
+            *known = Some(ReceivedTenants {
+                created,
+                rest: rest.figures.map(Figure::value),
+                rows,
+            });
         }
     }
 
@@ -111,14 +129,22 @@
         if let Some(age) = own_age {
             let own = &self.figures;
             let figures = [own.demand, own.room, own.firsts, own.retries].map(Figure::of);
-            outgoing.push(Totals { owner: self.own.0, age, figures });
+            outgoing.push(Totals {
+                owner: self.own.0,
+                age,
+                figures,
+            });
         }
         let entries = self.totals.iter().enumerate();
         let mut others: Vec<Totals> = entries
             .filter_map(|(owner, received)| {
                 let received = received.filter(|received| now - received.created <= MAX_AGE)?;
                 let age = ticks(now - received.created)?;
-                Some(Totals { owner: owner as u16, age, figures: received.figures })
+                Some(Totals {
+                    owner: owner as u16,
+                    age,
+                    figures: received.figures,
+                })
             })
             .collect();
         // The younger half is of use for longer, so it goes first. A datagram has space for 18 at most.
@@ -127,7 +153,9 @@
         others.truncate(young);
         let (chosen, _) = others.partial_shuffle(rng, 18);
         outgoing.extend_from_slice(chosen);
-        let Some(age) = own_age.filter(|_| tenants) else { return (outgoing, None, Vec::new()) };
+        let Some(age) = own_age.filter(|_| tenants) else {
+            return (outgoing, None, Vec::new());
+        };
         let (rows, figures) = self.rows();
         (outgoing, Some(Rest { age, figures }), rows)
     }
@@ -136,14 +164,17 @@
     fn rows(&mut self) -> (Vec<Row>, [Figure; 3]) {
         let parts = |tenant: &TenantFigures| [tenant.demand, tenant.calls, tenant.callers];
         let sum = |all: &mut dyn Iterator<Item = &TenantFigures>| {
-            all.map(parts).fold([0.0; 3], |a, b| [a[0] + b[0], a[1] + b[1], a[2] + b[2]])
+            all.map(parts)
+                .fold([0.0; 3], |a, b| [a[0] + b[0], a[1] + b[1], a[2] + b[2]])
         };
         let all = &self.figures.tenants;
         let total = sum(&mut all.iter());
         // The largest by their share of anything.
         let weight = |tenant: &TenantFigures| {
             let shares = parts(tenant).into_iter().zip(total);
-            shares.map(|(part, all)| if all > 0.0 { part / all } else { 0.0 }).fold(0.0, f64::max)
+            shares
+                .map(|(part, all)| if all > 0.0 { part / all } else { 0.0 })
+                .fold(0.0, f64::max)
         };
         let mut order: Vec<usize> = (0..all.len()).collect();
         if order.len() > ROWS {
@@ -152,11 +183,19 @@
             order.extend((0..ROTATING_ROWS).map(|at| others[(self.rotation + at) % others.len()]));
             self.rotation = self.rotation.wrapping_add(ROTATING_ROWS);
         }
-        let named = |at: &usize| Row { tenant: *at as u16, figures: parts(&all[*at]).map(Figure::of) };
+        let named = |at: &usize| Row {
+            tenant: *at as u16,
+            figures: parts(&all[*at]).map(Figure::of),
+        };
         let rows: Vec<Row> = order.iter().map(named).collect();
         let named = sum(&mut order.iter().map(|at| &all[*at]));
-        let rest = [0, 1, 2]
-            .map(|part| Figure::of(if rows.len() < all.len() { total[part] - named[part] } else { 0.0 }));
+        let rest = [0, 1, 2].map(|part| {
+            Figure::of(if rows.len() < all.len() {
+                total[part] - named[part]
+            } else {
+                0.0
+            })
+        });
         (rows, rest)
     }
 
@@ -174,7 +213,12 @@
             return None;
         }
         let mut age = now - observed;
-        let own = [self.figures.demand, self.figures.room, self.figures.firsts, self.figures.retries];
+        let own = [
+            self.figures.demand,
+            self.figures.room,
+            self.figures.firsts,
+            self.figures.retries,
+        ];
         let mut totals = own;
         let mut squares = own[0] * own[0];
         for entry in &received {
@@ -187,9 +231,20 @@
         let scale = up.len() as f64 / n as f64;
         let (tenants, tenants_age) = self.tenants(now, up);
         let [demand, room, firsts, retries] = totals.map(|total| total * scale);
-        let figures = Figures { demand, room, firsts, retries, tenants };
+        let figures = Figures {
+            demand,
+            room,
+            firsts,
+            retries,
+            tenants,
+        };
         let error = error(n, up.len(), totals[0], squares);
-        Some(Sums { figures, age: age.max(tenants_age), heard: n as u32, error })
+        Some(Sums {
+            figures,
+            age: age.max(tenants_age),
+            heard: n as u32,
+            error,
+        })
     }
 
     /// Each tenant's sum, and the age of the oldest figure in it. What an owner didn't name has an even part of its
@@ -198,7 +253,9 @@
         let mut sums = self.figures.tenants.clone();
         let (mut n, mut even, mut age) = (1.0, [0.0; 3], 0.0_f64);
         for member in up.iter().filter(|member| **member != self.own) {
-            let Some(Some(received)) = self.tenants.get(usize::from(member.0)) else { continue };
+            let Some(Some(received)) = self.tenants.get(usize::from(member.0)) else {
+                continue;
+            };
             if now - received.created > TENANTS_MAX_AGE {
                 continue;
             }
--- a/balancer/gossip/src/knowledge/verdicts.rs
+++ b/balancer/gossip/src/knowledge/verdicts.rs
@@ -53,13 +53,24 @@
 
 impl Verdicts {
     pub fn new(own: Member, zone: u16, sequence: u16) -> Verdicts {
-        Verdicts { own, zone, sequence, observations: BTreeMap::new() }
+        Verdicts {
+            own,
+            zone,
+            sequence,
+            observations: BTreeMap::new(),
+        }
     }
 
     /// Takes all that this replica observes itself now; whether any of it is new and to be gossiped at once.
     pub fn observe(&mut self, now: Millis, against: &[Subject], cleared: &[Subject]) -> bool {
-        let against = against.iter().take(MAX_SUBJECTS / 2).map(|subject| (*subject, Stance::Against));
-        let cleared = cleared.iter().take(MAX_SUBJECTS / 2).map(|subject| (*subject, Stance::Cleared));
+        let against = against
+            .iter()
+            .take(MAX_SUBJECTS / 2)
+            .map(|subject| (*subject, Stance::Against));
+        let cleared = cleared
+            .iter()
+            .take(MAX_SUBJECTS / 2)
+            .map(|subject| (*subject, Stance::Cleared));
         let (own, zone) = (self.own.0, self.zone);
         let mut changed_any = false;
         let mut own_verdicts: BTreeMap<Subject, Stance> = BTreeMap::new();
@@ -79,7 +90,15 @@
             let changed = last.is_none_or(|last| last.stance != stance);
             if changed || last.is_some_and(|last| now - last.created >= RENEWAL_PERIOD) {
                 self.sequence = self.sequence.wrapping_add(1);
-                by_observer.insert(own, Observation { sequence: self.sequence, created: now, stance, zone });
+                by_observer.insert(
+                    own,
+                    Observation {
+                        sequence: self.sequence,
+                        created: now,
+                        stance,
+                        zone,
+                    },
+                );
             }
             changed_any |= changed;
         }
@@ -92,8 +111,12 @@
         if verdict.observer == self.own.0 || now - created > MAX_AGE {
             return false;
         }
-        let observation =
-            Observation { sequence: verdict.sequence, created, stance: verdict.stance, zone: verdict.zone };
+        let observation = Observation {
+            sequence: verdict.sequence,
+            created,
+            stance: verdict.stance,
+            zone: verdict.zone,
+        };
         let by_observer = self.observations.entry(verdict.subject).or_default();
         let last = by_observer.get(&verdict.observer);
         if last.is_some_and(|last| !observation.supersedes(last)) {
@@ -110,16 +133,21 @@
     pub fn bound(&mut self, now: Millis) {
         let own = self.own.0;
         self.observations.retain(|_, by_observer| {
-            by_observer
-                .retain(|observer, observation| *observer == own || now - observation.created <= MAX_AGE);
+            by_observer.retain(|observer, observation| {
+                *observer == own || now - observation.created <= MAX_AGE
+            });
             while by_observer.len() > MAX_OBSERVERS {
-                let Some(oldest) = oldest_observer(by_observer, own) else { break };
+                let Some(oldest) = oldest_observer(by_observer, own) else {
+                    break;
+                };
                 by_observer.remove(&oldest);
             }
             !by_observer.is_empty()
         });
         while self.observations.len() > MAX_SUBJECTS {
-            let Some(oldest) = self.oldest_subject() else { break };
+            let Some(oldest) = self.oldest_subject() else {
+                break;
+            };
             self.observations.remove(&oldest);
         }
     }
@@ -128,7 +156,10 @@
     fn oldest_subject(&self) -> Option<Subject> {
         let latest = |by_observer: &BTreeMap<u16, Observation>| {
             let times = by_observer.values().map(|observation| observation.created);
-            (by_observer.contains_key(&self.own.0), times.fold(f64::NEG_INFINITY, f64::max))
+            (
+                by_observer.contains_key(&self.own.0),
+                times.fold(f64::NEG_INFINITY, f64::max),
+            )
         };
         let oldest = self.observations.iter().min_by(|a, b| {
             let (a, b) = (latest(a.1), latest(b.1));
@@ -153,10 +184,19 @@
                 if now - observation.created > MAX_AGE {
                     continue;
                 }
-                let Some(age) = ticks(now - observation.created) else { continue };
+                let Some(age) = ticks(now - observation.created) else {
+                    continue;
+                };
                 let (subject, observer, zone) = (*subject, *observer, observation.zone);
                 let (sequence, stance) = (observation.sequence, observation.stance);
-                all.push(Verdict { subject, observer, zone, sequence, stance, age });
+                all.push(Verdict {
+                    subject,
+                    observer,
+                    zone,
+                    sequence,
+                    stance,
+                    age,
+                });
             }
         }
         all.shuffle(rng);
@@ -189,7 +229,13 @@
             zones.dedup();
             if observers + cleared > 0 {
                 let zones = zones.len() as u32;
-                all.push(Evidence { subject: *subject, observers, zones, cleared, age });
+                all.push(Evidence {
+                    subject: *subject,
+                    observers,
+                    zones,
+                    cleared,
+                    age,
+                });
             }
         }
         all
@@ -198,8 +244,11 @@
 
 /// The observer of the oldest observation; this replica itself comes last.
 fn oldest_observer(by_observer: &BTreeMap<u16, Observation>, own: u16) -> Option<u16> {
-    let key =
-        |(observer, observation): &(&u16, &Observation)| (**observer == own, observation.created, **observer);
-    let oldest = by_observer.iter().min_by(|a, b| key(a).partial_cmp(&key(b)).expect("times are numbers"));
+    let key = |(observer, observation): &(&u16, &Observation)| {
+        (**observer == own, observation.created, **observer)
+    };
+    let oldest = by_observer
+        .iter()
+        .min_by(|a, b| key(a).partial_cmp(&key(b)).expect("times are numbers"));
     oldest.map(|(observer, _)| *observer)
 }
--- a/balancer/gossip/src/membership/budget.rs
+++ b/balancer/gossip/src/membership/budget.rs
@@ -18,7 +18,10 @@
 
 impl Budget {
     pub(crate) fn new(now: Millis) -> Budget {
-        Budget { available: BURST, at: now }
+        Budget {
+            available: BURST,
+            at: now,
+        }
     }
 
     fn refill(&mut self, now: Millis) {
--- a/balancer/gossip/src/membership/gossip.rs
+++ b/balancer/gossip/src/membership/gossip.rs
@@ -31,15 +31,26 @@
 
     /// Sends an update once, where two replicas were found to differ.
     pub(crate) fn once(&mut self, member: Member) {
-        self.updates.entry(member).or_insert(Update { sends_left: 1, rounds: 0 });
+        self.updates.entry(member).or_insert(Update {
+            sends_left: 1,
+            rounds: 0,
+        });
     }
 
     /// The updates to send, the least sent first; for gossip only the urgent ones.
     pub(crate) fn next(&self, gossip_round: bool) -> Vec<Member> {
-        let mut all: Vec<(Member, Update)> =
-            self.updates.iter().map(|(member, update)| (*member, *update)).collect();
+        let mut all: Vec<(Member, Update)> = self
+            .updates
+            .iter()
+            .map(|(member, update)| (*member, *update))
+            .collect();
         all.retain(|(_, update)| !gossip_round || update.rounds > 0);
-        all.sort_by_key(|(member, update)| (std::cmp::Reverse((update.rounds, update.sends_left)), *member));
+        all.sort_by_key(|(member, update)| {
+            (
+                std::cmp::Reverse((update.rounds, update.sends_left)),
+                *member,
+            )
+        });
         all.into_iter().map(|(member, _)| member).collect()
     }
 
@@ -62,7 +73,8 @@
                 update.rounds = update.rounds.saturating_sub(1);
             }
         }
-        self.updates.retain(|_, update| update.sends_left > 0 || update.rounds > 0);
+        self.updates
+            .retain(|_, update| update.sends_left > 0 || update.rounds > 0);
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -71,7 +83,9 @@
 
     /// Whether the update on a member is urgent.
     pub(crate) fn urgent_of(&self, member: Member) -> bool {
-        self.updates.get(&member).is_some_and(|update| update.rounds > 0)
+        self.updates
+            .get(&member)
+            .is_some_and(|update| update.rounds > 0)
     }
 
     pub(crate) fn urgent(&self) -> bool {
--- a/balancer/gossip/src/membership/mod.rs
+++ b/balancer/gossip/src/membership/mod.rs
@@ -169,7 +169,9 @@
 
     /// Whether a datagram of this incarnation comes from a run that isn't known to be over.
     pub(crate) fn current(&self, member: Member, incarnation: u64) -> bool {
-        self.table.get(member).is_some_and(|entry| entry.current(incarnation))
+        self.table
+            .get(member)
+            .is_some_and(|entry| entry.current(incarnation))
     }
 
     pub(crate) fn is_up(&self, member: Member) -> bool {
@@ -178,9 +180,15 @@
 
     /// Members lately gone without leave, for others to know.
     pub(crate) fn lost(&self, now: Millis) -> u16 {
-        let gone =
-            |entry: &&table::Entry| entry.status == Some(Status::Gone) && now - entry.since < REMEMBERED;
-        self.table.entries.iter().filter(gone).count().min(usize::from(u16::MAX)) as u16
+        let gone = |entry: &&table::Entry| {
+            entry.status == Some(Status::Gone) && now - entry.since < REMEMBERED
+        };
+        self.table
+            .entries
+            .iter()
+            .filter(gone)
+            .count()
+            .min(usize::from(u16::MAX)) as u16
     }
 
     /// Whether more than half of the members that were up are known to be alive.
@@ -191,9 +199,13 @@
         // A suspected member doesn't count as alive, and one that is gone lately was up.
         let (up, sure) = (self.table.up().len(), self.table.unsuspected().len());
         let young = now - self.start < REMEMBERED && now - self.lost_reported.1 < 2.0 * SILENT;
-        let lost = self.lost(now).max(if young { self.lost_reported.0 } else { 0 });
+        let lost = self
+            .lost(now)
+            .max(if young { self.lost_reported.0 } else { 0 });
         let living = sure as f64 * self.probes.answered();
-        up > 1 && living * 2.0 > (up + usize::from(lost)) as f64 && now - self.last_received < SILENT
+        up > 1
+            && living * 2.0 > (up + usize::from(lost)) as f64
+            && now - self.last_received < SILENT
     }
 
     /// Starts gossip rounds at once, as for new verdicts.
@@ -209,7 +221,11 @@
     /// Queues an update on a member: for gossip at once where `urgent`.
     fn announce(&mut self, now: Millis, member: Member, urgent: bool) {
         let up = self.table.up().len();
-        let rounds = if self.probes.likely_isolated() { 1 } else { gossip::GOSSIP_ROUNDS };
+        let rounds = if self.probes.likely_isolated() {
+            1
+        } else {
+            gossip::GOSSIP_ROUNDS
+        };
         self.gossip.add(member, up, if urgent { rounds } else { 0 });
         if urgent {
             self.round_at(now + GATHER_DELAY);
@@ -217,7 +233,13 @@
     }
 
     fn send(&mut self, to: Member, kind: Kind, bare: bool) {
-        self.out.push_back(Outgoing { to, kind, about: None, first: Vec::new(), bare });
+        self.out.push_back(Outgoing {
+            to,
+            kind,
+            about: None,
+            first: Vec::new(),
+            bare,
+        });
     }
 
     /// The next datagram to send.
@@ -229,10 +251,12 @@
     pub(crate) fn records(&self, now: Millis, send: &Outgoing) -> Vec<Record> {
         let rumour = send.kind == Kind::Gossip;
         // Where many are suspected, answers at least go to a live member.
-        let little = send.bare && !rumour && !(send.kind == Kind::Ack && self.probes.likely_isolated());
+        let little =
+            send.bare && !rumour && !(send.kind == Kind::Ack && self.probes.likely_isolated());
         let most = if little { BARE_RECORDS } else { MAX_RECORDS };
         let members = self.gossip.next(rumour).into_iter();
-        let members = members.filter(|member| send.first.iter().all(|first| first.member != member.0));
+        let members =
+            members.filter(|member| send.first.iter().all(|first| first.member != member.0));
         let records = members.filter_map(|member| self.table.record(now, member, self.incarnation));
         let mut records: Vec<Record> = records.take(most).collect();
         // Its own life first, then others', so that refutations overtake suspicions and not the other way round.
@@ -242,7 +266,8 @@
 
     /// These records were written into a datagram.
     pub(crate) fn sent(&mut self, records: &[Record]) {
-        self.gossip.sent(records.iter().map(|record| Member(record.member)));
+        self.gossip
+            .sent(records.iter().map(|record| Member(record.member)));
     }
 
     pub(crate) fn view(&mut self) -> View {
@@ -254,20 +279,28 @@
         let (own, entries) = (self.own, &self.table.entries);
         let up = |entry: &table::Entry| entry.status == Some(Status::Up);
         let members = entries.iter().enumerate().filter(|(_, entry)| up(entry));
-        let others =
-            members.map(|(at, _)| Member(at as u16)).filter(|member| ![own, without].contains(member));
+        let others = members
+            .map(|(at, _)| Member(at as u16))
+            .filter(|member| ![own, without].contains(member));
         let mut others: Vec<Member> = others.collect();
         others.partial_shuffle(&mut self.rng, most).0.to_vec()
     }
 
     /// Notifies some members of this replica's leave, after which it sends nothing more.
     pub(crate) fn leave(&mut self, now: Millis) {
-        self.table.set(now, self.own, Status::Left, self.incarnation);
+        self.table
+            .set(now, self.own, Status::Left, self.incarnation);
         self.out.clear();
         let record = self.table.record(now, self.own, self.incarnation);
         for to in self.random_members(LEAVE_MESSAGES, self.own) {
             let first = record.into_iter().collect();
-            self.out.push_back(Outgoing { to, kind: Kind::Gossip, about: None, first, bare: true });
+            self.out.push_back(Outgoing {
+                to,
+                kind: Kind::Gossip,
+                about: None,
+                first,
+                bare: true,
+            });
         }
         self.departed = true;
     }
--- a/balancer/gossip/src/membership/probes.rs
+++ b/balancer/gossip/src/membership/probes.rs
@@ -62,14 +62,24 @@
 impl Probes {
     /// Begins a probe, if none of the target is in transit.
     pub(crate) fn begin(&mut self, now: Millis, target: Member, purpose: Purpose) -> bool {
-        let suspect_probes = self.all.iter().filter(|probe| probe.purpose == Purpose::Suspect).count();
+        let suspect_probes = self
+            .all
+            .iter()
+            .filter(|probe| probe.purpose == Purpose::Suspect)
+            .count();
         if self.all.len() >= MAX_PROBES
             || (purpose == Purpose::Suspect && suspect_probes >= MAX_SUSPECT_PROBES)
             || self.all.iter().any(|probe| probe.target == target)
         {
             return false;
         }
-        self.all.push(Probe { target, started: now, due: now + ACK_TIMEOUT, stage: 0, purpose });
+        self.all.push(Probe {
+            target,
+            started: now,
+            due: now + ACK_TIMEOUT,
+            stage: 0,
+            purpose,
+        });
         true
     }
 
@@ -100,7 +110,11 @@
             }
             probe.stage += 1;
             probe.due = now + ACK_TIMEOUT;
-            let stages = if probe.purpose == Purpose::Suspect { SUSPECT_STAGES } else { STAGES };
+            let stages = if probe.purpose == Purpose::Suspect {
+                SUSPECT_STAGES
+            } else {
+                STAGES
+            };
             if probe.stage < stages * times {
                 again.push(*probe);
                 return true;
@@ -137,7 +151,13 @@
 
     /// Whether of the last few probes as many failed as loss alone seldom makes fail.
     pub(crate) fn likely_isolated(&self) -> bool {
-        self.outcomes.iter().rev().take(OUTCOMES / 2).filter(|answered| !**answered).count() >= 2
+        self.outcomes
+            .iter()
+            .rev()
+            .take(OUTCOMES / 2)
+            .filter(|answered| !**answered)
+            .count()
+            >= 2
     }
 
     /// One member asks about another.
--- a/balancer/gossip/src/membership/receive.rs
+++ b/balancer/gossip/src/membership/receive.rs
@@ -48,14 +48,19 @@
         }
         let (come, differ) = self.table.compare(now, &body.view, bounded);
         self.changed |= !come.is_empty();
-        self.announced.extend(come.into_iter().map(|member| (member, 0, body.view.reads)));
+        self.announced
+            .extend(come.into_iter().map(|member| (member, 0, body.view.reads)));
         match body.head.kind {
             Kind::Ping if self.budget.may_answer(now) => self.answer(now, from, first, &differ),
             Kind::Ack => self.ack(now, bounded, body.head.lost, differ),
             Kind::PingRequest => self.ping_request(now, from, body.head.about),
             Kind::IndirectAck => {
                 if let (Some(about), Some(alive_at)) = (body.head.about, alive_at) {
-                    self.indirect_ack(now, Member(about.member), alive_at - f64::from(about.age) * TICK);
+                    self.indirect_ack(
+                        now,
+                        Member(about.member),
+                        alive_at - f64::from(about.age) * TICK,
+                    );
                 }
             }
             Kind::Ping | Kind::Gossip => {}
@@ -69,10 +74,19 @@
     fn answer(&mut self, now: Millis, to: Member, mut first: Vec<Record>, differ: &[Member]) {
         // Each sender gets another part of a long list.
         let start = usize::from(to.0) % differ.len().max(1);
-        let differ = differ[start..].iter().chain(&differ[..start]).take(DIFFERENCES);
+        let differ = differ[start..]
+            .iter()
+            .chain(&differ[..start])
+            .take(DIFFERENCES);
         first.extend(differ.filter_map(|member| self.table.record(now, *member, self.incarnation)));
         let bare = !self.budget.has_credit(now);
-        self.out.push_back(Outgoing { to, kind: Kind::Ack, about: None, first, bare });
+        self.out.push_back(Outgoing {
+            to,
+            kind: Kind::Ack,
+            about: None,
+            first,
+            bare,
+        });
     }
 
     /// Takes what an answer carries beside its updates: how many members its sender has lost, and where the views
@@ -90,10 +104,25 @@
     /// Confirms to those that asked for an indirect probe of a member that it was alive at this time.
     fn answer_askers(&mut self, now: Millis, about: Member, alive_at: Millis) {
         for asker in self.probes.relayed(now, about, alive_at) {
-            let Some(age) = crate::wire::v1::ticks(now - alive_at) else { continue };
-            let first = self.table.record(now, about, self.incarnation).into_iter().collect();
-            let about = Some(About { member: about.0, age });
-            self.out.push_back(Outgoing { to: asker, kind: Kind::IndirectAck, about, first, bare: true });
+            let Some(age) = crate::wire::v1::ticks(now - alive_at) else {
+                continue;
+            };
+            let first = self
+                .table
+                .record(now, about, self.incarnation)
+                .into_iter()
+                .collect();
+            let about = Some(About {
+                member: about.0,
+                age,
+            });
+            self.out.push_back(Outgoing {
+                to: asker,
+                kind: Kind::IndirectAck,
+                about,
+                first,
+                bare: true,
+            });
         }
     }
 
@@ -102,7 +131,13 @@
     pub(crate) fn unread(&mut self, now: Millis, from: Member, incarnation: u64) {
         if !self.departed && self.budget.has_credit(now) {
             let first = self.correction(now, from, incarnation);
-            self.out.push_back(Outgoing { to: from, kind: Kind::Gossip, about: None, first, bare: true });
+            self.out.push_back(Outgoing {
+                to: from,
+                kind: Kind::Gossip,
+                about: None,
+                first,
+                bare: true,
+            });
         }
     }
 
@@ -114,7 +149,9 @@
         incarnation: u64,
         alive_at: Option<Millis>,
     ) -> Vec<Record> {
-        let Some(entry) = self.table.get(from).copied() else { return Vec::new() };
+        let Some(entry) = self.table.get(from).copied() else {
+            return Vec::new();
+        };
         let newer = entry.status.is_none() || incarnation > entry.incarnation;
         let Some(alive_at) = alive_at else {
             if newer && !entry.up() {
@@ -148,9 +185,16 @@
 
     /// The record for a sender that isn't known as up under its incarnation: it will raise it.
     pub(super) fn correction(&self, now: Millis, from: Member, incarnation: u64) -> Vec<Record> {
-        let Some(entry) = self.table.get(from) else { return Vec::new() };
-        if entry.status.is_some_and(|status| status != Status::Up) || incarnation < entry.incarnation {
-            self.table.record(now, from, self.incarnation).into_iter().collect()
+        let Some(entry) = self.table.get(from) else {
+            return Vec::new();
+        };
+        if entry.status.is_some_and(|status| status != Status::Up)
+            || incarnation < entry.incarnation
+        {
+            self.table
+                .record(now, from, self.incarnation)
+                .into_iter()
+                .collect()
         } else {
             Vec::new()
         }
@@ -158,7 +202,9 @@
 
     /// A member lived at this time.
     fn alive(&mut self, now: Millis, member: Member, alive_at: Millis) {
-        let Some(entry) = self.table.entries.get_mut(usize::from(member.0)) else { return };
+        let Some(entry) = self.table.entries.get_mut(usize::from(member.0)) else {
+            return;
+        };
         entry.last_alive = entry.last_alive.max(alive_at);
         if entry.status == Some(Status::Suspect) && alive_at >= entry.since {
             (entry.status, entry.since) = (Some(Status::Up), now);
@@ -167,7 +213,9 @@
     }
 
     fn ping_request(&mut self, now: Millis, from: Member, about: Option<About>) {
-        let Some(about) = about.map(|about| Member(about.member)) else { return };
+        let Some(about) = about.map(|about| Member(about.member)) else {
+            return;
+        };
         if about != self.own && self.table.get(about).is_some() && self.budget.may_answer(now) {
             self.probes.relay(now, from, about);
             self.send(about, Kind::Ping, true);
@@ -187,7 +235,9 @@
             self.refute(now, record);
             return;
         }
-        let Some(before) = self.table.get(member).copied() else { return };
+        let Some(before) = self.table.get(member).copied() else {
+            return;
+        };
         match self.table.apply(now, record, bounded) {
             Applied::Nothing => {}
             Applied::MustProbe if before.up() => self.verify(now, member),
@@ -195,7 +245,8 @@
             Applied::Changed => {
                 let after = self.table.entries[usize::from(member.0)];
                 self.changed |= before.up() != after.up();
-                self.announced.push((member, after.incarnation, after.reads));
+                self.announced
+                    .push((member, after.incarnation, after.reads));
                 if after.status == Some(Status::Up) && before.incarnation > 0 && !before.up() {
                     self.restarted.push(member);
                 }
--- a/balancer/gossip/src/membership/table.rs
+++ b/balancer/gossip/src/membership/table.rs
@@ -80,8 +80,16 @@
             probed: false,
         };
         let mut entries = vec![entry; usize::from(candidates)];
-        entries[usize::from(own.0)] = Entry { status: Some(Status::Up), reads, ..entry };
-        Table { own, entries, view_base: 0 }
+        entries[usize::from(own.0)] = Entry {
+            status: Some(Status::Up),
+            reads,
+            ..entry
+        };
+        Table {
+            own,
+            entries,
+            view_base: 0,
+        }
     }
 
     pub(crate) fn get(&self, member: Member) -> Option<&Entry> {
@@ -98,7 +106,10 @@
     /// Members that are up, those suspected and this replica included, in the list's order.
     pub(crate) fn up(&self) -> Vec<Member> {
         let members = self.entries.iter().enumerate();
-        members.filter(|(_, entry)| entry.up()).map(|(at, _)| Member(at as u16)).collect()
+        members
+            .filter(|(_, entry)| entry.up())
+            .map(|(at, _)| Member(at as u16))
+            .collect()
     }
 
     /// Those of whom nobody doubts that they are up, this replica included.
@@ -115,7 +126,9 @@
     /// is believed of one that is suspected already; otherwise the sender may have been isolated itself, and the member
     /// is probed.
     pub(crate) fn apply(&mut self, now: Millis, record: &Record, bounded: bool) -> Applied {
-        let Some(entry) = self.entries.get_mut(usize::from(record.member)) else { return Applied::Nothing };
+        let Some(entry) = self.entries.get_mut(usize::from(record.member)) else {
+            return Applied::Nothing;
+        };
         if record.incarnation > INCARNATION_MOST {
             return Applied::Nothing;
         }
@@ -157,42 +170,78 @@
     }
 
     /// The update to send on a member.
-    pub(crate) fn record(&self, now: Millis, member: Member, own_incarnation: u64) -> Option<Record> {
+    pub(crate) fn record(
+        &self,
+        now: Millis,
+        member: Member,
+        own_incarnation: u64,
+    ) -> Option<Record> {
         let entry = self.get(member)?;
         let status = entry.status?;
-        let incarnation = if member == self.own { own_incarnation } else { entry.incarnation };
+        let incarnation = if member == self.own {
+            own_incarnation
+        } else {
+            entry.incarnation
+        };
         // Here a lower age is the safe side: it ends a suspicion later.
         let age = match status {
             Status::Suspect => ((now - entry.since).max(0.0) / TICK).min(255.0) as u8,
             _ => 0,
         };
-        Some(Record { member: member.0, incarnation, status, reads: entry.reads, age })
+        Some(Record {
+            member: member.0,
+            incarnation,
+            status,
+            reads: entry.reads,
+            age,
+        })
     }
 
     /// Who is up, for others to compare.
     pub(crate) fn view(&mut self) -> View {
-        let base = if self.view_base < self.entries.len() { self.view_base } else { 0 };
+        let base = if self.view_base < self.entries.len() {
+            self.view_base
+        } else {
+            0
+        };
         self.view_base = base + VIEW;
         let part = &self.entries[base..self.entries.len().min(base + VIEW)];
         let byte = |eight: &[Entry]| {
             let up = |entry: &Entry| u8::from(entry.status == Some(Status::Up));
-            eight.iter().enumerate().fold(0, |byte, (bit, entry)| byte | up(entry) << bit)
+            eight
+                .iter()
+                .enumerate()
+                .fold(0, |byte, (bit, entry)| byte | up(entry) << bit)
         };
         let bits = part.chunks(8).map(byte).collect();
         let reads = self.most_read();
         let other = |entry: &Entry| entry.up() && entry.reads != reads;
         let byte = |eight: &[Entry]| {
-            eight.iter().enumerate().fold(0, |byte, (bit, entry)| byte | u8::from(other(entry)) << bit)
+            eight
+                .iter()
+                .enumerate()
+                .fold(0, |byte, (bit, entry)| byte | u8::from(other(entry)) << bit)
         };
-        let others = if part.iter().any(other) { part.chunks(8).map(byte).collect() } else { Vec::new() };
-        View { base: base as u16, reads, bits, others }
+        let others = if part.iter().any(other) {
+            part.chunks(8).map(byte).collect()
+        } else {
+            Vec::new()
+        };
+        View {
+            base: base as u16,
+            reads,
+            bits,
+            others,
+        }
     }
 
     /// What most of those that are up read.
     fn most_read(&self) -> Reads {
         let mut counts: BTreeMap<(u8, u8), usize> = BTreeMap::new();
         for entry in self.entries.iter().filter(|entry| entry.up()) {
-            *counts.entry((entry.reads.least, entry.reads.most)).or_default() += 1;
+            *counts
+                .entry((entry.reads.least, entry.reads.most))
+                .or_default() += 1;
         }
         let most = counts.into_iter().max_by_key(|(_, count)| *count);
         most.map_or(Reads::default(), |((least, most), _)| Reads { least, most })
@@ -201,10 +250,17 @@
     /// Takes another's view. Who is up there and unknown here is up, if the view is bounded in age and contains what it
     /// reads. Where this replica has evidence of something different, the places are returned, for their records to be
     /// sent.
-    pub(crate) fn compare(&mut self, now: Millis, view: &View, bounded: bool) -> (Vec<Member>, Vec<Member>) {
+    pub(crate) fn compare(
+        &mut self,
+        now: Millis,
+        view: &View,
+        bounded: bool,
+    ) -> (Vec<Member>, Vec<Member>) {
         let (mut come, mut differ) = (Vec::new(), Vec::new());
         for (place, up, usual) in view.places() {
-            let Some(entry) = self.entries.get_mut(usize::from(place)) else { continue };
+            let Some(entry) = self.entries.get_mut(usize::from(place)) else {
+                continue;
+            };
             if up && bounded && usual && entry.status.is_none() {
                 (entry.status, entry.since, entry.reads) = (Some(Status::Up), now, view.reads);
                 come.push(Member(place));
--- a/balancer/gossip/src/membership/timers.rs
+++ b/balancer/gossip/src/membership/timers.rs
@@ -5,8 +5,8 @@
 use super::probes::{Probe, Probes, Purpose};
 use super::table::{Entry, VERIFY_AFTER};
 use super::{
-    Membership, Outgoing, DISCOVERY_ALONE, DISCOVERY_PERIOD, GOSSIP_FANOUT, MAX_TIMER_LATENESS, PERIOD,
-    ROUND_INTERVAL, SILENT, SUSPICION,
+    Membership, Outgoing, DISCOVERY_ALONE, DISCOVERY_PERIOD, GOSSIP_FANOUT, MAX_TIMER_LATENESS,
+    PERIOD, ROUND_INTERVAL, SILENT, SUSPICION,
 };
 use crate::types::{Member, Millis};
 use crate::wire::v1::{About, Kind, Status};
@@ -25,7 +25,11 @@
 /// How long a suspicion lasts. A replica that has not probed the member itself leaves it to those that have, unless
 /// many are suspected, which can't all be probed. Where much is lost, all takes longer.
 fn suspicion_timeout(entry: &Entry, probes: &Probes) -> Millis {
-    let times = if entry.probed || probes.likely_isolated() { 1.0 } else { 2.0 };
+    let times = if entry.probed || probes.likely_isolated() {
+        1.0
+    } else {
+        2.0
+    };
     SUSPICION * times * if probes.lossy() { 2.0 } else { 1.0 }
 }
 
@@ -44,14 +48,20 @@
             true if self.probes.under_way(Member(at as u16)) => None,
             true => Some(entry.since + suspicion_timeout(entry, &self.probes)),
         });
-        let first = probes.chain(suspects).chain(self.next_round).fold(f64::INFINITY, f64::min);
+        let first = probes
+            .chain(suspects)
+            .chain(self.next_round)
+            .fold(f64::INFINITY, f64::min);
         Some(first.min(self.next_probe).min(self.next_discovery))
     }
 
     /// Detects that this replica was not running. What it waited for then counts for nothing, and suspicions last
     /// longer by as much.
     pub(crate) fn resume(&mut self, now: Millis) {
-        let Some(late) = self.next_timeout().map(|due| now - due).filter(|late| *late > MAX_TIMER_LATENESS)
+        let Some(late) = self
+            .next_timeout()
+            .map(|due| now - due)
+            .filter(|late| *late > MAX_TIMER_LATENESS)
         else {
             return;
         };
@@ -93,7 +103,11 @@
         }
         // Where most don't answer, many have ended at once or this replica is cut off: to know soon, it asks more of
         // them.
-        let more = if self.probes.likely_isolated() { MORE } else { 0 };
+        let more = if self.probes.likely_isolated() {
+            MORE
+        } else {
+            0
+        };
         for _ in 0..more {
             if let Some(target) = self.by_round(&up).filter(|_| self.budget.may_answer(now)) {
                 if self.probes.begin(now, target, Purpose::Round) {
@@ -137,7 +151,11 @@
     /// Probes a few candidates that aren't up, first those that have sent something.
     fn discover(&mut self, now: Millis, most: usize) {
         let mut targets: Vec<Member> = Vec::new();
-        while let Some(member) = self.strangers.pop_front().filter(|_| targets.len() < MAX_STRANGERS) {
+        while let Some(member) = self
+            .strangers
+            .pop_front()
+            .filter(|_| targets.len() < MAX_STRANGERS)
+        {
             if !self.is_up(member) {
                 targets.push(member);
             }
@@ -147,7 +165,9 @@
         }
         if targets.is_empty() {
             let entries = self.table.entries.iter().enumerate();
-            let away = entries.filter(|(_, entry)| !entry.up()).map(|(at, _)| Member(at as u16));
+            let away = entries
+                .filter(|(_, entry)| !entry.up())
+                .map(|(at, _)| Member(at as u16));
             let mut away: Vec<Member> = away.collect();
             targets = away.partial_shuffle(&mut self.rng, most).0.to_vec();
         }
@@ -164,7 +184,13 @@
         {
             // The record known of it goes along, so that its answer can refute that.
             let first = self.correction(now, target, 0);
-            self.out.push_back(Outgoing { to: target, kind: Kind::Ping, about: None, first, bare: true });
+            self.out.push_back(Outgoing {
+                to: target,
+                kind: Kind::Ping,
+                about: None,
+                first,
+                bare: true,
+            });
         }
     }
 
@@ -196,7 +222,10 @@
             });
             if self.probes.needs_indirect(&probe) && self.budget.may_answer(now) {
                 for helper in self.random_members(INDIRECT_PROBES, probe.target) {
-                    let about = Some(About { member: probe.target.0, age: 0 });
+                    let about = Some(About {
+                        member: probe.target.0,
+                        age: 0,
+                    });
                     self.out.push_back(Outgoing {
                         to: helper,
                         kind: Kind::PingRequest,
@@ -284,7 +313,12 @@
             self.next_round = Some(now + ROUND_INTERVAL);
             return;
         }
-        let urgent: Vec<Member> = self.gossip.next(true).into_iter().take(MAX_URGENT_RECORDS).collect();
+        let urgent: Vec<Member> = self
+            .gossip
+            .next(true)
+            .into_iter()
+            .take(MAX_URGENT_RECORDS)
+            .collect();
         // Where there are many updates, others gossip most of them as well.
         let fanout = if urgent.len() < MAX_URGENT_RECORDS / 2 && !self.probes.likely_isolated() {
             GOSSIP_FANOUT
@@ -296,6 +330,12 @@
         }
         self.gossip.gossip_round(&urgent);
         self.rounds = self.rounds.saturating_sub(1);
-        self.next_round = Some(now + if fanout == 1 { ROUND_INTERVAL / 4.0 } else { ROUND_INTERVAL });
+        self.next_round = Some(
+            now + if fanout == 1 {
+                ROUND_INTERVAL / 4.0
+            } else {
+                ROUND_INTERVAL
+            },
+        );
     }
 }
--- a/balancer/gossip/src/peers.rs
+++ b/balancer/gossip/src/peers.rs
@@ -8,7 +8,9 @@
 use crate::knowledge::sums::Entries;
 use crate::knowledge::verdicts::Verdicts;
 use crate::membership::{Membership, Outgoing};
-use crate::types::{Config, ConfigError, Counts, Member, Millis, Own, Told, Transmit, Versions, Word, READS};
+use crate::types::{
+    Config, ConfigError, Counts, Member, Millis, Own, Told, Transmit, Versions, Word, READS,
+};
 use crate::versions::Negotiation;
 use crate::wire::v1::{Head, Kind, Reads, View};
 use crate::wire::{self, v1, v2, Header, PAYLOAD};
@@ -42,7 +44,9 @@
         }
         let (least, most) = (config.reads.least, config.reads.most);
         if least > most || least < READS.least || most > READS.most {
-            return Err(ConfigError("no version of the peers' protocol is left to speak"));
+            return Err(ConfigError(
+                "no version of the peers' protocol is left to speak",
+            ));
         }
         // Two runs of one replica, and two replicas of one seed, draw differently.
         let mut rng = Pcg64Mcg::seed_from_u64(
@@ -113,14 +117,20 @@
             self.counts.broken += 1;
             return;
         };
-        let transit = self.clocks.read(now, from, body.first.head.stamp, body.first.head.echo);
+        let transit = self
+            .clocks
+            .read(now, from, body.first.head.stamp, body.first.head.echo);
         if transit.is_some_and(|transit| transit > MAX_TRANSIT) {
             self.counts.old += 1;
             return;
         }
         self.header(now, &header);
-        let reads = Reads { least: header.reads.least, most: header.reads.most };
-        self.membership.read(now, from, (header.incarnation, reads), transit, &body.first);
+        let reads = Reads {
+            least: header.reads.least,
+            most: header.reads.most,
+        };
+        self.membership
+            .read(now, from, (header.incarnation, reads), transit, &body.first);
         self.members(now);
         if !self.negotiation.accepts(header.version, header.epoch) {
             self.counts.unspoken += 1;
@@ -135,20 +145,28 @@
         };
         let mut changed = false;
         for verdict in &body.first.verdicts {
-            changed |= verdict.observer < self.config.candidates && self.verdicts.read(now, transit, verdict);
+            changed |= verdict.observer < self.config.candidates
+                && self.verdicts.read(now, transit, verdict);
         }
         if changed {
             self.membership.disseminate(now);
         }
         if header.version >= 2 {
-            self.sums.read(now, transit, from, &body.totals, body.rest, body.rows);
+            self.sums
+                .read(now, transit, from, &body.totals, body.rest, body.rows);
         }
     }
 
     /// A header that was verified, for the agreement on a version; unless it is of a run that is over.
     fn header(&mut self, now: Millis, header: &Header) {
         if self.membership.current(header.place, header.incarnation) {
-            self.negotiation.received(now, header.place, header.incarnation, header.reads, header.epoch);
+            self.negotiation.received(
+                now,
+                header.place,
+                header.incarnation,
+                header.reads,
+                header.epoch,
+            );
         }
     }
 
@@ -158,8 +176,12 @@
             self.verdicts.forget(member);
         }
         for (member, incarnation, reads) in std::mem::take(&mut self.membership.announced) {
-            let reads = Versions { least: reads.least, most: reads.most };
-            self.negotiation.received(now, member, incarnation, reads, 0);
+            let reads = Versions {
+                least: reads.least,
+                most: reads.most,
+            };
+            self.negotiation
+                .received(now, member, incarnation, reads, 0);
         }
         if self.membership.changed() {
             let mut up = self.membership.up();
@@ -188,7 +210,10 @@
 
     /// When [`Peers::timeout`] is to be called next.
     pub fn next_timeout(&self) -> Option<Millis> {
-        let parts = [self.membership.next_timeout(), self.negotiation.next_timeout()];
+        let parts = [
+            self.membership.next_timeout(),
+            self.negotiation.next_timeout(),
+        ];
         parts.into_iter().flatten().min_by(f64::total_cmp)
     }
 
@@ -215,7 +240,11 @@
         let now = self.now;
         // A stranger may read the lowest version only.
         let known = self.membership.is_up(send.to);
-        let version = if known { self.negotiation.speaks() } else { self.config.reads.least };
+        let version = if known {
+            self.negotiation.speaks()
+        } else {
+            self.config.reads.least
+        };
         let version = version.clamp(self.config.reads.least, self.config.reads.most);
         let head = Head {
             kind: send.kind,
@@ -225,22 +254,36 @@
             lost: self.membership.lost(now),
         };
         // An answer always carries the view: when many end at once there is no shorter form.
-        let view =
-            if send.kind == Kind::Ack || !send.bare { self.membership.view() } else { View::default() };
+        let view = if send.kind == Kind::Ack || !send.bare {
+            self.membership.view()
+        } else {
+            View::default()
+        };
         let records = self.membership.records(now, send);
         let verdicts = if send.bare && send.kind != Kind::Gossip {
             Vec::new()
         } else {
             self.verdicts.outgoing(now, &mut self.rng)
         };
-        let first = v1::Body { head, view, records, verdicts };
-        let mut body = v2::Body { first, rest: None, rows: Vec::new(), totals: Vec::new() };
+        let first = v1::Body {
+            head,
+            view,
+            records,
+            verdicts,
+        };
+        let mut body = v2::Body {
+            first,
+            rest: None,
+            rows: Vec::new(),
+            totals: Vec::new(),
+        };
         let payload = if version == 1 {
             v1::write(&mut body.first, PAYLOAD)
         } else {
             if !send.bare {
                 (body.totals, body.rest, body.rows) =
-                    self.sums.outgoing(now, send.kind == Kind::Ping, &mut self.rng);
+                    self.sums
+                        .outgoing(now, send.kind == Kind::Ping, &mut self.rng);
             }
             v2::write(&mut body, PAYLOAD)
         };
@@ -258,7 +301,9 @@
 
     /// The next line for the operator.
     pub fn told(&mut self) -> Option<Told> {
-        self.notifications.pop_front().or_else(|| self.negotiation.next_notification())
+        self.notifications
+            .pop_front()
+            .or_else(|| self.negotiation.next_notification())
     }
 
     /// Takes what this replica observes itself.
@@ -274,18 +319,36 @@
     pub fn word(&mut self, now: Millis) -> Word {
         self.resume(now);
         let members = self.membership.up();
-        let place = members.iter().position(|member| *member == self.config.own).unwrap_or(0) as u32;
+        let place = members
+            .iter()
+            .position(|member| *member == self.config.own)
+            .unwrap_or(0) as u32;
         let (up, version) = (members.len() as u32, self.negotiation.speaks());
         let joined = self.membership.joined(now);
         if self.isolated == joined && (joined || up > 1) {
             self.isolated = !joined;
-            let line =
-                if joined { "hears the tier again" } else { "is cut off from more than half of the tier" };
+            let line = if joined {
+                "hears the tier again"
+            } else {
+                "is cut off from more than half of the tier"
+            };
             self.notify(format!("this copy {line}: {up} members up"));
         }
-        let sums = if joined && version >= 2 { self.sums.sums(now, &members) } else { None };
+        let sums = if joined && version >= 2 {
+            self.sums.sums(now, &members)
+        } else {
+            None
+        };
         let evidence = self.verdicts.evidence(now);
-        Word { up, place, version, epoch: self.negotiation.epoch(), joined, sums, evidence }
+        Word {
+            up,
+            place,
+            version,
+            epoch: self.negotiation.epoch(),
+            joined,
+            sums,
+            evidence,
+        }
     }
 
     /// Tells the others that this replica ends, so that nobody need suspect it.
--- a/balancer/gossip/src/versions/agreement.rs
+++ b/balancer/gossip/src/versions/agreement.rs
@@ -28,7 +28,14 @@
     }
 
     /// Takes a verified header.
-    pub fn received(&mut self, now: u64, from: Member, incarnation: u64, reads: Versions, epoch: u64) {
+    pub fn received(
+        &mut self,
+        now: u64,
+        from: Member,
+        incarnation: u64,
+        reads: Versions,
+        epoch: u64,
+    ) {
         // No program reads nothing, and none reads version 0.
         if reads.least == 0 || reads.least > reads.most {
             return;
@@ -78,7 +85,9 @@
     /// Steps up if that is due. A replica that comes to it late has slept: others may have come and gone, so it listens
     /// for as long again.
     pub fn timeout(&mut self, now: u64) {
-        let Some(due) = self.step_up.due().filter(|&due| due <= now) else { return };
+        let Some(due) = self.step_up.due().filter(|&due| due <= now) else {
+            return;
+        };
         if now - due >= MAX_TIMER_LATENESS {
             self.step_up.restart(now);
         } else {
@@ -92,7 +101,14 @@
         let limit = self.announced.limit();
         if limit < self.epoch.version() && self.rules.hold(Rule::OwnKnowledge) {
             let raised = self.rules.hold(Rule::RaiseOnDown);
-            self.adopt(now, if raised { self.next_epoch(limit) } else { Epoch::first(limit) });
+            self.adopt(
+                now,
+                if raised {
+                    self.next_epoch(limit)
+                } else {
+                    Epoch::first(limit)
+                },
+            );
         }
         // Where a member reads less, a tier shows so by its first agreement. Whoever joins it learns from that number
         // that it is no part of a common start.
@@ -115,7 +131,11 @@
 
     /// A new agreement.
     fn next_epoch(&self, version: u8) -> Epoch {
-        let last = if self.rules.hold(Rule::AboveKnown) { self.epoch } else { Epoch::first(version) };
+        let last = if self.rules.hold(Rule::AboveKnown) {
+            self.epoch
+        } else {
+            Epoch::first(version)
+        };
         last.next(version)
     }
 
@@ -133,7 +153,8 @@
 
     pub fn accepts(&self, version: u8, epoch: u64) -> bool {
         // Whoever knows of no agreement yet speaks the lowest version, which means the same under all of them.
-        let agreed = epoch == self.epoch.number() && version <= self.speaks() || version == self.own.least;
+        let agreed =
+            epoch == self.epoch.number() && version <= self.speaks() || version == self.own.least;
         let agreed = agreed || !self.rules.hold(Rule::OwnAgreement);
         let sound = Epoch::read(epoch).is_some_and(|epoch| version <= epoch.version());
         contains(self.own, version) && agreed && sound
--- a/balancer/gossip/src/versions/announced.rs
+++ b/balancer/gossip/src/versions/announced.rs
@@ -38,8 +38,19 @@
     }
 
     /// Takes an announcement. False if it, and so what came with it, is not of the current run of the member.
-    pub(super) fn record(&mut self, rules: Rules, from: Member, incarnation: u64, reads: Versions) -> bool {
-        let new = Announcement { incarnation, reads, contradiction: None, implausible_epochs: 0 };
+    pub(super) fn record(
+        &mut self,
+        rules: Rules,
+        from: Member,
+        incarnation: u64,
+        reads: Versions,
+    ) -> bool {
+        let new = Announcement {
+            incarnation,
+            reads,
+            contradiction: None,
+            implausible_epochs: 0,
+        };
         let Some(announcement) = self.announcements.get_mut(&from) else {
             self.announcements.insert(from, new);
             self.count(rules);
@@ -51,7 +62,10 @@
         let same = incarnation == announcement.incarnation;
         if later {
             *announcement = if narrower && !rules.hold(Rule::Narrower) {
-                Announcement { reads: before, ..new }
+                Announcement {
+                    reads: before,
+                    ..new
+                }
             } else {
                 new
             };
@@ -71,7 +85,11 @@
                 .map_or(1, |contradiction| contradiction.1 + 1);
             announcement.contradiction = (times < REPEATS_TO_BELIEVE).then_some((reads, times));
             if times >= REPEATS_TO_BELIEVE {
-                announcement.reads = if same { reads } else { intersection(before, reads) };
+                announcement.reads = if same {
+                    reads
+                } else {
+                    intersection(before, reads)
+                };
             }
         }
         if announcement.reads != before {
@@ -82,9 +100,14 @@
 
     /// Takes an agreement that looks wrong, or one that does not; true when the former was repeated often enough.
     pub(super) fn implausible_epoch(&mut self, from: Member, far: bool) -> bool {
-        let Some(announcement) = self.announcements.get_mut(&from) else { return false };
-        announcement.implausible_epochs =
-            if far { (announcement.implausible_epochs + 1).min(REPEATS_TO_BELIEVE) } else { 0 };
+        let Some(announcement) = self.announcements.get_mut(&from) else {
+            return false;
+        };
+        announcement.implausible_epochs = if far {
+            (announcement.implausible_epochs + 1).min(REPEATS_TO_BELIEVE)
+        } else {
+            0
+        };
         announcement.implausible_epochs >= REPEATS_TO_BELIEVE
     }
 
@@ -97,9 +120,15 @@
     }
 
     fn count(&mut self, rules: Rules) {
-        let live = || self.up.iter().filter_map(|member| self.announcements.get(member));
+        let live = || {
+            self.up
+                .iter()
+                .filter_map(|member| self.announcements.get(member))
+        };
         self.unannounced = rules.hold(Rule::UnannouncedIsLowest) && live().count() < self.up.len();
-        let most = live().map(|announcement| announcement.reads).filter(|&reads| overlap(reads, self.own));
+        let most = live()
+            .map(|announcement| announcement.reads)
+            .filter(|&reads| overlap(reads, self.own));
         let least = most.map(|reads| reads.most).min();
         self.common = least.map_or(self.own.most, |most| most.min(self.own.most));
         if !rules.hold(Rule::AllMembers) {
@@ -134,12 +163,23 @@
 
     /// Who of those that are up holds the version at the limit, and what it reads.
     pub(super) fn limiting_member(&self) -> Option<(Member, Option<Versions>)> {
-        let reads = |member: &Member| self.announcements.get(member).map(|announcement| announcement.reads);
+        let reads = |member: &Member| {
+            self.announcements
+                .get(member)
+                .map(|announcement| announcement.reads)
+        };
         if self.unannounced {
-            return self.up.iter().find(|&member| reads(member).is_none()).map(|&member| (member, None));
+            return self
+                .up
+                .iter()
+                .find(|&member| reads(member).is_none())
+                .map(|&member| (member, None));
         }
         let holds = |member: &&Member| reads(member).is_some_and(|reads| reads.most == self.common);
-        self.up.iter().find(holds).map(|&member| (member, reads(&member)))
+        self.up
+            .iter()
+            .find(holds)
+            .map(|&member| (member, reads(&member)))
     }
 }
 
@@ -155,7 +195,10 @@
 
 /// What both have, or the latter where that is nothing.
 fn intersection(a: Versions, b: Versions) -> Versions {
-    let both = Versions { least: a.least.max(b.least), most: a.most.min(b.most) };
+    let both = Versions {
+        least: a.least.max(b.least),
+        most: a.most.min(b.most),
+    };
     if both.least <= both.most {
         both
     } else {
--- a/balancer/gossip/src/versions/mod.rs
+++ b/balancer/gossip/src/versions/mod.rs
@@ -49,8 +49,17 @@
 
     /// Takes a verified header of a live or not yet known member; or, with an epoch of 0, an announcement that another
     /// member has relayed.
-    pub fn received(&mut self, now: Millis, from: Member, incarnation: u64, reads: Versions, epoch: u64) {
-        self.apply(|agreement| agreement.received(whole_milliseconds(now), from, incarnation, reads, epoch));
+    pub fn received(
+        &mut self,
+        now: Millis,
+        from: Member,
+        incarnation: u64,
+        reads: Versions,
+        epoch: u64,
+    ) {
+        self.apply(|agreement| {
+            agreement.received(whole_milliseconds(now), from, incarnation, reads, epoch)
+        });
         let incompatible = self.incompatible(from);
         if let Some(reads) =
             incompatible.filter(|&reads| self.incompatible.insert(from, reads) != Some(reads))
@@ -125,7 +134,10 @@
         let why = match announced.limiting_member() {
             _ if now > before => "all live members read it".to_string(),
             Some((member, Some(reads))) if reads.most == now => {
-                format!("member {} reads {} to {}", member.0, reads.least, reads.most)
+                format!(
+                    "member {} reads {} to {}",
+                    member.0, reads.least, reads.most
+                )
             }
             Some((member, None)) => format!("nobody knows what member {} reads", member.0),
             _ => "another copy says that a member reads no more".to_string(),
@@ -133,8 +145,14 @@
         self.steps += u64::from(changed);
         self.limited = now <= before;
         let (counter, most) = (self.epoch() >> 8, self.agreement.own().most);
-        let instead = if changed { format!("instead of {before}") } else { format!("and not {most}") };
-        self.notify(format!("version {now} {instead}, by agreement {counter}: {why}"));
+        let instead = if changed {
+            format!("instead of {before}")
+        } else {
+            format!("and not {most}")
+        };
+        self.notify(format!(
+            "version {now} {instead}, by agreement {counter}: {why}"
+        ));
     }
 
     fn notify(&mut self, line: String) {
--- a/balancer/gossip/src/versions/rules.rs
+++ b/balancer/gossip/src/versions/rules.rs
@@ -53,7 +53,9 @@
 impl Rules {
     /// All but one, for a model check that shows what the rule is for.
     pub fn without(rule: Rule) -> Rules {
-        Rules { without: Some(rule) }
+        Rules {
+            without: Some(rule),
+        }
     }
 
     /// Whether a rule holds.
--- a/balancer/gossip/src/versions/step_up.rs
+++ b/balancer/gossip/src/versions/step_up.rs
@@ -12,7 +12,11 @@
 
 impl StepUpTimer {
     pub(super) fn new() -> StepUpTimer {
-        StepUpTimer { length: FIRST_STEP_UP_DELAY, due: None, unsettled: 0 }
+        StepUpTimer {
+            length: FIRST_STEP_UP_DELAY,
+            due: None,
+            unsettled: 0,
+        }
     }
 
     /// When the step up is due, if one is.
--- a/balancer/gossip/src/wire/mod.rs
+++ b/balancer/gossip/src/wire/mod.rs
@@ -53,7 +53,10 @@
     if crc32fast::hash(body).to_be_bytes() != check {
         return Err(DecodeError::Broken);
     }
-    let reads = Versions { least: body[3], most: body[4] };
+    let reads = Versions {
+        least: body[3],
+        most: body[4],
+    };
     if reads.least > reads.most || body[2] < reads.least || body[2] > reads.most {
         return Err(DecodeError::Broken);
     }
--- a/balancer/gossip/src/wire/section.rs
+++ b/balancer/gossip/src/wire/section.rs
@@ -13,7 +13,10 @@
 
 impl Writer {
     pub(crate) fn new(most: usize) -> Writer {
-        Writer { bytes: Vec::with_capacity(most), most }
+        Writer {
+            bytes: Vec::with_capacity(most),
+            most,
+        }
     }
 
     /// Bytes that are left.
@@ -45,7 +48,9 @@
         let end = (at + most).min(self.most.saturating_sub(reserved));
         let mut count: u8 = 0;
         for item in items {
-            let Ok(written) = postcard::to_stdvec(item) else { break };
+            let Ok(written) = postcard::to_stdvec(item) else {
+                break;
+            };
             if self.bytes.len() + written.len() > end || count == u8::MAX {
                 break;
             }
--- a/balancer/gossip/src/wire/v1.rs
+++ b/balancer/gossip/src/wire/v1.rs
@@ -68,7 +68,10 @@
 impl View {
     /// The places that the view covers, each with whether it is up, and whether it reads what most do.
     pub fn places(&self) -> impl Iterator<Item = (u16, bool, bool)> + '_ {
-        let bit = |bits: &[u8], at: usize| bits.get(at / 8).is_some_and(|byte| byte >> (at % 8) & 1 == 1);
+        let bit = |bits: &[u8], at: usize| {
+            bits.get(at / 8)
+                .is_some_and(|byte| byte >> (at % 8) & 1 == 1)
+        };
         (0..self.bits.len() * 8).filter_map(move |at| {
             let place = u16::try_from(usize::from(self.base) + at).ok()?;
             Some((place, bit(&self.bits, at), !bit(&self.others, at)))
@@ -148,7 +151,11 @@
         to.value(&(self.view.base, self.view.reads), 0);
         to.list(&self.view.bits, usize::MAX >> 1, reserved + 3);
         to.list(&self.view.others, usize::MAX >> 1, reserved + 2);
-        let verdicts = if self.verdicts.is_empty() { 1 } else { VERDICTS_BYTES };
+        let verdicts = if self.verdicts.is_empty() {
+            1
+        } else {
+            VERDICTS_BYTES
+        };
         let written = to.list(&self.records, usize::MAX >> 1, reserved + verdicts);
         self.records.truncate(written);
         to.list(&self.verdicts, VERDICTS_BYTES, reserved);
@@ -157,8 +164,18 @@
     pub(crate) fn read(from: &mut Reader<'_>) -> Result<Body, DecodeError> {
         let head = from.value()?;
         let (base, reads) = from.value()?;
-        let view = View { base, reads, bits: from.list()?, others: from.list()? };
-        Ok(Body { head, view, records: from.list()?, verdicts: from.list()? })
+        let view = View {
+            base,
+            reads,
+            bits: from.list()?,
+            others: from.list()?,
+        };
+        Ok(Body {
+            head,
+            view,
+            records: from.list()?,
+            verdicts: from.list()?,
+        })
     }
 }
 
--- a/balancer/gossip/src/wire/v2.rs
+++ b/balancer/gossip/src/wire/v2.rs
@@ -15,7 +15,11 @@
 impl Figure {
     /// What is no number that can be added, or below nothing, is written as nothing.
     pub fn of(value: f64) -> Figure {
-        let value = if value.is_finite() && value > 0.0 { value.min(f64::from(bf16::MAX)) } else { 0.0 };
+        let value = if value.is_finite() && value > 0.0 {
+            value.min(f64::from(bf16::MAX))
+        } else {
+            0.0
+        };
         Figure(bf16::from_f64(value).to_bits())
     }
 
@@ -89,13 +93,25 @@
 pub fn write(body: &mut Body, most: usize) -> Vec<u8> {
     let mut to = Writer::new(most);
     // Three lists that are empty take three bytes.
-    let reserved = if body.totals.is_empty() { 3 } else { SUMS_RESERVE };
+    let reserved = if body.totals.is_empty() {
+        3
+    } else {
+        SUMS_RESERVE
+    };
     body.first.write(&mut to, reserved);
     if !to.value(&body.rest, EMPTY_LISTS) {
         // What doesn't fit is absent, and its absence takes the byte that is reserved for it.
         to.value(&None::<Rest>, EMPTY_LISTS);
     }
-    to.list(&body.rows, usize::MAX >> 1, if body.totals.is_empty() { 1 } else { TOTALS_BYTES });
+    to.list(
+        &body.rows,
+        usize::MAX >> 1,
+        if body.totals.is_empty() {
+            1
+        } else {
+            TOTALS_BYTES
+        },
+    );
     to.list(&body.totals, usize::MAX >> 1, 0);
     to.finish()
 }
@@ -104,7 +120,12 @@
 pub fn read(payload: &[u8]) -> Result<Body, DecodeError> {
     let mut from = Reader(payload);
     let first = v1::Body::read(&mut from)?;
-    let body = Body { first, rest: from.value()?, rows: from.list()?, totals: from.list()? };
+    let body = Body {
+        first,
+        rest: from.value()?,
+        rows: from.list()?,
+        totals: from.list()?,
+    };
     from.end()?;
     Ok(body)
 }
--- a/balancer/gossip/tests/common/mod.rs
+++ b/balancer/gossip/tests/common/mod.rs
@@ -18,8 +18,18 @@
     pub late: (f64, Millis),
 }
 
-pub const CALM: Net = Net { loss: 0.0, delay: (0.2, 2.0), repeat: 0.0, late: (0.0, 0.0) };
-pub const LOSSY: Net = Net { loss: 0.1, delay: (0.2, 5.0), repeat: 0.02, late: (0.002, 4_000.0) };
+pub const CALM: Net = Net {
+    loss: 0.0,
+    delay: (0.2, 2.0),
+    repeat: 0.0,
+    late: (0.0, 0.0),
+};
+pub const LOSSY: Net = Net {
+    loss: 0.1,
+    delay: (0.2, 5.0),
+    repeat: 0.02,
+    late: (0.002, 4_000.0),
+};
 
 pub struct Node {
     pub place: u16,
@@ -114,7 +124,14 @@
             reads,
         };
         let peers = Peers::new(config, self.now + skew).expect("a valid configuration");
-        Node { place, peers: Some(peers), paused_until: 0.0, skew, inbox: Vec::new(), timer: f64::INFINITY }
+        Node {
+            place,
+            peers: Some(peers),
+            paused_until: 0.0,
+            skew,
+            inbox: Vec::new(),
+            timer: f64::INFINITY,
+        }
     }
 
     pub fn kill(&mut self, at: usize) {
@@ -128,7 +145,10 @@
 
     pub fn with<T>(&mut self, at: usize, does: impl FnOnce(&mut Peers, Millis) -> T) -> T {
         let now = self.now + self.nodes[at].skew;
-        let done = does(self.nodes[at].peers.as_mut().expect("a copy that runs"), now);
+        let done = does(
+            self.nodes[at].peers.as_mut().expect("a copy that runs"),
+            now,
+        );
         self.settle(at);
         done
     }
@@ -142,13 +162,16 @@
     }
 
     pub fn alive(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|at| self.nodes[*at].peers.is_some()).collect()
+        (0..self.nodes.len())
+            .filter(|at| self.nodes[*at].peers.is_some())
+            .collect()
     }
 
     fn schedule(&mut self, at: Millis, event: Event) {
         self.count += 1;
         self.waiting.insert(self.count, event);
-        self.events.push(Reverse(((at * 1_000.0) as u64, self.count)));
+        self.events
+            .push(Reverse(((at * 1_000.0) as u64, self.count)));
     }
 
     /// Sends what a replica has to send, and notes when it wants to be called.
@@ -157,12 +180,17 @@
         while let Some(transmit) = self.nodes[at].peers.as_mut().and_then(Peers::transmit) {
             self.longest = self.longest.max(transmit.bytes.len());
             if self.keep {
-                self.kept.push((place, transmit.to.0, transmit.bytes.clone()));
+                self.kept
+                    .push((place, transmit.to.0, transmit.bytes.clone()));
             }
             self.post(place, transmit.to.0, transmit.bytes);
         }
         let node = &self.nodes[at];
-        let due = node.peers.as_ref().and_then(Peers::next_timeout).map(|due| due - node.skew);
+        let due = node
+            .peers
+            .as_ref()
+            .and_then(Peers::next_timeout)
+            .map(|due| due - node.skew);
         let due = due.map(|due| due.max(self.now).max(node.paused_until));
         if let Some(due) = due.filter(|due| *due < node.timer - 0.001 || node.timer < self.now) {
             self.nodes[at].timer = due;
@@ -171,7 +199,11 @@
     }
 
     pub fn post(&mut self, from: u16, to: u16, bytes: Vec<u8>) {
-        let times = if self.rng.gen_bool(self.net.repeat) { 2 } else { 1 };
+        let times = if self.rng.gen_bool(self.net.repeat) {
+            2
+        } else {
+            1
+        };
         for _ in 0..times {
             if (self.cut)(from, to) || self.rng.gen_bool(self.net.loss) {
                 continue;
@@ -180,7 +212,14 @@
             if self.rng.gen_bool(self.net.late.0) {
                 delay += self.rng.gen_range(0.0..self.net.late.1);
             }
-            self.schedule(self.now + delay, Event::Deliver { to, from, bytes: bytes.clone() });
+            self.schedule(
+                self.now + delay,
+                Event::Deliver {
+                    to,
+                    from,
+                    bytes: bytes.clone(),
+                },
+            );
         }
     }
 
@@ -210,12 +249,18 @@
         if now < self.nodes[at].paused_until {
             return;
         }
-        let (skew, inbox) = (self.nodes[at].skew, std::mem::take(&mut self.nodes[at].inbox));
+        let (skew, inbox) = (
+            self.nodes[at].skew,
+            std::mem::take(&mut self.nodes[at].inbox),
+        );
         if let Some(peers) = self.nodes[at].peers.as_mut() {
             for (from, bytes) in inbox {
                 peers.datagram(now + skew, Member(from), &bytes);
             }
-            if peers.next_timeout().is_some_and(|due| due - skew <= now + 0.002) {
+            if peers
+                .next_timeout()
+                .is_some_and(|due| due - skew <= now + 0.002)
+            {
                 peers.timeout(now + skew + 0.002);
             }
             self.settle(at);
--- a/balancer/gossip/tests/knowledge.rs
+++ b/balancer/gossip/tests/knowledge.rs
@@ -11,15 +11,30 @@
 fn totals() -> impl Strategy<Value = Totals> {
     (1..8_u16, 0..90_u8, 0.0..100.0_f64).prop_map(|(owner, age, value)| {
         let figure = Figure::of(value);
-        Totals { owner, age, figures: [figure; 4] }
+        Totals {
+            owner,
+            age,
+            figures: [figure; 4],
+        }
     })
 }
 
 fn verdict() -> impl Strategy<Value = Verdict> {
     (0..3_u64, 1..6_u16, 0..40_u16, 0..100_u8).prop_map(|(subject, observer, sequence, age)| {
         // What an observer sends under one sequence is one thing.
-        let stance = if sequence % 3 == 0 { Stance::Cleared } else { Stance::Against };
-        Verdict { subject: Subject::Upstream(subject), observer, zone: observer % 2, sequence, stance, age }
+        let stance = if sequence % 3 == 0 {
+            Stance::Cleared
+        } else {
+            Stance::Against
+        };
+        Verdict {
+            subject: Subject::Upstream(subject),
+            observer,
+            zone: observer % 2,
+            sequence,
+            stance,
+            age,
+        }
     })
 }
 
--- a/balancer/gossip/tests/strangers.rs
+++ b/balancer/gossip/tests/strangers.rs
@@ -1,7 +1,7 @@
 //! What anyone who reaches the port can do: nothing.
 mod common;
-use common::{Sim, LOSSY};
 use balancer_gossip::{Member, HEADER, MAGIC};
+use common::{Sim, LOSSY};
 use proptest::prelude::*;
 
 /// A datagram with a header that holds, whatever its payload.
--- a/balancer/gossip/tests/tier.rs
+++ b/balancer/gossip/tests/tier.rs
@@ -1,18 +1,31 @@
 //! Tiers of replicas on a simulated network: what the protocol promises, from seeds, under loss and faults.
 mod common;
-use common::{Net, Sim, LOSSY};
 use balancer_gossip::{Figures, Own, Subject, TenantFigures, READS};
+use common::{Net, Sim, LOSSY};
 
 /// What a replica observes; the demand differs from replica to replica by 30 in 100.
 fn own(place: u16, level: f64) -> Own {
     let demand = level * (0.48 + 1.04 * f64::from(place * 37 % 101) / 100.0);
     let tenant = |at: u16| {
         let part = f64::from(at + 1) / 55.0;
-        TenantFigures { demand: demand * part, calls: demand * part / 10.0, callers: 3.0 }
+        TenantFigures {
+            demand: demand * part,
+            calls: demand * part / 10.0,
+            callers: 3.0,
+        }
     };
     let tenants = (0..10).map(tenant).collect();
-    let figures = Figures { demand, room: 2.0 * demand, firsts: demand, retries: 0.0, tenants };
-    Own { figures, ..Own::default() }
+    let figures = Figures {
+        demand,
+        room: 2.0 * demand,
+        firsts: demand,
+        retries: 0.0,
+        tenants,
+    };
+    Own {
+        figures,
+        ..Own::default()
+    }
 }
 
 /// Runs the tier while each replica observes four times a second.
@@ -45,7 +58,9 @@
         assert!(agree(&mut sim, n.into()) >= 0.99, "{n} copies start");
         observed(&mut sim, 9_000.0, 100.0);
         let sent = |sim: &mut Sim| {
-            (0..usize::from(n)).map(|at| sim.with(at, |peers, _| peers.counts().sent_bytes)).sum::<u64>()
+            (0..usize::from(n))
+                .map(|at| sim.with(at, |peers, _| peers.counts().sent_bytes))
+                .sum::<u64>()
         };
         let before = sent(&mut sim);
         observed(&mut sim, 4_000.0, 200.0);
@@ -60,7 +75,11 @@
                 .unwrap_or_else(|| panic!("{n} copies: {at} hears too little: {:?}", sim.word(at)));
             let off = (sums.figures.demand / truth - 1.0).abs();
             // Six times the error that is stated, so that one replica of 300 doesn't fail the test by chance.
-            assert!(off <= 6.0 * sums.error + 0.005, "{n} copies: off by {off}, stated {}", sums.error);
+            assert!(
+                off <= 6.0 * sums.error + 0.005,
+                "{n} copies: off by {off}, stated {}",
+                sums.error
+            );
         }
         sim.kill(3);
         observed(&mut sim, 2_000.0, 200.0);
@@ -73,31 +92,62 @@
 fn first_evidence_reaches_all_within_half_a_second_and_ends_when_it_is_not_renewed() {
     let mut sim = Sim::tier(60, 9, LOSSY, 5);
     let subject = Subject::Upstream(77);
-    let told = Own { against: vec![subject], ..own(0, 100.0) };
+    let told = Own {
+        against: vec![subject],
+        ..own(0, 100.0)
+    };
     sim.observe(0, told);
     sim.run(500.0);
     for at in 1..60 {
         let word = sim.word(at);
         let evidence = word.evidence.first().expect("the evidence is there");
-        assert_eq!((evidence.subject, evidence.observers, evidence.zones), (subject, 1, 1));
-        assert!(evidence.age >= 0.0 && evidence.age < 700.0, "{}", evidence.age);
+        assert_eq!(
+            (evidence.subject, evidence.observers, evidence.zones),
+            (subject, 1, 1)
+        );
+        assert!(
+            evidence.age >= 0.0 && evidence.age < 700.0,
+            "{}",
+            evidence.age
+        );
     }
-    sim.observe(0, Own { cleared: vec![subject], ..own(0, 100.0) });
+    sim.observe(
+        0,
+        Own {
+            cleared: vec![subject],
+            ..own(0, 100.0)
+        },
+    );
     sim.run(500.0);
     let cleared = |word: balancer_gossip::Word| {
-        word.evidence.first().map(|evidence| (evidence.observers, evidence.cleared))
+        word.evidence
+            .first()
+            .map(|evidence| (evidence.observers, evidence.cleared))
     };
-    assert!((1..60).all(|at| cleared(sim.word(at)) == Some((0, 1))), "taken back everywhere");
+    assert!(
+        (1..60).all(|at| cleared(sim.word(at)) == Some((0, 1))),
+        "taken back everywhere"
+    );
     sim.run(3_200.0);
-    assert!((0..60).all(|at| sim.word(at).evidence.is_empty()), "nothing is held beyond its bound");
+    assert!(
+        (0..60).all(|at| sim.word(at).evidence.is_empty()),
+        "nothing is held beyond its bound"
+    );
 }
 
 #[test]
 fn nobody_is_taken_for_gone_in_ten_minutes_of_loss() {
-    let net = Net { loss: 0.1, delay: (0.2, 5.0), repeat: 0.02, late: (0.002, 4_000.0) };
+    let net = Net {
+        loss: 0.1,
+        delay: (0.2, 5.0),
+        repeat: 0.02,
+        late: (0.002, 4_000.0),
+    };
     let mut sim = Sim::tier(60, 9, net, 11);
     sim.run(600_000.0);
-    let gone: u64 = (0..60).map(|at| sim.with(at, |peers, _| peers.counts().gone)).sum();
+    let gone: u64 = (0..60)
+        .map(|at| sim.with(at, |peers, _| peers.counts().gone))
+        .sum();
     assert_eq!(gone, 0);
     assert_eq!(agree(&mut sim, 60), 1.0);
 }
@@ -120,7 +170,10 @@
     observed(&mut sim, 6_000.0, 100.0);
     for at in 0..24 {
         let word = sim.word(at);
-        assert!(!word.joined && word.sums.is_none(), "half a tier is not the whole: {word:?}");
+        assert!(
+            !word.joined && word.sums.is_none(),
+            "half a tier is not the whole: {word:?}"
+        );
         assert_eq!(word.up, 12);
     }
     // Each half goes on: one in each ends, and one comes back with nothing remembered.
@@ -129,7 +182,9 @@
     observed(&mut sim, 4_000.0, 100.0);
     sim.restart(20, 1);
     sim.cut = Box::new(|_, _| false);
-    let took = until(&mut sim, 8_000.0, |sim| agree(sim, 23) == 1.0 && sim.word(0).joined);
+    let took = until(&mut sim, 8_000.0, |sim| {
+        agree(sim, 23) == 1.0 && sim.word(0).joined
+    });
     println!("healed in {took} ms");
 }
 
@@ -144,7 +199,10 @@
     sim.cut = Box::new(|_, to| to == 5);
     sim.run(6_000.0);
     assert!(!sim.word(5).joined);
-    let others: Vec<u32> = (0..24).filter(|at| *at != 5).map(|at| sim.word(at).up).collect();
+    let others: Vec<u32> = (0..24)
+        .filter(|at| *at != 5)
+        .map(|at| sim.word(at).up)
+        .collect();
     assert!(others.iter().all(|up| *up == 23), "{others:?}");
     sim.cut = Box::new(|_, _| false);
     until(&mut sim, 8_000.0, |sim| agree(sim, 24) == 1.0);
@@ -160,8 +218,11 @@
     sim.run(3_000.0);
     assert_eq!(agree(&mut sim, 24), 1.0);
     // One that takes leave is suspected by nobody, and the rest is still the whole.
-    let suspected =
-        |sim: &mut Sim| (0..9).map(|at| sim.with(at, |peers, _| peers.counts().suspected)).sum::<u64>();
+    let suspected = |sim: &mut Sim| {
+        (0..9)
+            .map(|at| sim.with(at, |peers, _| peers.counts().suspected))
+            .sum::<u64>()
+    };
     let before = suspected(&mut sim);
     sim.with(11, |peers, now| peers.leave(now));
     sim.kill(11);
@@ -186,12 +247,18 @@
     sim.run(8_000.0);
     (0..42).for_each(|at| sim.kill(at));
     sim.run(3_000.0);
-    let joined = sim.alive().into_iter().filter(|at| sim.word(*at).joined).count();
+    let joined = sim
+        .alive()
+        .into_iter()
+        .filter(|at| sim.word(*at).joined)
+        .count();
     assert_eq!(joined, 0, "seven in ten gone can't be told from a cut");
     until(&mut sim, 12_000.0, |sim| agree(sim, 18) == 1.0);
     // Back at once with nothing remembered.
     (0..42).for_each(|at| sim.restart(at, 2_000));
-    until(&mut sim, 6_000.0, |sim| agree(sim, 60) == 1.0 && sim.word(50).joined);
+    until(&mut sim, 6_000.0, |sim| {
+        agree(sim, 60) == 1.0 && sim.word(50).joined
+    });
 }
 
 #[test]
@@ -207,7 +274,10 @@
         }
         least = least.min(sim.word(0).up);
     }
-    let named = lines.iter().filter(|line| line.0.contains("another copy speaks as this one")).count();
+    let named = lines
+        .iter()
+        .filter(|line| line.0.contains("another copy speaks as this one"))
+        .count();
     assert!((1..=2).contains(&named), "{lines:?}");
     assert!(least >= 11, "nobody else suffers");
 }
--- a/balancer/gossip/tests/upgrades.rs
+++ b/balancer/gossip/tests/upgrades.rs
@@ -1,14 +1,18 @@
 //! An upgrade and the way back with whole machines over a network that loses, repeats and delays.
 mod common;
 
-use common::{Sim, LOSSY};
 use balancer_gossip::{Figures, Own, TenantFigures, Versions, READS};
+use common::{Sim, LOSSY};
 
 const OLD: Versions = Versions { least: 1, most: 1 };
 
 /// Ends the replica at a place as an orderly stop does, and starts it 0.5 s later with nothing remembered.
 fn again(sim: &mut Sim, place: u16, incarnation: u64, reads: Versions) {
-    let runs = sim.alive().into_iter().find(|at| sim.nodes[*at].place == place).expect("it runs");
+    let runs = sim
+        .alive()
+        .into_iter()
+        .find(|at| sim.nodes[*at].place == place)
+        .expect("it runs");
     sim.with(runs, |peers, now| peers.leave(now));
     sim.run(50.0);
     sim.kill(runs);
@@ -20,18 +24,32 @@
 fn go_on(sim: &mut Sim, seconds: u32) -> (Vec<u8>, usize) {
     for _ in 0..seconds * 4 {
         for at in sim.alive() {
-            let figures =
-                Figures { demand: 10.0, tenants: vec![TenantFigures::default(); 11], ..Figures::default() };
-            sim.observe(at, Own { figures, ..Own::default() });
+            let figures = Figures {
+                demand: 10.0,
+                tenants: vec![TenantFigures::default(); 11],
+                ..Figures::default()
+            };
+            sim.observe(
+                at,
+                Own {
+                    figures,
+                    ..Own::default()
+                },
+            );
         }
         sim.run(250.0);
     }
     let words: Vec<_> = sim.alive().into_iter().map(|at| sim.word(at)).collect();
-    assert!(words.iter().all(|word| u64::from(word.version) == word.epoch & 0xff));
+    assert!(words
+        .iter()
+        .all(|word| u64::from(word.version) == word.epoch & 0xff));
     let mut versions: Vec<u8> = words.iter().map(|word| word.version).collect();
     versions.sort_unstable();
     versions.dedup();
-    (versions, words.iter().filter(|word| word.sums.is_some()).count())
+    (
+        versions,
+        words.iter().filter(|word| word.sums.is_some()).count(),
+    )
 }
 
 #[test]
@@ -55,7 +73,10 @@
     for place in 0..N {
         again(&mut sim, place, 3_000, OLD);
         let (versions, sums) = go_on(&mut sim, 1);
-        assert!(place == 0 || (versions, sums) == (vec![1], 0), "{place} is rolled back");
+        assert!(
+            place == 0 || (versions, sums) == (vec![1], 0),
+            "{place} is rolled back"
+        );
         for at in sim.alive() {
             let steps = sim.with(at, |peers, _| peers.counts().steps);
             assert!(steps <= 2, "{steps} steps of {}", sim.nodes[at].place);
@@ -70,13 +91,22 @@
         again(&mut sim, 1, 2_000, OLD);
         assert_eq!(go_on(&mut sim, 10).0, [1]);
         // Killed and back before anybody took it for gone.
-        let at = sim.alive().into_iter().find(|at| sim.nodes[*at].place == 1).expect("it runs");
+        let at = sim
+            .alive()
+            .into_iter()
+            .find(|at| sim.nodes[*at].place == 1)
+            .expect("it runs");
         sim.kill(at);
         sim.run(500.0);
         sim.start(1, 3_000, READS);
         assert_eq!(go_on(&mut sim, 12).0, [2]);
         for at in sim.alive().into_iter().filter(|at| *at < 60) {
-            assert_eq!(sim.with(at, |peers, _| peers.counts().steps), 3, "of {}", sim.nodes[at].place);
+            assert_eq!(
+                sim.with(at, |peers, _| peers.counts().steps),
+                3,
+                "of {}",
+                sim.nodes[at].place
+            );
         }
     }
 }
--- a/balancer/gossip/tests/version_agreement.rs
+++ b/balancer/gossip/tests/version_agreement.rs
@@ -1,6 +1,8 @@
 //! The hard cases of an upgrade, each on injected time. What holds in every state is in `version_model.rs`; here is how
 //! soon, how often and with which notifications.
-use balancer_gossip::versions::rules::{FIRST_STEP_UP_DELAY, MAX_STEP_UP_DELAY, SETTLED_AFTER, STEP_UP_DELAY};
+use balancer_gossip::versions::rules::{
+    FIRST_STEP_UP_DELAY, MAX_STEP_UP_DELAY, SETTLED_AFTER, STEP_UP_DELAY,
+};
 use balancer_gossip::versions::Negotiation;
 use balancer_gossip::{Member, Millis, Versions};
 use rand_core::{RngCore, SeedableRng};
@@ -23,27 +25,40 @@
 
 impl Replica {
     fn up(&self, now: Millis) -> Vec<Member> {
-        let up =
-            self.last_received.iter().enumerate().filter(|(_, &last_received)| last_received + GONE > now);
+        let up = self
+            .last_received
+            .iter()
+            .enumerate()
+            .filter(|(_, &last_received)| last_received + GONE > now);
         up.map(|(i, _)| Member(i as u16)).collect()
     }
 
     fn take(&mut self, now: Millis, from: usize, of: &(u64, Versions, u64, u8)) {
         let &(incarnation, reads, epoch, version) = of;
-        self.negotiation.received(now, Member(from as u16), incarnation, reads, epoch);
+        self.negotiation
+            .received(now, Member(from as u16), incarnation, reads, epoch);
         if self.negotiation.accepts(version, epoch) {
-            assert!(version <= self.reads.most && (version == 1 || epoch == self.negotiation.epoch()));
+            assert!(
+                version <= self.reads.most && (version == 1 || epoch == self.negotiation.epoch())
+            );
             self.last_received[from] = now;
             self.negotiation.members(now, &self.up(now));
         }
     }
 
     fn header(&self) -> (u64, Versions, u64, u8) {
-        (self.incarnation, self.reads, self.negotiation.epoch(), self.negotiation.speaks())
+        (
+            self.incarnation,
+            self.reads,
+            self.negotiation.epoch(),
+            self.negotiation.speaks(),
+        )
     }
 
     fn lines(&mut self) -> Vec<String> {
-        std::iter::from_fn(|| self.negotiation.next_notification()).map(|told| told.0).collect()
+        std::iter::from_fn(|| self.negotiation.next_notification())
+            .map(|told| told.0)
+            .collect()
     }
 }
 
@@ -67,7 +82,13 @@
             runs: true,
         };
         let replicas = all.iter().map(replica).collect();
-        Tier { replicas, now: 0.0, lost: 10, cut: None, draws: Pcg32::seed_from_u64(7) }
+        Tier {
+            replicas,
+            now: 0.0,
+            lost: 10,
+            cut: None,
+            draws: Pcg32::seed_from_u64(7),
+        }
     }
 
     fn stop(&mut self, replica: usize) {
@@ -88,7 +109,11 @@
             self.now += EVERY;
             for replica in self.replicas.iter_mut().filter(|replica| replica.runs) {
                 replica.negotiation.members(self.now, &replica.up(self.now));
-                if replica.negotiation.next_timeout().is_some_and(|due| due <= self.now) {
+                if replica
+                    .negotiation
+                    .next_timeout()
+                    .is_some_and(|due| due <= self.now)
+                {
                     replica.negotiation.timeout(self.now);
                 }
             }
@@ -96,7 +121,11 @@
             for (from, to) in (0..replicas * replicas).map(|i| (i / replicas, i % replicas)) {
                 let incompatible = self.cut.is_some_and(|cut| (from < cut) != (to < cut));
                 let lost = self.draws.next_u32() % 100 < self.lost;
-                if from != to && self.replicas[from].runs && self.replicas[to].runs && !incompatible && !lost
+                if from != to
+                    && self.replicas[from].runs
+                    && self.replicas[to].runs
+                    && !incompatible
+                    && !lost
                 {
                     let header = self.replicas[from].header();
                     self.replicas[to].take(self.now, from, &header);
@@ -108,7 +137,9 @@
     /// What the running replicas speak, each thing once.
     fn speaks(&self) -> Vec<u8> {
         let running = self.replicas.iter().filter(|replica| replica.runs);
-        let mut all: Vec<u8> = running.map(|replica| replica.negotiation.speaks()).collect();
+        let mut all: Vec<u8> = running
+            .map(|replica| replica.negotiation.speaks())
+            .collect();
         all.sort_unstable();
         all.dedup();
         all
@@ -121,27 +152,35 @@
     tier.lost = 30;
     tier.run(FIRST_STEP_UP_DELAY + 700);
     assert_eq!(tier.speaks(), [2]);
-    assert!(tier.replicas.iter().all(|replica| replica.negotiation.steps() == 1));
+    assert!(tier
+        .replicas
+        .iter()
+        .all(|replica| replica.negotiation.steps() == 1));
 }
 
 #[test]
 fn a_rolling_upgrade_and_its_way_back() {
     let mut tier = Tier::start(&[OLD; 24]);
     tier.run(3_000);
-    let upgrade = |tier: &mut Tier, replicas: std::ops::Range<usize>, reads: Versions, speak: u8| {
-        for replica in replicas {
-            tier.stop(replica);
-            tier.run(500);
-            tier.restart(replica, reads);
-            for _ in 0..10 {
-                tier.run(100);
-                let running = tier.replicas.iter().enumerate().filter(|(i, _)| speak == 1 || *i != replica);
-                for (_, replica) in running {
-                    assert_eq!(replica.negotiation.speaks(), speak);
+    let upgrade =
+        |tier: &mut Tier, replicas: std::ops::Range<usize>, reads: Versions, speak: u8| {
+            for replica in replicas {
+                tier.stop(replica);
+                tier.run(500);
+                tier.restart(replica, reads);
+                for _ in 0..10 {
+                    tier.run(100);
+                    let running = tier
+                        .replicas
+                        .iter()
+                        .enumerate()
+                        .filter(|(i, _)| speak == 1 || *i != replica);
+                    for (_, replica) in running {
+                        assert_eq!(replica.negotiation.speaks(), speak);
+                    }
                 }
             }
-        }
-    };
+        };
     // Half of it, and back; then all of it.
     upgrade(&mut tier, 0..12, NEW, 1);
     tier.run(MAX_STEP_UP_DELAY);
@@ -169,8 +208,12 @@
     tier.cut = Some(4);
     (4..12).for_each(|replica| tier.restart(replica, NEW));
     tier.run(GONE as u64 + STEP_UP_DELAY + 1_000);
-    assert!(tier.replicas[4..].iter().all(|replica| replica.negotiation.speaks() == 2));
-    assert!(tier.replicas[..4].iter().all(|replica| replica.negotiation.speaks() == 1));
+    assert!(tier.replicas[4..]
+        .iter()
+        .all(|replica| replica.negotiation.speaks() == 2));
+    assert!(tier.replicas[..4]
+        .iter()
+        .all(|replica| replica.negotiation.speaks() == 1));
     tier.cut = None;
     tier.run(300);
     assert_eq!(tier.speaks(), [1]);
@@ -178,7 +221,10 @@
     tier.run(STEP_UP_DELAY * 2 + 1_000);
     assert_eq!(tier.speaks(), [2]);
     let epoch = tier.replicas[0].negotiation.epoch();
-    assert!(tier.replicas.iter().all(|replica| replica.negotiation.epoch() == epoch));
+    assert!(tier
+        .replicas
+        .iter()
+        .all(|replica| replica.negotiation.epoch() == epoch));
 }
 
 #[test]
@@ -196,11 +242,16 @@
         assert_eq!(replica.negotiation.steps(), 4);
         let lines = replica.lines();
         assert_eq!(lines.len(), 5, "{lines:?}");
-        assert_eq!(lines[0], "version 1 and not 2, by agreement 1: member 5 reads 1 to 1");
+        assert_eq!(
+            lines[0],
+            "version 1 and not 2, by agreement 1: member 5 reads 1 to 1"
+        );
     }
     tier.stop(5);
     tier.run(GONE as u64 + MAX_STEP_UP_DELAY);
-    assert!(tier.replicas[..5].iter().all(|replica| replica.negotiation.speaks() == 2));
+    assert!(tier.replicas[..5]
+        .iter()
+        .all(|replica| replica.negotiation.speaks() == 2));
 }
 
 #[test]
@@ -247,7 +298,9 @@
     let late = (tier.replicas[1].incarnation, OLD, 1, 1);
     tier.run(10_000);
     let now = tier.now;
-    tier.replicas[0].negotiation.received(now, Member(1), late.0, late.1, late.2);
+    tier.replicas[0]
+        .negotiation
+        .received(now, Member(1), late.0, late.1, late.2);
     assert_eq!(tier.speaks(), [2]);
 }
 
@@ -259,11 +312,17 @@
     for (i, replica) in tier.replicas.iter_mut().enumerate() {
         assert_eq!(replica.negotiation.speaks(), if i < 2 { 1 } else { 2 });
         assert_eq!(replica.negotiation.steps(), 0);
-        let others: Vec<usize> = replica.up(tier.now).iter().map(|member| usize::from(member.0)).collect();
+        let others: Vec<usize> = replica
+            .up(tier.now)
+            .iter()
+            .map(|member| usize::from(member.0))
+            .collect();
         assert_eq!(others, [[1], [0], [3], [2]][i]);
         let lines = replica.lines();
         assert_eq!(lines.len(), 2, "one for each of the other group: {lines:?}");
-        assert!(lines.iter().all(|line| line.starts_with("no version in common with member")));
+        assert!(lines
+            .iter()
+            .all(|line| line.starts_with("no version in common with member")));
     }
     let mut between = Negotiation::new(NEW, 0.0);
     between.received(0.0, Member(2), 1, only_new, 2);
@@ -292,7 +351,10 @@
     // A newcomer's own beginning is no agreement that anybody follows.
     replica.received(3.0, Member(3), 1, NEW, 1);
     assert_eq!(replica.epoch(), 10 << 8 | 1);
-    assert_eq!(replica.next_timeout(), Some(3.0 + 2.0 * STEP_UP_DELAY as Millis));
+    assert_eq!(
+        replica.next_timeout(),
+        Some(3.0 + 2.0 * STEP_UP_DELAY as Millis)
+    );
 }
 
 #[test]
@@ -308,7 +370,13 @@
         (NEW, 7 << 8 | 9),
         (NEW, 7 << 8),
         (OLD, 0),
-        (Versions { least: 0, most: 255 }, 8 << 8 | 2),
+        (
+            Versions {
+                least: 0,
+                most: 255,
+            },
+            8 << 8 | 2,
+        ),
         (Versions { least: 2, most: 1 }, 8 << 8 | 2),
     ] {
         // In between it goes on saying what is so.
@@ -349,8 +417,13 @@
     (0..12).for_each(|replica| tier.restart(replica, if replica % 3 == 0 { OLD } else { NEW }));
     tier.run(30_000);
     assert_eq!(tier.speaks(), [1]);
-    assert!(tier.replicas.iter().all(|replica| replica.negotiation.steps() <= 2));
-    (0..12).filter(|replica| replica % 3 == 0).for_each(|replica| tier.restart(replica, NEW));
+    assert!(tier
+        .replicas
+        .iter()
+        .all(|replica| replica.negotiation.steps() <= 2));
+    (0..12)
+        .filter(|replica| replica % 3 == 0)
+        .for_each(|replica| tier.restart(replica, NEW));
     tier.run(MAX_STEP_UP_DELAY);
     assert_eq!(tier.speaks(), [2]);
 }
@@ -364,8 +437,13 @@
     tier.stop(0);
     tier.run(STEP_UP_DELAY);
     let replica = &mut tier.replicas[0].negotiation;
-    let due = replica.next_timeout().expect("it waited when it was paused");
+    let due = replica
+        .next_timeout()
+        .expect("it waited when it was paused");
     replica.timeout(due + 20_000.0);
     assert_eq!((replica.speaks(), replica.steps()), (1, 0));
-    assert_eq!(replica.next_timeout(), Some(due + 20_000.0 + STEP_UP_DELAY as Millis));
+    assert_eq!(
+        replica.next_timeout(),
+        Some(due + 20_000.0 + STEP_UP_DELAY as Millis)
+    );
 }
--- a/balancer/gossip/tests/version_model.rs
+++ b/balancer/gossip/tests/version_model.rs
@@ -79,12 +79,24 @@
     fn start(rules: Rules, incarnation: u64, reads: Versions, written: Vec<Header>) -> Replica {
         let agreement = Agreement::new(rules, reads);
         let (up, announced) = ([false; REPLICAS], [None; REPLICAS]);
-        Replica { agreement, incarnation, reads, up, announced, written }
+        Replica {
+            agreement,
+            incarnation,
+            reads,
+            up,
+            announced,
+            written,
+        }
     }
 
     fn header(&self) -> Header {
         let (epoch, version) = (self.agreement.epoch(), self.agreement.speaks());
-        Header { incarnation: self.incarnation, reads: self.reads, epoch, version }
+        Header {
+            incarnation: self.incarnation,
+            reads: self.reads,
+            epoch,
+            version,
+        }
     }
 
     fn write(&mut self, under_way: usize) {
@@ -99,8 +111,14 @@
 
     /// Takes a datagram as the whole machine does; true if it was misread.
     fn take(&mut self, now: u64, from: usize, header: Header) -> bool {
-        let Header { incarnation, reads, epoch, version } = header;
-        self.agreement.received(now, Member(from as u16), incarnation, reads, epoch);
+        let Header {
+            incarnation,
+            reads,
+            epoch,
+            version,
+        } = header;
+        self.agreement
+            .received(now, Member(from as u16), incarnation, reads, epoch);
         if self.announced[from].is_none_or(|before| before.0 < incarnation) {
             self.announced[from] = Some((incarnation, reads));
         }
@@ -114,7 +132,10 @@
 
     fn set(&mut self, now: u64, of: usize, up: bool) {
         self.up[of] = up;
-        let members: Vec<Member> = (0..REPLICAS).filter(|&i| self.up[i]).map(|i| Member(i as u16)).collect();
+        let members: Vec<Member> = (0..REPLICAS)
+            .filter(|&i| self.up[i])
+            .map(|i| Member(i as u16))
+            .collect();
         self.agreement.members(now, &members);
     }
 }
@@ -130,12 +151,17 @@
                 replicas[to].take(now, from, header);
                 replicas[to].set(now, from, true);
             }
-            let Some(due) = replicas.iter().filter_map(|replica| replica.agreement.next_timeout()).min()
+            let Some(due) = replicas
+                .iter()
+                .filter_map(|replica| replica.agreement.next_timeout())
+                .min()
             else {
                 break;
             };
             now = due;
-            replicas.iter_mut().for_each(|replica| replica.agreement.timeout(now));
+            replicas
+                .iter_mut()
+                .for_each(|replica| replica.agreement.timeout(now));
         }
         let version = replicas.iter().map(|replica| replica.reads.most).min();
         let agreed = replicas.iter().all(|replica| {
@@ -147,7 +173,9 @@
 }
 
 fn pairs() -> impl Iterator<Item = (usize, usize)> {
-    (0..REPLICAS * REPLICAS).map(|i| (i / REPLICAS, i % REPLICAS)).filter(|(a, b)| a != b)
+    (0..REPLICAS * REPLICAS)
+        .map(|i| (i / REPLICAS, i % REPLICAS))
+        .filter(|(a, b)| a != b)
 }
 
 impl Model for Tier {
@@ -156,9 +184,18 @@
 
     fn init_states(&self) -> Vec<World> {
         let world = |builds: [Versions; REPLICAS]| {
-            let mut replicas = builds.map(|reads| Replica::start(self.rules, 1, reads, Vec::new())).to_vec();
-            replicas.iter_mut().for_each(|replica| replica.write(self.under_way));
-            World { replicas, starts: 0, back: false, misread: false }
+            let mut replicas = builds
+                .map(|reads| Replica::start(self.rules, 1, reads, Vec::new()))
+                .to_vec();
+            replicas
+                .iter_mut()
+                .for_each(|replica| replica.write(self.under_way));
+            World {
+                replicas,
+                starts: 0,
+                back: false,
+                misread: false,
+            }
         };
         vec![world([NEW, NEW, NEW]), world([NEW, NEW, OLD])]
     }
@@ -176,7 +213,11 @@
             let ways = world.replicas[from].written.len();
             acts.extend((0..ways).map(|which| Act::Deliver { from, which, to }));
             let up = world.replicas[to].up[from];
-            acts.push(if up { Act::Gone { of: from, to } } else { Act::Gossip { of: from, to } });
+            acts.push(if up {
+                Act::Gone { of: from, to }
+            } else {
+                Act::Gossip { of: from, to }
+            });
         }
     }
 
@@ -197,8 +238,13 @@
             }
             Act::Start { replica, reads } => {
                 world.starts += 1;
-                let Replica { incarnation, written, .. } = world.replicas[replica].clone();
-                world.replicas[replica] = Replica::start(self.rules, incarnation + 1, reads, written);
+                let Replica {
+                    incarnation,
+                    written,
+                    ..
+                } = world.replicas[replica].clone();
+                world.replicas[replica] =
+                    Replica::start(self.rules, incarnation + 1, reads, written);
             }
         }
         for (replica, was) in world.replicas.iter_mut().zip(&before.replicas) {
@@ -211,14 +257,19 @@
 
     fn properties(&self) -> Vec<Property<Tier>> {
         vec![
-            Property::always("speaks only what live members have announced", |_, world: &World| {
-                world.replicas.iter().all(|replica| {
-                    let speaks = replica.agreement.speaks();
-                    (0..REPLICAS).filter(|&i| replica.up[i]).all(|i| {
-                        speaks == 1 || replica.announced[i].is_some_and(|(_, reads)| speaks <= reads.most)
+            Property::always(
+                "speaks only what live members have announced",
+                |_, world: &World| {
+                    world.replicas.iter().all(|replica| {
+                        let speaks = replica.agreement.speaks();
+                        (0..REPLICAS).filter(|&i| replica.up[i]).all(|i| {
+                            speaks == 1
+                                || replica.announced[i]
+                                    .is_some_and(|(_, reads)| speaks <= reads.most)
+                        })
                     })
-                })
-            }),
+                },
+            ),
             Property::always("one agreement, one version", |_, world: &World| {
                 pairs().all(|(a, b)| {
                     let (a, b) = (&world.replicas[a].agreement, &world.replicas[b].agreement);
@@ -228,16 +279,27 @@
             Property::always("no agreement goes back", |_, world: &World| !world.back),
             Property::always("nothing is misread", |_, world: &World| !world.misread),
             Property::always("agrees when datagrams arrive", |_, world: &World| {
-                world.settles().is_some_and(|after| after <= MAX_STEP_UP_DELAY)
-            }),
-            Property::sometimes("comes to as many agreements", |tier: &Tier, world: &World| {
-                world.replicas.iter().all(|replica| replica.agreement.epoch() >> 8 == tier.agreements)
+                world
+                    .settles()
+                    .is_some_and(|after| after <= MAX_STEP_UP_DELAY)
             }),
+            Property::sometimes(
+                "comes to as many agreements",
+                |tier: &Tier, world: &World| {
+                    world
+                        .replicas
+                        .iter()
+                        .all(|replica| replica.agreement.epoch() >> 8 == tier.agreements)
+                },
+            ),
         ]
     }
 
     fn within_boundary(&self, world: &World) -> bool {
-        world.replicas.iter().all(|replica| replica.agreement.epoch() >> 8 <= self.agreements)
+        world
+            .replicas
+            .iter()
+            .all(|replica| replica.agreement.epoch() >> 8 <= self.agreements)
     }
 }
 
@@ -245,7 +307,9 @@
 fn explore(tier: Tier, steps: Option<usize>) -> usize {
     let failure = stateright::HasDiscoveries::AnyFailures;
     let checker = tier.checker().finish_when(failure);
-    let checker = steps.into_iter().fold(checker, |checker, steps| checker.target_max_depth(steps));
+    let checker = steps
+        .into_iter()
+        .fold(checker, |checker, steps| checker.target_max_depth(steps));
     let checker = checker.spawn_bfs().join();
     println!(
         "{} states, {} distinct, {} deep",
@@ -259,13 +323,23 @@
 
 #[test]
 fn every_state_within_eight_steps_keeps_the_promise() {
-    let tier = Tier { rules: Rules::default(), starts: 2, agreements: 2, under_way: 3 };
+    let tier = Tier {
+        rules: Rules::default(),
+        starts: 2,
+        agreements: 2,
+        under_way: 3,
+    };
     assert!(explore(tier, Some(8)) > 500_000);
 }
 
 #[test]
 fn every_state_without_a_restart_keeps_the_promise() {
-    let tier = Tier { rules: Rules::default(), starts: 0, agreements: 2, under_way: 2 };
+    let tier = Tier {
+        rules: Rules::default(),
+        starts: 0,
+        agreements: 2,
+        under_way: 2,
+    };
     assert!(explore(tier, None) > 200_000);
 }
 
@@ -273,7 +347,12 @@
 #[test]
 #[ignore]
 fn every_state_with_one_restart_keeps_the_promise() {
-    let tier = Tier { rules: Rules::default(), starts: 1, agreements: 2, under_way: 1 };
+    let tier = Tier {
+        rules: Rules::default(),
+        starts: 1,
+        agreements: 2,
+        under_way: 1,
+    };
     assert!(explore(tier, None) > 2_000_000);
 }
 
@@ -282,7 +361,10 @@
     use Rule::*;
     for (rule, breaks) in [
         (AllMembers, "speaks only what live members have announced"),
-        (UnannouncedIsLowest, "speaks only what live members have announced"),
+        (
+            UnannouncedIsLowest,
+            "speaks only what live members have announced",
+        ),
         (Narrower, "speaks only what live members have announced"),
         (Incarnations, "speaks only what live members have announced"),
         (RaiseOnDown, "no agreement goes back"),
@@ -293,9 +375,22 @@
         (Adopt, "agrees when datagrams arrive"),
         (OwnAgreement, "nothing is misread"),
     ] {
-        let tier = Tier { rules: Rules::without(rule), starts: 2, agreements: 2, under_way: 3 };
+        let tier = Tier {
+            rules: Rules::without(rule),
+            starts: 2,
+            agreements: 2,
+            under_way: 3,
+        };
         let found = stateright::HasDiscoveries::AllOf([breaks].into());
-        let checker = tier.checker().target_max_depth(8).finish_when(found).spawn_bfs().join();
-        assert!(checker.discovery(breaks).is_some(), "{rule:?} may be left out, and {breaks:?} holds");
+        let checker = tier
+            .checker()
+            .target_max_depth(8)
+            .finish_when(found)
+            .spawn_bfs()
+            .join();
+        assert!(
+            checker.discovery(breaks).is_some(),
+            "{rule:?} may be left out, and {breaks:?} holds"
+        );
     }
 }
--- a/balancer/gossip/tests/wire.rs
+++ b/balancer/gossip/tests/wire.rs
@@ -1,42 +1,91 @@
 //! The bytes of every version as they are, and what becomes of bytes that are none.
 use proptest::prelude::*;
 
-use balancer_gossip::wire::v1::{About, Body, Echo, Head, Kind, Reads, Record, Stance, Status, Verdict, View};
+use balancer_gossip::wire::v1::{
+    About, Body, Echo, Head, Kind, Reads, Record, Stance, Status, Verdict, View,
+};
 use balancer_gossip::wire::v2::{Figure, Rest, Row, Totals};
 use balancer_gossip::wire::{open, seal, v1, v2, Header, PAYLOAD};
 use balancer_gossip::{Member, Subject, Versions, DATAGRAM_MOST};
 
 fn header(version: u8) -> Header {
     let reads = Versions { least: 1, most: 2 };
-    Header { version, reads, place: Member(258), incarnation: 0x0102_0304, deployment: 7, epoch: 0x0302 }
+    Header {
+        version,
+        reads,
+        place: Member(258),
+        incarnation: 0x0102_0304,
+        deployment: 7,
+        epoch: 0x0302,
+    }
 }
 
 fn first() -> Body {
     let head = Head {
         kind: Kind::IndirectAck,
         stamp: 1_000,
-        echo: Some(Echo { stamp: 7, held: 300 }),
+        echo: Some(Echo {
+            stamp: 7,
+            held: 300,
+        }),
         about: Some(About { member: 3, age: 2 }),
         lost: 1,
     };
     let reads = Reads { least: 1, most: 2 };
-    let view = View { base: 0, reads, bits: vec![0b111], others: vec![0b100] };
-    let record = Record { member: 2, incarnation: 300, status: Status::Suspect, reads, age: 5 };
-    let verdict = |subject, stance| Verdict { subject, observer: 1, zone: 2, sequence: 9, stance, age: 4 };
+    let view = View {
+        base: 0,
+        reads,
+        bits: vec![0b111],
+        others: vec![0b100],
+    };
+    let record = Record {
+        member: 2,
+        incarnation: 300,
+        status: Status::Suspect,
+        reads,
+        age: 5,
+    };
+    let verdict = |subject, stance| Verdict {
+        subject,
+        observer: 1,
+        zone: 2,
+        sequence: 9,
+        stance,
+        age: 4,
+    };
     let verdicts = vec![
         verdict(Subject::Upstream(1 << 60), Stance::Against),
         verdict(Subject::Zone(3), Stance::Cleared),
     ];
-    Body { head, view, records: vec![record], verdicts }
+    Body {
+        head,
+        view,
+        records: vec![record],
+        verdicts,
+    }
 }
 
 fn second() -> v2::Body {
     let figure = Figure::of;
-    let totals =
-        Totals { owner: 258, age: 3, figures: [figure(100.0), figure(0.5), figure(1e6), figure(-1.0)] };
-    let rest = Rest { age: 3, figures: [figure(1.0), figure(2.0), figure(3.0)] };
-    let row = Row { tenant: 4, figures: [figure(9.0), figure(8.0), figure(f64::NAN)] };
-    v2::Body { first: first(), rest: Some(rest), rows: vec![row], totals: vec![totals] }
+    let totals = Totals {
+        owner: 258,
+        age: 3,
+        figures: [figure(100.0), figure(0.5), figure(1e6), figure(-1.0)],
+    };
+    let rest = Rest {
+        age: 3,
+        figures: [figure(1.0), figure(2.0), figure(3.0)],
+    };
+    let row = Row {
+        tenant: 4,
+        figures: [figure(9.0), figure(8.0), figure(f64::NAN)],
+    };
+    v2::Body {
+        first: first(),
+        rest: Some(rest),
+        rows: vec![row],
+        totals: vec![totals],
+    }
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -53,11 +102,17 @@
     let one = seal(&header(1), &v1::write(&mut first(), PAYLOAD));
     assert_eq!(hex(&one), FIRST);
     let (read, payload) = open(&one).expect("whole");
-    assert_eq!((read, v1::read(payload).expect("version 1")), (header(1), first()));
+    assert_eq!(
+        (read, v1::read(payload).expect("version 1")),
+        (header(1), first())
+    );
     let two = seal(&header(2), &v2::write(&mut second(), PAYLOAD));
     assert_eq!(hex(&two), SECOND);
     let (read, payload) = open(&two).expect("whole");
-    assert_eq!((read, v2::read(payload).expect("version 2")), (header(2), second()));
+    assert_eq!(
+        (read, v2::read(payload).expect("version 2")),
+        (header(2), second())
+    );
     // Neither is the other.
     assert!(v1::read(payload).is_err() && v2::read(&v1::write(&mut first(), PAYLOAD)).is_err());
 }
@@ -68,7 +123,13 @@
     for bits in 0..65 {
         let mut body = second();
         body.first.view.bits = vec![255; bits];
-        body.first.records = vec![Record { incarnation: u64::MAX, ..body.first.records[0] }; 40];
+        body.first.records = vec![
+            Record {
+                incarnation: u64::MAX,
+                ..body.first.records[0]
+            };
+            40
+        ];
         (body.first.verdicts, body.rows, body.totals) = (Vec::new(), Vec::new(), Vec::new());
         let payload = v2::write(&mut body, PAYLOAD);
         let read = v2::read(&payload).unwrap_or_else(|e| panic!("{bits} bytes of view: {e:?}"));
@@ -84,10 +145,20 @@
         for records in 0..60 {
             let mut body = second();
             body.first.view.bits = vec![255; bits];
-            body.first.records = vec![Record { incarnation: u64::MAX, ..body.first.records[0] }; records];
+            body.first.records = vec![
+                Record {
+                    incarnation: u64::MAX,
+                    ..body.first.records[0]
+                };
+                records
+            ];
             (body.first.verdicts, body.rows, body.totals) = (Vec::new(), Vec::new(), Vec::new());
             let payload = v2::write(&mut body, PAYLOAD);
-            assert!(payload.len() <= PAYLOAD, "{bits} bytes of view, {records} records: {}", payload.len());
+            assert!(
+                payload.len() <= PAYLOAD,
+                "{bits} bytes of view, {records} records: {}",
+                payload.len()
+            );
             v2::read(&payload).unwrap_or_else(|e| panic!("{bits}, {records}: {e:?}"));
         }
     }
--- a/balancer/proxy/src/clients/accepting.rs
+++ b/balancer/proxy/src/clients/accepting.rs
@@ -29,13 +29,18 @@
         held: Held,
     ) -> Server {
         let slots = Slots::new(driver.clone(), sockets, held);
-        Server(Rc::new(Connections { requests: Requests { driver, deployment }, slots, phase }))
+        Server(Rc::new(Connections {
+            requests: Requests { driver, deployment },
+            slots,
+            phase,
+        }))
     }
 
     /// Accepts clients until the program closes. Returns once every connection has ended.
     pub async fn run(self, listener: TcpListener) {
         let Server(connections) = self;
-        let (slots, mut phase, mut failing) = (&connections.slots, connections.phase.clone(), false);
+        let (slots, mut phase, mut failing) =
+            (&connections.slots, connections.phase.clone(), false);
         loop {
             let accepted = tokio::select! {
                 biased;
@@ -72,11 +77,18 @@
         match listener.accept() {
             Ok((stream, _)) => {
                 stream.set_nonblocking(true)?;
-                connections.clone().start(TcpStream::from_std(stream)?).await;
+                connections
+                    .clone()
+                    .start(TcpStream::from_std(stream)?)
+                    .await;
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
             // A client that left at once, or a signal.
-            Err(e) if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    ErrorKind::ConnectionAborted | ErrorKind::Interrupted
+                ) => {}
             Err(e) => return Err(e),
         }
     }
--- a/balancer/proxy/src/clients/connection.rs
+++ b/balancer/proxy/src/clients/connection.rs
@@ -80,7 +80,11 @@
     fn poll_serve(&mut self, cx: &mut Context<'_>) -> Poll<CloseReason> {
         if let Poll::Ready(ended) = Pin::new(&mut self.connection).poll(cx) {
             let is_overdue = ended.is_err_and(|error| error.is_timeout());
-            return Poll::Ready(if is_overdue { CloseReason::HeadOverdue } else { CloseReason::Finished });
+            return Poll::Ready(if is_overdue {
+                CloseReason::HeadOverdue
+            } else {
+                CloseReason::Finished
+            });
         }
         if self.stream.is_waiting() && self.stream.poll_ended(cx).is_ready() {
             return Poll::Ready(CloseReason::ClientGone);
@@ -155,7 +159,8 @@
         let first = Rc::new(Cell::new(Some(by)));
         let stream = ClientStream::new(socket);
         let service = {
-            let (all, client, stream, first) = (self.clone(), client.clone(), stream.clone(), first.clone());
+            let (all, client, stream, first) =
+                (self.clone(), client.clone(), stream.clone(), first.clone());
             service_fn(move |request| {
                 let by = first.take().unwrap_or_else(|| Instant::now() + BODY_WAIT);
                 stream.begin_body(Framing::of(&request));
@@ -175,7 +180,11 @@
             .max_buf_size(BODY_MOST)
             .serve_connection(stream.clone(), service);
         let connection = std::pin::pin!(connection);
-        let mut exchange = Exchange { connection, stream, client: client.clone() };
+        let mut exchange = Exchange {
+            connection,
+            stream,
+            client: client.clone(),
+        };
         let reason = self.serve_until_closed(&mut exchange, &first, by).await;
         self.slots.idle.became_busy(&client);
         // Only a last answer is worth a wait, and only while nobody waits for the slot: what comes on a connection
@@ -213,7 +222,9 @@
             }
         };
         let late = Instant::now() + FLUSH_WAIT;
-        exchange.close_idle(reason, first.get().map_or(late, |by| by.min(late))).await
+        exchange
+            .close_idle(reason, first.get().map_or(late, |by| by.min(late)))
+            .await
     }
 
     /// Answers a request whose body must have come by `by`.
@@ -229,15 +240,18 @@
                 plain(StatusCode::OK)
             }
             READY => plain(StatusCode::SERVICE_UNAVAILABLE),
-            path if path == SERVICE || path.starts_with("/api/") => {
-                self.serve_request(request, by, client, stream).await.unwrap_or_else(|response| response)
-            }
+            path if path == SERVICE || path.starts_with("/api/") => self
+                .serve_request(request, by, client, stream)
+                .await
+                .unwrap_or_else(|response| response),
             _ => plain(StatusCode::NOT_FOUND),
         };
         let closes = client.closes.get() || *self.phase.borrow() >= Phase::Closing;
         // What has come after this request is answered too.
         if closes && !stream.look() && !stream.has_begun() {
-            response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+            response
+                .headers_mut()
+                .insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
--- a/balancer/proxy/src/clients/framing.rs
+++ b/balancer/proxy/src/clients/framing.rs
@@ -36,19 +36,28 @@
 impl Framing {
     /// That of this request's body.
     pub fn of<B: Body>(request: &Request<B>) -> Framing {
-        request.body().size_hint().exact().map_or(Framing::Lines { last_empty: false }, Framing::Length)
+        request
+            .body()
+            .size_hint()
+            .exact()
+            .map_or(Framing::Lines { last_empty: false }, Framing::Length)
     }
 
     /// How many of these bytes may be taken, and counts them.
     pub fn take(&mut self, bytes: &[u8]) -> usize {
         match self {
             Framing::Length(left) => {
-                let taken = bytes.len().min(usize::try_from(*left).unwrap_or(usize::MAX));
+                let taken = bytes
+                    .len()
+                    .min(usize::try_from(*left).unwrap_or(usize::MAX));
                 *left -= taken as u64;
                 taken
             }
             Framing::Lines { last_empty } => {
-                let taken = bytes.iter().position(|&byte| byte == b'\n').map_or(bytes.len(), |end| end + 1);
+                let taken = bytes
+                    .iter()
+                    .position(|&byte| byte == b'\n')
+                    .map_or(bytes.len(), |end| end + 1);
                 *last_empty = matches!(&bytes[..taken], b"\r\n" | b"\n");
                 taken
             }
--- a/balancer/proxy/src/clients/idle.rs
+++ b/balancer/proxy/src/clients/idle.rs
@@ -54,7 +54,9 @@
     pub fn became_idle(&self, client: &Rc<ClientConnection>) {
         self.turn.set(self.turn.get() + 1);
         client.place.set(Some(self.turn.get()));
-        self.places.borrow_mut().insert(self.turn.get(), (Instant::now(), client.clone()));
+        self.places
+            .borrow_mut()
+            .insert(self.turn.get(), (Instant::now(), client.clone()));
     }
 
     /// Notes that a connection is not between requests any more, or is gone.
@@ -69,16 +71,24 @@
     /// rested longest.
     pub fn close_one(&self, held: &[u32], furthest: impl Fn(&[u32]) -> Option<usize>) -> bool {
         let mut places = self.places.borrow_mut();
-        let long =
-            || places.values().take_while(|(since, _)| since.elapsed() >= IDLE_LONG_ENOUGH).map(|(_, c)| c);
+        let long = || {
+            places
+                .values()
+                .take_while(|(since, _)| since.elapsed() >= IDLE_LONG_ENOUGH)
+                .map(|(_, c)| c)
+        };
         let spare = |tenant: Option<usize>| long().find(|c| c.of.tenant() == tenant);
         let of_tenants = || {
             let mut counts = vec![0; held.len()];
-            long().filter_map(|c| c.of.tenant()).for_each(|i| counts[i] = held[i]);
+            long()
+                .filter_map(|c| c.of.tenant())
+                .for_each(|i| counts[i] = held[i]);
             furthest(&counts).and_then(|tenant| spare(Some(tenant)))
         };
         let longest = || places.values().next().map(|(_, c)| c);
-        let Some(client) = spare(None).or_else(of_tenants).or_else(longest).cloned() else { return false };
+        let Some(client) = spare(None).or_else(of_tenants).or_else(longest).cloned() else {
+            return false;
+        };
         if let Some(place) = client.place.get() {
             places.remove(&place);
         }
--- a/balancer/proxy/src/clients/requests.rs
+++ b/balancer/proxy/src/clients/requests.rs
@@ -3,13 +3,13 @@
 use crate::driver::{Handle, Waiting};
 use crate::held::Connection;
 use crate::message::{end_to_end, Outgoing, BODY_MOST, DEADLINE};
+use balancer_core::{Effect, Millis};
+use balancer_settings::Deployment;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::HeaderMap;
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use balancer_core::{Effect, Millis};
-use balancer_settings::Deployment;
 use std::cell::Cell;
 use tokio::time::{timeout_at, Instant};
 
@@ -48,32 +48,67 @@
             return Err(bad("a GET has no body"));
         }
         if body.size_hint().lower() > BODY_MOST as u64 {
-            return Err(refuse_input(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"));
+            return Err(refuse_input(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                "the body is too large",
+            ));
         }
         let body = match timeout_at(by, Limited::new(body, BODY_MOST).collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) if e.is::<LengthLimitError>() => {
-                return Err(refuse_input(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"));
+                return Err(refuse_input(
+                    StatusCode::PAYLOAD_TOO_LARGE,
+                    "the body is too large",
+                ));
             }
             Ok(Err(_)) => return Err(bad("the body is broken")),
-            Err(_) => return Err(refuse_input(StatusCode::REQUEST_TIMEOUT, "the body did not come")),
+            Err(_) => {
+                return Err(refuse_input(
+                    StatusCode::REQUEST_TIMEOUT,
+                    "the body did not come",
+                ))
+            }
         };
         let mut headers = head.headers;
         end_to_end(&mut headers);
         headers.remove(&DEADLINE);
-        let target = head.uri.path_and_query().map(|p| Uri::from(p.clone())).unwrap_or_default();
-        let out = Outgoing { method: head.method, target, headers, body, over: Cell::new(false) };
-        Ok(WholeRequest { class, tenant, patience, out })
+        let target = head
+            .uri
+            .path_and_query()
+            .map(|p| Uri::from(p.clone()))
+            .unwrap_or_default();
+        let out = Outgoing {
+            method: head.method,
+            target,
+            headers,
+            body,
+            over: Cell::new(false),
+        };
+        Ok(WholeRequest {
+            class,
+            tenant,
+            patience,
+            out,
+        })
     }
 
     /// Hands a request to the driver: from now on one final answer is owed. `None`: more are open than may be.
     pub fn hand_on(&self, request: WholeRequest) -> Option<Waiting> {
-        let WholeRequest { class, tenant, patience, out } = request;
+        let WholeRequest {
+            class,
+            tenant,
+            patience,
+            out,
+        } = request;
         self.driver.take(class, tenant, patience, out)
     }
 
     /// Class, tenant and patience of a request, or what is wrong with its head.
-    fn classify(&self, method: &Method, headers: &HeaderMap) -> Result<(usize, usize, Millis), &'static str> {
+    fn classify(
+        &self,
+        method: &Method,
+        headers: &HeaderMap,
+    ) -> Result<(usize, usize, Millis), &'static str> {
         let d = &self.deployment;
         let one = |name: &str| {
             let mut all = headers.get_all(name).iter();
@@ -85,12 +120,19 @@
             return Err("Req-Id is bad");
         }
         let kind = one("req-kind").ok_or("Req-Kind is missing")?;
-        let class = d.classes.iter().position(|c| c == kind).ok_or("Req-Kind is unknown")?;
+        let class = d
+            .classes
+            .iter()
+            .position(|c| c == kind)
+            .ok_or("Req-Kind is unknown")?;
         let tenant = if d.tenants.is_empty() {
             0
         } else {
             let owner = one("req-owner").ok_or("Req-Owner is missing")?;
-            d.tenants.iter().position(|t| t == owner).ok_or("Req-Owner is unknown")?
+            d.tenants
+                .iter()
+                .position(|t| t == owner)
+                .ok_or("Req-Owner is unknown")?
         };
         let patience = one("req-deadline").ok_or("Req-Deadline is missing")?;
         let patience = span(patience).ok_or("Req-Deadline is bad")?;
@@ -98,7 +140,9 @@
         let form = match d.policy.classes[class].effect {
             Effect::Free => method == Method::GET,
             Effect::Guarded { .. } => method == Method::POST && keyed,
-            Effect::SingleShot => method == Method::POST && !headers.contains_key("idempotency-key"),
+            Effect::SingleShot => {
+                method == Method::POST && !headers.contains_key("idempotency-key")
+            }
         };
         if !form {
             return Err("the method or Idempotency-Key does not fit the class");
@@ -128,7 +172,17 @@
     fn spans_have_a_number_and_a_unit() {
         assert_eq!(span("480m"), Some(480.0));
         assert_eq!(span("1500u"), Some(1.5));
-        for bad in ["", "m", "480", "-3m", "1e9m", "NaNm", "infm", "4 m", "99999999999m"] {
+        for bad in [
+            "",
+            "m",
+            "480",
+            "-3m",
+            "1e9m",
+            "NaNm",
+            "infm",
+            "4 m",
+            "99999999999m",
+        ] {
             assert_eq!(span(bad), None, "{bad}");
         }
     }
--- a/balancer/proxy/src/clients/slots.rs
+++ b/balancer/proxy/src/clients/slots.rs
@@ -23,12 +23,18 @@
 impl Slots {
     /// What `sockets` leaves, and the idle connections of `driver` to upstreams where that is not enough.
     pub fn new(driver: Handle, sockets: Sockets, held: Held) -> Rc<Slots> {
-        Rc::new(Slots { driver, sockets, held, idle: IdleConnections::default() })
+        Rc::new(Slots {
+            driver,
+            sockets,
+            held,
+            idle: IdleConnections::default(),
+        })
     }
 
     /// Closes a connection between requests, if there is one.
     pub fn close_one(&self) -> bool {
-        self.idle.close_one(&self.held.counts(), |held| self.driver.furthest_over(held))
+        self.idle
+            .close_one(&self.held.counts(), |held| self.driver.furthest_over(held))
     }
 
     /// A slot for one more client. Guards against idle connections that clients keep shutting others out: what is
--- a/balancer/proxy/src/clients/stream.rs
+++ b/balancer/proxy/src/clients/stream.rs
@@ -67,7 +67,10 @@
         ClientStream(Rc::new(RefCell::new(Shared {
             socket,
             ahead: BytesMut::new(),
-            reading: Reading::Head { scan: HeadScan::default(), begun: false },
+            reading: Reading::Head {
+                scan: HeadScan::default(),
+                begun: false,
+            },
             ended: false,
             flushed: true,
             waker: None,
@@ -83,13 +86,18 @@
     /// The request was read whole and waits for its answer from now on.
     pub fn begin_waiting(&self) {
         let mut shared = self.0.borrow_mut();
-        shared.reading = Reading::Waiting { begun: shared.reading.has_begun() };
+        shared.reading = Reading::Waiting {
+            begun: shared.reading.has_begun(),
+        };
     }
 
     /// The request has its answer: hyper reads on.
     pub fn end_request(&self) {
         let mut shared = self.0.borrow_mut();
-        shared.reading = Reading::Head { scan: HeadScan::default(), begun: shared.reading.has_begun() };
+        shared.reading = Reading::Head {
+            scan: HeadScan::default(),
+            begun: shared.reading.has_begun(),
+        };
         shared.beyond = None;
         let unread = !shared.ahead.is_empty() || shared.ended;
         // hyper was told that nothing is there, and is told anew.
@@ -191,7 +199,11 @@
     }
 
     fn remember(&mut self, cx: &Context<'_>) {
-        if !self.waker.as_ref().is_some_and(|waker| waker.will_wake(cx.waker())) {
+        if !self
+            .waker
+            .as_ref()
+            .is_some_and(|waker| waker.will_wake(cx.waker()))
+        {
             self.waker = Some(cx.waker().clone());
         }
     }
@@ -206,7 +218,9 @@
             if self.ended {
                 return Poll::Ready(());
             }
-            let pause = self.beyond.get_or_insert_with(|| Box::pin(sleep(BEYOND_PAUSE)));
+            let pause = self
+                .beyond
+                .get_or_insert_with(|| Box::pin(sleep(BEYOND_PAUSE)));
             ready!(pause.as_mut().poll(cx));
             self.beyond = None;
         }
@@ -265,7 +279,11 @@
 }
 
 impl Write for ClientStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let mut shared = self.0.borrow_mut();
         shared.flushed = false;
         Pin::new(&mut shared.socket).poll_write(cx, bytes)
--- a/balancer/proxy/src/command_line.rs
+++ b/balancer/proxy/src/command_line.rs
@@ -55,13 +55,24 @@
 impl OptionArguments {
     /// The sources of the options; the environment names the file where no argument does.
     pub fn sources(self) -> Sources {
-        let named_by =
-            |variable: &str| std::env::var_os(variable).filter(|path| !path.is_empty()).map(PathBuf::from);
+        let named_by = |variable: &str| {
+            std::env::var_os(variable)
+                .filter(|path| !path.is_empty())
+                .map(PathBuf::from)
+        };
         let current = self.options.or_else(|| named_by(options::FILE));
         let deprecated_file = current.is_none();
         match current.or_else(|| named_by(options::OLD_FILE)) {
-            Some(file) => Sources { file: Some(file), deprecated_file, set: self.set },
-            None => Sources { file: None, deprecated_file: false, set: self.set },
+            Some(file) => Sources {
+                file: Some(file),
+                deprecated_file,
+                set: self.set,
+            },
+            None => Sources {
+                file: None,
+                deprecated_file: false,
+                set: self.set,
+            },
         }
     }
 }
@@ -69,6 +80,10 @@
 /// What the command line asks for.
 pub fn verb() -> Verb {
     // The platform starts it with no word at all: what that needs of memory is what the balancer itself needs.
-    let verb = if std::env::args_os().len() > 1 { Cli::parse().verb } else { None };
+    let verb = if std::env::args_os().len() > 1 {
+        Cli::parse().verb
+    } else {
+        None
+    };
     verb.unwrap_or_else(|| Verb::Run(OptionArguments::default()))
 }
--- a/balancer/proxy/src/config.rs
+++ b/balancer/proxy/src/config.rs
@@ -65,7 +65,8 @@
     /// Reads the file that NODE_CONFIG names.
     pub fn load() -> Result<Config, String> {
         let path = std::env::var("NODE_CONFIG").map_err(|e| format!("NODE_CONFIG: {e}"))?;
-        let text = read_bounded(&path).map_err(|e| one_line(&format!("NODE_CONFIG: {path}: {e}")))?;
+        let text =
+            read_bounded(&path).map_err(|e| one_line(&format!("NODE_CONFIG: {path}: {e}")))?;
         Config::parse(&text).map_err(|e| format!("{path}: {e}"))
     }
 
@@ -76,11 +77,12 @@
 
     fn read(json: &[u8]) -> Result<Config, String> {
         let mut json = serde_json::Deserializer::from_slice(json);
-        let file: File =
-            serde_path_to_error::deserialize(&mut json).map_err(|e| match e.path().to_string() {
+        let file: File = serde_path_to_error::deserialize(&mut json).map_err(|e| {
+            match e.path().to_string() {
                 path if path == "." || path == "?" => e.inner().to_string(),
                 path => format!("{path}: {}", e.inner()),
-            })?;
+            }
+        })?;
         json.end().map_err(|e| e.to_string())?;
         let deployment = balancer_settings::deployment(file.settings.get().as_bytes())
             .map_err(|e| format!("settings: {e}"))?;
@@ -96,15 +98,34 @@
             return Err(format!("limits.sockets: must be at least {SOCKETS_LEAST}"));
         }
         let names = Names::of(&deployment);
-        let known = file.known.as_ref().map(|known| known.get()).filter(|known| *known != "null");
-        let known = known.map(|known| Listing::parse(known.as_bytes(), &names)).transpose();
+        let known = file
+            .known
+            .as_ref()
+            .map(|known| known.get())
+            .filter(|known| *known != "null");
+        let known = known
+            .map(|known| Listing::parse(known.as_bytes(), &names))
+            .transpose();
         let (known, known_error) = match known {
             Ok(known) => (known, None),
             Err(error) => (None, Some(one_line(&format!("known: {error}")))),
         };
         let (name, listen, discovery) = (file.name, file.listen, file.discovery);
-        let peers = Unread { listen: file.peer_listen, peers: file.peers };
-        Ok(Config { name, listen, discovery, seed, sockets, known, known_error, peers, deployment })
+        let peers = Unread {
+            listen: file.peer_listen,
+            peers: file.peers,
+        };
+        Ok(Config {
+            name,
+            listen,
+            discovery,
+            seed,
+            sockets,
+            known,
+            known_error,
+            peers,
+            deployment,
+        })
     }
 }
 
@@ -112,7 +133,9 @@
 fn read_bounded(path: &str) -> Result<Vec<u8>, String> {
     let file = Input::open(path).map_err(|e| e.to_string())?;
     let mut text = Vec::new();
-    file.take(FILE_MOST + 1).read_to_end(&mut text).map_err(|e| e.to_string())?;
+    file.take(FILE_MOST + 1)
+        .read_to_end(&mut text)
+        .map_err(|e| e.to_string())?;
     if text.len() as u64 > FILE_MOST {
         return Err(format!("larger than {FILE_MOST} bytes"));
     }
@@ -127,7 +150,9 @@
             return Err(format!("settings.{list}[{i}].name: missing"));
         }
         if !seen.insert(name) {
-            return Err(format!("settings.{list}[{i}].name: {name:?} is there twice"));
+            return Err(format!(
+                "settings.{list}[{i}].name: {name:?} is there twice"
+            ));
         }
     }
     Ok(())
@@ -164,6 +189,10 @@
             ("peers", self.peers.peers == config.peers.peers),
             ("settings", self.deployment == config.deployment),
         ];
-        compared.into_iter().filter(|(_, same)| !same).map(|(field, _)| field).collect()
+        compared
+            .into_iter()
+            .filter(|(_, same)| !same)
+            .map(|(field, _)| field)
+            .collect()
     }
 }
--- a/balancer/proxy/src/discovery/call.rs
+++ b/balancer/proxy/src/discovery/call.rs
@@ -54,12 +54,18 @@
                 let _ = notices.send(Notice::Event(Event::Received(reading.get())));
             }
         });
-        let (sender, conn) = http1::handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
+        let (sender, conn) = http1::handshake(TokioIo::new(stream))
+            .await
+            .map_err(|e| e.to_string())?;
         let task = tokio::task::spawn_local(async move {
             // How the connection ended shows in the call that was on it.
             let _ = conn.await;
         });
-        Ok(Connection { sender, task: task.abort_handle(), call })
+        Ok(Connection {
+            sender,
+            task: task.abort_handle(),
+            call,
+        })
     }
 }
 
@@ -97,16 +103,28 @@
         connection.call.set(self.id);
         let _ = tell.send(Notice::Event(Event::Connected(self.id)));
         let path = match self.since {
-            Some(version) => format!("/api/targets?since={version}&timeout_ms={}", WAIT.as_millis()),
+            Some(version) => format!(
+                "/api/targets?since={version}&timeout_ms={}",
+                WAIT.as_millis()
+            ),
             None => "/api/targets".to_string(),
         };
-        let request = Request::get(path).header(header::HOST, self.addr.to_string()).body(Empty::new());
+        let request = Request::get(path)
+            .header(header::HOST, self.addr.to_string())
+            .body(Empty::new());
         let request = request.map_err(|e| e.to_string())?;
-        let answer = connection.sender.send_request(request).await.map_err(|e| e.to_string())?;
+        let answer = connection
+            .sender
+            .send_request(request)
+            .await
+            .map_err(|e| e.to_string())?;
         if answer.status() != StatusCode::OK {
             return Err(format!("answered {}", answer.status()));
         }
-        let body = Limited::new(answer.into_body(), LIST_MOST).collect().await.map_err(|e| e.to_string())?;
+        let body = Limited::new(answer.into_body(), LIST_MOST)
+            .collect()
+            .await
+            .map_err(|e| e.to_string())?;
         let listing = Listing::parse(&body.to_bytes(), &self.names)?;
         Ok((listing, connection))
     }
--- a/balancer/proxy/src/discovery/runner.rs
+++ b/balancer/proxy/src/discovery/runner.rs
@@ -31,14 +31,23 @@
 
 impl Calls {
     fn begin(&mut self, id: CallId, since: Option<u64>, addr: SocketAddr) {
-        let call = Call { id, since, addr, kept: self.free.take(), names: self.names.clone() };
+        let call = Call {
+            id,
+            since,
+            addr,
+            kept: self.free.take(),
+            names: self.names.clone(),
+        };
         let task = tokio::task::spawn_local(call.run(self.tell.clone()));
         self.running.push((id, task.abort_handle()));
     }
 
     /// Stops a call, which closes its connection.
     fn abandon(&mut self, id: CallId) {
-        self.running.iter().filter(|(running, _)| *running == id).for_each(|(_, task)| task.abort());
+        self.running
+            .iter()
+            .filter(|(running, _)| *running == id)
+            .for_each(|(_, task)| task.abort());
         self.ended(id);
     }
 
@@ -63,19 +72,35 @@
     /// Begins with the version of the list that the balancer already has, if any.
     pub fn new(addr: Receiver<SocketAddr>, names: Names, version: Option<u64>) -> Discovery {
         let (tell, notices) = unbounded_channel();
-        let calls = Calls { names: Rc::new(names), running: Vec::new(), free: None, tell };
-        Discovery { addr, version, calls, notices }
+        let calls = Calls {
+            names: Rc::new(names),
+            running: Vec::new(),
+            free: None,
+            tell,
+        };
+        Discovery {
+            addr,
+            version,
+            calls,
+            notices,
+        }
     }
 
     /// Serves subscriptions for ever. With `pushed` the list needs no asking and the watch always stands.
     pub async fn run(mut self, user: impl ListUser, pushed: bool) {
-        let mode = if pushed { Mode::Pushed } else { Mode::OnRequest };
+        let mode = if pushed {
+            Mode::Pushed
+        } else {
+            Mode::OnRequest
+        };
         let mut watch = Watch::new(mode, self.version);
         let mut actions = Vec::new();
         watch.start(Instant::now().into_std(), &mut actions);
         self.perform(&mut actions, &user, None);
         loop {
-            let woken = self.woken(&user, watch.deadline().map(Instant::from_std)).await;
+            let woken = self
+                .woken(&user, watch.deadline().map(Instant::from_std))
+                .await;
             let now = Instant::now().into_std();
             let mut listing = None;
             match woken {
@@ -131,14 +156,27 @@
                 }
                 self.calls.ended(id);
                 self.calls.free = Some(connection);
-                let (version, full, changes) = (answer.version, answer.full, !answer.entries.is_empty());
+                let (version, full, changes) =
+                    (answer.version, answer.full, !answer.entries.is_empty());
                 *listing = Some(answer);
-                Some(Event::Answered(id, Answer { version, full, changes }))
+                Some(Event::Answered(
+                    id,
+                    Answer {
+                        version,
+                        full,
+                        changes,
+                    },
+                ))
             }
         }
     }
 
-    fn perform(&mut self, actions: &mut Vec<Action>, user: &impl ListUser, listing: Option<&Listing>) {
+    fn perform(
+        &mut self,
+        actions: &mut Vec<Action>,
+        user: &impl ListUser,
+        listing: Option<&Listing>,
+    ) {
         for action in actions.drain(..) {
             match action {
                 Action::Call { id, since } => self.calls.begin(id, since, *self.addr.borrow()),
@@ -156,6 +194,10 @@
 }
 
 fn tell_overdue(received: bool) {
-    let error = if received { "no whole answer in time" } else { "no answer in time" };
+    let error = if received {
+        "no whole answer in time"
+    } else {
+        "no answer in time"
+    };
     tracing::info!(target: "discovery", event = "discovery_silent", error, "discovery: {error}");
 }
--- a/balancer/proxy/src/discovery/watch.rs
+++ b/balancer/proxy/src/discovery/watch.rs
@@ -152,7 +152,14 @@
 impl Watch {
     /// A watch that begins with the version of the list that the balancer already has, if any.
     pub fn new(mode: Mode, version: Option<u64>) -> Watch {
-        Watch { mode, version, state: State::Unasked, overdue: None, informed: false, next_id: 0 }
+        Watch {
+            mode,
+            version,
+            state: State::Unasked,
+            overdue: None,
+            informed: false,
+            next_id: 0,
+        }
     }
 
     /// Begins; a pushed list is watched without a subscription.
@@ -180,7 +187,9 @@
         }
         match self.state {
             State::Calling(call) if now >= call.began + ASK_AGAIN => {
-                actions.push(Action::Overdue { received: call.receiving() });
+                actions.push(Action::Overdue {
+                    received: call.receiving(),
+                });
                 self.set_aside(call, actions);
                 self.call(now, actions);
             }
@@ -256,7 +265,9 @@
         }
         match stands {
             true if !newer && now < call.began + SPACING => {
-                self.state = State::Paused { until: call.began + SPACING };
+                self.state = State::Paused {
+                    until: call.began + SPACING,
+                };
             }
             true => self.call(now, actions),
             false => self.after_overdue(now, actions),
@@ -295,7 +306,9 @@
     /// Keeps the call beside the next one if it may still be answered. One call is kept at most, and one whose answer
     /// is coming goes before one that has none.
     fn set_aside(&mut self, call: Call, actions: &mut Vec<Action>) {
-        let better = self.overdue.is_none_or(|kept| call.receiving() && !kept.receiving());
+        let better = self
+            .overdue
+            .is_none_or(|kept| call.receiving() && !kept.receiving());
         let given_up = match better && call.may_be_answered() {
             true => self.overdue.replace(call),
             false => Some(call),
@@ -307,7 +320,12 @@
         let id = CallId(self.next_id);
         self.next_id += 1;
         let since = self.version;
-        self.state = State::Calling(Call { id, since, began: now, stage: Stage::Connecting });
+        self.state = State::Calling(Call {
+            id,
+            since,
+            began: now,
+            stage: Stage::Connecting,
+        });
         actions.push(Action::Call { id, since });
     }
 }
--- a/balancer/proxy/src/driver.rs
+++ b/balancer/proxy/src/driver.rs
@@ -30,7 +30,9 @@
 
 /// Milliseconds since 1970, the module's clock, so that start times of upstreams need no conversion.
 pub fn unix_ms() -> Millis {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64() * 1000.0)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0.0, |d| d.as_secs_f64() * 1000.0)
 }
 
 /// What a driver is built from.
@@ -54,7 +56,15 @@
 impl Handle {
     /// Sets the driver up; [`Handle::run`] must run for its timers to fire.
     pub fn new(parts: Parts) -> Handle {
-        let Parts { balancer, start, start_ms, transport, max_open, figures, recovery } = parts;
+        let Parts {
+            balancer,
+            start,
+            start_ms,
+            transport,
+            max_open,
+            figures,
+            recovery,
+        } = parts;
         let driver = Driver {
             balancer,
             start,
@@ -74,7 +84,11 @@
             recovery,
             ends: None,
         };
-        let shared = Shared { driver: RefCell::new(driver), timers: Notify::new(), subscribe: Notify::new() };
+        let shared = Shared {
+            driver: RefCell::new(driver),
+            timers: Notify::new(),
+            subscribe: Notify::new(),
+        };
         Handle(Rc::new(shared))
     }
 
@@ -94,7 +108,12 @@
 
     fn perform(&self, d: &mut Driver, action: Action) {
         match action {
-            Action::Send { request, upstream, timeout, write_by } => {
+            Action::Send {
+                request,
+                upstream,
+                timeout,
+                write_by,
+            } => {
                 self.send(d, request, upstream, (timeout, write_by));
             }
             Action::Cancel { request, attempt } => {
@@ -102,8 +121,16 @@
                     d.events.push_back(event);
                 }
             }
-            Action::Refuse { request, retry_after, reason } => {
-                d.answer(request, Answer::Refused { retry_after }, How::Refused(reason));
+            Action::Refuse {
+                request,
+                retry_after,
+                reason,
+            } => {
+                d.answer(
+                    request,
+                    Answer::Refused { retry_after },
+                    How::Refused(reason),
+                );
             }
             Action::Fail { request } => d.answer(request, Answer::Failed, How::Failed),
             Action::CloseIdle(id) => {
--- a/balancer/proxy/src/driver/attempts.rs
+++ b/balancer/proxy/src/driver/attempts.rs
@@ -8,11 +8,19 @@
 use tokio::time::Instant;
 
 impl Handle {
-    pub(super) fn send(&self, d: &mut Driver, id: RequestId, to: UpstreamId, times: (Millis, Millis)) {
+    pub(super) fn send(
+        &self,
+        d: &mut Driver,
+        id: RequestId,
+        to: UpstreamId,
+        times: (Millis, Millis),
+    ) {
         let (timeout, write_by) = times;
         let (now, now_ms) = (Instant::now(), d.now());
         let stood_still = d.stood_still(now).as_secs_f64() * 1000.0;
-        let Some(open) = d.open.get_mut(&id) else { return };
+        let Some(open) = d.open.get_mut(&id) else {
+            return;
+        };
         let number = open.sends;
         if number == 0 {
             // The first attempt follows the request at once: its client has waited while the program stood still.
@@ -33,7 +41,11 @@
             return;
         };
         let left = (open.deadline - now_ms).max(0.0);
-        let wait = if timeout > 0.0 { timeout.min(left) } else { left };
+        let wait = if timeout > 0.0 {
+            timeout.min(left)
+        } else {
+            left
+        };
         let until = now + Duration::from_secs_f64(wait / 1000.0);
         // An attempt that may not be written any more is over then, so that this bounds its dial as well.
         let write_by = now + Duration::from_secs_f64((write_by - now_ms).clamp(0.0, wait) / 1000.0);
@@ -44,19 +56,31 @@
             d.free_socket();
         }
         let task = tokio::task::spawn_local(async move {
-            let Ended { ending, answer, held, served } =
-                transport.attempt(target, out, (write_by, until)).await;
+            let Ended {
+                ending,
+                answer,
+                held,
+                served,
+            } = transport.attempt(target, out, (write_by, until)).await;
             if let Some(held) = held {
                 handle.feed(Event::Load { upstream: to, held });
             }
             if let Some(per_s) = served {
-                handle.feed(Event::Served { upstream: to, per_s });
+                handle.feed(Event::Served {
+                    upstream: to,
+                    per_s,
+                });
             }
             handle.ended(id, number, ending, answer);
         });
         let due = d.set_timer(until, Due::Attempt(id, number));
         d.note_attempt(id, number, to);
-        let attempt = Attempt { upstream: to, sent: now, task: task.abort_handle(), due };
+        let attempt = Attempt {
+            upstream: to,
+            sent: now,
+            task: task.abort_handle(),
+            due,
+        };
         d.attempts.insert((id, number), attempt);
         self.0.timers.notify_one();
     }
@@ -108,16 +132,27 @@
             self.note_ended(id, How::Served);
         }
         self.forget(id);
-        Some(Event::Outcome { request: id, attempt: number, ending, duration, closed })
+        Some(Event::Outcome {
+            request: id,
+            attempt: number,
+            ending,
+            duration,
+            closed,
+        })
     }
 
     /// Attempts that would be waited for past this time are given up then.
     pub(super) fn cut_attempts(&mut self, at: Instant) {
-        let late = self.attempts.iter().filter(|(_, a)| a.due.0 > at).map(|(&key, _)| key);
+        let late = self
+            .attempts
+            .iter()
+            .filter(|(_, a)| a.due.0 > at)
+            .map(|(&key, _)| key);
         for (id, number) in late.collect::<Vec<_>>() {
             let due = self.set_timer(at, Due::Attempt(id, number));
             if let Some(attempt) = self.attempts.get_mut(&(id, number)) {
-                self.timers.remove(&std::mem::replace(&mut attempt.due, due));
+                self.timers
+                    .remove(&std::mem::replace(&mut attempt.due, due));
             }
         }
     }
--- a/balancer/proxy/src/driver/keeping.rs
+++ b/balancer/proxy/src/driver/keeping.rs
@@ -8,7 +8,12 @@
 impl Handle {
     /// What became of writes of what outlives the program, if anything does.
     pub fn kept(&self) -> Option<Written> {
-        self.0.driver.borrow().recovery.as_ref().map(Recovery::written)
+        self.0
+            .driver
+            .borrow()
+            .recovery
+            .as_ref()
+            .map(Recovery::written)
     }
 
     /// Waits a little until what outlives the program is on the disk.
@@ -21,7 +26,10 @@
 
     /// Hands back what an earlier run of this balancer had learned.
     pub fn restored(&self, learned: Learned, age: Millis) {
-        self.feed(Event::Restored { learned: Box::new(learned), age });
+        self.feed(Event::Restored {
+            learned: Box::new(learned),
+            age,
+        });
     }
 }
 
--- a/balancer/proxy/src/driver/list.rs
+++ b/balancer/proxy/src/driver/list.rs
@@ -9,7 +9,9 @@
     /// Whether an upstream is known that takes requests.
     pub fn ready(&self) -> bool {
         let d = self.0.driver.borrow();
-        d.upstreams.values().any(|(_, availability, _)| *availability == Availability::Ready)
+        d.upstreams
+            .values()
+            .any(|(_, availability, _)| *availability == Availability::Ready)
     }
 
     /// Closes an idle connection to an upstream, if there is one: its socket is needed elsewhere.
@@ -40,14 +42,20 @@
                 f.list(true);
             }
             // An answer without news leaves what is kept as it is.
-            if let Some(recovery) =
-                d.recovery.as_mut().filter(|_| listing.full || !listing.entries.is_empty())
+            if let Some(recovery) = d
+                .recovery
+                .as_mut()
+                .filter(|_| listing.full || !listing.entries.is_empty())
             {
                 recovery.listed(listing);
             }
         }
         let members = listing.members().collect();
-        let news = if listing.full { Membership::Full(members) } else { Membership::Delta(members) };
+        let news = if listing.full {
+            Membership::Full(members)
+        } else {
+            Membership::Delta(members)
+        };
         self.feed(Event::Membership(news));
     }
 
@@ -62,7 +70,10 @@
 impl Driver {
     /// Forgets an upstream that is gone once nothing is out to it.
     pub(super) fn forget_upstream(&mut self, id: UpstreamId) {
-        let gone = self.upstreams.get(&id).is_some_and(|&(_, a, _)| a == Availability::Gone);
+        let gone = self
+            .upstreams
+            .get(&id)
+            .is_some_and(|&(_, a, _)| a == Availability::Gone);
         if gone && !self.attempts.values().any(|a| a.upstream == id) {
             self.upstreams.remove(&id);
         }
@@ -70,7 +81,10 @@
 
     /// Closes the connection that has been idle longest, of all upstreams: its socket is needed elsewhere.
     pub(super) fn free_socket(&mut self) {
-        let oldest = self.upstreams.values().filter_map(|(u, ..)| Some((u.oldest_idle()?, u)));
+        let oldest = self
+            .upstreams
+            .values()
+            .filter_map(|(u, ..)| Some((u.oldest_idle()?, u)));
         if let Some((_, upstream)) = oldest.min_by_key(|&(since, _)| since) {
             upstream.drop_oldest();
         }
@@ -89,7 +103,13 @@
         }
         for entry in &listing.entries {
             let m = &entry.member;
-            let fresh = || (Upstream::new(entry.name.clone(), m.zone, entry.addr), m.availability, m.since);
+            let fresh = || {
+                (
+                    Upstream::new(entry.name.clone(), m.zone, entry.addr),
+                    m.availability,
+                    m.since,
+                )
+            };
             let (upstream, availability, since) = self.upstreams.entry(m.id).or_insert_with(fresh);
             // Another address or another start is another process. Attempts that are out to the former one keep their
             // hold on it: nothing more is written to it, and their connections are not kept.
@@ -103,7 +123,10 @@
                 Availability::Draining | Availability::Gone => close(upstream),
             }
         }
-        let gone = self.upstreams.iter().filter(|(_, (_, a, _))| *a == Availability::Gone);
+        let gone = self
+            .upstreams
+            .iter()
+            .filter(|(_, (_, a, _))| *a == Availability::Gone);
         for id in gone.map(|(&id, _)| id).collect::<Vec<_>>() {
             self.forget_upstream(id);
         }
--- a/balancer/proxy/src/driver/requests.rs
+++ b/balancer/proxy/src/driver/requests.rs
@@ -44,11 +44,23 @@
 
     /// Requests that have no final answer yet.
     pub fn open(&self) -> usize {
-        self.0.driver.borrow().open.values().filter(|o| o.reply.is_some()).count()
+        self.0
+            .driver
+            .borrow()
+            .open
+            .values()
+            .filter(|o| o.reply.is_some())
+            .count()
     }
 
     /// Takes a request: from now on one final answer is owed. `None`: more are open than may be.
-    pub fn take(&self, class: usize, tenant: usize, patience: Millis, out: Outgoing) -> Option<Waiting> {
+    pub fn take(
+        &self,
+        class: usize,
+        tenant: usize,
+        patience: Millis,
+        out: Outgoing,
+    ) -> Option<Waiting> {
         let (reply, answer) = oneshot::channel();
         let (id, deadline, tie) = {
             let mut d = self.0.driver.borrow_mut();
@@ -71,12 +83,30 @@
             tracing::debug!(target: "requests", event = "request_taken", request = out.id(), class, tenant);
             let tie = out.tie();
             let (taken, out) = (d.watched().then(Instant::now), Rc::new(out));
-            let open = Open { reply: Some(reply), out, taken, deadline, sends: 0, running: 0 };
+            let open = Open {
+                reply: Some(reply),
+                out,
+                taken,
+                deadline,
+                sends: 0,
+                running: 0,
+            };
             d.open.insert(id, open);
             (id, deadline, tie)
         };
-        self.feed(Event::Request(Request { id, class, tenant, deadline, tie }));
-        Some(Waiting { handle: self.clone(), id, answer, done: false })
+        self.feed(Event::Request(Request {
+            id,
+            class,
+            tenant,
+            deadline,
+            tie,
+        }));
+        Some(Waiting {
+            handle: self.clone(),
+            id,
+            answer,
+            done: false,
+        })
     }
 
     /// Every request that is open, and every one that still comes, gets its final answer by `end`, however long its
@@ -86,7 +116,9 @@
         let by = {
             let mut d = self.0.driver.borrow_mut();
             let by = d.start_ms + at.saturating_duration_since(d.start).as_secs_f64() * 1000.0;
-            d.open.values_mut().for_each(|o| o.deadline = o.deadline.min(by));
+            d.open
+                .values_mut()
+                .for_each(|o| o.deadline = o.deadline.min(by));
             d.cut_attempts(at);
             d.ends = Some(by);
             d.keep_learned();
@@ -122,7 +154,11 @@
 
     /// Forgets a request that is answered and has nothing out.
     pub(super) fn forget(&mut self, id: RequestId) {
-        if self.open.get(&id).is_some_and(|o| o.reply.is_none() && o.running == 0) {
+        if self
+            .open
+            .get(&id)
+            .is_some_and(|o| o.reply.is_none() && o.running == 0)
+        {
             self.open.remove(&id);
         }
     }
--- a/balancer/proxy/src/driver/timers.rs
+++ b/balancer/proxy/src/driver/timers.rs
@@ -21,7 +21,13 @@
             d.keep_later();
         }
         loop {
-            let next = self.0.driver.borrow().timers.first_key_value().map(|(&(at, _), _)| at);
+            let next = self
+                .0
+                .driver
+                .borrow()
+                .timers
+                .first_key_value()
+                .map(|(&(at, _), _)| at);
             match next {
                 Some(at) if at <= Instant::now() => self.fire(),
                 Some(at) => tokio::select! {
@@ -34,7 +40,9 @@
     }
 
     pub(super) fn fire(&self) {
-        let Some(due) = self.0.driver.borrow_mut().pop_timer(Instant::now()) else { return };
+        let Some(due) = self.0.driver.borrow_mut().pop_timer(Instant::now()) else {
+            return;
+        };
         match due {
             Due::Module(token) => self.feed(Event::Timer(token)),
             Due::Attempt(id, number) => self.ended(id, number, Ending::Timeout, None),
@@ -77,12 +85,16 @@
     /// How long the timer that is due next has been due.
     fn overdue(&self, now: Instant) -> Duration {
         let next = self.timers.first_key_value();
-        next.map_or(Duration::ZERO, |(&(at, _), _)| now.saturating_duration_since(at))
+        next.map_or(Duration::ZERO, |(&(at, _), _)| {
+            now.saturating_duration_since(at)
+        })
     }
 
     /// How late a timer fired a moment ago.
     fn recent_stall(&self, now: Instant) -> Duration {
-        let recent = self.stall.filter(|(noticed, _)| now - *noticed < STALL_SHOWS);
+        let recent = self
+            .stall
+            .filter(|(noticed, _)| now - *noticed < STALL_SHOWS);
         recent.map_or(Duration::ZERO, |(_, late)| late)
     }
 
--- a/balancer/proxy/src/driver/watching.rs
+++ b/balancer/proxy/src/driver/watching.rs
@@ -7,10 +7,24 @@
     /// The figures with what holds now, if anything is counted.
     pub fn figures<T>(&self, of: impl FnOnce(&Figures, Now) -> T) -> Option<T> {
         let d = self.0.driver.borrow();
-        let ready = d.upstreams.values().filter(|(_, a, _)| *a == Availability::Ready).count() as u64;
-        let listed = d.upstreams.values().filter(|(_, a, _)| *a != Availability::Gone).count() as u64;
+        let ready = d
+            .upstreams
+            .values()
+            .filter(|(_, a, _)| *a == Availability::Ready)
+            .count() as u64;
+        let listed = d
+            .upstreams
+            .values()
+            .filter(|(_, a, _)| *a != Availability::Gone)
+            .count() as u64;
         let open = d.open.values().filter(|o| o.reply.is_some()).count() as u64;
-        let now = Now { at_ms: d.now(), up_ms: d.now() - d.start_ms, open, listed, ready };
+        let now = Now {
+            at_ms: d.now(),
+            up_ms: d.now() - d.start_ms,
+            open,
+            listed,
+            ready,
+        };
         d.figures.as_ref().map(|f| of(f, now))
     }
 }
@@ -28,8 +42,12 @@
         if !self.watched() {
             return;
         }
-        let Some(open) = self.open.get(&id) else { return };
-        let ms = open.taken.map_or(0.0, |at| at.elapsed().as_secs_f64() * 1000.0);
+        let Some(open) = self.open.get(&id) else {
+            return;
+        };
+        let ms = open
+            .taken
+            .map_or(0.0, |at| at.elapsed().as_secs_f64() * 1000.0);
         tracing::debug!(target: "requests", event = "request_ended", request = open.out.id(), reason = how.name(), ms);
         if let Some(f) = &mut self.figures {
             f.ended(how, ms);
@@ -41,7 +59,8 @@
         if !self.watched() {
             return;
         }
-        let (Some(open), Some((upstream, ..))) = (self.open.get(&id), self.upstreams.get(&to)) else {
+        let (Some(open), Some((upstream, ..))) = (self.open.get(&id), self.upstreams.get(&to))
+        else {
             return;
         };
         let (request, zone) = (open.out.id(), upstream.zone);
--- a/balancer/proxy/src/figures.rs
+++ b/balancer/proxy/src/figures.rs
@@ -9,9 +9,9 @@
 
 use crate::log::Lines;
 use crate::recovery::Start;
-use hdrhistogram::Histogram;
 use balancer_core::{Ending, Refusal};
 use balancer_snapshots::keeper::Written;
+use hdrhistogram::Histogram;
 
 /// Times up to an hour are told apart, in microseconds; longer ones count as that.
 const LONGEST: u64 = 3_600_000_000;
@@ -65,8 +65,19 @@
     /// Nothing counted yet, for a balancer of this name and zone, at this start of it.
     pub fn new(name: &str, zones: &[String], own_zone: u16, start: Option<Start>) -> Figures {
         let (starts, incarnation) = (start.map(|s| s.count), start.map(|s| s.incarnation));
-        let counts = Snapshot { name: name.into(), starts, incarnation, ..Snapshot::default() };
-        Figures { counts, to_answer: histogram(), to_end: histogram(), zones: zones.to_vec(), own_zone }
+        let counts = Snapshot {
+            name: name.into(),
+            starts,
+            incarnation,
+            ..Snapshot::default()
+        };
+        Figures {
+            counts,
+            to_answer: histogram(),
+            to_end: histogram(),
+            zones: zones.to_vec(),
+            own_zone,
+        }
     }
 
     /// A request was taken.
@@ -77,14 +88,18 @@
     /// It has ended, after so many milliseconds.
     pub fn ended(&mut self, how: Ended, after: f64) {
         *self.counts.ended.entry(how.name()).or_default() += 1;
-        self.to_answer.saturating_record((after * 1000.0).max(0.0) as u64);
+        self.to_answer
+            .saturating_record((after * 1000.0).max(0.0) as u64);
     }
 
     /// An attempt has begun, to an upstream of this zone.
     pub fn attempt(&mut self, zone: u16) {
         self.counts.attempts += 1;
         self.counts.crossings += u64::from(zone != self.own_zone);
-        let name = self.zones.get(usize::from(zone)).map_or("unknown", String::as_str);
+        let name = self
+            .zones
+            .get(usize::from(zone))
+            .map_or("unknown", String::as_str);
         match self.counts.zones.get_mut(name) {
             Some(count) => *count += 1,
             None => {
@@ -96,7 +111,8 @@
     /// An attempt has ended, after so many milliseconds.
     pub fn attempt_ended(&mut self, how: Ending, after: f64) {
         *self.counts.attempts_ended.entry(name_of(how)).or_default() += 1;
-        self.to_end.saturating_record((after * 1000.0).max(0.0) as u64);
+        self.to_end
+            .saturating_record((after * 1000.0).max(0.0) as u64);
     }
 
     /// Discovery has answered, or a call has failed.
--- a/balancer/proxy/src/figures/file.rs
+++ b/balancer/proxy/src/figures/file.rs
@@ -39,9 +39,15 @@
                 }
             }
         };
-        let thread = std::thread::Builder::new().name("figures".into()).spawn(work);
+        let thread = std::thread::Builder::new()
+            .name("figures".into())
+            .spawn(work);
         thread.map_err(|e| format!("a thread for the figures: {e}"))?;
-        Ok(File { to: Some(to), done, skipped: 0 })
+        Ok(File {
+            to: Some(to),
+            done,
+            skipped: 0,
+        })
     }
 
     /// Hands a snapshot over; it is left out if the one before is still under way.
--- a/balancer/proxy/src/figures/snapshot.rs
+++ b/balancer/proxy/src/figures/snapshot.rs
@@ -1,8 +1,8 @@
 //! What a snapshot of the figures holds. Owns no state.
 use super::Peers;
 use crate::log::Lines;
-use hdrhistogram::Histogram;
 use balancer_snapshots::keeper::Written;
+use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
--- a/balancer/proxy/src/held.rs
+++ b/balancer/proxy/src/held.rs
@@ -15,7 +15,10 @@
 
     /// One more connection, counted until it is dropped.
     pub fn connection(&self) -> Connection {
-        Connection { held: self.clone(), tenant: Cell::new(None) }
+        Connection {
+            held: self.clone(),
+            tenant: Cell::new(None),
+        }
     }
 
     /// The counts, by the tenant's position.
--- a/balancer/proxy/src/listing.rs
+++ b/balancer/proxy/src/listing.rs
@@ -15,7 +15,10 @@
 impl Names {
     /// The names that the settings list.
     pub fn of(d: &Deployment) -> Names {
-        Names { zones: d.zones.clone(), kinds: d.kinds.clone() }
+        Names {
+            zones: d.zones.clone(),
+            kinds: d.kinds.clone(),
+        }
     }
 }
 
@@ -75,16 +78,23 @@
 
     fn read(json: &[u8], names: &Names) -> Result<Listing, String> {
         let mut json = serde_json::Deserializer::from_slice(json);
-        let raw: RawListing =
-            serde_path_to_error::deserialize(&mut json).map_err(|e| match e.path().to_string() {
+        let raw: RawListing = serde_path_to_error::deserialize(&mut json).map_err(|e| {
+            match e.path().to_string() {
                 path if path == "." || path == "?" => e.inner().to_string(),
                 path => format!("{path}: {}", e.inner()),
-            })?;
+            }
+        })?;
         json.end().map_err(|e| e.to_string())?;
         let entries = raw.servers.iter().cloned().enumerate();
-        let entries = entries.map(|(i, e)| entry(e, names).map_err(|what| format!("servers[{i}].{what}")));
+        let entries =
+            entries.map(|(i, e)| entry(e, names).map_err(|what| format!("servers[{i}].{what}")));
         let entries = entries.collect::<Result<_, _>>()?;
-        Ok(Listing { version: raw.version, full: raw.full, entries, raw: raw.servers })
+        Ok(Listing {
+            version: raw.version,
+            full: raw.full,
+            entries,
+            raw: raw.servers,
+        })
     }
 
     /// The lines for the module.
@@ -99,19 +109,46 @@
         "active" => Availability::Ready,
         "leaving" => Availability::Draining,
         "left" => Availability::Gone,
-        other => return Err(format!("state: unknown state {other:?} of upstream {:?}", e.id)),
+        other => {
+            return Err(format!(
+                "state: unknown state {other:?} of upstream {:?}",
+                e.id
+            ))
+        }
     };
     if e.id.is_empty() {
         return Err("id: missing".into());
     }
     if !(0.0..1e15).contains(&e.started_ms) {
-        return Err(format!("started_ms: reads {} at upstream {:?}", e.started_ms, e.id));
+        return Err(format!(
+            "started_ms: reads {} at upstream {:?}",
+            e.started_ms, e.id
+        ));
     }
     // A name that the settings do not list gets a position that no class is bound to.
-    let zone = names.zones.iter().position(|z| *z == e.zone).map_or(u16::MAX, |i| i as u16);
-    let kind = names.kinds.iter().position(|k| *k == e.kind).map_or(u8::MAX, |i| i as u8);
+    let zone = names
+        .zones
+        .iter()
+        .position(|z| *z == e.zone)
+        .map_or(u16::MAX, |i| i as u16);
+    let kind = names
+        .kinds
+        .iter()
+        .position(|k| *k == e.kind)
+        .map_or(u8::MAX, |i| i as u8);
     let (id, group, since) = (upstream_id(&e.id), e.cell, e.started_ms);
-    Ok(Entry { name: e.id, member: Member { id, zone, kind, group, availability, since }, addr: e.addr })
+    Ok(Entry {
+        name: e.id,
+        member: Member {
+            id,
+            zone,
+            kind,
+            group,
+            availability,
+            since,
+        },
+        addr: e.addr,
+    })
 }
 
 /// A stable id for an upstream's name, the same at every balancer (FNV-1a): the module spreads the balancers
@@ -147,7 +184,12 @@
     pub fn text(&self) -> String {
         let servers = self.entries.values().cloned().collect();
         // Names and finite numbers only: there is nothing in it that JSON can't hold.
-        serde_json::to_string(&RawListing { version: self.version, full: true, servers }).unwrap_or_default()
+        serde_json::to_string(&RawListing {
+            version: self.version,
+            full: true,
+            servers,
+        })
+        .unwrap_or_default()
     }
 }
 
--- a/balancer/proxy/src/log.rs
+++ b/balancer/proxy/src/log.rs
@@ -58,14 +58,18 @@
     };
     let parts = of.parts.iter().map(|(part, l)| (part.clone(), level(*l)));
     // Libraries below have nothing to say to an operator: only our own parts are logged.
-    let own = crate::options::PARTS.iter().map(|part| (part.to_string(), level(of.level)));
+    let own = crate::options::PARTS
+        .iter()
+        .map(|part| (part.to_string(), level(of.level)));
     Targets::new().with_targets(own).with_targets(parts)
 }
 
 impl Logging {
     /// Starts it.
     pub fn start(of: &Log) -> Result<Logging, String> {
-        let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(WAITING);
+        let builder = NonBlockingBuilder::default()
+            .lossy(true)
+            .buffered_lines_limit(WAITING);
         let (writer, guard) = builder.finish(std::io::stderr());
         let dropped = writer.error_counter();
         let shared = Arc::new(Shared::default());
@@ -79,14 +83,23 @@
             told: AtomicU64::new(0),
         };
         let (filter, handle) = reload::Layer::new(filter(of));
-        let started = tracing_subscriber::registry().with(lines.with_filter(filter)).try_init();
+        let started = tracing_subscriber::registry()
+            .with(lines.with_filter(filter))
+            .try_init();
         started.map_err(|e| format!("the log: {e}"))?;
-        Ok(Logging { filter: handle, shared, dropped, _writer: guard })
+        Ok(Logging {
+            filter: handle,
+            shared,
+            dropped,
+            _writer: guard,
+        })
     }
 
     /// Takes over what may change while the program runs.
     pub fn change(&self, to: &Log) {
-        self.shared.rate.store(u64::from(to.rate), Ordering::Relaxed);
+        self.shared
+            .rate
+            .store(u64::from(to.rate), Ordering::Relaxed);
         // It fails only once the log has ended.
         let _ = self.filter.reload(filter(to));
     }
@@ -122,9 +135,16 @@
     /// Whether a cause may write one more line, and how many it was held to be silent for before.
     fn allows(&self, of: &Metadata<'_>) -> Option<u64> {
         let rate = self.shared.rate.load(Ordering::Relaxed);
-        let mut causes = self.causes.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut causes = self
+            .causes
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         let now = Instant::now();
-        let cause = causes.entry(of.callsite()).or_insert(Cause { since: now, lines: 0, left_out: 0 });
+        let cause = causes.entry(of.callsite()).or_insert(Cause {
+            since: now,
+            lines: 0,
+            left_out: 0,
+        });
         if now.duration_since(cause.since).as_secs() >= 1 {
             (cause.since, cause.lines) = (now, 0);
         }
@@ -154,7 +174,10 @@
     if let Some(Value::String(message)) = fields.get("message") {
         return message.replace('\n', " ");
     }
-    let name = fields.get("event").and_then(Value::as_str).unwrap_or("event");
+    let name = fields
+        .get("event")
+        .and_then(Value::as_str)
+        .unwrap_or("event");
     let mut line = name.to_string();
     for (field, value) in fields.iter().filter(|(field, _)| *field != "event") {
         match value {
@@ -167,8 +190,16 @@
 
 fn json(metadata: &Metadata<'_>, fields: Map<String, Value>) -> String {
     let mut line = Map::new();
-    line.insert("time".into(), humantime::format_rfc3339_millis(SystemTime::now()).to_string().into());
-    line.insert("level".into(), metadata.level().as_str().to_ascii_lowercase().into());
+    line.insert(
+        "time".into(),
+        humantime::format_rfc3339_millis(SystemTime::now())
+            .to_string()
+            .into(),
+    );
+    line.insert(
+        "level".into(),
+        metadata.level().as_str().to_ascii_lowercase().into(),
+    );
     line.insert("part".into(), metadata.target().into());
     line.extend(fields);
     Value::Object(line).to_string()
@@ -199,13 +230,16 @@
         self.0.insert(field.name().into(), value);
     }
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
-        self.0.insert(field.name().into(), format!("{value:?}").into());
+        self.0
+            .insert(field.name().into(), format!("{value:?}").into());
     }
 }
 
 impl<S: Subscriber> Layer<S> for Writer {
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
-        let Some(left_out) = self.allows(event.metadata()) else { return };
+        let Some(left_out) = self.allows(event.metadata()) else {
+            return;
+        };
         let mut fields = Fields(Map::new());
         event.record(&mut fields);
         if left_out > 0 {
@@ -215,7 +249,10 @@
             note.insert("event".into(), "lines_left_out".into());
             note.insert("of".into(), name.into());
             note.insert("count".into(), left_out.into());
-            note.insert("message".into(), format!("log: {left_out} lines like {name} were left out").into());
+            note.insert(
+                "message".into(),
+                format!("log: {left_out} lines like {name} were left out").into(),
+            );
             self.line(event.metadata(), note);
         }
         let dropped = self.dropped.dropped_lines() as u64;
--- a/balancer/proxy/src/message.rs
+++ b/balancer/proxy/src/message.rs
@@ -1,9 +1,9 @@
 //! A request and its answer as they go through the balancer, and the headers that do not.
+use balancer_core::Millis;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Request, Uri};
-use balancer_core::Millis;
 use std::cell::Cell;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -33,7 +33,11 @@
         .flat_map(|v| v.split(','))
         .filter_map(|v| v.trim().parse().ok())
         .collect();
-    for name in HOP.iter().chain(&named).chain(&[header::CONTENT_LENGTH, header::EXPECT]) {
+    for name in HOP
+        .iter()
+        .chain(&named)
+        .chain(&[header::CONTENT_LENGTH, header::EXPECT])
+    {
         headers.remove(name);
     }
 }
@@ -74,14 +78,20 @@
 impl Outgoing {
     /// Its id, for the log.
     pub fn id(&self) -> &str {
-        self.headers.get("req-id").and_then(|id| id.to_str().ok()).unwrap_or_default()
+        self.headers
+            .get("req-id")
+            .and_then(|id| id.to_str().ok())
+            .unwrap_or_default()
     }
 
     /// A hash of its key, which a client's next try has as well; without one of its id. Not of the path: requests of
     /// one path may be half of all, and what is shed by it would be all of them or none.
     pub fn tie(&self) -> u64 {
-        let key =
-            self.headers.get("idempotency-key").map(HeaderValue::as_bytes).filter(|key| !key.is_empty());
+        let key = self
+            .headers
+            .get("idempotency-key")
+            .map(HeaderValue::as_bytes)
+            .filter(|key| !key.is_empty());
         xxh3_64(key.unwrap_or(self.id().as_bytes()))
     }
 
--- a/balancer/proxy/src/one_line.rs
+++ b/balancer/proxy/src/one_line.rs
@@ -16,5 +16,9 @@
     }
     let start = message.chars().take(START_MOST);
     let end = message.chars().skip(length - END_MOST);
-    start.chain(LEFT_OUT.chars()).chain(end).map(plain).collect()
+    start
+        .chain(LEFT_OUT.chars())
+        .chain(end)
+        .map(plain)
+        .collect()
 }
--- a/balancer/proxy/src/options/loaded.rs
+++ b/balancer/proxy/src/options/loaded.rs
@@ -26,17 +26,31 @@
     pub fn shown(&self) -> Vec<(String, String)> {
         // Options are made of what a table can hold.
         let table = Table::try_from(&self.options).unwrap_or_default();
-        flat(&table).into_iter().map(|(key, value)| (key, value.to_string())).collect()
+        flat(&table)
+            .into_iter()
+            .map(|(key, value)| (key, value.to_string()))
+            .collect()
     }
 
     /// Whether what the options name can be used; looks at the disk.
     pub fn usable(&self) -> Result<(), String> {
-        let folders =
-            [("figures.dir", &self.options.figures.dir), ("recovery.dir", &self.options.recovery.dir)];
-        for (key, dir) in folders.into_iter().filter(|(_, dir)| !dir.as_os_str().is_empty()) {
-            let made = tempfile::Builder::new().prefix(".writable").tempfile_in(dir);
+        let folders = [
+            ("figures.dir", &self.options.figures.dir),
+            ("recovery.dir", &self.options.recovery.dir),
+        ];
+        for (key, dir) in folders
+            .into_iter()
+            .filter(|(_, dir)| !dir.as_os_str().is_empty())
+        {
+            let made = tempfile::Builder::new()
+                .prefix(".writable")
+                .tempfile_in(dir);
             made.map_err(|e| {
-                format!("{}: {key}: {}: can't be written to: {e}", self.source(key), dir.display())
+                format!(
+                    "{}: {key}: {}: can't be written to: {e}",
+                    self.source(key),
+                    dir.display()
+                )
             })?;
         }
         Ok(())
@@ -49,16 +63,28 @@
             ("log.format", now.log.format == then.log.format),
             ("figures.dir", now.figures.dir == then.figures.dir),
             ("recovery.dir", now.recovery.dir == then.recovery.dir),
-            ("recovery.list_age", now.recovery.list_age == then.recovery.list_age),
-            ("recovery.learned", now.recovery.learned == then.recovery.learned),
+            (
+                "recovery.list_age",
+                now.recovery.list_age == then.recovery.list_age,
+            ),
+            (
+                "recovery.learned",
+                now.recovery.learned == then.recovery.learned,
+            ),
             ("recovery.every", now.recovery.every == then.recovery.every),
             ("recovery.drill", now.recovery.drill == then.recovery.drill),
             ("peers.on", now.peers.on == then.peers.on),
-            ("peers.version_most", now.peers.version_most == then.peers.version_most),
+            (
+                "peers.version_most",
+                now.peers.version_most == then.peers.version_most,
+            ),
             ("figures.log", now.figures.on() == then.figures.on()),
         ] {
             if !same {
-                return Err(format!("{}: {key}: can't change while the program runs", self.source(key)));
+                return Err(format!(
+                    "{}: {key}: can't change while the program runs",
+                    self.source(key)
+                ));
             }
         }
         Ok(())
--- a/balancer/proxy/src/options/merged.rs
+++ b/balancer/proxy/src/options/merged.rs
@@ -19,7 +19,10 @@
 /// A value as it stands in a variable or a flag: TOML, or else plain text.
 pub(super) fn plain(text: &str) -> Value {
     let table: Result<Table, _> = toml::from_str(&format!("v = {text}"));
-    table.ok().and_then(|mut t| t.remove("v")).unwrap_or_else(|| Value::String(text.into()))
+    table
+        .ok()
+        .and_then(|mut t| t.remove("v"))
+        .unwrap_or_else(|| Value::String(text.into()))
 }
 
 /// Every key with a value that is no table, and its value. The parts of the log's levels are keys of their own.
@@ -28,7 +31,11 @@
     for (name, value) in table {
         match value {
             Value::Table(inner) => {
-                all.extend(flat(inner).into_iter().map(|(key, value)| (format!("{name}.{key}"), value)));
+                all.extend(
+                    flat(inner)
+                        .into_iter()
+                        .map(|(key, value)| (format!("{name}.{key}"), value)),
+                );
             }
             value => all.push((name.clone(), value.clone())),
         }
@@ -57,8 +64,12 @@
         let line_of = |key: &str| {
             let (mut item, mut at) = (document.as_item(), None);
             for name in key.split('.') {
-                let Some(table) = item.as_table_like() else { break };
-                let Some((key, next)) = table.get_key_value(name) else { break };
+                let Some(table) = item.as_table_like() else {
+                    break;
+                };
+                let Some((key, next)) = table.get_key_value(name) else {
+                    break;
+                };
                 at = key.span().or_else(|| next.span()).or(at);
                 item = next;
             }
@@ -80,7 +91,10 @@
             self.set(&key, value, Source::File(path.into(), line))?;
         }
         // A table without a key says nothing, but its name may be a slip.
-        for (name, _) in table.iter().filter(|(_, v)| v.as_table().is_some_and(Table::is_empty)) {
+        for (name, _) in table
+            .iter()
+            .filter(|(_, v)| v.as_table().is_some_and(Table::is_empty))
+        {
             if !self.known.iter().any(|k| k.split('.').next() == Some(name)) {
                 return Err(format!("{shown}:{}: {}", line_of(name), self.unknown(name)));
             }
@@ -95,23 +109,47 @@
             return format!("{key}: this version has no part {first:?}");
         }
         let parts = PARTS.iter().map(|p| format!("log.parts.{p}"));
-        let all = self.known.iter().cloned().chain(parts).chain(["log".into(), "figures".into()]);
-        let near = all.max_by(|a, b| strsim::jaro_winkler(a, key).total_cmp(&strsim::jaro_winkler(b, key)));
-        format!("{key}: unknown; the nearest known key is {}", near.unwrap_or_default())
+        let all = self
+            .known
+            .iter()
+            .cloned()
+            .chain(parts)
+            .chain(["log".into(), "figures".into()]);
+        let near = all
+            .max_by(|a, b| strsim::jaro_winkler(a, key).total_cmp(&strsim::jaro_winkler(b, key)));
+        format!(
+            "{key}: unknown; the nearest known key is {}",
+            near.unwrap_or_default()
+        )
     }
 
     /// The key that a variable sets.
     pub(super) fn key_of(&self, variable: &str) -> Result<String, String> {
-        let key = variable.strip_prefix(PREFIX).or_else(|| variable.strip_prefix(OLD_PREFIX)).unwrap_or(variable);
+        let key = variable
+            .strip_prefix(PREFIX)
+            .or_else(|| variable.strip_prefix(OLD_PREFIX))
+            .unwrap_or(variable);
         let wanted = key.to_ascii_lowercase();
         let parts = PARTS.iter().map(|p| format!("log.parts.{p}"));
-        let found = self.known.iter().cloned().chain(parts).find(|key| key.replace('.', "_") == wanted);
-        found.ok_or_else(|| format!("{variable}: {}", self.unknown(&wanted.replacen('_', ".", 1))))
+        let found = self
+            .known
+            .iter()
+            .cloned()
+            .chain(parts)
+            .find(|key| key.replace('.', "_") == wanted);
+        found.ok_or_else(|| {
+            format!(
+                "{variable}: {}",
+                self.unknown(&wanted.replacen('_', ".", 1))
+            )
+        })
     }
 
     /// Sets one key. What comes of it is checked at once, so that what is wrong is named with its source.
     pub(super) fn set(&mut self, key: &str, value: Value, source: Source) -> Result<(), String> {
-        let part = key.strip_prefix("log.parts.").is_some_and(|part| PARTS.contains(&part));
+        let part = key
+            .strip_prefix("log.parts.")
+            .is_some_and(|part| PARTS.contains(&part));
         if !part && !self.known.iter().any(|k| k == key) {
             return Err(format!("{source}: {}", self.unknown(key)));
         }
@@ -119,8 +157,12 @@
         let last = names.pop().unwrap_or(key);
         let mut table = &mut self.table;
         for name in names {
-            let inner = table.entry(name).or_insert_with(|| Value::Table(Table::new()));
-            table = inner.as_table_mut().ok_or_else(|| format!("{source}: {key}: no table"))?;
+            let inner = table
+                .entry(name)
+                .or_insert_with(|| Value::Table(Table::new()));
+            table = inner
+                .as_table_mut()
+                .ok_or_else(|| format!("{source}: {key}: no table"))?;
         }
         let shown = value.to_string();
         table.insert(last.into(), value);
@@ -129,7 +171,9 @@
             let what = e.message().trim().replace('\n', " ");
             format!("{source}: {key}: {shown}: {what}")
         })?;
-        options.check().map_err(|what| format!("{source}: {key}: {shown}: {what}"))?;
+        options
+            .check()
+            .map_err(|what| format!("{source}: {key}: {shown}: {what}"))?;
         self.options = options;
         self.sources.insert(key.into(), source);
         Ok(())
--- a/balancer/proxy/src/options/read.rs
+++ b/balancer/proxy/src/options/read.rs
@@ -27,15 +27,19 @@
     pub fn load(&self) -> Result<Loaded, String> {
         let text = match &self.file {
             Some(path) => {
-                let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
+                let text = std::fs::read_to_string(path)
+                    .map_err(|e| format!("{}: {e}", path.display()))?;
                 Some((path.as_path(), text))
             }
             None => None,
         };
         let variables = variables().map_err(|error| one_line(&error))?;
         let file = text.as_ref().map(|(path, text)| (*path, text.as_str()));
-        let mut loaded = load(file, variables.into_iter(), &self.set).map_err(|error| one_line(&error))?;
-        loaded.deprecated.extend(self.deprecated_file.then(|| OLD_FILE.to_owned()));
+        let mut loaded =
+            load(file, variables.into_iter(), &self.set).map_err(|error| one_line(&error))?;
+        loaded
+            .deprecated
+            .extend(self.deprecated_file.then(|| OLD_FILE.to_owned()));
         Ok(loaded)
     }
 }
@@ -49,7 +53,9 @@
         if !sets_option || name == OLD_FILE {
             continue;
         }
-        let value = value.into_string().map_err(|_| format!("{name}: not UTF-8"))?;
+        let value = value
+            .into_string()
+            .map_err(|_| format!("{name}: not UTF-8"))?;
         variables.push((name, value));
     }
     // Variables under the earlier prefix come first, so that those of today go before them.
@@ -65,11 +71,20 @@
 ) -> Result<Loaded, String> {
     let mut variables = variables.peekable();
     if file.is_none() && set.is_empty() && variables.peek().is_none() {
-        return Ok(Loaded { options: Options::default(), sources: BTreeMap::new(), deprecated: Vec::new() });
+        return Ok(Loaded {
+            options: Options::default(),
+            sources: BTreeMap::new(),
+            deprecated: Vec::new(),
+        });
     }
     let defaults = Table::try_from(Options::default()).map_err(|e| e.to_string())?;
     let known: Vec<String> = flat(&defaults).into_iter().map(|(key, _)| key).collect();
-    let mut merged = Merged { table: defaults, options: Options::default(), sources: BTreeMap::new(), known };
+    let mut merged = Merged {
+        table: defaults,
+        options: Options::default(),
+        sources: BTreeMap::new(),
+        known,
+    };
     if let Some((path, text)) = file {
         merged.file(path, text)?;
     }
@@ -82,8 +97,14 @@
         merged.set(&key, plain(&value), Source::Variable(name))?;
     }
     for text in set {
-        let (key, value) = text.split_once('=').ok_or_else(|| format!("--set {text}: no KEY=VALUE"))?;
+        let (key, value) = text
+            .split_once('=')
+            .ok_or_else(|| format!("--set {text}: no KEY=VALUE"))?;
         merged.set(key.trim(), plain(value.trim()), Source::Flag)?;
     }
-    Ok(Loaded { options: merged.options, sources: merged.sources, deprecated })
+    Ok(Loaded {
+        options: merged.options,
+        sources: merged.sources,
+        deprecated,
+    })
 }
--- a/balancer/proxy/src/options/types.rs
+++ b/balancer/proxy/src/options/types.rs
@@ -6,8 +6,17 @@
 use std::time::Duration;
 
 /// Parts of the program whose events can be told apart.
-pub const PARTS: [&str; 9] =
-    ["run", "discovery", "callers", "requests", "attempts", "module", "figures", "recovery", "peers"];
+pub const PARTS: [&str; 9] = [
+    "run",
+    "discovery",
+    "callers",
+    "requests",
+    "attempts",
+    "module",
+    "figures",
+    "recovery",
+    "peers",
+];
 /// The shortest time between two snapshots of the figures, or of what was learned.
 const EVERY_LEAST: Duration = Duration::from_millis(100);
 /// The longest. Times far beyond it can't be added to the clock.
@@ -128,8 +137,17 @@
 impl Default for Options {
     fn default() -> Self {
         Options {
-            log: Log { level: Level::Info, format: Format::Text, rate: 20, parts: BTreeMap::new() },
-            figures: Figures { dir: PathBuf::new(), log: false, every: Duration::from_secs(1) },
+            log: Log {
+                level: Level::Info,
+                format: Format::Text,
+                rate: 20,
+                parts: BTreeMap::new(),
+            },
+            figures: Figures {
+                dir: PathBuf::new(),
+                log: false,
+                every: Duration::from_secs(1),
+            },
             recovery: Recovery {
                 dir: PathBuf::new(),
                 list_age: Duration::from_secs(3600),
@@ -160,7 +178,10 @@
             return Err("must be at least 100ms and at most 24h".into());
         }
         if self.peers.version_most < READS.least {
-            return Err(format!("no version is left; this program reads {} to {}", READS.least, READS.most));
+            return Err(format!(
+                "no version is left; this program reads {} to {}",
+                READS.least, READS.most
+            ));
         }
         Ok(())
     }
