--- a/balancer/proxy/src/peers.rs
+++ b/balancer/proxy/src/peers.rs
@@ -12,9 +12,9 @@
 use crate::figures;
 use crate::held::Held;
 use crate::options::{self, Options};
-use end::End;
 use balancer_gossip::{Millis, Peers};
 use balancer_settings::Deployment;
+use end::End;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -63,7 +63,13 @@
 impl Tier {
     /// Opens the socket; [`Tier::run`] must run for anything to come of it.
     pub fn start(parts: Parts<'_>) -> Result<Tier, String> {
-        let Parts { deployment, incarnation, seed, options, .. } = parts;
+        let Parts {
+            deployment,
+            incarnation,
+            seed,
+            options,
+            ..
+        } = parts;
         let addresses = addresses(deployment, parts.addresses)?;
         let listen = addresses.listen;
         let (start, now) = (Instant::now(), 0.0);
@@ -71,13 +77,19 @@
         let (candidates, reads) = (config.candidates, config.reads);
         let peers = Peers::new(config, now).map_err(|e| e.to_string())?;
         let end = End::bind(addresses).map_err(|e| format!("peer_listen: {listen}: {e}"))?;
-        let address = end.address().map_err(|e| format!("peer_listen: {listen}: {e}"))?;
+        let address = end
+            .address()
+            .map_err(|e| format!("peer_listen: {listen}: {e}"))?;
         tracing::info!(
             target: "peers", event = "peers_on", address = %address, copies = candidates, least = reads.least,
             most = reads.most, "peers: one of {candidates}, listening on {address}, reading versions {} to {}",
             reads.least, reads.most
         );
-        Ok(Tier(Rc::new(Shared { start, end, peers: RefCell::new(peers) })))
+        Ok(Tier(Rc::new(Shared {
+            start,
+            end,
+            peers: RefCell::new(peers),
+        })))
     }
 
     /// Speaks with the others for ever: tells the driver what the tier knows, and the tier what it observes.
@@ -105,7 +117,12 @@
                 let word = peers.borrow_mut().word(now);
                 driver.tier(words::word(word, &options.borrow().peers));
             }
-            let due = peers.borrow().next_timeout().unwrap_or(f64::INFINITY).min(word_at).min(observe_at);
+            let due = peers
+                .borrow()
+                .next_timeout()
+                .unwrap_or(f64::INFINITY)
+                .min(word_at)
+                .min(observe_at);
             let wake = self.0.start + Duration::from_secs_f64(due.max(0.0) / 1000.0);
             // However often something is due, requests come in between.
             let wake = wake.max(Instant::now() + PAUSE);
--- a/balancer/proxy/src/peers/addresses.rs
+++ b/balancer/proxy/src/peers/addresses.rs
@@ -33,7 +33,10 @@
             _ => return Err("peers: no list".into()),
         };
         if u32::try_from(list.len()) != Ok(copies) {
-            return Err(format!("peers: {} addresses for {copies} balancers", list.len()));
+            return Err(format!(
+                "peers: {} addresses for {copies} balancers",
+                list.len()
+            ));
         }
         if u16::try_from(list.len()).is_err() {
             return Err(format!("peers: {} are more than {}", list.len(), u16::MAX));
@@ -58,7 +61,9 @@
         Value::Null => Err("missing".into()),
         Value::String(text) => {
             let address = text.parse::<SocketAddrV4>();
-            address.map(SocketAddr::V4).map_err(|_| format!("{text:?} is no IPv4 address and port"))
+            address
+                .map(SocketAddr::V4)
+                .map_err(|_| format!("{text:?} is no IPv4 address and port"))
         }
         other => Err(format!("{other} is no IPv4 address and port")),
     }
@@ -68,6 +73,9 @@
     /// Who sends from which address.
     pub fn senders(&self) -> HashMap<SocketAddr, Member> {
         // There are no more than a member's number can tell apart.
-        (0u16..).zip(&self.peers).map(|(i, &peer)| (peer, Member(i))).collect()
+        (0u16..)
+            .zip(&self.peers)
+            .map(|(i, &peer)| (peer, Member(i)))
+            .collect()
     }
 }
--- a/balancer/proxy/src/peers/end.rs
+++ b/balancer/proxy/src/peers/end.rs
@@ -32,7 +32,14 @@
         socket.set_nonblocking(true)?;
         let waits = tokio::net::UdpSocket::from_std(socket.try_clone()?)?;
         let (from, empty_at, dropped) = (addresses.senders(), Cell::new(0.0), Cell::default());
-        Ok(End { socket, waits, to: addresses.peers, from, empty_at, dropped })
+        Ok(End {
+            socket,
+            waits,
+            to: addresses.peers,
+            from,
+            empty_at,
+            dropped,
+        })
     }
 
     /// Where it listens.
@@ -46,7 +53,9 @@
             // The runtime is at its end.
             std::future::pending().await
         }
-        let _ = self.waits.try_io(Interest::READABLE, || Err::<(), _>(Error::from(ErrorKind::WouldBlock)));
+        let _ = self.waits.try_io(Interest::READABLE, || {
+            Err::<(), _>(Error::from(ErrorKind::WouldBlock))
+        });
     }
 
     /// Hands on up to `most` of the datagrams that wait. Returns whether more may.
@@ -64,7 +73,9 @@
                 Ok((length, from)) => match self.from.get(&from) {
                     None => self.count(|d| d.unknown += 1),
                     Some(_) if length > DATAGRAM_MOST => self.count(|d| d.long += 1),
-                    Some(_) if at - self.empty_at.get() > WAITED_MOST => self.count(|d| d.waited += 1),
+                    Some(_) if at - self.empty_at.get() > WAITED_MOST => {
+                        self.count(|d| d.waited += 1)
+                    }
                     Some(&member) => on(at, member, &bytes[..length]),
                 },
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
@@ -115,15 +126,26 @@
 
     #[test]
     fn what_waits_is_taken_from_members_alone_and_only_if_its_age_is_known() {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("a runtime");
         let _inside = runtime.enter();
         let ((peer, peer_at), (stranger, _)) = (sender(), sender());
         let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-        let end = End::bind(Addresses { listen, peers: vec![listen, peer_at] }).expect("binds");
+        let end = End::bind(Addresses {
+            listen,
+            peers: vec![listen, peer_at],
+        })
+        .expect("binds");
         let at = end.address().expect("an address");
         let taken = |most: usize, now: Millis| {
             let mut taken = Vec::new();
-            let more = end.take(most, || now, |_, member, bytes| taken.push((member.0, bytes.to_vec())));
+            let more = end.take(
+                most,
+                || now,
+                |_, member, bytes| taken.push((member.0, bytes.to_vec())),
+            );
             (taken, more)
         };
         let comes = |socket: &UdpSocket, bytes: &[u8]| {
@@ -139,21 +161,46 @@
         assert_eq!(taken(8, 200.0), (vec![], false));
         comes(&peer, &[0; DATAGRAM_MOST + 1]);
         assert_eq!(taken(8, 300.0), (vec![], false));
-        assert_eq!(end.dropped(), Dropped { unknown: 1, long: 1, ..Dropped::default() });
+        assert_eq!(
+            end.dropped(),
+            Dropped {
+                unknown: 1,
+                long: 1,
+                ..Dropped::default()
+            }
+        );
         // Held up for longer than may be: what waits is as old as that, for all that is known.
         comes(&peer, b"old");
         assert_eq!(taken(8, 300.0 + 2.0 * WAITED_MOST), (vec![], false));
         comes(&peer, b"new");
-        assert_eq!(taken(8, 301.0 + 2.0 * WAITED_MOST), (vec![(1, b"new".to_vec())], false));
+        assert_eq!(
+            taken(8, 301.0 + 2.0 * WAITED_MOST),
+            (vec![(1, b"new".to_vec())], false)
+        );
         // To nobody's address, and longer than any may be.
-        end.send(&Transmit { to: Member(7), bytes: vec![0] });
-        end.send(&Transmit { to: Member(1), bytes: vec![0; DATAGRAM_MOST + 1] });
-        end.send(&Transmit { to: Member(1), bytes: b"out".to_vec() });
+        end.send(&Transmit {
+            to: Member(7),
+            bytes: vec![0],
+        });
+        end.send(&Transmit {
+            to: Member(1),
+            bytes: vec![0; DATAGRAM_MOST + 1],
+        });
+        end.send(&Transmit {
+            to: Member(1),
+            bytes: b"out".to_vec(),
+        });
         let mut bytes = [0; 8];
         assert_eq!(peer.recv_from(&mut bytes).expect("comes"), (3, at));
         assert_eq!(
             end.dropped(),
-            Dropped { unknown: 1, long: 1, waited: 1, unsent: 2, ..Dropped::default() }
+            Dropped {
+                unknown: 1,
+                long: 1,
+                waited: 1,
+                unsent: 2,
+                ..Dropped::default()
+            }
         );
     }
 }
--- a/balancer/proxy/src/peers/start.rs
+++ b/balancer/proxy/src/peers/start.rs
@@ -14,7 +14,10 @@
         // Without names all requests are one tenant's.
         tenants: u16::try_from(d.policy.tenants.len().max(1)).unwrap_or(u16::MAX),
         deployment: hash(d),
-        reads: Versions { least: READS.least, most: READS.most.min(version_most) },
+        reads: Versions {
+            least: READS.least,
+            most: READS.most.min(version_most),
+        },
     }
 }
 
--- a/balancer/proxy/src/peers/words.rs
+++ b/balancer/proxy/src/peers/words.rs
@@ -3,21 +3,39 @@
 //! state.
 use crate::figures;
 use crate::options;
-use balancer_core::{Evidence, Observed, Subject, TenantLoad, TierLoad, TierSums, TierWord, UpstreamId};
+use balancer_core::{
+    Evidence, Observed, Subject, TenantLoad, TierLoad, TierSums, TierWord, UpstreamId,
+};
 use balancer_gossip as peers;
 
 /// What the module observes, with the connections that each tenant's callers hold.
 pub fn own(observed: Observed, callers: &[u32]) -> peers::Own {
-    let Observed { load, against, cleared } = observed;
+    let Observed {
+        load,
+        against,
+        cleared,
+    } = observed;
     let tenant = |(i, t): (usize, TenantLoad)| peers::TenantFigures {
         demand: t.demand,
         calls: t.calls,
         callers: callers.get(i).copied().map_or(0.0, f64::from),
     };
-    let TierLoad { demand, room, firsts, retries, tenants } = load;
+    let TierLoad {
+        demand,
+        room,
+        firsts,
+        retries,
+        tenants,
+    } = load;
     let tenants = tenants.into_iter().enumerate().map(tenant).collect();
     peers::Own {
-        figures: peers::Figures { demand, room, firsts, retries, tenants },
+        figures: peers::Figures {
+            demand,
+            room,
+            firsts,
+            retries,
+            tenants,
+        },
         against: against.into_iter().map(told).collect(),
         cleared: cleared.into_iter().map(told).collect(),
     }
@@ -39,27 +57,45 @@
 
 /// What the tier knows, as far as the decisions may hear of it.
 pub fn word(word: peers::Word, may: &options::Peers) -> TierWord {
-    let peers::Word { up, place, joined, sums, evidence, .. } = word;
+    let peers::Word {
+        up,
+        place,
+        joined,
+        sums,
+        evidence,
+        ..
+    } = word;
     // As if there were nobody else.
     let (up, place) = if may.trials { (up, place) } else { (1, 0) };
-    let evidence = evidence.into_iter().filter(|_| may.verdicts).map(|e| Evidence {
-        subject: heard(e.subject),
-        observers: e.observers,
-        zones: e.zones,
-        cleared: e.cleared,
-        age: e.age,
-    });
+    let evidence = evidence
+        .into_iter()
+        .filter(|_| may.verdicts)
+        .map(|e| Evidence {
+            subject: heard(e.subject),
+            observers: e.observers,
+            zones: e.zones,
+            cleared: e.cleared,
+            age: e.age,
+        });
     TierWord {
         up,
         place,
         joined,
-        sums: sums.filter(|_| may.shed || may.shares).map(|s| self::sums(s, may)),
+        sums: sums
+            .filter(|_| may.shed || may.shares)
+            .map(|s| self::sums(s, may)),
         evidence: evidence.collect(),
     }
 }
 
 fn sums(sums: peers::Sums, may: &options::Peers) -> TierSums {
-    let peers::Figures { demand, room, firsts, retries, tenants } = sums.figures;
+    let peers::Figures {
+        demand,
+        room,
+        firsts,
+        retries,
+        tenants,
+    } = sums.figures;
     let shed = |figure: f64| if may.shed { figure } else { 0.0 };
     let shares = |figure: f64| if may.shares { figure } else { 0.0 };
     let tenant = |t: peers::TenantFigures| TenantLoad {
@@ -74,11 +110,19 @@
         retries: shed(retries),
         tenants: tenants.into_iter().map(tenant).collect(),
     };
-    TierSums { load, age: sums.age, error: sums.error }
+    TierSums {
+        load,
+        age: sums.age,
+        error: sums.error,
+    }
 }
 
 /// The same for an operator, whatever the decisions may hear.
-pub fn figures(word: &peers::Word, counts: peers::Counts, here: figures::Dropped) -> figures::Peers {
+pub fn figures(
+    word: &peers::Word,
+    counts: peers::Counts,
+    here: figures::Dropped,
+) -> figures::Peers {
     let oldest = word.evidence.iter().map(|e| e.age).max_by(f64::total_cmp);
     let sums = word.sums.as_ref().map(|s| figures::Sums {
         age_ms: s.age,
@@ -91,7 +135,13 @@
         calls: s.figures.tenants.iter().map(|t| t.calls).sum(),
         callers: s.figures.tenants.iter().map(|t| t.callers).sum(),
     });
-    let peers::Counts { broken, foreign, unspoken, old, .. } = counts;
+    let peers::Counts {
+        broken,
+        foreign,
+        unspoken,
+        old,
+        ..
+    } = counts;
     figures::Peers {
         up: word.up,
         place: word.place,
@@ -108,6 +158,12 @@
         sent_bytes: counts.sent_bytes,
         read: counts.read,
         read_bytes: counts.read_bytes,
-        dropped: figures::Dropped { broken, foreign, unspoken, old, ..here },
+        dropped: figures::Dropped {
+            broken,
+            foreign,
+            unspoken,
+            old,
+            ..here
+        },
     }
 }
--- a/balancer/proxy/src/program.rs
+++ b/balancer/proxy/src/program.rs
@@ -70,7 +70,9 @@
     if !loaded.options.recovery.dir.as_os_str().is_empty() {
         quiet_panics();
     }
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let done = runtime.map_err(|e| e.to_string()).and_then(|runtime| {
         let serving = serve::run(config, sources, loaded.options, &logging);
         tokio::task::LocalSet::new().block_on(&runtime, serving)
--- a/balancer/proxy/src/recovery.rs
+++ b/balancer/proxy/src/recovery.rs
@@ -54,11 +54,23 @@
     /// The start after what a folder has kept, if it has, at this time by the clock.
     fn after(kept: Option<&str>, now_ms: f64, chance: u64) -> Start {
         // Version 0.1 kept the count alone.
-        let count = |text: &str| text.parse().ok().map(|count| Start { count, incarnation: 0 });
+        let count = |text: &str| {
+            text.parse().ok().map(|count| Start {
+                count,
+                incarnation: 0,
+            })
+        };
         let before = kept.and_then(|text| serde_json::from_str(text).ok().or_else(|| count(text)));
-        let Start { count, incarnation } = before.unwrap_or(Start { count: 0, incarnation: 0 });
-        let timed = ((now_ms.clamp(0.0, 1e13) as u64) << RANDOM_BITS) | (chance % (1 << RANDOM_BITS));
-        Start { count: count.saturating_add(1), incarnation: incarnation.saturating_add(1).max(timed) }
+        let Start { count, incarnation } = before.unwrap_or(Start {
+            count: 0,
+            incarnation: 0,
+        });
+        let timed =
+            ((now_ms.clamp(0.0, 1e13) as u64) << RANDOM_BITS) | (chance % (1 << RANDOM_BITS));
+        Start {
+            count: count.saturating_add(1),
+            incarnation: incarnation.saturating_add(1).max(timed),
+        }
     }
 }
 
@@ -96,7 +108,10 @@
         hash.update(&[1]);
     }
     hash.update(&d.policy.stage.to_be_bytes());
-    Owner { name: name.into(), settings: hash.finalize() }
+    Owner {
+        name: name.into(),
+        settings: hash.finalize(),
+    }
 }
 
 /// What the disk gives back, before anybody looks at what it means.
@@ -115,9 +130,16 @@
         Err(NoStore::Disk(e)) => {
             // What can't be written may still be read.
             let e = NoStore::Disk(e);
-            let Ok(copy) = Store::copy(dir, owner) else { return Err(e) };
+            let Ok(copy) = Store::copy(dir, owner) else {
+                return Err(e);
+            };
             let (list, learned) = (copy.get(Kind::Upstreams)?, copy.get(Kind::Learned)?);
-            return Ok(Read { store: Err(e.clone()), start: Err(e), list, learned });
+            return Ok(Read {
+                store: Err(e.clone()),
+                start: Err(e),
+                list,
+                learned,
+            });
         }
         Err(e) => return Err(e),
     };
@@ -126,24 +148,42 @@
         Found::Nothing | Found::Unfit(_) => None,
     };
     let start = Start::after(kept.as_deref(), unix_ms(), rand::thread_rng().gen());
-    let (list, learned) = (opened.store.get(Kind::Upstreams)?, opened.store.get(Kind::Learned)?);
+    let (list, learned) = (
+        opened.store.get(Kind::Upstreams)?,
+        opened.store.get(Kind::Learned)?,
+    );
     // On the disk before anybody hears of it: a number that was given out must not come again. Numbers only: there is
     // nothing in it that JSON can't hold.
     let text = serde_json::to_string(&start).unwrap_or_default();
-    let start = opened.store.put(&[(Kind::Starts, text)], unix_ms()).map(|()| start);
-    Ok(Read { store: Ok(opened), start, list, learned })
+    let start = opened
+        .store
+        .put(&[(Kind::Starts, text)], unix_ms())
+        .map(|()| start);
+    Ok(Read {
+        store: Ok(opened),
+        start,
+        list,
+        learned,
+    })
 }
 
 /// Opens the folder that the options name. Whatever is wrong is told in one line, and the balancer goes on without.
-pub fn open(options: &options::Recovery, owner: Owner, names: &Names, policy: &Settings) -> Recovered {
+pub fn open(
+    options: &options::Recovery,
+    owner: Owner,
+    names: &Names,
+    policy: &Settings,
+) -> Recovered {
     let settings = owner.settings;
     let (tell, told) = channel();
     let folder = options.dir.clone();
     let drill = (!options.drill.as_os_str().is_empty()).then(|| Drill::told_by(&options.drill));
-    let opening = std::thread::Builder::new().name("recovery".into()).spawn(move || {
-        // Nobody may wait for it any more.
-        let _ = tell.send(read(&folder, owner, drill));
-    });
+    let opening = std::thread::Builder::new()
+        .name("recovery".into())
+        .spawn(move || {
+            // Nobody may wait for it any more.
+            let _ = tell.send(read(&folder, owner, drill));
+        });
     let found = match opening.map(|_| told.recv_timeout(START_WAIT)) {
         Ok(Ok(found)) => found.map_err(|e| e.to_string()),
         Ok(Err(RecvTimeoutError::Timeout)) => Err(format!("no answer within {START_WAIT:?}")),
@@ -154,7 +194,12 @@
     let off = |error: &str| {
         tracing::warn!(target: "recovery", event = "recovery_off", error, "recovery: {dir}: {error}; going on without");
     };
-    let Read { store, start, list, learned } = match found {
+    let Read {
+        store,
+        start,
+        list,
+        learned,
+    } = match found {
         Ok(read) => read,
         Err(error) => {
             off(&error);
@@ -175,7 +220,11 @@
         false => Err("not asked for".into()),
     };
     let said_list = match &list {
-        Ok((list, age)) => format!("a list of {} upstreams, {:.1} s old", list.entries.len(), age / 1000.0),
+        Ok((list, age)) => format!(
+            "a list of {} upstreams, {:.1} s old",
+            list.entries.len(),
+            age / 1000.0
+        ),
         Err(why) => format!("no list: {why}"),
     };
     let said_learned = match &learned {
@@ -194,13 +243,23 @@
     let mut roster = Roster::default();
     list.iter().for_each(|list| roster.apply(list));
     let recovery = match keeper {
-        Ok(keeper) => Some(Recovery { keeper, roster, policy: fingerprint, every: options.every }),
+        Ok(keeper) => Some(Recovery {
+            keeper,
+            roster,
+            policy: fingerprint,
+            every: options.every,
+        }),
         Err(error) => {
             off(&format!("nothing is kept: {error}"));
             None
         }
     };
-    Recovered { recovery, start: start.ok(), list, learned }
+    Recovered {
+        recovery,
+        start: start.ok(),
+        list,
+        learned,
+    }
 }
 
 /// The record under a kind and its age in milliseconds, or why it is not used.
@@ -237,7 +296,12 @@
 }
 
 /// The kept list and its age in milliseconds, or why it is not used.
-fn kept_list(found: &Found, settings: u32, names: &Names, most: Duration) -> Result<(Listing, f64), String> {
+fn kept_list(
+    found: &Found,
+    settings: u32,
+    names: &Names,
+    most: Duration,
+) -> Result<(Listing, f64), String> {
     let (record, age) = usable(found, settings)?;
     if age > most.as_secs_f64() * 1000.0 {
         return Err(format!("it is {:.0} s old", age / 1000.0));
@@ -255,9 +319,15 @@
 
     /// Keeps what the decisions have learned.
     pub fn learned(&self, learned: Learned) {
-        let lesson = Lesson { policy: self.policy, learned };
+        let lesson = Lesson {
+            policy: self.policy,
+            learned,
+        };
         // Finite numbers only: there is nothing in it that JSON can't hold.
-        self.keeper.keep(Kind::Learned, serde_json::to_string(&lesson).unwrap_or_default());
+        self.keeper.keep(
+            Kind::Learned,
+            serde_json::to_string(&lesson).unwrap_or_default(),
+        );
         self.tell_failure();
     }
 
--- a/balancer/proxy/src/reload.rs
+++ b/balancer/proxy/src/reload.rs
@@ -39,7 +39,10 @@
         }
         let before = self.options.borrow().clone();
         // Folders can't change, so that no disk is asked for them here, where requests would wait for it.
-        let loaded = self.sources.load().and_then(|loaded| loaded.follows(&before).map(|()| loaded.options));
+        let loaded = self
+            .sources
+            .load()
+            .and_then(|loaded| loaded.follows(&before).map(|()| loaded.options));
         match loaded {
             Ok(options) if options == before => {}
             Ok(options) => {
--- a/balancer/proxy/src/serve.rs
+++ b/balancer/proxy/src/serve.rs
@@ -31,9 +31,20 @@
 ) -> Result<(), String> {
     let (start, start_ms) = (Instant::now(), driver::unix_ms());
     let fixed = Fixed::of(&config);
-    let Config { name, listen, discovery, seed, sockets, known, known_error, peers, deployment } = config;
+    let Config {
+        name,
+        listen,
+        discovery,
+        seed,
+        sockets,
+        known,
+        known_error,
+        peers,
+        deployment,
+    } = config;
     let (mut end_signals, mut hang_up) = Signals::listen()?.split();
-    let balancer = Balancer::new(deployment.policy.clone(), seed, start_ms).map_err(|e| e.to_string())?;
+    let balancer =
+        Balancer::new(deployment.policy.clone(), seed, start_ms).map_err(|e| e.to_string())?;
     let span = |ms: f64| Duration::from_secs_f64(ms / 1000.0);
     let budget = Sockets::new(sockets);
     let transport = upstreams::Transport::new(
@@ -69,11 +80,16 @@
         start_ms,
         transport,
         max_open: usize::try_from(deployment.max_open).unwrap_or(usize::MAX),
-        figures: on.then(|| Figures::new(&name, &deployment.zones, deployment.policy.zone, kept.start)),
+        figures: on
+            .then(|| Figures::new(&name, &deployment.zones, deployment.policy.zone, kept.start)),
         recovery: kept.recovery,
     });
-    let listener = TcpListener::bind(listen).await.map_err(|e| format!("listen: {listen}: {e}"))?;
-    let address = listener.local_addr().map_err(|e| format!("listen: {listen}: {e}"))?;
+    let listener = TcpListener::bind(listen)
+        .await
+        .map_err(|e| format!("listen: {listen}: {e}"))?;
+    let address = listener
+        .local_addr()
+        .map_err(|e| format!("listen: {listen}: {e}"))?;
     let timers = handle.clone();
     let mut timers = tokio::task::spawn_local(async move { timers.run().await });
     handle.cached(known.as_ref());
@@ -82,15 +98,29 @@
     }
     let (moved, discovery) = watch::channel(discovery);
     // An empty list says nothing that changes could follow.
-    let version = known.as_ref().filter(|k| !k.entries.is_empty()).map(|k| k.version);
+    let version = known
+        .as_ref()
+        .filter(|k| !k.entries.is_empty())
+        .map(|k| k.version);
     let watcher = Discovery::new(discovery, names, version);
     tokio::task::spawn_local(watcher.run(handle.clone(), !deployment.policy.ask_for_list));
-    let longest = deployment.policy.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
+    let longest = deployment
+        .policy
+        .classes
+        .iter()
+        .map(|c| c.deadline)
+        .fold(0.0, f64::max);
     let held = Held::new(deployment.policy.tenants.len().max(1) + 1);
     let tier = options.peers.on.then(|| {
         let incarnation = kept.start.unwrap_or_else(Start::unkept).incarnation;
         let (deployment, addresses, options) = (&deployment, &peers, &options.peers);
-        Tier::start(peers::Parts { deployment, addresses, options, incarnation, seed })
+        Tier::start(peers::Parts {
+            deployment,
+            addresses,
+            options,
+            incarnation,
+            seed,
+        })
     });
     let tier = tier.transpose().unwrap_or_else(|error| {
         tracing::warn!(target: "peers", event = "peers_off", error, "peers: {error}; going on without");
@@ -113,7 +143,14 @@
     };
     let mut counted = std::pin::pin!(counted);
     let mut counting = on;
-    let again = Reload { name: &name, fixed, discovery: moved, sources, options, logging };
+    let again = Reload {
+        name: &name,
+        fixed,
+        discovery: moved,
+        sources,
+        options,
+        logging,
+    };
 
     let reloads = async {
         while hang_up.recv().await.is_some() {
--- a/balancer/proxy/src/signals.rs
+++ b/balancer/proxy/src/signals.rs
@@ -15,12 +15,22 @@
         let terminate = listen(SignalKind::terminate())?;
         let interrupt = listen(SignalKind::interrupt())?;
         let hang_up = listen(SignalKind::hangup())?;
-        Ok(Signals { terminate, interrupt, hang_up })
+        Ok(Signals {
+            terminate,
+            interrupt,
+            hang_up,
+        })
     }
 
     /// The signals to end, and those to read everything again.
     pub fn split(self) -> (EndSignals, Signal) {
-        (EndSignals { terminate: self.terminate, interrupt: self.interrupt }, self.hang_up)
+        (
+            EndSignals {
+                terminate: self.terminate,
+                interrupt: self.interrupt,
+            },
+            self.hang_up,
+        )
     }
 }
 
--- a/balancer/proxy/src/snapshots.rs
+++ b/balancer/proxy/src/snapshots.rs
@@ -29,9 +29,12 @@
         };
         let skipped = file.as_ref().map_or(0, File::skipped);
         let (kept, peers) = (handle.kept(), tier.as_ref().map(Tier::figures));
-        let snapshot = handle.figures(|f, now| f.snapshot(now, logging.lines(), kept, peers, skipped));
+        let snapshot =
+            handle.figures(|f, now| f.snapshot(now, logging.lines(), kept, peers, skipped));
         // Names and numbers only: there is nothing in it that JSON can't hold.
-        let text = snapshot.and_then(|s| serde_json::to_string(&s).ok()).unwrap_or_default();
+        let text = snapshot
+            .and_then(|s| serde_json::to_string(&s).ok())
+            .unwrap_or_default();
         if now.log {
             tracing::info!(target: "figures", event = "figures", figures = text.as_str());
         }
--- a/balancer/proxy/src/sockets.rs
+++ b/balancer/proxy/src/sockets.rs
@@ -23,22 +23,34 @@
     /// A budget under this many descriptors. Clients may hold three quarters of it, so that there is always a
     /// way on to the upstreams; upstreams may hold all that clients leave.
     pub fn new(descriptors: usize) -> Sockets {
-        let budget = u32::try_from(descriptors.saturating_sub(SPARE)).unwrap_or(u32::MAX).min(1 << 20);
+        let budget = u32::try_from(descriptors.saturating_sub(SPARE))
+            .unwrap_or(u32::MAX)
+            .min(1 << 20);
         let clients_most = budget / 4 * 3;
         let slots = |n: u32| Arc::new(Semaphore::new(n as usize));
-        Sockets { all: slots(budget), clients: slots(clients_most), clients_most }
+        Sockets {
+            all: slots(budget),
+            clients: slots(clients_most),
+            clients_most,
+        }
     }
 
     /// A slot for a client, if there is one now.
     pub fn client(&self) -> Option<ClientSlot> {
         let _client = self.clients.clone().try_acquire_owned().ok()?;
-        Some(ClientSlot { _client, _all: self.upstream()? })
+        Some(ClientSlot {
+            _client,
+            _all: self.upstream()?,
+        })
     }
 
     /// A slot for a client, once there is one.
     pub async fn client_waits(&self) -> Option<ClientSlot> {
         let _client = self.clients.clone().acquire_owned().await.ok()?;
-        Some(ClientSlot { _client, _all: self.all.clone().acquire_owned().await.ok()? })
+        Some(ClientSlot {
+            _client,
+            _all: self.all.clone().acquire_owned().await.ok()?,
+        })
     }
 
     /// A slot for a connection to an upstream, if there is one now.
--- a/balancer/proxy/src/upstreams/attempt.rs
+++ b/balancer/proxy/src/upstreams/attempt.rs
@@ -5,12 +5,12 @@
 use super::request_write::{Progress, Refused};
 use crate::message::{end_to_end, Answer, Outgoing, BODY_MOST, DEADLINE};
 use crate::sockets::Sockets;
+use balancer_core::Ending;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode};
-use balancer_core::Ending;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -55,13 +55,19 @@
     /// `idle_close` is when upstreams close idle connections.
     pub fn new(dial_timeout: Duration, idle_close: Duration, sockets: Sockets) -> Self {
         let idle = idle_close.saturating_sub(IDLE_MARGIN).max(idle_close / 2);
-        Transport { dial_timeout, idle, sockets }
+        Transport {
+            dial_timeout,
+            idle,
+            sockets,
+        }
     }
 
     async fn dial(&self, addr: SocketAddr, until: Instant) -> Option<Connection> {
         let permit = self.sockets.upstream()?;
         let until = until.min(Instant::now() + self.dial_timeout);
-        timeout_at(until, Connection::dial(addr, permit)).await.ok()?
+        timeout_at(until, Connection::dial(addr, permit))
+            .await
+            .ok()?
     }
 
     /// A connection to `to`, and whether it has carried requests before.
@@ -89,8 +95,12 @@
             let answer = connection.sender.try_send_request(request).await;
             let refused = connection.write.refused();
             match (answer, connection.write.progress()) {
-                (Ok(answer), Progress::Whole) if has_two_lengths(&answer) => return Err(Ending::Reset),
-                (Ok(answer), Progress::Whole) if refused.is_none() => return Ok((connection, answer)),
+                (Ok(answer), Progress::Whole) if has_two_lengths(&answer) => {
+                    return Err(Ending::Reset)
+                }
+                (Ok(answer), Progress::Whole) if refused.is_none() => {
+                    return Ok((connection, answer))
+                }
                 // Of no request that was not whole at the upstream; it can't get whole any more.
                 (Ok(answer), _) if ending(&answer) == Ending::Full => return Err(Ending::Full),
                 (Ok(_), _) => return Err(Ending::ConnectFailed),
@@ -99,7 +109,9 @@
                 // A connection that was idle and had been closed meanwhile, or has brought something unasked, says
                 // nothing about the upstream, so the next one is tried; each is tried once.
                 (Err(_), Progress::Unwritten) if reused => {}
-                (Err(_), Progress::Unwritten | Progress::Partial) => return Err(Ending::ConnectFailed),
+                (Err(_), Progress::Unwritten | Progress::Partial) => {
+                    return Err(Ending::ConnectFailed)
+                }
                 (Err(_), Progress::Whole) => return Err(Ending::Reset),
             }
         }
@@ -107,10 +119,25 @@
 
     /// Carries one attempt out: its request is written once at most, and not after the first of `times`; it ends by
     /// the second. Dropping the future closes the connection.
-    pub async fn attempt(&self, to: Rc<Upstream>, out: Rc<Outgoing>, times: (Instant, Instant)) -> Ended {
-        let failed = |ending| Ended { ending, answer: None, held: None, served: None };
+    pub async fn attempt(
+        &self,
+        to: Rc<Upstream>,
+        out: Rc<Outgoing>,
+        times: (Instant, Instant),
+    ) -> Ended {
+        let failed = |ending| Ended {
+            ending,
+            answer: None,
+            held: None,
+            served: None,
+        };
         let (write_by, until) = times;
-        let of = Exchange { to, out, write_by, until };
+        let of = Exchange {
+            to,
+            out,
+            write_by,
+            until,
+        };
         let (mut connection, answer) = match self.exchange(&of).await {
             Ok(exchanged) => exchanged,
             Err(ending) => return failed(ending),
@@ -118,7 +145,9 @@
         let (ending, headers) = (ending(&answer), answer.headers());
         let (held, served) = (reported(headers, HELD), reported(headers, SERVED));
         let (head, body) = answer.into_parts();
-        let Ok(body) = Limited::new(body, BODY_MOST).collect().await else { return failed(Ending::Reset) };
+        let Ok(body) = Limited::new(body, BODY_MOST).collect().await else {
+            return failed(Ending::Reset);
+        };
         // Back before the outcome is told: what the module sends next may go on this connection.
         if let Ok(Ok(())) = timeout(READY_WAIT, connection.sender.ready()).await {
             of.to.give_back(connection);
@@ -126,9 +155,17 @@
         let answer = (ending == Ending::Ok).then(|| {
             let mut headers = head.headers;
             end_to_end(&mut headers);
-            Answer::Served { headers, body: body.to_bytes() }
+            Answer::Served {
+                headers,
+                body: body.to_bytes(),
+            }
         });
-        Ended { ending, answer, held, served }
+        Ended {
+            ending,
+            answer,
+            held,
+            served,
+        }
     }
 }
 
@@ -158,7 +195,9 @@
         may_begin(&self.to, &self.out, self.write_by, now).ok()?;
         let left = (self.until - now).as_micros();
         let mut request = self.out.request().ok()?;
-        request.headers_mut().insert(DEADLINE, HeaderValue::try_from(format!("{left}u")).ok()?);
+        request
+            .headers_mut()
+            .insert(DEADLINE, HeaderValue::try_from(format!("{left}u")).ok()?);
         Some(request)
     }
 
@@ -184,7 +223,12 @@
 /// Whether the first byte of a request may be written. Guards against what was decided before dialling and must not be
 /// written after it: the upstream may drain, the attempt's time, the window of a repeat or the request itself may be over
 /// by now.
-fn may_begin(to: &Upstream, out: &Outgoing, write_by: Instant, now: Instant) -> Result<(), Refused> {
+fn may_begin(
+    to: &Upstream,
+    out: &Outgoing,
+    write_by: Instant,
+    now: Instant,
+) -> Result<(), Refused> {
     if to.closed.get() || out.over.get() || now >= write_by {
         return Err(Refused::Over);
     }
--- a/balancer/proxy/src/upstreams/connection.rs
+++ b/balancer/proxy/src/upstreams/connection.rs
@@ -34,12 +34,20 @@
         stream.set_nodelay(true).ok()?;
         let write = RequestWrite::new();
         let stream = TokioIo::new(CheckedStream::new(stream, write.clone()));
-        let (sender, connection) =
-            http1::Builder::new().max_buf_size(BODY_MOST).handshake(stream).await.ok()?;
+        let (sender, connection) = http1::Builder::new()
+            .max_buf_size(BODY_MOST)
+            .handshake(stream)
+            .await
+            .ok()?;
         let task = tokio::task::spawn_local(async move {
             // How the connection ended shows in the attempt that was on it.
             let _ = connection.await;
         });
-        Some(Connection { sender, write, task: task.abort_handle(), _permit: permit })
+        Some(Connection {
+            sender,
+            write,
+            task: task.abort_handle(),
+            _permit: permit,
+        })
     }
 }
--- a/balancer/proxy/src/upstreams/load_report.rs
+++ b/balancer/proxy/src/upstreams/load_report.rs
@@ -11,7 +11,14 @@
 /// A figure of an answer's load report. What cannot be read is no report.
 pub fn reported(headers: &HeaderMap, name: &str) -> Option<f64> {
     let report = headers.get(LOAD)?.to_str().ok()?.trim();
-    let fields = report.strip_prefix("TEXT ")?.split(',').filter_map(|field| field.split_once('='));
+    let fields = report
+        .strip_prefix("TEXT ")?
+        .split(',')
+        .filter_map(|field| field.split_once('='));
     let (_, figure) = fields.into_iter().find(|(field, _)| field.trim() == name)?;
-    figure.trim().parse().ok().filter(|figure| (0.0..1e9).contains(figure))
+    figure
+        .trim()
+        .parse()
+        .ok()
+        .filter(|figure| (0.0..1e9).contains(figure))
 }
--- a/balancer/proxy/src/upstreams/pool.rs
+++ b/balancer/proxy/src/upstreams/pool.rs
@@ -33,7 +33,13 @@
     /// An upstream that nothing is connected to yet.
     pub fn new(name: String, zone: u16, addr: SocketAddr) -> Rc<Upstream> {
         let (addr, closed, idle) = (Cell::new(addr), Cell::new(false), RefCell::default());
-        Rc::new(Upstream { name, zone, addr, closed, idle })
+        Rc::new(Upstream {
+            name,
+            zone,
+            addr,
+            closed,
+            idle,
+        })
     }
 
     /// Closes the connections that carry no call now.
@@ -43,7 +49,9 @@
 
     /// Closes the connections that have been idle for longer than `most`, and those the other side closed.
     pub fn sweep(&self, now: Instant, most: Duration) {
-        self.idle.borrow_mut().retain(|i| !i.connection.sender.is_closed() && now - i.since < most);
+        self.idle
+            .borrow_mut()
+            .retain(|i| !i.connection.sender.is_closed() && now - i.since < most);
     }
 
     /// Since when the connection that was idle longest is idle.
@@ -62,7 +70,10 @@
     /// Keeps a connection whose answer has been read whole, unless the upstream drains.
     pub(super) fn give_back(&self, connection: Connection) {
         if !self.closed.get() {
-            self.idle.borrow_mut().push(Idle { connection, since: Instant::now() });
+            self.idle.borrow_mut().push(Idle {
+                connection,
+                since: Instant::now(),
+            });
         }
     }
 
--- a/balancer/proxy/src/upstreams/request_write.rs
+++ b/balancer/proxy/src/upstreams/request_write.rs
@@ -102,9 +102,17 @@
     /// one piece in memory. Only of a head that fills the write buffer alone the body comes later; such a request
     /// counts as whole too early, which is the safe side.
     fn wrote(&self, offered: usize, written: usize) {
-        let missing = self.missing.get().unwrap_or(offered).saturating_sub(written);
+        let missing = self
+            .missing
+            .get()
+            .unwrap_or(offered)
+            .saturating_sub(written);
         self.missing.set(Some(missing));
-        self.progress.set(if missing == 0 { Progress::Whole } else { Progress::Partial });
+        self.progress.set(if missing == 0 {
+            Progress::Whole
+        } else {
+            Progress::Partial
+        });
     }
 }
 
@@ -142,7 +150,11 @@
 }
 
 impl AsyncWrite for CheckedStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.poll_write_vectored(cx, &[IoSlice::new(bytes)])
     }
 
--- a/balancer/proxy/tests/attempts.rs
+++ b/balancer/proxy/tests/attempts.rs
@@ -3,7 +3,8 @@
 mod common;
 use common::raw::{RawConnection, RawUpstream};
 use common::{
-    command, config, get, listing, pay, read, refusing, Discovery, Message, Node, Unreachable, PATIENCE,
+    command, config, get, listing, pay, read, refusing, Discovery, Message, Node, Unreachable,
+    PATIENCE,
 };
 use std::time::{Duration, Instant};
 
@@ -13,9 +14,13 @@
 fn dialling() -> (Node, Unreachable) {
     let unreachable = Unreachable::start();
     let discovery = Discovery::start();
-    let config = config(discovery.addr, 1024, &listing(1, true, &[(0, unreachable.addr, "active")]))
-        .replace("\"idle_close\"", "\"dial_timeout\":20000,\"idle_close\"")
-        .replace("\"cancel\":true", "\"cancel\":false");
+    let config = config(
+        discovery.addr,
+        1024,
+        &listing(1, true, &[(0, unreachable.addr, "active")]),
+    )
+    .replace("\"idle_close\"", "\"dial_timeout\":20000,\"idle_close\"")
+    .replace("\"cancel\":true", "\"cancel\":false");
     let node = Node::run(command(&config), discovery);
     node.discovery.called();
     (node, unreachable)
@@ -66,7 +71,10 @@
     }
     let [mut leaves, mut stays] = clients;
     assert_eq!(
-        (leaves.answer().expect("an answer").status(), stays.answer().expect("one").status()),
+        (
+            leaves.answer().expect("an answer").status(),
+            stays.answer().expect("one").status()
+        ),
         (200, 200)
     );
     leaves.send(&get("gone", "20000m"));
@@ -85,7 +93,10 @@
     connection.answer("x");
     assert_eq!(stays.answer().expect("an answer").status(), 200);
     let further = |mut other: RawConnection| other.has_input() && other.request().is_some();
-    assert!(!open.into_iter().any(further), "the one that left has another attempt");
+    assert!(
+        !open.into_iter().any(further),
+        "the one that left has another attempt"
+    );
 }
 
 /// What an upstream does after it has written its part of an answer.
@@ -129,7 +140,10 @@
 fn an_answer_without_a_length_is_whole_at_its_end_and_broken_by_a_reset() {
     let text = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nthe answer";
     let whole = answered_with(text, After::End, "20000m");
-    assert_eq!((whole.status(), whole.body.as_slice()), (200, &b"the answer"[..]));
+    assert_eq!(
+        (whole.status(), whole.body.as_slice()),
+        (200, &b"the answer"[..])
+    );
     assert_eq!(answered_with(text, After::Reset, "20000m").status(), 502);
     // The same where it never said that it would close, and where nothing of the body came.
     let text = "HTTP/1.1 200 OK\r\n\r\n";
@@ -140,9 +154,14 @@
 #[test]
 fn a_broken_answer_is_a_failed_attempt_and_never_passed_on() {
     let long = "x".repeat((64 << 10) + 1);
-    let long = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{long}", long.len());
-    let chunks =
-        format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n{}", "x".repeat(0x10001));
+    let long = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{long}",
+        long.len()
+    );
+    let chunks = format!(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n{}",
+        "x".repeat(0x10001)
+    );
     let head = format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(70 << 10));
     for text in [
         "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
@@ -183,14 +202,21 @@
         "HTTP/1.1 103 Early Hints\r\n\r\n",
         "HTTP/1.1 200 OK\r\nX: ",
     ] {
-        assert_eq!(answered_with(text, After::Silence, "300m").status(), 502, "{text}");
+        assert_eq!(
+            answered_with(text, After::Silence, "300m").status(),
+            502,
+            "{text}"
+        );
     }
 }
 
 #[test]
 fn an_answer_that_never_ends_is_given_up_in_time() {
     for (head, more) in [
-        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n"),
+        (
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+            "1\r\nx\r\n",
+        ),
         ("HTTP/1.1 200 OK\r\n\r\n", "x"),
         ("HTTP/1.1 200 OK\r\n", "X: x\r\n"),
         ("", "HTTP/1.1 102 Processing\r\n\r\n"),
@@ -204,7 +230,11 @@
         connection.write(head);
         // As fast as it is read, until the balancer ends the connection.
         let writer = std::thread::spawn(move || while connection.try_write(more) {});
-        assert_eq!(client.answer().expect("a final answer").status(), 502, "{more}");
+        assert_eq!(
+            client.answer().expect("a final answer").status(),
+            502,
+            "{more}"
+        );
         writer.join().expect("it ends");
         assert_eq!(client.call(READY).status(), 200);
     }
@@ -217,11 +247,19 @@
     let mut client = node.client();
     let second = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond";
     // With the first one, after it, and in part.
-    for (with, after) in [(second, ""), ("", second), ("", "HTTP/1.1"), ("\r\n", ""), ("", "\r\n")] {
+    for (with, after) in [
+        (second, ""),
+        ("", second),
+        ("", "HTTP/1.1"),
+        ("\r\n", ""),
+        ("", "\r\n"),
+    ] {
         client.send(&pay("r1", "20000m"));
         let mut connection = upstream.accept();
         connection.request().expect("a request");
-        connection.write(&format!("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst{with}"));
+        connection.write(&format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst{with}"
+        ));
         assert_eq!(client.answer().expect("an answer").body, b"first");
         connection.write(after);
         assert!(connection.ended().is_empty(), "another request came");
@@ -236,7 +274,9 @@
     client.send(&pay("r", "20000m"));
     let mut connection = upstream.accept();
     for _ in 0..20 {
-        connection.request().expect("a request on the same connection");
+        connection
+            .request()
+            .expect("a request on the same connection");
         // The balancer has it after this, so that it waits longer than is measured.
         let answered = Instant::now();
         connection.answer("x");
@@ -270,9 +310,15 @@
     if answered.elapsed() >= Duration::from_millis(10) {
         return None;
     }
-    assert!(connection.ended().is_empty(), "a request came on a spoilt connection");
+    assert!(
+        connection.ended().is_empty(),
+        "a request came on a spoilt connection"
+    );
     let mut connection = upstream.accept();
-    assert_eq!(connection.request().expect("a request").header("req-id"), Some("r2"));
+    assert_eq!(
+        connection.request().expect("a request").header("req-id"),
+        Some("r2")
+    );
     connection.answer("own");
     client.answer()
 }
@@ -282,7 +328,10 @@
     let began = Instant::now();
     let mut shown = 0;
     while shown < 5 {
-        assert!(began.elapsed() < PATIENCE, "this machine is too slow to show it");
+        assert!(
+            began.elapsed() < PATIENCE,
+            "this machine is too slow to show it"
+        );
         if let Some(answer) = second_answer_soon_after_the_first() {
             assert_eq!(answer.body, b"own");
             shown += 1;
--- a/balancer/proxy/tests/attempts_write.rs
+++ b/balancer/proxy/tests/attempts_write.rs
@@ -31,18 +31,27 @@
 impl Pair {
     fn new() -> Pair {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
-        let stream = TcpStream::connect(listener.local_addr().expect("an address")).expect("connects");
+        let stream =
+            TcpStream::connect(listener.local_addr().expect("an address")).expect("connects");
         let upstream = listener.accept().expect("accepts").0;
-        upstream.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
+        upstream
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .expect("a time-out");
         stream.set_nonblocking(true).expect("does not block");
         let probe = stream.try_clone().expect("a second handle");
         let stream = tokio::net::TcpStream::from_std(stream).expect("a stream");
         let request = RequestWrite::new();
-        Pair { stream: CheckedStream::new(stream, request.clone()), request, probe, upstream }
+        Pair {
+            stream: CheckedStream::new(stream, request.clone()),
+            request,
+            probe,
+            upstream,
+        }
     }
 
     async fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        poll_fn(|cx| Pin::new(&mut self.stream).poll_write_vectored(cx, &[IoSlice::new(bytes)])).await
+        poll_fn(|cx| Pin::new(&mut self.stream).poll_write_vectored(cx, &[IoSlice::new(bytes)]))
+            .await
     }
 
     /// Tries to write, without waiting until the system takes more.
@@ -58,8 +67,8 @@
     async fn fill(&mut self, bytes: &[u8]) -> usize {
         let mut taken = self.write(bytes).await.expect("takes some");
         let mut cx = Context::from_waker(Waker::noop());
-        while let Poll::Ready(more) =
-            Pin::new(&mut self.stream).poll_write_vectored(&mut cx, &[IoSlice::new(&bytes[taken..])])
+        while let Poll::Ready(more) = Pin::new(&mut self.stream)
+            .poll_write_vectored(&mut cx, &[IoSlice::new(&bytes[taken..])])
         {
             taken += more.expect("takes some");
         }
@@ -70,14 +79,22 @@
     fn arrives(&self, bytes: usize) {
         let began = Instant::now();
         while !matches!(self.probe.peek(&mut [0; 64]), Ok(n) if n == bytes) {
-            assert!(began.elapsed() < Duration::from_secs(20), "it does not arrive");
+            assert!(
+                began.elapsed() < Duration::from_secs(20),
+                "it does not arrive"
+            );
             std::thread::yield_now();
         }
     }
 
     /// What the upstream gets until the connection ends.
     fn got(self) -> Vec<u8> {
-        let Pair { stream, probe, mut upstream, .. } = self;
+        let Pair {
+            stream,
+            probe,
+            mut upstream,
+            ..
+        } = self;
         drop((stream, probe));
         let mut got = Vec::new();
         // What it has sent itself may turn the end into a reset.
@@ -87,12 +104,18 @@
 }
 
 fn run(test: impl std::future::Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     runtime.block_on(test);
 }
 
 fn refused(written: io::Result<usize>) {
-    assert_eq!(written.expect_err("it was written").kind(), io::ErrorKind::ConnectionAborted);
+    assert_eq!(
+        written.expect_err("it was written").kind(),
+        io::ErrorKind::ConnectionAborted
+    );
 }
 
 #[test]
@@ -102,7 +125,10 @@
         pair.request.begin(|_| Ok(()));
         assert_eq!(pair.request.progress(), Progress::Unwritten);
         assert_eq!(pair.write(REQUEST).await.expect("written"), REQUEST.len());
-        assert_eq!((pair.request.progress(), pair.request.refused()), (Progress::Whole, None));
+        assert_eq!(
+            (pair.request.progress(), pair.request.refused()),
+            (Progress::Whole, None)
+        );
         assert_eq!(pair.got(), REQUEST);
     });
 }
@@ -114,10 +140,14 @@
             let mut pair = Pair::new();
             let over = Rc::new(Cell::new(false));
             let asked = over.clone();
-            pair.request.begin(move |_| if asked.get() { Err(why) } else { Ok(()) });
+            pair.request
+                .begin(move |_| if asked.get() { Err(why) } else { Ok(()) });
             over.set(true);
             refused(pair.write(REQUEST).await);
-            assert_eq!((pair.request.progress(), pair.request.refused()), (Progress::Unwritten, Some(why)));
+            assert_eq!(
+                (pair.request.progress(), pair.request.refused()),
+                (Progress::Unwritten, Some(why))
+            );
             assert_eq!(pair.got(), b"");
         }
     });
@@ -131,7 +161,9 @@
         pair.request.begin(|_| Ok(()));
         pair.write(REQUEST).await.expect("written");
         pair.request.begin(|_| Ok(()));
-        pair.upstream.write_all(b"HTTP/1.1 200 OK\r\n").expect("writes");
+        pair.upstream
+            .write_all(b"HTTP/1.1 200 OK\r\n")
+            .expect("writes");
         pair.arrives(17);
         refused(pair.write(REQUEST).await);
         let seen = (pair.request.progress(), pair.request.refused());
@@ -145,7 +177,9 @@
     run(async {
         let mut pair = Pair::new();
         pair.request.begin(|_| Ok(()));
-        pair.upstream.shutdown(Shutdown::Write).expect("ends its side");
+        pair.upstream
+            .shutdown(Shutdown::Write)
+            .expect("ends its side");
         pair.arrives(0);
         refused(pair.write(REQUEST).await);
         let seen = (pair.request.progress(), pair.request.refused());
@@ -159,10 +193,16 @@
     run(async {
         let mut pair = Pair::new();
         pair.request.begin(|_| Ok(()));
-        socket2::SockRef::from(&pair.upstream).set_linger(Some(Duration::ZERO)).expect("lingers not");
-        drop(std::mem::replace(&mut pair.upstream, pair.probe.try_clone().expect("a handle")));
+        socket2::SockRef::from(&pair.upstream)
+            .set_linger(Some(Duration::ZERO))
+            .expect("lingers not");
+        drop(std::mem::replace(
+            &mut pair.upstream,
+            pair.probe.try_clone().expect("a handle"),
+        ));
         // Either look at it may find the error, which the system tells once; the end stays.
-        while matches!(pair.probe.peek(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock) {}
+        while matches!(pair.probe.peek(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock) {
+        }
         refused(pair.write(REQUEST).await);
         assert_eq!(pair.request.refused(), Some(Refused::Spoilt));
     });
@@ -174,7 +214,13 @@
         let mut pair = Pair::new();
         let over = Rc::new(Cell::new(false));
         let asked = over.clone();
-        pair.request.begin(move |_| if asked.get() { Err(Refused::Over) } else { Ok(()) });
+        pair.request.begin(move |_| {
+            if asked.get() {
+                Err(Refused::Over)
+            } else {
+                Ok(())
+            }
+        });
         let large = vec![b'x'; LARGE];
         let taken = pair.fill(&large).await;
         assert!(taken < LARGE);
--- a/balancer/proxy/tests/bad_input.rs
+++ b/balancer/proxy/tests/bad_input.rs
@@ -15,7 +15,10 @@
 }
 
 fn configuration_of(command: &Command) -> PathBuf {
-    let path = command.get_envs().find(|(name, _)| *name == "NODE_CONFIG").and_then(|(_, path)| path);
+    let path = command
+        .get_envs()
+        .find(|(name, _)| *name == "NODE_CONFIG")
+        .and_then(|(_, path)| path);
     PathBuf::from(path.expect("a configuration"))
 }
 
@@ -25,11 +28,20 @@
 }
 
 fn serves(node: &Node, id: &str) {
-    assert_eq!(node.client().call(&get(id, "5000m")).status(), 200, "{:?}", node.log());
+    assert_eq!(
+        node.client().call(&get(id, "5000m")).status(),
+        200,
+        "{:?}",
+        node.log()
+    );
 }
 
 fn never_panicked(node: &Node) {
-    assert!(!node.log().iter().any(|line| line.contains("panic")), "{:?}", node.log());
+    assert!(
+        !node.log().iter().any(|line| line.contains("panic")),
+        "{:?}",
+        node.log()
+    );
 }
 
 #[test]
@@ -38,8 +50,15 @@
     let good = config(discovery.addr, 1024, "null");
     let refuses = |command: Command, code: i32, wanted: &str| {
         let (status, said, errors) = ended(command);
-        assert_eq!((status, said.as_str()), (Some(code), ""), "{wanted}: {errors}");
-        assert!(errors.lines().count() == 1 && errors.contains(wanted), "wanted {wanted}: {errors}");
+        assert_eq!(
+            (status, said.as_str()),
+            (Some(code), ""),
+            "{wanted}: {errors}"
+        );
+        assert!(
+            errors.lines().count() == 1 && errors.contains(wanted),
+            "wanted {wanted}: {errors}"
+        );
     };
     let with = |argument: &str, text: &str| {
         let mut command = command(text);
@@ -49,9 +68,12 @@
     let cut_off = &good[..good.len() / 2];
     let huge = good.replace("8c1f30d27a5be964", &"x".repeat(1 << 20));
     let no_sockets = good.replace("\"sockets\":1024", "\"sockets\":0");
-    for (text, wanted) in
-        [("", "EOF"), (cut_off, "EOF"), (&huge, "seed: "), (&no_sockets, "limits.sockets: ")]
-    {
+    for (text, wanted) in [
+        ("", "EOF"),
+        (cut_off, "EOF"),
+        (&huge, "seed: "),
+        (&no_sockets, "limits.sockets: "),
+    ] {
         refuses(with("run", text), 78, wanted);
         refuses(command(text), 78, wanted);
         refuses(with("check", text), 2, wanted);
@@ -63,7 +85,9 @@
     unnamed.env_remove("NODE_CONFIG");
     refuses(unnamed, 78, "NODE_CONFIG: ");
     let mut too_large = command(&good);
-    std::fs::File::create(configuration_of(&too_large)).and_then(|f| f.set_len(1 << 40)).expect("a hole");
+    std::fs::File::create(configuration_of(&too_large))
+        .and_then(|f| f.set_len(1 << 40))
+        .expect("a hole");
     refuses(too_large, 78, "larger than");
     too_large = command(&good);
     too_large.env("NODE_CONFIG", "/dev/zero");
@@ -71,20 +95,36 @@
     // An address in use is no fault of the configuration.
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("binds");
     let address = taken.local_addr().expect("an address").to_string();
-    refuses(command(&good.replace("127.0.0.1:0", &address)), 1, "listen: ");
+    refuses(
+        command(&good.replace("127.0.0.1:0", &address)),
+        1,
+        "listen: ",
+    );
 }
 
 #[test]
 fn a_new_process_starts_without_a_known_list_that_cannot_be_used() {
     let upstream = Upstream::start(|_| ok("x"));
     let good = listing(1, true, &[(0, upstream.addr, "active")]);
-    for bad in
-        ["7", "[]", "{}", "\"\\ud83d\\ude00\"", &good.replace("active", "odd"), &good.replace(":1,", ":-1,")]
-    {
+    for bad in [
+        "7",
+        "[]",
+        "{}",
+        "\"\\ud83d\\ude00\"",
+        &good.replace("active", "odd"),
+        &good.replace(":1,", ":-1,"),
+    ] {
         let discovery = Discovery::start();
         let node = Node::run(command(&config(discovery.addr, 1024, bad)), discovery);
-        let said: Vec<String> = node.log().into_iter().filter(|l| l.contains("known: ")).collect();
-        assert!(said.len() == 1 && said[0].ends_with("starting without it"), "{bad}: {said:?}");
+        let said: Vec<String> = node
+            .log()
+            .into_iter()
+            .filter(|l| l.contains("known: "))
+            .collect();
+        assert!(
+            said.len() == 1 && said[0].ends_with("starting without it"),
+            "{bad}: {said:?}"
+        );
         // Discovery is asked for the whole list.
         assert_eq!(node.discovery.called(), "/api/targets");
         node.discovery.answer(&good);
@@ -97,7 +137,8 @@
     let (status, said, errors) = ended(check);
     assert_eq!((status, errors.as_str()), (Some(0), ""));
     assert!(
-        said.lines().any(|l| l.starts_with("known: ") && l.ends_with("would start without it")),
+        said.lines()
+            .any(|l| l.starts_with("known: ") && l.ends_with("would start without it")),
         "{said}"
     );
 }
@@ -106,7 +147,11 @@
 fn a_reload_of_what_cannot_be_used_changes_nothing() {
     let upstream = Upstream::start(|_| ok("x"));
     let discovery = Discovery::start();
-    let good = config(discovery.addr, 1024, &listing(1, true, &[(0, upstream.addr, "active")]));
+    let good = config(
+        discovery.addr,
+        1024,
+        &listing(1, true, &[(0, upstream.addr, "active")]),
+    );
     let mut command = command(&good);
     command.args(["run", "--set", "log.rate=100000"]);
     let path = configuration_of(&command);
@@ -118,13 +163,22 @@
         reloads += 1;
         node.logs_times("not reloaded: ", reloads);
         let log = node.log();
-        let last = log.iter().rfind(|l| l.contains("not reloaded: ")).expect("a line");
-        assert!(last.contains(wanted) && last.chars().count() < 500, "wanted {wanted}: {last}");
+        let last = log
+            .iter()
+            .rfind(|l| l.contains("not reloaded: "))
+            .expect("a line");
+        assert!(
+            last.contains(wanted) && last.chars().count() < 500,
+            "wanted {wanted}: {last}"
+        );
         serves(&node, &format!("after-{reloads}"));
     };
     let written = |text: &[u8]| std::fs::write(&path, text).expect("writes");
     for part in 0..8 {
-        refused(&|| written(&good.as_bytes()[..good.len() * part / 8]), "EOF");
+        refused(
+            &|| written(&good.as_bytes()[..good.len() * part / 8]),
+            "EOF",
+        );
     }
     refused(&|| written(&[good.as_bytes(), b"}"].concat()), "trailing");
     refused(
@@ -136,13 +190,36 @@
         ".json: invalid unicode",
     );
     refused(
-        &|| written(good.replace("\"deadline\":20000", "\"deadline\":1e300").as_bytes()),
+        &|| {
+            written(
+                good.replace("\"deadline\":20000", "\"deadline\":1e300")
+                    .as_bytes(),
+            )
+        },
         "classes[0].deadline",
     );
-    refused(&|| written(good.replace("\"sockets\":1024", "\"sockets\":1").as_bytes()), "limits.sockets");
-    refused(&|| written(good.replace("\"discovery\":\"", "\"discovery\":\"x").as_bytes()), "discovery: ");
-    refused(&|| std::fs::remove_file(&path).expect("removes"), "NODE_CONFIG: ");
-    assert!(!node.log().iter().any(|l| l.contains(": reloaded")), "{:?}", node.log());
+    refused(
+        &|| written(good.replace("\"sockets\":1024", "\"sockets\":1").as_bytes()),
+        "limits.sockets",
+    );
+    refused(
+        &|| {
+            written(
+                good.replace("\"discovery\":\"", "\"discovery\":\"x")
+                    .as_bytes(),
+            )
+        },
+        "discovery: ",
+    );
+    refused(
+        &|| std::fs::remove_file(&path).expect("removes"),
+        "NODE_CONFIG: ",
+    );
+    assert!(
+        !node.log().iter().any(|l| l.contains(": reloaded")),
+        "{:?}",
+        node.log()
+    );
     never_panicked(&node);
 }
 
@@ -166,8 +243,14 @@
     node.reload(&config(other.addr, 1024, "null"));
     node.logs_times(": reloaded", 2);
     let log = node.log();
-    let last = log.iter().rfind(|l| l.contains(": reloaded")).expect("a line");
-    assert!(last.ends_with(&format!("discovery at {}", other.addr)), "{last}");
+    let last = log
+        .iter()
+        .rfind(|l| l.contains(": reloaded"))
+        .expect("a line");
+    assert!(
+        last.ends_with(&format!("discovery at {}", other.addr)),
+        "{last}"
+    );
 }
 
 #[test]
@@ -193,7 +276,10 @@
         serves(&node, &format!("after-{n}"));
     }
     // It was asked for what came after the old list all the time.
-    assert_eq!(node.discovery.called(), "/api/targets?since=1&timeout_ms=1000");
+    assert_eq!(
+        node.discovery.called(),
+        "/api/targets?since=1&timeout_ms=1000"
+    );
     never_panicked(&node);
 }
 
@@ -210,7 +296,9 @@
     let _ = stream.read_line(&mut line);
     let rest = stream.read_to_end(&mut Vec::new());
     assert!(rest.is_ok() || rest.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset));
-    line.split(' ').nth(1).and_then(|status| status.parse().ok())
+    line.split(' ')
+        .nth(1)
+        .and_then(|status| status.parse().ok())
 }
 
 #[test]
@@ -220,7 +308,10 @@
     let whole = pay("cut", "5000m");
     for length in 0..whole.len() {
         let status = status_of(&node, &whole.as_bytes()[..length]);
-        assert!(status.is_none_or(|s| (400..500).contains(&s)), "{length}: {status:?}");
+        assert!(
+            status.is_none_or(|s| (400..500).contains(&s)),
+            "{length}: {status:?}"
+        );
     }
     serves(&node, "after");
     assert_eq!(upstream.request().header("req-id"), Some("after"));
@@ -236,10 +327,22 @@
         assert!(whole.contains(from), "{from}");
         node.client().call(&whole.replacen(from, to, 1)).status()
     };
-    for deadline in
-        ["NaNm", "infm", "-5m", "1e300m", "", "m", "5000", "99999999999999999999m", "5000m, 5000m"]
-    {
-        assert_eq!(status("Req-Deadline: 5000m", &format!("Req-Deadline: {deadline}")), 400, "{deadline}");
+    for deadline in [
+        "NaNm",
+        "infm",
+        "-5m",
+        "1e300m",
+        "",
+        "m",
+        "5000",
+        "99999999999999999999m",
+        "5000m, 5000m",
+    ] {
+        assert_eq!(
+            status("Req-Deadline: 5000m", &format!("Req-Deadline: {deadline}")),
+            400,
+            "{deadline}"
+        );
     }
     for (from, to) in [
         ("Req-Id: r1", "Req-Id: "),
@@ -249,23 +352,42 @@
         ("Req-Kind: read", "Req-Kind: read\r\nReq-Kind: read"),
         ("Req-Kind: read\r\n", ""),
         ("Req-Owner: club", "Req-Owner: nobody"),
-        ("Req-Deadline: 5000m", "Req-Deadline: 5000m\r\nReq-Deadline: 6000m"),
+        (
+            "Req-Deadline: 5000m",
+            "Req-Deadline: 5000m\r\nReq-Deadline: 6000m",
+        ),
         ("\r\n\r\n", "\r\nContent-Length: 1\r\n\r\nx"),
         ("\r\n\r\n", "\r\nContent-Length: -1\r\n\r\n"),
-        ("\r\n\r\n", "\r\nContent-Length: 18446744073709551616\r\n\r\n"),
-        ("\r\n\r\n", "\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx"),
-        ("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffffff\r\n"),
+        (
+            "\r\n\r\n",
+            "\r\nContent-Length: 18446744073709551616\r\n\r\n",
+        ),
+        (
+            "\r\n\r\n",
+            "\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx",
+        ),
+        (
+            "\r\n\r\n",
+            "\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffffff\r\n",
+        ),
     ] {
         assert_eq!(status(from, to), 400, "{to:?}");
     }
     let long = "x".repeat(257);
     assert_eq!(status("Req-Id: r1", &format!("Req-Id: {long}")), 400);
-    let body = pay("r1", "5000m").replace("Content-Length: 4\r\n\r\nbody", "Content-Length: 65537\r\n\r\n");
+    let body = pay("r1", "5000m").replace(
+        "Content-Length: 4\r\n\r\nbody",
+        "Content-Length: 65537\r\n\r\n",
+    );
     assert_eq!(node.client().call(&body).status(), 413);
     // A deadline that has come already leaves nothing to do.
     let late = status("Req-Deadline: 5000m", "Req-Deadline: 0m");
     assert!((500..600).contains(&late), "{late}");
-    let huge = whole.replacen("Req-Id: r1", &format!("Req-Id: r1\r\nX-Huge: {}", "x".repeat(1 << 20)), 1);
+    let huge = whole.replacen(
+        "Req-Id: r1",
+        &format!("Req-Id: r1\r\nX-Huge: {}", "x".repeat(1 << 20)),
+        1,
+    );
     assert!(status_of(&node, huge.as_bytes()).is_none_or(|s| s == 431));
     // Unknown headers go on as they are.
     assert_eq!(status("Req-Id: r1", "Req-Id: last\r\nX-Novel: 1e300"), 200);
@@ -281,7 +403,9 @@
     // The same numbers each time (a linear congruence, its upper half).
     let mut state = 7_u64;
     let mut below = |n: usize| {
-        state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        state = state
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (state >> 33) as usize % n.max(1)
     };
     let mut steady = node.client();
@@ -302,7 +426,11 @@
         }
         status_of(&node, &bytes);
         if round % 50 == 0 {
-            assert_eq!(steady.call(&get("steady", "5000m")).status(), 200, "{round}");
+            assert_eq!(
+                steady.call(&get("steady", "5000m")).status(),
+                200,
+                "{round}"
+            );
         }
     }
     never_panicked(&node);
--- a/balancer/proxy/tests/bad_input_options.rs
+++ b/balancer/proxy/tests/bad_input_options.rs
@@ -1,8 +1,8 @@
 //! Options that can't be used are refused with one line; nothing panics.
 mod common;
 mod mutations;
-use common::*;
 use balancer_proxy::options::Sources;
+use common::*;
 use mutations::{is_one_line, mutated, Numbers};
 use std::ffi::OsStr;
 use std::os::unix::ffi::OsStrExt;
@@ -19,9 +19,14 @@
 fn a_variable_of_others_need_not_be_text() {
     let upstream = Upstream::start(|_| ok("x"));
     let discovery = Discovery::start();
-    let mut command =
-        command(&config(discovery.addr, 1024, &listing(1, true, &[(0, upstream.addr, "active")])));
-    command.env("OF_ANOTHER_PROGRAM", OsStr::from_bytes(b"\xff")).env(OsStr::from_bytes(b"\xfe"), "x");
+    let mut command = command(&config(
+        discovery.addr,
+        1024,
+        &listing(1, true, &[(0, upstream.addr, "active")]),
+    ));
+    command
+        .env("OF_ANOTHER_PROGRAM", OsStr::from_bytes(b"\xff"))
+        .env(OsStr::from_bytes(b"\xfe"), "x");
     let node = Node::run(command, discovery);
     assert_eq!(node.client().call(&get("r1", "5000m")).status(), 200);
 }
@@ -33,20 +38,43 @@
     command.env("BALANCER_OPTION_LOG_LEVEL", OsStr::from_bytes(b"\xff"));
     let out = command.stdout(Stdio::piped()).output().expect("runs");
     let errors = String::from_utf8(out.stderr).expect("text");
-    assert_eq!((out.status.code(), out.stdout.len()), (Some(2), 0), "{errors}");
-    assert_eq!(errors, "balancer-proxy: BALANCER_OPTION_LOG_LEVEL: not UTF-8\n");
+    assert_eq!(
+        (out.status.code(), out.stdout.len()),
+        (Some(2), 0),
+        "{errors}"
+    );
+    assert_eq!(
+        errors,
+        "balancer-proxy: BALANCER_OPTION_LOG_LEVEL: not UTF-8\n"
+    );
 }
 
 #[test]
 fn a_period_that_cannot_be_added_to_the_clock_is_refused() {
     for key in ["recovery.every", "figures.every"] {
-        for period in ["300000000000y", "25h", "0s", "-1s", "1e300s", "", "99999999999999999999s"] {
-            let sources = Sources { file: None, deprecated_file: false, set: vec![format!("{key}={period}")] };
+        for period in [
+            "300000000000y",
+            "25h",
+            "0s",
+            "-1s",
+            "1e300s",
+            "",
+            "99999999999999999999s",
+        ] {
+            let sources = Sources {
+                file: None,
+                deprecated_file: false,
+                set: vec![format!("{key}={period}")],
+            };
             let error = sources.load().expect_err(period);
             is_one_line(&error);
             assert!(error.starts_with(&format!("--set: {key}: ")), "{error}");
         }
-        let sources = Sources { file: None, deprecated_file: false, set: vec![format!("{key}=24h")] };
+        let sources = Sources {
+            file: None,
+            deprecated_file: false,
+            set: vec![format!("{key}=24h")],
+        };
         assert!(sources.load().is_ok());
     }
 }
@@ -56,18 +84,35 @@
     let (discovery, dir) = (Discovery::start(), TempDir::new().expect("a folder"));
     let mut command = command(&config(discovery.addr, 1024, "null"));
     let folder = format!("recovery.dir={}", dir.path().display());
-    command.args(["run", "--set", &folder, "--set", "recovery.every=300000000000y"]);
+    command.args([
+        "run",
+        "--set",
+        &folder,
+        "--set",
+        "recovery.every=300000000000y",
+    ]);
     let out = command.stdout(Stdio::piped()).output().expect("runs");
     let errors = String::from_utf8(out.stderr).expect("text");
-    assert_eq!((out.status.code(), errors.lines().count()), (Some(2), 1), "{errors}");
-    assert!(errors.starts_with("balancer-proxy: --set: recovery.every: "), "{errors}");
+    assert_eq!(
+        (out.status.code(), errors.lines().count()),
+        (Some(2), 1),
+        "{errors}"
+    );
+    assert!(
+        errors.starts_with("balancer-proxy: --set: recovery.every: "),
+        "{errors}"
+    );
 }
 
 #[test]
 fn mutated_options_are_refused_in_one_line_or_taken() {
     let dir = TempDir::new().expect("a folder");
     let path = dir.path().join("options.toml");
-    let sources = Sources { file: Some(path.clone()), deprecated_file: false, set: Vec::new() };
+    let sources = Sources {
+        file: Some(path.clone()),
+        deprecated_file: false,
+        set: Vec::new(),
+    };
     let read = |text: &[u8]| {
         std::fs::write(&path, text).expect("writes");
         sources.load()
@@ -82,8 +127,15 @@
             Ok(loaded) => {
                 taken += 1;
                 // What is taken can be added to the clock.
-                let every = loaded.options.figures.every.max(loaded.options.recovery.every);
-                assert!(std::time::Instant::now().checked_add(every).is_some(), "{every:?}");
+                let every = loaded
+                    .options
+                    .figures
+                    .every
+                    .max(loaded.options.recovery.every);
+                assert!(
+                    std::time::Instant::now().checked_add(every).is_some(),
+                    "{every:?}"
+                );
             }
             Err(error) => {
                 refused += 1;
@@ -91,5 +143,8 @@
             }
         }
     }
-    assert!(taken > 100 && refused > 500, "{taken} taken, {refused} refused");
+    assert!(
+        taken > 100 && refused > 500,
+        "{taken} taken, {refused} refused"
+    );
 }
--- a/balancer/proxy/tests/bad_input_read.rs
+++ b/balancer/proxy/tests/bad_input_read.rs
@@ -1,9 +1,9 @@
 //! Configuration and lists that can't be used are refused with one line; nothing panics.
 mod mutations;
+use balancer_core::Balancer;
 use balancer_proxy::config::Config;
 use balancer_proxy::{Listing, Names};
 use mutations::{is_one_line, mutated, Numbers};
-use balancer_core::Balancer;
 
 const GOOD: &str = r#"{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"8c1f30d27a5be964",
     "limits":{"cores":1.0,"sockets":1024},"peer_listen":"127.0.0.1:7","peers":["127.0.0.1:7","127.0.0.1:8"],
@@ -32,9 +32,21 @@
     for (from, to, wanted) in [
         ("\"name\":\"n3\"", "\"name\":\"n3\\nserving\"", "name: "),
         ("\"name\":\"n3\"", "\"name\":3", "name: "),
-        ("\"name\":\"n3\"", "\"name\":\"n3\",\"name\":\"n4\"", "duplicate field `name`"),
-        ("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:65536\"", "listen: "),
-        ("\"discovery\":\"127.0.0.1:9\"", "\"discovery\":null", "discovery: "),
+        (
+            "\"name\":\"n3\"",
+            "\"name\":\"n3\",\"name\":\"n4\"",
+            "duplicate field `name`",
+        ),
+        (
+            "\"listen\":\"127.0.0.1:0\"",
+            "\"listen\":\"127.0.0.1:65536\"",
+            "listen: ",
+        ),
+        (
+            "\"discovery\":\"127.0.0.1:9\"",
+            "\"discovery\":null",
+            "discovery: ",
+        ),
         ("\"discovery\":\"127.0.0.1:9\",", "", "discovery"),
         ("\"seed\":\"8c1f30d27a5be964\"", long.as_str(), "seed: "),
         ("8c1f30d27a5be964", "18c1f30d27a5be964", "seed: "),
@@ -43,10 +55,22 @@
         (sockets, "\"sockets\":1e300", "limits.sockets: "),
         (sockets, "\"sockets\":1e999", "limits.sockets: "),
         (sockets, "\"sockets\":NaN", "limits.sockets: "),
-        (sockets, "\"sockets\":18446744073709551616", "limits.sockets: "),
+        (
+            sockets,
+            "\"sockets\":18446744073709551616",
+            "limits.sockets: ",
+        ),
         ("\"limits\":{", "\"limits\":[{", "limits"),
-        ("\"deadline\":400", "\"deadline\":0", "settings: classes[0].deadline: "),
-        ("\"deadline\":400", "\"deadline\":1e300", "settings: classes[0].deadline: "),
+        (
+            "\"deadline\":400",
+            "\"deadline\":0",
+            "settings: classes[0].deadline: ",
+        ),
+        (
+            "\"deadline\":400",
+            "\"deadline\":1e300",
+            "settings: classes[0].deadline: ",
+        ),
         (
             "{\"name\":\"club\"",
             "{\"name\":\"club\",\"share\":1},{\"name\":\"club\"",
@@ -55,7 +79,9 @@
         ("\"settings\":{", "\"settings\":null,\"x\":{", "settings: "),
     ] {
         assert!(GOOD.contains(from), "{from}");
-        let error = Config::parse(GOOD.replacen(from, to, 1).as_bytes()).err().expect(wanted);
+        let error = Config::parse(GOOD.replacen(from, to, 1).as_bytes())
+            .err()
+            .expect(wanted);
         is_one_line(&error);
         assert!(error.contains(wanted), "wanted {wanted}: {error}");
     }
@@ -68,15 +94,25 @@
     let nested = format!("{}{}", "[".repeat(100), "]".repeat(100));
     for value in ["1e300", "{\"a\":[null]}", "\"\\ud83d\\ude00\"", &nested] {
         let with = |text: &str| text.replacen('{', &format!("{{\"novel\":{value},"), 1);
-        assert!(Config::parse(with(GOOD).as_bytes()).is_ok_and(|c| c.known.is_some()), "{value}");
-        assert!(Listing::parse(with(LIST).as_bytes(), &names()).is_ok(), "{value}");
+        assert!(
+            Config::parse(with(GOOD).as_bytes()).is_ok_and(|c| c.known.is_some()),
+            "{value}"
+        );
+        assert!(
+            Listing::parse(with(LIST).as_bytes(), &names()).is_ok(),
+            "{value}"
+        );
     }
 }
 
 #[test]
 fn what_is_cut_off_at_any_length_is_refused() {
     for length in 0..GOOD.len() {
-        is_one_line(&Config::parse(&GOOD.as_bytes()[..length]).err().expect("cut off"));
+        is_one_line(
+            &Config::parse(&GOOD.as_bytes()[..length])
+                .err()
+                .expect("cut off"),
+        );
     }
     let names = names();
     for length in 0..LIST.len() {
@@ -90,21 +126,50 @@
     for (from, to, wanted) in [
         ("\"version\":4", "\"version\":\"4\"", "version"),
         ("\"version\":4", "\"version\":1e300", "version"),
-        ("\"version\":4", "\"version\":18446744073709551616", "version"),
+        (
+            "\"version\":4",
+            "\"version\":18446744073709551616",
+            "version",
+        ),
         ("\"version\":4", "\"version\":4,\"version\":5", "version"),
         ("\"full\":false,", "", "full"),
         ("\"servers\":[", "\"servers\":{},\"x\":[", "servers"),
         ("\"id\":\"s-2\"", "\"id\":\"\"", "servers[1].id"),
-        ("\"addr\":\"127.0.0.1:11\"", "\"addr\":\"127.0.0.1\"", "servers[1].addr"),
-        ("\"cell\":3,\"state\":\"left\"", "\"cell\":65536,\"state\":\"left\"", "servers[1].cell"),
+        (
+            "\"addr\":\"127.0.0.1:11\"",
+            "\"addr\":\"127.0.0.1\"",
+            "servers[1].addr",
+        ),
+        (
+            "\"cell\":3,\"state\":\"left\"",
+            "\"cell\":65536,\"state\":\"left\"",
+            "servers[1].cell",
+        ),
         ("\"state\":\"left\"", "\"state\":null", "servers[1].state"),
-        ("\"state\":\"left\"", "\"state\":\"odd\"", "servers[1].state"),
-        ("\"started_ms\":0", "\"started_ms\":-1", "servers[1].started_ms"),
-        ("\"started_ms\":0", "\"started_ms\":1e300", "servers[1].started_ms"),
-        ("\"started_ms\":0", "\"started_ms\":1e999", "servers[1].started_ms"),
+        (
+            "\"state\":\"left\"",
+            "\"state\":\"odd\"",
+            "servers[1].state",
+        ),
+        (
+            "\"started_ms\":0",
+            "\"started_ms\":-1",
+            "servers[1].started_ms",
+        ),
+        (
+            "\"started_ms\":0",
+            "\"started_ms\":1e300",
+            "servers[1].started_ms",
+        ),
+        (
+            "\"started_ms\":0",
+            "\"started_ms\":1e999",
+            "servers[1].started_ms",
+        ),
     ] {
         assert!(LIST.contains(from), "{from}");
-        let error = Listing::parse(LIST.replacen(from, to, 1).as_bytes(), &names).expect_err(wanted);
+        let error =
+            Listing::parse(LIST.replacen(from, to, 1).as_bytes(), &names).expect_err(wanted);
         is_one_line(&error);
         assert!(error.contains(wanted), "wanted {wanted}: {error}");
     }
@@ -131,7 +196,10 @@
         }
     }
     let counts = (taken, refused, without_list);
-    assert!(taken > 500 && refused > 500 && without_list > 100, "{counts:?}");
+    assert!(
+        taken > 500 && refused > 500 && without_list > 100,
+        "{counts:?}"
+    );
 }
 
 #[test]
@@ -150,5 +218,8 @@
             }
         }
     }
-    assert!(taken > 500 && refused > 500, "{taken} taken, {refused} refused");
+    assert!(
+        taken > 500 && refused > 500,
+        "{taken} taken, {refused} refused"
+    );
 }
--- a/balancer/proxy/tests/closing.rs
+++ b/balancer/proxy/tests/closing.rs
@@ -32,7 +32,11 @@
     let mut client = RawClient::connect_narrow(node.addr, PATIENCE);
     client.send((last("last") + &requests_for(SENT_ON)).as_bytes());
     // A part of the answer has come, or the connection is gone; the rest is with the balancer's system, which throws it away at a reset.
-    let has_come = |sockets: &[SystemSocket]| !sockets.iter().any(|s| client.is_own_end(s) && s.unread == 0);
+    let has_come = |sockets: &[SystemSocket]| {
+        !sockets
+            .iter()
+            .any(|s| client.is_own_end(s) && s.unread == 0)
+    };
     wait_for_system(PATIENCE, has_come, "no answer comes");
     let (bytes, in_order) = client.rest();
     assert!(in_order, "reset after {} bytes", bytes.len());
@@ -51,7 +55,11 @@
     client.send(&vec![0xff; SENT_ON]);
     let (bytes, in_order) = client.rest();
     assert!(in_order, "reset after {} bytes", bytes.len());
-    assert!(bytes.starts_with(b"HTTP/1.1 400"), "{:?}", String::from_utf8_lossy(&bytes));
+    assert!(
+        bytes.starts_with(b"HTTP/1.1 400"),
+        "{:?}",
+        String::from_utf8_lossy(&bytes)
+    );
 }
 
 /// A connection lingers no longer than the program, and its client, which never closes, is not counted as unanswered.
@@ -71,6 +79,14 @@
         assert!([502, 503].contains(&status), "{status}");
     }
     assert_eq!(node.wait().code(), Some(0));
-    assert!(told.elapsed() < Duration::from_millis(3700), "ended after {:?}", told.elapsed());
-    assert!(!node.log().iter().any(|line| line.contains("at the end")), "{:?}", node.log());
+    assert!(
+        told.elapsed() < Duration::from_millis(3700),
+        "ended after {:?}",
+        told.elapsed()
+    );
+    assert!(
+        !node.log().iter().any(|line| line.contains("at the end")),
+        "{:?}",
+        node.log()
+    );
 }
--- a/balancer/proxy/tests/common/agent.rs
+++ b/balancer/proxy/tests/common/agent.rs
@@ -71,7 +71,10 @@
 }
 
 fn answer(list: &str) -> String {
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len())
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+        list.len()
+    )
 }
 
 /// `None`: the connection is over.
@@ -81,7 +84,9 @@
         Manner::Ends => return None,
         Manner::Half(list) => {
             let whole = answer(&list);
-            stream.write_all(&whole.as_bytes()[..whole.len() / 2]).ok()?;
+            stream
+                .write_all(&whole.as_bytes()[..whole.len() / 2])
+                .ok()?;
         }
         Manner::Pieces(list, pieces, pause) => {
             let whole = answer(&list);
@@ -91,7 +96,9 @@
             }
         }
         Manner::Trickles => {
-            stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n").ok()?;
+            stream
+                .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")
+                .ok()?;
             loop {
                 stream.write_all(b" ").ok()?;
                 thread::sleep(Duration::from_millis(200));
--- a/balancer/proxy/tests/common/discovery.rs
+++ b/balancer/proxy/tests/common/discovery.rs
@@ -31,7 +31,11 @@
                 }
             }
         });
-        Discovery { addr, calls, answers }
+        Discovery {
+            addr,
+            calls,
+            answers,
+        }
     }
 
     pub fn answer(&self, body: &str) {
@@ -40,7 +44,10 @@
 
     /// The same with further headers, each with its line end.
     pub fn answer_with(&self, headers: &str, body: &str) {
-        let text = format!("HTTP/1.1 200 OK\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len());
+        let text = format!(
+            "HTTP/1.1 200 OK\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         self.answers.send(text).expect("discovery runs");
     }
 
@@ -65,5 +72,8 @@
         )
     };
     let servers: Vec<String> = servers.iter().map(line).collect();
-    format!(r#"{{"version":{version},"full":{full},"servers":[{}]}}"#, servers.join(","))
+    format!(
+        r#"{{"version":{version},"full":{full},"servers":[{}]}}"#,
+        servers.join(",")
+    )
 }
--- a/balancer/proxy/tests/common/ends.rs
+++ b/balancer/proxy/tests/common/ends.rs
@@ -25,7 +25,10 @@
     let known = listing(1, true, &[(0, upstream.addr, "active")]);
     let config = config(discovery.addr, 1024, &known)
         .replace("\"deadline\":20000", &format!("\"deadline\":{deadline}"))
-        .replace("\"repeat_window\":20000", &format!("\"repeat_window\":{deadline}"));
+        .replace(
+            "\"repeat_window\":20000",
+            &format!("\"repeat_window\":{deadline}"),
+        );
     Node::run(command(&config), discovery)
 }
 
@@ -38,5 +41,8 @@
 
 /// Plays this until it says that it has shown something: on a machine that was slow just then it has not.
 pub fn until_shown(play: impl Fn() -> bool) {
-    assert!((0..20).any(|_| play()), "the program had always ended before the test was ready");
+    assert!(
+        (0..20).any(|_| play()),
+        "the program had always ended before the test was ready"
+    );
 }
--- a/balancer/proxy/tests/common/message.rs
+++ b/balancer/proxy/tests/common/message.rs
@@ -12,11 +12,18 @@
 
 impl Message {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, v)| v.as_str())
     }
 
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status line")
+        self.start
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .expect("a status line")
     }
 }
 
@@ -26,7 +33,11 @@
     if stream.read_line(&mut start).unwrap_or(0) == 0 {
         return None;
     }
-    let mut message = Message { start: start.trim_end().into(), headers: Vec::new(), body: Vec::new() };
+    let mut message = Message {
+        start: start.trim_end().into(),
+        headers: Vec::new(),
+        body: Vec::new(),
+    };
     loop {
         let mut line = String::new();
         if stream.read_line(&mut line).ok()? == 0 {
@@ -37,7 +48,9 @@
             None => break,
         }
     }
-    let length = message.header("content-length").map_or(0, |l| l.parse().expect("a length"));
+    let length = message
+        .header("content-length")
+        .map_or(0, |l| l.parse().expect("a length"));
     message.body.resize(length, 0);
     stream.read_exact(&mut message.body).ok()?;
     Some(message)
--- a/balancer/proxy/tests/common/node.rs
+++ b/balancer/proxy/tests/common/node.rs
@@ -28,17 +28,27 @@
 /// The same under a limit of descriptors that the configuration does not tell of.
 pub fn limited_command(config: &str, descriptors: usize) -> Command {
     let mut shell = Command::new("sh");
-    let exec = format!("ulimit -n {descriptors}; exec {}", env!("CARGO_BIN_EXE_balancer-proxy"));
+    let exec = format!(
+        "ulimit -n {descriptors}; exec {}",
+        env!("CARGO_BIN_EXE_balancer-proxy")
+    );
     shell.args(["-c", &exec]);
     prepared(config, shell)
 }
 
 fn prepared(config: &str, mut command: Command) -> Command {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
-    let name = format!("node-{}-{}.json", std::process::id(), NUMBER.fetch_add(1, Ordering::SeqCst));
+    let name = format!(
+        "node-{}-{}.json",
+        std::process::id(),
+        NUMBER.fetch_add(1, Ordering::SeqCst)
+    );
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, config).expect("writes the configuration");
-    command.env("NODE_CONFIG", path).stdout(Stdio::null()).stderr(Stdio::piped());
+    command
+        .env("NODE_CONFIG", path)
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped());
     command
 }
 
@@ -51,14 +61,21 @@
     }
 
     pub fn run(mut command: Command, discovery: Discovery) -> Node {
-        let config = command.get_envs().find(|(name, _)| *name == "NODE_CONFIG").and_then(|(_, path)| path);
+        let config = command
+            .get_envs()
+            .find(|(name, _)| *name == "NODE_CONFIG")
+            .and_then(|(_, path)| path);
         let config = PathBuf::from(config.expect("a configuration"));
         let mut child = command.spawn().expect("starts");
         let mut log = BufReader::new(child.stderr.take().expect("its log"));
         let mut before = Vec::new();
         let addr = loop {
             let mut line = String::new();
-            assert_ne!(log.read_line(&mut line).expect("a log line"), 0, "it ended at once");
+            assert_ne!(
+                log.read_line(&mut line).expect("a log line"),
+                0,
+                "it ended at once"
+            );
             if let Some((_, addr)) = line.trim_end().split_once("serving on ") {
                 break addr.parse().expect("an address");
             }
@@ -71,12 +88,23 @@
                 kept.lock().expect("no panic").push(line);
             }
         });
-        Node { child, addr, discovery, config, log: lines, reader: Some(reader) }
+        Node {
+            child,
+            addr,
+            discovery,
+            config,
+            log: lines,
+            reader: Some(reader),
+        }
     }
 
     /// A balancer that knows these upstreams, and whose discovery is silent.
     pub fn with(upstreams: &[SocketAddr]) -> Node {
-        let servers: Vec<_> = upstreams.iter().enumerate().map(|(n, &a)| (n, a, "active")).collect();
+        let servers: Vec<_> = upstreams
+            .iter()
+            .enumerate()
+            .map(|(n, &a)| (n, a, "active"))
+            .collect();
         Node::start(1024, &listing(1, true, &servers))
     }
 
@@ -125,7 +153,10 @@
         self.signal("STOP");
         let path = format!("/proc/{}/stat", self.child.id());
         let started = Instant::now();
-        while !std::fs::read_to_string(&path).expect("its state").contains(") T ") {
+        while !std::fs::read_to_string(&path)
+            .expect("its state")
+            .contains(") T ")
+        {
             assert!(started.elapsed() < PATIENCE, "it does not stop");
             thread::yield_now();
         }
@@ -138,7 +169,11 @@
 
     fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
-        assert!(Command::new("sh").args(["-c", &kill]).status().expect("runs sh").success());
+        assert!(Command::new("sh")
+            .args(["-c", &kill])
+            .status()
+            .expect("runs sh")
+            .success());
     }
 
     /// Waits until it has logged a line with this text.
@@ -150,7 +185,11 @@
     pub fn logs_times(&self, text: &str, times: usize) {
         let started = Instant::now();
         while self.log().iter().filter(|l| l.contains(text)).count() < times {
-            assert!(started.elapsed() < PATIENCE, "{text:?} is not in {:?}", self.log());
+            assert!(
+                started.elapsed() < PATIENCE,
+                "{text:?} is not in {:?}",
+                self.log()
+            );
             thread::yield_now();
         }
     }
--- a/balancer/proxy/tests/common/raw.rs
+++ b/balancer/proxy/tests/common/raw.rs
@@ -74,20 +74,29 @@
     }
 
     pub fn answer(&mut self, body: &str) {
-        self.write(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
+        self.write(&format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        ));
     }
 
     /// Ends the connection with a reset, once the other side has taken what was written.
     pub fn reset(self) {
         let socket = socket2::SockRef::from(self.0.get_ref());
-        socket.set_linger(Some(Duration::ZERO)).expect("lingers not");
+        socket
+            .set_linger(Some(Duration::ZERO))
+            .expect("lingers not");
     }
 
     /// Waits until the other side has ended the connection, and returns what came until then.
     pub fn ended(mut self) -> Vec<u8> {
         let mut got = Vec::new();
         if let Err(e) = self.0.read_to_end(&mut got) {
-            assert_eq!(e.kind(), std::io::ErrorKind::ConnectionReset, "it does not end");
+            assert_eq!(
+                e.kind(),
+                std::io::ErrorKind::ConnectionReset,
+                "it does not end"
+            );
         }
         got
     }
--- a/balancer/proxy/tests/common/raw_client.rs
+++ b/balancer/proxy/tests/common/raw_client.rs
@@ -16,7 +16,9 @@
         let stream = TcpStream::connect(addr).expect("connects");
         stream.set_nodelay(true).expect("sends at once");
         stream.set_read_timeout(Some(patience)).expect("a time-out");
-        stream.set_write_timeout(Some(patience)).expect("a time-out");
+        stream
+            .set_write_timeout(Some(patience))
+            .expect("a time-out");
         RawClient(stream)
     }
 
@@ -27,7 +29,9 @@
         socket.connect(&addr.into()).expect("connects");
         let stream = TcpStream::from(socket);
         stream.set_read_timeout(Some(patience)).expect("a time-out");
-        stream.set_write_timeout(Some(patience)).expect("a time-out");
+        stream
+            .set_write_timeout(Some(patience))
+            .expect("a time-out");
         RawClient(stream)
     }
 
@@ -37,7 +41,10 @@
 
     /// Sends until the other side takes no more of it, or all is sent. Returns how much was.
     pub fn flood(&mut self, bytes: &[u8], times: usize) -> usize {
-        (0..times).take_while(|_| self.0.write_all(bytes).is_ok()).count() * bytes.len()
+        (0..times)
+            .take_while(|_| self.0.write_all(bytes).is_ok())
+            .count()
+            * bytes.len()
     }
 
     pub fn port(&self) -> u16 {
@@ -58,7 +65,9 @@
 
     /// Resets the connection.
     pub fn reset(self) {
-        SockRef::from(&self.0).set_linger(Some(Duration::ZERO)).expect("lingers for no time");
+        SockRef::from(&self.0)
+            .set_linger(Some(Duration::ZERO))
+            .expect("lingers for no time");
     }
 
     /// All that comes until the connection ends, and whether it ended in order.
@@ -104,7 +113,11 @@
 }
 
 /// Waits until the system shows this.
-pub fn wait_for_system(patience: Duration, shown: impl Fn(&[SystemSocket]) -> bool, otherwise: &str) {
+pub fn wait_for_system(
+    patience: Duration,
+    shown: impl Fn(&[SystemSocket]) -> bool,
+    otherwise: &str,
+) {
     let started = std::time::Instant::now();
     while !shown(&system_sockets()) {
         assert!(started.elapsed() < patience, "{otherwise}");
--- a/balancer/proxy/tests/common/upstream.rs
+++ b/balancer/proxy/tests/common/upstream.rs
@@ -25,7 +25,10 @@
 }
 
 pub fn ok(body: &str) -> Then {
-    Then::Answer(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
+    Then::Answer(format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    ))
 }
 
 pub fn status(line: &str) -> Then {
@@ -60,13 +63,21 @@
                 thread::spawn(move || serve(stream, &*behave, &tell));
             }
         });
-        Upstream { addr, seen, connections }
+        Upstream {
+            addr,
+            seen,
+            connections,
+        }
     }
 
     /// The next request.
     pub fn request(&self) -> Message {
         loop {
-            match self.seen.recv_timeout(PATIENCE).expect("a request at the upstream") {
+            match self
+                .seen
+                .recv_timeout(PATIENCE)
+                .expect("a request at the upstream")
+            {
                 Seen::Request(m) => return m,
                 Seen::Closed => {}
             }
@@ -75,12 +86,20 @@
 
     /// Waits until a connection has been closed.
     pub fn closed(&self) {
-        while !matches!(self.seen.recv_timeout(PATIENCE).expect("a closed connection"), Seen::Closed) {}
+        while !matches!(
+            self.seen
+                .recv_timeout(PATIENCE)
+                .expect("a closed connection"),
+            Seen::Closed
+        ) {}
     }
 
     /// How many further requests have come.
     pub fn further(&self) -> usize {
-        self.seen.try_iter().filter(|s| matches!(s, Seen::Request(_))).count()
+        self.seen
+            .try_iter()
+            .filter(|s| matches!(s, Seen::Request(_)))
+            .count()
     }
 }
 
@@ -111,7 +130,9 @@
 
 /// An address that refuses connections.
 pub fn refusing() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address")
+    TcpListener::bind("127.0.0.1:0")
+        .and_then(|l| l.local_addr())
+        .expect("an address")
 }
 
 /// An address where connections never come up, until they may.
@@ -124,21 +145,43 @@
 
 impl Unreachable {
     pub fn start() -> Unreachable {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("a runtime");
         // An address of its own: a port that was free on the common one may be taken by another test meanwhile.
         static NUMBER: AtomicUsize = AtomicUsize::new(1);
-        let (number, process) = (NUMBER.fetch_add(1, Ordering::SeqCst), std::process::id() as usize);
-        let ip = [127, 88 + (process >> 8 & 31) as u8, process as u8, number as u8];
+        let (number, process) = (
+            NUMBER.fetch_add(1, Ordering::SeqCst),
+            std::process::id() as usize,
+        );
+        let ip = [
+            127,
+            88 + (process >> 8 & 31) as u8,
+            process as u8,
+            number as u8,
+        ];
         let addr = SocketAddr::from((ip, refusing().port()));
         let (manner, watched) = watch::channel(Manner::Silent);
-        let port = runtime.block_on(async { Port::bind(addr, watched) }).expect("binds");
-        Unreachable { addr, runtime, port, manner }
+        let port = runtime
+            .block_on(async { Port::bind(addr, watched) })
+            .expect("binds");
+        Unreachable {
+            addr,
+            runtime,
+            port,
+            manner,
+        }
     }
 
     /// Lets connections come up after all, and returns the first that another made.
     pub fn reach(mut self) -> BufReader<TcpStream> {
         self.manner.send_replace(Manner::Open);
-        let accepted = self.runtime.block_on(self.port.accept()).expect("accepts").expect("a connection");
+        let accepted = self
+            .runtime
+            .block_on(self.port.accept())
+            .expect("accepts")
+            .expect("a connection");
         let stream = accepted.into_std().expect("a stream");
         stream.set_nonblocking(false).expect("blocks");
         stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
--- a/balancer/proxy/tests/config.rs
+++ b/balancer/proxy/tests/config.rs
@@ -14,14 +14,21 @@
 #[test]
 fn a_whole_configuration_is_read() {
     let c = Config::parse(GOOD.as_bytes()).unwrap();
-    assert_eq!((c.seed, c.sockets, c.deployment.dial_timeout), (0x8c1f_30d2_7a5b_e964, 1024, 250.0));
+    assert_eq!(
+        (c.seed, c.sockets, c.deployment.dial_timeout),
+        (0x8c1f_30d2_7a5b_e964, 1024, 250.0)
+    );
     let list: Vec<_> = c.known.iter().flat_map(Listing::members).collect();
     assert_eq!((list.len(), list[0].kind, list[0].group), (1, 1, 3));
 }
 
 #[test]
 fn what_is_wrong_is_named() {
-    let error = |from: &str, to: &str| Config::parse(GOOD.replace(from, to).as_bytes()).err().unwrap();
+    let error = |from: &str, to: &str| {
+        Config::parse(GOOD.replace(from, to).as_bytes())
+            .err()
+            .unwrap()
+    };
     assert!(error("\"seed\":\"8c1f30d27a5be964\",", "").contains("seed"));
     assert!(error("8c1f30d27a5be964", "xyz").starts_with("seed"));
     assert!(error("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\"").starts_with("listen"));
@@ -34,15 +41,26 @@
 #[test]
 fn a_list_that_cannot_be_used_is_named_and_left_out() {
     for (from, to, wanted) in [
-        (r#""state":"active""#, r#""state":"odd""#, "unknown state \"odd\""),
+        (
+            r#""state":"active""#,
+            r#""state":"odd""#,
+            "unknown state \"odd\"",
+        ),
         (r#""version":4"#, r#""version":-4"#, "invalid value"),
         (r#""full":true,"#, "", "missing field `full`"),
-        (r#""addr":"127.0.0.1:10""#, r#""addr":"there""#, "invalid socket address"),
+        (
+            r#""addr":"127.0.0.1:10""#,
+            r#""addr":"there""#,
+            "invalid socket address",
+        ),
     ] {
         let read = Config::parse(GOOD.replace(from, to).as_bytes()).unwrap();
         assert!(read.known.is_none());
         let error = read.known_error.unwrap();
-        assert!(error.starts_with("known: ") && error.contains(wanted), "{error}");
+        assert!(
+            error.starts_with("known: ") && error.contains(wanted),
+            "{error}"
+        );
     }
     let none = Config::parse(GOOD.replace("\"known\"", "\"unknown\"").as_bytes()).unwrap();
     assert!(none.known.is_none() && none.known_error.is_none());
--- a/balancer/proxy/tests/deadlines.rs
+++ b/balancer/proxy/tests/deadlines.rs
@@ -11,7 +11,10 @@
 
 /// The time left that a request tells.
 fn told(request: &Message) -> Duration {
-    let text = request.header("req-deadline").and_then(|d| d.strip_suffix('u')).expect("microseconds");
+    let text = request
+        .header("req-deadline")
+        .and_then(|d| d.strip_suffix('u'))
+        .expect("microseconds");
     Duration::from_micros(text.parse().expect("a number"))
 }
 
@@ -31,8 +34,12 @@
 fn a_dial_that_comes_up_late_is_taken_off() {
     let unreachable = Unreachable::start();
     let discovery = Discovery::start();
-    let config = config(discovery.addr, 1024, &listing(1, true, &[(0, unreachable.addr, "active")]))
-        .replace("\"idle_close\"", "\"dial_timeout\":20000,\"idle_close\"");
+    let config = config(
+        discovery.addr,
+        1024,
+        &listing(1, true, &[(0, unreachable.addr, "active")]),
+    )
+    .replace("\"idle_close\"", "\"dial_timeout\":20000,\"idle_close\"");
     let node = Node::run(command(&config), discovery);
     node.discovery.called();
     let without = node.descriptors();
@@ -58,7 +65,10 @@
     std::thread::sleep(Duration::from_millis(500));
     let held = Instant::now();
     first.write("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
-    let request = upstreams[1 - at].accept().request().expect("a second attempt");
+    let request = upstreams[1 - at]
+        .accept()
+        .request()
+        .expect("a second attempt");
     at_most_what_is_left(&request, sent, held);
 }
 
@@ -66,8 +76,12 @@
 fn a_stop_while_it_dials_is_taken_off() {
     let unreachable = Unreachable::start();
     let discovery = Discovery::start();
-    let config = config(discovery.addr, 1024, &listing(1, true, &[(0, unreachable.addr, "active")]))
-        .replace("\"idle_close\"", "\"dial_timeout\":20000,\"idle_close\"");
+    let config = config(
+        discovery.addr,
+        1024,
+        &listing(1, true, &[(0, unreachable.addr, "active")]),
+    )
+    .replace("\"idle_close\"", "\"dial_timeout\":20000,\"idle_close\"");
     let node = Node::run(command(&config), discovery);
     node.discovery.called();
     let without = node.descriptors();
@@ -106,7 +120,12 @@
 fn a_stop_before_the_connection_is_accepted_is_taken_off() {
     let upstream = RawUpstream::start();
     let node = Node::with(&[upstream.addr]);
-    assert_eq!(node.client().call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+    assert_eq!(
+        node.client()
+            .call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+            .status(),
+        200
+    );
     node.pause();
     let mut client = node.client();
     let sent = Instant::now();
--- a/balancer/proxy/tests/discovery.rs
+++ b/balancer/proxy/tests/discovery.rs
@@ -27,9 +27,14 @@
 }
 
 /// News that version 2 brings, after calls that meet something else first.
-fn news_comes_into_use(first: impl Fn(usize, String) -> Option<Manner> + Clone + Send + Sync + 'static) {
+fn news_comes_into_use(
+    first: impl Fn(usize, String) -> Option<Manner> + Clone + Send + Sync + 'static,
+) {
     for mode in MODES {
-        let (old, new) = (Upstream::start(|_| ok("old")), Upstream::start(|_| ok("new")));
+        let (old, new) = (
+            Upstream::start(|_| ok("old")),
+            Upstream::start(|_| ok("new")),
+        );
         let (list, first) = (listing(2, true, &[(1, new.addr, "active")]), first.clone());
         let agent = Agent::start(move |number, path| match path.contains("since=2&") {
             true => Manner::Silent,
@@ -63,24 +68,39 @@
 
 #[test]
 fn a_discovery_that_cannot_be_connected_to_is_reached_once_it_can() {
-    let (old, new) = (Upstream::start(|_| ok("old")), Upstream::start(|_| ok("new")));
+    let (old, new) = (
+        Upstream::start(|_| ok("old")),
+        Upstream::start(|_| ok("new")),
+    );
     let silent = Unreachable::start();
     let known = listing(1, true, &[(0, old.addr, "active")]);
-    let node = Node::run(command(&config(silent.addr, 1024, &known)), Discovery::start());
+    let node = Node::run(
+        command(&config(silent.addr, 1024, &known)),
+        Discovery::start(),
+    );
     node.logs_times("discovery: no answer in time", 3);
     let mut call = silent.reach();
     assert!(read(&mut call).expect("a call").start.contains("since=1&"));
     let list = listing(2, true, &[(1, new.addr, "active")]);
-    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+    let answer = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+        list.len()
+    );
     call.get_mut().write_all(answer.as_bytes()).expect("writes");
     served_by(&node, b"new");
 }
 
 #[test]
 fn a_reload_ends_the_pause_after_a_failed_call() {
-    let (old, new) = (Upstream::start(|_| ok("old")), Upstream::start(|_| ok("new")));
+    let (old, new) = (
+        Upstream::start(|_| ok("old")),
+        Upstream::start(|_| ok("new")),
+    );
     let known = listing(1, true, &[(0, old.addr, "active")]);
-    let node = Node::run(command(&config(refusing(), 1024, &known)), Discovery::start());
+    let node = Node::run(
+        command(&config(refusing(), 1024, &known)),
+        Discovery::start(),
+    );
     // The module waits ever longer now.
     node.logs_times("discovery: ", 4);
     let list = listing(2, true, &[(1, new.addr, "active")]);
@@ -97,12 +117,16 @@
 /// What a whole list does not name is gone, though it would still answer.
 #[test]
 fn what_a_whole_list_does_not_name_gets_nothing_more_and_its_idle_connections_close() {
-    let (old, new) = (Upstream::start(|_| ok("old")), Upstream::start(|_| ok("new")));
+    let (old, new) = (
+        Upstream::start(|_| ok("old")),
+        Upstream::start(|_| ok("new")),
+    );
     let node = Node::with(&[old.addr]);
     let mut client = node.client();
     assert_eq!(client.call(&get("r1", "5000m")).body, b"old");
     old.request();
-    node.discovery.answer(&listing(2, true, &[(1, new.addr, "active")]));
+    node.discovery
+        .answer(&listing(2, true, &[(1, new.addr, "active")]));
     old.closed();
     for n in 0..20 {
         assert_eq!(client.call(&get(&format!("n{n}"), "5000m")).body, b"new");
@@ -124,7 +148,8 @@
     let mut client = node.client();
     client.send(&pay("r1", "20000m"));
     node.holds(|n| n >= without + 2, "it does not dial");
-    node.discovery.answer(&listing(2, true, &[(1, new.addr, "active")]));
+    node.discovery
+        .answer(&listing(2, true, &[(1, new.addr, "active")]));
     assert!(node.discovery.called().contains("since=2&"));
     assert!(read(&mut full.reach()).is_none());
 }
@@ -135,7 +160,10 @@
     let (go, hold) = channel();
     let hold = Arc::new(Mutex::new(Some(hold)));
     let old = Upstream::start(move |_| match hold.lock().expect("no panic").take() {
-        Some(hold) => Then::Hold(hold, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold".into()),
+        Some(hold) => Then::Hold(
+            hold,
+            "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold".into(),
+        ),
         None => ok("old"),
     });
     let new = Upstream::start(|_| ok("new"));
@@ -143,7 +171,8 @@
     let mut client = node.client();
     client.send(&get("r1", "10000m"));
     old.request();
-    node.discovery.answer(&listing(2, false, &[(0, new.addr, "active")]));
+    node.discovery
+        .answer(&listing(2, false, &[(0, new.addr, "active")]));
     assert!(node.discovery.called().starts_with("/api/targets?since=1&"));
     assert!(node.discovery.called().contains("since=2&"));
     go.send(()).expect("it waits");
@@ -157,15 +186,20 @@
 fn nothing_is_written_to_a_former_address_that_is_dialled() {
     let (full, new) = (Unreachable::start(), Upstream::start(|_| ok("new")));
     let discovery = Discovery::start();
-    let config = config(discovery.addr, 1024, &listing(1, true, &[(0, full.addr, "active")]))
-        .replace("\"idle_close\"", "\"dial_timeout\":20000,\"idle_close\"");
+    let config = config(
+        discovery.addr,
+        1024,
+        &listing(1, true, &[(0, full.addr, "active")]),
+    )
+    .replace("\"idle_close\"", "\"dial_timeout\":20000,\"idle_close\"");
     let node = Node::run(command(&config), discovery);
     node.discovery.called();
     let without = node.descriptors();
     let mut client = node.client();
     client.send(&pay("r1", "20000m"));
     node.holds(|n| n >= without + 2, "it does not dial");
-    node.discovery.answer(&listing(2, false, &[(0, new.addr, "active")]));
+    node.discovery
+        .answer(&listing(2, false, &[(0, new.addr, "active")]));
     assert!(node.discovery.called().contains("since=2&"));
     assert!(read(&mut full.reach()).is_none());
     assert!(client.answer().is_some());
@@ -184,8 +218,14 @@
 }
 
 fn discovery_is_reached_under(promised: usize, given: usize) {
-    let (old, new) = (Upstream::start(|_| ok("old")), Upstream::start(|_| ok("new")));
-    let (list, down) = (listing(2, true, &[(1, new.addr, "active")]), Arc::new(Mutex::new(true)));
+    let (old, new) = (
+        Upstream::start(|_| ok("old")),
+        Upstream::start(|_| ok("new")),
+    );
+    let (list, down) = (
+        listing(2, true, &[(1, new.addr, "active")]),
+        Arc::new(Mutex::new(true)),
+    );
     let is_down = down.clone();
     let agent = Agent::start(move |_, path| match *is_down.lock().expect("no panic") {
         true => Manner::Ends,
--- a/balancer/proxy/tests/discovery_watch.rs
+++ b/balancer/proxy/tests/discovery_watch.rs
@@ -78,7 +78,11 @@
 }
 
 impl World {
-    fn new(mode: Mode, version: Option<u64>, manner: impl Fn(usize, Duration) -> Manner + 'static) -> World {
+    fn new(
+        mode: Mode,
+        version: Option<u64>,
+        manner: impl Fn(usize, Duration) -> Manner + 'static,
+    ) -> World {
         let mut world = World {
             watch: Watch::new(mode, version),
             start: Instant::now(),
@@ -110,7 +114,8 @@
             self.open.retain(|open| *open != id);
         }
         let mut actions = Vec::new();
-        self.watch.handle(self.start + self.now, event, &mut actions);
+        self.watch
+            .handle(self.start + self.now, event, &mut actions);
         self.perform(actions, answer);
     }
 
@@ -145,11 +150,19 @@
         let answer = |version, changes| {
             Event::Answered(
                 id,
-                Answer { version, full: since.is_none(), changes: changes || since.is_none() },
+                Answer {
+                    version,
+                    full: since.is_none(),
+                    changes: changes || since.is_none(),
+                },
             )
         };
         let news = answer(NEWS, since != Some(NEWS));
-        let wait = if since.is_none() { Duration::ZERO } else { WAIT };
+        let wait = if since.is_none() {
+            Duration::ZERO
+        } else {
+            WAIT
+        };
         let has_news = since.is_none_or(|version| version < NEWS);
         if !matches!(manner, Manner::Refuses | Manner::NeverUp) {
             self.after(ms(1), Event::Connected(id));
@@ -160,7 +173,9 @@
             Manner::NeverUp | Manner::Silent => {}
             Manner::Half => self.after(ms(200), Event::Received(id)),
             Manner::Trickles => (1..200).for_each(|n| self.after(ms(400) * n, Event::Received(id))),
-            Manner::Stale if since.is_some_and(|version| version > 0) => self.after(ms(5), answer(0, true)),
+            Manner::Stale if since.is_some_and(|version| version > 0) => {
+                self.after(ms(5), answer(0, true))
+            }
             Manner::Stale => self.after(ms(5), Event::Failed(id, "garbled".into())),
             Manner::NoNews => self.after(wait + ms(1), answer(since.unwrap_or(1), false)),
             Manner::NoWait => self.after(ms(2), answer(since.unwrap_or(1), false)),
@@ -183,7 +198,11 @@
             let next = (0..self.due.len()).min_by_key(|&i| self.due[i].0);
             let deadline = self.watch.deadline().map(|at| at - self.start);
             let event_at = next.map(|i| self.due[i].0);
-            let at = event_at.into_iter().chain(deadline).min().expect("something is due");
+            let at = event_at
+                .into_iter()
+                .chain(deadline)
+                .min()
+                .expect("something is due");
             if at > until {
                 break;
             }
@@ -193,7 +212,8 @@
                 self.handle(event);
             } else {
                 let mut actions = Vec::new();
-                self.watch.handle_timeout(self.start + self.now, &mut actions);
+                self.watch
+                    .handle_timeout(self.start + self.now, &mut actions);
                 self.perform(actions, None);
             }
         }
@@ -219,11 +239,17 @@
     let mut latest = Duration::ZERO;
     let each = || BAD.into_iter().chain([Manner::NoNews]);
     for (mode, known) in MODES.into_iter().flat_map(|m| KNOWN.map(|k| (m, k))) {
-        for before in each().flat_map(|a| each().flat_map(move |b| each().map(move |c| [a, b, c]))) {
+        for before in each().flat_map(|a| each().flat_map(move |b| each().map(move |c| [a, b, c])))
+        {
             for step in 0..12 {
                 let reached = ms(step * 430);
-                for then in [Manner::Silent, Manner::NeverUp, Manner::Half, Manner::Trickles, Manner::Answers]
-                {
+                for then in [
+                    Manner::Silent,
+                    Manner::NeverUp,
+                    Manner::Half,
+                    Manner::Trickles,
+                    Manner::Answers,
+                ] {
                     // The first call after discovery can be reached again may still be one that falls silent.
                     let first = std::cell::Cell::new(true);
                     let manner = move |number: usize, now: Duration| match now < reached {
@@ -251,11 +277,23 @@
 #[test]
 fn three_silences_in_a_row_are_borne() {
     for (mode, known) in MODES.into_iter().flat_map(|m| KNOWN.map(|k| (m, k))) {
-        for manner in [Manner::Silent, Manner::NeverUp, Manner::Half, Manner::Trickles] {
-            let mut world = World::new(mode, known, move |n, _| if n < 3 { manner } else { Manner::Answers });
+        for manner in [
+            Manner::Silent,
+            Manner::NeverUp,
+            Manner::Half,
+            Manner::Trickles,
+        ] {
+            let mut world = World::new(
+                mode,
+                known,
+                move |n, _| if n < 3 { manner } else { Manner::Answers },
+            );
             world.play(TOLD);
             let told = world.told.expect("known in time");
-            assert!(told <= ms(4800), "{mode:?}, known {known:?}, {manner:?}: {told:?}");
+            assert!(
+                told <= ms(4800),
+                "{mode:?}, known {known:?}, {manner:?}: {told:?}"
+            );
         }
     }
 }
@@ -288,8 +326,13 @@
 
 #[test]
 fn an_answer_that_never_ends_is_given_up() {
-    let mut world =
-        World::new(Mode::Pushed, Some(1), |n, _| if n == 0 { Manner::Trickles } else { Manner::NoNews });
+    let mut world = World::new(Mode::Pushed, Some(1), |n, _| {
+        if n == 0 {
+            Manner::Trickles
+        } else {
+            Manner::NoNews
+        }
+    });
     world.play(ms(29_900));
     assert_eq!(world.open.len(), 2, "it may still come");
     world.play(ms(30_500));
@@ -302,7 +345,11 @@
         let mut world = World::new(Mode::OnRequest, Some(1), move |_, _| manner);
         world.play(ms(60_000));
         // No more than a watch that stands costs, a call a second.
-        assert!(world.calls.len() <= 61, "{manner:?}: {} calls in a minute", world.calls.len());
+        assert!(
+            world.calls.len() <= 61,
+            "{manner:?}: {} calls in a minute",
+            world.calls.len()
+        );
     }
 }
 
@@ -310,13 +357,28 @@
 #[test]
 fn answers_without_news_that_come_at_once_cost_no_flood_of_calls() {
     for (mode, known) in MODES.into_iter().flat_map(|m| KNOWN.map(|k| (m, k))) {
-        let mut world = World::new(mode, known, |n, _| if n < 30 { Manner::NoWait } else { Manner::Answers });
+        let mut world = World::new(mode, known, |n, _| {
+            if n < 30 {
+                Manner::NoWait
+            } else {
+                Manner::Answers
+            }
+        });
         world.play(TOLD);
         let told = world.told.expect("known in time");
-        assert!(told >= ms(2800), "{mode:?}, known {known:?}: 30 calls in {told:?}");
+        assert!(
+            told >= ms(2800),
+            "{mode:?}, known {known:?}: 30 calls in {told:?}"
+        );
         // All 30 were answered 2 ms after they began.
-        let gaps: Vec<_> = world.calls[..=30].windows(2).map(|pair| pair[1] - pair[0]).collect();
-        assert!(gaps.iter().all(|&gap| gap <= ms(200)), "the watch continues: {gaps:?}");
+        let gaps: Vec<_> = world.calls[..=30]
+            .windows(2)
+            .map(|pair| pair[1] - pair[0])
+            .collect();
+        assert!(
+            gaps.iter().all(|&gap| gap <= ms(200)),
+            "the watch continues: {gaps:?}"
+        );
     }
 }
 
@@ -338,10 +400,21 @@
                 world.now = moved;
                 let calls = world.calls.len();
                 world.handle(Event::Moved);
-                assert_eq!(world.calls.len(), calls + 1, "{mode:?}, {before:?} at {moved:?}: asked at once");
-                assert_eq!(world.open.len(), 1, "{mode:?}, {before:?}: the old address is left");
+                assert_eq!(
+                    world.calls.len(),
+                    calls + 1,
+                    "{mode:?}, {before:?} at {moved:?}: asked at once"
+                );
+                assert_eq!(
+                    world.open.len(),
+                    1,
+                    "{mode:?}, {before:?}: the old address is left"
+                );
                 world.play(moved + TOLD_AFTER_MOVE);
-                assert!(world.told.is_some(), "{mode:?}, known {known:?}, {before:?}, moved at {moved:?}");
+                assert!(
+                    world.told.is_some(),
+                    "{mode:?}, known {known:?}, {before:?}, moved at {moved:?}"
+                );
             }
         }
     }
@@ -362,17 +435,25 @@
 fn the_first_answer_is_handed_on_and_then_only_changes() {
     let mut watch = Watch::new(Mode::OnRequest, Some(1));
     let mut now = Instant::now();
-    let nothing = Answer { version: 1, full: false, changes: false };
+    let nothing = Answer {
+        version: 1,
+        full: false,
+        changes: false,
+    };
     let mut actions = Vec::new();
     watch.handle(now, Event::Subscribed, &mut actions);
     for delivered in [true, false, false] {
-        let Some(&Action::Call { id, since: Some(1) }) = actions.last() else { panic!("{actions:?}") };
+        let Some(&Action::Call { id, since: Some(1) }) = actions.last() else {
+            panic!("{actions:?}")
+        };
         actions.clear();
         now += WAIT;
         watch.handle(now, Event::Answered(id, nothing), &mut actions);
         assert_eq!(actions[0] == Action::Deliver, delivered);
     }
-    let Some(&Action::Call { id, .. }) = actions.last() else { panic!("{actions:?}") };
+    let Some(&Action::Call { id, .. }) = actions.last() else {
+        panic!("{actions:?}")
+    };
     actions.clear();
     watch.handle(now, Event::Subscribed, &mut actions);
     assert_eq!(actions, [], "the call that stands answers it");
@@ -386,7 +467,9 @@
     let mut watch = Watch::new(Mode::Pushed, Some(1));
     let (start, mut actions) = (Instant::now(), Vec::new());
     watch.start(start, &mut actions);
-    let [Action::Call { id: first, .. }] = actions[..] else { panic!("{actions:?}") };
+    let [Action::Call { id: first, .. }] = actions[..] else {
+        panic!("{actions:?}")
+    };
     watch.handle(start, Event::Connected(first), &mut actions);
     watch.handle(start + ms(1400), Event::Received(first), &mut actions);
     actions.clear();
@@ -395,12 +478,31 @@
         panic!("{actions:?}")
     };
     actions.clear();
-    let news = Answer { version: 3, full: true, changes: true };
-    watch.handle(start + ms(1600), Event::Answered(second, news), &mut actions);
+    let news = Answer {
+        version: 3,
+        full: true,
+        changes: true,
+    };
+    watch.handle(
+        start + ms(1600),
+        Event::Answered(second, news),
+        &mut actions,
+    );
     assert_eq!(actions[0], Action::Deliver);
     actions.clear();
     watch.handle(start + ms(1700), Event::Received(first), &mut actions);
-    watch.handle(start + ms(1700), Event::Answered(first, Answer { version: 2, ..news }), &mut actions);
-    assert!(!actions.iter().any(|a| matches!(a, Action::Deliver | Action::Fail(_))), "{actions:?}");
-    let Some(&Action::Call { since: Some(3), .. }) = actions.last() else { panic!("{actions:?}") };
+    watch.handle(
+        start + ms(1700),
+        Event::Answered(first, Answer { version: 2, ..news }),
+        &mut actions,
+    );
+    assert!(
+        !actions
+            .iter()
+            .any(|a| matches!(a, Action::Deliver | Action::Fail(_))),
+        "{actions:?}"
+    );
+    let Some(&Action::Call { since: Some(3), .. }) = actions.last() else {
+        panic!("{actions:?}")
+    };
 }
--- a/balancer/proxy/tests/ending.rs
+++ b/balancer/proxy/tests/ending.rs
@@ -45,7 +45,10 @@
             return false;
         }
         for client in [&mut again, &mut fresh] {
-            let status = client.answer().unwrap_or_else(|| panic!("no answer: {:?}", node.log())).status();
+            let status = client
+                .answer()
+                .unwrap_or_else(|| panic!("no answer: {:?}", node.log()))
+                .status();
             assert!([502, 503].contains(&status), "{status}");
         }
         assert_eq!(node.wait().code(), Some(0));
@@ -69,8 +72,15 @@
         let ((start, end), (head, body)) = (whole.split_at(40), piece.split_at(piece.len() - 4));
         // What is written before the program stops, and what comes while it stands.
         let cases = [("", whole.as_str()), (start, end), (head, body)];
-        let mut clients: Vec<_> = cases.iter().map(|&(first, then)| (kept(&node), first, then)).collect();
-        clients.extend(cases.iter().map(|&(first, then)| (node.client(), first, then)));
+        let mut clients: Vec<_> = cases
+            .iter()
+            .map(|&(first, then)| (kept(&node), first, then))
+            .collect();
+        clients.extend(
+            cases
+                .iter()
+                .map(|&(first, then)| (node.client(), first, then)),
+        );
         for (client, first, _) in &mut clients {
             client.send(first);
         }
@@ -80,7 +90,9 @@
         node.logs("told to end");
         node.pause();
         // Whoever connects now waits to be accepted.
-        let Some(waits) = node.try_client() else { return false };
+        let Some(waits) = node.try_client() else {
+            return false;
+        };
         clients.push((waits, "", &whole));
         for (client, _, then) in &mut clients {
             client.send(then);
@@ -88,12 +100,18 @@
         thread::sleep(stands);
         node.resume();
         for (n, (client, ..)) in clients.iter_mut().enumerate() {
-            let answer = client.answer().unwrap_or_else(|| panic!("no answer for {n}: {:?}", node.log()));
+            let answer = client
+                .answer()
+                .unwrap_or_else(|| panic!("no answer for {n}: {:?}", node.log()));
             assert!([502, 503].contains(&answer.status()), "{n}: {answer:?}");
             assert_eq!(answer.header("connection"), Some("close"), "{n}");
         }
         assert_eq!(node.wait().code(), Some(0));
-        assert!(!node.log().iter().any(|l| l.contains("at the end")), "{:?}", node.log());
+        assert!(
+            !node.log().iter().any(|l| l.contains("at the end")),
+            "{:?}",
+            node.log()
+        );
         true
     });
 }
@@ -118,7 +136,10 @@
             return false;
         }
         for client in [&mut again, &mut fresh] {
-            let status = client.answer().unwrap_or_else(|| panic!("no answer: {:?}", node.log())).status();
+            let status = client
+                .answer()
+                .unwrap_or_else(|| panic!("no answer: {:?}", node.log()))
+                .status();
             assert!([502, 503].contains(&status), "{status}");
         }
         assert_eq!(node.wait().code(), Some(0));
@@ -136,7 +157,9 @@
     let mut crossing: Vec<Client> = (0..CROSSING).map(|_| kept(&node)).collect();
     let (addr, mut unanswered) = (node.addr, Vec::new());
     thread::scope(|scope| {
-        let callers: Vec<_> = (0..12).map(|n| scope.spawn(move || goes_on(addr, n))).collect();
+        let callers: Vec<_> = (0..12)
+            .map(|n| scope.spawn(move || goes_on(addr, n)))
+            .collect();
         // All have begun.
         (0..CROSSING + 60).for_each(|_| drop(upstream.request()));
         node.terminate();
@@ -146,10 +169,15 @@
             client.send(&get(&format!("crosses-{n}"), "20000m"));
             thread::sleep(EACH);
         }
-        unanswered.extend(callers.into_iter().flat_map(|caller| caller.join().expect("no panic")));
+        unanswered.extend(
+            callers
+                .into_iter()
+                .flat_map(|caller| caller.join().expect("no panic")),
+        );
     });
-    let crossed =
-        |(n, client): (usize, &mut Client)| client.answer().is_none().then(|| format!("crosses-{n}"));
+    let crossed = |(n, client): (usize, &mut Client)| {
+        client.answer().is_none().then(|| format!("crosses-{n}"))
+    };
     unanswered.extend(crossing.iter_mut().enumerate().filter_map(crossed));
     assert_eq!(node.wait().code(), Some(0));
     let seen = |seen| match seen {
@@ -158,7 +186,11 @@
     };
     let seen: HashSet<String> = upstream.seen.try_iter().filter_map(seen).collect();
     let lost: Vec<&String> = unanswered.iter().filter(|id| seen.contains(*id)).collect();
-    assert!(lost.is_empty(), "sent on and not answered: {lost:?}, {:?}", node.log());
+    assert!(
+        lost.is_empty(),
+        "sent on and not answered: {lost:?}, {:?}",
+        node.log()
+    );
 }
 
 /// Calls until nobody listens. Returns what was not answered.
@@ -169,7 +201,11 @@
         loop {
             let id = format!("{name}-{n}-{sent}");
             sent += 1;
-            let request = if n.is_multiple_of(2) { pay(&id, "400m") } else { get(&id, "20000m") };
+            let request = if n.is_multiple_of(2) {
+                pay(&id, "400m")
+            } else {
+                get(&id, "20000m")
+            };
             for piece in request.as_bytes().chunks(request.len().div_ceil(pieces)) {
                 client.send(std::str::from_utf8(piece).expect("plain text"));
                 thread::yield_now();
--- a/balancer/proxy/tests/ending_signals.rs
+++ b/balancer/proxy/tests/ending_signals.rs
@@ -15,7 +15,9 @@
 
 /// What a request that was open at the end may be answered.
 fn is_given_up(answer: Option<Message>, node: &Node) {
-    let status = answer.unwrap_or_else(|| panic!("no answer: {:?}", node.log())).status();
+    let status = answer
+        .unwrap_or_else(|| panic!("no answer: {:?}", node.log()))
+        .status();
     assert!([502, 503].contains(&status), "{status}");
 }
 
@@ -23,8 +25,17 @@
 fn has_ended_in_order(node: &mut Node) {
     assert_eq!(node.wait().code(), Some(0));
     let log = node.log();
-    assert_eq!(log.iter().filter(|line| line.contains("told to end")).count(), 1, "{log:?}");
-    assert!(!log.iter().any(|line| line.contains("at the end")), "{log:?}");
+    assert_eq!(
+        log.iter()
+            .filter(|line| line.contains("told to end"))
+            .count(),
+        1,
+        "{log:?}"
+    );
+    assert!(
+        !log.iter().any(|line| line.contains("at the end")),
+        "{log:?}"
+    );
 }
 
 #[test]
@@ -40,7 +51,9 @@
         node.terminate();
         // Served after the second word.
         later.send(&get("ok", "5000m"));
-        let Some(served) = later.answer() else { return false };
+        let Some(served) = later.answer() else {
+            return false;
+        };
         assert_eq!(served.status(), 200);
         node.terminate();
         is_given_up(open.answer(), &node);
@@ -78,7 +91,12 @@
             hang_up(&node);
         }
         node.resume();
-        assert_eq!(unread.answer().map(|answer| answer.status()), Some(200), "{:?}", node.log());
+        assert_eq!(
+            unread.answer().map(|answer| answer.status()),
+            Some(200),
+            "{:?}",
+            node.log()
+        );
         node.logs("told to end");
         hang_up(&node);
         is_given_up(open.answer(), &node);
@@ -108,14 +126,22 @@
     paid.send(&pay("hangs-pay", "80000m"));
     let mut hanging = 0;
     while hanging < 2 {
-        hanging += usize::from(upstream.request().header("req-id").is_some_and(|id| id.starts_with("hangs")));
+        hanging += usize::from(
+            upstream
+                .request()
+                .header("req-id")
+                .is_some_and(|id| id.starts_with("hangs")),
+        );
     }
     let told = Instant::now();
     node.terminate();
     is_given_up(read.answer(), &node);
     is_given_up(paid.answer(), &node);
     let answered = told.elapsed();
-    assert!(answered < most, "answered after {answered:?} with a longest deadline of {deadline} ms");
+    assert!(
+        answered < most,
+        "answered after {answered:?} with a longest deadline of {deadline} ms"
+    );
     has_ended_in_order(&mut node);
 }
 
@@ -136,17 +162,25 @@
 fn idle_clients_that_stay_until_the_end_are_closed_in_order() {
     let upstream = hangs();
     let mut node = ends_by(&upstream, 2500);
-    let mut clients: Vec<RawClient> = (0..20).map(|_| RawClient::connect(node.addr, PATIENCE)).collect();
+    let mut clients: Vec<RawClient> = (0..20)
+        .map(|_| RawClient::connect(node.addr, PATIENCE))
+        .collect();
     for client in &mut clients[..10] {
         client.send(get("ok", "5000m").as_bytes());
-        assert_eq!(read(&mut client.reader()).map(|answer| answer.status()), Some(200));
+        assert_eq!(
+            read(&mut client.reader()).map(|answer| answer.status()),
+            Some(200)
+        );
     }
     // Accepted after all of these.
     kept(&node);
     node.terminate();
     for (n, client) in clients.iter_mut().enumerate() {
         let (bytes, in_order) = client.rest();
-        assert!(bytes.is_empty() && in_order, "{n}: {bytes:?}, in order: {in_order}");
+        assert!(
+            bytes.is_empty() && in_order,
+            "{n}: {bytes:?}, in order: {in_order}"
+        );
     }
     has_ended_in_order(&mut node);
 }
@@ -164,20 +198,28 @@
             clients.push((kept(&node), request, cut));
             clients.push((node.client(), request, cut));
         }
-        clients.iter_mut().for_each(|(client, request, [first, _])| client.send(&request[..*first]));
+        clients
+            .iter_mut()
+            .for_each(|(client, request, [first, _])| client.send(&request[..*first]));
         // Served after the first pieces were read.
         kept(&node);
         node.terminate();
         node.logs("told to end");
-        clients.iter_mut().for_each(|(client, request, [first, last])| client.send(&request[*first..*last]));
+        clients
+            .iter_mut()
+            .for_each(|(client, request, [first, last])| client.send(&request[*first..*last]));
         while node.try_client().is_some() {
             std::thread::yield_now();
         }
-        clients.iter_mut().for_each(|(client, request, [_, last])| client.send(&request[*last..]));
+        clients
+            .iter_mut()
+            .for_each(|(client, request, [_, last])| client.send(&request[*last..]));
         if node.has_ended() {
             return false;
         }
-        clients.iter_mut().for_each(|(client, ..)| is_given_up(client.answer(), &node));
+        clients
+            .iter_mut()
+            .for_each(|(client, ..)| is_given_up(client.answer(), &node));
         has_ended_in_order(&mut node);
         true
     });
--- a/balancer/proxy/tests/floods.rs
+++ b/balancer/proxy/tests/floods.rs
@@ -69,8 +69,12 @@
             Improper::MegabytesOfMethod(count) => drop(client.flood(&[b'A'; MEGABYTE], count)),
             Improper::MegabytesOfBody(count) => {
                 let length = format!("Content-Length: {}", count * MEGABYTE);
-                client
-                    .send(request.replace("Content-Length: 4", &length).trim_end_matches("body").as_bytes());
+                client.send(
+                    request
+                        .replace("Content-Length: 4", &length)
+                        .trim_end_matches("body")
+                        .as_bytes(),
+                );
                 client.flood(&[b'x'; MEGABYTE], count);
             }
         }
@@ -91,9 +95,16 @@
 
 /// The most memory that it has held so far, in kB.
 fn peak_memory(node: &Node) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", node.id())).expect("its status");
-    let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("its peak");
-    line.trim().trim_end_matches(" kB").parse().expect("a number")
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", node.id())).expect("its status");
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))
+        .expect("its peak");
+    line.trim()
+        .trim_end_matches(" kB")
+        .parse()
+        .expect("a number")
 }
 
 /// A client that sends one request after another and must get one final answer to each.
@@ -101,7 +112,11 @@
     let mut client = Client::connect(addr).expect("connects");
     for n in 0..REQUESTS_EACH {
         let id = format!("proper-{number}-{n}");
-        let request = if n.is_multiple_of(2) { get(&id, "20000m") } else { pay(&id, "20000m") };
+        let request = if n.is_multiple_of(2) {
+            get(&id, "20000m")
+        } else {
+            pay(&id, "20000m")
+        };
         assert_eq!(client.call(&request).status(), 200, "{id}");
     }
 }
@@ -111,14 +126,23 @@
     let mut sent: HashMap<String, usize> = HashMap::new();
     for seen in upstream.seen.try_iter() {
         if let Seen::Request(request) = seen {
-            *sent.entry(request.header("req-id").expect("an id").to_string()).or_default() += 1;
+            *sent
+                .entry(request.header("req-id").expect("an id").to_string())
+                .or_default() += 1;
         }
     }
     assert!(!sent.contains_key("improper"));
     assert_eq!(sent.len(), PROPER * REQUESTS_EACH);
-    let paid =
-        |id: &str| id.rsplit('-').next().and_then(|n| n.parse::<usize>().ok()).is_some_and(|n| n % 2 == 1);
-    let twice: Vec<_> = sent.iter().filter(|(id, times)| paid(id) && **times != 1).collect();
+    let paid = |id: &str| {
+        id.rsplit('-')
+            .next()
+            .and_then(|n| n.parse::<usize>().ok())
+            .is_some_and(|n| n % 2 == 1)
+    };
+    let twice: Vec<_> = sent
+        .iter()
+        .filter(|(id, times)| paid(id) && **times != 1)
+        .collect();
     assert!(twice.is_empty(), "{twice:?}");
 }
 
@@ -175,8 +199,9 @@
         _ => ok("x"),
     });
     let mut node = ends_by(&upstream, 1000);
-    let mut unreading: Vec<RawClient> =
-        (0..UNREADING).map(|_| RawClient::connect(node.addr, PATIENCE)).collect();
+    let mut unreading: Vec<RawClient> = (0..UNREADING)
+        .map(|_| RawClient::connect(node.addr, PATIENCE))
+        .collect();
     for client in &mut unreading {
         client.send(get("unread", "20000m").repeat(UNREAD_REQUESTS).as_bytes());
     }
@@ -189,5 +214,9 @@
     node.terminate();
     assert_eq!(node.wait().code(), Some(0));
     // The longest deadline is taken as 3 s, and SIGKILL comes 0.7 s after it.
-    assert!(told.elapsed() < Duration::from_millis(3700), "ended after {:?}", told.elapsed());
+    assert!(
+        told.elapsed() < Duration::from_millis(3700),
+        "ended after {:?}",
+        told.elapsed()
+    );
 }
--- a/balancer/proxy/tests/golden.rs
+++ b/balancer/proxy/tests/golden.rs
@@ -4,11 +4,11 @@
 //!
 //! Not held here: the fingerprint that what was learned is kept with. It is made of the names in the program's own types.
 mod common;
-use common::*;
 use balancer_core::{Availability, Health, Learned, Load, Member, UpstreamId};
 use balancer_gossip::{wire, Member as Place, Versions};
 use balancer_snapshots::store::look;
 use balancer_snapshots::{unix_ms, Kind, Owner, Store};
+use common::*;
 use serde_json::Value;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
@@ -66,8 +66,14 @@
 
 #[test]
 fn what_was_learned_keeps_its_text() {
-    assert_eq!(serde_json::to_string(&learned()).expect("JSON"), LEARNED.trim_end());
-    assert_eq!(serde_json::from_str::<Learned>(LEARNED).expect("is read"), learned());
+    assert_eq!(
+        serde_json::to_string(&learned()).expect("JSON"),
+        LEARNED.trim_end()
+    );
+    assert_eq!(
+        serde_json::from_str::<Learned>(LEARNED).expect("is read"),
+        learned()
+    );
 }
 
 #[test]
@@ -77,25 +83,61 @@
         r#",{"id":"s-2","addr":"127.0.0.1:10","zone":"a","kind":"m","cell":8,"state":"left","started_ms":3}]}"#,
     );
     let config = config("127.0.0.1:9".parse().expect("an address"), 1024, &listing);
-    let known = balancer_proxy::config::Config::parse(config.as_bytes()).expect("is read").known.expect("a list");
+    let known = balancer_proxy::config::Config::parse(config.as_bytes())
+        .expect("is read")
+        .known
+        .expect("a list");
     assert_eq!((known.version, known.full), (5, true));
     let member = |id, zone, kind, group, availability, since| {
-        let at = |name: &str, addr: &str| (name.to_string(), addr.parse::<SocketAddr>().expect("an address"));
-        (at, Member { id, zone, kind, group, availability, since })
+        let at = |name: &str, addr: &str| {
+            (
+                name.to_string(),
+                addr.parse::<SocketAddr>().expect("an address"),
+            )
+        };
+        (
+            at,
+            Member {
+                id,
+                zone,
+                kind,
+                group,
+                availability,
+                since,
+            },
+        )
     };
     let wanted = [
-        ("s-1", "127.0.0.1:9", member(S_1, 0, 0, 7, Availability::Ready, 6100.5)),
-        ("s-3", "[::1]:11", member(S_3, u16::MAX, u8::MAX, 0, Availability::Draining, 0.0)),
-        ("s-2", "127.0.0.1:10", member(S_2, 0, 0, 8, Availability::Gone, 3.0)),
+        (
+            "s-1",
+            "127.0.0.1:9",
+            member(S_1, 0, 0, 7, Availability::Ready, 6100.5),
+        ),
+        (
+            "s-3",
+            "[::1]:11",
+            member(S_3, u16::MAX, u8::MAX, 0, Availability::Draining, 0.0),
+        ),
+        (
+            "s-2",
+            "127.0.0.1:10",
+            member(S_2, 0, 0, 8, Availability::Gone, 3.0),
+        ),
     ];
     assert_eq!(known.entries.len(), wanted.len());
     for (entry, (name, addr, (at, member))) in known.entries.iter().zip(wanted) {
-        assert_eq!(((entry.name.clone(), entry.addr), &entry.member), (at(name, addr), &member));
+        assert_eq!(
+            ((entry.name.clone(), entry.addr), &entry.member),
+            (at(name, addr), &member)
+        );
     }
 }
 
 fn owner() -> Owner {
-    Owner { name: "n1".into(), settings: SETTINGS }
+    Owner {
+        name: "n1".into(),
+        settings: SETTINGS,
+    }
 }
 
 /// Keeps payloads as an earlier build of the balancer under test would have.
@@ -117,14 +159,19 @@
     let started = Instant::now();
     loop {
         // A folder that is read while it is written may make no sense for a moment.
-        let line = look(dir).ok().and_then(|lines| lines.into_iter().find(|line| line.kind == kind));
+        let line = look(dir)
+            .ok()
+            .and_then(|lines| lines.into_iter().find(|line| line.kind == kind));
         if let Some(Ok((record, owner))) = line.and_then(|line| line.found) {
             assert_eq!((owner.as_str(), record.settings), ("n1", SETTINGS));
             if wanted(&record.payload) {
                 return record.payload;
             }
         }
-        assert!(started.elapsed() < PATIENCE, "{kind:?} is not kept as wanted");
+        assert!(
+            started.elapsed() < PATIENCE,
+            "{kind:?} is not kept as wanted"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -133,12 +180,19 @@
 fn a_folder_of_an_earlier_build_is_taken_up_and_written_on_in_its_words() {
     let dir = TempDir::new().expect("a folder");
     let list = UPSTREAMS.trim_end();
-    let lesson = |policy: &Value| format!(r#"{{"policy":{policy},"learned":{}}}"#, LEARNED.trim_end());
+    let lesson =
+        |policy: &Value| format!(r#"{{"policy":{policy},"learned":{}}}"#, LEARNED.trim_end());
     keep(
         dir.path(),
         &[
-            (Kind::Starts, format!(r#"{{"count":7,"incarnation":{INCARNATION}}}"#)),
-            (Kind::Upstreams, list.replace(r#""version":5"#, r#""version":4"#)),
+            (
+                Kind::Starts,
+                format!(r#"{{"count":7,"incarnation":{INCARNATION}}}"#),
+            ),
+            (
+                Kind::Upstreams,
+                list.replace(r#""version":5"#, r#""version":4"#),
+            ),
             (Kind::Learned, lesson(&Value::from(0))),
         ],
     );
@@ -152,14 +206,26 @@
         format!(r#"{{"count":8,"incarnation":{}}}"#, INCARNATION + 1)
     );
     // An upstream that has left is not kept; the list is, in the words that it had.
-    node.discovery.answer(&listing(5, false, &[(2, ([127, 0, 0, 1], 10).into(), "left")]));
-    assert_eq!(kept(dir.path(), Kind::Upstreams, |text| text.contains(":5,")), list);
-    let text = kept(dir.path(), Kind::Learned, |text| !text.starts_with(r#"{"policy":0,"#));
+    node.discovery.answer(&listing(
+        5,
+        false,
+        &[(2, ([127, 0, 0, 1], 10).into(), "left")],
+    ));
+    assert_eq!(
+        kept(dir.path(), Kind::Upstreams, |text| text.contains(":5,")),
+        list
+    );
+    let text = kept(dir.path(), Kind::Learned, |text| {
+        !text.starts_with(r#"{"policy":0,"#)
+    });
     drop(node);
     let value: Value = serde_json::from_str(&text).expect("JSON");
     let now: Learned = serde_json::from_value(value["learned"].clone()).expect("what was learned");
     let wanted = serde_json::to_string(&now).expect("JSON");
-    assert_eq!(text, format!(r#"{{"policy":{},"learned":{wanted}}}"#, value["policy"]));
+    assert_eq!(
+        text,
+        format!(r#"{{"policy":{},"learned":{wanted}}}"#, value["policy"])
+    );
     // What an earlier build had learned under this policy is taken back.
     keep(dir.path(), &[(Kind::Learned, lesson(&value["policy"]))]);
     started(dir.path()).logs("what was learned until");
@@ -180,8 +246,11 @@
     peer.set_read_timeout(Some(PATIENCE)).expect("a time");
     let address = |socket: &UdpSocket| socket.local_addr().expect("an address");
     let discovery = Discovery::start();
-    let peers =
-        format!(r#""peer_listen":"127.0.0.1:0","peers":["{}","{}"],"known""#, address(&peer), address(&own));
+    let peers = format!(
+        r#""peer_listen":"127.0.0.1:0","peers":["{}","{}"],"known""#,
+        address(&peer),
+        address(&own)
+    );
     let config = config(discovery.addr, 1024, "null")
         .replace("\"known\"", &peers)
         .replace("\"balancers\":1,\"index\":0", "\"balancers\":2,\"index\":1")
@@ -194,5 +263,8 @@
     drop(node);
     let (header, _) = wire::open(&bytes[..length]).expect("whole");
     assert_eq!((header.deployment, header.place), (DEPLOYMENT, Place(1)));
-    assert_eq!((header.version, header.reads), (1, Versions { least: 1, most: 2 }));
+    assert_eq!(
+        (header.version, header.reads),
+        (1, Versions { least: 1, most: 2 })
+    );
 }
--- a/balancer/proxy/tests/leaving.rs
+++ b/balancer/proxy/tests/leaving.rs
@@ -74,7 +74,11 @@
 /// A balancer that gives up no attempt by itself, so that what it does without its client shows: nothing ends by time
 /// before a test has failed.
 fn keeps_attempts(upstreams: &[std::net::SocketAddr]) -> Node {
-    let servers: Vec<_> = upstreams.iter().enumerate().map(|(n, &addr)| (n, addr, "active")).collect();
+    let servers: Vec<_> = upstreams
+        .iter()
+        .enumerate()
+        .map(|(n, &addr)| (n, addr, "active"))
+        .collect();
     let discovery = Discovery::start();
     let config = config(discovery.addr, 1024, &listing(1, true, &servers))
         .replace("\"idle_close\"", "\"dial_timeout\":80000,\"idle_close\"")
@@ -101,23 +105,35 @@
         client.send(&more);
     }
     let _stays = leave.leave(client);
-    node.holds(|held| held <= without + 1, &format!("it does not see {leave:?} after {after:?}"));
-    assert!(read(&mut full.reach()).is_none(), "sent for nobody: {leave:?} after {after:?}");
+    node.holds(
+        |held| held <= without + 1,
+        &format!("it does not see {leave:?} after {after:?}"),
+    );
+    assert!(
+        read(&mut full.reach()).is_none(),
+        "sent for nobody: {leave:?} after {after:?}"
+    );
 }
 
 #[test]
 fn a_client_that_closes_is_seen_while_its_request_is_dialled() {
-    AFTER.into_iter().for_each(|after| is_seen_while_its_request_is_dialled(Leave::Close, after));
+    AFTER
+        .into_iter()
+        .for_each(|after| is_seen_while_its_request_is_dialled(Leave::Close, after));
 }
 
 #[test]
 fn a_client_that_resets_is_seen_while_its_request_is_dialled() {
-    AFTER.into_iter().for_each(|after| is_seen_while_its_request_is_dialled(Leave::Reset, after));
+    AFTER
+        .into_iter()
+        .for_each(|after| is_seen_while_its_request_is_dialled(Leave::Reset, after));
 }
 
 #[test]
 fn a_client_that_shuts_its_side_is_seen_while_its_request_is_dialled() {
-    AFTER.into_iter().for_each(|after| is_seen_while_its_request_is_dialled(Leave::HalfClose, after));
+    AFTER
+        .into_iter()
+        .for_each(|after| is_seen_while_its_request_is_dialled(Leave::HalfClose, after));
 }
 
 /// The first attempt is out when the client leaves, and fails after that.
@@ -130,7 +146,8 @@
             let behave = move |message: &Message| match message.header("req-id") {
                 Some("gone") => match word.lock().expect("no panic").take() {
                     Some(word) => {
-                        let failed = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
+                        let failed =
+                            "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
                         Then::Hold(word, failed.into())
                     }
                     None => ok("repeated"),
@@ -147,10 +164,17 @@
             assert_eq!(upstream.request().header("req-id"), Some("gone"));
             let _stays = leave.leave(client);
             // The attempt is out still.
-            node.holds(|held| held <= without + 1, &format!("it does not see {leave:?} after {after:?}"));
+            node.holds(
+                |held| held <= without + 1,
+                &format!("it does not see {leave:?} after {after:?}"),
+            );
             fail.send(()).expect("the upstream waits");
             assert_eq!(node.client().call(&get("other", "20000m")).status(), 200);
-            assert_eq!(upstream.request().header("req-id"), Some("other"), "{leave:?} after {after:?}");
+            assert_eq!(
+                upstream.request().header("req-id"),
+                Some("other"),
+                "{leave:?} after {after:?}"
+            );
             assert_eq!(upstream.further(), 0, "{leave:?} after {after:?}");
         }
     }
@@ -165,7 +189,10 @@
             let word = Mutex::new(Some(word));
             let upstream = Upstream::start(move |message| match message.header("req-id") {
                 Some("gone") => match word.lock().expect("no panic").take() {
-                    Some(word) => Then::Hold(word, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n".into()),
+                    Some(word) => Then::Hold(
+                        word,
+                        "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n".into(),
+                    ),
                     None => ok("repeated"),
                 },
                 _ => ok("x"),
@@ -181,13 +208,18 @@
             let _stays = leave.leave(client);
             fail.send(()).expect("the upstream waits");
             // A busy system may deliver the one long after the other.
-            let left = |s: &SystemSocket| (s.local, s.remote) != (balancer, port) || s.state == CLOSE_WAIT;
+            let left =
+                |s: &SystemSocket| (s.local, s.remote) != (balancer, port) || s.state == CLOSE_WAIT;
             let failed = |s: &SystemSocket| s.remote == upstream.addr.port() && s.unread > 0;
             let both = |all: &[SystemSocket]| all.iter().all(left) && all.iter().any(failed);
             wait_for_system(PATIENCE, both, "the end and the failure do not arrive");
             node.resume();
             assert_eq!(node.client().call(&get("other", "20000m")).status(), 200);
-            assert_eq!(upstream.request().header("req-id"), Some("other"), "{leave:?} after {after:?}");
+            assert_eq!(
+                upstream.request().header("req-id"),
+                Some("other"),
+                "{leave:?} after {after:?}"
+            );
             assert_eq!(upstream.further(), 0, "{leave:?} after {after:?}");
         }
     }
@@ -205,7 +237,10 @@
         client.send(&request.as_bytes()[..request.len() - 2]);
         node.holds(|held| held > without, "it does not accept");
         let _stays = leave.leave(client);
-        node.holds(|held| held <= without, &format!("it does not see {leave:?}"));
+        node.holds(
+            |held| held <= without,
+            &format!("it does not see {leave:?}"),
+        );
         assert_eq!(node.client().call(&get("other", "20000m")).status(), 200);
         assert_eq!(upstream.request().header("req-id"), Some("other"));
     }
@@ -233,7 +268,10 @@
     client.send(all.as_bytes());
     for id in &ids {
         let answer = read(&mut reader).expect("an answer");
-        assert_eq!((answer.status(), answer.body.as_slice()), (200, id.as_bytes()));
+        assert_eq!(
+            (answer.status(), answer.body.as_slice()),
+            (200, id.as_bytes())
+        );
     }
     drop(client);
 }
@@ -242,8 +280,12 @@
 #[test]
 fn a_client_that_reads_late_gets_all_answers_in_order() {
     let large = "x".repeat(60 << 10);
-    let upstream =
-        Upstream::start(move |message| ok(&format!("{}{large}", message.header("req-id").expect("an id"))));
+    let upstream = Upstream::start(move |message| {
+        ok(&format!(
+            "{}{large}",
+            message.header("req-id").expect("an id")
+        ))
+    });
     let node = Node::with(&[upstream.addr]);
     let mut client = RawClient::connect(node.addr, PATIENCE);
     let ids: Vec<String> = (0..200).map(|n| format!("late-{n:03}")).collect();
@@ -251,11 +293,19 @@
     client.send(all.as_bytes());
     // Others are served meanwhile.
     for n in 0..20 {
-        assert_eq!(node.client().call(&get(&format!("other-{n}"), "20000m")).status(), 200);
+        assert_eq!(
+            node.client()
+                .call(&get(&format!("other-{n}"), "20000m"))
+                .status(),
+            200
+        );
     }
     let mut reader = client.reader();
     for id in &ids {
         let answer = read(&mut reader).expect("an answer");
-        assert_eq!((answer.status(), &answer.body[..id.len()]), (200, id.as_bytes()));
+        assert_eq!(
+            (answer.status(), &answer.body[..id.len()]),
+            (200, id.as_bytes())
+        );
     }
 }
--- a/balancer/proxy/tests/load_report.rs
+++ b/balancer/proxy/tests/load_report.rs
@@ -8,15 +8,27 @@
 #[test]
 fn load_reports_are_read_and_what_cannot_be_read_is_no_report() {
     let report = |report: &'static str| {
-        HeaderMap::from_iter([(HeaderName::from_static("srv-load"), HeaderValue::from_static(report))])
+        HeaderMap::from_iter([(
+            HeaderName::from_static("srv-load"),
+            HeaderValue::from_static(report),
+        )])
     };
     let held = |text| reported(&report(text), HELD);
     assert_eq!(held("TEXT latency_ms=31.5, qps=40, inflight=7"), Some(7.0));
     assert_eq!(held(" TEXT inflight = 2.5"), Some(2.5));
-    assert_eq!(reported(&report("TEXT latency_ms=31.5, qps=40, inflight=7"), SERVED), Some(40.0));
-    for bad in
-        ["", "TEXT", "inflight=7", "TEXT queue=2", "TEXT inflight=", "TEXT inflight=-1", "TEXT inflight=NaN"]
-    {
+    assert_eq!(
+        reported(&report("TEXT latency_ms=31.5, qps=40, inflight=7"), SERVED),
+        Some(40.0)
+    );
+    for bad in [
+        "",
+        "TEXT",
+        "inflight=7",
+        "TEXT queue=2",
+        "TEXT inflight=",
+        "TEXT inflight=-1",
+        "TEXT inflight=NaN",
+    ] {
         assert_eq!(held(bad), None, "{bad}");
     }
 }
--- a/balancer/proxy/tests/message.rs
+++ b/balancer/proxy/tests/message.rs
@@ -14,11 +14,21 @@
     let tie = |key: Option<&'static str>, id: &'static str| {
         let named = [("req-id", Some(id)), ("idempotency-key", key)].into_iter();
         let headers = named.filter_map(|(name, value)| {
-            Some((HeaderName::from_static(name), HeaderValue::from_static(value?)))
+            Some((
+                HeaderName::from_static(name),
+                HeaderValue::from_static(value?),
+            ))
         });
         let (method, target) = (Method::POST, Uri::from_static("/api/same"));
         let (headers, body, over) = (headers.collect(), Bytes::new(), Cell::new(false));
-        Outgoing { method, target, headers, body, over }.tie()
+        Outgoing {
+            method,
+            target,
+            headers,
+            body,
+            over,
+        }
+        .tie()
     };
     assert_eq!(tie(Some("k1"), "1"), tie(Some("k1"), "2"));
     assert_ne!(tie(Some("k1"), "1"), tie(Some("k2"), "1"));
--- a/balancer/proxy/tests/mutations/mod.rs
+++ b/balancer/proxy/tests/mutations/mod.rs
@@ -58,16 +58,26 @@
         let to = (at + 1 + numbers.below(30)).min(bytes.len());
         match numbers.below(10) {
             0 => bytes.truncate(at),
-            1 => bytes.iter_mut().skip(at).take(1).for_each(|b| *b = (numbers.next() & 0xff) as u8),
+            1 => bytes
+                .iter_mut()
+                .skip(at)
+                .take(1)
+                .for_each(|b| *b = (numbers.next() & 0xff) as u8),
             2 => drop(bytes.drain(at..to)),
             3 => {
                 let again = bytes[at..to].to_vec();
                 bytes.splice(at..at, again);
             }
             _ => {
-                let from = bytes[at..].iter().position(|b| *b == separator).map_or(at, |p| at + p + 1);
+                let from = bytes[at..]
+                    .iter()
+                    .position(|b| *b == separator)
+                    .map_or(at, |p| at + p + 1);
                 let ends = |b: &u8| matches!(b, b',' | b'}' | b']' | b'\n');
-                let end = bytes[from..].iter().position(ends).map_or(bytes.len(), |p| from + p);
+                let end = bytes[from..]
+                    .iter()
+                    .position(ends)
+                    .map_or(bytes.len(), |p| from + p);
                 bytes.splice(from..end, values[numbers.below(values.len())].bytes());
             }
         }
--- a/balancer/proxy/tests/operate.rs
+++ b/balancer/proxy/tests/operate.rs
@@ -44,20 +44,34 @@
     let options = written(&dir, "[log]\nlevel = \"debug\"\n");
     let check = |config: &str, options: &Path| {
         let mut command = command(config);
-        command.arg("check").arg("--options").arg(options).args(["--set", "log.rate=7"]);
+        command
+            .arg("check")
+            .arg("--options")
+            .arg(options)
+            .args(["--set", "log.rate=7"]);
         command.env("BALANCER_OPTION_FIGURES_EVERY", "3s");
         ended(command)
     };
     let (status, said, errors) = check(&good, &options);
     assert_eq!((status, errors.as_str()), (Some(0), ""));
     let line = |key: &str| {
-        let line =
-            said.lines().find(|l| l.starts_with(key)).unwrap_or_else(|| panic!("{key} is not in {said}"));
-        line.split_whitespace().map(String::from).collect::<Vec<_>>()
+        let line = said
+            .lines()
+            .find(|l| l.starts_with(key))
+            .unwrap_or_else(|| panic!("{key} is not in {said}"));
+        line.split_whitespace()
+            .map(String::from)
+            .collect::<Vec<_>>()
     };
-    assert_eq!(line("log.level")[1..], ["\"debug\"".to_string(), format!("{}:2", options.display())]);
+    assert_eq!(
+        line("log.level")[1..],
+        ["\"debug\"".to_string(), format!("{}:2", options.display())]
+    );
     assert_eq!(line("log.rate")[1..], ["7", "--set"]);
-    assert_eq!(line("figures.every")[1..], ["\"3s\"", "BALANCER_OPTION_FIGURES_EVERY"]);
+    assert_eq!(
+        line("figures.every")[1..],
+        ["\"3s\"", "BALANCER_OPTION_FIGURES_EVERY"]
+    );
     assert_eq!(line("log.format")[1..], ["\"text\"", "default"]);
     assert!(said.contains(&address));
 
@@ -69,7 +83,13 @@
     };
     unusable(check(&good, &missing), "missing.toml");
     unusable(check("{", &options), "balancer-proxy: ");
-    unusable(check(&good, &written(&dir, "[figures]\ndir = \"/no/such/folder\"\n")), "can't be written to");
+    unusable(
+        check(
+            &good,
+            &written(&dir, "[figures]\ndir = \"/no/such/folder\"\n"),
+        ),
+        "can't be written to",
+    );
     let mut run = command(&good);
     run.args(["run", "--set", "log.level=loud"]);
     unusable(ended(run), "--set: log.level");
@@ -80,7 +100,10 @@
     let dir = folder();
     let options = written(&dir, "[log]\nrate = 1000\n");
     let upstream = Upstream::start(|_| ok("x"));
-    let node = started(&upstream, &["run", "--options", options.to_str().expect("a path")]);
+    let node = started(
+        &upstream,
+        &["run", "--options", options.to_str().expect("a path")],
+    );
     let mut client = node.client();
     assert_eq!(client.call(&get("quiet", "5000m")).status(), 200);
     written(&dir, "[log]\nlevel = \"debug\"\nrate = 1000\n");
@@ -89,10 +112,19 @@
     assert_eq!(client.call(&get("told", "5000m")).status(), 200);
     node.logs("request_ended ms=");
     node.logs("request=told");
-    assert!(!node.log().iter().any(|l| l.contains("quiet")), "{:?}", node.log());
+    assert!(
+        !node.log().iter().any(|l| l.contains("quiet")),
+        "{:?}",
+        node.log()
+    );
     // One key that may change with one that may not; half a file; no file at all.
-    for (n, text) in
-        ["[log]\nlevel = \"off\"\nformat = \"json\"\n", "[log]\nlevel = \"o", ""].iter().enumerate()
+    for (n, text) in [
+        "[log]\nlevel = \"off\"\nformat = \"json\"\n",
+        "[log]\nlevel = \"o",
+        "",
+    ]
+    .iter()
+    .enumerate()
     {
         if text.is_empty() {
             std::fs::remove_file(&options).expect("removes");
@@ -105,7 +137,10 @@
         assert_eq!(client.call(&get(&id, "5000m")).status(), 200);
         node.logs(&format!("request={id}"));
     }
-    assert!(node.log().iter().any(|l| l.contains("options.toml:3: log.format: can't change")));
+    assert!(node
+        .log()
+        .iter()
+        .any(|l| l.contains("options.toml:3: log.format: can't change")));
 }
 
 #[test]
@@ -134,7 +169,9 @@
     let discovery = Discovery::start();
     let known = listing(1, true, &[(0, upstream.addr, "active")]);
     let mut command = command(&config(discovery.addr, 1024, &known));
-    command.env("BALANCER_OPTION_LOG_FORMAT", "json").env("BALANCER_OPTION_LOG_LEVEL", "debug");
+    command
+        .env("BALANCER_OPTION_LOG_FORMAT", "json")
+        .env("BALANCER_OPTION_LOG_LEVEL", "debug");
     let mut child = command.spawn().expect("starts");
     let mut lines = BufReader::new(child.stderr.take().expect("its log")).lines();
     let mut next = move || -> Value {
@@ -142,17 +179,28 @@
     };
     let mut event = move |name: &str| loop {
         let event = next();
-        assert!(["time", "level", "part", "event"].iter().all(|f| event[f].is_string()), "{event}");
+        assert!(
+            ["time", "level", "part", "event"]
+                .iter()
+                .all(|f| event[f].is_string()),
+            "{event}"
+        );
         if event["event"] == name {
             break event;
         }
     };
-    let address = event("serving")["address"].as_str().expect("an address").to_string();
+    let address = event("serving")["address"]
+        .as_str()
+        .expect("an address")
+        .to_string();
     let mut stream = std::net::TcpStream::connect(&address).expect("connects");
     std::io::Write::write_all(&mut stream, get("r1", "5000m").as_bytes()).expect("writes");
     assert_eq!(event("request_taken")["request"], "r1");
     let began = event("attempt_began");
-    assert_eq!((&began["upstream"], &began["attempt"]), (&"s-0".into(), &0.into()));
+    assert_eq!(
+        (&began["upstream"], &began["attempt"]),
+        (&"s-0".into(), &0.into())
+    );
     assert_eq!(event("attempt_ended")["reason"], "served");
     assert_eq!(event("request_ended")["reason"], "served");
     child.kill().expect("ends");
@@ -165,7 +213,13 @@
     let discovery = Discovery::start();
     let known = listing(1, true, &[(0, upstream.addr, "active")]);
     let mut command = command(&config(discovery.addr, 1024, &known));
-    command.args(["run", "--set", "log.level=debug", "--set", "log.rate=1000000"]);
+    command.args([
+        "run",
+        "--set",
+        "log.level=debug",
+        "--set",
+        "log.rate=1000000",
+    ]);
     let mut child = command.spawn().expect("starts");
     let mut log = BufReader::new(child.stderr.take().expect("its log"));
     let mut line = String::new();
@@ -173,7 +227,12 @@
         line.clear();
         assert_ne!(log.read_line(&mut line).expect("a line"), 0);
     }
-    let address = line.trim_end().split_once("serving on ").expect("an address").1.to_string();
+    let address = line
+        .trim_end()
+        .split_once("serving on ")
+        .expect("an address")
+        .1
+        .to_string();
     let client = || std::net::TcpStream::connect(&address).expect("connects");
     let mut stream = BufReader::new(client());
     let mut call = |id: String| {
@@ -194,22 +253,34 @@
     // What is logged once the reader is back says what it missed.
     (0..20).for_each(|n| call(format!("after-{n}")));
     let pid = child.id();
-    let told = Command::new("sh").args(["-c", &format!("kill -TERM {pid}")]).status().expect("runs sh");
+    let told = Command::new("sh")
+        .args(["-c", &format!("kill -TERM {pid}")])
+        .status()
+        .expect("runs sh");
     assert!(told.success());
     assert!(child.wait().expect("ends").success());
     let seen = reader.join().expect("reads");
-    let dropped: u64 = seen.split(' ').find_map(|w| w.parse().ok()).unwrap_or_else(|| panic!("{seen:?}"));
+    let dropped: u64 = seen
+        .split(' ')
+        .find_map(|w| w.parse().ok())
+        .unwrap_or_else(|| panic!("{seen:?}"));
     assert!(dropped > 100, "{seen}");
 }
 
 #[test]
 fn a_flood_of_one_cause_is_held_to_its_rate_and_counted() {
     let upstream = Upstream::start(|_| ok("x"));
-    let node = started(&upstream, &["run", "--set", "log.level=debug", "--set", "log.rate=2"]);
+    let node = started(
+        &upstream,
+        &["run", "--set", "log.level=debug", "--set", "log.rate=2"],
+    );
     let mut client = node.client();
     let (started, mut sent) = (Instant::now(), 0);
-    let note =
-        |log: &[String]| log.iter().filter(|l| l.contains("lines like request_taken were left out")).count();
+    let note = |log: &[String]| {
+        log.iter()
+            .filter(|l| l.contains("lines like request_taken were left out"))
+            .count()
+    };
     while note(&node.log()) < 2 {
         assert!(started.elapsed() < PATIENCE, "{:?}", node.log());
         sent += 1;
@@ -217,15 +288,24 @@
         client.call(&get(&format!("r{sent}"), "5000m"));
     }
     let log = node.log();
-    let written = log.iter().filter(|l| l.starts_with("request_taken ")).count();
+    let written = log
+        .iter()
+        .filter(|l| l.starts_with("request_taken "))
+        .count();
     let left_out: usize = log
         .iter()
         .filter(|l| l.contains("lines like request_taken"))
         .filter_map(|l| l.split(' ').nth(1)?.parse::<usize>().ok())
         .sum();
-    assert!(written <= 2 * (2 + started.elapsed().as_secs() as usize), "{written}");
+    assert!(
+        written <= 2 * (2 + started.elapsed().as_secs() as usize),
+        "{written}"
+    );
     // What the last second has left out is not told of yet.
-    assert!(written + left_out <= sent && left_out > 2, "{written} + {left_out} of {sent}");
+    assert!(
+        written + left_out <= sent && left_out > 2,
+        "{written} + {left_out} of {sent}"
+    );
 }
 
 #[test]
@@ -237,7 +317,10 @@
         _ => ok("x"),
     });
     let figures = format!("figures.dir={}", dir.path().display());
-    let mut node = started(&upstream, &["run", "--set", &figures, "--set", "figures.every=100ms"]);
+    let mut node = started(
+        &upstream,
+        &["run", "--set", &figures, "--set", "figures.every=100ms"],
+    );
     let mut client = node.client();
     for n in 0..5 {
         assert_eq!(client.call(&pay(&format!("r{n}"), "5000m")).status(), 200);
@@ -250,7 +333,10 @@
     let path = dir.path().join("figures.json");
     let snapshot = || -> Option<Value> {
         let mut text = String::new();
-        std::fs::File::open(&path).ok()?.read_to_string(&mut text).ok()?;
+        std::fs::File::open(&path)
+            .ok()?
+            .read_to_string(&mut text)
+            .ok()?;
         Some(serde_json::from_str(&text).expect("never half a file"))
     };
     let started = Instant::now();
@@ -260,11 +346,20 @@
     node.terminate();
     assert!(node.wait().success());
     let s = snapshot().expect("the last one");
-    assert_eq!((&s["name"], &s["requests"], &s["open"]), (&"n1".into(), &7.into(), &0.into()));
-    assert_eq!(s["ended"], serde_json::json!({"failed": 1, "left": 1, "served": 5}));
+    assert_eq!(
+        (&s["name"], &s["requests"], &s["open"]),
+        (&"n1".into(), &7.into(), &0.into())
+    );
+    assert_eq!(
+        s["ended"],
+        serde_json::json!({"failed": 1, "left": 1, "served": 5})
+    );
     assert_eq!(s["attempts"], 7);
     assert_eq!(s["zones"], serde_json::json!({"a": 7}));
     assert_eq!(s["attempts_ended"]["served"], 5);
-    assert_eq!((&s["crossings"], &s["listed"], &s["ready"]), (&0.into(), &1.into(), &1.into()));
+    assert_eq!(
+        (&s["crossings"], &s["listed"], &s["ready"]),
+        (&0.into(), &1.into(), &1.into())
+    );
     assert_eq!(s["to_answer"]["count"], 7);
 }
--- a/balancer/proxy/tests/options.rs
+++ b/balancer/proxy/tests/options.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 fn read(text: &str, variables: &[(&str, &str)], set: &[&str]) -> Result<Loaded, String> {
-    let variables = variables.iter().map(|(n, v)| (n.to_string(), v.to_string()));
+    let variables = variables
+        .iter()
+        .map(|(n, v)| (n.to_string(), v.to_string()));
     let set: Vec<String> = set.iter().map(|s| s.to_string()).collect();
     load(Some((Path::new("o.toml"), text)), variables, &set)
 }
@@ -16,50 +18,103 @@
     let named = read("", &[], &[]).expect("defaults");
     assert_eq!(named.options, Options::default());
     let shown = named.shown();
-    assert!(shown.len() > 4 && shown.iter().all(|(key, _)| named.source(key) == Source::Default));
+    assert!(
+        shown.len() > 4
+            && shown
+                .iter()
+                .all(|(key, _)| named.source(key) == Source::Default)
+    );
 }
 
 #[test]
 fn a_later_source_goes_before_an_earlier_one_and_is_named() {
     let file = "version = 1\n[log]\nlevel = \"warn\"\nrate = 5\nparts = { discovery = \"debug\" }\n[figures]\nevery = \"250ms\"\n";
-    let variables = [("BALANCER_OPTION_LOG_LEVEL", "error"), ("BALANCER_OPTION_LOG_PARTS_MODULE", "off")];
+    let variables = [
+        ("BALANCER_OPTION_LOG_LEVEL", "error"),
+        ("BALANCER_OPTION_LOG_PARTS_MODULE", "off"),
+    ];
     let loaded = read(file, &variables, &["log.level=debug"]).expect("good");
     assert_eq!(loaded.options.log.level, Level::Debug);
     assert_eq!(loaded.options.figures.every, Duration::from_millis(250));
     assert_eq!(loaded.options.log.parts.len(), 2);
     let origin = |key: &str| loaded.source(key).to_string();
-    assert_eq!((origin("log.level"), origin("log.rate")), ("--set".into(), "o.toml:4".into()));
-    assert_eq!(origin("log.parts.module"), "BALANCER_OPTION_LOG_PARTS_MODULE");
+    assert_eq!(
+        (origin("log.level"), origin("log.rate")),
+        ("--set".into(), "o.toml:4".into())
+    );
+    assert_eq!(
+        origin("log.parts.module"),
+        "BALANCER_OPTION_LOG_PARTS_MODULE"
+    );
     assert_eq!(origin("log.format"), "default");
 }
 
 #[test]
 fn what_is_wrong_is_one_line_with_its_place_and_key() {
     for (text, wanted) in [
-        ("[log]\nlevle = \"info\"\n", "o.toml:2: log.levle: unknown; the nearest known key is log.level"),
-        ("[lgo]\n", "o.toml:1: lgo: unknown; the nearest known key is log"),
-        ("[log]\n\nlevel = \"loud\"\n", "o.toml:3: log.level: \"loud\": unknown variant `loud`"),
-        ("[log]\nrate = 0\n", "o.toml:2: log.rate: 0: must be at least 1"),
-        ("[log]\nparts = { discvery = \"info\" }\n", "the nearest known key is log.parts.discovery"),
-        ("[figures]\nevery = \"5\"\n", "o.toml:2: figures.every: \"5\""),
-        ("[figures]\nevery = \"5 parsecs\"\n", "o.toml:2: figures.every"),
+        (
+            "[log]\nlevle = \"info\"\n",
+            "o.toml:2: log.levle: unknown; the nearest known key is log.level",
+        ),
+        (
+            "[lgo]\n",
+            "o.toml:1: lgo: unknown; the nearest known key is log",
+        ),
+        (
+            "[log]\n\nlevel = \"loud\"\n",
+            "o.toml:3: log.level: \"loud\": unknown variant `loud`",
+        ),
+        (
+            "[log]\nrate = 0\n",
+            "o.toml:2: log.rate: 0: must be at least 1",
+        ),
+        (
+            "[log]\nparts = { discvery = \"info\" }\n",
+            "the nearest known key is log.parts.discovery",
+        ),
+        (
+            "[figures]\nevery = \"5\"\n",
+            "o.toml:2: figures.every: \"5\"",
+        ),
+        (
+            "[figures]\nevery = \"5 parsecs\"\n",
+            "o.toml:2: figures.every",
+        ),
         ("[figures]\nevery = 5\n", "o.toml:2: figures.every: 5"),
         ("[figures]\nevery = \"1ms\"\n", "must be at least 100ms"),
-        ("[duties]\nport = 1\n", "o.toml:2: duties.port: this version has no part \"duties\""),
-        ("[peers]\nport = 1\n", "o.toml:2: peers.port: unknown; the nearest known key is peers.on"),
+        (
+            "[duties]\nport = 1\n",
+            "o.toml:2: duties.port: this version has no part \"duties\"",
+        ),
+        (
+            "[peers]\nport = 1\n",
+            "o.toml:2: peers.port: unknown; the nearest known key is peers.on",
+        ),
         (
             "[peers]\nversion_most = 0\n",
             "o.toml:2: peers.version_most: 0: no version is left; this program reads",
         ),
-        ("[peers]\nversion_most = 300\n", "o.toml:2: peers.version_most: 300: "),
-        ("version = 2\n", "o.toml:1: version: 2 is not known; this program reads 1 to 1"),
+        (
+            "[peers]\nversion_most = 300\n",
+            "o.toml:2: peers.version_most: 300: ",
+        ),
+        (
+            "version = 2\n",
+            "o.toml:1: version: 2 is not known; this program reads 1 to 1",
+        ),
         ("[log\n", "o.toml:1: "),
     ] {
         let error = read(text, &[], &[]).expect_err(text);
-        assert!(error.contains(wanted) && !error.contains('\n'), "{text:?}: {error}");
+        assert!(
+            error.contains(wanted) && !error.contains('\n'),
+            "{text:?}: {error}"
+        );
     }
     let error = read("", &[("BALANCER_OPTION_LOG_LEVLE", "info")], &[]).expect_err("unknown");
-    assert!(error.starts_with("BALANCER_OPTION_LOG_LEVLE") && error.contains("log.level"), "{error}");
+    assert!(
+        error.starts_with("BALANCER_OPTION_LOG_LEVLE") && error.contains("log.level"),
+        "{error}"
+    );
     assert!(read("", &[], &["log.level"]).is_err());
 }
 
@@ -71,7 +126,9 @@
         follows("[log]\nlevel = \"debug\"\nrate = 3\n[figures]\nevery = \"2s\"\n[peers]\nshed = false\n"),
         Ok(())
     );
-    assert!(follows("[log]\nformat = \"json\"\n").is_err_and(|e| e.contains("o.toml:2: log.format")));
+    assert!(
+        follows("[log]\nformat = \"json\"\n").is_err_and(|e| e.contains("o.toml:2: log.format"))
+    );
     assert!(follows("[figures]\ndir = \"/tmp\"\n").is_err_and(|e| e.contains("figures.dir")));
     assert!(follows("[figures]\nlog = true\n").is_err());
     assert!(follows("[peers]\non = true\n").is_err_and(|e| e.contains("o.toml:2: peers.on")));
--- a/balancer/proxy/tests/peers.rs
+++ b/balancer/proxy/tests/peers.rs
@@ -26,7 +26,10 @@
     fn start() -> Wire {
         let bind = |_| Arc::new(UdpSocket::bind("127.0.0.1:0").expect("binds"));
         let peers: Vec<_> = (0..COPIES).map(bind).collect();
-        let (copies, longest) = (Arc::new(Mutex::new(vec![None; COPIES])), Arc::new(AtomicUsize::new(0)));
+        let (copies, longest) = (
+            Arc::new(Mutex::new(vec![None; COPIES])),
+            Arc::new(AtomicUsize::new(0)),
+        );
         for (to, socket) in peers.iter().cloned().enumerate() {
             let (peers, copies, longest) = (peers.clone(), copies.clone(), longest.clone());
             std::thread::spawn(move || {
@@ -42,7 +45,11 @@
                 }
             });
         }
-        Wire { peers, copies, longest }
+        Wire {
+            peers,
+            copies,
+            longest,
+        }
     }
 
     fn addresses(&self) -> String {
@@ -59,10 +66,16 @@
 fn configured(copy: usize, discovery: SocketAddr, upstream: SocketAddr, peers: &str) -> String {
     let known = listing(1, true, &[(0, upstream, "active")]);
     config(discovery, 1024, &known)
-        .replace("\"known\"", &format!("\"peer_listen\":\"127.0.0.1:0\",\"peers\":[{peers}],\"known\""))
+        .replace(
+            "\"known\"",
+            &format!("\"peer_listen\":\"127.0.0.1:0\",\"peers\":[{peers}],\"known\""),
+        )
         .replace(
             "\"balancers\":1,\"index\":0",
-            &format!("\"balancers\":{COPIES},\"index\":{copy},\"zone\":{}", copy % 2),
+            &format!(
+                "\"balancers\":{COPIES},\"index\":{copy},\"zone\":{}",
+                copy % 2
+            ),
         )
         .replace("\"dcs\":[\"a\"]", "\"dcs\":[\"a\",\"b\"]")
         .replace("\"attempts_cap\"", "\"peers\":true,\"attempts_cap\"")
@@ -76,14 +89,26 @@
 impl Copy {
     fn start(number: usize, wire: &Wire, upstream: &Upstream, more: &[&str]) -> Copy {
         let (dir, discovery) = (TempDir::new().expect("a folder"), Discovery::start());
-        let mut command = command(&configured(number, discovery.addr, upstream.addr, &wire.addresses()));
+        let mut command = command(&configured(
+            number,
+            discovery.addr,
+            upstream.addr,
+            &wire.addresses(),
+        ));
         let dir_option = format!("figures.dir={}", dir.path().display());
         command.arg("run");
-        for option in ["peers.on=true", "figures.every=100ms", &dir_option].iter().chain(more) {
+        for option in ["peers.on=true", "figures.every=100ms", &dir_option]
+            .iter()
+            .chain(more)
+        {
             command.args(["--set", option]);
         }
         let node = Node::run(command, discovery);
-        let line = node.log().into_iter().find(|l| l.contains("listening on ")).expect("peers are on");
+        let line = node
+            .log()
+            .into_iter()
+            .find(|l| l.contains("listening on "))
+            .expect("peers are on");
         let (_, rest) = line.split_once("listening on ").expect("an address");
         let at = rest.split(',').next().and_then(|at| at.parse().ok());
         wire.copies.lock().expect("no panic")[number] = Some(at.expect("an address"));
@@ -106,7 +131,11 @@
 }
 
 /// Waits until the figures of all of these copies are as wanted.
-fn all<'a>(copies: impl IntoIterator<Item = &'a Copy>, what: &str, wanted: impl Fn(&Value) -> bool) {
+fn all<'a>(
+    copies: impl IntoIterator<Item = &'a Copy>,
+    what: &str,
+    wanted: impl Fn(&Value) -> bool,
+) {
     let (started, copies) = (Instant::now(), Vec::from_iter(copies));
     while !copies.iter().all(|c| wanted(&c.tier())) {
         if started.elapsed() > LONG {
@@ -120,19 +149,29 @@
 #[test]
 fn a_tier_knows_who_is_there_and_speaks_what_all_of_it_reads() {
     let (wire, upstream) = (Wire::start(), Upstream::start(|_| ok("x")));
-    let mut copies: Vec<Copy> = (0..COPIES).map(|n| Copy::start(n, &wire, &upstream, &[])).collect();
-    let whole = |t: &Value| t["up"] == COPIES && t["joined"] == true && t["sums"]["heard"] == COPIES;
-    all(&copies, "all are there, and their sums", |t| whole(t) && t["version"] == 2);
+    let mut copies: Vec<Copy> = (0..COPIES)
+        .map(|n| Copy::start(n, &wire, &upstream, &[]))
+        .collect();
+    let whole =
+        |t: &Value| t["up"] == COPIES && t["joined"] == true && t["sums"]["heard"] == COPIES;
+    all(&copies, "all are there, and their sums", |t| {
+        whole(t) && t["version"] == 2
+    });
     // A connection that one of them holds is known to each.
     let mut client = copies[0].node.client();
     assert_eq!(client.call(&get("held", "20000m")).status(), 200);
     all(&copies, "its connection", |t| {
-        whole(t) && t["sums"]["callers"].as_f64().is_some_and(|held| (0.9..1.1).contains(&held))
+        whole(t)
+            && t["sums"]["callers"]
+                .as_f64()
+                .is_some_and(|held| (0.9..1.1).contains(&held))
     });
 
     // Killed, it is missed, and comes back with nothing remembered.
     drop(copies.pop());
-    all(&copies, "one is gone", |t| t["up"] == COPIES - 1 && t["sums"]["heard"] == COPIES - 1);
+    all(&copies, "one is gone", |t| {
+        t["up"] == COPIES - 1 && t["sums"]["heard"] == COPIES - 1
+    });
     copies.push(Copy::start(COPIES - 1, &wire, &upstream, &[]));
     all(&copies, "it is back", whole);
 
@@ -145,7 +184,9 @@
         let (to, from) = (n % COPIES, (n / COPIES) % COPIES);
         for bytes in [&bytes, &headed] {
             stranger.send_to(bytes, wire.listens(to)).expect("sends");
-            wire.peers[from].send_to(bytes, wire.listens(to)).expect("sends");
+            wire.peers[from]
+                .send_to(bytes, wire.listens(to))
+                .expect("sends");
         }
     }
     all(&copies, "garbage is counted and changes nothing", |t| {
@@ -160,13 +201,21 @@
     let before = copies[0].tier()["epoch"].as_u64().expect("an epoch");
     let mut old = Copy::start(0, &wire, &upstream, &["peers.version_most=1"]);
     let first = |t: &Value| t["up"] == COPIES && t["version"] == 1 && t["sums"].is_null();
-    all(copies.iter().chain([&old]), "all speak the first version", first);
-    assert!(copies.iter().all(|c| c.tier()["epoch"].as_u64() > Some(before)));
+    all(
+        copies.iter().chain([&old]),
+        "all speak the first version",
+        first,
+    );
+    assert!(copies
+        .iter()
+        .all(|c| c.tier()["epoch"].as_u64() > Some(before)));
     old.serves();
     old.node.terminate();
     assert!(old.node.wait().success());
     let fewer = |t: &Value| t["up"] == COPIES - 1 && t["version"] == 2;
-    all(&copies, "the others speak the second again", |t| fewer(t) && t["sums"]["heard"] == COPIES - 1);
+    all(&copies, "the others speak the second again", |t| {
+        fewer(t) && t["sums"]["heard"] == COPIES - 1
+    });
     copies.iter().for_each(Copy::serves);
     assert!(wire.longest.load(Ordering::SeqCst) <= 256);
 }
@@ -177,10 +226,26 @@
     let peers: Vec<String> = (1..=COPIES).map(|n| format!("\"127.0.0.1:{n}\"")).collect();
     let peers = peers.join(",");
     for (from, to, wanted) in [
-        ("\"peers\":true,", "", "settings.permissions.peers: datagrams are not allowed"),
-        ("\"127.0.0.1:2\"", "\"127.0.0.1\"", "peers[1]: \"127.0.0.1\" is no IPv4 address and port"),
-        ("\"peer_listen\":\"127.0.0.1:0\",", "", "peer_listen: missing"),
-        ("\"peer_listen\":\"127.0.0.1:0\"", "\"peer_listen\":\"192.0.2.1:9\"", "peer_listen: 192.0.2.1:9: "),
+        (
+            "\"peers\":true,",
+            "",
+            "settings.permissions.peers: datagrams are not allowed",
+        ),
+        (
+            "\"127.0.0.1:2\"",
+            "\"127.0.0.1\"",
+            "peers[1]: \"127.0.0.1\" is no IPv4 address and port",
+        ),
+        (
+            "\"peer_listen\":\"127.0.0.1:0\",",
+            "",
+            "peer_listen: missing",
+        ),
+        (
+            "\"peer_listen\":\"127.0.0.1:0\"",
+            "\"peer_listen\":\"192.0.2.1:9\"",
+            "peer_listen: 192.0.2.1:9: ",
+        ),
     ] {
         let (dir, discovery) = (TempDir::new().expect("a folder"), Discovery::start());
         let text = configured(0, discovery.addr, upstream.addr, &peers);
@@ -188,18 +253,33 @@
         let text = text.replace(from, to);
         if !to.contains("192") {
             let mut check = command(&text);
-            check.args(["check", "--set", "peers.on=true"]).stdout(Stdio::piped());
+            check
+                .args(["check", "--set", "peers.on=true"])
+                .stdout(Stdio::piped());
             let told = check.output().expect("runs").stdout;
             let told = String::from_utf8_lossy(&told).into_owned();
             assert!(told.contains(&format!("peers: off, {wanted}")), "{told}");
         }
         let mut run = command(&text);
-        run.args(["run", "--set", "peers.on=true", "--set", "figures.every=100ms", "--set"]);
+        run.args([
+            "run",
+            "--set",
+            "peers.on=true",
+            "--set",
+            "figures.every=100ms",
+            "--set",
+        ]);
         run.arg(format!("figures.dir={}", dir.path().display()));
         let node = Node::run(run, discovery);
         assert_eq!(node.client().call(&get("r", "20000m")).status(), 200);
         node.logs("going on without");
-        assert_eq!(node.log().iter().filter(|l| l.contains("peers: ") && l.contains(wanted)).count(), 1);
+        assert_eq!(
+            node.log()
+                .iter()
+                .filter(|l| l.contains("peers: ") && l.contains(wanted))
+                .count(),
+            1
+        );
         let started = Instant::now();
         while figures(&dir)["requests"] != 1 {
             assert!(started.elapsed() < PATIENCE, "{}", figures(&dir));
--- a/balancer/proxy/tests/peers_addresses.rs
+++ b/balancer/proxy/tests/peers_addresses.rs
@@ -12,16 +12,39 @@
     let read = |listen: Value, peers: Value| Unread { listen, peers }.read(2);
     let (good, two) = (json!("127.0.0.1:0"), json!(["127.0.0.1:7", "127.0.0.2:7"]));
     let read_well = read(good.clone(), two.clone()).expect("good");
-    assert_eq!(read_well.senders().get(&read_well.peers[1]), Some(&Member(1)));
+    assert_eq!(
+        read_well.senders().get(&read_well.peers[1]),
+        Some(&Member(1))
+    );
     for (listen, peers, wanted) in [
         (Value::Null, two.clone(), "peer_listen: missing"),
-        (json!("[::1]:7"), two, "peer_listen: \"[::1]:7\" is no IPv4 address and port"),
+        (
+            json!("[::1]:7"),
+            two,
+            "peer_listen: \"[::1]:7\" is no IPv4 address and port",
+        ),
         (good.clone(), Value::Null, "peers: missing"),
         (good.clone(), json!("127.0.0.1:7"), "peers: no list"),
-        (good.clone(), json!(["127.0.0.1:7"]), "peers: 1 addresses for 2 balancers"),
-        (good.clone(), json!(["127.0.0.1:7", 7]), "peers[1]: 7 is no IPv4 address and port"),
-        (good.clone(), json!(["127.0.0.1:7", "127.0.0.1:0"]), "peers[1]: 127.0.0.1:0 has no port"),
-        (good, json!(["127.0.0.1:7", "127.0.0.1:7"]), "peers[1]: 127.0.0.1:7 is peers[0] already"),
+        (
+            good.clone(),
+            json!(["127.0.0.1:7"]),
+            "peers: 1 addresses for 2 balancers",
+        ),
+        (
+            good.clone(),
+            json!(["127.0.0.1:7", 7]),
+            "peers[1]: 7 is no IPv4 address and port",
+        ),
+        (
+            good.clone(),
+            json!(["127.0.0.1:7", "127.0.0.1:0"]),
+            "peers[1]: 127.0.0.1:0 has no port",
+        ),
+        (
+            good,
+            json!(["127.0.0.1:7", "127.0.0.1:7"]),
+            "peers[1]: 127.0.0.1:7 is peers[0] already",
+        ),
     ] {
         assert_eq!(read(listen, peers), Err(wanted.into()));
     }
--- a/balancer/proxy/tests/peers_observations.rs
+++ b/balancer/proxy/tests/peers_observations.rs
@@ -1,25 +1,83 @@
 //! What the decisions learn from the tier's other replicas, by what the operator has switched off.
-use balancer_proxy::{options, tier_word};
 use balancer_core::TierWord;
 use balancer_gossip as peers;
+use balancer_proxy::{options, tier_word};
 
 #[test]
 fn what_is_switched_off_is_not_heard() {
-    let tenants = vec![peers::TenantFigures { demand: 5.0, calls: 6.0, callers: 7.0 }];
-    let figures = peers::Figures { demand: 1.0, room: 2.0, firsts: 3.0, retries: 4.0, tenants };
-    let sums = Some(peers::Sums { figures, age: 10.0, heard: 3, error: 0.5 });
+    let tenants = vec![peers::TenantFigures {
+        demand: 5.0,
+        calls: 6.0,
+        callers: 7.0,
+    }];
+    let figures = peers::Figures {
+        demand: 1.0,
+        room: 2.0,
+        firsts: 3.0,
+        retries: 4.0,
+        tenants,
+    };
+    let sums = Some(peers::Sums {
+        figures,
+        age: 10.0,
+        heard: 3,
+        error: 0.5,
+    });
     let subject = peers::Subject::Zone(1);
-    let evidence = vec![peers::Evidence { subject, observers: 2, zones: 2, cleared: 0, age: 20.0 }];
-    let all = peers::Word { up: 4, place: 3, version: 2, epoch: 9, joined: true, sums, evidence };
+    let evidence = vec![peers::Evidence {
+        subject,
+        observers: 2,
+        zones: 2,
+        cleared: 0,
+        age: 20.0,
+    }];
+    let all = peers::Word {
+        up: 4,
+        place: 3,
+        version: 2,
+        epoch: 9,
+        joined: true,
+        sums,
+        evidence,
+    };
     let hears = |shed, shares, trials, verdicts| {
-        let may = options::Peers { on: true, version_most: 2, shed, shares, trials, verdicts };
-        let TierWord { up, place, joined, sums, evidence } = tier_word(all.clone(), &may);
+        let may = options::Peers {
+            on: true,
+            version_most: 2,
+            shed,
+            shares,
+            trials,
+            verdicts,
+        };
+        let TierWord {
+            up,
+            place,
+            joined,
+            sums,
+            evidence,
+        } = tier_word(all.clone(), &may);
         assert!(joined);
-        let load = sums.map(|s| (s.age, s.load.demand, s.load.tenants[0].demand, s.load.tenants[0].calls));
+        let load = sums.map(|s| {
+            (
+                s.age,
+                s.load.demand,
+                s.load.tenants[0].demand,
+                s.load.tenants[0].calls,
+            )
+        });
         (up, place, load, evidence.len())
     };
-    assert_eq!(hears(true, true, true, true), (4, 3, Some((10.0, 1.0, 5.0, 6.0)), 1));
-    assert_eq!(hears(true, false, false, true), (1, 0, Some((10.0, 1.0, 5.0, 0.0)), 1));
-    assert_eq!(hears(false, true, true, false), (4, 3, Some((10.0, 0.0, 0.0, 6.0)), 0));
+    assert_eq!(
+        hears(true, true, true, true),
+        (4, 3, Some((10.0, 1.0, 5.0, 6.0)), 1)
+    );
+    assert_eq!(
+        hears(true, false, false, true),
+        (1, 0, Some((10.0, 1.0, 5.0, 0.0)), 1)
+    );
+    assert_eq!(
+        hears(false, true, true, false),
+        (4, 3, Some((10.0, 0.0, 0.0, 6.0)), 0)
+    );
     assert_eq!(hears(false, false, false, false), (1, 0, None, 0));
 }
--- a/balancer/proxy/tests/readiness.rs
+++ b/balancer/proxy/tests/readiness.rs
@@ -19,7 +19,11 @@
         assert!(started.elapsed() < READY, "{case}: not ready");
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(node.client().call(&get("r", "5000m")).body, b"x", "{case}: ready, and serves nobody");
+    assert_eq!(
+        node.client().call(&get("r", "5000m")).body,
+        b"x",
+        "{case}: ready, and serves nobody"
+    );
 }
 
 fn run(agent: &Agent, mode: &str, known: &str) -> Node {
@@ -36,8 +40,13 @@
     let empty = listing(1, true, &[]);
     let list = listing(2, true, &[(0, upstream.addr, "active")]);
     let cases = ["pushed", "on_request"].into_iter().flat_map(|mode| {
-        [("absent", "null"), ("old", &*old), ("empty", &*empty), ("leaving", &*leaving)]
-            .map(|(name, known)| (mode, name, known.to_string()))
+        [
+            ("absent", "null"),
+            ("old", &*old),
+            ("empty", &*empty),
+            ("leaving", &*leaving),
+        ]
+        .map(|(name, known)| (mode, name, known.to_string()))
     });
     // All at once: what they wait for is time.
     std::thread::scope(|threads| {
@@ -96,7 +105,11 @@
 fn a_balancer_that_knows_a_list_is_ready_while_discovery_is_down() {
     let upstream = Upstream::start(|_| ok("x"));
     let agent = Agent::start(|_, _| Manner::Silent);
-    let node = run(&agent, "pushed", &listing(1, true, &[(0, upstream.addr, "active")]));
+    let node = run(
+        &agent,
+        "pushed",
+        &listing(1, true, &[(0, upstream.addr, "active")]),
+    );
     becomes_ready(&node, Instant::now(), "known");
 }
 
@@ -104,7 +117,11 @@
 #[test]
 fn a_balancer_that_knows_nobody_to_send_to_is_not_ready() {
     let agent = Agent::start(|_, _| Manner::Silent);
-    let leaving = listing(1, true, &[(0, refusing(), "leaving"), (1, refusing(), "leaving")]);
+    let leaving = listing(
+        1,
+        true,
+        &[(0, refusing(), "leaving"), (1, refusing(), "leaving")],
+    );
     for known in ["null".to_string(), listing(1, true, &[]), leaving] {
         let node = run(&agent, "pushed", &known);
         agent.called();
