--- a/balancer/proxy/tests/recovery.rs
+++ b/balancer/proxy/tests/recovery.rs
@@ -10,7 +10,12 @@
     let discovery = Discovery::start();
     let mut command = command(&config(discovery.addr, 1024, "null"));
     command.args(["run", "--set", &format!("recovery.dir={}", dir.display())]);
-    command.args(["--set", &format!("figures.dir={}", dir.display()), "--set", "figures.every=100ms"]);
+    command.args([
+        "--set",
+        &format!("figures.dir={}", dir.display()),
+        "--set",
+        "figures.every=100ms",
+    ]);
     Node::run(command, discovery)
 }
 
@@ -22,17 +27,28 @@
         .stdout(Stdio::piped())
         .output()
         .expect("runs");
-    (out.status.code(), String::from_utf8_lossy(&out.stdout).into_owned())
+    (
+        out.status.code(),
+        String::from_utf8_lossy(&out.stdout).into_owned(),
+    )
 }
 
 #[test]
 fn a_killed_balancer_serves_from_the_list_it_had_while_discovery_is_silent() {
     let dir = TempDir::new().expect("a folder");
-    let (kept, gone) = (Upstream::start(|_| ok("kept")), Upstream::start(|_| ok("gone")));
+    let (kept, gone) = (
+        Upstream::start(|_| ok("kept")),
+        Upstream::start(|_| ok("gone")),
+    );
     let node = started(dir.path());
     node.logs("recovery: start 1, no list: none was kept");
-    node.discovery.answer(&listing(4, true, &[(0, kept.addr, "active"), (1, gone.addr, "active")]));
-    node.discovery.answer(&listing(5, false, &[(1, gone.addr, "left")]));
+    node.discovery.answer(&listing(
+        4,
+        true,
+        &[(0, kept.addr, "active"), (1, gone.addr, "active")],
+    ));
+    node.discovery
+        .answer(&listing(5, false, &[(1, gone.addr, "left")]));
     // The call after the last answer: that one has been taken.
     while !node.discovery.called().starts_with("/api/targets?since=5&") {}
     let shown = || state("show", dir.path()).1;
@@ -42,8 +58,9 @@
     }
     let figures = || std::fs::read_to_string(dir.path().join("figures.json")).unwrap_or_default();
     // One write or two: a newer list takes the place of one that the disk has not got to.
-    let written =
-        |text: String| text.contains("\"recovery\":{\"commits\":") && !text.contains("\"commits\":0");
+    let written = |text: String| {
+        text.contains("\"recovery\":{\"commits\":") && !text.contains("\"commits\":0")
+    };
     while !written(figures()) {
         assert!(started_at.elapsed() < PATIENCE, "{}", figures());
     }
@@ -80,12 +97,23 @@
     first.logs("recovery: start 1");
     let second = started(dir.path());
     second.logs("another process holds it; going on without");
-    assert_eq!(second.client().call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 503);
+    assert_eq!(
+        second
+            .client()
+            .call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+            .status(),
+        503
+    );
     drop((first, second));
     assert_eq!(state("check", dir.path()).0, Some(0));
     let file = dir.path().join("state.redb");
     let length = std::fs::metadata(&file).expect("the state").len();
-    std::fs::OpenOptions::new().write(true).open(&file).expect("opens").set_len(length / 3).expect("cuts");
+    std::fs::OpenOptions::new()
+        .write(true)
+        .open(&file)
+        .expect("opens")
+        .set_len(length / 3)
+        .expect("cuts");
     assert_eq!(state("check", dir.path()).0, Some(2));
     let third = started(dir.path());
     third.logs("set aside as ");
@@ -98,12 +126,19 @@
 /// What a run of a balancer logged of what it found.
 fn recovered(node: &Node) -> String {
     node.logs("recovery: ");
-    node.log().into_iter().find(|l| l.contains("recovery: ")).expect("was logged")
+    node.log()
+        .into_iter()
+        .find(|l| l.contains("recovery: "))
+        .expect("was logged")
 }
 
 /// What is kept under a kind, as `state show` prints it.
 fn kept(kind: &str, dir: &Path) -> Option<String> {
-    state("show", dir).1.lines().find(|l| l.starts_with(kind)).map(str::to_string)
+    state("show", dir)
+        .1
+        .lines()
+        .find(|l| l.starts_with(kind))
+        .map(str::to_string)
 }
 
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
@@ -121,7 +156,11 @@
     let with = |config: &dyn Fn(&str) -> String, more: &[&str]| {
         let discovery = Discovery::start();
         let mut command = command(&config(&discovery.addr.to_string()));
-        command.args(["run", "--set", &format!("recovery.dir={}", dir.path().display())]);
+        command.args([
+            "run",
+            "--set",
+            &format!("recovery.dir={}", dir.path().display()),
+        ]);
         for option in more {
             command.args(["--set", option]);
         }
@@ -130,24 +169,44 @@
     let plain = |at: &str| config(at.parse().expect("an address"), 1024, "null");
     let node = with(&plain, &["recovery.every=100ms"]);
     assert!(recovered(&node).contains("nothing learned: none was kept"));
-    node.discovery.answer(&listing(1, true, &[(0, upstream.addr, "active")]));
-    wait_until("ready", || node.client().call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200);
+    node.discovery
+        .answer(&listing(1, true, &[(0, upstream.addr, "active")]));
+    wait_until("ready", || {
+        node.client()
+            .call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+            .status()
+            == 200
+    });
     let mut client = node.client();
     for n in 0..20 {
         assert_eq!(client.call(&get(&format!("r{n}"), "5000m")).body, b"served");
     }
-    wait_until("learned is kept", || kept("learned", dir.path()).is_some_and(|l| l.contains("capacity")));
+    wait_until("learned is kept", || {
+        kept("learned", dir.path()).is_some_and(|l| l.contains("capacity"))
+    });
     drop(node);
     let node = with(&plain, &[]);
-    assert!(recovered(&node).contains("what was learned until"), "{:?}", node.log());
+    assert!(
+        recovered(&node).contains("what was learned until"),
+        "{:?}",
+        node.log()
+    );
     assert_eq!(node.client().call(&get("again", "5000m")).body, b"served");
     drop(node);
     let node = with(&plain, &["recovery.learned=false"]);
-    assert!(recovered(&node).contains("nothing learned: not asked for"), "{:?}", node.log());
+    assert!(
+        recovered(&node).contains("nothing learned: not asked for"),
+        "{:?}",
+        node.log()
+    );
     drop(node);
     let other = |at: &str| plain(at).replace("\"quota_per_s\":5000", "\"quota_per_s\":4000");
     let node = with(&other, &[]);
-    assert!(recovered(&node).contains("nothing learned: the settings are others now"), "{:?}", node.log());
+    assert!(
+        recovered(&node).contains("nothing learned: the settings are others now"),
+        "{:?}",
+        node.log()
+    );
 }
 
 /// The number of a start, as its figures have it.
@@ -171,7 +230,10 @@
         numbers.extend(incarnation(dir.path()));
         drop(node);
     }
-    assert!(numbers.windows(2).all(|pair| pair[0] < pair[1]), "{numbers:?}");
+    assert!(
+        numbers.windows(2).all(|pair| pair[0] < pair[1]),
+        "{numbers:?}"
+    );
 }
 
 /// The disk is full, then fails, then is well again: requests are served throughout, and what waits is written.
@@ -199,15 +261,27 @@
     };
     let node = run();
     node.logs("recovery: start 1");
-    node.discovery.answer(&listing(1, true, &[(0, upstream.addr, "active")]));
-    wait_until("the list is kept", || kept("upstreams", dir.path()).is_some_and(|l| l.contains("s-0")));
+    node.discovery
+        .answer(&listing(1, true, &[(0, upstream.addr, "active")]));
+    wait_until("the list is kept", || {
+        kept("upstreams", dir.path()).is_some_and(|l| l.contains("s-0"))
+    });
     for fault in ["full", "failing", "slow 20s"] {
         std::fs::write(&drill, fault).expect("writes");
         if fault != "slow 20s" {
-            node.logs(if fault == "full" { "no space left (drill)" } else { "input/output error (drill)" });
+            node.logs(if fault == "full" {
+                "no space left (drill)"
+            } else {
+                "input/output error (drill)"
+            });
         }
         for n in 0..5 {
-            assert_eq!(node.client().call(&get(&format!("{}{n}", &fault[..4]), "5000m")).body, b"served");
+            assert_eq!(
+                node.client()
+                    .call(&get(&format!("{}{n}", &fault[..4]), "5000m"))
+                    .body,
+                b"served"
+            );
         }
     }
     drop(node);
--- a/balancer/proxy/tests/repeat_window.rs
+++ b/balancer/proxy/tests/repeat_window.rs
@@ -36,12 +36,22 @@
     node.discovery.called();
     let mut client = node.client();
     client.send(&keyed("k1"));
-    came.recv_timeout(PATIENCE).expect("a request at the upstream");
+    came.recv_timeout(PATIENCE)
+        .expect("a request at the upstream");
     // Only now is there another upstream, to which the repeat goes.
-    node.discovery.answer(&listing(2, false, &[(1, late.addr, "active")]));
+    node.discovery
+        .answer(&listing(2, false, &[(1, late.addr, "active")]));
     assert!(node.discovery.called().contains("since=2&"));
     go_on.send(()).expect("the upstream runs");
     let answer = client.answer().expect("an answer soon after the window");
-    assert_eq!(answer.status(), 503, "what is known by its key may be tried again");
-    assert_eq!(breaks.further(), 1, "no repeat goes to the one that failed either");
+    assert_eq!(
+        answer.status(),
+        503,
+        "what is known by its key may be tried again"
+    );
+    assert_eq!(
+        breaks.further(),
+        1,
+        "no repeat goes to the one that failed either"
+    );
 }
--- a/balancer/proxy/tests/silence.rs
+++ b/balancer/proxy/tests/silence.rs
@@ -31,16 +31,24 @@
 }
 
 fn what_three_silences_hid_is_known_in_time(mode: &str) {
-    let (old, new) = (Upstream::start(|_| ok("old")), Upstream::start(|_| ok("new")));
+    let (old, new) = (
+        Upstream::start(|_| ok("old")),
+        Upstream::start(|_| ok("new")),
+    );
     let (addr, calls) = silent(3, listing(6, true, &[(1, new.addr, "active")]));
     let known = listing(5, true, &[(0, old.addr, "active")]);
     let config = config(addr, 1024, &known).replace("on_request", mode);
     let node = Node::run(command(&config), Discovery::start());
-    let calls: Vec<Instant> = (0..4).map(|_| calls.recv_timeout(PATIENCE).expect("a call")).collect();
+    let calls: Vec<Instant> = (0..4)
+        .map(|_| calls.recv_timeout(PATIENCE).expect("a call"))
+        .collect();
     // What the first one hid counts as told 6 s after it fell silent. A slow machine lengthens a wait, so that the
     // shortest of those on which it rests says what was meant.
     let waits = calls.windows(2).map(|pair| pair[1] - pair[0]);
-    assert!(waits.min().expect("three waits") * 3 < Duration::from_secs(6), "{calls:?}");
+    assert!(
+        waits.min().expect("three waits") * 3 < Duration::from_secs(6),
+        "{calls:?}"
+    );
     let mut client = node.client();
     let started = Instant::now();
     while client.call(&get("r", "5000m")).body != b"new" {
@@ -67,12 +75,20 @@
         let (addr, calls) = silent(4, listing(6, true, &[(1, new.addr, "active")]));
         let config = config(addr, 1024, "null").replace("on_request", mode);
         let node = Node::run(command(&config), Discovery::start());
-        let calls: Vec<Instant> = (0..5).map(|_| calls.recv_timeout(PATIENCE).expect("a call")).collect();
+        let calls: Vec<Instant> = (0..5)
+            .map(|_| calls.recv_timeout(PATIENCE).expect("a call"))
+            .collect();
         // 1.5 s each; a slow machine lengthens a wait, but not the last beyond the first by so much.
-        assert!(calls[4] - calls[3] < Duration::from_secs(4), "{mode}: {calls:?}");
+        assert!(
+            calls[4] - calls[3] < Duration::from_secs(4),
+            "{mode}: {calls:?}"
+        );
         let (mut client, started) = (node.client(), Instant::now());
         while client.call(&get("r", "5000m")).body != b"new" {
-            assert!(started.elapsed() < PATIENCE, "{mode}: the list is not in use");
+            assert!(
+                started.elapsed() < PATIENCE,
+                "{mode}: the list is not in use"
+            );
         }
     }
 }
--- a/balancer/proxy/tests/sockets_attempts.rs
+++ b/balancer/proxy/tests/sockets_attempts.rs
@@ -8,7 +8,13 @@
 /// The first request is met with `first`, all later ones with an answer, whichever upstream they reach.
 fn first_then_ok(first: fn() -> Then) -> impl Fn(&Message) -> Then + Clone + Send + Sync {
     let seen = Arc::new(AtomicUsize::new(0));
-    move |_| if seen.fetch_add(1, Ordering::SeqCst) == 0 { first() } else { ok("served") }
+    move |_| {
+        if seen.fetch_add(1, Ordering::SeqCst) == 0 {
+            first()
+        } else {
+            ok("served")
+        }
+    }
 }
 
 #[test]
@@ -49,16 +55,25 @@
 
 #[test]
 fn a_connection_closed_while_it_rested_costs_no_request() {
-    let upstream =
-        Upstream::start(|_| Then::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".into()));
+    let upstream = Upstream::start(|_| {
+        Then::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".into())
+    });
     let node = Node::with(&[upstream.addr]);
     let mut client = node.client();
     node.discovery.called();
-    assert_eq!(client.call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+    assert_eq!(
+        client
+            .call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+            .status(),
+        200
+    );
     let without = node.descriptors();
     for i in 0..20 {
         assert_eq!(client.call(&pay(&format!("r{i}"), "5000m")).status(), 200);
-        assert_eq!(upstream.request().header("req-id"), Some(format!("r{i}").as_str()));
+        assert_eq!(
+            upstream.request().header("req-id"),
+            Some(format!("r{i}").as_str())
+        );
         node.holds(|n| n <= without, "the closed connection is still held");
     }
     assert_eq!(upstream.further(), 0);
@@ -66,8 +81,15 @@
 
 #[test]
 fn silence_until_the_deadline_gets_one_answer_and_closes_the_connection() {
-    let silent =
-        || Upstream::start(|m| if m.header("req-id") == Some("late") { Then::Wait } else { ok("x") });
+    let silent = || {
+        Upstream::start(|m| {
+            if m.header("req-id") == Some("late") {
+                Then::Wait
+            } else {
+                ok("x")
+            }
+        })
+    };
     let upstream = silent();
     let node = Node::with(&[upstream.addr]);
     let mut client = node.client();
@@ -81,7 +103,13 @@
 
 #[test]
 fn an_attempt_is_called_off_when_its_client_has_gone() {
-    let upstream = Upstream::start(|m| if m.header("req-id") == Some("gone") { Then::Wait } else { ok("x") });
+    let upstream = Upstream::start(|m| {
+        if m.header("req-id") == Some("gone") {
+            Then::Wait
+        } else {
+            ok("x")
+        }
+    });
     let node = Node::with(&[upstream.addr]);
     let mut client = node.client();
     client.send(&pay("gone", "20000m"));
@@ -103,8 +131,12 @@
 fn dialling(more: impl Fn(String) -> String) -> (Node, Unreachable) {
     let full = Unreachable::start();
     let discovery = Discovery::start();
-    let config = config(discovery.addr, 1024, &listing(1, true, &[(0, full.addr, "active")]))
-        .replace("\"idle_close\"", "\"dial_timeout\":20000,\"idle_close\"");
+    let config = config(
+        discovery.addr,
+        1024,
+        &listing(1, true, &[(0, full.addr, "active")]),
+    )
+    .replace("\"idle_close\"", "\"dial_timeout\":20000,\"idle_close\"");
     let node = Node::run(command(&more(config)), discovery);
     node.discovery.called();
     (node, full)
@@ -131,7 +163,8 @@
     let mut client = node.client();
     client.send(&pay("r1", "20000m"));
     node.holds(|n| n >= without + 2, "it does not dial");
-    node.discovery.answer(&listing(2, false, &[(0, full.addr, "leaving")]));
+    node.discovery
+        .answer(&listing(2, false, &[(0, full.addr, "leaving")]));
     assert!(node.discovery.called().contains("since=2&"));
     assert!(read(&mut full.reach()).is_none());
     // Nothing ran, and nobody else is there to serve it.
--- a/balancer/proxy/tests/sockets_clients.rs
+++ b/balancer/proxy/tests/sockets_clients.rs
@@ -14,7 +14,10 @@
         assert_eq!(client.call(&get(&format!("r{i}"), "10000m")).status(), 200);
         clients.push(client);
     }
-    assert!(clients[0].answer().is_none(), "the first was closed between requests");
+    assert!(
+        clients[0].answer().is_none(),
+        "the first was closed between requests"
+    );
 }
 
 #[test]
--- a/balancer/proxy/tests/sockets_requests.rs
+++ b/balancer/proxy/tests/sockets_requests.rs
@@ -8,18 +8,35 @@
     let upstream = Upstream::start(|_| ok("the answer"));
     let node = Node::with(&[upstream.addr]);
     let mut client = node.client();
-    assert_eq!(client.call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+    assert_eq!(
+        client
+            .call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+            .status(),
+        200
+    );
     let answer = client.call(
         "POST /api/a%20b?q=1&r HTTP/1.1\r\nHost: service.internal\r\nReq-Id: 9b1f\r\nReq-Kind: order\r\n\
          Req-Owner: club\r\nReq-Deadline: 8000m\r\nIdempotency-Key: 5c0f\r\nContent-Length: 5\r\n\r\nhello",
     );
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"the answer"[..]));
+    assert_eq!(
+        (answer.status(), answer.body.as_slice()),
+        (200, &b"the answer"[..])
+    );
     let got = upstream.request();
     assert_eq!(got.start, "POST /api/a%20b?q=1&r HTTP/1.1");
-    assert_eq!((got.header("req-id"), got.header("idempotency-key")), (Some("9b1f"), Some("5c0f")));
+    assert_eq!(
+        (got.header("req-id"), got.header("idempotency-key")),
+        (Some("9b1f"), Some("5c0f"))
+    );
     assert_eq!(got.body, b"hello");
-    let wait = got.header("req-deadline").and_then(|d| d.strip_suffix('u')).expect("microseconds");
-    assert!((1..=8_000_000).contains(&wait.parse::<u64>().expect("a number")), "{wait}");
+    let wait = got
+        .header("req-deadline")
+        .and_then(|d| d.strip_suffix('u'))
+        .expect("microseconds");
+    assert!(
+        (1..=8_000_000).contains(&wait.parse::<u64>().expect("a number")),
+        "{wait}"
+    );
 }
 
 #[test]
@@ -46,23 +63,36 @@
         ("Req-Id: r1\r\n", "", 400),
         ("Req-Deadline: 5000m", "Req-Deadline: soon", 400),
         ("Req-Deadline: 5000m\r\n", "", 400),
-        ("Req-Deadline: 5000m", "Req-Deadline: 1m\r\nReq-Deadline: 2m", 400),
+        (
+            "Req-Deadline: 5000m",
+            "Req-Deadline: 1m\r\nReq-Deadline: 2m",
+            400,
+        ),
         ("GET", "DELETE", 400),
         ("/api/x", "/elsewhere", 404),
         ("/api/x", "/apix", 404),
     ] {
-        assert_eq!(client.call(&good.replace(from, to)).status(), status, "{to:?} for {from:?}");
+        assert_eq!(
+            client.call(&good.replace(from, to)).status(),
+            status,
+            "{to:?} for {from:?}"
+        );
     }
     // What may be repeated has no body; one that is sent all the same must not reach an upstream.
     let bodied = good.replace("\r\n\r\n", "\r\nContent-Length: 4\r\n\r\nbody");
     assert_eq!(node.client().call(&bodied).status(), 400);
     let mut large = node.client();
-    let head = pay("r2", "5000m").replace("Content-Length: 4\r\n\r\nbody", "Content-Length: 65537\r\n\r\n");
+    let head = pay("r2", "5000m").replace(
+        "Content-Length: 4\r\n\r\nbody",
+        "Content-Length: 65537\r\n\r\n",
+    );
     assert_eq!(large.call(&head).status(), 413);
     // Not stated but streamed: counted while it comes.
     let mut large = node.client();
-    let head =
-        pay("r3", "5000m").replace("Content-Length: 4\r\n\r\nbody", "Transfer-Encoding: chunked\r\n\r\n");
+    let head = pay("r3", "5000m").replace(
+        "Content-Length: 4\r\n\r\nbody",
+        "Transfer-Encoding: chunked\r\n\r\n",
+    );
     large.send(&format!("{head}10001\r\n{}\r\n", "x".repeat(0x10001)));
     assert_eq!(large.answer().expect("an answer").status(), 413);
     node.client().send("\u{16}\u{3}\u{1} garbage \r\n\r\n\r\n");
@@ -76,12 +106,21 @@
     // Nobody is known to serve it, and its deadline is far off.
     let node = Node::start(1024, "null");
     let mut client = node.client();
-    assert_eq!(client.call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 503);
+    assert_eq!(
+        client
+            .call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+            .status(),
+        503
+    );
     let started = std::time::Instant::now();
     let answer = client.call(&pay("r1", "86400000m"));
     assert_eq!(answer.status(), 503);
     assert!(started.elapsed() < PATIENCE);
-    let after: f64 = answer.header("retry-after").expect("advice").parse().expect("a number");
+    let after: f64 = answer
+        .header("retry-after")
+        .expect("advice")
+        .parse()
+        .expect("a number");
     assert!(after > 0.0 && after <= 2.0, "{after}");
 }
 
@@ -91,13 +130,20 @@
     for (from, to, field) in [
         ("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":5", "seed"),
         ("127.0.0.1:0", "nowhere", "listen"),
-        ("\"balancers\":1", "\"balancers\":\"x\"", "settings: balancers"),
+        (
+            "\"balancers\":1",
+            "\"balancers\":\"x\"",
+            "settings: balancers",
+        ),
         ("\"tip_multiple\":4", "\"other\":4", "tip_multiple"),
         ("\"sockets\":1024", "\"sockets\":-1", "limits.sockets"),
     ] {
         let output = command(&good.replace(from, to)).output().expect("runs");
         let log = String::from_utf8(output.stderr).expect("text");
         assert!(!output.status.success());
-        assert!(log.lines().count() == 1 && log.contains(field), "{field}: {log}");
+        assert!(
+            log.lines().count() == 1 && log.contains(field),
+            "{field}: {log}"
+        );
     }
 }
--- a/balancer/proxy/tests/sockets_shutdown.rs
+++ b/balancer/proxy/tests/sockets_shutdown.rs
@@ -8,7 +8,10 @@
     let (word, hold) = channel();
     let hold = std::sync::Mutex::new(Some(hold));
     let upstream = Upstream::start(move |_| match hold.lock().expect("no panic").take() {
-        Some(hold) => Then::Hold(hold, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nheld".into()),
+        Some(hold) => Then::Hold(
+            hold,
+            "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nheld".into(),
+        ),
         None => ok("x"),
     });
     let mut node = Node::with(&[upstream.addr]);
@@ -24,7 +27,10 @@
     let served = |answer: Option<Message>| match answer {
         Some(answer) => {
             assert_eq!(answer.status(), 200);
-            assert!(answer.header("connection").is_none() || !promised(), "told to leave");
+            assert!(
+                answer.header("connection").is_none() || !promised(),
+                "told to leave"
+            );
         }
         None => assert!(!promised(), "closed without an answer"),
     };
@@ -52,7 +58,13 @@
 
 #[test]
 fn a_request_that_comes_after_the_word_to_end_is_answered_before_the_end() {
-    let upstream = Upstream::start(|m| if m.header("req-id") == Some("last") { Then::Wait } else { ok("x") });
+    let upstream = Upstream::start(|m| {
+        if m.header("req-id") == Some("last") {
+            Then::Wait
+        } else {
+            ok("x")
+        }
+    });
     let mut node = Node::with(&[upstream.addr]);
     let mut client = node.client();
     assert_eq!(client.call(&get("first", "5000m")).status(), 200);
@@ -61,7 +73,11 @@
     // Its own deadline lies beyond the end of the program; the upstream says nothing.
     assert_eq!(client.call(&pay("last", "20000m")).status(), 502);
     assert_eq!(node.wait().code(), Some(0));
-    assert!(!node.log().iter().any(|l| l.contains("at the end")), "it was held up: {:?}", node.log());
+    assert!(
+        !node.log().iter().any(|l| l.contains("at the end")),
+        "it was held up: {:?}",
+        node.log()
+    );
 }
 
 #[test]
@@ -76,10 +92,17 @@
     upstream.request();
     node.terminate();
     assert_eq!(once.answer().expect("an answer, not a close").status(), 502);
-    assert_eq!(again.answer().expect("an answer, not a close").status(), 503);
+    assert_eq!(
+        again.answer().expect("an answer, not a close").status(),
+        503
+    );
     assert_eq!(node.wait().code(), Some(0));
     assert_eq!(upstream.further(), 0, "nothing new was sent at the end");
-    assert!(!node.log().iter().any(|l| l.contains("at the end")), "it was held up: {:?}", node.log());
+    assert!(
+        !node.log().iter().any(|l| l.contains("at the end")),
+        "it was held up: {:?}",
+        node.log()
+    );
 }
 
 #[test]
@@ -94,5 +117,8 @@
     assert_eq!(node.wait().code(), Some(0));
     let log = node.log();
     assert!(log.iter().any(|l| l.contains("told to end")), "{log:?}");
-    assert!(!log.iter().any(|l| l.contains("at the end")), "it was held up: {log:?}");
+    assert!(
+        !log.iter().any(|l| l.contains("at the end")),
+        "it was held up: {log:?}"
+    );
 }
--- a/balancer/settings/src/lib.rs
+++ b/balancer/settings/src/lib.rs
@@ -14,8 +14,8 @@
 mod limits;
 mod named;
 
-use limits::Lengths;
 use balancer_core::{Class, DedupScope, Effect, Settings, Tenant};
+use limits::Lengths;
 use serde::Deserialize;
 
 /// The settings with what the module has no use for but sockets do. Names stand at the position that the
@@ -164,10 +164,11 @@
 pub fn deployment(json: &[u8]) -> Result<Deployment, String> {
     let mut json = serde_json::Deserializer::from_slice(json);
     // The path names the key of a value of the wrong type; the message alone does not.
-    let s: Setup = serde_path_to_error::deserialize(&mut json).map_err(|e| match e.path().to_string() {
-        path if path == "." || path == "?" => e.inner().to_string(),
-        path => format!("{path}: {}", e.inner()),
-    })?;
+    let s: Setup =
+        serde_path_to_error::deserialize(&mut json).map_err(|e| match e.path().to_string() {
+            path if path == "." || path == "?" => e.inner().to_string(),
+            path => format!("{path}: {}", e.inner()),
+        })?;
     json.end().map_err(|e| e.to_string())?;
     let ask_for_list = match s.membership_mode.as_str() {
         "pushed" => false,
@@ -180,7 +181,14 @@
         stage: s.stage,
         zone: s.zone,
         classes: classes(&s.classes)?,
-        tenants: s.tenants.iter().map(|t| Tenant { share: t.share, quota_per_s: t.quota_per_s }).collect(),
+        tenants: s
+            .tenants
+            .iter()
+            .map(|t| Tenant {
+                share: t.share,
+                quota_per_s: t.quota_per_s,
+            })
+            .collect(),
         attempts_cap: s.permissions.attempts_cap,
         cancel: s.permissions.cancel,
         ask_for_list,
@@ -200,7 +208,9 @@
         zones: s.dcs.len(),
         kinds: s.kinds.len(),
     })?;
-    settings.validate().map_err(|e| named::refusal(&settings, &e))?;
+    settings
+        .validate()
+        .map_err(|e| named::refusal(&settings, &e))?;
     limits::check_objectives(&settings.classes)?;
     if !(0.0..=1e9).contains(&s.permissions.dial_timeout) {
         return Err("permissions.dial_timeout: must be a time of at least 0".into());
@@ -236,11 +246,23 @@
                 "cell" => DedupScope::Cell,
                 other => return Err(format!("dedup_scope: unknown scope {other:?}")),
             };
-            Effect::Guarded { scope, window: c.repeat_window }
+            Effect::Guarded {
+                scope,
+                window: c.repeat_window,
+            }
         }
         other => return Err(format!("effect: unknown effect {other:?}")),
     };
     let (runs_in, kinds_only) = (c.runs_in.clone(), c.kinds_only.clone());
-    let (objective, deadline, late_worth, worth) = (c.objective, c.deadline, c.late_worth, c.importance);
-    Ok(Class { objective, deadline, effect, late_worth, worth, runs_in, kinds_only })
+    let (objective, deadline, late_worth, worth) =
+        (c.objective, c.deadline, c.late_worth, c.importance);
+    Ok(Class {
+        objective,
+        deadline,
+        effect,
+        late_worth,
+        worth,
+        runs_in,
+        kinds_only,
+    })
 }
--- a/balancer/settings/src/limits.rs
+++ b/balancer/settings/src/limits.rs
@@ -32,7 +32,12 @@
 
 /// Refuses lists that are too long; the message names the list.
 pub fn check_lengths(lengths: &Lengths) -> Result<(), String> {
-    let Lengths { classes, tenants, zones, kinds } = *lengths;
+    let Lengths {
+        classes,
+        tenants,
+        zones,
+        kinds,
+    } = *lengths;
     for (field, length, most) in [
         ("classes", classes, CLASSES_MOST),
         ("tenants", tenants, TENANTS_MOST),
@@ -45,7 +50,9 @@
     }
     if classes * tenants > CLASSES_OF_TENANTS_MOST {
         let most = CLASSES_OF_TENANTS_MOST;
-        return Err(format!("tenants: {tenants} for {classes} classes; {most} at most of both multiplied"));
+        return Err(format!(
+            "tenants: {tenants} for {classes} classes; {most} at most of both multiplied"
+        ));
     }
     Ok(())
 }
@@ -53,7 +60,9 @@
 /// Refuses objectives that nothing can be divided by.
 pub fn check_objectives(classes: &[Class]) -> Result<(), String> {
     match classes.iter().position(|c| c.objective < OBJECTIVE_LEAST) {
-        Some(i) => Err(format!("classes[{i}].objective: must be at least {OBJECTIVE_LEAST}")),
+        Some(i) => Err(format!(
+            "classes[{i}].objective: must be at least {OBJECTIVE_LEAST}"
+        )),
         None => Ok(()),
     }
 }
--- a/balancer/settings/src/named.rs
+++ b/balancer/settings/src/named.rs
@@ -8,18 +8,32 @@
     match error.field.split_once('.') {
         Some(("classes", key)) => {
             let refused = |class: &Class| {
-                let alone = Settings { classes: vec![class.clone()], ..Settings::default() };
+                let alone = Settings {
+                    classes: vec![class.clone()],
+                    ..Settings::default()
+                };
                 alone.validate().is_err()
             };
-            let i = settings.classes.iter().position(refused).unwrap_or_default();
+            let i = settings
+                .classes
+                .iter()
+                .position(refused)
+                .unwrap_or_default();
             format!("classes[{i}].{}: {must}", key_of_class(key))
         }
         Some(("tenants", key)) => {
             let refused = |tenant: &Tenant| {
-                let alone = Settings { tenants: vec![tenant.clone()], ..Settings::default() };
+                let alone = Settings {
+                    tenants: vec![tenant.clone()],
+                    ..Settings::default()
+                };
                 alone.validate().is_err()
             };
-            let i = settings.tenants.iter().position(refused).unwrap_or_default();
+            let i = settings
+                .tenants
+                .iter()
+                .position(refused)
+                .unwrap_or_default();
             format!("tenants[{i}].{key}: {must}")
         }
         _ => format!("{}: {must}", key_of(error.field)),
--- a/balancer/settings/tests/bad_input.rs
+++ b/balancer/settings/tests/bad_input.rs
@@ -1,6 +1,7 @@
 //! Settings that can't be used are refused with one line that names the field; whatever is taken can be run with.
 use balancer_core::{
-    Action, Availability, Balancer, Ending, Event, Member, Membership, Request, RequestId, UpstreamId,
+    Action, Availability, Balancer, Ending, Event, Member, Membership, Request, RequestId,
+    UpstreamId,
 };
 use balancer_settings::{deployment, Deployment};
 
@@ -70,16 +71,26 @@
         let to = (at + 1 + numbers.below(30)).min(bytes.len());
         match numbers.below(10) {
             0 => bytes.truncate(at),
-            1 => bytes.iter_mut().skip(at).take(1).for_each(|b| *b = (numbers.next() & 0xff) as u8),
+            1 => bytes
+                .iter_mut()
+                .skip(at)
+                .take(1)
+                .for_each(|b| *b = (numbers.next() & 0xff) as u8),
             2 => drop(bytes.drain(at..to)),
             3 => {
                 let again = bytes[at..to].to_vec();
                 bytes.splice(at..at, again);
             }
             _ => {
-                let from = bytes[at..].iter().position(|b| *b == b':').map_or(at, |p| at + p + 1);
+                let from = bytes[at..]
+                    .iter()
+                    .position(|b| *b == b':')
+                    .map_or(at, |p| at + p + 1);
                 let ends = |b: &u8| matches!(b, b',' | b'}' | b']');
-                let end = bytes[from..].iter().position(ends).map_or(bytes.len(), |p| from + p);
+                let end = bytes[from..]
+                    .iter()
+                    .position(ends)
+                    .map_or(bytes.len(), |p| from + p);
                 bytes.splice(from..end, VALUES[numbers.below(VALUES.len())].bytes());
             }
         }
@@ -100,26 +111,49 @@
         availability: Availability::Ready,
         since: 0.0,
     };
-    balancer.handle(0.0, Event::Membership(Membership::Full((0..4).map(member).collect())), &mut actions);
+    balancer.handle(
+        0.0,
+        Event::Membership(Membership::Full((0..4).map(member).collect())),
+        &mut actions,
+    );
     for number in 0..12_u32 {
         let now = f64::from(number) * 100.0;
         let class = number as usize % deployment.policy.classes.len();
-        let request = Request { id: RequestId(number), class, tenant: 0, deadline: now + 400.0, tie: 1 };
+        let request = Request {
+            id: RequestId(number),
+            class,
+            tenant: 0,
+            deadline: now + 400.0,
+            tie: 1,
+        };
         balancer.handle(now, Event::Request(request), &mut actions);
         for action in std::mem::take(&mut actions) {
             match action {
-                Action::Send { request, timeout, .. } => {
+                Action::Send {
+                    request, timeout, ..
+                } => {
                     assert!(!timeout.is_nan(), "{timeout}");
-                    let ending = if number % 3 == 0 { Ending::Error } else { Ending::Ok };
-                    let outcome =
-                        Event::Outcome { request, attempt: 0, ending, duration: 50.0, closed: false };
+                    let ending = if number % 3 == 0 {
+                        Ending::Error
+                    } else {
+                        Ending::Ok
+                    };
+                    let outcome = Event::Outcome {
+                        request,
+                        attempt: 0,
+                        ending,
+                        duration: 50.0,
+                        closed: false,
+                    };
                     balancer.handle(now + 50.0, outcome, &mut actions);
                 }
                 Action::SetTimer { after, token } => {
                     assert!(!after.is_nan(), "{after}");
                     balancer.handle(now + 60.0, Event::Timer(token), &mut actions);
                 }
-                Action::Refuse { retry_after, .. } => assert!(!retry_after.is_nan(), "{retry_after}"),
+                Action::Refuse { retry_after, .. } => {
+                    assert!(!retry_after.is_nan(), "{retry_after}")
+                }
                 _ => {}
             }
         }
@@ -136,53 +170,176 @@
     let old_classes = r#""classes": [{"name": "read","#;
     let replaced: Vec<(&str, String, &str)> = vec![
         (r#""balancers": 2"#, r#""balancers": 0"#.into(), "balancers"),
-        (r#""balancers": 2"#, r#""balancers": -1"#.into(), "balancers"),
-        (r#""balancers": 2"#, r#""balancers": 4294967296"#.into(), "balancers"),
-        (r#""balancers": 2"#, r#""balancers": 2, "balancers": 3"#.into(), "balancers"),
-        (r#""balancers": 2"#, r#""balancers": 1e300"#.into(), "balancers"),
+        (
+            r#""balancers": 2"#,
+            r#""balancers": -1"#.into(),
+            "balancers",
+        ),
+        (
+            r#""balancers": 2"#,
+            r#""balancers": 4294967296"#.into(),
+            "balancers",
+        ),
+        (
+            r#""balancers": 2"#,
+            r#""balancers": 2, "balancers": 3"#.into(),
+            "balancers",
+        ),
+        (
+            r#""balancers": 2"#,
+            r#""balancers": 1e300"#.into(),
+            "balancers",
+        ),
         (
             r#""objective": 100, "deadline": 400, "effect": "free""#,
             r#""objective": 100, "deadline": 0, "effect": "free""#.into(),
             "classes[0].deadline: ",
         ),
-        (r#""deadline": 400"#, r#""deadline": 1e300"#.into(), "classes[0].deadline: "),
-        (r#""deadline": 400"#, r#""deadline": 1e999"#.into(), "classes[0].deadline"),
-        (r#""deadline": 400"#, r#""deadline": NaN"#.into(), "classes[0].deadline"),
-        (r#""deadline": 400"#, r#""deadline": -5"#.into(), "classes[0].deadline: "),
-        (r#""deadline": 400"#, r#""deadline": "400""#.into(), "classes[0].deadline"),
-        (r#""objective": 100"#, r#""objective": 1e-320"#.into(), "classes[0].objective"),
-        (r#""late_worth": 0.5"#, r#""late_worth": -0.5"#.into(), "classes[0].late_worth: "),
-        (r#""importance": 8"#, r#""importance": 1e16"#.into(), "classes[1].importance: "),
-        (r#""repeat_window": 900"#, r#""repeat_window": -1"#.into(), "classes[1].repeat_window: "),
-        (r#""effect": "free""#, r#""effect": """#.into(), "classes[0].effect: "),
-        (r#""runs_in": [0]"#, r#""runs_in": [65536]"#.into(), "classes[1].runs_in"),
-        (r#""kinds_only": [1]"#, r#""kinds_only": [-1]"#.into(), "classes[1].kinds_only"),
-        (r#""quota_per_s": 50"#, r#""quota_per_s": -1"#.into(), "tenants[0].quota_per_s: "),
-        (r#""quota_per_s": 50"#, r#""quota_per_s": NaN"#.into(), "tenants[0].quota_per_s"),
-        (r#""share": 1.0"#, r#""share": 1e300"#.into(), "tenants[0].share: "),
-        (r#""attempts_cap": 3"#, r#""attempts_cap": 0"#.into(), "permissions.attempts_cap: "),
-        (r#""max_open": 9"#, r#""max_open": -9"#.into(), "permissions.max_open"),
-        (r#""dial_timeout": 250"#, r#""dial_timeout": 1e300"#.into(), "permissions.dial_timeout"),
-        (r#""idle_close": 5000"#, r#""idle_close": 1e16"#.into(), "permissions.idle_close: "),
-        (r#""cold_from": 0.2"#, r#""cold_from": 1.5"#.into(), "invariants.cold_from: "),
-        (r#""ask_within": 9000"#, r#""ask_within": 0"#.into(), "invariants.ask_within: "),
-        (r#""membership_mode": "on_request""#, r#""membership_mode": null"#.into(), "membership_mode"),
+        (
+            r#""deadline": 400"#,
+            r#""deadline": 1e300"#.into(),
+            "classes[0].deadline: ",
+        ),
+        (
+            r#""deadline": 400"#,
+            r#""deadline": 1e999"#.into(),
+            "classes[0].deadline",
+        ),
+        (
+            r#""deadline": 400"#,
+            r#""deadline": NaN"#.into(),
+            "classes[0].deadline",
+        ),
+        (
+            r#""deadline": 400"#,
+            r#""deadline": -5"#.into(),
+            "classes[0].deadline: ",
+        ),
+        (
+            r#""deadline": 400"#,
+            r#""deadline": "400""#.into(),
+            "classes[0].deadline",
+        ),
+        (
+            r#""objective": 100"#,
+            r#""objective": 1e-320"#.into(),
+            "classes[0].objective",
+        ),
+        (
+            r#""late_worth": 0.5"#,
+            r#""late_worth": -0.5"#.into(),
+            "classes[0].late_worth: ",
+        ),
+        (
+            r#""importance": 8"#,
+            r#""importance": 1e16"#.into(),
+            "classes[1].importance: ",
+        ),
+        (
+            r#""repeat_window": 900"#,
+            r#""repeat_window": -1"#.into(),
+            "classes[1].repeat_window: ",
+        ),
+        (
+            r#""effect": "free""#,
+            r#""effect": """#.into(),
+            "classes[0].effect: ",
+        ),
+        (
+            r#""runs_in": [0]"#,
+            r#""runs_in": [65536]"#.into(),
+            "classes[1].runs_in",
+        ),
+        (
+            r#""kinds_only": [1]"#,
+            r#""kinds_only": [-1]"#.into(),
+            "classes[1].kinds_only",
+        ),
+        (
+            r#""quota_per_s": 50"#,
+            r#""quota_per_s": -1"#.into(),
+            "tenants[0].quota_per_s: ",
+        ),
+        (
+            r#""quota_per_s": 50"#,
+            r#""quota_per_s": NaN"#.into(),
+            "tenants[0].quota_per_s",
+        ),
+        (
+            r#""share": 1.0"#,
+            r#""share": 1e300"#.into(),
+            "tenants[0].share: ",
+        ),
+        (
+            r#""attempts_cap": 3"#,
+            r#""attempts_cap": 0"#.into(),
+            "permissions.attempts_cap: ",
+        ),
+        (
+            r#""max_open": 9"#,
+            r#""max_open": -9"#.into(),
+            "permissions.max_open",
+        ),
+        (
+            r#""dial_timeout": 250"#,
+            r#""dial_timeout": 1e300"#.into(),
+            "permissions.dial_timeout",
+        ),
+        (
+            r#""idle_close": 5000"#,
+            r#""idle_close": 1e16"#.into(),
+            "permissions.idle_close: ",
+        ),
+        (
+            r#""cold_from": 0.2"#,
+            r#""cold_from": 1.5"#.into(),
+            "invariants.cold_from: ",
+        ),
+        (
+            r#""ask_within": 9000"#,
+            r#""ask_within": 0"#.into(),
+            "invariants.ask_within: ",
+        ),
+        (
+            r#""membership_mode": "on_request""#,
+            r#""membership_mode": null"#.into(),
+            "membership_mode",
+        ),
         (r#""zone": 0"#, r#""zone": 65536"#.into(), "zone"),
-        (r#""columns": ["qps", "inflight"]"#, r#""columns": 7"#.into(), "stats.columns"),
+        (
+            r#""columns": ["qps", "inflight"]"#,
+            r#""columns": 7"#.into(),
+            "stats.columns",
+        ),
         (
             old_classes,
             format!(r#""classes": [{},{{"name": "read","#, many(class, 256)),
             "classes: 258 entries",
         ),
         (old_tenants, tenants(65_536), "tenants: 65536 entries"),
-        (r#""kinds": ["m1", "m2"]"#, format!(r#""kinds": [{}]"#, many("\"m\"", 256)), "kinds: 256 entries"),
-        (r#""dcs": ["a", "b"]"#, format!(r#""dcs": [{}]"#, many("\"z\"", 65_536)), "dcs: 65536 entries"),
-        (r#""charges": {"#, format!(r#""charges": {}{{"#, "[".repeat(100_000)), "charges"),
+        (
+            r#""kinds": ["m1", "m2"]"#,
+            format!(r#""kinds": [{}]"#, many("\"m\"", 256)),
+            "kinds: 256 entries",
+        ),
+        (
+            r#""dcs": ["a", "b"]"#,
+            format!(r#""dcs": [{}]"#, many("\"z\"", 65_536)),
+            "dcs: 65536 entries",
+        ),
+        (
+            r#""charges": {"#,
+            format!(r#""charges": {}{{"#, "[".repeat(100_000)),
+            "charges",
+        ),
     ];
     for (from, to, wanted) in replaced {
         assert!(GOOD.contains(from), "{from}");
         let error = deployment(GOOD.replacen(from, &to, 1).as_bytes()).expect_err(wanted);
-        assert!(error.contains(wanted) && !error.contains('\n'), "wanted {wanted}: {error}");
+        assert!(
+            error.contains(wanted) && !error.contains('\n'),
+            "wanted {wanted}: {error}"
+        );
     }
     // The last of a long list is found as well.
     let last = format!(r#"{},{{"name": "t", "share": -1}}"#, tenants(50_000));
@@ -190,9 +347,14 @@
     assert!(error.starts_with("tenants[50000].share: "), "{error}");
     // Both lists are allowed, but not what is kept for each class of each tenant.
     let classes = format!(r#""classes": [{},{{"name": "read","#, many(class, 40));
-    let both = GOOD.replacen(old_classes, &classes, 1).replacen(old_tenants, &tenants(40_000), 1);
+    let both = GOOD
+        .replacen(old_classes, &classes, 1)
+        .replacen(old_tenants, &tenants(40_000), 1);
     let error = deployment(both.as_bytes()).expect_err("too many");
-    assert!(error.starts_with("tenants: 40000 for 42 classes"), "{error}");
+    assert!(
+        error.starts_with("tenants: 40000 for 42 classes"),
+        "{error}"
+    );
 }
 
 #[test]
@@ -207,7 +369,11 @@
     let nested = format!("{}{}", "[".repeat(100), "]".repeat(100));
     for value in ["1e300", "{\"a\": [null]}", "\"\\ud83d\\ude00\"", &nested] {
         let text = GOOD.replacen('{', &format!("{{\"novel\": {value}, "), 1);
-        assert_eq!(deployment(text.as_bytes()), deployment(GOOD.as_bytes()), "{value}");
+        assert_eq!(
+            deployment(text.as_bytes()),
+            deployment(GOOD.as_bytes()),
+            "{value}"
+        );
     }
 }
 
@@ -237,5 +403,8 @@
         }
     }
     // Both ways are tried in earnest.
-    assert!(taken > 2_000 && refused > 2_000, "{taken} taken, {refused} refused");
+    assert!(
+        taken > 2_000 && refused > 2_000,
+        "{taken} taken, {refused} refused"
+    );
 }
--- a/balancer/settings/tests/golden.rs
+++ b/balancer/settings/tests/golden.rs
@@ -18,13 +18,25 @@
 }
 
 fn plain(objective: f64, deadline: f64, effect: Effect) -> Class {
-    Class { objective, deadline, effect, late_worth: 0.0, worth: 1.0, runs_in: None, kinds_only: None }
+    Class {
+        objective,
+        deadline,
+        effect,
+        late_worth: 0.0,
+        worth: 1.0,
+        runs_in: None,
+        kinds_only: None,
+    }
 }
 
 #[test]
 fn settings_with_every_key_are_read_field_by_field() {
     let classes = vec![
-        Class { late_worth: 0.25, worth: 8.5, ..plain(101.0, 402.0, Effect::Free) },
+        Class {
+            late_worth: 0.25,
+            worth: 8.5,
+            ..plain(101.0, 402.0, Effect::Free)
+        },
         Class {
             late_worth: 0.125,
             worth: 9.5,
@@ -32,12 +44,27 @@
             kinds_only: Some(vec![2, 1]),
             ..plain(103.5, 404.5, guarded(DedupScope::All, 905.0))
         },
-        Class { runs_in: Some(vec![1]), ..plain(106.0, 407.0, guarded(DedupScope::Zone, 908.0)) },
-        Class { kinds_only: Some(vec![0]), ..plain(109.0, 410.0, guarded(DedupScope::Cell, 911.0)) },
+        Class {
+            runs_in: Some(vec![1]),
+            ..plain(106.0, 407.0, guarded(DedupScope::Zone, 908.0))
+        },
+        Class {
+            kinds_only: Some(vec![0]),
+            ..plain(109.0, 410.0, guarded(DedupScope::Cell, 911.0))
+        },
         plain(112.0, 413.0, guarded(DedupScope::All, 0.0)),
         plain(114.0, 415.0, Effect::SingleShot),
     ];
-    let tenants = vec![Tenant { share: 1.5, quota_per_s: 51.0 }, Tenant { share: 2.5, quota_per_s: 0.0 }];
+    let tenants = vec![
+        Tenant {
+            share: 1.5,
+            quota_per_s: 51.0,
+        },
+        Tenant {
+            share: 2.5,
+            quota_per_s: 0.0,
+        },
+    ];
     let policy = Settings {
         index: 3,
         balancers: 7,
@@ -118,7 +145,10 @@
             fields.iter().for_each(|(key, value)| further(key, value));
         }
         Value::Array(items) if !items.is_empty() => {
-            items.iter().enumerate().for_each(|(at, value)| further(&at.to_string(), value));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(at, value)| further(&at.to_string(), value));
         }
         leaf => to.push(format!("{path}: {leaf}")),
     }
@@ -179,7 +209,10 @@
     }
     let words = ["safe", "keyed", "unsafe", "ask"].map(|word| &wire["init"]["words"][word]);
     let classes = [0, 1, 5].map(|class| &whole["classes"][class]["effect"]);
-    assert_eq!((words[..3].to_vec(), words[3]), (classes.to_vec(), &whole["membership_mode"]));
+    assert_eq!(
+        (words[..3].to_vec(), words[3]),
+        (classes.to_vec(), &whole["membership_mode"])
+    );
     let least: Value = serde_json::from_str(LEAST).expect("JSON");
     assert_eq!(wire["init"]["words"]["push"], least["membership_mode"]);
 }
--- a/balancer/settings/tests/settings.rs
+++ b/balancer/settings/tests/settings.rs
@@ -15,12 +15,25 @@
 #[test]
 fn missing_optional_keys_get_defaults_and_unknown_ones_are_skipped() {
     let s = parse(MINIMAL.as_bytes()).unwrap();
-    assert_eq!(s.classes[0].effect, Effect::Guarded { scope: DedupScope::Cell, window: 900.0 });
+    assert_eq!(
+        s.classes[0].effect,
+        Effect::Guarded {
+            scope: DedupScope::Cell,
+            window: 900.0
+        }
+    );
     assert!(!deployment(MINIMAL.as_bytes()).unwrap().peers);
-    let told = MINIMAL.replace("\"attempts_cap\": 3", "\"attempts_cap\": 3, \"peers\": true");
+    let told = MINIMAL.replace(
+        "\"attempts_cap\": 3",
+        "\"attempts_cap\": 3, \"peers\": true",
+    );
     assert!(deployment(told.as_bytes()).unwrap().peers);
-    assert_eq!((s.idle_close, s.ask_within, s.stage, s.ask_for_list), (5000.0, 10_000.0, 0, false));
-    let worth = |of: &str| parse(MINIMAL.replace("\"effect\"", of).as_bytes()).map(|s| s.classes[0].worth);
+    assert_eq!(
+        (s.idle_close, s.ask_within, s.stage, s.ask_for_list),
+        (5000.0, 10_000.0, 0, false)
+    );
+    let worth =
+        |of: &str| parse(MINIMAL.replace("\"effect\"", of).as_bytes()).map(|s| s.classes[0].worth);
     assert_eq!(worth("\"importance\": 8, \"effect\""), Ok(8.0));
     assert_eq!(worth("\"effect\""), Ok(1.0));
 }
@@ -45,11 +58,13 @@
     assert!(error("guarded", "sometimes").contains("sometimes"));
     assert!(error("pushed", "shouted").contains("shouted"));
     assert!(error("\"balancers\": 2", "\"balancers\": 0").contains("balancers"));
-    assert!(
-        error("\"ramp_time\": 9000", "\"ramp_time\": \"x\"").contains("invariants.ramp_time: invalid type")
-    );
+    assert!(error("\"ramp_time\": 9000", "\"ramp_time\": \"x\"")
+        .contains("invariants.ramp_time: invalid type"));
     assert!(error("\"objective\": 100", "\"objective\": []").contains("classes[0].objective"));
     assert!(error("\"effect\"", "\"runs_in\": [], \"effect\"").starts_with("classes[0].runs_in: "));
     assert!(parse(b"{").is_err());
-    assert!(parse(format!("{MINIMAL} x").as_bytes()).is_err(), "something follows the settings");
+    assert!(
+        parse(format!("{MINIMAL} x").as_bytes()).is_err(),
+        "something follows the settings"
+    );
 }
--- a/balancer/simulator/src/host.rs
+++ b/balancer/simulator/src/host.rs
@@ -21,12 +21,18 @@
         let mut target = None;
         self.answering = None;
         for (i, record) in batch.records.iter().enumerate() {
-            self.record(batch, record, &mut target).map_err(|e| format!("record {i}: {e}"))?;
+            self.record(batch, record, &mut target)
+                .map_err(|e| format!("record {i}: {e}"))?;
         }
         Ok(self.reply.finish(batch.number))
     }
 
-    fn record(&mut self, batch: &Batch, record: &Record, target: &mut Option<u16>) -> Result<(), String> {
+    fn record(
+        &mut self,
+        batch: &Batch,
+        record: &Record,
+        target: &mut Option<u16>,
+    ) -> Result<(), String> {
         let now = batch.now;
         let instance = || target.ok_or("no instance was named before this record".to_string());
         match record {
@@ -38,7 +44,8 @@
                 let id = instance()?;
                 let deployment = balancer_settings::deployment(&batch.tail[setup.clone()])
                     .map_err(|e| format!("settings of instance {id}: {e}"))?;
-                let balancer = Balancer::new(deployment.policy, *seed, now).map_err(|e| e.to_string())?;
+                let balancer =
+                    Balancer::new(deployment.policy, *seed, now).map_err(|e| e.to_string())?;
                 let columns = [deployment.held_column, deployment.served_column];
                 self.balancers.insert(id, (balancer, columns));
             }
@@ -50,15 +57,37 @@
                     .map_err(|e| format!("table {table}: {e}"))?;
                 self.event(instance()?, now, Event::Membership(news));
             }
-            Record::Outcome { event, upstream, report } => {
+            Record::Outcome {
+                event,
+                upstream,
+                report,
+            } => {
                 let id = instance()?;
-                let columns = self.balancers.get(&id).map_or([None; 2], |&(_, columns)| columns);
-                let [held, served] = columns.map(|column| report.get(column?).map(|&v| f64::from(v)));
+                let columns = self
+                    .balancers
+                    .get(&id)
+                    .map_or([None; 2], |&(_, columns)| columns);
+                let [held, served] =
+                    columns.map(|column| report.get(column?).map(|&v| f64::from(v)));
                 if let Some(held) = held {
-                    self.event(id, now, Event::Load { upstream: *upstream, held });
+                    self.event(
+                        id,
+                        now,
+                        Event::Load {
+                            upstream: *upstream,
+                            held,
+                        },
+                    );
                 }
                 if let Some(per_s) = served {
-                    self.event(id, now, Event::Served { upstream: *upstream, per_s });
+                    self.event(
+                        id,
+                        now,
+                        Event::Served {
+                            upstream: *upstream,
+                            per_s,
+                        },
+                    );
                 }
                 self.event(id, now, event.clone());
             }
@@ -69,7 +98,9 @@
     }
 
     fn event(&mut self, id: u16, now: f64, event: Event) {
-        let Some((balancer, _)) = self.balancers.get_mut(&id) else { return };
+        let Some((balancer, _)) = self.balancers.get_mut(&id) else {
+            return;
+        };
         balancer.handle(now, event, &mut self.actions);
         if self.actions.is_empty() {
             return;
--- a/balancer/simulator/src/main.rs
+++ b/balancer/simulator/src/main.rs
@@ -8,9 +8,13 @@
     let (mut input, mut output) = (io::stdin().lock(), io::stdout().lock());
     let mut host = Host::default();
     for number in 0.. {
-        let Some(frame) = wire::read_frame(&mut input, number).map_err(|e| e.to_string())? else { break };
+        let Some(frame) = wire::read_frame(&mut input, number).map_err(|e| e.to_string())? else {
+            break;
+        };
         let batch = wire::decode(&frame, number).map_err(|e| e.to_string())?;
-        let reply = host.batch(&batch).map_err(|e| format!("frame {number}, {e}"))?;
+        let reply = host
+            .batch(&batch)
+            .map_err(|e| format!("frame {number}, {e}"))?;
         output
             .write_all(&reply)
             .and_then(|()| output.flush())
--- a/balancer/simulator/src/wire/batch.rs
+++ b/balancer/simulator/src/wire/batch.rs
@@ -25,7 +25,10 @@
 pub fn decode(frame: &[u8], batch: u64) -> Result<Batch, WireError> {
     let header = |what: String| WireError::Header { batch, what };
     if frame.len() < HEADER_IN {
-        return Err(header(format!("{} bytes are too few for a frame", frame.len())));
+        return Err(header(format!(
+            "{} bytes are too few for a frame",
+            frame.len()
+        )));
     }
     if u32_at(frame, 0) as usize != frame.len() {
         return Err(header(format!(
@@ -37,7 +40,9 @@
     let count = u32_at(frame, 4) as usize;
     let body = frame.len() - HEADER_IN;
     if count > body / EVENT {
-        return Err(header(format!("{count} records do not fit into {body} bytes")));
+        return Err(header(format!(
+            "{count} records do not fit into {body} bytes"
+        )));
     }
     let now = f64_at(frame, 8);
     if !now.is_finite() {
@@ -47,7 +52,16 @@
     let mut records = Vec::with_capacity(count);
     for i in 0..count {
         let r = &frame[HEADER_IN + i * EVENT..HEADER_IN + (i + 1) * EVENT];
-        records.push(decode_record(r, tail).map_err(|what| WireError::Record { batch, record: i, what })?);
+        records.push(decode_record(r, tail).map_err(|what| WireError::Record {
+            batch,
+            record: i,
+            what,
+        })?);
     }
-    Ok(Batch { now, number: u32_at(frame, 16), records, tail: tail.to_vec() })
+    Ok(Batch {
+        now,
+        number: u32_at(frame, 16),
+        records,
+        tail: tail.to_vec(),
+    })
 }
--- a/balancer/simulator/src/wire/error.rs
+++ b/balancer/simulator/src/wire/error.rs
@@ -39,10 +39,17 @@
         match self {
             WireError::Io(e) => write!(f, "reading standard input: {e}"),
             WireError::Truncated { batch, wanted, got } => {
-                write!(f, "frame {batch}: input ended after {got} of {wanted} bytes")
+                write!(
+                    f,
+                    "frame {batch}: input ended after {got} of {wanted} bytes"
+                )
             }
             WireError::Header { batch, what } => write!(f, "frame {batch}: header: {what}"),
-            WireError::Record { batch, record, what } => write!(f, "frame {batch}, record {record}: {what}"),
+            WireError::Record {
+                batch,
+                record,
+                what,
+            } => write!(f, "frame {batch}, record {record}: {what}"),
         }
     }
 }
--- a/balancer/simulator/src/wire/frame.rs
+++ b/balancer/simulator/src/wire/frame.rs
@@ -27,7 +27,12 @@
 }
 
 /// Extends `frame` to `wanted` bytes. An end of input before the first byte leaves it empty.
-fn fill(input: &mut impl Read, frame: &mut Vec<u8>, wanted: usize, batch: u64) -> Result<(), WireError> {
+fn fill(
+    input: &mut impl Read,
+    frame: &mut Vec<u8>,
+    wanted: usize,
+    batch: u64,
+) -> Result<(), WireError> {
     while frame.len() < wanted {
         let step = (wanted - frame.len()).min(CHUNK) as u64;
         let got = input.take(step).read_to_end(frame).map_err(WireError::Io)?;
@@ -35,7 +40,11 @@
             if frame.is_empty() {
                 return Ok(());
             }
-            return Err(WireError::Truncated { batch, wanted, got: frame.len() });
+            return Err(WireError::Truncated {
+                batch,
+                wanted,
+                got: frame.len(),
+            });
         }
     }
     Ok(())
--- a/balancer/simulator/src/wire/record.rs
+++ b/balancer/simulator/src/wire/record.rs
@@ -1,6 +1,8 @@
 //! Decodes one record of a batch; what it points at lies in the frame's tail. Owns no state.
 use super::bytes::{f64_at, u16_at, u32_at, u64_at, upstream_at};
-use balancer_core::{Availability, Ending, Event, Member, Membership, Request, RequestId, UpstreamId};
+use balancer_core::{
+    Availability, Ending, Event, Member, Membership, Request, RequestId, UpstreamId,
+};
 use std::ops::Range;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -56,7 +58,10 @@
 fn span(tail: &[u8], offset: u32, len: u64, what: &str) -> Result<Range<usize>, String> {
     let end = u64::from(offset) + len;
     if end > tail.len() as u64 {
-        return Err(format!("{what}: bytes {offset} to {end} lie outside the tail of {}", tail.len()));
+        return Err(format!(
+            "{what}: bytes {offset} to {end} lie outside the tail of {}",
+            tail.len()
+        ));
     }
     Ok(offset as usize..end as usize)
 }
@@ -71,7 +76,11 @@
 
 /// By the key, which a client's next try has as well; without one by the id.
 fn tie(r: &[u8]) -> u64 {
-    xxh3_64(if u64_at(r, 10) == 0 { &r[1..5] } else { &r[10..18] })
+    xxh3_64(if u64_at(r, 10) == 0 {
+        &r[1..5]
+    } else {
+        &r[10..18]
+    })
 }
 
 /// Decodes one record; the message says what is wrong with it.
@@ -79,11 +88,17 @@
     Ok(match r[0] {
         0 => Record::Event(Event::Timer(u32_at(r, 1))),
         1 => Record::Destroy,
-        2 => Record::Sync { kind: r[1], table: u32_at(r, 10) },
+        2 => Record::Sync {
+            kind: r[1],
+            table: u32_at(r, 10),
+        },
         3 | 7 => Record::Skip,
         4 => {
             let setup = span(tail, u32_at(r, 9), u64::from(u32_at(r, 13)), "settings")?;
-            Record::Configure { seed: u64_at(r, 1), setup }
+            Record::Configure {
+                seed: u64_at(r, 1),
+                setup,
+            }
         }
         5 => Record::Event(Event::Request(Request {
             id: RequestId(u32_at(r, 1)),
@@ -95,8 +110,14 @@
         6 => {
             let bytes = u64::from(u32_at(r, 9)) * ENTRY as u64;
             let range = span(tail, u32_at(r, 5), bytes, "entries")?;
-            let members = tail[range].chunks_exact(ENTRY).map(decode_entry).collect::<Result<_, _>>()?;
-            Record::Table { number: u32_at(r, 1), members }
+            let members = tail[range]
+                .chunks_exact(ENTRY)
+                .map(decode_entry)
+                .collect::<Result<_, _>>()?;
+            Record::Table {
+                number: u32_at(r, 1),
+                members,
+            }
         }
         8 => Record::Outcome {
             event: Event::Outcome {
@@ -107,7 +128,9 @@
                 closed: r[23] != 0,
             },
             upstream: upstream_at(r, 7),
-            report: (0..usize::from(r[24]).min(4)).map(|k| f32::from_bits(u32_at(r, 25 + 4 * k))).collect(),
+            report: (0..usize::from(r[24]).min(4))
+                .map(|k| f32::from_bits(u32_at(r, 25 + 4 * k)))
+                .collect(),
         },
         9 => Record::Event(Event::ClientGone(RequestId(u32_at(r, 1)))),
         10 => Record::Target(u16_at(r, 1)),
@@ -128,7 +151,14 @@
     };
     let since = finite(f64_at(e, 16), "start time of an upstream")?;
     let (zone, kind, group) = (u16_at(e, 6), e[8], u16_at(e, 9));
-    Ok(Member { id: upstream_at(e, 0), zone, kind, group, availability, since })
+    Ok(Member {
+        id: upstream_at(e, 0),
+        zone,
+        kind,
+        group,
+        availability,
+        since,
+    })
 }
 
 fn ending(code: u16) -> Ending {
@@ -147,7 +177,11 @@
 
 /// Resolves what a `sync` record says against the table it points at.
 pub fn membership(kind: u8, table: Option<&Table>) -> Result<Membership, String> {
-    let list = || table.cloned().ok_or_else(|| "points at a table that was never sent".to_string());
+    let list = || {
+        table
+            .cloned()
+            .ok_or_else(|| "points at a table that was never sent".to_string())
+    };
     Ok(match kind {
         0 => Membership::Full(list()?),
         1 => Membership::Failed,
--- a/balancer/simulator/src/wire/reply.rs
+++ b/balancer/simulator/src/wire/reply.rs
@@ -31,7 +31,12 @@
     pub fn action(&mut self, action: &Action) {
         match action {
             // What is sent here is written at once, so that there is no time to bound.
-            Action::Send { request, upstream, timeout, .. } => {
+            Action::Send {
+                request,
+                upstream,
+                timeout,
+                ..
+            } => {
                 let r = self.record(7);
                 r[1..5].copy_from_slice(&request.0.to_be_bytes());
                 r[5..11].copy_from_slice(&upstream.0.to_be_bytes()[2..]);
@@ -42,12 +47,18 @@
                 r[1..5].copy_from_slice(&request.0.to_be_bytes());
                 r[5..7].copy_from_slice(&(*attempt as u16).to_be_bytes());
             }
-            Action::Refuse { request, retry_after, .. } => {
+            Action::Refuse {
+                request,
+                retry_after,
+                ..
+            } => {
                 let r = self.record(3);
                 r[1..5].copy_from_slice(&request.0.to_be_bytes());
                 r[5..13].copy_from_slice(&retry_after.to_be_bytes());
             }
-            Action::Fail { request } => self.record(1)[1..5].copy_from_slice(&request.0.to_be_bytes()),
+            Action::Fail { request } => {
+                self.record(1)[1..5].copy_from_slice(&request.0.to_be_bytes())
+            }
             Action::CloseIdle(upstream) => {
                 self.record(2)[1..7].copy_from_slice(&upstream.0.to_be_bytes()[2..]);
             }
--- a/balancer/simulator/tests/bad_input.rs
+++ b/balancer/simulator/tests/bad_input.rs
@@ -12,7 +12,11 @@
     // It may stop reading early: a broken pipe is its right.
     let _ = child.stdin.take().expect("a pipe").write_all(input);
     let out = child.wait_with_output().expect("it ends");
-    (out.status.success(), out.stdout, String::from_utf8_lossy(&out.stderr).into_owned())
+    (
+        out.status.success(),
+        out.stdout,
+        String::from_utf8_lossy(&out.stderr).into_owned(),
+    )
 }
 
 fn frame(records: &[&[u8]], tail: &[u8]) -> Vec<u8> {
@@ -46,26 +50,62 @@
     let nan = [&[5u8][..], &[0; 17], &f64::NAN.to_be_bytes()].concat();
     let cases: [(Vec<u8>, &str); 10] = [
         ([&good[..], &good[..9]].concat(), "frame 1: input ended"),
-        ([&good[..], &[0xff; 8]].concat(), "frame 1: header: stated size"),
-        ([&good[..], &frame(&[&[99]], &[])].concat(), "record 0: unknown event code 99"),
-        ([&good[..], &frame(&[&[9]], &[])].concat(), "no instance was named"),
-        ([&good[..], &frame(&[target, &[2, 3]], &[])].concat(), "table 0: points at a table"),
-        ([&good[..], &frame(&[target, &configure], b"{}")].concat(), "settings of instance 3: missing field"),
-        ([&good[..], &frame(&[target, &configure], b"{x")].concat(), "settings of instance 3"),
-        ([&good[..], &frame(&[target, &nan], &[])].concat(), "frame 1, record 1: deadline reads NaN"),
         (
-            [&good[..], &frame(&[&[6, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 2]], &[0; 47])].concat(),
+            [&good[..], &[0xff; 8]].concat(),
+            "frame 1: header: stated size",
+        ),
+        (
+            [&good[..], &frame(&[&[99]], &[])].concat(),
+            "record 0: unknown event code 99",
+        ),
+        (
+            [&good[..], &frame(&[&[9]], &[])].concat(),
+            "no instance was named",
+        ),
+        (
+            [&good[..], &frame(&[target, &[2, 3]], &[])].concat(),
+            "table 0: points at a table",
+        ),
+        (
+            [&good[..], &frame(&[target, &configure], b"{}")].concat(),
+            "settings of instance 3: missing field",
+        ),
+        (
+            [&good[..], &frame(&[target, &configure], b"{x")].concat(),
+            "settings of instance 3",
+        ),
+        (
+            [&good[..], &frame(&[target, &nan], &[])].concat(),
+            "frame 1, record 1: deadline reads NaN",
+        ),
+        (
+            [
+                &good[..],
+                &frame(&[&[6, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 2]], &[0; 47]),
+            ]
+            .concat(),
             "outside the tail",
         ),
         (
-            [&good[..], &frame(&[&[6, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 1]], &[9; 24])].concat(),
+            [
+                &good[..],
+                &frame(&[&[6, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 1]], &[9; 24]),
+            ]
+            .concat(),
             "availability 9",
         ),
     ];
     for (input, message) in cases {
         let (ok, out, err) = run(&input);
-        assert!(!ok && err.contains(message), "wanted {message:?}, got {err:?}");
+        assert!(
+            !ok && err.contains(message),
+            "wanted {message:?}, got {err:?}"
+        );
         assert!(!err.contains("panicked"), "{err}");
-        assert_eq!(out.len(), 12, "only the good frame before it is answered ({message})");
+        assert_eq!(
+            out.len(),
+            12,
+            "only the good frame before it is answered ({message})"
+        );
     }
 }
--- a/balancer/simulator/tests/golden.rs
+++ b/balancer/simulator/tests/golden.rs
@@ -3,12 +3,13 @@
 #[path = "../../core/tests/common/golden.rs"]
 mod golden;
 
-use golden::{assert_stored, stored};
 use balancer_core::{
-    Action, Availability, Ending, Event, Member, Membership, Refusal, Request, RequestId, UpstreamId,
+    Action, Availability, Ending, Event, Member, Membership, Refusal, Request, RequestId,
+    UpstreamId,
 };
 use balancer_simulator::wire::{decode, membership, read_frame, Record, Reply};
 use balancer_simulator::Host;
+use golden::{assert_stored, stored};
 
 /// Frames of one simulation, in an order in which they can be played.
 const FRAMES: &str = include_str!("golden/frames.hex");
@@ -37,20 +38,48 @@
 }
 
 fn ask(id: u32, class: usize, tenant: usize, deadline: f64, tie: u64) -> Record {
-    Record::Event(Event::Request(Request { id: RequestId(id), class, tenant, deadline, tie }))
+    Record::Event(Event::Request(Request {
+        id: RequestId(id),
+        class,
+        tenant,
+        deadline,
+        tie,
+    }))
 }
 
 fn outcome(ending: Ending, closed: bool, report: &[f32]) -> Record {
-    let event = Event::Outcome { request: ID, attempt: 0x0102, ending, duration: 18.5, closed };
-    Record::Outcome { event, upstream: UPSTREAM, report: report.to_vec() }
+    let event = Event::Outcome {
+        request: ID,
+        attempt: 0x0102,
+        ending,
+        duration: 18.5,
+        closed,
+    };
+    Record::Outcome {
+        event,
+        upstream: UPSTREAM,
+        report: report.to_vec(),
+    }
 }
 
 /// What each frame says besides the instance that it is for.
 fn frames() -> Vec<(&'static str, Option<Record>)> {
     let sync = |kind| Record::Sync { kind, table: TABLE };
     let frames = vec![
-        ("configure", Record::Configure { seed: 0x0102_0304_0506_0708, setup: 3..3 + SETTINGS }),
-        ("table", Record::Table { number: TABLE, members: members() }),
+        (
+            "configure",
+            Record::Configure {
+                seed: 0x0102_0304_0506_0708,
+                setup: 3..3 + SETTINGS,
+            },
+        ),
+        (
+            "table",
+            Record::Table {
+                number: TABLE,
+                members: members(),
+            },
+        ),
         ("sync_full", sync(0)),
         ("sync_failed", sync(1)),
         ("sync_delta", sync(2)),
@@ -58,26 +87,55 @@
         ("ask", ask(0x3132_3334, 0, 0, 9000.5, 0xa3bc_97df_47c5_6233)),
         (
             "ask_of_another_class_and_tenant",
-            ask(0x3132_3335, 0xfe, 0x5152_5354, 9001.5, 0x3d03_7944_da8b_2665),
+            ask(
+                0x3132_3335,
+                0xfe,
+                0x5152_5354,
+                9001.5,
+                0x3d03_7944_da8b_2665,
+            ),
+        ),
+        (
+            "ask_without_a_key",
+            ask(0x3132_3336, 0, 0, 9002.5, 0x2d9d_a3af_f643_72f2),
+        ),
+        (
+            "outcome_ok",
+            outcome(Ending::Ok, false, &[14.5, 140.25, 7.75, 1.125]),
+        ),
+        (
+            "outcome_error",
+            outcome(Ending::Error, false, &[14.5, 140.25, 7.75]),
         ),
-        ("ask_without_a_key", ask(0x3132_3336, 0, 0, 9002.5, 0x2d9d_a3af_f643_72f2)),
-        ("outcome_ok", outcome(Ending::Ok, false, &[14.5, 140.25, 7.75, 1.125])),
-        ("outcome_error", outcome(Ending::Error, false, &[14.5, 140.25, 7.75])),
         ("outcome_full", outcome(Ending::Full, true, &[14.5, 140.25])),
         ("outcome_timeout", outcome(Ending::Timeout, false, &[14.5])),
-        ("outcome_connect_failed", outcome(Ending::ConnectFailed, true, &[14.5])),
+        (
+            "outcome_connect_failed",
+            outcome(Ending::ConnectFailed, true, &[14.5]),
+        ),
         ("outcome_reset", outcome(Ending::Reset, false, &[14.5])),
-        ("outcome_cancelled", outcome(Ending::Cancelled, false, &[14.5])),
+        (
+            "outcome_cancelled",
+            outcome(Ending::Cancelled, false, &[14.5]),
+        ),
         ("outcome_moot", outcome(Ending::Moot, true, &[])),
         ("outcome_unknown", outcome(Ending::Unknown, true, &[14.5])),
-        ("streaming", Record::Event(Event::Streaming { request: ID, attempt: 0x0203 })),
+        (
+            "streaming",
+            Record::Event(Event::Streaming {
+                request: ID,
+                attempt: 0x0203,
+            }),
+        ),
         ("timer", Record::Event(Event::Timer(0x6162_6364))),
         ("sampled", Record::Skip),
         ("whisper", Record::Skip),
         ("dropped", Record::Event(Event::ClientGone(ID))),
         ("destroy", Record::Destroy),
     ];
-    let said = frames.into_iter().map(|(name, record)| (name, Some(record)));
+    let said = frames
+        .into_iter()
+        .map(|(name, record)| (name, Some(record)));
     [("empty", None)].into_iter().chain(said).collect()
 }
 
@@ -88,11 +146,20 @@
     for (at, ((name, bytes), (wanted_name, wanted))) in (1..).zip(stored.iter().zip(frames())) {
         assert_eq!(*name, wanted_name);
         let batch = decode(bytes, 0).unwrap_or_else(|e| panic!("{name}: {e}"));
-        assert_eq!((batch.now, batch.number), (8412.25 + f64::from(at), 0x0102_0300 + at), "{name}");
+        assert_eq!(
+            (batch.now, batch.number),
+            (8412.25 + f64::from(at), 0x0102_0300 + at),
+            "{name}"
+        );
         let target = |record: &Record| !matches!(record, Record::Table { .. });
         let wanted: Vec<_> = wanted
             .into_iter()
-            .flat_map(|record| [target(&record).then_some(Record::Target(0x0304)), Some(record)])
+            .flat_map(|record| {
+                [
+                    target(&record).then_some(Record::Target(0x0304)),
+                    Some(record),
+                ]
+            })
             .flatten()
             .collect();
         assert_eq!(batch.records, wanted, "{name}");
@@ -102,17 +169,28 @@
 #[test]
 fn every_kind_of_news_of_upstreams_is_told_from_the_others() {
     let table = Some(members());
-    assert_eq!(membership(0, table.as_ref()), Ok(Membership::Full(members())));
+    assert_eq!(
+        membership(0, table.as_ref()),
+        Ok(Membership::Full(members()))
+    );
     assert_eq!(membership(1, table.as_ref()), Ok(Membership::Failed));
-    assert_eq!(membership(2, table.as_ref()), Ok(Membership::Delta(members())));
-    assert_eq!(membership(3, table.as_ref()), Ok(Membership::Cached(members())));
+    assert_eq!(
+        membership(2, table.as_ref()),
+        Ok(Membership::Delta(members()))
+    );
+    assert_eq!(
+        membership(3, table.as_ref()),
+        Ok(Membership::Cached(members()))
+    );
 }
 
 #[test]
 fn a_host_plays_every_frame_and_echoes_its_number() {
     let mut host = Host::default();
     for (name, bytes) in stored(FRAMES) {
-        let frame = read_frame(&mut &bytes[..], 0).expect("reads").expect("a frame");
+        let frame = read_frame(&mut &bytes[..], 0)
+            .expect("reads")
+            .expect("a frame");
         assert_eq!(frame, bytes, "{name}");
         let batch = decode(&frame, 0).expect("is read");
         let reply = host.batch(&batch).unwrap_or_else(|e| panic!("{name}: {e}"));
@@ -124,17 +202,41 @@
 /// Each action alone, for one instance, and then all of them in one reply.
 #[test]
 fn every_reply_is_written_as_it_was() {
-    let send = Action::Send { request: ID, upstream: UPSTREAM, timeout: 80.5, write_by: 9000.5 };
+    let send = Action::Send {
+        request: ID,
+        upstream: UPSTREAM,
+        timeout: 80.5,
+        write_by: 9000.5,
+    };
     let reason = Refusal::OverLimit;
     let actions = [
         ("fail", Action::Fail { request: ID }),
         ("close", Action::CloseIdle(UPSTREAM)),
-        ("refuse", Action::Refuse { request: ID, retry_after: 150.25, reason }),
+        (
+            "refuse",
+            Action::Refuse {
+                request: ID,
+                retry_after: 150.25,
+                reason,
+            },
+        ),
         ("subscribe", Action::Subscribe),
         ("log", Action::Log("two servers — known".into())),
         ("send", send),
-        ("timer", Action::SetTimer { after: 500.75, token: 0x6162_6364 }),
-        ("cancel", Action::Cancel { request: ID, attempt: 0x0102 }),
+        (
+            "timer",
+            Action::SetTimer {
+                after: 500.75,
+                token: 0x6162_6364,
+            },
+        ),
+        (
+            "cancel",
+            Action::Cancel {
+                request: ID,
+                attempt: 0x0102,
+            },
+        ),
     ];
     let mut reply = Reply::default();
     let mut made = vec![("empty".to_string(), reply.finish(0x0102_0304))];
--- a/balancer/simulator/tests/mutated.rs
+++ b/balancer/simulator/tests/mutated.rs
@@ -31,7 +31,12 @@
 
 /// One entry of a list: an upstream that is ready.
 fn entry(id: u8) -> Vec<u8> {
-    [&[0, 0, 0, 0, 0, id, 0, 0, 0, 0, 0, 3][..], &1_f32.to_be_bytes(), &0_f64.to_be_bytes()].concat()
+    [
+        &[0, 0, 0, 0, 0, id, 0, 0, 0, 0, 0, 3][..],
+        &1_f32.to_be_bytes(),
+        &0_f64.to_be_bytes(),
+    ]
+    .concat()
 }
 
 /// Frames of one simulation: a balancer starts, hears of two upstreams, has three requests and their outcomes, and ends.
@@ -42,15 +47,28 @@
     let table = [&[6, 0, 0, 0, 1][..], &length, &[0, 0, 0, 2]].concat();
     let sync = vec![2, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1];
     let tail = [SETTINGS, &entry(1), &entry(2)].concat();
-    let request =
-        |id: u8| [&[5, 0, 0, 0, id][..], &[0; 5], &9_u64.to_be_bytes(), &900_f64.to_be_bytes()].concat();
+    let request = |id: u8| {
+        [
+            &[5, 0, 0, 0, id][..],
+            &[0; 5],
+            &9_u64.to_be_bytes(),
+            &900_f64.to_be_bytes(),
+        ]
+        .concat()
+    };
     let outcome = |id: u8| {
         let head = [8, 0, 0, 0, id, 0, 0, 0, 0, 0, 0, 0, 1, 0, 200];
         let report = [&5_f32.to_be_bytes()[..], &50_f32.to_be_bytes()].concat();
         [&head[..], &12_f64.to_be_bytes(), &[1, 2], &report].concat()
     };
     let requests = [target.clone(), request(1), request(2), request(3)];
-    let outcomes = [target.clone(), outcome(1), outcome(2), vec![9, 0, 0, 0, 3], vec![0, 0, 0, 0, 1]];
+    let outcomes = [
+        target.clone(),
+        outcome(1),
+        outcome(2),
+        vec![9, 0, 0, 0, 3],
+        vec![0, 0, 0, 0, 1],
+    ];
     vec![
         frame(0.0, &[target.clone(), configure, table, sync], &tail),
         frame(500.0, &requests, &[]),
@@ -88,7 +106,10 @@
     assert!(play(&mut host, &frames[0]));
     let batch = decode(&frames[1], 1).expect("a good frame");
     let reply = host.batch(&batch).expect("a reply");
-    let sends = reply[12..].chunks_exact(24).filter(|action| action[0] == 7).count();
+    let sends = reply[12..]
+        .chunks_exact(24)
+        .filter(|action| action[0] == 7)
+        .count();
     // The upstreams are cold: how many of the three they get is the module's choice.
     assert!(sends >= 1, "{reply:?}");
     assert!(frames[2..].iter().all(|frame| play(&mut host, frame)));
@@ -112,10 +133,21 @@
     // The same numbers each time (a linear congruence, its upper half).
     let mut state = 11_u64;
     let mut below = |n: usize| {
-        state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        state = state
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (state >> 33) as usize % n.max(1)
     };
-    let numbers = [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e-320, 1e300, -1e300, 4e9];
+    let numbers = [
+        f64::NAN,
+        f64::INFINITY,
+        -1.0,
+        0.0,
+        1e-320,
+        1e300,
+        -1e300,
+        4e9,
+    ];
     let (mut taken, mut refused) = (0, 0);
     for _ in 0..10_000 {
         let mut host = Host::default();
@@ -128,8 +160,9 @@
                     1 => bytes[at] ^= 1 << below(8),
                     2 => {
                         let end = (at + 8).min(bytes.len());
-                        bytes[at..end]
-                            .copy_from_slice(&numbers[below(numbers.len())].to_be_bytes()[..end - at]);
+                        bytes[at..end].copy_from_slice(
+                            &numbers[below(numbers.len())].to_be_bytes()[..end - at],
+                        );
                     }
                     _ => {
                         bytes.truncate(at.max(HEADER));
@@ -146,5 +179,8 @@
             }
         }
     }
-    assert!(taken > 2_000 && refused > 2_000, "{taken} taken, {refused} refused");
+    assert!(
+        taken > 2_000 && refused > 2_000,
+        "{taken} taken, {refused} refused"
+    );
 }
--- a/balancer/simulator/tests/wire.rs
+++ b/balancer/simulator/tests/wire.rs
@@ -17,15 +17,24 @@
 #[test]
 fn the_documented_empty_batch_and_reply() {
     let batch = decode(&bytes("00000014 00000000 40c06e2000000000 00000001"), 0).unwrap();
-    assert_eq!((batch.now, batch.number, batch.records.len()), (8412.25, 1, 0));
-    assert_eq!(Reply::default().finish(1), bytes("0000000c 00000000 00000001"));
+    assert_eq!(
+        (batch.now, batch.number, batch.records.len()),
+        (8412.25, 1, 0)
+    );
+    assert_eq!(
+        Reply::default().finish(1),
+        bytes("0000000c 00000000 00000001")
+    );
 }
 
 #[test]
 fn the_documented_batch_and_its_reply() {
     let mut frame = bytes("00000104 00000005 40c06e2000000000 0000000c");
     frame.extend(padded("0a 0003", 48));
-    frame.extend(padded("05 5d3a91c4 00 00000000 91f03b7c55d20a64 40c0e62000000000 4028000000000000 01", 48));
+    frame.extend(padded(
+        "05 5d3a91c4 00 00000000 91f03b7c55d20a64 40c0e62000000000 4028000000000000 01",
+        48,
+    ));
     frame.extend(padded("00 0000004d", 48));
     frame.extend(padded("0a 0005", 48));
     frame.extend(padded("09 0e6f2b19", 48));
@@ -34,10 +43,19 @@
     assert_eq!(batch.records[0], Record::Target(3));
     let id = RequestId(0x5d3a_91c4);
     let tie = xxh3_64(&0x91f0_3b7c_55d2_0a64_u64.to_be_bytes());
-    let request = Request { id, class: 0, tenant: 0, deadline: 8652.25, tie };
+    let request = Request {
+        id,
+        class: 0,
+        tenant: 0,
+        deadline: 8652.25,
+        tie,
+    };
     assert_eq!(batch.records[1], Record::Event(Event::Request(request)));
     assert_eq!(batch.records[2], Record::Event(Event::Timer(0x4d)));
-    assert_eq!(batch.records[4], Record::Event(Event::ClientGone(RequestId(0x0e6f_2b19))));
+    assert_eq!(
+        batch.records[4],
+        Record::Event(Event::ClientGone(RequestId(0x0e6f_2b19)))
+    );
 
     let mut reply = Reply::default();
     reply.at(3);
@@ -47,7 +65,10 @@
         timeout: 80.0,
         write_by: f64::INFINITY,
     });
-    reply.action(&Action::SetTimer { after: 500.0, token: 0x4d });
+    reply.action(&Action::SetTimer {
+        after: 500.0,
+        token: 0x4d,
+    });
     reply.at(5);
     reply.action(&Action::Log("two servers known".into()));
     let mut want = bytes("00000095 00000005 0000000c");
@@ -64,12 +85,18 @@
 fn the_documented_list() {
     let mut frame = bytes("00000000 00000001 40c06e2000000000 0000000c");
     frame.extend(padded("06 00000000 00000000 00000002", 48));
-    frame.extend(bytes("0a124a07 2bc3 0000 00 0000 03 3f800000 0000000000000000"));
-    frame.extend(bytes("0a9011f2 2bec 0000 00 0000 03 3fc00000 40b7d40000000000"));
+    frame.extend(bytes(
+        "0a124a07 2bc3 0000 00 0000 03 3f800000 0000000000000000",
+    ));
+    frame.extend(bytes(
+        "0a9011f2 2bec 0000 00 0000 03 3fc00000 40b7d40000000000",
+    ));
     let size = frame.len() as u32;
     frame[..4].copy_from_slice(&size.to_be_bytes());
     let batch = decode(&frame, 0).unwrap();
-    let Record::Table { number: 0, members } = &batch.records[0] else { panic!("{batch:?}") };
+    let Record::Table { number: 0, members } = &batch.records[0] else {
+        panic!("{batch:?}")
+    };
     assert_eq!(members[1].id, UpstreamId(0x0a90_11f2_2bec));
     assert_eq!(members[1].since, 6100.0);
     assert!(matches!(membership(2, Some(members)), Ok(Membership::Delta(m)) if m.len() == 2));
@@ -80,19 +107,34 @@
     let read = |b: &[u8]| read_frame(&mut &b[..], 4).map_err(|e| e.to_string());
     assert!(matches!(read(&[]), Ok(None)));
     assert!(read(&[0, 0]).unwrap_err().contains("ended after 2 of 4"));
-    assert!(read(&bytes("ffffffff 00000000")).unwrap_err().contains("stated size"));
-    assert!(read(&bytes("00000014 00000000")).unwrap_err().contains("ended after 8 of 20"));
+    assert!(read(&bytes("ffffffff 00000000"))
+        .unwrap_err()
+        .contains("stated size"));
+    assert!(read(&bytes("00000014 00000000"))
+        .unwrap_err()
+        .contains("ended after 8 of 20"));
     let mut frame = bytes("00000044 00000001 40c06e2000000000 00000001");
     frame.extend(padded("63", 48));
-    assert!(decode(&frame, 2).unwrap_err().to_string().contains("unknown event code 99"));
+    assert!(decode(&frame, 2)
+        .unwrap_err()
+        .to_string()
+        .contains("unknown event code 99"));
     frame[7] = 2;
-    assert!(decode(&frame, 2).unwrap_err().to_string().contains("do not fit"));
+    assert!(decode(&frame, 2)
+        .unwrap_err()
+        .to_string()
+        .contains("do not fit"));
     frame[7] = 1;
-    for (code, fields) in [("06", "00000000 00000000 ffffffff"), ("04", "0000000000000000 00000000 7fffffff")]
-    {
+    for (code, fields) in [
+        ("06", "00000000 00000000 ffffffff"),
+        ("04", "0000000000000000 00000000 7fffffff"),
+    ] {
         frame.truncate(20);
         frame.extend(padded(&format!("{code} {fields}"), 48));
-        assert!(decode(&frame, 2).unwrap_err().to_string().contains("outside the tail"));
+        assert!(decode(&frame, 2)
+            .unwrap_err()
+            .to_string()
+            .contains("outside the tail"));
     }
 }
 
@@ -101,7 +143,10 @@
     let mut frame = bytes("00000000 00000002 40c06e2000000000 0000000c");
     // The documented outcome, then one without a report.
     let outcome = "08 5d3a91c4 0000 0a124a07 2bc3 00c8 4032800000000000 01";
-    frame.extend(padded(&format!("{outcome} 03 41680000 430c0000 40e00000 00000000"), 48));
+    frame.extend(padded(
+        &format!("{outcome} 03 41680000 430c0000 40e00000 00000000"),
+        48,
+    ));
     frame.extend(padded(outcome, 48));
     let size = frame.len() as u32;
     frame[..4].copy_from_slice(&size.to_be_bytes());
@@ -110,7 +155,11 @@
         .records
         .into_iter()
         .map(|r| match r {
-            Record::Outcome { upstream: UpstreamId(0x0a12_4a07_2bc3), report, .. } => report,
+            Record::Outcome {
+                upstream: UpstreamId(0x0a12_4a07_2bc3),
+                report,
+                ..
+            } => report,
             other => panic!("{other:?}"),
         })
         .collect();
@@ -120,9 +169,16 @@
 #[test]
 fn unknown_endings_may_have_run() {
     let mut frame = bytes("00000044 00000001 40c06e2000000000 0000000c");
-    frame.extend(padded("08 5d3a91c4 0000 0a124a07 2bc3 0309 4032800000000000 01", 48));
+    frame.extend(padded(
+        "08 5d3a91c4 0000 0a124a07 2bc3 0309 4032800000000000 01",
+        48,
+    ));
     let batch = decode(&frame, 0).unwrap();
-    let Record::Outcome { event: Event::Outcome { ending, .. }, .. } = &batch.records[0] else {
+    let Record::Outcome {
+        event: Event::Outcome { ending, .. },
+        ..
+    } = &batch.records[0]
+    else {
         panic!("{batch:?}");
     };
     assert_eq!(*ending, Ending::Unknown);
--- a/balancer/snapshots/src/drill.rs
+++ b/balancer/snapshots/src/drill.rs
@@ -38,14 +38,21 @@
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(Fault::None),
             text => text?,
         };
-        let unknown =
-            || io::Error::other(format!("drill {}: {:?} is no known fault", self.0.display(), text.trim()));
+        let unknown = || {
+            io::Error::other(format!(
+                "drill {}: {:?} is no known fault",
+                self.0.display(),
+                text.trim()
+            ))
+        };
         match text.split_whitespace().collect::<Vec<_>>()[..] {
             [] => Ok(Fault::None),
             ["full"] => Ok(Fault::Full),
             ["failing"] => Ok(Fault::Failing),
             ["unsynced"] => Ok(Fault::Unsynced),
-            ["slow", span] => humantime::parse_duration(span).map(Fault::Slow).map_err(|_| unknown()),
+            ["slow", span] => humantime::parse_duration(span)
+                .map(Fault::Slow)
+                .map_err(|_| unknown()),
             _ => Err(unknown()),
         }
     }
@@ -63,20 +70,31 @@
 impl<B: StorageBackend> Drilled<B> {
     /// Storage on this disk, with the faults of a drill if there is one.
     pub fn new(disk: B, drill: Option<Drill>) -> Drilled<B> {
-        Drilled { disk, drill, unsynced_writes: Mutex::default() }
+        Drilled {
+            disk,
+            drill,
+            unsynced_writes: Mutex::default(),
+        }
     }
 
     fn unsynced_writes(&self) -> MutexGuard<'_, Vec<(u64, Vec<u8>)>> {
-        self.unsynced_writes.lock().unwrap_or_else(PoisonError::into_inner)
+        self.unsynced_writes
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Applies the fault to an access.
     fn inject(&self, writes: bool) -> io::Result<Fault> {
-        let Some(drill) = &self.drill else { return Ok(Fault::None) };
+        let Some(drill) = &self.drill else {
+            return Ok(Fault::None);
+        };
         let fault = drill.fault()?;
         match fault {
             Fault::Failing => Err(io::Error::other("input/output error (drill)")),
-            Fault::Full if writes => Err(io::Error::new(io::ErrorKind::StorageFull, "no space left (drill)")),
+            Fault::Full if writes => Err(io::Error::new(
+                io::ErrorKind::StorageFull,
+                "no space left (drill)",
+            )),
             Fault::Slow(span) => {
                 std::thread::sleep(span);
                 Ok(fault)
@@ -135,7 +153,10 @@
         match rng.gen_range(0..3) {
             0 => self.disk.write(offset, data)?,
             1 if data.len() > SECTOR => {
-                self.disk.write(offset, &data[..rng.gen_range(1..=data.len() / SECTOR) * SECTOR])?;
+                self.disk.write(
+                    offset,
+                    &data[..rng.gen_range(1..=data.len() / SECTOR) * SECTOR],
+                )?;
             }
             _ => {}
         }
--- a/balancer/snapshots/src/keeper.rs
+++ b/balancer/snapshots/src/keeper.rs
@@ -47,15 +47,22 @@
 
 /// Unix time, in milliseconds: the clock by which records are written, and by which their age is measured.
 pub fn unix_ms() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64() * 1000.0)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0.0, |d| d.as_secs_f64() * 1000.0)
 }
 
 impl Keeper {
     /// Starts the thread, which owns the store from then on.
     pub fn start(store: Store) -> Result<Keeper, String> {
-        let shared = Arc::new(Shared { pending: Mutex::default(), changed: Condvar::new() });
+        let shared = Arc::new(Shared {
+            pending: Mutex::default(),
+            changed: Condvar::new(),
+        });
         let own = shared.clone();
-        let thread = std::thread::Builder::new().name("store".into()).spawn(move || work(&own, store));
+        let thread = std::thread::Builder::new()
+            .name("store".into())
+            .spawn(move || work(&own, store));
         thread.map_err(|e| format!("a thread for the store: {e}"))?;
         Ok(Keeper { shared })
     }
@@ -112,7 +119,10 @@
                 if pending.stopping {
                     return;
                 }
-                pending = shared.changed.wait(pending).unwrap_or_else(PoisonError::into_inner);
+                pending = shared
+                    .changed
+                    .wait(pending)
+                    .unwrap_or_else(PoisonError::into_inner);
             }
             pending.busy = true;
             std::mem::take(&mut pending.newest)
--- a/balancer/snapshots/src/record.rs
+++ b/balancer/snapshots/src/record.rs
@@ -104,7 +104,11 @@
     }
 
     /// A record from bytes that were stored under this kind, of any owner where none is given.
-    pub fn decode(bytes: &[u8], kind: Kind, owner: Option<&str>) -> Result<(Record, String), Unfit> {
+    pub fn decode(
+        bytes: &[u8],
+        kind: Kind,
+        owner: Option<&str>,
+    ) -> Result<(Record, String), Unfit> {
         let broken = |what: &str| Err(Unfit::Broken(what.into()));
         let Some((checksum, body)) = bytes.split_first_chunk::<4>() else {
             return broken("shorter than its checksum");
@@ -121,19 +125,25 @@
             format: u16,
         }
         match serde_json::from_slice::<FormatOnly>(body) {
-            Ok(format_only) if format_only.format != FORMAT => return Err(Unfit::Format(format_only.format)),
+            Ok(format_only) if format_only.format != FORMAT => {
+                return Err(Unfit::Format(format_only.format))
+            }
             Ok(_) => {}
             Err(e) => return Err(Unfit::Broken(e.to_string())),
         }
-        let stored: Stored = serde_json::from_slice(body).map_err(|e| Unfit::Broken(e.to_string()))?;
+        let stored: Stored =
+            serde_json::from_slice(body).map_err(|e| Unfit::Broken(e.to_string()))?;
         if stored.kind != kind {
             return broken("it is kept under another kind");
         }
         if owner.is_some_and(|owner| owner != stored.owner) {
             return Err(Unfit::Owner(stored.owner));
         }
-        let record =
-            Record { payload: stored.payload, written_ms: stored.written_ms, settings: stored.settings };
+        let record = Record {
+            payload: stored.payload,
+            written_ms: stored.written_ms,
+            settings: stored.settings,
+        };
         Ok((record, stored.owner))
     }
 }
--- a/balancer/snapshots/src/store.rs
+++ b/balancer/snapshots/src/store.rs
@@ -3,7 +3,8 @@
 use crate::record::{Kind, Owner, Record, Unfit};
 use redb::backends::FileBackend;
 use redb::{
-    Database, DatabaseError, ReadableDatabase, StorageBackend, StorageError, TableDefinition, TableError,
+    Database, DatabaseError, ReadableDatabase, StorageBackend, StorageError, TableDefinition,
+    TableError,
 };
 use std::fs::OpenOptions;
 use std::io;
@@ -115,7 +116,9 @@
 fn no_store(e: DatabaseError) -> NoStore {
     match e {
         DatabaseError::DatabaseAlreadyOpen => NoStore::Held,
-        DatabaseError::Storage(StorageError::Io(e)) if e.kind() != std::io::ErrorKind::InvalidData => {
+        DatabaseError::Storage(StorageError::Io(e))
+            if e.kind() != std::io::ErrorKind::InvalidData =>
+        {
             NoStore::Disk(e.to_string())
         }
         e => NoStore::Broken(e.to_string()),
@@ -129,7 +132,11 @@
 }
 
 fn database(backend: impl StorageBackend) -> Result<Database, NoStore> {
-    let builder = || Database::builder().set_cache_size(CACHE).create_with_backend(Steady(backend));
+    let builder = || {
+        Database::builder()
+            .set_cache_size(CACHE)
+            .create_with_backend(Steady(backend))
+    };
     guarded(|| builder().map_err(no_store))
 }
 
@@ -143,14 +150,20 @@
                 let mut options = OpenOptions::new();
                 options.read(true).write(true).create(true).truncate(false);
                 let file = options.open(&path).map_err(disk(&path))?;
-                Ok(Drilled::new(FileBackend::new(file).map_err(no_store)?, drill.clone()))
+                Ok(Drilled::new(
+                    FileBackend::new(file).map_err(no_store)?,
+                    drill.clone(),
+                ))
             }
         };
         match Store::through(file.clone(), owner.clone()) {
             Ok(store) => Ok(Opened { store, aside: None }),
             Err(NoStore::Broken(what)) => {
                 let aside = set_aside(folder).map_err(disk(&path))?;
-                Ok(Opened { store: Store::through(file, owner)?, aside: Some((aside, what)) })
+                Ok(Opened {
+                    store: Store::through(file, owner)?,
+                    aside: Some((aside, what)),
+                })
             }
             Err(e) => Err(e),
         }
@@ -162,12 +175,20 @@
         owner: Owner,
     ) -> Result<Store, NoStore> {
         let opener = Box::new(move || database(make()?));
-        Store::checked(Store { database: Some(opener()?), opener: Some(opener), owner })
+        Store::checked(Store {
+            database: Some(opener()?),
+            opener: Some(opener),
+            owner,
+        })
     }
 
     /// On any storage: the seam at which tests put faults between.
     pub fn on(backend: impl StorageBackend, owner: Owner) -> Result<Store, NoStore> {
-        Store::checked(Store { database: Some(database(backend)?), opener: None, owner })
+        Store::checked(Store {
+            database: Some(database(backend)?),
+            opener: None,
+            owner,
+        })
     }
 
     /// A copy in memory of what a folder holds: nothing in the folder changes, whatever is done to the copy.
@@ -175,14 +196,20 @@
         let path = folder.join(FILE);
         let bytes = std::fs::read(&path).map_err(disk(&path))?;
         let memory = redb::backends::InMemoryBackend::new();
-        let filled = memory.set_len(bytes.len() as u64).and_then(|()| memory.write(0, &bytes));
+        let filled = memory
+            .set_len(bytes.len() as u64)
+            .and_then(|()| memory.write(0, &bytes));
         filled.map_err(disk(&path))?;
         Store::on(memory, owner)
     }
 
     /// Reads every record once, which fails on a database that can't be read.
     fn checked(store: Store) -> Result<Store, NoStore> {
-        guarded(|| Kind::ALL.into_iter().try_for_each(|kind| store.bytes(kind).map(drop)))?;
+        guarded(|| {
+            Kind::ALL
+                .into_iter()
+                .try_for_each(|kind| store.bytes(kind).map(drop))
+        })?;
         Ok(store)
     }
 
@@ -193,7 +220,9 @@
     }
 
     fn database(&self) -> Result<&Database, NoStore> {
-        self.database.as_ref().ok_or_else(|| NoStore::Broken("closed".into()))
+        self.database
+            .as_ref()
+            .ok_or_else(|| NoStore::Broken("closed".into()))
     }
 
     fn bytes(&self, kind: Kind) -> Result<Option<Vec<u8>>, NoStore> {
@@ -211,11 +240,13 @@
     /// The record of a kind.
     pub fn get(&self, kind: Kind) -> Result<Found, NoStore> {
         let bytes = guarded(|| self.bytes(kind))?;
-        Ok(match bytes.map(|b| Record::decode(&b, kind, Some(&self.owner.name))) {
-            None => Found::Nothing,
-            Some(Ok((record, _))) => Found::Record(record),
-            Some(Err(unfit)) => Found::Unfit(unfit),
-        })
+        Ok(
+            match bytes.map(|b| Record::decode(&b, kind, Some(&self.owner.name))) {
+                None => Found::Nothing,
+                Some(Ok((record, _))) => Found::Record(record),
+                Some(Err(unfit)) => Found::Unfit(unfit),
+            },
+        )
     }
 
     /// Writes payloads, all of them or none, and returns once they are on the disk.
@@ -243,7 +274,9 @@
                         settings: self.owner.settings,
                     };
                     let bytes = record.encode(*kind, &self.owner.name);
-                    table.insert(kind.name(), bytes.as_slice()).map_err(|e| disk(&e))?;
+                    table
+                        .insert(kind.name(), bytes.as_slice())
+                        .map_err(|e| disk(&e))?;
                 }
             }
             write.commit().map_err(|e| disk(&e))
@@ -285,10 +318,19 @@
 
 /// What a folder holds, without changing anything in it: it is read from a copy in memory.
 pub fn look(folder: &Path) -> Result<Vec<Line>, NoStore> {
-    let store = Store::copy(folder, Owner { name: String::new(), settings: 0 })?;
+    let store = Store::copy(
+        folder,
+        Owner {
+            name: String::new(),
+            settings: 0,
+        },
+    )?;
     let line = |kind| {
         let bytes = store.bytes(kind)?;
-        Ok(Line { kind, found: bytes.map(|b| Record::decode(&b, kind, None)) })
+        Ok(Line {
+            kind,
+            found: bytes.map(|b| Record::decode(&b, kind, None)),
+        })
     };
     Kind::ALL.into_iter().map(line).collect()
 }
--- a/balancer/snapshots/tests/drill.rs
+++ b/balancer/snapshots/tests/drill.rs
@@ -45,7 +45,10 @@
     disk.set_len(4096).expect("grows");
     disk.write(0, b"well").expect("no file, no fault");
     says("full\n");
-    assert_eq!(disk.write(0, b"full").map_err(|e| e.kind()), Err(io::ErrorKind::StorageFull));
+    assert_eq!(
+        disk.write(0, b"full").map_err(|e| e.kind()),
+        Err(io::ErrorKind::StorageFull)
+    );
     assert_eq!(read().expect("reads"), *b"well");
     says("failing");
     assert!(read().is_err() && disk.sync_data().is_err() && disk.set_len(8192).is_err());
--- a/balancer/snapshots/tests/golden.rs
+++ b/balancer/snapshots/tests/golden.rs
@@ -3,8 +3,8 @@
 #[path = "../../core/tests/common/golden.rs"]
 mod golden;
 
-use golden::{assert_stored, stored};
 use balancer_snapshots::{Found, Kind, Owner, Record, Store};
+use golden::{assert_stored, stored};
 use redb::{Database, ReadableDatabase, TableDefinition};
 use tempfile::TempDir;
 
@@ -16,11 +16,17 @@
 /// The database of a folder, its table and the key of each kind, as any build must find them.
 const FILE: &str = "state.redb";
 const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("records");
-const KEYS: [(&str, Kind); 3] =
-    [("starts", Kind::Starts), ("upstreams", Kind::Upstreams), ("learned", Kind::Learned)];
+const KEYS: [(&str, Kind); 3] = [
+    ("starts", Kind::Starts),
+    ("upstreams", Kind::Upstreams),
+    ("learned", Kind::Learned),
+];
 
 fn owner() -> Owner {
-    Owner { name: OWNER.into(), settings: SETTINGS }
+    Owner {
+        name: OWNER.into(),
+        settings: SETTINGS,
+    }
 }
 
 fn payload(key: &str) -> String {
@@ -28,12 +34,18 @@
 }
 
 fn record(key: &str) -> Record {
-    Record { payload: payload(key), written_ms: WRITTEN_MS, settings: SETTINGS }
+    Record {
+        payload: payload(key),
+        written_ms: WRITTEN_MS,
+        settings: SETTINGS,
+    }
 }
 
 #[test]
 fn every_kind_of_record_is_written_as_it_was() {
-    let made: Vec<_> = KEYS.map(|(key, kind)| (key.to_string(), record(key).encode(kind, OWNER))).into();
+    let made: Vec<_> = KEYS
+        .map(|(key, kind)| (key.to_string(), record(key).encode(kind, OWNER)))
+        .into();
     assert_stored(RECORDS, &made);
 }
 
@@ -41,7 +53,10 @@
 fn every_kind_of_record_is_read_as_it_was_meant() {
     for ((name, bytes), (key, kind)) in stored(RECORDS).into_iter().zip(KEYS) {
         assert_eq!(name, key);
-        assert_eq!(Record::decode(&bytes, kind, Some(OWNER)), Ok((record(key), OWNER.into())));
+        assert_eq!(
+            Record::decode(&bytes, kind, Some(OWNER)),
+            Ok((record(key), OWNER.into()))
+        );
     }
     assert_eq!(Kind::ALL.map(|kind| (kind.name(), kind)), KEYS);
 }
@@ -50,10 +65,16 @@
 fn a_folder_is_written_with_the_file_the_table_and_the_keys_it_had() {
     let dir = TempDir::new().expect("a folder");
     let mut store = Store::open(dir.path(), owner(), None).expect("opens").store;
-    store.put(&KEYS.map(|(key, kind)| (kind, payload(key))), WRITTEN_MS).expect("is written");
+    store
+        .put(&KEYS.map(|(key, kind)| (kind, payload(key))), WRITTEN_MS)
+        .expect("is written");
     drop(store);
     let database = Database::open(dir.path().join(FILE)).expect("opens");
-    let table = database.begin_read().expect("reads").open_table(TABLE).expect("the table");
+    let table = database
+        .begin_read()
+        .expect("reads")
+        .open_table(TABLE)
+        .expect("the table");
     for (name, bytes) in stored(RECORDS) {
         let kept = table.get(name).expect("reads").expect("a record");
         assert_eq!(kept.value(), bytes, "{name}");
@@ -76,6 +97,10 @@
     let opened = Store::open(dir.path(), owner(), None).expect("opens");
     assert!(opened.aside.is_none());
     for (key, kind) in KEYS {
-        assert_eq!(opened.store.get(kind), Ok(Found::Record(record(key))), "{key}");
+        assert_eq!(
+            opened.store.get(kind),
+            Ok(Found::Record(record(key))),
+            "{key}"
+        );
     }
 }
--- a/balancer/snapshots/tests/power.rs
+++ b/balancer/snapshots/tests/power.rs
@@ -47,13 +47,19 @@
 
 impl Disk {
     fn of(image: Vec<u8>) -> Disk {
-        Disk(Arc::new(Mutex::new(Told { image, ..Told::default() })))
+        Disk(Arc::new(Mutex::new(Told {
+            image,
+            ..Told::default()
+        })))
     }
 
     fn told(&self, op: Op) -> io::Result<()> {
         let mut told = self.0.lock().expect("no panic");
         if told.full {
-            return Err(io::Error::new(io::ErrorKind::StorageFull, "no space is left"));
+            return Err(io::Error::new(
+                io::ErrorKind::StorageFull,
+                "no space is left",
+            ));
         }
         apply(&mut told.image, &op);
         told.ops.push(op);
@@ -87,13 +93,23 @@
 }
 
 fn owner() -> Owner {
-    Owner { name: "n1".into(), settings: 7 }
+    Owner {
+        name: "n1".into(),
+        settings: 7,
+    }
 }
 
 /// What a put of this number keeps: every kind names the number, and is of its own length.
 fn payloads(number: usize) -> Vec<(Kind, String)> {
-    let of =
-        |kind: Kind| (kind, format!("{{\"put\":{number},\"fill\":\"{}\"}}", "x".repeat(number * 37 % 5000)));
+    let of = |kind: Kind| {
+        (
+            kind,
+            format!(
+                "{{\"put\":{number},\"fill\":\"{}\"}}",
+                "x".repeat(number * 37 % 5000)
+            ),
+        )
+    };
     Kind::ALL.into_iter().map(of).collect()
 }
 
@@ -102,8 +118,10 @@
     let one = |kind| match store.get(kind).expect("reads") {
         Found::Nothing => None,
         Found::Record(record) => {
-            let number =
-                record.payload.strip_prefix("{\"put\":").and_then(|t| t.split(',').next()?.parse().ok());
+            let number = record
+                .payload
+                .strip_prefix("{\"put\":")
+                .and_then(|t| t.split(',').next()?.parse().ok());
             let number = number.unwrap_or_else(|| panic!("{record:?}"));
             assert_eq!(record.payload, payloads(number)[0].1);
             Some(number)
@@ -161,14 +179,21 @@
             unsynced.drain(..).for_each(|op| apply(&mut durable, &op));
         }
         let at = at + 1;
-        let last = done.iter().rev().find(|(position, _)| *position <= at).and_then(|(_, put)| *put);
+        let last = done
+            .iter()
+            .rev()
+            .find(|(position, _)| *position <= at)
+            .and_then(|(_, put)| *put);
         for variant in 0..VARIANTS {
             let image = left(rng, &durable, &unsynced, variant);
             match Store::on(Disk::of(image), owner()) {
                 Ok(store) => {
                     let found = number(&store);
                     let next = last.map_or(0, |put| put + 1);
-                    assert!(found == last || found == Some(next), "at {at}: {found:?} after {last:?}");
+                    assert!(
+                        found == last || found == Some(next),
+                        "at {at}: {found:?} after {last:?}"
+                    );
                 }
                 // A database that was not yet made whole for the first time has nothing to lose.
                 Err(NoStore::Broken(_)) if at < begun => {}
@@ -179,7 +204,10 @@
     }
     assert!(opened > 10_000, "{opened}");
     let size = disk.0.lock().expect("no panic").image.len();
-    assert!(size < 4 << 20, "200 puts of a few kilobytes have made {size} bytes");
+    assert!(
+        size < 4 << 20,
+        "200 puts of a few kilobytes have made {size} bytes"
+    );
     println!("{opened} images opened, of {} writes and syncs", ops.len());
 }
 
@@ -202,7 +230,10 @@
         // The power goes at a random point of what the recovery wrote.
         let ops = disk.0.lock().expect("no panic").ops.clone();
         let cut = rng.gen_range(0..=ops.len());
-        let synced = ops[..cut].iter().rposition(|op| matches!(op, Op::Sync)).map_or(0, |at| at + 1);
+        let synced = ops[..cut]
+            .iter()
+            .rposition(|op| matches!(op, Op::Sync))
+            .map_or(0, |at| at + 1);
         let mut durable = image.clone();
         ops[..synced].iter().for_each(|op| apply(&mut durable, op));
         image = left(rng, &durable, &ops[synced..cut], 2);
@@ -215,7 +246,10 @@
     let mut store = Store::on(disk.clone(), owner()).expect("a store");
     store.put(&payloads(1), 1000.0).expect("puts");
     disk.0.lock().expect("no panic").full = true;
-    assert!(matches!(store.put(&payloads(2), 1000.0), Err(NoStore::Disk(_))));
+    assert!(matches!(
+        store.put(&payloads(2), 1000.0),
+        Err(NoStore::Disk(_))
+    ));
     drop(store);
     disk.0.lock().expect("no panic").full = false;
     let image = disk.0.lock().expect("no panic").image.clone();
@@ -230,12 +264,17 @@
 fn what_can_not_be_read_is_set_aside_and_only_a_few_such_are_kept() {
     let folder = TempDir::new().expect("a folder");
     for round in 0..6 {
-        std::fs::write(folder.path().join(FILE), format!("no database, round {round}").repeat(1000))
-            .expect("writes");
+        std::fs::write(
+            folder.path().join(FILE),
+            format!("no database, round {round}").repeat(1000),
+        )
+        .expect("writes");
         assert!(look(folder.path()).is_err());
         let mut opened = Store::open(folder.path(), owner(), None).expect("begins anew");
         let (aside, _) = opened.aside.take().expect("set aside");
-        assert!(std::fs::read_to_string(aside).expect("reads").contains(&format!("round {round}")));
+        assert!(std::fs::read_to_string(aside)
+            .expect("reads")
+            .contains(&format!("round {round}")));
         assert_eq!(number(&opened.store), None);
         opened.store.put(&payloads(round), 1000.0).expect("puts");
     }
@@ -246,7 +285,9 @@
 #[test]
 fn any_flipped_bit_and_any_cut_is_seen_or_does_no_harm() {
     let folder = TempDir::new().expect("a folder");
-    let mut store = Store::open(folder.path(), owner(), None).expect("opens").store;
+    let mut store = Store::open(folder.path(), owner(), None)
+        .expect("opens")
+        .store;
     (0..4).for_each(|put| store.put(&payloads(put), 1000.0).expect("puts"));
     drop(store);
     let whole = std::fs::read(folder.path().join(FILE)).expect("reads");
@@ -258,19 +299,28 @@
             0 => bytes.truncate(rng.gen_range(0..whole.len())),
             _ => (0..round % 4).for_each(|_| {
                 // Most of the file is room that nobody reads: the head is where it hurts.
-                let most = if rng.gen_bool(0.7) { 16_384.min(bytes.len()) } else { bytes.len() };
+                let most = if rng.gen_bool(0.7) {
+                    16_384.min(bytes.len())
+                } else {
+                    bytes.len()
+                };
                 let bit = rng.gen_range(0..most * 8);
                 bytes[bit / 8] ^= 1 << (bit % 8);
             }),
         }
         match Store::on(Disk::of(bytes), owner()) {
-            Ok(store) => Kind::ALL.into_iter().for_each(|kind| match store.get(kind) {
-                Ok(Found::Record(record)) => {
-                    assert!((0..4).any(|put| payloads(put)[0].1 == record.payload), "{record:?}");
-                    used += 1;
-                }
-                Ok(Found::Nothing | Found::Unfit(_)) | Err(_) => unusable += 1,
-            }),
+            Ok(store) => Kind::ALL
+                .into_iter()
+                .for_each(|kind| match store.get(kind) {
+                    Ok(Found::Record(record)) => {
+                        assert!(
+                            (0..4).any(|put| payloads(put)[0].1 == record.payload),
+                            "{record:?}"
+                        );
+                        used += 1;
+                    }
+                    Ok(Found::Nothing | Found::Unfit(_)) | Err(_) => unusable += 1,
+                }),
             Err(_) => unusable += 1,
         }
     }
@@ -280,7 +330,9 @@
 #[test]
 fn another_process_a_foreign_owner_and_a_look_from_outside() {
     let folder = TempDir::new().expect("a folder");
-    let mut store = Store::open(folder.path(), owner(), None).expect("opens").store;
+    let mut store = Store::open(folder.path(), owner(), None)
+        .expect("opens")
+        .store;
     store.put(&payloads(1), 1000.0).expect("puts");
     let second = Store::open(folder.path(), owner(), None).err();
     assert_eq!(second, Some(NoStore::Held));
@@ -288,10 +340,21 @@
     let before = std::fs::read(folder.path().join(FILE)).expect("reads");
     let lines = look(folder.path()).expect("looks");
     assert_eq!(lines.len(), Kind::ALL.len());
-    assert!(lines.iter().all(|l| matches!(&l.found, Some(Ok((_, name))) if name == "n1")));
-    assert_eq!(std::fs::read(folder.path().join(FILE)).expect("reads"), before, "a look changes nothing");
-    let foreign = Owner { name: "n2".into(), settings: 7 };
-    let store = Store::open(folder.path(), foreign, None).expect("opens").store;
+    assert!(lines
+        .iter()
+        .all(|l| matches!(&l.found, Some(Ok((_, name))) if name == "n1")));
+    assert_eq!(
+        std::fs::read(folder.path().join(FILE)).expect("reads"),
+        before,
+        "a look changes nothing"
+    );
+    let foreign = Owner {
+        name: "n2".into(),
+        settings: 7,
+    };
+    let store = Store::open(folder.path(), foreign, None)
+        .expect("opens")
+        .store;
     assert!(matches!(store.get(Kind::Starts), Ok(Found::Unfit(_))));
 }
 
@@ -304,14 +367,18 @@
     };
     let keeper = Keeper::start(Store::through(make, owner()).expect("a store")).expect("starts");
     for put in 0..1000 {
-        payloads(put % 7).into_iter().for_each(|(kind, payload)| keeper.keep(kind, payload));
+        payloads(put % 7)
+            .into_iter()
+            .for_each(|(kind, payload)| keeper.keep(kind, payload));
     }
     assert!(keeper.flush(PATIENCE));
     let written = keeper.written();
     assert!(written.commits >= 1 && written.failed == 0, "{written:?}");
     // A disk that fails is told of once.
     disk.0.lock().expect("no panic").full = true;
-    payloads(3).into_iter().for_each(|(kind, payload)| keeper.keep(kind, payload));
+    payloads(3)
+        .into_iter()
+        .for_each(|(kind, payload)| keeper.keep(kind, payload));
     assert!(!keeper.flush(PATIENCE));
     assert!(keeper.failure().is_some());
     // redb takes nothing any more after a failure: the store must have been opened again for this.
@@ -324,19 +391,31 @@
     }
     drop(keeper);
     let image = disk.0.lock().expect("no panic").image.clone();
-    assert_eq!(number(&Store::on(Disk::of(image), owner()).expect("opens")), Some(3));
+    assert_eq!(
+        number(&Store::on(Disk::of(image), owner()).expect("opens")),
+        Some(3)
+    );
 }
 
 #[test]
 fn the_file_stays_small_however_long_it_is_written() {
     let folder = TempDir::new().expect("a folder");
-    let mut store = Store::open(folder.path(), owner(), None).expect("opens").store;
+    let mut store = Store::open(folder.path(), owner(), None)
+        .expect("opens")
+        .store;
     // A quarter of an hour of one write a second, of what three hundred upstreams come to.
     for second in 0..900 {
-        let learned = format!("{{\"put\":{second},\"fill\":\"{}\"}}", "x".repeat(60_000 + second % 7 * 100));
-        store.put(&[(Kind::Learned, learned)], 1000.0).expect("puts");
+        let learned = format!(
+            "{{\"put\":{second},\"fill\":\"{}\"}}",
+            "x".repeat(60_000 + second % 7 * 100)
+        );
+        store
+            .put(&[(Kind::Learned, learned)], 1000.0)
+            .expect("puts");
     }
-    let size = std::fs::metadata(folder.path().join(FILE)).expect("a file").len();
+    let size = std::fs::metadata(folder.path().join(FILE))
+        .expect("a file")
+        .len();
     println!("{size} bytes after 900 writes of 60 kB");
     assert!(size < 4 << 20, "{size} bytes");
 }
--- a/balancer/snapshots/tests/record.rs
+++ b/balancer/snapshots/tests/record.rs
@@ -3,15 +3,28 @@
 use balancer_snapshots::{Kind, Record};
 
 fn record() -> Record {
-    Record { payload: "{\"a\":[1,2.5]}".into(), written_ms: 1.75e12, settings: 7 }
+    Record {
+        payload: "{\"a\":[1,2.5]}".into(),
+        written_ms: 1.75e12,
+        settings: 7,
+    }
 }
 
 #[test]
 fn a_record_comes_back_as_it_was_for_its_owner_only() {
     let bytes = record().encode(Kind::Learned, "n1");
-    assert_eq!(Record::decode(&bytes, Kind::Learned, Some("n1")), Ok((record(), "n1".into())));
-    assert_eq!(Record::decode(&bytes, Kind::Learned, Some("n2")), Err(Unfit::Owner("n1".into())));
-    assert!(matches!(Record::decode(&bytes, Kind::Starts, None), Err(Unfit::Broken(_))));
+    assert_eq!(
+        Record::decode(&bytes, Kind::Learned, Some("n1")),
+        Ok((record(), "n1".into()))
+    );
+    assert_eq!(
+        Record::decode(&bytes, Kind::Learned, Some("n2")),
+        Err(Unfit::Owner("n1".into()))
+    );
+    assert!(matches!(
+        Record::decode(&bytes, Kind::Starts, None),
+        Err(Unfit::Broken(_))
+    ));
 }
 
 #[test]
@@ -19,7 +32,10 @@
     let body = br#"{"format":9,"all":"else differs"}"#;
     let mut bytes = crc32fast::hash(body).to_be_bytes().to_vec();
     bytes.extend(body);
-    assert_eq!(Record::decode(&bytes, Kind::Starts, None), Err(Unfit::Format(9)));
+    assert_eq!(
+        Record::decode(&bytes, Kind::Starts, None),
+        Err(Unfit::Format(9))
+    );
 }
 
 #[test]
@@ -28,9 +44,15 @@
     for bit in 0..bytes.len() * 8 {
         let mut other = bytes.clone();
         other[bit / 8] ^= 1 << (bit % 8);
-        assert!(Record::decode(&other, Kind::Upstreams, Some("n1")).is_err(), "bit {bit}");
+        assert!(
+            Record::decode(&other, Kind::Upstreams, Some("n1")).is_err(),
+            "bit {bit}"
+        );
     }
     for length in 0..bytes.len() {
-        assert!(Record::decode(&bytes[..length], Kind::Upstreams, None).is_err(), "{length} bytes");
+        assert!(
+            Record::decode(&bytes[..length], Kind::Upstreams, None).is_err(),
+            "{length} bytes"
+        );
     }
 }
--- a/lab/src/agent.rs
+++ b/lab/src/agent.rs
@@ -103,9 +103,18 @@
     /// Knows all upstreams of its balancer's tier as active, long since.
     pub fn new(balancer: usize, plan: &Plan) -> Agent {
         let tier = plan.balancers[balancer].tier;
-        let own = plan.upstreams.iter().enumerate().filter(|(_, u)| u.tier == tier);
+        let own = plan
+            .upstreams
+            .iter()
+            .enumerate()
+            .filter(|(_, u)| u.tier == tier);
         let entry = |(i, u): (usize, &crate::draw::Upstream)| {
-            let entry = Entry { upstream: i, id: u.name.clone(), state: State::Active, start: (1, None) };
+            let entry = Entry {
+                upstream: i,
+                id: u.name.clone(),
+                state: State::Active,
+                start: (1, None),
+            };
             (u.name.clone(), (entry, 1))
         };
 
@@ -168,7 +177,12 @@
             Some(since) => *version > since,
             None => entry.state != State::Left,
         };
-        let notified: Vec<Entry> = list.entries.values().filter(fits).map(|(e, _)| e.clone()).collect();
+        let notified: Vec<Entry> = list
+            .entries
+            .values()
+            .filter(fits)
+            .map(|(e, _)| e.clone())
+            .collect();
         let line = |e: &Entry| {
             let u = &world.plan.upstreams[e.upstream];
             let state = if stale { State::Active } else { e.state };
@@ -184,17 +198,29 @@
             }
         };
         let version = if stale { 1 } else { list.version };
-        let listing =
-            Listing { version, full: since.is_none(), servers: notified.iter().map(line).collect() };
+        let listing = Listing {
+            version,
+            full: since.is_none(),
+            servers: notified.iter().map(line).collect(),
+        };
         // Strings and numbers only: there is nothing in it that JSON can't hold.
-        (notified, serde_json::to_string(&listing).unwrap_or_default())
+        (
+            notified,
+            serde_json::to_string(&listing).unwrap_or_default(),
+        )
     }
 
     fn note_notified(&self, world: &World, notified: &[Entry]) {
         let now = world.now();
         let mut oracle = lock(&world.oracle);
         for entry in notified {
-            oracle.notified(now, self.balancer, entry.upstream, entry.start.0, entry.state == State::Active);
+            oracle.notified(
+                now,
+                self.balancer,
+                entry.upstream,
+                entry.start.0,
+                entry.state == State::Active,
+            );
         }
     }
 
@@ -276,10 +302,15 @@
         }
         let query = request.uri().query().unwrap_or_default();
         let figure = |name: &str| {
-            let pair = query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('='));
+            let pair = query
+                .split('&')
+                .find_map(|p| p.strip_prefix(name)?.strip_prefix('='));
             pair.and_then(|v| v.parse::<u64>().ok())
         };
-        let (since, wait) = (figure("since"), figure("timeout_ms").unwrap_or(0).min(WAIT_MOST));
+        let (since, wait) = (
+            figure("since"),
+            figure("timeout_ms").unwrap_or(0).min(WAIT_MOST),
+        );
         let mut mood = self.mood.subscribe();
         let now = *mood.borrow_and_update();
         if now == Mood::Silent {
--- a/lab/src/audit.rs
+++ b/lab/src/audit.rs
@@ -68,13 +68,28 @@
     pub fn tier(&self) -> Option<Tier> {
         let p = self.peers.as_ref()?;
         let in_sums = p.sums.as_ref().map_or(0, |s| s.heard);
-        Some(Tier { up: p.up, in_sums, suspected: p.suspected, gone: p.gone, steps: p.steps })
+        Some(Tier {
+            up: p.up,
+            in_sums,
+            suspected: p.suspected,
+            gone: p.gone,
+            steps: p.steps,
+        })
     }
 
     /// What of its peers' it acts on, and how old that is, in milliseconds.
     pub fn acts_on(&self) -> impl Iterator<Item = (&'static str, f64)> + '_ {
-        let sums = self.peers.iter().filter_map(|p| p.sums.as_ref()).map(|s| ("sums", s.age_ms));
-        sums.chain(self.peers.iter().filter_map(|p| p.evidence_age_ms).map(|age| ("evidence", age)))
+        let sums = self
+            .peers
+            .iter()
+            .filter_map(|p| p.sums.as_ref())
+            .map(|s| ("sums", s.age_ms));
+        sums.chain(
+            self.peers
+                .iter()
+                .filter_map(|p| p.evidence_age_ms)
+                .map(|age| ("evidence", age)),
+        )
     }
 }
 
@@ -84,7 +99,10 @@
 /// may differ, and no more.
 pub fn differs(counted: &Counted, seen: &Seen) -> Option<String> {
     let sum = |of: &BTreeMap<String, u64>, of_name: &dyn Fn(&str) -> bool| -> u64 {
-        of.iter().filter(|(name, _)| of_name(name)).map(|(_, n)| n).sum()
+        of.iter()
+            .filter(|(name, _)| of_name(name))
+            .map(|(_, n)| n)
+            .sum()
     };
     let ended = |name: &str| sum(&counted.ended, &|n| n == name);
     let refused = sum(&counted.ended, &|n| n.starts_with("refused"));
@@ -100,8 +118,12 @@
     set("refused", refused, seen.refused, open);
     set("failed", ended("failed"), seen.failed, open);
     // What never reached an upstream was seen by nobody; what was given up may or may not have reached one.
-    let never = sum(&counted.attempts_ended, &|n| matches!(n, "not_connected" | "not_sent"));
-    let perhaps = sum(&counted.attempts_ended, &|n| matches!(n, "timed_out" | "cancelled" | "reset"));
+    let never = sum(&counted.attempts_ended, &|n| {
+        matches!(n, "not_connected" | "not_sent")
+    });
+    let perhaps = sum(&counted.attempts_ended, &|n| {
+        matches!(n, "timed_out" | "cancelled" | "reset")
+    });
     let whole = counted.attempts.saturating_sub(never);
     let nearest = seen.attempts.clamp(whole.saturating_sub(perhaps), whole);
     set("attempts", nearest, seen.attempts, open);
--- a/lab/src/call.rs
+++ b/lab/src/call.rs
@@ -85,9 +85,13 @@
 impl Call {
     /// Makes the call and waits for what comes of it.
     pub async fn make(self, world: &World) -> CallResult {
-        let cancels_after = self.cancels_after.map(|after| world.clock.instant(self.sent + after));
+        let cancels_after = self
+            .cancels_after
+            .map(|after| world.clock.instant(self.sent + after));
         match cancels_after {
-            Some(at) => timeout_at(at, self.carry(world)).await.unwrap_or(CallResult::Left),
+            Some(at) => timeout_at(at, self.carry(world))
+                .await
+                .unwrap_or(CallResult::Left),
             None => self.carry(world).await,
         }
     }
@@ -96,7 +100,11 @@
         pause(self.delay).await;
         let gives_up = world.clock.instant(self.sent + self.timeout);
         let id = world.ask(self.asked);
-        let mut pending = PendingCall { world, id, reported: true };
+        let mut pending = PendingCall {
+            world,
+            id,
+            reported: true,
+        };
         // One that floods takes a connection of its own for each request.
         let flood = self.flood;
         let mut fresh = flood.is_some();
@@ -113,7 +121,9 @@
                     }
                 }
             };
-            let Some(request) = self.request(world, id) else { return CallResult::Unreached };
+            let Some(request) = self.request(world, id) else {
+                return CallResult::Unreached;
+            };
             let (deadline, written) = (self.sent + self.timeout, world.now());
             lock(&world.oracle).taken(written, id, self.asked.class, self.balancer, deadline);
             pending.reported = false;
@@ -164,7 +174,9 @@
     }
 
     async fn dial(&self, world: &World) -> Option<Conn> {
-        let gate: LinkedStream = connect(world.block.balancer(self.balancer), &self.link).await.ok()?;
+        let gate: LinkedStream = connect(world.block.balancer(self.balancer), &self.link)
+            .await
+            .ok()?;
         let (sender, conn) = http1::handshake(TokioIo::new(gate)).await.ok()?;
         let mut resets = self.link.resets();
         let task = tokio::spawn(async move {
@@ -185,7 +197,10 @@
             .header("host", "service.internal")
             .header("req-id", format!("{id:016x}"))
             .header("req-kind", &class.name)
-            .header("req-owner", &world.experiment.tenants[self.asked.tenant].name)
+            .header(
+                "req-owner",
+                &world.experiment.tenants[self.asked.tenant].name,
+            )
             .header("req-deadline", format!("{}u", (left * 1000.0) as u64));
         if self.retry {
             request = request.header("req-retry", "1");
@@ -208,16 +223,23 @@
 /// Reads an answer whole.
 async fn read(answer: Response<hyper::body::Incoming>) -> (Final, CallResult) {
     let status = answer.status();
-    let after =
-        answer.headers().get("retry-after").and_then(|v| v.to_str().ok()).and_then(|v| v.parse::<f64>().ok());
+    let after = answer
+        .headers()
+        .get("retry-after")
+        .and_then(|v| v.to_str().ok())
+        .and_then(|v| v.parse::<f64>().ok());
     let Ok(body) = Limited::new(answer.into_body(), BODY_MOST).collect().await else {
         return (Final::Partial, CallResult::Failed);
     };
     match status {
-        StatusCode::OK => (Final::Served(mark(&body.to_bytes())), CallResult::Served(0.0)),
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-            (Final::Refused, CallResult::Refused(after.map(|s| s * 1000.0)))
-        }
+        StatusCode::OK => (
+            Final::Served(mark(&body.to_bytes())),
+            CallResult::Served(0.0),
+        ),
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => (
+            Final::Refused,
+            CallResult::Refused(after.map(|s| s * 1000.0)),
+        ),
         _ => (Final::Failed, CallResult::Failed),
     }
 }
--- a/lab/src/capacity/accounting.rs
+++ b/lab/src/capacity/accounting.rs
@@ -50,15 +50,23 @@
 
 fn scheduled_ns(path: &Path) -> io::Result<u64> {
     let text = std::fs::read_to_string(path)?;
-    text.split_whitespace().next().and_then(|ns| ns.parse().ok()).ok_or_else(|| missing("the time on a core"))
+    text.split_whitespace()
+        .next()
+        .and_then(|ns| ns.parse().ok())
+        .ok_or_else(|| missing("the time on a core"))
 }
 
 fn figure(text: &str, name: &str) -> io::Result<u64> {
     let line = text.lines().find_map(|line| line.strip_prefix(name));
     let value = line.and_then(|rest| rest.split_whitespace().next());
-    value.and_then(|value| value.parse().ok()).ok_or_else(|| missing(name))
+    value
+        .and_then(|value| value.parse().ok())
+        .ok_or_else(|| missing(name))
 }
 
 fn missing(what: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, format!("/proc tells nothing of {what}"))
+    io::Error::new(
+        io::ErrorKind::InvalidData,
+        format!("/proc tells nothing of {what}"),
+    )
 }
--- a/lab/src/capacity/balancer.rs
+++ b/lab/src/capacity/balancer.rs
@@ -41,7 +41,11 @@
 impl Balancer {
     /// Starts it and waits until it is ready.
     pub async fn start(place: &Place<'_>, scenario: &Scenario) -> Result<Balancer, String> {
-        let file = |kind: &str| place.folder.join(format!("balancer-{}.{kind}", place.number));
+        let file = |kind: &str| {
+            place
+                .folder
+                .join(format!("balancer-{}.{kind}", place.number))
+        };
         let write = |path: &PathBuf, text: String| {
             std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
         };
@@ -62,11 +66,17 @@
             .kill_on_drop(true)
             .spawn()
             .map_err(|e| format!("{}: {e}", place.program.display()))?;
-        let balancer = Balancer { listen: place.block.balancer(place.number), child };
+        let balancer = Balancer {
+            listen: place.block.balancer(place.number),
+            child,
+        };
         let end = Instant::now() + READY_WITHIN;
         while !balancer.is_ready().await {
             if Instant::now() > end {
-                return Err(format!("balancer {} is not ready after {READY_WITHIN:?}", place.number));
+                return Err(format!(
+                    "balancer {} is not ready after {READY_WITHIN:?}",
+                    place.number
+                ));
             }
             tokio::time::sleep(READY_PAUSE).await;
         }
@@ -87,13 +97,16 @@
     async fn is_ready(&self) -> bool {
         let ask = async {
             let mut stream = TcpStream::connect(self.listen).await.ok()?;
-            let ask = "GET /-/ready HTTP/1.1\r\nHost: service.internal\r\nConnection: close\r\n\r\n";
+            let ask =
+                "GET /-/ready HTTP/1.1\r\nHost: service.internal\r\nConnection: close\r\n\r\n";
             stream.write_all(ask.as_bytes()).await.ok()?;
             let mut answer = [0; 12];
             stream.read_exact(&mut answer).await.ok()?;
             (&answer == b"HTTP/1.1 200").then_some(())
         };
-        timeout(READY_WITHIN, ask).await.is_ok_and(|answer| answer.is_some())
+        timeout(READY_WITHIN, ask)
+            .await
+            .is_ok_and(|answer| answer.is_some())
     }
 }
 
@@ -103,7 +116,10 @@
         text.push_str("[peers]\non = true\n");
     }
     if scenario.kept {
-        text.push_str(&format!("[recovery]\ndir = {:?}\n", state.display().to_string()));
+        text.push_str(&format!(
+            "[recovery]\ndir = {:?}\n",
+            state.display().to_string()
+        ));
     }
     text
 }
@@ -116,7 +132,9 @@
     let tenants: Vec<Value> = (0..scenario.tenants)
         .map(|tenant| json!({"name": format!("team-{tenant}"), "share": share, "quota_per_s": quota}))
         .collect();
-    let peers: Vec<String> = (0..members).map(|member| block.peer(member).to_string()).collect();
+    let peers: Vec<String> = (0..members)
+        .map(|member| block.peer(member).to_string())
+        .collect();
     json!({
         "name": format!("balancer-{number}"),
         "listen": block.balancer(number).to_string(),
--- a/lab/src/capacity/clients.rs
+++ b/lab/src/capacity/clients.rs
@@ -44,7 +44,10 @@
     /// no request ever came.
     pub async fn rest(&self, count: usize) -> Result<(), String> {
         for number in 0..count {
-            let stream = self.call(None).await.ok_or_else(|| format!("client {number} got no answer"))?;
+            let stream = self
+                .call(None)
+                .await
+                .ok_or_else(|| format!("client {number} got no answer"))?;
             lock(&self.idle).push(stream);
         }
         Ok(())
@@ -54,7 +57,10 @@
     pub fn ask_steadily(self: &Arc<Self>, per_second: f64) {
         let period = Duration::from_secs_f64(CONNECTIONS as f64 / per_second);
         for number in 0..CONNECTIONS {
-            let (own, offset) = (self.clone(), period.mul_f64(number as f64 / CONNECTIONS as f64));
+            let (own, offset) = (
+                self.clone(),
+                period.mul_f64(number as f64 / CONNECTIONS as f64),
+            );
             tokio::spawn(async move {
                 tokio::time::sleep(offset).await;
                 let mut due = interval(period);
@@ -91,7 +97,11 @@
         );
         stream.write_all(request.as_bytes()).await.ok()?;
         let answer = http::read(&mut stream).await?;
-        let counter = if answer.status() == Some(200) { &self.served } else { &self.refused };
+        let counter = if answer.status() == Some(200) {
+            &self.served
+        } else {
+            &self.refused
+        };
         counter.fetch_add(1, Ordering::Relaxed);
         Some(stream)
     }
--- a/lab/src/capacity/discovery.rs
+++ b/lab/src/capacity/discovery.rs
@@ -41,10 +41,17 @@
 
 impl Discovery {
     /// Lists upstreams at these places of the block, all active, and listens for so many balancers.
-    pub async fn start(block: &Block, upstreams: usize, balancers: usize) -> Result<Arc<Discovery>, String> {
+    pub async fn start(
+        block: &Block,
+        upstreams: usize,
+        balancers: usize,
+    ) -> Result<Arc<Discovery>, String> {
         let lines = (0..upstreams).map(|number| line(block, number)).collect();
-        let heard =
-            (0..balancers).map(|_| Heard { traffic: Traffic::default(), version: 0, lags: Vec::new() });
+        let heard = (0..balancers).map(|_| Heard {
+            traffic: Traffic::default(),
+            version: 0,
+            lags: Vec::new(),
+        });
         let discovery = Arc::new(Discovery {
             lines,
             changes: Mutex::default(),
@@ -53,7 +60,9 @@
         });
         for balancer in 0..balancers {
             let at = block.agent(balancer, 0);
-            let listener = TcpListener::bind(at).await.map_err(|e| format!("discovery at {at}: {e}"))?;
+            let listener = TcpListener::bind(at)
+                .await
+                .map_err(|e| format!("discovery at {at}: {e}"))?;
             tokio::spawn(discovery.clone().accept(listener, balancer));
         }
         Ok(discovery)
@@ -75,7 +84,10 @@
     /// Changes that some balancer has not taken in, over all balancers.
     pub fn outstanding(&self) -> usize {
         let changes = lock(&self.changes).len();
-        lock(&self.heard).iter().map(|heard| changes - heard.lags.len()).sum()
+        lock(&self.heard)
+            .iter()
+            .map(|heard| changes - heard.lags.len())
+            .sum()
     }
 
     /// Times until each balancer had taken in each change; and, for each change that all have, until the last had.
@@ -83,8 +95,9 @@
         let heard = lock(&self.heard);
         let each = heard.iter().flat_map(|h| h.lags.iter().copied()).collect();
         let whole = heard.iter().map(|h| h.lags.len()).min().unwrap_or(0);
-        let last =
-            (0..whole).map(|change| heard.iter().map(|h| h.lags[change]).fold(0.0, f64::max)).collect();
+        let last = (0..whole)
+            .map(|change| heard.iter().map(|h| h.lags[change]).fold(0.0, f64::max))
+            .collect();
         (each, last)
     }
 
@@ -116,8 +129,13 @@
         heard.traffic.bytes_in += call.bytes as u64;
         let since = call.query("since").unwrap_or(0);
         let known = heard.version.max(1) as usize - 1;
-        let taken_in = changes.iter().take(since.saturating_sub(1) as usize).skip(known);
-        heard.lags.extend(taken_in.map(|(_, at)| now.duration_since(*at).as_secs_f64() * 1000.0));
+        let taken_in = changes
+            .iter()
+            .take(since.saturating_sub(1) as usize)
+            .skip(known);
+        heard
+            .lags
+            .extend(taken_in.map(|(_, at)| now.duration_since(*at).as_secs_f64() * 1000.0));
         heard.version = heard.version.max(since);
     }
 
@@ -127,10 +145,19 @@
             let wait = call.query("timeout_ms").unwrap_or(0).min(WAIT_MOST);
             let mut version = self.version.subscribe();
             // Nothing new in its time is an answer too.
-            let _ = timeout(Duration::from_millis(wait), version.wait_for(|now| *now > since)).await;
+            let _ = timeout(
+                Duration::from_millis(wait),
+                version.wait_for(|now| *now > since),
+            )
+            .await;
         }
         let changes = lock(&self.changes);
-        let states = |upstream: usize| changes.iter().filter(|(changed, _)| *changed == upstream).count();
+        let states = |upstream: usize| {
+            changes
+                .iter()
+                .filter(|(changed, _)| *changed == upstream)
+                .count()
+        };
         let upstreams: Vec<usize> = match since {
             None => (0..self.lines.len()).collect(),
             Some(since) => {
@@ -154,7 +181,8 @@
                 line
             })
             .collect();
-        let listing = json!({"version": 1 + changes.len(), "full": since.is_none(), "servers": servers});
+        let listing =
+            json!({"version": 1 + changes.len(), "full": since.is_none(), "servers": servers});
         http::answer("200 OK", &listing.to_string())
     }
 }
--- a/lab/src/capacity/fit.rs
+++ b/lab/src/capacity/fit.rs
@@ -58,7 +58,10 @@
     if spread <= 0.0 {
         return Err(FitError::OneSize);
     }
-    let together: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+    let together: f64 = points
+        .iter()
+        .map(|(x, y)| (x - mean_x) * (y - mean_y))
+        .sum();
     let slope = together / spread;
     let intercept = mean_y - slope * mean_x;
     let residuals = points.iter().map(|(x, y)| y - (intercept + slope * x));
--- a/lab/src/capacity/hollow/member.rs
+++ b/lab/src/capacity/hollow/member.rs
@@ -1,5 +1,7 @@
 //! One hollow member: the loop that the node runs around the protocol. Owns the protocol's state and the socket.
-use balancer_gossip::{Config, ConfigError, Figures, Member, Millis, Own, Peers, Subject, TenantFigures};
+use balancer_gossip::{
+    Config, ConfigError, Figures, Member, Millis, Own, Peers, Subject, TenantFigures,
+};
 use balancer_gossip::{DATAGRAM_MOST, READS};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -120,7 +122,12 @@
                 observe_at = now + OBSERVE_EVERY;
                 self.peers.borrow_mut().observe(now, self.observed());
             }
-            if self.peers.borrow().next_timeout().is_some_and(|at| at <= now) {
+            if self
+                .peers
+                .borrow()
+                .next_timeout()
+                .is_some_and(|at| at <= now)
+            {
                 self.peers.borrow_mut().timeout(now);
             }
             self.send();
@@ -152,8 +159,18 @@
             callers: f64::from(number % 3),
         };
         let tenants = (0..=self.tenants).map(tenant).collect();
-        let figures = Figures { demand: 57.0, room: 100.0, firsts: 57.0, retries: 1.0, tenants };
-        Own { figures, against: self.accuses.get().into_iter().collect(), cleared: Vec::new() }
+        let figures = Figures {
+            demand: 57.0,
+            room: 100.0,
+            firsts: 57.0,
+            retries: 1.0,
+            tenants,
+        };
+        Own {
+            figures,
+            against: self.accuses.get().into_iter().collect(),
+            cleared: Vec::new(),
+        }
     }
 
     /// Hands on what has come. Returns whether more may wait.
@@ -167,7 +184,9 @@
                 more = false;
                 break;
             };
-            let Some(&member) = self.addresses.from.get(&from) else { continue };
+            let Some(&member) = self.addresses.from.get(&from) else {
+                continue;
+            };
             if length > DATAGRAM_MOST {
                 continue;
             }
@@ -175,7 +194,9 @@
             if self.watched == Some(member) {
                 counted.from_watched.add(length);
             }
-            self.peers.borrow_mut().datagram(at, member, &bytes[..length]);
+            self.peers
+                .borrow_mut()
+                .datagram(at, member, &bytes[..length]);
         }
         self.counted.set(counted);
         more
@@ -185,7 +206,9 @@
         let mut peers = self.peers.borrow_mut();
         let mut counted = self.counted.get();
         while let Some(datagram) = peers.transmit() {
-            let Some(to) = self.addresses.to.get(usize::from(datagram.to.0)) else { continue };
+            let Some(to) = self.addresses.to.get(usize::from(datagram.to.0)) else {
+                continue;
+            };
             if self.socket.try_send_to(&datagram.bytes, *to).is_err() {
                 counted.unsent += 1;
                 continue;
--- a/lab/src/capacity/hollow/tier.rs
+++ b/lab/src/capacity/hollow/tier.rs
@@ -99,7 +99,9 @@
     /// Starts the thread.
     pub fn start(self) -> Result<Running, String> {
         let (ask, asked) = asked::unbounded_channel();
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build();
         let runtime = runtime.map_err(|e| e.to_string())?;
         let (tell, began) = mpsc::channel();
         let thread = std::thread::spawn(move || {
@@ -114,7 +116,10 @@
             });
         });
         match began.recv() {
-            Ok(None) => Ok(Running { ask: Some(ask), thread: Some(thread) }),
+            Ok(None) => Ok(Running {
+                ask: Some(ask),
+                thread: Some(thread),
+            }),
             Ok(Some(error)) => Err(error),
             Err(_) => Err("the thread of the hollow tier ended".into()),
         }
@@ -127,13 +132,21 @@
             deployment: self.deployment,
             watched: self.watched.map(Member),
         };
-        let from: HashMap<_, _> = (0..).map(Member).zip(&self.addresses).map(|(m, at)| (*at, m)).collect();
-        let addresses = Rc::new(Addresses { to: self.addresses, from });
+        let from: HashMap<_, _> = (0..)
+            .map(Member)
+            .zip(&self.addresses)
+            .map(|(m, at)| (*at, m))
+            .collect();
+        let addresses = Rc::new(Addresses {
+            to: self.addresses,
+            from,
+        });
         let mut members = Vec::new();
         for (place, socket) in self.sockets {
             socket.set_nonblocking(true).map_err(|e| e.to_string())?;
             let socket = tokio::net::UdpSocket::from_std(socket).map_err(|e| e.to_string())?;
-            let member = Hollow::new(place, socket, addresses.clone(), shared).map_err(|e| e.to_string())?;
+            let member =
+                Hollow::new(place, socket, addresses.clone(), shared).map_err(|e| e.to_string())?;
             tokio::task::spawn_local(member.clone().run());
             members.push(member);
         }
@@ -149,7 +162,10 @@
     while let Some(question) = asked.recv().await {
         match question {
             Question::Snapshot(tell) => {
-                let _ = tell.send(Snapshot { late_most: late.get(), ..snapshot(members, start) });
+                let _ = tell.send(Snapshot {
+                    late_most: late.get(),
+                    ..snapshot(members, start)
+                });
             }
             Question::Stop(member) => members[member].stopped.set(true),
             Question::Accuse(member, accuses) => {
@@ -179,7 +195,11 @@
         Until::Evidence => member.accuses.get().is_some() || member.counted.get().evidence,
     };
     while Instant::now() < end {
-        if members.iter().filter(|member| !member.stopped.get()).all(holds) {
+        if members
+            .iter()
+            .filter(|member| !member.stopped.get())
+            .all(holds)
+        {
             return Some(start.elapsed());
         }
         tokio::time::sleep(STEP).await;
@@ -188,7 +208,11 @@
 }
 
 fn snapshot(members: &[Rc<Hollow>], start: Instant) -> Snapshot {
-    let mut all = Snapshot { at: start.elapsed(), up_least: u32::MAX, ..Snapshot::default() };
+    let mut all = Snapshot {
+        at: start.elapsed(),
+        up_least: u32::MAX,
+        ..Snapshot::default()
+    };
     all.processor = thread_processor().unwrap_or_default();
     let (mut up, mut summed) = (0.0, 0.0);
     for member in members {
@@ -237,7 +261,11 @@
     }
 
     /// One member has evidence against an upstream; the time until all know of it, or none if it takes too long.
-    pub fn until_evidence(&self, accuser: usize, most: Duration) -> Result<Option<Duration>, String> {
+    pub fn until_evidence(
+        &self,
+        accuser: usize,
+        most: Duration,
+    ) -> Result<Option<Duration>, String> {
         self.ask(Question::Accuse(accuser, true))?;
         let took = self.until(Until::Evidence, most);
         self.ask(Question::Accuse(accuser, false))?;
@@ -252,7 +280,11 @@
 
     fn ask(&self, question: Question) -> Result<(), String> {
         let ended = || "the thread of the hollow tier ended".to_string();
-        self.ask.as_ref().ok_or_else(ended)?.send(question).map_err(|_| ended())
+        self.ask
+            .as_ref()
+            .ok_or_else(ended)?
+            .send(question)
+            .map_err(|_| ended())
     }
 }
 
--- a/lab/src/capacity/http.rs
+++ b/lab/src/capacity/http.rs
@@ -21,7 +21,9 @@
     /// A figure of a request's query.
     pub fn query(&self, name: &str) -> Option<u64> {
         let query = self.start.split(' ').nth(1)?.split_once('?')?.1;
-        let pair = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
+        let pair = query
+            .split('&')
+            .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
         pair?.parse().ok()
     }
 }
@@ -49,11 +51,19 @@
     }
     let stream = head.into_inner();
     let mut body = stream.take(length);
-    let read = tokio::io::copy(&mut body, &mut tokio::io::sink()).await.ok()?;
-    (read == length).then(|| Message { start: start.trim_end().into(), bytes: bytes + read as usize })
+    let read = tokio::io::copy(&mut body, &mut tokio::io::sink())
+        .await
+        .ok()?;
+    (read == length).then(|| Message {
+        start: start.trim_end().into(),
+        bytes: bytes + read as usize,
+    })
 }
 
 /// An answer with a body.
 pub(super) fn answer(status: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
--- a/lab/src/capacity/sample.rs
+++ b/lab/src/capacity/sample.rs
@@ -14,7 +14,10 @@
 impl Sample {
     /// Nothing measured yet.
     pub fn new(size: usize) -> Sample {
-        Sample { size, figures: BTreeMap::new() }
+        Sample {
+            size,
+            figures: BTreeMap::new(),
+        }
     }
 
     /// Adds a figure. One that is not finite was not measured and is left out.
--- a/lab/src/capacity/scenario.rs
+++ b/lab/src/capacity/scenario.rs
@@ -74,23 +74,58 @@
             members: None,
             kept: false,
         };
-        let answering = Scenario { upstreams: ANSWERING, ..idle.clone() };
+        let answering = Scenario {
+            upstreams: ANSWERING,
+            ..idle.clone()
+        };
         Some(match self {
-            Dimension::List => Scenario { upstreams: size, ..idle },
-            Dimension::Store => Scenario { upstreams: size, kept: true, ..idle },
-            Dimension::Changes => Scenario { changes: size as f64, ..idle },
-            Dimension::Requests => Scenario { requests: size as f64, ..answering },
-            Dimension::Held => Scenario { held: size, ..answering },
-            Dimension::Tenants => Scenario { tenants: size, requests: TENANTS_REQUESTS, ..answering },
-            Dimension::Clients => Scenario { clients: size, ..answering },
-            Dimension::Peers => Scenario { members: Some(size), ..answering },
-            Dimension::Fleet => Scenario { balancers: size, changes: 1.0, ..idle },
+            Dimension::List => Scenario {
+                upstreams: size,
+                ..idle
+            },
+            Dimension::Store => Scenario {
+                upstreams: size,
+                kept: true,
+                ..idle
+            },
+            Dimension::Changes => Scenario {
+                changes: size as f64,
+                ..idle
+            },
+            Dimension::Requests => Scenario {
+                requests: size as f64,
+                ..answering
+            },
+            Dimension::Held => Scenario {
+                held: size,
+                ..answering
+            },
+            Dimension::Tenants => Scenario {
+                tenants: size,
+                requests: TENANTS_REQUESTS,
+                ..answering
+            },
+            Dimension::Clients => Scenario {
+                clients: size,
+                ..answering
+            },
+            Dimension::Peers => Scenario {
+                members: Some(size),
+                ..answering
+            },
+            Dimension::Fleet => Scenario {
+                balancers: size,
+                changes: 1.0,
+                ..idle
+            },
             Dimension::Hollow | Dimension::Loss => return None,
         })
     }
 
     /// Its name on the command line.
     pub fn name(self) -> String {
-        self.to_possible_value().map(|value| value.get_name().to_string()).unwrap_or_default()
+        self.to_possible_value()
+            .map(|value| value.get_name().to_string())
+            .unwrap_or_default()
     }
 }
--- a/lab/src/capacity/sweep.rs
+++ b/lab/src/capacity/sweep.rs
@@ -37,7 +37,9 @@
         let mut samples = Vec::new();
         for run in 0..self.runs {
             for &size in &self.sizes {
-                let folder = self.folder.join(format!("{}-{size}-{run}", self.dimension.name()));
+                let folder = self
+                    .folder
+                    .join(format!("{}-{size}-{run}", self.dimension.name()));
                 let sample = self.one(size, &folder)?;
                 tell(&sample);
                 samples.push(sample);
@@ -55,10 +57,16 @@
             };
         };
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        let setting = Setting { folder, program: &self.program, span: self.span };
+        let setting = Setting {
+            folder,
+            program: &self.program,
+            span: self.span,
+        };
         // Each trial has a runtime of its own: with it all tasks and sockets of the trial end.
-        let runtime =
-            tokio::runtime::Builder::new_multi_thread().worker_threads(THREADS).enable_all().build();
+        let runtime = tokio::runtime::Builder::new_multi_thread()
+            .worker_threads(THREADS)
+            .enable_all()
+            .build();
         let runtime = runtime.map_err(|e| e.to_string())?;
         let sample = runtime.block_on(play(&scenario, size, &setting));
         runtime.shutdown_timeout(SHUTDOWN);
--- a/lab/src/capacity/table.rs
+++ b/lab/src/capacity/table.rs
@@ -6,7 +6,10 @@
 
 /// All samples, a row each, and under them the line through each figure.
 pub fn markdown(name: &str, samples: &[Sample]) -> String {
-    let names: BTreeSet<&String> = samples.iter().flat_map(|sample| sample.figures.keys()).collect();
+    let names: BTreeSet<&String> = samples
+        .iter()
+        .flat_map(|sample| sample.figures.keys())
+        .collect();
     let mut text = format!("| {name} |");
     for figure in &names {
         let _ = write!(text, " {figure} |");
@@ -16,7 +19,10 @@
     for sample in samples {
         let _ = write!(text, "\n| {} |", sample.size);
         for figure in &names {
-            let value = sample.figures.get(*figure).map_or("-".into(), |value| rounded(*value));
+            let value = sample
+                .figures
+                .get(*figure)
+                .map_or("-".into(), |value| rounded(*value));
             let _ = write!(text, " {value} |");
         }
     }
@@ -29,11 +35,19 @@
 }
 
 fn line(figure: &str, samples: &[Sample]) -> String {
-    let points: Vec<(f64, f64)> =
-        samples.iter().filter_map(|s| Some((s.size as f64, *s.figures.get(figure)?))).collect();
+    let points: Vec<(f64, f64)> = samples
+        .iter()
+        .filter_map(|s| Some((s.size as f64, *s.figures.get(figure)?)))
+        .collect();
     match fit(&points) {
         Ok(fit) => {
-            let columns = [fit.intercept, fit.slope, fit.slope_error, fit.residual, fit.residual_most];
+            let columns = [
+                fit.intercept,
+                fit.slope,
+                fit.slope_error,
+                fit.residual,
+                fit.residual_most,
+            ];
             format!("| {figure} | {} |\n", columns.map(rounded).join(" | "))
         }
         Err(error) => format!("| {figure} | {error} | | | | |\n"),
--- a/lab/src/capacity/trial.rs
+++ b/lab/src/capacity/trial.rs
@@ -57,10 +57,19 @@
 }
 
 /// Plays a scenario with whole balancers once.
-pub(super) async fn play(scenario: &Scenario, size: usize, setting: &Setting<'_>) -> Result<Sample, String> {
+pub(super) async fn play(
+    scenario: &Scenario,
+    size: usize,
+    setting: &Setting<'_>,
+) -> Result<Sample, String> {
     let block = Block::claim()?;
     let stage = Stage::start(scenario, setting, &block).await?;
-    sleep(if scenario.members.is_some() { SETTLE_TIER } else { SETTLE }).await;
+    sleep(if scenario.members.is_some() {
+        SETTLE_TIER
+    } else {
+        SETTLE
+    })
+    .await;
     let before = stage.read()?;
     stage.pass(scenario, setting.span).await;
     let after = stage.read()?;
@@ -82,16 +91,26 @@
 }
 
 impl Stage {
-    async fn start(scenario: &Scenario, setting: &Setting<'_>, block: &Block) -> Result<Stage, String> {
+    async fn start(
+        scenario: &Scenario,
+        setting: &Setting<'_>,
+        block: &Block,
+    ) -> Result<Stage, String> {
         let discovery = Discovery::start(block, scenario.upstreams, scenario.balancers).await?;
         let listening = scenario.upstreams.min(LISTENING_MOST);
         let upstreams = Upstreams::start(block, listening, scenario.held > 0).await?;
-        let addresses: Vec<SocketAddr> =
-            (0..scenario.members.unwrap_or(0)).map(|member| block.peer(member)).collect();
+        let addresses: Vec<SocketAddr> = (0..scenario.members.unwrap_or(0))
+            .map(|member| block.peer(member))
+            .collect();
         let sockets = hollow_sockets(&addresses, scenario.balancers)?;
         let mut balancers = Vec::new();
         for number in 0..scenario.balancers {
-            let place = Place { block, folder: setting.folder, program: setting.program, number };
+            let place = Place {
+                block,
+                folder: setting.folder,
+                program: setting.program,
+                number,
+            };
             balancers.push(Balancer::start(&place, scenario).await?);
         }
         let tier = if sockets.is_empty() {
@@ -100,7 +119,15 @@
             let deployment = learn_deployment(&sockets, FIRST_DATAGRAM)?;
             let (tenants, zones) = (scenario.tenants as u16, ZONES.len() as u16);
             let members = addresses.len() as u32;
-            let tier = Tier { addresses, sockets, tenants, zones, deployment, watched: Some(0) }.start()?;
+            let tier = Tier {
+                addresses,
+                sockets,
+                tenants,
+                zones,
+                deployment,
+                watched: Some(0),
+            }
+            .start()?;
             tokio::task::block_in_place(|| tier.until_up(members, KNOWN_WITHIN))?;
             Some(tier)
         };
@@ -115,7 +142,13 @@
         if scenario.requests > 0.0 {
             clients.ask_steadily(scenario.requests);
         }
-        Ok(Stage { balancers, discovery, upstreams, clients, tier })
+        Ok(Stage {
+            balancers,
+            discovery,
+            upstreams,
+            clients,
+            tier,
+        })
     }
 
     /// Lets the span pass, with the changes that belong to it.
@@ -132,8 +165,14 @@
     fn read(&self) -> Result<Reading, String> {
         Ok(Reading {
             at: Instant::now(),
-            usage: self.balancers.iter().map(Balancer::usage).collect::<Result<_, _>>()?,
-            discovery: (0..self.balancers.len()).map(|balancer| self.discovery.traffic(balancer)).collect(),
+            usage: self
+                .balancers
+                .iter()
+                .map(Balancer::usage)
+                .collect::<Result<_, _>>()?,
+            discovery: (0..self.balancers.len())
+                .map(|balancer| self.discovery.traffic(balancer))
+                .collect(),
             served: self.clients.served.load(Ordering::SeqCst),
             refused: self.clients.refused.load(Ordering::SeqCst),
             tier: self.tier.as_ref().map(Running::snapshot).transpose()?,
@@ -145,25 +184,40 @@
         let seconds = after.at.duration_since(before.at).as_secs_f64();
         let count = after.usage.len() as f64;
         let rate = |of: &dyn Fn(&Usage) -> u64| {
-            let grown = before.usage.iter().zip(&after.usage).map(|(b, a)| of(a).saturating_sub(of(b)));
+            let grown = before
+                .usage
+                .iter()
+                .zip(&after.usage)
+                .map(|(b, a)| of(a).saturating_sub(of(b)));
             grown.sum::<u64>() as f64 / count / seconds
         };
-        let mean = |of: &dyn Fn(&Usage) -> u64| after.usage.iter().map(of).sum::<u64>() as f64 / count;
+        let mean =
+            |of: &dyn Fn(&Usage) -> u64| after.usage.iter().map(of).sum::<u64>() as f64 / count;
         sample.add("processor, ms/s", rate(&|usage| usage.processor_ns) / 1e6);
         sample.add("resident, kB", mean(&|usage| usage.resident_kb));
         sample.add("proportional, kB", mean(&|usage| usage.proportional_kb));
         sample.add("descriptors", mean(&|usage| usage.descriptors));
         let said = |of: &dyn Fn(&Traffic) -> u64| {
-            let grown = before.discovery.iter().zip(&after.discovery).map(|(b, a)| of(a) - of(b));
+            let grown = before
+                .discovery
+                .iter()
+                .zip(&after.discovery)
+                .map(|(b, a)| of(a) - of(b));
             grown.sum::<u64>() as f64 / count / seconds
         };
         sample.add("discovery, calls/s", said(&|traffic| traffic.calls));
-        sample.add("discovery, bytes/s", said(&|traffic| traffic.bytes_in + traffic.bytes_out));
+        sample.add(
+            "discovery, bytes/s",
+            said(&|traffic| traffic.bytes_in + traffic.bytes_out),
+        );
         if scenario.kept {
             sample.add("written, bytes/s", rate(&|usage| usage.written));
         }
         if scenario.requests > 0.0 {
-            sample.add("served, 1/s", (after.served - before.served) as f64 / seconds);
+            sample.add(
+                "served, 1/s",
+                (after.served - before.served) as f64 / seconds,
+            );
         }
         if scenario.requests > 0.0 || scenario.held > 0 {
             sample.add("refused", after.refused as f64);
@@ -187,17 +241,36 @@
 fn put_watched(before: &Snapshot, after: &Snapshot, sample: &mut Sample) {
     let seconds = after.at.saturating_sub(before.at).as_secs_f64();
     let rate = |after: u64, before: u64| after.saturating_sub(before) as f64 / seconds;
-    sample.add("peers, sent datagrams/s", rate(after.from_watched.0, before.from_watched.0));
-    sample.add("peers, sent bytes/s", rate(after.from_watched.1, before.from_watched.1));
-    sample.add("peers, read datagrams/s", rate(after.to_watched.0, before.to_watched.0));
-    sample.add("peers, read bytes/s", rate(after.to_watched.1, before.to_watched.1));
+    sample.add(
+        "peers, sent datagrams/s",
+        rate(after.from_watched.0, before.from_watched.0),
+    );
+    sample.add(
+        "peers, sent bytes/s",
+        rate(after.from_watched.1, before.from_watched.1),
+    );
+    sample.add(
+        "peers, read datagrams/s",
+        rate(after.to_watched.0, before.to_watched.0),
+    );
+    sample.add(
+        "peers, read bytes/s",
+        rate(after.to_watched.1, before.to_watched.1),
+    );
     sample.add("up, least known", f64::from(after.up_least));
 }
 
 /// Sockets for all members but the first few, which are real.
 fn hollow_sockets(addresses: &[SocketAddr], real: usize) -> Result<Vec<(u16, UdpSocket)>, String> {
     let places = (0u16..).zip(addresses).skip(real);
-    places.map(|(place, at)| Ok((place, UdpSocket::bind(at).map_err(|e| format!("{at}: {e}"))?))).collect()
+    places
+        .map(|(place, at)| {
+            Ok((
+                place,
+                UdpSocket::bind(at).map_err(|e| format!("{at}: {e}"))?,
+            ))
+        })
+        .collect()
 }
 
 /// A hollow tier whose members have begun to speak.
@@ -205,7 +278,15 @@
     let addresses: Vec<SocketAddr> = (0..size).map(|member| block.peer(member)).collect();
     let sockets = hollow_sockets(&addresses, 0)?;
     let zones = ZONES.len() as u16;
-    Tier { addresses, sockets, tenants, zones, deployment: 1, watched: None }.start()
+    Tier {
+        addresses,
+        sockets,
+        tenants,
+        zones,
+        deployment: 1,
+        watched: None,
+    }
+    .start()
 }
 
 /// A time in milliseconds; none is not finite, so that no sample has it.
@@ -219,13 +300,19 @@
     let tier = hollow_tier(&block, size, tenants)?;
     let count = u32::try_from(size).map_err(|e| e.to_string())?;
     let mut sample = Sample::new(size);
-    sample.add("all know all, ms", milliseconds(tier.until_up(count, KNOWN_WITHIN)?));
+    sample.add(
+        "all know all, ms",
+        milliseconds(tier.until_up(count, KNOWN_WITHIN)?),
+    );
     std::thread::sleep(SETTLE_TIER);
     let before = tier.snapshot()?;
     std::thread::sleep(span);
     let after = tier.snapshot()?;
     put_hollow(&before, &after, size, &mut sample);
-    sample.add("evidence known to all, ms", milliseconds(tier.until_evidence(0, KNOWN_WITHIN)?));
+    sample.add(
+        "evidence known to all, ms",
+        milliseconds(tier.until_evidence(0, KNOWN_WITHIN)?),
+    );
     tier.stop(size / 2)?;
     let known = tier.until_up(count.saturating_sub(1), KNOWN_WITHIN)?;
     sample.add("an end known to all, ms", milliseconds(known));
@@ -251,10 +338,16 @@
     sample.add("loss known to all, ms", milliseconds(known));
     sample.add("up at the end, mean", after.up_mean);
     sample.add("up at the end, least", f64::from(after.up_least));
-    sample.add("late at the most, ms", after.late_most.as_secs_f64() * 1000.0);
+    sample.add(
+        "late at the most, ms",
+        after.late_most.as_secs_f64() * 1000.0,
+    );
     sample.add("up in truth", f64::from(left));
     let sent = (after.sent_bytes - before.sent_bytes) as f64;
-    sample.add("sent meanwhile, bytes/s a member", sent / seconds / f64::from(left));
+    sample.add(
+        "sent meanwhile, bytes/s a member",
+        sent / seconds / f64::from(left),
+    );
     Ok(sample)
 }
 
@@ -267,9 +360,15 @@
     sample.add("sent, bytes/s", each(after.sent_bytes, before.sent_bytes));
     sample.add("read, datagrams/s", each(after.read, before.read));
     sample.add("read, bytes/s", each(after.read_bytes, before.read_bytes));
-    sample.add("late at the most, ms", after.late_most.as_secs_f64() * 1000.0);
+    sample.add(
+        "late at the most, ms",
+        after.late_most.as_secs_f64() * 1000.0,
+    );
     sample.add("unsent", (after.unsent - before.unsent) as f64);
-    sample.add("processor a member, ms/s", processor * 1000.0 / seconds / size as f64);
+    sample.add(
+        "processor a member, ms/s",
+        processor * 1000.0 / seconds / size as f64,
+    );
     sample.add("processor a datagram, us", processor * 1e6 / datagrams);
     sample.add("members in sums, mean", after.summed_mean);
     sample.add("members with sums", after.with_sums as f64);
--- a/lab/src/capacity/upstreams.rs
+++ b/lab/src/capacity/upstreams.rs
@@ -21,10 +21,15 @@
 impl Upstreams {
     /// Listens at the first places of the list.
     pub async fn start(block: &Block, count: usize, holds: bool) -> Result<Arc<Upstreams>, String> {
-        let upstreams = Arc::new(Upstreams { holds, ..Upstreams::default() });
+        let upstreams = Arc::new(Upstreams {
+            holds,
+            ..Upstreams::default()
+        });
         for number in 0..count {
             let at = upstream_at(block, number);
-            let listener = TcpListener::bind(at).await.map_err(|e| format!("upstream at {at}: {e}"))?;
+            let listener = TcpListener::bind(at)
+                .await
+                .map_err(|e| format!("upstream at {at}: {e}"))?;
             tokio::spawn(upstreams.clone().accept(listener));
         }
         Ok(upstreams)
@@ -47,7 +52,11 @@
                 return;
             }
             self.answered.fetch_add(1, Ordering::Relaxed);
-            if stream.write_all(http::answer("200 OK", "done\n").as_bytes()).await.is_err() {
+            if stream
+                .write_all(http::answer("200 OK", "done\n").as_bytes())
+                .await
+                .is_err()
+            {
                 return;
             }
         }
--- a/lab/src/clients.rs
+++ b/lab/src/clients.rs
@@ -71,7 +71,10 @@
         tries += 1;
         let left = a.at + deadline - due;
         let try_timeout = (deadline * a.try_share).min(left);
-        let leaves = a.leaves.filter(|_| tries == 1).map(|part| try_timeout * part);
+        let leaves = a
+            .leaves
+            .filter(|_| tries == 1)
+            .map(|part| try_timeout * part);
         let got = match pick(world, a, due, &mut drawn) {
             Some(balancer) => {
                 let links = &world.client_links[balancer];
@@ -111,7 +114,16 @@
         (due, backoff) = (next, backoff * 2.0);
     };
     let took = world.now() - a.at;
-    Done { at: a.at, class: a.class, tenant: a.tenant, zone: a.zone, how, took, tries, added }
+    Done {
+        at: a.at,
+        class: a.class,
+        tenant: a.tenant,
+        zone: a.zone,
+        how,
+        took,
+        tries,
+        added,
+    }
 }
 
 /// Whether a client may send a request again that may have run.
@@ -133,7 +145,9 @@
     let dealt = |&b: &usize| world.dealt[b].load(Ordering::Relaxed);
     if let Some(every) = world.experiment.tenants[a.tenant].hops {
         let up: Vec<usize> = (0..world.experiment.fleet.front).filter(dealt).collect();
-        return up.get((due / every.0.mean()).max(0.0) as usize % up.len().max(1)).copied();
+        return up
+            .get((due / every.0.mean()).max(0.0) as usize % up.len().max(1))
+            .copied();
     }
     let up: Vec<usize> = world.fronts[a.zone].iter().copied().filter(dealt).collect();
     match up.len() {
--- a/lab/src/clock.rs
+++ b/lab/src/clock.rs
@@ -28,9 +28,16 @@
 impl Clock {
     /// A clock of a run that has not begun.
     pub fn new() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64() * 1000.0);
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0.0, |d| d.as_secs_f64() * 1000.0);
         let began = AtomicU64::new(NOT_BEGUN);
-        Clock { made: Instant::now(), made_unix: unix, began, late: Mutex::new(histogram()) }
+        Clock {
+            made: Instant::now(),
+            made_unix: unix,
+            began,
+            late: Mutex::new(histogram()),
+        }
     }
 
     /// The run begins after this.
--- a/lab/src/convergence.rs
+++ b/lab/src/convergence.rs
@@ -33,12 +33,21 @@
 
 impl Measure {
     fn new() -> Measure {
-        Measure { waiting: BTreeSet::new(), times: histogram(), never: 0 }
+        Measure {
+            waiting: BTreeSet::new(),
+            times: histogram(),
+            never: 0,
+        }
     }
 
     fn known(&self) -> Known {
         let at = |q: f64| self.times.value_at_quantile(q) as f64 / 1000.0;
-        Known { times: self.times.len(), p50_ms: at(0.5), p99_ms: at(0.99), never: self.never }
+        Known {
+            times: self.times.len(),
+            p50_ms: at(0.5),
+            p99_ms: at(0.99),
+            never: self.never,
+        }
     }
 }
 
@@ -53,7 +62,12 @@
 
 impl Default for Convergence {
     fn default() -> Self {
-        Convergence { running: BTreeSet::new(), changed: None, members: Measure::new(), sums: Measure::new() }
+        Convergence {
+            running: BTreeSet::new(),
+            changed: None,
+            members: Measure::new(),
+            sums: Measure::new(),
+        }
     }
 }
 
@@ -87,11 +101,15 @@
 
     /// Takes what a balancer's figures of this time report.
     pub fn observe(&mut self, balancer: usize, at: Millis, tier: Tier) {
-        let Some(changed) = self.changed.filter(|changed| at >= *changed) else { return };
+        let Some(changed) = self.changed.filter(|changed| at >= *changed) else {
+            return;
+        };
         let all = self.running.len() as u32;
         for (measure, knows) in [(&mut self.members, tier.up), (&mut self.sums, tier.in_sums)] {
             if knows == all && measure.waiting.remove(&balancer) {
-                measure.times.saturating_record(((at - changed) * 1000.0) as u64);
+                measure
+                    .times
+                    .saturating_record(((at - changed) * 1000.0) as u64);
             }
         }
     }
--- a/lab/src/datagrams/garbage.rs
+++ b/lab/src/datagrams/garbage.rs
@@ -15,7 +15,10 @@
 
 impl Garbage {
     pub fn new(seed: u64) -> Garbage {
-        Garbage { lately: VecDeque::new(), drawn: Calls::new(!seed) }
+        Garbage {
+            lately: VecDeque::new(),
+            drawn: Calls::new(!seed),
+        }
     }
 
     /// Somebody has sent this.
@@ -31,7 +34,11 @@
     pub fn next(&mut self, peers: &[usize]) -> (Option<usize>, Vec<u8>) {
         let mut below = |n: usize| (self.drawn.seed() % n.max(1) as u64) as usize;
         let peer = peers.get(below(peers.len())).copied();
-        let mut copy = self.lately.get(below(self.lately.len())).cloned().unwrap_or_default();
+        let mut copy = self
+            .lately
+            .get(below(self.lately.len()))
+            .cloned()
+            .unwrap_or_default();
         match below(4) {
             0 => (peer, (0..below(NOISE)).map(|_| below(256) as u8).collect()),
             1 => {
--- a/lab/src/datagrams/network.rs
+++ b/lab/src/datagrams/network.rs
@@ -6,7 +6,8 @@
 
 use nix::libc;
 use nix::sys::socket::{
-    recvmsg, sendmsg, setsockopt, sockopt, ControlMessage, ControlMessageOwned, MsgFlags, SockaddrIn,
+    recvmsg, sendmsg, setsockopt, sockopt, ControlMessage, ControlMessageOwned, MsgFlags,
+    SockaddrIn,
 };
 use std::collections::HashMap;
 use std::io::{self, IoSlice, IoSliceMut};
@@ -73,9 +74,15 @@
         conditions: Conditions,
         seed: u64,
     ) -> Result<Datagrams, String> {
-        let sockets = tiers.iter().map(|_| socket()).collect::<io::Result<Vec<_>>>();
+        let sockets = tiers
+            .iter()
+            .map(|_| socket())
+            .collect::<io::Result<Vec<_>>>();
         let sockets = sockets.map_err(|e| format!("a socket for datagrams: {e}"))?;
-        let ports = sockets.iter().map(|s| s.local_addr().map(|a| a.port())).collect::<io::Result<_>>();
+        let ports = sockets
+            .iter()
+            .map(|s| s.local_addr().map(|a| a.port()))
+            .collect::<io::Result<_>>();
         Ok(Datagrams {
             ports: ports.map_err(|e| e.to_string())?,
             sockets,
@@ -108,7 +115,10 @@
 
     /// Datagrams that balancers sent, and their bytes.
     pub fn sent(&self) -> (u64, u64) {
-        (self.sent.load(Ordering::Relaxed), self.bytes.load(Ordering::Relaxed))
+        (
+            self.sent.load(Ordering::Relaxed),
+            self.bytes.load(Ordering::Relaxed),
+        )
     }
 
     /// Cuts what goes from one balancer to another. Cuts add up.
@@ -147,12 +157,14 @@
 
     /// Sends each balancer's port this many datagrams a second that nobody meant, until dropped.
     pub async fn garbage(&self, rate: f64) {
-        let mut every = tokio::time::interval(std::time::Duration::from_secs_f64(1.0 / rate.max(0.1)));
+        let mut every =
+            tokio::time::interval(std::time::Duration::from_secs_f64(1.0 / rate.max(0.1)));
         loop {
             every.tick().await;
             for to in 0..self.sockets.len() {
-                let tier: Vec<usize> =
-                    (0..self.tiers.len()).filter(|&b| self.tiers[b] == self.tiers[to]).collect();
+                let tier: Vec<usize> = (0..self.tiers.len())
+                    .filter(|&b| self.tiers[b] == self.tiers[to])
+                    .collect();
                 let (from, bytes) = lock(&self.garbage).next(&tier);
                 // Nobody may listen: it is lost then.
                 let _ = self.deliver(from, to, &bytes);
@@ -162,7 +174,9 @@
 
     async fn carry(self: Arc<Self>, from: usize, sees: impl Fn(usize, &[u8])) {
         let tier = self.tiers[from];
-        let peers: Vec<usize> = (0..self.tiers.len()).filter(|&b| self.tiers[b] == tier).collect();
+        let peers: Vec<usize> = (0..self.tiers.len())
+            .filter(|&b| self.tiers[b] == tier)
+            .collect();
         loop {
             let (named, bytes) = match self.next(from).await {
                 Ok(next) => next,
@@ -179,7 +193,13 @@
             }
             lock(&self.garbage).sent(&bytes);
             let all = named == self.host(ALL);
-            let meant = |p: &&usize| if all { **p != from } else { self.host(PEER + **p as u16) == named };
+            let meant = |p: &&usize| {
+                if all {
+                    **p != from
+                } else {
+                    self.host(PEER + **p as u16) == named
+                }
+            };
             for &to in peers.iter().filter(meant) {
                 for delay in self.arrivals(from, to) {
                     let (own, bytes) = (self.clone(), bytes.clone());
@@ -201,8 +221,12 @@
             let mut bytes = vec![0; LONGEST + 1];
             let mut space = nix::cmsg_space!(libc::in_pktinfo);
             let mut parts = [IoSliceMut::new(&mut bytes)];
-            let got =
-                recvmsg::<SockaddrIn>(socket.as_raw_fd(), &mut parts, Some(&mut space), MsgFlags::empty())?;
+            let got = recvmsg::<SockaddrIn>(
+                socket.as_raw_fd(),
+                &mut parts,
+                Some(&mut space),
+                MsgFlags::empty(),
+            )?;
             let named = got.cmsgs()?.find_map(|c| match c {
                 ControlMessageOwned::Ipv4PacketInfo(i) => {
                     Some(Ipv4Addr::from(u32::from_be(i.ipi_addr.s_addr)))
@@ -222,14 +246,21 @@
 
     /// Writes a datagram to a balancer, from the address by which it knows the sender.
     pub fn deliver(&self, from: Option<usize>, to: usize, bytes: &[u8]) -> io::Result<()> {
-        let known =
-            from.map_or(SocketAddr::new(IpAddr::V4(self.host(STRANGER)), 0), |from| self.peer(to, from));
+        let known = from.map_or(
+            SocketAddr::new(IpAddr::V4(self.host(STRANGER)), 0),
+            |from| self.peer(to, from),
+        );
         let (SocketAddr::V4(known), SocketAddr::V4(at)) = (known, self.listen[to]) else {
             return Ok(());
         };
-        let source = libc::in_addr { s_addr: u32::from(*known.ip()).to_be() };
-        let info =
-            libc::in_pktinfo { ipi_ifindex: 0, ipi_spec_dst: source, ipi_addr: libc::in_addr { s_addr: 0 } };
+        let source = libc::in_addr {
+            s_addr: u32::from(*known.ip()).to_be(),
+        };
+        let info = libc::in_pktinfo {
+            ipi_ifindex: 0,
+            ipi_spec_dst: source,
+            ipi_addr: libc::in_addr { s_addr: 0 },
+        };
         let fd = self.sockets[to].as_raw_fd();
         let to = SockaddrIn::from(at);
         sendmsg(
@@ -244,7 +275,10 @@
 
     /// When copies of a datagram arrive: none, one, or two, each at its own time.
     pub fn arrivals(&self, from: usize, to: usize) -> Vec<Millis> {
-        if lock(&self.cuts).get(&(from, to)).is_some_and(|cuts| *cuts > 0) {
+        if lock(&self.cuts)
+            .get(&(from, to))
+            .is_some_and(|cuts| *cuts > 0)
+        {
             return Vec::new();
         }
         let conditions = *lock(&self.conditions);
@@ -252,9 +286,14 @@
         if drawn.chance(conditions.loss) {
             return Vec::new();
         }
-        let copies = if drawn.chance(conditions.repeat) { 2 } else { 1 };
-        let mut delay =
-            || conditions.delay.least + drawn.unit() * (conditions.delay.most - conditions.delay.least);
+        let copies = if drawn.chance(conditions.repeat) {
+            2
+        } else {
+            1
+        };
+        let mut delay = || {
+            conditions.delay.least + drawn.unit() * (conditions.delay.most - conditions.delay.least)
+        };
         (0..copies).map(|_| delay()).collect()
     }
 }
--- a/lab/src/draw/calls.rs
+++ b/lab/src/draw/calls.rs
@@ -13,7 +13,9 @@
 impl Calls {
     /// For the request that was drawn with this seed, at this place of its tree of calls.
     pub fn new(seed: u64) -> Calls {
-        Calls { rng: Pcg64Mcg::seed_from_u64(seed) }
+        Calls {
+            rng: Pcg64Mcg::seed_from_u64(seed),
+        }
     }
 
     /// Calls to the next tier, for this mean.
--- a/lab/src/draw/faults.rs
+++ b/lab/src/draw/faults.rs
@@ -13,13 +13,24 @@
 }
 
 impl<'a> Crowd<'a> {
-    pub fn new(e: &'a Experiment, upstreams: &'a [Upstream], balancers: &'a [Balancer]) -> Crowd<'a> {
-        Crowd { e, upstreams, balancers }
+    pub fn new(
+        e: &'a Experiment,
+        upstreams: &'a [Upstream],
+        balancers: &'a [Balancer],
+    ) -> Crowd<'a> {
+        Crowd {
+            e,
+            upstreams,
+            balancers,
+        }
     }
 
     fn everyone(&self) -> impl Iterator<Item = Party> {
-        let (zones, balancers, upstreams) =
-            (self.e.fleet.zones.len(), self.balancers.len(), self.upstreams.len());
+        let (zones, balancers, upstreams) = (
+            self.e.fleet.zones.len(),
+            self.balancers.len(),
+            self.upstreams.len(),
+        );
         (0..zones)
             .map(Party::Clients)
             .chain((0..balancers).map(Party::Balancer))
@@ -33,27 +44,66 @@
             Party::Clients(z) => (Role::Clients, z, None, &e.fleet.zones[z]),
             Party::Balancer(b) => {
                 let b = &balancers[b];
-                (if b.owner.is_some() { Role::Inner } else { Role::Front }, b.zone, Some(b.tier), &b.name)
-            }
-            Party::Upstream(u) => {
-                (Role::Upstreams, upstreams[u].zone, Some(upstreams[u].tier), &upstreams[u].name)
-            }
-            Party::Agent(b) => {
-                (Role::Discovery, balancers[b].zone, Some(balancers[b].tier), &balancers[b].name)
+                (
+                    if b.owner.is_some() {
+                        Role::Inner
+                    } else {
+                        Role::Front
+                    },
+                    b.zone,
+                    Some(b.tier),
+                    &b.name,
+                )
             }
+            Party::Upstream(u) => (
+                Role::Upstreams,
+                upstreams[u].zone,
+                Some(upstreams[u].tier),
+                &upstreams[u].name,
+            ),
+            Party::Agent(b) => (
+                Role::Discovery,
+                balancers[b].zone,
+                Some(balancers[b].tier),
+                &balancers[b].name,
+            ),
         };
         let either = matches!(role, Role::Front | Role::Inner);
-        target.role.is_none_or(|r| r == role || r == Role::Balancers && either)
-            && target.zone.as_ref().is_none_or(|z| *z == e.fleet.zones[zone])
-            && target.region.as_ref().is_none_or(|r| e.fleet.region(zone) == Some(r))
-            && target.tier.as_ref().is_none_or(|t| tier.is_some_and(|i| e.tiers[i].name == *t))
-            && target.names.as_ref().is_none_or(|names| names.contains(name))
+        target
+            .role
+            .is_none_or(|r| r == role || r == Role::Balancers && either)
+            && target
+                .zone
+                .as_ref()
+                .is_none_or(|z| *z == e.fleet.zones[zone])
+            && target
+                .region
+                .as_ref()
+                .is_none_or(|r| e.fleet.region(zone) == Some(r))
+            && target
+                .tier
+                .as_ref()
+                .is_none_or(|t| tier.is_some_and(|i| e.tiers[i].name == *t))
+            && target
+                .names
+                .as_ref()
+                .is_none_or(|names| names.contains(name))
     }
 
     /// Those that `can` and that a target names, a part of them drawn.
-    pub fn members(&self, target: &Target, can: impl Fn(Party) -> bool, rng: &mut Pcg64Mcg) -> Vec<Party> {
-        let mut met: Vec<Party> = self.everyone().filter(|p| can(*p) && self.fits(*p, target)).collect();
-        let kept = target.share.map_or(met.len(), |s| ((met.len() as f64 * s).round() as usize).max(1));
+    pub fn members(
+        &self,
+        target: &Target,
+        can: impl Fn(Party) -> bool,
+        rng: &mut Pcg64Mcg,
+    ) -> Vec<Party> {
+        let mut met: Vec<Party> = self
+            .everyone()
+            .filter(|p| can(*p) && self.fits(*p, target))
+            .collect();
+        let kept = target.share.map_or(met.len(), |s| {
+            ((met.len() as f64 * s).round() as usize).max(1)
+        });
         while met.len() > kept {
             met.swap_remove(rng.gen_range(0..met.len()));
         }
@@ -82,7 +132,12 @@
     builds
 }
 
-pub(super) fn draw_faults(e: &Experiment, seed: u64, crowd: &Crowd, length: Millis) -> Vec<PlannedFault> {
+pub(super) fn draw_faults(
+    e: &Experiment,
+    seed: u64,
+    crowd: &Crowd,
+    length: Millis,
+) -> Vec<PlannedFault> {
     let rng = &mut stream(seed, Stream::Faults);
     let mut planned = Vec::new();
     for fault in &e.faults {
@@ -99,7 +154,11 @@
             let lasts = fault.lasts.map_or(0.0, |s| draw_span(rng, s));
             let size = fault.size.map_or(1.0, |s| draw(rng, s));
             let on = crowd.members(&fault.on, can, rng);
-            let to = fault.to.as_ref().map(|t| crowd.members(t, can, rng)).unwrap_or_default();
+            let to = fault
+                .to
+                .as_ref()
+                .map(|t| crowd.members(t, can, rng))
+                .unwrap_or_default();
             let pace = fault.pace.map_or(0.0, |s| draw_span(rng, s));
             let rolls = pace * on.len().saturating_sub(1) as f64;
             planned.push(PlannedFault {
--- a/lab/src/draw/machines.rs
+++ b/lab/src/draw/machines.rs
@@ -4,7 +4,12 @@
 use crate::experiment::{Experiment, Kind};
 use rand_pcg::Pcg64Mcg;
 
-pub(super) fn draw_tier(e: &Experiment, t: usize, rng: &mut Pcg64Mcg, upstreams: &mut Vec<Upstream>) {
+pub(super) fn draw_tier(
+    e: &Experiment,
+    t: usize,
+    rng: &mut Pcg64Mcg,
+    upstreams: &mut Vec<Upstream>,
+) {
     let (tier, zones) = (&e.tiers[t], e.fleet.zones.len());
 
     let mut in_zone = vec![0usize; zones];
@@ -55,7 +60,9 @@
     (0..count)
         .map(|n| {
             let pending = |k: usize| kinds[k].share / total * (n + 1) as f64 - dealt[k];
-            let next = (0..kinds.len()).max_by(|&a, &b| pending(a).total_cmp(&pending(b))).unwrap_or(0);
+            let next = (0..kinds.len())
+                .max_by(|&a, &b| pending(a).total_cmp(&pending(b)))
+                .unwrap_or(0);
             dealt[next] += 1.0;
             next
         })
@@ -75,7 +82,11 @@
         })
         .collect();
     let mut index = vec![0; e.tiers.len() + 1];
-    for (i, u) in upstreams.iter().enumerate().filter(|(_, u)| u.tier + 1 < e.tiers.len()) {
+    for (i, u) in upstreams
+        .iter()
+        .enumerate()
+        .filter(|(_, u)| u.tier + 1 < e.tiers.len())
+    {
         let tier = u.tier + 1;
         all.push(Balancer {
             name: format!("beside-{}", u.name),
--- a/lab/src/draw/requests.rs
+++ b/lab/src/draw/requests.rs
@@ -27,15 +27,28 @@
     fn of(&self, [tenant, class, zone]: [Option<usize>; 3]) -> (Demand<'a>, f64) {
         let only = |weights: &[f64], at: Option<usize>| {
             let kept = |i: usize| at.is_none_or(|at| at == i);
-            let some: Vec<f64> =
-                weights.iter().enumerate().map(|(i, w)| if kept(i) { *w } else { 0.0 }).collect();
+            let some: Vec<f64> = weights
+                .iter()
+                .enumerate()
+                .map(|(i, w)| if kept(i) { *w } else { 0.0 })
+                .collect();
             let part = some.iter().sum::<f64>() / weights.iter().sum::<f64>();
             (some, part)
         };
         let (usage, a) = only(&self.usage, tenant);
         let (classes, b) = only(&self.classes, class);
         let (zones, c) = only(&self.zones, zone);
-        (Demand { e: self.e, works: self.works, classes, usage, zones, size: self.size }, a * b * c)
+        (
+            Demand {
+                e: self.e,
+                works: self.works,
+                classes,
+                usage,
+                zones,
+                size: self.size,
+            },
+            a * b * c,
+        )
     }
 
     /// Requests at an even rate over some time.
@@ -90,14 +103,20 @@
     let rng = &mut stream(seed, Stream::Requests);
     let rate = rates.shared;
     let bursts = || faults.iter().filter(|f| f.kind == FaultKind::Burst);
-    let expected = rate * length + bursts().map(|f| rate * f.size * (f.until - f.at)).sum::<f64>();
+    let expected = rate * length
+        + bursts()
+            .map(|f| rate * f.size * (f.until - f.at))
+            .sum::<f64>();
     if expected / 1000.0 > REQUESTS_MOST as f64 {
         return Err(format!(
             "clients: {rate:.0} requests a second for {:.0} s are too many",
             length / 1000.0
         ));
     }
-    let skew = Range { least: 1.0 - e.fleet.skew, most: 1.0 + e.fleet.skew };
+    let skew = Range {
+        least: 1.0 - e.fleet.skew,
+        most: 1.0 + e.fleet.skew,
+    };
     let sigma = (1.0 + WORK_VARIES * WORK_VARIES).ln().sqrt();
     let own = |t: &Tenant| t.rate.is_some() || t.load.is_some();
     let demand = Demand {
@@ -105,7 +124,17 @@
         works,
         classes: e.classes.iter().map(|c| c.share).collect(),
         // A tenant of its own draws nothing here, so that the others are the same with it and without it.
-        usage: e.tenants.iter().map(|t| if own(t) { 0.0 } else { t.share * draw(rng, t.usage) }).collect(),
+        usage: e
+            .tenants
+            .iter()
+            .map(|t| {
+                if own(t) {
+                    0.0
+                } else {
+                    t.share * draw(rng, t.usage)
+                }
+            })
+            .collect(),
         zones: e.fleet.zones.iter().map(|_| draw(rng, skew)).collect(),
         size: LogNormal::new(-sigma * sigma / 2.0, sigma).map_err(|e| e.to_string())?,
     };
@@ -127,13 +156,18 @@
         } else {
             let met = |a: &Arrival| {
                 let of = [a.tenant, a.class, a.zone].into_iter().zip(burst.of);
-                within.contains(&a.at) && of.into_iter().all(|(is, of)| of.is_none_or(|of| of == is))
+                within.contains(&a.at)
+                    && of.into_iter().all(|(is, of)| of.is_none_or(|of| of == is))
             };
             arrivals.retain(|a| !met(a) || own.gen::<f64>() < burst.size);
         }
     }
     arrivals.sort_by(|a, b| a.at.total_cmp(&b.at));
-    for (n, outage) in faults.iter().filter(|f| f.kind == FaultKind::Outage).enumerate() {
+    for (n, outage) in faults
+        .iter()
+        .filter(|f| f.kind == FaultKind::Outage)
+        .enumerate()
+    {
         arrivals.extend(come_back(&arrivals, seed, n, outage));
     }
     arrivals.retain(|a| a.at < length);
@@ -158,16 +192,22 @@
     };
     let names = || demand.e.classes.iter().map(|c| &c.name);
     let sends = |name: &String| tenant.classes.as_ref().is_none_or(|all| all.contains(name));
-    let classes = names().zip(&demand.classes).map(|(name, w)| if sends(name) { *w } else { 0.0 });
+    let classes = names()
+        .zip(&demand.classes)
+        .map(|(name, w)| if sends(name) { *w } else { 0.0 });
     let own = Demand {
         e: demand.e,
         works: demand.works,
         classes: classes.collect(),
-        usage: (0..demand.e.tenants.len()).map(|t| f64::from(u8::from(t == n))).collect(),
+        usage: (0..demand.e.tenants.len())
+            .map(|t| f64::from(u8::from(t == n)))
+            .collect(),
         zones: demand.zones.clone(),
         size: demand.size,
     };
-    let (from, to) = tenant.during.map_or((0.0, length), |s| (s.0.least, s.0.most.min(length)));
+    let (from, to) = tenant
+        .during
+        .map_or((0.0, length), |s| (s.0.least, s.0.most.min(length)));
     own.requests(rng, rate, from, to)
 }
 
@@ -175,12 +215,23 @@
 fn come_back(arrivals: &[Arrival], seed: u64, n: usize, outage: &PlannedFault) -> Vec<Arrival> {
     let rng = &mut stream(seed, Stream::Outage(n as u64));
     let within = outage.delay.map_or(0.0, |d| d.1);
-    let met = arrivals.iter().filter(|a| (outage.at..outage.until).contains(&a.at));
+    let met = arrivals
+        .iter()
+        .filter(|a| (outage.at..outage.until).contains(&a.at));
     let mut back = Vec::new();
     for a in met {
-        let (kept, later, seed) = (rng.gen::<f64>() < outage.size, rng.gen::<f64>() * within, rng.gen());
+        let (kept, later, seed) = (
+            rng.gen::<f64>() < outage.size,
+            rng.gen::<f64>() * within,
+            rng.gen(),
+        );
         if kept {
-            back.push(Arrival { at: outage.until + later, seed, leaves: None, ..a.clone() });
+            back.push(Arrival {
+                at: outage.until + later,
+                seed,
+                leaves: None,
+                ..a.clone()
+            });
         }
     }
     back
--- a/lab/src/draw/whole.rs
+++ b/lab/src/draw/whole.rs
@@ -24,7 +24,14 @@
             (Some(a), Some(b)) => a != b,
             _ => false,
         };
-        let span = draw_span(net, if apart { e.net.cross_region } else { e.net.cross_zone });
+        let span = draw_span(
+            net,
+            if apart {
+                e.net.cross_region
+            } else {
+                e.net.cross_zone
+            },
+        );
         (cross_zone[a][b], cross_zone[b][a]) = (span, span);
     }
 
@@ -36,10 +43,19 @@
     }
     let shares: f64 = e.classes.iter().map(|c| c.share).sum();
     let works: Vec<f64> = e.classes.iter().map(|c| draw(load, c.work)).collect();
-    let mean_work: f64 = e.classes.iter().zip(&works).map(|(c, w)| c.share / shares * w).sum();
+    let mean_work: f64 = e
+        .classes
+        .iter()
+        .zip(&works)
+        .map(|(c, w)| c.share / shares * w)
+        .sum();
     let capacity: Vec<f64> = (0..e.tiers.len())
         .map(|t| {
-            let speed: f64 = upstreams.iter().filter(|u| u.tier == t).map(|u| u.cores as f64 * u.speed).sum();
+            let speed: f64 = upstreams
+                .iter()
+                .filter(|u| u.tier == t)
+                .map(|u| u.cores as f64 * u.speed)
+                .sum();
             speed * 1000.0 / (mean_work * e.tiers[t].work * calls[t])
         })
         .collect();
@@ -51,7 +67,11 @@
     };
     let quota = draw(load, e.clients.quota) * weakest;
     let tenant_shares: f64 = e.tenants.iter().map(|t| t.share).sum();
-    let quotas = e.tenants.iter().map(|t| quota * t.share / tenant_shares).collect();
+    let quotas = e
+        .tenants
+        .iter()
+        .map(|t| quota * t.share / tenant_shares)
+        .collect();
     let spans = e
         .classes
         .iter()
@@ -65,8 +85,14 @@
     let crowd = Crowd::new(e, &upstreams, &balancers);
     let faults = draw_faults(e, seed, &crowd, length);
     let builds = draw_builds(e, seed, &crowd);
-    balancers.iter_mut().zip(builds).for_each(|(b, build)| b.build = build);
-    let rates = Rates { shared: rate, weakest };
+    balancers
+        .iter_mut()
+        .zip(builds)
+        .for_each(|(b, build)| b.build = build);
+    let rates = Rates {
+        shared: rate,
+        weakest,
+    };
     let arrivals = draw_requests(e, seed, rates, length, &works, &faults)?;
     Ok(Plan {
         seed,
--- a/lab/src/experiment/build.rs
+++ b/lab/src/experiment/build.rs
@@ -24,7 +24,9 @@
     let mut all = base.clone();
     for (key, value) in over {
         let inner = match (all.get(key), value) {
-            (Some(toml::Value::Table(a)), toml::Value::Table(b)) => toml::Value::Table(merged(a, b)),
+            (Some(toml::Value::Table(a)), toml::Value::Table(b)) => {
+                toml::Value::Table(merged(a, b))
+            }
             _ => value.clone(),
         };
         all.insert(key.clone(), inner);
--- a/lab/src/experiment/check/bounds.rs
+++ b/lab/src/experiment/check/bounds.rs
@@ -21,15 +21,29 @@
     }
     for (i, t) in e.bounds.trials.iter().enumerate() {
         if !e.fleet.zones.contains(&t.zone) {
-            return wrong(&format!("trials[{i}].zone"), format!("{:?} is not among fleet.zones", t.zone));
+            return wrong(
+                &format!("trials[{i}].zone"),
+                format!("{:?} is not among fleet.zones", t.zone),
+            );
         }
-        if let Some(tier) = t.tier.as_ref().filter(|t| !e.tiers.iter().any(|x| x.name == **t)) {
-            return wrong(&format!("trials[{i}].tier"), format!("there is no tier {tier:?}"));
+        if let Some(tier) = t
+            .tier
+            .as_ref()
+            .filter(|t| !e.tiers.iter().any(|x| x.name == **t))
+        {
+            return wrong(
+                &format!("trials[{i}].tier"),
+                format!("there is no tier {tier:?}"),
+            );
         }
         check_stretch(&format!("bounds.trials[{i}].during"), t.during)?;
     }
     if let Some(s) = &e.bounds.in_share {
-        if let Some(name) = s.tenants.iter().find(|n| !e.tenants.iter().any(|t| t.name == **n)) {
+        if let Some(name) = s
+            .tenants
+            .iter()
+            .find(|n| !e.tenants.iter().any(|t| t.name == **n))
+        {
             return wrong("in_share.tenants", format!("there is no tenant {name:?}"));
         }
         if !(0.0..=1.0).contains(&s.least) {
