--- a/lab/src/experiment/check/fault.rs
+++ b/lab/src/experiment/check/fault.rs
@@ -15,10 +15,16 @@
         Slow | Errors | Burst | Outage | DatagramLoss | DatagramRepeat | DatagramGarbage
     );
     if fault.delay.is_some() != matches!(fault.kind, DatagramDelay | DiskSlow | Outage) {
-        return wrong("delay", "goes with datagram-delay, disk-slow and outage, and only with these".into());
+        return wrong(
+            "delay",
+            "goes with datagram-delay, disk-slow and outage, and only with these".into(),
+        );
     }
     if (fault.times > 1) != fault.every.is_some() || !(1..=10_000).contains(&fault.times) {
-        return wrong("times", "1 to 10000; more than one goes with `every`".into());
+        return wrong(
+            "times",
+            "1 to 10000; more than one goes with `every`".into(),
+        );
     }
     if matches!(fault.kind, PowerLoss | DiskFull | DiskFailing | DiskSlow) && !e.drills() {
         let what =
@@ -26,7 +32,11 @@
         return wrong("kind", what.into());
     }
     if fault.size.is_some() != sized {
-        let what = if sized { "missing: how much?" } else { "does not go with this kind" };
+        let what = if sized {
+            "missing: how much?"
+        } else {
+            "does not go with this kind"
+        };
         return wrong("size", what.into());
     }
     if matches!(fault.kind, Errors | Outage | DatagramLoss | DatagramRepeat)
@@ -38,10 +48,18 @@
         return wrong("to", "only a cut has another side".into());
     }
     if fault.kind != Upgrade && (fault.build.is_some() || fault.pace.is_some()) {
-        let part = if fault.build.is_some() { "build" } else { "pace" };
+        let part = if fault.build.is_some() {
+            "build"
+        } else {
+            "pace"
+        };
         return wrong(part, "goes with upgrade only".into());
     }
-    if let Some(name) = fault.build.as_ref().filter(|n| !e.builds.iter().any(|b| b.name == **n)) {
+    if let Some(name) = fault
+        .build
+        .as_ref()
+        .filter(|n| !e.builds.iter().any(|b| b.name == **n))
+    {
         return wrong("build", format!("there is no build {name:?}"));
     }
     if let Some(of) = &fault.of {
@@ -49,12 +67,18 @@
             return wrong("of", "goes with burst only".into());
         }
         for (part, missing) in [
-            ("tenant", none(&of.tenant, e.tenants.iter().map(|t| &t.name))),
+            (
+                "tenant",
+                none(&of.tenant, e.tenants.iter().map(|t| &t.name)),
+            ),
             ("class", none(&of.class, e.classes.iter().map(|c| &c.name))),
             ("zone", none(&of.zone, e.fleet.zones.iter())),
         ] {
             if let Some(name) = missing {
-                return wrong(&format!("of.{part}"), format!("there is no {part} {name:?}"));
+                return wrong(
+                    &format!("of.{part}"),
+                    format!("there is no {part} {name:?}"),
+                );
             }
         }
     }
@@ -76,5 +100,7 @@
 
 /// A name that is not among these.
 fn none<'a>(name: &Option<String>, mut all: impl Iterator<Item = &'a String>) -> Option<String> {
-    name.as_ref().filter(|name| !all.any(|x| x == *name)).cloned()
+    name.as_ref()
+        .filter(|name| !all.any(|x| x == *name))
+        .cloned()
 }
--- a/lab/src/experiment/check/load.rs
+++ b/lab/src/experiment/check/load.rs
@@ -56,16 +56,26 @@
         if t.rate.is_some() && t.load.is_some() {
             return wrong("load", "either rate or load, not both".into());
         }
-        if t.rate.or(t.load).is_some_and(|r| r.least <= 0.0 || r.most > 50_000.0) {
+        if t.rate
+            .or(t.load)
+            .is_some_and(|r| r.least <= 0.0 || r.most > 50_000.0)
+        {
             let key = if t.rate.is_some() { "rate" } else { "load" };
             return wrong(key, "must be above 0 and at most 50000".into());
         }
         if (t.classes.is_some() || t.during.is_some()) && !own {
-            let key = if t.classes.is_some() { "classes" } else { "during" };
+            let key = if t.classes.is_some() {
+                "classes"
+            } else {
+                "during"
+            };
             return wrong(key, "goes with a rate or load of the tenant's own".into());
         }
         let named = t.classes.iter().flatten();
-        if let Some(name) = named.clone().find(|n| !classes.iter().any(|c| c.name == **n)) {
+        if let Some(name) = named
+            .clone()
+            .find(|n| !classes.iter().any(|c| c.name == **n))
+        {
             return wrong("classes", format!("there is no class {name:?}"));
         }
         if t.classes.as_ref().is_some_and(Vec::is_empty) {
@@ -79,7 +89,10 @@
         }
     }
     if tenants.iter().all(|t| t.rate.is_some() || t.load.is_some()) {
-        return Err(("tenant".into(), "one at least must be without a rate or load of its own".into()));
+        return Err((
+            "tenant".into(),
+            "one at least must be without a rate or load of its own".into(),
+        ));
     }
     Ok(())
 }
--- a/lab/src/experiment/check/mod.rs
+++ b/lab/src/experiment/check/mod.rs
@@ -62,7 +62,10 @@
     distinct("tenant", e.tenants.iter().map(|t| &t.name))?;
     check_tenants(&e.tenants, &e.classes)?;
     check_clients(&e.clients)?;
-    for (key, part) in [("loss", e.net.datagram_loss), ("repeat", e.net.datagram_repeat)] {
+    for (key, part) in [
+        ("loss", e.net.datagram_loss),
+        ("repeat", e.net.datagram_repeat),
+    ] {
         if !(0.0..=1.0).contains(&part) {
             return wrong(&format!("net.datagram_{key}"), "must be from 0 to 1");
         }
--- a/lab/src/experiment/check/names.rs
+++ b/lab/src/experiment/check/names.rs
@@ -2,10 +2,15 @@
 
 pub(super) type Wrong = (String, String);
 
-pub(super) fn distinct<'a>(key: &str, names: impl Iterator<Item = &'a String>) -> Result<(), Wrong> {
+pub(super) fn distinct<'a>(
+    key: &str,
+    names: impl Iterator<Item = &'a String>,
+) -> Result<(), Wrong> {
     let mut seen = std::collections::BTreeSet::new();
     for (i, name) in names.enumerate() {
-        let plain = name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b));
+        let plain = name
+            .bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b));
         if name.is_empty() || !plain {
             return Err((
                 format!("{key}[{i}]"),
--- a/lab/src/experiment/check/target.rs
+++ b/lab/src/experiment/check/target.rs
@@ -8,10 +8,18 @@
     if let Some(zone) = target.zone.as_ref().filter(|z| !e.fleet.zones.contains(z)) {
         return wrong("zone", format!("{zone:?} is not among fleet.zones"));
     }
-    if let Some(region) = target.region.as_ref().filter(|r| !e.fleet.regions.contains_key(*r)) {
+    if let Some(region) = target
+        .region
+        .as_ref()
+        .filter(|r| !e.fleet.regions.contains_key(*r))
+    {
         return wrong("region", format!("there is no region {region:?}"));
     }
-    if let Some(tier) = target.tier.as_ref().filter(|t| !e.tiers.iter().any(|x| x.name == **t)) {
+    if let Some(tier) = target
+        .tier
+        .as_ref()
+        .filter(|t| !e.tiers.iter().any(|x| x.name == **t))
+    {
         return wrong("tier", format!("there is no tier {tier:?}"));
     }
     if target.share.is_some_and(|s| !(s > 0.0 && s <= 1.0)) {
--- a/lab/src/experiment/check/tier.rs
+++ b/lab/src/experiment/check/tier.rs
@@ -28,10 +28,16 @@
             return wrong(&format!("kind[{i}].share"), "must be above 0");
         }
         if kind.cores == 0 || kind.speed.least <= 0.0 || kind.slots.least < 1.0 {
-            return wrong(&format!("kind[{i}]"), "cores, speed and slots must be above 0");
+            return wrong(
+                &format!("kind[{i}]"),
+                "cores, speed and slots must be above 0",
+            );
         }
         if kind.cold_from.least <= 0.0 || kind.cold_from.most > 1.0 {
-            return wrong(&format!("kind[{i}].cold_from"), "must be above 0 and at most 1");
+            return wrong(
+                &format!("kind[{i}].cold_from"),
+                "must be above 0 and at most 1",
+            );
         }
         if kind.errors.most > 1.0 {
             return wrong(&format!("kind[{i}].errors"), "must be at most 1");
--- a/lab/src/experiment/fleet.rs
+++ b/lab/src/experiment/fleet.rs
@@ -23,7 +23,10 @@
     /// The region of a zone, if it is in one.
     pub fn region(&self, zone: usize) -> Option<&str> {
         let name = self.zones.get(zone)?;
-        self.regions.iter().find(|(_, zones)| zones.contains(name)).map(|(region, _)| region.as_str())
+        self.regions
+            .iter()
+            .find(|(_, zones)| zones.contains(name))
+            .map(|(region, _)| region.as_str())
     }
 }
 
--- a/lab/src/experiment/load.rs
+++ b/lab/src/experiment/load.rs
@@ -147,11 +147,17 @@
 }
 
 fn quota() -> Range {
-    Range { least: 0.7, most: 0.94 }
+    Range {
+        least: 0.7,
+        most: 0.94,
+    }
 }
 
 fn try_share() -> Range {
-    Range { least: 0.7, most: 1.0 }
+    Range {
+        least: 0.7,
+        most: 1.0,
+    }
 }
 
 fn backoff() -> Span {
--- a/lab/src/experiment/tier.rs
+++ b/lab/src/experiment/tier.rs
@@ -79,15 +79,24 @@
 }
 
 fn slots() -> Range {
-    Range { least: 9.0, most: 22.0 }
+    Range {
+        least: 9.0,
+        most: 22.0,
+    }
 }
 
 fn queue() -> Range {
-    Range { least: 1.0, most: 4.0 }
+    Range {
+        least: 1.0,
+        most: 4.0,
+    }
 }
 
 fn cold() -> Range {
-    Range { least: 0.15, most: 0.3 }
+    Range {
+        least: 0.15,
+        most: 0.3,
+    }
 }
 
 fn cold_for() -> Span {
@@ -131,11 +140,23 @@
 impl Default for Connections {
     fn default() -> Self {
         Connections {
-            cap: Range { least: 600.0, most: 900.0 },
-            round_trips: Range { least: 1.0, most: 3.0 },
-            work: Range { least: 1.0, most: 3.0 },
+            cap: Range {
+                least: 600.0,
+                most: 900.0,
+            },
+            round_trips: Range {
+                least: 1.0,
+                most: 3.0,
+            },
+            work: Range {
+                least: 1.0,
+                most: 3.0,
+            },
             idle: Span::ms(15_000.0, 15_000.0),
-            full_tax: Range { least: 0.17, most: 0.37 },
+            full_tax: Range {
+                least: 0.17,
+                most: 0.37,
+            },
         }
     }
 }
@@ -154,6 +175,10 @@
 
 impl Default for Report {
     fn default() -> Self {
-        Report { period: Span::ms(80.0, 400.0), delay: Span::ms(10.0, 85.0), noise: 0.1 }
+        Report {
+            period: Span::ms(80.0, 400.0),
+            delay: Span::ms(10.0, 85.0),
+            noise: 0.1,
+        }
     }
 }
--- a/lab/src/experiment/units.rs
+++ b/lab/src/experiment/units.rs
@@ -23,7 +23,10 @@
 impl Range {
     /// The same figure every time.
     pub const fn fixed(value: f64) -> Range {
-        Range { least: value, most: value }
+        Range {
+            least: value,
+            most: value,
+        }
     }
 
     /// The figure in the middle.
@@ -41,7 +44,9 @@
 
 fn range(least: f64, most: f64) -> Result<Range, String> {
     if !(0.0..=1e12).contains(&least) || !(0.0..=1e12).contains(&most) || least > most {
-        return Err(format!("{least} to {most} is no range from a least to a most of at least 0"));
+        return Err(format!(
+            "{least} to {most} is no range from a least to a most of at least 0"
+        ));
     }
     Ok(Range { least, most })
 }
@@ -69,8 +74,12 @@
     seq: &mut A,
     expected: &dyn de::Expected,
 ) -> Result<(T, T), A::Error> {
-    let least = seq.next_element()?.ok_or_else(|| de::Error::invalid_length(0, expected))?;
-    let most = seq.next_element()?.ok_or_else(|| de::Error::invalid_length(1, expected))?;
+    let least = seq
+        .next_element()?
+        .ok_or_else(|| de::Error::invalid_length(0, expected))?;
+    let most = seq
+        .next_element()?
+        .ok_or_else(|| de::Error::invalid_length(1, expected))?;
     match seq.next_element::<de::IgnoredAny>()? {
         Some(_) => Err(de::Error::invalid_length(3, expected)),
         None => Ok((least, most)),
@@ -103,7 +112,9 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Span, A::Error> {
         let (least, most): (String, String) = two(&mut seq, &self)?;
         let (least, most) = (millis(&least), millis(&most));
-        let span = least.and_then(|l| range(l, most?)).map_err(de::Error::custom)?;
+        let span = least
+            .and_then(|l| range(l, most?))
+            .map_err(de::Error::custom)?;
         Ok(Span(span))
     }
 }
--- a/lab/src/experiment/whole.rs
+++ b/lab/src/experiment/whole.rs
@@ -83,6 +83,8 @@
     /// Whether balancers are configured to have the faults of their disks from the lab.
     pub(super) fn drills(&self) -> bool {
         let drill = self.options.get("recovery").and_then(|r| r.get("drill"));
-        drill.and_then(toml::Value::as_str).is_some_and(|d| d.contains("{drill}"))
+        drill
+            .and_then(toml::Value::as_str)
+            .is_some_and(|d| d.contains("{drill}"))
     }
 }
--- a/lab/src/faults/cut.rs
+++ b/lab/src/faults/cut.rs
@@ -19,10 +19,14 @@
         (Balancer(b), Clients(z)) if world.plan.balancers[b].owner.is_none() => {
             vec![(world.client_links[b][z].clone(), Direction::Inward, Some(b))]
         }
-        (Balancer(b), Agent(a)) if a == b => vec![(fleet.agents[a].link.clone(), Direction::Inward, None)],
+        (Balancer(b), Agent(a)) if a == b => {
+            vec![(fleet.agents[a].link.clone(), Direction::Inward, None)]
+        }
         (Upstream(_) | Clients(_) | Agent(_), Balancer(_)) => {
             let turned = links(fleet, to, from).into_iter();
-            turned.map(|(link, _, excused)| (link, Direction::Outward, excused)).collect()
+            turned
+                .map(|(link, _, excused)| (link, Direction::Outward, excused))
+                .collect()
         }
         _ => Vec::new(),
     }
--- a/lab/src/faults/ends.rs
+++ b/lab/src/faults/ends.rs
@@ -58,14 +58,20 @@
 
 /// Where the copy of a state folder is kept that an `old` one is put back from.
 pub(super) fn old_state(fleet: &Fleet, b: usize) -> PathBuf {
-    fleet.world.folder.join("old-state").join(&fleet.world.plan.balancers[b].name)
+    fleet
+        .world
+        .folder
+        .join("old-state")
+        .join(&fleet.world.plan.balancers[b].name)
 }
 
 fn spoil(fleet: &Fleet, b: usize, how: Option<Damage>) -> Result<(), String> {
     let Some(how) = how else { return Ok(()) };
     let state = &fleet.balancers[b].state;
     let mut drawn = Calls::new(fleet.world.plan.seed ^ 0xda_3a9e ^ b as u64);
-    let done = damage(state, how, &old_state(fleet, b), |bits| drawn.seed() % bits.max(1));
+    let done = damage(state, how, &old_state(fleet, b), |bits| {
+        drawn.seed() % bits.max(1)
+    });
     done.map_err(|e| format!("{}: {e}", state.display()))
 }
 
@@ -97,7 +103,11 @@
 }
 
 /// Ends balancers in turn by SIGTERM, each to start again as another build.
-pub(super) async fn upgrade(fleet: &Arc<Fleet>, guard: &Guard, fault: &PlannedFault) -> Result<(), String> {
+pub(super) async fn upgrade(
+    fleet: &Arc<Fleet>,
+    guard: &Guard,
+    fault: &PlannedFault,
+) -> Result<(), String> {
     let lasts = fault.until - fault.at - fault.pace * fault.on.len().saturating_sub(1) as f64;
     let mut all = tokio::task::JoinSet::new();
     for (n, party) in fault.on.iter().enumerate() {
--- a/lab/src/faults/news.rs
+++ b/lab/src/faults/news.rs
@@ -40,11 +40,19 @@
         };
         let delay = span(delay);
         let tier = world.plan.upstreams[upstream].tier;
-        for (b, agent) in
-            fleet.agents.iter().enumerate().filter(|(b, _)| world.plan.balancers[*b].tier == tier)
+        for (b, agent) in fleet
+            .agents
+            .iter()
+            .enumerate()
+            .filter(|(b, _)| world.plan.balancers[*b].tier == tier)
         {
             let later = delay + span(world.experiment.discovery.spread);
-            let entry = Entry { upstream, id: u.id(replaced), state, start: (starts, started) };
+            let entry = Entry {
+                upstream,
+                id: u.id(replaced),
+                state,
+                start: (starts, started),
+            };
             let at = world.now() + later;
             let (agent, world) = (agent.clone(), world.clone());
             tokio::spawn(async move {
--- a/lab/src/faults/schedule.rs
+++ b/lab/src/faults/schedule.rs
@@ -67,7 +67,10 @@
         .collect();
     match fault.kind {
         Kill | PowerLoss => {
-            each(balancers, |b| kill_for(fleet.clone(), guard.clone(), b, fault.until, fault.state)).await?
+            each(balancers, |b| {
+                kill_for(fleet.clone(), guard.clone(), b, fault.until, fault.state)
+            })
+            .await?
         }
         DiskFull | DiskFailing | DiskSlow => {
             let does = match (fault.kind, fault.delay) {
@@ -75,12 +78,19 @@
                 (DiskFull, _) => "full".into(),
                 _ => "failing".into(),
             };
-            balancers.iter().try_for_each(|&b| fleet.balancers[b].disk(Some(&does)))?;
+            balancers
+                .iter()
+                .try_for_each(|&b| fleet.balancers[b].disk(Some(&does)))?;
             world.clock.until(fault.until).await;
-            balancers.iter().try_for_each(|&b| fleet.balancers[b].disk(None))?;
+            balancers
+                .iter()
+                .try_for_each(|&b| fleet.balancers[b].disk(None))?;
         }
         Terminate => {
-            each(balancers, |b| terminate(fleet.clone(), guard.clone(), b, fault.until, fault.state)).await?
+            each(balancers, |b| {
+                terminate(fleet.clone(), guard.clone(), b, fault.until, fault.state)
+            })
+            .await?
         }
         Upgrade => upgrade(fleet, guard, fault).await?,
         Pause => {
@@ -100,24 +110,37 @@
         }
         Cut => cut(fleet, fault).await,
         Slow => {
-            upstreams.iter().for_each(|&u| fleet.upstreams[u].slow_down(fault.size));
+            upstreams
+                .iter()
+                .for_each(|&u| fleet.upstreams[u].slow_down(fault.size));
             world.clock.until(fault.until).await;
-            upstreams.iter().for_each(|&u| fleet.upstreams[u].slow_down(1.0));
+            upstreams
+                .iter()
+                .for_each(|&u| fleet.upstreams[u].slow_down(1.0));
         }
         Errors => {
-            upstreams.iter().for_each(|&u| fleet.upstreams[u].fail(Some(fault.size)));
+            upstreams
+                .iter()
+                .for_each(|&u| fleet.upstreams[u].fail(Some(fault.size)));
             world.clock.until(fault.until).await;
-            upstreams.iter().for_each(|&u| fleet.upstreams[u].fail(None));
+            upstreams
+                .iter()
+                .for_each(|&u| fleet.upstreams[u].fail(None));
         }
         Die | Lose | Replace => {
             let kind = fault.kind;
             let until = fault.until;
-            each(upstreams, |u| leave_and_return(fleet.clone(), guard.clone(), news.clone(), u, kind, until))
-                .await?;
+            each(upstreams, |u| {
+                leave_and_return(fleet.clone(), guard.clone(), news.clone(), u, kind, until)
+            })
+            .await?;
         }
         Reset => {
             for &u in &upstreams {
-                fleet.upstreams[u].links.values().for_each(|link| link.reset());
+                fleet.upstreams[u]
+                    .links
+                    .values()
+                    .for_each(|link| link.reset());
             }
         }
         Burst => {}
@@ -165,7 +188,9 @@
             };
             balancers.iter().for_each(|&b| fleet.agents[b].behave(mood));
             world.clock.until(fault.until).await;
-            balancers.iter().for_each(|&b| fleet.agents[b].behave(Mood::Sound));
+            balancers
+                .iter()
+                .for_each(|&b| fleet.agents[b].behave(Mood::Sound));
         }
         DiscoveryMove => {
             for &b in &balancers {
--- a/lab/src/figures/comeback.rs
+++ b/lab/src/figures/comeback.rs
@@ -35,19 +35,34 @@
 /// How the fleet came back, if anything stopped balancers.
 pub fn comeback(e: &Experiment, plan: &Plan, tally: &Tally) -> Option<Comeback> {
     let stops = |kind| {
-        matches!(kind, FaultKind::Kill | FaultKind::PowerLoss | FaultKind::Terminate | FaultKind::Upgrade)
+        matches!(
+            kind,
+            FaultKind::Kill | FaultKind::PowerLoss | FaultKind::Terminate | FaultKind::Upgrade
+        )
     };
-    let fault = plan.faults.iter().find(|f| stops(f.kind) && !f.on.is_empty())?;
+    let fault = plan
+        .faults
+        .iter()
+        .find(|f| stops(f.kind) && !f.on.is_empty())?;
     // A process that was begun too late to be met by anybody says nothing.
-    let again = tally.starts.iter().filter(|s| s.at >= fault.at && s.at < plan.length - WINDOW);
-    let mut took: Vec<f64> = again.clone().map(|s| s.served.map_or(f64::INFINITY, |t| t - s.at)).collect();
+    let again = tally
+        .starts
+        .iter()
+        .filter(|s| s.at >= fault.at && s.at < plan.length - WINDOW);
+    let mut took: Vec<f64> = again
+        .clone()
+        .map(|s| s.served.map_or(f64::INFINITY, |t| t - s.at))
+        .collect();
     took.sort_by(f64::total_cmp);
     let finite = |t: Option<&f64>| t.copied().filter(|t| t.is_finite());
     let first = again.map(|s| s.at).fold(f64::INFINITY, f64::min);
-    let worth =
-        |from: Millis, to: Millis| figures(e, plan, &tally.done, |d| (from..to).contains(&d.at)).worth;
+    let worth = |from: Millis, to: Millis| {
+        figures(e, plan, &tally.done, |d| (from..to).contains(&d.at)).worth
+    };
     let before = worth(0.0, fault.at);
-    let mut windows = (0..).map(|n| first + STEP * f64::from(n)).take_while(|t| t + WINDOW <= plan.length);
+    let mut windows = (0..)
+        .map(|n| first + STEP * f64::from(n))
+        .take_while(|t| t + WINDOW <= plan.length);
     let back = windows.find(|&t| worth(t, t + WINDOW) >= BACK * before);
     Some(Comeback {
         served_ms: finite(took.get(took.len() / 2)),
--- a/lab/src/figures/expected.rs
+++ b/lab/src/figures/expected.rs
@@ -8,19 +8,33 @@
 
 /// Whether a request is one of these.
 fn is_of(e: &Experiment, d: &Done, of: &Part) -> bool {
-    of.tenant.as_ref().is_none_or(|t| e.tenants[d.tenant].name == *t)
-        && of.class.as_ref().is_none_or(|c| e.classes[d.class].name == *c)
+    of.tenant
+        .as_ref()
+        .is_none_or(|t| e.tenants[d.tenant].name == *t)
+        && of
+            .class
+            .as_ref()
+            .is_none_or(|c| e.classes[d.class].name == *c)
         && of.zone.as_ref().is_none_or(|z| e.fleet.zones[d.zone] == *z)
 }
 
 /// A figure over a stretch of the run.
-fn value(e: &Experiment, plan: &Plan, tally: &Tally, expect: &Expect, (from, to): (Millis, Millis)) -> f64 {
+fn value(
+    e: &Experiment,
+    plan: &Plan,
+    tally: &Tally,
+    expect: &Expect,
+    (from, to): (Millis, Millis),
+) -> f64 {
     let within = |d: &Done| (from..to).contains(&d.at) && is_of(e, d, &expect.of);
     let f = || figures(e, plan, &tally.done, within);
     let seconds = || {
-        let whole =
-            |s: &usize| (*s as f64) * 1000.0 >= from && ((s + 1) as f64) * 1000.0 <= to.min(plan.length);
-        (0..tally.seconds.len()).filter(whole).map(|s| &tally.seconds[s])
+        let whole = |s: &usize| {
+            (*s as f64) * 1000.0 >= from && ((s + 1) as f64) * 1000.0 <= to.min(plan.length)
+        };
+        (0..tally.seconds.len())
+            .filter(whole)
+            .map(|s| &tally.seconds[s])
     };
     match expect.figure {
         Figure::InTime => f().in_time,
@@ -52,8 +66,14 @@
     tenant: &str,
     (from, to): (Millis, Millis),
 ) -> f64 {
-    let of = Part { tenant: Some(tenant.into()), ..Part::default() };
-    figures(e, plan, done, |d| (from..to).contains(&d.at) && is_of(e, d, &of)).worth
+    let of = Part {
+        tenant: Some(tenant.into()),
+        ..Part::default()
+    };
+    figures(e, plan, done, |d| {
+        (from..to).contains(&d.at) && is_of(e, d, &of)
+    })
+    .worth
 }
 
 /// Which expectations a run misses, each in one line.
@@ -71,9 +91,11 @@
             None => (own, String::new()),
         };
         let mut name = name_of(expect.figure);
-        for (what, of) in
-            [("tenant", &expect.of.tenant), ("class", &expect.of.class), ("zone", &expect.of.zone)]
-        {
+        for (what, of) in [
+            ("tenant", &expect.of.tenant),
+            ("class", &expect.of.class),
+            ("zone", &expect.of.zone),
+        ] {
             if let Some(of) = of {
                 name.push_str(&format!(" of {what} {of}"));
             }
@@ -82,14 +104,18 @@
             true => format!("{:.0} to {:.0} s", from / 1000.0, to / 1000.0),
             false => format!("{:.0} s on", from / 1000.0),
         };
-        let low = expect.least.filter(|&least| value.is_nan() || value < least);
+        let low = expect
+            .least
+            .filter(|&least| value.is_nan() || value < least);
         let high = expect.most.filter(|&most| value.is_nan() || value > most);
         let (bound, word) = match (low, high) {
             (Some(least), _) => (least, "least"),
             (None, Some(most)) => (most, "most"),
             (None, None) => return None,
         };
-        Some(format!("{name} from {over} is {value:.3}{part}, expected at {word} {bound}"))
+        Some(format!(
+            "{name} from {over} is {value:.3}{part}, expected at {word} {bound}"
+        ))
     };
     e.expects.iter().filter_map(check).collect()
 }
--- a/lab/src/figures/played.rs
+++ b/lab/src/figures/played.rs
@@ -108,7 +108,12 @@
 impl From<&Violation> for Case {
     fn from(b: &Violation) -> Case {
         let rule: Rule = b.rule;
-        Case { rule: name_of(rule), asks: rule.asks().into(), at: b.at, case: b.case.clone() }
+        Case {
+            rule: name_of(rule),
+            asks: rule.asks().into(),
+            at: b.at,
+            case: b.case.clone(),
+        }
     }
 }
 
@@ -124,5 +129,12 @@
     let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
     let least = values.iter().copied().fold(f64::INFINITY, f64::min);
     let most = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    (mean, if values.len() > 1 { (most - least) / 2.0 } else { 0.0 })
+    (
+        mean,
+        if values.len() > 1 {
+            (most - least) / 2.0
+        } else {
+            0.0
+        },
+    )
 }
--- a/lab/src/figures/requests.rs
+++ b/lab/src/figures/requests.rs
@@ -35,7 +35,12 @@
 }
 
 /// Figures over all requests that `wanted` picks.
-pub fn figures(e: &Experiment, plan: &Plan, done: &[Done], wanted: impl Fn(&Done) -> bool) -> Figures {
+pub fn figures(
+    e: &Experiment,
+    plan: &Plan,
+    done: &[Done],
+    wanted: impl Fn(&Done) -> bool,
+) -> Figures {
     let mut f = Figures::default();
     let (mut times, mut added) = (histogram(), histogram());
     let (mut asked, mut earned, mut tries) = (0.0, 0.0, 0u64);
@@ -55,7 +60,11 @@
                     f.late += 1.0;
                     // After its deadline it earns nothing.
                     let in_deadline = d.took <= plan.spans[d.class].1;
-                    earned += if in_deadline { class.worth * class.late_worth } else { 0.0 };
+                    earned += if in_deadline {
+                        class.worth * class.late_worth
+                    } else {
+                        0.0
+                    };
                 }
             }
             How::Refused => f.refused += 1.0,
@@ -67,7 +76,13 @@
         return f;
     }
     let all = f.due as f64;
-    for share in [&mut f.in_time, &mut f.late, &mut f.refused, &mut f.failed, &mut f.left] {
+    for share in [
+        &mut f.in_time,
+        &mut f.late,
+        &mut f.refused,
+        &mut f.failed,
+        &mut f.left,
+    ] {
         *share /= all;
     }
     f.worth = earned / asked;
--- a/lab/src/figures/traffic.rs
+++ b/lab/src/figures/traffic.rs
@@ -38,8 +38,9 @@
 
 /// Attempts for each first attempt.
 pub(super) fn attempts<'a>(seconds: impl Iterator<Item = &'a Second>) -> f64 {
-    let (all, firsts) =
-        seconds.fold((0, 0), |(all, firsts), s| (all + s.attempts.iter().sum::<u64>(), firsts + s.firsts));
+    let (all, firsts) = seconds.fold((0, 0), |(all, firsts), s| {
+        (all + s.attempts.iter().sum::<u64>(), firsts + s.firsts)
+    });
     all as f64 / firsts.max(1) as f64
 }
 
@@ -48,10 +49,18 @@
 pub fn jain<'a>(e: &Experiment, seconds: impl Iterator<Item = &'a Second>) -> f64 {
     let mut held = vec![0.0; e.tenants.len()];
     for second in seconds {
-        held.iter_mut().zip(&second.held).for_each(|(sum, ms)| *sum += ms);
+        held.iter_mut()
+            .zip(&second.held)
+            .for_each(|(sum, ms)| *sum += ms);
     }
-    let each: Vec<f64> = held.iter().zip(&e.tenants).map(|(ms, t)| ms / t.share).collect();
-    let (sum, squares) = each.iter().fold((0.0, 0.0), |(sum, squares), x| (sum + x, squares + x * x));
+    let each: Vec<f64> = held
+        .iter()
+        .zip(&e.tenants)
+        .map(|(ms, t)| ms / t.share)
+        .collect();
+    let (sum, squares) = each
+        .iter()
+        .fold((0.0, 0.0), |(sum, squares), x| (sum + x, squares + x * x));
     sum * sum / (each.len() as f64 * squares)
 }
 
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -32,11 +32,14 @@
         folder: &Path,
     ) -> Result<Arc<Fleet>, String> {
         let world = World::new(e, plan, Clock::new(), folder)?;
-        let agents: Vec<Arc<Agent>> =
-            (0..plan.balancers.len()).map(|b| Arc::new(Agent::new(b, plan))).collect();
+        let agents: Vec<Arc<Agent>> = (0..plan.balancers.len())
+            .map(|b| Arc::new(Agent::new(b, plan)))
+            .collect();
         let process = |(b, agent)| Arc::new(Process::new(b, &world, agent, builds, root));
         Ok(Arc::new(Fleet {
-            upstreams: (0..plan.upstreams.len()).map(|u| Arc::new(Upstream::new(u, e, plan))).collect(),
+            upstreams: (0..plan.upstreams.len())
+                .map(|u| Arc::new(Upstream::new(u, e, plan)))
+                .collect(),
             balancers: agents.iter().enumerate().map(process).collect(),
             agents,
             world: world.clone(),
@@ -52,7 +55,11 @@
             upstream.start(&self.world)?;
         }
         let world = self.world.clone();
-        self.world.datagrams.start(&self.world.over, move |from, bytes| world.datagram(from, bytes));
+        self.world
+            .datagrams
+            .start(&self.world.over, move |from, bytes| {
+                world.datagram(from, bytes)
+            });
         Ok(())
     }
 }
--- a/lab/src/guard.rs
+++ b/lab/src/guard.rs
@@ -27,7 +27,9 @@
         let mut command = Command::new(program);
         // A group of its own, so that an interrupt at the terminal leaves it to its duty.
         command.arg("guard").stdin(Stdio::piped()).process_group(0);
-        let mut child = command.spawn().map_err(|e| format!("{}: {e}", program.display()))?;
+        let mut child = command
+            .spawn()
+            .map_err(|e| format!("{}: {e}", program.display()))?;
         let end = child.stdin.take();
         Ok(Guard(Arc::new(Mutex::new(Pipe { end, child }))))
     }
@@ -62,7 +64,10 @@
 pub fn stand_guard(input: impl BufRead) {
     let mut alive = BTreeSet::new();
     for line in input.lines().map_while(Result::ok) {
-        match (line.get(..1), line.get(1..).and_then(|pid| pid.parse::<i32>().ok())) {
+        match (
+            line.get(..1),
+            line.get(1..).and_then(|pid| pid.parse::<i32>().ok()),
+        ) {
             (Some("+"), Some(pid)) if pid > 1 => {
                 alive.insert(pid);
             }
--- a/lab/src/machine.rs
+++ b/lab/src/machine.rs
@@ -104,7 +104,11 @@
         let slower = self.slower;
         *self = Machine::new(self.plan.clone(), self.tipping, self.mean_work);
         self.slower = slower;
-        self.cold = Some(Cold { since: now, done: 0.0, sent: VecDeque::new() });
+        self.cold = Some(Cold {
+            since: now,
+            done: 0.0,
+            sent: VecDeque::new(),
+        });
     }
 
     /// A fault makes it this many times slower; 1 ends that.
@@ -122,7 +126,8 @@
         let Some(cold) = &self.cold else { return 1.0 };
         // Capacity rises with time, or with the work done if that is more.
         let all = self.plan.cold_for * self.plan.cores as f64 * self.plan.speed;
-        let progress = ((now - cold.since) / self.plan.cold_for.max(1.0)).max(cold.done / all.max(1.0));
+        let progress =
+            ((now - cold.since) / self.plan.cold_for.max(1.0)).max(cold.done / all.max(1.0));
         (self.plan.cold_from + (1.0 - self.plan.cold_from) * progress).min(1.0)
     }
 
@@ -177,17 +182,29 @@
             return;
         }
         cold.sent.push_back((now, work, knew_start));
-        while cold.sent.front().is_some_and(|&(at, ..)| at < now - self.tipping.fall) {
+        while cold
+            .sent
+            .front()
+            .is_some_and(|&(at, ..)| at < now - self.tipping.fall)
+        {
             cold.sent.pop_front();
         }
         let sent: f64 = cold.sent.iter().map(|(_, work, _)| work).sum();
-        let by_informed: f64 =
-            cold.sent.iter().filter(|(.., knew_start)| *knew_start).map(|(_, work, _)| work).sum();
+        let by_informed: f64 = cold
+            .sent
+            .iter()
+            .filter(|(.., knew_start)| *knew_start)
+            .map(|(_, work, _)| work)
+            .sum();
         let can = self.plan.cores as f64 * self.plan.speed * self.warmth(now);
         // A few requests more than the budget are chance.
         let bears = self.tipping.multiple * can * self.tipping.fall + 4.0 * self.mean_work;
         if sent > bears && self.tipped.is_none() {
-            self.tipped = Some(Tipped { sent, bears, knew_start: by_informed / sent });
+            self.tipped = Some(Tipped {
+                sent,
+                bears,
+                knew_start: by_informed / sent,
+            });
         }
     }
 
@@ -222,7 +239,9 @@
 
     fn fill_cores(&mut self, now: Millis) {
         while self.running.len() < self.plan.cores {
-            let Some((token, work)) = self.ready.pop_front() else { return };
+            let Some((token, work)) = self.ready.pop_front() else {
+                return;
+            };
             let end = now + work / self.rate(now);
             self.running.insert((key(end), token), work);
         }
@@ -230,14 +249,30 @@
 
     /// When it is to be polled next.
     pub fn next(&self) -> Option<Millis> {
-        let work = self.running.keys().next().map(|&(at, _)| at as f64 / 1000.0);
+        let work = self
+            .running
+            .keys()
+            .next()
+            .map(|&(at, _)| at as f64 / 1000.0);
         let overload = self.plan.choke.and_then(|c| {
-            let slow = self.overloaded.filter(|_| self.degraded.is_none()).map(|at| at + c.over);
-            let idle = self.idle.filter(|_| self.degraded.is_some()).map(|at| at + c.rest);
+            let slow = self
+                .overloaded
+                .filter(|_| self.degraded.is_none())
+                .map(|at| at + c.over);
+            let idle = self
+                .idle
+                .filter(|_| self.degraded.is_some())
+                .map(|at| at + c.rest);
             let latest = self.degraded.map(|at| at + c.most);
-            [slow, idle, latest].into_iter().flatten().min_by(f64::total_cmp)
+            [slow, idle, latest]
+                .into_iter()
+                .flatten()
+                .min_by(f64::total_cmp)
         });
-        [work, overload].into_iter().flatten().min_by(f64::total_cmp)
+        [work, overload]
+            .into_iter()
+            .flatten()
+            .min_by(f64::total_cmp)
     }
 
     /// Adds the work that is done by now, each piece ended at its own time.
@@ -262,8 +297,16 @@
     fn update_overload(&mut self, now: Millis) {
         let Some(choke) = self.plan.choke else { return };
         let held_per_core = self.holds() as f64 / self.plan.cores as f64;
-        self.overloaded = if held_per_core >= choke.at { self.overloaded.or(Some(now)) } else { None };
-        self.idle = if held_per_core < choke.below { self.idle.or(Some(now)) } else { None };
+        self.overloaded = if held_per_core >= choke.at {
+            self.overloaded.or(Some(now))
+        } else {
+            None
+        };
+        self.idle = if held_per_core < choke.below {
+            self.idle.or(Some(now))
+        } else {
+            None
+        };
         match self.degraded {
             None if self.overloaded.is_some_and(|at| now - at >= choke.over) => {
                 self.degraded = Some(now);
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,6 +1,5 @@
 //! The command line of the lab; what each verb does is in the library.
 #![forbid(unsafe_code)]
-use clap::{Parser, Subcommand};
 use balancer_lab::capacity::scenario::Dimension;
 use balancer_lab::capacity::sweep::Sweep;
 use balancer_lab::capacity::table::markdown;
@@ -11,6 +10,7 @@
 use balancer_lab::results::{compare, summary, Asked, Results};
 use balancer_lab::run::{play, Stage};
 use balancer_lab::stand_in::{self, Choice, Wrong};
+use clap::{Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
@@ -158,20 +158,30 @@
 }
 
 fn runtime(threads: usize) -> Result<tokio::runtime::Runtime, String> {
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(threads).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(threads)
+        .enable_all()
+        .build();
     runtime.map_err(|e| e.to_string())
 }
 
 /// The repository: the folder with deploy/balancer.toml, here or above.
 fn root() -> Result<PathBuf, String> {
     let here = std::env::current_dir().map_err(|e| e.to_string())?;
-    let found = here.ancestors().find(|f| f.join("deploy/balancer.toml").is_file());
-    found.map(Path::to_path_buf).ok_or_else(|| "no deploy/balancer.toml here or above".into())
+    let found = here
+        .ancestors()
+        .find(|f| f.join("deploy/balancer.toml").is_file());
+    found
+        .map(Path::to_path_buf)
+        .ok_or_else(|| "no deploy/balancer.toml here or above".into())
 }
 
 fn build(root: &Path, command: &str) -> Result<(), String> {
     eprintln!("building: {command}");
-    let status = std::process::Command::new("/bin/sh").args(["-c", command]).current_dir(root).status();
+    let status = std::process::Command::new("/bin/sh")
+        .args(["-c", command])
+        .current_dir(root)
+        .status();
     match status {
         Ok(status) if status.success() => Ok(()),
         Ok(status) => Err(format!("{command}: {status}")),
@@ -180,7 +190,10 @@
 }
 
 fn run_it(run: &Run) -> Result<End, String> {
-    tracing_subscriber::fmt().with_max_level(run.log).with_writer(std::io::stderr).init();
+    tracing_subscriber::fmt()
+        .with_max_level(run.log)
+        .with_writer(std::io::stderr)
+        .init();
     let e = experiment::load(&run.file)?;
     let seed = run.seed.unwrap_or(e.seed);
     let plan = draw::plan(&e, seed).map_err(|m| format!("{}: {m}", run.file.display()))?;
@@ -270,7 +283,9 @@
         sizes: asked.sizes,
         runs: usize::from(asked.runs),
         span: asked.span,
-        program: asked.program.unwrap_or_else(|| own.with_file_name("balancer-proxy")),
+        program: asked
+            .program
+            .unwrap_or_else(|| own.with_file_name("balancer-proxy")),
         folder: asked.out,
     };
     let samples = sweep.measure(|sample| eprintln!("{sample:?}"))?;
@@ -293,7 +308,10 @@
 
 fn report_it(folder: &Path) -> Result<End, String> {
     let (results, e, plan) = opened(folder)?;
-    println!("{}", results.report(&e, &plan, &results.plays()?)?.display());
+    println!(
+        "{}",
+        results.report(&e, &plan, &results.plays()?)?.display()
+    );
     Ok(End::Held)
 }
 
--- a/lab/src/net/block.rs
+++ b/lab/src/net/block.rs
@@ -26,12 +26,16 @@
     pub fn claim() -> Result<Block, String> {
         let first = u32::from(std::process::id() as u16) % u32::from(BLOCKS.end - BLOCKS.start);
         for step in 0..u32::from(BLOCKS.end - BLOCKS.start) {
-            let second = BLOCKS.start + ((first + step) % u32::from(BLOCKS.end - BLOCKS.start)) as u8;
-            let socket =
-                Socket::new(Domain::IPV4, Type::STREAM, None).map_err(|e| format!("a socket: {e}"))?;
+            let second =
+                BLOCKS.start + ((first + step) % u32::from(BLOCKS.end - BLOCKS.start)) as u8;
+            let socket = Socket::new(Domain::IPV4, Type::STREAM, None)
+                .map_err(|e| format!("a socket: {e}"))?;
             let at = SocketAddr::from((Ipv4Addr::new(127, second, 255, 254), CLAIM));
             if socket.bind(&at.into()).is_ok() {
-                return Ok(Block { second, _claim: socket });
+                return Ok(Block {
+                    second,
+                    _claim: socket,
+                });
             }
         }
         Err("every block of loopback addresses is taken by another lab".into())
--- a/lab/src/net/link.rs
+++ b/lab/src/net/link.rs
@@ -54,7 +54,9 @@
     /// Takes one cut back.
     pub fn heal(&self, direction: Direction) {
         // A heal without its cut would open what another fault holds shut.
-        let _ = self.cuts(direction).fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1));
+        let _ = self
+            .cuts(direction)
+            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1));
         self.wake();
     }
 
--- a/lab/src/net/port.rs
+++ b/lab/src/net/port.rs
@@ -41,7 +41,12 @@
 impl Port {
     /// Listens, or does not, as `mode` demands now.
     pub fn bind(at: SocketAddr, mode: watch::Receiver<Manner>) -> io::Result<Port> {
-        let mut port = Port { at, listener: None, fillers: Vec::new(), mode };
+        let mut port = Port {
+            at,
+            listener: None,
+            fillers: Vec::new(),
+            mode,
+        };
         let now = *port.mode.borrow_and_update();
         port.enter_mode(now)?;
         Ok(port)
@@ -56,7 +61,9 @@
         if self.listener.is_none() {
             self.listener = Some(listener(self.at)?);
         }
-        let Some(listener) = &self.listener else { return Ok(()) };
+        let Some(listener) = &self.listener else {
+            return Ok(());
+        };
         match mode {
             Manner::Silent if self.fillers.is_empty() => {
                 // The queue takes one more than its stated length; what comes after that is dropped unanswered.
--- a/lab/src/net/stream.rs
+++ b/lab/src/net/stream.rs
@@ -21,7 +21,11 @@
     /// Puts a connection on a link.
     pub fn new(stream: TcpStream, link: Arc<Link>) -> LinkedStream {
         let resets = *link.resets.borrow();
-        LinkedStream { stream, link, resets }
+        LinkedStream {
+            stream,
+            link,
+            resets,
+        }
     }
 }
 
@@ -35,7 +39,11 @@
 }
 
 impl AsyncRead for LinkedStream {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
         if self.link.blocked(Direction::Inward, cx) {
             return Poll::Pending;
         }
@@ -44,7 +52,11 @@
 }
 
 impl AsyncWrite for LinkedStream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         if self.link.blocked(Direction::Outward, cx) {
             return Poll::Pending;
         }
--- a/lab/src/oracle/facts.rs
+++ b/lab/src/oracle/facts.rs
@@ -111,7 +111,9 @@
             Final::Served(_) => self.served += 1,
             Final::Refused => self.refused += 1,
             Final::Failed => self.failed += 1,
-            Final::Partial | Final::Ended | Final::Turned | Final::Silence | Final::Left => self.unclear += 1,
+            Final::Partial | Final::Ended | Final::Turned | Final::Silence | Final::Left => {
+                self.unclear += 1
+            }
         }
     }
 }
--- a/lab/src/oracle/findings.rs
+++ b/lab/src/oracle/findings.rs
@@ -71,17 +71,24 @@
     /// Decides on what was suspected long enough ago for the lab's lateness around it to be known.
     pub fn judge(&mut self, now: Millis) {
         let known = now - LATE_AROUND;
-        let (due, open): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.suspects).into_iter().partition(|(at, _)| *at <= known);
+        let (due, open): (Vec<_>, Vec<_>) = std::mem::take(&mut self.suspects)
+            .into_iter()
+            .partition(|(at, _)| *at <= known);
         self.suspects = open;
         for (at, s) in due {
-            let explained =
-                self.late.iter().any(|&(late, by)| (late - at).abs() <= LATE_AROUND && by >= s.by);
+            let explained = self
+                .late
+                .iter()
+                .any(|&(late, by)| (late - at).abs() <= LATE_AROUND && by >= s.by);
             if !explained {
                 self.breaks(at, s.rule, s.case);
             }
         }
-        while self.late.front().is_some_and(|&(at, _)| at < known - LATE_AROUND) {
+        while self
+            .late
+            .front()
+            .is_some_and(|&(at, _)| at < known - LATE_AROUND)
+        {
             self.late.pop_front();
         }
     }
--- a/lab/src/oracle/header.rs
+++ b/lab/src/oracle/header.rs
@@ -41,7 +41,9 @@
             return Err("of a wrong sum");
         }
         let number = |at: usize, bytes: usize| {
-            body[at..at + bytes].iter().fold(0u64, |n, byte| n << 8 | u64::from(*byte))
+            body[at..at + bytes]
+                .iter()
+                .fold(0u64, |n, byte| n << 8 | u64::from(*byte))
         };
         let header = Header {
             version: body[2],
--- a/lab/src/oracle/judge.rs
+++ b/lab/src/oracle/judge.rs
@@ -8,8 +8,8 @@
 use super::rules::lost::{Case, Turned, ANSWER_GRACE};
 use super::rules::trials::Counts;
 use super::rules::{
-    after_end, attempts, drained::Notifications, effects::Effects, invented, refused, repeated, two_out,
-    SLACK,
+    after_end, attempts, drained::Notifications, effects::Effects, invented, refused, repeated,
+    two_out, SLACK,
 };
 use super::rules::{in_share, stale};
 use super::tries::{Attempt, Try};
@@ -106,14 +106,25 @@
 
     /// A client has written a request whole to a balancer.
     pub fn taken(&mut self, now: Millis, id: u64, class: usize, balancer: usize, deadline: Millis) {
-        let fresh = Try { class, balancer, deadline, attempts: Vec::new(), over: None, served: Vec::new() };
+        let fresh = Try {
+            class,
+            balancer,
+            deadline,
+            attempts: Vec::new(),
+            over: None,
+            served: Vec::new(),
+        };
         // An attempt may have been seen a moment before the client's own note of its last byte.
         let known = self.tries.entry(id).or_insert_with(|| {
             self.seen[balancer].taken += 1;
             fresh
         });
         known.deadline = deadline;
-        while self.old.front().is_some_and(|&(at, _)| at < now - REMEMBERED) {
+        while self
+            .old
+            .front()
+            .is_some_and(|&(at, _)| at < now - REMEMBERED)
+        {
             if let Some((_, id)) = self.old.pop_front() {
                 self.tries.remove(&id);
             }
@@ -122,7 +133,10 @@
 
     /// A balancer can't act or can't be reached from now until `until`: what it holds then is no fault of its own.
     pub fn excuse(&mut self, balancer: usize, from: Millis, until: Millis) {
-        self.excused.entry(balancer).or_default().push((from, until));
+        self.excused
+            .entry(balancer)
+            .or_default()
+            .push((from, until));
     }
 
     /// A balancer's discovery has written the state of an upstream to it, after so many starts of that.
@@ -134,7 +148,8 @@
         start: usize,
         takes_work: bool,
     ) {
-        self.notified.notified(now, balancer, upstream, start, takes_work);
+        self.notified
+            .notified(now, balancer, upstream, start, takes_work);
     }
 
     /// Whether a balancer was notified of an upstream's latest start.
@@ -154,7 +169,9 @@
 
     /// How a request ended for its client.
     pub fn ended(&mut self, now: Millis, id: u64, how: Final) {
-        let Some(t) = self.tries.get_mut(&id) else { return };
+        let Some(t) = self.tries.get_mut(&id) else {
+            return;
+        };
         if t.over.is_some() {
             return;
         }
@@ -164,12 +181,18 @@
         let balancer = t.balancer;
         self.seen[balancer].ended(how);
         let excused = self.is_excused(balancer, now - ANSWER_GRACE - SLACK, now + SLACK);
-        let (Some(t), name) = (self.tries.get(&id), &self.names[balancer]) else { return };
+        let (Some(t), name) = (self.tries.get(&id), &self.names[balancer]) else {
+            return;
+        };
         // The first that is wrong names the case.
         if let Some(case) = invented::case(name, id, t, how) {
             return self.breaks(now, Rule::Invented, case);
         }
-        let lost = if excused { None } else { self.turned.case(now, name, id, t, how) };
+        let lost = if excused {
+            None
+        } else {
+            self.turned.case(now, name, id, t, how)
+        };
         match lost {
             Some(Case::None(case)) => return self.breaks(now, Rule::Lost, case),
             Some(Case::Late(by, case)) => return self.suspects(now, Rule::Lost, (by, case)),
@@ -227,20 +250,34 @@
     }
 
     /// An attempt has come whole to an upstream. The number names it from now on.
-    pub fn attempt(&mut self, now: Millis, id: u64, balancer: usize, upstream: usize) -> Option<usize> {
+    pub fn attempt(
+        &mut self,
+        now: Millis,
+        id: u64,
+        balancer: usize,
+        upstream: usize,
+    ) -> Option<usize> {
         let route = format!("{} to {}", self.names[balancer], self.upstreams[upstream]);
         if let Some(case) = self.notified.case(now, &route, id, balancer, upstream) {
             self.suspects(now, Rule::Drained, case);
         }
         let Some(t) = self.tries.get_mut(&id) else {
-            self.breaks(now, Rule::Foreign, format!("{route}: {id:016x} was sent by no client"));
+            self.breaks(
+                now,
+                Rule::Foreign,
+                format!("{route}: {id:016x} was sent by no client"),
+            );
             return None;
         };
         let number = t.attempts.len();
         let too_many = attempts::case(&route, id, number, self.attempts_most);
         let ran_at = repeated::ran_at(now, t, self.classes[t.class], &self.places, upstream);
         let after = after_end::case(now, &route, id, t);
-        t.attempts.push(Attempt { upstream, began: now, end: None });
+        t.attempts.push(Attempt {
+            upstream,
+            began: now,
+            end: None,
+        });
         let place = self.places[upstream];
         let over = self.budget.attempt(now, place.tier, number == 0);
         let trials = self.trials.attempt(now, place.zone, place.tier);
@@ -249,14 +286,21 @@
             self.breaks(now, Rule::Attempts, case);
         }
         if let Some(earlier) = ran_at {
-            let case = format!("{route}: {id:016x} may have run at {}", self.upstreams[earlier]);
+            let case = format!(
+                "{route}: {id:016x} may have run at {}",
+                self.upstreams[earlier]
+            );
             self.breaks(now, Rule::Repeated, case);
         }
         if let Some(case) = over {
             self.breaks(now, Rule::Budget, case);
         }
         if let Some(most) = trials {
-            self.breaks(now, Rule::Trials, format!("{route}: more than {most} attempts in a second"));
+            self.breaks(
+                now,
+                Rule::Trials,
+                format!("{route}: more than {most} attempts in a second"),
+            );
         }
         if let Some(case) = after {
             self.suspects(now, Rule::AfterEnd, case);
@@ -267,13 +311,21 @@
     /// An attempt is over at its upstream. `hidden`: the link to it was cut meanwhile, so that an earlier end could
     /// not be seen.
     pub fn attempt_ended(&mut self, now: Millis, id: u64, number: usize, end: End, hidden: bool) {
-        let Some(t) = self.tries.get_mut(&id) else { return };
-        let Some(attempt) = t.attempts.get_mut(number) else { return };
+        let Some(t) = self.tries.get_mut(&id) else {
+            return;
+        };
+        let Some(attempt) = t.attempts.get_mut(number) else {
+            return;
+        };
         attempt.end = Some(end);
         if let End::Served(mark) = end {
             t.served.push(mark);
         }
-        let two = if hidden { None } else { two_out::case(now, &self.names[t.balancer], id, t, number) };
+        let two = if hidden {
+            None
+        } else {
+            two_out::case(now, &self.names[t.balancer], id, t, number)
+        };
         if let Some(case) = two {
             self.suspects(now, Rule::TwoOut, case);
         }
@@ -282,7 +334,8 @@
     /// The work of a keyed request was done at an upstream; says whether its effect came about already, so that
     /// this was dropped as a repeat.
     pub fn effect(&mut self, now: Millis, key: u64, class: usize, upstream: usize) -> bool {
-        self.effects.effect(now, key, self.classes[class], self.places[upstream])
+        self.effects
+            .effect(now, key, self.classes[class], self.places[upstream])
     }
 
     /// Nothing is judged any more.
@@ -292,7 +345,12 @@
 
     /// Everything is over: what has no end by now never gets one.
     pub fn finish(&mut self, now: Millis) {
-        let open: Vec<u64> = self.tries.iter().filter(|(_, t)| t.over.is_none()).map(|(&id, _)| id).collect();
+        let open: Vec<u64> = self
+            .tries
+            .iter()
+            .filter(|(_, t)| t.over.is_none())
+            .map(|(&id, _)| id)
+            .collect();
         for id in open {
             self.ended(now, id, Final::Silence);
         }
--- a/lab/src/oracle/members.rs
+++ b/lab/src/oracle/members.rs
@@ -72,14 +72,22 @@
     pub fn part(&mut self, from: usize, to: usize, parts: bool, now: Millis) {
         let pair = (from.min(to), from.max(to));
         let entry = self.parted.entry(pair).or_insert((0, f64::NEG_INFINITY));
-        *entry = if parts { (entry.0 + 1, entry.1) } else { (entry.0.saturating_sub(1), now) };
+        *entry = if parts {
+            (entry.0 + 1, entry.1)
+        } else {
+            (entry.0.saturating_sub(1), now)
+        };
         self.changed = now;
     }
 
     /// So little arrives that nobody can be sure of anybody, or that is over.
     pub fn muffle(&mut self, muffles: bool, now: Millis) {
         let m = &mut self.muffled;
-        *m = if muffles { (m.0 + 1, m.1) } else { (m.0.saturating_sub(1), now) };
+        *m = if muffles {
+            (m.0 + 1, m.1)
+        } else {
+            (m.0.saturating_sub(1), now)
+        };
         self.changed = now;
     }
 
@@ -99,12 +107,21 @@
     /// For how long two of a tier have lived, spoken as now and reached each other.
     pub fn known_for(&self, a: usize, b: usize, now: Millis) -> Option<Millis> {
         let pair = (a.min(b), a.max(b));
-        let (cuts, healed) = self.parted.get(&pair).copied().unwrap_or((0, f64::NEG_INFINITY));
+        let (cuts, healed) = self
+            .parted
+            .get(&pair)
+            .copied()
+            .unwrap_or((0, f64::NEG_INFINITY));
         if cuts > 0 || self.muffled.0 > 0 {
             return None;
         }
         // What was before the run began counts for nothing.
-        let since = self.all[a].since?.max(self.all[b].since?).max(healed).max(self.muffled.1).max(0.0);
+        let since = self.all[a]
+            .since?
+            .max(self.all[b].since?)
+            .max(healed)
+            .max(self.muffled.1)
+            .max(0.0);
         Some(now - since)
     }
 
--- a/lab/src/oracle/peers.rs
+++ b/lab/src/oracle/peers.rs
@@ -43,19 +43,32 @@
             }
             Err(what) => return vec![(Rule::Header, format!("{name} sent a datagram {what}"))],
         };
-        let Header { version, incarnation, epoch, .. } = header;
+        let Header {
+            version,
+            incarnation,
+            epoch,
+            ..
+        } = header;
         let mut found = Vec::new();
         self.members.speaks(from, &header, now);
-        if let Some((other, (least, most))) = self.versions.sent(now, from, version, &self.members) {
-            let case = format!("{name} sends version {version}; {} reads {least} to {most}", names[other]);
+        if let Some((other, (least, most))) = self.versions.sent(now, from, version, &self.members)
+        {
+            let case = format!(
+                "{name} sends version {version}; {} reads {least} to {most}",
+                names[other]
+            );
             found.push((Rule::Version, case));
         }
         if let Some(before) = self.epochs.sent(from, incarnation, epoch) {
-            let case = format!("{name} has number {epoch} after {before}, in incarnation {incarnation}");
+            let case =
+                format!("{name} has number {epoch} after {before}, in incarnation {incarnation}");
             found.push((Rule::Epoch, case));
         }
         if let Some(common) = self.agreed.sent(now, from, version, &self.members) {
-            found.push((Rule::Agreed, format!("{name} sends version {version}; all read {common}")));
+            found.push((
+                Rule::Agreed,
+                format!("{name} sends version {version}; all read {common}"),
+            ));
         }
         found
     }
--- a/lab/src/oracle/rules/agreed.rs
+++ b/lab/src/oracle/rules/agreed.rs
@@ -13,7 +13,10 @@
 impl Agreed {
     /// Without a time nothing is judged.
     pub fn new(within: Option<Millis>) -> Agreed {
-        Agreed { within, lags: HashSet::new() }
+        Agreed {
+            within,
+            lags: HashSet::new(),
+        }
     }
 
     /// A balancer sends a datagram of this version; says which it should be by now.
--- a/lab/src/oracle/rules/budget.rs
+++ b/lab/src/oracle/rules/budget.rs
@@ -20,7 +20,10 @@
 impl Budget {
     /// Without a part nothing is judged.
     pub fn new(part: Option<f64>) -> Budget {
-        Budget { part, tiers: HashMap::new() }
+        Budget {
+            part,
+            tiers: HashMap::new(),
+        }
     }
 
     /// An attempt has come to a tier; says what the last seconds held if that is too much.
@@ -31,12 +34,19 @@
         let mut case = None;
         if seconds.back().is_none_or(|s| s.0 < second) {
             // One that is over is judged once.
-            let (firsts, further) = seconds.iter().fold((0, 0), |sum, s| (sum.0 + s.1, sum.1 + s.2));
+            let (firsts, further) = seconds
+                .iter()
+                .fold((0, 0), |sum, s| (sum.0 + s.1, sum.1 + s.2));
             if further as f64 > part * firsts as f64 + SPARE {
-                case = Some(format!("{further} further attempts beside {firsts} first ones in {WINDOW} s"));
+                case = Some(format!(
+                    "{further} further attempts beside {firsts} first ones in {WINDOW} s"
+                ));
             }
             seconds.push_back((second, 0, 0));
-            while seconds.front().is_some_and(|s| s.0 + WINDOW as u64 <= second) {
+            while seconds
+                .front()
+                .is_some_and(|s| s.0 + WINDOW as u64 <= second)
+            {
                 seconds.pop_front();
             }
         }
--- a/lab/src/oracle/rules/drained.rs
+++ b/lab/src/oracle/rules/drained.rs
@@ -14,7 +14,11 @@
 
 impl Notifications {
     pub fn new(grace: Millis) -> Notifications {
-        Notifications { grace, away: HashMap::new(), starts: HashMap::new() }
+        Notifications {
+            grace,
+            away: HashMap::new(),
+            starts: HashMap::new(),
+        }
     }
 
     /// A balancer was notified of an upstream after so many starts of that.
@@ -55,7 +59,12 @@
     ) -> Option<(Millis, String)> {
         let at = *self.away.get(&(balancer, upstream))?;
         let by = now - at - self.grace - SLACK;
-        let case = || format!("{route}: {id:016x} came {:.0} ms after the word that it drains", now - at);
+        let case = || {
+            format!(
+                "{route}: {id:016x} came {:.0} ms after the word that it drains",
+                now - at
+            )
+        };
         (by > 0.0).then(|| (by, case()))
     }
 }
--- a/lab/src/oracle/rules/effects.rs
+++ b/lab/src/oracle/rules/effects.rs
@@ -17,7 +17,10 @@
     pub fn effect(&mut self, now: Millis, key: u64, rules: ClassRules, place: Place) -> bool {
         let at = group(rules.group, place);
         let ran = self.ran.entry(key).or_default();
-        if ran.iter().any(|&(group, first)| group == at && now - first <= rules.window) {
+        if ran
+            .iter()
+            .any(|&(group, first)| group == at && now - first <= rules.window)
+        {
             return true;
         }
         ran.push((at, now));
--- a/lab/src/oracle/rules/invented.rs
+++ b/lab/src/oracle/rules/invented.rs
@@ -3,7 +3,9 @@
 use crate::oracle::tries::Try;
 
 pub fn case(name: &str, id: u64, t: &Try, how: Final) -> Option<String> {
-    let Final::Served(mark) = how else { return None };
+    let Final::Served(mark) = how else {
+        return None;
+    };
     let made = mark.is_some_and(|mark| t.served.contains(&mark));
     (!made).then(|| format!("{name} served {id:016x} with what no upstream made for it"))
 }
--- a/lab/src/oracle/rules/lost.rs
+++ b/lab/src/oracle/rules/lost.rs
@@ -31,13 +31,21 @@
                 None
             }
             Final::Ended | Final::Turned | Final::Silence => {
-                let what =
-                    if how == Final::Silence { "said nothing in its time" } else { "ended its connection" };
+                let what = if how == Final::Silence {
+                    "said nothing in its time"
+                } else {
+                    "ended its connection"
+                };
                 Some(Case::None(format!("{name} took {id:016x} and {what}")))
             }
             Final::Served(_) | Final::Refused | Final::Failed => {
                 let by = now - t.deadline - ANSWER_GRACE - SLACK;
-                let case = || format!("{name} answered {id:016x} {:.0} ms after its time", now - t.deadline);
+                let case = || {
+                    format!(
+                        "{name} answered {id:016x} {:.0} ms after its time",
+                        now - t.deadline
+                    )
+                };
                 (by > 0.0).then(|| Case::Late(by, case()))
             }
             Final::Partial | Final::Left => None,
@@ -47,6 +55,11 @@
     /// Whether too many were closed, of so many requests that were checked.
     pub fn too_many(&self, checked: u64) -> Option<String> {
         let over = self.0 as f64 > checked as f64 * TURNED_MOST;
-        over.then(|| format!("{} of {checked} requests: a new connection was closed with no answer", self.0))
+        over.then(|| {
+            format!(
+                "{} of {checked} requests: a new connection was closed with no answer",
+                self.0
+            )
+        })
     }
 }
--- a/lab/src/oracle/rules/repeated.rs
+++ b/lab/src/oracle/rules/repeated.rs
@@ -5,8 +5,18 @@
 use crate::oracle::tries::Try;
 
 /// The upstream at which a request may have run, so that it must not go to this one now.
-pub fn ran_at(now: Millis, t: &Try, class: ClassRules, places: &[Place], upstream: usize) -> Option<usize> {
-    let first_run = t.attempts.iter().find(|a| a.may_have_run()).map(|a| a.began);
+pub fn ran_at(
+    now: Millis,
+    t: &Try,
+    class: ClassRules,
+    places: &[Place],
+    upstream: usize,
+) -> Option<usize> {
+    let first_run = t
+        .attempts
+        .iter()
+        .find(|a| a.may_have_run())
+        .map(|a| a.began);
     let allowed = |earlier: usize| match class.effect {
         Effect::Safe => true,
         Effect::Once => false,
@@ -15,5 +25,9 @@
             same && first_run.is_none_or(|at| now - at <= class.window + SLACK)
         }
     };
-    t.attempts.iter().filter(|a| a.may_have_run()).map(|a| a.upstream).find(|&u| !allowed(u))
+    t.attempts
+        .iter()
+        .filter(|a| a.may_have_run())
+        .map(|a| a.upstream)
+        .find(|&u| !allowed(u))
 }
--- a/lab/src/oracle/rules/stale.rs
+++ b/lab/src/oracle/rules/stale.rs
@@ -2,5 +2,6 @@
 use crate::experiment::Millis;
 
 pub fn case(name: &str, what: &str, age: Millis, most: Millis) -> Option<String> {
-    (age > most).then(|| format!("{name} acts on {what} of {age:.0} ms ago; {most:.0} is the bound"))
+    (age > most)
+        .then(|| format!("{name} acts on {what} of {age:.0} ms ago; {most:.0} is the bound"))
 }
--- a/lab/src/oracle/rules/trials.rs
+++ b/lab/src/oracle/rules/trials.rs
@@ -23,7 +23,10 @@
 
 impl Counts {
     pub fn new(bounds: Vec<Bound>) -> Counts {
-        Counts { bounds, seen: HashMap::new() }
+        Counts {
+            bounds,
+            seen: HashMap::new(),
+        }
     }
 
     /// An attempt has come to an upstream there; says which bound it passes. Each second that passes one is one case.
@@ -31,7 +34,10 @@
         let mut passed = None;
         for (i, bound) in self.bounds.iter().enumerate() {
             let (from, to) = bound.during;
-            if bound.zone != zone || bound.tier.is_some_and(|t| t != tier) || !(from..to).contains(&now) {
+            if bound.zone != zone
+                || bound.tier.is_some_and(|t| t != tier)
+                || !(from..to).contains(&now)
+            {
                 continue;
             }
             let seen = self.seen.entry((i, (now / 1000.0) as u64)).or_default();
--- a/lab/src/oracle/rules/version.rs
+++ b/lab/src/oracle/rules/version.rs
@@ -13,7 +13,10 @@
 impl Versions {
     /// `grace`: how long an announcement of a member may be in transit.
     pub fn new(grace: Millis) -> Versions {
-        Versions { grace, past: HashSet::new() }
+        Versions {
+            grace,
+            past: HashSet::new(),
+        }
     }
 
     /// A balancer sends a datagram of this version; names the member that has not announced it, and what it reads.
@@ -26,11 +29,15 @@
     ) -> Option<(usize, (u8, u8))> {
         let mut first = None;
         for other in members.others(from) {
-            let known = members.known_for(from, other, now).is_some_and(|known| known > self.grace);
+            let known = members
+                .known_for(from, other, now)
+                .is_some_and(|known| known > self.grace);
             let reads = members.get(other).reads;
             let past = reads.filter(|(least, most)| known && !(*least..=*most).contains(&version));
             match past {
-                Some(reads) if self.past.insert((from, other)) => first = first.or(Some((other, reads))),
+                Some(reads) if self.past.insert((from, other)) => {
+                    first = first.or(Some((other, reads)))
+                }
                 Some(_) => {}
                 None => _ = self.past.remove(&(from, other)),
             }
--- a/lab/src/process/balancer.rs
+++ b/lab/src/process/balancer.rs
@@ -81,13 +81,24 @@
 
 impl Process {
     /// One that does not run yet.
-    pub fn new(index: usize, world: &World, agent: &Arc<Agent>, builds: &[Runs], root: &Path) -> Process {
+    pub fn new(
+        index: usize,
+        world: &World,
+        agent: &Arc<Agent>,
+        builds: &[Runs],
+        root: &Path,
+    ) -> Process {
         let name = world.plan.balancers[index].name.clone();
         let folder = &world.folder;
-        let meets =
-            |f: &PlannedFault| f.kind == FaultKind::PowerLoss && f.on.contains(&Party::Balancer(index));
+        let meets = |f: &PlannedFault| {
+            f.kind == FaultKind::PowerLoss && f.on.contains(&Party::Balancer(index))
+        };
         // Whoever is to lose power has a disk that keeps for itself what was not synced.
-        let usually = if world.plan.faults.iter().any(meets) { "unsynced" } else { "" };
+        let usually = if world.plan.faults.iter().any(meets) {
+            "unsynced"
+        } else {
+            ""
+        };
         Process {
             index,
             listen: world.block.balancer(index),
@@ -122,7 +133,13 @@
     pub fn configure(&self, world: &World) -> Result<(), String> {
         let seed = self.seed.wrapping_add(self.starts() as u64);
         let (name, agent) = (self.name.as_str(), self.agent.as_ref());
-        let who = Who { index: self.index, name, listen: self.listen, agent, seed };
+        let who = Who {
+            index: self.index,
+            name,
+            listen: self.listen,
+            agent,
+            seed,
+        };
         let text = config(&who, world).to_string();
         whole_file::replace(&self.config, &text)
     }
@@ -149,7 +166,8 @@
 
     /// Which build it is from its next start on; none is the program under test.
     pub fn becomes(&self, build: Option<usize>) {
-        self.build.store(build.map_or(0, |b| b + 1), Ordering::SeqCst);
+        self.build
+            .store(build.map_or(0, |b| b + 1), Ordering::SeqCst);
     }
 
     /// How often it was started.
@@ -165,15 +183,23 @@
 
     /// Has the oracle judge the number of its last start, if that has written it.
     pub fn check_number(&self, world: &World) {
-        let Some(counted) = self.figures() else { return };
+        let Some(counted) = self.figures() else {
+            return;
+        };
         let mut numbered = lock(&self.numbered);
         let (begun, highest) = *numbered;
         // The figures may be those of a start before.
-        let Some(number) = counted.incarnation.filter(|_| counted.at_ms - counted.up_ms >= begun) else {
+        let Some(number) = counted
+            .incarnation
+            .filter(|_| counted.at_ms - counted.up_ms >= begun)
+        else {
             return;
         };
         if number <= highest {
-            let what = format!("{} has number {number} after one that had {highest}", self.name);
+            let what = format!(
+                "{} has number {number} after one that had {highest}",
+                self.name
+            );
             world.breaks(Rule::Numbered, what);
         }
         // Once for each start.
@@ -188,9 +214,14 @@
         self.check_number(world);
         self.configure(world)?;
         self.write_options()?;
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(&self.log);
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(&self.log);
         let log = log.map_err(|e| format!("{}: {e}", self.log.display()))?;
-        let errors = log.try_clone().map_err(|e| format!("{}: {e}", self.log.display()))?;
+        let errors = log
+            .try_clone()
+            .map_err(|e| format!("{}: {e}", self.log.display()))?;
         let b = &world.plan.balancers[self.index];
         let runs = self.now_runs();
         let mut command = Command::new("/bin/sh");
@@ -199,7 +230,13 @@
             .current_dir(&self.root)
             .env("NODE_NAME", &self.name)
             .env("NODE_LISTEN", self.listen.to_string())
-            .env("NODE_DISCOVERY", world.block.agent(self.index, self.agent.moves()).to_string())
+            .env(
+                "NODE_DISCOVERY",
+                world
+                    .block
+                    .agent(self.index, self.agent.moves())
+                    .to_string(),
+            )
             .env("NODE_CONFIG", &self.config)
             .env("LAB_STATE", &self.state)
             .stdin(Stdio::null())
@@ -210,13 +247,20 @@
             .kill_on_drop(true);
         if !runs.options.is_empty() {
             // Earlier builds of the program know the second name only.
-            command.env("BALANCER_OPTIONS", &self.options).env("HERONDOCK_OPTIONS", &self.options);
+            command
+                .env("BALANCER_OPTIONS", &self.options)
+                .env("HERONDOCK_OPTIONS", &self.options);
         }
         lock(&world.oracle).starts(self.index, world.now());
         lock(&self.numbered).0 = world.clock.unix(world.now());
-        let child = command.spawn().map_err(|e| format!("{}: {}: {e}", self.name, runs.command))?;
+        let child = command
+            .spawn()
+            .map_err(|e| format!("{}: {}: {e}", self.name, runs.command))?;
         lock(&world.tally).started(self.index, world.now());
-        let pid = child.id().and_then(|id| i32::try_from(id).ok()).unwrap_or(0);
+        let pid = child
+            .id()
+            .and_then(|id| i32::try_from(id).ok())
+            .unwrap_or(0);
         guard.watch(pid);
         self.pid.store(pid, Ordering::SeqCst);
         self.told_to_end.store(false, Ordering::SeqCst);
@@ -224,7 +268,8 @@
         self.gone.send_replace(false);
         *lock(&self.child) = Some(child);
         self.look_after(world, guard);
-        let within = Duration::from_secs_f64(world.experiment.balancer.ready_within.0.mean() / 1000.0);
+        let within =
+            Duration::from_secs_f64(world.experiment.balancer.ready_within.0.mean() / 1000.0);
         let mut gone = self.gone.subscribe();
         let ready = async {
             while !self.is_ready().await {
@@ -247,7 +292,9 @@
 
     /// Waits for its end, in the background.
     fn look_after(self: &Arc<Self>, world: &Arc<World>, guard: &Guard) {
-        let Some(mut child) = lock(&self.child).take() else { return };
+        let Some(mut child) = lock(&self.child).take() else {
+            return;
+        };
         let (own, world, guard) = (self.clone(), world.clone(), guard.clone());
         let pid = self.pid.load(Ordering::SeqCst);
         tokio::spawn(async move {
@@ -269,7 +316,11 @@
             }
             world.breaks(
                 Rule::Crashed,
-                format!("{} ended by itself: {how}; see {}", own.name, own.log.display()),
+                format!(
+                    "{} ended by itself: {how}; see {}",
+                    own.name,
+                    own.log.display()
+                ),
             );
             world.dealt[own.index].store(false, Ordering::SeqCst);
         });
@@ -278,7 +329,8 @@
     async fn is_ready(&self) -> bool {
         let ask = async {
             let mut stream = TcpStream::connect(self.listen).await.ok()?;
-            let ask = "GET /-/ready HTTP/1.1\r\nHost: service.internal\r\nConnection: close\r\n\r\n";
+            let ask =
+                "GET /-/ready HTTP/1.1\r\nHost: service.internal\r\nConnection: close\r\n\r\n";
             stream.write_all(ask.as_bytes()).await.ok()?;
             let mut answer = [0; 12];
             stream.read_exact(&mut answer).await.ok()?;
@@ -294,8 +346,13 @@
 
     /// Whether it runs, serves and was not asked to end, and exchanges datagrams with its peers.
     pub fn is_peer(&self) -> bool {
-        let on = self.now_runs().options.get("peers").and_then(|p| p.get("on"));
-        let stands = self.runs() && *self.ready.borrow() && !self.told_to_end.load(Ordering::SeqCst);
+        let on = self
+            .now_runs()
+            .options
+            .get("peers")
+            .and_then(|p| p.get("on"));
+        let stands =
+            self.runs() && *self.ready.borrow() && !self.told_to_end.load(Ordering::SeqCst);
         stands && on.and_then(toml::Value::as_bool) == Some(true)
     }
 
@@ -333,15 +390,23 @@
                 lock(&world.oracle).acts_on(world.now(), self.index, what, age, most.0.mean());
             }
         }
-        let Some((memory, descriptors, ticks)) = holds(pid) else { return };
+        let Some((memory, descriptors, ticks)) = holds(pid) else {
+            return;
+        };
         self.most_memory.fetch_max(memory, Ordering::Relaxed);
         self.ticks.fetch_max(ticks, Ordering::Relaxed);
         let limit = world.experiment.balancer.memory_mb * 1024;
         if memory > limit {
-            world.breaks(Rule::Memory, format!("{} holds {memory} kB of {limit}", self.name));
+            world.breaks(
+                Rule::Memory,
+                format!("{} holds {memory} kB of {limit}", self.name),
+            );
         }
         let limit = world.experiment.balancer.sockets as u64;
-        if self.most_descriptors.fetch_max(descriptors, Ordering::Relaxed) < descriptors
+        if self
+            .most_descriptors
+            .fetch_max(descriptors, Ordering::Relaxed)
+            < descriptors
             && descriptors > limit
         {
             world.breaks(
--- a/lab/src/process/config.rs
+++ b/lab/src/process/config.rs
@@ -21,7 +21,9 @@
     let (e, plan) = (&world.experiment, &world.plan);
     let b = &plan.balancers[of.index];
     let tier = &e.tiers[b.tier];
-    let peers: Vec<usize> = (0..plan.balancers.len()).filter(|&i| plan.balancers[i].tier == b.tier).collect();
+    let peers: Vec<usize> = (0..plan.balancers.len())
+        .filter(|&i| plan.balancers[i].tier == b.tier)
+        .collect();
     let mut seed = Calls::new(of.seed);
     let classes: Vec<Value> = e
         .classes
@@ -48,12 +50,24 @@
         .map(|(t, quota)| json!({"name": t.name, "share": t.share / shares, "quota_per_s": quota * plan.calls[b.tier]}))
         .collect();
     let kinds: Vec<&String> = tier.kinds.iter().map(|k| &k.name).collect();
-    let coldest = tier.kinds.iter().map(|k| k.cold_from.least).fold(1.0, f64::min);
-    let ramp: Millis = tier.kinds.iter().map(|k| k.cold_for.0.most).fold(0.0, f64::max);
+    let coldest = tier
+        .kinds
+        .iter()
+        .map(|k| k.cold_from.least)
+        .fold(1.0, f64::min);
+    let ramp: Millis = tier
+        .kinds
+        .iter()
+        .map(|k| k.cold_for.0.most)
+        .fold(0.0, f64::max);
     let rules = &e.balancer;
     let agent = of.agent;
     let list = || serde_json::from_str(&agent.whole(world)).unwrap_or(Value::Null);
-    let known: Value = if e.discovery.known { list() } else { Value::Null };
+    let known: Value = if e.discovery.known {
+        list()
+    } else {
+        Value::Null
+    };
     let permissions = json!({
         "attempts_cap": rules.attempts, "cancel": true, "second_copies": false, "retry_after": true,
         "max_retry_after": 1500.0, "max_open": 20000, "multiplex": 1, "peers": rules.peers,
--- a/lab/src/programs.rs
+++ b/lab/src/programs.rs
@@ -25,7 +25,11 @@
 pub fn programs(named: &[String], deploy: &Deploy) -> Result<(Vec<Program>, bool), String> {
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
     let default = ["balancer".to_string()];
-    let named = if named.is_empty() { &default[..] } else { named };
+    let named = if named.is_empty() {
+        &default[..]
+    } else {
+        named
+    };
     let mut programs: Vec<Program> = Vec::new();
     let mut built = false;
     for text in named {
@@ -35,20 +39,29 @@
                 built = true;
                 (text.as_str(), deploy.run.clone())
             }
-            None if text == "random" || text == "round-robin" => {
-                (text.as_str(), format!("exec '{}' stand-in {text}", own.display()))
-            }
+            None if text == "random" || text == "round-robin" => (
+                text.as_str(),
+                format!("exec '{}' stand-in {text}", own.display()),
+            ),
             None => {
-                return Err(format!("--program {text}: no such program; NAME=COMMAND names one of your own"))
+                return Err(format!(
+                    "--program {text}: no such program; NAME=COMMAND names one of your own"
+                ))
             }
         };
         if !plain_name(name) {
-            return Err(format!("--program {text}: a name has letters, digits, '-', '_' and '.'"));
+            return Err(format!(
+                "--program {text}: a name has letters, digits, '-', '_' and '.'"
+            ));
         }
         if programs.iter().any(|p| p.name == name) {
             return Err(format!("--program {text}: {name} is named twice"));
         }
-        programs.push(Program { name: name.into(), command, options: toml::Table::new() });
+        programs.push(Program {
+            name: name.into(),
+            command,
+            options: toml::Table::new(),
+        });
     }
     Ok((programs, built))
 }
@@ -67,7 +80,9 @@
         }
         let read: Result<toml::Table, _> = toml::from_str(&format!("all = {{ {keys} }}"));
         let mut read = read.map_err(|e| wrong(&e.message().replace('\n', " ")))?;
-        let Some(toml::Value::Table(keys)) = read.remove("all") else { return Err(wrong("no options")) };
+        let Some(toml::Value::Table(keys)) = read.remove("all") else {
+            return Err(wrong("no options"));
+        };
         sets.push((name, keys));
     }
     if sets.is_empty() {
@@ -75,11 +90,18 @@
     }
     let one = programs.len() == 1;
     let with = |p: &Program, (name, keys): &(&str, toml::Table)| Program {
-        name: if one { name.to_string() } else { format!("{}.{name}", p.name) },
+        name: if one {
+            name.to_string()
+        } else {
+            format!("{}.{name}", p.name)
+        },
         command: p.command.clone(),
         options: keys.clone(),
     };
-    Ok(programs.iter().flat_map(|p| sets.iter().map(move |set| with(p, set))).collect())
+    Ok(programs
+        .iter()
+        .flat_map(|p| sets.iter().map(move |set| with(p, set)))
+        .collect())
 }
 
 /// Commands of builds, by name.
@@ -87,11 +109,16 @@
     let mut builds = BTreeMap::new();
     for text in named {
         let wrong = |what: &str| Err(format!("--build {text}: {what}"));
-        let Some((name, command)) = text.split_once('=') else { return wrong("NAME=COMMAND is wanted") };
+        let Some((name, command)) = text.split_once('=') else {
+            return wrong("NAME=COMMAND is wanted");
+        };
         if !e.builds.iter().any(|b| b.name == name) {
             return wrong("the experiment has no build of that name");
         }
-        if builds.insert(name.to_string(), command.to_string()).is_some() {
+        if builds
+            .insert(name.to_string(), command.to_string())
+            .is_some()
+        {
             return wrong("named twice");
         }
     }
@@ -99,5 +126,8 @@
 }
 
 fn plain_name(name: &str) -> bool {
-    !name.is_empty() && name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
+    !name.is_empty()
+        && name
+            .bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
 }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -54,21 +54,35 @@
     );
     summary(w, plays);
     verdicts(w, plays);
-    let faults: Vec<(f64, f64, String)> =
-        plays.first().map_or(Vec::new(), |p| p.faults.clone()).into_iter().map(seconds).collect();
+    let faults: Vec<(f64, f64, String)> = plays
+        .first()
+        .map_or(Vec::new(), |p| p.faults.clone())
+        .into_iter()
+        .map(seconds)
+        .collect();
     if !faults.is_empty() {
         let list: Vec<String> = faults
             .iter()
             .map(|(from, to, kind)| format!("{} at {from:.1} to {to:.1} s", escape(kind)))
             .collect();
-        let _ = write!(w, "<p>Faults, shaded in the plots: {}.</p>", list.join("; "));
+        let _ = write!(
+            w,
+            "<p>Faults, shaded in the plots: {}.</p>",
+            list.join("; ")
+        );
     }
     // One play of each program stands in the plots; the table above has them all.
     let shown: Vec<&Played> = plays.iter().filter(|p| p.play == 0).collect();
     // The second in which the last answers come is no whole one.
     let whole = (plan.length / 1000.0) as u32;
     let over = |of: &dyn Fn(&Figures) -> f64| -> Vec<Line> {
-        shown.iter().map(|p| Line { name: p.program.clone(), points: by_second(e, plan, p, of) }).collect()
+        shown
+            .iter()
+            .map(|p| Line {
+                name: p.program.clone(),
+                points: by_second(e, plan, p, of),
+            })
+            .collect()
     };
     for (title, unit, most, of) in [
         (
@@ -77,15 +91,31 @@
             Some(1.0),
             &(|f: &Figures| f.worth) as &dyn Fn(&Figures) -> f64,
         ),
-        ("Answered in time", "part", Some(1.0), &|f: &Figures| f.in_time),
+        ("Answered in time", "part", Some(1.0), &|f: &Figures| {
+            f.in_time
+        }),
         ("Refused", "part", Some(1.0), &|f: &Figures| f.refused),
-        ("Failed or unanswered", "part", Some(1.0), &|f: &Figures| f.failed),
-        ("Time to the answer, 99th percentile", "ms", None, &|f: &Figures| f.p99_ms),
+        ("Failed or unanswered", "part", Some(1.0), &|f: &Figures| {
+            f.failed
+        }),
+        (
+            "Time to the answer, 99th percentile",
+            "ms",
+            None,
+            &|f: &Figures| f.p99_ms,
+        ),
     ] {
         w.push_str(&plot(title, "second", unit, most, &over(of), &faults)?);
     }
     let percentiles: Vec<Line> = shown.iter().map(|p| percentiles(p)).collect();
-    w.push_str(&plot("Time to the answer by percentile", "percentile", "ms", None, &percentiles, &[])?);
+    w.push_str(&plot(
+        "Time to the answer by percentile",
+        "percentile",
+        "ms",
+        None,
+        &percentiles,
+        &[],
+    )?);
     for p in &shown {
         let zone = |z: usize| Line {
             name: e.fleet.zones[z].clone(),
@@ -95,18 +125,36 @@
                 .collect(),
         };
         let zones: Vec<Line> = (0..e.fleet.zones.len()).map(zone).collect();
-        let title = format!("Attempts a second at the upstreams of each zone: {}", p.program);
+        let title = format!(
+            "Attempts a second at the upstreams of each zone: {}",
+            p.program
+        );
         w.push_str(&plot(&title, "second", "a second", None, &zones, &faults)?);
     }
     let per_second = |of: fn(&crate::tally::Second) -> f64| -> Vec<Line> {
-        let points =
-            |p: &Played| (0..whole).zip(&p.tally.seconds).map(|(s, x)| (f64::from(s), of(x))).collect();
-        shown.iter().map(|p| Line { name: p.program.clone(), points: points(p) }).collect()
+        let points = |p: &Played| {
+            (0..whole)
+                .zip(&p.tally.seconds)
+                .map(|(s, x)| (f64::from(s), of(x)))
+                .collect()
+        };
+        shown
+            .iter()
+            .map(|p| Line {
+                name: p.program.clone(),
+                points: points(p),
+            })
+            .collect()
     };
     for (title, of) in [
-        ("Attempts that cross zones", (|s| s.crossings as f64) as fn(&crate::tally::Second) -> f64),
+        (
+            "Attempts that cross zones",
+            (|s| s.crossings as f64) as fn(&crate::tally::Second) -> f64,
+        ),
         ("New connections to upstreams", |s| s.connections as f64),
-        ("Upstreams that are slow because they were crowded", |s| s.choked as f64),
+        ("Upstreams that are slow because they were crowded", |s| {
+            s.choked as f64
+        }),
     ] {
         w.push_str(&plot(title, "second", "", None, &per_second(of), &faults)?);
     }
@@ -127,7 +175,9 @@
 }
 
 fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
 }
 
 fn percent(part: f64) -> String {
@@ -183,7 +233,12 @@
 
 fn verdicts(w: &mut String, plays: &[Played]) {
     for p in plays.iter().filter(|p| !p.held()) {
-        let _ = write!(w, "<h2>{}, play {}</h2><ul>", escape(&p.program), p.play + 1);
+        let _ = write!(
+            w,
+            "<h2>{}, play {}</h2><ul>",
+            escape(&p.program),
+            p.play + 1
+        );
         if p.stopped {
             w.push_str("<li>Stopped by hand before its end.</li>");
         }
@@ -201,7 +256,12 @@
         for (rule, count) in &p.counts {
             let cases: Vec<_> = p.broken.iter().filter(|b| b.rule == *rule).collect();
             let asks = cases.first().map_or("", |b| b.asks.as_str());
-            let _ = write!(w, "<li><b>{}</b> ({}): {count} times.<ul>", escape(rule), escape(asks));
+            let _ = write!(
+                w,
+                "<li><b>{}</b> ({}): {count} times.<ul>",
+                escape(rule),
+                escape(asks)
+            );
             for b in cases.iter().take(5) {
                 let _ = write!(w, "<li>{:.2} s: {}</li>", b.at / 1000.0, escape(&b.case));
             }
@@ -235,7 +295,12 @@
     );
 }
 
-fn by_second(e: &Experiment, plan: &Plan, p: &Played, of: &dyn Fn(&Figures) -> f64) -> Vec<(f64, f64)> {
+fn by_second(
+    e: &Experiment,
+    plan: &Plan,
+    p: &Played,
+    of: &dyn Fn(&Figures) -> f64,
+) -> Vec<(f64, f64)> {
     let seconds = (plan.length / 1000.0).ceil() as usize;
     let mut parts: Vec<Vec<Done>> = vec![Vec::new(); seconds];
     for d in &p.tally.done {
@@ -244,8 +309,12 @@
         }
     }
     // A second in which nothing was due has no share of anything.
-    let due = parts.iter().enumerate().filter(|(_, part)| !part.is_empty());
-    due.map(|(s, part)| (s as f64, of(&figures(e, plan, part, |_| true)))).collect()
+    let due = parts
+        .iter()
+        .enumerate()
+        .filter(|(_, part)| !part.is_empty());
+    due.map(|(s, part)| (s as f64, of(&figures(e, plan, part, |_| true))))
+        .collect()
 }
 
 fn percentiles(p: &Played) -> Line {
@@ -255,7 +324,10 @@
     }
     let points = (1..=199).map(|i| f64::from(i) / 2.0);
     let at = |q: f64| (q, times.value_at_quantile(q / 100.0) as f64 / 1000.0);
-    Line { name: p.program.clone(), points: points.map(at).collect() }
+    Line {
+        name: p.program.clone(),
+        points: points.map(at).collect(),
+    }
 }
 
 fn plot(
@@ -272,7 +344,8 @@
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        draw(&area, title, x, y, (right, top), lines, faults).map_err(|e| format!("plot {title:?}: {e}"))?;
+        draw(&area, title, x, y, (right, top), lines, faults)
+            .map_err(|e| format!("plot {title:?}: {e}"))?;
     }
     Ok(format!("<figure>{svg}</figure>"))
 }
@@ -311,9 +384,14 @@
     for (i, line) in lines.iter().enumerate() {
         let color = COLORS[i % COLORS.len()];
         chart
-            .draw_series(LineSeries::new(line.points.iter().copied(), color.stroke_width(2)))?
+            .draw_series(LineSeries::new(
+                line.points.iter().copied(),
+                color.stroke_width(2),
+            ))?
             .label(line.name.clone())
-            .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], color.stroke_width(2)));
+            .legend(move |(x, y)| {
+                PathElement::new(vec![(x, y), (x + 16, y)], color.stroke_width(2))
+            });
     }
     if !lines.is_empty() {
         chart
--- a/lab/src/results/compare.rs
+++ b/lab/src/results/compare.rs
@@ -15,7 +15,9 @@
     ("p99 ms", |p| p.figures.p99_ms),
     ("added p50 ms", |p| p.figures.added_p50_ms),
     ("added p99 ms", |p| p.figures.added_p99_ms),
-    ("busiest CPU s", |p| p.held.iter().map(|h| h.cpu_s).fold(0.0, f64::max)),
+    ("busiest CPU s", |p| {
+        p.held.iter().map(|h| h.cpu_s).fold(0.0, f64::max)
+    }),
     ("attempts/first", |p| p.traffic.attempts_a_first),
     ("datagrams/s", |p| p.datagrams.a_second),
     ("  bytes/s", |p| p.datagrams.bytes_a_second),
@@ -29,7 +31,9 @@
     ("work wasted", |p| p.traffic.wasted),
     ("exec to served", |p| of_comeback(p, |c| c.served_ms)),
     ("  longest, ms", |p| of_comeback(p, |c| c.served_most_ms)),
-    ("worth, 15 s on", |p| of_comeback(p, |c| Some(c.worth_after))),
+    ("worth, 15 s on", |p| {
+        of_comeback(p, |c| Some(c.worth_after))
+    }),
     ("back after ms", |p| of_comeback(p, |c| c.back_ms)),
 ];
 
@@ -65,8 +69,16 @@
             names.push(&p.program);
         }
     }
-    let Some((first, others)) = names.split_first() else { return "no plays to compare\n".into() };
-    let of = |name: &str| plays.iter().copied().filter(|p| p.program == name).collect::<Vec<_>>();
+    let Some((first, others)) = names.split_first() else {
+        return "no plays to compare\n".into();
+    };
+    let of = |name: &str| {
+        plays
+            .iter()
+            .copied()
+            .filter(|p| p.program == name)
+            .collect::<Vec<_>>()
+    };
     let base = of(first);
     let mut text = format!("{:<14} {:>22}", "figure", first);
     for name in others {
@@ -77,16 +89,27 @@
     for (figure, value) in COMPARED {
         rows.push((figure.into(), Box::new(value)));
     }
-    let parts = plays.first().map(|p| p.by.keys().cloned().collect::<Vec<_>>()).unwrap_or_default();
+    let parts = plays
+        .first()
+        .map(|p| p.by.keys().cloned().collect::<Vec<_>>())
+        .unwrap_or_default();
     for part in parts.into_iter().filter(|p| p.starts_with("tenant ")) {
         let worth = part.clone();
-        rows.push((part, Box::new(move |p| p.by.get(&worth).map_or(f64::NAN, |f| f.worth))));
+        rows.push((
+            part,
+            Box::new(move |p| p.by.get(&worth).map_or(f64::NAN, |f| f.worth)),
+        ));
     }
     for (figure, value) in rows {
         if plays.iter().all(|p| value(p).is_nan()) {
             continue;
         }
-        let known = |values: Vec<f64>| values.into_iter().filter(|v| v.is_finite()).collect::<Vec<_>>();
+        let known = |values: Vec<f64>| {
+            values
+                .into_iter()
+                .filter(|v| v.is_finite())
+                .collect::<Vec<_>>()
+        };
         // No number stands for what no play has.
         let show = |values: Vec<f64>, signed: bool| match (mean_and_spread(&values), signed) {
             _ if values.is_empty() => "-".to_string(),
@@ -97,8 +120,15 @@
         let _ = write!(text, "{figure:<14} {:>22}", all(&base));
         for name in others {
             let other = of(name);
-            let differences: Vec<f64> = pairs(&base, &other).map(|(b, o)| value(o) - value(b)).collect();
-            let _ = write!(text, " {:>22} {:>22}", all(&other), show(known(differences), true));
+            let differences: Vec<f64> = pairs(&base, &other)
+                .map(|(b, o)| value(o) - value(b))
+                .collect();
+            let _ = write!(
+                text,
+                " {:>22} {:>22}",
+                all(&other),
+                show(known(differences), true)
+            );
         }
         text.push('\n');
     }
@@ -115,14 +145,24 @@
 }
 
 /// Plays of two programs on the same draw.
-fn pairs<'a>(base: &'a [&Played], other: &'a [&Played]) -> impl Iterator<Item = (&'a Played, &'a Played)> {
-    base.iter().filter_map(|b| Some((*b, *other.iter().find(|o| o.play == b.play)?)))
+fn pairs<'a>(
+    base: &'a [&Played],
+    other: &'a [&Played],
+) -> impl Iterator<Item = (&'a Played, &'a Played)> {
+    base.iter()
+        .filter_map(|b| Some((*b, *other.iter().find(|o| o.play == b.play)?)))
 }
 
 /// The differences of each pair of plays, and how many of them are above and below nothing.
 fn by_play(text: &mut String, first: &str, base: &[&Played], name: &str, other: &[&Played]) {
-    let _ = write!(text, "\n{name} less {first}, play by play\n{:<14} {:>12}", "play", "seed");
-    SHOWN.iter().for_each(|(figure, _)| _ = write!(text, " {figure:>15}"));
+    let _ = write!(
+        text,
+        "\n{name} less {first}, play by play\n{:<14} {:>12}",
+        "play", "seed"
+    );
+    SHOWN
+        .iter()
+        .for_each(|(figure, _)| _ = write!(text, " {figure:>15}"));
     text.push('\n');
     let mut signs = [(0, 0); SHOWN.len()];
     for (b, o) in pairs(base, other) {
@@ -136,6 +176,8 @@
         text.push('\n');
     }
     let _ = write!(text, "{:<14} {:>12}", "up, down", "");
-    signs.iter().for_each(|(up, down)| _ = write!(text, " {:>15}", format!("{up}, {down}")));
+    signs
+        .iter()
+        .for_each(|(up, down)| _ = write!(text, " {:>15}", format!("{up}, {down}")));
     text.push('\n');
 }
--- a/lab/src/results/folder.rs
+++ b/lab/src/results/folder.rs
@@ -45,22 +45,37 @@
 
 impl Results {
     /// Makes a folder for a run: the one named, or the next one that is free below `lab/results`.
-    pub fn create(root: &Path, named: Option<&Path>, file: &Path, asked: &Asked) -> Result<Results, String> {
+    pub fn create(
+        root: &Path,
+        named: Option<&Path>,
+        file: &Path,
+        asked: &Asked,
+    ) -> Result<Results, String> {
         let folder = match named {
             Some(folder) => folder.to_path_buf(),
             None => {
-                let stem = file.file_stem().map_or("run".into(), |s| s.to_string_lossy());
+                let stem = file
+                    .file_stem()
+                    .map_or("run".into(), |s| s.to_string_lossy());
                 let below = root.join("lab").join("results");
-                let free = (1..).map(|n| below.join(format!("{stem}-{n}"))).find(|f| !f.exists());
+                let free = (1..)
+                    .map(|n| below.join(format!("{stem}-{n}")))
+                    .find(|f| !f.exists());
                 free.ok_or("no name is free")?
             }
         };
         if folder.join(ASKED).exists() {
-            return Err(format!("{}: holds the results of another run", folder.display()));
+            return Err(format!(
+                "{}: holds the results of another run",
+                folder.display()
+            ));
         }
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        let folder = folder.canonicalize().map_err(|e| format!("{}: {e}", folder.display()))?;
-        std::fs::copy(file, folder.join(EXPERIMENT)).map_err(|e| format!("{}: {e}", file.display()))?;
+        let folder = folder
+            .canonicalize()
+            .map_err(|e| format!("{}: {e}", folder.display()))?;
+        std::fs::copy(file, folder.join(EXPERIMENT))
+            .map_err(|e| format!("{}: {e}", file.display()))?;
         write(&folder.join(ASKED), &json(asked)?)?;
         Ok(Results { folder })
     }
@@ -70,7 +85,9 @@
         if !folder.join(ASKED).is_file() {
             return Err(format!("{}: no results of a run", folder.display()));
         }
-        Ok(Results { folder: folder.to_path_buf() })
+        Ok(Results {
+            folder: folder.to_path_buf(),
+        })
     }
 
     /// Where it is.
@@ -85,12 +102,18 @@
 
     /// Keeps a play.
     pub fn keep(&self, played: &Played) -> Result<(), String> {
-        write(&self.play(&played.program, played.play).join("play.json"), &json(played)?)
+        write(
+            &self.play(&played.program, played.play).join("play.json"),
+            &json(played)?,
+        )
     }
 
     /// What was asked for, and the experiment as it was then.
     pub fn asked(&self) -> Result<(Asked, Experiment), String> {
-        Ok((read(&self.folder.join(ASKED))?, experiment::load(&self.folder.join(EXPERIMENT))?))
+        Ok((
+            read(&self.folder.join(ASKED))?,
+            experiment::load(&self.folder.join(EXPERIMENT))?,
+        ))
     }
 
     /// Every play that was kept, in the order in which they were made.
--- a/lab/src/results/summary.rs
+++ b/lab/src/results/summary.rs
@@ -7,12 +7,24 @@
 pub fn summary(plays: &[Played]) -> String {
     let mut text = format!(
         "{:<18} {:>8} {:>7} {:>7} {:>6} {:>8} {:>7} {:>7} {:>7}  rules\n",
-        "program, play", "requests", "worth", "in time", "late", "refused", "failed", "p50 ms", "p99 ms"
+        "program, play",
+        "requests",
+        "worth",
+        "in time",
+        "late",
+        "refused",
+        "failed",
+        "p50 ms",
+        "p99 ms"
     );
     for p in plays {
         let f = &p.figures;
         let rules: u64 = p.counts.values().sum();
-        let rules = if rules == 0 { "kept".to_string() } else { format!("broken {rules} times") };
+        let rules = if rules == 0 {
+            "kept".to_string()
+        } else {
+            format!("broken {rules} times")
+        };
         let _ = writeln!(
             text,
             "{:<18} {:>8} {:>7.3} {:>7.3} {:>6.3} {:>8.3} {:>7.3} {:>7.0} {:>7.0}  {rules}",
@@ -31,8 +43,9 @@
         let name = format!("{}, play {}", p.program, p.play + 1);
         for (rule, count) in &p.counts {
             let case = p.broken.iter().find(|b| b.rule == *rule);
-            let case =
-                case.map_or(String::new(), |b| format!(", first at {:.2} s: {}", b.at / 1000.0, b.case));
+            let case = case.map_or(String::new(), |b| {
+                format!(", first at {:.2} s: {}", b.at / 1000.0, b.case)
+            });
             let _ = writeln!(text, "{name}: rule {rule} broken {count} times{case}");
         }
         for missed in &p.missed {
--- a/lab/src/run/play.rs
+++ b/lab/src/run/play.rs
@@ -83,16 +83,24 @@
         process.ended().await;
     }
     let stopped = ended?;
-    Ok(sum_up(&fleet, (&program.name, &program.command), number, stopped))
+    Ok(sum_up(
+        &fleet,
+        (&program.name, &program.command),
+        number,
+        stopped,
+    ))
 }
 
 /// Has the oracle judge what tenants within their share kept of their worth.
 fn in_share(world: &World, oracle: &mut Oracle) {
     let (e, plan) = (&world.experiment, &world.plan);
-    let Some(bound) = &e.bounds.in_share else { return };
+    let Some(bound) = &e.bounds.in_share else {
+        return;
+    };
     let tally = lock(&world.tally);
     for tenant in &bound.tenants {
-        let worth = |over: Span| worth_of(e, plan, &tally.done, tenant, (over.0.least, over.0.most));
+        let worth =
+            |over: Span| worth_of(e, plan, &tally.done, tenant, (over.0.least, over.0.most));
         let (before, during) = (worth(bound.before), worth(bound.during));
         oracle.in_share(world.now(), tenant, before, during, bound.least);
     }
@@ -100,7 +108,10 @@
 
 /// What balancers may run: the program under test, then each build.
 fn runs(e: &Experiment, program: &Program, builds: &BTreeMap<String, String>) -> Vec<Runs> {
-    let plain = Runs { command: program.command.clone(), options: merged(&e.options, &program.options) };
+    let plain = Runs {
+        command: program.command.clone(),
+        options: merged(&e.options, &program.options),
+    };
     let build = |b: &Build| Runs {
         command: builds.get(&b.name).unwrap_or(&program.command).clone(),
         options: match b.bare {
@@ -108,7 +119,9 @@
             false => merged(&merged(&e.options, &b.options), &program.options),
         },
     };
-    std::iter::once(plain).chain(e.builds.iter().map(build)).collect()
+    std::iter::once(plain)
+        .chain(e.builds.iter().map(build))
+        .collect()
 }
 
 /// Everything from the first start to the last answer. Says whether it was stopped by hand.
@@ -116,7 +129,11 @@
     let world = &fleet.world;
     fleet.listen()?;
     let length = world.plan.length / 1000.0;
-    let bar = if stage.progress { ProgressBar::new(length.ceil() as u64) } else { ProgressBar::hidden() };
+    let bar = if stage.progress {
+        ProgressBar::new(length.ceil() as u64)
+    } else {
+        ProgressBar::hidden()
+    };
     let style = ProgressStyle::with_template("{prefix:>14} {bar:30} {pos:>3}/{len} s  {msg}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     bar.set_prefix(name.to_string());
@@ -146,7 +163,11 @@
     let all = async {
         sent.await;
         // A request that never ends is the oracle's case, and no reason to wait for ever.
-        let _ = timeout(Duration::from_secs_f64(ends_within(world) / 1000.0), open.none()).await;
+        let _ = timeout(
+            Duration::from_secs_f64(ends_within(world) / 1000.0),
+            open.none(),
+        )
+        .await;
     };
     let stopped = tokio::select! {
         () = all => false,
--- a/lab/src/run/sum_up.rs
+++ b/lab/src/run/sum_up.rs
@@ -16,17 +16,27 @@
 fn peer_traffic(world: &World) -> Datagrams {
     let (sent, bytes) = world.datagrams.sent();
     let over = world.plan.balancers.len() as f64 * world.plan.length / 1000.0;
-    Datagrams { a_second: sent as f64 / over, bytes_a_second: bytes as f64 / over }
+    Datagrams {
+        a_second: sent as f64 / over,
+        bytes_a_second: bytes as f64 / over,
+    }
 }
 
 /// What balancers reported of their tier. The front's is the one whose times are recorded.
 fn tier(fleet: &Fleet) -> Option<Tier> {
-    let reports: Vec<_> =
-        fleet.balancers.iter().filter_map(|p| p.figures()).filter_map(|f| f.tier()).collect();
+    let reports: Vec<_> = fleet
+        .balancers
+        .iter()
+        .filter_map(|p| p.figures())
+        .filter_map(|f| f.tier())
+        .collect();
     if reports.is_empty() {
         return None;
     }
-    let (members, sums) = lock(&fleet.world.convergence).first().map(|c| c.known()).unwrap_or_default();
+    let (members, sums) = lock(&fleet.world.convergence)
+        .first()
+        .map(|c| c.known())
+        .unwrap_or_default();
     Some(Tier {
         members,
         sums,
@@ -36,7 +46,12 @@
     })
 }
 
-pub(super) fn sum_up(fleet: &Fleet, (name, command): (&str, &str), number: usize, stopped: bool) -> Played {
+pub(super) fn sum_up(
+    fleet: &Fleet,
+    (name, command): (&str, &str),
+    number: usize,
+    stopped: bool,
+) -> Played {
     let world = &fleet.world;
     let (e, plan) = (&world.experiment, &world.plan);
 
@@ -56,22 +71,39 @@
     };
     let mut by = BTreeMap::new();
     for (i, class) in e.classes.iter().enumerate() {
-        by.insert(format!("class {}", class.name), figures(e, plan, &tally.done, |d| d.class == i));
+        by.insert(
+            format!("class {}", class.name),
+            figures(e, plan, &tally.done, |d| d.class == i),
+        );
     }
     for (i, tenant) in e.tenants.iter().enumerate() {
-        by.insert(format!("tenant {}", tenant.name), figures(e, plan, &tally.done, |d| d.tenant == i));
+        by.insert(
+            format!("tenant {}", tenant.name),
+            figures(e, plan, &tally.done, |d| d.tenant == i),
+        );
     }
     for (i, zone) in e.fleet.zones.iter().enumerate() {
-        by.insert(format!("zone {zone}"), figures(e, plan, &tally.done, |d| d.zone == i));
+        by.insert(
+            format!("zone {zone}"),
+            figures(e, plan, &tally.done, |d| d.zone == i),
+        );
     }
-    let held = fleet.balancers.iter().zip(&plan.balancers).map(|(p, b)| Held {
-        name: b.name.clone(),
-        memory_kb: p.most_memory.load(Ordering::Relaxed),
-        descriptors: p.most_descriptors.load(Ordering::Relaxed),
-        cpu_s: p.ticks.load(Ordering::Relaxed) as f64 / TICKS,
-    });
+    let held = fleet
+        .balancers
+        .iter()
+        .zip(&plan.balancers)
+        .map(|(p, b)| Held {
+            name: b.name.clone(),
+            memory_kb: p.most_memory.load(Ordering::Relaxed),
+            descriptors: p.most_descriptors.load(Ordering::Relaxed),
+            cpu_s: p.ticks.load(Ordering::Relaxed) as f64 / TICKS,
+        });
     let faults = plan.faults.iter().map(|f| {
-        let until = if f.kind == FaultKind::Reset { f.at } else { f.until };
+        let until = if f.kind == FaultKind::Reset {
+            f.at
+        } else {
+            f.until
+        };
         (f.at, until, name_of(f.kind))
     });
     Played {
@@ -87,10 +119,17 @@
         comeback: comeback(e, plan, &tally),
         lateness,
         broken: broken.iter().map(Case::from).collect(),
-        counts: counts.iter().map(|(rule, n)| (name_of(*rule), *n)).collect(),
+        counts: counts
+            .iter()
+            .map(|(rule, n)| (name_of(*rule), *n))
+            .collect(),
         checked: oracle.checked(),
         effects_twice: oracle.effects_twice(),
-        missed: if stopped { Vec::new() } else { missed(e, plan, &tally) },
+        missed: if stopped {
+            Vec::new()
+        } else {
+            missed(e, plan, &tally)
+        },
         held: held.collect(),
         stopped,
         faults: faults.collect(),
--- a/lab/src/run/watch.rs
+++ b/lab/src/run/watch.rs
@@ -26,8 +26,15 @@
 pub(super) async fn audit(fleet: &Fleet) {
     let world = &fleet.world;
     let over = world.clock.unix(world.now());
-    fleet.balancers.iter().for_each(|process| process.check_number(world));
-    let through = fleet.balancers.iter().enumerate().filter(|(_, p)| p.starts() == 1 && p.runs());
+    fleet
+        .balancers
+        .iter()
+        .for_each(|process| process.check_number(world));
+    let through = fleet
+        .balancers
+        .iter()
+        .enumerate()
+        .filter(|(_, p)| p.starts() == 1 && p.runs());
     for (b, process) in through {
         let fresh = async {
             loop {
@@ -43,7 +50,10 @@
             Ok(Some(counted)) => counted,
             Ok(None) => continue,
             Err(_) => {
-                world.breaks(Rule::Figures, format!("{name} has written no figures for {FIGURES_WITHIN:?}"));
+                world.breaks(
+                    Rule::Figures,
+                    format!("{name} has written no figures for {FIGURES_WITHIN:?}"),
+                );
                 continue;
             }
         };
@@ -73,12 +83,20 @@
             oracle.found().1.values().sum()
         };
         bar.set_position((now.max(0.0) / 1000.0) as u64);
-        let rules = if broken == 0 { "rules kept".into() } else { format!("{broken} times a rule broken") };
-        bar.set_message(format!("{done} requests ended, {} open, {rules}", open.count()));
+        let rules = if broken == 0 {
+            "rules kept".into()
+        } else {
+            format!("{broken} times a rule broken")
+        };
+        bar.set_message(format!(
+            "{done} requests ended, {} open, {rules}",
+            open.count()
+        ));
         let looked = fleet.clone();
         // Reading what the system says of some dozens of processes takes milliseconds.
-        let look =
-            tokio::task::spawn_blocking(move || looked.balancers.iter().for_each(|p| p.look(&looked.world)));
+        let look = tokio::task::spawn_blocking(move || {
+            looked.balancers.iter().for_each(|p| p.look(&looked.world))
+        });
         if look.await.is_err() {
             return;
         }
@@ -92,7 +110,10 @@
         every.tick().await;
         let looked = fleet.clone();
         // Reading some dozens of files takes milliseconds.
-        if tokio::task::spawn_blocking(move || look_at_tiers(&looked)).await.is_err() {
+        if tokio::task::spawn_blocking(move || look_at_tiers(&looked))
+            .await
+            .is_err()
+        {
             return;
         }
     }
@@ -102,23 +123,33 @@
     let world = &fleet.world;
     let now = world.now();
     let peers = |tier: usize| {
-        let all =
-            fleet.balancers.iter().enumerate().filter(move |(b, _)| world.plan.balancers[*b].tier == tier);
+        let all = fleet
+            .balancers
+            .iter()
+            .enumerate()
+            .filter(move |(b, _)| world.plan.balancers[*b].tier == tier);
         all.filter(|(_, process)| process.is_peer())
     };
     for tier in 0..world.experiment.tiers.len() {
         let running: BTreeSet<usize> = peers(tier).map(|(b, _)| b).collect();
         let reports = peers(tier).filter_map(|(b, process)| Some((b, process.figures()?)));
-        let reports: Vec<_> =
-            reports.filter_map(|(b, f)| Some((b, f.at_ms - world.clock.unix(0.0), f.tier()?))).collect();
+        let reports: Vec<_> = reports
+            .filter_map(|(b, f)| Some((b, f.at_ms - world.clock.unix(0.0), f.tier()?)))
+            .collect();
         let mut all = lock(&world.convergence);
         all[tier].runs(now, &running, is_disturbed(world, now));
-        reports.into_iter().for_each(|(b, at, tier_of)| all[tier].observe(b, at, tier_of));
+        reports
+            .into_iter()
+            .for_each(|(b, at, tier_of)| all[tier].observe(b, at, tier_of));
     }
 }
 
 /// Whether balancers may rightly not know of each other now.
 fn is_disturbed(world: &World, now: Millis) -> bool {
     let parts = |kind| matches!(kind, FaultKind::Cut | FaultKind::Pause);
-    world.plan.faults.iter().any(|f| parts(f.kind) && (f.at..f.until + SETTLED).contains(&now))
+    world
+        .plan
+        .faults
+        .iter()
+        .any(|f| parts(f.kind) && (f.at..f.until + SETTLED).contains(&now))
 }
--- a/lab/src/stand_in/figures.rs
+++ b/lab/src/stand_in/figures.rs
@@ -4,7 +4,9 @@
 
 /// Writes them again and again; `taken` says how many requests there were.
 pub(super) async fn write_figures(wrong: Wrong, taken: impl Fn() -> usize) {
-    let Some(folder) = std::env::var_os("LAB_STATE").map(std::path::PathBuf::from) else { return };
+    let Some(folder) = std::env::var_os("LAB_STATE").map(std::path::PathBuf::from) else {
+        return;
+    };
     loop {
         tokio::time::sleep(Duration::from_millis(100)).await;
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
--- a/lab/src/stand_in/pass.rs
+++ b/lab/src/stand_in/pass.rs
@@ -80,13 +80,22 @@
     let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
     let config: Config = serde_json::from_slice(&text).map_err(|e| format!("{path}: {e}"))?;
     let seed = u64::from_str_radix(&config.seed, 16).map_err(|e| format!("{path}: seed: {e}"))?;
-    let listener = TcpListener::bind(config.listen).await.map_err(|e| format!("{}: {e}", config.listen))?;
+    let listener = TcpListener::bind(config.listen)
+        .await
+        .map_err(|e| format!("{}: {e}", config.listen))?;
     eprintln!("stand-in serving on {}", config.listen);
     let own = Arc::new(StandIn {
         choice,
         wrong,
         first: config.known.servers.clone(),
-        list: Mutex::new(config.known.servers.iter().map(|e| (e.id.clone(), e.clone())).collect()),
+        list: Mutex::new(
+            config
+                .known
+                .servers
+                .iter()
+                .map(|e| (e.id.clone(), e.clone()))
+                .collect(),
+        ),
         turn: AtomicUsize::new(0),
         taken: AtomicUsize::new(0),
         rng: Mutex::new(Pcg64Mcg::seed_from_u64(seed)),
@@ -98,7 +107,9 @@
     });
     if let Some(wrong @ (Wrong::Boasts | Wrong::Stutters | Wrong::Remembers)) = wrong {
         let writer = own.clone();
-        tokio::spawn(write_figures(wrong, move || writer.taken.load(Ordering::Relaxed)));
+        tokio::spawn(write_figures(wrong, move || {
+            writer.taken.load(Ordering::Relaxed)
+        }));
     }
     if let Some(voice) = wrong.and_then(Voice::of) {
         let (place, at, to) = (config.settings.index, config.listen.ip(), config.peers_all);
@@ -107,7 +118,9 @@
     let watcher = own.clone();
     tokio::spawn(async move { watcher.watch(config.discovery, config.known.version).await });
     loop {
-        let Ok((stream, _)) = listener.accept().await else { continue };
+        let Ok((stream, _)) = listener.accept().await else {
+            continue;
+        };
         // A client that has left by now shows when its request is read.
         let _ = stream.set_nodelay(true);
         let own = own.clone();
@@ -117,7 +130,9 @@
                 async move { own.take(request).await }
             });
             // How a client's connection ends is the client's to see.
-            let _ = server::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+            let _ = server::Builder::new()
+                .serve_connection(TokioIo::new(stream), service)
+                .await;
         });
     }
 }
@@ -129,9 +144,16 @@
             let call = async {
                 let mut sender = dial(at).await?;
                 let uri = format!("/api/targets?since={version}&{WATCH}");
-                let request = Request::get(uri).header("host", "agent").body(Full::default()).ok()?;
+                let request = Request::get(uri)
+                    .header("host", "agent")
+                    .body(Full::default())
+                    .ok()?;
                 let answer = sender.send_request(request).await.ok()?;
-                let body = Limited::new(answer.into_body(), 4 << 20).collect().await.ok()?.to_bytes();
+                let body = Limited::new(answer.into_body(), 4 << 20)
+                    .collect()
+                    .await
+                    .ok()?
+                    .to_bytes();
                 serde_json::from_slice::<Listing>(&body).ok()
             };
             match timeout(Duration::from_secs(6), call).await {
@@ -158,7 +180,10 @@
         let list = lock(&self.list);
         let mut active: Vec<&Entry> = list.values().filter(|e| e.state == "active").collect();
         if self.wrong == Some(Wrong::Crowds) {
-            return active.into_iter().max_by(|a, b| a.started_ms.total_cmp(&b.started_ms)).map(|e| e.addr);
+            return active
+                .into_iter()
+                .max_by(|a, b| a.started_ms.total_cmp(&b.started_ms))
+                .map(|e| e.addr);
         }
         active.sort_by(|a, b| a.id.cmp(&b.id));
         let turn = match self.choice {
@@ -174,7 +199,11 @@
     ) -> Result<Response<Full<Bytes>>, String> {
         if request.uri().path() == "/-/ready" {
             let ready = self.wrong != Some(Wrong::Idles);
-            return Ok(plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }));
+            return Ok(plain(if ready {
+                StatusCode::OK
+            } else {
+                StatusCode::SERVICE_UNAVAILABLE
+            }));
         }
         let (mut head, body) = request.into_parts();
         let Ok(body) = Limited::new(body, BODY_MOST).collect().await else {
@@ -212,7 +241,8 @@
             }
             Some(Wrong::Dies) if number > 20 => std::process::exit(3),
             Some(Wrong::Forges) if tenth => {
-                head.headers.insert("req-id", HeaderValue::from_static("00000000000000ff"));
+                head.headers
+                    .insert("req-id", HeaderValue::from_static("00000000000000ff"));
             }
             _ => {}
         }
@@ -223,20 +253,30 @@
             *request.headers_mut() = head.headers.clone();
             request
         };
-        let Some(to) = self.choose() else { return Ok(plain(StatusCode::SERVICE_UNAVAILABLE)) };
+        let Some(to) = self.choose() else {
+            return Ok(plain(StatusCode::SERVICE_UNAVAILABLE));
+        };
         let answer = self.pass(to, again(&head)).await;
         match self.wrong {
             Some(Wrong::Loses) if tenth => return Err("lost on purpose".into()),
             Some(Wrong::Refuses) if tenth => return Ok(plain(StatusCode::SERVICE_UNAVAILABLE)),
             Some(Wrong::Doubles) => {
-                let Some(other) = self.choose() else { return Ok(plain(StatusCode::SERVICE_UNAVAILABLE)) };
+                let Some(other) = self.choose() else {
+                    return Ok(plain(StatusCode::SERVICE_UNAVAILABLE));
+                };
                 let (first, second) =
                     tokio::join!(self.pass(to, again(&head)), self.pass(other, again(&head)));
-                return Ok(first.or(second).unwrap_or_else(|| plain(StatusCode::BAD_GATEWAY)));
+                return Ok(first
+                    .or(second)
+                    .unwrap_or_else(|| plain(StatusCode::BAD_GATEWAY)));
             }
             Some(Wrong::Repeats | Wrong::Insists) => {
                 let mut last = answer;
-                for _ in 0..if self.wrong == Some(Wrong::Insists) { 4 } else { 1 } {
+                for _ in 0..if self.wrong == Some(Wrong::Insists) {
+                    4
+                } else {
+                    1
+                } {
                     if let Some(other) = self.choose() {
                         last = self.pass(other, again(&head)).await;
                     }
@@ -256,7 +296,11 @@
     }
 
     /// One attempt.
-    async fn pass(&self, to: SocketAddr, request: Request<Full<Bytes>>) -> Option<Response<Full<Bytes>>> {
+    async fn pass(
+        &self,
+        to: SocketAddr,
+        request: Request<Full<Bytes>>,
+    ) -> Option<Response<Full<Bytes>>> {
         let kept = loop {
             let next = lock(&self.idle).get_mut(&to).and_then(Vec::pop);
             match next {
@@ -271,8 +315,15 @@
         };
         let answer = sender.send_request(request).await.ok()?;
         let (head, body) = answer.into_parts();
-        let body = Limited::new(body, BODY_MOST).collect().await.ok()?.to_bytes();
-        if timeout(Duration::from_millis(5), sender.ready()).await.is_ok_and(|r| r.is_ok()) {
+        let body = Limited::new(body, BODY_MOST)
+            .collect()
+            .await
+            .ok()?
+            .to_bytes();
+        if timeout(Duration::from_millis(5), sender.ready())
+            .await
+            .is_ok_and(|r| r.is_ok())
+        {
             lock(&self.idle).entry(to).or_default().push(sender);
         }
         let mut response = Response::new(Full::new(body));
--- a/lab/src/stand_in/speaks.rs
+++ b/lab/src/stand_in/speaks.rs
@@ -21,13 +21,24 @@
 impl Voice {
     /// The voice of one that speaks at all.
     pub fn of(wrong: Wrong) -> Option<Voice> {
-        let voice = |version, most| Voice { version, most, rewinds: false, mumbles: false };
+        let voice = |version, most| Voice {
+            version,
+            most,
+            rewinds: false,
+            mumbles: false,
+        };
         match wrong {
             Wrong::SpeaksOld => Some(voice(1, 1)),
             Wrong::Misspeaks => Some(voice(2, 2)),
             Wrong::Clings => Some(voice(1, 2)),
-            Wrong::Rewinds => Some(Voice { rewinds: true, ..voice(1, 1) }),
-            Wrong::Mumbles => Some(Voice { mumbles: true, ..voice(1, 1) }),
+            Wrong::Rewinds => Some(Voice {
+                rewinds: true,
+                ..voice(1, 1)
+            }),
+            Wrong::Mumbles => Some(Voice {
+                mumbles: true,
+                ..voice(1, 1)
+            }),
             _ => None,
         }
     }
@@ -40,9 +51,20 @@
         // Its incarnation and deployment.
         bytes.extend(7u64.to_be_bytes());
         bytes.extend(9u32.to_be_bytes());
-        bytes.extend(if self.rewinds { 1000 - number % 1000 } else { 1 }.to_be_bytes());
+        bytes.extend(
+            if self.rewinds {
+                1000 - number % 1000
+            } else {
+                1
+            }
+            .to_be_bytes(),
+        );
         bytes.extend(b"nothing more to say");
-        let sum = if self.mumbles { 0 } else { crc32fast::hash(&bytes) };
+        let sum = if self.mumbles {
+            0
+        } else {
+            crc32fast::hash(&bytes)
+        };
         bytes.extend(sum.to_be_bytes());
         bytes
     }
@@ -50,7 +72,9 @@
 
 /// Speaks to all peers until it is killed.
 pub(super) async fn speak(voice: Voice, place: u16, own: IpAddr, to: SocketAddr) {
-    let Ok(socket) = UdpSocket::bind((own, 0)).await else { return };
+    let Ok(socket) = UdpSocket::bind((own, 0)).await else {
+        return;
+    };
     for number in 0.. {
         // Whether it arrives is the lab's to see.
         let _ = socket.send_to(&voice.datagram(place, number), to).await;
--- a/lab/src/state.rs
+++ b/lab/src/state.rs
@@ -26,7 +26,9 @@
     }
     fs::create_dir_all(to)?;
     for file in files(from)? {
-        let Ok(below) = file.strip_prefix(from) else { continue };
+        let Ok(below) = file.strip_prefix(from) else {
+            continue;
+        };
         let target = to.join(below);
         if let Some(parent) = target.parent() {
             fs::create_dir_all(parent)?;
@@ -42,7 +44,12 @@
 }
 
 /// Does to a folder what a fault says; `old` is the copy that was made before. `draw` picks a bit of so many.
-pub fn damage(folder: &Path, how: Damage, old: &Path, mut draw: impl FnMut(u64) -> u64) -> io::Result<()> {
+pub fn damage(
+    folder: &Path,
+    how: Damage,
+    old: &Path,
+    mut draw: impl FnMut(u64) -> u64,
+) -> io::Result<()> {
     match how {
         Damage::Emptied => {
             fs::remove_dir_all(folder)?;
@@ -52,7 +59,10 @@
         Damage::Truncated => {
             for file in files(folder)? {
                 let length = fs::metadata(&file)?.len();
-                fs::OpenOptions::new().write(true).open(&file)?.set_len(length / 2)?;
+                fs::OpenOptions::new()
+                    .write(true)
+                    .open(&file)?
+                    .set_len(length / 2)?;
             }
             Ok(())
         }
--- a/lab/src/tally.rs
+++ b/lab/src/tally.rs
@@ -113,7 +113,11 @@
     /// The process of a balancer was begun.
     pub fn started(&mut self, balancer: usize, now: Millis) {
         self.waiting.insert(balancer, self.starts.len());
-        self.starts.push(Start { balancer, at: now, served: None });
+        self.starts.push(Start {
+            balancer,
+            at: now,
+            served: None,
+        });
     }
 
     /// A balancer's answer came that was served.
--- a/lab/src/upstream/connect.rs
+++ b/lab/src/upstream/connect.rs
@@ -31,7 +31,8 @@
             let (tell, mode) = watch::channel(Manner::Open);
             let at = world.block.upstream(self.index, balancer);
             let mut port = Port::bind(at, mode).map_err(|e| format!("{at}: {e}"))?;
-            let (mut listens, mut changes, link) = (self.listens.subscribe(), link.changes(), link.clone());
+            let (mut listens, mut changes, link) =
+                (self.listens.subscribe(), link.changes(), link.clone());
             let (own, shared) = (self.clone(), world.clone());
             let on = link.clone();
             tokio::spawn(async move {
@@ -55,7 +56,9 @@
                     match port.accept().await {
                         Ok(Some(stream)) => {
                             let (own, world, link) = (own.clone(), shared.clone(), link.clone());
-                            tokio::spawn(async move { own.connection(world, stream, balancer, link).await });
+                            tokio::spawn(async move {
+                                own.connection(world, stream, balancer, link).await
+                            });
                         }
                         Ok(None) => return,
                         Err(e) => {
@@ -92,7 +95,9 @@
         let on = link.clone();
         let service = service_fn(move |request| {
             let (own, world, link) = (own.clone(), world.clone(), on.clone());
-            async move { Ok::<_, Infallible>(own.respond(&world, request, balancer, &link, delay).await) }
+            async move {
+                Ok::<_, Infallible>(own.respond(&world, request, balancer, &link, delay).await)
+            }
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
@@ -120,24 +125,36 @@
             return self.probe(world, &path).await;
         }
         let header = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok());
-        let Some(id) = header("req-id") else { return plain(StatusCode::NOT_FOUND) };
+        let Some(id) = header("req-id") else {
+            return plain(StatusCode::NOT_FOUND);
+        };
         let id = u64::from_str_radix(id, 16).ok();
-        let patience =
-            header("req-deadline").and_then(|d| d.strip_suffix('u')).and_then(|d| d.parse::<f64>().ok());
+        let patience = header("req-deadline")
+            .and_then(|d| d.strip_suffix('u'))
+            .and_then(|d| d.parse::<f64>().ok());
         if Limited::new(incoming, BODY_MOST).collect().await.is_err() {
             return plain(StatusCode::BAD_REQUEST);
         }
         let now = world.now();
         let Some(id) = id else {
-            let text = head.headers.get("req-id").map(|v| format!("{v:?}")).unwrap_or_default();
-            world.breaks(Rule::Foreign, format!("{}: {text} was sent by no client", self.plan.name));
+            let text = head
+                .headers
+                .get("req-id")
+                .map(|v| format!("{v:?}"))
+                .unwrap_or_default();
+            world.breaks(
+                Rule::Foreign,
+                format!("{}: {text} was sent by no client", self.plan.name),
+            );
             return plain(StatusCode::BAD_REQUEST);
         };
         let Some(number) = lock(&world.oracle).attempt(now, id, balancer, self.index) else {
             return plain(StatusCode::BAD_REQUEST);
         };
         // One that has ended is no work any more; what is sent for it is the oracle's case.
-        let Some(asked) = world.asked(id) else { return plain(StatusCode::BAD_REQUEST) };
+        let Some(asked) = world.asked(id) else {
+            return plain(StatusCode::BAD_REQUEST);
+        };
         {
             let mut tally = lock(&world.tally);
             let second = tally.second(now);
@@ -179,7 +196,9 @@
 
     async fn probe(&self, world: &World, path: &str) -> Response<Full<Bytes>> {
         let tier = &world.experiment.tiers[self.plan.tier];
-        let Some(work) = tier.probe_work else { return plain(StatusCode::NOT_FOUND) };
+        let Some(work) = tier.probe_work else {
+            return plain(StatusCode::NOT_FOUND);
+        };
         lock(&world.tally).second(world.now()).probes += 1;
         let token = self.token();
         self.work(world, token, work.mean()).await;
--- a/lab/src/upstream/emulated.rs
+++ b/lab/src/upstream/emulated.rs
@@ -49,11 +49,26 @@
         let own = plan.upstreams[index].clone();
         let tier = &experiment.tiers[own.tier];
         let rules = &experiment.balancer;
-        let tipping = Tipping { multiple: rules.tip_multiple, fall: rules.fall.0.mean() };
+        let tipping = Tipping {
+            multiple: rules.tip_multiple,
+            fall: rules.fall.0.mean(),
+        };
         let shares: f64 = experiment.classes.iter().map(|c| c.share).sum();
-        let mean: f64 = experiment.classes.iter().map(|c| c.share / shares * c.work.mean()).sum();
-        let senders = plan.balancers.iter().enumerate().filter(|(_, b)| b.tier == own.tier);
-        let load_report = LoadReport { at: f64::NEG_INFINITY, text: String::new(), next: None };
+        let mean: f64 = experiment
+            .classes
+            .iter()
+            .map(|c| c.share / shares * c.work.mean())
+            .sum();
+        let senders = plan
+            .balancers
+            .iter()
+            .enumerate()
+            .filter(|(_, b)| b.tier == own.tier);
+        let load_report = LoadReport {
+            at: f64::NEG_INFINITY,
+            text: String::new(),
+            next: None,
+        };
         Upstream {
             index,
             noise: tier.report.noise,
--- a/lab/src/upstream/out.rs
+++ b/lab/src/upstream/out.rs
@@ -45,7 +45,11 @@
             let second = tally.second(now);
             second.worked += self.work;
             second.held[self.tenant] += now - self.came;
-            second.wasted += if matches!(end, End::Served(_)) { 0.0 } else { self.work };
+            second.wasted += if matches!(end, End::Served(_)) {
+                0.0
+            } else {
+                self.work
+            };
         }
         if let Some(token) = self.token.take() {
             let mut state = lock(&self.upstream.state);
--- a/lab/src/upstream/serve.rs
+++ b/lab/src/upstream/serve.rs
@@ -70,7 +70,9 @@
             return (StatusCode::INTERNAL_SERVER_ERROR, false);
         }
         let calls = match world.experiment.tiers.get(self.plan.tier + 1) {
-            Some(_) => drawn.count(world.plan.calls[self.plan.tier + 1] / world.plan.calls[self.plan.tier]),
+            Some(_) => {
+                drawn.count(world.plan.calls[self.plan.tier + 1] / world.plan.calls[self.plan.tier])
+            }
             None => 0,
         };
         let before = if calls > 0 { work / 2.0 } else { work };
@@ -101,7 +103,9 @@
 
     /// One call to the next tier through the balancer beside.
     async fn call(&self, world: &World, asked: Asked, seed: u64, n: usize, until: Millis) -> bool {
-        let Some(balancer) = world.beside(self.index) else { return false };
+        let Some(balancer) = world.beside(self.index) else {
+            return false;
+        };
         let now = world.now();
         let patience = (until - now).min(world.plan.spans[asked.class].1);
         if patience <= 1.0 {
@@ -113,7 +117,12 @@
             balancer,
             link: world.client_links[balancer][0].clone(),
             delay: 0.0,
-            asked: Asked { seed, key, at_upstreams: 0.0, ..asked },
+            asked: Asked {
+                seed,
+                key,
+                at_upstreams: 0.0,
+                ..asked
+            },
             sent: now,
             timeout: patience,
             cancels_after: None,
@@ -127,10 +136,21 @@
     pub(super) fn load(&self, now: Millis) -> String {
         let mut state = lock(&self.state);
         let state = &mut *state;
-        if state.load_report.next.as_ref().is_some_and(|&(at, _)| now >= at) {
-            state.load_report.text = state.load_report.next.take().map(|(_, text)| text).unwrap_or_default();
+        if state
+            .load_report
+            .next
+            .as_ref()
+            .is_some_and(|&(at, _)| now >= at)
+        {
+            state.load_report.text = state
+                .load_report
+                .next
+                .take()
+                .map(|(_, text)| text)
+                .unwrap_or_default();
         }
-        if now - state.load_report.at >= self.plan.report_period && state.load_report.next.is_none() {
+        if now - state.load_report.at >= self.plan.report_period && state.load_report.next.is_none()
+        {
             let (since, before) = state.counted;
             let span = (now - since).max(1.0);
             let mut noisy = |v: f64| {
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -79,8 +79,16 @@
 fn limits(e: &Experiment) -> Limits {
     let bound = |t: &crate::experiment::Trials| Bound {
         // The names were checked when the file was read.
-        zone: e.fleet.zones.iter().position(|z| *z == t.zone).unwrap_or_default(),
-        tier: t.tier.as_ref().and_then(|name| e.tiers.iter().position(|x| x.name == *name)),
+        zone: e
+            .fleet
+            .zones
+            .iter()
+            .position(|z| *z == t.zone)
+            .unwrap_or_default(),
+        tier: t
+            .tier
+            .as_ref()
+            .and_then(|name| e.tiers.iter().position(|x| x.name == *name)),
         during: (t.during.0.least, t.during.0.most),
         most: t.most,
     };
@@ -112,7 +120,11 @@
             places: plan
                 .upstreams
                 .iter()
-                .map(|u| Place { zone: u.zone, cell: u.cell, tier: u.tier })
+                .map(|u| Place {
+                    zone: u.zone,
+                    cell: u.cell,
+                    tier: u.tier,
+                })
                 .collect(),
             balancers: plan.balancers.iter().map(|b| b.name.clone()).collect(),
             upstreams: plan.upstreams.iter().map(|u| u.name.clone()).collect(),
@@ -123,16 +135,22 @@
         });
 
         // The front has a link from each zone's clients; a balancer beside an upstream has one client.
-        let links =
-            |b: &crate::draw::Balancer| (0..if b.owner.is_some() { 1 } else { zones }).map(|_| Link::open());
+        let links = |b: &crate::draw::Balancer| {
+            (0..if b.owner.is_some() { 1 } else { zones }).map(|_| Link::open())
+        };
         let net = &experiment.net;
-        let conditions =
-            Conditions { delay: net.datagrams.0, loss: net.datagram_loss, repeat: net.datagram_repeat };
+        let conditions = Conditions {
+            delay: net.datagrams.0,
+            loss: net.datagram_loss,
+            repeat: net.datagram_repeat,
+        };
         let tiers: Vec<usize> = plan.balancers.iter().map(|b| b.tier).collect();
         let datagrams = Arc::new(Datagrams::open(&tiers, &block, conditions, plan.seed)?);
         let front = || (0..plan.balancers.len()).filter(|&b| plan.balancers[b].owner.is_none());
         let of_zone = |zone: usize| {
-            let near: Vec<usize> = front().filter(|&b| plan.balancers[b].zone == zone).collect();
+            let near: Vec<usize> = front()
+                .filter(|&b| plan.balancers[b].zone == zone)
+                .collect();
             if near.is_empty() {
                 front().collect()
             } else {
@@ -145,11 +163,25 @@
             beside: (0..plan.upstreams.len()).map(beside).collect(),
             datagrams,
             oracle: Mutex::new(oracle),
-            convergence: Mutex::new(experiment.tiers.iter().map(|_| Convergence::default()).collect()),
+            convergence: Mutex::new(
+                experiment
+                    .tiers
+                    .iter()
+                    .map(|_| Convergence::default())
+                    .collect(),
+            ),
             tally: Mutex::new(Tally::new(zones, experiment.tenants.len())),
             outages: AtomicUsize::new(0),
-            floods: experiment.tenants.iter().map(|_| Mutex::default()).collect(),
-            dealt: plan.balancers.iter().map(|_| AtomicBool::new(false)).collect(),
+            floods: experiment
+                .tenants
+                .iter()
+                .map(|_| Mutex::default())
+                .collect(),
+            dealt: plan
+                .balancers
+                .iter()
+                .map(|_| AtomicBool::new(false))
+                .collect(),
             pools: plan.balancers.iter().map(|_| Pool::default()).collect(),
             client_links: plan.balancers.iter().map(|b| links(b).collect()).collect(),
             asked: Mutex::default(),
@@ -171,7 +203,10 @@
     /// A new id for a request, and what it asks for.
     pub fn ask(&self, asked: Asked) -> u64 {
         // Spread over all 64 bits, so that ids look as they do in service.
-        let id = self.next_id.fetch_add(1, Ordering::Relaxed).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let id = self
+            .next_id
+            .fetch_add(1, Ordering::Relaxed)
+            .wrapping_mul(0x9e37_79b9_7f4a_7c15);
         lock(&self.asked).insert(id, asked);
         id
     }
@@ -203,7 +238,10 @@
     pub fn datagram(&self, from: usize, bytes: &[u8]) {
         if bytes.len() > LONGEST {
             let name = &self.plan.balancers[from].name;
-            self.breaks(Rule::Datagram, format!("{name} sent a datagram of more than {LONGEST} bytes"));
+            self.breaks(
+                Rule::Datagram,
+                format!("{name} sent a datagram of more than {LONGEST} bytes"),
+            );
             return;
         }
         let now = self.now();
--- a/lab/tests/capacity/fit.rs
+++ b/lab/tests/capacity/fit.rs
@@ -3,11 +3,16 @@
 
 #[test]
 fn points_on_a_line_give_it_back_with_no_residual() {
-    let points: Vec<(f64, f64)> = [50.0, 100.0, 200.0, 400.0].map(|x| (x, 3.0 + 0.25 * x)).to_vec();
+    let points: Vec<(f64, f64)> = [50.0, 100.0, 200.0, 400.0]
+        .map(|x| (x, 3.0 + 0.25 * x))
+        .to_vec();
     let line = fit(&points).expect("a line");
     assert!((line.slope - 0.25).abs() < 1e-12, "{line:?}");
     assert!((line.intercept - 3.0).abs() < 1e-9, "{line:?}");
-    assert!(line.residual < 1e-9 && line.residual_most < 1e-9 && line.slope_error < 1e-9, "{line:?}");
+    assert!(
+        line.residual < 1e-9 && line.residual_most < 1e-9 && line.slope_error < 1e-9,
+        "{line:?}"
+    );
     assert!((line.at(550.0) - 140.5).abs() < 1e-9);
 }
 
@@ -15,7 +20,9 @@
 #[test]
 fn scatter_shows_in_the_residuals_and_in_the_error_of_the_slope() {
     let x = [10.0, 8.0, 13.0, 9.0, 11.0, 14.0, 6.0, 4.0, 12.0, 7.0, 5.0];
-    let y = [8.04, 6.95, 7.58, 8.81, 8.33, 9.96, 7.24, 4.26, 10.84, 4.82, 5.68];
+    let y = [
+        8.04, 6.95, 7.58, 8.81, 8.33, 9.96, 7.24, 4.26, 10.84, 4.82, 5.68,
+    ];
     let points: Vec<(f64, f64)> = x.into_iter().zip(y).collect();
     let line = fit(&points).expect("a line");
     assert!((line.intercept - 3.000).abs() < 0.001, "{line:?}");
@@ -29,6 +36,12 @@
 fn what_has_no_line_is_refused() {
     assert_eq!(fit(&[]), Err(FitError::TooFewPoints));
     assert_eq!(fit(&[(1.0, 1.0), (2.0, 2.0)]), Err(FitError::TooFewPoints));
-    assert_eq!(fit(&[(5.0, 1.0), (5.0, 2.0), (5.0, 3.0)]), Err(FitError::OneSize));
-    assert_eq!(fit(&[(1.0, 1.0), (2.0, f64::NAN), (3.0, 3.0)]), Err(FitError::NotFinite));
+    assert_eq!(
+        fit(&[(5.0, 1.0), (5.0, 2.0), (5.0, 3.0)]),
+        Err(FitError::OneSize)
+    );
+    assert_eq!(
+        fit(&[(1.0, 1.0), (2.0, f64::NAN), (3.0, 3.0)]),
+        Err(FitError::NotFinite)
+    );
 }
--- a/lab/tests/capacity/hollow.rs
+++ b/lab/tests/capacity/hollow.rs
@@ -6,11 +6,22 @@
 const PATIENCE: Duration = Duration::from_secs(60);
 
 fn tier(members: u16) -> Running {
-    let sockets: Vec<UdpSocket> =
-        (0..members).map(|_| UdpSocket::bind("127.0.0.1:0").expect("binds")).collect();
-    let addresses: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().expect("an address")).collect();
+    let sockets: Vec<UdpSocket> = (0..members)
+        .map(|_| UdpSocket::bind("127.0.0.1:0").expect("binds"))
+        .collect();
+    let addresses: Vec<SocketAddr> = sockets
+        .iter()
+        .map(|s| s.local_addr().expect("an address"))
+        .collect();
     let sockets = (0u16..).zip(sockets).collect();
-    let tier = Tier { addresses, sockets, tenants: 3, zones: 2, deployment: 9, watched: Some(0) };
+    let tier = Tier {
+        addresses,
+        sockets,
+        tenants: 3,
+        zones: 2,
+        deployment: 9,
+        watched: Some(0),
+    };
     tier.start().expect("starts")
 }
 
@@ -23,13 +34,25 @@
     assert!(tier.until_up(5, PATIENCE).expect("runs").is_some());
     let counted = tier.snapshot().expect("runs");
     assert_eq!((counted.running, counted.up_least), (5, 5));
-    assert!(counted.sent > 0 && counted.read > 0 && counted.read <= counted.sent, "{counted:?}");
+    assert!(
+        counted.sent > 0 && counted.read > 0 && counted.read <= counted.sent,
+        "{counted:?}"
+    );
     assert!(counted.sent_bytes <= counted.sent * 256, "{counted:?}");
     // What the watched member exchanges is a part of it all.
-    assert!(counted.to_watched.0 > 0 && counted.to_watched.0 < counted.sent, "{counted:?}");
-    assert!(counted.from_watched.0 > 0 && counted.from_watched.0 < counted.read, "{counted:?}");
+    assert!(
+        counted.to_watched.0 > 0 && counted.to_watched.0 < counted.sent,
+        "{counted:?}"
+    );
+    assert!(
+        counted.from_watched.0 > 0 && counted.from_watched.0 < counted.read,
+        "{counted:?}"
+    );
     assert!(counted.processor > Duration::ZERO);
-    assert!(counted.late_most > Duration::ZERO && counted.late_most <= counted.at, "{counted:?}");
+    assert!(
+        counted.late_most > Duration::ZERO && counted.late_most <= counted.at,
+        "{counted:?}"
+    );
 }
 
 #[test]
@@ -41,16 +64,32 @@
     }
     assert!(tier.until_up(6, PATIENCE).expect("runs").is_some());
     let counted = tier.snapshot().expect("runs");
-    assert_eq!((counted.running, counted.up_least, counted.up_mean), (6, 6, 6.0));
+    assert_eq!(
+        (counted.running, counted.up_least, counted.up_mean),
+        (6, 6, 6.0)
+    );
 }
 
 #[test]
 fn the_deployment_is_read_from_a_datagram_of_a_member() {
     let bind = || UdpSocket::bind("127.0.0.1:0").expect("binds");
     let (hollow, listening) = (bind(), bind());
-    let addresses = vec![hollow.local_addr().expect("one"), listening.local_addr().expect("one")];
+    let addresses = vec![
+        hollow.local_addr().expect("one"),
+        listening.local_addr().expect("one"),
+    ];
     let (tenants, zones, deployment) = (3, 2, 0xfeed_0042);
-    let tier = Tier { addresses, sockets: vec![(0, hollow)], tenants, zones, deployment, watched: None };
+    let tier = Tier {
+        addresses,
+        sockets: vec![(0, hollow)],
+        tenants,
+        zones,
+        deployment,
+        watched: None,
+    };
     let _running = tier.start().expect("starts");
-    assert_eq!(learn_deployment(&[(1, listening)], PATIENCE), Ok(deployment));
+    assert_eq!(
+        learn_deployment(&[(1, listening)], PATIENCE),
+        Ok(deployment)
+    );
 }
--- a/lab/tests/capacity/sweep.rs
+++ b/lab/tests/capacity/sweep.rs
@@ -18,10 +18,23 @@
     // A test of the whole workspace has built it; a test of this crate alone has not.
     BUILT.call_once(|| {
         if !path.is_file() {
-            let release = path.parent().is_some_and(|folder| folder.ends_with("release"));
+            let release = path
+                .parent()
+                .is_some_and(|folder| folder.ends_with("release"));
             let profile = if release { "release" } else { "dev" };
-            let arguments = ["build", "--locked", "-p", "balancer-proxy", "--profile", profile];
-            assert!(Command::new(env!("CARGO")).args(arguments).status().expect("runs cargo").success());
+            let arguments = [
+                "build",
+                "--locked",
+                "-p",
+                "balancer-proxy",
+                "--profile",
+                profile,
+            ];
+            assert!(Command::new(env!("CARGO"))
+                .args(arguments)
+                .status()
+                .expect("runs cargo")
+                .success());
         }
     });
     path
@@ -44,7 +57,10 @@
 }
 
 fn figure(sample: &Sample, name: &str) -> f64 {
-    *sample.figures.get(name).unwrap_or_else(|| panic!("no {name} in {sample:?}"))
+    *sample
+        .figures
+        .get(name)
+        .unwrap_or_else(|| panic!("no {name} in {sample:?}"))
 }
 
 #[test]
@@ -62,7 +78,10 @@
 fn held_calls_take_two_descriptors_each() {
     let samples = measured(Dimension::Held, &[10, 60], SHORT);
     for sample in &samples {
-        assert_eq!((figure(sample, "held"), figure(sample, "refused")), (sample.size as f64, 0.0));
+        assert_eq!(
+            (figure(sample, "held"), figure(sample, "refused")),
+            (sample.size as f64, 0.0)
+        );
     }
     let grown = figure(&samples[1], "descriptors") - figure(&samples[0], "descriptors");
     assert_eq!(grown, 100.0);
@@ -89,15 +108,20 @@
 #[test]
 fn idle_clients_take_a_descriptor_each_for_as_long_as_the_trial() {
     for sample in measured(Dimension::Clients, &[60, 120], SHORT) {
-        assert!(figure(&sample, "descriptors") >= sample.size as f64, "{sample:?}");
+        assert!(
+            figure(&sample, "descriptors") >= sample.size as f64,
+            "{sample:?}"
+        );
     }
 }
 
 #[test]
 fn changes_are_seen_to_be_taken_in() {
     let samples = measured(Dimension::Changes, &[4], SHORT);
-    let (median, most) =
-        (figure(&samples[0], "taken in by one, median ms"), figure(&samples[0], "taken in by one, most ms"));
+    let (median, most) = (
+        figure(&samples[0], "taken in by one, median ms"),
+        figure(&samples[0], "taken in by one, most ms"),
+    );
     assert!(0.0 < median && median <= most, "{samples:?}");
     assert_eq!(figure(&samples[0], "taken in by all, most ms"), most);
     assert_eq!(figure(&samples[0], "not taken in"), 0.0);
--- a/lab/tests/capacity/table.rs
+++ b/lab/tests/capacity/table.rs
@@ -23,12 +23,18 @@
 
 #[test]
 fn what_was_not_measured_is_left_out_and_said_so() {
-    let samples = [sample(10, &[("lag, ms", f64::NAN)]), sample(20, &[("lag, ms", 0.012345)])];
+    let samples = [
+        sample(10, &[("lag, ms", f64::NAN)]),
+        sample(20, &[("lag, ms", 0.012345)]),
+    ];
     assert_eq!(samples[0].figures.len(), 0);
     let text = markdown("fleet", &samples);
     assert!(text.contains("| 10 | - |"), "{text}");
     assert!(text.contains("| 20 | 0.01235 |"), "{text}");
-    assert!(text.contains("| lag, ms | fewer than three points |"), "{text}");
+    assert!(
+        text.contains("| lag, ms | fewer than three points |"),
+        "{text}"
+    );
 }
 
 #[test]
--- a/lab/tests/fleet/common.rs
+++ b/lab/tests/fleet/common.rs
@@ -13,13 +13,23 @@
     // A test of the whole workspace has built it; a test of this crate alone has not.
     BUILT.call_once(|| {
         if !path.is_file() {
-            let release = if Path::new(LAB).parent().is_some_and(|p| p.ends_with("release")) {
+            let release = if Path::new(LAB)
+                .parent()
+                .is_some_and(|p| p.ends_with("release"))
+            {
                 "release"
             } else {
                 "dev"
             };
             let built = Command::new(env!("CARGO"))
-                .args(["build", "--locked", "-p", "balancer-proxy", "--profile", release])
+                .args([
+                    "build",
+                    "--locked",
+                    "-p",
+                    "balancer-proxy",
+                    "--profile",
+                    release,
+                ])
                 .status()
                 .expect("runs cargo");
             assert!(built.success());
@@ -96,9 +106,14 @@
 
     /// What was kept of the first play of a program.
     pub fn play(&self, program: &str) -> serde_json::Value {
-        let path = self.folder.path().join("out").join(format!("{program}-1")).join("play.json");
-        let text =
-            std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}; {}", path.display(), self.said()));
+        let path = self
+            .folder
+            .path()
+            .join("out")
+            .join(format!("{program}-1"))
+            .join("play.json");
+        let text = std::fs::read(&path)
+            .unwrap_or_else(|e| panic!("{}: {e}; {}", path.display(), self.said()));
         serde_json::from_slice(&text).expect("JSON")
     }
 
@@ -108,11 +123,17 @@
     }
 
     pub fn report(&self) -> String {
-        std::fs::read_to_string(self.folder.path().join("out").join("report.html")).expect("a report")
+        std::fs::read_to_string(self.folder.path().join("out").join("report.html"))
+            .expect("a report")
     }
 
     pub fn said(&self) -> String {
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-        format!("{:?}\n{}{}", self.output.status, text(&self.output.stdout), text(&self.output.stderr))
+        format!(
+            "{:?}\n{}{}",
+            self.output.status,
+            text(&self.output.stdout),
+            text(&self.output.stderr)
+        )
     }
 }
--- a/lab/tests/fleet/experiments.rs
+++ b/lab/tests/fleet/experiments.rs
@@ -16,7 +16,10 @@
         let (line, what) = parse(&text).expect_err(to);
         let line = line.unwrap_or_else(|| panic!("no line: {what}"));
         assert!(!what.contains('\n'), "{what}");
-        (text.lines().nth(line - 1).expect("the line").to_string(), what)
+        (
+            text.lines().nth(line - 1).expect("the line").to_string(),
+            what,
+        )
     };
     for (from, to, line, key) in [
         ("title =", "titel =", "titel", "titel"),
@@ -77,17 +80,27 @@
 #[test]
 fn one_seed_gives_one_draw_and_a_fault_moves_no_request() {
     let e = parse(&good()).expect("good");
-    let (a, b, other) =
-        (plan(&e, 7).expect("a plan"), plan(&e, 7).expect("a plan"), plan(&e, 8).expect("a plan"));
+    let (a, b, other) = (
+        plan(&e, 7).expect("a plan"),
+        plan(&e, 7).expect("a plan"),
+        plan(&e, 8).expect("a plan"),
+    );
     assert_eq!(a, b);
     assert_ne!(a.arrivals, other.arrivals);
     // Fixed here, so that another machine or another day is seen to draw the same.
     let first = &a.arrivals[0];
-    assert_eq!((a.arrivals.len(), first.class, first.zone), FIRST, "{first:?}");
+    assert_eq!(
+        (a.arrivals.len(), first.class, first.zone),
+        FIRST,
+        "{first:?}"
+    );
     let fault =
         "[[fault]]\nkind = \"pause\"\nat = \"1s\"\nfor = \"1s\"\non = { role = \"front\", share = 0.5 }\n";
     let with = plan(&parse(&(good() + fault)).expect("good"), 7).expect("a plan");
-    assert_eq!((&with.arrivals, &with.upstreams), (&a.arrivals, &a.upstreams));
+    assert_eq!(
+        (&with.arrivals, &with.upstreams),
+        (&a.arrivals, &a.upstreams)
+    );
     assert_eq!(with.faults[0].on.len(), 1);
     assert!(matches!(with.faults[0].on[0], Party::Balancer(0 | 1)));
     let burst = "[[fault]]\nkind = \"burst\"\nat = \"1s\"\nfor = \"1s\"\nsize = 3\n";
@@ -109,12 +122,18 @@
 fn a_burst_of_one_tenant_a_tenant_of_its_own_and_an_outage_move_no_other_request() {
     let second = "[[tenant]]\nname = \"second\"\nshare = 1.0\n";
     let base = fleet(2, 2, "5s", &format!("{second}[clients]\nrate = 100\n"));
-    let arrivals = |text: &str| plan(&parse(text).expect("good"), 7).expect("a plan").arrivals;
+    let arrivals = |text: &str| {
+        plan(&parse(text).expect("good"), 7)
+            .expect("a plan")
+            .arrivals
+    };
     let before = arrivals(&base);
     let added = |text: &str| {
         let mut left = before.iter().peekable();
-        let more: Vec<_> =
-            arrivals(text).into_iter().filter(|a| left.next_if(|b| *b == a).is_none()).collect();
+        let more: Vec<_> = arrivals(text)
+            .into_iter()
+            .filter(|a| left.next_if(|b| *b == a).is_none())
+            .collect();
         assert!(left.next().is_none(), "a request has moved");
         more
     };
@@ -122,14 +141,22 @@
     let of = "of = { tenant = \"second\", zone = \"b\" }\n";
     let more = added(&format!("{base}{burst}{of}"));
     assert!((40..200).contains(&more.len()), "{}", more.len());
-    assert!(more.iter().all(|a| (a.tenant, a.zone) == (1, 1) && (1000.0..2000.0).contains(&a.at)));
+    assert!(more
+        .iter()
+        .all(|a| (a.tenant, a.zone) == (1, 1) && (1000.0..2000.0).contains(&a.at)));
     let hog = "[[tenant]]\nname = \"hog\"\nshare = 1.0\nrate = 50\nclasses = [\"pay\"]\nduring = [\"1s\", \"3s\"]\n";
     let more = added(&base.replacen(second, &format!("{second}{hog}"), 1));
     assert!((50..160).contains(&more.len()), "{}", more.len());
-    assert!(more.iter().all(|a| (a.tenant, a.class) == (2, 1) && (1000.0..3000.0).contains(&a.at)));
-    let outage = "[[fault]]\nkind = \"outage\"\nat = \"1s\"\nfor = \"1s\"\nsize = 1.0\ndelay = \"300ms\"\n";
+    assert!(more
+        .iter()
+        .all(|a| (a.tenant, a.class) == (2, 1) && (1000.0..3000.0).contains(&a.at)));
+    let outage =
+        "[[fault]]\nkind = \"outage\"\nat = \"1s\"\nfor = \"1s\"\nsize = 1.0\ndelay = \"300ms\"\n";
     let back = added(&format!("{base}{outage}"));
-    let due = before.iter().filter(|a| (1000.0..2000.0).contains(&a.at)).count();
+    let due = before
+        .iter()
+        .filter(|a| (1000.0..2000.0).contains(&a.at))
+        .count();
     assert_eq!(back.len(), due);
     assert!(back.iter().all(|a| (2000.0..2300.0).contains(&a.at)));
 }
--- a/lab/tests/fleet/fleets.rs
+++ b/lab/tests/fleet/fleets.rs
@@ -37,21 +37,37 @@
 on = { names = ["front-2"] }
 "#;
     let real = format!("real=exec '{}'", balancer_proxy().display());
-    let played = Played::new(&fleet(2, 2, "4s", faults), &["--program", &real, "--program", "round-robin"]);
+    let played = Played::new(
+        &fleet(2, 2, "4s", faults),
+        &["--program", &real, "--program", "round-robin"],
+    );
     let play = played.play("real");
     // Its own figures are among the rules: they are set against what the stand-ins saw.
     assert_eq!(play["counts"], serde_json::json!({}), "{}", played.said());
-    assert!(played.out().join("real-1/state/front-2/figures.json").is_file());
+    assert!(played
+        .out()
+        .join("real-1/state/front-2/figures.json")
+        .is_file());
     assert_eq!(play["held"].as_array().map(Vec::len), Some(6));
     // The pass-through meets the same draw; what it does with it is its own.
-    assert_eq!(play["figures"]["due"], played.play("round-robin")["figures"]["due"]);
+    assert_eq!(
+        play["figures"]["due"],
+        played.play("round-robin")["figures"]["due"]
+    );
     let served = play["figures"]["in_time"].as_f64().expect("a figure");
     assert!(served > 0.3, "{}", played.said());
     let report = played.report();
     assert!(report.contains("<svg") && report.contains("round-robin") && report.contains("kill"));
     for verb in ["compare", "report"] {
-        let out = Command::new(LAB).arg(verb).arg(played.out()).output().expect("runs");
-        assert!(out.status.success() && !out.stdout.is_empty(), "{verb}: {out:?}");
+        let out = Command::new(LAB)
+            .arg(verb)
+            .arg(played.out())
+            .output()
+            .expect("runs");
+        assert!(
+            out.status.success() && !out.stdout.is_empty(),
+            "{verb}: {out:?}"
+        );
     }
 }
 
@@ -68,10 +84,13 @@
 on = { names = ["front-1"] }
 "#;
     let program = format!("deaf=trap '' TERM; exec '{LAB}' stand-in random");
-    let short = fleet(2, 1, "6s", fault).replace("8s", "1s").replace("5s", "1s");
+    let short = fleet(2, 1, "6s", fault)
+        .replace("8s", "1s")
+        .replace("5s", "1s");
     let played = Played::new(&short, &["--program", &program]);
     assert_eq!(played.output.status.code(), Some(0), "{}", played.said());
-    let log = std::fs::read_to_string(played.out().join("deaf-1/logs/front-1.log")).expect("its log");
+    let log =
+        std::fs::read_to_string(played.out().join("deaf-1/logs/front-1.log")).expect("its log");
     assert_eq!(log.matches("serving on").count(), 2, "{log}");
 }
 
@@ -103,18 +122,33 @@
         kill(Pid::from_raw(lab.id() as i32), end).expect("signals");
         let status = lab.wait().expect("ends");
         while !with_config(&config).is_empty() {
-            assert!(started.elapsed() < PATIENCE, "{:?} are left", with_config(&config));
+            assert!(
+                started.elapsed() < PATIENCE,
+                "{:?} are left",
+                with_config(&config)
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
         if end == Signal::SIGINT {
             assert_eq!(status.code(), Some(1));
             let mut said = String::new();
-            lab.stdout.take().expect("its output").read_to_string(&mut said).expect("text");
-            assert!(said.contains("stopped by hand") && said.contains("report:"), "{said}");
-            let play = std::fs::read(folder.path().join("out/real-1/play.json")).expect("what was measured");
+            lab.stdout
+                .take()
+                .expect("its output")
+                .read_to_string(&mut said)
+                .expect("text");
+            assert!(
+                said.contains("stopped by hand") && said.contains("report:"),
+                "{said}"
+            );
+            let play = std::fs::read(folder.path().join("out/real-1/play.json"))
+                .expect("what was measured");
             let play: serde_json::Value = serde_json::from_slice(&play).expect("JSON");
             // That its processes were ended broke no rule.
-            assert_eq!((&play["stopped"], &play["counts"]), (&true.into(), &serde_json::json!({})));
+            assert_eq!(
+                (&play["stopped"], &play["counts"]),
+                (&true.into(), &serde_json::json!({}))
+            );
         }
     }
 }
@@ -126,7 +160,9 @@
     pids.filter_map(|e| e.file_name().to_str()?.parse::<i32>().ok())
         .filter(|pid| {
             let environment = std::fs::read(format!("/proc/{pid}/environ")).unwrap_or_default();
-            environment.split(|b| *b == 0).any(|v| v.starts_with(wanted.as_bytes()))
+            environment
+                .split(|b| *b == 0)
+                .any(|v| v.starts_with(wanted.as_bytes()))
         })
         .collect()
 }
@@ -137,7 +173,12 @@
     let played = Played::new(experiment, &["--program", &program]);
     assert_eq!(played.output.status.code(), Some(1), "{}", played.said());
     let play = played.play("wrong");
-    play["counts"].as_object().expect("counts").keys().cloned().collect()
+    play["counts"]
+        .as_object()
+        .expect("counts")
+        .keys()
+        .cloned()
+        .collect()
 }
 
 fn small(more: &str) -> String {
@@ -271,12 +312,21 @@
     let play = played.play("real");
     assert_eq!(play["counts"], serde_json::json!({}), "{}", played.said());
     let log = |name: &str| {
-        std::fs::read_to_string(played.out().join(format!("real-1/logs/{name}.log"))).expect("its log")
+        std::fs::read_to_string(played.out().join(format!("real-1/logs/{name}.log")))
+            .expect("its log")
     };
     // Four had lost power and came back with what was on their disks.
-    assert!(log("beside-desk-1").contains("recovery: start 2, a list of"), "{}", log("beside-desk-1"));
+    assert!(
+        log("beside-desk-1").contains("recovery: start 2, a list of"),
+        "{}",
+        log("beside-desk-1")
+    );
     // However often one is killed it serves again, whether or not its disk lets it keep anything.
     let begun = log("front-1").matches("serving on").count();
     assert!(begun > 5, "{begun} starts: {}", log("front-1"));
-    assert!(play["comeback"]["served_ms"].is_number(), "{}", play["comeback"]);
+    assert!(
+        play["comeback"]["served_ms"].is_number(),
+        "{}",
+        play["comeback"]
+    );
 }
--- a/lab/tests/fleet/tier.rs
+++ b/lab/tests/fleet/tier.rs
@@ -35,12 +35,28 @@
     let arguments = ["--program", new.as_str(), "--build", old.as_str()];
     let played = Played::new(&fleet_of_two(""), &arguments);
     let play = played.play("new");
-    assert_eq!(play["counts"], serde_json::json!({ "version": 1 }), "{}", played.said());
+    assert_eq!(
+        play["counts"],
+        serde_json::json!({ "version": 1 }),
+        "{}",
+        played.said()
+    );
     let case = play["broken"][0]["case"].as_str().expect("a case");
     assert_eq!(case, "front-2 sends version 2; front-1 reads 1 to 1");
-    assert!(play["datagrams"]["a_second"].as_f64().is_some_and(|n| n > 1.0), "{}", play["datagrams"]);
+    assert!(
+        play["datagrams"]["a_second"]
+            .as_f64()
+            .is_some_and(|n| n > 1.0),
+        "{}",
+        play["datagrams"]
+    );
     let played = Played::new(&fleet_of_two(cut), &arguments);
-    assert_eq!(played.play("new")["counts"], serde_json::json!({}), "{}", played.said());
+    assert_eq!(
+        played.play("new")["counts"],
+        serde_json::json!({}),
+        "{}",
+        played.said()
+    );
 }
 
 /// Six of the real program begin with the first version of their protocol, are upgraded one after the other, and one
@@ -100,31 +116,60 @@
 delay = "100ms"
 "#;
     let real = format!("real=exec '{}'", balancer_proxy().display());
-    let short = fleet(6, 1, "19s", faults).replace("\"8s\"", "\"1s\"").replace("\"5s\"", "\"1s\"");
+    let short = fleet(6, 1, "19s", faults)
+        .replace("\"8s\"", "\"1s\"")
+        .replace("\"5s\"", "\"1s\"");
     let played = Played::new(&short, &["--program", &real]);
     let play = played.play("real");
     assert_eq!(play["counts"], serde_json::json!({}), "{}", played.said());
     for (b, wanted) in [3, 2, 2, 2, 2, 2].into_iter().enumerate() {
         let all = play["tally"]["starts"].as_array().expect("starts");
-        assert_eq!(all.iter().filter(|s| s["balancer"] == b).count(), wanted, "front-{}", b + 1);
+        assert_eq!(
+            all.iter().filter(|s| s["balancer"] == b).count(),
+            wanted,
+            "front-{}",
+            b + 1
+        );
     }
     for name in (2..=6).map(|n| format!("front-{n}")) {
-        let log =
-            std::fs::read_to_string(played.out().join(format!("real-1/logs/{name}.log"))).expect("its log");
-        let (up, down) = (log.find("version 2 instead of 1"), log.rfind("version 1 instead of 2"));
+        let log = std::fs::read_to_string(played.out().join(format!("real-1/logs/{name}.log")))
+            .expect("its log");
+        let (up, down) = (
+            log.find("version 2 instead of 1"),
+            log.rfind("version 1 instead of 2"),
+        );
         assert!(up.is_some() && down > up, "{name}: {log}");
         let dropped = &figures(&played, "real-1", &name)["peers"]["dropped"];
-        assert!(dropped["broken"].as_u64().is_some_and(|n| n > 50), "{name}: {dropped}");
+        assert!(
+            dropped["broken"].as_u64().is_some_and(|n| n > 50),
+            "{name}: {dropped}"
+        );
     }
     let out = |d: &&serde_json::Value| {
-        d["how"] == "unreached" && d["at"].as_f64().is_some_and(|at| (18_000.0..18_500.0).contains(&at))
+        d["how"] == "unreached"
+            && d["at"]
+                .as_f64()
+                .is_some_and(|at| (18_000.0..18_500.0).contains(&at))
     };
-    assert!(play["tally"]["done"].as_array().expect("requests").iter().filter(out).count() > 5);
+    assert!(
+        play["tally"]["done"]
+            .as_array()
+            .expect("requests")
+            .iter()
+            .filter(out)
+            .count()
+            > 5
+    );
 }
 
 /// What a balancer wrote of itself last.
 fn figures(played: &Played, play: &str, name: &str) -> serde_json::Value {
-    let path = played.out().join(play).join("state").join(name).join("figures.json");
+    let path = played
+        .out()
+        .join(play)
+        .join("state")
+        .join(name)
+        .join("figures.json");
     serde_json::from_slice(&std::fs::read(path).expect("its figures")).expect("JSON")
 }
 
@@ -153,14 +198,26 @@
 "#;
     let real = format!("real=exec '{}'", balancer_proxy().display());
     let slow = fleet(4, 1, "9s", burst).replace("speed = 2.0", "speed = 0.2");
-    let played =
-        Played::new(&slow.replace("\"8s\"", "\"1s\"").replace("\"5s\"", "\"1s\""), &["--program", &real]);
+    let played = Played::new(
+        &slow.replace("\"8s\"", "\"1s\"").replace("\"5s\"", "\"1s\""),
+        &["--program", &real],
+    );
     let play = played.play("real");
     assert_eq!(play["counts"], serde_json::json!({}), "{}", played.said());
-    assert!(play["figures"]["refused"].as_f64().is_some_and(|part| part > 0.05), "{}", played.said());
+    assert!(
+        play["figures"]["refused"]
+            .as_f64()
+            .is_some_and(|part| part > 0.05),
+        "{}",
+        played.said()
+    );
     for name in (1..=4).map(|n| format!("front-{n}")) {
         let peers = &figures(&played, "real-1", &name)["peers"];
-        assert_eq!((&peers["up"], &peers["sums"]["heard"]), (&4.into(), &4.into()), "{name}: {peers}");
+        assert_eq!(
+            (&peers["up"], &peers["sums"]["heard"]),
+            (&4.into(), &4.into()),
+            "{name}: {peers}"
+        );
     }
 }
 
@@ -169,18 +226,52 @@
 fn sets_of_options_are_played_in_turn_on_the_same_draw() {
     let quiet = "quiet=log.level = \"warn\", figures.dir = \"\"";
     let real = format!("real=exec '{}'", balancer_proxy().display());
-    let experiment = fleet(1, 1, "1s", "[options.figures]\ndir = \"{state}\"\n[clients]\nrate = 30\n");
-    let arguments =
-        ["--program", real.as_str(), "--options", "plain", "--options", quiet, "--plays", "2", "--new-draws"];
+    let experiment = fleet(
+        1,
+        1,
+        "1s",
+        "[options.figures]\ndir = \"{state}\"\n[clients]\nrate = 30\n",
+    );
+    let arguments = [
+        "--program",
+        real.as_str(),
+        "--options",
+        "plain",
+        "--options",
+        quiet,
+        "--plays",
+        "2",
+        "--new-draws",
+    ];
     let played = Played::new(&experiment, &arguments);
     let said = played.said();
     assert_eq!(played.output.status.code(), Some(0), "{said}");
     assert_eq!(played.play("plain")["seed"], played.play("quiet")["seed"]);
-    let figures = |name: &str| played.out().join(name).join("state/front-1/figures.json").is_file();
-    assert_eq!((figures("plain-1"), figures("quiet-1"), figures("plain-2")), (true, false, true));
-    assert!(said.contains("quiet less plain, play by play") && said.contains("tenant club"), "{said}");
-    for (wrong, what) in [("a b", "a name has"), ("x=[", "--options x=[: "), ("x=1", "--options x=1: ")] {
+    let figures = |name: &str| {
+        played
+            .out()
+            .join(name)
+            .join("state/front-1/figures.json")
+            .is_file()
+    };
+    assert_eq!(
+        (figures("plain-1"), figures("quiet-1"), figures("plain-2")),
+        (true, false, true)
+    );
+    assert!(
+        said.contains("quiet less plain, play by play") && said.contains("tenant club"),
+        "{said}"
+    );
+    for (wrong, what) in [
+        ("a b", "a name has"),
+        ("x=[", "--options x=[: "),
+        ("x=1", "--options x=1: "),
+    ] {
         let played = Played::new(&experiment, &["--program", &real, "--options", wrong]);
-        assert!(played.output.status.code() == Some(2) && played.said().contains(what), "{}", played.said());
+        assert!(
+            played.output.status.code() == Some(2) && played.said().contains(what),
+            "{}",
+            played.said()
+        );
     }
 }
--- a/lab/tests/parts/audit.rs
+++ b/lab/tests/parts/audit.rs
@@ -14,9 +14,20 @@
 
 #[test]
 fn a_figure_that_differs_is_named_and_what_may_differ_is_not() {
-    let seen = Seen { taken: 10, served: 6, refused: 2, failed: 1, unclear: 1, attempts: 8 };
+    let seen = Seen {
+        taken: 10,
+        served: 6,
+        refused: 2,
+        failed: 1,
+        unclear: 1,
+        attempts: 8,
+    };
     assert_eq!(differs(&counted(10, 7, 10), &seen), None);
-    assert_eq!(differs(&counted(12, 7, 10), &seen).as_deref(), Some("requests: counted 12, seen 10"));
+    assert_eq!(
+        differs(&counted(12, 7, 10), &seen).as_deref(),
+        Some("requests: counted 12, seen 10")
+    );
     assert!(differs(&counted(10, 7, 13), &seen).is_some_and(|d| d.starts_with("attempts")));
-    assert!(differs(&counted(10, 4, 10), &seen).is_some_and(|d| d.contains("served: counted 4, seen 6")));
+    assert!(differs(&counted(10, 4, 10), &seen)
+        .is_some_and(|d| d.contains("served: counted 4, seen 6")));
 }
--- a/lab/tests/parts/convergence.rs
+++ b/lab/tests/parts/convergence.rs
@@ -4,7 +4,13 @@
 use std::collections::BTreeSet;
 
 fn says(up: u32, in_sums: u32) -> Tier {
-    Tier { up, in_sums, suspected: 0, gone: 0, steps: 0 }
+    Tier {
+        up,
+        in_sums,
+        suspected: 0,
+        gone: 0,
+        steps: 0,
+    }
 }
 
 #[test]
--- a/lab/tests/parts/datagrams.rs
+++ b/lab/tests/parts/datagrams.rs
@@ -12,35 +12,72 @@
 #[tokio::test]
 async fn a_peer_is_named_by_its_address_and_heard_from_it() {
     let block = Block::claim().expect("a block");
-    let calm = Conditions { delay: Range::fixed(0.0), loss: 0.0, repeat: 0.0 };
+    let calm = Conditions {
+        delay: Range::fixed(0.0),
+        loss: 0.0,
+        repeat: 0.0,
+    };
     let network = Datagrams::open(&[0, 0, 0], &block, calm, 1).expect("sockets");
     let own = UdpSocket::bind(block.peer(0)).await.expect("binds");
     let other = UdpSocket::bind(block.peer(2)).await.expect("binds");
-    own.send_to(b"hello", network.peer(0, 2)).await.expect("sends");
-    let (named, bytes) = timeout(PATIENCE, network.next(0)).await.expect("in time").expect("a datagram");
-    assert_eq!((IpAddr::V4(named), &bytes[..]), (network.peer(0, 2).ip(), &b"hello"[..]));
+    own.send_to(b"hello", network.peer(0, 2))
+        .await
+        .expect("sends");
+    let (named, bytes) = timeout(PATIENCE, network.next(0))
+        .await
+        .expect("in time")
+        .expect("a datagram");
+    assert_eq!(
+        (IpAddr::V4(named), &bytes[..]),
+        (network.peer(0, 2).ip(), &b"hello"[..])
+    );
 
     network.deliver(Some(0), 2, &bytes).expect("sends");
     let mut read = [0; 16];
-    let (length, from) =
-        timeout(PATIENCE, other.recv_from(&mut read)).await.expect("in time").expect("reads");
+    let (length, from) = timeout(PATIENCE, other.recv_from(&mut read))
+        .await
+        .expect("in time")
+        .expect("reads");
     assert_eq!((&read[..length], from), (&b"hello"[..], network.peer(2, 0)));
-    own.send_to(&[7; LONGEST + 9], network.all(0)).await.expect("sends");
-    let (named, bytes) = timeout(PATIENCE, network.next(0)).await.expect("in time").expect("a datagram");
-    assert_eq!((IpAddr::V4(named), bytes.len()), (network.all(0).ip(), LONGEST + 1));
+    own.send_to(&[7; LONGEST + 9], network.all(0))
+        .await
+        .expect("sends");
+    let (named, bytes) = timeout(PATIENCE, network.next(0))
+        .await
+        .expect("in time")
+        .expect("a datagram");
+    assert_eq!(
+        (IpAddr::V4(named), bytes.len()),
+        (network.all(0).ip(), LONGEST + 1)
+    );
 }
 
 #[tokio::test]
 async fn datagrams_are_lost_repeated_and_cut_as_told() {
     let block = Block::claim().expect("a block");
-    let conditions = Conditions { delay: Range { least: 1.0, most: 9.0 }, loss: 0.25, repeat: 0.5 };
+    let conditions = Conditions {
+        delay: Range {
+            least: 1.0,
+            most: 9.0,
+        },
+        loss: 0.25,
+        repeat: 0.5,
+    };
     let network = Datagrams::open(&[0, 0], &block, conditions, 1).expect("sockets");
     let copies: Vec<usize> = (0..2000).map(|_| network.arrivals(0, 1).len()).collect();
     let count = |n: usize| copies.iter().filter(|&&c| c == n).count();
-    assert!((400..600).contains(&count(0)) && (600..900).contains(&count(2)), "{} {}", count(0), count(2));
+    assert!(
+        (400..600).contains(&count(0)) && (600..900).contains(&count(2)),
+        "{} {}",
+        count(0),
+        count(2)
+    );
     network.cut(0, 1);
     assert!((0..50).all(|_| network.arrivals(0, 1).is_empty()));
-    assert!((0..50).any(|_| !network.arrivals(1, 0).is_empty()), "the other way is open");
+    assert!(
+        (0..50).any(|_| !network.arrivals(1, 0).is_empty()),
+        "the other way is open"
+    );
     network.heal(0, 1);
     assert!((0..50).any(|_| !network.arrivals(0, 1).is_empty()));
 }
--- a/lab/tests/parts/machine.rs
+++ b/lab/tests/parts/machine.rs
@@ -24,12 +24,26 @@
         full_tax: 0.0,
         report_period: 100.0,
         report_delay: 10.0,
-        choke: Some(Choke { at: 2.0, over: 1000.0, slower: 2.0, rest: 2000.0, below: 0.5, most: 20_000.0 }),
+        choke: Some(Choke {
+            at: 2.0,
+            over: 1000.0,
+            slower: 2.0,
+            rest: 2000.0,
+            below: 0.5,
+            most: 20_000.0,
+        }),
     }
 }
 
 fn machine() -> Machine {
-    Machine::new(plan(), Tipping { multiple: 2.5, fall: 3000.0 }, 10.0)
+    Machine::new(
+        plan(),
+        Tipping {
+            multiple: 2.5,
+            fall: 3000.0,
+        },
+        10.0,
+    )
 }
 
 fn done(m: &mut Machine, now: Millis) -> Vec<Token> {
@@ -71,7 +85,10 @@
     done(&mut m, 1000.0);
     assert!(m.is_degraded());
     m.work(1000.0, 0, 10.0);
-    assert_eq!((done(&mut m, 1019.0), done(&mut m, 1020.0)), (vec![], vec![0]));
+    assert_eq!(
+        (done(&mut m, 1019.0), done(&mut m, 1020.0)),
+        (vec![], vec![0])
+    );
     (0..4).for_each(|t| assert_eq!(m.leave(2000.0, t), None));
     done(&mut m, 3999.0);
     assert!(m.is_degraded());
@@ -83,7 +100,10 @@
 fn a_cold_machine_warms_and_falls_over_when_overfed_by_all_together() {
     let mut m = machine();
     m.restart(0.0);
-    assert_eq!((m.warmth(0.0), m.warmth(5000.0), m.warmth(10_000.0)), (0.25, 0.625, 1.0));
+    assert_eq!(
+        (m.warmth(0.0), m.warmth(5000.0), m.warmth(10_000.0)),
+        (0.25, 0.625, 1.0)
+    );
     // 2.5 times what half a core can do for 3 s is 3,750 ms, with a little for chance.
     for n in 0..37 {
         m.enter(n as f64, n, 100.0, n % 4 != 0);
@@ -94,10 +114,16 @@
         m.enter(40.0, n, 100.0, true);
     }
     let tipped = m.tipped().expect("it fell over");
-    assert!(tipped.sent > tipped.bears && tipped.knew_start > 0.7, "{tipped:?}");
+    assert!(
+        tipped.sent > tipped.bears && tipped.knew_start > 0.7,
+        "{tipped:?}"
+    );
     assert_eq!(m.enter(50.0, 99, 1.0, true), Admission::Full);
     m.restart(60.0);
-    assert_eq!((m.tipped(), m.enter(61.0, 1, 1.0, true)), (None, Admission::Slot));
+    assert_eq!(
+        (m.tipped(), m.enter(61.0, 1, 1.0, true)),
+        (None, Admission::Slot)
+    );
 }
 
 #[test]
--- a/lab/tests/parts/net.rs
+++ b/lab/tests/parts/net.rs
@@ -25,13 +25,19 @@
         }
     });
     for round in 0..3 {
-        let up = timeout(PATIENCE, TcpStream::connect(at)).await.expect("in time").expect("connects");
+        let up = timeout(PATIENCE, TcpStream::connect(at))
+            .await
+            .expect("in time")
+            .expect("connects");
         taken.recv().await.expect("accepted");
         drop(up);
         mode.send_replace(Manner::Silent);
         // Once it is silent, connections neither come up nor fail.
         while timeout(SOON, TcpStream::connect(at)).await.is_ok() {}
-        assert!(timeout(SOON, TcpStream::connect(at)).await.is_err(), "round {round}");
+        assert!(
+            timeout(SOON, TcpStream::connect(at)).await.is_err(),
+            "round {round}"
+        );
         if round == 1 {
             mode.send_replace(Manner::Refusing);
             loop {
@@ -64,18 +70,32 @@
     let mut byte = [0];
     link.cut(Direction::Inward);
     near.write_all(b"x").await.expect("writes");
-    far.read_exact(&mut byte).await.expect("what goes out is not cut");
+    far.read_exact(&mut byte)
+        .await
+        .expect("what goes out is not cut");
     far.write_all(b"y").await.expect("writes");
     assert!(timeout(SOON, near.read_exact(&mut byte)).await.is_err());
-    assert!(timeout(SOON, connect(at, &link)).await.is_err(), "nothing new comes up");
+    assert!(
+        timeout(SOON, connect(at, &link)).await.is_err(),
+        "nothing new comes up"
+    );
     link.cut(Direction::Inward);
     link.heal(Direction::Inward);
-    assert!(timeout(SOON, near.read_exact(&mut byte)).await.is_err(), "one of two cuts is left");
+    assert!(
+        timeout(SOON, near.read_exact(&mut byte)).await.is_err(),
+        "one of two cuts is left"
+    );
     link.heal(Direction::Inward);
-    timeout(PATIENCE, near.read_exact(&mut byte)).await.expect("in time").expect("reads");
+    timeout(PATIENCE, near.read_exact(&mut byte))
+        .await
+        .expect("in time")
+        .expect("reads");
     assert_eq!(&byte, b"y");
     link.reset();
     drop(near);
     let end = far.read(&mut byte).await;
-    assert_eq!(end.map_err(|e| e.kind()), Err(io::ErrorKind::ConnectionReset));
+    assert_eq!(
+        end.map_err(|e| e.kind()),
+        Err(io::ErrorKind::ConnectionReset)
+    );
 }
--- a/lab/tests/parts/oracle.rs
+++ b/lab/tests/parts/oracle.rs
@@ -8,10 +8,22 @@
 }
 
 fn parts() -> Parts {
-    let class = |effect| ClassRules { effect, group: Group::Cell, window: 1000.0 };
-    let place = |cell| Place { zone: 0, cell, tier: 0 };
+    let class = |effect| ClassRules {
+        effect,
+        group: Group::Cell,
+        window: 1000.0,
+    };
+    let place = |cell| Place {
+        zone: 0,
+        cell,
+        tier: 0,
+    };
     Parts {
-        classes: vec![class(Effect::Safe), class(Effect::Keyed), class(Effect::Once)],
+        classes: vec![
+            class(Effect::Safe),
+            class(Effect::Keyed),
+            class(Effect::Once),
+        ],
         places: vec![place(1), place(1), place(2)],
         balancers: vec!["b".into()],
         upstreams: vec!["u1".into(), "u2".into(), "u3".into()],
@@ -95,7 +107,16 @@
     o.ended(5.0, 3, Final::Refused);
     o.attempt(90.0, 3, 0, 1);
     o.attempt(91.0, 99, 0, 1);
-    assert_eq!(rules(&mut o), [Rule::Invented, Rule::Refused, Rule::Repeated, Rule::Foreign, Rule::AfterEnd]);
+    assert_eq!(
+        rules(&mut o),
+        [
+            Rule::Invented,
+            Rule::Refused,
+            Rule::Repeated,
+            Rule::Foreign,
+            Rule::AfterEnd
+        ]
+    );
 }
 
 #[test]
@@ -131,7 +152,10 @@
 #[test]
 fn a_key_takes_effect_once_in_its_group_and_window() {
     let mut o = oracle();
-    assert_eq!((o.effect(0.0, 5, 1, 0), o.effect(100.0, 5, 1, 1)), (false, true));
+    assert_eq!(
+        (o.effect(0.0, 5, 1, 0), o.effect(100.0, 5, 1, 1)),
+        (false, true)
+    );
     assert_eq!(o.effects_twice(), 0);
     assert!(!o.effect(200.0, 5, 1, 2));
     assert!(!o.effect(1500.0, 5, 1, 0));
@@ -152,10 +176,19 @@
 #[test]
 fn a_version_is_spoken_past_a_member_only_while_that_can_not_be_known() {
     let tier = || {
-        let limits = Limits { version_grace: 100.0, agree: Some(300.0), ..Limits::default() };
+        let limits = Limits {
+            version_grace: 100.0,
+            agree: Some(300.0),
+            ..Limits::default()
+        };
         let members = vec![(0, 0), (0, 1), (1, 0)];
         let balancers = vec!["a".into(), "b".into(), "other".into()];
-        let mut o = Oracle::new(Parts { members, limits, balancers, ..parts() });
+        let mut o = Oracle::new(Parts {
+            members,
+            limits,
+            balancers,
+            ..parts()
+        });
         (0..3).for_each(|b| o.starts(b, 0.0));
         o
     };
--- a/lab/tests/parts/state.rs
+++ b/lab/tests/parts/state.rs
@@ -18,7 +18,10 @@
         (b"1234567\xb8".to_vec(), vec![0xf8])
     );
     damage(&own, Damage::Truncated, &old, |_| 0).expect("cuts");
-    assert_eq!((fs::read(&a).expect("reads"), fs::read(&b).expect("reads")), (b"1234".to_vec(), vec![]));
+    assert_eq!(
+        (fs::read(&a).expect("reads"), fs::read(&b).expect("reads")),
+        (b"1234".to_vec(), vec![])
+    );
     damage(&own, Damage::Old, &old, |_| 0).expect("puts back");
     assert_eq!(
         (fs::read(&a).expect("reads"), fs::read(&b).expect("reads")),
--- a/lab/tests/parts/whole_file.rs
+++ b/lab/tests/parts/whole_file.rs
@@ -21,14 +21,24 @@
 #[test]
 fn files_that_differ_by_their_ending_are_replaced_at_once_without_a_mix() {
     let folder = tempfile::tempdir().expect("a folder");
-    let (config, drill) = (folder.path().join("front-1.json"), folder.path().join("front-1.drill"));
+    let (config, drill) = (
+        folder.path().join("front-1.json"),
+        folder.path().join("front-1.drill"),
+    );
     std::thread::scope(|scope| {
-        let writers = [(&config, "{}"), (&drill, "failing"), (&config, "{}"), (&drill, "failing")];
+        let writers = [
+            (&config, "{}"),
+            (&drill, "failing"),
+            (&config, "{}"),
+            (&drill, "failing"),
+        ];
         let threads = writers.map(|(path, own)| scope.spawn(move || write_and_read(path, own)));
         for thread in threads {
             assert_eq!(thread.join().expect("no panic"), Ok(()));
         }
     });
-    let left = std::fs::read_dir(folder.path()).expect("the folder").count();
+    let left = std::fs::read_dir(folder.path())
+        .expect("the folder")
+        .count();
     assert_eq!(left, 2, "nothing under way is left behind");
 }
--- a/system/control/src/agreement.rs
+++ b/system/control/src/agreement.rs
@@ -28,7 +28,11 @@
 impl Agreement {
     pub fn new(state: AgreementState) -> Agreement {
         let highest_round = state.promised.map_or(0, |ballot| ballot.0);
-        Agreement { state, round: None, highest_round }
+        Agreement {
+            state,
+            round: None,
+            highest_round,
+        }
     }
 
     /// The view that is to be agreed next.
@@ -45,7 +49,12 @@
     pub fn begin(&mut self, own_tag: u32, now: u64) -> Ballot {
         self.highest_round += 1;
         let ballot = (self.highest_round, own_tag);
-        self.round = Some(Round { ballot, started_at: now, promises: BTreeMap::new(), proposed: None });
+        self.round = Some(Round {
+            ballot,
+            started_at: now,
+            promises: BTreeMap::new(),
+            proposed: None,
+        });
         ballot
     }
 
@@ -101,8 +110,13 @@
 
     /// What must be proposed since it may have been decided already.
     pub fn bound_view(&self) -> Option<View> {
-        let accepted = self.promises.values().filter_map(|promise| promise.accepted.as_ref());
-        accepted.max_by_key(|(ballot, _)| *ballot).map(|(_, view)| view.clone())
+        let accepted = self
+            .promises
+            .values()
+            .filter_map(|promise| promise.accepted.as_ref());
+        accepted
+            .max_by_key(|(ballot, _)| *ballot)
+            .map(|(_, view)| view.clone())
     }
 
     /// The voters that have all that was committed, with the last entry on their disks.
--- a/system/control/src/catch_up.rs
+++ b/system/control/src/catch_up.rs
@@ -29,7 +29,8 @@
 
     /// Whether this replica takes entries from its source as they come.
     fn takes_entries(&self) -> bool {
-        matches!(self.chain.activity, Activity::Active | Activity::Following) && !self.agreement.sealed()
+        matches!(self.chain.activity, Activity::Active | Activity::Following)
+            && !self.agreement.sealed()
     }
 
     /// Takes note of what is committed now.
@@ -39,7 +40,11 @@
             return;
         }
         chain.committed_at.push_back((now, chain.committed));
-        while chain.committed_at.get(1).is_some_and(|(at, _)| at + CLOSE_MS <= now) {
+        while chain
+            .committed_at
+            .get(1)
+            .is_some_and(|(at, _)| at + CLOSE_MS <= now)
+        {
             chain.committed_at.pop_front();
         }
     }
@@ -48,9 +53,14 @@
     pub(crate) fn has_caught_up(&self, peer: &Peer) -> bool {
         // After a start this replica does not know yet what of its log is committed.
         let last = self.chain.log.last().index;
-        let older = self.chain.committed_at.front().map_or(last, |(_, committed)| *committed);
+        let older = self
+            .chain
+            .committed_at
+            .front()
+            .map_or(last, |(_, committed)| *committed);
         // One that knows an older view may call itself complete and be wrong.
-        let complete = peer.status.complete && peer.status.view == self.agreement.state.current.number;
+        let complete =
+            peer.status.complete && peer.status.view == self.agreement.state.current.number;
         complete || peer.status.committed >= older
     }
 
@@ -94,16 +104,26 @@
 
     /// Asks the source for what is missing, not too often.
     fn ask_source(&mut self, now: Millis) {
-        let waited = self.chain.asked_at == 0 || now >= self.chain.asked_at + self.chain.ask_again_ms;
-        let Some(source) = self.source().filter(|_| waited) else { return };
+        let waited =
+            self.chain.asked_at == 0 || now >= self.chain.asked_at + self.chain.ask_again_ms;
+        let Some(source) = self.source().filter(|_| waited) else {
+            return;
+        };
         self.chain.asked_at = now.max(1);
         self.chain.ask_again_ms = (2 * self.chain.ask_again_ms).min(ASK_MOST_MS);
         if self.ask_for_parts(source) {
             return;
         }
         let view = self.agreement.state.current.number;
-        let last = self.chain.incoming.as_ref().map_or(self.chain.log.last(), Incoming::last);
-        self.send(source.member.address, PeerMessage::Synchronize { view, last });
+        let last = self
+            .chain
+            .incoming
+            .as_ref()
+            .map_or(self.chain.log.last(), Incoming::last);
+        self.send(
+            source.member.address,
+            PeerMessage::Synchronize { view, last },
+        );
     }
 
     /// Asks the source now: what has come just now is not all.
@@ -134,14 +154,19 @@
                 }
             }
             Activity::Joining | Activity::Learning if after == self.chain.log.last().index => {
-                entries.into_iter().for_each(|entry| self.chain.log.push(entry));
+                entries
+                    .into_iter()
+                    .for_each(|entry| self.chain.log.push(entry));
                 self.hand_entries_to_disk(now);
                 if more {
                     self.ask_again_at_once(now);
                     return;
                 }
                 self.begin_to_take_entries(now);
-                if let Some(view) = self.synchronized.filter(|_| self.chain.activity == Activity::Active) {
+                if let Some(view) = self
+                    .synchronized
+                    .filter(|_| self.chain.activity == Activity::Active)
+                {
                     self.persist(vec![DurableRecord::Synchronized(view)], Vec::new(), now);
                 }
             }
--- a/system/control/src/chain.rs
+++ b/system/control/src/chain.rs
@@ -6,7 +6,8 @@
     StateMachine,
 };
 use magpiegap_protocol::{
-    Command, Entry, Fence, Millis, PeerMessage, Position, ProposalId, Replica as ReplicaId, View, WallMillis,
+    Command, Entry, Fence, Millis, PeerMessage, Position, ProposalId, Replica as ReplicaId, View,
+    WallMillis,
 };
 
 /// The head holds entries back for its disk for this long at most.
@@ -66,7 +67,11 @@
         if self.chain.activity == Activity::Active {
             self.chain.incoming = None;
             self.synchronized = Some(view.number);
-            self.persist(vec![DurableRecord::Synchronized(view.number)], Vec::new(), now);
+            self.persist(
+                vec![DurableRecord::Synchronized(view.number)],
+                Vec::new(),
+                now,
+            );
         }
         self.flush_chain(now, machine);
     }
@@ -83,12 +88,22 @@
             self.write(wall, proposal, fence, command);
             return true;
         }
-        let Some(head) = self.agreement.state.current.head() else { return false };
+        let Some(head) = self.agreement.state.current.head() else {
+            return false;
+        };
         if !self.is_active() {
             return false;
         }
         let view = self.agreement.state.current.number;
-        self.send(head.member.address, PeerMessage::Propose { view, proposal, fence, command });
+        self.send(
+            head.member.address,
+            PeerMessage::Propose {
+                view,
+                proposal,
+                fence,
+                command,
+            },
+        );
         true
     }
 
@@ -100,9 +115,17 @@
         fence: Option<Fence>,
         command: Command,
     ) {
-        let position =
-            Position { view: self.agreement.state.current.number, index: self.chain.log.last().index + 1 };
-        self.chain.log.push(Entry { position, proposal, fence, command, wall_ms: wall });
+        let position = Position {
+            view: self.agreement.state.current.number,
+            index: self.chain.log.last().index + 1,
+        };
+        self.chain.log.push(Entry {
+            position,
+            proposal,
+            fence,
+            command,
+            wall_ms: wall,
+        });
     }
 
     /// Whether the head's disk is still at work on entries: what comes meanwhile goes on together once it is done. Nothing
@@ -119,9 +142,14 @@
             return;
         }
         self.chain.handed_at = now;
-        let Some(entries) = self.chain.log.after(self.chain.handed_to_disk) else { return };
+        let Some(entries) = self.chain.log.after(self.chain.handed_to_disk) else {
+            return;
+        };
         self.chain.handed_to_disk = last;
-        let records = vec![DurableRecord::Entries(entries), DurableRecord::Committed(self.chain.committed)];
+        let records = vec![
+            DurableRecord::Entries(entries),
+            DurableRecord::Committed(self.chain.committed),
+        ];
         self.persist(records, vec![After::EntriesDurable(last)], now);
     }
 
@@ -143,14 +171,20 @@
     pub(crate) fn chain_durable(&self) -> u64 {
         match self.own_position() {
             Some(0) => self.chain.own_durable,
-            _ => self.chain.own_durable.min(self.chain.source_durable.unwrap_or(0)),
+            _ => self
+                .chain
+                .own_durable
+                .min(self.chain.source_durable.unwrap_or(0)),
         }
     }
 
     fn commit_at_tail(&mut self) {
         let committed = self.chain.committed.max(self.chain_durable());
         let news = committed > self.chain.committed_told;
-        if self.successor().is_some() || !news || !self.leaves_a_copy(&self.agreement.state.current.chain) {
+        if self.successor().is_some()
+            || !news
+            || !self.leaves_a_copy(&self.agreement.state.current.chain)
+        {
             return;
         }
         self.chain.committed = committed;
@@ -179,21 +213,37 @@
     /// Takes the tail's word on what is committed.
     pub(crate) fn learn_committed(&mut self, index: u64) {
         if self.is_active() {
-            self.chain.committed = self.chain.committed.max(index.min(self.chain.log.last().index));
+            self.chain.committed = self
+                .chain
+                .committed
+                .max(index.min(self.chain.log.last().index));
         }
     }
 
     /// Applies what is committed. After a start that may be much: while the replica does not take part it is done in
     /// parts, so that it is heard meanwhile, and most is done when the view is agreed.
     fn apply_committed(&mut self, machine: &mut dyn StateMachine) {
-        let most = if self.is_active() { u64::MAX } else { MOST_APPLIED_AT_ONCE };
-        let until = self.chain.committed.min(self.chain.applied.saturating_add(most));
+        let most = if self.is_active() {
+            u64::MAX
+        } else {
+            MOST_APPLIED_AT_ONCE
+        };
+        let until = self
+            .chain
+            .committed
+            .min(self.chain.applied.saturating_add(most));
         while self.chain.applied < until {
-            let Some(entry) = self.chain.log.get(self.chain.applied + 1) else { break };
+            let Some(entry) = self.chain.log.get(self.chain.applied + 1) else {
+                break;
+            };
             machine.apply(entry);
             self.chain.applied += 1;
         }
-        let needed = self.chain.outgoing.as_ref().map_or(u64::MAX, |outgoing| outgoing.position().index);
+        let needed = self
+            .chain
+            .outgoing
+            .as_ref()
+            .map_or(u64::MAX, |outgoing| outgoing.position().index);
         self.chain.log.trim(self.chain.applied, needed);
     }
 }
--- a/system/control/src/contact.rs
+++ b/system/control/src/contact.rs
@@ -24,7 +24,10 @@
 impl Contact {
     /// A voter had not gone on from a view when it got the heartbeat that was sent at this time.
     pub fn confirm(&mut self, voter: Member, view: u64, at: Millis) {
-        let known = self.confirmed.entry(voter).or_insert(Confirmation { view, at });
+        let known = self
+            .confirmed
+            .entry(voter)
+            .or_insert(Confirmation { view, at });
         if view > known.view {
             *known = Confirmation { view, at };
         } else if view == known.view {
@@ -35,7 +38,13 @@
     /// Until when, on our steady clock, no later view than this one can have been agreed. This replica's own vote counts
     /// as given now. Zero: that isn't known.
     pub fn confirmed_at(&self, view: &View, own: Member, now: Millis) -> Millis {
-        let confirmed = |voter: &Member| if *voter == own { now } else { self.heard_by(view, *voter) };
+        let confirmed = |voter: &Member| {
+            if *voter == own {
+                now
+            } else {
+                self.heard_by(view, *voter)
+            }
+        };
         let mut times: Vec<Millis> = view.voters.iter().map(confirmed).collect();
         times.sort_unstable_by(|one, other| other.cmp(one));
         times.get(view.majority() - 1).copied().unwrap_or(0)
@@ -43,13 +52,17 @@
 
     /// Up to when, on our steady clock, a member of the view has surely heard from us; zero: that isn't known.
     pub fn heard_by(&self, view: &View, member: Member) -> Millis {
-        let confirmed = self.confirmed.get(&member).filter(|confirmation| confirmation.view == view.number);
+        let confirmed = self
+            .confirmed
+            .get(&member)
+            .filter(|confirmation| confirmation.view == view.number);
         confirmed.map_or(0, |confirmation| confirmation.at)
     }
 
     /// Drops what those that are not of the view any more have confirmed.
     pub fn follow(&mut self, view: &View) {
         let in_chain = |member: &Member| view.chain.iter().any(|replica| replica.member == *member);
-        self.confirmed.retain(|member, _| view.voters.contains(member) || in_chain(member));
+        self.confirmed
+            .retain(|member, _| view.voters.contains(member) || in_chain(member));
     }
 }
