--- a/system/control/src/durable.rs
+++ b/system/control/src/durable.rs
@@ -86,7 +86,11 @@
         voters: Vec<magpiegap_protocol::Member>,
         state: Arc<dyn FrozenState>,
     ) -> Self {
-        let agreement = AgreementState { current: View::initial(voters), promised: None, accepted: None };
+        let agreement = AgreementState {
+            current: View::initial(voters),
+            promised: None,
+            accepted: None,
+        };
         Snapshot {
             disk,
             agreement,
@@ -109,7 +113,8 @@
             entries: self.entries.clone(),
             committed: self.committed,
         };
-        std::iter::once(encode(&head)).chain((0..self.state.parts()).map(|number| self.state.part(number)))
+        std::iter::once(encode(&head))
+            .chain((0..self.state.parts()).map(|number| self.state.part(number)))
     }
 
     /// What was kept, from the parts of a snapshot and the records that came after it.
--- a/system/control/src/followers.rs
+++ b/system/control/src/followers.rs
@@ -31,7 +31,10 @@
             return;
         }
         let log = &self.chain.log;
-        let run = log.contains(last).then(|| log.run_after(last.index, MOST_BYTES)).flatten();
+        let run = log
+            .contains(last)
+            .then(|| log.run_after(last.index, MOST_BYTES))
+            .flatten();
         let Some(Run { entries, more }) = run else {
             self.offer_state(from, now, machine);
             return;
@@ -40,13 +43,24 @@
         if !more {
             // From now on it is told what is new, and soon what is on disk.
             let told = (0, now.saturating_sub(APPEND_EVERY_MS));
-            self.chain.followers.retain(|follower| follower.replica != from);
+            self.chain
+                .followers
+                .retain(|follower| follower.replica != from);
             let sent = self.chain.log.last().index;
-            self.chain.followers.push(Follower { replica: from, sent, told });
+            self.chain.followers.push(Follower {
+                replica: from,
+                sent,
+                told,
+            });
         }
         self.send(
             from.member.address,
-            PeerMessage::MissingEntries { view, after: last.index, entries, more },
+            PeerMessage::MissingEntries {
+                view,
+                after: last.index,
+                entries,
+                more,
+            },
         );
     }
 
@@ -82,11 +96,21 @@
         let view = self.agreement.state.current.number;
         loop {
             let after = follower.sent;
-            let run = self.chain.log.run_between(after, last.max(after), MOST_BYTES);
-            let Some(Run { entries, more }) = run else { return };
+            let run = self
+                .chain
+                .log
+                .run_between(after, last.max(after), MOST_BYTES);
+            let Some(Run { entries, more }) = run else {
+                return;
+            };
             follower.sent = entries.last().map_or(after, |entry| entry.position.index);
             follower.told = (durable, now);
-            let message = PeerMessage::Append { view, after, entries, durable };
+            let message = PeerMessage::Append {
+                view,
+                after,
+                entries,
+                durable,
+            };
             self.send(follower.replica.member.address, message);
             if !more {
                 return;
--- a/system/control/src/log.rs
+++ b/system/control/src/log.rs
@@ -28,12 +28,18 @@
 impl Log {
     pub fn new(before: Position, entries: Vec<Entry>) -> Log {
         let bytes = entries.iter().map(Entry::rough_bytes).sum();
-        Log { before, entries: entries.into(), bytes }
+        Log {
+            before,
+            entries: entries.into(),
+            bytes,
+        }
     }
 
     /// The last entry's place.
     pub fn last(&self) -> Position {
-        self.entries.back().map_or(self.before, |entry| entry.position)
+        self.entries
+            .back()
+            .map_or(self.before, |entry| entry.position)
     }
 
     pub fn push(&mut self, entry: Entry) {
@@ -61,7 +67,9 @@
     /// memory.
     pub fn run_between(&self, index: u64, last: u64, most_bytes: usize) -> Option<Run> {
         let skip = usize::try_from(index.checked_sub(self.before.index)?).ok()?;
-        let until = usize::try_from(last.checked_sub(self.before.index)?).ok()?.min(self.entries.len());
+        let until = usize::try_from(last.checked_sub(self.before.index)?)
+            .ok()?
+            .min(self.entries.len());
         if skip > until {
             return None;
         }
@@ -84,7 +92,10 @@
 
     /// Whether this very entry is, or was, at this place.
     pub fn contains(&self, position: Position) -> bool {
-        position == self.before || self.get(position.index).is_some_and(|entry| entry.position == position)
+        position == self.before
+            || self
+                .get(position.index)
+                .is_some_and(|entry| entry.position == position)
     }
 
     /// Lets go of entries that were applied long ago, and of more of them where they take up much room, but of none after
--- a/system/control/src/membership.rs
+++ b/system/control/src/membership.rs
@@ -47,7 +47,11 @@
     /// Replaces the addresses at which others may be found.
     pub fn set_seeds(&mut self, seeds: &[u32]) {
         let own = self.own.member.address;
-        self.seeds = seeds.iter().copied().filter(|address| *address != own).collect();
+        self.seeds = seeds
+            .iter()
+            .copied()
+            .filter(|address| *address != own)
+            .collect();
     }
 
     /// Takes up the addresses of a view. Those of members that it has left out are forgotten once they fall silent.
@@ -55,7 +59,10 @@
         let voters = view.voters.iter().map(|member| member.address);
         let chain = view.chain.iter().map(|replica| replica.member.address);
         let own = self.own.member.address;
-        self.of_view = voters.chain(chain).filter(|address| *address != own).collect();
+        self.of_view = voters
+            .chain(chain)
+            .filter(|address| *address != own)
+            .collect();
     }
 
     /// Whether too few of the view are heard, so that the seeds are asked too.
@@ -73,7 +80,11 @@
     /// The addresses on the ring, without this replica's own.
     fn ring(&self, now: Millis) -> BTreeSet<u32> {
         let is_near = |peer: &&Peer| now.saturating_sub(peer.last_heard) <= OUTSIDER_MS;
-        let heard = self.peers.values().filter(is_near).map(|peer| peer.replica.member.address);
+        let heard = self
+            .peers
+            .values()
+            .filter(is_near)
+            .map(|peer| peer.replica.member.address);
         let mut ring: BTreeSet<u32> = self.of_view.iter().copied().chain(heard).collect();
         if self.is_seeking(now) {
             ring.extend(&self.seeds);
@@ -93,12 +104,17 @@
 
     /// Takes a heartbeat. Returns whether it is the first one from this life of the replica.
     pub fn hear(&mut self, from: Replica, heartbeat: &Heartbeat, now: Millis) -> bool {
-        let known =
-            self.peers.get(&from.member).is_some_and(|peer| peer.replica == from && peer.direct.is_some());
+        let known = self
+            .peers
+            .get(&from.member)
+            .is_some_and(|peer| peer.replica == from && peer.direct.is_some());
         self.record(from, now, heartbeat.into(), now);
         let own = self.own;
-        let hears_us =
-            heartbeat.heard.iter().find(|report| report.replica == own).map(|report| report.age_ms);
+        let hears_us = heartbeat
+            .heard
+            .iter()
+            .find(|report| report.replica == own)
+            .map(|report| report.age_ms);
         let suspect_ms = self.suspect_ms;
         if let Some(peer) = self.peers.get_mut(&from.member) {
             peer.direct = Some(now);
@@ -109,7 +125,9 @@
             }
         }
         let connected = heartbeat.heard.iter().filter(|report| report.both_ways);
-        let connected = connected.map(|report| report.replica.member.address).collect();
+        let connected = connected
+            .map(|report| report.replica.member.address)
+            .collect();
         self.connected.insert(from.member, connected);
         for report in &heartbeat.heard {
             if report.replica.member != own.member && report.age_ms < suspect_ms {
@@ -146,7 +164,14 @@
     /// Reports for a heartbeat.
     pub fn reports(&self, now: Millis) -> Vec<PeerReport> {
         let report = |peer: &Peer| {
-            let Status { view, serving, unfit, complete, committed, location } = peer.status;
+            let Status {
+                view,
+                serving,
+                unfit,
+                complete,
+                committed,
+                location,
+            } = peer.status;
             PeerReport {
                 replica: peer.replica,
                 age_ms: now.saturating_sub(peer.last_heard),
@@ -172,7 +197,9 @@
         };
         let heard = |peer: &&Peer| {
             now.saturating_sub(peer.last_heard) <= self.suspect_ms
-                && peer.refused_at.is_none_or(|refused| peer.last_heard > refused)
+                && peer
+                    .refused_at
+                    .is_none_or(|refused| peer.last_heard > refused)
                 && both_ways(peer)
         };
         let mut newest: BTreeMap<u32, Peer> = BTreeMap::new();
@@ -220,9 +247,15 @@
 
     /// The middle one of the times of day of all that are heard, with this replica's own.
     pub fn median_wall(&self, own_wall: WallMillis, now: Millis) -> WallMillis {
-        let recent =
-            |peer: &&Peer| peer.direct.is_some_and(|at| now.saturating_sub(at) <= 2 * self.suspect_ms);
-        let heard = self.peers.values().filter(recent).filter_map(|peer| peer.wall_offset);
+        let recent = |peer: &&Peer| {
+            peer.direct
+                .is_some_and(|at| now.saturating_sub(at) <= 2 * self.suspect_ms)
+        };
+        let heard = self
+            .peers
+            .values()
+            .filter(recent)
+            .filter_map(|peer| peer.wall_offset);
         let mut walls: Vec<i64> = heard.map(|offset| offset + now as i64).collect();
         walls.push(own_wall as i64);
         walls.sort_unstable();
@@ -232,22 +265,28 @@
 
     /// Whether this very process was heard lately.
     pub fn is_heard(&self, replica: &Replica, now: Millis) -> bool {
-        self.peers
-            .get(&replica.member)
-            .is_some_and(|peer| peer.replica == *replica && self.is_recent(Some(peer.last_heard), now))
+        self.peers.get(&replica.member).is_some_and(|peer| {
+            peer.replica == *replica && self.is_recent(Some(peer.last_heard), now)
+        })
     }
 
     /// A connection to an address was refused: most likely the process there has ended. What was heard until now counts
     /// no more for who is there; it proves nothing, and nothing else rests on it.
     pub fn connection_refused(&mut self, address: u32, now: Millis) {
-        for peer in self.peers.values_mut().filter(|peer| peer.replica.member.address == address) {
+        for peer in self
+            .peers
+            .values_mut()
+            .filter(|peer| peer.replica.member.address == address)
+        {
             peer.refused_at = Some(now);
         }
     }
 
     /// Drops what is known of replicas that were not heard for long.
     pub fn forget(&mut self, now: Millis) {
-        self.peers.retain(|_, peer| now.saturating_sub(peer.last_heard) < FORGET_MS);
-        self.connected.retain(|member, _| self.peers.contains_key(member));
+        self.peers
+            .retain(|_, peer| now.saturating_sub(peer.last_heard) < FORGET_MS);
+        self.connected
+            .retain(|member, _| self.peers.contains_key(member));
     }
 }
--- a/system/control/src/peer.rs
+++ b/system/control/src/peer.rs
@@ -20,15 +20,45 @@
 
 impl From<&Heartbeat> for Status {
     fn from(heartbeat: &Heartbeat) -> Status {
-        let Heartbeat { view, serving, unfit, complete, committed, location, .. } = *heartbeat;
-        Status { view, serving, unfit, complete, committed, location }
+        let Heartbeat {
+            view,
+            serving,
+            unfit,
+            complete,
+            committed,
+            location,
+            ..
+        } = *heartbeat;
+        Status {
+            view,
+            serving,
+            unfit,
+            complete,
+            committed,
+            location,
+        }
     }
 }
 
 impl From<&PeerReport> for Status {
     fn from(report: &PeerReport) -> Status {
-        let PeerReport { view, serving, unfit, complete, committed, location, .. } = *report;
-        Status { view, serving, unfit, complete, committed, location }
+        let PeerReport {
+            view,
+            serving,
+            unfit,
+            complete,
+            committed,
+            location,
+            ..
+        } = *report;
+        Status {
+            view,
+            serving,
+            unfit,
+            complete,
+            committed,
+            location,
+        }
     }
 }
 
--- a/system/control/src/replica.rs
+++ b/system/control/src/replica.rs
@@ -103,7 +103,10 @@
         let log = Log::new(durable.applied, durable.entries.clone());
         let last = log.last().index;
         let mut chain = Chain::new(log, durable.applied);
-        chain.committed = durable.committed.min(chain.log.last().index).max(durable.applied.index);
+        chain.committed = durable
+            .committed
+            .min(chain.log.last().index)
+            .max(durable.applied.index);
         if durable.agreement.current.number > 0 {
             // This life of the process is in no chain yet.
             chain.activity = Activity::Learning;
@@ -130,7 +133,10 @@
             settings,
         };
         let ticket = replica.ticket(vec![After::EntriesDurable(last), After::Started], now);
-        replica.out.push(Output::Checkpoint { ticket, snapshot: Box::new(durable) });
+        replica.out.push(Output::Checkpoint {
+            ticket,
+            snapshot: Box::new(durable),
+        });
         replica
     }
 
@@ -196,7 +202,9 @@
     /// was committed then: it is the tail, or the tail has told it since.
     pub fn is_informed(&self, now: Millis) -> bool {
         let told_at = match self.view().tail() {
-            Some(tail) if tail != self.settings.own => self.contact.heard_by(self.view(), tail.member),
+            Some(tail) if tail != self.settings.own => {
+                self.contact.heard_by(self.view(), tail.member)
+            }
             _ => now,
         };
         let informed_at = self.confirmed_at(now).min(told_at);
@@ -205,12 +213,14 @@
 
     /// Until when this replica's view was surely the newest one; zero: that isn't known.
     pub fn confirmed_at(&self, now: Millis) -> Millis {
-        self.contact.confirmed_at(self.view(), self.settings.own.member, now)
+        self.contact
+            .confirmed_at(self.view(), self.settings.own.member, now)
     }
 
     /// Whether this replica is at work in its view, or waits for its predecessor there.
     pub(crate) fn serving(&self) -> bool {
-        matches!(self.chain.activity, Activity::Joining | Activity::Active) && !self.agreement.sealed()
+        matches!(self.chain.activity, Activity::Joining | Activity::Active)
+            && !self.agreement.sealed()
     }
 
     /// Whether this replica can't take part for now.
@@ -237,7 +247,11 @@
 
     fn ticket(&mut self, after: Vec<After>, now: Millis) -> u64 {
         self.next_ticket += 1;
-        self.tickets.push_back(Ticket { number: self.next_ticket, issued_at: now, after });
+        self.tickets.push_back(Ticket {
+            number: self.next_ticket,
+            issued_at: now,
+            after,
+        });
         self.next_ticket
     }
 
@@ -250,7 +264,9 @@
     /// Entries that are still on their way to the disk are not those of the log any more.
     pub(crate) fn forget_entries_under_way(&mut self) {
         for ticket in &mut self.tickets {
-            ticket.after.retain(|after| !matches!(after, After::EntriesDurable(_)));
+            ticket
+                .after
+                .retain(|after| !matches!(after, After::EntriesDurable(_)));
         }
     }
 
@@ -269,7 +285,10 @@
         };
         self.chain.handed_to_disk = last;
         let ticket = self.ticket(vec![After::EntriesDurable(last)], now);
-        self.out.push(Output::Checkpoint { ticket, snapshot: Box::new(snapshot) });
+        self.out.push(Output::Checkpoint {
+            ticket,
+            snapshot: Box::new(snapshot),
+        });
     }
 }
 
--- a/system/control/src/state_transfer.rs
+++ b/system/control/src/state_transfer.rs
@@ -29,15 +29,27 @@
 
 impl Replica {
     /// Offers another replica the whole state.
-    pub(crate) fn offer_state(&mut self, to: ReplicaId, now: Millis, machine: &mut dyn StateMachine) {
+    pub(crate) fn offer_state(
+        &mut self,
+        to: ReplicaId,
+        now: Millis,
+        machine: &mut dyn StateMachine,
+    ) {
         let of_use = |outgoing: &Outgoing| self.chain.log.has_all_after(outgoing.position().index);
         let state = match self.chain.outgoing.take().filter(of_use) {
             Some(outgoing) => outgoing.state,
             None => machine.freeze(),
         };
         let view = self.view().number;
-        let offer = PeerMessage::StateOffer { view, position: state.position(), parts: state.parts() };
-        self.chain.outgoing = Some(Outgoing { state, asked_at: now });
+        let offer = PeerMessage::StateOffer {
+            view,
+            position: state.position(),
+            parts: state.parts(),
+        };
+        self.chain.outgoing = Some(Outgoing {
+            state,
+            asked_at: now,
+        });
         self.send(to.member.address, offer);
     }
 
@@ -53,14 +65,25 @@
         if !self.is_source_of(&to) || !self.is_active() {
             return;
         }
-        let Some(outgoing) = self.chain.outgoing.as_mut().filter(|known| known.position() == position) else {
+        let Some(outgoing) = self
+            .chain
+            .outgoing
+            .as_mut()
+            .filter(|known| known.position() == position)
+        else {
             self.offer_state(to, now, machine);
             return;
         };
         outgoing.asked_at = now;
         let bytes = outgoing.state.part(number);
         let (view, checksum) = (self.view().number, fnv1a(&bytes));
-        let part = PeerMessage::StatePart { view, position, number, checksum, bytes };
+        let part = PeerMessage::StatePart {
+            view,
+            position,
+            number,
+            checksum,
+            bytes,
+        };
         self.send(to.member.address, part);
     }
 
@@ -88,7 +111,11 @@
         if !is_news {
             return;
         }
-        let known = self.chain.incoming.as_ref().map(|incoming| (incoming.position, incoming.parts));
+        let known = self
+            .chain
+            .incoming
+            .as_ref()
+            .map(|incoming| (incoming.position, incoming.parts));
         if known != Some((position, parts)) {
             machine.begin_restore();
             self.chain.incoming = Some(Incoming::new(position, parts));
@@ -98,7 +125,12 @@
 
     /// Asks for what is missing of the state that is being built up; `false` when there is none, or all of it is there.
     pub(crate) fn ask_for_parts(&mut self, source: ReplicaId) -> bool {
-        let Some(incoming) = self.chain.incoming.as_ref().filter(|incoming| !incoming.is_whole()) else {
+        let Some(incoming) = self
+            .chain
+            .incoming
+            .as_ref()
+            .filter(|incoming| !incoming.is_whole())
+        else {
             return false;
         };
         let (position, next) = (incoming.position, incoming.next);
@@ -111,7 +143,14 @@
 
     fn ask_for_part(&mut self, source: ReplicaId, position: Position, number: u32) {
         let view = self.view().number;
-        self.send(source.member.address, PeerMessage::AskPart { view, position, number });
+        self.send(
+            source.member.address,
+            PeerMessage::AskPart {
+                view,
+                position,
+                number,
+            },
+        );
     }
 
     /// Takes the next part of the state.
@@ -122,14 +161,24 @@
         now: Millis,
         machine: &mut dyn StateMachine,
     ) {
-        let Part { position, number, checksum, ref bytes } = *part;
-        let Some(incoming) = self.chain.incoming.as_mut() else { return };
+        let Part {
+            position,
+            number,
+            checksum,
+            ref bytes,
+        } = *part;
+        let Some(incoming) = self.chain.incoming.as_mut() else {
+            return;
+        };
         if incoming.position != position || incoming.next != number || incoming.is_whole() {
             return;
         }
         if fnv1a(bytes) != checksum || !machine.add_part(bytes) {
             self.chain.incoming = None;
-            self.log(format!("part {number} of the state of {} can't be read", from.member));
+            self.log(format!(
+                "part {number} of the state of {} can't be read",
+                from.member
+            ));
             return;
         }
         incoming.next += 1;
@@ -153,7 +202,12 @@
         now: Millis,
         machine: &mut dyn StateMachine,
     ) -> bool {
-        let Some(incoming) = self.chain.incoming.as_mut().filter(|incoming| incoming.is_whole()) else {
+        let Some(incoming) = self
+            .chain
+            .incoming
+            .as_mut()
+            .filter(|incoming| incoming.is_whole())
+        else {
             return false;
         };
         if after != incoming.last().index {
@@ -170,7 +224,9 @@
 
     /// Puts the state that was built up, and the entries after it, into the place of what this replica had.
     fn install(&mut self, now: Millis, machine: &mut dyn StateMachine) {
-        let Some(incoming) = self.chain.incoming.take() else { return };
+        let Some(incoming) = self.chain.incoming.take() else {
+            return;
+        };
         if !machine.finish_restore(incoming.position) {
             self.log("the state that was told is not whole".to_owned());
             return;
--- a/system/control/src/steps.rs
+++ b/system/control/src/steps.rs
@@ -51,7 +51,9 @@
             PeerMessage::Promise(promise) => self.promised(from, promise, now),
             PeerMessage::Reject { number, promised } => self.rejected(number, promised, now),
             PeerMessage::Accept { ballot, view } => self.accept_view(from, ballot, &view, now),
-            PeerMessage::Accepted { number, ballot } => self.accepted(from, number, ballot, now, machine),
+            PeerMessage::Accepted { number, ballot } => {
+                self.accepted(from, number, ballot, now, machine)
+            }
             PeerMessage::Decided(view) => self.decided(&view, now, machine),
             message => self.receive_in_chain(now, wall, from, message, machine),
         }
@@ -69,28 +71,67 @@
         let current = self.view().number;
         let from_source = self.source() == Some(from);
         match message {
-            PeerMessage::Append { view, after, entries, durable } if view == current && from_source => {
+            PeerMessage::Append {
+                view,
+                after,
+                entries,
+                durable,
+            } if view == current && from_source => {
                 self.append(after, entries, durable, now);
             }
-            PeerMessage::Committed { view, index } if view == current => self.learn_committed(index),
+            PeerMessage::Committed { view, index } if view == current => {
+                self.learn_committed(index)
+            }
             PeerMessage::Synchronize { view, last } if view == current => {
                 self.give_missing(from, last, now, machine)
             }
-            PeerMessage::MissingEntries { view, after, entries, more } if view == current && from_source => {
+            PeerMessage::MissingEntries {
+                view,
+                after,
+                entries,
+                more,
+            } if view == current && from_source => {
                 self.take_missing(after, entries, more, now, machine);
             }
-            PeerMessage::StateOffer { view, position, parts } if view == current && from_source => {
+            PeerMessage::StateOffer {
+                view,
+                position,
+                parts,
+            } if view == current && from_source => {
                 self.take_offer(position, parts, now, machine);
             }
-            PeerMessage::AskPart { view, position, number } if view == current => {
+            PeerMessage::AskPart {
+                view,
+                position,
+                number,
+            } if view == current => {
                 self.give_part(from, position, number, now, machine);
             }
-            PeerMessage::StatePart { view, position, number, checksum, bytes }
-                if view == current && from_source =>
-            {
-                self.take_part(from, &Part { position, number, checksum, bytes }, now, machine);
+            PeerMessage::StatePart {
+                view,
+                position,
+                number,
+                checksum,
+                bytes,
+            } if view == current && from_source => {
+                self.take_part(
+                    from,
+                    &Part {
+                        position,
+                        number,
+                        checksum,
+                        bytes,
+                    },
+                    now,
+                    machine,
+                );
             }
-            PeerMessage::Propose { view, proposal, fence, command } if view == current && self.is_head() => {
+            PeerMessage::Propose {
+                view,
+                proposal,
+                fence,
+                command,
+            } if view == current && self.is_head() => {
                 self.write(wall, proposal, fence, command);
             }
             // Of another view, or not for this layer.
@@ -105,8 +146,14 @@
 
     /// Disk work up to this ticket is done.
     pub fn persisted(&mut self, ticket: u64, now: Millis, machine: &mut dyn StateMachine) {
-        while self.tickets.front().is_some_and(|front| front.number <= ticket) {
-            let Some(done) = self.tickets.pop_front() else { break };
+        while self
+            .tickets
+            .front()
+            .is_some_and(|front| front.number <= ticket)
+        {
+            let Some(done) = self.tickets.pop_front() else {
+                break;
+            };
             self.judge_disk(done.issued_at, now);
             for after in done.after {
                 match after {
@@ -139,8 +186,11 @@
     /// Takes note of the echo of an own heartbeat, when its sender has not gone on from the view that it knows.
     fn note_contact(&mut self, from: ReplicaId, heartbeat: &Heartbeat) {
         let own = self.settings.own;
-        let echo =
-            heartbeat.heard.iter().find(|report| report.replica == own).map_or(0, |report| report.echo);
+        let echo = heartbeat
+            .heard
+            .iter()
+            .find(|report| report.replica == own)
+            .map_or(0, |report| report.echo);
         if echo > 0 && !heartbeat.sealed {
             self.contact.confirm(from.member, heartbeat.view, echo);
         }
@@ -151,7 +201,9 @@
     fn heartbeat_interval(&self, now: Millis) -> Millis {
         let told = self.membership.monitors(now).len() as u64;
         let spread = told * 1000 / MOST_HEARTBEATS_PER_S;
-        spread.min(self.settings.suspect_ms / LEAST_HEARTBEATS_PER_SUSPICION).max(self.settings.heartbeat_ms)
+        spread
+            .min(self.settings.suspect_ms / LEAST_HEARTBEATS_PER_SUSPICION)
+            .max(self.settings.heartbeat_ms)
     }
 
     fn send_heartbeats(&mut self, now: Millis, own_wall: WallMillis) {
--- a/system/control/src/time_of_day.rs
+++ b/system/control/src/time_of_day.rs
@@ -35,12 +35,20 @@
         u64::try_from(now as Offset + offset).unwrap_or(0)
     }
 
-    fn follows(&mut self, now: Millis, first_read: Millis, believed: Offset, shown: Offset) -> bool {
+    fn follows(
+        &mut self,
+        now: Millis,
+        first_read: Millis,
+        believed: Offset,
+        shown: Offset,
+    ) -> bool {
         if shown.abs_diff(believed) <= JUMP_MS || now < first_read + YOUNG_MS {
             return true;
         }
         match self.jumped {
-            Some((since, jumped)) if jumped.abs_diff(shown) <= JUMP_MS => now >= since + CORRECTION_AFTER_MS,
+            Some((since, jumped)) if jumped.abs_diff(shown) <= JUMP_MS => {
+                now >= since + CORRECTION_AFTER_MS
+            }
             _ => {
                 self.jumped = Some((now, shown));
                 false
--- a/system/control/src/tolerance.rs
+++ b/system/control/src/tolerance.rs
@@ -16,7 +16,11 @@
 impl Tolerance {
     /// A tolerance of machines only.
     pub fn of_machines(machines: usize) -> Tolerance {
-        Tolerance { machines, zones: 0, regions: 0 }
+        Tolerance {
+            machines,
+            zones: 0,
+            regions: 0,
+        }
     }
 
     /// Whether of replicas that stand there one is left after any loss. Those of unknown places count as in one place.
@@ -31,7 +35,10 @@
     pub fn leaves_a_majority(&self, locations: &[Location]) -> bool {
         let majority = locations.len() / 2 + 1;
         let zones = largest(count_by(locations, |location| location.zone), self.zones);
-        let regions = largest(count_by(locations, |location| location.region), self.regions);
+        let regions = largest(
+            count_by(locations, |location| location.region),
+            self.regions,
+        );
         let lost = self.machines.max(zones).max(regions);
         locations.len().saturating_sub(lost) >= majority
     }
@@ -42,7 +49,10 @@
     }
 }
 
-fn count_by(locations: &[Location], place: impl Fn(&Location) -> PlaceId) -> BTreeMap<PlaceId, usize> {
+fn count_by(
+    locations: &[Location],
+    place: impl Fn(&Location) -> PlaceId,
+) -> BTreeMap<PlaceId, usize> {
     let mut counts = BTreeMap::new();
     for location in locations {
         *counts.entry(place(location)).or_insert(0) += 1;
--- a/system/control/src/transfers.rs
+++ b/system/control/src/transfers.rs
@@ -34,7 +34,12 @@
 impl Incoming {
     /// A state of which nothing has come yet.
     pub fn new(position: Position, parts: u32) -> Incoming {
-        Incoming { position, parts, next: 0, entries: Vec::new() }
+        Incoming {
+            position,
+            parts,
+            next: 0,
+            entries: Vec::new(),
+        }
     }
 
     /// Whether all of the state is there.
@@ -44,7 +49,9 @@
 
     /// The last entry that is there.
     pub fn last(&self) -> Position {
-        self.entries.last().map_or(self.position, |entry| entry.position)
+        self.entries
+            .last()
+            .map_or(self.position, |entry| entry.position)
     }
 
     /// Forgets the entries: another source may not have those that are not committed.
--- a/system/control/src/view_change.rs
+++ b/system/control/src/view_change.rs
@@ -22,7 +22,12 @@
 impl Replica {
     /// Proposes the next view when one is needed and it is this replica's turn.
     pub(crate) fn check_view(&mut self, now: Millis) {
-        if self.agreement.round.as_ref().is_some_and(|round| now < round.started_at + ROUND_TIMEOUT_MS) {
+        if self
+            .agreement
+            .round
+            .as_ref()
+            .is_some_and(|round| now < round.started_at + ROUND_TIMEOUT_MS)
+        {
             self.propose_view(now);
             return;
         }
@@ -33,7 +38,9 @@
             return;
         };
         let needed_since = *self.needed_since.get_or_insert(now);
-        let Some(rank) = self.proposer_rank(&alive) else { return };
+        let Some(rank) = self.proposer_rank(&alive) else {
+            return;
+        };
         if now >= needed_since + rank * RANK_DELAY_MS && now >= self.next_round_at {
             self.begin_round(&reason, now);
         }
@@ -42,7 +49,10 @@
     /// Why another view is needed; `None`: it is not.
     fn view_needed(&self, alive: &[ReplicaId], now: Millis) -> Option<ViewReason> {
         let current = &self.agreement.state.current;
-        let voters = alive.iter().filter(|replica| current.voters.contains(&replica.member)).count();
+        let voters = alive
+            .iter()
+            .filter(|replica| current.voters.contains(&replica.member))
+            .count();
         if voters < current.majority() {
             return None;
         }
@@ -79,14 +89,20 @@
     /// others are there: they know better who can take part.
     fn proposer_rank(&self, alive: &[ReplicaId]) -> Option<u64> {
         let current = &self.agreement.state.current;
-        let mut candidates: Vec<ReplicaId> =
-            alive.iter().copied().filter(|replica| current.voters.contains(&replica.member)).collect();
-        candidates.sort_by_key(|replica| (current.position(replica).unwrap_or(usize::MAX), *replica));
+        let mut candidates: Vec<ReplicaId> = alive
+            .iter()
+            .copied()
+            .filter(|replica| current.voters.contains(&replica.member))
+            .collect();
+        candidates
+            .sort_by_key(|replica| (current.position(replica).unwrap_or(usize::MAX), *replica));
         let first = candidates.first()?;
         if current.position(first).is_some() && self.own_position().is_none() {
             return None;
         }
-        let own = candidates.iter().position(|replica| *replica == self.settings.own)?;
+        let own = candidates
+            .iter()
+            .position(|replica| *replica == self.settings.own)?;
         Some(own as u64)
     }
 
@@ -107,17 +123,31 @@
     }
 
     /// A proposer asks for the agreement on the next view.
-    pub(crate) fn prepare(&mut self, from: ReplicaId, number: u64, ballot: (u64, u32), now: Millis) {
+    pub(crate) fn prepare(
+        &mut self,
+        from: ReplicaId,
+        number: u64,
+        ballot: (u64, u32),
+        now: Millis,
+    ) {
         if !self.takes_part(from, number) {
             return;
         }
         match self.agreement.promise(ballot) {
             Ok(accepted) => {
                 let complete = self.is_complete().then(|| self.chain.log.last());
-                let promise = PeerMessage::Promise(Promise { number, ballot, accepted, complete });
+                let promise = PeerMessage::Promise(Promise {
+                    number,
+                    ballot,
+                    accepted,
+                    complete,
+                });
                 self.persist_agreement(vec![After::Send(from.member.address, promise)], now);
             }
-            Err(promised) => self.send(from.member.address, PeerMessage::Reject { number, promised }),
+            Err(promised) => self.send(
+                from.member.address,
+                PeerMessage::Reject { number, promised },
+            ),
         }
     }
 
@@ -139,7 +169,9 @@
     pub(crate) fn promised(&mut self, from: ReplicaId, promise: Promise, now: Millis) {
         let number = self.agreement.next_number();
         let voter = self.agreement.state.current.voters.contains(&from.member);
-        let Some(round) = self.agreement.round.as_mut() else { return };
+        let Some(round) = self.agreement.round.as_mut() else {
+            return;
+        };
         if promise.number != number || promise.ballot != round.ballot || !voter {
             return;
         }
@@ -151,11 +183,16 @@
     fn propose_view(&mut self, now: Millis) {
         let current = self.agreement.state.current.clone();
         let alive = self.alive(now);
-        let Some(round) = self.agreement.round.as_ref() else { return };
+        let Some(round) = self.agreement.round.as_ref() else {
+            return;
+        };
         if round.proposed.is_some() || !round.has_majority(&current) {
             return;
         }
-        let expected = alive.iter().filter(|replica| current.voters.contains(&replica.member)).count();
+        let expected = alive
+            .iter()
+            .filter(|replica| current.voters.contains(&replica.member))
+            .count();
         if round.promises.len() < expected && now < round.started_at + PROMISE_WAIT_MS {
             return;
         }
@@ -170,7 +207,13 @@
     }
 
     /// A proposer asks to accept a view.
-    pub(crate) fn accept_view(&mut self, from: ReplicaId, ballot: (u64, u32), view: &View, now: Millis) {
+    pub(crate) fn accept_view(
+        &mut self,
+        from: ReplicaId,
+        ballot: (u64, u32),
+        view: &View,
+        now: Millis,
+    ) {
         if !self.takes_part(from, view.number) {
             return;
         }
@@ -180,7 +223,10 @@
                 let accepted = PeerMessage::Accepted { number, ballot };
                 self.persist_agreement(vec![After::Send(from.member.address, accepted)], now);
             }
-            Err(promised) => self.send(from.member.address, PeerMessage::Reject { number, promised }),
+            Err(promised) => self.send(
+                from.member.address,
+                PeerMessage::Reject { number, promised },
+            ),
         }
     }
 
@@ -198,10 +244,17 @@
             return;
         }
         let majority = current.majority();
-        let Some(round) = self.agreement.round.as_mut().filter(|round| round.ballot == ballot) else {
+        let Some(round) = self
+            .agreement
+            .round
+            .as_mut()
+            .filter(|round| round.ballot == ballot)
+        else {
+            return;
+        };
+        let Some((view, accepted)) = round.proposed.as_mut() else {
             return;
         };
-        let Some((view, accepted)) = round.proposed.as_mut() else { return };
         accepted.insert(from.member);
         if accepted.len() >= majority {
             let view = view.clone();
@@ -211,8 +264,11 @@
     }
 
     fn announce(&mut self, view: &View, now: Millis) {
-        let mut addresses: BTreeSet<u32> =
-            self.peers_there(now).iter().map(|p| p.replica.member.address).collect();
+        let mut addresses: BTreeSet<u32> = self
+            .peers_there(now)
+            .iter()
+            .map(|p| p.replica.member.address)
+            .collect();
         addresses.extend(view.voters.iter().map(|voter| voter.address));
         addresses.extend(view.chain.iter().map(|replica| replica.member.address));
         addresses.remove(&self.settings.own.member.address);
@@ -227,7 +283,12 @@
             return;
         }
         self.agreement.highest_round = self.agreement.highest_round.max(promised.0);
-        if self.agreement.round.as_ref().is_some_and(|round| round.ballot < promised) {
+        if self
+            .agreement
+            .round
+            .as_ref()
+            .is_some_and(|round| round.ballot < promised)
+        {
             self.agreement.round = None;
             self.next_round_at = now + ROUND_TIMEOUT_MS / 2 + self.random.gen_range(0..200);
         }
@@ -255,6 +316,10 @@
 }
 
 fn describe(view: &View) -> String {
-    let chain: Vec<String> = view.chain.iter().map(|replica| replica.member.to_string()).collect();
+    let chain: Vec<String> = view
+        .chain
+        .iter()
+        .map(|replica| replica.member.to_string())
+        .collect();
     format!("chain {}, {} voters", chain.join(" > "), view.voters.len())
 }
--- a/system/control/src/view_members.rs
+++ b/system/control/src/view_members.rs
@@ -1,6 +1,8 @@
 //! With whom the next view is formed.
 use crate::{chain_state::Activity, membership::Membership, peer::Peer, replica::Replica};
-use magpiegap_protocol::{Location, Member, MemberLocation, Millis, Position, Replica as ReplicaId, View};
+use magpiegap_protocol::{
+    Location, Member, MemberLocation, Millis, Position, Replica as ReplicaId, View,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// More voters than this make agreement slow.
@@ -10,18 +12,25 @@
     /// Whether this replica's disk has all that was committed so far.
     pub(crate) fn is_complete(&self) -> bool {
         let current = &self.agreement.state.current;
-        self.synchronized.is_some_and(|view| current.complete_since(view, &self.settings.own.member))
+        self.synchronized
+            .is_some_and(|view| current.complete_since(view, &self.settings.own.member))
     }
 
     /// All that are there and can take part, this replica included. Those that can't for now count where there would
     /// be too few without them: a slow disk is better than none.
     pub(crate) fn alive(&self, now: Millis) -> Vec<ReplicaId> {
-        let mut there: Vec<(ReplicaId, bool)> =
-            self.peers_there(now).iter().map(|peer| (peer.replica, peer.status.unfit)).collect();
+        let mut there: Vec<(ReplicaId, bool)> = self
+            .peers_there(now)
+            .iter()
+            .map(|peer| (peer.replica, peer.status.unfit))
+            .collect();
         there.push((self.settings.own, self.unfit(now)));
         there.sort_unstable();
-        let fit: Vec<ReplicaId> =
-            there.iter().filter(|(_, unfit)| !unfit).map(|(replica, _)| *replica).collect();
+        let fit: Vec<ReplicaId> = there
+            .iter()
+            .filter(|(_, unfit)| !unfit)
+            .map(|(replica, _)| *replica)
+            .collect();
         if self.leaves_a_copy(&fit) {
             return fit;
         }
@@ -35,14 +44,26 @@
         let own = self.settings.own;
         let caught_up = |replica: &ReplicaId| match *replica == own {
             true => self.is_complete() || self.chain.activity == Activity::Following,
-            false => self.membership.peer(&replica.member).is_some_and(|peer| self.has_caught_up(peer)),
+            false => self
+                .membership
+                .peer(&replica.member)
+                .is_some_and(|peer| self.has_caught_up(peer)),
         };
-        let mut ready: Vec<ReplicaId> =
-            alive.iter().copied().filter(|replica| chain.contains(replica)).collect();
+        let mut ready: Vec<ReplicaId> = alive
+            .iter()
+            .copied()
+            .filter(|replica| chain.contains(replica))
+            .collect();
         let chain_goes_on = !ready.is_empty();
-        for newcomer in alive.iter().filter(|replica| !chain.contains(replica) && caught_up(replica)) {
+        for newcomer in alive
+            .iter()
+            .filter(|replica| !chain.contains(replica) && caught_up(replica))
+        {
             // One that some of the chain does not hear would be left out again at once.
-            let connected = *newcomer == own || self.membership.says_connected(&newcomer.member, &ready, now);
+            let connected = *newcomer == own
+                || self
+                    .membership
+                    .says_connected(&newcomer.member, &ready, now);
             if connected || !chain_goes_on {
                 ready.push(*newcomer);
             }
@@ -59,15 +80,17 @@
         let heard = self.membership.heard(now);
         let current = &self.agreement.state.current;
         let is_back = |voter: &Member| {
-            *voter == self.settings.own.member || heard.iter().any(|peer| peer.replica.member == *voter)
+            *voter == self.settings.own.member
+                || heard.iter().any(|peer| peer.replica.member == *voter)
         };
         let all_back = current.voters.iter().all(is_back);
         let served = self.serving() || heard.iter().any(|peer| peer.status.serving);
         if all_back && !served {
             return heard;
         }
-        let belongs =
-            |peer: &Peer| Membership::has_settled(peer, now) || current.chain.contains(&peer.replica);
+        let belongs = |peer: &Peer| {
+            Membership::has_settled(peer, now) || current.chain.contains(&peer.replica)
+        };
         heard.into_iter().filter(belongs).collect()
     }
 
@@ -84,12 +107,18 @@
         let newest = chain.iter().filter_map(last).max()?;
         chain.sort_by_key(|replica| {
             let can_lead = last(replica) == Some(newest);
-            let place = current.chain.iter().position(|other| other.member == replica.member);
+            let place = current
+                .chain
+                .iter()
+                .position(|other| other.member == replica.member);
             (!can_lead, place.unwrap_or(usize::MAX), *replica)
         });
         let voters = self.next_voters(current, alive, &chain);
         let locations = self.locations_of(&voters, &chain);
-        Some(View { locations, ..current.next(voters, chain) })
+        Some(View {
+            locations,
+            ..current.next(voters, chain)
+        })
     }
 
     /// Where a member stands, as far as that is known.
@@ -105,8 +134,10 @@
 
     /// Whether whatever may be lost at once leaves one of these replicas.
     pub(crate) fn leaves_a_copy(&self, replicas: &[ReplicaId]) -> bool {
-        let locations: Vec<Location> =
-            replicas.iter().map(|replica| self.location(&replica.member)).collect();
+        let locations: Vec<Location> = replicas
+            .iter()
+            .map(|replica| self.location(&replica.member))
+            .collect();
         self.settings.tolerance.leaves_a_copy(&locations)
     }
 
@@ -116,11 +147,17 @@
     }
 
     fn locations_of(&self, voters: &[Member], chain: &[ReplicaId]) -> Vec<MemberLocation> {
-        let members: BTreeSet<Member> =
-            voters.iter().copied().chain(chain.iter().map(|replica| replica.member)).collect();
+        let members: BTreeSet<Member> = voters
+            .iter()
+            .copied()
+            .chain(chain.iter().map(|replica| replica.member))
+            .collect();
         members
             .into_iter()
-            .map(|member| MemberLocation { member, location: self.location(&member) })
+            .map(|member| MemberLocation {
+                member,
+                location: self.location(&member),
+            })
             .collect()
     }
 
@@ -134,7 +171,9 @@
                 continue;
             }
             let too_few = self.too_few_voters(&voters);
-            let same_machine = voters.iter().position(|voter| voter.address == newcomer.address);
+            let same_machine = voters
+                .iter()
+                .position(|voter| voter.address == newcomer.address);
             let gone = voters.iter().position(|voter| !is_alive(voter));
             match same_machine.or_else(|| gone.filter(|_| !too_few)) {
                 Some(place) => voters[place] = newcomer,
@@ -159,7 +198,10 @@
         while voters.len() > least && !self.leaves_a_majority(voters) {
             let surplus = voters.iter().copied().max_by_key(|member| {
                 let zone = self.location(member).zone;
-                let beside = voters.iter().filter(|voter| self.location(voter).zone == zone).count();
+                let beside = voters
+                    .iter()
+                    .filter(|voter| self.location(voter).zone == zone)
+                    .count();
                 let gone = !alive.iter().any(|replica| replica.member == *member);
                 (beside, gone)
             });
--- a/system/control/src/view_reason.rs
+++ b/system/control/src/view_reason.rs
@@ -20,7 +20,9 @@
         match self {
             ViewReason::Newcomer(replica) => write!(formatter, "{} can take part", replica.member),
             ViewReason::Gone(replica) => write!(formatter, "{} is gone", replica.member),
-            ViewReason::Unfinished => write!(formatter, "its agreement was begun and led to nothing"),
+            ViewReason::Unfinished => {
+                write!(formatter, "its agreement was begun and led to nothing")
+            }
             ViewReason::Idle(replica) => write!(formatter, "{} does not take part", replica.member),
         }
     }
--- a/system/control/tests/common/counting_state.rs
+++ b/system/control/tests/common/counting_state.rs
@@ -38,7 +38,11 @@
 
 impl StateMachine for CountingState {
     fn apply(&mut self, entry: &Entry) {
-        assert_eq!(entry.position.index, self.position.index + 1, "entries are applied in order");
+        assert_eq!(
+            entry.position.index,
+            self.position.index + 1,
+            "entries are applied in order"
+        );
         self.position = entry.position;
         self.applied.push((entry.position.index, entry.proposal));
     }
@@ -52,7 +56,9 @@
         self.building.clear();
     }
     fn add_part(&mut self, part: &[u8]) -> bool {
-        decode(part).map(|position| self.building.push(position)).is_ok()
+        decode(part)
+            .map(|position| self.building.push(position))
+            .is_ok()
     }
     fn finish_restore(&mut self, position: Position) -> bool {
         let built = std::mem::take(&mut self.building);
--- a/system/control/tests/common/group.rs
+++ b/system/control/tests/common/group.rs
@@ -21,8 +21,17 @@
 }
 
 enum Event {
-    Message { to: u32, from: ReplicaId, message: Box<PeerMessage> },
-    Persisted { address: u32, boot: u64, ticket: u64, change: Box<DiskChange> },
+    Message {
+        to: u32,
+        from: ReplicaId,
+        message: Box<PeerMessage>,
+    },
+    Persisted {
+        address: u32,
+        boot: u64,
+        ticket: u64,
+        change: Box<DiskChange>,
+    },
 }
 
 /// The group.
@@ -66,8 +75,13 @@
 
     /// A group with a member in each of these zones that start for the first time, the first of them known to all.
     pub fn start_in_zones(zones: &[&str], seeds: u32, tolerance: Tolerance) -> Group {
-        let voters: Vec<Member> = (1..=seeds).map(|address| Member { address, disk: 0 }).collect();
-        let location = |zone: &&str| Location { zone: PlaceId::of(zone), region: PlaceId::of("region") };
+        let voters: Vec<Member> = (1..=seeds)
+            .map(|address| Member { address, disk: 0 })
+            .collect();
+        let location = |zone: &&str| Location {
+            zone: PlaceId::of(zone),
+            region: PlaceId::of("region"),
+        };
         let locations: BTreeMap<u32, Location> = (1..).zip(zones.iter().map(location)).collect();
         let addresses: Vec<u32> = locations.keys().copied().collect();
         let mut group = Group {
@@ -92,7 +106,9 @@
         };
         for address in addresses {
             let state = CountingState::default().freeze();
-            group.disks.insert(address, Snapshot::empty(0, Some(0), voters.clone(), state));
+            group
+                .disks
+                .insert(address, Snapshot::empty(0, Some(0), voters.clone(), state));
             group.start_replica(address);
         }
         group.run(1000);
@@ -110,7 +126,9 @@
     }
 
     fn is_frozen(&self, address: u32) -> bool {
-        self.frozen.get(&address).is_some_and(|until| self.now < *until)
+        self.frozen
+            .get(&address)
+            .is_some_and(|until| self.now < *until)
     }
 
     /// Takes note of what replicas have applied.
@@ -133,17 +151,28 @@
     pub fn chain(&self) -> Vec<u32> {
         let views = self.running.values().map(|running| running.replica.view());
         let newest = views.max_by_key(|view| view.number);
-        newest.into_iter().flat_map(|view| view.chain.iter().map(|replica| replica.member.address)).collect()
+        newest
+            .into_iter()
+            .flat_map(|view| view.chain.iter().map(|replica| replica.member.address))
+            .collect()
     }
 
     /// Number of the newest view.
     pub fn view(&self) -> u64 {
-        self.running.values().map(|running| running.replica.view().number).max().unwrap_or(0)
+        self.running
+            .values()
+            .map(|running| running.replica.view().number)
+            .max()
+            .unwrap_or(0)
     }
 
     /// The newest entry that any replica knows to be committed.
     pub fn committed(&self) -> u64 {
-        self.running.values().map(|running| running.replica.committed()).max().unwrap_or(0)
+        self.running
+            .values()
+            .map(|running| running.replica.committed())
+            .max()
+            .unwrap_or(0)
     }
 
     /// The last entry that a replica has applied.
@@ -154,14 +183,24 @@
     /// Lets every replica that holds itself for the head write an entry.
     pub fn write_everywhere(&mut self) {
         let now = self.now;
-        let awake: Vec<u32> = self.running.keys().copied().filter(|at| !self.is_frozen(*at)).collect();
+        let awake: Vec<u32> = self
+            .running
+            .keys()
+            .copied()
+            .filter(|at| !self.is_frozen(*at))
+            .collect();
         for address in awake {
-            let Some(Running { replica, machine }) = self.running.get_mut(&address) else { continue };
+            let Some(Running { replica, machine }) = self.running.get_mut(&address) else {
+                continue;
+            };
             if !replica.is_head() {
                 continue;
             }
             self.proposals += 1;
-            let proposal = ProposalId { origin: replica.own(), sequence: self.proposals };
+            let proposal = ProposalId {
+                origin: replica.own(),
+                sequence: self.proposals,
+            };
             replica.propose(now, proposal, None, Command::Noop);
             replica.flush(now, machine);
             self.perform(address);
@@ -172,9 +211,17 @@
     pub fn write(&mut self) -> bool {
         self.proposals += 1;
         let now = self.now;
-        let head = self.running.values_mut().find(|running| running.replica.is_head());
-        let Some(Running { replica, machine }) = head else { return false };
-        let proposal = ProposalId { origin: replica.own(), sequence: self.proposals };
+        let head = self
+            .running
+            .values_mut()
+            .find(|running| running.replica.is_head());
+        let Some(Running { replica, machine }) = head else {
+            return false;
+        };
+        let proposal = ProposalId {
+            origin: replica.own(),
+            sequence: self.proposals,
+        };
         replica.propose(now, proposal, None, Command::Noop);
         replica.flush(now, machine);
         true
--- a/system/control/tests/common/group/delivery.rs
+++ b/system/control/tests/common/group/delivery.rs
@@ -15,7 +15,11 @@
 
 impl Group {
     pub(super) fn happen(&mut self) {
-        while let Some(first) = self.events.first_entry().filter(|first| first.key().0 <= self.now) {
+        while let Some(first) = self
+            .events
+            .first_entry()
+            .filter(|first| first.key().0 <= self.now)
+        {
             let event = first.remove();
             let at = match &event {
                 Event::Message { to, .. } => *to,
@@ -28,7 +32,12 @@
             }
             match event {
                 Event::Message { to, from, message } => self.deliver(to, from, *message),
-                Event::Persisted { address, boot, ticket, change } => {
+                Event::Persisted {
+                    address,
+                    boot,
+                    ticket,
+                    change,
+                } => {
                     self.persisted(address, boot, ticket, *change);
                 }
             }
@@ -45,8 +54,13 @@
 
     fn persisted(&mut self, address: u32, boot: u64, ticket: u64, change: DiskChange) {
         let now = self.now;
-        let running = self.running.get_mut(&address).filter(|running| running.replica.own().boot == boot);
-        let Some(Running { replica, machine }) = running else { return };
+        let running = self
+            .running
+            .get_mut(&address)
+            .filter(|running| running.replica.own().boot == boot);
+        let Some(Running { replica, machine }) = running else {
+            return;
+        };
         replica.persisted(ticket, now, machine);
         if let Some(disk) = self.disks.get_mut(&address) {
             change.apply(disk);
@@ -55,7 +69,9 @@
     }
 
     pub(super) fn perform(&mut self, address: u32) {
-        let Some(running) = self.running.get_mut(&address) else { return };
+        let Some(running) = self.running.get_mut(&address) else {
+            return;
+        };
         let own = running.replica.own();
         for output in running.replica.take_outputs() {
             match output {
@@ -88,13 +104,22 @@
         let link = self.links.entry((from.member.address, to)).or_default();
         let arrival = (self.now + delay).max(*link);
         *link = arrival;
-        let event = Event::Message { to, from, message: Box::new(message) };
+        let event = Event::Message {
+            to,
+            from,
+            message: Box::new(message),
+        };
         self.schedule_at(arrival, event);
     }
 
     fn write_disk(&mut self, own: ReplicaId, ticket: u64, change: DiskChange) {
         let address = own.member.address;
-        let event = Event::Persisted { address, boot: own.boot, ticket, change: Box::new(change) };
+        let event = Event::Persisted {
+            address,
+            boot: own.boot,
+            ticket,
+            change: Box::new(change),
+        };
         // A disk does its work in order.
         let sync = self.some_time(SYNC_MS, MOST_SYNC_MS);
         let done = self.syncs.entry(address).or_default();
@@ -104,7 +129,9 @@
     }
 
     fn some_time(&mut self, usual: Millis, most: Millis) -> Millis {
-        self.chance.as_mut().map_or(usual, |chance| chance.gen_range(1..=most))
+        self.chance
+            .as_mut()
+            .map_or(usual, |chance| chance.gen_range(1..=most))
     }
 
     pub(super) fn schedule_at(&mut self, at: Millis, event: Event) {
--- a/system/control/tests/common/group/machines.rs
+++ b/system/control/tests/common/group/machines.rs
@@ -9,7 +9,13 @@
     pub fn start_replica(&mut self, address: u32) {
         self.boots += 1;
         let disk = self.disks[&address].clone();
-        let own = ReplicaId { member: Member { address, disk: disk.disk }, boot: self.boots };
+        let own = ReplicaId {
+            member: Member {
+                address,
+                disk: disk.disk,
+            },
+            boot: self.boots,
+        };
         let settings = ControlSettings {
             own,
             seeds: self.disks.keys().copied().collect(),
@@ -33,11 +39,17 @@
 
     /// Ends the process on a machine; its disk gets all that the process had written.
     pub fn kill_replica(&mut self, address: u32) {
-        let Some(killed) = self.running.remove(&address) else { return };
+        let Some(killed) = self.running.remove(&address) else {
+            return;
+        };
         let own_boot = killed.replica.own().boot;
         let of_process = |event: &Event| matches!(event, Event::Persisted { address: at, boot, .. } if *at == address && *boot == own_boot);
-        let keys: Vec<(Millis, u64)> =
-            self.events.iter().filter(|(_, event)| of_process(event)).map(|(key, _)| *key).collect();
+        let keys: Vec<(Millis, u64)> = self
+            .events
+            .iter()
+            .filter(|(_, event)| of_process(event))
+            .map(|(key, _)| *key)
+            .collect();
         let mut written: Vec<(u64, Box<DiskChange>)> = Vec::new();
         for key in keys {
             if let Some(Event::Persisted { ticket, change, .. }) = self.events.remove(&key) {
@@ -56,7 +68,8 @@
     pub fn wipe(&mut self, address: u32) {
         let disk = 1000 + self.boots;
         let state = CountingState::default().freeze();
-        self.disks.insert(address, Snapshot::empty(disk, None, Vec::new(), state));
+        self.disks
+            .insert(address, Snapshot::empty(disk, None, Vec::new(), state));
     }
 
     /// A machine is gone for good, and an empty one starts at another address.
--- a/system/control/tests/contact.rs
+++ b/system/control/tests/contact.rs
@@ -4,10 +4,15 @@
 use common::{heartbeat, no_state, report, settings, started, NoState};
 use googletest::prelude::*;
 use magpiegap_control::{Replica, Snapshot, CONTACT_MS};
-use magpiegap_protocol::{Heartbeat, Member, Millis, PeerMessage, PeerReport, Replica as ReplicaId, View};
+use magpiegap_protocol::{
+    Heartbeat, Member, Millis, PeerMessage, PeerReport, Replica as ReplicaId, View,
+};
 
 fn replica(address: u32) -> ReplicaId {
-    ReplicaId { member: Member { address, disk: 0 }, boot: u64::from(address) }
+    ReplicaId {
+        member: Member { address, disk: 0 },
+        boot: u64::from(address),
+    }
 }
 
 /// The first of three in view 1, at work.
@@ -24,8 +29,18 @@
 
 /// A heartbeat from a voter that has got the head's heartbeat of a time.
 fn echo(view: u64, echo: Millis, sealed: bool) -> PeerMessage {
-    let heard = vec![PeerReport { serving: true, echo, ..report(replica(1), 1) }];
-    PeerMessage::Heartbeat(Heartbeat { serving: true, heard, sent_at: 1, sealed, ..heartbeat(view) })
+    let heard = vec![PeerReport {
+        serving: true,
+        echo,
+        ..report(replica(1), 1)
+    }];
+    PeerMessage::Heartbeat(Heartbeat {
+        serving: true,
+        heard,
+        sent_at: 1,
+        sealed,
+        ..heartbeat(view)
+    })
 }
 
 #[googletest::test]
@@ -70,7 +85,13 @@
 #[googletest::test]
 fn given_a_voter_whose_disk_was_lost_when_its_machine_is_heard_then_it_confirms_nothing() {
     let mut head = head();
-    let wiped = ReplicaId { member: Member { address: 2, disk: 77 }, boot: 9 };
+    let wiped = ReplicaId {
+        member: Member {
+            address: 2,
+            disk: 77,
+        },
+        boot: 9,
+    };
     head.receive(150, 0, wiped, echo(1, 100, false), &mut NoState);
     expect_that!(head.has_contact(150), eq(false));
 }
--- a/system/control/tests/golden.rs
+++ b/system/control/tests/golden.rs
@@ -7,8 +7,8 @@
 use googletest::prelude::*;
 use magpiegap_control::{DurableRecord, EncodedState, FrozenState, Snapshot};
 use magpiegap_protocol::{
-    decode, encode, ChainRecord, Command, Entry, Fence, Location, Member, MemberLocation, PlaceId, Position,
-    ProposalId, Replica, Role, View,
+    decode, encode, ChainRecord, Command, Entry, Fence, Location, Member, MemberLocation, PlaceId,
+    Position, ProposalId, Replica, Role, View,
 };
 use minicbor::{Decode, Encode};
 use std::sync::Arc;
@@ -21,7 +21,9 @@
 
 /// The bytes stored under a name, as they stand there; empty: there are none.
 fn stored_hex(name: &str) -> &'static str {
-    let line = STORED.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
+    let line = STORED
+        .lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
     line.unwrap_or_default()
 }
 
@@ -38,29 +40,51 @@
     T: std::fmt::Debug + PartialEq + Encode<()> + for<'b> Decode<'b, ()>,
 {
     expect_that!(hex(&encode(value)), eq(stored_hex(name)), "written: {name}");
-    expect_that!(decode::<T>(&stored(name)).ok().as_ref(), some(eq(value)), "read: {name}");
+    expect_that!(
+        decode::<T>(&stored(name)).ok().as_ref(),
+        some(eq(value)),
+        "read: {name}"
+    );
 }
 
 fn member(number: u32) -> Member {
-    Member { address: 0x0a01_0000 + number, disk: 0x1122_3344_5566_0000 + u64::from(number) }
+    Member {
+        address: 0x0a01_0000 + number,
+        disk: 0x1122_3344_5566_0000 + u64::from(number),
+    }
 }
 
 fn replica(number: u32) -> Replica {
-    Replica { member: member(number), boot: 0xb007_0000 + u64::from(number) }
+    Replica {
+        member: member(number),
+        boot: 0xb007_0000 + u64::from(number),
+    }
 }
 
 /// A view with something in each of its fields.
 fn view(number: u64) -> View {
-    let location = Location { zone: PlaceId(301), region: PlaceId(302) };
+    let location = Location {
+        zone: PlaceId(301),
+        region: PlaceId(302),
+    };
     View {
         number,
         voters: vec![member(1), member(2), member(3)],
         chain: vec![replica(2), replica(1)],
         history: vec![
-            ChainRecord { number: number - 2, chain: vec![] },
-            ChainRecord { number: number - 1, chain: vec![replica(3), replica(2)] },
+            ChainRecord {
+                number: number - 2,
+                chain: vec![],
+            },
+            ChainRecord {
+                number: number - 1,
+                chain: vec![replica(3), replica(2)],
+            },
         ],
-        locations: vec![MemberLocation { member: member(2), location }],
+        locations: vec![MemberLocation {
+            member: member(2),
+            location,
+        }],
     }
 }
 
@@ -71,19 +95,38 @@
 }
 
 fn entries() -> Vec<Entry> {
-    let claim = Command::ClaimRole { role: Role::PlatformReader, holder: replica(3), expected: 77 };
-    let fence = Fence { role: Role::Scheduler("desk".to_owned()), token: 78 };
+    let claim = Command::ClaimRole {
+        role: Role::PlatformReader,
+        holder: replica(3),
+        expected: 77,
+    };
+    let fence = Fence {
+        role: Role::Scheduler("desk".to_owned()),
+        token: 78,
+    };
     vec![
         Entry {
-            position: Position { view: 8, index: 1001 },
-            proposal: ProposalId { origin: replica(1), sequence: 9 },
+            position: Position {
+                view: 8,
+                index: 1001,
+            },
+            proposal: ProposalId {
+                origin: replica(1),
+                sequence: 9,
+            },
             fence: None,
             command: Command::Noop,
             wall_ms: 1_700_000_000_001,
         },
         Entry {
-            position: Position { view: 9, index: 1002 },
-            proposal: ProposalId { origin: replica(2), sequence: 10 },
+            position: Position {
+                view: 9,
+                index: 1002,
+            },
+            proposal: ProposalId {
+                origin: replica(2),
+                sequence: 10,
+            },
             fence: Some(fence),
             command: claim,
             wall_ms: 1_700_000_000_002,
@@ -93,7 +136,10 @@
 
 /// A snapshot with something in each of its fields, whose state has two parts.
 fn full_snapshot() -> Snapshot {
-    let applied = Position { view: 7, index: 1000 };
+    let applied = Position {
+        view: 7,
+        index: 1000,
+    };
     let state = EncodedState::new(applied, vec![vec![1, 2, 3], vec![0xfe, 0xff]]);
     let mut snapshot = first_snapshot();
     snapshot.disk = 0x1122_3344_5566_0002;
@@ -109,7 +155,9 @@
 }
 
 fn parts_of(state: &dyn FrozenState) -> Vec<Vec<u8>> {
-    (0..state.parts()).map(|number| state.part(number)).collect()
+    (0..state.parts())
+        .map(|number| state.part(number))
+        .collect()
 }
 
 /// Snapshots have no comparison of their own.
@@ -119,7 +167,11 @@
     expect_that!(read.synchronized, eq(meant.synchronized), "{name}");
     expect_that!(read.applied, eq(meant.applied), "{name}");
     expect_that!(read.state.position(), eq(meant.state.position()), "{name}");
-    expect_that!(parts_of(read.state.as_ref()), eq(&parts_of(meant.state.as_ref())), "{name}");
+    expect_that!(
+        parts_of(read.state.as_ref()),
+        eq(&parts_of(meant.state.as_ref())),
+        "{name}"
+    );
     expect_that!(read.entries, eq(&meant.entries), "{name}");
     expect_that!(read.committed, eq(meant.committed), "{name}");
 }
@@ -127,7 +179,9 @@
 /// A snapshot is written in parts with the bytes stored as `name 0`, `name 1` and so on, and they are read as it.
 fn expect_parts(name: &str, count: usize, snapshot: &Snapshot) {
     let written: Vec<String> = snapshot.parts().map(|part| hex(&part)).collect();
-    let names: Vec<String> = (0..count).map(|number| format!("{name} {number}")).collect();
+    let names: Vec<String> = (0..count)
+        .map(|number| format!("{name} {number}"))
+        .collect();
     let kept: Vec<&str> = names.iter().map(|name| stored_hex(name)).collect();
     expect_that!(written, eq(&kept), "{name}");
     let read = Snapshot::recover(names.iter().map(|name| stored(name)).collect(), &[]);
@@ -137,11 +191,20 @@
 #[googletest::test]
 fn every_record_of_the_log_keeps_its_bytes() {
     let (full, first) = (full_snapshot().agreement, first_snapshot().agreement);
-    expect_bytes("record agreement", &DurableRecord::Agreement(Box::new(full)));
-    expect_bytes("record first agreement", &DurableRecord::Agreement(Box::new(first)));
+    expect_bytes(
+        "record agreement",
+        &DurableRecord::Agreement(Box::new(full)),
+    );
+    expect_bytes(
+        "record first agreement",
+        &DurableRecord::Agreement(Box::new(first)),
+    );
     expect_bytes("record entries", &DurableRecord::Entries(entries()));
     expect_bytes("record no entries", &DurableRecord::Entries(Vec::new()));
-    expect_bytes("record synchronized", &DurableRecord::Synchronized(0x0102_0304_0506));
+    expect_bytes(
+        "record synchronized",
+        &DurableRecord::Synchronized(0x0102_0304_0506),
+    );
     expect_bytes("record committed", &DurableRecord::Committed(0x0a0b_0c0d));
 }
 
@@ -168,18 +231,27 @@
 #[googletest::test]
 fn a_snapshot_that_holds_the_state_in_one_piece_is_still_read() {
     let mut meant = full_snapshot();
-    meant.state = Arc::new(EncodedState::new(meant.applied, vec![vec![1, 2, 3, 0xfe, 0xff]]));
+    meant.state = Arc::new(EncodedState::new(
+        meant.applied,
+        vec![vec![1, 2, 3, 0xfe, 0xff]],
+    ));
     let read = Snapshot::recover(vec![stored("snapshot in one piece")], &[]).unwrap();
     expect_same("snapshot in one piece", &read, &meant);
     meant.committed = 0;
-    let read = Snapshot::recover(vec![stored("snapshot in one piece without committed")], &[]).unwrap();
+    let read =
+        Snapshot::recover(vec![stored("snapshot in one piece without committed")], &[]).unwrap();
     expect_same("snapshot in one piece without committed", &read, &meant);
 }
 
 #[googletest::test]
 fn stored_records_are_taken_up_after_the_stored_snapshot() {
     let parts = vec![stored("first snapshot 0"), stored("first snapshot 1")];
-    let names = ["record agreement", "record entries", "record synchronized", "record committed"];
+    let names = [
+        "record agreement",
+        "record entries",
+        "record synchronized",
+        "record committed",
+    ];
     let read = Snapshot::recover(parts, &names.map(stored)).unwrap();
     let mut meant = first_snapshot();
     meant.agreement = full_snapshot().agreement;
@@ -191,7 +263,10 @@
 
 #[googletest::test]
 fn every_stored_line_has_a_name_of_its_own() {
-    let mut names: Vec<&str> = STORED.lines().filter_map(|line| line.split(": ").next()).collect();
+    let mut names: Vec<&str> = STORED
+        .lines()
+        .filter_map(|line| line.split(": ").next())
+        .collect();
     names.sort_unstable();
     names.dedup();
     expect_that!(names.len(), eq(STORED.lines().count()));
--- a/system/control/tests/joining.rs
+++ b/system/control/tests/joining.rs
@@ -9,13 +9,19 @@
 };
 
 fn replica(address: u32, disk: u64) -> ReplicaId {
-    ReplicaId { member: Member { address, disk }, boot: u64::from(address) }
+    ReplicaId {
+        member: Member { address, disk },
+        boot: u64::from(address),
+    }
 }
 
 fn entry(index: u64) -> Entry {
     Entry {
         position: Position { view: 1, index },
-        proposal: ProposalId { origin: replica(1, 0), sequence: index },
+        proposal: ProposalId {
+            origin: replica(1, 0),
+            sequence: index,
+        },
         fence: None,
         command: Command::Noop,
         wall_ms: 0,
@@ -25,11 +31,17 @@
 /// The middle one of a chain of three, with the state of the head, and its successor served.
 fn middle_replica() -> Replica {
     let (head, own, tail) = (replica(1, 0), replica(2, 7), replica(3, 8));
-    let mut middle = started(settings(own, vec![1]), Snapshot::empty(7, None, Vec::new(), no_state()));
+    let mut middle = started(
+        settings(own, vec![1]),
+        Snapshot::empty(7, None, Vec::new(), no_state()),
+    );
     let view = View::initial(vec![head.member]).next(vec![head.member], vec![head, own, tail]);
     middle.receive(0, 0, head, PeerMessage::Decided(view), &mut NoState);
     tell_state(&mut middle, 10, 1, vec![entry(1)]);
-    let asks = PeerMessage::Synchronize { view: 1, last: Position::default() };
+    let asks = PeerMessage::Synchronize {
+        view: 1,
+        last: Position::default(),
+    };
     middle.receive(20, 0, tail, asks, &mut NoState);
     middle.flush(20, &mut NoState);
     middle.take_outputs();
@@ -39,18 +51,40 @@
 /// The head tells a replica an empty state, and the entries after it.
 fn tell_state(to: &mut Replica, now: u64, view: u64, entries: Vec<Entry>) {
     let (head, position) = (replica(1, 0), Position::default());
-    to.receive(now, 0, head, PeerMessage::StateOffer { view, position, parts: 1 }, &mut NoState);
-    let part = PeerMessage::StatePart { view, position, number: 0, checksum: fnv1a(&[]), bytes: Vec::new() };
+    to.receive(
+        now,
+        0,
+        head,
+        PeerMessage::StateOffer {
+            view,
+            position,
+            parts: 1,
+        },
+        &mut NoState,
+    );
+    let part = PeerMessage::StatePart {
+        view,
+        position,
+        number: 0,
+        checksum: fnv1a(&[]),
+        bytes: Vec::new(),
+    };
     to.receive(now, 0, head, part, &mut NoState);
-    let missing = PeerMessage::MissingEntries { view, after: 0, entries, more: false };
+    let missing = PeerMessage::MissingEntries {
+        view,
+        after: 0,
+        entries,
+        more: false,
+    };
     to.receive(now, 0, head, missing, &mut NoState);
 }
 
 fn appends(outputs: &[Output]) -> Vec<u64> {
     let appended = |output: &Output| match output {
-        Output::Send { to: 3, message: PeerMessage::Append { entries, .. } } => {
-            entries.iter().map(|entry| entry.position.index).collect()
-        }
+        Output::Send {
+            to: 3,
+            message: PeerMessage::Append { entries, .. },
+        } => entries.iter().map(|entry| entry.position.index).collect(),
         _ => Vec::new(),
     };
     outputs.iter().flat_map(appended).collect()
@@ -62,7 +96,12 @@
     let mut middle = middle_replica();
     // When
     tell_state(&mut middle, 30, 1, vec![entry(1)]);
-    let append = PeerMessage::Append { view: 1, after: 1, entries: vec![entry(2)], durable: 2 };
+    let append = PeerMessage::Append {
+        view: 1,
+        after: 1,
+        entries: vec![entry(2)],
+        durable: 2,
+    };
     middle.receive(40, 0, replica(1, 0), append, &mut NoState);
     middle.flush(40, &mut NoState);
     // Then
@@ -72,12 +111,23 @@
 #[googletest::test]
 fn given_an_active_replica_when_its_predecessor_tells_it_nothing_then_it_asks() {
     let mut middle = middle_replica();
-    let asks =
-        |output: &Output| matches!(output, Output::Send { to: 1, message: PeerMessage::Synchronize { .. } });
+    let asks = |output: &Output| {
+        matches!(
+            output,
+            Output::Send {
+                to: 1,
+                message: PeerMessage::Synchronize { .. }
+            }
+        )
+    };
     let mut asked = 0;
     for now in (40..2000).step_by(20) {
         middle.tick(now, now, &mut NoState);
-        asked += middle.take_outputs().iter().filter(|output| asks(output)).count();
+        asked += middle
+            .take_outputs()
+            .iter()
+            .filter(|output| asks(output))
+            .count();
         expect_that!(asked == 0 || now >= 600, eq(true));
     }
     expect_that!(asked, ge(1));
@@ -87,41 +137,68 @@
 fn given_a_replica_that_caught_up_slowly_when_it_misses_entries_again_then_it_asks_soon() {
     // Given: it had to ask several times for what it missed
     let mut middle = middle_replica();
-    let gap = |after: u64| PeerMessage::Append { view: 1, after, entries: Vec::new(), durable: after };
+    let gap = |after: u64| PeerMessage::Append {
+        view: 1,
+        after,
+        entries: Vec::new(),
+        durable: after,
+    };
     for now in (1000..4000).step_by(20) {
         middle.receive(now, 0, replica(1, 0), gap(5), &mut NoState);
     }
-    let missing =
-        PeerMessage::MissingEntries { view: 1, after: 1, entries: (2..=5).map(entry).collect(), more: false };
+    let missing = PeerMessage::MissingEntries {
+        view: 1,
+        after: 1,
+        entries: (2..=5).map(entry).collect(),
+        more: false,
+    };
     middle.receive(4000, 0, replica(1, 0), missing, &mut NoState);
     middle.take_outputs();
     // When
     middle.receive(4100, 0, replica(1, 0), gap(7), &mut NoState);
     // Then
-    let asks =
-        |output: &Output| matches!(output, Output::Send { to: 1, message: PeerMessage::Synchronize { .. } });
+    let asks = |output: &Output| {
+        matches!(
+            output,
+            Output::Send {
+                to: 1,
+                message: PeerMessage::Synchronize { .. }
+            }
+        )
+    };
     expect_that!(middle.take_outputs().iter().any(asks), eq(true));
 }
 
 /// Up to where the successor was last told that entries are on disk.
 fn told_durable(outputs: &[Output]) -> u64 {
     let told = |output: &Output| match output {
-        Output::Send { to: 3, message: PeerMessage::Append { durable, .. } } => Some(*durable),
+        Output::Send {
+            to: 3,
+            message: PeerMessage::Append { durable, .. },
+        } => Some(*durable),
         _ => None,
     };
     outputs.iter().filter_map(told).next_back().unwrap_or(0)
 }
 
 #[googletest::test]
-fn given_entries_on_their_way_to_the_disk_when_a_whole_state_replaces_them_then_they_do_not_count_as_kept() {
+fn given_entries_on_their_way_to_the_disk_when_a_whole_state_replaces_them_then_they_do_not_count_as_kept(
+) {
     // Given: entries of view 1 are handed to the disk, which is slow
     let mut middle = middle_replica();
-    let append = PeerMessage::Append { view: 1, after: 1, entries: vec![entry(2), entry(3)], durable: 3 };
+    let append = PeerMessage::Append {
+        view: 1,
+        after: 1,
+        entries: vec![entry(2), entry(3)],
+        durable: 3,
+    };
     middle.receive(30, 0, replica(1, 0), append, &mut NoState);
     middle.flush(30, &mut NoState);
     let outputs = middle.take_outputs();
     let ticket = outputs.iter().find_map(|output| match output {
-        Output::Persist { ticket, records } if matches!(records[..], [DurableRecord::Entries(_), ..]) => {
+        Output::Persist { ticket, records }
+            if matches!(records[..], [DurableRecord::Entries(_), ..]) =>
+        {
             Some(*ticket)
         }
         _ => None,
@@ -133,10 +210,21 @@
         .next(vec![head.member], vec![head, own, tail]);
     middle.receive(40, 0, head, PeerMessage::Decided(view), &mut NoState);
     tell_state(&mut middle, 50, 2, vec![entry(1)]);
-    let asks = PeerMessage::Synchronize { view: 2, last: Position { view: 1, index: 1 } };
+    let asks = PeerMessage::Synchronize {
+        view: 2,
+        last: Position { view: 1, index: 1 },
+    };
     middle.receive(60, 0, tail, asks, &mut NoState);
-    let other = Entry { position: Position { view: 2, index: 2 }, ..entry(2) };
-    let append = PeerMessage::Append { view: 2, after: 1, entries: vec![other], durable: 2 };
+    let other = Entry {
+        position: Position { view: 2, index: 2 },
+        ..entry(2)
+    };
+    let append = PeerMessage::Append {
+        view: 2,
+        after: 1,
+        entries: vec![other],
+        durable: 2,
+    };
     middle.receive(70, 0, head, append, &mut NoState);
     middle.take_outputs();
     middle.persisted(ticket.unwrap_or_default(), 80, &mut NoState);
@@ -157,8 +245,15 @@
     let mut asked_at = Vec::new();
     for now in (0..6000).step_by(20) {
         joining.tick(now, now, &mut NoState);
-        let asks =
-            |output: &Output| matches!(output, Output::Send { message: PeerMessage::Synchronize { .. }, .. });
+        let asks = |output: &Output| {
+            matches!(
+                output,
+                Output::Send {
+                    message: PeerMessage::Synchronize { .. },
+                    ..
+                }
+            )
+        };
         if joining.take_outputs().iter().any(asks) {
             asked_at.push(now);
         }
@@ -182,45 +277,92 @@
 }
 
 #[googletest::test]
-fn given_a_successor_whose_entries_do_not_fit_when_it_asks_again_then_only_an_offer_is_sent_again() {
+fn given_a_successor_whose_entries_do_not_fit_when_it_asks_again_then_only_an_offer_is_sent_again()
+{
     // Given: a successor whose last entry the middle one does not know
     let mut middle = middle_replica();
-    let asks = PeerMessage::Synchronize { view: 1, last: Position { view: 0, index: 9 } };
+    let asks = PeerMessage::Synchronize {
+        view: 1,
+        last: Position { view: 0, index: 9 },
+    };
     // When
     for now in [30, 90, 200, 450] {
         middle.receive(now, 0, replica(3, 8), asks.clone(), &mut NoState);
         let sent = sent_to_tail(middle.take_outputs());
         // Then
-        expect_that!(sent, elements_are![matches_pattern!(PeerMessage::StateOffer { parts: eq(&1), .. })]);
+        expect_that!(
+            sent,
+            elements_are![matches_pattern!(PeerMessage::StateOffer {
+                parts: eq(&1),
+                ..
+            })]
+        );
     }
 }
 
 #[googletest::test]
-fn given_a_state_that_is_not_there_any_more_when_a_part_of_it_is_asked_for_then_another_one_is_offered() {
+fn given_a_state_that_is_not_there_any_more_when_a_part_of_it_is_asked_for_then_another_one_is_offered(
+) {
     let mut middle = middle_replica();
     let position = Position { view: 0, index: 5 };
-    let asks = PeerMessage::AskPart { view: 1, position, number: 3 };
+    let asks = PeerMessage::AskPart {
+        view: 1,
+        position,
+        number: 3,
+    };
     middle.receive(30, 0, replica(3, 8), asks, &mut NoState);
     let sent = sent_to_tail(middle.take_outputs());
-    expect_that!(sent, elements_are![matches_pattern!(PeerMessage::StateOffer { parts: eq(&1), .. })]);
+    expect_that!(
+        sent,
+        elements_are![matches_pattern!(PeerMessage::StateOffer {
+            parts: eq(&1),
+            ..
+        })]
+    );
 }
 
 #[googletest::test]
 fn given_a_part_that_was_changed_on_its_way_when_it_comes_then_the_state_is_asked_for_anew() {
     // Given: a replica in the chain that is told a state of two parts
     let (head, own) = (replica(1, 0), replica(2, 7));
-    let mut joining = started(settings(own, vec![1]), Snapshot::empty(7, None, Vec::new(), no_state()));
+    let mut joining = started(
+        settings(own, vec![1]),
+        Snapshot::empty(7, None, Vec::new(), no_state()),
+    );
     let view = View::initial(vec![head.member]).next(vec![head.member], vec![head, own]);
     joining.receive(0, 0, head, PeerMessage::Decided(view), &mut NoState);
     let position = Position { view: 0, index: 4 };
-    joining.receive(10, 0, head, PeerMessage::StateOffer { view: 1, position, parts: 2 }, &mut NoState);
+    joining.receive(
+        10,
+        0,
+        head,
+        PeerMessage::StateOffer {
+            view: 1,
+            position,
+            parts: 2,
+        },
+        &mut NoState,
+    );
     joining.take_outputs();
     // When
-    let part = PeerMessage::StatePart { view: 1, position, number: 0, checksum: 1, bytes: vec![7] };
+    let part = PeerMessage::StatePart {
+        view: 1,
+        position,
+        number: 0,
+        checksum: 1,
+        bytes: vec![7],
+    };
     joining.receive(20, 0, head, part, &mut NoState);
     joining.tick(400, 400, &mut NoState);
     // Then
-    let asks =
-        |output: &Output| matches!(output, Output::Send { to: 1, message: PeerMessage::Synchronize { .. } });
+    let asks = |output: &Output| {
+        matches!(
+            output,
+            Output::Send {
+                to: 1,
+                message: PeerMessage::Synchronize { .. }
+            }
+        )
+    };
     expect_that!(joining.take_outputs().iter().any(asks), eq(true));
 }
--- a/system/control/tests/learning.rs
+++ b/system/control/tests/learning.rs
@@ -49,7 +49,10 @@
         group.write();
         group.run(100);
     }
-    expect_that!(group.chain(), unordered_elements_are![eq(&1), eq(&2), eq(&3), eq(&4), eq(&5)]);
+    expect_that!(
+        group.chain(),
+        unordered_elements_are![eq(&1), eq(&2), eq(&3), eq(&4), eq(&5)]
+    );
     let before = group.committed();
     group.write();
     group.run(200);
@@ -58,7 +61,8 @@
 }
 
 #[googletest::test]
-fn given_too_few_without_it_when_a_replica_with_an_empty_disk_comes_back_then_it_is_taken_in_at_once() {
+fn given_too_few_without_it_when_a_replica_with_an_empty_disk_comes_back_then_it_is_taken_in_at_once(
+) {
     // Given: two of three bear no further loss, and one of them is gone
     let mut group = Group::start(3, 1);
     group.write();
@@ -95,7 +99,8 @@
 }
 
 #[googletest::test]
-fn given_a_loss_of_power_of_all_when_two_disks_are_lost_then_the_others_commit_before_the_state_is_told() {
+fn given_a_loss_of_power_of_all_when_two_disks_are_lost_then_the_others_commit_before_the_state_is_told(
+) {
     let mut group = Group::start(5, 2);
     for _ in 0..10 {
         group.write();
@@ -117,15 +122,18 @@
     expect_that!(group.write(), eq(true));
     group.run(100);
     expect_that!(group.committed(), gt(before));
-    expect_that!(group.chain(), unordered_elements_are![eq(&2), eq(&4), eq(&5)]);
+    expect_that!(
+        group.chain(),
+        unordered_elements_are![eq(&2), eq(&4), eq(&5)]
+    );
     // And the others come in.
     group.run(5000);
     expect_that!(group.chain().len(), eq(5));
 }
 
 #[googletest::test]
-fn given_a_link_cut_between_two_of_the_chain_when_all_others_hear_both_then_one_goes_and_views_stop_changing()
-{
+fn given_a_link_cut_between_two_of_the_chain_when_all_others_hear_both_then_one_goes_and_views_stop_changing(
+) {
     let mut group = Group::start(5, 2);
     group.cut_links.insert((2, 5));
     group.run(1500);
@@ -141,7 +149,8 @@
 }
 
 #[googletest::test]
-fn given_a_replica_outside_of_the_chain_when_it_does_not_hear_the_tail_then_it_does_not_disturb_the_chain() {
+fn given_a_replica_outside_of_the_chain_when_it_does_not_hear_the_tail_then_it_does_not_disturb_the_chain(
+) {
     let mut group = Group::start(5, 2);
     group.stop_replica(3);
     group.run(1000);
@@ -157,8 +166,8 @@
 }
 
 #[googletest::test]
-fn given_two_replicas_that_do_not_hear_each_other_when_both_come_back_then_one_joins_and_views_stop_changing()
-{
+fn given_two_replicas_that_do_not_hear_each_other_when_both_come_back_then_one_joins_and_views_stop_changing(
+) {
     let mut group = Group::start(5, 2);
     for address in [2, 5] {
         group.stop_replica(address);
@@ -179,7 +188,8 @@
 }
 
 #[googletest::test]
-fn given_a_long_log_when_a_replica_starts_again_alone_then_it_applies_what_it_knows_to_be_committed() {
+fn given_a_long_log_when_a_replica_starts_again_alone_then_it_applies_what_it_knows_to_be_committed(
+) {
     // Given: no checkpoint was made, so that all entries are in the log on disk
     let mut group = Group::start(3, 1);
     for _ in 0..900 {
--- a/system/control/tests/median_time.rs
+++ b/system/control/tests/median_time.rs
@@ -4,23 +4,40 @@
 use common::{heartbeat, no_state, settings, started, NoState};
 use googletest::prelude::*;
 use magpiegap_control::{Replica, Snapshot};
-use magpiegap_protocol::{Heartbeat, Member, Millis, PeerMessage, Replica as ReplicaId, WallMillis};
+use magpiegap_protocol::{
+    Heartbeat, Member, Millis, PeerMessage, Replica as ReplicaId, WallMillis,
+};
 
 /// True time of day when the replica's steady clock shows zero.
 const TRUE_MS: WallMillis = 1_700_000_000_000;
 
 fn replica(address: u32) -> ReplicaId {
-    ReplicaId { member: Member { address, disk: 0 }, boot: u64::from(address) }
+    ReplicaId {
+        member: Member { address, disk: 0 },
+        boot: u64::from(address),
+    }
 }
 
 fn one_of_three() -> Replica {
     let voters: Vec<Member> = (1..=3).map(|address| replica(address).member).collect();
-    started(settings(replica(1), vec![1, 2, 3]), Snapshot::empty(0, Some(0), voters, no_state()))
+    started(
+        settings(replica(1), vec![1, 2, 3]),
+        Snapshot::empty(0, Some(0), voters, no_state()),
+    )
 }
 
 fn tell_time(to: &mut Replica, from: u32, now: Millis, wall_ms: WallMillis) {
-    let heartbeat = Heartbeat { wall_ms, ..heartbeat(0) };
-    to.receive(now, TRUE_MS + now, replica(from), PeerMessage::Heartbeat(heartbeat), &mut NoState);
+    let heartbeat = Heartbeat {
+        wall_ms,
+        ..heartbeat(0)
+    };
+    to.receive(
+        now,
+        TRUE_MS + now,
+        replica(from),
+        PeerMessage::Heartbeat(heartbeat),
+        &mut NoState,
+    );
 }
 
 #[googletest::test]
--- a/system/control/tests/model/beginnings.rs
+++ b/system/control/tests/model/beginnings.rs
@@ -6,8 +6,14 @@
 pub fn serving(size: usize, tolerance: usize, budget: Budget) -> World {
     let mut world = World::new(size, tolerance, budget);
     world.settle(8);
-    let serving = world.machines.iter().filter_map(|machine| machine.process.as_ref());
-    assert_eq!(serving.filter(|(replica, _)| replica.is_active()).count(), size);
+    let serving = world
+        .machines
+        .iter()
+        .filter_map(|machine| machine.process.as_ref());
+    assert_eq!(
+        serving.filter(|(replica, _)| replica.is_active()).count(),
+        size
+    );
     world.write();
     world.settle(2);
     assert!(!world.history.is_empty());
@@ -17,7 +23,9 @@
 /// A world in which one machine is cut off, and the others have gone on without it.
 pub fn without_one(size: usize, tolerance: usize, budget: Budget) -> World {
     let mut world = serving(size, tolerance, budget);
-    let tail = (0..size).find(|machine| world.replica(*machine).is_some_and(Replica::is_tail)).unwrap_or(0);
+    let tail = (0..size)
+        .find(|machine| world.replica(*machine).is_some_and(Replica::is_tail))
+        .unwrap_or(0);
     world.machines[tail].is_cut_off = true;
     world.settle(8);
     world.write();
--- a/system/control/tests/model/main.rs
+++ b/system/control/tests/model/main.rs
@@ -22,8 +22,14 @@
 /// Explores worlds: breadth first up to so many states, then by random walks. `MODEL_FACTOR` in the environment asks for
 /// more of both. Prints how much was explored.
 fn explore(name: &str, tolerance: usize, worlds: Vec<World>, states: usize, walks: usize) {
-    let factor = std::env::var("MODEL_FACTOR").ok().and_then(|text| text.parse().ok()).unwrap_or(1);
-    let core = || Core { tolerance, worlds: worlds.clone() };
+    let factor = std::env::var("MODEL_FACTOR")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(1);
+    let core = || Core {
+        tolerance,
+        worlds: worlds.clone(),
+    };
     let breadth = core()
         .checker()
         .target_state_count(states * factor)
@@ -46,44 +52,110 @@
     for discoveries in [breadth.discoveries(), depth.discoveries()] {
         if let Some((property, path)) = discoveries.into_iter().next() {
             let wrong = path.last_state().wrong.clone();
-            panic!("{name}: {property}: {wrong:?}; steps: {:#?}", path.into_actions());
+            panic!(
+                "{name}: {property}: {wrong:?}; steps: {:#?}",
+                path.into_actions()
+            );
         }
     }
 }
 
 #[test]
 fn given_a_serving_core_when_one_is_cut_off_or_stands_still_then_nothing_is_lost_or_hidden() {
-    let budget =
-        Budget { ticks: 14, writes: 3, questions: 2, cuts: 1, freezes: 1, lost_messages: 1, ..NOTHING };
+    let budget = Budget {
+        ticks: 14,
+        writes: 3,
+        questions: 2,
+        cuts: 1,
+        freezes: 1,
+        lost_messages: 1,
+        ..NOTHING
+    };
     explore("cut off", 1, vec![serving(3, 1, budget)], 30_000, 60_000);
 }
 
 #[test]
 fn given_one_that_is_cut_off_when_it_is_back_and_another_one_goes_then_nothing_is_lost_or_hidden() {
-    let budget = Budget { ticks: 14, writes: 2, questions: 2, kills: 1, power_losses: 1, ..NOTHING };
+    let budget = Budget {
+        ticks: 14,
+        writes: 2,
+        questions: 2,
+        kills: 1,
+        power_losses: 1,
+        ..NOTHING
+    };
     explore("back", 1, vec![without_one(3, 1, budget)], 30_000, 60_000);
 }
 
 #[test]
 fn given_a_wiped_disk_when_its_machine_comes_back_and_others_lose_power_then_nothing_is_lost() {
-    let budget = Budget { ticks: 16, writes: 2, questions: 1, power_losses: 2, ..NOTHING };
-    explore("wiped", 1, vec![with_a_wiped_one(3, 1, budget)], 30_000, 60_000);
+    let budget = Budget {
+        ticks: 16,
+        writes: 2,
+        questions: 1,
+        power_losses: 2,
+        ..NOTHING
+    };
+    explore(
+        "wiped",
+        1,
+        vec![with_a_wiped_one(3, 1, budget)],
+        30_000,
+        60_000,
+    );
 }
 
 #[test]
 fn given_a_serving_core_when_a_disk_and_the_power_of_the_others_are_lost_then_nothing_is_lost() {
-    let budget = Budget { ticks: 16, writes: 2, wipes: 1, power_losses: 2, ..NOTHING };
-    explore("disk and power", 1, vec![serving(3, 1, budget)], 30_000, 60_000);
+    let budget = Budget {
+        ticks: 16,
+        writes: 2,
+        wipes: 1,
+        power_losses: 2,
+        ..NOTHING
+    };
+    explore(
+        "disk and power",
+        1,
+        vec![serving(3, 1, budget)],
+        30_000,
+        60_000,
+    );
 }
 
 #[test]
 fn given_a_loss_of_power_by_all_when_they_start_in_any_order_then_nothing_is_lost() {
-    let budget = Budget { ticks: 12, writes: 2, questions: 1, kills: 1, lost_messages: 1, ..NOTHING };
-    explore("dark", 1, vec![dark(3, 1, budget), dark(5, 2, budget)], 20_000, 40_000);
+    let budget = Budget {
+        ticks: 12,
+        writes: 2,
+        questions: 1,
+        kills: 1,
+        lost_messages: 1,
+        ..NOTHING
+    };
+    explore(
+        "dark",
+        1,
+        vec![dark(3, 1, budget), dark(5, 2, budget)],
+        20_000,
+        40_000,
+    );
 }
 
 #[test]
 fn given_five_when_two_disks_and_the_power_of_the_others_are_lost_then_nothing_is_lost() {
-    let budget = Budget { ticks: 16, writes: 2, wipes: 2, power_losses: 3, ..NOTHING };
-    explore("two disks of five", 2, vec![serving(5, 2, budget)], 8_000, 40_000);
+    let budget = Budget {
+        ticks: 16,
+        writes: 2,
+        wipes: 2,
+        power_losses: 3,
+        ..NOTHING
+    };
+    explore(
+        "two disks of five",
+        2,
+        vec![serving(5, 2, budget)],
+        8_000,
+        40_000,
+    );
 }
--- a/system/control/tests/model/questions.rs
+++ b/system/control/tests/model/questions.rs
@@ -6,20 +6,30 @@
 impl World {
     pub fn ask(&mut self, machine: usize) {
         let acknowledged = self.history.keys().next_back().copied().unwrap_or(0);
-        self.questions.push(Question { machine, since: self.now, acknowledged });
+        self.questions.push(Question {
+            machine,
+            since: self.now,
+            acknowledged,
+        });
     }
 
     /// Answers the questions that a coordinator would answer now.
     pub fn answer_questions(&mut self) {
         let now = self.now;
         for question in std::mem::take(&mut self.questions) {
-            let Some((replica, state)) = self.machines[question.machine].process.as_ref() else { continue };
+            let Some((replica, state)) = self.machines[question.machine].process.as_ref() else {
+                continue;
+            };
             let settled = state.position().view == replica.view().number;
-            let answers = replica.is_tail() && settled && replica.has_contact_since(question.since, now);
+            let answers =
+                replica.is_tail() && settled && replica.has_contact_since(question.since, now);
             if !answers || self.machines[question.machine].is_frozen {
                 self.questions.push(question);
             } else if state.position().index < question.acknowledged {
-                self.wrong = Some(format!("{question:?} was answered by {:?}", state.position()));
+                self.wrong = Some(format!(
+                    "{question:?} was answered by {:?}",
+                    state.position()
+                ));
             }
         }
     }
--- a/system/control/tests/model/running.rs
+++ b/system/control/tests/model/running.rs
@@ -3,16 +3,25 @@
     common::{counting_state::CountingState, disk_change::DiskChange},
     world::{address, World, TICK_MS},
 };
-use magpiegap_control::{restore, ControlSettings, Output, Replica, Snapshot, StateMachine, Tolerance};
-use magpiegap_protocol::{Command, Location, Member, Millis, PeerMessage, ProposalId, Replica as ReplicaId};
+use magpiegap_control::{
+    restore, ControlSettings, Output, Replica, Snapshot, StateMachine, Tolerance,
+};
+use magpiegap_protocol::{
+    Command, Location, Member, Millis, PeerMessage, ProposalId, Replica as ReplicaId,
+};
 use std::collections::VecDeque;
 
 impl World {
     pub fn start(&mut self, machine: usize, tolerance: usize) {
         self.boots += 1;
         let disk = self.machines[machine].disk.clone();
-        let own =
-            ReplicaId { member: Member { address: address(machine), disk: disk.disk }, boot: self.boots };
+        let own = ReplicaId {
+            member: Member {
+                address: address(machine),
+                disk: disk.disk,
+            },
+            boot: self.boots,
+        };
         let settings = ControlSettings {
             own,
             seeds: (0..self.machines.len()).map(address).collect(),
@@ -32,7 +41,8 @@
     pub fn end(&mut self, machine: usize) {
         self.machines[machine].process = None;
         self.machines[machine].is_frozen = false;
-        self.questions.retain(|question| question.machine != machine);
+        self.questions
+            .retain(|question| question.machine != machine);
         // What was on its way to the process is lost with its connections.
         self.links.retain(|(_, to), _| *to != machine);
     }
@@ -55,7 +65,11 @@
     }
 
     /// Takes a step at a process, and does what it wants done.
-    pub fn with(&mut self, machine: usize, step: impl FnOnce(&mut Replica, Millis, &mut CountingState)) {
+    pub fn with(
+        &mut self,
+        machine: usize,
+        step: impl FnOnce(&mut Replica, Millis, &mut CountingState),
+    ) {
         let now = self.now;
         if let Some((replica, state)) = self.machines[machine].process.as_mut() {
             step(replica, now, state);
@@ -66,7 +80,9 @@
     pub fn perform(&mut self, machine: usize) {
         loop {
             let now = self.now;
-            let Some((replica, state)) = self.machines[machine].process.as_mut() else { return };
+            let Some((replica, state)) = self.machines[machine].process.as_mut() else {
+                return;
+            };
             replica.flush(now, state);
             let outputs = replica.take_outputs();
             let own = replica.own();
@@ -88,10 +104,14 @@
     pub fn perform_one(&mut self, machine: usize, own: ReplicaId, output: Output) {
         match output {
             Output::Persist { ticket, records } => {
-                self.machines[machine].pending.push_back((ticket, DiskChange::Records(records)));
+                self.machines[machine]
+                    .pending
+                    .push_back((ticket, DiskChange::Records(records)));
             }
             Output::Checkpoint { ticket, snapshot } => {
-                self.machines[machine].pending.push_back((ticket, DiskChange::Whole(snapshot)));
+                self.machines[machine]
+                    .pending
+                    .push_back((ticket, DiskChange::Whole(snapshot)));
             }
             Output::Send { to, message } => self.send(machine, own, (to - 1) as usize, message),
             Output::Log(_) => {}
@@ -100,7 +120,9 @@
 
     pub fn send(&mut self, from: usize, own: ReplicaId, to: usize, message: PeerMessage) {
         if from == to {
-            self.with(to, |replica, now, state| replica.receive(now, now, own, message, state));
+            self.with(to, |replica, now, state| {
+                replica.receive(now, now, own, message, state)
+            });
             return;
         }
         let is_cut = self.machines[from].is_cut_off || self.machines[to].is_cut_off;
@@ -109,26 +131,37 @@
         }
         let is_heartbeat = matches!(message, PeerMessage::Heartbeat(_));
         if is_heartbeat && self.is_awake(to) {
-            self.with(to, |replica, now, state| replica.receive(now, now, own, message, state));
+            self.with(to, |replica, now, state| {
+                replica.receive(now, now, own, message, state)
+            });
             return;
         }
-        self.links.entry((from, to)).or_default().push_back((own, message));
+        self.links
+            .entry((from, to))
+            .or_default()
+            .push_back((own, message));
     }
 
     /// A disk has everything that it was asked to keep.
     pub fn sync(&mut self, machine: usize) {
         let pending = std::mem::take(&mut self.machines[machine].pending);
-        let Some((last, _)) = pending.back() else { return };
+        let Some((last, _)) = pending.back() else {
+            return;
+        };
         let last = *last;
         self.write_through(machine, pending);
         let machine_now = &mut self.machines[machine];
         machine_now.synced = machine_now.disk.clone();
-        self.with(machine, |replica, now, state| replica.persisted(last, now, state));
+        self.with(machine, |replica, now, state| {
+            replica.persisted(last, now, state)
+        });
     }
 
     pub fn write_through(&mut self, machine: usize, pending: VecDeque<(u64, DiskChange)>) {
         let disk = &mut self.machines[machine].disk;
-        pending.into_iter().for_each(|(_, change)| change.apply(disk));
+        pending
+            .into_iter()
+            .for_each(|(_, change)| change.apply(disk));
     }
 
     pub fn tick(&mut self) {
@@ -143,13 +176,18 @@
 
     pub fn write(&mut self) {
         let heads: Vec<usize> = (0..self.machines.len())
-            .filter(|machine| self.is_awake(*machine) && self.replica(*machine).is_some_and(Replica::is_head))
+            .filter(|machine| {
+                self.is_awake(*machine) && self.replica(*machine).is_some_and(Replica::is_head)
+            })
             .collect();
         for machine in heads {
             self.proposals += 1;
             let sequence = self.proposals;
             self.with(machine, |replica, now, _| {
-                let proposal = ProposalId { origin: replica.own(), sequence };
+                let proposal = ProposalId {
+                    origin: replica.own(),
+                    sequence,
+                };
                 replica.propose(now, proposal, None, Command::Noop);
             });
         }
@@ -168,7 +206,11 @@
             for machine in 0..self.machines.len() {
                 self.sync(machine);
             }
-            let Some(link) = self.links.iter().find(|(_, queue)| !queue.is_empty()).map(|(link, _)| *link)
+            let Some(link) = self
+                .links
+                .iter()
+                .find(|(_, queue)| !queue.is_empty())
+                .map(|(link, _)| *link)
             else {
                 return;
             };
@@ -177,10 +219,15 @@
     }
 
     pub fn deliver(&mut self, from: usize, to: usize) {
-        let first = self.links.get_mut(&(from, to)).and_then(VecDeque::pop_front);
+        let first = self
+            .links
+            .get_mut(&(from, to))
+            .and_then(VecDeque::pop_front);
         self.links.retain(|_, queue| !queue.is_empty());
         if let Some((own, message)) = first {
-            self.with(to, |replica, now, state| replica.receive(now, now, own, message, state));
+            self.with(to, |replica, now, state| {
+                replica.receive(now, now, own, message, state)
+            });
         }
     }
 }
--- a/system/control/tests/model/steps.rs
+++ b/system/control/tests/model/steps.rs
@@ -47,12 +47,22 @@
             (budget.kills, Step::Kill(machine)),
             (budget.power_losses, Step::LosePower(machine)),
             (budget.wipes, Step::Wipe(machine)),
-            (budget.cuts * u8::from(!known.is_cut_off), Step::CutOff(machine)),
+            (
+                budget.cuts * u8::from(!known.is_cut_off),
+                Step::CutOff(machine),
+            ),
             (u8::from(known.is_cut_off), Step::Mend(machine)),
-            (budget.freezes * u8::from(!known.is_frozen), Step::Freeze(machine)),
+            (
+                budget.freezes * u8::from(!known.is_frozen),
+                Step::Freeze(machine),
+            ),
             (u8::from(known.is_frozen), Step::Thaw(machine)),
         ];
-        possible.into_iter().filter(|(left, _)| *left > 0).map(|(_, step)| step).collect()
+        possible
+            .into_iter()
+            .filter(|(left, _)| *left > 0)
+            .map(|(_, step)| step)
+            .collect()
     }
 }
 
@@ -78,7 +88,8 @@
                 steps.push(Step::Sync(machine));
             }
             steps.extend(Core::faults(world, machine));
-            let is_tail = world.is_awake(machine) && world.replica(machine).is_some_and(Replica::is_tail);
+            let is_tail =
+                world.is_awake(machine) && world.replica(machine).is_some_and(Replica::is_tail);
             if is_tail && world.budget.questions > 0 && world.questions.len() < MOST_QUESTIONS {
                 steps.push(Step::Ask(machine));
             }
@@ -89,7 +100,8 @@
         if world.budget.writes > 0 {
             steps.push(Step::Write);
         }
-        let is_busy = |machine| world.is_awake(machine) && !world.machines[machine].pending.is_empty();
+        let is_busy =
+            |machine| world.is_awake(machine) && !world.machines[machine].pending.is_empty();
         if !world.links.is_empty() || (0..world.machines.len()).any(is_busy) {
             steps.push(Step::Run);
         }
@@ -159,7 +171,10 @@
                 |core: &Core, world: &World| {
                     let lost = core.worlds[0].budget.wipes - world.budget.wipes;
                     let least = (core.tolerance + 1).saturating_sub(usize::from(lost));
-                    world.history.iter().all(|(index, proposal)| world.copies(*index, *proposal) >= least)
+                    world
+                        .history
+                        .iter()
+                        .all(|(index, proposal)| world.copies(*index, *proposal) >= least)
                 },
             ),
         ]
--- a/system/control/tests/model/world.rs
+++ b/system/control/tests/model/world.rs
@@ -83,9 +83,18 @@
 
 impl World {
     pub fn new(size: usize, tolerance: usize, budget: Budget) -> World {
-        let voters: Vec<Member> =
-            (0..size).map(|machine| Member { address: address(machine), disk: 0 }).collect();
-        let empty = Snapshot::empty(0, Some(0), voters.clone(), CountingState::default().freeze());
+        let voters: Vec<Member> = (0..size)
+            .map(|machine| Member {
+                address: address(machine),
+                disk: 0,
+            })
+            .collect();
+        let empty = Snapshot::empty(
+            0,
+            Some(0),
+            voters.clone(),
+            CountingState::default().freeze(),
+        );
         let machine = |_| Machine {
             disk: empty.clone(),
             synced: empty.clone(),
@@ -116,7 +125,10 @@
     }
 
     pub fn replica(&self, machine: usize) -> Option<&Replica> {
-        self.machines[machine].process.as_ref().map(|(replica, _)| replica)
+        self.machines[machine]
+            .process
+            .as_ref()
+            .map(|(replica, _)| replica)
     }
 
     /// What tells two worlds apart.
@@ -130,12 +142,31 @@
 impl fmt::Debug for World {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for machine in &self.machines {
-            let process = machine.process.as_ref().map(|(replica, state)| (replica, state.position()));
-            write!(f, "{:?} {process:?} ", (&machine.pending, machine.is_cut_off, machine.is_frozen))?;
-            write!(f, "{:?} {:?} ", machine.disk.agreement, machine.disk.entries)?;
-            write!(f, "{:?} {:?} ", machine.synced.agreement, machine.synced.entries)?;
+            let process = machine
+                .process
+                .as_ref()
+                .map(|(replica, state)| (replica, state.position()));
+            write!(
+                f,
+                "{:?} {process:?} ",
+                (&machine.pending, machine.is_cut_off, machine.is_frozen)
+            )?;
+            write!(
+                f,
+                "{:?} {:?} ",
+                machine.disk.agreement, machine.disk.entries
+            )?;
+            write!(
+                f,
+                "{:?} {:?} ",
+                machine.synced.agreement, machine.synced.entries
+            )?;
         }
-        write!(f, "{} {:?} {:?} {:?} {:?}", self.now, self.links, self.budget, self.questions, self.wrong)
+        write!(
+            f,
+            "{} {:?} {:?} {:?} {:?}",
+            self.now, self.links, self.budget, self.questions, self.wrong
+        )
     }
 }
 
--- a/system/control/tests/starting.rs
+++ b/system/control/tests/starting.rs
@@ -7,12 +7,18 @@
 use magpiegap_protocol::{Heartbeat, Member, PeerMessage, Replica as ReplicaId, View};
 
 fn replica(address: u32) -> ReplicaId {
-    ReplicaId { member: Member { address, disk: 0 }, boot: u64::from(address) }
+    ReplicaId {
+        member: Member { address, disk: 0 },
+        boot: u64::from(address),
+    }
 }
 
 /// The life of a replica after its start.
 fn new_life(address: u32) -> ReplicaId {
-    ReplicaId { boot: 90 + u64::from(address), ..replica(address) }
+    ReplicaId {
+        boot: 90 + u64::from(address),
+        ..replica(address)
+    }
 }
 
 /// The first of three replicas that have all started anew: view 1, with all three, is on its disk.
@@ -28,12 +34,23 @@
 /// A heartbeat of a replica that hears the first one.
 fn heard_heartbeat(view: u64, serving: bool) -> PeerMessage {
     let heard = vec![report(new_life(1), view)];
-    PeerMessage::Heartbeat(Heartbeat { serving, heard, ..heartbeat(view) })
+    PeerMessage::Heartbeat(Heartbeat {
+        serving,
+        heard,
+        ..heartbeat(view)
+    })
 }
 
 fn proposes(outputs: &[Output]) -> bool {
-    let prepares =
-        |output: &Output| matches!(output, Output::Send { message: PeerMessage::Prepare { .. }, .. });
+    let prepares = |output: &Output| {
+        matches!(
+            output,
+            Output::Send {
+                message: PeerMessage::Prepare { .. },
+                ..
+            }
+        )
+    };
     outputs.iter().any(prepares)
 }
 
@@ -41,7 +58,13 @@
 fn given_a_start_of_all_when_all_voters_are_heard_then_a_view_is_proposed_at_once() {
     let mut replica_1 = restarted();
     for other in [2, 3] {
-        replica_1.receive(10, 0, new_life(other), heard_heartbeat(1, false), &mut NoState);
+        replica_1.receive(
+            10,
+            0,
+            new_life(other),
+            heard_heartbeat(1, false),
+            &mut NoState,
+        );
     }
     replica_1.tick(20, 20, &mut NoState);
     expect_that!(proposes(&replica_1.take_outputs()), eq(true));
@@ -64,7 +87,13 @@
 fn given_others_that_serve_when_a_replica_starts_then_it_disturbs_them_only_once_it_has_settled() {
     let mut replica_1 = restarted();
     for other in [2, 3] {
-        replica_1.receive(10, 0, new_life(other), heard_heartbeat(1, true), &mut NoState);
+        replica_1.receive(
+            10,
+            0,
+            new_life(other),
+            heard_heartbeat(1, true),
+            &mut NoState,
+        );
     }
     replica_1.tick(20, 20, &mut NoState);
     expect_that!(proposes(&replica_1.take_outputs()), eq(false));
@@ -77,8 +106,15 @@
     replica_1.take_outputs();
     replica_1.receive(10, 0, new_life(2), heard_heartbeat(1, false), &mut NoState);
     replica_1.tick(20, 20, &mut NoState);
-    let heartbeats =
-        |output: &Output| matches!(output, Output::Send { to: 2, message: PeerMessage::Heartbeat(_) });
+    let heartbeats = |output: &Output| {
+        matches!(
+            output,
+            Output::Send {
+                to: 2,
+                message: PeerMessage::Heartbeat(_)
+            }
+        )
+    };
     expect_that!(replica_1.take_outputs().iter().any(heartbeats), eq(true));
 }
 
@@ -92,13 +128,27 @@
     replica_1.receive(100, 0, new_life(3), heard_heartbeat(1, false), &mut NoState);
     let chain: Vec<ReplicaId> = (1..=3).map(new_life).collect();
     let voters: Vec<Member> = chain.iter().map(|replica| replica.member).collect();
-    let view = View::initial(voters.clone()).next(voters.clone(), chain.clone()).next(voters, chain);
-    replica_1.receive(110, 0, new_life(2), PeerMessage::Decided(view), &mut NoState);
+    let view = View::initial(voters.clone())
+        .next(voters.clone(), chain.clone())
+        .next(voters, chain);
+    replica_1.receive(
+        110,
+        0,
+        new_life(2),
+        PeerMessage::Decided(view),
+        &mut NoState,
+    );
     // When
     let mut proposed = false;
     for now in (120..400).step_by(20) {
         for other in [2, 3] {
-            replica_1.receive(now, 0, new_life(other), heard_heartbeat(2, true), &mut NoState);
+            replica_1.receive(
+                now,
+                0,
+                new_life(other),
+                heard_heartbeat(2, true),
+                &mut NoState,
+            );
         }
         replica_1.tick(now, now, &mut NoState);
         proposed |= proposes(&replica_1.take_outputs());
--- a/system/control/tests/state_transfer.rs
+++ b/system/control/tests/state_transfer.rs
@@ -14,26 +14,49 @@
 const STATE: Position = Position { view: 1, index: 50 };
 
 fn replica(address: u32, disk: u64) -> ReplicaId {
-    ReplicaId { member: Member { address, disk }, boot: u64::from(address) }
+    ReplicaId {
+        member: Member { address, disk },
+        boot: u64::from(address),
+    }
 }
 
 fn entry(view: u64, index: u64) -> Entry {
-    let proposal = ProposalId { origin: replica(1, 0), sequence: index };
-    Entry { position: Position { view, index }, proposal, fence: None, command: Command::Noop, wall_ms: 0 }
+    let proposal = ProposalId {
+        origin: replica(1, 0),
+        sequence: index,
+    };
+    Entry {
+        position: Position { view, index },
+        proposal,
+        fence: None,
+        command: Command::Noop,
+        wall_ms: 0,
+    }
 }
 
 /// A view with a chain of head and tail; the learner is outside of it.
 fn view(number: u64) -> View {
     let chain = vec![replica(1, 0), replica(2, 0)];
     let voters: Vec<Member> = chain.iter().map(|replica| replica.member).collect();
-    (0..number).fold(View::initial(voters.clone()), |view, _| view.next(voters.clone(), chain.clone()))
+    (0..number).fold(View::initial(voters.clone()), |view, _| {
+        view.next(voters.clone(), chain.clone())
+    })
 }
 
 /// A replica with an empty disk outside of the chain, to which the tail has offered its state.
 fn learner() -> Replica {
     let own = replica(3, 7);
-    let mut learner = started(settings(own, vec![1]), Snapshot::empty(7, None, Vec::new(), no_state()));
-    learner.receive(0, 0, replica(1, 0), PeerMessage::Decided(view(2)), &mut NoState);
+    let mut learner = started(
+        settings(own, vec![1]),
+        Snapshot::empty(7, None, Vec::new(), no_state()),
+    );
+    learner.receive(
+        0,
+        0,
+        replica(1, 0),
+        PeerMessage::Decided(view(2)),
+        &mut NoState,
+    );
     learner.receive(10, 0, tail(), offer(2), &mut NoState);
     learner
 }
@@ -43,27 +66,47 @@
 }
 
 fn offer(view: u64) -> PeerMessage {
-    PeerMessage::StateOffer { view, position: STATE, parts: PARTS }
+    PeerMessage::StateOffer {
+        view,
+        position: STATE,
+        parts: PARTS,
+    }
 }
 
 fn part(view: u64, number: u32) -> PeerMessage {
     let bytes = vec![number as u8];
-    PeerMessage::StatePart { view, position: STATE, number, checksum: fnv1a(&bytes), bytes }
+    PeerMessage::StatePart {
+        view,
+        position: STATE,
+        number,
+        checksum: fnv1a(&bytes),
+        bytes,
+    }
 }
 
 /// The parts that a replica asks for.
 fn asked(replica: &mut Replica) -> Vec<u32> {
     let asks = |output| match output {
-        Output::Send { to: 2, message: PeerMessage::AskPart { number, .. } } => Some(number),
+        Output::Send {
+            to: 2,
+            message: PeerMessage::AskPart { number, .. },
+        } => Some(number),
         _ => None,
     };
-    replica.take_outputs().into_iter().filter_map(asks).collect()
+    replica
+        .take_outputs()
+        .into_iter()
+        .filter_map(asks)
+        .collect()
 }
 
 /// After which entry a replica asks for more.
 fn asked_after(outputs: &[Output]) -> Option<u64> {
     outputs.iter().rev().find_map(|output| match output {
-        Output::Send { to: 2, message: PeerMessage::Synchronize { last, .. } } => Some(last.index),
+        Output::Send {
+            to: 2,
+            message: PeerMessage::Synchronize { last, .. },
+        } => Some(last.index),
         _ => None,
     })
 }
@@ -80,7 +123,10 @@
 #[googletest::test]
 fn given_an_offered_state_when_parts_come_then_a_few_are_asked_for_at_a_time() {
     let mut learner = learner();
-    expect_that!(asked(&mut learner), elements_are![eq(&0), eq(&1), eq(&2), eq(&3)]);
+    expect_that!(
+        asked(&mut learner),
+        elements_are![eq(&0), eq(&1), eq(&2), eq(&3)]
+    );
     learner.receive(20, 0, tail(), part(2, 0), &mut NoState);
     expect_that!(asked(&mut learner), elements_are![eq(&4)]);
     // One that comes again, or too soon, is passed over.
@@ -96,7 +142,10 @@
     learner.receive(21, 0, tail(), part(2, 1), &mut NoState);
     learner.take_outputs();
     learner.tick(200, 200, &mut NoState);
-    expect_that!(asked(&mut learner), elements_are![eq(&2), eq(&3), eq(&4), eq(&5)]);
+    expect_that!(
+        asked(&mut learner),
+        elements_are![eq(&2), eq(&3), eq(&4), eq(&5)]
+    );
 }
 
 #[googletest::test]
@@ -106,9 +155,18 @@
         learner.receive(20, 0, tail(), part(2, number), &mut NoState);
     }
     learner.take_outputs();
-    learner.receive(30, 0, replica(1, 0), PeerMessage::Decided(view(3)), &mut NoState);
+    learner.receive(
+        30,
+        0,
+        replica(1, 0),
+        PeerMessage::Decided(view(3)),
+        &mut NoState,
+    );
     learner.receive(31, 0, tail(), offer(3), &mut NoState);
-    expect_that!(asked(&mut learner), elements_are![eq(&6), eq(&7), eq(&8), eq(&9)]);
+    expect_that!(
+        asked(&mut learner),
+        elements_are![eq(&6), eq(&7), eq(&8), eq(&9)]
+    );
 }
 
 #[googletest::test]
@@ -122,17 +180,32 @@
     expect_that!(checkpoints(&outputs), is_empty());
     expect_that!(asked_after(&outputs), some(eq(50)));
     let entries: Vec<Entry> = (51..=60).map(|index| entry(1, index)).collect();
-    let some_of_them = PeerMessage::MissingEntries { view: 2, after: 50, entries, more: true };
+    let some_of_them = PeerMessage::MissingEntries {
+        view: 2,
+        after: 50,
+        entries,
+        more: true,
+    };
     learner.receive(30, 0, tail(), some_of_them, &mut NoState);
     let outputs = learner.take_outputs();
     expect_that!(checkpoints(&outputs), is_empty());
     expect_that!(asked_after(&outputs), some(eq(60)));
     let entries = vec![entry(2, 61)];
-    let rest = PeerMessage::MissingEntries { view: 2, after: 60, entries, more: false };
+    let rest = PeerMessage::MissingEntries {
+        view: 2,
+        after: 60,
+        entries,
+        more: false,
+    };
     learner.receive(40, 0, tail(), rest, &mut NoState);
     expect_that!(checkpoints(&learner.take_outputs()), elements_are![eq(&11)]);
     // From now on it takes entries as they come.
-    let append = PeerMessage::Append { view: 2, after: 61, entries: vec![entry(2, 62)], durable: 61 };
+    let append = PeerMessage::Append {
+        view: 2,
+        after: 61,
+        entries: vec![entry(2, 62)],
+        durable: 61,
+    };
     learner.receive(50, 0, tail(), append, &mut NoState);
     expect_that!(learner.committed(), eq(61));
 }
@@ -145,10 +218,21 @@
         learner.receive(20, 0, tail(), part(2, number), &mut NoState);
     }
     let entries = vec![entry(2, 51)];
-    let some_of_them = PeerMessage::MissingEntries { view: 2, after: 50, entries, more: true };
+    let some_of_them = PeerMessage::MissingEntries {
+        view: 2,
+        after: 50,
+        entries,
+        more: true,
+    };
     learner.receive(30, 0, tail(), some_of_them, &mut NoState);
     // When
-    learner.receive(40, 0, replica(1, 0), PeerMessage::Decided(view(3)), &mut NoState);
+    learner.receive(
+        40,
+        0,
+        replica(1, 0),
+        PeerMessage::Decided(view(3)),
+        &mut NoState,
+    );
     learner.take_outputs();
     learner.tick(500, 500, &mut NoState);
     // Then
--- a/system/control/tests/time_of_day.rs
+++ b/system/control/tests/time_of_day.rs
@@ -19,7 +19,10 @@
     for jump in [8_000_i64, -8_000] {
         let mut clock = known_clock();
         for now in (20_100..26_000).step_by(100) {
-            expect_that!(clock.read(now, (BASE + now).saturating_add_signed(jump)), eq(BASE + now));
+            expect_that!(
+                clock.read(now, (BASE + now).saturating_add_signed(jump)),
+                eq(BASE + now)
+            );
         }
         expect_that!(clock.read(26_000, BASE + 26_000), eq(BASE + 26_000));
     }
--- a/system/control/tests/turmoil.rs
+++ b/system/control/tests/turmoil.rs
@@ -54,7 +54,11 @@
     fn new(seed: u64, size: u32, tolerance: usize) -> Story {
         let mut group = Group::start(size, tolerance);
         group.chance = Some(StdRng::seed_from_u64(seed));
-        Story { group, random: StdRng::seed_from_u64(!seed), told: Vec::new() }
+        Story {
+            group,
+            random: StdRng::seed_from_u64(!seed),
+            told: Vec::new(),
+        }
     }
 
     /// Lets time pass; the head, whoever holds itself for it, writes an entry every 5 ms.
@@ -71,10 +75,16 @@
         match *fault {
             Fault::Kill(address) => self.group.kill_replica(address),
             Fault::PowerLoss(address) => self.group.stop_replica(address),
-            Fault::PowerLossOfAll => {
-                self.group.addresses().into_iter().for_each(|at| self.group.stop_replica(at))
-            }
-            Fault::KillOfAll => self.group.addresses().into_iter().for_each(|at| self.group.kill_replica(at)),
+            Fault::PowerLossOfAll => self
+                .group
+                .addresses()
+                .into_iter()
+                .for_each(|at| self.group.stop_replica(at)),
+            Fault::KillOfAll => self
+                .group
+                .addresses()
+                .into_iter()
+                .for_each(|at| self.group.kill_replica(at)),
             Fault::Freeze(address) => {
                 self.group.frozen.insert(address, until);
             }
@@ -95,7 +105,9 @@
             }
         }
         let random = &mut self.random;
-        self.group.cut_links.retain(|_| !all && random.gen_bool(0.5));
+        self.group
+            .cut_links
+            .retain(|_| !all && random.gen_bool(0.5));
         self.group.cut_off.retain(|_| !all && random.gen_bool(0.5));
     }
 
@@ -106,7 +118,8 @@
         let mut addresses = self.group.addresses();
         for _ in 0..count {
             let lost = addresses.remove(self.random.gen_range(0..addresses.len()));
-            self.told.push(format!("{} the disk of {lost} is lost", self.group.now));
+            self.told
+                .push(format!("{} the disk of {lost} is lost", self.group.now));
             self.group.stop_replica(lost);
             self.group.wipe(lost);
         }
@@ -140,7 +153,10 @@
         wrong.push(format!("nothing more is committed after {committed}"));
     }
     if !story.group.contradictions.is_empty() {
-        wrong.push(format!("entries were replaced: {:?}", story.group.contradictions));
+        wrong.push(format!(
+            "entries were replaced: {:?}",
+            story.group.contradictions
+        ));
     }
     if !wrong.is_empty() {
         wrong.push(format!("seed {seed}: {:#?}", story.told));
--- a/system/control/tests/zones.rs
+++ b/system/control/tests/zones.rs
@@ -7,33 +7,65 @@
 use magpiegap_protocol::{Location, PlaceId};
 
 /// One machine, or all of one zone, may be lost at once.
-const ONE_ZONE: Tolerance = Tolerance { machines: 1, zones: 1, regions: 0 };
+const ONE_ZONE: Tolerance = Tolerance {
+    machines: 1,
+    zones: 1,
+    regions: 0,
+};
 
 fn in_zones(zones: &[&str]) -> Vec<Location> {
-    let location = |zone: &&str| Location { zone: PlaceId::of(zone), region: PlaceId::of("region") };
+    let location = |zone: &&str| Location {
+        zone: PlaceId::of(zone),
+        region: PlaceId::of("region"),
+    };
     zones.iter().map(location).collect()
 }
 
 #[googletest::test]
 fn given_replicas_of_one_zone_when_a_zone_may_be_lost_then_they_do_not_suffice() {
-    expect_that!(ONE_ZONE.leaves_a_copy(&in_zones(&["a", "a", "a"])), eq(false));
+    expect_that!(
+        ONE_ZONE.leaves_a_copy(&in_zones(&["a", "a", "a"])),
+        eq(false)
+    );
     expect_that!(ONE_ZONE.leaves_a_copy(&in_zones(&["a", "b"])), eq(true));
     expect_that!(ONE_ZONE.leaves_a_copy(&in_zones(&["a"])), eq(false));
-    expect_that!(Tolerance::of_machines(1).leaves_a_copy(&in_zones(&["a", "a"])), eq(true));
+    expect_that!(
+        Tolerance::of_machines(1).leaves_a_copy(&in_zones(&["a", "a"])),
+        eq(true)
+    );
 }
 
 #[googletest::test]
 fn given_voters_when_any_zone_may_be_lost_then_none_may_hold_half_of_them() {
-    expect_that!(ONE_ZONE.leaves_a_majority(&in_zones(&["a", "a", "b"])), eq(false));
-    expect_that!(ONE_ZONE.leaves_a_majority(&in_zones(&["a", "a", "b", "b"])), eq(false));
-    expect_that!(ONE_ZONE.leaves_a_majority(&in_zones(&["a", "b", "c"])), eq(true));
-    expect_that!(ONE_ZONE.leaves_a_majority(&in_zones(&["a", "a", "b", "b", "c"])), eq(true));
+    expect_that!(
+        ONE_ZONE.leaves_a_majority(&in_zones(&["a", "a", "b"])),
+        eq(false)
+    );
+    expect_that!(
+        ONE_ZONE.leaves_a_majority(&in_zones(&["a", "a", "b", "b"])),
+        eq(false)
+    );
+    expect_that!(
+        ONE_ZONE.leaves_a_majority(&in_zones(&["a", "b", "c"])),
+        eq(true)
+    );
+    expect_that!(
+        ONE_ZONE.leaves_a_majority(&in_zones(&["a", "a", "b", "b", "c"])),
+        eq(true)
+    );
 }
 
 #[googletest::test]
 fn given_regions_when_one_may_be_lost_then_copies_and_voters_are_in_several() {
-    let tolerance = Tolerance { machines: 1, zones: 0, regions: 1 };
-    let at = |zone: &str, region: &str| Location { zone: PlaceId::of(zone), region: PlaceId::of(region) };
+    let tolerance = Tolerance {
+        machines: 1,
+        zones: 0,
+        regions: 1,
+    };
+    let at = |zone: &str, region: &str| Location {
+        zone: PlaceId::of(zone),
+        region: PlaceId::of(region),
+    };
     let one_region = [at("a", "r"), at("b", "r"), at("c", "s")];
     let three_regions = [at("a", "r"), at("b", "s"), at("c", "t")];
     expect_that!(tolerance.leaves_a_copy(&one_region[..2]), eq(false));
@@ -59,11 +91,18 @@
 
 #[googletest::test]
 fn given_seeds_of_which_two_share_a_zone_when_that_zone_is_lost_then_writes_go_on() {
-    for zones in [["a", "a", "b", "b", "c"], ["a", "a", "b", "c", "a"], ["a", "a", "b", "c", "d"]] {
+    for zones in [
+        ["a", "a", "b", "b", "c"],
+        ["a", "a", "b", "c", "a"],
+        ["a", "a", "b", "c", "d"],
+    ] {
         let mut group = Group::start_in_zones(&zones, 3, ONE_ZONE);
         group.run(2000);
-        let of_a: Vec<u32> =
-            (1..).zip(zones).filter(|(_, zone)| *zone == "a").map(|(address, _)| address).collect();
+        let of_a: Vec<u32> = (1..)
+            .zip(zones)
+            .filter(|(_, zone)| *zone == "a")
+            .map(|(address, _)| address)
+            .collect();
         for address in of_a {
             group.stop_replica(address);
         }
--- a/system/coordinator/src/counters.rs
+++ b/system/coordinator/src/counters.rs
@@ -41,8 +41,14 @@
         for change in &applied.changes {
             match change {
                 Change::RunOpened(_) => self.runs_opened += 1,
-                Change::RunClosed { kind: Some(EndKind::Done), .. } => self.runs_done += 1,
-                Change::RunClosed { kind: Some(EndKind::Failed), .. } => self.runs_failed += 1,
+                Change::RunClosed {
+                    kind: Some(EndKind::Done),
+                    ..
+                } => self.runs_done += 1,
+                Change::RunClosed {
+                    kind: Some(EndKind::Failed),
+                    ..
+                } => self.runs_failed += 1,
                 Change::RunClosed { .. } => self.runs_cut_short += 1,
                 _ => {}
             }
--- a/system/coordinator/src/describe.rs
+++ b/system/coordinator/src/describe.rs
@@ -97,7 +97,11 @@
             settled: self.settled_in_view,
             proposals: self.proposals.len(),
             requests: self.pending.len(),
-            chain: view.chain.iter().map(|replica| replica.member.ip().to_string()).collect(),
+            chain: view
+                .chain
+                .iter()
+                .map(|replica| replica.member.ip().to_string())
+                .collect(),
             voters: view.voters.len(),
             active: self.replica.is_active(),
             contact_ms: self.contact_age_ms(),
@@ -116,7 +120,10 @@
 
     fn agents_behind(&self) -> usize {
         let newest = self.machine.state.configuration.version;
-        self.waiters.iter().filter(|waiter| waiter.poll.configuration_version != newest).count()
+        self.waiters
+            .iter()
+            .filter(|waiter| waiter.poll.configuration_version != newest)
+            .count()
     }
 
     fn contact_age_ms(&self) -> Option<u64> {
@@ -143,8 +150,13 @@
         };
         let service = &known.submission.service;
         if let Some(scheduler) = self.schedulers.get(service).filter(|_| self.may_act()) {
-            let text = scheduler.explain(state, job).and_then(|said| serde_json::to_string(&said).ok());
-            return text.map_or(CoordinatorAnswer::NotServing, CoordinatorAnswer::Description);
+            let text = scheduler
+                .explain(state, job)
+                .and_then(|said| serde_json::to_string(&said).ok());
+            return text.map_or(
+                CoordinatorAnswer::NotServing,
+                CoordinatorAnswer::Description,
+            );
         }
         match state.roles.get(&Role::Scheduler(service.clone())) {
             Some(held) if held.holder != self.replica.own() => {
--- a/system/coordinator/src/feeds.rs
+++ b/system/coordinator/src/feeds.rs
@@ -1,6 +1,8 @@
 //! What agents and proxies are fed: long polls, answered as soon as anything has changed.
 use crate::{coordinator::Coordinator, outputs::RequestId, under_way::Waiter};
-use magpiegap_protocol::{ConfigurationFetch, CoordinatorAnswer, Feed, FeedPoll, Millis, RoleHolder};
+use magpiegap_protocol::{
+    ConfigurationFetch, CoordinatorAnswer, Feed, FeedPoll, Millis, RoleHolder,
+};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Polls are not turned away before a coordinator has been without news of the others for this long, in milliseconds.
@@ -24,7 +26,11 @@
         });
         let mut feed = Feed {
             view: view.number,
-            chain: view.chain.iter().map(|replica| replica.member.address).collect(),
+            chain: view
+                .chain
+                .iter()
+                .map(|replica| replica.member.address)
+                .collect(),
             roles: roles.collect(),
             configuration_version: state.configuration.version,
             revision: 0,
@@ -41,7 +47,11 @@
 
     pub(crate) fn poll(&mut self, request: RequestId, poll: FeedPoll) {
         let until = self.now + poll.wait_ms;
-        self.waiters.push(Waiter { request, poll, until });
+        self.waiters.push(Waiter {
+            request,
+            poll,
+            until,
+        });
     }
 
     /// Answers the polls whose turn has come.
@@ -60,8 +70,11 @@
             std::mem::take(&mut self.waiters).into_iter().partition(due);
         self.waiters = waiting;
         for waiter in answered {
-            let answer =
-                if is_informed { self.feed_for(&waiter.poll) } else { CoordinatorAnswer::NotServing };
+            let answer = if is_informed {
+                self.feed_for(&waiter.poll)
+            } else {
+                CoordinatorAnswer::NotServing
+            };
             self.answer(waiter.request, answer);
         }
     }
@@ -69,13 +82,18 @@
     fn feed_for(&mut self, poll: &FeedPoll) -> CoordinatorAnswer {
         let change = self.configurations.small_change(poll.configuration_version);
         change.iter().for_each(|part| self.counters.note_part(part));
-        CoordinatorAnswer::Feed(Box::new(Feed { change, ..self.feed.clone() }))
+        CoordinatorAnswer::Feed(Box::new(Feed {
+            change,
+            ..self.feed.clone()
+        }))
     }
 
     /// Answers with a part of what leads to the newest configuration.
     pub(crate) fn fetch_configuration(&mut self, request: RequestId, fetch: &ConfigurationFetch) {
         let is_informed = self.is_informed() && !self.leaving;
-        let part = is_informed.then(|| self.configurations.part(fetch)).flatten();
+        let part = is_informed
+            .then(|| self.configurations.part(fetch))
+            .flatten();
         part.iter().for_each(|part| self.counters.note_part(part));
         let answer = match part {
             Some(part) => CoordinatorAnswer::ConfigurationPart(Box::new(part)),
--- a/system/coordinator/src/job_list.rs
+++ b/system/coordinator/src/job_list.rs
@@ -42,24 +42,42 @@
     /// The jobs of a state that a filter lets through.
     pub fn of(state: &State, filter: &JobFilter) -> JobList {
         let limit = (filter.limit as usize).clamp(1, MOST_LISTED);
-        let after = filter.after.map_or(std::ops::Bound::Unbounded, std::ops::Bound::Excluded);
+        let after = filter
+            .after
+            .map_or(std::ops::Bound::Unbounded, std::ops::Bound::Excluded);
         let wanted = |job: &Job| {
-            filter.queue.as_ref().is_none_or(|queue| *queue == job.submission.queue)
+            filter
+                .queue
+                .as_ref()
+                .is_none_or(|queue| *queue == job.submission.queue)
                 && filter.phase.is_none_or(|phase| phase == job.phase)
         };
         let rest = state.jobs.range((after, std::ops::Bound::Unbounded));
         let mut found = rest.map(|(_, job)| job).filter(|job| wanted(job));
-        let jobs: Vec<JobLine> = found.by_ref().take(limit).map(|job| JobLine::of(job)).collect();
+        let jobs: Vec<JobLine> = found
+            .by_ref()
+            .take(limit)
+            .map(|job| JobLine::of(job))
+            .collect();
         let more = found.next().is_some();
         let next = jobs.last().filter(|_| more).map(|last| last.job.clone());
-        JobList { entry: state.position.index, jobs, next }
+        JobList {
+            entry: state.position.index,
+            jobs,
+            next,
+        }
     }
 }
 
 impl JobLine {
     fn of(job: &Job) -> JobLine {
         let steps = || job.times.values().flat_map(|time| &time.steps);
-        let running = |step: &StepState| step.tasks.iter().map(|task| task.active.len()).sum::<usize>();
+        let running = |step: &StepState| {
+            step.tasks
+                .iter()
+                .map(|task| task.active.len())
+                .sum::<usize>()
+        };
         let submission = &job.submission;
         JobLine {
             job: submission.job.to_string(),
--- a/system/coordinator/src/lapse.rs
+++ b/system/coordinator/src/lapse.rs
@@ -8,7 +8,11 @@
 impl Lapse {
     /// Takes note of whether it holds now.
     pub fn note(&mut self, holds: bool, now: Millis) {
-        self.0 = if holds { None } else { Some(self.0.unwrap_or(now)) };
+        self.0 = if holds {
+            None
+        } else {
+            Some(self.0.unwrap_or(now))
+        };
     }
 
     /// Whether it has not held for this long.
--- a/system/coordinator/src/machine.rs
+++ b/system/coordinator/src/machine.rs
@@ -26,7 +26,10 @@
 impl Machine {
     /// A machine with this state.
     pub fn new(state: State) -> Machine {
-        Machine { state, ..Machine::default() }
+        Machine {
+            state,
+            ..Machine::default()
+        }
     }
 
     /// A machine with the state that was found on disk.
@@ -68,9 +71,19 @@
 impl StateMachine for Machine {
     fn apply(&mut self, entry: &Entry) {
         let applied = self.state.apply(entry);
-        let Entry { position, proposal, fence, .. } = entry;
+        let Entry {
+            position,
+            proposal,
+            fence,
+            ..
+        } = entry;
         let (position, proposal, fence) = (*position, *proposal, fence.clone());
-        self.applied.push(AppliedEntry { position, proposal, fence, applied });
+        self.applied.push(AppliedEntry {
+            position,
+            proposal,
+            fence,
+            applied,
+        });
     }
 
     fn position(&self) -> Position {
@@ -91,7 +104,9 @@
 
     fn finish_restore(&mut self, position: Position) -> bool {
         let built = std::mem::take(&mut self.building).finish();
-        let Some(state) = built.filter(|state| state.position == position) else { return false };
+        let Some(state) = built.filter(|state| state.position == position) else {
+            return false;
+        };
         self.state = state;
         self.restored = true;
         true
--- a/system/coordinator/src/platform.rs
+++ b/system/coordinator/src/platform.rs
@@ -33,8 +33,13 @@
     pub(crate) fn read_platform(&mut self) {
         let may_act = self.may_act();
         let now = self.now;
-        let Some(reader) = self.reader.as_mut() else { return };
-        if reader.open.is_some_and(|(_, since)| now >= since + CALL_PATIENCE_MS) {
+        let Some(reader) = self.reader.as_mut() else {
+            return;
+        };
+        if reader
+            .open
+            .is_some_and(|(_, since)| now >= since + CALL_PATIENCE_MS)
+        {
             reader.open = None;
         }
         if may_act && reader.open.is_none() && now >= reader.next_at {
@@ -56,7 +61,9 @@
     pub fn platform_reply(&mut self, now: Millis, call: u64, reply: PlatformReply) {
         self.now = now;
         let every = self.settings.list_every_ms;
-        let Some(reader) = self.reader.as_mut() else { return };
+        let Some(reader) = self.reader.as_mut() else {
+            return;
+        };
         if reader.open.is_none_or(|(open, _)| open != call) {
             return;
         }
@@ -78,21 +85,31 @@
 
     fn list_is_whole(&mut self) {
         let now = self.now;
-        let Some(reader) = self.reader.as_mut() else { return };
+        let Some(reader) = self.reader.as_mut() else {
+            return;
+        };
         let workers = std::mem::take(&mut reader.collected);
-        let changed = self.platform.as_ref().is_none_or(|list| list.workers != workers);
+        let changed = self
+            .platform
+            .as_ref()
+            .is_none_or(|list| list.workers != workers);
         if !changed && now < reader.told_at + REPEAT_EVERY_MS {
             return;
         }
         reader.told_at = now;
         reader.sequence += 1;
-        let list = PlatformList { token: reader.token, sequence: reader.sequence, workers };
+        let list = PlatformList {
+            token: reader.token,
+            sequence: reader.sequence,
+            workers,
+        };
         let own = self.replica.own();
         for replica in self.replica.view().chain.clone() {
             if replica != own {
                 let message = PeerMessage::Platform(list.clone());
                 let to = replica.member.address;
-                self.out.push(Output::Control(ControlOutput::Send { to, message }));
+                self.out
+                    .push(Output::Control(ControlOutput::Send { to, message }));
             }
         }
         self.take_list(list);
@@ -100,11 +117,17 @@
 
     /// Takes up a list, unless a newer one is known.
     pub(crate) fn take_list(&mut self, list: PlatformList) {
-        let known = self.platform.as_ref().map_or((0, 0), |known| (known.token, known.sequence));
+        let known = self
+            .platform
+            .as_ref()
+            .map_or((0, 0), |known| (known.token, known.sequence));
         if (list.token, list.sequence) <= known {
             return;
         }
-        let changed = self.platform.as_ref().is_none_or(|known| known.workers != list.workers);
+        let changed = self
+            .platform
+            .as_ref()
+            .is_none_or(|known| known.workers != list.workers);
         if changed {
             for scheduler in self.schedulers.values_mut() {
                 scheduler.list(self.now, &self.machine.state, &list.workers);
--- a/system/coordinator/src/proposals.rs
+++ b/system/coordinator/src/proposals.rs
@@ -28,14 +28,28 @@
     ) -> bool {
         self.next_sequence += 1;
         let sequence = self.next_sequence;
-        let proposal = ProposalId { origin: self.replica.own(), sequence };
+        let proposal = ProposalId {
+            origin: self.replica.own(),
+            sequence,
+        };
         let wall = self.wall;
-        if !self.replica.propose(wall, proposal, fence.clone(), command.clone()) {
+        if !self
+            .replica
+            .propose(wall, proposal, fence.clone(), command.clone())
+        {
             return false;
         }
         let view = self.replica.view().number;
         let again_at = self.now + propose_again_ms(&command);
-        let proposal = Proposal { purpose, pending, proposed_at: self.now, view, fence, command, again_at };
+        let proposal = Proposal {
+            purpose,
+            pending,
+            proposed_at: self.now,
+            view,
+            fence,
+            command,
+            again_at,
+        };
         self.proposals.insert(sequence, proposal);
         self.last_proposed_at = self.now;
         true
@@ -53,22 +67,33 @@
                 continue;
             }
             proposal.again_at = now + propose_again_ms(&proposal.command);
-            let id = ProposalId { origin, sequence: *sequence };
-            self.replica.propose(wall, id, proposal.fence.clone(), proposal.command.clone());
+            let id = ProposalId {
+                origin,
+                sequence: *sequence,
+            };
+            self.replica
+                .propose(wall, id, proposal.fence.clone(), proposal.command.clone());
         }
     }
 
     /// Takes up an operation.
     pub(crate) fn begin(&mut self, operation: Operation, request: RequestId) {
-        let same =
-            self.pending.iter_mut().find(|(_, pending)| same_operation(&pending.operation, &operation));
+        let same = self
+            .pending
+            .iter_mut()
+            .find(|(_, pending)| same_operation(&pending.operation, &operation));
         if let Some((_, pending)) = same {
             pending.requests.push(request);
             return;
         }
         self.next_pending += 1;
         let id = self.next_pending;
-        let pending = Pending { operation, requests: vec![request], since: self.now, proposed: false };
+        let pending = Pending {
+            operation,
+            requests: vec![request],
+            since: self.now,
+            proposed: false,
+        };
         self.pending.insert(id, pending);
         self.pursue(id);
     }
@@ -78,7 +103,14 @@
         if !self.settled_in_view {
             return;
         }
-        let Some(Pending { operation, proposed, .. }) = self.pending.get(&id).cloned() else { return };
+        let Some(Pending {
+            operation,
+            proposed,
+            ..
+        }) = self.pending.get(&id).cloned()
+        else {
+            return;
+        };
         let (command, fence, purpose) = match operation {
             Operation::Submit(submission) => match self.submission_command(*submission) {
                 Some((command, fence, purpose)) => (command, Some(fence), Some(purpose)),
@@ -88,9 +120,21 @@
                 }
             },
             Operation::Cancel(job) => (Command::CancelJob { job }, None, None),
-            Operation::ReplaceConfiguration { base, version, body, change } => {
-                (Command::ReplaceConfiguration { base, version, body, change }, None, None)
-            }
+            Operation::ReplaceConfiguration {
+                base,
+                version,
+                body,
+                change,
+            } => (
+                Command::ReplaceConfiguration {
+                    base,
+                    version,
+                    body,
+                    change,
+                },
+                None,
+                None,
+            ),
             Operation::DescribeConfiguration => (Command::Noop, None, None),
         };
         if self.propose(command, fence, purpose, Some(id)) {
@@ -102,7 +146,9 @@
 
     /// Answers all that wait for an operation.
     pub(crate) fn settle(&mut self, id: u64, answer: &CoordinatorAnswer) {
-        let Some(pending) = self.pending.remove(&id) else { return };
+        let Some(pending) = self.pending.remove(&id) else {
+            return;
+        };
         for request in pending.requests {
             self.answer(request, answer.clone());
         }
@@ -112,7 +158,8 @@
     /// others: a caller that hears so within a second asks another one.
     pub(crate) fn give_up_requests(&mut self) {
         let now = self.now;
-        self.without_contact.note(self.replica.has_contact(now), now);
+        self.without_contact
+            .note(self.replica.has_contact(now), now);
         let is_lost = self.without_contact.lasts(CONTACT_LOST_MS, now);
         let old: Vec<(u64, bool)> = self
             .pending
@@ -131,8 +178,17 @@
         self.give_up_requests();
         let view = self.replica.view().number;
         self.proposals.retain(|_, proposal| proposal.view == view);
-        let under_way: Vec<u64> = self.proposals.values().filter_map(|proposal| proposal.pending).collect();
-        let open: Vec<u64> = self.pending.keys().copied().filter(|id| !under_way.contains(id)).collect();
+        let under_way: Vec<u64> = self
+            .proposals
+            .values()
+            .filter_map(|proposal| proposal.pending)
+            .collect();
+        let open: Vec<u64> = self
+            .pending
+            .keys()
+            .copied()
+            .filter(|id| !under_way.contains(id))
+            .collect();
         for id in open {
             self.pursue(id);
         }
--- a/system/coordinator/src/reads.rs
+++ b/system/coordinator/src/reads.rs
@@ -20,7 +20,11 @@
         if let Some(answer) = self.lasting_answer(&question) {
             self.answer(request, answer);
         } else if self.answers_reads() {
-            self.reads.push(WaitingRead { request, question, since: self.now });
+            self.reads.push(WaitingRead {
+                request,
+                question,
+                since: self.now,
+            });
         } else {
             self.answer(request, CoordinatorAnswer::NotServing);
         }
@@ -53,7 +57,9 @@
 
     /// The answer, where it can't become another one.
     fn lasting_answer(&self, question: &Question) -> Option<CoordinatorAnswer> {
-        let phase = self.phase(&question.queue, question.job).filter(|phase| phase.ended())?;
+        let phase = self
+            .phase(&question.queue, question.job)
+            .filter(|phase| phase.ended())?;
         Some(match question.cancel {
             true => CoordinatorAnswer::Accepted,
             false => CoordinatorAnswer::Phase(phase),
@@ -61,10 +67,14 @@
     }
 
     fn answer_read(&mut self, read: WaitingRead) {
-        let WaitingRead { request, question, .. } = read;
+        let WaitingRead {
+            request, question, ..
+        } = read;
         match self.phase(&question.queue, question.job) {
             None => self.answer(request, CoordinatorAnswer::NoSuchJob),
-            Some(_) if question.cancel => self.begin_in_contact(request, Operation::Cancel(question.job)),
+            Some(_) if question.cancel => {
+                self.begin_in_contact(request, Operation::Cancel(question.job))
+            }
             Some(phase) => self.answer(request, CoordinatorAnswer::Phase(phase)),
         }
     }
--- a/system/coordinator/src/requests.rs
+++ b/system/coordinator/src/requests.rs
@@ -10,17 +10,32 @@
 
 impl Coordinator {
     /// Takes a request; its answer comes as an output, now or later.
-    pub fn request(&mut self, now: Millis, clock: WallMillis, request: RequestId, what: CoordinatorRequest) {
+    pub fn request(
+        &mut self,
+        now: Millis,
+        clock: WallMillis,
+        request: RequestId,
+        what: CoordinatorRequest,
+    ) {
         self.begin_step(now, clock);
         match what {
             CoordinatorRequest::Submit(submission) => self.submit(request, submission),
             CoordinatorRequest::Status { queue, job } => {
-                self.read(request, Question { queue, job, cancel: false });
+                self.read(
+                    request,
+                    Question {
+                        queue,
+                        job,
+                        cancel: false,
+                    },
+                );
             }
             CoordinatorRequest::Cancel { queue, job } => self.cancel(request, &queue, job),
             CoordinatorRequest::Count { queue } => self.count(request, &queue),
             CoordinatorRequest::Poll(poll) => self.poll(request, poll),
-            CoordinatorRequest::FetchConfiguration(fetch) => self.fetch_configuration(request, &fetch),
+            CoordinatorRequest::FetchConfiguration(fetch) => {
+                self.fetch_configuration(request, &fetch)
+            }
             CoordinatorRequest::ReplaceConfiguration { base, body } => {
                 self.replace_configuration(request, base, body);
             }
@@ -67,9 +82,20 @@
             Ok(configuration) => {
                 let version = configuration.version;
                 let change = self.configurations.change_to(base, &configuration);
-                self.begin(Operation::ReplaceConfiguration { base, version, body, change }, request);
+                self.begin(
+                    Operation::ReplaceConfiguration {
+                        base,
+                        version,
+                        body,
+                        change,
+                    },
+                    request,
+                );
             }
-            Err(error) => self.answer(request, CoordinatorAnswer::ConfigurationInvalid(error.to_string())),
+            Err(error) => self.answer(
+                request,
+                CoordinatorAnswer::ConfigurationInvalid(error.to_string()),
+            ),
         }
     }
 
@@ -78,7 +104,10 @@
             self.answer(request, CoordinatorAnswer::Accepted);
             return;
         }
-        let here = self.schedulers.get(&submission.service).is_some_and(|scheduler| !scheduler.is_deposed());
+        let here = self
+            .schedulers
+            .get(&submission.service)
+            .is_some_and(|scheduler| !scheduler.is_deposed());
         if !here || self.leaving {
             self.answer(request, CoordinatorAnswer::NotServing);
             return;
@@ -92,12 +121,25 @@
     fn cancel(&mut self, request: RequestId, queue: &str, job: JobId) {
         match self.phase(queue, job) {
             Some(phase) if !phase.ended() => self.begin_in_contact(request, Operation::Cancel(job)),
-            _ => self.read(request, Question { queue: queue.to_owned(), job, cancel: true }),
+            _ => self.read(
+                request,
+                Question {
+                    queue: queue.to_owned(),
+                    job,
+                    cancel: true,
+                },
+            ),
         }
     }
 
     fn count(&mut self, request: RequestId, queue: &str) {
-        let count = self.machine.state.open_jobs.get(queue).copied().unwrap_or(0);
+        let count = self
+            .machine
+            .state
+            .open_jobs
+            .get(queue)
+            .copied()
+            .unwrap_or(0);
         let answer = match self.is_informed() {
             true => CoordinatorAnswer::Count(count),
             false => CoordinatorAnswer::NotServing,
@@ -107,7 +149,9 @@
 
     /// Answers an operation that an entry has settled.
     pub(crate) fn settle_by(&mut self, id: u64, outcome: Outcome) {
-        let Some(pending) = self.pending.get(&id) else { return };
+        let Some(pending) = self.pending.get(&id) else {
+            return;
+        };
         let answer = match (&pending.operation, outcome) {
             // The scheduler's role has passed on: whether another entry accepts the job isn't known here.
             (_, Outcome::Fenced) => CoordinatorAnswer::Unknown,
@@ -117,7 +161,9 @@
             (Operation::ReplaceConfiguration { .. }, Outcome::Conflict) => {
                 CoordinatorAnswer::ConfigurationConflict
             }
-            (Operation::ReplaceConfiguration { .. }, Outcome::Stale) => CoordinatorAnswer::ConfigurationStale,
+            (Operation::ReplaceConfiguration { .. }, Outcome::Stale) => {
+                CoordinatorAnswer::ConfigurationStale
+            }
             (Operation::ReplaceConfiguration { .. }, _) => CoordinatorAnswer::ConfigurationTaken,
             (Operation::DescribeConfiguration, _) => {
                 CoordinatorAnswer::Configuration(self.machine.state.configuration.body.clone())
--- a/system/coordinator/src/roles.rs
+++ b/system/coordinator/src/roles.rs
@@ -18,8 +18,14 @@
 
     /// All roles that there should be, in a fixed order.
     fn wanted_roles(&self) -> Vec<Role> {
-        let services = self.configurations.newest().map(|configuration| configuration.services.keys());
-        let schedulers = services.into_iter().flatten().map(|service| Role::Scheduler(service.clone()));
+        let services = self
+            .configurations
+            .newest()
+            .map(|configuration| configuration.services.keys());
+        let schedulers = services
+            .into_iter()
+            .flatten()
+            .map(|service| Role::Scheduler(service.clone()));
         schedulers.chain([Role::PlatformReader]).collect()
     }
 
@@ -31,7 +37,9 @@
         }
         let chain = self.replica.view().chain.clone();
         let own = self.replica.own();
-        let Some(place) = chain.iter().position(|replica| *replica == own) else { return };
+        let Some(place) = chain.iter().position(|replica| *replica == own) else {
+            return;
+        };
         for (number, role) in self.wanted_roles().into_iter().enumerate() {
             let state = self.machine.state.roles.get(&role).copied();
             let held = state.is_some_and(|state| chain.contains(&state.holder));
@@ -47,7 +55,11 @@
             );
             if self.now >= due && !under_way {
                 let expected = state.map_or(0, |state| state.token);
-                let command = Command::ClaimRole { role: role.clone(), holder: own, expected };
+                let command = Command::ClaimRole {
+                    role: role.clone(),
+                    holder: own,
+                    expected,
+                };
                 self.propose(command, None, Some(Purpose::Claim(role)), None);
             }
         }
@@ -57,7 +69,10 @@
     /// coordinator holds the role, and the log will say so, or the role is claimed anew with a higher token.
     fn is_deposed(&self, role: &Role) -> bool {
         match role {
-            Role::Scheduler(service) => self.schedulers.get(service).is_some_and(Scheduler::is_deposed),
+            Role::Scheduler(service) => self
+                .schedulers
+                .get(service)
+                .is_some_and(Scheduler::is_deposed),
             Role::PlatformReader => false,
         }
     }
@@ -86,15 +101,22 @@
                 Role::PlatformReader => reader = Some(state.token),
             }
         }
-        self.schedulers.retain(|service, scheduler| held.get(service) == Some(&scheduler.token()));
+        self.schedulers
+            .retain(|service, scheduler| held.get(service) == Some(&scheduler.token()));
         for (service, token) in held {
             if self.schedulers.contains_key(&service) {
                 continue;
             }
             let seed = self.settings.control.seed ^ token;
             let settings = self.settings.scheduler.clone();
-            let mut scheduler =
-                Scheduler::new(&service, token, settings, self.now, &self.machine.state, seed);
+            let mut scheduler = Scheduler::new(
+                &service,
+                token,
+                settings,
+                self.now,
+                &self.machine.state,
+                seed,
+            );
             if let Some(list) = &self.platform {
                 scheduler.list(self.now, &self.machine.state, &list.workers);
             }
@@ -107,7 +129,12 @@
     /// Takes up the newest configuration.
     pub(crate) fn follow_configuration(&mut self) {
         let state = &self.machine.state.configuration;
-        if state.version == self.configurations.newest().map_or(0, |configuration| configuration.version) {
+        if state.version
+            == self
+                .configurations
+                .newest()
+                .map_or(0, |configuration| configuration.version)
+        {
             return;
         }
         if self.configurations.follow(state.version, &state.change) {
@@ -120,15 +147,24 @@
     }
 
     /// What accepts a job, if its service's scheduler is here.
-    pub(crate) fn submission_command(&mut self, submission: Submission) -> Option<(Command, Fence, Purpose)> {
+    pub(crate) fn submission_command(
+        &mut self,
+        submission: Submission,
+    ) -> Option<(Command, Fence, Purpose)> {
         if !self.may_act() {
             return None;
         }
         let service = submission.service.clone();
         let now = self.now;
-        let scheduler = self.schedulers.get_mut(&service).filter(|scheduler| !scheduler.is_deposed())?;
+        let scheduler = self
+            .schedulers
+            .get_mut(&service)
+            .filter(|scheduler| !scheduler.is_deposed())?;
         let command = scheduler.submit(now, submission);
-        let fence = Fence { role: Role::Scheduler(service.clone()), token: scheduler.token() };
+        let fence = Fence {
+            role: Role::Scheduler(service.clone()),
+            token: scheduler.token(),
+        };
         let runs = match &command {
             Command::SubmitJob { runs, .. } => runs.clone(),
             _ => Vec::new(),
@@ -144,7 +180,9 @@
         let services: Vec<String> = self.schedulers.keys().cloned().collect();
         for service in services {
             let (now, wall) = (self.now, self.wall);
-            let Some(scheduler) = self.schedulers.get_mut(&service) else { continue };
+            let Some(scheduler) = self.schedulers.get_mut(&service) else {
+                continue;
+            };
             scheduler.run(now, wall, &self.machine.state);
             let token = scheduler.token();
             let outputs = scheduler.take_outputs();
@@ -155,10 +193,16 @@
     fn hand_on(&mut self, service: &str, token: u64, outputs: Vec<SchedulerOutput>) {
         for output in outputs {
             match output {
-                SchedulerOutput::Propose(command) => self.propose_for_scheduler(service, token, command),
+                SchedulerOutput::Propose(command) => {
+                    self.propose_for_scheduler(service, token, command)
+                }
                 SchedulerOutput::Call(call) => {
                     self.counters.worker_calls += 1;
-                    self.out.push(Output::CallWorker { service: service.to_owned(), token, call });
+                    self.out.push(Output::CallWorker {
+                        service: service.to_owned(),
+                        token,
+                        call,
+                    });
                 }
                 SchedulerOutput::Log(line) => self.log(line),
             }
@@ -170,15 +214,32 @@
             Command::StartRuns { runs } => runs.clone(),
             _ => Vec::new(),
         };
-        let fence = Fence { role: Role::Scheduler(service.to_owned()), token };
-        let purpose = Purpose::Scheduler { service: service.to_owned(), runs };
+        let fence = Fence {
+            role: Role::Scheduler(service.to_owned()),
+            token,
+        };
+        let purpose = Purpose::Scheduler {
+            service: service.to_owned(),
+            runs,
+        };
         self.propose(command, Some(fence), Some(purpose), None);
     }
 
     /// A worker has answered, or has not in time.
-    pub fn worker_reply(&mut self, now: Millis, service: &str, token: u64, call: u64, reply: WorkerReply) {
+    pub fn worker_reply(
+        &mut self,
+        now: Millis,
+        service: &str,
+        token: u64,
+        call: u64,
+        reply: WorkerReply,
+    ) {
         self.now = now;
-        if let Some(scheduler) = self.schedulers.get_mut(service).filter(|s| s.token() == token) {
+        if let Some(scheduler) = self
+            .schedulers
+            .get_mut(service)
+            .filter(|s| s.token() == token)
+        {
             scheduler.reply(now, &self.machine.state, call, reply);
         }
     }
--- a/system/coordinator/src/steps.rs
+++ b/system/coordinator/src/steps.rs
@@ -31,12 +31,20 @@
     }
 
     /// Messages from another coordinator.
-    pub fn receive(&mut self, now: Millis, clock: WallMillis, from: ReplicaId, messages: Vec<PeerMessage>) {
+    pub fn receive(
+        &mut self,
+        now: Millis,
+        clock: WallMillis,
+        from: ReplicaId,
+        messages: Vec<PeerMessage>,
+    ) {
         self.begin_step(now, clock);
         for message in messages {
             match message {
                 PeerMessage::Platform(list) => self.take_list(list),
-                message => self.replica.receive(now, self.wall, from, message, &mut self.machine),
+                message => self
+                    .replica
+                    .receive(now, self.wall, from, message, &mut self.machine),
             }
         }
     }
@@ -56,7 +64,8 @@
         self.follow_log();
         self.answer_reads();
         self.answer_polls();
-        self.out.extend(self.replica.take_outputs().into_iter().map(Output::Control));
+        self.out
+            .extend(self.replica.take_outputs().into_iter().map(Output::Control));
     }
 
     /// Takes note of a change of the view and of the entries applied since.
@@ -70,7 +79,10 @@
             self.resume_schedulers();
         }
         let is_fed = |change: &Change| matches!(change, Change::Role(_) | Change::Configuration);
-        let news = restored || applied.iter().any(|entry| entry.applied.changes.iter().any(is_fed));
+        let news = restored
+            || applied
+                .iter()
+                .any(|entry| entry.applied.changes.iter().any(is_fed));
         for entry in applied {
             self.counters.note_entry(&entry.applied);
             self.follow_entry(&entry);
@@ -107,8 +119,13 @@
     fn follow_entry(&mut self, entry: &AppliedEntry) {
         let applied = &entry.applied;
         let own = entry.proposal.origin == self.replica.own();
-        let proposal = own.then(|| self.proposals.remove(&entry.proposal.sequence)).flatten();
-        let runs = match proposal.as_ref().and_then(|proposal| proposal.purpose.as_ref()) {
+        let proposal = own
+            .then(|| self.proposals.remove(&entry.proposal.sequence))
+            .flatten();
+        let runs = match proposal
+            .as_ref()
+            .and_then(|proposal| proposal.purpose.as_ref())
+        {
             Some(Purpose::Scheduler { runs, .. }) => runs.clone(),
             _ => Vec::new(),
         };
@@ -118,10 +135,20 @@
                 None => true,
             };
             if of_scheduler {
-                scheduler.applied(self.now, entry.position, &self.machine.state, &applied.changes, &runs);
+                scheduler.applied(
+                    self.now,
+                    entry.position,
+                    &self.machine.state,
+                    &applied.changes,
+                    &runs,
+                );
             }
         }
-        if applied.changes.iter().any(|change| matches!(change, Change::Role(_))) {
+        if applied
+            .changes
+            .iter()
+            .any(|change| matches!(change, Change::Role(_)))
+        {
             self.follow_roles();
         }
         if applied.changes.contains(&Change::Configuration) {
@@ -137,7 +164,9 @@
         self.commit_ms = (self.commit_ms * (COMMITS_AVERAGED - 1) + took_ms) / COMMITS_AVERAGED;
         let lease = proposal.proposed_at + self.settings.lease_ms;
         self.lease_until = self.lease_until.max(lease);
-        if proposal.purpose == Some(Purpose::FirstOfView) && Some(proposal.view) == self.entered_view {
+        if proposal.purpose == Some(Purpose::FirstOfView)
+            && Some(proposal.view) == self.entered_view
+        {
             self.settled_in_view = true;
             self.vacant_since.clear();
             self.resume_schedulers();
--- a/system/coordinator/src/under_way.rs
+++ b/system/coordinator/src/under_way.rs
@@ -1,12 +1,17 @@
 //! What is under way at a coordinator: proposals, operations, long polls, and the reading of the platform's list.
 use crate::outputs::RequestId;
-use magpiegap_protocol::{Command, FeedPoll, Fence, JobId, Millis, Role, RunStart, Submission, WorkerEntry};
+use magpiegap_protocol::{
+    Command, FeedPoll, Fence, JobId, Millis, Role, RunStart, Submission, WorkerEntry,
+};
 
 /// Why something was proposed.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Purpose {
     /// A scheduler needs it; these are the runs in it.
-    Scheduler { service: String, runs: Vec<RunStart> },
+    Scheduler {
+        service: String,
+        runs: Vec<RunStart>,
+    },
     /// To take a role.
     Claim(Role),
     /// To prove that the view stands.
@@ -20,7 +25,12 @@
 pub(crate) enum Operation {
     Submit(Box<Submission>),
     Cancel(JobId),
-    ReplaceConfiguration { base: u64, version: u64, body: Vec<u8>, change: Vec<u8> },
+    ReplaceConfiguration {
+        base: u64,
+        version: u64,
+        body: Vec<u8>,
+        change: Vec<u8>,
+    },
     DescribeConfiguration,
 }
 
--- a/system/coordinator/tests/job_list.rs
+++ b/system/coordinator/tests/job_list.rs
@@ -3,16 +3,25 @@
 use magpiegap_coordinator::JobList;
 use magpiegap_jobs::State;
 use magpiegap_protocol::{
-    Command, Entry, JobFilter, JobId, JobPhase, JobSpec, Member, Position, ProposalId, Replica, StepSpec,
-    Submission,
+    Command, Entry, JobFilter, JobId, JobPhase, JobSpec, Member, Position, ProposalId, Replica,
+    StepSpec, Submission,
 };
 
 fn apply(state: &mut State, command: Command) {
     let index = state.position.index + 1;
-    let origin = Replica { member: Member { address: 1, disk: 0 }, boot: 1 };
+    let origin = Replica {
+        member: Member {
+            address: 1,
+            disk: 0,
+        },
+        boot: 1,
+    };
     state.apply(&Entry {
         position: Position { view: 1, index },
-        proposal: ProposalId { origin, sequence: index },
+        proposal: ProposalId {
+            origin,
+            sequence: index,
+        },
         fence: None,
         command,
         wall_ms: 1000 + index,
@@ -24,7 +33,10 @@
     let mut state = State::default();
     for number in 1..=10 {
         let queue = if number % 3 == 0 { "h/b/" } else { "h/a/" };
-        let steps = vec![StepSpec { count: 2, ..StepSpec::default() }];
+        let steps = vec![StepSpec {
+            count: 2,
+            ..StepSpec::default()
+        }];
         let submission = Submission {
             job: JobId(number),
             queue: queue.to_owned(),
@@ -34,24 +46,48 @@
             stretch: 2.0,
             target_latency_ms: 100,
             submitted_ms: number,
-            spec: JobSpec { steps, ..JobSpec::default() },
+            spec: JobSpec {
+                steps,
+                ..JobSpec::default()
+            },
         };
-        apply(&mut state, Command::SubmitJob { submission: Box::new(submission), runs: Vec::new() });
+        apply(
+            &mut state,
+            Command::SubmitJob {
+                submission: Box::new(submission),
+                runs: Vec::new(),
+            },
+        );
     }
     apply(&mut state, Command::CancelJob { job: JobId(4) });
     state
 }
 
 fn names(list: &JobList) -> Vec<u64> {
-    list.jobs.iter().filter_map(|line| JobId::parse(&line.job)).map(|job| job.0).collect()
+    list.jobs
+        .iter()
+        .filter_map(|line| JobId::parse(&line.job))
+        .map(|job| job.0)
+        .collect()
 }
 
 #[googletest::test]
 fn given_a_queue_or_state_when_jobs_are_listed_then_only_those_are_there() {
     let state = ten_jobs();
-    let of_queue = JobFilter { queue: Some("h/b/".to_owned()), limit: 100, ..JobFilter::default() };
-    expect_that!(names(&JobList::of(&state, &of_queue)), elements_are![eq(&3), eq(&6), eq(&9)]);
-    let cancelled = JobFilter { phase: Some(JobPhase::Cancelled), limit: 100, ..JobFilter::default() };
+    let of_queue = JobFilter {
+        queue: Some("h/b/".to_owned()),
+        limit: 100,
+        ..JobFilter::default()
+    };
+    expect_that!(
+        names(&JobList::of(&state, &of_queue)),
+        elements_are![eq(&3), eq(&6), eq(&9)]
+    );
+    let cancelled = JobFilter {
+        phase: Some(JobPhase::Cancelled),
+        limit: 100,
+        ..JobFilter::default()
+    };
     let list = JobList::of(&state, &cancelled);
     expect_that!(names(&list), elements_are![eq(&4)]);
     expect_that!(list.jobs[0].state, eq("cancelled"));
@@ -61,7 +97,10 @@
 #[googletest::test]
 fn given_more_jobs_than_the_limit_when_they_are_listed_in_parts_then_each_comes_once() {
     let state = ten_jobs();
-    let mut filter = JobFilter { limit: 4, ..JobFilter::default() };
+    let mut filter = JobFilter {
+        limit: 4,
+        ..JobFilter::default()
+    };
     let mut found = Vec::new();
     for _ in 0..5 {
         let list = JobList::of(&state, &filter);
@@ -76,7 +115,16 @@
 
 #[googletest::test]
 fn given_a_job_that_waits_when_it_is_listed_then_its_tasks_are_counted() {
-    let list = JobList::of(&ten_jobs(), &JobFilter { limit: 1, ..JobFilter::default() });
-    expect_that!((list.jobs[0].tasks, list.jobs[0].done, list.jobs[0].running), eq((2, 0, 0)));
+    let list = JobList::of(
+        &ten_jobs(),
+        &JobFilter {
+            limit: 1,
+            ..JobFilter::default()
+        },
+    );
+    expect_that!(
+        (list.jobs[0].tasks, list.jobs[0].done, list.jobs[0].running),
+        eq((2, 0, 0))
+    );
     expect_that!(list.next, some(eq("0000000000000001")));
 }
--- a/system/demo/src/clients.rs
+++ b/system/demo/src/clients.rs
@@ -42,8 +42,15 @@
 impl Clients {
     /// Clients of a cluster of this size.
     pub fn new(coordinators: u8, proxies: u8) -> Clients {
-        let builder = reqwest::Client::builder().no_proxy().timeout(TRY_TIMEOUT).tcp_nodelay(true);
-        Clients { http: builder.build().unwrap_or_default(), coordinators, proxies }
+        let builder = reqwest::Client::builder()
+            .no_proxy()
+            .timeout(TRY_TIMEOUT)
+            .tcp_nodelay(true);
+        Clients {
+            http: builder.build().unwrap_or_default(),
+            coordinators,
+            proxies,
+        }
     }
 
     /// Hands the first configuration in, and waits until all proxies are ready.
@@ -80,9 +87,17 @@
     async fn try_configure(&self, body: &str) -> bool {
         for number in 1..=self.coordinators {
             let url = format!("http://{}/-/Config.Replace", control_address(number));
-            let request = self.http.post(url).header("Base-Version", "0").body(body.to_owned());
+            let request = self
+                .http
+                .post(url)
+                .header("Base-Version", "0")
+                .body(body.to_owned());
             let request = request.header("Content-Type", "application/json");
-            if request.send().await.is_ok_and(|response| response.status().is_success()) {
+            if request
+                .send()
+                .await
+                .is_ok_and(|response| response.status().is_success())
+            {
                 return true;
             }
         }
@@ -90,17 +105,29 @@
     }
 
     async fn is_ready(&self, address: SocketAddr) -> bool {
-        let sent = self.http.get(format!("http://{address}/-/ready")).send().await;
+        let sent = self
+            .http
+            .get(format!("http://{address}/-/ready"))
+            .send()
+            .await;
         sent.is_ok_and(|response| response.status().as_u16() == 200)
     }
 
     /// Hands a job in and follows it until it has ended, or for as long as `patience` lasts.
-    pub async fn follow_job(&self, number: u64, steps: Vec<StepWork>, patience: Duration) -> JobStory {
+    pub async fn follow_job(
+        &self,
+        number: u64,
+        steps: Vec<StepWork>,
+        patience: Duration,
+    ) -> JobStory {
         let path = format!("{PREFIX}{:016x}", 0xde30_0000_0000_0000 + number);
         let body = work::to_body(&steps).to_string();
         let began = Instant::now();
-        let mut story =
-            JobStory { accepted_after_ms: 0, succeeded_after_ms: None, state: "never accepted".to_owned() };
+        let mut story = JobStory {
+            accepted_after_ms: 0,
+            succeeded_after_ms: None,
+            state: "never accepted".to_owned(),
+        };
         let mut tries = number;
         while !self.submit(self.proxy(tries), &path, &body).await {
             if began.elapsed() > patience {
@@ -133,14 +160,22 @@
     }
 
     async fn submit(&self, proxy: SocketAddr, path: &str, body: &str) -> bool {
-        let request = self.http.post(format!("http://{proxy}{path}")).header("Host", HOST);
-        let request = request.header("Content-Type", "application/json").header("Deadline-Ms", "1500");
+        let request = self
+            .http
+            .post(format!("http://{proxy}{path}"))
+            .header("Host", HOST);
+        let request = request
+            .header("Content-Type", "application/json")
+            .header("Deadline-Ms", "1500");
         let sent = request.body(body.to_owned()).send().await;
         sent.is_ok_and(|response| response.status().is_success())
     }
 
     async fn state(&self, proxy: SocketAddr, path: &str) -> Option<String> {
-        let request = self.http.get(format!("http://{proxy}{path}")).header("Host", HOST);
+        let request = self
+            .http
+            .get(format!("http://{proxy}{path}"))
+            .header("Host", HOST);
         let response = request.header("Deadline-Ms", "1500").send().await.ok()?;
         let body = response.bytes().await.ok()?;
         let value: serde_json::Value = serde_json::from_slice(&body).ok()?;
--- a/system/demo/src/cluster.rs
+++ b/system/demo/src/cluster.rs
@@ -46,8 +46,13 @@
     ///
     /// # Errors
     /// When a file can't be written, or a process can't be started.
-    pub fn start(options: &Options, folder: &Path, platform: SocketAddr) -> Result<Cluster, DemoError> {
-        let program = std::env::current_exe().map_err(DemoError::system("the program's own file"))?;
+    pub fn start(
+        options: &Options,
+        folder: &Path,
+        platform: SocketAddr,
+    ) -> Result<Cluster, DemoError> {
+        let program =
+            std::env::current_exe().map_err(DemoError::system("the program's own file"))?;
         let mut cluster = Cluster {
             folder: folder.to_owned(),
             program,
@@ -70,9 +75,16 @@
         let settings = self.folder.join(format!("{name}.toml"));
         let log = self.folder.join(format!("{name}.log"));
         let text = self.settings_text(&name, role, number);
-        std::fs::write(&settings, text).map_err(DemoError::system(settings.display().to_string()))?;
+        std::fs::write(&settings, text)
+            .map_err(DemoError::system(settings.display().to_string()))?;
         let child = self.spawn(role, &settings, &log)?;
-        self.processes.push(Process { name, role, settings, log, child });
+        self.processes.push(Process {
+            name,
+            role,
+            settings,
+            log,
+            child,
+        });
         Ok(())
     }
 
@@ -92,13 +104,20 @@
     }
 
     fn settings_text(&self, name: &str, role: &str, number: u8) -> String {
-        let [a, b, c] = if role == "coordinator" { COORDINATORS } else { EDGES };
+        let [a, b, c] = if role == "coordinator" {
+            COORDINATORS
+        } else {
+            EDGES
+        };
         let ip = format!("{a}.{b}.{c}.{number}");
-        let seeds: Vec<String> =
-            (1..=self.coordinators.min(3)).map(|number| format!("\"{}\"", control_address(number))).collect();
+        let seeds: Vec<String> = (1..=self.coordinators.min(3))
+            .map(|number| format!("\"{}\"", control_address(number)))
+            .collect();
         let listen = match role {
             "coordinator" => format!("controlPlane = \"{ip}:{CONTROL_PORT}\""),
-            _ => format!("frontend = \"{ip}:{CLIENT_PORT}\"\nreadiness = \"{ip}:{READINESS_PORT}\""),
+            _ => {
+                format!("frontend = \"{ip}:{CLIENT_PORT}\"\nreadiness = \"{ip}:{READINESS_PORT}\"")
+            }
         };
         let data = self.folder.join(format!("{name}-data"));
         let tolerance = (self.coordinators.max(1) - 1) / 2;
@@ -119,7 +138,11 @@
     /// # Errors
     /// When there is none of that name, or the system refuses.
     pub async fn kill(&mut self, name: &str) -> Result<(), DemoError> {
-        self.find(name)?.child.kill().await.map_err(DemoError::system(format!("killing {name}")))
+        self.find(name)?
+            .child
+            .kill()
+            .await
+            .map_err(DemoError::system(format!("killing {name}")))
     }
 
     /// Starts a process again that has ended.
@@ -135,7 +158,10 @@
     }
 
     fn find(&mut self, name: &str) -> Result<&mut Process, DemoError> {
-        let found = self.processes.iter_mut().find(|process| process.name == name);
+        let found = self
+            .processes
+            .iter_mut()
+            .find(|process| process.name == name);
         found.ok_or_else(|| DemoError::Cluster(format!("there is no process {name}")))
     }
 }
@@ -143,7 +169,10 @@
 impl Process {
     /// What it has used since it was last started.
     pub fn usage(&self) -> usage::Usage {
-        self.child.id().and_then(usage::of_process).unwrap_or_default()
+        self.child
+            .id()
+            .and_then(usage::of_process)
+            .unwrap_or_default()
     }
 }
 
--- a/system/demo/src/http_server.rs
+++ b/system/demo/src/http_server.rs
@@ -37,8 +37,8 @@
             let _ = stream.set_nodelay(true);
             let handler = handler.clone();
             let service = service_fn(move |request| respond(handler.clone(), request));
-            let connection =
-                hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+            let connection = hyper::server::conn::http1::Builder::new()
+                .serve_connection(TokioIo::new(stream), service);
             connections.spawn(async move {
                 // A caller that goes away ends its connection; nobody else is touched.
                 let _ = connection.await;
@@ -58,16 +58,25 @@
 {
     let path = request.uri().path().to_owned();
     let header = request.headers().get("Expected-Instance");
-    let expected_instance = header.and_then(|value| value.to_str().ok()).map(str::to_owned);
+    let expected_instance = header
+        .and_then(|value| value.to_str().ok())
+        .map(str::to_owned);
     let body = match request.into_body().collect().await {
         Ok(body) => body.to_bytes(),
         Err(_) => Bytes::new(),
     };
-    let answer = handler(Call { path, expected_instance, body }).await;
+    let answer = handler(Call {
+        path,
+        expected_instance,
+        body,
+    })
+    .await;
     let mut response = Response::new(Full::new(Bytes::from(answer.body.to_string())));
     let status = hyper::StatusCode::from_u16(answer.status);
     *response.status_mut() = status.unwrap_or(hyper::StatusCode::INTERNAL_SERVER_ERROR);
     let json = hyper::header::HeaderValue::from_static("application/json");
-    response.headers_mut().insert(hyper::header::CONTENT_TYPE, json);
+    response
+        .headers_mut()
+        .insert(hyper::header::CONTENT_TYPE, json);
     Ok(response)
 }
--- a/system/demo/src/platform.rs
+++ b/system/demo/src/platform.rs
@@ -26,7 +26,10 @@
 
     /// Takes a worker off the list.
     pub fn remove(&self, instance: &str) {
-        self.entries.lock().unwrap_or_else(PoisonError::into_inner).remove(instance);
+        self.entries
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .remove(instance);
     }
 
     /// Serves the list. Returns where.
@@ -34,9 +37,12 @@
     /// # Errors
     /// When no port can be had.
     pub async fn start(&self) -> Result<SocketAddr, DemoError> {
-        let listener =
-            TcpListener::bind("127.0.0.1:0").await.map_err(DemoError::system("the platform's port"))?;
-        let address = listener.local_addr().map_err(DemoError::system("the platform's port"))?;
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .map_err(DemoError::system("the platform's port"))?;
+        let address = listener
+            .local_addr()
+            .map_err(DemoError::system("the platform's port"))?;
         let platform = self.clone();
         serve(listener, move |call| {
             let answer = platform.answer(&call);
@@ -47,7 +53,10 @@
 
     fn answer(&self, call: &Call) -> Answer {
         if call.path != "/instances" {
-            return Answer { status: 404, body: serde_json::Value::Null };
+            return Answer {
+                status: 404,
+                body: serde_json::Value::Null,
+            };
         }
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         let instances: Vec<serde_json::Value> = entries.values().map(row).collect();
--- a/system/demo/src/report.rs
+++ b/system/demo/src/report.rs
@@ -33,9 +33,14 @@
 pub fn finish(report: &Report, folder: &Path) -> Result<(), DemoError> {
     print!("{}", table(report));
     let page = folder.join("report.html");
-    std::fs::write(&page, to_page(report)).map_err(DemoError::system(page.display().to_string()))?;
+    std::fs::write(&page, to_page(report))
+        .map_err(DemoError::system(page.display().to_string()))?;
     println!("the page to open: {}", page.display());
-    let open = report.stories.iter().filter(|story| story.succeeded_after_ms.is_none()).count();
+    let open = report
+        .stories
+        .iter()
+        .filter(|story| story.succeeded_after_ms.is_none())
+        .count();
     match open {
         0 => Ok(()),
         open => Err(DemoError::Cluster(format!("{open} jobs are not done"))),
@@ -44,19 +49,40 @@
 
 fn table(report: &Report) -> String {
     let stories = &report.stories;
-    let done: Vec<u64> = stories.iter().filter_map(|story| story.succeeded_after_ms).collect();
-    let accepted = stories.iter().map(|story| story.accepted_after_ms).collect();
-    let starts =
-        report.worker_events.iter().filter(|event| matches!(event.deed, Deed::Started { .. })).count();
+    let done: Vec<u64> = stories
+        .iter()
+        .filter_map(|story| story.succeeded_after_ms)
+        .collect();
+    let accepted = stories
+        .iter()
+        .map(|story| story.accepted_after_ms)
+        .collect();
+    let starts = report
+        .worker_events
+        .iter()
+        .filter(|event| matches!(event.deed, Deed::Started { .. }))
+        .count();
     let mut text = String::new();
-    let _ =
-        writeln!(text, "jobs: {} handed in, {} succeeded; {starts} runs started", stories.len(), done.len());
+    let _ = writeln!(
+        text,
+        "jobs: {} handed in, {} succeeded; {starts} runs started",
+        stories.len(),
+        done.len()
+    );
     let _ = writeln!(text, "accepted after: {}", spread(accepted));
     let _ = writeln!(text, "succeeded after: {}", spread(done));
-    let _ = writeln!(text, "{:<16} {:>12} {:>10}", "process", "cores, mean", "peak MB");
+    let _ = writeln!(
+        text,
+        "{:<16} {:>12} {:>10}",
+        "process", "cores, mean", "peak MB"
+    );
     for (name, usage) in &report.usage {
         let cores = usage.processor_ms as f64 / report.wall_ms.max(1) as f64;
-        let _ = writeln!(text, "{name:<16} {cores:>12.4} {:>10.1}", usage.peak_kb as f64 / 1024.0);
+        let _ = writeln!(
+            text,
+            "{name:<16} {cores:>12.4} {:>10.1}",
+            usage.peak_kb as f64 / 1024.0
+        );
     }
     text
 }
@@ -64,8 +90,18 @@
 /// The middle and the upper end of some times.
 fn spread(mut times_ms: Vec<u64>) -> String {
     times_ms.sort_unstable();
-    let at = |part: f64| times_ms.get((times_ms.len() as f64 * part) as usize).copied().unwrap_or(0);
-    format!("half within {} ms, 95 of 100 within {} ms, 99 within {} ms", at(0.5), at(0.95), at(0.99))
+    let at = |part: f64| {
+        times_ms
+            .get((times_ms.len() as f64 * part) as usize)
+            .copied()
+            .unwrap_or(0)
+    };
+    format!(
+        "half within {} ms, 95 of 100 within {} ms, 99 within {} ms",
+        at(0.5),
+        at(0.95),
+        at(0.99)
+    )
 }
 
 /// One run on a worker, for the timeline.
@@ -77,7 +113,12 @@
 }
 
 fn bars(report: &Report) -> Vec<Bar> {
-    let end = report.worker_events.iter().map(|event| event.at).max().unwrap_or(0);
+    let end = report
+        .worker_events
+        .iter()
+        .map(|event| event.at)
+        .max()
+        .unwrap_or(0);
     let mut open: BTreeMap<(String, String, u32), u64> = BTreeMap::new();
     let mut bars = Vec::new();
     for event in &report.worker_events {
@@ -88,14 +129,28 @@
             Deed::Ended { task, run, how } => {
                 let key = (event.instance.clone(), task.to_string(), *run);
                 if let Some(from) = open.remove(&key) {
-                    let how = if *how == magpiegap_protocol::EndKind::Done { "done" } else { "other" };
-                    bars.push(Bar { instance: key.0, from, to: event.at, how });
+                    let how = if *how == magpiegap_protocol::EndKind::Done {
+                        "done"
+                    } else {
+                        "other"
+                    };
+                    bars.push(Bar {
+                        instance: key.0,
+                        from,
+                        to: event.at,
+                        how,
+                    });
                 }
             }
             Deed::Noted(_) => {}
         }
     }
-    bars.extend(open.into_iter().map(|(key, from)| Bar { instance: key.0, from, to: end, how: "lost" }));
+    bars.extend(open.into_iter().map(|(key, from)| Bar {
+        instance: key.0,
+        from,
+        to: end,
+        how: "lost",
+    }));
     bars
 }
 
@@ -125,13 +180,20 @@
     for bar in &bars {
         let (x, y) = (60 + px(bar.from), rows[bar.instance.as_str()] * ROW_PX);
         let wide = px(bar.to.saturating_sub(bar.from)).max(1);
-        let _ =
-            write!(page, "<rect class={} x={x} y={y} width={wide} height={}></rect>", bar.how, ROW_PX - 3);
+        let _ = write!(
+            page,
+            "<rect class={} x={x} y={y} width={wide} height={}></rect>",
+            bar.how,
+            ROW_PX - 3
+        );
     }
     for (number, happening) in report.happenings.iter().enumerate() {
         let x = 60 + px(happening.at);
         let y = height - 12 * (number as u64 % 3) - 4;
-        let _ = write!(page, "<line x1={x} x2={x} y1=0 y2={height} stroke=#b33></line>");
+        let _ = write!(
+            page,
+            "<line x1={x} x2={x} y1=0 y2={height} stroke=#b33></line>"
+        );
         let _ = write!(page, "<text x={} y={y}>{}</text>", x + 3, happening.what);
     }
     let _ = write!(page, "</svg><h1>Figures</h1><pre>{}</pre>", table(report));
--- a/system/demo/src/story.rs
+++ b/system/demo/src/story.rs
@@ -49,13 +49,28 @@
     let mut cluster = Cluster::start(options, &folder, platform.start().await?)?;
     let clients = Clients::new(options.coordinators, options.proxies);
     clients.configure().await?;
-    println!("{:6.2} s  the cluster takes jobs", began.elapsed().as_secs_f64());
-    let before: Vec<u64> = cluster.processes.iter().map(|process| process.usage().processor_ms).collect();
+    println!(
+        "{:6.2} s  the cluster takes jobs",
+        began.elapsed().as_secs_f64()
+    );
+    let before: Vec<u64> = cluster
+        .processes
+        .iter()
+        .map(|process| process.usage().processor_ms)
+        .collect();
     let traffic = tokio::spawn(hand_in(clients, options.clone()));
     let from = Instant::now();
     let mut happenings = Vec::new();
     if !options.calm {
-        kill(options, began, &mut cluster, &mut workers, &platform, &mut happenings).await?;
+        kill(
+            options,
+            began,
+            &mut cluster,
+            &mut workers,
+            &platform,
+            &mut happenings,
+        )
+        .await?;
     }
     let stories = traffic.await.unwrap_or_default();
     let wall_ms = from.elapsed().as_millis() as u64;
@@ -63,12 +78,22 @@
     while let Ok(event) = told.try_recv() {
         worker_events.push(event);
     }
-    let usage = cluster.processes.iter().zip(before).map(|(process, before)| {
-        let mut usage = process.usage();
-        usage.processor_ms = usage.processor_ms.saturating_sub(before);
-        (process.name.clone(), usage)
-    });
-    let report = Report { stories, happenings, worker_events, usage: usage.collect(), wall_ms };
+    let usage = cluster
+        .processes
+        .iter()
+        .zip(before)
+        .map(|(process, before)| {
+            let mut usage = process.usage();
+            usage.processor_ms = usage.processor_ms.saturating_sub(before);
+            (process.name.clone(), usage)
+        });
+    let report = Report {
+        stories,
+        happenings,
+        worker_events,
+        usage: usage.collect(),
+        wall_ms,
+    };
     report::finish(&report, &folder)
 }
 
@@ -96,7 +121,12 @@
 
 /// Most jobs are quick ones; some have several steps, and some a gang.
 fn some_steps(random: &mut StdRng) -> Vec<StepWork> {
-    let step = |count, cpu, duration_ms, gang| StepWork { count, cpu, duration_ms, gang };
+    let step = |count, cpu, duration_ms, gang| StepWork {
+        count,
+        cpu,
+        duration_ms,
+        gang,
+    };
     match random.gen_range(0..10) {
         0 => vec![
             step(2, 500, 400, false),
@@ -104,7 +134,12 @@
             step(1, 2000, 300, false),
         ],
         1 => vec![step(random.gen_range(2..5), 1500, 800, true)],
-        _ => vec![step(random.gen_range(1..4), 300, random.gen_range(200..700), false)],
+        _ => vec![step(
+            random.gen_range(1..4),
+            300,
+            random.gen_range(200..700),
+            false,
+        )],
     }
 }
 
@@ -121,7 +156,10 @@
     let mut note = |what: String| {
         let at = began.elapsed();
         println!("{:6.2} s  {what}", at.as_secs_f64());
-        happenings.push(Happening { at: at.as_millis() as u64, what });
+        happenings.push(Happening {
+            at: at.as_millis() as u64,
+            what,
+        });
     };
     tokio::time::sleep_until(after(KILL_COORDINATOR_AFTER)).await;
     cluster.kill(KILLED).await?;
--- a/system/demo/src/usage.rs
+++ b/system/demo/src/usage.rs
@@ -16,7 +16,10 @@
 pub fn of_process(id: u32) -> Option<Usage> {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
-    Some(Usage { processor_ms: processor_ms(&stat)?, peak_kb: peak_kb(&status)? })
+    Some(Usage {
+        processor_ms: processor_ms(&stat)?,
+        peak_kb: peak_kb(&status)?,
+    })
 }
 
 fn processor_ms(stat: &str) -> Option<u64> {
--- a/system/demo/src/work.rs
+++ b/system/demo/src/work.rs
@@ -19,7 +19,10 @@
 
 /// The job's text: a line for each step.
 pub fn to_text(steps: &[StepWork]) -> String {
-    let lines: Vec<String> = steps.iter().map(|step| format!("{} {}", step.cpu, step.duration_ms)).collect();
+    let lines: Vec<String> = steps
+        .iter()
+        .map(|step| format!("{} {}", step.cpu, step.duration_ms))
+        .collect();
     lines.join("\n")
 }
 
@@ -27,7 +30,11 @@
 pub fn of_task(text: &str, task: &TaskId) -> Option<(Resources, u64)> {
     let line = text.lines().nth(task.step as usize)?;
     let (cpu, duration) = line.split_once(' ')?;
-    let resources = Resources { cpu: cpu.parse().ok()?, memory_mb: MEMORY_MB, gpu: 0 };
+    let resources = Resources {
+        cpu: cpu.parse().ok()?,
+        memory_mb: MEMORY_MB,
+        gpu: 0,
+    };
     Some((resources, duration.parse().ok()?))
 }
 
