--- a/system/demo/src/worker_server.rs
+++ b/system/demo/src/worker_server.rs
@@ -19,7 +19,11 @@
 /// Longest hold on a worker.
 pub const MAX_HOLD_MS: u64 = 6000;
 /// What each worker has.
-const CAPACITY: Resources = Resources { cpu: 8000, memory_mb: 16_000, gpu: 0 };
+const CAPACITY: Resources = Resources {
+    cpu: 8000,
+    memory_mb: 16_000,
+    gpu: 0,
+};
 /// How often a worker that is asked to wait for an end looks for one.
 const LOOK_EVERY: Duration = Duration::from_millis(2);
 
@@ -70,9 +74,12 @@
         began: Instant,
         events: UnboundedSender<WorkerEvent>,
     ) -> Result<RunningWorker, DemoError> {
-        let listener =
-            TcpListener::bind("127.0.0.1:0").await.map_err(DemoError::system("a worker's port"))?;
-        let address = listener.local_addr().map_err(DemoError::system("a worker's port"))?;
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .map_err(DemoError::system("a worker's port"))?;
+        let address = listener
+            .local_addr()
+            .map_err(DemoError::system("a worker's port"))?;
         let entry = WorkerEntry {
             instance: format!("w-{number}"),
             service: "pages".to_owned(),
@@ -83,8 +90,18 @@
             ..WorkerEntry::default()
         };
         let clock_offset = 100_000 * u64::from(number);
-        let worker = Mutex::new(Worker::new(entry.clone(), GUARDS, clock_offset, 1000, MAX_HOLD_MS));
-        let shared = Arc::new(Shared { worker, began, events });
+        let worker = Mutex::new(Worker::new(
+            entry.clone(),
+            GUARDS,
+            clock_offset,
+            1000,
+            MAX_HOLD_MS,
+        ));
+        let shared = Arc::new(Shared {
+            worker,
+            began,
+            events,
+        });
         let server = serve(listener, move |call| answer(shared.clone(), call));
         Ok(RunningWorker { entry, server })
     }
@@ -96,14 +113,21 @@
 }
 
 async fn answer(shared: Arc<Shared>, call: Call) -> Answer {
-    let Ok(body) = serde_json::from_slice::<OrderBody>(&call.body) else { return status_only(400) };
+    let Ok(body) = serde_json::from_slice::<OrderBody>(&call.body) else {
+        return status_only(400);
+    };
     let order = match call.path.as_str() {
         "/-/run-start" => start_order(&body),
-        "/-/run-stop" => TaskId::parse(&body.task).map(|task| WorkerOrder::Stop { task, run: body.run_id }),
+        "/-/run-stop" => TaskId::parse(&body.task).map(|task| WorkerOrder::Stop {
+            task,
+            run: body.run_id,
+        }),
         "/-/hold" => Some(hold_order(&body)),
         _ => return status_only(404),
     };
-    let Some(order) = order else { return status_only(400) };
+    let Some(order) = order else {
+        return status_only(400);
+    };
     let call = WorkerCall {
         id: 0,
         address: String::new(),
@@ -129,7 +153,11 @@
 }
 
 fn hold_order(body: &OrderBody) -> WorkerOrder {
-    WorkerOrder::Hold { deadline_ms: body.deadline_ms, last_seen: body.last_seen, wait_ms: body.wait_ms }
+    WorkerOrder::Hold {
+        deadline_ms: body.deadline_ms,
+        last_seen: body.last_seen,
+        wait_ms: body.wait_ms,
+    }
 }
 
 async fn wait_for_end(shared: &Shared, last_seen: u64, most: Duration) {
@@ -167,7 +195,11 @@
         let mut worker = self.worker.lock().unwrap_or_else(PoisonError::into_inner);
         let reply = worker.take(now, call, work);
         for deed in worker.take_deeds() {
-            let event = WorkerEvent { instance: worker.entry.instance.clone(), at: now, deed };
+            let event = WorkerEvent {
+                instance: worker.entry.instance.clone(),
+                at: now,
+                deed,
+            };
             let _ = self.events.send(event);
         }
         reply
@@ -175,16 +207,26 @@
 }
 
 fn status_only(status: u16) -> Answer {
-    Answer { status, body: serde_json::json!({}) }
+    Answer {
+        status,
+        body: serde_json::json!({}),
+    }
 }
 
 fn to_answer(reply: WorkerReply) -> Answer {
     let (status, body) = match reply {
-        WorkerReply::Done { clock_ms, listing: None } => (200, serde_json::json!({ "clockMs": clock_ms })),
-        WorkerReply::Done { clock_ms, listing: Some(listing) } => (200, listing_body(clock_ms, &listing)),
-        WorkerReply::Refused { clock_ms, reason } => {
-            (409, serde_json::json!({ "clockMs": clock_ms, "reason": reason_word(reason) }))
-        }
+        WorkerReply::Done {
+            clock_ms,
+            listing: None,
+        } => (200, serde_json::json!({ "clockMs": clock_ms })),
+        WorkerReply::Done {
+            clock_ms,
+            listing: Some(listing),
+        } => (200, listing_body(clock_ms, &listing)),
+        WorkerReply::Refused { clock_ms, reason } => (
+            409,
+            serde_json::json!({ "clockMs": clock_ms, "reason": reason_word(reason) }),
+        ),
         WorkerReply::OtherLife => (421, serde_json::json!({})),
         WorkerReply::Unhealthy => (503, serde_json::json!({})),
         WorkerReply::Rejected | WorkerReply::Unanswered => (400, serde_json::json!({})),
@@ -203,7 +245,13 @@
         .iter()
         .map(|end| {
             let how = end_word(end.kind);
-            serde_json::json!([end.number, end.task.to_string(), end.run, how, end.checkpoint])
+            serde_json::json!([
+                end.number,
+                end.task.to_string(),
+                end.run,
+                how,
+                end.checkpoint
+            ])
         })
         .collect();
     serde_json::json!({ "clockMs": clock_ms, "running": running, "ended": ended })
--- a/system/demo/tests/work.rs
+++ b/system/demo/tests/work.rs
@@ -5,19 +5,38 @@
 
 fn steps() -> Vec<StepWork> {
     vec![
-        StepWork { count: 2, cpu: 500, duration_ms: 400, gang: false },
-        StepWork { count: 3, cpu: 1500, duration_ms: 900, gang: true },
+        StepWork {
+            count: 2,
+            cpu: 500,
+            duration_ms: 400,
+            gang: false,
+        },
+        StepWork {
+            count: 3,
+            cpu: 1500,
+            duration_ms: 900,
+            gang: true,
+        },
     ]
 }
 
 fn task(step: u32) -> TaskId {
-    TaskId { job: JobId(1), time: 0, step, index: 0 }
+    TaskId {
+        job: JobId(1),
+        time: 0,
+        step,
+        index: 0,
+    }
 }
 
 #[googletest::test]
 fn given_a_job_of_two_steps_when_a_worker_reads_its_text_then_it_finds_each_steps_work() {
     let text = to_text(&steps());
-    let second = Resources { cpu: 1500, memory_mb: MEMORY_MB, gpu: 0 };
+    let second = Resources {
+        cpu: 1500,
+        memory_mb: MEMORY_MB,
+        gpu: 0,
+    };
     expect_that!(of_task(&text, &task(1)), some(eq((second, 900))));
     expect_that!(of_task(&text, &task(2)), none());
     expect_that!(of_task("no such text", &task(0)), none());
--- a/system/distribution/examples/sizes.rs
+++ b/system/distribution/examples/sizes.rs
@@ -21,7 +21,9 @@
 /// Bytes of the whole of a configuration, and of a change of one route.
 fn bytes(routes: u64) -> (u64, u64) {
     let mut source = source([configuration(1, 0..routes), configuration(2, 0..routes + 1)]);
-    let whole = source.part(&Default::default()).map_or(0, |part| part.length);
+    let whole = source
+        .part(&Default::default())
+        .map_or(0, |part| part.length);
     let change = source.small_change(1).map_or(0, |part| part.length);
     (whole, change)
 }
@@ -39,7 +41,10 @@
     println!("routes | body as sent, about | whole on its way | one route more | ms for the whole, ms for one route more, by link");
     for routes in ROUTES {
         let (whole, change) = bytes(routes);
-        print!("{routes} | {} | {whole} | {change}", whole_body_bytes(&configuration(1, 0..routes)));
+        print!(
+            "{routes} | {} | {whole} | {change}",
+            whole_body_bytes(&configuration(1, 0..routes))
+        );
         for rate in RATES {
             let mut world = World::new(rate);
             world.run_for(2000);
--- a/system/distribution/src/agent.rs
+++ b/system/distribution/src/agent.rs
@@ -166,34 +166,50 @@
         // Differs from what it was whenever one of the two does, as coordinators' revisions are hashes; zero while nothing
         // is known.
         let revision = self.feed.revision.wrapping_mul(3).wrapping_add(version);
-        Feed { configuration_version: version, revision, change: None, ..self.feed.clone() }
+        Feed {
+            configuration_version: version,
+            revision,
+            change: None,
+            ..self.feed.clone()
+        }
     }
 
     /// When the next call is due; `None`: not before an answer.
     pub fn next_due(&self) -> Option<Millis> {
         let links = self.links.iter().filter_map(|link| link.activity.due_at());
-        let fetch = self.fetch_source().and_then(|_| self.fetch.activity.due_at());
+        let fetch = self
+            .fetch_source()
+            .and_then(|_| self.fetch.activity.due_at());
         links.chain(fetch).min()
     }
 
     /// The calls to be made now.
     pub fn due_calls(&mut self, now: Millis) -> Vec<Call> {
-        let mut calls: Vec<Call> =
-            (0..self.links.len()).filter_map(|number| self.due_poll(number, now)).collect();
+        let mut calls: Vec<Call> = (0..self.links.len())
+            .filter_map(|number| self.due_poll(number, now))
+            .collect();
         calls.extend(self.due_fetch(now));
         calls
     }
 
     fn candidates(&self) -> Vec<u32> {
-        let others = self.seeds.iter().filter(|seed| !self.feed.chain.contains(seed));
+        let others = self
+            .seeds
+            .iter()
+            .filter(|seed| !self.feed.chain.contains(seed));
         self.feed.chain.iter().chain(others).copied().collect()
     }
 
     fn due_poll(&mut self, number: usize, now: Millis) -> Option<Call> {
         let candidates = self.candidates();
-        let link = self.links.get_mut(number).filter(|link| link.activity.is_due(now))?;
+        let link = self
+            .links
+            .get_mut(number)
+            .filter(|link| link.activity.is_due(now))?;
         let Some(coordinator) = self.places.take(number, &candidates, link.turn) else {
-            link.activity = Activity::Resting { until: now + PAUSE_MS };
+            link.activity = Activity::Resting {
+                until: now + PAUSE_MS,
+            };
             return None;
         };
         link.activity = Activity::Asking { coordinator };
@@ -222,11 +238,15 @@
             return None;
         }
         let serving = || self.links.iter().filter_map(|link| link.trusted);
-        serving().find(|coordinator| self.fetch.failed != Some(*coordinator)).or_else(|| serving().next())
+        serving()
+            .find(|coordinator| self.fetch.failed != Some(*coordinator))
+            .or_else(|| serving().next())
     }
 
     fn due_fetch(&mut self, now: Millis) -> Option<Call> {
-        let coordinator = self.fetch_source().filter(|_| self.fetch.activity.is_due(now))?;
+        let coordinator = self
+            .fetch_source()
+            .filter(|_| self.fetch.activity.is_due(now))?;
         self.fetch.activity = Activity::Asking { coordinator };
         let silence_ms = self.fetch.patience.ms();
         Some(Call {
@@ -253,14 +273,23 @@
         (self.feed.revision, self.receiver.version()) != before
     }
 
-    fn polled(&mut self, now: Millis, number: usize, answer: Result<CoordinatorAnswer, CallFailure>) {
+    fn polled(
+        &mut self,
+        now: Millis,
+        number: usize,
+        answer: Result<CoordinatorAnswer, CallFailure>,
+    ) {
         let is_slow = answer == Err(CallFailure::Unanswered);
         let served = match answer {
             Ok(CoordinatorAnswer::Feed(feed)) => self.take_feed(*feed),
             Ok(_) | Err(_) => false,
         };
-        let Some(link) = self.links.get_mut(number) else { return };
-        let Activity::Asking { coordinator } = link.activity else { return };
+        let Some(link) = self.links.get_mut(number) else {
+            return;
+        };
+        let Activity::Asking { coordinator } = link.activity else {
+            return;
+        };
         link.trusted = served.then_some(coordinator);
         if served {
             link.patience.answered();
@@ -271,7 +300,9 @@
             link.patience.unanswered();
         }
         link.turn = link.turn.wrapping_add(1);
-        link.activity = Activity::Resting { until: now + PAUSE_MS };
+        link.activity = Activity::Resting {
+            until: now + PAUSE_MS,
+        };
     }
 
     /// Takes up news, unless they are older than what is known. Returns whether they are not.
@@ -288,7 +319,9 @@
     }
 
     fn fetched(&mut self, now: Millis, answer: Result<CoordinatorAnswer, CallFailure>) {
-        let Activity::Asking { coordinator } = self.fetch.activity else { return };
+        let Activity::Asking { coordinator } = self.fetch.activity else {
+            return;
+        };
         let is_slow = answer == Err(CallFailure::Unanswered);
         let received = match answer {
             Ok(CoordinatorAnswer::ConfigurationPart(part)) => self.receiver.take(*part),
@@ -302,15 +335,19 @@
             }
             Received::Unusable | Received::Faulty(_) => {
                 if let Received::Faulty(error) = received {
-                    let error =
-                        error.map_or_else(|| "its checksum differs".to_owned(), |error| error.to_string());
+                    let error = error.map_or_else(
+                        || "its checksum differs".to_owned(),
+                        |error| error.to_string(),
+                    );
                     self.fault = Some(error);
                 }
                 if is_slow {
                     self.fetch.patience.unanswered();
                 }
                 self.fetch.failed = Some(coordinator);
-                self.fetch.activity = Activity::Resting { until: now + PAUSE_MS };
+                self.fetch.activity = Activity::Resting {
+                    until: now + PAUSE_MS,
+                };
             }
         }
     }
--- a/system/distribution/src/change.rs
+++ b/system/distribution/src/change.rs
@@ -34,8 +34,18 @@
         ConfigurationChange {
             base: base.version,
             version: newer.version,
-            removed: base.routes.iter().filter(is_gone).map(|route| route.name.clone()).collect(),
-            routes: newer.routes.iter().filter(differs).map(|route| Route::clone(route)).collect(),
+            removed: base
+                .routes
+                .iter()
+                .filter(is_gone)
+                .map(|route| route.name.clone())
+                .collect(),
+            routes: newer
+                .routes
+                .iter()
+                .filter(differs)
+                .map(|route| Route::clone(route))
+                .collect(),
             services: newer.services.values().cloned().collect(),
             limits: newer.limits,
         }
@@ -49,10 +59,26 @@
             .map(String::as_str)
             .chain(self.routes.iter().map(|r| r.name.as_str()))
             .collect();
-        let kept: Vec<Arc<Route>> =
-            base.routes.iter().filter(|route| !replaced.contains(route.name.as_str())).cloned().collect();
-        let routes: RouteTable = kept.into_iter().chain(self.routes.into_iter().map(Arc::new)).collect();
-        let services = self.services.into_iter().map(|service| (service.name.clone(), service)).collect();
-        Configuration { version: self.version, routes, services, limits: self.limits }
+        let kept: Vec<Arc<Route>> = base
+            .routes
+            .iter()
+            .filter(|route| !replaced.contains(route.name.as_str()))
+            .cloned()
+            .collect();
+        let routes: RouteTable = kept
+            .into_iter()
+            .chain(self.routes.into_iter().map(Arc::new))
+            .collect();
+        let services = self
+            .services
+            .into_iter()
+            .map(|service| (service.name.clone(), service))
+            .collect();
+        Configuration {
+            version: self.version,
+            routes,
+            services,
+            limits: self.limits,
+        }
     }
 }
--- a/system/distribution/src/encoding.rs
+++ b/system/distribution/src/encoding.rs
@@ -50,7 +50,9 @@
         Some((&PLAIN, plain)) => Ok(decode(plain)?),
         Some((&DEFLATED, compressed)) => {
             let mut plain = Vec::new();
-            DeflateDecoder::new(compressed).take(MOST_BYTES).read_to_end(&mut plain)?;
+            DeflateDecoder::new(compressed)
+                .take(MOST_BYTES)
+                .read_to_end(&mut plain)?;
             Ok(decode(&plain)?)
         }
         _ => Err(EncodingError::UnknownForm),
--- a/system/distribution/src/patience.rs
+++ b/system/distribution/src/patience.rs
@@ -17,7 +17,10 @@
 impl Patience {
     /// Patience that is never less than this.
     pub fn of_at_least(least_ms: Millis) -> Patience {
-        Patience { least_ms, now_ms: least_ms }
+        Patience {
+            least_ms,
+            now_ms: least_ms,
+        }
     }
 
     /// How long it is now.
--- a/system/distribution/src/places.rs
+++ b/system/distribution/src/places.rs
@@ -13,8 +13,15 @@
     /// coordinator never holds up all links.
     pub fn take(&mut self, link: usize, candidates: &[u32], turn: usize) -> Option<u32> {
         let first = turn.checked_rem(candidates.len())?;
-        let in_turn = || candidates[first..].iter().chain(&candidates[..first]).copied();
-        let chosen = in_turn().find(|address| !self.is_taken(link, *address)).or_else(|| in_turn().next());
+        let in_turn = || {
+            candidates[first..]
+                .iter()
+                .chain(&candidates[..first])
+                .copied()
+        };
+        let chosen = in_turn()
+            .find(|address| !self.is_taken(link, *address))
+            .or_else(|| in_turn().next());
         if let Some(place) = self.0.get_mut(link) {
             *place = chosen;
         }
@@ -23,6 +30,9 @@
 
     /// Whether another link is at this coordinator.
     fn is_taken(&self, link: usize, address: u32) -> bool {
-        self.0.iter().enumerate().any(|(other, place)| other != link && *place == Some(address))
+        self.0
+            .iter()
+            .enumerate()
+            .any(|(other, place)| other != link && *place == Some(address))
     }
 }
--- a/system/distribution/src/receiver.rs
+++ b/system/distribution/src/receiver.rs
@@ -45,7 +45,9 @@
 
     /// Bytes that have come of the change under way.
     pub fn bytes_so_far(&self) -> u64 {
-        self.incoming.as_ref().map_or(0, |incoming| incoming.bytes.len() as u64)
+        self.incoming
+            .as_ref()
+            .map_or(0, |incoming| incoming.bytes.len() as u64)
     }
 
     /// What to ask for next.
@@ -64,7 +66,10 @@
         if id.version <= self.version() || (id.base != 0 && id.base != self.version()) {
             return Received::Unusable;
         }
-        let continues = self.incoming.as_ref().is_some_and(|incoming| incoming.id == id)
+        let continues = self
+            .incoming
+            .as_ref()
+            .is_some_and(|incoming| incoming.id == id)
             && part.offset == self.bytes_so_far();
         if !continues && part.offset != 0 {
             return Received::Unusable;
@@ -74,7 +79,10 @@
                 incoming.bytes.extend_from_slice(&part.bytes);
                 incoming
             }
-            None => Incoming { id, bytes: part.bytes },
+            None => Incoming {
+                id,
+                bytes: part.bytes,
+            },
         };
         if (incoming.bytes.len() as u64) < part.length {
             self.incoming = Some(incoming);
@@ -86,14 +94,20 @@
     fn apply(&mut self, incoming: &Incoming) -> Received {
         let sound = fnv1a(&incoming.bytes) == incoming.id.checksum;
         let change = match sound.then(|| decode_change(&incoming.bytes)).transpose() {
-            Ok(Some(change)) if (change.base, change.version) == (incoming.id.base, incoming.id.version) => {
+            Ok(Some(change))
+                if (change.base, change.version) == (incoming.id.base, incoming.id.version) =>
+            {
                 change
             }
             Ok(_) => return self.fault(None),
             Err(error) => return self.fault(Some(error)),
         };
         let nothing = Configuration::default();
-        let base = if change.base == 0 { &nothing } else { self.configuration.as_ref() };
+        let base = if change.base == 0 {
+            &nothing
+        } else {
+            self.configuration.as_ref()
+        };
         self.configuration = Arc::new(change.apply_to(base));
         self.wants_whole = false;
         Received::Configuration(self.configuration.clone())
--- a/system/distribution/src/source.rs
+++ b/system/distribution/src/source.rs
@@ -52,7 +52,10 @@
 
     /// Takes a newer configuration that shares its routes with those before already. Others than a newer one are ignored.
     pub fn push_shared(&mut self, newer: &Arc<Configuration>) {
-        if self.newest().is_none_or(|newest| newest.version < newer.version) {
+        if self
+            .newest()
+            .is_none_or(|newest| newest.version < newer.version)
+        {
             self.add(newer.clone());
         }
     }
@@ -74,8 +77,12 @@
 
     /// Takes a newer configuration by what leads to it from the newest one. Returns whether that could be done.
     pub fn follow(&mut self, version: u64, change: &[u8]) -> bool {
-        let Some(newest) = self.newest().cloned() else { return false };
-        let Ok(change) = decode_change(change) else { return false };
+        let Some(newest) = self.newest().cloned() else {
+            return false;
+        };
+        let Ok(change) = decode_change(change) else {
+            return false;
+        };
         if change.base != newest.version || change.version != version || version <= newest.version {
             return false;
         }
@@ -95,7 +102,9 @@
     /// The part that is asked for: of the transfer under way, or the first one of what leads to the newest configuration.
     /// `None`: the caller has the newest one, or there is none.
     pub fn part(&mut self, fetch: &ConfigurationFetch) -> Option<ConfigurationPart> {
-        let under_way = fetch.transfer.and_then(|id| self.position(|transfer| transfer.id == id));
+        let under_way = fetch
+            .transfer
+            .and_then(|id| self.position(|transfer| transfer.id == id));
         if let Some(position) = under_way {
             let part = self.used(position)?.part(fetch.offset);
             return Some(part);
@@ -105,7 +114,11 @@
         }
         let transfer = self.transfer_from(fetch.base)?;
         // The same transfer may have been begun at another source.
-        let offset = if fetch.transfer == Some(transfer.id) { fetch.offset } else { 0 };
+        let offset = if fetch.transfer == Some(transfer.id) {
+            fetch.offset
+        } else {
+            0
+        };
         Some(transfer.part(offset))
     }
 
@@ -124,15 +137,23 @@
     fn transfer_from(&mut self, base: u64) -> Option<&Transfer> {
         let newest = self.newest()?.clone();
         let nothing = Arc::new(Configuration::default());
-        let remembered = self.recent.iter().find(|configuration| configuration.version == base);
+        let remembered = self
+            .recent
+            .iter()
+            .find(|configuration| configuration.version == base);
         let base = remembered.cloned().unwrap_or(nothing);
-        let same =
-            |transfer: &Transfer| (transfer.id.base, transfer.id.version) == (base.version, newest.version);
+        let same = |transfer: &Transfer| {
+            (transfer.id.base, transfer.id.version) == (base.version, newest.version)
+        };
         if let Some(position) = self.position(same) {
             return self.used(position);
         }
         let bytes = encode_change(&ConfigurationChange::between(&base, &newest));
-        let id = TransferId { base: base.version, version: newest.version, checksum: fnv1a(&bytes) };
+        let id = TransferId {
+            base: base.version,
+            version: newest.version,
+            checksum: fnv1a(&bytes),
+        };
         self.transfers.push_back(Transfer { id, bytes });
         self.drop_old_transfers();
         self.transfers.back()
@@ -142,7 +163,8 @@
         let bytes = |transfers: &VecDeque<Transfer>| -> usize {
             transfers.iter().map(|transfer| transfer.bytes.len()).sum()
         };
-        while self.transfers.len() > LEAST_TRANSFERS && bytes(&self.transfers) > MOST_TRANSFER_BYTES {
+        while self.transfers.len() > LEAST_TRANSFERS && bytes(&self.transfers) > MOST_TRANSFER_BYTES
+        {
             self.transfers.pop_front();
         }
     }
@@ -169,5 +191,8 @@
         Some(known) if known == route => known.clone(),
         _ => route.clone(),
     };
-    Configuration { routes: newer.routes.iter().map(shared).collect(), ..newer }
+    Configuration {
+        routes: newer.routes.iter().map(shared).collect(),
+        ..newer
+    }
 }
--- a/system/distribution/tests/agents.rs
+++ b/system/distribution/tests/agents.rs
@@ -28,7 +28,8 @@
 }
 
 #[googletest::test]
-fn given_a_very_slow_link_when_a_large_configuration_comes_then_it_arrives_however_long_that_takes() {
+fn given_a_very_slow_link_when_a_large_configuration_comes_then_it_arrives_however_long_that_takes()
+{
     let mut world = World::new(VERY_SLOW);
     world.push(configuration(1, 0..MANY));
     world.run_until(60_000);
@@ -39,7 +40,8 @@
 }
 
 #[googletest::test]
-fn given_a_storm_of_large_configurations_when_the_link_is_slow_then_the_newest_is_in_force_soon_after() {
+fn given_a_storm_of_large_configurations_when_the_link_is_slow_then_the_newest_is_in_force_soon_after(
+) {
     let mut world = World::new(SLOW);
     world.push(configuration(1, 0..MANY));
     world.run_until(3000);
@@ -70,7 +72,8 @@
 }
 
 #[googletest::test]
-fn given_all_coordinators_gone_for_a_while_when_they_are_back_with_a_large_change_then_it_arrives() {
+fn given_all_coordinators_gone_for_a_while_when_they_are_back_with_a_large_change_then_it_arrives()
+{
     let mut world = World::new(SLOW);
     world.push(configuration(1, 0..MANY));
     world.run_until(3000);
@@ -84,7 +87,8 @@
 }
 
 #[googletest::test]
-fn given_clients_that_fill_the_link_when_answers_take_a_second_then_the_agent_is_served_all_the_same() {
+fn given_clients_that_fill_the_link_when_answers_take_a_second_then_the_agent_is_served_all_the_same(
+) {
     let mut world = World::new(SLOW);
     world.queue_delay_ms(1100);
     world.push(configuration(1, 0..10));
@@ -106,52 +110,118 @@
 
 #[googletest::test]
 fn given_an_agent_that_knows_nothing_when_it_is_asked_then_it_tells_nothing_and_is_lost() {
-    let mut agent = Agent::new(AgentSettings { own_address: 5, seeds: vec![1, 2, 3], links: 2 });
+    let mut agent = Agent::new(AgentSettings {
+        own_address: 5,
+        seeds: vec![1, 2, 3],
+        links: 2,
+    });
     expect_that!(agent.feed(), eq(&Feed::default()));
     expect_that!(agent.is_lost(), eq(true));
     let calls = agent.due_calls(0);
     expect_that!(calls.len(), eq(2));
     expect_that!(calls[0].coordinator, not(eq(calls[1].coordinator)));
     expect_that!(agent.next_due(), none());
-    expect_that!(agent.answered(1, CallId::Poll(0), Err(CallFailure::NotConnected)), eq(false));
+    expect_that!(
+        agent.answered(1, CallId::Poll(0), Err(CallFailure::NotConnected)),
+        eq(false)
+    );
     // It moves on after a pause.
     expect_that!(agent.due_calls(1).len(), eq(0));
     let due = agent.next_due().unwrap_or_default();
-    expect_that!(agent.due_calls(due)[0].coordinator, not(eq(calls[0].coordinator)));
+    expect_that!(
+        agent.due_calls(due)[0].coordinator,
+        not(eq(calls[0].coordinator))
+    );
 }
 
 #[googletest::test]
-fn given_a_change_that_can_not_be_read_when_it_comes_then_that_is_told_once_and_the_whole_is_asked_for() {
-    let mut agent = Agent::new(AgentSettings { own_address: 5, seeds: vec![1], links: 1 });
+fn given_a_change_that_can_not_be_read_when_it_comes_then_that_is_told_once_and_the_whole_is_asked_for(
+) {
+    let mut agent = Agent::new(AgentSettings {
+        own_address: 5,
+        seeds: vec![1],
+        links: 1,
+    });
     agent.due_calls(0);
-    let news = Feed { view: 1, configuration_version: 4, revision: 1, chain: vec![1], ..Feed::default() };
-    agent.answered(1, CallId::Poll(0), Ok(CoordinatorAnswer::Feed(Box::new(news))));
+    let news = Feed {
+        view: 1,
+        configuration_version: 4,
+        revision: 1,
+        chain: vec![1],
+        ..Feed::default()
+    };
+    agent.answered(
+        1,
+        CallId::Poll(0),
+        Ok(CoordinatorAnswer::Feed(Box::new(news))),
+    );
     let is_fetch = |call: &Call| call.id == CallId::Fetch;
-    expect_that!(agent.due_calls(1).iter().filter(|call| is_fetch(call)).count(), eq(1));
-    let transfer = TransferId { base: 0, version: 4, checksum: 7 };
-    let part = ConfigurationPart { transfer, length: 3, offset: 0, bytes: vec![1, 2, 3] };
-    agent.answered(2, CallId::Fetch, Ok(CoordinatorAnswer::ConfigurationPart(Box::new(part))));
+    expect_that!(
+        agent
+            .due_calls(1)
+            .iter()
+            .filter(|call| is_fetch(call))
+            .count(),
+        eq(1)
+    );
+    let transfer = TransferId {
+        base: 0,
+        version: 4,
+        checksum: 7,
+    };
+    let part = ConfigurationPart {
+        transfer,
+        length: 3,
+        offset: 0,
+        bytes: vec![1, 2, 3],
+    };
+    agent.answered(
+        2,
+        CallId::Fetch,
+        Ok(CoordinatorAnswer::ConfigurationPart(Box::new(part))),
+    );
     expect_that!(agent.take_fault(), some(contains_substring("checksum")));
     expect_that!(agent.take_fault(), none());
-    let again = agent.due_calls(1000).into_iter().find(is_fetch).map(|call| call.request);
+    let again = agent
+        .due_calls(1000)
+        .into_iter()
+        .find(is_fetch)
+        .map(|call| call.request);
     let whole = CoordinatorRequest::FetchConfiguration(ConfigurationFetch::default());
     expect_that!(again, some(eq(&whole)));
 }
 
 #[googletest::test]
 fn given_news_that_are_older_when_they_come_then_that_coordinator_is_not_trusted() {
-    let mut agent = Agent::new(AgentSettings { own_address: 5, seeds: vec![1, 2, 3], links: 1 });
+    let mut agent = Agent::new(AgentSettings {
+        own_address: 5,
+        seeds: vec![1, 2, 3],
+        links: 1,
+    });
     agent.due_calls(0);
-    let feed = |view, revision| Feed { view, revision, chain: vec![1, 2, 3], ..Feed::default() };
+    let feed = |view, revision| Feed {
+        view,
+        revision,
+        chain: vec![1, 2, 3],
+        ..Feed::default()
+    };
     let told = |agent: &mut Agent, now, feed| {
-        agent.answered(now, CallId::Poll(0), Ok(CoordinatorAnswer::Feed(Box::new(feed))))
+        agent.answered(
+            now,
+            CallId::Poll(0),
+            Ok(CoordinatorAnswer::Feed(Box::new(feed))),
+        )
     };
     expect_that!(told(&mut agent, 1, feed(4, 40)), eq(true));
     let waits = |agent: &mut Agent, now| match &agent.due_calls(now)[..] {
         [call] => matches!(&call.request, CoordinatorRequest::Poll(poll) if poll.wait_ms > 0),
         _ => false,
     };
-    expect_that!(waits(&mut agent, 2), eq(true), "one that has served is asked to wait for news");
+    expect_that!(
+        waits(&mut agent, 2),
+        eq(true),
+        "one that has served is asked to wait for news"
+    );
     expect_that!(told(&mut agent, 3, feed(3, 30)), eq(false));
     expect_that!(agent.feed().view, eq(4));
     expect_that!(waits(&mut agent, 1000), eq(false));
--- a/system/distribution/tests/common/mod.rs
+++ b/system/distribution/tests/common/mod.rs
@@ -37,7 +37,10 @@
     };
     Configuration {
         version,
-        routes: routes.into_iter().map(|number| Arc::new(route(number))).collect(),
+        routes: routes
+            .into_iter()
+            .map(|number| Arc::new(route(number)))
+            .collect(),
         services: [("s".to_owned(), service)].into(),
         ..Configuration::default()
     }
@@ -46,7 +49,9 @@
 /// A source that has taken these configurations one after the other.
 pub fn source(configurations: impl IntoIterator<Item = Configuration>) -> ConfigurationSource {
     let mut source = ConfigurationSource::default();
-    configurations.into_iter().for_each(|configuration| source.push(configuration));
+    configurations
+        .into_iter()
+        .for_each(|configuration| source.push(configuration));
     source
 }
 
@@ -56,12 +61,18 @@
     while let Some(part) = source.part(&receiver.fetch()) {
         bytes += part.bytes.len();
         let received = receiver.take(part);
-        assert!(matches!(received, Received::Configuration(_) | Received::More), "{received:?}");
+        assert!(
+            matches!(received, Received::Configuration(_) | Received::More),
+            "{received:?}"
+        );
     }
     bytes
 }
 
 /// The next part, which has to be there.
-pub fn next_part(source: &mut ConfigurationSource, receiver: &ConfigurationReceiver) -> ConfigurationPart {
+pub fn next_part(
+    source: &mut ConfigurationSource,
+    receiver: &ConfigurationReceiver,
+) -> ConfigurationPart {
     source.part(&receiver.fetch()).expect("a part")
 }
--- a/system/distribution/tests/slow_link/mod.rs
+++ b/system/distribution/tests/slow_link/mod.rs
@@ -1,9 +1,12 @@
 //! One agent and its coordinators, with a link of a certain rate between: simulated time, nothing sleeps.
 #![allow(dead_code)]
-use magpiegap_distribution::{Agent, AgentSettings, Call, CallFailure, CallId, ConfigurationSource};
+use magpiegap_distribution::{
+    Agent, AgentSettings, Call, CallFailure, CallId, ConfigurationSource,
+};
 use magpiegap_jobs::Configuration;
 use magpiegap_protocol::{
-    encode, CoordinatorAnswer, CoordinatorRequest, Feed, FeedPoll, Member, Millis, Replica, Role, RoleHolder,
+    encode, CoordinatorAnswer, CoordinatorRequest, Feed, FeedPoll, Member, Millis, Replica, Role,
+    RoleHolder,
 };
 use std::collections::BTreeMap;
 
@@ -19,7 +22,11 @@
 /// About how many bytes a configuration has as an operator sends it.
 pub fn whole_body_bytes(configuration: &Configuration) -> u64 {
     const JSON_NAMES: u64 = 150;
-    configuration.routes.iter().map(|route| encode(&**route).len() as u64 + JSON_NAMES).sum()
+    configuration
+        .routes
+        .iter()
+        .map(|route| encode(&**route).len() as u64 + JSON_NAMES)
+        .sum()
 }
 
 /// A call under way.
@@ -68,10 +75,16 @@
             bytes_of_parts: 0,
             down: 0,
             refuses_fetches: None,
-            sources: (0..COORDINATORS).map(|_| ConfigurationSource::default()).collect(),
+            sources: (0..COORDINATORS)
+                .map(|_| ConfigurationSource::default())
+                .collect(),
             version: 0,
             token: 1,
-            agent: Agent::new(AgentSettings { own_address: 6, seeds, links: 2 }),
+            agent: Agent::new(AgentSettings {
+                own_address: 6,
+                seeds,
+                links: 2,
+            }),
             calls: BTreeMap::new(),
         }
     }
@@ -88,7 +101,13 @@
 
     /// The newest token of the role that the agent knows.
     pub fn token(&self) -> u64 {
-        self.agent.feed().roles.iter().map(|held| held.token).max().unwrap_or(0)
+        self.agent
+            .feed()
+            .roles
+            .iter()
+            .map(|held| held.token)
+            .max()
+            .unwrap_or(0)
     }
 
     /// All that was sent to the agent in parts of configurations.
@@ -105,12 +124,16 @@
     /// The operator's change is in force at the coordinators.
     pub fn push(&mut self, configuration: Configuration) {
         self.version = configuration.version;
-        self.sources.iter_mut().for_each(|source| source.push(configuration.clone()));
+        self.sources
+            .iter_mut()
+            .for_each(|source| source.push(configuration.clone()));
     }
 
     /// The coordinators start anew, with this configuration only.
     pub fn restart_with(&mut self, configuration: Configuration) {
-        self.sources = (0..COORDINATORS).map(|_| ConfigurationSource::default()).collect();
+        self.sources = (0..COORDINATORS)
+            .map(|_| ConfigurationSource::default())
+            .collect();
         self.push(configuration);
     }
 
@@ -151,18 +174,33 @@
                     _ => 0,
                 };
                 let until = self.now + DELAY_MS + waits_ms;
-                let under_way = UnderWay { call, begun_at: self.now, until, arriving: None };
+                let under_way = UnderWay {
+                    call,
+                    begun_at: self.now,
+                    until,
+                    arriving: None,
+                };
                 self.calls.insert(key(under_way.call.id), under_way);
             }
         }
     }
 
     fn feed(&self) -> Feed {
-        let holder = Replica { member: Member { address: 0, disk: 1 }, boot: 1 };
+        let holder = Replica {
+            member: Member {
+                address: 0,
+                disk: 1,
+            },
+            boot: 1,
+        };
         Feed {
             view: 1,
             chain: (0..COORDINATORS as u32).collect(),
-            roles: vec![RoleHolder { role: Role::PlatformReader, holder, token: self.token }],
+            roles: vec![RoleHolder {
+                role: Role::PlatformReader,
+                holder,
+                token: self.token,
+            }],
             configuration_version: self.version,
             revision: 1000 * self.token + self.version,
             change: None,
@@ -173,7 +211,10 @@
     fn answer_calls(&mut self) {
         let feed = self.feed();
         let mut calls = std::mem::take(&mut self.calls);
-        for under_way in calls.values_mut().filter(|under_way| under_way.arriving.is_none()) {
+        for under_way in calls
+            .values_mut()
+            .filter(|under_way| under_way.arriving.is_none())
+        {
             let at = under_way.call.coordinator as usize;
             if self.now < under_way.begun_at + DELAY_MS || at < self.down {
                 continue;
@@ -185,7 +226,9 @@
                     }
                     self.answer_poll(at, &feed, poll)
                 }
-                CoordinatorRequest::FetchConfiguration(fetch) if self.refuses_fetches != Some(at) => {
+                CoordinatorRequest::FetchConfiguration(fetch)
+                    if self.refuses_fetches != Some(at) =>
+                {
                     let part = self.sources[at].part(fetch);
                     part.map_or(CoordinatorAnswer::NotServing, |part| {
                         CoordinatorAnswer::ConfigurationPart(Box::new(part))
@@ -200,11 +243,17 @@
 
     fn answer_poll(&mut self, at: usize, feed: &Feed, poll: &FeedPoll) -> CoordinatorAnswer {
         let change = self.sources[at].small_change(poll.configuration_version);
-        CoordinatorAnswer::Feed(Box::new(Feed { change, ..feed.clone() }))
+        CoordinatorAnswer::Feed(Box::new(Feed {
+            change,
+            ..feed.clone()
+        }))
     }
 
     /// The answer with the times of its first piece, of its last one, and between two pieces.
-    fn put_on_link(&mut self, answer: CoordinatorAnswer) -> (CoordinatorAnswer, Millis, Millis, Millis) {
+    fn put_on_link(
+        &mut self,
+        answer: CoordinatorAnswer,
+    ) -> (CoordinatorAnswer, Millis, Millis, Millis) {
         let bytes = encode(&answer).len() as u64 + HEADS;
         let millis = |bytes: u64| bytes * 1000 / self.bytes_a_second + 1;
         let begins = self.link_free_at.max(self.now + self.queue_ms);
@@ -219,10 +268,16 @@
 
     /// Ends the calls whose answers are there, and those that are given up.
     fn end_calls(&mut self) {
-        let ended: Vec<u8> =
-            self.calls.iter().filter(|(_, call)| self.outcome(call).is_some()).map(|(key, _)| *key).collect();
+        let ended: Vec<u8> = self
+            .calls
+            .iter()
+            .filter(|(_, call)| self.outcome(call).is_some())
+            .map(|(key, _)| *key)
+            .collect();
         for key in ended {
-            let Some(under_way) = self.calls.remove(&key) else { continue };
+            let Some(under_way) = self.calls.remove(&key) else {
+                continue;
+            };
             if let Some(outcome) = self.outcome(&under_way) {
                 self.agent.answered(self.now, under_way.call.id, outcome);
             }
--- a/system/distribution/tests/stored_bytes.rs
+++ b/system/distribution/tests/stored_bytes.rs
@@ -9,7 +9,9 @@
 use flate2::read::DeflateDecoder;
 use golden::{hex, Stored};
 use googletest::prelude::*;
-use magpiegap_distribution::{ConfigurationChange, ConfigurationReceiver, ConfigurationSource, Received};
+use magpiegap_distribution::{
+    ConfigurationChange, ConfigurationReceiver, ConfigurationSource, Received,
+};
 use magpiegap_jobs::{Configuration, Limits, Route, Service};
 use magpiegap_protocol::{decode, ConfigurationFetch, ConfigurationPart};
 use std::{io::Read, sync::Arc};
@@ -40,9 +42,16 @@
     };
     Configuration {
         version,
-        routes: routes.into_iter().map(|number| Arc::new(route(number))).collect(),
+        routes: routes
+            .into_iter()
+            .map(|number| Arc::new(route(number)))
+            .collect(),
         services: [("render".to_owned(), service)].into(),
-        limits: Limits { max_body_bytes: 100_000, max_header_bytes: 9000, idle_timeout_ms: 25_000 },
+        limits: Limits {
+            max_body_bytes: 100_000,
+            max_header_bytes: 9000,
+            idle_timeout_ms: 25_000,
+        },
     }
 }
 
@@ -62,7 +71,9 @@
 
 fn source(configurations: impl IntoIterator<Item = Configuration>) -> ConfigurationSource {
     let mut source = ConfigurationSource::default();
-    configurations.into_iter().for_each(|configuration| source.push(configuration));
+    configurations
+        .into_iter()
+        .for_each(|configuration| source.push(configuration));
     source
 }
 
@@ -76,7 +87,10 @@
 
 /// What a source puts on the wire for a caller with this version.
 fn part(source: &mut ConfigurationSource, base: u64) -> Option<ConfigurationPart> {
-    source.part(&ConfigurationFetch { base, ..ConfigurationFetch::default() })
+    source.part(&ConfigurationFetch {
+        base,
+        ..ConfigurationFetch::default()
+    })
 }
 
 /// A whole configuration as it is put on the wire.
@@ -85,9 +99,13 @@
 }
 
 fn inflate(bytes: &[u8]) -> Option<Vec<u8>> {
-    let (&DEFLATED, compressed) = bytes.split_first()? else { return None };
+    let (&DEFLATED, compressed) = bytes.split_first()? else {
+        return None;
+    };
     let mut plain = Vec::new();
-    DeflateDecoder::new(compressed).read_to_end(&mut plain).ok()?;
+    DeflateDecoder::new(compressed)
+        .read_to_end(&mut plain)
+        .ok()?;
     Some(plain)
 }
 
@@ -95,10 +113,22 @@
 fn every_change_keeps_its_bytes() {
     let mut stored = stored();
     let nothing = Configuration::default();
-    stored.keeps("little-difference", &ConfigurationChange::between(&older(), &little_newer()));
-    stored.keeps("much-difference", &ConfigurationChange::between(&older(), &much_newer()));
-    stored.keeps("whole-small", &ConfigurationChange::between(&nothing, &configuration(28, 1..2)));
-    stored.keeps("whole-large", &ConfigurationChange::between(&nothing, &much_newer()));
+    stored.keeps(
+        "little-difference",
+        &ConfigurationChange::between(&older(), &little_newer()),
+    );
+    stored.keeps(
+        "much-difference",
+        &ConfigurationChange::between(&older(), &much_newer()),
+    );
+    stored.keeps(
+        "whole-small",
+        &ConfigurationChange::between(&nothing, &configuration(28, 1..2)),
+    );
+    stored.keeps(
+        "whole-large",
+        &ConfigurationChange::between(&nothing, &much_newer()),
+    );
     let little = part(&mut source([older(), little_newer()]), 28).unwrap_or_default();
     stored.keeps("little-difference-on-its-way", &little);
     let whole = whole(configuration(28, 1..2));
@@ -122,7 +152,10 @@
 #[googletest::test]
 fn a_large_change_is_a_one_and_its_bytes_deflated() {
     let much = source([older()]).change_to(28, &much_newer());
-    expect_that!(inflate(&much).map(|plain| hex(&plain)), some(eq(&hex(&stored_bytes("much-difference")))));
+    expect_that!(
+        inflate(&much).map(|plain| hex(&plain)),
+        some(eq(&hex(&stored_bytes("much-difference"))))
+    );
     let whole = whole(much_newer());
     let plain = inflate(&whole.bytes).map(|plain| hex(&plain));
     expect_that!(plain, some(eq(&hex(&stored_bytes("whole-large")))));
@@ -130,31 +163,45 @@
 
 #[googletest::test]
 fn stored_differences_lead_from_the_older_configuration_to_the_newer_ones() {
-    for (name, newer) in
-        [("little-difference-on-its-way", little_newer()), ("much-difference-on-its-way", much_newer())]
-    {
+    for (name, newer) in [
+        ("little-difference-on-its-way", little_newer()),
+        ("much-difference-on-its-way", much_newer()),
+    ] {
         let part: ConfigurationPart = decode(&stored_bytes(name)).unwrap_or_default();
         // As a replica of the core takes it from the log ...
         let mut source = source([older()]);
         expect_that!(source.follow(newer.version, &part.bytes), eq(true));
-        expect_that!(source.newest().map(|newest| newest.as_ref()), some(eq(&newer)));
+        expect_that!(
+            source.newest().map(|newest| newest.as_ref()),
+            some(eq(&newer))
+        );
         // ... and as an agent takes it from a link.
         let mut receiver = ConfigurationReceiver::default();
         let before = whole(older());
-        expect_that!(receiver.take(before), matches_pattern!(Received::Configuration(_)));
-        expect_that!(receiver.take(part), matches_pattern!(Received::Configuration(_)));
+        expect_that!(
+            receiver.take(before),
+            matches_pattern!(Received::Configuration(_))
+        );
+        expect_that!(
+            receiver.take(part),
+            matches_pattern!(Received::Configuration(_))
+        );
         expect_that!(**receiver.configuration(), eq(&newer));
     }
 }
 
 #[googletest::test]
 fn stored_whole_configurations_are_taken_by_a_receiver_that_has_none() {
-    for (name, whole) in
-        [("whole-small-on-its-way", configuration(28, 1..2)), ("whole-large-on-its-way", much_newer())]
-    {
+    for (name, whole) in [
+        ("whole-small-on-its-way", configuration(28, 1..2)),
+        ("whole-large-on-its-way", much_newer()),
+    ] {
         let part: ConfigurationPart = decode(&stored_bytes(name)).unwrap_or_default();
         let mut receiver = ConfigurationReceiver::default();
-        expect_that!(receiver.take(part), matches_pattern!(Received::Configuration(_)));
+        expect_that!(
+            receiver.take(part),
+            matches_pattern!(Received::Configuration(_))
+        );
         expect_that!(**receiver.configuration(), eq(&whole));
     }
 }
--- a/system/distribution/tests/transfers.rs
+++ b/system/distribution/tests/transfers.rs
@@ -26,7 +26,10 @@
     fetch_all(&mut source, &mut receiver);
     // One route goes, one comes, one service changes.
     let mut newer = configuration(5, 1..=MANY);
-    let service = Service { max_connections: 7, ..newer.services["s"].clone() };
+    let service = Service {
+        max_connections: 7,
+        ..newer.services["s"].clone()
+    };
     newer.services.insert("s".to_owned(), service);
     source.push(newer.clone());
     let bytes = fetch_all(&mut source, &mut receiver);
@@ -71,7 +74,8 @@
 }
 
 #[googletest::test]
-fn given_newer_versions_faster_than_a_transfer_when_it_goes_on_then_it_ends_and_those_between_are_skipped() {
+fn given_newer_versions_faster_than_a_transfer_when_it_goes_on_then_it_ends_and_those_between_are_skipped(
+) {
     let mut source = source([configuration(1, 0..MANY)]);
     let mut receiver = ConfigurationReceiver::default();
     let mut seen = Vec::new();
@@ -84,11 +88,18 @@
         }
         source.push(configuration(version, 0..MANY + version));
     }
-    expect_that!(seen.first(), some(eq(&1)), "the transfer that was begun ends");
+    expect_that!(
+        seen.first(),
+        some(eq(&1)),
+        "the transfer that was begun ends"
+    );
     expect_that!(receiver.version(), ge(12));
     expect_that!(seen.len(), lt(12));
     fetch_all(&mut source, &mut receiver);
-    expect_that!(**receiver.configuration(), eq(&configuration(13, 0..MANY + 13)));
+    expect_that!(
+        **receiver.configuration(),
+        eq(&configuration(13, 0..MANY + 13))
+    );
 }
 
 #[googletest::test]
@@ -103,8 +114,14 @@
     handed_on.push_shared(receiver.configuration());
     handed_on.push_shared(receiver.configuration());
     handed_on.push_shared(&std::sync::Arc::new(configuration(4, 0..1)));
-    expect_that!(**handed_on.newest().expect("it is there"), eq(&configuration(5, 0..5)));
-    expect_that!(handed_on.small_change(3).map(|part| part.transfer.base), some(eq(3)));
+    expect_that!(
+        **handed_on.newest().expect("it is there"),
+        eq(&configuration(5, 0..5))
+    );
+    expect_that!(
+        handed_on.small_change(3).map(|part| part.transfer.base),
+        some(eq(3))
+    );
 }
 
 #[googletest::test]
@@ -114,41 +131,67 @@
     let mut receiver = ConfigurationReceiver::default();
     let mut damaged = next_part(&mut source, &receiver);
     damaged.bytes[3] ^= 1;
-    expect_that!(matches!(receiver.take(damaged), Received::Faulty(_)), eq(true));
+    expect_that!(
+        matches!(receiver.take(damaged), Received::Faulty(_)),
+        eq(true)
+    );
     expect_that!(receiver.version(), eq(0));
     // Sound as a transfer, and no change of a configuration.
     let mut foreign = next_part(&mut source, &receiver);
     foreign.bytes = vec![9, 9, 9];
     foreign.length = 3;
     foreign.transfer.checksum = fnv1a(&foreign.bytes);
-    expect_that!(matches!(receiver.take(foreign), Received::Faulty(Some(_))), eq(true));
+    expect_that!(
+        matches!(receiver.take(foreign), Received::Faulty(Some(_))),
+        eq(true)
+    );
     let mut misplaced = next_part(&mut source, &receiver);
     misplaced.offset = 7;
-    expect_that!(matches!(receiver.take(misplaced), Received::Unusable), eq(true));
+    expect_that!(
+        matches!(receiver.take(misplaced), Received::Unusable),
+        eq(true)
+    );
     fetch_all(&mut source, &mut receiver);
     expect_that!(receiver.version(), eq(2));
     // An older one, or one that builds on another version, is not taken.
-    let older = common::source([configuration(1, 0..2)]).part(&Default::default()).expect("a part");
+    let older = common::source([configuration(1, 0..2)])
+        .part(&Default::default())
+        .expect("a part");
     expect_that!(matches!(receiver.take(older), Received::Unusable), eq(true));
     let mut elsewhere = common::source([configuration(7, 0..2), configuration(8, 0..4)]);
     let building_on_seven = elsewhere.small_change(7).expect("a small difference");
-    expect_that!(matches!(receiver.take(building_on_seven), Received::Unusable), eq(true));
+    expect_that!(
+        matches!(receiver.take(building_on_seven), Received::Unusable),
+        eq(true)
+    );
     expect_that!(receiver.version(), eq(2));
 }
 
 #[googletest::test]
-fn given_a_difference_that_came_with_an_order_when_it_fits_then_a_replica_need_not_read_the_whole() {
+fn given_a_difference_that_came_with_an_order_when_it_fits_then_a_replica_need_not_read_the_whole()
+{
     let newer = configuration(7, 1..6);
     let mut proposer = source([configuration(3, 0..5)]);
     let change = proposer.change_to(3, &newer);
-    expect_that!(proposer.change_to(2, &newer), is_empty(), "it builds on another version");
+    expect_that!(
+        proposer.change_to(2, &newer),
+        is_empty(),
+        "it builds on another version"
+    );
     let mut replica = source([configuration(3, 0..5)]);
-    expect_that!(replica.follow(8, &change), eq(false), "it leads to another version");
+    expect_that!(
+        replica.follow(8, &change),
+        eq(false),
+        "it leads to another version"
+    );
     expect_that!(replica.follow(7, &change), eq(true));
     expect_that!(**replica.newest().expect("it is there"), eq(&newer));
     expect_that!(replica.follow(7, &change), eq(false), "it is in place");
     // One that has another version, or none, reads the whole.
-    expect_that!(source([configuration(4, 0..5)]).follow(7, &change), eq(false));
+    expect_that!(
+        source([configuration(4, 0..5)]).follow(7, &change),
+        eq(false)
+    );
     expect_that!(source([]).follow(7, &change), eq(false));
     expect_that!(proposer.follow(7, &[]), eq(false));
 }
--- a/system/fleet/src/asking.rs
+++ b/system/fleet/src/asking.rs
@@ -29,7 +29,8 @@
             }
             if let Some(node) = self.whom_to_ask(&request) {
                 let is_submission = matches!(request, CoordinatorRequest::Submit(_));
-                self.clients[number].tries += u32::from(is_submission && self.nodes[node].runs(self.now));
+                self.clients[number].tries +=
+                    u32::from(is_submission && self.nodes[node].runs(self.now));
                 self.ask_node(node, Asker::Client(number, request.clone()), request);
             }
         }
@@ -47,13 +48,25 @@
                 padding: self.settings.configuration_bytes,
                 routes: self.settings.configuration_routes,
             };
-            let order = self.operators[number].order.take().unwrap_or_else(|| Order::new(number, base, size));
+            let order = self.operators[number]
+                .order
+                .take()
+                .unwrap_or_else(|| Order::new(number, base, size));
             self.operators[number].order = Some(order.clone());
             let Order { base, body, .. } = order.clone();
             let request = CoordinatorRequest::ReplaceConfiguration { base, body };
             let node = self.random.gen_range(0..self.nodes.len());
             let is_lost = self.random.gen_range(0..100) < self.settings.lost_answers_percent;
-            self.ask_node(node, Asker::Operator { number, order, is_lost, at: self.now }, request);
+            self.ask_node(
+                node,
+                Asker::Operator {
+                    number,
+                    order,
+                    is_lost,
+                    at: self.now,
+                },
+                request,
+            );
         }
     }
 
@@ -69,13 +82,30 @@
         }
         for node in 0..self.nodes.len() {
             let poll = CoordinatorRequest::Poll(FeedPoll::default());
-            self.ask_node(node, Asker::Observer { request: poll.clone(), at: self.now }, poll);
+            self.ask_node(
+                node,
+                Asker::Observer {
+                    request: poll.clone(),
+                    at: self.now,
+                },
+                poll,
+            );
             if self.clients.is_empty() {
                 continue;
             }
             let submission = &self.clients[self.random.gen_range(0..self.clients.len())].submission;
-            let status = CoordinatorRequest::Status { queue: submission.queue.clone(), job: submission.job };
-            self.ask_node(node, Asker::Observer { request: status.clone(), at: self.now }, status);
+            let status = CoordinatorRequest::Status {
+                queue: submission.queue.clone(),
+                job: submission.job,
+            };
+            self.ask_node(
+                node,
+                Asker::Observer {
+                    request: status.clone(),
+                    at: self.now,
+                },
+                status,
+            );
         }
     }
 
@@ -85,8 +115,11 @@
         }
         self.next_request += 1;
         let id = self.next_request;
-        self.requests.insert((node, self.nodes[node].life, id), asker);
-        self.with_node(node, None, |coordinator, now, wall| coordinator.request(now, wall, id, request));
+        self.requests
+            .insert((node, self.nodes[node].life, id), asker);
+        self.with_node(node, None, |coordinator, now, wall| {
+            coordinator.request(now, wall, id, request)
+        });
     }
 
     /// The coordinator to ask, as some coordinator that runs has it.
@@ -128,28 +161,43 @@
                     CoordinatorAnswer::Phase(phase) => {
                         self.oracle.shown(self.now, id, Some(*phase), &tasks, spec);
                     }
-                    CoordinatorAnswer::NoSuchJob => self.oracle.shown(self.now, id, None, &tasks, spec),
+                    CoordinatorAnswer::NoSuchJob => {
+                        self.oracle.shown(self.now, id, None, &tasks, spec)
+                    }
                     _ => {}
                 }
             }
-            Some(Asker::Operator { number, order, is_lost, at }) => {
+            Some(Asker::Operator {
+                number,
+                order,
+                is_lost,
+                at,
+            }) => {
                 self.longest_order_ms = self.longest_order_ms.max(self.now - at);
                 self.operator_answered(number, order, answer, is_lost);
             }
             Some(Asker::Edge { number, id }) => self.answered_edge(number, id, answer),
             Some(Asker::Observer { request, at }) => {
-                self.oracle.observed(self.now, at, self.nodes[node].member, &request, answer);
+                self.oracle
+                    .observed(self.now, at, self.nodes[node].member, &request, answer);
             }
             None => {}
         }
     }
 
     /// What an operator is told, whether or not the answer reaches it.
-    fn operator_answered(&mut self, number: usize, order: Order, answer: &CoordinatorAnswer, is_lost: bool) {
+    fn operator_answered(
+        &mut self,
+        number: usize,
+        order: Order,
+        answer: &CoordinatorAnswer,
+        is_lost: bool,
+    ) {
         match answer {
             CoordinatorAnswer::ConfigurationTaken => self.oracle.order_taken(self.now, &order),
             CoordinatorAnswer::ConfigurationConflict | CoordinatorAnswer::ConfigurationStale => {
-                self.oracle.order_refused(self.now, &order, self.operators.len() == 1);
+                self.oracle
+                    .order_refused(self.now, &order, self.operators.len() == 1);
             }
             _ => return,
         }
--- a/system/fleet/src/client.rs
+++ b/system/fleet/src/client.rs
@@ -1,5 +1,7 @@
 //! Clients and the operator: what they want, and how far they have got.
-use magpiegap_protocol::{fnv1a, CoordinatorAnswer, CoordinatorRequest, JobId, JobPhase, Submission, TaskId};
+use magpiegap_protocol::{
+    fnv1a, CoordinatorAnswer, CoordinatorRequest, JobId, JobPhase, Submission, TaskId,
+};
 
 /// One job, from a client's side.
 #[derive(Clone, Debug)]
@@ -50,7 +52,12 @@
         for time in 0..self.submission.spec.times() {
             for (step, spec) in self.submission.spec.steps.iter().enumerate() {
                 for index in 0..spec.count {
-                    tasks.push(TaskId { job: self.id(), time, step: step as u32, index });
+                    tasks.push(TaskId {
+                        job: self.id(),
+                        time,
+                        step: step as u32,
+                        index,
+                    });
                 }
             }
         }
@@ -64,20 +71,33 @@
             return CoordinatorRequest::Submit(Box::new(self.submission.clone()));
         }
         if !self.cancelled && self.cancel_at.is_some_and(|at| now >= at) {
-            return CoordinatorRequest::Cancel { queue, job: self.id() };
+            return CoordinatorRequest::Cancel {
+                queue,
+                job: self.id(),
+            };
+        }
+        CoordinatorRequest::Status {
+            queue,
+            job: self.id(),
         }
-        CoordinatorRequest::Status { queue, job: self.id() }
     }
 
     /// Takes the answer to what was asked.
     pub fn take(&mut self, asked: &CoordinatorRequest, answer: &CoordinatorAnswer) {
         match (asked, answer) {
             (CoordinatorRequest::Submit(_), CoordinatorAnswer::Accepted) => self.accepted = true,
-            (CoordinatorRequest::Submit(_), CoordinatorAnswer::NotServing | CoordinatorAnswer::Full) => {
+            (
+                CoordinatorRequest::Submit(_),
+                CoordinatorAnswer::NotServing | CoordinatorAnswer::Full,
+            ) => {
                 self.rejected = self.tries == 1 && self.gives_up();
             }
-            (CoordinatorRequest::Cancel { .. }, CoordinatorAnswer::Accepted) => self.cancelled = true,
-            (CoordinatorRequest::Status { .. }, CoordinatorAnswer::Phase(phase)) => self.phase = Some(*phase),
+            (CoordinatorRequest::Cancel { .. }, CoordinatorAnswer::Accepted) => {
+                self.cancelled = true
+            }
+            (CoordinatorRequest::Status { .. }, CoordinatorAnswer::Phase(phase)) => {
+                self.phase = Some(*phase)
+            }
             _ => {}
         }
     }
@@ -94,9 +114,17 @@
 impl Order {
     /// The change of an operator that builds on a version. Sometimes all operators choose the same number.
     pub fn new(operator: usize, base: u64, size: ConfigurationSize) -> Order {
-        let own_number = if base.is_multiple_of(3) { 0 } else { operator as u64 };
+        let own_number = if base.is_multiple_of(3) {
+            0
+        } else {
+            operator as u64
+        };
         let version = base + 1 + own_number;
-        Order { base, version, body: configuration(operator, base, version, size) }
+        Order {
+            base,
+            version,
+            body: configuration(operator, base, version, size),
+        }
     }
 }
 
@@ -120,7 +148,11 @@
 /// A route that no client uses; some of them differ from version to version.
 fn idle_route(number: u64, version: u64) -> String {
     let name = fnv1a(&number.to_le_bytes());
-    let timeout_ms = if number.is_multiple_of(50) { 1000 + version } else { 1000 };
+    let timeout_ms = if number.is_multiple_of(50) {
+        1000 + version
+    } else {
+        1000
+    };
     format!(
         ",{{\"name\":\"r-{name:x}\",\"hostname\":\"h\",\"pathPrefix\":\"/{name:x}/\",\"timeoutMs\":{timeout_ms},\"service\":\"s\"}}"
     )
@@ -128,7 +160,9 @@
 
 /// A configuration with one service and one queue that is used; each order has another one.
 fn configuration(operator: usize, base: u64, version: u64, size: ConfigurationSize) -> Vec<u8> {
-    let idle: String = (0..size.routes).map(|number| idle_route(number, version)).collect();
+    let idle: String = (0..size.routes)
+        .map(|number| idle_route(number, version))
+        .collect();
     format!(
         "{{\"version\":{version},\"routes\":[{{\"name\":\"q\",\"hostname\":\"h\",\"pathPrefix\":\"/q/\",\
          \"timeoutMs\":{},\"service\":\"s\",\"maxAttempts\":3,\"stretch\":2.0}}{idle}],\
--- a/system/fleet/src/delivery.rs
+++ b/system/fleet/src/delivery.rs
@@ -56,7 +56,12 @@
                 });
             }
             Event::Order { worker, from, call } => self.order(worker, from, call),
-            Event::Waiting { worker, from, call, until } => self.wait_on(worker, from, call, until),
+            Event::Waiting {
+                worker,
+                from,
+                call,
+                until,
+            } => self.wait_on(worker, from, call, until),
             Event::Reply { to, call, reply } => {
                 if self.postponed(to.node, Some(to.life)) {
                     self.schedule(STEP_MS, Event::Reply { to, call, reply });
@@ -67,8 +72,16 @@
                 });
             }
             Event::Platform { node, life, call } => {
-                let workers = self.workers.iter().flatten().map(|worker| worker.entry.clone()).collect();
-                let reply = PlatformReply::Page { workers, next: None };
+                let workers = self
+                    .workers
+                    .iter()
+                    .flatten()
+                    .map(|worker| worker.entry.clone())
+                    .collect();
+                let reply = PlatformReply::Page {
+                    workers,
+                    next: None,
+                };
                 self.with_node(node, Some(life), |coordinator, now, _| {
                     coordinator.platform_reply(now, call, reply)
                 });
@@ -80,7 +93,9 @@
     /// Whether a node stands still, so that what is meant for it waits.
     pub(crate) fn postponed(&self, node: usize, life: Option<u64>) -> bool {
         let node = &self.nodes[node];
-        node.coordinator.is_some() && !node.runs(self.now) && life.is_none_or(|life| life == node.life)
+        node.coordinator.is_some()
+            && !node.runs(self.now)
+            && life.is_none_or(|life| life == node.life)
     }
 
     pub(crate) fn with_node(
@@ -109,14 +124,18 @@
             return;
         }
         for number in 0..self.nodes.len() {
-            self.with_node(number, None, |coordinator, now, wall| coordinator.tick(now, wall));
+            self.with_node(number, None, |coordinator, now, wall| {
+                coordinator.tick(now, wall)
+            });
         }
     }
 
     /// Does what a coordinator wants done.
     pub(crate) fn perform(&mut self, number: usize) {
         loop {
-            let Some(coordinator) = self.nodes[number].coordinator.as_mut() else { return };
+            let Some(coordinator) = self.nodes[number].coordinator.as_mut() else {
+                return;
+            };
             let outputs = coordinator.take_outputs();
             if outputs.is_empty() {
                 return;
@@ -132,12 +151,29 @@
         match output {
             Output::Control(output) => self.perform_control(number, output),
             Output::Answer { request, answer } => self.answered(number, life, request, &answer),
-            Output::CallWorker { service, token, call } => {
-                self.call_worker(Caller { node: number, life, service, token }, call);
-            }
-            Output::ListWorkers { call, .. } => {
-                self.schedule(800, Event::Platform { node: number, life, call })
+            Output::CallWorker {
+                service,
+                token,
+                call,
+            } => {
+                self.call_worker(
+                    Caller {
+                        node: number,
+                        life,
+                        service,
+                        token,
+                    },
+                    call,
+                );
             }
+            Output::ListWorkers { call, .. } => self.schedule(
+                800,
+                Event::Platform {
+                    node: number,
+                    life,
+                    call,
+                },
+            ),
         }
     }
 
@@ -146,28 +182,61 @@
         match output {
             ControlOutput::Send { to, message } => self.send(number, to, message),
             ControlOutput::Persist { ticket, records } => {
-                self.nodes[number].disk.write(ticket, DiskWork::Records(records));
+                self.nodes[number]
+                    .disk
+                    .write(ticket, DiskWork::Records(records));
                 let sync_ms = self.slow_disks.get(&number).copied().unwrap_or(SYNC_MS);
-                self.schedule(sync_ms, Event::Synced { node: number, life, ticket });
+                self.schedule(
+                    sync_ms,
+                    Event::Synced {
+                        node: number,
+                        life,
+                        ticket,
+                    },
+                );
             }
             ControlOutput::Checkpoint { ticket, snapshot } => {
-                self.nodes[number].disk.write(ticket, DiskWork::Checkpoint(snapshot));
+                self.nodes[number]
+                    .disk
+                    .write(ticket, DiskWork::Checkpoint(snapshot));
                 let sync_ms = self.slow_disks.get(&number).copied().unwrap_or(SYNC_MS);
-                self.schedule(3 * sync_ms, Event::Synced { node: number, life, ticket });
+                self.schedule(
+                    3 * sync_ms,
+                    Event::Synced {
+                        node: number,
+                        life,
+                        ticket,
+                    },
+                );
             }
             ControlOutput::Log(_) => {}
         }
     }
 
     pub(crate) fn send(&mut self, number: usize, to: u32, message: PeerMessage) {
-        let Some(target) = self.nodes.iter().position(|node| node.address == to) else { return };
+        let Some(target) = self.nodes.iter().position(|node| node.address == to) else {
+            return;
+        };
         let is_lost = self.cuts.contains(&(number, target)) || self.random.gen_bool(0.002);
         if is_lost || message.rough_bytes() > MOST_MESSAGE {
             return;
         }
-        let Some(coordinator) = self.nodes[number].coordinator.as_ref() else { return };
+        let Some(coordinator) = self.nodes[number].coordinator.as_ref() else {
+            return;
+        };
         let from = coordinator.replica().own();
-        let delay = if target == number { 0 } else { self.random.gen_range(1..8) };
-        self.schedule(delay, Event::Peer { to: target, from, message });
+        let delay = if target == number {
+            0
+        } else {
+            self.random.gen_range(1..8)
+        };
+        self.schedule(
+            delay,
+            Event::Peer {
+                to: target,
+                from,
+                message,
+            },
+        );
     }
 }
--- a/system/fleet/src/disk.rs
+++ b/system/fleet/src/disk.rs
@@ -19,7 +19,10 @@
 impl Disk {
     /// A disk that holds this.
     pub fn new(state: DurableState) -> Disk {
-        Disk { durable: Some(state), pending: Vec::new() }
+        Disk {
+            durable: Some(state),
+            pending: Vec::new(),
+        }
     }
 
     /// Takes work that is not synced yet.
@@ -29,7 +32,9 @@
 
     /// Syncs all work up to a ticket.
     pub fn sync(&mut self, ticket: u64) {
-        let split = self.pending.partition_point(|(number, _)| *number <= ticket);
+        let split = self
+            .pending
+            .partition_point(|(number, _)| *number <= ticket);
         for (_, work) in self.pending.drain(..split).collect::<Vec<_>>() {
             self.add(work);
         }
--- a/system/fleet/src/edge.rs
+++ b/system/fleet/src/edge.rs
@@ -39,8 +39,17 @@
 impl Edge {
     /// An edge that knows only where coordinators may be found.
     pub fn new(number: usize, seeds: Vec<u32>) -> Edge {
-        let settings = AgentSettings { own_address: number as u32, seeds, links: LINKS };
-        Edge { agent: Agent::new(settings), calls: Vec::new(), link_free_at: 0, newest: 0 }
+        let settings = AgentSettings {
+            own_address: number as u32,
+            seeds,
+            links: LINKS,
+        };
+        Edge {
+            agent: Agent::new(settings),
+            calls: Vec::new(),
+            link_free_at: 0,
+            newest: 0,
+        }
     }
 
     /// The version in force.
@@ -55,11 +64,21 @@
 
     /// A call has been made.
     pub fn begin(&mut self, call: Call, now: u64) {
-        self.calls.push(UnderWay { call, begun_at: now, arriving: None });
+        self.calls.push(UnderWay {
+            call,
+            begun_at: now,
+            arriving: None,
+        });
     }
 
     /// An answer is put on the link behind all that it carries already.
-    pub fn put_on_link(&mut self, id: CallId, answer: CoordinatorAnswer, now: u64, bytes_a_second: u64) {
+    pub fn put_on_link(
+        &mut self,
+        id: CallId,
+        answer: CoordinatorAnswer,
+        now: u64,
+        bytes_a_second: u64,
+    ) {
         let bytes = encode(&answer).len() as u64 + HEADS;
         let millis = |bytes: u64| bytes * 1000 / bytes_a_second.max(1) + 1;
         let begins = self.link_free_at.max(now);
@@ -69,15 +88,20 @@
             first_piece_at: begins + millis(bytes.min(PIECE)) + DELAY_MS,
             whole_at: begins + millis(bytes) + DELAY_MS,
         };
-        if let Some(under_way) = self.calls.iter_mut().find(|under_way| under_way.call.id == id) {
+        if let Some(under_way) = self
+            .calls
+            .iter_mut()
+            .find(|under_way| under_way.call.id == id)
+        {
             under_way.arriving = Some(arriving);
         }
     }
 
     /// Ends the calls whose answers are there whole, and those whose first piece has not come in time.
     pub fn end_calls(&mut self, now: u64) {
-        let (ended, going_on): (Vec<UnderWay>, Vec<UnderWay>) =
-            std::mem::take(&mut self.calls).into_iter().partition(|call| call.is_over(now));
+        let (ended, going_on): (Vec<UnderWay>, Vec<UnderWay>) = std::mem::take(&mut self.calls)
+            .into_iter()
+            .partition(|call| call.is_over(now));
         self.calls = going_on;
         for under_way in ended {
             let answer = match under_way.arriving {
--- a/system/fleet/src/edges.rs
+++ b/system/fleet/src/edges.rs
@@ -20,10 +20,15 @@
 
     fn call_from_edge(&mut self, number: usize, call: Call) {
         let (id, request) = (call.id, call.request.clone());
-        let at = self.nodes.iter().position(|node| node.address == call.coordinator);
+        let at = self
+            .nodes
+            .iter()
+            .position(|node| node.address == call.coordinator);
         let Some(node) = at.filter(|node| self.nodes[*node].coordinator.is_some()) else {
             // Nobody listens there.
-            self.edges[number].agent.answered(self.now, id, Err(CallFailure::NotConnected));
+            self.edges[number]
+                .agent
+                .answered(self.now, id, Err(CallFailure::NotConnected));
             return;
         };
         self.edges[number].begin(call, self.now);
@@ -41,7 +46,10 @@
         let version = self.edges[number].version();
         let newest = self.edges[number].newest;
         if version < newest {
-            self.oracle.report(self.now, format!("edge {number} went from {newest} back to {version}"));
+            self.oracle.report(
+                self.now,
+                format!("edge {number} went from {newest} back to {version}"),
+            );
         }
         self.edges[number].newest = newest.max(version);
     }
@@ -53,14 +61,21 @@
 
     /// The edges at which something else is in force than the operator sent under that number.
     pub fn edges_that_differ(&self) -> Vec<usize> {
-        let states = self.nodes.iter().filter_map(|node| node.coordinator.as_ref());
+        let states = self
+            .nodes
+            .iter()
+            .filter_map(|node| node.coordinator.as_ref());
         let kept: Vec<Configuration> = states
-            .filter_map(|coordinator| Configuration::parse(&coordinator.state().configuration.body).ok())
+            .filter_map(|coordinator| {
+                Configuration::parse(&coordinator.state().configuration.body).ok()
+            })
             .collect();
         let differs = |edge: &Edge| {
             let same_version = kept.iter().find(|known| known.version == edge.version());
             same_version.is_some_and(|known| known != edge.configuration())
         };
-        (0..self.edges.len()).filter(|number| differs(&self.edges[*number])).collect()
+        (0..self.edges.len())
+            .filter(|number| differs(&self.edges[*number]))
+            .collect()
     }
 }
--- a/system/fleet/src/faults.rs
+++ b/system/fleet/src/faults.rs
@@ -115,19 +115,43 @@
         let worker = random.gen_range(0..workers);
         let for_ms = random.gen_range(100..5000);
         match random.gen_range(0..18) {
-            0 | 1 => Fault::Kill { node, for_ms: for_ms / 4 },
+            0 | 1 => Fault::Kill {
+                node,
+                for_ms: for_ms / 4,
+            },
             2 => Fault::PowerLoss { node, for_ms },
             3 => Fault::Wipe { node, for_ms },
             4 => Fault::PowerLossOfAll { for_ms: for_ms * 2 },
             5 | 6 => Fault::Freeze { node, for_ms },
-            7 | 8 => Fault::Cut { from: node, to: (node + random.gen_range(1..nodes)) % nodes, for_ms },
-            9 => Fault::WorkerCut { worker, answers_only: random.gen_bool(0.5), for_ms: for_ms * 2 },
-            11 => Fault::SlowDisk { node, sync_ms: random.gen_range(50..3000), for_ms },
-            12 => Fault::ClockStep { node, by_ms: random.gen_range(-3000..3000) },
+            7 | 8 => Fault::Cut {
+                from: node,
+                to: (node + random.gen_range(1..nodes)) % nodes,
+                for_ms,
+            },
+            9 => Fault::WorkerCut {
+                worker,
+                answers_only: random.gen_bool(0.5),
+                for_ms: for_ms * 2,
+            },
+            11 => Fault::SlowDisk {
+                node,
+                sync_ms: random.gen_range(50..3000),
+                for_ms,
+            },
+            12 => Fault::ClockStep {
+                node,
+                by_ms: random.gen_range(-3000..3000),
+            },
             10 => Fault::WorkerCrash { worker, for_ms },
             13 => Fault::CutOff { node, for_ms },
-            14 => Fault::Leave { node, for_ms: for_ms / 4 },
-            _ => Fault::LateOrders { percent: random.gen_range(3..60), for_ms: 2 * for_ms },
+            14 => Fault::Leave {
+                node,
+                for_ms: for_ms / 4,
+            },
+            _ => Fault::LateOrders {
+                percent: random.gen_range(3..60),
+                for_ms: 2 * for_ms,
+            },
         }
     }
 }
--- a/system/fleet/src/fleet.rs
+++ b/system/fleet/src/fleet.rs
@@ -12,7 +12,8 @@
 use magpiegap_coordinator::{freeze, Coordinator, RequestId};
 use magpiegap_jobs::Configuration;
 use magpiegap_protocol::{
-    encode, JobId, JobPhase, JobSpec, Member, Position, Resources, Submission, WallMillis, WorkerEntry,
+    encode, JobId, JobPhase, JobSpec, Member, Position, Resources, Submission, WallMillis,
+    WorkerEntry,
 };
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -139,8 +140,12 @@
             oracle: Oracle::default(),
             settings,
         };
-        let voters: Vec<Member> =
-            (0..fleet.settings.nodes).map(|node| Member { address: address(node), disk: 0 }).collect();
+        let voters: Vec<Member> = (0..fleet.settings.nodes)
+            .map(|node| Member {
+                address: address(node),
+                disk: 0,
+            })
+            .collect();
         for node in 0..fleet.settings.nodes {
             let state = freeze(&magpiegap_jobs::State::default());
             let empty = Snapshot::empty(0, Some(0), voters.clone(), state);
@@ -155,7 +160,10 @@
                 restart_at: Some(node as u64 * 40),
                 leaves_for_ms: None,
                 wall_offset: 0,
-                member: Member { address: address(node), disk: 0 },
+                member: Member {
+                    address: address(node),
+                    disk: 0,
+                },
             });
         }
         for number in 0..fleet.settings.workers {
@@ -182,8 +190,15 @@
             service: "s".to_owned(),
             address: format!("w{number}"),
             zone: "z".to_owned(),
-            capacity: Resources { cpu: 8000, memory_mb: 8000, gpu: 0 },
-            labels: vec![KINDS[number % KINDS.len()].to_owned(), format!("r{}", number % 2)],
+            capacity: Resources {
+                cpu: 8000,
+                memory_mb: 8000,
+                gpu: 0,
+            },
+            labels: vec![
+                KINDS[number % KINDS.len()].to_owned(),
+                format!("r{}", number % 2),
+            ],
             ..WorkerEntry::default()
         };
         let offset = self.random.gen_range(1000..100_000_000);
@@ -213,12 +228,19 @@
 
     /// A job's state as its client last saw it.
     pub fn phase(&self, job: JobId) -> Option<JobPhase> {
-        self.clients.iter().find(|client| client.id() == job).and_then(|client| client.phase)
+        self.clients
+            .iter()
+            .find(|client| client.id() == job)
+            .and_then(|client| client.phase)
     }
 
     /// The jobs that have not been shown as ended.
     pub fn open_jobs(&self) -> Vec<JobId> {
-        self.clients.iter().filter(|client| !client.is_over()).map(ClientJob::id).collect()
+        self.clients
+            .iter()
+            .filter(|client| !client.is_over())
+            .map(ClientJob::id)
+            .collect()
     }
 
     /// The newest configuration that the operator was told to be taken.
@@ -233,8 +255,13 @@
 
     /// The configuration versions of all coordinators that run.
     pub fn configurations(&self) -> Vec<u64> {
-        let running = self.nodes.iter().filter_map(|node| node.coordinator.as_ref());
-        running.map(|coordinator| coordinator.state().configuration.version).collect()
+        let running = self
+            .nodes
+            .iter()
+            .filter_map(|node| node.coordinator.as_ref());
+        running
+            .map(|coordinator| coordinator.state().configuration.version)
+            .collect()
     }
 
     /// The state of each coordinator, for whoever looks into a failure.
@@ -249,9 +276,14 @@
     /// A job as its client and the first coordinator that runs have it, for whoever looks into a failure.
     pub fn describe_job(&self, id: JobId) -> String {
         let client = self.clients.iter().find(|client| client.id() == id);
-        let coordinators = self.nodes.iter().filter_map(|node| node.coordinator.as_ref());
-        let job =
-            coordinators.map(|coordinator| coordinator.state()).next().and_then(|state| state.jobs.get(&id));
+        let coordinators = self
+            .nodes
+            .iter()
+            .filter_map(|node| node.coordinator.as_ref());
+        let job = coordinators
+            .map(|coordinator| coordinator.state())
+            .next()
+            .and_then(|state| state.jobs.get(&id));
         format!("{client:#?}\n{job:#?}")
     }
 
@@ -278,20 +310,33 @@
         let mut in_force = Vec::new();
         let mut states: BTreeMap<Position, (Member, Vec<u8>)> = BTreeMap::new();
         for node in &self.nodes {
-            let Some(coordinator) = node.coordinator.as_ref() else { continue };
+            let Some(coordinator) = node.coordinator.as_ref() else {
+                continue;
+            };
             let state = coordinator.state();
             let configuration = &state.configuration;
             in_force.push((configuration.version, configuration.body.clone()));
             if !goes_by_state(coordinator) {
-                found.push(format!("{} goes by another configuration than its state has", node.member));
+                found.push(format!(
+                    "{} goes by another configuration than its state has",
+                    node.member
+                ));
             }
             let contradictions = state.inconsistencies();
-            found.extend(contradictions.iter().map(|what| format!("{}: {what}", node.member)));
+            found.extend(
+                contradictions
+                    .iter()
+                    .map(|what| format!("{}: {what}", node.member)),
+            );
             let encoded = encode(state);
-            let (first, other) =
-                states.entry(state.position).or_insert_with(|| (node.member, encoded.clone()));
+            let (first, other) = states
+                .entry(state.position)
+                .or_insert_with(|| (node.member, encoded.clone()));
             if *other != encoded {
-                found.push(format!("{first} and {} differ at {:?}", node.member, state.position));
+                found.push(format!(
+                    "{first} and {} differ at {:?}",
+                    node.member, state.position
+                ));
             }
         }
         for what in found {
@@ -323,7 +368,10 @@
 /// Whether a coordinator goes by what the operator sent, however it has come to it: by reading the whole or by differences.
 fn goes_by_state(coordinator: &Coordinator) -> bool {
     let kept = &coordinator.state().configuration;
-    match coordinator.configuration().filter(|known| known.version == kept.version) {
+    match coordinator
+        .configuration()
+        .filter(|known| known.version == kept.version)
+    {
         Some(known) => Configuration::parse(&kept.body).is_ok_and(|read| read == *known),
         // It has not followed what was applied yet.
         None => true,
--- a/system/fleet/src/jobs.rs
+++ b/system/fleet/src/jobs.rs
@@ -10,7 +10,11 @@
 fn plain_step(count: u32, cpu: u64, duration_ms: u64) -> StepSpec {
     StepSpec {
         count,
-        resources: Resources { cpu, memory_mb: 100, gpu: 0 },
+        resources: Resources {
+            cpu,
+            memory_mb: 100,
+            gpu: 0,
+        },
         estimated_ms: duration_ms,
         ..StepSpec::default()
     }
@@ -20,7 +24,11 @@
     /// A job of some steps, each after the one before.
     pub fn chain_of_steps(steps: &[(u32, u64, u64)]) -> JobSpec {
         let step = |(position, (count, cpu, duration_ms)): (usize, &(u32, u64, u64))| StepSpec {
-            depends_on: position.checked_sub(1).map(|before| before as u32).into_iter().collect(),
+            depends_on: position
+                .checked_sub(1)
+                .map(|before| before as u32)
+                .into_iter()
+                .collect(),
             ..plain_step(*count, *cpu, *duration_ms)
         };
         JobSpec {
@@ -34,10 +42,15 @@
     /// or one that lasts until it is cancelled. Clients hand it in at this simulated time.
     pub fn any_job(&self, random: &mut StdRng, at: u64) -> JobSpec {
         let count = random.gen_range(1..MOST_STEPS);
-        let mut job = JobSpec { spec: "work".to_owned(), ..JobSpec::default() };
+        let mut job = JobSpec {
+            spec: "work".to_owned(),
+            ..JobSpec::default()
+        };
         for position in 0..count {
             let mut step = any_step(random);
-            step.depends_on = (0..position as u32).filter(|_| random.gen_bool(0.6)).collect();
+            step.depends_on = (0..position as u32)
+                .filter(|_| random.gen_bool(0.6))
+                .collect();
             job.steps.push(step);
         }
         match random.gen_range(0..10) {
--- a/system/fleet/src/machines.rs
+++ b/system/fleet/src/machines.rs
@@ -17,7 +17,10 @@
 impl Fleet {
     pub(crate) fn start_nodes(&mut self) {
         for number in 0..self.nodes.len() {
-            if self.nodes[number].restart_at.is_some_and(|at| self.now >= at) {
+            if self.nodes[number]
+                .restart_at
+                .is_some_and(|at| self.now >= at)
+            {
                 self.start_node(number);
             }
         }
@@ -38,11 +41,17 @@
         };
         // What an empty disk is to hold is on it once the coordinator has had it written.
         let state: DurableState = node.disk.state().unwrap_or_else(empty);
-        node.member = Member { address: node.address, disk: state.disk };
+        node.member = Member {
+            address: node.address,
+            disk: state.disk,
+        };
         node.life += 1;
         node.started = self.now;
         node.restart_at = None;
-        let own = Replica { member: node.member, boot };
+        let own = Replica {
+            member: node.member,
+            boot,
+        };
         let settings = coordinator_settings(&self.settings, self.seeds(), own);
         let steady = self.nodes[number].steady(self.now);
         let machine = Machine::recover(&state).unwrap_or_default();
@@ -97,7 +106,10 @@
                 self.nodes[node].leaves_for_ms = Some(for_ms);
                 let life = self.nodes[node].life;
                 self.with_node(node, None, |coordinator, now, _| coordinator.leave(now));
-                self.schedule(MOST_HAND_OVER_MS, Event::Restore(Restore::Leaving { node, life }));
+                self.schedule(
+                    MOST_HAND_OVER_MS,
+                    Event::Restore(Restore::Leaving { node, life }),
+                );
             }
             Fault::Replace { node, for_ms } => {
                 self.last_address += 1;
@@ -105,7 +117,11 @@
                 self.nodes[node].address = self.last_address;
                 self.stop_node(node, for_ms);
             }
-            Fault::WorkerCut { worker, answers_only, for_ms } => {
+            Fault::WorkerCut {
+                worker,
+                answers_only,
+                for_ms,
+            } => {
                 self.workers_cut.insert(worker, answers_only);
                 self.schedule(for_ms, Event::Restore(Restore::WorkerCut(worker)));
             }
@@ -119,7 +135,11 @@
                 self.late_percent = percent;
                 self.schedule(for_ms, Event::Restore(Restore::Orders));
             }
-            Fault::SlowDisk { node, sync_ms, for_ms } => {
+            Fault::SlowDisk {
+                node,
+                sync_ms,
+                for_ms,
+            } => {
                 self.slow_disks.insert(node, sync_ms);
                 self.schedule(for_ms, Event::Restore(Restore::Disk(node)));
             }
@@ -140,7 +160,9 @@
                 self.slow_disks.remove(&node);
             }
             Restore::Orders => self.late_percent = 0,
-            Restore::Leaving { node, life } if self.nodes[node].life == life => self.end_leaving(node),
+            Restore::Leaving { node, life } if self.nodes[node].life == life => {
+                self.end_leaving(node)
+            }
             Restore::Leaving { .. } => {}
         }
     }
@@ -156,7 +178,10 @@
     /// Ends the processes that were told to leave, and whose others go on without them.
     pub(crate) fn end_those_that_left(&mut self) {
         for node in 0..self.nodes.len() {
-            let has_left = self.nodes[node].coordinator.as_ref().is_some_and(Coordinator::has_left);
+            let has_left = self.nodes[node]
+                .coordinator
+                .as_ref()
+                .is_some_and(Coordinator::has_left);
             if has_left {
                 self.end_leaving(node);
             }
@@ -164,7 +189,11 @@
     }
 }
 
-fn coordinator_settings(settings: &FleetSettings, seeds: Vec<u32>, own: Replica) -> CoordinatorSettings {
+fn coordinator_settings(
+    settings: &FleetSettings,
+    seeds: Vec<u32>,
+    own: Replica,
+) -> CoordinatorSettings {
     CoordinatorSettings {
         control: ControlSettings {
             own,
@@ -175,7 +204,10 @@
             suspect_ms: 420,
             seed: own.boot,
         },
-        scheduler: SchedulerSettings { max_hold_ms: MAX_HOLD_MS, ..SchedulerSettings::default() },
+        scheduler: SchedulerSettings {
+            max_hold_ms: MAX_HOLD_MS,
+            ..SchedulerSettings::default()
+        },
         lease_ms: 900,
         list_every_ms: 600,
     }
--- a/system/fleet/src/oracle.rs
+++ b/system/fleet/src/oracle.rs
@@ -82,7 +82,10 @@
                 ends.insert((instance.to_owned(), run));
             }
             EndKind::Failed => {
-                self.failures.entry(checkpoint_owner(task, gang)).or_default().insert(run);
+                self.failures
+                    .entry(checkpoint_owner(task, gang))
+                    .or_default()
+                    .insert(run);
             }
             EndKind::Alone => self.waited_alone += 1,
             _ => {}
@@ -90,11 +93,20 @@
     }
 
     /// Ends were taken note of.
-    pub fn noted(&mut self, at: u64, instance: &str, ends: &[NotedEnd], gang: impl Fn(TaskId) -> bool) {
+    pub fn noted(
+        &mut self,
+        at: u64,
+        instance: &str,
+        ends: &[NotedEnd],
+        gang: impl Fn(TaskId) -> bool,
+    ) {
         for end in ends.iter().filter(|end| end.how == EndKind::Done) {
             let task = checkpoint_owner(end.task, gang(end.task));
             self.noted.insert(task);
-            if self.followed.contains(&(task, instance.to_owned(), end.run)) {
+            if self
+                .followed
+                .contains(&(task, instance.to_owned(), end.run))
+            {
                 self.report(
                     at,
                     format!("{task} was started once more after an end that is taken note of now"),
@@ -106,45 +118,81 @@
     /// A run begins on a worker.
     pub fn started(&mut self, start: &Start<'_>, spec: &JobSpec, max_attempts: u32) {
         let task = start.task;
-        let Some(step) = spec.steps.get(task.step as usize) else { return };
+        let Some(step) = spec.steps.get(task.step as usize) else {
+            return;
+        };
         self.check_wanted(start, step, max_attempts);
         self.check_order(start, spec, step);
         self.check_place(start, step);
         if !step.allow_duplicate {
             self.check_once(start, spec, step);
         }
-        self.running.entry(task).or_default().insert((start.worker.instance.clone(), start.run));
+        self.running
+            .entry(task)
+            .or_default()
+            .insert((start.worker.instance.clone(), start.run));
     }
 
     fn check_wanted(&mut self, start: &Start<'_>, step: &StepSpec, max_attempts: u32) {
         let (at, task) = (start.at, start.task);
         let owner = checkpoint_owner(task, step.gang);
         if self.rejected.contains(&task.job) {
-            self.report(at, format!("{task} was started, and its job had been turned away"));
+            self.report(
+                at,
+                format!("{task} was started, and its job had been turned away"),
+            );
         }
         if !self.asked.contains(&task.job) {
-            self.report(at, format!("{task} was started, and no client asked for it"));
+            self.report(
+                at,
+                format!("{task} was started, and no client asked for it"),
+            );
         }
-        if self.failures.get(&owner).is_some_and(|failures| failures.len() >= max_attempts as usize) {
-            self.report(at, format!("{task} was started after its last attempt had failed"));
+        if self
+            .failures
+            .get(&owner)
+            .is_some_and(|failures| failures.len() >= max_attempts as usize)
+        {
+            self.report(
+                at,
+                format!("{task} was started after its last attempt had failed"),
+            );
         }
-        let foreign = start.checkpoint.rsplit_once('@').is_some_and(|(whose, _)| whose != owner.to_string());
+        let foreign = start
+            .checkpoint
+            .rsplit_once('@')
+            .is_some_and(|(whose, _)| whose != owner.to_string());
         if foreign {
-            self.report(at, format!("{task} was started with the checkpoint {}", start.checkpoint));
+            self.report(
+                at,
+                format!(
+                    "{task} was started with the checkpoint {}",
+                    start.checkpoint
+                ),
+            );
         }
     }
 
     fn check_order(&mut self, start: &Start<'_>, spec: &JobSpec, step: &StepSpec) {
         let (at, task) = (start.at, start.task);
         for &before in &step.depends_on {
-            let Some(earlier) = spec.steps.get(before as usize) else { continue };
-            let tasks = (0..earlier.count).map(|index| TaskId { step: before, index, ..task });
+            let Some(earlier) = spec.steps.get(before as usize) else {
+                continue;
+            };
+            let tasks = (0..earlier.count).map(|index| TaskId {
+                step: before,
+                index,
+                ..task
+            });
             let mut owners = tasks.map(|earlier_task| checkpoint_owner(earlier_task, earlier.gang));
             if let Some(open) = owners.find(|owner| !self.done.contains_key(owner)) {
                 self.report(at, format!("{task} was started before {open} was done"));
             }
         }
-        if spec.due_ms(task.time).is_some_and(|due| start.wall + EARLY_MS < due) {
+        if spec
+            .due_ms(task.time)
+            .is_some_and(|due| start.wall + EARLY_MS < due)
+        {
             self.report(at, format!("{task} was started before its time"));
         }
     }
@@ -153,10 +201,20 @@
         let (at, task, worker) = (start.at, start.task, start.worker);
         let instance = &worker.instance;
         if start.over_capacity {
-            self.report(at, format!("{instance} has no room for {task}, which was started there"));
+            self.report(
+                at,
+                format!("{instance} has no room for {task}, which was started there"),
+            );
         }
-        if let Some(label) = step.requirements.iter().find(|label| !worker.labels.contains(label)) {
-            self.report(at, format!("{task} was started on {instance}, which lacks {label}"));
+        if let Some(label) = step
+            .requirements
+            .iter()
+            .find(|label| !worker.labels.contains(label))
+        {
+            self.report(
+                at,
+                format!("{task} was started on {instance}, which lacks {label}"),
+            );
         }
         let of_step = |other: &TaskId| TaskId { index: 0, ..*other } == TaskId { index: 0, ..task };
         let beside = self
@@ -165,14 +223,21 @@
             .filter(|(other, _)| of_step(other))
             .filter(|(_, places)| places.iter().any(|(place, _)| place == instance));
         if step.anti_affinity > 0 && beside.count() >= step.anti_affinity as usize {
-            self.report(at, format!("{task} is one too many of its step on {instance}"));
+            self.report(
+                at,
+                format!("{task} is one too many of its step on {instance}"),
+            );
         }
     }
 
     fn check_once(&mut self, start: &Start<'_>, spec: &JobSpec, step: &StepSpec) {
         let Start { at, task, run, .. } = *start;
         let instance = &start.worker.instance;
-        if let Some((other, other_run)) = self.running.get(&task).and_then(|places| places.iter().next()) {
+        if let Some((other, other_run)) = self
+            .running
+            .get(&task)
+            .and_then(|places| places.iter().next())
+        {
             let what = format!("{task} run {run} on {instance} beside run {other_run} on {other}");
             self.violations.push(Violation { at, what });
         }
@@ -181,16 +246,27 @@
             return;
         }
         if self.noted.contains(&owner) {
-            self.report(at, format!("{task} was started after an end had been taken note of"));
+            self.report(
+                at,
+                format!("{task} was started after an end had been taken note of"),
+            );
         }
         let ends = self.done.get(&owner).into_iter().flatten();
-        self.followed.extend(ends.map(|(place, ended)| (owner, place.clone(), *ended)));
+        self.followed
+            .extend(ends.map(|(place, ended)| (owner, place.clone(), *ended)));
     }
 
     /// A scheduler gives the order to start a task.
     pub fn ordered(&mut self, at: u64, task: TaskId) {
-        if self.cancelled.get(&task.job).is_some_and(|since| at > since + CANCEL_MS) {
-            self.report(at, format!("{task} was ordered to start long after its job was cancelled"));
+        if self
+            .cancelled
+            .get(&task.job)
+            .is_some_and(|since| at > since + CANCEL_MS)
+        {
+            self.report(
+                at,
+                format!("{task} was ordered to start long after its job was cancelled"),
+            );
         }
     }
 
@@ -202,24 +278,52 @@
     }
 
     /// A client was shown a job's state.
-    pub fn shown(&mut self, at: u64, job: JobId, phase: Option<JobPhase>, tasks: &[TaskId], spec: &JobSpec) {
-        let gang = |task: &TaskId| spec.steps.get(task.step as usize).is_some_and(|step| step.gang);
-        let open = |task: &&TaskId| !self.done.contains_key(&checkpoint_owner(**task, gang(task)));
+    pub fn shown(
+        &mut self,
+        at: u64,
+        job: JobId,
+        phase: Option<JobPhase>,
+        tasks: &[TaskId],
+        spec: &JobSpec,
+    ) {
+        let gang = |task: &TaskId| {
+            spec.steps
+                .get(task.step as usize)
+                .is_some_and(|step| step.gang)
+        };
+        let open = |task: &&TaskId| {
+            !self
+                .done
+                .contains_key(&checkpoint_owner(**task, gang(task)))
+        };
         match phase {
             // A coordinator that was replaced a moment ago may not know it yet.
-            None if self.accepted.get(&job).is_some_and(|since| at > since + VISIBLE_MS) => {
+            None if self
+                .accepted
+                .get(&job)
+                .is_some_and(|since| at > since + VISIBLE_MS) =>
+            {
                 self.report(at, format!("job {job} was accepted and isn't known"));
             }
             Some(JobPhase::Succeeded) => {
                 if let Some(task) = tasks.iter().find(open) {
-                    self.report(at, format!("job {job} is shown as succeeded, and {task} has not ended so"));
+                    self.report(
+                        at,
+                        format!("job {job} is shown as succeeded, and {task} has not ended so"),
+                    );
                 }
             }
             Some(JobPhase::Cancelled) if !self.asked_to_cancel.contains(&job) => {
-                self.report(at, format!("job {job} is shown as cancelled, and nobody asked for it"));
+                self.report(
+                    at,
+                    format!("job {job} is shown as cancelled, and nobody asked for it"),
+                );
             }
             Some(JobPhase::Failed) if !self.failures.keys().any(|task| task.job == job) => {
-                self.report(at, format!("job {job} is shown as failed, and none of its runs has failed"));
+                self.report(
+                    at,
+                    format!("job {job} is shown as failed, and none of its runs has failed"),
+                );
             }
             _ => {}
         }
--- a/system/fleet/src/watching.rs
+++ b/system/fleet/src/watching.rs
@@ -9,29 +9,64 @@
 impl Oracle {
     /// An order was confirmed.
     pub fn order_taken(&mut self, at: u64, order: &Order) {
-        let (other, _) = self.told.taken.entry(order.version).or_insert_with(|| (order.clone(), at));
+        let (other, _) = self
+            .told
+            .taken
+            .entry(order.version)
+            .or_insert_with(|| (order.clone(), at));
         if other != order {
-            self.report(at, format!("two configurations were confirmed under number {}", order.version));
+            self.report(
+                at,
+                format!(
+                    "two configurations were confirmed under number {}",
+                    order.version
+                ),
+            );
         }
         let beside = |(other, _): &(Order, u64)| other.base == order.base && other != order;
         if self.told.taken.values().any(beside) {
-            self.report(at, format!("two configurations were confirmed on version {}", order.base));
+            self.report(
+                at,
+                format!(
+                    "two configurations were confirmed on version {}",
+                    order.base
+                ),
+            );
         }
         if self.told.refused.contains(order) {
-            self.report(at, format!("configuration {} was refused and then confirmed", order.version));
+            self.report(
+                at,
+                format!(
+                    "configuration {} was refused and then confirmed",
+                    order.version
+                ),
+            );
         }
     }
 
     /// An order was refused for good.
     pub fn order_refused(&mut self, at: u64, order: &Order, is_only_operator: bool) {
-        let was_taken = self.told.taken.get(&order.version).is_some_and(|(taken, _)| taken == order);
+        let was_taken = self
+            .told
+            .taken
+            .get(&order.version)
+            .is_some_and(|(taken, _)| taken == order);
         if was_taken {
-            self.report(at, format!("configuration {} was confirmed and then refused", order.version));
+            self.report(
+                at,
+                format!(
+                    "configuration {} was confirmed and then refused",
+                    order.version
+                ),
+            );
         }
         if is_only_operator {
             self.report(
                 at,
-                format!("configuration {} was refused, and nobody else sends any", order.version),
+                format!(
+                    "configuration {} was refused, and nobody else sends any",
+                    order.version
+                ),
             );
         }
         self.told.refused.insert(order.clone());
@@ -39,8 +74,16 @@
 
     /// A configuration is in force.
     pub fn in_force(&mut self, at: u64, version: u64, body: &[u8]) {
-        if self.told.refused.iter().any(|order| order.version == version && order.body == body) {
-            self.report(at, format!("configuration {version} was refused and is in force"));
+        if self
+            .told
+            .refused
+            .iter()
+            .any(|order| order.version == version && order.body == body)
+        {
+            self.report(
+                at,
+                format!("configuration {version} was refused and is in force"),
+            );
         }
     }
 
@@ -58,16 +101,25 @@
                 let least = self.told.newest_at(now.saturating_sub(OLD_FEED_MS));
                 if feed.configuration_version < least {
                     let told = feed.configuration_version;
-                    self.report(now, format!("{by} hands out configuration {told} long after {least}"));
+                    self.report(
+                        now,
+                        format!("{by} hands out configuration {told} long after {least}"),
+                    );
                 }
             }
             (CoordinatorRequest::Status { job, .. }, CoordinatorAnswer::Phase(phase)) => {
                 self.shown_phase(now, asked_at, by, *job, *phase);
             }
             (CoordinatorRequest::Status { job, .. }, CoordinatorAnswer::NoSuchJob)
-                if self.accepted.get(job).is_some_and(|since| *since < asked_at) =>
+                if self
+                    .accepted
+                    .get(job)
+                    .is_some_and(|since| *since < asked_at) =>
             {
-                self.report(now, format!("{by} denies job {job}, which had been accepted"));
+                self.report(
+                    now,
+                    format!("{by} denies job {job}, which had been accepted"),
+                );
             }
             _ => {}
         }
@@ -80,8 +132,15 @@
         }
         let ended = self.told.ended.get(&job).copied();
         let cancelled = self.cancelled.get(&job).copied();
-        if ended.into_iter().chain(cancelled).any(|since| since < asked_at) {
-            self.report(now, format!("{by} shows job {job} as {}, and it had ended", phase.word()));
+        if ended
+            .into_iter()
+            .chain(cancelled)
+            .any(|since| since < asked_at)
+        {
+            self.report(
+                now,
+                format!("{by} shows job {job} as {}, and it had ended", phase.word()),
+            );
         }
     }
 }
--- a/system/fleet/src/worker.rs
+++ b/system/fleet/src/worker.rs
@@ -136,17 +136,33 @@
     }
 
     fn used(&self) -> Resources {
-        self.runs.values().fold(Resources::default(), |sum, running| sum.plus(&running.resources))
+        self.runs
+            .values()
+            .fold(Resources::default(), |sum, running| {
+                sum.plus(&running.resources)
+            })
     }
 
     fn end(&mut self, now: u64, task: TaskId, how: EndKind) {
-        let Some(running) = self.runs.remove(&task) else { return };
+        let Some(running) = self.runs.remove(&task) else {
+            return;
+        };
         self.number += 1;
         self.over.insert(task, running.run);
         let checkpoint = running.checkpoint(now, task);
-        let end = ListedEnd { number: self.number, task, run: running.run, kind: how, checkpoint };
+        let end = ListedEnd {
+            number: self.number,
+            task,
+            run: running.run,
+            kind: how,
+            checkpoint,
+        };
         self.ended.push(end);
-        self.deeds.push(Deed::Ended { task, run: running.run, how });
+        self.deeds.push(Deed::Ended {
+            task,
+            run: running.run,
+            how,
+        });
     }
 
     /// Ends what has finished or is held no longer.
@@ -188,32 +204,57 @@
         self.pass_time(now);
         let clock_ms = Some(self.clock(now));
         if call.token < self.token {
-            return WorkerReply::Refused { clock_ms, reason: RefusalReason::Fence };
+            return WorkerReply::Refused {
+                clock_ms,
+                reason: RefusalReason::Fence,
+            };
         }
         self.token = call.token;
         match &call.order {
-            WorkerOrder::Start { task, run, deadline_ms, checkpoint, .. } => {
-                self.start(now, *task, *run, *deadline_ms, checkpoint, work)
-            }
+            WorkerOrder::Start {
+                task,
+                run,
+                deadline_ms,
+                checkpoint,
+                ..
+            } => self.start(now, *task, *run, *deadline_ms, checkpoint, work),
             WorkerOrder::Stop { task, run } => {
                 self.stop(now, *task, *run);
-                WorkerReply::Done { clock_ms, listing: None }
+                WorkerReply::Done {
+                    clock_ms,
+                    listing: None,
+                }
             }
-            WorkerOrder::Hold { deadline_ms, last_seen, .. } => {
+            WorkerOrder::Hold {
+                deadline_ms,
+                last_seen,
+                ..
+            } => {
                 self.extend(now, deadline_ms.unwrap_or(0));
-                let (noted, kept) =
-                    std::mem::take(&mut self.ended).into_iter().partition(|end| end.number <= *last_seen);
+                let (noted, kept) = std::mem::take(&mut self.ended)
+                    .into_iter()
+                    .partition(|end| end.number <= *last_seen);
                 self.ended = kept;
                 self.note(noted);
-                WorkerReply::Done { clock_ms, listing: Some(self.listing(now)) }
+                WorkerReply::Done {
+                    clock_ms,
+                    listing: Some(self.listing(now)),
+                }
             }
         }
     }
 
     fn note(&mut self, ends: Vec<ListedEnd>) {
-        let in_time = ends.into_iter().filter(|end| end.number > self.lapsed_up_to);
-        let noted: Vec<NotedEnd> =
-            in_time.map(|end| NotedEnd { task: end.task, run: end.run, how: end.kind }).collect();
+        let in_time = ends
+            .into_iter()
+            .filter(|end| end.number > self.lapsed_up_to);
+        let noted: Vec<NotedEnd> = in_time
+            .map(|end| NotedEnd {
+                task: end.task,
+                run: end.run,
+                how: end.kind,
+            })
+            .collect();
         if !noted.is_empty() {
             self.deeds.push(Deed::Noted(noted));
         }
@@ -241,7 +282,10 @@
         self.extend(now, deadline_ms);
         if let Some(running) = self.runs.get(&task) {
             return if running.run == run {
-                WorkerReply::Done { clock_ms, listing: None }
+                WorkerReply::Done {
+                    clock_ms,
+                    listing: None,
+                }
             } else {
                 refused(RefusalReason::Old)
             };
@@ -249,22 +293,37 @@
         if self.over.get(&task).is_some_and(|over| *over >= run) {
             return refused(RefusalReason::Old);
         }
-        let Some(work) = work else { return WorkerReply::Rejected };
+        let Some(work) = work else {
+            return WorkerReply::Rejected;
+        };
         let room = self.entry.capacity.minus(&self.used());
         let fits = work.resources.fits(&room);
         if self.guards && !fits {
             return refused(RefusalReason::Room);
         }
-        self.runs.insert(task, Running::new(now, run, checkpoint, &work));
+        self.runs
+            .insert(task, Running::new(now, run, checkpoint, &work));
         let checkpoint = checkpoint.to_owned();
-        self.deeds.push(Deed::Started { task, run, checkpoint, over_capacity: !fits });
-        WorkerReply::Done { clock_ms, listing: None }
+        self.deeds.push(Deed::Started {
+            task,
+            run,
+            checkpoint,
+            over_capacity: !fits,
+        });
+        WorkerReply::Done {
+            clock_ms,
+            listing: None,
+        }
     }
 
     fn stop(&mut self, now: u64, task: TaskId, run: RunId) {
         let over = self.over.entry(task).or_default();
         *over = (*over).max(run);
-        if self.runs.get(&task).is_some_and(|running| running.run == run) {
+        if self
+            .runs
+            .get(&task)
+            .is_some_and(|running| running.run == run)
+        {
             self.end(now, task, EndKind::Stopped);
         }
     }
@@ -276,21 +335,30 @@
             checkpoint: running.checkpoint(now, *task),
             percent: running.percent(now),
         };
-        Listing { running: self.runs.iter().map(listed).collect(), ended: self.ended.clone() }
+        Listing {
+            running: self.runs.iter().map(listed).collect(),
+            ended: self.ended.clone(),
+        }
     }
 
     /// The gangs that have members here: their step and run, and whether they work.
     pub(crate) fn gangs(&self) -> impl Iterator<Item = (TaskId, RunId, bool)> + '_ {
         let member = |(task, running): (&TaskId, &Running)| {
-            running.gang.map(|gang| (*task, running.run, gang.together.is_some()))
+            running
+                .gang
+                .map(|gang| (*task, running.run, gang.together.is_some()))
         };
         self.runs.iter().filter_map(member)
     }
 
     /// All members of a gang's run are there: this one begins to work.
     pub(crate) fn begin_together(&mut self, now: u64, task: TaskId) {
-        let Some(running) = self.runs.get_mut(&task) else { return };
-        let Some(gang) = running.gang.as_mut() else { return };
+        let Some(running) = self.runs.get_mut(&task) else {
+            return;
+        };
+        let Some(gang) = running.gang.as_mut() else {
+            return;
+        };
         gang.together = Some(now);
         running.started = now;
         running.finishes = now + gang.duration_ms * (100 - running.saved_percent) / 100;
@@ -298,7 +366,9 @@
 
     /// Ends members of gangs that have waited in vain, and one whose other members are not there any more.
     pub(crate) fn part(&mut self, now: u64, task: TaskId, gang_ms: u64) {
-        let Some(running) = self.runs.get(&task) else { return };
+        let Some(running) = self.runs.get(&task) else {
+            return;
+        };
         let Some(gang) = running.gang else { return };
         if gang.together.is_some() {
             self.end(now, task, EndKind::Broken);
@@ -310,9 +380,14 @@
 
 impl Running {
     fn new(now: u64, run: RunId, checkpoint: &str, work: &Work) -> Running {
-        let saved_percent =
-            checkpoint.rsplit_once('@').and_then(|(_, percent)| percent.parse().ok()).unwrap_or(0);
-        let gang = work.gang.then_some(Gang { duration_ms: work.duration_ms, together: None });
+        let saved_percent = checkpoint
+            .rsplit_once('@')
+            .and_then(|(_, percent)| percent.parse().ok())
+            .unwrap_or(0);
+        let gang = work.gang.then_some(Gang {
+            duration_ms: work.duration_ms,
+            together: None,
+        });
         let left_ms = work.duration_ms * (100 - saved_percent) / 100;
         Running {
             run,
@@ -347,5 +422,8 @@
 
 /// The name under which a task's checkpoints go: members of a gang share theirs.
 pub(crate) fn checkpoint_owner(task: TaskId, gang: bool) -> TaskId {
-    TaskId { index: if gang { 0 } else { task.index }, ..task }
+    TaskId {
+        index: if gang { 0 } else { task.index },
+        ..task
+    }
 }
--- a/system/fleet/tests/calm.rs
+++ b/system/fleet/tests/calm.rs
@@ -36,13 +36,19 @@
     expect_that!(fleet.violations(), is_empty());
     expect_that!(fleet.acknowledged_configuration(), gt(5));
     let acknowledged = fleet.acknowledged_configuration();
-    expect_that!(fleet.configurations(), each(ge(&acknowledged.saturating_sub(1))));
+    expect_that!(
+        fleet.configurations(),
+        each(ge(&acknowledged.saturating_sub(1)))
+    );
 }
 
 #[googletest::test]
 fn given_failing_runs_when_a_job_has_them_too_often_then_it_is_shown_as_failed() {
     // Given
-    let mut fleet = Fleet::new(FleetSettings { failing_percent: 100, ..FleetSettings::default() });
+    let mut fleet = Fleet::new(FleetSettings {
+        failing_percent: 100,
+        ..FleetSettings::default()
+    });
     // When
     let job = fleet.submit_at(3000, Fleet::chain_of_steps(&[(1, 1000, 100)]), None);
     fleet.run_until_done(60_000);
@@ -55,7 +61,10 @@
 fn given_a_calm_fleet_when_jobs_of_every_kind_come_then_all_end_and_no_gang_waits_in_vain() {
     for guards in [true, false] {
         // Given
-        let mut fleet = Fleet::new(FleetSettings { guards, ..FleetSettings::default() });
+        let mut fleet = Fleet::new(FleetSettings {
+            guards,
+            ..FleetSettings::default()
+        });
         let mut random = StdRng::seed_from_u64(3);
         // When
         for number in 0..60 {
@@ -83,7 +92,13 @@
     }
     // When
     let jobs: Vec<_> = (0..9)
-        .map(|number| fleet.submit_at(5000 + number * 100, Fleet::chain_of_steps(&[(2, 1000, 300)]), None))
+        .map(|number| {
+            fleet.submit_at(
+                5000 + number * 100,
+                Fleet::chain_of_steps(&[(2, 1000, 300)]),
+                None,
+            )
+        })
         .collect();
     fleet.run_until(20_000);
     // Then
--- a/system/fleet/tests/edges.rs
+++ b/system/fleet/tests/edges.rs
@@ -31,7 +31,11 @@
 
 /// Panics when a rule was broken, or when an edge has something else than the operator sent.
 fn expect_sound(fleet: &Fleet, seed: u64) {
-    let wrong: Vec<String> = fleet.violations().iter().map(|v| format!("{}: {}", v.at, v.what)).collect();
+    let wrong: Vec<String> = fleet
+        .violations()
+        .iter()
+        .map(|v| format!("{}: {}", v.at, v.what))
+        .collect();
     assert!(wrong.is_empty(), "seed {seed}: {}", wrong.join("\n"));
     expect_that!(fleet.edges_that_differ(), is_empty(), "seed {seed}");
 }
@@ -75,7 +79,8 @@
 }
 
 #[googletest::test]
-fn given_very_slow_links_when_configurations_change_faster_than_one_arrives_then_edges_go_on_all_the_same() {
+fn given_very_slow_links_when_configurations_change_faster_than_one_arrives_then_edges_go_on_all_the_same(
+) {
     let mut fleet = Fleet::new(FleetSettings {
         edges: 2,
         configuration_routes: MORE_ROUTES,
--- a/system/fleet/tests/faults.rs
+++ b/system/fleet/tests/faults.rs
@@ -11,9 +11,17 @@
     every_ms: u64,
 }
 
-const SMALL: Size = Size { workers: 6, jobs: 60, every_ms: 300 };
+const SMALL: Size = Size {
+    workers: 6,
+    jobs: 60,
+    every_ms: 300,
+};
 /// More workers than the users name for two years from now, and 50 jobs a second of some tasks each.
-const LARGE: Size = Size { workers: 600, jobs: 900, every_ms: 20 };
+const LARGE: Size = Size {
+    workers: 600,
+    jobs: 900,
+    every_ms: 20,
+};
 
 /// Plays a fleet with faults drawn by a seed; returns what went wrong.
 fn play(seed: u64, nodes: usize, tolerance: usize, size: Size) -> Vec<String> {
@@ -35,9 +43,13 @@
     for number in 0..size.jobs {
         let at = 3000 + number * size.every_ms;
         let job = fleet.any_job(&mut random, at);
-        let cancel_at = random.gen_bool(0.1).then(|| at + random.gen_range(100..3000));
+        let cancel_at = random
+            .gen_bool(0.1)
+            .then(|| at + random.gen_range(100..3000));
         // What lasts goes on until it is cancelled.
-        let ends_at = job.long_running.then(|| at + random.gen_range(8000..20_000));
+        let ends_at = job
+            .long_running
+            .then(|| at + random.gen_range(8000..20_000));
         fleet.submit_at(at, job, cancel_at.or(ends_at));
     }
     fleet.run_until(3000);
@@ -51,20 +63,34 @@
         }
         told.push(format!("{} {fault:?}", fleet.now()));
         fleet.strike(&fault);
-        let pause = if wipe { 11_000 } else { random.gen_range(300..4000) };
+        let pause = if wipe {
+            11_000
+        } else {
+            random.gen_range(300..4000)
+        };
         fleet.run_until(fleet.now() + pause);
     }
     fleet.run_until(34_000);
     fleet.run_until_done(90_000);
-    let mut wrong: Vec<String> = fleet.violations().iter().map(|v| format!("{}: {}", v.at, v.what)).collect();
+    let mut wrong: Vec<String> = fleet
+        .violations()
+        .iter()
+        .map(|v| format!("{}: {}", v.at, v.what))
+        .collect();
     let open = fleet.open_jobs();
     if !open.is_empty() {
         wrong.push(format!("{} jobs have not ended: {open:?}", open.len()));
         wrong.extend(open.iter().map(|job| fleet.describe_job(*job)));
     }
     let acknowledged = fleet.acknowledged_configuration();
-    if fleet.configurations().iter().all(|version| *version < acknowledged) {
-        wrong.push(format!("configuration {acknowledged} was acknowledged and is gone"));
+    if fleet
+        .configurations()
+        .iter()
+        .all(|version| *version < acknowledged)
+    {
+        wrong.push(format!(
+            "configuration {acknowledged} was acknowledged and is gone"
+        ));
     }
     if !wrong.is_empty() {
         wrong.extend(fleet.describe());
--- a/system/fleet/tests/run_model/main.rs
+++ b/system/fleet/tests/run_model/main.rs
@@ -16,7 +16,10 @@
 
 /// Explores: breadth first up to so many states, then by random walks. `MODEL_FACTOR` in the environment asks for more.
 fn explore(name: &str, work_ms: u64, budget: Budget, states: usize, walks: usize) {
-    let factor = std::env::var("MODEL_FACTOR").ok().and_then(|text| text.parse().ok()).unwrap_or(1);
+    let factor = std::env::var("MODEL_FACTOR")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(1);
     let breadth = Runs { budget, work_ms }
         .checker()
         .target_state_count(states * factor)
@@ -40,39 +43,82 @@
     for discoveries in [breadth.discoveries(), walk.discoveries()] {
         let found: BTreeMap<_, _> = discoveries.into_iter().collect();
         ends |= found.contains_key("the task ends");
-        if let Some(path) = found.into_iter().find(|(name, _)| *name != "the task ends").map(|(_, path)| path)
+        if let Some(path) = found
+            .into_iter()
+            .find(|(name, _)| *name != "the task ends")
+            .map(|(_, path)| path)
         {
             let wrong = path.last_state().wrong.clone();
             panic!("{name}: {wrong:?}; steps: {:#?}", path.into_actions());
         }
     }
     // With a slow task few random walks are long enough.
-    assert!(ends || work_ms == SLOW_MS, "{name}: in no story the task ends");
+    assert!(
+        ends || work_ms == SLOW_MS,
+        "{name}: in no story the task ends"
+    );
 }
 
-const QUIET: Budget =
-    Budget { short: 30, middle: 0, long: 0, silences: 0, lost: 0, late: 0, take_overs: 0, crashes: 0 };
+const QUIET: Budget = Budget {
+    short: 30,
+    middle: 0,
+    long: 0,
+    silences: 0,
+    lost: 0,
+    late: 0,
+    take_overs: 0,
+    crashes: 0,
+};
 
 #[test]
 fn given_orders_that_come_late_when_the_role_passes_on_then_nothing_runs_twice() {
-    let budget = Budget { late: 3, take_overs: 2, ..QUIET };
+    let budget = Budget {
+        late: 3,
+        take_overs: 2,
+        ..QUIET
+    };
     explore("late orders, take-overs", QUICK_MS, budget, 15_000, 60_000);
 }
 
 #[test]
 fn given_lost_calls_and_answers_when_holds_run_out_then_nothing_runs_twice() {
-    let budget = Budget { long: 2, lost: 4, late: 2, ..QUIET };
-    explore("lost calls, holds run out", QUICK_MS, budget, 15_000, 60_000);
+    let budget = Budget {
+        long: 2,
+        lost: 4,
+        late: 2,
+        ..QUIET
+    };
+    explore(
+        "lost calls, holds run out",
+        QUICK_MS,
+        budget,
+        15_000,
+        60_000,
+    );
 }
 
 #[test]
-fn given_a_silent_worker_when_the_role_passes_on_then_its_run_is_started_elsewhere_only_after_its_hold() {
-    let budget = Budget { short: 6, middle: 10, silences: 1, take_overs: 1, ..QUIET };
+fn given_a_silent_worker_when_the_role_passes_on_then_its_run_is_started_elsewhere_only_after_its_hold(
+) {
+    let budget = Budget {
+        short: 6,
+        middle: 10,
+        silences: 1,
+        take_overs: 1,
+        ..QUIET
+    };
     explore("silent worker", SLOW_MS, budget, 15_000, 150_000);
 }
 
 #[test]
 fn given_a_worker_that_dies_when_its_orders_are_late_then_nothing_runs_twice() {
-    let budget = Budget { long: 1, late: 2, lost: 1, crashes: 2, take_overs: 1, ..QUIET };
+    let budget = Budget {
+        long: 1,
+        late: 2,
+        lost: 1,
+        crashes: 2,
+        take_overs: 1,
+        ..QUIET
+    };
     explore("workers that die", QUICK_MS, budget, 15_000, 60_000);
 }
--- a/system/fleet/tests/run_model/running.rs
+++ b/system/fleet/tests/run_model/running.rs
@@ -3,16 +3,29 @@
 use magpiegap_fleet::{Deed, Work};
 use magpiegap_jobs::Applied;
 use magpiegap_protocol::{
-    Command, EndKind, Entry, Fence, Member, Position, ProposalId, Replica, Resources, Role, RunId, RunStart,
+    Command, EndKind, Entry, Fence, Member, Position, ProposalId, Replica, Resources, Role, RunId,
+    RunStart,
+};
+use magpiegap_scheduler::{
+    Output, Scheduler, SchedulerSettings, WorkerCall, WorkerOrder, WorkerReply,
 };
-use magpiegap_scheduler::{Output, Scheduler, SchedulerSettings, WorkerCall, WorkerOrder, WorkerReply};
 
 fn settings() -> SchedulerSettings {
-    SchedulerSettings { max_hold_ms: MAX_HOLD_MS, lease_ms: LEASE_MS, ..SchedulerSettings::default() }
+    SchedulerSettings {
+        max_hold_ms: MAX_HOLD_MS,
+        lease_ms: LEASE_MS,
+        ..SchedulerSettings::default()
+    }
 }
 
 fn replica(holder: usize) -> Replica {
-    Replica { member: Member { address: holder as u32 + 1, disk: 0 }, boot: 1 }
+    Replica {
+        member: Member {
+            address: holder as u32 + 1,
+            disk: 0,
+        },
+        boot: 1,
+    }
 }
 
 fn role() -> Role {
@@ -23,7 +36,11 @@
     pub fn take_over(&mut self) {
         let number = self.holders.len();
         let expected = self.state.token(&role());
-        let claim = Command::ClaimRole { role: role(), holder: replica(number), expected };
+        let claim = Command::ClaimRole {
+            role: role(),
+            holder: replica(number),
+            expected,
+        };
         self.apply(number, None, claim);
         for holder in &mut self.holders {
             holder.acts_until.get_or_insert(self.now + LEASE_MS);
@@ -31,7 +48,10 @@
         let token = self.state.token(&role());
         let mut scheduler = Scheduler::new(SERVICE, token, settings(), self.now, &self.state, 7);
         scheduler.list(self.now, &self.state, &self.entries());
-        self.holders.push(Holder { scheduler, acts_until: None });
+        self.holders.push(Holder {
+            scheduler,
+            acts_until: None,
+        });
         self.run(number);
     }
 
@@ -43,7 +63,10 @@
         };
         let entry = Entry {
             position: Position { view: 1, index },
-            proposal: ProposalId { origin: replica(by), sequence: index },
+            proposal: ProposalId {
+                origin: replica(by),
+                sequence: index,
+            },
             fence,
             command,
             wall_ms: 1_000_000 + self.now,
@@ -51,20 +74,29 @@
         let applied = self.state.apply(&entry);
         for (number, holder) in self.holders.iter_mut().enumerate() {
             let own: &[RunStart] = if number == by { &runs } else { &[] };
-            holder.scheduler.applied(self.now, entry.position, &self.state, &applied.changes, own);
+            holder
+                .scheduler
+                .applied(self.now, entry.position, &self.state, &applied.changes, own);
         }
         applied
     }
 
     pub fn commit(&mut self) {
-        let Some((by, command)) = self.proposals.pop_front() else { return };
-        let fence = Fence { role: role(), token: self.holders[by].scheduler.token() };
+        let Some((by, command)) = self.proposals.pop_front() else {
+            return;
+        };
+        let fence = Fence {
+            role: role(),
+            token: self.holders[by].scheduler.token(),
+        };
         self.apply(by, Some(fence), command);
         self.run_all();
     }
 
     pub fn may_act(&self, holder: usize) -> bool {
-        self.holders[holder].acts_until.is_none_or(|until| self.now < until)
+        self.holders[holder]
+            .acts_until
+            .is_none_or(|until| self.now < until)
     }
 
     pub fn run_all(&mut self) {
@@ -78,7 +110,9 @@
             return;
         }
         let wall = 1_000_000 + self.now;
-        self.holders[holder].scheduler.run(self.now, wall, &self.state);
+        self.holders[holder]
+            .scheduler
+            .run(self.now, wall, &self.state);
         for output in self.holders[holder].scheduler.take_outputs() {
             match output {
                 Output::Propose(command) => self.proposals.push_back((holder, command)),
@@ -93,26 +127,50 @@
         let under_way = self.calls.iter().filter(|call| !call.is_given_up).count();
         if is_hold && under_way >= MOST_CALLS {
             // As good as lost, and answered so.
-            self.answers.push(Answer { holder, call: call.id, reply: WorkerReply::Unanswered });
+            self.answers.push(Answer {
+                holder,
+                call: call.id,
+                reply: WorkerReply::Unanswered,
+            });
             return;
         }
-        self.calls.push(Call { holder, call, is_given_up: false });
+        self.calls.push(Call {
+            holder,
+            call,
+            is_given_up: false,
+        });
     }
 
     pub fn arrive(&mut self, position: usize) {
-        let Call { holder, call, is_given_up } = self.calls.remove(position);
-        let Some(number) = self.workers.iter().position(|worker| worker.entry.address == call.address) else {
+        let Call {
+            holder,
+            call,
+            is_given_up,
+        } = self.calls.remove(position);
+        let Some(number) = self
+            .workers
+            .iter()
+            .position(|worker| worker.entry.address == call.address)
+        else {
             return;
         };
         if self.silent.contains(&number) {
             if !is_given_up {
-                self.answers.push(Answer { holder, call: call.id, reply: WorkerReply::Unanswered });
+                self.answers.push(Answer {
+                    holder,
+                    call: call.id,
+                    reply: WorkerReply::Unanswered,
+                });
             }
             return;
         }
         let worker = &mut self.workers[number];
         let work = Work {
-            resources: Resources { cpu: 1000, memory_mb: 10, gpu: 0 },
+            resources: Resources {
+                cpu: 1000,
+                memory_mb: 10,
+                gpu: 0,
+            },
             duration_ms: self.work_ms,
             how: EndKind::Done,
             checkpoints: false,
@@ -121,7 +179,11 @@
         let reply = worker.take(self.now, &call, Some(work));
         self.note_deeds();
         if !is_given_up {
-            self.answers.push(Answer { holder, call: call.id, reply });
+            self.answers.push(Answer {
+                holder,
+                call: call.id,
+                reply,
+            });
         }
     }
 
@@ -144,10 +206,14 @@
 
     pub fn started(&mut self, instance: &str, run: RunId) {
         if let Some((other, other_run)) = self.running.iter().next() {
-            self.wrong = Some(format!("run {run} on {instance} beside run {other_run} on {other}"));
+            self.wrong = Some(format!(
+                "run {run} on {instance} beside run {other_run} on {other}"
+            ));
         }
         if self.noted_done {
-            self.wrong = Some(format!("run {run} on {instance} after an end was taken note of"));
+            self.wrong = Some(format!(
+                "run {run} on {instance} after an end was taken note of"
+            ));
         }
         self.running.insert((instance.to_owned(), run));
     }
@@ -173,9 +239,19 @@
     }
 
     pub fn answer(&mut self, position: usize, is_lost: bool) {
-        let Answer { holder, call, reply } = self.answers.remove(position);
-        let reply = if is_lost { WorkerReply::Unanswered } else { reply };
-        self.holders[holder].scheduler.reply(self.now, &self.state, call, reply);
+        let Answer {
+            holder,
+            call,
+            reply,
+        } = self.answers.remove(position);
+        let reply = if is_lost {
+            WorkerReply::Unanswered
+        } else {
+            reply
+        };
+        self.holders[holder]
+            .scheduler
+            .reply(self.now, &self.state, call, reply);
         self.run(holder);
     }
 
--- a/system/fleet/tests/run_model/steps.rs
+++ b/system/fleet/tests/run_model/steps.rs
@@ -86,13 +86,21 @@
             Step::Lose(position) => {
                 world.budget.lost -= 1;
                 let Call { holder, call, .. } = world.calls.remove(position);
-                world.answers.push(Answer { holder, call: call.id, reply: WorkerReply::Unanswered });
+                world.answers.push(Answer {
+                    holder,
+                    call: call.id,
+                    reply: WorkerReply::Unanswered,
+                });
             }
             Step::GiveUp(position) => {
                 world.budget.late -= 1;
                 world.calls[position].is_given_up = true;
                 let (holder, call) = (world.calls[position].holder, world.calls[position].call.id);
-                world.answers.push(Answer { holder, call, reply: WorkerReply::Unanswered });
+                world.answers.push(Answer {
+                    holder,
+                    call,
+                    reply: WorkerReply::Unanswered,
+                });
             }
             Step::Answer(position) => world.answer(position, false),
             Step::LoseAnswer(position) => {
@@ -130,9 +138,10 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no run beside another one, and none after a noted end", |_, world: &World| {
-                world.wrong.is_none()
-            }),
+            Property::always(
+                "no run beside another one, and none after a noted end",
+                |_, world: &World| world.wrong.is_none(),
+            ),
             Property::sometimes("the task ends", |_, world: &World| world.noted_done),
         ]
     }
--- a/system/fleet/tests/run_model/world.rs
+++ b/system/fleet/tests/run_model/world.rs
@@ -1,7 +1,9 @@
 //! Everything at one moment: the log's state, holders of the role, workers, calls and answers under way.
 use magpiegap_fleet::Worker;
 use magpiegap_jobs::State;
-use magpiegap_protocol::{Command, JobId, JobSpec, Resources, RunId, StepSpec, Submission, WorkerEntry};
+use magpiegap_protocol::{
+    Command, JobId, JobSpec, Resources, RunId, StepSpec, Submission, WorkerEntry,
+};
 use magpiegap_scheduler::{Scheduler, WorkerCall, WorkerReply};
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -112,7 +114,11 @@
             spec: JobSpec {
                 steps: vec![StepSpec {
                     count: 1,
-                    resources: Resources { cpu: 1000, memory_mb: 10, gpu: 0 },
+                    resources: Resources {
+                        cpu: 1000,
+                        memory_mb: 10,
+                        gpu: 0,
+                    },
                     estimated_ms: work_ms,
                     ..StepSpec::default()
                 }],
@@ -132,7 +138,11 @@
             instance: format!("i-{number}-{}", self.lives),
             service: SERVICE.to_owned(),
             address: format!("w{number}"),
-            capacity: Resources { cpu: 4000, memory_mb: 100, gpu: 0 },
+            capacity: Resources {
+                cpu: 4000,
+                memory_mb: 100,
+                gpu: 0,
+            },
             ..WorkerEntry::default()
         };
         // One clock is right, the other is slow by 2%.
@@ -140,7 +150,10 @@
     }
 
     pub fn entries(&self) -> Vec<WorkerEntry> {
-        self.workers.iter().map(|worker| worker.entry.clone()).collect()
+        self.workers
+            .iter()
+            .map(|worker| worker.entry.clone())
+            .collect()
     }
 
     pub fn digest(&self) -> u64 {
@@ -152,12 +165,24 @@
 
 impl fmt::Debug for World {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} {:?} {:?} ", self.now, self.state.jobs, self.state.workers)?;
+        write!(
+            f,
+            "{} {:?} {:?} ",
+            self.now, self.state.jobs, self.state.workers
+        )?;
         for holder in &self.holders {
             write!(f, "{:?} {:?} ", holder.scheduler, holder.acts_until)?;
         }
-        write!(f, "{:?} {:?} {:?} {:?}", self.workers, self.calls, self.answers, self.proposals)?;
-        write!(f, "{:?} {:?} {:?} {:?}", self.budget, self.running, self.silent, self.wrong)
+        write!(
+            f,
+            "{:?} {:?} {:?} {:?}",
+            self.workers, self.calls, self.answers, self.proposals
+        )?;
+        write!(
+            f,
+            "{:?} {:?} {:?} {:?}",
+            self.budget, self.running, self.silent, self.wrong
+        )
     }
 }
 
--- a/system/fleet/tests/worst_days.rs
+++ b/system/fleet/tests/worst_days.rs
@@ -17,7 +17,9 @@
     for number in 0..jobs {
         let at = 3000 + number * 150;
         let job = fleet.any_job(&mut random, at);
-        let cancel_at = random.gen_bool(0.25).then(|| at + random.gen_range(50..3000));
+        let cancel_at = random
+            .gen_bool(0.25)
+            .then(|| at + random.gen_range(50..3000));
         let ends_at = job.long_running.then(|| at + random.gen_range(4000..9000));
         fleet.submit_at(at, job, cancel_at.or(ends_at));
     }
@@ -29,14 +31,28 @@
 fn end(mut fleet: Fleet, seed: u64) {
     fleet.run_until(fleet.now() + 3 * CATCH_UP_MS);
     fleet.run_until_done(fleet.now() + END_MS);
-    let mut wrong: Vec<String> = fleet.violations().iter().map(|v| format!("{}: {}", v.at, v.what)).collect();
+    let mut wrong: Vec<String> = fleet
+        .violations()
+        .iter()
+        .map(|v| format!("{}: {}", v.at, v.what))
+        .collect();
     wrong.truncate(20);
     let open = fleet.open_jobs();
-    wrong.extend(open.iter().take(3).map(|job| format!("{job} is open: {}", fleet.describe_job(*job))));
+    wrong.extend(
+        open.iter()
+            .take(3)
+            .map(|job| format!("{job} is open: {}", fleet.describe_job(*job))),
+    );
     let acknowledged = fleet.acknowledged_configuration();
-    let behind = fleet.configurations().into_iter().filter(|version| version + 2 < acknowledged).count();
+    let behind = fleet
+        .configurations()
+        .into_iter()
+        .filter(|version| version + 2 < acknowledged)
+        .count();
     if behind > 0 {
-        wrong.push(format!("{behind} coordinators lie behind configuration {acknowledged}"));
+        wrong.push(format!(
+            "{behind} coordinators lie behind configuration {acknowledged}"
+        ));
     }
     if !wrong.is_empty() {
         wrong.extend(fleet.describe());
@@ -52,7 +68,8 @@
 }
 
 #[googletest::test]
-fn given_a_machine_cut_off_for_twenty_seconds_when_it_is_asked_then_it_shows_and_confirms_nothing_old() {
+fn given_a_machine_cut_off_for_twenty_seconds_when_it_is_asked_then_it_shows_and_confirms_nothing_old(
+) {
     for seed in seeds(12) {
         let settings = FleetSettings {
             nodes: if seed % 3 == 0 { 5 } else { 3 },
@@ -67,7 +84,11 @@
         // Each of them in turn, so that head, tail and schedulers are among them; the last one stands still.
         for round in 0..3 {
             let node = random.gen_range(0..nodes);
-            let for_ms = if round == 0 { 20_000 } else { random.gen_range(700..6000) };
+            let for_ms = if round == 0 {
+                20_000
+            } else {
+                random.gen_range(700..6000)
+            };
             match round {
                 2 => fleet.strike(&Fault::Freeze { node, for_ms }),
                 _ => fleet.strike(&Fault::CutOff { node, for_ms }),
@@ -75,7 +96,11 @@
             if round < 2 {
                 // A caller that is told so within a second asks another coordinator.
                 fleet.run_until(fleet.now() + for_ms);
-                assert!(fleet.longest_order_ms() <= 1000, "seed {seed}: {} ms", fleet.longest_order_ms());
+                assert!(
+                    fleet.longest_order_ms() <= 1000,
+                    "seed {seed}: {} ms",
+                    fleet.longest_order_ms()
+                );
             }
             fleet.run_until(fleet.now() + for_ms + CATCH_UP_MS);
         }
@@ -84,7 +109,8 @@
 }
 
 #[googletest::test]
-fn given_two_operators_whose_answers_are_lost_when_coordinators_go_then_one_order_a_number_is_confirmed() {
+fn given_two_operators_whose_answers_are_lost_when_coordinators_go_then_one_order_a_number_is_confirmed(
+) {
     for seed in seeds(12) {
         let settings = FleetSettings {
             operators: 3,
@@ -113,7 +139,8 @@
 }
 
 #[googletest::test]
-fn given_a_repair_or_a_member_that_leaves_when_another_one_is_lost_right_after_it_then_nothing_is_lost() {
+fn given_a_repair_or_a_member_that_leaves_when_another_one_is_lost_right_after_it_then_nothing_is_lost(
+) {
     for seed in seeds(16) {
         let five = seed % 4 == 0;
         let settings = FleetSettings {
@@ -128,10 +155,22 @@
             let first = (seed as usize + round) % nodes;
             let second = (first + random.gen_range(1..nodes)) % nodes;
             let repair = match random.gen_range(0..4) {
-                0 => Fault::Replace { node: first, for_ms: 1000 },
-                1 => Fault::Wipe { node: first, for_ms: random.gen_range(50..2000) },
-                2 => Fault::Leave { node: first, for_ms: 300 },
-                _ => Fault::PowerLoss { node: first, for_ms: random.gen_range(50..2000) },
+                0 => Fault::Replace {
+                    node: first,
+                    for_ms: 1000,
+                },
+                1 => Fault::Wipe {
+                    node: first,
+                    for_ms: random.gen_range(50..2000),
+                },
+                2 => Fault::Leave {
+                    node: first,
+                    for_ms: 300,
+                },
+                _ => Fault::PowerLoss {
+                    node: first,
+                    for_ms: random.gen_range(50..2000),
+                },
             };
             fleet.strike(&repair);
             // The one that was repaired counts as lost until it has caught up; a moment later another disk goes, and
@@ -141,7 +180,10 @@
             if all_go {
                 fleet.strike(&Fault::PowerLossOfAll { for_ms: 600 });
             }
-            fleet.strike(&Fault::Wipe { node: second, for_ms: 700 });
+            fleet.strike(&Fault::Wipe {
+                node: second,
+                for_ms: 700,
+            });
             fleet.run_until(fleet.now() + 4000 + CATCH_UP_MS);
         }
         end(fleet, seed);
@@ -171,27 +213,46 @@
             });
             fleet.run_until(fleet.now() + 9000);
         }
-        assert!(fleet.acknowledged_configuration() > 200, "{}", fleet.acknowledged_configuration());
+        assert!(
+            fleet.acknowledged_configuration() > 200,
+            "{}",
+            fleet.acknowledged_configuration()
+        );
         end(fleet, seed);
     }
 }
 
 #[googletest::test]
-fn given_orders_that_come_late_when_roles_pass_on_and_workers_are_replaced_then_nothing_runs_twice() {
+fn given_orders_that_come_late_when_roles_pass_on_and_workers_are_replaced_then_nothing_runs_twice()
+{
     for seed in seeds(12) {
-        let settings =
-            FleetSettings { failing_percent: 5, guards: seed % 2 == 0, seed, ..FleetSettings::default() };
+        let settings = FleetSettings {
+            failing_percent: 5,
+            guards: seed % 2 == 0,
+            seed,
+            ..FleetSettings::default()
+        };
         let (nodes, workers) = (settings.nodes, settings.workers);
         let (mut fleet, mut random) = fleet_with_jobs(settings, 60);
         for _ in 0..6 {
-            fleet.strike(&Fault::LateOrders { percent: 50, for_ms: 2500 });
+            fleet.strike(&Fault::LateOrders {
+                percent: 50,
+                for_ms: 2500,
+            });
             let worker = random.gen_range(0..workers);
-            fleet.strike(&Fault::WorkerCut { worker, answers_only: true, for_ms: 1500 });
+            fleet.strike(&Fault::WorkerCut {
+                worker,
+                answers_only: true,
+                for_ms: 1500,
+            });
             fleet.run_until(fleet.now() + random.gen_range(50..800));
             let node = random.gen_range(0..nodes);
             fleet.strike(&Fault::Kill { node, for_ms: 300 });
             fleet.run_until(fleet.now() + random.gen_range(50..800));
-            fleet.strike(&Fault::WorkerCrash { worker: random.gen_range(0..workers), for_ms: 400 });
+            fleet.strike(&Fault::WorkerCrash {
+                worker: random.gen_range(0..workers),
+                for_ms: 400,
+            });
             fleet.run_until(fleet.now() + 2500);
         }
         end(fleet, seed);
--- a/system/jobs/src/apply.rs
+++ b/system/jobs/src/apply.rs
@@ -31,18 +31,29 @@
     fn run(&mut self, command: &Command, at: WallMillis, changes: &mut Vec<Change>) -> Outcome {
         match command {
             Command::Noop => Outcome::Done,
-            Command::ReplaceConfiguration { base, version, body, change } => {
-                self.replace_configuration(*base, *version, body, change, changes)
-            }
-            Command::ClaimRole { role, holder, expected } => self.claim(role, *holder, *expected, changes),
+            Command::ReplaceConfiguration {
+                base,
+                version,
+                body,
+                change,
+            } => self.replace_configuration(*base, *version, body, change, changes),
+            Command::ClaimRole {
+                role,
+                holder,
+                expected,
+            } => self.claim(role, *holder, *expected, changes),
             Command::SubmitJob { submission, runs } => self.submit(submission, runs, changes),
             Command::CancelJob { job } => self.cancel(*job, at, changes),
             Command::StartRuns { runs } => self.start_runs(runs, changes),
-            Command::NoteEnds { instance, last_seen, ends } => {
-                self.note_ends(instance, *last_seen, ends, at, changes)
-            }
+            Command::NoteEnds {
+                instance,
+                last_seen,
+                ends,
+            } => self.note_ends(instance, *last_seen, ends, at, changes),
             Command::LoseRuns { runs } => self.lose_runs(runs, at, changes),
-            Command::LoseInstance { instance, ended } => self.lose_instance(instance, *ended, at, changes),
+            Command::LoseInstance { instance, ended } => {
+                self.lose_instance(instance, *ended, at, changes)
+            }
             Command::OpenTime { job, time } => self.open_time(*job, *time, changes),
             Command::ForgetJobs { jobs } => self.forget(jobs, changes),
         }
@@ -71,22 +82,40 @@
         Outcome::Done
     }
 
-    fn claim(&mut self, role: &Role, holder: Replica, expected: u64, changes: &mut Vec<Change>) -> Outcome {
+    fn claim(
+        &mut self,
+        role: &Role,
+        holder: Replica,
+        expected: u64,
+        changes: &mut Vec<Change>,
+    ) -> Outcome {
         if self.token(role) != expected {
             return Outcome::Void;
         }
-        self.roles.insert(role.clone(), RoleState { holder, token: expected + 1 });
+        self.roles.insert(
+            role.clone(),
+            RoleState {
+                holder,
+                token: expected + 1,
+            },
+        );
         changes.push(Change::Role(role.clone()));
         Outcome::Done
     }
 
-    fn submit(&mut self, submission: &Submission, runs: &[RunStart], changes: &mut Vec<Change>) -> Outcome {
+    fn submit(
+        &mut self,
+        submission: &Submission,
+        runs: &[RunStart],
+        changes: &mut Vec<Change>,
+    ) -> Outcome {
         let id = submission.job;
         if self.jobs.contains_key(&id) {
             return Outcome::Repeated;
         }
         *self.open_jobs.entry(submission.queue.clone()).or_default() += 1;
-        self.jobs.insert(id, Shared::new(Job::new(submission.clone())));
+        self.jobs
+            .insert(id, Shared::new(Job::new(submission.clone())));
         changes.push(Change::Job(id));
         self.start_runs(runs, changes);
         Outcome::Done
@@ -105,7 +134,9 @@
     }
 
     pub(crate) fn end_job(&mut self, id: JobId, phase: JobPhase, at: WallMillis) {
-        let Some(job) = self.jobs.get_mut(&id).map(Shared::make_mut) else { return };
+        let Some(job) = self.jobs.get_mut(&id).map(Shared::make_mut) else {
+            return;
+        };
         if job.phase.ended() {
             return;
         }
@@ -129,7 +160,10 @@
 
     fn forget(&mut self, jobs: &[JobId], changes: &mut Vec<Change>) -> Outcome {
         for id in jobs {
-            let over = self.jobs.get(id).is_some_and(|job| job.phase.ended() && !job.has_active());
+            let over = self
+                .jobs
+                .get(id)
+                .is_some_and(|job| job.phase.ended() && !job.has_active());
             if over {
                 self.jobs.remove(id);
                 changes.push(Change::JobForgotten(*id));
--- a/system/jobs/src/apply_runs.rs
+++ b/system/jobs/src/apply_runs.rs
@@ -28,7 +28,12 @@
         if job.phase.ended() {
             return None;
         }
-        let duplicates = job.submission.spec.steps.get(id.step as usize)?.allow_duplicate;
+        let duplicates = job
+            .submission
+            .spec
+            .steps
+            .get(id.step as usize)?
+            .allow_duplicate;
         let step = job.step_mut(&id)?;
         let task = step.tasks.get_mut(id.index as usize)?;
         if task.done || start.run <= task.last_run || (!duplicates && !task.active.is_empty()) {
@@ -43,7 +48,11 @@
         if job.phase == JobPhase::Pending {
             job.phase = JobPhase::Running;
         }
-        self.workers.entry(start.instance.clone()).or_default().runs.insert(id, start.run);
+        self.workers
+            .entry(start.instance.clone())
+            .or_default()
+            .runs
+            .insert(id, start.run);
         Some(())
     }
 
@@ -66,7 +75,10 @@
                 self.settle(end.task.job, at, changes);
             }
         }
-        changes.push(Change::EndsNoted { instance: instance.to_owned(), last_seen });
+        changes.push(Change::EndsNoted {
+            instance: instance.to_owned(),
+            last_seen,
+        });
         Outcome::Done
     }
 
@@ -79,29 +91,44 @@
         kind: Option<EndKind>,
         changes: &mut Vec<Change>,
     ) -> bool {
-        let Some(worker) = self.workers.get_mut(instance) else { return false };
+        let Some(worker) = self.workers.get_mut(instance) else {
+            return false;
+        };
         if worker.runs.get(&task) != Some(&run) {
             return false;
         }
         worker.runs.remove(&task);
         let state = self.job_mut(&task.job).and_then(|job| job.step_mut(&task));
         if let Some(state) = state.and_then(|step| step.tasks.get_mut(task.index as usize)) {
-            state.active.retain(|active| active.run != run || active.instance != instance);
-        }
-        changes.push(Change::RunClosed { task, run, instance: instance.to_owned(), kind });
+            state
+                .active
+                .retain(|active| active.run != run || active.instance != instance);
+        }
+        changes.push(Change::RunClosed {
+            task,
+            run,
+            instance: instance.to_owned(),
+            kind,
+        });
         true
     }
 
     /// Counts an end for its task or gang; the job has failed with the last attempt.
     fn record_end(&mut self, end: &RunEnd, at: WallMillis) {
-        let Some(job) = self.job_mut(&end.task.job) else { return };
+        let Some(job) = self.job_mut(&end.task.job) else {
+            return;
+        };
         if job.phase.ended() {
             return;
         }
-        let Some(spec) = job.submission.spec.steps.get(end.task.step as usize) else { return };
+        let Some(spec) = job.submission.spec.steps.get(end.task.step as usize) else {
+            return;
+        };
         let (gang, lasting) = (spec.gang, job.submission.spec.long_running);
         let attempts = job.submission.max_attempts.max(1);
-        let Some(step) = job.step_mut(&end.task) else { return };
+        let Some(step) = job.step_mut(&end.task) else {
+            return;
+        };
         let failures = step.note_end(end, gang, lasting);
         let open = !step.is_done();
         if !lasting && open && failures >= attempts {
@@ -112,7 +139,11 @@
     /// Moves a job on after one of its runs was closed.
     fn settle(&mut self, id: JobId, at: WallMillis, changes: &mut Vec<Change>) {
         let Some(job) = self.job_mut(&id) else { return };
-        let done = job.times.values().filter(|time| time.is_done() && !time.steps.is_empty()).count() as u32;
+        let done = job
+            .times
+            .values()
+            .filter(|time| time.is_done() && !time.steps.is_empty())
+            .count() as u32;
         let cleared = job.times_done;
         job.clear_away();
         if !job.phase.ended() {
@@ -158,9 +189,15 @@
         at: WallMillis,
         changes: &mut Vec<Change>,
     ) -> Outcome {
-        let Some(worker) = self.workers.get_mut(instance) else { return Outcome::Void };
+        let Some(worker) = self.workers.get_mut(instance) else {
+            return Outcome::Void;
+        };
         worker.ended |= ended;
-        let runs: Vec<(TaskId, RunId)> = worker.runs.iter().map(|(task, run)| (*task, *run)).collect();
+        let runs: Vec<(TaskId, RunId)> = worker
+            .runs
+            .iter()
+            .map(|(task, run)| (*task, *run))
+            .collect();
         for (task, run) in runs {
             if self.close_run(instance, task, run, None, changes) {
                 self.settle(task.job, at, changes);
--- a/system/jobs/src/configuration.rs
+++ b/system/jobs/src/configuration.rs
@@ -75,7 +75,11 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { max_body_bytes: 262_144, max_header_bytes: 16_384, idle_timeout_ms: 15_000 }
+        Limits {
+            max_body_bytes: 262_144,
+            max_header_bytes: 16_384,
+            idle_timeout_ms: 15_000,
+        }
     }
 }
 
@@ -95,7 +99,10 @@
 type Object = HashMap<String, JsonValue>;
 
 fn field_error(field: impl Into<String>, must: &'static str) -> ConfigurationError {
-    ConfigurationError::Field { field: field.into(), must }
+    ConfigurationError::Field {
+        field: field.into(),
+        must,
+    }
 }
 
 /// Reads the fields of one object; `path` names it in errors.
@@ -121,8 +128,12 @@
     }
 
     fn text(&self, field: &str) -> Result<String, ConfigurationError> {
-        let text = self.object.get(field).and_then(|value| value.get::<String>());
-        text.cloned().ok_or_else(|| field_error(self.name(field), "a text"))
+        let text = self
+            .object
+            .get(field)
+            .and_then(|value| value.get::<String>());
+        text.cloned()
+            .ok_or_else(|| field_error(self.name(field), "a text"))
     }
 
     /// A whole number of at least zero; a missing one is `missing`.
@@ -130,10 +141,15 @@
         const MOST: f64 = 9_007_199_254_740_992.0;
         match self.object.get(field) {
             None | Some(JsonValue::Null) => Ok(missing),
-            Some(JsonValue::Number(number)) if (0.0..=MOST).contains(number) && number.fract() == 0.0 => {
+            Some(JsonValue::Number(number))
+                if (0.0..=MOST).contains(number) && number.fract() == 0.0 =>
+            {
                 Ok(*number as u64)
             }
-            Some(_) => Err(field_error(self.name(field), "a whole number of at least 0")),
+            Some(_) => Err(field_error(
+                self.name(field),
+                "a whole number of at least 0",
+            )),
         }
     }
 
@@ -159,7 +175,10 @@
     }
 
     fn list(&self, field: &str) -> Result<Vec<Fields<'a>>, ConfigurationError> {
-        let list = self.object.get(field).and_then(|value| value.get::<Vec<JsonValue>>());
+        let list = self
+            .object
+            .get(field)
+            .and_then(|value| value.get::<Vec<JsonValue>>());
         let list = list.ok_or_else(|| field_error(self.name(field), "a list"))?;
         let read = |(i, value)| Fields::new(format!("{}[{i}]", self.name(field)), value);
         list.iter().enumerate().map(read).collect()
@@ -172,7 +191,8 @@
     /// # Errors
     /// The first fault found.
     pub fn parse(body: &[u8]) -> Result<Configuration, ConfigurationError> {
-        let text = std::str::from_utf8(body).map_err(|e| ConfigurationError::Unreadable(e.to_string()))?;
+        let text =
+            std::str::from_utf8(body).map_err(|e| ConfigurationError::Unreadable(e.to_string()))?;
         let value: JsonValue = text
             .parse()
             .map_err(|e: tinyjson::JsonParseError| ConfigurationError::Unreadable(e.to_string()))?;
@@ -184,7 +204,12 @@
         let services = read_services(&fields)?;
         let routes = read_routes(&fields, &services)?;
         let limits = read_limits(&fields)?;
-        Ok(Configuration { version, routes: routes.into_iter().collect(), services, limits })
+        Ok(Configuration {
+            version,
+            routes: routes.into_iter().collect(),
+            services,
+            limits,
+        })
     }
 
     /// The route of a host and path: the longest prefix counts.
@@ -199,7 +224,9 @@
         let name = service.text("name")?;
         let entry = Service {
             name: name.clone(),
-            health_path: service.text("healthPath").unwrap_or_else(|_| "/health".to_owned()),
+            health_path: service
+                .text("healthPath")
+                .unwrap_or_else(|_| "/health".to_owned()),
             max_connections: service.number("maxConnections", 64)?,
             guards: service.flag("guards")?,
         };
@@ -220,14 +247,23 @@
     for fields in fields.list("routes")? {
         let route = read_route(&fields)?;
         if !services.contains_key(&route.service) {
-            return Err(ConfigurationError::UnknownService { route: route.name, service: route.service });
+            return Err(ConfigurationError::UnknownService {
+                route: route.name,
+                service: route.service,
+            });
         }
         if !names.insert(route.name.clone()) {
             return Err(ConfigurationError::SameName(route.name));
         }
-        let place = (route.hostname.to_ascii_lowercase(), route.path_prefix.clone());
+        let place = (
+            route.hostname.to_ascii_lowercase(),
+            route.path_prefix.clone(),
+        );
         if let Some(first) = places.insert(place, route.name.clone()) {
-            return Err(ConfigurationError::SamePlace { first, second: route.name });
+            return Err(ConfigurationError::SamePlace {
+                first,
+                second: route.name,
+            });
         }
         routes.push(Arc::new(route));
     }
@@ -253,7 +289,9 @@
 }
 
 fn read_limits(fields: &Fields) -> Result<Limits, ConfigurationError> {
-    let Some(value) = fields.object.get("limits") else { return Ok(Limits::default()) };
+    let Some(value) = fields.object.get("limits") else {
+        return Ok(Limits::default());
+    };
     let fields = Fields::new("limits".to_owned(), value)?;
     let usual = Limits::default();
     Ok(Limits {
--- a/system/jobs/src/consistency.rs
+++ b/system/jobs/src/consistency.rs
@@ -54,20 +54,46 @@
 impl fmt::Display for Inconsistency {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Inconsistency::OpenJobs { queue, kept, counted } => {
-                write!(f, "queue {queue}: {kept} open jobs are kept, {counted} are there")
+            Inconsistency::OpenJobs {
+                queue,
+                kept,
+                counted,
+            } => {
+                write!(
+                    f,
+                    "queue {queue}: {kept} open jobs are kept, {counted} are there"
+                )
             }
-            Inconsistency::RunWithoutTask { instance, task, run } => {
-                write!(f, "run {run} of {task} is on record for {instance}, and not for the task")
+            Inconsistency::RunWithoutTask {
+                instance,
+                task,
+                run,
+            } => {
+                write!(
+                    f,
+                    "run {run} of {task} is on record for {instance}, and not for the task"
+                )
             }
-            Inconsistency::RunWithoutWorker { instance, task, run } => {
-                write!(f, "run {run} of {task} is on record for the task, and not for {instance}")
+            Inconsistency::RunWithoutWorker {
+                instance,
+                task,
+                run,
+            } => {
+                write!(
+                    f,
+                    "run {run} of {task} is on record for the task, and not for {instance}"
+                )
             }
             Inconsistency::DoneTasks { job, time, step } => {
-                write!(f, "job {job}, time {time}, step {step}: the count of its done tasks is wrong")
+                write!(
+                    f,
+                    "job {job}, time {time}, step {step}: the count of its done tasks is wrong"
+                )
             }
             Inconsistency::Times { job } => write!(f, "job {job}: its times do not fit together"),
-            Inconsistency::Configuration => write!(f, "the configuration does not have the version kept"),
+            Inconsistency::Configuration => {
+                write!(f, "the configuration does not have the version kept")
+            }
         }
     }
 }
@@ -94,13 +120,21 @@
         for job in self.jobs.values().filter(|job| !job.phase.ended()) {
             *counted.entry(&job.submission.queue).or_default() += 1;
         }
-        let queues = self.open_jobs.keys().map(String::as_str).chain(counted.keys().copied());
+        let queues = self
+            .open_jobs
+            .keys()
+            .map(String::as_str)
+            .chain(counted.keys().copied());
         let queues: std::collections::BTreeSet<&str> = queues.collect();
         for queue in queues {
             let kept = self.open_jobs.get(queue).copied().unwrap_or(0);
             let counted = counted.get(queue).copied().unwrap_or(0);
             if kept != counted {
-                found.push(Inconsistency::OpenJobs { queue: queue.to_owned(), kept, counted });
+                found.push(Inconsistency::OpenJobs {
+                    queue: queue.to_owned(),
+                    kept,
+                    counted,
+                });
             }
         }
     }
@@ -110,11 +144,18 @@
             for (task, run) in &worker.runs {
                 let state = self.jobs.get(&task.job).and_then(|job| job.task(task));
                 let on_record = |state: &crate::TaskState| {
-                    state.active.iter().any(|active| active.run == *run && active.instance == *instance)
+                    state
+                        .active
+                        .iter()
+                        .any(|active| active.run == *run && active.instance == *instance)
                 };
                 if !state.is_some_and(on_record) {
                     let instance = instance.clone();
-                    found.push(Inconsistency::RunWithoutTask { instance, task: *task, run: *run });
+                    found.push(Inconsistency::RunWithoutTask {
+                        instance,
+                        task: *task,
+                        run: *run,
+                    });
                 }
             }
         }
@@ -128,10 +169,19 @@
         for (time, steps) in &job.times {
             for (position, step) in steps.steps.iter().enumerate() {
                 if step.done as usize != step.tasks.iter().filter(|task| task.done).count() {
-                    found.push(Inconsistency::DoneTasks { job: id, time: *time, step: position });
+                    found.push(Inconsistency::DoneTasks {
+                        job: id,
+                        time: *time,
+                        step: position,
+                    });
                 }
                 for (index, task) in step.tasks.iter().enumerate() {
-                    let name = TaskId { job: id, time: *time, step: position as u32, index: index as u32 };
+                    let name = TaskId {
+                        job: id,
+                        time: *time,
+                        step: position as u32,
+                        index: index as u32,
+                    };
                     self.check_runs(name, task, found);
                 }
             }
@@ -143,7 +193,11 @@
             let worker = self.workers.get(&active.instance);
             if worker.and_then(|worker| worker.runs.get(&task)) != Some(&active.run) {
                 let (instance, run) = (active.instance.clone(), active.run);
-                found.push(Inconsistency::RunWithoutWorker { instance, task, run });
+                found.push(Inconsistency::RunWithoutWorker {
+                    instance,
+                    task,
+                    run,
+                });
             }
         }
     }
--- a/system/jobs/src/frozen.rs
+++ b/system/jobs/src/frozen.rs
@@ -29,7 +29,11 @@
             open_jobs: self.open_jobs.clone(),
         };
         let firsts = self.jobs.keys().step_by(JOBS_PER_PART).copied().collect();
-        FrozenState { head, jobs: self.jobs.clone(), firsts }
+        FrozenState {
+            head,
+            jobs: self.jobs.clone(),
+            firsts,
+        }
     }
 }
 
@@ -46,11 +50,18 @@
 
     /// One of its parts, encoded; empty for one that it does not have.
     pub fn part(&self, number: u32) -> Vec<u8> {
-        let Some(number) = number.checked_sub(1) else { return encode(&self.head) };
-        let Some(first) = self.firsts.get(number as usize) else { return Vec::new() };
+        let Some(number) = number.checked_sub(1) else {
+            return encode(&self.head);
+        };
+        let Some(first) = self.firsts.get(number as usize) else {
+            return Vec::new();
+        };
         let jobs = self.jobs.range(first..).take(JOBS_PER_PART);
         let jobs = jobs.map(|(id, job)| (*id, job.clone())).collect();
-        encode(&State { jobs, ..State::default() })
+        encode(&State {
+            jobs,
+            ..State::default()
+        })
     }
 }
 
--- a/system/jobs/src/job.rs
+++ b/system/jobs/src/job.rs
@@ -60,7 +60,9 @@
     /// Takes note of the end of a run. Returns how many runs of its task, or of the gang, have failed so far if this one
     /// has; else zero.
     pub(crate) fn note_end(&mut self, end: &RunEnd, gang: bool, lasting: bool) -> u32 {
-        let Some(task) = self.tasks.get_mut(end.task.index as usize) else { return 0 };
+        let Some(task) = self.tasks.get_mut(end.task.index as usize) else {
+            return 0;
+        };
         if !end.checkpoint.is_empty() {
             task.checkpoint = end.checkpoint.clone();
         }
@@ -107,7 +109,10 @@
 
     /// Whether any run may be going on.
     pub fn has_active(&self) -> bool {
-        self.steps.iter().flat_map(|step| &step.tasks).any(|task| !task.active.is_empty())
+        self.steps
+            .iter()
+            .flat_map(|step| &step.tasks)
+            .any(|task| !task.active.is_empty())
     }
 }
 
@@ -162,7 +167,12 @@
             tasks: vec![TaskState::default(); step.count as usize],
             ..StepState::default()
         });
-        self.times.insert(time, TimeState { steps: steps.collect() });
+        self.times.insert(
+            time,
+            TimeState {
+                steps: steps.collect(),
+            },
+        );
         self.next_time += 1;
         true
     }
@@ -174,7 +184,10 @@
     }
 
     pub(crate) fn step_mut(&mut self, task: &TaskId) -> Option<&mut StepState> {
-        self.times.get_mut(&task.time)?.steps.get_mut(task.step as usize)
+        self.times
+            .get_mut(&task.time)?
+            .steps
+            .get_mut(task.step as usize)
     }
 
     /// Whether any run may be going on.
@@ -198,6 +211,7 @@
             }
             return;
         }
-        self.times.retain(|_, time| !time.is_done() || time.has_active());
+        self.times
+            .retain(|_, time| !time.is_done() || time.has_active());
     }
 }
--- a/system/jobs/src/readiness.rs
+++ b/system/jobs/src/readiness.rs
@@ -14,7 +14,10 @@
 impl Startable {
     /// The tasks.
     pub fn tasks(&self) -> impl Iterator<Item = TaskId> + '_ {
-        (0..self.count).map(|offset| TaskId { index: self.first.index + offset, ..self.first })
+        (0..self.count).map(|offset| TaskId {
+            index: self.first.index + offset,
+            ..self.first
+        })
     }
 }
 
@@ -26,11 +29,20 @@
     }
     for (&time, state) in &job.times {
         for (position, step) in state.steps.iter().enumerate() {
-            let Some(spec) = job.submission.spec.steps.get(position) else { continue };
-            let ready =
-                spec.depends_on.iter().all(|&i| state.steps.get(i as usize).is_some_and(StepState::is_done));
+            let Some(spec) = job.submission.spec.steps.get(position) else {
+                continue;
+            };
+            let ready = spec
+                .depends_on
+                .iter()
+                .all(|&i| state.steps.get(i as usize).is_some_and(StepState::is_done));
             if ready && !step.is_done() {
-                let first = TaskId { job: job.submission.job, time, step: position as u32, index: 0 };
+                let first = TaskId {
+                    job: job.submission.job,
+                    time,
+                    step: position as u32,
+                    index: 0,
+                };
                 push_step(&mut found, first, spec, step);
             }
         }
@@ -41,13 +53,22 @@
 fn push_step(found: &mut Vec<Startable>, first: TaskId, spec: &StepSpec, step: &StepState) {
     if spec.gang {
         if step.tasks.iter().all(|task| task.active.is_empty()) {
-            found.push(Startable { first, count: step.tasks.len() as u32 });
+            found.push(Startable {
+                first,
+                count: step.tasks.len() as u32,
+            });
         }
         return;
     }
     for (index, task) in step.tasks.iter().enumerate() {
         if !task.done && task.active.is_empty() {
-            found.push(Startable { first: TaskId { index: index as u32, ..first }, count: 1 });
+            found.push(Startable {
+                first: TaskId {
+                    index: index as u32,
+                    ..first
+                },
+                count: 1,
+            });
         }
     }
 }
--- a/system/jobs/src/route_table.rs
+++ b/system/jobs/src/route_table.rs
@@ -38,7 +38,10 @@
     pub fn find(&self, hostname: &str, path: &str) -> Option<&Route> {
         let of_host = self.by_host.get(&hostname.to_ascii_lowercase())?;
         let fits = |route: &&Arc<Route>| path.starts_with(&route.path_prefix);
-        let found = of_host.iter().filter(fits).max_by_key(|route| route.path_prefix.len());
+        let found = of_host
+            .iter()
+            .filter(fits)
+            .max_by_key(|route| route.path_prefix.len());
         found.map(Arc::as_ref)
     }
 }
@@ -51,11 +54,16 @@
 
 impl FromIterator<Arc<Route>> for RouteTable {
     fn from_iter<I: IntoIterator<Item = Arc<Route>>>(routes: I) -> RouteTable {
-        let by_name: BTreeMap<String, Arc<Route>> =
-            routes.into_iter().map(|route| (route.name.clone(), route)).collect();
+        let by_name: BTreeMap<String, Arc<Route>> = routes
+            .into_iter()
+            .map(|route| (route.name.clone(), route))
+            .collect();
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in by_name.values() {
-            by_host.entry(route.hostname.to_ascii_lowercase()).or_default().push(route.clone());
+            by_host
+                .entry(route.hostname.to_ascii_lowercase())
+                .or_default()
+                .push(route.clone());
         }
         RouteTable { by_name, by_host }
     }
--- a/system/jobs/tests/common/mod.rs
+++ b/system/jobs/tests/common/mod.rs
@@ -5,13 +5,22 @@
 
 /// Who proposes.
 pub fn replica() -> Replica {
-    Replica { member: Member { address: 1, disk: 0 }, boot: 1 }
+    Replica {
+        member: Member {
+            address: 1,
+            disk: 0,
+        },
+        boot: 1,
+    }
 }
 
 /// Applies a command as the holder of a role, or of none.
 pub fn apply_as(state: &mut State, fence: Option<Fence>, command: Command) -> Applied {
     let index = state.position.index + 1;
-    let proposal = ProposalId { origin: replica(), sequence: index };
+    let proposal = ProposalId {
+        origin: replica(),
+        sequence: index,
+    };
     state.apply(&Entry {
         position: Position { view: 1, index },
         proposal,
--- a/system/jobs/tests/configuration.rs
+++ b/system/jobs/tests/configuration.rs
@@ -5,23 +5,36 @@
 const SERVICE: &str = r#"{"name":"s","healthPath":"/health","maxConnections":64,"guards":true}"#;
 
 fn route(name: &str, prefix: &str, rest: &str) -> String {
-    format!(r#"{{"name":"{name}","hostname":"h.example","pathPrefix":"{prefix}","service":"s"{rest}}}"#)
+    format!(
+        r#"{{"name":"{name}","hostname":"h.example","pathPrefix":"{prefix}","service":"s"{rest}}}"#
+    )
 }
 
 fn configuration(version: &str, routes: &[String]) -> String {
-    format!(r#"{{"version":{version},"routes":[{}],"services":[{SERVICE}]}}"#, routes.join(","))
+    format!(
+        r#"{{"version":{version},"routes":[{}],"services":[{SERVICE}]}}"#,
+        routes.join(",")
+    )
 }
 
 fn fault(text: &str) -> String {
-    Configuration::parse(text.as_bytes()).map(|_| String::new()).unwrap_or_else(|error| error.to_string())
+    Configuration::parse(text.as_bytes())
+        .map(|_| String::new())
+        .unwrap_or_else(|error| error.to_string())
 }
 
 #[googletest::test]
 fn given_a_valid_configuration_when_a_path_is_looked_up_then_the_longest_prefix_counts() {
-    let routes =
-        [route("a", "/x/", r#","timeoutMs":5"#), route("b", "/x/y/", r#","timeoutMs":5,"priority":2"#)];
+    let routes = [
+        route("a", "/x/", r#","timeoutMs":5"#),
+        route("b", "/x/y/", r#","timeoutMs":5,"priority":2"#),
+    ];
     let configuration = Configuration::parse(configuration("4", &routes).as_bytes()).unwrap();
-    let name = |path| configuration.route("h.example", path).map(|route| route.name.as_str());
+    let name = |path| {
+        configuration
+            .route("h.example", path)
+            .map(|route| route.name.as_str())
+    };
     expect_that!(name("/x/1"), some(eq("a")));
     expect_that!(name("/x/y/1"), some(eq("b")));
     expect_that!(name("/z"), none());
@@ -33,18 +46,39 @@
     let fine = route("a", "/x/", r#","timeoutMs":5"#);
     let whole = configuration("4", std::slice::from_ref(&fine));
     expect_that!(fault(&whole), eq(""));
-    expect_that!(fault(&whole[..whole.len() - 3]), starts_with("not readable as JSON"));
-    expect_that!(fault(&configuration("0", std::slice::from_ref(&fine))), starts_with("version"));
-    expect_that!(fault(&configuration("-1", std::slice::from_ref(&fine))), starts_with("version"));
-    expect_that!(fault(&configuration("4", &[route("a", "/x/", "")])), starts_with("routes[0].timeoutMs"));
     expect_that!(
-        fault(&configuration("4", &[route("a", "/x/", r#","timeoutMs":0"#)])),
+        fault(&whole[..whole.len() - 3]),
+        starts_with("not readable as JSON")
+    );
+    expect_that!(
+        fault(&configuration("0", std::slice::from_ref(&fine))),
+        starts_with("version")
+    );
+    expect_that!(
+        fault(&configuration("-1", std::slice::from_ref(&fine))),
+        starts_with("version")
+    );
+    expect_that!(
+        fault(&configuration("4", &[route("a", "/x/", "")])),
+        starts_with("routes[0].timeoutMs")
+    );
+    expect_that!(
+        fault(&configuration(
+            "4",
+            &[route("a", "/x/", r#","timeoutMs":0"#)]
+        )),
         starts_with("routes[0].timeoutMs")
     );
     let same_place = [fine.clone(), route("b", "/x/", r#","timeoutMs":5"#)];
-    expect_that!(fault(&configuration("4", &same_place)), contains_substring("same host and prefix"));
+    expect_that!(
+        fault(&configuration("4", &same_place)),
+        contains_substring("same host and prefix")
+    );
     let unknown = fine.replace(r#""service":"s""#, r#""service":"t""#);
-    expect_that!(fault(&configuration("4", &[unknown])), contains_substring("unknown service t"));
+    expect_that!(
+        fault(&configuration("4", &[unknown])),
+        contains_substring("unknown service t")
+    );
     expect_that!(fault("[]"), contains_substring("must be an object"));
     expect_that!(fault("\u{0}"), starts_with("not readable"));
 }
--- a/system/jobs/tests/consistency.rs
+++ b/system/jobs/tests/consistency.rs
@@ -4,13 +4,20 @@
 use common::apply;
 use googletest::prelude::*;
 use magpiegap_jobs::{Inconsistency, State};
-use magpiegap_protocol::{Command, EndKind, JobId, JobSpec, RunEnd, RunStart, StepSpec, Submission, TaskId};
+use magpiegap_protocol::{
+    Command, EndKind, JobId, JobSpec, RunEnd, RunStart, StepSpec, Submission, TaskId,
+};
 
 const JOB: JobId = JobId(7);
 const QUEUE: &str = "h/q/";
 
 fn task(index: u32) -> TaskId {
-    TaskId { job: JOB, time: 0, step: 0, index }
+    TaskId {
+        job: JOB,
+        time: 0,
+        step: 0,
+        index,
+    }
 }
 
 /// A job of two tasks: one is done, one runs.
@@ -24,15 +31,43 @@
         stretch: 2.0,
         target_latency_ms: 100,
         submitted_ms: 0,
-        spec: JobSpec { steps: vec![StepSpec { count: 2, ..StepSpec::default() }], ..JobSpec::default() },
+        spec: JobSpec {
+            steps: vec![StepSpec {
+                count: 2,
+                ..StepSpec::default()
+            }],
+            ..JobSpec::default()
+        },
+    };
+    let start = |index| RunStart {
+        task: task(index),
+        run: 1,
+        instance: "w".to_owned(),
+        checkpoint: String::new(),
+    };
+    let end = RunEnd {
+        task: task(0),
+        run: 1,
+        kind: EndKind::Done,
+        checkpoint: String::new(),
     };
-    let start =
-        |index| RunStart { task: task(index), run: 1, instance: "w".to_owned(), checkpoint: String::new() };
-    let end = RunEnd { task: task(0), run: 1, kind: EndKind::Done, checkpoint: String::new() };
     let mut state = State::default();
     let runs = vec![start(0), start(1)];
-    apply(&mut state, Command::SubmitJob { submission: Box::new(submission), runs });
-    apply(&mut state, Command::NoteEnds { instance: "w".to_owned(), last_seen: 1, ends: vec![end] });
+    apply(
+        &mut state,
+        Command::SubmitJob {
+            submission: Box::new(submission),
+            runs,
+        },
+    );
+    apply(
+        &mut state,
+        Command::NoteEnds {
+            instance: "w".to_owned(),
+            last_seen: 1,
+            ends: vec![end],
+        },
+    );
     state
 }
 
@@ -45,7 +80,11 @@
 fn given_a_worker_that_has_forgotten_a_run_when_the_state_is_checked_then_the_run_is_named() {
     let mut state = half_done();
     state.workers.get_mut("w").unwrap().runs.clear();
-    let missing = Inconsistency::RunWithoutWorker { instance: "w".to_owned(), task: task(1), run: 1 };
+    let missing = Inconsistency::RunWithoutWorker {
+        instance: "w".to_owned(),
+        task: task(1),
+        run: 1,
+    };
     expect_that!(state.inconsistencies(), elements_are![eq(&missing)]);
 }
 
@@ -54,9 +93,17 @@
     let mut state = half_done();
     state.jobs.clear();
     let found = state.inconsistencies();
-    let stray = Inconsistency::RunWithoutTask { instance: "w".to_owned(), task: task(1), run: 1 };
+    let stray = Inconsistency::RunWithoutTask {
+        instance: "w".to_owned(),
+        task: task(1),
+        run: 1,
+    };
     expect_that!(found, contains(eq(&stray)));
-    let count = Inconsistency::OpenJobs { queue: QUEUE.to_owned(), kept: 1, counted: 0 };
+    let count = Inconsistency::OpenJobs {
+        queue: QUEUE.to_owned(),
+        kept: 1,
+        counted: 0,
+    };
     expect_that!(found, contains(eq(&count)));
 }
 
@@ -66,9 +113,16 @@
     let job = state.jobs.get_mut(&JOB).unwrap().make_mut();
     job.times.get_mut(&0).unwrap().steps[0].done = 2;
     job.times_done = 9;
-    let step = Inconsistency::DoneTasks { job: JOB, time: 0, step: 0 };
+    let step = Inconsistency::DoneTasks {
+        job: JOB,
+        time: 0,
+        step: 0,
+    };
     let times = Inconsistency::Times { job: JOB };
-    expect_that!(state.inconsistencies(), unordered_elements_are![eq(&step), eq(&times)]);
+    expect_that!(
+        state.inconsistencies(),
+        unordered_elements_are![eq(&step), eq(&times)]
+    );
 }
 
 #[googletest::test]
@@ -76,5 +130,8 @@
     let mut state = State::default();
     state.configuration.version = 3;
     state.configuration.body = br#"{"version":2,"routes":[],"services":[]}"#.to_vec();
-    expect_that!(state.inconsistencies(), elements_are![eq(&Inconsistency::Configuration)]);
+    expect_that!(
+        state.inconsistencies(),
+        elements_are![eq(&Inconsistency::Configuration)]
+    );
 }
--- a/system/jobs/tests/golden/samples.rs
+++ b/system/jobs/tests/golden/samples.rs
@@ -3,16 +3,31 @@
 use magpiegap_protocol::*;
 
 pub fn replica(n: u32) -> Replica {
-    let member = Member { address: 0x0a00_0000 + n, disk: 0xd15c_0000 + u64::from(n) };
-    Replica { member, boot: 0xb007_0000_0000_0000 + u64::from(n) }
+    let member = Member {
+        address: 0x0a00_0000 + n,
+        disk: 0xd15c_0000 + u64::from(n),
+    };
+    Replica {
+        member,
+        boot: 0xb007_0000_0000_0000 + u64::from(n),
+    }
 }
 
 pub fn task(job: u64) -> TaskId {
-    TaskId { job: JobId(job), time: 2, step: 3, index: 4 }
+    TaskId {
+        job: JobId(job),
+        time: 2,
+        step: 3,
+        index: 4,
+    }
 }
 
 pub fn active_run() -> ActiveRun {
-    ActiveRun { run: 5, instance: "w-17/3".to_owned(), checkpoint: "third".to_owned() }
+    ActiveRun {
+        run: 5,
+        instance: "w-17/3".to_owned(),
+        checkpoint: "third".to_owned(),
+    }
 }
 
 pub fn task_state() -> TaskState {
@@ -26,15 +41,26 @@
 }
 
 pub fn step_state() -> StepState {
-    StepState { tasks: vec![task_state(), TaskState::default()], done: 8, gang_failures: (9, 10) }
+    StepState {
+        tasks: vec![task_state(), TaskState::default()],
+        done: 8,
+        gang_failures: (9, 10),
+    }
 }
 
 pub fn time_state() -> TimeState {
-    TimeState { steps: vec![step_state(), StepState::default()] }
+    TimeState {
+        steps: vec![step_state(), StepState::default()],
+    }
 }
 
 pub fn submission(job: u64) -> Submission {
-    let step = StepSpec { count: 11, estimated_ms: 45_000, checkpoints: true, ..StepSpec::default() };
+    let step = StepSpec {
+        count: 11,
+        estimated_ms: 45_000,
+        checkpoints: true,
+        ..StepSpec::default()
+    };
     Submission {
         job: JobId(job),
         queue: "films.example/render/".to_owned(),
@@ -44,7 +70,11 @@
         stretch: 1.75,
         target_latency_ms: 2500,
         submitted_ms: 1_700_000_000_456,
-        spec: JobSpec { spec: "frames".to_owned(), steps: vec![step], ..JobSpec::default() },
+        spec: JobSpec {
+            spec: "frames".to_owned(),
+            steps: vec![step],
+            ..JobSpec::default()
+        },
     }
 }
 
@@ -69,26 +99,54 @@
 }
 
 pub fn role_state(n: u32) -> RoleState {
-    RoleState { holder: replica(n), token: 17 + u64::from(n) }
+    RoleState {
+        holder: replica(n),
+        token: 17 + u64::from(n),
+    }
 }
 
 pub fn worker(ended: bool) -> WorkerRecord {
-    WorkerRecord { last_seen: 18, runs: [(task(1), 19), (task(2), 20)].into(), ended }
+    WorkerRecord {
+        last_seen: 18,
+        runs: [(task(1), 19), (task(2), 20)].into(),
+        ended,
+    }
 }
 
 /// With a job in each phase.
 pub fn state() -> State {
-    let phases =
-        [JobPhase::Pending, JobPhase::Running, JobPhase::Succeeded, JobPhase::Failed, JobPhase::Cancelled];
+    let phases = [
+        JobPhase::Pending,
+        JobPhase::Running,
+        JobPhase::Succeeded,
+        JobPhase::Failed,
+        JobPhase::Cancelled,
+    ];
     let jobs = (1_u64..).zip(phases);
     State {
-        position: Position { view: 21, index: 70_001 },
+        position: Position {
+            view: 21,
+            index: 70_001,
+        },
         configuration: configuration(),
-        roles: [(Role::PlatformReader, role_state(1)), (Role::Scheduler("render".to_owned()), role_state(2))]
-            .into(),
-        jobs: jobs.map(|(id, phase)| (JobId(id), Shared::new(job(id, phase)))).collect(),
-        workers: [("w-17/3".to_owned(), worker(false)), ("w-18/1".to_owned(), worker(true))].into(),
-        open_jobs: [("films.example/render/".to_owned(), 22), ("a.example/b/".to_owned(), 23)].into(),
+        roles: [
+            (Role::PlatformReader, role_state(1)),
+            (Role::Scheduler("render".to_owned()), role_state(2)),
+        ]
+        .into(),
+        jobs: jobs
+            .map(|(id, phase)| (JobId(id), Shared::new(job(id, phase))))
+            .collect(),
+        workers: [
+            ("w-17/3".to_owned(), worker(false)),
+            ("w-18/1".to_owned(), worker(true)),
+        ]
+        .into(),
+        open_jobs: [
+            ("films.example/render/".to_owned(), 22),
+            ("a.example/b/".to_owned(), 23),
+        ]
+        .into(),
     }
 }
 
@@ -102,7 +160,11 @@
 }
 
 pub fn limits() -> Limits {
-    Limits { max_body_bytes: 100_000, max_header_bytes: 9000, idle_timeout_ms: 25_000 }
+    Limits {
+        max_body_bytes: 100_000,
+        max_header_bytes: 9000,
+        idle_timeout_ms: 25_000,
+    }
 }
 
 pub fn route() -> Route {
