--- a/system/jobs/tests/state.rs
+++ b/system/jobs/tests/state.rs
@@ -5,13 +5,17 @@
 use googletest::prelude::*;
 use magpiegap_jobs::{startable, Change, Outcome, State};
 use magpiegap_protocol::{
-    Command, EndKind, Fence, JobId, JobPhase, JobSpec, Role, RunEnd, RunStart, StepSpec, Submission, TaskId,
+    Command, EndKind, Fence, JobId, JobPhase, JobSpec, Role, RunEnd, RunStart, StepSpec,
+    Submission, TaskId,
 };
 
 const JOB: JobId = JobId(7);
 
 fn step(count: u32) -> StepSpec {
-    StepSpec { count, ..StepSpec::default() }
+    StepSpec {
+        count,
+        ..StepSpec::default()
+    }
 }
 
 fn submission(steps: Vec<StepSpec>) -> Submission {
@@ -24,20 +28,40 @@
         stretch: 2.0,
         target_latency_ms: 100,
         submitted_ms: 0,
-        spec: JobSpec { steps, ..JobSpec::default() },
+        spec: JobSpec {
+            steps,
+            ..JobSpec::default()
+        },
     }
 }
 
 fn submit(state: &mut State, submission: Submission) -> Outcome {
-    apply(state, Command::SubmitJob { submission: Box::new(submission), runs: Vec::new() }).outcome
+    apply(
+        state,
+        Command::SubmitJob {
+            submission: Box::new(submission),
+            runs: Vec::new(),
+        },
+    )
+    .outcome
 }
 
 fn task(step: u32, index: u32) -> TaskId {
-    TaskId { job: JOB, time: 0, step, index }
+    TaskId {
+        job: JOB,
+        time: 0,
+        step,
+        index,
+    }
 }
 
 fn start(step: u32, index: u32, run: u32, instance: &str) -> RunStart {
-    RunStart { task: task(step, index), run, instance: instance.to_owned(), checkpoint: String::new() }
+    RunStart {
+        task: task(step, index),
+        run,
+        instance: instance.to_owned(),
+        checkpoint: String::new(),
+    }
 }
 
 fn start_runs(state: &mut State, runs: Vec<RunStart>) -> magpiegap_jobs::Applied {
@@ -51,8 +75,20 @@
     start: &RunStart,
     kind: EndKind,
 ) -> magpiegap_jobs::Applied {
-    let ends = vec![RunEnd { task: start.task, run: start.run, kind, checkpoint: String::new() }];
-    apply(state, Command::NoteEnds { instance: instance.to_owned(), last_seen: number, ends })
+    let ends = vec![RunEnd {
+        task: start.task,
+        run: start.run,
+        kind,
+        checkpoint: String::new(),
+    }];
+    apply(
+        state,
+        Command::NoteEnds {
+            instance: instance.to_owned(),
+            last_seen: number,
+            ends,
+        },
+    )
 }
 
 fn phase(state: &State) -> JobPhase {
@@ -62,7 +98,10 @@
 #[googletest::test]
 fn given_steps_that_depend_when_the_first_is_done_then_the_second_may_start() {
     let mut state = State::default();
-    let second = StepSpec { depends_on: vec![0], ..step(2) };
+    let second = StepSpec {
+        depends_on: vec![0],
+        ..step(2)
+    };
     submit(&mut state, submission(vec![step(1), second]));
     expect_that!(startable(&state.jobs[&JOB]).len(), eq(1));
     let first = start(0, 0, 1, "a");
@@ -102,7 +141,10 @@
     let first = start(0, 0, 1, "a");
     start_runs(&mut state, vec![first.clone()]);
     end(&mut state, "a", 1, &first, EndKind::Done);
-    expect_that!(start_runs(&mut state, vec![start(0, 0, 2, "a")]).outcome, eq(Outcome::Void));
+    expect_that!(
+        start_runs(&mut state, vec![start(0, 0, 2, "a")]).outcome,
+        eq(Outcome::Void)
+    );
 }
 
 #[googletest::test]
@@ -116,7 +158,10 @@
         end(&mut state, "a", u64::from(run), &started, EndKind::Failed);
     }
     expect_that!(phase(&state), eq(JobPhase::Failed));
-    expect_that!(start_runs(&mut state, vec![start(0, 0, 3, "a")]).outcome, eq(Outcome::Void));
+    expect_that!(
+        start_runs(&mut state, vec![start(0, 0, 3, "a")]).outcome,
+        eq(Outcome::Void)
+    );
 }
 
 #[googletest::test]
@@ -126,7 +171,11 @@
     for run in 1..=6 {
         let started = start(0, 0, run, "a");
         start_runs(&mut state, vec![started.clone()]);
-        let kind = if run % 2 == 0 { EndKind::Lapsed } else { EndKind::Stopped };
+        let kind = if run % 2 == 0 {
+            EndKind::Lapsed
+        } else {
+            EndKind::Stopped
+        };
         end(&mut state, "a", u64::from(run), &started, kind);
     }
     expect_that!(phase(&state), eq(JobPhase::Running));
@@ -135,8 +184,16 @@
 #[googletest::test]
 fn given_a_gang_when_one_member_is_done_then_all_are() {
     let mut state = State::default();
-    submit(&mut state, submission(vec![StepSpec { gang: true, ..step(3) }]));
-    let runs: Vec<RunStart> = (0..3).map(|index| start(0, index, 1, &format!("w{index}"))).collect();
+    submit(
+        &mut state,
+        submission(vec![StepSpec {
+            gang: true,
+            ..step(3)
+        }]),
+    );
+    let runs: Vec<RunStart> = (0..3)
+        .map(|index| start(0, index, 1, &format!("w{index}")))
+        .collect();
     start_runs(&mut state, runs.clone());
     end(&mut state, "w1", 1, &runs[1], EndKind::Done);
     expect_that!(phase(&state), eq(JobPhase::Succeeded));
@@ -145,13 +202,24 @@
 #[googletest::test]
 fn given_a_gang_when_two_members_of_one_run_fail_then_one_attempt_is_counted() {
     let mut state = State::default();
-    submit(&mut state, submission(vec![StepSpec { gang: true, ..step(2) }]));
-    let runs: Vec<RunStart> = (0..2).map(|index| start(0, index, 1, &format!("w{index}"))).collect();
+    submit(
+        &mut state,
+        submission(vec![StepSpec {
+            gang: true,
+            ..step(2)
+        }]),
+    );
+    let runs: Vec<RunStart> = (0..2)
+        .map(|index| start(0, index, 1, &format!("w{index}")))
+        .collect();
     start_runs(&mut state, runs.clone());
     end(&mut state, "w0", 1, &runs[0], EndKind::Failed);
     end(&mut state, "w1", 1, &runs[1], EndKind::Failed);
     expect_that!(phase(&state), eq(JobPhase::Running));
-    let counts: Vec<u32> = startable(&state.jobs[&JOB]).iter().map(|unit| unit.count).collect();
+    let counts: Vec<u32> = startable(&state.jobs[&JOB])
+        .iter()
+        .map(|unit| unit.count)
+        .collect();
     expect_that!(counts, eq(&vec![2]));
 }
 
@@ -165,7 +233,10 @@
     end(&mut state, "a", 1, &first, EndKind::Stopped);
     expect_that!(phase(&state), eq(JobPhase::Cancelled));
     expect_that!(startable(&state.jobs[&JOB]), is_empty());
-    expect_that!(submit(&mut state, submission(vec![step(2)])), eq(Outcome::Repeated));
+    expect_that!(
+        submit(&mut state, submission(vec![step(2)])),
+        eq(Outcome::Repeated)
+    );
 }
 
 #[googletest::test]
@@ -177,7 +248,10 @@
     end(&mut state, "a", 1, &first, EndKind::Failed);
     let again = end(&mut state, "a", 1, &first, EndKind::Failed);
     expect_that!(again.outcome, eq(Outcome::Repeated));
-    expect_that!(state.jobs[&JOB].task(&task(0, 0)).map(|task| task.failures), some(eq(1)));
+    expect_that!(
+        state.jobs[&JOB].task(&task(0, 0)).map(|task| task.failures),
+        some(eq(1))
+    );
 }
 
 #[googletest::test]
@@ -190,12 +264,24 @@
     submit(&mut state, timed);
     expect_that!(startable(&state.jobs[&JOB]), is_empty());
     for time in 0..2 {
-        expect_that!(apply(&mut state, Command::OpenTime { job: JOB, time }).outcome, eq(Outcome::Done));
-        expect_that!(apply(&mut state, Command::OpenTime { job: JOB, time }).outcome, eq(Outcome::Void));
+        expect_that!(
+            apply(&mut state, Command::OpenTime { job: JOB, time }).outcome,
+            eq(Outcome::Done)
+        );
+        expect_that!(
+            apply(&mut state, Command::OpenTime { job: JOB, time }).outcome,
+            eq(Outcome::Void)
+        );
         let mut started = start(0, 0, 1, "a");
         started.task.time = time;
         start_runs(&mut state, vec![started.clone()]);
-        end(&mut state, "a", u64::from(time) + 1, &started, EndKind::Done);
+        end(
+            &mut state,
+            "a",
+            u64::from(time) + 1,
+            &started,
+            EndKind::Done,
+        );
     }
     expect_that!(phase(&state), eq(JobPhase::Succeeded));
 }
@@ -206,8 +292,12 @@
     let mut lasting = submission(vec![step(1)]);
     lasting.spec.long_running = true;
     submit(&mut state, lasting);
-    for (run, kind) in [(1, EndKind::Done), (2, EndKind::Failed), (3, EndKind::Failed), (4, EndKind::Failed)]
-    {
+    for (run, kind) in [
+        (1, EndKind::Done),
+        (2, EndKind::Failed),
+        (3, EndKind::Failed),
+        (4, EndKind::Failed),
+    ] {
         let started = start(0, 0, run, "a");
         start_runs(&mut state, vec![started.clone()]);
         end(&mut state, "a", u64::from(run), &started, kind);
@@ -221,8 +311,18 @@
     let mut state = State::default();
     submit(&mut state, submission(vec![step(2)]));
     start_runs(&mut state, vec![start(0, 0, 1, "a"), start(0, 1, 1, "a")]);
-    let applied = apply(&mut state, Command::LoseInstance { instance: "a".to_owned(), ended: true });
-    let closed = applied.changes.iter().filter(|change| matches!(change, Change::RunClosed { .. })).count();
+    let applied = apply(
+        &mut state,
+        Command::LoseInstance {
+            instance: "a".to_owned(),
+            ended: true,
+        },
+    );
+    let closed = applied
+        .changes
+        .iter()
+        .filter(|change| matches!(change, Change::RunClosed { .. }))
+        .count();
     expect_that!(closed, eq(2));
     expect_that!(startable(&state.jobs[&JOB]).len(), eq(2));
     expect_that!(state.workers.get("a"), none());
@@ -232,13 +332,26 @@
 fn given_a_role_when_it_has_passed_on_then_commands_of_the_old_holder_are_void() {
     let mut state = State::default();
     let role = Role::Scheduler("s".to_owned());
-    let claim = |expected| Command::ClaimRole { role: role.clone(), holder: replica(), expected };
+    let claim = |expected| Command::ClaimRole {
+        role: role.clone(),
+        holder: replica(),
+        expected,
+    };
     expect_that!(apply(&mut state, claim(0)).outcome, eq(Outcome::Done));
     expect_that!(apply(&mut state, claim(0)).outcome, eq(Outcome::Void));
     expect_that!(apply(&mut state, claim(1)).outcome, eq(Outcome::Done));
-    let old = Some(Fence { role: role.clone(), token: 1 });
-    let command = Command::SubmitJob { submission: Box::new(submission(vec![step(1)])), runs: Vec::new() };
-    expect_that!(apply_as(&mut state, old, command).outcome, eq(Outcome::Fenced));
+    let old = Some(Fence {
+        role: role.clone(),
+        token: 1,
+    });
+    let command = Command::SubmitJob {
+        submission: Box::new(submission(vec![step(1)])),
+        runs: Vec::new(),
+    };
+    expect_that!(
+        apply_as(&mut state, old, command).outcome,
+        eq(Outcome::Fenced)
+    );
     expect_that!(state.jobs.len(), eq(0));
 }
 
@@ -251,10 +364,25 @@
         body: body.as_bytes().to_vec(),
         change: Vec::new(),
     };
-    expect_that!(apply(&mut state, replace(0, 3, "one")).outcome, eq(Outcome::Done));
-    expect_that!(apply(&mut state, replace(0, 3, "other")).outcome, eq(Outcome::Conflict));
-    expect_that!(apply(&mut state, replace(3, 3, "other")).outcome, eq(Outcome::Stale));
-    expect_that!(apply(&mut state, replace(3, 9, "two")).outcome, eq(Outcome::Done));
-    expect_that!(apply(&mut state, replace(0, 3, "one")).outcome, eq(Outcome::Repeated));
+    expect_that!(
+        apply(&mut state, replace(0, 3, "one")).outcome,
+        eq(Outcome::Done)
+    );
+    expect_that!(
+        apply(&mut state, replace(0, 3, "other")).outcome,
+        eq(Outcome::Conflict)
+    );
+    expect_that!(
+        apply(&mut state, replace(3, 3, "other")).outcome,
+        eq(Outcome::Stale)
+    );
+    expect_that!(
+        apply(&mut state, replace(3, 9, "two")).outcome,
+        eq(Outcome::Done)
+    );
+    expect_that!(
+        apply(&mut state, replace(0, 3, "one")).outcome,
+        eq(Outcome::Repeated)
+    );
     expect_that!(state.configuration.version, eq(9));
 }
--- a/system/jobs/tests/stored_bytes.rs
+++ b/system/jobs/tests/stored_bytes.rs
@@ -24,7 +24,10 @@
     stored.keeps("job", &job(1, JobPhase::Running));
     stored.keeps("shared-job", &Shared::new(job(2, JobPhase::Failed)));
     stored.keeps("configuration", &configuration());
-    let unknown = ConfigurationState { change: vec![], ..configuration() };
+    let unknown = ConfigurationState {
+        change: vec![],
+        ..configuration()
+    };
     stored.keeps("configuration-change-unknown", &unknown);
     stored.reads("configuration-before-changes", &unknown);
     stored.keeps("role", &role_state(3));
@@ -38,7 +41,13 @@
     let mut stored = Stored::read(include_str!("golden/configuration.hex"));
     stored.keeps("route", &route());
     stored.keeps("service", &service());
-    stored.keeps("service-without-guards", &Service { guards: false, ..service() });
+    stored.keeps(
+        "service-without-guards",
+        &Service {
+            guards: false,
+            ..service()
+        },
+    );
     stored.keeps("limits", &limits());
     stored.keeps("usual-limits", &Limits::default());
     expect_that!(stored.faults(), is_empty());
@@ -61,8 +70,20 @@
     let small = state().freeze();
     expect_that!((small.parts(), small.position()), eq((2, state().position)));
     // Each part is a state with some of the records.
-    stored.keeps("all-but-the-jobs", &State { jobs: Default::default(), ..state() });
-    stored.keeps("the-jobs", &State { jobs: state().jobs, ..State::default() });
+    stored.keeps(
+        "all-but-the-jobs",
+        &State {
+            jobs: Default::default(),
+            ..state()
+        },
+    );
+    stored.keeps(
+        "the-jobs",
+        &State {
+            jobs: state().jobs,
+            ..State::default()
+        },
+    );
     let parts = stored_parts().map(|part| hex(&part));
     expect_that!(parts_of(&small), eq(&parts.to_vec()));
     expect_that!(small.part(2), is_empty());
@@ -79,22 +100,38 @@
     // A state in one piece is its only part.
     let mut stored = Stored::read(include_str!("golden/state.hex"));
     let mut builder = StateBuilder::default();
-    expect_that!(builder.add(&stored.bytes("state").unwrap_or_default()), ok(anything()));
+    expect_that!(
+        builder.add(&stored.bytes("state").unwrap_or_default()),
+        ok(anything())
+    );
     expect_that!(builder.finish(), some(eq(&state())));
 }
 
 #[googletest::test]
 fn the_jobs_of_a_large_state_are_cut_at_the_same_places() {
     let mut large = state();
-    large.jobs = (1..=JOBS).map(|id| (JobId(id), Shared::new(Job::new(submission(id))))).collect();
+    large.jobs = (1..=JOBS)
+        .map(|id| (JobId(id), Shared::new(Job::new(submission(id)))))
+        .collect();
     let parts = parts_of(&large.freeze());
     let jobs = |range: std::ops::RangeInclusive<u64>| {
-        let jobs = large.jobs.range(JobId(*range.start())..=JobId(*range.end()));
-        State { jobs: jobs.map(|(id, job)| (*id, job.clone())).collect(), ..State::default() }
+        let jobs = large
+            .jobs
+            .range(JobId(*range.start())..=JobId(*range.end()));
+        State {
+            jobs: jobs.map(|(id, job)| (*id, job.clone())).collect(),
+            ..State::default()
+        }
+    };
+    let head = State {
+        jobs: Default::default(),
+        ..large.clone()
     };
-    let head = State { jobs: Default::default(), ..large.clone() };
     let expected = [head, jobs(1..=JOBS - 1), jobs(JOBS..=JOBS)];
-    let expected: Vec<String> = expected.iter().map(|part| hex(&magpiegap_protocol::encode(part))).collect();
+    let expected: Vec<String> = expected
+        .iter()
+        .map(|part| hex(&magpiegap_protocol::encode(part)))
+        .collect();
     expect_that!(parts, eq(&expected));
 }
 
@@ -103,7 +140,12 @@
 fn the_state_that_a_log_leads_to_keeps_its_bytes() {
     let mut stored = Stored::read(include_str!("golden/after_a_log.hex"));
     let mut state = State::default();
-    let task = |index| TaskId { job: JobId(1), time: 0, step: 0, index };
+    let task = |index| TaskId {
+        job: JobId(1),
+        time: 0,
+        step: 0,
+        index,
+    };
     let run = |index| RunStart {
         task: task(index),
         run: 1,
@@ -117,22 +159,44 @@
             body: b"{\"version\":16}".to_vec(),
             change: vec![0, 200, 7],
         },
-        Command::SubmitJob { submission: Box::new(submission(1)), runs: vec![run(0), run(1)] },
-        Command::LoseRuns { runs: vec![RunStart { checkpoint: "half-way".to_owned(), ..run(1) }] },
-        Command::SubmitJob { submission: Box::new(submission(2)), runs: vec![] },
+        Command::SubmitJob {
+            submission: Box::new(submission(1)),
+            runs: vec![run(0), run(1)],
+        },
+        Command::LoseRuns {
+            runs: vec![RunStart {
+                checkpoint: "half-way".to_owned(),
+                ..run(1)
+            }],
+        },
+        Command::SubmitJob {
+            submission: Box::new(submission(2)),
+            runs: vec![],
+        },
         Command::CancelJob { job: JobId(2) },
     ];
     for (index, command) in (1..).zip(commands) {
-        let proposal = ProposalId { origin: replica(1), sequence: index };
+        let proposal = ProposalId {
+            origin: replica(1),
+            sequence: index,
+        };
         let position = Position { view: 1, index };
-        state.apply(&Entry { position, proposal, fence: None, command, wall_ms: 1000 + index });
+        state.apply(&Entry {
+            position,
+            proposal,
+            fence: None,
+            command,
+            wall_ms: 1000 + index,
+        });
     }
     stored.keeps("state", &state);
     expect_that!(stored.faults(), is_empty());
 }
 
 fn parts_of(frozen: &FrozenState) -> Vec<String> {
-    (0..frozen.parts()).map(|number| hex(&frozen.part(number))).collect()
+    (0..frozen.parts())
+        .map(|number| hex(&frozen.part(number)))
+        .collect()
 }
 
 /// The parts of the frozen sample, in their order.
--- a/system/magpiegap/examples/recovery.rs
+++ b/system/magpiegap/examples/recovery.rs
@@ -6,8 +6,8 @@
 use magpiegap_coordinator::{freeze, Machine};
 use magpiegap_jobs::State;
 use magpiegap_protocol::{
-    encode, Command, Entry, JobId, JobSpec, Member, Position, ProposalId, Replica, RunStart, StepSpec,
-    Submission, TaskId,
+    encode, Command, Entry, JobId, JobSpec, Member, Position, ProposalId, Replica, RunStart,
+    StepSpec, Submission, TaskId,
 };
 use magpiegap_storage::{FolderDirectory, Store};
 use std::{error::Error, path::Path, time::Instant};
@@ -27,10 +27,19 @@
 const WORKERS: u64 = 400;
 
 fn entry(index: u64, command: Command) -> Entry {
-    let origin = Replica { member: Member { address: 1, disk: 0 }, boot: 1 };
+    let origin = Replica {
+        member: Member {
+            address: 1,
+            disk: 0,
+        },
+        boot: 1,
+    };
     Entry {
         position: Position { view: 1, index },
-        proposal: ProposalId { origin, sequence: index },
+        proposal: ProposalId {
+            origin,
+            sequence: index,
+        },
         fence: None,
         command,
         wall_ms: 1_700_000_000_000,
@@ -61,12 +70,20 @@
         },
     };
     let first = RunStart {
-        task: TaskId { job: JobId(number), time: 0, step: 0, index: 0 },
+        task: TaskId {
+            job: JobId(number),
+            time: 0,
+            step: 0,
+            index: 0,
+        },
         run: 1,
         instance: format!("i-{:08x}", number % WORKERS),
         checkpoint: String::new(),
     };
-    Command::SubmitJob { submission: Box::new(submission), runs: vec![first] }
+    Command::SubmitJob {
+        submission: Box::new(submission),
+        runs: vec![first],
+    }
 }
 
 /// Writes a snapshot and a log. Returns their bytes.
@@ -76,7 +93,10 @@
     for number in 1..=jobs - in_log {
         state.apply(&entry(number, submit(number)));
     }
-    let member = Member { address: 1, disk: 0 };
+    let member = Member {
+        address: 1,
+        disk: 0,
+    };
     let mut snapshot = Snapshot::empty(0, Some(1), vec![member], freeze(&state));
     snapshot.committed = jobs;
     let (mut store, _) = Store::open(FolderDirectory::new(folder)?)?;
@@ -104,7 +124,8 @@
 fn main() -> Result<(), Box<dyn Error>> {
     println!("{:>8} {:>12} {:>10}", "jobs", "kB on disk", "ms to read");
     for jobs in SIZES {
-        let folder = std::env::temp_dir().join(format!("magpiegap-recovery-{}-{jobs}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("magpiegap-recovery-{}-{jobs}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let bytes = write(&folder, jobs)?;
         let mut times = Vec::with_capacity(TIMES);
@@ -118,7 +139,11 @@
         }
         std::fs::remove_dir_all(&folder)?;
         times.sort_unstable();
-        println!("{jobs:>8} {:>12} {:>10.2}", bytes / 1000, times[TIMES / 2].as_secs_f64() * 1000.0);
+        println!(
+            "{jobs:>8} {:>12} {:>10.2}",
+            bytes / 1000,
+            times[TIMES / 2].as_secs_f64() * 1000.0
+        );
     }
     Ok(())
 }
--- a/system/magpiegap/src/agent/link.rs
+++ b/system/magpiegap/src/agent/link.rs
@@ -3,7 +3,9 @@
     endpoint::{self, CallError},
     settings::NodeSettings,
 };
-use magpiegap_distribution::{Agent, AgentSettings, Call, CallFailure, CallId, ConfigurationSource};
+use magpiegap_distribution::{
+    Agent, AgentSettings, Call, CallFailure, CallId, ConfigurationSource,
+};
 use magpiegap_jobs::Configuration;
 use magpiegap_protocol::{CoordinatorAnswer, Feed, Millis};
 use std::{
@@ -30,7 +32,10 @@
 
 impl Default for Published {
     fn default() -> Published {
-        Published { feed: watch::Sender::new(Arc::new(Feed::default())), configurations: Arc::default() }
+        Published {
+            feed: watch::Sender::new(Arc::new(Feed::default())),
+            configurations: Arc::default(),
+        }
     }
 }
 
@@ -47,7 +52,10 @@
 
     /// Asks what leads to the newest configuration.
     pub fn with_configurations<T>(&self, ask: impl FnOnce(&mut ConfigurationSource) -> T) -> T {
-        ask(&mut self.configurations.lock().unwrap_or_else(PoisonError::into_inner))
+        ask(&mut self
+            .configurations
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Publishes news with the configuration in place.
@@ -89,7 +97,16 @@
         });
         let now = Instant::now();
         let port = settings.request_port();
-        Link { client, file, read_at: now, port, start: now, agent, published, calls: JoinSet::new() }
+        Link {
+            client,
+            file,
+            read_at: now,
+            port,
+            start: now,
+            agent,
+            published,
+            calls: JoinSet::new(),
+        }
     }
 
     /// Asks for news without end.
@@ -98,7 +115,10 @@
             for call in self.agent.due_calls(self.now()) {
                 self.begin(call);
             }
-            let pause = self.agent.next_due().map(|due| due.saturating_sub(self.now()).max(1));
+            let pause = self
+                .agent
+                .next_due()
+                .map(|due| due.saturating_sub(self.now()).max(1));
             tokio::select! {
                 Some(ended) = self.calls.join_next() => {
                     if let Ok((id, answer)) = ended {
@@ -121,8 +141,14 @@
         self.calls.spawn(async move {
             let first_byte = Duration::from_millis(call.first_byte_ms);
             let silence = Duration::from_millis(call.silence_ms);
-            let answer =
-                endpoint::call_while_bytes_come(&client, address, &call.request, first_byte, silence).await;
+            let answer = endpoint::call_while_bytes_come(
+                &client,
+                address,
+                &call.request,
+                first_byte,
+                silence,
+            )
+            .await;
             let failure = |error| match error {
                 CallError::NotSent => CallFailure::NotConnected,
                 CallError::Unanswered => CallFailure::Unanswered,
@@ -133,10 +159,13 @@
 
     fn take(&mut self, id: CallId, answer: Result<CoordinatorAnswer, CallFailure>) {
         if self.agent.answered(self.now(), id, answer) {
-            self.published.publish(self.agent.feed(), self.agent.configuration());
+            self.published
+                .publish(self.agent.feed(), self.agent.configuration());
         }
         if let Some(fault) = self.agent.take_fault() {
-            log::error!("a change of the configuration can't be used, the whole is asked for: {fault}");
+            log::error!(
+                "a change of the configuration can't be used, the whole is asked for: {fault}"
+            );
         }
         if self.agent.is_lost() {
             self.read_seeds();
--- a/system/magpiegap/src/agent/mod.rs
+++ b/system/magpiegap/src/agent/mod.rs
@@ -25,7 +25,11 @@
     let published = Published::new();
     let address = settings.agent_address();
     let handler = server::FeedHandler::new(published.clone());
-    let server = ServerSettings { address, keep_alive_s: 60, grace_s: 1 };
+    let server = ServerSettings {
+        address,
+        keep_alive_s: 60,
+        grace_s: 1,
+    };
     let running = serving::start(serving::server(server, &[Method::Post], handler)).await?;
     let grace = settings.bounds.grace_s;
     let link = tokio::spawn(Link::new(endpoint::client(), file, &settings, published).run());
--- a/system/magpiegap/src/agent/server.rs
+++ b/system/magpiegap/src/agent/server.rs
@@ -34,11 +34,17 @@
             configurations.small_change(poll.configuration_version)
         };
         let change = self.published.with_configurations(small_change);
-        CoordinatorAnswer::Feed(Box::new(Feed { change, ..(*feed).clone() }))
+        CoordinatorAnswer::Feed(Box::new(Feed {
+            change,
+            ..(*feed).clone()
+        }))
     }
 
     fn configuration(&self, fetch: &ConfigurationFetch) -> CoordinatorAnswer {
-        match self.published.with_configurations(|configurations| configurations.part(fetch)) {
+        match self
+            .published
+            .with_configurations(|configurations| configurations.part(fetch))
+        {
             Some(part) => CoordinatorAnswer::ConfigurationPart(Box::new(part)),
             None => CoordinatorAnswer::NotServing,
         }
--- a/system/magpiegap/src/clock.rs
+++ b/system/magpiegap/src/clock.rs
@@ -11,7 +11,9 @@
 impl Clock {
     /// Starts counting.
     pub fn start() -> Clock {
-        Clock { start: Instant::now() }
+        Clock {
+            start: Instant::now(),
+        }
     }
 
     /// Milliseconds since the start, from one on.
--- a/system/magpiegap/src/command_line.rs
+++ b/system/magpiegap/src/command_line.rs
@@ -243,10 +243,15 @@
             }
         }
         CommandLine::Config(verb) => config(verb),
-        CommandLine::Cluster(ClusterVerb::Status { at, json }) => {
-            show(*at, "/-/Cluster.Describe".to_owned(), *json, tables::cluster)
+        CommandLine::Cluster(ClusterVerb::Status { at, json }) => show(
+            *at,
+            "/-/Cluster.Describe".to_owned(),
+            *json,
+            tables::cluster,
+        ),
+        CommandLine::Cluster(ClusterVerb::Explain { at, job }) => {
+            look(*at, format!("/-/Job.Explain/{job}"))
         }
-        CommandLine::Cluster(ClusterVerb::Explain { at, job }) => look(*at, format!("/-/Job.Explain/{job}")),
         CommandLine::Job(verb) => job(verb),
         CommandLine::State(verb) => state(verb),
     }
@@ -267,7 +272,10 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|source| ProgramError::System { what: "the event loop", source })?;
+        .map_err(|source| ProgramError::System {
+            what: "the event loop",
+            source,
+        })?;
     runtime.block_on(work)
 }
 
@@ -281,7 +289,12 @@
 
 /// Prints what a coordinator answers to a question.
 fn look(at: SocketAddr, path: String) -> Result<(), ProgramError> {
-    print_call(Call { method: "GET", at: Some(at), path, ..Call::default() })
+    print_call(Call {
+        method: "GET",
+        at: Some(at),
+        path,
+        ..Call::default()
+    })
 }
 
 /// Prints what a coordinator answers to a question, as it comes or as a table.
@@ -294,9 +307,17 @@
     if json {
         return look(at, path);
     }
-    let text = block_on(operator::call(Call { method: "GET", at: Some(at), path, ..Call::default() }))?;
+    let text = block_on(operator::call(Call {
+        method: "GET",
+        at: Some(at),
+        path,
+        ..Call::default()
+    }))?;
     let unreadable = |error: serde_json::Error| ProgramError::Server(format!("{at}: {error}"));
-    print!("{}", table(&serde_json::from_str(&text).map_err(unreadable)?));
+    print!(
+        "{}",
+        table(&serde_json::from_str(&text).map_err(unreadable)?)
+    );
     Ok(())
 }
 
@@ -305,7 +326,10 @@
         StateVerb::Check { folder } => {
             let state = StateOnDisk::read(folder)?;
             println!("{}", state.summary());
-            state.contradictions.iter().for_each(|contradiction| println!("{contradiction}"));
+            state
+                .contradictions
+                .iter()
+                .for_each(|contradiction| println!("{contradiction}"));
             match state.contradictions.len() {
                 0 => Ok(()),
                 count => Err(ProgramError::Contradictions(count)),
@@ -347,9 +371,21 @@
 
 fn job(verb: &JobVerb) -> Result<(), ProgramError> {
     let (method, place, body) = match verb {
-        JobVerb::List { json, at, queue, state, after, limit } => {
+        JobVerb::List {
+            json,
+            at,
+            queue,
+            state,
+            after,
+            limit,
+        } => {
             let limit = limit.map(|limit| limit.to_string());
-            let fields = [("queue", queue), ("state", state), ("after", after), ("limit", &limit)];
+            let fields = [
+                ("queue", queue),
+                ("state", state),
+                ("after", after),
+                ("limit", &limit),
+            ];
             let path = format!("/-/Job.List?{}", operator::query(&fields));
             return show(*at, path, *json, tables::jobs);
         }
@@ -361,7 +397,10 @@
         method,
         at: Some(place.at),
         path: place.path.clone(),
-        headers: vec![("Host", place.host.clone()), ("Content-Type", "application/json".to_owned())],
+        headers: vec![
+            ("Host", place.host.clone()),
+            ("Content-Type", "application/json".to_owned()),
+        ],
         body,
     })
 }
--- a/system/magpiegap/src/coordinator/control_plane.rs
+++ b/system/magpiegap/src/coordinator/control_plane.rs
@@ -29,20 +29,38 @@
 
 impl Reply {
     fn text(status: Status, text: impl Into<String>) -> Reply {
-        Reply { status, kind: ContentType::Plain, body: text.into().into_bytes(), location: None }
+        Reply {
+            status,
+            kind: ContentType::Plain,
+            body: text.into().into_bytes(),
+            location: None,
+        }
     }
 
     fn json(body: Vec<u8>) -> Reply {
-        Reply { status: Status::Ok, kind: ContentType::JSON, body, location: None }
+        Reply {
+            status: Status::Ok,
+            kind: ContentType::JSON,
+            body,
+            location: None,
+        }
     }
 
     fn metrics(text: String) -> Reply {
         let kind = ContentType::parse_flexible(metrics::CONTENT_TYPE).unwrap_or(ContentType::Plain);
-        Reply { status: Status::Ok, kind, body: text.into_bytes(), location: None }
+        Reply {
+            status: Status::Ok,
+            kind,
+            body: text.into_bytes(),
+            location: None,
+        }
     }
 
     fn elsewhere(location: String) -> Reply {
-        Reply { location: Some(location), ..Reply::text(Status::TemporaryRedirect, "") }
+        Reply {
+            location: Some(location),
+            ..Reply::text(Status::TemporaryRedirect, "")
+        }
     }
 }
 
@@ -53,7 +71,9 @@
         if let Some(location) = self.location {
             response.header(Header::new("Location", location));
         }
-        response.sized_body(self.body.len(), Cursor::new(self.body)).ok()
+        response
+            .sized_body(self.body.len(), Cursor::new(self.body))
+            .ok()
     }
 }
 
@@ -76,12 +96,26 @@
             Ok(body) => body,
             Err(status) => return Reply::text(status, "the body can't be read"),
         };
-        let base = request.headers().get_one("Base-Version").unwrap_or("").trim().parse::<u64>();
+        let base = request
+            .headers()
+            .get_one("Base-Version")
+            .unwrap_or("")
+            .trim()
+            .parse::<u64>();
         let Ok(base) = base else {
-            return Reply::text(Status::BadRequest, "Base-Version: must be a whole number of at least 0");
+            return Reply::text(
+                Status::BadRequest,
+                "Base-Version: must be a whole number of at least 0",
+            );
         };
-        match self.handle.ask(CoordinatorRequest::ReplaceConfiguration { base, body }).await {
-            Some(CoordinatorAnswer::ConfigurationInvalid(fault)) => Reply::text(Status::BadRequest, fault),
+        match self
+            .handle
+            .ask(CoordinatorRequest::ReplaceConfiguration { base, body })
+            .await
+        {
+            Some(CoordinatorAnswer::ConfigurationInvalid(fault)) => {
+                Reply::text(Status::BadRequest, fault)
+            }
             Some(CoordinatorAnswer::ConfigurationTaken) => Reply::text(Status::Ok, ""),
             Some(CoordinatorAnswer::ConfigurationConflict) => {
                 Reply::text(Status::PreconditionFailed, "another version is in place")
@@ -94,7 +128,11 @@
     }
 
     async fn describe(&self) -> Reply {
-        match self.handle.ask(CoordinatorRequest::DescribeConfiguration).await {
+        match self
+            .handle
+            .ask(CoordinatorRequest::DescribeConfiguration)
+            .await
+        {
             Some(CoordinatorAnswer::Configuration(body)) if body.is_empty() => {
                 Reply::text(Status::NotFound, "there is no configuration yet")
             }
@@ -153,7 +191,10 @@
 
 /// Reads which jobs are wanted: `queue`, `state`, `after` and `limit` in the query.
 fn job_filter(request: &Request<'_>) -> Result<JobFilter, String> {
-    let mut filter = JobFilter { limit: JOBS_LISTED, ..JobFilter::default() };
+    let mut filter = JobFilter {
+        limit: JOBS_LISTED,
+        ..JobFilter::default()
+    };
     let fields = request.uri().query().map(|query| query.segments());
     for (name, value) in fields.into_iter().flatten() {
         let wrong = |must: &str| format!("{name}: must be {must}");
@@ -177,11 +218,16 @@
 
 /// A value of a query; one that is not properly encoded stays as it is.
 fn percent_decoded(value: &str) -> String {
-    RawStr::new(value).url_decode().map_or_else(|_| value.to_owned(), |decoded| decoded.into_owned())
+    RawStr::new(value)
+        .url_decode()
+        .map_or_else(|_| value.to_owned(), |decoded| decoded.into_owned())
 }
 
 fn not_now() -> Reply {
-    Reply::text(Status::ServiceUnavailable, "this coordinator can't serve now; another one may")
+    Reply::text(
+        Status::ServiceUnavailable,
+        "this coordinator can't serve now; another one may",
+    )
 }
 
 #[rocket::async_trait]
--- a/system/magpiegap/src/coordinator/disk.rs
+++ b/system/magpiegap/src/coordinator/disk.rs
@@ -28,7 +28,10 @@
 }
 
 /// Starts the thread.
-pub fn start(store: Store<FolderDirectory>, events: UnboundedSender<Event>) -> mpsc::Sender<DiskWork> {
+pub fn start(
+    store: Store<FolderDirectory>,
+    events: UnboundedSender<Event>,
+) -> mpsc::Sender<DiskWork> {
     let (sender, receiver) = mpsc::channel();
     std::thread::spawn(move || work(store, &receiver, &events));
     sender
--- a/system/magpiegap/src/coordinator/driver.rs
+++ b/system/magpiegap/src/coordinator/driver.rs
@@ -116,7 +116,9 @@
     /// Reads the addresses of other coordinators anew, while too few of them are heard.
     fn read_seeds(&mut self) {
         let now = self.clock.now();
-        if now < self.read_settings_at + READ_SETTINGS_MS || !self.coordinator.replica().is_seeking(now) {
+        if now < self.read_settings_at + READ_SETTINGS_MS
+            || !self.coordinator.replica().is_seeking(now)
+        {
             return;
         }
         self.read_settings_at = now;
@@ -140,8 +142,14 @@
                 self.answers.insert(self.next_request, answer);
                 self.coordinator.request(now, wall, self.next_request, what);
             }
-            Event::Worker { service, token, call, reply } => {
-                self.coordinator.worker_reply(now, &service, token, call, reply);
+            Event::Worker {
+                service,
+                token,
+                call,
+                reply,
+            } => {
+                self.coordinator
+                    .worker_reply(now, &service, token, call, reply);
             }
             Event::Platform { call, reply } => self.coordinator.platform_reply(now, call, reply),
         }
@@ -170,17 +178,28 @@
                     let _ = waiting.send(answer);
                 }
             }
-            Output::CallWorker { service, token, call } => {
+            Output::CallWorker {
+                service,
+                token,
+                call,
+            } => {
                 let (workers, events) = (self.links.workers.clone(), events.clone());
                 tokio::spawn(async move {
                     let id = call.id;
                     let reply = worker_client::call(workers, call).await;
-                    let _ = events.send(Event::Worker { service, token, call: id, reply });
+                    let _ = events.send(Event::Worker {
+                        service,
+                        token,
+                        call: id,
+                        reply,
+                    });
                 });
             }
             Output::ListWorkers { call, page } => {
                 let (client, events) = (self.links.client.clone(), events.clone());
-                let Some(address) = self.links.platform else { return };
+                let Some(address) = self.links.platform else {
+                    return;
+                };
                 tokio::spawn(async move {
                     let reply = platform_client::list(client, address, page).await;
                     let _ = events.send(Event::Platform { call, reply });
--- a/system/magpiegap/src/coordinator/events.rs
+++ b/system/magpiegap/src/coordinator/events.rs
@@ -7,15 +7,26 @@
 /// Something that has happened.
 pub enum Event {
     /// Messages from another coordinator.
-    Peer { from: Replica, messages: Vec<PeerMessage> },
+    Peer {
+        from: Replica,
+        messages: Vec<PeerMessage>,
+    },
     /// A connection to another coordinator's address was refused.
     ConnectionRefused(u32),
     /// Disk work is done.
     Persisted(u64),
     /// Somebody asks.
-    Request { what: CoordinatorRequest, answer: oneshot::Sender<CoordinatorAnswer> },
+    Request {
+        what: CoordinatorRequest,
+        answer: oneshot::Sender<CoordinatorAnswer>,
+    },
     /// A worker has answered, or has not in time.
-    Worker { service: String, token: u64, call: u64, reply: WorkerReply },
+    Worker {
+        service: String,
+        token: u64,
+        call: u64,
+        reply: WorkerReply,
+    },
     /// The platform has answered, or has not in time.
     Platform { call: u64, reply: PlatformReply },
 }
--- a/system/magpiegap/src/coordinator/mod.rs
+++ b/system/magpiegap/src/coordinator/mod.rs
@@ -67,21 +67,38 @@
     let Some(opened) = store::open_when_readable(&settings, &mut inbox, &mut signals).await else {
         return Ok(());
     };
-    let Opened { store, durable, machine } = opened;
+    let Opened {
+        store,
+        durable,
+        machine,
+    } = opened;
     let own = Replica {
-        member: Member { address: u32::from(settings.ip), disk: durable.disk },
+        member: Member {
+            address: u32::from(settings.ip),
+            disk: durable.disk,
+        },
         boot: rand::thread_rng().gen(),
     };
     let client = endpoint::client();
     let disk = disk::start(store, events.clone());
     let peers = peers::start(own, settings.ip, settings.peer_port(), events.clone())
         .await
-        .map_err(|source| ProgramError::System { what: "the port for other coordinators", source })?;
+        .map_err(|source| ProgramError::System {
+            what: "the port for other coordinators",
+            source,
+        })?;
     let coordinator_settings = coordinator_settings(&settings, own);
     let coordinator = Coordinator::new(coordinator_settings, durable, machine, clock.now());
-    let workers = WorkerConnections::new(settings.limits.max_fds.saturating_mul(WORKERS_PERCENT) / 100);
+    let workers =
+        WorkerConnections::new(settings.limits.max_fds.saturating_mul(WORKERS_PERCENT) / 100);
     let platform = settings.cloud.address;
-    let links = Links { disk, peers, client, workers, platform };
+    let links = Links {
+        disk,
+        peers,
+        client,
+        workers,
+        platform,
+    };
     let (left, others_go_on) = oneshot::channel();
     let driver = Driver::new(clock, own, coordinator, links, file, left);
     let (stop, stopped) = mpsc::unbounded_channel();
@@ -97,7 +114,10 @@
     let _ = stop.send(());
     // A member that the others can't do without stays as long as it may: it may hold what only one of them has.
     let most = (settings.bounds.grace_s - END_RESERVE_S).max(HAND_OVER_LEAST_S);
-    if tokio::time::timeout(Duration::from_secs_f64(most), others_go_on).await.is_err() {
+    if tokio::time::timeout(Duration::from_secs_f64(most), others_go_on)
+        .await
+        .is_err()
+    {
         log::warn!("the others have not gone on without this coordinator");
     }
     tokio::time::sleep(LAST_ANSWERS).await;
@@ -114,7 +134,11 @@
     handle: Handle,
 ) -> Result<serving::Running, ProgramError> {
     let address = SocketAddr::new(IpAddr::V4(settings.ip), settings.request_port());
-    let server = ServerSettings { address, keep_alive_s: 60, grace_s: 1 };
+    let server = ServerSettings {
+        address,
+        keep_alive_s: 60,
+        grace_s: 1,
+    };
     let handler = request_server::RequestHandler::new(handle);
     serving::start(serving::server(server, &[Method::Post], handler)).await
 }
@@ -123,8 +147,14 @@
     settings: &NodeSettings,
     handle: Handle,
 ) -> Result<Option<serving::Running>, ProgramError> {
-    let Some(address) = settings.listen.control_plane else { return Ok(None) };
-    let server = ServerSettings { address, keep_alive_s: 15, grace_s: 1 };
+    let Some(address) = settings.listen.control_plane else {
+        return Ok(None);
+    };
+    let server = ServerSettings {
+        address,
+        keep_alive_s: 15,
+        grace_s: 1,
+    };
     let handler = control_plane::ControlPlaneHandler::new(handle, address.port());
     let server = serving::server(server, &[Method::Get, Method::Post], handler);
     serving::start(server).await.map(Some)
--- a/system/magpiegap/src/coordinator/peers.rs
+++ b/system/magpiegap/src/coordinator/peers.rs
@@ -49,7 +49,10 @@
         let (messages, inbox) = mpsc::channel(MAX_WAITING);
         let restarted = Arc::new(Notify::new());
         tokio::spawn(write_to(own, address, inbox, restarted.clone()));
-        Lane { messages, restarted }
+        Lane {
+            messages,
+            restarted,
+        }
     }
 }
 
@@ -72,7 +75,11 @@
     /// Sends a message to the coordinator at an address; it may be lost.
     pub fn send(&mut self, to: u32, message: PeerMessage) {
         let link = self.link(to);
-        let lane = if message.is_urgent() { &link.urgent } else { &link.data };
+        let lane = if message.is_urgent() {
+            &link.urgent
+        } else {
+            &link.data
+        };
         let _ = lane.messages.try_send(message);
     }
 
@@ -89,7 +96,11 @@
         let (own, port) = (self.own, self.port);
         self.links.entry(address).or_insert_with(|| {
             let address = SocketAddr::new(IpAddr::V4(Ipv4Addr::from(address)), port);
-            PeerLink { urgent: Lane::start(own, address), data: Lane::start(own, address), heard: None }
+            PeerLink {
+                urgent: Lane::start(own, address),
+                data: Lane::start(own, address),
+                heard: None,
+            }
         })
     }
 }
@@ -106,7 +117,11 @@
 ) -> io::Result<Peers> {
     let listener = TcpListener::bind(SocketAddr::new(IpAddr::V4(ip), port)).await?;
     tokio::spawn(accept(listener, port, events));
-    Ok(Peers { own, port, links: HashMap::new() })
+    Ok(Peers {
+        own,
+        port,
+        links: HashMap::new(),
+    })
 }
 
 async fn accept(listener: TcpListener, port: u16, events: UnboundedSender<Event>) {
@@ -127,7 +142,11 @@
 /// Looks whether a peer whose connection has ended has ended too.
 async fn report_end(ip: IpAddr, port: u16, events: &UnboundedSender<Event>) {
     let IpAddr::V4(address) = ip else { return };
-    let again = timeout(CONNECT_TIMEOUT, TcpStream::connect(SocketAddr::new(ip, port))).await;
+    let again = timeout(
+        CONNECT_TIMEOUT,
+        TcpStream::connect(SocketAddr::new(ip, port)),
+    )
+    .await;
     if matches!(&again, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused) {
         let _ = events.send(Event::ConnectionRefused(u32::from(address)));
     }
@@ -150,7 +169,10 @@
         }
         match decode::<Envelope>(&frame) {
             Ok(envelope) => {
-                let event = Event::Peer { from: envelope.from, messages: envelope.messages };
+                let event = Event::Peer {
+                    from: envelope.from,
+                    messages: envelope.messages,
+                };
                 if events.send(event).is_err() {
                     return;
                 }
@@ -191,7 +213,9 @@
         if connection.is_none() {
             connection = connect_to(address, &restarted).await;
         }
-        let Some(stream) = connection.as_mut() else { continue };
+        let Some(stream) = connection.as_mut() else {
+            continue;
+        };
         let frame = frame(own, messages);
         if write_while_bytes_go(stream, &frame).await.is_err() {
             connection = None;
@@ -203,8 +227,9 @@
 async fn write_while_bytes_go(stream: &mut TcpStream, frame: &[u8]) -> io::Result<()> {
     let mut left = frame;
     while !left.is_empty() {
-        let written =
-            timeout(WRITE_SILENCE, stream.write(left)).await.map_err(|_| io::ErrorKind::TimedOut)??;
+        let written = timeout(WRITE_SILENCE, stream.write(left))
+            .await
+            .map_err(|_| io::ErrorKind::TimedOut)??;
         if written == 0 {
             return Err(io::ErrorKind::WriteZero.into());
         }
@@ -229,7 +254,10 @@
 }
 
 fn frame(own: Replica, messages: Vec<PeerMessage>) -> Vec<u8> {
-    let body = encode(&Envelope { from: own, messages });
+    let body = encode(&Envelope {
+        from: own,
+        messages,
+    });
     let mut frame = Vec::with_capacity(body.len() + 4);
     frame.extend_from_slice(&(body.len() as u32).to_be_bytes());
     frame.extend_from_slice(&body);
@@ -237,7 +265,10 @@
 }
 
 async fn connect(address: SocketAddr) -> Option<TcpStream> {
-    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
+        .await
+        .ok()?
+        .ok()?;
     set_options(&stream);
     Some(stream)
 }
--- a/system/magpiegap/src/coordinator/platform_client.rs
+++ b/system/magpiegap/src/coordinator/platform_client.rs
@@ -41,15 +41,23 @@
 }
 
 /// Asks for a page of the list.
-pub async fn list(client: reqwest::Client, address: SocketAddr, page: Option<String>) -> PlatformReply {
+pub async fn list(
+    client: reqwest::Client,
+    address: SocketAddr,
+    page: Option<String>,
+) -> PlatformReply {
     let mut url = format!("http://{address}/instances");
     if let Some(page) = page {
         url.push_str("?pageToken=");
         url.push_str(&escape(&page));
     }
-    let Ok(response) = client.get(url).timeout(TIMEOUT).send().await else { return PlatformReply::Failed };
+    let Ok(response) = client.get(url).timeout(TIMEOUT).send().await else {
+        return PlatformReply::Failed;
+    };
     let status = response.status().as_u16();
-    let Ok(body) = response.bytes().await else { return PlatformReply::Failed };
+    let Ok(body) = response.bytes().await else {
+        return PlatformReply::Failed;
+    };
     match status {
         200 => match serde_json::from_slice::<Page>(&body) {
             Ok(page) => PlatformReply::Page {
@@ -68,13 +76,22 @@
 
 fn escape(text: &str) -> String {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~".contains(&byte);
-    let escaped = |byte: u8| if plain(byte) { char::from(byte).to_string() } else { format!("%{byte:02X}") };
+    let escaped = |byte: u8| {
+        if plain(byte) {
+            char::from(byte).to_string()
+        } else {
+            format!("%{byte:02X}")
+        }
+    };
     text.bytes().map(escaped).collect()
 }
 
 fn entry(instance: Instance) -> WorkerEntry {
-    let availability =
-        if instance.state == "draining" { Availability::Draining } else { Availability::Ready };
+    let availability = if instance.state == "draining" {
+        Availability::Draining
+    } else {
+        Availability::Ready
+    };
     WorkerEntry {
         instance: instance.id,
         service: instance.service,
--- a/system/magpiegap/src/coordinator/store.rs
+++ b/system/magpiegap/src/coordinator/store.rs
@@ -64,16 +64,25 @@
 
 /// Reads the state on disk. An empty disk gets a name of its own, unless the whole system starts for the first time.
 fn open(settings: &NodeSettings) -> Result<Opened, ProgramError> {
-    let folder = settings.data_dir.clone().unwrap_or_else(|| std::env::temp_dir().join("magpiegap"));
-    let directory = FolderDirectory::new(&folder)
-        .map_err(|source| ProgramError::System { what: "the data folder", source })?;
+    let folder = settings
+        .data_dir
+        .clone()
+        .unwrap_or_else(|| std::env::temp_dir().join("magpiegap"));
+    let directory = FolderDirectory::new(&folder).map_err(|source| ProgramError::System {
+        what: "the data folder",
+        source,
+    })?;
     let (store, recovered) = Store::open(directory)?;
     let durable = match recovered.snapshot {
         Some(parts) => Snapshot::recover(parts, &recovered.records)?,
         None => empty_state(settings),
     };
     let machine = Machine::recover(&durable)?;
-    Ok(Opened { store, durable, machine })
+    Ok(Opened {
+        store,
+        durable,
+        machine,
+    })
 }
 
 fn empty_state(settings: &NodeSettings) -> DurableState {
--- a/system/magpiegap/src/coordinator/worker_client.rs
+++ b/system/magpiegap/src/coordinator/worker_client.rs
@@ -61,8 +61,12 @@
 /// Makes a call.
 pub async fn call(connections: WorkerConnections, call: WorkerCall) -> WorkerReply {
     // A worker whose address can't be read, or whose name can't be sent, can't be called.
-    let Ok(address) = call.address.parse::<SocketAddr>() else { return WorkerReply::Unanswered };
-    let Ok(request) = http_request(&call) else { return WorkerReply::Unanswered };
+    let Ok(address) = call.address.parse::<SocketAddr>() else {
+        return WorkerReply::Unanswered;
+    };
+    let Ok(request) = http_request(&call) else {
+        return WorkerReply::Unanswered;
+    };
     let timeout = Duration::from_millis(call.timeout_ms);
     let Ok((status, body)) = connections.call(address, request, timeout).await else {
         return WorkerReply::Unanswered;
@@ -83,7 +87,13 @@
 fn request(call: &WorkerCall) -> (&'static str, Vec<u8>) {
     let fence_token = call.token;
     let (path, body) = match &call.order {
-        WorkerOrder::Start { task, run, spec, deadline_ms, checkpoint } => {
+        WorkerOrder::Start {
+            task,
+            run,
+            spec,
+            deadline_ms,
+            checkpoint,
+        } => {
             let body = StartBody {
                 task: task.to_string(),
                 run_id: *run,
@@ -95,12 +105,25 @@
             ("/-/run-start", serde_json::to_vec(&body))
         }
         WorkerOrder::Stop { task, run } => {
-            let body = StopBody { task: task.to_string(), run_id: *run, fence_token };
+            let body = StopBody {
+                task: task.to_string(),
+                run_id: *run,
+                fence_token,
+            };
             ("/-/run-stop", serde_json::to_vec(&body))
         }
-        WorkerOrder::Hold { deadline_ms, last_seen, wait_ms } => {
+        WorkerOrder::Hold {
+            deadline_ms,
+            last_seen,
+            wait_ms,
+        } => {
             let wait_ms = (*wait_ms > 0).then_some(*wait_ms);
-            let body = HoldBody { deadline_ms: *deadline_ms, fence_token, last_seen: *last_seen, wait_ms };
+            let body = HoldBody {
+                deadline_ms: *deadline_ms,
+                fence_token,
+                last_seen: *last_seen,
+                wait_ms,
+            };
             ("/-/hold", serde_json::to_vec(&body))
         }
     };
@@ -114,8 +137,14 @@
             WorkerOrder::Hold { .. } if answer.running.is_none() && answer.ended.is_none() => {
                 WorkerReply::Unanswered
             }
-            WorkerOrder::Hold { .. } => WorkerReply::Done { clock_ms, listing: Some(listing(&answer)) },
-            _ => WorkerReply::Done { clock_ms, listing: None },
+            WorkerOrder::Hold { .. } => WorkerReply::Done {
+                clock_ms,
+                listing: Some(listing(&answer)),
+            },
+            _ => WorkerReply::Done {
+                clock_ms,
+                listing: None,
+            },
         },
         409 => match answer.reason.as_deref().and_then(reason) {
             Some(reason) => WorkerReply::Refused { clock_ms, reason },
@@ -151,14 +180,36 @@
 }
 
 fn listing(answer: &Answer) -> Listing {
-    let running = answer.running.iter().flatten().filter_map(|(task, run, checkpoint, percent)| {
-        let task = TaskId::parse(task)?;
-        Some(ListedRun { task, run: *run, checkpoint: checkpoint.clone(), percent: *percent as u64 })
-    });
-    let ended = answer.ended.iter().flatten().filter_map(|(number, task, run, how, checkpoint)| {
-        let task = TaskId::parse(task)?;
-        let kind = end_kind(how);
-        Some(ListedEnd { number: *number, task, run: *run, kind, checkpoint: checkpoint.clone() })
-    });
-    Listing { running: running.collect(), ended: ended.collect() }
+    let running = answer
+        .running
+        .iter()
+        .flatten()
+        .filter_map(|(task, run, checkpoint, percent)| {
+            let task = TaskId::parse(task)?;
+            Some(ListedRun {
+                task,
+                run: *run,
+                checkpoint: checkpoint.clone(),
+                percent: *percent as u64,
+            })
+        });
+    let ended = answer
+        .ended
+        .iter()
+        .flatten()
+        .filter_map(|(number, task, run, how, checkpoint)| {
+            let task = TaskId::parse(task)?;
+            let kind = end_kind(how);
+            Some(ListedEnd {
+                number: *number,
+                task,
+                run: *run,
+                kind,
+                checkpoint: checkpoint.clone(),
+            })
+        });
+    Listing {
+        running: running.collect(),
+        ended: ended.collect(),
+    }
 }
--- a/system/magpiegap/src/coordinator/worker_connections.rs
+++ b/system/magpiegap/src/coordinator/worker_connections.rs
@@ -83,8 +83,15 @@
 impl WorkerConnections {
     /// No connections yet; of those not used, none are kept while more than `most_open` are open.
     pub fn new(most_open: usize) -> WorkerConnections {
-        let idle = IdleConnections { of_workers: HashMap::new(), next_search: Instant::now() + SEARCH_EVERY };
-        WorkerConnections { idle: Arc::new(Mutex::new(idle)), open: Arc::default(), most_open }
+        let idle = IdleConnections {
+            of_workers: HashMap::new(),
+            next_search: Instant::now() + SEARCH_EVERY,
+        };
+        WorkerConnections {
+            idle: Arc::new(Mutex::new(idle)),
+            open: Arc::default(),
+            most_open,
+        }
     }
 
     /// How many connections are open.
@@ -103,7 +110,9 @@
         timeout: Duration,
     ) -> Result<(StatusCode, Bytes), ConnectionError> {
         let until = Instant::now() + timeout;
-        timeout_at(until, self.exchange(to, request)).await.map_err(|_| ConnectionError::Timeout)?
+        timeout_at(until, self.exchange(to, request))
+            .await
+            .map_err(|_| ConnectionError::Timeout)?
     }
 
     async fn exchange(
@@ -133,7 +142,9 @@
         response: hyper::Response<hyper::body::Incoming>,
     ) -> Result<(StatusCode, Bytes), ConnectionError> {
         let status = response.status();
-        let body = Limited::new(response.into_body(), MOST_BODY).collect().await;
+        let body = Limited::new(response.into_body(), MOST_BODY)
+            .collect()
+            .await;
         let body = body.map_err(ConnectionError::Body)?.to_bytes();
         self.keep(from, sender);
         Ok((status, body))
@@ -160,14 +171,18 @@
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let of_worker = idle.of_workers.entry(from).or_default();
         if of_worker.len() < MOST_IDLE {
-            of_worker.push(Idle { sender, since: Instant::now() });
+            of_worker.push(Idle {
+                sender,
+                since: Instant::now(),
+            });
         }
     }
 
     async fn connect(&self, to: SocketAddr) -> Result<SendRequest<Full<Bytes>>, ConnectionError> {
         let until = Instant::now() + CONNECT_TIMEOUT;
-        let stream =
-            timeout_at(until, TcpStream::connect(to)).await.map_err(|_| ConnectionError::Timeout)??;
+        let stream = timeout_at(until, TcpStream::connect(to))
+            .await
+            .map_err(|_| ConnectionError::Timeout)??;
         stream.set_nodelay(true)?;
         socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
--- a/system/magpiegap/src/endpoint.rs
+++ b/system/magpiegap/src/endpoint.rs
@@ -43,7 +43,9 @@
     most: Duration,
 ) -> Result<CoordinatorAnswer, CallError> {
     let whole = call_while_bytes_come(client, address, request, most, most);
-    timeout(most, whole).await.unwrap_or(Err(CallError::Unanswered))
+    timeout(most, whole)
+        .await
+        .unwrap_or(Err(CallError::Unanswered))
 }
 
 /// Calls a coordinator or agent, and waits for its answer as long as bytes come: up to `first_byte` for the first, and up
@@ -60,14 +62,18 @@
 ) -> Result<CoordinatorAnswer, CallError> {
     let url = format!("http://{address}{REQUEST_PATH}");
     let sending = client.post(url).body(encode(request)).send();
-    let sent = timeout(first_byte, sending).await.map_err(|_| CallError::Unanswered)?;
+    let sent = timeout(first_byte, sending)
+        .await
+        .map_err(|_| CallError::Unanswered)?;
     let mut response = sent.map_err(|error| match error.is_connect() {
         true => CallError::NotSent,
         false => CallError::Unanswered,
     })?;
     let mut body = Vec::new();
     loop {
-        let chunk = timeout(silence, response.chunk()).await.map_err(|_| CallError::Unanswered)?;
+        let chunk = timeout(silence, response.chunk())
+            .await
+            .map_err(|_| CallError::Unanswered)?;
         match chunk.map_err(|_| CallError::Unanswered)? {
             Some(bytes) => body.extend_from_slice(&bytes),
             None => break,
--- a/system/magpiegap/src/logging.rs
+++ b/system/magpiegap/src/logging.rs
@@ -8,10 +8,17 @@
     let own = LogSpecification::parse(format!("error, magpiegap={level}"));
     let specification = own.unwrap_or_else(|_| LogSpecification::info());
     // Where there is no place to log to, the program works all the same.
-    let _ = Logger::with(specification).log_to_stderr().format(line).start();
+    let _ = Logger::with(specification)
+        .log_to_stderr()
+        .format(line)
+        .start();
     log::info!("{node} starts");
 }
 
-fn line(out: &mut dyn Write, _now: &mut DeferredNow, record: &Record) -> Result<(), std::io::Error> {
+fn line(
+    out: &mut dyn Write,
+    _now: &mut DeferredNow,
+    record: &Record,
+) -> Result<(), std::io::Error> {
     write!(out, "{} {}", record.level(), record.args())
 }
--- a/system/magpiegap/src/proxy/admission.rs
+++ b/system/magpiegap/src/proxy/admission.rs
@@ -3,8 +3,8 @@
 //! For each service one [`Balancer`] decides: a call is a job that is handed in, a tenant is the queue, and the
 //! upstream is the coordinator that schedules the service. What comes of a call teaches it how many it may admit.
 use balancer_core::{
-    Action, Availability, Balancer, Class, Ending, Event, Member, Membership, Refusal, Request, RequestId,
-    Settings, Tenant, UpstreamId,
+    Action, Availability, Balancer, Class, Ending, Event, Member, Membership, Refusal, Request,
+    RequestId, Settings, Tenant, UpstreamId,
 };
 use std::{
     collections::HashMap,
@@ -63,7 +63,10 @@
 impl Admission {
     /// Nothing is learned yet.
     pub fn new() -> Admission {
-        Admission { start: Instant::now(), gates: Mutex::new(HashMap::new()) }
+        Admission {
+            start: Instant::now(),
+            gates: Mutex::new(HashMap::new()),
+        }
     }
 
     fn now(&self) -> f64 {
@@ -89,19 +92,32 @@
         let since = Instant::now();
         let deadline = now + deadline.saturating_duration_since(since).as_secs_f64() * 1000.0;
         let mut gates = self.gates();
-        let gate = gates.entry(service.to_owned()).or_insert_with(|| Gate::new(now));
+        let gate = gates
+            .entry(service.to_owned())
+            .or_insert_with(|| Gate::new(now));
         let mut actions = Vec::new();
         gate.point_to(UpstreamId(scheduler), now, &mut actions);
         gate.next_request = gate.next_request.wrapping_add(1);
         let id = RequestId(gate.next_request);
         let tenant = gate.tenant(queue);
-        let request = Request { id, class: 0, tenant, deadline, tie: u64::from(id.0) };
-        gate.balancer.handle(now, Event::Request(request), &mut actions);
+        let request = Request {
+            id,
+            class: 0,
+            tenant,
+            deadline,
+            tie: u64::from(id.0),
+        };
+        gate.balancer
+            .handle(now, Event::Request(request), &mut actions);
         drop(gates);
         let mut refused = None;
         for action in actions {
             match action {
-                Action::Refuse { request, retry_after, reason } if request == id => {
+                Action::Refuse {
+                    request,
+                    retry_after,
+                    reason,
+                } if request == id => {
                     refused = Some((retry_after, reason));
                 }
                 other => self.act(service, other),
@@ -118,7 +134,9 @@
             }),
             Some((retry_after, _)) => {
                 let seconds = (retry_after / 1000.0).ceil().max(1.0);
-                Err(TurnedAway { retry_after_s: seconds as u32 })
+                Err(TurnedAway {
+                    retry_after_s: seconds as u32,
+                })
             }
         }
     }
@@ -155,7 +173,13 @@
                 late_worth: 0.3,
                 ..Class::default()
             }],
-            tenants: vec![Tenant { share: 1.0, quota_per_s: QUOTA_PER_S }; QUEUES],
+            tenants: vec![
+                Tenant {
+                    share: 1.0,
+                    quota_per_s: QUOTA_PER_S
+                };
+                QUEUES
+            ],
             // The call tries again itself: the same job may be handed in twice, and only it knows where to.
             attempts_cap: 1,
             max_retry_after: MAX_RETRY_AFTER_MS,
@@ -165,7 +189,12 @@
         let balancer = Balancer::new(settings, 1, now);
         let balancer = balancer.or_else(|_| Balancer::new(Settings::default(), 1, now));
         match balancer {
-            Ok(balancer) => Gate { balancer, queues: Vec::new(), upstream: None, next_request: 0 },
+            Ok(balancer) => Gate {
+                balancer,
+                queues: Vec::new(),
+                upstream: None,
+                next_request: 0,
+            },
             Err(error) => unreachable!("{error}"),
         }
     }
@@ -175,8 +204,16 @@
             return;
         }
         self.upstream = Some(upstream);
-        let member = Member { id: upstream, availability: Availability::Ready, ..Member::default() };
-        self.balancer.handle(now, Event::Membership(Membership::Full(vec![member])), actions);
+        let member = Member {
+            id: upstream,
+            availability: Availability::Ready,
+            ..Member::default()
+        };
+        self.balancer.handle(
+            now,
+            Event::Membership(Membership::Full(vec![member])),
+            actions,
+        );
     }
 
     fn tenant(&mut self, queue: &str) -> usize {
@@ -200,7 +237,13 @@
     fn report(&mut self, ending: Ending) {
         self.ended = true;
         let duration = self.since.elapsed().as_secs_f64() * 1000.0;
-        let event = Event::Outcome { request: self.request, attempt: 0, ending, duration, closed: true };
+        let event = Event::Outcome {
+            request: self.request,
+            attempt: 0,
+            ending,
+            duration,
+            closed: true,
+        };
         self.admission.tell(&self.service, event);
     }
 }
--- a/system/magpiegap/src/proxy/calls.rs
+++ b/system/magpiegap/src/proxy/calls.rs
@@ -53,7 +53,11 @@
 impl Calls {
     /// Calls by what is known.
     pub fn new(client: reqwest::Client, port: u16, knowledge: Arc<Knowledge>) -> Calls {
-        Calls { client, port, knowledge }
+        Calls {
+            client,
+            port,
+            knowledge,
+        }
     }
 
     async fn call(
@@ -69,7 +73,13 @@
 
     /// Waits until another coordinator schedules a service.
     async fn moved(&self, service: &str, holder: u32) {
-        self.knowledge.until(|known| known.scheduler(service).is_some_and(|other| other != holder)).await;
+        self.knowledge
+            .until(|known| {
+                known
+                    .scheduler(service)
+                    .is_some_and(|other| other != holder)
+            })
+            .await;
     }
 
     /// Hands a job in. The same job may be handed in again: it remains one.
@@ -96,14 +106,22 @@
             }
             let until = if offered { deadline } else { give_up };
             if Instant::now() + PAUSE >= until {
-                return if offered { Submitted::Unknown } else { Submitted::Refused };
+                return if offered {
+                    Submitted::Unknown
+                } else {
+                    Submitted::Refused
+                };
             }
             self.knowledge.news(&known, PAUSE).await;
         }
     }
 
     /// Asks the coordinators in turn, the one at the tail first, until one can answer.
-    pub async fn ask(&self, request: &CoordinatorRequest, deadline: Instant) -> Option<CoordinatorAnswer> {
+    pub async fn ask(
+        &self,
+        request: &CoordinatorRequest,
+        deadline: Instant,
+    ) -> Option<CoordinatorAnswer> {
         loop {
             let known: Arc<Known> = self.knowledge.now();
             for reader in known.readers() {
--- a/system/magpiegap/src/proxy/feed.rs
+++ b/system/magpiegap/src/proxy/feed.rs
@@ -45,7 +45,9 @@
 
     /// Names the scheduler of a service at this time: another one each time that the role passes on.
     pub fn scheduler_tag(&self, service: &str) -> u64 {
-        self.holder(service).map_or(0, |held| (u64::from(held.holder.member.address) << 24) ^ held.token)
+        self.holder(service).map_or(0, |held| {
+            (u64::from(held.holder.member.address) << 24) ^ held.token
+        })
     }
 
     /// The coordinators, the one that reads are answered by first.
@@ -62,7 +64,10 @@
 
 impl Default for Knowledge {
     fn default() -> Knowledge {
-        Knowledge { known: watch::Sender::new(Arc::new(Known::default())), ending: AtomicBool::new(false) }
+        Knowledge {
+            known: watch::Sender::new(Arc::new(Known::default())),
+            ending: AtomicBool::new(false),
+        }
     }
 }
 
@@ -121,7 +126,10 @@
         let is_newer = feed.supersedes(&known.feed);
         if is_newer {
             let configuration = known.configuration.clone();
-            self.known.send_replace(Arc::new(Known { feed, configuration }));
+            self.known.send_replace(Arc::new(Known {
+                feed,
+                configuration,
+            }));
         }
         is_newer
     }
@@ -129,17 +137,29 @@
     /// Takes up a configuration, unless it is older than the one in force.
     pub fn configure(&self, configuration: Arc<Configuration>) {
         let known = self.now();
-        if known.configuration.as_ref().is_some_and(|old| old.version >= configuration.version) {
+        if known
+            .configuration
+            .as_ref()
+            .is_some_and(|old| old.version >= configuration.version)
+        {
             return;
         }
         let feed = known.feed.clone();
-        self.known.send_replace(Arc::new(Known { feed, configuration: Some(configuration) }));
+        self.known.send_replace(Arc::new(Known {
+            feed,
+            configuration: Some(configuration),
+        }));
     }
 }
 
 /// Follows the agent's feed without end.
 pub async fn follow(client: reqwest::Client, agent: SocketAddr, knowledge: Arc<Knowledge>) {
-    let mut follower = Follower { client, agent, knowledge, receiver: ConfigurationReceiver::default() };
+    let mut follower = Follower {
+        client,
+        agent,
+        knowledge,
+        receiver: ConfigurationReceiver::default(),
+    };
     loop {
         if follower.step().await.is_none() {
             tokio::time::sleep(PAUSE).await;
@@ -170,7 +190,9 @@
         };
         let patience = Duration::from_millis(WAIT_MS) + SILENCE;
         let answer = self.call(&CoordinatorRequest::Poll(poll), patience).await?;
-        let CoordinatorAnswer::Feed(mut feed) = answer else { return None };
+        let CoordinatorAnswer::Feed(mut feed) = answer else {
+            return None;
+        };
         if feed.revision == known.feed.revision {
             return Some(());
         }
@@ -206,7 +228,13 @@
         }
     }
 
-    async fn call(&self, request: &CoordinatorRequest, first_byte: Duration) -> Option<CoordinatorAnswer> {
-        endpoint::call_while_bytes_come(&self.client, self.agent, request, first_byte, SILENCE).await.ok()
+    async fn call(
+        &self,
+        request: &CoordinatorRequest,
+        first_byte: Duration,
+    ) -> Option<CoordinatorAnswer> {
+        endpoint::call_while_bytes_come(&self.client, self.agent, request, first_byte, SILENCE)
+            .await
+            .ok()
     }
 }
--- a/system/magpiegap/src/proxy/frontend.rs
+++ b/system/magpiegap/src/proxy/frontend.rs
@@ -6,9 +6,9 @@
     job_body,
 };
 use crate::serving::read_body;
+use balancer_core::Ending;
 use magpiegap_jobs::{Configuration, Route};
 use magpiegap_protocol::{CoordinatorAnswer, CoordinatorRequest, JobId, Submission};
-use balancer_core::Ending;
 use rocket::{
     data::Data,
     http::{ContentType, Header, Method, Status},
@@ -40,20 +40,36 @@
 
 impl Reply {
     fn status(status: Status) -> Reply {
-        Reply { status, body: String::new(), retry_after: None }
+        Reply {
+            status,
+            body: String::new(),
+            retry_after: None,
+        }
     }
 
     fn json(body: String) -> Reply {
-        Reply { status: Status::Ok, body, retry_after: None }
+        Reply {
+            status: Status::Ok,
+            body,
+            retry_after: None,
+        }
     }
 
     fn refused(status: Status) -> Reply {
-        Reply { status, body: String::new(), retry_after: Some(RETRY_AFTER_S) }
+        Reply {
+            status,
+            body: String::new(),
+            retry_after: Some(RETRY_AFTER_S),
+        }
     }
 
     fn turned_away(turned_away: TurnedAway) -> Reply {
         let retry_after = Some(turned_away.retry_after_s);
-        Reply { status: Status::TooManyRequests, body: String::new(), retry_after }
+        Reply {
+            status: Status::TooManyRequests,
+            body: String::new(),
+            retry_after,
+        }
     }
 }
 
@@ -68,7 +84,11 @@
 impl FrontendHandler {
     /// A handler that goes by what is known.
     pub fn new(calls: Calls, knowledge: Arc<Knowledge>) -> FrontendHandler {
-        FrontendHandler { calls, knowledge, admission: Arc::new(Admission::new()) }
+        FrontendHandler {
+            calls,
+            knowledge,
+            admission: Arc::new(Admission::new()),
+        }
     }
 
     async fn answer(&self, request: &Request<'_>, data: Data<'_>) -> Reply {
@@ -77,15 +97,22 @@
         let Some(configuration) = &known.configuration else {
             return Reply::refused(Status::ServiceUnavailable);
         };
-        let host = request.host().map(|host| host.domain().as_str().to_owned()).unwrap_or_default();
+        let host = request
+            .host()
+            .map(|host| host.domain().as_str().to_owned())
+            .unwrap_or_default();
         let path = request.uri().path().as_str();
-        let Some(route) = configuration.route(&host, path) else { return Reply::status(Status::NotFound) };
+        let Some(route) = configuration.route(&host, path) else {
+            return Reply::status(Status::NotFound);
+        };
         let deadline = deadline(request, route, arrived);
         let name = &path[route.path_prefix.len()..];
         match (request.method(), JobId::parse(name)) {
             (Method::Get, None) if name.is_empty() => self.count(route, deadline).await,
             (_, None) => Reply::status(Status::NotFound),
-            (Method::Post, Some(job)) => self.submit(configuration, route, job, data, deadline).await,
+            (Method::Post, Some(job)) => {
+                self.submit(configuration, route, job, data, deadline).await
+            }
             (Method::Get, Some(job)) => self.state(route, job, deadline).await,
             (Method::Delete, Some(job)) => self.cancel(route, job, deadline).await,
             _ => Reply::status(Status::MethodNotAllowed),
@@ -106,7 +133,12 @@
         };
         let spec = match job_body::read(&body) {
             Ok(spec) => spec,
-            Err(error) => return Reply { body: error.to_string(), ..Reply::status(Status::BadRequest) },
+            Err(error) => {
+                return Reply {
+                    body: error.to_string(),
+                    ..Reply::status(Status::BadRequest)
+                }
+            }
         };
         let submission = Submission {
             job,
@@ -120,10 +152,14 @@
             spec,
         };
         let scheduler = self.knowledge.now().scheduler_tag(&route.service);
-        let admitted = match self.admission.admit(&route.service, &submission.queue, scheduler, deadline) {
-            Ok(admitted) => admitted,
-            Err(turned_away) => return Reply::turned_away(turned_away),
-        };
+        let admitted =
+            match self
+                .admission
+                .admit(&route.service, &submission.queue, scheduler, deadline)
+            {
+                Ok(admitted) => admitted,
+                Err(turned_away) => return Reply::turned_away(turned_away),
+            };
         let submitted = self.calls.submit(submission, deadline).await;
         admitted.end(ending(submitted));
         match submitted {
@@ -135,7 +171,10 @@
     }
 
     async fn state(&self, route: &Route, job: JobId, deadline: Instant) -> Reply {
-        let request = CoordinatorRequest::Status { queue: route.queue(), job };
+        let request = CoordinatorRequest::Status {
+            queue: route.queue(),
+            job,
+        };
         match self.calls.ask(&request, deadline).await {
             Some(CoordinatorAnswer::Phase(phase)) => {
                 Reply::json(format!("{{\"state\":\"{}\"}}", phase.word()))
@@ -146,7 +185,10 @@
     }
 
     async fn cancel(&self, route: &Route, job: JobId, deadline: Instant) -> Reply {
-        let request = CoordinatorRequest::Cancel { queue: route.queue(), job };
+        let request = CoordinatorRequest::Cancel {
+            queue: route.queue(),
+            job,
+        };
         match self.calls.ask(&request, deadline).await {
             Some(CoordinatorAnswer::Accepted) => Reply::status(Status::Ok),
             Some(CoordinatorAnswer::NoSuchJob) => Reply::status(Status::Gone),
@@ -155,9 +197,13 @@
     }
 
     async fn count(&self, route: &Route, deadline: Instant) -> Reply {
-        let request = CoordinatorRequest::Count { queue: route.queue() };
+        let request = CoordinatorRequest::Count {
+            queue: route.queue(),
+        };
         match self.calls.ask(&request, deadline).await {
-            Some(CoordinatorAnswer::Count(count)) => Reply::json(format!("{{\"pending\":{count}}}")),
+            Some(CoordinatorAnswer::Count(count)) => {
+                Reply::json(format!("{{\"pending\":{count}}}"))
+            }
             _ => Reply::status(Status::GatewayTimeout),
         }
     }
@@ -175,7 +221,10 @@
 
 /// When the answer must be on its way: before the client gives up and the route's time is over.
 fn deadline(request: &Request<'_>, route: &Route, arrived: Instant) -> Instant {
-    let asked = request.headers().get_one("Deadline-Ms").and_then(|text| text.trim().parse::<u64>().ok());
+    let asked = request
+        .headers()
+        .get_one("Deadline-Ms")
+        .and_then(|text| text.trim().parse::<u64>().ok());
     let most = asked.unwrap_or(route.timeout_ms).min(route.timeout_ms);
     arrived + Duration::from_millis(most).saturating_sub(ANSWER_BEFORE)
 }
--- a/system/magpiegap/src/proxy/job_body.rs
+++ b/system/magpiegap/src/proxy/job_body.rs
@@ -30,7 +30,10 @@
             Labels::Several(labels) => labels,
             Labels::None => Vec::new(),
         };
-        labels.into_iter().filter(|label| !label.is_empty()).collect()
+        labels
+            .into_iter()
+            .filter(|label| !label.is_empty())
+            .collect()
     }
 }
 
@@ -81,7 +84,8 @@
     let schedule = body.schedule;
     let spec = JobSpec {
         spec: body.spec,
-        long_running: schedule.long_running || body.steps.iter().any(|step| step.schedule.long_running),
+        long_running: schedule.long_running
+            || body.steps.iter().any(|step| step.schedule.long_running),
         repeat_count: schedule.repeat_count,
         start_at_ms: whole(schedule.start_at_ms),
         interval_ms: whole(schedule.interval_ms),
@@ -98,7 +102,11 @@
 fn step(step: Step) -> StepSpec {
     StepSpec {
         count: step.count,
-        resources: Resources { cpu: whole(step.cpu), memory_mb: whole(step.mem_mb), gpu: whole(step.gpu) },
+        resources: Resources {
+            cpu: whole(step.cpu),
+            memory_mb: whole(step.mem_mb),
+            gpu: whole(step.gpu),
+        },
         estimated_ms: whole(step.estimated_ms),
         depends_on: step.depends_on,
         checkpoints: step.checkpoints,
--- a/system/magpiegap/src/proxy/mod.rs
+++ b/system/magpiegap/src/proxy/mod.rs
@@ -30,7 +30,11 @@
     let mut signals = Signals::heed()?;
     let knowledge = Arc::new(Knowledge::new());
     let client = endpoint::client();
-    let follow = tokio::spawn(feed::follow(client.clone(), settings.agent_address(), knowledge.clone()));
+    let follow = tokio::spawn(feed::follow(
+        client.clone(),
+        settings.agent_address(),
+        knowledge.clone(),
+    ));
     let readiness = start_readiness(&settings, knowledge.clone()).await?;
     let frontend = start_frontend(&settings, client, knowledge.clone()).await?;
     loop {
@@ -57,10 +61,18 @@
     settings: &NodeSettings,
     knowledge: Arc<Knowledge>,
 ) -> Result<Option<serving::Running>, ProgramError> {
-    let Some(address) = settings.listen.readiness else { return Ok(None) };
-    let server = ServerSettings { address, keep_alive_s: 60, grace_s: 1 };
+    let Some(address) = settings.listen.readiness else {
+        return Ok(None);
+    };
+    let server = ServerSettings {
+        address,
+        keep_alive_s: 60,
+        grace_s: 1,
+    };
     let handler = readiness::ReadinessHandler::new(knowledge);
-    serving::start(serving::server(server, &[Method::Get], handler)).await.map(Some)
+    serving::start(serving::server(server, &[Method::Get], handler))
+        .await
+        .map(Some)
 }
 
 async fn start_frontend(
@@ -68,10 +80,25 @@
     client: reqwest::Client,
     knowledge: Arc<Knowledge>,
 ) -> Result<Option<serving::Running>, ProgramError> {
-    let Some(address) = settings.listen.frontend else { return Ok(None) };
-    let server = ServerSettings { address, keep_alive_s: 60, grace_s: FINISH_S };
+    let Some(address) = settings.listen.frontend else {
+        return Ok(None);
+    };
+    let server = ServerSettings {
+        address,
+        keep_alive_s: 60,
+        grace_s: FINISH_S,
+    };
     let calls = calls::Calls::new(client, settings.request_port(), knowledge.clone());
     let handler = frontend::FrontendHandler::new(calls, knowledge);
-    let methods = [Method::Get, Method::Post, Method::Delete, Method::Put, Method::Head, Method::Patch];
-    serving::start(serving::server(server, &methods, handler)).await.map(Some)
+    let methods = [
+        Method::Get,
+        Method::Post,
+        Method::Delete,
+        Method::Put,
+        Method::Head,
+        Method::Patch,
+    ];
+    serving::start(serving::server(server, &methods, handler))
+        .await
+        .map(Some)
 }
--- a/system/magpiegap/src/serving.rs
+++ b/system/magpiegap/src/serving.rs
@@ -22,7 +22,11 @@
 }
 
 /// A server in which one handler gets every request with one of the methods.
-pub fn server(settings: ServerSettings, methods: &[Method], handler: impl Handler + Clone) -> Rocket<Build> {
+pub fn server(
+    settings: ServerSettings,
+    methods: &[Method],
+    handler: impl Handler + Clone,
+) -> Rocket<Build> {
     let config = Config {
         address: settings.address.ip(),
         port: settings.address.port(),
@@ -42,7 +46,9 @@
     };
     let route = |method: &Method| Route::new(*method, "/<path..>", handler.clone());
     let routes: Vec<Route> = methods.iter().map(route).collect();
-    rocket::custom(config).attach(Shield::new()).mount("/", routes)
+    rocket::custom(config)
+        .attach(Shield::new())
+        .mount("/", routes)
 }
 
 /// Starts a server beside the caller's work.
@@ -50,8 +56,10 @@
 /// # Errors
 /// When it can't listen.
 pub async fn start(server: Rocket<Build>) -> Result<Running, ProgramError> {
-    let ready =
-        server.ignite().await.map_err(|error| ProgramError::Server(error.pretty_print().to_string()))?;
+    let ready = server
+        .ignite()
+        .await
+        .map_err(|error| ProgramError::Server(error.pretty_print().to_string()))?;
     let shutdown = ready.shutdown();
     let task = tokio::spawn(async move {
         match ready.launch().await {
@@ -87,7 +95,11 @@
 /// The status to answer with: too long, or broken off.
 pub async fn read_body(data: Data<'_>, most: u64) -> Result<Vec<u8>, Status> {
     let limit: ByteUnit = most.saturating_add(1).bytes();
-    let body = data.open(limit).into_bytes().await.map_err(|_| Status::BadRequest)?;
+    let body = data
+        .open(limit)
+        .into_bytes()
+        .await
+        .map_err(|_| Status::BadRequest)?;
     if body.len() as u64 > most {
         return Err(Status::PayloadTooLarge);
     }
--- a/system/magpiegap/src/settings.rs
+++ b/system/magpiegap/src/settings.rs
@@ -57,7 +57,11 @@
 impl FieldFault {
     /// The fault as an error of that file.
     pub(crate) fn in_file(self, file: &Path) -> SettingsError {
-        SettingsError::Field { file: file.to_owned(), field: self.field, must: self.must }
+        SettingsError::Field {
+            file: file.to_owned(),
+            field: self.field,
+            must: self.must,
+        }
     }
 }
 
@@ -87,14 +91,26 @@
 
 impl From<FaultTolerance> for Tolerance {
     fn from(settings: FaultTolerance) -> Tolerance {
-        let FaultTolerance { machines, zones, regions } = settings;
-        Tolerance { machines, zones, regions }
+        let FaultTolerance {
+            machines,
+            zones,
+            regions,
+        } = settings;
+        Tolerance {
+            machines,
+            zones,
+            regions,
+        }
     }
 }
 
 impl Default for FaultTolerance {
     fn default() -> Self {
-        FaultTolerance { machines: 1, zones: 0, regions: 0 }
+        FaultTolerance {
+            machines: 1,
+            zones: 0,
+            regions: 0,
+        }
     }
 }
 
@@ -237,12 +253,14 @@
             file: file.to_owned(),
             problem: error.to_string().trim().replace('\n', " "),
         };
-        let text = std::fs::read_to_string(file)
-            .map_err(|source| SettingsError::Unreadable { file: file.to_owned(), source })?;
+        let text = std::fs::read_to_string(file).map_err(|source| SettingsError::Unreadable {
+            file: file.to_owned(),
+            source,
+        })?;
         let source = toml::Deserializer::parse(&text).map_err(malformed)?;
         let mut unused = Vec::new();
-        let settings =
-            serde_ignored::deserialize(source, |path| unused.push(path.to_string())).map_err(malformed)?;
+        let settings = serde_ignored::deserialize(source, |path| unused.push(path.to_string()))
+            .map_err(malformed)?;
         Ok((settings, unused))
     }
 
@@ -253,25 +271,62 @@
         let bounds = &self.bounds;
         let tolerance = self.fault_tolerance;
         let checks = [
-            (first > 0 && last >= first.saturating_add(2), "internalPortRange", "at least three ports"),
-            (time(bounds.max_hold_ms) && bounds.max_hold_ms >= 500.0, "bounds.maxHoldMs", "at least 500"),
-            (time(bounds.stop_ms), "bounds.stop_ms", "a time of at least 0"),
-            (time(bounds.gang_ms), "bounds.gang_ms", "a time of at least 0"),
-            (time(bounds.grace_s), "bounds.graceS", "a time of at least 0"),
-            (time(bounds.status_s), "bounds.status_s", "a time of at least 0"),
+            (
+                first > 0 && last >= first.saturating_add(2),
+                "internalPortRange",
+                "at least three ports",
+            ),
+            (
+                time(bounds.max_hold_ms) && bounds.max_hold_ms >= 500.0,
+                "bounds.maxHoldMs",
+                "at least 500",
+            ),
+            (
+                time(bounds.stop_ms),
+                "bounds.stop_ms",
+                "a time of at least 0",
+            ),
+            (
+                time(bounds.gang_ms),
+                "bounds.gang_ms",
+                "a time of at least 0",
+            ),
+            (
+                time(bounds.grace_s),
+                "bounds.graceS",
+                "a time of at least 0",
+            ),
+            (
+                time(bounds.status_s),
+                "bounds.status_s",
+                "a time of at least 0",
+            ),
             (time(bounds.far_x), "bounds.far_x", "a number of at least 0"),
-            (tolerance.machines <= 8, "faultTolerance.machines", "at most 8"),
+            (
+                tolerance.machines <= 8,
+                "faultTolerance.machines",
+                "at most 8",
+            ),
             (tolerance.zones <= 4, "faultTolerance.zones", "at most 4"),
-            (tolerance.regions <= 4, "faultTolerance.regions", "at most 4"),
+            (
+                tolerance.regions <= 4,
+                "faultTolerance.regions",
+                "at most 4",
+            ),
         ];
         let faulty = checks.into_iter().filter(|(fine, ..)| !fine);
-        faulty.map(|(_, field, must)| FieldFault { field, must }).collect()
+        faulty
+            .map(|(_, field, must)| FieldFault { field, must })
+            .collect()
     }
 
     /// Where the machine stands. Its region is the one that the table of zones names.
     pub fn location(&self) -> Location {
         let region = self.zones.get(&self.zone).map_or("", String::as_str);
-        Location { zone: PlaceId::of(&self.zone), region: PlaceId::of(region) }
+        Location {
+            zone: PlaceId::of(&self.zone),
+            region: PlaceId::of(region),
+        }
     }
 
     /// Where coordinators listen for each other.
@@ -287,7 +342,11 @@
     /// Where the agent listens for the proxy beside it.
     pub fn agent_address(&self) -> SocketAddr {
         // Machines that are all on this host, each with a loopback address of its own, must not share one port.
-        let ip = if self.ip.is_loopback() { self.ip } else { Ipv4Addr::LOCALHOST };
+        let ip = if self.ip.is_loopback() {
+            self.ip
+        } else {
+            Ipv4Addr::LOCALHOST
+        };
         SocketAddr::new(IpAddr::V4(ip), self.internal_port_range.0 + 2)
     }
 
--- a/system/magpiegap/src/settings_check.rs
+++ b/system/magpiegap/src/settings_check.rs
@@ -45,7 +45,11 @@
 
 impl fmt::Display for SettingsReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let verdict = if self.is_fine() { "fine" } else { "can't be used" };
+        let verdict = if self.is_fine() {
+            "fine"
+        } else {
+            "can't be used"
+        };
         write!(f, "{verdict}: {} on {}", self.role, self.node_name)?;
         for FieldFault { field, must } in &self.faults {
             write!(f, "\nfault: {field} must be {must}")?;
@@ -73,7 +77,10 @@
         warnings.push("seeds is empty: other coordinators have to find this one".to_owned());
     }
     if !settings.zones.is_empty() && !settings.zones.contains_key(&settings.zone) {
-        warnings.push(format!("zone {:?} is not in the table of zones", settings.zone));
+        warnings.push(format!(
+            "zone {:?} is not in the table of zones",
+            settings.zone
+        ));
     }
     warnings
 }
--- a/system/magpiegap/src/signals.rs
+++ b/system/magpiegap/src/signals.rs
@@ -16,7 +16,15 @@
     /// # Errors
     /// When the system refuses.
     pub fn heed() -> Result<Signals, ProgramError> {
-        let open = |kind| signal(kind).map_err(|source| ProgramError::System { what: "signals", source });
-        Ok(Signals { terminate: open(SignalKind::terminate())?, hangup: open(SignalKind::hangup())? })
+        let open = |kind| {
+            signal(kind).map_err(|source| ProgramError::System {
+                what: "signals",
+                source,
+            })
+        };
+        Ok(Signals {
+            terminate: open(SignalKind::terminate())?,
+            hangup: open(SignalKind::hangup())?,
+        })
     }
 }
--- a/system/magpiegap/src/state_on_disk.rs
+++ b/system/magpiegap/src/state_on_disk.rs
@@ -47,13 +47,20 @@
         if !folder.join("slot-0").exists() && !folder.join("slot-1").exists() {
             return Err(ProgramError::NoState(folder.to_owned()));
         }
-        let directory = FolderDirectory::new(folder)
-            .map_err(|source| ProgramError::System { what: "the state's folder", source })?;
+        let directory = FolderDirectory::new(folder).map_err(|source| ProgramError::System {
+            what: "the state's folder",
+            source,
+        })?;
         let (_, recovered) = Store::open(directory)?;
         let records = recovered.records.len();
-        let snapshot = Snapshot::recover(recovered.snapshot.unwrap_or_default(), &recovered.records)?;
+        let snapshot =
+            Snapshot::recover(recovered.snapshot.unwrap_or_default(), &recovered.records)?;
         let mut state = Machine::recover(&snapshot)?.state;
-        for entry in snapshot.entries.iter().filter(|entry| entry.position.index <= snapshot.committed) {
+        for entry in snapshot
+            .entries
+            .iter()
+            .filter(|entry| entry.position.index <= snapshot.committed)
+        {
             state.apply(entry);
         }
         Ok(StateOnDisk::of(&snapshot, &state, records))
@@ -66,21 +73,38 @@
             let of_queue = jobs.entry(job.submission.queue.clone()).or_default();
             *of_queue.entry(job.phase.word().to_owned()).or_default() += 1;
         }
-        let runs = state.workers.iter().filter(|(_, worker)| !worker.runs.is_empty());
+        let runs = state
+            .workers
+            .iter()
+            .filter(|(_, worker)| !worker.runs.is_empty());
         StateOnDisk {
             disk: format!("{:016x}", snapshot.disk),
             view: view.number,
-            chain: view.chain.iter().map(|replica| replica.member.to_string()).collect(),
+            chain: view
+                .chain
+                .iter()
+                .map(|replica| replica.member.to_string())
+                .collect(),
             voters: view.voters.iter().map(ToString::to_string).collect(),
             complete_up_to_view: snapshot.synchronized,
             records,
             applied_entry: state.position.index,
-            entries_after: snapshot.entries.iter().filter(|entry| entry.position > state.position).count(),
+            entries_after: snapshot
+                .entries
+                .iter()
+                .filter(|entry| entry.position > state.position)
+                .count(),
             configuration: state.configuration.version,
             roles: RoleDescription::all(state),
             jobs,
-            runs: runs.map(|(instance, worker)| (instance.clone(), worker.runs.len())).collect(),
-            contradictions: state.inconsistencies().iter().map(Inconsistency::to_string).collect(),
+            runs: runs
+                .map(|(instance, worker)| (instance.clone(), worker.runs.len()))
+                .collect(),
+            contradictions: state
+                .inconsistencies()
+                .iter()
+                .map(Inconsistency::to_string)
+                .collect(),
         }
     }
 
@@ -105,7 +129,12 @@
 impl fmt::Display for StateOnDisk {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "disk           {}", self.disk)?;
-        writeln!(f, "view           {}: chain {}", self.view, self.chain.join(" > "))?;
+        writeln!(
+            f,
+            "view           {}: chain {}",
+            self.view,
+            self.chain.join(" > ")
+        )?;
         writeln!(f, "voters         {}", self.voters.join(", "))?;
         match self.complete_up_to_view {
             Some(view) => writeln!(f, "complete       up to view {view}")?,
@@ -116,13 +145,23 @@
             "state          up to entry {}, configuration {}",
             self.applied_entry, self.configuration
         )?;
-        writeln!(f, "log            {} records, {} entries after it", self.records, self.entries_after)?;
+        writeln!(
+            f,
+            "log            {} records, {} entries after it",
+            self.records, self.entries_after
+        )?;
         for role in &self.roles {
-            writeln!(f, "role           {} held by {} with token {}", role.role, role.holder, role.token)?;
+            writeln!(
+                f,
+                "role           {} held by {} with token {}",
+                role.role, role.holder, role.token
+            )?;
         }
         for (queue, states) in &self.jobs {
-            let counts: Vec<String> =
-                states.iter().map(|(state, count)| format!("{count} {state}")).collect();
+            let counts: Vec<String> = states
+                .iter()
+                .map(|(state, count)| format!("{count} {state}"))
+                .collect();
             writeln!(f, "queue          {queue}: {}", counts.join(", "))?;
         }
         for (instance, runs) in &self.runs {
--- a/system/magpiegap/src/tables.rs
+++ b/system/magpiegap/src/tables.rs
@@ -5,13 +5,22 @@
 /// Writes rows in columns as wide as their longest fields.
 fn columns(rows: &[Vec<String>]) -> String {
     let count = rows.iter().map(Vec::len).max().unwrap_or(0);
-    let width =
-        |column: usize| rows.iter().filter_map(|row| row.get(column)).map(|cell| cell.chars().count()).max();
-    let widths: Vec<usize> = (0..count).map(|column| width(column).unwrap_or(0)).collect();
+    let width = |column: usize| {
+        rows.iter()
+            .filter_map(|row| row.get(column))
+            .map(|cell| cell.chars().count())
+            .max()
+    };
+    let widths: Vec<usize> = (0..count)
+        .map(|column| width(column).unwrap_or(0))
+        .collect();
     let mut text = String::new();
     for row in rows {
-        let cells: Vec<String> =
-            row.iter().zip(&widths).map(|(cell, width)| format!("{cell:<width$}")).collect();
+        let cells: Vec<String> = row
+            .iter()
+            .zip(&widths)
+            .map(|(cell, width)| format!("{cell:<width$}"))
+            .collect();
         text.push_str(cells.join("  ").trim_end());
         text.push('\n');
     }
@@ -24,11 +33,19 @@
 
 /// A list of jobs.
 pub fn jobs(list: &JobList) -> String {
-    let mut rows = vec![row(&["JOB", "STATE", "PRIORITY", "DONE", "RUNNING", "QUEUE"])];
+    let mut rows = vec![row(&[
+        "JOB", "STATE", "PRIORITY", "DONE", "RUNNING", "QUEUE",
+    ])];
     for job in &list.jobs {
-        let done = if job.tasks == 0 { "-".to_owned() } else { format!("{}/{}", job.done, job.tasks) };
+        let done = if job.tasks == 0 {
+            "-".to_owned()
+        } else {
+            format!("{}/{}", job.done, job.tasks)
+        };
         let (priority, running) = (job.priority.to_string(), job.running.to_string());
-        rows.push(row(&[&job.job, &job.state, &priority, &done, &running, &job.queue]));
+        rows.push(row(&[
+            &job.job, &job.state, &priority, &done, &running, &job.queue,
+        ]));
     }
     let mut text = columns(&rows);
     if let Some(next) = &list.next {
@@ -39,19 +56,32 @@
 
 /// The state of the cluster.
 pub fn cluster(cluster: &ClusterDescription) -> String {
-    let at_work = if cluster.active { "at work" } else { "not in the chain" };
+    let at_work = if cluster.active {
+        "at work"
+    } else {
+        "not in the chain"
+    };
     let mut rows = vec![
-        row(&["view", &format!("{}: chain {}", cluster.view, cluster.chain.join(" > "))]),
+        row(&[
+            "view",
+            &format!("{}: chain {}", cluster.view, cluster.chain.join(" > ")),
+        ]),
         row(&["voters", &cluster.voters.to_string()]),
         row(&["this one", at_work]),
         row(&["committed", &format!("entry {}", cluster.committed)]),
         row(&["configuration", &cluster.configuration.to_string()]),
-        row(&["jobs", &format!("{} open, {} kept", cluster.open_jobs, cluster.jobs)]),
+        row(&[
+            "jobs",
+            &format!("{} open, {} kept", cluster.open_jobs, cluster.jobs),
+        ]),
     ];
     for role in &cluster.roles {
         rows.push(row(&[
             "role",
-            &format!("{} held by {} with token {}", role.role, role.holder, role.token),
+            &format!(
+                "{} held by {} with token {}",
+                role.role, role.holder, role.token
+            ),
         ]));
     }
     for SchedulerDescription { service, summary } in &cluster.schedulers {
--- a/system/magpiegap/tests/command_line.rs
+++ b/system/magpiegap/tests/command_line.rs
@@ -18,32 +18,86 @@
     expect_that!(accepts(&["proxy"]), eq(true));
     expect_that!(accepts(&["agent", "--settings", "a.toml"]), eq(true));
     expect_that!(accepts(&["coordinator"]), eq(true));
-    expect_that!(accepts(&["settings", "check", "--settings", "a.toml"]), eq(true));
+    expect_that!(
+        accepts(&["settings", "check", "--settings", "a.toml"]),
+        eq(true)
+    );
     expect_that!(accepts(&["config", "check", "c.json"]), eq(true));
-    expect_that!(accepts(&["config", "apply", "--at", "127.0.0.1:1", "--base", "0", "c.json"]), eq(true));
-    expect_that!(accepts(&["config", "describe", "--at", "127.0.0.1:1"]), eq(true));
-    expect_that!(accepts(&["cluster", "status", "--at", "127.0.0.1:1"]), eq(true));
-    expect_that!(accepts(&["cluster", "explain", "--at", "127.0.0.1:1", "5c0e7a21d94b36f8"]), eq(true));
-    expect_that!(accepts(&["cluster", "status", "--json", "--at", "127.0.0.1:1"]), eq(true));
+    expect_that!(
+        accepts(&[
+            "config",
+            "apply",
+            "--at",
+            "127.0.0.1:1",
+            "--base",
+            "0",
+            "c.json"
+        ]),
+        eq(true)
+    );
+    expect_that!(
+        accepts(&["config", "describe", "--at", "127.0.0.1:1"]),
+        eq(true)
+    );
+    expect_that!(
+        accepts(&["cluster", "status", "--at", "127.0.0.1:1"]),
+        eq(true)
+    );
+    expect_that!(
+        accepts(&[
+            "cluster",
+            "explain",
+            "--at",
+            "127.0.0.1:1",
+            "5c0e7a21d94b36f8"
+        ]),
+        eq(true)
+    );
+    expect_that!(
+        accepts(&["cluster", "status", "--json", "--at", "127.0.0.1:1"]),
+        eq(true)
+    );
     expect_that!(accepts(&["state", "check", "/data"]), eq(true));
     expect_that!(accepts(&["state", "show", "--json", "/data"]), eq(true));
     expect_that!(accepts(&["job", "list", "--at", "127.0.0.1:1"]), eq(true));
-    let filter = ["--queue", "h/q/", "--state", "running", "--after", "5c0e7a21d94b36f8", "--limit", "5"];
+    let filter = [
+        "--queue",
+        "h/q/",
+        "--state",
+        "running",
+        "--after",
+        "5c0e7a21d94b36f8",
+        "--limit",
+        "5",
+    ];
     expect_that!(
-        accepts(&[&["job", "list", "--json", "--at", "127.0.0.1:1"][..], &filter[..]].concat()),
+        accepts(
+            &[
+                &["job", "list", "--json", "--at", "127.0.0.1:1"][..],
+                &filter[..]
+            ]
+            .concat()
+        ),
         eq(true)
     );
     let job = ["--at", "127.0.0.1:1", "--host", "h", "/q/5c0e7a21d94b36f8"];
     for verb in ["status", "cancel", "count"] {
         expect_that!(accepts(&[&["job", verb][..], &job[..]].concat()), eq(true));
     }
-    expect_that!(accepts(&[&["job", "submit", "--file", "j.json"][..], &job[..]].concat()), eq(true));
+    expect_that!(
+        accepts(&[&["job", "submit", "--file", "j.json"][..], &job[..]].concat()),
+        eq(true)
+    );
 }
 
 #[googletest::test]
 fn given_a_wrong_call_when_it_is_read_then_it_is_refused() {
-    for words in [&["dance"][..], &["config"], &["cluster", "status", "--at", "nowhere"], &["job", "status"]]
-    {
+    for words in [
+        &["dance"][..],
+        &["config"],
+        &["cluster", "status", "--at", "nowhere"],
+        &["job", "status"],
+    ] {
         expect_that!(accepts(words), eq(false));
     }
 }
@@ -51,9 +105,20 @@
 #[googletest::test]
 fn given_a_configuration_file_when_it_is_checked_then_its_content_or_fault_is_told() {
     let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("configuration.json");
-    std::fs::write(&file, r#"{"version":3,"routes":[],"services":[{"name":"s"}]}"#).unwrap();
-    expect_that!(check_configuration(&file).unwrap(), eq("version 3: 0 routes, 1 services"));
-    std::fs::write(&file, r#"{"version":3,"routes":[{"name":"r"}],"services":[]}"#).unwrap();
+    std::fs::write(
+        &file,
+        r#"{"version":3,"routes":[],"services":[{"name":"s"}]}"#,
+    )
+    .unwrap();
+    expect_that!(
+        check_configuration(&file).unwrap(),
+        eq("version 3: 0 routes, 1 services")
+    );
+    std::fs::write(
+        &file,
+        r#"{"version":3,"routes":[{"name":"r"}],"services":[]}"#,
+    )
+    .unwrap();
     let fault = check_configuration(&file).unwrap_err().to_string();
     expect_that!(fault, contains_substring("routes[0].timeoutMs"));
 }
@@ -61,7 +126,10 @@
 #[googletest::test]
 fn given_a_folder_without_state_when_it_is_looked_at_then_that_is_said_and_nothing_is_made() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("no-state-here");
-    expect_that!(StateOnDisk::read(&folder).unwrap_err().to_string(), ends_with("no state of a coordinator"));
+    expect_that!(
+        StateOnDisk::read(&folder).unwrap_err().to_string(),
+        ends_with("no state of a coordinator")
+    );
     expect_that!(folder.exists(), eq(false));
 }
 
@@ -70,34 +138,62 @@
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
-    let member = Member { address: 0x0a01_000f, disk: 0 };
+    let member = Member {
+        address: 0x0a01_000f,
+        disk: 0,
+    };
     let snapshot = Snapshot::empty(0, Some(0), vec![member], freeze(state));
     let (mut store, _) = Store::open(FolderDirectory::new(&folder).unwrap()).unwrap();
     store.checkpoint(snapshot.parts()).unwrap();
     let holder = Replica { member, boot: 1 };
-    let claim = Command::ClaimRole { role: Role::PlatformReader, holder, expected: 0 };
+    let claim = Command::ClaimRole {
+        role: Role::PlatformReader,
+        holder,
+        expected: 0,
+    };
     let entry = |index| Entry {
         position: Position { view: 1, index },
-        proposal: ProposalId { origin: holder, sequence: index },
+        proposal: ProposalId {
+            origin: holder,
+            sequence: index,
+        },
         fence: None,
         command: claim.clone(),
         wall_ms: 0,
     };
     let entries = DurableRecord::Entries(vec![entry(1), entry(2)]);
-    store.append(&[encode(&entries), encode(&DurableRecord::Committed(1))]).unwrap();
+    store
+        .append(&[encode(&entries), encode(&DurableRecord::Committed(1))])
+        .unwrap();
     folder
 }
 
 #[googletest::test]
-fn given_a_state_on_disk_when_it_is_shown_then_roles_and_voters_are_there_and_nothing_contradicts() {
+fn given_a_state_on_disk_when_it_is_shown_then_roles_and_voters_are_there_and_nothing_contradicts()
+{
     let mut state = State::default();
-    let holder = Replica { member: Member { address: 0x0a01_000f, disk: 0 }, boot: 1 };
-    state.roles.insert(Role::Scheduler("desk".to_owned()), RoleState { holder, token: 4 });
+    let holder = Replica {
+        member: Member {
+            address: 0x0a01_000f,
+            disk: 0,
+        },
+        boot: 1,
+    };
+    state.roles.insert(
+        Role::Scheduler("desk".to_owned()),
+        RoleState { holder, token: 4 },
+    );
     let shown = StateOnDisk::read(&write_state("state-shown", &state)).unwrap();
     expect_that!(shown.contradictions.len(), eq(0));
     expect_that!(shown.voters, elements_are![starts_with("10.1.0.15")]);
-    expect_that!(shown.to_string(), contains_substring("scheduler desk held by 10.1.0.15 with token 4"));
-    expect_that!(shown.to_string(), contains_substring("platform-reader held by 10.1.0.15 with token 1"));
+    expect_that!(
+        shown.to_string(),
+        contains_substring("scheduler desk held by 10.1.0.15 with token 4")
+    );
+    expect_that!(
+        shown.to_string(),
+        contains_substring("platform-reader held by 10.1.0.15 with token 1")
+    );
     expect_that!((shown.applied_entry, shown.entries_after), eq((1, 1)));
     expect_that!(shown.summary(), contains_substring("0 contradictions"));
 }
@@ -123,18 +219,35 @@
         done: 1,
         ..JobLine::default()
     };
-    let jobs = vec![line("0000000000000001", "running", 12), line("0000000000000002", "succeeded", 0)];
-    let text = tables::jobs(&JobList { entry: 9, jobs, next: Some("0000000000000002".to_owned()) });
+    let jobs = vec![
+        line("0000000000000001", "running", 12),
+        line("0000000000000002", "succeeded", 0),
+    ];
+    let text = tables::jobs(&JobList {
+        entry: 9,
+        jobs,
+        next: Some("0000000000000002".to_owned()),
+    });
     let lines: Vec<&str> = text.lines().collect();
-    expect_that!(lines[1], eq("0000000000000001  running    0         1/12  0        h/q/"));
-    expect_that!(lines[2], eq("0000000000000002  succeeded  0         -     0        h/q/"));
+    expect_that!(
+        lines[1],
+        eq("0000000000000001  running    0         1/12  0        h/q/")
+    );
+    expect_that!(
+        lines[2],
+        eq("0000000000000002  succeeded  0         -     0        h/q/")
+    );
     expect_that!(lines[3], eq("there are more: --after 0000000000000002"));
 }
 
 #[googletest::test]
 fn given_the_state_of_a_cluster_when_it_is_printed_then_the_chain_is_there() {
     let chain = vec!["10.1.0.15".to_owned(), "10.2.0.25".to_owned()];
-    let text = tables::cluster(&ClusterDescription { view: 7, chain, ..ClusterDescription::default() });
+    let text = tables::cluster(&ClusterDescription {
+        view: 7,
+        chain,
+        ..ClusterDescription::default()
+    });
     expect_that!(text, contains_substring("7: chain 10.1.0.15 > 10.2.0.25"));
     expect_that!(text, contains_substring("not in the chain"));
 }
--- a/system/magpiegap/tests/common/mod.rs
+++ b/system/magpiegap/tests/common/mod.rs
@@ -32,7 +32,9 @@
 
 /// Resets a connection.
 pub fn reset(stream: TcpStream) {
-    socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an option of sockets");
+    socket2::SockRef::from(&stream)
+        .set_linger(Some(Duration::ZERO))
+        .expect("an option of sockets");
     drop(stream);
 }
 
--- a/system/magpiegap/tests/data_folder.rs
+++ b/system/magpiegap/tests/data_folder.rs
@@ -10,9 +10,9 @@
 use magpiegap_coordinator::{freeze, Machine, RoleDescription};
 use magpiegap_jobs::State;
 use magpiegap_protocol::{
-    encode, ChainRecord, Command, EndKind, Entry, Fence, JobId, JobSpec, Location, Member, MemberLocation,
-    PlaceId, Position, ProposalId, Replica, Resources, Role, RunEnd, RunStart, StepSpec, Submission, TaskId,
-    View,
+    encode, ChainRecord, Command, EndKind, Entry, Fence, JobId, JobSpec, Location, Member,
+    MemberLocation, PlaceId, Position, ProposalId, Replica, Resources, Role, RunEnd, RunStart,
+    StepSpec, Submission, TaskId, View,
 };
 use magpiegap_storage::{FolderDirectory, Store};
 use std::{
@@ -48,7 +48,10 @@
 
 /// The stored files: their names and bytes.
 fn stored() -> Vec<(&'static str, &'static str)> {
-    STORED.lines().filter_map(|line| line.split_once(": ")).collect()
+    STORED
+        .lines()
+        .filter_map(|line| line.split_once(": "))
+        .collect()
 }
 
 /// An empty folder that is this test's own.
@@ -69,26 +72,47 @@
 }
 
 fn member(number: u32) -> Member {
-    Member { address: 0x0a01_000f + number, disk: 0xd15c_0000_0000_0000 + u64::from(number) }
+    Member {
+        address: 0x0a01_000f + number,
+        disk: 0xd15c_0000_0000_0000 + u64::from(number),
+    }
 }
 
 fn replica(number: u32) -> Replica {
-    Replica { member: member(number), boot: 0xb007_0000 + u64::from(number) }
+    Replica {
+        member: member(number),
+        boot: 0xb007_0000 + u64::from(number),
+    }
 }
 
 fn view(number: u64) -> View {
-    let place = |zone, region| Location { zone: PlaceId::of(zone), region: PlaceId::of(region) };
+    let place = |zone, region| Location {
+        zone: PlaceId::of(zone),
+        region: PlaceId::of(region),
+    };
     View {
         number,
         voters: vec![member(0), member(1), member(2)],
         chain: vec![replica(1), replica(0)],
         history: vec![
-            ChainRecord { number: 0, chain: Vec::new() },
-            ChainRecord { number: number - 1, chain: vec![replica(0), replica(1), replica(2)] },
+            ChainRecord {
+                number: 0,
+                chain: Vec::new(),
+            },
+            ChainRecord {
+                number: number - 1,
+                chain: vec![replica(0), replica(1), replica(2)],
+            },
         ],
         locations: vec![
-            MemberLocation { member: member(0), location: place("east-1", "east") },
-            MemberLocation { member: member(1), location: place("west-1", "west") },
+            MemberLocation {
+                member: member(0),
+                location: place("east-1", "east"),
+            },
+            MemberLocation {
+                member: member(1),
+                location: place("west-1", "west"),
+            },
         ],
     }
 }
@@ -103,20 +127,32 @@
         stretch: 2.5,
         target_latency_ms: 4500,
         submitted_ms: 1_700_000_000_500,
-        spec: JobSpec { spec: format!("text of {job}"), steps, ..JobSpec::default() },
+        spec: JobSpec {
+            spec: format!("text of {job}"),
+            steps,
+            ..JobSpec::default()
+        },
     }
 }
 
 /// A step of one task, with nothing else asked for.
 fn plain_step() -> StepSpec {
-    StepSpec { count: 1, estimated_ms: 700, ..StepSpec::default() }
+    StepSpec {
+        count: 1,
+        estimated_ms: 700,
+        ..StepSpec::default()
+    }
 }
 
 /// A job with all that steps can ask for.
 fn long_job() -> Submission {
     let first = StepSpec {
         count: 3,
-        resources: Resources { cpu: 500, memory_mb: 256, gpu: 1 },
+        resources: Resources {
+            cpu: 500,
+            memory_mb: 256,
+            gpu: 1,
+        },
         estimated_ms: 900,
         checkpoints: true,
         requirements: vec!["a".to_owned(), "b".to_owned()],
@@ -127,14 +163,21 @@
     };
     let gang = StepSpec {
         count: 2,
-        resources: Resources { cpu: 2000, memory_mb: 1024, gpu: 0 },
+        resources: Resources {
+            cpu: 2000,
+            memory_mb: 1024,
+            gpu: 0,
+        },
         estimated_ms: 7000,
         depends_on: vec![0],
         gang: true,
         rack_local: true,
         ..StepSpec::default()
     };
-    Submission { max_attempts: 3, ..submission(LONG, "h/q/", vec![first, gang]) }
+    Submission {
+        max_attempts: 3,
+        ..submission(LONG, "h/q/", vec![first, gang])
+    }
 }
 
 fn repeated_job() -> Submission {
@@ -147,34 +190,65 @@
 }
 
 fn task(job: JobId, step: u32, index: u32) -> TaskId {
-    TaskId { job, time: 0, step, index }
+    TaskId {
+        job,
+        time: 0,
+        step,
+        index,
+    }
 }
 
 fn run(task: TaskId, run: u32, instance: &str, checkpoint: &str) -> RunStart {
-    RunStart { task, run, instance: instance.to_owned(), checkpoint: checkpoint.to_owned() }
+    RunStart {
+        task,
+        run,
+        instance: instance.to_owned(),
+        checkpoint: checkpoint.to_owned(),
+    }
 }
 
 fn end(task: TaskId, run: u32, kind: EndKind, checkpoint: &str) -> RunEnd {
-    RunEnd { task, run, kind, checkpoint: checkpoint.to_owned() }
+    RunEnd {
+        task,
+        run,
+        kind,
+        checkpoint: checkpoint.to_owned(),
+    }
 }
 
 fn ends(instance: &str, last_seen: u64, ends: Vec<RunEnd>) -> Command {
-    Command::NoteEnds { instance: instance.to_owned(), last_seen, ends }
+    Command::NoteEnds {
+        instance: instance.to_owned(),
+        last_seen,
+        ends,
+    }
 }
 
 fn submit(submission: Submission, runs: Vec<RunStart>) -> Command {
-    Command::SubmitJob { submission: Box::new(submission), runs }
+    Command::SubmitJob {
+        submission: Box::new(submission),
+        runs,
+    }
 }
 
 fn configuration(base: u64, version: u64, change: &[u8]) -> Command {
     let body = format!(
         r#"{{"version":{version},"routes":[{{"name":"q","hostname":"h","pathPrefix":"/q/","timeoutMs":5000,"service":"desk"}}],"services":[{{"name":"desk"}}]}}"#
     );
-    Command::ReplaceConfiguration { base, version, body: body.into_bytes(), change: change.to_vec() }
+    Command::ReplaceConfiguration {
+        base,
+        version,
+        body: body.into_bytes(),
+        change: change.to_vec(),
+    }
 }
 
 fn claim(role: Role, number: u32, expected: u64) -> Command {
-    Command::ClaimRole { role, holder: replica(number), expected }
+    Command::ClaimRole {
+        role,
+        holder: replica(number),
+        expected,
+    }
 }
 
 fn desk() -> Role {
@@ -183,7 +257,14 @@
 
 /// What is in the snapshots.
 fn earlier_commands() -> Vec<Command> {
-    let runs = (0..3).map(|index| run(task(LONG, 0, index), 1, ["w-1", "w-1", "w-2"][index as usize], ""));
+    let runs = (0..3).map(|index| {
+        run(
+            task(LONG, 0, index),
+            1,
+            ["w-1", "w-1", "w-2"][index as usize],
+            "",
+        )
+    });
     let one = |job| vec![run(task(job, 0, 0), 1, "w-3", "")];
     let plain = |job| submission(job, "h/q/", vec![plain_step()]);
     vec![
@@ -201,16 +282,31 @@
             ],
         ),
         // Here the first snapshot ends.
-        Command::StartRuns { runs: vec![run(task(LONG, 0, 1), 2, "w-2", "c-2")] },
-        Command::OpenTime { job: REPEATED, time: 0 },
+        Command::StartRuns {
+            runs: vec![run(task(LONG, 0, 1), 2, "w-2", "c-2")],
+        },
+        Command::OpenTime {
+            job: REPEATED,
+            time: 0,
+        },
         submit(plain(DONE), one(DONE)),
         ends("w-3", 1, vec![end(task(DONE, 0, 0), 1, EndKind::Done, "")]),
         submit(plain(FAILED), one(FAILED)),
-        ends("w-3", 2, vec![end(task(FAILED, 0, 0), 1, EndKind::Failed, "")]),
+        ends(
+            "w-3",
+            2,
+            vec![end(task(FAILED, 0, 0), 1, EndKind::Failed, "")],
+        ),
         submit(plain(CANCELLED), one(CANCELLED)),
         Command::CancelJob { job: CANCELLED },
-        Command::LoseRuns { runs: vec![run(task(LONG, 0, 2), 1, "w-2", "c-3")] },
-        ends("w-2", 7, vec![end(task(LONG, 0, 1), 2, EndKind::Lapsed, "c-4")]),
+        Command::LoseRuns {
+            runs: vec![run(task(LONG, 0, 2), 1, "w-2", "c-3")],
+        },
+        ends(
+            "w-2",
+            7,
+            vec![end(task(LONG, 0, 1), 2, EndKind::Lapsed, "c-4")],
+        ),
         Command::StartRuns {
             runs: vec![
                 run(task(LONG, 1, 0), 1, "w-1", ""),
@@ -219,9 +315,19 @@
                 run(task(LONG, 0, 2), 3, "w-5", "c-3"),
             ],
         },
-        ends("w-1", 4, vec![end(task(LONG, 1, 0), 1, EndKind::Failed, "")]),
-        ends("w-2", 8, vec![end(task(LONG, 1, 1), 1, EndKind::Broken, "")]),
-        Command::StartRuns { runs: vec![run(task(REPEATED, 0, 0), 1, "w-6", "")] },
+        ends(
+            "w-1",
+            4,
+            vec![end(task(LONG, 1, 0), 1, EndKind::Failed, "")],
+        ),
+        ends(
+            "w-2",
+            8,
+            vec![end(task(LONG, 1, 1), 1, EndKind::Broken, "")],
+        ),
+        Command::StartRuns {
+            runs: vec![run(task(REPEATED, 0, 0), 1, "w-6", "")],
+        },
         // Here the second snapshot ends.
     ]
 }
@@ -232,8 +338,14 @@
         Command::Noop,
         configuration(5, 6, b"what leads from 5 to 6"),
         claim(Role::PlatformReader, 0, 1),
-        submit(submission(LATE, "h/late/", vec![plain_step()]), vec![run(task(LATE, 0, 0), 1, "w-7", "")]),
-        Command::OpenTime { job: REPEATED, time: 1 },
+        submit(
+            submission(LATE, "h/late/", vec![plain_step()]),
+            vec![run(task(LATE, 0, 0), 1, "w-7", "")],
+        ),
+        Command::OpenTime {
+            job: REPEATED,
+            time: 1,
+        },
         Command::StartRuns {
             runs: vec![
                 run(task(LONG, 1, 0), 2, "w-1", ""),
@@ -249,14 +361,24 @@
                 end(task(LONG, 1, 0), 1, EndKind::Stopped, ""),
             ],
         ),
-        Command::LoseRuns { runs: vec![run(task(LONG, 0, 1), 3, "w-8", "c-5")] },
-        Command::LoseInstance { instance: "w-4".to_owned(), ended: true },
-        Command::LoseInstance { instance: "w-6".to_owned(), ended: false },
+        Command::LoseRuns {
+            runs: vec![run(task(LONG, 0, 1), 3, "w-8", "c-5")],
+        },
+        Command::LoseInstance {
+            instance: "w-4".to_owned(),
+            ended: true,
+        },
+        Command::LoseInstance {
+            instance: "w-6".to_owned(),
+            ended: false,
+        },
         Command::ForgetJobs { jobs: vec![DONE] },
         Command::CancelJob { job: LATE },
         // From here on nothing is known to be committed.
         Command::CancelJob { job: LONG },
-        Command::ForgetJobs { jobs: vec![FAILED, CANCELLED] },
+        Command::ForgetJobs {
+            jobs: vec![FAILED, CANCELLED],
+        },
     ]
 }
 
@@ -264,13 +386,25 @@
 fn entries() -> Vec<Entry> {
     let commands = earlier_commands().into_iter().chain(later_commands());
     let numbered = commands.zip(1_u64..).map(|(command, index)| Entry {
-        position: Position { view: 6 + index / 10, index },
-        proposal: ProposalId { origin: replica((index % 3) as u32), sequence: 100 + index },
+        position: Position {
+            view: 6 + index / 10,
+            index,
+        },
+        proposal: ProposalId {
+            origin: replica((index % 3) as u32),
+            sequence: 100 + index,
+        },
         fence: match command {
             Command::StartRuns { .. } | Command::NoteEnds { .. } | Command::LoseRuns { .. } => {
-                Some(Fence { role: desk(), token: 1 })
+                Some(Fence {
+                    role: desk(),
+                    token: 1,
+                })
             }
-            Command::LoseInstance { .. } => Some(Fence { role: Role::PlatformReader, token: 2 }),
+            Command::LoseInstance { .. } => Some(Fence {
+                role: Role::PlatformReader,
+                token: 2,
+            }),
             _ => None,
         },
         command,
@@ -304,9 +438,16 @@
 fn write_folder(folder: &Path) {
     let entries = entries();
     let (mut store, _) = Store::open(FolderDirectory::new(folder).unwrap()).unwrap();
-    store.checkpoint(snapshot(&entries, FIRST, FIRST).parts()).unwrap();
+    store
+        .checkpoint(snapshot(&entries, FIRST, FIRST).parts())
+        .unwrap();
     let between = DurableRecord::Entries(entries[FIRST..SECOND].to_vec());
-    store.append(&[encode(&between), encode(&DurableRecord::Committed(SECOND as u64))]).unwrap();
+    store
+        .append(&[
+            encode(&between),
+            encode(&DurableRecord::Committed(SECOND as u64)),
+        ])
+        .unwrap();
     let second = snapshot(&entries, SECOND, IN_HEAD);
     store.checkpoint(second.parts()).unwrap();
     let mut agreement = second.agreement;
@@ -318,11 +459,15 @@
         DurableRecord::Synchronized(9),
         DurableRecord::Committed((entries.len() - OPEN) as u64),
     ];
-    store.append(&records.map(|record| encode(&record))).unwrap();
+    store
+        .append(&records.map(|record| encode(&record)))
+        .unwrap();
 }
 
 fn counts(of: &[(&str, usize)]) -> BTreeMap<String, usize> {
-    of.iter().map(|(name, count)| ((*name).to_owned(), *count)).collect()
+    of.iter()
+        .map(|(name, count)| ((*name).to_owned(), *count))
+        .collect()
 }
 
 #[googletest::test]
@@ -338,7 +483,11 @@
     let kept: Vec<&str> = stored().iter().map(|(file, _)| *file).collect();
     expect_that!(names, eq(&kept));
     for (file, kept) in stored() {
-        expect_that!(hex(&std::fs::read(folder.join(file)).unwrap()), eq(kept), "{file}");
+        expect_that!(
+            hex(&std::fs::read(folder.join(file)).unwrap()),
+            eq(kept),
+            "{file}"
+        );
     }
 }
 
@@ -354,17 +503,27 @@
         disk: "d15c000000000000".to_owned(),
         view: 9,
         chain: vec!["10.1.0.16#0001".to_owned(), "10.1.0.15#0000".to_owned()],
-        voters: vec!["10.1.0.15#0000".to_owned(), "10.1.0.16#0001".to_owned(), "10.1.0.17#0002".to_owned()],
+        voters: vec![
+            "10.1.0.15#0000".to_owned(),
+            "10.1.0.16#0001".to_owned(),
+            "10.1.0.17#0002".to_owned(),
+        ],
         complete_up_to_view: Some(9),
         records: 4,
         applied_entry: 32,
         entries_after: 2,
         configuration: 6,
-        roles: vec![role("platform-reader", "10.1.0.15", 2), role("scheduler desk", "10.1.0.16", 1)],
+        roles: vec![
+            role("platform-reader", "10.1.0.15", 2),
+            role("scheduler desk", "10.1.0.16", 1),
+        ],
         jobs: BTreeMap::from([
             ("h/batch/".to_owned(), counts(&[("running", 1)])),
             ("h/late/".to_owned(), counts(&[("cancelled", 1)])),
-            ("h/q/".to_owned(), counts(&[("cancelled", 1), ("failed", 1), ("running", 1)])),
+            (
+                "h/q/".to_owned(),
+                counts(&[("cancelled", 1), ("failed", 1), ("running", 1)]),
+            ),
         ]),
         runs: counts(&[("w-2", 1), ("w-3", 1), ("w-5", 1), ("w-7", 1)]),
         contradictions: Vec::new(),
@@ -400,8 +559,13 @@
     let read = Snapshot::recover(recovered.snapshot.unwrap(), &recovered.records).unwrap();
     let mut state = Machine::recover(&read).unwrap().state;
     expect_that!(state, eq(&state_after(&entries()[..FIRST])));
-    expect_that!(read.agreement.accepted, some(eq(&((3, member(2).address), view(9)))));
-    read.entries.iter().for_each(|entry| drop(state.apply(entry)));
+    expect_that!(
+        read.agreement.accepted,
+        some(eq(&((3, member(2).address), view(9))))
+    );
+    read.entries
+        .iter()
+        .for_each(|entry| drop(state.apply(entry)));
     expect_that!(state, eq(&state_after(&entries()[..SECOND])));
     expect_that!(read.committed, eq(20));
 }
@@ -412,12 +576,18 @@
     let state = state_after(&entries()[..SECOND]);
     let mut phases: Vec<&str> = state.jobs.values().map(|job| job.phase.word()).collect();
     phases.sort_unstable();
-    expect_that!(phases, eq(&["cancelled", "failed", "running", "running", "succeeded"]));
+    expect_that!(
+        phases,
+        eq(&["cancelled", "failed", "running", "running", "succeeded"])
+    );
     let steps = &state.jobs[&LONG].times[&0].steps;
     expect_that!(steps[1].gang_failures, eq((1, 1)));
     expect_that!(steps[0].done, eq(1));
     let tasks = &steps[0].tasks;
-    expect_that!((tasks[1].failures, tasks[1].checkpoint.as_str()), eq((1, "c-4")));
+    expect_that!(
+        (tasks[1].failures, tasks[1].checkpoint.as_str()),
+        eq((1, "c-4"))
+    );
     expect_that!(tasks[2].active.len(), eq(2));
     expect_that!(state.inconsistencies().len(), eq(0));
 }
--- a/system/magpiegap/tests/endpoint.rs
+++ b/system/magpiegap/tests/endpoint.rs
@@ -9,7 +9,9 @@
 use tokio::{io::AsyncWriteExt, net::TcpStream};
 
 fn question() -> CoordinatorRequest {
-    CoordinatorRequest::Count { queue: "h/q/".to_owned() }
+    CoordinatorRequest::Count {
+        queue: "h/q/".to_owned(),
+    }
 }
 
 async fn answer(stream: &mut TcpStream, count: u64) {
@@ -20,7 +22,8 @@
 }
 
 #[tokio::test]
-async fn given_an_address_where_nobody_listens_when_it_is_called_then_the_call_surely_was_not_sent() {
+async fn given_an_address_where_nobody_listens_when_it_is_called_then_the_call_surely_was_not_sent()
+{
     let (listener, address) = listen().await;
     drop(listener);
     let called = call(&client(), address, &question(), LONG).await;
@@ -28,7 +31,8 @@
 }
 
 #[tokio::test]
-async fn given_a_reused_connection_that_is_reset_under_a_call_when_it_ends_then_the_call_was_sent_once() {
+async fn given_a_reused_connection_that_is_reset_under_a_call_when_it_ends_then_the_call_was_sent_once(
+) {
     let (listener, address) = listen().await;
     let coordinator = tokio::spawn(async move {
         let (mut kept, _) = listener.accept().await.expect("a connection");
@@ -39,13 +43,24 @@
         stays_quiet(&listener).await
     });
     let client = client();
-    assert_that!(call(&client, address, &question(), LONG).await, ok(eq(&CoordinatorAnswer::Count(1))));
-    assert_that!(call(&client, address, &question(), LONG).await, err(eq(&CallError::Unanswered)));
-    assert_that!(coordinator.await.expect("it ends"), eq(true), "the call was sent once more");
+    assert_that!(
+        call(&client, address, &question(), LONG).await,
+        ok(eq(&CoordinatorAnswer::Count(1)))
+    );
+    assert_that!(
+        call(&client, address, &question(), LONG).await,
+        err(eq(&CallError::Unanswered))
+    );
+    assert_that!(
+        coordinator.await.expect("it ends"),
+        eq(true),
+        "the call was sent once more"
+    );
 }
 
 #[tokio::test]
-async fn given_an_answer_after_the_call_has_ended_when_the_next_call_is_made_then_it_gets_its_own() {
+async fn given_an_answer_after_the_call_has_ended_when_the_next_call_is_made_then_it_gets_its_own()
+{
     let (listener, address) = listen().await;
     let (ended, call_ended) = tokio::sync::oneshot::channel::<()>();
     tokio::spawn(async move {
@@ -61,7 +76,10 @@
     let late = call(&client, address, &question(), Duration::from_millis(20)).await;
     assert_that!(late, err(eq(&CallError::Unanswered)));
     ended.send(()).expect("the coordinator waits");
-    assert_that!(call(&client, address, &question(), LONG).await, ok(eq(&CoordinatorAnswer::Count(2))));
+    assert_that!(
+        call(&client, address, &question(), LONG).await,
+        ok(eq(&CoordinatorAnswer::Count(2)))
+    );
 }
 
 /// How long the caller of the next stories waits for each further byte.
@@ -75,14 +93,20 @@
         read_request(&mut stream, &encode(&question())).await;
         let body = encode(&CoordinatorAnswer::Description("x".repeat(300_000)));
         let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
-        stream.write_all(head.as_bytes()).await.expect("the caller reads");
+        stream
+            .write_all(head.as_bytes())
+            .await
+            .expect("the caller reads");
         for piece in body.chunks(10_000) {
             stream.write_all(piece).await.expect("the caller reads");
         }
         std::future::pending::<()>().await;
     });
     let called = call_while_bytes_come(&client(), address, &question(), LONG, LONG).await;
-    assert_that!(called, ok(eq(&CoordinatorAnswer::Description("x".repeat(300_000)))));
+    assert_that!(
+        called,
+        ok(eq(&CoordinatorAnswer::Description("x".repeat(300_000))))
+    );
 }
 
 #[tokio::test]
--- a/system/magpiegap/tests/job_bodies.rs
+++ b/system/magpiegap/tests/job_bodies.rs
@@ -7,7 +7,11 @@
 use magpiegap_protocol::{JobSpec, Resources, StepSpec};
 
 fn expect_job(body: &str, meant: &JobSpec) {
-    expect_that!(job_body::read(body.as_bytes()).ok().as_ref(), some(eq(meant)), "{body}");
+    expect_that!(
+        job_body::read(body.as_bytes()).ok().as_ref(),
+        some(eq(meant)),
+        "{body}"
+    );
 }
 
 fn texts(texts: &[&str]) -> Vec<String> {
@@ -18,7 +22,11 @@
 fn a_job_with_every_field_is_read_field_by_field() {
     let first = StepSpec {
         count: 4,
-        resources: Resources { cpu: 500, memory_mb: 256, gpu: 1 },
+        resources: Resources {
+            cpu: 500,
+            memory_mb: 256,
+            gpu: 1,
+        },
         estimated_ms: 900,
         depends_on: Vec::new(),
         checkpoints: false,
@@ -31,7 +39,11 @@
     };
     let second = StepSpec {
         count: 20,
-        resources: Resources { cpu: 2000, memory_mb: 1024, gpu: 2 },
+        resources: Resources {
+            cpu: 2000,
+            memory_mb: 1024,
+            gpu: 2,
+        },
         estimated_ms: 7000,
         depends_on: vec![0],
         checkpoints: true,
@@ -55,28 +67,61 @@
 
 #[googletest::test]
 fn fields_that_a_job_does_not_have_are_read_as_nothing() {
-    let job = JobSpec { steps: vec![StepSpec { count: 1, ..StepSpec::default() }], ..JobSpec::default() };
+    let job = JobSpec {
+        steps: vec![StepSpec {
+            count: 1,
+            ..StepSpec::default()
+        }],
+        ..JobSpec::default()
+    };
     expect_job(include_str!("golden/jobs/least.json"), &job);
 }
 
 #[googletest::test]
 fn a_job_is_long_running_when_it_or_one_of_its_steps_says_so() {
-    let one = StepSpec { count: 1, ..StepSpec::default() };
-    let two = StepSpec { count: 2, depends_on: vec![0], ..StepSpec::default() };
-    let job = |steps| JobSpec { spec: "t".to_owned(), steps, long_running: true, ..JobSpec::default() };
-    expect_job(include_str!("golden/jobs/long_running.json"), &job(vec![one.clone()]));
-    expect_job(include_str!("golden/jobs/long_running_step.json"), &job(vec![one, two]));
+    let one = StepSpec {
+        count: 1,
+        ..StepSpec::default()
+    };
+    let two = StepSpec {
+        count: 2,
+        depends_on: vec![0],
+        ..StepSpec::default()
+    };
+    let job = |steps| JobSpec {
+        spec: "t".to_owned(),
+        steps,
+        long_running: true,
+        ..JobSpec::default()
+    };
+    expect_job(
+        include_str!("golden/jobs/long_running.json"),
+        &job(vec![one.clone()]),
+    );
+    expect_job(
+        include_str!("golden/jobs/long_running_step.json"),
+        &job(vec![one, two]),
+    );
 }
 
 #[googletest::test]
 fn numbers_are_cut_to_whole_ones_that_can_be_kept() {
     let step = StepSpec {
         count: 1,
-        resources: Resources { cpu: 1, memory_mb: 0, gpu: 0 },
+        resources: Resources {
+            cpu: 1,
+            memory_mb: 0,
+            gpu: 0,
+        },
         estimated_ms: 1000,
         anti_affinity: u32::MAX,
         ..StepSpec::default()
     };
-    let job = JobSpec { spec: "t".to_owned(), steps: vec![step], interval_ms: 2, ..JobSpec::default() };
+    let job = JobSpec {
+        spec: "t".to_owned(),
+        steps: vec![step],
+        interval_ms: 2,
+        ..JobSpec::default()
+    };
     expect_job(include_str!("golden/jobs/odd_numbers.json"), &job);
 }
--- a/system/magpiegap/tests/jobs.rs
+++ b/system/magpiegap/tests/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs as clients write them, and their admission.
+use balancer_core::Ending;
 use googletest::prelude::*;
 use magpiegap::{admission::Admission, job_body};
-use balancer_core::Ending;
 use std::{
     sync::Arc,
     time::{Duration, Instant},
@@ -18,10 +18,17 @@
     expect_that!(job.steps[0].affinity, some(eq("r1-3")));
     expect_that!(job.steps[1].requirements, elements_are![eq("a")]);
     expect_that!(
-        (job.steps[1].gang, job.steps[1].rack_local, job.steps[1].allow_duplicate),
+        (
+            job.steps[1].gang,
+            job.steps[1].rack_local,
+            job.steps[1].allow_duplicate
+        ),
         eq((true, true, true))
     );
-    expect_that!((job.steps[1].resources.gpu, job.steps[1].anti_affinity), eq((1, 2)));
+    expect_that!(
+        (job.steps[1].resources.gpu, job.steps[1].anti_affinity),
+        eq((1, 2))
+    );
     expect_that!(job.longest_chain_ms(), eq(7900));
     expect_that!(job.due_ms(2), some(eq(1_700_000_006_000)));
 }
@@ -63,13 +70,19 @@
 
 #[googletest::test]
 fn given_a_fresh_proxy_when_a_few_jobs_come_then_none_is_turned_away() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     expect_that!(within(&runtime, 40, Ending::Ok), eq(40));
 }
 
 #[googletest::test]
 fn given_more_than_the_total_when_it_comes_at_once_then_some_are_turned_away_with_advice() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     let admitted = within(&runtime, 5000, Ending::Ok);
     expect_that!(admitted, ge(40));
     expect_that!(admitted, lt(5000));
--- a/system/magpiegap/tests/knowledge.rs
+++ b/system/magpiegap/tests/knowledge.rs
@@ -16,7 +16,8 @@
 
 #[googletest::test]
 #[tokio::test(start_paused = true)]
-async fn given_no_configuration_when_one_comes_then_a_request_that_waits_goes_on_with_it() -> Result<()> {
+async fn given_no_configuration_when_one_comes_then_a_request_that_waits_goes_on_with_it(
+) -> Result<()> {
     let knowledge = Arc::new(Knowledge::new());
     let waiting = tokio::spawn({
         let knowledge = knowledge.clone();
@@ -38,7 +39,10 @@
     let before = Instant::now();
     let known = knowledge.configured(PATIENCE).await;
     expect_that!(known.configuration.is_none(), eq(true));
-    expect_that!(before.elapsed(), all!(ge(PATIENCE), le(PATIENCE + Duration::from_millis(5))));
+    expect_that!(
+        before.elapsed(),
+        all!(ge(PATIENCE), le(PATIENCE + Duration::from_millis(5)))
+    );
 }
 
 #[googletest::test]
@@ -47,20 +51,54 @@
     let knowledge = Knowledge::new();
     knowledge.configure(configuration());
     let before = Instant::now();
-    expect_that!(knowledge.configured(PATIENCE).await.configuration.is_some(), eq(true));
+    expect_that!(
+        knowledge.configured(PATIENCE).await.configuration.is_some(),
+        eq(true)
+    );
     expect_that!(before.elapsed(), eq(Duration::ZERO));
 }
 
 #[googletest::test]
 fn given_a_newer_configuration_when_an_older_one_or_older_news_come_then_they_are_not_taken() {
     let knowledge = Knowledge::new();
-    let newer = Configuration { version: 3, ..Configuration::default() };
+    let newer = Configuration {
+        version: 3,
+        ..Configuration::default()
+    };
     knowledge.configure(Arc::new(newer));
     knowledge.configure(configuration());
-    expect_that!(knowledge.now().configuration.as_ref().map(|found| found.version), some(eq(3)));
-    expect_that!(knowledge.take(Feed { view: 4, revision: 7, ..Feed::default() }), eq(true));
-    expect_that!(knowledge.take(Feed { view: 3, revision: 8, ..Feed::default() }), eq(false));
+    expect_that!(
+        knowledge
+            .now()
+            .configuration
+            .as_ref()
+            .map(|found| found.version),
+        some(eq(3))
+    );
+    expect_that!(
+        knowledge.take(Feed {
+            view: 4,
+            revision: 7,
+            ..Feed::default()
+        }),
+        eq(true)
+    );
+    expect_that!(
+        knowledge.take(Feed {
+            view: 3,
+            revision: 8,
+            ..Feed::default()
+        }),
+        eq(false)
+    );
     expect_that!(knowledge.now().feed.revision, eq(7));
     // News of roles leave the configuration in force.
-    expect_that!(knowledge.now().configuration.as_ref().map(|found| found.version), some(eq(3)));
+    expect_that!(
+        knowledge
+            .now()
+            .configuration
+            .as_ref()
+            .map(|found| found.version),
+        some(eq(3))
+    );
 }
--- a/system/magpiegap/tests/metrics.rs
+++ b/system/magpiegap/tests/metrics.rs
@@ -7,7 +7,13 @@
 fn cluster() -> ClusterDescription {
     let scheduler = SchedulerDescription {
         service: "a \"quoted\" service".to_owned(),
-        summary: Summary { workers: 12, silent: 1, runs: 40, waiting: 3, waiting_urgent: 2 },
+        summary: Summary {
+            workers: 12,
+            silent: 1,
+            runs: 40,
+            waiting: 3,
+            waiting_urgent: 2,
+        },
     };
     ClusterDescription {
         view: 7,
@@ -16,7 +22,11 @@
         agents: 32,
         agents_behind: 5,
         commit_ms: 41,
-        counters: Counters { runs_done: 900, configuration_bytes: 70_000, ..Counters::default() },
+        counters: Counters {
+            runs_done: 900,
+            configuration_bytes: 70_000,
+            ..Counters::default()
+        },
         ..ClusterDescription::default()
     }
 }
@@ -31,7 +41,10 @@
     expect_that!(lines, contains(eq(&"magpiegap_agents 32")));
     expect_that!(lines, contains(eq(&"magpiegap_agents_behind 5")));
     expect_that!(lines, contains(eq(&"magpiegap_commit_milliseconds 41")));
-    expect_that!(lines, contains(eq(&"magpiegap_configuration_bytes_total 70000")));
+    expect_that!(
+        lines,
+        contains(eq(&"magpiegap_configuration_bytes_total 70000"))
+    );
     expect_that!(lines.last(), some(eq(&"# EOF")));
 }
 
--- a/system/magpiegap/tests/settings.rs
+++ b/system/magpiegap/tests/settings.rs
@@ -23,7 +23,9 @@
 }
 
 fn fault(name: &str, text: &str) -> String {
-    NodeSettings::read(&file(name, text)).map(|_| String::new()).unwrap_or_else(|error| error.to_string())
+    NodeSettings::read(&file(name, text))
+        .map(|_| String::new())
+        .unwrap_or_else(|error| error.to_string())
 }
 
 #[googletest::test]
@@ -32,14 +34,20 @@
     expect_that!(settings.peer_port(), eq(7660));
     expect_that!(settings.request_port(), eq(7661));
     expect_that!(settings.agent_address().to_string(), eq("127.0.0.1:7662"));
-    expect_that!(settings.seed_addresses(), elements_are![eq(&0x0a01_000f), eq(&0x0a02_0019)]);
+    expect_that!(
+        settings.seed_addresses(),
+        elements_are![eq(&0x0a01_000f), eq(&0x0a02_0019)]
+    );
     expect_that!(settings.bootstrap, eq(false));
 }
 
 #[googletest::test]
 fn given_faulty_settings_when_they_are_read_then_one_line_names_the_field() {
     let line = fault("ports", &FINE.replace("[7660, 7675]", "[7660, 7661]"));
-    expect_that!(line, ends_with("internalPortRange must be at least three ports"));
+    expect_that!(
+        line,
+        ends_with("internalPortRange must be at least three ports")
+    );
     let line = fault("hold", &FINE.replace("maxHoldMs = 6000", "maxHoldMs = -1"));
     expect_that!(line, contains_substring("bounds.maxHoldMs must be"));
     let line = fault("ip", &FINE.replace("10.1.0.15\"\nint", "ten\"\nint"));
@@ -47,12 +55,15 @@
     expect_that!(line.lines().count(), eq(1));
     expect_that!(fault("cut", &FINE[..60]), not(eq("")));
     let missing = NodeSettings::read(&PathBuf::from("/nowhere/at-all.toml"));
-    expect_that!(missing.map(|_| ()).unwrap_err().to_string(), starts_with("/nowhere/at-all.toml"));
+    expect_that!(
+        missing.map(|_| ()).unwrap_err().to_string(),
+        starts_with("/nowhere/at-all.toml")
+    );
 }
 
 #[googletest::test]
-fn given_machines_that_share_a_host_when_their_addresses_are_of_loopback_then_their_agents_do_not_share_one()
-{
+fn given_machines_that_share_a_host_when_their_addresses_are_of_loopback_then_their_agents_do_not_share_one(
+) {
     let alone = NodeSettings::read(&file("alone", FINE)).unwrap();
     expect_that!(alone.agent_address().to_string(), eq("127.0.0.1:7662"));
     let shared = FINE.replace("ip = \"10.1.0.15\"", "ip = \"127.0.62.3\"");
@@ -65,9 +76,19 @@
     let text = FINE.replace("maxHoldMs = 6000", "maxHoldMs = -1") + "[faultTolerance]\nzones = 9\n";
     let report = SettingsReport::of(&file("several", &text)).unwrap();
     expect_that!(report.is_fine(), eq(false));
-    let fields: Vec<&str> = report.faults.iter().map(|FieldFault { field, .. }| *field).collect();
-    expect_that!(fields, elements_are![eq(&"bounds.maxHoldMs"), eq(&"faultTolerance.zones")]);
-    expect_that!(report.to_string(), contains_substring("fault: bounds.maxHoldMs must be at least 500"));
+    let fields: Vec<&str> = report
+        .faults
+        .iter()
+        .map(|FieldFault { field, .. }| *field)
+        .collect();
+    expect_that!(
+        fields,
+        elements_are![eq(&"bounds.maxHoldMs"), eq(&"faultTolerance.zones")]
+    );
+    expect_that!(
+        report.to_string(),
+        contains_substring("fault: bounds.maxHoldMs must be at least 500")
+    );
 }
 
 #[googletest::test]
@@ -75,29 +96,47 @@
     let text = FINE.replace("[bounds]", "[bounds]\nlater_ms = 3");
     let report = SettingsReport::of(&file("unused", &text)).unwrap();
     expect_that!(report.is_fine(), eq(true));
-    expect_that!(report.unused, elements_are![eq("bounds.later_ms"), eq("someLaterField")]);
+    expect_that!(
+        report.unused,
+        elements_are![eq("bounds.later_ms"), eq("someLaterField")]
+    );
     expect_that!(report.warnings.is_empty(), eq(true));
 }
 
 #[googletest::test]
 fn given_a_way_of_commands_that_is_not_known_when_settings_are_checked_then_that_is_a_warning() {
-    let text = FINE.replace("someLaterField = { a = 1 }", "commands = \"heartbeat\"\nzone = \"a\"");
+    let text = FINE.replace(
+        "someLaterField = { a = 1 }",
+        "commands = \"heartbeat\"\nzone = \"a\"",
+    );
     let text = text + "[zones]\nb = \"region\"\n";
     let report = SettingsReport::of(&file("commands", &text)).unwrap();
     expect_that!(report.is_fine(), eq(true));
     expect_that!(
         report.warnings,
-        elements_are![contains_substring("commands = \"heartbeat\""), contains_substring("zone \"a\"")]
+        elements_are![
+            contains_substring("commands = \"heartbeat\""),
+            contains_substring("zone \"a\"")
+        ]
+    );
+    expect_that!(
+        NodeSettings::read(&file("commands-read", &text)).is_ok(),
+        eq(true)
     );
-    expect_that!(NodeSettings::read(&file("commands-read", &text)).is_ok(), eq(true));
 }
 
 #[googletest::test]
 fn given_a_table_of_zones_when_settings_are_read_then_the_machine_is_in_the_region_of_its_zone() {
     let text = FINE.replace("someLaterField = { a = 1 }", "zone = \"a\"");
     let text = text + "[zones]\na = \"north\"\nb = \"north\"\n";
-    let in_a = NodeSettings::read(&file("zone-a", &text)).unwrap().location();
-    let in_b = NodeSettings::read(&file("zone-b", &text.replace("zone = \"a\"", "zone = \"b\""))).unwrap();
+    let in_a = NodeSettings::read(&file("zone-a", &text))
+        .unwrap()
+        .location();
+    let in_b = NodeSettings::read(&file(
+        "zone-b",
+        &text.replace("zone = \"a\"", "zone = \"b\""),
+    ))
+    .unwrap();
     expect_that!(in_a.zone, not(eq(in_b.location().zone)));
     expect_that!(in_a.region, eq(in_b.location().region));
 }
--- a/system/magpiegap/tests/settings_values.rs
+++ b/system/magpiegap/tests/settings_values.rs
@@ -12,7 +12,9 @@
 };
 
 fn stored(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/settings").join(format!("{name}.toml"))
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden/settings")
+        .join(format!("{name}.toml"))
 }
 
 fn read(name: &str) -> NodeSettings {
@@ -30,38 +32,72 @@
     expect_that!(settings.role, eq("proxy"));
     expect_that!(settings.ip, eq(Ipv4Addr::new(10, 3, 0, 35)));
     expect_that!(settings.zone, eq("east-1"));
-    let zones: Vec<(&str, &str)> =
-        settings.zones.iter().map(|(zone, region)| (zone.as_str(), region.as_str())).collect();
+    let zones: Vec<(&str, &str)> = settings
+        .zones
+        .iter()
+        .map(|(zone, region)| (zone.as_str(), region.as_str()))
+        .collect();
     expect_that!(zones, eq(&[("east-1", "east"), ("west-2", "west")]));
     expect_that!(settings.internal_port_range, eq((7100, 7102)));
-    expect_that!(seeds(&settings), eq(&["10.1.0.15:8146", "[fd00::1]:8147", "10.2.0.25:8148"]));
+    expect_that!(
+        seeds(&settings),
+        eq(&["10.1.0.15:8146", "[fd00::1]:8147", "10.2.0.25:8148"])
+    );
     expect_that!(settings.bootstrap, eq(true));
-    expect_that!(settings.data_dir, some(eq(Path::new("/var/lib/some-folder"))));
+    expect_that!(
+        settings.data_dir,
+        some(eq(Path::new("/var/lib/some-folder")))
+    );
     expect_that!(settings.commands, eq("invocation"));
     let listen = &settings.listen;
     let addresses = [listen.frontend, listen.readiness, listen.control_plane];
     let addresses = addresses.map(|address| address.unwrap().to_string());
-    expect_that!(addresses, eq(&["10.3.0.35:8001", "127.0.0.1:8002", "[::1]:8003"]));
+    expect_that!(
+        addresses,
+        eq(&["10.3.0.35:8001", "127.0.0.1:8002", "[::1]:8003"])
+    );
     let tolerance = settings.fault_tolerance;
-    expect_that!((tolerance.machines, tolerance.zones, tolerance.regions), eq((2, 3, 4)));
+    expect_that!(
+        (tolerance.machines, tolerance.zones, tolerance.regions),
+        eq((2, 3, 4))
+    );
     let bounds = settings.bounds;
-    expect_that!((bounds.grace_s, bounds.max_hold_ms, bounds.stop_ms), eq((7.5, 6100.0, 410.5)));
-    expect_that!((bounds.gang_ms, bounds.status_s, bounds.far_x), eq((3100.0, 130.0, 2.25)));
+    expect_that!(
+        (bounds.grace_s, bounds.max_hold_ms, bounds.stop_ms),
+        eq((7.5, 6100.0, 410.5))
+    );
+    expect_that!(
+        (bounds.gang_ms, bounds.status_s, bounds.far_x),
+        eq((3100.0, 130.0, 2.25))
+    );
     expect_that!(settings.limits.max_fds, eq(1024));
     let cloud = &settings.cloud;
-    expect_that!(cloud.address.map(|address| address.to_string()), some(eq("10.9.0.95:9001")));
+    expect_that!(
+        cloud.address.map(|address| address.to_string()),
+        some(eq("10.9.0.95:9001"))
+    );
     expect_that!((cloud.rate_per_s, cloud.max_lag_ms), eq((12.5, 1500.0)));
 }
 
 #[googletest::test]
 fn what_follows_from_a_file_with_every_field_stays_the_same() {
     let settings = read("all_fields");
-    expect_that!((settings.peer_port(), settings.request_port()), eq((7100, 7101)));
+    expect_that!(
+        (settings.peer_port(), settings.request_port()),
+        eq((7100, 7101))
+    );
     expect_that!(settings.agent_address().to_string(), eq("127.0.0.1:7102"));
     expect_that!(settings.seed_addresses(), eq(&[0x0a01_000f, 0x0a02_0019]));
-    let place = Location { zone: PlaceId::of("east-1"), region: PlaceId::of("east") };
+    let place = Location {
+        zone: PlaceId::of("east-1"),
+        region: PlaceId::of("east"),
+    };
     expect_that!(settings.location(), eq(place));
-    let tolerance = Tolerance { machines: 2, zones: 3, regions: 4 };
+    let tolerance = Tolerance {
+        machines: 2,
+        zones: 3,
+        regions: 4,
+    };
     expect_that!(Tolerance::from(settings.fault_tolerance), eq(tolerance));
     let report = SettingsReport::of(&stored("all_fields")).unwrap();
     expect_that!(report.to_string(), eq("fine: proxy on core-7"));
@@ -102,15 +138,30 @@
     expect_that!(settings.data_dir, none());
     expect_that!(settings.commands, eq(""));
     let listen = &settings.listen;
-    expect_that!([listen.frontend, listen.readiness, listen.control_plane], eq([None; 3]));
+    expect_that!(
+        [listen.frontend, listen.readiness, listen.control_plane],
+        eq([None; 3])
+    );
     let tolerance = settings.fault_tolerance;
-    expect_that!((tolerance.machines, tolerance.zones, tolerance.regions), eq((1, 0, 0)));
+    expect_that!(
+        (tolerance.machines, tolerance.zones, tolerance.regions),
+        eq((1, 0, 0))
+    );
     let bounds = settings.bounds;
-    expect_that!((bounds.grace_s, bounds.max_hold_ms, bounds.stop_ms), eq((6.0, 6000.0, 400.0)));
-    expect_that!((bounds.gang_ms, bounds.status_s, bounds.far_x), eq((3000.0, 120.0, 2.0)));
+    expect_that!(
+        (bounds.grace_s, bounds.max_hold_ms, bounds.stop_ms),
+        eq((6.0, 6000.0, 400.0))
+    );
+    expect_that!(
+        (bounds.gang_ms, bounds.status_s, bounds.far_x),
+        eq((3000.0, 120.0, 2.0))
+    );
     expect_that!(settings.limits.max_fds, eq(4096));
     expect_that!(settings.cloud.address, none());
-    expect_that!((settings.cloud.rate_per_s, settings.cloud.max_lag_ms), eq((0.0, 0.0)));
+    expect_that!(
+        (settings.cloud.rate_per_s, settings.cloud.max_lag_ms),
+        eq((0.0, 0.0))
+    );
     expect_that!(settings.location(), eq(Location::default()));
 }
 
@@ -137,6 +188,11 @@
         starts_with("zone \"nowhere\" ")
     ];
     expect_that!(report.warnings, warnings);
-    let unused = ["cloud.laterCloud", "laterField", "limits.laterLimit", "listen.laterListen"];
+    let unused = [
+        "cloud.laterCloud",
+        "laterField",
+        "limits.laterLimit",
+        "listen.laterListen",
+    ];
     expect_that!(report.unused, eq(&unused));
 }
--- a/system/magpiegap/tests/worker_bodies.rs
+++ b/system/magpiegap/tests/worker_bodies.rs
@@ -9,8 +9,8 @@
 use magpiegap::endpoint;
 use magpiegap_control::Snapshot;
 use magpiegap_protocol::{
-    Command, CoordinatorAnswer, CoordinatorRequest, EndKind, JobId, JobSpec, Resources, RunEnd, StepSpec,
-    Submission, TaskId,
+    Command, CoordinatorAnswer, CoordinatorRequest, EndKind, JobId, JobSpec, Resources, RunEnd,
+    StepSpec, Submission, TaskId,
 };
 use magpiegap_storage::{FolderDirectory, Store};
 use std::{
@@ -73,14 +73,20 @@
 /// Reads one request; `None`: the connection has ended.
 async fn read_question(stream: &mut TcpStream) -> Option<Question> {
     let mut bytes = Vec::new();
-    let length =
-        |head: &str| head.lines().find_map(|line| line.strip_prefix("content-length: ")?.parse().ok());
+    let length = |head: &str| {
+        head.lines()
+            .find_map(|line| line.strip_prefix("content-length: ")?.parse().ok())
+    };
     loop {
         if let Some((head, body)) = std::str::from_utf8(&bytes).ok()?.split_once("\r\n\r\n") {
             if body.len() >= length(head).unwrap_or(0) {
                 let path = head.split(' ').nth(1)?.to_owned();
-                let instance = head.lines().find_map(|line| line.strip_prefix("expected-instance: "));
-                let lines = head.lines().filter(|line| !line.starts_with("content-length: "));
+                let instance = head
+                    .lines()
+                    .find_map(|line| line.strip_prefix("expected-instance: "));
+                let lines = head
+                    .lines()
+                    .filter(|line| !line.starts_with("content-length: "));
                 return Some(Question {
                     path,
                     instance: instance.unwrap_or_default().to_owned(),
@@ -99,8 +105,13 @@
 
 /// A body with the time on the worker's clock left out.
 fn without_deadline(body: &str) -> String {
-    let Some((before, after)) = body.split_once("\"deadlineMs\":") else { return body.to_owned() };
-    format!("{before}\"deadlineMs\":N{}", after.trim_start_matches(|digit: char| digit.is_ascii_digit()))
+    let Some((before, after)) = body.split_once("\"deadlineMs\":") else {
+        return body.to_owned();
+    };
+    format!(
+        "{before}\"deadlineMs\":N{}",
+        after.trim_start_matches(|digit: char| digit.is_ascii_digit())
+    )
 }
 
 impl StandIns {
@@ -126,13 +137,18 @@
             if question.body.contains("\"waitMs\"") {
                 sleep(PAUSE).await;
             }
-            let body = self.answer(&question, address).replace("ADDRESS", &address.to_string());
+            let body = self
+                .answer(&question, address)
+                .replace("ADDRESS", &address.to_string());
             let refused = question.path.starts_with("/-/") && self.with(|seen| seen.refuse);
             let (status, body) = match refused {
                 true => ("409 Conflict", REFUSAL.to_owned()),
                 false => ("200 OK", body),
             };
-            let head = format!("HTTP/1.1 {status}\r\ncontent-length: {}\r\n\r\n", body.len());
+            let head = format!(
+                "HTTP/1.1 {status}\r\ncontent-length: {}\r\n\r\n",
+                body.len()
+            );
             if stream.write_all((head + &body).as_bytes()).await.is_err() {
                 return;
             }
@@ -140,21 +156,28 @@
     }
 
     fn answer(&self, question: &Question, address: SocketAddr) -> String {
-        let Question { path, instance, head, body } = question;
+        let Question {
+            path,
+            instance,
+            head,
+            body,
+        } = question;
         if path.starts_with("/instances") {
             self.with(|seen| seen.pages.insert(path.clone()));
             return if path == "/instances" { PAGE_1 } else { PAGE_2 }.to_owned();
         }
         let clock = 1_000_000 + self.begin.elapsed().as_millis();
         let fail_first_run = self.with(|seen| {
-            seen.orders.insert(format!("{path} {instance} {}", without_deadline(body)));
-            seen.heads.insert(head.replace(&address.to_string(), "ADDRESS"));
+            seen.orders
+                .insert(format!("{path} {instance} {}", without_deadline(body)));
+            seen.heads
+                .insert(head.replace(&address.to_string(), "ADDRESS"));
             seen.fail_first_run
         });
         match path.as_str() {
-            "/-/hold" if instance == "w-1" => {
-                self.listing(fail_first_run).replace("CLOCK", &clock.to_string())
-            }
+            "/-/hold" if instance == "w-1" => self
+                .listing(fail_first_run)
+                .replace("CLOCK", &clock.to_string()),
             "/-/hold" => format!(r#"{{"clockMs":{clock},"running":[],"ended":[]}}"#),
             _ => format!(r#"{{"clockMs":{clock}}}"#),
         }
@@ -166,13 +189,16 @@
             let order = format!("/-/run-start w-1 {{\"task\":\"{TASK}\",\"runId\":{run},");
             self.with(|seen| seen.orders.iter().any(|seen| seen.starts_with(&order)))
         };
-        let running =
-            |run| format!(r#"{{"clockMs":CLOCK,"running":[["{TASK}",{run},"c-9",42.9]],"ended":[]}}"#);
+        let running = |run| {
+            format!(r#"{{"clockMs":CLOCK,"running":[["{TASK}",{run},"c-9",42.9]],"ended":[]}}"#)
+        };
         match (started(1), fail_first_run, started(2)) {
             (false, ..) => LISTING_AT_FIRST.to_owned(),
             (true, false, _) => running(1),
             (true, true, false) => {
-                format!(r#"{{"clockMs":CLOCK,"running":[],"ended":[[8,"{TASK}",1,"failed","c-8"]]}}"#)
+                format!(
+                    r#"{{"clockMs":CLOCK,"running":[],"ended":[[8,"{TASK}",1,"failed","c-8"]]}}"#
+                )
             }
             (true, true, true) => running(2),
         }
@@ -183,7 +209,11 @@
         let until = Instant::now() + LONG;
         while !self.with(|seen| seen.orders.contains(line)) {
             let orders = || self.with(|seen| format!("{:#?}", seen.orders));
-            assert!(Instant::now() < until, "not sent: {line}\nsent: {}", orders());
+            assert!(
+                Instant::now() < until,
+                "not sent: {line}\nsent: {}",
+                orders()
+            );
             sleep(PAUSE).await;
         }
     }
@@ -227,7 +257,12 @@
             .spawn()
             .unwrap();
         let requests = SocketAddr::from((ip, REQUEST_PORT));
-        Coordinator { process, requests, folder: data, client: endpoint::client() }
+        Coordinator {
+            process,
+            requests,
+            folder: data,
+            client: endpoint::client(),
+        }
     }
 
     /// Asks until the answer is one that is wanted.
@@ -238,7 +273,13 @@
     ) -> CoordinatorAnswer {
         let until = Instant::now() + LONG;
         loop {
-            let answer = endpoint::call(&self.client, self.requests, &request, Duration::from_secs(5)).await;
+            let answer = endpoint::call(
+                &self.client,
+                self.requests,
+                &request,
+                Duration::from_secs(5),
+            )
+            .await;
             match answer {
                 Ok(answer) if wanted(&answer) => return answer,
                 _ => assert!(Instant::now() < until, "{request:?}: {answer:?}"),
@@ -257,7 +298,8 @@
         let _ = self.process.kill();
         let _ = self.process.wait();
         let (_, recovered) = Store::open(FolderDirectory::new(&self.folder).unwrap()).unwrap();
-        let read = Snapshot::recover(recovered.snapshot.unwrap_or_default(), &recovered.records).unwrap();
+        let read =
+            Snapshot::recover(recovered.snapshot.unwrap_or_default(), &recovered.records).unwrap();
         let mut ends = Vec::new();
         for entry in read.entries {
             if let Command::NoteEnds { ends: noted, .. } = entry.command {
@@ -272,7 +314,11 @@
 fn submission() -> Submission {
     let step = StepSpec {
         count: 2,
-        resources: Resources { cpu: 500, memory_mb: 256, gpu: 1 },
+        resources: Resources {
+            cpu: 500,
+            memory_mb: 256,
+            gpu: 1,
+        },
         estimated_ms: 60_000,
         checkpoints: true,
         requirements: vec!["a".to_owned()],
@@ -287,7 +333,11 @@
         stretch: 2.0,
         target_latency_ms: 1000,
         submitted_ms: 0,
-        spec: JobSpec { spec: "a \"text\"".to_owned(), steps: vec![step], ..JobSpec::default() },
+        spec: JobSpec {
+            spec: "a \"text\"".to_owned(),
+            steps: vec![step],
+            ..JobSpec::default()
+        },
     }
 }
 
@@ -296,8 +346,14 @@
     let until = Instant::now() + LONG;
     loop {
         let explain = CoordinatorRequest::Explain { job: JOB };
-        let said = coordinator.ask(explain, |said| matches!(said, CoordinatorAnswer::Description(_))).await;
-        let CoordinatorAnswer::Description(text) = said else { return serde_json::Value::Null };
+        let said = coordinator
+            .ask(explain, |said| {
+                matches!(said, CoordinatorAnswer::Description(_))
+            })
+            .await;
+        let CoordinatorAnswer::Description(text) = said else {
+            return serde_json::Value::Null;
+        };
         let said: serde_json::Value = serde_json::from_str(&text).unwrap();
         let step = &said["steps"][0];
         // Workers are greeted one after the other, and the run is listed a little later.
@@ -312,19 +368,27 @@
 
 #[tokio::test]
 async fn a_coordinator_sends_the_stored_orders_and_reads_the_stored_answers() {
-    let stand_ins = StandIns { seen: Arc::default(), begin: Instant::now() };
+    let stand_ins = StandIns {
+        seen: Arc::default(),
+        begin: Instant::now(),
+    };
     let coordinator = Coordinator::start(stand_ins.listen().await);
     let orders: Vec<&str> = ORDERS.lines().collect();
-    let [greeting, hold, stray_stop, first_start, second_start, stop, next_token] = orders[..] else {
+    let [greeting, hold, stray_stop, first_start, second_start, stop, next_token] = orders[..]
+    else {
         panic!("there are {} stored orders", orders.len())
     };
     let body = CONFIGURATION.as_bytes().to_vec();
     let configure = CoordinatorRequest::ReplaceConfiguration { base: 0, body };
-    coordinator.ask_until(configure, CoordinatorAnswer::ConfigurationTaken).await;
+    coordinator
+        .ask_until(configure, CoordinatorAnswer::ConfigurationTaken)
+        .await;
     stand_ins.sent(greeting).await;
     stand_ins.sent(stray_stop).await;
     let submit = CoordinatorRequest::Submit(Box::new(submission()));
-    coordinator.ask_until(submit, CoordinatorAnswer::Accepted).await;
+    coordinator
+        .ask_until(submit, CoordinatorAnswer::Accepted)
+        .await;
     stand_ins.sent(first_start).await;
     stand_ins.sent(hold).await;
 
@@ -338,8 +402,13 @@
 
     stand_ins.with(|seen| seen.fail_first_run = true);
     stand_ins.sent(second_start).await;
-    let cancel = CoordinatorRequest::Cancel { queue: "h/q/".to_owned(), job: JOB };
-    coordinator.ask_until(cancel, CoordinatorAnswer::Accepted).await;
+    let cancel = CoordinatorRequest::Cancel {
+        queue: "h/q/".to_owned(),
+        job: JOB,
+    };
+    coordinator
+        .ask_until(cancel, CoordinatorAnswer::Accepted)
+        .await;
     stand_ins.sent(stop).await;
     // Whoever is refused for its token claims the role anew, and so gets a higher one.
     stand_ins.with(|seen| seen.refuse = true);
@@ -348,7 +417,9 @@
     let pages = stand_ins.with(|seen| seen.pages.clone());
     assert_that!(
         pages,
-        eq(&BTreeSet::from(["/instances", "/instances?pageToken=p%202%2F%C3%A9"].map(str::to_owned)))
+        eq(&BTreeSet::from(
+            ["/instances", "/instances?pageToken=p%202%2F%C3%A9"].map(str::to_owned)
+        ))
     );
     expect_heads(&stand_ins.with(|seen| seen.heads.clone()));
     expect_ends(&coordinator.ends_on_disk());
@@ -367,12 +438,22 @@
 /// The ends that the worker listed are in the log with the kinds and checkpoints that their words say.
 fn expect_ends(ends: &[RunEnd]) {
     let of_nobody = |number: u64, kind, checkpoint: &str| RunEnd {
-        task: TaskId { job: JobId(0xb1b1_0000_0000_0000 + number), time: 1, step: 2, index: 3 },
+        task: TaskId {
+            job: JobId(0xb1b1_0000_0000_0000 + number),
+            time: 1,
+            step: 2,
+            index: 3,
+        },
         run: 10 + number as u32,
         kind,
         checkpoint: checkpoint.to_owned(),
     };
-    let own = TaskId { job: JOB, time: 0, step: 0, index: 0 };
+    let own = TaskId {
+        job: JOB,
+        time: 0,
+        step: 0,
+        index: 0,
+    };
     let meant = [
         of_nobody(1, EndKind::Done, "c-1"),
         of_nobody(2, EndKind::Failed, ""),
@@ -381,7 +462,12 @@
         of_nobody(5, EndKind::Broken, "c-5"),
         of_nobody(6, EndKind::Alone, "c-6"),
         of_nobody(7, EndKind::Stopped, "c-7"),
-        RunEnd { task: own, run: 1, kind: EndKind::Failed, checkpoint: "c-8".to_owned() },
+        RunEnd {
+            task: own,
+            run: 1,
+            kind: EndKind::Failed,
+            checkpoint: "c-8".to_owned(),
+        },
     ];
     assert_that!(ends, eq(&meant));
 }
--- a/system/magpiegap/tests/worker_connections.rs
+++ b/system/magpiegap/tests/worker_connections.rs
@@ -15,7 +15,9 @@
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}";
 
 fn request() -> Request<Full<Bytes>> {
-    let request = Request::post("/-/hold").header("host", "worker").body(Full::new(Bytes::from_static(BODY)));
+    let request = Request::post("/-/hold")
+        .header("host", "worker")
+        .body(Full::new(Bytes::from_static(BODY)));
     request.expect("a fine request")
 }
 
@@ -31,7 +33,10 @@
     });
     let connections = WorkerConnections::default();
     for _ in 0..2 {
-        let (status, body) = connections.call(address, request(), LONG).await.expect("an answer");
+        let (status, body) = connections
+            .call(address, request(), LONG)
+            .await
+            .expect("an answer");
         assert_that!(status.as_u16(), eq(200));
         assert_that!(body.as_ref(), eq(b"{}"));
     }
@@ -39,7 +44,8 @@
 }
 
 #[tokio::test]
-async fn given_a_worker_that_closes_after_each_answer_when_it_is_called_twice_then_both_calls_are_answered() {
+async fn given_a_worker_that_closes_after_each_answer_when_it_is_called_twice_then_both_calls_are_answered(
+) {
     let (listener, address) = listen().await;
     tokio::spawn(async move {
         loop {
@@ -51,7 +57,10 @@
     });
     let connections = WorkerConnections::default();
     for _ in 0..2 {
-        let (status, _) = connections.call(address, request(), LONG).await.expect("an answer");
+        let (status, _) = connections
+            .call(address, request(), LONG)
+            .await
+            .expect("an answer");
         assert_that!(status.as_u16(), eq(200));
     }
 }
@@ -60,14 +69,18 @@
 async fn given_an_address_where_nobody_listens_when_it_is_called_then_there_is_no_connection() {
     let (listener, address) = listen().await;
     drop(listener);
-    let called = WorkerConnections::default().call(address, request(), LONG).await;
+    let called = WorkerConnections::default()
+        .call(address, request(), LONG)
+        .await;
     assert_that!(matches!(called, Err(ConnectionError::Connect(_))), eq(true));
 }
 
 #[tokio::test]
 async fn given_a_worker_that_does_not_answer_when_the_time_is_over_then_the_call_ends() {
     let (_listener, address) = listen().await;
-    let called = WorkerConnections::default().call(address, request(), Duration::from_millis(20)).await;
+    let called = WorkerConnections::default()
+        .call(address, request(), Duration::from_millis(20))
+        .await;
     assert_that!(matches!(called, Err(ConnectionError::Timeout)), eq(true));
 }
 
@@ -77,14 +90,20 @@
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         read_request(&mut stream, BODY).await;
-        stream.write_all(&ANSWER[..ANSWER.len() - 1]).await.expect("an open connection");
+        stream
+            .write_all(&ANSWER[..ANSWER.len() - 1])
+            .await
+            .expect("an open connection");
     });
-    let called = WorkerConnections::default().call(address, request(), LONG).await;
+    let called = WorkerConnections::default()
+        .call(address, request(), LONG)
+        .await;
     assert_that!(matches!(called, Err(ConnectionError::Body(_))), eq(true));
 }
 
 #[tokio::test]
-async fn given_as_many_open_connections_as_may_be_when_a_call_has_ended_then_its_connection_is_closed() {
+async fn given_as_many_open_connections_as_may_be_when_a_call_has_ended_then_its_connection_is_closed(
+) {
     let (listener, address) = listen().await;
     let worker = tokio::spawn(async move {
         for _ in 0..2 {
@@ -97,7 +116,10 @@
     });
     let connections = WorkerConnections::new(0);
     for _ in 0..2 {
-        connections.call(address, request(), LONG).await.expect("an answer");
+        connections
+            .call(address, request(), LONG)
+            .await
+            .expect("an answer");
     }
     worker.await.expect("each call had a connection of its own");
     assert_that!(connections.open(), eq(0));
@@ -109,8 +131,8 @@
 }
 
 #[tokio::test]
-async fn given_an_answer_that_comes_after_the_call_has_ended_when_the_next_call_is_made_then_it_gets_its_own()
-{
+async fn given_an_answer_that_comes_after_the_call_has_ended_when_the_next_call_is_made_then_it_gets_its_own(
+) {
     let (listener, address) = listen().await;
     let (ended, call_ended) = tokio::sync::oneshot::channel::<()>();
     tokio::spawn(async move {
@@ -121,18 +143,27 @@
         let _ = first.write_all(&numbered(1)).await;
         let (mut second, _) = listener.accept().await.expect("another connection");
         read_request(&mut second, BODY).await;
-        second.write_all(&numbered(2)).await.expect("an open connection");
+        second
+            .write_all(&numbered(2))
+            .await
+            .expect("an open connection");
     });
     let connections = WorkerConnections::default();
-    let late = connections.call(address, request(), Duration::from_millis(20)).await;
+    let late = connections
+        .call(address, request(), Duration::from_millis(20))
+        .await;
     assert_that!(matches!(late, Err(ConnectionError::Timeout)), eq(true));
     ended.send(()).expect("the worker waits");
-    let (_, body) = connections.call(address, request(), LONG).await.expect("an answer");
+    let (_, body) = connections
+        .call(address, request(), LONG)
+        .await
+        .expect("an answer");
     assert_that!(body.as_ref(), eq(b"2"));
 }
 
 #[tokio::test]
-async fn given_a_worker_that_answers_twice_when_the_next_call_is_made_then_it_gets_its_own_answer() {
+async fn given_a_worker_that_answers_twice_when_the_next_call_is_made_then_it_gets_its_own_answer()
+{
     let (listener, address) = listen().await;
     tokio::spawn(async move {
         let (mut first, _) = listener.accept().await.expect("a connection");
@@ -141,17 +172,27 @@
         first.write_all(&twice).await.expect("an open connection");
         let (mut second, _) = listener.accept().await.expect("another connection");
         read_request(&mut second, BODY).await;
-        second.write_all(&numbered(2)).await.expect("an open connection");
+        second
+            .write_all(&numbered(2))
+            .await
+            .expect("an open connection");
     });
     let connections = WorkerConnections::default();
-    let (_, body) = connections.call(address, request(), LONG).await.expect("an answer");
+    let (_, body) = connections
+        .call(address, request(), LONG)
+        .await
+        .expect("an answer");
     assert_that!(body.as_ref(), eq(b"1"));
-    let (_, body) = connections.call(address, request(), LONG).await.expect("an answer");
+    let (_, body) = connections
+        .call(address, request(), LONG)
+        .await
+        .expect("an answer");
     assert_that!(body.as_ref(), eq(b"2"));
 }
 
 #[tokio::test]
-async fn given_a_kept_connection_that_is_reset_under_a_call_when_it_ends_then_the_call_was_sent_once() {
+async fn given_a_kept_connection_that_is_reset_under_a_call_when_it_ends_then_the_call_was_sent_once(
+) {
     let (listener, address) = listen().await;
     let worker = tokio::spawn(async move {
         let (mut kept, _) = listener.accept().await.expect("a connection");
@@ -163,8 +204,15 @@
         stays_quiet(&listener).await
     });
     let connections = WorkerConnections::default();
-    connections.call(address, request(), LONG).await.expect("an answer");
+    connections
+        .call(address, request(), LONG)
+        .await
+        .expect("an answer");
     let reset = connections.call(address, request(), LONG).await;
     assert_that!(reset.is_err(), eq(true));
-    assert_that!(worker.await.expect("the worker ends"), eq(true), "the call was sent once more");
+    assert_that!(
+        worker.await.expect("the worker ends"),
+        eq(true),
+        "the call was sent once more"
+    );
 }
--- a/system/protocol/src/ids.rs
+++ b/system/protocol/src/ids.rs
@@ -45,8 +45,11 @@
 impl JobId {
     /// Reads 16 lower-case hexadecimal digits.
     pub fn parse(text: &str) -> Option<JobId> {
-        let proper = text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-        proper.then(|| u64::from_str_radix(text, 16).ok().map(JobId)).flatten()
+        let proper =
+            text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
+        proper
+            .then(|| u64::from_str_radix(text, 16).ok().map(JobId))
+            .flatten()
     }
 }
 
@@ -82,7 +85,12 @@
         let mut parts = text.split('.');
         let job = JobId::parse(parts.next()?)?;
         let mut number = || parts.next()?.parse::<u32>().ok();
-        let task = TaskId { job, time: number()?, step: number()?, index: number()? };
+        let task = TaskId {
+            job,
+            time: number()?,
+            step: number()?,
+            index: number()?,
+        };
         parts.next().is_none().then_some(task)
     }
 }
--- a/system/protocol/src/job.rs
+++ b/system/protocol/src/job.rs
@@ -154,7 +154,11 @@
             if step.count == 0 {
                 return Err(JobSpecError::EmptyStep(position));
             }
-            if let Some(&bad) = step.depends_on.iter().find(|&&earlier| earlier as usize >= position) {
+            if let Some(&bad) = step
+                .depends_on
+                .iter()
+                .find(|&&earlier| earlier as usize >= position)
+            {
                 return Err(JobSpecError::BadDependency(position, bad));
             }
         }
@@ -180,7 +184,12 @@
     pub fn longest_chain_ms(&self) -> u64 {
         let mut until: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
-            let before = step.depends_on.iter().filter_map(|&i| until.get(i as usize)).max().copied();
+            let before = step
+                .depends_on
+                .iter()
+                .filter_map(|&i| until.get(i as usize))
+                .max()
+                .copied();
             until.push(before.unwrap_or(0) + step.estimated_ms);
         }
         until.into_iter().max().unwrap_or(0)
--- a/system/protocol/src/lib.rs
+++ b/system/protocol/src/lib.rs
@@ -17,7 +17,9 @@
 mod workers;
 
 pub use codec::{decode, encode, DecodeError};
-pub use command::{Command, EndKind, Entry, Fence, Position, ProposalId, Role, RunEnd, RunStart, Submission};
+pub use command::{
+    Command, EndKind, Entry, Fence, Position, ProposalId, Role, RunEnd, RunStart, Submission,
+};
 pub use feed::{ConfigurationFetch, ConfigurationPart, Feed, FeedPoll, RoleHolder, TransferId};
 pub use hash::fnv1a;
 pub use ids::{JobId, Member, Replica, RunId, TaskId};
--- a/system/protocol/src/peer.rs
+++ b/system/protocol/src/peer.rs
@@ -1,6 +1,7 @@
 //! Messages between coordinators.
 use crate::{
-    Command, Entry, Fence, Location, Millis, Position, ProposalId, Replica, View, WallMillis, WorkerEntry,
+    Command, Entry, Fence, Location, Millis, Position, ProposalId, Replica, View, WallMillis,
+    WorkerEntry,
 };
 use minicbor::{Decode, Encode};
 
--- a/system/protocol/src/view.rs
+++ b/system/protocol/src/view.rs
@@ -40,16 +40,31 @@
 impl View {
     /// The state before the first view: the voters are known, no chain is.
     pub fn initial(voters: Vec<Member>) -> View {
-        View { number: 0, voters, chain: Vec::new(), history: Vec::new(), locations: Vec::new() }
+        View {
+            number: 0,
+            voters,
+            chain: Vec::new(),
+            history: Vec::new(),
+            locations: Vec::new(),
+        }
     }
 
     /// The view that follows this one.
     pub fn next(&self, voters: Vec<Member>, chain: Vec<Replica>) -> View {
         let mut history = self.history.clone();
-        history.push(ChainRecord { number: self.number, chain: self.chain.clone() });
+        history.push(ChainRecord {
+            number: self.number,
+            chain: self.chain.clone(),
+        });
         let surplus = history.len().saturating_sub(HISTORY);
         history.drain(..surplus);
-        View { number: self.number + 1, voters, chain, history, locations: Vec::new() }
+        View {
+            number: self.number + 1,
+            voters,
+            chain,
+            history,
+            locations: Vec::new(),
+        }
     }
 
     /// Where a member stands; unknown when the view does not say.
@@ -84,7 +99,10 @@
         let in_chain = |chain: &[Replica]| chain.iter().any(|replica| replica.member == *member);
         let in_view = |number: u64| match number == self.number {
             true => in_chain(&self.chain),
-            false => self.history.iter().any(|record| record.number == number && in_chain(&record.chain)),
+            false => self
+                .history
+                .iter()
+                .any(|record| record.number == number && in_chain(&record.chain)),
         };
         synced <= self.number && (synced + 1..=self.number).all(in_view)
     }
--- a/system/protocol/tests/golden/mod.rs
+++ b/system/protocol/tests/golden/mod.rs
@@ -16,11 +16,16 @@
 impl Stored {
     /// Reads the text of a stored file.
     pub fn read(text: &'static str) -> Stored {
-        let mut stored = Stored { records: BTreeMap::new(), faults: Vec::new() };
+        let mut stored = Stored {
+            records: BTreeMap::new(),
+            faults: Vec::new(),
+        };
         for line in text.lines() {
             match line.split_once(": ") {
                 Some((name, hex)) if stored.records.insert(name, hex).is_none() => {}
-                _ => stored.faults.push(format!("a line without a name of its own: {line}")),
+                _ => stored
+                    .faults
+                    .push(format!("a line without a name of its own: {line}")),
             }
         }
         stored
@@ -46,7 +51,8 @@
     {
         let bytes = self.bytes(name);
         if bytes.and_then(|bytes| decode::<T>(&bytes).ok()).as_ref() != Some(value) {
-            self.faults.push(format!("stored bytes are not read as the value: {name}"));
+            self.faults
+                .push(format!("stored bytes are not read as the value: {name}"));
         }
     }
 
@@ -57,7 +63,10 @@
 
     /// All that is wrong, also stored records that no value was compared with.
     pub fn faults(self) -> Vec<String> {
-        let left = self.records.keys().map(|name| format!("stored, but compared with nothing: {name}"));
+        let left = self
+            .records
+            .keys()
+            .map(|name| format!("stored, but compared with nothing: {name}"));
         self.faults.into_iter().chain(left).collect()
     }
 }
--- a/system/protocol/tests/golden/samples.rs
+++ b/system/protocol/tests/golden/samples.rs
@@ -2,15 +2,26 @@
 use magpiegap_protocol::*;
 
 pub fn member(n: u32) -> Member {
-    Member { address: 0x0a00_0000 + n, disk: 0xd15c_0000 + u64::from(n) }
+    Member {
+        address: 0x0a00_0000 + n,
+        disk: 0xd15c_0000 + u64::from(n),
+    }
 }
 
 pub fn replica(n: u32) -> Replica {
-    Replica { member: member(n), boot: 0xb007_0000_0000_0000 + u64::from(n) }
+    Replica {
+        member: member(n),
+        boot: 0xb007_0000_0000_0000 + u64::from(n),
+    }
 }
 
 pub fn task() -> TaskId {
-    TaskId { job: JobId(0x5c0e_7a21_d94b_36f8), time: 2, step: 3, index: 417 }
+    TaskId {
+        job: JobId(0x5c0e_7a21_d94b_36f8),
+        time: 2,
+        step: 3,
+        index: 417,
+    }
 }
 
 pub fn scheduler() -> Role {
@@ -18,15 +29,24 @@
 }
 
 pub fn fence() -> Fence {
-    Fence { role: scheduler(), token: 31 }
+    Fence {
+        role: scheduler(),
+        token: 31,
+    }
 }
 
 pub fn position() -> Position {
-    Position { view: 12, index: 70_001 }
+    Position {
+        view: 12,
+        index: 70_001,
+    }
 }
 
 pub fn proposal() -> ProposalId {
-    ProposalId { origin: replica(4), sequence: 260 }
+    ProposalId {
+        origin: replica(4),
+        sequence: 260,
+    }
 }
 
 pub fn entry(command: Command) -> Entry {
@@ -40,15 +60,29 @@
 }
 
 pub fn run_end(kind: EndKind) -> RunEnd {
-    RunEnd { task: task(), run: 5, kind, checkpoint: "half-way".to_owned() }
+    RunEnd {
+        task: task(),
+        run: 5,
+        kind,
+        checkpoint: "half-way".to_owned(),
+    }
 }
 
 pub fn run_start() -> RunStart {
-    RunStart { task: task(), run: 6, instance: "w-17/3".to_owned(), checkpoint: "third".to_owned() }
+    RunStart {
+        task: task(),
+        run: 6,
+        instance: "w-17/3".to_owned(),
+        checkpoint: "third".to_owned(),
+    }
 }
 
 pub fn resources() -> Resources {
-    Resources { cpu: 1500, memory_mb: 70_000, gpu: 2 }
+    Resources {
+        cpu: 1500,
+        memory_mb: 70_000,
+        gpu: 2,
+    }
 }
 
 pub fn step() -> StepSpec {
@@ -70,7 +104,13 @@
 pub fn job_spec() -> JobSpec {
     JobSpec {
         spec: "frames 1-24".to_owned(),
-        steps: vec![step(), StepSpec { affinity: None, ..step() }],
+        steps: vec![
+            step(),
+            StepSpec {
+                affinity: None,
+                ..step()
+            },
+        ],
         long_running: true,
         repeat_count: 11,
         start_at_ms: 1_700_000_100_000,
@@ -93,7 +133,10 @@
 }
 
 pub fn location() -> Location {
-    Location { zone: PlaceId(0xa1b2_c3d4_e5f6_0718), region: PlaceId(0x1122_3344) }
+    Location {
+        zone: PlaceId(0xa1b2_c3d4_e5f6_0718),
+        region: PlaceId(0x1122_3344),
+    }
 }
 
 pub fn view() -> View {
@@ -102,10 +145,19 @@
         voters: vec![member(1), member(2), member(3)],
         chain: vec![replica(2), replica(1)],
         history: vec![
-            ChainRecord { number: 12, chain: vec![replica(3)] },
-            ChainRecord { number: 13, chain: vec![replica(1), replica(3)] },
+            ChainRecord {
+                number: 12,
+                chain: vec![replica(3)],
+            },
+            ChainRecord {
+                number: 13,
+                chain: vec![replica(1), replica(3)],
+            },
         ],
-        locations: vec![MemberLocation { member: member(2), location: location() }],
+        locations: vec![MemberLocation {
+            member: member(2),
+            location: location(),
+        }],
     }
 }
 
@@ -140,7 +192,12 @@
 }
 
 pub fn promise() -> Promise {
-    Promise { number: 17, ballot: (18, 19), accepted: Some(((20, 21), view())), complete: Some(position()) }
+    Promise {
+        number: 17,
+        ballot: (18, 19),
+        accepted: Some(((20, 21), view())),
+        complete: Some(position()),
+    }
 }
 
 pub fn worker() -> WorkerEntry {
@@ -157,16 +214,33 @@
 }
 
 pub fn platform_list() -> PlatformList {
-    let ready = WorkerEntry { availability: Availability::Ready, remaining_ms: None, ..worker() };
-    PlatformList { token: 22, sequence: 23, workers: vec![worker(), ready] }
+    let ready = WorkerEntry {
+        availability: Availability::Ready,
+        remaining_ms: None,
+        ..worker()
+    };
+    PlatformList {
+        token: 22,
+        sequence: 23,
+        workers: vec![worker(), ready],
+    }
 }
 
 pub fn transfer() -> TransferId {
-    TransferId { base: 24, version: 25, checksum: 0xfeed_beef_0123_4567 }
+    TransferId {
+        base: 24,
+        version: 25,
+        checksum: 0xfeed_beef_0123_4567,
+    }
 }
 
 pub fn part() -> ConfigurationPart {
-    ConfigurationPart { transfer: transfer(), length: 40_000, offset: 16_384, bytes: vec![1, 0, 255, 128] }
+    ConfigurationPart {
+        transfer: transfer(),
+        length: 40_000,
+        offset: 16_384,
+        bytes: vec![1, 0, 255, 128],
+    }
 }
 
 pub fn feed() -> Feed {
@@ -174,8 +248,16 @@
         view: 26,
         chain: vec![0x0a00_0001, 0x0a00_0002],
         roles: vec![
-            RoleHolder { role: Role::PlatformReader, holder: replica(1), token: 27 },
-            RoleHolder { role: scheduler(), holder: replica(2), token: 28 },
+            RoleHolder {
+                role: Role::PlatformReader,
+                holder: replica(1),
+                token: 27,
+            },
+            RoleHolder {
+                role: scheduler(),
+                holder: replica(2),
+                token: 28,
+            },
         ],
         configuration_version: 29,
         revision: 0x0102_0304_0506_0708,
@@ -184,11 +266,19 @@
 }
 
 pub fn poll() -> FeedPoll {
-    FeedPoll { revision: 0x0102_0304_0506_0708, configuration_version: 29, wait_ms: 25_000 }
+    FeedPoll {
+        revision: 0x0102_0304_0506_0708,
+        configuration_version: 29,
+        wait_ms: 25_000,
+    }
 }
 
 pub fn fetch() -> ConfigurationFetch {
-    ConfigurationFetch { base: 24, transfer: Some(transfer()), offset: 32_768 }
+    ConfigurationFetch {
+        base: 24,
+        transfer: Some(transfer()),
+        offset: 32_768,
+    }
 }
 
 pub fn filter() -> JobFilter {
--- a/system/protocol/tests/messages.rs
+++ b/system/protocol/tests/messages.rs
@@ -1,31 +1,49 @@
 //! Names, jobs, views and their encodings.
 use googletest::prelude::*;
 use magpiegap_protocol::{
-    decode, encode, CoordinatorRequest, Feed, JobId, JobSpec, JobSpecError, Member, Replica, Resources, Role,
-    RoleHolder, StepSpec, TaskId, View,
+    decode, encode, CoordinatorRequest, Feed, JobId, JobSpec, JobSpecError, Member, Replica,
+    Resources, Role, RoleHolder, StepSpec, TaskId, View,
 };
 
 fn replica(address: u32) -> Replica {
-    Replica { member: Member { address, disk: 0 }, boot: u64::from(address) }
+    Replica {
+        member: Member { address, disk: 0 },
+        boot: u64::from(address),
+    }
 }
 
 #[googletest::test]
 fn given_a_task_when_its_name_is_written_and_read_then_it_is_the_same() {
-    let task = TaskId { job: JobId(0x5c0e_7a21_d94b_36f8), time: 2, step: 1, index: 17 };
+    let task = TaskId {
+        job: JobId(0x5c0e_7a21_d94b_36f8),
+        time: 2,
+        step: 1,
+        index: 17,
+    };
     expect_that!(task.to_string(), eq("5c0e7a21d94b36f8.2.1.17"));
     expect_that!(TaskId::parse(&task.to_string()), some(eq(task)));
-    for bad in
-        ["", "5c0e7a21d94b36f8", "5c0e7a21d94b36f8.0.1", "5C0E7A21D94B36F8.0.1.1", "5c0e7a21d94b36f8.0.1.1.1"]
-    {
+    for bad in [
+        "",
+        "5c0e7a21d94b36f8",
+        "5c0e7a21d94b36f8.0.1",
+        "5C0E7A21D94B36F8.0.1.1",
+        "5c0e7a21d94b36f8.0.1.1.1",
+    ] {
         expect_that!(TaskId::parse(bad), none());
     }
 }
 
 #[googletest::test]
 fn given_a_message_when_it_is_cut_short_then_it_is_refused() {
-    let request = CoordinatorRequest::Status { queue: "h/q/".to_owned(), job: JobId(7) };
+    let request = CoordinatorRequest::Status {
+        queue: "h/q/".to_owned(),
+        job: JobId(7),
+    };
     let bytes = encode(&request);
-    expect_that!(decode::<CoordinatorRequest>(&bytes).ok(), some(eq(&request)));
+    expect_that!(
+        decode::<CoordinatorRequest>(&bytes).ok(),
+        some(eq(&request))
+    );
     for length in 0..bytes.len() {
         expect_that!(decode::<CoordinatorRequest>(&bytes[..length]).ok(), none());
     }
@@ -33,31 +51,86 @@
 
 #[googletest::test]
 fn given_jobs_that_cannot_run_when_they_are_checked_then_the_fault_is_named() {
-    let job = |steps| JobSpec { steps, ..JobSpec::default() };
-    let step = |count, depends_on| StepSpec { count, depends_on, ..StepSpec::default() };
+    let job = |steps| JobSpec {
+        steps,
+        ..JobSpec::default()
+    };
+    let step = |count, depends_on| StepSpec {
+        count,
+        depends_on,
+        ..StepSpec::default()
+    };
     expect_that!(job(vec![]).validate(), err(eq(&JobSpecError::NoSteps)));
-    expect_that!(job(vec![step(0, vec![])]).validate(), err(eq(&JobSpecError::EmptyStep(0))));
-    expect_that!(job(vec![step(1, vec![0])]).validate(), err(eq(&JobSpecError::BadDependency(0, 0))));
-    expect_that!(job(vec![step(u32::MAX, vec![])]).validate(), err(anything()));
-    expect_that!(job(vec![step(1, vec![]), step(2, vec![0])]).validate(), ok(anything()));
-    let long = JobSpec { spec: "x".repeat(4001), ..job(vec![step(1, vec![])]) };
+    expect_that!(
+        job(vec![step(0, vec![])]).validate(),
+        err(eq(&JobSpecError::EmptyStep(0)))
+    );
+    expect_that!(
+        job(vec![step(1, vec![0])]).validate(),
+        err(eq(&JobSpecError::BadDependency(0, 0)))
+    );
+    expect_that!(
+        job(vec![step(u32::MAX, vec![])]).validate(),
+        err(anything())
+    );
+    expect_that!(
+        job(vec![step(1, vec![]), step(2, vec![0])]).validate(),
+        ok(anything())
+    );
+    let long = JobSpec {
+        spec: "x".repeat(4001),
+        ..job(vec![step(1, vec![])])
+    };
     expect_that!(long.validate(), err(eq(&JobSpecError::SpecTooLong(4001))));
 }
 
 #[googletest::test]
 fn given_resources_when_they_are_compared_then_each_kind_counts() {
-    let whole = Resources { cpu: 4000, memory_mb: 100, gpu: 0 };
-    expect_that!(Resources { cpu: 4000, memory_mb: 101, gpu: 0 }.fits(&whole), eq(false));
-    expect_that!(Resources { cpu: 1000, memory_mb: 50, gpu: 0 }.share_of(&whole), eq(0.5));
-    expect_that!(Resources { gpu: 1, ..whole }.share_of(&whole), eq(f64::INFINITY));
+    let whole = Resources {
+        cpu: 4000,
+        memory_mb: 100,
+        gpu: 0,
+    };
+    expect_that!(
+        Resources {
+            cpu: 4000,
+            memory_mb: 101,
+            gpu: 0
+        }
+        .fits(&whole),
+        eq(false)
+    );
+    expect_that!(
+        Resources {
+            cpu: 1000,
+            memory_mb: 50,
+            gpu: 0
+        }
+        .share_of(&whole),
+        eq(0.5)
+    );
+    expect_that!(
+        Resources { gpu: 1, ..whole }.share_of(&whole),
+        eq(f64::INFINITY)
+    );
 }
 
 #[googletest::test]
 fn given_views_when_a_disk_was_in_every_chain_since_then_it_is_complete() {
-    let first = View::initial(vec![replica(1).member, replica(2).member, replica(3).member]);
-    let second = first.next(first.voters.clone(), vec![replica(1), replica(2), replica(3)]);
+    let first = View::initial(vec![
+        replica(1).member,
+        replica(2).member,
+        replica(3).member,
+    ]);
+    let second = first.next(
+        first.voters.clone(),
+        vec![replica(1), replica(2), replica(3)],
+    );
     let third = second.next(first.voters.clone(), vec![replica(1), replica(2)]);
-    let fourth = third.next(first.voters.clone(), vec![replica(2), replica(1), replica(3)]);
+    let fourth = third.next(
+        first.voters.clone(),
+        vec![replica(2), replica(1), replica(3)],
+    );
     expect_that!(fourth.complete_since(1, &replica(1).member), eq(true));
     // It was out of the third view, which may have committed without it.
     expect_that!(fourth.complete_since(1, &replica(3).member), eq(false));
@@ -70,7 +143,11 @@
     let feed = |view, version, token| Feed {
         view,
         configuration_version: version,
-        roles: vec![RoleHolder { role: Role::PlatformReader, holder: replica(1), token }],
+        roles: vec![RoleHolder {
+            role: Role::PlatformReader,
+            holder: replica(1),
+            token,
+        }],
         ..Feed::default()
     };
     let known = feed(4, 9, 2);
