--- a/system/protocol/tests/stored_bytes.rs
+++ b/system/protocol/tests/stored_bytes.rs
@@ -16,45 +16,116 @@
     let mut stored = Stored::read(include_str!("golden/commands.hex"));
     stored.keeps("noop", &Command::Noop);
     let (body, change) = (b"{\"version\":33}".to_vec(), vec![0, 200, 7]);
-    let replace = Command::ReplaceConfiguration { base: 32, version: 33, body: body.clone(), change };
+    let replace = Command::ReplaceConfiguration {
+        base: 32,
+        version: 33,
+        body: body.clone(),
+        change,
+    };
     stored.keeps("replace-configuration", &replace);
-    let unknown = Command::ReplaceConfiguration { base: 32, version: 33, body, change: vec![] };
+    let unknown = Command::ReplaceConfiguration {
+        base: 32,
+        version: 33,
+        body,
+        change: vec![],
+    };
     stored.keeps("replace-configuration-change-unknown", &unknown);
     stored.reads("replace-configuration-before-changes", &unknown);
     stored.keeps(
         "claim-role-platform-reader",
-        &Command::ClaimRole { role: Role::PlatformReader, holder: replica(6), expected: 34 },
+        &Command::ClaimRole {
+            role: Role::PlatformReader,
+            holder: replica(6),
+            expected: 34,
+        },
     );
     stored.keeps(
         "claim-role-scheduler",
-        &Command::ClaimRole { role: scheduler(), holder: replica(7), expected: 35 },
+        &Command::ClaimRole {
+            role: scheduler(),
+            holder: replica(7),
+            expected: 35,
+        },
     );
-    let submit = Command::SubmitJob { submission: Box::new(submission()), runs: vec![run_start()] };
+    let submit = Command::SubmitJob {
+        submission: Box::new(submission()),
+        runs: vec![run_start()],
+    };
     stored.keeps("submit-job", &submit);
     stored.keeps("cancel-job", &Command::CancelJob { job: JobId(36) });
-    stored.keeps("start-runs", &Command::StartRuns { runs: vec![run_start()] });
+    stored.keeps(
+        "start-runs",
+        &Command::StartRuns {
+            runs: vec![run_start()],
+        },
+    );
     let ends = every_end_kind().map(run_end).to_vec();
-    stored.keeps("note-ends", &Command::NoteEnds { instance: "w-17/5".to_owned(), last_seen: 37, ends });
-    stored.keeps("lose-runs", &Command::LoseRuns { runs: vec![run_start(), run_start()] });
-    stored.keeps("lose-instance", &Command::LoseInstance { instance: "w-17/6".to_owned(), ended: true });
+    stored.keeps(
+        "note-ends",
+        &Command::NoteEnds {
+            instance: "w-17/5".to_owned(),
+            last_seen: 37,
+            ends,
+        },
+    );
+    stored.keeps(
+        "lose-runs",
+        &Command::LoseRuns {
+            runs: vec![run_start(), run_start()],
+        },
+    );
+    stored.keeps(
+        "lose-instance",
+        &Command::LoseInstance {
+            instance: "w-17/6".to_owned(),
+            ended: true,
+        },
+    );
     stored.keeps(
         "lose-instance-hold-only",
-        &Command::LoseInstance { instance: "w-17/6".to_owned(), ended: false },
+        &Command::LoseInstance {
+            instance: "w-17/6".to_owned(),
+            ended: false,
+        },
+    );
+    stored.keeps(
+        "open-time",
+        &Command::OpenTime {
+            job: JobId(38),
+            time: 39,
+        },
+    );
+    stored.keeps(
+        "forget-jobs",
+        &Command::ForgetJobs {
+            jobs: vec![JobId(40), JobId(u64::MAX)],
+        },
     );
-    stored.keeps("open-time", &Command::OpenTime { job: JobId(38), time: 39 });
-    stored.keeps("forget-jobs", &Command::ForgetJobs { jobs: vec![JobId(40), JobId(u64::MAX)] });
     expect_that!(stored.faults(), is_empty());
 }
 
 fn every_end_kind() -> [EndKind; 6] {
-    [EndKind::Done, EndKind::Failed, EndKind::Stopped, EndKind::Lapsed, EndKind::Broken, EndKind::Alone]
+    [
+        EndKind::Done,
+        EndKind::Failed,
+        EndKind::Stopped,
+        EndKind::Lapsed,
+        EndKind::Broken,
+        EndKind::Alone,
+    ]
 }
 
 #[googletest::test]
 fn every_entry_of_the_log_keeps_its_bytes() {
     let mut stored = Stored::read(include_str!("golden/entries.hex"));
     stored.keeps("fenced", &entry(Command::CancelJob { job: JobId(41) }));
-    stored.keeps("without-a-fence", &Entry { fence: None, ..entry(Command::Noop) });
+    stored.keeps(
+        "without-a-fence",
+        &Entry {
+            fence: None,
+            ..entry(Command::Noop)
+        },
+    );
     stored.keeps("position", &position());
     stored.keeps("proposal", &proposal());
     stored.keeps("fence", &fence());
@@ -64,25 +135,82 @@
 #[googletest::test]
 fn every_peer_message_keeps_its_bytes() {
     let mut stored = Stored::read(include_str!("golden/peer_messages.hex"));
-    let entries = vec![entry(Command::Noop), entry(Command::CancelJob { job: JobId(42) })];
+    let entries = vec![
+        entry(Command::Noop),
+        entry(Command::CancelJob { job: JobId(42) }),
+    ];
     let messages = [
         ("heartbeat", PeerMessage::Heartbeat(heartbeat())),
-        ("prepare", PeerMessage::Prepare { number: 43, ballot: (44, 45) }),
+        (
+            "prepare",
+            PeerMessage::Prepare {
+                number: 43,
+                ballot: (44, 45),
+            },
+        ),
         ("promise", PeerMessage::Promise(promise())),
-        ("reject", PeerMessage::Reject { number: 46, promised: (47, 48) }),
-        ("accept", PeerMessage::Accept { ballot: (49, 50), view: view() }),
-        ("accepted", PeerMessage::Accepted { number: 51, ballot: (52, 53) }),
+        (
+            "reject",
+            PeerMessage::Reject {
+                number: 46,
+                promised: (47, 48),
+            },
+        ),
+        (
+            "accept",
+            PeerMessage::Accept {
+                ballot: (49, 50),
+                view: view(),
+            },
+        ),
+        (
+            "accepted",
+            PeerMessage::Accepted {
+                number: 51,
+                ballot: (52, 53),
+            },
+        ),
         ("decided", PeerMessage::Decided(view())),
-        ("append", PeerMessage::Append { view: 54, after: 55, entries: entries.clone(), durable: 56 }),
-        ("committed", PeerMessage::Committed { view: 57, index: 58 }),
-        ("synchronize", PeerMessage::Synchronize { view: 59, last: position() }),
+        (
+            "append",
+            PeerMessage::Append {
+                view: 54,
+                after: 55,
+                entries: entries.clone(),
+                durable: 56,
+            },
+        ),
+        (
+            "committed",
+            PeerMessage::Committed {
+                view: 57,
+                index: 58,
+            },
+        ),
+        (
+            "synchronize",
+            PeerMessage::Synchronize {
+                view: 59,
+                last: position(),
+            },
+        ),
         (
             "missing-entries",
-            PeerMessage::MissingEntries { view: 60, after: 61, entries: entries.clone(), more: true },
+            PeerMessage::MissingEntries {
+                view: 60,
+                after: 61,
+                entries: entries.clone(),
+                more: true,
+            },
         ),
         (
             "missing-entries-the-last",
-            PeerMessage::MissingEntries { view: 60, after: 61, entries: entries.clone(), more: false },
+            PeerMessage::MissingEntries {
+                view: 60,
+                after: 61,
+                entries: entries.clone(),
+                more: false,
+            },
         ),
         (
             "propose",
@@ -95,11 +223,30 @@
         ),
         (
             "propose-without-a-fence",
-            PeerMessage::Propose { view: 62, proposal: proposal(), fence: None, command: Command::Noop },
+            PeerMessage::Propose {
+                view: 62,
+                proposal: proposal(),
+                fence: None,
+                command: Command::Noop,
+            },
         ),
         ("platform", PeerMessage::Platform(platform_list())),
-        ("state-offer", PeerMessage::StateOffer { view: 63, position: position(), parts: 64 }),
-        ("ask-part", PeerMessage::AskPart { view: 65, position: position(), number: 66 }),
+        (
+            "state-offer",
+            PeerMessage::StateOffer {
+                view: 63,
+                position: position(),
+                parts: 64,
+            },
+        ),
+        (
+            "ask-part",
+            PeerMessage::AskPart {
+                view: 65,
+                position: position(),
+                number: 66,
+            },
+        ),
         (
             "state-part",
             PeerMessage::StatePart {
@@ -114,8 +261,18 @@
     for (name, message) in &messages {
         stored.keeps(name, message);
     }
-    let messages = messages.into_iter().map(|(_, message)| message).take(2).collect();
-    stored.keeps("envelope", &Envelope { from: replica(8), messages });
+    let messages = messages
+        .into_iter()
+        .map(|(_, message)| message)
+        .take(2)
+        .collect();
+    stored.keeps(
+        "envelope",
+        &Envelope {
+            from: replica(8),
+            messages,
+        },
+    );
     expect_that!(stored.faults(), is_empty());
 }
 
@@ -125,10 +282,29 @@
     stored.keeps("heartbeat", &heartbeat());
     stored.keeps("peer-report", &report());
     stored.keeps("promise", &promise());
-    stored.keeps("promise-of-an-empty-voter", &Promise { accepted: None, complete: None, ..promise() });
+    stored.keeps(
+        "promise-of-an-empty-voter",
+        &Promise {
+            accepted: None,
+            complete: None,
+            ..promise()
+        },
+    );
     stored.keeps("view", &view());
-    stored.keeps("chain-record", &ChainRecord { number: 69, chain: vec![replica(9)] });
-    stored.keeps("member-location", &MemberLocation { member: member(10), location: location() });
+    stored.keeps(
+        "chain-record",
+        &ChainRecord {
+            number: 69,
+            chain: vec![replica(9)],
+        },
+    );
+    stored.keeps(
+        "member-location",
+        &MemberLocation {
+            member: member(10),
+            location: location(),
+        },
+    );
     stored.keeps("platform-list", &platform_list());
     expect_that!(stored.faults(), is_empty());
 }
@@ -153,7 +329,13 @@
         ..heartbeat()
     };
     stored.reads("heartbeat-of-six-fields", &first_heartbeat);
-    stored.reads("view-without-locations", &View { locations: vec![], ..view() });
+    stored.reads(
+        "view-without-locations",
+        &View {
+            locations: vec![],
+            ..view()
+        },
+    );
     stored.reads(
         "missing-entries-without-more",
         &PeerMessage::MissingEntries {
@@ -172,23 +354,53 @@
     let queue = "films.example/render/".to_owned();
     let requests = [
         ("submit", CoordinatorRequest::Submit(Box::new(submission()))),
-        ("status", CoordinatorRequest::Status { queue: queue.clone(), job: JobId(70) }),
-        ("cancel", CoordinatorRequest::Cancel { queue: queue.clone(), job: JobId(71) }),
+        (
+            "status",
+            CoordinatorRequest::Status {
+                queue: queue.clone(),
+                job: JobId(70),
+            },
+        ),
+        (
+            "cancel",
+            CoordinatorRequest::Cancel {
+                queue: queue.clone(),
+                job: JobId(71),
+            },
+        ),
         ("count", CoordinatorRequest::Count { queue }),
         ("poll", CoordinatorRequest::Poll(poll())),
         (
             "replace-configuration",
-            CoordinatorRequest::ReplaceConfiguration { base: 72, body: b"{\"version\":73}".to_vec() },
+            CoordinatorRequest::ReplaceConfiguration {
+                base: 72,
+                body: b"{\"version\":73}".to_vec(),
+            },
+        ),
+        (
+            "describe-configuration",
+            CoordinatorRequest::DescribeConfiguration,
         ),
-        ("describe-configuration", CoordinatorRequest::DescribeConfiguration),
         ("describe", CoordinatorRequest::Describe),
         ("explain", CoordinatorRequest::Explain { job: JobId(74) }),
         ("list-jobs", CoordinatorRequest::ListJobs(filter())),
-        ("list-all-jobs", CoordinatorRequest::ListJobs(JobFilter { limit: 75, ..JobFilter::default() })),
-        ("fetch-configuration", CoordinatorRequest::FetchConfiguration(fetch())),
+        (
+            "list-all-jobs",
+            CoordinatorRequest::ListJobs(JobFilter {
+                limit: 75,
+                ..JobFilter::default()
+            }),
+        ),
+        (
+            "fetch-configuration",
+            CoordinatorRequest::FetchConfiguration(fetch()),
+        ),
         (
             "fetch-configuration-anew",
-            CoordinatorRequest::FetchConfiguration(ConfigurationFetch { transfer: None, ..fetch() }),
+            CoordinatorRequest::FetchConfiguration(ConfigurationFetch {
+                transfer: None,
+                ..fetch()
+            }),
         ),
     ];
     for (name, request) in &requests {
@@ -208,20 +420,47 @@
         ("no-such-job", CoordinatorAnswer::NoSuchJob),
         ("phase-pending", CoordinatorAnswer::Phase(JobPhase::Pending)),
         ("phase-running", CoordinatorAnswer::Phase(JobPhase::Running)),
-        ("phase-succeeded", CoordinatorAnswer::Phase(JobPhase::Succeeded)),
+        (
+            "phase-succeeded",
+            CoordinatorAnswer::Phase(JobPhase::Succeeded),
+        ),
         ("phase-failed", CoordinatorAnswer::Phase(JobPhase::Failed)),
-        ("phase-cancelled", CoordinatorAnswer::Phase(JobPhase::Cancelled)),
+        (
+            "phase-cancelled",
+            CoordinatorAnswer::Phase(JobPhase::Cancelled),
+        ),
         ("count", CoordinatorAnswer::Count(76_000)),
         ("feed", CoordinatorAnswer::Feed(Box::new(feed()))),
-        ("feed-without-a-change", CoordinatorAnswer::Feed(Box::new(Feed { change: None, ..feed() }))),
+        (
+            "feed-without-a-change",
+            CoordinatorAnswer::Feed(Box::new(Feed {
+                change: None,
+                ..feed()
+            })),
+        ),
         ("configuration-taken", CoordinatorAnswer::ConfigurationTaken),
-        ("configuration-conflict", CoordinatorAnswer::ConfigurationConflict),
+        (
+            "configuration-conflict",
+            CoordinatorAnswer::ConfigurationConflict,
+        ),
         ("configuration-stale", CoordinatorAnswer::ConfigurationStale),
-        ("configuration", CoordinatorAnswer::Configuration(b"{\"version\":77}".to_vec())),
-        ("description", CoordinatorAnswer::Description("{\"view\":78}".to_owned())),
+        (
+            "configuration",
+            CoordinatorAnswer::Configuration(b"{\"version\":77}".to_vec()),
+        ),
+        (
+            "description",
+            CoordinatorAnswer::Description("{\"view\":78}".to_owned()),
+        ),
         ("elsewhere", CoordinatorAnswer::Elsewhere(0x0a00_000b)),
-        ("configuration-part", CoordinatorAnswer::ConfigurationPart(Box::new(part()))),
-        ("configuration-invalid", CoordinatorAnswer::ConfigurationInvalid("no routes".to_owned())),
+        (
+            "configuration-part",
+            CoordinatorAnswer::ConfigurationPart(Box::new(part())),
+        ),
+        (
+            "configuration-invalid",
+            CoordinatorAnswer::ConfigurationInvalid("no routes".to_owned()),
+        ),
     ];
     for (name, answer) in &answers {
         stored.keeps(name, answer);
@@ -233,9 +472,22 @@
 fn what_agents_and_proxies_learn_keeps_its_bytes() {
     let mut stored = Stored::read(include_str!("golden/feeds.hex"));
     stored.keeps("feed", &feed());
-    stored.keeps("feed-without-a-change", &Feed { change: None, ..feed() });
+    stored.keeps(
+        "feed-without-a-change",
+        &Feed {
+            change: None,
+            ..feed()
+        },
+    );
     stored.keeps("feed-poll", &poll());
-    stored.keeps("role-holder", &RoleHolder { role: scheduler(), holder: replica(11), token: 79 });
+    stored.keeps(
+        "role-holder",
+        &RoleHolder {
+            role: scheduler(),
+            holder: replica(11),
+            token: 79,
+        },
+    );
     stored.keeps("transfer", &transfer());
     stored.keeps("configuration-fetch", &fetch());
     stored.keeps("configuration-part", &part());
@@ -259,12 +511,22 @@
     stored.keeps("run-start", &run_start());
     stored.keeps("resources", &resources());
     stored.keeps("step", &step());
-    stored.keeps("step-without-affinity", &StepSpec { affinity: None, ..step() });
+    stored.keeps(
+        "step-without-affinity",
+        &StepSpec {
+            affinity: None,
+            ..step()
+        },
+    );
     stored.keeps("job-spec", &job_spec());
     stored.keeps("submission", &submission());
     stored.keeps("job-filter", &filter());
     stored.keeps("worker-draining", &worker());
-    let ready = WorkerEntry { availability: Availability::Ready, remaining_ms: None, ..worker() };
+    let ready = WorkerEntry {
+        availability: Availability::Ready,
+        remaining_ms: None,
+        ..worker()
+    };
     stored.keeps("worker-ready", &ready);
     expect_that!(stored.faults(), is_empty());
 }
@@ -274,15 +536,69 @@
 fn each_flag_keeps_its_place() {
     let mut stored = Stored::read(include_str!("golden/flags.hex"));
     let step = StepSpec::default();
-    stored.keeps("step-checkpoints", &StepSpec { checkpoints: true, ..step.clone() });
-    stored.keeps("step-gang", &StepSpec { gang: true, ..step.clone() });
-    stored.keeps("step-rack-local", &StepSpec { rack_local: true, ..step.clone() });
-    stored.keeps("step-allow-duplicate", &StepSpec { allow_duplicate: true, ..step });
-    let report = PeerReport { serving: false, unfit: false, complete: false, both_ways: false, ..report() };
-    stored.keeps("peer-report-serving", &PeerReport { serving: true, ..report });
-    stored.keeps("peer-report-unfit", &PeerReport { unfit: true, ..report });
-    stored.keeps("peer-report-complete", &PeerReport { complete: true, ..report });
-    stored.keeps("peer-report-both-ways", &PeerReport { both_ways: true, ..report });
+    stored.keeps(
+        "step-checkpoints",
+        &StepSpec {
+            checkpoints: true,
+            ..step.clone()
+        },
+    );
+    stored.keeps(
+        "step-gang",
+        &StepSpec {
+            gang: true,
+            ..step.clone()
+        },
+    );
+    stored.keeps(
+        "step-rack-local",
+        &StepSpec {
+            rack_local: true,
+            ..step.clone()
+        },
+    );
+    stored.keeps(
+        "step-allow-duplicate",
+        &StepSpec {
+            allow_duplicate: true,
+            ..step
+        },
+    );
+    let report = PeerReport {
+        serving: false,
+        unfit: false,
+        complete: false,
+        both_ways: false,
+        ..report()
+    };
+    stored.keeps(
+        "peer-report-serving",
+        &PeerReport {
+            serving: true,
+            ..report
+        },
+    );
+    stored.keeps(
+        "peer-report-unfit",
+        &PeerReport {
+            unfit: true,
+            ..report
+        },
+    );
+    stored.keeps(
+        "peer-report-complete",
+        &PeerReport {
+            complete: true,
+            ..report
+        },
+    );
+    stored.keeps(
+        "peer-report-both-ways",
+        &PeerReport {
+            both_ways: true,
+            ..report
+        },
+    );
     let heartbeat = Heartbeat {
         serving: false,
         unfit: false,
@@ -291,9 +607,33 @@
         sealed: false,
         ..heartbeat()
     };
-    stored.keeps("heartbeat-serving", &Heartbeat { serving: true, ..heartbeat.clone() });
-    stored.keeps("heartbeat-unfit", &Heartbeat { unfit: true, ..heartbeat.clone() });
-    stored.keeps("heartbeat-complete", &Heartbeat { complete: true, ..heartbeat.clone() });
-    stored.keeps("heartbeat-sealed", &Heartbeat { sealed: true, ..heartbeat });
+    stored.keeps(
+        "heartbeat-serving",
+        &Heartbeat {
+            serving: true,
+            ..heartbeat.clone()
+        },
+    );
+    stored.keeps(
+        "heartbeat-unfit",
+        &Heartbeat {
+            unfit: true,
+            ..heartbeat.clone()
+        },
+    );
+    stored.keeps(
+        "heartbeat-complete",
+        &Heartbeat {
+            complete: true,
+            ..heartbeat.clone()
+        },
+    );
+    stored.keeps(
+        "heartbeat-sealed",
+        &Heartbeat {
+            sealed: true,
+            ..heartbeat
+        },
+    );
     expect_that!(stored.faults(), is_empty());
 }
--- a/system/scheduler/examples/throughput.rs
+++ b/system/scheduler/examples/throughput.rs
@@ -7,8 +7,8 @@
 //! other replicas.
 use magpiegap_jobs::State;
 use magpiegap_protocol::{
-    Command, EndKind, Entry, JobId, JobSpec, Member, Position, ProposalId, Replica, Resources, RunStart,
-    StepSpec, Submission, WorkerEntry,
+    Command, EndKind, Entry, JobId, JobSpec, Member, Position, ProposalId, Replica, Resources,
+    RunStart, StepSpec, Submission, WorkerEntry,
 };
 use magpiegap_scheduler::{
     ListedEnd, Listing, Output, Scheduler, SchedulerSettings, WorkerCall, WorkerOrder, WorkerReply,
@@ -57,27 +57,43 @@
 
     fn commit(&mut self, command: Command) {
         let index = self.state.position.index + 1;
-        let origin = Replica { member: Member { address: 1, disk: 0 }, boot: 1 };
+        let origin = Replica {
+            member: Member {
+                address: 1,
+                disk: 0,
+            },
+            boot: 1,
+        };
         let runs: Vec<RunStart> = match &command {
             Command::StartRuns { runs } | Command::SubmitJob { runs, .. } => runs.clone(),
             _ => Vec::new(),
         };
         let entry = Entry {
             position: Position { view: 1, index },
-            proposal: ProposalId { origin, sequence: index },
+            proposal: ProposalId {
+                origin,
+                sequence: index,
+            },
             fence: None,
             command,
             wall_ms: WALL_MS + self.now,
         };
         let applied = self.state.apply(&entry);
-        self.scheduler.applied(self.now, entry.position, &self.state, &applied.changes, &runs);
+        self.scheduler.applied(
+            self.now,
+            entry.position,
+            &self.state,
+            &applied.changes,
+            &runs,
+        );
     }
 
     /// A few milliseconds pass; all workers answer what they were asked.
     fn step(&mut self) {
         self.now += 5;
         for _ in 0..4 {
-            self.scheduler.run(self.now, WALL_MS + self.now, &self.state);
+            self.scheduler
+                .run(self.now, WALL_MS + self.now, &self.state);
             for output in self.scheduler.take_outputs() {
                 match output {
                     Output::Call(call) => self.calls.push(call),
@@ -107,13 +123,25 @@
                     kind: EndKind::Done,
                     checkpoint,
                 });
-                WorkerReply::Done { clock_ms, listing: None }
+                WorkerReply::Done {
+                    clock_ms,
+                    listing: None,
+                }
             }
-            WorkerOrder::Stop { .. } => WorkerReply::Done { clock_ms, listing: None },
+            WorkerOrder::Stop { .. } => WorkerReply::Done {
+                clock_ms,
+                listing: None,
+            },
             WorkerOrder::Hold { last_seen, .. } => {
                 ends.retain(|end| end.number > *last_seen);
-                let listing = Listing { running: Vec::new(), ended: ends.clone() };
-                WorkerReply::Done { clock_ms, listing: Some(listing) }
+                let listing = Listing {
+                    running: Vec::new(),
+                    ended: ends.clone(),
+                };
+                WorkerReply::Done {
+                    clock_ms,
+                    listing: Some(listing),
+                }
             }
         }
     }
@@ -128,7 +156,10 @@
             stretch: 2.0,
             target_latency_ms: 1000,
             submitted_ms: WALL_MS + self.now,
-            spec: JobSpec { steps: vec![step], ..JobSpec::default() },
+            spec: JobSpec {
+                steps: vec![step],
+                ..JobSpec::default()
+            },
         };
         let command = self.scheduler.submit(self.now, submission);
         self.commit(command);
@@ -140,15 +171,31 @@
         instance: format!("i-{number:08}"),
         service: "s".to_owned(),
         address: format!("10.0.{}.{}:80", number / 250, number % 250),
-        capacity: Resources { cpu: 16_000, memory_mb: 64_000, gpu: 0 },
-        labels: vec![["a", "b"][number % 2].to_owned(), format!("r{}", number / 12)],
+        capacity: Resources {
+            cpu: 16_000,
+            memory_mb: 64_000,
+            gpu: 0,
+        },
+        labels: vec![
+            ["a", "b"][number % 2].to_owned(),
+            format!("r{}", number / 12),
+        ],
         ..WorkerEntry::default()
     }
 }
 
 fn step(count: u32, cpu: u64) -> StepSpec {
-    let resources = Resources { cpu, memory_mb: 100, gpu: 0 };
-    StepSpec { count, resources, estimated_ms: 500, ..StepSpec::default() }
+    let resources = Resources {
+        cpu,
+        memory_mb: 100,
+        gpu: 0,
+    };
+    StepSpec {
+        count,
+        resources,
+        estimated_ms: 500,
+        ..StepSpec::default()
+    }
 }
 
 /// Microseconds for each run.
@@ -156,7 +203,10 @@
     let mut bench = Bench::new(workers);
     for number in 0..waiting {
         // Wants a label that no worker has, and is unlike all before.
-        let wanted = StepSpec { requirements: vec!["none".to_owned()], ..step(1, 2000 - number) };
+        let wanted = StepSpec {
+            requirements: vec!["none".to_owned()],
+            ..step(1, 2000 - number)
+        };
         bench.submit(1_000_000 + number, 1, wanted);
     }
     bench.step();
@@ -180,7 +230,10 @@
     let mut bench = Bench::new(workers);
     // Four runs on each worker, which never end.
     for number in 0..2 * workers as u64 {
-        let long = StepSpec { estimated_ms: 60_000, ..step(2, 3900) };
+        let long = StepSpec {
+            estimated_ms: 60_000,
+            ..step(2, 3900)
+        };
         bench.submit(1_000_000 + number, 1, long);
     }
     bench.step();
@@ -191,7 +244,9 @@
     let began = Instant::now();
     for _ in 0..ROUNDS {
         bench.now += ROUND_MS;
-        bench.scheduler.run(bench.now, WALL_MS + bench.now, &bench.state);
+        bench
+            .scheduler
+            .run(bench.now, WALL_MS + bench.now, &bench.state);
         bench.scheduler.take_outputs();
         // Something ends, or comes, between any two rounds.
         bench.submit(2_000_000 + bench.now, 2, step(1, 15_000));
--- a/system/scheduler/src/answer_times.rs
+++ b/system/scheduler/src/answer_times.rs
@@ -34,7 +34,12 @@
 impl Default for AnswerTimes {
     /// Nothing is known yet, and all workers are greeted at once: the first answers may take long.
     fn default() -> Self {
-        AnswerTimes { mean_ms: 50.0, spread_ms: 60.0, unanswered: 0.0, stretch: 1.0 }
+        AnswerTimes {
+            mean_ms: 50.0,
+            spread_ms: 60.0,
+            unanswered: 0.0,
+            stretch: 1.0,
+        }
     }
 }
 
--- a/system/scheduler/src/backfill.rs
+++ b/system/scheduler/src/backfill.rs
@@ -60,7 +60,11 @@
 
 impl Candidate<'_> {
     fn duration_ms(&self, worker: &Worker) -> Millis {
-        let far = self.step.affinity.as_ref().is_some_and(|rack| !worker.has_label(rack));
+        let far = self
+            .step
+            .affinity
+            .as_ref()
+            .is_some_and(|rack| !worker.has_label(rack));
         let factor = if far { self.far_factor } else { 1.0 };
         (self.step.estimated_ms as f64 * factor) as Millis
     }
@@ -103,11 +107,20 @@
     pub fn promise(&mut self, workers: &Workers, candidate: &Candidate, now: Millis) {
         let mut waits_for_room = false;
         for _ in 0..candidate.count {
-            let Some((from, instance)) = self.earliest(workers, candidate, now) else { break };
+            let Some((from, instance)) = self.earliest(workers, candidate, now) else {
+                break;
+            };
             waits_for_room |= from > now;
             let owner = *candidate.urgency;
-            let promise = Promise { owner, resources: candidate.step.resources, from };
-            self.promises.entry(instance.to_owned()).or_default().push(promise);
+            let promise = Promise {
+                owner,
+                resources: candidate.step.resources,
+                from,
+            };
+            self.promises
+                .entry(instance.to_owned())
+                .or_default()
+                .push(promise);
         }
         if waits_for_room {
             self.owners += 1;
@@ -129,19 +142,29 @@
             worker.takes_work(now)
                 && !worker.health.on_trial()
                 && worker.has_labels(&step.requirements)
-                && step.affinity.as_ref().is_none_or(|rack| worker.has_label(rack))
+                && step
+                    .affinity
+                    .as_ref()
+                    .is_none_or(|rack| worker.has_label(rack))
         };
         workers
             .iter()
             .filter(|(_, worker)| suits(worker))
-            .filter_map(|(instance, worker)| Some((self.free_at(worker, step, now)?, instance.as_str())))
+            .filter_map(|(instance, worker)| {
+                Some((self.free_at(worker, step, now)?, instance.as_str()))
+            })
             .min()
     }
 
     /// When a worker should have room for a task beside all that was promised there.
     fn free_at(&mut self, worker: &Worker, step: &StepSpec, now: Millis) -> Option<Millis> {
-        let promised = self.promises.get(&worker.entry.instance).map_or(&[][..], Vec::as_slice);
-        let wanted = promised.iter().fold(step.resources, |sum, promise| sum.plus(&promise.resources));
+        let promised = self
+            .promises
+            .get(&worker.entry.instance)
+            .map_or(&[][..], Vec::as_slice);
+        let wanted = promised
+            .iter()
+            .fold(step.resources, |sum, promise| sum.plus(&promise.resources));
         if !wanted.fits(&worker.entry.capacity) {
             return None;
         }
@@ -151,7 +174,8 @@
         }
         let instance = &worker.entry.instance;
         if !self.ends.contains_key(instance) {
-            self.ends.insert(instance.clone(), expected_ends(worker, now));
+            self.ends
+                .insert(instance.clone(), expected_ends(worker, now));
         }
         let ends = self.ends.get(instance).map_or(&[][..], Vec::as_slice);
         for (end, freed) in ends {
@@ -165,9 +189,21 @@
 
     /// Whether a task may be placed on a worker that has room for it, beside `taken` more: it delays no task that is
     /// more urgent.
-    pub fn allows(&self, worker: &Worker, candidate: &Candidate, taken: &Resources, now: Millis) -> bool {
-        let Some(promises) = self.promises.get(&worker.entry.instance) else { return true };
-        let end = if candidate.lasting { Millis::MAX } else { now + candidate.duration_ms(worker) };
+    pub fn allows(
+        &self,
+        worker: &Worker,
+        candidate: &Candidate,
+        taken: &Resources,
+        now: Millis,
+    ) -> bool {
+        let Some(promises) = self.promises.get(&worker.entry.instance) else {
+            return true;
+        };
+        let end = if candidate.lasting {
+            Millis::MAX
+        } else {
+            now + candidate.duration_ms(worker)
+        };
         let delayed = |promise: &Promise| {
             promise.owner < *candidate.urgency
                 && end > promise.from
@@ -186,17 +222,26 @@
     taken: &Resources,
     now: Millis,
 ) -> bool {
-    let promised = promises.iter().filter(|other| other.owner < *candidate.urgency);
-    let wanted =
-        promised.fold(candidate.step.resources.plus(taken), |sum, promise| sum.plus(&promise.resources));
+    let promised = promises
+        .iter()
+        .filter(|other| other.owner < *candidate.urgency);
+    let wanted = promised.fold(candidate.step.resources.plus(taken), |sum, promise| {
+        sum.plus(&promise.resources)
+    });
     let goes_on = |run: &&Run| expected_end(run, now).is_none_or(|end| end > due.from);
-    let used = worker.runs.values().filter(goes_on).fold(wanted, |sum, run| sum.plus(&run.resources));
+    let used = worker
+        .runs
+        .values()
+        .filter(goes_on)
+        .fold(wanted, |sum, run| sum.plus(&run.resources));
     used.fits(&worker.entry.capacity)
 }
 
 fn expected_ends(worker: &Worker, now: Millis) -> Ends {
     let runs = worker.runs.values();
-    let mut ends: Ends = runs.filter_map(|run| Some((expected_end(run, now)?, run.resources))).collect();
+    let mut ends: Ends = runs
+        .filter_map(|run| Some((expected_end(run, now)?, run.resources)))
+        .collect();
     ends.sort_unstable_by_key(|(end, _)| *end);
     ends
 }
--- a/system/scheduler/src/explanation.rs
+++ b/system/scheduler/src/explanation.rs
@@ -85,11 +85,20 @@
 impl Scheduler {
     /// What there is to say of a job of this service.
     pub fn explain(&self, state: &State, id: JobId) -> Option<Explanation> {
-        let job = state.jobs.get(&id).filter(|job| job.submission.service == self.service)?;
+        let job = state
+            .jobs
+            .get(&id)
+            .filter(|job| job.submission.service == self.service)?;
         let waiting = startable(job);
-        let outlook = waiting.first().map(|unit| urgency(job, unit.first, self.wall).outlook);
+        let outlook = waiting
+            .first()
+            .map(|unit| urgency(job, unit.first, self.wall).outlook);
         let steps = job.times.iter().flat_map(|(time, steps)| {
-            steps.steps.iter().enumerate().map(|(step, state)| (*time, step as u32, state))
+            steps
+                .steps
+                .iter()
+                .enumerate()
+                .map(|(step, state)| (*time, step as u32, state))
         });
         let open = steps.filter(|(_, _, step)| !step.is_done());
         Some(Explanation {
@@ -116,7 +125,10 @@
         let of_step = |unit: &&Startable| (unit.first.time, unit.first.step) == (time, step);
         let units: Vec<&Startable> = waiting.iter().filter(of_step).collect();
         let is_open = |earlier: &u32| {
-            let earlier = job.times.get(&time).and_then(|time| time.steps.get(*earlier as usize));
+            let earlier = job
+                .times
+                .get(&time)
+                .and_then(|time| time.steps.get(*earlier as usize));
             earlier.is_some_and(|earlier| !earlier.is_done())
         };
         let depends_on = spec.map_or(&[][..], |spec| &spec.depends_on[..]);
@@ -126,8 +138,15 @@
             step,
             tasks: state.tasks.len(),
             done: state.done,
-            running: self
-                .explain_runs(TaskId { job: job.submission.job, time, step, index: 0 }, &state.tasks),
+            running: self.explain_runs(
+                TaskId {
+                    job: job.submission.job,
+                    time,
+                    step,
+                    index: 0,
+                },
+                &state.tasks,
+            ),
             waiting: units.iter().map(|unit| unit.count).sum(),
             waits_for_steps: depends_on.iter().copied().filter(is_open).collect(),
             workers: first.map(|(unit, spec)| self.count_workers(job, unit, spec)),
@@ -137,9 +156,15 @@
     fn explain_runs(&self, first: TaskId, tasks: &[TaskState]) -> Vec<RunExplanation> {
         let mut runs = Vec::new();
         for (index, task) in tasks.iter().enumerate() {
-            let id = TaskId { index: index as u32, ..first };
+            let id = TaskId {
+                index: index as u32,
+                ..first
+            };
             for active in &task.active {
-                let known = self.workers.get(&active.instance).and_then(|worker| worker.runs.get(&id));
+                let known = self
+                    .workers
+                    .get(&active.instance)
+                    .and_then(|worker| worker.runs.get(&id));
                 runs.push(RunExplanation {
                     task: id.to_string(),
                     run: active.run,
@@ -152,7 +177,10 @@
     }
 
     fn count_workers(&self, job: &Job, unit: &Startable, step: &StepSpec) -> WorkerCounts {
-        let mut counts = WorkerCounts { known: self.workers.len(), ..WorkerCounts::default() };
+        let mut counts = WorkerCounts {
+            known: self.workers.len(),
+            ..WorkerCounts::default()
+        };
         for worker in self.workers.values() {
             *self.reason(&mut counts, worker, job, unit, step) += 1;
         }
@@ -189,7 +217,11 @@
             || !self.backfill.allows(worker, &candidate, &nothing, self.now)
         {
             &mut counts.kept_for_others
-        } else if step.affinity.as_ref().is_some_and(|rack| !worker.has_label(rack)) {
+        } else if step
+            .affinity
+            .as_ref()
+            .is_some_and(|rack| !worker.has_label(rack))
+        {
             &mut counts.away_from_data
         } else {
             &mut counts.free
--- a/system/scheduler/src/health.rs
+++ b/system/scheduler/src/health.rs
@@ -29,7 +29,9 @@
     /// fault, two in a row come by chance.
     pub fn failures_to_eject(self) -> usize {
         let by_chance = |failures: usize| self.0.powi(failures as i32);
-        (LEAST_FAILURES..MOST_FAILURES).find(|failures| by_chance(*failures) < RARE).unwrap_or(MOST_FAILURES)
+        (LEAST_FAILURES..MOST_FAILURES)
+            .find(|failures| by_chance(*failures) < RARE)
+            .unwrap_or(MOST_FAILURES)
     }
 }
 
--- a/system/scheduler/src/hold_waits.rs
+++ b/system/scheduler/src/hold_waits.rs
@@ -20,7 +20,9 @@
 
 impl Default for HoldWaits {
     fn default() -> Self {
-        HoldWaits { wait_ms: HOLD_WAIT_MS }
+        HoldWaits {
+            wait_ms: HOLD_WAIT_MS,
+        }
     }
 }
 
@@ -28,7 +30,9 @@
     /// For so many workers that have runs.
     pub fn of_busy_workers(busy: usize) -> HoldWaits {
         let proportional = HOLD_WAIT_MS.saturating_mul(busy as u64) / OFTEN_LOOKED_AT;
-        HoldWaits { wait_ms: proportional.clamp(HOLD_WAIT_MS, MOST_HOLD_WAIT_MS) }
+        HoldWaits {
+            wait_ms: proportional.clamp(HOLD_WAIT_MS, MOST_HOLD_WAIT_MS),
+        }
     }
 
     /// How long an answer may wait for an end.
--- a/system/scheduler/src/holds.rs
+++ b/system/scheduler/src/holds.rs
@@ -22,7 +22,11 @@
 impl Scheduler {
     /// Adapts how long holds wait to the number of workers that have runs.
     fn adapt_waits(&mut self) {
-        let busy = self.workers.values().filter(|worker| !worker.runs.is_empty()).count();
+        let busy = self
+            .workers
+            .values()
+            .filter(|worker| !worker.runs.is_empty())
+            .count();
         self.hold_waits = HoldWaits::of_busy_workers(busy);
     }
 
@@ -38,10 +42,14 @@
             None => {}
         };
         if now >= self.next_hold_search {
-            self.workers.iter().for_each(|(instance, worker)| look(instance, worker));
+            self.workers
+                .iter()
+                .for_each(|(instance, worker)| look(instance, worker));
             self.next_hold_search = next_search;
         } else {
-            let known = news.iter().filter_map(|instance| Some((instance, self.workers.get(instance)?)));
+            let known = news
+                .iter()
+                .filter_map(|instance| Some((instance, self.workers.get(instance)?)));
             known.for_each(|(instance, worker)| look(instance, worker));
             self.next_hold_search = self.next_hold_search.min(next_search);
         }
@@ -53,10 +61,15 @@
     fn send_hold(&mut self, instance: &str, now: Millis) {
         let hold_ms = self.hold_waits.hold_ms(self.settings.max_hold_ms);
         let usual_wait_ms = self.hold_waits.wait_ms();
-        let Some(worker) = self.workers.get_mut(instance) else { return };
+        let Some(worker) = self.workers.get_mut(instance) else {
+            return;
+        };
         // A worker that does not answer is granted no more time: its runs are to end.
         let grant = worker.greeted && worker.unanswered == 0;
-        let deadline_ms = worker.clock_now(now).filter(|_| grant).map(|clock| clock + hold_ms);
+        let deadline_ms = worker
+            .clock_now(now)
+            .filter(|_| grant)
+            .map(|clock| clock + hold_ms);
         worker.granted_until = worker.granted_until.max(deadline_ms.unwrap_or(0));
         let suspicious = worker.runs.values().any(|run| makes_no_progress(run, now));
         let wait_ms = match grant {
@@ -65,9 +78,17 @@
             false => 0,
         };
         worker.hold.due = now + PROBE_EVERY_MS;
-        let order = WorkerOrder::Hold { deadline_ms, last_seen: worker.last_seen, wait_ms };
-        let id =
-            self.call(instance, CallPurpose::Hold { wait_ms }, order, wait_ms + self.answer_times.wait_ms());
+        let order = WorkerOrder::Hold {
+            deadline_ms,
+            last_seen: worker.last_seen,
+            wait_ms,
+        };
+        let id = self.call(
+            instance,
+            CallPurpose::Hold { wait_ms },
+            order,
+            wait_ms + self.answer_times.wait_ms(),
+        );
         if let Some(worker) = self.workers.get_mut(instance) {
             worker.hold.open = Some(id);
         }
@@ -75,9 +96,20 @@
 
     /// Looks at a worker that has left an order unanswered.
     pub(crate) fn probe(&mut self, instance: &str) {
-        let Some(worker) = self.workers.get(instance) else { return };
-        let order = WorkerOrder::Hold { deadline_ms: None, last_seen: worker.last_seen, wait_ms: 0 };
-        self.call(instance, CallPurpose::Probe, order, self.answer_times.wait_ms());
+        let Some(worker) = self.workers.get(instance) else {
+            return;
+        };
+        let order = WorkerOrder::Hold {
+            deadline_ms: None,
+            last_seen: worker.last_seen,
+            wait_ms: 0,
+        };
+        self.call(
+            instance,
+            CallPurpose::Probe,
+            order,
+            self.answer_times.wait_ms(),
+        );
     }
 
     /// Looks through all workers for what is due.
@@ -90,7 +122,9 @@
     }
 
     fn check_worker(&mut self, instance: &str, now: Millis, state: &State) {
-        let Some(worker) = self.workers.get(instance) else { return };
+        let Some(worker) = self.workers.get(instance) else {
+            return;
+        };
         if worker.runs.is_empty() {
             let over = !worker.listed && worker.hold.open.is_none();
             if over && (worker.silent() || worker.entry.address.is_empty()) {
@@ -98,8 +132,10 @@
             }
             return;
         }
-        let pending =
-            worker.runs.values().all(|run| matches!(run.phase, RunPhase::Proposed | RunPhase::Losing));
+        let pending = worker
+            .runs
+            .values()
+            .all(|run| matches!(run.phase, RunPhase::Proposed | RunPhase::Losing));
         let out_of_reach = worker.silent() || worker.entry.address.is_empty() || !worker.listed;
         if out_of_reach && !pending && worker.surely_lapsed(now) {
             self.lose_lapsed(instance);
@@ -113,15 +149,22 @@
     fn forget_worker(&mut self, instance: &str, state: &State) {
         if state.workers.contains_key(instance) {
             let instance = instance.to_owned();
-            self.out.push(Output::Propose(Command::LoseInstance { instance, ended: true }));
+            self.out.push(Output::Propose(Command::LoseInstance {
+                instance,
+                ended: true,
+            }));
         }
         self.workers.remove(instance);
     }
 
     /// Stops runs that won't be done before their worker goes, so that they are started elsewhere at once.
     fn leave_draining(&mut self, instance: &str, now: Millis) {
-        let Some(worker) = self.workers.get_mut(instance) else { return };
-        let Some(gone_at) = worker.gone_at.filter(|_| worker.draining) else { return };
+        let Some(worker) = self.workers.get_mut(instance) else {
+            return;
+        };
+        let Some(gone_at) = worker.gone_at.filter(|_| worker.draining) else {
+            return;
+        };
         let left = gone_at.saturating_sub(now);
         for run in worker.runs.values_mut() {
             let running = run.phase == RunPhase::Started && run.stop_due.is_none();
@@ -135,7 +178,9 @@
     /// Stops runs that stand still, so that they are started elsewhere.
     fn check_progress(&mut self, instance: &str, now: Millis) {
         let gang_ms = self.settings.gang_ms;
-        let Some(worker) = self.workers.get_mut(instance) else { return };
+        let Some(worker) = self.workers.get_mut(instance) else {
+            return;
+        };
         let stuck: Vec<TaskId> = worker
             .runs
             .iter()
@@ -154,7 +199,10 @@
         }
         worker.health.eject(now);
         self.fresh.insert(instance.to_owned());
-        self.out.push(Output::Log(format!("{} runs on {instance} stand still and are moved", stuck.len())));
+        self.out.push(Output::Log(format!(
+            "{} runs on {instance} stand still and are moved",
+            stuck.len()
+        )));
     }
 }
 
@@ -179,8 +227,14 @@
 
 /// Whether a run has been listed with the same progress for too long.
 fn is_stuck(run: &Run, gang_ms: Millis) -> bool {
-    let waits = if run.gang && run.progress.percent == 0 { gang_ms } else { 0 };
+    let waits = if run.gang && run.progress.percent == 0 {
+        gang_ms
+    } else {
+        0
+    };
     // Even on a worker that is ten times too slow progress rises by a hundredth in a tenth of the estimate.
-    let patience = (run.estimated_ms / 5).min(STUCK_LONG_MS + run.estimated_ms / 20).max(STUCK_LEAST_MS);
+    let patience = (run.estimated_ms / 5)
+        .min(STUCK_LONG_MS + run.estimated_ms / 20)
+        .max(STUCK_LEAST_MS);
     !run.lasting && run.progress.percent < 100 && run.progress.still_ms() > patience + waits
 }
--- a/system/scheduler/src/lib.rs
+++ b/system/scheduler/src/lib.rs
@@ -29,7 +29,9 @@
 mod worker_list;
 
 pub use answer_times::AnswerTimes;
-pub use calls::{ListedEnd, ListedRun, Listing, Output, RefusalReason, WorkerCall, WorkerOrder, WorkerReply};
+pub use calls::{
+    ListedEnd, ListedRun, Listing, Output, RefusalReason, WorkerCall, WorkerOrder, WorkerReply,
+};
 pub use explanation::{Explanation, RunExplanation, StepExplanation, WorkerCounts};
 pub use scheduler::{Scheduler, Summary};
 pub use settings::SchedulerSettings;
--- a/system/scheduler/src/outlook.rs
+++ b/system/scheduler/src/outlook.rs
@@ -45,7 +45,9 @@
         let left = job.submission.spec.chain_from_ms(task.step as usize);
         LatestStarts {
             in_time: due.saturating_sub(left),
-            late: begin.saturating_add(objective.saturating_mul(LATE_FACTOR)).saturating_sub(left),
+            late: begin
+                .saturating_add(objective.saturating_mul(LATE_FACTOR))
+                .saturating_sub(left),
         }
     }
 
@@ -63,12 +65,17 @@
 
 /// When a time of a job counts from.
 fn begin_ms(job: &Job, time: u32) -> WallMillis {
-    job.submission.spec.due_ms(time).unwrap_or(job.submission.submitted_ms)
+    job.submission
+        .spec
+        .due_ms(time)
+        .unwrap_or(job.submission.submitted_ms)
 }
 
 /// When a time of a job should be done so that the job earns its worth.
 pub(crate) fn due_ms(job: &Job, time: u32) -> WallMillis {
     let submission = &job.submission;
     let work = submission.spec.longest_chain_ms() as f64 * submission.stretch;
-    begin_ms(job, time).saturating_add(work as u64).saturating_add(submission.target_latency_ms)
+    begin_ms(job, time)
+        .saturating_add(work as u64)
+        .saturating_add(submission.target_latency_ms)
 }
--- a/system/scheduler/src/placement.rs
+++ b/system/scheduler/src/placement.rs
@@ -138,30 +138,51 @@
         allowed(worker)
             && fits(worker, demand, taken)
             && worker.takes_work(now)
-            && demand.reservations.allow(&worker.entry.instance, &demand.first)
+            && demand
+                .reservations
+                .allow(&worker.entry.instance, &demand.first)
             && keeps_promises(worker, demand, taken, now)
     };
-    let proven =
-        |worker: &Worker| !worker.health.on_trial() && !demand.avoid.contains(&worker.entry.instance);
+    let proven = |worker: &Worker| {
+        !worker.health.on_trial() && !demand.avoid.contains(&worker.entry.instance)
+    };
     let busy = |worker: &Worker| {
-        let more = taken.resources.get(&worker.entry.instance).copied().unwrap_or_default();
-        worker.used.plus(&more).plus(&demand.candidate.step.resources).share_of(&worker.entry.capacity)
+        let more = taken
+            .resources
+            .get(&worker.entry.instance)
+            .copied()
+            .unwrap_or_default();
+        worker
+            .used
+            .plus(&more)
+            .plus(&demand.candidate.step.resources)
+            .share_of(&worker.entry.capacity)
     };
-    if let Some(two) = draw_two(workers, demand, random, |worker| fits(&worker) && proven(worker)) {
+    if let Some(two) = draw_two(workers, demand, random, |worker| {
+        fits(&worker) && proven(worker)
+    }) {
         let less_busy = two.into_iter().min_by(|a, b| busy(a).total_cmp(&busy(b)));
         return less_busy.map(|worker| worker.entry.instance.clone());
     }
     let cpu = demand.candidate.step.resources.cpu;
     let mut candidates: Vec<&Worker> = demand.pool.may_take(workers, cpu).filter(fits).collect();
     if let Some(rack) = &demand.candidate.step.affinity {
-        let near: Vec<&Worker> = candidates.iter().copied().filter(|worker| worker.has_label(rack)).collect();
+        let near: Vec<&Worker> = candidates
+            .iter()
+            .copied()
+            .filter(|worker| worker.has_label(rack))
+            .collect();
         if !near.is_empty() {
             candidates = near;
         } else if demand.near_only {
             return None;
         }
     }
-    let proven: Vec<&Worker> = candidates.iter().copied().filter(|worker| proven(worker)).collect();
+    let proven: Vec<&Worker> = candidates
+        .iter()
+        .copied()
+        .filter(|worker| proven(worker))
+        .collect();
     if !proven.is_empty() {
         candidates = proven;
     } else {
@@ -170,7 +191,9 @@
     }
     let wide = candidates.iter().any(|worker| is_wide(demand, worker));
     let chosen = if wide || demand.candidate.step.resources.gpu > 0 {
-        candidates.into_iter().max_by(|a, b| busy(a).total_cmp(&busy(b)))
+        candidates
+            .into_iter()
+            .max_by(|a, b| busy(a).total_cmp(&busy(b)))
     } else {
         let two: Vec<&Worker> = candidates.choose_multiple(random, 2).copied().collect();
         two.into_iter().min_by(|a, b| busy(a).total_cmp(&busy(b)))
@@ -180,7 +203,12 @@
 
 /// Whether a task takes so much of a worker that it is packed.
 fn is_wide(demand: &Demand, worker: &Worker) -> bool {
-    demand.candidate.step.resources.share_of(&worker.entry.capacity) >= WIDE_SHARE
+    demand
+        .candidate
+        .step
+        .resources
+        .share_of(&worker.entry.capacity)
+        >= WIDE_SHARE
 }
 
 /// Two random workers that will do, drawn instead of looked for among all: the work for a start does not grow with the
@@ -199,13 +227,17 @@
     let mut first: Option<&Worker> = None;
     for _ in 0..MOST_DRAWS {
         let drawn = demand.pool.draw(workers, cpu, random);
-        let Some(worker) = drawn.filter(|worker| will_do(worker)) else { continue };
+        let Some(worker) = drawn.filter(|worker| will_do(worker)) else {
+            continue;
+        };
         if is_wide(demand, worker) {
             return None;
         }
         match first {
             None => first = Some(worker),
-            Some(first) if first.entry.instance != worker.entry.instance => return Some([first, worker]),
+            Some(first) if first.entry.instance != worker.entry.instance => {
+                return Some([first, worker])
+            }
             Some(_) => {}
         }
     }
@@ -224,14 +256,31 @@
 }
 
 fn keeps_promises(worker: &Worker, demand: &Demand, taken: &Taken, now: Millis) -> bool {
-    let more = taken.resources.get(&worker.entry.instance).copied().unwrap_or_default();
-    demand.backfill.allows(worker, &demand.candidate, &more, now)
+    let more = taken
+        .resources
+        .get(&worker.entry.instance)
+        .copied()
+        .unwrap_or_default();
+    demand
+        .backfill
+        .allows(worker, &demand.candidate, &more, now)
 }
 
 /// Tasks of the same step and time on this worker.
 fn siblings(worker: &Worker, demand: &Demand, taken: &Taken) -> u32 {
-    let from = TaskId { index: 0, ..demand.first };
-    let to = TaskId { index: u32::MAX, ..demand.first };
+    let from = TaskId {
+        index: 0,
+        ..demand.first
+    };
+    let to = TaskId {
+        index: u32::MAX,
+        ..demand.first
+    };
     let there = worker.runs.range(from..=to).count() as u32;
-    there + taken.tasks.get(&worker.entry.instance).copied().unwrap_or(0)
+    there
+        + taken
+            .tasks
+            .get(&worker.entry.instance)
+            .copied()
+            .unwrap_or(0)
 }
--- a/system/scheduler/src/planning.rs
+++ b/system/scheduler/src/planning.rs
@@ -11,7 +11,9 @@
     worker::{Progress, Run, RunPhase, Workers},
 };
 use magpiegap_jobs::{startable, Job, Startable, State};
-use magpiegap_protocol::{Command, JobId, Millis, RunStart, StepSpec, Submission, TaskId, WallMillis};
+use magpiegap_protocol::{
+    Command, JobId, Millis, RunStart, StepSpec, Submission, TaskId, WallMillis,
+};
 use std::collections::HashSet;
 
 /// After this many tasks that found no place, the most urgent part of a round of planning ends ...
@@ -68,7 +70,10 @@
     /// was promised to others kept it out, which shorter ones may not delay.
     fn add(&mut self, step: &StepSpec, any_room: bool) {
         let estimated_ms = if any_room { step.estimated_ms } else { 0 };
-        self.shapes.push(StepSpec { estimated_ms, ..step.clone() });
+        self.shapes.push(StepSpec {
+            estimated_ms,
+            ..step.clone()
+        });
     }
 }
 
@@ -86,7 +91,10 @@
                 runs.append(&mut placed);
             }
         }
-        Command::SubmitJob { submission: Box::new(submission), runs }
+        Command::SubmitJob {
+            submission: Box::new(submission),
+            runs,
+        }
     }
 
     /// Places what waits, most urgent first. Where much waits in vain, a round does not look at all of it: it goes on
@@ -104,18 +112,27 @@
         if line.is_empty() {
             return;
         }
-        let mut round = Round { room: RoomIndex::of(&self.workers, now), ..Round::default() };
+        let mut round = Round {
+            room: RoomIndex::of(&self.workers, now),
+            ..Round::default()
+        };
         let urgent = self.plan_some(&line, MOST_MISSES, &mut round, now, state);
         if urgent < line.len() {
-            let next =
-                self.plan_next.map_or(urgent, |next| line.partition_point(|waiting| waiting.key < next));
-            let from = if next >= line.len() { urgent } else { next.max(urgent) };
+            let next = self.plan_next.map_or(urgent, |next| {
+                line.partition_point(|waiting| waiting.key < next)
+            });
+            let from = if next >= line.len() {
+                urgent
+            } else {
+                next.max(urgent)
+            };
             let most = round.misses.shapes.len() + MORE_MISSES;
             let until = from + self.plan_some(&line[from..], most, &mut round, now, state);
             self.plan_next = line.get(until).map(|waiting| waiting.key);
         }
         if !round.runs.is_empty() {
-            self.out.push(Output::Propose(Command::StartRuns { runs: round.runs }));
+            self.out
+                .push(Output::Propose(Command::StartRuns { runs: round.runs }));
         }
     }
 
@@ -139,8 +156,12 @@
 
     fn plan_one(&mut self, waiting: &InLine, round: &mut Round, now: Millis, state: &State) {
         let InLine { key, unit, since } = waiting;
-        let Some(job) = state.jobs.get(&key.task.job) else { return };
-        let Some(step) = job.submission.spec.steps.get(key.task.step as usize) else { return };
+        let Some(job) = state.jobs.get(&key.task.job) else {
+            return;
+        };
+        let Some(step) = job.submission.spec.steps.get(key.task.step as usize) else {
+            return;
+        };
         let waited = now.saturating_sub(*since);
         if round.misses.hopeless(step) {
             self.promise_room(job, unit, step, key, waited, now);
@@ -153,7 +174,9 @@
                 round.runs.append(&mut placed);
             }
             None => {
-                round.misses.add(step, has_room(&self.workers, &round.room, step, now));
+                round
+                    .misses
+                    .add(step, has_room(&self.workers, &round.room, step, now));
                 self.promise_room(job, unit, step, key, waited, now);
                 if round.vain_preemptions < MOST_VAIN_PREEMPTIONS {
                     let is_vain = self.preempt(key, unit, step, waited, now);
@@ -249,8 +272,17 @@
         if !may || self.reservations.has(&unit.first) || self.reservations.len() >= most {
             return false;
         }
-        let victims = choose_victims(&self.workers, &self.reservations, &unit.first, step, key.priority, now);
-        let Some(Victims { instance, tasks }) = victims else { return true };
+        let victims = choose_victims(
+            &self.workers,
+            &self.reservations,
+            &unit.first,
+            step,
+            key.priority,
+            now,
+        );
+        let Some(Victims { instance, tasks }) = victims else {
+            return true;
+        };
         if let Some(worker) = self.workers.get_mut(&instance) {
             for task in tasks {
                 if let Some(run) = worker.runs.get_mut(&task) {
@@ -264,23 +296,35 @@
     }
 
     fn reserve(&mut self, job: &Job, step: &StepSpec, start: &RunStart, now: Millis) {
-        let Some(worker) = self.workers.get_mut(&start.instance) else { return };
-        worker.add_run(start.task, new_run(job, step, start, RunPhase::Proposed, now));
+        let Some(worker) = self.workers.get_mut(&start.instance) else {
+            return;
+        };
+        worker.add_run(
+            start.task,
+            new_run(job, step, start, RunPhase::Proposed, now),
+        );
         self.proposed.insert(start.task);
         self.hold_news.insert(start.instance.clone());
     }
 
     /// Lets times of repeated jobs fall due.
     pub(crate) fn open_times(&mut self, wall: WallMillis, state: &State) {
-        let due: Vec<(WallMillis, JobId)> =
-            self.timed.iter().take_while(|(at, _)| *at <= wall).copied().collect();
+        let due: Vec<(WallMillis, JobId)> = self
+            .timed
+            .iter()
+            .take_while(|(at, _)| *at <= wall)
+            .copied()
+            .collect();
         for (at, id) in due {
             let Some(job) = state.jobs.get(&id) else {
                 self.timed.remove(&(at, id));
                 continue;
             };
             if self.times_proposed.insert((id, job.next_time)) {
-                self.out.push(Output::Propose(Command::OpenTime { job: id, time: job.next_time }));
+                self.out.push(Output::Propose(Command::OpenTime {
+                    job: id,
+                    time: job.next_time,
+                }));
             }
         }
     }
@@ -290,11 +334,17 @@
         const MARGIN_MS: u64 = 30_000;
         const MOST: usize = 500;
         let before = wall.saturating_sub(self.settings.status_ms + MARGIN_MS);
-        let over: Vec<JobId> =
-            self.ended.iter().take_while(|(at, _)| *at < before).take(MOST).map(|(_, id)| *id).collect();
+        let over: Vec<JobId> = self
+            .ended
+            .iter()
+            .take_while(|(at, _)| *at < before)
+            .take(MOST)
+            .map(|(_, id)| *id)
+            .collect();
         if !over.is_empty() {
             self.ended.retain(|(_, id)| !over.contains(id));
-            self.out.push(Output::Propose(Command::ForgetJobs { jobs: over }));
+            self.out
+                .push(Output::Propose(Command::ForgetJobs { jobs: over }));
         }
     }
 }
@@ -313,18 +363,32 @@
     let tasks = || unit.tasks().filter_map(|task| job.task(&task));
     let run = tasks().map(|task| task.last_run).max().unwrap_or(0) + 1;
     // Members of a gang all go on from the same checkpoint; any member's will do.
-    let shared = tasks().map(|task| task.checkpoint.as_str()).max().unwrap_or("").to_owned();
+    let shared = tasks()
+        .map(|task| task.checkpoint.as_str())
+        .max()
+        .unwrap_or("")
+        .to_owned();
     let start = |(task, instance)| RunStart {
         task,
         run,
         instance,
-        checkpoint: if step.checkpoints { shared.clone() } else { String::new() },
+        checkpoint: if step.checkpoints {
+            shared.clone()
+        } else {
+            String::new()
+        },
     };
     unit.tasks().zip(chosen).map(start).collect()
 }
 
 /// A run as it begins.
-pub(crate) fn new_run(job: &Job, step: &StepSpec, start: &RunStart, phase: RunPhase, now: Millis) -> Run {
+pub(crate) fn new_run(
+    job: &Job,
+    step: &StepSpec,
+    start: &RunStart,
+    phase: RunPhase,
+    now: Millis,
+) -> Run {
     Run {
         run: start.run,
         resources: step.resources,
@@ -332,7 +396,11 @@
         phase,
         checkpoint: start.checkpoint.clone(),
         saved: start.checkpoint.clone(),
-        progress: Progress { percent: 0, since: now, seen: now },
+        progress: Progress {
+            percent: 0,
+            since: now,
+            seen: now,
+        },
         checkpoints: step.checkpoints,
         lasting: job.submission.spec.long_running,
         gang: step.gang,
--- a/system/scheduler/src/preemption.rs
+++ b/system/scheduler/src/preemption.rs
@@ -37,11 +37,21 @@
             && step.resources.fits(&worker.entry.capacity)
             && reservations.allow(&worker.entry.instance, first)
     };
-    let plans = workers.values().filter(fits).filter_map(|worker| plan_for(worker, step, priority, now));
-    plans.min_by_key(|(loss, _)| *loss).map(|(_, victims)| victims)
+    let plans = workers
+        .values()
+        .filter(fits)
+        .filter_map(|worker| plan_for(worker, step, priority, now));
+    plans
+        .min_by_key(|(loss, _)| *loss)
+        .map(|(_, victims)| victims)
 }
 
-fn plan_for(worker: &Worker, step: &StepSpec, priority: u32, now: Millis) -> Option<(u64, Victims)> {
+fn plan_for(
+    worker: &Worker,
+    step: &StepSpec,
+    priority: u32,
+    now: Millis,
+) -> Option<(u64, Victims)> {
     let mut candidates: Vec<(u64, TaskId, &Run)> = worker
         .runs
         .iter()
@@ -61,8 +71,15 @@
         tasks.push(task);
     }
     let enough = step.resources.plus(&used).fits(&worker.entry.capacity) && !tasks.is_empty();
-    (enough && total <= MOST_LOSS)
-        .then(|| (total, Victims { instance: worker.entry.instance.clone(), tasks }))
+    (enough && total <= MOST_LOSS).then(|| {
+        (
+            total,
+            Victims {
+                instance: worker.entry.instance.clone(),
+                tasks,
+            },
+        )
+    })
 }
 
 fn may_be_stopped(run: &Run, priority: u32) -> bool {
@@ -77,6 +94,10 @@
 /// What stopping a run loses.
 fn loss(run: &Run, now: Millis) -> u64 {
     let passed = now.saturating_sub(run.started_at);
-    let lost = if run.checkpoints { passed.min(RESTORE_MS) } else { passed };
+    let lost = if run.checkpoints {
+        passed.min(RESTORE_MS)
+    } else {
+        passed
+    };
     lost * (run.resources.cpu + GPU_AS_CPU * run.resources.gpu)
 }
--- a/system/scheduler/src/queue.rs
+++ b/system/scheduler/src/queue.rs
@@ -62,7 +62,14 @@
             let known = old.iter().find(|(other, _)| other.task == key.task);
             let since = known.map_or(now, |(_, waiting)| waiting.since);
             let latest = LatestStarts::of(job, &key.task);
-            self.waiting.insert(key, Waiting { unit, since, latest });
+            self.waiting.insert(
+                key,
+                Waiting {
+                    unit,
+                    since,
+                    latest,
+                },
+            );
             keys.push(key);
         }
         if !keys.is_empty() {
@@ -73,7 +80,9 @@
     /// Drops all that a job has waiting.
     pub fn remove(&mut self, job: JobId) -> BTreeMap<Urgency, Waiting> {
         let keys = self.of_job.remove(&job).unwrap_or_default();
-        keys.into_iter().filter_map(|key| Some((key, self.waiting.remove(&key)?))).collect()
+        keys.into_iter()
+            .filter_map(|key| Some((key, self.waiting.remove(&key)?)))
+            .collect()
     }
 
     /// Takes one out that was placed.
@@ -91,9 +100,14 @@
 
     /// The jobs whose outlook has changed since they were taken up.
     pub fn outdated(&self, wall: WallMillis) -> Vec<JobId> {
-        let changed = |(key, waiting): &(&Urgency, &Waiting)| waiting.latest.outlook(wall) != key.outlook;
-        let mut changed: Vec<JobId> =
-            self.waiting.iter().filter(changed).map(|(key, _)| key.task.job).collect();
+        let changed =
+            |(key, waiting): &(&Urgency, &Waiting)| waiting.latest.outlook(wall) != key.outlook;
+        let mut changed: Vec<JobId> = self
+            .waiting
+            .iter()
+            .filter(changed)
+            .map(|(key, _)| key.task.job)
+            .collect();
         changed.dedup();
         changed
     }
--- a/system/scheduler/src/replies.rs
+++ b/system/scheduler/src/replies.rs
@@ -21,8 +21,14 @@
 impl Scheduler {
     /// Takes the answer to a call.
     pub fn reply(&mut self, now: Millis, state: &State, call: u64, reply: WorkerReply) {
-        let Some(open) = self.calls.remove(&call) else { return };
-        let OpenCall { instance, purpose, sent_at } = open;
+        let Some(open) = self.calls.remove(&call) else {
+            return;
+        };
+        let OpenCall {
+            instance,
+            purpose,
+            sent_at,
+        } = open;
         self.now = now;
         self.note_answer_time(&purpose, &reply, now.saturating_sub(sent_at));
         if !self.workers.contains_key(&instance) {
@@ -32,7 +38,13 @@
             self.life_is_over(&instance, state);
             return;
         }
-        if matches!(reply, WorkerReply::Refused { reason: RefusalReason::Fence, .. }) {
+        if matches!(
+            reply,
+            WorkerReply::Refused {
+                reason: RefusalReason::Fence,
+                ..
+            }
+        ) {
             self.depose(&instance);
             return;
         }
@@ -42,10 +54,16 @@
             CallPurpose::Hold { .. } | CallPurpose::Probe => {
                 self.hold_answered(&instance, sent_at, reply, now)
             }
-            CallPurpose::Start { task, run, deadline_ms } => {
+            CallPurpose::Start {
+                task,
+                run,
+                deadline_ms,
+            } => {
                 self.start_answered(&instance, task, run, deadline_ms, reply, now);
             }
-            CallPurpose::Stop { task, run } => self.stop_answered(&instance, task, run, &reply, now),
+            CallPurpose::Stop { task, run } => {
+                self.stop_answered(&instance, task, run, &reply, now)
+            }
             CallPurpose::StopStray => {}
         }
     }
@@ -71,12 +89,17 @@
         reply: &WorkerReply,
         now: Millis,
     ) {
-        let Some(worker) = self.workers.get_mut(instance) else { return };
+        let Some(worker) = self.workers.get_mut(instance) else {
+            return;
+        };
         if worker.hold.open == Some(call) {
             worker.hold.open = None;
         }
         let held = matches!(purpose, CallPurpose::Hold { .. } | CallPurpose::Probe);
-        let ordered = matches!(purpose, CallPurpose::Start { .. } | CallPurpose::Stop { .. });
+        let ordered = matches!(
+            purpose,
+            CallPurpose::Start { .. } | CallPurpose::Stop { .. }
+        );
         match reply {
             WorkerReply::Unanswered => {
                 // A single order may go unanswered on a worker that is well; holds decide.
@@ -105,8 +128,16 @@
 
     fn hold_answered(&mut self, instance: &str, sent_at: Millis, reply: WorkerReply, now: Millis) {
         let max_hold_ms = self.settings.max_hold_ms;
-        let Some(worker) = self.workers.get_mut(instance) else { return };
-        let WorkerReply::Done { clock_ms: Some(clock), listing: Some(listing) } = reply else { return };
+        let Some(worker) = self.workers.get_mut(instance) else {
+            return;
+        };
+        let WorkerReply::Done {
+            clock_ms: Some(clock),
+            listing: Some(listing),
+        } = reply
+        else {
+            return;
+        };
         if !worker.greeted {
             worker.greeted = true;
             if !worker.runs.is_empty() {
@@ -118,13 +149,28 @@
         self.take_listing(instance, sent_at, clock, &listing, now);
     }
 
-    fn take_listing(&mut self, instance: &str, sent_at: Millis, clock: u64, listing: &Listing, now: Millis) {
-        let Some(worker) = self.workers.get_mut(instance) else { return };
+    fn take_listing(
+        &mut self,
+        instance: &str,
+        sent_at: Millis,
+        clock: u64,
+        listing: &Listing,
+        now: Millis,
+    ) {
+        let Some(worker) = self.workers.get_mut(instance) else {
+            return;
+        };
         let mut strays: Vec<(TaskId, RunId)> = Vec::new();
         for listed in &listing.running {
-            match worker.runs.get_mut(&listed.task).filter(|run| run.run == listed.run) {
+            match worker
+                .runs
+                .get_mut(&listed.task)
+                .filter(|run| run.run == listed.run)
+            {
                 Some(run) => {
-                    if matches!(run.phase, RunPhase::Starting | RunPhase::Recorded { .. }) && run.tries > 0 {
+                    if matches!(run.phase, RunPhase::Starting | RunPhase::Recorded { .. })
+                        && run.tries > 0
+                    {
                         run.phase = RunPhase::Started;
                         run.started_at = now;
                     }
@@ -147,12 +193,20 @@
                 checkpoint: end.checkpoint.clone(),
             })
             .collect();
-        if let Some(last) =
-            listing.ended.iter().map(|end| end.number).max().filter(|&n| n > worker.proposed_seen)
+        if let Some(last) = listing
+            .ended
+            .iter()
+            .map(|end| end.number)
+            .max()
+            .filter(|&n| n > worker.proposed_seen)
         {
             worker.proposed_seen = last;
             let instance = instance.to_owned();
-            self.out.push(Output::Propose(Command::NoteEnds { instance, last_seen: last, ends }));
+            self.out.push(Output::Propose(Command::NoteEnds {
+                instance,
+                last_seen: last,
+                ends,
+            }));
         }
         let lost = missing(worker, sent_at, clock, listing);
         if !lost.is_empty() {
@@ -160,7 +214,12 @@
         }
         for (task, run) in strays {
             let order = WorkerOrder::Stop { task, run };
-            self.call(instance, CallPurpose::StopStray, order, STRAY_STOP_TIMEOUT_MS);
+            self.call(
+                instance,
+                CallPurpose::StopStray,
+                order,
+                STRAY_STOP_TIMEOUT_MS,
+            );
         }
     }
 
@@ -173,8 +232,12 @@
         reply: WorkerReply,
         now: Millis,
     ) {
-        let Some(worker) = self.workers.get_mut(instance) else { return };
-        let Some(run) = worker.runs.get_mut(&task).filter(|run| run.run == number) else { return };
+        let Some(worker) = self.workers.get_mut(instance) else {
+            return;
+        };
+        let Some(run) = worker.runs.get_mut(&task).filter(|run| run.run == number) else {
+            return;
+        };
         run.open_calls = run.open_calls.saturating_sub(1);
         run.resolved_at = now;
         let mut lost = false;
@@ -183,7 +246,11 @@
                 if run.phase == RunPhase::Starting {
                     run.phase = RunPhase::Started;
                     run.started_at = now;
-                    run.progress = Progress { percent: 0, since: now, seen: now };
+                    run.progress = Progress {
+                        percent: 0,
+                        since: now,
+                        seen: now,
+                    };
                 }
                 run.may_begin_until = 0;
             }
@@ -193,15 +260,26 @@
                 }
                 self.fresh.insert(instance.to_owned());
             }
-            WorkerReply::Refused { reason: RefusalReason::Late, .. } => {
-                run.phase = RunPhase::Recorded { not_before: now + RETRY_MS };
+            WorkerReply::Refused {
+                reason: RefusalReason::Late,
+                ..
+            } => {
+                run.phase = RunPhase::Recorded {
+                    not_before: now + RETRY_MS,
+                };
             }
             // It ended there, or was stopped: the next listing says so.
-            WorkerReply::Refused { reason: RefusalReason::Old, .. } => {
+            WorkerReply::Refused {
+                reason: RefusalReason::Old,
+                ..
+            } => {
                 run.phase = RunPhase::Started;
                 run.may_begin_until = 0;
             }
-            WorkerReply::Refused { reason: RefusalReason::Room, .. } => {
+            WorkerReply::Refused {
+                reason: RefusalReason::Room,
+                ..
+            } => {
                 // An earlier try that was not answered may still come when there is room.
                 lost = run.may_begin_until <= deadline_ms && run.tries == 1;
                 if !lost {
@@ -216,11 +294,20 @@
                 worker.health.eject(now);
             }
             // Neither comes here: the one has given the role up, with the other the worker's life is over.
-            WorkerReply::Refused { reason: RefusalReason::Fence, .. } | WorkerReply::OtherLife => {}
+            WorkerReply::Refused {
+                reason: RefusalReason::Fence,
+                ..
+            }
+            | WorkerReply::OtherLife => {}
         }
         if lost {
             let checkpoint = run.checkpoint.clone();
-            let start = RunStart { task, run: number, instance: instance.to_owned(), checkpoint };
+            let start = RunStart {
+                task,
+                run: number,
+                instance: instance.to_owned(),
+                checkpoint,
+            };
             self.lose(vec![start]);
         }
     }
@@ -234,8 +321,12 @@
         now: Millis,
     ) {
         let usual_wait_ms = self.hold_waits.wait_ms();
-        let Some(worker) = self.workers.get_mut(instance) else { return };
-        let Some(run) = worker.runs.get_mut(&task).filter(|run| run.run == number) else { return };
+        let Some(worker) = self.workers.get_mut(instance) else {
+            return;
+        };
+        let Some(run) = worker.runs.get_mut(&task).filter(|run| run.run == number) else {
+            return;
+        };
         run.open_calls = run.open_calls.saturating_sub(1);
         run.resolved_at = now;
         if matches!(reply, WorkerReply::Done { .. }) {
@@ -253,8 +344,14 @@
         return Vec::new();
     }
     let shown = |task: &TaskId, run: RunId| {
-        listing.running.iter().any(|listed| listed.task == *task && listed.run == run)
-            || listing.ended.iter().any(|end| end.task == *task && end.run == run)
+        listing
+            .running
+            .iter()
+            .any(|listed| listed.task == *task && listed.run == run)
+            || listing
+                .ended
+                .iter()
+                .any(|end| end.task == *task && end.run == run)
     };
     worker
         .runs
--- a/system/scheduler/src/reservations.rs
+++ b/system/scheduler/src/reservations.rs
@@ -21,12 +21,16 @@
 impl Reservations {
     /// Whether a task may be placed on a worker.
     pub fn allow(&self, instance: &str, first: &TaskId) -> bool {
-        self.of_worker.get(instance).is_none_or(|reservation| reservation.owner == *first)
+        self.of_worker
+            .get(instance)
+            .is_none_or(|reservation| reservation.owner == *first)
     }
 
     /// Whether a worker is kept free for a task.
     pub fn has(&self, first: &TaskId) -> bool {
-        self.of_worker.values().any(|reservation| reservation.owner == *first)
+        self.of_worker
+            .values()
+            .any(|reservation| reservation.owner == *first)
     }
 
     /// How many workers are kept free.
@@ -36,7 +40,8 @@
 
     /// Keeps a worker free for a task.
     pub fn add(&mut self, instance: String, owner: TaskId, now: Millis) {
-        self.of_worker.insert(instance, Reservation { owner, since: now });
+        self.of_worker
+            .insert(instance, Reservation { owner, since: now });
     }
 
     /// Drops those that have lost their purpose.
@@ -44,7 +49,9 @@
         self.of_worker.retain(|instance, reservation| {
             waiting.contains(&reservation.owner)
                 && now < reservation.since + GIVE_UP_MS
-                && workers.get(instance).is_some_and(|worker| worker.takes_work(now))
+                && workers
+                    .get(instance)
+                    .is_some_and(|worker| worker.takes_work(now))
         });
     }
 }
--- a/system/scheduler/src/room_index.rs
+++ b/system/scheduler/src/room_index.rs
@@ -34,12 +34,19 @@
 
     /// Those that had this much free processor, or all where these are many: to go through all is quicker than to find many
     /// by name.
-    pub fn may_take<'w>(&self, workers: &'w Workers, cpu: u64) -> Box<dyn Iterator<Item = &'w Worker> + 'w> {
+    pub fn may_take<'w>(
+        &self,
+        workers: &'w Workers,
+        cpu: u64,
+    ) -> Box<dyn Iterator<Item = &'w Worker> + 'w> {
         let some = self.with_cpu(cpu);
         if some.len() * FOUND_BY_NAME >= workers.len() {
             return Box::new(workers.values());
         }
-        let found: Vec<&Worker> = some.iter().filter_map(|(_, name)| workers.get(name)).collect();
+        let found: Vec<&Worker> = some
+            .iter()
+            .filter_map(|(_, name)| workers.get(name))
+            .collect();
         Box::new(found.into_iter())
     }
 }
--- a/system/scheduler/src/runs.rs
+++ b/system/scheduler/src/runs.rs
@@ -7,7 +7,9 @@
     worker_list::lost_runs,
 };
 use magpiegap_jobs::{Change, Job, State};
-use magpiegap_protocol::{Command, EndKind, JobId, Millis, Position, RunId, RunStart, TaskId, WorkerEntry};
+use magpiegap_protocol::{
+    Command, EndKind, JobId, Millis, Position, RunId, RunStart, TaskId, WorkerEntry,
+};
 
 /// How long a start is valid, on the worker's clock.
 const START_VALID_MS: u64 = 1500;
@@ -46,16 +48,22 @@
     fn apply_change(&mut self, change: &Change, now: Millis, state: &State) {
         match change {
             Change::RunOpened(start) => self.run_opened(start, now, state),
-            Change::RunClosed { task, run, instance, kind } => {
-                self.run_closed(*task, *run, instance, *kind, now)
-            }
+            Change::RunClosed {
+                task,
+                run,
+                instance,
+                kind,
+            } => self.run_closed(*task, *run, instance, *kind, now),
             Change::Job(id) => self.review_job(*id, now, state),
             Change::JobForgotten(id) => {
                 self.queue.remove(*id);
                 self.ended.retain(|(_, other)| other != id);
                 self.failed_on.retain(|task, _| task.job != *id);
             }
-            Change::EndsNoted { instance, last_seen } => {
+            Change::EndsNoted {
+                instance,
+                last_seen,
+            } => {
                 if let Some(worker) = self.workers.get_mut(instance) {
                     worker.last_seen = *last_seen;
                     worker.proposed_seen = worker.proposed_seen.max(*last_seen);
@@ -70,7 +78,11 @@
     fn run_opened(&mut self, start: &RunStart, now: Millis, state: &State) {
         self.proposed.remove(&start.task);
         if let Some(worker) = self.workers.get_mut(&start.instance) {
-            if let Some(run) = worker.runs.get_mut(&start.task).filter(|run| run.run == start.run) {
+            if let Some(run) = worker
+                .runs
+                .get_mut(&start.task)
+                .filter(|run| run.run == start.run)
+            {
                 // In any other phase its start may have been sent, by this or by an earlier holder of the role.
                 if run.phase == RunPhase::Proposed {
                     run.phase = RunPhase::Recorded { not_before: now };
@@ -86,16 +98,30 @@
     }
 
     /// Takes up a run of the log that this scheduler has not proposed since it holds its role.
-    pub(crate) fn adopt_run(&mut self, instance: &str, task: TaskId, run: RunId, now: Millis, state: &State) {
-        let Some(job) = state.jobs.get(&task.job) else { return };
+    pub(crate) fn adopt_run(
+        &mut self,
+        instance: &str,
+        task: TaskId,
+        run: RunId,
+        now: Millis,
+        state: &State,
+    ) {
+        let Some(job) = state.jobs.get(&task.job) else {
+            return;
+        };
         if job.submission.service != self.service {
             return;
         }
-        let Some(step) = job.submission.spec.steps.get(task.step as usize) else { return };
+        let Some(step) = job.submission.spec.steps.get(task.step as usize) else {
+            return;
+        };
         let lapse_at = self.others_lapse_at();
         self.hold_news.insert(instance.to_owned());
         let worker = self.workers.entry(instance.to_owned()).or_insert_with(|| {
-            let entry = WorkerEntry { instance: instance.to_owned(), ..WorkerEntry::default() };
+            let entry = WorkerEntry {
+                instance: instance.to_owned(),
+                ..WorkerEntry::default()
+            };
             let mut worker = Worker::new(entry, now, lapse_at);
             worker.listed = false;
             worker
@@ -113,19 +139,37 @@
             }
             return;
         }
-        let active = job.task(&task).and_then(|state| state.active.iter().find(|active| active.run == run));
-        let checkpoint = active.map(|active| active.checkpoint.clone()).unwrap_or_default();
-        let start = RunStart { task, run, instance: instance.to_owned(), checkpoint };
+        let active = job
+            .task(&task)
+            .and_then(|state| state.active.iter().find(|active| active.run == run));
+        let checkpoint = active
+            .map(|active| active.checkpoint.clone())
+            .unwrap_or_default();
+        let start = RunStart {
+            task,
+            run,
+            instance: instance.to_owned(),
+            checkpoint,
+        };
         worker.add_run(task, new_run(job, step, &start, RunPhase::Started, now));
     }
 
-    fn run_closed(&mut self, task: TaskId, run: RunId, instance: &str, kind: Option<EndKind>, now: Millis) {
+    fn run_closed(
+        &mut self,
+        task: TaskId,
+        run: RunId,
+        instance: &str,
+        kind: Option<EndKind>,
+        now: Millis,
+    ) {
         self.replan = true;
         if let Some(ended @ (EndKind::Done | EndKind::Failed)) = kind {
             self.failure_share.note(ended == EndKind::Failed);
         }
         let failures_to_eject = self.failure_share.failures_to_eject();
-        let Some(worker) = self.workers.get_mut(instance) else { return };
+        let Some(worker) = self.workers.get_mut(instance) else {
+            return;
+        };
         let known = worker.remove_run(&task, run);
         match kind {
             Some(EndKind::Done) => worker.health.succeeded(),
@@ -136,7 +180,10 @@
                 if !failed_on.iter().any(|other| other == instance) {
                     failed_on.push(instance.to_owned());
                 }
-                if known.is_some() && !elsewhere && worker.health.failed(task.job, failures_to_eject, now) {
+                if known.is_some()
+                    && !elsewhere
+                    && worker.health.failed(task.job, failures_to_eject, now)
+                {
                     self.left_alone_untold.insert(instance.to_owned());
                 }
             }
@@ -147,7 +194,9 @@
     /// Releases the room of a run that was proposed and refused.
     fn settle_proposal(&mut self, start: &RunStart) {
         self.proposed.remove(&start.task);
-        let Some(worker) = self.workers.get_mut(&start.instance) else { return };
+        let Some(worker) = self.workers.get_mut(&start.instance) else {
+            return;
+        };
         let refused = worker
             .runs
             .get(&start.task)
@@ -160,7 +209,9 @@
 
     /// Takes up what a job needs now.
     pub(crate) fn review_job(&mut self, id: JobId, now: Millis, state: &State) {
-        let Some(job) = state.jobs.get(&id) else { return };
+        let Some(job) = state.jobs.get(&id) else {
+            return;
+        };
         if job.submission.service != self.service {
             return;
         }
@@ -189,9 +240,12 @@
     }
 
     pub(crate) fn refresh_queue(&mut self, id: JobId, now: Millis, state: &State) {
-        let Some(job) = state.jobs.get(&id) else { return };
+        let Some(job) = state.jobs.get(&id) else {
+            return;
+        };
         let proposed = &self.proposed;
-        self.queue.refresh(job, now, self.wall, |task| proposed.contains(task));
+        self.queue
+            .refresh(job, now, self.wall, |task| proposed.contains(task));
         self.replan = true;
     }
 
@@ -200,9 +254,17 @@
     fn stop_unwanted(&mut self, job: &Job, now: Millis) {
         for time in job.times.values() {
             for (position, step) in time.steps.iter().enumerate() {
-                let gang = job.submission.spec.steps.get(position).is_some_and(|spec| spec.gang);
-                let whole =
-                    |run: RunId| step.tasks.iter().all(|task| task.active.iter().any(|a| a.run == run));
+                let gang = job
+                    .submission
+                    .spec
+                    .steps
+                    .get(position)
+                    .is_some_and(|spec| spec.gang);
+                let whole = |run: RunId| {
+                    step.tasks
+                        .iter()
+                        .all(|task| task.active.iter().any(|a| a.run == run))
+                };
                 for (index, task) in step.tasks.iter().enumerate() {
                     for active in &task.active {
                         // Where a gang is done its members end by themselves.
@@ -218,10 +280,23 @@
         }
     }
 
-    fn want_stop(&mut self, instance: &str, job: JobId, step: usize, index: usize, run: RunId, now: Millis) {
-        let Some(worker) = self.workers.get_mut(instance) else { return };
+    fn want_stop(
+        &mut self,
+        instance: &str,
+        job: JobId,
+        step: usize,
+        index: usize,
+        run: RunId,
+        now: Millis,
+    ) {
+        let Some(worker) = self.workers.get_mut(instance) else {
+            return;
+        };
         let wanted = worker.runs.iter_mut().find(|(task, known)| {
-            task.job == job && task.step as usize == step && task.index as usize == index && known.run == run
+            task.job == job
+                && task.step as usize == step
+                && task.index as usize == index
+                && known.run == run
         });
         if let Some((_, known)) = wanted {
             known.stop_due.get_or_insert(now);
@@ -238,13 +313,19 @@
 
     /// Sends the starts and stops that are due on one worker.
     pub(crate) fn send_orders(&mut self, instance: &str, now: Millis, state: &State) {
-        let Some(worker) = self.workers.get(instance) else { return };
+        let Some(worker) = self.workers.get(instance) else {
+            return;
+        };
         let ready = worker.greeted && !worker.silent();
         let tasks: Vec<TaskId> = worker.runs.keys().copied().collect();
         let mut lost = Vec::new();
         for task in tasks {
-            let Some(worker) = self.workers.get(instance) else { return };
-            let Some(run) = worker.runs.get(&task) else { continue };
+            let Some(worker) = self.workers.get(instance) else {
+                return;
+            };
+            let Some(run) = worker.runs.get(&task) else {
+                continue;
+            };
             let unsent = matches!(run.phase, RunPhase::Recorded { .. }) && run.tries == 0;
             let refused = worker.draining || !worker.listed;
             if unsent && (run.stop_due.is_some() || !ready || refused) {
@@ -284,15 +365,24 @@
                 run.phase = RunPhase::Losing;
             }
         }
-        self.out.push(Output::Propose(Command::LoseRuns { runs: lost }));
+        self.out
+            .push(Output::Propose(Command::LoseRuns { runs: lost }));
     }
 
     fn send_start(&mut self, instance: &str, task: TaskId, state: &State, now: Millis) {
-        let Some(job) = state.jobs.get(&task.job) else { return };
-        let Some(worker) = self.workers.get_mut(instance) else { return };
-        let Some(clock) = worker.clock_now(now) else { return };
+        let Some(job) = state.jobs.get(&task.job) else {
+            return;
+        };
+        let Some(worker) = self.workers.get_mut(instance) else {
+            return;
+        };
+        let Some(clock) = worker.clock_now(now) else {
+            return;
+        };
         let deadline_ms = clock + START_VALID_MS;
-        let Some(run) = worker.runs.get_mut(&task) else { return };
+        let Some(run) = worker.runs.get_mut(&task) else {
+            return;
+        };
         run.tries += 1;
         if run.tries > MOST_STARTS {
             run.stop_due = Some(now);
@@ -304,13 +394,27 @@
         worker.granted_until = worker.granted_until.max(deadline_ms);
         let (number, checkpoint) = (run.run, run.checkpoint.clone());
         let spec = job.submission.spec.spec.clone();
-        let purpose = CallPurpose::Start { task, run: number, deadline_ms };
-        let order = WorkerOrder::Start { task, run: number, spec, deadline_ms, checkpoint };
+        let purpose = CallPurpose::Start {
+            task,
+            run: number,
+            deadline_ms,
+        };
+        let order = WorkerOrder::Start {
+            task,
+            run: number,
+            spec,
+            deadline_ms,
+            checkpoint,
+        };
         self.call(instance, purpose, order, self.answer_times.wait_ms());
     }
 
     fn send_stop(&mut self, instance: &str, task: TaskId, now: Millis) {
-        let Some(run) = self.workers.get_mut(instance).and_then(|worker| worker.runs.get_mut(&task)) else {
+        let Some(run) = self
+            .workers
+            .get_mut(instance)
+            .and_then(|worker| worker.runs.get_mut(&task))
+        else {
             return;
         };
         run.stop_due = Some(now + STOP_AGAIN_MS);
@@ -318,18 +422,32 @@
         let number = run.run;
         let order = WorkerOrder::Stop { task, run: number };
         let timeout = self.answer_times.wait_ms();
-        self.call(instance, CallPurpose::Stop { task, run: number }, order, timeout);
+        self.call(
+            instance,
+            CallPurpose::Stop { task, run: number },
+            order,
+            timeout,
+        );
     }
 
     /// Takes all runs of a worker off the record, once every hold on it has surely run out.
     pub(crate) fn lose_lapsed(&mut self, instance: &str) {
-        let Some(worker) = self.workers.get_mut(instance) else { return };
+        let Some(worker) = self.workers.get_mut(instance) else {
+            return;
+        };
         let lost = lost_runs(worker);
-        for run in worker.runs.values_mut().filter(|run| run.phase != RunPhase::Proposed) {
+        for run in worker
+            .runs
+            .values_mut()
+            .filter(|run| run.phase != RunPhase::Proposed)
+        {
             run.phase = RunPhase::Losing;
         }
+        self.out.push(Output::Log(format!(
+            "the holds on {instance} have run out: {} runs are lost",
+            lost.len()
+        )));
         self.out
-            .push(Output::Log(format!("the holds on {instance} have run out: {} runs are lost", lost.len())));
-        self.out.push(Output::Propose(Command::LoseRuns { runs: lost }));
+            .push(Output::Propose(Command::LoseRuns { runs: lost }));
     }
 }
--- a/system/scheduler/src/scheduler.rs
+++ b/system/scheduler/src/scheduler.rs
@@ -188,7 +188,10 @@
         }
         self.deposed = true;
         self.drop_outputs();
-        let line = format!("{refused_by} has seen a higher token than {}: the role is given up", self.token);
+        let line = format!(
+            "{refused_by} has seen a higher token than {}: the role is given up",
+            self.token
+        );
         self.out.push(Output::Log(line));
     }
 
@@ -196,10 +199,18 @@
     pub fn summary(&self) -> Summary {
         Summary {
             workers: self.workers.len(),
-            silent: self.workers.values().filter(|worker| worker.silent()).count(),
+            silent: self
+                .workers
+                .values()
+                .filter(|worker| worker.silent())
+                .count(),
             runs: self.workers.values().map(|worker| worker.runs.len()).sum(),
             waiting: self.queue.len(),
-            waiting_urgent: self.queue.iter().filter(|(key, _)| key.priority == URGENT_PRIORITY).count(),
+            waiting_urgent: self
+                .queue
+                .iter()
+                .filter(|(key, _)| key.priority == URGENT_PRIORITY)
+                .count(),
         }
     }
 
@@ -224,7 +235,9 @@
     ) -> u64 {
         self.next_call += 1;
         let id = self.next_call;
-        let Some(worker) = self.workers.get(instance).filter(|_| !self.deposed) else { return id };
+        let Some(worker) = self.workers.get(instance).filter(|_| !self.deposed) else {
+            return id;
+        };
         self.out.push(Output::Call(WorkerCall {
             id,
             address: worker.entry.address.clone(),
@@ -234,21 +247,37 @@
             timeout_ms,
         }));
         let sent_at = self.now;
-        self.calls.insert(id, OpenCall { instance: instance.to_owned(), purpose, sent_at });
+        self.calls.insert(
+            id,
+            OpenCall {
+                instance: instance.to_owned(),
+                purpose,
+                sent_at,
+            },
+        );
         id
     }
 
     /// Says which workers are left alone, once for many.
     fn tell_left_alone(&mut self, now: Millis) {
-        if self.left_alone_untold.is_empty() || now < self.left_alone_told_at + TELL_LEFT_ALONE_EVERY_MS {
+        if self.left_alone_untold.is_empty()
+            || now < self.left_alone_told_at + TELL_LEFT_ALONE_EVERY_MS
+        {
             return;
         }
         self.left_alone_told_at = now;
         let untold = std::mem::take(&mut self.left_alone_untold);
         let named: Vec<&str> = untold.iter().take(MOST_NAMED).map(String::as_str).collect();
         let more = untold.len() - named.len();
-        let more = if more > 0 { format!(" and {more} more") } else { String::new() };
-        let line = format!("workers left alone, since their runs fail: {}{more}", named.join(", "));
+        let more = if more > 0 {
+            format!(" and {more} more")
+        } else {
+            String::new()
+        };
+        let line = format!(
+            "workers left alone, since their runs fail: {}{more}",
+            named.join(", ")
+        );
         self.out.push(Output::Log(line));
     }
 
--- a/system/scheduler/src/take_over.rs
+++ b/system/scheduler/src/take_over.rs
@@ -15,10 +15,19 @@
         self.fresh.clear();
         self.timed.clear();
         self.ended.clear();
-        let own = |id: &JobId| state.jobs.get(id).is_some_and(|job| job.submission.service == self.service);
+        let own = |id: &JobId| {
+            state
+                .jobs
+                .get(id)
+                .is_some_and(|job| job.submission.service == self.service)
+        };
         let mut wanted: BTreeMap<&str, Vec<(TaskId, RunId)>> = BTreeMap::new();
         for (instance, record) in &state.workers {
-            let runs = record.runs.iter().filter(|(task, _)| own(&task.job)).map(|(task, run)| (*task, *run));
+            let runs = record
+                .runs
+                .iter()
+                .filter(|(task, _)| own(&task.job))
+                .map(|(task, run)| (*task, *run));
             wanted.insert(instance, runs.collect());
         }
         self.drop_runs_off_record(&wanted);
@@ -28,7 +37,10 @@
             }
         }
         for (instance, worker) in &mut self.workers {
-            let seen = state.workers.get(instance).map_or(0, |record| record.last_seen);
+            let seen = state
+                .workers
+                .get(instance)
+                .map_or(0, |record| record.last_seen);
             worker.last_seen = seen;
             worker.proposed_seen = seen;
         }
--- a/system/scheduler/src/worker.rs
+++ b/system/scheduler/src/worker.rs
@@ -45,7 +45,11 @@
     /// Takes note of a listing.
     pub fn note(&mut self, percent: u64, now: Millis) {
         if percent != self.percent {
-            *self = Progress { percent, since: now, seen: now };
+            *self = Progress {
+                percent,
+                since: now,
+                seen: now,
+            };
         }
         self.seen = now;
     }
@@ -146,7 +150,10 @@
             greeted: false,
             granted_until: 0,
             others_lapse_at,
-            hold: Hold { open: None, due: now },
+            hold: Hold {
+                open: None,
+                due: now,
+            },
             last_seen: 0,
             proposed_seen: 0,
             doubted_at: None,
@@ -224,9 +231,14 @@
     pub fn read_clock(&mut self, worker_ms: Option<u64>, now: Millis) {
         let Some(worker_ms) = worker_ms else { return };
         // Answers may overtake each other: an older reading would set the clock back.
-        let newer = self.clock_at_least(now).is_none_or(|known| worker_ms >= known);
+        let newer = self
+            .clock_at_least(now)
+            .is_none_or(|known| worker_ms >= known);
         if newer {
-            self.clock = Some(ClockReading { worker_ms, received_at: now });
+            self.clock = Some(ClockReading {
+                worker_ms,
+                received_at: now,
+            });
         }
     }
 
--- a/system/scheduler/src/worker_list.rs
+++ b/system/scheduler/src/worker_list.rs
@@ -7,10 +7,15 @@
 impl Scheduler {
     /// Takes the platform's list.
     pub fn list(&mut self, now: Millis, state: &State, entries: &[WorkerEntry]) {
-        let own: Vec<&WorkerEntry> = entries.iter().filter(|entry| entry.service == self.service).collect();
+        let own: Vec<&WorkerEntry> = entries
+            .iter()
+            .filter(|entry| entry.service == self.service)
+            .collect();
         let listed: HashSet<&str> = own.iter().map(|entry| entry.instance.as_str()).collect();
-        let addresses: HashMap<&str, &str> =
-            own.iter().map(|entry| (entry.address.as_str(), entry.instance.as_str())).collect();
+        let addresses: HashMap<&str, &str> = own
+            .iter()
+            .map(|entry| (entry.address.as_str(), entry.instance.as_str()))
+            .collect();
         let mut over = Vec::new();
         for (instance, worker) in &mut self.workers {
             if listed.contains(instance.as_str()) {
@@ -34,7 +39,9 @@
         self.hold_news.insert(entry.instance.clone());
         let draining = entry.availability == Availability::Draining;
         if let Some(worker) = self.workers.get_mut(&entry.instance) {
-            let news = !worker.listed || worker.entry.address != entry.address || worker.draining != draining;
+            let news = !worker.listed
+                || worker.entry.address != entry.address
+                || worker.draining != draining;
             worker.entry = entry.clone();
             worker.listed = true;
             worker.draining = draining;
@@ -53,13 +60,19 @@
 
     /// A worker's life is surely over.
     pub(crate) fn life_is_over(&mut self, instance: &str, state: &State) {
-        let Some(worker) = self.workers.get_mut(instance) else { return };
+        let Some(worker) = self.workers.get_mut(instance) else {
+            return;
+        };
         worker.listed = false;
         let lost = lost_runs(worker);
         if state.workers.contains_key(instance) {
-            self.out.push(Output::Propose(Command::LoseRuns { runs: lost }));
+            self.out
+                .push(Output::Propose(Command::LoseRuns { runs: lost }));
             let instance = instance.to_owned();
-            self.out.push(Output::Propose(Command::LoseInstance { instance, ended: true }));
+            self.out.push(Output::Propose(Command::LoseInstance {
+                instance,
+                ended: true,
+            }));
         }
         self.workers.remove(instance);
         self.replan = true;
--- a/system/scheduler/tests/backfill.rs
+++ b/system/scheduler/tests/backfill.rs
@@ -6,7 +6,8 @@
 use magpiegap_protocol::{StepSpec, WorkerEntry};
 
 #[googletest::test]
-fn given_a_large_task_that_waits_when_small_ones_come_then_only_those_that_end_before_it_has_room_start() {
+fn given_a_large_task_that_waits_when_small_ones_come_then_only_those_that_end_before_it_has_room_start(
+) {
     let mut story = Story::new(&["w1"]);
     story.submit(1, vec![timed_step(2000, 1000)]);
     story.submit(2, vec![timed_step(4000, 1000)]);
@@ -53,11 +54,21 @@
         labels: vec!["a".to_owned(), rack.to_owned()],
         ..worker(name)
     };
-    let entries = [in_rack("w1", "r1"), in_rack("w2", "r1"), in_rack("w3", "r2"), in_rack("w4", "r2")];
+    let entries = [
+        in_rack("w1", "r1"),
+        in_rack("w2", "r1"),
+        in_rack("w3", "r2"),
+        in_rack("w4", "r2"),
+    ];
     story.scheduler.list(story.now, &story.state, &entries);
     story.pass(10);
     story.greet();
-    let gang = StepSpec { gang: true, rack_local: true, estimated_ms: 5000, ..step(4, 4000) };
+    let gang = StepSpec {
+        gang: true,
+        rack_local: true,
+        estimated_ms: 5000,
+        ..step(4, 4000)
+    };
     story.submit(1, vec![gang]);
     story.pass(50);
     expect_that!(story.active(task(1, 0)), is_empty());
@@ -69,7 +80,8 @@
 }
 
 #[googletest::test]
-fn given_many_large_tasks_of_all_lengths_that_wait_when_small_ones_wait_behind_them_then_those_still_start() {
+fn given_many_large_tasks_of_all_lengths_that_wait_when_small_ones_wait_behind_them_then_those_still_start(
+) {
     let mut story = Story::new(&["w1", "w2"]);
     story.submit(1, vec![timed_step(4000, 9000)]);
     story.submit(2, vec![timed_step(1500, 9000)]);
--- a/system/scheduler/tests/common/mod.rs
+++ b/system/scheduler/tests/common/mod.rs
@@ -2,11 +2,12 @@
 #![allow(dead_code)]
 use magpiegap_jobs::State;
 use magpiegap_protocol::{
-    Command, Entry, JobId, JobSpec, Member, Position, ProposalId, Replica, Resources, RunStart, StepSpec,
-    Submission, TaskId, WorkerEntry,
+    Command, Entry, JobId, JobSpec, Member, Position, ProposalId, Replica, Resources, RunStart,
+    StepSpec, Submission, TaskId, WorkerEntry,
 };
 use magpiegap_scheduler::{
-    ListedEnd, ListedRun, Listing, Output, Scheduler, SchedulerSettings, WorkerCall, WorkerOrder, WorkerReply,
+    ListedEnd, ListedRun, Listing, Output, Scheduler, SchedulerSettings, WorkerCall, WorkerOrder,
+    WorkerReply,
 };
 
 pub const TOKEN: u64 = 5;
@@ -28,7 +29,11 @@
         instance: name.to_owned(),
         service: "s".to_owned(),
         address: format!("{name}:1"),
-        capacity: Resources { cpu: 4000, memory_mb: 4000, gpu: 0 },
+        capacity: Resources {
+            cpu: 4000,
+            memory_mb: 4000,
+            gpu: 0,
+        },
         labels: vec!["a".to_owned(), "r1".to_owned()],
         ..WorkerEntry::default()
     }
@@ -37,7 +42,11 @@
 pub fn step(count: u32, cpu: u64) -> StepSpec {
     StepSpec {
         count,
-        resources: Resources { cpu, memory_mb: 10, gpu: 0 },
+        resources: Resources {
+            cpu,
+            memory_mb: 10,
+            gpu: 0,
+        },
         estimated_ms: 500,
         ..StepSpec::default()
     }
@@ -47,8 +56,14 @@
     pub fn new(workers: &[&str]) -> Story {
         let state = State::default();
         let scheduler = Scheduler::new("s", TOKEN, SchedulerSettings::default(), 1000, &state, 1);
-        let mut story =
-            Story { now: 1000, state, scheduler, calls: Vec::new(), proposed: Vec::new(), logs: Vec::new() };
+        let mut story = Story {
+            now: 1000,
+            state,
+            scheduler,
+            calls: Vec::new(),
+            proposed: Vec::new(),
+            logs: Vec::new(),
+        };
         let entries: Vec<WorkerEntry> = workers.iter().map(|name| worker(name)).collect();
         story.scheduler.list(story.now, &story.state, &entries);
         story.pass(10);
@@ -69,19 +84,34 @@
     }
 
     pub fn listing(&self, running: Vec<ListedRun>, ended: Vec<ListedEnd>) -> WorkerReply {
-        WorkerReply::Done { clock_ms: Some(self.clock()), listing: Some(Listing { running, ended }) }
+        WorkerReply::Done {
+            clock_ms: Some(self.clock()),
+            listing: Some(Listing { running, ended }),
+        }
     }
 
     pub fn done(&self) -> WorkerReply {
-        WorkerReply::Done { clock_ms: Some(self.clock()), listing: None }
+        WorkerReply::Done {
+            clock_ms: Some(self.clock()),
+            listing: None,
+        }
     }
 
     pub fn commit(&mut self, command: Command) {
         let index = self.state.position.index + 1;
-        let origin = Replica { member: Member { address: 1, disk: 0 }, boot: 1 };
+        let origin = Replica {
+            member: Member {
+                address: 1,
+                disk: 0,
+            },
+            boot: 1,
+        };
         let entry = Entry {
             position: Position { view: 1, index },
-            proposal: ProposalId { origin, sequence: index },
+            proposal: ProposalId {
+                origin,
+                sequence: index,
+            },
             fence: None,
             command: command.clone(),
             wall_ms: 1_000_000 + self.now,
@@ -91,14 +121,21 @@
             _ => Vec::new(),
         };
         let applied = self.state.apply(&entry);
-        self.scheduler.applied(self.now, entry.position, &self.state, &applied.changes, &runs);
+        self.scheduler.applied(
+            self.now,
+            entry.position,
+            &self.state,
+            &applied.changes,
+            &runs,
+        );
         self.proposed.push(command);
     }
 
     pub fn pass(&mut self, ms: u64) {
         self.now += ms;
         for _ in 0..4 {
-            self.scheduler.run(self.now, 1_000_000 + self.now, &self.state);
+            self.scheduler
+                .run(self.now, 1_000_000 + self.now, &self.state);
             for output in self.scheduler.take_outputs() {
                 match output {
                     Output::Call(call) => self.calls.push(call),
@@ -131,7 +168,10 @@
             stretch: 2.0,
             target_latency_ms: 1000,
             submitted_ms: 1_000_000 + self.now,
-            spec: JobSpec { steps, ..JobSpec::default() },
+            spec: JobSpec {
+                steps,
+                ..JobSpec::default()
+            },
         };
         let command = self.scheduler.submit(self.now, submission);
         self.commit(command);
@@ -139,25 +179,41 @@
     }
 
     pub fn starts(&mut self) -> Vec<WorkerCall> {
-        let (starts, others) =
-            self.take_calls().into_iter().partition(|call| matches!(call.order, WorkerOrder::Start { .. }));
+        let (starts, others) = self
+            .take_calls()
+            .into_iter()
+            .partition(|call| matches!(call.order, WorkerOrder::Start { .. }));
         self.calls = others;
         starts
     }
 
     pub fn active(&self, task: TaskId) -> Vec<String> {
-        let state = self.state.jobs.get(&task.job).and_then(|job| job.task(&task));
-        state.map(|task| task.active.iter().map(|run| run.instance.clone()).collect()).unwrap_or_default()
+        let state = self
+            .state
+            .jobs
+            .get(&task.job)
+            .and_then(|job| job.task(&task));
+        state
+            .map(|task| task.active.iter().map(|run| run.instance.clone()).collect())
+            .unwrap_or_default()
     }
 }
 
 pub fn task(job: u64, index: u32) -> TaskId {
-    TaskId { job: JobId(job), time: 0, step: 0, index }
+    TaskId {
+        job: JobId(job),
+        time: 0,
+        step: 0,
+        index,
+    }
 }
 
 /// A step of one task that takes this long.
 pub fn timed_step(cpu: u64, estimated_ms: u64) -> StepSpec {
-    StepSpec { estimated_ms, ..step(1, cpu) }
+    StepSpec {
+        estimated_ms,
+        ..step(1, cpu)
+    }
 }
 
 /// A hold's wait, in milliseconds.
--- a/system/scheduler/tests/deposed.rs
+++ b/system/scheduler/tests/deposed.rs
@@ -6,11 +6,15 @@
 use magpiegap_scheduler::{RefusalReason, WorkerReply};
 
 fn refused(story: &Story) -> WorkerReply {
-    WorkerReply::Refused { clock_ms: Some(story.clock()), reason: RefusalReason::Fence }
+    WorkerReply::Refused {
+        clock_ms: Some(story.clock()),
+        reason: RefusalReason::Fence,
+    }
 }
 
 #[googletest::test]
-fn given_a_worker_that_has_seen_a_higher_token_when_it_refuses_a_start_then_nothing_more_is_called() {
+fn given_a_worker_that_has_seen_a_higher_token_when_it_refuses_a_start_then_nothing_more_is_called()
+{
     // Given
     let mut story = Story::new(&["w1", "w2"]);
     story.submit(1, vec![step(1, 1000)]);
@@ -30,7 +34,8 @@
 }
 
 #[googletest::test]
-fn given_calls_that_were_not_handed_on_when_a_start_is_refused_for_a_higher_token_then_they_are_dropped() {
+fn given_calls_that_were_not_handed_on_when_a_start_is_refused_for_a_higher_token_then_they_are_dropped(
+) {
     let mut story = Story::new(&["w1"]);
     story.submit(1, vec![step(1, 1000)]);
     let starts = story.starts();
--- a/system/scheduler/tests/hold_news.rs
+++ b/system/scheduler/tests/hold_news.rs
@@ -40,12 +40,25 @@
         stretch: 2.0,
         target_latency_ms: 1000,
         submitted_ms: 1_000_000 + story.now,
-        spec: JobSpec { steps: vec![step(1, 1000)], ..JobSpec::default() },
+        spec: JobSpec {
+            steps: vec![step(1, 1000)],
+            ..JobSpec::default()
+        },
     };
     story.scheduler.submit(story.now, submission);
-    story.scheduler.run(story.now, 1_000_000 + story.now, &story.state);
+    story
+        .scheduler
+        .run(story.now, 1_000_000 + story.now, &story.state);
     let is_hold = |output: &Output| matches!(output, Output::Call(call) if matches!(call.order, WorkerOrder::Hold { .. }));
-    expect_that!(story.scheduler.take_outputs().iter().filter(|output| is_hold(output)).count(), eq(1));
+    expect_that!(
+        story
+            .scheduler
+            .take_outputs()
+            .iter()
+            .filter(|output| is_hold(output))
+            .count(),
+        eq(1)
+    );
 }
 
 #[googletest::test]
@@ -57,9 +70,19 @@
     }
     story.pass(1);
     let hold = holds(&story.take_calls()).pop().expect("a hold");
-    let ended =
-        ListedEnd { number: 1, task: task(1, 0), run: 1, kind: EndKind::Done, checkpoint: String::new() };
-    let running = ListedRun { task: task(1, 1), run: 1, checkpoint: String::new(), percent: 10 };
+    let ended = ListedEnd {
+        number: 1,
+        task: task(1, 0),
+        run: 1,
+        kind: EndKind::Done,
+        checkpoint: String::new(),
+    };
+    let running = ListedRun {
+        task: task(1, 1),
+        run: 1,
+        checkpoint: String::new(),
+        percent: 10,
+    };
     story.reply(&hold, story.listing(vec![running], vec![ended]));
     // The end goes to the log and comes back.
     story.pass(0);
@@ -107,11 +130,24 @@
     }
     story.submit_with_priority(2000, 1, vec![step(1, 500)]);
     expect_that!(story.starts(), is_empty());
-    let end = RunEnd { task: task(1, 0), run: 1, kind: EndKind::Done, checkpoint: String::new() };
+    let end = RunEnd {
+        task: task(1, 0),
+        run: 1,
+        kind: EndKind::Done,
+        checkpoint: String::new(),
+    };
     let freed = story.active(task(1, 0)).pop().expect("a run");
-    story.commit(Command::NoteEnds { instance: freed.clone(), last_seen: 1, ends: vec![end] });
+    story.commit(Command::NoteEnds {
+        instance: freed.clone(),
+        last_seen: 1,
+        ends: vec![end],
+    });
     story.pass(25);
-    let started: Vec<String> = story.starts().into_iter().map(|call| call.instance).collect();
+    let started: Vec<String> = story
+        .starts()
+        .into_iter()
+        .map(|call| call.instance)
+        .collect();
     expect_that!(started, not(is_empty()));
     expect_that!(started, each(eq(&freed)));
 }
--- a/system/scheduler/tests/holds.rs
+++ b/system/scheduler/tests/holds.rs
@@ -10,7 +10,13 @@
     let names: Vec<String> = (0..count).map(|number| format!("w{number}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut story = Story::new(&names);
-    story.submit(1, vec![StepSpec { estimated_ms: 60_000, ..step(count as u32, 4000) }]);
+    story.submit(
+        1,
+        vec![StepSpec {
+            estimated_ms: 60_000,
+            ..step(count as u32, 4000)
+        }],
+    );
     // A round of planning does not take all of them at once.
     for _ in 0..200 {
         for start in story.starts() {
--- a/system/scheduler/tests/left_alone.rs
+++ b/system/scheduler/tests/left_alone.rs
@@ -15,11 +15,22 @@
     }
     for start in story.starts() {
         story.reply(&start, story.done());
-        let magpiegap_scheduler::WorkerOrder::Start { task, run, .. } = start.order else { continue };
+        let magpiegap_scheduler::WorkerOrder::Start { task, run, .. } = start.order else {
+            continue;
+        };
         let seen = last_seen.entry(start.instance.clone()).or_default();
         *seen += 1;
-        let ends = vec![RunEnd { task, run, kind: EndKind::Failed, checkpoint: String::new() }];
-        story.commit(Command::NoteEnds { instance: start.instance, last_seen: *seen, ends });
+        let ends = vec![RunEnd {
+            task,
+            run,
+            kind: EndKind::Failed,
+            checkpoint: String::new(),
+        }];
+        story.commit(Command::NoteEnds {
+            instance: start.instance,
+            last_seen: *seen,
+            ends,
+        });
         // Its job is not tried again elsewhere.
         story.commit(Command::CancelJob { job: task.job });
     }
@@ -33,7 +44,14 @@
         fail_everywhere(&mut story, round, &mut last_seen);
     }
     story.pass(60);
-    let lines: Vec<&String> = story.logs.iter().filter(|line| line.contains("left alone")).collect();
+    let lines: Vec<&String> = story
+        .logs
+        .iter()
+        .filter(|line| line.contains("left alone"))
+        .collect();
     expect_that!(lines.len(), eq(1));
-    expect_that!(lines[0], contains_substring("w1, w2, w3, w4, w5 and 2 more"));
+    expect_that!(
+        lines[0],
+        contains_substring("w1, w2, w3, w4, w5 and 2 more")
+    );
 }
--- a/system/scheduler/tests/silence.rs
+++ b/system/scheduler/tests/silence.rs
@@ -12,13 +12,18 @@
     story.submit(1, vec![step(1, 1000)]);
     let start = story.starts().remove(0);
     story.reply(&start, story.done());
-    story.scheduler.list(story.now, &story.state, &[worker("w1"), worker("w2")]);
+    story
+        .scheduler
+        .list(story.now, &story.state, &[worker("w1"), worker("w2")]);
     story.pass(0);
     let mut lost_after = 0;
     while lost_after == 0 && story.now < 30_000 {
         for call in story.take_calls() {
-            let reply =
-                if call.instance == "w2" { story.listing(vec![], vec![]) } else { WorkerReply::Unanswered };
+            let reply = if call.instance == "w2" {
+                story.listing(vec![], vec![])
+            } else {
+                WorkerReply::Unanswered
+            };
             story.reply(&call, reply);
         }
         story.pass(50);
@@ -43,7 +48,12 @@
     while !stopped && story.now < 10_000 {
         for call in story.take_calls() {
             stopped |= matches!(call.order, WorkerOrder::Stop { .. });
-            let running = ListedRun { task: task(1, 0), run: 1, checkpoint: String::new(), percent: 40 };
+            let running = ListedRun {
+                task: task(1, 0),
+                run: 1,
+                checkpoint: String::new(),
+                percent: 40,
+            };
             story.reply(&call, story.listing(vec![running], vec![]));
         }
         story.pass(200);
@@ -59,11 +69,19 @@
     let start = story.starts().remove(0);
     story.reply(&start, story.done());
     let hold = story.take_calls().remove(0);
-    let running = |percent| ListedRun { task: task(1, 0), run: 1, checkpoint: String::new(), percent };
+    let running = |percent| ListedRun {
+        task: task(1, 0),
+        run: 1,
+        checkpoint: String::new(),
+        percent,
+    };
     story.reply(&hold, story.listing(vec![running(40)], vec![]));
     story.pass(5000);
-    let stops =
-        story.take_calls().iter().filter(|call| matches!(call.order, WorkerOrder::Stop { .. })).count();
+    let stops = story
+        .take_calls()
+        .iter()
+        .filter(|call| matches!(call.order, WorkerOrder::Stop { .. }))
+        .count();
     expect_that!(stops, eq(0));
 }
 
@@ -95,7 +113,12 @@
     story.submit(1, vec![step(1, 1000)]);
     let start = story.starts().remove(0);
     story.reply(&start, story.done());
-    let running = ListedRun { task: task(1, 0), run: 1, checkpoint: String::new(), percent: 0 };
+    let running = ListedRun {
+        task: task(1, 0),
+        run: 1,
+        checkpoint: String::new(),
+        percent: 0,
+    };
     let hold = story.take_calls().remove(0);
     expect_that!(waits(std::slice::from_ref(&hold)), elements_are![ge(&500)]);
     story.pass(200);
@@ -105,7 +128,8 @@
 }
 
 #[googletest::test]
-fn given_a_hold_whose_answer_is_lost_when_that_is_noticed_then_the_worker_is_looked_at_within_moments() {
+fn given_a_hold_whose_answer_is_lost_when_that_is_noticed_then_the_worker_is_looked_at_within_moments(
+) {
     // Given: a worker that has answered at once so far
     let mut story = Story::new(&["w1"]);
     for number in 1..100 {
@@ -113,7 +137,10 @@
         let start = story.starts().remove(0);
         story.reply(&start, story.done());
         story.commit(Command::CancelJob { job: JobId(number) });
-        story.commit(Command::LoseInstance { instance: "w1".to_owned(), ended: false });
+        story.commit(Command::LoseInstance {
+            instance: "w1".to_owned(),
+            ended: false,
+        });
     }
     story.submit(100, vec![step(1, 1000)]);
     for call in story.take_calls() {
--- a/system/scheduler/tests/starting.rs
+++ b/system/scheduler/tests/starting.rs
@@ -49,10 +49,22 @@
     story.submit(1, vec![step(1, 1000)]);
     let start = story.starts().remove(0);
     story.reply(&start, story.done());
-    let hold = story.take_calls().into_iter().find(|c| matches!(c.order, WorkerOrder::Hold { .. })).unwrap();
-    expect_that!(matches!(hold.order, WorkerOrder::Hold { last_seen: 0, .. }), eq(true));
-    let end =
-        ListedEnd { number: 1, task: task(1, 0), run: 1, kind: EndKind::Done, checkpoint: String::new() };
+    let hold = story
+        .take_calls()
+        .into_iter()
+        .find(|c| matches!(c.order, WorkerOrder::Hold { .. }))
+        .unwrap();
+    expect_that!(
+        matches!(hold.order, WorkerOrder::Hold { last_seen: 0, .. }),
+        eq(true)
+    );
+    let end = ListedEnd {
+        number: 1,
+        task: task(1, 0),
+        run: 1,
+        kind: EndKind::Done,
+        checkpoint: String::new(),
+    };
     story.reply(&hold, story.listing(vec![], vec![end]));
     story.pass(10);
     expect_that!(story.state.workers["w1"].last_seen, eq(1));
@@ -84,7 +96,12 @@
     story.scheduler.resume(story.now, &story.state);
     // Then
     let lost = story.scheduler.take_outputs();
-    expect_that!(lost.iter().filter(|output| matches!(output, Output::Propose(_))).count(), eq(0));
+    expect_that!(
+        lost.iter()
+            .filter(|output| matches!(output, Output::Propose(_)))
+            .count(),
+        eq(0)
+    );
 }
 
 #[googletest::test]
@@ -92,11 +109,20 @@
     let mut story = Story::new(&["w1"]);
     story.submit(1, vec![step(1, 1000)]);
     let start = story.starts().remove(0);
-    story.reply(&start, WorkerReply::Refused { clock_ms: Some(story.clock()), reason: RefusalReason::Room });
+    story.reply(
+        &start,
+        WorkerReply::Refused {
+            clock_ms: Some(story.clock()),
+            reason: RefusalReason::Room,
+        },
+    );
     story.pass(10);
     let again = story.starts();
     expect_that!(again.len(), eq(1));
-    expect_that!(matches!(again[0].order, WorkerOrder::Start { run: 2, .. }), eq(true));
+    expect_that!(
+        matches!(again[0].order, WorkerOrder::Start { run: 2, .. }),
+        eq(true)
+    );
 }
 
 #[googletest::test]
@@ -107,26 +133,50 @@
     story.reply(&start, story.done());
     story.commit(Command::CancelJob { job: JobId(1) });
     story.pass(10);
-    let stops =
-        story.take_calls().iter().filter(|call| matches!(call.order, WorkerOrder::Stop { .. })).count();
+    let stops = story
+        .take_calls()
+        .iter()
+        .filter(|call| matches!(call.order, WorkerOrder::Stop { .. }))
+        .count();
     expect_that!(stops, eq(1));
 }
 
 #[googletest::test]
-fn given_a_scheduler_that_took_up_the_whole_state_when_older_entries_follow_then_no_run_is_taken_for_unsent()
-{
+fn given_a_scheduler_that_took_up_the_whole_state_when_older_entries_follow_then_no_run_is_taken_for_unsent(
+) {
     // Given: a run that an earlier holder of the role has started
     let mut story = Story::new(&["w1"]);
     story.submit(1, vec![step(1, 1000)]);
     let start = story.starts().remove(0);
     story.reply(&start, story.done());
     // When: the next holder begins with the state as it is after a batch of entries, and then hears of each of them
-    let mut next = Scheduler::new("s", TOKEN + 1, SchedulerSettings::default(), story.now, &story.state, 2);
-    let opened = RunStart { task: task(1, 0), run: 1, instance: "w1".to_owned(), checkpoint: String::new() };
+    let mut next = Scheduler::new(
+        "s",
+        TOKEN + 1,
+        SchedulerSettings::default(),
+        story.now,
+        &story.state,
+        2,
+    );
+    let opened = RunStart {
+        task: task(1, 0),
+        run: 1,
+        instance: "w1".to_owned(),
+        checkpoint: String::new(),
+    };
     let change = Change::RunOpened(opened);
     for entry in 1..=story.state.position.index {
-        let entry = Position { view: 1, index: entry };
-        next.applied(story.now, entry, &story.state, std::slice::from_ref(&change), &[]);
+        let entry = Position {
+            view: 1,
+            index: entry,
+        };
+        next.applied(
+            story.now,
+            entry,
+            &story.state,
+            std::slice::from_ref(&change),
+            &[],
+        );
     }
     next.list(story.now, &story.state, &[worker("w1")]);
     let mut lost = 0;
@@ -173,9 +223,17 @@
     story.pass(10);
     story.greet();
     story.pass(100);
-    let rare = StepSpec { requirements: vec!["rare".to_owned()], ..step(4, 1000) };
+    let rare = StepSpec {
+        requirements: vec!["rare".to_owned()],
+        ..step(4, 1000)
+    };
     story.submit(1, vec![rare]);
     let starts = story.starts();
     expect_that!(starts.len(), eq(4));
-    expect_that!(starts.iter().all(|call| call.instance == "w0" || call.instance == "w1"), eq(true));
+    expect_that!(
+        starts
+            .iter()
+            .all(|call| call.instance == "w0" || call.instance == "w1"),
+        eq(true)
+    );
 }
--- a/system/scheduler/tests/stopping.rs
+++ b/system/scheduler/tests/stopping.rs
@@ -42,7 +42,13 @@
 #[googletest::test]
 fn given_a_gang_that_is_not_there_when_it_is_stopped_then_it_is_soon_off_the_record() {
     let mut story = Story::new(&["w1"]);
-    story.submit(1, vec![StepSpec { gang: true, ..step(2, 1000) }]);
+    story.submit(
+        1,
+        vec![StepSpec {
+            gang: true,
+            ..step(2, 1000)
+        }],
+    );
     let starts = story.starts();
     expect_that!(starts.len(), eq(2));
     // One start is answered; whether the other one took effect is not known.
@@ -107,7 +113,8 @@
 }
 
 #[googletest::test]
-fn given_a_start_without_an_answer_when_it_is_sent_again_and_finds_no_room_then_the_first_one_still_counts() {
+fn given_a_start_without_an_answer_when_it_is_sent_again_and_finds_no_room_then_the_first_one_still_counts(
+) {
     let mut story = Story::new(&["w1"]);
     story.submit(1, vec![step(1, 1000)]);
     let first = story.starts().remove(0);
@@ -116,10 +123,20 @@
     story.pass(10);
     let second = story.starts().remove(0);
     let clock_ms = Some(story.clock());
-    story.reply(&second, WorkerReply::Refused { clock_ms, reason: RefusalReason::Room });
+    story.reply(
+        &second,
+        WorkerReply::Refused {
+            clock_ms,
+            reason: RefusalReason::Room,
+        },
+    );
     story.pass(10);
     // The first one may still be carried out, once there is room.
-    let last_run = |story: &Story| story.state.jobs[&JobId(1)].task(&task(1, 0)).map(|task| task.last_run);
+    let last_run = |story: &Story| {
+        story.state.jobs[&JobId(1)]
+            .task(&task(1, 0))
+            .map(|task| task.last_run)
+    };
     expect_that!(last_run(&story), some(eq(1)));
     pass_with_late_orders(&mut story, 500);
     expect_that!(last_run(&story), some(eq(1)));
--- a/system/storage/src/directory.rs
+++ b/system/storage/src/directory.rs
@@ -16,8 +16,12 @@
 
 impl FileName {
     /// All files.
-    pub const ALL: [FileName; 4] =
-        [FileName::Slot(false), FileName::Slot(true), FileName::Log(false), FileName::Log(true)];
+    pub const ALL: [FileName; 4] = [
+        FileName::Slot(false),
+        FileName::Slot(true),
+        FileName::Log(false),
+        FileName::Log(true),
+    ];
 
     /// The file's name in the folder.
     pub fn text(self) -> &'static str {
@@ -77,7 +81,11 @@
     /// When the folder can't be made.
     pub fn new(folder: &Path) -> io::Result<FolderDirectory> {
         std::fs::create_dir_all(folder)?;
-        Ok(FolderDirectory { folder: folder.to_owned(), open: Vec::new(), named: Vec::new() })
+        Ok(FolderDirectory {
+            folder: folder.to_owned(),
+            open: Vec::new(),
+            named: Vec::new(),
+        })
     }
 
     fn file(&mut self, name: FileName) -> io::Result<&mut File> {
@@ -85,8 +93,12 @@
             Some(position) => position,
             None => {
                 let path = self.folder.join(name.text());
-                let file =
-                    OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
+                let file = OpenOptions::new()
+                    .read(true)
+                    .write(true)
+                    .create(true)
+                    .truncate(false)
+                    .open(path)?;
                 self.open.push((name, file));
                 self.open.len() - 1
             }
--- a/system/storage/src/format.rs
+++ b/system/storage/src/format.rs
@@ -40,7 +40,11 @@
     pub fn new(generation: u64) -> SlotHeader {
         let mut checksum = crc32fast::Hasher::new();
         checksum.update(&generation.to_le_bytes());
-        SlotHeader { generation, length: 0, checksum }
+        SlotHeader {
+            generation,
+            length: 0,
+            checksum,
+        }
     }
 
     /// Adds a part. Returns its bytes in the slot, and where they go.
@@ -78,7 +82,11 @@
     if checksum(generation, content) != expected {
         return None;
     }
-    let parts = if magic == SLOT_MAGIC { split_parts(content)? } else { vec![content.to_vec()] };
+    let parts = if magic == SLOT_MAGIC {
+        split_parts(content)?
+    } else {
+        vec![content.to_vec()]
+    };
     Some((generation, parts))
 }
 
--- a/system/storage/src/store.rs
+++ b/system/storage/src/store.rs
@@ -77,7 +77,10 @@
 }
 
 fn write_error(file: FileName) -> impl Fn(io::Error) -> StoreError {
-    move |source| StoreError::Write { file: file.text(), source }
+    move |source| StoreError::Write {
+        file: file.text(),
+        source,
+    }
 }
 
 impl<D: Directory> Store<D> {
@@ -86,15 +89,25 @@
     /// # Errors
     /// When files can't be read, or something that was kept is not there any more.
     pub fn open(mut directory: D) -> Result<(Store<D>, Recovered), StoreError> {
-        let slots =
-            [read(&mut directory, FileName::Slot(false))?, read(&mut directory, FileName::Slot(true))?];
-        let logs = [read(&mut directory, FileName::Log(false))?, read(&mut directory, FileName::Log(true))?];
+        let slots = [
+            read(&mut directory, FileName::Slot(false))?,
+            read(&mut directory, FileName::Slot(true))?,
+        ];
+        let logs = [
+            read(&mut directory, FileName::Log(false))?,
+            read(&mut directory, FileName::Log(true))?,
+        ];
         let whole = slots.iter().filter_map(|bytes| format::read_slot(bytes));
         let newest = whole.max_by_key(|(generation, _)| *generation);
         let generation = newest.as_ref().map_or(0, |(generation, _)| *generation);
         find_damage(generation, &slots, &logs)?;
         let log = &logs[usize::from(odd(generation))];
-        let mut store = Store { directory, generation, end: 0, pending: Preparation::default() };
+        let mut store = Store {
+            directory,
+            generation,
+            end: 0,
+            pending: Preparation::default(),
+        };
         let records = match format::read_log(generation, log) {
             Some((records, end)) => {
                 store.end = end as u64;
@@ -124,7 +137,9 @@
         let log = FileName::Log(odd(self.generation));
         // What a sync has refused once may never reach the disk, even if a later sync is confirmed: it is written anew.
         self.pending.cut_tail = true;
-        self.directory.write_at(log, self.end, &bytes).map_err(write_error(log))?;
+        self.directory
+            .write_at(log, self.end, &bytes)
+            .map_err(write_error(log))?;
         self.directory.sync(log).map_err(write_error(log))?;
         self.pending.cut_tail = false;
         self.end += bytes.len() as u64;
@@ -135,19 +150,28 @@
     ///
     /// # Errors
     /// When the disk refuses; then all that was kept before stands, and appending goes on.
-    pub fn checkpoint(&mut self, parts: impl IntoIterator<Item = Vec<u8>>) -> Result<(), StoreError> {
+    pub fn checkpoint(
+        &mut self,
+        parts: impl IntoIterator<Item = Vec<u8>>,
+    ) -> Result<(), StoreError> {
         let generation = self.generation + 1;
         self.start_log(generation)?;
         self.pending.void_next_slot = true;
         let slot = FileName::Slot(odd(generation));
-        self.directory.overwrite(slot, &[]).map_err(write_error(slot))?;
+        self.directory
+            .overwrite(slot, &[])
+            .map_err(write_error(slot))?;
         let mut header = format::SlotHeader::new(generation);
         for part in parts {
             let (place, bytes) = header.add(&part);
-            self.directory.write_at(slot, place, &bytes).map_err(write_error(slot))?;
+            self.directory
+                .write_at(slot, place, &bytes)
+                .map_err(write_error(slot))?;
         }
         // The header comes last: without it no part counts.
-        self.directory.write_at(slot, 0, &header.finish()).map_err(write_error(slot))?;
+        self.directory
+            .write_at(slot, 0, &header.finish())
+            .map_err(write_error(slot))?;
         self.directory.sync(slot).map_err(write_error(slot))?;
         self.generation = generation;
         self.end = format::LOG_HEADER as u64;
@@ -167,7 +191,9 @@
 
     fn start_log(&mut self, generation: u64) -> Result<(), StoreError> {
         let log = FileName::Log(odd(generation));
-        self.directory.overwrite(log, &format::empty_log(generation)).map_err(write_error(log))?;
+        self.directory
+            .overwrite(log, &format::empty_log(generation))
+            .map_err(write_error(log))?;
         self.directory.sync(log).map_err(write_error(log))
     }
 
@@ -175,7 +201,9 @@
     fn prepare(&mut self) -> Result<(), StoreError> {
         if self.pending.void_next_slot {
             let slot = FileName::Slot(odd(self.generation + 1));
-            self.directory.overwrite(slot, &[]).map_err(write_error(slot))?;
+            self.directory
+                .overwrite(slot, &[])
+                .map_err(write_error(slot))?;
             self.directory.sync(slot).map_err(write_error(slot))?;
             self.pending.void_next_slot = false;
         }
@@ -185,7 +213,9 @@
         }
         if self.pending.cut_tail {
             let log = FileName::Log(odd(self.generation));
-            self.directory.truncate(log, self.end).map_err(write_error(log))?;
+            self.directory
+                .truncate(log, self.end)
+                .map_err(write_error(log))?;
             self.directory.sync(log).map_err(write_error(log))?;
             self.pending.cut_tail = false;
         }
@@ -197,22 +227,30 @@
 /// was begun, which only happens once the one before is kept.
 fn find_damage(found: u64, slots: &[Vec<u8>; 2], logs: &[Vec<u8>; 2]) -> Result<(), StoreError> {
     for log in logs {
-        let Some(generation) = format::log_generation(log).filter(|generation| *generation > found) else {
+        let Some(generation) = format::log_generation(log).filter(|generation| *generation > found)
+        else {
             continue;
         };
         let records = format::read_log(generation, log).map_or(0, |(records, _)| records.len());
         if records > 0 {
-            return Err(StoreError::Damaged { file: FileName::Slot(odd(generation)).text() });
+            return Err(StoreError::Damaged {
+                file: FileName::Slot(odd(generation)).text(),
+            });
         }
     }
     // The first slot to be written is the odd one.
     if found == 0 && !slots[0].is_empty() {
-        return Err(StoreError::Damaged { file: FileName::Slot(true).text() });
+        return Err(StoreError::Damaged {
+            file: FileName::Slot(true).text(),
+        });
     }
     Ok(())
 }
 
 fn read<D: Directory>(directory: &mut D, file: FileName) -> Result<Vec<u8>, StoreError> {
-    let bytes = directory.read(file).map_err(|source| StoreError::Read { file: file.text(), source })?;
+    let bytes = directory.read(file).map_err(|source| StoreError::Read {
+        file: file.text(),
+        source,
+    })?;
     Ok(bytes.unwrap_or_default())
 }
--- a/system/storage/tests/crashes.rs
+++ b/system/storage/tests/crashes.rs
@@ -47,7 +47,10 @@
 impl Disk {
     fn take(&self, step: Step) -> io::Result<()> {
         let mut recorder = self.0.borrow_mut();
-        if recorder.full_after.is_some_and(|after| recorder.steps.len() >= after) {
+        if recorder
+            .full_after
+            .is_some_and(|after| recorder.steps.len() >= after)
+        {
             return Err(io::Error::other("no space left"));
         }
         apply(&mut recorder.files, &step);
@@ -86,10 +89,18 @@
     let torn = |bytes: &[u8]| bytes[..bytes.len() / 2].to_vec();
     match step {
         Step::Overwrite(file, bytes) => {
-            vec![None, Some(step.clone()), Some(Step::Overwrite(*file, torn(bytes)))]
+            vec![
+                None,
+                Some(step.clone()),
+                Some(Step::Overwrite(*file, torn(bytes))),
+            ]
         }
         Step::Write(file, offset, bytes) => {
-            vec![None, Some(step.clone()), Some(Step::Write(*file, *offset, torn(bytes)))]
+            vec![
+                None,
+                Some(step.clone()),
+                Some(Step::Write(*file, *offset, torn(bytes))),
+            ]
         }
         Step::Truncate(..) => vec![None, Some(step.clone())],
         Step::Sync(_) => vec![Some(step.clone())],
@@ -98,9 +109,10 @@
 
 fn file_of(step: &Step) -> FileName {
     match step {
-        Step::Overwrite(file, _) | Step::Write(file, ..) | Step::Truncate(file, _) | Step::Sync(file) => {
-            *file
-        }
+        Step::Overwrite(file, _)
+        | Step::Write(file, ..)
+        | Step::Truncate(file, _)
+        | Step::Sync(file) => *file,
     }
 }
 
@@ -109,8 +121,14 @@
     let mut states = vec![BTreeMap::new()];
     for (position, step) in steps[..done].iter().enumerate() {
         let later = &steps[position + 1..done];
-        let synced = later.iter().any(|s| matches!(s, Step::Sync(file) if *file == file_of(step)));
-        let choices = if synced { vec![Some(step.clone())] } else { leftovers(step) };
+        let synced = later
+            .iter()
+            .any(|s| matches!(s, Step::Sync(file) if *file == file_of(step)));
+        let choices = if synced {
+            vec![Some(step.clone())]
+        } else {
+            leftovers(step)
+        };
         let mut next = Vec::new();
         for state in &states {
             for choice in &choices {
@@ -144,7 +162,11 @@
     let mut records: Vec<Vec<u8>> = Vec::new();
     let mut confirm = |snapshot: &Option<Vec<Vec<u8>>>, records: &Vec<Vec<u8>>| {
         let steps = disk.0.borrow().steps.len();
-        states.push(Confirmed { steps, snapshot: snapshot.clone(), records: records.clone() });
+        states.push(Confirmed {
+            steps,
+            snapshot: snapshot.clone(),
+            records: records.clone(),
+        });
     };
     confirm(&snapshot, &records);
     for number in 0..9_u8 {
@@ -163,7 +185,11 @@
     let steps = disk.0.borrow().steps.clone();
     // When: power is lost after each step, with every way in which unsynced steps may be left
     for done in 0..=steps.len() {
-        let before = states.iter().rev().find(|state| state.steps <= done).cloned();
+        let before = states
+            .iter()
+            .rev()
+            .find(|state| state.steps <= done)
+            .cloned();
         let after = states.iter().find(|state| state.steps >= done).cloned();
         for files in crashes(&steps, done) {
             let left = Disk::default();
@@ -180,7 +206,10 @@
                     found.snapshot != state.snapshot || found.records.len() >= state.records.len()
                 })
             };
-            assert!((is(&before) || is(&after)) && whole(&before), "after {done} steps: {found:?}");
+            assert!(
+                (is(&before) || is(&after)) && whole(&before),
+                "after {done} steps: {found:?}"
+            );
         }
     }
 }
@@ -193,7 +222,11 @@
     store.append(&[b"one".to_vec(), b"two".to_vec()]).unwrap();
     drop(store);
     let length = disk.0.borrow().files[&FileName::Log(false)].len();
-    disk.0.borrow_mut().files.get_mut(&FileName::Log(false)).unwrap()[length - 2] ^= 1;
+    disk.0
+        .borrow_mut()
+        .files
+        .get_mut(&FileName::Log(false))
+        .unwrap()[length - 2] ^= 1;
     // When
     let (mut store, found) = Store::open(disk.clone()).unwrap();
     expect_that!(found.records, elements_are![eq(b"one")]);
@@ -220,7 +253,10 @@
     drop(store);
     // Then
     let (_, found) = Store::open(disk).unwrap();
-    let expected = Recovered { snapshot: None, records: vec![b"one".to_vec(), b"three".to_vec()] };
+    let expected = Recovered {
+        snapshot: None,
+        records: vec![b"one".to_vec(), b"three".to_vec()],
+    };
     expect_that!(found, eq(&expected));
 }
 
@@ -232,7 +268,11 @@
     store.checkpoint([b"all".to_vec()]).unwrap();
     store.append(&[b"one".to_vec(), b"two".to_vec()]).unwrap();
     let length = disk.0.borrow().files[&FileName::Log(true)].len();
-    disk.0.borrow_mut().files.get_mut(&FileName::Log(true)).unwrap()[length - 2] ^= 1;
+    disk.0
+        .borrow_mut()
+        .files
+        .get_mut(&FileName::Log(true))
+        .unwrap()[length - 2] ^= 1;
     let steps = disk.0.borrow().steps.len();
     disk.0.borrow_mut().full_after = Some(steps);
     // When
@@ -261,7 +301,8 @@
 }
 
 #[googletest::test]
-fn given_a_checkpoint_whose_sync_fails_when_records_follow_then_they_count_and_the_checkpoint_does_not() {
+fn given_a_checkpoint_whose_sync_fails_when_records_follow_then_they_count_and_the_checkpoint_does_not(
+) {
     // Given: the bytes of the slot reach the disk, but the sync is not confirmed
     let disk = Disk::default();
     let (mut store, _) = Store::open(disk.clone()).unwrap();
@@ -292,7 +333,12 @@
     expect_that!(store.append(&[b"two".to_vec()]), err(anything()));
     // Given: the pages of the refused sync are dropped
     let length = disk.0.borrow().files[&FileName::Log(false)].len();
-    disk.0.borrow_mut().files.get_mut(&FileName::Log(false)).unwrap()[length - 6..].fill(0);
+    disk.0
+        .borrow_mut()
+        .files
+        .get_mut(&FileName::Log(false))
+        .unwrap()[length - 6..]
+        .fill(0);
     // When
     store.append(&[b"two".to_vec()]).unwrap();
     drop(store);
@@ -316,8 +362,9 @@
         bytes[last] ^= 1;
     };
     damage(FileName::Slot(false));
-    let damaged =
-        |result: &Result<_, StoreError>| matches!(result, Err(StoreError::Damaged { file: "slot-0" }));
+    let damaged = |result: &Result<_, StoreError>| {
+        matches!(result, Err(StoreError::Damaged { file: "slot-0" }))
+    };
     expect_that!(damaged(&Store::open(disk.clone()).map(|_| ())), eq(true));
     damage(FileName::Slot(true));
     expect_that!(damaged(&Store::open(disk.clone()).map(|_| ())), eq(true));
@@ -358,7 +405,13 @@
 
 /// CRC-32, bit by bit.
 fn checksum(bytes: &[u8]) -> u32 {
-    let step = |crc: u32| if crc & 1 == 1 { crc >> 1 ^ 0xedb8_8320 } else { crc >> 1 };
+    let step = |crc: u32| {
+        if crc & 1 == 1 {
+            crc >> 1 ^ 0xedb8_8320
+        } else {
+            crc >> 1
+        }
+    };
     let add = |crc: u32, byte: &u8| (0..8).fold(crc ^ u32::from(*byte), |crc, _| step(crc));
     !bytes.iter().fold(!0, add)
 }
--- a/system/storage/tests/golden.rs
+++ b/system/storage/tests/golden.rs
@@ -22,13 +22,19 @@
 
 /// The files stored for a folder: their names and bytes.
 fn stored(folder: &str) -> Vec<(&'static str, &'static str)> {
-    let of_folder = |line: &'static str| line.strip_prefix(folder)?.strip_prefix('/')?.split_once(": ");
+    let of_folder = |line: &'static str| {
+        line.strip_prefix(folder)?
+            .strip_prefix('/')?
+            .split_once(": ")
+    };
     STORED.lines().filter_map(of_folder).collect()
 }
 
 /// All files of a folder by name: their names and bytes.
 fn files(folder: &Path) -> Vec<(String, String)> {
-    let entries = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap());
+    let entries = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|entry| entry.unwrap());
     let mut files: Vec<(String, String)> = entries
         .map(|entry| {
             let name = entry.file_name().into_string().unwrap();
@@ -84,8 +90,12 @@
 fn write_one_checkpoint() -> TempDir {
     let folder = write_first_records();
     let (mut store, _) = open(&folder);
-    store.checkpoint(records(&["head", "", "a longer part"])).unwrap();
-    store.append(&records(&["after one", "after one too"])).unwrap();
+    store
+        .checkpoint(records(&["head", "", "a longer part"]))
+        .unwrap();
+    store
+        .append(&records(&["after one", "after one too"]))
+        .unwrap();
     folder
 }
 
@@ -93,7 +103,9 @@
 fn write_two_checkpoints() -> TempDir {
     let folder = write_one_checkpoint();
     let (mut store, _) = open(&folder);
-    store.checkpoint(records(&["another head", "tail"])).unwrap();
+    store
+        .checkpoint(records(&["another head", "tail"]))
+        .unwrap();
     store.append(&records(&["after two"])).unwrap();
     folder
 }
@@ -108,7 +120,10 @@
 
 #[googletest::test]
 fn files_keep_their_names() {
-    expect_that!(FileName::ALL.map(FileName::text), eq(["slot-0", "slot-1", "log-0", "log-1"]));
+    expect_that!(
+        FileName::ALL.map(FileName::text),
+        eq(["slot-0", "slot-1", "log-0", "log-1"])
+    );
 }
 
 #[googletest::test]
@@ -121,24 +136,37 @@
 
 #[googletest::test]
 fn a_stored_folder_opens_and_gives_what_was_kept() {
-    let first = Recovered { snapshot: None, records: records(&["first", "", "third"]) };
+    let first = Recovered {
+        snapshot: None,
+        records: records(&["first", "", "third"]),
+    };
     expect_recovered("first records", &first);
     let one = Recovered {
         snapshot: Some(records(&["head", "", "a longer part"])),
         records: records(&["after one", "after one too"]),
     };
     expect_recovered("one checkpoint", &one);
-    let two =
-        Recovered { snapshot: Some(records(&["another head", "tail"])), records: records(&["after two"]) };
+    let two = Recovered {
+        snapshot: Some(records(&["another head", "tail"])),
+        records: records(&["after two"]),
+    };
     expect_recovered("two checkpoints", &two);
-    expect_recovered("empty checkpoint", &Recovered { snapshot: Some(Vec::new()), records: Vec::new() });
+    expect_recovered(
+        "empty checkpoint",
+        &Recovered {
+            snapshot: Some(Vec::new()),
+            records: Vec::new(),
+        },
+    );
 }
 
 /// Nothing writes the first version any more: the stored slot was made by hand, as the head comment of the format says.
 #[googletest::test]
 fn a_stored_slot_of_the_first_version_is_still_read_as_one_part() {
-    let meant =
-        Recovered { snapshot: Some(records(&["a snapshot in one piece"])), records: records(&["after it"]) };
+    let meant = Recovered {
+        snapshot: Some(records(&["a snapshot in one piece"])),
+        records: records(&["after it"]),
+    };
     expect_recovered("first version", &meant);
 }
 
@@ -146,7 +174,9 @@
 fn a_stored_folder_goes_on_where_it_ended() {
     let folder = stored_folder("one checkpoint");
     let (mut store, _) = open(&folder);
-    store.checkpoint(records(&["another head", "tail"])).unwrap();
+    store
+        .checkpoint(records(&["another head", "tail"]))
+        .unwrap();
     store.append(&records(&["after two"])).unwrap();
     expect_files("two checkpoints", &folder);
 }
@@ -163,7 +193,13 @@
 
 #[googletest::test]
 fn every_stored_file_is_of_a_folder_that_is_looked_at() {
-    let folders = ["first records", "one checkpoint", "two checkpoints", "empty checkpoint", "first version"];
+    let folders = [
+        "first records",
+        "one checkpoint",
+        "two checkpoints",
+        "empty checkpoint",
+        "first version",
+    ];
     let looked_at: usize = folders.iter().map(|folder| stored(folder).len()).sum();
     expect_that!(looked_at, eq(STORED.lines().count()));
 }
