--- a/balancer/core/src/policy/admission.rs
+++ b/balancer/core/src/policy/admission.rs
@@ -9,7 +9,13 @@
 
 impl Admission {
     /// Counts the request as demand and decides whether it passes.
-    pub fn admit(&mut self, tenant: usize, level: Level, now: Millis, tier: &mut Capacity) -> bool {
+    pub(crate) fn admit(
+        &mut self,
+        tenant: usize,
+        level: Level,
+        now: Millis,
+        tier: &mut Capacity,
+    ) -> bool {
         if !self.tenants[tenant].seen {
             // A new tenant ends the cycle early, so that it has a limit at once (as published).
             self.tenants[tenant].seen = true;
@@ -41,7 +47,7 @@
         true
     }
 
-    pub fn end_cycle(&mut self, now: Millis, tier: &mut Capacity) {
+    pub(crate) fn end_cycle(&mut self, now: Millis, tier: &mut Capacity) {
         // A cycle that a new tenant cut short counts for the part that it lasted.
         let part = ((now - self.cycle_start) / CYCLE).clamp(0.0, 1.0);
         self.cycle_start = now;
--- a/balancer/core/src/policy/answers.rs
+++ b/balancer/core/src/policy/answers.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 
 /// An attempt that may be repeated is given up after the mean answer time and this many mean deviations.
-pub const TIMEOUT_DEVIATIONS: f64 = 4.0;
+pub(super) const TIMEOUT_DEVIATIONS: f64 = 4.0;
 /// Smoothing of a kind's answer time, once it has many; how long an upstream's own one is remembered unused.
 const KIND_GAIN: f64 = 0.02;
 const ANSWER_KEPT: Millis = 5000.0;
 
 impl Answers {
-    pub fn new(s: &Settings) -> Self {
+    pub(crate) fn new(s: &Settings) -> Self {
         let latency = s.mean_objective() / 4.0;
         Answers {
             kinds: BTreeMap::new(),
@@ -19,12 +19,12 @@
     }
 
     /// An answer that takes longer is overdue.
-    pub fn patience(&self) -> Millis {
+    pub(crate) fn patience(&self) -> Millis {
         self.latency + TIMEOUT_DEVIATIONS * self.deviation
     }
 
     /// What answers of the fastest kind take, as a part of the objective; zero before the first.
-    pub fn soonest(&self) -> f64 {
+    pub(crate) fn soonest(&self) -> f64 {
         let parts = self
             .kinds
             .values()
@@ -34,7 +34,7 @@
     }
 
     /// How many times longer answers of a kind take than the mean one; at least once.
-    pub fn slower(&self, kind: u8) -> f64 {
+    pub(crate) fn slower(&self, kind: u8) -> f64 {
         let (times, answers) = self
             .kinds
             .values()
@@ -45,7 +45,7 @@
     }
 
     /// What its answers take, in objectives, once its kind has answered: its own slowness fades if unused.
-    pub fn usual(&self, u: &Upstream, now: Millis) -> Option<f64> {
+    pub(crate) fn usual(&self, u: &Upstream, now: Millis) -> Option<f64> {
         let (kind, _) = self
             .kinds
             .get(&u.member.kind)
@@ -57,7 +57,7 @@
     }
 
     /// Takes note of an answer of a kind, or of a failure. Tells what it took of what the kind does.
-    pub fn note(&mut self, kind: u8, served: bool, duration: Millis, part: f64) -> f64 {
+    pub(crate) fn note(&mut self, kind: u8, served: bool, duration: Millis, part: f64) -> f64 {
         let (usual, answers) = self.kinds.entry(kind).or_default();
         if served {
             *answers += 1.0;
--- a/balancer/core/src/policy/capacity.rs
+++ b/balancer/core/src/policy/capacity.rs
@@ -3,11 +3,11 @@
 use crate::{interface::*, state::*};
 
 /// Weight of the newest cycle in a tenant's demand: one copy sees only a few calls of a tenant per cycle.
-pub const DEMAND_GAIN: f64 = 0.3;
+pub(super) const DEMAND_GAIN: f64 = 0.3;
 /// An answer is timely within this part of its objective; the rest is room for queues until they are known.
 const TIMELY: f64 = 0.4;
 /// Lateness counts from 0 there to 1 at the objective, and to this much for failures and time-outs.
-pub const LATENESS_MOST: f64 = 2.0;
+pub(super) const LATENESS_MOST: f64 = 2.0;
 /// Mean lateness at which capacity rests: the tail that heavy work and slow servers have anyway.
 const LATENESS_REST: f64 = 0.08;
 /// Capacity before anything was learned: in the first tier the stated quotas, below it this multiple of them.
@@ -17,21 +17,21 @@
 const CAPACITY_DOWN: f64 = 0.6;
 const CAPACITY_FALL: f64 = 0.35;
 /// Part of answers in time below which the floor gives way; its least part, or nothing would come back.
-pub const SUCCESS_WANTED: f64 = 0.7;
-pub const FLOOR_LEAST: f64 = 0.3;
+pub(super) const SUCCESS_WANTED: f64 = 0.7;
+pub(super) const FLOOR_LEAST: f64 = 0.3;
 /// Answers that are needed to judge by.
 const LEARN_LEAST: f64 = 4.0;
 /// Answer time in unloaded ones at which calls in flight are what capacity takes; at which all are refused.
-pub const INFLIGHT_FULL: f64 = 1.6;
-pub const INFLIGHT_MOST: f64 = 2.2;
+pub(super) const INFLIGHT_FULL: f64 = 1.6;
+pub(super) const INFLIGHT_MOST: f64 = 2.2;
 /// Growth per cycle of what counts as the unloaded answer time, which is the least mean seen of late.
 const UNLOADED_UP: f64 = 0.02;
 /// Capacity stays within this multiple of the peak lately admitted; what a cycle keeps of that and the like.
 const CAPACITY_ROOM: f64 = 2.0;
-pub const CYCLE_KEPT: f64 = 0.95;
+pub(super) const CYCLE_KEPT: f64 = 0.95;
 
 impl Capacity {
-    pub fn new(s: &Settings) -> Self {
+    pub(crate) fn new(s: &Settings) -> Self {
         let quota: f64 =
             s.tenants.iter().map(|t| t.quota_per_s).sum::<f64>() / f64::from(s.balancers);
         // Starting above its quotas, the first tier crowded the servers at once. Tiers below start with more
@@ -71,7 +71,7 @@
     }
 
     /// The unloaded answer time is the least mean of late, let up only while most answers are in time.
-    pub fn note_latency(&mut self, latency: Millis) {
+    pub(crate) fn note_latency(&mut self, latency: Millis) {
         let up = if self.load.success < SUCCESS_WANTED {
             1.0
         } else {
@@ -88,7 +88,7 @@
     }
 
     /// Books what was admitted in a cycle that lasted `part` of its length.
-    pub fn end_cycle(&mut self, admitted: f64, part: f64, crowded: bool) {
+    pub(crate) fn end_cycle(&mut self, admitted: f64, part: f64, crowded: bool) {
         self.load.recent += if part > 0.0 {
             part * DEMAND_GAIN * (admitted / part - self.load.recent)
         } else {
@@ -128,7 +128,7 @@
         self.quota.max(self.quotas * part)
     }
 
-    pub fn note_served(&mut self, served: Option<f64>) {
+    pub(crate) fn note_served(&mut self, served: Option<f64>) {
         let before = if self.load.served > 0.0 {
             self.load.served
         } else {
@@ -139,7 +139,7 @@
 
     /// What the upstreams carry per cycle for this balancer when all is well, though an overload admits less.
     /// More balancers than stated get less each: by what is served in all, else by what each is asked.
-    pub fn carried(&self, asked: f64) -> f64 {
+    pub(crate) fn carried(&self, asked: f64) -> f64 {
         let (carried, served) = (
             self.load.recent * self.load.success.max(FLOOR_LEAST),
             self.load.served,
@@ -157,7 +157,7 @@
     }
 
     /// Takes note of how late an answer was.
-    pub fn learn(&mut self, lateness: f64) {
+    pub(crate) fn learn(&mut self, lateness: f64) {
         self.in_time += f64::from(u8::from(lateness < 1.0));
         self.lateness += lateness;
         self.answers += 1.0;
@@ -183,6 +183,6 @@
 }
 
 /// How late an answer is that took `part` of its class's objective.
-pub fn lateness(part: f64) -> f64 {
+pub(super) fn lateness(part: f64) -> f64 {
     ((part - TIMELY) / (1.0 - TIMELY)).clamp(0.0, LATENESS_MOST)
 }
--- a/balancer/core/src/policy/cold.rs
+++ b/balancer/core/src/policy/cold.rs
@@ -6,7 +6,7 @@
 
 impl Fleet {
     /// Whether a listed upstream may be sent a call now: it is not out, and within its slow-start budget.
-    pub fn usable(&mut self, i: usize, ask: &PickRequest) -> bool {
+    pub(crate) fn usable(&mut self, i: usize, ask: &PickRequest<'_>) -> bool {
         let PickRequest {
             settings: s,
             now,
@@ -31,7 +31,7 @@
     }
 
     /// As parts of the most there were, each as far as it is warm: the ready upstreams, and the usable ones.
-    pub fn count(&mut self, s: &Settings, now: Millis) -> (f64, f64) {
+    pub(crate) fn count(&mut self, s: &Settings, now: Millis) -> (f64, f64) {
         let (mut warm, mut usable) = (0.0, 0.0);
         let ready = |&&i: &&usize| self.slots[i].member.availability == Availability::Ready;
         for &i in self.by_id.values().filter(ready) {
--- a/balancer/core/src/policy/ejection.rs
+++ b/balancer/core/src/policy/ejection.rs
@@ -11,7 +11,7 @@
 const EJECT_PART: f64 = 1.0 / 3.0;
 /// First ejection lasts this long, each further one as much longer, up to the most.
 const EJECT_BASE: Millis = 2000.0;
-pub const EJECT_MOST: Millis = 16_000.0;
+pub(super) const EJECT_MOST: Millis = 16_000.0;
 /// An upstream with calls out that has not answered for this many mean answer times counts as hung.
 const SILENT_FACTOR: f64 = 6.0;
 const SILENT_LEAST: Millis = 300.0;
@@ -25,24 +25,28 @@
 
 impl Fleet {
     /// Whether its zone is left.
-    pub fn left(&self, i: usize) -> bool {
+    pub(crate) fn left(&self, i: usize) -> bool {
         self.zones.left(self.slots[i].member.zone)
     }
 
     /// Whether a call is lost, though its time-out tells of it too late.
-    pub fn lost(&self, (_, i, sent, rest): (u32, usize, Millis, usize), now: Millis) -> bool {
+    pub(crate) fn lost(
+        &self,
+        (_, i, sent, rest): (u32, usize, Millis, usize),
+        now: Millis,
+    ) -> bool {
         self.left(i) || (now - sent >= self.answers.patience() && self.rested.dropped(rest))
     }
 
     /// Whether an upstream owes answers and has given none for far longer than answers take elsewhere.
-    pub fn silent(&self, i: usize, now: Millis) -> bool {
+    pub(crate) fn silent(&self, i: usize, now: Millis) -> bool {
         let u = &self.slots[i];
         u.inflight > 0
             && now - u.silent_since > (SILENT_FACTOR * self.answers.latency).max(SILENT_LEAST)
     }
 
     /// Books how an attempt ended, after which part of its objective. Tells whether it is its own fault.
-    pub fn ended(
+    pub(crate) fn ended(
         &mut self,
         at: (usize, usize),
         how: (Ending, Millis, f64),
@@ -117,7 +121,7 @@
     }
 
     /// Whether it answers nothing, or has answered since. Errors do not tell: they may come from behind.
-    pub fn evidence(&self, i: usize, now: Millis) -> Option<bool> {
+    pub(crate) fn evidence(&self, i: usize, now: Millis) -> Option<bool> {
         // Every ejection begins at this part of failures: less tells of an answer.
         let (h, answered) = (&self.slots[i].health, self.slots[i].health.fails < EJECT_AT);
         let told =
@@ -128,7 +132,7 @@
     }
 
     /// What others have ejected too stays out, until one is answered or by chance it is the own turn.
-    pub fn hold(
+    pub(crate) fn hold(
         &mut self,
         tier: &Tier,
         s: &Settings,
@@ -157,12 +161,12 @@
     }
 
     /// Whether it is ejected, silent or crowded.
-    pub fn out(&self, i: usize, now: Millis) -> bool {
+    pub(crate) fn out(&self, i: usize, now: Millis) -> bool {
         now < self.slots[i].health.ejected_until || self.silent(i, now) || self.crowded(i, now)
     }
 
     /// Takes note of what an upstream says it holds.
-    pub fn said(&mut self, id: UpstreamId, held: f64, now: Millis) {
+    pub(crate) fn said(&mut self, id: UpstreamId, held: f64, now: Millis) {
         if let Some(&i) = self.by_id.get(&id).filter(|_| held.is_finite()) {
             (self.slots[i].held, self.slots[i].held_at) = (held, now);
             self.held += SAID_GAIN * (held - self.held);
@@ -171,7 +175,7 @@
     }
 
     /// Calls per cycle that all copies together get served, by what upstreams have said of late.
-    pub fn served_by_all(&self, now: Millis) -> Option<f64> {
+    pub(crate) fn served_by_all(&self, now: Millis) -> Option<f64> {
         let up = |u: &&Upstream| {
             u.member.availability == Availability::Ready && now >= u.health.lost_until
         };
@@ -188,7 +192,7 @@
     }
 
     /// Whether it said of late that it holds far more than others do, of one call each of many balancers.
-    pub fn crowded(&self, i: usize, now: Millis) -> bool {
+    pub(crate) fn crowded(&self, i: usize, now: Millis) -> bool {
         let u = &self.slots[i];
         now - u.held_at < SAID_KEPT && u.held > CROWDED_AT * self.held + CROWDED_SPARE
     }
--- a/balancer/core/src/policy/limits.rs
+++ b/balancer/core/src/policy/limits.rs
@@ -2,9 +2,9 @@
 use crate::interface::Millis;
 
 /// Length of a cycle. The published 10 s is too slow for capacity that is learned instead of benchmarked.
-pub const CYCLE: Millis = 1000.0;
+pub(super) const CYCLE: Millis = 1000.0;
 /// Part of a tenant's default that is never lent (as published).
-pub const RESERVATION: f64 = 0.1;
+pub(super) const RESERVATION: f64 = 0.1;
 
 /// A new limit for each tenant from last cycle's demand, lending what others leave unused.
 ///
--- a/balancer/core/src/policy/pick.rs
+++ b/balancer/core/src/policy/pick.rs
@@ -12,7 +12,7 @@
 impl Fleet {
     /// By own calls in flight. If these are equal (few, mostly), the one whose answers took clearly less of
     /// late; else, if calls keep near, the one in the own zone; else the one used longest ago.
-    pub fn less_busy(&self, a: usize, b: usize, now: Millis, lean: bool) -> bool {
+    pub(crate) fn less_busy(&self, a: usize, b: usize, now: Millis, lean: bool) -> bool {
         let (a, b) = (&self.slots[a], &self.slots[b]);
         let near = |u: &Upstream| Some(u.member.zone) == self.near.zone;
         let usual = |u| self.answers.usual(u, now);
@@ -31,7 +31,12 @@
     }
 
     /// The place in the pool of one in slow start that may be sent a call now, among the first so many.
-    fn cold_with_token(&mut self, among: usize, start: usize, ask: &PickRequest) -> Option<usize> {
+    fn cold_with_token(
+        &mut self,
+        among: usize,
+        start: usize,
+        ask: &PickRequest<'_>,
+    ) -> Option<usize> {
         (0..among).map(|k| (start + k) % among).find(|&k| {
             let i = self.subset.pools[ask.pool].members[k];
             self.slots[i].warmth(ask.settings, ask.now) < 1.0 && self.usable(i, ask)
@@ -39,7 +44,7 @@
     }
 
     /// The less busy of two random usable upstreams; one in slow start that has a token is drawn first.
-    pub fn pick(&mut self, ask: &PickRequest, rng: &mut Rng) -> Option<usize> {
+    pub(crate) fn pick(&mut self, ask: &PickRequest<'_>, rng: &mut Rng) -> Option<usize> {
         let (n, near) = (
             self.subset.pools[ask.pool].members.len(),
             self.subset.pools[ask.pool].near,
--- a/balancer/core/src/policy/rested.rs
+++ b/balancer/core/src/policy/rested.rs
@@ -11,7 +11,13 @@
 impl Rested {
     /// Connections that rest may be dropped on the way, unseen: what is sent on one gets no answer. Tells how
     /// long the one for the next call may have rested, and whether to close it first, for a handshake.
-    pub fn rest(&self, u: &Upstream, s: &Settings, now: Millis, rng: &mut Rng) -> (usize, bool) {
+    pub(crate) fn rest(
+        &self,
+        u: &Upstream,
+        s: &Settings,
+        now: Millis,
+        rng: &mut Rng,
+    ) -> (usize, bool) {
         let rested = now - u.rested_from;
         if u.connections <= u.inflight || rested >= s.idle_close {
             return (0, false);
@@ -24,12 +30,12 @@
     }
 
     /// Whether connections that rested this long get dropped: calls on them are lost more than on fresh ones.
-    pub fn dropped(&self, rest: usize) -> bool {
+    pub(crate) fn dropped(&self, rest: usize) -> bool {
         self.lost[rest] > REST_LOST && self.lost[rest] > 2.0 * self.lost[0]
     }
 
     /// Hears of a call whether it was lost.
-    pub fn note_lost(&mut self, rest: usize, lost: bool) {
+    pub(crate) fn note_lost(&mut self, rest: usize, lost: bool) {
         self.lost[rest] += REST_GAIN * (f64::from(u8::from(lost)) - self.lost[rest]);
     }
 }
--- a/balancer/core/src/policy/shed.rs
+++ b/balancer/core/src/policy/shed.rs
@@ -6,7 +6,7 @@
 const ERRORS: f64 = 2.0;
 /// The limits are those of this multiple of the room, and so far may they go beyond it who are within theirs:
 /// each copy's own admission holds back what is not there, and room grows only by what is tried.
-pub const ROOM_SPARE: f64 = 1.25;
+pub(super) const ROOM_SPARE: f64 = 1.25;
 /// No more of a tenant's requests is refused: what still passes shows when there is room.
 const PART_MOST: f64 = 0.95;
 /// How fast a copy learns, per request, that refused ones come again, and how much more often at most.
@@ -16,7 +16,7 @@
 impl Shed {
     /// Takes in sums: the published limits over the tier tell what part of each tenant's demand is over. What
     /// keeps to the stated quotas is not: where it finds no room, that is for each copy's own admission.
-    pub fn hear(&mut self, sums: Option<&TierSums>, quotas: f64, tenants: &[TenantState]) {
+    pub(crate) fn hear(&mut self, sums: Option<&TierSums>, quotas: f64, tenants: &[TenantState]) {
         self.parts.fill(0.0);
         let Some(s) = sums.filter(|s| s.load.tenants.len() == tenants.len()) else {
             return;
@@ -44,7 +44,7 @@
 
     /// Places a request. First goes what earns least for its work, in doublings, so that what copies learned
     /// apart makes no two orders; then what has the lowest tie.
-    pub fn judge(&mut self, tenant: usize, r: &Request, classes: &[Class]) -> Level {
+    pub(crate) fn judge(&mut self, tenant: usize, r: &Request, classes: &[Class]) -> Level {
         self.asked(tenant, r.class);
         let passes = 1.0 - self.parts[tenant];
         if self.parts.iter().all(|&part| part < 0.005) {
--- a/balancer/core/src/policy/subset.rs
+++ b/balancer/core/src/policy/subset.rs
@@ -7,13 +7,19 @@
 /// Upstreams in the subset for each call in flight: two choices find an idle one; more cost connections.
 const SUBSET_SPREAD: f64 = 2.0;
 /// Never fewer upstreams in the subset than this, so that a few that fail leave enough to choose from.
-pub const SUBSET_LEAST: usize = 8;
+pub(super) const SUBSET_LEAST: usize = 8;
 /// Upstreams in it for each near one where zones are even: with half as many of other zones.
 const EVEN_SPREAD: f64 = 1.5;
 
 impl Subset {
     /// Each balancer keeps to a run of the ring, evenly placed by its number, as connections are scarce.
-    pub fn choose(&mut self, slots: &[Upstream], by_id: &ById, zone: Option<u16>, s: &Settings) {
+    pub(crate) fn choose(
+        &mut self,
+        slots: &[Upstream],
+        by_id: &ById,
+        zone: Option<u16>,
+        s: &Settings,
+    ) {
         let ready = |&&i: &&usize| slots[i].member.availability == Availability::Ready;
         let mut ring: Vec<usize> = by_id.values().filter(ready).copied().collect();
         // Groups stand together on it, so that a guarded request finds others of its group in the subset.
@@ -72,7 +78,12 @@
     }
 
     /// The subset follows the traffic that keeps it busy and warm; small changes are not worth connections.
-    pub fn wants(&self, latency: Millis, s: &Settings, calls_per_cycle: f64) -> Option<usize> {
+    pub(crate) fn wants(
+        &self,
+        latency: Millis,
+        s: &Settings,
+        calls_per_cycle: f64,
+    ) -> Option<usize> {
         let per_rate = (latency * SUBSET_SPREAD).min(s.idle_close / CALLS_PER_IDLE);
         let want = ((calls_per_cycle / CYCLE * per_rate).min(1e6) as usize).max(SUBSET_LEAST);
         (want * 4 < self.size * 3 || want * 3 > self.size * 4).then_some(want)
--- a/balancer/core/src/policy/tier.rs
+++ b/balancer/core/src/policy/tier.rs
@@ -3,7 +3,7 @@
 
 /// A word counts this long by the own clock, since words may stop coming: several come in that time, so that
 /// a lost one changes nothing. What it says counts up to this age.
-pub const WORD_KEPT: Millis = 1500.0;
+pub(super) const WORD_KEPT: Millis = 1500.0;
 const SAYING_KEPT: Millis = 3000.0;
 /// Evidence of so many, in so many zones, lets half of the own evidence do.
 const BACKERS: u32 = 3;
@@ -12,11 +12,11 @@
 const TRIERS: f64 = 2.0;
 
 impl Tier {
-    pub fn word(&self, now: Millis) -> Option<&TierWord> {
+    pub(crate) fn word(&self, now: Millis) -> Option<&TierWord> {
         self.word.as_deref().filter(|_| now - self.at <= WORD_KEPT)
     }
 
-    pub fn sums(&self, now: Millis) -> Option<&TierSums> {
+    pub(crate) fn sums(&self, now: Millis) -> Option<&TierSums> {
         self.word(now)?
             .sums
             .as_ref()
@@ -33,14 +33,14 @@
         (e.cleared == 0 && e.age + now - self.at <= SAYING_KEPT).then_some(e)
     }
 
-    pub fn backs(&self, subject: Subject, now: Millis) -> bool {
+    pub(crate) fn backs(&self, subject: Subject, now: Millis) -> bool {
         self.against(subject, now)
             .is_some_and(|e| e.observers >= BACKERS && e.zones >= BACKER_ZONES)
     }
 
     /// How many times longer than alone this copy waits before it first tries what others have left too, and
     /// then between trials. Each has its turn in an order that all know; once one was answered, nobody waits.
-    pub fn wait(&self, subject: Subject, s: &Settings, now: Millis) -> (f64, f64) {
+    pub(crate) fn wait(&self, subject: Subject, s: &Settings, now: Millis) -> (f64, f64) {
         let (first, all) = match (self.word(now), self.against(subject, now)) {
             (Some(w), Some(e)) if f64::from(e.observers) >= TRIERS => {
                 (members_before(w, subject) + 1, w.up)
--- a/balancer/core/src/policy/upstreams.rs
+++ b/balancer/core/src/policy/upstreams.rs
@@ -2,7 +2,7 @@
 use crate::{interface::*, state::*};
 
 impl Fleet {
-    pub fn new(s: &Settings) -> Self {
+    pub(crate) fn new(s: &Settings) -> Self {
         let (subset, answers, near) = (Subset::new(s), Answers::new(s), Near::new(s));
         Fleet {
             subset,
@@ -12,7 +12,7 @@
         }
     }
 
-    pub fn apply(&mut self, news: Membership, s: &Settings, now: Millis, rng: &mut Rng) {
+    pub(crate) fn apply(&mut self, news: Membership, s: &Settings, now: Millis, rng: &mut Rng) {
         let Some((members, whole)) = news.members() else {
             return;
         };
@@ -54,7 +54,7 @@
     }
 
     /// Lets the subset follow the traffic.
-    pub fn resize_subset(&mut self, s: &Settings, calls_per_cycle: f64) {
+    pub(crate) fn resize_subset(&mut self, s: &Settings, calls_per_cycle: f64) {
         if let Some(size) = self.subset.wants(self.answers.latency, s, calls_per_cycle) {
             self.subset.size = size;
             self.subset
--- a/balancer/core/src/policy/zones.rs
+++ b/balancer/core/src/policy/zones.rs
@@ -11,7 +11,7 @@
 
 impl Zones {
     /// Takes note of how an attempt at an upstream ended.
-    pub fn note(&mut self, u: &mut Upstream, ending: Ending, patience: Millis, now: Millis) {
+    pub(crate) fn note(&mut self, u: &mut Upstream, ending: Ending, patience: Millis, now: Millis) {
         let any = now - self.heard < patience;
         let z = self.by_zone.entry(u.member.zone).or_default();
         if matches!(ending, Ending::Ok | Ending::Error | Ending::Full) {
@@ -23,13 +23,13 @@
     }
 
     /// Counts a call that is out, up to the last answer from anywhere: where none comes, all would be left.
-    pub fn owe(&mut self, zone: u16, sent: Millis, takes: Millis) {
+    pub(crate) fn owe(&mut self, zone: u16, sent: Millis, takes: Millis) {
         let z = self.by_zone.entry(zone).or_default();
         z.owes += ((self.heard - sent.max(z.heard)) / takes - 1.0).clamp(0.0, ZONE_OWES_EACH);
     }
 
     /// Leaves zones that owe too much. Tells whether there were any.
-    pub fn leave(&mut self, tier: &Tier, now: Millis, actions: &mut Actions) -> bool {
+    pub(crate) fn leave(&mut self, tier: &Tier, now: Millis, actions: &mut Actions) -> bool {
         let heard = self.heard;
         let enough = |zone| {
             ZONE_OWES
@@ -49,7 +49,7 @@
     }
 
     /// Zones that answer come back by degrees, each held the longer the more often they were left of late.
-    pub fn come_back(&mut self, now: Millis, actions: &mut Actions) {
+    pub(crate) fn come_back(&mut self, now: Millis, actions: &mut Actions) {
         for (zone, z) in &mut self.by_zone {
             let (before, share, bad) = (
                 z.gone,
@@ -71,7 +71,7 @@
     }
 
     /// Whether one of a zone that is left or returning may be drawn now.
-    pub fn stands(&mut self, zone: u16, ask: &PickRequest, rng: &mut Rng) -> bool {
+    pub(crate) fn stands(&mut self, zone: u16, ask: &PickRequest<'_>, rng: &mut Rng) -> bool {
         let Some(z) = self.by_zone.get_mut(&zone).filter(|z| z.gone > 0.0) else {
             return true;
         };
--- a/balancer/core/src/state/admission.rs
+++ b/balancer/core/src/state/admission.rs
@@ -4,7 +4,7 @@
 
 /// The tenants' limits within the next tier's capacity.
 #[derive(Default)]
-pub struct Admission {
+pub(crate) struct Admission {
     pub tenants: Vec<TenantState>,
     /// This cycle: admitted less what was saved up, when it began, and admitted.
     pub admitted: f64,
@@ -19,7 +19,7 @@
 
 impl Admission {
     /// Nobody asked for anything yet.
-    pub fn new(s: &Settings, now: Millis) -> Self {
+    pub(crate) fn new(s: &Settings, now: Millis) -> Self {
         let none = vec![Tenant {
             share: 1.0,
             quota_per_s: 0.0,
--- a/balancer/core/src/state/ask.rs
+++ b/balancer/core/src/state/ask.rs
@@ -4,7 +4,7 @@
 
 /// A call that wants an upstream.
 #[derive(Clone)]
-pub struct PickRequest<'a> {
+pub(crate) struct PickRequest<'a> {
     pub settings: &'a Settings,
     pub tier: &'a Tier,
     pub now: Millis,
@@ -22,7 +22,7 @@
 
 impl PickRequest<'_> {
     /// Whether an upstream may discard it, should it be a repeat that ran already.
-    pub fn allows(&self, m: &Member) -> bool {
+    pub(crate) fn allows(&self, m: &Member) -> bool {
         match self.scope {
             None | Some((DedupScope::All, ..)) => true,
             Some((DedupScope::Zone, zone, _)) => m.zone == zone,
--- a/balancer/core/src/state/balancer.rs
+++ b/balancer/core/src/state/balancer.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// What a call of the decision logic adds to.
-pub type Actions = Vec<Action>;
+pub(crate) type Actions = Vec<Action>;
 
 /// One instance of the decision logic.
 pub struct Balancer {
--- a/balancer/core/src/state/capacity.rs
+++ b/balancer/core/src/state/capacity.rs
@@ -3,7 +3,7 @@
 
 /// The next tier's capacity for this copy.
 #[derive(Default)]
-pub struct Capacity {
+pub(crate) struct Capacity {
     /// Learned from how late answers are.
     pub load: Load,
     /// The stated quotas per cycle, of this copy and of all; as parts of the most seen, the upstreams listed
--- a/balancer/core/src/state/fleet.rs
+++ b/balancer/core/src/state/fleet.rs
@@ -4,11 +4,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The place of each upstream.
-pub type ById = BTreeMap<UpstreamId, usize>;
+pub(crate) type ById = BTreeMap<UpstreamId, usize>;
 
 /// The upstreams, and what is known of them together.
 #[derive(Default)]
-pub struct Fleet {
+pub(crate) struct Fleet {
     /// By place; places of upstreams that are gone are used again.
     pub slots: Vec<Upstream>,
     pub by_id: ById,
@@ -28,7 +28,7 @@
 
 impl Fleet {
     /// Marks as gone what a whole list does not name.
-    pub fn drop_unnamed(&mut self, members: &[Member]) {
+    pub(crate) fn drop_unnamed(&mut self, members: &[Member]) {
         let named: BTreeSet<UpstreamId> = members.iter().map(|m| m.id).collect();
         for u in self
             .slots
@@ -40,7 +40,7 @@
     }
 
     /// The place of an upstream, a new one if it has none.
-    pub fn place(&mut self, id: UpstreamId) -> usize {
+    pub(crate) fn place(&mut self, id: UpstreamId) -> usize {
         let known = self.by_id.get(&id).copied();
         let i = known
             .or_else(|| self.free.pop())
@@ -52,14 +52,14 @@
     }
 
     /// Takes note of how many requests a second an upstream says it serves.
-    pub fn serves(&mut self, id: UpstreamId, per_s: f64, now: Millis) {
+    pub(crate) fn serves(&mut self, id: UpstreamId, per_s: f64, now: Millis) {
         if let Some(&i) = self.by_id.get(&id).filter(|_| per_s.is_finite()) {
             (self.slots[i].served, self.slots[i].served_at) = (per_s, now);
         }
     }
 
     /// Frees the place of an upstream that is gone once nothing is out to it.
-    pub fn forget_if_gone(&mut self, i: usize) {
+    pub(crate) fn forget_if_gone(&mut self, i: usize) {
         let u = &self.slots[i];
         let gone = u.member.availability == Availability::Gone && u.inflight == 0;
         if gone && self.by_id.get(&u.member.id) == Some(&i) {
--- a/balancer/core/src/state/learned.rs
+++ b/balancer/core/src/state/learned.rs
@@ -3,7 +3,7 @@
 use crate::interface::{Learned, Millis};
 
 /// What is kept of all that an instance knows, where `usable` is the part of upstreams that can be used.
-pub fn learned(of: &Balancer, usable: f64, now: Millis) -> Learned {
+pub(crate) fn learned(of: &Balancer, usable: f64, now: Millis) -> Learned {
     let (a, c, f) = (&of.admission, &of.capacity, &of.fleet);
     let called = f
         .by_id
--- a/balancer/core/src/state/meter.rs
+++ b/balancer/core/src/state/meter.rs
@@ -51,7 +51,7 @@
 }
 
 /// Requests, attempts and calls in flight.
-pub struct Meter {
+pub(crate) struct Meter {
     tenants: Vec<(Rate, Level)>,
     firsts: Rate,
     retries: Rate,
@@ -59,7 +59,7 @@
 
 impl Meter {
     /// Nothing was counted yet, of so many tenants: at least one.
-    pub fn new(tenants: usize) -> Self {
+    pub(crate) fn new(tenants: usize) -> Self {
         Meter {
             tenants: vec![Default::default(); tenants],
             firsts: Rate::default(),
@@ -74,12 +74,12 @@
     }
 
     /// A tenant asked for a request.
-    pub fn asked(&mut self, tenant: usize, now: Millis) {
+    pub(crate) fn asked(&mut self, tenant: usize, now: Millis) {
         self.of(tenant).0.note(now);
     }
 
     /// An attempt of its has begun.
-    pub fn sent(&mut self, tenant: usize, first: bool, now: Millis) {
+    pub(crate) fn sent(&mut self, tenant: usize, first: bool, now: Millis) {
         if first {
             &mut self.firsts
         } else {
@@ -90,12 +90,12 @@
     }
 
     /// One has ended.
-    pub fn ended(&mut self, tenant: usize, now: Millis) {
+    pub(crate) fn ended(&mut self, tenant: usize, now: Millis) {
         self.of(tenant).1.change(-1.0, now);
     }
 
     /// All of it, and what there is room for.
-    pub fn load(&self, room: f64, now: Millis) -> TierLoad {
+    pub(crate) fn load(&self, room: f64, now: Millis) -> TierLoad {
         let tenant = |(asked, calls): &(Rate, Level)| TenantLoad {
             demand: asked.read(now),
             calls: calls.read(now),
--- a/balancer/core/src/state/near.rs
+++ b/balancer/core/src/state/near.rs
@@ -3,7 +3,7 @@
 
 /// The own zone and the others.
 #[derive(Default)]
-pub struct Near {
+pub(crate) struct Near {
     /// The own zone, where it matters.
     pub zone: Option<u16>,
     /// In it and elsewhere, what answers take of what their kind does, and what upstreams say they hold.
@@ -13,7 +13,7 @@
 
 impl Near {
     /// Nothing is known yet.
-    pub fn new(s: &Settings) -> Self {
+    pub(crate) fn new(s: &Settings) -> Self {
         let zone = (s.cross_zone_price > 0.0).then_some(s.zone);
         Near {
             zone,
--- a/balancer/core/src/state/observed.rs
+++ b/balancer/core/src/state/observed.rs
@@ -5,7 +5,11 @@
 
 impl Fleet {
     /// Zones that are left, and upstreams that there is evidence against; and those that have answered again.
-    pub fn observed(&self, load: TierLoad, evidence: impl Fn(usize) -> Option<bool>) -> Observed {
+    pub(crate) fn observed(
+        &self,
+        load: TierLoad,
+        evidence: impl Fn(usize) -> Option<bool>,
+    ) -> Observed {
         let zones = |left: bool| {
             let of = move |z: &Zone| z.gone > 0.0 && (z.gone >= 1.0) == left;
             self.zones
--- a/balancer/core/src/state/pending.rs
+++ b/balancer/core/src/state/pending.rs
@@ -2,7 +2,7 @@
 use crate::interface::Millis;
 
 /// A request that has no final answer yet.
-pub struct Pending {
+pub(crate) struct Pending {
     /// Positions in the settings.
     pub class: usize,
     pub tenant: usize,
--- a/balancer/core/src/state/shed.rs
+++ b/balancer/core/src/state/shed.rs
@@ -8,7 +8,7 @@
 
 /// What the tier's level says of a request.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Level {
+pub(crate) enum Level {
     /// There is none: the tier has room for what it is asked, or nothing is known of that.
     Absent,
     /// Its tenant is within its limit over the tier, and others are not.
@@ -20,7 +20,7 @@
 }
 
 /// The level up to which all copies refuse, and the order in which they do.
-pub struct Shed {
+pub(crate) struct Shed {
     /// The part of each tenant's requests that is over its limit.
     pub parts: Vec<f64>,
     /// The part of ties that passes, as a multiple of the part of requests.
@@ -32,7 +32,7 @@
 
 impl Shed {
     /// Nothing is over, and answers are taken to take what they may.
-    pub fn new(s: &Settings, tenants: usize) -> Self {
+    pub(crate) fn new(s: &Settings, tenants: usize) -> Self {
         let mixes = vec![vec![0.0; s.classes.len()]; tenants];
         let takes = s.classes.iter().map(|c| c.objective).collect();
         Shed {
@@ -44,7 +44,7 @@
     }
 
     /// Takes note of a request.
-    pub fn asked(&mut self, tenant: usize, class: usize) {
+    pub(crate) fn asked(&mut self, tenant: usize, class: usize) {
         let mix = &mut self.mixes[tenant];
         mix[class] += 1.0;
         if mix.iter().sum::<f64>() > MIX_OF {
@@ -53,7 +53,7 @@
     }
 
     /// Takes note of how an attempt ended, and after how long.
-    pub fn took(&mut self, class: usize, ending: Ending, duration: Millis) {
+    pub(crate) fn took(&mut self, class: usize, ending: Ending, duration: Millis) {
         if ending == Ending::Ok {
             self.takes[class] += TAKES_GAIN * (duration - self.takes[class]);
         }
@@ -61,7 +61,7 @@
 
     /// The part of a tenant's requests that come before this one: those of classes that stand lower, and of those that
     /// stand as high the ones with a lower tie.
-    pub fn before(
+    pub(crate) fn before(
         &self,
         tenant: usize,
         (class, tie): (usize, u64),
--- a/balancer/core/src/state/subset.rs
+++ b/balancer/core/src/state/subset.rs
@@ -3,7 +3,7 @@
 
 /// Where a class may go; nothing else is ever a candidate, also as a last resort.
 #[derive(Clone, Default)]
-pub struct Pool {
+pub(crate) struct Pool {
     /// The first so many are of the own zone.
     pub near: usize,
     pub members: Vec<usize>,
@@ -11,7 +11,7 @@
 
 /// The subset of the listed upstreams that calls go to.
 #[derive(Default)]
-pub struct Subset {
+pub(crate) struct Subset {
     /// The ready upstreams of the subset, for each class.
     pub pools: Vec<Pool>,
     /// Ready upstreams in the whole list.
@@ -24,7 +24,7 @@
 
 impl Subset {
     /// No upstream is known yet.
-    pub fn new(s: &Settings) -> Self {
+    pub(crate) fn new(s: &Settings) -> Self {
         Subset {
             pools: vec![Pool::default(); s.classes.len()],
             ready: 0,
--- a/balancer/core/src/state/tenant.rs
+++ b/balancer/core/src/state/tenant.rs
@@ -2,7 +2,7 @@
 
 /// A tenant's demand and limit, in calls per cycle.
 #[derive(Default)]
-pub struct TenantState {
+pub(crate) struct TenantState {
     pub weight: f64,
     pub seen: bool,
     /// Attempts this cycle, refused ones too; and their smoothed number per cycle.
--- a/balancer/core/src/state/tier.rs
+++ b/balancer/core/src/state/tier.rs
@@ -4,7 +4,7 @@
 
 /// The last word that can be acted on, and when it came.
 #[derive(Default)]
-pub struct Tier {
+pub(crate) struct Tier {
     pub word: Option<Box<TierWord>>,
     pub at: Millis,
     /// Whether there ever was one that told of others.
@@ -13,7 +13,7 @@
 
 impl Tier {
     /// Takes a word in. Tells how long ago the last one came.
-    pub fn hear(&mut self, word: Box<TierWord>, now: Millis) -> Millis {
+    pub(crate) fn hear(&mut self, word: Box<TierWord>, now: Millis) -> Millis {
         let since = now - self.at;
         (self.word, self.at) = (Some(word).filter(|w| w.joined && w.is_sound()), now);
         self.met |= self.word.as_ref().is_some_and(|w| w.up > 1);
@@ -23,7 +23,7 @@
 
 /// How many members come before this one in an order that is another for each subject and the same at every member:
 /// by rendezvous hashing.
-pub fn members_before(word: &TierWord, subject: Subject) -> u32 {
+pub(crate) fn members_before(word: &TierWord, subject: Subject) -> u32 {
     let what = match subject {
         Subject::Upstream(id) => id.0,
         Subject::Zone(zone) => u64::from(zone),
--- a/balancer/core/src/state/upstream.rs
+++ b/balancer/core/src/state/upstream.rs
@@ -3,7 +3,7 @@
 
 /// An upstream that is listed, or that still owes an answer.
 #[derive(Default)]
-pub struct Upstream {
+pub(crate) struct Upstream {
     pub member: Member,
     pub inflight: u32,
     /// Connections that should be open, and since when one of them may have rested.
@@ -29,7 +29,7 @@
 
 impl Upstream {
     /// What part of its full capacity an upstream has now, for sure.
-    pub fn warmth(&self, s: &Settings, now: Millis) -> f64 {
+    pub(crate) fn warmth(&self, s: &Settings, now: Millis) -> f64 {
         let age = now - self.member.since;
         if self.member.since <= 0.0 || age >= s.ramp_time {
             return 1.0;
@@ -38,7 +38,7 @@
     }
 
     /// A call was sent, on a connection that may have `rest`ed so many steps; zero: on a fresh one.
-    pub fn sent(&mut self, rest: usize, now: Millis) {
+    pub(crate) fn sent(&mut self, rest: usize, now: Millis) {
         if rest == 0 {
             self.connections = self.inflight;
         }
@@ -56,7 +56,7 @@
     }
 
     /// A call ended. A connection whose call got no answer, `cut`, does not come back for another.
-    pub fn ended(&mut self, cut: bool, now: Millis) {
+    pub(crate) fn ended(&mut self, cut: bool, now: Millis) {
         self.rested_from = if self.inflight >= self.connections {
             now
         } else {
--- a/balancer/core/src/state/zone.rs
+++ b/balancer/core/src/state/zone.rs
@@ -4,7 +4,7 @@
 
 /// A zone as a whole, judged by more calls than any of its upstreams sees.
 #[derive(Default)]
-pub struct Zone {
+pub(crate) struct Zone {
     /// The part of its draws that are made elsewhere: 0 near, 1 left, between them returning.
     pub gone: f64,
     /// When it answered last, upstreams of which calls broke since, and what it owes in all.
@@ -21,7 +21,7 @@
 
 impl Zone {
     /// Tells the operator that it is left.
-    pub fn told_left(&self, zone: u16, now: Millis) -> Action {
+    pub(crate) fn told_left(&self, zone: u16, now: Millis) -> Action {
         let (owes, since) = (self.owes, now - self.heard);
         Action::Log(format!(
             "zone {zone} is left: it owes {owes:.1} answer times, since {since:.0} ms"
@@ -29,7 +29,7 @@
     }
 
     /// Tells the operator how far it is back.
-    pub fn told_back(&self, zone: u16) -> Action {
+    pub(crate) fn told_back(&self, zone: u16) -> Action {
         let (state, part) = (
             ["near", "returning"][usize::from(self.gone > 0.0)],
             1.0 - self.gone,
@@ -42,7 +42,7 @@
 
 /// The zones, judged by more calls than any upstream sees.
 #[derive(Default)]
-pub struct Zones {
+pub(crate) struct Zones {
     pub by_zone: BTreeMap<u16, Zone>,
     /// When any upstream answered last.
     pub heard: Millis,
@@ -50,17 +50,17 @@
 
 impl Zones {
     /// Whether a zone is left.
-    pub fn left(&self, zone: u16) -> bool {
+    pub(crate) fn left(&self, zone: u16) -> bool {
         self.by_zone.get(&zone).is_some_and(|z| z.gone >= 1.0)
     }
 
     /// The part of its draws that are made elsewhere.
-    pub fn gone(&self, zone: u16) -> f64 {
+    pub(crate) fn gone(&self, zone: u16) -> f64 {
         self.by_zone.get(&zone).map_or(0.0, |z| z.gone)
     }
 
     /// Begins to reckon anew what zones owe.
-    pub fn reckon(&mut self) {
+    pub(crate) fn reckon(&mut self) {
         self.by_zone.values_mut().for_each(|z| z.owes = z.broken);
     }
 }
--- a/balancer/core/tests/common/golden.rs
+++ b/balancer/core/tests/common/golden.rs
@@ -2,7 +2,7 @@
 //! name and its bytes in hexadecimal. Nothing here writes such a file: bytes that are others now fail a test.
 
 /// The records of a file, in its order.
-pub fn stored(file: &str) -> Vec<(&str, Vec<u8>)> {
+pub(crate) fn stored(file: &str) -> Vec<(&str, Vec<u8>)> {
     let record = |line| {
         let (name, hex): (&str, &str) = str::split_once(line, ": ").expect("a name and bytes");
         let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal");
@@ -12,7 +12,7 @@
 }
 
 /// Holds the bytes that the program makes against those of a file: the same records, names and order.
-pub fn assert_stored(file: &str, made: &[(String, Vec<u8>)]) {
+pub(crate) fn assert_stored(file: &str, made: &[(String, Vec<u8>)]) {
     let line = |(name, bytes): &(String, Vec<u8>)| {
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         format!("{name}: {hex}\n")
--- a/balancer/core/tests/common/mod.rs
+++ b/balancer/core/tests/common/mod.rs
@@ -1,11 +1,11 @@
 //! A world for one balancer: it answers what the balancer sends and checks the rules on its own account.
 #![allow(dead_code)] // each test file uses its own part
-pub mod slow_start;
-pub mod tier;
+pub(crate) mod slow_start;
+pub(crate) mod tier;
 use balancer_core::*;
 use std::collections::BTreeMap;
 
-pub fn member(id: u64) -> Member {
+pub(crate) fn member(id: u64) -> Member {
     Member {
         id: UpstreamId(id),
         zone: 0,
@@ -16,7 +16,7 @@
     }
 }
 
-pub fn class(effect: Effect) -> Class {
+pub(crate) fn class(effect: Effect) -> Class {
     Class {
         objective: 500.0,
         deadline: 2000.0,
@@ -25,7 +25,7 @@
     }
 }
 
-pub fn tenants(shares: &[f64], quota_per_s: f64) -> Vec<Tenant> {
+pub(crate) fn tenants(shares: &[f64], quota_per_s: f64) -> Vec<Tenant> {
     shares
         .iter()
         .map(|&share| Tenant {
@@ -36,7 +36,7 @@
 }
 
 /// A request's life as the checker saw it.
-pub struct Seen {
+pub(crate) struct Seen {
     pub class: usize,
     pub deadline: f64,
     pub sends: Vec<(UpstreamId, f64)>,
@@ -48,7 +48,7 @@
 }
 
 /// Drives a balancer and checks each action against the rules, knowing nothing of how it decides.
-pub struct World {
+pub(crate) struct World {
     pub balancer: Balancer,
     pub settings: Settings,
     pub now: f64,
@@ -72,7 +72,7 @@
         }
     }
 
-    pub fn new(settings: Settings, seed: u64, members: Vec<Member>) -> Self {
+    pub(crate) fn new(settings: Settings, seed: u64, members: Vec<Member>) -> Self {
         let balancer = Balancer::new(settings.clone(), seed, 0.0).expect("settings");
         let mut world = World {
             balancer,
@@ -89,7 +89,7 @@
         world
     }
 
-    pub fn list(&mut self, news: Membership) {
+    pub(crate) fn list(&mut self, news: Membership) {
         let (members, whole) = match &news {
             Membership::Full(m) | Membership::Cached(m) => (m.clone(), true),
             Membership::Delta(m) => (m.clone(), false),
@@ -104,7 +104,7 @@
         self.event(Event::Membership(news));
     }
 
-    pub fn request(&mut self, id: u32, class: usize, tenant: usize) -> Vec<Action> {
+    pub(crate) fn request(&mut self, id: u32, class: usize, tenant: usize) -> Vec<Action> {
         let deadline = self.now + self.settings.classes[class].deadline;
         let id = RequestId(id);
         let (sends, until, ended) = (Vec::new(), Vec::new(), Vec::new());
@@ -126,7 +126,7 @@
         }))
     }
 
-    pub fn outcome(&mut self, id: u32, attempt: usize, ending: Ending) -> Vec<Action> {
+    pub(crate) fn outcome(&mut self, id: u32, attempt: usize, ending: Ending) -> Vec<Action> {
         let request = RequestId(id);
         let seen = self.seen.get_mut(&request).expect("a known request");
         seen.ended[attempt] = Some(ending);
@@ -142,7 +142,7 @@
         })
     }
 
-    pub fn gone(&mut self, id: u32) -> Vec<Action> {
+    pub(crate) fn gone(&mut self, id: u32) -> Vec<Action> {
         self.seen
             .get_mut(&RequestId(id))
             .expect("a known request")
@@ -152,7 +152,7 @@
 
     /// Sends `per_s` requests a second for `span`, tenant by tenant in turn; `server` says how each attempt
     /// ends and after how long (`None`: never).
-    pub fn traffic(
+    pub(crate) fn traffic(
         &mut self,
         span: f64,
         per_s: f64,
@@ -203,7 +203,7 @@
     }
 
     /// How many requests since `from` got an attempt, and how many attempts went to each upstream.
-    pub fn sent_since(&self, from: f64) -> (usize, BTreeMap<UpstreamId, usize>) {
+    pub(crate) fn sent_since(&self, from: f64) -> (usize, BTreeMap<UpstreamId, usize>) {
         let mut to = BTreeMap::new();
         let mut requests = 0;
         for s in self.seen.values() {
@@ -216,7 +216,7 @@
     }
 
     /// Moves the clock, firing timers and timing out what reaches its deadline.
-    pub fn pass(&mut self, span: f64) {
+    pub(crate) fn pass(&mut self, span: f64) {
         let until = self.now + span;
         loop {
             let next_out = |s: &Seen| {
@@ -257,7 +257,7 @@
         self.now = until;
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
--- a/balancer/core/tests/common/slow_start.rs
+++ b/balancer/core/tests/common/slow_start.rs
@@ -6,12 +6,12 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
 /// The window in which calls to a cold upstream are counted.
-pub const WINDOW: f64 = 3000.0;
+pub(crate) const WINDOW: f64 = 3000.0;
 /// When upstreams restart; what balancers learn before is learned by then.
-pub const COLD_AT: f64 = 5000.0;
-pub const RAMP: f64 = 20_000.0;
-pub const COLD_FROM: f64 = 0.15;
-pub const MULTIPLE: f64 = 2.5;
+pub(crate) const COLD_AT: f64 = 5000.0;
+pub(crate) const RAMP: f64 = 20_000.0;
+pub(crate) const COLD_FROM: f64 = 0.15;
+pub(crate) const MULTIPLE: f64 = 2.5;
 /// What an answer takes on average.
 const ANSWER: f64 = 50.0;
 /// What a failed connection takes, and a refusal.
@@ -20,7 +20,7 @@
 const QUEUE: f64 = 300.0;
 
 /// A day: the fleet, what clients ask for and what goes wrong.
-pub struct Day {
+pub(crate) struct Day {
     /// Balancers that run, and how many the settings name.
     pub balancers: usize,
     pub stated: usize,
@@ -55,7 +55,7 @@
 }
 
 impl Day {
-    pub fn new(balancers: usize, upstreams: u64, carries: f64, seed: u64) -> Self {
+    pub(crate) fn new(balancers: usize, upstreams: u64, carries: f64, seed: u64) -> Self {
         Day {
             balancers,
             stated: balancers,
@@ -79,7 +79,7 @@
     }
 
     /// A ready upstream that started then.
-    pub fn listed(&self, id: u64, since: f64) -> Member {
+    pub(crate) fn listed(&self, id: u64, since: f64) -> Member {
         let zone = (self.zone)(UpstreamId(id));
         Member {
             kind: (id % 3) as u8,
@@ -91,7 +91,7 @@
 }
 
 /// What was sent to the cold upstreams.
-pub struct Outcome {
+pub(crate) struct Outcome {
     /// The worst window: calls in it as a part of its budget.
     pub worst: f64,
     /// Calls, budget and time of that window.
@@ -171,18 +171,18 @@
 }
 
 /// The least that an upstream can do at this age, as a part of its full capacity.
-pub fn warmth(age: f64) -> f64 {
+pub(crate) fn warmth(age: f64) -> f64 {
     (COLD_FROM + (1.0 - COLD_FROM) * age / RAMP).min(1.0)
 }
 
 /// The most calls that may be sent within a window in which the settings allow `n`.
-pub fn budget(n: f64) -> f64 {
+pub(crate) fn budget(n: f64) -> f64 {
     let slack = if n < 30.0 { 3.0 } else { 2.0 };
     n + slack * n.sqrt() + slack
 }
 
 /// Plays a day and counts the calls of every sliding window against the budget at its end.
-pub fn play(day: Day) -> Outcome {
+pub(crate) fn play(day: Day) -> Outcome {
     let mut fleet = Fleet::new(day);
     fleet.run();
     fleet.judge()
--- a/balancer/core/tests/common/tier/clients.rs
+++ b/balancer/core/tests/common/tier/clients.rs
@@ -6,7 +6,7 @@
 
 /// What a client wants, over all its tries.
 #[derive(Clone, Debug)]
-pub struct Want {
+pub(crate) struct Want {
     pub class: usize,
     pub tenant: usize,
     pub tie: u64,
@@ -16,7 +16,7 @@
 
 /// One final answer, as its client saw it.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub(crate) struct Answer {
     pub at: f64,
     pub copy: usize,
     pub want: Want,
@@ -34,7 +34,7 @@
         self.ask_at(copy, want);
     }
 
-    pub fn ask_at(&mut self, copy: usize, want: Want) {
+    pub(crate) fn ask_at(&mut self, copy: usize, want: Want) {
         self.number += 1;
         let id = RequestId(self.number as u32);
         let deadline = want.began + self.settings.classes[want.class].deadline;
--- a/balancer/core/tests/common/tier/measures.rs
+++ b/balancer/core/tests/common/tier/measures.rs
@@ -4,7 +4,7 @@
 
 impl Tier {
     /// Wants that were met per second in this time, within the aim and as long as copies told clients to wait.
-    pub fn goodput(&self, from: f64, to: f64, of: impl Fn(&Want) -> bool) -> f64 {
+    pub(crate) fn goodput(&self, from: f64, to: f64, of: impl Fn(&Want) -> bool) -> f64 {
         let good = |a: &&Answer| {
             let aim = self.settings.classes[a.want.class].objective;
             a.served && a.at - a.want.began <= aim + f64::from(a.want.tries) * 1500.0 && of(&a.want)
@@ -14,7 +14,7 @@
     }
 
     /// The part of what a tenant asked for in this time that was met.
-    pub fn met(&self, from: f64, to: f64, tenant: usize) -> f64 {
+    pub(crate) fn met(&self, from: f64, to: f64, tenant: usize) -> f64 {
         let asked = self
             .asked
             .iter()
@@ -24,7 +24,7 @@
     }
 
     /// Attempts a second in this time that went to such servers.
-    pub fn sent(&self, from: f64, to: f64, to_such: impl Fn(UpstreamId) -> bool) -> f64 {
+    pub(crate) fn sent(&self, from: f64, to: f64, to_such: impl Fn(UpstreamId) -> bool) -> f64 {
         let such = self
             .sends
             .iter()
--- a/balancer/core/tests/common/tier/mod.rs
+++ b/balancer/core/tests/common/tier/mod.rs
@@ -5,7 +5,7 @@
 mod schedule;
 mod servers;
 
-pub use self::clients::{Answer, Want};
+pub(crate) use self::clients::{Answer, Want};
 use self::schedule::{At, Due};
 use self::servers::{Out, Server};
 use super::{class, member, tenants};
@@ -16,20 +16,20 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 /// Calls that a server works on at a time, the time that one takes, and the most that wait.
-pub const SLOTS: usize = 4;
-pub const TAKES: f64 = 40.0;
+pub(crate) const SLOTS: usize = 4;
+pub(crate) const TAKES: f64 = 40.0;
 const QUEUE: usize = 100;
 /// Words come this often.
 const WORDS: f64 = 250.0;
 
-pub struct Copy {
+pub(crate) struct Copy {
     pub balancer: Balancer,
     pub up: bool,
     pub joined: bool,
     open: BTreeMap<RequestId, (Want, u32)>,
 }
 
-pub struct Tier {
+pub(crate) struct Tier {
     pub now: f64,
     pub copies: Vec<Copy>,
     servers: Vec<Server>,
@@ -56,7 +56,7 @@
     rng: Pcg64Mcg,
 }
 
-pub fn settings(copies: usize) -> Settings {
+pub(crate) fn settings(copies: usize) -> Settings {
     let sort = |worth| Class {
         objective: 500.0,
         deadline: 2000.0,
@@ -75,12 +75,12 @@
     }
 }
 
-pub fn zone_of(id: UpstreamId) -> u16 {
+pub(crate) fn zone_of(id: UpstreamId) -> u16 {
     (id.0 % 3) as u16
 }
 
 impl Tier {
-    pub fn new(copies: usize, servers: usize, settings: Settings, seed: u64) -> Self {
+    pub(crate) fn new(copies: usize, servers: usize, settings: Settings, seed: u64) -> Self {
         let list: Vec<Member> = (0..servers as u64)
             .map(|id| Member {
                 zone: zone_of(UpstreamId(id)),
@@ -127,7 +127,7 @@
     }
 
     /// What the servers can do, in requests a second.
-    pub fn can(&self) -> f64 {
+    pub(crate) fn can(&self) -> f64 {
         (self.servers.len() * SLOTS) as f64 * 1000.0 / TAKES
     }
 
@@ -141,7 +141,7 @@
             .push(Reverse(At(self.now + span, self.number, due)));
     }
 
-    pub fn run(&mut self, span: f64) {
+    pub(crate) fn run(&mut self, span: f64) {
         let until = self.now + span;
         while self
             .due
@@ -189,14 +189,14 @@
     }
 
     /// Gives a copy another view of the room there is.
-    pub fn believe(&mut self, copy: usize, times: f64) {
+    pub(crate) fn believe(&mut self, copy: usize, times: f64) {
         let mut learned = Box::new(self.copies[copy].balancer.learned(self.now));
         learned.load.capacity *= times;
         self.event(copy, Event::Restored { learned, age: 0.0 });
     }
 
     /// Copies stop at once; what they held goes back to its clients.
-    pub fn kill(&mut self, which: impl Fn(usize) -> bool) {
+    pub(crate) fn kill(&mut self, which: impl Fn(usize) -> bool) {
         for copy in (0..self.copies.len()).filter(|&c| which(c)) {
             self.copies[copy].up = false;
             let open: Vec<RequestId> = self.copies[copy].open.keys().copied().collect();
--- a/balancer/core/tests/failures/worlds.rs
+++ b/balancer/core/tests/failures/worlds.rs
@@ -2,20 +2,20 @@
 use crate::common::*;
 use balancer_core::*;
 
-pub fn fast(_: UpstreamId) -> Option<(Ending, f64)> {
+pub(crate) fn fast(_: UpstreamId) -> Option<(Ending, f64)> {
     Some((Ending::Ok, 50.0))
 }
 
-pub fn slow(_: UpstreamId) -> Option<(Ending, f64)> {
+pub(crate) fn slow(_: UpstreamId) -> Option<(Ending, f64)> {
     Some((Ending::Ok, 900.0))
 }
 
-pub fn world(settings: Settings, upstreams: u64) -> World {
+pub(crate) fn world(settings: Settings, upstreams: u64) -> World {
     World::new(settings, 4, (1..=upstreams).map(member).collect())
 }
 
 /// Settings of one class (objective 500 ms) and of tenants with these shares of 60 requests a second.
-pub fn shared(shares: &[f64]) -> Settings {
+pub(crate) fn shared(shares: &[f64]) -> Settings {
     Settings {
         classes: vec![class(Effect::Free)],
         tenants: tenants(shares, 60.0),
--- a/balancer/gossip/tests/common/mod.rs
+++ b/balancer/gossip/tests/common/mod.rs
@@ -10,7 +10,7 @@
 
 /// What the network does to each datagram.
 #[derive(Clone, Copy)]
-pub struct Net {
+pub(crate) struct Net {
     pub loss: f64,
     pub delay: (Millis, Millis),
     pub repeat: f64,
@@ -18,20 +18,20 @@
     pub late: (f64, Millis),
 }
 
-pub const CALM: Net = Net {
+pub(crate) const CALM: Net = Net {
     loss: 0.0,
     delay: (0.2, 2.0),
     repeat: 0.0,
     late: (0.0, 0.0),
 };
-pub const LOSSY: Net = Net {
+pub(crate) const LOSSY: Net = Net {
     loss: 0.1,
     delay: (0.2, 5.0),
     repeat: 0.02,
     late: (0.002, 4_000.0),
 };
 
-pub struct Node {
+pub(crate) struct Node {
     pub place: u16,
     pub peers: Option<Peers>,
     pub paused_until: Millis,
@@ -45,7 +45,7 @@
     Timer(usize),
 }
 
-pub struct Sim {
+pub(crate) struct Sim {
     pub now: Millis,
     pub net: Net,
     pub nodes: Vec<Node>,
@@ -66,7 +66,7 @@
 }
 
 impl Sim {
-    pub fn new(candidates: u16, tenants: u16, net: Net, seed: u64) -> Sim {
+    pub(crate) fn new(candidates: u16, tenants: u16, net: Net, seed: u64) -> Sim {
         Sim {
             now: 0.0,
             net,
@@ -86,7 +86,7 @@
     }
 
     /// As many replicas as there are places, all started within a tenth of a second, run until they know each other.
-    pub fn tier(n: u16, tenants: u16, net: Net, seed: u64) -> Sim {
+    pub(crate) fn tier(n: u16, tenants: u16, net: Net, seed: u64) -> Sim {
         let mut sim = Sim::new(n, tenants, net, seed);
         for place in 0..n {
             sim.start(place, 1_000, READS);
@@ -96,7 +96,7 @@
     }
 
     /// Starts a replica; its place among [`Sim::nodes`].
-    pub fn start(&mut self, place: u16, incarnation: u64, reads: Versions) -> usize {
+    pub(crate) fn start(&mut self, place: u16, incarnation: u64, reads: Versions) -> usize {
         let skew = self.rng.gen_range(0.0..3_600_000.0);
         let node = self.node(place, incarnation, reads, skew);
         self.nodes.push(node);
@@ -106,7 +106,7 @@
     }
 
     /// A replica anew in place of one that ran or was killed, with nothing remembered.
-    pub fn restart(&mut self, at: usize, incarnation: u64) {
+    pub(crate) fn restart(&mut self, at: usize, incarnation: u64) {
         let (place, skew) = (self.nodes[at].place, self.rng.gen_range(0.0..3_600_000.0));
         self.nodes[at] = self.node(place, incarnation, READS, skew);
         self.settle(at);
@@ -134,16 +134,16 @@
         }
     }
 
-    pub fn kill(&mut self, at: usize) {
+    pub(crate) fn kill(&mut self, at: usize) {
         self.nodes[at].peers = None;
     }
 
-    pub fn pause(&mut self, at: usize, span: Millis) {
+    pub(crate) fn pause(&mut self, at: usize, span: Millis) {
         self.nodes[at].paused_until = self.now + span;
         self.schedule(self.now + span, Event::Timer(at));
     }
 
-    pub fn with<T>(&mut self, at: usize, does: impl FnOnce(&mut Peers, Millis) -> T) -> T {
+    pub(crate) fn with<T>(&mut self, at: usize, does: impl FnOnce(&mut Peers, Millis) -> T) -> T {
         let now = self.now + self.nodes[at].skew;
         let done = does(
             self.nodes[at].peers.as_mut().expect("a copy that runs"),
@@ -153,15 +153,15 @@
         done
     }
 
-    pub fn word(&mut self, at: usize) -> Word {
+    pub(crate) fn word(&mut self, at: usize) -> Word {
         self.with(at, |peers, now| peers.word(now))
     }
 
-    pub fn observe(&mut self, at: usize, own: Own) {
+    pub(crate) fn observe(&mut self, at: usize, own: Own) {
         self.with(at, |peers, now| peers.observe(now, own));
     }
 
-    pub fn alive(&self) -> Vec<usize> {
+    pub(crate) fn alive(&self) -> Vec<usize> {
         (0..self.nodes.len())
             .filter(|at| self.nodes[*at].peers.is_some())
             .collect()
@@ -198,7 +198,7 @@
         }
     }
 
-    pub fn post(&mut self, from: u16, to: u16, bytes: Vec<u8>) {
+    pub(crate) fn post(&mut self, from: u16, to: u16, bytes: Vec<u8>) {
         let times = if self.rng.gen_bool(self.net.repeat) {
             2
         } else {
@@ -223,7 +223,7 @@
         }
     }
 
-    pub fn run(&mut self, span: Millis) {
+    pub(crate) fn run(&mut self, span: Millis) {
         let end = self.now + span;
         while let Some(Reverse((at, count))) = self.events.peek().copied() {
             let at = at as f64 / 1_000.0;
--- a/balancer/proxy/src/check.rs
+++ b/balancer/proxy/src/check.rs
@@ -4,7 +4,7 @@
 use crate::peers;
 
 /// What a balancer would start with, a line each.
-pub fn told(config: &Config, loaded: &Loaded) -> String {
+pub(crate) fn told(config: &Config, loaded: &Loaded) -> String {
     let d = &config.deployment;
     let known = config.known.as_ref().map_or(0, |k| k.entries.len());
     let mut text = format!(
--- a/balancer/proxy/src/clients/accepting.rs
+++ b/balancer/proxy/src/clients/accepting.rs
@@ -17,11 +17,11 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// The clients' side as a whole.
-pub struct Server(Rc<Connections>);
+pub(crate) struct Server(Rc<Connections>);
 
 impl Server {
     /// Serves clients through `driver`, on what `sockets` leaves.
-    pub fn new(
+    pub(crate) fn new(
         driver: Handle,
         deployment: Deployment,
         sockets: Sockets,
@@ -37,7 +37,7 @@
     }
 
     /// Accepts clients until the program closes. Returns once every connection has ended.
-    pub async fn run(self, listener: TcpListener) {
+    pub(crate) async fn run(self, listener: TcpListener) {
         let Server(connections) = self;
         let (slots, mut phase, mut failing) =
             (&connections.slots, connections.phase.clone(), false);
--- a/balancer/proxy/src/clients/answers.rs
+++ b/balancer/proxy/src/clients/answers.rs
@@ -6,21 +6,21 @@
 use hyper::{Response, StatusCode};
 
 /// No body.
-pub fn plain(status: StatusCode) -> Response<Full<Bytes>> {
+pub(super) fn plain(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
 /// What is wrong with a request, on one line.
-pub fn refuse_input(status: StatusCode, what: &str) -> Response<Full<Bytes>> {
+pub(super) fn refuse_input(status: StatusCode, what: &str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(format!("{what}\n"))));
     *response.status_mut() = status;
     response
 }
 
 /// The one final answer to a request.
-pub fn final_answer(answer: Answer) -> Response<Full<Bytes>> {
+pub(super) fn final_answer(answer: Answer) -> Response<Full<Bytes>> {
     match answer {
         Answer::Served { headers, body } => {
             let mut response = Response::new(Full::new(body));
--- a/balancer/proxy/src/clients/connection.rs
+++ b/balancer/proxy/src/clients/connection.rs
@@ -42,7 +42,7 @@
 const SERVICE: &str = "/api";
 
 /// What every connection needs.
-pub struct Connections {
+pub(super) struct Connections {
     /// Takes its requests.
     pub requests: Requests,
     /// Where it has its slot.
@@ -140,7 +140,7 @@
 
 impl Connections {
     /// Serves one in a task of its own, once there is a slot for it.
-    pub async fn start(self: Rc<Connections>, socket: TcpStream) {
+    pub(super) async fn start(self: Rc<Connections>, socket: TcpStream) {
         if let Some(slot) = self.slots.free().await {
             tokio::task::spawn_local(self.serve(socket, slot));
         }
--- a/balancer/proxy/src/clients/framing.rs
+++ b/balancer/proxy/src/clients/framing.rs
@@ -5,14 +5,14 @@
 
 /// Looks for the empty line that ends a head.
 #[derive(Default)]
-pub struct HeadScan {
+pub(super) struct HeadScan {
     /// Nothing has come since the last line's end.
     at_line_start: bool,
 }
 
 impl HeadScan {
     /// How many of these bytes may be taken: all up to the end of an empty line, or all.
-    pub fn take(&mut self, bytes: &[u8]) -> usize {
+    pub(super) fn take(&mut self, bytes: &[u8]) -> usize {
         for (position, &byte) in bytes.iter().enumerate() {
             match byte {
                 b'\n' if self.at_line_start => return position + 1,
@@ -26,7 +26,7 @@
 }
 
 /// How a body comes.
-pub enum Framing {
+pub(super) enum Framing {
     /// So many bytes are to come.
     Length(u64),
     /// In chunks: it ends with some empty line, and `last_empty` tells whether the last one taken was empty.
@@ -35,7 +35,7 @@
 
 impl Framing {
     /// That of this request's body.
-    pub fn of<B: Body>(request: &Request<B>) -> Framing {
+    pub(super) fn of<B: Body>(request: &Request<B>) -> Framing {
         request
             .body()
             .size_hint()
@@ -44,7 +44,7 @@
     }
 
     /// How many of these bytes may be taken, and counts them.
-    pub fn take(&mut self, bytes: &[u8]) -> usize {
+    pub(super) fn take(&mut self, bytes: &[u8]) -> usize {
         match self {
             Framing::Length(left) => {
                 let taken = bytes
@@ -65,12 +65,12 @@
     }
 
     /// Whether something was taken that is not this body's, once that is whole.
-    pub fn went_beyond(&self) -> bool {
+    pub(super) fn went_beyond(&self) -> bool {
         matches!(self, Framing::Lines { last_empty: false })
     }
 
     /// Nothing is to come any more.
-    pub fn is_over(&self) -> bool {
+    pub(super) fn is_over(&self) -> bool {
         matches!(self, Framing::Length(0))
     }
 }
--- a/balancer/proxy/src/clients/idle.rs
+++ b/balancer/proxy/src/clients/idle.rs
@@ -12,7 +12,7 @@
 const IDLE_LONG_ENOUGH: Duration = Duration::from_secs(2);
 
 /// A client's connection.
-pub struct ClientConnection {
+pub(super) struct ClientConnection {
     /// Tells it to close.
     pub close: Notify,
     /// It closes once it is idle, so that its answers say so.
@@ -25,7 +25,7 @@
 
 impl ClientConnection {
     /// One that is not idle.
-    pub fn new(of: Connection) -> Rc<ClientConnection> {
+    pub(super) fn new(of: Connection) -> Rc<ClientConnection> {
         Rc::new(ClientConnection {
             close: Notify::new(),
             closes: Cell::new(false),
@@ -35,14 +35,14 @@
     }
 
     /// Whether it is between requests.
-    pub fn is_idle(&self) -> bool {
+    pub(super) fn is_idle(&self) -> bool {
         self.place.get().is_some()
     }
 }
 
 /// The connections between requests.
 #[derive(Default)]
-pub struct IdleConnections {
+pub(super) struct IdleConnections {
     /// Since when they are idle, the one idle longest first.
     places: RefCell<BTreeMap<u64, (Instant, Rc<ClientConnection>)>>,
     /// Orders them by when they last fell idle.
@@ -51,7 +51,7 @@
 
 impl IdleConnections {
     /// Notes that a connection is between requests, or has said nothing yet.
-    pub fn became_idle(&self, client: &Rc<ClientConnection>) {
+    pub(super) fn became_idle(&self, client: &Rc<ClientConnection>) {
         self.turn.set(self.turn.get() + 1);
         client.place.set(Some(self.turn.get()));
         self.places
@@ -60,7 +60,7 @@
     }
 
     /// Notes that a connection is not between requests any more, or is gone.
-    pub fn became_busy(&self, client: &ClientConnection) {
+    pub(super) fn became_busy(&self, client: &ClientConnection) {
         if let Some(place) = client.place.take() {
             self.places.borrow_mut().remove(&place);
         }
@@ -69,7 +69,11 @@
     /// Tells one connection to close, if any rests: of those that have rested for long enough one that never sent a
     /// request, else one of the tenant that `furthest` names by what each holds. Where none has, the one that
     /// rested longest.
-    pub fn close_one(&self, held: &[u32], furthest: impl Fn(&[u32]) -> Option<usize>) -> bool {
+    pub(super) fn close_one(
+        &self,
+        held: &[u32],
+        furthest: impl Fn(&[u32]) -> Option<usize>,
+    ) -> bool {
         let mut places = self.places.borrow_mut();
         let long = || {
             places
--- a/balancer/proxy/src/clients/lingering.rs
+++ b/balancer/proxy/src/clients/lingering.rs
@@ -16,7 +16,7 @@
 const DISCARD_MOST: usize = 64 << 10;
 
 /// Closes a connection whose last answer was written. Nothing that comes from now on is taken as a request.
-pub async fn linger(stream: &ClientStream, phase: &mut watch::Receiver<Phase>) {
+pub(super) async fn linger(stream: &ClientStream, phase: &mut watch::Receiver<Phase>) {
     if !ENABLED || stream.has_ended() || stream.shut_write().is_err() {
         return;
     }
--- a/balancer/proxy/src/clients/mod.rs
+++ b/balancer/proxy/src/clients/mod.rs
@@ -10,5 +10,5 @@
 mod slots;
 mod stream;
 
-pub use accepting::Server;
-pub use phase::Phase;
+pub(crate) use accepting::Server;
+pub(crate) use phase::Phase;
--- a/balancer/proxy/src/clients/phase.rs
+++ b/balancer/proxy/src/clients/phase.rs
@@ -3,7 +3,7 @@
 
 /// How far the end of the program has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub(crate) enum Phase {
     /// Serving.
     Up,
     /// Told to end: what comes is still served, but not taken any more by those who ask whether this is ready.
@@ -17,12 +17,12 @@
 }
 
 /// Waits until clients' connections are to be closed.
-pub async fn closing(phase: &mut watch::Receiver<Phase>) {
+pub(super) async fn closing(phase: &mut watch::Receiver<Phase>) {
     // Whoever would tell it has gone: all is over.
     let _ = phase.wait_for(|p| *p >= Phase::Closing).await;
 }
 
 /// Waits until nothing may linger any more.
-pub async fn over(phase: &mut watch::Receiver<Phase>) {
+pub(super) async fn over(phase: &mut watch::Receiver<Phase>) {
     let _ = phase.wait_for(|p| *p == Phase::Over).await;
 }
--- a/balancer/proxy/src/clients/requests.rs
+++ b/balancer/proxy/src/clients/requests.rs
@@ -17,7 +17,7 @@
 const ID_MOST: usize = 256;
 
 /// Takes requests for the driver.
-pub struct Requests {
+pub(super) struct Requests {
     /// Who answers them.
     pub driver: Handle,
     /// What classes and tenants there are.
@@ -25,7 +25,7 @@
 }
 
 /// A request that was read whole.
-pub struct WholeRequest {
+pub(super) struct WholeRequest {
     class: usize,
     tenant: usize,
     patience: Millis,
@@ -34,7 +34,7 @@
 
 impl Requests {
     /// Reads a request whole, whose body must have come by `by`.
-    pub async fn read(
+    pub(super) async fn read(
         &self,
         request: Request<Incoming>,
         by: Instant,
@@ -93,7 +93,7 @@
     }
 
     /// Hands a request to the driver: from now on one final answer is owed. `None`: more are open than may be.
-    pub fn hand_on(&self, request: WholeRequest) -> Option<Waiting> {
+    pub(super) fn hand_on(&self, request: WholeRequest) -> Option<Waiting> {
         let WholeRequest {
             class,
             tenant,
--- a/balancer/proxy/src/clients/slots.rs
+++ b/balancer/proxy/src/clients/slots.rs
@@ -11,7 +11,7 @@
 const CROWDED_PAUSE: Duration = Duration::from_millis(10);
 
 /// The clients' part of the sockets.
-pub struct Slots {
+pub(super) struct Slots {
     driver: Handle,
     sockets: Sockets,
     /// Whose the connected ones are.
@@ -22,7 +22,7 @@
 
 impl Slots {
     /// What `sockets` leaves, and the idle connections of `driver` to upstreams where that is not enough.
-    pub fn new(driver: Handle, sockets: Sockets, held: Held) -> Rc<Slots> {
+    pub(super) fn new(driver: Handle, sockets: Sockets, held: Held) -> Rc<Slots> {
         Rc::new(Slots {
             driver,
             sockets,
@@ -32,14 +32,14 @@
     }
 
     /// Closes a connection between requests, if there is one.
-    pub fn close_one(&self) -> bool {
+    pub(super) fn close_one(&self) -> bool {
         self.idle
             .close_one(&self.held.counts(), |held| self.driver.furthest_over(held))
     }
 
     /// A slot for one more client. Guards against idle connections that clients keep shutting others out: what is
     /// written to a connection that waits to be accepted counts as taken, so one between requests makes way.
-    pub async fn free(&self) -> Option<ClientSlot> {
+    pub(super) async fn free(&self) -> Option<ClientSlot> {
         loop {
             if let Some(slot) = self.sockets.client() {
                 return Some(slot);
@@ -55,12 +55,12 @@
     }
 
     /// Whether one more client may connect now.
-    pub fn has_free(&self) -> bool {
+    pub(super) fn has_free(&self) -> bool {
         self.sockets.client().is_some()
     }
 
     /// Waits until no client is connected.
-    pub async fn emptied(&self) {
+    pub(super) async fn emptied(&self) {
         self.sockets.clients_left().await;
     }
 }
--- a/balancer/proxy/src/clients/stream.rs
+++ b/balancer/proxy/src/clients/stream.rs
@@ -59,11 +59,11 @@
 
 /// A client's socket. Clones are the same one.
 #[derive(Clone)]
-pub struct ClientStream(Rc<RefCell<Shared>>);
+pub(super) struct ClientStream(Rc<RefCell<Shared>>);
 
 impl ClientStream {
     /// Nothing is read so far.
-    pub fn new(socket: TcpStream) -> ClientStream {
+    pub(super) fn new(socket: TcpStream) -> ClientStream {
         ClientStream(Rc::new(RefCell::new(Shared {
             socket,
             ahead: BytesMut::new(),
@@ -79,12 +79,12 @@
     }
 
     /// A head was read whole, and its body comes in this form.
-    pub fn begin_body(&self, framing: Framing) {
+    pub(super) fn begin_body(&self, framing: Framing) {
         self.0.borrow_mut().reading = Reading::Body(framing);
     }
 
     /// The request was read whole and waits for its answer from now on.
-    pub fn begin_waiting(&self) {
+    pub(super) fn begin_waiting(&self) {
         let mut shared = self.0.borrow_mut();
         shared.reading = Reading::Waiting {
             begun: shared.reading.has_begun(),
@@ -92,7 +92,7 @@
     }
 
     /// The request has its answer: hyper reads on.
-    pub fn end_request(&self) {
+    pub(super) fn end_request(&self) {
         let mut shared = self.0.borrow_mut();
         shared.reading = Reading::Head {
             scan: HeadScan::default(),
@@ -107,29 +107,29 @@
     }
 
     /// Whether a request waits for its answer.
-    pub fn is_waiting(&self) -> bool {
+    pub(super) fn is_waiting(&self) -> bool {
         matches!(self.0.borrow().reading, Reading::Waiting { .. })
     }
 
     /// Whether the system has taken all that was written.
-    pub fn is_flushed(&self) -> bool {
+    pub(super) fn is_flushed(&self) -> bool {
         self.0.borrow().flushed
     }
 
     /// Whether the client is known to have gone.
-    pub fn has_ended(&self) -> bool {
+    pub(super) fn has_ended(&self) -> bool {
         self.0.borrow().ended
     }
 
     /// Whether a part of a request has come that hyper has not read whole.
-    pub fn has_begun(&self) -> bool {
+    pub(super) fn has_begun(&self) -> bool {
         let shared = self.0.borrow();
         !shared.ahead.is_empty() || shared.reading.has_begun()
     }
 
     /// Reads what lies in the socket at this very moment, whatever the runtime knows of it. Returns whether anything
     /// was found: bytes, or the end of the client.
-    pub fn look(&self) -> bool {
+    pub(super) fn look(&self) -> bool {
         let mut shared = self.0.borrow_mut();
         let mut found = false;
         while shared.may_read() {
@@ -148,7 +148,7 @@
     }
 
     /// Reads ahead until the client has gone.
-    pub fn poll_ended(&self, cx: &mut Context<'_>) -> Poll<()> {
+    pub(super) fn poll_ended(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut shared = self.0.borrow_mut();
         while shared.may_read() {
             ready!(shared.poll_fill(cx));
@@ -163,12 +163,12 @@
 /// Closing.
 impl ClientStream {
     /// Shuts the side that writes: the client finds the end behind all that was written.
-    pub fn shut_write(&self) -> io::Result<()> {
+    pub(super) fn shut_write(&self) -> io::Result<()> {
         SockRef::from(&self.0.borrow().socket).shutdown(Shutdown::Write)
     }
 
     /// Reads once and throws away what came. Returns how much that was: none once the client has gone.
-    pub fn poll_discard(&self, cx: &mut Context<'_>) -> Poll<usize> {
+    pub(super) fn poll_discard(&self, cx: &mut Context<'_>) -> Poll<usize> {
         let mut chunk = [0; CHUNK];
         let mut buffer = ReadBuf::new(&mut chunk);
         let read = ready!(Pin::new(&mut self.0.borrow_mut().socket).poll_read(cx, &mut buffer));
--- a/balancer/proxy/src/command_line.rs
+++ b/balancer/proxy/src/command_line.rs
@@ -13,7 +13,7 @@
 
 /// What the program is asked to do.
 #[derive(Subcommand)]
-pub enum Verb {
+pub(crate) enum Verb {
     /// Serve, as the JSON file that NODE_CONFIG names says.
     Run(OptionArguments),
     /// Read the configuration and the options, print what they come to and where each option came from, and end:
@@ -28,7 +28,7 @@
 
 /// What is asked about a folder of kept state.
 #[derive(Subcommand)]
-pub enum StateVerb {
+pub(crate) enum StateVerb {
     /// Print what it holds.
     Show {
         /// The folder.
@@ -43,7 +43,7 @@
 
 /// Where options come from, as the command line says it.
 #[derive(clap::Args, Default)]
-pub struct OptionArguments {
+pub(crate) struct OptionArguments {
     /// The options file [default: what BALANCER_OPTIONS names, or none]
     #[arg(long, value_name = "FILE")]
     options: Option<PathBuf>,
@@ -54,7 +54,7 @@
 
 impl OptionArguments {
     /// The sources of the options; the environment names the file where no argument does.
-    pub fn sources(self) -> Sources {
+    pub(crate) fn sources(self) -> Sources {
         let named_by = |variable: &str| {
             std::env::var_os(variable)
                 .filter(|path| !path.is_empty())
@@ -78,7 +78,7 @@
 }
 
 /// What the command line asks for.
-pub fn verb() -> Verb {
+pub(crate) fn verb() -> Verb {
     // The platform starts it with no word at all: what that needs of memory is what the balancer itself needs.
     let verb = if std::env::args_os().len() > 1 {
         Cli::parse().verb
--- a/balancer/proxy/src/config.rs
+++ b/balancer/proxy/src/config.rs
@@ -56,7 +56,7 @@
     /// discovery has a better one.
     pub known_error: Option<String>,
     /// Where the copies of the tier hear each other, unread.
-    pub peers: Unread,
+    pub(crate) peers: Unread,
     /// The settings, for the module and for the sockets.
     pub deployment: Deployment,
 }
--- a/balancer/proxy/src/discovery/call.rs
+++ b/balancer/proxy/src/discovery/call.rs
@@ -18,7 +18,7 @@
 const LIST_MOST: usize = 4 << 20;
 
 /// What a call tells.
-pub enum Notice {
+pub(super) enum Notice {
     /// How far it is, or that it failed.
     Event(Event),
     /// It was answered; its connection is free for the next call.
@@ -26,7 +26,7 @@
 }
 
 /// One connection to discovery; closed when dropped.
-pub struct Connection {
+pub(super) struct Connection {
     sender: http1::SendRequest<Empty<Bytes>>,
     task: AbortHandle,
     /// The call that what is read belongs to.
@@ -70,7 +70,7 @@
 }
 
 /// A call that is to be made.
-pub struct Call {
+pub(super) struct Call {
     /// Its number.
     pub id: CallId,
     /// The version that is known, if any.
@@ -85,7 +85,7 @@
 
 impl Call {
     /// Makes the call and tells how far it is and what came of it.
-    pub async fn run(self, tell: UnboundedSender<Notice>) {
+    pub(super) async fn run(self, tell: UnboundedSender<Notice>) {
         let id = self.id;
         let notice = match self.answer(&tell).await {
             Ok((listing, connection)) => Notice::Answered(id, listing, connection),
--- a/balancer/proxy/src/discovery/mod.rs
+++ b/balancer/proxy/src/discovery/mod.rs
@@ -6,4 +6,4 @@
 mod runner;
 mod watch;
 
-pub use runner::Discovery;
+pub(crate) use runner::Discovery;
--- a/balancer/proxy/src/discovery/runner.rs
+++ b/balancer/proxy/src/discovery/runner.rs
@@ -12,7 +12,7 @@
 use tokio::time::{sleep_until, Instant};
 
 /// Keeps the list fresh: answers each of the module's subscriptions and keeps a watch that stands.
-pub struct Discovery {
+pub(crate) struct Discovery {
     /// Where discovery is now; a reload may name another address.
     addr: Receiver<SocketAddr>,
     version: Option<u64>,
@@ -70,7 +70,7 @@
 
 impl Discovery {
     /// Begins with the version of the list that the balancer already has, if any.
-    pub fn new(addr: Receiver<SocketAddr>, names: Names, version: Option<u64>) -> Discovery {
+    pub(crate) fn new(addr: Receiver<SocketAddr>, names: Names, version: Option<u64>) -> Discovery {
         let (tell, notices) = unbounded_channel();
         let calls = Calls {
             names: Rc::new(names),
@@ -87,7 +87,7 @@
     }
 
     /// Serves subscriptions for ever. With `pushed` the list needs no asking and the watch always stands.
-    pub async fn run(mut self, user: impl ListUser, pushed: bool) {
+    pub(crate) async fn run(mut self, user: impl ListUser, pushed: bool) {
         let mode = if pushed {
             Mode::Pushed
         } else {
--- a/balancer/proxy/src/discovery/watch.rs
+++ b/balancer/proxy/src/discovery/watch.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// How long a call may wait for news at discovery.
-pub const WAIT: Duration = Duration::from_secs(1);
+pub(super) const WAIT: Duration = Duration::from_secs(1);
 /// A call without a whole answer this long after it began is followed by the next: its wait, and time to answer.
 const ASK_AGAIN: Duration = Duration::from_millis(1500);
 /// Pause after a failed call where the list is pushed: the agent is on this machine and answers at no cost.
@@ -27,11 +27,11 @@
 
 /// One call, numbered in the order in which they begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct CallId(u64);
+pub(super) struct CallId(u64);
 
 /// How the list is had.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
+pub(super) enum Mode {
     /// The watch always stands.
     Pushed,
     /// The watch stands once the module has subscribed; a failed call ends the subscription.
@@ -40,7 +40,7 @@
 
 /// What an answer says of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub(super) struct Answer {
     /// The version that it leads to.
     pub version: u64,
     /// Whether it is the whole list.
@@ -51,7 +51,7 @@
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Event {
+pub(super) enum Event {
     /// The module wants to be told of changes.
     Subscribed,
     /// Discovery has another address.
@@ -68,7 +68,7 @@
 
 /// What is to be done, in this order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Action {
+pub(super) enum Action {
     /// Call for changes since a version, or for the whole list.
     Call {
         /// Its number.
@@ -137,7 +137,7 @@
 }
 
 /// The watch.
-pub struct Watch {
+pub(super) struct Watch {
     mode: Mode,
     /// The version of the list that is known.
     version: Option<u64>,
@@ -151,7 +151,7 @@
 
 impl Watch {
     /// A watch that begins with the version of the list that the balancer already has, if any.
-    pub fn new(mode: Mode, version: Option<u64>) -> Watch {
+    pub(super) fn new(mode: Mode, version: Option<u64>) -> Watch {
         Watch {
             mode,
             version,
@@ -163,14 +163,14 @@
     }
 
     /// Begins; a pushed list is watched without a subscription.
-    pub fn start(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    pub(super) fn start(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if self.mode == Mode::Pushed {
             self.call(now, actions);
         }
     }
 
     /// When [`Watch::handle_timeout`] is due.
-    pub fn deadline(&self) -> Option<Instant> {
+    pub(super) fn deadline(&self) -> Option<Instant> {
         let ask_again = match self.state {
             State::Unasked => None,
             State::Calling(call) => Some(call.began + ASK_AGAIN),
@@ -181,7 +181,7 @@
     }
 
     /// Does what is due by now.
-    pub fn handle_timeout(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    pub(super) fn handle_timeout(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if let Some(call) = self.overdue.take_if(|call| now >= call.ends()) {
             actions.push(Action::Abandon(call.id));
         }
@@ -199,7 +199,7 @@
     }
 
     /// Takes what happened. Events of calls that were given up are ignored.
-    pub fn handle(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
+    pub(super) fn handle(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Subscribed => self.subscribed(now, actions),
             Event::Moved => self.moved(now, actions),
--- a/balancer/proxy/src/driver.rs
+++ b/balancer/proxy/src/driver.rs
@@ -9,8 +9,8 @@
 mod timers;
 mod watching;
 
-pub use requests::Waiting;
-pub use state::Handle;
+pub(crate) use requests::Waiting;
+pub(crate) use state::Handle;
 
 use crate::figures::{Ended as How, Figures};
 use crate::message::Answer;
@@ -29,14 +29,14 @@
 const TIMER_MOST: Millis = 71.0 * 60_000.0;
 
 /// Milliseconds since 1970, the module's clock, so that start times of upstreams need no conversion.
-pub fn unix_ms() -> Millis {
+pub(crate) fn unix_ms() -> Millis {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0.0, |d| d.as_secs_f64() * 1000.0)
 }
 
 /// What a driver is built from.
-pub struct Parts {
+pub(crate) struct Parts {
     /// The module.
     pub balancer: Balancer,
     /// When the module's clock read `start_ms`.
@@ -55,7 +55,7 @@
 
 impl Handle {
     /// Sets the driver up; [`Handle::run`] must run for its timers to fire.
-    pub fn new(parts: Parts) -> Handle {
+    pub(crate) fn new(parts: Parts) -> Handle {
         let Parts {
             balancer,
             start,
--- a/balancer/proxy/src/driver/keeping.rs
+++ b/balancer/proxy/src/driver/keeping.rs
@@ -7,7 +7,7 @@
 
 impl Handle {
     /// What became of writes of what outlives the program, if anything does.
-    pub fn kept(&self) -> Option<Written> {
+    pub(crate) fn kept(&self) -> Option<Written> {
         self.0
             .driver
             .borrow()
@@ -17,7 +17,7 @@
     }
 
     /// Waits a little until what outlives the program is on the disk.
-    pub fn flush(&self) {
+    pub(crate) fn flush(&self) {
         if let Some(recovery) = &self.0.driver.borrow().recovery {
             // Where it is not, the next start has the one before.
             recovery.flush();
@@ -25,7 +25,7 @@
     }
 
     /// Hands back what an earlier run of this balancer had learned.
-    pub fn restored(&self, learned: Learned, age: Millis) {
+    pub(crate) fn restored(&self, learned: Learned, age: Millis) {
         self.feed(Event::Restored {
             learned: Box::new(learned),
             age,
--- a/balancer/proxy/src/driver/list.rs
+++ b/balancer/proxy/src/driver/list.rs
@@ -7,7 +7,7 @@
 
 impl Handle {
     /// Whether an upstream is known that takes requests.
-    pub fn ready(&self) -> bool {
+    pub(crate) fn ready(&self) -> bool {
         let d = self.0.driver.borrow();
         d.upstreams
             .values()
@@ -15,12 +15,12 @@
     }
 
     /// Closes an idle connection to an upstream, if there is one: its socket is needed elsewhere.
-    pub fn free_socket(&self) {
+    pub(crate) fn free_socket(&self) {
         self.0.driver.borrow_mut().free_socket();
     }
 
     /// Takes the saved list.
-    pub fn cached(&self, listing: Option<&Listing>) {
+    pub(crate) fn cached(&self, listing: Option<&Listing>) {
         let members = listing.iter().flat_map(|l| l.members()).collect();
         if let Some(listing) = listing {
             self.0.driver.borrow_mut().note_list(listing, true);
--- a/balancer/proxy/src/driver/requests.rs
+++ b/balancer/proxy/src/driver/requests.rs
@@ -12,7 +12,7 @@
 const ANSWER_MARGIN: Millis = 5.0;
 
 /// A request that waits for its final answer. Dropping it tells the module that the client is gone.
-pub struct Waiting {
+pub(crate) struct Waiting {
     handle: Handle,
     id: RequestId,
     answer: oneshot::Receiver<Answer>,
@@ -21,7 +21,7 @@
 
 impl Waiting {
     /// The final answer.
-    pub async fn answer(mut self) -> Answer {
+    pub(crate) async fn answer(mut self) -> Answer {
         let answer = (&mut self.answer).await.unwrap_or(Answer::Failed);
         self.done = true;
         answer
@@ -38,12 +38,12 @@
 
 impl Handle {
     /// Which tenant's connection is to make way, by how many each holds.
-    pub fn furthest_over(&self, held: &[u32]) -> Option<usize> {
+    pub(crate) fn furthest_over(&self, held: &[u32]) -> Option<usize> {
         self.0.driver.borrow().balancer.furthest_over(held)
     }
 
     /// Requests that have no final answer yet.
-    pub fn open(&self) -> usize {
+    pub(crate) fn open(&self) -> usize {
         self.0
             .driver
             .borrow()
@@ -54,7 +54,7 @@
     }
 
     /// Takes a request: from now on one final answer is owed. `None`: more are open than may be.
-    pub fn take(
+    pub(crate) fn take(
         &self,
         class: usize,
         tenant: usize,
@@ -111,7 +111,7 @@
 
     /// Every request that is open, and every one that still comes, gets its final answer by `end`, however long its
     /// client would wait.
-    pub fn end_by(&self, end: Instant) {
+    pub(crate) fn end_by(&self, end: Instant) {
         let at = end - Duration::from_secs_f64(ANSWER_MARGIN / 1000.0);
         let by = {
             let mut d = self.0.driver.borrow_mut();
--- a/balancer/proxy/src/driver/state.rs
+++ b/balancer/proxy/src/driver/state.rs
@@ -82,7 +82,7 @@
 
 /// The driver as everything else sees it.
 #[derive(Clone)]
-pub struct Handle(pub(super) Rc<Shared>);
+pub(crate) struct Handle(pub(super) Rc<Shared>);
 
 impl Driver {
     /// The module's clock.
--- a/balancer/proxy/src/driver/tier.rs
+++ b/balancer/proxy/src/driver/tier.rs
@@ -4,12 +4,12 @@
 
 impl Handle {
     /// Tells the module what this copy has heard of its tier.
-    pub fn tier(&self, word: TierWord) {
+    pub(crate) fn tier(&self, word: TierWord) {
         self.feed(Event::Tier(Box::new(word)));
     }
 
     /// What the module observes, for the others.
-    pub fn observed(&self) -> Observed {
+    pub(crate) fn observed(&self) -> Observed {
         let mut d = self.0.driver.borrow_mut();
         let now = d.now();
         d.balancer.observed(now)
--- a/balancer/proxy/src/driver/timers.rs
+++ b/balancer/proxy/src/driver/timers.rs
@@ -14,7 +14,7 @@
 
 impl Handle {
     /// Fires timers for ever.
-    pub async fn run(&self) {
+    pub(crate) async fn run(&self) {
         {
             let mut d = self.0.driver.borrow_mut();
             d.set_timer(Instant::now() + SWEEP, Due::Sweep);
--- a/balancer/proxy/src/driver/watching.rs
+++ b/balancer/proxy/src/driver/watching.rs
@@ -5,7 +5,7 @@
 
 impl Handle {
     /// The figures with what holds now, if anything is counted.
-    pub fn figures<T>(&self, of: impl FnOnce(&Figures, Now) -> T) -> Option<T> {
+    pub(crate) fn figures<T>(&self, of: impl FnOnce(&Figures, Now) -> T) -> Option<T> {
         let d = self.0.driver.borrow();
         let ready = d
             .upstreams
--- a/balancer/proxy/src/ending.rs
+++ b/balancer/proxy/src/ending.rs
@@ -20,7 +20,7 @@
 const WRITTEN: Duration = Duration::from_millis(100);
 
 /// Ends `served`, the clients' side: all that is open or still comes is answered, and then clients are closed.
-pub async fn end(
+pub(crate) async fn end(
     name: &str,
     handle: &Handle,
     phase: &watch::Sender<Phase>,
--- a/balancer/proxy/src/figures.rs
+++ b/balancer/proxy/src/figures.rs
@@ -3,9 +3,9 @@
 mod peers;
 mod snapshot;
 
-pub use file::File;
-pub use peers::{Dropped, Peers, Sums};
-pub use snapshot::{Now, Snapshot, Times};
+pub(crate) use file::File;
+pub(crate) use peers::{Dropped, Peers, Sums};
+pub(crate) use snapshot::{Now, Snapshot, Times};
 
 use crate::log::Lines;
 use crate::recovery::Start;
@@ -18,7 +18,7 @@
 
 /// How a request ended here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub(crate) enum Ended {
     /// With an upstream's answer.
     Served,
     /// Refused by the module.
@@ -33,7 +33,7 @@
 
 impl Ended {
     /// Its name, in figures and events.
-    pub fn name(self) -> &'static str {
+    pub(crate) fn name(self) -> &'static str {
         match self {
             Ended::Served => "served",
             Ended::Refused(Refusal::OverLimit) => "refused_over_limit",
@@ -48,7 +48,7 @@
 }
 
 /// The counters.
-pub struct Figures {
+pub(crate) struct Figures {
     counts: Snapshot,
     to_answer: Histogram<u64>,
     to_end: Histogram<u64>,
@@ -63,7 +63,12 @@
 
 impl Figures {
     /// Nothing counted yet, for a balancer of this name and zone, at this start of it.
-    pub fn new(name: &str, zones: &[String], own_zone: u16, start: Option<Start>) -> Figures {
+    pub(crate) fn new(
+        name: &str,
+        zones: &[String],
+        own_zone: u16,
+        start: Option<Start>,
+    ) -> Figures {
         let (starts, incarnation) = (start.map(|s| s.count), start.map(|s| s.incarnation));
         let counts = Snapshot {
             name: name.into(),
@@ -81,19 +86,19 @@
     }
 
     /// A request was taken.
-    pub fn taken(&mut self) {
+    pub(crate) fn taken(&mut self) {
         self.counts.requests += 1;
     }
 
     /// It has ended, after so many milliseconds.
-    pub fn ended(&mut self, how: Ended, after: f64) {
+    pub(crate) fn ended(&mut self, how: Ended, after: f64) {
         *self.counts.ended.entry(how.name()).or_default() += 1;
         self.to_answer
             .saturating_record((after * 1000.0).max(0.0) as u64);
     }
 
     /// An attempt has begun, to an upstream of this zone.
-    pub fn attempt(&mut self, zone: u16) {
+    pub(crate) fn attempt(&mut self, zone: u16) {
         self.counts.attempts += 1;
         self.counts.crossings += u64::from(zone != self.own_zone);
         let name = self
@@ -109,14 +114,14 @@
     }
 
     /// An attempt has ended, after so many milliseconds.
-    pub fn attempt_ended(&mut self, how: Ending, after: f64) {
+    pub(crate) fn attempt_ended(&mut self, how: Ending, after: f64) {
         *self.counts.attempts_ended.entry(name_of(how)).or_default() += 1;
         self.to_end
             .saturating_record((after * 1000.0).max(0.0) as u64);
     }
 
     /// Discovery has answered, or a call has failed.
-    pub fn list(&mut self, answered: bool) {
+    pub(crate) fn list(&mut self, answered: bool) {
         if answered {
             self.counts.lists += 1;
         } else {
@@ -125,7 +130,7 @@
     }
 
     /// All counts, with what only others know.
-    pub fn snapshot(
+    pub(crate) fn snapshot(
         &self,
         now: Now,
         log: Lines,
@@ -151,7 +156,7 @@
 }
 
 /// The name of an attempt's end, in figures and events.
-pub fn name_of(how: Ending) -> &'static str {
+pub(crate) fn name_of(how: Ending) -> &'static str {
     match how {
         Ending::Ok => "served",
         Ending::Error => "error",
--- a/balancer/proxy/src/figures/file.rs
+++ b/balancer/proxy/src/figures/file.rs
@@ -10,7 +10,7 @@
 const FILE: &str = "figures.json";
 
 /// Writes snapshots to the file, on a thread of its own: a disk that stalls costs nobody else anything.
-pub struct File {
+pub(crate) struct File {
     to: Option<SyncSender<String>>,
     done: Receiver<()>,
     skipped: u64,
@@ -18,7 +18,7 @@
 
 impl File {
     /// The file in this folder.
-    pub fn start(dir: &Path) -> Result<File, String> {
+    pub(crate) fn start(dir: &Path) -> Result<File, String> {
         let (to, snapshots) = sync_channel::<String>(1);
         let (path, fresh) = (dir.join(FILE), dir.join(format!(".{FILE}.new")));
         let (tell, done) = channel::<()>();
@@ -51,14 +51,14 @@
     }
 
     /// Hands a snapshot over; it is left out if the one before is still under way.
-    pub fn write(&mut self, text: String) {
+    pub(crate) fn write(&mut self, text: String) {
         if let Some(Err(TrySendError::Full(_))) = self.to.as_ref().map(|to| to.try_send(text)) {
             self.skipped += 1;
         }
     }
 
     /// Snapshots left out so far.
-    pub fn skipped(&self) -> u64 {
+    pub(crate) fn skipped(&self) -> u64 {
         self.skipped
     }
 }
--- a/balancer/proxy/src/figures/peers.rs
+++ b/balancer/proxy/src/figures/peers.rs
@@ -3,7 +3,7 @@
 
 /// What this copy knows of its tier, and the datagrams that this took.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Peers {
+pub(crate) struct Peers {
     /// Copies that are up, this one included, and its place among them.
     pub up: u32,
     /// See there.
@@ -40,7 +40,7 @@
 
 /// Sums over the tier. Rates are per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Sums {
+pub(crate) struct Sums {
     /// The oldest figure in them is at most this old.
     pub age_ms: f64,
     /// Copies whose figures are in them.
@@ -63,7 +63,7 @@
 
 /// Datagrams that counted for nothing, by why.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Dropped {
+pub(crate) struct Dropped {
     /// From an address that is none of the tier's.
     pub unknown: u64,
     /// Longer than any may be.
--- a/balancer/proxy/src/figures/snapshot.rs
+++ b/balancer/proxy/src/figures/snapshot.rs
@@ -8,7 +8,7 @@
 
 /// Percentiles of some times, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Times {
+pub(crate) struct Times {
     /// How many.
     pub count: u64,
     /// Half were shorter.
@@ -36,7 +36,7 @@
 
 /// Everything that is counted, since the program started.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Snapshot {
+pub(crate) struct Snapshot {
     /// The balancer's name.
     pub name: String,
     /// When this was taken: Unix time, in milliseconds.
@@ -86,7 +86,7 @@
 
 /// What holds at the moment of a snapshot.
 #[derive(Clone, Copy, Debug)]
-pub struct Now {
+pub(crate) struct Now {
     /// Unix time, in milliseconds.
     pub at_ms: f64,
     /// Time since the start.
--- a/balancer/proxy/src/held.rs
+++ b/balancer/proxy/src/held.rs
@@ -5,16 +5,16 @@
 
 /// How many connections each tenant's clients hold.
 #[derive(Clone, Default)]
-pub struct Held(Rc<RefCell<Vec<u32>>>);
+pub(crate) struct Held(Rc<RefCell<Vec<u32>>>);
 
 impl Held {
     /// Nobody holds any.
-    pub fn new(tenants: usize) -> Held {
+    pub(crate) fn new(tenants: usize) -> Held {
         Held(Rc::new(RefCell::new(vec![0; tenants])))
     }
 
     /// One more connection, counted until it is dropped.
-    pub fn connection(&self) -> Connection {
+    pub(crate) fn connection(&self) -> Connection {
         Connection {
             held: self.clone(),
             tenant: Cell::new(None),
@@ -22,7 +22,7 @@
     }
 
     /// The counts, by the tenant's position.
-    pub fn counts(&self) -> Vec<u32> {
+    pub(crate) fn counts(&self) -> Vec<u32> {
         self.0.borrow().clone()
     }
 
@@ -35,19 +35,19 @@
 }
 
 /// A client's connection.
-pub struct Connection {
+pub(crate) struct Connection {
     held: Held,
     tenant: Cell<Option<usize>>,
 }
 
 impl Connection {
     /// The tenant of its last request, once there was one.
-    pub fn tenant(&self) -> Option<usize> {
+    pub(crate) fn tenant(&self) -> Option<usize> {
         self.tenant.get()
     }
 
     /// Its last request was this tenant's.
-    pub fn is_of(&self, tenant: usize) {
+    pub(crate) fn is_of(&self, tenant: usize) {
         self.held.change(self.tenant.replace(Some(tenant)), -1);
         self.held.change(Some(tenant), 1);
     }
--- a/balancer/proxy/src/listing.rs
+++ b/balancer/proxy/src/listing.rs
@@ -160,14 +160,14 @@
 
 /// The whole list as it stands, in discovery's form, to be kept.
 #[derive(Default)]
-pub struct Roster {
+pub(crate) struct Roster {
     version: u64,
     entries: BTreeMap<String, RawEntry>,
 }
 
 impl Roster {
     /// Takes an answer of discovery. What is gone is not kept.
-    pub fn apply(&mut self, listing: &Listing) {
+    pub(crate) fn apply(&mut self, listing: &Listing) {
         self.version = listing.version;
         if listing.full {
             self.entries.clear();
@@ -181,7 +181,7 @@
     }
 
     /// It as text, as discovery would write it.
-    pub fn text(&self) -> String {
+    pub(crate) fn text(&self) -> String {
         let servers = self.entries.values().cloned().collect();
         // Names and finite numbers only: there is nothing in it that JSON can't hold.
         serde_json::to_string(&RawListing {
@@ -194,7 +194,7 @@
 }
 
 /// Who uses the list: asks for it, and is told what came of that.
-pub trait ListUser {
+pub(crate) trait ListUser {
     /// Waits until a subscription is wanted.
     async fn subscribed(&self);
     /// Takes an answer of discovery.
--- a/balancer/proxy/src/log.rs
+++ b/balancer/proxy/src/log.rs
@@ -22,7 +22,7 @@
 const WAITING: usize = 1024;
 
 /// The log while the program runs; what waits is written when this is dropped.
-pub struct Logging {
+pub(crate) struct Logging {
     filter: reload::Handle<Targets, Registry>,
     shared: Arc<Shared>,
     dropped: ErrorCounter,
@@ -39,7 +39,7 @@
 
 /// What became of the lines so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
-pub struct Lines {
+pub(crate) struct Lines {
     /// Handed to the reader.
     pub written: u64,
     /// Left out because their cause was over its rate.
@@ -66,7 +66,7 @@
 
 impl Logging {
     /// Starts it.
-    pub fn start(of: &Log) -> Result<Logging, String> {
+    pub(crate) fn start(of: &Log) -> Result<Logging, String> {
         let builder = NonBlockingBuilder::default()
             .lossy(true)
             .buffered_lines_limit(WAITING);
@@ -96,7 +96,7 @@
     }
 
     /// Takes over what may change while the program runs.
-    pub fn change(&self, to: &Log) {
+    pub(crate) fn change(&self, to: &Log) {
         self.shared
             .rate
             .store(u64::from(to.rate), Ordering::Relaxed);
@@ -105,7 +105,7 @@
     }
 
     /// What became of the lines so far.
-    pub fn lines(&self) -> Lines {
+    pub(crate) fn lines(&self) -> Lines {
         Lines {
             written: self.shared.written.load(Ordering::Relaxed),
             left_out: self.shared.left_out.load(Ordering::Relaxed),
--- a/balancer/proxy/src/message.rs
+++ b/balancer/proxy/src/message.rs
@@ -8,9 +8,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Bodies hold at most this much, both ways.
-pub const BODY_MOST: usize = 64 << 10;
+pub(crate) const BODY_MOST: usize = 64 << 10;
 /// Tells how long an attempt will be waited for.
-pub const DEADLINE: HeaderName = HeaderName::from_static("req-deadline");
+pub(crate) const DEADLINE: HeaderName = HeaderName::from_static("req-deadline");
 
 /// Headers that belong to one connection and are not passed on.
 const HOP: [HeaderName; 8] = [
@@ -25,7 +25,7 @@
 ];
 
 /// Takes out the headers that belong to one connection; the length of a body is framed anew.
-pub fn end_to_end(headers: &mut HeaderMap) {
+pub(crate) fn end_to_end(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -43,7 +43,7 @@
 }
 
 /// A request as it goes on to upstreams.
-pub struct Outgoing {
+pub(crate) struct Outgoing {
     /// Its method.
     pub method: Method,
     /// Path and query.
@@ -58,7 +58,7 @@
 
 /// The one final answer to a request.
 #[derive(Debug)]
-pub enum Answer {
+pub(crate) enum Answer {
     /// An upstream's answer.
     Served {
         /// Its end-to-end headers.
@@ -77,7 +77,7 @@
 
 impl Outgoing {
     /// Its id, for the log.
-    pub fn id(&self) -> &str {
+    pub(crate) fn id(&self) -> &str {
         self.headers
             .get("req-id")
             .and_then(|id| id.to_str().ok())
@@ -86,7 +86,7 @@
 
     /// A hash of its key, which a client's next try has as well; without one of its id. Not of the path: requests of
     /// one path may be half of all, and what is shed by it would be all of them or none.
-    pub fn tie(&self) -> u64 {
+    pub(crate) fn tie(&self) -> u64 {
         let key = self
             .headers
             .get("idempotency-key")
@@ -96,7 +96,7 @@
     }
 
     /// The request, for one attempt.
-    pub fn request(&self) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
+    pub(crate) fn request(&self) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
         let mut request = Request::builder()
             .method(self.method.clone())
             .uri(self.target.clone())
--- a/balancer/proxy/src/peers.rs
+++ b/balancer/proxy/src/peers.rs
@@ -5,7 +5,7 @@
 mod start;
 mod words;
 
-pub use addresses::{Addresses, Unread};
+pub(crate) use addresses::{Addresses, Unread};
 pub use words::word;
 
 use crate::driver::Handle;
@@ -29,7 +29,7 @@
 const PAUSE: Duration = Duration::from_millis(1);
 
 /// What this copy is in its tier.
-pub struct Parts<'a> {
+pub(crate) struct Parts<'a> {
     /// The settings.
     pub deployment: &'a Deployment,
     /// What the configuration says of peers.
@@ -43,7 +43,7 @@
 }
 
 /// Where the copies of the tier hear each other, or why they may not or cannot.
-pub fn addresses(d: &Deployment, said: &Unread) -> Result<Addresses, String> {
+pub(crate) fn addresses(d: &Deployment, said: &Unread) -> Result<Addresses, String> {
     if !d.peers {
         return Err("settings.permissions.peers: datagrams are not allowed".into());
     }
@@ -52,7 +52,7 @@
 
 /// This copy's part in its tier.
 #[derive(Clone)]
-pub struct Tier(Rc<Shared>);
+pub(crate) struct Tier(Rc<Shared>);
 
 struct Shared {
     start: Instant,
@@ -62,7 +62,7 @@
 
 impl Tier {
     /// Opens the socket; [`Tier::run`] must run for anything to come of it.
-    pub fn start(parts: Parts<'_>) -> Result<Tier, String> {
+    pub(crate) fn start(parts: Parts<'_>) -> Result<Tier, String> {
         let Parts {
             deployment,
             incarnation,
@@ -93,7 +93,7 @@
     }
 
     /// Speaks with the others for ever: tells the driver what the tier knows, and the tier what it observes.
-    pub async fn run(self, driver: Handle, held: Held, options: watch::Receiver<Options>) {
+    pub(crate) async fn run(self, driver: Handle, held: Held, options: watch::Receiver<Options>) {
         let Shared { end, peers, .. } = &*self.0;
         let (mut word_at, mut observe_at) = (WORD_EVERY, 0.0);
         loop {
@@ -135,13 +135,13 @@
     }
 
     /// Tells the others that this copy ends.
-    pub fn leave(&self) {
+    pub(crate) fn leave(&self) {
         self.0.peers.borrow_mut().leave(self.now());
         self.send_and_tell();
     }
 
     /// What is known and was counted.
-    pub fn figures(&self) -> figures::Peers {
+    pub(crate) fn figures(&self) -> figures::Peers {
         let mut peers = self.0.peers.borrow_mut();
         let word = peers.word(self.now());
         words::figures(&word, peers.counts(), self.0.end.dropped())
--- a/balancer/proxy/src/peers/addresses.rs
+++ b/balancer/proxy/src/peers/addresses.rs
@@ -7,7 +7,7 @@
 
 /// What the configuration says of peers, unread.
 #[derive(Clone, Debug, Default)]
-pub struct Unread {
+pub(crate) struct Unread {
     /// `peer_listen`
     pub listen: Value,
     /// `peers`
@@ -16,7 +16,7 @@
 
 /// Where this copy hears the others, and where each of the tier hears this one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Addresses {
+pub(crate) struct Addresses {
     /// Where this copy listens.
     pub listen: SocketAddr,
     /// An address for each copy of the tier, its own included, in the order of their numbers.
@@ -25,7 +25,7 @@
 
 impl Unread {
     /// Reads it for a tier of so many copies; names the field at fault.
-    pub fn read(&self, copies: u32) -> Result<Addresses, String> {
+    pub(crate) fn read(&self, copies: u32) -> Result<Addresses, String> {
         let listen = address(&self.listen).map_err(|what| format!("peer_listen: {what}"))?;
         let list = match &self.peers {
             Value::Array(list) => list,
@@ -71,7 +71,7 @@
 
 impl Addresses {
     /// Who sends from which address.
-    pub fn senders(&self) -> HashMap<SocketAddr, Member> {
+    pub(crate) fn senders(&self) -> HashMap<SocketAddr, Member> {
         // There are no more than a member's number can tell apart.
         (0u16..)
             .zip(&self.peers)
--- a/balancer/proxy/src/peers/end.rs
+++ b/balancer/proxy/src/peers/end.rs
@@ -14,7 +14,7 @@
 const WAITED_MOST: Millis = 500.0;
 
 /// This copy's end of the wire.
-pub struct End {
+pub(super) struct End {
     socket: UdpSocket,
     /// The same socket, to wait on it alone: what the runtime believes of it may be older than what waits there.
     waits: tokio::net::UdpSocket,
@@ -27,7 +27,7 @@
 
 impl End {
     /// Listens.
-    pub fn bind(addresses: Addresses) -> Result<End> {
+    pub(super) fn bind(addresses: Addresses) -> Result<End> {
         let socket = UdpSocket::bind(addresses.listen)?;
         socket.set_nonblocking(true)?;
         let waits = tokio::net::UdpSocket::from_std(socket.try_clone()?)?;
@@ -43,12 +43,12 @@
     }
 
     /// Where it listens.
-    pub fn address(&self) -> Result<SocketAddr> {
+    pub(super) fn address(&self) -> Result<SocketAddr> {
         self.socket.local_addr()
     }
 
     /// Waits until something may have come. What comes from now on ends the next wait.
-    pub async fn readable(&self) {
+    pub(super) async fn readable(&self) {
         if self.waits.readable().await.is_err() {
             // The runtime is at its end.
             std::future::pending().await
@@ -59,7 +59,7 @@
     }
 
     /// Hands on up to `most` of the datagrams that wait. Returns whether more may.
-    pub fn take(
+    pub(super) fn take(
         &self,
         most: usize,
         now: impl Fn() -> Millis,
@@ -90,7 +90,7 @@
     }
 
     /// Sends, if the system takes it at once.
-    pub fn send(&self, datagram: &Transmit) {
+    pub(super) fn send(&self, datagram: &Transmit) {
         let sent = match self.to.get(usize::from(datagram.to.0)) {
             Some(to) if datagram.bytes.len() <= DATAGRAM_MOST => {
                 self.socket.send_to(&datagram.bytes, to).is_ok()
@@ -103,7 +103,7 @@
     }
 
     /// What was dropped here.
-    pub fn dropped(&self) -> Dropped {
+    pub(super) fn dropped(&self) -> Dropped {
         self.dropped.get()
     }
 
--- a/balancer/proxy/src/peers/start.rs
+++ b/balancer/proxy/src/peers/start.rs
@@ -3,7 +3,7 @@
 use balancer_settings::Deployment;
 
 /// Its configuration at one start of this copy.
-pub fn config(d: &Deployment, incarnation: u64, seed: u64, version_most: u8) -> Config {
+pub(super) fn config(d: &Deployment, incarnation: u64, seed: u64, version_most: u8) -> Config {
     let number = |n: u32| u16::try_from(n).unwrap_or(u16::MAX);
     Config {
         own: Member(number(d.policy.index)),
--- a/balancer/proxy/src/peers/words.rs
+++ b/balancer/proxy/src/peers/words.rs
@@ -9,7 +9,7 @@
 use balancer_gossip as peers;
 
 /// What the module observes, with the connections that each tenant's callers hold.
-pub fn own(observed: Observed, callers: &[u32]) -> peers::Own {
+pub(super) fn own(observed: Observed, callers: &[u32]) -> peers::Own {
     let Observed {
         load,
         against,
@@ -118,7 +118,7 @@
 }
 
 /// The same for an operator, whatever the decisions may hear.
-pub fn figures(
+pub(super) fn figures(
     word: &peers::Word,
     counts: peers::Counts,
     here: figures::Dropped,
--- a/balancer/proxy/src/recovery.rs
+++ b/balancer/proxy/src/recovery.rs
@@ -18,14 +18,14 @@
 /// A clock may have gone back by this much without what was written then counting as of the future.
 const CLOCK_BACK: Duration = Duration::from_secs(60);
 /// Time for what is on its way to the disk when the program ends.
-pub const LAST_WRITE: Duration = Duration::from_millis(200);
+pub(crate) const LAST_WRITE: Duration = Duration::from_millis(200);
 
 /// Random bits below the time in the number of a start: two starts in one millisecond, on a clock that went back and with
 /// a folder that was lost, still get different ones.
 const RANDOM_BITS: u32 = 20;
 
 /// What is kept from now on.
-pub struct Recovery {
+pub(crate) struct Recovery {
     keeper: Keeper,
     roster: Roster,
     /// A fingerprint of all settings of the decisions: what they learned under others says nothing.
@@ -37,7 +37,7 @@
 /// Which start of the balancer this is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Start {
+pub(crate) struct Start {
     /// How many there were, this one included; begins anew with a folder that was lost.
     pub count: u64,
     /// A number that no other start of this balancer has: more than all that its folder knows of, and, where that was
@@ -47,7 +47,7 @@
 
 impl Start {
     /// One that nothing is kept of: its number is made of the time and of chance.
-    pub fn unkept() -> Start {
+    pub(crate) fn unkept() -> Start {
         Start::after(None, unix_ms(), rand::thread_rng().gen())
     }
 
@@ -85,7 +85,7 @@
 
 /// What was found; by default nothing.
 #[derive(Default)]
-pub struct Recovered {
+pub(crate) struct Recovered {
     /// Where to keep things; nowhere if the disk does not let us.
     pub recovery: Option<Recovery>,
     /// Which start this is. It is on the disk.
@@ -97,7 +97,7 @@
 }
 
 /// Whose state it is: its name, and what the positions in its state mean.
-pub fn owner(name: &str, d: &Deployment) -> Owner {
+pub(crate) fn owner(name: &str, d: &Deployment) -> Owner {
     let lists = [&d.zones, &d.kinds, &d.classes, &d.tenants];
     let mut hash = crc32fast::Hasher::new();
     for list in lists {
@@ -168,7 +168,7 @@
 }
 
 /// Opens the folder that the options name. Whatever is wrong is told in one line, and the balancer goes on without.
-pub fn open(
+pub(crate) fn open(
     options: &options::Recovery,
     owner: Owner,
     names: &Names,
@@ -311,14 +311,14 @@
 
 impl Recovery {
     /// Keeps the list as it stands after an answer of discovery.
-    pub fn listed(&mut self, listing: &Listing) {
+    pub(crate) fn listed(&mut self, listing: &Listing) {
         self.roster.apply(listing);
         self.keeper.keep(Kind::Upstreams, self.roster.text());
         self.tell_failure();
     }
 
     /// Keeps what the decisions have learned.
-    pub fn learned(&self, learned: Learned) {
+    pub(crate) fn learned(&self, learned: Learned) {
         let lesson = Lesson {
             policy: self.policy,
             learned,
@@ -332,7 +332,7 @@
     }
 
     /// How often what was learned is to be kept.
-    pub fn every(&self) -> Duration {
+    pub(crate) fn every(&self) -> Duration {
         self.every
     }
 
@@ -343,18 +343,18 @@
     }
 
     /// What became of writes so far.
-    pub fn written(&self) -> Written {
+    pub(crate) fn written(&self) -> Written {
         self.keeper.written()
     }
 
     /// Waits a little for what is on its way to the disk.
-    pub fn flush(&self) -> bool {
+    pub(crate) fn flush(&self) -> bool {
         self.keeper.flush(LAST_WRITE)
     }
 }
 
 /// What a folder holds, a line for each kind, and whether all of it can be used.
-pub fn shown(dir: &Path) -> Result<(String, bool), String> {
+pub(crate) fn shown(dir: &Path) -> Result<(String, bool), String> {
     let lines = look(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
     let (mut text, mut sound) = (String::new(), true);
     for line in lines {
--- a/balancer/proxy/src/reload.rs
+++ b/balancer/proxy/src/reload.rs
@@ -7,7 +7,7 @@
 
 /// Reads configuration and options again. Each is taken over whole or not at all, and by itself: what cannot be read,
 /// and what cannot change while the program runs, changes nothing.
-pub struct Reload<'a> {
+pub(crate) struct Reload<'a> {
     /// The balancer's name.
     pub name: &'a str,
     /// What stays as it was at the start.
@@ -24,7 +24,7 @@
 
 impl Reload<'_> {
     /// Does it, and tells of it.
-    pub fn again(&self) {
+    pub(crate) fn again(&self) {
         let name = self.name;
         match Config::load() {
             Ok(config) => {
--- a/balancer/proxy/src/serve.rs
+++ b/balancer/proxy/src/serve.rs
@@ -23,7 +23,7 @@
 use tokio::time::Instant;
 
 /// Serves until it is told to end, or until something without which nothing is served has stopped.
-pub async fn run(
+pub(crate) async fn run(
     config: Config,
     sources: Sources,
     options: Options,
--- a/balancer/proxy/src/signals.rs
+++ b/balancer/proxy/src/signals.rs
@@ -2,7 +2,7 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
 /// The signals, from the moment that they no longer end the process by themselves.
-pub struct Signals {
+pub(crate) struct Signals {
     terminate: Signal,
     interrupt: Signal,
     hang_up: Signal,
@@ -10,7 +10,7 @@
 
 impl Signals {
     /// Takes the signals over from the system.
-    pub fn listen() -> Result<Signals, String> {
+    pub(crate) fn listen() -> Result<Signals, String> {
         let listen = |kind| signal(kind).map_err(|e| e.to_string());
         let terminate = listen(SignalKind::terminate())?;
         let interrupt = listen(SignalKind::interrupt())?;
@@ -23,7 +23,7 @@
     }
 
     /// The signals to end, and those to read everything again.
-    pub fn split(self) -> (EndSignals, Signal) {
+    pub(crate) fn split(self) -> (EndSignals, Signal) {
         (
             EndSignals {
                 terminate: self.terminate,
@@ -35,14 +35,14 @@
 }
 
 /// SIGTERM and SIGINT.
-pub struct EndSignals {
+pub(crate) struct EndSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl EndSignals {
     /// Waits until the program is told to end.
-    pub async fn received(&mut self) {
+    pub(crate) async fn received(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
--- a/balancer/proxy/src/snapshots.rs
+++ b/balancer/proxy/src/snapshots.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 
 /// Makes a snapshot of the figures now and then, and one when it is told to end.
-pub async fn tell(
+pub(crate) async fn tell(
     handle: Handle,
     tier: Option<Tier>,
     mut options: watch::Receiver<Options>,
--- a/balancer/proxy/src/sockets.rs
+++ b/balancer/proxy/src/sockets.rs
@@ -7,14 +7,14 @@
 
 /// Counts the sockets that are open and those that still may be.
 #[derive(Clone)]
-pub struct Sockets {
+pub(crate) struct Sockets {
     all: Arc<Semaphore>,
     clients: Arc<Semaphore>,
     clients_most: u32,
 }
 
 /// A client's slot in the budget, given back when dropped.
-pub struct ClientSlot {
+pub(crate) struct ClientSlot {
     _all: OwnedSemaphorePermit,
     _client: OwnedSemaphorePermit,
 }
@@ -22,7 +22,7 @@
 impl Sockets {
     /// A budget under this many descriptors. Clients may hold three quarters of it, so that there is always a
     /// way on to the upstreams; upstreams may hold all that clients leave.
-    pub fn new(descriptors: usize) -> Sockets {
+    pub(crate) fn new(descriptors: usize) -> Sockets {
         let budget = u32::try_from(descriptors.saturating_sub(SPARE))
             .unwrap_or(u32::MAX)
             .min(1 << 20);
@@ -36,7 +36,7 @@
     }
 
     /// A slot for a client, if there is one now.
-    pub fn client(&self) -> Option<ClientSlot> {
+    pub(crate) fn client(&self) -> Option<ClientSlot> {
         let _client = self.clients.clone().try_acquire_owned().ok()?;
         Some(ClientSlot {
             _client,
@@ -45,7 +45,7 @@
     }
 
     /// A slot for a client, once there is one.
-    pub async fn client_waits(&self) -> Option<ClientSlot> {
+    pub(crate) async fn client_waits(&self) -> Option<ClientSlot> {
         let _client = self.clients.clone().acquire_owned().await.ok()?;
         Some(ClientSlot {
             _client,
@@ -54,17 +54,17 @@
     }
 
     /// A slot for a connection to an upstream, if there is one now.
-    pub fn upstream(&self) -> Option<OwnedSemaphorePermit> {
+    pub(crate) fn upstream(&self) -> Option<OwnedSemaphorePermit> {
         self.all.clone().try_acquire_owned().ok()
     }
 
     /// Whether nothing more may be opened.
-    pub fn exhausted(&self) -> bool {
+    pub(crate) fn exhausted(&self) -> bool {
         self.all.available_permits() == 0
     }
 
     /// Waits until no client is connected.
-    pub async fn clients_left(&self) {
+    pub(crate) async fn clients_left(&self) {
         let _all = self.clients.acquire_many(self.clients_most).await;
     }
 }
--- a/balancer/proxy/src/upstreams/attempt.rs
+++ b/balancer/proxy/src/upstreams/attempt.rs
@@ -29,7 +29,7 @@
 const DECLINED: HeaderName = HeaderName::from_static("srv-declined");
 
 /// How an attempt ended.
-pub struct Ended {
+pub(crate) struct Ended {
     /// What the module is told.
     pub ending: Ending,
     /// The answer, if the request was served.
@@ -42,7 +42,7 @@
 
 /// What all attempts share.
 #[derive(Clone)]
-pub struct Transport {
+pub(crate) struct Transport {
     /// A connection that is not up after this long counts as refused.
     pub dial_timeout: Duration,
     /// Connections are closed when idle for this long.
@@ -53,7 +53,7 @@
 
 impl Transport {
     /// `idle_close` is when upstreams close idle connections.
-    pub fn new(dial_timeout: Duration, idle_close: Duration, sockets: Sockets) -> Self {
+    pub(crate) fn new(dial_timeout: Duration, idle_close: Duration, sockets: Sockets) -> Self {
         let idle = idle_close.saturating_sub(IDLE_MARGIN).max(idle_close / 2);
         Transport {
             dial_timeout,
@@ -119,7 +119,7 @@
 
     /// Carries one attempt out: its request is written once at most, and not after the first of `times`; it ends by
     /// the second. Dropping the future closes the connection.
-    pub async fn attempt(
+    pub(crate) async fn attempt(
         &self,
         to: Rc<Upstream>,
         out: Rc<Outgoing>,
--- a/balancer/proxy/src/upstreams/connection.rs
+++ b/balancer/proxy/src/upstreams/connection.rs
@@ -12,7 +12,7 @@
 use tokio::task::AbortHandle;
 
 /// One open connection; closed when dropped.
-pub struct Connection {
+pub(super) struct Connection {
     /// Where requests are handed to it.
     pub sender: http1::SendRequest<Full<Bytes>>,
     /// How far the request that it carries is written.
@@ -29,7 +29,10 @@
 
 impl Connection {
     /// Connects to `address`; `None` if that fails.
-    pub async fn dial(address: SocketAddr, permit: OwnedSemaphorePermit) -> Option<Connection> {
+    pub(super) async fn dial(
+        address: SocketAddr,
+        permit: OwnedSemaphorePermit,
+    ) -> Option<Connection> {
         let stream = TcpStream::connect(address).await.ok()?;
         stream.set_nodelay(true).ok()?;
         let write = RequestWrite::new();
--- a/balancer/proxy/src/upstreams/load_report.rs
+++ b/balancer/proxy/src/upstreams/load_report.rs
@@ -4,12 +4,12 @@
 /// The header that carries a load report.
 const LOAD: HeaderName = HeaderName::from_static("srv-load");
 /// The field for the requests that the upstream holds.
-pub const HELD: &str = "inflight";
+pub(super) const HELD: &str = "inflight";
 /// The field for the requests a second that it serves.
-pub const SERVED: &str = "qps";
+pub(super) const SERVED: &str = "qps";
 
 /// A figure of an answer's load report. What cannot be read is no report.
-pub fn reported(headers: &HeaderMap, name: &str) -> Option<f64> {
+pub(super) fn reported(headers: &HeaderMap, name: &str) -> Option<f64> {
     let report = headers.get(LOAD)?.to_str().ok()?.trim();
     let fields = report
         .strip_prefix("TEXT ")?
--- a/balancer/proxy/src/upstreams/mod.rs
+++ b/balancer/proxy/src/upstreams/mod.rs
@@ -5,5 +5,5 @@
 mod pool;
 mod request_write;
 
-pub use attempt::{Ended, Transport};
-pub use pool::Upstream;
+pub(crate) use attempt::{Ended, Transport};
+pub(crate) use pool::Upstream;
--- a/balancer/proxy/src/upstreams/pool.rs
+++ b/balancer/proxy/src/upstreams/pool.rs
@@ -16,7 +16,7 @@
 }
 
 /// One upstream: where it is, and the connections to it that carry nothing now.
-pub struct Upstream {
+pub(crate) struct Upstream {
     /// Its name in discovery.
     pub name: String,
     /// Its zone, by position.
@@ -31,7 +31,7 @@
 
 impl Upstream {
     /// An upstream that nothing is connected to yet.
-    pub fn new(name: String, zone: u16, addr: SocketAddr) -> Rc<Upstream> {
+    pub(crate) fn new(name: String, zone: u16, addr: SocketAddr) -> Rc<Upstream> {
         let (addr, closed, idle) = (Cell::new(addr), Cell::new(false), RefCell::default());
         Rc::new(Upstream {
             name,
@@ -43,24 +43,24 @@
     }
 
     /// Closes the connections that carry no call now.
-    pub fn close_idle(&self) {
+    pub(crate) fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
     /// Closes the connections that have been idle for longer than `most`, and those the other side closed.
-    pub fn sweep(&self, now: Instant, most: Duration) {
+    pub(crate) fn sweep(&self, now: Instant, most: Duration) {
         self.idle
             .borrow_mut()
             .retain(|i| !i.connection.sender.is_closed() && now - i.since < most);
     }
 
     /// Since when the connection that was idle longest is idle.
-    pub fn oldest_idle(&self) -> Option<Instant> {
+    pub(crate) fn oldest_idle(&self) -> Option<Instant> {
         self.idle.borrow().first().map(|i| i.since)
     }
 
     /// Closes the connection that was idle longest.
-    pub fn drop_oldest(&self) {
+    pub(crate) fn drop_oldest(&self) {
         let mut idle = self.idle.borrow_mut();
         if !idle.is_empty() {
             idle.remove(0);
--- a/balancer/proxy/src/upstreams/request_write.rs
+++ b/balancer/proxy/src/upstreams/request_write.rs
@@ -12,7 +12,7 @@
 
 /// How much of a request the system has taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Progress {
+pub(super) enum Progress {
     /// Not a byte: another connection may carry it.
     Unwritten,
     /// Not all: it never runs if the connection ends now.
@@ -23,7 +23,7 @@
 
 /// Why a request was not written, or not to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub(super) enum Refused {
     /// The request has ended, or nothing more may be written to this upstream.
     Over,
     /// What its head says has grown too old.
@@ -35,7 +35,7 @@
 type Permission = Box<dyn Fn(Progress) -> Result<(), Refused>>;
 
 /// The request that a connection carries now, as far as it is written.
-pub struct RequestWrite {
+pub(super) struct RequestWrite {
     permission: RefCell<Option<Permission>>,
     /// Bytes of it that the system has not taken; known once its first write is tried.
     missing: Cell<Option<usize>>,
@@ -47,7 +47,7 @@
 
 impl RequestWrite {
     /// A connection that carries nothing yet.
-    pub fn new() -> Rc<RequestWrite> {
+    pub(super) fn new() -> Rc<RequestWrite> {
         Rc::new(RequestWrite {
             permission: RefCell::default(),
             missing: Cell::new(None),
@@ -58,7 +58,7 @@
     }
 
     /// A request is about to be handed over. `permission` is asked before each write, until the request is whole.
-    pub fn begin(&self, permission: impl Fn(Progress) -> Result<(), Refused> + 'static) {
+    pub(super) fn begin(&self, permission: impl Fn(Progress) -> Result<(), Refused> + 'static) {
         *self.permission.borrow_mut() = Some(Box::new(permission));
         self.missing.set(None);
         self.progress.set(Progress::Unwritten);
@@ -67,12 +67,12 @@
     }
 
     /// How much of the request has been written.
-    pub fn progress(&self) -> Progress {
+    pub(super) fn progress(&self) -> Progress {
         self.progress.get()
     }
 
     /// Why it was not written, if a check refused it.
-    pub fn refused(&self) -> Option<Refused> {
+    pub(super) fn refused(&self) -> Option<Refused> {
         self.refused.get()
     }
 
@@ -124,14 +124,14 @@
 }
 
 /// A connection whose writes are checked.
-pub struct CheckedStream {
+pub(super) struct CheckedStream {
     stream: TcpStream,
     request: Rc<RequestWrite>,
 }
 
 impl CheckedStream {
     /// Checks what is written to `stream` for `request`.
-    pub fn new(stream: TcpStream, request: Rc<RequestWrite>) -> CheckedStream {
+    pub(super) fn new(stream: TcpStream, request: Rc<RequestWrite>) -> CheckedStream {
         CheckedStream { stream, request }
     }
 }
--- a/balancer/proxy/tests/common/agent.rs
+++ b/balancer/proxy/tests/common/agent.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// What it does with one call.
-pub enum Manner {
+pub(crate) enum Manner {
     /// Says nothing; the connection stays up.
     Silent,
     /// Ends the connection without an answer.
@@ -28,14 +28,14 @@
 }
 
 /// The running fake; each call is told with its number's moment and its path.
-pub struct Agent {
+pub(crate) struct Agent {
     pub addr: SocketAddr,
     pub calls: Receiver<(Instant, String)>,
 }
 
 impl Agent {
     /// `manner` gets the number of the call, from 0, and its path.
-    pub fn start(manner: impl Fn(usize, &str) -> Manner + Send + Sync + 'static) -> Agent {
+    pub(crate) fn start(manner: impl Fn(usize, &str) -> Manner + Send + Sync + 'static) -> Agent {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let addr = listener.local_addr().expect("an address");
         let (tell, calls) = channel();
@@ -60,12 +60,12 @@
     }
 
     /// The next call's path.
-    pub fn called(&self) -> String {
+    pub(crate) fn called(&self) -> String {
         self.calls.recv_timeout(PATIENCE).expect("a call").1
     }
 
     /// Waits for a call with this in its path.
-    pub fn called_with(&self, part: &str) {
+    pub(crate) fn called_with(&self, part: &str) {
         while !self.called().contains(part) {}
     }
 }
--- a/balancer/proxy/tests/common/client.rs
+++ b/balancer/proxy/tests/common/client.rs
@@ -5,28 +5,28 @@
 use std::thread;
 use std::time::Instant;
 
-pub struct Client(BufReader<TcpStream>);
+pub(crate) struct Client(BufReader<TcpStream>);
 
 impl Client {
     /// `None`: nobody listens there.
-    pub fn connect(addr: SocketAddr) -> Option<Client> {
+    pub(crate) fn connect(addr: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(addr).ok()?;
         stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
         Some(Client(BufReader::new(stream)))
     }
 
-    pub fn send(&mut self, text: &str) {
+    pub(crate) fn send(&mut self, text: &str) {
         // A connection that was closed shows in the answer.
         let _ = self.0.get_mut().write_all(text.as_bytes());
     }
 
     /// The next answer; `None` when the connection ended.
-    pub fn answer(&mut self) -> Option<Message> {
+    pub(crate) fn answer(&mut self) -> Option<Message> {
         read(&mut self.0)
     }
 
     /// Closes the connection and waits until the balancer's side of the system has its end.
-    pub fn leave(self) {
+    pub(crate) fn leave(self) {
         let port = self.0.get_ref().local_addr().expect("an address").port();
         drop(self);
         let began = Instant::now();
@@ -37,7 +37,7 @@
     }
 
     /// Waits until the balancer closes the connection, without an answer.
-    pub fn closed(&mut self) {
+    pub(crate) fn closed(&mut self) {
         match self.0.read(&mut [0]) {
             Ok(0) => {}
             Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => {}
@@ -45,7 +45,7 @@
         }
     }
 
-    pub fn call(&mut self, text: &str) -> Message {
+    pub(crate) fn call(&mut self, text: &str) -> Message {
         self.send(text);
         self.answer().expect("an answer")
     }
--- a/balancer/proxy/tests/common/config.rs
+++ b/balancer/proxy/tests/common/config.rs
@@ -1,7 +1,7 @@
 //! The configuration of a balancer under test.
 use std::net::SocketAddr;
 
-pub fn config(discovery: SocketAddr, sockets: usize, known: &str) -> String {
+pub(crate) fn config(discovery: SocketAddr, sockets: usize, known: &str) -> String {
     format!(
         r#"{{"name":"n1","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"known":{known},
--- a/balancer/proxy/tests/common/discovery.rs
+++ b/balancer/proxy/tests/common/discovery.rs
@@ -6,14 +6,14 @@
 use std::thread;
 
 /// Discovery that gives one prepared answer for each call, in order, and is silent without one.
-pub struct Discovery {
+pub(crate) struct Discovery {
     pub addr: SocketAddr,
     pub calls: Receiver<Message>,
     answers: Sender<String>,
 }
 
 impl Discovery {
-    pub fn start() -> Discovery {
+    pub(crate) fn start() -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let addr = listener.local_addr().expect("an address");
         let (answers, prepared) = channel::<String>();
@@ -38,12 +38,12 @@
         }
     }
 
-    pub fn answer(&self, body: &str) {
+    pub(crate) fn answer(&self, body: &str) {
         self.answer_with("", body);
     }
 
     /// The same with further headers, each with its line end.
-    pub fn answer_with(&self, headers: &str, body: &str) {
+    pub(crate) fn answer_with(&self, headers: &str, body: &str) {
         let text = format!(
             "HTTP/1.1 200 OK\r\n{headers}Content-Length: {}\r\n\r\n{body}",
             body.len()
@@ -51,20 +51,20 @@
         self.answers.send(text).expect("discovery runs");
     }
 
-    pub fn fail(&self) {
+    pub(crate) fn fail(&self) {
         let text = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
         self.answers.send(text.into()).expect("discovery runs");
     }
 
     /// The next call's path.
-    pub fn called(&self) -> String {
+    pub(crate) fn called(&self) -> String {
         let call = self.calls.recv_timeout(PATIENCE).expect("a call");
         call.start.split(' ').nth(1).expect("a path").into()
     }
 }
 
 /// A list in discovery's form: upstream `n` has id `s-n`.
-pub fn listing(version: u64, full: bool, servers: &[(usize, SocketAddr, &str)]) -> String {
+pub(crate) fn listing(version: u64, full: bool, servers: &[(usize, SocketAddr, &str)]) -> String {
     let line = |&(n, addr, state): &(usize, SocketAddr, &str)| {
         format!(
             r#"{{"id":"s-{n}","addr":"{addr}","zone":"a","kind":"m","cell":1,"state":"{state}","weight":1.0,
--- a/balancer/proxy/tests/common/ends.rs
+++ b/balancer/proxy/tests/common/ends.rs
@@ -3,7 +3,7 @@
 use super::common::*;
 
 /// An upstream that answers requests whose id begins with `ok`, and is silent on all others.
-pub fn hangs() -> Upstream {
+pub(crate) fn hangs() -> Upstream {
     Upstream::start(|m| {
         if m.header("req-id").is_some_and(|id| id.starts_with("ok")) {
             ok("x")
@@ -15,12 +15,12 @@
 
 /// A balancer that soon closes its clients' connections when it is told to end, as its longest deadline is short. What
 /// its clients say of their own deadlines goes beyond that.
-pub fn ends_soon(upstream: &Upstream) -> Node {
+pub(crate) fn ends_soon(upstream: &Upstream) -> Node {
     ends_by(upstream, 1000)
 }
 
 /// The same with this longest deadline, in milliseconds.
-pub fn ends_by(upstream: &Upstream, deadline: u32) -> Node {
+pub(crate) fn ends_by(upstream: &Upstream, deadline: u32) -> Node {
     let discovery = Discovery::start();
     let known = listing(1, true, &[(0, upstream.addr, "active")]);
     let config = config(discovery.addr, 1024, &known)
@@ -33,14 +33,14 @@
 }
 
 /// A connection on which a request has been served.
-pub fn kept(node: &Node) -> Client {
+pub(crate) fn kept(node: &Node) -> Client {
     let mut client = node.client();
     assert_eq!(client.call(&get("ok", "5000m")).status(), 200);
     client
 }
 
 /// Plays this until it says that it has shown something: on a machine that was slow just then it has not.
-pub fn until_shown(play: impl Fn() -> bool) {
+pub(crate) fn until_shown(play: impl Fn() -> bool) {
     assert!(
         (0..20).any(|_| play()),
         "the program had always ended before the test was ready"
--- a/balancer/proxy/tests/common/message.rs
+++ b/balancer/proxy/tests/common/message.rs
@@ -4,21 +4,21 @@
 
 /// A request or an answer as it came over a socket.
 #[derive(Clone, Debug)]
-pub struct Message {
+pub(crate) struct Message {
     pub start: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
 impl Message {
-    pub fn header(&self, name: &str) -> Option<&str> {
+    pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
             .find(|(n, _)| n.eq_ignore_ascii_case(name))
             .map(|(_, v)| v.as_str())
     }
 
-    pub fn status(&self) -> u16 {
+    pub(crate) fn status(&self) -> u16 {
         self.start
             .split(' ')
             .nth(1)
@@ -28,7 +28,7 @@
 }
 
 /// Reads one message; `None` when the connection ended before its first byte.
-pub fn read(stream: &mut BufReader<TcpStream>) -> Option<Message> {
+pub(crate) fn read(stream: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut start = String::new();
     if stream.read_line(&mut start).unwrap_or(0) == 0 {
         return None;
@@ -57,7 +57,7 @@
 }
 
 /// A request that may be repeated.
-pub fn get(id: &str, deadline: &str) -> String {
+pub(crate) fn get(id: &str, deadline: &str) -> String {
     format!(
         "GET /api/x?y=1 HTTP/1.1\r\nHost: service.internal\r\nReq-Id: {id}\r\nReq-Kind: read\r\n\
          Req-Owner: club\r\nReq-Deadline: {deadline}\r\n\r\n"
@@ -65,7 +65,7 @@
 }
 
 /// A request that must never run twice.
-pub fn pay(id: &str, deadline: &str) -> String {
+pub(crate) fn pay(id: &str, deadline: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: service.internal\r\nReq-Id: {id}\r\nReq-Kind: pay\r\n\
          Req-Owner: club\r\nReq-Deadline: {deadline}\r\nContent-Length: 4\r\n\r\nbody"
--- a/balancer/proxy/tests/common/mod.rs
+++ b/balancer/proxy/tests/common/mod.rs
@@ -1,22 +1,22 @@
 //! A balancer under test between small fakes: clients, upstreams and discovery, on ephemeral loopback ports.
 //! Everything waits for what it needs to have happened; [`PATIENCE`] only ends a test that has failed.
 #![allow(dead_code, unused_imports)]
-pub mod agent;
+pub(crate) mod agent;
 mod client;
 mod config;
 mod discovery;
 mod message;
 mod node;
-pub mod raw;
+pub(crate) mod raw;
 mod upstream;
 
-pub use client::Client;
-pub use config::config;
-pub use discovery::{listing, Discovery};
-pub use message::{get, pay, read, Message};
-pub use node::{command, limited_command, Node};
-pub use upstream::{ok, refusing, status, Seen, Then, Unreachable, Upstream};
+pub(crate) use client::Client;
+pub(crate) use config::config;
+pub(crate) use discovery::{listing, Discovery};
+pub(crate) use message::{get, pay, read, Message};
+pub(crate) use node::{command, limited_command, Node};
+pub(crate) use upstream::{ok, refusing, status, Seen, Then, Unreachable, Upstream};
 
 use std::time::Duration;
 
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
--- a/balancer/proxy/tests/common/node.rs
+++ b/balancer/proxy/tests/common/node.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 /// A running balancer; killed when dropped.
-pub struct Node {
+pub(crate) struct Node {
     child: Child,
     pub addr: SocketAddr,
     /// Kept, so that it is silent and not gone.
@@ -21,12 +21,12 @@
 }
 
 /// The balancer with this configuration.
-pub fn command(config: &str) -> Command {
+pub(crate) fn command(config: &str) -> Command {
     prepared(config, Command::new(env!("CARGO_BIN_EXE_balancer-proxy")))
 }
 
 /// The same under a limit of descriptors that the configuration does not tell of.
-pub fn limited_command(config: &str, descriptors: usize) -> Command {
+pub(crate) fn limited_command(config: &str, descriptors: usize) -> Command {
     let mut shell = Command::new("sh");
     let exec = format!(
         "ulimit -n {descriptors}; exec {}",
@@ -54,13 +54,13 @@
 
 impl Node {
     /// A balancer that starts with this list.
-    pub fn start(sockets: usize, known: &str) -> Node {
+    pub(crate) fn start(sockets: usize, known: &str) -> Node {
         let discovery = Discovery::start();
         let command = command(&config(discovery.addr, sockets, known));
         Node::run(command, discovery)
     }
 
-    pub fn run(mut command: Command, discovery: Discovery) -> Node {
+    pub(crate) fn run(mut command: Command, discovery: Discovery) -> Node {
         let config = command
             .get_envs()
             .find(|(name, _)| *name == "NODE_CONFIG")
@@ -99,7 +99,7 @@
     }
 
     /// A balancer that knows these upstreams, and whose discovery is silent.
-    pub fn with(upstreams: &[SocketAddr]) -> Node {
+    pub(crate) fn with(upstreams: &[SocketAddr]) -> Node {
         let servers: Vec<_> = upstreams
             .iter()
             .enumerate()
@@ -109,23 +109,23 @@
     }
 
     /// What it has logged, but for the line that it serves.
-    pub fn log(&self) -> Vec<String> {
+    pub(crate) fn log(&self) -> Vec<String> {
         self.log.lock().expect("no panic").clone()
     }
 
     /// Its number in the system.
-    pub fn id(&self) -> u32 {
+    pub(crate) fn id(&self) -> u32 {
         self.child.id()
     }
 
     /// How many descriptors it holds.
-    pub fn descriptors(&self) -> usize {
+    pub(crate) fn descriptors(&self) -> usize {
         let path = format!("/proc/{}/fd", self.child.id());
         std::fs::read_dir(path).expect("its descriptors").count()
     }
 
     /// Waits until the number of its descriptors is as wanted.
-    pub fn holds(&self, wanted: impl Fn(usize) -> bool, otherwise: &str) {
+    pub(crate) fn holds(&self, wanted: impl Fn(usize) -> bool, otherwise: &str) {
         let started = Instant::now();
         while !wanted(self.descriptors()) {
             assert!(started.elapsed() < PATIENCE, "{otherwise}");
@@ -133,23 +133,23 @@
         }
     }
 
-    pub fn terminate(&self) {
+    pub(crate) fn terminate(&self) {
         self.signal("TERM");
     }
 
     /// Replaces its configuration and tells it so.
-    pub fn reload(&self, config: &str) {
+    pub(crate) fn reload(&self, config: &str) {
         std::fs::write(&self.config, config).expect("writes the configuration");
         self.hang_up();
     }
 
     /// Tells it to read everything again.
-    pub fn hang_up(&self) {
+    pub(crate) fn hang_up(&self) {
         self.signal("HUP");
     }
 
     /// Stops it where it is, and waits until it stands.
-    pub fn pause(&self) {
+    pub(crate) fn pause(&self) {
         self.signal("STOP");
         let path = format!("/proc/{}/stat", self.child.id());
         let started = Instant::now();
@@ -163,7 +163,7 @@
     }
 
     /// Lets it go on.
-    pub fn resume(&self) {
+    pub(crate) fn resume(&self) {
         self.signal("CONT");
     }
 
@@ -177,12 +177,12 @@
     }
 
     /// Waits until it has logged a line with this text.
-    pub fn logs(&self, text: &str) {
+    pub(crate) fn logs(&self, text: &str) {
         self.logs_times(text, 1);
     }
 
     /// The same until it has logged so many.
-    pub fn logs_times(&self, text: &str, times: usize) {
+    pub(crate) fn logs_times(&self, text: &str, times: usize) {
         let started = Instant::now();
         while self.log().iter().filter(|l| l.contains(text)).count() < times {
             assert!(
@@ -195,12 +195,12 @@
     }
 
     /// Whether it has ended.
-    pub fn has_ended(&mut self) -> bool {
+    pub(crate) fn has_ended(&mut self) -> bool {
         self.child.try_wait().expect("its state").is_some()
     }
 
     /// Waits until it has ended and its log is read.
-    pub fn wait(&mut self) -> ExitStatus {
+    pub(crate) fn wait(&mut self) -> ExitStatus {
         let status = self.child.wait().expect("it ends");
         if let Some(reader) = self.reader.take() {
             reader.join().expect("the log is read");
@@ -208,12 +208,12 @@
         status
     }
 
-    pub fn client(&self) -> Client {
+    pub(crate) fn client(&self) -> Client {
         self.try_client().expect("connects")
     }
 
     /// `None`: it does not listen any more.
-    pub fn try_client(&self) -> Option<Client> {
+    pub(crate) fn try_client(&self) -> Option<Client> {
         Client::connect(self.addr)
     }
 }
--- a/balancer/proxy/tests/common/raw.rs
+++ b/balancer/proxy/tests/common/raw.rs
@@ -5,13 +5,13 @@
 use std::time::{Duration, Instant};
 
 /// A listener that accepts when it is told to.
-pub struct RawUpstream {
+pub(crate) struct RawUpstream {
     listener: TcpListener,
     pub addr: SocketAddr,
 }
 
 impl RawUpstream {
-    pub fn start() -> RawUpstream {
+    pub(crate) fn start() -> RawUpstream {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         listener.set_nonblocking(true).expect("does not block");
         let addr = listener.local_addr().expect("an address");
@@ -19,12 +19,12 @@
     }
 
     /// The next connection.
-    pub fn accept(&self) -> RawConnection {
+    pub(crate) fn accept(&self) -> RawConnection {
         RawUpstream::accept_any(std::slice::from_ref(self)).0
     }
 
     /// The next connection to any of several, and to which.
-    pub fn accept_any(upstreams: &[RawUpstream]) -> (RawConnection, usize) {
+    pub(crate) fn accept_any(upstreams: &[RawUpstream]) -> (RawConnection, usize) {
         let began = Instant::now();
         loop {
             for (at, upstream) in upstreams.iter().enumerate() {
@@ -39,7 +39,7 @@
 }
 
 /// An upstream's end of a connection.
-pub struct RawConnection(BufReader<TcpStream>);
+pub(crate) struct RawConnection(BufReader<TcpStream>);
 
 impl RawConnection {
     fn new(stream: TcpStream) -> RawConnection {
@@ -50,12 +50,12 @@
     }
 
     /// The next request; `None` at the end of the connection.
-    pub fn request(&mut self) -> Option<Message> {
+    pub(crate) fn request(&mut self) -> Option<Message> {
         read(&mut self.0)
     }
 
     /// Whether something lies there to be read, or the end.
-    pub fn has_input(&self) -> bool {
+    pub(crate) fn has_input(&self) -> bool {
         let stream = self.0.get_ref();
         stream.set_nonblocking(true).expect("does not block");
         let has = stream.peek(&mut [0]).is_ok();
@@ -63,17 +63,17 @@
         has
     }
 
-    pub fn write(&mut self, text: &str) {
+    pub(crate) fn write(&mut self, text: &str) {
         // A connection that was closed shows in what the balancer answers.
         self.try_write(text);
     }
 
     /// The same; whether the connection still takes it.
-    pub fn try_write(&mut self, text: &str) -> bool {
+    pub(crate) fn try_write(&mut self, text: &str) -> bool {
         self.0.get_mut().write_all(text.as_bytes()).is_ok()
     }
 
-    pub fn answer(&mut self, body: &str) {
+    pub(crate) fn answer(&mut self, body: &str) {
         self.write(&format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
@@ -81,7 +81,7 @@
     }
 
     /// Ends the connection with a reset, once the other side has taken what was written.
-    pub fn reset(self) {
+    pub(crate) fn reset(self) {
         let socket = socket2::SockRef::from(self.0.get_ref());
         socket
             .set_linger(Some(Duration::ZERO))
@@ -89,7 +89,7 @@
     }
 
     /// Waits until the other side has ended the connection, and returns what came until then.
-    pub fn ended(mut self) -> Vec<u8> {
+    pub(crate) fn ended(mut self) -> Vec<u8> {
         let mut got = Vec::new();
         if let Err(e) = self.0.read_to_end(&mut got) {
             assert_eq!(
@@ -104,7 +104,7 @@
 
 /// Whether the end that the socket of this local port sent has been acknowledged: it waits for the other side's
 /// (`FIN_WAIT2`) or is past that (`TIME_WAIT`).
-pub fn end_has_arrived(port: u16) -> bool {
+pub(crate) fn end_has_arrived(port: u16) -> bool {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of connections");
     let local = format!("0100007F:{port:04X}");
     table.lines().any(|line| {
--- a/balancer/proxy/tests/common/raw_client.rs
+++ b/balancer/proxy/tests/common/raw_client.rs
@@ -8,11 +8,11 @@
 /// The receive buffer of a client that takes little, in bytes.
 const NARROW: usize = 4 << 10;
 
-pub struct RawClient(TcpStream);
+pub(crate) struct RawClient(TcpStream);
 
 impl RawClient {
     /// Reads wait for this long at most.
-    pub fn connect(addr: SocketAddr, patience: Duration) -> RawClient {
+    pub(crate) fn connect(addr: SocketAddr, patience: Duration) -> RawClient {
         let stream = TcpStream::connect(addr).expect("connects");
         stream.set_nodelay(true).expect("sends at once");
         stream.set_read_timeout(Some(patience)).expect("a time-out");
@@ -23,7 +23,7 @@
     }
 
     /// The same, and its system takes little that it has not read: what comes beyond that stays at the other side.
-    pub fn connect_narrow(addr: SocketAddr, patience: Duration) -> RawClient {
+    pub(crate) fn connect_narrow(addr: SocketAddr, patience: Duration) -> RawClient {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.set_recv_buffer_size(NARROW).expect("a small buffer");
         socket.connect(&addr.into()).expect("connects");
@@ -35,56 +35,56 @@
         RawClient(stream)
     }
 
-    pub fn send(&mut self, bytes: &[u8]) {
+    pub(crate) fn send(&mut self, bytes: &[u8]) {
         self.0.write_all(bytes).expect("sends");
     }
 
     /// Sends until the other side takes no more of it, or all is sent. Returns how much was.
-    pub fn flood(&mut self, bytes: &[u8], times: usize) -> usize {
+    pub(crate) fn flood(&mut self, bytes: &[u8], times: usize) -> usize {
         (0..times)
             .take_while(|_| self.0.write_all(bytes).is_ok())
             .count()
             * bytes.len()
     }
 
-    pub fn port(&self) -> u16 {
+    pub(crate) fn port(&self) -> u16 {
         self.0.local_addr().expect("an address").port()
     }
 
     /// Whether this is the client's end of its connection. Its port alone doesn't tell: the system gives the same one to
     /// connections with other peers, and still lists those for a minute after they were closed.
-    pub fn is_own_end(&self, socket: &SystemSocket) -> bool {
+    pub(crate) fn is_own_end(&self, socket: &SystemSocket) -> bool {
         let remote = self.0.peer_addr().expect("a connected client").port();
         socket.local == self.port() && socket.remote == remote
     }
 
     /// Shuts the side it writes to, and stays.
-    pub fn half_close(&self) {
+    pub(crate) fn half_close(&self) {
         self.0.shutdown(Shutdown::Write).expect("shuts");
     }
 
     /// Resets the connection.
-    pub fn reset(self) {
+    pub(crate) fn reset(self) {
         SockRef::from(&self.0)
             .set_linger(Some(Duration::ZERO))
             .expect("lingers for no time");
     }
 
     /// All that comes until the connection ends, and whether it ended in order.
-    pub fn rest(&mut self) -> (Vec<u8>, bool) {
+    pub(crate) fn rest(&mut self) -> (Vec<u8>, bool) {
         let mut bytes = Vec::new();
         let ended = self.0.read_to_end(&mut bytes);
         (bytes, ended.is_ok())
     }
 
     /// The same socket, to read answers from.
-    pub fn reader(&self) -> BufReader<TcpStream> {
+    pub(crate) fn reader(&self) -> BufReader<TcpStream> {
         BufReader::new(self.0.try_clone().expect("a second descriptor"))
     }
 }
 
 /// A connection as the system shows it at one end.
-pub struct SystemSocket {
+pub(crate) struct SystemSocket {
     pub local: u16,
     pub remote: u16,
     /// As in `/proc/net/tcp`.
@@ -93,10 +93,10 @@
 }
 
 /// The other side has shut its end of the connection, and this side has not.
-pub const CLOSE_WAIT: u8 = 8;
+pub(crate) const CLOSE_WAIT: u8 = 8;
 
 /// All connections over IPv4, at both ends.
-pub fn system_sockets() -> Vec<SystemSocket> {
+pub(crate) fn system_sockets() -> Vec<SystemSocket> {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of connections");
     table.lines().skip(1).filter_map(parse_socket).collect()
 }
@@ -113,7 +113,7 @@
 }
 
 /// Waits until the system shows this.
-pub fn wait_for_system(
+pub(crate) fn wait_for_system(
     patience: Duration,
     shown: impl Fn(&[SystemSocket]) -> bool,
     otherwise: &str,
--- a/balancer/proxy/tests/common/upstream.rs
+++ b/balancer/proxy/tests/common/upstream.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 
 /// What a fake upstream does with a request.
-pub enum Then {
+pub(crate) enum Then {
     /// Writes this and keeps the connection.
     Answer(String),
     /// Writes this and closes the connection.
@@ -24,33 +24,33 @@
     Hold(Receiver<()>, String),
 }
 
-pub fn ok(body: &str) -> Then {
+pub(crate) fn ok(body: &str) -> Then {
     Then::Answer(format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     ))
 }
 
-pub fn status(line: &str) -> Then {
+pub(crate) fn status(line: &str) -> Then {
     Then::Answer(format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n"))
 }
 
 /// What a fake upstream saw.
 #[derive(Debug)]
-pub enum Seen {
+pub(crate) enum Seen {
     Request(Message),
     /// A connection has been closed, by either side.
     Closed,
 }
 
-pub struct Upstream {
+pub(crate) struct Upstream {
     pub addr: SocketAddr,
     pub seen: Receiver<Seen>,
     pub connections: Arc<AtomicUsize>,
 }
 
 impl Upstream {
-    pub fn start(behave: impl Fn(&Message) -> Then + Send + Sync + 'static) -> Upstream {
+    pub(crate) fn start(behave: impl Fn(&Message) -> Then + Send + Sync + 'static) -> Upstream {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let addr = listener.local_addr().expect("an address");
         let (tell, seen) = channel();
@@ -71,7 +71,7 @@
     }
 
     /// The next request.
-    pub fn request(&self) -> Message {
+    pub(crate) fn request(&self) -> Message {
         loop {
             match self
                 .seen
@@ -85,7 +85,7 @@
     }
 
     /// Waits until a connection has been closed.
-    pub fn closed(&self) {
+    pub(crate) fn closed(&self) {
         while !matches!(
             self.seen
                 .recv_timeout(PATIENCE)
@@ -95,7 +95,7 @@
     }
 
     /// How many further requests have come.
-    pub fn further(&self) -> usize {
+    pub(crate) fn further(&self) -> usize {
         self.seen
             .try_iter()
             .filter(|s| matches!(s, Seen::Request(_)))
@@ -129,14 +129,14 @@
 }
 
 /// An address that refuses connections.
-pub fn refusing() -> SocketAddr {
+pub(crate) fn refusing() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
         .expect("an address")
 }
 
 /// An address where connections never come up, until they may.
-pub struct Unreachable {
+pub(crate) struct Unreachable {
     pub addr: SocketAddr,
     runtime: Runtime,
     port: Port,
@@ -144,7 +144,7 @@
 }
 
 impl Unreachable {
-    pub fn start() -> Unreachable {
+    pub(crate) fn start() -> Unreachable {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
@@ -175,7 +175,7 @@
     }
 
     /// Lets connections come up after all, and returns the first that another made.
-    pub fn reach(mut self) -> BufReader<TcpStream> {
+    pub(crate) fn reach(mut self) -> BufReader<TcpStream> {
         self.manner.send_replace(Manner::Open);
         let accepted = self
             .runtime
--- a/balancer/proxy/tests/mutations/mod.rs
+++ b/balancer/proxy/tests/mutations/mod.rs
@@ -4,7 +4,7 @@
 const LINE_MOST: usize = 400;
 
 /// A small generator (SplitMix64): the same numbers for the same seed, always.
-pub struct Numbers(pub u64);
+pub(crate) struct Numbers(pub u64);
 
 impl Numbers {
     fn next(&mut self) -> u64 {
@@ -15,7 +15,7 @@
         z ^ (z >> 31)
     }
 
-    pub fn below(&mut self, n: usize) -> usize {
+    pub(crate) fn below(&mut self, n: usize) -> usize {
         (self.next() % n.max(1) as u64) as usize
     }
 }
@@ -50,7 +50,7 @@
 
 /// One change or two: a value replaced, a byte changed, a span taken out, doubled or cut off.
 /// Values begin after the separator.
-pub fn mutated(text: &str, separator: u8, too_long: &str, numbers: &mut Numbers) -> Vec<u8> {
+pub(crate) fn mutated(text: &str, separator: u8, too_long: &str, numbers: &mut Numbers) -> Vec<u8> {
     let values = values(too_long);
     let mut bytes = text.as_bytes().to_vec();
     for _ in 0..=numbers.below(2) {
@@ -85,7 +85,7 @@
     bytes
 }
 
-pub fn is_one_line(error: &str) {
+pub(crate) fn is_one_line(error: &str) {
     let plain = !error.is_empty() && !error.contains(char::is_control);
     assert!(plain && error.chars().count() <= LINE_MOST, "{error:?}");
 }
--- a/balancer/settings/src/limits.rs
+++ b/balancer/settings/src/limits.rs
@@ -19,7 +19,7 @@
 const OBJECTIVE_LEAST: f64 = 1e-3;
 
 /// The lengths of the lists.
-pub struct Lengths {
+pub(crate) struct Lengths {
     /// `classes`
     pub classes: usize,
     /// `tenants`
@@ -31,7 +31,7 @@
 }
 
 /// Refuses lists that are too long; the message names the list.
-pub fn check_lengths(lengths: &Lengths) -> Result<(), String> {
+pub(crate) fn check_lengths(lengths: &Lengths) -> Result<(), String> {
     let Lengths {
         classes,
         tenants,
@@ -58,7 +58,7 @@
 }
 
 /// Refuses objectives that nothing can be divided by.
-pub fn check_objectives(classes: &[Class]) -> Result<(), String> {
+pub(crate) fn check_objectives(classes: &[Class]) -> Result<(), String> {
     match classes.iter().position(|c| c.objective < OBJECTIVE_LEAST) {
         Some(i) => Err(format!(
             "classes[{i}].objective: must be at least {OBJECTIVE_LEAST}"
--- a/balancer/settings/src/named.rs
+++ b/balancer/settings/src/named.rs
@@ -3,7 +3,7 @@
 use balancer_core::{Class, Settings, SettingsError, Tenant};
 
 /// The message, with the key at fault first.
-pub fn refusal(settings: &Settings, error: &SettingsError) -> String {
+pub(crate) fn refusal(settings: &Settings, error: &SettingsError) -> String {
     let must = format!("must be {}", error.must);
     match error.field.split_once('.') {
         Some(("classes", key)) => {
--- a/balancer/simulator/src/wire/bytes.rs
+++ b/balancer/simulator/src/wire/bytes.rs
@@ -8,26 +8,26 @@
 }
 
 /// A big-endian number at this offset, which must lie within.
-pub fn u16_at(b: &[u8], at: usize) -> u16 {
+pub(super) fn u16_at(b: &[u8], at: usize) -> u16 {
     u16::from_be_bytes(take(b, at))
 }
 
 /// See [`u16_at`].
-pub fn u32_at(b: &[u8], at: usize) -> u32 {
+pub(super) fn u32_at(b: &[u8], at: usize) -> u32 {
     u32::from_be_bytes(take(b, at))
 }
 
 /// See [`u16_at`].
-pub fn u64_at(b: &[u8], at: usize) -> u64 {
+pub(super) fn u64_at(b: &[u8], at: usize) -> u64 {
     u64::from_be_bytes(take(b, at))
 }
 
 /// See [`u16_at`].
-pub fn f64_at(b: &[u8], at: usize) -> f64 {
+pub(super) fn f64_at(b: &[u8], at: usize) -> f64 {
     f64::from_bits(u64_at(b, at))
 }
 
 /// The id of an upstream: six bytes.
-pub fn upstream_at(b: &[u8], at: usize) -> UpstreamId {
+pub(super) fn upstream_at(b: &[u8], at: usize) -> UpstreamId {
     UpstreamId((u64::from(u32_at(b, at)) << 16) | u64::from(u16_at(b, at + 4)))
 }
--- a/balancer/snapshots/src/store.rs
+++ b/balancer/snapshots/src/store.rs
@@ -11,7 +11,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
 
-const RECORDS: TableDefinition<&str, &[u8]> = TableDefinition::new("records");
+const RECORDS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("records");
 /// The database in the folder.
 pub const FILE: &str = "state.redb";
 /// Databases that were set aside are kept for a look, so many of them.
--- a/balancer/snapshots/tests/golden.rs
+++ b/balancer/snapshots/tests/golden.rs
@@ -15,7 +15,7 @@
 
 /// The database of a folder, its table and the key of each kind, as any build must find them.
 const FILE: &str = "state.redb";
-const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("records");
+const TABLE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("records");
 const KEYS: [(&str, Kind); 3] = [
     ("starts", Kind::Starts),
     ("upstreams", Kind::Upstreams),
--- a/lab/src/capacity/accounting.rs
+++ b/lab/src/capacity/accounting.rs
@@ -20,7 +20,7 @@
 
 impl Usage {
     /// Reads it.
-    pub fn of(pid: u32) -> io::Result<Usage> {
+    pub(super) fn of(pid: u32) -> io::Result<Usage> {
         let folder = PathBuf::from(format!("/proc/{pid}"));
         let memory = std::fs::read_to_string(folder.join("smaps_rollup"))?;
         let disk = std::fs::read_to_string(folder.join("io"))?;
--- a/lab/src/capacity/balancer.rs
+++ b/lab/src/capacity/balancer.rs
@@ -40,7 +40,7 @@
 
 impl Balancer {
     /// Starts it and waits until it is ready.
-    pub async fn start(place: &Place<'_>, scenario: &Scenario) -> Result<Balancer, String> {
+    pub(super) async fn start(place: &Place<'_>, scenario: &Scenario) -> Result<Balancer, String> {
         let file = |kind: &str| {
             place
                 .folder
@@ -84,13 +84,13 @@
     }
 
     /// What it has used so far.
-    pub fn usage(&self) -> Result<Usage, String> {
+    pub(super) fn usage(&self) -> Result<Usage, String> {
         let pid = self.child.id().ok_or("a balancer ended by itself")?;
         Usage::of(pid).map_err(|e| format!("process {pid}: {e}"))
     }
 
     /// Ends it and waits for that.
-    pub async fn stop(mut self) -> Result<(), String> {
+    pub(super) async fn stop(mut self) -> Result<(), String> {
         self.child.kill().await.map_err(|e| e.to_string())
     }
 
--- a/lab/src/capacity/clients.rs
+++ b/lab/src/capacity/clients.rs
@@ -29,7 +29,7 @@
 
 impl Clients {
     /// None yet.
-    pub fn new(to: SocketAddr, tenants: usize) -> Arc<Clients> {
+    pub(super) fn new(to: SocketAddr, tenants: usize) -> Arc<Clients> {
         Arc::new(Clients {
             to,
             tenants,
@@ -42,7 +42,7 @@
 
     /// Opens connections, has one request answered on each and says nothing more: a balancer soon closes one on which
     /// no request ever came.
-    pub async fn rest(&self, count: usize) -> Result<(), String> {
+    pub(super) async fn rest(&self, count: usize) -> Result<(), String> {
         for number in 0..count {
             let stream = self
                 .call(None)
@@ -54,7 +54,7 @@
     }
 
     /// Sends requests at a rate, each connection its part of it, until the trial ends.
-    pub fn ask_steadily(self: &Arc<Self>, per_second: f64) {
+    pub(super) fn ask_steadily(self: &Arc<Self>, per_second: f64) {
         let period = Duration::from_secs_f64(CONNECTIONS as f64 / per_second);
         for number in 0..CONNECTIONS {
             let (own, offset) = (
@@ -75,7 +75,7 @@
     }
 
     /// Begins calls that are to be held, one connection each.
-    pub async fn hold(self: &Arc<Self>, count: usize) {
+    pub(super) async fn hold(self: &Arc<Self>, count: usize) {
         for _ in 0..count {
             let own = self.clone();
             tokio::spawn(async move { own.call(None).await });
--- a/lab/src/capacity/discovery.rs
+++ b/lab/src/capacity/discovery.rs
@@ -41,7 +41,7 @@
 
 impl Discovery {
     /// Lists upstreams at these places of the block, all active, and listens for so many balancers.
-    pub async fn start(
+    pub(super) async fn start(
         block: &Block,
         upstreams: usize,
         balancers: usize,
@@ -69,7 +69,7 @@
     }
 
     /// Turns one upstream's state, in turn: active to leaving and back.
-    pub fn change(&self) {
+    pub(super) fn change(&self) {
         let mut changes = lock(&self.changes);
         let upstream = changes.len() % self.lines.len().max(1);
         changes.push((upstream, Instant::now()));
@@ -77,12 +77,12 @@
     }
 
     /// What one balancer and its agent have said so far.
-    pub fn traffic(&self, balancer: usize) -> Traffic {
+    pub(super) fn traffic(&self, balancer: usize) -> Traffic {
         lock(&self.heard)[balancer].traffic
     }
 
     /// Changes that some balancer has not taken in, over all balancers.
-    pub fn outstanding(&self) -> usize {
+    pub(super) fn outstanding(&self) -> usize {
         let changes = lock(&self.changes).len();
         lock(&self.heard)
             .iter()
@@ -91,7 +91,7 @@
     }
 
     /// Times until each balancer had taken in each change; and, for each change that all have, until the last had.
-    pub fn lags(&self) -> (Vec<f64>, Vec<f64>) {
+    pub(super) fn lags(&self) -> (Vec<f64>, Vec<f64>) {
         let heard = lock(&self.heard);
         let each = heard.iter().flat_map(|h| h.lags.iter().copied()).collect();
         let whole = heard.iter().map(|h| h.lags.len()).min().unwrap_or(0);
--- a/lab/src/capacity/hollow/member.rs
+++ b/lab/src/capacity/hollow/member.rs
@@ -83,7 +83,7 @@
 
 impl Hollow {
     /// A member at its place that has heard nobody yet.
-    pub fn new(
+    pub(super) fn new(
         place: u16,
         socket: UdpSocket,
         addresses: Rc<Addresses>,
@@ -113,7 +113,7 @@
     }
 
     /// Speaks with the others until it is stopped.
-    pub async fn run(self: Rc<Self>) {
+    pub(super) async fn run(self: Rc<Self>) {
         let (mut word_at, mut observe_at) = (WORD_EVERY, 0.0);
         while !self.stopped.get() {
             let more = self.take();
--- a/lab/src/capacity/http.rs
+++ b/lab/src/capacity/http.rs
@@ -14,12 +14,12 @@
 
 impl Message {
     /// The status of an answer.
-    pub fn status(&self) -> Option<u16> {
+    pub(super) fn status(&self) -> Option<u16> {
         self.start.split(' ').nth(1)?.parse().ok()
     }
 
     /// A figure of a request's query.
-    pub fn query(&self, name: &str) -> Option<u64> {
+    pub(super) fn query(&self, name: &str) -> Option<u64> {
         let query = self.start.split(' ').nth(1)?.split_once('?')?.1;
         let pair = query
             .split('&')
--- a/lab/src/capacity/upstreams.rs
+++ b/lab/src/capacity/upstreams.rs
@@ -20,7 +20,11 @@
 
 impl Upstreams {
     /// Listens at the first places of the list.
-    pub async fn start(block: &Block, count: usize, holds: bool) -> Result<Arc<Upstreams>, String> {
+    pub(super) async fn start(
+        block: &Block,
+        count: usize,
+        holds: bool,
+    ) -> Result<Arc<Upstreams>, String> {
         let upstreams = Arc::new(Upstreams {
             holds,
             ..Upstreams::default()
--- a/lab/src/datagrams/garbage.rs
+++ b/lab/src/datagrams/garbage.rs
@@ -14,7 +14,7 @@
 }
 
 impl Garbage {
-    pub fn new(seed: u64) -> Garbage {
+    pub(super) fn new(seed: u64) -> Garbage {
         Garbage {
             lately: VecDeque::new(),
             drawn: Calls::new(!seed),
@@ -22,7 +22,7 @@
     }
 
     /// Somebody has sent this.
-    pub fn sent(&mut self, bytes: &[u8]) {
+    pub(super) fn sent(&mut self, bytes: &[u8]) {
         if self.lately.len() == LATELY {
             self.lately.pop_front();
         }
@@ -31,7 +31,7 @@
 
     /// The next one, and which of these balancers it seems to come from. What is whole comes from a stranger's address:
     /// from a peer's it would be no garbage, but a repeat.
-    pub fn next(&mut self, peers: &[usize]) -> (Option<usize>, Vec<u8>) {
+    pub(super) fn next(&mut self, peers: &[usize]) -> (Option<usize>, Vec<u8>) {
         let mut below = |n: usize| (self.drawn.seed() % n.max(1) as u64) as usize;
         let peer = peers.get(below(peers.len())).copied();
         let mut copy = self
--- a/lab/src/draw/faults.rs
+++ b/lab/src/draw/faults.rs
@@ -13,7 +13,7 @@
 }
 
 impl<'a> Crowd<'a> {
-    pub fn new(
+    pub(super) fn new(
         e: &'a Experiment,
         upstreams: &'a [Upstream],
         balancers: &'a [Balancer],
@@ -91,7 +91,7 @@
     }
 
     /// Those that `can` and that a target names, a part of them drawn.
-    pub fn members(
+    pub(super) fn members(
         &self,
         target: &Target,
         can: impl Fn(Party) -> bool,
@@ -118,7 +118,7 @@
 }
 
 /// The build that each balancer starts as.
-pub(super) fn draw_builds(e: &Experiment, seed: u64, crowd: &Crowd) -> Vec<Option<usize>> {
+pub(super) fn draw_builds(e: &Experiment, seed: u64, crowd: &Crowd<'_>) -> Vec<Option<usize>> {
     let rng = &mut stream(seed, Stream::Builds);
     let mut builds = vec![None; crowd.balancers.len()];
     for (i, build) in e.builds.iter().enumerate() {
@@ -135,7 +135,7 @@
 pub(super) fn draw_faults(
     e: &Experiment,
     seed: u64,
-    crowd: &Crowd,
+    crowd: &Crowd<'_>,
     length: Millis,
 ) -> Vec<PlannedFault> {
     let rng = &mut stream(seed, Stream::Faults);
--- a/lab/src/draw/requests.rs
+++ b/lab/src/draw/requests.rs
@@ -177,7 +177,7 @@
 
 /// What a tenant sends that has a rate of its own, from a stream of its own: without it the others send the same.
 fn of_its_own(
-    demand: &Demand,
+    demand: &Demand<'_>,
     seed: u64,
     n: usize,
     tenant: &Tenant,
--- a/lab/src/experiment/units.rs
+++ b/lab/src/experiment/units.rs
@@ -55,7 +55,7 @@
 
 impl<'de> Visitor<'de> for RangeVisitor {
     type Value = Range;
-    fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a number, or two of them: [least, most]")
     }
     fn visit_f64<E: de::Error>(self, v: f64) -> Result<Range, E> {
@@ -102,7 +102,7 @@
 
 impl<'de> Visitor<'de> for SpanVisitor {
     type Value = Span;
-    fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a time with its unit such as \"1500ms\", or two of them: [least, most]")
     }
     fn visit_str<E: de::Error>(self, v: &str) -> Result<Span, E> {
--- a/lab/src/net/link.rs
+++ b/lab/src/net/link.rs
@@ -92,7 +92,7 @@
         self.changed.subscribe()
     }
 
-    pub(super) fn blocked(&self, direction: Direction, cx: &mut Context) -> bool {
+    pub(super) fn blocked(&self, direction: Direction, cx: &mut Context<'_>) -> bool {
         if !self.is_cut(direction) {
             return false;
         }
--- a/lab/src/net/stream.rs
+++ b/lab/src/net/stream.rs
@@ -41,8 +41,8 @@
 impl AsyncRead for LinkedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
-        cx: &mut Context,
-        buf: &mut ReadBuf,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.link.blocked(Direction::Inward, cx) {
             return Poll::Pending;
@@ -54,7 +54,7 @@
 impl AsyncWrite for LinkedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
-        cx: &mut Context,
+        cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         if self.link.blocked(Direction::Outward, cx) {
@@ -62,10 +62,10 @@
         }
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         Pin::new(&mut self.stream).poll_flush(cx)
     }
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.link.blocked(Direction::Outward, cx) {
             return Poll::Pending;
         }
--- a/lab/src/oracle/findings.rs
+++ b/lab/src/oracle/findings.rs
@@ -45,7 +45,7 @@
 
 impl Findings {
     /// Records a violation.
-    pub fn breaks(&mut self, at: Millis, rule: Rule, case: String) {
+    pub(super) fn breaks(&mut self, at: Millis, rule: Rule, case: String) {
         if self.closed {
             return;
         }
@@ -57,19 +57,19 @@
     }
 
     /// A limit of time was passed, as far as the lab can tell.
-    pub fn suspects(&mut self, at: Millis, suspect: Suspect) {
+    pub(super) fn suspects(&mut self, at: Millis, suspect: Suspect) {
         self.suspects.push((at, suspect));
     }
 
     /// The lab did something this much later than it meant to.
-    pub fn lab_late(&mut self, now: Millis, by: Millis) {
+    pub(super) fn lab_late(&mut self, now: Millis, by: Millis) {
         if by >= LATE_LEAST {
             self.late.push_back((now, by));
         }
     }
 
     /// Decides on what was suspected long enough ago for the lab's lateness around it to be known.
-    pub fn judge(&mut self, now: Millis) {
+    pub(super) fn judge(&mut self, now: Millis) {
         let known = now - LATE_AROUND;
         let (due, open): (Vec<_>, Vec<_>) = std::mem::take(&mut self.suspects)
             .into_iter()
@@ -94,12 +94,12 @@
     }
 
     /// The first cases of each rule, and how many there were.
-    pub fn found(&self) -> (&[Violation], &BTreeMap<Rule, u64>) {
+    pub(super) fn found(&self) -> (&[Violation], &BTreeMap<Rule, u64>) {
         (&self.broken, &self.counts)
     }
 
     /// Nothing is judged any more.
-    pub fn close(&mut self) {
+    pub(super) fn close(&mut self) {
         self.closed = true;
     }
 }
--- a/lab/src/oracle/header.rs
+++ b/lab/src/oracle/header.rs
@@ -29,7 +29,7 @@
 
 impl Header {
     /// Reads one; the error says what is wrong with it.
-    pub fn read(bytes: &[u8]) -> Result<Header, &'static str> {
+    pub(super) fn read(bytes: &[u8]) -> Result<Header, &'static str> {
         let (body, sum) = bytes.split_last_chunk::<SUM>().ok_or("too short")?;
         if body.len() < LENGTH {
             return Err("too short");
--- a/lab/src/oracle/members.rs
+++ b/lab/src/oracle/members.rs
@@ -28,7 +28,7 @@
 
 impl Members {
     /// By tier and place in its list.
-    pub fn new(all: impl Iterator<Item = (usize, usize)>) -> Members {
+    pub(super) fn new(all: impl Iterator<Item = (usize, usize)>) -> Members {
         let member = |(tier, place): (usize, usize)| Member {
             tier,
             place: u16::try_from(place).unwrap_or(u16::MAX),
@@ -44,32 +44,32 @@
         }
     }
 
-    pub fn get(&self, b: usize) -> &Member {
+    pub(super) fn get(&self, b: usize) -> &Member {
         &self.all[b]
     }
 
     /// A process of it begins: what it read before is no longer announced.
-    pub fn starts(&mut self, b: usize, now: Millis) {
+    pub(super) fn starts(&mut self, b: usize, now: Millis) {
         let m = &mut self.all[b];
         (m.since, m.reads, m.runs) = (None, None, true);
         self.changed = now;
     }
 
     /// It can't act any more, or is asked to end.
-    pub fn stops(&mut self, b: usize, now: Millis) {
+    pub(super) fn stops(&mut self, b: usize, now: Millis) {
         let m = &mut self.all[b];
         (m.since, m.runs) = (None, false);
         self.changed = now;
     }
 
     /// One that was paused goes on.
-    pub fn goes_on(&mut self, b: usize, now: Millis) {
+    pub(super) fn goes_on(&mut self, b: usize, now: Millis) {
         self.all[b].runs = true;
         self.changed = now;
     }
 
     /// Nothing passes from one to another, or does again.
-    pub fn part(&mut self, from: usize, to: usize, parts: bool, now: Millis) {
+    pub(super) fn part(&mut self, from: usize, to: usize, parts: bool, now: Millis) {
         let pair = (from.min(to), from.max(to));
         let entry = self.parted.entry(pair).or_insert((0, f64::NEG_INFINITY));
         *entry = if parts {
@@ -81,7 +81,7 @@
     }
 
     /// So little arrives that nobody can be sure of anybody, or that is over.
-    pub fn muffle(&mut self, muffles: bool, now: Millis) {
+    pub(super) fn muffle(&mut self, muffles: bool, now: Millis) {
         let m = &mut self.muffled;
         *m = if muffles {
             (m.0 + 1, m.1)
@@ -92,7 +92,7 @@
     }
 
     /// It sends this.
-    pub fn speaks(&mut self, b: usize, header: &Header, now: Millis) {
+    pub(super) fn speaks(&mut self, b: usize, header: &Header, now: Millis) {
         let m = &mut self.all[b];
         // What it sent before it was ended may be read after.
         if !m.runs {
@@ -105,7 +105,7 @@
     }
 
     /// For how long two of a tier have lived, spoken as now and reached each other.
-    pub fn known_for(&self, a: usize, b: usize, now: Millis) -> Option<Millis> {
+    pub(super) fn known_for(&self, a: usize, b: usize, now: Millis) -> Option<Millis> {
         let pair = (a.min(b), a.max(b));
         let (cuts, healed) = self
             .parted
@@ -126,14 +126,14 @@
     }
 
     /// The others of its tier.
-    pub fn others(&self, b: usize) -> impl Iterator<Item = usize> + '_ {
+    pub(super) fn others(&self, b: usize) -> impl Iterator<Item = usize> + '_ {
         let tier = self.all[b].tier;
         (0..self.all.len()).filter(move |&o| o != b && self.all[o].tier == tier)
     }
 
     /// The highest version that everybody of its tier reads, and for how long nothing has changed in any tier. Nothing
     /// while anybody is cut off or silent.
-    pub fn common(&self, b: usize, now: Millis) -> Option<(u8, Millis)> {
+    pub(super) fn common(&self, b: usize, now: Millis) -> Option<(u8, Millis)> {
         if self.muffled.0 > 0 || self.parted.values().any(|p| p.0 > 0) {
             return None;
         }
--- a/lab/src/oracle/peers.rs
+++ b/lab/src/oracle/peers.rs
@@ -15,7 +15,7 @@
 }
 
 impl Peers {
-    pub fn new(members: &[(usize, usize)], limits: &Limits) -> Peers {
+    pub(super) fn new(members: &[(usize, usize)], limits: &Limits) -> Peers {
         Peers {
             members: Members::new(members.iter().copied()),
             versions: Versions::new(limits.version_grace),
@@ -25,7 +25,7 @@
     }
 
     /// A balancer sends a datagram; says what is wrong with that.
-    pub fn datagram(
+    pub(super) fn datagram(
         &mut self,
         now: Millis,
         from: usize,
--- a/lab/src/oracle/rules/agreed.rs
+++ b/lab/src/oracle/rules/agreed.rs
@@ -5,14 +5,14 @@
 use std::collections::HashSet;
 
 /// Who lags.
-pub struct Agreed {
+pub(crate) struct Agreed {
     within: Option<Millis>,
     lags: HashSet<usize>,
 }
 
 impl Agreed {
     /// Without a time nothing is judged.
-    pub fn new(within: Option<Millis>) -> Agreed {
+    pub(crate) fn new(within: Option<Millis>) -> Agreed {
         Agreed {
             within,
             lags: HashSet::new(),
@@ -20,7 +20,13 @@
     }
 
     /// A balancer sends a datagram of this version; says which it should be by now.
-    pub fn sent(&mut self, now: Millis, from: usize, version: u8, members: &Members) -> Option<u8> {
+    pub(crate) fn sent(
+        &mut self,
+        now: Millis,
+        from: usize,
+        version: u8,
+        members: &Members,
+    ) -> Option<u8> {
         let (common, still) = members.common(from, now)?;
         if version >= common || still <= self.within? {
             self.lags.remove(&from);
--- a/lab/src/oracle/rules/budget.rs
+++ b/lab/src/oracle/rules/budget.rs
@@ -12,14 +12,14 @@
 type Second = (u64, u64, u64);
 
 /// Attempts into each tier.
-pub struct Budget {
+pub(crate) struct Budget {
     part: Option<f64>,
     tiers: HashMap<usize, VecDeque<Second>>,
 }
 
 impl Budget {
     /// Without a part nothing is judged.
-    pub fn new(part: Option<f64>) -> Budget {
+    pub(crate) fn new(part: Option<f64>) -> Budget {
         Budget {
             part,
             tiers: HashMap::new(),
@@ -27,7 +27,7 @@
     }
 
     /// An attempt has come to a tier; says what the last seconds held if that is too much.
-    pub fn attempt(&mut self, now: Millis, tier: usize, first: bool) -> Option<String> {
+    pub(crate) fn attempt(&mut self, now: Millis, tier: usize, first: bool) -> Option<String> {
         let part = self.part?;
         let second = (now.max(0.0) / 1000.0) as u64;
         let seconds = self.tiers.entry(tier).or_default();
--- a/lab/src/oracle/rules/drained.rs
+++ b/lab/src/oracle/rules/drained.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 /// What balancers were notified of upstreams.
-pub struct Notifications {
+pub(crate) struct Notifications {
     grace: Millis,
     /// When each balancer was notified that an upstream wants nothing new.
     away: HashMap<(usize, usize), Millis>,
@@ -13,7 +13,7 @@
 }
 
 impl Notifications {
-    pub fn new(grace: Millis) -> Notifications {
+    pub(crate) fn new(grace: Millis) -> Notifications {
         Notifications {
             grace,
             away: HashMap::new(),
@@ -22,7 +22,7 @@
     }
 
     /// A balancer was notified of an upstream after so many starts of that.
-    pub fn notified(
+    pub(crate) fn notified(
         &mut self,
         now: Millis,
         balancer: usize,
@@ -44,12 +44,12 @@
     }
 
     /// Whether a balancer was notified of an upstream's latest start.
-    pub fn knows_start(&self, balancer: usize, upstream: usize, start: usize) -> bool {
+    pub(crate) fn knows_start(&self, balancer: usize, upstream: usize, start: usize) -> bool {
         self.starts.get(&(balancer, upstream)).copied().unwrap_or(1) >= start
     }
 
     /// By how much an attempt comes too late, and the case.
-    pub fn case(
+    pub(crate) fn case(
         &self,
         now: Millis,
         route: &str,
--- a/lab/src/oracle/rules/effects.rs
+++ b/lab/src/oracle/rules/effects.rs
@@ -6,7 +6,7 @@
 
 /// Which keys have run where, and when.
 #[derive(Default)]
-pub struct Effects {
+pub(crate) struct Effects {
     ran: HashMap<u64, Vec<(u64, Millis)>>,
     /// Keyed requests whose effect came about more than once.
     pub twice: u64,
@@ -14,7 +14,13 @@
 
 impl Effects {
     /// The work of a keyed request was done; says whether its effect came about already, so that this was dropped.
-    pub fn effect(&mut self, now: Millis, key: u64, rules: ClassRules, place: Place) -> bool {
+    pub(crate) fn effect(
+        &mut self,
+        now: Millis,
+        key: u64,
+        rules: ClassRules,
+        place: Place,
+    ) -> bool {
         let at = group(rules.group, place);
         let ran = self.ran.entry(key).or_default();
         if ran
--- a/lab/src/oracle/rules/epoch.rs
+++ b/lab/src/oracle/rules/epoch.rs
@@ -3,11 +3,11 @@
 
 /// The highest number of each balancer's incarnations.
 #[derive(Default)]
-pub struct Epochs(HashMap<(usize, u64), u64>);
+pub(crate) struct Epochs(HashMap<(usize, u64), u64>);
 
 impl Epochs {
     /// A balancer sends this number; says the higher one that it has sent before.
-    pub fn sent(&mut self, from: usize, incarnation: u64, epoch: u64) -> Option<u64> {
+    pub(crate) fn sent(&mut self, from: usize, incarnation: u64, epoch: u64) -> Option<u64> {
         let highest = self.0.entry((from, incarnation)).or_insert(epoch);
         let before = *highest;
         *highest = before.max(epoch);
--- a/lab/src/oracle/rules/in_share.rs
+++ b/lab/src/oracle/rules/in_share.rs
@@ -1,6 +1,6 @@
 //! A tenant within its share keeps its worth whatever another does.
 
-pub fn case(tenant: &str, before: f64, during: f64, least: f64) -> Option<String> {
+pub(crate) fn case(tenant: &str, before: f64, during: f64, least: f64) -> Option<String> {
     let kept = during / before;
     // Worth of nothing before leaves nothing to keep.
     (kept < least).then(|| {
--- a/lab/src/oracle/rules/invented.rs
+++ b/lab/src/oracle/rules/invented.rs
@@ -2,7 +2,7 @@
 use crate::oracle::facts::Final;
 use crate::oracle::tries::Try;
 
-pub fn case(name: &str, id: u64, t: &Try, how: Final) -> Option<String> {
+pub(crate) fn case(name: &str, id: u64, t: &Try, how: Final) -> Option<String> {
     let Final::Served(mark) = how else {
         return None;
     };
--- a/lab/src/oracle/rules/lost.rs
+++ b/lab/src/oracle/rules/lost.rs
@@ -12,10 +12,10 @@
 
 /// New connections that were closed on their first request.
 #[derive(Default)]
-pub struct Turned(u64);
+pub(crate) struct Turned(u64);
 
 /// What is wrong with an end.
-pub enum Case {
+pub(crate) enum Case {
     /// No answer.
     None(String),
     /// One that came this much too late.
@@ -24,7 +24,14 @@
 
 impl Turned {
     /// Looks at an end that nothing excuses.
-    pub fn case(&mut self, now: Millis, name: &str, id: u64, t: &Try, how: Final) -> Option<Case> {
+    pub(crate) fn case(
+        &mut self,
+        now: Millis,
+        name: &str,
+        id: u64,
+        t: &Try,
+        how: Final,
+    ) -> Option<Case> {
         match how {
             Final::Turned if t.attempts.is_empty() => {
                 self.0 += 1;
@@ -53,7 +60,7 @@
     }
 
     /// Whether too many were closed, of so many requests that were checked.
-    pub fn too_many(&self, checked: u64) -> Option<String> {
+    pub(crate) fn too_many(&self, checked: u64) -> Option<String> {
         let over = self.0 as f64 > checked as f64 * TURNED_MOST;
         over.then(|| {
             format!(
--- a/lab/src/oracle/rules/refused.rs
+++ b/lab/src/oracle/rules/refused.rs
@@ -11,7 +11,7 @@
     }
 }
 
-pub fn case(name: &str, id: u64, t: &Try, class: ClassRules, how: Final) -> Option<String> {
+pub(crate) fn case(name: &str, id: u64, t: &Try, class: ClassRules, how: Final) -> Option<String> {
     let wrong = how == Final::Refused && t.ran() && binds(class);
     wrong.then(|| format!("{name} refused {id:016x} though an attempt may have run"))
 }
--- a/lab/src/oracle/rules/repeated.rs
+++ b/lab/src/oracle/rules/repeated.rs
@@ -5,7 +5,7 @@
 use crate::oracle::tries::Try;
 
 /// The upstream at which a request may have run, so that it must not go to this one now.
-pub fn ran_at(
+pub(crate) fn ran_at(
     now: Millis,
     t: &Try,
     class: ClassRules,
--- a/lab/src/oracle/rules/trials.rs
+++ b/lab/src/oracle/rules/trials.rs
@@ -16,13 +16,13 @@
 }
 
 /// Attempts by bound and second.
-pub struct Counts {
+pub(crate) struct Counts {
     bounds: Vec<Bound>,
     seen: HashMap<(usize, u64), u64>,
 }
 
 impl Counts {
-    pub fn new(bounds: Vec<Bound>) -> Counts {
+    pub(crate) fn new(bounds: Vec<Bound>) -> Counts {
         Counts {
             bounds,
             seen: HashMap::new(),
@@ -30,7 +30,7 @@
     }
 
     /// An attempt has come to an upstream there; says which bound it passes. Each second that passes one is one case.
-    pub fn attempt(&mut self, now: Millis, zone: usize, tier: usize) -> Option<u64> {
+    pub(crate) fn attempt(&mut self, now: Millis, zone: usize, tier: usize) -> Option<u64> {
         let mut passed = None;
         for (i, bound) in self.bounds.iter().enumerate() {
             let (from, to) = bound.during;
--- a/lab/src/oracle/rules/version.rs
+++ b/lab/src/oracle/rules/version.rs
@@ -5,14 +5,14 @@
 use std::collections::HashSet;
 
 /// Who speaks past whom.
-pub struct Versions {
+pub(crate) struct Versions {
     grace: Millis,
     past: HashSet<(usize, usize)>,
 }
 
 impl Versions {
     /// `grace`: how long an announcement of a member may be in transit.
-    pub fn new(grace: Millis) -> Versions {
+    pub(crate) fn new(grace: Millis) -> Versions {
         Versions {
             grace,
             past: HashSet::new(),
@@ -20,7 +20,7 @@
     }
 
     /// A balancer sends a datagram of this version; names the member that has not announced it, and what it reads.
-    pub fn sent(
+    pub(crate) fn sent(
         &mut self,
         now: Millis,
         from: usize,
--- a/lab/src/oracle/tries.rs
+++ b/lab/src/oracle/tries.rs
@@ -9,7 +9,7 @@
 }
 
 impl Attempt {
-    pub fn may_have_run(&self) -> bool {
+    pub(super) fn may_have_run(&self) -> bool {
         self.end != Some(End::Declined)
     }
 }
@@ -26,7 +26,7 @@
 
 impl Try {
     /// Whether an attempt of it may have run.
-    pub fn ran(&self) -> bool {
+    pub(super) fn ran(&self) -> bool {
         self.attempts.iter().any(Attempt::may_have_run)
     }
 }
--- a/lab/src/process/config.rs
+++ b/lab/src/process/config.rs
@@ -17,7 +17,7 @@
 }
 
 /// Its configuration, as the platform would write it.
-pub(super) fn config(of: &Who, world: &World) -> Value {
+pub(super) fn config(of: &Who<'_>, world: &World) -> Value {
     let (e, plan) = (&world.experiment, &world.plan);
     let b = &plan.balancers[of.index];
     let tier = &e.tiers[b.tier];
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -351,7 +351,7 @@
 }
 
 fn draw(
-    area: &DrawingArea<SVGBackend, plotters::coord::Shift>,
+    area: &DrawingArea<SVGBackend<'_>, plotters::coord::Shift>,
     title: &str,
     x: &str,
     y: &str,
--- a/lab/src/stand_in/speaks.rs
+++ b/lab/src/stand_in/speaks.rs
@@ -20,7 +20,7 @@
 
 impl Voice {
     /// The voice of one that speaks at all.
-    pub fn of(wrong: Wrong) -> Option<Voice> {
+    pub(super) fn of(wrong: Wrong) -> Option<Voice> {
         let voice = |version, most| Voice {
             version,
             most,
--- a/lab/tests/fleet/common.rs
+++ b/lab/tests/fleet/common.rs
@@ -4,10 +4,10 @@
 use std::process::{Command, Output};
 use tempfile::TempDir;
 
-pub const LAB: &str = env!("CARGO_BIN_EXE_balancer-lab");
+pub(crate) const LAB: &str = env!("CARGO_BIN_EXE_balancer-lab");
 
 /// The real balancer, built by the same cargo into the same folder.
-pub fn balancer_proxy() -> PathBuf {
+pub(crate) fn balancer_proxy() -> PathBuf {
     static BUILT: std::sync::Once = std::sync::Once::new();
     let path = Path::new(LAB).with_file_name("balancer-proxy");
     // A test of the whole workspace has built it; a test of this crate alone has not.
@@ -40,7 +40,7 @@
 
 /// A fleet of `front` balancers before 4 upstreams; with `tiers` 2, each of these calls 4 more through a balancer
 /// of its own.
-pub fn fleet(front: usize, tiers: usize, length: &str, more: &str) -> String {
+pub(crate) fn fleet(front: usize, tiers: usize, length: &str, more: &str) -> String {
     let mut text = format!(
         r#"title = "a test"
 length = "{length}"
@@ -82,13 +82,13 @@
 }
 
 /// Plays an experiment in a folder of its own.
-pub struct Played {
+pub(crate) struct Played {
     pub output: Output,
     folder: TempDir,
 }
 
 impl Played {
-    pub fn new(experiment: &str, arguments: &[&str]) -> Played {
+    pub(crate) fn new(experiment: &str, arguments: &[&str]) -> Played {
         let folder = TempDir::new().expect("a folder");
         let file = folder.path().join("test.toml");
         std::fs::write(&file, experiment).expect("writes");
@@ -105,7 +105,7 @@
     }
 
     /// What was kept of the first play of a program.
-    pub fn play(&self, program: &str) -> serde_json::Value {
+    pub(crate) fn play(&self, program: &str) -> serde_json::Value {
         let path = self
             .folder
             .path()
@@ -118,16 +118,16 @@
     }
 
     /// The folder of its results.
-    pub fn out(&self) -> PathBuf {
+    pub(crate) fn out(&self) -> PathBuf {
         self.folder.path().join("out")
     }
 
-    pub fn report(&self) -> String {
+    pub(crate) fn report(&self) -> String {
         std::fs::read_to_string(self.folder.path().join("out").join("report.html"))
             .expect("a report")
     }
 
-    pub fn said(&self) -> String {
+    pub(crate) fn said(&self) -> String {
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         format!(
             "{:?}\n{}{}",
--- a/system/control/src/agreement.rs
+++ b/system/control/src/agreement.rs
@@ -1,11 +1,8 @@
 //! Agreement on the next view: one instance of single-decree Paxos for each view, among the voters of the one before.
 use crate::durable::AgreementState;
-use magpiegap_protocol::{Member, Position, Promise, View};
+use magpiegap_protocol::{AcceptedView, Ballot, LogPosition, Member, Promise, View, ViewNumber};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A ballot: its round, then a tag of its proposer.
-pub(crate) type Ballot = (u64, u32);
-
 /// A proposer's state.
 #[derive(Clone, Debug)]
 pub(crate) struct Round {
@@ -26,8 +23,8 @@
 }
 
 impl Agreement {
-    pub fn new(state: AgreementState) -> Agreement {
-        let highest_round = state.promised.map_or(0, |ballot| ballot.0);
+    pub(crate) fn new(state: AgreementState) -> Agreement {
+        let highest_round = state.promised.map_or(0, |ballot| ballot.round);
         Agreement {
             state,
             round: None,
@@ -36,19 +33,22 @@
     }
 
     /// The view that is to be agreed next.
-    pub fn next_number(&self) -> u64 {
-        self.state.current.number + 1
+    pub(crate) fn next_number(&self) -> ViewNumber {
+        self.state.current.number.next()
     }
 
     /// Whether the replica takes part in the agreement on the next view, and so takes no writes in this one.
-    pub fn sealed(&self) -> bool {
+    pub(crate) fn sealed(&self) -> bool {
         self.state.promised.is_some()
     }
 
     /// Begins a round as proposer. The tag is of this life of the process, so that no two rounds share a ballot.
-    pub fn begin(&mut self, own_tag: u32, now: u64) -> Ballot {
+    pub(crate) fn begin(&mut self, own_tag: u32, now: u64) -> Ballot {
         self.highest_round += 1;
-        let ballot = (self.highest_round, own_tag);
+        let ballot = Ballot {
+            round: self.highest_round,
+            proposer: own_tag,
+        };
         self.round = Some(Round {
             ballot,
             started_at: now,
@@ -62,8 +62,8 @@
     ///
     /// # Errors
     /// The ballot promised before.
-    pub fn promise(&mut self, ballot: Ballot) -> Result<Option<(Ballot, View)>, Ballot> {
-        self.highest_round = self.highest_round.max(ballot.0);
+    pub(crate) fn promise(&mut self, ballot: Ballot) -> Result<Option<AcceptedView>, Ballot> {
+        self.highest_round = self.highest_round.max(ballot.round);
         match self.state.promised {
             Some(promised) if promised > ballot => Err(promised),
             _ => {
@@ -77,20 +77,23 @@
     ///
     /// # Errors
     /// The ballot promised before.
-    pub fn accept(&mut self, ballot: Ballot, view: &View) -> Result<(), Ballot> {
-        self.highest_round = self.highest_round.max(ballot.0);
+    pub(crate) fn accept(&mut self, ballot: Ballot, view: &View) -> Result<(), Ballot> {
+        self.highest_round = self.highest_round.max(ballot.round);
         match self.state.promised {
             Some(promised) if promised > ballot => Err(promised),
             _ => {
                 self.state.promised = Some(ballot);
-                self.state.accepted = Some((ballot, view.clone()));
+                self.state.accepted = Some(AcceptedView {
+                    ballot,
+                    view: view.clone(),
+                });
                 Ok(())
             }
         }
     }
 
     /// Takes up a view that was agreed. Returns whether it is news.
-    pub fn decide(&mut self, view: &View) -> bool {
+    pub(crate) fn decide(&mut self, view: &View) -> bool {
         if view.number <= self.state.current.number {
             return false;
         }
@@ -104,23 +107,23 @@
 
 impl Round {
     /// Whether a majority of the voters takes part.
-    pub fn has_majority(&self, current: &View) -> bool {
+    pub(crate) fn has_majority(&self, current: &View) -> bool {
         self.promises.len() >= current.majority()
     }
 
     /// What must be proposed since it may have been decided already.
-    pub fn bound_view(&self) -> Option<View> {
+    pub(crate) fn bound_view(&self) -> Option<View> {
         let accepted = self
             .promises
             .values()
             .filter_map(|promise| promise.accepted.as_ref());
         accepted
-            .max_by_key(|(ballot, _)| *ballot)
-            .map(|(_, view)| view.clone())
+            .max_by_key(|accepted| accepted.ballot)
+            .map(|accepted| accepted.view.clone())
     }
 
     /// The voters that have all that was committed, with the last entry on their disks.
-    pub fn complete(&self) -> BTreeMap<Member, Position> {
+    pub(crate) fn complete(&self) -> BTreeMap<Member, LogPosition> {
         let complete = |(member, promise): (&Member, &Promise)| Some((*member, promise.complete?));
         self.promises.iter().filter_map(complete).collect()
     }
--- a/system/control/src/catch_up.rs
+++ b/system/control/src/catch_up.rs
@@ -9,7 +9,7 @@
     transfers::Incoming,
     StateMachine,
 };
-use magpiegap_protocol::{Entry, Millis, PeerMessage, Replica as ReplicaId};
+use magpiegap_protocol::{Entry, LogIndex, Millis, PeerMessage, ReplicaId};
 
 /// A replica whose source has told it nothing for this long asks it.
 const SOURCE_SILENT_MS: Millis = 600;
@@ -65,7 +65,13 @@
     }
 
     /// Takes entries from the source.
-    pub(crate) fn append(&mut self, after: u64, entries: Vec<Entry>, durable: u64, now: Millis) {
+    pub(crate) fn append(
+        &mut self,
+        after: LogIndex,
+        entries: Vec<Entry>,
+        durable: LogIndex,
+        now: Millis,
+    ) {
         if !self.takes_entries() {
             return;
         }
@@ -136,7 +142,7 @@
     /// Takes entries that were missing.
     pub(crate) fn take_missing(
         &mut self,
-        after: u64,
+        after: LogIndex,
         mut entries: Vec<Entry>,
         more: bool,
         now: Millis,
@@ -148,7 +154,7 @@
         match self.chain.activity {
             Activity::Inactive => {}
             Activity::Active | Activity::Following => {
-                self.append(after, entries, 0, now);
+                self.append(after, entries, LogIndex(0), now);
                 if more {
                     self.ask_again_at_once(now);
                 }
