--- a/system/control/src/chain.rs
+++ b/system/control/src/chain.rs
@@ -6,8 +6,8 @@
     StateMachine,
 };
 use magpiegap_protocol::{
-    Command, Entry, Fence, Millis, PeerMessage, Position, ProposalId, Replica as ReplicaId, View,
-    WallMillis,
+    Command, Entry, LogIndex, LogPosition, Millis, PeerMessage, ProposalId, ReplicaId, RoleToken,
+    View, WallMillis,
 };
 
 /// The head holds entries back for its disk for this long at most.
@@ -81,11 +81,11 @@
         &mut self,
         wall: WallMillis,
         proposal: ProposalId,
-        fence: Option<Fence>,
+        role_token: Option<RoleToken>,
         command: Command,
     ) -> bool {
         if self.is_head() {
-            self.write(wall, proposal, fence, command);
+            self.write(wall, proposal, role_token, command);
             return true;
         }
         let Some(head) = self.agreement.state.current.head() else {
@@ -100,7 +100,7 @@
             PeerMessage::Propose {
                 view,
                 proposal,
-                fence,
+                role_token,
                 command,
             },
         );
@@ -112,17 +112,17 @@
         &mut self,
         wall: WallMillis,
         proposal: ProposalId,
-        fence: Option<Fence>,
+        role_token: Option<RoleToken>,
         command: Command,
     ) {
-        let position = Position {
+        let position = LogPosition {
             view: self.agreement.state.current.number,
-            index: self.chain.log.last().index + 1,
+            index: self.chain.log.last().index.next(),
         };
         self.chain.log.push(Entry {
             position,
             proposal,
-            fence,
+            role_token,
             command,
             wall_ms: wall,
         });
@@ -150,7 +150,7 @@
             DurableRecord::Entries(entries),
             DurableRecord::Committed(self.chain.committed),
         ];
-        self.persist(records, vec![After::EntriesDurable(last)], now);
+        self.persist(records, vec![After::EntriesDurable(last.0)], now);
     }
 
     /// Hands new entries to the disk and the followers, commits at the tail, and applies what is committed.
@@ -168,13 +168,13 @@
     }
 
     /// Entries up to this one are on the disks of this replica and of all before it.
-    pub(crate) fn chain_durable(&self) -> u64 {
+    pub(crate) fn chain_durable(&self) -> LogIndex {
         match self.own_position() {
             Some(0) => self.chain.own_durable,
             _ => self
                 .chain
                 .own_durable
-                .min(self.chain.source_durable.unwrap_or(0)),
+                .min(self.chain.source_durable.unwrap_or_default()),
         }
     }
 
@@ -211,7 +211,7 @@
     }
 
     /// Takes the tail's word on what is committed.
-    pub(crate) fn learn_committed(&mut self, index: u64) {
+    pub(crate) fn learn_committed(&mut self, index: LogIndex) {
         if self.is_active() {
             self.chain.committed = self
                 .chain
@@ -233,17 +233,17 @@
             .committed
             .min(self.chain.applied.saturating_add(most));
         while self.chain.applied < until {
-            let Some(entry) = self.chain.log.get(self.chain.applied + 1) else {
+            let Some(entry) = self.chain.log.get(self.chain.applied.next()) else {
                 break;
             };
             machine.apply(entry);
-            self.chain.applied += 1;
+            self.chain.applied = self.chain.applied.next();
         }
         let needed = self
             .chain
             .outgoing
             .as_ref()
-            .map_or(u64::MAX, |outgoing| outgoing.position().index);
+            .map_or(LogIndex::MAX, |outgoing| outgoing.position().index);
         self.chain.log.trim(self.chain.applied, needed);
     }
 }
--- a/system/control/src/chain_state.rs
+++ b/system/control/src/chain_state.rs
@@ -3,7 +3,7 @@
     log::Log,
     transfers::{Incoming, Outgoing},
 };
-use magpiegap_protocol::{Millis, Position, Replica as ReplicaId};
+use magpiegap_protocol::{LogIndex, LogPosition, Millis, ReplicaId};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What a replica does in the current view.
@@ -26,9 +26,9 @@
 pub(crate) struct Follower {
     pub replica: ReplicaId,
     /// The last entry sent to it.
-    pub sent: u64,
+    pub sent: LogIndex,
     /// What it was last told to be on disk, and when.
-    pub told: (u64, Millis),
+    pub told: (LogIndex, Millis),
 }
 
 /// Time until a source that has not answered is asked for the second time.
@@ -40,15 +40,15 @@
     pub activity: Activity,
     pub log: Log,
     /// The last entry applied to the state.
-    pub applied: u64,
-    pub committed: u64,
+    pub applied: LogIndex,
+    pub committed: LogIndex,
     /// Entries up to this one are on this replica's disk.
-    pub own_durable: u64,
+    pub own_durable: LogIndex,
     /// Entries up to this one are on the disks of the source and of all before it. The source is the predecessor; for a
     /// replica outside of the chain, the tail. `None`: it has said nothing in this view.
-    pub source_durable: Option<u64>,
+    pub source_durable: Option<LogIndex>,
     /// The last entry handed to the disk.
-    pub handed_to_disk: u64,
+    pub handed_to_disk: LogIndex,
     /// When entries were last handed to the disk.
     pub handed_at: Millis,
     /// Those that have asked for entries and get them as they come.
@@ -56,9 +56,9 @@
     /// When the source last told where it stands.
     pub source_heard_at: Millis,
     /// What was committed at moments up to a while ago, oldest first.
-    pub committed_at: VecDeque<(Millis, u64)>,
+    pub committed_at: VecDeque<(Millis, LogIndex)>,
     /// What others have asked for before this replica could give it, with the last entry that they have.
-    pub requests: BTreeMap<ReplicaId, Position>,
+    pub requests: BTreeMap<ReplicaId, LogPosition>,
     /// A state that others may ask for.
     pub outgoing: Option<Outgoing>,
     /// A state that is being built up, to take the place of what this replica has.
@@ -68,18 +68,18 @@
     /// Until it is asked again: longer each time, since a whole state takes long to make and to send.
     pub ask_again_ms: Millis,
     /// What the others were last told to be committed.
-    pub committed_told: u64,
+    pub committed_told: LogIndex,
 }
 
 impl Chain {
-    pub fn new(log: Log, applied: Position) -> Chain {
+    pub(crate) fn new(log: Log, applied: LogPosition) -> Chain {
         let last = log.last().index;
         Chain {
             activity: Activity::Inactive,
             log,
             applied: applied.index,
             committed: applied.index,
-            own_durable: 0,
+            own_durable: LogIndex::default(),
             source_durable: None,
             handed_to_disk: last,
             handed_at: 0,
@@ -91,7 +91,7 @@
             incoming: None,
             asked_at: 0,
             ask_again_ms: ASK_FIRST_MS,
-            committed_told: 0,
+            committed_told: LogIndex::default(),
         }
     }
 }
--- a/system/control/src/contact.rs
+++ b/system/control/src/contact.rs
@@ -5,13 +5,13 @@
 //! the replica that sent the heartbeat. Once a majority has said so, no later view can have been agreed before `t`: that
 //! takes a majority which takes part, and two majorities share a voter. It holds however late messages come and however
 //! long either side stands still, since only one clock is read.
-use magpiegap_protocol::{Member, Millis, View};
+use magpiegap_protocol::{Member, Millis, View, ViewNumber};
 use std::collections::BTreeMap;
 
 /// A view that a voter had not gone on from at a time of our steady clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Confirmation {
-    view: u64,
+    view: ViewNumber,
     at: Millis,
 }
 
@@ -23,7 +23,7 @@
 
 impl Contact {
     /// A voter had not gone on from a view when it got the heartbeat that was sent at this time.
-    pub fn confirm(&mut self, voter: Member, view: u64, at: Millis) {
+    pub(crate) fn confirm(&mut self, voter: Member, view: ViewNumber, at: Millis) {
         let known = self
             .confirmed
             .entry(voter)
@@ -37,7 +37,7 @@
 
     /// Until when, on our steady clock, no later view than this one can have been agreed. This replica's own vote counts
     /// as given now. Zero: that isn't known.
-    pub fn confirmed_at(&self, view: &View, own: Member, now: Millis) -> Millis {
+    pub(crate) fn confirmed_at(&self, view: &View, own: Member, now: Millis) -> Millis {
         let confirmed = |voter: &Member| {
             if *voter == own {
                 now
@@ -51,7 +51,7 @@
     }
 
     /// Up to when, on our steady clock, a member of the view has surely heard from us; zero: that isn't known.
-    pub fn heard_by(&self, view: &View, member: Member) -> Millis {
+    pub(crate) fn heard_by(&self, view: &View, member: Member) -> Millis {
         let confirmed = self
             .confirmed
             .get(&member)
@@ -60,7 +60,7 @@
     }
 
     /// Drops what those that are not of the view any more have confirmed.
-    pub fn follow(&mut self, view: &View) {
+    pub(crate) fn follow(&mut self, view: &View) {
         let in_chain = |member: &Member| view.chain.iter().any(|replica| replica.member == *member);
         self.confirmed
             .retain(|member, _| view.voters.contains(member) || in_chain(member));
--- a/system/control/src/durable.rs
+++ b/system/control/src/durable.rs
@@ -1,6 +1,9 @@
 //! What a replica keeps on disk.
-use crate::frozen::{EncodedState, FrozenState};
-use magpiegap_protocol::{decode, encode, DecodeError, Entry, Position, View};
+use crate::state_machine::{EncodedSnapshot, StateSnapshot};
+use magpiegap_protocol::{
+    decode, encode, AcceptedView, Ballot, DecodeError, Entry, LogIndex, LogPosition, View,
+    ViewNumber,
+};
 use minicbor::{Decode, Encode};
 use std::sync::Arc;
 
@@ -12,10 +15,10 @@
     pub current: View,
     /// The highest ballot taken part in for the next view.
     #[n(1)]
-    pub promised: Option<(u64, u32)>,
+    pub promised: Option<Ballot>,
     /// What was accepted for the next view.
     #[n(2)]
-    pub accepted: Option<((u64, u32), View)>,
+    pub accepted: Option<AcceptedView>,
 }
 
 /// One record of the log on disk.
@@ -29,34 +32,31 @@
     Entries(#[n(0)] Vec<Entry>),
     /// From here on the replica has all that was committed up to this view.
     #[n(2)]
-    Synchronized(#[n(0)] u64),
+    Synchronized(#[n(0)] ViewNumber),
     /// All entries up to this one are committed; written beside other records, so it may lie behind.
     #[n(3)]
-    Committed(#[n(0)] u64),
+    Committed(#[n(0)] LogIndex),
 }
 
 /// All that a replica keeps, at one moment.
 #[derive(Clone, Debug)]
-pub struct Snapshot {
+pub struct DurableState {
     /// Names this life of the disk.
     pub disk: u64,
     /// The state of the agreement.
     pub agreement: AgreementState,
     /// The view up to which the replica has all that was committed; `None`: it has nothing yet.
-    pub synchronized: Option<u64>,
+    pub synchronized: Option<ViewNumber>,
     /// The last entry that the state holds.
-    pub applied: Position,
+    pub applied: LogPosition,
     /// The state.
-    pub state: Arc<dyn FrozenState>,
+    pub state: Arc<dyn StateSnapshot>,
     /// Entries after it.
     pub entries: Vec<Entry>,
     /// Entries up to this one were known to be committed.
-    pub committed: u64,
+    pub committed: LogIndex,
 }
 
-/// What is found on disk at the start: a snapshot and what came after it.
-pub type DurableState = Snapshot;
-
 /// The first part of a snapshot on disk: all but the state.
 #[derive(Clone, Debug, Encode, Decode)]
 struct Head {
@@ -65,9 +65,9 @@
     #[n(1)]
     agreement: AgreementState,
     #[n(2)]
-    synchronized: Option<u64>,
+    synchronized: Option<ViewNumber>,
     #[n(3)]
-    applied: Position,
+    applied: LogPosition,
     /// The state in one piece, as earlier builds kept it; empty: the parts that follow hold it.
     #[cbor(n(4), with = "minicbor::bytes")]
     state: Vec<u8>,
@@ -75,35 +75,35 @@
     entries: Vec<Entry>,
     #[n(6)]
     #[cbor(default)]
-    committed: u64,
+    committed: LogIndex,
 }
 
-impl Snapshot {
+impl DurableState {
     /// A disk that was never written, with the state that all begin with.
     pub fn empty(
         disk: u64,
-        synchronized: Option<u64>,
+        synchronized: Option<ViewNumber>,
         voters: Vec<magpiegap_protocol::Member>,
-        state: Arc<dyn FrozenState>,
+        state: Arc<dyn StateSnapshot>,
     ) -> Self {
         let agreement = AgreementState {
             current: View::initial(voters),
             promised: None,
             accepted: None,
         };
-        Snapshot {
+        DurableState {
             disk,
             agreement,
             synchronized,
             applied: state.position(),
             state,
             entries: Vec::new(),
-            committed: 0,
+            committed: LogIndex::default(),
         }
     }
 
     /// What goes on disk, part by part.
-    pub fn parts(&self) -> impl Iterator<Item = Vec<u8>> + '_ {
+    pub fn chunks(&self) -> impl Iterator<Item = Vec<u8>> + '_ {
         let head = Head {
             disk: self.disk,
             agreement: self.agreement.clone(),
@@ -114,25 +114,28 @@
             committed: self.committed,
         };
         std::iter::once(encode(&head))
-            .chain((0..self.state.parts()).map(|number| self.state.part(number)))
+            .chain((0..self.state.chunks()).map(|number| self.state.chunk(number)))
     }
 
     /// What was kept, from the parts of a snapshot and the records that came after it.
     ///
     /// # Errors
     /// When the bytes are not of a build that this one understands.
-    pub fn recover(mut parts: Vec<Vec<u8>>, records: &[Vec<u8>]) -> Result<Snapshot, DecodeError> {
-        let head: Head = decode(parts.first().map_or(&[], Vec::as_slice))?;
-        let state = match parts.len() {
+    pub fn recover(
+        mut chunks: Vec<Vec<u8>>,
+        records: &[Vec<u8>],
+    ) -> Result<DurableState, DecodeError> {
+        let head: Head = decode(chunks.first().map_or(&[], Vec::as_slice))?;
+        let state = match chunks.len() {
             0 | 1 => vec![head.state],
-            _ => parts.drain(1..).collect(),
+            _ => chunks.drain(1..).collect(),
         };
-        let mut snapshot = Snapshot {
+        let mut snapshot = DurableState {
             disk: head.disk,
             agreement: head.agreement,
             synchronized: head.synchronized,
             applied: head.applied,
-            state: Arc::new(EncodedState::new(head.applied, state)),
+            state: Arc::new(EncodedSnapshot::new(head.applied, state)),
             entries: head.entries,
             committed: head.committed,
         };
--- a/system/control/src/followers.rs
+++ b/system/control/src/followers.rs
@@ -1,6 +1,6 @@
 //! Passing entries on: to the successor, and from the tail to those that catch up outside of the chain.
 use crate::{chain_state::Follower, log::Run, replica::Replica, StateMachine};
-use magpiegap_protocol::{Millis, PeerMessage, Position, Replica as ReplicaId};
+use magpiegap_protocol::{LogIndex, LogPosition, Millis, PeerMessage, ReplicaId};
 
 /// Entries are told in messages of about so many bytes at most.
 const MOST_BYTES: usize = 512 << 10;
@@ -19,7 +19,7 @@
     pub(crate) fn give_missing(
         &mut self,
         from: ReplicaId,
-        last: Position,
+        last: LogPosition,
         now: Millis,
         machine: &mut dyn StateMachine,
     ) {
@@ -42,7 +42,7 @@
         let view = self.agreement.state.current.number;
         if !more {
             // From now on it is told what is new, and soon what is on disk.
-            let told = (0, now.saturating_sub(APPEND_EVERY_MS));
+            let told = (LogIndex::default(), now.saturating_sub(APPEND_EVERY_MS));
             self.chain
                 .followers
                 .retain(|follower| follower.replica != from);
--- a/system/control/src/membership.rs
+++ b/system/control/src/membership.rs
@@ -3,7 +3,7 @@
     peer::{Peer, Status},
     settings::ControlSettings,
 };
-use magpiegap_protocol::{Heartbeat, Member, Millis, PeerReport, Replica, View, WallMillis};
+use magpiegap_protocol::{Heartbeat, Member, Millis, PeerReport, ReplicaId, View, WallMillis};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How many successors on the ring hear a replica's heartbeats: in a core of up to nine, all others.
@@ -18,7 +18,7 @@
 /// All that is known of other replicas.
 #[derive(Clone, Debug)]
 pub(crate) struct Membership {
-    own: Replica,
+    own: ReplicaId,
     suspect_ms: Millis,
     /// Where others may be found while too few of the view are heard.
     seeds: BTreeSet<u32>,
@@ -30,7 +30,7 @@
 }
 
 impl Membership {
-    pub fn new(settings: &ControlSettings, view: &View) -> Membership {
+    pub(crate) fn new(settings: &ControlSettings, view: &View) -> Membership {
         let mut membership = Membership {
             own: settings.own,
             suspect_ms: settings.suspect_ms,
@@ -45,7 +45,7 @@
     }
 
     /// Replaces the addresses at which others may be found.
-    pub fn set_seeds(&mut self, seeds: &[u32]) {
+    pub(crate) fn set_seeds(&mut self, seeds: &[u32]) {
         let own = self.own.member.address;
         self.seeds = seeds
             .iter()
@@ -55,7 +55,7 @@
     }
 
     /// Takes up the addresses of a view. Those of members that it has left out are forgotten once they fall silent.
-    pub fn follow(&mut self, view: &View) {
+    pub(crate) fn follow(&mut self, view: &View) {
         let voters = view.voters.iter().map(|member| member.address);
         let chain = view.chain.iter().map(|replica| replica.member.address);
         let own = self.own.member.address;
@@ -66,7 +66,7 @@
     }
 
     /// Whether too few of the view are heard, so that the seeds are asked too.
-    pub fn is_seeking(&self, now: Millis) -> bool {
+    pub(crate) fn is_seeking(&self, now: Millis) -> bool {
         let heard: BTreeSet<u32> = self
             .peers
             .values()
@@ -94,7 +94,7 @@
     }
 
     /// Those that hear this replica's heartbeats: its successors on the ring of addresses.
-    pub fn monitors(&self, now: Millis) -> Vec<u32> {
+    pub(crate) fn monitors(&self, now: Millis) -> Vec<u32> {
         let own = self.own.member.address;
         let ring = self.ring(now);
         let after = ring.range(own..);
@@ -103,7 +103,7 @@
     }
 
     /// Takes a heartbeat. Returns whether it is the first one from this life of the replica.
-    pub fn hear(&mut self, from: Replica, heartbeat: &Heartbeat, now: Millis) -> bool {
+    pub(crate) fn hear(&mut self, from: ReplicaId, heartbeat: &Heartbeat, now: Millis) -> bool {
         let known = self
             .peers
             .get(&from.member)
@@ -119,12 +119,12 @@
         if let Some(peer) = self.peers.get_mut(&from.member) {
             peer.direct = Some(now);
             peer.echo = peer.echo.max(heartbeat.sent_at);
-            peer.wall_offset = Some(heartbeat.wall_ms as i64 - now as i64);
+            peer.wall_offset = Some(heartbeat.wall_ms.0 as i64 - now as i64);
             if hears_us.is_some_and(|age| age < suspect_ms) {
                 peer.hears_us = Some(now);
             }
         }
-        let connected = heartbeat.heard.iter().filter(|report| report.both_ways);
+        let connected = heartbeat.heard.iter().filter(|report| report.bidirectional);
         let connected = connected
             .map(|report| report.replica.member.address)
             .collect();
@@ -139,7 +139,7 @@
     }
 
     /// Takes note of what a replica said at a time.
-    fn record(&mut self, replica: Replica, at: Millis, status: Status, now: Millis) {
+    fn record(&mut self, replica: ReplicaId, at: Millis, status: Status, now: Millis) {
         let fresh = Peer::new(replica, status, at, now);
         let peer = self.peers.entry(replica.member).or_insert(fresh);
         if at < peer.last_heard {
@@ -157,12 +157,12 @@
     }
 
     /// Whether a replica has been heard for long enough that it may be taken into a view.
-    pub fn has_settled(peer: &Peer, now: Millis) -> bool {
+    pub(crate) fn has_settled(peer: &Peer, now: Millis) -> bool {
         now.saturating_sub(peer.first_heard) >= SETTLE_MS
     }
 
     /// Reports for a heartbeat.
-    pub fn reports(&self, now: Millis) -> Vec<PeerReport> {
+    pub(crate) fn reports(&self, now: Millis) -> Vec<PeerReport> {
         let report = |peer: &Peer| {
             let Status {
                 view,
@@ -181,7 +181,7 @@
                 complete,
                 committed,
                 location,
-                both_ways: self.is_connected(peer, now),
+                bidirectional: self.is_connected(peer, now),
                 echo: peer.echo,
             }
         };
@@ -189,8 +189,8 @@
     }
 
     /// The replicas that are heard and hear this one, without this one.
-    pub fn heard(&self, now: Millis) -> Vec<Peer> {
-        let both_ways = |peer: &Peer| match self.is_recent(peer.direct, now) {
+    pub(crate) fn heard(&self, now: Millis) -> Vec<Peer> {
+        let bidirectional = |peer: &Peer| match self.is_recent(peer.direct, now) {
             true => self.is_connected(peer, now),
             // Heard of from others only: those it tells nothing itself, since it has other monitors.
             false => !self.all_hear_each_other(now),
@@ -200,7 +200,7 @@
                 && peer
                     .refused_at
                     .is_none_or(|refused| peer.last_heard > refused)
-                && both_ways(peer)
+                && bidirectional(peer)
         };
         let mut newest: BTreeMap<u32, Peer> = BTreeMap::new();
         for peer in self.peers.values().filter(heard) {
@@ -228,9 +228,14 @@
     }
 
     /// Whether a member says that it and all of the others hear each other. In a large ring that can't be told.
-    pub fn says_connected(&self, member: &Member, others: &[Replica], now: Millis) -> bool {
+    pub(crate) fn says_connected(
+        &self,
+        member: &Member,
+        others: &[ReplicaId],
+        now: Millis,
+    ) -> bool {
         let connected = self.connected.get(member);
-        let hears = |other: &Replica| {
+        let hears = |other: &ReplicaId| {
             let address = other.member.address;
             // That this replica and it hear each other is known here.
             address == self.own.member.address
@@ -241,12 +246,12 @@
     }
 
     /// What is known of a member.
-    pub fn peer(&self, member: &Member) -> Option<&Peer> {
+    pub(crate) fn peer(&self, member: &Member) -> Option<&Peer> {
         self.peers.get(member)
     }
 
     /// The middle one of the times of day of all that are heard, with this replica's own.
-    pub fn median_wall(&self, own_wall: WallMillis, now: Millis) -> WallMillis {
+    pub(crate) fn median_wall(&self, own_wall: WallMillis, now: Millis) -> WallMillis {
         let recent = |peer: &&Peer| {
             peer.direct
                 .is_some_and(|at| now.saturating_sub(at) <= 2 * self.suspect_ms)
@@ -257,14 +262,14 @@
             .filter(recent)
             .filter_map(|peer| peer.wall_offset);
         let mut walls: Vec<i64> = heard.map(|offset| offset + now as i64).collect();
-        walls.push(own_wall as i64);
+        walls.push(own_wall.0 as i64);
         walls.sort_unstable();
         let lower = walls[(walls.len() - 1) / 2];
-        u64::try_from(lower).unwrap_or(0)
+        WallMillis(u64::try_from(lower).unwrap_or(0))
     }
 
     /// Whether this very process was heard lately.
-    pub fn is_heard(&self, replica: &Replica, now: Millis) -> bool {
+    pub(crate) fn is_heard(&self, replica: &ReplicaId, now: Millis) -> bool {
         self.peers.get(&replica.member).is_some_and(|peer| {
             peer.replica == *replica && self.is_recent(Some(peer.last_heard), now)
         })
@@ -272,7 +277,7 @@
 
     /// A connection to an address was refused: most likely the process there has ended. What was heard until now counts
     /// no more for who is there; it proves nothing, and nothing else rests on it.
-    pub fn connection_refused(&mut self, address: u32, now: Millis) {
+    pub(crate) fn handle_connection_refused(&mut self, address: u32, now: Millis) {
         for peer in self
             .peers
             .values_mut()
@@ -283,7 +288,7 @@
     }
 
     /// Drops what is known of replicas that were not heard for long.
-    pub fn forget(&mut self, now: Millis) {
+    pub(crate) fn forget(&mut self, now: Millis) {
         self.peers
             .retain(|_, peer| now.saturating_sub(peer.last_heard) < FORGET_MS);
         self.connected
--- a/system/control/src/peer.rs
+++ b/system/control/src/peer.rs
@@ -1,11 +1,13 @@
 //! What is known of another replica.
-use magpiegap_protocol::{Heartbeat, Location, Millis, PeerReport, Replica};
+use magpiegap_protocol::{
+    Heartbeat, Location, LogIndex, Millis, PeerReport, ReplicaId, ViewNumber,
+};
 
 /// What a replica says of itself.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Status {
     /// The newest view that it knows.
-    pub view: u64,
+    pub view: ViewNumber,
     /// It takes part in that view.
     pub serving: bool,
     /// It can't take part for now.
@@ -13,7 +15,7 @@
     /// Its disk had all that was committed up to that view.
     pub complete: bool,
     /// The newest entry that it knew to be committed.
-    pub committed: u64,
+    pub committed: LogIndex,
     /// Where it stands.
     pub location: Location,
 }
@@ -65,7 +67,7 @@
 /// What is known of another replica.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Peer {
-    pub replica: Replica,
+    pub replica: ReplicaId,
     /// What it said last.
     pub status: Status,
     /// Since when it has been heard without a pause.
@@ -86,7 +88,7 @@
 
 impl Peer {
     /// A replica that is heard, or heard of, for the first time.
-    pub fn new(replica: Replica, status: Status, at: Millis, now: Millis) -> Peer {
+    pub(crate) fn new(replica: ReplicaId, status: Status, at: Millis, now: Millis) -> Peer {
         Peer {
             replica,
             status,
--- a/system/control/src/replica.rs
+++ b/system/control/src/replica.rs
@@ -3,13 +3,15 @@
     agreement::Agreement,
     chain_state::{Activity, Chain},
     contact::Contact,
-    durable::{DurableRecord, DurableState, Snapshot},
+    durable::{DurableRecord, DurableState},
     log::Log,
     membership::Membership,
     settings::ControlSettings,
     StateMachine,
 };
-use magpiegap_protocol::{Entry, Millis, PeerMessage, Replica as ReplicaId, View, WallMillis};
+use magpiegap_protocol::{
+    Entry, LogIndex, Millis, PeerMessage, ReplicaId, View, ViewNumber, WallMillis,
+};
 use rand::{rngs::StdRng, SeedableRng};
 use std::collections::VecDeque;
 
@@ -43,7 +45,7 @@
         /// Names the work.
         ticket: u64,
         /// What to keep.
-        snapshot: Box<Snapshot>,
+        snapshot: Box<DurableState>,
     },
     /// A line for the operator's log.
     Log(String),
@@ -74,7 +76,7 @@
     pub(crate) contact: Contact,
     pub(crate) chain: Chain,
     /// The view up to which this replica has all that was committed.
-    pub(crate) synchronized: Option<u64>,
+    pub(crate) synchronized: Option<ViewNumber>,
     pub(crate) random: StdRng,
     pub(crate) view_since: Millis,
     pub(crate) needed_since: Option<Millis>,
@@ -107,7 +109,7 @@
             .committed
             .min(chain.log.last().index)
             .max(durable.applied.index);
-        if durable.agreement.current.number > 0 {
+        if durable.agreement.current.number > ViewNumber::default() {
             // This life of the process is in no chain yet.
             chain.activity = Activity::Learning;
         }
@@ -132,7 +134,7 @@
             out: Vec::new(),
             settings,
         };
-        let ticket = replica.ticket(vec![After::EntriesDurable(last), After::Started], now);
+        let ticket = replica.ticket(vec![After::EntriesDurable(last.0), After::Started], now);
         replica.out.push(Output::Checkpoint {
             ticket,
             snapshot: Box::new(durable),
@@ -151,18 +153,18 @@
     }
 
     /// The newest entry known to be committed.
-    pub fn committed(&self) -> u64 {
+    pub fn committed(&self) -> LogIndex {
         self.chain.committed
     }
 
     /// Takes what it wants done.
-    pub fn take_outputs(&mut self) -> Vec<Output> {
+    pub fn poll_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.out)
     }
 
     /// A connection to the coordinator at an address was refused: most likely its process has ended.
-    pub fn connection_refused(&mut self, address: u32, now: Millis) {
-        self.membership.connection_refused(address, now);
+    pub fn handle_connection_refused(&mut self, address: u32, now: Millis) {
+        self.membership.handle_connection_refused(address, now);
     }
 
     /// Replaces the addresses at which others may be found.
@@ -274,17 +276,17 @@
     pub(crate) fn checkpoint(&mut self, now: Millis, machine: &mut dyn StateMachine) {
         self.bytes_since_checkpoint = 0;
         let last = self.chain.log.last().index;
-        let snapshot = Snapshot {
+        let snapshot = DurableState {
             disk: self.disk,
             agreement: self.agreement.state.clone(),
             synchronized: self.synchronized,
             applied: machine.position(),
-            state: machine.freeze(),
+            state: machine.snapshot(),
             entries: self.chain.log.after(self.chain.applied).unwrap_or_default(),
             committed: self.chain.committed.min(last),
         };
         self.chain.handed_to_disk = last;
-        let ticket = self.ticket(vec![After::EntriesDurable(last)], now);
+        let ticket = self.ticket(vec![After::EntriesDurable(last.0)], now);
         self.out.push(Output::Checkpoint {
             ticket,
             snapshot: Box::new(snapshot),
@@ -295,7 +297,7 @@
 /// About how many bytes a record takes up on disk.
 fn rough_size(record: &DurableRecord) -> usize {
     match record {
-        DurableRecord::Entries(entries) => entries.iter().map(Entry::rough_bytes).sum(),
+        DurableRecord::Entries(entries) => entries.iter().map(Entry::estimated_bytes).sum(),
         DurableRecord::Agreement(_) => 1000,
         DurableRecord::Synchronized(_) | DurableRecord::Committed(_) => 20,
     }
--- a/system/control/src/settings.rs
+++ b/system/control/src/settings.rs
@@ -1,12 +1,12 @@
 //! What a replica is told at its start.
 use crate::tolerance::Tolerance;
-use magpiegap_protocol::{Location, Millis, Replica};
+use magpiegap_protocol::{Location, Millis, ReplicaId};
 
 /// Figures of the deployment that a replica needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlSettings {
     /// Its own name: machine, disk, and this life of the process.
-    pub own: Replica,
+    pub own: ReplicaId,
     /// Addresses of other coordinators, as known at the start.
     pub seeds: Vec<u32>,
     /// Where its machine stands.
--- a/system/control/src/state_transfer.rs
+++ b/system/control/src/state_transfer.rs
@@ -11,17 +11,17 @@
     transfers::{Incoming, Outgoing},
     StateMachine,
 };
-use magpiegap_protocol::{fnv1a, Entry, Millis, PeerMessage, Position, Replica as ReplicaId};
+use magpiegap_protocol::{fnv1a, Entry, LogIndex, LogPosition, Millis, PeerMessage, ReplicaId};
 
 /// How many parts are asked for before the first of them has come.
-const PARTS_AHEAD: u32 = 4;
+const CHUNKS_AHEAD: u32 = 4;
 /// A frozen state that nobody has asked for this long is dropped.
 const KEEP_FROZEN_MS: Millis = 5000;
 
 /// A part of a state, as it was told.
 #[derive(Clone, Debug)]
-pub(crate) struct Part {
-    pub position: Position,
+pub(crate) struct Chunk {
+    pub position: LogPosition,
     pub number: u32,
     pub checksum: u64,
     pub bytes: Vec<u8>,
@@ -38,13 +38,13 @@
         let of_use = |outgoing: &Outgoing| self.chain.log.has_all_after(outgoing.position().index);
         let state = match self.chain.outgoing.take().filter(of_use) {
             Some(outgoing) => outgoing.state,
-            None => machine.freeze(),
+            None => machine.snapshot(),
         };
         let view = self.view().number;
-        let offer = PeerMessage::StateOffer {
+        let offer = PeerMessage::SnapshotOffer {
             view,
             position: state.position(),
-            parts: state.parts(),
+            chunks: state.chunks(),
         };
         self.chain.outgoing = Some(Outgoing {
             state,
@@ -57,7 +57,7 @@
     pub(crate) fn give_part(
         &mut self,
         to: ReplicaId,
-        position: Position,
+        position: LogPosition,
         number: u32,
         now: Millis,
         machine: &mut dyn StateMachine,
@@ -75,16 +75,16 @@
             return;
         };
         outgoing.asked_at = now;
-        let bytes = outgoing.state.part(number);
+        let bytes = outgoing.state.chunk(number);
         let (view, checksum) = (self.view().number, fnv1a(&bytes));
-        let part = PeerMessage::StatePart {
+        let chunk = PeerMessage::SnapshotChunk {
             view,
             position,
             number,
             checksum,
             bytes,
         };
-        self.send(to.member.address, part);
+        self.send(to.member.address, chunk);
     }
 
     /// Lets go of a frozen state that nobody asks for any more.
@@ -98,8 +98,8 @@
     /// The source has a state for this replica.
     pub(crate) fn take_offer(
         &mut self,
-        position: Position,
-        parts: u32,
+        position: LogPosition,
+        chunks: u32,
         now: Millis,
         machine: &mut dyn StateMachine,
     ) {
@@ -115,10 +115,10 @@
             .chain
             .incoming
             .as_ref()
-            .map(|incoming| (incoming.position, incoming.parts));
-        if known != Some((position, parts)) {
+            .map(|incoming| (incoming.position, incoming.chunks));
+        if known != Some((position, chunks)) {
             machine.begin_restore();
-            self.chain.incoming = Some(Incoming::new(position, parts));
+            self.chain.incoming = Some(Incoming::new(position, chunks));
         }
         self.ask_again_at_once(now);
     }
@@ -134,18 +134,18 @@
             return false;
         };
         let (position, next) = (incoming.position, incoming.next);
-        let until = incoming.parts.min(next + PARTS_AHEAD);
+        let until = incoming.chunks.min(next + CHUNKS_AHEAD);
         for number in next..until {
             self.ask_for_part(source, position, number);
         }
         true
     }
 
-    fn ask_for_part(&mut self, source: ReplicaId, position: Position, number: u32) {
+    fn ask_for_part(&mut self, source: ReplicaId, position: LogPosition, number: u32) {
         let view = self.view().number;
         self.send(
             source.member.address,
-            PeerMessage::AskPart {
+            PeerMessage::RequestSnapshotChunk {
                 view,
                 position,
                 number,
@@ -157,23 +157,23 @@
     pub(crate) fn take_part(
         &mut self,
         from: ReplicaId,
-        part: &Part,
+        chunk: &Chunk,
         now: Millis,
         machine: &mut dyn StateMachine,
     ) {
-        let Part {
+        let Chunk {
             position,
             number,
             checksum,
             ref bytes,
-        } = *part;
+        } = *chunk;
         let Some(incoming) = self.chain.incoming.as_mut() else {
             return;
         };
         if incoming.position != position || incoming.next != number || incoming.is_whole() {
             return;
         }
-        if fnv1a(bytes) != checksum || !machine.add_part(bytes) {
+        if fnv1a(bytes) != checksum || !machine.add_chunk(bytes) {
             self.chain.incoming = None;
             self.log(format!(
                 "part {number} of the state of {} can't be read",
@@ -182,13 +182,13 @@
             return;
         }
         incoming.next += 1;
-        let (whole, parts) = (incoming.is_whole(), incoming.parts);
+        let (whole, chunks) = (incoming.is_whole(), incoming.chunks);
         self.chain.asked_at = now.max(1);
         self.chain.ask_again_ms = ASK_FIRST_MS;
-        let ahead = number + PARTS_AHEAD;
+        let ahead = number + CHUNKS_AHEAD;
         if whole {
             self.ask_again_at_once(now);
-        } else if ahead < parts {
+        } else if ahead < chunks {
             self.ask_for_part(from, position, ahead);
         }
     }
@@ -196,7 +196,7 @@
     /// Takes entries that follow the state, when all of that is there; `false` when none is being built up.
     pub(crate) fn take_entries_of_incoming(
         &mut self,
-        after: u64,
+        after: LogIndex,
         entries: &mut Vec<Entry>,
         more: bool,
         now: Millis,
@@ -236,7 +236,7 @@
         self.chain.log = Log::new(incoming.position, incoming.entries);
         self.begin_to_take_entries(now);
         self.forget_entries_under_way();
-        self.chain.own_durable = 0;
+        self.chain.own_durable = LogIndex::default();
         self.checkpoint(now, machine);
     }
 }
--- a/system/control/src/steps.rs
+++ b/system/control/src/steps.rs
@@ -1,10 +1,10 @@
 //! The ways into a replica: messages, the passing of time, and the disk's word.
 use crate::{
     replica::{After, Replica},
-    state_transfer::Part,
+    state_transfer::Chunk,
     StateMachine,
 };
-use magpiegap_protocol::{Heartbeat, Millis, PeerMessage, Replica as ReplicaId, WallMillis};
+use magpiegap_protocol::{Heartbeat, LogIndex, Millis, PeerMessage, ReplicaId, WallMillis};
 
 /// Records after which a checkpoint is due, in bytes.
 const CHECKPOINT_BYTES: usize = 4 << 20;
@@ -37,7 +37,7 @@
     }
 
     /// Takes a message from another replica.
-    pub fn receive(
+    pub fn handle_messages(
         &mut self,
         now: Millis,
         wall: WallMillis,
@@ -93,21 +93,21 @@
             } if view == current && from_source => {
                 self.take_missing(after, entries, more, now, machine);
             }
-            PeerMessage::StateOffer {
+            PeerMessage::SnapshotOffer {
                 view,
                 position,
-                parts,
+                chunks,
             } if view == current && from_source => {
-                self.take_offer(position, parts, now, machine);
+                self.take_offer(position, chunks, now, machine);
             }
-            PeerMessage::AskPart {
+            PeerMessage::RequestSnapshotChunk {
                 view,
                 position,
                 number,
             } if view == current => {
                 self.give_part(from, position, number, now, machine);
             }
-            PeerMessage::StatePart {
+            PeerMessage::SnapshotChunk {
                 view,
                 position,
                 number,
@@ -116,7 +116,7 @@
             } if view == current && from_source => {
                 self.take_part(
                     from,
-                    &Part {
+                    &Chunk {
                         position,
                         number,
                         checksum,
@@ -129,10 +129,10 @@
             PeerMessage::Propose {
                 view,
                 proposal,
-                fence,
+                role_token,
                 command,
             } if view == current && self.is_head() => {
-                self.write(wall, proposal, fence, command);
+                self.write(wall, proposal, role_token, command);
             }
             // Of another view, or not for this layer.
             _ => {}
@@ -145,7 +145,7 @@
     }
 
     /// Disk work up to this ticket is done.
-    pub fn persisted(&mut self, ticket: u64, now: Millis, machine: &mut dyn StateMachine) {
+    pub fn handle_persisted(&mut self, ticket: u64, now: Millis, machine: &mut dyn StateMachine) {
         while self
             .tickets
             .front()
@@ -159,7 +159,7 @@
                 match after {
                     After::Send(to, message) => self.send(to, message),
                     After::EntriesDurable(index) => {
-                        self.chain.own_durable = self.chain.own_durable.max(index);
+                        self.chain.own_durable = self.chain.own_durable.max(LogIndex(index));
                     }
                     After::Started => self.started = true,
                 }
--- a/system/control/src/time_of_day.rs
+++ b/system/control/src/time_of_day.rs
@@ -23,7 +23,7 @@
 impl TimeOfDay {
     /// The time of day when the steady clock shows `now` and the machine's clock `wall`.
     pub fn read(&mut self, now: Millis, wall: WallMillis) -> WallMillis {
-        let shown = wall as Offset - now as Offset;
+        let shown = wall.0 as Offset - now as Offset;
         let (first_read, believed) = *self.believed.get_or_insert((now, shown));
         let offset = if self.follows(now, first_read, believed, shown) {
             self.believed = Some((first_read, shown));
@@ -32,7 +32,7 @@
         } else {
             believed
         };
-        u64::try_from(now as Offset + offset).unwrap_or(0)
+        WallMillis(u64::try_from(now as Offset + offset).unwrap_or(0))
     }
 
     fn follows(
--- a/system/control/src/tolerance.rs
+++ b/system/control/src/tolerance.rs
@@ -1,5 +1,5 @@
 //! What may be lost at once, and which replicas and voters suffice for it.
-use magpiegap_protocol::{Location, PlaceId};
+use magpiegap_protocol::{FailureDomainId, Location};
 use std::collections::BTreeMap;
 
 /// What may be lost at once while everything is kept: so many machines, or all that is in so many zones or regions.
@@ -51,8 +51,8 @@
 
 fn count_by(
     locations: &[Location],
-    place: impl Fn(&Location) -> PlaceId,
-) -> BTreeMap<PlaceId, usize> {
+    place: impl Fn(&Location) -> FailureDomainId,
+) -> BTreeMap<FailureDomainId, usize> {
     let mut counts = BTreeMap::new();
     for location in locations {
         *counts.entry(place(location)).or_insert(0) += 1;
@@ -61,7 +61,7 @@
 }
 
 /// How many are in the so many largest places.
-fn largest(counts: BTreeMap<PlaceId, usize>, places: usize) -> usize {
+fn largest(counts: BTreeMap<FailureDomainId, usize>, places: usize) -> usize {
     let mut counts: Vec<usize> = counts.into_values().collect();
     counts.sort_unstable_by(|one, other| other.cmp(one));
     counts.into_iter().take(places).sum()
--- a/system/control/src/view_change.rs
+++ b/system/control/src/view_change.rs
@@ -6,7 +6,9 @@
     view_reason::ViewReason,
     StateMachine,
 };
-use magpiegap_protocol::{Member, Millis, PeerMessage, Promise, Replica as ReplicaId, View};
+use magpiegap_protocol::{
+    Ballot, Member, Millis, PeerMessage, Promise, ReplicaId, View, ViewNumber,
+};
 use rand::Rng;
 use std::collections::BTreeSet;
 
@@ -108,7 +110,9 @@
 
     fn begin_round(&mut self, reason: &ViewReason, now: Millis) {
         self.next_round_at = now + ROUND_TIMEOUT_MS + self.random.gen_range(0..200);
-        let ballot = self.agreement.begin(self.settings.own.boot as u32, now);
+        let ballot = self
+            .agreement
+            .begin(self.settings.own.incarnation as u32, now);
         let number = self.agreement.next_number();
         self.log(format!("proposes view {number}: {reason}"));
         let message = PeerMessage::Prepare { number, ballot };
@@ -126,8 +130,8 @@
     pub(crate) fn prepare(
         &mut self,
         from: ReplicaId,
-        number: u64,
-        ballot: (u64, u32),
+        number: ViewNumber,
+        ballot: Ballot,
         now: Millis,
     ) {
         if !self.takes_part(from, number) {
@@ -152,7 +156,7 @@
     }
 
     /// Whether this replica votes on that view. Tells a proposer that lies behind.
-    fn takes_part(&mut self, from: ReplicaId, number: u64) -> bool {
+    fn takes_part(&mut self, from: ReplicaId, number: ViewNumber) -> bool {
         if !self.started {
             return false;
         }
@@ -162,7 +166,7 @@
             self.send(from.member.address, decided);
             return false;
         }
-        number == current.number + 1 && current.voters.contains(&self.settings.own.member)
+        number == current.number.next() && current.voters.contains(&self.settings.own.member)
     }
 
     /// A voter takes part in this replica's round.
@@ -210,7 +214,7 @@
     pub(crate) fn accept_view(
         &mut self,
         from: ReplicaId,
-        ballot: (u64, u32),
+        ballot: Ballot,
         view: &View,
         now: Millis,
     ) {
@@ -234,13 +238,13 @@
     pub(crate) fn accepted(
         &mut self,
         from: ReplicaId,
-        number: u64,
-        ballot: (u64, u32),
+        number: ViewNumber,
+        ballot: Ballot,
         now: Millis,
         machine: &mut dyn StateMachine,
     ) {
         let current = &self.agreement.state.current;
-        if number != current.number + 1 || !current.voters.contains(&from.member) {
+        if number != current.number.next() || !current.voters.contains(&from.member) {
             return;
         }
         let majority = current.majority();
@@ -278,11 +282,11 @@
     }
 
     /// A higher ballot is under way.
-    pub(crate) fn rejected(&mut self, number: u64, promised: (u64, u32), now: Millis) {
+    pub(crate) fn rejected(&mut self, number: ViewNumber, promised: Ballot, now: Millis) {
         if number != self.agreement.next_number() {
             return;
         }
-        self.agreement.highest_round = self.agreement.highest_round.max(promised.0);
+        self.agreement.highest_round = self.agreement.highest_round.max(promised.round);
         if self
             .agreement
             .round
--- a/system/control/src/view_members.rs
+++ b/system/control/src/view_members.rs
@@ -1,8 +1,6 @@
 //! With whom the next view is formed.
 use crate::{chain_state::Activity, membership::Membership, peer::Peer, replica::Replica};
-use magpiegap_protocol::{
-    Location, Member, MemberLocation, Millis, Position, Replica as ReplicaId, View,
-};
+use magpiegap_protocol::{Location, LogPosition, Member, MemberLocation, Millis, ReplicaId, View};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// More voters than this make agreement slow.
@@ -99,7 +97,7 @@
         &self,
         current: &View,
         alive: &[ReplicaId],
-        complete: &BTreeMap<Member, Position>,
+        complete: &BTreeMap<Member, LogPosition>,
         now: Millis,
     ) -> Option<View> {
         let last = |replica: &ReplicaId| complete.get(&replica.member).copied();
--- a/system/control/src/view_reason.rs
+++ b/system/control/src/view_reason.rs
@@ -1,18 +1,18 @@
 //! Why another view is needed.
-use magpiegap_protocol::Replica;
+use magpiegap_protocol::ReplicaId;
 use std::fmt;
 
 /// Why another view is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ViewReason {
     /// A replica outside of the chain can take part.
-    Newcomer(Replica),
+    Newcomer(ReplicaId),
     /// A member of the chain is gone, or can't take part.
-    Gone(Replica),
+    Gone(ReplicaId),
     /// The agreement on the next view was begun by another replica and led to nothing.
     Unfinished,
     /// A member of the chain is there and does not take part.
-    Idle(Replica),
+    Idle(ReplicaId),
 }
 
 impl fmt::Display for ViewReason {
--- a/system/control/tests/common/counting_state.rs
+++ b/system/control/tests/common/counting_state.rs
@@ -1,37 +1,37 @@
 //! A state that counts what was applied to it.
-use magpiegap_control::{FrozenState, StateMachine};
-use magpiegap_protocol::{decode, encode, Entry, Position, ProposalId};
+use magpiegap_control::{StateMachine, StateSnapshot};
+use magpiegap_protocol::{decode, encode, Entry, LogPosition, ProposalId};
 use std::sync::Arc;
 
 /// How many parts a state has.
-const PARTS: u32 = 9;
+const CHUNKS: u32 = 9;
 
 /// Counts what was applied, and remembers what that was until it is asked.
 #[derive(Clone, Debug, Default)]
-pub struct CountingState {
-    pub position: Position,
+pub(crate) struct CountingState {
+    pub position: LogPosition,
     applied: Vec<(u64, ProposalId)>,
-    building: Vec<Position>,
+    building: Vec<LogPosition>,
 }
 
 #[derive(Debug)]
-struct FrozenCount(Position);
+struct FrozenCount(LogPosition);
 
-impl FrozenState for FrozenCount {
-    fn position(&self) -> Position {
+impl StateSnapshot for FrozenCount {
+    fn position(&self) -> LogPosition {
         self.0
     }
-    fn parts(&self) -> u32 {
-        PARTS
+    fn chunks(&self) -> u32 {
+        CHUNKS
     }
-    fn part(&self, _number: u32) -> Vec<u8> {
+    fn chunk(&self, _number: u32) -> Vec<u8> {
         encode(&self.0)
     }
 }
 
 impl CountingState {
     /// Takes what was applied since this was last asked.
-    pub fn take_applied(&mut self) -> Vec<(u64, ProposalId)> {
+    pub(crate) fn take_applied(&mut self) -> Vec<(u64, ProposalId)> {
         std::mem::take(&mut self.applied)
     }
 }
@@ -44,25 +44,25 @@
             "entries are applied in order"
         );
         self.position = entry.position;
-        self.applied.push((entry.position.index, entry.proposal));
+        self.applied.push((entry.position.index.0, entry.proposal));
     }
-    fn position(&self) -> Position {
+    fn position(&self) -> LogPosition {
         self.position
     }
-    fn freeze(&self) -> Arc<dyn FrozenState> {
+    fn snapshot(&self) -> Arc<dyn StateSnapshot> {
         Arc::new(FrozenCount(self.position))
     }
     fn begin_restore(&mut self) {
         self.building.clear();
     }
-    fn add_part(&mut self, part: &[u8]) -> bool {
-        decode(part)
+    fn add_chunk(&mut self, chunk: &[u8]) -> bool {
+        decode(chunk)
             .map(|position| self.building.push(position))
             .is_ok()
     }
-    fn finish_restore(&mut self, position: Position) -> bool {
+    fn finish_restore(&mut self, position: LogPosition) -> bool {
         let built = std::mem::take(&mut self.building);
-        let whole = built.len() == PARTS as usize && built.iter().all(|part| *part == position);
+        let whole = built.len() == CHUNKS as usize && built.iter().all(|chunk| *chunk == position);
         if whole {
             self.position = position;
         }
--- a/system/control/tests/common/group.rs
+++ b/system/control/tests/common/group.rs
@@ -3,9 +3,10 @@
 mod machines;
 
 use super::{counting_state::CountingState, disk_change::DiskChange};
-use magpiegap_control::{DurableState, Replica, Snapshot, StateMachine, Tolerance};
+use magpiegap_control::{DurableState, Replica, StateMachine, Tolerance};
 use magpiegap_protocol::{
-    Command, Location, Member, Millis, PeerMessage, PlaceId, ProposalId, Replica as ReplicaId,
+    Command, FailureDomainId, Location, Member, Millis, PeerMessage, ProposalId, ReplicaId,
+    ViewNumber, WallMillis,
 };
 use rand::rngs::StdRng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,14 +29,14 @@
     },
     Persisted {
         address: u32,
-        boot: u64,
+        incarnation: u64,
         ticket: u64,
         change: Box<DiskChange>,
     },
 }
 
 /// The group.
-pub struct Group {
+pub(crate) struct Group {
     pub now: Millis,
     pub tolerance: Tolerance,
     /// Where each machine stands; those not named stand in one unknown place.
@@ -47,7 +48,7 @@
     /// Pairs that don't hear each other, the lower address first.
     pub cut_links: BTreeSet<(u32, u32)>,
     /// Machines that stand still, and until when.
-    pub frozen: BTreeMap<u32, Millis>,
+    pub snapshot: BTreeMap<u32, Millis>,
     /// Seeds how long messages and syncs take; `None`: always the same.
     pub chance: Option<StdRng>,
     /// What was applied under each index, by whichever replica did it first.
@@ -68,19 +69,19 @@
 
 impl Group {
     /// A group of this size whose members start for the first time.
-    pub fn start(size: u32, tolerance: usize) -> Group {
+    pub(crate) fn start(size: u32, tolerance: usize) -> Group {
         let places = vec![""; size as usize];
         Group::start_in_zones(&places, size, Tolerance::of_machines(tolerance))
     }
 
     /// A group with a member in each of these zones that start for the first time, the first of them known to all.
-    pub fn start_in_zones(zones: &[&str], seeds: u32, tolerance: Tolerance) -> Group {
+    pub(crate) fn start_in_zones(zones: &[&str], seeds: u32, tolerance: Tolerance) -> Group {
         let voters: Vec<Member> = (1..=seeds)
             .map(|address| Member { address, disk: 0 })
             .collect();
         let location = |zone: &&str| Location {
-            zone: PlaceId::of(zone),
-            region: PlaceId::of("region"),
+            zone: FailureDomainId::of(zone),
+            region: FailureDomainId::of("region"),
         };
         let locations: BTreeMap<u32, Location> = (1..).zip(zones.iter().map(location)).collect();
         let addresses: Vec<u32> = locations.keys().copied().collect();
@@ -91,7 +92,7 @@
             catch_up_delay_ms: DELAY_MS,
             cut_off: BTreeSet::new(),
             cut_links: BTreeSet::new(),
-            frozen: BTreeMap::new(),
+            snapshot: BTreeMap::new(),
             chance: None,
             history: BTreeMap::new(),
             contradictions: Vec::new(),
@@ -105,10 +106,11 @@
             proposals: 0,
         };
         for address in addresses {
-            let state = CountingState::default().freeze();
-            group
-                .disks
-                .insert(address, Snapshot::empty(0, Some(0), voters.clone(), state));
+            let state = CountingState::default().snapshot();
+            group.disks.insert(
+                address,
+                DurableState::empty(0, Some(ViewNumber(0)), voters.clone(), state),
+            );
             group.start_replica(address);
         }
         group.run(1000);
@@ -116,17 +118,17 @@
     }
 
     /// Whether the process on a machine runs.
-    pub fn runs(&self, address: u32) -> bool {
+    pub(crate) fn runs(&self, address: u32) -> bool {
         self.running.contains_key(&address)
     }
 
     /// All machines.
-    pub fn addresses(&self) -> Vec<u32> {
+    pub(crate) fn addresses(&self) -> Vec<u32> {
         self.disks.keys().copied().collect()
     }
 
     fn is_frozen(&self, address: u32) -> bool {
-        self.frozen
+        self.snapshot
             .get(&address)
             .is_some_and(|until| self.now < *until)
     }
@@ -143,12 +145,12 @@
     }
 
     /// A replica that runs.
-    pub fn replica(&self, address: u32) -> &Replica {
+    pub(crate) fn replica(&self, address: u32) -> &Replica {
         &self.running[&address].replica
     }
 
     /// The addresses of the chain in the newest view, head first.
-    pub fn chain(&self) -> Vec<u32> {
+    pub(crate) fn chain(&self) -> Vec<u32> {
         let views = self.running.values().map(|running| running.replica.view());
         let newest = views.max_by_key(|view| view.number);
         newest
@@ -158,30 +160,32 @@
     }
 
     /// Number of the newest view.
-    pub fn view(&self) -> u64 {
+    pub(crate) fn view(&self) -> u64 {
         self.running
             .values()
             .map(|running| running.replica.view().number)
             .max()
-            .unwrap_or(0)
+            .unwrap_or_default()
+            .0
     }
 
     /// The newest entry that any replica knows to be committed.
-    pub fn committed(&self) -> u64 {
+    pub(crate) fn committed(&self) -> u64 {
         self.running
             .values()
             .map(|running| running.replica.committed())
             .max()
-            .unwrap_or(0)
+            .unwrap_or_default()
+            .0
     }
 
     /// The last entry that a replica has applied.
-    pub fn applied(&self, address: u32) -> u64 {
-        self.running[&address].machine.position.index
+    pub(crate) fn applied(&self, address: u32) -> u64 {
+        self.running[&address].machine.position.index.0
     }
 
     /// Lets every replica that holds itself for the head write an entry.
-    pub fn write_everywhere(&mut self) {
+    pub(crate) fn write_everywhere(&mut self) {
         let now = self.now;
         let awake: Vec<u32> = self
             .running
@@ -201,14 +205,14 @@
                 origin: replica.own(),
                 sequence: self.proposals,
             };
-            replica.propose(now, proposal, None, Command::Noop);
+            replica.propose(WallMillis(now), proposal, None, Command::Noop);
             replica.flush(now, machine);
             self.perform(address);
         }
     }
 
     /// Lets the head write an entry; `false` when there is none.
-    pub fn write(&mut self) -> bool {
+    pub(crate) fn write(&mut self) -> bool {
         self.proposals += 1;
         let now = self.now;
         let head = self
@@ -222,13 +226,13 @@
             origin: replica.own(),
             sequence: self.proposals,
         };
-        replica.propose(now, proposal, None, Command::Noop);
+        replica.propose(WallMillis(now), proposal, None, Command::Noop);
         replica.flush(now, machine);
         true
     }
 
     /// Lets time pass.
-    pub fn run(&mut self, for_ms: Millis) {
+    pub(crate) fn run(&mut self, for_ms: Millis) {
         let until = self.now + for_ms;
         while self.now < until {
             self.now += STEP_MS;
@@ -239,7 +243,7 @@
                     continue;
                 }
                 if let Some(Running { replica, machine }) = self.running.get_mut(&address) {
-                    replica.tick(now, now, machine);
+                    replica.tick(now, WallMillis(now), machine);
                 }
                 self.perform(address);
             }
--- a/system/control/tests/common/group/delivery.rs
+++ b/system/control/tests/common/group/delivery.rs
@@ -2,7 +2,7 @@
 use super::{Event, Group, Running, DELAY_MS};
 use crate::common::disk_change::DiskChange;
 use magpiegap_control::Output;
-use magpiegap_protocol::{Millis, PeerMessage, Replica as ReplicaId};
+use magpiegap_protocol::{Millis, PeerMessage, ReplicaId, WallMillis};
 use rand::Rng;
 
 /// So many missing entries are told as fast as anything else.
@@ -26,7 +26,7 @@
                 Event::Persisted { address, .. } => *address,
             };
             if self.is_frozen(at) {
-                let until = self.frozen[&at];
+                let until = self.snapshot[&at];
                 self.schedule_at(until, event);
                 continue;
             }
@@ -34,11 +34,11 @@
                 Event::Message { to, from, message } => self.deliver(to, from, *message),
                 Event::Persisted {
                     address,
-                    boot,
+                    incarnation,
                     ticket,
                     change,
                 } => {
-                    self.persisted(address, boot, ticket, *change);
+                    self.handle_persisted(address, incarnation, ticket, *change);
                 }
             }
         }
@@ -47,21 +47,27 @@
     fn deliver(&mut self, to: u32, from: ReplicaId, message: PeerMessage) {
         let now = self.now;
         if let Some(Running { replica, machine }) = self.running.get_mut(&to) {
-            replica.receive(now, now, from, message, machine);
+            replica.handle_messages(now, WallMillis(now), from, message, machine);
         }
         self.perform(to);
     }
 
-    fn persisted(&mut self, address: u32, boot: u64, ticket: u64, change: DiskChange) {
+    fn handle_persisted(
+        &mut self,
+        address: u32,
+        incarnation: u64,
+        ticket: u64,
+        change: DiskChange,
+    ) {
         let now = self.now;
         let running = self
             .running
             .get_mut(&address)
-            .filter(|running| running.replica.own().boot == boot);
+            .filter(|running| running.replica.own().incarnation == incarnation);
         let Some(Running { replica, machine }) = running else {
             return;
         };
-        replica.persisted(ticket, now, machine);
+        replica.handle_persisted(ticket, now, machine);
         if let Some(disk) = self.disks.get_mut(&address) {
             change.apply(disk);
         }
@@ -73,7 +79,7 @@
             return;
         };
         let own = running.replica.own();
-        for output in running.replica.take_outputs() {
+        for output in running.replica.poll_outputs() {
             match output {
                 Output::Send { to, message } => self.send(own, to, message),
                 Output::Persist { ticket, records } => {
@@ -94,7 +100,7 @@
             return;
         }
         let delay = match message {
-            PeerMessage::StatePart { .. } => self.catch_up_delay_ms,
+            PeerMessage::SnapshotChunk { .. } => self.catch_up_delay_ms,
             PeerMessage::MissingEntries { ref entries, .. } if entries.len() > FEW_ENTRIES => {
                 self.catch_up_delay_ms
             }
@@ -116,7 +122,7 @@
         let address = own.member.address;
         let event = Event::Persisted {
             address,
-            boot: own.boot,
+            incarnation: own.incarnation,
             ticket,
             change: Box::new(change),
         };
--- a/system/control/tests/common/group/machines.rs
+++ b/system/control/tests/common/group/machines.rs
@@ -1,12 +1,12 @@
 //! Machines start, end, lose their disks and are replaced.
 use super::{Event, Group, Running};
 use crate::common::{counting_state::CountingState, disk_change::DiskChange};
-use magpiegap_control::{restore, ControlSettings, Replica, Snapshot, StateMachine};
-use magpiegap_protocol::{Member, Millis, Replica as ReplicaId};
+use magpiegap_control::{restore, ControlSettings, DurableState, Replica, StateMachine};
+use magpiegap_protocol::{Member, Millis, ReplicaId};
 
 impl Group {
     /// Starts the process on a machine.
-    pub fn start_replica(&mut self, address: u32) {
+    pub(crate) fn start_replica(&mut self, address: u32) {
         self.boots += 1;
         let disk = self.disks[&address].clone();
         let own = ReplicaId {
@@ -14,7 +14,7 @@
                 address,
                 disk: disk.disk,
             },
-            boot: self.boots,
+            incarnation: self.boots,
         };
         let settings = ControlSettings {
             own,
@@ -33,17 +33,17 @@
     }
 
     /// Ends the process on a machine. What it had not synced is lost.
-    pub fn stop_replica(&mut self, address: u32) {
+    pub(crate) fn stop_replica(&mut self, address: u32) {
         self.running.remove(&address);
     }
 
     /// Ends the process on a machine; its disk gets all that the process had written.
-    pub fn kill_replica(&mut self, address: u32) {
+    pub(crate) fn kill_replica(&mut self, address: u32) {
         let Some(killed) = self.running.remove(&address) else {
             return;
         };
-        let own_boot = killed.replica.own().boot;
-        let of_process = |event: &Event| matches!(event, Event::Persisted { address: at, boot, .. } if *at == address && *boot == own_boot);
+        let own_boot = killed.replica.own().incarnation;
+        let of_process = |event: &Event| matches!(event, Event::Persisted { address: at, incarnation, .. } if *at == address && *incarnation == own_boot);
         let keys: Vec<(Millis, u64)> = self
             .events
             .iter()
@@ -65,15 +65,15 @@
     }
 
     /// Empties the disk of a machine whose process does not run.
-    pub fn wipe(&mut self, address: u32) {
+    pub(crate) fn wipe(&mut self, address: u32) {
         let disk = 1000 + self.boots;
-        let state = CountingState::default().freeze();
+        let state = CountingState::default().snapshot();
         self.disks
-            .insert(address, Snapshot::empty(disk, None, Vec::new(), state));
+            .insert(address, DurableState::empty(disk, None, Vec::new(), state));
     }
 
     /// A machine is gone for good, and an empty one starts at another address.
-    pub fn replace(&mut self, gone: u32, new: u32) {
+    pub(crate) fn replace(&mut self, gone: u32, new: u32) {
         self.running.remove(&gone);
         self.disks.remove(&gone);
         self.wipe(new);
--- a/system/control/tests/common/mod.rs
+++ b/system/control/tests/common/mod.rs
@@ -1,77 +1,84 @@
 //! What the stories of replicas share.
 #![allow(dead_code)]
-pub mod counting_state;
-pub mod disk_change;
-pub mod group;
+pub(crate) mod counting_state;
+pub(crate) mod disk_change;
+pub(crate) mod group;
 
 use magpiegap_control::{
-    ControlSettings, EncodedState, FrozenState, Output, Replica, Snapshot, StateMachine, Tolerance,
+    ControlSettings, DurableState, EncodedSnapshot, Output, Replica, StateMachine, StateSnapshot,
+    Tolerance,
+};
+use magpiegap_protocol::{
+    Entry, Heartbeat, Location, LogIndex, LogPosition, PeerReport, ReplicaId, ViewNumber,
+    WallMillis,
 };
-use magpiegap_protocol::{Entry, Heartbeat, Location, PeerReport, Position, Replica as ReplicaId};
 use std::sync::Arc;
 
 /// A state that nothing is done with.
-pub struct NoState;
+pub(crate) struct NoState;
 
 impl StateMachine for NoState {
     fn apply(&mut self, _entry: &Entry) {}
-    fn position(&self) -> Position {
-        Position::default()
+    fn position(&self) -> LogPosition {
+        LogPosition::default()
     }
-    fn freeze(&self) -> Arc<dyn FrozenState> {
+    fn snapshot(&self) -> Arc<dyn StateSnapshot> {
         no_state()
     }
     fn begin_restore(&mut self) {}
-    fn add_part(&mut self, _part: &[u8]) -> bool {
+    fn add_chunk(&mut self, _part: &[u8]) -> bool {
         true
     }
-    fn finish_restore(&mut self, _position: Position) -> bool {
+    fn finish_restore(&mut self, _position: LogPosition) -> bool {
         true
     }
 }
 
 /// A state of one part, with nothing in it.
-pub fn no_state() -> Arc<dyn FrozenState> {
-    Arc::new(EncodedState::new(Position::default(), vec![Vec::new()]))
+pub(crate) fn no_state() -> Arc<dyn StateSnapshot> {
+    Arc::new(EncodedSnapshot::new(
+        LogPosition::default(),
+        vec![Vec::new()],
+    ))
 }
 
 /// A replica with what is on its disk, all of which has been written anew.
-pub fn started(settings: ControlSettings, disk: Snapshot) -> Replica {
+pub(crate) fn started(settings: ControlSettings, disk: DurableState) -> Replica {
     let mut replica = Replica::new(settings, disk, 0);
-    let written = replica.take_outputs();
+    let written = replica.poll_outputs();
     let [Output::Checkpoint { ticket, .. }] = written[..] else {
         panic!("not only a checkpoint: {written:?}")
     };
-    replica.persisted(ticket, 0, &mut NoState);
-    replica.take_outputs();
+    replica.handle_persisted(ticket, 0, &mut NoState);
+    replica.poll_outputs();
     replica
 }
 
 /// What a replica at work in a view tells of another one that it hears.
-pub fn report(of: ReplicaId, view: u64) -> PeerReport {
+pub(crate) fn report(of: ReplicaId, view: u64) -> PeerReport {
     PeerReport {
         replica: of,
         age_ms: 1,
-        view,
+        view: ViewNumber(view),
         serving: false,
         unfit: false,
         complete: true,
-        committed: 0,
-        both_ways: true,
+        committed: LogIndex(0),
+        bidirectional: true,
         location: Location::default(),
         echo: 0,
     }
 }
 
 /// A heartbeat of a replica that has all that was committed up to a view, and hears nobody.
-pub fn heartbeat(view: u64) -> Heartbeat {
+pub(crate) fn heartbeat(view: u64) -> Heartbeat {
     Heartbeat {
-        view,
+        view: ViewNumber(view),
         serving: false,
         unfit: false,
         heard: Vec::new(),
-        wall_ms: 0,
-        committed: 0,
+        wall_ms: WallMillis(0),
+        committed: LogIndex(0),
         complete: true,
         location: Location::default(),
         sent_at: 0,
@@ -80,7 +87,7 @@
 }
 
 /// Settings of a replica that knows these addresses; one machine may be lost.
-pub fn settings(own: ReplicaId, seeds: Vec<u32>) -> ControlSettings {
+pub(crate) fn settings(own: ReplicaId, seeds: Vec<u32>) -> ControlSettings {
     ControlSettings {
         own,
         seeds,
--- a/system/control/tests/contact.rs
+++ b/system/control/tests/contact.rs
@@ -3,15 +3,15 @@
 
 use common::{heartbeat, no_state, report, settings, started, NoState};
 use googletest::prelude::*;
-use magpiegap_control::{Replica, Snapshot, CONTACT_MS};
+use magpiegap_control::{DurableState, Replica, CONTACT_MS};
 use magpiegap_protocol::{
-    Heartbeat, Member, Millis, PeerMessage, PeerReport, Replica as ReplicaId, View,
+    Heartbeat, Member, Millis, PeerMessage, PeerReport, ReplicaId, View, ViewNumber, WallMillis,
 };
 
 fn replica(address: u32) -> ReplicaId {
     ReplicaId {
         member: Member { address, disk: 0 },
-        boot: u64::from(address),
+        incarnation: u64::from(address),
     }
 }
 
@@ -19,10 +19,16 @@
 fn head() -> Replica {
     let chain: Vec<ReplicaId> = (1..=3).map(replica).collect();
     let voters: Vec<Member> = chain.iter().map(|replica| replica.member).collect();
-    let disk = Snapshot::empty(0, Some(0), voters.clone(), no_state());
+    let disk = DurableState::empty(0, Some(ViewNumber(0)), voters.clone(), no_state());
     let mut head = started(settings(replica(1), vec![1, 2, 3]), disk);
     let view = View::initial(voters.clone()).next(voters, chain);
-    head.receive(0, 0, replica(2), PeerMessage::Decided(view), &mut NoState);
+    head.handle_messages(
+        0,
+        WallMillis(0),
+        replica(2),
+        PeerMessage::Decided(view),
+        &mut NoState,
+    );
     assert!(head.is_active());
     head
 }
@@ -47,7 +53,13 @@
 fn given_an_echo_of_a_majority_when_it_comes_then_the_view_stood_when_its_heartbeat_was_sent() {
     let mut head = head();
     expect_that!(head.has_contact(100), eq(false));
-    head.receive(150, 0, replica(2), echo(1, 100, false), &mut NoState);
+    head.handle_messages(
+        150,
+        WallMillis(0),
+        replica(2),
+        echo(1, 100, false),
+        &mut NoState,
+    );
     expect_that!(head.confirmed_at(160), eq(100));
     expect_that!(head.has_contact_since(99, 160), eq(true));
     expect_that!(head.has_contact_since(100, 160), eq(false));
@@ -60,8 +72,20 @@
     let mut head = head();
     // They were sent before, and waited in its sockets.
     for waited in [100, 160, 220] {
-        head.receive(20_000, 0, replica(2), echo(1, waited, false), &mut NoState);
-        head.receive(20_000, 0, replica(3), echo(1, waited, false), &mut NoState);
+        head.handle_messages(
+            20_000,
+            WallMillis(0),
+            replica(2),
+            echo(1, waited, false),
+            &mut NoState,
+        );
+        head.handle_messages(
+            20_000,
+            WallMillis(0),
+            replica(3),
+            echo(1, waited, false),
+            &mut NoState,
+        );
     }
     expect_that!(head.has_contact(20_000), eq(false));
     expect_that!(head.confirmed_at(20_000), eq(220));
@@ -70,15 +94,33 @@
 #[googletest::test]
 fn given_a_voter_that_takes_part_in_the_next_view_when_it_is_heard_then_it_confirms_nothing() {
     let mut head = head();
-    head.receive(150, 0, replica(2), echo(1, 100, true), &mut NoState);
+    head.handle_messages(
+        150,
+        WallMillis(0),
+        replica(2),
+        echo(1, 100, true),
+        &mut NoState,
+    );
     expect_that!(head.has_contact(150), eq(false));
 }
 
 #[googletest::test]
 fn given_a_voter_that_knows_another_view_when_it_is_heard_then_it_confirms_nothing_of_this_one() {
     let mut head = head();
-    head.receive(150, 0, replica(2), echo(2, 100, false), &mut NoState);
-    head.receive(150, 0, replica(3), echo(0, 100, false), &mut NoState);
+    head.handle_messages(
+        150,
+        WallMillis(0),
+        replica(2),
+        echo(2, 100, false),
+        &mut NoState,
+    );
+    head.handle_messages(
+        150,
+        WallMillis(0),
+        replica(3),
+        echo(0, 100, false),
+        &mut NoState,
+    );
     expect_that!(head.has_contact(150), eq(false));
 }
 
@@ -90,30 +132,60 @@
             address: 2,
             disk: 77,
         },
-        boot: 9,
+        incarnation: 9,
     };
-    head.receive(150, 0, wiped, echo(1, 100, false), &mut NoState);
+    head.handle_messages(150, WallMillis(0), wiped, echo(1, 100, false), &mut NoState);
     expect_that!(head.has_contact(150), eq(false));
 }
 
 #[googletest::test]
 fn given_heartbeats_that_overtake_each_other_when_the_older_comes_last_then_the_newer_counts() {
     let mut head = head();
-    head.receive(150, 0, replica(2), echo(1, 140, false), &mut NoState);
-    head.receive(160, 0, replica(2), echo(1, 100, false), &mut NoState);
+    head.handle_messages(
+        150,
+        WallMillis(0),
+        replica(2),
+        echo(1, 140, false),
+        &mut NoState,
+    );
+    head.handle_messages(
+        160,
+        WallMillis(0),
+        replica(2),
+        echo(1, 100, false),
+        &mut NoState,
+    );
     expect_that!(head.confirmed_at(160), eq(140));
 }
 
 #[googletest::test]
 fn given_contact_with_a_majority_when_the_tail_is_not_heard_then_what_is_committed_is_not_known() {
     let mut head = head();
-    head.receive(150, 0, replica(2), echo(1, 100, false), &mut NoState);
+    head.handle_messages(
+        150,
+        WallMillis(0),
+        replica(2),
+        echo(1, 100, false),
+        &mut NoState,
+    );
     expect_that!(head.has_contact(160), eq(true));
     expect_that!(head.is_informed(160), eq(false));
-    head.receive(170, 0, replica(3), echo(1, 140, false), &mut NoState);
+    head.handle_messages(
+        170,
+        WallMillis(0),
+        replica(3),
+        echo(1, 140, false),
+        &mut NoState,
+    );
     expect_that!(head.is_informed(180), eq(true));
     // From then on only the middle one is heard.
-    head.receive(900, 0, replica(2), echo(1, 880, false), &mut NoState);
+    head.handle_messages(
+        900,
+        WallMillis(0),
+        replica(2),
+        echo(1, 880, false),
+        &mut NoState,
+    );
     expect_that!(head.has_contact(910), eq(true));
     expect_that!(head.is_informed(910), eq(false));
 }
--- a/system/control/tests/golden.rs
+++ b/system/control/tests/golden.rs
@@ -5,10 +5,11 @@
 //! `golden/durable.hex`, one line for each value, as `name: bytes`. A change of names in the code leaves them as they
 //! are; what has to be kept in another form gets lines of its own beside these.
 use googletest::prelude::*;
-use magpiegap_control::{DurableRecord, EncodedState, FrozenState, Snapshot};
+use magpiegap_control::{DurableRecord, DurableState, EncodedSnapshot, StateSnapshot};
 use magpiegap_protocol::{
-    decode, encode, ChainRecord, Command, Entry, Fence, Location, Member, MemberLocation, PlaceId,
-    Position, ProposalId, Replica, Role, View,
+    decode, encode, AcceptedView, Ballot, ChainRecord, Command, Entry, FailureDomainId,
+    FencingToken, Location, LogIndex, LogPosition, Member, MemberLocation, ProposalId, ReplicaId,
+    Role, RoleToken, View, ViewNumber, WallMillis,
 };
 use minicbor::{Decode, Encode};
 use std::sync::Arc;
@@ -54,30 +55,30 @@
     }
 }
 
-fn replica(number: u32) -> Replica {
-    Replica {
+fn replica(number: u32) -> ReplicaId {
+    ReplicaId {
         member: member(number),
-        boot: 0xb007_0000 + u64::from(number),
+        incarnation: 0xb007_0000 + u64::from(number),
     }
 }
 
 /// A view with something in each of its fields.
 fn view(number: u64) -> View {
     let location = Location {
-        zone: PlaceId(301),
-        region: PlaceId(302),
+        zone: FailureDomainId(301),
+        region: FailureDomainId(302),
     };
     View {
-        number,
+        number: ViewNumber(number),
         voters: vec![member(1), member(2), member(3)],
         chain: vec![replica(2), replica(1)],
         history: vec![
             ChainRecord {
-                number: number - 2,
+                number: ViewNumber(number - 2),
                 chain: vec![],
             },
             ChainRecord {
-                number: number - 1,
+                number: ViewNumber(number - 1),
                 chain: vec![replica(3), replica(2)],
             },
         ],
@@ -89,79 +90,88 @@
 }
 
 /// The state that all begin with; snapshots are the one place where a state of the agreement can be had.
-fn first_snapshot() -> Snapshot {
-    let state = EncodedState::new(Position::default(), vec![vec![0xf1]]);
-    Snapshot::empty(0, None, vec![member(1)], Arc::new(state))
+fn first_snapshot() -> DurableState {
+    let state = EncodedSnapshot::new(LogPosition::default(), vec![vec![0xf1]]);
+    DurableState::empty(0, None, vec![member(1)], Arc::new(state))
 }
 
 fn entries() -> Vec<Entry> {
     let claim = Command::ClaimRole {
         role: Role::PlatformReader,
         holder: replica(3),
-        expected: 77,
+        expected: FencingToken(77),
     };
-    let fence = Fence {
+    let role_token = RoleToken {
         role: Role::Scheduler("desk".to_owned()),
-        token: 78,
+        token: FencingToken(78),
     };
     vec![
         Entry {
-            position: Position {
-                view: 8,
-                index: 1001,
+            position: LogPosition {
+                view: ViewNumber(8),
+                index: LogIndex(1001),
             },
             proposal: ProposalId {
                 origin: replica(1),
                 sequence: 9,
             },
-            fence: None,
+            role_token: None,
             command: Command::Noop,
-            wall_ms: 1_700_000_000_001,
+            wall_ms: WallMillis(1_700_000_000_001),
         },
         Entry {
-            position: Position {
-                view: 9,
-                index: 1002,
+            position: LogPosition {
+                view: ViewNumber(9),
+                index: LogIndex(1002),
             },
             proposal: ProposalId {
                 origin: replica(2),
                 sequence: 10,
             },
-            fence: Some(fence),
+            role_token: Some(role_token),
             command: claim,
-            wall_ms: 1_700_000_000_002,
+            wall_ms: WallMillis(1_700_000_000_002),
         },
     ]
 }
 
 /// A snapshot with something in each of its fields, whose state has two parts.
-fn full_snapshot() -> Snapshot {
-    let applied = Position {
-        view: 7,
-        index: 1000,
+fn full_snapshot() -> DurableState {
+    let applied = LogPosition {
+        view: ViewNumber(7),
+        index: LogIndex(1000),
     };
-    let state = EncodedState::new(applied, vec![vec![1, 2, 3], vec![0xfe, 0xff]]);
+    let state = EncodedSnapshot::new(applied, vec![vec![1, 2, 3], vec![0xfe, 0xff]]);
     let mut snapshot = first_snapshot();
     snapshot.disk = 0x1122_3344_5566_0002;
     snapshot.agreement.current = view(9);
-    snapshot.agreement.promised = Some((11, 12));
-    snapshot.agreement.accepted = Some(((10, 13), view(10)));
-    snapshot.synchronized = Some(6);
+    snapshot.agreement.promised = Some(Ballot {
+        round: 11,
+        proposer: 12,
+    });
+    snapshot.agreement.accepted = Some(AcceptedView {
+        ballot: Ballot {
+            round: 10,
+            proposer: 13,
+        },
+        view: view(10),
+    });
+    snapshot.synchronized = Some(ViewNumber(6));
     snapshot.applied = applied;
     snapshot.state = Arc::new(state);
     snapshot.entries = entries();
-    snapshot.committed = 1001;
+    snapshot.committed = LogIndex(1001);
     snapshot
 }
 
-fn parts_of(state: &dyn FrozenState) -> Vec<Vec<u8>> {
-    (0..state.parts())
-        .map(|number| state.part(number))
+fn parts_of(state: &dyn StateSnapshot) -> Vec<Vec<u8>> {
+    (0..state.chunks())
+        .map(|number| state.chunk(number))
         .collect()
 }
 
 /// Snapshots have no comparison of their own.
-fn expect_same(name: &str, read: &Snapshot, meant: &Snapshot) {
+fn expect_same(name: &str, read: &DurableState, meant: &DurableState) {
     expect_that!(read.disk, eq(meant.disk), "{name}");
     expect_that!(read.agreement, eq(&meant.agreement), "{name}");
     expect_that!(read.synchronized, eq(meant.synchronized), "{name}");
@@ -177,14 +187,14 @@
 }
 
 /// A snapshot is written in parts with the bytes stored as `name 0`, `name 1` and so on, and they are read as it.
-fn expect_parts(name: &str, count: usize, snapshot: &Snapshot) {
-    let written: Vec<String> = snapshot.parts().map(|part| hex(&part)).collect();
+fn expect_parts(name: &str, count: usize, snapshot: &DurableState) {
+    let written: Vec<String> = snapshot.chunks().map(|chunk| hex(&chunk)).collect();
     let names: Vec<String> = (0..count)
         .map(|number| format!("{name} {number}"))
         .collect();
     let kept: Vec<&str> = names.iter().map(|name| stored_hex(name)).collect();
     expect_that!(written, eq(&kept), "{name}");
-    let read = Snapshot::recover(names.iter().map(|name| stored(name)).collect(), &[]);
+    let read = DurableState::recover(names.iter().map(|name| stored(name)).collect(), &[]);
     expect_same(name, &read.unwrap(), snapshot);
 }
 
@@ -203,9 +213,12 @@
     expect_bytes("record no entries", &DurableRecord::Entries(Vec::new()));
     expect_bytes(
         "record synchronized",
-        &DurableRecord::Synchronized(0x0102_0304_0506),
+        &DurableRecord::Synchronized(ViewNumber(0x0102_0304_0506)),
+    );
+    expect_bytes(
+        "record committed",
+        &DurableRecord::Committed(LogIndex(0x0a0b_0c0d)),
     );
-    expect_bytes("record committed", &DurableRecord::Committed(0x0a0b_0c0d));
 }
 
 #[googletest::test]
@@ -231,33 +244,33 @@
 #[googletest::test]
 fn a_snapshot_that_holds_the_state_in_one_piece_is_still_read() {
     let mut meant = full_snapshot();
-    meant.state = Arc::new(EncodedState::new(
+    meant.state = Arc::new(EncodedSnapshot::new(
         meant.applied,
         vec![vec![1, 2, 3, 0xfe, 0xff]],
     ));
-    let read = Snapshot::recover(vec![stored("snapshot in one piece")], &[]).unwrap();
+    let read = DurableState::recover(vec![stored("snapshot in one piece")], &[]).unwrap();
     expect_same("snapshot in one piece", &read, &meant);
-    meant.committed = 0;
-    let read =
-        Snapshot::recover(vec![stored("snapshot in one piece without committed")], &[]).unwrap();
+    meant.committed = LogIndex(0);
+    let read = DurableState::recover(vec![stored("snapshot in one piece without committed")], &[])
+        .unwrap();
     expect_same("snapshot in one piece without committed", &read, &meant);
 }
 
 #[googletest::test]
 fn stored_records_are_taken_up_after_the_stored_snapshot() {
-    let parts = vec![stored("first snapshot 0"), stored("first snapshot 1")];
+    let chunks = vec![stored("first snapshot 0"), stored("first snapshot 1")];
     let names = [
         "record agreement",
         "record entries",
         "record synchronized",
         "record committed",
     ];
-    let read = Snapshot::recover(parts, &names.map(stored)).unwrap();
+    let read = DurableState::recover(chunks, &names.map(stored)).unwrap();
     let mut meant = first_snapshot();
     meant.agreement = full_snapshot().agreement;
     meant.entries = entries();
-    meant.synchronized = Some(0x0102_0304_0506);
-    meant.committed = 0x0a0b_0c0d;
+    meant.synchronized = Some(ViewNumber(0x0102_0304_0506));
+    meant.committed = LogIndex(0x0a0b_0c0d);
     expect_same("records", &read, &meant);
 }
 
--- a/system/control/tests/joining.rs
+++ b/system/control/tests/joining.rs
@@ -3,28 +3,32 @@
 
 use common::{no_state, settings, started, NoState};
 use googletest::prelude::*;
-use magpiegap_control::{DurableRecord, Output, Replica, Snapshot};
+use magpiegap_control::{DurableRecord, DurableState, Output, Replica};
 use magpiegap_protocol::{
-    fnv1a, Command, Entry, Member, PeerMessage, Position, ProposalId, Replica as ReplicaId, View,
+    fnv1a, Command, Entry, LogIndex, LogPosition, Member, PeerMessage, ProposalId, ReplicaId, View,
+    ViewNumber, WallMillis,
 };
 
 fn replica(address: u32, disk: u64) -> ReplicaId {
     ReplicaId {
         member: Member { address, disk },
-        boot: u64::from(address),
+        incarnation: u64::from(address),
     }
 }
 
 fn entry(index: u64) -> Entry {
     Entry {
-        position: Position { view: 1, index },
+        position: LogPosition {
+            view: ViewNumber(1),
+            index: LogIndex(index),
+        },
         proposal: ProposalId {
             origin: replica(1, 0),
             sequence: index,
         },
-        fence: None,
+        role_token: None,
         command: Command::Noop,
-        wall_ms: 0,
+        wall_ms: WallMillis(0),
     }
 }
 
@@ -33,50 +37,56 @@
     let (head, own, tail) = (replica(1, 0), replica(2, 7), replica(3, 8));
     let mut middle = started(
         settings(own, vec![1]),
-        Snapshot::empty(7, None, Vec::new(), no_state()),
+        DurableState::empty(7, None, Vec::new(), no_state()),
     );
     let view = View::initial(vec![head.member]).next(vec![head.member], vec![head, own, tail]);
-    middle.receive(0, 0, head, PeerMessage::Decided(view), &mut NoState);
+    middle.handle_messages(
+        0,
+        WallMillis(0),
+        head,
+        PeerMessage::Decided(view),
+        &mut NoState,
+    );
     tell_state(&mut middle, 10, 1, vec![entry(1)]);
     let asks = PeerMessage::Synchronize {
-        view: 1,
-        last: Position::default(),
+        view: ViewNumber(1),
+        last: LogPosition::default(),
     };
-    middle.receive(20, 0, tail, asks, &mut NoState);
+    middle.handle_messages(20, WallMillis(0), tail, asks, &mut NoState);
     middle.flush(20, &mut NoState);
-    middle.take_outputs();
+    middle.poll_outputs();
     middle
 }
 
 /// The head tells a replica an empty state, and the entries after it.
 fn tell_state(to: &mut Replica, now: u64, view: u64, entries: Vec<Entry>) {
-    let (head, position) = (replica(1, 0), Position::default());
-    to.receive(
+    let (head, position) = (replica(1, 0), LogPosition::default());
+    to.handle_messages(
         now,
-        0,
+        WallMillis(0),
         head,
-        PeerMessage::StateOffer {
-            view,
+        PeerMessage::SnapshotOffer {
+            view: ViewNumber(view),
             position,
-            parts: 1,
+            chunks: 1,
         },
         &mut NoState,
     );
-    let part = PeerMessage::StatePart {
-        view,
+    let chunk = PeerMessage::SnapshotChunk {
+        view: ViewNumber(view),
         position,
         number: 0,
         checksum: fnv1a(&[]),
         bytes: Vec::new(),
     };
-    to.receive(now, 0, head, part, &mut NoState);
+    to.handle_messages(now, WallMillis(0), head, chunk, &mut NoState);
     let missing = PeerMessage::MissingEntries {
-        view,
-        after: 0,
+        view: ViewNumber(view),
+        after: LogIndex(0),
         entries,
         more: false,
     };
-    to.receive(now, 0, head, missing, &mut NoState);
+    to.handle_messages(now, WallMillis(0), head, missing, &mut NoState);
 }
 
 fn appends(outputs: &[Output]) -> Vec<u64> {
@@ -84,7 +94,7 @@
         Output::Send {
             to: 3,
             message: PeerMessage::Append { entries, .. },
-        } => entries.iter().map(|entry| entry.position.index).collect(),
+        } => entries.iter().map(|entry| entry.position.index.0).collect(),
         _ => Vec::new(),
     };
     outputs.iter().flat_map(appended).collect()
@@ -97,15 +107,15 @@
     // When
     tell_state(&mut middle, 30, 1, vec![entry(1)]);
     let append = PeerMessage::Append {
-        view: 1,
-        after: 1,
+        view: ViewNumber(1),
+        after: LogIndex(1),
         entries: vec![entry(2)],
-        durable: 2,
+        durable: LogIndex(2),
     };
-    middle.receive(40, 0, replica(1, 0), append, &mut NoState);
+    middle.handle_messages(40, WallMillis(0), replica(1, 0), append, &mut NoState);
     middle.flush(40, &mut NoState);
     // Then
-    expect_that!(appends(&middle.take_outputs()), elements_are![eq(&2)]);
+    expect_that!(appends(&middle.poll_outputs()), elements_are![eq(&2)]);
 }
 
 #[googletest::test]
@@ -122,9 +132,9 @@
     };
     let mut asked = 0;
     for now in (40..2000).step_by(20) {
-        middle.tick(now, now, &mut NoState);
+        middle.tick(now, WallMillis(now), &mut NoState);
         asked += middle
-            .take_outputs()
+            .poll_outputs()
             .iter()
             .filter(|output| asks(output))
             .count();
@@ -138,24 +148,24 @@
     // Given: it had to ask several times for what it missed
     let mut middle = middle_replica();
     let gap = |after: u64| PeerMessage::Append {
-        view: 1,
-        after,
+        view: ViewNumber(1),
+        after: LogIndex(after),
         entries: Vec::new(),
-        durable: after,
+        durable: LogIndex(after),
     };
     for now in (1000..4000).step_by(20) {
-        middle.receive(now, 0, replica(1, 0), gap(5), &mut NoState);
+        middle.handle_messages(now, WallMillis(0), replica(1, 0), gap(5), &mut NoState);
     }
     let missing = PeerMessage::MissingEntries {
-        view: 1,
-        after: 1,
+        view: ViewNumber(1),
+        after: LogIndex(1),
         entries: (2..=5).map(entry).collect(),
         more: false,
     };
-    middle.receive(4000, 0, replica(1, 0), missing, &mut NoState);
-    middle.take_outputs();
+    middle.handle_messages(4000, WallMillis(0), replica(1, 0), missing, &mut NoState);
+    middle.poll_outputs();
     // When
-    middle.receive(4100, 0, replica(1, 0), gap(7), &mut NoState);
+    middle.handle_messages(4100, WallMillis(0), replica(1, 0), gap(7), &mut NoState);
     // Then
     let asks = |output: &Output| {
         matches!(
@@ -166,7 +176,7 @@
             }
         )
     };
-    expect_that!(middle.take_outputs().iter().any(asks), eq(true));
+    expect_that!(middle.poll_outputs().iter().any(asks), eq(true));
 }
 
 /// Up to where the successor was last told that entries are on disk.
@@ -178,7 +188,12 @@
         } => Some(*durable),
         _ => None,
     };
-    outputs.iter().filter_map(told).next_back().unwrap_or(0)
+    outputs
+        .iter()
+        .filter_map(told)
+        .next_back()
+        .unwrap_or(LogIndex::default())
+        .0
 }
 
 #[googletest::test]
@@ -187,14 +202,14 @@
     // Given: entries of view 1 are handed to the disk, which is slow
     let mut middle = middle_replica();
     let append = PeerMessage::Append {
-        view: 1,
-        after: 1,
+        view: ViewNumber(1),
+        after: LogIndex(1),
         entries: vec![entry(2), entry(3)],
-        durable: 3,
+        durable: LogIndex(3),
     };
-    middle.receive(30, 0, replica(1, 0), append, &mut NoState);
+    middle.handle_messages(30, WallMillis(0), replica(1, 0), append, &mut NoState);
     middle.flush(30, &mut NoState);
-    let outputs = middle.take_outputs();
+    let outputs = middle.poll_outputs();
     let ticket = outputs.iter().find_map(|output| match output {
         Output::Persist { ticket, records }
             if matches!(records[..], [DurableRecord::Entries(_), ..]) =>
@@ -208,43 +223,61 @@
     let view = View::initial(vec![head.member])
         .next(vec![head.member], vec![head, own, tail])
         .next(vec![head.member], vec![head, own, tail]);
-    middle.receive(40, 0, head, PeerMessage::Decided(view), &mut NoState);
+    middle.handle_messages(
+        40,
+        WallMillis(0),
+        head,
+        PeerMessage::Decided(view),
+        &mut NoState,
+    );
     tell_state(&mut middle, 50, 2, vec![entry(1)]);
     let asks = PeerMessage::Synchronize {
-        view: 2,
-        last: Position { view: 1, index: 1 },
+        view: ViewNumber(2),
+        last: LogPosition {
+            view: ViewNumber(1),
+            index: LogIndex(1),
+        },
     };
-    middle.receive(60, 0, tail, asks, &mut NoState);
+    middle.handle_messages(60, WallMillis(0), tail, asks, &mut NoState);
     let other = Entry {
-        position: Position { view: 2, index: 2 },
+        position: LogPosition {
+            view: ViewNumber(2),
+            index: LogIndex(2),
+        },
         ..entry(2)
     };
     let append = PeerMessage::Append {
-        view: 2,
-        after: 1,
+        view: ViewNumber(2),
+        after: LogIndex(1),
         entries: vec![other],
-        durable: 2,
+        durable: LogIndex(2),
     };
-    middle.receive(70, 0, head, append, &mut NoState);
-    middle.take_outputs();
-    middle.persisted(ticket.unwrap_or_default(), 80, &mut NoState);
-    middle.tick(300, 300, &mut NoState);
+    middle.handle_messages(70, WallMillis(0), head, append, &mut NoState);
+    middle.poll_outputs();
+    middle.handle_persisted(ticket.unwrap_or_default(), 80, &mut NoState);
+    middle.tick(300, WallMillis(300), &mut NoState);
     // Then
-    expect_that!(told_durable(&middle.take_outputs()), eq(0));
+    expect_that!(told_durable(&middle.poll_outputs()), eq(0));
 }
 
 #[googletest::test]
 fn given_a_predecessor_that_takes_long_when_a_replica_joins_then_it_asks_less_and_less_often() {
     // Given: a replica with an empty disk, in a chain behind one that does not answer
     let (head, own) = (replica(1, 0), replica(2, 7));
-    let empty = Snapshot::empty(7, None, Vec::new(), no_state());
+    let empty = DurableState::empty(7, None, Vec::new(), no_state());
     let mut joining = started(settings(own, vec![1]), empty);
     let view = View::initial(vec![head.member]).next(vec![head.member], vec![head, own]);
-    joining.receive(0, 0, head, PeerMessage::Decided(view), &mut NoState);
+    joining.handle_messages(
+        0,
+        WallMillis(0),
+        head,
+        PeerMessage::Decided(view),
+        &mut NoState,
+    );
     // When
     let mut asked_at = Vec::new();
     for now in (0..6000).step_by(20) {
-        joining.tick(now, now, &mut NoState);
+        joining.tick(now, WallMillis(now), &mut NoState);
         let asks = |output: &Output| {
             matches!(
                 output,
@@ -254,7 +287,7 @@
                 }
             )
         };
-        if joining.take_outputs().iter().any(asks) {
+        if joining.poll_outputs().iter().any(asks) {
             asked_at.push(now);
         }
     }
@@ -282,18 +315,27 @@
     // Given: a successor whose last entry the middle one does not know
     let mut middle = middle_replica();
     let asks = PeerMessage::Synchronize {
-        view: 1,
-        last: Position { view: 0, index: 9 },
+        view: ViewNumber(1),
+        last: LogPosition {
+            view: ViewNumber(0),
+            index: LogIndex(9),
+        },
     };
     // When
     for now in [30, 90, 200, 450] {
-        middle.receive(now, 0, replica(3, 8), asks.clone(), &mut NoState);
-        let sent = sent_to_tail(middle.take_outputs());
+        middle.handle_messages(
+            now,
+            WallMillis(0),
+            replica(3, 8),
+            asks.clone(),
+            &mut NoState,
+        );
+        let sent = sent_to_tail(middle.poll_outputs());
         // Then
         expect_that!(
             sent,
-            elements_are![matches_pattern!(PeerMessage::StateOffer {
-                parts: eq(&1),
+            elements_are![matches_pattern!(PeerMessage::SnapshotOffer {
+                chunks: eq(&1),
                 ..
             })]
         );
@@ -304,18 +346,21 @@
 fn given_a_state_that_is_not_there_any_more_when_a_part_of_it_is_asked_for_then_another_one_is_offered(
 ) {
     let mut middle = middle_replica();
-    let position = Position { view: 0, index: 5 };
-    let asks = PeerMessage::AskPart {
-        view: 1,
+    let position = LogPosition {
+        view: ViewNumber(0),
+        index: LogIndex(5),
+    };
+    let asks = PeerMessage::RequestSnapshotChunk {
+        view: ViewNumber(1),
         position,
         number: 3,
     };
-    middle.receive(30, 0, replica(3, 8), asks, &mut NoState);
-    let sent = sent_to_tail(middle.take_outputs());
+    middle.handle_messages(30, WallMillis(0), replica(3, 8), asks, &mut NoState);
+    let sent = sent_to_tail(middle.poll_outputs());
     expect_that!(
         sent,
-        elements_are![matches_pattern!(PeerMessage::StateOffer {
-            parts: eq(&1),
+        elements_are![matches_pattern!(PeerMessage::SnapshotOffer {
+            chunks: eq(&1),
             ..
         })]
     );
@@ -327,33 +372,42 @@
     let (head, own) = (replica(1, 0), replica(2, 7));
     let mut joining = started(
         settings(own, vec![1]),
-        Snapshot::empty(7, None, Vec::new(), no_state()),
+        DurableState::empty(7, None, Vec::new(), no_state()),
     );
     let view = View::initial(vec![head.member]).next(vec![head.member], vec![head, own]);
-    joining.receive(0, 0, head, PeerMessage::Decided(view), &mut NoState);
-    let position = Position { view: 0, index: 4 };
-    joining.receive(
-        10,
+    joining.handle_messages(
         0,
+        WallMillis(0),
+        head,
+        PeerMessage::Decided(view),
+        &mut NoState,
+    );
+    let position = LogPosition {
+        view: ViewNumber(0),
+        index: LogIndex(4),
+    };
+    joining.handle_messages(
+        10,
+        WallMillis(0),
         head,
-        PeerMessage::StateOffer {
-            view: 1,
+        PeerMessage::SnapshotOffer {
+            view: ViewNumber(1),
             position,
-            parts: 2,
+            chunks: 2,
         },
         &mut NoState,
     );
-    joining.take_outputs();
+    joining.poll_outputs();
     // When
-    let part = PeerMessage::StatePart {
-        view: 1,
+    let chunk = PeerMessage::SnapshotChunk {
+        view: ViewNumber(1),
         position,
         number: 0,
         checksum: 1,
         bytes: vec![7],
     };
-    joining.receive(20, 0, head, part, &mut NoState);
-    joining.tick(400, 400, &mut NoState);
+    joining.handle_messages(20, WallMillis(0), head, chunk, &mut NoState);
+    joining.tick(400, WallMillis(400), &mut NoState);
     // Then
     let asks = |output: &Output| {
         matches!(
@@ -364,5 +418,5 @@
             }
         )
     };
-    expect_that!(joining.take_outputs().iter().any(asks), eq(true));
+    expect_that!(joining.poll_outputs().iter().any(asks), eq(true));
 }
--- a/system/control/tests/median_time.rs
+++ b/system/control/tests/median_time.rs
@@ -3,18 +3,18 @@
 
 use common::{heartbeat, no_state, settings, started, NoState};
 use googletest::prelude::*;
-use magpiegap_control::{Replica, Snapshot};
+use magpiegap_control::{DurableState, Replica};
 use magpiegap_protocol::{
-    Heartbeat, Member, Millis, PeerMessage, Replica as ReplicaId, WallMillis,
+    Heartbeat, Member, Millis, PeerMessage, ReplicaId, ViewNumber, WallMillis,
 };
 
 /// True time of day when the replica's steady clock shows zero.
-const TRUE_MS: WallMillis = 1_700_000_000_000;
+const TRUE_MS: WallMillis = WallMillis(1_700_000_000_000);
 
 fn replica(address: u32) -> ReplicaId {
     ReplicaId {
         member: Member { address, disk: 0 },
-        boot: u64::from(address),
+        incarnation: u64::from(address),
     }
 }
 
@@ -22,7 +22,7 @@
     let voters: Vec<Member> = (1..=3).map(|address| replica(address).member).collect();
     started(
         settings(replica(1), vec![1, 2, 3]),
-        Snapshot::empty(0, Some(0), voters, no_state()),
+        DurableState::empty(0, Some(ViewNumber(0)), voters, no_state()),
     )
 }
 
@@ -31,7 +31,7 @@
         wall_ms,
         ..heartbeat(0)
     };
-    to.receive(
+    to.handle_messages(
         now,
         TRUE_MS + now,
         replica(from),
--- a/system/control/tests/model/beginnings.rs
+++ b/system/control/tests/model/beginnings.rs
@@ -3,7 +3,7 @@
 use magpiegap_control::Replica;
 
 /// A world in which all take part and an entry is committed.
-pub fn serving(size: usize, tolerance: usize, budget: Budget) -> World {
+pub(crate) fn serving(size: usize, tolerance: usize, budget: Budget) -> World {
     let mut world = World::new(size, tolerance, budget);
     world.settle(8);
     let serving = world
@@ -21,7 +21,7 @@
 }
 
 /// A world in which one machine is cut off, and the others have gone on without it.
-pub fn without_one(size: usize, tolerance: usize, budget: Budget) -> World {
+pub(crate) fn without_one(size: usize, tolerance: usize, budget: Budget) -> World {
     let mut world = serving(size, tolerance, budget);
     let tail = (0..size)
         .find(|machine| world.replica(*machine).is_some_and(Replica::is_tail))
@@ -34,7 +34,7 @@
 }
 
 /// A world in which a machine with an empty disk is about to come back.
-pub fn with_a_wiped_one(size: usize, tolerance: usize, budget: Budget) -> World {
+pub(crate) fn with_a_wiped_one(size: usize, tolerance: usize, budget: Budget) -> World {
     let mut world = serving(size, tolerance, budget);
     world.wipe(0);
     world.settle(8);
@@ -44,7 +44,7 @@
 }
 
 /// A world in which all have lost power.
-pub fn dark(size: usize, tolerance: usize, budget: Budget) -> World {
+pub(crate) fn dark(size: usize, tolerance: usize, budget: Budget) -> World {
     let mut world = serving(size, tolerance, budget);
     world.write();
     for machine in 0..size {
--- a/system/control/tests/model/questions.rs
+++ b/system/control/tests/model/questions.rs
@@ -1,10 +1,10 @@
 //! What is asked of replicas, and how many disks hold what was acknowledged.
 use crate::world::{Machine, Question, World};
 use magpiegap_control::StateMachine;
-use magpiegap_protocol::ProposalId;
+use magpiegap_protocol::{LogIndex, ProposalId};
 
 impl World {
-    pub fn ask(&mut self, machine: usize) {
+    pub(crate) fn ask(&mut self, machine: usize) {
         let acknowledged = self.history.keys().next_back().copied().unwrap_or(0);
         self.questions.push(Question {
             machine,
@@ -14,7 +14,7 @@
     }
 
     /// Answers the questions that a coordinator would answer now.
-    pub fn answer_questions(&mut self) {
+    pub(crate) fn answer_questions(&mut self) {
         let now = self.now;
         for question in std::mem::take(&mut self.questions) {
             let Some((replica, state)) = self.machines[question.machine].process.as_ref() else {
@@ -25,7 +25,7 @@
                 replica.is_tail() && settled && replica.has_contact_since(question.since, now);
             if !answers || self.machines[question.machine].is_frozen {
                 self.questions.push(question);
-            } else if state.position().index < question.acknowledged {
+            } else if state.position().index < LogIndex(question.acknowledged) {
                 self.wrong = Some(format!(
                     "{question:?} was answered by {:?}",
                     state.position()
@@ -35,15 +35,14 @@
     }
 
     /// How many disks hold an entry that was acknowledged, whatever loses its power.
-    pub fn copies(&self, index: u64, proposal: ProposalId) -> usize {
+    pub(crate) fn copies(&self, index: u64, proposal: ProposalId) -> usize {
         let holds = |machine: &&Machine| {
             let disk = &machine.synced;
-            let in_state = disk.applied.index >= index;
+            let in_state = disk.applied.index >= LogIndex(index);
             in_state
-                || disk
-                    .entries
-                    .iter()
-                    .any(|entry| entry.position.index == index && entry.proposal == proposal)
+                || disk.entries.iter().any(|entry| {
+                    entry.position.index == LogIndex(index) && entry.proposal == proposal
+                })
         };
         self.machines.iter().filter(holds).count()
     }
--- a/system/control/tests/model/running.rs
+++ b/system/control/tests/model/running.rs
@@ -4,15 +4,15 @@
     world::{address, World, TICK_MS},
 };
 use magpiegap_control::{
-    restore, ControlSettings, Output, Replica, Snapshot, StateMachine, Tolerance,
+    restore, ControlSettings, DurableState, Output, Replica, StateMachine, Tolerance,
 };
 use magpiegap_protocol::{
-    Command, Location, Member, Millis, PeerMessage, ProposalId, Replica as ReplicaId,
+    Command, Location, Member, Millis, PeerMessage, ProposalId, ReplicaId, WallMillis,
 };
 use std::collections::VecDeque;
 
 impl World {
-    pub fn start(&mut self, machine: usize, tolerance: usize) {
+    pub(crate) fn start(&mut self, machine: usize, tolerance: usize) {
         self.boots += 1;
         let disk = self.machines[machine].disk.clone();
         let own = ReplicaId {
@@ -20,7 +20,7 @@
                 address: address(machine),
                 disk: disk.disk,
             },
-            boot: self.boots,
+            incarnation: self.boots,
         };
         let settings = ControlSettings {
             own,
@@ -38,7 +38,7 @@
         self.perform(machine);
     }
 
-    pub fn end(&mut self, machine: usize) {
+    pub(crate) fn end(&mut self, machine: usize) {
         self.machines[machine].process = None;
         self.machines[machine].is_frozen = false;
         self.questions
@@ -47,17 +47,18 @@
         self.links.retain(|(_, to), _| *to != machine);
     }
 
-    pub fn lose_power(&mut self, machine: usize) {
+    pub(crate) fn lose_power(&mut self, machine: usize) {
         self.machines[machine].pending.clear();
         self.machines[machine].disk = self.machines[machine].synced.clone();
         self.end(machine);
     }
 
     /// Ends a machine's process and empties its disk, which gets another name.
-    pub fn wipe(&mut self, machine: usize) {
+    pub(crate) fn wipe(&mut self, machine: usize) {
         self.end(machine);
         let name = 1000 + self.boots;
-        let empty = Snapshot::empty(name, None, Vec::new(), CountingState::default().freeze());
+        let empty =
+            DurableState::empty(name, None, Vec::new(), CountingState::default().snapshot());
         let wiped = &mut self.machines[machine];
         wiped.pending.clear();
         wiped.disk = empty.clone();
@@ -65,7 +66,7 @@
     }
 
     /// Takes a step at a process, and does what it wants done.
-    pub fn with(
+    pub(crate) fn with(
         &mut self,
         machine: usize,
         step: impl FnOnce(&mut Replica, Millis, &mut CountingState),
@@ -77,14 +78,14 @@
         self.perform(machine);
     }
 
-    pub fn perform(&mut self, machine: usize) {
+    pub(crate) fn perform(&mut self, machine: usize) {
         loop {
             let now = self.now;
             let Some((replica, state)) = self.machines[machine].process.as_mut() else {
                 return;
             };
             replica.flush(now, state);
-            let outputs = replica.take_outputs();
+            let outputs = replica.poll_outputs();
             let own = replica.own();
             let applied = state.take_applied();
             for (index, proposal) in applied {
@@ -101,7 +102,7 @@
         }
     }
 
-    pub fn perform_one(&mut self, machine: usize, own: ReplicaId, output: Output) {
+    pub(crate) fn perform_one(&mut self, machine: usize, own: ReplicaId, output: Output) {
         match output {
             Output::Persist { ticket, records } => {
                 self.machines[machine]
@@ -118,10 +119,10 @@
         }
     }
 
-    pub fn send(&mut self, from: usize, own: ReplicaId, to: usize, message: PeerMessage) {
+    pub(crate) fn send(&mut self, from: usize, own: ReplicaId, to: usize, message: PeerMessage) {
         if from == to {
             self.with(to, |replica, now, state| {
-                replica.receive(now, now, own, message, state)
+                replica.handle_messages(now, WallMillis(now), own, message, state)
             });
             return;
         }
@@ -132,7 +133,7 @@
         let is_heartbeat = matches!(message, PeerMessage::Heartbeat(_));
         if is_heartbeat && self.is_awake(to) {
             self.with(to, |replica, now, state| {
-                replica.receive(now, now, own, message, state)
+                replica.handle_messages(now, WallMillis(now), own, message, state)
             });
             return;
         }
@@ -143,7 +144,7 @@
     }
 
     /// A disk has everything that it was asked to keep.
-    pub fn sync(&mut self, machine: usize) {
+    pub(crate) fn sync(&mut self, machine: usize) {
         let pending = std::mem::take(&mut self.machines[machine].pending);
         let Some((last, _)) = pending.back() else {
             return;
@@ -153,28 +154,30 @@
         let machine_now = &mut self.machines[machine];
         machine_now.synced = machine_now.disk.clone();
         self.with(machine, |replica, now, state| {
-            replica.persisted(last, now, state)
+            replica.handle_persisted(last, now, state)
         });
     }
 
-    pub fn write_through(&mut self, machine: usize, pending: VecDeque<(u64, DiskChange)>) {
+    pub(crate) fn write_through(&mut self, machine: usize, pending: VecDeque<(u64, DiskChange)>) {
         let disk = &mut self.machines[machine].disk;
         pending
             .into_iter()
             .for_each(|(_, change)| change.apply(disk));
     }
 
-    pub fn tick(&mut self) {
+    pub(crate) fn tick(&mut self) {
         self.now += TICK_MS;
         for machine in 0..self.machines.len() {
             if self.is_awake(machine) {
-                self.with(machine, |replica, now, state| replica.tick(now, now, state));
+                self.with(machine, |replica, now, state| {
+                    replica.tick(now, WallMillis(now), state)
+                });
             }
         }
         self.answer_questions();
     }
 
-    pub fn write(&mut self) {
+    pub(crate) fn write(&mut self) {
         let heads: Vec<usize> = (0..self.machines.len())
             .filter(|machine| {
                 self.is_awake(*machine) && self.replica(*machine).is_some_and(Replica::is_head)
@@ -188,20 +191,20 @@
                     origin: replica.own(),
                     sequence,
                 };
-                replica.propose(now, proposal, None, Command::Noop);
+                replica.propose(WallMillis(now), proposal, None, Command::Noop);
             });
         }
     }
 
     /// Lets everything happen in order, and time pass, until a chain of all serves.
-    pub fn settle(&mut self, ticks: usize) {
+    pub(crate) fn settle(&mut self, ticks: usize) {
         for _ in 0..ticks {
             self.tick();
             self.run_links();
         }
     }
 
-    pub fn run_links(&mut self) {
+    pub(crate) fn run_links(&mut self) {
         loop {
             for machine in 0..self.machines.len() {
                 self.sync(machine);
@@ -218,7 +221,7 @@
         }
     }
 
-    pub fn deliver(&mut self, from: usize, to: usize) {
+    pub(crate) fn deliver(&mut self, from: usize, to: usize) {
         let first = self
             .links
             .get_mut(&(from, to))
@@ -226,7 +229,7 @@
         self.links.retain(|_, queue| !queue.is_empty());
         if let Some((own, message)) = first {
             self.with(to, |replica, now, state| {
-                replica.receive(now, now, own, message, state)
+                replica.handle_messages(now, WallMillis(now), own, message, state)
             });
         }
     }
--- a/system/control/tests/model/steps.rs
+++ b/system/control/tests/model/steps.rs
@@ -4,7 +4,7 @@
 use stateright::{Model, Property};
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub(crate) enum Step {
     Tick,
     /// All messages arrive in order, and all disks confirm.
     Run,
@@ -30,7 +30,7 @@
 }
 
 /// What is explored, from worlds that the replicas have come to by themselves.
-pub struct Core {
+pub(crate) struct Core {
     pub tolerance: usize,
     pub worlds: Vec<World>,
 }
--- a/system/control/tests/model/world.rs
+++ b/system/control/tests/model/world.rs
@@ -1,7 +1,7 @@
 //! Everything at one moment: machines with their disks and processes, links, what may still happen, and what was wrong.
 use crate::common::{counting_state::CountingState, disk_change::DiskChange};
-use magpiegap_control::{DurableState, Replica, Snapshot, StateMachine};
-use magpiegap_protocol::{Member, Millis, PeerMessage, ProposalId, Replica as ReplicaId};
+use magpiegap_control::{DurableState, Replica, StateMachine};
+use magpiegap_protocol::{Member, Millis, PeerMessage, ProposalId, ReplicaId, ViewNumber};
 use std::{
     collections::{BTreeMap, VecDeque},
     fmt,
@@ -9,13 +9,13 @@
 };
 
 /// How much time passes at once.
-pub const TICK_MS: Millis = 110;
+pub(crate) const TICK_MS: Millis = 110;
 /// Questions are asked of the machine that is the tail in its own eyes.
-pub const MOST_QUESTIONS: usize = 2;
+pub(crate) const MOST_QUESTIONS: usize = 2;
 
 /// How often each thing may still happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Budget {
+pub(crate) struct Budget {
     pub ticks: u8,
     pub writes: u8,
     pub questions: u8,
@@ -27,7 +27,7 @@
     pub freezes: u8,
 }
 
-pub const NOTHING: Budget = Budget {
+pub(crate) const NOTHING: Budget = Budget {
     ticks: 0,
     writes: 0,
     questions: 0,
@@ -41,7 +41,7 @@
 
 /// A machine with its disk and, while it runs, its process.
 #[derive(Clone)]
-pub struct Machine {
+pub(crate) struct Machine {
     /// What a process that starts now reads.
     pub disk: DurableState,
     /// What of that outlasts a loss of power.
@@ -55,7 +55,7 @@
 
 /// A question that waits for the tail's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Question {
+pub(crate) struct Question {
     pub machine: usize,
     pub since: Millis,
     /// The newest entry that anybody had been told to be kept when it came.
@@ -64,7 +64,7 @@
 
 /// Everything at one moment.
 #[derive(Clone)]
-pub struct World {
+pub(crate) struct World {
     pub now: Millis,
     pub machines: Vec<Machine>,
     pub links: BTreeMap<(usize, usize), VecDeque<(ReplicaId, PeerMessage)>>,
@@ -77,23 +77,23 @@
     pub wrong: Option<String>,
 }
 
-pub fn address(machine: usize) -> u32 {
+pub(crate) fn address(machine: usize) -> u32 {
     machine as u32 + 1
 }
 
 impl World {
-    pub fn new(size: usize, tolerance: usize, budget: Budget) -> World {
+    pub(crate) fn new(size: usize, tolerance: usize, budget: Budget) -> World {
         let voters: Vec<Member> = (0..size)
             .map(|machine| Member {
                 address: address(machine),
                 disk: 0,
             })
             .collect();
-        let empty = Snapshot::empty(
+        let empty = DurableState::empty(
             0,
-            Some(0),
+            Some(ViewNumber(0)),
             voters.clone(),
-            CountingState::default().freeze(),
+            CountingState::default().snapshot(),
         );
         let machine = |_| Machine {
             disk: empty.clone(),
@@ -120,11 +120,11 @@
         world
     }
 
-    pub fn is_awake(&self, machine: usize) -> bool {
+    pub(crate) fn is_awake(&self, machine: usize) -> bool {
         self.machines[machine].process.is_some() && !self.machines[machine].is_frozen
     }
 
-    pub fn replica(&self, machine: usize) -> Option<&Replica> {
+    pub(crate) fn replica(&self, machine: usize) -> Option<&Replica> {
         self.machines[machine]
             .process
             .as_ref()
@@ -132,7 +132,7 @@
     }
 
     /// What tells two worlds apart.
-    pub fn digest(&self) -> u64 {
+    pub(crate) fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         format!("{self:?}").hash(&mut hasher);
         hasher.finish()
--- a/system/control/tests/starting.rs
+++ b/system/control/tests/starting.rs
@@ -3,20 +3,20 @@
 
 use common::{heartbeat, no_state, report, settings, started, NoState};
 use googletest::prelude::*;
-use magpiegap_control::{Output, Replica, Snapshot};
-use magpiegap_protocol::{Heartbeat, Member, PeerMessage, Replica as ReplicaId, View};
+use magpiegap_control::{DurableState, Output, Replica};
+use magpiegap_protocol::{Heartbeat, Member, PeerMessage, ReplicaId, View, ViewNumber, WallMillis};
 
 fn replica(address: u32) -> ReplicaId {
     ReplicaId {
         member: Member { address, disk: 0 },
-        boot: u64::from(address),
+        incarnation: u64::from(address),
     }
 }
 
 /// The life of a replica after its start.
 fn new_life(address: u32) -> ReplicaId {
     ReplicaId {
-        boot: 90 + u64::from(address),
+        incarnation: 90 + u64::from(address),
         ..replica(address)
     }
 }
@@ -25,7 +25,7 @@
 fn restarted() -> Replica {
     let voters: Vec<Member> = (1..=3).map(|address| replica(address).member).collect();
     let chain = (1..=3).map(replica).collect();
-    let mut disk = Snapshot::empty(0, Some(1), voters.clone(), no_state());
+    let mut disk = DurableState::empty(0, Some(ViewNumber(1)), voters.clone(), no_state());
     disk.agreement.current = View::initial(voters.clone()).next(voters, chain);
     let own = new_life(1);
     started(settings(own, vec![1, 2, 3]), disk)
@@ -58,16 +58,16 @@
 fn given_a_start_of_all_when_all_voters_are_heard_then_a_view_is_proposed_at_once() {
     let mut replica_1 = restarted();
     for other in [2, 3] {
-        replica_1.receive(
+        replica_1.handle_messages(
             10,
-            0,
+            WallMillis(0),
             new_life(other),
             heard_heartbeat(1, false),
             &mut NoState,
         );
     }
-    replica_1.tick(20, 20, &mut NoState);
-    expect_that!(proposes(&replica_1.take_outputs()), eq(true));
+    replica_1.tick(20, WallMillis(20), &mut NoState);
+    expect_that!(proposes(&replica_1.poll_outputs()), eq(true));
 }
 
 #[googletest::test]
@@ -75,9 +75,15 @@
     let mut replica_1 = restarted();
     let mut proposed_at = None;
     for now in (0..1000).step_by(20) {
-        replica_1.receive(now, 0, new_life(2), heard_heartbeat(1, false), &mut NoState);
-        replica_1.tick(now, now, &mut NoState);
-        let proposed = proposes(&replica_1.take_outputs());
+        replica_1.handle_messages(
+            now,
+            WallMillis(0),
+            new_life(2),
+            heard_heartbeat(1, false),
+            &mut NoState,
+        );
+        replica_1.tick(now, WallMillis(now), &mut NoState);
+        let proposed = proposes(&replica_1.poll_outputs());
         proposed_at = proposed_at.or(proposed.then_some(now));
     }
     expect_that!(proposed_at, some(ge(150)));
@@ -87,25 +93,31 @@
 fn given_others_that_serve_when_a_replica_starts_then_it_disturbs_them_only_once_it_has_settled() {
     let mut replica_1 = restarted();
     for other in [2, 3] {
-        replica_1.receive(
+        replica_1.handle_messages(
             10,
-            0,
+            WallMillis(0),
             new_life(other),
             heard_heartbeat(1, true),
             &mut NoState,
         );
     }
-    replica_1.tick(20, 20, &mut NoState);
-    expect_that!(proposes(&replica_1.take_outputs()), eq(false));
+    replica_1.tick(20, WallMillis(20), &mut NoState);
+    expect_that!(proposes(&replica_1.poll_outputs()), eq(false));
 }
 
 #[googletest::test]
 fn given_a_replica_that_is_heard_for_the_first_time_then_it_is_answered_at_the_next_tick() {
     let mut replica_1 = restarted();
-    replica_1.tick(0, 0, &mut NoState);
-    replica_1.take_outputs();
-    replica_1.receive(10, 0, new_life(2), heard_heartbeat(1, false), &mut NoState);
-    replica_1.tick(20, 20, &mut NoState);
+    replica_1.tick(0, WallMillis(0), &mut NoState);
+    replica_1.poll_outputs();
+    replica_1.handle_messages(
+        10,
+        WallMillis(0),
+        new_life(2),
+        heard_heartbeat(1, false),
+        &mut NoState,
+    );
+    replica_1.tick(20, WallMillis(20), &mut NoState);
     let heartbeats = |output: &Output| {
         matches!(
             output,
@@ -115,7 +127,7 @@
             }
         )
     };
-    expect_that!(replica_1.take_outputs().iter().any(heartbeats), eq(true));
+    expect_that!(replica_1.poll_outputs().iter().any(heartbeats), eq(true));
 }
 
 #[googletest::test]
@@ -123,17 +135,29 @@
     // Given: a view with this life of all three, agreed a moment after the last of them was first heard
     let mut replica_1 = restarted();
     for now in (0..100).step_by(20) {
-        replica_1.receive(now, 0, new_life(2), heard_heartbeat(1, false), &mut NoState);
+        replica_1.handle_messages(
+            now,
+            WallMillis(0),
+            new_life(2),
+            heard_heartbeat(1, false),
+            &mut NoState,
+        );
     }
-    replica_1.receive(100, 0, new_life(3), heard_heartbeat(1, false), &mut NoState);
+    replica_1.handle_messages(
+        100,
+        WallMillis(0),
+        new_life(3),
+        heard_heartbeat(1, false),
+        &mut NoState,
+    );
     let chain: Vec<ReplicaId> = (1..=3).map(new_life).collect();
     let voters: Vec<Member> = chain.iter().map(|replica| replica.member).collect();
     let view = View::initial(voters.clone())
         .next(voters.clone(), chain.clone())
         .next(voters, chain);
-    replica_1.receive(
+    replica_1.handle_messages(
         110,
-        0,
+        WallMillis(0),
         new_life(2),
         PeerMessage::Decided(view),
         &mut NoState,
@@ -142,16 +166,16 @@
     let mut proposed = false;
     for now in (120..400).step_by(20) {
         for other in [2, 3] {
-            replica_1.receive(
+            replica_1.handle_messages(
                 now,
-                0,
+                WallMillis(0),
                 new_life(other),
                 heard_heartbeat(2, true),
                 &mut NoState,
             );
         }
-        replica_1.tick(now, now, &mut NoState);
-        proposed |= proposes(&replica_1.take_outputs());
+        replica_1.tick(now, WallMillis(now), &mut NoState);
+        proposed |= proposes(&replica_1.poll_outputs());
     }
     // Then
     expect_that!(proposed, eq(false));
--- a/system/control/tests/state_transfer.rs
+++ b/system/control/tests/state_transfer.rs
@@ -3,20 +3,24 @@
 
 use common::{no_state, settings, started, NoState};
 use googletest::prelude::*;
-use magpiegap_control::{Output, Replica, Snapshot};
+use magpiegap_control::{DurableState, Output, Replica};
 use magpiegap_protocol::{
-    fnv1a, Command, Entry, Member, PeerMessage, Position, ProposalId, Replica as ReplicaId, View,
+    fnv1a, Command, Entry, LogIndex, LogPosition, Member, PeerMessage, ProposalId, ReplicaId, View,
+    ViewNumber, WallMillis,
 };
 
 /// Parts of the state that is told.
-const PARTS: u32 = 10;
+const CHUNKS: u32 = 10;
 /// The last entry of that state.
-const STATE: Position = Position { view: 1, index: 50 };
+const STATE: LogPosition = LogPosition {
+    view: ViewNumber(1),
+    index: LogIndex(50),
+};
 
 fn replica(address: u32, disk: u64) -> ReplicaId {
     ReplicaId {
         member: Member { address, disk },
-        boot: u64::from(address),
+        incarnation: u64::from(address),
     }
 }
 
@@ -26,11 +30,14 @@
         sequence: index,
     };
     Entry {
-        position: Position { view, index },
+        position: LogPosition {
+            view: ViewNumber(view),
+            index: LogIndex(index),
+        },
         proposal,
-        fence: None,
+        role_token: None,
         command: Command::Noop,
-        wall_ms: 0,
+        wall_ms: WallMillis(0),
     }
 }
 
@@ -48,16 +55,16 @@
     let own = replica(3, 7);
     let mut learner = started(
         settings(own, vec![1]),
-        Snapshot::empty(7, None, Vec::new(), no_state()),
+        DurableState::empty(7, None, Vec::new(), no_state()),
     );
-    learner.receive(
-        0,
+    learner.handle_messages(
         0,
+        WallMillis(0),
         replica(1, 0),
         PeerMessage::Decided(view(2)),
         &mut NoState,
     );
-    learner.receive(10, 0, tail(), offer(2), &mut NoState);
+    learner.handle_messages(10, WallMillis(0), tail(), offer(2), &mut NoState);
     learner
 }
 
@@ -66,17 +73,17 @@
 }
 
 fn offer(view: u64) -> PeerMessage {
-    PeerMessage::StateOffer {
-        view,
+    PeerMessage::SnapshotOffer {
+        view: ViewNumber(view),
         position: STATE,
-        parts: PARTS,
+        chunks: CHUNKS,
     }
 }
 
-fn part(view: u64, number: u32) -> PeerMessage {
+fn chunk(view: u64, number: u32) -> PeerMessage {
     let bytes = vec![number as u8];
-    PeerMessage::StatePart {
-        view,
+    PeerMessage::SnapshotChunk {
+        view: ViewNumber(view),
         position: STATE,
         number,
         checksum: fnv1a(&bytes),
@@ -89,12 +96,12 @@
     let asks = |output| match output {
         Output::Send {
             to: 2,
-            message: PeerMessage::AskPart { number, .. },
+            message: PeerMessage::RequestSnapshotChunk { number, .. },
         } => Some(number),
         _ => None,
     };
     replica
-        .take_outputs()
+        .poll_outputs()
         .into_iter()
         .filter_map(asks)
         .collect()
@@ -106,7 +113,7 @@
         Output::Send {
             to: 2,
             message: PeerMessage::Synchronize { last, .. },
-        } => Some(last.index),
+        } => Some(last.index.0),
         _ => None,
     })
 }
@@ -127,21 +134,21 @@
         asked(&mut learner),
         elements_are![eq(&0), eq(&1), eq(&2), eq(&3)]
     );
-    learner.receive(20, 0, tail(), part(2, 0), &mut NoState);
+    learner.handle_messages(20, WallMillis(0), tail(), chunk(2, 0), &mut NoState);
     expect_that!(asked(&mut learner), elements_are![eq(&4)]);
     // One that comes again, or too soon, is passed over.
-    learner.receive(21, 0, tail(), part(2, 0), &mut NoState);
-    learner.receive(22, 0, tail(), part(2, 3), &mut NoState);
+    learner.handle_messages(21, WallMillis(0), tail(), chunk(2, 0), &mut NoState);
+    learner.handle_messages(22, WallMillis(0), tail(), chunk(2, 3), &mut NoState);
     expect_that!(asked(&mut learner), is_empty());
 }
 
 #[googletest::test]
 fn given_parts_that_were_lost_when_time_passes_then_they_are_asked_for_again() {
     let mut learner = learner();
-    learner.receive(20, 0, tail(), part(2, 0), &mut NoState);
-    learner.receive(21, 0, tail(), part(2, 1), &mut NoState);
-    learner.take_outputs();
-    learner.tick(200, 200, &mut NoState);
+    learner.handle_messages(20, WallMillis(0), tail(), chunk(2, 0), &mut NoState);
+    learner.handle_messages(21, WallMillis(0), tail(), chunk(2, 1), &mut NoState);
+    learner.poll_outputs();
+    learner.tick(200, WallMillis(200), &mut NoState);
     expect_that!(
         asked(&mut learner),
         elements_are![eq(&2), eq(&3), eq(&4), eq(&5)]
@@ -152,17 +159,17 @@
 fn given_a_change_of_the_view_when_the_same_state_is_offered_then_it_goes_on_where_it_was() {
     let mut learner = learner();
     for number in 0..6 {
-        learner.receive(20, 0, tail(), part(2, number), &mut NoState);
+        learner.handle_messages(20, WallMillis(0), tail(), chunk(2, number), &mut NoState);
     }
-    learner.take_outputs();
-    learner.receive(
+    learner.poll_outputs();
+    learner.handle_messages(
         30,
-        0,
+        WallMillis(0),
         replica(1, 0),
         PeerMessage::Decided(view(3)),
         &mut NoState,
     );
-    learner.receive(31, 0, tail(), offer(3), &mut NoState);
+    learner.handle_messages(31, WallMillis(0), tail(), offer(3), &mut NoState);
     expect_that!(
         asked(&mut learner),
         elements_are![eq(&6), eq(&7), eq(&8), eq(&9)]
@@ -173,68 +180,68 @@
 fn given_all_parts_when_entries_are_missing_then_nothing_takes_the_place_of_what_it_had_before_they_are_there(
 ) {
     let mut learner = learner();
-    for number in 0..PARTS {
-        learner.receive(20, 0, tail(), part(2, number), &mut NoState);
+    for number in 0..CHUNKS {
+        learner.handle_messages(20, WallMillis(0), tail(), chunk(2, number), &mut NoState);
     }
-    let outputs = learner.take_outputs();
+    let outputs = learner.poll_outputs();
     expect_that!(checkpoints(&outputs), is_empty());
     expect_that!(asked_after(&outputs), some(eq(50)));
     let entries: Vec<Entry> = (51..=60).map(|index| entry(1, index)).collect();
     let some_of_them = PeerMessage::MissingEntries {
-        view: 2,
-        after: 50,
+        view: ViewNumber(2),
+        after: LogIndex(50),
         entries,
         more: true,
     };
-    learner.receive(30, 0, tail(), some_of_them, &mut NoState);
-    let outputs = learner.take_outputs();
+    learner.handle_messages(30, WallMillis(0), tail(), some_of_them, &mut NoState);
+    let outputs = learner.poll_outputs();
     expect_that!(checkpoints(&outputs), is_empty());
     expect_that!(asked_after(&outputs), some(eq(60)));
     let entries = vec![entry(2, 61)];
     let rest = PeerMessage::MissingEntries {
-        view: 2,
-        after: 60,
+        view: ViewNumber(2),
+        after: LogIndex(60),
         entries,
         more: false,
     };
-    learner.receive(40, 0, tail(), rest, &mut NoState);
-    expect_that!(checkpoints(&learner.take_outputs()), elements_are![eq(&11)]);
+    learner.handle_messages(40, WallMillis(0), tail(), rest, &mut NoState);
+    expect_that!(checkpoints(&learner.poll_outputs()), elements_are![eq(&11)]);
     // From now on it takes entries as they come.
     let append = PeerMessage::Append {
-        view: 2,
-        after: 61,
+        view: ViewNumber(2),
+        after: LogIndex(61),
         entries: vec![entry(2, 62)],
-        durable: 61,
+        durable: LogIndex(61),
     };
-    learner.receive(50, 0, tail(), append, &mut NoState);
-    expect_that!(learner.committed(), eq(61));
+    learner.handle_messages(50, WallMillis(0), tail(), append, &mut NoState);
+    expect_that!(learner.committed(), eq(LogIndex(61)));
 }
 
 #[googletest::test]
 fn given_entries_after_the_state_when_the_view_changes_then_they_are_asked_for_anew() {
     // Given: the old tail had an entry that was not committed
     let mut learner = learner();
-    for number in 0..PARTS {
-        learner.receive(20, 0, tail(), part(2, number), &mut NoState);
+    for number in 0..CHUNKS {
+        learner.handle_messages(20, WallMillis(0), tail(), chunk(2, number), &mut NoState);
     }
     let entries = vec![entry(2, 51)];
     let some_of_them = PeerMessage::MissingEntries {
-        view: 2,
-        after: 50,
+        view: ViewNumber(2),
+        after: LogIndex(50),
         entries,
         more: true,
     };
-    learner.receive(30, 0, tail(), some_of_them, &mut NoState);
+    learner.handle_messages(30, WallMillis(0), tail(), some_of_them, &mut NoState);
     // When
-    learner.receive(
+    learner.handle_messages(
         40,
-        0,
+        WallMillis(0),
         replica(1, 0),
         PeerMessage::Decided(view(3)),
         &mut NoState,
     );
-    learner.take_outputs();
-    learner.tick(500, 500, &mut NoState);
+    learner.poll_outputs();
+    learner.tick(500, WallMillis(500), &mut NoState);
     // Then
-    expect_that!(asked_after(&learner.take_outputs()), some(eq(50)));
+    expect_that!(asked_after(&learner.poll_outputs()), some(eq(50)));
 }
--- a/system/control/tests/time_of_day.rs
+++ b/system/control/tests/time_of_day.rs
@@ -1,9 +1,10 @@
 //! Jumps of a clock are not followed, corrections are.
 use googletest::prelude::*;
 use magpiegap_control::TimeOfDay;
+use magpiegap_protocol::WallMillis;
 
 /// What the clock shows when the steady clock shows zero.
-const BASE: u64 = 1_000_000;
+const BASE: WallMillis = WallMillis(1_000_000);
 
 /// A clock that has been read for a while.
 fn known_clock() -> TimeOfDay {
@@ -20,7 +21,7 @@
         let mut clock = known_clock();
         for now in (20_100..26_000).step_by(100) {
             expect_that!(
-                clock.read(now, (BASE + now).saturating_add_signed(jump)),
+                clock.read(now, WallMillis((BASE + now).0.saturating_add_signed(jump))),
                 eq(BASE + now)
             );
         }
--- a/system/control/tests/turmoil.rs
+++ b/system/control/tests/turmoil.rs
@@ -86,7 +86,7 @@
                 .into_iter()
                 .for_each(|at| self.group.kill_replica(at)),
             Fault::Freeze(address) => {
-                self.group.frozen.insert(address, until);
+                self.group.snapshot.insert(address, until);
             }
             Fault::CutLink(one, other) => {
                 self.group.cut_links.insert((one, other));
--- a/system/control/tests/zones.rs
+++ b/system/control/tests/zones.rs
@@ -4,7 +4,7 @@
 use common::group::Group;
 use googletest::prelude::*;
 use magpiegap_control::Tolerance;
-use magpiegap_protocol::{Location, PlaceId};
+use magpiegap_protocol::{FailureDomainId, Location};
 
 /// One machine, or all of one zone, may be lost at once.
 const ONE_ZONE: Tolerance = Tolerance {
@@ -15,8 +15,8 @@
 
 fn in_zones(zones: &[&str]) -> Vec<Location> {
     let location = |zone: &&str| Location {
-        zone: PlaceId::of(zone),
-        region: PlaceId::of("region"),
+        zone: FailureDomainId::of(zone),
+        region: FailureDomainId::of("region"),
     };
     zones.iter().map(location).collect()
 }
@@ -63,8 +63,8 @@
         regions: 1,
     };
     let at = |zone: &str, region: &str| Location {
-        zone: PlaceId::of(zone),
-        region: PlaceId::of(region),
+        zone: FailureDomainId::of(zone),
+        region: FailureDomainId::of(region),
     };
     let one_region = [at("a", "r"), at("b", "r"), at("c", "s")];
     let three_regions = [at("a", "r"), at("b", "s"), at("c", "t")];
--- a/system/coordinator/src/coordinator.rs
+++ b/system/coordinator/src/coordinator.rs
@@ -10,7 +10,7 @@
 use magpiegap_control::{DurableState, Output as ControlOutput, Replica, TimeOfDay};
 use magpiegap_distribution::ConfigurationSource;
 use magpiegap_jobs::Configuration;
-use magpiegap_protocol::{Feed, Millis, PlatformList, Role, WallMillis};
+use magpiegap_protocol::{Feed, Millis, PlatformList, Role, ViewNumber, WallMillis};
 use magpiegap_scheduler::Scheduler;
 use std::collections::BTreeMap;
 
@@ -42,7 +42,7 @@
     pub(crate) lease_until: Millis,
     /// The view in which something was proposed, and whether that is committed: then all that was proposed in earlier
     /// views is settled.
-    pub(crate) entered_view: Option<u64>,
+    pub(crate) entered_view: Option<ViewNumber>,
     pub(crate) settled_in_view: bool,
     pub(crate) leaving: bool,
     pub(crate) now: Millis,
@@ -89,7 +89,7 @@
             leaving: false,
             now,
             time_of_day: TimeOfDay::default(),
-            wall: 0,
+            wall: WallMillis(0),
             counters: Counters::default(),
             commit_ms: 0,
             out: Vec::new(),
@@ -115,8 +115,8 @@
     }
 
     /// A connection to the coordinator at an address was refused.
-    pub fn connection_refused(&mut self, now: Millis, address: u32) {
-        self.replica.connection_refused(address, now);
+    pub fn handle_connection_refused(&mut self, now: Millis, address: u32) {
+        self.replica.handle_connection_refused(address, now);
     }
 
     /// Replaces the addresses at which other coordinators may be found.
--- a/system/coordinator/src/counters.rs
+++ b/system/coordinator/src/counters.rs
@@ -1,6 +1,6 @@
 //! What a coordinator counts, for operators.
 use magpiegap_jobs::{Applied, Change};
-use magpiegap_protocol::{ConfigurationPart, EndKind};
+use magpiegap_protocol::{CompletionKind, ConfigurationChunk};
 use serde::{Deserialize, Serialize};
 
 /// What a coordinator has counted since its start, over all entries that it has applied.
@@ -30,9 +30,9 @@
 
 impl Counters {
     /// Counts a part of a configuration that is handed to an agent.
-    pub(crate) fn note_part(&mut self, part: &ConfigurationPart) {
+    pub(crate) fn note_part(&mut self, chunk: &ConfigurationChunk) {
         self.configuration_parts += 1;
-        self.configuration_bytes += part.bytes.len() as u64;
+        self.configuration_bytes += chunk.bytes.len() as u64;
     }
 
     /// Counts an entry and what it has changed.
@@ -42,11 +42,11 @@
             match change {
                 Change::RunOpened(_) => self.runs_opened += 1,
                 Change::RunClosed {
-                    kind: Some(EndKind::Done),
+                    kind: Some(CompletionKind::Done),
                     ..
                 } => self.runs_done += 1,
                 Change::RunClosed {
-                    kind: Some(EndKind::Failed),
+                    kind: Some(CompletionKind::Failed),
                     ..
                 } => self.runs_failed += 1,
                 Change::RunClosed { .. } => self.runs_cut_short += 1,
--- a/system/coordinator/src/describe.rs
+++ b/system/coordinator/src/describe.rs
@@ -1,7 +1,7 @@
 //! The state of the cluster, for operators.
 use crate::{coordinator::Coordinator, counters::Counters};
 use magpiegap_jobs::{RoleState, State};
-use magpiegap_protocol::{CoordinatorAnswer, JobId, Role};
+use magpiegap_protocol::{CoordinatorResponse, JobId, Role};
 use magpiegap_scheduler::{Scheduler, Summary};
 use serde::{Deserialize, Serialize};
 
@@ -81,7 +81,7 @@
                 Role::Scheduler(service) => format!("scheduler {service}"),
             },
             holder: held.holder.member.ip().to_string(),
-            token: held.token,
+            token: held.token.0,
         };
         state.roles.iter().map(described).collect()
     }
@@ -93,7 +93,7 @@
         let view = self.replica.view();
         let state = &self.machine.state;
         ClusterDescription {
-            view: view.number,
+            view: view.number.0,
             settled: self.settled_in_view,
             proposals: self.proposals.len(),
             requests: self.pending.len(),
@@ -105,7 +105,7 @@
             voters: view.voters.len(),
             active: self.replica.is_active(),
             contact_ms: self.contact_age_ms(),
-            committed: self.replica.committed(),
+            committed: self.replica.committed().0,
             commit_ms: self.commit_ms,
             agents: self.waiters.len(),
             agents_behind: self.agents_behind(),
@@ -140,12 +140,12 @@
     }
 
     /// What there is to say of a job, or who can say it.
-    pub(crate) fn explain(&self, job: JobId) -> CoordinatorAnswer {
+    pub(crate) fn explain(&self, job: JobId) -> CoordinatorResponse {
         let state = &self.machine.state;
         let Some(known) = state.jobs.get(&job) else {
             return match self.answers_reads() && self.replica.has_contact(self.now) {
-                true => CoordinatorAnswer::NoSuchJob,
-                false => CoordinatorAnswer::NotServing,
+                true => CoordinatorResponse::NoSuchJob,
+                false => CoordinatorResponse::NotServing,
             };
         };
         let service = &known.submission.service;
@@ -154,15 +154,15 @@
                 .explain(state, job)
                 .and_then(|said| serde_json::to_string(&said).ok());
             return text.map_or(
-                CoordinatorAnswer::NotServing,
-                CoordinatorAnswer::Description,
+                CoordinatorResponse::NotServing,
+                CoordinatorResponse::Description,
             );
         }
         match state.roles.get(&Role::Scheduler(service.clone())) {
             Some(held) if held.holder != self.replica.own() => {
-                CoordinatorAnswer::Elsewhere(held.holder.member.address)
+                CoordinatorResponse::Elsewhere(held.holder.member.address)
             }
-            _ => CoordinatorAnswer::NotServing,
+            _ => CoordinatorResponse::NotServing,
         }
     }
 }
--- a/system/coordinator/src/feeds.rs
+++ b/system/coordinator/src/feeds.rs
@@ -1,7 +1,7 @@
 //! What agents and proxies are fed: long polls, answered as soon as anything has changed.
 use crate::{coordinator::Coordinator, outputs::RequestId, under_way::Waiter};
 use magpiegap_protocol::{
-    ConfigurationFetch, CoordinatorAnswer, Feed, FeedPoll, Millis, RoleHolder,
+    ConfigurationFetch, CoordinatorResponse, Feed, FeedPoll, Millis, RoleHolder,
 };
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -73,16 +73,18 @@
             let answer = if is_informed {
                 self.feed_for(&waiter.poll)
             } else {
-                CoordinatorAnswer::NotServing
+                CoordinatorResponse::NotServing
             };
             self.answer(waiter.request, answer);
         }
     }
 
-    fn feed_for(&mut self, poll: &FeedPoll) -> CoordinatorAnswer {
+    fn feed_for(&mut self, poll: &FeedPoll) -> CoordinatorResponse {
         let change = self.configurations.small_change(poll.configuration_version);
-        change.iter().for_each(|part| self.counters.note_part(part));
-        CoordinatorAnswer::Feed(Box::new(Feed {
+        change
+            .iter()
+            .for_each(|chunk| self.counters.note_part(chunk));
+        CoordinatorResponse::Feed(Box::new(Feed {
             change,
             ..self.feed.clone()
         }))
@@ -91,13 +93,15 @@
     /// Answers with a part of what leads to the newest configuration.
     pub(crate) fn fetch_configuration(&mut self, request: RequestId, fetch: &ConfigurationFetch) {
         let is_informed = self.is_informed() && !self.leaving;
-        let part = is_informed
-            .then(|| self.configurations.part(fetch))
+        let chunk = is_informed
+            .then(|| self.configurations.chunk(fetch))
             .flatten();
-        part.iter().for_each(|part| self.counters.note_part(part));
-        let answer = match part {
-            Some(part) => CoordinatorAnswer::ConfigurationPart(Box::new(part)),
-            None => CoordinatorAnswer::NotServing,
+        chunk
+            .iter()
+            .for_each(|chunk| self.counters.note_part(chunk));
+        let answer = match chunk {
+            Some(chunk) => CoordinatorResponse::ConfigurationChunk(Box::new(chunk)),
+            None => CoordinatorResponse::NotServing,
         };
         self.answer(request, answer);
     }
--- a/system/coordinator/src/job_list.rs
+++ b/system/coordinator/src/job_list.rs
@@ -62,7 +62,7 @@
         let more = found.next().is_some();
         let next = jobs.last().filter(|_| more).map(|last| last.job.clone());
         JobList {
-            entry: state.position.index,
+            entry: state.position.index.0,
             jobs,
             next,
         }
@@ -71,7 +71,11 @@
 
 impl JobLine {
     fn of(job: &Job) -> JobLine {
-        let steps = || job.times.values().flat_map(|time| &time.steps);
+        let steps = || {
+            job.occurrences
+                .values()
+                .flat_map(|occurrence| &occurrence.steps)
+        };
         let running = |step: &StepState| {
             step.tasks
                 .iter()
@@ -84,7 +88,7 @@
             queue: submission.queue.clone(),
             state: job.phase.word().to_owned(),
             priority: submission.priority,
-            submitted_ms: submission.submitted_ms,
+            submitted_ms: submission.submitted_ms.0,
             tasks: steps().map(|step| step.tasks.len()).sum(),
             done: steps().map(|step| step.done as usize).sum(),
             running: steps().map(running).sum(),
--- a/system/coordinator/src/lapse.rs
+++ b/system/coordinator/src/lapse.rs
@@ -7,7 +7,7 @@
 
 impl Lapse {
     /// Takes note of whether it holds now.
-    pub fn note(&mut self, holds: bool, now: Millis) {
+    pub(crate) fn note(&mut self, holds: bool, now: Millis) {
         self.0 = if holds {
             None
         } else {
@@ -16,7 +16,7 @@
     }
 
     /// Whether it has not held for this long.
-    pub fn lasts(&self, for_ms: Millis, now: Millis) -> bool {
+    pub(crate) fn lasts(&self, for_ms: Millis, now: Millis) -> bool {
         self.0.is_some_and(|since| now >= since + for_ms)
     }
 }
--- a/system/coordinator/src/lib.rs
+++ b/system/coordinator/src/lib.rs
@@ -24,6 +24,6 @@
 pub use counters::Counters;
 pub use describe::{ClusterDescription, RoleDescription, SchedulerDescription};
 pub use job_list::{JobLine, JobList};
-pub use machine::{freeze, Machine};
+pub use machine::{take_snapshot, Machine};
 pub use outputs::{Output, PlatformReply, RequestId};
 pub use settings::CoordinatorSettings;
--- a/system/coordinator/src/machine.rs
+++ b/system/coordinator/src/machine.rs
@@ -1,14 +1,14 @@
 //! The replicated state, with what applying entries has changed since it was last looked at.
-use magpiegap_control::{DurableState, FrozenState, StateMachine};
-use magpiegap_jobs::{Applied, FrozenState as FrozenJobs, State, StateBuilder};
-use magpiegap_protocol::{DecodeError, Entry, Fence, Position, ProposalId};
+use magpiegap_control::{DurableState, StateMachine, StateSnapshot};
+use magpiegap_jobs::{Applied, JobsSnapshot, SnapshotBuilder, State};
+use magpiegap_protocol::{DecodeError, Entry, LogPosition, ProposalId, RoleToken};
 use std::sync::Arc;
 
 /// What an applied entry was, and what it has changed. Not its command, which nobody asks for any more.
 pub(crate) struct AppliedEntry {
-    pub position: Position,
+    pub position: LogPosition,
     pub proposal: ProposalId,
-    pub fence: Option<Fence>,
+    pub role_token: Option<RoleToken>,
     pub applied: Applied,
 }
 
@@ -18,7 +18,7 @@
     /// The state.
     pub state: State,
     /// Another state that is being built up.
-    building: StateBuilder,
+    building: SnapshotBuilder,
     pub(crate) applied: Vec<AppliedEntry>,
     pub(crate) restored: bool,
 }
@@ -37,9 +37,9 @@
     /// # Errors
     /// When the bytes are no state that this build can read.
     pub fn recover(durable: &DurableState) -> Result<Machine, DecodeError> {
-        let mut builder = StateBuilder::default();
-        for number in 0..durable.state.parts() {
-            builder.add(&durable.state.part(number))?;
+        let mut builder = SnapshotBuilder::default();
+        for number in 0..durable.state.chunks() {
+            builder.add(&durable.state.chunk(number))?;
         }
         Ok(Machine::new(builder.finish().unwrap_or_default()))
     }
@@ -47,25 +47,25 @@
 
 /// A state at one moment.
 #[derive(Debug)]
-struct Frozen(FrozenJobs);
+struct MachineSnapshot(JobsSnapshot);
 
-impl FrozenState for Frozen {
-    fn position(&self) -> Position {
+impl StateSnapshot for MachineSnapshot {
+    fn position(&self) -> LogPosition {
         self.0.position()
     }
 
-    fn parts(&self) -> u32 {
-        self.0.parts()
+    fn chunks(&self) -> u32 {
+        self.0.chunks()
     }
 
-    fn part(&self, number: u32) -> Vec<u8> {
-        self.0.part(number)
+    fn chunk(&self, number: u32) -> Vec<u8> {
+        self.0.chunk(number)
     }
 }
 
 /// A state at one moment, as the replica below keeps and tells it.
-pub fn freeze(state: &State) -> Arc<dyn FrozenState> {
-    Arc::new(Frozen(state.freeze()))
+pub fn take_snapshot(state: &State) -> Arc<dyn StateSnapshot> {
+    Arc::new(MachineSnapshot(state.snapshot()))
 }
 
 impl StateMachine for Machine {
@@ -74,35 +74,35 @@
         let Entry {
             position,
             proposal,
-            fence,
+            role_token,
             ..
         } = entry;
-        let (position, proposal, fence) = (*position, *proposal, fence.clone());
+        let (position, proposal, role_token) = (*position, *proposal, role_token.clone());
         self.applied.push(AppliedEntry {
             position,
             proposal,
-            fence,
+            role_token,
             applied,
         });
     }
 
-    fn position(&self) -> Position {
+    fn position(&self) -> LogPosition {
         self.state.position
     }
 
-    fn freeze(&self) -> Arc<dyn FrozenState> {
-        freeze(&self.state)
+    fn snapshot(&self) -> Arc<dyn StateSnapshot> {
+        take_snapshot(&self.state)
     }
 
     fn begin_restore(&mut self) {
-        self.building = StateBuilder::default();
+        self.building = SnapshotBuilder::default();
     }
 
-    fn add_part(&mut self, part: &[u8]) -> bool {
-        self.building.add(part).is_ok()
+    fn add_chunk(&mut self, chunk: &[u8]) -> bool {
+        self.building.add(chunk).is_ok()
     }
 
-    fn finish_restore(&mut self, position: Position) -> bool {
+    fn finish_restore(&mut self, position: LogPosition) -> bool {
         let built = std::mem::take(&mut self.building).finish();
         let Some(state) = built.filter(|state| state.position == position) else {
             return false;
--- a/system/coordinator/src/outputs.rs
+++ b/system/coordinator/src/outputs.rs
@@ -1,6 +1,6 @@
 //! What a coordinator wants done.
 use magpiegap_control::Output as ControlOutput;
-use magpiegap_protocol::{CoordinatorAnswer, WorkerEntry};
+use magpiegap_protocol::{CoordinatorResponse, FencingToken, WorkerEntry};
 use magpiegap_scheduler::WorkerCall;
 
 /// Names a request that waits for its answer.
@@ -16,14 +16,14 @@
         /// The request.
         request: RequestId,
         /// The answer.
-        answer: CoordinatorAnswer,
+        answer: CoordinatorResponse,
     },
     /// Call a worker.
     CallWorker {
         /// The service whose scheduler gets the reply.
         service: String,
         /// The fencing token of that scheduler.
-        token: u64,
+        token: FencingToken,
         /// The call.
         call: WorkerCall,
     },
--- a/system/coordinator/src/platform.rs
+++ b/system/coordinator/src/platform.rs
@@ -5,7 +5,7 @@
     under_way::Reader,
 };
 use magpiegap_control::Output as ControlOutput;
-use magpiegap_protocol::{Millis, PeerMessage, PlatformList};
+use magpiegap_protocol::{FencingToken, Millis, PeerMessage, PlatformList};
 
 /// A call that was not answered for this long is given up.
 const CALL_PATIENCE_MS: Millis = 1500;
@@ -15,7 +15,7 @@
 const REPEAT_EVERY_MS: Millis = 1000;
 
 impl Coordinator {
-    pub(crate) fn follow_reader(&mut self, token: Option<u64>) {
+    pub(crate) fn follow_reader(&mut self, token: Option<FencingToken>) {
         if self.reader.as_ref().map(|reader| reader.token) == token {
             return;
         }
@@ -58,7 +58,7 @@
     }
 
     /// The platform has answered, or has not in time.
-    pub fn platform_reply(&mut self, now: Millis, call: u64, reply: PlatformReply) {
+    pub fn handle_platform_reply(&mut self, now: Millis, call: u64, reply: PlatformReply) {
         self.now = now;
         let every = self.settings.list_every_ms;
         let Some(reader) = self.reader.as_mut() else {
@@ -120,7 +120,9 @@
         let known = self
             .platform
             .as_ref()
-            .map_or((0, 0), |known| (known.token, known.sequence));
+            .map_or((FencingToken::default(), 0), |known| {
+                (known.token, known.sequence)
+            });
         if (list.token, list.sequence) <= known {
             return;
         }
--- a/system/coordinator/src/proposals.rs
+++ b/system/coordinator/src/proposals.rs
@@ -4,7 +4,7 @@
     outputs::RequestId,
     under_way::{Operation, Pending, Proposal, Purpose},
 };
-use magpiegap_protocol::{Command, CoordinatorAnswer, Fence, Millis, ProposalId};
+use magpiegap_protocol::{Command, CoordinatorResponse, Millis, ProposalId, RoleToken};
 
 /// A request that was not answered for this long is answered as it stands.
 const REQUEST_PATIENCE_MS: Millis = 2000;
@@ -22,7 +22,7 @@
     pub(crate) fn propose(
         &mut self,
         command: Command,
-        fence: Option<Fence>,
+        role_token: Option<RoleToken>,
         purpose: Option<Purpose>,
         pending: Option<u64>,
     ) -> bool {
@@ -35,7 +35,7 @@
         let wall = self.wall;
         if !self
             .replica
-            .propose(wall, proposal, fence.clone(), command.clone())
+            .propose(wall, proposal, role_token.clone(), command.clone())
         {
             return false;
         }
@@ -46,7 +46,7 @@
             pending,
             proposed_at: self.now,
             view,
-            fence,
+            role_token,
             command,
             again_at,
         };
@@ -71,8 +71,12 @@
                 origin,
                 sequence: *sequence,
             };
-            self.replica
-                .propose(wall, id, proposal.fence.clone(), proposal.command.clone());
+            self.replica.propose(
+                wall,
+                id,
+                proposal.role_token.clone(),
+                proposal.command.clone(),
+            );
         }
     }
 
@@ -111,9 +115,9 @@
         else {
             return;
         };
-        let (command, fence, purpose) = match operation {
+        let (command, role_token, purpose) = match operation {
             Operation::Submit(submission) => match self.submission_command(*submission) {
-                Some((command, fence, purpose)) => (command, Some(fence), Some(purpose)),
+                Some((command, role_token, purpose)) => (command, Some(role_token), Some(purpose)),
                 None => {
                     self.settle(id, &unsettled_answer(proposed));
                     return;
@@ -137,7 +141,7 @@
             ),
             Operation::DescribeConfiguration => (Command::Noop, None, None),
         };
-        if self.propose(command, fence, purpose, Some(id)) {
+        if self.propose(command, role_token, purpose, Some(id)) {
             if let Some(pending) = self.pending.get_mut(&id) {
                 pending.proposed = true;
             }
@@ -145,7 +149,7 @@
     }
 
     /// Answers all that wait for an operation.
-    pub(crate) fn settle(&mut self, id: u64, answer: &CoordinatorAnswer) {
+    pub(crate) fn settle(&mut self, id: u64, answer: &CoordinatorResponse) {
         let Some(pending) = self.pending.remove(&id) else {
             return;
         };
@@ -197,15 +201,15 @@
 
 /// After how long a command that is not in the log is sent to the head again.
 fn propose_again_ms(command: &Command) -> Millis {
-    PROPOSE_AGAIN_MS + command.rough_bytes() as u64 / LEAST_BYTES_PER_MS
+    PROPOSE_AGAIN_MS + command.estimated_bytes() as u64 / LEAST_BYTES_PER_MS
 }
 
 /// The answer to a request that could not be settled: it may take effect only where it was proposed.
-fn unsettled_answer(proposed: bool) -> CoordinatorAnswer {
+fn unsettled_answer(proposed: bool) -> CoordinatorResponse {
     if proposed {
-        CoordinatorAnswer::Unknown
+        CoordinatorResponse::Unknown
     } else {
-        CoordinatorAnswer::NotServing
+        CoordinatorResponse::NotServing
     }
 }
 
--- a/system/coordinator/src/reads.rs
+++ b/system/coordinator/src/reads.rs
@@ -9,7 +9,7 @@
     outputs::RequestId,
     under_way::{Operation, Question, WaitingRead},
 };
-use magpiegap_protocol::{CoordinatorAnswer, JobId, JobPhase, Millis};
+use magpiegap_protocol::{CoordinatorResponse, JobId, JobPhase, Millis};
 
 /// A question that could not be answered for this long is handed back, so that another coordinator is asked.
 const READ_PATIENCE_MS: Millis = 350;
@@ -26,7 +26,7 @@
                 since: self.now,
             });
         } else {
-            self.answer(request, CoordinatorAnswer::NotServing);
+            self.answer(request, CoordinatorResponse::NotServing);
         }
     }
 
@@ -45,7 +45,7 @@
             } else if serves && self.now < read.since + READ_PATIENCE_MS {
                 self.reads.push(read);
             } else {
-                self.answer(read.request, CoordinatorAnswer::NotServing);
+                self.answer(read.request, CoordinatorResponse::NotServing);
             }
         }
     }
@@ -56,13 +56,13 @@
     }
 
     /// The answer, where it can't become another one.
-    fn lasting_answer(&self, question: &Question) -> Option<CoordinatorAnswer> {
+    fn lasting_answer(&self, question: &Question) -> Option<CoordinatorResponse> {
         let phase = self
             .phase(&question.queue, question.job)
-            .filter(|phase| phase.ended())?;
+            .filter(|phase| phase.is_terminal())?;
         Some(match question.cancel {
-            true => CoordinatorAnswer::Accepted,
-            false => CoordinatorAnswer::Phase(phase),
+            true => CoordinatorResponse::Accepted,
+            false => CoordinatorResponse::Phase(phase),
         })
     }
 
@@ -71,11 +71,11 @@
             request, question, ..
         } = read;
         match self.phase(&question.queue, question.job) {
-            None => self.answer(request, CoordinatorAnswer::NoSuchJob),
+            None => self.answer(request, CoordinatorResponse::NoSuchJob),
             Some(_) if question.cancel => {
                 self.begin_in_contact(request, Operation::Cancel(question.job))
             }
-            Some(phase) => self.answer(request, CoordinatorAnswer::Phase(phase)),
+            Some(phase) => self.answer(request, CoordinatorResponse::Phase(phase)),
         }
     }
 
--- a/system/coordinator/src/requests.rs
+++ b/system/coordinator/src/requests.rs
@@ -6,7 +6,7 @@
     under_way::{Operation, Question},
 };
 use magpiegap_jobs::{Configuration, Outcome};
-use magpiegap_protocol::{CoordinatorAnswer, CoordinatorRequest, JobId, Millis, WallMillis};
+use magpiegap_protocol::{CoordinatorRequest, CoordinatorResponse, JobId, Millis, WallMillis};
 
 impl Coordinator {
     /// Takes a request; its answer comes as an output, now or later.
@@ -44,7 +44,7 @@
             }
             CoordinatorRequest::Describe => {
                 let text = serde_json::to_string(&self.describe()).unwrap_or_default();
-                self.answer(request, CoordinatorAnswer::Description(text));
+                self.answer(request, CoordinatorResponse::Description(text));
             }
             CoordinatorRequest::Explain { job } => {
                 let answer = self.explain(job);
@@ -53,12 +53,12 @@
             CoordinatorRequest::ListJobs(filter) => {
                 let list = JobList::of(&self.machine.state, &filter);
                 let text = serde_json::to_string(&list).unwrap_or_default();
-                self.answer(request, CoordinatorAnswer::Description(text));
+                self.answer(request, CoordinatorResponse::Description(text));
             }
         }
     }
 
-    pub(crate) fn answer(&mut self, request: RequestId, answer: CoordinatorAnswer) {
+    pub(crate) fn answer(&mut self, request: RequestId, answer: CoordinatorResponse) {
         self.out.push(Output::Answer { request, answer });
     }
 
@@ -68,14 +68,14 @@
         if self.replica.has_contact(self.now) {
             self.begin(operation, request);
         } else {
-            self.answer(request, CoordinatorAnswer::NotServing);
+            self.answer(request, CoordinatorResponse::NotServing);
         }
     }
 
     /// Checks a configuration whole, and hands it to the log with what leads to it from the version in force here.
     fn replace_configuration(&mut self, request: RequestId, base: u64, body: Vec<u8>) {
         if !self.replica.has_contact(self.now) {
-            self.answer(request, CoordinatorAnswer::NotServing);
+            self.answer(request, CoordinatorResponse::NotServing);
             return;
         }
         match Configuration::parse(&body) {
@@ -94,14 +94,14 @@
             }
             Err(error) => self.answer(
                 request,
-                CoordinatorAnswer::ConfigurationInvalid(error.to_string()),
+                CoordinatorResponse::ConfigurationInvalid(error.to_string()),
             ),
         }
     }
 
     fn submit(&mut self, request: RequestId, submission: Box<magpiegap_protocol::Submission>) {
         if self.machine.state.jobs.contains_key(&submission.job) {
-            self.answer(request, CoordinatorAnswer::Accepted);
+            self.answer(request, CoordinatorResponse::Accepted);
             return;
         }
         let here = self
@@ -109,7 +109,7 @@
             .get(&submission.service)
             .is_some_and(|scheduler| !scheduler.is_deposed());
         if !here || self.leaving {
-            self.answer(request, CoordinatorAnswer::NotServing);
+            self.answer(request, CoordinatorResponse::NotServing);
             return;
         }
         let mut submission = submission;
@@ -120,7 +120,9 @@
     /// Cancels a job. One that is known here goes to the log at once; whether another one is there has to be read.
     fn cancel(&mut self, request: RequestId, queue: &str, job: JobId) {
         match self.phase(queue, job) {
-            Some(phase) if !phase.ended() => self.begin_in_contact(request, Operation::Cancel(job)),
+            Some(phase) if !phase.is_terminal() => {
+                self.begin_in_contact(request, Operation::Cancel(job))
+            }
             _ => self.read(
                 request,
                 Question {
@@ -141,8 +143,8 @@
             .copied()
             .unwrap_or(0);
         let answer = match self.is_informed() {
-            true => CoordinatorAnswer::Count(count),
-            false => CoordinatorAnswer::NotServing,
+            true => CoordinatorResponse::Count(count),
+            false => CoordinatorResponse::NotServing,
         };
         self.answer(request, answer);
     }
@@ -154,19 +156,21 @@
         };
         let answer = match (&pending.operation, outcome) {
             // The scheduler's role has passed on: whether another entry accepts the job isn't known here.
-            (_, Outcome::Fenced) => CoordinatorAnswer::Unknown,
-            (Operation::Submit(_), _) => CoordinatorAnswer::Accepted,
-            (Operation::Cancel(_), Outcome::Void) => CoordinatorAnswer::NoSuchJob,
-            (Operation::Cancel(_), _) => CoordinatorAnswer::Accepted,
+            (_, Outcome::Fenced) => CoordinatorResponse::Unknown,
+            (Operation::Submit(_), _) => CoordinatorResponse::Accepted,
+            (Operation::Cancel(_), Outcome::Void) => CoordinatorResponse::NoSuchJob,
+            (Operation::Cancel(_), _) => CoordinatorResponse::Accepted,
             (Operation::ReplaceConfiguration { .. }, Outcome::Conflict) => {
-                CoordinatorAnswer::ConfigurationConflict
+                CoordinatorResponse::ConfigurationConflict
             }
             (Operation::ReplaceConfiguration { .. }, Outcome::Stale) => {
-                CoordinatorAnswer::ConfigurationStale
+                CoordinatorResponse::ConfigurationStale
+            }
+            (Operation::ReplaceConfiguration { .. }, _) => {
+                CoordinatorResponse::ConfigurationAccepted
             }
-            (Operation::ReplaceConfiguration { .. }, _) => CoordinatorAnswer::ConfigurationTaken,
             (Operation::DescribeConfiguration, _) => {
-                CoordinatorAnswer::Configuration(self.machine.state.configuration.body.clone())
+                CoordinatorResponse::Configuration(self.machine.state.configuration.body.clone())
             }
         };
         self.settle(id, &answer);
--- a/system/coordinator/src/roles.rs
+++ b/system/coordinator/src/roles.rs
@@ -1,7 +1,7 @@
 //! The roles: an election each time one is vacant, decided by whose claim comes first in the log.
 use crate::{coordinator::Coordinator, outputs::Output, under_way::Purpose};
 use magpiegap_jobs::Configuration;
-use magpiegap_protocol::{Command, Fence, Millis, Role, RunStart, Submission};
+use magpiegap_protocol::{Command, FencingToken, Millis, Role, RoleToken, RunStart, Submission};
 use magpiegap_scheduler::{Output as SchedulerOutput, Scheduler, WorkerReply};
 use std::collections::BTreeMap;
 
@@ -54,11 +54,11 @@
                 |proposal| matches!(&proposal.purpose, Some(Purpose::Claim(claimed)) if *claimed == role),
             );
             if self.now >= due && !under_way {
-                let expected = state.map_or(0, |state| state.token);
+                let expected = state.map_or(FencingToken::default(), |state| state.token);
                 let command = Command::ClaimRole {
                     role: role.clone(),
                     holder: own,
-                    expected,
+                    expected: FencingToken(expected.0),
                 };
                 self.propose(command, None, Some(Purpose::Claim(role)), None);
             }
@@ -88,7 +88,7 @@
     /// Begins and ends the work of roles as the log has it.
     pub(crate) fn follow_roles(&mut self) {
         let own = self.replica.own();
-        let mut held: BTreeMap<String, u64> = BTreeMap::new();
+        let mut held: BTreeMap<String, FencingToken> = BTreeMap::new();
         let mut reader = None;
         for (role, state) in &self.machine.state.roles {
             if state.holder != own {
@@ -107,11 +107,11 @@
             if self.schedulers.contains_key(&service) {
                 continue;
             }
-            let seed = self.settings.control.seed ^ token;
+            let seed = self.settings.control.seed ^ token.0;
             let settings = self.settings.scheduler.clone();
             let mut scheduler = Scheduler::new(
                 &service,
-                token,
+                FencingToken(token.0),
                 settings,
                 self.now,
                 &self.machine.state,
@@ -150,7 +150,7 @@
     pub(crate) fn submission_command(
         &mut self,
         submission: Submission,
-    ) -> Option<(Command, Fence, Purpose)> {
+    ) -> Option<(Command, RoleToken, Purpose)> {
         if !self.may_act() {
             return None;
         }
@@ -161,7 +161,7 @@
             .get_mut(&service)
             .filter(|scheduler| !scheduler.is_deposed())?;
         let command = scheduler.submit(now, submission);
-        let fence = Fence {
+        let role_token = RoleToken {
             role: Role::Scheduler(service.clone()),
             token: scheduler.token(),
         };
@@ -169,7 +169,7 @@
             Command::SubmitJob { runs, .. } => runs.clone(),
             _ => Vec::new(),
         };
-        Some((command, fence, Purpose::Scheduler { service, runs }))
+        Some((command, role_token, Purpose::Scheduler { service, runs }))
     }
 
     /// Lets the schedulers do what is due, and hands on what they want done.
@@ -185,12 +185,12 @@
             };
             scheduler.run(now, wall, &self.machine.state);
             let token = scheduler.token();
-            let outputs = scheduler.take_outputs();
+            let outputs = scheduler.poll_outputs();
             self.hand_on(&service, token, outputs);
         }
     }
 
-    fn hand_on(&mut self, service: &str, token: u64, outputs: Vec<SchedulerOutput>) {
+    fn hand_on(&mut self, service: &str, token: FencingToken, outputs: Vec<SchedulerOutput>) {
         for output in outputs {
             match output {
                 SchedulerOutput::Propose(command) => {
@@ -209,12 +209,12 @@
         }
     }
 
-    fn propose_for_scheduler(&mut self, service: &str, token: u64, command: Command) {
+    fn propose_for_scheduler(&mut self, service: &str, token: FencingToken, command: Command) {
         let runs: Vec<RunStart> = match &command {
             Command::StartRuns { runs } => runs.clone(),
             _ => Vec::new(),
         };
-        let fence = Fence {
+        let role_token = RoleToken {
             role: Role::Scheduler(service.to_owned()),
             token,
         };
@@ -222,15 +222,15 @@
             service: service.to_owned(),
             runs,
         };
-        self.propose(command, Some(fence), Some(purpose), None);
+        self.propose(command, Some(role_token), Some(purpose), None);
     }
 
     /// A worker has answered, or has not in time.
-    pub fn worker_reply(
+    pub fn handle_worker_reply(
         &mut self,
         now: Millis,
         service: &str,
-        token: u64,
+        token: FencingToken,
         call: u64,
         reply: WorkerReply,
     ) {
--- a/system/coordinator/src/steps.rs
+++ b/system/coordinator/src/steps.rs
@@ -6,14 +6,14 @@
     under_way::{Proposal, Purpose},
 };
 use magpiegap_jobs::{Applied, Change};
-use magpiegap_protocol::{Command, Millis, PeerMessage, Replica as ReplicaId, Role, WallMillis};
+use magpiegap_protocol::{Command, Millis, PeerMessage, ReplicaId, Role, WallMillis};
 
 /// The time of a commit that is told to operators is an average over about so many.
 const COMMITS_AVERAGED: u64 = 16;
 
 impl Coordinator {
     /// Takes what it wants done. To be called after every input.
-    pub fn take_outputs(&mut self) -> Vec<Output> {
+    pub fn poll_outputs(&mut self) -> Vec<Output> {
         self.finish_step();
         std::mem::take(&mut self.out)
     }
@@ -31,7 +31,7 @@
     }
 
     /// Messages from another coordinator.
-    pub fn receive(
+    pub fn handle_messages(
         &mut self,
         now: Millis,
         clock: WallMillis,
@@ -42,17 +42,19 @@
         for message in messages {
             match message {
                 PeerMessage::Platform(list) => self.take_list(list),
-                message => self
-                    .replica
-                    .receive(now, self.wall, from, message, &mut self.machine),
+                message => {
+                    self.replica
+                        .handle_messages(now, self.wall, from, message, &mut self.machine)
+                }
             }
         }
     }
 
     /// Disk work up to this ticket is done.
-    pub fn persisted(&mut self, now: Millis, clock: WallMillis, ticket: u64) {
+    pub fn handle_persisted(&mut self, now: Millis, clock: WallMillis, ticket: u64) {
         self.begin_step(now, clock);
-        self.replica.persisted(ticket, now, &mut self.machine);
+        self.replica
+            .handle_persisted(ticket, now, &mut self.machine);
     }
 
     /// Follows up what the inputs have changed, until nothing more comes up.
@@ -65,7 +67,7 @@
         self.answer_reads();
         self.answer_polls();
         self.out
-            .extend(self.replica.take_outputs().into_iter().map(Output::Control));
+            .extend(self.replica.poll_outputs().into_iter().map(Output::Control));
     }
 
     /// Takes note of a change of the view and of the entries applied since.
@@ -130,8 +132,10 @@
             _ => Vec::new(),
         };
         for scheduler in self.schedulers.values_mut() {
-            let of_scheduler = match &entry.fence {
-                Some(fence) => fence.role == Role::Scheduler(scheduler.service().to_owned()),
+            let of_scheduler = match &entry.role_token {
+                Some(role_token) => {
+                    role_token.role == Role::Scheduler(scheduler.service().to_owned())
+                }
                 None => true,
             };
             if of_scheduler {
--- a/system/coordinator/src/under_way.rs
+++ b/system/coordinator/src/under_way.rs
@@ -1,7 +1,8 @@
 //! What is under way at a coordinator: proposals, operations, long polls, and the reading of the platform's list.
 use crate::outputs::RequestId;
 use magpiegap_protocol::{
-    Command, FeedPoll, Fence, JobId, Millis, Role, RunStart, Submission, WorkerEntry,
+    Command, FeedPoll, FencingToken, JobId, Millis, Role, RoleToken, RunStart, Submission,
+    ViewNumber, WorkerEntry,
 };
 
 /// Why something was proposed.
@@ -68,8 +69,8 @@
     /// The operation that it is to settle.
     pub pending: Option<u64>,
     pub proposed_at: Millis,
-    pub view: u64,
-    pub fence: Option<Fence>,
+    pub view: ViewNumber,
+    pub role_token: Option<RoleToken>,
     pub command: Command,
     /// When it is sent to the head again, in case it was lost on its way there.
     pub again_at: Millis,
@@ -86,7 +87,7 @@
 /// The reader of the platform's list.
 #[derive(Clone, Debug)]
 pub(crate) struct Reader {
-    pub token: u64,
+    pub token: FencingToken,
     pub sequence: u64,
     pub next_at: Millis,
     pub open: Option<(u64, Millis)>,
--- a/system/coordinator/tests/job_list.rs
+++ b/system/coordinator/tests/job_list.rs
@@ -3,28 +3,31 @@
 use magpiegap_coordinator::JobList;
 use magpiegap_jobs::State;
 use magpiegap_protocol::{
-    Command, Entry, JobFilter, JobId, JobPhase, JobSpec, Member, Position, ProposalId, Replica,
-    StepSpec, Submission,
+    Command, Entry, JobFilter, JobId, JobPhase, JobSpec, LogPosition, Member, ProposalId,
+    ReplicaId, StepSpec, Submission, ViewNumber, WallMillis,
 };
 
 fn apply(state: &mut State, command: Command) {
     let index = state.position.index + 1;
-    let origin = Replica {
+    let origin = ReplicaId {
         member: Member {
             address: 1,
             disk: 0,
         },
-        boot: 1,
+        incarnation: 1,
     };
     state.apply(&Entry {
-        position: Position { view: 1, index },
+        position: LogPosition {
+            view: ViewNumber(1),
+            index,
+        },
         proposal: ProposalId {
             origin,
-            sequence: index,
+            sequence: index.0,
         },
-        fence: None,
+        role_token: None,
         command,
-        wall_ms: 1000 + index,
+        wall_ms: WallMillis(1000 + index.0),
     });
 }
 
@@ -45,7 +48,7 @@
             max_attempts: 2,
             stretch: 2.0,
             target_latency_ms: 100,
-            submitted_ms: number,
+            submitted_ms: WallMillis(number),
             spec: JobSpec {
                 steps,
                 ..JobSpec::default()
--- a/system/demo/src/clients.rs
+++ b/system/demo/src/clients.rs
@@ -22,7 +22,7 @@
 
 /// How a job went, as its client saw it.
 #[derive(Clone, Debug)]
-pub struct JobStory {
+pub(crate) struct JobStory {
     /// How long until it was accepted.
     pub accepted_after_ms: u64,
     /// How long until it was shown as succeeded; `None`: it never was.
@@ -33,7 +33,7 @@
 
 /// The clients of one cluster.
 #[derive(Clone)]
-pub struct Clients {
+pub(crate) struct Clients {
     http: reqwest::Client,
     coordinators: u8,
     proxies: u8,
@@ -41,7 +41,7 @@
 
 impl Clients {
     /// Clients of a cluster of this size.
-    pub fn new(coordinators: u8, proxies: u8) -> Clients {
+    pub(crate) fn new(coordinators: u8, proxies: u8) -> Clients {
         let builder = reqwest::Client::builder()
             .no_proxy()
             .timeout(TRY_TIMEOUT)
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// When that takes too long.
-    pub async fn configure(&self) -> Result<(), DemoError> {
+    pub(crate) async fn configure(&self) -> Result<(), DemoError> {
         let body = serde_json::json!({
             "version": 1,
             "routes": [{
@@ -114,7 +114,7 @@
     }
 
     /// Hands a job in and follows it until it has ended, or for as long as `patience` lasts.
-    pub async fn follow_job(
+    pub(crate) async fn follow_job(
         &self,
         number: u64,
         steps: Vec<StepWork>,
--- a/system/demo/src/cluster.rs
+++ b/system/demo/src/cluster.rs
@@ -22,7 +22,7 @@
 const INTERNAL_PORTS: u16 = 17_660;
 
 /// One process of the cluster.
-pub struct Process {
+pub(crate) struct Process {
     /// Its role and number.
     pub name: String,
     role: &'static str,
@@ -32,7 +32,7 @@
 }
 
 /// The cluster's processes.
-pub struct Cluster {
+pub(crate) struct Cluster {
     folder: PathBuf,
     program: PathBuf,
     platform: SocketAddr,
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     /// When a file can't be written, or a process can't be started.
-    pub fn start(
+    pub(crate) fn start(
         options: &Options,
         folder: &Path,
         platform: SocketAddr,
@@ -137,7 +137,7 @@
     ///
     /// # Errors
     /// When there is none of that name, or the system refuses.
-    pub async fn kill(&mut self, name: &str) -> Result<(), DemoError> {
+    pub(crate) async fn kill(&mut self, name: &str) -> Result<(), DemoError> {
         self.find(name)?
             .child
             .kill()
@@ -149,7 +149,7 @@
     ///
     /// # Errors
     /// When there is none of that name, or the system refuses.
-    pub fn start_again(&mut self, name: &str) -> Result<(), DemoError> {
+    pub(crate) fn start_again(&mut self, name: &str) -> Result<(), DemoError> {
         let process = self.find(name)?;
         let (role, settings, log) = (process.role, process.settings.clone(), process.log.clone());
         let child = self.spawn(role, &settings, &log)?;
@@ -168,7 +168,7 @@
 
 impl Process {
     /// What it has used since it was last started.
-    pub fn usage(&self) -> usage::Usage {
+    pub(crate) fn usage(&self) -> usage::Usage {
         self.child
             .id()
             .and_then(usage::of_process)
@@ -177,19 +177,19 @@
 }
 
 /// Where a coordinator serves the operator.
-pub fn control_address(number: u8) -> SocketAddr {
+pub(crate) fn control_address(number: u8) -> SocketAddr {
     let [a, b, c] = COORDINATORS;
     SocketAddr::from(([a, b, c, number], CONTROL_PORT))
 }
 
 /// Where a proxy serves clients.
-pub fn client_address(number: u8) -> SocketAddr {
+pub(crate) fn client_address(number: u8) -> SocketAddr {
     let [a, b, c] = EDGES;
     SocketAddr::from(([a, b, c, number], CLIENT_PORT))
 }
 
 /// Where a proxy says whether it is ready.
-pub fn readiness_address(number: u8) -> SocketAddr {
+pub(crate) fn readiness_address(number: u8) -> SocketAddr {
     let [a, b, c] = EDGES;
     SocketAddr::from(([a, b, c, number], READINESS_PORT))
 }
--- a/system/demo/src/http_server.rs
+++ b/system/demo/src/http_server.rs
@@ -7,7 +7,7 @@
 use tokio::{net::TcpListener, task::JoinHandle};
 
 /// A request as the stand-ins see it.
-pub struct Call {
+pub(crate) struct Call {
     /// The path, without the query.
     pub path: String,
     /// The life that is meant, where the caller names one.
@@ -17,7 +17,7 @@
 }
 
 /// An answer: status and JSON body.
-pub struct Answer {
+pub(crate) struct Answer {
     /// The status code.
     pub status: u16,
     /// The body.
@@ -25,7 +25,7 @@
 }
 
 /// Serves until the task is aborted; connections end with it.
-pub fn serve<H, F>(listener: TcpListener, handler: H) -> JoinHandle<()>
+pub(crate) fn serve<H, F>(listener: TcpListener, handler: H) -> JoinHandle<()>
 where
     H: Fn(Call) -> F + Send + Sync + 'static,
     F: Future<Output = Answer> + Send + 'static,
--- a/system/demo/src/platform.rs
+++ b/system/demo/src/platform.rs
@@ -13,30 +13,30 @@
 
 /// The list, shared with the workers that stand in it.
 #[derive(Clone, Default)]
-pub struct Platform {
+pub(crate) struct Platform {
     entries: Arc<Mutex<BTreeMap<String, WorkerEntry>>>,
 }
 
 impl Platform {
     /// Puts a worker on the list.
-    pub fn add(&self, entry: WorkerEntry) {
+    pub(crate) fn add(&self, entry: WorkerEntry) {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
-        entries.insert(entry.instance.clone(), entry);
+        entries.insert(entry.incarnation.clone(), entry);
     }
 
     /// Takes a worker off the list.
-    pub fn remove(&self, instance: &str) {
+    pub(crate) fn remove(&self, incarnation: &str) {
         self.entries
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .remove(instance);
+            .remove(incarnation);
     }
 
     /// Serves the list. Returns where.
     ///
     /// # Errors
     /// When no port can be had.
-    pub async fn start(&self) -> Result<SocketAddr, DemoError> {
+    pub(crate) async fn start(&self) -> Result<SocketAddr, DemoError> {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .map_err(DemoError::system("the platform's port"))?;
@@ -67,7 +67,7 @@
 
 fn row(entry: &WorkerEntry) -> serde_json::Value {
     serde_json::json!({
-        "id": entry.instance,
+        "id": entry.incarnation,
         "service": entry.service,
         "address": entry.address,
         "zone": entry.zone,
--- a/system/demo/src/report.rs
+++ b/system/demo/src/report.rs
@@ -5,7 +5,7 @@
 
 /// Something that was done to the cluster.
 #[derive(Clone, Debug)]
-pub struct Happening {
+pub(crate) struct Happening {
     /// When, in milliseconds since the demo began.
     pub at: u64,
     /// What.
@@ -13,7 +13,7 @@
 }
 
 /// All that is reported.
-pub struct Report {
+pub(crate) struct Report {
     /// The jobs.
     pub stories: Vec<JobStory>,
     /// What was done to the cluster.
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 /// When the page can't be written, or some job is not done.
-pub fn finish(report: &Report, folder: &Path) -> Result<(), DemoError> {
+pub(crate) fn finish(report: &Report, folder: &Path) -> Result<(), DemoError> {
     print!("{}", table(report));
     let page = folder.join("report.html");
     std::fs::write(&page, to_page(report))
@@ -106,7 +106,7 @@
 
 /// One run on a worker, for the timeline.
 struct Bar {
-    instance: String,
+    incarnation: String,
     from: u64,
     to: u64,
     how: &'static str,
@@ -124,18 +124,21 @@
     for event in &report.worker_events {
         match &event.deed {
             Deed::Started { task, run, .. } => {
-                open.insert((event.instance.clone(), task.to_string(), *run), event.at);
+                open.insert(
+                    (event.incarnation.clone(), task.to_string(), *run),
+                    event.at,
+                );
             }
             Deed::Ended { task, run, how } => {
-                let key = (event.instance.clone(), task.to_string(), *run);
+                let key = (event.incarnation.clone(), task.to_string(), *run);
                 if let Some(from) = open.remove(&key) {
-                    let how = if *how == magpiegap_protocol::EndKind::Done {
+                    let how = if *how == magpiegap_protocol::CompletionKind::Done {
                         "done"
                     } else {
                         "other"
                     };
                     bars.push(Bar {
-                        instance: key.0,
+                        incarnation: key.0,
                         from,
                         to: event.at,
                         how,
@@ -146,7 +149,7 @@
         }
     }
     bars.extend(open.into_iter().map(|(key, from)| Bar {
-        instance: key.0,
+        incarnation: key.0,
         from,
         to: end,
         how: "lost",
@@ -164,7 +167,7 @@
     let mut rows: BTreeMap<&str, u64> = BTreeMap::new();
     for bar in &bars {
         let next = rows.len() as u64;
-        rows.entry(&bar.instance).or_insert(next);
+        rows.entry(&bar.incarnation).or_insert(next);
     }
     let px = |ms: u64| ms * SECOND_PX / 1000;
     let width = px(bars.iter().map(|bar| bar.to).max().unwrap_or(0)) + 200;
@@ -178,7 +181,7 @@
         let _ = write!(page, "<text x=0 y={}>{name}</text>", 13 + row * ROW_PX);
     }
     for bar in &bars {
-        let (x, y) = (60 + px(bar.from), rows[bar.instance.as_str()] * ROW_PX);
+        let (x, y) = (60 + px(bar.from), rows[bar.incarnation.as_str()] * ROW_PX);
         let wide = px(bar.to.saturating_sub(bar.from)).max(1);
         let _ = write!(
             page,
--- a/system/demo/src/story.rs
+++ b/system/demo/src/story.rs
@@ -169,10 +169,10 @@
     note(format!("{KILLED} starts again"));
     tokio::time::sleep_until(after(KILL_WORKER_AFTER)).await;
     if let Some(worker) = workers.pop() {
-        let instance = worker.entry.instance.clone();
-        platform.remove(&instance);
+        let incarnation = worker.entry.incarnation.clone();
+        platform.remove(&incarnation);
         worker.crash();
-        note(format!("worker {instance} crashes"));
+        note(format!("worker {incarnation} crashes"));
     }
     Ok(())
 }
--- a/system/demo/src/usage.rs
+++ b/system/demo/src/usage.rs
@@ -2,7 +2,7 @@
 
 /// Processor time and memory of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Usage {
+pub(crate) struct Usage {
     /// Processor time so far, in milliseconds.
     pub processor_ms: u64,
     /// Resident memory at its peak, in kilobytes.
@@ -13,7 +13,7 @@
 const TICK_MS: u64 = 10;
 
 /// Reads what a process has used; `None` where the system does not tell.
-pub fn of_process(id: u32) -> Option<Usage> {
+pub(crate) fn of_process(id: u32) -> Option<Usage> {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
     Some(Usage {
--- a/system/demo/src/worker_server.rs
+++ b/system/demo/src/worker_server.rs
@@ -5,7 +5,7 @@
     work,
 };
 use magpiegap_fleet::{Deed, Work, Worker};
-use magpiegap_protocol::{EndKind, Resources, TaskId, WorkerEntry};
+use magpiegap_protocol::{CompletionKind, FencingToken, Resources, TaskId, WorkerEntry};
 use magpiegap_scheduler::{Listing, RefusalReason, WorkerCall, WorkerOrder, WorkerReply};
 use serde::Deserialize;
 use std::{
@@ -17,7 +17,7 @@
 /// Workers refuse what does not fit.
 const GUARDS: bool = true;
 /// Longest hold on a worker.
-pub const MAX_HOLD_MS: u64 = 6000;
+pub(crate) const MAX_HOLD_MS: u64 = 6000;
 /// What each worker has.
 const CAPACITY: Resources = Resources {
     cpu: 8000,
@@ -29,9 +29,9 @@
 
 /// Something that happened on a worker.
 #[derive(Clone, Debug)]
-pub struct WorkerEvent {
+pub(crate) struct WorkerEvent {
     /// Which worker.
-    pub instance: String,
+    pub incarnation: String,
     /// When, in milliseconds since the demo began.
     pub at: u64,
     /// What.
@@ -58,7 +58,7 @@
 }
 
 /// A worker that serves.
-pub struct RunningWorker {
+pub(crate) struct RunningWorker {
     /// As the platform lists it.
     pub entry: WorkerEntry,
     server: JoinHandle<()>,
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     /// When no port can be had.
-    pub async fn start(
+    pub(crate) async fn start(
         number: u16,
         began: Instant,
         events: UnboundedSender<WorkerEvent>,
@@ -81,7 +81,7 @@
             .local_addr()
             .map_err(DemoError::system("a worker's port"))?;
         let entry = WorkerEntry {
-            instance: format!("w-{number}"),
+            incarnation: format!("w-{number}"),
             service: "pages".to_owned(),
             address: address.to_string(),
             zone: "a".to_owned(),
@@ -107,7 +107,7 @@
     }
 
     /// Ends the worker with all that it runs.
-    pub fn crash(self) {
+    pub(crate) fn crash(self) {
         self.server.abort();
     }
 }
@@ -131,8 +131,8 @@
     let call = WorkerCall {
         id: 0,
         address: String::new(),
-        instance: call.expected_instance.unwrap_or_default(),
-        token: body.fence_token,
+        incarnation: call.expected_instance.unwrap_or_default(),
+        token: FencingToken(body.fence_token),
         order,
         timeout_ms: 0,
     };
@@ -188,7 +188,7 @@
         let work = work.map(|(resources, duration_ms)| Work {
             resources,
             duration_ms,
-            how: EndKind::Done,
+            how: CompletionKind::Done,
             checkpoints: false,
             gang: false,
         });
@@ -196,7 +196,7 @@
         let reply = worker.take(now, call, work);
         for deed in worker.take_deeds() {
             let event = WorkerEvent {
-                instance: worker.entry.instance.clone(),
+                incarnation: worker.entry.incarnation.clone(),
                 at: now,
                 deed,
             };
@@ -259,20 +259,20 @@
 
 fn reason_word(reason: RefusalReason) -> &'static str {
     match reason {
-        RefusalReason::Fence => "fence",
+        RefusalReason::RoleToken => "fence",
         RefusalReason::Old => "old",
         RefusalReason::Late => "late",
         RefusalReason::Room => "room",
     }
 }
 
-fn end_word(kind: EndKind) -> &'static str {
+fn end_word(kind: CompletionKind) -> &'static str {
     match kind {
-        EndKind::Done => "done",
-        EndKind::Failed => "failed",
-        EndKind::Stopped => "stopped",
-        EndKind::Lapsed => "lapsed",
-        EndKind::Broken => "broken",
-        EndKind::Alone => "alone",
+        CompletionKind::Done => "done",
+        CompletionKind::Failed => "failed",
+        CompletionKind::Stopped => "stopped",
+        CompletionKind::Lapsed => "lapsed",
+        CompletionKind::Broken => "broken",
+        CompletionKind::Alone => "alone",
     }
 }
--- a/system/demo/tests/work.rs
+++ b/system/demo/tests/work.rs
@@ -23,7 +23,7 @@
 fn task(step: u32) -> TaskId {
     TaskId {
         job: JobId(1),
-        time: 0,
+        occurrence: 0,
         step,
         index: 0,
     }
--- a/system/distribution/examples/sizes.rs
+++ b/system/distribution/examples/sizes.rs
@@ -22,9 +22,9 @@
 fn bytes(routes: u64) -> (u64, u64) {
     let mut source = source([configuration(1, 0..routes), configuration(2, 0..routes + 1)]);
     let whole = source
-        .part(&Default::default())
-        .map_or(0, |part| part.length);
-    let change = source.small_change(1).map_or(0, |part| part.length);
+        .chunk(&Default::default())
+        .map_or(0, |chunk| chunk.length);
+    let change = source.small_change(1).map_or(0, |chunk| chunk.length);
     (whole, change)
 }
 
--- a/system/distribution/src/agent.rs
+++ b/system/distribution/src/agent.rs
@@ -6,7 +6,7 @@
     receiver::{ConfigurationReceiver, Received},
 };
 use magpiegap_jobs::Configuration;
-use magpiegap_protocol::{CoordinatorAnswer, CoordinatorRequest, Feed, FeedPoll, Millis};
+use magpiegap_protocol::{CoordinatorRequest, CoordinatorResponse, Feed, FeedPoll, Millis};
 use std::sync::Arc;
 
 /// How long a coordinator may wait with its answer.
@@ -51,9 +51,9 @@
     /// What it is asked.
     pub request: CoordinatorRequest,
     /// How long the first byte of the answer is waited for.
-    pub first_byte_ms: Millis,
+    pub first_byte_timeout_ms: Millis,
     /// How long each further byte is waited for. The whole answer may take any time.
-    pub silence_ms: Millis,
+    pub idle_timeout_ms: Millis,
 }
 
 /// Why a call brought no answer.
@@ -175,7 +175,7 @@
     }
 
     /// When the next call is due; `None`: not before an answer.
-    pub fn next_due(&self) -> Option<Millis> {
+    pub fn next_timeout(&self) -> Option<Millis> {
         let links = self.links.iter().filter_map(|link| link.activity.due_at());
         let fetch = self
             .fetch_source()
@@ -184,7 +184,7 @@
     }
 
     /// The calls to be made now.
-    pub fn due_calls(&mut self, now: Millis) -> Vec<Call> {
+    pub fn poll_calls(&mut self, now: Millis) -> Vec<Call> {
         let mut calls: Vec<Call> = (0..self.links.len())
             .filter_map(|number| self.due_poll(number, now))
             .collect();
@@ -227,8 +227,8 @@
             id: CallId::Poll(number),
             coordinator,
             request: CoordinatorRequest::Poll(poll),
-            first_byte_ms: wait_ms + patience,
-            silence_ms: patience,
+            first_byte_timeout_ms: wait_ms + patience,
+            idle_timeout_ms: patience,
         })
     }
 
@@ -248,13 +248,13 @@
             .fetch_source()
             .filter(|_| self.fetch.activity.is_due(now))?;
         self.fetch.activity = Activity::Asking { coordinator };
-        let silence_ms = self.fetch.patience.ms();
+        let idle_timeout_ms = self.fetch.patience.ms();
         Some(Call {
             id: CallId::Fetch,
             coordinator,
             request: CoordinatorRequest::FetchConfiguration(self.receiver.fetch()),
-            first_byte_ms: silence_ms,
-            silence_ms,
+            first_byte_timeout_ms: idle_timeout_ms,
+            idle_timeout_ms,
         })
     }
 
@@ -263,7 +263,7 @@
         &mut self,
         now: Millis,
         id: CallId,
-        answer: Result<CoordinatorAnswer, CallFailure>,
+        answer: Result<CoordinatorResponse, CallFailure>,
     ) -> bool {
         let before = (self.feed.revision, self.receiver.version());
         match id {
@@ -277,11 +277,11 @@
         &mut self,
         now: Millis,
         number: usize,
-        answer: Result<CoordinatorAnswer, CallFailure>,
+        answer: Result<CoordinatorResponse, CallFailure>,
     ) {
         let is_slow = answer == Err(CallFailure::Unanswered);
         let served = match answer {
-            Ok(CoordinatorAnswer::Feed(feed)) => self.take_feed(*feed),
+            Ok(CoordinatorResponse::Feed(feed)) => self.take_feed(*feed),
             Ok(_) | Err(_) => false,
         };
         let Some(link) = self.links.get_mut(number) else {
@@ -318,13 +318,13 @@
         true
     }
 
-    fn fetched(&mut self, now: Millis, answer: Result<CoordinatorAnswer, CallFailure>) {
+    fn fetched(&mut self, now: Millis, answer: Result<CoordinatorResponse, CallFailure>) {
         let Activity::Asking { coordinator } = self.fetch.activity else {
             return;
         };
         let is_slow = answer == Err(CallFailure::Unanswered);
         let received = match answer {
-            Ok(CoordinatorAnswer::ConfigurationPart(part)) => self.receiver.take(*part),
+            Ok(CoordinatorResponse::ConfigurationChunk(chunk)) => self.receiver.take(*chunk),
             Ok(_) | Err(_) => Received::Unusable,
         };
         match received {
--- a/system/distribution/src/lib.rs
+++ b/system/distribution/src/lib.rs
@@ -19,4 +19,4 @@
 pub use encoding::EncodingError;
 pub use places::Places;
 pub use receiver::{ConfigurationReceiver, Received};
-pub use source::{ConfigurationSource, PART_BYTES};
+pub use source::{ConfigurationSource, CHUNK_BYTES};
--- a/system/distribution/src/patience.rs
+++ b/system/distribution/src/patience.rs
@@ -16,7 +16,7 @@
 
 impl Patience {
     /// Patience that is never less than this.
-    pub fn of_at_least(least_ms: Millis) -> Patience {
+    pub(crate) fn of_at_least(least_ms: Millis) -> Patience {
         Patience {
             least_ms,
             now_ms: least_ms,
@@ -24,17 +24,17 @@
     }
 
     /// How long it is now.
-    pub fn ms(&self) -> Millis {
+    pub(crate) fn ms(&self) -> Millis {
         self.now_ms
     }
 
     /// An answer came.
-    pub fn answered(&mut self) {
+    pub(crate) fn answered(&mut self) {
         self.now_ms = (self.now_ms - self.now_ms / DECAY).max(self.least_ms);
     }
 
     /// An answer did not come in time.
-    pub fn unanswered(&mut self) {
+    pub(crate) fn unanswered(&mut self) {
         self.now_ms = (self.now_ms * 2).min(MOST_MS);
     }
 }
--- a/system/distribution/src/receiver.rs
+++ b/system/distribution/src/receiver.rs
@@ -1,7 +1,7 @@
 //! The receiving side: puts the parts of a change together and applies it.
 use crate::encoding::{decode_change, EncodingError};
 use magpiegap_jobs::Configuration;
-use magpiegap_protocol::{fnv1a, ConfigurationFetch, ConfigurationPart, TransferId};
+use magpiegap_protocol::{fnv1a, ConfigurationChunk, ConfigurationFetch, TransferId};
 use std::sync::Arc;
 
 /// What has come of a part.
@@ -61,8 +61,8 @@
     }
 
     /// Takes a part. One that begins a transfer takes the place of another one under way.
-    pub fn take(&mut self, part: ConfigurationPart) -> Received {
-        let id = part.transfer;
+    pub fn take(&mut self, chunk: ConfigurationChunk) -> Received {
+        let id = chunk.transfer;
         if id.version <= self.version() || (id.base != 0 && id.base != self.version()) {
             return Received::Unusable;
         }
@@ -70,21 +70,21 @@
             .incoming
             .as_ref()
             .is_some_and(|incoming| incoming.id == id)
-            && part.offset == self.bytes_so_far();
-        if !continues && part.offset != 0 {
+            && chunk.offset == self.bytes_so_far();
+        if !continues && chunk.offset != 0 {
             return Received::Unusable;
         }
         let incoming = match self.incoming.take().filter(|_| continues) {
             Some(mut incoming) => {
-                incoming.bytes.extend_from_slice(&part.bytes);
+                incoming.bytes.extend_from_slice(&chunk.bytes);
                 incoming
             }
             None => Incoming {
                 id,
-                bytes: part.bytes,
+                bytes: chunk.bytes,
             },
         };
-        if (incoming.bytes.len() as u64) < part.length {
+        if (incoming.bytes.len() as u64) < chunk.length {
             self.incoming = Some(incoming);
             return Received::More;
         }
