--- a/system/distribution/src/source.rs
+++ b/system/distribution/src/source.rs
@@ -4,11 +4,11 @@
     encoding::{decode_change, encode_change},
 };
 use magpiegap_jobs::{Configuration, Route};
-use magpiegap_protocol::{fnv1a, ConfigurationFetch, ConfigurationPart, TransferId};
+use magpiegap_protocol::{fnv1a, ConfigurationChunk, ConfigurationFetch, TransferId};
 use std::{collections::VecDeque, sync::Arc};
 
 /// Length of a part, in bytes. At 2 Mbit/s it holds the link up for 65 ms, so that other messages pass between parts.
-pub const PART_BYTES: usize = 16 << 10;
+pub const CHUNK_BYTES: usize = 16 << 10;
 /// A change of this many bytes at most goes with the news themselves.
 const MOST_WITH_NEWS: usize = 2 << 10;
 /// Configurations that are remembered: receivers that have an older one get the whole of the newest.
@@ -91,23 +91,23 @@
     }
 
     /// What leads to the newest configuration from a version, where it is small enough to go with the news.
-    pub fn small_change(&mut self, base: u64) -> Option<ConfigurationPart> {
+    pub fn small_change(&mut self, base: u64) -> Option<ConfigurationChunk> {
         if self.newest()?.version <= base {
             return None;
         }
         let transfer = self.transfer_from(base)?;
-        (transfer.bytes.len() <= MOST_WITH_NEWS).then(|| transfer.part(0))
+        (transfer.bytes.len() <= MOST_WITH_NEWS).then(|| transfer.chunk(0))
     }
 
     /// The part that is asked for: of the transfer under way, or the first one of what leads to the newest configuration.
     /// `None`: the caller has the newest one, or there is none.
-    pub fn part(&mut self, fetch: &ConfigurationFetch) -> Option<ConfigurationPart> {
+    pub fn chunk(&mut self, fetch: &ConfigurationFetch) -> Option<ConfigurationChunk> {
         let under_way = fetch
             .transfer
             .and_then(|id| self.position(|transfer| transfer.id == id));
         if let Some(position) = under_way {
-            let part = self.used(position)?.part(fetch.offset);
-            return Some(part);
+            let chunk = self.used(position)?.chunk(fetch.offset);
+            return Some(chunk);
         }
         if self.newest()?.version <= fetch.base {
             return None;
@@ -119,7 +119,7 @@
         } else {
             0
         };
-        Some(transfer.part(offset))
+        Some(transfer.chunk(offset))
     }
 
     fn position(&self, wanted: impl Fn(&Transfer) -> bool) -> Option<usize> {
@@ -172,11 +172,11 @@
 
 impl Transfer {
     /// The part that begins at an offset; an empty one at the end.
-    fn part(&self, offset: u64) -> ConfigurationPart {
+    fn chunk(&self, offset: u64) -> ConfigurationChunk {
         let length = self.bytes.len();
         let start = usize::try_from(offset).unwrap_or(usize::MAX).min(length);
-        let end = (start + PART_BYTES).min(length);
-        ConfigurationPart {
+        let end = (start + CHUNK_BYTES).min(length);
+        ConfigurationChunk {
             transfer: self.id,
             length: length as u64,
             offset: start as u64,
--- a/system/distribution/tests/agents.rs
+++ b/system/distribution/tests/agents.rs
@@ -6,7 +6,8 @@
 use googletest::prelude::*;
 use magpiegap_distribution::{Agent, AgentSettings, Call, CallFailure, CallId};
 use magpiegap_protocol::{
-    ConfigurationFetch, ConfigurationPart, CoordinatorAnswer, CoordinatorRequest, Feed, TransferId,
+    ConfigurationChunk, ConfigurationFetch, CoordinatorRequest, CoordinatorResponse, Feed,
+    TransferId, ViewNumber,
 };
 use slow_link::{whole_body_bytes, World, COORDINATORS};
 
@@ -117,19 +118,19 @@
     });
     expect_that!(agent.feed(), eq(&Feed::default()));
     expect_that!(agent.is_lost(), eq(true));
-    let calls = agent.due_calls(0);
+    let calls = agent.poll_calls(0);
     expect_that!(calls.len(), eq(2));
     expect_that!(calls[0].coordinator, not(eq(calls[1].coordinator)));
-    expect_that!(agent.next_due(), none());
+    expect_that!(agent.next_timeout(), none());
     expect_that!(
         agent.answered(1, CallId::Poll(0), Err(CallFailure::NotConnected)),
         eq(false)
     );
     // It moves on after a pause.
-    expect_that!(agent.due_calls(1).len(), eq(0));
-    let due = agent.next_due().unwrap_or_default();
+    expect_that!(agent.poll_calls(1).len(), eq(0));
+    let due = agent.next_timeout().unwrap_or_default();
     expect_that!(
-        agent.due_calls(due)[0].coordinator,
+        agent.poll_calls(due)[0].coordinator,
         not(eq(calls[0].coordinator))
     );
 }
@@ -142,9 +143,9 @@
         seeds: vec![1],
         links: 1,
     });
-    agent.due_calls(0);
+    agent.poll_calls(0);
     let news = Feed {
-        view: 1,
+        view: ViewNumber(1),
         configuration_version: 4,
         revision: 1,
         chain: vec![1],
@@ -153,12 +154,12 @@
     agent.answered(
         1,
         CallId::Poll(0),
-        Ok(CoordinatorAnswer::Feed(Box::new(news))),
+        Ok(CoordinatorResponse::Feed(Box::new(news))),
     );
     let is_fetch = |call: &Call| call.id == CallId::Fetch;
     expect_that!(
         agent
-            .due_calls(1)
+            .poll_calls(1)
             .iter()
             .filter(|call| is_fetch(call))
             .count(),
@@ -169,7 +170,7 @@
         version: 4,
         checksum: 7,
     };
-    let part = ConfigurationPart {
+    let chunk = ConfigurationChunk {
         transfer,
         length: 3,
         offset: 0,
@@ -178,12 +179,12 @@
     agent.answered(
         2,
         CallId::Fetch,
-        Ok(CoordinatorAnswer::ConfigurationPart(Box::new(part))),
+        Ok(CoordinatorResponse::ConfigurationChunk(Box::new(chunk))),
     );
     expect_that!(agent.take_fault(), some(contains_substring("checksum")));
     expect_that!(agent.take_fault(), none());
     let again = agent
-        .due_calls(1000)
+        .poll_calls(1000)
         .into_iter()
         .find(is_fetch)
         .map(|call| call.request);
@@ -198,7 +199,7 @@
         seeds: vec![1, 2, 3],
         links: 1,
     });
-    agent.due_calls(0);
+    agent.poll_calls(0);
     let feed = |view, revision| Feed {
         view,
         revision,
@@ -209,11 +210,11 @@
         agent.answered(
             now,
             CallId::Poll(0),
-            Ok(CoordinatorAnswer::Feed(Box::new(feed))),
+            Ok(CoordinatorResponse::Feed(Box::new(feed))),
         )
     };
-    expect_that!(told(&mut agent, 1, feed(4, 40)), eq(true));
-    let waits = |agent: &mut Agent, now| match &agent.due_calls(now)[..] {
+    expect_that!(told(&mut agent, 1, feed(ViewNumber(4), 40)), eq(true));
+    let waits = |agent: &mut Agent, now| match &agent.poll_calls(now)[..] {
         [call] => matches!(&call.request, CoordinatorRequest::Poll(poll) if poll.wait_ms > 0),
         _ => false,
     };
@@ -222,7 +223,7 @@
         eq(true),
         "one that has served is asked to wait for news"
     );
-    expect_that!(told(&mut agent, 3, feed(3, 30)), eq(false));
-    expect_that!(agent.feed().view, eq(4));
+    expect_that!(told(&mut agent, 3, feed(ViewNumber(3), 30)), eq(false));
+    expect_that!(agent.feed().view, eq(ViewNumber(4)));
     expect_that!(waits(&mut agent, 1000), eq(false));
 }
--- a/system/distribution/tests/common/mod.rs
+++ b/system/distribution/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 use magpiegap_distribution::{ConfigurationReceiver, ConfigurationSource, Received};
 use magpiegap_jobs::{Configuration, Route, Service};
-use magpiegap_protocol::{fnv1a, ConfigurationPart};
+use magpiegap_protocol::{fnv1a, ConfigurationChunk};
 use std::sync::Arc;
 
 /// A name that looks like an operator's: not to be guessed from the one before.
@@ -11,7 +11,7 @@
 }
 
 /// A route whose name and place follow from its number.
-pub fn route(number: u64) -> Route {
+pub(crate) fn route(number: u64) -> Route {
     const HOSTS: u64 = 1 << 40;
     const PLACES: u64 = 1 << 41;
     Route {
@@ -28,7 +28,7 @@
 }
 
 /// A configuration with these routes.
-pub fn configuration(version: u64, routes: impl IntoIterator<Item = u64>) -> Configuration {
+pub(crate) fn configuration(version: u64, routes: impl IntoIterator<Item = u64>) -> Configuration {
     let service = Service {
         name: "s".to_owned(),
         health_path: "/health".to_owned(),
@@ -47,7 +47,9 @@
 }
 
 /// A source that has taken these configurations one after the other.
-pub fn source(configurations: impl IntoIterator<Item = Configuration>) -> ConfigurationSource {
+pub(crate) fn source(
+    configurations: impl IntoIterator<Item = Configuration>,
+) -> ConfigurationSource {
     let mut source = ConfigurationSource::default();
     configurations
         .into_iter()
@@ -56,11 +58,14 @@
 }
 
 /// Fetches parts until the receiver has what the source has. Returns how many bytes that took.
-pub fn fetch_all(source: &mut ConfigurationSource, receiver: &mut ConfigurationReceiver) -> usize {
+pub(crate) fn fetch_all(
+    source: &mut ConfigurationSource,
+    receiver: &mut ConfigurationReceiver,
+) -> usize {
     let mut bytes = 0;
-    while let Some(part) = source.part(&receiver.fetch()) {
-        bytes += part.bytes.len();
-        let received = receiver.take(part);
+    while let Some(chunk) = source.chunk(&receiver.fetch()) {
+        bytes += chunk.bytes.len();
+        let received = receiver.take(chunk);
         assert!(
             matches!(received, Received::Configuration(_) | Received::More),
             "{received:?}"
@@ -70,9 +75,9 @@
 }
 
 /// The next part, which has to be there.
-pub fn next_part(
+pub(crate) fn next_part(
     source: &mut ConfigurationSource,
     receiver: &ConfigurationReceiver,
-) -> ConfigurationPart {
-    source.part(&receiver.fetch()).expect("a part")
+) -> ConfigurationChunk {
+    source.chunk(&receiver.fetch()).expect("a part")
 }
--- a/system/distribution/tests/slow_link/mod.rs
+++ b/system/distribution/tests/slow_link/mod.rs
@@ -5,13 +5,13 @@
 };
 use magpiegap_jobs::Configuration;
 use magpiegap_protocol::{
-    encode, CoordinatorAnswer, CoordinatorRequest, Feed, FeedPoll, Member, Millis, Replica, Role,
-    RoleHolder,
+    encode, CoordinatorRequest, CoordinatorResponse, Feed, FeedPoll, FencingToken, Member, Millis,
+    ReplicaId, Role, RoleHolder, ViewNumber,
 };
 use std::collections::BTreeMap;
 
 /// How many coordinators there are.
-pub const COORDINATORS: usize = 3;
+pub(crate) const COORDINATORS: usize = 3;
 /// One way, in milliseconds.
 const DELAY_MS: Millis = 1;
 /// What HTTP and TCP add to an answer, in bytes.
@@ -20,7 +20,7 @@
 const PIECE: u64 = 1460;
 
 /// About how many bytes a configuration has as an operator sends it.
-pub fn whole_body_bytes(configuration: &Configuration) -> u64 {
+pub(crate) fn whole_body_bytes(configuration: &Configuration) -> u64 {
     const JSON_NAMES: u64 = 150;
     configuration
         .routes
@@ -36,11 +36,11 @@
     /// When it waits no longer for news.
     until: Millis,
     /// The answer, once it is on its way, and when its first and last bytes arrive.
-    arriving: Option<(CoordinatorAnswer, Millis, Millis, Millis)>,
+    arriving: Option<(CoordinatorResponse, Millis, Millis, Millis)>,
 }
 
 /// An agent, its link and its coordinators.
-pub struct World {
+pub(crate) struct World {
     now: Millis,
     bytes_a_second: u64,
     /// What clients have waiting in the link, as time.
@@ -65,7 +65,7 @@
 
 impl World {
     /// A world whose agent knows nothing yet, with a link of this rate.
-    pub fn new(bytes_a_second: u64) -> World {
+    pub(crate) fn new(bytes_a_second: u64) -> World {
         let seeds = (0..COORDINATORS as u32).collect();
         World {
             now: 0,
@@ -90,39 +90,42 @@
     }
 
     /// The time.
-    pub fn now(&self) -> Millis {
+    pub(crate) fn now(&self) -> Millis {
         self.now
     }
 
     /// The version in force at the agent.
-    pub fn version(&self) -> u64 {
+    pub(crate) fn version(&self) -> u64 {
         self.agent.configuration().version
     }
 
     /// The newest token of the role that the agent knows.
-    pub fn token(&self) -> u64 {
+    pub(crate) fn token(&self) -> u64 {
         self.agent
             .feed()
             .roles
             .iter()
             .map(|held| held.token)
             .max()
-            .unwrap_or(0)
+            .unwrap_or_default()
+            .0
     }
 
     /// All that was sent to the agent in parts of configurations.
-    pub fn bytes_of_parts(&self) -> u64 {
+    pub(crate) fn bytes_of_parts(&self) -> u64 {
         self.bytes_of_parts
     }
 
     /// How many bytes the whole of the newest configuration takes on its way.
-    pub fn source_bytes(&mut self) -> u64 {
+    pub(crate) fn source_bytes(&mut self) -> u64 {
         let fetch = Default::default();
-        self.sources[0].part(&fetch).map_or(0, |part| part.length)
+        self.sources[0]
+            .chunk(&fetch)
+            .map_or(0, |chunk| chunk.length)
     }
 
     /// The operator's change is in force at the coordinators.
-    pub fn push(&mut self, configuration: Configuration) {
+    pub(crate) fn push(&mut self, configuration: Configuration) {
         self.version = configuration.version;
         self.sources
             .iter_mut()
@@ -130,7 +133,7 @@
     }
 
     /// The coordinators start anew, with this configuration only.
-    pub fn restart_with(&mut self, configuration: Configuration) {
+    pub(crate) fn restart_with(&mut self, configuration: Configuration) {
         self.sources = (0..COORDINATORS)
             .map(|_| ConfigurationSource::default())
             .collect();
@@ -138,37 +141,37 @@
     }
 
     /// So many coordinators, from the first on, answer nobody.
-    pub fn set_down(&mut self, down: usize) {
+    pub(crate) fn set_down(&mut self, down: usize) {
         self.down = down;
     }
 
     /// One coordinator answers no fetches.
-    pub fn refuse_fetches_at(&mut self, coordinator: usize) {
+    pub(crate) fn refuse_fetches_at(&mut self, coordinator: usize) {
         self.refuses_fetches = Some(coordinator);
     }
 
     /// Another coordinator takes the role.
-    pub fn pass_role_on(&mut self) {
+    pub(crate) fn pass_role_on(&mut self) {
         self.token += 1;
     }
 
     /// All that is sent to the agent waits so long behind what is for others.
-    pub fn queue_delay_ms(&mut self, queue_ms: Millis) {
+    pub(crate) fn queue_delay_ms(&mut self, queue_ms: Millis) {
         self.queue_ms = queue_ms;
     }
 
     /// Lets so much time pass.
-    pub fn run_for(&mut self, millis: Millis) {
+    pub(crate) fn run_for(&mut self, millis: Millis) {
         self.run_until(self.now + millis);
     }
 
     /// Lets time pass.
-    pub fn run_until(&mut self, until: Millis) {
+    pub(crate) fn run_until(&mut self, until: Millis) {
         while self.now < until {
             self.now += 1;
             self.answer_calls();
             self.end_calls();
-            for call in self.agent.due_calls(self.now) {
+            for call in self.agent.poll_calls(self.now) {
                 let waits_ms = match &call.request {
                     CoordinatorRequest::Poll(poll) => poll.wait_ms,
                     _ => 0,
@@ -186,20 +189,20 @@
     }
 
     fn feed(&self) -> Feed {
-        let holder = Replica {
+        let holder = ReplicaId {
             member: Member {
                 address: 0,
                 disk: 1,
             },
-            boot: 1,
+            incarnation: 1,
         };
         Feed {
-            view: 1,
+            view: ViewNumber(1),
             chain: (0..COORDINATORS as u32).collect(),
             roles: vec![RoleHolder {
                 role: Role::PlatformReader,
                 holder,
-                token: self.token,
+                token: FencingToken(self.token),
             }],
             configuration_version: self.version,
             revision: 1000 * self.token + self.version,
@@ -229,21 +232,21 @@
                 CoordinatorRequest::FetchConfiguration(fetch)
                     if self.refuses_fetches != Some(at) =>
                 {
-                    let part = self.sources[at].part(fetch);
-                    part.map_or(CoordinatorAnswer::NotServing, |part| {
-                        CoordinatorAnswer::ConfigurationPart(Box::new(part))
+                    let chunk = self.sources[at].chunk(fetch);
+                    chunk.map_or(CoordinatorResponse::NotServing, |chunk| {
+                        CoordinatorResponse::ConfigurationChunk(Box::new(chunk))
                     })
                 }
-                _ => CoordinatorAnswer::NotServing,
+                _ => CoordinatorResponse::NotServing,
             };
             under_way.arriving = Some(self.put_on_link(answer));
         }
         self.calls = calls;
     }
 
-    fn answer_poll(&mut self, at: usize, feed: &Feed, poll: &FeedPoll) -> CoordinatorAnswer {
+    fn answer_poll(&mut self, at: usize, feed: &Feed, poll: &FeedPoll) -> CoordinatorResponse {
         let change = self.sources[at].small_change(poll.configuration_version);
-        CoordinatorAnswer::Feed(Box::new(Feed {
+        CoordinatorResponse::Feed(Box::new(Feed {
             change,
             ..feed.clone()
         }))
@@ -252,16 +255,16 @@
     /// The answer with the times of its first piece, of its last one, and between two pieces.
     fn put_on_link(
         &mut self,
-        answer: CoordinatorAnswer,
-    ) -> (CoordinatorAnswer, Millis, Millis, Millis) {
+        answer: CoordinatorResponse,
+    ) -> (CoordinatorResponse, Millis, Millis, Millis) {
         let bytes = encode(&answer).len() as u64 + HEADS;
         let millis = |bytes: u64| bytes * 1000 / self.bytes_a_second + 1;
         let begins = self.link_free_at.max(self.now + self.queue_ms);
         let first = begins + millis(bytes.min(PIECE)) + DELAY_MS;
         let last = begins + millis(bytes) + DELAY_MS;
         self.link_free_at = begins + millis(bytes);
-        if let CoordinatorAnswer::ConfigurationPart(part) = &answer {
-            self.bytes_of_parts += part.bytes.len() as u64;
+        if let CoordinatorResponse::ConfigurationChunk(chunk) = &answer {
+            self.bytes_of_parts += chunk.bytes.len() as u64;
         }
         (answer, first, last, millis(PIECE))
     }
@@ -284,12 +287,12 @@
         }
     }
 
-    fn outcome(&self, under_way: &UnderWay) -> Option<Result<CoordinatorAnswer, CallFailure>> {
+    fn outcome(&self, under_way: &UnderWay) -> Option<Result<CoordinatorResponse, CallFailure>> {
         let call = &under_way.call;
-        let patience_ends = under_way.begun_at + call.first_byte_ms;
+        let patience_ends = under_way.begun_at + call.first_byte_timeout_ms;
         match &under_way.arriving {
             Some((answer, first, last, piece_ms)) => {
-                let in_time = *first <= patience_ends && *piece_ms <= call.silence_ms;
+                let in_time = *first <= patience_ends && *piece_ms <= call.idle_timeout_ms;
                 if in_time {
                     (self.now >= *last).then(|| Ok(answer.clone()))
                 } else {
--- a/system/distribution/tests/stored_bytes.rs
+++ b/system/distribution/tests/stored_bytes.rs
@@ -13,7 +13,7 @@
     ConfigurationChange, ConfigurationReceiver, ConfigurationSource, Received,
 };
 use magpiegap_jobs::{Configuration, Limits, Route, Service};
-use magpiegap_protocol::{decode, ConfigurationFetch, ConfigurationPart};
+use magpiegap_protocol::{decode, ConfigurationChunk, ConfigurationFetch};
 use std::{io::Read, sync::Arc};
 
 const PLAIN: u8 = 0;
@@ -86,16 +86,16 @@
 }
 
 /// What a source puts on the wire for a caller with this version.
-fn part(source: &mut ConfigurationSource, base: u64) -> Option<ConfigurationPart> {
-    source.part(&ConfigurationFetch {
+fn chunk(source: &mut ConfigurationSource, base: u64) -> Option<ConfigurationChunk> {
+    source.chunk(&ConfigurationFetch {
         base,
         ..ConfigurationFetch::default()
     })
 }
 
 /// A whole configuration as it is put on the wire.
-fn whole(configuration: Configuration) -> ConfigurationPart {
-    part(&mut source([configuration]), 0).unwrap_or_default()
+fn whole(configuration: Configuration) -> ConfigurationChunk {
+    chunk(&mut source([configuration]), 0).unwrap_or_default()
 }
 
 fn inflate(bytes: &[u8]) -> Option<Vec<u8>> {
@@ -129,7 +129,7 @@
         "whole-large",
         &ConfigurationChange::between(&nothing, &much_newer()),
     );
-    let little = part(&mut source([older(), little_newer()]), 28).unwrap_or_default();
+    let little = chunk(&mut source([older(), little_newer()]), 28).unwrap_or_default();
     stored.keeps("little-difference-on-its-way", &little);
     let whole = whole(configuration(28, 1..2));
     stored.keeps("whole-small-on-its-way", &whole);
@@ -167,10 +167,10 @@
         ("little-difference-on-its-way", little_newer()),
         ("much-difference-on-its-way", much_newer()),
     ] {
-        let part: ConfigurationPart = decode(&stored_bytes(name)).unwrap_or_default();
+        let chunk: ConfigurationChunk = decode(&stored_bytes(name)).unwrap_or_default();
         // As a replica of the core takes it from the log ...
         let mut source = source([older()]);
-        expect_that!(source.follow(newer.version, &part.bytes), eq(true));
+        expect_that!(source.follow(newer.version, &chunk.bytes), eq(true));
         expect_that!(
             source.newest().map(|newest| newest.as_ref()),
             some(eq(&newer))
@@ -183,7 +183,7 @@
             matches_pattern!(Received::Configuration(_))
         );
         expect_that!(
-            receiver.take(part),
+            receiver.take(chunk),
             matches_pattern!(Received::Configuration(_))
         );
         expect_that!(**receiver.configuration(), eq(&newer));
@@ -196,10 +196,10 @@
         ("whole-small-on-its-way", configuration(28, 1..2)),
         ("whole-large-on-its-way", much_newer()),
     ] {
-        let part: ConfigurationPart = decode(&stored_bytes(name)).unwrap_or_default();
+        let chunk: ConfigurationChunk = decode(&stored_bytes(name)).unwrap_or_default();
         let mut receiver = ConfigurationReceiver::default();
         expect_that!(
-            receiver.take(part),
+            receiver.take(chunk),
             matches_pattern!(Received::Configuration(_))
         );
         expect_that!(**receiver.configuration(), eq(&whole));
--- a/system/distribution/tests/transfers.rs
+++ b/system/distribution/tests/transfers.rs
@@ -3,7 +3,7 @@
 
 use common::{configuration, fetch_all, next_part, source};
 use googletest::prelude::*;
-use magpiegap_distribution::{ConfigurationReceiver, Received, PART_BYTES};
+use magpiegap_distribution::{ConfigurationReceiver, Received, CHUNK_BYTES};
 use magpiegap_jobs::Service;
 use magpiegap_protocol::fnv1a;
 
@@ -15,7 +15,7 @@
     let mut source = source([configuration(3, 0..MANY)]);
     let mut receiver = ConfigurationReceiver::default();
     let bytes = fetch_all(&mut source, &mut receiver);
-    expect_that!(bytes, gt(2 * PART_BYTES));
+    expect_that!(bytes, gt(2 * CHUNK_BYTES));
     expect_that!(**receiver.configuration(), eq(&configuration(3, 0..MANY)));
 }
 
@@ -64,10 +64,10 @@
     let mut receiver = ConfigurationReceiver::default();
     receiver.take(next_part(&mut first, &receiver));
     let had = receiver.bytes_so_far();
-    expect_that!(had, eq(PART_BYTES as u64));
+    expect_that!(had, eq(CHUNK_BYTES as u64));
     // The other one has not been asked for this transfer before.
     let next = next_part(&mut second, &receiver);
-    expect_that!(next.offset, eq(PART_BYTES as u64));
+    expect_that!(next.offset, eq(CHUNK_BYTES as u64));
     receiver.take(next);
     fetch_all(&mut first, &mut receiver);
     expect_that!(receiver.version(), eq(3));
@@ -81,8 +81,8 @@
     let mut seen = Vec::new();
     // With each part comes a newer version.
     for version in 2..14 {
-        if let Some(part) = source.part(&receiver.fetch()) {
-            if let Received::Configuration(configuration) = receiver.take(part) {
+        if let Some(chunk) = source.chunk(&receiver.fetch()) {
+            if let Received::Configuration(configuration) = receiver.take(chunk) {
                 seen.push(configuration.version);
             }
         }
@@ -119,7 +119,7 @@
         eq(&configuration(5, 0..5))
     );
     expect_that!(
-        handed_on.small_change(3).map(|part| part.transfer.base),
+        handed_on.small_change(3).map(|chunk| chunk.transfer.base),
         some(eq(3))
     );
 }
@@ -155,7 +155,7 @@
     expect_that!(receiver.version(), eq(2));
     // An older one, or one that builds on another version, is not taken.
     let older = common::source([configuration(1, 0..2)])
-        .part(&Default::default())
+        .chunk(&Default::default())
         .expect("a part");
     expect_that!(matches!(receiver.take(older), Received::Unusable), eq(true));
     let mut elsewhere = common::source([configuration(7, 0..2), configuration(8, 0..4)]);
--- a/system/fleet/src/asking.rs
+++ b/system/fleet/src/asking.rs
@@ -5,7 +5,7 @@
     fleet::Fleet,
 };
 use magpiegap_coordinator::RequestId;
-use magpiegap_protocol::{CoordinatorAnswer, CoordinatorRequest, FeedPoll, Role};
+use magpiegap_protocol::{CoordinatorRequest, CoordinatorResponse, FeedPoll, Role, WallMillis};
 use rand::Rng;
 
 /// How often every coordinator is asked for what it would tell anybody, in milliseconds.
@@ -118,7 +118,7 @@
         self.requests
             .insert((node, self.nodes[node].life, id), asker);
         self.with_node(node, None, |coordinator, now, wall| {
-            coordinator.request(now, wall, id, request)
+            coordinator.request(now, WallMillis(wall), id, request)
         });
     }
 
@@ -141,7 +141,7 @@
         node: usize,
         life: u64,
         request: RequestId,
-        answer: &CoordinatorAnswer,
+        answer: &CoordinatorResponse,
     ) {
         match self.requests.remove(&(node, life, request)) {
             Some(Asker::Client(number, asked)) => {
@@ -158,10 +158,10 @@
                     self.oracle.accepted.entry(id).or_insert(self.now);
                 }
                 match answer {
-                    CoordinatorAnswer::Phase(phase) => {
+                    CoordinatorResponse::Phase(phase) => {
                         self.oracle.shown(self.now, id, Some(*phase), &tasks, spec);
                     }
-                    CoordinatorAnswer::NoSuchJob => {
+                    CoordinatorResponse::NoSuchJob => {
                         self.oracle.shown(self.now, id, None, &tasks, spec)
                     }
                     _ => {}
@@ -190,12 +190,13 @@
         &mut self,
         number: usize,
         order: Order,
-        answer: &CoordinatorAnswer,
+        answer: &CoordinatorResponse,
         is_lost: bool,
     ) {
         match answer {
-            CoordinatorAnswer::ConfigurationTaken => self.oracle.order_taken(self.now, &order),
-            CoordinatorAnswer::ConfigurationConflict | CoordinatorAnswer::ConfigurationStale => {
+            CoordinatorResponse::ConfigurationAccepted => self.oracle.order_taken(self.now, &order),
+            CoordinatorResponse::ConfigurationConflict
+            | CoordinatorResponse::ConfigurationStale => {
                 self.oracle
                     .order_refused(self.now, &order, self.operators.len() == 1);
             }
--- a/system/fleet/src/client.rs
+++ b/system/fleet/src/client.rs
@@ -1,6 +1,6 @@
 //! Clients and the operator: what they want, and how far they have got.
 use magpiegap_protocol::{
-    fnv1a, CoordinatorAnswer, CoordinatorRequest, JobId, JobPhase, Submission, TaskId,
+    fnv1a, CoordinatorRequest, CoordinatorResponse, JobId, JobPhase, Submission, TaskId,
 };
 
 /// One job, from a client's side.
@@ -19,7 +19,7 @@
 }
 
 impl ClientJob {
-    pub fn new(submission: Submission, begins: u64, cancel_at: Option<u64>) -> ClientJob {
+    pub(crate) fn new(submission: Submission, begins: u64, cancel_at: Option<u64>) -> ClientJob {
         ClientJob {
             submission,
             cancel_at,
@@ -32,7 +32,7 @@
         }
     }
 
-    pub fn id(&self) -> JobId {
+    pub(crate) fn id(&self) -> JobId {
         self.submission.job
     }
 
@@ -42,19 +42,19 @@
     }
 
     /// Whether nothing more is to be asked.
-    pub fn is_over(&self) -> bool {
-        self.rejected || self.phase.is_some_and(JobPhase::ended)
+    pub(crate) fn is_over(&self) -> bool {
+        self.rejected || self.phase.is_some_and(JobPhase::is_terminal)
     }
 
     /// All tasks of the job.
-    pub fn tasks(&self) -> Vec<TaskId> {
+    pub(crate) fn tasks(&self) -> Vec<TaskId> {
         let mut tasks = Vec::new();
-        for time in 0..self.submission.spec.times() {
+        for occurrence in 0..self.submission.spec.occurrences() {
             for (step, spec) in self.submission.spec.steps.iter().enumerate() {
                 for index in 0..spec.count {
                     tasks.push(TaskId {
                         job: self.id(),
-                        time,
+                        occurrence,
                         step: step as u32,
                         index,
                     });
@@ -65,7 +65,7 @@
     }
 
     /// What to ask next.
-    pub fn request(&self, now: u64) -> CoordinatorRequest {
+    pub(crate) fn request(&self, now: u64) -> CoordinatorRequest {
         let queue = self.submission.queue.clone();
         if !self.accepted {
             return CoordinatorRequest::Submit(Box::new(self.submission.clone()));
@@ -83,19 +83,19 @@
     }
 
     /// Takes the answer to what was asked.
-    pub fn take(&mut self, asked: &CoordinatorRequest, answer: &CoordinatorAnswer) {
+    pub(crate) fn take(&mut self, asked: &CoordinatorRequest, answer: &CoordinatorResponse) {
         match (asked, answer) {
-            (CoordinatorRequest::Submit(_), CoordinatorAnswer::Accepted) => self.accepted = true,
+            (CoordinatorRequest::Submit(_), CoordinatorResponse::Accepted) => self.accepted = true,
             (
                 CoordinatorRequest::Submit(_),
-                CoordinatorAnswer::NotServing | CoordinatorAnswer::Full,
+                CoordinatorResponse::NotServing | CoordinatorResponse::Full,
             ) => {
                 self.rejected = self.tries == 1 && self.gives_up();
             }
-            (CoordinatorRequest::Cancel { .. }, CoordinatorAnswer::Accepted) => {
+            (CoordinatorRequest::Cancel { .. }, CoordinatorResponse::Accepted) => {
                 self.cancelled = true
             }
-            (CoordinatorRequest::Status { .. }, CoordinatorAnswer::Phase(phase)) => {
+            (CoordinatorRequest::Status { .. }, CoordinatorResponse::Phase(phase)) => {
                 self.phase = Some(*phase)
             }
             _ => {}
@@ -113,7 +113,7 @@
 
 impl Order {
     /// The change of an operator that builds on a version. Sometimes all operators choose the same number.
-    pub fn new(operator: usize, base: u64, size: ConfigurationSize) -> Order {
+    pub(crate) fn new(operator: usize, base: u64, size: ConfigurationSize) -> Order {
         let own_number = if base.is_multiple_of(3) {
             0
         } else {
--- a/system/fleet/src/delivery.rs
+++ b/system/fleet/src/delivery.rs
@@ -6,7 +6,7 @@
 };
 use magpiegap_control::Output as ControlOutput;
 use magpiegap_coordinator::{Coordinator, Output, PlatformReply};
-use magpiegap_protocol::PeerMessage;
+use magpiegap_protocol::{PeerMessage, WallMillis};
 use rand::Rng;
 
 /// Time between two ticks of a coordinator.
@@ -40,7 +40,7 @@
                     return;
                 }
                 self.with_node(to, None, |coordinator, now, wall| {
-                    coordinator.receive(now, wall, from, vec![message]);
+                    coordinator.handle_messages(now, WallMillis(wall), from, vec![message]);
                 });
             }
             Event::Synced { node, life, ticket } => {
@@ -52,7 +52,7 @@
                     return;
                 }
                 self.with_node(node, Some(life), |coordinator, now, wall| {
-                    coordinator.persisted(now, wall, ticket)
+                    coordinator.handle_persisted(now, WallMillis(wall), ticket)
                 });
             }
             Event::Order { worker, from, call } => self.order(worker, from, call),
@@ -68,7 +68,7 @@
                     return;
                 }
                 self.with_node(to.node, Some(to.life), |coordinator, now, _| {
-                    coordinator.worker_reply(now, &to.service, to.token, call, reply);
+                    coordinator.handle_worker_reply(now, &to.service, to.token, call, reply);
                 });
             }
             Event::Platform { node, life, call } => {
@@ -83,7 +83,7 @@
                     next: None,
                 };
                 self.with_node(node, Some(life), |coordinator, now, _| {
-                    coordinator.platform_reply(now, call, reply)
+                    coordinator.handle_platform_reply(now, call, reply)
                 });
             }
             Event::Restore(what) => self.restore(what),
@@ -125,7 +125,7 @@
         }
         for number in 0..self.nodes.len() {
             self.with_node(number, None, |coordinator, now, wall| {
-                coordinator.tick(now, wall)
+                coordinator.tick(now, WallMillis(wall))
             });
         }
     }
@@ -136,7 +136,7 @@
             let Some(coordinator) = self.nodes[number].coordinator.as_mut() else {
                 return;
             };
-            let outputs = coordinator.take_outputs();
+            let outputs = coordinator.poll_outputs();
             if outputs.is_empty() {
                 return;
             }
@@ -218,7 +218,7 @@
             return;
         };
         let is_lost = self.cuts.contains(&(number, target)) || self.random.gen_bool(0.002);
-        if is_lost || message.rough_bytes() > MOST_MESSAGE {
+        if is_lost || message.estimated_bytes() > MOST_MESSAGE {
             return;
         }
         let Some(coordinator) = self.nodes[number].coordinator.as_ref() else {
--- a/system/fleet/src/disk.rs
+++ b/system/fleet/src/disk.rs
@@ -1,12 +1,12 @@
 //! A disk: what is synced lasts, what is not may be lost.
-use magpiegap_control::{DurableRecord, DurableState, Snapshot};
+use magpiegap_control::{DurableRecord, DurableState};
 use rand::{rngs::StdRng, Rng};
 
 /// Work that the disk has not synced yet.
 #[derive(Clone, Debug)]
 pub(crate) enum Work {
     Records(Vec<DurableRecord>),
-    Checkpoint(Box<Snapshot>),
+    Checkpoint(Box<DurableState>),
 }
 
 /// A node's disk.
@@ -18,7 +18,7 @@
 
 impl Disk {
     /// A disk that holds this.
-    pub fn new(state: DurableState) -> Disk {
+    pub(crate) fn new(state: DurableState) -> Disk {
         Disk {
             durable: Some(state),
             pending: Vec::new(),
@@ -26,12 +26,12 @@
     }
 
     /// Takes work that is not synced yet.
-    pub fn write(&mut self, ticket: u64, work: Work) {
+    pub(crate) fn write(&mut self, ticket: u64, work: Work) {
         self.pending.push((ticket, work));
     }
 
     /// Syncs all work up to a ticket.
-    pub fn sync(&mut self, ticket: u64) {
+    pub(crate) fn sync(&mut self, ticket: u64) {
         let split = self
             .pending
             .partition_point(|(number, _)| *number <= ticket);
@@ -51,19 +51,19 @@
     }
 
     /// The process dies: the files stay as they were written.
-    pub fn process_dies(&mut self) {
+    pub(crate) fn process_dies(&mut self) {
         self.sync(u64::MAX);
     }
 
     /// Power is lost: of what was not synced some first part is there.
-    pub fn power_is_lost(&mut self, random: &mut StdRng) {
+    pub(crate) fn power_is_lost(&mut self, random: &mut StdRng) {
         let kept = random.gen_range(0..=self.pending.len());
         self.pending.truncate(kept);
         self.sync(u64::MAX);
     }
 
     /// What is on the disk; `None`: it is empty.
-    pub fn state(&self) -> Option<DurableState> {
+    pub(crate) fn state(&self) -> Option<DurableState> {
         self.durable.clone()
     }
 }
--- a/system/fleet/src/edge.rs
+++ b/system/fleet/src/edge.rs
@@ -1,7 +1,7 @@
 //! An edge of the fleet: an agent that asks coordinators for news and configurations, on a link with a rate and a queue.
 use magpiegap_distribution::{Agent, AgentSettings, Call, CallFailure, CallId};
 use magpiegap_jobs::Configuration;
-use magpiegap_protocol::{encode, CoordinatorAnswer};
+use magpiegap_protocol::{encode, CoordinatorResponse};
 
 /// What HTTP and TCP add to an answer, in bytes.
 const HEADS: u64 = 300;
@@ -14,7 +14,7 @@
 
 /// An answer on its way over an edge's link.
 struct Arriving {
-    answer: CoordinatorAnswer,
+    answer: CoordinatorResponse,
     first_piece_at: u64,
     whole_at: u64,
 }
@@ -38,7 +38,7 @@
 
 impl Edge {
     /// An edge that knows only where coordinators may be found.
-    pub fn new(number: usize, seeds: Vec<u32>) -> Edge {
+    pub(crate) fn new(number: usize, seeds: Vec<u32>) -> Edge {
         let settings = AgentSettings {
             own_address: number as u32,
             seeds,
@@ -53,17 +53,17 @@
     }
 
     /// The version in force.
-    pub fn version(&self) -> u64 {
+    pub(crate) fn version(&self) -> u64 {
         self.agent.configuration().version
     }
 
     /// The configuration in force.
-    pub fn configuration(&self) -> &Configuration {
+    pub(crate) fn configuration(&self) -> &Configuration {
         self.agent.configuration()
     }
 
     /// A call has been made.
-    pub fn begin(&mut self, call: Call, now: u64) {
+    pub(crate) fn begin(&mut self, call: Call, now: u64) {
         self.calls.push(UnderWay {
             call,
             begun_at: now,
@@ -72,10 +72,10 @@
     }
 
     /// An answer is put on the link behind all that it carries already.
-    pub fn put_on_link(
+    pub(crate) fn put_on_link(
         &mut self,
         id: CallId,
-        answer: CoordinatorAnswer,
+        answer: CoordinatorResponse,
         now: u64,
         bytes_a_second: u64,
     ) {
@@ -98,7 +98,7 @@
     }
 
     /// Ends the calls whose answers are there whole, and those whose first piece has not come in time.
-    pub fn end_calls(&mut self, now: u64) {
+    pub(crate) fn end_calls(&mut self, now: u64) {
         let (ended, going_on): (Vec<UnderWay>, Vec<UnderWay>) = std::mem::take(&mut self.calls)
             .into_iter()
             .partition(|call| call.is_over(now));
@@ -115,7 +115,7 @@
 
 impl UnderWay {
     fn is_over(&self, now: u64) -> bool {
-        let patience_ends = self.begun_at + self.call.first_byte_ms;
+        let patience_ends = self.begun_at + self.call.first_byte_timeout_ms;
         match &self.arriving {
             Some(arriving) if arriving.first_piece_at <= patience_ends => now >= arriving.whole_at,
             _ => now >= patience_ends,
--- a/system/fleet/src/edges.rs
+++ b/system/fleet/src/edges.rs
@@ -2,7 +2,7 @@
 use crate::{edge::Edge, events::Asker, fleet::Fleet};
 use magpiegap_distribution::{Call, CallFailure, CallId};
 use magpiegap_jobs::Configuration;
-use magpiegap_protocol::CoordinatorAnswer;
+use magpiegap_protocol::CoordinatorResponse;
 
 impl Fleet {
     /// Lets the agents ask, and take what has come.
@@ -11,7 +11,7 @@
             let now = self.now;
             let edge = &mut self.edges[number];
             edge.end_calls(now);
-            for call in edge.agent.due_calls(now) {
+            for call in edge.agent.poll_calls(now) {
                 self.call_from_edge(number, call);
             }
             self.watch_edge(number);
@@ -36,7 +36,12 @@
     }
 
     /// A coordinator has answered an agent.
-    pub(crate) fn answered_edge(&mut self, number: usize, id: CallId, answer: &CoordinatorAnswer) {
+    pub(crate) fn answered_edge(
+        &mut self,
+        number: usize,
+        id: CallId,
+        answer: &CoordinatorResponse,
+    ) {
         let (now, rate) = (self.now, self.settings.edge_bytes_a_second);
         self.edges[number].put_on_link(id, answer.clone(), now, rate);
     }
--- a/system/fleet/src/events.rs
+++ b/system/fleet/src/events.rs
@@ -1,14 +1,14 @@
 //! What happens in a fleet, and who waits for what.
 use crate::client::Order;
 use magpiegap_distribution::CallId;
-use magpiegap_protocol::{CoordinatorRequest, PeerMessage, Replica};
+use magpiegap_protocol::{CoordinatorRequest, FencingToken, PeerMessage, ReplicaId};
 use magpiegap_scheduler::{WorkerCall, WorkerReply};
 
 /// Something that happens at a moment of simulated time.
 pub(crate) enum Event {
     Peer {
         to: usize,
-        from: Replica,
+        from: ReplicaId,
         message: PeerMessage,
     },
     Synced {
@@ -64,7 +64,7 @@
     pub node: usize,
     pub life: u64,
     pub service: String,
-    pub token: u64,
+    pub token: FencingToken,
 }
 
 /// Who waits for an answer.
--- a/system/fleet/src/fleet.rs
+++ b/system/fleet/src/fleet.rs
@@ -8,12 +8,12 @@
     oracle::{Oracle, Violation},
     worker::Worker,
 };
-use magpiegap_control::Snapshot;
-use magpiegap_coordinator::{freeze, Coordinator, RequestId};
+use magpiegap_control::DurableState;
+use magpiegap_coordinator::{take_snapshot, Coordinator, RequestId};
 use magpiegap_jobs::Configuration;
 use magpiegap_protocol::{
-    encode, JobId, JobPhase, JobSpec, Member, Position, Resources, Submission, WallMillis,
-    WorkerEntry,
+    encode, JobId, JobPhase, JobSpec, LogPosition, Member, Resources, Submission, ViewNumber,
+    WallMillis, WorkerEntry,
 };
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -147,8 +147,8 @@
             })
             .collect();
         for node in 0..fleet.settings.nodes {
-            let state = freeze(&magpiegap_jobs::State::default());
-            let empty = Snapshot::empty(0, Some(0), voters.clone(), state);
+            let state = take_snapshot(&magpiegap_jobs::State::default());
+            let empty = DurableState::empty(0, Some(ViewNumber(0)), voters.clone(), state);
             fleet.nodes.push(Node {
                 followed_up: 0,
                 address: address(node),
@@ -186,7 +186,7 @@
     pub(crate) fn new_worker(&mut self, number: usize) -> Worker {
         self.lives_of_workers += 1;
         let entry = WorkerEntry {
-            instance: format!("i-{}-{}", number, self.lives_of_workers),
+            incarnation: format!("i-{}-{}", number, self.lives_of_workers),
             service: "s".to_owned(),
             address: format!("w{number}"),
             zone: "z".to_owned(),
@@ -218,7 +218,7 @@
             max_attempts: MAX_ATTEMPTS,
             stretch: 2.0,
             target_latency_ms: 500,
-            submitted_ms: 0,
+            submitted_ms: WallMillis(0),
             spec: spec.clone(),
         };
         self.specs.insert(job, spec);
@@ -308,7 +308,7 @@
     fn compare_states(&mut self) {
         let mut found = Vec::new();
         let mut in_force = Vec::new();
-        let mut states: BTreeMap<Position, (Member, Vec<u8>)> = BTreeMap::new();
+        let mut states: BTreeMap<LogPosition, (Member, Vec<u8>)> = BTreeMap::new();
         for node in &self.nodes {
             let Some(coordinator) = node.coordinator.as_ref() else {
                 continue;
@@ -349,7 +349,7 @@
 
     /// True time of day.
     pub fn wall(&self) -> WallMillis {
-        EPOCH_MS + self.now
+        WallMillis(EPOCH_MS + self.now)
     }
 
     /// How many members of gangs have waited for the others in vain.
--- a/system/fleet/src/machines.rs
+++ b/system/fleet/src/machines.rs
@@ -5,9 +5,9 @@
     faults::Fault,
     fleet::{Fleet, FleetSettings, MAX_HOLD_MS},
 };
-use magpiegap_control::{ControlSettings, DurableState, Snapshot, Tolerance};
-use magpiegap_coordinator::{freeze, Coordinator, CoordinatorSettings, Machine};
-use magpiegap_protocol::{Location, Member, Replica};
+use magpiegap_control::{ControlSettings, DurableState, Tolerance};
+use magpiegap_coordinator::{take_snapshot, Coordinator, CoordinatorSettings, Machine};
+use magpiegap_protocol::{Location, Member, ReplicaId};
 use magpiegap_scheduler::SchedulerSettings;
 use rand::Rng;
 
@@ -32,12 +32,12 @@
     }
 
     pub(crate) fn start_node(&mut self, number: usize) {
-        let boot = self.random.gen();
+        let incarnation = self.random.gen();
         let disk = self.random.gen::<u64>().max(1);
         let node = &mut self.nodes[number];
         let empty = || {
-            let state = freeze(&magpiegap_jobs::State::default());
-            Snapshot::empty(disk, None, Vec::new(), state)
+            let state = take_snapshot(&magpiegap_jobs::State::default());
+            DurableState::empty(disk, None, Vec::new(), state)
         };
         // What an empty disk is to hold is on it once the coordinator has had it written.
         let state: DurableState = node.disk.state().unwrap_or_else(empty);
@@ -48,9 +48,9 @@
         node.life += 1;
         node.started = self.now;
         node.restart_at = None;
-        let own = Replica {
+        let own = ReplicaId {
             member: node.member,
-            boot,
+            incarnation,
         };
         let settings = coordinator_settings(&self.settings, self.seeds(), own);
         let steady = self.nodes[number].steady(self.now);
@@ -127,7 +127,7 @@
             }
             Fault::WorkerCrash { worker, for_ms } => {
                 if let Some(old) = self.workers[worker].take() {
-                    self.oracle.life_over(&old.entry.instance);
+                    self.oracle.life_over(&old.entry.incarnation);
                     self.schedule(for_ms, Event::Restore(Restore::Worker(worker)));
                 }
             }
@@ -192,7 +192,7 @@
 fn coordinator_settings(
     settings: &FleetSettings,
     seeds: Vec<u32>,
-    own: Replica,
+    own: ReplicaId,
 ) -> CoordinatorSettings {
     CoordinatorSettings {
         control: ControlSettings {
@@ -202,7 +202,7 @@
             tolerance: Tolerance::of_machines(settings.tolerance),
             heartbeat_ms: 80,
             suspect_ms: 420,
-            seed: own.boot,
+            seed: own.incarnation,
         },
         scheduler: SchedulerSettings {
             max_hold_ms: MAX_HOLD_MS,
--- a/system/fleet/src/node.rs
+++ b/system/fleet/src/node.rs
@@ -31,17 +31,17 @@
 
 impl Node {
     /// Whether its process does anything now.
-    pub fn runs(&self, now: u64) -> bool {
+    pub(crate) fn runs(&self, now: u64) -> bool {
         self.coordinator.is_some() && now >= self.frozen_until
     }
 
     /// Its steady clock.
-    pub fn steady(&self, now: u64) -> u64 {
+    pub(crate) fn steady(&self, now: u64) -> u64 {
         now.saturating_sub(self.started) + 1
     }
 
     /// Its time of day.
-    pub fn wall(&self, now: u64) -> u64 {
+    pub(crate) fn wall(&self, now: u64) -> u64 {
         (EPOCH_MS + now).saturating_add_signed(self.wall_offset)
     }
 }
--- a/system/fleet/src/oracle.rs
+++ b/system/fleet/src/oracle.rs
@@ -4,7 +4,7 @@
     worker::{checkpoint_owner, NotedEnd},
 };
 use magpiegap_protocol::{
-    EndKind, JobId, JobPhase, JobSpec, RunId, StepSpec, TaskId, WallMillis, WorkerEntry,
+    CompletionKind, JobId, JobPhase, JobSpec, RunId, StepSpec, TaskId, WallMillis, WorkerEntry,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -67,45 +67,52 @@
 }
 
 impl Oracle {
-    pub fn report(&mut self, at: u64, what: String) {
+    pub(crate) fn report(&mut self, at: u64, what: String) {
         self.violations.push(Violation { at, what });
     }
 
     /// A run has ended on a worker.
-    pub fn ended(&mut self, instance: &str, task: TaskId, run: RunId, how: EndKind, gang: bool) {
+    pub(crate) fn ended(
+        &mut self,
+        incarnation: &str,
+        task: TaskId,
+        run: RunId,
+        how: CompletionKind,
+        gang: bool,
+    ) {
         if let Some(places) = self.running.get_mut(&task) {
-            places.remove(&(instance.to_owned(), run));
+            places.remove(&(incarnation.to_owned(), run));
         }
         match how {
-            EndKind::Done => {
+            CompletionKind::Done => {
                 let ends = self.done.entry(checkpoint_owner(task, gang)).or_default();
-                ends.insert((instance.to_owned(), run));
+                ends.insert((incarnation.to_owned(), run));
             }
-            EndKind::Failed => {
+            CompletionKind::Failed => {
                 self.failures
                     .entry(checkpoint_owner(task, gang))
                     .or_default()
                     .insert(run);
             }
-            EndKind::Alone => self.waited_alone += 1,
+            CompletionKind::Alone => self.waited_alone += 1,
             _ => {}
         }
     }
 
     /// Ends were taken note of.
-    pub fn noted(
+    pub(crate) fn noted(
         &mut self,
         at: u64,
-        instance: &str,
+        incarnation: &str,
         ends: &[NotedEnd],
         gang: impl Fn(TaskId) -> bool,
     ) {
-        for end in ends.iter().filter(|end| end.how == EndKind::Done) {
+        for end in ends.iter().filter(|end| end.how == CompletionKind::Done) {
             let task = checkpoint_owner(end.task, gang(end.task));
             self.noted.insert(task);
             if self
                 .followed
-                .contains(&(task, instance.to_owned(), end.run))
+                .contains(&(task, incarnation.to_owned(), end.run))
             {
                 self.report(
                     at,
@@ -116,7 +123,7 @@
     }
 
     /// A run begins on a worker.
-    pub fn started(&mut self, start: &Start<'_>, spec: &JobSpec, max_attempts: u32) {
+    pub(crate) fn started(&mut self, start: &Start<'_>, spec: &JobSpec, max_attempts: u32) {
         let task = start.task;
         let Some(step) = spec.steps.get(task.step as usize) else {
             return;
@@ -130,7 +137,7 @@
         self.running
             .entry(task)
             .or_default()
-            .insert((start.worker.instance.clone(), start.run));
+            .insert((start.worker.incarnation.clone(), start.run));
     }
 
     fn check_wanted(&mut self, start: &Start<'_>, step: &StepSpec, max_attempts: u32) {
@@ -190,7 +197,7 @@
             }
         }
         if spec
-            .due_ms(task.time)
+            .scheduled_ms(task.occurrence)
             .is_some_and(|due| start.wall + EARLY_MS < due)
         {
             self.report(at, format!("{task} was started before its time"));
@@ -199,11 +206,11 @@
 
     fn check_place(&mut self, start: &Start<'_>, step: &StepSpec) {
         let (at, task, worker) = (start.at, start.task, start.worker);
-        let instance = &worker.instance;
+        let incarnation = &worker.incarnation;
         if start.over_capacity {
             self.report(
                 at,
-                format!("{instance} has no room for {task}, which was started there"),
+                format!("{incarnation} has no room for {task}, which was started there"),
             );
         }
         if let Some(label) = step
@@ -213,7 +220,7 @@
         {
             self.report(
                 at,
-                format!("{task} was started on {instance}, which lacks {label}"),
+                format!("{task} was started on {incarnation}, which lacks {label}"),
             );
         }
         let of_step = |other: &TaskId| TaskId { index: 0, ..*other } == TaskId { index: 0, ..task };
@@ -221,24 +228,25 @@
             .running
             .iter()
             .filter(|(other, _)| of_step(other))
-            .filter(|(_, places)| places.iter().any(|(place, _)| place == instance));
+            .filter(|(_, places)| places.iter().any(|(place, _)| place == incarnation));
         if step.anti_affinity > 0 && beside.count() >= step.anti_affinity as usize {
             self.report(
                 at,
-                format!("{task} is one too many of its step on {instance}"),
+                format!("{task} is one too many of its step on {incarnation}"),
             );
         }
     }
 
     fn check_once(&mut self, start: &Start<'_>, spec: &JobSpec, step: &StepSpec) {
         let Start { at, task, run, .. } = *start;
-        let instance = &start.worker.instance;
+        let incarnation = &start.worker.incarnation;
         if let Some((other, other_run)) = self
             .running
             .get(&task)
             .and_then(|places| places.iter().next())
         {
-            let what = format!("{task} run {run} on {instance} beside run {other_run} on {other}");
+            let what =
+                format!("{task} run {run} on {incarnation} beside run {other_run} on {other}");
             self.violations.push(Violation { at, what });
         }
         let owner = checkpoint_owner(task, step.gang);
@@ -257,7 +265,7 @@
     }
 
     /// A scheduler gives the order to start a task.
-    pub fn ordered(&mut self, at: u64, task: TaskId) {
+    pub(crate) fn ordered(&mut self, at: u64, task: TaskId) {
         if self
             .cancelled
             .get(&task.job)
@@ -271,14 +279,14 @@
     }
 
     /// A worker's life is over, and all that it ran.
-    pub fn life_over(&mut self, instance: &str) {
+    pub(crate) fn life_over(&mut self, incarnation: &str) {
         for places in self.running.values_mut() {
-            places.retain(|(other, _)| other != instance);
+            places.retain(|(other, _)| other != incarnation);
         }
     }
 
     /// A client was shown a job's state.
-    pub fn shown(
+    pub(crate) fn shown(
         &mut self,
         at: u64,
         job: JobId,
--- a/system/fleet/src/orders.rs
+++ b/system/fleet/src/orders.rs
@@ -6,7 +6,7 @@
     oracle::Start,
     worker::{checkpoint_owner, Deed, Work},
 };
-use magpiegap_protocol::{EndKind, RunId, TaskId};
+use magpiegap_protocol::{CompletionKind, RunId, TaskId, WallMillis};
 use magpiegap_scheduler::{WorkerCall, WorkerOrder, WorkerReply};
 use rand::Rng;
 
@@ -165,9 +165,9 @@
         let owner = checkpoint_owner(*task, step.gang);
         let fails = self.fails(owner, *run);
         let how = if fails {
-            EndKind::Failed
+            CompletionKind::Failed
         } else {
-            EndKind::Done
+            CompletionKind::Done
         };
         let duration_ms = match step.estimated_ms {
             _ if lasting && !fails => LASTING_MS,
@@ -230,7 +230,7 @@
                 } => {
                     let start = Start {
                         at,
-                        wall,
+                        wall: WallMillis(wall),
                         worker: entry,
                         task,
                         run,
@@ -243,9 +243,9 @@
                 }
                 Deed::Ended { task, run, how } => {
                     self.oracle
-                        .ended(&entry.instance, task, run, how, is_gang(task));
+                        .ended(&entry.incarnation, task, run, how, is_gang(task));
                 }
-                Deed::Noted(ends) => self.oracle.noted(at, &entry.instance, &ends, is_gang),
+                Deed::Noted(ends) => self.oracle.noted(at, &entry.incarnation, &ends, is_gang),
             }
         }
     }
--- a/system/fleet/src/told.rs
+++ b/system/fleet/src/told.rs
@@ -16,12 +16,12 @@
 
 impl Told {
     /// The newest version that was confirmed.
-    pub fn newest(&self) -> u64 {
+    pub(crate) fn newest(&self) -> u64 {
         self.taken.keys().next_back().copied().unwrap_or(0)
     }
 
     /// The newest version that was confirmed up to a time.
-    pub fn newest_at(&self, at: u64) -> u64 {
+    pub(crate) fn newest_at(&self, at: u64) -> u64 {
         let until_then = self.taken.iter().rev().find(|(_, (_, since))| *since <= at);
         until_then.map_or(0, |(version, _)| *version)
     }
--- a/system/fleet/src/watching.rs
+++ b/system/fleet/src/watching.rs
@@ -1,6 +1,6 @@
 //! What operators and anybody who asks are told: nothing that was confirmed is taken back, refused or shown as it was before.
 use crate::{client::Order, oracle::Oracle};
-use magpiegap_protocol::{CoordinatorAnswer, CoordinatorRequest, JobId, JobPhase, Member};
+use magpiegap_protocol::{CoordinatorRequest, CoordinatorResponse, JobId, JobPhase, Member};
 
 /// A coordinator may hand out a configuration that was replaced this long ago, and not longer: it goes by contact of 0.6 s
 /// ago, and learns of what is committed a moment later than the tail.
@@ -8,7 +8,7 @@
 
 impl Oracle {
     /// An order was confirmed.
-    pub fn order_taken(&mut self, at: u64, order: &Order) {
+    pub(crate) fn order_taken(&mut self, at: u64, order: &Order) {
         let (other, _) = self
             .told
             .taken
@@ -45,7 +45,7 @@
     }
 
     /// An order was refused for good.
-    pub fn order_refused(&mut self, at: u64, order: &Order, is_only_operator: bool) {
+    pub(crate) fn order_refused(&mut self, at: u64, order: &Order, is_only_operator: bool) {
         let was_taken = self
             .told
             .taken
@@ -73,7 +73,7 @@
     }
 
     /// A configuration is in force.
-    pub fn in_force(&mut self, at: u64, version: u64, body: &[u8]) {
+    pub(crate) fn in_force(&mut self, at: u64, version: u64, body: &[u8]) {
         if self
             .told
             .refused
@@ -88,16 +88,16 @@
     }
 
     /// Somebody who asked at a time is told something by a coordinator.
-    pub fn observed(
+    pub(crate) fn observed(
         &mut self,
         now: u64,
         asked_at: u64,
         by: Member,
         request: &CoordinatorRequest,
-        answer: &CoordinatorAnswer,
+        answer: &CoordinatorResponse,
     ) {
         match (request, answer) {
-            (CoordinatorRequest::Poll(_), CoordinatorAnswer::Feed(feed)) => {
+            (CoordinatorRequest::Poll(_), CoordinatorResponse::Feed(feed)) => {
                 let least = self.told.newest_at(now.saturating_sub(OLD_FEED_MS));
                 if feed.configuration_version < least {
                     let told = feed.configuration_version;
@@ -107,10 +107,10 @@
                     );
                 }
             }
-            (CoordinatorRequest::Status { job, .. }, CoordinatorAnswer::Phase(phase)) => {
+            (CoordinatorRequest::Status { job, .. }, CoordinatorResponse::Phase(phase)) => {
                 self.shown_phase(now, asked_at, by, *job, *phase);
             }
-            (CoordinatorRequest::Status { job, .. }, CoordinatorAnswer::NoSuchJob)
+            (CoordinatorRequest::Status { job, .. }, CoordinatorResponse::NoSuchJob)
                 if self
                     .accepted
                     .get(job)
@@ -126,7 +126,7 @@
     }
 
     fn shown_phase(&mut self, now: u64, asked_at: u64, by: Member, job: JobId, phase: JobPhase) {
-        if phase.ended() {
+        if phase.is_terminal() {
             self.told.ended.entry(job).or_insert(now);
             return;
         }
--- a/system/fleet/src/worker.rs
+++ b/system/fleet/src/worker.rs
@@ -1,7 +1,7 @@
 //! A worker, by the pages' word: runs, holds, fencing tokens, ends, late orders.
-use magpiegap_protocol::{EndKind, Resources, RunId, TaskId, WorkerEntry};
+use magpiegap_protocol::{CompletionKind, FencingToken, Resources, RunId, TaskId, WorkerEntry};
 use magpiegap_scheduler::{
-    ListedEnd, ListedRun, Listing, RefusalReason, WorkerCall, WorkerOrder, WorkerReply,
+    ListedCompletion, ListedRun, Listing, RefusalReason, WorkerCall, WorkerOrder, WorkerReply,
 };
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
     resources: Resources,
     started: u64,
     finishes: u64,
-    how: EndKind,
+    how: CompletionKind,
     /// What was done before, in hundredths.
     saved_percent: u64,
     /// It has a checkpoint to leave behind.
@@ -36,7 +36,7 @@
     /// How long it takes.
     pub duration_ms: u64,
     /// How it ends.
-    pub how: EndKind,
+    pub how: CompletionKind,
     /// It checkpoints its progress.
     pub checkpoints: bool,
     /// It works only together with the others of its step.
@@ -51,7 +51,7 @@
     /// The run.
     pub run: RunId,
     /// How it ended.
-    pub how: EndKind,
+    pub how: CompletionKind,
 }
 
 /// Something that a worker has done.
@@ -75,7 +75,7 @@
         /// The run.
         run: RunId,
         /// How.
-        how: EndKind,
+        how: CompletionKind,
     },
     /// Ends were taken note of by the caller.
     Noted(Vec<NotedEnd>),
@@ -91,11 +91,11 @@
     clock_offset: u64,
     /// Thousandths: how fast its clock runs.
     clock_rate: u64,
-    token: u64,
+    token: FencingToken,
     hold_until: u64,
     max_hold_ms: u64,
     runs: BTreeMap<TaskId, Running>,
-    ended: Vec<ListedEnd>,
+    ended: Vec<ListedCompletion>,
     number: u64,
     /// The last end before the hold ran out: a caller that takes note of it later takes it for lost.
     lapsed_up_to: u64,
@@ -119,7 +119,7 @@
             guards,
             clock_offset,
             clock_rate,
-            token: 0,
+            token: FencingToken(0),
             hold_until: 0,
             max_hold_ms,
             runs: BTreeMap::new(),
@@ -143,14 +143,14 @@
             })
     }
 
-    fn end(&mut self, now: u64, task: TaskId, how: EndKind) {
+    fn end(&mut self, now: u64, task: TaskId, how: CompletionKind) {
         let Some(running) = self.runs.remove(&task) else {
             return;
         };
         self.number += 1;
         self.over.insert(task, running.run);
         let checkpoint = running.checkpoint(now, task);
-        let end = ListedEnd {
+        let end = ListedCompletion {
             number: self.number,
             task,
             run: running.run,
@@ -168,7 +168,7 @@
     /// Ends what has finished or is held no longer.
     pub fn pass_time(&mut self, now: u64) {
         let clock = self.clock(now);
-        let finished: Vec<(TaskId, EndKind)> = self
+        let finished: Vec<(TaskId, CompletionKind)> = self
             .runs
             .iter()
             .filter(|(_, running)| now >= running.finishes)
@@ -180,7 +180,7 @@
         if clock > self.hold_until {
             let lapsed: Vec<TaskId> = self.runs.keys().copied().collect();
             for task in lapsed {
-                self.end(now, task, EndKind::Lapsed);
+                self.end(now, task, CompletionKind::Lapsed);
             }
             self.lapsed_up_to = self.number;
         }
@@ -198,7 +198,7 @@
 
     /// Carries out an order.
     pub fn take(&mut self, now: u64, call: &WorkerCall, work: Option<Work>) -> WorkerReply {
-        if call.instance != self.entry.instance {
+        if call.incarnation != self.entry.incarnation {
             return WorkerReply::OtherLife;
         }
         self.pass_time(now);
@@ -206,7 +206,7 @@
         if call.token < self.token {
             return WorkerReply::Refused {
                 clock_ms,
-                reason: RefusalReason::Fence,
+                reason: RefusalReason::RoleToken,
             };
         }
         self.token = call.token;
@@ -244,7 +244,7 @@
         }
     }
 
-    fn note(&mut self, ends: Vec<ListedEnd>) {
+    fn note(&mut self, ends: Vec<ListedCompletion>) {
         let in_time = ends
             .into_iter()
             .filter(|end| end.number > self.lapsed_up_to);
@@ -324,7 +324,7 @@
             .get(&task)
             .is_some_and(|running| running.run == run)
         {
-            self.end(now, task, EndKind::Stopped);
+            self.end(now, task, CompletionKind::Stopped);
         }
     }
 
@@ -371,9 +371,9 @@
         };
         let Some(gang) = running.gang else { return };
         if gang.together.is_some() {
-            self.end(now, task, EndKind::Broken);
+            self.end(now, task, CompletionKind::Broken);
         } else if now >= running.started + gang_ms {
-            self.end(now, task, EndKind::Alone);
+            self.end(now, task, CompletionKind::Alone);
         }
     }
 }
--- a/system/fleet/tests/run_model/running.rs
+++ b/system/fleet/tests/run_model/running.rs
@@ -3,8 +3,8 @@
 use magpiegap_fleet::{Deed, Work};
 use magpiegap_jobs::Applied;
 use magpiegap_protocol::{
-    Command, EndKind, Entry, Fence, Member, Position, ProposalId, Replica, Resources, Role, RunId,
-    RunStart,
+    Command, CompletionKind, Entry, LogPosition, Member, ProposalId, ReplicaId, Resources, Role,
+    RoleToken, RunId, RunStart, ViewNumber, WallMillis,
 };
 use magpiegap_scheduler::{
     Output, Scheduler, SchedulerSettings, WorkerCall, WorkerOrder, WorkerReply,
@@ -18,13 +18,13 @@
     }
 }
 
-fn replica(holder: usize) -> Replica {
-    Replica {
+fn replica(holder: usize) -> ReplicaId {
+    ReplicaId {
         member: Member {
             address: holder as u32 + 1,
             disk: 0,
         },
-        boot: 1,
+        incarnation: 1,
     }
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl World {
-    pub fn take_over(&mut self) {
+    pub(crate) fn take_over(&mut self) {
         let number = self.holders.len();
         let expected = self.state.token(&role());
         let claim = Command::ClaimRole {
@@ -55,21 +55,29 @@
         self.run(number);
     }
 
-    pub fn apply(&mut self, by: usize, fence: Option<Fence>, command: Command) -> Applied {
+    pub(crate) fn apply(
+        &mut self,
+        by: usize,
+        role_token: Option<RoleToken>,
+        command: Command,
+    ) -> Applied {
         let index = self.state.position.index + 1;
         let runs: Vec<RunStart> = match &command {
             Command::StartRuns { runs } | Command::SubmitJob { runs, .. } => runs.clone(),
             _ => Vec::new(),
         };
         let entry = Entry {
-            position: Position { view: 1, index },
+            position: LogPosition {
+                view: ViewNumber(1),
+                index,
+            },
             proposal: ProposalId {
                 origin: replica(by),
-                sequence: index,
+                sequence: index.0,
             },
-            fence,
+            role_token,
             command,
-            wall_ms: 1_000_000 + self.now,
+            wall_ms: WallMillis(1_000_000 + self.now),
         };
         let applied = self.state.apply(&entry);
         for (number, holder) in self.holders.iter_mut().enumerate() {
@@ -81,39 +89,39 @@
         applied
     }
 
-    pub fn commit(&mut self) {
+    pub(crate) fn commit(&mut self) {
         let Some((by, command)) = self.proposals.pop_front() else {
             return;
         };
-        let fence = Fence {
+        let role_token = RoleToken {
             role: role(),
             token: self.holders[by].scheduler.token(),
         };
-        self.apply(by, Some(fence), command);
+        self.apply(by, Some(role_token), command);
         self.run_all();
     }
 
-    pub fn may_act(&self, holder: usize) -> bool {
+    pub(crate) fn may_act(&self, holder: usize) -> bool {
         self.holders[holder]
             .acts_until
             .is_none_or(|until| self.now < until)
     }
 
-    pub fn run_all(&mut self) {
+    pub(crate) fn run_all(&mut self) {
         for holder in 0..self.holders.len() {
             self.run(holder);
         }
     }
 
-    pub fn run(&mut self, holder: usize) {
+    pub(crate) fn run(&mut self, holder: usize) {
         if !self.may_act(holder) {
             return;
         }
         let wall = 1_000_000 + self.now;
         self.holders[holder]
             .scheduler
-            .run(self.now, wall, &self.state);
-        for output in self.holders[holder].scheduler.take_outputs() {
+            .run(self.now, WallMillis(wall), &self.state);
+        for output in self.holders[holder].scheduler.poll_outputs() {
             match output {
                 Output::Propose(command) => self.proposals.push_back((holder, command)),
                 Output::Call(call) => self.send(holder, call),
@@ -122,7 +130,7 @@
         }
     }
 
-    pub fn send(&mut self, holder: usize, call: WorkerCall) {
+    pub(crate) fn send(&mut self, holder: usize, call: WorkerCall) {
         let is_hold = matches!(call.order, WorkerOrder::Hold { .. });
         let under_way = self.calls.iter().filter(|call| !call.is_given_up).count();
         if is_hold && under_way >= MOST_CALLS {
@@ -141,7 +149,7 @@
         });
     }
 
-    pub fn arrive(&mut self, position: usize) {
+    pub(crate) fn arrive(&mut self, position: usize) {
         let Call {
             holder,
             call,
@@ -172,7 +180,7 @@
                 gpu: 0,
             },
             duration_ms: self.work_ms,
-            how: EndKind::Done,
+            how: CompletionKind::Done,
             checkpoints: false,
             gang: false,
         };
@@ -187,38 +195,38 @@
         }
     }
 
-    pub fn note_deeds(&mut self) {
+    pub(crate) fn note_deeds(&mut self) {
         for number in 0..self.workers.len() {
-            let instance = self.workers[number].entry.instance.clone();
+            let incarnation = self.workers[number].entry.incarnation.clone();
             for deed in self.workers[number].take_deeds() {
                 match deed {
-                    Deed::Started { run, .. } => self.started(&instance, run),
+                    Deed::Started { run, .. } => self.started(&incarnation, run),
                     Deed::Ended { run, .. } => {
-                        self.running.remove(&(instance.clone(), run));
+                        self.running.remove(&(incarnation.clone(), run));
                     }
                     Deed::Noted(ends) => {
-                        self.noted_done |= ends.iter().any(|end| end.how == EndKind::Done);
+                        self.noted_done |= ends.iter().any(|end| end.how == CompletionKind::Done);
                     }
                 }
             }
         }
     }
 
-    pub fn started(&mut self, instance: &str, run: RunId) {
+    pub(crate) fn started(&mut self, incarnation: &str, run: RunId) {
         if let Some((other, other_run)) = self.running.iter().next() {
             self.wrong = Some(format!(
-                "run {run} on {instance} beside run {other_run} on {other}"
+                "run {run} on {incarnation} beside run {other_run} on {other}"
             ));
         }
         if self.noted_done {
             self.wrong = Some(format!(
-                "run {run} on {instance} after an end was taken note of"
+                "run {run} on {incarnation} after an end was taken note of"
             ));
         }
-        self.running.insert((instance.to_owned(), run));
+        self.running.insert((incarnation.to_owned(), run));
     }
 
-    pub fn pass(&mut self, ms: u64) {
+    pub(crate) fn pass(&mut self, ms: u64) {
         self.now += ms;
         for worker in &mut self.workers {
             worker.pass_time(self.now);
@@ -227,9 +235,9 @@
         self.run_all();
     }
 
-    pub fn crash(&mut self, number: usize) {
-        let instance = self.workers[number].entry.instance.clone();
-        self.running.retain(|(other, _)| *other != instance);
+    pub(crate) fn crash(&mut self, number: usize) {
+        let incarnation = self.workers[number].entry.incarnation.clone();
+        self.running.retain(|(other, _)| *other != incarnation);
         self.workers[number] = self.new_worker(number);
         let entries = self.entries();
         for holder in &mut self.holders {
@@ -238,7 +246,7 @@
         self.run_all();
     }
 
-    pub fn answer(&mut self, position: usize, is_lost: bool) {
+    pub(crate) fn answer(&mut self, position: usize, is_lost: bool) {
         let Answer {
             holder,
             call,
@@ -256,7 +264,7 @@
     }
 
     /// All that is under way arrives, is answered and is committed, as it would on a calm day.
-    pub fn settle(&mut self) {
+    pub(crate) fn settle(&mut self) {
         // A scheduler that has lost the role proposes again and again until its lease ends.
         for _ in 0..self.proposals.len() {
             self.commit();
--- a/system/fleet/tests/run_model/steps.rs
+++ b/system/fleet/tests/run_model/steps.rs
@@ -4,7 +4,7 @@
 use stateright::{Model, Property};
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub(crate) enum Step {
     /// All that is under way arrives and is answered in order.
     Settle,
     Arrive(usize),
@@ -22,7 +22,7 @@
     Crash(usize),
 }
 /// What is explored.
-pub struct Runs {
+pub(crate) struct Runs {
     pub budget: Budget,
     pub work_ms: u64,
 }
--- a/system/fleet/tests/run_model/world.rs
+++ b/system/fleet/tests/run_model/world.rs
@@ -2,7 +2,7 @@
 use magpiegap_fleet::Worker;
 use magpiegap_jobs::State;
 use magpiegap_protocol::{
-    Command, JobId, JobSpec, Resources, RunId, StepSpec, Submission, WorkerEntry,
+    Command, JobId, JobSpec, Resources, RunId, StepSpec, Submission, WallMillis, WorkerEntry,
 };
 use magpiegap_scheduler::{Scheduler, WorkerCall, WorkerReply};
 use std::{
@@ -11,22 +11,22 @@
     hash::{DefaultHasher, Hash, Hasher},
 };
 
-pub const SERVICE: &str = "s";
-pub const SHORT_MS: u64 = 60;
+pub(crate) const SERVICE: &str = "s";
+pub(crate) const SHORT_MS: u64 = 60;
 /// Part of a hold.
-pub const MIDDLE_MS: u64 = 2000;
+pub(crate) const MIDDLE_MS: u64 = 2000;
 /// Longer than any hold, and than a scheduler waits for one.
-pub const LONG_MS: u64 = 9000;
-pub const MAX_HOLD_MS: u64 = 6000;
+pub(crate) const LONG_MS: u64 = 9000;
+pub(crate) const MAX_HOLD_MS: u64 = 6000;
 /// How long the task takes.
-pub const QUICK_MS: u64 = 200;
-pub const SLOW_MS: u64 = 12_000;
-pub const LEASE_MS: u64 = 900;
-pub const JOB: JobId = JobId(1);
+pub(crate) const QUICK_MS: u64 = 200;
+pub(crate) const SLOW_MS: u64 = 12_000;
+pub(crate) const LEASE_MS: u64 = 900;
+pub(crate) const JOB: JobId = JobId(1);
 /// Calls under way beyond these are not sent: the scheduler looks at its workers again and again.
-pub const MOST_CALLS: usize = 5;
+pub(crate) const MOST_CALLS: usize = 5;
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Budget {
+pub(crate) struct Budget {
     pub short: u8,
     pub middle: u8,
     pub long: u8,
@@ -39,7 +39,7 @@
 
 /// A scheduler that holds, or held, the role.
 #[derive(Clone)]
-pub struct Holder {
+pub(crate) struct Holder {
     pub scheduler: Scheduler,
     /// When its lease ends, once another one has the role.
     pub acts_until: Option<u64>,
@@ -47,21 +47,21 @@
 
 /// A call under way, or one that its caller has given up.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub(crate) struct Call {
     pub holder: usize,
     pub call: WorkerCall,
     pub is_given_up: bool,
 }
 
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub(crate) struct Answer {
     pub holder: usize,
     pub call: u64,
     pub reply: WorkerReply,
 }
 
 #[derive(Clone)]
-pub struct World {
+pub(crate) struct World {
     pub now: u64,
     pub work_ms: u64,
     pub state: State,
@@ -80,7 +80,7 @@
     pub wrong: Option<String>,
 }
 impl World {
-    pub fn new(budget: Budget, work_ms: u64) -> World {
+    pub(crate) fn new(budget: Budget, work_ms: u64) -> World {
         let mut world = World {
             now: 1000,
             work_ms,
@@ -110,7 +110,7 @@
             max_attempts: 3,
             stretch: 2.0,
             target_latency_ms: 500,
-            submitted_ms: 1,
+            submitted_ms: WallMillis(1),
             spec: JobSpec {
                 steps: vec![StepSpec {
                     count: 1,
@@ -132,10 +132,10 @@
         world
     }
 
-    pub fn new_worker(&mut self, number: usize) -> Worker {
+    pub(crate) fn new_worker(&mut self, number: usize) -> Worker {
         self.lives += 1;
         let entry = WorkerEntry {
-            instance: format!("i-{number}-{}", self.lives),
+            incarnation: format!("i-{number}-{}", self.lives),
             service: SERVICE.to_owned(),
             address: format!("w{number}"),
             capacity: Resources {
@@ -149,14 +149,14 @@
         Worker::new(entry, true, 5000, 980 + 20 * number as u64, MAX_HOLD_MS)
     }
 
-    pub fn entries(&self) -> Vec<WorkerEntry> {
+    pub(crate) fn entries(&self) -> Vec<WorkerEntry> {
         self.workers
             .iter()
             .map(|worker| worker.entry.clone())
             .collect()
     }
 
-    pub fn digest(&self) -> u64 {
+    pub(crate) fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         format!("{self:?}").hash(&mut hasher);
         hasher.finish()
--- a/system/jobs/src/apply.rs
+++ b/system/jobs/src/apply.rs
@@ -4,7 +4,8 @@
     Job, RoleState, Shared, State,
 };
 use magpiegap_protocol::{
-    fnv1a, Command, Entry, Fence, JobId, JobPhase, Replica, Role, RunStart, Submission, WallMillis,
+    fnv1a, Command, Entry, FencingToken, JobId, JobPhase, ReplicaId, Role, RoleToken, RunStart,
+    Submission, WallMillis,
 };
 
 /// Tells configurations apart that came under the same number.
@@ -17,15 +18,15 @@
     pub fn apply(&mut self, entry: &Entry) -> Applied {
         self.position = entry.position;
         let mut changes = Vec::new();
-        let outcome = match &entry.fence {
-            Some(fence) if !self.holds(fence) => Outcome::Fenced,
+        let outcome = match &entry.role_token {
+            Some(role_token) if !self.holds(role_token) => Outcome::Fenced,
             _ => self.run(&entry.command, entry.wall_ms, &mut changes),
         };
         Applied { outcome, changes }
     }
 
-    fn holds(&self, fence: &Fence) -> bool {
-        self.token(&fence.role) == fence.token
+    fn holds(&self, role_token: &RoleToken) -> bool {
+        self.token(&role_token.role) == role_token.token
     }
 
     fn run(&mut self, command: &Command, at: WallMillis, changes: &mut Vec<Change>) -> Outcome {
@@ -45,16 +46,18 @@
             Command::SubmitJob { submission, runs } => self.submit(submission, runs, changes),
             Command::CancelJob { job } => self.cancel(*job, at, changes),
             Command::StartRuns { runs } => self.start_runs(runs, changes),
-            Command::NoteEnds {
-                instance,
+            Command::RecordCompletions {
+                incarnation,
                 last_seen,
                 ends,
-            } => self.note_ends(instance, *last_seen, ends, at, changes),
+            } => self.note_ends(incarnation, *last_seen, ends, at, changes),
             Command::LoseRuns { runs } => self.lose_runs(runs, at, changes),
-            Command::LoseInstance { instance, ended } => {
-                self.lose_instance(instance, *ended, at, changes)
+            Command::LoseIncarnation { incarnation, ended } => {
+                self.lose_instance(incarnation, *ended, at, changes)
+            }
+            Command::OpenOccurrence { job, occurrence } => {
+                self.open_occurrence(*job, *occurrence, changes)
             }
-            Command::OpenTime { job, time } => self.open_time(*job, *time, changes),
             Command::ForgetJobs { jobs } => self.forget(jobs, changes),
         }
     }
@@ -85,18 +88,18 @@
     fn claim(
         &mut self,
         role: &Role,
-        holder: Replica,
-        expected: u64,
+        holder: ReplicaId,
+        expected: FencingToken,
         changes: &mut Vec<Change>,
     ) -> Outcome {
-        if self.token(role) != expected {
+        if self.token(role) != FencingToken(expected.0) {
             return Outcome::Void;
         }
         self.roles.insert(
             role.clone(),
             RoleState {
                 holder,
-                token: expected + 1,
+                token: expected.next(),
             },
         );
         changes.push(Change::Role(role.clone()));
@@ -124,7 +127,7 @@
     fn cancel(&mut self, id: JobId, at: WallMillis, changes: &mut Vec<Change>) -> Outcome {
         match self.jobs.get(&id) {
             None => Outcome::Void,
-            Some(job) if job.phase.ended() => Outcome::Repeated,
+            Some(job) if job.phase.is_terminal() => Outcome::Repeated,
             Some(_) => {
                 self.end_job(id, JobPhase::Cancelled, at);
                 changes.push(Change::Job(id));
@@ -137,7 +140,7 @@
         let Some(job) = self.jobs.get_mut(&id).map(Shared::make_mut) else {
             return;
         };
-        if job.phase.ended() {
+        if job.phase.is_terminal() {
             return;
         }
         job.end(phase, at);
@@ -150,8 +153,16 @@
         }
     }
 
-    fn open_time(&mut self, id: JobId, time: u32, changes: &mut Vec<Change>) -> Outcome {
-        if !self.job_mut(&id).is_some_and(|job| job.open_time(time)) {
+    fn open_occurrence(
+        &mut self,
+        id: JobId,
+        occurrence: u32,
+        changes: &mut Vec<Change>,
+    ) -> Outcome {
+        if !self
+            .job_mut(&id)
+            .is_some_and(|job| job.open_occurrence(occurrence))
+        {
             return Outcome::Void;
         }
         changes.push(Change::Job(id));
@@ -163,7 +174,7 @@
             let over = self
                 .jobs
                 .get(id)
-                .is_some_and(|job| job.phase.ended() && !job.has_active());
+                .is_some_and(|job| job.phase.is_terminal() && !job.has_active());
             if over {
                 self.jobs.remove(id);
                 changes.push(Change::JobForgotten(*id));
--- a/system/jobs/src/apply_runs.rs
+++ b/system/jobs/src/apply_runs.rs
@@ -3,7 +3,9 @@
     change::{Change, Outcome},
     ActiveRun, State,
 };
-use magpiegap_protocol::{EndKind, JobId, JobPhase, RunEnd, RunId, RunStart, TaskId, WallMillis};
+use magpiegap_protocol::{
+    CompletionKind, JobId, JobPhase, RunCompletion, RunId, RunStart, TaskId, WallMillis,
+};
 
 impl State {
     pub(crate) fn start_runs(&mut self, runs: &[RunStart], changes: &mut Vec<Change>) -> Outcome {
@@ -20,12 +22,12 @@
     /// Opens one run, where the task may have another one.
     fn start_run(&mut self, start: &RunStart) -> Option<()> {
         let id = start.task;
-        let worker = self.workers.get(&start.instance);
+        let worker = self.workers.get(&start.incarnation);
         if worker.is_some_and(|worker| worker.ended || worker.runs.contains_key(&id)) {
             return None;
         }
         let job = self.job_mut(&id.job)?;
-        if job.phase.ended() {
+        if job.phase.is_terminal() {
             return None;
         }
         let duplicates = job
@@ -42,14 +44,14 @@
         task.last_run = start.run;
         task.active.push(ActiveRun {
             run: start.run,
-            instance: start.instance.clone(),
+            incarnation: start.incarnation.clone(),
             checkpoint: start.checkpoint.clone(),
         });
         if job.phase == JobPhase::Pending {
             job.phase = JobPhase::Running;
         }
         self.workers
-            .entry(start.instance.clone())
+            .entry(start.incarnation.clone())
             .or_default()
             .runs
             .insert(id, start.run);
@@ -58,25 +60,25 @@
 
     pub(crate) fn note_ends(
         &mut self,
-        instance: &str,
+        incarnation: &str,
         last_seen: u64,
-        ends: &[RunEnd],
+        ends: &[RunCompletion],
         at: WallMillis,
         changes: &mut Vec<Change>,
     ) -> Outcome {
-        let worker = self.workers.entry(instance.to_owned()).or_default();
+        let worker = self.workers.entry(incarnation.to_owned()).or_default();
         if last_seen <= worker.last_seen {
             return Outcome::Repeated;
         }
         worker.last_seen = last_seen;
         for end in ends {
-            if self.close_run(instance, end.task, end.run, Some(end.kind), changes) {
+            if self.close_run(incarnation, end.task, end.run, Some(end.kind), changes) {
                 self.record_end(end, at);
                 self.settle(end.task.job, at, changes);
             }
         }
-        changes.push(Change::EndsNoted {
-            instance: instance.to_owned(),
+        changes.push(Change::CompletionsRecorded {
+            incarnation: incarnation.to_owned(),
             last_seen,
         });
         Outcome::Done
@@ -85,13 +87,13 @@
     /// Takes a run off the books; `false` when it wasn't on them.
     fn close_run(
         &mut self,
-        instance: &str,
+        incarnation: &str,
         task: TaskId,
         run: RunId,
-        kind: Option<EndKind>,
+        kind: Option<CompletionKind>,
         changes: &mut Vec<Change>,
     ) -> bool {
-        let Some(worker) = self.workers.get_mut(instance) else {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return false;
         };
         if worker.runs.get(&task) != Some(&run) {
@@ -102,23 +104,23 @@
         if let Some(state) = state.and_then(|step| step.tasks.get_mut(task.index as usize)) {
             state
                 .active
-                .retain(|active| active.run != run || active.instance != instance);
+                .retain(|active| active.run != run || active.incarnation != incarnation);
         }
         changes.push(Change::RunClosed {
             task,
             run,
-            instance: instance.to_owned(),
+            incarnation: incarnation.to_owned(),
             kind,
         });
         true
     }
 
     /// Counts an end for its task or gang; the job has failed with the last attempt.
-    fn record_end(&mut self, end: &RunEnd, at: WallMillis) {
+    fn record_end(&mut self, end: &RunCompletion, at: WallMillis) {
         let Some(job) = self.job_mut(&end.task.job) else {
             return;
         };
-        if job.phase.ended() {
+        if job.phase.is_terminal() {
             return;
         }
         let Some(spec) = job.submission.spec.steps.get(end.task.step as usize) else {
@@ -140,16 +142,20 @@
     fn settle(&mut self, id: JobId, at: WallMillis, changes: &mut Vec<Change>) {
         let Some(job) = self.job_mut(&id) else { return };
         let done = job
-            .times
+            .occurrences
             .values()
-            .filter(|time| time.is_done() && !time.steps.is_empty())
+            .filter(|occurrence| occurrence.is_done() && !occurrence.steps.is_empty())
             .count() as u32;
-        let cleared = job.times_done;
+        let cleared = job.occurrences_done;
         job.clear_away();
-        if !job.phase.ended() {
-            let left = job.times.values().filter(|time| time.is_done()).count() as u32;
-            job.times_done = cleared + (done - left);
-            if cleared + done == job.submission.spec.times() {
+        if !job.phase.is_terminal() {
+            let left = job
+                .occurrences
+                .values()
+                .filter(|occurrence| occurrence.is_done())
+                .count() as u32;
+            job.occurrences_done = cleared + (done - left);
+            if cleared + done == job.submission.spec.occurrences() {
                 self.end_job(id, JobPhase::Succeeded, at);
             }
         }
@@ -163,7 +169,7 @@
         changes: &mut Vec<Change>,
     ) -> Outcome {
         for lost in runs {
-            if self.close_run(&lost.instance, lost.task, lost.run, None, changes) {
+            if self.close_run(&lost.incarnation, lost.task, lost.run, None, changes) {
                 self.keep_checkpoint(lost);
                 self.settle(lost.task.job, at, changes);
             }
@@ -184,12 +190,12 @@
 
     pub(crate) fn lose_instance(
         &mut self,
-        instance: &str,
+        incarnation: &str,
         ended: bool,
         at: WallMillis,
         changes: &mut Vec<Change>,
     ) -> Outcome {
-        let Some(worker) = self.workers.get_mut(instance) else {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return Outcome::Void;
         };
         worker.ended |= ended;
@@ -199,12 +205,12 @@
             .map(|(task, run)| (*task, *run))
             .collect();
         for (task, run) in runs {
-            if self.close_run(instance, task, run, None, changes) {
+            if self.close_run(incarnation, task, run, None, changes) {
                 self.settle(task.job, at, changes);
             }
         }
         if ended {
-            self.workers.remove(instance);
+            self.workers.remove(incarnation);
         }
         Outcome::Done
     }
--- a/system/jobs/src/change.rs
+++ b/system/jobs/src/change.rs
@@ -1,5 +1,5 @@
 //! What applying an entry does.
-use magpiegap_protocol::{EndKind, JobId, Role, RunId, RunStart, TaskId};
+use magpiegap_protocol::{CompletionKind, JobId, Role, RunId, RunStart, TaskId};
 
 /// What became of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,14 +36,14 @@
         /// The run.
         run: RunId,
         /// The worker's life.
-        instance: String,
+        incarnation: String,
         /// How it ended; `None`: it was lost.
-        kind: Option<EndKind>,
+        kind: Option<CompletionKind>,
     },
     /// Ends of a worker's life were noted up to this number.
-    EndsNoted {
+    CompletionsRecorded {
         /// The worker's life.
-        instance: String,
+        incarnation: String,
         /// The number.
         last_seen: u64,
     },
--- a/system/jobs/src/configuration.rs
+++ b/system/jobs/src/configuration.rs
@@ -218,7 +218,7 @@
     }
 }
 
-fn read_services(fields: &Fields) -> Result<BTreeMap<String, Service>, ConfigurationError> {
+fn read_services(fields: &Fields<'_>) -> Result<BTreeMap<String, Service>, ConfigurationError> {
     let mut services = BTreeMap::new();
     for service in fields.list("services")? {
         let name = service.text("name")?;
@@ -238,7 +238,7 @@
 }
 
 fn read_routes(
-    fields: &Fields,
+    fields: &Fields<'_>,
     services: &BTreeMap<String, Service>,
 ) -> Result<Vec<Arc<Route>>, ConfigurationError> {
     let mut routes = Vec::new();
@@ -270,7 +270,7 @@
     Ok(routes)
 }
 
-fn read_route(fields: &Fields) -> Result<Route, ConfigurationError> {
+fn read_route(fields: &Fields<'_>) -> Result<Route, ConfigurationError> {
     let timeout_ms = fields.number("timeoutMs", 0)?;
     if timeout_ms == 0 {
         return Err(field_error(fields.name("timeoutMs"), "above 0"));
@@ -288,7 +288,7 @@
     })
 }
 
-fn read_limits(fields: &Fields) -> Result<Limits, ConfigurationError> {
+fn read_limits(fields: &Fields<'_>) -> Result<Limits, ConfigurationError> {
     let Some(value) = fields.object.get("limits") else {
         return Ok(Limits::default());
     };
--- a/system/jobs/src/consistency.rs
+++ b/system/jobs/src/consistency.rs
@@ -18,7 +18,7 @@
     /// A worker's record has a run that its task does not have.
     RunWithoutTask {
         /// The worker's life.
-        instance: String,
+        incarnation: String,
         /// The task.
         task: TaskId,
         /// The run.
@@ -27,7 +27,7 @@
     /// A task has a run that the worker's record does not have.
     RunWithoutWorker {
         /// The worker's life.
-        instance: String,
+        incarnation: String,
         /// The task.
         task: TaskId,
         /// The run.
@@ -38,7 +38,7 @@
         /// The job.
         job: JobId,
         /// Which time of it.
-        time: u32,
+        occurrence: u32,
         /// Which of its steps.
         step: usize,
     },
@@ -65,30 +65,31 @@
                 )
             }
             Inconsistency::RunWithoutTask {
-                instance,
+                incarnation,
                 task,
                 run,
             } => {
                 write!(
                     f,
-                    "run {run} of {task} is on record for {instance}, and not for the task"
+                    "run {run} of {task} is on record for {incarnation}, and not for the task"
                 )
             }
             Inconsistency::RunWithoutWorker {
-                instance,
+                incarnation,
                 task,
                 run,
             } => {
                 write!(
                     f,
-                    "run {run} of {task} is on record for the task, and not for {instance}"
+                    "run {run} of {task} is on record for the task, and not for {incarnation}"
                 )
             }
-            Inconsistency::DoneTasks { job, time, step } => {
-                write!(
-                    f,
-                    "job {job}, time {time}, step {step}: the count of its done tasks is wrong"
-                )
+            Inconsistency::DoneTasks {
+                job,
+                occurrence,
+                step,
+            } => {
+                write!(f, "job {job}, time {occurrence}, step {step}: the count of its done tasks is wrong")
             }
             Inconsistency::Times { job } => write!(f, "job {job}: its times do not fit together"),
             Inconsistency::Configuration => {
@@ -117,7 +118,7 @@
 
     fn check_open_jobs(&self, found: &mut Vec<Inconsistency>) {
         let mut counted: BTreeMap<&str, u64> = BTreeMap::new();
-        for job in self.jobs.values().filter(|job| !job.phase.ended()) {
+        for job in self.jobs.values().filter(|job| !job.phase.is_terminal()) {
             *counted.entry(&job.submission.queue).or_default() += 1;
         }
         let queues = self
@@ -140,19 +141,19 @@
     }
 
     fn check_workers(&self, found: &mut Vec<Inconsistency>) {
-        for (instance, worker) in &self.workers {
+        for (incarnation, worker) in &self.workers {
             for (task, run) in &worker.runs {
                 let state = self.jobs.get(&task.job).and_then(|job| job.task(task));
                 let on_record = |state: &crate::TaskState| {
                     state
                         .active
                         .iter()
-                        .any(|active| active.run == *run && active.instance == *instance)
+                        .any(|active| active.run == *run && active.incarnation == *incarnation)
                 };
                 if !state.is_some_and(on_record) {
-                    let instance = instance.clone();
+                    let incarnation = incarnation.clone();
                     found.push(Inconsistency::RunWithoutTask {
-                        instance,
+                        incarnation,
                         task: *task,
                         run: *run,
                     });
@@ -162,23 +163,26 @@
     }
 
     fn check_job(&self, id: JobId, job: &Job, found: &mut Vec<Inconsistency>) {
-        let due = job.times.keys().all(|time| *time < job.next_time);
-        if !due || job.times_done > job.next_time {
+        let due = job
+            .occurrences
+            .keys()
+            .all(|occurrence| *occurrence < job.next_occurrence);
+        if !due || job.occurrences_done > job.next_occurrence {
             found.push(Inconsistency::Times { job: id });
         }
-        for (time, steps) in &job.times {
+        for (occurrence, steps) in &job.occurrences {
             for (position, step) in steps.steps.iter().enumerate() {
                 if step.done as usize != step.tasks.iter().filter(|task| task.done).count() {
                     found.push(Inconsistency::DoneTasks {
                         job: id,
-                        time: *time,
+                        occurrence: *occurrence,
                         step: position,
                     });
                 }
                 for (index, task) in step.tasks.iter().enumerate() {
                     let name = TaskId {
                         job: id,
-                        time: *time,
+                        occurrence: *occurrence,
                         step: position as u32,
                         index: index as u32,
                     };
@@ -190,11 +194,11 @@
 
     fn check_runs(&self, task: TaskId, state: &crate::TaskState, found: &mut Vec<Inconsistency>) {
         for active in &state.active {
-            let worker = self.workers.get(&active.instance);
+            let worker = self.workers.get(&active.incarnation);
             if worker.and_then(|worker| worker.runs.get(&task)) != Some(&active.run) {
-                let (instance, run) = (active.instance.clone(), active.run);
+                let (incarnation, run) = (active.incarnation.clone(), active.run);
                 found.push(Inconsistency::RunWithoutWorker {
-                    instance,
+                    incarnation,
                     task,
                     run,
                 });
--- a/system/jobs/src/job.rs
+++ b/system/jobs/src/job.rs
@@ -1,5 +1,7 @@
 //! A job's state: its times, steps, tasks and runs.
-use magpiegap_protocol::{EndKind, JobPhase, RunEnd, RunId, Submission, TaskId, WallMillis};
+use magpiegap_protocol::{
+    CompletionKind, JobPhase, RunCompletion, RunId, Submission, TaskId, WallMillis,
+};
 use minicbor::{Decode, Encode};
 use std::collections::BTreeMap;
 
@@ -11,7 +13,7 @@
     pub run: RunId,
     /// The worker's life.
     #[n(1)]
-    pub instance: String,
+    pub incarnation: String,
     /// The checkpoint that it goes on from; empty: none.
     #[n(2)]
     pub checkpoint: String,
@@ -59,7 +61,7 @@
 
     /// Takes note of the end of a run. Returns how many runs of its task, or of the gang, have failed so far if this one
     /// has; else zero.
-    pub(crate) fn note_end(&mut self, end: &RunEnd, gang: bool, lasting: bool) -> u32 {
+    pub(crate) fn note_end(&mut self, end: &RunCompletion, gang: bool, lasting: bool) -> u32 {
         let Some(task) = self.tasks.get_mut(end.task.index as usize) else {
             return 0;
         };
@@ -67,27 +69,30 @@
             task.checkpoint = end.checkpoint.clone();
         }
         match end.kind {
-            EndKind::Done if lasting => {}
-            EndKind::Done if gang => {
+            CompletionKind::Done if lasting => {}
+            CompletionKind::Done if gang => {
                 // The members of a gang end together: one such end counts for all.
                 self.tasks.iter_mut().for_each(|task| task.done = true);
                 self.done = self.tasks.len() as u32;
             }
-            EndKind::Done => {
+            CompletionKind::Done => {
                 self.done += u32::from(!task.done);
                 task.done = true;
             }
-            EndKind::Failed if gang => {
+            CompletionKind::Failed if gang => {
                 if self.gang_failures.1 < end.run {
                     self.gang_failures = (self.gang_failures.0 + 1, end.run);
                 }
                 return self.gang_failures.0;
             }
-            EndKind::Failed => {
+            CompletionKind::Failed => {
                 task.failures += 1;
                 return task.failures;
             }
-            EndKind::Stopped | EndKind::Lapsed | EndKind::Broken | EndKind::Alone => {}
+            CompletionKind::Stopped
+            | CompletionKind::Lapsed
+            | CompletionKind::Broken
+            | CompletionKind::Alone => {}
         }
         0
     }
@@ -95,13 +100,13 @@
 
 /// The steps at one time of a job.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
-pub struct TimeState {
+pub struct OccurrenceState {
     /// One for each step.
     #[n(0)]
     pub steps: Vec<StepState>,
 }
 
-impl TimeState {
+impl OccurrenceState {
     /// Whether all steps are done.
     pub fn is_done(&self) -> bool {
         self.steps.iter().all(StepState::is_done)
@@ -127,16 +132,16 @@
     pub phase: JobPhase,
     /// The times that have fallen due and have not been cleared away.
     #[n(2)]
-    pub times: BTreeMap<u32, TimeState>,
+    pub occurrences: BTreeMap<u32, OccurrenceState>,
     /// The next time to fall due.
     #[n(3)]
-    pub next_time: u32,
+    pub next_occurrence: u32,
     /// How many times are done.
     #[n(4)]
-    pub times_done: u32,
+    pub occurrences_done: u32,
     /// When it ended, by the time of day of the head; zero: it has not.
     #[n(5)]
-    pub ended_ms: WallMillis,
+    pub completed_ms: WallMillis,
 }
 
 impl Job {
@@ -146,20 +151,23 @@
         let mut job = Job {
             submission,
             phase: JobPhase::Pending,
-            times: BTreeMap::new(),
-            next_time: 0,
-            times_done: 0,
-            ended_ms: 0,
+            occurrences: BTreeMap::new(),
+            next_occurrence: 0,
+            occurrences_done: 0,
+            completed_ms: WallMillis::default(),
         };
         if at_once {
-            job.open_time(0);
+            job.open_occurrence(0);
         }
         job
     }
 
     /// Lets a time fall due; does nothing for any but the next one.
-    pub fn open_time(&mut self, time: u32) -> bool {
-        if time != self.next_time || time >= self.submission.spec.times() || self.phase.ended() {
+    pub fn open_occurrence(&mut self, occurrence: u32) -> bool {
+        if occurrence != self.next_occurrence
+            || occurrence >= self.submission.spec.occurrences()
+            || self.phase.is_terminal()
+        {
             return false;
         }
         let steps = self.submission.spec.steps.iter();
@@ -167,51 +175,55 @@
             tasks: vec![TaskState::default(); step.count as usize],
             ..StepState::default()
         });
-        self.times.insert(
-            time,
-            TimeState {
+        self.occurrences.insert(
+            occurrence,
+            OccurrenceState {
                 steps: steps.collect(),
             },
         );
-        self.next_time += 1;
+        self.next_occurrence += 1;
         true
     }
 
     /// A task's state.
     pub fn task(&self, task: &TaskId) -> Option<&TaskState> {
-        let step = self.times.get(&task.time)?.steps.get(task.step as usize)?;
+        let step = self
+            .occurrences
+            .get(&task.occurrence)?
+            .steps
+            .get(task.step as usize)?;
         step.tasks.get(task.index as usize)
     }
 
     pub(crate) fn step_mut(&mut self, task: &TaskId) -> Option<&mut StepState> {
-        self.times
-            .get_mut(&task.time)?
+        self.occurrences
+            .get_mut(&task.occurrence)?
             .steps
             .get_mut(task.step as usize)
     }
 
     /// Whether any run may be going on.
     pub fn has_active(&self) -> bool {
-        self.times.values().any(TimeState::has_active)
+        self.occurrences.values().any(OccurrenceState::has_active)
     }
 
     /// Ends the job.
     pub(crate) fn end(&mut self, phase: JobPhase, at: WallMillis) {
         self.phase = phase;
-        self.ended_ms = at.max(1);
+        self.completed_ms = at.max(WallMillis(1));
     }
 
     /// Drops what can't be needed any more.
     pub(crate) fn clear_away(&mut self) {
-        if self.phase.ended() {
+        if self.phase.is_terminal() {
             if !self.has_active() {
-                self.times.clear();
+                self.occurrences.clear();
                 self.submission.spec.steps.clear();
                 self.submission.spec.spec = String::new();
             }
             return;
         }
-        self.times
-            .retain(|_, time| !time.is_done() || time.has_active());
+        self.occurrences
+            .retain(|_, occurrence| !occurrence.is_done() || occurrence.has_active());
     }
 }
--- a/system/jobs/src/lib.rs
+++ b/system/jobs/src/lib.rs
@@ -10,21 +10,22 @@
 mod change;
 mod configuration;
 mod consistency;
-mod frozen;
+
 mod job;
 mod readiness;
 mod route;
 mod route_table;
 mod shared;
+mod snapshot;
 mod state;
 
 pub use change::{Applied, Change, Outcome};
 pub use configuration::{Configuration, ConfigurationError, Limits, Service};
 pub use consistency::Inconsistency;
-pub use frozen::{FrozenState, StateBuilder};
-pub use job::{ActiveRun, Job, StepState, TaskState, TimeState};
+pub use job::{ActiveRun, Job, OccurrenceState, StepState, TaskState};
 pub use readiness::{startable, Startable};
 pub use route::Route;
 pub use route_table::RouteTable;
 pub use shared::Shared;
+pub use snapshot::{JobsSnapshot, SnapshotBuilder};
 pub use state::{ConfigurationState, RoleState, State, WorkerRecord};
--- a/system/jobs/src/readiness.rs
+++ b/system/jobs/src/readiness.rs
@@ -24,10 +24,10 @@
 /// The tasks of a job whose turn has come and that have no run going on.
 pub fn startable(job: &Job) -> Vec<Startable> {
     let mut found = Vec::new();
-    if job.phase.ended() {
+    if job.phase.is_terminal() {
         return found;
     }
-    for (&time, state) in &job.times {
+    for (&occurrence, state) in &job.occurrences {
         for (position, step) in state.steps.iter().enumerate() {
             let Some(spec) = job.submission.spec.steps.get(position) else {
                 continue;
@@ -39,7 +39,7 @@
             if ready && !step.is_done() {
                 let first = TaskId {
                     job: job.submission.job,
-                    time,
+                    occurrence,
                     step: position as u32,
                     index: 0,
                 };
--- a/system/jobs/src/state.rs
+++ b/system/jobs/src/state.rs
@@ -1,6 +1,6 @@
 //! The whole replicated state.
 use crate::{Job, Shared};
-use magpiegap_protocol::{JobId, Position, Replica, Role, RunId, TaskId};
+use magpiegap_protocol::{FencingToken, JobId, LogPosition, ReplicaId, Role, RunId, TaskId};
 use minicbor::{Decode, Encode};
 use std::collections::BTreeMap;
 
@@ -41,10 +41,10 @@
 pub struct RoleState {
     /// The holder.
     #[n(0)]
-    pub holder: Replica,
+    pub holder: ReplicaId,
     /// Rises with each holder.
     #[n(1)]
-    pub token: u64,
+    pub token: FencingToken,
 }
 
 /// What is kept of one life of a worker.
@@ -66,7 +66,7 @@
 pub struct State {
     /// The last entry applied.
     #[n(0)]
-    pub position: Position,
+    pub position: LogPosition,
     /// The configuration.
     #[n(1)]
     pub configuration: ConfigurationState,
@@ -86,8 +86,10 @@
 
 impl State {
     /// A role's current token; zero for one that was never held.
-    pub fn token(&self, role: &Role) -> u64 {
-        self.roles.get(role).map_or(0, |state| state.token)
+    pub fn token(&self, role: &Role) -> FencingToken {
+        self.roles
+            .get(role)
+            .map_or(FencingToken::default(), |state| state.token)
     }
 
     /// A job that is to be changed.
--- a/system/jobs/tests/common/mod.rs
+++ b/system/jobs/tests/common/mod.rs
@@ -1,36 +1,45 @@
 //! What the stories of the state share.
 #![allow(dead_code)]
 use magpiegap_jobs::{Applied, State};
-use magpiegap_protocol::{Command, Entry, Fence, Member, Position, ProposalId, Replica};
+use magpiegap_protocol::{
+    Command, Entry, LogPosition, Member, ProposalId, ReplicaId, RoleToken, ViewNumber, WallMillis,
+};
 
 /// Who proposes.
-pub fn replica() -> Replica {
-    Replica {
+pub(crate) fn replica() -> ReplicaId {
+    ReplicaId {
         member: Member {
             address: 1,
             disk: 0,
         },
-        boot: 1,
+        incarnation: 1,
     }
 }
 
 /// Applies a command as the holder of a role, or of none.
-pub fn apply_as(state: &mut State, fence: Option<Fence>, command: Command) -> Applied {
+pub(crate) fn apply_as(
+    state: &mut State,
+    role_token: Option<RoleToken>,
+    command: Command,
+) -> Applied {
     let index = state.position.index + 1;
     let proposal = ProposalId {
         origin: replica(),
-        sequence: index,
+        sequence: index.0,
     };
     state.apply(&Entry {
-        position: Position { view: 1, index },
+        position: LogPosition {
+            view: ViewNumber(1),
+            index,
+        },
         proposal,
-        fence,
+        role_token,
         command,
-        wall_ms: 1000 + index,
+        wall_ms: WallMillis(1000 + index.0),
     })
 }
 
 /// Applies a command.
-pub fn apply(state: &mut State, command: Command) -> Applied {
+pub(crate) fn apply(state: &mut State, command: Command) -> Applied {
     apply_as(state, None, command)
 }
--- a/system/jobs/tests/consistency.rs
+++ b/system/jobs/tests/consistency.rs
@@ -5,7 +5,8 @@
 use googletest::prelude::*;
 use magpiegap_jobs::{Inconsistency, State};
 use magpiegap_protocol::{
-    Command, EndKind, JobId, JobSpec, RunEnd, RunStart, StepSpec, Submission, TaskId,
+    Command, CompletionKind, JobId, JobSpec, RunCompletion, RunStart, StepSpec, Submission, TaskId,
+    WallMillis,
 };
 
 const JOB: JobId = JobId(7);
@@ -14,7 +15,7 @@
 fn task(index: u32) -> TaskId {
     TaskId {
         job: JOB,
-        time: 0,
+        occurrence: 0,
         step: 0,
         index,
     }
@@ -30,7 +31,7 @@
         max_attempts: 2,
         stretch: 2.0,
         target_latency_ms: 100,
-        submitted_ms: 0,
+        submitted_ms: WallMillis(0),
         spec: JobSpec {
             steps: vec![StepSpec {
                 count: 2,
@@ -42,13 +43,13 @@
     let start = |index| RunStart {
         task: task(index),
         run: 1,
-        instance: "w".to_owned(),
+        incarnation: "w".to_owned(),
         checkpoint: String::new(),
     };
-    let end = RunEnd {
+    let end = RunCompletion {
         task: task(0),
         run: 1,
-        kind: EndKind::Done,
+        kind: CompletionKind::Done,
         checkpoint: String::new(),
     };
     let mut state = State::default();
@@ -62,8 +63,8 @@
     );
     apply(
         &mut state,
-        Command::NoteEnds {
-            instance: "w".to_owned(),
+        Command::RecordCompletions {
+            incarnation: "w".to_owned(),
             last_seen: 1,
             ends: vec![end],
         },
@@ -81,7 +82,7 @@
     let mut state = half_done();
     state.workers.get_mut("w").unwrap().runs.clear();
     let missing = Inconsistency::RunWithoutWorker {
-        instance: "w".to_owned(),
+        incarnation: "w".to_owned(),
         task: task(1),
         run: 1,
     };
@@ -94,7 +95,7 @@
     state.jobs.clear();
     let found = state.inconsistencies();
     let stray = Inconsistency::RunWithoutTask {
-        instance: "w".to_owned(),
+        incarnation: "w".to_owned(),
         task: task(1),
         run: 1,
     };
@@ -111,17 +112,17 @@
 fn given_counts_that_are_wrong_when_the_state_is_checked_then_each_is_named() {
     let mut state = half_done();
     let job = state.jobs.get_mut(&JOB).unwrap().make_mut();
-    job.times.get_mut(&0).unwrap().steps[0].done = 2;
-    job.times_done = 9;
+    job.occurrences.get_mut(&0).unwrap().steps[0].done = 2;
+    job.occurrences_done = 9;
     let step = Inconsistency::DoneTasks {
         job: JOB,
-        time: 0,
+        occurrence: 0,
         step: 0,
     };
-    let times = Inconsistency::Times { job: JOB };
+    let occurrences = Inconsistency::Times { job: JOB };
     expect_that!(
         state.inconsistencies(),
-        unordered_elements_are![eq(&step), eq(&times)]
+        unordered_elements_are![eq(&step), eq(&occurrences)]
     );
 }
 
--- a/system/jobs/tests/golden/samples.rs
+++ b/system/jobs/tests/golden/samples.rs
@@ -1,36 +1,37 @@
 //! A state with every kind of record, and every field of a record set to something of its own.
 use magpiegap_jobs::*;
 use magpiegap_protocol::*;
+use magpiegap_protocol::{FencingToken, LogIndex, ViewNumber, WallMillis};
 
-pub fn replica(n: u32) -> Replica {
+pub(crate) fn replica(n: u32) -> ReplicaId {
     let member = Member {
         address: 0x0a00_0000 + n,
         disk: 0xd15c_0000 + u64::from(n),
     };
-    Replica {
+    ReplicaId {
         member,
-        boot: 0xb007_0000_0000_0000 + u64::from(n),
+        incarnation: 0xb007_0000_0000_0000 + u64::from(n),
     }
 }
 
-pub fn task(job: u64) -> TaskId {
+pub(crate) fn task(job: u64) -> TaskId {
     TaskId {
         job: JobId(job),
-        time: 2,
+        occurrence: 2,
         step: 3,
         index: 4,
     }
 }
 
-pub fn active_run() -> ActiveRun {
+pub(crate) fn active_run() -> ActiveRun {
     ActiveRun {
         run: 5,
-        instance: "w-17/3".to_owned(),
+        incarnation: "w-17/3".to_owned(),
         checkpoint: "third".to_owned(),
     }
 }
 
-pub fn task_state() -> TaskState {
+pub(crate) fn task_state() -> TaskState {
     TaskState {
         done: true,
         last_run: 6,
@@ -40,7 +41,7 @@
     }
 }
 
-pub fn step_state() -> StepState {
+pub(crate) fn step_state() -> StepState {
     StepState {
         tasks: vec![task_state(), TaskState::default()],
         done: 8,
@@ -48,13 +49,13 @@
     }
 }
 
-pub fn time_state() -> TimeState {
-    TimeState {
+pub(crate) fn time_state() -> OccurrenceState {
+    OccurrenceState {
         steps: vec![step_state(), StepState::default()],
     }
 }
 
-pub fn submission(job: u64) -> Submission {
+pub(crate) fn submission(job: u64) -> Submission {
     let step = StepSpec {
         count: 11,
         estimated_ms: 45_000,
@@ -69,7 +70,7 @@
         max_attempts: 13,
         stretch: 1.75,
         target_latency_ms: 2500,
-        submitted_ms: 1_700_000_000_456,
+        submitted_ms: WallMillis(1_700_000_000_456),
         spec: JobSpec {
             spec: "frames".to_owned(),
             steps: vec![step],
@@ -78,18 +79,18 @@
     }
 }
 
-pub fn job(job: u64, phase: JobPhase) -> Job {
+pub(crate) fn job(job: u64, phase: JobPhase) -> Job {
     Job {
         submission: submission(job),
         phase,
-        times: [(14, time_state()), (300, TimeState::default())].into(),
-        next_time: 301,
-        times_done: 15,
-        ended_ms: 1_700_000_000_999,
+        occurrences: [(14, time_state()), (300, OccurrenceState::default())].into(),
+        next_occurrence: 301,
+        occurrences_done: 15,
+        completed_ms: WallMillis(1_700_000_000_999),
     }
 }
 
-pub fn configuration() -> ConfigurationState {
+pub(crate) fn configuration() -> ConfigurationState {
     ConfigurationState {
         version: 16,
         body: b"{\"version\":16}".to_vec(),
@@ -98,14 +99,14 @@
     }
 }
 
-pub fn role_state(n: u32) -> RoleState {
+pub(crate) fn role_state(n: u32) -> RoleState {
     RoleState {
         holder: replica(n),
-        token: 17 + u64::from(n),
+        token: FencingToken(17 + u64::from(n)),
     }
 }
 
-pub fn worker(ended: bool) -> WorkerRecord {
+pub(crate) fn worker(ended: bool) -> WorkerRecord {
     WorkerRecord {
         last_seen: 18,
         runs: [(task(1), 19), (task(2), 20)].into(),
@@ -114,7 +115,7 @@
 }
 
 /// With a job in each phase.
-pub fn state() -> State {
+pub(crate) fn state() -> State {
     let phases = [
         JobPhase::Pending,
         JobPhase::Running,
@@ -124,9 +125,9 @@
     ];
     let jobs = (1_u64..).zip(phases);
     State {
-        position: Position {
-            view: 21,
-            index: 70_001,
+        position: LogPosition {
+            view: ViewNumber(21),
+            index: LogIndex(70_001),
         },
         configuration: configuration(),
         roles: [
@@ -150,7 +151,7 @@
     }
 }
 
-pub fn service() -> Service {
+pub(crate) fn service() -> Service {
     Service {
         name: "render".to_owned(),
         health_path: "/healthy".to_owned(),
@@ -159,7 +160,7 @@
     }
 }
 
-pub fn limits() -> Limits {
+pub(crate) fn limits() -> Limits {
     Limits {
         max_body_bytes: 100_000,
         max_header_bytes: 9000,
@@ -167,7 +168,7 @@
     }
 }
 
-pub fn route() -> Route {
+pub(crate) fn route() -> Route {
     Route {
         name: "films".to_owned(),
         hostname: "films.example".to_owned(),
--- a/system/jobs/tests/state.rs
+++ b/system/jobs/tests/state.rs
@@ -5,8 +5,8 @@
 use googletest::prelude::*;
 use magpiegap_jobs::{startable, Change, Outcome, State};
 use magpiegap_protocol::{
-    Command, EndKind, Fence, JobId, JobPhase, JobSpec, Role, RunEnd, RunStart, StepSpec,
-    Submission, TaskId,
+    Command, CompletionKind, FencingToken, JobId, JobPhase, JobSpec, Role, RoleToken,
+    RunCompletion, RunStart, StepSpec, Submission, TaskId, WallMillis,
 };
 
 const JOB: JobId = JobId(7);
@@ -27,7 +27,7 @@
         max_attempts: 2,
         stretch: 2.0,
         target_latency_ms: 100,
-        submitted_ms: 0,
+        submitted_ms: WallMillis(0),
         spec: JobSpec {
             steps,
             ..JobSpec::default()
@@ -49,17 +49,17 @@
 fn task(step: u32, index: u32) -> TaskId {
     TaskId {
         job: JOB,
-        time: 0,
+        occurrence: 0,
         step,
         index,
     }
 }
 
-fn start(step: u32, index: u32, run: u32, instance: &str) -> RunStart {
+fn start(step: u32, index: u32, run: u32, incarnation: &str) -> RunStart {
     RunStart {
         task: task(step, index),
         run,
-        instance: instance.to_owned(),
+        incarnation: incarnation.to_owned(),
         checkpoint: String::new(),
     }
 }
@@ -70,12 +70,12 @@
 
 fn end(
     state: &mut State,
-    instance: &str,
+    incarnation: &str,
     number: u64,
     start: &RunStart,
-    kind: EndKind,
+    kind: CompletionKind,
 ) -> magpiegap_jobs::Applied {
-    let ends = vec![RunEnd {
+    let ends = vec![RunCompletion {
         task: start.task,
         run: start.run,
         kind,
@@ -83,8 +83,8 @@
     }];
     apply(
         state,
-        Command::NoteEnds {
-            instance: instance.to_owned(),
+        Command::RecordCompletions {
+            incarnation: incarnation.to_owned(),
             last_seen: number,
             ends,
         },
@@ -107,7 +107,7 @@
     let first = start(0, 0, 1, "a");
     start_runs(&mut state, vec![first.clone()]);
     expect_that!(startable(&state.jobs[&JOB]).len(), eq(0));
-    end(&mut state, "a", 1, &first, EndKind::Done);
+    end(&mut state, "a", 1, &first, CompletionKind::Done);
     expect_that!(startable(&state.jobs[&JOB]).len(), eq(2));
     expect_that!(phase(&state), eq(JobPhase::Running));
 }
@@ -119,7 +119,7 @@
     expect_that!(state.open_jobs.get("h/q/"), some(eq(&1)));
     let first = start(0, 0, 1, "a");
     start_runs(&mut state, vec![first.clone()]);
-    end(&mut state, "a", 1, &first, EndKind::Done);
+    end(&mut state, "a", 1, &first, CompletionKind::Done);
     expect_that!(phase(&state), eq(JobPhase::Succeeded));
     expect_that!(state.open_jobs.get("h/q/"), none());
 }
@@ -140,7 +140,7 @@
     submit(&mut state, submission(vec![step(2)]));
     let first = start(0, 0, 1, "a");
     start_runs(&mut state, vec![first.clone()]);
-    end(&mut state, "a", 1, &first, EndKind::Done);
+    end(&mut state, "a", 1, &first, CompletionKind::Done);
     expect_that!(
         start_runs(&mut state, vec![start(0, 0, 2, "a")]).outcome,
         eq(Outcome::Void)
@@ -155,7 +155,13 @@
         expect_that!(phase(&state), not(eq(JobPhase::Failed)));
         let started = start(0, 0, run, "a");
         start_runs(&mut state, vec![started.clone()]);
-        end(&mut state, "a", u64::from(run), &started, EndKind::Failed);
+        end(
+            &mut state,
+            "a",
+            u64::from(run),
+            &started,
+            CompletionKind::Failed,
+        );
     }
     expect_that!(phase(&state), eq(JobPhase::Failed));
     expect_that!(
@@ -172,9 +178,9 @@
         let started = start(0, 0, run, "a");
         start_runs(&mut state, vec![started.clone()]);
         let kind = if run % 2 == 0 {
-            EndKind::Lapsed
+            CompletionKind::Lapsed
         } else {
-            EndKind::Stopped
+            CompletionKind::Stopped
         };
         end(&mut state, "a", u64::from(run), &started, kind);
     }
@@ -195,7 +201,7 @@
         .map(|index| start(0, index, 1, &format!("w{index}")))
         .collect();
     start_runs(&mut state, runs.clone());
-    end(&mut state, "w1", 1, &runs[1], EndKind::Done);
+    end(&mut state, "w1", 1, &runs[1], CompletionKind::Done);
     expect_that!(phase(&state), eq(JobPhase::Succeeded));
 }
 
@@ -213,8 +219,8 @@
         .map(|index| start(0, index, 1, &format!("w{index}")))
         .collect();
     start_runs(&mut state, runs.clone());
-    end(&mut state, "w0", 1, &runs[0], EndKind::Failed);
-    end(&mut state, "w1", 1, &runs[1], EndKind::Failed);
+    end(&mut state, "w0", 1, &runs[0], CompletionKind::Failed);
+    end(&mut state, "w1", 1, &runs[1], CompletionKind::Failed);
     expect_that!(phase(&state), eq(JobPhase::Running));
     let counts: Vec<u32> = startable(&state.jobs[&JOB])
         .iter()
@@ -230,7 +236,7 @@
     let first = start(0, 0, 1, "a");
     start_runs(&mut state, vec![first.clone()]);
     apply(&mut state, Command::CancelJob { job: JOB });
-    end(&mut state, "a", 1, &first, EndKind::Stopped);
+    end(&mut state, "a", 1, &first, CompletionKind::Stopped);
     expect_that!(phase(&state), eq(JobPhase::Cancelled));
     expect_that!(startable(&state.jobs[&JOB]), is_empty());
     expect_that!(
@@ -245,8 +251,8 @@
     submit(&mut state, submission(vec![step(2)]));
     let first = start(0, 0, 1, "a");
     start_runs(&mut state, vec![first.clone()]);
-    end(&mut state, "a", 1, &first, EndKind::Failed);
-    let again = end(&mut state, "a", 1, &first, EndKind::Failed);
+    end(&mut state, "a", 1, &first, CompletionKind::Failed);
+    let again = end(&mut state, "a", 1, &first, CompletionKind::Failed);
     expect_that!(again.outcome, eq(Outcome::Repeated));
     expect_that!(
         state.jobs[&JOB].task(&task(0, 0)).map(|task| task.failures),
@@ -259,28 +265,42 @@
     let mut state = State::default();
     let mut timed = submission(vec![step(1)]);
     timed.spec.repeat_count = 2;
-    timed.spec.start_at_ms = 5000;
+    timed.spec.start_at_ms = WallMillis(5000);
     timed.spec.interval_ms = 100;
     submit(&mut state, timed);
     expect_that!(startable(&state.jobs[&JOB]), is_empty());
-    for time in 0..2 {
+    for occurrence in 0..2 {
         expect_that!(
-            apply(&mut state, Command::OpenTime { job: JOB, time }).outcome,
+            apply(
+                &mut state,
+                Command::OpenOccurrence {
+                    job: JOB,
+                    occurrence
+                }
+            )
+            .outcome,
             eq(Outcome::Done)
         );
         expect_that!(
-            apply(&mut state, Command::OpenTime { job: JOB, time }).outcome,
+            apply(
+                &mut state,
+                Command::OpenOccurrence {
+                    job: JOB,
+                    occurrence
+                }
+            )
+            .outcome,
             eq(Outcome::Void)
         );
         let mut started = start(0, 0, 1, "a");
-        started.task.time = time;
+        started.task.occurrence = occurrence;
         start_runs(&mut state, vec![started.clone()]);
         end(
             &mut state,
             "a",
-            u64::from(time) + 1,
+            u64::from(occurrence) + 1,
             &started,
-            EndKind::Done,
+            CompletionKind::Done,
         );
     }
     expect_that!(phase(&state), eq(JobPhase::Succeeded));
@@ -293,10 +313,10 @@
     lasting.spec.long_running = true;
     submit(&mut state, lasting);
     for (run, kind) in [
-        (1, EndKind::Done),
-        (2, EndKind::Failed),
-        (3, EndKind::Failed),
-        (4, EndKind::Failed),
+        (1, CompletionKind::Done),
+        (2, CompletionKind::Failed),
+        (3, CompletionKind::Failed),
+        (4, CompletionKind::Failed),
     ] {
         let started = start(0, 0, run, "a");
         start_runs(&mut state, vec![started.clone()]);
@@ -313,8 +333,8 @@
     start_runs(&mut state, vec![start(0, 0, 1, "a"), start(0, 1, 1, "a")]);
     let applied = apply(
         &mut state,
-        Command::LoseInstance {
-            instance: "a".to_owned(),
+        Command::LoseIncarnation {
+            incarnation: "a".to_owned(),
             ended: true,
         },
     );
@@ -337,12 +357,21 @@
         holder: replica(),
         expected,
     };
-    expect_that!(apply(&mut state, claim(0)).outcome, eq(Outcome::Done));
-    expect_that!(apply(&mut state, claim(0)).outcome, eq(Outcome::Void));
-    expect_that!(apply(&mut state, claim(1)).outcome, eq(Outcome::Done));
-    let old = Some(Fence {
+    expect_that!(
+        apply(&mut state, claim(FencingToken(0))).outcome,
+        eq(Outcome::Done)
+    );
+    expect_that!(
+        apply(&mut state, claim(FencingToken(0))).outcome,
+        eq(Outcome::Void)
+    );
+    expect_that!(
+        apply(&mut state, claim(FencingToken(1))).outcome,
+        eq(Outcome::Done)
+    );
+    let old = Some(RoleToken {
         role: role.clone(),
-        token: 1,
+        token: FencingToken(1),
     });
     let command = Command::SubmitJob {
         submission: Box::new(submission(vec![step(1)])),
--- a/system/jobs/tests/stored_bytes.rs
+++ b/system/jobs/tests/stored_bytes.rs
@@ -10,7 +10,10 @@
 use golden::{hex, Stored};
 use googletest::prelude::*;
 use magpiegap_jobs::*;
-use magpiegap_protocol::{Command, Entry, JobId, JobPhase, Position, ProposalId, RunStart, TaskId};
+use magpiegap_protocol::{
+    Command, Entry, JobId, JobPhase, LogIndex, LogPosition, ProposalId, RunStart, TaskId,
+    ViewNumber, WallMillis,
+};
 use samples::*;
 
 #[googletest::test]
@@ -67,8 +70,11 @@
 #[googletest::test]
 fn the_parts_of_a_frozen_state_keep_their_bytes() {
     let mut stored = Stored::read(include_str!("golden/frozen.hex"));
-    let small = state().freeze();
-    expect_that!((small.parts(), small.position()), eq((2, state().position)));
+    let small = state().snapshot();
+    expect_that!(
+        (small.chunks(), small.position()),
+        eq((2, state().position))
+    );
     // Each part is a state with some of the records.
     stored.keeps(
         "all-but-the-jobs",
@@ -84,22 +90,22 @@
             ..State::default()
         },
     );
-    let parts = stored_parts().map(|part| hex(&part));
-    expect_that!(parts_of(&small), eq(&parts.to_vec()));
-    expect_that!(small.part(2), is_empty());
+    let chunks = stored_parts().map(|chunk| hex(&chunk));
+    expect_that!(parts_of(&small), eq(&chunks.to_vec()));
+    expect_that!(small.chunk(2), is_empty());
     expect_that!(stored.faults(), is_empty());
 }
 
 #[googletest::test]
 fn a_state_is_rebuilt_from_the_stored_parts() {
-    let mut builder = StateBuilder::default();
-    for part in stored_parts() {
-        expect_that!(builder.add(&part), ok(anything()));
+    let mut builder = SnapshotBuilder::default();
+    for chunk in stored_parts() {
+        expect_that!(builder.add(&chunk), ok(anything()));
     }
     expect_that!(builder.finish(), some(eq(&state())));
     // A state in one piece is its only part.
     let mut stored = Stored::read(include_str!("golden/state.hex"));
-    let mut builder = StateBuilder::default();
+    let mut builder = SnapshotBuilder::default();
     expect_that!(
         builder.add(&stored.bytes("state").unwrap_or_default()),
         ok(anything())
@@ -113,7 +119,7 @@
     large.jobs = (1..=JOBS)
         .map(|id| (JobId(id), Shared::new(Job::new(submission(id)))))
         .collect();
-    let parts = parts_of(&large.freeze());
+    let chunks = parts_of(&large.snapshot());
     let jobs = |range: std::ops::RangeInclusive<u64>| {
         let jobs = large
             .jobs
@@ -130,9 +136,9 @@
     let expected = [head, jobs(1..=JOBS - 1), jobs(JOBS..=JOBS)];
     let expected: Vec<String> = expected
         .iter()
-        .map(|part| hex(&magpiegap_protocol::encode(part)))
+        .map(|chunk| hex(&magpiegap_protocol::encode(chunk)))
         .collect();
-    expect_that!(parts, eq(&expected));
+    expect_that!(chunks, eq(&expected));
 }
 
 /// What the commands of a log make of an empty state is kept as well as the form of it.
@@ -142,14 +148,14 @@
     let mut state = State::default();
     let task = |index| TaskId {
         job: JobId(1),
-        time: 0,
+        occurrence: 0,
         step: 0,
         index,
     };
     let run = |index| RunStart {
         task: task(index),
         run: 1,
-        instance: "w-17/3".to_owned(),
+        incarnation: "w-17/3".to_owned(),
         checkpoint: String::new(),
     };
     let commands = [
@@ -180,22 +186,25 @@
             origin: replica(1),
             sequence: index,
         };
-        let position = Position { view: 1, index };
+        let position = LogPosition {
+            view: ViewNumber(1),
+            index: LogIndex(index),
+        };
         state.apply(&Entry {
             position,
             proposal,
-            fence: None,
+            role_token: None,
             command,
-            wall_ms: 1000 + index,
+            wall_ms: WallMillis(1000 + index),
         });
     }
     stored.keeps("state", &state);
     expect_that!(stored.faults(), is_empty());
 }
 
-fn parts_of(frozen: &FrozenState) -> Vec<String> {
-    (0..frozen.parts())
-        .map(|number| hex(&frozen.part(number)))
+fn parts_of(frozen: &JobsSnapshot) -> Vec<String> {
+    (0..frozen.chunks())
+        .map(|number| hex(&frozen.chunk(number)))
         .collect()
 }
 
--- a/system/magpiegap/examples/recovery.rs
+++ b/system/magpiegap/examples/recovery.rs
@@ -2,12 +2,12 @@
 //!
 //! `cargo run --profile system -p magpiegap --example recovery` writes states as a coordinator does, into a folder for
 //! temporary files, and reads each back several times. It prints a line for each size.
-use magpiegap_control::{DurableRecord, Snapshot};
-use magpiegap_coordinator::{freeze, Machine};
+use magpiegap_control::{DurableRecord, DurableState};
+use magpiegap_coordinator::{take_snapshot, Machine};
 use magpiegap_jobs::State;
 use magpiegap_protocol::{
-    encode, Command, Entry, JobId, JobSpec, Member, Position, ProposalId, Replica, RunStart,
-    StepSpec, Submission, TaskId,
+    encode, Command, Entry, JobId, JobSpec, LogIndex, LogPosition, Member, ProposalId, ReplicaId,
+    RunStart, StepSpec, Submission, TaskId, ViewNumber, WallMillis,
 };
 use magpiegap_storage::{FolderDirectory, Store};
 use std::{error::Error, path::Path, time::Instant};
@@ -27,22 +27,25 @@
 const WORKERS: u64 = 400;
 
 fn entry(index: u64, command: Command) -> Entry {
-    let origin = Replica {
+    let origin = ReplicaId {
         member: Member {
             address: 1,
             disk: 0,
         },
-        boot: 1,
+        incarnation: 1,
     };
     Entry {
-        position: Position { view: 1, index },
+        position: LogPosition {
+            view: ViewNumber(1),
+            index: LogIndex(index),
+        },
         proposal: ProposalId {
             origin,
             sequence: index,
         },
-        fence: None,
+        role_token: None,
         command,
-        wall_ms: 1_700_000_000_000,
+        wall_ms: WallMillis(1_700_000_000_000),
     }
 }
 
@@ -62,7 +65,7 @@
         max_attempts: 3,
         stretch: 2.0,
         target_latency_ms: 1000,
-        submitted_ms: 1_700_000_000_000,
+        submitted_ms: WallMillis(1_700_000_000_000),
         spec: JobSpec {
             spec: "x".repeat(SPEC_BYTES),
             steps: (0..STEPS).map(step).collect(),
@@ -72,12 +75,12 @@
     let first = RunStart {
         task: TaskId {
             job: JobId(number),
-            time: 0,
+            occurrence: 0,
             step: 0,
             index: 0,
         },
         run: 1,
-        instance: format!("i-{:08x}", number % WORKERS),
+        incarnation: format!("i-{:08x}", number % WORKERS),
         checkpoint: String::new(),
     };
     Command::SubmitJob {
@@ -97,11 +100,12 @@
         address: 1,
         disk: 0,
     };
-    let mut snapshot = Snapshot::empty(0, Some(1), vec![member], freeze(&state));
-    snapshot.committed = jobs;
+    let mut snapshot =
+        DurableState::empty(0, Some(ViewNumber(1)), vec![member], take_snapshot(&state));
+    snapshot.committed = LogIndex(jobs);
     let (mut store, _) = Store::open(FolderDirectory::new(folder)?)?;
-    store.checkpoint(snapshot.parts())?;
-    let mut length = snapshot.parts().map(|part| part.len()).sum();
+    store.checkpoint(snapshot.chunks())?;
+    let mut length = snapshot.chunks().map(|chunk| chunk.len()).sum();
     for number in jobs - in_log + 1..=jobs {
         let record = encode(&DurableRecord::Entries(vec![entry(number, submit(number))]));
         length += record.len();
@@ -113,7 +117,8 @@
 /// Reads all, and applies what the log has beyond the snapshot, as a coordinator does.
 fn read(folder: &Path) -> Result<State, Box<dyn Error>> {
     let (_, recovered) = Store::open(FolderDirectory::new(folder)?)?;
-    let snapshot = Snapshot::recover(recovered.snapshot.unwrap_or_default(), &recovered.records)?;
+    let snapshot =
+        DurableState::recover(recovered.snapshot.unwrap_or_default(), &recovered.records)?;
     let mut state = Machine::recover(&snapshot)?.state;
     for entry in &snapshot.entries {
         state.apply(entry);
--- a/system/magpiegap/src/agent/link.rs
+++ b/system/magpiegap/src/agent/link.rs
@@ -7,7 +7,7 @@
     Agent, AgentSettings, Call, CallFailure, CallId, ConfigurationSource,
 };
 use magpiegap_jobs::Configuration;
-use magpiegap_protocol::{CoordinatorAnswer, Feed, Millis};
+use magpiegap_protocol::{CoordinatorResponse, Feed, Millis};
 use std::{
     net::{IpAddr, Ipv4Addr, SocketAddr},
     path::PathBuf,
@@ -68,7 +68,7 @@
 }
 
 /// The outcome of a call.
-type Outcome = (CallId, Result<CoordinatorAnswer, CallFailure>);
+type Outcome = (CallId, Result<CoordinatorResponse, CallFailure>);
 
 /// The link to the control plane.
 pub struct Link {
@@ -112,12 +112,12 @@
     /// Asks for news without end.
     pub async fn run(mut self) {
         loop {
-            for call in self.agent.due_calls(self.now()) {
+            for call in self.agent.poll_calls(self.now()) {
                 self.begin(call);
             }
             let pause = self
                 .agent
-                .next_due()
+                .next_timeout()
                 .map(|due| due.saturating_sub(self.now()).max(1));
             tokio::select! {
                 Some(ended) = self.calls.join_next() => {
@@ -139,8 +139,8 @@
         let client = self.client.clone();
         let address = SocketAddr::new(IpAddr::V4(Ipv4Addr::from(call.coordinator)), self.port);
         self.calls.spawn(async move {
-            let first_byte = Duration::from_millis(call.first_byte_ms);
-            let silence = Duration::from_millis(call.silence_ms);
+            let first_byte = Duration::from_millis(call.first_byte_timeout_ms);
+            let silence = Duration::from_millis(call.idle_timeout_ms);
             let answer = endpoint::call_while_bytes_come(
                 &client,
                 address,
@@ -157,7 +157,7 @@
         });
     }
 
-    fn take(&mut self, id: CallId, answer: Result<CoordinatorAnswer, CallFailure>) {
+    fn take(&mut self, id: CallId, answer: Result<CoordinatorResponse, CallFailure>) {
         if self.agent.answered(self.now(), id, answer) {
             self.published
                 .publish(self.agent.feed(), self.agent.configuration());
--- a/system/magpiegap/src/agent/mod.rs
+++ b/system/magpiegap/src/agent/mod.rs
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 /// When it can't start.
-pub async fn run(file: PathBuf, settings: NodeSettings) -> Result<(), ProgramError> {
+pub(crate) async fn run(file: PathBuf, settings: NodeSettings) -> Result<(), ProgramError> {
     let mut signals = Signals::heed()?;
     let published = Published::new();
     let address = settings.agent_address();
--- a/system/magpiegap/src/agent/server.rs
+++ b/system/magpiegap/src/agent/server.rs
@@ -3,7 +3,7 @@
 use crate::serving::read_body;
 use magpiegap_distribution::ConfigurationSource;
 use magpiegap_protocol::{
-    decode, encode, ConfigurationFetch, CoordinatorAnswer, CoordinatorRequest, Feed, FeedPoll,
+    decode, encode, ConfigurationFetch, CoordinatorRequest, CoordinatorResponse, Feed, FeedPoll,
 };
 use rocket::{
     data::Data,
@@ -18,35 +18,35 @@
 
 /// Answers the proxy's long polls, and hands it configurations.
 #[derive(Clone)]
-pub struct FeedHandler {
+pub(super) struct FeedHandler {
     published: Published,
 }
 
 impl FeedHandler {
     /// A handler that tells what is published here.
-    pub fn new(published: Published) -> FeedHandler {
+    pub(super) fn new(published: Published) -> FeedHandler {
         FeedHandler { published }
     }
 
-    async fn feed(&self, poll: &FeedPoll) -> CoordinatorAnswer {
+    async fn feed(&self, poll: &FeedPoll) -> CoordinatorResponse {
         let feed = self.wait(poll).await;
         let small_change = |configurations: &mut ConfigurationSource| {
             configurations.small_change(poll.configuration_version)
         };
         let change = self.published.with_configurations(small_change);
-        CoordinatorAnswer::Feed(Box::new(Feed {
+        CoordinatorResponse::Feed(Box::new(Feed {
             change,
             ..(*feed).clone()
         }))
     }
 
-    fn configuration(&self, fetch: &ConfigurationFetch) -> CoordinatorAnswer {
+    fn configuration(&self, fetch: &ConfigurationFetch) -> CoordinatorResponse {
         match self
             .published
-            .with_configurations(|configurations| configurations.part(fetch))
+            .with_configurations(|configurations| configurations.chunk(fetch))
         {
-            Some(part) => CoordinatorAnswer::ConfigurationPart(Box::new(part)),
-            None => CoordinatorAnswer::NotServing,
+            Some(chunk) => CoordinatorResponse::ConfigurationChunk(Box::new(chunk)),
+            None => CoordinatorResponse::NotServing,
         }
     }
 
--- a/system/magpiegap/src/clock.rs
+++ b/system/magpiegap/src/clock.rs
@@ -4,26 +4,26 @@
 
 /// A steady clock that counts from the start of the process, and the time of day.
 #[derive(Clone, Copy, Debug)]
-pub struct Clock {
+pub(crate) struct Clock {
     start: Instant,
 }
 
 impl Clock {
     /// Starts counting.
-    pub fn start() -> Clock {
+    pub(crate) fn start() -> Clock {
         Clock {
             start: Instant::now(),
         }
     }
 
     /// Milliseconds since the start, from one on.
-    pub fn now(&self) -> Millis {
+    pub(crate) fn now(&self) -> Millis {
         self.start.elapsed().as_millis() as Millis + 1
     }
 
     /// Milliseconds since 1970, as this machine has it.
-    pub fn wall(&self) -> WallMillis {
+    pub(crate) fn wall(&self) -> WallMillis {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
-        since.map_or(0, |since| since.as_millis() as WallMillis)
+        WallMillis(since.map_or(0, |since| since.as_millis() as u64))
     }
 }
--- a/system/magpiegap/src/coordinator/control_plane.rs
+++ b/system/magpiegap/src/coordinator/control_plane.rs
@@ -1,7 +1,7 @@
 //! The operator's interface.
 use super::{events::Handle, metrics};
 use crate::serving::read_body;
-use magpiegap_protocol::{CoordinatorAnswer, CoordinatorRequest, JobFilter, JobId, JobPhase};
+use magpiegap_protocol::{CoordinatorRequest, CoordinatorResponse, JobFilter, JobId, JobPhase};
 use rocket::{
     data::Data,
     http::{ContentType, Header, Method, RawStr, Status},
@@ -79,7 +79,7 @@
 
 /// Answers the operator.
 #[derive(Clone)]
-pub struct ControlPlaneHandler {
+pub(super) struct ControlPlaneHandler {
     handle: Handle,
     /// The port of this interface, the same at all coordinators.
     port: u16,
@@ -87,7 +87,7 @@
 
 impl ControlPlaneHandler {
     /// A handler for this coordinator.
-    pub fn new(handle: Handle, port: u16) -> ControlPlaneHandler {
+    pub(super) fn new(handle: Handle, port: u16) -> ControlPlaneHandler {
         ControlPlaneHandler { handle, port }
     }
 
@@ -113,14 +113,14 @@
             .ask(CoordinatorRequest::ReplaceConfiguration { base, body })
             .await
         {
-            Some(CoordinatorAnswer::ConfigurationInvalid(fault)) => {
+            Some(CoordinatorResponse::ConfigurationInvalid(fault)) => {
                 Reply::text(Status::BadRequest, fault)
             }
-            Some(CoordinatorAnswer::ConfigurationTaken) => Reply::text(Status::Ok, ""),
-            Some(CoordinatorAnswer::ConfigurationConflict) => {
+            Some(CoordinatorResponse::ConfigurationAccepted) => Reply::text(Status::Ok, ""),
+            Some(CoordinatorResponse::ConfigurationConflict) => {
                 Reply::text(Status::PreconditionFailed, "another version is in place")
             }
-            Some(CoordinatorAnswer::ConfigurationStale) => {
+            Some(CoordinatorResponse::ConfigurationStale) => {
                 Reply::text(Status::BadRequest, "version: must be above the current one")
             }
             _ => not_now(),
@@ -133,17 +133,17 @@
             .ask(CoordinatorRequest::DescribeConfiguration)
             .await
         {
-            Some(CoordinatorAnswer::Configuration(body)) if body.is_empty() => {
+            Some(CoordinatorResponse::Configuration(body)) if body.is_empty() => {
                 Reply::text(Status::NotFound, "there is no configuration yet")
             }
-            Some(CoordinatorAnswer::Configuration(body)) => Reply::json(body),
+            Some(CoordinatorResponse::Configuration(body)) => Reply::json(body),
             _ => not_now(),
         }
     }
 
     async fn cluster(&self) -> Reply {
         match self.handle.ask(CoordinatorRequest::Describe).await {
-            Some(CoordinatorAnswer::Description(text)) => Reply::json(text.into_bytes()),
+            Some(CoordinatorResponse::Description(text)) => Reply::json(text.into_bytes()),
             _ => not_now(),
         }
     }
@@ -155,7 +155,7 @@
             Err(fault) => return Reply::text(Status::BadRequest, fault),
         };
         match self.handle.ask(CoordinatorRequest::ListJobs(filter)).await {
-            Some(CoordinatorAnswer::Description(text)) => Reply::json(text.into_bytes()),
+            Some(CoordinatorResponse::Description(text)) => Reply::json(text.into_bytes()),
             _ => not_now(),
         }
     }
@@ -163,7 +163,7 @@
     /// The figures that monitoring systems scrape.
     async fn metrics(&self) -> Reply {
         let description = match self.handle.ask(CoordinatorRequest::Describe).await {
-            Some(CoordinatorAnswer::Description(text)) => serde_json::from_str(&text).ok(),
+            Some(CoordinatorResponse::Description(text)) => serde_json::from_str(&text).ok(),
             _ => None,
         };
         match description {
@@ -178,9 +178,11 @@
             return Reply::text(Status::BadRequest, "a job's name has 16 hexadecimal digits");
         };
         match self.handle.ask(CoordinatorRequest::Explain { job }).await {
-            Some(CoordinatorAnswer::Description(text)) => Reply::json(text.into_bytes()),
-            Some(CoordinatorAnswer::NoSuchJob) => Reply::text(Status::Gone, "there is no such job"),
-            Some(CoordinatorAnswer::Elsewhere(address)) => {
+            Some(CoordinatorResponse::Description(text)) => Reply::json(text.into_bytes()),
+            Some(CoordinatorResponse::NoSuchJob) => {
+                Reply::text(Status::Gone, "there is no such job")
+            }
+            Some(CoordinatorResponse::Elsewhere(address)) => {
                 let (ip, port) = (Ipv4Addr::from(address), self.port);
                 Reply::elsewhere(format!("http://{ip}:{port}{EXPLAIN}{name}"))
             }
--- a/system/magpiegap/src/coordinator/disk.rs
+++ b/system/magpiegap/src/coordinator/disk.rs
@@ -1,6 +1,6 @@
 //! The disk, on a thread of its own: all that waits is written with one sync.
 use super::events::Event;
-use magpiegap_control::{DurableRecord, Snapshot};
+use magpiegap_control::{DurableRecord, DurableState};
 use magpiegap_protocol::encode;
 use magpiegap_storage::{FolderDirectory, Store, StoreError};
 use std::{sync::mpsc, time::Duration};
@@ -10,7 +10,7 @@
 const RETRY: Duration = Duration::from_millis(250);
 
 /// Work for the disk.
-pub enum DiskWork {
+pub(super) enum DiskWork {
     /// Add records.
     Records {
         /// Names the work.
@@ -23,12 +23,12 @@
         /// Names the work.
         ticket: u64,
         /// What to keep.
-        snapshot: Box<Snapshot>,
+        snapshot: Box<DurableState>,
     },
 }
 
 /// Starts the thread.
-pub fn start(
+pub(super) fn start(
     store: Store<FolderDirectory>,
     events: UnboundedSender<Event>,
 ) -> mpsc::Sender<DiskWork> {
@@ -46,7 +46,7 @@
     while let Some(first) = next.take() {
         let ticket = match first {
             DiskWork::Checkpoint { ticket, snapshot } => {
-                retry(|| store.checkpoint(snapshot.parts()));
+                retry(|| store.checkpoint(snapshot.chunks()));
                 ticket
             }
             DiskWork::Records { ticket, records } => {
--- a/system/magpiegap/src/coordinator/driver.rs
+++ b/system/magpiegap/src/coordinator/driver.rs
@@ -6,7 +6,7 @@
 use crate::{clock::Clock, settings::NodeSettings};
 use magpiegap_control::Output as ControlOutput;
 use magpiegap_coordinator::{Coordinator, Output, RequestId};
-use magpiegap_protocol::{CoordinatorAnswer, Millis, PeerMessage, Replica};
+use magpiegap_protocol::{CoordinatorResponse, Millis, PeerMessage, ReplicaId};
 use std::{collections::HashMap, net::SocketAddr, path::PathBuf, time::Duration};
 use tokio::sync::{
     mpsc::{UnboundedReceiver, UnboundedSender},
@@ -21,7 +21,7 @@
 const MOST_EVENTS: usize = 64;
 
 /// What a coordinator is connected with.
-pub struct Links {
+pub(super) struct Links {
     /// The thread that does the disk's work.
     pub disk: std::sync::mpsc::Sender<DiskWork>,
     /// The other coordinators.
@@ -35,12 +35,12 @@
 }
 
 /// Drives a coordinator.
-pub struct Driver {
+pub(super) struct Driver {
     clock: Clock,
-    own: Replica,
+    own: ReplicaId,
     coordinator: Coordinator,
     links: Links,
-    answers: HashMap<RequestId, oneshot::Sender<CoordinatorAnswer>>,
+    answers: HashMap<RequestId, oneshot::Sender<CoordinatorResponse>>,
     next_request: RequestId,
     /// Messages of this coordinator to itself.
     to_self: Vec<PeerMessage>,
@@ -53,9 +53,9 @@
 
 impl Driver {
     /// A driver around a coordinator that has just started.
-    pub fn new(
+    pub(super) fn new(
         clock: Clock,
-        own: Replica,
+        own: ReplicaId,
         coordinator: Coordinator,
         links: Links,
         settings_file: PathBuf,
@@ -76,7 +76,7 @@
     }
 
     /// Takes events until it is dropped.
-    pub async fn run(
+    pub(super) async fn run(
         mut self,
         events: UnboundedSender<Event>,
         mut inbox: UnboundedReceiver<Event>,
@@ -133,10 +133,12 @@
         match event {
             Event::Peer { from, messages } => {
                 self.links.peers.heard(from);
-                self.coordinator.receive(now, wall, from, messages);
+                self.coordinator.handle_messages(now, wall, from, messages);
             }
-            Event::ConnectionRefused(address) => self.coordinator.connection_refused(now, address),
-            Event::Persisted(ticket) => self.coordinator.persisted(now, wall, ticket),
+            Event::ConnectionRefused(address) => {
+                self.coordinator.handle_connection_refused(now, address)
+            }
+            Event::Persisted(ticket) => self.coordinator.handle_persisted(now, wall, ticket),
             Event::Request { what, answer } => {
                 self.next_request += 1;
                 self.answers.insert(self.next_request, answer);
@@ -149,16 +151,18 @@
                 reply,
             } => {
                 self.coordinator
-                    .worker_reply(now, &service, token, call, reply);
+                    .handle_worker_reply(now, &service, token, call, reply);
+            }
+            Event::Platform { call, reply } => {
+                self.coordinator.handle_platform_reply(now, call, reply)
             }
-            Event::Platform { call, reply } => self.coordinator.platform_reply(now, call, reply),
         }
     }
 
     /// Does what the events have brought up, until nothing more comes up.
     fn finish(&mut self, events: &UnboundedSender<Event>) {
         loop {
-            for output in self.coordinator.take_outputs() {
+            for output in self.coordinator.poll_outputs() {
                 self.perform(output, events);
             }
             let to_self = std::mem::take(&mut self.to_self);
@@ -166,7 +170,8 @@
                 return;
             }
             let (now, wall) = (self.clock.now(), self.clock.wall());
-            self.coordinator.receive(now, wall, self.own, to_self);
+            self.coordinator
+                .handle_messages(now, wall, self.own, to_self);
         }
     }
 
--- a/system/magpiegap/src/coordinator/events.rs
+++ b/system/magpiegap/src/coordinator/events.rs
@@ -1,14 +1,16 @@
 //! What happens to a coordinator, and the way for requests into it.
 use magpiegap_coordinator::PlatformReply;
-use magpiegap_protocol::{CoordinatorAnswer, CoordinatorRequest, PeerMessage, Replica};
+use magpiegap_protocol::{
+    CoordinatorRequest, CoordinatorResponse, FencingToken, PeerMessage, ReplicaId,
+};
 use magpiegap_scheduler::WorkerReply;
 use tokio::sync::{mpsc::UnboundedSender, oneshot};
 
 /// Something that has happened.
-pub enum Event {
+pub(super) enum Event {
     /// Messages from another coordinator.
     Peer {
-        from: Replica,
+        from: ReplicaId,
         messages: Vec<PeerMessage>,
     },
     /// A connection to another coordinator's address was refused.
@@ -18,12 +20,12 @@
     /// Somebody asks.
     Request {
         what: CoordinatorRequest,
-        answer: oneshot::Sender<CoordinatorAnswer>,
+        answer: oneshot::Sender<CoordinatorResponse>,
     },
     /// A worker has answered, or has not in time.
     Worker {
         service: String,
-        token: u64,
+        token: FencingToken,
         call: u64,
         reply: WorkerReply,
     },
@@ -33,18 +35,18 @@
 
 /// The way for requests into the coordinator.
 #[derive(Clone)]
-pub struct Handle {
+pub(super) struct Handle {
     events: UnboundedSender<Event>,
 }
 
 impl Handle {
     /// Requests go in here.
-    pub fn new(events: UnboundedSender<Event>) -> Handle {
+    pub(super) fn new(events: UnboundedSender<Event>) -> Handle {
         Handle { events }
     }
 
     /// Asks, and waits for the answer; `None` when the coordinator is ending.
-    pub async fn ask(&self, what: CoordinatorRequest) -> Option<CoordinatorAnswer> {
+    pub(super) async fn ask(&self, what: CoordinatorRequest) -> Option<CoordinatorResponse> {
         let (answer, answered) = oneshot::channel();
         self.events.send(Event::Request { what, answer }).ok()?;
         answered.await.ok()
--- a/system/magpiegap/src/coordinator/metrics.rs
+++ b/system/magpiegap/src/coordinator/metrics.rs
@@ -33,7 +33,7 @@
 struct Figures(ClusterDescription);
 
 impl Collector for Figures {
-    fn encode(&self, mut encoder: DescriptorEncoder) -> Result<(), std::fmt::Error> {
+    fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), std::fmt::Error> {
         let cluster = &self.0;
         let gauges: [(&str, &str, u64); 11] = [
             ("view", "Number of the newest view", cluster.view),
@@ -95,7 +95,10 @@
 
 impl Figures {
     /// One line for each scheduler that this coordinator holds.
-    fn encode_schedulers(&self, encoder: &mut DescriptorEncoder) -> Result<(), std::fmt::Error> {
+    fn encode_schedulers(
+        &self,
+        encoder: &mut DescriptorEncoder<'_>,
+    ) -> Result<(), std::fmt::Error> {
         type Figure = fn(&Summary) -> usize;
         let figures: [(&str, &str, Figure); 5] = [
             ("scheduler_workers", "Workers known", |summary| {
@@ -130,7 +133,7 @@
         Ok(())
     }
 
-    fn encode_counters(&self, encoder: &mut DescriptorEncoder) -> Result<(), std::fmt::Error> {
+    fn encode_counters(&self, encoder: &mut DescriptorEncoder<'_>) -> Result<(), std::fmt::Error> {
         let counters = &self.0.counters;
         let figures = [
             (
--- a/system/magpiegap/src/coordinator/mod.rs
+++ b/system/magpiegap/src/coordinator/mod.rs
@@ -23,7 +23,7 @@
 use events::Handle;
 use magpiegap_control::ControlSettings;
 use magpiegap_coordinator::{Coordinator, CoordinatorSettings};
-use magpiegap_protocol::{Member, Replica};
+use magpiegap_protocol::{Member, ReplicaId};
 use magpiegap_scheduler::SchedulerSettings;
 use rand::Rng;
 use rocket::http::Method;
@@ -57,7 +57,7 @@
 ///
 /// # Errors
 /// When it can't start.
-pub async fn run(file: PathBuf, settings: NodeSettings) -> Result<(), ProgramError> {
+pub(crate) async fn run(file: PathBuf, settings: NodeSettings) -> Result<(), ProgramError> {
     let mut signals = Signals::heed()?;
     let clock = Clock::start();
     let (events, mut inbox) = mpsc::unbounded_channel();
@@ -72,12 +72,12 @@
         durable,
         machine,
     } = opened;
-    let own = Replica {
+    let own = ReplicaId {
         member: Member {
             address: u32::from(settings.ip),
             disk: durable.disk,
         },
-        boot: rand::thread_rng().gen(),
+        incarnation: rand::thread_rng().gen(),
     };
     let client = endpoint::client();
     let disk = disk::start(store, events.clone());
@@ -160,7 +160,7 @@
     serving::start(server).await.map(Some)
 }
 
-fn coordinator_settings(settings: &NodeSettings, own: Replica) -> CoordinatorSettings {
+fn coordinator_settings(settings: &NodeSettings, own: ReplicaId) -> CoordinatorSettings {
     let bounds = settings.bounds;
     CoordinatorSettings {
         control: ControlSettings {
@@ -170,7 +170,7 @@
             tolerance: settings.fault_tolerance.into(),
             heartbeat_ms: HEARTBEAT_MS,
             suspect_ms: SUSPECT_MS,
-            seed: own.boot,
+            seed: own.incarnation,
         },
         scheduler: SchedulerSettings {
             max_hold_ms: bounds.max_hold_ms as u64,
--- a/system/magpiegap/src/coordinator/peers.rs
+++ b/system/magpiegap/src/coordinator/peers.rs
@@ -1,7 +1,7 @@
 //! Connections between coordinators, with framed messages: each way one for entries and states, and one for what must
 //! not wait behind them.
 use super::events::Event;
-use magpiegap_protocol::{decode, encode, Envelope, PeerMessage, Replica};
+use magpiegap_protocol::{decode, encode, Envelope, PeerMessage, ReplicaId};
 use std::{
     collections::HashMap,
     io,
@@ -45,7 +45,7 @@
 
 impl Lane {
     /// A connection that is made once there is something to write.
-    fn start(own: Replica, address: SocketAddr) -> Lane {
+    fn start(own: ReplicaId, address: SocketAddr) -> Lane {
         let (messages, inbox) = mpsc::channel(MAX_WAITING);
         let restarted = Arc::new(Notify::new());
         tokio::spawn(write_to(own, address, inbox, restarted.clone()));
@@ -61,19 +61,19 @@
     urgent: Lane,
     data: Lane,
     /// The life of the process that was last heard there.
-    heard: Option<Replica>,
+    heard: Option<ReplicaId>,
 }
 
 /// The way to other coordinators.
-pub struct Peers {
-    own: Replica,
+pub(super) struct Peers {
+    own: ReplicaId,
     port: u16,
     links: HashMap<u32, PeerLink>,
 }
 
 impl Peers {
     /// Sends a message to the coordinator at an address; it may be lost.
-    pub fn send(&mut self, to: u32, message: PeerMessage) {
+    pub(super) fn send(&mut self, to: u32, message: PeerMessage) {
         let link = self.link(to);
         let lane = if message.is_urgent() {
             &link.urgent
@@ -84,7 +84,7 @@
     }
 
     /// A coordinator was heard: if its process is a new one, the connection to the old one is of no use.
-    pub fn heard(&mut self, from: Replica) {
+    pub(super) fn heard(&mut self, from: ReplicaId) {
         let link = self.link(from.member.address);
         if link.heard.replace(from) != Some(from) {
             link.urgent.restarted.notify_one();
@@ -109,8 +109,8 @@
 ///
 /// # Errors
 /// When the port can't be listened on.
-pub async fn start(
-    own: Replica,
+pub(super) async fn start(
+    own: ReplicaId,
     ip: Ipv4Addr,
     port: u16,
     events: UnboundedSender<Event>,
@@ -187,7 +187,7 @@
 
 /// Writes what waits, on a connection that is made anew whenever it breaks or the other end has started anew.
 async fn write_to(
-    own: Replica,
+    own: ReplicaId,
     address: SocketAddr,
     mut inbox: mpsc::Receiver<PeerMessage>,
     restarted: Arc<Notify>,
@@ -203,11 +203,11 @@
             first = inbox.recv() => first,
         };
         let Some(first) = first else { return };
-        let mut bytes = first.rough_bytes();
+        let mut bytes = first.estimated_bytes();
         let mut messages = vec![first];
         while bytes < FULL_FRAME {
             let Ok(more) = inbox.try_recv() else { break };
-            bytes += more.rough_bytes();
+            bytes += more.estimated_bytes();
             messages.push(more);
         }
         if connection.is_none() {
@@ -253,7 +253,7 @@
     }
 }
 
-fn frame(own: Replica, messages: Vec<PeerMessage>) -> Vec<u8> {
+fn frame(own: ReplicaId, messages: Vec<PeerMessage>) -> Vec<u8> {
     let body = encode(&Envelope {
         from: own,
         messages,
--- a/system/magpiegap/src/coordinator/platform_client.rs
+++ b/system/magpiegap/src/coordinator/platform_client.rs
@@ -41,7 +41,7 @@
 }
 
 /// Asks for a page of the list.
-pub async fn list(
+pub(super) async fn list(
     client: reqwest::Client,
     address: SocketAddr,
     page: Option<String>,
@@ -93,7 +93,7 @@
         Availability::Ready
     };
     WorkerEntry {
-        instance: instance.id,
+        incarnation: instance.id,
         service: instance.service,
         address: instance.address,
         zone: instance.zone,
--- a/system/magpiegap/src/coordinator/request_server.rs
+++ b/system/magpiegap/src/coordinator/request_server.rs
@@ -14,13 +14,13 @@
 
 /// Hands requests to the coordinator.
 #[derive(Clone)]
-pub struct RequestHandler {
+pub(super) struct RequestHandler {
     handle: Handle,
 }
 
 impl RequestHandler {
     /// A handler for this coordinator.
-    pub fn new(handle: Handle) -> RequestHandler {
+    pub(super) fn new(handle: Handle) -> RequestHandler {
         RequestHandler { handle }
     }
 }
--- a/system/magpiegap/src/coordinator/store.rs
+++ b/system/magpiegap/src/coordinator/store.rs
@@ -1,9 +1,9 @@
 //! Opens a coordinator's state on disk at the start.
 use super::events::Event;
 use crate::{error::ProgramError, settings::NodeSettings, signals::Signals};
-use magpiegap_control::{DurableState, Snapshot};
-use magpiegap_coordinator::{freeze, Machine};
-use magpiegap_protocol::{CoordinatorAnswer, Member};
+use magpiegap_control::DurableState;
+use magpiegap_coordinator::{take_snapshot, Machine};
+use magpiegap_protocol::{CoordinatorResponse, Member, ViewNumber};
 use magpiegap_storage::{FolderDirectory, Store};
 use rand::Rng;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 const LONGEST_RETRY: Duration = Duration::from_secs(10);
 
 /// What was found on disk.
-pub struct Opened {
+pub(super) struct Opened {
     /// Where more is kept.
     pub store: Store<FolderDirectory>,
     /// What was kept.
@@ -27,7 +27,7 @@
 /// Opens the state on disk. While it can't be read all requests are answered so that another coordinator is asked: a
 /// process that ended could not say so, and a disk that can't be read is never taken for an empty one. `None`: the process
 /// was told to end meanwhile.
-pub async fn open_when_readable(
+pub(super) async fn open_when_readable(
     settings: &NodeSettings,
     inbox: &mut UnboundedReceiver<Event>,
     signals: &mut Signals,
@@ -57,7 +57,7 @@
 async fn turn_away(inbox: &mut UnboundedReceiver<Event>) {
     while let Some(event) = inbox.recv().await {
         if let Event::Request { answer, .. } = event {
-            let _ = answer.send(CoordinatorAnswer::NotServing);
+            let _ = answer.send(CoordinatorResponse::NotServing);
         }
     }
 }
@@ -74,7 +74,7 @@
     })?;
     let (store, recovered) = Store::open(directory)?;
     let durable = match recovered.snapshot {
-        Some(parts) => Snapshot::recover(parts, &recovered.records)?,
+        Some(parts) => DurableState::recover(parts, &recovered.records)?,
         None => empty_state(settings),
     };
     let machine = Machine::recover(&durable)?;
@@ -90,11 +90,11 @@
     let mut voters: Vec<Member> = settings.seed_addresses().into_iter().map(voter).collect();
     voters.sort_unstable();
     voters.dedup();
-    let state = freeze(&magpiegap_jobs::State::default());
+    let state = take_snapshot(&magpiegap_jobs::State::default());
     if settings.bootstrap {
-        return Snapshot::empty(0, Some(0), voters, state);
+        return DurableState::empty(0, Some(ViewNumber(0)), voters, state);
     }
     // A disk that was lost has forgotten its votes: it comes back as another member, and knows nothing.
     let disk = rand::thread_rng().gen::<u64>().max(1);
-    Snapshot::empty(disk, None, Vec::new(), state)
+    DurableState::empty(disk, None, Vec::new(), state)
 }
--- a/system/magpiegap/src/coordinator/worker_client.rs
+++ b/system/magpiegap/src/coordinator/worker_client.rs
@@ -6,9 +6,9 @@
     header::{HeaderValue, CONTENT_TYPE, HOST},
     Request,
 };
-use magpiegap_protocol::{EndKind, TaskId};
+use magpiegap_protocol::{CompletionKind, TaskId};
 use magpiegap_scheduler::{
-    ListedEnd, ListedRun, Listing, RefusalReason, WorkerCall, WorkerOrder, WorkerReply,
+    ListedCompletion, ListedRun, Listing, RefusalReason, WorkerCall, WorkerOrder, WorkerReply,
 };
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, time::Duration};
@@ -59,7 +59,7 @@
 }
 
 /// Makes a call.
-pub async fn call(connections: WorkerConnections, call: WorkerCall) -> WorkerReply {
+pub(super) async fn call(connections: WorkerConnections, call: WorkerCall) -> WorkerReply {
     // A worker whose address can't be read, or whose name can't be sent, can't be called.
     let Ok(address) = call.address.parse::<SocketAddr>() else {
         return WorkerReply::Unanswered;
@@ -80,7 +80,7 @@
     Request::post(path)
         .header(HOST, &call.address)
         .header(CONTENT_TYPE, HeaderValue::from_static("application/json"))
-        .header("expected-instance", &call.instance)
+        .header("expected-instance", &call.incarnation)
         .body(Full::new(Bytes::from(body)))
 }
 
@@ -99,7 +99,7 @@
                 run_id: *run,
                 spec,
                 deadline_ms: *deadline_ms,
-                fence_token,
+                fence_token: fence_token.0,
                 checkpointed: checkpoint,
             };
             ("/-/run-start", serde_json::to_vec(&body))
@@ -108,7 +108,7 @@
             let body = StopBody {
                 task: task.to_string(),
                 run_id: *run,
-                fence_token,
+                fence_token: fence_token.0,
             };
             ("/-/run-stop", serde_json::to_vec(&body))
         }
@@ -120,7 +120,7 @@
             let wait_ms = (*wait_ms > 0).then_some(*wait_ms);
             let body = HoldBody {
                 deadline_ms: *deadline_ms,
-                fence_token,
+                fence_token: fence_token.0,
                 last_seen: *last_seen,
                 wait_ms,
             };
@@ -160,7 +160,7 @@
 
 fn reason(word: &str) -> Option<RefusalReason> {
     match word {
-        "fence" => Some(RefusalReason::Fence),
+        "fence" => Some(RefusalReason::RoleToken),
         "old" => Some(RefusalReason::Old),
         "late" => Some(RefusalReason::Late),
         "room" => Some(RefusalReason::Room),
@@ -168,14 +168,14 @@
     }
 }
 
-fn end_kind(word: &str) -> EndKind {
+fn end_kind(word: &str) -> CompletionKind {
     match word {
-        "done" => EndKind::Done,
-        "failed" => EndKind::Failed,
-        "lapsed" => EndKind::Lapsed,
-        "broken" => EndKind::Broken,
-        "alone" => EndKind::Alone,
-        _ => EndKind::Stopped,
+        "done" => CompletionKind::Done,
+        "failed" => CompletionKind::Failed,
+        "lapsed" => CompletionKind::Lapsed,
+        "broken" => CompletionKind::Broken,
+        "alone" => CompletionKind::Alone,
+        _ => CompletionKind::Stopped,
     }
 }
 
@@ -200,7 +200,7 @@
         .filter_map(|(number, task, run, how, checkpoint)| {
             let task = TaskId::parse(task)?;
             let kind = end_kind(how);
-            Some(ListedEnd {
+            Some(ListedCompletion {
                 number: *number,
                 task,
                 run: *run,
--- a/system/magpiegap/src/endpoint.rs
+++ b/system/magpiegap/src/endpoint.rs
@@ -1,5 +1,5 @@
 //! Calls to coordinators and agents.
-use magpiegap_protocol::{decode, encode, CoordinatorAnswer, CoordinatorRequest};
+use magpiegap_protocol::{decode, encode, CoordinatorRequest, CoordinatorResponse};
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::timeout;
 
@@ -41,7 +41,7 @@
     address: SocketAddr,
     request: &CoordinatorRequest,
     most: Duration,
-) -> Result<CoordinatorAnswer, CallError> {
+) -> Result<CoordinatorResponse, CallError> {
     let whole = call_while_bytes_come(client, address, request, most, most);
     timeout(most, whole)
         .await
@@ -59,7 +59,7 @@
     request: &CoordinatorRequest,
     first_byte: Duration,
     silence: Duration,
-) -> Result<CoordinatorAnswer, CallError> {
+) -> Result<CoordinatorResponse, CallError> {
     let url = format!("http://{address}{REQUEST_PATH}");
     let sending = client.post(url).body(encode(request)).send();
     let sent = timeout(first_byte, sending)
--- a/system/magpiegap/src/logging.rs
+++ b/system/magpiegap/src/logging.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 
 /// Starts the log. Its level is `info`, or what `MAGPIEGAP_LOG` says.
-pub fn start(node: &str) {
+pub(crate) fn start(node: &str) {
     let level = std::env::var("MAGPIEGAP_LOG").unwrap_or_else(|_| "info".to_owned());
     let own = LogSpecification::parse(format!("error, magpiegap={level}"));
     let specification = own.unwrap_or_else(|_| LogSpecification::info());
@@ -18,7 +18,7 @@
 fn line(
     out: &mut dyn Write,
     _now: &mut DeferredNow,
-    record: &Record,
+    record: &Record<'_>,
 ) -> Result<(), std::io::Error> {
     write!(out, "{} {}", record.level(), record.args())
 }
--- a/system/magpiegap/src/operator.rs
+++ b/system/magpiegap/src/operator.rs
@@ -10,7 +10,7 @@
 
 /// A call to a coordinator or proxy.
 #[derive(Clone, Debug, Default)]
-pub struct Call {
+pub(crate) struct Call {
     /// The method.
     pub method: &'static str,
     /// Where to.
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 /// When there is no answer, or none with success.
-pub async fn call(call: Call) -> Result<String, ProgramError> {
+pub(crate) async fn call(call: Call) -> Result<String, ProgramError> {
     let client = endpoint::client();
     let failed = |what: String| ProgramError::Server(what);
     let address = call.at.ok_or_else(|| failed("no address".to_owned()))?;
@@ -72,7 +72,7 @@
 }
 
 /// The fields of a query that are given, encoded.
-pub fn query(fields: &[(&str, &Option<String>)]) -> String {
+pub(crate) fn query(fields: &[(&str, &Option<String>)]) -> String {
     let given = fields
         .iter()
         .filter_map(|(name, value)| Some((*name, value.as_deref()?)));
@@ -91,7 +91,7 @@
 ///
 /// # Errors
 /// When it can't be read.
-pub fn read_file(file: &Path) -> Result<Vec<u8>, ProgramError> {
+pub(crate) fn read_file(file: &Path) -> Result<Vec<u8>, ProgramError> {
     std::fs::read(file)
         .map_err(|source| ProgramError::Server(format!("{}: {source}", file.display())))
 }
--- a/system/magpiegap/src/proxy/calls.rs
+++ b/system/magpiegap/src/proxy/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to the coordinators, tried again while that does no harm.
 use super::feed::{Knowledge, Known};
 use crate::endpoint::{self, CallError};
-use magpiegap_protocol::{CoordinatorAnswer, CoordinatorRequest, Submission};
+use magpiegap_protocol::{CoordinatorRequest, CoordinatorResponse, Submission};
 use std::{
     net::{IpAddr, Ipv4Addr, SocketAddr},
     sync::Arc,
@@ -23,7 +23,7 @@
 /// broken off and sent again and again.
 fn patience(request: &CoordinatorRequest) -> Duration {
     let bytes = match request {
-        CoordinatorRequest::Submit(submission) => submission.rough_bytes() as u64,
+        CoordinatorRequest::Submit(submission) => submission.estimated_bytes() as u64,
         _ => 0,
     };
     CALL_TIMEOUT + Duration::from_millis(bytes / LEAST_BYTES_PER_MS)
@@ -31,7 +31,7 @@
 
 /// How a submission ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Submitted {
+pub(super) enum Submitted {
     /// The job is kept.
     Accepted,
     /// There is no room; the job is not kept.
@@ -44,7 +44,7 @@
 
 /// Calls to the coordinators.
 #[derive(Clone)]
-pub struct Calls {
+pub(super) struct Calls {
     client: reqwest::Client,
     port: u16,
     knowledge: Arc<Knowledge>,
@@ -52,7 +52,7 @@
 
 impl Calls {
     /// Calls by what is known.
-    pub fn new(client: reqwest::Client, port: u16, knowledge: Arc<Knowledge>) -> Calls {
+    pub(super) fn new(client: reqwest::Client, port: u16, knowledge: Arc<Knowledge>) -> Calls {
         Calls {
             client,
             port,
@@ -65,7 +65,7 @@
         address: u32,
         request: &CoordinatorRequest,
         deadline: Instant,
-    ) -> Result<CoordinatorAnswer, CallError> {
+    ) -> Result<CoordinatorResponse, CallError> {
         let address = SocketAddr::new(IpAddr::V4(Ipv4Addr::from(address)), self.port);
         let left = deadline.saturating_duration_since(Instant::now());
         endpoint::call(&self.client, address, request, left.min(patience(request))).await
@@ -83,7 +83,7 @@
     }
 
     /// Hands a job in. The same job may be handed in again: it remains one.
-    pub async fn submit(&self, submission: Submission, deadline: Instant) -> Submitted {
+    pub(super) async fn submit(&self, submission: Submission, deadline: Instant) -> Submitted {
         let service = submission.service.clone();
         let request = CoordinatorRequest::Submit(Box::new(submission));
         let give_up = (Instant::now() + UNOFFERED).min(deadline);
@@ -98,9 +98,9 @@
                     () = moved => Err(CallError::Unanswered),
                 };
                 match answer {
-                    Ok(CoordinatorAnswer::Accepted) => return Submitted::Accepted,
-                    Ok(CoordinatorAnswer::Full) if !offered => return Submitted::Full,
-                    Ok(CoordinatorAnswer::NotServing) | Err(CallError::NotSent) => {}
+                    Ok(CoordinatorResponse::Accepted) => return Submitted::Accepted,
+                    Ok(CoordinatorResponse::Full) if !offered => return Submitted::Full,
+                    Ok(CoordinatorResponse::NotServing) | Err(CallError::NotSent) => {}
                     Ok(_) | Err(CallError::Unanswered) => offered = true,
                 }
             }
@@ -117,17 +117,18 @@
     }
 
     /// Asks the coordinators in turn, the one at the tail first, until one can answer.
-    pub async fn ask(
+    pub(super) async fn ask(
         &self,
         request: &CoordinatorRequest,
         deadline: Instant,
-    ) -> Option<CoordinatorAnswer> {
+    ) -> Option<CoordinatorResponse> {
         loop {
             let known: Arc<Known> = self.knowledge.now();
             for reader in known.readers() {
                 let soon = deadline.min(Instant::now() + READ_TIMEOUT);
                 match self.call(reader, request, soon).await {
-                    Ok(CoordinatorAnswer::NotServing | CoordinatorAnswer::Unknown) | Err(_) => {}
+                    Ok(CoordinatorResponse::NotServing | CoordinatorResponse::Unknown) | Err(_) => {
+                    }
                     Ok(answer) => return Some(answer),
                 }
                 if Instant::now() >= deadline {
--- a/system/magpiegap/src/proxy/feed.rs
+++ b/system/magpiegap/src/proxy/feed.rs
@@ -3,7 +3,7 @@
 use magpiegap_distribution::{ConfigurationReceiver, Received};
 use magpiegap_jobs::Configuration;
 use magpiegap_protocol::{
-    ConfigurationPart, CoordinatorAnswer, CoordinatorRequest, Feed, FeedPoll, Role, RoleHolder,
+    ConfigurationChunk, CoordinatorRequest, CoordinatorResponse, Feed, FeedPoll, Role, RoleHolder,
 };
 use std::{
     net::SocketAddr,
@@ -46,7 +46,7 @@
     /// Names the scheduler of a service at this time: another one each time that the role passes on.
     pub fn scheduler_tag(&self, service: &str) -> u64 {
         self.holder(service).map_or(0, |held| {
-            (u64::from(held.holder.member.address) << 24) ^ held.token
+            (u64::from(held.holder.member.address) << 24) ^ held.token.0
         })
     }
 
@@ -190,15 +190,15 @@
         };
         let patience = Duration::from_millis(WAIT_MS) + SILENCE;
         let answer = self.call(&CoordinatorRequest::Poll(poll), patience).await?;
-        let CoordinatorAnswer::Feed(mut feed) = answer else {
+        let CoordinatorResponse::Feed(mut feed) = answer else {
             return None;
         };
         if feed.revision == known.feed.revision {
             return Some(());
         }
-        if let Some(part) = feed.change.take() {
+        if let Some(chunk) = feed.change.take() {
             // Where it is of no use the fetch that follows brings what is.
-            let _ = self.take(part);
+            let _ = self.take(chunk);
         }
         self.knowledge.take(*feed).then_some(())
     }
@@ -207,14 +207,14 @@
     async fn fetch(&mut self) -> Option<()> {
         let request = CoordinatorRequest::FetchConfiguration(self.receiver.fetch());
         match self.call(&request, SILENCE).await? {
-            CoordinatorAnswer::ConfigurationPart(part) => self.take(*part),
+            CoordinatorResponse::ConfigurationChunk(chunk) => self.take(*chunk),
             _ => None,
         }
     }
 
     /// Takes a part of the configuration. `None`: it is of no use.
-    fn take(&mut self, part: ConfigurationPart) -> Option<()> {
-        match self.receiver.take(part) {
+    fn take(&mut self, chunk: ConfigurationChunk) -> Option<()> {
+        match self.receiver.take(chunk) {
             Received::Configuration(configuration) => {
                 self.knowledge.configure(configuration);
                 Some(())
@@ -232,7 +232,7 @@
         &self,
         request: &CoordinatorRequest,
         first_byte: Duration,
-    ) -> Option<CoordinatorAnswer> {
+    ) -> Option<CoordinatorResponse> {
         endpoint::call_while_bytes_come(&self.client, self.agent, request, first_byte, SILENCE)
             .await
             .ok()
--- a/system/magpiegap/src/proxy/frontend.rs
+++ b/system/magpiegap/src/proxy/frontend.rs
@@ -8,7 +8,7 @@
 use crate::serving::read_body;
 use balancer_core::Ending;
 use magpiegap_jobs::{Configuration, Route};
-use magpiegap_protocol::{CoordinatorAnswer, CoordinatorRequest, JobId, Submission};
+use magpiegap_protocol::{CoordinatorRequest, CoordinatorResponse, JobId, Submission, WallMillis};
 use rocket::{
     data::Data,
     http::{ContentType, Header, Method, Status},
@@ -75,7 +75,7 @@
 
 /// Answers clients.
 #[derive(Clone)]
-pub struct FrontendHandler {
+pub(super) struct FrontendHandler {
     calls: Calls,
     knowledge: Arc<Knowledge>,
     admission: Arc<Admission>,
@@ -83,7 +83,7 @@
 
 impl FrontendHandler {
     /// A handler that goes by what is known.
-    pub fn new(calls: Calls, knowledge: Arc<Knowledge>) -> FrontendHandler {
+    pub(super) fn new(calls: Calls, knowledge: Arc<Knowledge>) -> FrontendHandler {
         FrontendHandler {
             calls,
             knowledge,
@@ -148,7 +148,7 @@
             max_attempts: route.max_attempts,
             stretch: route.stretch,
             target_latency_ms: route.target_latency_ms,
-            submitted_ms: 0,
+            submitted_ms: WallMillis(0),
             spec,
         };
         let scheduler = self.knowledge.now().scheduler_tag(&route.service);
@@ -176,10 +176,10 @@
             job,
         };
         match self.calls.ask(&request, deadline).await {
-            Some(CoordinatorAnswer::Phase(phase)) => {
+            Some(CoordinatorResponse::Phase(phase)) => {
                 Reply::json(format!("{{\"state\":\"{}\"}}", phase.word()))
             }
-            Some(CoordinatorAnswer::NoSuchJob) => Reply::status(Status::Gone),
+            Some(CoordinatorResponse::NoSuchJob) => Reply::status(Status::Gone),
             _ => Reply::status(Status::GatewayTimeout),
         }
     }
@@ -190,8 +190,8 @@
             job,
         };
         match self.calls.ask(&request, deadline).await {
-            Some(CoordinatorAnswer::Accepted) => Reply::status(Status::Ok),
-            Some(CoordinatorAnswer::NoSuchJob) => Reply::status(Status::Gone),
+            Some(CoordinatorResponse::Accepted) => Reply::status(Status::Ok),
+            Some(CoordinatorResponse::NoSuchJob) => Reply::status(Status::Gone),
             _ => Reply::status(Status::GatewayTimeout),
         }
     }
@@ -201,7 +201,7 @@
             queue: route.queue(),
         };
         match self.calls.ask(&request, deadline).await {
-            Some(CoordinatorAnswer::Count(count)) => {
+            Some(CoordinatorResponse::Count(count)) => {
                 Reply::json(format!("{{\"pending\":{count}}}"))
             }
             _ => Reply::status(Status::GatewayTimeout),
--- a/system/magpiegap/src/proxy/job_body.rs
+++ b/system/magpiegap/src/proxy/job_body.rs
@@ -1,5 +1,5 @@
 //! Jobs as clients write them.
-use magpiegap_protocol::{JobSpec, Resources, StepSpec};
+use magpiegap_protocol::{JobSpec, Resources, StepSpec, WallMillis};
 use serde::Deserialize;
 
 /// Why a body is no job.
@@ -87,7 +87,7 @@
         long_running: schedule.long_running
             || body.steps.iter().any(|step| step.schedule.long_running),
         repeat_count: schedule.repeat_count,
-        start_at_ms: whole(schedule.start_at_ms),
+        start_at_ms: WallMillis(whole(schedule.start_at_ms)),
         interval_ms: whole(schedule.interval_ms),
         steps: body.steps.into_iter().map(step).collect(),
     };
--- a/system/magpiegap/src/proxy/mod.rs
+++ b/system/magpiegap/src/proxy/mod.rs
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// When it can't start.
-pub async fn run(_file: PathBuf, settings: NodeSettings) -> Result<(), ProgramError> {
+pub(crate) async fn run(_file: PathBuf, settings: NodeSettings) -> Result<(), ProgramError> {
     let mut signals = Signals::heed()?;
     let knowledge = Arc::new(Knowledge::new());
     let client = endpoint::client();
--- a/system/magpiegap/src/proxy/readiness.rs
+++ b/system/magpiegap/src/proxy/readiness.rs
@@ -10,13 +10,13 @@
 
 /// Answers the platform's question.
 #[derive(Clone)]
-pub struct ReadinessHandler {
+pub(super) struct ReadinessHandler {
     knowledge: Arc<Knowledge>,
 }
 
 impl ReadinessHandler {
     /// A handler that tells by what is known.
-    pub fn new(knowledge: Arc<Knowledge>) -> ReadinessHandler {
+    pub(super) fn new(knowledge: Arc<Knowledge>) -> ReadinessHandler {
         ReadinessHandler { knowledge }
     }
 }
--- a/system/magpiegap/src/serving.rs
+++ b/system/magpiegap/src/serving.rs
@@ -12,7 +12,7 @@
 
 /// How a server is set up.
 #[derive(Clone, Copy, Debug)]
-pub struct ServerSettings {
+pub(crate) struct ServerSettings {
     /// Where it listens.
     pub address: SocketAddr,
     /// How long an open connection may wait for its next request, in seconds.
@@ -22,7 +22,7 @@
 }
 
 /// A server in which one handler gets every request with one of the methods.
-pub fn server(
+pub(crate) fn server(
     settings: ServerSettings,
     methods: &[Method],
     handler: impl Handler + Clone,
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 /// When it can't listen.
-pub async fn start(server: Rocket<Build>) -> Result<Running, ProgramError> {
+pub(crate) async fn start(server: Rocket<Build>) -> Result<Running, ProgramError> {
     let ready = server
         .ignite()
         .await
@@ -71,19 +71,19 @@
 }
 
 /// A server at work.
-pub struct Running {
+pub(crate) struct Running {
     shutdown: rocket::Shutdown,
     task: tokio::task::JoinHandle<Result<(), ProgramError>>,
 }
 
 impl Running {
     /// Ends at once.
-    pub fn abort(self) {
+    pub(crate) fn abort(self) {
         self.task.abort();
     }
 
     /// Takes no new requests, and waits for those under way.
-    pub async fn end(self) {
+    pub(crate) async fn end(self) {
         self.shutdown.notify();
         let _ = self.task.await;
     }
@@ -93,7 +93,7 @@
 ///
 /// # Errors
 /// The status to answer with: too long, or broken off.
-pub async fn read_body(data: Data<'_>, most: u64) -> Result<Vec<u8>, Status> {
+pub(crate) async fn read_body(data: Data<'_>, most: u64) -> Result<Vec<u8>, Status> {
     let limit: ByteUnit = most.saturating_add(1).bytes();
     let body = data
         .open(limit)
--- a/system/magpiegap/src/settings.rs
+++ b/system/magpiegap/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a process.
 use magpiegap_control::Tolerance;
-use magpiegap_protocol::{Location, PlaceId};
+use magpiegap_protocol::{FailureDomainId, Location};
 use serde::Deserialize;
 use std::{
     collections::BTreeMap,
@@ -324,8 +324,8 @@
     pub fn location(&self) -> Location {
         let region = self.zones.get(&self.zone).map_or("", String::as_str);
         Location {
-            zone: PlaceId::of(&self.zone),
-            region: PlaceId::of(region),
+            zone: FailureDomainId::of(&self.zone),
+            region: FailureDomainId::of(region),
         }
     }
 
--- a/system/magpiegap/src/signals.rs
+++ b/system/magpiegap/src/signals.rs
@@ -3,7 +3,7 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
 /// The signals that a process heeds.
-pub struct Signals {
+pub(crate) struct Signals {
     /// End soon.
     pub terminate: Signal,
     /// The settings file has changed.
@@ -15,7 +15,7 @@
     ///
     /// # Errors
     /// When the system refuses.
-    pub fn heed() -> Result<Signals, ProgramError> {
+    pub(crate) fn heed() -> Result<Signals, ProgramError> {
         let open = |kind| {
             signal(kind).map_err(|source| ProgramError::System {
                 what: "signals",
--- a/system/magpiegap/src/state_on_disk.rs
+++ b/system/magpiegap/src/state_on_disk.rs
@@ -1,6 +1,6 @@
 //! A coordinator's state on disk, looked at while that coordinator does not run.
 use crate::error::ProgramError;
-use magpiegap_control::Snapshot;
+use magpiegap_control::DurableState;
 use magpiegap_coordinator::{Machine, RoleDescription};
 use magpiegap_jobs::{Inconsistency, State};
 use magpiegap_storage::{FolderDirectory, Store};
@@ -54,7 +54,7 @@
         let (_, recovered) = Store::open(directory)?;
         let records = recovered.records.len();
         let snapshot =
-            Snapshot::recover(recovered.snapshot.unwrap_or_default(), &recovered.records)?;
+            DurableState::recover(recovered.snapshot.unwrap_or_default(), &recovered.records)?;
         let mut state = Machine::recover(&snapshot)?.state;
         for entry in snapshot
             .entries
@@ -66,7 +66,7 @@
         Ok(StateOnDisk::of(&snapshot, &state, records))
     }
 
-    fn of(snapshot: &Snapshot, state: &State, records: usize) -> StateOnDisk {
+    fn of(snapshot: &DurableState, state: &State, records: usize) -> StateOnDisk {
         let view = &snapshot.agreement.current;
         let mut jobs: BTreeMap<String, BTreeMap<String, usize>> = BTreeMap::new();
         for job in state.jobs.values() {
@@ -79,16 +79,16 @@
             .filter(|(_, worker)| !worker.runs.is_empty());
         StateOnDisk {
             disk: format!("{:016x}", snapshot.disk),
-            view: view.number,
+            view: view.number.0,
             chain: view
                 .chain
                 .iter()
                 .map(|replica| replica.member.to_string())
                 .collect(),
             voters: view.voters.iter().map(ToString::to_string).collect(),
-            complete_up_to_view: snapshot.synchronized,
+            complete_up_to_view: snapshot.synchronized.map(|view| view.0),
             records,
-            applied_entry: state.position.index,
+            applied_entry: state.position.index.0,
             entries_after: snapshot
                 .entries
                 .iter()
@@ -98,7 +98,7 @@
             roles: RoleDescription::all(state),
             jobs,
             runs: runs
-                .map(|(instance, worker)| (instance.clone(), worker.runs.len()))
+                .map(|(incarnation, worker)| (incarnation.clone(), worker.runs.len()))
                 .collect(),
             contradictions: state
                 .inconsistencies()
@@ -164,8 +164,8 @@
                 .collect();
             writeln!(f, "queue          {queue}: {}", counts.join(", "))?;
         }
-        for (instance, runs) in &self.runs {
-            writeln!(f, "worker         {instance}: {runs} runs may go on")?;
+        for (incarnation, runs) in &self.runs {
+            writeln!(f, "worker         {incarnation}: {runs} runs may go on")?;
         }
         for contradiction in &self.contradictions {
             writeln!(f, "contradiction  {contradiction}")?;
--- a/system/magpiegap/tests/command_line.rs
+++ b/system/magpiegap/tests/command_line.rs
@@ -1,11 +1,14 @@
 //! The command line and the commands that need no cluster.
 use googletest::prelude::*;
 use magpiegap::{check_configuration, parser, tables, StateOnDisk};
-use magpiegap_control::{DurableRecord, Snapshot};
-use magpiegap_coordinator::freeze;
+use magpiegap_control::{DurableRecord, DurableState};
+use magpiegap_coordinator::take_snapshot;
 use magpiegap_coordinator::{ClusterDescription, JobLine, JobList};
 use magpiegap_jobs::{RoleState, State};
-use magpiegap_protocol::{encode, Command, Entry, Member, Position, ProposalId, Replica, Role};
+use magpiegap_protocol::{
+    encode, Command, Entry, FencingToken, LogIndex, LogPosition, Member, ProposalId, ReplicaId,
+    Role, ViewNumber, WallMillis,
+};
 use magpiegap_storage::{FolderDirectory, Store};
 use std::path::{Path, PathBuf};
 
@@ -142,28 +145,37 @@
         address: 0x0a01_000f,
         disk: 0,
     };
-    let snapshot = Snapshot::empty(0, Some(0), vec![member], freeze(state));
+    let snapshot = DurableState::empty(0, Some(ViewNumber(0)), vec![member], take_snapshot(state));
     let (mut store, _) = Store::open(FolderDirectory::new(&folder).unwrap()).unwrap();
-    store.checkpoint(snapshot.parts()).unwrap();
-    let holder = Replica { member, boot: 1 };
+    store.checkpoint(snapshot.chunks()).unwrap();
+    let holder = ReplicaId {
+        member,
+        incarnation: 1,
+    };
     let claim = Command::ClaimRole {
         role: Role::PlatformReader,
         holder,
-        expected: 0,
+        expected: FencingToken(0),
     };
     let entry = |index| Entry {
-        position: Position { view: 1, index },
+        position: LogPosition {
+            view: ViewNumber(1),
+            index,
+        },
         proposal: ProposalId {
             origin: holder,
-            sequence: index,
+            sequence: index.0,
         },
-        fence: None,
+        role_token: None,
         command: claim.clone(),
-        wall_ms: 0,
+        wall_ms: WallMillis(0),
     };
-    let entries = DurableRecord::Entries(vec![entry(1), entry(2)]);
+    let entries = DurableRecord::Entries(vec![entry(LogIndex(1)), entry(LogIndex(2))]);
     store
-        .append(&[encode(&entries), encode(&DurableRecord::Committed(1))])
+        .append(&[
+            encode(&entries),
+            encode(&DurableRecord::Committed(LogIndex(1))),
+        ])
         .unwrap();
     folder
 }
@@ -172,16 +184,19 @@
 fn given_a_state_on_disk_when_it_is_shown_then_roles_and_voters_are_there_and_nothing_contradicts()
 {
     let mut state = State::default();
-    let holder = Replica {
+    let holder = ReplicaId {
         member: Member {
             address: 0x0a01_000f,
             disk: 0,
         },
-        boot: 1,
+        incarnation: 1,
     };
     state.roles.insert(
         Role::Scheduler("desk".to_owned()),
-        RoleState { holder, token: 4 },
+        RoleState {
+            holder,
+            token: FencingToken(4),
+        },
     );
     let shown = StateOnDisk::read(&write_state("state-shown", &state)).unwrap();
     expect_that!(shown.contradictions.len(), eq(0));
--- a/system/magpiegap/tests/common/mod.rs
+++ b/system/magpiegap/tests/common/mod.rs
@@ -7,19 +7,19 @@
 };
 
 /// Longer than any call here takes.
-pub const LONG: Duration = Duration::from_secs(20);
+pub(crate) const LONG: Duration = Duration::from_secs(20);
 /// A call that is sent once more would come within this time.
 const AGAIN: Duration = Duration::from_millis(150);
 
 /// Listens on a free port.
-pub async fn listen() -> (TcpListener, SocketAddr) {
+pub(crate) async fn listen() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
     (listener, address)
 }
 
 /// Reads one request: its end is that of its body.
-pub async fn read_request(stream: &mut TcpStream, body: &[u8]) {
+pub(crate) async fn read_request(stream: &mut TcpStream, body: &[u8]) {
     let end = [b"\r\n\r\n", body].concat();
     let mut read = Vec::new();
     while !read.ends_with(&end) {
@@ -31,7 +31,7 @@
 }
 
 /// Resets a connection.
-pub fn reset(stream: TcpStream) {
+pub(crate) fn reset(stream: TcpStream) {
     socket2::SockRef::from(&stream)
         .set_linger(Some(Duration::ZERO))
         .expect("an option of sockets");
@@ -39,6 +39,6 @@
 }
 
 /// Whether nobody connects once more.
-pub async fn stays_quiet(listener: &TcpListener) -> bool {
+pub(crate) async fn stays_quiet(listener: &TcpListener) -> bool {
     timeout(AGAIN, listener.accept()).await.is_err()
 }
