--- a/system/magpiegap/tests/data_folder.rs
+++ b/system/magpiegap/tests/data_folder.rs
@@ -6,13 +6,14 @@
 //! should the bytes ever have to be others, another folder goes beside this one, which stays and is still read.
 use googletest::prelude::*;
 use magpiegap::StateOnDisk;
-use magpiegap_control::{DurableRecord, Snapshot};
-use magpiegap_coordinator::{freeze, Machine, RoleDescription};
+use magpiegap_control::{DurableRecord, DurableState};
+use magpiegap_coordinator::{take_snapshot, Machine, RoleDescription};
 use magpiegap_jobs::State;
 use magpiegap_protocol::{
-    encode, ChainRecord, Command, EndKind, Entry, Fence, JobId, JobSpec, Location, Member,
-    MemberLocation, PlaceId, Position, ProposalId, Replica, Resources, Role, RunEnd, RunStart,
-    StepSpec, Submission, TaskId, View,
+    encode, AcceptedView, Ballot, ChainRecord, Command, CompletionKind, Entry, FailureDomainId,
+    FencingToken, JobId, JobSpec, Location, LogIndex, LogPosition, Member, MemberLocation,
+    ProposalId, ReplicaId, Resources, Role, RoleToken, RunCompletion, RunStart, StepSpec,
+    Submission, TaskId, View, ViewNumber, WallMillis,
 };
 use magpiegap_storage::{FolderDirectory, Store};
 use std::{
@@ -78,29 +79,29 @@
     }
 }
 
-fn replica(number: u32) -> Replica {
-    Replica {
+fn replica(number: u32) -> ReplicaId {
+    ReplicaId {
         member: member(number),
-        boot: 0xb007_0000 + u64::from(number),
+        incarnation: 0xb007_0000 + u64::from(number),
     }
 }
 
 fn view(number: u64) -> View {
     let place = |zone, region| Location {
-        zone: PlaceId::of(zone),
-        region: PlaceId::of(region),
+        zone: FailureDomainId::of(zone),
+        region: FailureDomainId::of(region),
     };
     View {
-        number,
+        number: ViewNumber(number),
         voters: vec![member(0), member(1), member(2)],
         chain: vec![replica(1), replica(0)],
         history: vec![
             ChainRecord {
-                number: 0,
+                number: ViewNumber(0),
                 chain: Vec::new(),
             },
             ChainRecord {
-                number: number - 1,
+                number: ViewNumber(number - 1),
                 chain: vec![replica(0), replica(1), replica(2)],
             },
         ],
@@ -126,7 +127,7 @@
         max_attempts: 1,
         stretch: 2.5,
         target_latency_ms: 4500,
-        submitted_ms: 1_700_000_000_500,
+        submitted_ms: WallMillis(1_700_000_000_500),
         spec: JobSpec {
             spec: format!("text of {job}"),
             steps,
@@ -184,7 +185,7 @@
     let mut repeated = submission(REPEATED, "h/batch/", vec![plain_step()]);
     repeated.spec.long_running = true;
     repeated.spec.repeat_count = 3;
-    repeated.spec.start_at_ms = 1_700_000_001_000;
+    repeated.spec.start_at_ms = WallMillis(1_700_000_001_000);
     repeated.spec.interval_ms = 60_000;
     repeated
 }
@@ -192,23 +193,23 @@
 fn task(job: JobId, step: u32, index: u32) -> TaskId {
     TaskId {
         job,
-        time: 0,
+        occurrence: 0,
         step,
         index,
     }
 }
 
-fn run(task: TaskId, run: u32, instance: &str, checkpoint: &str) -> RunStart {
+fn run(task: TaskId, run: u32, incarnation: &str, checkpoint: &str) -> RunStart {
     RunStart {
         task,
         run,
-        instance: instance.to_owned(),
+        incarnation: incarnation.to_owned(),
         checkpoint: checkpoint.to_owned(),
     }
 }
 
-fn end(task: TaskId, run: u32, kind: EndKind, checkpoint: &str) -> RunEnd {
-    RunEnd {
+fn end(task: TaskId, run: u32, kind: CompletionKind, checkpoint: &str) -> RunCompletion {
+    RunCompletion {
         task,
         run,
         kind,
@@ -216,9 +217,9 @@
     }
 }
 
-fn ends(instance: &str, last_seen: u64, ends: Vec<RunEnd>) -> Command {
-    Command::NoteEnds {
-        instance: instance.to_owned(),
+fn ends(incarnation: &str, last_seen: u64, ends: Vec<RunCompletion>) -> Command {
+    Command::RecordCompletions {
+        incarnation: incarnation.to_owned(),
         last_seen,
         ends,
     }
@@ -247,7 +248,7 @@
     Command::ClaimRole {
         role,
         holder: replica(number),
-        expected,
+        expected: FencingToken(expected),
     }
 }
 
@@ -277,25 +278,29 @@
             "w-1",
             3,
             vec![
-                end(task(LONG, 0, 0), 1, EndKind::Done, "c-1"),
-                end(task(LONG, 0, 1), 1, EndKind::Failed, "c-2"),
+                end(task(LONG, 0, 0), 1, CompletionKind::Done, "c-1"),
+                end(task(LONG, 0, 1), 1, CompletionKind::Failed, "c-2"),
             ],
         ),
         // Here the first snapshot ends.
         Command::StartRuns {
             runs: vec![run(task(LONG, 0, 1), 2, "w-2", "c-2")],
         },
-        Command::OpenTime {
+        Command::OpenOccurrence {
             job: REPEATED,
-            time: 0,
+            occurrence: 0,
         },
         submit(plain(DONE), one(DONE)),
-        ends("w-3", 1, vec![end(task(DONE, 0, 0), 1, EndKind::Done, "")]),
+        ends(
+            "w-3",
+            1,
+            vec![end(task(DONE, 0, 0), 1, CompletionKind::Done, "")],
+        ),
         submit(plain(FAILED), one(FAILED)),
         ends(
             "w-3",
             2,
-            vec![end(task(FAILED, 0, 0), 1, EndKind::Failed, "")],
+            vec![end(task(FAILED, 0, 0), 1, CompletionKind::Failed, "")],
         ),
         submit(plain(CANCELLED), one(CANCELLED)),
         Command::CancelJob { job: CANCELLED },
@@ -305,7 +310,7 @@
         ends(
             "w-2",
             7,
-            vec![end(task(LONG, 0, 1), 2, EndKind::Lapsed, "c-4")],
+            vec![end(task(LONG, 0, 1), 2, CompletionKind::Lapsed, "c-4")],
         ),
         Command::StartRuns {
             runs: vec![
@@ -318,12 +323,12 @@
         ends(
             "w-1",
             4,
-            vec![end(task(LONG, 1, 0), 1, EndKind::Failed, "")],
+            vec![end(task(LONG, 1, 0), 1, CompletionKind::Failed, "")],
         ),
         ends(
             "w-2",
             8,
-            vec![end(task(LONG, 1, 1), 1, EndKind::Broken, "")],
+            vec![end(task(LONG, 1, 1), 1, CompletionKind::Broken, "")],
         ),
         Command::StartRuns {
             runs: vec![run(task(REPEATED, 0, 0), 1, "w-6", "")],
@@ -342,9 +347,9 @@
             submission(LATE, "h/late/", vec![plain_step()]),
             vec![run(task(LATE, 0, 0), 1, "w-7", "")],
         ),
-        Command::OpenTime {
+        Command::OpenOccurrence {
             job: REPEATED,
-            time: 1,
+            occurrence: 1,
         },
         Command::StartRuns {
             runs: vec![
@@ -357,19 +362,19 @@
             "w-1",
             9,
             vec![
-                end(task(LONG, 1, 0), 2, EndKind::Alone, ""),
-                end(task(LONG, 1, 0), 1, EndKind::Stopped, ""),
+                end(task(LONG, 1, 0), 2, CompletionKind::Alone, ""),
+                end(task(LONG, 1, 0), 1, CompletionKind::Stopped, ""),
             ],
         ),
         Command::LoseRuns {
             runs: vec![run(task(LONG, 0, 1), 3, "w-8", "c-5")],
         },
-        Command::LoseInstance {
-            instance: "w-4".to_owned(),
+        Command::LoseIncarnation {
+            incarnation: "w-4".to_owned(),
             ended: true,
         },
-        Command::LoseInstance {
-            instance: "w-6".to_owned(),
+        Command::LoseIncarnation {
+            incarnation: "w-6".to_owned(),
             ended: false,
         },
         Command::ForgetJobs { jobs: vec![DONE] },
@@ -386,29 +391,29 @@
 fn entries() -> Vec<Entry> {
     let commands = earlier_commands().into_iter().chain(later_commands());
     let numbered = commands.zip(1_u64..).map(|(command, index)| Entry {
-        position: Position {
-            view: 6 + index / 10,
-            index,
+        position: LogPosition {
+            view: ViewNumber(6 + index / 10),
+            index: LogIndex(index),
         },
         proposal: ProposalId {
             origin: replica((index % 3) as u32),
             sequence: 100 + index,
         },
-        fence: match command {
-            Command::StartRuns { .. } | Command::NoteEnds { .. } | Command::LoseRuns { .. } => {
-                Some(Fence {
-                    role: desk(),
-                    token: 1,
-                })
-            }
-            Command::LoseInstance { .. } => Some(Fence {
+        role_token: match command {
+            Command::StartRuns { .. }
+            | Command::RecordCompletions { .. }
+            | Command::LoseRuns { .. } => Some(RoleToken {
+                role: desk(),
+                token: FencingToken(1),
+            }),
+            Command::LoseIncarnation { .. } => Some(RoleToken {
                 role: Role::PlatformReader,
-                token: 2,
+                token: FencingToken(2),
             }),
             _ => None,
         },
         command,
-        wall_ms: 1_700_000_002_000 + index,
+        wall_ms: WallMillis(1_700_000_002_000 + index),
     });
     numbered.collect()
 }
@@ -423,14 +428,28 @@
 }
 
 /// A snapshot of the state after `applied` entries, in which the entries up to `known` are too.
-fn snapshot(entries: &[Entry], applied: usize, known: usize) -> Snapshot {
+fn snapshot(entries: &[Entry], applied: usize, known: usize) -> DurableState {
     let state = state_after(&entries[..applied]);
-    let mut snapshot = Snapshot::empty(member(0).disk, Some(7), Vec::new(), freeze(&state));
+    let mut snapshot = DurableState::empty(
+        member(0).disk,
+        Some(ViewNumber(7)),
+        Vec::new(),
+        take_snapshot(&state),
+    );
     snapshot.agreement.current = view(8);
-    snapshot.agreement.promised = Some((4, member(1).address));
-    snapshot.agreement.accepted = Some(((3, member(2).address), view(9)));
+    snapshot.agreement.promised = Some(Ballot {
+        round: 4,
+        proposer: member(1).address,
+    });
+    snapshot.agreement.accepted = Some(AcceptedView {
+        ballot: Ballot {
+            round: 3,
+            proposer: member(2).address,
+        },
+        view: view(9),
+    });
     snapshot.entries = entries[applied..known].to_vec();
-    snapshot.committed = applied as u64;
+    snapshot.committed = LogIndex(applied as u64);
     snapshot
 }
 
@@ -439,25 +458,25 @@
     let entries = entries();
     let (mut store, _) = Store::open(FolderDirectory::new(folder).unwrap()).unwrap();
     store
-        .checkpoint(snapshot(&entries, FIRST, FIRST).parts())
+        .checkpoint(snapshot(&entries, FIRST, FIRST).chunks())
         .unwrap();
     let between = DurableRecord::Entries(entries[FIRST..SECOND].to_vec());
     store
         .append(&[
             encode(&between),
-            encode(&DurableRecord::Committed(SECOND as u64)),
+            encode(&DurableRecord::Committed(LogIndex(SECOND as u64))),
         ])
         .unwrap();
     let second = snapshot(&entries, SECOND, IN_HEAD);
-    store.checkpoint(second.parts()).unwrap();
+    store.checkpoint(second.chunks()).unwrap();
     let mut agreement = second.agreement;
     agreement.current = view(9);
     agreement.accepted = None;
     let records = [
         DurableRecord::Agreement(Box::new(agreement)),
         DurableRecord::Entries(entries[IN_HEAD..].to_vec()),
-        DurableRecord::Synchronized(9),
-        DurableRecord::Committed((entries.len() - OPEN) as u64),
+        DurableRecord::Synchronized(ViewNumber(9)),
+        DurableRecord::Committed(LogIndex((entries.len() - OPEN) as u64)),
     ];
     store
         .append(&records.map(|record| encode(&record)))
@@ -536,17 +555,23 @@
     let entries = entries();
     let directory = FolderDirectory::new(&stored_folder("whole")).unwrap();
     let (_, recovered) = Store::open(directory).unwrap();
-    let read = Snapshot::recover(recovered.snapshot.unwrap(), &recovered.records).unwrap();
+    let read = DurableState::recover(recovered.snapshot.unwrap(), &recovered.records).unwrap();
     let state = Machine::recover(&read).unwrap().state;
     expect_that!(state, eq(&state_after(&entries[..SECOND])));
     expect_that!(read.entries, eq(&entries[SECOND..]));
     expect_that!(read.disk, eq(member(0).disk));
     expect_that!(read.agreement.current, eq(&view(9)));
-    expect_that!(read.agreement.promised, some(eq((4, member(1).address))));
+    expect_that!(
+        read.agreement.promised,
+        some(eq(Ballot {
+            round: 4,
+            proposer: member(1).address
+        }))
+    );
     expect_that!(read.agreement.accepted, none());
-    expect_that!(read.synchronized, some(eq(9)));
+    expect_that!(read.synchronized, some(eq(ViewNumber(9))));
     expect_that!(read.applied, eq(entries[SECOND - 1].position));
-    expect_that!(read.committed, eq(32));
+    expect_that!(read.committed, eq(LogIndex(32)));
 }
 
 /// The snapshot before the newest one is what a coordinator goes back to when the newest was never finished.
@@ -556,18 +581,24 @@
     std::fs::write(folder.join("slot-0"), []).unwrap();
     std::fs::write(folder.join("log-0"), []).unwrap();
     let (_, recovered) = Store::open(FolderDirectory::new(&folder).unwrap()).unwrap();
-    let read = Snapshot::recover(recovered.snapshot.unwrap(), &recovered.records).unwrap();
+    let read = DurableState::recover(recovered.snapshot.unwrap(), &recovered.records).unwrap();
     let mut state = Machine::recover(&read).unwrap().state;
     expect_that!(state, eq(&state_after(&entries()[..FIRST])));
     expect_that!(
         read.agreement.accepted,
-        some(eq(&((3, member(2).address), view(9))))
+        some(eq(&AcceptedView {
+            ballot: Ballot {
+                round: 3,
+                proposer: member(2).address
+            },
+            view: view(9)
+        }))
     );
     read.entries
         .iter()
         .for_each(|entry| drop(state.apply(entry)));
     expect_that!(state, eq(&state_after(&entries()[..SECOND])));
-    expect_that!(read.committed, eq(20));
+    expect_that!(read.committed, eq(LogIndex(20)));
 }
 
 /// The state in the stored folder has something of each kind, so that the comparisons above are of all of them.
@@ -580,7 +611,7 @@
         phases,
         eq(&["cancelled", "failed", "running", "running", "succeeded"])
     );
-    let steps = &state.jobs[&LONG].times[&0].steps;
+    let steps = &state.jobs[&LONG].occurrences[&0].steps;
     expect_that!(steps[1].gang_failures, eq((1, 1)));
     expect_that!(steps[0].done, eq(1));
     let tasks = &steps[0].tasks;
--- a/system/magpiegap/tests/endpoint.rs
+++ b/system/magpiegap/tests/endpoint.rs
@@ -4,7 +4,7 @@
 use common::{listen, read_request, reset, stays_quiet, LONG};
 use googletest::prelude::*;
 use magpiegap::endpoint::{call, call_while_bytes_come, client, CallError};
-use magpiegap_protocol::{encode, CoordinatorAnswer, CoordinatorRequest};
+use magpiegap_protocol::{encode, CoordinatorRequest, CoordinatorResponse};
 use std::time::Duration;
 use tokio::{io::AsyncWriteExt, net::TcpStream};
 
@@ -15,7 +15,7 @@
 }
 
 async fn answer(stream: &mut TcpStream, count: u64) {
-    let body = encode(&CoordinatorAnswer::Count(count));
+    let body = encode(&CoordinatorResponse::Count(count));
     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
     // The caller may have gone.
     let _ = stream.write_all(&[head.into_bytes(), body].concat()).await;
@@ -45,7 +45,7 @@
     let client = client();
     assert_that!(
         call(&client, address, &question(), LONG).await,
-        ok(eq(&CoordinatorAnswer::Count(1)))
+        ok(eq(&CoordinatorResponse::Count(1)))
     );
     assert_that!(
         call(&client, address, &question(), LONG).await,
@@ -78,7 +78,7 @@
     ended.send(()).expect("the coordinator waits");
     assert_that!(
         call(&client, address, &question(), LONG).await,
-        ok(eq(&CoordinatorAnswer::Count(2)))
+        ok(eq(&CoordinatorResponse::Count(2)))
     );
 }
 
@@ -91,7 +91,7 @@
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         read_request(&mut stream, &encode(&question())).await;
-        let body = encode(&CoordinatorAnswer::Description("x".repeat(300_000)));
+        let body = encode(&CoordinatorResponse::Description("x".repeat(300_000)));
         let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
         stream
             .write_all(head.as_bytes())
@@ -105,7 +105,7 @@
     let called = call_while_bytes_come(&client(), address, &question(), LONG, LONG).await;
     assert_that!(
         called,
-        ok(eq(&CoordinatorAnswer::Description("x".repeat(300_000))))
+        ok(eq(&CoordinatorResponse::Description("x".repeat(300_000))))
     );
 }
 
--- a/system/magpiegap/tests/job_bodies.rs
+++ b/system/magpiegap/tests/job_bodies.rs
@@ -4,7 +4,7 @@
 //! `golden/jobs/`.
 use googletest::prelude::*;
 use magpiegap::job_body;
-use magpiegap_protocol::{JobSpec, Resources, StepSpec};
+use magpiegap_protocol::{JobSpec, Resources, StepSpec, WallMillis};
 
 fn expect_job(body: &str, meant: &JobSpec) {
     expect_that!(
@@ -59,7 +59,7 @@
         steps: vec![first, second],
         long_running: false,
         repeat_count: 3,
-        start_at_ms: 1_700_000_000_000,
+        start_at_ms: WallMillis(1_700_000_000_000),
         interval_ms: 3000,
     };
     expect_job(include_str!("golden/jobs/every_field.json"), &job);
--- a/system/magpiegap/tests/jobs.rs
+++ b/system/magpiegap/tests/jobs.rs
@@ -2,6 +2,7 @@
 use balancer_core::Ending;
 use googletest::prelude::*;
 use magpiegap::{admission::Admission, job_body};
+use magpiegap_protocol::WallMillis;
 use std::{
     sync::Arc,
     time::{Duration, Instant},
@@ -30,7 +31,7 @@
         eq((1, 2))
     );
     expect_that!(job.longest_chain_ms(), eq(7900));
-    expect_that!(job.due_ms(2), some(eq(1_700_000_006_000)));
+    expect_that!(job.scheduled_ms(2), some(eq(WallMillis(1_700_000_006_000))));
 }
 
 #[googletest::test]
--- a/system/magpiegap/tests/knowledge.rs
+++ b/system/magpiegap/tests/knowledge.rs
@@ -2,7 +2,7 @@
 use googletest::prelude::*;
 use magpiegap::feed::Knowledge;
 use magpiegap_jobs::Configuration;
-use magpiegap_protocol::Feed;
+use magpiegap_protocol::{Feed, ViewNumber};
 use std::{sync::Arc, time::Duration};
 use tokio::time::Instant;
 
@@ -77,7 +77,7 @@
     );
     expect_that!(
         knowledge.take(Feed {
-            view: 4,
+            view: ViewNumber(4),
             revision: 7,
             ..Feed::default()
         }),
@@ -85,7 +85,7 @@
     );
     expect_that!(
         knowledge.take(Feed {
-            view: 3,
+            view: ViewNumber(3),
             revision: 8,
             ..Feed::default()
         }),
--- a/system/magpiegap/tests/settings_values.rs
+++ b/system/magpiegap/tests/settings_values.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use magpiegap::{NodeSettings, SettingsReport};
 use magpiegap_control::Tolerance;
-use magpiegap_protocol::{Location, PlaceId};
+use magpiegap_protocol::{FailureDomainId, Location};
 use std::{
     net::Ipv4Addr,
     path::{Path, PathBuf},
@@ -89,8 +89,8 @@
     expect_that!(settings.agent_address().to_string(), eq("127.0.0.1:7102"));
     expect_that!(settings.seed_addresses(), eq(&[0x0a01_000f, 0x0a02_0019]));
     let place = Location {
-        zone: PlaceId::of("east-1"),
-        region: PlaceId::of("east"),
+        zone: FailureDomainId::of("east-1"),
+        region: FailureDomainId::of("east"),
     };
     expect_that!(settings.location(), eq(place));
     let tolerance = Tolerance {
--- a/system/magpiegap/tests/worker_bodies.rs
+++ b/system/magpiegap/tests/worker_bodies.rs
@@ -3,14 +3,14 @@
 //! These bodies must not change: workers and the platform are not of this project, and coordinators of the build before
 //! and of the build after call the same ones. Nothing below the process hands them out, so a coordinator is started here,
 //! alone and on loopback, with stand-ins for the platform and for all workers. What is sent is in
-//! `golden/worker/orders.txt`, one line for each form as `path instance body`; only the times on the worker's clock are
+//! `golden/worker/orders.txt`, one line for each form as `path incarnation body`; only the times on the worker's clock are
 //! left out, as `N`. What is answered is in the other files below `golden/worker/` and `golden/platform/`.
 use googletest::prelude::*;
 use magpiegap::endpoint;
-use magpiegap_control::Snapshot;
+use magpiegap_control::DurableState;
 use magpiegap_protocol::{
-    Command, CoordinatorAnswer, CoordinatorRequest, EndKind, JobId, JobSpec, Resources, RunEnd,
-    StepSpec, Submission, TaskId,
+    Command, CompletionKind, CoordinatorRequest, CoordinatorResponse, JobId, JobSpec, Resources,
+    RunCompletion, StepSpec, Submission, TaskId, WallMillis,
 };
 use magpiegap_storage::{FolderDirectory, Store};
 use std::{
@@ -45,7 +45,7 @@
 /// What the stand-ins were asked, and what the worker is to list.
 #[derive(Default)]
 struct Seen {
-    /// `path instance body`, with the times left out.
+    /// `path incarnation body`, with the times left out.
     orders: BTreeSet<String>,
     /// The heads of the orders, without the lengths.
     heads: BTreeSet<String>,
@@ -65,7 +65,7 @@
 
 struct Question {
     path: String,
-    instance: String,
+    incarnation: String,
     head: String,
     body: String,
 }
@@ -81,7 +81,7 @@
         if let Some((head, body)) = std::str::from_utf8(&bytes).ok()?.split_once("\r\n\r\n") {
             if body.len() >= length(head).unwrap_or(0) {
                 let path = head.split(' ').nth(1)?.to_owned();
-                let instance = head
+                let incarnation = head
                     .lines()
                     .find_map(|line| line.strip_prefix("expected-instance: "));
                 let lines = head
@@ -89,7 +89,7 @@
                     .filter(|line| !line.starts_with("content-length: "));
                 return Some(Question {
                     path,
-                    instance: instance.unwrap_or_default().to_owned(),
+                    incarnation: incarnation.unwrap_or_default().to_owned(),
                     head: lines.collect::<Vec<_>>().join("\n"),
                     body: body.to_owned(),
                 });
@@ -158,7 +158,7 @@
     fn answer(&self, question: &Question, address: SocketAddr) -> String {
         let Question {
             path,
-            instance,
+            incarnation,
             head,
             body,
         } = question;
@@ -169,13 +169,13 @@
         let clock = 1_000_000 + self.begin.elapsed().as_millis();
         let fail_first_run = self.with(|seen| {
             seen.orders
-                .insert(format!("{path} {instance} {}", without_deadline(body)));
+                .insert(format!("{path} {incarnation} {}", without_deadline(body)));
             seen.heads
                 .insert(head.replace(&address.to_string(), "ADDRESS"));
             seen.fail_first_run
         });
         match path.as_str() {
-            "/-/hold" if instance == "w-1" => self
+            "/-/hold" if incarnation == "w-1" => self
                 .listing(fail_first_run)
                 .replace("CLOCK", &clock.to_string()),
             "/-/hold" => format!(r#"{{"clockMs":{clock},"running":[],"ended":[]}}"#),
@@ -269,8 +269,8 @@
     async fn ask(
         &self,
         request: CoordinatorRequest,
-        wanted: impl Fn(&CoordinatorAnswer) -> bool,
-    ) -> CoordinatorAnswer {
+        wanted: impl Fn(&CoordinatorResponse) -> bool,
+    ) -> CoordinatorResponse {
         let until = Instant::now() + LONG;
         loop {
             let answer = endpoint::call(
@@ -289,20 +289,21 @@
     }
 
     /// Asks until the answer is that.
-    async fn ask_until(&self, request: CoordinatorRequest, answer: CoordinatorAnswer) {
+    async fn ask_until(&self, request: CoordinatorRequest, answer: CoordinatorResponse) {
         self.ask(request, |given| *given == answer).await;
     }
 
     /// All ends in the log on disk, once the process is gone.
-    fn ends_on_disk(mut self) -> Vec<RunEnd> {
+    fn ends_on_disk(mut self) -> Vec<RunCompletion> {
         let _ = self.process.kill();
         let _ = self.process.wait();
         let (_, recovered) = Store::open(FolderDirectory::new(&self.folder).unwrap()).unwrap();
         let read =
-            Snapshot::recover(recovered.snapshot.unwrap_or_default(), &recovered.records).unwrap();
+            DurableState::recover(recovered.snapshot.unwrap_or_default(), &recovered.records)
+                .unwrap();
         let mut ends = Vec::new();
         for entry in read.entries {
-            if let Command::NoteEnds { ends: noted, .. } = entry.command {
+            if let Command::RecordCompletions { ends: noted, .. } = entry.command {
                 ends.extend(noted);
             }
         }
@@ -332,7 +333,7 @@
         max_attempts: 50,
         stretch: 2.0,
         target_latency_ms: 1000,
-        submitted_ms: 0,
+        submitted_ms: WallMillis(0),
         spec: JobSpec {
             spec: "a \"text\"".to_owned(),
             steps: vec![step],
@@ -348,10 +349,10 @@
         let explain = CoordinatorRequest::Explain { job: JOB };
         let said = coordinator
             .ask(explain, |said| {
-                matches!(said, CoordinatorAnswer::Description(_))
+                matches!(said, CoordinatorResponse::Description(_))
             })
             .await;
-        let CoordinatorAnswer::Description(text) = said else {
+        let CoordinatorResponse::Description(text) = said else {
             return serde_json::Value::Null;
         };
         let said: serde_json::Value = serde_json::from_str(&text).unwrap();
@@ -381,13 +382,13 @@
     let body = CONFIGURATION.as_bytes().to_vec();
     let configure = CoordinatorRequest::ReplaceConfiguration { base: 0, body };
     coordinator
-        .ask_until(configure, CoordinatorAnswer::ConfigurationTaken)
+        .ask_until(configure, CoordinatorResponse::ConfigurationAccepted)
         .await;
     stand_ins.sent(greeting).await;
     stand_ins.sent(stray_stop).await;
     let submit = CoordinatorRequest::Submit(Box::new(submission()));
     coordinator
-        .ask_until(submit, CoordinatorAnswer::Accepted)
+        .ask_until(submit, CoordinatorResponse::Accepted)
         .await;
     stand_ins.sent(first_start).await;
     stand_ins.sent(hold).await;
@@ -407,7 +408,7 @@
         job: JOB,
     };
     coordinator
-        .ask_until(cancel, CoordinatorAnswer::Accepted)
+        .ask_until(cancel, CoordinatorResponse::Accepted)
         .await;
     stand_ins.sent(stop).await;
     // Whoever is refused for its token claims the role anew, and so gets a higher one.
@@ -436,11 +437,11 @@
 }
 
 /// The ends that the worker listed are in the log with the kinds and checkpoints that their words say.
-fn expect_ends(ends: &[RunEnd]) {
-    let of_nobody = |number: u64, kind, checkpoint: &str| RunEnd {
+fn expect_ends(ends: &[RunCompletion]) {
+    let of_nobody = |number: u64, kind, checkpoint: &str| RunCompletion {
         task: TaskId {
             job: JobId(0xb1b1_0000_0000_0000 + number),
-            time: 1,
+            occurrence: 1,
             step: 2,
             index: 3,
         },
@@ -450,22 +451,22 @@
     };
     let own = TaskId {
         job: JOB,
-        time: 0,
+        occurrence: 0,
         step: 0,
         index: 0,
     };
     let meant = [
-        of_nobody(1, EndKind::Done, "c-1"),
-        of_nobody(2, EndKind::Failed, ""),
-        of_nobody(3, EndKind::Stopped, "c-3"),
-        of_nobody(4, EndKind::Lapsed, "c-4"),
-        of_nobody(5, EndKind::Broken, "c-5"),
-        of_nobody(6, EndKind::Alone, "c-6"),
-        of_nobody(7, EndKind::Stopped, "c-7"),
-        RunEnd {
+        of_nobody(1, CompletionKind::Done, "c-1"),
+        of_nobody(2, CompletionKind::Failed, ""),
+        of_nobody(3, CompletionKind::Stopped, "c-3"),
+        of_nobody(4, CompletionKind::Lapsed, "c-4"),
+        of_nobody(5, CompletionKind::Broken, "c-5"),
+        of_nobody(6, CompletionKind::Alone, "c-6"),
+        of_nobody(7, CompletionKind::Stopped, "c-7"),
+        RunCompletion {
             task: own,
             run: 1,
-            kind: EndKind::Failed,
+            kind: CompletionKind::Failed,
             checkpoint: "c-8".to_owned(),
         },
     ];
--- a/system/protocol/src/command.rs
+++ b/system/protocol/src/command.rs
@@ -1,5 +1,7 @@
 //! Commands of the replicated log.
-use crate::{JobId, JobSpec, Replica, RunId, TaskId, WallMillis};
+use crate::{
+    FencingToken, JobId, JobSpec, LogIndex, ReplicaId, RunId, TaskId, ViewNumber, WallMillis,
+};
 use minicbor::{Decode, Encode};
 
 /// A role that at most one coordinator holds.
@@ -15,24 +17,24 @@
 
 /// Proof that its writer held a role: commands with a token below the role's current one are void.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Fence {
+pub struct RoleToken {
     /// The role.
     #[n(0)]
     pub role: Role,
     /// The fencing token that came with it.
     #[n(1)]
-    pub token: u64,
+    pub token: FencingToken,
 }
 
 /// A place in the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
-pub struct Position {
+pub struct LogPosition {
     /// The view in which the entry was written.
     #[n(0)]
-    pub view: u64,
+    pub view: ViewNumber,
     /// Counts the entries, from one.
     #[n(1)]
-    pub index: u64,
+    pub index: LogIndex,
 }
 
 /// Names a proposal, so that whoever made it learns what became of it.
@@ -40,7 +42,7 @@
 pub struct ProposalId {
     /// Who proposed.
     #[n(0)]
-    pub origin: Replica,
+    pub origin: ReplicaId,
     /// Counts the proposals of this process.
     #[n(1)]
     pub sequence: u64,
@@ -51,13 +53,13 @@
 pub struct Entry {
     /// Its place.
     #[n(0)]
-    pub position: Position,
+    pub position: LogPosition,
     /// Who proposed it.
     #[n(1)]
     pub proposal: ProposalId,
     /// The role in which it was proposed.
     #[n(2)]
-    pub fence: Option<Fence>,
+    pub role_token: Option<RoleToken>,
     /// What it does.
     #[n(3)]
     pub command: Command,
@@ -68,21 +70,23 @@
 
 impl Entry {
     /// About how many bytes it takes up, encoded or in memory.
-    pub fn rough_bytes(&self) -> usize {
+    pub fn estimated_bytes(&self) -> usize {
         const HEAD: usize = 80;
-        HEAD + self.command.rough_bytes()
+        HEAD + self.command.estimated_bytes()
     }
 }
 
 impl Command {
     /// About how many bytes it takes up, encoded or in memory.
-    pub fn rough_bytes(&self) -> usize {
+    pub fn estimated_bytes(&self) -> usize {
         const RUN: usize = 80;
         match self {
             Command::ReplaceConfiguration { body, change, .. } => body.len() + change.len(),
-            Command::SubmitJob { submission, runs } => submission.rough_bytes() + RUN * runs.len(),
+            Command::SubmitJob { submission, runs } => {
+                submission.estimated_bytes() + RUN * runs.len()
+            }
             Command::StartRuns { runs } | Command::LoseRuns { runs } => RUN * runs.len(),
-            Command::NoteEnds { ends, .. } => RUN * ends.len(),
+            Command::RecordCompletions { ends, .. } => RUN * ends.len(),
             _ => 0,
         }
     }
@@ -90,7 +94,7 @@
 
 impl Submission {
     /// About how many bytes it takes up, encoded or in memory.
-    pub fn rough_bytes(&self) -> usize {
+    pub fn estimated_bytes(&self) -> usize {
         const STEP: usize = 100;
         self.spec.spec.len() + STEP * self.spec.steps.len()
     }
@@ -98,7 +102,7 @@
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
-pub enum EndKind {
+pub enum CompletionKind {
     /// It did its work.
     #[n(0)]
     Done,
@@ -121,7 +125,7 @@
 
 /// The end of a run, as its worker told it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct RunEnd {
+pub struct RunCompletion {
     /// The task.
     #[n(0)]
     pub task: TaskId,
@@ -130,7 +134,7 @@
     pub run: RunId,
     /// How it ended.
     #[n(2)]
-    pub kind: EndKind,
+    pub kind: CompletionKind,
     /// The last checkpoint; empty: none.
     #[n(3)]
     pub checkpoint: String,
@@ -147,7 +151,7 @@
     pub run: RunId,
     /// The worker's life.
     #[n(2)]
-    pub instance: String,
+    pub incarnation: String,
     /// The checkpoint that it goes on from; empty: none.
     #[n(3)]
     pub checkpoint: String,
@@ -216,10 +220,10 @@
         role: Role,
         /// Who takes it.
         #[n(1)]
-        holder: Replica,
+        holder: ReplicaId,
         /// The role's token before.
         #[n(2)]
-        expected: u64,
+        expected: FencingToken,
     },
     /// Accepts a job and starts its first tasks.
     #[n(3)]
@@ -247,16 +251,16 @@
     },
     /// Takes note of ends that a worker listed.
     #[n(6)]
-    NoteEnds {
+    RecordCompletions {
         /// The worker's life.
         #[n(0)]
-        instance: String,
+        incarnation: String,
         /// The number of the last end listed.
         #[n(1)]
         last_seen: u64,
         /// The ends.
         #[n(2)]
-        ends: Vec<RunEnd>,
+        ends: Vec<RunCompletion>,
     },
     /// Runs that never began, or are gone without an end that was listed.
     #[n(7)]
@@ -267,23 +271,23 @@
     },
     /// A worker's life is over, or its hold has surely run out: all that it ran is gone.
     #[n(8)]
-    LoseInstance {
+    LoseIncarnation {
         /// The worker's life.
         #[n(0)]
-        instance: String,
+        incarnation: String,
         /// The life itself is over, not just its hold.
         #[n(1)]
         ended: bool,
     },
     /// A time of a repeated job has fallen due.
     #[n(9)]
-    OpenTime {
+    OpenOccurrence {
         /// The job.
         #[n(0)]
         job: JobId,
         /// Which time.
         #[n(1)]
-        time: u32,
+        occurrence: u32,
     },
     /// Drops jobs whose state need not be shown any more.
     #[n(10)]
--- a/system/protocol/src/feed.rs
+++ b/system/protocol/src/feed.rs
@@ -1,5 +1,5 @@
 //! What agents and proxies learn from the control plane.
-use crate::{Replica, Role};
+use crate::{FencingToken, ReplicaId, Role, ViewNumber};
 use minicbor::{Decode, Encode};
 
 /// A role and who holds it.
@@ -10,10 +10,10 @@
     pub role: Role,
     /// Its holder.
     #[n(1)]
-    pub holder: Replica,
+    pub holder: ReplicaId,
     /// The fencing token that came with it.
     #[n(2)]
-    pub token: u64,
+    pub token: FencingToken,
 }
 
 /// What a proxy needs to know besides the configuration: small, so that it never takes long on its way.
@@ -21,7 +21,7 @@
 pub struct Feed {
     /// Number of the view.
     #[n(0)]
-    pub view: u64,
+    pub view: ViewNumber,
     /// Addresses of the coordinators, from head to tail.
     #[n(1)]
     pub chain: Vec<u32>,
@@ -36,13 +36,13 @@
     pub revision: u64,
     /// What leads to that version from the one that the caller has, where it is small.
     #[n(6)]
-    pub change: Option<ConfigurationPart>,
+    pub change: Option<ConfigurationChunk>,
 }
 
 impl Feed {
     /// Whether nothing here is older than there: views, versions and tokens only ever rise.
     pub fn supersedes(&self, known: &Feed) -> bool {
-        let tokens = |feed: &Feed| feed.roles.iter().map(|held| held.token).sum::<u64>();
+        let tokens = |feed: &Feed| feed.roles.iter().map(|held| held.token.0).sum::<u64>();
         self.view >= known.view
             && self.configuration_version >= known.configuration_version
             && tokens(self) >= tokens(known)
@@ -93,7 +93,7 @@
 
 /// A part of what leads from one version of the configuration to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct ConfigurationPart {
+pub struct ConfigurationChunk {
     /// The transfer.
     #[n(0)]
     pub transfer: TransferId,
--- a/system/protocol/src/ids.rs
+++ b/system/protocol/src/ids.rs
@@ -28,13 +28,13 @@
 
 /// One life of a coordinator process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
-pub struct Replica {
+pub struct ReplicaId {
     /// Its machine and disk.
     #[n(0)]
     pub member: Member,
     /// Drawn at each start of the process.
     #[n(1)]
-    pub boot: u64,
+    pub incarnation: u64,
 }
 
 /// A job's name, chosen by its client: 16 hexadecimal digits.
@@ -70,7 +70,7 @@
     pub job: JobId,
     /// Which time of a repeated job; zero for others.
     #[n(1)]
-    pub time: u32,
+    pub occurrence: u32,
     /// Position of the step.
     #[n(2)]
     pub step: u32,
@@ -87,7 +87,7 @@
         let mut number = || parts.next()?.parse::<u32>().ok();
         let task = TaskId {
             job,
-            time: number()?,
+            occurrence: number()?,
             step: number()?,
             index: number()?,
         };
@@ -97,6 +97,10 @@
 
 impl fmt::Display for TaskId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}.{}.{}", self.job, self.time, self.step, self.index)
+        write!(
+            f,
+            "{}.{}.{}.{}",
+            self.job, self.occurrence, self.step, self.index
+        )
     }
 }
--- a/system/protocol/src/job.rs
+++ b/system/protocol/src/job.rs
@@ -1,4 +1,5 @@
 //! What a client asks for when it submits a job.
+use crate::WallMillis;
 use minicbor::{Decode, Encode};
 
 /// Longest `spec` that is taken, in bytes.
@@ -45,7 +46,7 @@
     }
 
     /// The largest part of `capacity` that this takes up in any of its kinds: 0 for none, 1 for all of it.
-    pub fn share_of(&self, capacity: &Resources) -> f64 {
+    pub fn dominant_share(&self, capacity: &Resources) -> f64 {
         let part = |used: u64, whole: u64| match (used, whole) {
             (0, _) => 0.0,
             (_, 0) => f64::INFINITY,
@@ -112,7 +113,7 @@
     pub repeat_count: u32,
     /// When the first time falls due, in milliseconds since 1970.
     #[n(4)]
-    pub start_at_ms: u64,
+    pub start_at_ms: WallMillis,
     /// Milliseconds from one time to the next.
     #[n(5)]
     pub interval_ms: u64,
@@ -170,13 +171,13 @@
     }
 
     /// How many times the steps run.
-    pub fn times(&self) -> u32 {
+    pub fn occurrences(&self) -> u32 {
         self.repeat_count.max(1)
     }
 
     /// When a time of a repeated job falls due, in milliseconds since 1970; `None` for a job that runs at once.
-    pub fn due_ms(&self, time: u32) -> Option<u64> {
-        let offset = u64::from(time).saturating_mul(self.interval_ms);
+    pub fn scheduled_ms(&self, occurrence: u32) -> Option<WallMillis> {
+        let offset = u64::from(occurrence).saturating_mul(self.interval_ms);
         (self.repeat_count > 0).then(|| self.start_at_ms.saturating_add(offset))
     }
 
--- a/system/protocol/src/lib.rs
+++ b/system/protocol/src/lib.rs
@@ -11,6 +11,7 @@
 mod ids;
 mod job;
 mod location;
+mod numbers;
 mod peer;
 mod requests;
 mod view;
@@ -18,20 +19,16 @@
 
 pub use codec::{decode, encode, DecodeError};
 pub use command::{
-    Command, EndKind, Entry, Fence, Position, ProposalId, Role, RunEnd, RunStart, Submission,
+    Command, CompletionKind, Entry, LogPosition, ProposalId, Role, RoleToken, RunCompletion,
+    RunStart, Submission,
 };
-pub use feed::{ConfigurationFetch, ConfigurationPart, Feed, FeedPoll, RoleHolder, TransferId};
+pub use feed::{ConfigurationChunk, ConfigurationFetch, Feed, FeedPoll, RoleHolder, TransferId};
 pub use hash::fnv1a;
-pub use ids::{JobId, Member, Replica, RunId, TaskId};
+pub use ids::{JobId, Member, ReplicaId, RunId, TaskId};
 pub use job::{JobSpec, JobSpecError, Resources, StepSpec, MAX_SPEC_BYTES, MAX_TASKS_PER_JOB};
-pub use location::{Location, MemberLocation, PlaceId};
-pub use peer::{Envelope, Heartbeat, PeerMessage, PeerReport, PlatformList, Promise};
-pub use requests::{CoordinatorAnswer, CoordinatorRequest, JobFilter, JobPhase};
+pub use location::{FailureDomainId, Location, MemberLocation};
+pub use numbers::{Ballot, FencingToken, LogIndex, Millis, ViewNumber, WallMillis};
+pub use peer::{AcceptedView, Envelope, Heartbeat, PeerMessage, PeerReport, PlatformList, Promise};
+pub use requests::{CoordinatorRequest, CoordinatorResponse, JobFilter, JobPhase};
 pub use view::{ChainRecord, View};
 pub use workers::{Availability, WorkerEntry};
-
-/// Milliseconds on the steady clock of one process, counted from its start.
-pub type Millis = u64;
-
-/// Milliseconds of the time of day, counted from 1970.
-pub type WallMillis = u64;
--- a/system/protocol/src/location.rs
+++ b/system/protocol/src/location.rs
@@ -5,15 +5,15 @@
 /// A zone or region by a number that is drawn from its name, so that all machines have the same; zero is unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
-pub struct PlaceId(#[n(0)] pub u64);
+pub struct FailureDomainId(#[n(0)] pub u64);
 
-impl PlaceId {
+impl FailureDomainId {
     /// The number of a name (FNV-1a, 64 bits). An empty name is unknown.
-    pub fn of(name: &str) -> PlaceId {
+    pub fn of(name: &str) -> FailureDomainId {
         if name.is_empty() {
-            return PlaceId::default();
+            return FailureDomainId::default();
         }
-        PlaceId(fnv1a(name.as_bytes()))
+        FailureDomainId(fnv1a(name.as_bytes()))
     }
 }
 
@@ -22,10 +22,10 @@
 pub struct Location {
     /// The zone.
     #[n(0)]
-    pub zone: PlaceId,
+    pub zone: FailureDomainId,
     /// The region.
     #[n(1)]
-    pub region: PlaceId,
+    pub region: FailureDomainId,
 }
 
 /// Where a member of a view stands.
--- a/system/protocol/src/peer.rs
+++ b/system/protocol/src/peer.rs
@@ -1,7 +1,7 @@
 //! Messages between coordinators.
 use crate::{
-    Command, Entry, Fence, Location, Millis, Position, ProposalId, Replica, View, WallMillis,
-    WorkerEntry,
+    Ballot, Command, Entry, FencingToken, Location, LogIndex, LogPosition, Millis, ProposalId,
+    ReplicaId, RoleToken, View, ViewNumber, WallMillis, WorkerEntry,
 };
 use minicbor::{Decode, Encode};
 
@@ -10,7 +10,7 @@
 pub struct Envelope {
     /// The sender.
     #[n(0)]
-    pub from: Replica,
+    pub from: ReplicaId,
     /// The messages.
     #[n(1)]
     pub messages: Vec<PeerMessage>,
@@ -21,13 +21,13 @@
 pub struct PeerReport {
     /// The other one.
     #[n(0)]
-    pub replica: Replica,
+    pub replica: ReplicaId,
     /// How long ago it was last heard, in milliseconds.
     #[n(1)]
     pub age_ms: u64,
     /// Number of the newest view that it knew then.
     #[n(2)]
-    pub view: u64,
+    pub view: ViewNumber,
     /// It was at work in that view.
     #[n(3)]
     pub serving: bool,
@@ -41,11 +41,11 @@
     /// The newest entry that it knew to be committed.
     #[n(6)]
     #[cbor(default)]
-    pub committed: u64,
+    pub committed: LogIndex,
     /// The sender of this report and it hear each other, without others between.
     #[n(7)]
     #[cbor(default)]
-    pub both_ways: bool,
+    pub bidirectional: bool,
     /// Where it stands.
     #[n(8)]
     #[cbor(default)]
@@ -61,7 +61,7 @@
 pub struct Heartbeat {
     /// Number of the newest view that the sender knows.
     #[n(0)]
-    pub view: u64,
+    pub view: ViewNumber,
     /// The sender is at work in that view, or waits for the state of its predecessor there.
     #[n(1)]
     pub serving: bool,
@@ -76,7 +76,7 @@
     pub wall_ms: WallMillis,
     /// The newest entry that the sender knows to be committed.
     #[n(5)]
-    pub committed: u64,
+    pub committed: LogIndex,
     /// The sender's disk has all that was committed up to that view.
     #[n(6)]
     #[cbor(default)]
@@ -95,21 +95,32 @@
     pub sealed: bool,
 }
 
+/// A view that a voter has accepted, with the ballot in which it did.
+#[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
+pub struct AcceptedView {
+    /// The ballot.
+    #[n(0)]
+    pub ballot: Ballot,
+    /// The view.
+    #[n(1)]
+    pub view: View,
+}
+
 /// A voter's answer to a proposer of the next view.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Promise {
     /// Number of the view to be agreed.
     #[n(0)]
-    pub number: u64,
+    pub number: ViewNumber,
     /// The ballot.
     #[n(1)]
-    pub ballot: (u64, u32),
+    pub ballot: Ballot,
     /// What the voter has accepted before.
     #[n(2)]
-    pub accepted: Option<((u64, u32), View)>,
+    pub accepted: Option<AcceptedView>,
     /// The last entry on the voter's disk, when that has all that was committed so far.
     #[n(3)]
-    pub complete: Option<Position>,
+    pub complete: Option<LogPosition>,
 }
 
 /// The platform's list as its reader last had it.
@@ -117,7 +128,7 @@
 pub struct PlatformList {
     /// Fencing token of the reader.
     #[n(0)]
-    pub token: u64,
+    pub token: FencingToken,
     /// Counts the lists of this reader.
     #[n(1)]
     pub sequence: u64,
@@ -137,10 +148,10 @@
     Prepare {
         /// Number of the view to be agreed.
         #[n(0)]
-        number: u64,
+        number: ViewNumber,
         /// The ballot: round, then a tag of the proposer.
         #[n(1)]
-        ballot: (u64, u32),
+        ballot: Ballot,
     },
     /// The voter takes part.
     #[n(2)]
@@ -150,17 +161,17 @@
     Reject {
         /// Number of the view to be agreed.
         #[n(0)]
-        number: u64,
+        number: ViewNumber,
         /// The ballot that the voter takes part in.
         #[n(1)]
-        promised: (u64, u32),
+        promised: Ballot,
     },
     /// Asks a voter to accept a view.
     #[n(4)]
     Accept {
         /// The ballot.
         #[n(0)]
-        ballot: (u64, u32),
+        ballot: Ballot,
         /// The view.
         #[n(1)]
         view: View,
@@ -170,10 +181,10 @@
     Accepted {
         /// Number of the view.
         #[n(0)]
-        number: u64,
+        number: ViewNumber,
         /// The ballot.
         #[n(1)]
-        ballot: (u64, u32),
+        ballot: Ballot,
     },
     /// A view that was agreed.
     #[n(6)]
@@ -183,46 +194,46 @@
     Append {
         /// The view.
         #[n(0)]
-        view: u64,
+        view: ViewNumber,
         /// The entry before the first one here.
         #[n(1)]
-        after: u64,
+        after: LogIndex,
         /// The entries.
         #[n(2)]
         entries: Vec<Entry>,
         /// All entries up to this one are on the disks of the sender and of all before it.
         #[n(3)]
-        durable: u64,
+        durable: LogIndex,
     },
     /// The tail's word that all entries up to this one are committed.
     #[n(8)]
     Committed {
         /// The view.
         #[n(0)]
-        view: u64,
+        view: ViewNumber,
         /// The entry.
         #[n(1)]
-        index: u64,
+        index: LogIndex,
     },
     /// Asks the predecessor for what is missing.
     #[n(9)]
     Synchronize {
         /// The view.
         #[n(0)]
-        view: u64,
+        view: ViewNumber,
         /// The last entry that the sender has.
         #[n(1)]
-        last: Position,
+        last: LogPosition,
     },
     /// Entries that were missing.
     #[n(10)]
     MissingEntries {
         /// The view.
         #[n(0)]
-        view: u64,
+        view: ViewNumber,
         /// The entry before the first one here.
         #[n(1)]
-        after: u64,
+        after: LogIndex,
         /// The entries.
         #[n(2)]
         entries: Vec<Entry>,
@@ -236,13 +247,13 @@
     Propose {
         /// The view in which it is made; void in any other.
         #[n(0)]
-        view: u64,
+        view: ViewNumber,
         /// Its name.
         #[n(1)]
         proposal: ProposalId,
         /// The role in which it is made.
         #[n(2)]
-        fence: Option<Fence>,
+        role_token: Option<RoleToken>,
         /// What is proposed.
         #[n(3)]
         command: Command,
@@ -252,39 +263,39 @@
     Platform(#[n(0)] PlatformList),
     /// Offers a whole state, where entries don't do. It is asked for part by part.
     #[n(14)]
-    StateOffer {
+    SnapshotOffer {
         /// The view.
         #[n(0)]
-        view: u64,
+        view: ViewNumber,
         /// The last entry that the state holds.
         #[n(1)]
-        position: Position,
+        position: LogPosition,
         /// How many parts it has.
         #[n(2)]
-        parts: u32,
+        chunks: u32,
     },
     /// Asks for a part of a state that was offered.
     #[n(15)]
-    AskPart {
+    RequestSnapshotChunk {
         /// The view.
         #[n(0)]
-        view: u64,
+        view: ViewNumber,
         /// Which state.
         #[n(1)]
-        position: Position,
+        position: LogPosition,
         /// Which part, from zero.
         #[n(2)]
         number: u32,
     },
     /// A part of a state.
     #[n(16)]
-    StatePart {
+    SnapshotChunk {
         /// The view.
         #[n(0)]
-        view: u64,
+        view: ViewNumber,
         /// Which state.
         #[n(1)]
-        position: Position,
+        position: LogPosition,
         /// Which part, from zero.
         #[n(2)]
         number: u32,
@@ -299,13 +310,13 @@
 
 impl PeerMessage {
     /// About how many bytes it takes up.
-    pub fn rough_bytes(&self) -> usize {
+    pub fn estimated_bytes(&self) -> usize {
         const SMALL: usize = 200;
         match self {
             PeerMessage::Append { entries, .. } | PeerMessage::MissingEntries { entries, .. } => {
-                SMALL + entries.iter().map(Entry::rough_bytes).sum::<usize>()
+                SMALL + entries.iter().map(Entry::estimated_bytes).sum::<usize>()
             }
-            PeerMessage::StatePart { bytes, .. } => SMALL + bytes.len(),
+            PeerMessage::SnapshotChunk { bytes, .. } => SMALL + bytes.len(),
             PeerMessage::Platform(list) => SMALL * (1 + list.workers.len()),
             _ => SMALL,
         }
@@ -325,9 +336,9 @@
             | PeerMessage::Committed { .. }
             | PeerMessage::Synchronize { .. }
             | PeerMessage::MissingEntries { .. }
-            | PeerMessage::StateOffer { .. }
-            | PeerMessage::AskPart { .. }
-            | PeerMessage::StatePart { .. }
+            | PeerMessage::SnapshotOffer { .. }
+            | PeerMessage::RequestSnapshotChunk { .. }
+            | PeerMessage::SnapshotChunk { .. }
             | PeerMessage::Propose { .. }
             | PeerMessage::Platform(_) => false,
         }
--- a/system/protocol/src/requests.rs
+++ b/system/protocol/src/requests.rs
@@ -1,5 +1,5 @@
 //! What proxies and the operator's interface ask of a coordinator.
-use crate::{ConfigurationFetch, ConfigurationPart, Feed, FeedPoll, JobId, Submission};
+use crate::{ConfigurationChunk, ConfigurationFetch, Feed, FeedPoll, JobId, Submission};
 use minicbor::{Decode, Encode};
 
 /// A job's state as its client sees it.
@@ -47,7 +47,7 @@
     }
 
     /// Whether nothing of the job is to run any more.
-    pub fn ended(self) -> bool {
+    pub fn is_terminal(self) -> bool {
         !matches!(self, JobPhase::Pending | JobPhase::Running)
     }
 }
@@ -138,7 +138,7 @@
 
 /// The answer to a [`CoordinatorRequest`].
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum CoordinatorAnswer {
+pub enum CoordinatorResponse {
     /// The job, or the cancelling, is kept.
     #[n(0)]
     Accepted,
@@ -165,7 +165,7 @@
     Feed(#[n(0)] Box<Feed>),
     /// The configuration was taken, now or earlier.
     #[n(8)]
-    ConfigurationTaken,
+    ConfigurationAccepted,
     /// Another version is current.
     #[n(9)]
     ConfigurationConflict,
@@ -183,7 +183,7 @@
     Elsewhere(#[n(0)] u32),
     /// A part of a configuration.
     #[n(14)]
-    ConfigurationPart(#[n(0)] Box<ConfigurationPart>),
+    ConfigurationChunk(#[n(0)] Box<ConfigurationChunk>),
     /// The configuration is invalid: its first fault.
     #[n(15)]
     ConfigurationInvalid(#[n(0)] String),
--- a/system/protocol/src/view.rs
+++ b/system/protocol/src/view.rs
@@ -1,5 +1,5 @@
 //! The agreed membership view of the core.
-use crate::{Location, Member, MemberLocation, Replica};
+use crate::{Location, Member, MemberLocation, ReplicaId, ViewNumber};
 use minicbor::{Decode, Encode};
 
 /// How many earlier chains a view remembers.
@@ -10,10 +10,10 @@
 pub struct ChainRecord {
     /// Number of the view.
     #[n(0)]
-    pub number: u64,
+    pub number: ViewNumber,
     /// The replicas from head to tail.
     #[n(1)]
-    pub chain: Vec<Replica>,
+    pub chain: Vec<ReplicaId>,
 }
 
 /// One membership view. Views are agreed one after the other, each by a majority of the voters of the one before.
@@ -21,13 +21,13 @@
 pub struct View {
     /// Counts the views; zero is the state before the first one was agreed.
     #[n(0)]
-    pub number: u64,
+    pub number: ViewNumber,
     /// Whose majority agrees on the next view.
     #[n(1)]
     pub voters: Vec<Member>,
     /// The replicas from head to tail.
     #[n(2)]
-    pub chain: Vec<Replica>,
+    pub chain: Vec<ReplicaId>,
     /// The chains of the latest views before this one, oldest first.
     #[n(3)]
     pub history: Vec<ChainRecord>,
@@ -41,7 +41,7 @@
     /// The state before the first view: the voters are known, no chain is.
     pub fn initial(voters: Vec<Member>) -> View {
         View {
-            number: 0,
+            number: ViewNumber::default(),
             voters,
             chain: Vec::new(),
             history: Vec::new(),
@@ -50,7 +50,7 @@
     }
 
     /// The view that follows this one.
-    pub fn next(&self, voters: Vec<Member>, chain: Vec<Replica>) -> View {
+    pub fn next(&self, voters: Vec<Member>, chain: Vec<ReplicaId>) -> View {
         let mut history = self.history.clone();
         history.push(ChainRecord {
             number: self.number,
@@ -59,7 +59,7 @@
         let surplus = history.len().saturating_sub(HISTORY);
         history.drain(..surplus);
         View {
-            number: self.number + 1,
+            number: self.number.next(),
             voters,
             chain,
             history,
@@ -79,31 +79,31 @@
     }
 
     /// Where writes enter.
-    pub fn head(&self) -> Option<Replica> {
+    pub fn head(&self) -> Option<ReplicaId> {
         self.chain.first().copied()
     }
 
     /// Where writes are committed and reads are answered.
-    pub fn tail(&self) -> Option<Replica> {
+    pub fn tail(&self) -> Option<ReplicaId> {
         self.chain.last().copied()
     }
 
     /// The replica's place in the chain, from zero at the head.
-    pub fn position(&self, replica: &Replica) -> Option<usize> {
+    pub fn position(&self, replica: &ReplicaId) -> Option<usize> {
         self.chain.iter().position(|other| other == replica)
     }
 
     /// Whether a disk that was complete in view `synced` still has all that was committed since: a view commits
     /// only what is on the disks of its whole chain, so a disk that was in every chain since has missed nothing.
-    pub fn complete_since(&self, synced: u64, member: &Member) -> bool {
-        let in_chain = |chain: &[Replica]| chain.iter().any(|replica| replica.member == *member);
-        let in_view = |number: u64| match number == self.number {
+    pub fn complete_since(&self, synced: ViewNumber, member: &Member) -> bool {
+        let in_chain = |chain: &[ReplicaId]| chain.iter().any(|replica| replica.member == *member);
+        let in_view = |number: ViewNumber| match number == self.number {
             true => in_chain(&self.chain),
             false => self
                 .history
                 .iter()
                 .any(|record| record.number == number && in_chain(&record.chain)),
         };
-        synced <= self.number && (synced + 1..=self.number).all(in_view)
+        synced <= self.number && (synced.0 + 1..=self.number.0).map(ViewNumber).all(in_view)
     }
 }
--- a/system/protocol/src/workers.rs
+++ b/system/protocol/src/workers.rs
@@ -19,7 +19,7 @@
 pub struct WorkerEntry {
     /// Name of this life; a worker that starts again has another.
     #[n(0)]
-    pub instance: String,
+    pub incarnation: String,
     /// The service whose tasks it runs.
     #[n(1)]
     pub service: String,
--- a/system/protocol/tests/golden/mod.rs
+++ b/system/protocol/tests/golden/mod.rs
@@ -7,7 +7,7 @@
 use std::{collections::BTreeMap, fmt::Write};
 
 /// Stored records, and what was found wrong with those compared so far.
-pub struct Stored {
+pub(crate) struct Stored {
     /// Those that no value was compared with yet.
     records: BTreeMap<&'static str, &'static str>,
     faults: Vec<String>,
@@ -15,7 +15,7 @@
 
 impl Stored {
     /// Reads the text of a stored file.
-    pub fn read(text: &'static str) -> Stored {
+    pub(crate) fn read(text: &'static str) -> Stored {
         let mut stored = Stored {
             records: BTreeMap::new(),
             faults: Vec::new(),
@@ -32,7 +32,7 @@
     }
 
     /// The value is encoded as the stored bytes, and they are read as the value.
-    pub fn keeps<T>(&mut self, name: &str, value: &T)
+    pub(crate) fn keeps<T>(&mut self, name: &str, value: &T)
     where
         T: Encode<()> + for<'b> Decode<'b, ()> + PartialEq,
     {
@@ -45,7 +45,7 @@
     }
 
     /// The stored bytes, in a form that is not written any more, are read as the value.
-    pub fn reads<T>(&mut self, name: &str, value: &T)
+    pub(crate) fn reads<T>(&mut self, name: &str, value: &T)
     where
         T: for<'b> Decode<'b, ()> + PartialEq,
     {
@@ -57,12 +57,12 @@
     }
 
     /// The stored bytes of a record, once.
-    pub fn bytes(&mut self, name: &str) -> Option<Vec<u8>> {
+    pub(crate) fn bytes(&mut self, name: &str) -> Option<Vec<u8>> {
         self.records.remove(name).and_then(unhex)
     }
 
     /// All that is wrong, also stored records that no value was compared with.
-    pub fn faults(self) -> Vec<String> {
+    pub(crate) fn faults(self) -> Vec<String> {
         let left = self
             .records
             .keys()
@@ -72,7 +72,7 @@
 }
 
 /// Bytes as lower-case hexadecimal digits.
-pub fn hex(bytes: &[u8]) -> String {
+pub(crate) fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
         // Writing into a text can't fail.
         let _ = write!(text, "{byte:02x}");
--- a/system/protocol/tests/golden/samples.rs
+++ b/system/protocol/tests/golden/samples.rs
@@ -1,66 +1,67 @@
 //! Values with every field set to something of its own.
 use magpiegap_protocol::*;
+use magpiegap_protocol::{FencingToken, LogIndex, ViewNumber, WallMillis};
 
-pub fn member(n: u32) -> Member {
+pub(crate) fn member(n: u32) -> Member {
     Member {
         address: 0x0a00_0000 + n,
         disk: 0xd15c_0000 + u64::from(n),
     }
 }
 
-pub fn replica(n: u32) -> Replica {
-    Replica {
+pub(crate) fn replica(n: u32) -> ReplicaId {
+    ReplicaId {
         member: member(n),
-        boot: 0xb007_0000_0000_0000 + u64::from(n),
+        incarnation: 0xb007_0000_0000_0000 + u64::from(n),
     }
 }
 
-pub fn task() -> TaskId {
+pub(crate) fn task() -> TaskId {
     TaskId {
         job: JobId(0x5c0e_7a21_d94b_36f8),
-        time: 2,
+        occurrence: 2,
         step: 3,
         index: 417,
     }
 }
 
-pub fn scheduler() -> Role {
+pub(crate) fn scheduler() -> Role {
     Role::Scheduler("render".to_owned())
 }
 
-pub fn fence() -> Fence {
-    Fence {
+pub(crate) fn role_token() -> RoleToken {
+    RoleToken {
         role: scheduler(),
-        token: 31,
+        token: FencingToken(31),
     }
 }
 
-pub fn position() -> Position {
-    Position {
-        view: 12,
-        index: 70_001,
+pub(crate) fn position() -> LogPosition {
+    LogPosition {
+        view: ViewNumber(12),
+        index: LogIndex(70_001),
     }
 }
 
-pub fn proposal() -> ProposalId {
+pub(crate) fn proposal() -> ProposalId {
     ProposalId {
         origin: replica(4),
         sequence: 260,
     }
 }
 
-pub fn entry(command: Command) -> Entry {
+pub(crate) fn entry(command: Command) -> Entry {
     Entry {
         position: position(),
         proposal: proposal(),
-        fence: Some(fence()),
+        role_token: Some(role_token()),
         command,
-        wall_ms: 1_700_000_000_123,
+        wall_ms: WallMillis(1_700_000_000_123),
     }
 }
 
-pub fn run_end(kind: EndKind) -> RunEnd {
-    RunEnd {
+pub(crate) fn run_end(kind: CompletionKind) -> RunCompletion {
+    RunCompletion {
         task: task(),
         run: 5,
         kind,
@@ -68,16 +69,16 @@
     }
 }
 
-pub fn run_start() -> RunStart {
+pub(crate) fn run_start() -> RunStart {
     RunStart {
         task: task(),
         run: 6,
-        instance: "w-17/3".to_owned(),
+        incarnation: "w-17/3".to_owned(),
         checkpoint: "third".to_owned(),
     }
 }
 
-pub fn resources() -> Resources {
+pub(crate) fn resources() -> Resources {
     Resources {
         cpu: 1500,
         memory_mb: 70_000,
@@ -85,7 +86,7 @@
     }
 }
 
-pub fn step() -> StepSpec {
+pub(crate) fn step() -> StepSpec {
     StepSpec {
         count: 9,
         resources: resources(),
@@ -101,7 +102,7 @@
     }
 }
 
-pub fn job_spec() -> JobSpec {
+pub(crate) fn job_spec() -> JobSpec {
     JobSpec {
         spec: "frames 1-24".to_owned(),
         steps: vec![
@@ -113,12 +114,12 @@
         ],
         long_running: true,
         repeat_count: 11,
-        start_at_ms: 1_700_000_100_000,
+        start_at_ms: WallMillis(1_700_000_100_000),
         interval_ms: 3_600_000,
     }
 }
 
-pub fn submission() -> Submission {
+pub(crate) fn submission() -> Submission {
     Submission {
         job: JobId(0x0123_4567_89ab_cdef),
         queue: "films.example/render/".to_owned(),
@@ -127,30 +128,30 @@
         max_attempts: 13,
         stretch: 1.75,
         target_latency_ms: 2500,
-        submitted_ms: 1_700_000_000_456,
+        submitted_ms: WallMillis(1_700_000_000_456),
         spec: job_spec(),
     }
 }
 
-pub fn location() -> Location {
+pub(crate) fn location() -> Location {
     Location {
-        zone: PlaceId(0xa1b2_c3d4_e5f6_0718),
-        region: PlaceId(0x1122_3344),
+        zone: FailureDomainId(0xa1b2_c3d4_e5f6_0718),
+        region: FailureDomainId(0x1122_3344),
     }
 }
 
-pub fn view() -> View {
+pub(crate) fn view() -> View {
     View {
-        number: 14,
+        number: ViewNumber(14),
         voters: vec![member(1), member(2), member(3)],
         chain: vec![replica(2), replica(1)],
         history: vec![
             ChainRecord {
-                number: 12,
+                number: ViewNumber(12),
                 chain: vec![replica(3)],
             },
             ChainRecord {
-                number: 13,
+                number: ViewNumber(13),
                 chain: vec![replica(1), replica(3)],
             },
         ],
@@ -161,29 +162,29 @@
     }
 }
 
-pub fn report() -> PeerReport {
+pub(crate) fn report() -> PeerReport {
     PeerReport {
         replica: replica(5),
         age_ms: 320,
-        view: 15,
+        view: ViewNumber(15),
         serving: true,
         unfit: true,
         complete: true,
-        committed: 70_002,
-        both_ways: true,
+        committed: LogIndex(70_002),
+        bidirectional: true,
         location: location(),
         echo: 123_456,
     }
 }
 
-pub fn heartbeat() -> Heartbeat {
+pub(crate) fn heartbeat() -> Heartbeat {
     Heartbeat {
-        view: 16,
+        view: ViewNumber(16),
         serving: true,
         unfit: true,
         heard: vec![report()],
-        wall_ms: 1_700_000_000_789,
-        committed: 70_003,
+        wall_ms: WallMillis(1_700_000_000_789),
+        committed: LogIndex(70_003),
         complete: true,
         location: location(),
         sent_at: 654_321,
@@ -191,18 +192,27 @@
     }
 }
 
-pub fn promise() -> Promise {
+pub(crate) fn promise() -> Promise {
     Promise {
-        number: 17,
-        ballot: (18, 19),
-        accepted: Some(((20, 21), view())),
+        number: ViewNumber(17),
+        ballot: Ballot {
+            round: 18,
+            proposer: 19,
+        },
+        accepted: Some(AcceptedView {
+            ballot: Ballot {
+                round: 20,
+                proposer: 21,
+            },
+            view: view(),
+        }),
         complete: Some(position()),
     }
 }
 
-pub fn worker() -> WorkerEntry {
+pub(crate) fn worker() -> WorkerEntry {
     WorkerEntry {
-        instance: "w-17/4".to_owned(),
+        incarnation: "w-17/4".to_owned(),
         service: "render".to_owned(),
         address: "10.0.3.7:8080".to_owned(),
         zone: "north-1".to_owned(),
@@ -213,20 +223,20 @@
     }
 }
 
-pub fn platform_list() -> PlatformList {
+pub(crate) fn platform_list() -> PlatformList {
     let ready = WorkerEntry {
         availability: Availability::Ready,
         remaining_ms: None,
         ..worker()
     };
     PlatformList {
-        token: 22,
+        token: FencingToken(22),
         sequence: 23,
         workers: vec![worker(), ready],
     }
 }
 
-pub fn transfer() -> TransferId {
+pub(crate) fn transfer() -> TransferId {
     TransferId {
         base: 24,
         version: 25,
@@ -234,8 +244,8 @@
     }
 }
 
-pub fn part() -> ConfigurationPart {
-    ConfigurationPart {
+pub(crate) fn part() -> ConfigurationChunk {
+    ConfigurationChunk {
         transfer: transfer(),
         length: 40_000,
         offset: 16_384,
@@ -243,20 +253,20 @@
     }
 }
 
-pub fn feed() -> Feed {
+pub(crate) fn feed() -> Feed {
     Feed {
-        view: 26,
+        view: ViewNumber(26),
         chain: vec![0x0a00_0001, 0x0a00_0002],
         roles: vec![
             RoleHolder {
                 role: Role::PlatformReader,
                 holder: replica(1),
-                token: 27,
+                token: FencingToken(27),
             },
             RoleHolder {
                 role: scheduler(),
                 holder: replica(2),
-                token: 28,
+                token: FencingToken(28),
             },
         ],
         configuration_version: 29,
@@ -265,7 +275,7 @@
     }
 }
 
-pub fn poll() -> FeedPoll {
+pub(crate) fn poll() -> FeedPoll {
     FeedPoll {
         revision: 0x0102_0304_0506_0708,
         configuration_version: 29,
@@ -273,7 +283,7 @@
     }
 }
 
-pub fn fetch() -> ConfigurationFetch {
+pub(crate) fn fetch() -> ConfigurationFetch {
     ConfigurationFetch {
         base: 24,
         transfer: Some(transfer()),
@@ -281,7 +291,7 @@
     }
 }
 
-pub fn filter() -> JobFilter {
+pub(crate) fn filter() -> JobFilter {
     JobFilter {
         queue: Some("films.example/render/".to_owned()),
         phase: Some(JobPhase::Failed),
--- a/system/protocol/tests/messages.rs
+++ b/system/protocol/tests/messages.rs
@@ -1,14 +1,14 @@
 //! Names, jobs, views and their encodings.
 use googletest::prelude::*;
 use magpiegap_protocol::{
-    decode, encode, CoordinatorRequest, Feed, JobId, JobSpec, JobSpecError, Member, Replica,
-    Resources, Role, RoleHolder, StepSpec, TaskId, View,
+    decode, encode, CoordinatorRequest, Feed, FencingToken, JobId, JobSpec, JobSpecError, Member,
+    ReplicaId, Resources, Role, RoleHolder, StepSpec, TaskId, View, ViewNumber,
 };
 
-fn replica(address: u32) -> Replica {
-    Replica {
+fn replica(address: u32) -> ReplicaId {
+    ReplicaId {
         member: Member { address, disk: 0 },
-        boot: u64::from(address),
+        incarnation: u64::from(address),
     }
 }
 
@@ -16,7 +16,7 @@
 fn given_a_task_when_its_name_is_written_and_read_then_it_is_the_same() {
     let task = TaskId {
         job: JobId(0x5c0e_7a21_d94b_36f8),
-        time: 2,
+        occurrence: 2,
         step: 1,
         index: 17,
     };
@@ -106,11 +106,11 @@
             memory_mb: 50,
             gpu: 0
         }
-        .share_of(&whole),
+        .dominant_share(&whole),
         eq(0.5)
     );
     expect_that!(
-        Resources { gpu: 1, ..whole }.share_of(&whole),
+        Resources { gpu: 1, ..whole }.dominant_share(&whole),
         eq(f64::INFINITY)
     );
 }
@@ -131,22 +131,34 @@
         first.voters.clone(),
         vec![replica(2), replica(1), replica(3)],
     );
-    expect_that!(fourth.complete_since(1, &replica(1).member), eq(true));
+    expect_that!(
+        fourth.complete_since(ViewNumber(1), &replica(1).member),
+        eq(true)
+    );
     // It was out of the third view, which may have committed without it.
-    expect_that!(fourth.complete_since(1, &replica(3).member), eq(false));
-    expect_that!(fourth.complete_since(2, &replica(3).member), eq(true));
-    expect_that!(fourth.complete_since(9, &replica(1).member), eq(false));
+    expect_that!(
+        fourth.complete_since(ViewNumber(1), &replica(3).member),
+        eq(false)
+    );
+    expect_that!(
+        fourth.complete_since(ViewNumber(2), &replica(3).member),
+        eq(true)
+    );
+    expect_that!(
+        fourth.complete_since(ViewNumber(9), &replica(1).member),
+        eq(false)
+    );
 }
 
 #[googletest::test]
 fn given_two_feeds_when_one_is_older_in_anything_then_it_does_not_supersede() {
     let feed = |view, version, token| Feed {
-        view,
+        view: ViewNumber(view),
         configuration_version: version,
         roles: vec![RoleHolder {
             role: Role::PlatformReader,
             holder: replica(1),
-            token,
+            token: FencingToken(token),
         }],
         ..Feed::default()
     };
--- a/system/protocol/tests/stored_bytes.rs
+++ b/system/protocol/tests/stored_bytes.rs
@@ -9,6 +9,7 @@
 use golden::Stored;
 use googletest::prelude::*;
 use magpiegap_protocol::*;
+use magpiegap_protocol::{FencingToken, LogIndex, ViewNumber};
 use samples::*;
 
 #[googletest::test]
@@ -36,7 +37,7 @@
         &Command::ClaimRole {
             role: Role::PlatformReader,
             holder: replica(6),
-            expected: 34,
+            expected: FencingToken(34),
         },
     );
     stored.keeps(
@@ -44,7 +45,7 @@
         &Command::ClaimRole {
             role: scheduler(),
             holder: replica(7),
-            expected: 35,
+            expected: FencingToken(35),
         },
     );
     let submit = Command::SubmitJob {
@@ -62,8 +63,8 @@
     let ends = every_end_kind().map(run_end).to_vec();
     stored.keeps(
         "note-ends",
-        &Command::NoteEnds {
-            instance: "w-17/5".to_owned(),
+        &Command::RecordCompletions {
+            incarnation: "w-17/5".to_owned(),
             last_seen: 37,
             ends,
         },
@@ -76,23 +77,23 @@
     );
     stored.keeps(
         "lose-instance",
-        &Command::LoseInstance {
-            instance: "w-17/6".to_owned(),
+        &Command::LoseIncarnation {
+            incarnation: "w-17/6".to_owned(),
             ended: true,
         },
     );
     stored.keeps(
         "lose-instance-hold-only",
-        &Command::LoseInstance {
-            instance: "w-17/6".to_owned(),
+        &Command::LoseIncarnation {
+            incarnation: "w-17/6".to_owned(),
             ended: false,
         },
     );
     stored.keeps(
         "open-time",
-        &Command::OpenTime {
+        &Command::OpenOccurrence {
             job: JobId(38),
-            time: 39,
+            occurrence: 39,
         },
     );
     stored.keeps(
@@ -104,14 +105,14 @@
     expect_that!(stored.faults(), is_empty());
 }
 
-fn every_end_kind() -> [EndKind; 6] {
+fn every_end_kind() -> [CompletionKind; 6] {
     [
-        EndKind::Done,
-        EndKind::Failed,
-        EndKind::Stopped,
-        EndKind::Lapsed,
-        EndKind::Broken,
-        EndKind::Alone,
+        CompletionKind::Done,
+        CompletionKind::Failed,
+        CompletionKind::Stopped,
+        CompletionKind::Lapsed,
+        CompletionKind::Broken,
+        CompletionKind::Alone,
     ]
 }
 
@@ -122,13 +123,13 @@
     stored.keeps(
         "without-a-fence",
         &Entry {
-            fence: None,
+            role_token: None,
             ..entry(Command::Noop)
         },
     );
     stored.keeps("position", &position());
     stored.keeps("proposal", &proposal());
-    stored.keeps("fence", &fence());
+    stored.keeps("fence", &role_token());
     expect_that!(stored.faults(), is_empty());
 }
 
@@ -144,61 +145,73 @@
         (
             "prepare",
             PeerMessage::Prepare {
-                number: 43,
-                ballot: (44, 45),
+                number: ViewNumber(43),
+                ballot: Ballot {
+                    round: 44,
+                    proposer: 45,
+                },
             },
         ),
         ("promise", PeerMessage::Promise(promise())),
         (
             "reject",
             PeerMessage::Reject {
-                number: 46,
-                promised: (47, 48),
+                number: ViewNumber(46),
+                promised: Ballot {
+                    round: 47,
+                    proposer: 48,
+                },
             },
         ),
         (
             "accept",
             PeerMessage::Accept {
-                ballot: (49, 50),
+                ballot: Ballot {
+                    round: 49,
+                    proposer: 50,
+                },
                 view: view(),
             },
         ),
         (
             "accepted",
             PeerMessage::Accepted {
-                number: 51,
-                ballot: (52, 53),
+                number: ViewNumber(51),
+                ballot: Ballot {
+                    round: 52,
+                    proposer: 53,
+                },
             },
         ),
         ("decided", PeerMessage::Decided(view())),
         (
             "append",
             PeerMessage::Append {
-                view: 54,
-                after: 55,
+                view: ViewNumber(54),
+                after: LogIndex(55),
                 entries: entries.clone(),
-                durable: 56,
+                durable: LogIndex(56),
             },
         ),
         (
             "committed",
             PeerMessage::Committed {
-                view: 57,
-                index: 58,
+                view: ViewNumber(57),
+                index: LogIndex(58),
             },
         ),
         (
             "synchronize",
             PeerMessage::Synchronize {
-                view: 59,
+                view: ViewNumber(59),
                 last: position(),
             },
         ),
         (
             "missing-entries",
             PeerMessage::MissingEntries {
-                view: 60,
-                after: 61,
+                view: ViewNumber(60),
+                after: LogIndex(61),
                 entries: entries.clone(),
                 more: true,
             },
@@ -206,8 +219,8 @@
         (
             "missing-entries-the-last",
             PeerMessage::MissingEntries {
-                view: 60,
-                after: 61,
+                view: ViewNumber(60),
+                after: LogIndex(61),
                 entries: entries.clone(),
                 more: false,
             },
@@ -215,42 +228,42 @@
         (
             "propose",
             PeerMessage::Propose {
-                view: 62,
+                view: ViewNumber(62),
                 proposal: proposal(),
-                fence: Some(fence()),
+                role_token: Some(role_token()),
                 command: Command::Noop,
             },
         ),
         (
             "propose-without-a-fence",
             PeerMessage::Propose {
-                view: 62,
+                view: ViewNumber(62),
                 proposal: proposal(),
-                fence: None,
+                role_token: None,
                 command: Command::Noop,
             },
         ),
         ("platform", PeerMessage::Platform(platform_list())),
         (
             "state-offer",
-            PeerMessage::StateOffer {
-                view: 63,
+            PeerMessage::SnapshotOffer {
+                view: ViewNumber(63),
                 position: position(),
-                parts: 64,
+                chunks: 64,
             },
         ),
         (
             "ask-part",
-            PeerMessage::AskPart {
-                view: 65,
+            PeerMessage::RequestSnapshotChunk {
+                view: ViewNumber(65),
                 position: position(),
                 number: 66,
             },
         ),
         (
             "state-part",
-            PeerMessage::StatePart {
-                view: 67,
+            PeerMessage::SnapshotChunk {
+                view: ViewNumber(67),
                 position: position(),
                 number: 68,
                 checksum: 0xcafe_0123_4567_89ab,
@@ -294,7 +307,7 @@
     stored.keeps(
         "chain-record",
         &ChainRecord {
-            number: 69,
+            number: ViewNumber(69),
             chain: vec![replica(9)],
         },
     );
@@ -314,8 +327,8 @@
     let mut stored = Stored::read(include_str!("golden/older_forms.hex"));
     let first_report = PeerReport {
         complete: false,
-        committed: 0,
-        both_ways: false,
+        committed: LogIndex(0),
+        bidirectional: false,
         location: Location::default(),
         echo: 0,
         ..report()
@@ -339,8 +352,8 @@
     stored.reads(
         "missing-entries-without-more",
         &PeerMessage::MissingEntries {
-            view: 60,
-            after: 61,
+            view: ViewNumber(60),
+            after: LogIndex(61),
             entries: vec![entry(Command::Noop)],
             more: false,
         },
@@ -413,53 +426,65 @@
 fn every_answer_of_a_coordinator_keeps_its_bytes() {
     let mut stored = Stored::read(include_str!("golden/answers.hex"));
     let answers = [
-        ("accepted", CoordinatorAnswer::Accepted),
-        ("full", CoordinatorAnswer::Full),
-        ("not-serving", CoordinatorAnswer::NotServing),
-        ("unknown", CoordinatorAnswer::Unknown),
-        ("no-such-job", CoordinatorAnswer::NoSuchJob),
-        ("phase-pending", CoordinatorAnswer::Phase(JobPhase::Pending)),
-        ("phase-running", CoordinatorAnswer::Phase(JobPhase::Running)),
+        ("accepted", CoordinatorResponse::Accepted),
+        ("full", CoordinatorResponse::Full),
+        ("not-serving", CoordinatorResponse::NotServing),
+        ("unknown", CoordinatorResponse::Unknown),
+        ("no-such-job", CoordinatorResponse::NoSuchJob),
+        (
+            "phase-pending",
+            CoordinatorResponse::Phase(JobPhase::Pending),
+        ),
+        (
+            "phase-running",
+            CoordinatorResponse::Phase(JobPhase::Running),
+        ),
         (
             "phase-succeeded",
-            CoordinatorAnswer::Phase(JobPhase::Succeeded),
+            CoordinatorResponse::Phase(JobPhase::Succeeded),
         ),
-        ("phase-failed", CoordinatorAnswer::Phase(JobPhase::Failed)),
+        ("phase-failed", CoordinatorResponse::Phase(JobPhase::Failed)),
         (
             "phase-cancelled",
-            CoordinatorAnswer::Phase(JobPhase::Cancelled),
+            CoordinatorResponse::Phase(JobPhase::Cancelled),
         ),
-        ("count", CoordinatorAnswer::Count(76_000)),
-        ("feed", CoordinatorAnswer::Feed(Box::new(feed()))),
+        ("count", CoordinatorResponse::Count(76_000)),
+        ("feed", CoordinatorResponse::Feed(Box::new(feed()))),
         (
             "feed-without-a-change",
-            CoordinatorAnswer::Feed(Box::new(Feed {
+            CoordinatorResponse::Feed(Box::new(Feed {
                 change: None,
                 ..feed()
             })),
         ),
-        ("configuration-taken", CoordinatorAnswer::ConfigurationTaken),
+        (
+            "configuration-taken",
+            CoordinatorResponse::ConfigurationAccepted,
+        ),
         (
             "configuration-conflict",
-            CoordinatorAnswer::ConfigurationConflict,
+            CoordinatorResponse::ConfigurationConflict,
+        ),
+        (
+            "configuration-stale",
+            CoordinatorResponse::ConfigurationStale,
         ),
-        ("configuration-stale", CoordinatorAnswer::ConfigurationStale),
         (
             "configuration",
-            CoordinatorAnswer::Configuration(b"{\"version\":77}".to_vec()),
+            CoordinatorResponse::Configuration(b"{\"version\":77}".to_vec()),
         ),
         (
             "description",
-            CoordinatorAnswer::Description("{\"view\":78}".to_owned()),
+            CoordinatorResponse::Description("{\"view\":78}".to_owned()),
         ),
-        ("elsewhere", CoordinatorAnswer::Elsewhere(0x0a00_000b)),
+        ("elsewhere", CoordinatorResponse::Elsewhere(0x0a00_000b)),
         (
             "configuration-part",
-            CoordinatorAnswer::ConfigurationPart(Box::new(part())),
+            CoordinatorResponse::ConfigurationChunk(Box::new(part())),
         ),
         (
             "configuration-invalid",
-            CoordinatorAnswer::ConfigurationInvalid("no routes".to_owned()),
+            CoordinatorResponse::ConfigurationInvalid("no routes".to_owned()),
         ),
     ];
     for (name, answer) in &answers {
@@ -485,7 +510,7 @@
         &RoleHolder {
             role: scheduler(),
             holder: replica(11),
-            token: 79,
+            token: FencingToken(79),
         },
     );
     stored.keeps("transfer", &transfer());
@@ -501,13 +526,13 @@
     stored.keeps("replica", &replica(13));
     stored.keeps("job-name", &JobId(0xfedc_ba98_7654_3210));
     stored.keeps("task-name", &task());
-    stored.keeps("place", &PlaceId(0x0f1e_2d3c_4b5a_6978));
-    stored.keeps("place-of-a-name", &PlaceId::of("north-1"));
+    stored.keeps("place", &FailureDomainId(0x0f1e_2d3c_4b5a_6978));
+    stored.keeps("place-of-a-name", &FailureDomainId::of("north-1"));
     stored.keeps("location", &location());
     stored.keeps("role-platform-reader", &Role::PlatformReader);
     stored.keeps("role-scheduler", &scheduler());
     stored.keeps("end-kinds", &every_end_kind().to_vec());
-    stored.keeps("run-end", &run_end(EndKind::Lapsed));
+    stored.keeps("run-end", &run_end(CompletionKind::Lapsed));
     stored.keeps("run-start", &run_start());
     stored.keeps("resources", &resources());
     stored.keeps("step", &step());
@@ -568,7 +593,7 @@
         serving: false,
         unfit: false,
         complete: false,
-        both_ways: false,
+        bidirectional: false,
         ..report()
     };
     stored.keeps(
@@ -595,7 +620,7 @@
     stored.keeps(
         "peer-report-both-ways",
         &PeerReport {
-            both_ways: true,
+            bidirectional: true,
             ..report
         },
     );
--- a/system/scheduler/examples/throughput.rs
+++ b/system/scheduler/examples/throughput.rs
@@ -7,11 +7,12 @@
 //! other replicas.
 use magpiegap_jobs::State;
 use magpiegap_protocol::{
-    Command, EndKind, Entry, JobId, JobSpec, Member, Position, ProposalId, Replica, Resources,
-    RunStart, StepSpec, Submission, WorkerEntry,
+    Command, CompletionKind, Entry, FencingToken, JobId, JobSpec, LogPosition, Member, ProposalId,
+    ReplicaId, Resources, RunStart, StepSpec, Submission, ViewNumber, WallMillis, WorkerEntry,
 };
 use magpiegap_scheduler::{
-    ListedEnd, Listing, Output, Scheduler, SchedulerSettings, WorkerCall, WorkerOrder, WorkerReply,
+    ListedCompletion, Listing, Output, Scheduler, SchedulerSettings, WorkerCall, WorkerOrder,
+    WorkerReply,
 };
 use std::{
     collections::{BTreeMap, HashMap},
@@ -23,7 +24,7 @@
 /// Jobs played for each pair of sizes, of two tasks each.
 const JOBS: u64 = 4000;
 /// Time of the day at which the play begins.
-const WALL_MS: u64 = 1_000_000;
+const WALL_MS: WallMillis = WallMillis(1_000_000);
 /// Jobs handed in at the same moment, before answers are taken.
 const JOBS_AT_ONCE: u64 = 10;
 
@@ -33,14 +34,21 @@
     scheduler: Scheduler,
     calls: Vec<WorkerCall>,
     /// Ends that each worker has to tell, and how many it has had.
-    ends: HashMap<String, Vec<ListedEnd>>,
+    ends: HashMap<String, Vec<ListedCompletion>>,
     numbers: BTreeMap<String, u64>,
 }
 
 impl Bench {
     fn new(workers: usize) -> Bench {
         let state = State::default();
-        let scheduler = Scheduler::new("s", 1, SchedulerSettings::default(), 1000, &state, 1);
+        let scheduler = Scheduler::new(
+            "s",
+            FencingToken(1),
+            SchedulerSettings::default(),
+            1000,
+            &state,
+            1,
+        );
         let mut bench = Bench {
             now: 1000,
             state,
@@ -57,24 +65,27 @@
 
     fn commit(&mut self, command: Command) {
         let index = self.state.position.index + 1;
-        let origin = Replica {
+        let origin = ReplicaId {
             member: Member {
                 address: 1,
                 disk: 0,
             },
-            boot: 1,
+            incarnation: 1,
         };
         let runs: Vec<RunStart> = match &command {
             Command::StartRuns { runs } | Command::SubmitJob { runs, .. } => runs.clone(),
             _ => Vec::new(),
         };
         let entry = Entry {
-            position: Position { view: 1, index },
+            position: LogPosition {
+                view: ViewNumber(1),
+                index,
+            },
             proposal: ProposalId {
                 origin,
-                sequence: index,
+                sequence: index.0,
             },
-            fence: None,
+            role_token: None,
             command,
             wall_ms: WALL_MS + self.now,
         };
@@ -94,7 +105,7 @@
         for _ in 0..4 {
             self.scheduler
                 .run(self.now, WALL_MS + self.now, &self.state);
-            for output in self.scheduler.take_outputs() {
+            for output in self.scheduler.poll_outputs() {
                 match output {
                     Output::Call(call) => self.calls.push(call),
                     Output::Propose(command) => self.commit(command),
@@ -109,18 +120,18 @@
     }
 
     fn answer(&mut self, call: &WorkerCall) -> WorkerReply {
-        let clock_ms = Some(WALL_MS + self.now);
-        let ends = self.ends.entry(call.instance.clone()).or_default();
+        let clock_ms = Some((WALL_MS + self.now).0);
+        let ends = self.ends.entry(call.incarnation.clone()).or_default();
         match &call.order {
             WorkerOrder::Start { task, run, .. } => {
-                let number = self.numbers.entry(call.instance.clone()).or_default();
+                let number = self.numbers.entry(call.incarnation.clone()).or_default();
                 *number += 1;
                 let checkpoint = String::new();
-                ends.push(ListedEnd {
+                ends.push(ListedCompletion {
                     number: *number,
                     task: *task,
                     run: *run,
-                    kind: EndKind::Done,
+                    kind: CompletionKind::Done,
                     checkpoint,
                 });
                 WorkerReply::Done {
@@ -168,7 +179,7 @@
 
 fn worker(number: usize) -> WorkerEntry {
     WorkerEntry {
-        instance: format!("i-{number:08}"),
+        incarnation: format!("i-{number:08}"),
         service: "s".to_owned(),
         address: format!("10.0.{}.{}:80", number / 250, number % 250),
         capacity: Resources {
@@ -247,7 +258,7 @@
         bench
             .scheduler
             .run(bench.now, WALL_MS + bench.now, &bench.state);
-        bench.scheduler.take_outputs();
+        bench.scheduler.poll_outputs();
         // Something ends, or comes, between any two rounds.
         bench.submit(2_000_000 + bench.now, 2, step(1, 15_000));
     }
--- a/system/scheduler/src/backfill.rs
+++ b/system/scheduler/src/backfill.rs
@@ -72,7 +72,7 @@
 
 impl Backfill {
     /// Begins a round of planning: from time to time all promises are dropped, to be made anew in it.
-    pub fn begin_round(&mut self, now: Millis) {
+    pub(crate) fn begin_round(&mut self, now: Millis) {
         let pause = REFRESH_EVERY_MS.max(self.looks / LOOKS_PER_MS);
         self.refreshing = now >= self.refreshed_at + pause;
         if self.refreshing {
@@ -85,12 +85,12 @@
     }
 
     /// Whether another task may be promised room in this round.
-    pub fn open(&self) -> bool {
+    pub(crate) fn open(&self) -> bool {
         self.refreshing && self.owners < MOST_OWNERS
     }
 
     /// Drops what was promised to a task that has found a place.
-    pub fn release(&mut self, owner: &Urgency) {
+    pub(crate) fn release(&mut self, owner: &Urgency) {
         if self.owners > 0 {
             self.withdraw(owner);
         }
@@ -104,10 +104,10 @@
 
     /// Promises a task, or all tasks of a gang, the room that it gets first. A task that has room now waits for
     /// something else, and keeps no worker from others.
-    pub fn promise(&mut self, workers: &Workers, candidate: &Candidate, now: Millis) {
+    pub(crate) fn promise(&mut self, workers: &Workers, candidate: &Candidate<'_>, now: Millis) {
         let mut waits_for_room = false;
         for _ in 0..candidate.count {
-            let Some((from, instance)) = self.earliest(workers, candidate, now) else {
+            let Some((from, incarnation)) = self.earliest(workers, candidate, now) else {
                 break;
             };
             waits_for_room |= from > now;
@@ -118,7 +118,7 @@
                 from,
             };
             self.promises
-                .entry(instance.to_owned())
+                .entry(incarnation.to_owned())
                 .or_default()
                 .push(promise);
         }
@@ -133,7 +133,7 @@
     fn earliest<'w>(
         &mut self,
         workers: &'w Workers,
-        candidate: &Candidate,
+        candidate: &Candidate<'_>,
         now: Millis,
     ) -> Option<(Millis, &'w str)> {
         self.looks += workers.len() as u64;
@@ -150,8 +150,8 @@
         workers
             .iter()
             .filter(|(_, worker)| suits(worker))
-            .filter_map(|(instance, worker)| {
-                Some((self.free_at(worker, step, now)?, instance.as_str()))
+            .filter_map(|(incarnation, worker)| {
+                Some((self.free_at(worker, step, now)?, incarnation.as_str()))
             })
             .min()
     }
@@ -160,7 +160,7 @@
     fn free_at(&mut self, worker: &Worker, step: &StepSpec, now: Millis) -> Option<Millis> {
         let promised = self
             .promises
-            .get(&worker.entry.instance)
+            .get(&worker.entry.incarnation)
             .map_or(&[][..], Vec::as_slice);
         let wanted = promised
             .iter()
@@ -172,12 +172,12 @@
         if used.fits(&worker.entry.capacity) {
             return Some(now);
         }
-        let instance = &worker.entry.instance;
-        if !self.ends.contains_key(instance) {
+        let incarnation = &worker.entry.incarnation;
+        if !self.ends.contains_key(incarnation) {
             self.ends
-                .insert(instance.clone(), expected_ends(worker, now));
+                .insert(incarnation.clone(), expected_ends(worker, now));
         }
-        let ends = self.ends.get(instance).map_or(&[][..], Vec::as_slice);
+        let ends = self.ends.get(incarnation).map_or(&[][..], Vec::as_slice);
         for (end, freed) in ends {
             used = used.minus(freed);
             if used.fits(&worker.entry.capacity) {
@@ -189,14 +189,14 @@
 
     /// Whether a task may be placed on a worker that has room for it, beside `taken` more: it delays no task that is
     /// more urgent.
-    pub fn allows(
+    pub(crate) fn allows(
         &self,
         worker: &Worker,
-        candidate: &Candidate,
+        candidate: &Candidate<'_>,
         taken: &Resources,
         now: Millis,
     ) -> bool {
-        let Some(promises) = self.promises.get(&worker.entry.instance) else {
+        let Some(promises) = self.promises.get(&worker.entry.incarnation) else {
             return true;
         };
         let end = if candidate.lasting {
@@ -218,7 +218,7 @@
     worker: &Worker,
     promises: &[Promise],
     due: &Promise,
-    candidate: &Candidate,
+    candidate: &Candidate<'_>,
     taken: &Resources,
     now: Millis,
 ) -> bool {
--- a/system/scheduler/src/calls.rs
+++ b/system/scheduler/src/calls.rs
@@ -1,5 +1,5 @@
 //! Calls to workers and their answers.
-use magpiegap_protocol::{Command, EndKind, Millis, RunId, TaskId};
+use magpiegap_protocol::{Command, CompletionKind, FencingToken, Millis, RunId, TaskId};
 
 /// What a worker is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,9 +43,9 @@
     /// Where to.
     pub address: String,
     /// The life that is meant.
-    pub instance: String,
+    pub incarnation: String,
     /// The fencing token.
-    pub token: u64,
+    pub token: FencingToken,
     /// What it is told.
     pub order: WorkerOrder,
     /// How long to wait for the answer.
@@ -78,7 +78,7 @@
 
 /// A run that a worker has listed as ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ListedEnd {
+pub struct ListedCompletion {
     /// Counts the ends of this life.
     pub number: u64,
     /// The task.
@@ -86,7 +86,7 @@
     /// The run.
     pub run: RunId,
     /// How it ended.
-    pub kind: EndKind,
+    pub kind: CompletionKind,
     /// The last checkpoint; empty: none.
     pub checkpoint: String,
 }
@@ -97,14 +97,14 @@
     /// Runs going on.
     pub running: Vec<ListedRun>,
     /// Runs that have ended, by rising number.
-    pub ended: Vec<ListedEnd>,
+    pub ended: Vec<ListedCompletion>,
 }
 
 /// Why a worker turned a start down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
     /// It has seen a higher fencing token.
-    Fence,
+    RoleToken,
     /// The run isn't above one that has ended there, or was stopped before it came.
     Old,
     /// The deadline has passed.
--- a/system/scheduler/src/explanation.rs
+++ b/system/scheduler/src/explanation.rs
@@ -25,7 +25,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct StepExplanation {
     /// The time, counted from zero.
-    pub time: u32,
+    #[serde(rename = "time")]
+    pub occurrence: u32,
     /// The step's place in the job, counted from zero.
     pub step: u32,
     /// How many tasks it has.
@@ -93,12 +94,12 @@
         let outlook = waiting
             .first()
             .map(|unit| urgency(job, unit.first, self.wall).outlook);
-        let steps = job.times.iter().flat_map(|(time, steps)| {
+        let steps = job.occurrences.iter().flat_map(|(occurrence, steps)| {
             steps
                 .steps
                 .iter()
                 .enumerate()
-                .map(|(step, state)| (*time, step as u32, state))
+                .map(|(step, state)| (*occurrence, step as u32, state))
         });
         let open = steps.filter(|(_, _, step)| !step.is_done());
         Some(Explanation {
@@ -108,7 +109,9 @@
             service: self.service.clone(),
             outlook: outlook.map(|outlook| outlook.to_string()),
             steps: open
-                .map(|(time, step, state)| self.explain_step(job, time, step, state, &waiting))
+                .map(|(occurrence, step, state)| {
+                    self.explain_step(job, occurrence, step, state, &waiting)
+                })
                 .collect(),
         })
     }
@@ -116,32 +119,33 @@
     fn explain_step(
         &self,
         job: &Job,
-        time: u32,
+        occurrence: u32,
         step: u32,
         state: &StepState,
         waiting: &[Startable],
     ) -> StepExplanation {
         let spec = job.submission.spec.steps.get(step as usize);
-        let of_step = |unit: &&Startable| (unit.first.time, unit.first.step) == (time, step);
+        let of_step =
+            |unit: &&Startable| (unit.first.occurrence, unit.first.step) == (occurrence, step);
         let units: Vec<&Startable> = waiting.iter().filter(of_step).collect();
         let is_open = |earlier: &u32| {
             let earlier = job
-                .times
-                .get(&time)
-                .and_then(|time| time.steps.get(*earlier as usize));
+                .occurrences
+                .get(&occurrence)
+                .and_then(|occurrence| occurrence.steps.get(*earlier as usize));
             earlier.is_some_and(|earlier| !earlier.is_done())
         };
         let depends_on = spec.map_or(&[][..], |spec| &spec.depends_on[..]);
         let first = units.first().zip(spec);
         StepExplanation {
-            time,
+            occurrence,
             step,
             tasks: state.tasks.len(),
             done: state.done,
             running: self.explain_runs(
                 TaskId {
                     job: job.submission.job,
-                    time,
+                    occurrence,
                     step,
                     index: 0,
                 },
@@ -163,12 +167,12 @@
             for active in &task.active {
                 let known = self
                     .workers
-                    .get(&active.instance)
+                    .get(&active.incarnation)
                     .and_then(|worker| worker.runs.get(&id));
                 runs.push(RunExplanation {
                     task: id.to_string(),
                     run: active.run,
-                    worker: active.instance.clone(),
+                    worker: active.incarnation.clone(),
                     percent: known.map(|run| run.progress.percent),
                 });
             }
@@ -213,7 +217,9 @@
             &mut counts.too_small
         } else if !worker.has_room_for(&step.resources) {
             &mut counts.without_room
-        } else if !self.reservations.allow(&worker.entry.instance, &unit.first)
+        } else if !self
+            .reservations
+            .allow(&worker.entry.incarnation, &unit.first)
             || !self.backfill.allows(worker, &candidate, &nothing, self.now)
         {
             &mut counts.kept_for_others
--- a/system/scheduler/src/health.rs
+++ b/system/scheduler/src/health.rs
@@ -20,14 +20,14 @@
 
 impl FailureShare {
     /// A run has ended, well or not.
-    pub fn note(&mut self, failed: bool) {
+    pub(crate) fn note(&mut self, failed: bool) {
         let one = if failed { 1.0 } else { 0.0 };
         self.0 += GAIN * (one - self.0);
     }
 
     /// How many failures of different jobs in a row are evidence against a worker: where many runs fail by their own
     /// fault, two in a row come by chance.
-    pub fn failures_to_eject(self) -> usize {
+    pub(crate) fn failures_to_eject(self) -> usize {
         let by_chance = |failures: usize| self.0.powi(failures as i32);
         (LEAST_FAILURES..MOST_FAILURES)
             .find(|failures| by_chance(*failures) < RARE)
@@ -48,24 +48,24 @@
 
 impl Health {
     /// Whether the evidence allows new runs.
-    pub fn takes_work(&self, now: Millis) -> bool {
+    pub(crate) fn takes_work(&self, now: Millis) -> bool {
         now >= self.ejected_until
     }
 
     /// Whether it is on trial: it was left alone, and no run has ended well since.
-    pub fn on_trial(&self) -> bool {
+    pub(crate) fn on_trial(&self) -> bool {
         self.ejections > 0
     }
 
     /// A run has ended well.
-    pub fn succeeded(&mut self) {
+    pub(crate) fn succeeded(&mut self) {
         self.failed.clear();
         self.ejections = 0;
     }
 
     /// A run of this job has failed; so many of different jobs in a row are evidence against the worker. Returns whether
     /// it is now left alone.
-    pub fn failed(&mut self, job: JobId, failures_to_eject: usize, now: Millis) -> bool {
+    pub(crate) fn failed(&mut self, job: JobId, failures_to_eject: usize, now: Millis) -> bool {
         if !self.failed.contains(&job) {
             self.failed.push(job);
         }
@@ -77,7 +77,7 @@
     }
 
     /// Leaves the worker alone for a while, each time longer.
-    pub fn eject(&mut self, now: Millis) {
+    pub(crate) fn eject(&mut self, now: Millis) {
         let time = FIRST_EJECTION_MS << self.ejections.min(4);
         self.ejected_until = now + time.min(LONGEST_EJECTION_MS);
         self.ejections += 1;
--- a/system/scheduler/src/hold_waits.rs
+++ b/system/scheduler/src/hold_waits.rs
@@ -28,7 +28,7 @@
 
 impl HoldWaits {
     /// For so many workers that have runs.
-    pub fn of_busy_workers(busy: usize) -> HoldWaits {
+    pub(crate) fn of_busy_workers(busy: usize) -> HoldWaits {
         let proportional = HOLD_WAIT_MS.saturating_mul(busy as u64) / OFTEN_LOOKED_AT;
         HoldWaits {
             wait_ms: proportional.clamp(HOLD_WAIT_MS, MOST_HOLD_WAIT_MS),
@@ -36,12 +36,12 @@
     }
 
     /// How long an answer may wait for an end.
-    pub fn wait_ms(self) -> Millis {
+    pub(crate) fn wait_ms(self) -> Millis {
         self.wait_ms
     }
 
     /// How long workers are told to hold what they run: as much longer as the next hold may come later.
-    pub fn hold_ms(self, max_hold_ms: u64) -> u64 {
+    pub(crate) fn hold_ms(self, max_hold_ms: u64) -> u64 {
         (HOLD_MS + self.wait_ms - HOLD_WAIT_MS).min(max_hold_ms * 9 / 10)
     }
 }
--- a/system/scheduler/src/holds.rs
+++ b/system/scheduler/src/holds.rs
@@ -36,32 +36,32 @@
         let news = std::mem::take(&mut self.hold_news);
         let mut due = Vec::new();
         let mut next_search = now + HOLD_SEARCH_EVERY_MS;
-        let mut look = |instance: &String, worker: &Worker| match next_hold(worker) {
-            Some(at) if now >= at => due.push(instance.clone()),
+        let mut look = |incarnation: &String, worker: &Worker| match next_hold(worker) {
+            Some(at) if now >= at => due.push(incarnation.clone()),
             Some(at) => next_search = next_search.min(at),
             None => {}
         };
         if now >= self.next_hold_search {
             self.workers
                 .iter()
-                .for_each(|(instance, worker)| look(instance, worker));
+                .for_each(|(incarnation, worker)| look(incarnation, worker));
             self.next_hold_search = next_search;
         } else {
             let known = news
                 .iter()
-                .filter_map(|instance| Some((instance, self.workers.get(instance)?)));
-            known.for_each(|(instance, worker)| look(instance, worker));
+                .filter_map(|incarnation| Some((incarnation, self.workers.get(incarnation)?)));
+            known.for_each(|(incarnation, worker)| look(incarnation, worker));
             self.next_hold_search = self.next_hold_search.min(next_search);
         }
-        for instance in due {
-            self.send_hold(&instance, now);
+        for incarnation in due {
+            self.send_hold(&incarnation, now);
         }
     }
 
-    fn send_hold(&mut self, instance: &str, now: Millis) {
+    fn send_hold(&mut self, incarnation: &str, now: Millis) {
         let hold_ms = self.hold_waits.hold_ms(self.settings.max_hold_ms);
         let usual_wait_ms = self.hold_waits.wait_ms();
-        let Some(worker) = self.workers.get_mut(instance) else {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         // A worker that does not answer is granted no more time: its runs are to end.
@@ -84,19 +84,19 @@
             wait_ms,
         };
         let id = self.call(
-            instance,
+            incarnation,
             CallPurpose::Hold { wait_ms },
             order,
-            wait_ms + self.answer_times.wait_ms(),
+            wait_ms + self.response_times.wait_ms(),
         );
-        if let Some(worker) = self.workers.get_mut(instance) {
+        if let Some(worker) = self.workers.get_mut(incarnation) {
             worker.hold.open = Some(id);
         }
     }
 
     /// Looks at a worker that has left an order unanswered.
-    pub(crate) fn probe(&mut self, instance: &str) {
-        let Some(worker) = self.workers.get(instance) else {
+    pub(crate) fn probe(&mut self, incarnation: &str) {
+        let Some(worker) = self.workers.get(incarnation) else {
             return;
         };
         let order = WorkerOrder::Hold {
@@ -105,10 +105,10 @@
             wait_ms: 0,
         };
         self.call(
-            instance,
+            incarnation,
             CallPurpose::Probe,
             order,
-            self.answer_times.wait_ms(),
+            self.response_times.wait_ms(),
         );
     }
 
@@ -116,19 +116,19 @@
     pub(crate) fn check_workers(&mut self, now: Millis, state: &State) {
         self.adapt_waits();
         let instances: Vec<String> = self.workers.keys().cloned().collect();
-        for instance in instances {
-            self.check_worker(&instance, now, state);
+        for incarnation in instances {
+            self.check_worker(&incarnation, now, state);
         }
     }
 
-    fn check_worker(&mut self, instance: &str, now: Millis, state: &State) {
-        let Some(worker) = self.workers.get(instance) else {
+    fn check_worker(&mut self, incarnation: &str, now: Millis, state: &State) {
+        let Some(worker) = self.workers.get(incarnation) else {
             return;
         };
         if worker.runs.is_empty() {
             let over = !worker.listed && worker.hold.open.is_none();
             if over && (worker.silent() || worker.entry.address.is_empty()) {
-                self.forget_worker(instance, state);
+                self.forget_worker(incarnation, state);
             }
             return;
         }
@@ -138,28 +138,28 @@
             .all(|run| matches!(run.phase, RunPhase::Proposed | RunPhase::Losing));
         let out_of_reach = worker.silent() || worker.entry.address.is_empty() || !worker.listed;
         if out_of_reach && !pending && worker.surely_lapsed(now) {
-            self.lose_lapsed(instance);
+            self.lose_lapsed(incarnation);
             return;
         }
-        self.leave_draining(instance, now);
-        self.send_orders(instance, now, state);
-        self.check_progress(instance, now);
+        self.leave_draining(incarnation, now);
+        self.send_orders(incarnation, now, state);
+        self.check_progress(incarnation, now);
     }
 
-    fn forget_worker(&mut self, instance: &str, state: &State) {
-        if state.workers.contains_key(instance) {
-            let instance = instance.to_owned();
-            self.out.push(Output::Propose(Command::LoseInstance {
-                instance,
+    fn forget_worker(&mut self, incarnation: &str, state: &State) {
+        if state.workers.contains_key(incarnation) {
+            let incarnation = incarnation.to_owned();
+            self.out.push(Output::Propose(Command::LoseIncarnation {
+                incarnation,
                 ended: true,
             }));
         }
-        self.workers.remove(instance);
+        self.workers.remove(incarnation);
     }
 
     /// Stops runs that won't be done before their worker goes, so that they are started elsewhere at once.
-    fn leave_draining(&mut self, instance: &str, now: Millis) {
-        let Some(worker) = self.workers.get_mut(instance) else {
+    fn leave_draining(&mut self, incarnation: &str, now: Millis) {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         let Some(gone_at) = worker.gone_at.filter(|_| worker.draining) else {
@@ -170,15 +170,15 @@
             let running = run.phase == RunPhase::Started && run.stop_due.is_none();
             if running && (run.lasting || remaining_ms(run, now) > left) {
                 run.stop_due = Some(now);
-                self.fresh.insert(instance.to_owned());
+                self.fresh.insert(incarnation.to_owned());
             }
         }
     }
 
     /// Stops runs that stand still, so that they are started elsewhere.
-    fn check_progress(&mut self, instance: &str, now: Millis) {
+    fn check_progress(&mut self, incarnation: &str, now: Millis) {
         let gang_ms = self.settings.gang_ms;
-        let Some(worker) = self.workers.get_mut(instance) else {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         let stuck: Vec<TaskId> = worker
@@ -198,9 +198,9 @@
             }
         }
         worker.health.eject(now);
-        self.fresh.insert(instance.to_owned());
+        self.fresh.insert(incarnation.to_owned());
         self.out.push(Output::Log(format!(
-            "{} runs on {instance} stand still and are moved",
+            "{} runs on {incarnation} stand still and are moved",
             stuck.len()
         )));
     }
--- a/system/scheduler/src/lib.rs
+++ b/system/scheduler/src/lib.rs
@@ -6,7 +6,6 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod answer_times;
 mod backfill;
 mod calls;
 mod explanation;
@@ -20,6 +19,7 @@
 mod queue;
 mod replies;
 mod reservations;
+mod response_times;
 mod room_index;
 mod runs;
 mod scheduler;
@@ -28,10 +28,11 @@
 mod worker;
 mod worker_list;
 
-pub use answer_times::AnswerTimes;
 pub use calls::{
-    ListedEnd, ListedRun, Listing, Output, RefusalReason, WorkerCall, WorkerOrder, WorkerReply,
+    ListedCompletion, ListedRun, Listing, Output, RefusalReason, WorkerCall, WorkerOrder,
+    WorkerReply,
 };
 pub use explanation::{Explanation, RunExplanation, StepExplanation, WorkerCounts};
+pub use response_times::ResponseTimes;
 pub use scheduler::{Scheduler, Summary};
 pub use settings::SchedulerSettings;
--- a/system/scheduler/src/outlook.rs
+++ b/system/scheduler/src/outlook.rs
@@ -38,10 +38,10 @@
 
 impl LatestStarts {
     /// Those of a task.
-    pub fn of(job: &Job, task: &TaskId) -> LatestStarts {
-        let due = due_ms(job, task.time);
-        let begin = begin_ms(job, task.time);
-        let objective = due.saturating_sub(begin);
+    pub(crate) fn of(job: &Job, task: &TaskId) -> LatestStarts {
+        let due = due_ms(job, task.occurrence);
+        let begin = begin_ms(job, task.occurrence);
+        let objective = due.since(begin);
         let left = job.submission.spec.chain_from_ms(task.step as usize);
         LatestStarts {
             in_time: due.saturating_sub(left),
@@ -52,7 +52,7 @@
     }
 
     /// What can still come of the job at this time of day.
-    pub fn outlook(&self, wall: WallMillis) -> Outlook {
+    pub(crate) fn outlook(&self, wall: WallMillis) -> Outlook {
         if wall <= self.in_time {
             Outlook::InTime
         } else if wall <= self.late {
@@ -64,18 +64,18 @@
 }
 
 /// When a time of a job counts from.
-fn begin_ms(job: &Job, time: u32) -> WallMillis {
+fn begin_ms(job: &Job, occurrence: u32) -> WallMillis {
     job.submission
         .spec
-        .due_ms(time)
+        .scheduled_ms(occurrence)
         .unwrap_or(job.submission.submitted_ms)
 }
 
 /// When a time of a job should be done so that the job earns its worth.
-pub(crate) fn due_ms(job: &Job, time: u32) -> WallMillis {
+pub(crate) fn due_ms(job: &Job, occurrence: u32) -> WallMillis {
     let submission = &job.submission;
     let work = submission.spec.longest_chain_ms() as f64 * submission.stretch;
-    begin_ms(job, time)
+    begin_ms(job, occurrence)
         .saturating_add(work as u64)
         .saturating_add(submission.target_latency_ms)
 }
--- a/system/scheduler/src/placement.rs
+++ b/system/scheduler/src/placement.rs
@@ -117,11 +117,11 @@
     let mut taken = Taken::default();
     let mut chosen = Vec::with_capacity(demand.candidate.count as usize);
     for _ in 0..demand.candidate.count {
-        let instance = choose_one(workers, demand, now, random, &taken, &allowed)?;
-        let used = taken.resources.entry(instance.clone()).or_default();
+        let incarnation = choose_one(workers, demand, now, random, &taken, &allowed)?;
+        let used = taken.resources.entry(incarnation.clone()).or_default();
         *used = used.plus(&demand.candidate.step.resources);
-        *taken.tasks.entry(instance.clone()).or_default() += 1;
-        chosen.push(instance);
+        *taken.tasks.entry(incarnation.clone()).or_default() += 1;
+        chosen.push(incarnation);
     }
     Some(chosen)
 }
@@ -140,29 +140,29 @@
             && worker.takes_work(now)
             && demand
                 .reservations
-                .allow(&worker.entry.instance, &demand.first)
+                .allow(&worker.entry.incarnation, &demand.first)
             && keeps_promises(worker, demand, taken, now)
     };
     let proven = |worker: &Worker| {
-        !worker.health.on_trial() && !demand.avoid.contains(&worker.entry.instance)
+        !worker.health.on_trial() && !demand.avoid.contains(&worker.entry.incarnation)
     };
     let busy = |worker: &Worker| {
         let more = taken
             .resources
-            .get(&worker.entry.instance)
+            .get(&worker.entry.incarnation)
             .copied()
             .unwrap_or_default();
         worker
             .used
             .plus(&more)
             .plus(&demand.candidate.step.resources)
-            .share_of(&worker.entry.capacity)
+            .dominant_share(&worker.entry.capacity)
     };
     if let Some(two) = draw_two(workers, demand, random, |worker| {
         fits(&worker) && proven(worker)
     }) {
         let less_busy = two.into_iter().min_by(|a, b| busy(a).total_cmp(&busy(b)));
-        return less_busy.map(|worker| worker.entry.instance.clone());
+        return less_busy.map(|worker| worker.entry.incarnation.clone());
     }
     let cpu = demand.candidate.step.resources.cpu;
     let mut candidates: Vec<&Worker> = demand.pool.may_take(workers, cpu).filter(fits).collect();
@@ -198,16 +198,16 @@
         let two: Vec<&Worker> = candidates.choose_multiple(random, 2).copied().collect();
         two.into_iter().min_by(|a, b| busy(a).total_cmp(&busy(b)))
     };
-    chosen.map(|worker| worker.entry.instance.clone())
+    chosen.map(|worker| worker.entry.incarnation.clone())
 }
 
 /// Whether a task takes so much of a worker that it is packed.
-fn is_wide(demand: &Demand, worker: &Worker) -> bool {
+fn is_wide(demand: &Demand<'_>, worker: &Worker) -> bool {
     demand
         .candidate
         .step
         .resources
-        .share_of(&worker.entry.capacity)
+        .dominant_share(&worker.entry.capacity)
         >= WIDE_SHARE
 }
 
@@ -235,7 +235,7 @@
         }
         match first {
             None => first = Some(worker),
-            Some(first) if first.entry.instance != worker.entry.instance => {
+            Some(first) if first.entry.incarnation != worker.entry.incarnation => {
                 return Some([first, worker])
             }
             Some(_) => {}
@@ -244,10 +244,14 @@
     None
 }
 
-fn fits(worker: &Worker, demand: &Demand, taken: &Taken) -> bool {
-    let instance = &worker.entry.instance;
+fn fits(worker: &Worker, demand: &Demand<'_>, taken: &Taken) -> bool {
+    let incarnation = &worker.entry.incarnation;
     let step = demand.candidate.step;
-    let more = taken.resources.get(instance).copied().unwrap_or_default();
+    let more = taken
+        .resources
+        .get(incarnation)
+        .copied()
+        .unwrap_or_default();
     step.resources.fits(&worker.room().minus(&more))
         && worker.room().cpu >= more.cpu + step.resources.cpu
         && worker.has_labels(&step.requirements)
@@ -255,10 +259,10 @@
         && !worker.runs.contains_key(&demand.first)
 }
 
-fn keeps_promises(worker: &Worker, demand: &Demand, taken: &Taken, now: Millis) -> bool {
+fn keeps_promises(worker: &Worker, demand: &Demand<'_>, taken: &Taken, now: Millis) -> bool {
     let more = taken
         .resources
-        .get(&worker.entry.instance)
+        .get(&worker.entry.incarnation)
         .copied()
         .unwrap_or_default();
     demand
@@ -267,7 +271,7 @@
 }
 
 /// Tasks of the same step and time on this worker.
-fn siblings(worker: &Worker, demand: &Demand, taken: &Taken) -> u32 {
+fn siblings(worker: &Worker, demand: &Demand<'_>, taken: &Taken) -> u32 {
     let from = TaskId {
         index: 0,
         ..demand.first
@@ -280,7 +284,7 @@
     there
         + taken
             .tasks
-            .get(&worker.entry.instance)
+            .get(&worker.entry.incarnation)
             .copied()
             .unwrap_or(0)
 }
--- a/system/scheduler/src/planning.rs
+++ b/system/scheduler/src/planning.rs
@@ -280,23 +280,23 @@
             key.priority,
             now,
         );
-        let Some(Victims { instance, tasks }) = victims else {
+        let Some(Victims { incarnation, tasks }) = victims else {
             return true;
         };
-        if let Some(worker) = self.workers.get_mut(&instance) {
+        if let Some(worker) = self.workers.get_mut(&incarnation) {
             for task in tasks {
                 if let Some(run) = worker.runs.get_mut(&task) {
                     run.stop_due = Some(now);
                 }
             }
         }
-        self.fresh.insert(instance.clone());
-        self.reservations.add(instance, unit.first, now);
+        self.fresh.insert(incarnation.clone());
+        self.reservations.add(incarnation, unit.first, now);
         false
     }
 
     fn reserve(&mut self, job: &Job, step: &StepSpec, start: &RunStart, now: Millis) {
-        let Some(worker) = self.workers.get_mut(&start.instance) else {
+        let Some(worker) = self.workers.get_mut(&start.incarnation) else {
             return;
         };
         worker.add_run(
@@ -304,7 +304,7 @@
             new_run(job, step, start, RunPhase::Proposed, now),
         );
         self.proposed.insert(start.task);
-        self.hold_news.insert(start.instance.clone());
+        self.hold_news.insert(start.incarnation.clone());
     }
 
     /// Lets times of repeated jobs fall due.
@@ -320,10 +320,10 @@
                 self.timed.remove(&(at, id));
                 continue;
             };
-            if self.times_proposed.insert((id, job.next_time)) {
-                self.out.push(Output::Propose(Command::OpenTime {
+            if self.times_proposed.insert((id, job.next_occurrence)) {
+                self.out.push(Output::Propose(Command::OpenOccurrence {
                     job: id,
-                    time: job.next_time,
+                    occurrence: job.next_occurrence,
                 }));
             }
         }
@@ -368,10 +368,10 @@
         .max()
         .unwrap_or("")
         .to_owned();
-    let start = |(task, instance)| RunStart {
+    let start = |(task, incarnation)| RunStart {
         task,
         run,
-        instance,
+        incarnation,
         checkpoint: if step.checkpoints {
             shared.clone()
         } else {
--- a/system/scheduler/src/preemption.rs
+++ b/system/scheduler/src/preemption.rs
@@ -17,7 +17,7 @@
 /// Runs to stop, all on one worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Victims {
-    pub instance: String,
+    pub incarnation: String,
     pub tasks: Vec<TaskId>,
 }
 
@@ -35,7 +35,7 @@
             && !worker.health.on_trial()
             && worker.has_labels(&step.requirements)
             && step.resources.fits(&worker.entry.capacity)
-            && reservations.allow(&worker.entry.instance, first)
+            && reservations.allow(&worker.entry.incarnation, first)
     };
     let plans = workers
         .values()
@@ -75,7 +75,7 @@
         (
             total,
             Victims {
-                instance: worker.entry.instance.clone(),
+                incarnation: worker.entry.incarnation.clone(),
                 tasks,
             },
         )
--- a/system/scheduler/src/queue.rs
+++ b/system/scheduler/src/queue.rs
@@ -37,14 +37,14 @@
     Urgency {
         priority: job.submission.priority,
         outlook: LatestStarts::of(job, &task).outlook(wall),
-        due_ms: due_ms(job, task.time),
+        due_ms: due_ms(job, task.occurrence),
         task,
     }
 }
 
 impl Queue {
     /// Takes up what a job has waiting now; `passed_over` are tasks that are being placed.
-    pub fn refresh(
+    pub(crate) fn refresh(
         &mut self,
         job: &Job,
         now: Millis,
@@ -78,7 +78,7 @@
     }
 
     /// Drops all that a job has waiting.
-    pub fn remove(&mut self, job: JobId) -> BTreeMap<Urgency, Waiting> {
+    pub(crate) fn remove(&mut self, job: JobId) -> BTreeMap<Urgency, Waiting> {
         let keys = self.of_job.remove(&job).unwrap_or_default();
         keys.into_iter()
             .filter_map(|key| Some((key, self.waiting.remove(&key)?)))
@@ -86,7 +86,7 @@
     }
 
     /// Takes one out that was placed.
-    pub fn take(&mut self, key: &Urgency) {
+    pub(crate) fn take(&mut self, key: &Urgency) {
         self.waiting.remove(key);
         if let Some(keys) = self.of_job.get_mut(&key.task.job) {
             keys.retain(|other| other != key);
@@ -94,12 +94,12 @@
     }
 
     /// All that waits, most urgent first.
-    pub fn iter(&self) -> impl Iterator<Item = (&Urgency, &Waiting)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&Urgency, &Waiting)> {
         self.waiting.iter()
     }
 
     /// The jobs whose outlook has changed since they were taken up.
-    pub fn outdated(&self, wall: WallMillis) -> Vec<JobId> {
+    pub(crate) fn outdated(&self, wall: WallMillis) -> Vec<JobId> {
         let changed =
             |(key, waiting): &(&Urgency, &Waiting)| waiting.latest.outlook(wall) != key.outlook;
         let mut changed: Vec<JobId> = self
@@ -113,12 +113,12 @@
     }
 
     /// The most urgent.
-    pub fn first(&self) -> Option<&Urgency> {
+    pub(crate) fn first(&self) -> Option<&Urgency> {
         self.waiting.keys().next()
     }
 
     /// How many wait.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.waiting.len()
     }
 }
--- a/system/scheduler/src/replies.rs
+++ b/system/scheduler/src/replies.rs
@@ -5,7 +5,7 @@
     worker::{Progress, RunPhase, Worker},
 };
 use magpiegap_jobs::State;
-use magpiegap_protocol::{Command, Millis, RunEnd, RunId, RunStart, TaskId};
+use magpiegap_protocol::{Command, Millis, RunCompletion, RunId, RunStart, TaskId};
 
 /// Time until a start that a worker turned down for its health or clock is sent again.
 const RETRY_MS: Millis = 60;
@@ -25,44 +25,44 @@
             return;
         };
         let OpenCall {
-            instance,
+            incarnation,
             purpose,
             sent_at,
         } = open;
         self.now = now;
         self.note_answer_time(&purpose, &reply, now.saturating_sub(sent_at));
-        if !self.workers.contains_key(&instance) {
+        if !self.workers.contains_key(&incarnation) {
             return;
         }
         if reply == WorkerReply::OtherLife {
-            self.life_is_over(&instance, state);
+            self.life_is_over(&incarnation, state);
             return;
         }
         if matches!(
             reply,
             WorkerReply::Refused {
-                reason: RefusalReason::Fence,
+                reason: RefusalReason::RoleToken,
                 ..
             }
         ) {
-            self.depose(&instance);
+            self.depose(&incarnation);
             return;
         }
-        self.hold_news.insert(instance.clone());
-        self.note_contact(&instance, call, &purpose, sent_at, &reply, now);
+        self.hold_news.insert(incarnation.clone());
+        self.note_contact(&incarnation, call, &purpose, sent_at, &reply, now);
         match purpose {
             CallPurpose::Hold { .. } | CallPurpose::Probe => {
-                self.hold_answered(&instance, sent_at, reply, now)
+                self.hold_answered(&incarnation, sent_at, reply, now)
             }
             CallPurpose::Start {
                 task,
                 run,
                 deadline_ms,
             } => {
-                self.start_answered(&instance, task, run, deadline_ms, reply, now);
+                self.start_answered(&incarnation, task, run, deadline_ms, reply, now);
             }
             CallPurpose::Stop { task, run } => {
-                self.stop_answered(&instance, task, run, &reply, now)
+                self.stop_answered(&incarnation, task, run, &reply, now)
             }
             CallPurpose::StopStray => {}
         }
@@ -74,22 +74,22 @@
             return;
         }
         match reply {
-            WorkerReply::Unanswered => self.answer_times.unanswered(),
-            _ => self.answer_times.answered(after),
+            WorkerReply::Unanswered => self.response_times.unanswered(),
+            _ => self.response_times.answered(after),
         }
     }
 
     /// What any answer, or none, says of the worker.
     fn note_contact(
         &mut self,
-        instance: &str,
+        incarnation: &str,
         call: u64,
         purpose: &CallPurpose,
         sent_at: Millis,
         reply: &WorkerReply,
         now: Millis,
     ) {
-        let Some(worker) = self.workers.get_mut(instance) else {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         if worker.hold.open == Some(call) {
@@ -108,7 +108,7 @@
                 let doubt = ordered && worker.doubted_at.is_none();
                 if doubt {
                     worker.doubted_at = Some(now);
-                    self.probe(instance);
+                    self.probe(incarnation);
                 }
             }
             WorkerReply::Done { clock_ms, .. } | WorkerReply::Refused { clock_ms, .. } => {
@@ -126,9 +126,15 @@
         }
     }
 
-    fn hold_answered(&mut self, instance: &str, sent_at: Millis, reply: WorkerReply, now: Millis) {
+    fn hold_answered(
+        &mut self,
+        incarnation: &str,
+        sent_at: Millis,
+        reply: WorkerReply,
+        now: Millis,
+    ) {
         let max_hold_ms = self.settings.max_hold_ms;
-        let Some(worker) = self.workers.get_mut(instance) else {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         let WorkerReply::Done {
@@ -146,18 +152,18 @@
             self.replan = true;
         }
         worker.hold.due = now;
-        self.take_listing(instance, sent_at, clock, &listing, now);
+        self.take_listing(incarnation, sent_at, clock, &listing, now);
     }
 
     fn take_listing(
         &mut self,
-        instance: &str,
+        incarnation: &str,
         sent_at: Millis,
         clock: u64,
         listing: &Listing,
         now: Millis,
     ) {
-        let Some(worker) = self.workers.get_mut(instance) else {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         let mut strays: Vec<(TaskId, RunId)> = Vec::new();
@@ -182,11 +188,11 @@
                 None => strays.push((listed.task, listed.run)),
             }
         }
-        let ends: Vec<RunEnd> = listing
+        let ends: Vec<RunCompletion> = listing
             .ended
             .iter()
             .filter(|end| end.number > worker.last_seen)
-            .map(|end| RunEnd {
+            .map(|end| RunCompletion {
                 task: end.task,
                 run: end.run,
                 kind: end.kind,
@@ -201,9 +207,9 @@
             .filter(|&n| n > worker.proposed_seen)
         {
             worker.proposed_seen = last;
-            let instance = instance.to_owned();
-            self.out.push(Output::Propose(Command::NoteEnds {
-                instance,
+            let incarnation = incarnation.to_owned();
+            self.out.push(Output::Propose(Command::RecordCompletions {
+                incarnation,
                 last_seen: last,
                 ends,
             }));
@@ -215,7 +221,7 @@
         for (task, run) in strays {
             let order = WorkerOrder::Stop { task, run };
             self.call(
-                instance,
+                incarnation,
                 CallPurpose::StopStray,
                 order,
                 STRAY_STOP_TIMEOUT_MS,
@@ -225,14 +231,14 @@
 
     fn start_answered(
         &mut self,
-        instance: &str,
+        incarnation: &str,
         task: TaskId,
         number: RunId,
         deadline_ms: u64,
         reply: WorkerReply,
         now: Millis,
     ) {
-        let Some(worker) = self.workers.get_mut(instance) else {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         let Some(run) = worker.runs.get_mut(&task).filter(|run| run.run == number) else {
@@ -258,7 +264,7 @@
                 if run.phase == RunPhase::Starting {
                     run.phase = RunPhase::Recorded { not_before: now };
                 }
-                self.fresh.insert(instance.to_owned());
+                self.fresh.insert(incarnation.to_owned());
             }
             WorkerReply::Refused {
                 reason: RefusalReason::Late,
@@ -295,7 +301,7 @@
             }
             // Neither comes here: the one has given the role up, with the other the worker's life is over.
             WorkerReply::Refused {
-                reason: RefusalReason::Fence,
+                reason: RefusalReason::RoleToken,
                 ..
             }
             | WorkerReply::OtherLife => {}
@@ -305,7 +311,7 @@
             let start = RunStart {
                 task,
                 run: number,
-                instance: instance.to_owned(),
+                incarnation: incarnation.to_owned(),
                 checkpoint,
             };
             self.lose(vec![start]);
@@ -314,14 +320,14 @@
 
     fn stop_answered(
         &mut self,
-        instance: &str,
+        incarnation: &str,
         task: TaskId,
         number: RunId,
         reply: &WorkerReply,
         now: Millis,
     ) {
         let usual_wait_ms = self.hold_waits.wait_ms();
-        let Some(worker) = self.workers.get_mut(instance) else {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         let Some(run) = worker.runs.get_mut(&task).filter(|run| run.run == number) else {
@@ -367,7 +373,7 @@
         .map(|(task, run)| RunStart {
             task: *task,
             run: run.run,
-            instance: worker.entry.instance.clone(),
+            incarnation: worker.entry.incarnation.clone(),
             checkpoint: run.saved.clone(),
         })
         .collect()
--- a/system/scheduler/src/reservations.rs
+++ b/system/scheduler/src/reservations.rs
@@ -20,37 +20,37 @@
 
 impl Reservations {
     /// Whether a task may be placed on a worker.
-    pub fn allow(&self, instance: &str, first: &TaskId) -> bool {
+    pub(crate) fn allow(&self, incarnation: &str, first: &TaskId) -> bool {
         self.of_worker
-            .get(instance)
+            .get(incarnation)
             .is_none_or(|reservation| reservation.owner == *first)
     }
 
     /// Whether a worker is kept free for a task.
-    pub fn has(&self, first: &TaskId) -> bool {
+    pub(crate) fn has(&self, first: &TaskId) -> bool {
         self.of_worker
             .values()
             .any(|reservation| reservation.owner == *first)
     }
 
     /// How many workers are kept free.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.of_worker.len()
     }
 
     /// Keeps a worker free for a task.
-    pub fn add(&mut self, instance: String, owner: TaskId, now: Millis) {
+    pub(crate) fn add(&mut self, incarnation: String, owner: TaskId, now: Millis) {
         self.of_worker
-            .insert(instance, Reservation { owner, since: now });
+            .insert(incarnation, Reservation { owner, since: now });
     }
 
     /// Drops those that have lost their purpose.
-    pub fn review(&mut self, waiting: &HashSet<TaskId>, workers: &Workers, now: Millis) {
-        self.of_worker.retain(|instance, reservation| {
+    pub(crate) fn review(&mut self, waiting: &HashSet<TaskId>, workers: &Workers, now: Millis) {
+        self.of_worker.retain(|incarnation, reservation| {
             waiting.contains(&reservation.owner)
                 && now < reservation.since + GIVE_UP_MS
                 && workers
-                    .get(instance)
+                    .get(incarnation)
                     .is_some_and(|worker| worker.takes_work(now))
         });
     }
--- a/system/scheduler/src/answer_times.rs
+++ b/system/scheduler/src/response_times.rs
@@ -23,7 +23,7 @@
 
 /// The usual time until an answer and its spread, over all workers.
 #[derive(Clone, Copy, Debug)]
-pub struct AnswerTimes {
+pub struct ResponseTimes {
     mean_ms: f64,
     spread_ms: f64,
     /// The share of calls that are not answered.
@@ -31,10 +31,10 @@
     stretch: f64,
 }
 
-impl Default for AnswerTimes {
+impl Default for ResponseTimes {
     /// Nothing is known yet, and all workers are greeted at once: the first answers may take long.
     fn default() -> Self {
-        AnswerTimes {
+        ResponseTimes {
             mean_ms: 50.0,
             spread_ms: 60.0,
             unanswered: 0.0,
@@ -43,7 +43,7 @@
     }
 }
 
-impl AnswerTimes {
+impl ResponseTimes {
     /// A call that is answered at once was answered after this long.
     pub fn answered(&mut self, after: Millis) {
         let difference = after as f64 - self.mean_ms;
--- a/system/scheduler/src/room_index.rs
+++ b/system/scheduler/src/room_index.rs
@@ -15,26 +15,26 @@
 
 impl RoomIndex {
     /// The index of these workers.
-    pub fn of(workers: &Workers, now: Millis) -> RoomIndex {
+    pub(crate) fn of(workers: &Workers, now: Millis) -> RoomIndex {
         let free = |worker: &Worker| worker.entry.capacity.cpu.saturating_sub(worker.used.cpu);
         let mut by_free_cpu: Vec<(u64, String)> = workers
             .iter()
             .filter(|(_, worker)| worker.takes_work(now))
-            .map(|(instance, worker)| (free(worker), instance.clone()))
+            .map(|(incarnation, worker)| (free(worker), incarnation.clone()))
             .collect();
         by_free_cpu.sort_unstable_by(|(one, _), (other, _)| other.cmp(one));
         RoomIndex { by_free_cpu }
     }
 
     /// The names of those that had this much free processor.
-    pub fn with_cpu(&self, cpu: u64) -> &[(u64, String)] {
+    pub(crate) fn with_cpu(&self, cpu: u64) -> &[(u64, String)] {
         let end = self.by_free_cpu.partition_point(|(free, _)| *free >= cpu);
         &self.by_free_cpu[..end]
     }
 
     /// Those that had this much free processor, or all where these are many: to go through all is quicker than to find many
     /// by name.
-    pub fn may_take<'w>(
+    pub(crate) fn may_take<'w>(
         &self,
         workers: &'w Workers,
         cpu: u64,
--- a/system/scheduler/src/runs.rs
+++ b/system/scheduler/src/runs.rs
@@ -8,7 +8,7 @@
 };
 use magpiegap_jobs::{Change, Job, State};
 use magpiegap_protocol::{
-    Command, EndKind, JobId, Millis, Position, RunId, RunStart, TaskId, WorkerEntry,
+    Command, CompletionKind, JobId, LogPosition, Millis, RunId, RunStart, TaskId, WorkerEntry,
 };
 
 /// How long a start is valid, on the worker's clock.
@@ -24,7 +24,7 @@
     pub fn applied(
         &mut self,
         now: Millis,
-        entry: Position,
+        entry: LogPosition,
         state: &State,
         changes: &[Change],
         own_runs: &[RunStart],
@@ -39,7 +39,11 @@
             self.settle_proposal(start);
         }
         for id in own_runs.iter().map(|start| start.task.job) {
-            if state.jobs.get(&id).is_some_and(|job| !job.phase.ended()) {
+            if state
+                .jobs
+                .get(&id)
+                .is_some_and(|job| !job.phase.is_terminal())
+            {
                 self.refresh_queue(id, now, state);
             }
         }
@@ -51,24 +55,24 @@
             Change::RunClosed {
                 task,
                 run,
-                instance,
+                incarnation,
                 kind,
-            } => self.run_closed(*task, *run, instance, *kind, now),
+            } => self.run_closed(*task, *run, incarnation, *kind, now),
             Change::Job(id) => self.review_job(*id, now, state),
             Change::JobForgotten(id) => {
                 self.queue.remove(*id);
                 self.ended.retain(|(_, other)| other != id);
                 self.failed_on.retain(|task, _| task.job != *id);
             }
-            Change::EndsNoted {
-                instance,
+            Change::CompletionsRecorded {
+                incarnation,
                 last_seen,
             } => {
-                if let Some(worker) = self.workers.get_mut(instance) {
+                if let Some(worker) = self.workers.get_mut(incarnation) {
                     worker.last_seen = *last_seen;
                     worker.proposed_seen = worker.proposed_seen.max(*last_seen);
                     worker.hold.due = now;
-                    self.hold_news.insert(instance.clone());
+                    self.hold_news.insert(incarnation.clone());
                 }
             }
             Change::Configuration | Change::Role(_) => {}
@@ -77,7 +81,7 @@
 
     fn run_opened(&mut self, start: &RunStart, now: Millis, state: &State) {
         self.proposed.remove(&start.task);
-        if let Some(worker) = self.workers.get_mut(&start.instance) {
+        if let Some(worker) = self.workers.get_mut(&start.incarnation) {
             if let Some(run) = worker
                 .runs
                 .get_mut(&start.task)
@@ -88,19 +92,19 @@
                     run.phase = RunPhase::Recorded { not_before: now };
                     run.resolved_at = now;
                     worker.hold.due = worker.hold.due.min(now);
-                    self.fresh.insert(start.instance.clone());
-                    self.hold_news.insert(start.instance.clone());
+                    self.fresh.insert(start.incarnation.clone());
+                    self.hold_news.insert(start.incarnation.clone());
                 }
                 return;
             }
         }
-        self.adopt_run(&start.instance, start.task, start.run, now, state);
+        self.adopt_run(&start.incarnation, start.task, start.run, now, state);
     }
 
     /// Takes up a run of the log that this scheduler has not proposed since it holds its role.
     pub(crate) fn adopt_run(
         &mut self,
-        instance: &str,
+        incarnation: &str,
         task: TaskId,
         run: RunId,
         now: Millis,
@@ -116,21 +120,24 @@
             return;
         };
         let lapse_at = self.others_lapse_at();
-        self.hold_news.insert(instance.to_owned());
-        let worker = self.workers.entry(instance.to_owned()).or_insert_with(|| {
-            let entry = WorkerEntry {
-                instance: instance.to_owned(),
-                ..WorkerEntry::default()
-            };
-            let mut worker = Worker::new(entry, now, lapse_at);
-            worker.listed = false;
-            worker
-        });
+        self.hold_news.insert(incarnation.to_owned());
+        let worker = self
+            .workers
+            .entry(incarnation.to_owned())
+            .or_insert_with(|| {
+                let entry = WorkerEntry {
+                    incarnation: incarnation.to_owned(),
+                    ..WorkerEntry::default()
+                };
+                let mut worker = Worker::new(entry, now, lapse_at);
+                worker.listed = false;
+                worker
+            });
         if let Some(known) = worker.runs.get_mut(&task).filter(|known| known.run == run) {
             // It was proposed before the view changed and is in the log now: its start was never sent.
             if known.phase == RunPhase::Proposed {
                 known.phase = RunPhase::Recorded { not_before: now };
-                self.fresh.insert(instance.to_owned());
+                self.fresh.insert(incarnation.to_owned());
             }
             // It was to be taken off the record, and was not: the next listing decides anew.
             if known.phase == RunPhase::Losing {
@@ -148,7 +155,7 @@
         let start = RunStart {
             task,
             run,
-            instance: instance.to_owned(),
+            incarnation: incarnation.to_owned(),
             checkpoint,
         };
         worker.add_run(task, new_run(job, step, &start, RunPhase::Started, now));
@@ -158,33 +165,33 @@
         &mut self,
         task: TaskId,
         run: RunId,
-        instance: &str,
-        kind: Option<EndKind>,
+        incarnation: &str,
+        kind: Option<CompletionKind>,
         now: Millis,
     ) {
         self.replan = true;
-        if let Some(ended @ (EndKind::Done | EndKind::Failed)) = kind {
-            self.failure_share.note(ended == EndKind::Failed);
+        if let Some(ended @ (CompletionKind::Done | CompletionKind::Failed)) = kind {
+            self.failure_share.note(ended == CompletionKind::Failed);
         }
         let failures_to_eject = self.failure_share.failures_to_eject();
-        let Some(worker) = self.workers.get_mut(instance) else {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         let known = worker.remove_run(&task, run);
         match kind {
-            Some(EndKind::Done) => worker.health.succeeded(),
-            Some(EndKind::Failed) => {
+            Some(CompletionKind::Done) => worker.health.succeeded(),
+            Some(CompletionKind::Failed) => {
                 let failed_on = self.failed_on.entry(task).or_default();
                 // A task that has failed elsewhere too may be the one at fault.
-                let elsewhere = failed_on.iter().any(|other| other != instance);
-                if !failed_on.iter().any(|other| other == instance) {
-                    failed_on.push(instance.to_owned());
+                let elsewhere = failed_on.iter().any(|other| other != incarnation);
+                if !failed_on.iter().any(|other| other == incarnation) {
+                    failed_on.push(incarnation.to_owned());
                 }
                 if known.is_some()
                     && !elsewhere
                     && worker.health.failed(task.job, failures_to_eject, now)
                 {
-                    self.left_alone_untold.insert(instance.to_owned());
+                    self.left_alone_untold.insert(incarnation.to_owned());
                 }
             }
             _ => {}
@@ -194,7 +201,7 @@
     /// Releases the room of a run that was proposed and refused.
     fn settle_proposal(&mut self, start: &RunStart) {
         self.proposed.remove(&start.task);
-        let Some(worker) = self.workers.get_mut(&start.instance) else {
+        let Some(worker) = self.workers.get_mut(&start.incarnation) else {
             return;
         };
         let refused = worker
@@ -215,9 +222,9 @@
         if job.submission.service != self.service {
             return;
         }
-        if job.phase.ended() {
+        if job.phase.is_terminal() {
             self.queue.remove(id);
-            self.ended.insert((job.ended_ms, id));
+            self.ended.insert((job.completed_ms, id));
             self.timed.retain(|(_, other)| *other != id);
         } else {
             self.note_schedule(job);
@@ -232,8 +239,8 @@
             return;
         }
         self.timed.retain(|(_, other)| *other != id);
-        if job.next_time < job.submission.spec.times() {
-            if let Some(at) = job.submission.spec.due_ms(job.next_time) {
+        if job.next_occurrence < job.submission.spec.occurrences() {
+            if let Some(at) = job.submission.spec.scheduled_ms(job.next_occurrence) {
                 self.timed.insert((at, id));
             }
         }
@@ -252,8 +259,8 @@
     /// Marks the runs of a job that are not wanted any more: of an ended job, of tasks that are done, and of gangs
     /// that have lost a member.
     fn stop_unwanted(&mut self, job: &Job, now: Millis) {
-        for time in job.times.values() {
-            for (position, step) in time.steps.iter().enumerate() {
+        for occurrence in job.occurrences.values() {
+            for (position, step) in occurrence.steps.iter().enumerate() {
                 let gang = job
                     .submission
                     .spec
@@ -270,9 +277,16 @@
                         // Where a gang is done its members end by themselves.
                         let broken = gang && !step.is_done() && !whole(active.run);
                         let over = task.done && !gang;
-                        if job.phase.ended() || broken || over {
+                        if job.phase.is_terminal() || broken || over {
                             let id = job.submission.job;
-                            self.want_stop(&active.instance, id, position, index, active.run, now);
+                            self.want_stop(
+                                &active.incarnation,
+                                id,
+                                position,
+                                index,
+                                active.run,
+                                now,
+                            );
                         }
                     }
                 }
@@ -282,14 +296,14 @@
 
     fn want_stop(
         &mut self,
-        instance: &str,
+        incarnation: &str,
         job: JobId,
         step: usize,
         index: usize,
         run: RunId,
         now: Millis,
     ) {
-        let Some(worker) = self.workers.get_mut(instance) else {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         let wanted = worker.runs.iter_mut().find(|(task, known)| {
@@ -300,27 +314,27 @@
         });
         if let Some((_, known)) = wanted {
             known.stop_due.get_or_insert(now);
-            self.fresh.insert(instance.to_owned());
+            self.fresh.insert(incarnation.to_owned());
         }
     }
 
     /// Sends the starts and stops that are due on the workers marked as fresh.
     pub(crate) fn send_starts(&mut self, now: Millis, state: &State) {
-        for instance in std::mem::take(&mut self.fresh) {
-            self.send_orders(&instance, now, state);
+        for incarnation in std::mem::take(&mut self.fresh) {
+            self.send_orders(&incarnation, now, state);
         }
     }
 
     /// Sends the starts and stops that are due on one worker.
-    pub(crate) fn send_orders(&mut self, instance: &str, now: Millis, state: &State) {
-        let Some(worker) = self.workers.get(instance) else {
+    pub(crate) fn send_orders(&mut self, incarnation: &str, now: Millis, state: &State) {
+        let Some(worker) = self.workers.get(incarnation) else {
             return;
         };
         let ready = worker.greeted && !worker.silent();
         let tasks: Vec<TaskId> = worker.runs.keys().copied().collect();
         let mut lost = Vec::new();
         for task in tasks {
-            let Some(worker) = self.workers.get(instance) else {
+            let Some(worker) = self.workers.get(incarnation) else {
                 return;
             };
             let Some(run) = worker.runs.get(&task) else {
@@ -333,7 +347,7 @@
                 lost.push(RunStart {
                     task,
                     run: run.run,
-                    instance: instance.to_owned(),
+                    incarnation: incarnation.to_owned(),
                     checkpoint: run.checkpoint.clone(),
                 });
                 continue;
@@ -343,12 +357,12 @@
             }
             if let Some(due) = run.stop_due {
                 if now >= due {
-                    self.send_stop(instance, task, now);
+                    self.send_stop(incarnation, task, now);
                 }
                 continue;
             }
             if matches!(run.phase, RunPhase::Recorded { not_before } if now >= not_before) {
-                self.send_start(instance, task, state, now);
+                self.send_start(incarnation, task, state, now);
             }
         }
         if !lost.is_empty() {
@@ -360,7 +374,7 @@
     pub(crate) fn lose(&mut self, lost: Vec<RunStart>) {
         for start in &lost {
             // Not proposed twice while the log has it under way.
-            let worker = self.workers.get_mut(&start.instance);
+            let worker = self.workers.get_mut(&start.incarnation);
             if let Some(run) = worker.and_then(|worker| worker.runs.get_mut(&start.task)) {
                 run.phase = RunPhase::Losing;
             }
@@ -369,11 +383,11 @@
             .push(Output::Propose(Command::LoseRuns { runs: lost }));
     }
 
-    fn send_start(&mut self, instance: &str, task: TaskId, state: &State, now: Millis) {
+    fn send_start(&mut self, incarnation: &str, task: TaskId, state: &State, now: Millis) {
         let Some(job) = state.jobs.get(&task.job) else {
             return;
         };
-        let Some(worker) = self.workers.get_mut(instance) else {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         let Some(clock) = worker.clock_now(now) else {
@@ -406,13 +420,13 @@
             deadline_ms,
             checkpoint,
         };
-        self.call(instance, purpose, order, self.answer_times.wait_ms());
+        self.call(incarnation, purpose, order, self.response_times.wait_ms());
     }
 
-    fn send_stop(&mut self, instance: &str, task: TaskId, now: Millis) {
+    fn send_stop(&mut self, incarnation: &str, task: TaskId, now: Millis) {
         let Some(run) = self
             .workers
-            .get_mut(instance)
+            .get_mut(incarnation)
             .and_then(|worker| worker.runs.get_mut(&task))
         else {
             return;
@@ -421,9 +435,9 @@
         run.open_calls += 1;
         let number = run.run;
         let order = WorkerOrder::Stop { task, run: number };
-        let timeout = self.answer_times.wait_ms();
+        let timeout = self.response_times.wait_ms();
         self.call(
-            instance,
+            incarnation,
             CallPurpose::Stop { task, run: number },
             order,
             timeout,
@@ -431,8 +445,8 @@
     }
 
     /// Takes all runs of a worker off the record, once every hold on it has surely run out.
-    pub(crate) fn lose_lapsed(&mut self, instance: &str) {
-        let Some(worker) = self.workers.get_mut(instance) else {
+    pub(crate) fn lose_lapsed(&mut self, incarnation: &str) {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         let lost = lost_runs(worker);
@@ -444,7 +458,7 @@
             run.phase = RunPhase::Losing;
         }
         self.out.push(Output::Log(format!(
-            "the holds on {instance} have run out: {} runs are lost",
+            "the holds on {incarnation} have run out: {} runs are lost",
             lost.len()
         )));
         self.out
--- a/system/scheduler/src/scheduler.rs
+++ b/system/scheduler/src/scheduler.rs
@@ -1,17 +1,17 @@
 //! The scheduler's state and the ways in and out of it.
 use crate::{
-    answer_times::AnswerTimes,
     backfill::Backfill,
     calls::{Output, WorkerCall, WorkerOrder},
     health::FailureShare,
     hold_waits::HoldWaits,
     queue::{Queue, Urgency, URGENT_PRIORITY},
     reservations::Reservations,
+    response_times::ResponseTimes,
     settings::SchedulerSettings,
     worker::Workers,
 };
 use magpiegap_jobs::State;
-use magpiegap_protocol::{JobId, Millis, Position, RunId, TaskId, WallMillis};
+use magpiegap_protocol::{FencingToken, JobId, LogPosition, Millis, RunId, TaskId, WallMillis};
 use rand::{rngs::StdRng, SeedableRng};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -40,7 +40,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct OpenCall {
-    pub instance: String,
+    pub incarnation: String,
     pub purpose: CallPurpose,
     pub sent_at: Millis,
 }
@@ -65,11 +65,11 @@
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     pub(crate) service: String,
-    pub(crate) token: u64,
+    pub(crate) token: FencingToken,
     pub(crate) settings: SchedulerSettings,
     pub(crate) random: StdRng,
     /// The last entry that the state held when it was last taken up whole.
-    pub(crate) known_until: Position,
+    pub(crate) known_until: LogPosition,
     pub(crate) workers: Workers,
     /// The names of all workers, as they were a moment ago.
     pub(crate) names: Vec<String>,
@@ -95,7 +95,7 @@
     /// Ended jobs by when they ended.
     pub(crate) ended: BTreeSet<(WallMillis, JobId)>,
     pub(crate) calls: BTreeMap<u64, OpenCall>,
-    pub(crate) answer_times: AnswerTimes,
+    pub(crate) response_times: ResponseTimes,
     pub(crate) next_call: u64,
     /// The steady clock at the last input.
     pub(crate) now: Millis,
@@ -120,7 +120,7 @@
     /// A scheduler whose role was just taken over.
     pub fn new(
         service: &str,
-        token: u64,
+        token: FencingToken,
         settings: SchedulerSettings,
         now: Millis,
         state: &State,
@@ -131,7 +131,7 @@
             token,
             settings,
             random: StdRng::seed_from_u64(seed),
-            known_until: Position::default(),
+            known_until: LogPosition::default(),
             workers: Workers::new(),
             names: Vec::new(),
             queue: Queue::default(),
@@ -148,10 +148,10 @@
             times_proposed: HashSet::new(),
             ended: BTreeSet::new(),
             calls: BTreeMap::new(),
-            answer_times: AnswerTimes::default(),
+            response_times: ResponseTimes::default(),
             next_call: 0,
             now,
-            wall: 0,
+            wall: WallMillis::default(),
             taken_over_at: now,
             replan: true,
             next_plan: now,
@@ -172,7 +172,7 @@
     }
 
     /// The fencing token of the role.
-    pub fn token(&self) -> u64 {
+    pub fn token(&self) -> FencingToken {
         self.token
     }
 
@@ -215,7 +215,7 @@
     }
 
     /// Takes what it wants done.
-    pub fn take_outputs(&mut self) -> Vec<Output> {
+    pub fn poll_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.out)
     }
 
@@ -228,20 +228,20 @@
     /// Sends an order to a worker.
     pub(crate) fn call(
         &mut self,
-        instance: &str,
+        incarnation: &str,
         purpose: CallPurpose,
         order: WorkerOrder,
         timeout_ms: Millis,
     ) -> u64 {
         self.next_call += 1;
         let id = self.next_call;
-        let Some(worker) = self.workers.get(instance).filter(|_| !self.deposed) else {
+        let Some(worker) = self.workers.get(incarnation).filter(|_| !self.deposed) else {
             return id;
         };
         self.out.push(Output::Call(WorkerCall {
             id,
             address: worker.entry.address.clone(),
-            instance: instance.to_owned(),
+            incarnation: incarnation.to_owned(),
             token: self.token,
             order,
             timeout_ms,
@@ -250,7 +250,7 @@
         self.calls.insert(
             id,
             OpenCall {
-                instance: instance.to_owned(),
+                incarnation: incarnation.to_owned(),
                 purpose,
                 sent_at,
             },
--- a/system/scheduler/src/take_over.rs
+++ b/system/scheduler/src/take_over.rs
@@ -22,24 +22,24 @@
                 .is_some_and(|job| job.submission.service == self.service)
         };
         let mut wanted: BTreeMap<&str, Vec<(TaskId, RunId)>> = BTreeMap::new();
-        for (instance, record) in &state.workers {
+        for (incarnation, record) in &state.workers {
             let runs = record
                 .runs
                 .iter()
                 .filter(|(task, _)| own(&task.job))
                 .map(|(task, run)| (*task, *run));
-            wanted.insert(instance, runs.collect());
+            wanted.insert(incarnation, runs.collect());
         }
         self.drop_runs_off_record(&wanted);
-        for (instance, runs) in wanted {
+        for (incarnation, runs) in wanted {
             for (task, run) in runs {
-                self.adopt_run(instance, task, run, now, state);
+                self.adopt_run(incarnation, task, run, now, state);
             }
         }
-        for (instance, worker) in &mut self.workers {
+        for (incarnation, worker) in &mut self.workers {
             let seen = state
                 .workers
-                .get(instance)
+                .get(incarnation)
                 .map_or(0, |record| record.last_seen);
             worker.last_seen = seen;
             worker.proposed_seen = seen;
@@ -62,8 +62,10 @@
     }
 
     fn drop_runs_off_record(&mut self, wanted: &BTreeMap<&str, Vec<(TaskId, RunId)>>) {
-        for (instance, worker) in &mut self.workers {
-            let on_record = wanted.get(instance.as_str()).map_or(&[][..], Vec::as_slice);
+        for (incarnation, worker) in &mut self.workers {
+            let on_record = wanted
+                .get(incarnation.as_str())
+                .map_or(&[][..], Vec::as_slice);
             let gone: Vec<(TaskId, RunId)> = worker
                 .runs
                 .iter()
--- a/system/scheduler/src/worker.rs
+++ b/system/scheduler/src/worker.rs
@@ -43,7 +43,7 @@
 
 impl Progress {
     /// Takes note of a listing.
-    pub fn note(&mut self, percent: u64, now: Millis) {
+    pub(crate) fn note(&mut self, percent: u64, now: Millis) {
         if percent != self.percent {
             *self = Progress {
                 percent,
@@ -55,7 +55,7 @@
     }
 
     /// How long it has surely stood still.
-    pub fn still_ms(&self) -> Millis {
+    pub(crate) fn still_ms(&self) -> Millis {
         self.seen.saturating_sub(self.since)
     }
 }
@@ -138,7 +138,7 @@
 pub(crate) type Workers = BTreeMap<String, Worker>;
 
 impl Worker {
-    pub fn new(entry: WorkerEntry, now: Millis, others_lapse_at: Millis) -> Worker {
+    pub(crate) fn new(entry: WorkerEntry, now: Millis, others_lapse_at: Millis) -> Worker {
         Worker {
             draining: entry.availability == Availability::Draining,
             gone_at: entry.remaining_ms.map(|left| now + left),
@@ -163,38 +163,38 @@
     }
 
     /// Resources that no run takes up.
-    pub fn room(&self) -> Resources {
+    pub(crate) fn room(&self) -> Resources {
         self.entry.capacity.minus(&self.used)
     }
 
     /// Whether this much fits beside its runs.
-    pub fn has_room_for(&self, resources: &Resources) -> bool {
+    pub(crate) fn has_room_for(&self, resources: &Resources) -> bool {
         resources.plus(&self.used).fits(&self.entry.capacity)
     }
 
     /// Whether it has left too many calls unanswered to be given more work.
-    pub fn silent(&self) -> bool {
+    pub(crate) fn silent(&self) -> bool {
         self.unanswered >= 2
     }
 
     /// Whether it has answered under this scheduler's token, and all calls since.
-    pub fn answers(&self) -> bool {
+    pub(crate) fn answers(&self) -> bool {
         self.greeted && self.unanswered == 0 && self.doubted_at.is_none()
     }
 
     /// Whether new runs may be placed here.
-    pub fn takes_work(&self, now: Millis) -> bool {
+    pub(crate) fn takes_work(&self, now: Millis) -> bool {
         self.answers() && self.listed && !self.draining && self.health.takes_work(now)
     }
 
-    pub fn add_run(&mut self, task: TaskId, run: Run) {
+    pub(crate) fn add_run(&mut self, task: TaskId, run: Run) {
         if let Some(old) = self.runs.insert(task, run.clone()) {
             self.used = self.used.minus(&old.resources);
         }
         self.used = self.used.plus(&run.resources);
     }
 
-    pub fn remove_run(&mut self, task: &TaskId, run: RunId) -> Option<Run> {
+    pub(crate) fn remove_run(&mut self, task: &TaskId, run: RunId) -> Option<Run> {
         if self.runs.get(task)?.run != run {
             return None;
         }
@@ -204,20 +204,20 @@
     }
 
     /// The latest that the worker's clock can show now; `None` while it was never read.
-    pub fn clock_now(&self, now: Millis) -> Option<u64> {
+    pub(crate) fn clock_now(&self, now: Millis) -> Option<u64> {
         let reading = self.clock?;
         Some(reading.worker_ms + now.saturating_sub(reading.received_at))
     }
 
     /// The earliest that the worker's clock can show now.
-    pub fn clock_at_least(&self, now: Millis) -> Option<u64> {
+    pub(crate) fn clock_at_least(&self, now: Millis) -> Option<u64> {
         let reading = self.clock?;
         let passed = now.saturating_sub(reading.received_at) as f64 * SLOWEST_CLOCK;
         Some(reading.worker_ms + passed as u64)
     }
 
     /// Whether every hold ever granted to it has surely run out, so that nothing runs there any more.
-    pub fn surely_lapsed(&self, now: Millis) -> bool {
+    pub(crate) fn surely_lapsed(&self, now: Millis) -> bool {
         if !self.greeted && now < self.others_lapse_at {
             return false;
         }
@@ -228,7 +228,7 @@
     }
 
     /// Takes a reading of the clock from an answer.
-    pub fn read_clock(&mut self, worker_ms: Option<u64>, now: Millis) {
+    pub(crate) fn read_clock(&mut self, worker_ms: Option<u64>, now: Millis) {
         let Some(worker_ms) = worker_ms else { return };
         // Answers may overtake each other: an older reading would set the clock back.
         let newer = self
@@ -243,17 +243,17 @@
     }
 
     /// Whether the worker has all of these labels.
-    pub fn has_labels(&self, wanted: &[String]) -> bool {
+    pub(crate) fn has_labels(&self, wanted: &[String]) -> bool {
         wanted.iter().all(|label| self.has_label(label))
     }
 
     /// Whether the worker has this label.
-    pub fn has_label(&self, label: &str) -> bool {
+    pub(crate) fn has_label(&self, label: &str) -> bool {
         self.entry.labels.iter().any(|own| own == label)
     }
 
     /// The rack: the last label, as the platform lists the kind first.
-    pub fn rack(&self) -> &str {
+    pub(crate) fn rack(&self) -> &str {
         self.entry.labels.last().map_or("", String::as_str)
     }
 }
--- a/system/scheduler/src/worker_list.rs
+++ b/system/scheduler/src/worker_list.rs
@@ -11,24 +11,24 @@
             .iter()
             .filter(|entry| entry.service == self.service)
             .collect();
-        let listed: HashSet<&str> = own.iter().map(|entry| entry.instance.as_str()).collect();
+        let listed: HashSet<&str> = own.iter().map(|entry| entry.incarnation.as_str()).collect();
         let addresses: HashMap<&str, &str> = own
             .iter()
-            .map(|entry| (entry.address.as_str(), entry.instance.as_str()))
+            .map(|entry| (entry.address.as_str(), entry.incarnation.as_str()))
             .collect();
         let mut over = Vec::new();
-        for (instance, worker) in &mut self.workers {
-            if listed.contains(instance.as_str()) {
+        for (incarnation, worker) in &mut self.workers {
+            if listed.contains(incarnation.as_str()) {
                 continue;
             }
             worker.listed = false;
             let successor = addresses.get(worker.entry.address.as_str());
-            if successor.is_some_and(|other| other != instance) {
-                over.push(instance.clone());
+            if successor.is_some_and(|other| other != incarnation) {
+                over.push(incarnation.clone());
             }
         }
-        for instance in over {
-            self.life_is_over(&instance, state);
+        for incarnation in over {
+            self.life_is_over(&incarnation, state);
         }
         for entry in own {
             self.list_one(entry, now, state);
@@ -36,9 +36,9 @@
     }
 
     fn list_one(&mut self, entry: &WorkerEntry, now: Millis, state: &State) {
-        self.hold_news.insert(entry.instance.clone());
+        self.hold_news.insert(entry.incarnation.clone());
         let draining = entry.availability == Availability::Draining;
-        if let Some(worker) = self.workers.get_mut(&entry.instance) {
+        if let Some(worker) = self.workers.get_mut(&entry.incarnation) {
             let news = !worker.listed
                 || worker.entry.address != entry.address
                 || worker.draining != draining;
@@ -50,31 +50,31 @@
             return;
         }
         let mut worker = Worker::new(entry.clone(), now, self.others_lapse_at());
-        if let Some(record) = state.workers.get(&entry.instance) {
+        if let Some(record) = state.workers.get(&entry.incarnation) {
             worker.last_seen = record.last_seen;
             worker.proposed_seen = record.last_seen;
         }
-        self.workers.insert(entry.instance.clone(), worker);
+        self.workers.insert(entry.incarnation.clone(), worker);
         self.replan = true;
     }
 
     /// A worker's life is surely over.
-    pub(crate) fn life_is_over(&mut self, instance: &str, state: &State) {
-        let Some(worker) = self.workers.get_mut(instance) else {
+    pub(crate) fn life_is_over(&mut self, incarnation: &str, state: &State) {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         worker.listed = false;
         let lost = lost_runs(worker);
-        if state.workers.contains_key(instance) {
+        if state.workers.contains_key(incarnation) {
             self.out
                 .push(Output::Propose(Command::LoseRuns { runs: lost }));
-            let instance = instance.to_owned();
-            self.out.push(Output::Propose(Command::LoseInstance {
-                instance,
+            let incarnation = incarnation.to_owned();
+            self.out.push(Output::Propose(Command::LoseIncarnation {
+                incarnation,
                 ended: true,
             }));
         }
-        self.workers.remove(instance);
+        self.workers.remove(incarnation);
         self.replan = true;
     }
 }
@@ -84,7 +84,7 @@
     let lost = |(task, run): (&TaskId, &crate::worker::Run)| RunStart {
         task: *task,
         run: run.run,
-        instance: worker.entry.instance.clone(),
+        incarnation: worker.entry.incarnation.clone(),
         checkpoint: run.saved.clone(),
     };
     worker.runs.iter().map(lost).collect()
--- a/system/scheduler/tests/answer_times.rs
+++ b/system/scheduler/tests/answer_times.rs
@@ -1,23 +1,23 @@
 //! How long answers are waited for.
 use googletest::prelude::*;
-use magpiegap_scheduler::AnswerTimes;
+use magpiegap_scheduler::ResponseTimes;
 
 /// The wait after so many answers that took this long; one that takes longer than is waited counts as none.
 fn wait_after(answers: usize, ms: u64) -> u64 {
-    let mut times = AnswerTimes::default();
+    let mut occurrences = ResponseTimes::default();
     for _ in 0..answers {
-        if ms < times.wait_ms() {
-            times.answered(ms);
+        if ms < occurrences.wait_ms() {
+            occurrences.answered(ms);
         } else {
-            times.unanswered();
+            occurrences.unanswered();
         }
     }
-    times.wait_ms()
+    occurrences.wait_ms()
 }
 
 #[googletest::test]
 fn given_nothing_known_when_all_workers_are_greeted_then_their_answers_are_waited_for_a_while() {
-    expect_that!(AnswerTimes::default().wait_ms(), all!(ge(300), le(400)));
+    expect_that!(ResponseTimes::default().wait_ms(), all!(ge(300), le(400)));
 }
 
 #[googletest::test]
@@ -35,13 +35,13 @@
 
 #[googletest::test]
 fn given_quick_answers_when_one_in_ten_is_lost_then_the_wait_stays_short() {
-    let mut times = AnswerTimes::default();
+    let mut occurrences = ResponseTimes::default();
     for number in 1..500 {
         if number % 10 == 0 {
-            times.unanswered();
+            occurrences.unanswered();
         } else {
-            times.answered(5);
+            occurrences.answered(5);
         }
     }
-    expect_that!(times.wait_ms(), le(120));
+    expect_that!(occurrences.wait_ms(), le(120));
 }
--- a/system/scheduler/tests/common/mod.rs
+++ b/system/scheduler/tests/common/mod.rs
@@ -2,20 +2,20 @@
 #![allow(dead_code)]
 use magpiegap_jobs::State;
 use magpiegap_protocol::{
-    Command, Entry, JobId, JobSpec, Member, Position, ProposalId, Replica, Resources, RunStart,
-    StepSpec, Submission, TaskId, WorkerEntry,
+    Command, Entry, FencingToken, JobId, JobSpec, LogPosition, Member, ProposalId, ReplicaId,
+    Resources, RunStart, StepSpec, Submission, TaskId, ViewNumber, WallMillis, WorkerEntry,
 };
 use magpiegap_scheduler::{
-    ListedEnd, ListedRun, Listing, Output, Scheduler, SchedulerSettings, WorkerCall, WorkerOrder,
-    WorkerReply,
+    ListedCompletion, ListedRun, Listing, Output, Scheduler, SchedulerSettings, WorkerCall,
+    WorkerOrder, WorkerReply,
 };
 
-pub const TOKEN: u64 = 5;
+pub(crate) const TOKEN: FencingToken = FencingToken(5);
 /// What the workers' clocks show when ours shows zero.
-pub const WORKER_CLOCK: u64 = 1_000_000;
+pub(crate) const WORKER_CLOCK: u64 = 1_000_000;
 
 /// A scheduler with its log, which commits at once.
-pub struct Story {
+pub(crate) struct Story {
     pub now: u64,
     pub state: State,
     pub scheduler: Scheduler,
@@ -24,9 +24,9 @@
     pub logs: Vec<String>,
 }
 
-pub fn worker(name: &str) -> WorkerEntry {
+pub(crate) fn worker(name: &str) -> WorkerEntry {
     WorkerEntry {
-        instance: name.to_owned(),
+        incarnation: name.to_owned(),
         service: "s".to_owned(),
         address: format!("{name}:1"),
         capacity: Resources {
@@ -39,7 +39,7 @@
     }
 }
 
-pub fn step(count: u32, cpu: u64) -> StepSpec {
+pub(crate) fn step(count: u32, cpu: u64) -> StepSpec {
     StepSpec {
         count,
         resources: Resources {
@@ -53,7 +53,7 @@
 }
 
 impl Story {
-    pub fn new(workers: &[&str]) -> Story {
+    pub(crate) fn new(workers: &[&str]) -> Story {
         let state = State::default();
         let scheduler = Scheduler::new("s", TOKEN, SchedulerSettings::default(), 1000, &state, 1);
         let mut story = Story {
@@ -72,49 +72,56 @@
     }
 
     /// All workers answer their first hold.
-    pub fn greet(&mut self) {
+    pub(crate) fn greet(&mut self) {
         for call in self.take_calls() {
             self.reply(&call, self.listing(vec![], vec![]));
         }
         self.pass(10);
     }
 
-    pub fn clock(&self) -> u64 {
+    pub(crate) fn clock(&self) -> u64 {
         WORKER_CLOCK + self.now
     }
 
-    pub fn listing(&self, running: Vec<ListedRun>, ended: Vec<ListedEnd>) -> WorkerReply {
+    pub(crate) fn listing(
+        &self,
+        running: Vec<ListedRun>,
+        ended: Vec<ListedCompletion>,
+    ) -> WorkerReply {
         WorkerReply::Done {
             clock_ms: Some(self.clock()),
             listing: Some(Listing { running, ended }),
         }
     }
 
-    pub fn done(&self) -> WorkerReply {
+    pub(crate) fn done(&self) -> WorkerReply {
         WorkerReply::Done {
             clock_ms: Some(self.clock()),
             listing: None,
         }
     }
 
-    pub fn commit(&mut self, command: Command) {
+    pub(crate) fn commit(&mut self, command: Command) {
         let index = self.state.position.index + 1;
-        let origin = Replica {
+        let origin = ReplicaId {
             member: Member {
                 address: 1,
                 disk: 0,
             },
-            boot: 1,
+            incarnation: 1,
         };
         let entry = Entry {
-            position: Position { view: 1, index },
+            position: LogPosition {
+                view: ViewNumber(1),
+                index,
+            },
             proposal: ProposalId {
                 origin,
-                sequence: index,
+                sequence: index.0,
             },
-            fence: None,
+            role_token: None,
             command: command.clone(),
-            wall_ms: 1_000_000 + self.now,
+            wall_ms: WallMillis(1_000_000 + self.now),
         };
         let runs: Vec<RunStart> = match &command {
             Command::StartRuns { runs } | Command::SubmitJob { runs, .. } => runs.clone(),
@@ -131,12 +138,12 @@
         self.proposed.push(command);
     }
 
-    pub fn pass(&mut self, ms: u64) {
+    pub(crate) fn pass(&mut self, ms: u64) {
         self.now += ms;
         for _ in 0..4 {
             self.scheduler
-                .run(self.now, 1_000_000 + self.now, &self.state);
-            for output in self.scheduler.take_outputs() {
+                .run(self.now, WallMillis(1_000_000 + self.now), &self.state);
+            for output in self.scheduler.poll_outputs() {
                 match output {
                     Output::Call(call) => self.calls.push(call),
                     Output::Propose(command) => self.commit(command),
@@ -146,19 +153,19 @@
         }
     }
 
-    pub fn reply(&mut self, call: &WorkerCall, reply: WorkerReply) {
+    pub(crate) fn reply(&mut self, call: &WorkerCall, reply: WorkerReply) {
         self.scheduler.reply(self.now, &self.state, call.id, reply);
     }
 
-    pub fn take_calls(&mut self) -> Vec<WorkerCall> {
+    pub(crate) fn take_calls(&mut self) -> Vec<WorkerCall> {
         std::mem::take(&mut self.calls)
     }
 
-    pub fn submit(&mut self, job: u64, steps: Vec<StepSpec>) {
+    pub(crate) fn submit(&mut self, job: u64, steps: Vec<StepSpec>) {
         self.submit_with_priority(job, 0, steps);
     }
 
-    pub fn submit_with_priority(&mut self, job: u64, priority: u32, steps: Vec<StepSpec>) {
+    pub(crate) fn submit_with_priority(&mut self, job: u64, priority: u32, steps: Vec<StepSpec>) {
         let submission = Submission {
             job: JobId(job),
             queue: "q".to_owned(),
@@ -167,7 +174,7 @@
             max_attempts: 3,
             stretch: 2.0,
             target_latency_ms: 1000,
-            submitted_ms: 1_000_000 + self.now,
+            submitted_ms: WallMillis(1_000_000 + self.now),
             spec: JobSpec {
                 steps,
                 ..JobSpec::default()
@@ -178,7 +185,7 @@
         self.pass(0);
     }
 
-    pub fn starts(&mut self) -> Vec<WorkerCall> {
+    pub(crate) fn starts(&mut self) -> Vec<WorkerCall> {
         let (starts, others) = self
             .take_calls()
             .into_iter()
@@ -187,29 +194,34 @@
         starts
     }
 
-    pub fn active(&self, task: TaskId) -> Vec<String> {
+    pub(crate) fn active(&self, task: TaskId) -> Vec<String> {
         let state = self
             .state
             .jobs
             .get(&task.job)
             .and_then(|job| job.task(&task));
         state
-            .map(|task| task.active.iter().map(|run| run.instance.clone()).collect())
+            .map(|task| {
+                task.active
+                    .iter()
+                    .map(|run| run.incarnation.clone())
+                    .collect()
+            })
             .unwrap_or_default()
     }
 }
 
-pub fn task(job: u64, index: u32) -> TaskId {
+pub(crate) fn task(job: u64, index: u32) -> TaskId {
     TaskId {
         job: JobId(job),
-        time: 0,
+        occurrence: 0,
         step: 0,
         index,
     }
 }
 
 /// A step of one task that takes this long.
-pub fn timed_step(cpu: u64, estimated_ms: u64) -> StepSpec {
+pub(crate) fn timed_step(cpu: u64, estimated_ms: u64) -> StepSpec {
     StepSpec {
         estimated_ms,
         ..step(1, cpu)
@@ -217,7 +229,7 @@
 }
 
 /// A hold's wait, in milliseconds.
-pub fn waits(calls: &[WorkerCall]) -> Vec<u64> {
+pub(crate) fn waits(calls: &[WorkerCall]) -> Vec<u64> {
     let wait = |call: &WorkerCall| match call.order {
         WorkerOrder::Hold { wait_ms, .. } => Some(wait_ms),
         _ => None,
--- a/system/scheduler/tests/deposed.rs
+++ b/system/scheduler/tests/deposed.rs
@@ -3,12 +3,13 @@
 
 use common::{step, Story};
 use googletest::prelude::*;
+use magpiegap_protocol::WallMillis;
 use magpiegap_scheduler::{RefusalReason, WorkerReply};
 
 fn refused(story: &Story) -> WorkerReply {
     WorkerReply::Refused {
         clock_ms: Some(story.clock()),
-        reason: RefusalReason::Fence,
+        reason: RefusalReason::RoleToken,
     }
 }
 
@@ -44,9 +45,11 @@
     story.submit(2, vec![step(1, 1000)]);
     story.take_calls();
     story.now += 2000;
-    story.scheduler.run(story.now, story.now, &story.state);
+    story
+        .scheduler
+        .run(story.now, WallMillis(story.now), &story.state);
     let reply = refused(&story);
     story.reply(&starts[0], reply);
-    let orders = story.scheduler.take_outputs();
+    let orders = story.scheduler.poll_outputs();
     expect_that!(orders.len(), eq(1), "only a line for the log: {orders:?}");
 }
--- a/system/scheduler/tests/hold_news.rs
+++ b/system/scheduler/tests/hold_news.rs
@@ -3,8 +3,12 @@
 
 use common::{step, task, waits, Story};
 use googletest::prelude::*;
-use magpiegap_protocol::{Command, EndKind, JobId, JobSpec, RunEnd, Submission};
-use magpiegap_scheduler::{ListedEnd, ListedRun, Output, WorkerCall, WorkerOrder, WorkerReply};
+use magpiegap_protocol::{
+    Command, CompletionKind, JobId, JobSpec, RunCompletion, Submission, WallMillis,
+};
+use magpiegap_scheduler::{
+    ListedCompletion, ListedRun, Output, WorkerCall, WorkerOrder, WorkerReply,
+};
 
 const WORKERS: [&str; 3] = ["w1", "w2", "w3"];
 
@@ -39,7 +43,7 @@
         max_attempts: 3,
         stretch: 2.0,
         target_latency_ms: 1000,
-        submitted_ms: 1_000_000 + story.now,
+        submitted_ms: WallMillis(1_000_000 + story.now),
         spec: JobSpec {
             steps: vec![step(1, 1000)],
             ..JobSpec::default()
@@ -48,12 +52,12 @@
     story.scheduler.submit(story.now, submission);
     story
         .scheduler
-        .run(story.now, 1_000_000 + story.now, &story.state);
+        .run(story.now, WallMillis(1_000_000 + story.now), &story.state);
     let is_hold = |output: &Output| matches!(output, Output::Call(call) if matches!(call.order, WorkerOrder::Hold { .. }));
     expect_that!(
         story
             .scheduler
-            .take_outputs()
+            .poll_outputs()
             .iter()
             .filter(|output| is_hold(output))
             .count(),
@@ -70,11 +74,11 @@
     }
     story.pass(1);
     let hold = holds(&story.take_calls()).pop().expect("a hold");
-    let ended = ListedEnd {
+    let ended = ListedCompletion {
         number: 1,
         task: task(1, 0),
         run: 1,
-        kind: EndKind::Done,
+        kind: CompletionKind::Done,
         checkpoint: String::new(),
     };
     let running = ListedRun {
@@ -99,7 +103,7 @@
     story.pass(30);
     let again = holds(&story.take_calls());
     expect_that!(again.len(), eq(1));
-    expect_that!(again[0].instance, eq(&hold.instance));
+    expect_that!(again[0].incarnation, eq(&hold.incarnation));
 }
 
 #[googletest::test]
@@ -130,15 +134,15 @@
     }
     story.submit_with_priority(2000, 1, vec![step(1, 500)]);
     expect_that!(story.starts(), is_empty());
-    let end = RunEnd {
+    let end = RunCompletion {
         task: task(1, 0),
         run: 1,
-        kind: EndKind::Done,
+        kind: CompletionKind::Done,
         checkpoint: String::new(),
     };
     let freed = story.active(task(1, 0)).pop().expect("a run");
-    story.commit(Command::NoteEnds {
-        instance: freed.clone(),
+    story.commit(Command::RecordCompletions {
+        incarnation: freed.clone(),
         last_seen: 1,
         ends: vec![end],
     });
@@ -146,7 +150,7 @@
     let started: Vec<String> = story
         .starts()
         .into_iter()
-        .map(|call| call.instance)
+        .map(|call| call.incarnation)
         .collect();
     expect_that!(started, not(is_empty()));
     expect_that!(started, each(eq(&freed)));
--- a/system/scheduler/tests/left_alone.rs
+++ b/system/scheduler/tests/left_alone.rs
@@ -3,7 +3,7 @@
 
 use common::{step, Story};
 use googletest::prelude::*;
-use magpiegap_protocol::{Command, EndKind, RunEnd};
+use magpiegap_protocol::{Command, CompletionKind, RunCompletion};
 use std::collections::BTreeMap;
 
 const WORKERS: [&str; 7] = ["w1", "w2", "w3", "w4", "w5", "w6", "w7"];
@@ -18,16 +18,16 @@
         let magpiegap_scheduler::WorkerOrder::Start { task, run, .. } = start.order else {
             continue;
         };
-        let seen = last_seen.entry(start.instance.clone()).or_default();
+        let seen = last_seen.entry(start.incarnation.clone()).or_default();
         *seen += 1;
-        let ends = vec![RunEnd {
+        let ends = vec![RunCompletion {
             task,
             run,
-            kind: EndKind::Failed,
+            kind: CompletionKind::Failed,
             checkpoint: String::new(),
         }];
-        story.commit(Command::NoteEnds {
-            instance: start.instance,
+        story.commit(Command::RecordCompletions {
+            incarnation: start.incarnation,
             last_seen: *seen,
             ends,
         });
--- a/system/scheduler/tests/silence.rs
+++ b/system/scheduler/tests/silence.rs
@@ -19,7 +19,7 @@
     let mut lost_after = 0;
     while lost_after == 0 && story.now < 30_000 {
         for call in story.take_calls() {
-            let reply = if call.instance == "w2" {
+            let reply = if call.incarnation == "w2" {
                 story.listing(vec![], vec![])
             } else {
                 WorkerReply::Unanswered
@@ -137,8 +137,8 @@
         let start = story.starts().remove(0);
         story.reply(&start, story.done());
         story.commit(Command::CancelJob { job: JobId(number) });
-        story.commit(Command::LoseInstance {
-            instance: "w1".to_owned(),
+        story.commit(Command::LoseIncarnation {
+            incarnation: "w1".to_owned(),
             ended: false,
         });
     }
--- a/system/scheduler/tests/starting.rs
+++ b/system/scheduler/tests/starting.rs
@@ -4,9 +4,12 @@
 use common::*;
 use googletest::prelude::*;
 use magpiegap_jobs::Change;
-use magpiegap_protocol::{Command, EndKind, JobId, Position, RunStart, StepSpec};
+use magpiegap_protocol::{
+    Command, CompletionKind, JobId, LogIndex, LogPosition, RunStart, StepSpec, ViewNumber,
+    WallMillis,
+};
 use magpiegap_scheduler::{
-    ListedEnd, Output, RefusalReason, Scheduler, SchedulerSettings, WorkerOrder, WorkerReply,
+    ListedCompletion, Output, RefusalReason, Scheduler, SchedulerSettings, WorkerOrder, WorkerReply,
 };
 
 #[googletest::test]
@@ -25,7 +28,12 @@
     story.submit(1, vec![step(9, 1000)]);
     let starts = story.starts();
     expect_that!(starts.len(), eq(8));
-    let of = |name: &str| starts.iter().filter(|call| call.instance == name).count();
+    let of = |name: &str| {
+        starts
+            .iter()
+            .filter(|call| call.incarnation == name)
+            .count()
+    };
     expect_that!((of("w1"), of("w2")), eq((4, 4)));
 }
 
@@ -39,7 +47,7 @@
     story.pass(10);
     let again = story.starts();
     expect_that!(again.len(), eq(1));
-    expect_that!(again[0].instance, eq(&first.instance));
+    expect_that!(again[0].incarnation, eq(&first.incarnation));
     expect_that!(story.active(task(1, 0)).len(), eq(1));
 }
 
@@ -58,11 +66,11 @@
         matches!(hold.order, WorkerOrder::Hold { last_seen: 0, .. }),
         eq(true)
     );
-    let end = ListedEnd {
+    let end = ListedCompletion {
         number: 1,
         task: task(1, 0),
         run: 1,
-        kind: EndKind::Done,
+        kind: CompletionKind::Done,
         checkpoint: String::new(),
     };
     story.reply(&hold, story.listing(vec![], vec![end]));
@@ -87,7 +95,7 @@
     let hold = story.take_calls().remove(0);
     story.reply(&hold, story.listing(vec![], vec![]));
     story.now += 10;
-    let later = story.scheduler.take_outputs();
+    let later = story.scheduler.poll_outputs();
     drop(later);
     story.pass(10);
     let hold = story.take_calls().pop().unwrap();
@@ -95,7 +103,7 @@
     // When
     story.scheduler.resume(story.now, &story.state);
     // Then
-    let lost = story.scheduler.take_outputs();
+    let lost = story.scheduler.poll_outputs();
     expect_that!(
         lost.iter()
             .filter(|output| matches!(output, Output::Propose(_)))
@@ -152,7 +160,7 @@
     // When: the next holder begins with the state as it is after a batch of entries, and then hears of each of them
     let mut next = Scheduler::new(
         "s",
-        TOKEN + 1,
+        TOKEN.next(),
         SchedulerSettings::default(),
         story.now,
         &story.state,
@@ -161,14 +169,14 @@
     let opened = RunStart {
         task: task(1, 0),
         run: 1,
-        instance: "w1".to_owned(),
+        incarnation: "w1".to_owned(),
         checkpoint: String::new(),
     };
     let change = Change::RunOpened(opened);
-    for entry in 1..=story.state.position.index {
-        let entry = Position {
-            view: 1,
-            index: entry,
+    for entry in 1..=story.state.position.index.0 {
+        let entry = LogPosition {
+            view: ViewNumber(1),
+            index: LogIndex(entry),
         };
         next.applied(
             story.now,
@@ -182,8 +190,8 @@
     let mut lost = 0;
     for _ in 0..20 {
         story.now += 50;
-        next.run(story.now, 1_000_000 + story.now, &story.state);
-        let outputs = next.take_outputs();
+        next.run(story.now, WallMillis(1_000_000 + story.now), &story.state);
+        let outputs = next.poll_outputs();
         lost += outputs
             .iter()
             .filter(|output| matches!(output, Output::Propose(Command::LoseRuns { .. })))
@@ -205,7 +213,12 @@
     let starts = story.starts();
     // Then: all are placed, no worker has too many, and hardly one has none
     expect_that!(starts.len(), eq(180));
-    let of = |name: &str| starts.iter().filter(|call| call.instance == name).count();
+    let of = |name: &str| {
+        starts
+            .iter()
+            .filter(|call| call.incarnation == name)
+            .count()
+    };
     let counts: Vec<usize> = names.iter().map(|name| of(name)).collect();
     expect_that!(counts.iter().max(), some(le(&4)));
     expect_that!(counts.iter().filter(|count| **count == 0).count(), le(3));
@@ -233,7 +246,7 @@
     expect_that!(
         starts
             .iter()
-            .all(|call| call.instance == "w0" || call.instance == "w1"),
+            .all(|call| call.incarnation == "w0" || call.incarnation == "w1"),
         eq(true)
     );
 }
--- a/system/scheduler/tests/starvation.rs
+++ b/system/scheduler/tests/starvation.rs
@@ -3,7 +3,7 @@
 
 use common::{step, task, Story};
 use googletest::prelude::*;
-use magpiegap_protocol::{Command, EndKind, RunEnd, StepSpec};
+use magpiegap_protocol::{Command, CompletionKind, RunCompletion, StepSpec};
 
 /// A task that no worker can run, and unlike all others.
 fn impossible(number: u64) -> StepSpec {
@@ -27,14 +27,14 @@
     expect_that!(starts.len(), eq(1));
     // When: the worker is empty
     story.reply(&starts[0], story.done());
-    let end = RunEnd {
+    let end = RunCompletion {
         task: task(1, 0),
         run: 1,
-        kind: EndKind::Done,
+        kind: CompletionKind::Done,
         checkpoint: String::new(),
     };
-    story.commit(Command::NoteEnds {
-        instance: "w1".to_owned(),
+    story.commit(Command::RecordCompletions {
+        incarnation: "w1".to_owned(),
         last_seen: 1,
         ends: vec![end],
     });
--- a/system/storage/src/format.rs
+++ b/system/storage/src/format.rs
@@ -37,7 +37,7 @@
 
 impl SlotHeader {
     /// The header of a slot without parts.
-    pub fn new(generation: u64) -> SlotHeader {
+    pub(crate) fn new(generation: u64) -> SlotHeader {
         let mut checksum = crc32fast::Hasher::new();
         checksum.update(&generation.to_le_bytes());
         SlotHeader {
@@ -48,7 +48,7 @@
     }
 
     /// Adds a part. Returns its bytes in the slot, and where they go.
-    pub fn add(&mut self, part: &[u8]) -> (u64, Vec<u8>) {
+    pub(crate) fn add(&mut self, part: &[u8]) -> (u64, Vec<u8>) {
         let mut bytes = Vec::with_capacity(PART_HEADER + part.len());
         bytes.extend_from_slice(&(part.len() as u32).to_le_bytes());
         bytes.extend_from_slice(part);
@@ -59,7 +59,7 @@
     }
 
     /// The header's bytes: with them the slot is whole.
-    pub fn finish(self) -> Vec<u8> {
+    pub(crate) fn finish(self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(SLOT_HEADER);
         bytes.extend_from_slice(SLOT_MAGIC);
         bytes.extend_from_slice(&self.generation.to_le_bytes());
