--- /dev/null
+++ b/balancer/settings/tests/stored_form.rs
@@ -0,0 +1,21 @@
+//! The form of the settings that stored state is tied to: a balancer takes back only what was learned under the same
+//! settings, so that this text must not change where they do not.
+use balancer_settings::deployment;
+
+const WHOLE: &str = include_str!("golden/whole.json");
+const LEAST: &str = include_str!("golden/least.json");
+
+fn stored_form(json: &str) -> String {
+    let deployment = deployment(json.as_bytes()).expect("settings");
+    format!("{:?}\n", deployment.policy)
+}
+
+#[test]
+fn settings_keep_the_form_that_stored_state_is_tied_to() {
+    for (json, stored) in [
+        (WHOLE, include_str!("golden/stored_form_whole.txt")),
+        (LEAST, include_str!("golden/stored_form_least.txt")),
+    ] {
+        assert_eq!(stored_form(json), stored);
+    }
+}
