--- a/balancer/core/src/interface/actions.rs
+++ b/balancer/core/src/interface/actions.rs
@@ -38,7 +38,7 @@
     },
     /// Close the connections to an upstream that carry no call now.
     CloseIdle(UpstreamId),
-    /// Subscribe to changes of the list; one [`Membership`](crate::Membership) event answers.
+    /// Subscribe to changes of the list; one [`EndpointUpdate`](crate::Membership) event answers.
     Subscribe,
     /// Ask for one [`Event::Timer`](crate::Event::Timer).
     SetTimer {
--- a/balancer/core/src/interface/list.rs
+++ b/balancer/core/src/interface/endpoints.rs
@@ -10,12 +10,12 @@
     /// Finishes what it holds; nothing new may be sent.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One line of the list of upstreams.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Member {
+pub struct Endpoint {
     /// Which upstream.
     pub id: UpstreamId,
     /// Its zone.
@@ -32,37 +32,37 @@
 
 /// News about the list of upstreams.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Membership {
+pub enum EndpointUpdate {
     /// The whole list; what it lacks is gone.
-    Full(Vec<Member>),
+    Full(Vec<Endpoint>),
     /// The whole list as this instance last had it, perhaps old.
-    Cached(Vec<Member>),
+    Cached(Vec<Endpoint>),
     /// Only what changed.
-    Delta(Vec<Member>),
+    Delta(Vec<Endpoint>),
     /// A call for the list failed or the subscription broke; the old list stands.
     Failed,
 }
 
 impl Class {
     /// Whether it may be sent to this upstream at all.
-    pub fn admits(&self, m: &Member) -> bool {
-        self.runs_in
+    pub fn admits(&self, m: &Endpoint) -> bool {
+        self.zones
             .as_ref()
             .is_none_or(|zones| zones.contains(&m.zone))
             && self
-                .kinds_only
+                .kinds
                 .as_ref()
                 .is_none_or(|kinds| kinds.contains(&m.kind))
     }
 }
 
-impl Membership {
+impl EndpointUpdate {
     /// What it names, and whether that is the whole list; nothing when there was no list.
-    pub fn members(self) -> Option<(Vec<Member>, bool)> {
+    pub fn members(self) -> Option<(Vec<Endpoint>, bool)> {
         match self {
-            Membership::Full(m) | Membership::Cached(m) => Some((m, true)),
-            Membership::Delta(m) => Some((m, false)),
-            Membership::Failed => None,
+            EndpointUpdate::Full(m) | EndpointUpdate::Cached(m) => Some((m, true)),
+            EndpointUpdate::Delta(m) => Some((m, false)),
+            EndpointUpdate::Failed => None,
         }
     }
 }
--- a/balancer/core/src/interface/events.rs
+++ b/balancer/core/src/interface/events.rs
@@ -1,5 +1,5 @@
 //! What an instance is told while it runs.
-use super::{Learned, Membership, Millis, RequestId, TierWord, UpstreamId};
+use super::{EndpointUpdate, Learned, Millis, RequestId, TierUpdate, UpstreamId};
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News about the list of upstreams.
-    Membership(Membership),
+    EndpointUpdate(EndpointUpdate),
     /// A request came in: one final answer is now owed.
     Request(Request),
     /// The answer of a streamed request has begun; its attempt is now the client's.
@@ -113,9 +113,9 @@
         age: Millis,
     },
     /// What this copy has heard of its tier; replaces what it had heard before.
-    Tier(Box<TierWord>),
+    Tier(Box<TierUpdate>),
     /// The client left, or its time ran out: nothing is owed any more.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// The program is to end: every request that is open needs its final answer by this time.
     EndBy(Millis),
     /// A timer asked for with [`Action::SetTimer`](crate::Action::SetTimer) is due.
--- a/balancer/core/src/interface/kept.rs
+++ b/balancer/core/src/interface/learned.rs
@@ -37,7 +37,7 @@
 
     /// This one, with an older one worth so much beside it: what it says of the load, and of times.
     pub fn mixed(self, kept: &Load, load: f64, times: f64) -> Load {
-        let mix = |now: f64, then: f64, worth: f64| now + worth * (then - now);
+        let mix = |now: f64, then: f64, value: f64| now + value * (then - now);
         Load {
             capacity: mix(self.capacity, kept.capacity, load),
             recent: mix(self.recent, kept.recent, load),
@@ -95,7 +95,8 @@
     pub load: Load,
     /// The most ready upstreams that there were, each as far as it was warm; and the part of them that could be sent
     /// to.
-    pub upstreams_most: f64,
+    #[serde(rename = "upstreams_most")]
+    pub upstreams_max: f64,
     /// See there.
     pub upstreams_usable: f64,
     /// Mean answer time, and its mean deviation.
@@ -131,7 +132,7 @@
             l.recent,
             l.peak,
             l.served,
-            self.upstreams_most,
+            self.upstreams_max,
             self.at,
         ];
         need(
--- a/balancer/core/src/interface/settings.rs
+++ b/balancer/core/src/interface/settings.rs
@@ -54,13 +54,13 @@
     /// What a repeat may do.
     pub effect: Effect,
     /// The part of its worth that an answer after `objective` still earns.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// What an answer earns beside one of another class; zero: not stated.
-    pub worth: f64,
+    pub value: f64,
     /// The only zones it may be sent to, at every attempt; `None`: any. Not an empty list.
-    pub runs_in: Option<Vec<u16>>,
+    pub zones: Option<Vec<u16>>,
     /// The only machine kinds it may be sent to, at every attempt; `None`: any. Not an empty list.
-    pub kinds_only: Option<Vec<u8>>,
+    pub kinds: Option<Vec<u8>>,
 }
 
 /// A tenant with a stated part in the service.
@@ -88,25 +88,25 @@
     /// Tenants; requests name them by position. Empty: all traffic is one tenant's.
     pub tenants: Vec<Tenant>,
     /// Most attempts for one request. At least one.
-    pub attempts_cap: u32,
+    pub max_attempts: u32,
     /// Whether attempts may be cancelled.
     pub cancel: bool,
     /// Whether the list of upstreams must be asked for (`true`) or is pushed (`false`).
-    pub ask_for_list: bool,
+    pub subscribes: bool,
     /// An instance that has neither a subscription nor asked for this long counts as told all the same.
-    pub ask_within: Millis,
+    pub subscribe_timeout: Millis,
     /// Idle connections close after this time.
     pub idle_close: Millis,
     /// Longest advice to stay away that clients heed; zero: no advice is passed on.
     pub max_retry_after: Millis,
     /// A cold upstream starts at this fraction of its capacity or higher.
-    pub cold_from: f64,
+    pub slow_start_from: f64,
     /// A cold upstream is warm after this time at the latest.
-    pub ramp_time: Millis,
+    pub slow_start_time: Millis,
     /// A cold upstream falls over when sent more than this many times what it can do at that moment.
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// The window in which that is counted, for what all balancers send together. Above zero.
-    pub fall: Millis,
+    pub overload_window: Millis,
     /// Upstreams also shed work that they had begun: [`Ending::Full`](crate::Ending::Full) is no proof that an
     /// attempt never ran.
     pub late_shedding: bool,
@@ -129,16 +129,16 @@
                 ..Class::default()
             }],
             tenants: Vec::new(),
-            attempts_cap: 3,
+            max_attempts: 3,
             cancel: false,
-            ask_for_list: false,
-            ask_within: 10_000.0,
+            subscribes: false,
+            subscribe_timeout: 10_000.0,
             idle_close: 5000.0,
             max_retry_after: 0.0,
-            cold_from: 0.1,
-            ramp_time: 30_000.0,
-            tip_multiple: 2.0,
-            fall: 3000.0,
+            slow_start_from: 0.1,
+            slow_start_time: 30_000.0,
+            overload_multiple: 2.0,
+            overload_window: 3000.0,
             late_shedding: false,
             cross_zone_price: 0.0,
         }
@@ -181,7 +181,7 @@
         let span = |v: f64| (0.0..=1e15).contains(&v);
         need(self.balancers >= 1, "balancers", "at least 1")?;
         need(!self.classes.is_empty(), "classes", "at least one")?;
-        need(self.attempts_cap >= 1, "attempts_cap", "at least 1")?;
+        need(self.max_attempts >= 1, "attempts_cap", "at least 1")?;
         for c in &self.classes {
             need(
                 span(c.objective) && c.objective > 0.0,
@@ -194,17 +194,17 @@
                 "a time above 0",
             )?;
             need(
-                span(c.late_worth),
+                span(c.late_value),
                 "classes.late_worth",
                 "a number of at least 0",
             )?;
-            need(span(c.worth), "classes.worth", "a number of at least 0")?;
+            need(span(c.value), "classes.worth", "a number of at least 0")?;
             need(
-                c.runs_in.as_ref().is_none_or(|l| !l.is_empty()),
+                c.zones.as_ref().is_none_or(|l| !l.is_empty()),
                 "classes.runs_in",
                 "absent or not empty",
             )?;
-            let kinds = c.kinds_only.as_ref();
+            let kinds = c.kinds.as_ref();
             need(
                 kinds.is_none_or(|l| !l.is_empty()),
                 "classes.kinds_only",
@@ -223,7 +223,7 @@
             )?;
         }
         need(
-            span(self.ask_within) && self.ask_within > 0.0,
+            span(self.subscribe_timeout) && self.subscribe_timeout > 0.0,
             "ask_within",
             "a time above 0",
         )?;
@@ -234,17 +234,25 @@
             "a time of at least 0",
         )?;
         need(
-            span(self.cold_from) && self.cold_from <= 1.0,
+            span(self.slow_start_from) && self.slow_start_from <= 1.0,
             "cold_from",
             "between 0 and 1",
         )?;
-        need(span(self.ramp_time), "ramp_time", "a time of at least 0")?;
         need(
-            span(self.tip_multiple),
+            span(self.slow_start_time),
+            "ramp_time",
+            "a time of at least 0",
+        )?;
+        need(
+            span(self.overload_multiple),
             "tip_multiple",
             "a number of at least 0",
         )?;
-        need(span(self.fall) && self.fall > 0.0, "fall", "a time above 0")?;
+        need(
+            span(self.overload_window) && self.overload_window > 0.0,
+            "fall",
+            "a time above 0",
+        )?;
         need(
             span(self.cross_zone_price),
             "cross_zone_price",
--- a/balancer/core/src/interface/tier.rs
+++ b/balancer/core/src/interface/tier.rs
@@ -73,7 +73,7 @@
 
 /// What this copy has heard of its tier.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct TierWord {
+pub struct TierUpdate {
     /// Copies that are up, this one included. One: of others nothing is told.
     pub up: u32,
     /// This one's place among them, from zero.
@@ -86,7 +86,7 @@
     pub evidence: Vec<Evidence>,
 }
 
-impl TierWord {
+impl TierUpdate {
     /// Whether every figure in it is one that can be: what is not is not acted on.
     pub fn is_sound(&self) -> bool {
         let span = |v: f64| (0.0..=1e15).contains(&v);
--- a/balancer/core/src/policy/attempts.rs
+++ b/balancer/core/src/policy/attempts.rs
@@ -23,12 +23,12 @@
                 (Some((scope, zone, group)), sent + window)
             }
         };
-        if p.sends >= s.attempts_cap || now >= p.ends.min(write_by) {
+        if p.sends >= s.max_attempts || now >= p.ends.min(write_by) {
             return false;
         }
         let asked = self.admission.tenants.iter().map(|t| t.demand).sum();
         let each = self.capacity.carried(asked) / CYCLE * self.fleet.subset.each;
-        let cold_rate = each * SLOW_START_PART * s.tip_multiple;
+        let cold_rate = each * SLOW_START_PART * s.overload_multiple;
         let harmless = p.sends == 0 && s.classes[p.class].effect.harmless();
         let harmless = harmless && now + 3.0 * self.fleet.answers.latency < p.ends;
         let (tier, pool, avoid, desperate) = (&self.tier, p.class, p.last, false);
@@ -86,7 +86,7 @@
         let (f, u) = (&self.fleet, &self.fleet.slots[i]);
         let suspect =
             u.health.fails > SUSPECT_AT || f.rested.lost[rest] > SUSPECT_AT / 4.0 || f.left(i);
-        let again = p.sends + 1 < self.settings.attempts_cap && self.may_repeat(now);
+        let again = p.sends + 1 < self.settings.max_attempts && self.may_repeat(now);
         let repeats = again && self.settings.classes[p.class].effect != Effect::SingleShot;
         let (latency, objective) = (f.answers.latency, self.settings.classes[p.class].objective);
         let usual = f
--- a/balancer/core/src/policy/balancer.rs
+++ b/balancer/core/src/policy/balancer.rs
@@ -11,7 +11,7 @@
 /// tier is asked for more than it has room for, as each takes a first one's place.
 const RETRY_SAVED_ALL: f64 = 100.0;
 const RETRY_CROWDED: f64 = 0.05;
-/// Pause before asking for the list again after a failure, doubling to this or a third of `ask_within`.
+/// Pause before asking for the list again after a failure, doubling to this or a third of `subscribe_timeout`.
 const ASK_AGAIN: (Millis, Millis) = (250.0, 2000.0);
 /// Zones are judged this often.
 const ZONES_EVERY: Millis = 100.0;
@@ -40,7 +40,7 @@
         if self.pending.contains_key(&r.id) {
             return;
         }
-        let part = |w: &TierWord| (RETRY_SAVED_ALL / f64::from(w.up)).clamp(1.0, RETRY_SAVED);
+        let part = |w: &TierUpdate| (RETRY_SAVED_ALL / f64::from(w.up)).clamp(1.0, RETRY_SAVED);
         let saved = self.tier.word(now).map_or(RETRY_SAVED, part);
         let crowded = self
             .tier
@@ -72,7 +72,7 @@
         }
         let c = &self.settings.classes[r.class];
         // A late answer that earns nothing only holds a slot in every tier above.
-        let useful = if c.late_worth > 0.0 {
+        let useful = if c.late_value > 0.0 {
             f64::INFINITY
         } else {
             now + c.objective * AIM_PART
@@ -176,14 +176,14 @@
                 after: ZONES_EVERY,
                 token: TIMER_ZONES,
             });
-            if self.settings.ask_for_list {
+            if self.settings.subscribes {
                 actions.push(Action::Subscribe);
             }
         }
         match event {
-            Event::Membership(Membership::Failed) if self.settings.ask_for_list => {
+            Event::EndpointUpdate(EndpointUpdate::Failed) if self.settings.subscribes => {
                 // The registry is one queue for all: back off with jitter, well within the time to be told.
-                let most = (self.settings.ask_within / 3.0).min(ASK_AGAIN.1);
+                let most = (self.settings.subscribe_timeout / 3.0).min(ASK_AGAIN.1);
                 let pause = (ASK_AGAIN.0 * f64::from(1u32 << self.ask_failures.min(10))).min(most);
                 self.ask_failures += 1;
                 let after = pause * (0.5 + 0.5 * unit(&mut self.rng));
@@ -192,8 +192,8 @@
                     token: TIMER_ASK,
                 });
             }
-            Event::Membership(news) => {
-                self.ask_failures *= u32::from(matches!(news, Membership::Cached(_)));
+            Event::EndpointUpdate(news) => {
+                self.ask_failures *= u32::from(matches!(news, EndpointUpdate::Cached(_)));
                 self.fleet.apply(news, &self.settings, now, &mut self.rng);
                 self.recount(now);
                 self.take_back(now);
@@ -217,7 +217,7 @@
             }
             Event::Served { upstream, per_s } => self.fleet.serves(upstream, per_s, now),
             Event::Load { upstream, held } => self.fleet.said(upstream, held, now),
-            Event::ClientGone(id) => {
+            Event::ClientDisconnected(id) => {
                 if let Some(p) = self.pending.get_mut(&id) {
                     p.over = true;
                     if let Some((attempt, ..)) = p.out.filter(|_| self.settings.cancel) {
--- a/balancer/core/src/policy/cold.rs
+++ b/balancer/core/src/policy/cold.rs
@@ -23,7 +23,7 @@
         // sum of their rates. Unused ones lapse, or what hundreds have saved would come in one burst.
         let rate = cold_rate * warmth / self.answers.slower(u.member.kind);
         u.tokens += rate * (now - u.tokens_at);
-        u.tokens -= (u.tokens - 1.0 - (rate * s.fall * TOKEN_KEPT).min(1.0))
+        u.tokens -= (u.tokens - 1.0 - (rate * s.overload_window * TOKEN_KEPT).min(1.0))
             .max(0.0)
             .ceil();
         u.tokens_at = now;
--- a/balancer/core/src/policy/kept.rs
+++ b/balancer/core/src/policy/kept.rs
@@ -25,7 +25,7 @@
     /// upstreams that there are now, or copies that all come back would tip the cold ones.
     fn restore(&mut self, now: Millis, kept: &Learned, age: Millis) {
         let (load, times) = ((-age / LOAD_KEPT).exp(), (-age / TIMES_KEPT).exp());
-        let mix = |to: &mut f64, kept: f64, worth: f64| *to += worth * (kept - *to);
+        let mix = |to: &mut f64, kept: f64, value: f64| *to += value * (kept - *to);
         let (a, c, f) = (&mut self.admission, &mut self.capacity, &mut self.fleet);
         let shift = now - age - kept.at;
         for &(id, since, health) in &kept.upstreams {
@@ -63,7 +63,7 @@
         mix(&mut f.answers.latency, kept.answer, times);
         mix(&mut f.answers.deviation, kept.deviation, times);
         // What is listed now may be the few that are left of what was shared out among many.
-        f.most = f.most.max(load * kept.upstreams_most);
+        f.most = f.most.max(load * kept.upstreams_max);
         (c.listed, c.usable) = f.count(&self.settings, now);
         let size = (c.usable / kept.upstreams_usable.max(0.01)).min(1.0);
         // Before it is known it is taken for the quotas.
--- a/balancer/core/src/policy/shed.rs
+++ b/balancer/core/src/policy/shed.rs
@@ -52,8 +52,8 @@
         } else if passes > 0.995 {
             return Level::Within;
         }
-        let worth = |c: usize| (classes[c].worth / self.takes[c].max(1.0)).log2().round();
-        let before = self.before(tenant, (r.class, r.tie), worth);
+        let value = |c: usize| (classes[c].value / self.takes[c].max(1.0)).log2().round();
+        let before = self.before(tenant, (r.class, r.tie), value);
         let refused = before < (1.0 - self.again * passes).min(PART_MOST);
         // Refused ones come again with their ties, so that most of what comes is below the level: it is put
         // where as many pass as should.
--- a/balancer/core/src/policy/tier.rs
+++ b/balancer/core/src/policy/tier.rs
@@ -12,7 +12,7 @@
 const TRIERS: f64 = 2.0;
 
 impl Tier {
-    pub(crate) fn word(&self, now: Millis) -> Option<&TierWord> {
+    pub(crate) fn word(&self, now: Millis) -> Option<&TierUpdate> {
         self.word.as_deref().filter(|_| now - self.at <= WORD_KEPT)
     }
 
--- a/balancer/core/src/policy/upstreams.rs
+++ b/balancer/core/src/policy/upstreams.rs
@@ -12,7 +12,7 @@
         }
     }
 
-    pub(crate) fn apply(&mut self, news: Membership, s: &Settings, now: Millis, rng: &mut Rng) {
+    pub(crate) fn apply(&mut self, news: EndpointUpdate, s: &Settings, now: Millis, rng: &mut Rng) {
         let Some((members, whole)) = news.members() else {
             return;
         };
@@ -23,7 +23,7 @@
             let known = self.by_id.get(&member.id).copied();
             if let Some(i) = known.filter(|&i| self.slots[i].member.since == member.since) {
                 self.slots[i].member = member;
-            } else if known.is_some() || member.availability != Availability::Gone {
+            } else if known.is_some() || member.availability != Availability::Removed {
                 let i = self.place(member.id);
                 // Restarted under its old id it is cold again, and its old sins are forgotten.
                 let inflight = known.map_or(0, |i| self.slots[i].inflight);
--- a/balancer/core/src/policy/watch.rs
+++ b/balancer/core/src/policy/watch.rs
@@ -59,7 +59,7 @@
                 continue;
             };
             let again = self.settings.classes[p.class].effect.harmless()
-                && p.sends < self.settings.attempts_cap;
+                && p.sends < self.settings.max_attempts;
             if self.fleet.left(i) && again && now + self.fleet.answers.latency < p.ends {
                 // Once for each loss, so that it is no multiple: beside what is allowed for each request.
                 self.retries += 1.0;
--- a/balancer/core/src/state/ask.rs
+++ b/balancer/core/src/state/ask.rs
@@ -1,6 +1,6 @@
 //! What an upstream is wanted for.
 use super::Tier;
-use crate::interface::{DedupScope, Member, Millis, Settings};
+use crate::interface::{DedupScope, Endpoint, Millis, Settings};
 
 /// A call that wants an upstream.
 #[derive(Clone)]
@@ -22,7 +22,7 @@
 
 impl PickRequest<'_> {
     /// Whether an upstream may discard it, should it be a repeat that ran already.
-    pub(crate) fn allows(&self, m: &Member) -> bool {
+    pub(crate) fn allows(&self, m: &Endpoint) -> bool {
         match self.scope {
             None | Some((DedupScope::All, ..)) => true,
             Some((DedupScope::Zone, zone, _)) => m.zone == zone,
--- a/balancer/core/src/state/fleet.rs
+++ b/balancer/core/src/state/fleet.rs
@@ -1,6 +1,6 @@
 //! What is known of all upstreams together.
 use super::{Answers, Near, Rested, Subset, Upstream, Zones};
-use crate::interface::{Availability, Member, Millis, UpstreamId};
+use crate::interface::{Availability, Endpoint, Millis, UpstreamId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The place of each upstream.
@@ -28,14 +28,14 @@
 
 impl Fleet {
     /// Marks as gone what a whole list does not name.
-    pub(crate) fn drop_unnamed(&mut self, members: &[Member]) {
+    pub(crate) fn drop_unnamed(&mut self, members: &[Endpoint]) {
         let named: BTreeSet<UpstreamId> = members.iter().map(|m| m.id).collect();
         for u in self
             .slots
             .iter_mut()
             .filter(|u| !named.contains(&u.member.id))
         {
-            u.member.availability = Availability::Gone;
+            u.member.availability = Availability::Removed;
         }
     }
 
@@ -61,7 +61,7 @@
     /// Frees the place of an upstream that is gone once nothing is out to it.
     pub(crate) fn forget_if_gone(&mut self, i: usize) {
         let u = &self.slots[i];
-        let gone = u.member.availability == Availability::Gone && u.inflight == 0;
+        let gone = u.member.availability == Availability::Removed && u.inflight == 0;
         if gone && self.by_id.get(&u.member.id) == Some(&i) {
             self.by_id.remove(&u.member.id);
             self.free.push(i);
--- a/balancer/core/src/state/learned.rs
+++ b/balancer/core/src/state/learned.rs
@@ -13,7 +13,7 @@
     Learned {
         at: now,
         load: c.load,
-        upstreams_most: f.most,
+        upstreams_max: f.most,
         upstreams_usable: usable,
         answer: f.answers.latency,
         deviation: f.answers.deviation,
--- a/balancer/core/src/state/upstream.rs
+++ b/balancer/core/src/state/upstream.rs
@@ -1,10 +1,10 @@
 //! What is known of an upstream.
-use crate::interface::{Health, Member, Millis, Settings};
+use crate::interface::{Endpoint, Health, Millis, Settings};
 
 /// An upstream that is listed, or that still owes an answer.
 #[derive(Default)]
 pub(crate) struct Upstream {
-    pub member: Member,
+    pub member: Endpoint,
     pub inflight: u32,
     /// Connections that should be open, and since when one of them may have rested.
     pub connections: u32,
@@ -31,10 +31,10 @@
     /// What part of its full capacity an upstream has now, for sure.
     pub(crate) fn warmth(&self, s: &Settings, now: Millis) -> f64 {
         let age = now - self.member.since;
-        if self.member.since <= 0.0 || age >= s.ramp_time {
+        if self.member.since <= 0.0 || age >= s.slow_start_time {
             return 1.0;
         }
-        (s.cold_from + (1.0 - s.cold_from) * age.max(0.0) / s.ramp_time).min(1.0)
+        (s.slow_start_from + (1.0 - s.slow_start_from) * age.max(0.0) / s.slow_start_time).min(1.0)
     }
 
     /// A call was sent, on a connection that may have `rest`ed so many steps; zero: on a fresh one.
--- a/balancer/core/tests/common/mod.rs
+++ b/balancer/core/tests/common/mod.rs
@@ -5,8 +5,8 @@
 use balancer_core::*;
 use std::collections::BTreeMap;
 
-pub(crate) fn member(id: u64) -> Member {
-    Member {
+pub(crate) fn member(id: u64) -> Endpoint {
+    Endpoint {
         id: UpstreamId(id),
         zone: 0,
         kind: 0,
@@ -52,7 +52,7 @@
     pub balancer: Balancer,
     pub settings: Settings,
     pub now: f64,
-    pub listed: BTreeMap<UpstreamId, Member>,
+    pub listed: BTreeMap<UpstreamId, Endpoint>,
     pub seen: BTreeMap<RequestId, Seen>,
     pub timers: Vec<(f64, u32)>,
     pub log: Vec<Action>,
@@ -72,7 +72,7 @@
         }
     }
 
-    pub(crate) fn new(settings: Settings, seed: u64, members: Vec<Member>) -> Self {
+    pub(crate) fn new(settings: Settings, seed: u64, members: Vec<Endpoint>) -> Self {
         let balancer = Balancer::new(settings.clone(), seed, 0.0).expect("settings");
         let mut world = World {
             balancer,
@@ -85,23 +85,23 @@
             due: Vec::new(),
             asked: BTreeMap::new(),
         };
-        world.list(Membership::Cached(members));
+        world.list(EndpointUpdate::Cached(members));
         world
     }
 
-    pub(crate) fn list(&mut self, news: Membership) {
+    pub(crate) fn list(&mut self, news: EndpointUpdate) {
         let (members, whole) = match &news {
-            Membership::Full(m) | Membership::Cached(m) => (m.clone(), true),
-            Membership::Delta(m) => (m.clone(), false),
-            Membership::Failed => (Vec::new(), false),
+            EndpointUpdate::Full(m) | EndpointUpdate::Cached(m) => (m.clone(), true),
+            EndpointUpdate::Delta(m) => (m.clone(), false),
+            EndpointUpdate::Failed => (Vec::new(), false),
         };
         if whole {
             self.listed
                 .values_mut()
-                .for_each(|m| m.availability = Availability::Gone);
+                .for_each(|m| m.availability = Availability::Removed);
         }
         self.listed.extend(members.into_iter().map(|m| (m.id, m)));
-        self.event(Event::Membership(news));
+        self.event(Event::EndpointUpdate(news));
     }
 
     pub(crate) fn request(&mut self, id: u32, class: usize, tenant: usize) -> Vec<Action> {
@@ -147,7 +147,7 @@
             .get_mut(&RequestId(id))
             .expect("a known request")
             .answered = true;
-        self.event(Event::ClientGone(RequestId(id)))
+        self.event(Event::ClientDisconnected(RequestId(id)))
     }
 
     /// Sends `per_s` requests a second for `span`, tenant by tenant in turn; `server` says how each attempt
@@ -298,17 +298,17 @@
                 let s = &self.seen[request];
                 let c = &self.settings.classes[s.class];
                 assert!(
-                    c.runs_in.as_ref().is_none_or(|l| l.contains(&m.zone)),
+                    c.zones.as_ref().is_none_or(|l| l.contains(&m.zone)),
                     "{request:?} placed at {m:?}"
                 );
                 assert!(
-                    c.kinds_only.as_ref().is_none_or(|l| l.contains(&m.kind)),
+                    c.kinds.as_ref().is_none_or(|l| l.contains(&m.kind)),
                     "{request:?} placed at {m:?}"
                 );
                 assert!(!s.answered, "{request:?} sent after its final answer");
                 assert!(now < s.deadline, "{request:?} sent too late");
                 assert!(
-                    s.sends.len() < self.settings.attempts_cap as usize,
+                    s.sends.len() < self.settings.max_attempts as usize,
                     "{request:?}: too many attempts"
                 );
                 let out = s.ended.contains(&None);
@@ -375,7 +375,7 @@
                 );
             }
             Action::SetTimer { after, token } => self.timers.push((now + after, *token)),
-            Action::Subscribe => assert!(self.settings.ask_for_list, "the list is pushed"),
+            Action::Subscribe => assert!(self.settings.subscribes, "the list is pushed"),
             Action::CloseIdle(_) | Action::Log(_) => {}
         }
     }
--- a/balancer/core/tests/common/slow_start.rs
+++ b/balancer/core/tests/common/slow_start.rs
@@ -38,7 +38,7 @@
     /// Whether a balancer restarts then; asked every 100 ms.
     pub restarts: fn(usize, f64) -> bool,
     /// Changes of the list but the cold start itself: told to all at that time.
-    pub news: Vec<(f64, Vec<Member>)>,
+    pub news: Vec<(f64, Vec<Endpoint>)>,
     pub stage: u32,
     /// The part of what the upstreams carry that the quotas state.
     pub quotas: f64,
@@ -79,9 +79,9 @@
     }
 
     /// A ready upstream that started then.
-    pub(crate) fn listed(&self, id: u64, since: f64) -> Member {
+    pub(crate) fn listed(&self, id: u64, since: f64) -> Endpoint {
         let zone = (self.zone)(UpstreamId(id));
-        Member {
+        Endpoint {
             kind: (id % 3) as u8,
             zone,
             since,
@@ -157,7 +157,7 @@
     rng: Pcg64Mcg,
     due: BinaryHeap<Reverse<At>>,
     processes: Vec<Process>,
-    listed: BTreeMap<UpstreamId, Member>,
+    listed: BTreeMap<UpstreamId, Endpoint>,
     weights: Vec<f64>,
     /// When calls were sent to each upstream since it started cold.
     sends: BTreeMap<Start, Vec<f64>>,
@@ -239,9 +239,9 @@
             cross_zone_price: if day.near { 0.2 } else { 0.0 },
             classes: vec![super::class(Effect::Free)],
             tenants: super::tenants(&[1.0], quotas),
-            cold_from: COLD_FROM,
-            ramp_time: RAMP,
-            tip_multiple: MULTIPLE,
+            slow_start_from: COLD_FROM,
+            slow_start_time: RAMP,
+            overload_multiple: MULTIPLE,
             ..Settings::default()
         };
         let seed = (day.seed * 1000 + index as u64) * 1000 + life;
@@ -251,7 +251,7 @@
     /// A new process learns its list.
     fn tell(&mut self, index: usize) {
         let list = self.listed.values().cloned().collect();
-        self.event(index, Event::Membership(Membership::Cached(list)));
+        self.event(index, Event::EndpointUpdate(EndpointUpdate::Cached(list)));
     }
 
     fn after(&mut self, span: f64, due: Due) {
@@ -319,7 +319,7 @@
         }
     }
 
-    fn list(&mut self, news: Vec<Member>) {
+    fn list(&mut self, news: Vec<Endpoint>) {
         for m in &news {
             if self
                 .listed
@@ -331,7 +331,10 @@
             self.listed.insert(m.id, m.clone());
         }
         for index in 0..self.processes.len() {
-            self.event(index, Event::Membership(Membership::Delta(news.clone())));
+            self.event(
+                index,
+                Event::EndpointUpdate(EndpointUpdate::Delta(news.clone())),
+            );
         }
     }
 
--- a/balancer/core/tests/common/tier/exchange.rs
+++ b/balancer/core/tests/common/tier/exchange.rs
@@ -65,7 +65,7 @@
             let (up, place) = (joined.len() as u32, place as u32);
             if let Some(word) = (self.word)(
                 self.now,
-                TierWord {
+                TierUpdate {
                     up,
                     place,
                     joined: true,
--- a/balancer/core/tests/common/tier/mod.rs
+++ b/balancer/core/tests/common/tier/mod.rs
@@ -41,7 +41,7 @@
     /// The part of a server's answers that are errors, however soon it gives them.
     pub errs: Box<dyn Fn(usize, f64) -> f64>,
     /// Words pass through this on their way to a copy; what it drops is lost.
-    pub word: fn(f64, TierWord) -> Option<TierWord>,
+    pub word: fn(f64, TierUpdate) -> Option<TierUpdate>,
     /// All that was decided, in order.
     pub log: Vec<(usize, Action)>,
     /// How many times a client comes again.
@@ -57,11 +57,11 @@
 }
 
 pub(crate) fn settings(copies: usize) -> Settings {
-    let sort = |worth| Class {
+    let sort = |value| Class {
         objective: 500.0,
         deadline: 2000.0,
-        worth,
-        late_worth: 0.3,
+        value,
+        late_value: 0.3,
         ..class(Effect::Free)
     };
     Settings {
@@ -81,8 +81,8 @@
 
 impl Tier {
     pub(crate) fn new(copies: usize, servers: usize, settings: Settings, seed: u64) -> Self {
-        let list: Vec<Member> = (0..servers as u64)
-            .map(|id| Member {
+        let list: Vec<Endpoint> = (0..servers as u64)
+            .map(|id| Endpoint {
                 zone: zone_of(UpstreamId(id)),
                 ..member(id)
             })
@@ -119,7 +119,10 @@
                 joined: true,
                 open: BTreeMap::new(),
             });
-            tier.event(index, Event::Membership(Membership::Cached(list.clone())));
+            tier.event(
+                index,
+                Event::EndpointUpdate(EndpointUpdate::Cached(list.clone())),
+            );
         }
         (0..tier.rates.len()).for_each(|tenant| tier.after(0.0, Due::Arrival(tenant)));
         tier.after(WORDS, Due::Word);
--- a/balancer/core/tests/failures/attempts.rs
+++ b/balancer/core/tests/failures/attempts.rs
@@ -6,9 +6,9 @@
 /// Where a late answer earns nothing, an attempt that ran on only held slots, in every tier above too.
 #[test]
 fn a_request_ends_at_its_aim_where_late_answers_earn_nothing() {
-    for (late_worth, most) in [(0.0, 500.0), (0.4, 2000.0)] {
+    for (late_value, most) in [(0.0, 500.0), (0.4, 2000.0)] {
         let class = Class {
-            late_worth,
+            late_value,
             ..class(Effect::SingleShot)
         };
         let mut w = World::new(
@@ -52,7 +52,7 @@
         window: 5000.0,
     };
     let class = Class {
-        late_worth: 0.5,
+        late_value: 0.5,
         ..class(guarded)
     };
     let settings = Settings {
@@ -61,7 +61,7 @@
         index: 3,
         ..shared(&[1.0])
     };
-    let cells = |id| Member {
+    let cells = |id| Endpoint {
         group: (id % 10) as u16,
         ..member(id)
     };
--- a/balancer/core/tests/failures/capacity.rs
+++ b/balancer/core/tests/failures/capacity.rs
@@ -58,7 +58,7 @@
     let class = Class {
         objective: 1000.0,
         deadline: 3000.0,
-        late_worth: 0.5,
+        late_value: 0.5,
         ..class(Effect::Free)
     };
     w = World::new(
@@ -82,7 +82,7 @@
 fn the_floor_follows_the_ready_upstreams() {
     let admitted = |ready: u64| {
         let mut w = world(shared(&[1.0]), 8);
-        w.list(Membership::Full((1..=ready).map(member).collect()));
+        w.list(EndpointUpdate::Full((1..=ready).map(member).collect()));
         w.traffic(10_000.0, 120.0, &[0], &|_| Some((Ending::Ok, 420.0)));
         w.sent_since(5000.0).0
     };
@@ -142,9 +142,9 @@
     let mut w = world(shared(&[1.0]), 4);
     rate(&mut w, &unhurried);
     let since = w.now;
-    w.list(Membership::Delta(
+    w.list(EndpointUpdate::Delta(
         (3..=4)
-            .map(|id| Member {
+            .map(|id| Endpoint {
                 since,
                 ..member(id)
             })
@@ -172,11 +172,11 @@
     let all = hold(&mut w);
     let mut w = world(shared(&[1.0]), 8);
     w.traffic(6000.0, 100.0, &[0], &fast);
-    let draining = |id| Member {
+    let draining = |id| Endpoint {
         availability: Availability::Draining,
         ..member(id)
     };
-    w.list(Membership::Delta((1..=4).map(draining).collect()));
+    w.list(EndpointUpdate::Delta((1..=4).map(draining).collect()));
     let half = hold(&mut w);
     assert!(
         all > 20 && half * 10 < all * 7,
--- a/balancer/core/tests/failures/choice.rs
+++ b/balancer/core/tests/failures/choice.rs
@@ -174,7 +174,7 @@
     let answer = |id| Some((Ending::Ok, if slow(id) { 300.0 } else { 100.0 }));
     let members = || {
         (1..=40)
-            .map(|id| Member {
+            .map(|id| Endpoint {
                 kind: (id % 2) as u8,
                 ..member(id)
             })
--- a/balancer/core/tests/failures/connections.rs
+++ b/balancer/core/tests/failures/connections.rs
@@ -52,7 +52,7 @@
     let class = Class {
         objective: 200.0,
         deadline: 6000.0,
-        late_worth: 0.5,
+        late_value: 0.5,
         ..class(Effect::SingleShot)
     };
     let settings = Settings {
--- a/balancer/core/tests/failures/ejection.rs
+++ b/balancer/core/tests/failures/ejection.rs
@@ -68,7 +68,7 @@
 #[test]
 fn an_upstream_that_owes_an_answer_for_long_is_passed_over_at_once() {
     let class = Class {
-        late_worth: 0.5,
+        late_value: 0.5,
         ..class(Effect::SingleShot)
     };
     let mut w = world(
--- a/balancer/core/tests/failures/overload.rs
+++ b/balancer/core/tests/failures/overload.rs
@@ -7,7 +7,7 @@
 #[test]
 fn calls_in_flight_are_bounded_before_any_answer_is_late() {
     let class = Class {
-        late_worth: 0.5,
+        late_value: 0.5,
         ..class(Effect::Free)
     };
     let mut w = world(
--- a/balancer/core/tests/failures/zones.rs
+++ b/balancer/core/tests/failures/zones.rs
@@ -7,7 +7,7 @@
 #[test]
 fn a_zone_that_is_cut_off_is_left_alone() {
     let members = (1..=12)
-        .map(|id| Member {
+        .map(|id| Endpoint {
             zone: (id % 3) as u16,
             ..member(id)
         })
@@ -41,7 +41,7 @@
         ..shared(&[1.0])
     };
     let members = (0..4)
-        .map(|id| Member {
+        .map(|id| Endpoint {
             zone: id as u16,
             ..member(id)
         })
@@ -67,7 +67,7 @@
         cross_zone_price: 0.2,
         ..shared(&[1.0])
     };
-    let in_zones = |id| Member {
+    let in_zones = |id| Endpoint {
         zone: (id % 2) as u16,
         ..member(id)
     };
@@ -85,7 +85,7 @@
         near * 10 > all * 6,
         "{near} of {all} calls stayed in the zone"
     );
-    w.list(Membership::Full(
+    w.list(EndpointUpdate::Full(
         (1..=12).filter(|id| id % 2 == 1).map(in_zones).collect(),
     ));
     let from = w.now;
--- a/balancer/core/tests/observed.rs
+++ b/balancer/core/tests/observed.rs
@@ -111,7 +111,7 @@
 
 #[test]
 fn a_zone_that_is_left_comes_first() {
-    let member = |id: u64| Member {
+    let member = |id: u64| Endpoint {
         zone: (id % 2) as u16,
         ..member(id)
     };
--- a/balancer/core/tests/restored.rs
+++ b/balancer/core/tests/restored.rs
@@ -39,7 +39,7 @@
 }
 
 /// One that has just started, with a list of `upstreams`, and is given what was learned.
-fn restarted(learned: &Learned, age: f64, upstreams: Vec<Member>) -> World {
+fn restarted(learned: &Learned, age: f64, upstreams: Vec<Endpoint>) -> World {
     let mut w = World::new(settings(), 5, upstreams);
     w.event(Event::Restored {
         learned: Box::new(learned.clone()),
@@ -48,7 +48,7 @@
     w
 }
 
-fn listed() -> Vec<Member> {
+fn listed() -> Vec<Endpoint> {
     (1..=8).map(member).collect()
 }
 
@@ -133,7 +133,7 @@
             .capacity
     );
     late.pass(400.0);
-    late.list(Membership::Full(listed()[..4].to_vec()));
+    late.list(EndpointUpdate::Full(listed()[..4].to_vec()));
     let capacity = late.balancer.learned(late.now).load.capacity;
     // Seven of eight could be used then, three of four now.
     let part = capacity / kept.load.capacity;
@@ -156,9 +156,9 @@
         index,
         balancers: COPIES,
         tenants: tenants(&[1.0], 2400.0),
-        cold_from: 0.15,
-        ramp_time: 20_000.0,
-        tip_multiple: 2.5,
+        slow_start_from: 0.15,
+        slow_start_time: 20_000.0,
+        overload_multiple: 2.5,
         ..Settings::default()
     };
     let demands = vec![Some(40.0), None];
@@ -172,14 +172,14 @@
             uncrowded: 1.0,
             unloaded: 50.0,
         },
-        upstreams_most: 30.0,
+        upstreams_max: 30.0,
         upstreams_usable: 1.0,
         answer: 50.0,
         deviation: 10.0,
         demands,
         ..Learned::default()
     };
-    let cold = |id| Member {
+    let cold = |id| Endpoint {
         since: 100_000.0,
         ..member(id)
     };
@@ -191,7 +191,7 @@
                 learned: Box::new(kept.clone()),
                 age: 500.0,
             });
-            w.list(Membership::Full((1..=4).map(cold).collect()));
+            w.list(EndpointUpdate::Full((1..=4).map(cold).collect()));
             w
         })
         .collect();
@@ -256,7 +256,7 @@
                 capacity: rates[0], recent: rates[1], peak: rates[2], served: rates[3],
                 success: parts[0], uncrowded: parts[1], unloaded: times[2],
             },
-            upstreams_most: rates[4], upstreams_usable: parts[2],
+            upstreams_max: rates[4], upstreams_usable: parts[2],
             answer: times[0], deviation: times[1],
             demands,
             kinds: kinds.into_iter().map(|(kind, usual, answers)| (kind, (usual, answers))).collect(),
--- a/balancer/core/tests/rules.rs
+++ b/balancer/core/tests/rules.rs
@@ -18,7 +18,7 @@
     };
     // Where late answers earn nothing, requests end before the window does: half of the storms let them last.
     let class = |effect| Class {
-        late_worth: if seed.is_multiple_of(2) { 0.5 } else { 0.0 },
+        late_value: if seed.is_multiple_of(2) { 0.5 } else { 0.0 },
         ..class(effect)
     };
     let settings = Settings {
@@ -29,16 +29,16 @@
             class(guarded(DedupScope::All)),
             class(guarded(DedupScope::Zone)),
             Class {
-                runs_in: Some(vec![1]),
+                zones: Some(vec![1]),
                 ..class(Effect::SingleShot)
             },
             Class {
-                kinds_only: Some(vec![0, 2]),
+                kinds: Some(vec![0, 2]),
                 ..class(Effect::Free)
             },
             Class {
-                runs_in: Some(vec![0]),
-                kinds_only: Some(vec![1]),
+                zones: Some(vec![0]),
+                kinds: Some(vec![1]),
                 ..class(guarded(DedupScope::All))
             },
         ],
@@ -48,15 +48,15 @@
         } else {
             tenants(&[0.5, 0.3, 0.2], 40.0)
         },
-        attempts_cap: 1 + rng.next_u32() % 4,
+        max_attempts: 1 + rng.next_u32() % 4,
         cancel: !seed.is_multiple_of(5),
-        ask_for_list: seed % 8 < 4,
+        subscribes: seed % 8 < 4,
         balancers: 1 + rng.next_u32() % 9,
         max_retry_after: 500.0,
         cross_zone_price: 0.2,
         ..Settings::default()
     };
-    let zoned = |id: u64| Member {
+    let zoned = |id: u64| Endpoint {
         zone: (id % 2) as u16,
         kind: (id % 3) as u8,
         ..member(id)
@@ -72,19 +72,22 @@
                 let ready = Availability::Ready;
                 let availability = pick(
                     &mut rng,
-                    &[ready, ready, Availability::Draining, Availability::Gone],
+                    &[ready, ready, Availability::Draining, Availability::Removed],
                 );
-                if availability != Availability::Gone || world.listed.contains_key(&UpstreamId(id))
+                if availability != Availability::Removed
+                    || world.listed.contains_key(&UpstreamId(id))
                 {
-                    world.list(Membership::Delta(vec![Member {
+                    world.list(EndpointUpdate::Delta(vec![Endpoint {
                         availability,
                         since,
                         ..zoned(id)
                     }]));
                 }
             }
-            1 if id.is_multiple_of(7) => world.list(Membership::Full((1..7).map(zoned).collect())),
-            2 if world.settings.ask_for_list => world.list(Membership::Failed),
+            1 if id.is_multiple_of(7) => {
+                world.list(EndpointUpdate::Full((1..7).map(zoned).collect()))
+            }
+            2 if world.settings.subscribes => world.list(EndpointUpdate::Failed),
             _ => {}
         }
         world.request(id, rng.next_u32() as usize % 8, rng.next_u32() as usize % 5);
@@ -147,7 +150,7 @@
 fn one_class(effect: Effect) -> Settings {
     // Late answers are worth something, so that requests last until their deadline.
     let class = Class {
-        late_worth: 0.5,
+        late_value: 0.5,
         ..class(effect)
     };
     Settings {
@@ -218,7 +221,7 @@
         late_shedding: true,
         ..one_class(guarded)
     };
-    let groups = |id| Member {
+    let groups = |id| Endpoint {
         group: (id % 2) as u16,
         ..member(id)
     };
@@ -237,15 +240,15 @@
 #[test]
 fn a_class_goes_only_where_it_is_placed_and_is_refused_when_nothing_there_is_ready() {
     let placed = Class {
-        runs_in: Some(vec![1]),
-        kinds_only: Some(vec![2]),
+        zones: Some(vec![1]),
+        kinds: Some(vec![2]),
         ..class(Effect::Free)
     };
     let settings = Settings {
         classes: vec![placed],
         ..Settings::default()
     };
-    let far = |id| Member {
+    let far = |id| Endpoint {
         zone: (id % 2) as u16,
         kind: (id % 3) as u8,
         ..member(id)
@@ -271,7 +274,7 @@
         }
     }
     let elsewhere = |id: &u64| !(id % 2 == 1 && id % 3 == 2);
-    world.list(Membership::Full(
+    world.list(EndpointUpdate::Full(
         (1..=60).filter(elsewhere).map(far).collect(),
     ));
     assert!(
@@ -302,19 +305,22 @@
         Some("classes.deadline")
     );
     assert_eq!(
-        field(&|s| s.classes[0].runs_in = Some(Vec::new())),
+        field(&|s| s.classes[0].zones = Some(Vec::new())),
         Some("classes.runs_in")
     );
     assert_eq!(
-        field(&|s| s.classes[0].kinds_only = Some(Vec::new())),
+        field(&|s| s.classes[0].kinds = Some(Vec::new())),
         Some("classes.kinds_only")
     );
     assert_eq!(
         field(&|s| s.tenants[0].quota_per_s = 1e300),
         Some("tenants.quota_per_s")
     );
-    assert_eq!(field(&|s| s.ramp_time = f64::INFINITY), Some("ramp_time"));
-    assert_eq!(field(&|s| s.ask_within = 0.0), Some("ask_within"));
+    assert_eq!(
+        field(&|s| s.slow_start_time = f64::INFINITY),
+        Some("ramp_time")
+    );
+    assert_eq!(field(&|s| s.subscribe_timeout = 0.0), Some("ask_within"));
 }
 
 #[test]
@@ -325,7 +331,7 @@
     };
     let members = |group| {
         (1..5)
-            .map(|id| Member {
+            .map(|id| Endpoint {
                 group,
                 ..member(id)
             })
@@ -351,7 +357,7 @@
         "they have forgotten it"
     );
     let strangers = (1..5)
-        .map(|id| Member {
+        .map(|id| Endpoint {
             group: id as u16,
             ..member(id)
         })
@@ -371,13 +377,13 @@
 #[test]
 fn an_upstream_that_drains_or_is_gone_gets_nothing_from_then_on() {
     let mut world = World::new(Settings::default(), 1, (1..4).map(member).collect());
-    let gone = |id, availability| Member {
+    let gone = |id, availability| Endpoint {
         availability,
         ..member(id)
     };
-    world.list(Membership::Delta(vec![
+    world.list(EndpointUpdate::Delta(vec![
         gone(1, Availability::Draining),
-        gone(2, Availability::Gone),
+        gone(2, Availability::Removed),
     ]));
     for id in 0..50 {
         world.request(id, 0, 0);
@@ -387,7 +393,7 @@
         .seen
         .values()
         .all(|s| s.sends.iter().all(|(to, _)| *to == UpstreamId(3))));
-    world.list(Membership::Full(Vec::new()));
+    world.list(EndpointUpdate::Full(Vec::new()));
     assert!(
         matches!(world.request(99, 0, 0)[..], [Action::Refuse { .. }]),
         "what a full list lacks is gone"
@@ -401,7 +407,7 @@
         world.request(1, 0, 0)[..],
         [Action::Refuse { .. }]
     ));
-    world.list(Membership::Full(vec![Member {
+    world.list(EndpointUpdate::Full(vec![Endpoint {
         availability: Availability::Draining,
         ..member(1)
     }]));
@@ -414,7 +420,7 @@
 #[test]
 fn a_killed_instance_starts_from_nothing_but_its_cached_list() {
     let settings = Settings {
-        ask_for_list: true,
+        subscribes: true,
         ..Settings::default()
     };
     let mut world = World::new(settings.clone(), 5, vec![member(1)]);
@@ -456,7 +462,9 @@
         matches!(actions[..], [Action::Refuse { .. }]),
         "an unknown class is refused: nothing has run"
     );
-    assert!(world.event(Event::ClientGone(RequestId(77))).is_empty());
+    assert!(world
+        .event(Event::ClientDisconnected(RequestId(77)))
+        .is_empty());
     assert!(world.event(Event::Timer(12345)).is_empty());
     assert!(world
         .event(Event::Streaming {
@@ -487,12 +495,16 @@
     for (n, &now) in odd.iter().cycle().take(500).enumerate() {
         let (id, value) = (RequestId(n as u32), odd[n / 7 % 7]);
         let list = (1..5)
-            .map(|id| Member {
+            .map(|id| Endpoint {
                 since: value,
                 ..member(id)
             })
             .collect();
-        balancer.handle(now, Event::Membership(Membership::Full(list)), &mut actions);
+        balancer.handle(
+            now,
+            Event::EndpointUpdate(EndpointUpdate::Full(list)),
+            &mut actions,
+        );
         let request = Request {
             id,
             class: 0,
@@ -534,13 +546,13 @@
 #[test]
 fn the_list_is_asked_for_again_with_backoff_well_within_ask_within() {
     let settings = Settings {
-        ask_for_list: true,
+        subscribes: true,
         ..Settings::default()
     };
     let mut world = World::new(settings.clone(), 3, vec![member(1)]);
     let mut waits = Vec::new();
     for _ in 0..12 {
-        let actions = world.event(Event::Membership(Membership::Failed));
+        let actions = world.event(Event::EndpointUpdate(EndpointUpdate::Failed));
         let wait = actions.iter().find_map(|a| match a {
             Action::SetTimer { after, token } => Some((*after, *token)),
             _ => None,
@@ -552,26 +564,26 @@
     }
     assert!(waits[11] > 4.0 * waits[0], "the pauses grow: {waits:?}");
     assert!(
-        waits.iter().all(|&w| w < settings.ask_within / 2.0),
+        waits.iter().all(|&w| w < settings.subscribe_timeout / 2.0),
         "never counts as told: {waits:?}"
     );
 }
 
-/// A change counts as told 6 s after discovery had it, whatever a deployment says of `ask_within`: a pause, a call that
+/// A change counts as told 6 s after discovery had it, whatever a deployment says of `subscribe_timeout`: a pause, a call that
 /// falls silent and the next one must fit, 1.5 s for each call.
 #[test]
 fn the_pause_before_the_list_is_asked_for_again_leaves_time_for_two_calls() {
-    for (seed, ask_within) in
+    for (seed, subscribe_timeout) in
         (0..40).flat_map(|seed| [2_000.0, 10_000.0, 60_000.0].map(|w| (seed, w)))
     {
         let settings = Settings {
-            ask_for_list: true,
-            ask_within,
+            subscribes: true,
+            subscribe_timeout,
             ..Settings::default()
         };
         let mut world = World::new(settings, seed, vec![member(1)]);
         for failures in 1..12 {
-            let actions = world.event(Event::Membership(Membership::Failed));
+            let actions = world.event(Event::EndpointUpdate(EndpointUpdate::Failed));
             let pauses = actions.iter().filter_map(|a| match a {
                 Action::SetTimer { after, .. } => Some(*after),
                 _ => None,
@@ -592,9 +604,9 @@
     let settings = |index| Settings {
         index,
         balancers: COPIES,
-        cold_from: 0.15,
-        ramp_time: 20_000.0,
-        tip_multiple: 2.5,
+        slow_start_from: 0.15,
+        slow_start_time: 20_000.0,
+        overload_multiple: 2.5,
         ..Settings::default()
     };
     let members = || (1..=20).map(member).collect::<Vec<_>>();
@@ -606,7 +618,7 @@
         // Two calls a second and copy, answered after 50 ms; the upstream restarts after ten seconds.
         for (i, w) in worlds.iter_mut().enumerate() {
             if step == 100 {
-                w.list(Membership::Delta(vec![Member {
+                w.list(EndpointUpdate::Delta(vec![Endpoint {
                     since: w.now,
                     ..member(1)
                 }]));
@@ -654,9 +666,9 @@
         index,
         balancers: COPIES,
         tenants: tenants(&[1.0], 400.0),
-        cold_from: 0.15,
-        ramp_time: 20_000.0,
-        tip_multiple: 2.5,
+        slow_start_from: 0.15,
+        slow_start_time: 20_000.0,
+        overload_multiple: 2.5,
         ..Settings::default()
     };
     let members = || (1..=10).map(member).collect::<Vec<_>>();
@@ -668,7 +680,7 @@
         // One call a second and copy, a tenth of the quotas; the upstream restarts after ten seconds.
         for (i, w) in worlds.iter_mut().enumerate() {
             if step == 100 {
-                w.list(Membership::Delta(vec![Member {
+                w.list(EndpointUpdate::Delta(vec![Endpoint {
                     since: w.now,
                     ..member(1)
                 }]));
--- a/balancer/core/tests/slow_start.rs
+++ b/balancer/core/tests/slow_start.rs
@@ -72,8 +72,8 @@
     }),
     ("most replaced within four seconds", |d| {
         d.cold = 0;
-        let gone = |id| Member {
-            availability: Availability::Gone,
+        let gone = |id| Endpoint {
+            availability: Availability::Removed,
             ..d.listed(id, 0.0)
         };
         let mut news = vec![(5_000.0, (3..=d.upstreams).map(gone).collect())];
@@ -86,8 +86,8 @@
     ("a zone lost with its balancers", |d| {
         d.cold = 0;
         let lost = |id: &u64| id.is_multiple_of(3);
-        let gone = |id| Member {
-            availability: Availability::Gone,
+        let gone = |id| Endpoint {
+            availability: Availability::Removed,
             ..d.listed(id, 0.0)
         };
         d.news = vec![(5_000.0, (1..=d.upstreams).filter(lost).map(gone).collect())];
@@ -115,11 +115,11 @@
     d.near = true;
     d.zone = |id| (id.0 % 3) as u16;
     d.cold = 0;
-    let gone = |id| Member {
-        availability: Availability::Gone,
+    let gone = |id| Endpoint {
+        availability: Availability::Removed,
         ..d.listed(id, 0.0)
     };
-    let mut news: Vec<(f64, Vec<Member>)> =
+    let mut news: Vec<(f64, Vec<Endpoint>)> =
         vec![(5_000.0, (3..=d.upstreams).step_by(3).map(gone).collect())];
     for id in (3..=d.upstreams).step_by(3) {
         let at = 8_000.0 + 500.0 * id as f64;
--- a/balancer/core/tests/tier.rs
+++ b/balancer/core/tests/tier.rs
@@ -22,10 +22,10 @@
     true
 }
 
-type Word = fn(f64, TierWord) -> Option<TierWord>;
+type Word = fn(f64, TierUpdate) -> Option<TierUpdate>;
 
 /// The same with room for hardly anything, from so long ago.
-fn tight(mut word: TierWord, age: f64) -> TierWord {
+fn tight(mut word: TierUpdate, age: f64) -> TierUpdate {
     if let Some(s) = &mut word.sums {
         (s.load.room, s.load.tenants[0].demand, s.age) = (1.0, 1000.0, s.age + age);
     }
@@ -54,7 +54,7 @@
     );
     let words: [(&str, Word); 5] = [
         ("of a copy that is cut off", |_, word| {
-            Some(TierWord {
+            Some(TierUpdate {
                 joined: false,
                 ..word
             })
@@ -66,7 +66,7 @@
             Some(tight(word, 3000.0))
         }),
         ("with a place that is none", |_, word| {
-            Some(TierWord {
+            Some(TierUpdate {
                 place: word.up,
                 ..word
             })
@@ -191,7 +191,7 @@
 #[test]
 fn evidence_of_others_lets_less_of_ones_own_do_and_does_nothing_alone() {
     let subject = Subject::Upstream(UpstreamId(1));
-    let word = || TierWord {
+    let word = || TierUpdate {
         up: 12,
         joined: true,
         evidence: vec![Evidence {
@@ -201,7 +201,7 @@
             cleared: 0,
             age: 100.0,
         }],
-        ..TierWord::default()
+        ..TierUpdate::default()
     };
     // Calls to it in the second after its first ones ended so.
     let calls = |endings: &'static [Ending], words: bool| {
--- a/balancer/core/tests/unheard.rs
+++ b/balancer/core/tests/unheard.rs
@@ -5,10 +5,10 @@
 use common::*;
 
 /// Overload, late answers, errors and a zone that goes silent, with a word every 100 ms.
-fn day(word: impl Fn(usize) -> Option<TierWord>) -> Vec<Action> {
+fn day(word: impl Fn(usize) -> Option<TierUpdate>) -> Vec<Action> {
     let settings = Settings {
         classes: vec![Class {
-            late_worth: 0.5,
+            late_value: 0.5,
             ..class(Effect::Free)
         }],
         tenants: tenants(&[0.5, 0.5], 80.0),
@@ -18,7 +18,7 @@
         ..Settings::default()
     };
     let members = (1..=8)
-        .map(|id| Member {
+        .map(|id| Endpoint {
             zone: (id % 2) as u16,
             ..member(id)
         })
@@ -65,7 +65,7 @@
     });
     for sums in [None, sums] {
         // Cut off for a while as well.
-        let word = |step: usize| TierWord {
+        let word = |step: usize| TierUpdate {
             up: 1,
             place: 0,
             joined: step % 50 < 30,
--- a/balancer/core/tests/zones.rs
+++ b/balancer/core/tests/zones.rs
@@ -11,7 +11,7 @@
     let class = Class {
         objective: 1000.0,
         deadline: 3000.0,
-        late_worth: 0.5,
+        late_value: 0.5,
         ..class(Effect::Free)
     };
     Settings {
@@ -27,9 +27,9 @@
     (id.0 % 3) as u16
 }
 
-fn listed() -> Vec<Member> {
+fn listed() -> Vec<Endpoint> {
     (0..24)
-        .map(|id| Member {
+        .map(|id| Endpoint {
             zone: (id % 3) as u16,
             ..member(id)
         })
@@ -311,11 +311,11 @@
     live(&mut w, 10_000.0, 60.0, well);
     let leaving = |availability| {
         let zone = listed().into_iter().filter(|m| m.zone == 0);
-        Membership::Delta(zone.map(|m| Member { availability, ..m }).collect())
+        EndpointUpdate::Delta(zone.map(|m| Endpoint { availability, ..m }).collect())
     };
     w.list(leaving(Availability::Draining));
     live(&mut w, 3000.0, 60.0, well);
-    w.list(leaving(Availability::Gone));
+    w.list(leaving(Availability::Removed));
     live(&mut w, 3000.0, 60.0, well);
     assert_eq!(said(&mut w), Vec::<String>::new());
     assert!(sent(&w, 14_000.0)[1] > 20);
--- a/balancer/proxy/src/driver/list.rs
+++ b/balancer/proxy/src/driver/list.rs
@@ -3,7 +3,7 @@
 use super::state::{Driver, Handle};
 use crate::listing::{ListUser, Listing};
 use crate::upstreams::Upstream;
-use balancer_core::{Availability, Event, Membership, UpstreamId};
+use balancer_core::{Availability, EndpointUpdate, Event, UpstreamId};
 
 impl Handle {
     /// Whether an upstream is known that takes requests.
@@ -25,7 +25,7 @@
         if let Some(listing) = listing {
             self.0.driver.borrow_mut().note_list(listing, true);
         }
-        self.feed(Event::Membership(Membership::Cached(members)));
+        self.feed(Event::EndpointUpdate(EndpointUpdate::Cached(members)));
     }
 }
 
@@ -52,18 +52,18 @@
         }
         let members = listing.members().collect();
         let news = if listing.full {
-            Membership::Full(members)
+            EndpointUpdate::Full(members)
         } else {
-            Membership::Delta(members)
+            EndpointUpdate::Delta(members)
         };
-        self.feed(Event::Membership(news));
+        self.feed(Event::EndpointUpdate(news));
     }
 
     fn list_failed(&self) {
         if let Some(f) = &mut self.0.driver.borrow_mut().figures {
             f.list(false);
         }
-        self.feed(Event::Membership(Membership::Failed));
+        self.feed(Event::EndpointUpdate(EndpointUpdate::Failed));
     }
 }
 
@@ -73,7 +73,7 @@
         let gone = self
             .upstreams
             .get(&id)
-            .is_some_and(|&(_, a, _)| a == Availability::Gone);
+            .is_some_and(|&(_, a, _)| a == Availability::Removed);
         if gone && !self.attempts.values().any(|a| a.upstream == id) {
             self.upstreams.remove(&id);
         }
@@ -96,7 +96,7 @@
         if whole {
             for (id, (upstream, availability, _)) in &mut self.upstreams {
                 if !listing.entries.iter().any(|e| e.member.id == *id) {
-                    *availability = Availability::Gone;
+                    *availability = Availability::Removed;
                     close(upstream);
                 }
             }
@@ -120,13 +120,13 @@
             (*availability, *since) = (m.availability, m.since);
             match m.availability {
                 Availability::Ready => upstream.closed.set(false),
-                Availability::Draining | Availability::Gone => close(upstream),
+                Availability::Draining | Availability::Removed => close(upstream),
             }
         }
         let gone = self
             .upstreams
             .iter()
-            .filter(|(_, (_, a, _))| *a == Availability::Gone);
+            .filter(|(_, (_, a, _))| *a == Availability::Removed);
         for id in gone.map(|(&id, _)| id).collect::<Vec<_>>() {
             self.forget_upstream(id);
         }
--- a/balancer/proxy/src/driver/requests.rs
+++ b/balancer/proxy/src/driver/requests.rs
@@ -138,7 +138,7 @@
             d.note_ended(id, How::Left);
             d.forget(id);
         }
-        self.feed(Event::ClientGone(id));
+        self.feed(Event::ClientDisconnected(id));
     }
 }
 
--- a/balancer/proxy/src/driver/tier.rs
+++ b/balancer/proxy/src/driver/tier.rs
@@ -1,10 +1,10 @@
 //! The tier's other copies, as the module hears of them and tells them. Owns no state.
 use super::state::Handle;
-use balancer_core::{Event, Observed, TierWord};
+use balancer_core::{Event, Observed, TierUpdate};
 
 impl Handle {
     /// Tells the module what this copy has heard of its tier.
-    pub(crate) fn tier(&self, word: TierWord) {
+    pub(crate) fn tier(&self, word: TierUpdate) {
         self.feed(Event::Tier(Box::new(word)));
     }
 
--- a/balancer/proxy/src/driver/watching.rs
+++ b/balancer/proxy/src/driver/watching.rs
@@ -15,7 +15,7 @@
         let listed = d
             .upstreams
             .values()
-            .filter(|(_, a, _)| *a != Availability::Gone)
+            .filter(|(_, a, _)| *a != Availability::Removed)
             .count() as u64;
         let open = d.open.values().filter(|o| o.reply.is_some()).count() as u64;
         let now = Now {
--- a/balancer/proxy/src/listing.rs
+++ b/balancer/proxy/src/listing.rs
@@ -1,6 +1,6 @@
 //! The list of upstreams in discovery's form, and what whoever keeps the list fresh tells of it.
 use crate::one_line::one_line;
-use balancer_core::{Availability, Member, UpstreamId};
+use balancer_core::{Availability, Endpoint, UpstreamId};
 use balancer_settings::Deployment;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -51,7 +51,7 @@
     /// Its name in discovery.
     pub name: String,
     /// What the module is told.
-    pub member: Member,
+    pub member: Endpoint,
     /// Where it listens, as this balancer sees it.
     pub addr: SocketAddr,
 }
@@ -98,7 +98,7 @@
     }
 
     /// The lines for the module.
-    pub fn members(&self) -> impl Iterator<Item = Member> + '_ {
+    pub fn members(&self) -> impl Iterator<Item = Endpoint> + '_ {
         self.entries.iter().map(|e| e.member.clone())
     }
 }
@@ -108,7 +108,7 @@
     let availability = match e.state.as_str() {
         "active" => Availability::Ready,
         "leaving" => Availability::Draining,
-        "left" => Availability::Gone,
+        "left" => Availability::Removed,
         other => {
             return Err(format!(
                 "state: unknown state {other:?} of upstream {:?}",
@@ -139,7 +139,7 @@
     let (id, group, since) = (upstream_id(&e.id), e.cell, e.started_ms);
     Ok(Entry {
         name: e.id,
-        member: Member {
+        member: Endpoint {
             id,
             zone,
             kind,
--- a/balancer/proxy/src/peers/words.rs
+++ b/balancer/proxy/src/peers/words.rs
@@ -4,7 +4,7 @@
 use crate::figures;
 use crate::options;
 use balancer_core::{
-    Evidence, Observed, Subject, TenantLoad, TierLoad, TierSums, TierWord, UpstreamId,
+    Evidence, Observed, Subject, TenantLoad, TierLoad, TierSums, TierUpdate, UpstreamId,
 };
 use balancer_gossip as peers;
 
@@ -56,7 +56,7 @@
 }
 
 /// What the tier knows, as far as the decisions may hear of it.
-pub fn word(word: peers::Word, may: &options::Peers) -> TierWord {
+pub fn word(word: peers::Word, may: &options::Peers) -> TierUpdate {
     let peers::Word {
         up,
         place,
@@ -77,7 +77,7 @@
             cleared: e.cleared,
             age: e.age,
         });
-    TierWord {
+    TierUpdate {
         up,
         place,
         joined,
--- a/balancer/proxy/src/recovery.rs
+++ b/balancer/proxy/src/recovery.rs
@@ -213,7 +213,7 @@
         }
         Keeper::start(store)
     });
-    let fingerprint = crc32fast::hash(format!("{policy:?}").as_bytes());
+    let fingerprint = crc32fast::hash(policy.stored_form().as_bytes());
     let list = kept_list(&list, settings, names, options.list_age);
     let learned = match options.learned {
         true => kept_lesson(&learned, settings, fingerprint, policy),
--- a/balancer/proxy/src/serve.rs
+++ b/balancer/proxy/src/serve.rs
@@ -103,7 +103,7 @@
         .filter(|k| !k.entries.is_empty())
         .map(|k| k.version);
     let watcher = Discovery::new(discovery, names, version);
-    tokio::task::spawn_local(watcher.run(handle.clone(), !deployment.policy.ask_for_list));
+    tokio::task::spawn_local(watcher.run(handle.clone(), !deployment.policy.subscribes));
     let longest = deployment
         .policy
         .classes
--- a/balancer/proxy/tests/golden.rs
+++ b/balancer/proxy/tests/golden.rs
@@ -4,7 +4,7 @@
 //!
 //! Not held here: the fingerprint that what was learned is kept with. It is made of the names in the program's own types.
 mod common;
-use balancer_core::{Availability, Health, Learned, Load, Member, UpstreamId};
+use balancer_core::{Availability, Endpoint, Health, Learned, Load, UpstreamId};
 use balancer_gossip::{wire, Member as Place, Versions};
 use balancer_snapshots::store::look;
 use balancer_snapshots::{unix_ms, Kind, Owner, Store};
@@ -53,7 +53,7 @@
     Learned {
         at: 9001.5,
         load,
-        upstreams_most: 4.5,
+        upstreams_max: 4.5,
         upstreams_usable: 0.75,
         answer: 13.5,
         deviation: 2.25,
@@ -97,7 +97,7 @@
         };
         (
             at,
-            Member {
+            Endpoint {
                 id,
                 zone,
                 kind,
@@ -121,7 +121,7 @@
         (
             "s-2",
             "127.0.0.1:10",
-            member(S_2, 0, 0, 8, Availability::Gone, 3.0),
+            member(S_2, 0, 0, 8, Availability::Removed, 3.0),
         ),
     ];
     assert_eq!(known.entries.len(), wanted.len());
--- a/balancer/proxy/tests/peers_observations.rs
+++ b/balancer/proxy/tests/peers_observations.rs
@@ -1,5 +1,5 @@
 //! What the decisions learn from the tier's other replicas, by what the operator has switched off.
-use balancer_core::TierWord;
+use balancer_core::TierUpdate;
 use balancer_gossip as peers;
 use balancer_proxy::{options, tier_word};
 
@@ -49,7 +49,7 @@
             trials,
             verdicts,
         };
-        let TierWord {
+        let TierUpdate {
             up,
             place,
             joined,
--- a/balancer/settings/src/lib.rs
+++ b/balancer/settings/src/lib.rs
@@ -148,10 +148,10 @@
     Settings::default().idle_close
 }
 fn fall() -> f64 {
-    Settings::default().fall
+    Settings::default().overload_window
 }
 fn ask() -> f64 {
-    Settings::default().ask_within
+    Settings::default().subscribe_timeout
 }
 fn dial() -> f64 {
     250.0
@@ -170,7 +170,7 @@
             path => format!("{path}: {}", e.inner()),
         })?;
     json.end().map_err(|e| e.to_string())?;
-    let ask_for_list = match s.membership_mode.as_str() {
+    let subscribes = match s.membership_mode.as_str() {
         "pushed" => false,
         "on_request" => true,
         other => return Err(format!("membership_mode: unknown mode {other:?}")),
@@ -189,16 +189,16 @@
                 quota_per_s: t.quota_per_s,
             })
             .collect(),
-        attempts_cap: s.permissions.attempts_cap,
+        max_attempts: s.permissions.attempts_cap,
         cancel: s.permissions.cancel,
-        ask_for_list,
-        ask_within: s.invariants.ask_within,
+        subscribes,
+        subscribe_timeout: s.invariants.ask_within,
         idle_close: s.permissions.idle_close,
         max_retry_after: s.permissions.max_retry_after,
-        cold_from: s.invariants.cold_from,
-        ramp_time: s.invariants.ramp_time,
-        tip_multiple: s.invariants.tip_multiple,
-        fall: s.invariants.fall,
+        slow_start_from: s.invariants.cold_from,
+        slow_start_time: s.invariants.ramp_time,
+        overload_multiple: s.invariants.tip_multiple,
+        overload_window: s.invariants.fall,
         late_shedding: s.invariants.late_shedding,
         cross_zone_price: s.charges.cross_zone,
     };
@@ -253,16 +253,14 @@
         }
         other => return Err(format!("effect: unknown effect {other:?}")),
     };
-    let (runs_in, kinds_only) = (c.runs_in.clone(), c.kinds_only.clone());
-    let (objective, deadline, late_worth, worth) =
-        (c.objective, c.deadline, c.late_worth, c.importance);
+
     Ok(Class {
-        objective,
-        deadline,
+        objective: c.objective,
+        deadline: c.deadline,
         effect,
-        late_worth,
-        worth,
-        runs_in,
-        kinds_only,
+        late_value: c.late_worth,
+        value: c.importance,
+        zones: c.runs_in.clone(),
+        kinds: c.kinds_only.clone(),
     })
 }
--- a/balancer/settings/tests/bad_input.rs
+++ b/balancer/settings/tests/bad_input.rs
@@ -1,6 +1,6 @@
 //! Settings that can't be used are refused with one line that names the field; whatever is taken can be run with.
 use balancer_core::{
-    Action, Availability, Balancer, Ending, Event, Member, Membership, Request, RequestId,
+    Action, Availability, Balancer, Ending, Endpoint, EndpointUpdate, Event, Request, RequestId,
     UpstreamId,
 };
 use balancer_settings::{deployment, Deployment};
@@ -103,7 +103,7 @@
 fn play(deployment: &Deployment, seed: u64) {
     let mut balancer = Balancer::new(deployment.policy.clone(), seed, 0.0).expect("checked");
     let mut actions = Vec::new();
-    let member = |id| Member {
+    let member = |id| Endpoint {
         id: UpstreamId(id),
         zone: (id % 3) as u16,
         kind: (id % 2) as u8,
@@ -113,7 +113,7 @@
     };
     balancer.handle(
         0.0,
-        Event::Membership(Membership::Full((0..4).map(member).collect())),
+        Event::EndpointUpdate(EndpointUpdate::Full((0..4).map(member).collect())),
         &mut actions,
     );
     for number in 0..12_u32 {
--- a/balancer/settings/tests/golden.rs
+++ b/balancer/settings/tests/golden.rs
@@ -22,10 +22,10 @@
         objective,
         deadline,
         effect,
-        late_worth: 0.0,
-        worth: 1.0,
-        runs_in: None,
-        kinds_only: None,
+        late_value: 0.0,
+        value: 1.0,
+        zones: None,
+        kinds: None,
     }
 }
 
@@ -33,23 +33,23 @@
 fn settings_with_every_key_are_read_field_by_field() {
     let classes = vec![
         Class {
-            late_worth: 0.25,
-            worth: 8.5,
+            late_value: 0.25,
+            value: 8.5,
             ..plain(101.0, 402.0, Effect::Free)
         },
         Class {
-            late_worth: 0.125,
-            worth: 9.5,
-            runs_in: Some(vec![0, 1]),
-            kinds_only: Some(vec![2, 1]),
+            late_value: 0.125,
+            value: 9.5,
+            zones: Some(vec![0, 1]),
+            kinds: Some(vec![2, 1]),
             ..plain(103.5, 404.5, guarded(DedupScope::All, 905.0))
         },
         Class {
-            runs_in: Some(vec![1]),
+            zones: Some(vec![1]),
             ..plain(106.0, 407.0, guarded(DedupScope::Zone, 908.0))
         },
         Class {
-            kinds_only: Some(vec![0]),
+            kinds: Some(vec![0]),
             ..plain(109.0, 410.0, guarded(DedupScope::Cell, 911.0))
         },
         plain(112.0, 413.0, guarded(DedupScope::All, 0.0)),
@@ -72,16 +72,16 @@
         zone: 1,
         classes,
         tenants,
-        attempts_cap: 5,
+        max_attempts: 5,
         cancel: true,
-        ask_for_list: true,
-        ask_within: 9007.0,
+        subscribes: true,
+        subscribe_timeout: 9007.0,
         idle_close: 5002.0,
         max_retry_after: 2001.0,
-        cold_from: 0.375,
-        ramp_time: 9004.0,
-        tip_multiple: 3.5,
-        fall: 1006.0,
+        slow_start_from: 0.375,
+        slow_start_time: 9004.0,
+        overload_multiple: 3.5,
+        overload_window: 1006.0,
         late_shedding: true,
         cross_zone_price: 0.0625,
     };
@@ -109,16 +109,16 @@
         zone: 0,
         classes: vec![plain(101.0, 402.0, Effect::Free)],
         tenants: Vec::new(),
-        attempts_cap: 3,
+        max_attempts: 3,
         cancel: false,
-        ask_for_list: false,
-        ask_within: 10_000.0,
+        subscribes: false,
+        subscribe_timeout: 10_000.0,
         idle_close: 5000.0,
         max_retry_after: 0.0,
-        cold_from: 0.375,
-        ramp_time: 9004.0,
-        tip_multiple: 3.5,
-        fall: 3000.0,
+        slow_start_from: 0.375,
+        slow_start_time: 9004.0,
+        overload_multiple: 3.5,
+        overload_window: 3000.0,
         late_shedding: false,
         cross_zone_price: 0.0,
     };
--- a/balancer/settings/tests/settings.rs
+++ b/balancer/settings/tests/settings.rs
@@ -29,13 +29,13 @@
     );
     assert!(deployment(told.as_bytes()).unwrap().peers);
     assert_eq!(
-        (s.idle_close, s.ask_within, s.stage, s.ask_for_list),
+        (s.idle_close, s.subscribe_timeout, s.stage, s.subscribes),
         (5000.0, 10_000.0, 0, false)
     );
-    let worth =
-        |of: &str| parse(MINIMAL.replace("\"effect\"", of).as_bytes()).map(|s| s.classes[0].worth);
-    assert_eq!(worth("\"importance\": 8, \"effect\""), Ok(8.0));
-    assert_eq!(worth("\"effect\""), Ok(1.0));
+    let value =
+        |of: &str| parse(MINIMAL.replace("\"effect\"", of).as_bytes()).map(|s| s.classes[0].value);
+    assert_eq!(value("\"importance\": 8, \"effect\""), Ok(8.0));
+    assert_eq!(value("\"effect\""), Ok(1.0));
 }
 
 #[test]
--- a/balancer/settings/tests/slow_start.rs
+++ b/balancer/settings/tests/slow_start.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn the_window_of_the_slow_start_budget_is_read_and_may_be_left_out() {
-    let fall = |json: &str| deployment(json.as_bytes()).map(|d| d.policy.fall);
+    let fall = |json: &str| deployment(json.as_bytes()).map(|d| d.policy.overload_window);
     assert_eq!(fall(INVARIANTS), Ok(1500.0));
     assert_eq!(
         fall(&INVARIANTS.replace("\"fall\": 1500, ", "")),
--- a/balancer/settings/tests/stored_form.rs
+++ b/balancer/settings/tests/stored_form.rs
@@ -7,7 +7,7 @@
 
 fn stored_form(json: &str) -> String {
     let deployment = deployment(json.as_bytes()).expect("settings");
-    format!("{:?}\n", deployment.policy)
+    deployment.policy.stored_form() + "\n"
 }
 
 #[test]
--- a/balancer/simulator/src/host.rs
+++ b/balancer/simulator/src/host.rs
@@ -55,7 +55,7 @@
             Record::Sync { kind, table } => {
                 let news = wire::membership(*kind, self.tables.get(table))
                     .map_err(|e| format!("table {table}: {e}"))?;
-                self.event(instance()?, now, Event::Membership(news));
+                self.event(instance()?, now, Event::EndpointUpdate(news));
             }
             Record::Outcome {
                 event,
--- a/balancer/simulator/src/wire/record.rs
+++ b/balancer/simulator/src/wire/record.rs
@@ -1,7 +1,7 @@
 //! Decodes one record of a batch; what it points at lies in the frame's tail. Owns no state.
 use super::bytes::{f64_at, u16_at, u32_at, u64_at, upstream_at};
 use balancer_core::{
-    Availability, Ending, Event, Member, Membership, Request, RequestId, UpstreamId,
+    Availability, Ending, Endpoint, EndpointUpdate, Event, Request, RequestId, UpstreamId,
 };
 use std::ops::Range;
 use xxhash_rust::xxh3::xxh3_64;
@@ -10,7 +10,7 @@
 const ENTRY: usize = 24;
 
 /// A list of upstreams as a `table` record carries it.
-pub type Table = Vec<Member>;
+pub type Table = Vec<Endpoint>;
 
 /// One record of a batch.
 #[derive(Debug, PartialEq)]
@@ -132,7 +132,7 @@
                 .map(|k| f32::from_bits(u32_at(r, 25 + 4 * k)))
                 .collect(),
         },
-        9 => Record::Event(Event::ClientGone(RequestId(u32_at(r, 1)))),
+        9 => Record::Event(Event::ClientDisconnected(RequestId(u32_at(r, 1)))),
         10 => Record::Target(u16_at(r, 1)),
         11 => Record::Event(Event::Streaming {
             request: RequestId(u32_at(r, 1)),
@@ -142,16 +142,16 @@
     })
 }
 
-fn decode_entry(e: &[u8]) -> Result<Member, String> {
+fn decode_entry(e: &[u8]) -> Result<Endpoint, String> {
     let availability = match e[11] {
         3 => Availability::Ready,
         0 => Availability::Draining,
-        2 => Availability::Gone,
+        2 => Availability::Removed,
         other => return Err(format!("unknown availability {other}")),
     };
     let since = finite(f64_at(e, 16), "start time of an upstream")?;
     let (zone, kind, group) = (u16_at(e, 6), e[8], u16_at(e, 9));
-    Ok(Member {
+    Ok(Endpoint {
         id: upstream_at(e, 0),
         zone,
         kind,
@@ -176,17 +176,17 @@
 }
 
 /// Resolves what a `sync` record says against the table it points at.
-pub fn membership(kind: u8, table: Option<&Table>) -> Result<Membership, String> {
+pub fn membership(kind: u8, table: Option<&Table>) -> Result<EndpointUpdate, String> {
     let list = || {
         table
             .cloned()
             .ok_or_else(|| "points at a table that was never sent".to_string())
     };
     Ok(match kind {
-        0 => Membership::Full(list()?),
-        1 => Membership::Failed,
-        2 => Membership::Delta(list()?),
-        3 => Membership::Cached(list()?),
+        0 => EndpointUpdate::Full(list()?),
+        1 => EndpointUpdate::Failed,
+        2 => EndpointUpdate::Delta(list()?),
+        3 => EndpointUpdate::Cached(list()?),
         other => return Err(format!("unknown kind of news {other}")),
     })
 }
--- a/balancer/simulator/tests/golden.rs
+++ b/balancer/simulator/tests/golden.rs
@@ -4,7 +4,7 @@
 mod golden;
 
 use balancer_core::{
-    Action, Availability, Ending, Event, Member, Membership, Refusal, Request, RequestId,
+    Action, Availability, Ending, Endpoint, EndpointUpdate, Event, Refusal, Request, RequestId,
     UpstreamId,
 };
 use balancer_simulator::wire::{decode, membership, read_frame, Record, Reply};
@@ -21,8 +21,8 @@
 /// The length of the settings in the frame that has some.
 const SETTINGS: usize = 254;
 
-fn members() -> Vec<Member> {
-    let member = |at: u16, availability, since| Member {
+fn members() -> Vec<Endpoint> {
+    let member = |at: u16, availability, since| Endpoint {
         id: UpstreamId(UPSTREAM.0 + u64::from(at)),
         zone: 0x0102 + 0x0101 * at,
         kind: 3 + at as u8,
@@ -33,7 +33,7 @@
     vec![
         member(0, Availability::Ready, 6100.5),
         member(1, Availability::Draining, 6200.25),
-        member(2, Availability::Gone, 0.0),
+        member(2, Availability::Removed, 0.0),
     ]
 }
 
@@ -130,7 +130,7 @@
         ("timer", Record::Event(Event::Timer(0x6162_6364))),
         ("sampled", Record::Skip),
         ("whisper", Record::Skip),
-        ("dropped", Record::Event(Event::ClientGone(ID))),
+        ("dropped", Record::Event(Event::ClientDisconnected(ID))),
         ("destroy", Record::Destroy),
     ];
     let said = frames
@@ -171,16 +171,16 @@
     let table = Some(members());
     assert_eq!(
         membership(0, table.as_ref()),
-        Ok(Membership::Full(members()))
+        Ok(EndpointUpdate::Full(members()))
     );
-    assert_eq!(membership(1, table.as_ref()), Ok(Membership::Failed));
+    assert_eq!(membership(1, table.as_ref()), Ok(EndpointUpdate::Failed));
     assert_eq!(
         membership(2, table.as_ref()),
-        Ok(Membership::Delta(members()))
+        Ok(EndpointUpdate::Delta(members()))
     );
     assert_eq!(
         membership(3, table.as_ref()),
-        Ok(Membership::Cached(members()))
+        Ok(EndpointUpdate::Cached(members()))
     );
 }
 
--- a/balancer/simulator/tests/wire.rs
+++ b/balancer/simulator/tests/wire.rs
@@ -1,5 +1,5 @@
 //! The codec against the frames that the documentation shows, and against bad ones.
-use balancer_core::{Action, Ending, Event, Membership, Request, RequestId, UpstreamId};
+use balancer_core::{Action, Ending, EndpointUpdate, Event, Request, RequestId, UpstreamId};
 use balancer_simulator::wire::{decode, membership, read_frame, Record, Reply};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -54,7 +54,7 @@
     assert_eq!(batch.records[2], Record::Event(Event::Timer(0x4d)));
     assert_eq!(
         batch.records[4],
-        Record::Event(Event::ClientGone(RequestId(0x0e6f_2b19)))
+        Record::Event(Event::ClientDisconnected(RequestId(0x0e6f_2b19)))
     );
 
     let mut reply = Reply::default();
@@ -99,7 +99,7 @@
     };
     assert_eq!(members[1].id, UpstreamId(0x0a90_11f2_2bec));
     assert_eq!(members[1].since, 6100.0);
-    assert!(matches!(membership(2, Some(members)), Ok(Membership::Delta(m)) if m.len() == 2));
+    assert!(matches!(membership(2, Some(members)), Ok(EndpointUpdate::Delta(m)) if m.len() == 2));
 }
 
 #[test]
--- a/system/magpiegap/src/command_line.rs
+++ b/system/magpiegap/src/command_line.rs
@@ -15,7 +15,10 @@
 use std::{future::Future, net::SocketAddr, path::PathBuf};
 
 /// A cluster scheduler for jobs.
-#[expect(missing_docs, reason = "a doc comment on a field would become a line of the help text")]
+#[expect(
+    missing_docs,
+    reason = "a doc comment on a field would become a line of the help text"
+)]
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version, generate(parser))]
 pub enum CommandLine {
--- a/system/magpiegap/src/proxy/admission.rs
+++ b/system/magpiegap/src/proxy/admission.rs
@@ -3,8 +3,8 @@
 //! For each service one [`Balancer`] decides: a call is a job that is handed in, a tenant is the queue, and the
 //! upstream is the coordinator that schedules the service. What comes of a call teaches it how many it may admit.
 use balancer_core::{
-    Action, Availability, Balancer, Class, Ending, Event, Member, Membership, Refusal, Request,
-    RequestId, Settings, Tenant, UpstreamId,
+    Action, Availability, Balancer, Class, Ending, Endpoint, EndpointUpdate, Event, Refusal,
+    Request, RequestId, Settings, Tenant, UpstreamId,
 };
 use std::{
     collections::HashMap,
@@ -170,7 +170,7 @@
             classes: vec![Class {
                 objective: OBJECTIVE_MS,
                 deadline: 2.0 * OBJECTIVE_MS,
-                late_worth: 0.3,
+                late_value: 0.3,
                 ..Class::default()
             }],
             tenants: vec![
@@ -181,7 +181,7 @@
                 QUEUES
             ],
             // The call tries again itself: the same job may be handed in twice, and only it knows where to.
-            attempts_cap: 1,
+            max_attempts: 1,
             max_retry_after: MAX_RETRY_AFTER_MS,
             ..Settings::default()
         };
@@ -204,14 +204,14 @@
             return;
         }
         self.upstream = Some(upstream);
-        let member = Member {
+        let member = Endpoint {
             id: upstream,
             availability: Availability::Ready,
-            ..Member::default()
+            ..Endpoint::default()
         };
         self.balancer.handle(
             now,
-            Event::Membership(Membership::Full(vec![member])),
+            Event::EndpointUpdate(EndpointUpdate::Full(vec![member])),
             actions,
         );
     }
