--- a/balancer/core/src/lib.rs
+++ b/balancer/core/src/lib.rs
@@ -9,8 +9,8 @@
 //! let mut balancer = Balancer::new(Settings::default(), 7, 0.0).expect("settings");
 //! let mut actions = Vec::new();
 //! let (zone, kind, group, availability) = (0, 0, 0, Availability::Ready);
-//! let member = Member { id: UpstreamId(1), zone, kind, group, availability, since: 0.0 };
-//! balancer.handle(0.0, Event::Membership(Membership::Full(vec![member])), &mut actions);
+//! let endpoint = Endpoint { id: UpstreamId(1), zone, kind, group, availability, since: 0.0 };
+//! balancer.handle(0.0, Event::EndpointUpdate(EndpointUpdate::Full(vec![endpoint])), &mut actions);
 //! actions.clear();
 //!
 //! let id = RequestId(1);
