--- /dev/null
+++ b/system/jobs/src/apply_jobs.rs
@@ -0,0 +1,82 @@
+//! Applies what entries say of jobs: that they are submitted, cancelled, due again or forgotten.
+use crate::{
+    change::{Change, Outcome},
+    transition::Transition,
+    Job, Shared,
+};
+use magpiegap_protocol::{JobId, JobPhase, RunStart, Submission};
+
+impl Transition<'_> {
+    pub(crate) fn submit_job(&mut self, submission: &Submission, runs: &[RunStart]) -> Outcome {
+        let id = submission.job;
+        if self.state.jobs.contains_key(&id) {
+            return Outcome::Repeated;
+        }
+        let queue = submission.queue.clone();
+        *self.state.open_jobs.entry(queue).or_default() += 1;
+        let job = Job::new(submission.clone());
+        self.state.jobs.insert(id, Shared::new(job));
+        self.changes.push(Change::Job(id));
+        self.start_runs(runs);
+        Outcome::Done
+    }
+
+    pub(crate) fn cancel_job(&mut self, id: JobId) -> Outcome {
+        match self.state.jobs.get(&id) {
+            None => Outcome::Void,
+            Some(job) if job.phase.is_terminal() => Outcome::Repeated,
+            Some(_) => {
+                self.end_job(id, JobPhase::Cancelled);
+                self.changes.push(Change::Job(id));
+                Outcome::Done
+            }
+        }
+    }
+
+    /// Moves a job to a terminal phase, and takes it out of the count of its queue. Does nothing once it is in one.
+    pub(crate) fn end_job(&mut self, id: JobId, phase: JobPhase) {
+        let Some(job) = self.state.jobs.get_mut(&id).map(Shared::make_mut) else {
+            return;
+        };
+        if job.phase.is_terminal() {
+            return;
+        }
+        job.end(phase, self.wall_ms);
+        job.prune();
+        let queue = &job.submission.queue;
+        if let Some(count) = self.state.open_jobs.get_mut(queue) {
+            *count = count.saturating_sub(1);
+            if *count == 0 {
+                self.state.open_jobs.remove(queue);
+            }
+        }
+    }
+
+    pub(crate) fn open_occurrence(&mut self, id: JobId, occurrence: u32) -> Outcome {
+        let is_opened = self
+            .state
+            .job_mut(&id)
+            .is_some_and(|job| job.open_occurrence(occurrence));
+        if !is_opened {
+            return Outcome::Void;
+        }
+        self.changes.push(Change::Job(id));
+        Outcome::Done
+    }
+
+    /// Forgets the jobs that have ended and have no run going on; the others stay.
+    pub(crate) fn forget_jobs(&mut self, jobs: &[JobId]) -> Outcome {
+        for id in jobs {
+            let is_over = self
+                .state
+                .jobs
+                .get(id)
+                .is_some_and(|job| job.phase.is_terminal() && !job.has_active_runs());
+            if is_over {
+                self.state.jobs.remove(id);
+                self.changes.push(Change::JobForgotten(*id));
+            }
+        }
+        Outcome::Done
+    }
+}
--- a/system/jobs/src/apply_runs.rs
+++ b/system/jobs/src/apply_runs.rs
@@ -1,44 +1,39 @@
-//! Applies what entries say of runs: that they begin, have ended, or are lost.
+//! Applies what entries say of runs: that they are started, completed or lost.
 use crate::{
     change::{Change, Outcome},
-    ActiveRun, State,
-};
-use magpiegap_protocol::{
-    CompletionKind, JobId, JobPhase, RunCompletion, RunId, RunStart, TaskId, WallMillis,
+    job::StepKind,
+    transition::Transition,
+    ActiveRun, Job,
 };
+use magpiegap_protocol::{CompletionKind, JobId, JobPhase, RunCompletion, RunId, RunStart, TaskId};
 
-impl State {
-    pub(crate) fn start_runs(&mut self, runs: &[RunStart], changes: &mut Vec<Change>) -> Outcome {
+impl Transition<'_> {
+    pub(crate) fn start_runs(&mut self, runs: &[RunStart]) -> Outcome {
         let mut outcome = Outcome::Void;
         for start in runs {
             if self.start_run(start).is_some() {
-                changes.push(Change::RunOpened(start.clone()));
+                self.changes.push(Change::RunOpened(start.clone()));
                 outcome = Outcome::Done;
             }
         }
         outcome
     }
 
-    /// Opens one run, where the task may have another one.
+    /// Opens one run; `None` where its task, job or worker can't have another one.
     fn start_run(&mut self, start: &RunStart) -> Option<()> {
         let id = start.task;
-        let worker = self.workers.get(&start.incarnation);
+        let worker = self.state.workers.get(&start.incarnation);
         if worker.is_some_and(|worker| worker.ended || worker.runs.contains_key(&id)) {
             return None;
         }
-        let job = self.job_mut(&id.job)?;
+        let job = self.state.job_mut(&id.job)?;
         if job.phase.is_terminal() {
             return None;
         }
-        let duplicates = job
-            .submission
-            .spec
-            .steps
-            .get(id.step as usize)?
-            .allow_duplicate;
-        let step = job.step_mut(&id)?;
-        let task = step.tasks.get_mut(id.index as usize)?;
-        if task.done || start.run <= task.last_run || (!duplicates && !task.active.is_empty()) {
+        let allows_duplicate = job.step_spec(&id)?.allow_duplicate;
+        let task = job.task_mut(&id)?;
+        let is_taken = !allows_duplicate && !task.active.is_empty();
+        if task.done || start.run <= task.last_run || is_taken {
             return None;
         }
         task.last_run = start.run;
@@ -50,63 +45,59 @@
         if job.phase == JobPhase::Pending {
             job.phase = JobPhase::Running;
         }
-        self.workers
-            .entry(start.incarnation.clone())
-            .or_default()
-            .runs
-            .insert(id, start.run);
+        let worker = self.state.workers.entry(start.incarnation.clone());
+        worker.or_default().runs.insert(id, start.run);
         Some(())
     }
 
-    pub(crate) fn note_ends(
+    pub(crate) fn record_completions(
         &mut self,
         incarnation: &str,
         last_seen: u64,
-        ends: &[RunCompletion],
-        at: WallMillis,
-        changes: &mut Vec<Change>,
+        completions: &[RunCompletion],
     ) -> Outcome {
-        let worker = self.workers.entry(incarnation.to_owned()).or_default();
+        let worker = self.state.workers.entry(incarnation.to_owned());
+        let worker = worker.or_default();
         if last_seen <= worker.last_seen {
             return Outcome::Repeated;
         }
         worker.last_seen = last_seen;
-        for end in ends {
-            if self.close_run(incarnation, end.task, end.run, Some(end.kind), changes) {
-                self.record_end(end, at);
-                self.settle(end.task.job, at, changes);
+        for completion in completions {
+            let kind = Some(completion.kind);
+            if self.close_run(incarnation, completion.task, completion.run, kind) {
+                self.record_completion(completion);
+                self.advance_job(completion.task.job);
             }
         }
-        changes.push(Change::CompletionsRecorded {
+        self.changes.push(Change::CompletionsRecorded {
             incarnation: incarnation.to_owned(),
             last_seen,
         });
         Outcome::Done
     }
 
-    /// Takes a run off the books; `false` when it wasn't on them.
+    /// Removes a run from its worker and its task; `false` when the worker's record doesn't have it.
     fn close_run(
         &mut self,
         incarnation: &str,
         task: TaskId,
         run: RunId,
         kind: Option<CompletionKind>,
-        changes: &mut Vec<Change>,
     ) -> bool {
-        let Some(worker) = self.workers.get_mut(incarnation) else {
+        let Some(worker) = self.state.workers.get_mut(incarnation) else {
             return false;
         };
         if worker.runs.get(&task) != Some(&run) {
             return false;
         }
         worker.runs.remove(&task);
-        let state = self.job_mut(&task.job).and_then(|job| job.step_mut(&task));
-        if let Some(state) = state.and_then(|step| step.tasks.get_mut(task.index as usize)) {
+        let job = self.state.job_mut(&task.job);
+        if let Some(state) = job.and_then(|job| job.task_mut(&task)) {
             state
                 .active
                 .retain(|active| active.run != run || active.incarnation != incarnation);
         }
-        changes.push(Change::RunClosed {
+        self.changes.push(Change::RunClosed {
             task,
             run,
             incarnation: incarnation.to_owned(),
@@ -115,63 +106,57 @@
         true
     }
 
-    /// Counts an end for its task or gang; the job has failed with the last attempt.
-    fn record_end(&mut self, end: &RunCompletion, at: WallMillis) {
-        let Some(job) = self.job_mut(&end.task.job) else {
+    /// Counts a completion for its task or gang; the job fails with the last attempt.
+    fn record_completion(&mut self, completion: &RunCompletion) {
+        let task = &completion.task;
+        let Some(job) = self.state.job_mut(&task.job) else {
             return;
         };
         if job.phase.is_terminal() {
             return;
         }
-        let Some(spec) = job.submission.spec.steps.get(end.task.step as usize) else {
+        let Some(spec) = job.step_spec(task) else {
             return;
         };
-        let (gang, lasting) = (spec.gang, job.submission.spec.long_running);
-        let attempts = job.submission.max_attempts.max(1);
-        let Some(step) = job.step_mut(&end.task) else {
+        let is_long_running = job.submission.spec.long_running;
+        let kind = StepKind {
+            gang: spec.gang,
+            long_running: is_long_running,
+        };
+        let max_attempts = job.submission.max_attempts.max(1);
+        let Some(step) = job.step_mut(task) else {
             return;
         };
-        let failures = step.note_end(end, gang, lasting);
-        let open = !step.is_done();
-        if !lasting && open && failures >= attempts {
-            self.end_job(end.task.job, JobPhase::Failed, at);
+        let failures = step.record_completion(completion, kind);
+        let is_done = step.is_done();
+        if !is_long_running && !is_done && failures >= max_attempts {
+            self.end_job(task.job, JobPhase::Failed);
         }
     }
 
-    /// Moves a job on after one of its runs was closed.
-    fn settle(&mut self, id: JobId, at: WallMillis, changes: &mut Vec<Change>) {
-        let Some(job) = self.job_mut(&id) else { return };
-        let done = job
-            .occurrences
-            .values()
-            .filter(|occurrence| occurrence.is_done() && !occurrence.steps.is_empty())
-            .count() as u32;
-        let cleared = job.occurrences_done;
-        job.clear_away();
+    /// Moves a job on after one of its runs was closed: drops what is done, and ends the job with its last occurrence.
+    fn advance_job(&mut self, id: JobId) {
+        let Some(job) = self.state.job_mut(&id) else {
+            return;
+        };
+        let done = count_done_occurrences(job);
+        let pruned_before = job.occurrences_done;
+        job.prune();
         if !job.phase.is_terminal() {
-            let left = job
-                .occurrences
-                .values()
-                .filter(|occurrence| occurrence.is_done())
-                .count() as u32;
-            job.occurrences_done = cleared + (done - left);
-            if cleared + done == job.submission.spec.occurrences() {
-                self.end_job(id, JobPhase::Succeeded, at);
+            let still_active = count_done_occurrences(job);
+            job.occurrences_done = pruned_before + (done - still_active);
+            if pruned_before + done == job.submission.spec.occurrences() {
+                self.end_job(id, JobPhase::Succeeded);
             }
         }
-        changes.push(Change::Job(id));
+        self.changes.push(Change::Job(id));
     }
 
-    pub(crate) fn lose_runs(
-        &mut self,
-        runs: &[RunStart],
-        at: WallMillis,
-        changes: &mut Vec<Change>,
-    ) -> Outcome {
+    pub(crate) fn lose_runs(&mut self, runs: &[RunStart]) -> Outcome {
         for lost in runs {
-            if self.close_run(&lost.incarnation, lost.task, lost.run, None, changes) {
+            if self.close_run(&lost.incarnation, lost.task, lost.run, None) {
                 self.keep_checkpoint(lost);
-                self.settle(lost.task.job, at, changes);
+                self.advance_job(lost.task.job);
             }
         }
         Outcome::Done
@@ -181,37 +166,34 @@
         if lost.checkpoint.is_empty() {
             return;
         }
-        let job = self.job_mut(&lost.task.job);
-        let step = job.and_then(|job| job.step_mut(&lost.task));
-        if let Some(task) = step.and_then(|step| step.tasks.get_mut(lost.task.index as usize)) {
+        let job = self.state.job_mut(&lost.task.job);
+        if let Some(task) = job.and_then(|job| job.task_mut(&lost.task)) {
             task.checkpoint = lost.checkpoint.clone();
         }
     }
 
-    pub(crate) fn lose_instance(
-        &mut self,
-        incarnation: &str,
-        ended: bool,
-        at: WallMillis,
-        changes: &mut Vec<Change>,
-    ) -> Outcome {
-        let Some(worker) = self.workers.get_mut(incarnation) else {
+    /// Closes all runs of an incarnation of a worker. One that has ended never runs anything again.
+    pub(crate) fn lose_incarnation(&mut self, incarnation: &str, has_ended: bool) -> Outcome {
+        let Some(worker) = self.state.workers.get_mut(incarnation) else {
             return Outcome::Void;
         };
-        worker.ended |= ended;
-        let runs: Vec<(TaskId, RunId)> = worker
-            .runs
-            .iter()
-            .map(|(task, run)| (*task, *run))
-            .collect();
-        for (task, run) in runs {
-            if self.close_run(incarnation, task, run, None, changes) {
-                self.settle(task.job, at, changes);
+        worker.ended |= has_ended;
+        for (task, run) in worker.runs.clone() {
+            if self.close_run(incarnation, task, run, None) {
+                self.advance_job(task.job);
             }
         }
-        if ended {
-            self.workers.remove(incarnation);
+        if has_ended {
+            self.state.workers.remove(incarnation);
         }
         Outcome::Done
     }
 }
+
+/// How many occurrences that have steps are done, without those that were pruned.
+fn count_done_occurrences(job: &Job) -> u32 {
+    job.occurrences
+        .values()
+        .filter(|occurrence| occurrence.is_done() && !occurrence.steps.is_empty())
+        .count() as u32
+}
--- a/system/jobs/src/change.rs
+++ b/system/jobs/src/change.rs
@@ -1,61 +1,61 @@
-//! What applying an entry does.
+//! What applying an entry results in.
 use magpiegap_protocol::{CompletionKind, JobId, Role, RunId, RunStart, TaskId};
 
-/// What became of an entry.
+/// The result of an entry for whoever proposed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// It took effect.
     Done,
-    /// The same had been done before.
+    /// The same was done before: nothing changed.
     Repeated,
-    /// Its proposer's role has passed to another.
+    /// Its fencing token is not the current one: its proposer has lost the role.
     Fenced,
     /// It does not apply to the state as it is.
     Void,
-    /// The configuration builds on another version than the current one.
+    /// The configuration builds on a version that is not the current one.
     Conflict,
     /// The configuration's version isn't above the current one.
     Stale,
 }
 
-/// Something that an entry has changed.
+/// One change that an entry made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// There is another configuration.
+    /// Another configuration is current.
     Configuration,
     /// A role has another holder.
     Role(Role),
-    /// A job is there, has moved on, or has ended.
+    /// A job was accepted, has progressed, or has ended.
     Job(JobId),
-    /// A run may be going on from now on.
+    /// A run may be active from now on.
     RunOpened(RunStart),
-    /// A run is surely not going on any more.
+    /// A run is not active any more.
     RunClosed {
-        /// The task.
+        /// Its task.
         task: TaskId,
-        /// The run.
+        /// Its number.
         run: RunId,
-        /// The worker's life.
+        /// The worker's incarnation.
         incarnation: String,
-        /// How it ended; `None`: it was lost.
+        /// How it completed; `None`: it was lost.
         kind: Option<CompletionKind>,
     },
-    /// Ends of a worker's life were noted up to this number.
+    /// Completions of a worker were recorded.
     CompletionsRecorded {
-        /// The worker's life.
+        /// The worker's incarnation.
         incarnation: String,
-        /// The number.
+        /// The highest one, by the worker's numbers.
         last_seen: u64,
     },
-    /// A job was forgotten.
+    /// A job that had ended was removed.
     JobForgotten(JobId),
 }
 
-/// What applying an entry did.
+/// The result of applying an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Applied {
-    /// What became of it.
+    /// The result for its proposer.
     pub outcome: Outcome,
-    /// All that it changed.
+    /// All changes, in the order in which they were made.
     pub changes: Vec<Change>,
 }
--- a/system/jobs/src/job.rs
+++ b/system/jobs/src/job.rs
@@ -1,6 +1,8 @@
-//! A job's state: its times, steps, tasks and runs.
+//! The state of one job: its occurrences, steps, tasks and runs.
+//!
+//! Which entries change it, and what else changes with it, is in the `apply` modules.
 use magpiegap_protocol::{
-    CompletionKind, JobPhase, RunCompletion, RunId, Submission, TaskId, WallMillis,
+    CompletionKind, JobPhase, RunCompletion, RunId, StepSpec, Submission, TaskId, WallMillis,
 };
 use minicbor::{Decode, Encode};
 use std::collections::BTreeMap;
@@ -8,30 +10,30 @@
 /// A run that may be going on.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ActiveRun {
-    /// The run.
+    /// Number of the run among those of its task.
     #[n(0)]
     pub run: RunId,
-    /// The worker's life.
+    /// The worker's incarnation.
     #[n(1)]
     pub incarnation: String,
-    /// The checkpoint that it goes on from; empty: none.
+    /// The checkpoint that it resumes from; empty: none.
     #[n(2)]
     pub checkpoint: String,
 }
 
-/// A task's state.
+/// The state of one task.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct TaskState {
-    /// A run of it has ended `done`.
+    /// Whether one of its runs has completed with `done`.
     #[n(0)]
     pub done: bool,
-    /// The highest run so far.
+    /// The highest run so far; zero: none.
     #[n(1)]
     pub last_run: RunId,
     /// How many of its runs have failed.
     #[n(2)]
     pub failures: u32,
-    /// The newest checkpoint that an end has brought; empty: none.
+    /// The newest checkpoint that a completion has brought; empty: none.
     #[n(3)]
     pub checkpoint: String,
     /// Runs that may be going on.
@@ -39,16 +41,16 @@
     pub active: Vec<ActiveRun>,
 }
 
-/// A step's state at one time.
+/// The state of one step in one occurrence.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct StepState {
-    /// Its tasks.
+    /// Its tasks, by index.
     #[n(0)]
     pub tasks: Vec<TaskState>,
-    /// How many of them are done.
+    /// How many of the tasks are done.
     #[n(1)]
     pub done: u32,
-    /// For a gang: how many of its runs have failed, and the last of those.
+    /// For a gang: how many of its runs have failed, and the highest of those.
     #[n(2)]
     pub gang_failures: (u32, RunId),
 }
@@ -59,49 +61,64 @@
         self.done as usize == self.tasks.len()
     }
 
-    /// Takes note of the end of a run. Returns how many runs of its task, or of the gang, have failed so far if this one
+    /// Records the completion of a run. Returns how many runs of its task, or of the gang, have failed so far if this one
     /// has; else zero.
-    pub(crate) fn note_end(&mut self, end: &RunCompletion, gang: bool, lasting: bool) -> u32 {
-        let Some(task) = self.tasks.get_mut(end.task.index as usize) else {
+    pub(crate) fn record_completion(&mut self, completion: &RunCompletion, kind: StepKind) -> u32 {
+        let index = completion.task.index as usize;
+        let Some(task) = self.tasks.get_mut(index) else {
             return 0;
         };
-        if !end.checkpoint.is_empty() {
-            task.checkpoint = end.checkpoint.clone();
+        if !completion.checkpoint.is_empty() {
+            task.checkpoint = completion.checkpoint.clone();
         }
-        match end.kind {
-            CompletionKind::Done if lasting => {}
-            CompletionKind::Done if gang => {
-                // The members of a gang end together: one such end counts for all.
+        match completion.kind {
+            CompletionKind::Done if kind.long_running => 0,
+            CompletionKind::Done if kind.gang => {
+                // The members of a gang end together: the completion of one counts for all.
                 self.tasks.iter_mut().for_each(|task| task.done = true);
                 self.done = self.tasks.len() as u32;
+                0
             }
             CompletionKind::Done => {
                 self.done += u32::from(!task.done);
                 task.done = true;
+                0
             }
-            CompletionKind::Failed if gang => {
-                if self.gang_failures.1 < end.run {
-                    self.gang_failures = (self.gang_failures.0 + 1, end.run);
-                }
-                return self.gang_failures.0;
-            }
+            CompletionKind::Failed if kind.gang => self.record_gang_failure(completion.run),
             CompletionKind::Failed => {
                 task.failures += 1;
-                return task.failures;
+                task.failures
             }
             CompletionKind::Stopped
             | CompletionKind::Lapsed
             | CompletionKind::Broken
-            | CompletionKind::Alone => {}
+            | CompletionKind::Alone => 0,
+        }
+    }
+
+    /// Counts a failed run of a gang once, however many members report it. Returns how many have failed so far.
+    fn record_gang_failure(&mut self, run: RunId) -> u32 {
+        let (failures, last_failed) = self.gang_failures;
+        if last_failed < run {
+            self.gang_failures = (failures + 1, run);
         }
-        0
+        self.gang_failures.0
     }
 }
 
-/// The steps at one time of a job.
+/// What decides how a completion counts for its step.
+#[derive(Clone, Copy)]
+pub(crate) struct StepKind {
+    /// All tasks run, and end, together.
+    pub(crate) gang: bool,
+    /// Tasks of the job are started again whenever they end.
+    pub(crate) long_running: bool,
+}
+
+/// The state of one occurrence of a job.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct OccurrenceState {
-    /// One for each step.
+    /// Its steps, in the order of the specification.
     #[n(0)]
     pub steps: Vec<StepState>,
 }
@@ -113,7 +130,7 @@
     }
 
     /// Whether any run may be going on.
-    pub fn has_active(&self) -> bool {
+    pub fn has_active_runs(&self) -> bool {
         self.steps
             .iter()
             .flat_map(|step| &step.tasks)
@@ -121,33 +138,33 @@
     }
 }
 
-/// A job.
+/// The state of one job.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Job {
-    /// What was submitted. Its steps and text are dropped once nothing of it can run any more.
+    /// What was submitted. Its steps and text are dropped once the job has ended and no run is active.
     #[n(0)]
     pub submission: Submission,
-    /// What its client is shown.
+    /// The phase that its client sees.
     #[n(1)]
     pub phase: JobPhase,
-    /// The times that have fallen due and have not been cleared away.
+    /// The occurrences that have been opened and not been pruned, by number.
     #[n(2)]
     pub occurrences: BTreeMap<u32, OccurrenceState>,
-    /// The next time to fall due.
+    /// Number of the next occurrence to open.
     #[n(3)]
     pub next_occurrence: u32,
-    /// How many times are done.
+    /// How many occurrences were done and have been pruned.
     #[n(4)]
     pub occurrences_done: u32,
-    /// When it ended, by the time of day of the head; zero: it has not.
+    /// When it ended, by the time of day of the chain's head; zero: it has not.
     #[n(5)]
     pub completed_ms: WallMillis,
 }
 
 impl Job {
-    /// A job that was just accepted. A job without a schedule is due at once.
+    /// A job that was just accepted. The only occurrence of a job without a schedule is opened at once.
     pub fn new(submission: Submission) -> Job {
-        let at_once = submission.spec.repeat_count == 0;
+        let has_schedule = submission.spec.repeat_count > 0;
         let mut job = Job {
             submission,
             phase: JobPhase::Pending,
@@ -156,13 +173,13 @@
             occurrences_done: 0,
             completed_ms: WallMillis::default(),
         };
-        if at_once {
+        if !has_schedule {
             job.open_occurrence(0);
         }
         job
     }
 
-    /// Lets a time fall due; does nothing for any but the next one.
+    /// Opens the next occurrence. Returns `false`, and does nothing, for any other one and once the job has ended.
     pub fn open_occurrence(&mut self, occurrence: u32) -> bool {
         if occurrence != self.next_occurrence
             || occurrence >= self.submission.spec.occurrences()
@@ -170,53 +187,57 @@
         {
             return false;
         }
-        let steps = self.submission.spec.steps.iter();
-        let steps = steps.map(|step| StepState {
+        let untouched = |step: &StepSpec| StepState {
             tasks: vec![TaskState::default(); step.count as usize],
             ..StepState::default()
-        });
-        self.occurrences.insert(
-            occurrence,
-            OccurrenceState {
-                steps: steps.collect(),
-            },
-        );
+        };
+        let steps = self.submission.spec.steps.iter().map(untouched).collect();
+        self.occurrences
+            .insert(occurrence, OccurrenceState { steps });
         self.next_occurrence += 1;
         true
     }
 
-    /// A task's state.
+    /// The state of a task.
     pub fn task(&self, task: &TaskId) -> Option<&TaskState> {
-        let step = self
-            .occurrences
-            .get(&task.occurrence)?
-            .steps
-            .get(task.step as usize)?;
+        let occurrence = self.occurrences.get(&task.occurrence)?;
+        let step = occurrence.steps.get(task.step as usize)?;
         step.tasks.get(task.index as usize)
     }
 
+    /// The specification of a task's step.
+    pub(crate) fn step_spec(&self, task: &TaskId) -> Option<&StepSpec> {
+        self.submission.spec.steps.get(task.step as usize)
+    }
+
     pub(crate) fn step_mut(&mut self, task: &TaskId) -> Option<&mut StepState> {
-        self.occurrences
-            .get_mut(&task.occurrence)?
-            .steps
-            .get_mut(task.step as usize)
+        let occurrence = self.occurrences.get_mut(&task.occurrence)?;
+        occurrence.steps.get_mut(task.step as usize)
+    }
+
+    pub(crate) fn task_mut(&mut self, task: &TaskId) -> Option<&mut TaskState> {
+        self.step_mut(task)?.tasks.get_mut(task.index as usize)
     }
 
     /// Whether any run may be going on.
-    pub fn has_active(&self) -> bool {
-        self.occurrences.values().any(OccurrenceState::has_active)
+    pub fn has_active_runs(&self) -> bool {
+        self.occurrences
+            .values()
+            .any(OccurrenceState::has_active_runs)
     }
 
-    /// Ends the job.
-    pub(crate) fn end(&mut self, phase: JobPhase, at: WallMillis) {
+    /// Moves the job to a terminal phase.
+    pub(crate) fn end(&mut self, phase: JobPhase, wall_ms: WallMillis) {
         self.phase = phase;
-        self.completed_ms = at.max(WallMillis(1));
+        // Zero stands for a job that has not ended.
+        self.completed_ms = wall_ms.max(WallMillis(1));
     }
 
-    /// Drops what can't be needed any more.
-    pub(crate) fn clear_away(&mut self) {
+    /// Drops what can't be needed any more: occurrences that are done, and all steps of a job that has ended. What has an
+    /// active run stays.
+    pub(crate) fn prune(&mut self) {
         if self.phase.is_terminal() {
-            if !self.has_active() {
+            if !self.has_active_runs() {
                 self.occurrences.clear();
                 self.submission.spec.steps.clear();
                 self.submission.spec.spec = String::new();
@@ -224,6 +245,6 @@
             return;
         }
         self.occurrences
-            .retain(|_, occurrence| !occurrence.is_done() || occurrence.has_active());
+            .retain(|_, occurrence| !occurrence.is_done() || occurrence.has_active_runs());
     }
 }
--- a/system/jobs/src/lib.rs
+++ b/system/jobs/src/lib.rs
@@ -1,26 +1,33 @@
 //! The replicated state of the scheduler: configuration, roles, jobs and what runs where.
 //!
-//! Each coordinator applies the same committed entries in the same order and so has the same state. Nothing here
-//! reads a clock or does I/O.
+//! A deterministic state machine (Schneider, 1990): each coordinator applies the same committed entries in the same
+//! order and so has the same state. Nothing here reads a clock or does I/O; which tasks run where is decided by the
+//! scheduler, and only recorded here.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod apply;
+mod apply_configuration;
+mod apply_jobs;
 mod apply_runs;
 mod change;
 mod configuration;
+mod configuration_error;
+mod configuration_parser;
 mod consistency;
-
 mod job;
+mod json_fields;
 mod readiness;
 mod route;
 mod route_table;
 mod shared;
 mod snapshot;
 mod state;
+mod transition;
 
 pub use change::{Applied, Change, Outcome};
-pub use configuration::{Configuration, ConfigurationError, Limits, Service};
+pub use configuration::{Configuration, Limits, Service};
+pub use configuration_error::ConfigurationError;
 pub use consistency::Inconsistency;
 pub use job::{ActiveRun, Job, OccurrenceState, StepState, TaskState};
 pub use readiness::{startable, Startable};
--- a/system/jobs/src/readiness.rs
+++ b/system/jobs/src/readiness.rs
@@ -1,18 +1,18 @@
-//! Which tasks of a job may be started now.
+//! Which tasks of a job may be started now, by its dependencies and active runs. Capacity is not considered.
 use crate::{Job, StepState};
 use magpiegap_protocol::{StepSpec, TaskId};
 
-/// Tasks that are to be started: one alone, or all of a gang together.
+/// Tasks to be started: a single one, or all of a gang together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Startable {
     /// The first task.
     pub first: TaskId,
-    /// How many tasks, counted on from the first.
+    /// Number of tasks; they have consecutive indexes.
     pub count: u32,
 }
 
 impl Startable {
-    /// The tasks.
+    /// The tasks, in the order of their indexes.
     pub fn tasks(&self) -> impl Iterator<Item = TaskId> + '_ {
         (0..self.count).map(|offset| TaskId {
             index: self.first.index + offset,
@@ -21,7 +21,7 @@
     }
 }
 
-/// The tasks of a job whose turn has come and that have no run going on.
+/// The tasks of a job whose step is ready and that are neither done nor active, by occurrence, step and index.
 pub fn startable(job: &Job) -> Vec<Startable> {
     let mut found = Vec::new();
     if job.phase.is_terminal() {
@@ -32,24 +32,29 @@
             let Some(spec) = job.submission.spec.steps.get(position) else {
                 continue;
             };
-            let ready = spec
-                .depends_on
-                .iter()
-                .all(|&i| state.steps.get(i as usize).is_some_and(StepState::is_done));
-            if ready && !step.is_done() {
-                let first = TaskId {
-                    job: job.submission.job,
-                    occurrence,
-                    step: position as u32,
-                    index: 0,
-                };
-                push_step(&mut found, first, spec, step);
+            if step.is_done() || !is_ready(spec, &state.steps) {
+                continue;
             }
+            let first = TaskId {
+                job: job.submission.job,
+                occurrence,
+                step: position as u32,
+                index: 0,
+            };
+            push_step(&mut found, first, spec, step);
         }
     }
     found
 }
 
+/// Whether all steps that a step depends on are done.
+fn is_ready(spec: &StepSpec, steps: &[StepState]) -> bool {
+    spec.depends_on.iter().all(|position| {
+        let dependency = steps.get(*position as usize);
+        dependency.is_some_and(StepState::is_done)
+    })
+}
+
 fn push_step(found: &mut Vec<Startable>, first: TaskId, spec: &StepSpec, step: &StepState) {
     if spec.gang {
         if step.tasks.iter().all(|task| task.active.is_empty()) {
--- a/system/jobs/src/route.rs
+++ b/system/jobs/src/route.rs
@@ -1,40 +1,40 @@
-//! A route of the configuration: a queue that clients hand jobs in at.
+//! A route of the configuration: the queue to which requests of clients belong.
 use minicbor::{Decode, Encode};
 
-/// One route: a queue.
+/// One route, and the terms of its queue.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Route {
-    /// Its name.
+    /// Name, unique among the routes.
     #[n(0)]
     pub name: String,
-    /// Host that clients name.
+    /// Host of the requests, in any case.
     #[n(1)]
     pub hostname: String,
-    /// What a path begins with.
+    /// Prefix of the requests' paths.
     #[n(2)]
     pub path_prefix: String,
-    /// Longest time that a call may take, in milliseconds.
+    /// Timeout of a request, in milliseconds.
     #[n(3)]
     pub timeout_ms: u64,
-    /// Part of the time in which a job is to be done, in milliseconds.
+    /// The constant term of a job's latency target, in milliseconds.
     #[n(4)]
     pub target_latency_ms: u64,
-    /// Zero goes first.
+    /// Priority of its jobs; zero is the highest.
     #[n(5)]
     pub priority: u32,
-    /// The service that runs its jobs.
+    /// Name of the service that runs its jobs.
     #[n(6)]
     pub service: String,
-    /// A task fails its job when this many of its runs have failed.
+    /// How many runs of a task may fail before its job fails.
     #[n(7)]
     pub max_attempts: u32,
-    /// Part of the time in which a job is to be done, as a multiple of its work.
+    /// The other term of a job's latency target, as a multiple of its work.
     #[n(8)]
     pub stretch: f64,
 }
 
 impl Route {
-    /// Names the queue: the same whatever the route is called.
+    /// Name of the queue; it does not depend on the route's name.
     pub fn queue(&self) -> String {
         format!("{}{}", self.hostname, self.path_prefix)
     }
--- a/system/jobs/src/route_table.rs
+++ b/system/jobs/src/route_table.rs
@@ -1,4 +1,4 @@
-//! The routes of a configuration, found by name and by the place that a client asks for.
+//! The routes of a configuration, indexed by name and by host.
 use crate::route::Route;
 use std::{
     collections::{BTreeMap, HashMap},
@@ -14,12 +14,12 @@
 }
 
 impl RouteTable {
-    /// How many there are.
+    /// Number of routes.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no routes.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
@@ -34,15 +34,14 @@
         self.by_name.get(name)
     }
 
-    /// The route of a host and path: the longest prefix counts.
+    /// The route with the longest matching prefix for a host, in any case, and path.
     pub fn find(&self, hostname: &str, path: &str) -> Option<&Route> {
-        let of_host = self.by_host.get(&hostname.to_ascii_lowercase())?;
-        let fits = |route: &&Arc<Route>| path.starts_with(&route.path_prefix);
-        let found = of_host
+        let routes = self.by_host.get(&hostname.to_ascii_lowercase())?;
+        routes
             .iter()
-            .filter(fits)
-            .max_by_key(|route| route.path_prefix.len());
-        found.map(Arc::as_ref)
+            .filter(|route| path.starts_with(&route.path_prefix))
+            .max_by_key(|route| route.path_prefix.len())
+            .map(Arc::as_ref)
     }
 }
 
--- a/system/jobs/src/shared.rs
+++ b/system/jobs/src/shared.rs
@@ -1,18 +1,18 @@
-//! A value that a state and frozen copies of it have in common until one of them changes it.
+//! A copy-on-write value, which a state and its snapshots share until one of them changes it.
 use minicbor::{decode, encode, Decode, Decoder, Encode, Encoder};
 use std::{ops::Deref, sync::Arc};
 
-/// A shared value; to change it copies it first, if others share it.
+/// A copy-on-write value. It is encoded as the value itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shared<T>(Arc<T>);
 
 impl<T: Clone> Shared<T> {
-    /// A value that is not shared yet.
+    /// Wraps a value that nothing shares yet.
     pub fn new(value: T) -> Shared<T> {
         Shared(Arc::new(value))
     }
 
-    /// The value, to be changed.
+    /// The value, to be changed; it is cloned first if it is shared.
     pub fn make_mut(&mut self) -> &mut T {
         Arc::make_mut(&mut self.0)
     }
--- a/system/jobs/tests/common/mod.rs
+++ b/system/jobs/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! What the stories of the state share.
+//! The harness of the tests: entries that are applied one after the other.
 #![allow(dead_code)]
 use magpiegap_jobs::{Applied, State};
 use magpiegap_protocol::{
     Command, Entry, LogPosition, Member, ProposalId, ReplicaId, RoleToken, ViewNumber, WallMillis,
 };
 
-/// Who proposes.
+/// The replica that proposes all entries.
 pub(crate) fn replica() -> ReplicaId {
     ReplicaId {
         member: Member {
@@ -39,7 +39,7 @@
     })
 }
 
-/// Applies a command.
+/// Applies a command that needs no role.
 pub(crate) fn apply(state: &mut State, command: Command) -> Applied {
     apply_as(state, None, command)
 }
--- a/system/jobs/tests/configuration.rs
+++ b/system/jobs/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations are read whole, and each fault is named by its field.
+//! Configurations are read and validated, and each fault is named by its field.
 use googletest::prelude::*;
 use magpiegap_jobs::Configuration;
 
@@ -43,19 +43,19 @@
 
 #[googletest::test]
 fn given_invalid_configurations_when_they_are_read_then_the_fault_is_named() {
-    let fine = route("a", "/x/", r#","timeoutMs":5"#);
-    let whole = configuration("4", std::slice::from_ref(&fine));
-    expect_that!(fault(&whole), eq(""));
+    let valid = route("a", "/x/", r#","timeoutMs":5"#);
+    let complete = configuration("4", std::slice::from_ref(&valid));
+    expect_that!(fault(&complete), eq(""));
     expect_that!(
-        fault(&whole[..whole.len() - 3]),
+        fault(&complete[..complete.len() - 3]),
         starts_with("not readable as JSON")
     );
     expect_that!(
-        fault(&configuration("0", std::slice::from_ref(&fine))),
+        fault(&configuration("0", std::slice::from_ref(&valid))),
         starts_with("version")
     );
     expect_that!(
-        fault(&configuration("-1", std::slice::from_ref(&fine))),
+        fault(&configuration("-1", std::slice::from_ref(&valid))),
         starts_with("version")
     );
     expect_that!(
@@ -69,12 +69,12 @@
         )),
         starts_with("routes[0].timeoutMs")
     );
-    let same_place = [fine.clone(), route("b", "/x/", r#","timeoutMs":5"#)];
+    let same_match = [valid.clone(), route("b", "/x/", r#","timeoutMs":5"#)];
     expect_that!(
-        fault(&configuration("4", &same_place)),
+        fault(&configuration("4", &same_match)),
         contains_substring("same host and prefix")
     );
-    let unknown = fine.replace(r#""service":"s""#, r#""service":"t""#);
+    let unknown = valid.replace(r#""service":"s""#, r#""service":"t""#);
     expect_that!(
         fault(&configuration("4", &[unknown])),
         contains_substring("unknown service t")
--- a/system/jobs/tests/consistency.rs
+++ b/system/jobs/tests/consistency.rs
@@ -1,4 +1,4 @@
-//! States that contradict themselves.
+//! Inconsistent states are found out, and each contradiction is named.
 mod common;
 
 use common::apply;
@@ -22,7 +22,7 @@
 }
 
 /// A job of two tasks: one is done, one runs.
-fn half_done() -> State {
+fn half_done_state() -> State {
     let submission = Submission {
         job: JOB,
         queue: QUEUE.to_owned(),
@@ -46,7 +46,7 @@
         incarnation: "w".to_owned(),
         checkpoint: String::new(),
     };
-    let end = RunCompletion {
+    let completion = RunCompletion {
         task: task(0),
         run: 1,
         kind: CompletionKind::Done,
@@ -66,7 +66,7 @@
         Command::RecordCompletions {
             incarnation: "w".to_owned(),
             last_seen: 1,
-            ends: vec![end],
+            ends: vec![completion],
         },
     );
     state
@@ -74,43 +74,43 @@
 
 #[googletest::test]
 fn given_a_state_that_came_about_by_entries_when_it_is_checked_then_nothing_contradicts() {
-    expect_that!(half_done().inconsistencies(), is_empty());
+    expect_that!(half_done_state().inconsistencies(), is_empty());
 }
 
 #[googletest::test]
-fn given_a_worker_that_has_forgotten_a_run_when_the_state_is_checked_then_the_run_is_named() {
-    let mut state = half_done();
+fn given_a_worker_without_a_run_of_a_task_when_the_state_is_checked_then_the_run_is_named() {
+    let mut state = half_done_state();
     state.workers.get_mut("w").unwrap().runs.clear();
-    let missing = Inconsistency::RunWithoutWorker {
+    let unrecorded_run = Inconsistency::RunWithoutWorker {
         incarnation: "w".to_owned(),
         task: task(1),
         run: 1,
     };
-    expect_that!(state.inconsistencies(), elements_are![eq(&missing)]);
+    expect_that!(state.inconsistencies(), elements_are![eq(&unrecorded_run)]);
 }
 
 #[googletest::test]
 fn given_a_run_of_a_task_that_is_not_there_when_the_state_is_checked_then_the_run_is_named() {
-    let mut state = half_done();
+    let mut state = half_done_state();
     state.jobs.clear();
     let found = state.inconsistencies();
-    let stray = Inconsistency::RunWithoutTask {
+    let unknown_run = Inconsistency::RunWithoutTask {
         incarnation: "w".to_owned(),
         task: task(1),
         run: 1,
     };
-    expect_that!(found, contains(eq(&stray)));
-    let count = Inconsistency::OpenJobs {
+    expect_that!(found, contains(eq(&unknown_run)));
+    let open_jobs = Inconsistency::OpenJobs {
         queue: QUEUE.to_owned(),
-        kept: 1,
+        recorded: 1,
         counted: 0,
     };
-    expect_that!(found, contains(eq(&count)));
+    expect_that!(found, contains(eq(&open_jobs)));
 }
 
 #[googletest::test]
 fn given_counts_that_are_wrong_when_the_state_is_checked_then_each_is_named() {
-    let mut state = half_done();
+    let mut state = half_done_state();
     let job = state.jobs.get_mut(&JOB).unwrap().make_mut();
     job.occurrences.get_mut(&0).unwrap().steps[0].done = 2;
     job.occurrences_done = 9;
@@ -119,7 +119,7 @@
         occurrence: 0,
         step: 0,
     };
-    let occurrences = Inconsistency::Times { job: JOB };
+    let occurrences = Inconsistency::Occurrences { job: JOB };
     expect_that!(
         state.inconsistencies(),
         unordered_elements_are![eq(&step), eq(&occurrences)]
@@ -127,7 +127,7 @@
 }
 
 #[googletest::test]
-fn given_a_configuration_of_another_version_when_the_state_is_checked_then_that_is_said() {
+fn given_a_configuration_of_another_version_when_the_state_is_checked_then_it_is_named() {
     let mut state = State::default();
     state.configuration.version = 3;
     state.configuration.body = br#"{"version":2,"routes":[],"services":[]}"#.to_vec();
--- a/system/jobs/tests/golden/samples.rs
+++ b/system/jobs/tests/golden/samples.rs
@@ -1,16 +1,16 @@
-//! A state with every kind of record, and every field of a record set to something of its own.
+//! A state with every type of record, in which every field has a value of its own.
 use magpiegap_jobs::*;
 use magpiegap_protocol::*;
 use magpiegap_protocol::{FencingToken, LogIndex, ViewNumber, WallMillis};
 
-pub(crate) fn replica(n: u32) -> ReplicaId {
+pub(crate) fn replica(number: u32) -> ReplicaId {
     let member = Member {
-        address: 0x0a00_0000 + n,
-        disk: 0xd15c_0000 + u64::from(n),
+        address: 0x0a00_0000 + number,
+        disk: 0xd15c_0000 + u64::from(number),
     };
     ReplicaId {
         member,
-        incarnation: 0xb007_0000_0000_0000 + u64::from(n),
+        incarnation: 0xb007_0000_0000_0000 + u64::from(number),
     }
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-pub(crate) fn time_state() -> OccurrenceState {
+pub(crate) fn occurrence_state() -> OccurrenceState {
     OccurrenceState {
         steps: vec![step_state(), StepState::default()],
     }
@@ -83,7 +83,7 @@
     Job {
         submission: submission(job),
         phase,
-        occurrences: [(14, time_state()), (300, OccurrenceState::default())].into(),
+        occurrences: [(14, occurrence_state()), (300, OccurrenceState::default())].into(),
         next_occurrence: 301,
         occurrences_done: 15,
         completed_ms: WallMillis(1_700_000_000_999),
@@ -94,15 +94,15 @@
     ConfigurationState {
         version: 16,
         body: b"{\"version\":16}".to_vec(),
-        taken: [(14, 0xfeed_beef), (16, 0x0123_4567_89ab_cdef)].into(),
+        fingerprints: [(14, 0xfeed_beef), (16, 0x0123_4567_89ab_cdef)].into(),
         change: vec![0, 200, 7],
     }
 }
 
-pub(crate) fn role_state(n: u32) -> RoleState {
+pub(crate) fn role_state(number: u32) -> RoleState {
     RoleState {
-        holder: replica(n),
-        token: FencingToken(17 + u64::from(n)),
+        holder: replica(number),
+        token: FencingToken(17 + u64::from(number)),
     }
 }
 
--- a/system/jobs/tests/state.rs
+++ b/system/jobs/tests/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state: jobs, runs, ends, roles and configurations.
+//! The replicated state: jobs, runs, completions, roles and configurations.
 mod common;
 
 use common::{apply, apply_as, replica};
@@ -68,14 +68,14 @@
     apply(state, Command::StartRuns { runs })
 }
 
-fn end(
+fn complete(
     state: &mut State,
     incarnation: &str,
-    number: u64,
+    last_seen: u64,
     start: &RunStart,
     kind: CompletionKind,
 ) -> magpiegap_jobs::Applied {
-    let ends = vec![RunCompletion {
+    let completions = vec![RunCompletion {
         task: start.task,
         run: start.run,
         kind,
@@ -85,8 +85,8 @@
         state,
         Command::RecordCompletions {
             incarnation: incarnation.to_owned(),
-            last_seen: number,
-            ends,
+            last_seen,
+            ends: completions,
         },
     )
 }
@@ -107,7 +107,7 @@
     let first = start(0, 0, 1, "a");
     start_runs(&mut state, vec![first.clone()]);
     expect_that!(startable(&state.jobs[&JOB]).len(), eq(0));
-    end(&mut state, "a", 1, &first, CompletionKind::Done);
+    complete(&mut state, "a", 1, &first, CompletionKind::Done);
     expect_that!(startable(&state.jobs[&JOB]).len(), eq(2));
     expect_that!(phase(&state), eq(JobPhase::Running));
 }
@@ -119,7 +119,7 @@
     expect_that!(state.open_jobs.get("h/q/"), some(eq(&1)));
     let first = start(0, 0, 1, "a");
     start_runs(&mut state, vec![first.clone()]);
-    end(&mut state, "a", 1, &first, CompletionKind::Done);
+    complete(&mut state, "a", 1, &first, CompletionKind::Done);
     expect_that!(phase(&state), eq(JobPhase::Succeeded));
     expect_that!(state.open_jobs.get("h/q/"), none());
 }
@@ -140,7 +140,7 @@
     submit(&mut state, submission(vec![step(2)]));
     let first = start(0, 0, 1, "a");
     start_runs(&mut state, vec![first.clone()]);
-    end(&mut state, "a", 1, &first, CompletionKind::Done);
+    complete(&mut state, "a", 1, &first, CompletionKind::Done);
     expect_that!(
         start_runs(&mut state, vec![start(0, 0, 2, "a")]).outcome,
         eq(Outcome::Void)
@@ -155,7 +155,7 @@
         expect_that!(phase(&state), not(eq(JobPhase::Failed)));
         let started = start(0, 0, run, "a");
         start_runs(&mut state, vec![started.clone()]);
-        end(
+        complete(
             &mut state,
             "a",
             u64::from(run),
@@ -171,7 +171,7 @@
 }
 
 #[googletest::test]
-fn given_lapsed_and_stopped_runs_when_they_end_then_no_attempt_is_counted() {
+fn given_lapsed_and_stopped_runs_when_they_complete_then_no_attempt_is_counted() {
     let mut state = State::default();
     submit(&mut state, submission(vec![step(1)]));
     for run in 1..=6 {
@@ -182,7 +182,7 @@
         } else {
             CompletionKind::Stopped
         };
-        end(&mut state, "a", u64::from(run), &started, kind);
+        complete(&mut state, "a", u64::from(run), &started, kind);
     }
     expect_that!(phase(&state), eq(JobPhase::Running));
 }
@@ -201,7 +201,7 @@
         .map(|index| start(0, index, 1, &format!("w{index}")))
         .collect();
     start_runs(&mut state, runs.clone());
-    end(&mut state, "w1", 1, &runs[1], CompletionKind::Done);
+    complete(&mut state, "w1", 1, &runs[1], CompletionKind::Done);
     expect_that!(phase(&state), eq(JobPhase::Succeeded));
 }
 
@@ -219,12 +219,12 @@
         .map(|index| start(0, index, 1, &format!("w{index}")))
         .collect();
     start_runs(&mut state, runs.clone());
-    end(&mut state, "w0", 1, &runs[0], CompletionKind::Failed);
-    end(&mut state, "w1", 1, &runs[1], CompletionKind::Failed);
+    complete(&mut state, "w0", 1, &runs[0], CompletionKind::Failed);
+    complete(&mut state, "w1", 1, &runs[1], CompletionKind::Failed);
     expect_that!(phase(&state), eq(JobPhase::Running));
     let counts: Vec<u32> = startable(&state.jobs[&JOB])
         .iter()
-        .map(|unit| unit.count)
+        .map(|startable| startable.count)
         .collect();
     expect_that!(counts, eq(&vec![2]));
 }
@@ -236,7 +236,7 @@
     let first = start(0, 0, 1, "a");
     start_runs(&mut state, vec![first.clone()]);
     apply(&mut state, Command::CancelJob { job: JOB });
-    end(&mut state, "a", 1, &first, CompletionKind::Stopped);
+    complete(&mut state, "a", 1, &first, CompletionKind::Stopped);
     expect_that!(phase(&state), eq(JobPhase::Cancelled));
     expect_that!(startable(&state.jobs[&JOB]), is_empty());
     expect_that!(
@@ -246,14 +246,14 @@
 }
 
 #[googletest::test]
-fn given_ends_that_were_noted_when_they_come_again_then_nothing_changes() {
+fn given_recorded_completions_when_they_come_again_then_nothing_changes() {
     let mut state = State::default();
     submit(&mut state, submission(vec![step(2)]));
     let first = start(0, 0, 1, "a");
     start_runs(&mut state, vec![first.clone()]);
-    end(&mut state, "a", 1, &first, CompletionKind::Failed);
-    let again = end(&mut state, "a", 1, &first, CompletionKind::Failed);
-    expect_that!(again.outcome, eq(Outcome::Repeated));
+    complete(&mut state, "a", 1, &first, CompletionKind::Failed);
+    let repeated = complete(&mut state, "a", 1, &first, CompletionKind::Failed);
+    expect_that!(repeated.outcome, eq(Outcome::Repeated));
     expect_that!(
         state.jobs[&JOB].task(&task(0, 0)).map(|task| task.failures),
         some(eq(1))
@@ -261,13 +261,13 @@
 }
 
 #[googletest::test]
-fn given_a_repeated_job_when_its_times_fall_due_then_each_runs_once() {
+fn given_a_repeated_job_when_its_occurrences_are_opened_then_each_runs_once() {
     let mut state = State::default();
-    let mut timed = submission(vec![step(1)]);
-    timed.spec.repeat_count = 2;
-    timed.spec.start_at_ms = WallMillis(5000);
-    timed.spec.interval_ms = 100;
-    submit(&mut state, timed);
+    let mut repeated = submission(vec![step(1)]);
+    repeated.spec.repeat_count = 2;
+    repeated.spec.start_at_ms = WallMillis(5000);
+    repeated.spec.interval_ms = 100;
+    submit(&mut state, repeated);
     expect_that!(startable(&state.jobs[&JOB]), is_empty());
     for occurrence in 0..2 {
         expect_that!(
@@ -295,7 +295,7 @@
         let mut started = start(0, 0, 1, "a");
         started.task.occurrence = occurrence;
         start_runs(&mut state, vec![started.clone()]);
-        end(
+        complete(
             &mut state,
             "a",
             u64::from(occurrence) + 1,
@@ -307,11 +307,11 @@
 }
 
 #[googletest::test]
-fn given_a_lasting_job_when_a_task_ends_then_it_is_to_be_started_again() {
+fn given_a_long_running_job_when_a_task_completes_then_it_is_startable_again() {
     let mut state = State::default();
-    let mut lasting = submission(vec![step(1)]);
-    lasting.spec.long_running = true;
-    submit(&mut state, lasting);
+    let mut long_running = submission(vec![step(1)]);
+    long_running.spec.long_running = true;
+    submit(&mut state, long_running);
     for (run, kind) in [
         (1, CompletionKind::Done),
         (2, CompletionKind::Failed),
@@ -320,14 +320,14 @@
     ] {
         let started = start(0, 0, run, "a");
         start_runs(&mut state, vec![started.clone()]);
-        end(&mut state, "a", u64::from(run), &started, kind);
+        complete(&mut state, "a", u64::from(run), &started, kind);
         expect_that!(startable(&state.jobs[&JOB]).len(), eq(1));
     }
     expect_that!(phase(&state), eq(JobPhase::Running));
 }
 
 #[googletest::test]
-fn given_a_lost_worker_when_its_life_is_over_then_its_tasks_may_start_elsewhere() {
+fn given_a_lost_worker_when_its_incarnation_has_ended_then_its_tasks_may_start_elsewhere() {
     let mut state = State::default();
     submit(&mut state, submission(vec![step(2)]));
     start_runs(&mut state, vec![start(0, 0, 1, "a"), start(0, 1, 1, "a")]);
@@ -369,7 +369,7 @@
         apply(&mut state, claim(FencingToken(1))).outcome,
         eq(Outcome::Done)
     );
-    let old = Some(RoleToken {
+    let previous = Some(RoleToken {
         role: role.clone(),
         token: FencingToken(1),
     });
@@ -378,7 +378,7 @@
         runs: Vec::new(),
     };
     expect_that!(
-        apply_as(&mut state, old, command).outcome,
+        apply_as(&mut state, previous, command).outcome,
         eq(Outcome::Fenced)
     );
     expect_that!(state.jobs.len(), eq(0));
--- a/system/jobs/tests/stored_bytes.rs
+++ b/system/jobs/tests/stored_bytes.rs
@@ -1,7 +1,7 @@
-//! A state that was written before is read as the same state, whole or in parts.
+//! A stored state is read as the same state, complete or in chunks.
 //!
-//! States lie on the disks of the core, and go from coordinator to coordinator while a new version is rolled out. So
-//! these bytes must not change, whatever the types come to be called.
+//! States are on the disks of the core, and pass between coordinators of different versions during a rolling update. So
+//! these bytes must not change, whatever the types are called.
 #[path = "../../protocol/tests/golden/mod.rs"]
 mod golden;
 #[path = "golden/samples.rs"]
@@ -23,16 +23,16 @@
     stored.keeps("task", &task_state());
     stored.keeps("task-untouched", &TaskState::default());
     stored.keeps("step", &step_state());
-    stored.keeps("time", &time_state());
+    stored.keeps("time", &occurrence_state());
     stored.keeps("job", &job(1, JobPhase::Running));
     stored.keeps("shared-job", &Shared::new(job(2, JobPhase::Failed)));
     stored.keeps("configuration", &configuration());
-    let unknown = ConfigurationState {
+    let without_change = ConfigurationState {
         change: vec![],
         ..configuration()
     };
-    stored.keeps("configuration-change-unknown", &unknown);
-    stored.reads("configuration-before-changes", &unknown);
+    stored.keeps("configuration-change-unknown", &without_change);
+    stored.reads("configuration-before-changes", &without_change);
     stored.keeps("role", &role_state(3));
     stored.keeps("worker", &worker(false));
     stored.keeps("worker-ended", &worker(true));
@@ -40,7 +40,7 @@
 }
 
 #[googletest::test]
-fn what_a_configuration_is_made_of_keeps_its_bytes() {
+fn every_element_of_a_configuration_keeps_its_bytes() {
     let mut stored = Stored::read(include_str!("golden/configuration.hex"));
     stored.keeps("route", &route());
     stored.keeps("service", &service());
@@ -57,25 +57,25 @@
 }
 
 #[googletest::test]
-fn a_whole_state_keeps_its_bytes() {
+fn a_complete_state_keeps_its_bytes() {
     let mut stored = Stored::read(include_str!("golden/state.hex"));
     stored.keeps("state", &state());
     stored.keeps("empty-state", &State::default());
     expect_that!(stored.faults(), is_empty());
 }
 
-/// One more than go into a part.
+/// One more than fit into a chunk.
 const JOBS: u64 = 129;
 
 #[googletest::test]
-fn the_parts_of_a_frozen_state_keep_their_bytes() {
+fn the_chunks_of_a_snapshot_keep_their_bytes() {
     let mut stored = Stored::read(include_str!("golden/frozen.hex"));
     let small = state().snapshot();
     expect_that!(
         (small.chunks(), small.position()),
         eq((2, state().position))
     );
-    // Each part is a state with some of the records.
+    // Each chunk is a state with some of the records.
     stored.keeps(
         "all-but-the-jobs",
         &State {
@@ -90,20 +90,20 @@
             ..State::default()
         },
     );
-    let chunks = stored_parts().map(|chunk| hex(&chunk));
-    expect_that!(parts_of(&small), eq(&chunks.to_vec()));
+    let chunks = stored_chunks().map(|chunk| hex(&chunk));
+    expect_that!(chunks_of(&small), eq(&chunks.to_vec()));
     expect_that!(small.chunk(2), is_empty());
     expect_that!(stored.faults(), is_empty());
 }
 
 #[googletest::test]
-fn a_state_is_rebuilt_from_the_stored_parts() {
+fn a_state_is_rebuilt_from_the_stored_chunks() {
     let mut builder = SnapshotBuilder::default();
-    for chunk in stored_parts() {
+    for chunk in stored_chunks() {
         expect_that!(builder.add(&chunk), ok(anything()));
     }
     expect_that!(builder.finish(), some(eq(&state())));
-    // A state in one piece is its only part.
+    // A complete state counts as the only chunk.
     let mut stored = Stored::read(include_str!("golden/state.hex"));
     let mut builder = SnapshotBuilder::default();
     expect_that!(
@@ -114,12 +114,12 @@
 }
 
 #[googletest::test]
-fn the_jobs_of_a_large_state_are_cut_at_the_same_places() {
+fn the_jobs_of_a_large_state_are_split_into_the_same_chunks() {
     let mut large = state();
     large.jobs = (1..=JOBS)
         .map(|id| (JobId(id), Shared::new(Job::new(submission(id)))))
         .collect();
-    let chunks = parts_of(&large.snapshot());
+    let chunks = chunks_of(&large.snapshot());
     let jobs = |range: std::ops::RangeInclusive<u64>| {
         let jobs = large
             .jobs
@@ -141,9 +141,9 @@
     expect_that!(chunks, eq(&expected));
 }
 
-/// What the commands of a log make of an empty state is kept as well as the form of it.
+/// Pins the results of commands, not only the encoding of states.
 #[googletest::test]
-fn the_state_that_a_log_leads_to_keeps_its_bytes() {
+fn the_state_after_a_log_keeps_its_bytes() {
     let mut stored = Stored::read(include_str!("golden/after_a_log.hex"));
     let mut state = State::default();
     let task = |index| TaskId {
@@ -202,14 +202,14 @@
     expect_that!(stored.faults(), is_empty());
 }
 
-fn parts_of(frozen: &JobsSnapshot) -> Vec<String> {
-    (0..frozen.chunks())
-        .map(|number| hex(&frozen.chunk(number)))
+fn chunks_of(snapshot: &JobsSnapshot) -> Vec<String> {
+    (0..snapshot.chunks())
+        .map(|number| hex(&snapshot.chunk(number)))
         .collect()
 }
 
-/// The parts of the frozen sample, in their order.
-fn stored_parts() -> [Vec<u8>; 2] {
+/// The chunks of the stored snapshot, in their order.
+fn stored_chunks() -> [Vec<u8>; 2] {
     let mut stored = Stored::read(include_str!("golden/frozen.hex"));
     ["all-but-the-jobs", "the-jobs"].map(|name| stored.bytes(name).unwrap_or_default())
 }
