--- a/system/storage/src/directory.rs
+++ b/system/storage/src/directory.rs
@@ -1,115 +1,124 @@
-//! The files of a store, as real ones in a folder or as stand-ins in tests.
+//! The files of a store, and what it needs of the file system that holds them.
+//!
+//! What the files contain is in `format`; tests put a simulated disk in place of [`FolderDirectory`].
+use crate::generation::Parity;
 use std::{
     fs::{File, OpenOptions},
     io::{self, Read, Seek, SeekFrom, Write},
     path::{Path, PathBuf},
 };
 
-/// The four files of a store.
+/// One of the four files of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FileName {
-    /// The snapshot of an even (`false`) or odd (`true`) generation.
-    Slot(bool),
-    /// The log of an even (`false`) or odd (`true`) generation.
-    Log(bool),
+    /// The snapshot of an even or odd generation.
+    Slot(Parity),
+    /// The log of an even or odd generation.
+    Log(Parity),
 }
 
 impl FileName {
     /// All files.
     pub const ALL: [FileName; 4] = [
-        FileName::Slot(false),
-        FileName::Slot(true),
-        FileName::Log(false),
-        FileName::Log(true),
+        FileName::Slot(Parity::Even),
+        FileName::Slot(Parity::Odd),
+        FileName::Log(Parity::Even),
+        FileName::Log(Parity::Odd),
     ];
 
-    /// The file's name in the folder.
-    pub fn text(self) -> &'static str {
+    /// Name of the file within the folder.
+    pub fn as_str(self) -> &'static str {
         match self {
-            FileName::Slot(false) => "slot-0",
-            FileName::Slot(true) => "slot-1",
-            FileName::Log(false) => "log-0",
-            FileName::Log(true) => "log-1",
+            FileName::Slot(Parity::Even) => "slot-0",
+            FileName::Slot(Parity::Odd) => "slot-1",
+            FileName::Log(Parity::Even) => "log-0",
+            FileName::Log(Parity::Odd) => "log-1",
         }
     }
 }
 
-/// What a store needs of a file system.
+/// The file system as a store uses it.
 pub trait Directory {
-    /// A file's bytes; `None` where there is no such file.
+    /// Reads a file completely; `None` when it does not exist.
     ///
     /// # Errors
     /// When the file can't be read.
     fn read(&mut self, file: FileName) -> io::Result<Option<Vec<u8>>>;
 
-    /// Makes a file hold these bytes and nothing else. Neither the bytes nor the name need last yet.
+    /// Replaces the content of a file, which is created if it does not exist. Nothing is durable before [`Self::sync`].
     ///
     /// # Errors
-    /// When the file can't be made or written.
+    /// When the file can't be created or written.
     fn overwrite(&mut self, file: FileName, bytes: &[u8]) -> io::Result<()>;
 
-    /// Writes into a file that is there.
+    /// Writes at an offset of a file that exists.
     ///
     /// # Errors
     /// When the file can't be written.
     fn write_at(&mut self, file: FileName, offset: u64, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts a file.
+    /// Truncates a file to a length in bytes.
     ///
     /// # Errors
-    /// When the file can't be cut.
+    /// When the file can't be truncated.
     fn truncate(&mut self, file: FileName, length: u64) -> io::Result<()>;
 
-    /// Makes a file's bytes last, and its name.
+    /// Makes the content of a file and its name durable.
     ///
     /// # Errors
     /// When the disk does not confirm it.
     fn sync(&mut self, file: FileName) -> io::Result<()>;
 }
 
-/// Real files in a folder.
+/// The files of a store in a folder of the operating system.
 pub struct FolderDirectory {
     folder: PathBuf,
-    open: Vec<(FileName, File)>,
-    named: Vec<FileName>,
+    open_files: Vec<(FileName, File)>,
+    /// Files whose names in the folder are durable.
+    synced_names: Vec<FileName>,
 }
 
 impl FolderDirectory {
-    /// The files in a folder, which is made if it isn't there.
+    /// The files in a folder, which is created if it does not exist.
     ///
     /// # Errors
-    /// When the folder can't be made.
+    /// When the folder can't be created.
     pub fn new(folder: &Path) -> io::Result<FolderDirectory> {
         std::fs::create_dir_all(folder)?;
         Ok(FolderDirectory {
             folder: folder.to_owned(),
-            open: Vec::new(),
-            named: Vec::new(),
+            open_files: Vec::new(),
+            synced_names: Vec::new(),
         })
     }
 
+    fn path(&self, name: FileName) -> PathBuf {
+        self.folder.join(name.as_str())
+    }
+
+    /// The open file of a name; it is opened, or created, the first time.
     fn file(&mut self, name: FileName) -> io::Result<&mut File> {
-        let position = match self.open.iter().position(|(other, _)| *other == name) {
+        let known = self.open_files.iter().position(|(other, _)| *other == name);
+        let position = match known {
             Some(position) => position,
             None => {
-                let path = self.folder.join(name.text());
                 let file = OpenOptions::new()
                     .read(true)
                     .write(true)
                     .create(true)
                     .truncate(false)
-                    .open(path)?;
-                self.open.push((name, file));
-                self.open.len() - 1
+                    .open(self.path(name))?;
+                self.open_files.push((name, file));
+                self.open_files.len() - 1
             }
         };
-        Ok(&mut self.open[position].1)
+        Ok(&mut self.open_files[position].1)
     }
 }
 
 impl Directory for FolderDirectory {
     fn read(&mut self, name: FileName) -> io::Result<Option<Vec<u8>>> {
-        let mut file = match File::open(self.folder.join(name.text())) {
+        let mut file = match File::open(self.path(name)) {
             Ok(file) => file,
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
             Err(error) => return Err(error),
@@ -138,9 +147,9 @@
 
     fn sync(&mut self, name: FileName) -> io::Result<()> {
         self.file(name)?.sync_data()?;
-        if !self.named.contains(&name) {
+        if !self.synced_names.contains(&name) {
             File::open(&self.folder)?.sync_all()?;
-            self.named.push(name);
+            self.synced_names.push(name);
         }
         Ok(())
     }
--- a/system/storage/src/format.rs
+++ b/system/storage/src/format.rs
@@ -1,43 +1,74 @@
-//! The bytes of slots and logs.
+//! The encoding of slots and logs. When they are written, and which of them counts, is the business of `store`.
 //!
-//! A slot: magic, generation, length and checksum of the rest, then the parts of the snapshot, each with its length. (In the
-//! first version of the format the rest was a snapshot in one piece; it is still read, as one part.) A log: magic, generation, checksum
-//! of both, then records, each with its length and a checksum over generation and record. Numbers are little-endian.
+//! A slot: magic, generation, length and checksum of the rest, then the chunks of the snapshot, each with its length. (In
+//! version 1 of the format the rest is a snapshot that is not divided; it is still read, as the only chunk.) A log:
+//! magic, generation, checksum of both, then records, each with its length and a checksum over generation and record.
+//! Numbers are little-endian, checksums CRC-32.
+use crate::generation::Generation;
 
-/// First bytes of a slot; the last one counts the versions of the format.
+/// First bytes of a slot; the last one is the version of the format.
 const SLOT_MAGIC: &[u8; 8] = b"mgslot\0\x02";
-/// First bytes of a slot whose snapshot is in one piece.
-const SLOT_MAGIC_1: &[u8; 8] = b"mgslot\0\x01";
-/// First bytes of a log; the last one counts the versions of the format.
+/// First bytes of a slot in version 1 of the format.
+const SLOT_MAGIC_V1: &[u8; 8] = b"mgslot\0\x01";
+/// First bytes of a log; the last one is the version of the format.
 const LOG_MAGIC: &[u8; 8] = b"mglog\0\0\x01";
-/// Length of a slot's header.
-pub(crate) const SLOT_HEADER: usize = 8 + 8 + 8 + 4;
-/// Length of a log's header.
-pub(crate) const LOG_HEADER: usize = 8 + 8 + 4;
-const RECORD_HEADER: usize = 4 + 4;
-const PART_HEADER: usize = 4;
-
-fn checksum(generation: u64, bytes: &[u8]) -> u32 {
+
+/// Length of a magic number, in bytes.
+const MAGIC_BYTES: usize = 8;
+/// Offset of the generation in a slot and a log.
+const GENERATION_OFFSET: usize = MAGIC_BYTES;
+/// Offset of the length in a slot.
+const SLOT_LENGTH_OFFSET: usize = GENERATION_OFFSET + 8;
+/// Offset of the checksum in a slot.
+const SLOT_CHECKSUM_OFFSET: usize = SLOT_LENGTH_OFFSET + 8;
+/// Length of a slot's header, in bytes.
+const SLOT_HEADER_BYTES: usize = SLOT_CHECKSUM_OFFSET + 4;
+/// Length of a log's header, in bytes.
+pub(crate) const LOG_HEADER_BYTES: usize = GENERATION_OFFSET + 8 + 4;
+/// Length and checksum before each record, in bytes.
+const RECORD_HEADER_BYTES: usize = 4 + 4;
+/// The length before each chunk, in bytes.
+const CHUNK_HEADER_BYTES: usize = 4;
+
+fn checksum(generation: Generation, bytes: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&generation.to_le_bytes());
     hasher.update(bytes);
     hasher.finalize()
 }
 
-fn number<const N: usize>(bytes: &[u8], at: usize) -> Option<[u8; N]> {
-    bytes.get(at..at.checked_add(N)?)?.try_into().ok()
+/// The bytes of a number at an offset; `None` when they are not all there.
+fn bytes_at<const N: usize>(bytes: &[u8], offset: usize) -> Option<[u8; N]> {
+    let end = offset.checked_add(N)?;
+    bytes.get(offset..end)?.try_into().ok()
+}
+
+fn u32_at(bytes: &[u8], offset: usize) -> Option<u32> {
+    bytes_at(bytes, offset).map(u32::from_le_bytes)
+}
+
+fn u64_at(bytes: &[u8], offset: usize) -> Option<u64> {
+    bytes_at(bytes, offset).map(u64::from_le_bytes)
 }
 
-/// The header of a slot whose parts are added one by one.
+/// The header of a slot to which chunks are added one by one.
 pub(crate) struct SlotHeader {
-    generation: u64,
+    generation: Generation,
+    /// Bytes after the header so far.
     length: u64,
     checksum: crc32fast::Hasher,
 }
 
+/// A chunk as it is written into a slot.
+pub(crate) struct EncodedChunk {
+    /// Offset from the start of the slot, in bytes.
+    pub(crate) offset: u64,
+    pub(crate) bytes: Vec<u8>,
+}
+
 impl SlotHeader {
-    /// The header of a slot without parts.
-    pub(crate) fn new(generation: u64) -> SlotHeader {
+    /// The header of a slot without chunks.
+    pub(crate) fn new(generation: Generation) -> SlotHeader {
         let mut checksum = crc32fast::Hasher::new();
         checksum.update(&generation.to_le_bytes());
         SlotHeader {
@@ -47,20 +78,20 @@
         }
     }
 
-    /// Adds a part. Returns its bytes in the slot, and where they go.
-    pub(crate) fn add(&mut self, part: &[u8]) -> (u64, Vec<u8>) {
-        let mut bytes = Vec::with_capacity(PART_HEADER + part.len());
-        bytes.extend_from_slice(&(part.len() as u32).to_le_bytes());
-        bytes.extend_from_slice(part);
+    /// Adds a chunk, and encodes it.
+    pub(crate) fn add(&mut self, chunk: &[u8]) -> EncodedChunk {
+        let mut bytes = Vec::with_capacity(CHUNK_HEADER_BYTES + chunk.len());
+        bytes.extend_from_slice(&(chunk.len() as u32).to_le_bytes());
+        bytes.extend_from_slice(chunk);
         self.checksum.update(&bytes);
-        let place = SLOT_HEADER as u64 + self.length;
+        let offset = SLOT_HEADER_BYTES as u64 + self.length;
         self.length += bytes.len() as u64;
-        (place, bytes)
+        EncodedChunk { offset, bytes }
     }
 
-    /// The header's bytes: with them the slot is whole.
+    /// Encodes the header: with it the slot is complete.
     pub(crate) fn finish(self) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(SLOT_HEADER);
+        let mut bytes = Vec::with_capacity(SLOT_HEADER_BYTES);
         bytes.extend_from_slice(SLOT_MAGIC);
         bytes.extend_from_slice(&self.generation.to_le_bytes());
         bytes.extend_from_slice(&self.length.to_le_bytes());
@@ -69,79 +100,98 @@
     }
 }
 
-/// Reads a slot: its generation and the parts of its snapshot; `None` when it isn't whole.
-pub(crate) fn read_slot(bytes: &[u8]) -> Option<(u64, Vec<Vec<u8>>)> {
-    let magic = bytes.get(..8)?;
-    if magic != SLOT_MAGIC && magic != SLOT_MAGIC_1 {
+/// The content of a slot.
+pub(crate) struct Slot {
+    pub(crate) generation: Generation,
+    /// Chunks of the snapshot.
+    pub(crate) chunks: Vec<Vec<u8>>,
+}
+
+/// Reads a slot; `None` when it is incomplete or damaged.
+pub(crate) fn read_slot(bytes: &[u8]) -> Option<Slot> {
+    let magic = bytes.get(..MAGIC_BYTES)?;
+    if magic != SLOT_MAGIC && magic != SLOT_MAGIC_V1 {
         return None;
     }
-    let generation = u64::from_le_bytes(number(bytes, 8)?);
-    let length = usize::try_from(u64::from_le_bytes(number(bytes, 16)?)).ok()?;
-    let expected = u32::from_le_bytes(number(bytes, 24)?);
-    let content = bytes.get(SLOT_HEADER..SLOT_HEADER.checked_add(length)?)?;
+    let generation = Generation(u64_at(bytes, GENERATION_OFFSET)?);
+    let length = usize::try_from(u64_at(bytes, SLOT_LENGTH_OFFSET)?).ok()?;
+    let expected = u32_at(bytes, SLOT_CHECKSUM_OFFSET)?;
+    let end = SLOT_HEADER_BYTES.checked_add(length)?;
+    let content = bytes.get(SLOT_HEADER_BYTES..end)?;
     if checksum(generation, content) != expected {
         return None;
     }
-    let parts = if magic == SLOT_MAGIC {
-        split_parts(content)?
+    let chunks = if magic == SLOT_MAGIC {
+        split_chunks(content)?
     } else {
         vec![content.to_vec()]
     };
-    Some((generation, parts))
+    Some(Slot { generation, chunks })
 }
 
-fn split_parts(content: &[u8]) -> Option<Vec<Vec<u8>>> {
-    let mut parts = Vec::new();
-    let mut at = 0;
-    while at < content.len() {
-        let length = u32::from_le_bytes(number(content, at)?) as usize;
-        let end = at.checked_add(PART_HEADER)?.checked_add(length)?;
-        parts.push(content.get(at + PART_HEADER..end)?.to_vec());
-        at = end;
+fn split_chunks(content: &[u8]) -> Option<Vec<Vec<u8>>> {
+    let mut chunks = Vec::new();
+    let mut offset = 0;
+    while offset < content.len() {
+        let length = u32_at(content, offset)? as usize;
+        let start = offset.checked_add(CHUNK_HEADER_BYTES)?;
+        let end = start.checked_add(length)?;
+        chunks.push(content.get(start..end)?.to_vec());
+        offset = end;
     }
-    Some(parts)
+    Some(chunks)
 }
 
-/// The bytes of a log without records.
-pub(crate) fn empty_log(generation: u64) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(LOG_HEADER);
+/// Encodes a log without records.
+pub(crate) fn empty_log(generation: Generation) -> Vec<u8> {
+    let mut bytes = Vec::with_capacity(LOG_HEADER_BYTES);
     bytes.extend_from_slice(LOG_MAGIC);
     bytes.extend_from_slice(&generation.to_le_bytes());
     bytes.extend_from_slice(&checksum(generation, LOG_MAGIC).to_le_bytes());
     bytes
 }
 
-/// The generation of a log; `None` when its header isn't whole.
-pub(crate) fn log_generation(bytes: &[u8]) -> Option<u64> {
-    let generation = u64::from_le_bytes(number(bytes, 8)?);
-    (bytes.get(..LOG_HEADER)? == empty_log(generation)).then_some(generation)
+/// The generation of a log; `None` when its header is incomplete or damaged.
+pub(crate) fn log_generation(bytes: &[u8]) -> Option<Generation> {
+    let generation = Generation(u64_at(bytes, GENERATION_OFFSET)?);
+    let header = bytes.get(..LOG_HEADER_BYTES)?;
+    (header == empty_log(generation)).then_some(generation)
 }
 
-/// Adds a record to bytes that go to the end of a log.
-pub(crate) fn push_record(bytes: &mut Vec<u8>, generation: u64, record: &[u8]) {
+/// Encodes a record to be appended to a log.
+pub(crate) fn push_record(bytes: &mut Vec<u8>, generation: Generation, record: &[u8]) {
     bytes.extend_from_slice(&(record.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&checksum(generation, record).to_le_bytes());
     bytes.extend_from_slice(record);
 }
 
-/// The whole records of a log and where they end; `None` when it isn't the log of this generation.
-pub(crate) fn read_log(generation: u64, bytes: &[u8]) -> Option<(Vec<Vec<u8>>, usize)> {
-    if bytes.get(..LOG_HEADER)? != empty_log(generation) {
+/// The valid content of a log.
+pub(crate) struct Log {
+    /// Records up to the first one that is incomplete or damaged.
+    pub(crate) records: Vec<Vec<u8>>,
+    /// Offset at which they end, in bytes.
+    pub(crate) end: usize,
+}
+
+/// Reads a log; `None` when it isn't the log of this generation.
+pub(crate) fn read_log(generation: Generation, bytes: &[u8]) -> Option<Log> {
+    if log_generation(bytes)? != generation {
         return None;
     }
     let mut records = Vec::new();
-    let mut at = LOG_HEADER;
-    while let Some((record, end)) = read_record(generation, bytes, at) {
-        records.push(record);
-        at = end;
+    let mut end = LOG_HEADER_BYTES;
+    while let Some(record) = read_record(generation, bytes, end) {
+        records.push(record.to_vec());
+        end += RECORD_HEADER_BYTES + record.len();
     }
-    Some((records, at))
+    Some(Log { records, end })
 }
 
-fn read_record(generation: u64, bytes: &[u8], at: usize) -> Option<(Vec<u8>, usize)> {
-    let length = u32::from_le_bytes(number(bytes, at)?) as usize;
-    let expected = u32::from_le_bytes(number(bytes, at + 4)?);
-    let end = at.checked_add(RECORD_HEADER)?.checked_add(length)?;
-    let record = bytes.get(at + RECORD_HEADER..end)?;
-    (checksum(generation, record) == expected).then(|| (record.to_vec(), end))
+fn read_record(generation: Generation, bytes: &[u8], offset: usize) -> Option<&[u8]> {
+    let length = u32_at(bytes, offset)? as usize;
+    let expected = u32_at(bytes, offset + 4)?;
+    let start = offset.checked_add(RECORD_HEADER_BYTES)?;
+    let end = start.checked_add(length)?;
+    let record = bytes.get(start..end)?;
+    (checksum(generation, record) == expected).then_some(record)
 }
--- a/system/storage/tests/golden.rs
+++ b/system/storage/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The bytes of slots and logs, and the names of their files.
 //!
-//! They must not change: a machine that starts with another build must read all that the build before has kept, and may
-//! go back to it while the machines are brought to another build one by one. The stored files are in
+//! They must not change: a machine that starts with another build must read all that the build before has stored, and may
+//! go back to it during a rolling update. The stored files are in
 //! `golden/files.hex`, one line for each file, as `folder/file: bytes`. A change of names in the code leaves them as they
 //! are; another version of the format gets folders of its own beside these.
 use googletest::prelude::*;
@@ -62,15 +62,15 @@
 fn expect_files(name: &str, folder: &TempDir) {
     let written = files(folder.path());
     let names: Vec<&str> = written.iter().map(|(file, _)| file.as_str()).collect();
-    let meant: Vec<&str> = stored(name).iter().map(|(file, _)| *file).collect();
-    expect_that!(names, eq(&meant), "{name}");
-    for ((file, written), (_, kept)) in written.iter().zip(stored(name)) {
-        expect_that!(written, eq(kept), "{name}/{file}");
+    let expected: Vec<&str> = stored(name).iter().map(|(file, _)| *file).collect();
+    expect_that!(names, eq(&expected), "{name}");
+    for ((file, bytes), (_, stored_bytes)) in written.iter().zip(stored(name)) {
+        expect_that!(bytes, eq(stored_bytes), "{name}/{file}");
     }
 }
 
-fn expect_recovered(name: &str, meant: &Recovered) {
-    expect_that!(&open(&stored_folder(name)).1, eq(meant), "{name}");
+fn expect_recovered(name: &str, expected: &Recovered) {
+    expect_that!(&open(&stored_folder(name)).1, eq(expected), "{name}");
 }
 
 fn records(texts: &[&str]) -> Vec<Vec<u8>> {
@@ -110,7 +110,7 @@
     folder
 }
 
-/// A checkpoint without parts and without records after it.
+/// A checkpoint without chunks and without records after it.
 fn write_empty_checkpoint() -> TempDir {
     let folder = tempfile::tempdir().unwrap();
     let (mut store, _) = open(&folder);
@@ -121,7 +121,7 @@
 #[googletest::test]
 fn files_keep_their_names() {
     expect_that!(
-        FileName::ALL.map(FileName::text),
+        FileName::ALL.map(FileName::as_str),
         eq(["slot-0", "slot-1", "log-0", "log-1"])
     );
 }
@@ -135,7 +135,7 @@
 }
 
 #[googletest::test]
-fn a_stored_folder_opens_and_gives_what_was_kept() {
+fn a_stored_folder_opens_and_gives_what_was_stored() {
     let first = Recovered {
         snapshot: None,
         records: records(&["first", "", "third"]),
@@ -162,12 +162,12 @@
 
 /// Nothing writes the first version any more: the stored slot was made by hand, as the head comment of the format says.
 #[googletest::test]
-fn a_stored_slot_of_the_first_version_is_still_read_as_one_part() {
-    let meant = Recovered {
+fn a_stored_slot_of_the_first_version_is_still_read_as_one_chunk() {
+    let expected = Recovered {
         snapshot: Some(records(&["a snapshot in one piece"])),
         records: records(&["after it"]),
     };
-    expect_recovered("first version", &meant);
+    expect_recovered("first version", &expected);
 }
 
 #[googletest::test]
