--- a/system/distribution/examples/sizes.rs
+++ b/system/distribution/examples/sizes.rs
@@ -1,59 +1,59 @@
-//! What a version of the configuration takes on its way to an agent: bytes, and time on links of different rates.
+//! Measures what a version of the configuration takes to reach an agent: bytes, and time on links of different rates.
 //!
 //! `cargo run --profile system -p magpiegap-distribution --example sizes`
 //!
-//! One agent and three coordinators on simulated time (`balancer/core/tests/slow_link`); processor time counts for nothing. The time is
-//! from the order in force at the coordinators until it is in force at the agent.
+//! One agent and three coordinators on simulated time (`tests/slow_link`); processor time counts for nothing. The time is
+//! from the moment at which it is in force at the coordinators until it is in force at the agent.
 #[path = "../tests/common/mod.rs"]
 mod common;
 #[path = "../tests/slow_link/mod.rs"]
 mod slow_link;
 
 use common::{configuration, source};
-use slow_link::{whole_body_bytes, World};
+use slow_link::{body_bytes, World};
 
 const ROUTES: [u64; 5] = [10, 100, 350, 1830, 5000];
 /// Links, in bytes a second: 64 kbit/s, 2 Mbit/s, 200 Mbit/s.
 const RATES: [u64; 3] = [8_000, 250_000, 25_000_000];
-/// Longest play, in milliseconds.
-const MOST_MS: u64 = 120_000;
+/// Maximum time for one measurement, in milliseconds.
+const MAX_MS: u64 = 120_000;
 
-/// Bytes of the whole of a configuration, and of a change of one route.
-fn bytes(routes: u64) -> (u64, u64) {
+/// Bytes of a complete configuration, and of a change of one route.
+fn transfer_bytes(routes: u64) -> (u64, u64) {
     let mut source = source([configuration(1, 0..routes), configuration(2, 0..routes + 1)]);
-    let whole = source
+    let complete = source
         .chunk(&Default::default())
         .map_or(0, |chunk| chunk.length);
     let change = source.small_change(1).map_or(0, |chunk| chunk.length);
-    (whole, change)
+    (complete, change)
 }
 
 /// Milliseconds until a version is in force.
 fn until_in_force(world: &mut World, version: u64) -> u64 {
-    let begun = world.now();
-    while world.version() < version && world.now() < begun + MOST_MS {
+    let started = world.now();
+    while world.version() < version && world.now() < started + MAX_MS {
         world.run_for(1);
     }
-    world.now() - begun
+    world.now() - started
 }
 
 fn main() {
     println!("routes | body as sent, about | whole on its way | one route more | ms for the whole, ms for one route more, by link");
     for routes in ROUTES {
-        let (whole, change) = bytes(routes);
+        let (complete, change) = transfer_bytes(routes);
         print!(
-            "{routes} | {} | {whole} | {change}",
-            whole_body_bytes(&configuration(1, 0..routes))
+            "{routes} | {} | {complete} | {change}",
+            body_bytes(&configuration(1, 0..routes))
         );
         for rate in RATES {
             let mut world = World::new(rate);
             world.run_for(2000);
             world.push(configuration(1, 0..routes));
-            let for_whole = until_in_force(&mut world, 1);
+            let complete_ms = until_in_force(&mut world, 1);
             world.run_for(2000);
             world.push(configuration(2, 0..routes + 1));
-            let for_change = until_in_force(&mut world, 2);
-            print!(" | {} kbit/s: {for_whole}, {for_change}", rate * 8 / 1000);
+            let change_ms = until_in_force(&mut world, 2);
+            print!(" | {} kbit/s: {complete_ms}, {change_ms}", rate * 8 / 1000);
         }
         println!();
     }
--- a/system/distribution/src/change.rs
+++ b/system/distribution/src/change.rs
@@ -1,49 +1,49 @@
-//! What leads from one version of the configuration to another.
+//! The difference between two versions of the configuration. How it is encoded is in `encoding`.
 use magpiegap_jobs::{Configuration, Limits, Route, RouteTable, Service};
 use minicbor::{Decode, Encode};
 use std::{collections::BTreeSet, sync::Arc};
 
-/// The difference between two versions of the configuration, by routes. With base 0 it is a whole configuration.
+/// The difference between two versions of the configuration, by routes. With base 0 it is a complete configuration.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ConfigurationChange {
-    /// The version that it builds on; zero: none.
+    /// The version that it applies to; zero: the empty configuration.
     #[n(0)]
     pub base: u64,
-    /// The version that it leads to.
+    /// The version that it results in.
     #[n(1)]
     pub version: u64,
-    /// Names of the routes that are gone.
+    /// Names of the routes that are removed.
     #[n(2)]
     pub removed: Vec<String>,
-    /// The routes that are new or differ.
+    /// Routes that are new or have changed.
     #[n(3)]
     pub routes: Vec<Route>,
-    /// All services: there are few.
+    /// All services of the resulting version: there are few.
     #[n(4)]
     pub services: Vec<Service>,
-    /// The limits.
+    /// The limits of the resulting version.
     #[n(5)]
     pub limits: Limits,
 }
 
 impl ConfigurationChange {
-    /// What leads from one configuration to another.
+    /// The difference from one configuration to another.
     pub fn between(base: &Configuration, newer: &Configuration) -> ConfigurationChange {
-        let is_gone = |route: &&Arc<Route>| newer.routes.get(&route.name).is_none();
-        let differs = |route: &&Arc<Route>| base.routes.get(&route.name) != Some(route);
+        let is_removed = |route: &&Arc<Route>| newer.routes.get(&route.name).is_none();
+        let has_changed = |route: &&Arc<Route>| base.routes.get(&route.name) != Some(route);
         ConfigurationChange {
             base: base.version,
             version: newer.version,
             removed: base
                 .routes
                 .iter()
-                .filter(is_gone)
+                .filter(is_removed)
                 .map(|route| route.name.clone())
                 .collect(),
             routes: newer
                 .routes
                 .iter()
-                .filter(differs)
+                .filter(has_changed)
                 .map(|route| Route::clone(route))
                 .collect(),
             services: newer.services.values().cloned().collect(),
@@ -51,21 +51,21 @@
         }
     }
 
-    /// The configuration to which this leads from `base`. The caller sees to it that `base` has the right version.
+    /// The configuration that results from `base`. The caller checks that `base` has the right version.
     pub fn apply_to(self, base: &Configuration) -> Configuration {
         let replaced: BTreeSet<&str> = self
             .removed
             .iter()
             .map(String::as_str)
-            .chain(self.routes.iter().map(|r| r.name.as_str()))
+            .chain(self.routes.iter().map(|route| route.name.as_str()))
             .collect();
-        let kept: Vec<Arc<Route>> = base
+        let unchanged: Vec<Arc<Route>> = base
             .routes
             .iter()
             .filter(|route| !replaced.contains(route.name.as_str()))
             .cloned()
             .collect();
-        let routes: RouteTable = kept
+        let routes: RouteTable = unchanged
             .into_iter()
             .chain(self.routes.into_iter().map(Arc::new))
             .collect();
--- a/system/distribution/src/encoding.rs
+++ b/system/distribution/src/encoding.rs
@@ -1,36 +1,36 @@
-//! The encoded form of a change of the configuration: `minicbor`, compressed where that pays.
+//! The encoding of a change of the configuration: CBOR, compressed with deflate (RFC 1951) where that pays.
 use crate::ConfigurationChange;
 use flate2::{read::DeflateDecoder, write::DeflateEncoder, Compression};
 use magpiegap_protocol::{decode, encode, DecodeError};
 use std::io::{Read, Write};
 
-/// Shorter changes are sent as they are.
-const COMPRESSED_FROM: usize = 512;
-/// No change is longer than this when it is decompressed, in bytes: the operator's interface takes no longer one.
-const MOST_BYTES: u64 = 64 << 20;
-/// First byte of a change that is sent as it is.
+/// Shorter changes are not compressed, in bytes.
+const MIN_COMPRESSED_BYTES: usize = 512;
+/// Maximum length of a decompressed change, in bytes: the operator's interface accepts no longer body.
+const MAX_DECOMPRESSED_BYTES: u64 = 64 << 20;
+/// First byte of a change that is not compressed.
 const PLAIN: u8 = 0;
 /// First byte of a change that is compressed with deflate.
 const DEFLATED: u8 = 1;
 
-/// Bytes that are no change of the configuration.
+/// Why bytes can't be read as a change of the configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum EncodingError {
-    /// They are empty, or begin with a byte that stands for no form.
+    /// They are empty, or their first byte is not known.
     #[error("a change of the configuration in an unknown form")]
     UnknownForm,
     /// They can't be decompressed.
     #[error("a change of the configuration can't be decompressed: {0}")]
     Compression(#[from] std::io::Error),
-    /// What is in them can't be read.
+    /// The decompressed bytes are malformed.
     #[error(transparent)]
     Content(#[from] DecodeError),
 }
 
-/// The encoded form of a change.
+/// Encodes a change.
 pub(crate) fn encode_change(change: &ConfigurationChange) -> Vec<u8> {
     let plain = encode(change);
-    if plain.len() >= COMPRESSED_FROM {
+    if plain.len() >= MIN_COMPRESSED_BYTES {
         if let Ok(compressed) = deflate(&plain) {
             return compressed;
         }
@@ -44,14 +44,14 @@
     encoder.finish()
 }
 
-/// Reads a change.
+/// Decodes a change.
 pub(crate) fn decode_change(bytes: &[u8]) -> Result<ConfigurationChange, EncodingError> {
     match bytes.split_first() {
         Some((&PLAIN, plain)) => Ok(decode(plain)?),
         Some((&DEFLATED, compressed)) => {
             let mut plain = Vec::new();
             DeflateDecoder::new(compressed)
-                .take(MOST_BYTES)
+                .take(MAX_DECOMPRESSED_BYTES)
                 .read_to_end(&mut plain)?;
             Ok(decode(&plain)?)
         }
--- a/system/distribution/src/receiver.rs
+++ b/system/distribution/src/receiver.rs
@@ -1,120 +1,124 @@
-//! The receiving side: puts the parts of a change together and applies it.
+//! The receiving side: assembles the chunks of a change and applies it. It makes no calls.
 use crate::encoding::{decode_change, EncodingError};
 use magpiegap_jobs::Configuration;
 use magpiegap_protocol::{fnv1a, ConfigurationChunk, ConfigurationFetch, TransferId};
 use std::sync::Arc;
 
-/// What has come of a part.
+/// The result of a chunk.
 #[derive(Debug)]
 pub enum Received {
-    /// A newer configuration is in place.
+    /// The change is complete: a newer configuration is in force.
     Configuration(Arc<Configuration>),
-    /// More parts are to be asked for.
+    /// More chunks are to be requested.
     More,
-    /// The part was of no use; what is missing is to be asked for anew.
+    /// The chunk does not fit; what is missing is to be requested again.
     Unusable,
-    /// The bytes are complete and no change that can be read: the whole configuration is to be asked for.
+    /// The change is complete and can't be applied: the complete configuration is to be requested. `None`: its checksum or
+    /// versions differ.
     Faulty(Option<EncodingError>),
 }
 
-/// A change of which not all parts are there.
-struct Incoming {
-    id: TransferId,
+/// A change that is incomplete.
+struct PartialChange {
+    transfer: TransferId,
     bytes: Vec<u8>,
 }
 
-/// A configuration, and what has come of the change to a newer one.
+/// The configuration in force, and the chunks of the change to a newer one.
 #[derive(Default)]
 pub struct ConfigurationReceiver {
     configuration: Arc<Configuration>,
-    incoming: Option<Incoming>,
-    /// The last change could not be applied: the whole is asked for.
-    wants_whole: bool,
+    partial: Option<PartialChange>,
+    /// The last change could not be applied: the complete configuration is requested.
+    needs_complete: bool,
 }
 
 impl ConfigurationReceiver {
-    /// The configuration in place; version zero: there is none yet.
+    /// The configuration in force; version zero: there is none yet.
     pub fn configuration(&self) -> &Arc<Configuration> {
         &self.configuration
     }
 
-    /// The version in place; zero: there is none yet.
+    /// The version in force; zero: there is none yet.
     pub fn version(&self) -> u64 {
         self.configuration.version
     }
 
-    /// Bytes that have come of the change under way.
-    pub fn bytes_so_far(&self) -> u64 {
-        self.incoming
+    /// Bytes received of the change in progress.
+    pub fn received_bytes(&self) -> u64 {
+        self.partial
             .as_ref()
-            .map_or(0, |incoming| incoming.bytes.len() as u64)
+            .map_or(0, |partial| partial.bytes.len() as u64)
     }
 
-    /// What to ask for next.
+    /// The next request.
     pub fn fetch(&self) -> ConfigurationFetch {
-        let base = if self.wants_whole { 0 } else { self.version() };
+        let base = if self.needs_complete {
+            0
+        } else {
+            self.version()
+        };
         ConfigurationFetch {
             base,
-            transfer: self.incoming.as_ref().map(|incoming| incoming.id),
-            offset: self.bytes_so_far(),
+            transfer: self.partial.as_ref().map(|partial| partial.transfer),
+            offset: self.received_bytes(),
         }
     }
 
-    /// Takes a part. One that begins a transfer takes the place of another one under way.
+    /// Handles a chunk. One that begins a transfer replaces the one in progress.
     pub fn take(&mut self, chunk: ConfigurationChunk) -> Received {
-        let id = chunk.transfer;
-        if id.version <= self.version() || (id.base != 0 && id.base != self.version()) {
+        let transfer = chunk.transfer;
+        let is_applicable = transfer.base == 0 || transfer.base == self.version();
+        if transfer.version <= self.version() || !is_applicable {
             return Received::Unusable;
         }
-        let continues = self
-            .incoming
-            .as_ref()
-            .is_some_and(|incoming| incoming.id == id)
-            && chunk.offset == self.bytes_so_far();
+        let current = self.partial.as_ref().map(|partial| partial.transfer);
+        let continues = current == Some(transfer) && chunk.offset == self.received_bytes();
         if !continues && chunk.offset != 0 {
             return Received::Unusable;
         }
-        let incoming = match self.incoming.take().filter(|_| continues) {
-            Some(mut incoming) => {
-                incoming.bytes.extend_from_slice(&chunk.bytes);
-                incoming
+        let partial = match self.partial.take().filter(|_| continues) {
+            Some(mut partial) => {
+                partial.bytes.extend_from_slice(&chunk.bytes);
+                partial
             }
-            None => Incoming {
-                id,
+            None => PartialChange {
+                transfer,
                 bytes: chunk.bytes,
             },
         };
-        if (incoming.bytes.len() as u64) < chunk.length {
-            self.incoming = Some(incoming);
+        if (partial.bytes.len() as u64) < chunk.length {
+            self.partial = Some(partial);
             return Received::More;
         }
-        self.apply(&incoming)
+        self.apply(&partial)
     }
 
-    fn apply(&mut self, incoming: &Incoming) -> Received {
-        let sound = fnv1a(&incoming.bytes) == incoming.id.checksum;
-        let change = match sound.then(|| decode_change(&incoming.bytes)).transpose() {
-            Ok(Some(change))
-                if (change.base, change.version) == (incoming.id.base, incoming.id.version) =>
-            {
-                change
-            }
-            Ok(_) => return self.fault(None),
-            Err(error) => return self.fault(Some(error)),
+    /// Applies a change of which all bytes are there.
+    fn apply(&mut self, received: &PartialChange) -> Received {
+        let transfer = received.transfer;
+        if fnv1a(&received.bytes) != transfer.checksum {
+            return self.reject(None);
+        }
+        let change = match decode_change(&received.bytes) {
+            Ok(change) => change,
+            Err(error) => return self.reject(Some(error)),
         };
-        let nothing = Configuration::default();
-        let base = if change.base == 0 {
-            &nothing
+        if change.base != transfer.base || change.version != transfer.version {
+            return self.reject(None);
+        }
+        let configuration = if change.base == 0 {
+            change.apply_to(&Configuration::default())
         } else {
-            self.configuration.as_ref()
+            change.apply_to(&self.configuration)
         };
-        self.configuration = Arc::new(change.apply_to(base));
-        self.wants_whole = false;
+        self.configuration = Arc::new(configuration);
+        self.needs_complete = false;
         Received::Configuration(self.configuration.clone())
     }
 
-    fn fault(&mut self, error: Option<EncodingError>) -> Received {
-        self.wants_whole = true;
+    fn reject(&mut self, error: Option<EncodingError>) -> Received {
+        self.needs_complete = true;
         Received::Faulty(error)
     }
 }
--- a/system/distribution/src/source.rs
+++ b/system/distribution/src/source.rs
@@ -1,4 +1,4 @@
-//! The sending side: the newest configuration, and what leads to it from those before.
+//! The sending side: the newest configuration, and the changes to it from earlier versions. It makes no calls.
 use crate::{
     change::ConfigurationChange,
     encoding::{decode_change, encode_change},
@@ -7,16 +7,16 @@
 use magpiegap_protocol::{fnv1a, ConfigurationChunk, ConfigurationFetch, TransferId};
 use std::{collections::VecDeque, sync::Arc};
 
-/// Length of a part, in bytes. At 2 Mbit/s it holds the link up for 65 ms, so that other messages pass between parts.
+/// Length of a chunk, in bytes. At 2 Mbit/s it occupies the link for 65 ms, so that other messages pass between chunks.
 pub const CHUNK_BYTES: usize = 16 << 10;
-/// A change of this many bytes at most goes with the news themselves.
-const MOST_WITH_NEWS: usize = 2 << 10;
-/// Configurations that are remembered: receivers that have an older one get the whole of the newest.
-const REMEMBERED: usize = 16;
-/// Encoded changes that are kept at least, however large they are.
-const LEAST_TRANSFERS: usize = 4;
-/// Bytes of encoded changes beyond which the ones that were not asked for the longest are dropped.
-const MOST_TRANSFER_BYTES: usize = 4 << 20;
+/// Maximum length of a change that is sent with the feed itself, in bytes.
+const MAX_INLINE_BYTES: usize = 2 << 10;
+/// Configurations that are remembered: receivers that have an older one get the newest one completely.
+const MAX_REMEMBERED: usize = 16;
+/// Number of encoded changes that are cached however large they are.
+const MIN_CACHED_TRANSFERS: usize = 4;
+/// Bytes of encoded changes above which the least recently used are dropped.
+const MAX_CACHED_BYTES: usize = 4 << 20;
 
 /// An encoded change.
 struct Transfer {
@@ -24,12 +24,12 @@
     bytes: Vec<u8>,
 }
 
-/// The newest configuration and what leads to it.
+/// The newest configuration, and a cache of the changes to it.
 #[derive(Default)]
 pub struct ConfigurationSource {
-    /// The newest one last.
+    /// The newest one is last.
     recent: VecDeque<Arc<Configuration>>,
-    /// The one that was asked for last at the end.
+    /// Encoded changes; the most recently used is last.
     transfers: VecDeque<Transfer>,
 }
 
@@ -39,8 +39,7 @@
         self.recent.back()
     }
 
-    /// Takes a newer configuration. Routes that are as they were share the memory of those before. Others than a newer one
-    /// are ignored.
+    /// Takes a newer configuration; others are ignored. Routes that did not change share the memory of the earlier ones.
     pub fn push(&mut self, newer: Configuration) {
         let newer = match self.newest() {
             Some(newest) if newest.version >= newer.version => return,
@@ -50,7 +49,7 @@
         self.add(Arc::new(newer));
     }
 
-    /// Takes a newer configuration that shares its routes with those before already. Others than a newer one are ignored.
+    /// Takes a newer configuration that shares its routes with the earlier ones already; others are ignored.
     pub fn push_shared(&mut self, newer: &Arc<Configuration>) {
         if self
             .newest()
@@ -62,12 +61,12 @@
 
     fn add(&mut self, newer: Arc<Configuration>) {
         self.recent.push_back(newer);
-        if self.recent.len() > REMEMBERED {
+        if self.recent.len() > MAX_REMEMBERED {
             self.recent.pop_front();
         }
     }
 
-    /// What leads to a configuration from the newest one, encoded; empty where that does not have the version wanted.
+    /// The encoded change from the newest configuration to a newer one; empty when the newest does not have version `base`.
     pub fn change_to(&self, base: u64, newer: &Configuration) -> Vec<u8> {
         match self.newest().filter(|newest| newest.version == base) {
             Some(newest) => encode_change(&ConfigurationChange::between(newest, newer)),
@@ -75,7 +74,7 @@
         }
     }
 
-    /// Takes a newer configuration by what leads to it from the newest one. Returns whether that could be done.
+    /// Takes a newer configuration as an encoded change of the newest one. Returns whether it could be applied.
     pub fn follow(&mut self, version: u64, change: &[u8]) -> bool {
         let Some(newest) = self.newest().cloned() else {
             return false;
@@ -90,30 +89,30 @@
         true
     }
 
-    /// What leads to the newest configuration from a version, where it is small enough to go with the news.
+    /// The change from a version to the newest one, where it is small enough to be sent with the feed.
     pub fn small_change(&mut self, base: u64) -> Option<ConfigurationChunk> {
         if self.newest()?.version <= base {
             return None;
         }
         let transfer = self.transfer_from(base)?;
-        (transfer.bytes.len() <= MOST_WITH_NEWS).then(|| transfer.chunk(0))
+        (transfer.bytes.len() <= MAX_INLINE_BYTES).then(|| transfer.chunk(0))
     }
 
-    /// The part that is asked for: of the transfer under way, or the first one of what leads to the newest configuration.
+    /// The chunk that is requested: of the transfer in progress, or the first one of the change to the newest version.
     /// `None`: the caller has the newest one, or there is none.
     pub fn chunk(&mut self, fetch: &ConfigurationFetch) -> Option<ConfigurationChunk> {
-        let under_way = fetch
+        let in_progress = fetch
             .transfer
             .and_then(|id| self.position(|transfer| transfer.id == id));
-        if let Some(position) = under_way {
-            let chunk = self.used(position)?.chunk(fetch.offset);
+        if let Some(position) = in_progress {
+            let chunk = self.mark_used(position)?.chunk(fetch.offset);
             return Some(chunk);
         }
         if self.newest()?.version <= fetch.base {
             return None;
         }
         let transfer = self.transfer_from(fetch.base)?;
-        // The same transfer may have been begun at another source.
+        // The same transfer may have been started at another source.
         let offset = if fetch.transfer == Some(transfer.id) {
             fetch.offset
         } else {
@@ -122,31 +121,31 @@
         Some(transfer.chunk(offset))
     }
 
-    fn position(&self, wanted: impl Fn(&Transfer) -> bool) -> Option<usize> {
-        self.transfers.iter().position(wanted)
+    fn position(&self, predicate: impl Fn(&Transfer) -> bool) -> Option<usize> {
+        self.transfers.iter().position(predicate)
     }
 
-    /// Takes note that a transfer is in use.
-    fn used(&mut self, position: usize) -> Option<&Transfer> {
+    /// Marks a transfer as the most recently used.
+    fn mark_used(&mut self, position: usize) -> Option<&Transfer> {
         let transfer = self.transfers.remove(position)?;
         self.transfers.push_back(transfer);
         self.transfers.back()
     }
 
-    /// What leads to the newest configuration from a version; from one that is not remembered the whole.
+    /// The change from a version to the newest one; the complete configuration for a version that is not remembered.
     fn transfer_from(&mut self, base: u64) -> Option<&Transfer> {
         let newest = self.newest()?.clone();
-        let nothing = Arc::new(Configuration::default());
+        let empty = Arc::new(Configuration::default());
         let remembered = self
             .recent
             .iter()
             .find(|configuration| configuration.version == base);
-        let base = remembered.cloned().unwrap_or(nothing);
-        let same = |transfer: &Transfer| {
+        let base = remembered.cloned().unwrap_or(empty);
+        let is_wanted = |transfer: &Transfer| {
             (transfer.id.base, transfer.id.version) == (base.version, newest.version)
         };
-        if let Some(position) = self.position(same) {
-            return self.used(position);
+        if let Some(position) = self.position(is_wanted) {
+            return self.mark_used(position);
         }
         let bytes = encode_change(&ConfigurationChange::between(&base, &newest));
         let id = TransferId {
@@ -160,18 +159,22 @@
     }
 
     fn drop_old_transfers(&mut self) {
-        let bytes = |transfers: &VecDeque<Transfer>| -> usize {
-            transfers.iter().map(|transfer| transfer.bytes.len()).sum()
-        };
-        while self.transfers.len() > LEAST_TRANSFERS && bytes(&self.transfers) > MOST_TRANSFER_BYTES
+        while self.transfers.len() > MIN_CACHED_TRANSFERS && self.cached_bytes() > MAX_CACHED_BYTES
         {
             self.transfers.pop_front();
         }
     }
+
+    fn cached_bytes(&self) -> usize {
+        self.transfers
+            .iter()
+            .map(|transfer| transfer.bytes.len())
+            .sum()
+    }
 }
 
 impl Transfer {
-    /// The part that begins at an offset; an empty one at the end.
+    /// The chunk that starts at an offset; an empty one at the end.
     fn chunk(&self, offset: u64) -> ConfigurationChunk {
         let length = self.bytes.len();
         let start = usize::try_from(offset).unwrap_or(usize::MAX).min(length);
@@ -185,7 +188,7 @@
     }
 }
 
-/// A configuration whose routes that are also in an older one are the very same objects.
+/// Replaces the routes that an older configuration has as well by the same objects.
 fn share_routes(older: &Configuration, newer: Configuration) -> Configuration {
     let shared = |route: &Arc<Route>| match older.routes.get(&route.name) {
         Some(known) if known == route => known.clone(),
--- a/system/distribution/tests/agents.rs
+++ b/system/distribution/tests/agents.rs
@@ -1,4 +1,4 @@
-//! Agents on links of any rate get every configuration, and roles never wait behind one.
+//! Agents on links of any rate get every configuration, and the feed never waits behind one.
 mod common;
 mod slow_link;
 
@@ -9,7 +9,7 @@
     ConfigurationChunk, ConfigurationFetch, CoordinatorRequest, CoordinatorResponse, Feed,
     TransferId, ViewNumber,
 };
-use slow_link::{whole_body_bytes, World, COORDINATORS};
+use slow_link::{body_bytes, World, COORDINATORS};
 
 /// Routes of a large configuration.
 const MANY: u64 = 2000;
@@ -24,8 +24,8 @@
     world.push(configuration(1, 0..MANY));
     world.run_until(3000);
     expect_that!(world.version(), eq(1));
-    // A body as the operator sent it would not have come within the patience of one answer.
-    expect_that!(whole_body_bytes(&configuration(1, 0..MANY)), gt(SLOW / 4));
+    // A body as the operator sent it would not have come within the timeout of one response.
+    expect_that!(body_bytes(&configuration(1, 0..MANY)), gt(SLOW / 4));
 }
 
 #[googletest::test]
@@ -36,12 +36,12 @@
     world.run_until(60_000);
     expect_that!(world.version(), eq(1));
     // Nothing is sent twice.
-    let whole = world.source_bytes();
-    expect_that!(world.bytes_of_parts(), eq(whole));
+    let complete = world.source_bytes();
+    expect_that!(world.chunk_bytes(), eq(complete));
 }
 
 #[googletest::test]
-fn given_a_storm_of_large_configurations_when_the_link_is_slow_then_the_newest_is_in_force_soon_after(
+fn given_a_burst_of_large_configurations_when_the_link_is_slow_then_the_newest_is_in_force_soon_after(
 ) {
     let mut world = World::new(SLOW);
     world.push(configuration(1, 0..MANY));
@@ -56,16 +56,17 @@
 }
 
 #[googletest::test]
-fn given_a_configuration_on_its_way_when_a_role_passes_on_then_the_news_do_not_wait_behind_it() {
+fn given_a_configuration_in_transfer_when_a_role_changes_its_holder_then_the_feed_does_not_wait_behind_it(
+) {
     let mut world = World::new(SLOW);
     world.push(configuration(1, 0..10 * MANY));
     world.run_until(400);
     expect_that!(world.version(), eq(0), "it is still on its way");
-    world.pass_role_on();
-    let at = world.now();
+    world.change_role_holder();
+    let changed_at = world.now();
     while world.token() < 2 {
         world.run_for(10);
-        assert_that!(world.now(), lt(at + 300));
+        assert_that!(world.now(), lt(changed_at + 300));
     }
     expect_that!(world.version(), eq(0), "it is still on its way");
     world.run_for(6000);
@@ -73,8 +74,7 @@
 }
 
 #[googletest::test]
-fn given_all_coordinators_gone_for_a_while_when_they_are_back_with_a_large_change_then_it_arrives()
-{
+fn given_all_coordinators_down_for_a_while_when_they_restart_with_a_large_change_then_it_arrives() {
     let mut world = World::new(SLOW);
     world.push(configuration(1, 0..MANY));
     world.run_until(3000);
@@ -88,7 +88,7 @@
 }
 
 #[googletest::test]
-fn given_clients_that_fill_the_link_when_answers_take_a_second_then_the_agent_is_served_all_the_same(
+fn given_clients_that_fill_the_link_when_responses_take_a_second_then_the_agent_is_served_all_the_same(
 ) {
     let mut world = World::new(SLOW);
     world.queue_delay_ms(1100);
@@ -101,7 +101,7 @@
 }
 
 #[googletest::test]
-fn given_one_coordinator_that_gives_no_configurations_when_it_is_asked_then_another_one_is() {
+fn given_one_coordinator_that_serves_no_fetches_when_it_fails_then_another_one_is_chosen() {
     let mut world = World::new(SLOW);
     world.push(configuration(1, 0..MANY));
     world.refuse_fetches_at(0);
@@ -110,7 +110,7 @@
 }
 
 #[googletest::test]
-fn given_an_agent_that_knows_nothing_when_it_is_asked_then_it_tells_nothing_and_is_lost() {
+fn given_an_agent_that_knows_nothing_when_no_poll_succeeds_then_its_feed_is_empty_and_it_is_lost() {
     let mut agent = Agent::new(AgentSettings {
         own_address: 5,
         seeds: vec![1, 2, 3],
@@ -126,7 +126,7 @@
         agent.answered(1, CallId::Poll(0), Err(CallFailure::NotConnected)),
         eq(false)
     );
-    // It moves on after a pause.
+    // It moves on after a delay.
     expect_that!(agent.poll_calls(1).len(), eq(0));
     let due = agent.next_timeout().unwrap_or_default();
     expect_that!(
@@ -136,7 +136,7 @@
 }
 
 #[googletest::test]
-fn given_a_change_that_can_not_be_read_when_it_comes_then_that_is_told_once_and_the_whole_is_asked_for(
+fn given_a_change_that_can_not_be_read_when_it_comes_then_that_is_reported_once_and_the_complete_one_requested(
 ) {
     let mut agent = Agent::new(AgentSettings {
         own_address: 5,
@@ -144,7 +144,7 @@
         links: 1,
     });
     agent.poll_calls(0);
-    let news = Feed {
+    let feed = Feed {
         view: ViewNumber(1),
         configuration_version: 4,
         revision: 1,
@@ -154,7 +154,7 @@
     agent.answered(
         1,
         CallId::Poll(0),
-        Ok(CoordinatorResponse::Feed(Box::new(news))),
+        Ok(CoordinatorResponse::Feed(Box::new(feed))),
     );
     let is_fetch = |call: &Call| call.id == CallId::Fetch;
     expect_that!(
@@ -188,12 +188,12 @@
         .into_iter()
         .find(is_fetch)
         .map(|call| call.request);
-    let whole = CoordinatorRequest::FetchConfiguration(ConfigurationFetch::default());
-    expect_that!(again, some(eq(&whole)));
+    let complete = CoordinatorRequest::FetchConfiguration(ConfigurationFetch::default());
+    expect_that!(again, some(eq(&complete)));
 }
 
 #[googletest::test]
-fn given_news_that_are_older_when_they_come_then_that_coordinator_is_not_trusted() {
+fn given_a_feed_that_is_older_when_it_comes_then_that_coordinator_is_not_given_time() {
     let mut agent = Agent::new(AgentSettings {
         own_address: 5,
         seeds: vec![1, 2, 3],
@@ -206,14 +206,14 @@
         chain: vec![1, 2, 3],
         ..Feed::default()
     };
-    let told = |agent: &mut Agent, now, feed| {
+    let receive = |agent: &mut Agent, now, feed| {
         agent.answered(
             now,
             CallId::Poll(0),
             Ok(CoordinatorResponse::Feed(Box::new(feed))),
         )
     };
-    expect_that!(told(&mut agent, 1, feed(ViewNumber(4), 40)), eq(true));
+    expect_that!(receive(&mut agent, 1, feed(ViewNumber(4), 40)), eq(true));
     let waits = |agent: &mut Agent, now| match &agent.poll_calls(now)[..] {
         [call] => matches!(&call.request, CoordinatorRequest::Poll(poll) if poll.wait_ms > 0),
         _ => false,
@@ -221,9 +221,9 @@
     expect_that!(
         waits(&mut agent, 2),
         eq(true),
-        "one that has served is asked to wait for news"
+        "one that has served may hold the poll"
     );
-    expect_that!(told(&mut agent, 3, feed(ViewNumber(3), 30)), eq(false));
+    expect_that!(receive(&mut agent, 3, feed(ViewNumber(3), 30)), eq(false));
     expect_that!(agent.feed().view, eq(ViewNumber(4)));
     expect_that!(waits(&mut agent, 1000), eq(false));
 }
--- a/system/distribution/tests/common/mod.rs
+++ b/system/distribution/tests/common/mod.rs
@@ -1,23 +1,23 @@
-//! Configurations for the stories.
+//! The harness of the tests: configurations, sources and receivers.
 #![allow(dead_code)]
 use magpiegap_distribution::{ConfigurationReceiver, ConfigurationSource, Received};
 use magpiegap_jobs::{Configuration, Route, Service};
 use magpiegap_protocol::{fnv1a, ConfigurationChunk};
 use std::sync::Arc;
 
-/// A name that looks like an operator's: not to be guessed from the one before.
+/// A name that does not compress against the one before, as an operator's would not.
 fn random_name(seed: u64) -> String {
     format!("{:016x}", fnv1a(&seed.to_le_bytes()))
 }
 
-/// A route whose name and place follow from its number.
+/// A route whose name, host and prefix follow from its number.
 pub(crate) fn route(number: u64) -> Route {
     const HOSTS: u64 = 1 << 40;
-    const PLACES: u64 = 1 << 41;
+    const PREFIXES: u64 = 1 << 41;
     Route {
         name: format!("r-{}", &random_name(number)[8..]),
         hostname: format!("{}.example", &random_name(HOSTS + number)[10..]),
-        path_prefix: format!("/{}/", &random_name(PLACES + number)[8..]),
+        path_prefix: format!("/{}/", &random_name(PREFIXES + number)[8..]),
         timeout_ms: 3000,
         target_latency_ms: 250,
         priority: 0,
@@ -57,7 +57,7 @@
     source
 }
 
-/// Fetches parts until the receiver has what the source has. Returns how many bytes that took.
+/// Fetches chunks until the receiver has what the source has. Returns their length in bytes.
 pub(crate) fn fetch_all(
     source: &mut ConfigurationSource,
     receiver: &mut ConfigurationReceiver,
@@ -74,10 +74,10 @@
     bytes
 }
 
-/// The next part, which has to be there.
-pub(crate) fn next_part(
+/// The next chunk, which has to be there.
+pub(crate) fn next_chunk(
     source: &mut ConfigurationSource,
     receiver: &ConfigurationReceiver,
 ) -> ConfigurationChunk {
-    source.chunk(&receiver.fetch()).expect("a part")
+    source.chunk(&receiver.fetch()).expect("a chunk")
 }
--- a/system/distribution/tests/slow_link/mod.rs
+++ b/system/distribution/tests/slow_link/mod.rs
@@ -1,4 +1,4 @@
-//! One agent and its coordinators, with a link of a certain rate between: simulated time, nothing sleeps.
+//! One agent and its coordinators, with a link of a given rate between them, on simulated time: nothing sleeps.
 #![allow(dead_code)]
 use magpiegap_distribution::{
     Agent, AgentSettings, Call, CallFailure, CallId, ConfigurationSource,
@@ -12,15 +12,15 @@
 
 /// How many coordinators there are.
 pub(crate) const COORDINATORS: usize = 3;
-/// One way, in milliseconds.
+/// Delay in one direction, in milliseconds.
 const DELAY_MS: Millis = 1;
-/// What HTTP and TCP add to an answer, in bytes.
-const HEADS: u64 = 300;
-/// Pieces in which an answer comes, in bytes: the time between two of them is what silence is judged by.
-const PIECE: u64 = 1460;
+/// What HTTP and TCP add to a response, in bytes.
+const PROTOCOL_BYTES: u64 = 300;
+/// Packets in which a response comes, in bytes: the time between two of them counts for the idle timeout.
+const PACKET_BYTES: u64 = 1460;
 
 /// About how many bytes a configuration has as an operator sends it.
-pub(crate) fn whole_body_bytes(configuration: &Configuration) -> u64 {
+pub(crate) fn body_bytes(configuration: &Configuration) -> u64 {
     const JSON_NAMES: u64 = 150;
     configuration
         .routes
@@ -29,31 +29,43 @@
         .sum()
 }
 
-/// A call under way.
-struct UnderWay {
+/// A call in flight.
+struct InFlightCall {
     call: Call,
-    begun_at: Millis,
-    /// When it waits no longer for news.
-    until: Millis,
-    /// The answer, once it is on its way, and when its first and last bytes arrive.
-    arriving: Option<(CoordinatorResponse, Millis, Millis, Millis)>,
+    started_at: Millis,
+    /// When the coordinator responds even if nothing has changed.
+    wait_until: Millis,
+    /// The response, once it is on the link.
+    arriving: Option<ArrivingResponse>,
+}
+
+/// A response on the link.
+struct ArrivingResponse {
+    response: CoordinatorResponse,
+    /// When the first packet arrives.
+    first_at: Millis,
+    /// When the last packet arrives.
+    last_at: Millis,
+    /// Time between two packets.
+    packet_ms: Millis,
 }
 
 /// An agent, its link and its coordinators.
 pub(crate) struct World {
     now: Millis,
-    bytes_a_second: u64,
-    /// What clients have waiting in the link, as time.
+    bytes_per_second: u64,
+    /// What is queued in the link for clients, as time.
     queue_ms: Millis,
     link_free_at: Millis,
-    bytes_of_parts: u64,
+    chunk_bytes: u64,
+    /// So many coordinators, from the first on, respond to nobody.
     down: usize,
-    refuses_fetches: Option<usize>,
+    refusing_fetches: Option<usize>,
     sources: Vec<ConfigurationSource>,
     version: u64,
     token: u64,
     agent: Agent,
-    calls: BTreeMap<u8, UnderWay>,
+    calls: BTreeMap<u8, InFlightCall>,
 }
 
 fn key(id: CallId) -> u8 {
@@ -64,17 +76,17 @@
 }
 
 impl World {
-    /// A world whose agent knows nothing yet, with a link of this rate.
-    pub(crate) fn new(bytes_a_second: u64) -> World {
+    /// An agent that knows nothing yet, on a link of this rate.
+    pub(crate) fn new(bytes_per_second: u64) -> World {
         let seeds = (0..COORDINATORS as u32).collect();
         World {
             now: 0,
-            bytes_a_second,
+            bytes_per_second,
             queue_ms: 0,
             link_free_at: 0,
-            bytes_of_parts: 0,
+            chunk_bytes: 0,
             down: 0,
-            refuses_fetches: None,
+            refusing_fetches: None,
             sources: (0..COORDINATORS)
                 .map(|_| ConfigurationSource::default())
                 .collect(),
@@ -99,24 +111,24 @@
         self.agent.configuration().version
     }
 
-    /// The newest token of the role that the agent knows.
+    /// The highest fencing token that the agent knows.
     pub(crate) fn token(&self) -> u64 {
         self.agent
             .feed()
             .roles
             .iter()
-            .map(|held| held.token)
+            .map(|holder| holder.token)
             .max()
             .unwrap_or_default()
             .0
     }
 
-    /// All that was sent to the agent in parts of configurations.
-    pub(crate) fn bytes_of_parts(&self) -> u64 {
-        self.bytes_of_parts
+    /// Bytes of all chunks that were sent to the agent.
+    pub(crate) fn chunk_bytes(&self) -> u64 {
+        self.chunk_bytes
     }
 
-    /// How many bytes the whole of the newest configuration takes on its way.
+    /// Bytes of the newest configuration when it is transferred completely.
     pub(crate) fn source_bytes(&mut self) -> u64 {
         let fetch = Default::default();
         self.sources[0]
@@ -124,7 +136,7 @@
             .map_or(0, |chunk| chunk.length)
     }
 
-    /// The operator's change is in force at the coordinators.
+    /// Puts a configuration in force at the coordinators.
     pub(crate) fn push(&mut self, configuration: Configuration) {
         self.version = configuration.version;
         self.sources
@@ -132,7 +144,7 @@
             .for_each(|source| source.push(configuration.clone()));
     }
 
-    /// The coordinators start anew, with this configuration only.
+    /// Restarts the coordinators, with this configuration only.
     pub(crate) fn restart_with(&mut self, configuration: Configuration) {
         self.sources = (0..COORDINATORS)
             .map(|_| ConfigurationSource::default())
@@ -140,50 +152,50 @@
         self.push(configuration);
     }
 
-    /// So many coordinators, from the first on, answer nobody.
+    /// Makes so many coordinators, from the first on, respond to nobody.
     pub(crate) fn set_down(&mut self, down: usize) {
         self.down = down;
     }
 
-    /// One coordinator answers no fetches.
+    /// Makes one coordinator refuse all fetches.
     pub(crate) fn refuse_fetches_at(&mut self, coordinator: usize) {
-        self.refuses_fetches = Some(coordinator);
+        self.refusing_fetches = Some(coordinator);
     }
 
-    /// Another coordinator takes the role.
-    pub(crate) fn pass_role_on(&mut self) {
+    /// Lets another coordinator claim the role.
+    pub(crate) fn change_role_holder(&mut self) {
         self.token += 1;
     }
 
-    /// All that is sent to the agent waits so long behind what is for others.
+    /// Delays all that is sent to the agent behind what is queued for clients.
     pub(crate) fn queue_delay_ms(&mut self, queue_ms: Millis) {
         self.queue_ms = queue_ms;
     }
 
-    /// Lets so much time pass.
+    /// Lets a duration pass.
     pub(crate) fn run_for(&mut self, millis: Millis) {
         self.run_until(self.now + millis);
     }
 
-    /// Lets time pass.
+    /// Lets time pass until a moment.
     pub(crate) fn run_until(&mut self, until: Millis) {
         while self.now < until {
             self.now += 1;
-            self.answer_calls();
-            self.end_calls();
+            self.send_responses();
+            self.complete_calls();
             for call in self.agent.poll_calls(self.now) {
-                let waits_ms = match &call.request {
+                let wait_ms = match &call.request {
                     CoordinatorRequest::Poll(poll) => poll.wait_ms,
                     _ => 0,
                 };
-                let until = self.now + DELAY_MS + waits_ms;
-                let under_way = UnderWay {
+                let wait_until = self.now + DELAY_MS + wait_ms;
+                let in_flight = InFlightCall {
                     call,
-                    begun_at: self.now,
-                    until,
+                    started_at: self.now,
+                    wait_until,
                     arriving: None,
                 };
-                self.calls.insert(key(under_way.call.id), under_way);
+                self.calls.insert(key(in_flight.call.id), in_flight);
             }
         }
     }
@@ -210,27 +222,27 @@
         }
     }
 
-    /// Puts the answers whose time has come on the link.
-    fn answer_calls(&mut self) {
+    /// Puts the responses that are due on the link.
+    fn send_responses(&mut self) {
         let feed = self.feed();
         let mut calls = std::mem::take(&mut self.calls);
-        for under_way in calls
+        for in_flight in calls
             .values_mut()
-            .filter(|under_way| under_way.arriving.is_none())
+            .filter(|in_flight| in_flight.arriving.is_none())
         {
-            let at = under_way.call.coordinator as usize;
-            if self.now < under_way.begun_at + DELAY_MS || at < self.down {
+            let at = in_flight.call.coordinator as usize;
+            if self.now < in_flight.started_at + DELAY_MS || at < self.down {
                 continue;
             }
-            let answer = match &under_way.call.request {
+            let response = match &in_flight.call.request {
                 CoordinatorRequest::Poll(poll) => {
-                    if poll.revision == feed.revision && self.now < under_way.until {
+                    if poll.revision == feed.revision && self.now < in_flight.wait_until {
                         continue;
                     }
-                    self.answer_poll(at, &feed, poll)
+                    self.poll_response(at, &feed, poll)
                 }
                 CoordinatorRequest::FetchConfiguration(fetch)
-                    if self.refuses_fetches != Some(at) =>
+                    if self.refusing_fetches != Some(at) =>
                 {
                     let chunk = self.sources[at].chunk(fetch);
                     chunk.map_or(CoordinatorResponse::NotServing, |chunk| {
@@ -239,12 +251,12 @@
                 }
                 _ => CoordinatorResponse::NotServing,
             };
-            under_way.arriving = Some(self.put_on_link(answer));
+            in_flight.arriving = Some(self.put_on_link(response));
         }
         self.calls = calls;
     }
 
-    fn answer_poll(&mut self, at: usize, feed: &Feed, poll: &FeedPoll) -> CoordinatorResponse {
+    fn poll_response(&mut self, at: usize, feed: &Feed, poll: &FeedPoll) -> CoordinatorResponse {
         let change = self.sources[at].small_change(poll.configuration_version);
         CoordinatorResponse::Feed(Box::new(Feed {
             change,
@@ -252,54 +264,55 @@
         }))
     }
 
-    /// The answer with the times of its first piece, of its last one, and between two pieces.
-    fn put_on_link(
-        &mut self,
-        answer: CoordinatorResponse,
-    ) -> (CoordinatorResponse, Millis, Millis, Millis) {
-        let bytes = encode(&answer).len() as u64 + HEADS;
-        let millis = |bytes: u64| bytes * 1000 / self.bytes_a_second + 1;
-        let begins = self.link_free_at.max(self.now + self.queue_ms);
-        let first = begins + millis(bytes.min(PIECE)) + DELAY_MS;
-        let last = begins + millis(bytes) + DELAY_MS;
-        self.link_free_at = begins + millis(bytes);
-        if let CoordinatorResponse::ConfigurationChunk(chunk) = &answer {
-            self.bytes_of_parts += chunk.bytes.len() as u64;
+    /// Sends a response, and says when it arrives.
+    fn put_on_link(&mut self, response: CoordinatorResponse) -> ArrivingResponse {
+        let bytes = encode(&response).len() as u64 + PROTOCOL_BYTES;
+        let millis = |bytes: u64| bytes * 1000 / self.bytes_per_second + 1;
+        let starts_at = self.link_free_at.max(self.now + self.queue_ms);
+        self.link_free_at = starts_at + millis(bytes);
+        if let CoordinatorResponse::ConfigurationChunk(chunk) = &response {
+            self.chunk_bytes += chunk.bytes.len() as u64;
+        }
+        ArrivingResponse {
+            response,
+            first_at: starts_at + millis(bytes.min(PACKET_BYTES)) + DELAY_MS,
+            last_at: starts_at + millis(bytes) + DELAY_MS,
+            packet_ms: millis(PACKET_BYTES),
         }
-        (answer, first, last, millis(PIECE))
     }
 
-    /// Ends the calls whose answers are there, and those that are given up.
-    fn end_calls(&mut self) {
-        let ended: Vec<u8> = self
+    /// Reports the calls whose responses are complete, and those that have timed out.
+    fn complete_calls(&mut self) {
+        let completed: Vec<u8> = self
             .calls
             .iter()
             .filter(|(_, call)| self.outcome(call).is_some())
             .map(|(key, _)| *key)
             .collect();
-        for key in ended {
-            let Some(under_way) = self.calls.remove(&key) else {
+        for key in completed {
+            let Some(in_flight) = self.calls.remove(&key) else {
                 continue;
             };
-            if let Some(outcome) = self.outcome(&under_way) {
-                self.agent.answered(self.now, under_way.call.id, outcome);
+            if let Some(outcome) = self.outcome(&in_flight) {
+                self.agent.answered(self.now, in_flight.call.id, outcome);
             }
         }
     }
 
-    fn outcome(&self, under_way: &UnderWay) -> Option<Result<CoordinatorResponse, CallFailure>> {
-        let call = &under_way.call;
-        let patience_ends = under_way.begun_at + call.first_byte_timeout_ms;
-        match &under_way.arriving {
-            Some((answer, first, last, piece_ms)) => {
-                let in_time = *first <= patience_ends && *piece_ms <= call.idle_timeout_ms;
-                if in_time {
-                    (self.now >= *last).then(|| Ok(answer.clone()))
-                } else {
-                    (self.now >= patience_ends).then_some(Err(CallFailure::Unanswered))
-                }
-            }
-            None => (self.now >= patience_ends).then_some(Err(CallFailure::Unanswered)),
+    fn outcome(
+        &self,
+        in_flight: &InFlightCall,
+    ) -> Option<Result<CoordinatorResponse, CallFailure>> {
+        let call = &in_flight.call;
+        let timeout_at = in_flight.started_at + call.first_byte_timeout_ms;
+        let timed_out = || (self.now >= timeout_at).then_some(Err(CallFailure::Unanswered));
+        let Some(arriving) = &in_flight.arriving else {
+            return timed_out();
+        };
+        let in_time = arriving.first_at <= timeout_at && arriving.packet_ms <= call.idle_timeout_ms;
+        if !in_time {
+            return timed_out();
         }
+        (self.now >= arriving.last_at).then(|| Ok(arriving.response.clone()))
     }
 }
--- a/system/distribution/tests/stored_bytes.rs
+++ b/system/distribution/tests/stored_bytes.rs
@@ -1,8 +1,8 @@
-//! A change of the configuration that was written before is read as the same change, plain and compressed.
+//! A stored change of the configuration is read as the same change, plain and compressed.
 //!
-//! Changes lie in the log and in the states of the core, and go to agents and proxies while a new version is rolled
-//! out. So these bytes must not change, whatever the types come to be called. What a compressor writes may differ from
-//! one version of its library to the next; there the bytes before compression are kept, and that stored ones are read.
+//! Changes are in the log and in the states of the core, and reach agents and proxies of other versions during a rolling
+//! update. So these bytes must not change, whatever the types are called. What a compressor writes may differ from one
+//! version of its library to the next; there the bytes before compression are pinned, and that stored ones can be read.
 #[path = "../../protocol/tests/golden/mod.rs"]
 mod golden;
 
@@ -59,12 +59,12 @@
     configuration(28, 1..4)
 }
 
-/// Little differs from the older one: the first route is gone, another one has come.
-fn little_newer() -> Configuration {
+/// Differs a little from the older one: the first route is removed, another one added.
+fn slightly_newer() -> Configuration {
     configuration(300, 2..5)
 }
 
-/// Much differs from the older one: it is compressed.
+/// Differs so much from the older one that the change is compressed.
 fn much_newer() -> Configuration {
     configuration(301, 2..12)
 }
@@ -85,7 +85,7 @@
     stored().bytes(name).unwrap_or_default()
 }
 
-/// What a source puts on the wire for a caller with this version.
+/// The first chunk for a receiver with this version.
 fn chunk(source: &mut ConfigurationSource, base: u64) -> Option<ConfigurationChunk> {
     source.chunk(&ConfigurationFetch {
         base,
@@ -93,8 +93,8 @@
     })
 }
 
-/// A whole configuration as it is put on the wire.
-fn whole(configuration: Configuration) -> ConfigurationChunk {
+/// The first chunk of a complete configuration.
+fn complete_chunk(configuration: Configuration) -> ConfigurationChunk {
     chunk(&mut source([configuration]), 0).unwrap_or_default()
 }
 
@@ -112,10 +112,10 @@
 #[googletest::test]
 fn every_change_keeps_its_bytes() {
     let mut stored = stored();
-    let nothing = Configuration::default();
+    let empty = Configuration::default();
     stored.keeps(
         "little-difference",
-        &ConfigurationChange::between(&older(), &little_newer()),
+        &ConfigurationChange::between(&older(), &slightly_newer()),
     );
     stored.keeps(
         "much-difference",
@@ -123,17 +123,17 @@
     );
     stored.keeps(
         "whole-small",
-        &ConfigurationChange::between(&nothing, &configuration(28, 1..2)),
+        &ConfigurationChange::between(&empty, &configuration(28, 1..2)),
     );
     stored.keeps(
         "whole-large",
-        &ConfigurationChange::between(&nothing, &much_newer()),
+        &ConfigurationChange::between(&empty, &much_newer()),
     );
-    let little = chunk(&mut source([older(), little_newer()]), 28).unwrap_or_default();
+    let little = chunk(&mut source([older(), slightly_newer()]), 28).unwrap_or_default();
     stored.keeps("little-difference-on-its-way", &little);
-    let whole = whole(configuration(28, 1..2));
-    stored.keeps("whole-small-on-its-way", &whole);
-    // These come from a compressor: see the other stories.
+    let complete = complete_chunk(configuration(28, 1..2));
+    stored.keeps("whole-small-on-its-way", &complete);
+    // These come from a compressor: see the other tests.
     for name in ["much-difference-on-its-way", "whole-large-on-its-way"] {
         expect_that!(stored.bytes(name), some(not(is_empty())));
     }
@@ -143,10 +143,10 @@
 #[googletest::test]
 fn a_small_change_is_a_zero_and_its_bytes() {
     let bytes = |name: &str| [vec![PLAIN], stored_bytes(name)].concat();
-    let little = source([older()]).change_to(28, &little_newer());
+    let little = source([older()]).change_to(28, &slightly_newer());
     expect_that!(hex(&little), eq(&hex(&bytes("little-difference"))));
-    let whole = whole(configuration(28, 1..2));
-    expect_that!(hex(&whole.bytes), eq(&hex(&bytes("whole-small"))));
+    let complete = complete_chunk(configuration(28, 1..2));
+    expect_that!(hex(&complete.bytes), eq(&hex(&bytes("whole-small"))));
 }
 
 #[googletest::test]
@@ -156,15 +156,15 @@
         inflate(&much).map(|plain| hex(&plain)),
         some(eq(&hex(&stored_bytes("much-difference"))))
     );
-    let whole = whole(much_newer());
-    let plain = inflate(&whole.bytes).map(|plain| hex(&plain));
+    let complete = complete_chunk(much_newer());
+    let plain = inflate(&complete.bytes).map(|plain| hex(&plain));
     expect_that!(plain, some(eq(&hex(&stored_bytes("whole-large")))));
 }
 
 #[googletest::test]
 fn stored_differences_lead_from_the_older_configuration_to_the_newer_ones() {
     for (name, newer) in [
-        ("little-difference-on-its-way", little_newer()),
+        ("little-difference-on-its-way", slightly_newer()),
         ("much-difference-on-its-way", much_newer()),
     ] {
         let chunk: ConfigurationChunk = decode(&stored_bytes(name)).unwrap_or_default();
@@ -177,7 +177,7 @@
         );
         // ... and as an agent takes it from a link.
         let mut receiver = ConfigurationReceiver::default();
-        let before = whole(older());
+        let before = complete_chunk(older());
         expect_that!(
             receiver.take(before),
             matches_pattern!(Received::Configuration(_))
@@ -191,8 +191,8 @@
 }
 
 #[googletest::test]
-fn stored_whole_configurations_are_taken_by_a_receiver_that_has_none() {
-    for (name, whole) in [
+fn stored_complete_configurations_are_taken_by_a_receiver_that_has_none() {
+    for (name, complete) in [
         ("whole-small-on-its-way", configuration(28, 1..2)),
         ("whole-large-on-its-way", much_newer()),
     ] {
@@ -202,6 +202,6 @@
             receiver.take(chunk),
             matches_pattern!(Received::Configuration(_))
         );
-        expect_that!(**receiver.configuration(), eq(&whole));
+        expect_that!(**receiver.configuration(), eq(&complete));
     }
 }
--- a/system/distribution/tests/transfers.rs
+++ b/system/distribution/tests/transfers.rs
@@ -1,17 +1,17 @@
-//! Configurations reach receivers whole, by differences and in parts, whatever breaks off on the way.
+//! Configurations reach receivers completely, as differences and in chunks, whatever is interrupted on the way.
 mod common;
 
-use common::{configuration, fetch_all, next_part, source};
+use common::{configuration, fetch_all, next_chunk, source};
 use googletest::prelude::*;
 use magpiegap_distribution::{ConfigurationReceiver, Received, CHUNK_BYTES};
 use magpiegap_jobs::Service;
 use magpiegap_protocol::fnv1a;
 
-/// Routes of a large configuration: several parts even when compressed.
+/// Routes of a large configuration: several chunks even when compressed.
 const MANY: u64 = 3000;
 
 #[googletest::test]
-fn given_an_empty_receiver_when_it_fetches_then_it_gets_the_whole_in_parts() {
+fn given_an_empty_receiver_when_it_fetches_then_it_gets_the_complete_configuration_in_chunks() {
     let mut source = source([configuration(3, 0..MANY)]);
     let mut receiver = ConfigurationReceiver::default();
     let bytes = fetch_all(&mut source, &mut receiver);
@@ -24,7 +24,7 @@
     let mut source = source([configuration(3, 0..MANY)]);
     let mut receiver = ConfigurationReceiver::default();
     fetch_all(&mut source, &mut receiver);
-    // One route goes, one comes, one service changes.
+    // One route is removed, one is added, one service changes.
     let mut newer = configuration(5, 1..=MANY);
     let service = Service {
         max_connections: 7,
@@ -38,35 +38,36 @@
 }
 
 #[googletest::test]
-fn given_a_small_difference_when_news_are_told_then_it_goes_with_them() {
+fn given_a_small_difference_when_the_feed_is_sent_then_it_goes_with_it() {
     let mut source = source([configuration(3, 0..MANY), configuration(4, 0..MANY + 2)]);
     expect_that!(source.small_change(3).is_some(), eq(true));
     expect_that!(source.small_change(4), none());
-    // From nothing it is too much.
+    // The complete configuration is too long.
     expect_that!(source.small_change(0), none());
 }
 
 #[googletest::test]
-fn given_a_version_that_is_not_remembered_when_it_is_built_on_then_the_whole_comes() {
+fn given_a_version_that_is_not_remembered_when_it_is_the_base_then_the_complete_configuration_comes(
+) {
     let mut source = source((1..40).map(|version| configuration(version, 0..version)));
     let mut receiver = ConfigurationReceiver::default();
     let mut old = common::source([configuration(1, 0..1)]);
     fetch_all(&mut old, &mut receiver);
-    expect_that!(next_part(&mut source, &receiver).transfer.base, eq(0));
+    expect_that!(next_chunk(&mut source, &receiver).transfer.base, eq(0));
     fetch_all(&mut source, &mut receiver);
     expect_that!(**receiver.configuration(), eq(&configuration(39, 0..39)));
 }
 
 #[googletest::test]
-fn given_a_transfer_under_way_when_another_source_is_asked_then_it_goes_on_there() {
+fn given_a_transfer_in_progress_when_it_is_requested_from_another_source_then_it_resumes_there() {
     let mut first = source([configuration(3, 0..MANY)]);
     let mut second = source([configuration(2, 0..10), configuration(3, 0..MANY)]);
     let mut receiver = ConfigurationReceiver::default();
-    receiver.take(next_part(&mut first, &receiver));
-    let had = receiver.bytes_so_far();
-    expect_that!(had, eq(CHUNK_BYTES as u64));
-    // The other one has not been asked for this transfer before.
-    let next = next_part(&mut second, &receiver);
+    receiver.take(next_chunk(&mut first, &receiver));
+    let received = receiver.received_bytes();
+    expect_that!(received, eq(CHUNK_BYTES as u64));
+    // The other source has not sent any chunk of this transfer.
+    let next = next_chunk(&mut second, &receiver);
     expect_that!(next.offset, eq(CHUNK_BYTES as u64));
     receiver.take(next);
     fetch_all(&mut first, &mut receiver);
@@ -79,7 +80,7 @@
     let mut source = source([configuration(1, 0..MANY)]);
     let mut receiver = ConfigurationReceiver::default();
     let mut seen = Vec::new();
-    // With each part comes a newer version.
+    // With each chunk comes a newer version.
     for version in 2..14 {
         if let Some(chunk) = source.chunk(&receiver.fetch()) {
             if let Received::Configuration(configuration) = receiver.take(chunk) {
@@ -103,33 +104,34 @@
 }
 
 #[googletest::test]
-fn given_a_receiver_that_hands_on_what_it_has_when_that_is_told_again_then_it_counts_once() {
+fn given_a_receiver_that_forwards_its_configuration_when_that_is_pushed_again_then_it_counts_once()
+{
     let mut origin = source([configuration(3, 0..4)]);
     let mut receiver = ConfigurationReceiver::default();
-    let mut handed_on = source([]);
+    let mut forwarded = source([]);
     fetch_all(&mut origin, &mut receiver);
-    handed_on.push_shared(receiver.configuration());
+    forwarded.push_shared(receiver.configuration());
     origin.push(configuration(5, 0..5));
     fetch_all(&mut origin, &mut receiver);
-    handed_on.push_shared(receiver.configuration());
-    handed_on.push_shared(receiver.configuration());
-    handed_on.push_shared(&std::sync::Arc::new(configuration(4, 0..1)));
+    forwarded.push_shared(receiver.configuration());
+    forwarded.push_shared(receiver.configuration());
+    forwarded.push_shared(&std::sync::Arc::new(configuration(4, 0..1)));
     expect_that!(
-        **handed_on.newest().expect("it is there"),
+        **forwarded.newest().expect("it is there"),
         eq(&configuration(5, 0..5))
     );
     expect_that!(
-        handed_on.small_change(3).map(|chunk| chunk.transfer.base),
+        forwarded.small_change(3).map(|chunk| chunk.transfer.base),
         some(eq(3))
     );
 }
 
 #[googletest::test]
-fn given_damaged_or_misplaced_parts_when_they_come_then_the_version_in_place_stays_and_the_whole_is_asked_for(
+fn given_damaged_or_misplaced_chunks_when_they_come_then_the_version_stays_and_the_complete_one_is_requested(
 ) {
     let mut source = source([configuration(1, 0..2), configuration(2, 0..3)]);
     let mut receiver = ConfigurationReceiver::default();
-    let mut damaged = next_part(&mut source, &receiver);
+    let mut damaged = next_chunk(&mut source, &receiver);
     damaged.bytes[3] ^= 1;
     expect_that!(
         matches!(receiver.take(damaged), Received::Faulty(_)),
@@ -137,7 +139,7 @@
     );
     expect_that!(receiver.version(), eq(0));
     // Sound as a transfer, and no change of a configuration.
-    let mut foreign = next_part(&mut source, &receiver);
+    let mut foreign = next_chunk(&mut source, &receiver);
     foreign.bytes = vec![9, 9, 9];
     foreign.length = 3;
     foreign.transfer.checksum = fnv1a(&foreign.bytes);
@@ -145,7 +147,7 @@
         matches!(receiver.take(foreign), Received::Faulty(Some(_))),
         eq(true)
     );
-    let mut misplaced = next_part(&mut source, &receiver);
+    let mut misplaced = next_chunk(&mut source, &receiver);
     misplaced.offset = 7;
     expect_that!(
         matches!(receiver.take(misplaced), Received::Unusable),
@@ -156,10 +158,10 @@
     // An older one, or one that builds on another version, is not taken.
     let older = common::source([configuration(1, 0..2)])
         .chunk(&Default::default())
-        .expect("a part");
+        .expect("a chunk");
     expect_that!(matches!(receiver.take(older), Received::Unusable), eq(true));
-    let mut elsewhere = common::source([configuration(7, 0..2), configuration(8, 0..4)]);
-    let building_on_seven = elsewhere.small_change(7).expect("a small difference");
+    let mut unrelated = common::source([configuration(7, 0..2), configuration(8, 0..4)]);
+    let building_on_seven = unrelated.small_change(7).expect("a small difference");
     expect_that!(
         matches!(receiver.take(building_on_seven), Received::Unusable),
         eq(true)
@@ -168,8 +170,7 @@
 }
 
 #[googletest::test]
-fn given_a_difference_that_came_with_an_order_when_it_fits_then_a_replica_need_not_read_the_whole()
-{
+fn given_a_difference_in_the_log_when_it_applies_then_a_replica_need_not_read_the_complete_body() {
     let newer = configuration(7, 1..6);
     let mut proposer = source([configuration(3, 0..5)]);
     let change = proposer.change_to(3, &newer);
@@ -186,8 +187,8 @@
     );
     expect_that!(replica.follow(7, &change), eq(true));
     expect_that!(**replica.newest().expect("it is there"), eq(&newer));
-    expect_that!(replica.follow(7, &change), eq(false), "it is in place");
-    // One that has another version, or none, reads the whole.
+    expect_that!(replica.follow(7, &change), eq(false), "it is in force");
+    // One that has another version, or none, reads the complete body.
     expect_that!(
         source([configuration(4, 0..5)]).follow(7, &change),
         eq(false)
