--- a/system/protocol/src/codec.rs
+++ b/system/protocol/src/codec.rs
@@ -1,12 +1,12 @@
-//! Encoding and decoding of messages.
+//! Encoding and decoding of messages as CBOR.
 use minicbor::{Decode, Encode};
 
-/// Bytes that are no message of the expected kind.
+/// Why bytes can't be decoded as a message of the expected type.
 #[derive(Debug, thiserror::Error)]
 #[error("malformed message: {0}")]
 pub struct DecodeError(#[from] minicbor::decode::Error);
 
-/// The encoded form of a message.
+/// Encodes a message.
 pub fn encode<T: Encode<()>>(message: &T) -> Vec<u8> {
     let mut bytes = Vec::new();
     // Writing into a vector can't fail, and no type of this crate refuses to be encoded.
@@ -16,10 +16,10 @@
     bytes
 }
 
-/// Reads a message; bytes after its end are ignored.
+/// Decodes a message; bytes after its end are ignored.
 ///
 /// # Errors
-/// When the bytes are cut short or of another kind.
+/// When the bytes are truncated or of another type.
 pub fn decode<T: for<'b> Decode<'b, ()>>(bytes: &[u8]) -> Result<T, DecodeError> {
     Ok(minicbor::decode(bytes)?)
 }
--- a/system/protocol/src/feed.rs
+++ b/system/protocol/src/feed.rs
@@ -1,4 +1,4 @@
-//! What agents and proxies learn from the control plane.
+//! What agents and proxies receive from the control plane: the feed, and configurations in chunks.
 use crate::{FencingToken, ReplicaId, Role, ViewNumber};
 use minicbor::{Decode, Encode};
 
@@ -8,15 +8,15 @@
     /// The role.
     #[n(0)]
     pub role: Role,
-    /// Its holder.
+    /// The coordinator that holds it.
     #[n(1)]
     pub holder: ReplicaId,
-    /// The fencing token that came with it.
+    /// The fencing token of that holder.
     #[n(2)]
     pub token: FencingToken,
 }
 
-/// What a proxy needs to know besides the configuration: small, so that it never takes long on its way.
+/// What a proxy needs to know besides the configuration: small, so that it passes any link quickly.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Feed {
     /// Number of the view.
@@ -25,31 +25,31 @@
     /// Addresses of the coordinators, from head to tail.
     #[n(1)]
     pub chain: Vec<u32>,
-    /// Who holds which role.
+    /// The holders of roles.
     #[n(2)]
     pub roles: Vec<RoleHolder>,
     /// Version of the configuration that the sender has; zero: there is none yet.
     #[n(3)]
     pub configuration_version: u64,
-    /// Changes whenever anything above does.
+    /// Changes whenever one of the fields above does.
     #[n(5)]
     pub revision: u64,
-    /// What leads to that version from the one that the caller has, where it is small.
+    /// The change to that version from the caller's, where it is small.
     #[n(6)]
     pub change: Option<ConfigurationChunk>,
 }
 
 impl Feed {
-    /// Whether nothing here is older than there: views, versions and tokens only ever rise.
+    /// Whether nothing in this feed is older than in the known one: views, versions and tokens only rise.
     pub fn supersedes(&self, known: &Feed) -> bool {
-        let tokens = |feed: &Feed| feed.roles.iter().map(|held| held.token.0).sum::<u64>();
+        let tokens = |feed: &Feed| feed.roles.iter().map(|role| role.token.0).sum::<u64>();
         self.view >= known.view
             && self.configuration_version >= known.configuration_version
             && tokens(self) >= tokens(known)
     }
 }
 
-/// A long poll: answered when the feed's revision is another one, or when the wait is over.
+/// A long poll: the response comes when the feed's revision differs, or when the wait is over.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct FeedPoll {
     /// The revision that the caller has; zero: none.
@@ -58,18 +58,18 @@
     /// The configuration version that the caller has.
     #[n(1)]
     pub configuration_version: u64,
-    /// Longest wait, in milliseconds.
+    /// Maximum wait, in milliseconds.
     #[n(2)]
     pub wait_ms: u64,
 }
 
-/// Names the bytes of one transfer of a configuration: whoever has the same name has the same bytes.
+/// Identifies the bytes of one transfer of a configuration: with the same identity they are the same everywhere.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct TransferId {
-    /// The version that the bytes build on; zero: they are a whole configuration.
+    /// The version that the change applies to; zero: it is a complete configuration.
     #[n(0)]
     pub base: u64,
-    /// The version that they lead to.
+    /// The version that results.
     #[n(1)]
     pub version: u64,
     /// FNV-1a of all of the bytes.
@@ -77,33 +77,33 @@
     pub checksum: u64,
 }
 
-/// Asks for a part of a configuration.
+/// Requests a chunk of a configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationFetch {
     /// The version that the caller has; zero: none.
     #[n(0)]
     pub base: u64,
-    /// The transfer under way; one that is not known there begins anew with the newest version.
+    /// The transfer in progress; one that the source does not know restarts with the newest version.
     #[n(1)]
     pub transfer: Option<TransferId>,
-    /// How many bytes of it the caller has.
+    /// Offset of the next byte, in bytes.
     #[n(2)]
     pub offset: u64,
 }
 
-/// A part of what leads from one version of the configuration to another.
+/// A chunk of the change from one version of the configuration to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationChunk {
     /// The transfer.
     #[n(0)]
     pub transfer: TransferId,
-    /// How many bytes it has in all.
+    /// Length of the complete transfer, in bytes.
     #[n(1)]
     pub length: u64,
-    /// Where this part begins.
+    /// Offset of this chunk, in bytes.
     #[n(2)]
     pub offset: u64,
-    /// The part.
+    /// Bytes of this chunk.
     #[cbor(n(3), with = "minicbor::bytes")]
     pub bytes: Vec<u8>,
 }
--- a/system/protocol/src/hash.rs
+++ b/system/protocol/src/hash.rs
@@ -1,6 +1,6 @@
-//! A hash that is the same on every machine and in every build.
+//! A hash that is the same on every machine and in every build. It does not resist collisions on purpose.
 
-/// The 64-bit FNV-1a hash of some bytes.
+/// The 64-bit FNV-1a hash of bytes (Fowler, Noll and Vo).
 pub fn fnv1a<'b>(bytes: impl IntoIterator<Item = &'b u8>) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/system/protocol/src/ids.rs
+++ b/system/protocol/src/ids.rs
@@ -1,14 +1,14 @@
-//! Names of machines, processes, jobs, tasks and runs.
+//! Identities of machines, processes, jobs, tasks and runs, and the text forms of jobs and tasks.
 use minicbor::{Decode, Encode};
 use std::{fmt, net::Ipv4Addr};
 
-/// One core machine with one life of its disk. A machine whose disk was lost comes back as another member.
+/// One core machine with one incarnation of its disk. A machine whose disk was lost rejoins as another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Member {
     /// The machine's IPv4 address, as a number.
     #[n(0)]
     pub address: u32,
-    /// Drawn when the disk was first written; zero for disks of the first start of the whole system.
+    /// Drawn when the disk was first written; zero for disks of the first start of the system.
     #[n(1)]
     pub disk: u64,
 }
@@ -26,7 +26,7 @@
     }
 }
 
-/// One life of a coordinator process.
+/// One incarnation of a coordinator process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct ReplicaId {
     /// Its machine and disk.
@@ -43,13 +43,13 @@
 pub struct JobId(#[n(0)] pub u64);
 
 impl JobId {
-    /// Reads 16 lower-case hexadecimal digits.
+    /// Parses 16 lower-case hexadecimal digits; `None` for other text.
     pub fn parse(text: &str) -> Option<JobId> {
-        let proper =
-            text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-        proper
-            .then(|| u64::from_str_radix(text, 16).ok().map(JobId))
-            .flatten()
+        let is_digit = |byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
+        if text.len() != 16 || !text.bytes().all(is_digit) {
+            return None;
+        }
+        u64::from_str_radix(text, 16).ok().map(JobId)
     }
 }
 
@@ -59,16 +59,16 @@
     }
 }
 
-/// Counts the starts of a task, from one. All members of a gang share it.
+/// Number of a run among those of its task, from one. All members of a gang share it.
 pub type RunId = u32;
 
-/// One task of one step, at one of the times that a repeated job falls due.
+/// One task of one step in one occurrence of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct TaskId {
     /// The job.
     #[n(0)]
     pub job: JobId,
-    /// Which time of a repeated job; zero for others.
+    /// Number of the occurrence, from zero.
     #[n(1)]
     pub occurrence: u32,
     /// Position of the step.
@@ -80,18 +80,18 @@
 }
 
 impl TaskId {
-    /// Reads the form `JOB.TIME.STEP.INDEX`.
+    /// Parses the form `JOB.OCCURRENCE.STEP.INDEX`; `None` for other text.
     pub fn parse(text: &str) -> Option<TaskId> {
-        let mut parts = text.split('.');
-        let job = JobId::parse(parts.next()?)?;
-        let mut number = || parts.next()?.parse::<u32>().ok();
+        let mut fields = text.split('.');
+        let job = JobId::parse(fields.next()?)?;
+        let mut number = || fields.next()?.parse::<u32>().ok();
         let task = TaskId {
             job,
             occurrence: number()?,
             step: number()?,
             index: number()?,
         };
-        parts.next().is_none().then_some(task)
+        fields.next().is_none().then_some(task)
     }
 }
 
--- a/system/protocol/src/lib.rs
+++ b/system/protocol/src/lib.rs
@@ -1,11 +1,13 @@
 //! Typed messages between the processes of the scheduler, and the commands of its replicated log.
 //!
-//! Everything here is plain data with a `minicbor` encoding; nothing decides, and nothing does I/O.
+//! Everything here is plain data with a CBOR encoding (RFC 8949), whose fields are numbered: a name may change, a number
+//! never does. Nothing here decides, and nothing does I/O.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod codec;
 mod command;
+mod entry;
 mod feed;
 mod hash;
 mod ids;
@@ -14,21 +16,27 @@
 mod numbers;
 mod peer;
 mod requests;
+mod resources;
+mod role;
+mod run;
+mod submission;
 mod view;
 mod workers;
 
 pub use codec::{decode, encode, DecodeError};
-pub use command::{
-    Command, CompletionKind, Entry, LogPosition, ProposalId, Role, RoleToken, RunCompletion,
-    RunStart, Submission,
-};
+pub use command::Command;
+pub use entry::{Entry, LogPosition, ProposalId};
 pub use feed::{ConfigurationChunk, ConfigurationFetch, Feed, FeedPoll, RoleHolder, TransferId};
 pub use hash::fnv1a;
 pub use ids::{JobId, Member, ReplicaId, RunId, TaskId};
-pub use job::{JobSpec, JobSpecError, Resources, StepSpec, MAX_SPEC_BYTES, MAX_TASKS_PER_JOB};
+pub use job::{JobSpec, JobSpecError, StepSpec, MAX_SPEC_BYTES, MAX_TASKS_PER_JOB};
 pub use location::{FailureDomainId, Location, MemberLocation};
 pub use numbers::{Ballot, FencingToken, LogIndex, Millis, ViewNumber, WallMillis};
 pub use peer::{AcceptedView, Envelope, Heartbeat, PeerMessage, PeerReport, PlatformList, Promise};
 pub use requests::{CoordinatorRequest, CoordinatorResponse, JobFilter, JobPhase};
+pub use resources::Resources;
+pub use role::{Role, RoleToken};
+pub use run::{CompletionKind, RunCompletion, RunStart};
+pub use submission::Submission;
 pub use view::{ChainRecord, View};
 pub use workers::{Availability, WorkerEntry};
--- a/system/protocol/src/location.rs
+++ b/system/protocol/src/location.rs
@@ -1,14 +1,14 @@
-//! Where machines stand.
+//! Locations of machines: their failure domains.
 use crate::{hash::fnv1a, Member};
 use minicbor::{Decode, Encode};
 
-/// A zone or region by a number that is drawn from its name, so that all machines have the same; zero is unknown.
+/// A zone or region as a hash of its name, the same on all machines; zero is unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct FailureDomainId(#[n(0)] pub u64);
 
 impl FailureDomainId {
-    /// The number of a name (FNV-1a, 64 bits). An empty name is unknown.
+    /// The failure domain of a name (64-bit FNV-1a). An empty name is unknown.
     pub fn of(name: &str) -> FailureDomainId {
         if name.is_empty() {
             return FailureDomainId::default();
@@ -28,7 +28,7 @@
     pub region: FailureDomainId,
 }
 
-/// Where a member of a view stands.
+/// The location of a member of a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct MemberLocation {
     /// The member.
--- a/system/protocol/src/numbers.rs
+++ b/system/protocol/src/numbers.rs
@@ -1,4 +1,4 @@
-//! Numbers that must not be mixed up: each counts another thing.
+//! Numbers with types of their own, so that they are not confused.
 use minicbor::{Decode, Encode};
 use std::{
     fmt,
@@ -15,7 +15,7 @@
 pub struct WallMillis(#[n(0)] pub u64);
 
 impl WallMillis {
-    /// This time and `ms` milliseconds more, or the last time that can be told.
+    /// This time and `ms` milliseconds more, or the latest time that there is.
     #[must_use]
     pub fn saturating_add(self, ms: u64) -> WallMillis {
         WallMillis(self.0.saturating_add(ms))
@@ -77,7 +77,7 @@
     /// Above every index that is ever used.
     pub const MAX: LogIndex = LogIndex(u64::MAX);
 
-    /// The index `entries` after this one, or the last that can be told.
+    /// The index `entries` after this one, or the highest that there is.
     #[must_use]
     pub fn saturating_add(self, entries: u64) -> LogIndex {
         LogIndex(self.0.saturating_add(entries))
@@ -122,7 +122,7 @@
     }
 }
 
-/// Fencing token of a singleton role: rises with each owner, so that whoever sees a higher one refuses the lower
+/// Fencing token of a singleton role: rises with each owner, so that whoever has seen a higher one rejects the lower
 /// (Burrows, "The Chubby lock service", 2006). Zero: the role was never owned.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
@@ -149,7 +149,7 @@
     /// Counts the rounds.
     #[n(0)]
     pub round: u64,
-    /// Tells the proposers of one round apart: a tag of the proposer.
+    /// Distinguishes the proposers of one round: a tag of the proposer.
     #[n(1)]
     pub proposer: u32,
 }
--- a/system/protocol/src/peer.rs
+++ b/system/protocol/src/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between coordinators.
+//! Messages between coordinators: heartbeats, agreement on views, replication, snapshots and the list of workers.
 use crate::{
     Ballot, Command, Entry, FencingToken, Location, LogIndex, LogPosition, Millis, ProposalId,
     ReplicaId, RoleToken, View, ViewNumber, WallMillis, WorkerEntry,
@@ -16,25 +16,25 @@
     pub messages: Vec<PeerMessage>,
 }
 
-/// What one coordinator knows of another.
+/// What a coordinator reports of another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct PeerReport {
-    /// The other one.
+    /// The reported coordinator.
     #[n(0)]
     pub replica: ReplicaId,
-    /// How long ago it was last heard, in milliseconds.
+    /// Age of its last heartbeat, in milliseconds.
     #[n(1)]
     pub age_ms: u64,
     /// Number of the newest view that it knew then.
     #[n(2)]
     pub view: ViewNumber,
-    /// It was at work in that view.
+    /// It was serving in that view.
     #[n(3)]
     pub serving: bool,
     /// It could not take part.
     #[n(4)]
     pub unfit: bool,
-    /// It said that its disk has all that was committed.
+    /// Its disk had all that was committed.
     #[n(5)]
     #[cbor(default)]
     pub complete: bool,
@@ -42,33 +42,33 @@
     #[n(6)]
     #[cbor(default)]
     pub committed: LogIndex,
-    /// The sender of this report and it hear each other, without others between.
+    /// The sender of this report and it receive each other's heartbeats directly.
     #[n(7)]
     #[cbor(default)]
     pub bidirectional: bool,
-    /// Where it stands.
+    /// Its location.
     #[n(8)]
     #[cbor(default)]
     pub location: Location,
-    /// The newest `sent_at` in a heartbeat that the sender of this report got from it; zero: none.
+    /// Echo: the newest `sent_at` of its heartbeats that the sender of this report received; zero: none.
     #[n(9)]
     #[cbor(default)]
     pub echo: Millis,
 }
 
-/// A sign of life with what the sender knows.
+/// A heartbeat, with what the sender knows of itself and of others.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Heartbeat {
     /// Number of the newest view that the sender knows.
     #[n(0)]
     pub view: ViewNumber,
-    /// The sender is at work in that view, or waits for the state of its predecessor there.
+    /// The sender is serving in that view, or waits for the snapshot of its predecessor there.
     #[n(1)]
     pub serving: bool,
-    /// The sender can't take part for now: it is ending, or its disk does not answer.
+    /// The sender can't take part for now: it is shutting down, or its disk does not respond.
     #[n(2)]
     pub unfit: bool,
-    /// What the sender knows of others.
+    /// Reports of other coordinators.
     #[n(3)]
     pub heard: Vec<PeerReport>,
     /// The sender's time of day.
@@ -81,15 +81,15 @@
     #[n(6)]
     #[cbor(default)]
     pub complete: bool,
-    /// Where the sender stands.
+    /// Location of the sender.
     #[n(7)]
     #[cbor(default)]
     pub location: Location,
-    /// When it was sent, on the sender's steady clock. Whoever hears it sends this back as an echo.
+    /// When it was sent, on the sender's steady clock. Receivers return it as an echo.
     #[n(8)]
     #[cbor(default)]
     pub sent_at: Millis,
-    /// The sender takes part in the agreement on the next view, so that the present one may be over.
+    /// The sender takes part in the agreement on the next view, so that the current one may have ended.
     #[n(9)]
     #[cbor(default)]
     pub sealed: bool,
@@ -106,7 +106,7 @@
     pub view: View,
 }
 
-/// A voter's answer to a proposer of the next view.
+/// The promise of a voter to a proposer of the next view (phase 1b of Paxos).
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Promise {
     /// Number of the view to be agreed.
@@ -115,7 +115,7 @@
     /// The ballot.
     #[n(1)]
     pub ballot: Ballot,
-    /// What the voter has accepted before.
+    /// The view that the voter has accepted before.
     #[n(2)]
     pub accepted: Option<AcceptedView>,
     /// The last entry on the voter's disk, when that has all that was committed so far.
@@ -123,13 +123,13 @@
     pub complete: Option<LogPosition>,
 }
 
-/// The platform's list as its reader last had it.
+/// The platform's list of workers, as its reader last received it.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct PlatformList {
     /// Fencing token of the reader.
     #[n(0)]
     pub token: FencingToken,
-    /// Counts the lists of this reader.
+    /// Number of the list among those of this reader.
     #[n(1)]
     pub sequence: u64,
     /// The workers.
@@ -140,10 +140,10 @@
 /// A message between coordinators.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum PeerMessage {
-    /// A sign of life.
+    /// A heartbeat.
     #[n(0)]
     Heartbeat(#[n(0)] Heartbeat),
-    /// Asks a voter to take part in the agreement on the next view.
+    /// Requests a promise for the next view (phase 1a of Paxos).
     #[n(1)]
     Prepare {
         /// Number of the view to be agreed.
@@ -166,7 +166,7 @@
         #[n(1)]
         promised: Ballot,
     },
-    /// Asks a voter to accept a view.
+    /// Requests a voter to accept a view (phase 2a of Paxos).
     #[n(4)]
     Accept {
         /// The ballot.
@@ -176,7 +176,7 @@
         #[n(1)]
         view: View,
     },
-    /// The voter has accepted a view.
+    /// The voter has accepted a view (phase 2b of Paxos).
     #[n(5)]
     Accepted {
         /// Number of the view.
@@ -205,7 +205,7 @@
         #[n(3)]
         durable: LogIndex,
     },
-    /// The tail's word that all entries up to this one are committed.
+    /// Notifies that all entries up to an index are committed; it begins at the tail.
     #[n(8)]
     Committed {
         /// The view.
@@ -215,7 +215,7 @@
         #[n(1)]
         index: LogIndex,
     },
-    /// Asks the predecessor for what is missing.
+    /// Requests missing entries from the predecessor.
     #[n(9)]
     Synchronize {
         /// The view.
@@ -258,71 +258,71 @@
         #[n(3)]
         command: Command,
     },
-    /// The platform's list.
+    /// The platform's list of workers.
     #[n(13)]
     Platform(#[n(0)] PlatformList),
-    /// Offers a whole state, where entries don't do. It is asked for part by part.
+    /// Offers a snapshot, where the log does not reach back far enough. It is requested chunk by chunk.
     #[n(14)]
     SnapshotOffer {
         /// The view.
         #[n(0)]
         view: ViewNumber,
-        /// The last entry that the state holds.
+        /// Position of the last entry in the snapshot.
         #[n(1)]
         position: LogPosition,
-        /// How many parts it has.
+        /// Number of chunks.
         #[n(2)]
         chunks: u32,
     },
-    /// Asks for a part of a state that was offered.
+    /// Requests a chunk of a snapshot that was offered.
     #[n(15)]
     RequestSnapshotChunk {
         /// The view.
         #[n(0)]
         view: ViewNumber,
-        /// Which state.
+        /// Position of the snapshot.
         #[n(1)]
         position: LogPosition,
-        /// Which part, from zero.
+        /// Number of the chunk, from zero.
         #[n(2)]
         number: u32,
     },
-    /// A part of a state.
+    /// A chunk of a snapshot.
     #[n(16)]
     SnapshotChunk {
         /// The view.
         #[n(0)]
         view: ViewNumber,
-        /// Which state.
+        /// Position of the snapshot.
         #[n(1)]
         position: LogPosition,
-        /// Which part, from zero.
+        /// Number of the chunk, from zero.
         #[n(2)]
         number: u32,
         /// FNV-1a of its bytes.
         #[n(3)]
         checksum: u64,
-        /// The encoded part.
+        /// The encoded chunk.
         #[cbor(n(4), with = "minicbor::bytes")]
         bytes: Vec<u8>,
     },
 }
 
 impl PeerMessage {
-    /// About how many bytes it takes up.
+    /// Estimated size in bytes.
     pub fn estimated_bytes(&self) -> usize {
-        const SMALL: usize = 200;
+        const BASE_BYTES: usize = 200;
         match self {
             PeerMessage::Append { entries, .. } | PeerMessage::MissingEntries { entries, .. } => {
-                SMALL + entries.iter().map(Entry::estimated_bytes).sum::<usize>()
+                BASE_BYTES + entries.iter().map(Entry::estimated_bytes).sum::<usize>()
             }
-            PeerMessage::SnapshotChunk { bytes, .. } => SMALL + bytes.len(),
-            PeerMessage::Platform(list) => SMALL * (1 + list.workers.len()),
-            _ => SMALL,
+            PeerMessage::SnapshotChunk { bytes, .. } => BASE_BYTES + bytes.len(),
+            PeerMessage::Platform(list) => BASE_BYTES * (1 + list.workers.len()),
+            _ => BASE_BYTES,
         }
     }
 
-    /// Whether the message is about who is there and the views, and must not wait behind entries and states.
+    /// Whether the message is about membership and views, and must not wait behind entries and snapshots.
     pub fn is_urgent(&self) -> bool {
         match self {
             PeerMessage::Heartbeat(_)
--- a/system/protocol/src/requests.rs
+++ b/system/protocol/src/requests.rs
@@ -1,8 +1,8 @@
-//! What proxies and the operator's interface ask of a coordinator.
+//! Requests of proxies, agents and the operator's interface to a coordinator, and its responses.
 use crate::{ConfigurationChunk, ConfigurationFetch, Feed, FeedPoll, JobId, Submission};
 use minicbor::{Decode, Encode};
 
-/// A job's state as its client sees it.
+/// The state of a job as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum JobPhase {
     /// No task has been started yet.
@@ -14,7 +14,7 @@
     /// Every task is done.
     #[n(2)]
     Succeeded,
-    /// A task has failed too often.
+    /// A task has failed as often as its queue allows.
     #[n(3)]
     Failed,
     /// Its client cancelled it.
@@ -23,7 +23,7 @@
 }
 
 impl JobPhase {
-    /// The word that clients are shown.
+    /// The text that clients see.
     pub fn word(self) -> &'static str {
         match self {
             JobPhase::Pending => "pending",
@@ -34,8 +34,8 @@
         }
     }
 
-    /// The phase that clients are shown by this word.
-    pub fn parse(word: &str) -> Option<JobPhase> {
+    /// Parses the text that clients see.
+    pub fn parse(text: &str) -> Option<JobPhase> {
         let phases = [
             JobPhase::Pending,
             JobPhase::Running,
@@ -43,28 +43,28 @@
             JobPhase::Failed,
             JobPhase::Cancelled,
         ];
-        phases.into_iter().find(|phase| phase.word() == word)
+        phases.into_iter().find(|phase| phase.word() == text)
     }
 
-    /// Whether nothing of the job is to run any more.
+    /// Whether the job has ended: nothing of it is started any more.
     pub fn is_terminal(self) -> bool {
         !matches!(self, JobPhase::Pending | JobPhase::Running)
     }
 }
 
-/// Which jobs an operator wants to see, in the order of their names.
+/// Selects jobs for an operator, in the order of their names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct JobFilter {
-    /// Of this queue only, `HOST/PREFIX/`.
+    /// Only jobs of this queue, `HOST/PREFIX/`.
     #[n(0)]
     pub queue: Option<String>,
-    /// In this phase only.
+    /// Only jobs in this phase.
     #[n(1)]
     pub phase: Option<JobPhase>,
-    /// After this one only.
+    /// Only jobs after this one.
     #[n(2)]
     pub after: Option<JobId>,
-    /// At most so many.
+    /// Maximum number of jobs.
     #[n(3)]
     pub limit: u32,
 }
@@ -72,10 +72,10 @@
 /// A request to a coordinator.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum CoordinatorRequest {
-    /// Accept a job.
+    /// Accepts a job.
     #[n(0)]
     Submit(#[n(0)] Box<Submission>),
-    /// A job's state.
+    /// Returns the phase of a job.
     #[n(1)]
     Status {
         /// The queue.
@@ -85,7 +85,7 @@
         #[n(1)]
         job: JobId,
     },
-    /// Cancel a job.
+    /// Cancels a job.
     #[n(2)]
     Cancel {
         /// The queue.
@@ -95,17 +95,17 @@
         #[n(1)]
         job: JobId,
     },
-    /// How many jobs of a queue have not ended.
+    /// Counts the jobs of a queue that have not ended.
     #[n(3)]
     Count {
         /// The queue.
         #[n(0)]
         queue: String,
     },
-    /// What proxies need to know.
+    /// Polls the feed.
     #[n(4)]
     Poll(#[n(0)] FeedPoll),
-    /// Take a configuration.
+    /// Replaces the configuration.
     #[n(5)]
     ReplaceConfiguration {
         /// The version that it builds on.
@@ -115,34 +115,34 @@
         #[cbor(n(2), with = "minicbor::bytes")]
         body: Vec<u8>,
     },
-    /// The newest configuration.
+    /// Returns the newest configuration.
     #[n(6)]
     DescribeConfiguration,
-    /// The state of the cluster, for operators.
+    /// Describes the state of the cluster, for operators.
     #[n(7)]
     Describe,
-    /// What there is to say of a job, for operators.
+    /// Explains the state of a job, for operators.
     #[n(8)]
     Explain {
         /// The job.
         #[n(0)]
         job: JobId,
     },
-    /// Jobs as this coordinator has them, for operators.
+    /// Lists jobs as this coordinator has them, for operators.
     #[n(9)]
     ListJobs(#[n(0)] JobFilter),
-    /// A part of what leads to the newest configuration.
+    /// Fetches a chunk of the change to the newest configuration.
     #[n(10)]
     FetchConfiguration(#[n(0)] ConfigurationFetch),
 }
 
-/// The answer to a [`CoordinatorRequest`].
+/// The response to a [`CoordinatorRequest`].
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum CoordinatorResponse {
-    /// The job, or the cancelling, is kept.
+    /// The job, or its cancellation, is committed.
     #[n(0)]
     Accepted,
-    /// The job is not kept and never will be by this request: there is no room for it now.
+    /// The job was rejected and won't be accepted by this request: there is no capacity for it now.
     #[n(1)]
     Full,
     /// This coordinator can't serve the request and has done nothing; another one may.
@@ -154,16 +154,16 @@
     /// There is no such job.
     #[n(4)]
     NoSuchJob,
-    /// A job's state.
+    /// The phase of a job.
     #[n(5)]
     Phase(#[n(0)] JobPhase),
-    /// A count.
+    /// A number of jobs.
     #[n(6)]
     Count(#[n(0)] u64),
     /// The feed.
     #[n(7)]
     Feed(#[n(0)] Box<Feed>),
-    /// The configuration was taken, now or earlier.
+    /// The configuration was accepted, now or earlier.
     #[n(8)]
     ConfigurationAccepted,
     /// Another version is current.
@@ -181,10 +181,10 @@
     /// Another coordinator schedules the job's service; its address.
     #[n(13)]
     Elsewhere(#[n(0)] u32),
-    /// A part of a configuration.
+    /// A chunk of a configuration.
     #[n(14)]
     ConfigurationChunk(#[n(0)] Box<ConfigurationChunk>),
-    /// The configuration is invalid: its first fault.
+    /// The configuration is invalid; the text names its first fault.
     #[n(15)]
     ConfigurationInvalid(#[n(0)] String),
 }
--- a/system/protocol/src/view.rs
+++ b/system/protocol/src/view.rs
@@ -1,9 +1,10 @@
-//! The agreed membership view of the core.
+//! The agreed membership view of the core (viewstamped replication, Oki and Liskov, 1988) and its chain (chain
+//! replication, van Renesse and Schneider, 2004).
 use crate::{Location, Member, MemberLocation, ReplicaId, ViewNumber};
 use minicbor::{Decode, Encode};
 
-/// How many earlier chains a view remembers.
-const HISTORY: usize = 24;
+/// Number of earlier chains that a view remembers.
+const MAX_HISTORY: usize = 24;
 
 /// The chain of one view.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
@@ -19,10 +20,10 @@
 /// One membership view. Views are agreed one after the other, each by a majority of the voters of the one before.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct View {
-    /// Counts the views; zero is the state before the first one was agreed.
+    /// Number of the view; zero is the state before the first one was agreed.
     #[n(0)]
     pub number: ViewNumber,
-    /// Whose majority agrees on the next view.
+    /// The members of whom a majority agrees on the next view.
     #[n(1)]
     pub voters: Vec<Member>,
     /// The replicas from head to tail.
@@ -31,7 +32,7 @@
     /// The chains of the latest views before this one, oldest first.
     #[n(3)]
     pub history: Vec<ChainRecord>,
-    /// Where the voters and the members of the chain stand, as far as that is known.
+    /// Locations of the voters and the members of the chain, as far as they are known.
     #[n(4)]
     #[cbor(default)]
     pub locations: Vec<MemberLocation>,
@@ -56,8 +57,8 @@
             number: self.number,
             chain: self.chain.clone(),
         });
-        let surplus = history.len().saturating_sub(HISTORY);
-        history.drain(..surplus);
+        let excess = history.len().saturating_sub(MAX_HISTORY);
+        history.drain(..excess);
         View {
             number: self.number.next(),
             voters,
@@ -67,28 +68,28 @@
         }
     }
 
-    /// Where a member stands; unknown when the view does not say.
+    /// Location of a member; unknown when the view does not have it.
     pub fn location(&self, member: &Member) -> Location {
         let known = self.locations.iter().find(|known| known.member == *member);
         known.map(|known| known.location).unwrap_or_default()
     }
 
-    /// How many voters are a majority.
+    /// Number of voters that are a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Where writes enter.
+    /// The head, which orders all writes; `None` before the first view.
     pub fn head(&self) -> Option<ReplicaId> {
         self.chain.first().copied()
     }
 
-    /// Where writes are committed and reads are answered.
+    /// The tail, at which writes are committed and reads are served; `None` before the first view.
     pub fn tail(&self) -> Option<ReplicaId> {
         self.chain.last().copied()
     }
 
-    /// The replica's place in the chain, from zero at the head.
+    /// Position of a replica in the chain, from zero at the head.
     pub fn position(&self, replica: &ReplicaId) -> Option<usize> {
         self.chain.iter().position(|other| other == replica)
     }
--- a/system/protocol/src/workers.rs
+++ b/system/protocol/src/workers.rs
@@ -9,36 +9,36 @@
     #[n(0)]
     #[default]
     Ready,
-    /// It is being emptied and ends soon.
+    /// It takes no new tasks and ends soon.
     #[n(1)]
     Draining,
 }
 
-/// One life of a worker, as the platform lists it.
+/// One incarnation of a worker, as the platform lists it.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct WorkerEntry {
-    /// Name of this life; a worker that starts again has another.
+    /// Name of the incarnation; a worker that restarts has another.
     #[n(0)]
     pub incarnation: String,
     /// The service whose tasks it runs.
     #[n(1)]
     pub service: String,
-    /// Where it is called, `IP:PORT`.
+    /// Endpoint, `IP:PORT`.
     #[n(2)]
     pub address: String,
     /// Its zone.
     #[n(3)]
     pub zone: String,
-    /// All that it has.
+    /// Its total resources.
     #[n(4)]
     pub capacity: Resources,
-    /// Its kind and its rack.
+    /// Labels such as its kind and its rack.
     #[n(5)]
     pub labels: Vec<String>,
     /// Whether it takes new tasks.
     #[n(6)]
     pub availability: Availability,
-    /// While it drains, the least time that it has left, in milliseconds.
+    /// While it is draining, the minimum time that it has left, in milliseconds.
     #[n(7)]
     pub remaining_ms: Option<u64>,
 }
--- a/system/protocol/tests/golden/mod.rs
+++ b/system/protocol/tests/golden/mod.rs
@@ -1,14 +1,14 @@
-//! Compares values with bytes that were stored when their form was fixed.
+//! Compares values with bytes that were stored when their encoding was fixed.
 //!
-//! The stored files have one record a line, `NAME: HEX`. They are never written by a test: whoever changes a form on
-//! purpose takes the new line from the failure message, and says how data and processes with the old form go on.
+//! The stored files have one record a line, `NAME: HEX`. They are never written by a test: whoever changes an encoding on
+//! purpose takes the new line from the failure message, and says how data and processes with the old one go on.
 use magpiegap_protocol::{decode, encode};
 use minicbor::{Decode, Encode};
 use std::{collections::BTreeMap, fmt::Write};
 
-/// Stored records, and what was found wrong with those compared so far.
+/// Stored records, and the faults of those compared so far.
 pub(crate) struct Stored {
-    /// Those that no value was compared with yet.
+    /// Records that no value was compared with yet.
     records: BTreeMap<&'static str, &'static str>,
     faults: Vec<String>,
 }
@@ -31,20 +31,21 @@
         stored
     }
 
-    /// The value is encoded as the stored bytes, and they are read as the value.
+    /// Checks that the value is encoded as the stored bytes, and that they are decoded as the value.
     pub(crate) fn keeps<T>(&mut self, name: &str, value: &T)
     where
         T: Encode<()> + for<'b> Decode<'b, ()> + PartialEq,
     {
         let stored = self.records.get(name).copied();
-        let now = hex(&encode(value));
-        if stored != Some(now.as_str()) {
-            self.faults.push(format!("now encoded as {name}: {now}"));
+        let encoded = hex(&encode(value));
+        if stored != Some(encoded.as_str()) {
+            self.faults
+                .push(format!("now encoded as {name}: {encoded}"));
         }
         self.reads(name, value);
     }
 
-    /// The stored bytes, in a form that is not written any more, are read as the value.
+    /// Checks that stored bytes are decoded as the value, also in an encoding that is not written any more.
     pub(crate) fn reads<T>(&mut self, name: &str, value: &T)
     where
         T: for<'b> Decode<'b, ()> + PartialEq,
@@ -56,25 +57,25 @@
         }
     }
 
-    /// The stored bytes of a record, once.
+    /// Takes the stored bytes of a record.
     pub(crate) fn bytes(&mut self, name: &str) -> Option<Vec<u8>> {
         self.records.remove(name).and_then(unhex)
     }
 
-    /// All that is wrong, also stored records that no value was compared with.
+    /// All faults, also stored records that no value was compared with.
     pub(crate) fn faults(self) -> Vec<String> {
-        let left = self
+        let not_compared = self
             .records
             .keys()
             .map(|name| format!("stored, but compared with nothing: {name}"));
-        self.faults.into_iter().chain(left).collect()
+        self.faults.into_iter().chain(not_compared).collect()
     }
 }
 
 /// Bytes as lower-case hexadecimal digits.
 pub(crate) fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
-        // Writing into a text can't fail.
+        // Writing into a string can't fail.
         let _ = write!(text, "{byte:02x}");
         text
     })
--- a/system/protocol/tests/golden/samples.rs
+++ b/system/protocol/tests/golden/samples.rs
@@ -1,18 +1,18 @@
-//! Values with every field set to something of its own.
+//! Samples of all types, in which every field has a value of its own.
 use magpiegap_protocol::*;
 use magpiegap_protocol::{FencingToken, LogIndex, ViewNumber, WallMillis};
 
-pub(crate) fn member(n: u32) -> Member {
+pub(crate) fn member(number: u32) -> Member {
     Member {
-        address: 0x0a00_0000 + n,
-        disk: 0xd15c_0000 + u64::from(n),
+        address: 0x0a00_0000 + number,
+        disk: 0xd15c_0000 + u64::from(number),
     }
 }
 
-pub(crate) fn replica(n: u32) -> ReplicaId {
+pub(crate) fn replica(number: u32) -> ReplicaId {
     ReplicaId {
-        member: member(n),
-        incarnation: 0xb007_0000_0000_0000 + u64::from(n),
+        member: member(number),
+        incarnation: 0xb007_0000_0000_0000 + u64::from(number),
     }
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-pub(crate) fn run_end(kind: CompletionKind) -> RunCompletion {
+pub(crate) fn run_completion(kind: CompletionKind) -> RunCompletion {
     RunCompletion {
         task: task(),
         run: 5,
@@ -244,7 +244,7 @@
     }
 }
 
-pub(crate) fn part() -> ConfigurationChunk {
+pub(crate) fn chunk() -> ConfigurationChunk {
     ConfigurationChunk {
         transfer: transfer(),
         length: 40_000,
@@ -271,7 +271,7 @@
         ],
         configuration_version: 29,
         revision: 0x0102_0304_0506_0708,
-        change: Some(part()),
+        change: Some(chunk()),
     }
 }
 
--- a/system/protocol/tests/messages.rs
+++ b/system/protocol/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Names, jobs, views and their encodings.
+//! Identities, jobs, views, feeds and their encodings.
 use googletest::prelude::*;
 use magpiegap_protocol::{
     decode, encode, CoordinatorRequest, Feed, FencingToken, JobId, JobSpec, JobSpecError, Member,
@@ -13,7 +13,7 @@
 }
 
 #[googletest::test]
-fn given_a_task_when_its_name_is_written_and_read_then_it_is_the_same() {
+fn given_a_task_when_its_text_is_parsed_then_it_is_the_same() {
     let task = TaskId {
         job: JobId(0x5c0e_7a21_d94b_36f8),
         occurrence: 2,
@@ -22,19 +22,19 @@
     };
     expect_that!(task.to_string(), eq("5c0e7a21d94b36f8.2.1.17"));
     expect_that!(TaskId::parse(&task.to_string()), some(eq(task)));
-    for bad in [
+    for malformed in [
         "",
         "5c0e7a21d94b36f8",
         "5c0e7a21d94b36f8.0.1",
         "5C0E7A21D94B36F8.0.1.1",
         "5c0e7a21d94b36f8.0.1.1.1",
     ] {
-        expect_that!(TaskId::parse(bad), none());
+        expect_that!(TaskId::parse(malformed), none());
     }
 }
 
 #[googletest::test]
-fn given_a_message_when_it_is_cut_short_then_it_is_refused() {
+fn given_a_message_when_it_is_truncated_then_it_is_rejected() {
     let request = CoordinatorRequest::Status {
         queue: "h/q/".to_owned(),
         job: JobId(7),
@@ -50,7 +50,7 @@
 }
 
 #[googletest::test]
-fn given_jobs_that_cannot_run_when_they_are_checked_then_the_fault_is_named() {
+fn given_jobs_that_cannot_run_when_they_are_validated_then_the_fault_is_named() {
     let job = |steps| JobSpec {
         steps,
         ..JobSpec::default()
@@ -85,8 +85,8 @@
 }
 
 #[googletest::test]
-fn given_resources_when_they_are_compared_then_each_kind_counts() {
-    let whole = Resources {
+fn given_resources_when_they_are_compared_then_each_of_them_counts() {
+    let capacity = Resources {
         cpu: 4000,
         memory_mb: 100,
         gpu: 0,
@@ -97,7 +97,7 @@
             memory_mb: 101,
             gpu: 0
         }
-        .fits(&whole),
+        .fits(&capacity),
         eq(false)
     );
     expect_that!(
@@ -106,11 +106,11 @@
             memory_mb: 50,
             gpu: 0
         }
-        .dominant_share(&whole),
+        .dominant_share(&capacity),
         eq(0.5)
     );
     expect_that!(
-        Resources { gpu: 1, ..whole }.dominant_share(&whole),
+        Resources { gpu: 1, ..capacity }.dominant_share(&capacity),
         eq(f64::INFINITY)
     );
 }
--- a/system/protocol/tests/stored_bytes.rs
+++ b/system/protocol/tests/stored_bytes.rs
@@ -1,7 +1,7 @@
-//! What was encoded before stays readable, and what is encoded now is read by processes of the version before.
+//! Stored encodings stay readable, and what is encoded now can be read by processes of the version before.
 //!
-//! Entries, views and states lie on the disks of the core, and while a new version is rolled out, coordinators, agents
-//! and proxies of both versions talk to each other. So these bytes must not change, whatever the types come to be called.
+//! Entries, views and states are on the disks of the core, and during a rolling update coordinators, agents and proxies of
+//! both versions talk to each other. So these bytes must not change, whatever the types are called.
 mod golden;
 #[path = "golden/samples.rs"]
 mod samples;
@@ -24,14 +24,14 @@
         change,
     };
     stored.keeps("replace-configuration", &replace);
-    let unknown = Command::ReplaceConfiguration {
+    let without_change = Command::ReplaceConfiguration {
         base: 32,
         version: 33,
         body,
         change: vec![],
     };
-    stored.keeps("replace-configuration-change-unknown", &unknown);
-    stored.reads("replace-configuration-before-changes", &unknown);
+    stored.keeps("replace-configuration-change-unknown", &without_change);
+    stored.reads("replace-configuration-before-changes", &without_change);
     stored.keeps(
         "claim-role-platform-reader",
         &Command::ClaimRole {
@@ -60,13 +60,13 @@
             runs: vec![run_start()],
         },
     );
-    let ends = every_end_kind().map(run_end).to_vec();
+    let completions = every_completion_kind().map(run_completion).to_vec();
     stored.keeps(
         "note-ends",
         &Command::RecordCompletions {
             incarnation: "w-17/5".to_owned(),
             last_seen: 37,
-            ends,
+            ends: completions,
         },
     );
     stored.keeps(
@@ -105,7 +105,7 @@
     expect_that!(stored.faults(), is_empty());
 }
 
-fn every_end_kind() -> [CompletionKind; 6] {
+fn every_completion_kind() -> [CompletionKind; 6] {
     [
         CompletionKind::Done,
         CompletionKind::Failed,
@@ -290,7 +290,7 @@
 }
 
 #[googletest::test]
-fn what_peer_messages_are_made_of_keeps_its_bytes() {
+fn every_element_of_peer_messages_keeps_its_bytes() {
     let mut stored = Stored::read(include_str!("golden/peer_parts.hex"));
     stored.keeps("heartbeat", &heartbeat());
     stored.keeps("peer-report", &report());
@@ -323,7 +323,7 @@
 }
 
 #[googletest::test]
-fn forms_from_before_a_field_was_added_are_still_read() {
+fn encodings_from_before_a_field_was_added_are_still_decoded() {
     let mut stored = Stored::read(include_str!("golden/older_forms.hex"));
     let first_report = PeerReport {
         complete: false,
@@ -423,9 +423,9 @@
 }
 
 #[googletest::test]
-fn every_answer_of_a_coordinator_keeps_its_bytes() {
+fn every_response_of_a_coordinator_keeps_its_bytes() {
     let mut stored = Stored::read(include_str!("golden/answers.hex"));
-    let answers = [
+    let responses = [
         ("accepted", CoordinatorResponse::Accepted),
         ("full", CoordinatorResponse::Full),
         ("not-serving", CoordinatorResponse::NotServing),
@@ -480,21 +480,21 @@
         ("elsewhere", CoordinatorResponse::Elsewhere(0x0a00_000b)),
         (
             "configuration-part",
-            CoordinatorResponse::ConfigurationChunk(Box::new(part())),
+            CoordinatorResponse::ConfigurationChunk(Box::new(chunk())),
         ),
         (
             "configuration-invalid",
             CoordinatorResponse::ConfigurationInvalid("no routes".to_owned()),
         ),
     ];
-    for (name, answer) in &answers {
-        stored.keeps(name, answer);
+    for (name, response) in &responses {
+        stored.keeps(name, response);
     }
     expect_that!(stored.faults(), is_empty());
 }
 
 #[googletest::test]
-fn what_agents_and_proxies_learn_keeps_its_bytes() {
+fn everything_for_agents_and_proxies_keeps_its_bytes() {
     let mut stored = Stored::read(include_str!("golden/feeds.hex"));
     stored.keeps("feed", &feed());
     stored.keeps(
@@ -515,12 +515,12 @@
     );
     stored.keeps("transfer", &transfer());
     stored.keeps("configuration-fetch", &fetch());
-    stored.keeps("configuration-part", &part());
+    stored.keeps("configuration-part", &chunk());
     expect_that!(stored.faults(), is_empty());
 }
 
 #[googletest::test]
-fn names_jobs_and_workers_keep_their_bytes() {
+fn identities_jobs_and_workers_keep_their_bytes() {
     let mut stored = Stored::read(include_str!("golden/small_parts.hex"));
     stored.keeps("member", &member(12));
     stored.keeps("replica", &replica(13));
@@ -531,8 +531,8 @@
     stored.keeps("location", &location());
     stored.keeps("role-platform-reader", &Role::PlatformReader);
     stored.keeps("role-scheduler", &scheduler());
-    stored.keeps("end-kinds", &every_end_kind().to_vec());
-    stored.keeps("run-end", &run_end(CompletionKind::Lapsed));
+    stored.keeps("end-kinds", &every_completion_kind().to_vec());
+    stored.keeps("run-end", &run_completion(CompletionKind::Lapsed));
     stored.keeps("run-start", &run_start());
     stored.keeps("resources", &resources());
     stored.keeps("step", &step());
@@ -556,9 +556,9 @@
     expect_that!(stored.faults(), is_empty());
 }
 
-/// Flags look alike: only one that is set alone shows its place.
+/// Flags look alike: only one that is set alone shows its position.
 #[googletest::test]
-fn each_flag_keeps_its_place() {
+fn each_flag_keeps_its_position() {
     let mut stored = Stored::read(include_str!("golden/flags.hex"));
     let step = StepSpec::default();
     stored.keeps(
