--- a/system/storage/tests/crashes.rs
+++ b/system/storage/tests/crashes.rs
@@ -13,65 +13,64 @@
     records: Vec<Vec<u8>>,
 }
 
-#[googletest::test]
-fn given_any_power_failure_when_the_store_is_opened_then_all_that_was_confirmed_is_there() {
-    // Given: a store that appends and makes checkpoints, with all operations of its disk on record
-    let disk = SimulatedDisk::default();
+impl Confirmed {
+    /// Whether what was found is this, with a prefix of its records.
+    fn is_prefixed_by(&self, found: &Recovered) -> bool {
+        found.snapshot == self.snapshot && self.records.starts_with(&found.records)
+    }
+
+    /// Whether what was found has all of these records, or another snapshot.
+    fn is_complete_in(&self, found: &Recovered) -> bool {
+        found.snapshot != self.snapshot || found.records.len() >= self.records.len()
+    }
+}
+
+/// Appends to a store and makes checkpoints. Returns what it has confirmed after each call, and before the first one.
+fn append_and_checkpoint(disk: &SimulatedDisk) -> Vec<Confirmed> {
     let (mut store, _) = Store::open(disk.clone()).unwrap();
-    let mut states = Vec::new();
-    let mut snapshot = None;
-    let mut records: Vec<Vec<u8>> = Vec::new();
-    let mut confirm = |snapshot: &Option<Vec<Vec<u8>>>, records: &Vec<Vec<u8>>| {
-        let operations = disk.0.borrow().operations.len();
-        states.push(Confirmed {
-            operations,
-            snapshot: snapshot.clone(),
-            records: records.clone(),
-        });
+    let mut confirmed = Confirmed {
+        operations: disk.0.borrow().operations.len(),
+        snapshot: None,
+        records: Vec::new(),
     };
-    confirm(&snapshot, &records);
+    let mut history = vec![confirmed.clone()];
     for number in 0..9_u8 {
         if number % 3 == 2 {
             let chunks = vec![vec![number; 40], vec![number + 50; 9]];
             store.checkpoint(chunks.clone()).unwrap();
-            snapshot = Some(chunks);
-            records.clear();
+            confirmed.snapshot = Some(chunks);
+            confirmed.records.clear();
         } else {
             let batch = vec![vec![number; 7], vec![number + 100; 3]];
             store.append(&batch).unwrap();
-            records.extend(batch);
+            confirmed.records.extend(batch);
         }
-        confirm(&snapshot, &records);
+        confirmed.operations = disk.0.borrow().operations.len();
+        history.push(confirmed.clone());
     }
+    history
+}
+
+#[googletest::test]
+fn given_any_power_failure_when_the_store_is_opened_then_all_that_was_confirmed_is_there() {
+    // Given: a store that appends and makes checkpoints, with all operations of its disk on record
+    let disk = SimulatedDisk::default();
+    let history = append_and_checkpoint(&disk);
     let operations = disk.0.borrow().operations.clone();
     // When: power is lost after each operation, with every way in which unsynced operations may be left
     for done in 0..=operations.len() {
-        let before = states
-            .iter()
-            .rev()
-            .find(|state| state.operations <= done)
-            .cloned();
-        let after = states
-            .iter()
-            .find(|state| state.operations >= done)
-            .cloned();
+        let before = history.iter().rev().find(|state| state.operations <= done);
+        let after = history.iter().find(|state| state.operations >= done);
         for files in files_after_crash(&operations, done) {
             let crashed = SimulatedDisk::default();
             crashed.0.borrow_mut().files = files;
             let (_, found) = Store::open(crashed).unwrap();
             // Then: it is what was confirmed last, or what was being written then, with a prefix of its records
-            let matches = |state: &Option<Confirmed>| {
-                state.as_ref().is_some_and(|state| {
-                    found.snapshot == state.snapshot && state.records.starts_with(&found.records)
-                })
-            };
-            let is_complete = |state: &Option<Confirmed>| {
-                state.as_ref().is_none_or(|state| {
-                    found.snapshot != state.snapshot || found.records.len() >= state.records.len()
-                })
-            };
+            let matches =
+                |state: Option<&Confirmed>| state.is_some_and(|state| state.is_prefixed_by(&found));
+            let is_complete = before.is_none_or(|state| state.is_complete_in(&found));
             assert!(
-                (matches(&before) || matches(&after)) && is_complete(&before),
+                (matches(before) || matches(after)) && is_complete,
                 "after {done} operations: {found:?}"
             );
         }
