--- a/system/protocol/src/peer.rs
+++ b/system/protocol/src/peer.rs
@@ -153,16 +153,16 @@
         #[n(1)]
         ballot: Ballot,
     },
-    /// The voter takes part.
+    /// The voter promises to accept nothing in lower ballots (phase 1b of Paxos).
     #[n(2)]
     Promise(#[n(0)] Promise),
-    /// The voter takes part in a higher ballot.
+    /// The voter rejects a ballot, as it has promised a higher one.
     #[n(3)]
     Reject {
         /// Number of the view to be agreed.
         #[n(0)]
         number: ViewNumber,
-        /// The ballot that the voter takes part in.
+        /// The highest ballot that the voter has promised.
         #[n(1)]
         promised: Ballot,
     },
--- a/system/protocol/src/view.rs
+++ b/system/protocol/src/view.rs
@@ -95,7 +95,7 @@
     }
 
     /// Whether a disk that was complete in view `synced` still has all that was committed since: a view commits
-    /// only what is on the disks of its whole chain, so a disk that was in every chain since has missed nothing.
+    /// only what is on the disks of its entire chain, so a disk that was in every chain since has missed nothing.
     pub fn complete_since(&self, synced: ViewNumber, member: &Member) -> bool {
         let in_chain = |chain: &[ReplicaId]| chain.iter().any(|replica| replica.member == *member);
         let in_view = |number: ViewNumber| match number == self.number {
