--- a/balancer/gossip/src/knowledge/sums.rs
+++ b/balancer/gossip/src/knowledge/sums.rs
@@ -1,257 +1,273 @@
-//! Sums over the tier. Owns the freshest figures received of each member.
+//! Sums over the tier. Owns the youngest loads received of each member.
 //!
-//! A member owns its figures. Each entry has the time at which it was created at the earliest, and the youngest of an
-//! owner wins: a maximum, so that neither order nor repetition matters, and no sum ever loses or doubles what a
-//! datagram carried. Totals are relayed by every replica; tenants' figures, which are longer, go from their owner
-//! alone. Where not all are known, the mean of those that are is scaled to all.
+//! A member owns its load. Each entry has the earliest time at which it was created, and the youngest of an owner wins:
+//! a maximum, so that neither order nor repetition matters, and no sum ever loses or doubles what a datagram carried.
+//! Totals are relayed by every replica; tenants' loads, which are longer, are sent by their owner alone. Where not all
+//! are known, the mean of those that are is scaled to all. Which members are up is not known here.
 use rand::seq::SliceRandom;
 use rand::Rng;
 
-use crate::knowledge::ages::created;
+use crate::knowledge::ages::earliest_creation;
 use crate::types::{Figures, Member, Millis, Sums, TenantFigures};
-use crate::wire::v1::ticks;
-use crate::wire::v2::{Figure, Rest, Row, Totals, ROWS};
+use crate::wire::v1::age_to_ticks;
+use crate::wire::v2::{CompactFloat, TenantRow, Totals, UnnamedTenants, MAX_TENANT_ROWS};
 
-/// Totals older than this are in no sum: what has changed is then known to all within two seconds.
+/// Totals older than this are in no sum: a change is then known to all within two seconds.
 pub const MAX_AGE: Millis = 2_000.0;
-/// Tenants' figures may be this old: they come from their owners alone, so they need longer to be enough.
+/// Tenants' loads may be this old: they come from their owners alone, so they need longer to be enough.
 pub const TENANTS_MAX_AGE: Millis = 3_000.0;
 /// With so many received the sum is given whatever the number of members; with fewer, if they are half of all. At 16 of
-/// 300 whose figures differ by 30 in 100, the error is 7 in 100.
+/// 300 whose loads differ by 30%, the error is 7%.
 const MIN_SAMPLE: usize = 16;
-/// Places among a datagram's tenants that go round over those that are not among the largest.
+/// Rows of a datagram that rotate over the tenants that are not among the largest.
 const ROTATING_ROWS: usize = 2;
+/// Totals of others that a datagram has space for.
+const MAX_OTHER_TOTALS: usize = 18;
+
+/// The loads that one datagram carries.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct LoadEntries {
+    /// Totals of the sender and of others.
+    pub totals: Vec<Totals>,
+    /// The sender's tenants that no row names; absent where it sends no tenants.
+    pub unnamed_tenants: Option<UnnamedTenants>,
+    /// Some of the sender's tenants.
+    pub rows: Vec<TenantRow>,
+}
 
 /// Totals of a member as received.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedTotals {
     created: Millis,
-    figures: [Figure; 4],
+    values: [CompactFloat; 4],
 }
 
-/// Tenants' figures of a member as received.
+/// Tenants' loads of a member as received.
 #[derive(Clone, Debug)]
 struct ReceivedTenants {
     created: Millis,
-    rest: [f64; 3],
-    rows: Vec<Row>,
+    unnamed: TenantLoad,
+    rows: Vec<TenantRow>,
 }
 
-/// The figures received of each candidate, and this replica's own.
+/// Demand, calls in flight, client connections.
+type TenantLoad = [f64; 3];
+
+/// The loads received of each candidate, and this replica's own.
 #[derive(Debug)]
-pub struct Entries {
+pub struct LoadTable {
     own: Member,
     tenant_count: usize,
-    figures: Figures,
+    load: Figures,
     observed: Option<Millis>,
     totals: Vec<Option<ReceivedTotals>>,
     tenants: Vec<Option<ReceivedTenants>>,
+    /// The position among the smaller tenants from which the next rotating rows are taken.
     rotation: usize,
 }
 
-impl Entries {
-    pub fn new(own: Member, candidates: u16, tenants: u16) -> Entries {
-        let n = usize::from(candidates);
-        Entries {
+impl LoadTable {
+    /// A table that has received nothing.
+    pub fn new(own: Member, candidates: u16, tenants: u16) -> LoadTable {
+        let candidates = usize::from(candidates);
+        LoadTable {
             own,
             tenant_count: usize::from(tenants) + 1,
-            figures: Figures::default(),
+            load: Figures::default(),
             observed: None,
-            totals: vec![None; n],
-            tenants: vec![None; n],
+            totals: vec![None; candidates],
+            tenants: vec![None; candidates],
             rotation: 0,
         }
     }
 
-    /// Takes this replica's own figures.
-    pub fn observe(&mut self, now: Millis, figures: Figures) {
-        self.figures = figures;
-        self.figures
+    /// Takes this replica's own load.
+    pub fn observe(&mut self, now: Millis, load: Figures) {
+        self.load = load;
+        self.load
             .tenants
             .resize(self.tenant_count, TenantFigures::default());
         self.observed = Some(now);
     }
 
-    /// Takes entries that came in a datagram; the tenants' are the sender's.
-    pub fn read(
+    /// Takes the loads of a datagram that was in transit for at most so long; the tenants' are the sender's.
+    pub fn handle_loads(
         &mut self,
         now: Millis,
         transit: Millis,
         from: Member,
-        totals: &[Totals],
-        rest: Option<Rest>,
-        rows: Vec<Row>,
+        entries: LoadEntries,
     ) {
-        for entry in totals {
-            let created = created(now, entry.age, transit);
-            let Some(known) = self.totals.get_mut(usize::from(entry.owner)) else {
-                continue;
-            };
-            let key = (created, entry.figures);
-            let younger = known.is_none_or(|known| key > (known.created, known.figures));
-            if entry.owner != self.own.0 && now - created <= MAX_AGE && younger {
-                *known = Some(ReceivedTotals {
-                    created,
-                    figures: entry.figures,
-                });
-            }
+        for entry in &entries.totals {
+            self.merge_totals(now, transit, entry);
         }
-        let Some(rest) = rest else { return };
-        let created = created(now, rest.age, transit);
-        let Some(known) = self.tenants.get_mut(usize::from(from.0)) else {
+        if let Some(unnamed) = entries.unnamed_tenants {
+            self.merge_tenants(now, transit, from, unnamed, entries.rows);
+        }
+    }
+
+    fn merge_totals(&mut self, now: Millis, transit: Millis, entry: &Totals) {
+        let created = earliest_creation(now, entry.age, transit);
+        let Some(known) = self.totals.get_mut(usize::from(entry.owner)) else {
             return;
         };
-        if now - created <= TENANTS_MAX_AGE
-            && known.as_ref().is_none_or(|known| created > known.created)
-        {
-            let rows = rows
-                .into_iter()
-                .filter(|row| usize::from(row.tenant) < self.tenant_count)
-                .collect();
-            *known = Some(ReceivedTenants {
+        let key = (created, entry.values);
+        let is_younger = known.is_none_or(|known| key > (known.created, known.values));
+        if entry.owner != self.own.0 && now - created <= MAX_AGE && is_younger {
+            *known = Some(ReceivedTotals {
                 created,
-                rest: rest.figures.map(Figure::value),
-                rows,
+                values: entry.values,
             });
         }
     }
 
-    /// The figures for a datagram: own totals first, then others' at random, and own tenants.
-    /// Tenants are piggybacked on pings alone, so that acks have space for twice the totals.
-    pub fn outgoing(
+    fn merge_tenants(
         &mut self,
         now: Millis,
-        tenants: bool,
-        rng: &mut impl Rng,
-    ) -> (Vec<Totals>, Option<Rest>, Vec<Row>) {
-        let mut outgoing = Vec::new();
-        let own_age = self.observed.and_then(|at| ticks(now - at));
+        transit: Millis,
+        from: Member,
+        unnamed: UnnamedTenants,
+        mut rows: Vec<TenantRow>,
+    ) {
+        let created = earliest_creation(now, unnamed.age, transit);
+        let Some(known) = self.tenants.get_mut(usize::from(from.0)) else {
+            return;
+        };
+        let is_younger = known.as_ref().is_none_or(|known| created > known.created);
+        if now - created > TENANTS_MAX_AGE || !is_younger {
+            return;
+        }
+        rows.retain(|row| usize::from(row.tenant) < self.tenant_count);
+        *known = Some(ReceivedTenants {
+            created,
+            unnamed: unnamed.values.map(CompactFloat::value),
+            rows,
+        });
+    }
+
+    /// The loads for a datagram: own totals first, then others' at random, and own tenants. Tenants are piggybacked on
+    /// pings alone, so that acks have space for twice the totals.
+    pub fn outgoing(&mut self, now: Millis, with_tenants: bool, rng: &mut impl Rng) -> LoadEntries {
+        let own_age = self.observed.and_then(|at| age_to_ticks(now - at));
+        let mut entries = LoadEntries::default();
         if let Some(age) = own_age {
-            let own = &self.figures;
-            let figures = [own.demand, own.room, own.firsts, own.retries].map(Figure::of);
-            outgoing.push(Totals {
+            entries.totals.push(Totals {
                 owner: self.own.0,
                 age,
-                figures,
+                values: own_totals(&self.load).map(CompactFloat::of),
             });
         }
-        let entries = self.totals.iter().enumerate();
-        let mut others: Vec<Totals> = entries
-            .filter_map(|(owner, received)| {
-                let received = received.filter(|received| now - received.created <= MAX_AGE)?;
-                let age = ticks(now - received.created)?;
-                Some(Totals {
-                    owner: owner as u16,
-                    age,
-                    figures: received.figures,
-                })
-            })
-            .collect();
-        // The younger half is of use for longer, so it goes first. A datagram has space for 18 at most.
+        let mut others = self.other_totals(now);
+        // The younger half is of use for longer, so it goes first.
         others.sort_by_key(|entry| entry.age);
-        let young = others.len().min(18.max(others.len() / 2));
+        let young = others.len().min(MAX_OTHER_TOTALS.max(others.len() / 2));
         others.truncate(young);
-        let (chosen, _) = others.partial_shuffle(rng, 18);
-        outgoing.extend_from_slice(chosen);
-        let Some(age) = own_age.filter(|_| tenants) else {
-            return (outgoing, None, Vec::new());
-        };
-        let (rows, figures) = self.rows();
-        (outgoing, Some(Rest { age, figures }), rows)
+        let (chosen, _) = others.partial_shuffle(rng, MAX_OTHER_TOTALS);
+        entries.totals.extend_from_slice(chosen);
+        if let Some(age) = own_age.filter(|_| with_tenants) {
+            let (rows, values) = self.own_rows();
+            entries.unnamed_tenants = Some(UnnamedTenants { age, values });
+            entries.rows = rows;
+        }
+        entries
     }
 
-    /// Own tenants to name, and the sum of those left: the largest, and a few of the others in turn.
-    fn rows(&mut self) -> (Vec<Row>, [Figure; 3]) {
-        let parts = |tenant: &TenantFigures| [tenant.demand, tenant.calls, tenant.callers];
-        let sum = |all: &mut dyn Iterator<Item = &TenantFigures>| {
-            all.map(parts)
-                .fold([0.0; 3], |a, b| [a[0] + b[0], a[1] + b[1], a[2] + b[2]])
-        };
-        let all = &self.figures.tenants;
-        let total = sum(&mut all.iter());
-        // The largest by their share of anything.
-        let weight = |tenant: &TenantFigures| {
-            let shares = parts(tenant).into_iter().zip(total);
-            shares
-                .map(|(part, all)| if all > 0.0 { part / all } else { 0.0 })
-                .fold(0.0, f64::max)
-        };
-        let mut order: Vec<usize> = (0..all.len()).collect();
-        if order.len() > ROWS {
-            order.sort_by(|a, b| weight(&all[*b]).total_cmp(&weight(&all[*a])).then(a.cmp(b)));
-            let others = order.split_off(ROWS - ROTATING_ROWS);
-            order.extend((0..ROTATING_ROWS).map(|at| others[(self.rotation + at) % others.len()]));
+    /// The totals received of others that are within their bound.
+    fn other_totals(&self, now: Millis) -> Vec<Totals> {
+        let entries = self.totals.iter().enumerate();
+        let within_bound = entries.filter_map(|(owner, received)| {
+            let received = received.filter(|received| now - received.created <= MAX_AGE)?;
+            Some(Totals {
+                owner: owner as u16,
+                age: age_to_ticks(now - received.created)?,
+                values: received.values,
+            })
+        });
+        within_bound.collect()
+    }
+
+    /// Own tenants to name, and the sum of the others: the largest, and a few of the smaller ones in turn.
+    fn own_rows(&mut self) -> (Vec<TenantRow>, [CompactFloat; 3]) {
+        let tenants = &self.load.tenants;
+        let total = sum(tenants.iter());
+        let mut named: Vec<usize> = (0..tenants.len()).collect();
+        if named.len() > MAX_TENANT_ROWS {
+            let share = |at: usize| largest_share(&tenants[at], total);
+            named.sort_by(|a, b| share(*b).total_cmp(&share(*a)).then(a.cmp(b)));
+            let smaller = named.split_off(MAX_TENANT_ROWS - ROTATING_ROWS);
+            let rotating =
+                (0..ROTATING_ROWS).map(|at| smaller[(self.rotation + at) % smaller.len()]);
+            named.extend(rotating);
             self.rotation = self.rotation.wrapping_add(ROTATING_ROWS);
         }
-        let named = |at: &usize| Row {
+        let row = |at: &usize| TenantRow {
             tenant: *at as u16,
-            figures: parts(&all[*at]).map(Figure::of),
+            values: tenant_load(&tenants[*at]).map(CompactFloat::of),
         };
-        let rows: Vec<Row> = order.iter().map(named).collect();
-        let named = sum(&mut order.iter().map(|at| &all[*at]));
-        let rest = [0, 1, 2].map(|part| {
-            Figure::of(if rows.len() < all.len() {
-                total[part] - named[part]
+        let rows: Vec<TenantRow> = named.iter().map(row).collect();
+        let named_sum = sum(named.iter().map(|at| &tenants[*at]));
+        let unnamed = [0, 1, 2].map(|at| {
+            CompactFloat::of(if rows.len() < tenants.len() {
+                total[at] - named_sum[at]
             } else {
                 0.0
             })
         });
-        (rows, rest)
+        (rows, unnamed)
     }
 
-    /// The sums over `up`, if enough of it was received.
+    /// The sums over `up`, if enough of them was received.
     pub fn sums(&self, now: Millis, up: &[Member]) -> Option<Sums> {
         let observed = self.observed?;
-        let received: Vec<&ReceivedTotals> = up
-            .iter()
-            .filter(|member| **member != self.own)
-            .filter_map(|member| self.totals.get(usize::from(member.0))?.as_ref())
-            .filter(|received| now - received.created <= MAX_AGE)
-            .collect();
-        let n = received.len() + 1;
-        if now - observed > MAX_AGE || (n < MIN_SAMPLE && n * 2 < up.len()) || n > up.len() {
+        let received = self.received_totals(now, up);
+        let sample = received.len() + 1;
+        let is_enough = sample >= MIN_SAMPLE || sample * 2 >= up.len();
+        if now - observed > MAX_AGE || !is_enough || sample > up.len() {
             return None;
         }
         let mut age = now - observed;
-        let own = [
-            self.figures.demand,
-            self.figures.room,
-            self.figures.firsts,
-            self.figures.retries,
-        ];
-        let mut totals = own;
-        let mut squares = own[0] * own[0];
+        let mut totals = own_totals(&self.load);
+        let mut squares = totals[0] * totals[0];
         for entry in &received {
             age = age.max(now - entry.created);
-            for (total, figure) in totals.iter_mut().zip(entry.figures) {
-                *total += figure.value();
+            for (total, value) in totals.iter_mut().zip(entry.values) {
+                *total += value.value();
             }
-            squares += entry.figures[0].value().powi(2);
+            squares += entry.values[0].value().powi(2);
         }
-        let scale = up.len() as f64 / n as f64;
-        let (tenants, tenants_age) = self.tenants(now, up);
+        let scale = up.len() as f64 / sample as f64;
+        let (tenants, tenants_age) = self.tenant_sums(now, up);
         let [demand, room, firsts, retries] = totals.map(|total| total * scale);
-        let figures = Figures {
-            demand,
-            room,
-            firsts,
-            retries,
-            tenants,
-        };
-        let error = error(n, up.len(), totals[0], squares);
         Some(Sums {
-            figures,
+            figures: Figures {
+                demand,
+                room,
+                firsts,
+                retries,
+                tenants,
+            },
             age: age.max(tenants_age),
-            heard: n as u32,
-            error,
+            heard: sample as u32,
+            error: standard_error(sample, up.len(), totals[0], squares),
         })
     }
 
-    /// Each tenant's sum, and the age of the oldest figure in it. What an owner didn't name has an even part of its
-    /// rest.
-    fn tenants(&self, now: Millis, up: &[Member]) -> (Vec<TenantFigures>, Millis) {
-        let mut sums = self.figures.tenants.clone();
-        let (mut n, mut even, mut age) = (1.0, [0.0; 3], 0.0_f64);
+    /// The totals of the members among `up`, other than this one, that are within their bound.
+    fn received_totals(&self, now: Millis, up: &[Member]) -> Vec<&ReceivedTotals> {
+        up.iter()
+            .filter(|member| **member != self.own)
+            .filter_map(|member| self.totals.get(usize::from(member.0))?.as_ref())
+            .filter(|received| now - received.created <= MAX_AGE)
+            .collect()
+    }
+
+    /// Each tenant's sum, and the age of the oldest load in it. A tenant that an owner didn't name has an equal share of
+    /// its unnamed load.
+    fn tenant_sums(&self, now: Millis, up: &[Member]) -> (Vec<TenantFigures>, Millis) {
+        let mut sums = self.load.tenants.clone();
+        let mut sample = 1.0;
+        let mut equal_share = [0.0; 3];
+        let mut age = 0.0_f64;
         for member in up.iter().filter(|member| **member != self.own) {
             let Some(Some(received)) = self.tenants.get(usize::from(member.0)) else {
                 continue;
@@ -259,36 +275,60 @@
             if now - received.created > TENANTS_MAX_AGE {
                 continue;
             }
-            n += 1.0;
+            sample += 1.0;
             age = age.max(now - received.created);
-            let unnamed = self.tenant_count.saturating_sub(received.rows.len()).max(1) as f64;
-            let part = received.rest.map(|rest| rest / unnamed);
-            (0..3).for_each(|at| even[at] += part[at]);
+            let unnamed_count = self.tenant_count.saturating_sub(received.rows.len()).max(1) as f64;
+            let share = received.unnamed.map(|unnamed| unnamed / unnamed_count);
+            (0..3).for_each(|at| equal_share[at] += share[at]);
             for row in &received.rows {
                 let sum = &mut sums[usize::from(row.tenant)];
-                let [demand, calls, callers] = row.figures.map(Figure::value);
-                sum.demand += demand - part[0];
-                sum.calls += calls - part[1];
-                sum.callers += callers - part[2];
+                let [demand, calls, callers] = row.values.map(CompactFloat::value);
+                sum.demand += demand - share[0];
+                sum.calls += calls - share[1];
+                sum.callers += callers - share[2];
             }
         }
-        let scale = up.len() as f64 / n;
+        let scale = up.len() as f64 / sample;
         for sum in &mut sums {
-            sum.demand = (sum.demand + even[0]).max(0.0) * scale;
-            sum.calls = (sum.calls + even[1]).max(0.0) * scale;
-            sum.callers = (sum.callers + even[2]).max(0.0) * scale;
+            sum.demand = (sum.demand + equal_share[0]).max(0.0) * scale;
+            sum.calls = (sum.calls + equal_share[1]).max(0.0) * scale;
+            sum.callers = (sum.callers + equal_share[2]).max(0.0) * scale;
         }
         (sums, age)
     }
 }
 
-/// The relative standard error of a total scaled from `n` of `all`, drawn without putting back.
-fn error(n: usize, all: usize, sum: f64, squares: f64) -> f64 {
-    if n >= all || n < 2 || sum <= 0.0 {
+/// A load's totals, in their order on the wire.
+fn own_totals(load: &Figures) -> [f64; 4] {
+    [load.demand, load.room, load.firsts, load.retries]
+}
+
+/// A tenant's load, in its order on the wire.
+fn tenant_load(tenant: &TenantFigures) -> TenantLoad {
+    [tenant.demand, tenant.calls, tenant.callers]
+}
+
+fn sum<'a>(tenants: impl Iterator<Item = &'a TenantFigures>) -> TenantLoad {
+    tenants
+        .map(tenant_load)
+        .fold([0.0; 3], |a, b| [a[0] + b[0], a[1] + b[1], a[2] + b[2]])
+}
+
+/// A tenant's share of whatever it has the largest share of.
+fn largest_share(tenant: &TenantFigures, total: TenantLoad) -> f64 {
+    let shares = tenant_load(tenant).into_iter().zip(total);
+    shares
+        .map(|(value, total)| if total > 0.0 { value / total } else { 0.0 })
+        .fold(0.0, f64::max)
+}
+
+/// The relative standard error of a total scaled from a sample of `all`, drawn without replacement.
+fn standard_error(sample: usize, all: usize, sum: f64, squares: f64) -> f64 {
+    if sample >= all || sample < 2 || sum <= 0.0 {
         return 0.0;
     }
-    let (n, all) = (n as f64, all as f64);
-    let mean = sum / n;
-    let variance = ((squares - n * mean * mean) / (n - 1.0)).max(0.0);
-    (variance / n * (1.0 - n / all)).sqrt() / mean
+    let (sample, all) = (sample as f64, all as f64);
+    let mean = sum / sample;
+    let variance = ((squares - sample * mean * mean) / (sample - 1.0)).max(0.0);
+    (variance / sample * (1.0 - sample / all)).sqrt() / mean
 }
--- a/balancer/gossip/src/knowledge/verdicts.rs
+++ b/balancer/gossip/src/knowledge/verdicts.rs
@@ -3,32 +3,37 @@
 //!
 //! An observer owns its observations; its last one wins, by its own sequence, and between equals the one that is known
 //! to be younger. Both are maxima, so the order and the number of datagrams don't matter. What no observer renews
-//! expires after [`MAX_AGE`].
+//! expires after [`MAX_AGE`]. What follows from evidence is not decided here.
 use std::collections::BTreeMap;
 
 use rand::seq::SliceRandom;
 use rand::Rng;
 
-use crate::knowledge::ages::created;
+use crate::knowledge::ages::earliest_creation;
 use crate::types::{Evidence, Member, Millis, Subject};
-use crate::wire::v1::{ticks, Stance, Verdict};
+use crate::wire::v1::{age_to_ticks, Verdict, VerdictState};
 
 /// Evidence older than this is left out: an observer renews it thrice in that time.
 pub const MAX_AGE: Millis = 3_000.0;
 /// How often an observer renews what it still observes.
 const RENEWAL_PERIOD: Millis = 1_000.0;
-/// Subjects held at most, the youngest first: a tier of 64 zones and upstreams in trouble at a time has one common
-/// trouble, which more of them wouldn't show better.
+/// Subjects retained at most, the youngest first: 64 faulty zones and upstreams at a time have one common fault, which
+/// more of them wouldn't show better.
 const MAX_SUBJECTS: usize = 64;
-/// Observers held for a subject at most, the youngest first: a verdict is as good with eight as with 300.
+/// Observers retained for a subject at most, the youngest first: a verdict is as good with eight as with 300.
 const MAX_OBSERVERS: usize = 8;
+/// Observations that one datagram is offered.
+const MAX_OUTGOING: usize = 8;
+/// Observations up to this age, in units of [`TICK`](crate::wire::v1::TICK), are sent first: half a second, in which a
+/// new one reaches all.
+const NEW_TICKS: u8 = 25;
 
 /// The last observation of one observer on one subject.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Observation {
     sequence: u16,
     created: Millis,
-    stance: Stance,
+    state: VerdictState,
     zone: u16,
 }
 
@@ -36,10 +41,26 @@
     /// Whether this one wins against another of the same observer on the same subject.
     fn supersedes(&self, other: &Observation) -> bool {
         match self.sequence.wrapping_sub(other.sequence) {
-            0 => (self.created, self.stance) > (other.created, other.stance),
+            0 => (self.created, self.state) > (other.created, other.state),
             ahead => ahead < 1 << 15,
         }
     }
+
+    /// The observation for the wire, while it is within its bound.
+    fn to_verdict(self, now: Millis, subject: Subject, observer: u16) -> Option<Verdict> {
+        let age = now - self.created;
+        if age > MAX_AGE {
+            return None;
+        }
+        Some(Verdict {
+            subject,
+            observer,
+            zone: self.zone,
+            sequence: self.sequence,
+            state: self.state,
+            age: age_to_ticks(age)?,
+        })
+    }
 }
 
 /// All recent observations, the own ones included.
@@ -52,6 +73,7 @@
 }
 
 impl Verdicts {
+    /// No observations; own ones are numbered from `sequence` on.
     pub fn new(own: Member, zone: u16, sequence: u16) -> Verdicts {
         Verdicts {
             own,
@@ -61,60 +83,60 @@
         }
     }
 
-    /// Takes all that this replica observes itself now; whether any of it is new and to be gossiped at once.
+    /// Takes all that this replica observes itself now; returns whether any of it is new and to be gossiped at once.
     pub fn observe(&mut self, now: Millis, against: &[Subject], cleared: &[Subject]) -> bool {
-        let against = against
-            .iter()
-            .take(MAX_SUBJECTS / 2)
-            .map(|subject| (*subject, Stance::Against));
-        let cleared = cleared
-            .iter()
-            .take(MAX_SUBJECTS / 2)
-            .map(|subject| (*subject, Stance::Cleared));
-        let (own, zone) = (self.own.0, self.zone);
-        let mut changed_any = false;
-        let mut own_verdicts: BTreeMap<Subject, Stance> = BTreeMap::new();
-        for (subject, stance) in against.chain(cleared) {
-            own_verdicts.entry(subject).or_insert(stance);
+        let mut own_verdicts: BTreeMap<Subject, VerdictState> = BTreeMap::new();
+        for (subjects, state) in [
+            (against, VerdictState::Against),
+            (cleared, VerdictState::Cleared),
+        ] {
+            for subject in subjects.iter().take(MAX_SUBJECTS / 2) {
+                own_verdicts.entry(*subject).or_insert(state);
+            }
         }
         // What is observed no longer is not renewed, and expires everywhere.
+        let own = self.own.0;
         self.observations.retain(|subject, by_observer| {
             if !own_verdicts.contains_key(subject) {
                 by_observer.remove(&own);
             }
             !by_observer.is_empty()
         });
-        for (subject, stance) in own_verdicts {
-            let by_observer = self.observations.entry(subject).or_default();
-            let last = by_observer.get(&own).copied();
-            let changed = last.is_none_or(|last| last.stance != stance);
-            if changed || last.is_some_and(|last| now - last.created >= RENEWAL_PERIOD) {
-                self.sequence = self.sequence.wrapping_add(1);
-                by_observer.insert(
-                    own,
-                    Observation {
-                        sequence: self.sequence,
-                        created: now,
-                        stance,
-                        zone,
-                    },
-                );
-            }
-            changed_any |= changed;
+        let mut changed_any = false;
+        for (subject, state) in own_verdicts {
+            changed_any |= self.renew(now, subject, state);
         }
         changed_any
     }
 
-    /// Takes the observation of another; whether it is new and to be gossiped at once.
-    pub fn read(&mut self, now: Millis, transit: Millis, verdict: &Verdict) -> bool {
-        let created = created(now, verdict.age, transit);
+    /// Renews an own observation where it is due or its state has changed; returns whether the state has changed.
+    fn renew(&mut self, now: Millis, subject: Subject, state: VerdictState) -> bool {
+        let by_observer = self.observations.entry(subject).or_default();
+        let last = by_observer.get(&self.own.0);
+        let changed = last.is_none_or(|last| last.state != state);
+        if changed || last.is_some_and(|last| now - last.created >= RENEWAL_PERIOD) {
+            self.sequence = self.sequence.wrapping_add(1);
+            let observation = Observation {
+                sequence: self.sequence,
+                created: now,
+                state,
+                zone: self.zone,
+            };
+            by_observer.insert(self.own.0, observation);
+        }
+        changed
+    }
+
+    /// Takes the observation of another; returns whether it is new and to be gossiped at once.
+    pub fn handle_verdict(&mut self, now: Millis, transit: Millis, verdict: &Verdict) -> bool {
+        let created = earliest_creation(now, verdict.age, transit);
         if verdict.observer == self.own.0 || now - created > MAX_AGE {
             return false;
         }
         let observation = Observation {
             sequence: verdict.sequence,
             created,
-            stance: verdict.stance,
+            state: verdict.state,
             zone: verdict.zone,
         };
         let by_observer = self.observations.entry(verdict.subject).or_default();
@@ -122,15 +144,20 @@
         if last.is_some_and(|last| !observation.supersedes(last)) {
             return false;
         }
-        let news = last.is_none_or(|last| last.stance != observation.stance);
+        let is_new = last.is_none_or(|last| last.state != observation.state);
         by_observer.insert(verdict.observer, observation);
-        let news = news && by_observer.len() <= MAX_OBSERVERS;
-        self.bound(now);
-        news
+        let is_new = is_new && by_observer.len() <= MAX_OBSERVERS;
+        self.enforce_bounds(now);
+        is_new
+    }
+
+    /// Removes observations that have expired.
+    pub fn on_timeout(&mut self, now: Millis) {
+        self.enforce_bounds(now);
     }
 
     /// Removes what is beyond the bounds, in number and in age.
-    pub fn bound(&mut self, now: Millis) {
+    fn enforce_bounds(&mut self, now: Millis) {
         let own = self.own.0;
         self.observations.retain(|_, by_observer| {
             by_observer.retain(|observer, observation| {
@@ -168,7 +195,7 @@
         oldest.map(|(subject, _)| *subject)
     }
 
-    /// Forgets the observations of a former run of a member.
+    /// Removes the observations of a former process of a member.
     pub fn forget(&mut self, member: Member) {
         self.observations.retain(|_, by_observer| {
             by_observer.remove(&member.0);
@@ -178,67 +205,58 @@
 
     /// The observations for a datagram: a few, the newest ones first and the others at random.
     pub fn outgoing(&self, now: Millis, rng: &mut impl Rng) -> Vec<Verdict> {
-        let mut all: Vec<Verdict> = Vec::new();
+        let mut verdicts: Vec<Verdict> = Vec::new();
         for (subject, by_observer) in &self.observations {
-            for (observer, observation) in by_observer {
-                if now - observation.created > MAX_AGE {
-                    continue;
-                }
-                let Some(age) = ticks(now - observation.created) else {
-                    continue;
-                };
-                let (subject, observer, zone) = (*subject, *observer, observation.zone);
-                let (sequence, stance) = (observation.sequence, observation.stance);
-                all.push(Verdict {
-                    subject,
-                    observer,
-                    zone,
-                    sequence,
-                    stance,
-                    age,
-                });
-            }
+            let observations = by_observer.iter();
+            verdicts.extend(observations.filter_map(|(observer, observation)| {
+                observation.to_verdict(now, *subject, *observer)
+            }));
         }
-        all.shuffle(rng);
-        // News first: half a second is how long it needs to reach all.
-        all.sort_by_key(|verdict| verdict.age > 25);
-        all.truncate(8);
-        all
+        verdicts.shuffle(rng);
+        verdicts.sort_by_key(|verdict| verdict.age > NEW_TICKS);
+        verdicts.truncate(MAX_OUTGOING);
+        verdicts
     }
 
     /// The evidence of others that is within its bound.
     pub fn evidence(&self, now: Millis) -> Vec<Evidence> {
-        let mut all = Vec::new();
-        for (subject, by_observer) in &self.observations {
-            let others = by_observer.iter().filter(|(observer, observation)| {
-                **observer != self.own.0 && now - observation.created <= MAX_AGE
-            });
-            let (mut observers, mut cleared, mut age) = (0, 0, f64::INFINITY);
-            let mut zones: Vec<u16> = Vec::new();
-            for (_, observation) in others {
-                age = f64::min(age, now - observation.created);
-                match observation.stance {
-                    Stance::Against => {
-                        observers += 1;
-                        zones.push(observation.zone);
-                    }
-                    Stance::Cleared => cleared += 1,
+        let by_subject = self.observations.iter();
+        by_subject
+            .filter_map(|(subject, by_observer)| self.evidence_on(now, *subject, by_observer))
+            .collect()
+    }
+
+    fn evidence_on(
+        &self,
+        now: Millis,
+        subject: Subject,
+        by_observer: &BTreeMap<u16, Observation>,
+    ) -> Option<Evidence> {
+        let others = by_observer.iter().filter(|(observer, observation)| {
+            **observer != self.own.0 && now - observation.created <= MAX_AGE
+        });
+        let mut evidence = Evidence {
+            subject,
+            observers: 0,
+            zones: 0,
+            cleared: 0,
+            age: f64::INFINITY,
+        };
+        let mut zones: Vec<u16> = Vec::new();
+        for (_, observation) in others {
+            evidence.age = evidence.age.min(now - observation.created);
+            match observation.state {
+                VerdictState::Against => {
+                    evidence.observers += 1;
+                    zones.push(observation.zone);
                 }
-            }
-            zones.sort_unstable();
-            zones.dedup();
-            if observers + cleared > 0 {
-                let zones = zones.len() as u32;
-                all.push(Evidence {
-                    subject: *subject,
-                    observers,
-                    zones,
-                    cleared,
-                    age,
-                });
+                VerdictState::Cleared => evidence.cleared += 1,
             }
         }
-        all
+        zones.sort_unstable();
+        zones.dedup();
+        evidence.zones = zones.len() as u32;
+        (evidence.observers + evidence.cleared > 0).then_some(evidence)
     }
 }
 
--- a/balancer/gossip/src/membership/gossip.rs
+++ b/balancer/gossip/src/membership/gossip.rs
@@ -1,4 +1,5 @@
-//! Dissemination of membership updates. Owns how often each update is still to be sent.
+//! Dissemination of membership updates. Owns how often each update is still to be sent; the updates
+//! themselves are made from the table when they are sent.
 //!
 //! Urgent updates are gossiped to a few members at once, which pass them on the same way; all updates are also
 //! piggybacked on other datagrams, a multiple of the logarithm of the number of members, which reaches those that
@@ -16,21 +17,21 @@
     rounds: u8,
 }
 
-/// Updates waiting to be sent.
+/// A queue of updates to be sent.
 #[derive(Debug, Default)]
 pub(crate) struct GossipQueue {
     updates: BTreeMap<Member, Update>,
 }
 
 impl GossipQueue {
-    /// A member's record has changed and is to be sent, urgently in so many rounds.
+    /// Queues the update on a member, which is urgent for so many rounds.
     pub(crate) fn add(&mut self, member: Member, up: usize, rounds: u8) {
         let sends_left = 2 * (up as f64 + 1.0).log2().ceil() as u32 + 2;
         self.updates.insert(member, Update { sends_left, rounds });
     }
 
-    /// Sends an update once, where two replicas were found to differ.
-    pub(crate) fn once(&mut self, member: Member) {
+    /// Queues an update to be sent once, where two replicas were found to differ.
+    pub(crate) fn add_once(&mut self, member: Member) {
         self.updates.entry(member).or_insert(Update {
             sends_left: 1,
             rounds: 0,
@@ -38,7 +39,7 @@
     }
 
     /// The updates to send, the least sent first; for gossip only the urgent ones.
-    pub(crate) fn next(&self, gossip_round: bool) -> Vec<Member> {
+    pub(crate) fn pending(&self, gossip_round: bool) -> Vec<Member> {
         let mut all: Vec<(Member, Update)> = self
             .updates
             .iter()
@@ -54,8 +55,8 @@
         all.into_iter().map(|(member, _)| member).collect()
     }
 
-    /// These were sent in one datagram.
-    pub(crate) fn sent(&mut self, members: impl Iterator<Item = Member>) {
+    /// Records that these were sent in one datagram.
+    pub(crate) fn on_sent(&mut self, members: impl Iterator<Item = Member>) {
         for member in members {
             if let Some(update) = self.updates.get_mut(&member) {
                 update.sends_left = update.sends_left.saturating_sub(1);
@@ -66,8 +67,8 @@
         }
     }
 
-    /// A gossip round with these was sent.
-    pub(crate) fn gossip_round(&mut self, members: &[Member]) {
+    /// Records that a gossip round with these was sent.
+    pub(crate) fn on_round_sent(&mut self, members: &[Member]) {
         for member in members {
             if let Some(update) = self.updates.get_mut(member) {
                 update.rounds = update.rounds.saturating_sub(1);
@@ -77,18 +78,20 @@
             .retain(|_, update| update.sends_left > 0 || update.rounds > 0);
     }
 
+    /// Updates queued.
     pub(crate) fn len(&self) -> usize {
         self.updates.len()
     }
 
     /// Whether the update on a member is urgent.
-    pub(crate) fn urgent_of(&self, member: Member) -> bool {
+    pub(crate) fn is_urgent(&self, member: Member) -> bool {
         self.updates
             .get(&member)
             .is_some_and(|update| update.rounds > 0)
     }
 
-    pub(crate) fn urgent(&self) -> bool {
+    /// Whether any update is urgent.
+    pub(crate) fn has_urgent(&self) -> bool {
         self.updates.values().any(|update| update.rounds > 0)
     }
 }
--- a/balancer/gossip/src/membership/mod.rs
+++ b/balancer/gossip/src/membership/mod.rs
@@ -1,10 +1,13 @@
 //! Membership: SWIM with suspicion and incarnations, on a fixed list of candidates.
 //!
 //! Each replica probes one other in each period, by turns its successor in the list and one of all in random order. A
-//! member that answers neither the probe nor indirect probes of others is suspected, and gone if no evidence of its
-//! life arrives while the suspicion lasts. A member that learns that it is suspected, or gone, refutes it under a
-//! higher incarnation. Only an answer to its own probe proves to a replica that a stranger lives, so that no late
-//! datagram brings back the dead.
+//! member that acknowledges neither the probe nor indirect probes of others is suspected, and failed if no evidence that
+//! it is alive arrives while the suspicion lasts. A member that learns that it is suspected, or failed, refutes it under
+//! a higher incarnation. Only the acknowledgement of its own probe proves to a replica that an unknown member is alive,
+//! so that no late datagram brings back a failed one.
+//!
+//! Source: Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol"
+//! (2002). Which version the members speak, and what they know together, is not known here.
 mod budget;
 mod gossip;
 mod probes;
@@ -20,56 +23,87 @@
 use self::budget::Budget;
 use self::gossip::GossipQueue;
 use self::probes::Probes;
+pub(crate) use self::receive::Sender;
 use self::table::Table;
 use crate::types::{Member, Millis};
-use crate::wire::v1::{About, Kind, Reads, Record, Status, View};
+use crate::wire::v1::{
+    MemberUpdate, MembershipDigest, MessageKind, ProbeTarget, Status, SupportedVersions,
+};
 
-/// How often a replica probes another, and so how many datagrams it sends and is owed: as many pings and acks of 256
-/// bytes are 1,829 a second of the 2,500 bytes of the budget, and the rest is for gossip.
-const PERIOD: Millis = 280.0;
-/// How long a suspicion lasts before the member is gone. Gossip needs a third of a second to reach the suspect and as
+/// The protocol period: how often a replica probes another, and so how many datagrams it sends and owes. As many pings
+/// and acks of 256 bytes are 1,829 bytes a second of the budget's 2,500, and the rest is for gossip.
+const PROTOCOL_PERIOD: Millis = 280.0;
+/// How long a suspicion lasts before the member has failed. Gossip needs a third of a second to reach the suspect and as
 /// much back; half of it is left for those that missed both to probe for themselves.
-pub(crate) const SUSPICION: Millis = 1_000.0;
+pub(crate) const SUSPICION_TIMEOUT: Millis = 1_000.0;
 /// How often a candidate that isn't up is probed, so that halves and newcomers find each other.
 const DISCOVERY_PERIOD: Millis = 1_000.0;
 /// How many candidates a replica that knows nobody probes in each period.
-const DISCOVERY_ALONE: usize = 3;
+const LONE_DISCOVERY_PROBES: usize = 3;
 /// Members that urgent updates are sent to in each gossip round.
 const GOSSIP_FANOUT: usize = 3;
 /// Urgent updates wait this long for further ones, so that many changes at once share datagrams.
-const GATHER_DELAY: Millis = 5.0;
-/// Between two gossip rounds.
-const ROUND_INTERVAL: Millis = 80.0;
+const GOSSIP_BATCH_DELAY: Millis = 5.0;
+/// The time between two gossip rounds.
+const GOSSIP_INTERVAL: Millis = 80.0;
 /// A replica whose timer is this late was not running: what it waited for proves nothing about others.
 const MAX_TIMER_LATENESS: Millis = 200.0;
 /// A replica that received nothing for so long is not joined: it should have had eight datagrams.
-const SILENT: Millis = 1_000.0;
-/// Members that went without taking leave count among those that were up for so long. A longer partition can't be
-/// distinguished from deaths.
-const REMEMBERED: Millis = 300_000.0;
-/// Updates that one datagram carries at most, and one that has little space.
-const MAX_RECORDS: usize = 24;
-const BARE_RECORDS: usize = 4;
+const ISOLATION_TIMEOUT: Millis = 1_000.0;
+/// Failed members count among those that were up for so long. A longer partition can't be distinguished from failures.
+const FAILURE_RETENTION: Millis = 300_000.0;
+/// Updates that one datagram carries at most.
+const MAX_UPDATES: usize = 24;
+/// The same for a datagram with little space.
+const MAX_LIMITED_UPDATES: usize = 4;
 /// Members that are notified of an orderly leave.
 const LEAVE_MESSAGES: usize = 8;
 
-/// A datagram to send, without what is piggybacked on it.
+/// How much is piggybacked on a message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Piggyback {
+    /// Whatever fits.
+    Full,
+    /// Nothing but membership updates, and verdicts on gossip.
+    UpdatesOnly,
+}
+
+impl Piggyback {
+    /// Everything, as long as the byte budget has credit.
+    fn with_credit(has_credit: bool) -> Piggyback {
+        if has_credit {
+            Piggyback::Full
+        } else {
+            Piggyback::UpdatesOnly
+        }
+    }
+}
+
+/// A message to send, without what is piggybacked on it.
 #[derive(Clone, Debug)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingMessage {
     pub to: Member,
-    pub kind: Kind,
-    pub about: Option<About>,
+    pub kind: MessageKind,
+    pub target: Option<ProbeTarget>,
     /// Sent before other updates.
-    pub first: Vec<Record>,
-    /// Whether nothing but membership updates and verdicts is piggybacked on it.
-    pub bare: bool,
+    pub priority_updates: Vec<MemberUpdate>,
+    pub piggyback: Piggyback,
+}
+
+/// Supported versions of a member, as another member relayed them.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RelayedVersions {
+    pub member: Member,
+    /// Zero where it is not known.
+    pub incarnation: u64,
+    pub reads: SupportedVersions,
 }
 
-/// What is counted here.
+/// Members suspected and declared failed since the start.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Counters {
     pub suspected: u64,
-    pub gone: u64,
+    pub failed: u64,
 }
 
 /// The membership state machine.
@@ -82,32 +116,33 @@
     probes: Probes,
     pub budget: Budget,
     rng: Pcg64Mcg,
-    /// Members that are still to be probed in this round.
-    round: Vec<Member>,
-    /// Strangers that have sent something, to be probed.
-    strangers: VecDeque<Member>,
-    successor: bool,
+    /// Members still to be probed in the current random order; the next one last.
+    probe_order: Vec<Member>,
+    /// Members that aren't known to be up and have sent something, to be probed.
+    unknown_members: VecDeque<Member>,
+    /// Whether the last period probed the successor in the list.
+    successor_turn: bool,
     next_probe: Millis,
     next_discovery: Millis,
-    next_round: Option<Millis>,
-    /// Gossip rounds that verdicts have asked for.
-    rounds: u8,
+    next_gossip_round: Option<Millis>,
+    /// Gossip rounds left for verdicts.
+    verdict_rounds: u8,
     start: Millis,
     last_received: Millis,
-    /// The most lost members that another reported, and when.
-    lost_reported: (u16, Millis),
-    /// When a higher incarnation of this replica that others knew made it raise its own.
+    /// The highest number of failed members that another reported, and when.
+    reported_failures: (u16, Millis),
+    /// The times at which others knew a higher incarnation of this replica, and it raised its own.
     refutations: VecDeque<Millis>,
-    quiet_until: Millis,
+    refutations_paused_until: Millis,
     duplicate: bool,
     departed: bool,
-    out: VecDeque<Outgoing>,
+    outbox: VecDeque<OutgoingMessage>,
     pub counters: Counters,
     changed: bool,
-    /// Members that were found to be in a new run.
+    /// Members newly found to have restarted.
     pub restarted: Vec<Member>,
-    /// What others relayed of the versions that members read: the member, its incarnation, its versions.
-    pub announced: Vec<(Member, u64, Reads)>,
+    /// Supported versions of members that others relayed.
+    pub relayed_versions: Vec<RelayedVersions>,
 }
 
 impl Membership {
@@ -115,7 +150,7 @@
         own: Member,
         candidates: u16,
         incarnation: u64,
-        reads: Reads,
+        reads: SupportedVersions,
         rng: Pcg64Mcg,
         now: Millis,
     ) -> Membership {
@@ -127,95 +162,100 @@
             probes: Probes::default(),
             budget: Budget::new(now),
             rng,
-            round: Vec::new(),
-            strangers: VecDeque::new(),
-            successor: false,
+            probe_order: Vec::new(),
+            unknown_members: VecDeque::new(),
+            successor_turn: false,
             next_probe: now,
             next_discovery: now,
-            next_round: None,
-            rounds: 0,
+            next_gossip_round: None,
+            verdict_rounds: 0,
             start: now,
             last_received: f64::NEG_INFINITY,
-            lost_reported: (0, f64::NEG_INFINITY),
+            reported_failures: (0, f64::NEG_INFINITY),
             refutations: VecDeque::new(),
-            quiet_until: f64::NEG_INFINITY,
+            refutations_paused_until: f64::NEG_INFINITY,
             duplicate: false,
             departed: false,
-            out: VecDeque::new(),
+            outbox: VecDeque::new(),
             counters: Counters::default(),
             changed: true,
             restarted: Vec::new(),
-            announced: Vec::new(),
+            relayed_versions: Vec::new(),
         }
     }
 
+    /// This replica's current incarnation.
     pub(crate) fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
+    /// Members that are up, those suspected and this replica included.
     pub(crate) fn up(&self) -> Vec<Member> {
         self.table.up()
     }
 
-    /// Whether the members that are up may have changed since this was asked last.
-    pub(crate) fn changed(&mut self) -> bool {
+    /// Whether the members that are up may have changed since the last call.
+    pub(crate) fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Whether another process was newly found to use this replica's place.
-    pub(crate) fn duplicate(&mut self) -> bool {
+    /// Whether another process was newly found to use this replica's position in the list.
+    pub(crate) fn take_duplicate(&mut self) -> bool {
         std::mem::take(&mut self.duplicate)
     }
 
-    /// Whether a datagram of this incarnation comes from a run that isn't known to be over.
-    pub(crate) fn current(&self, member: Member, incarnation: u64) -> bool {
+    /// Whether a datagram of this incarnation comes from a process that isn't known to have ended.
+    pub(crate) fn is_current(&self, member: Member, incarnation: u64) -> bool {
         self.table
             .get(member)
-            .is_some_and(|entry| entry.current(incarnation))
+            .is_some_and(|entry| entry.is_current(incarnation))
     }
 
+    /// Whether a member is up, or suspected.
     pub(crate) fn is_up(&self, member: Member) -> bool {
         self.table.get(member).is_some_and(|entry| entry.up())
     }
 
-    /// Members lately gone without leave, for others to know.
-    pub(crate) fn lost(&self, now: Millis) -> u16 {
-        let gone = |entry: &&table::Entry| {
-            entry.status == Some(Status::Gone) && now - entry.since < REMEMBERED
+    /// The number of members that failed lately, for others to know.
+    pub(crate) fn recent_failures(&self, now: Millis) -> u16 {
+        let failed = |entry: &&table::Entry| {
+            entry.status == Some(Status::Failed) && now - entry.since < FAILURE_RETENTION
         };
         self.table
             .entries
             .iter()
-            .filter(gone)
+            .filter(failed)
             .count()
             .min(usize::from(u16::MAX)) as u16
     }
 
     /// Whether more than half of the members that were up are known to be alive.
-    pub(crate) fn joined(&self, now: Millis) -> bool {
+    pub(crate) fn has_joined(&self, now: Millis) -> bool {
         if self.table.entries.len() == 1 {
             return true;
         }
-        // A suspected member doesn't count as alive, and one that is gone lately was up.
-        let (up, sure) = (self.table.up().len(), self.table.unsuspected().len());
-        let young = now - self.start < REMEMBERED && now - self.lost_reported.1 < 2.0 * SILENT;
-        let lost = self
-            .lost(now)
-            .max(if young { self.lost_reported.0 } else { 0 });
-        let living = sure as f64 * self.probes.answered();
+        // A suspected member doesn't count as alive, and one that failed lately was up.
+        let up = self.table.up().len();
+        let unsuspected = self.table.unsuspected().len();
+        let (reported, reported_at) = self.reported_failures;
+        let is_report_recent =
+            now - self.start < FAILURE_RETENTION && now - reported_at < 2.0 * ISOLATION_TIMEOUT;
+        let reported = if is_report_recent { reported } else { 0 };
+        let recent_failures = self.recent_failures(now).max(reported);
+        let alive_count = unsuspected as f64 * self.probes.acknowledged_ratio();
         up > 1
-            && living * 2.0 > (up + usize::from(lost)) as f64
-            && now - self.last_received < SILENT
+            && alive_count * 2.0 > (up + usize::from(recent_failures)) as f64
+            && now - self.last_received < ISOLATION_TIMEOUT
     }
 
-    /// Starts gossip rounds at once, as for new verdicts.
+    /// Schedules gossip rounds at once for new verdicts.
     pub(crate) fn disseminate(&mut self, now: Millis) {
-        self.rounds = gossip::GOSSIP_ROUNDS;
-        self.round_at(now + GATHER_DELAY);
+        self.verdict_rounds = gossip::GOSSIP_ROUNDS;
+        self.schedule_gossip_round(now + GOSSIP_BATCH_DELAY);
     }
 
-    fn round_at(&mut self, at: Millis) {
-        self.next_round = Some(self.next_round.map_or(at, |next| next.min(at)));
+    fn schedule_gossip_round(&mut self, at: Millis) {
+        self.next_gossip_round = Some(self.next_gossip_round.map_or(at, |next| next.min(at)));
     }
 
     /// Queues an update on a member: for gossip at once where `urgent`.
@@ -228,54 +268,76 @@
         };
         self.gossip.add(member, up, if urgent { rounds } else { 0 });
         if urgent {
-            self.round_at(now + GATHER_DELAY);
+            self.schedule_gossip_round(now + GOSSIP_BATCH_DELAY);
         }
     }
 
-    fn send(&mut self, to: Member, kind: Kind, bare: bool) {
-        self.out.push_back(Outgoing {
+    fn send(&mut self, to: Member, kind: MessageKind, piggyback: Piggyback) {
+        self.outbox.push_back(OutgoingMessage {
             to,
             kind,
-            about: None,
-            first: Vec::new(),
-            bare,
+            target: None,
+            priority_updates: Vec::new(),
+            piggyback,
         });
     }
 
-    /// The next datagram to send.
-    pub(crate) fn next(&mut self) -> Option<Outgoing> {
-        self.out.pop_front()
+    /// Sends updates ahead of all others, with nothing else piggybacked.
+    fn send_with_updates(&mut self, to: Member, kind: MessageKind, updates: Vec<MemberUpdate>) {
+        self.outbox.push_back(OutgoingMessage {
+            to,
+            kind,
+            target: None,
+            priority_updates: updates,
+            piggyback: Piggyback::UpdatesOnly,
+        });
+    }
+
+    /// Returns the next message to send.
+    pub(crate) fn poll_message(&mut self) -> Option<OutgoingMessage> {
+        self.outbox.pop_front()
     }
 
     /// The updates for a datagram, the most urgent first.
-    pub(crate) fn records(&self, now: Millis, send: &Outgoing) -> Vec<Record> {
-        let rumour = send.kind == Kind::Gossip;
-        // Where many are suspected, answers at least go to a live member.
-        let little =
-            send.bare && !rumour && !(send.kind == Kind::Ack && self.probes.likely_isolated());
-        let most = if little { BARE_RECORDS } else { MAX_RECORDS };
-        let members = self.gossip.next(rumour).into_iter();
-        let members =
-            members.filter(|member| send.first.iter().all(|first| first.member != member.0));
-        let records = members.filter_map(|member| self.table.record(now, member, self.incarnation));
-        let mut records: Vec<Record> = records.take(most).collect();
-        // Its own life first, then others', so that refutations overtake suspicions and not the other way round.
-        records.sort_by_key(|record| (record.member != self.own.0, record.status != Status::Up));
-        [send.first.clone(), records].concat()
+    pub(crate) fn updates(&self, now: Millis, message: &OutgoingMessage) -> Vec<MemberUpdate> {
+        let is_gossip = message.kind == MessageKind::Gossip;
+        // Where many are suspected, acknowledgements at least go to a live member.
+        let is_ack_to_live = message.kind == MessageKind::Ack && self.probes.likely_isolated();
+        let is_limited =
+            message.piggyback == Piggyback::UpdatesOnly && !is_gossip && !is_ack_to_live;
+        let max_count = if is_limited {
+            MAX_LIMITED_UPDATES
+        } else {
+            MAX_UPDATES
+        };
+        let members = self.gossip.pending(is_gossip).into_iter();
+        let members = members.filter(|member| {
+            message
+                .priority_updates
+                .iter()
+                .all(|update| update.member != member.0)
+        });
+        let updates =
+            members.filter_map(|member| self.table.update_on(now, member, self.incarnation));
+        let mut updates: Vec<MemberUpdate> = updates.take(max_count).collect();
+        // Its own incarnation first, then the members that are up, so that refutations overtake suspicions and not the other way round.
+        updates.sort_by_key(|update| (update.member != self.own.0, update.status != Status::Up));
+        [message.priority_updates.clone(), updates].concat()
     }
 
-    /// These records were written into a datagram.
-    pub(crate) fn sent(&mut self, records: &[Record]) {
+    /// Records that these updates were written into a datagram.
+    pub(crate) fn on_updates_written(&mut self, updates: &[MemberUpdate]) {
         self.gossip
-            .sent(records.iter().map(|record| Member(record.member)));
+            .on_sent(updates.iter().map(|update| Member(update.member)));
     }
 
-    pub(crate) fn view(&mut self) -> View {
-        self.table.view()
+    /// A digest of who is up.
+    pub(crate) fn digest(&mut self) -> MembershipDigest {
+        self.table.digest()
     }
 
     /// A few members that are up, other than this one, at random.
-    fn random_members(&mut self, most: usize, without: Member) -> Vec<Member> {
+    fn random_members(&mut self, max_count: usize, without: Member) -> Vec<Member> {
         let (own, entries) = (self.own, &self.table.entries);
         let up = |entry: &table::Entry| entry.status == Some(Status::Up);
         let members = entries.iter().enumerate().filter(|(_, entry)| up(entry));
@@ -283,24 +345,17 @@
             .map(|(at, _)| Member(at as u16))
             .filter(|member| ![own, without].contains(member));
         let mut others: Vec<Member> = others.collect();
-        others.partial_shuffle(&mut self.rng, most).0.to_vec()
+        others.partial_shuffle(&mut self.rng, max_count).0.to_vec()
     }
 
     /// Notifies some members of this replica's leave, after which it sends nothing more.
     pub(crate) fn leave(&mut self, now: Millis) {
         self.table
             .set(now, self.own, Status::Left, self.incarnation);
-        self.out.clear();
-        let record = self.table.record(now, self.own, self.incarnation);
+        self.outbox.clear();
+        let update = self.table.update_on(now, self.own, self.incarnation);
         for to in self.random_members(LEAVE_MESSAGES, self.own) {
-            let first = record.into_iter().collect();
-            self.out.push_back(Outgoing {
-                to,
-                kind: Kind::Gossip,
-                about: None,
-                first,
-                bare: true,
-            });
+            self.send_with_updates(to, MessageKind::Gossip, update.into_iter().collect());
         }
         self.departed = true;
     }
--- a/balancer/gossip/src/membership/receive.rs
+++ b/balancer/gossip/src/membership/receive.rs
@@ -1,165 +1,200 @@
-//! What a received datagram changes in the membership.
-use super::{Membership, Outgoing, ROUND_INTERVAL};
+//! Received messages: what each changes in the membership, and the messages in response.
+use super::{Membership, OutgoingMessage, Piggyback, RelayedVersions, GOSSIP_INTERVAL};
 use crate::types::{Member, Millis};
-use crate::wire::v1::{About, Body, Kind, Reads, Record, Status, TICK};
+use crate::wire::v1::{
+    Body, MemberUpdate, MembershipDigest, MessageKind, ProbeTarget, Status, SupportedVersions, TICK,
+};
 
-use super::table::Applied;
+use super::table::{Applied, Entry};
 
-/// How often others may know a higher incarnation of this replica than its own within [`RISES_WITHIN`]: a restart finds
-/// that out once, or a few times from those who knew of different ones; another replica in its place goes on.
+/// The sender of a message, as the datagram's header has it.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Sender {
+    pub member: Member,
+    pub incarnation: u64,
+    pub reads: SupportedVersions,
+}
+
+/// How often others may know a higher incarnation of this replica than its own within [`REFUTATION_WINDOW`]: a
+/// restarted one finds that out once, or a few times from those who knew of different ones; a duplicate goes on.
 const MAX_REFUTATIONS: usize = 4;
-const REFUTATIONS_WITHIN: Millis = 10_000.0;
-/// A replica whose place a second process uses doesn't raise its incarnation for so long, so that the two don't chase
+const REFUTATION_WINDOW: Millis = 10_000.0;
+/// A replica whose position a second process uses doesn't raise its incarnation for so long, so that the two don't chase
 /// each other.
-const QUIET: Millis = 30_000.0;
-/// Records that an answer carries where the two views differ.
-const DIFFERENCES: usize = 16;
-/// Newcomers that are urgent updates, at a time.
-const FEW_NEWCOMERS: usize = 4;
-/// Strangers that wait to be probed.
-const MAX_STRANGERS: usize = 16;
+const REFUTATION_PAUSE: Millis = 30_000.0;
+/// Updates that an acknowledgement carries where the digest and this replica's table differ.
+const MAX_DIFFERENCES: usize = 16;
+/// Newcomers whose updates are urgent, at a time.
+const MAX_URGENT_NEWCOMERS: usize = 4;
+/// Unknown members that wait to be probed.
+const MAX_UNKNOWN_MEMBERS: usize = 16;
 
 impl Membership {
-    /// Takes a datagram with its sender's incarnation and what it reads, and the time it was in transit at most, where
-    /// that is known.
-    pub(crate) fn read(
+    /// Takes a message from a member of this incarnation, and the time it was in transit at most, where that is known.
+    pub(crate) fn handle_message(
         &mut self,
         now: Millis,
-        from: Member,
-        sender: (u64, Reads),
+        sender: Sender,
         transit: Option<Millis>,
         body: &Body,
     ) {
-        let (incarnation, reads) = sender;
         if self.departed {
             return;
         }
+        let from = sender.member;
         let bounded = transit.is_some();
         let alive_at = transit.map(|transit| now - transit);
         self.last_received = now;
-        let first = self.sender(now, from, incarnation, alive_at);
+        let corrections = self.handle_sender(now, from, sender.incarnation, alive_at);
         if let Some(entry) = self.table.entries.get_mut(usize::from(from.0)) {
-            if entry.incarnation == incarnation {
-                entry.reads = reads;
+            if entry.incarnation == sender.incarnation {
+                entry.reads = sender.reads;
             }
         }
-        for record in &body.records {
-            self.record(now, record, bounded);
+        for update in &body.updates {
+            self.handle_update(now, update, bounded);
         }
-        let (come, differ) = self.table.compare(now, &body.view, bounded);
-        self.changed |= !come.is_empty();
-        self.announced
-            .extend(come.into_iter().map(|member| (member, 0, body.view.reads)));
+        let differing = self.handle_digest(now, &body.digest, bounded);
         match body.head.kind {
-            Kind::Ping if self.budget.may_answer(now) => self.answer(now, from, first, &differ),
-            Kind::Ack => self.ack(now, bounded, body.head.lost, differ),
-            Kind::PingRequest => self.ping_request(now, from, body.head.about),
-            Kind::IndirectAck => {
-                if let (Some(about), Some(alive_at)) = (body.head.about, alive_at) {
-                    self.indirect_ack(
-                        now,
-                        Member(about.member),
-                        alive_at - f64::from(about.age) * TICK,
-                    );
+            MessageKind::Ping => {
+                if self.budget.allows_response(now) {
+                    self.send_ack(now, from, corrections, &differing);
                 }
             }
-            Kind::Ping | Kind::Gossip => {}
+            MessageKind::Ack => self.handle_ack(now, bounded, body.head.recent_failures, differing),
+            MessageKind::PingRequest => self.handle_ping_request(now, from, body.head.target),
+            MessageKind::IndirectAck => self.handle_indirect_ack(now, body.head.target, alive_at),
+            MessageKind::Gossip => {}
         }
         if let Some(alive_at) = alive_at {
-            self.answer_askers(now, from, alive_at);
+            self.confirm_indirect_probes(now, from, alive_at);
         }
     }
 
-    /// Answers a ping, with the records of where the two views differ.
-    fn answer(&mut self, now: Millis, to: Member, mut first: Vec<Record>, differ: &[Member]) {
-        // Each sender gets another part of a long list.
-        let start = usize::from(to.0) % differ.len().max(1);
-        let differ = differ[start..]
+    /// Takes another's digest; returns the members on which this replica has evidence of something different.
+    fn handle_digest(
+        &mut self,
+        now: Millis,
+        digest: &MembershipDigest,
+        bounded: bool,
+    ) -> Vec<Member> {
+        let comparison = self.table.compare(now, digest, bounded);
+        self.changed |= !comparison.newly_up.is_empty();
+        let relayed = comparison
+            .newly_up
+            .into_iter()
+            .map(|member| RelayedVersions {
+                member,
+                incarnation: 0,
+                reads: digest.reads,
+            });
+        self.relayed_versions.extend(relayed);
+        comparison.differing
+    }
+
+    /// Acknowledges a ping, with the updates on members on which the two differ.
+    fn send_ack(
+        &mut self,
+        now: Millis,
+        to: Member,
+        mut priority_updates: Vec<MemberUpdate>,
+        differing: &[Member],
+    ) {
+        // Each sender gets another section of a long list.
+        let start = usize::from(to.0) % differing.len().max(1);
+        let differing = differing[start..]
             .iter()
-            .chain(&differ[..start])
-            .take(DIFFERENCES);
-        first.extend(differ.filter_map(|member| self.table.record(now, *member, self.incarnation)));
-        let bare = !self.budget.has_credit(now);
-        self.out.push_back(Outgoing {
+            .chain(&differing[..start])
+            .take(MAX_DIFFERENCES);
+        priority_updates.extend(
+            differing.filter_map(|member| self.table.update_on(now, *member, self.incarnation)),
+        );
+        let piggyback = Piggyback::with_credit(self.budget.has_credit(now));
+        self.outbox.push_back(OutgoingMessage {
             to,
-            kind: Kind::Ack,
-            about: None,
-            first,
-            bare,
+            kind: MessageKind::Ack,
+            target: None,
+            priority_updates,
+            piggyback,
         });
     }
 
-    /// Takes what an answer carries beside its updates: how many members its sender has lost, and where the views
-    /// differ.
-    fn ack(&mut self, now: Millis, bounded: bool, lost: u16, differ: Vec<Member>) {
-        let (most_lost, at) = self.lost_reported;
-        if bounded && lost >= most_lost || now - at > super::SILENT {
-            self.lost_reported = (lost, now);
+    /// Takes what an acknowledgement carries beside its updates: how many members have failed at its sender, and where
+    /// the two differ.
+    fn handle_ack(
+        &mut self,
+        now: Millis,
+        bounded: bool,
+        recent_failures: u16,
+        differing: Vec<Member>,
+    ) {
+        let (highest, at) = self.reported_failures;
+        if bounded && recent_failures >= highest || now - at > super::ISOLATION_TIMEOUT {
+            self.reported_failures = (recent_failures, now);
         }
-        for member in differ.into_iter().take(DIFFERENCES) {
-            self.gossip.once(member);
+        for member in differing.into_iter().take(MAX_DIFFERENCES) {
+            self.gossip.add_once(member);
         }
     }
 
-    /// Confirms to those that asked for an indirect probe of a member that it was alive at this time.
-    fn answer_askers(&mut self, now: Millis, about: Member, alive_at: Millis) {
-        for asker in self.probes.relayed(now, about, alive_at) {
-            let Some(age) = crate::wire::v1::ticks(now - alive_at) else {
+    /// Confirms to those that requested an indirect probe of a member that it was alive at this time.
+    fn confirm_indirect_probes(&mut self, now: Millis, target: Member, alive_at: Millis) {
+        for requester in self.probes.take_answered_relays(now, target, alive_at) {
+            let Some(age) = crate::wire::v1::age_to_ticks(now - alive_at) else {
                 continue;
             };
-            let first = self
+            let priority_updates = self
                 .table
-                .record(now, about, self.incarnation)
+                .update_on(now, target, self.incarnation)
                 .into_iter()
                 .collect();
-            let about = Some(About {
-                member: about.0,
+            let target = Some(ProbeTarget {
+                member: target.0,
                 age,
             });
-            self.out.push_back(Outgoing {
-                to: asker,
-                kind: Kind::IndirectAck,
-                about,
-                first,
-                bare: true,
+            self.outbox.push_back(OutgoingMessage {
+                to: requester,
+                kind: MessageKind::IndirectAck,
+                target,
+                priority_updates,
+                piggyback: Piggyback::UpdatesOnly,
             });
         }
     }
 
-    /// Takes a datagram of a version that this replica doesn't read: it answers with its own, so that the sender learns
-    /// what this replica reads, and nothing else follows from it.
-    pub(crate) fn unread(&mut self, now: Millis, from: Member, incarnation: u64) {
+    /// Takes a datagram of a version that this replica doesn't support: it responds in its own, so that the sender learns
+    /// the versions that this replica supports, and nothing else follows from it.
+    pub(crate) fn handle_unsupported_version(
+        &mut self,
+        now: Millis,
+        from: Member,
+        incarnation: u64,
+    ) {
         if !self.departed && self.budget.has_credit(now) {
-            let first = self.correction(now, from, incarnation);
-            self.out.push_back(Outgoing {
-                to: from,
-                kind: Kind::Gossip,
-                about: None,
-                first,
-                bare: true,
-            });
+            let updates = self.correction(now, from, incarnation);
+            self.send_with_updates(from, MessageKind::Gossip, updates);
         }
     }
 
-    /// Takes what the datagram shows of its sender; returns the records on it that the sender must learn.
-    fn sender(
+    /// Takes what the datagram shows of its sender; returns the updates on it that the sender must learn.
+    fn handle_sender(
         &mut self,
         now: Millis,
         from: Member,
         incarnation: u64,
         alive_at: Option<Millis>,
-    ) -> Vec<Record> {
+    ) -> Vec<MemberUpdate> {
         let Some(entry) = self.table.get(from).copied() else {
             return Vec::new();
         };
         let newer = entry.status.is_none() || incarnation > entry.incarnation;
         let Some(alive_at) = alive_at else {
             if newer && !entry.up() {
-                self.want(now, from);
+                self.queue_discovery(now, from);
             }
             return self.correction(now, from, incarnation);
         };
-        self.alive(now, from, alive_at);
+        self.record_alive(now, from, alive_at);
         if newer {
             if entry.incarnation > 0 && !entry.up() {
                 self.restarted.push(from);
@@ -167,24 +202,31 @@
             self.table.set(now, from, Status::Up, incarnation);
             self.changed = true;
             if entry.status != Some(Status::Up) {
-                // A newcomer is an update for all; where many come, the views carry them.
-                let few_newcomers = entry.status.is_some() || self.gossip.len() < FEW_NEWCOMERS;
-                self.announce(now, from, few_newcomers);
+                // A newcomer is an update for all; where many come, the digests carry them.
+                let urgent = entry.status.is_some() || self.gossip.len() < MAX_URGENT_NEWCOMERS;
+                self.announce(now, from, urgent);
             }
         }
         self.correction(now, from, incarnation)
     }
 
-    /// A stranger is to be probed soon.
-    fn want(&mut self, now: Millis, member: Member) {
-        if self.strangers.len() < MAX_STRANGERS && !self.strangers.contains(&member) {
-            self.strangers.push_back(member);
-            self.next_discovery = self.next_discovery.min(now + ROUND_INTERVAL);
+    /// Queues a member that isn't known to be up to be probed soon.
+    fn queue_discovery(&mut self, now: Millis, member: Member) {
+        if self.unknown_members.len() < MAX_UNKNOWN_MEMBERS
+            && !self.unknown_members.contains(&member)
+        {
+            self.unknown_members.push_back(member);
+            self.next_discovery = self.next_discovery.min(now + GOSSIP_INTERVAL);
         }
     }
 
-    /// The record for a sender that isn't known as up under its incarnation: it will raise it.
-    pub(super) fn correction(&self, now: Millis, from: Member, incarnation: u64) -> Vec<Record> {
+    /// The update for a sender that isn't known as up under its incarnation: it will raise it.
+    pub(super) fn correction(
+        &self,
+        now: Millis,
+        from: Member,
+        incarnation: u64,
+    ) -> Vec<MemberUpdate> {
         let Some(entry) = self.table.get(from) else {
             return Vec::new();
         };
@@ -192,7 +234,7 @@
             || incarnation < entry.incarnation
         {
             self.table
-                .record(now, from, self.incarnation)
+                .update_on(now, from, self.incarnation)
                 .into_iter()
                 .collect()
         } else {
@@ -200,99 +242,119 @@
         }
     }
 
-    /// A member lived at this time.
-    fn alive(&mut self, now: Millis, member: Member, alive_at: Millis) {
+    /// Records that a member was alive at this time.
+    fn record_alive(&mut self, now: Millis, member: Member, alive_at: Millis) {
         let Some(entry) = self.table.entries.get_mut(usize::from(member.0)) else {
             return;
         };
         entry.last_alive = entry.last_alive.max(alive_at);
         if entry.status == Some(Status::Suspect) && alive_at >= entry.since {
-            (entry.status, entry.since) = (Some(Status::Up), now);
+            entry.status = Some(Status::Up);
+            entry.since = now;
         }
         self.probes.record_alive(member, alive_at);
     }
 
-    fn ping_request(&mut self, now: Millis, from: Member, about: Option<About>) {
-        let Some(about) = about.map(|about| Member(about.member)) else {
+    fn handle_ping_request(&mut self, now: Millis, from: Member, target: Option<ProbeTarget>) {
+        let Some(target) = target.map(|target| Member(target.member)) else {
             return;
         };
-        if about != self.own && self.table.get(about).is_some() && self.budget.may_answer(now) {
-            self.probes.relay(now, from, about);
-            self.send(about, Kind::Ping, true);
+        if target != self.own
+            && self.table.get(target).is_some()
+            && self.budget.allows_response(now)
+        {
+            self.probes.relay(now, from, target);
+            self.send(target, MessageKind::Ping, Piggyback::UpdatesOnly);
         }
     }
 
-    fn indirect_ack(&mut self, now: Millis, about: Member, alive_at: Millis) {
-        if self.is_up(about) {
-            self.alive(now, about, alive_at);
+    fn handle_indirect_ack(
+        &mut self,
+        now: Millis,
+        target: Option<ProbeTarget>,
+        alive_at: Option<Millis>,
+    ) {
+        let (Some(target), Some(alive_at)) = (target, alive_at) else {
+            return;
+        };
+        let member = Member(target.member);
+        if self.is_up(member) {
+            let alive_at = alive_at - f64::from(target.age) * TICK;
+            self.record_alive(now, member, alive_at);
         }
     }
 
     /// Takes an update on a member, perhaps on this one.
-    fn record(&mut self, now: Millis, record: &Record, bounded: bool) {
-        let member = Member(record.member);
+    fn handle_update(&mut self, now: Millis, update: &MemberUpdate, bounded: bool) {
+        let member = Member(update.member);
         if member == self.own {
-            self.refute(now, record);
+            self.refute(now, update);
             return;
         }
         let Some(before) = self.table.get(member).copied() else {
             return;
         };
-        match self.table.apply(now, record, bounded) {
-            Applied::Nothing => {}
+        match self.table.apply(now, update, bounded) {
+            Applied::Unchanged => {}
             Applied::MustProbe if before.up() => self.verify(now, member),
-            Applied::MustProbe => self.want(now, member),
-            Applied::Changed => {
-                let after = self.table.entries[usize::from(member.0)];
-                self.changed |= before.up() != after.up();
-                self.announced
-                    .push((member, after.incarnation, after.reads));
-                if after.status == Some(Status::Up) && before.incarnation > 0 && !before.up() {
-                    self.restarted.push(member);
-                }
-                if after.status == Some(Status::Suspect) {
-                    self.counters.suspected += 1;
-                }
-                if after.status == Some(Status::Gone) && before.up() {
-                    self.counters.gone += 1;
-                }
-                // Where only an incarnation was not known yet, nothing has happened.
-                let learned = before.status == after.status && before.incarnation == 0;
-                let few_newcomers = before.status.is_some() || self.gossip.len() < FEW_NEWCOMERS;
-                if !learned {
-                    self.announce(now, member, few_newcomers);
-                }
-            }
+            Applied::MustProbe => self.queue_discovery(now, member),
+            Applied::Changed => self.on_member_changed(now, member, &before),
+        }
+    }
+
+    /// Counts and disseminates what an update has changed.
+    fn on_member_changed(&mut self, now: Millis, member: Member, before: &Entry) {
+        let after = self.table.entries[usize::from(member.0)];
+        self.changed |= before.up() != after.up();
+        self.relayed_versions.push(RelayedVersions {
+            member,
+            incarnation: after.incarnation,
+            reads: after.reads,
+        });
+        if after.status == Some(Status::Up) && before.incarnation > 0 && !before.up() {
+            self.restarted.push(member);
+        }
+        if after.status == Some(Status::Suspect) {
+            self.counters.suspected += 1;
+        }
+        if after.status == Some(Status::Failed) && before.up() {
+            self.counters.failed += 1;
+        }
+        // Where only an incarnation was not known yet, nothing has happened.
+        let learned = before.status == after.status && before.incarnation == 0;
+        let urgent = before.status.is_some() || self.gossip.len() < MAX_URGENT_NEWCOMERS;
+        if !learned {
+            self.announce(now, member, urgent);
         }
     }
 
     /// Refutes an update on this replica that isn't true by a higher incarnation, and raises its own above that of a
-    /// former run.
-    fn refute(&mut self, now: Millis, record: &Record) {
-        if record.status != Status::Up && record.incarnation < self.incarnation {
+    /// former process.
+    fn refute(&mut self, now: Millis, update: &MemberUpdate) {
+        if update.status != Status::Up && update.incarnation < self.incarnation {
             // The suspicion is of an earlier incarnation: the current one is not known there yet.
             self.announce(now, self.own, true);
             return;
         }
-        let doubted = record.status != Status::Up && record.incarnation >= self.incarnation;
-        let surpassed = record.status == Status::Up && record.incarnation > self.incarnation;
-        if !(doubted || surpassed) || record.incarnation >= u64::MAX / 2 {
+        let doubted = update.status != Status::Up && update.incarnation >= self.incarnation;
+        let surpassed = update.status == Status::Up && update.incarnation > self.incarnation;
+        if !(doubted || surpassed) || update.incarnation >= u64::MAX / 2 {
             return;
         }
         if surpassed {
-            if now < self.quiet_until {
+            if now < self.refutations_paused_until {
                 return;
             }
-            self.refutations.retain(|at| now - at < REFUTATIONS_WITHIN);
+            self.refutations.retain(|at| now - at < REFUTATION_WINDOW);
             self.refutations.push_back(now);
             if self.refutations.len() > MAX_REFUTATIONS {
                 self.refutations.clear();
-                self.quiet_until = now + QUIET;
+                self.refutations_paused_until = now + REFUTATION_PAUSE;
                 self.duplicate = true;
                 return;
             }
         }
-        self.incarnation = record.incarnation + 1;
+        self.incarnation = update.incarnation + 1;
         self.announce(now, self.own, true);
     }
 }
--- a/balancer/gossip/src/membership/table.rs
+++ b/balancer/gossip/src/membership/table.rs
@@ -1,30 +1,33 @@
-//! What this replica knows of every candidate. Owns statuses and incarnations, and the one rule by which they change.
+//! The table of all candidates. Owns their statuses and incarnations, and the one rule by which updates change them.
+//! Sends nothing and has no timers.
 use std::collections::BTreeMap;
 
 use crate::types::{Member, Millis};
-use crate::wire::v1::{Reads, Record, Status, View, TICK};
+use crate::wire::v1::{
+    DigestedMember, MemberUpdate, MembershipDigest, Status, SupportedVersions, TICK,
+};
 
-/// When a suspicion that was only received is verified.
-pub(super) const VERIFY_AFTER: Millis = 500.0;
-/// Places that one view covers at most; of a longer list each datagram shows the next part.
-const VIEW: usize = 512;
-/// Evidence of life that is younger than this is sent to those that know less.
+/// The time after which a suspicion that was only received is verified.
+pub(super) const VERIFICATION_DELAY: Millis = 500.0;
+/// Members that one digest covers at most; of a longer list each datagram covers the next section.
+const DIGEST_SPAN: usize = 512;
+/// Evidence that a member is alive is sent to those that know less while it is younger than this.
 const ALIVE_RECENTLY: Millis = 1_000.0;
 /// An incarnation beyond this is none that a replica came to by itself.
-const INCARNATION_MOST: u64 = u64::MAX / 2;
+const MAX_INCARNATION: u64 = u64::MAX / 2;
 
-/// One candidate.
+/// What is known of one candidate.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Entry {
-    /// None until something of it was received.
+    /// Absent until something of it was received.
     pub status: Option<Status>,
     /// Zero where it is only known to be up.
     pub incarnation: u64,
     /// The versions it has announced.
-    pub reads: Reads,
+    pub reads: SupportedVersions,
     /// Since when it has this status.
     pub since: Millis,
-    /// When it certainly lived last.
+    /// The last time at which it was certainly alive.
     pub last_alive: Millis,
     /// Whether this suspicion was verified already, or left to others.
     pub verified: bool,
@@ -37,22 +40,45 @@
         matches!(self.status, Some(Status::Up | Status::Suspect))
     }
 
-    /// Whether a datagram of this incarnation is not one of a run that is known to be over.
-    pub(crate) fn current(&self, incarnation: u64) -> bool {
+    /// Whether a datagram of this incarnation is not one of a process that is known to have ended.
+    pub(crate) fn is_current(&self, incarnation: u64) -> bool {
         match self.status {
             None => true,
             Some(Status::Up | Status::Suspect) => incarnation >= self.incarnation,
-            Some(Status::Gone | Status::Left) => incarnation > self.incarnation,
+            Some(Status::Failed | Status::Left) => incarnation > self.incarnation,
         }
     }
+
+    /// Whether this replica has evidence that contradicts another's digest.
+    fn differs(&self, now: Millis, digested: &DigestedMember, common: SupportedVersions) -> bool {
+        let recently_alive = now - self.last_alive < ALIVE_RECENTLY;
+        match self.status {
+            Some(Status::Failed | Status::Left) if digested.is_up => true,
+            Some(Status::Up) if !digested.is_up && recently_alive => true,
+            // One of the two missed a start in another build.
+            Some(_) if digested.is_up && self.up() => {
+                digested.has_common_versions != (self.reads == common)
+            }
+            _ => false,
+        }
+    }
+}
+
+/// What another's digest has shown.
+#[derive(Debug, Default)]
+pub(crate) struct Comparison {
+    /// Members that were unknown here and are up.
+    pub newly_up: Vec<Member>,
+    /// Members on which this replica has evidence of something different; their updates are to be sent.
+    pub differing: Vec<Member>,
 }
 
-/// What an update came to.
+/// The outcome of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Applied {
     /// It was known, or is overruled by what is known.
-    Nothing,
-    /// It changes what is held.
+    Unchanged,
+    /// It changes the entry.
     Changed,
     /// It isn't sufficient evidence: the member is to be probed.
     MustProbe,
@@ -67,15 +93,18 @@
 }
 
 impl Table {
-    pub(crate) fn new(own: Member, candidates: u16, reads: Reads, now: Millis) -> Table {
-        let last_alive = f64::NEG_INFINITY;
-        let nothing = Reads::default();
+    pub(crate) fn new(
+        own: Member,
+        candidates: u16,
+        reads: SupportedVersions,
+        now: Millis,
+    ) -> Table {
         let entry = Entry {
             status: None,
             incarnation: 0,
-            reads: nothing,
+            reads: SupportedVersions::default(),
             since: now,
-            last_alive,
+            last_alive: f64::NEG_INFINITY,
             verified: false,
             probed: false,
         };
@@ -98,8 +127,11 @@
 
     pub(crate) fn set(&mut self, now: Millis, member: Member, status: Status, incarnation: u64) {
         if let Some(entry) = self.entries.get_mut(usize::from(member.0)) {
-            (entry.status, entry.incarnation) = (Some(status), incarnation);
-            (entry.since, entry.verified, entry.probed) = (now, false, false);
+            entry.status = Some(status);
+            entry.incarnation = incarnation;
+            entry.since = now;
+            entry.verified = false;
+            entry.probed = false;
         }
     }
 
@@ -121,61 +153,63 @@
             .collect()
     }
 
-    /// Applies an update on another member. A higher incarnation wins. Within one, its own leave-taking is final, and
-    /// suspicion goes before being up unless this replica has evidence of life that is younger. That a member is gone
+    /// Applies an update on another member. A higher incarnation wins. Within one, its own leave is final, and
+    /// suspicion overrides being up unless this replica has younger evidence that it is alive. That a member has failed
     /// is believed of one that is suspected already; otherwise the sender may have been isolated itself, and the member
     /// is probed.
-    pub(crate) fn apply(&mut self, now: Millis, record: &Record, bounded: bool) -> Applied {
-        let Some(entry) = self.entries.get_mut(usize::from(record.member)) else {
-            return Applied::Nothing;
+    pub(crate) fn apply(&mut self, now: Millis, update: &MemberUpdate, bounded: bool) -> Applied {
+        let Some(entry) = self.entries.get_mut(usize::from(update.member)) else {
+            return Applied::Unchanged;
         };
-        if record.incarnation > INCARNATION_MOST {
-            return Applied::Nothing;
+        if update.incarnation > MAX_INCARNATION {
+            return Applied::Unchanged;
         }
-        let suspected = now - f64::from(record.age) * TICK;
+        let suspected = now - f64::from(update.age) * TICK;
         // However late it arrives, there is time left for a refutation.
-        let since = suspected.max(now - VERIFY_AFTER);
-        let newer = entry.status.is_none() || record.incarnation > entry.incarnation;
-        let next = match (record.status, entry.status) {
-            _ if !newer && record.incarnation < entry.incarnation => return Applied::Nothing,
+        let since = suspected.max(now - VERIFICATION_DELAY);
+        let newer = entry.status.is_none() || update.incarnation > entry.incarnation;
+        let next = match (update.status, entry.status) {
+            _ if !newer && update.incarnation < entry.incarnation => return Applied::Unchanged,
             // A return is believed only of a datagram that is known not to be late.
-            (Status::Up, None | Some(Status::Gone | Status::Left)) if newer && !bounded => {
+            (Status::Up, None | Some(Status::Failed | Status::Left)) if newer && !bounded => {
                 return Applied::MustProbe
             }
-            (Status::Gone, Some(Status::Up)) if !newer => return Applied::MustProbe,
+            (Status::Failed, Some(Status::Up)) if !newer => return Applied::MustProbe,
             (Status::Suspect, Some(Status::Up)) if !newer && entry.last_alive > suspected => {
-                return Applied::Nothing
+                return Applied::Unchanged
             }
             (status, _) if newer => status,
             (Status::Suspect, Some(Status::Up)) => Status::Suspect,
-            (Status::Gone, Some(Status::Suspect)) => Status::Gone,
-            (Status::Left, Some(Status::Up | Status::Suspect | Status::Gone)) => Status::Left,
+            (Status::Failed, Some(Status::Suspect)) => Status::Failed,
+            (Status::Left, Some(Status::Up | Status::Suspect | Status::Failed)) => Status::Left,
             (Status::Suspect, Some(Status::Suspect)) => {
-                // The first suspicion counts, so that all who know of it come to the same end at about one time.
+                // The first suspicion counts, so that it times out at about one time everywhere.
                 entry.since = entry.since.min(since);
-                return Applied::Nothing;
+                return Applied::Unchanged;
             }
-            _ => return Applied::Nothing,
+            _ => return Applied::Unchanged,
         };
-        let changed = entry.status != Some(next) || record.incarnation > entry.incarnation;
-        (entry.status, entry.incarnation) = (Some(next), record.incarnation);
-        (entry.verified, entry.probed) = (false, false);
-        entry.reads = record.reads;
+        let changed = entry.status != Some(next) || update.incarnation > entry.incarnation;
+        entry.status = Some(next);
+        entry.incarnation = update.incarnation;
+        entry.verified = false;
+        entry.probed = false;
+        entry.reads = update.reads;
         entry.since = if next == Status::Suspect { since } else { now };
         if changed {
             Applied::Changed
         } else {
-            Applied::Nothing
+            Applied::Unchanged
         }
     }
 
     /// The update to send on a member.
-    pub(crate) fn record(
+    pub(crate) fn update_on(
         &self,
         now: Millis,
         member: Member,
         own_incarnation: u64,
-    ) -> Option<Record> {
+    ) -> Option<MemberUpdate> {
         let entry = self.get(member)?;
         let status = entry.status?;
         let incarnation = if member == self.own {
@@ -188,7 +222,7 @@
             Status::Suspect => ((now - entry.since).max(0.0) / TICK).min(255.0) as u8,
             _ => 0,
         };
-        Some(Record {
+        Some(MemberUpdate {
             member: member.0,
             incarnation,
             status,
@@ -197,86 +231,79 @@
         })
     }
 
-    /// Who is up, for others to compare.
-    pub(crate) fn view(&mut self) -> View {
+    /// Returns a digest of who is up, for others to compare.
+    pub(crate) fn digest(&mut self) -> MembershipDigest {
         let base = if self.view_base < self.entries.len() {
             self.view_base
         } else {
             0
         };
-        self.view_base = base + VIEW;
-        let part = &self.entries[base..self.entries.len().min(base + VIEW)];
-        let byte = |eight: &[Entry]| {
-            let up = |entry: &Entry| u8::from(entry.status == Some(Status::Up));
-            eight
-                .iter()
-                .enumerate()
-                .fold(0, |byte, (bit, entry)| byte | up(entry) << bit)
-        };
-        let bits = part.chunks(8).map(byte).collect();
-        let reads = self.most_read();
-        let other = |entry: &Entry| entry.up() && entry.reads != reads;
-        let byte = |eight: &[Entry]| {
-            eight
-                .iter()
-                .enumerate()
-                .fold(0, |byte, (bit, entry)| byte | u8::from(other(entry)) << bit)
-        };
-        let others = if part.iter().any(other) {
-            part.chunks(8).map(byte).collect()
+        self.view_base = base + DIGEST_SPAN;
+        let section = &self.entries[base..self.entries.len().min(base + DIGEST_SPAN)];
+        let reads = self.most_common_versions();
+        let is_other = |entry: &Entry| entry.up() && entry.reads != reads;
+        let others = if section.iter().any(is_other) {
+            bitmap(section, is_other)
         } else {
             Vec::new()
         };
-        View {
+        MembershipDigest {
             base: base as u16,
             reads,
-            bits,
+            bits: bitmap(section, |entry| entry.status == Some(Status::Up)),
             others,
         }
     }
 
-    /// What most of those that are up read.
-    fn most_read(&self) -> Reads {
+    /// The versions that most of those that are up support.
+    fn most_common_versions(&self) -> SupportedVersions {
         let mut counts: BTreeMap<(u8, u8), usize> = BTreeMap::new();
         for entry in self.entries.iter().filter(|entry| entry.up()) {
             *counts
                 .entry((entry.reads.least, entry.reads.most))
                 .or_default() += 1;
         }
-        let most = counts.into_iter().max_by_key(|(_, count)| *count);
-        most.map_or(Reads::default(), |((least, most), _)| Reads { least, most })
+        let most_common = counts.into_iter().max_by_key(|(_, count)| *count);
+        most_common.map_or(SupportedVersions::default(), |((least, most), _)| {
+            SupportedVersions { least, most }
+        })
     }
 
-    /// Takes another's view. Who is up there and unknown here is up, if the view is bounded in age and contains what it
-    /// reads. Where this replica has evidence of something different, the places are returned, for their records to be
-    /// sent.
+    /// Takes another's digest. Who is up there and unknown here is up, if the digest is bounded in age and has the
+    /// versions that the member supports.
     pub(crate) fn compare(
         &mut self,
         now: Millis,
-        view: &View,
+        digest: &MembershipDigest,
         bounded: bool,
-    ) -> (Vec<Member>, Vec<Member>) {
-        let (mut come, mut differ) = (Vec::new(), Vec::new());
-        for (place, up, usual) in view.places() {
-            let Some(entry) = self.entries.get_mut(usize::from(place)) else {
+    ) -> Comparison {
+        let mut comparison = Comparison::default();
+        for digested in digest.members() {
+            let Some(entry) = self.entries.get_mut(usize::from(digested.member)) else {
                 continue;
             };
-            if up && bounded && usual && entry.status.is_none() {
-                (entry.status, entry.since, entry.reads) = (Some(Status::Up), now, view.reads);
-                come.push(Member(place));
-                continue;
-            }
-            let last_alive = now - entry.last_alive < ALIVE_RECENTLY;
-            match entry.status {
-                Some(Status::Gone | Status::Left) if up => differ.push(Member(place)),
-                Some(Status::Up) if !up && last_alive => differ.push(Member(place)),
-                // One of the two missed a start in another build.
-                Some(_) if up && entry.up() && usual != (entry.reads == view.reads) => {
-                    differ.push(Member(place));
-                }
-                _ => {}
+            let member = Member(digested.member);
+            let is_newly_up = digested.is_up && digested.has_common_versions && bounded;
+            if is_newly_up && entry.status.is_none() {
+                entry.status = Some(Status::Up);
+                entry.since = now;
+                entry.reads = digest.reads;
+                comparison.newly_up.push(member);
+            } else if entry.differs(now, &digested, digest.reads) {
+                comparison.differing.push(member);
             }
         }
-        (come, differ)
+        comparison
     }
 }
+
+/// A bit for each entry, the lowest of each byte first.
+fn bitmap(entries: &[Entry], is_set: impl Fn(&Entry) -> bool) -> Vec<u8> {
+    let byte = |eight: &[Entry]| {
+        let bits = eight.iter().enumerate();
+        bits.fold(0, |byte, (bit, entry)| {
+            byte | u8::from(is_set(entry)) << bit
+        })
+    };
+    entries.chunks(8).map(byte).collect()
+}
--- a/balancer/gossip/src/peers.rs
+++ b/balancer/gossip/src/peers.rs
@@ -1,66 +1,87 @@
-//! The protocol as a state machine: passes datagrams and time to its parts and assembles their answers.
+//! The protocol as a sans-I/O state machine. Passes datagrams and time to membership, negotiation and knowledge, and
+//! assembles the datagrams that they send. Owns none of their state: only the configuration, the counters and the
+//! notifications.
 use std::collections::VecDeque;
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::knowledge::ages::{Clocks, MAX_TRANSIT};
-use crate::knowledge::sums::Entries;
+use crate::knowledge::ages::{PeerClocks, MAX_TRANSIT};
+use crate::knowledge::sums::{LoadEntries, LoadTable};
 use crate::knowledge::verdicts::Verdicts;
-use crate::membership::{Membership, Outgoing};
+use crate::membership::{Membership, OutgoingMessage, Piggyback, RelayedVersions, Sender};
 use crate::types::{
     Config, ConfigError, Counts, Member, Millis, Own, Told, Transmit, Versions, Word, READS,
 };
-use crate::versions::Negotiation;
-use crate::wire::v1::{Head, Kind, Reads, View};
-use crate::wire::{self, v1, v2, Header, PAYLOAD};
+use crate::versions::VersionNegotiation;
+use crate::wire::v1::{Head, MembershipDigest, MessageKind};
+use crate::wire::{self, v1, v2, DecodeError, Header, MAX_PAYLOAD_LEN};
 
-/// Lines for the operator that wait until they are polled; further ones are dropped.
+/// Notifications for the operator that wait until they are polled; further ones are dropped.
 const MAX_NOTIFICATIONS: usize = 16;
 
-/// One replica's part in the protocol of its tier.
+/// The reason why a datagram, or all of it but its header and its membership, was dropped.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Rejection {
+    Malformed,
+    ForeignDeployment,
+    UnsupportedVersion,
+    TooOld,
+}
+
+impl From<DecodeError> for Rejection {
+    fn from(_: DecodeError) -> Rejection {
+        Rejection::Malformed
+    }
+}
+
+/// One replica of the protocol of its tier.
 #[derive(Debug)]
 pub struct Peers {
     config: Config,
     counts: Counts,
     rng: Pcg64Mcg,
-    clocks: Clocks,
+    clocks: PeerClocks,
     membership: Membership,
-    negotiation: Negotiation,
+    negotiation: VersionNegotiation,
     verdicts: Verdicts,
-    sums: Entries,
+    sums: LoadTable,
     notifications: VecDeque<Told>,
     /// The time of the last call: when datagrams are written.
     now: Millis,
-    /// Whether the last line for the operator said that this replica is isolated.
+    /// Whether the last notification said that this replica is isolated.
     isolated: bool,
 }
 
 impl Peers {
     /// A replica that has received nothing yet.
+    ///
+    /// # Errors
+    ///
+    /// When the replica isn't in the list of candidates, or no version that this program supports is left to it.
     pub fn new(config: Config, now: Millis) -> Result<Peers, ConfigError> {
         if config.own.0 >= config.candidates {
             return Err(ConfigError("this copy is not among the peers"));
         }
-        let (least, most) = (config.reads.least, config.reads.most);
+        let Versions { least, most } = config.reads;
         if least > most || least < READS.least || most > READS.most {
             return Err(ConfigError(
                 "no version of the peers' protocol is left to speak",
             ));
         }
-        // Two runs of one replica, and two replicas of one seed, draw differently.
+        // Two processes of one replica, and two replicas of one seed, draw differently.
         let mut rng = Pcg64Mcg::seed_from_u64(
             config.seed ^ config.incarnation.rotate_left(32) ^ u64::from(config.own.0),
         );
-        let clocks = Clocks::new(config.candidates, rng.gen(), now);
+        let clocks = PeerClocks::new(config.candidates, rng.gen(), now);
         let verdicts = Verdicts::new(config.own, config.zone, rng.gen());
-        let sums = Entries::new(config.own, config.candidates, config.tenants);
-        let negotiation = Negotiation::new(config.reads, now);
+        let sums = LoadTable::new(config.own, config.candidates, config.tenants);
+        let negotiation = VersionNegotiation::new(config.reads, now);
         let membership = Membership::new(
             config.own,
             config.candidates,
             config.incarnation,
-            Reads { least, most },
+            config.reads.into(),
             rng.clone(),
             now,
         );
@@ -82,85 +103,109 @@
 
     /// Takes a datagram that came from a candidate's address. Whatever is wrong with it, it is counted and dropped.
     pub fn datagram(&mut self, now: Millis, from: Member, bytes: &[u8]) {
-        self.resume(now);
+        self.detect_pause(now);
         self.counts.read += 1;
         self.counts.read_bytes += bytes.len() as u64;
-        let Ok((header, payload)) = wire::open(bytes) else {
-            self.counts.broken += 1;
-            return;
-        };
-        if header.deployment != self.config.deployment {
-            self.counts.foreign += 1;
-            return;
+        if let Err(rejection) = self.handle_datagram(now, from, bytes) {
+            self.count_rejection(rejection);
         }
-        if header.place != from || from == self.config.own || from.0 >= self.config.candidates {
-            self.counts.broken += 1;
-            return;
+    }
+
+    fn handle_datagram(
+        &mut self,
+        now: Millis,
+        from: Member,
+        bytes: &[u8],
+    ) -> Result<(), Rejection> {
+        let (header, payload) = wire::open(bytes)?;
+        self.check_sender(&header, from)?;
+        if !self.config.reads.contains(header.version) {
+            // Its payload can't be read, but the header has the sender and the versions that it supports.
+            self.handle_header(now, &header);
+            self.membership
+                .handle_unsupported_version(now, from, header.incarnation);
+            return Err(Rejection::UnsupportedVersion);
         }
-        let body = match header.version {
-            version if version < self.config.reads.least || version > self.config.reads.most => {
-                // Its payload can't be read, but the header has the sender and the versions that it reads.
-                self.counts.unspoken += 1;
-                self.header(now, &header);
-                self.membership.unread(now, from, header.incarnation);
-                return;
-            }
-            1 => v1::read(payload).map(|first| v2::Body {
-                first,
-                rest: None,
-                rows: Vec::new(),
-                totals: Vec::new(),
-            }),
-            _ => v2::read(payload),
-        };
-        let Ok(body) = body else {
-            self.counts.broken += 1;
-            return;
-        };
-        let transit = self
-            .clocks
-            .read(now, from, body.first.head.stamp, body.first.head.echo);
+        let body = decode(header.version, payload)?;
+        let head = &body.version_1.head;
+        let transit = self.clocks.handle_stamp(now, from, head.stamp, head.echo);
         if transit.is_some_and(|transit| transit > MAX_TRANSIT) {
-            self.counts.old += 1;
-            return;
+            return Err(Rejection::TooOld);
         }
-        self.header(now, &header);
-        let reads = Reads {
-            least: header.reads.least,
-            most: header.reads.most,
+        self.handle_header(now, &header);
+        let sender = Sender {
+            member: from,
+            incarnation: header.incarnation,
+            reads: header.reads.into(),
         };
         self.membership
-            .read(now, from, (header.incarnation, reads), transit, &body.first);
-        self.members(now);
+            .handle_message(now, sender, transit, &body.version_1);
+        self.on_membership_changed(now);
         if !self.negotiation.accepts(header.version, header.epoch) {
-            self.counts.unspoken += 1;
-            return;
+            return Err(Rejection::UnsupportedVersion);
         }
+        self.handle_knowledge(now, from, transit, body);
+        Ok(())
+    }
+
+    /// Checks that a datagram is of this deployment, and of the candidate from whose address it came.
+    fn check_sender(&self, header: &Header, from: Member) -> Result<(), Rejection> {
+        if header.deployment != self.config.deployment {
+            return Err(Rejection::ForeignDeployment);
+        }
+        if header.place != from || from == self.config.own || from.0 >= self.config.candidates {
+            return Err(Rejection::Malformed);
+        }
+        Ok(())
+    }
+
+    fn count_rejection(&mut self, rejection: Rejection) {
+        let counter = match rejection {
+            Rejection::Malformed => &mut self.counts.broken,
+            Rejection::ForeignDeployment => &mut self.counts.foreign,
+            Rejection::UnsupportedVersion => &mut self.counts.unspoken,
+            Rejection::TooOld => &mut self.counts.old,
+        };
+        *counter += 1;
+    }
+
+    /// Takes the verdicts and the loads of a datagram of a version that this replica accepts.
+    fn handle_knowledge(
+        &mut self,
+        now: Millis,
+        from: Member,
+        transit: Option<Millis>,
+        body: v2::Body,
+    ) {
+        let verdicts = &body.version_1.verdicts;
         let Some(transit) = transit else {
-            // Nothing that ages can be taken from it; an answer to a question of our own will have a bound.
-            if !body.first.verdicts.is_empty() {
+            // Nothing that ages can be taken from it; the response to a probe of our own will have a bound.
+            if !verdicts.is_empty() {
                 self.membership.probe(now, from);
             }
             return;
         };
         let mut changed = false;
-        for verdict in &body.first.verdicts {
+        for verdict in verdicts {
             changed |= verdict.observer < self.config.candidates
-                && self.verdicts.read(now, transit, verdict);
+                && self.verdicts.handle_verdict(now, transit, verdict);
         }
         if changed {
             self.membership.disseminate(now);
         }
-        if header.version >= 2 {
-            self.sums
-                .read(now, transit, from, &body.totals, body.rest, body.rows);
-        }
+        // A datagram of version 1 has no loads, which changes nothing.
+        let loads = LoadEntries {
+            totals: body.totals,
+            unnamed_tenants: body.unnamed_tenants,
+            rows: body.rows,
+        };
+        self.sums.handle_loads(now, transit, from, loads);
     }
 
-    /// A header that was verified, for the agreement on a version; unless it is of a run that is over.
-    fn header(&mut self, now: Millis, header: &Header) {
-        if self.membership.current(header.place, header.incarnation) {
-            self.negotiation.received(
+    /// Takes a verified header for the agreement on a version, unless it is of a process that has ended.
+    fn handle_header(&mut self, now: Millis, header: &Header) {
+        if self.membership.is_current(header.place, header.incarnation) {
+            self.negotiation.handle_announcement(
                 now,
                 header.place,
                 header.incarnation,
@@ -170,28 +215,29 @@
         }
     }
 
-    /// Hands on who is up, where that may have changed.
-    fn members(&mut self, now: Millis) {
+    /// Passes on who is up and who has restarted, where that may have changed.
+    fn on_membership_changed(&mut self, now: Millis) {
         for member in std::mem::take(&mut self.membership.restarted) {
             self.verdicts.forget(member);
         }
-        for (member, incarnation, reads) in std::mem::take(&mut self.membership.announced) {
-            let reads = Versions {
-                least: reads.least,
-                most: reads.most,
-            };
+        for relayed in std::mem::take(&mut self.membership.relayed_versions) {
+            let RelayedVersions {
+                member,
+                incarnation,
+                reads,
+            } = relayed;
             self.negotiation
-                .received(now, member, incarnation, reads, 0);
+                .handle_announcement(now, member, incarnation, reads.into(), 0);
         }
-        if self.membership.changed() {
+        if self.membership.take_changed() {
             let mut up = self.membership.up();
             up.retain(|member| *member != self.config.own);
-            self.negotiation.members(now, &up);
+            self.negotiation.handle_members(now, &up);
         }
-        if self.membership.duplicate() {
-            let place = self.config.own.0;
+        if self.membership.take_duplicate() {
+            let position = self.config.own.0;
             self.notify(format!(
-                "another copy speaks as this one, place {place} of the peers: two must not have one name"
+                "another copy speaks as this one, place {position} of the peers: two must not have one name"
             ));
         }
     }
@@ -202,92 +248,65 @@
         }
     }
 
-    /// Before anything else that happens at a time: whether this replica slept past what was due.
-    fn resume(&mut self, now: Millis) {
+    /// Detects, before anything else that happens at a time, whether this replica was paused past a timeout.
+    fn detect_pause(&mut self, now: Millis) {
         self.now = now;
-        self.membership.resume(now);
+        self.membership.detect_pause(now);
     }
 
     /// When [`Peers::timeout`] is to be called next.
     pub fn next_timeout(&self) -> Option<Millis> {
-        let parts = [
+        let timeouts = [
             self.membership.next_timeout(),
             self.negotiation.next_timeout(),
         ];
-        parts.into_iter().flatten().min_by(f64::total_cmp)
+        timeouts.into_iter().flatten().min_by(f64::total_cmp)
     }
 
-    /// Does what is due.
+    /// Handles all timers that have expired.
     pub fn timeout(&mut self, now: Millis) {
-        self.resume(now);
-        self.negotiation.timeout(now);
-        self.membership.timeout(now);
-        self.members(now);
-        self.verdicts.bound(now);
+        self.detect_pause(now);
+        self.negotiation.on_timeout(now);
+        self.membership.on_timeout(now);
+        self.on_membership_changed(now);
+        self.verdicts.on_timeout(now);
     }
 
-    /// The next datagram to send; to be asked until there is none, after each call that takes the time.
+    /// Returns the next datagram to send; to be called until there is none, after each call that takes the time.
     pub fn transmit(&mut self) -> Option<Transmit> {
-        let send = self.membership.next()?;
-        let bytes = self.write(&send);
+        let message = self.membership.poll_message()?;
+        let bytes = self.encode(&message);
         self.counts.sent += 1;
         self.counts.sent_bytes += bytes.len() as u64;
         self.membership.budget.spend(self.now, bytes.len());
-        Some(Transmit { to: send.to, bytes })
+        Some(Transmit {
+            to: message.to,
+            bytes,
+        })
     }
 
-    fn write(&mut self, send: &Outgoing) -> Vec<u8> {
-        let now = self.now;
-        // A stranger may read the lowest version only.
-        let known = self.membership.is_up(send.to);
-        let version = if known {
-            self.negotiation.speaks()
-        } else {
-            self.config.reads.least
-        };
-        let version = version.clamp(self.config.reads.least, self.config.reads.most);
-        let head = Head {
-            kind: send.kind,
-            stamp: self.clocks.stamp(now),
-            echo: self.clocks.echo(now, send.to),
-            about: send.about,
-            lost: self.membership.lost(now),
-        };
-        // An answer always carries the view: when many end at once there is no shorter form.
-        let view = if send.kind == Kind::Ack || !send.bare {
-            self.membership.view()
-        } else {
-            View::default()
-        };
-        let records = self.membership.records(now, send);
-        let verdicts = if send.bare && send.kind != Kind::Gossip {
-            Vec::new()
-        } else {
-            self.verdicts.outgoing(now, &mut self.rng)
-        };
-        let first = v1::Body {
-            head,
-            view,
-            records,
-            verdicts,
-        };
+    /// Encodes a message, with whatever is piggybacked on it.
+    fn encode(&mut self, message: &OutgoingMessage) -> Vec<u8> {
+        let version = self.version_for(message.to);
         let mut body = v2::Body {
-            first,
-            rest: None,
+            version_1: self.version_1_body(message),
+            unnamed_tenants: None,
             rows: Vec::new(),
             totals: Vec::new(),
         };
         let payload = if version == 1 {
-            v1::write(&mut body.first, PAYLOAD)
+            v1::encode(&mut body.version_1, MAX_PAYLOAD_LEN)
         } else {
-            if !send.bare {
-                (body.totals, body.rest, body.rows) =
-                    self.sums
-                        .outgoing(now, send.kind == Kind::Ping, &mut self.rng);
+            if message.piggyback == Piggyback::Full {
+                let with_tenants = message.kind == MessageKind::Ping;
+                let loads = self.sums.outgoing(self.now, with_tenants, &mut self.rng);
+                body.totals = loads.totals;
+                body.unnamed_tenants = loads.unnamed_tenants;
+                body.rows = loads.rows;
             }
-            v2::write(&mut body, PAYLOAD)
+            v2::encode(&mut body, MAX_PAYLOAD_LEN)
         };
-        self.membership.sent(&body.first.records);
+        self.membership.on_updates_written(&body.version_1.updates);
         let header = Header {
             version,
             reads: self.config.reads,
@@ -299,16 +318,57 @@
         wire::seal(&header, &payload)
     }
 
-    /// The next line for the operator.
+    /// The version to write to a candidate in: one that isn't up may support the lowest only.
+    fn version_for(&self, to: Member) -> u8 {
+        let supported = self.config.reads;
+        let version = if self.membership.is_up(to) {
+            self.negotiation.version()
+        } else {
+            supported.least
+        };
+        version.clamp(supported.least, supported.most)
+    }
+
+    fn version_1_body(&mut self, message: &OutgoingMessage) -> v1::Body {
+        let now = self.now;
+        let head = Head {
+            kind: message.kind,
+            stamp: self.clocks.stamp(now),
+            echo: self.clocks.echo(now, message.to),
+            target: message.target,
+            recent_failures: self.membership.recent_failures(now),
+        };
+        let is_full = message.piggyback == Piggyback::Full;
+        // An acknowledgement always carries the digest: when many fail at once there is no shorter form.
+        let digest = if message.kind == MessageKind::Ack || is_full {
+            self.membership.digest()
+        } else {
+            MembershipDigest::default()
+        };
+        let updates = self.membership.updates(now, message);
+        let verdicts = if message.kind == MessageKind::Gossip || is_full {
+            self.verdicts.outgoing(now, &mut self.rng)
+        } else {
+            Vec::new()
+        };
+        v1::Body {
+            head,
+            digest,
+            updates,
+            verdicts,
+        }
+    }
+
+    /// Returns the next notification for the operator.
     pub fn told(&mut self) -> Option<Told> {
         self.notifications
             .pop_front()
-            .or_else(|| self.negotiation.next_notification())
+            .or_else(|| self.negotiation.poll_notification())
     }
 
     /// Takes what this replica observes itself.
     pub fn observe(&mut self, now: Millis, own: Own) {
-        self.resume(now);
+        self.detect_pause(now);
         if self.verdicts.observe(now, &own.against, &own.cleared) {
             self.membership.disseminate(now);
         }
@@ -317,54 +377,73 @@
 
     /// What the tier knows.
     pub fn word(&mut self, now: Millis) -> Word {
-        self.resume(now);
+        self.detect_pause(now);
         let members = self.membership.up();
-        let place = members
+        let position = members
             .iter()
             .position(|member| *member == self.config.own)
-            .unwrap_or(0) as u32;
-        let (up, version) = (members.len() as u32, self.negotiation.speaks());
-        let joined = self.membership.joined(now);
-        if self.isolated == joined && (joined || up > 1) {
-            self.isolated = !joined;
-            let line = if joined {
-                "hears the tier again"
-            } else {
-                "is cut off from more than half of the tier"
-            };
-            self.notify(format!("this copy {line}: {up} members up"));
-        }
+            .unwrap_or(0);
+        let version = self.negotiation.version();
+        let joined = self.membership.has_joined(now);
+        self.notify_of_isolation(joined, members.len());
         let sums = if joined && version >= 2 {
             self.sums.sums(now, &members)
         } else {
             None
         };
-        let evidence = self.verdicts.evidence(now);
         Word {
-            up,
-            place,
+            up: members.len() as u32,
+            place: position as u32,
             version,
             epoch: self.negotiation.epoch(),
             joined,
             sums,
-            evidence,
+            evidence: self.verdicts.evidence(now),
         }
     }
 
-    /// Tells the others that this replica ends, so that nobody need suspect it.
+    /// Notifies the operator when this replica becomes isolated, and when it no longer is.
+    fn notify_of_isolation(&mut self, joined: bool, up: usize) {
+        if self.isolated != joined || !joined && up <= 1 {
+            return;
+        }
+        self.isolated = !joined;
+        let change = if joined {
+            "hears the tier again"
+        } else {
+            "is cut off from more than half of the tier"
+        };
+        self.notify(format!("this copy {change}: {up} members up"));
+    }
+
+    /// Notifies the others that this replica leaves, so that nobody need suspect it.
     pub fn leave(&mut self, now: Millis) {
-        self.resume(now);
+        self.detect_pause(now);
         self.membership.leave(now);
     }
 
-    /// What was counted.
+    /// Counters since the start.
     pub fn counts(&self) -> Counts {
         let counters = self.membership.counters;
         Counts {
             suspected: counters.suspected,
-            gone: counters.gone,
+            gone: counters.failed,
             steps: self.negotiation.steps(),
             ..self.counts
         }
     }
 }
+
+/// The payload of a version as one of the highest: what the version does not have is absent.
+fn decode(version: u8, payload: &[u8]) -> Result<v2::Body, DecodeError> {
+    if version > 1 {
+        return v2::decode(payload);
+    }
+    let version_1 = v1::decode(payload)?;
+    Ok(v2::Body {
+        version_1,
+        unnamed_tenants: None,
+        rows: Vec::new(),
+        totals: Vec::new(),
+    })
+}
--- a/balancer/gossip/src/versions/agreement.rs
+++ b/balancer/gossip/src/versions/agreement.rs
@@ -1,12 +1,12 @@
-//! The agreement on a version that this replica knows of, and how it comes to another. Owns its number; the rest of
-//! what decides is in its parts, all of it integers, so that a model checker can compare states.
-use super::announced::{contains, overlap, Announced};
+//! The agreement on a version that this replica knows of, and how it comes to another. Owns its number; announcements
+//! and the step-up timer are modules of their own. All state is in integers, so that a model checker can compare it.
+use super::announced::Announced;
 use super::epoch::Epoch;
 use super::rules::{Rule, Rules, MAX_EPOCH_JUMP, MAX_TIMER_LATENESS};
 use super::step_up::StepUpTimer;
 use crate::types::{Member, Versions};
 
-/// Times are in whole milliseconds on this replica's clock.
+/// The state machine of the agreement. Times are in whole milliseconds on this replica's clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Agreement {
     rules: Rules,
@@ -17,6 +17,7 @@
 }
 
 impl Agreement {
+    /// A replica that knows of no agreement yet.
     pub fn new(rules: Rules, own: Versions) -> Agreement {
         Agreement {
             rules,
@@ -28,7 +29,7 @@
     }
 
     /// Takes a verified header.
-    pub fn received(
+    pub fn handle_announcement(
         &mut self,
         now: u64,
         from: Member,
@@ -36,86 +37,90 @@
         reads: Versions,
         epoch: u64,
     ) {
-        // No program reads nothing, and none reads version 0.
+        // Every program supports some version, and none supports version 0.
         if reads.least == 0 || reads.least > reads.most {
             return;
         }
-        if !self.announced.record(self.rules, from, incarnation, reads) {
-            return self.settle(now);
+        if !self
+            .announced
+            .record_announcement(self.rules, from, incarnation, reads)
+        {
+            return self.reevaluate(now);
         }
-        if reads.most < self.own.most && overlap(reads, self.own) {
+        if reads.most < self.own.most && reads.overlaps(self.own) {
             self.step_up.established();
             if reads.most < self.announced.limit() {
                 self.step_up.restart(now);
             }
         }
         if let Some(epoch) = Epoch::read(epoch) {
-            self.consider(now, from, reads, epoch);
+            self.consider_epoch(now, from, reads, epoch);
         }
-        self.settle(now);
+        self.reevaluate(now);
     }
 
     /// Adopts an agreement that another replica announces, if it is later than the one known of.
-    fn consider(&mut self, now: u64, from: Member, reads: Versions, epoch: Epoch) {
+    fn consider_epoch(&mut self, now: u64, from: Member, reads: Versions, epoch: Epoch) {
         let version = epoch.version();
-        // A replica agrees only on what it reads itself; what this one can't read it leaves to the others, who will
+        // A replica agrees only on what it supports itself; what this one doesn't support it leaves to the others, who will
         // step down as soon as they receive it. And those that it doesn't mix with agree among themselves.
-        let both = contains(reads, version) && contains(self.own, version);
-        if !both || self.announced.incompatible(from).is_some() || !self.rules.hold(Rule::Adopt) {
+        let supported = reads.contains(version) && self.own.contains(version);
+        if !supported
+            || self.announced.incompatible_versions(from).is_some()
+            || !self.rules.holds(Rule::Adopt)
+        {
             return;
         }
         let far = epoch.counter() > self.epoch.counter().saturating_add(MAX_EPOCH_JUMP);
         let repeated = self.announced.implausible_epoch(from, far);
-        if (epoch > self.epoch || !self.rules.hold(Rule::Largest)) && (!far || repeated) {
+        if (epoch > self.epoch || !self.rules.holds(Rule::Largest)) && (!far || repeated) {
             self.adopt(now, epoch);
             self.step_up.established();
         }
     }
 
     /// Takes who is up besides this replica.
-    pub fn members(&mut self, now: u64, up: &[Member]) {
-        self.announced.members(self.rules, up);
-        self.settle(now);
+    pub fn handle_members(&mut self, now: u64, up: &[Member]) {
+        self.announced.set_members(self.rules, up);
+        self.reevaluate(now);
     }
 
+    /// The time at which [`Agreement::on_timeout`] is to be called next.
     pub fn next_timeout(&self) -> Option<u64> {
-        self.step_up.due()
+        self.step_up.deadline()
     }
 
-    /// Steps up if that is due. A replica that comes to it late has slept: others may have come and gone, so it listens
+    /// Steps up if that is due. A replica that comes to it late was paused: others may have come and gone, so it listens
     /// for as long again.
-    pub fn timeout(&mut self, now: u64) {
-        let Some(due) = self.step_up.due().filter(|&due| due <= now) else {
+    pub fn on_timeout(&mut self, now: u64) {
+        let Some(deadline) = self.step_up.deadline().filter(|&deadline| deadline <= now) else {
             return;
         };
-        if now - due >= MAX_TIMER_LATENESS {
+        if now - deadline >= MAX_TIMER_LATENESS {
             self.step_up.restart(now);
         } else {
             self.adopt(now, self.next_epoch(self.announced.limit()));
-            self.settle(now);
+            self.reevaluate(now);
         }
     }
 
     /// Steps down at once where what is known of the members asks for it; else sees to it that a step up becomes due.
-    fn settle(&mut self, now: u64) {
+    fn reevaluate(&mut self, now: u64) {
         let limit = self.announced.limit();
-        if limit < self.epoch.version() && self.rules.hold(Rule::OwnKnowledge) {
-            let raised = self.rules.hold(Rule::RaiseOnDown);
-            self.adopt(
-                now,
-                if raised {
-                    self.next_epoch(limit)
-                } else {
-                    Epoch::first(limit)
-                },
-            );
+        if limit < self.epoch.version() && self.rules.holds(Rule::OwnKnowledge) {
+            let epoch = if self.rules.holds(Rule::RaiseOnDown) {
+                self.next_epoch(limit)
+            } else {
+                Epoch::first(limit)
+            };
+            self.adopt(now, epoch);
         }
-        // Where a member reads less, a tier shows so by its first agreement. Whoever joins it learns from that number
+        // Where a member supports less, a tier shows so by its first agreement. Whoever joins it learns from that number
         // that it is no part of a common start.
-        if self.epoch.counter() == 0 && self.announced.limited() {
+        if self.epoch.counter() == 0 && self.announced.is_limited() {
             self.adopt(now, self.next_epoch(limit));
         }
-        let possible = limit > self.epoch.version() && self.announced.any();
+        let possible = limit > self.epoch.version() && self.announced.has_others();
         self.step_up.arm(now, possible);
     }
 
@@ -131,7 +136,7 @@
 
     /// A new agreement.
     fn next_epoch(&self, version: u8) -> Epoch {
-        let last = if self.rules.hold(Rule::AboveKnown) {
+        let last = if self.rules.holds(Rule::AboveKnown) {
             self.epoch
         } else {
             Epoch::first(version)
@@ -139,27 +144,31 @@
         last.next(version)
     }
 
-    pub fn speaks(&self) -> u8 {
-        if !self.rules.hold(Rule::Together) {
+    /// The version to write in.
+    pub fn version(&self) -> u8 {
+        if !self.rules.holds(Rule::Together) {
             return self.announced.limit();
         }
         // The two differ only where no number is left for an agreement on less.
         self.epoch.version().min(self.announced.limit())
     }
 
+    /// The number of the agreement to announce.
     pub fn epoch(&self) -> u64 {
         self.epoch.number()
     }
 
+    /// Whether a datagram of this version, written under this agreement, may be acted on.
     pub fn accepts(&self, version: u8, epoch: u64) -> bool {
         // Whoever knows of no agreement yet speaks the lowest version, which means the same under all of them.
         let agreed =
-            epoch == self.epoch.number() && version <= self.speaks() || version == self.own.least;
-        let agreed = agreed || !self.rules.hold(Rule::OwnAgreement);
+            epoch == self.epoch.number() && version <= self.version() || version == self.own.least;
+        let agreed = agreed || !self.rules.holds(Rule::OwnAgreement);
         let sound = Epoch::read(epoch).is_some_and(|epoch| version <= epoch.version());
-        contains(self.own, version) && agreed && sound
+        self.own.contains(version) && agreed && sound
     }
 
+    /// The versions that this replica supports.
     pub fn own(&self) -> Versions {
         self.own
     }
@@ -168,7 +177,7 @@
         &self.announced
     }
 
-    /// The same with a clock that reads less, so that a model of it has finitely many states.
+    /// Moves the clock back by this much, so that a model of it has finitely many states.
     pub fn shift(&mut self, by: u64) {
         self.step_up.shift(by);
     }
--- a/balancer/gossip/src/versions/announced.rs
+++ b/balancer/gossip/src/versions/announced.rs
@@ -1,20 +1,50 @@
-//! What each member has announced that it reads, and who is up. Owns both.
+//! The versions that each member has announced that it supports, and who is up. Owns both, and what follows from them:
+//! the highest version that all support. Makes no agreement.
 use super::rules::{Rule, Rules, REPEATS_TO_BELIEVE};
 use crate::types::{Member, Versions};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Versions that contradict the last announcement of a member.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Contradiction {
+    reads: Versions,
+    /// How many times in a row it was announced.
+    repeats: u8,
+}
+
 /// The last announcement of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Announcement {
     incarnation: u64,
     reads: Versions,
-    /// Something else that it announced, and how many times in a row.
-    contradiction: Option<(Versions, u8)>,
+    /// Something else that it announced, and how often.
+    contradiction: Option<Contradiction>,
     /// How many times in a row it named an implausible agreement.
     implausible_epochs: u8,
 }
 
-/// One entry at most for each candidate.
+impl Announcement {
+    /// Takes versions that contradict it, of the same incarnation or of an earlier one, and believes them once they
+    /// were repeated often enough.
+    fn contradict(&mut self, reads: Versions, same_incarnation: bool) {
+        let repeats = self
+            .contradiction
+            .filter(|contradiction| contradiction.reads == reads)
+            .map_or(1, |contradiction| contradiction.repeats + 1);
+        if repeats < REPEATS_TO_BELIEVE {
+            self.contradiction = Some(Contradiction { reads, repeats });
+            return;
+        }
+        self.contradiction = None;
+        self.reads = if same_incarnation {
+            reads
+        } else {
+            intersection(self.reads, reads)
+        };
+    }
+}
+
+/// Announcements and who is up. One entry at most for each candidate.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Announced {
     own: Versions,
@@ -37,8 +67,8 @@
         }
     }
 
-    /// Takes an announcement. False if it, and so what came with it, is not of the current run of the member.
-    pub(super) fn record(
+    /// Takes an announcement. False if it, and so what came with it, is not of the current process of the member.
+    pub(super) fn record_announcement(
         &mut self,
         rules: Rules,
         from: Member,
@@ -53,15 +83,15 @@
         };
         let Some(announcement) = self.announcements.get_mut(&from) else {
             self.announcements.insert(from, new);
-            self.count(rules);
+            self.recount(rules);
             return true;
         };
         let before = announcement.reads;
         let narrower = reads.most < before.most || reads.least > before.least;
-        let later = incarnation > announcement.incarnation || !rules.hold(Rule::Incarnations);
+        let later = incarnation > announcement.incarnation || !rules.holds(Rule::Incarnations);
         let same = incarnation == announcement.incarnation;
         if later {
-            *announcement = if narrower && !rules.hold(Rule::Narrower) {
+            *announcement = if narrower && !rules.holds(Rule::Narrower) {
                 Announcement {
                     reads: before,
                     ..new
@@ -73,27 +103,16 @@
             // An announcement of an earlier start that agrees with the later one changes nothing.
             announcement.contradiction = announcement.contradiction.filter(|_| !same);
         } else if same && narrower {
-            // A replica can't change what it reads while it runs, so one of the two was garbled. The safe one holds.
+            // A replica can't change what it supports while it runs, so one of the two was garbled. The safe one holds.
             announcement.reads = intersection(before, reads);
             announcement.contradiction = None;
         } else if same || narrower {
-            // More than before is believed only when it is repeated. So is a smaller incarnation that reads less:
+            // More than before is believed only when it is repeated. So is a smaller incarnation that supports less:
             // the larger one may have been garbled, or this is late by far.
-            let times = announcement
-                .contradiction
-                .filter(|contradiction| contradiction.0 == reads)
-                .map_or(1, |contradiction| contradiction.1 + 1);
-            announcement.contradiction = (times < REPEATS_TO_BELIEVE).then_some((reads, times));
-            if times >= REPEATS_TO_BELIEVE {
-                announcement.reads = if same {
-                    reads
-                } else {
-                    intersection(before, reads)
-                };
-            }
+            announcement.contradict(reads, same);
         }
         if announcement.reads != before {
-            self.count(rules);
+            self.recount(rules);
         }
         later || same
     }
@@ -112,26 +131,27 @@
     }
 
     /// Takes who is up besides this replica.
-    pub(super) fn members(&mut self, rules: Rules, up: &[Member]) {
+    pub(super) fn set_members(&mut self, rules: Rules, up: &[Member]) {
         if up.len() != self.up.len() || up.iter().any(|member| !self.up.contains(member)) {
             self.up = up.iter().copied().collect();
-            self.count(rules);
+            self.recount(rules);
         }
     }
 
-    fn count(&mut self, rules: Rules) {
+    /// Derives the common version anew.
+    fn recount(&mut self, rules: Rules) {
         let live = || {
             self.up
                 .iter()
                 .filter_map(|member| self.announcements.get(member))
         };
-        self.unannounced = rules.hold(Rule::UnannouncedIsLowest) && live().count() < self.up.len();
-        let most = live()
+        self.unannounced = rules.holds(Rule::UnannouncedIsLowest) && live().count() < self.up.len();
+        let compatible = live()
             .map(|announcement| announcement.reads)
-            .filter(|&reads| overlap(reads, self.own));
-        let least = most.map(|reads| reads.most).min();
-        self.common = least.map_or(self.own.most, |most| most.min(self.own.most));
-        if !rules.hold(Rule::AllMembers) {
+            .filter(|&reads| reads.overlaps(self.own));
+        let common = compatible.map(|reads| reads.most).min();
+        self.common = common.map_or(self.own.most, |common| common.min(self.own.most));
+        if !rules.holds(Rule::AllMembers) {
             self.common = self.own.most;
         }
     }
@@ -146,22 +166,22 @@
     }
 
     /// Whether a live member is known to read less than this replica.
-    pub(super) fn limited(&self) -> bool {
+    pub(super) fn is_limited(&self) -> bool {
         self.common < self.own.most
     }
 
-    /// Whether anybody else is up.
-    pub(super) fn any(&self) -> bool {
+    /// Whether other members are up.
+    pub(super) fn has_others(&self) -> bool {
         !self.up.is_empty()
     }
 
-    /// What a member reads that reads no version in which all live members meet.
-    pub(super) fn incompatible(&self, member: Member) -> Option<Versions> {
+    /// The versions of a member that supports none in which all live members meet.
+    pub(super) fn incompatible_versions(&self, member: Member) -> Option<Versions> {
         let reads = self.announcements.get(&member)?.reads;
-        (!overlap(reads, self.own) || reads.least > self.common).then_some(reads)
+        (!reads.overlaps(self.own) || reads.least > self.common).then_some(reads)
     }
 
-    /// Who of those that are up holds the version at the limit, and what it reads.
+    /// The live member that holds the version at the limit, and the versions that it supports where they are known.
     pub(super) fn limiting_member(&self) -> Option<(Member, Option<Versions>)> {
         let reads = |member: &Member| {
             self.announcements
@@ -183,17 +203,7 @@
     }
 }
 
-/// Whether two ranges have a version in common.
-pub(super) fn overlap(a: Versions, b: Versions) -> bool {
-    a.least <= b.most && b.least <= a.most
-}
-
-/// Whether a range has a version.
-pub(super) fn contains(range: Versions, version: u8) -> bool {
-    range.least <= version && version <= range.most
-}
-
-/// What both have, or the latter where that is nothing.
+/// The versions in both ranges, or the latter range where that is none.
 fn intersection(a: Versions, b: Versions) -> Versions {
     let both = Versions {
         least: a.least.max(b.least),
--- a/balancer/gossip/src/versions/epoch.rs
+++ b/balancer/gossip/src/versions/epoch.rs
@@ -1,6 +1,6 @@
 //! The number of an agreement on a version. No state.
 
-/// A counter, and below it in the last byte the version agreed on. So two copies that know of the same agreement speak
+/// A counter, and below it in the last byte the version agreed on. So two replicas that know of the same agreement speak
 /// the same version, and of two agreements all take the same one: the larger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Epoch(u64);
@@ -9,7 +9,7 @@
     /// The counter at which no further agreement can be made: at one each second, after nine million years.
     const LAST: u64 = 1 << 48;
 
-    /// Where a copy that knows of no agreement begins: at the lowest version.
+    /// Where a replica that knows of no agreement begins: at the lowest version.
     pub(super) fn first(version: u8) -> Epoch {
         Epoch(u64::from(version))
     }
--- a/balancer/gossip/src/versions/mod.rs
+++ b/balancer/gossip/src/versions/mod.rs
@@ -1,10 +1,10 @@
 //! The version of the protocol that all live members speak, and the agreement on it, while replicas of two builds run
 //! beside each other.
 //!
-//! Each replica announces in every datagram the versions it reads and the agreement it knows of, a number that holds
-//! the version. The larger number holds. A replica that knows a live member which does not read the version makes the
-//! next agreement, on less, at once; one that has known for long enough that all live members read more makes it on
-//! more. `docs/upgrades.md` has the promise, its assumptions and each constant's reason.
+//! Each replica announces in every datagram the versions it supports and the agreement it knows of, a number that holds
+//! the version. The larger number holds. A replica that knows a live member which does not support the version makes the
+//! next agreement, on less, at once; one that has known for long enough that all live members support more makes it on
+//! more. `docs/upgrades.md` has the guarantee, its assumptions and each constant's reason.
 #[doc(hidden)]
 pub mod agreement;
 mod announced;
@@ -13,19 +13,21 @@
 pub mod rules;
 mod step_up;
 
-use crate::types::{Member, Millis, Told, Versions};
-use agreement::Agreement;
-use rules::Rules;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Lines for the operator that wait to be polled; with more the oldest are dropped.
+use self::agreement::Agreement;
+use self::rules::Rules;
+use crate::types::{Member, Millis, Told, Versions};
+
+/// Notifications for the operator that wait to be polled; with more the oldest are dropped.
 const MAX_NOTIFICATIONS: usize = 64;
 
-/// One replica's part in the agreement. What decides is in `Agreement`; here are the clock's type, and the lines for
-/// the operator.
+/// One replica's side of the agreement. The state machine is `Agreement`; here are the clock's type, and the
+/// notifications for the operator.
 #[derive(Clone, Debug)]
-pub struct Negotiation {
+pub struct VersionNegotiation {
     agreement: Agreement,
+    /// Changes of the version since the start.
     steps: u64,
     /// Whether the operator was notified why the version is lower than this replica could speak.
     limited: bool,
@@ -34,11 +36,11 @@
     incompatible: BTreeMap<Member, Versions>,
 }
 
-impl Negotiation {
-    /// A replica that has received nothing yet. It speaks the lowest version it reads.
-    pub fn new(own: Versions, _now: Millis) -> Negotiation {
+impl VersionNegotiation {
+    /// A replica that has received nothing yet. It speaks the lowest version it supports.
+    pub fn new(own: Versions, _now: Millis) -> VersionNegotiation {
         let agreement = Agreement::new(Rules::default(), own);
-        Negotiation {
+        VersionNegotiation {
             agreement,
             steps: 0,
             limited: false,
@@ -49,7 +51,7 @@
 
     /// Takes a verified header of a live or not yet known member; or, with an epoch of 0, an announcement that another
     /// member has relayed.
-    pub fn received(
+    pub fn handle_announcement(
         &mut self,
         now: Millis,
         from: Member,
@@ -58,9 +60,9 @@
         epoch: u64,
     ) {
         self.apply(|agreement| {
-            agreement.received(whole_milliseconds(now), from, incarnation, reads, epoch)
+            agreement.handle_announcement(round_to_millis(now), from, incarnation, reads, epoch)
         });
-        let incompatible = self.incompatible(from);
+        let incompatible = self.incompatible_versions(from);
         if let Some(reads) =
             incompatible.filter(|&reads| self.incompatible.insert(from, reads) != Some(reads))
         {
@@ -68,32 +70,34 @@
             self.notify(format!(
                 "no version in common with member {}, which reads {} to {}, while this copy reads {} to {} and speaks {}: \
                  they go without each other's word",
-                from.0, reads.least, reads.most, own.least, own.most, self.speaks()
+                from.0, reads.least, reads.most, own.least, own.most, self.version()
             ));
         }
     }
 
     /// Takes the members that are up now besides this one, the suspected ones included. One of which nothing was
     /// [received](Negotiation::received) holds the tier at the lowest version; so whoever learns from another that a
-    /// member is up must learn from it what that member reads, too.
-    pub fn members(&mut self, now: Millis, up: &[Member]) {
-        self.apply(|agreement| agreement.members(whole_milliseconds(now), up));
+    /// member is up must learn from it which versions that member supports, too.
+    pub fn handle_members(&mut self, now: Millis, up: &[Member]) {
+        self.apply(|agreement| agreement.handle_members(round_to_millis(now), up));
     }
 
-    /// Does what is due.
-    pub fn timeout(&mut self, now: Millis) {
-        self.apply(|agreement| agreement.timeout(whole_milliseconds(now)));
+    /// Steps up if the delay of the step up has passed.
+    pub fn on_timeout(&mut self, now: Millis) {
+        self.apply(|agreement| agreement.on_timeout(round_to_millis(now)));
     }
 
-    /// When [`Negotiation::timeout`] is to be called next.
+    /// When [`VersionNegotiation::on_timeout`] is to be called next.
     pub fn next_timeout(&self) -> Option<Millis> {
-        self.agreement.next_timeout().map(|due| due as Millis)
+        self.agreement
+            .next_timeout()
+            .map(|deadline| deadline as Millis)
     }
 
     /// The version to write datagrams in now. To a candidate that is not up the lowest may be written instead, which
     /// is accepted under every agreement.
-    pub fn speaks(&self) -> u8 {
-        self.agreement.speaks()
+    pub fn version(&self) -> u8 {
+        self.agreement.version()
     }
 
     /// The number of the agreement to announce: a counter, and the version in the last byte.
@@ -107,27 +111,29 @@
         self.agreement.accepts(version, epoch)
     }
 
-    /// The versions of a member that reads none in which all live members meet.
-    pub fn incompatible(&self, member: Member) -> Option<Versions> {
-        self.agreement.announced().incompatible(member)
+    /// The versions of a member that supports none in which all live members meet.
+    pub fn incompatible_versions(&self, member: Member) -> Option<Versions> {
+        self.agreement.announced().incompatible_versions(member)
     }
 
-    /// The next line for the operator.
-    pub fn next_notification(&mut self) -> Option<Told> {
+    /// Returns the next notification for the operator.
+    pub fn poll_notification(&mut self) -> Option<Told> {
         self.notifications.pop_front()
     }
 
-    /// How often the version spoken has changed.
+    /// Changes of the version since the start.
     pub fn steps(&self) -> u64 {
         self.steps
     }
 
     /// Applies a change, and notifies the operator of the version if it has changed, or of the member that limits it.
     fn apply(&mut self, does: impl FnOnce(&mut Agreement)) {
-        let before = self.speaks();
+        let before = self.version();
         does(&mut self.agreement);
-        let (now, announced) = (self.speaks(), self.agreement.announced());
-        let (changed, limited) = (now != before, announced.limited());
+        let now = self.version();
+        let announced = self.agreement.announced();
+        let limited = announced.is_limited();
+        let changed = now != before;
         if !changed && (self.limited || !limited) {
             return;
         }
@@ -144,11 +150,11 @@
         };
         self.steps += u64::from(changed);
         self.limited = now <= before;
-        let (counter, most) = (self.epoch() >> 8, self.agreement.own().most);
+        let counter = self.epoch() >> 8;
         let instead = if changed {
             format!("instead of {before}")
         } else {
-            format!("and not {most}")
+            format!("and not {}", self.agreement.own().most)
         };
         self.notify(format!(
             "version {now} {instead}, by agreement {counter}: {why}"
@@ -165,6 +171,6 @@
 
 /// A point of time in whole milliseconds; later is never earlier. To the nearest, so that a timer which fires a hair
 /// early, by an error in the last digits, is not asked for again and again.
-fn whole_milliseconds(now: Millis) -> u64 {
+fn round_to_millis(now: Millis) -> u64 {
     now.round() as u64
 }
--- a/balancer/gossip/src/versions/rules.rs
+++ b/balancer/gossip/src/versions/rules.rs
@@ -2,14 +2,14 @@
 //!
 //! Times are in milliseconds. What each constant is for, and what it costs, is in `docs/upgrades.md`.
 
-/// A higher version is taken up when all live members have read it for this long.
+/// A higher version is taken up when all live members have supported it for this long.
 pub const STEP_UP_DELAY: u64 = 5_000;
-/// The same for a tier that starts together and has agreed on nothing yet, and in which nobody was met who reads less.
+/// The same for a tier that starts together and has agreed on nothing yet, and in which nobody was met who supports less.
 pub const FIRST_STEP_UP_DELAY: u64 = 500;
 /// The delay doubles with each step down soon after a step up, to this at most.
 pub const MAX_STEP_UP_DELAY: u64 = 60_000;
 /// A step down this long after the last step up or later is an event by itself: the delay is [`STEP_UP_DELAY`] again.
-pub const SETTLED_AFTER: u64 = 120_000;
+pub const STABLE_AFTER: u64 = 120_000;
 /// A replica that comes so much too late to a step up was paused.
 pub const MAX_TIMER_LATENESS: u64 = 1_000;
 /// What looks wrong, though nothing proves it, is believed when the same replica repeats it so many times in a row.
@@ -17,14 +17,14 @@
 /// An agreement whose number is further ahead than this looks wrong.
 pub const MAX_EPOCH_JUMP: u64 = 1 << 16;
 
-/// What keeps the promise. A test leaves one out at a time, to show that the model checker misses none of them.
+/// A rule that the guarantee rests on. A test leaves one out at a time, to show that the model checker misses none of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Rule {
-    /// Not what this replica reads alone decides, but what all live members read.
+    /// Not what this replica supports decides, but what all live members support.
     AllMembers,
     /// A live member that has announced nothing holds the version at the lowest.
     UnannouncedIsLowest,
-    /// A replica that starts anew and reads less is believed.
+    /// A replica that starts anew and supports less is believed.
     Narrower,
     /// What a replica announced before its last start is over, however late it comes.
     Incarnations,
@@ -59,7 +59,7 @@
     }
 
     /// Whether a rule holds.
-    pub fn hold(self, rule: Rule) -> bool {
+    pub fn holds(self, rule: Rule) -> bool {
         self.without != Some(rule)
     }
 }
--- a/balancer/gossip/src/wire/mod.rs
+++ b/balancer/gossip/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! The bytes of datagrams: the fixed header and the check at the end here, what lies between in a module for each
-//! version. Whatever a stranger sends is either read whole or dropped with a reason; nothing here keeps state.
+//! The codec of datagrams: the fixed header and the checksum at the end here, the payload between them in a module for
+//! each version. Whatever bytes arrive are either decoded completely or rejected with a reason. Has no state.
 mod section;
 pub mod v1;
 pub mod v2;
@@ -7,9 +7,9 @@
 use crate::types::{Member, Versions, DATAGRAM_MOST, HEADER, MAGIC};
 
 /// The CRC-32 at the end, in bytes.
-const CHECK: usize = 4;
-/// What a datagram has for its payload, in bytes.
-pub const PAYLOAD: usize = DATAGRAM_MOST - HEADER - CHECK;
+const CHECKSUM_LEN: usize = 4;
+/// The length of the longest payload, in bytes.
+pub const MAX_PAYLOAD_LEN: usize = DATAGRAM_MOST - HEADER - CHECKSUM_LEN;
 
 /// The header of every datagram of every version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,16 +22,17 @@
     pub epoch: u64,
 }
 
-/// Why a datagram was not read.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// The reason why bytes are no datagram.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Too short, too long, garbled, or nothing of ours.
-    Broken,
+    /// Too short, too long, garbled, or not of this protocol.
+    #[error("malformed datagram")]
+    Malformed,
 }
 
-/// A whole datagram: header, payload, check.
+/// Encodes a datagram: header, payload, checksum.
 pub fn seal(header: &Header, payload: &[u8]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(HEADER + payload.len() + CHECK);
+    let mut bytes = Vec::with_capacity(HEADER + payload.len() + CHECKSUM_LEN);
     bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&[header.version, header.reads.least, header.reads.most]);
     bytes.extend_from_slice(&header.place.0.to_be_bytes());
@@ -39,26 +40,30 @@
     bytes.extend_from_slice(&header.deployment.to_be_bytes());
     bytes.extend_from_slice(&header.epoch.to_be_bytes());
     bytes.extend_from_slice(payload);
-    let check = crc32fast::hash(&bytes);
-    bytes.extend_from_slice(&check.to_be_bytes());
+    let checksum = crc32fast::hash(&bytes);
+    bytes.extend_from_slice(&checksum.to_be_bytes());
     bytes
 }
 
-/// The header and the payload of a datagram that came whole.
+/// Decodes the header of a datagram, and returns it with the payload.
+///
+/// # Errors
+///
+/// When the length, the magic bytes, the checksum or the versions aren't those of a datagram.
 pub fn open(bytes: &[u8]) -> Result<(Header, &[u8]), DecodeError> {
-    if bytes.len() < HEADER + CHECK || bytes.len() > DATAGRAM_MOST || bytes[..2] != MAGIC {
-        return Err(DecodeError::Broken);
+    if bytes.len() < HEADER + CHECKSUM_LEN || bytes.len() > DATAGRAM_MOST || bytes[..2] != MAGIC {
+        return Err(DecodeError::Malformed);
     }
-    let (body, check) = bytes.split_at(bytes.len() - CHECK);
-    if crc32fast::hash(body).to_be_bytes() != check {
-        return Err(DecodeError::Broken);
+    let (body, checksum) = bytes.split_at(bytes.len() - CHECKSUM_LEN);
+    if crc32fast::hash(body).to_be_bytes() != checksum {
+        return Err(DecodeError::Malformed);
     }
     let reads = Versions {
         least: body[3],
         most: body[4],
     };
     if reads.least > reads.most || body[2] < reads.least || body[2] > reads.most {
-        return Err(DecodeError::Broken);
+        return Err(DecodeError::Malformed);
     }
     let header = Header {
         version: body[2],
--- a/balancer/gossip/src/wire/section.rs
+++ b/balancer/gossip/src/wire/section.rs
@@ -1,5 +1,5 @@
-//! Lists within a payload of limited length: a byte with the count, then each item in postcard's form. Items are added
-//! as long as they fit, so that the most urgent goes first and a datagram is never too long.
+//! Lists within a payload of limited length: a byte with the count, then each item in postcard's encoding. Items are added
+//! as long as they fit, so that the most urgent goes first and a datagram is never too long. Knows no message.
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -8,23 +8,23 @@
 /// Writes a payload up to a number of bytes.
 pub(crate) struct Writer {
     bytes: Vec<u8>,
-    most: usize,
+    max_len: usize,
 }
 
 impl Writer {
-    pub(crate) fn new(most: usize) -> Writer {
+    pub(crate) fn new(max_len: usize) -> Writer {
         Writer {
-            bytes: Vec::with_capacity(most),
-            most,
+            bytes: Vec::with_capacity(max_len),
+            max_len,
         }
     }
 
     /// Bytes that are left.
     pub(crate) fn remaining(&self) -> usize {
-        self.most.saturating_sub(self.bytes.len())
+        self.max_len.saturating_sub(self.bytes.len())
     }
 
-    /// One value, or nothing of it where it does not fit while `reserved` bytes stay free behind it.
+    /// Writes one value, or nothing of it where it does not fit while `reserved` bytes stay free behind it.
     pub(crate) fn value<T: Serialize>(&mut self, value: &T, reserved: usize) -> bool {
         match postcard::to_stdvec(value) {
             Ok(written) if written.len() + reserved <= self.remaining() => {
@@ -35,17 +35,17 @@
         }
     }
 
-    /// As many of the items, in their order, as fit into `most` bytes while `keep` bytes stay free behind them.
+    /// Writes as many of the items, in their order, as fit into `max_len` bytes while `reserved` bytes stay free behind them.
     /// Returns how many were written.
     pub(crate) fn list<'a, T: Serialize + 'a>(
         &mut self,
         items: impl IntoIterator<Item = &'a T>,
-        most: usize,
+        max_len: usize,
         reserved: usize,
     ) -> usize {
         let at = self.bytes.len();
         self.bytes.push(0);
-        let end = (at + most).min(self.most.saturating_sub(reserved));
+        let end = (at + max_len).min(self.max_len.saturating_sub(reserved));
         let mut count: u8 = 0;
         for item in items {
             let Ok(written) = postcard::to_stdvec(item) else {
@@ -61,6 +61,7 @@
         usize::from(count)
     }
 
+    /// The payload.
     pub(crate) fn finish(self) -> Vec<u8> {
         self.bytes
     }
@@ -71,26 +72,27 @@
 
 impl Reader<'_> {
     pub(crate) fn value<T: DeserializeOwned>(&mut self) -> Result<T, DecodeError> {
-        let (value, rest) = postcard::take_from_bytes(self.0).map_err(|_| DecodeError::Broken)?;
+        let (value, rest) =
+            postcard::take_from_bytes(self.0).map_err(|_| DecodeError::Malformed)?;
         self.0 = rest;
         Ok(value)
     }
 
     pub(crate) fn list<T: DeserializeOwned>(&mut self) -> Result<Vec<T>, DecodeError> {
         let count: u8 = self.value()?;
-        // Every item has a byte at least, so a count beyond what is left is a lie and nothing is set aside for it.
+        // Every item has a byte at least, so a count beyond what is left is wrong, and nothing is allocated for it.
         if usize::from(count) > self.0.len() {
-            return Err(DecodeError::Broken);
+            return Err(DecodeError::Malformed);
         }
         (0..count).map(|_| self.value()).collect()
     }
 
-    /// Bytes that nothing reads are no part of the version.
+    /// Checks that nothing is left: unread bytes belong to no version.
     pub(crate) fn end(self) -> Result<(), DecodeError> {
         if self.0.is_empty() {
             Ok(())
         } else {
-            Err(DecodeError::Broken)
+            Err(DecodeError::Malformed)
         }
     }
 }
--- a/balancer/gossip/src/wire/v1.rs
+++ b/balancer/gossip/src/wire/v1.rs
@@ -3,99 +3,134 @@
 
 use super::section::{Reader, Writer};
 use super::DecodeError;
-use crate::types::Subject;
+use crate::types::{Subject, Versions};
 
-/// What a datagram is for.
+/// The kind of a message, as in SWIM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
-    /// Asks for an [`Kind::Ack`].
+pub enum MessageKind {
+    /// Requests an [`MessageKind::Ack`].
     Ping,
-    /// Answers a ping, identified by its echo.
+    /// Acknowledges a ping, which its echo identifies.
     Ack,
-    /// Asks the receiver for an indirect probe of the member that this is about.
+    /// Requests an indirect probe of the target.
     PingRequest,
-    /// Confirms that the member that this is about has answered an indirect probe.
+    /// Confirms that the target has acknowledged an indirect probe.
     IndirectAck,
-    /// Disseminates updates; wants no answer.
+    /// Disseminates updates; has no response.
     Gossip,
 }
 
-/// The latest stamp that was read from the receiver, and how long ago, in the sender's milliseconds.
+/// The latest stamp that was received from the receiver of this datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
     pub stamp: u32,
-    pub held: u32,
+    /// Milliseconds between its receipt and this echo.
+    pub delay: u32,
 }
 
-/// A third member, and how long ago it lived at most, in units of [`TICK`].
+/// The target of an indirect probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct About {
+pub struct ProbeTarget {
     pub member: u16,
+    /// The time since it was certainly alive, in units of [`TICK`].
     pub age: u8,
 }
 
 /// The fixed part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    pub kind: Kind,
+    pub kind: MessageKind,
     /// The sender's milliseconds from an arbitrary start: echoed by the receiver, compared by nobody else.
     pub stamp: u32,
     pub echo: Option<Echo>,
-    /// Whom an [`Kind::PingRequest`] or a [`Kind::IndirectAck`] is about.
-    pub about: Option<About>,
-    /// Members that the sender has lately declared gone.
-    pub lost: u16,
+    /// The target of a [`MessageKind::PingRequest`] or an [`MessageKind::IndirectAck`].
+    pub target: Option<ProbeTarget>,
+    /// The number of members that the sender has lately declared failed.
+    pub recent_failures: u16,
 }
 
-/// Versions that a member reads, as it announced them.
+/// The versions that a member supports, both ends included, as it announced them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reads {
+pub struct SupportedVersions {
     pub least: u8,
     pub most: u8,
 }
 
-/// Who is up, as a bit for each place from `base` on, so that two replicas find where they differ.
+impl From<Versions> for SupportedVersions {
+    fn from(versions: Versions) -> SupportedVersions {
+        SupportedVersions {
+            least: versions.least,
+            most: versions.most,
+        }
+    }
+}
+
+impl From<SupportedVersions> for Versions {
+    fn from(versions: SupportedVersions) -> Versions {
+        Versions {
+            least: versions.least,
+            most: versions.most,
+        }
+    }
+}
+
+/// A digest of who is up, as a bit for each member from `base` on, so that two replicas find where they differ.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct View {
+pub struct MembershipDigest {
     pub base: u16,
-    /// What most of them read.
-    pub reads: Reads,
+    /// The versions that most of them support.
+    pub reads: SupportedVersions,
     pub bits: Vec<u8>,
-    /// Those that read anything else; empty if there are none.
+    /// Those that support any others; empty if there are none.
     pub others: Vec<u8>,
 }
 
-impl View {
-    /// The places that the view covers, each with whether it is up, and whether it reads what most do.
-    pub fn places(&self) -> impl Iterator<Item = (u16, bool, bool)> + '_ {
-        let bit = |bits: &[u8], at: usize| {
-            bits.get(at / 8)
-                .is_some_and(|byte| byte >> (at % 8) & 1 == 1)
-        };
+impl MembershipDigest {
+    /// The members that the digest covers.
+    pub fn members(&self) -> impl Iterator<Item = DigestedMember> + '_ {
         (0..self.bits.len() * 8).filter_map(move |at| {
-            let place = u16::try_from(usize::from(self.base) + at).ok()?;
-            Some((place, bit(&self.bits, at), !bit(&self.others, at)))
+            let member = u16::try_from(usize::from(self.base) + at).ok()?;
+            Some(DigestedMember {
+                member,
+                is_up: bit(&self.bits, at),
+                has_common_versions: !bit(&self.others, at),
+            })
         })
     }
 }
 
-/// What is held of a member.
+/// One member of a [`MembershipDigest`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DigestedMember {
+    pub member: u16,
+    pub is_up: bool,
+    /// Whether it supports [`MembershipDigest::reads`].
+    pub has_common_versions: bool,
+}
+
+/// A bit of a digest, the lowest of each byte first; unset beyond its end.
+fn bit(bits: &[u8], at: usize) -> bool {
+    bits.get(at / 8)
+        .is_some_and(|byte| byte >> (at % 8) & 1 == 1)
+}
+
+/// The status of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Status {
     Up,
     Suspect,
-    Gone,
-    /// It has left in order, by its own message.
+    Failed,
+    /// It has left, by its own message.
     Left,
 }
 
 /// An update on a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct MemberUpdate {
     pub member: u16,
     pub incarnation: u64,
     pub status: Status,
-    pub reads: Reads,
+    pub reads: SupportedVersions,
     /// How long it has been suspected, in units of [`TICK`].
     pub age: u8,
 }
@@ -103,9 +138,9 @@
 /// The unit of ages on the wire, in milliseconds. A byte of them reaches 5.08 s, beyond every bound.
 pub const TICK: f64 = 20.0;
 
-/// Whether a verdict is given or withdrawn.
+/// Whether a verdict is in force or withdrawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Stance {
+pub enum VerdictState {
     Against,
     Cleared,
 }
@@ -119,11 +154,11 @@
     pub zone: u16,
     /// Grows with each change of the observer's mind, as RFC 1982's serial numbers do.
     pub sequence: u16,
-    pub stance: Stance,
+    pub state: VerdictState,
     pub age: u8,
 }
 
-/// How a [`Subject`] is written.
+/// The encoding of a [`Subject`].
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "Subject")]
 enum SubjectForm {
@@ -135,8 +170,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Body {
     pub head: Head,
-    pub view: View,
-    pub records: Vec<Record>,
+    pub digest: MembershipDigest,
+    pub updates: Vec<MemberUpdate>,
     pub verdicts: Vec<Verdict>,
 }
 
@@ -144,27 +179,27 @@
 const VERDICTS_BYTES: usize = 70;
 
 impl Body {
-    /// Writes what fits, membership updates first; `records` are as many as were written.
-    pub(crate) fn write(&mut self, to: &mut Writer, reserved: usize) {
-        // The fixed part has 30 bytes at most and the view what its owner limits it to, so both always fit.
+    /// Encodes what fits, membership updates first; `updates` are then as many as were encoded.
+    pub(crate) fn encode(&mut self, to: &mut Writer, reserved: usize) {
+        // The fixed part has 30 bytes at most and the digest what its owner limits it to, so both always fit.
         to.value(&self.head, 0);
-        to.value(&(self.view.base, self.view.reads), 0);
-        to.list(&self.view.bits, usize::MAX >> 1, reserved + 3);
-        to.list(&self.view.others, usize::MAX >> 1, reserved + 2);
+        to.value(&(self.digest.base, self.digest.reads), 0);
+        to.list(&self.digest.bits, usize::MAX >> 1, reserved + 3);
+        to.list(&self.digest.others, usize::MAX >> 1, reserved + 2);
         let verdicts = if self.verdicts.is_empty() {
             1
         } else {
             VERDICTS_BYTES
         };
-        let written = to.list(&self.records, usize::MAX >> 1, reserved + verdicts);
-        self.records.truncate(written);
+        let written = to.list(&self.updates, usize::MAX >> 1, reserved + verdicts);
+        self.updates.truncate(written);
         to.list(&self.verdicts, VERDICTS_BYTES, reserved);
     }
 
-    pub(crate) fn read(from: &mut Reader<'_>) -> Result<Body, DecodeError> {
+    pub(crate) fn decode(from: &mut Reader<'_>) -> Result<Body, DecodeError> {
         let head = from.value()?;
         let (base, reads) = from.value()?;
-        let view = View {
+        let digest = MembershipDigest {
             base,
             reads,
             bits: from.list()?,
@@ -172,30 +207,34 @@
         };
         Ok(Body {
             head,
-            view,
-            records: from.list()?,
+            digest,
+            updates: from.list()?,
             verdicts: from.list()?,
         })
     }
 }
 
-/// The payload of a datagram of version 1.
-pub fn write(body: &mut Body, most: usize) -> Vec<u8> {
-    let mut to = Writer::new(most);
-    body.write(&mut to, 0);
+/// Encodes a payload of version 1 in so many bytes at most.
+pub fn encode(body: &mut Body, max_len: usize) -> Vec<u8> {
+    let mut to = Writer::new(max_len);
+    body.encode(&mut to, 0);
     to.finish()
 }
 
-/// Reads a whole payload of version 1.
-pub fn read(payload: &[u8]) -> Result<Body, DecodeError> {
+/// Decodes a complete payload of version 1.
+///
+/// # Errors
+///
+/// When the bytes are not exactly one payload.
+pub fn decode(payload: &[u8]) -> Result<Body, DecodeError> {
     let mut from = Reader(payload);
-    let body = Body::read(&mut from)?;
+    let body = Body::decode(&mut from)?;
     from.end()?;
     Ok(body)
 }
 
-/// An age for the wire, never less than it is; none beyond what a byte holds.
-pub fn ticks(age: f64) -> Option<u8> {
-    let ticks = (age.max(0.0) / TICK).ceil();
-    (ticks < f64::from(u8::MAX)).then_some(ticks as u8)
+/// An age in units of [`TICK`], rounded up; none beyond what a byte can represent.
+pub fn age_to_ticks(age: f64) -> Option<u8> {
+    let age_to_ticks = (age.max(0.0) / TICK).ceil();
+    (age_to_ticks < f64::from(u8::MAX)).then_some(age_to_ticks as u8)
 }
--- a/balancer/gossip/tests/golden.rs
+++ b/balancer/gossip/tests/golden.rs
@@ -4,25 +4,26 @@
 mod golden;
 
 use balancer_gossip::wire::v1::{
-    About, Echo, Head, Kind, Reads, Record, Stance, Status, Verdict, View,
+    Echo, Head, MemberUpdate, MembershipDigest, MessageKind, ProbeTarget, Status,
+    SupportedVersions, Verdict, VerdictState,
 };
-use balancer_gossip::wire::v2::{Figure, Rest, Row, Totals};
-use balancer_gossip::wire::{open, seal, v1, v2, Header, PAYLOAD};
+use balancer_gossip::wire::v2::{CompactFloat, TenantRow, Totals, UnnamedTenants};
+use balancer_gossip::wire::{open, seal, v1, v2, Header, MAX_PAYLOAD_LEN};
 use balancer_gossip::{Config, Member, Peers, Subject, Versions, READS};
 use golden::{assert_stored, stored};
 
 const DATAGRAMS: &str = include_str!("golden/datagrams.hex");
-const FIGURES: &str = include_str!("golden/figures.hex");
+const VALUES: &str = include_str!("golden/figures.hex");
 
 const DEPLOYMENT: u32 = 0xdeb0_1e57;
-const KINDS: [(&str, Kind); 5] = [
-    ("ping", Kind::Ping),
-    ("ack", Kind::Ack),
-    ("ping_request", Kind::PingRequest),
-    ("indirect_ack", Kind::IndirectAck),
-    ("gossip", Kind::Gossip),
+const KINDS: [(&str, MessageKind); 5] = [
+    ("ping", MessageKind::Ping),
+    ("ack", MessageKind::Ack),
+    ("ping_request", MessageKind::PingRequest),
+    ("indirect_ack", MessageKind::IndirectAck),
+    ("gossip", MessageKind::Gossip),
 ];
-const STATUSES: [Status; 4] = [Status::Up, Status::Suspect, Status::Gone, Status::Left];
+const STATUSES: [Status; 4] = [Status::Up, Status::Suspect, Status::Failed, Status::Left];
 
 fn header(version: u8, n: u16) -> Header {
     Header {
@@ -36,12 +37,12 @@
 }
 
 /// An update on a member for the `n`th datagram, and one more with the next status.
-fn records(n: u16) -> Vec<Record> {
-    let record = |at: u16| Record {
+fn updates(n: u16) -> Vec<MemberUpdate> {
+    let record = |at: u16| MemberUpdate {
         member: 300 + at,
         incarnation: 0x3132_3334 << at,
         status: STATUSES[usize::from(at) % STATUSES.len()],
-        reads: Reads {
+        reads: SupportedVersions {
             least: 3 + at as u8,
             most: 4 + at as u8,
         },
@@ -53,15 +54,15 @@
 /// Verdicts on both subjects with both stances, by turns.
 fn verdicts(n: u16) -> Vec<Verdict> {
     let (first, second) = match n % 2 {
-        0 => (Stance::Against, Stance::Cleared),
-        _ => (Stance::Cleared, Stance::Against),
+        0 => (VerdictState::Against, VerdictState::Cleared),
+        _ => (VerdictState::Cleared, VerdictState::Against),
     };
-    let verdict = |subject, stance, at| Verdict {
+    let verdict = |subject, state, at| Verdict {
         subject,
         observer: 400 + at,
         zone: 500 + at,
         sequence: 600 + at,
-        stance,
+        state,
         age: 30 + at as u8,
     };
     let upstream = Subject::Upstream(0xf1f2_f3f4_f5f6_f7f8);
@@ -72,27 +73,27 @@
 }
 
 /// A payload of version 1 with all its parts. An echo is there in every other one, a third member in those about one.
-fn first(n: u16, kind: Kind) -> v1::Body {
-    let about = matches!(kind, Kind::PingRequest | Kind::IndirectAck);
+fn version_1(n: u16, kind: MessageKind) -> v1::Body {
+    let target = matches!(kind, MessageKind::PingRequest | MessageKind::IndirectAck);
     let at = u32::from(n);
     let head = Head {
         kind,
         stamp: 0x4142_4344 + at,
         echo: (n % 2 == 1).then_some(Echo {
             stamp: 0x5152_5354 + at,
-            held: 0x6162 + at,
+            delay: 0x6162 + at,
         }),
-        about: about.then_some(About {
+        target: target.then_some(ProbeTarget {
             member: 800 + n,
             age: 40 + n as u8,
         }),
-        lost: 900 + n,
+        recent_failures: 900 + n,
     };
-    let reads = Reads {
+    let reads = SupportedVersions {
         least: 5 + n as u8,
         most: 6 + n as u8,
     };
-    let view = View {
+    let digest = MembershipDigest {
         base: 1000 + n,
         reads,
         bits: vec![0xa5, 0x5a + n as u8],
@@ -100,31 +101,31 @@
     };
     v1::Body {
         head,
-        view,
-        records: records(n),
+        digest,
+        updates: updates(n),
         verdicts: verdicts(n),
     }
 }
 
 /// A payload of version 2 with all its parts. The rest is there in every other one.
-fn second(n: u16, kind: Kind) -> v2::Body {
-    let figure = |value: u16| Figure::of(f64::from(value) + 0.5);
+fn version_2(n: u16, kind: MessageKind) -> v2::Body {
+    let compact = |value: u16| CompactFloat::of(f64::from(value) + 0.5);
     let totals = |at: u16| Totals {
         owner: 1100 + at,
         age: 50 + at as u8,
-        figures: [1, 2, 3, 4].map(figure),
+        values: [1, 2, 3, 4].map(compact),
     };
-    let rest = Rest {
+    let unnamed_tenants = UnnamedTenants {
         age: 60 + n as u8,
-        figures: [5, 6, 7].map(figure),
+        values: [5, 6, 7].map(compact),
     };
-    let row = |at: u16| Row {
+    let row = |at: u16| TenantRow {
         tenant: 1200 + at,
-        figures: [8, 9, 10].map(figure),
+        values: [8, 9, 10].map(compact),
     };
     v2::Body {
-        first: first(n, kind),
-        rest: n.is_multiple_of(2).then_some(rest),
+        version_1: version_1(n, kind),
+        unnamed_tenants: n.is_multiple_of(2).then_some(unnamed_tenants),
         rows: vec![row(n), row(n + 1)],
         totals: vec![totals(n), totals(n + 1)],
     }
@@ -133,21 +134,21 @@
 /// The shortest payload: neither view nor lists.
 fn bare() -> v2::Body {
     let head = Head {
-        kind: Kind::Ping,
+        kind: MessageKind::Ping,
         stamp: 1,
         echo: None,
-        about: None,
-        lost: 0,
+        target: None,
+        recent_failures: 0,
     };
-    let first = v1::Body {
+    let version_1 = v1::Body {
         head,
-        view: View::default(),
-        records: Vec::new(),
+        digest: MembershipDigest::default(),
+        updates: Vec::new(),
         verdicts: Vec::new(),
     };
     v2::Body {
-        first,
-        rest: None,
+        version_1,
+        unnamed_tenants: None,
         rows: Vec::new(),
         totals: Vec::new(),
     }
@@ -162,7 +163,7 @@
             all.push((
                 format!("v{version}_{name}"),
                 header(version, n),
-                second(n, kind),
+                version_2(n, kind),
             ));
         }
     }
@@ -171,8 +172,8 @@
 
 fn write(header: &Header, mut body: v2::Body) -> Vec<u8> {
     let payload = match header.version {
-        1 => v1::write(&mut body.first, PAYLOAD),
-        _ => v2::write(&mut body, PAYLOAD),
+        1 => v1::encode(&mut body.version_1, MAX_PAYLOAD_LEN),
+        _ => v2::encode(&mut body, MAX_PAYLOAD_LEN),
     };
     seal(header, &payload)
 }
@@ -194,8 +195,8 @@
         let (read, payload) = open(bytes).unwrap_or_else(|e| panic!("{name}: {e:?}"));
         assert_eq!(read, header, "{name}");
         match header.version {
-            1 => assert_eq!(v1::read(payload), Ok(body.first), "{name}"),
-            _ => assert_eq!(v2::read(payload), Ok(body), "{name}"),
+            1 => assert_eq!(v1::decode(payload), Ok(body.version_1), "{name}"),
+            _ => assert_eq!(v2::decode(payload), Ok(body), "{name}"),
         }
     }
 }
@@ -242,8 +243,8 @@
 /// A figure's rounding and its bounds: what is no figure is nothing, what is too large the largest. Beside each the bits
 /// that it is written in, which are the upper half of a `f32`.
 #[test]
-fn figures_are_written_and_read_as_they_were() {
-    let figures = [
+fn compact_floats_are_written_and_read_as_they_were() {
+    let values = [
         ("third", 1.0 / 3.0, 0x3eab),
         ("million", 1e6, 0x4974),
         ("tiny", 1e-30, 0x0da2),
@@ -252,26 +253,30 @@
         ("infinite", f64::INFINITY, 0),
         ("largest", 1e300, 0x7f7f),
     ];
-    let row = |value| Row {
+    let row = |value| TenantRow {
         tenant: 1,
-        figures: [Figure::of(value), Figure::of(1.0), Figure::of(2.0)],
+        values: [
+            CompactFloat::of(value),
+            CompactFloat::of(1.0),
+            CompactFloat::of(2.0),
+        ],
     };
     let write = |value| {
-        v2::write(
+        v2::encode(
             &mut v2::Body {
                 rows: vec![row(value)],
                 ..bare()
             },
-            PAYLOAD,
+            MAX_PAYLOAD_LEN,
         )
     };
-    let made: Vec<_> = figures
+    let made: Vec<_> = values
         .iter()
         .map(|(name, value, _)| (name.to_string(), write(*value)))
         .collect();
-    assert_stored(FIGURES, &made);
-    for ((name, bytes), (_, _, bits)) in stored(FIGURES).into_iter().zip(figures) {
-        let read = v2::read(&bytes).expect("a payload").rows[0].figures[0].value();
+    assert_stored(VALUES, &made);
+    for ((name, bytes), (_, _, bits)) in stored(VALUES).into_iter().zip(values) {
+        let read = v2::decode(&bytes).expect("a payload").rows[0].values[0].value();
         assert_eq!(read, f64::from(f32::from_bits(bits << 16)), "{name}");
     }
 }
@@ -285,8 +290,8 @@
         (20.1, Some(2)),
         (5080.0, Some(254)),
     ];
-    for (age, ticks) in ages {
-        assert_eq!(v1::ticks(age), ticks, "{age}");
+    for (age, age_to_ticks) in ages {
+        assert_eq!(v1::age_to_ticks(age), age_to_ticks, "{age}");
     }
-    assert_eq!(v1::ticks(5080.1), None);
+    assert_eq!(v1::age_to_ticks(5080.1), None);
 }
