--- a/balancer/gossip/tests/common/mod.rs
+++ b/balancer/gossip/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A network of replicas in one process: delay, loss, repetition, late datagrams, cuts, pauses, restarts, on injected
+//! A network of replicas in one process: delay, loss, repetition, late datagrams, partitions, pauses, restarts, on injected
 //! time and from a seed.
 #![allow(dead_code)]
 use std::cmp::Reverse;
@@ -50,8 +50,8 @@
     pub net: Net,
     pub nodes: Vec<Node>,
     pub rng: Pcg64Mcg,
-    /// Whether datagrams from one place to another are cut off.
-    pub cut: Box<dyn Fn(u16, u16) -> bool>,
+    /// Whether datagrams from one position to another are lost.
+    pub is_partitioned: Box<dyn Fn(u16, u16) -> bool>,
     candidates: u16,
     tenants: u16,
     seed: u64,
@@ -60,9 +60,9 @@
     count: u64,
     /// The longest datagram that was sent.
     pub longest: usize,
-    /// What is sent while `keep` is set, to be sent again later: from, to, bytes.
-    pub keep: bool,
-    pub kept: Vec<(u16, u16, Vec<u8>)>,
+    /// Datagrams sent while `is_recording` is set, to be replayed later: from, to, bytes.
+    pub is_recording: bool,
+    pub recorded: Vec<(u16, u16, Vec<u8>)>,
 }
 
 impl Sim {
@@ -72,7 +72,7 @@
             net,
             nodes: Vec::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            cut: Box::new(|_, _| false),
+            is_partitioned: Box::new(|_, _| false),
             candidates,
             tenants,
             seed,
@@ -80,12 +80,12 @@
             waiting: Default::default(),
             count: 0,
             longest: 0,
-            keep: false,
-            kept: Vec::new(),
+            is_recording: false,
+            recorded: Vec::new(),
         }
     }
 
-    /// As many replicas as there are places, all started within a tenth of a second, run until they know each other.
+    /// As many replicas as there are positions, all started within a tenth of a second, run until they know each other.
     pub(crate) fn tier(n: u16, tenants: u16, net: Net, seed: u64) -> Sim {
         let mut sim = Sim::new(n, tenants, net, seed);
         for place in 0..n {
@@ -95,21 +95,21 @@
         sim
     }
 
-    /// Starts a replica; its place among [`Sim::nodes`].
+    /// Starts a replica; returns its position among [`Sim::nodes`].
     pub(crate) fn start(&mut self, place: u16, incarnation: u64, reads: Versions) -> usize {
         let skew = self.rng.gen_range(0.0..3_600_000.0);
         let node = self.node(place, incarnation, reads, skew);
         self.nodes.push(node);
         let at = self.nodes.len() - 1;
-        self.settle(at);
+        self.flush(at);
         at
     }
 
-    /// A replica anew in place of one that ran or was killed, with nothing remembered.
+    /// Starts a replica anew in place of one that ran or was killed, with nothing remembered.
     pub(crate) fn restart(&mut self, at: usize, incarnation: u64) {
         let (place, skew) = (self.nodes[at].place, self.rng.gen_range(0.0..3_600_000.0));
         self.nodes[at] = self.node(place, incarnation, READS, skew);
-        self.settle(at);
+        self.flush(at);
     }
 
     fn node(&mut self, place: u16, incarnation: u64, reads: Versions, skew: Millis) -> Node {
@@ -143,14 +143,14 @@
         self.schedule(self.now + span, Event::Timer(at));
     }
 
-    pub(crate) fn with<T>(&mut self, at: usize, does: impl FnOnce(&mut Peers, Millis) -> T) -> T {
+    pub(crate) fn with<T>(&mut self, at: usize, action: impl FnOnce(&mut Peers, Millis) -> T) -> T {
         let now = self.now + self.nodes[at].skew;
-        let done = does(
-            self.nodes[at].peers.as_mut().expect("a copy that runs"),
+        let result = action(
+            self.nodes[at].peers.as_mut().expect("a running replica"),
             now,
         );
-        self.settle(at);
-        done
+        self.flush(at);
+        result
     }
 
     pub(crate) fn word(&mut self, at: usize) -> Word {
@@ -174,38 +174,40 @@
             .push(Reverse(((at * 1_000.0) as u64, self.count)));
     }
 
-    /// Sends what a replica has to send, and notes when it wants to be called.
-    fn settle(&mut self, at: usize) {
+    /// Sends what a replica has to send, and schedules its next timeout.
+    fn flush(&mut self, at: usize) {
         let place = self.nodes[at].place;
         while let Some(transmit) = self.nodes[at].peers.as_mut().and_then(Peers::transmit) {
             self.longest = self.longest.max(transmit.bytes.len());
-            if self.keep {
-                self.kept
+            if self.is_recording {
+                self.recorded
                     .push((place, transmit.to.0, transmit.bytes.clone()));
             }
             self.post(place, transmit.to.0, transmit.bytes);
         }
         let node = &self.nodes[at];
-        let due = node
+        let deadline = node
             .peers
             .as_ref()
             .and_then(Peers::next_timeout)
-            .map(|due| due - node.skew);
-        let due = due.map(|due| due.max(self.now).max(node.paused_until));
-        if let Some(due) = due.filter(|due| *due < node.timer - 0.001 || node.timer < self.now) {
-            self.nodes[at].timer = due;
-            self.schedule(due, Event::Timer(at));
+            .map(|deadline| deadline - node.skew);
+        let deadline = deadline.map(|deadline| deadline.max(self.now).max(node.paused_until));
+        if let Some(deadline) =
+            deadline.filter(|deadline| *deadline < node.timer - 0.001 || node.timer < self.now)
+        {
+            self.nodes[at].timer = deadline;
+            self.schedule(deadline, Event::Timer(at));
         }
     }
 
     pub(crate) fn post(&mut self, from: u16, to: u16, bytes: Vec<u8>) {
-        let times = if self.rng.gen_bool(self.net.repeat) {
+        let deliveries = if self.rng.gen_bool(self.net.repeat) {
             2
         } else {
             1
         };
-        for _ in 0..times {
-            if (self.cut)(from, to) || self.rng.gen_bool(self.net.loss) {
+        for _ in 0..deliveries {
+            if (self.is_partitioned)(from, to) || self.rng.gen_bool(self.net.loss) {
                 continue;
             }
             let mut delay = self.rng.gen_range(self.net.delay.0..self.net.delay.1);
@@ -259,22 +261,22 @@
             }
             if peers
                 .next_timeout()
-                .is_some_and(|due| due - skew <= now + 0.002)
+                .is_some_and(|deadline| deadline - skew <= now + 0.002)
             {
                 peers.timeout(now + skew + 0.002);
             }
-            self.settle(at);
+            self.flush(at);
         }
     }
 
     fn deliver(&mut self, to: u16, from: u16, bytes: Vec<u8>) {
-        let mut there: Vec<usize> = self.alive();
-        there.retain(|at| self.nodes[*at].place == to);
-        if there.is_empty() {
+        let mut receivers: Vec<usize> = self.alive();
+        receivers.retain(|at| self.nodes[*at].place == to);
+        if receivers.is_empty() {
             return;
         }
         // Two replicas under one name: the network brings it to either.
-        let at = there[self.rng.gen_range(0..there.len())];
+        let at = receivers[self.rng.gen_range(0..receivers.len())];
         let (now, node) = (self.now, &mut self.nodes[at]);
         if now < node.paused_until {
             if node.inbox.len() < 200 {
@@ -285,6 +287,6 @@
         if let Some(peers) = node.peers.as_mut() {
             peers.datagram(now + node.skew, Member(from), &bytes);
         }
-        self.settle(at);
+        self.flush(at);
     }
 }
--- a/balancer/gossip/tests/strangers.rs
+++ b/balancer/gossip/tests/hostile_datagrams.rs
@@ -1,4 +1,4 @@
-//! What anyone who reaches the port can do: nothing.
+//! Datagrams that anybody who reaches the port can send: they do no harm.
 mod common;
 use balancer_gossip::{Member, HEADER, MAGIC};
 use common::{Sim, LOSSY};
@@ -42,28 +42,28 @@
             sim.run(5.0);
         }
         let after = sim.with(0, |peers, _| peers.counts());
-        let refused = |counts: balancer_gossip::Counts| counts.broken + counts.foreign + counts.unspoken + counts.old;
+        let rejected = |counts: balancer_gossip::Counts| counts.broken + counts.foreign + counts.unspoken + counts.old;
         // A payload of random bytes that happens to be one is rare, and does no harm either.
-        prop_assert!(refused(after) - refused(before) + 8 >= dropped, "{before:?} {after:?}");
+        prop_assert!(rejected(after) - rejected(before) + 8 >= dropped, "{before:?} {after:?}");
         sim.run(6_000.0);
         for at in 0..5 {
-            let word = sim.word(at);
-            prop_assert!(word.up == 5 && word.joined && word.evidence.is_empty(), "{word:?}");
+            let state = sim.word(at);
+            prop_assert!(state.up == 5 && state.joined && state.evidence.is_empty(), "{state:?}");
         }
     }
 
     #[test]
-    fn old_datagrams_played_back_change_nothing(seed in any::<u64>()) {
+    fn replayed_datagrams_change_nothing(seed in any::<u64>()) {
         let mut sim = Sim::tier(6, 3, LOSSY, seed);
-        sim.keep = true;
+        sim.is_recording = true;
         sim.run(2_000.0);
-        sim.keep = false;
-        let kept = std::mem::take(&mut sim.kept);
-        // One ends; a minute later all datagrams of before come again.
+        sim.is_recording = false;
+        let recorded = std::mem::take(&mut sim.recorded);
+        // One is killed; a minute later all datagrams of before are replayed.
         sim.kill(2);
         sim.run(60_000.0);
-        let gone = sim.with(0, |peers, _| peers.counts().gone);
-        for (from, to, bytes) in kept {
+        let failed = sim.with(0, |peers, _| peers.counts().gone);
+        for (from, to, bytes) in recorded {
             sim.post(from, to, bytes);
         }
         for _ in 0..20 {
@@ -72,6 +72,6 @@
                 prop_assert_eq!(sim.word(at).up, 5);
             }
         }
-        prop_assert_eq!(sim.with(0, |peers, _| peers.counts().gone), gone);
+        prop_assert_eq!(sim.with(0, |peers, _| peers.counts().gone), failed);
     }
 }
--- a/balancer/gossip/tests/tier.rs
+++ b/balancer/gossip/tests/tier.rs
@@ -1,4 +1,4 @@
-//! Tiers of replicas on a simulated network: what the protocol promises, from seeds, under loss and faults.
+//! Tiers of replicas on a simulated network: what the protocol guarantees, from seeds, under loss and faults.
 mod common;
 use balancer_gossip::{Figures, Own, Subject, TenantFigures, READS};
 use common::{Net, Sim, LOSSY};
@@ -29,7 +29,7 @@
 }
 
 /// Runs the tier while each replica observes four times a second.
-fn observed(sim: &mut Sim, span: f64, level: f64) {
+fn run_observing(sim: &mut Sim, span: f64, level: f64) {
     let end = sim.now + span;
     while sim.now < end {
         for at in sim.alive() {
@@ -40,7 +40,7 @@
     }
 }
 
-/// The part of the running replicas that hold so many for up.
+/// The share of the running replicas that know so many members as up.
 fn agree(sim: &mut Sim, up: u32) -> f64 {
     let alive = sim.alive();
     let agree = alive.iter().filter(|at| sim.word(**at).up == up).count();
@@ -48,59 +48,58 @@
 }
 
 #[test]
-fn a_tier_knows_an_end_and_a_sum_within_two_seconds_at_constant_bytes() {
+fn a_tier_knows_a_failure_and_a_sum_within_two_seconds_at_constant_bytes() {
     for n in [10, 60, 300] {
         let mut sim = Sim::new(n, 9, LOSSY, u64::from(n));
         for place in 0..n {
             sim.start(place, 1_000, READS);
         }
-        observed(&mut sim, 3_000.0, 100.0);
-        assert!(agree(&mut sim, n.into()) >= 0.99, "{n} copies start");
-        observed(&mut sim, 9_000.0, 100.0);
+        run_observing(&mut sim, 3_000.0, 100.0);
+        assert!(agree(&mut sim, n.into()) >= 0.99, "{n} replicas start");
+        run_observing(&mut sim, 9_000.0, 100.0);
         let sent = |sim: &mut Sim| {
             (0..usize::from(n))
                 .map(|at| sim.with(at, |peers, _| peers.counts().sent_bytes))
                 .sum::<u64>()
         };
         let before = sent(&mut sim);
-        observed(&mut sim, 4_000.0, 200.0);
+        run_observing(&mut sim, 4_000.0, 200.0);
         let each = (sent(&mut sim) - before) as f64 / f64::from(n) / 4.0;
-        assert!(each < 2_750.0, "{n} copies: {each} bytes a second");
+        assert!(each < 2_750.0, "{n} replicas: {each} bytes a second");
         assert!(sim.longest <= 256);
         let truth: f64 = (0..n).map(|place| own(place, 200.0).figures.demand).sum();
         for at in 0..usize::from(n) {
-            let sums = sim
-                .word(at)
-                .sums
-                .unwrap_or_else(|| panic!("{n} copies: {at} hears too little: {:?}", sim.word(at)));
+            let sums = sim.word(at).sums.unwrap_or_else(|| {
+                panic!("{n} replicas: {at} received too little: {:?}", sim.word(at))
+            });
             let off = (sums.figures.demand / truth - 1.0).abs();
             // Six times the error that is stated, so that one replica of 300 doesn't fail the test by chance.
             assert!(
                 off <= 6.0 * sums.error + 0.005,
-                "{n} copies: off by {off}, stated {}",
+                "{n} replicas: off by {off}, stated {}",
                 sums.error
             );
         }
         sim.kill(3);
-        observed(&mut sim, 2_000.0, 200.0);
-        let part = agree(&mut sim, u32::from(n) - 1);
-        assert!(part >= 0.99, "{n} copies, one killed: {part} know");
+        run_observing(&mut sim, 2_000.0, 200.0);
+        let share = agree(&mut sim, u32::from(n) - 1);
+        assert!(share >= 0.99, "{n} replicas, one killed: {share} know");
     }
 }
 
 #[test]
-fn first_evidence_reaches_all_within_half_a_second_and_ends_when_it_is_not_renewed() {
+fn first_evidence_reaches_all_within_half_a_second_and_expires_unless_renewed() {
     let mut sim = Sim::tier(60, 9, LOSSY, 5);
     let subject = Subject::Upstream(77);
-    let told = Own {
+    let accusing = Own {
         against: vec![subject],
         ..own(0, 100.0)
     };
-    sim.observe(0, told);
+    sim.observe(0, accusing);
     sim.run(500.0);
     for at in 1..60 {
-        let word = sim.word(at);
-        let evidence = word.evidence.first().expect("the evidence is there");
+        let state = sim.word(at);
+        let evidence = state.evidence.first().expect("the evidence is there");
         assert_eq!(
             (evidence.subject, evidence.observers, evidence.zones),
             (subject, 1, 1)
@@ -119,24 +118,25 @@
         },
     );
     sim.run(500.0);
-    let cleared = |word: balancer_gossip::Word| {
-        word.evidence
+    let cleared = |state: balancer_gossip::Word| {
+        state
+            .evidence
             .first()
             .map(|evidence| (evidence.observers, evidence.cleared))
     };
     assert!(
         (1..60).all(|at| cleared(sim.word(at)) == Some((0, 1))),
-        "taken back everywhere"
+        "withdrawn everywhere"
     );
     sim.run(3_200.0);
     assert!(
         (0..60).all(|at| sim.word(at).evidence.is_empty()),
-        "nothing is held beyond its bound"
+        "nothing is retained beyond its bound"
     );
 }
 
 #[test]
-fn nobody_is_taken_for_gone_in_ten_minutes_of_loss() {
+fn nobody_is_declared_failed_in_ten_minutes_of_loss() {
     let net = Net {
         loss: 0.1,
         delay: (0.2, 5.0),
@@ -153,50 +153,50 @@
 }
 
 /// Runs until a condition holds; how long that took.
-fn until(sim: &mut Sim, most: f64, mut holds: impl FnMut(&mut Sim) -> bool) -> f64 {
+fn run_until(sim: &mut Sim, max: f64, mut holds: impl FnMut(&mut Sim) -> bool) -> f64 {
     let start = sim.now;
     while !holds(sim) {
-        assert!(sim.now - start < most, "not within {most} ms");
+        assert!(sim.now - start < max, "not within {max} ms");
         sim.run(100.0);
     }
     sim.now - start
 }
 
 #[test]
-fn halves_that_were_cut_apart_say_so_and_heal() {
+fn halves_of_a_partition_report_it_and_heal() {
     let mut sim = Sim::tier(24, 9, LOSSY, 21);
-    observed(&mut sim, 1_000.0, 100.0);
-    sim.cut = Box::new(|from, to| (from < 12) != (to < 12));
-    observed(&mut sim, 6_000.0, 100.0);
+    run_observing(&mut sim, 1_000.0, 100.0);
+    sim.is_partitioned = Box::new(|from, to| (from < 12) != (to < 12));
+    run_observing(&mut sim, 6_000.0, 100.0);
     for at in 0..24 {
-        let word = sim.word(at);
+        let state = sim.word(at);
         assert!(
-            !word.joined && word.sums.is_none(),
-            "half a tier is not the whole: {word:?}"
+            !state.joined && state.sums.is_none(),
+            "half a tier is not all of it: {state:?}"
         );
-        assert_eq!(word.up, 12);
+        assert_eq!(state.up, 12);
     }
-    // Each half goes on: one in each ends, and one comes back with nothing remembered.
+    // Each half goes on: one in each is killed, and one restarts with nothing remembered.
     sim.kill(3);
     sim.kill(20);
-    observed(&mut sim, 4_000.0, 100.0);
+    run_observing(&mut sim, 4_000.0, 100.0);
     sim.restart(20, 1);
-    sim.cut = Box::new(|_, _| false);
-    let took = until(&mut sim, 8_000.0, |sim| {
+    sim.is_partitioned = Box::new(|_, _| false);
+    let took = run_until(&mut sim, 8_000.0, |sim| {
         agree(sim, 23) == 1.0 && sim.word(0).joined
     });
     println!("healed in {took} ms");
 }
 
 #[test]
-fn a_cut_one_way_a_pause_and_a_name_that_comes_back_leave_the_tier_whole() {
+fn a_one_way_partition_a_pause_and_a_restart_leave_the_tier_complete() {
     let mut sim = Sim::tier(24, 9, LOSSY, 31);
-    // One can't reach another, which reaches it: others vouch for it.
-    sim.cut = Box::new(|from, to| (from, to) == (1, 2));
+    // One can't reach another, which reaches it: others confirm that it is alive.
+    sim.is_partitioned = Box::new(|from, to| (from, to) == (1, 2));
     sim.run(20_000.0);
     assert_eq!(agree(&mut sim, 24), 1.0);
     // One receives nothing: it reports itself as isolated, and makes nobody else suspect the others.
-    sim.cut = Box::new(|_, to| to == 5);
+    sim.is_partitioned = Box::new(|_, to| to == 5);
     sim.run(6_000.0);
     assert!(!sim.word(5).joined);
     let others: Vec<u32> = (0..24)
@@ -204,20 +204,20 @@
         .map(|at| sim.word(at).up)
         .collect();
     assert!(others.iter().all(|up| *up == 23), "{others:?}");
-    sim.cut = Box::new(|_, _| false);
-    until(&mut sim, 8_000.0, |sim| agree(sim, 24) == 1.0);
+    sim.is_partitioned = Box::new(|_, _| false);
+    run_until(&mut sim, 8_000.0, |sim| agree(sim, 24) == 1.0);
     // A replica is paused for 20 s; what it sends and receives of the past brings nobody down when it resumes.
     sim.pause(7, 20_000.0);
     sim.run(19_900.0);
     let gone = |sim: &mut Sim, at: usize| sim.with(at, |peers, _| peers.counts().gone);
     let before = gone(&mut sim, 7);
-    until(&mut sim, 5_000.0, |sim| agree(sim, 24) == 1.0);
-    assert_eq!(gone(&mut sim, 7), before, "it slept; nobody else did");
-    // A name comes back under an incarnation below the one remembered.
+    run_until(&mut sim, 5_000.0, |sim| agree(sim, 24) == 1.0);
+    assert_eq!(gone(&mut sim, 7), before, "it was paused; nobody else was");
+    // A member restarts under an incarnation below the one remembered.
     sim.restart(9, 3);
     sim.run(3_000.0);
     assert_eq!(agree(&mut sim, 24), 1.0);
-    // One that takes leave is suspected by nobody, and the rest is still the whole.
+    // One that leaves is suspected by nobody, and the others are still the complete tier.
     let suspected = |sim: &mut Sim| {
         (0..9)
             .map(|at| sim.with(at, |peers, _| peers.counts().suspected))
@@ -226,7 +226,7 @@
     let before = suspected(&mut sim);
     sim.with(11, |peers, now| peers.leave(now));
     sim.kill(11);
-    until(&mut sim, 700.0, |sim| agree(sim, 23) == 1.0);
+    run_until(&mut sim, 700.0, |sim| agree(sim, 23) == 1.0);
     assert_eq!(suspected(&mut sim), before);
     assert!(sim.word(0).joined);
 }
@@ -243,7 +243,7 @@
     for place in 3..60 {
         sim.start(place, 1_000, READS);
     }
-    until(&mut sim, 4_000.0, |sim| agree(sim, 60) == 1.0);
+    run_until(&mut sim, 4_000.0, |sim| agree(sim, 60) == 1.0);
     sim.run(8_000.0);
     (0..42).for_each(|at| sim.kill(at));
     sim.run(3_000.0);
@@ -252,32 +252,35 @@
         .into_iter()
         .filter(|at| sim.word(*at).joined)
         .count();
-    assert_eq!(joined, 0, "seven in ten gone can't be told from a cut");
-    until(&mut sim, 12_000.0, |sim| agree(sim, 18) == 1.0);
+    assert_eq!(
+        joined, 0,
+        "seven in ten gone can't be distinguished from a partition"
+    );
+    run_until(&mut sim, 12_000.0, |sim| agree(sim, 18) == 1.0);
     // Back at once with nothing remembered.
     (0..42).for_each(|at| sim.restart(at, 2_000));
-    until(&mut sim, 6_000.0, |sim| {
+    run_until(&mut sim, 6_000.0, |sim| {
         agree(sim, 60) == 1.0 && sim.word(50).joined
     });
 }
 
 #[test]
-fn two_copies_under_one_name_are_told_of_once_and_stay_one_member() {
+fn two_replicas_under_one_name_are_reported_once_and_stay_one_member() {
     let mut sim = Sim::tier(12, 9, LOSSY, 51);
     let twin = sim.start(4, 5_000, READS);
     let mut lines = Vec::new();
-    let mut least = u32::MAX;
+    let mut lowest = u32::MAX;
     for _ in 0..100 {
         sim.run(200.0);
         for at in [4, twin] {
             lines.extend(std::iter::from_fn(|| sim.with(at, |peers, _| peers.told())));
         }
-        least = least.min(sim.word(0).up);
+        lowest = lowest.min(sim.word(0).up);
     }
     let named = lines
         .iter()
         .filter(|line| line.0.contains("another copy speaks as this one"))
         .count();
     assert!((1..=2).contains(&named), "{lines:?}");
-    assert!(least >= 11, "nobody else suffers");
+    assert!(lowest >= 11, "nobody else suffers");
 }
--- a/balancer/gossip/tests/upgrades.rs
+++ b/balancer/gossip/tests/upgrades.rs
@@ -1,4 +1,4 @@
-//! An upgrade and the way back with whole machines over a network that loses, repeats and delays.
+//! An upgrade and the way back with complete state machines over a network that loses, repeats and delays.
 mod common;
 
 use balancer_gossip::{Figures, Own, TenantFigures, Versions, READS};
@@ -7,21 +7,21 @@
 const OLD: Versions = Versions { least: 1, most: 1 };
 
 /// Ends the replica at a place as an orderly stop does, and starts it 0.5 s later with nothing remembered.
-fn again(sim: &mut Sim, place: u16, incarnation: u64, reads: Versions) {
-    let runs = sim
+fn restart_as(sim: &mut Sim, place: u16, incarnation: u64, reads: Versions) {
+    let running = sim
         .alive()
         .into_iter()
         .find(|at| sim.nodes[*at].place == place)
         .expect("it runs");
-    sim.with(runs, |peers, now| peers.leave(now));
+    sim.with(running, |peers, now| peers.leave(now));
     sim.run(50.0);
-    sim.kill(runs);
+    sim.kill(running);
     sim.run(500.0);
     sim.start(place, incarnation, reads);
 }
 
 /// Lets all observe what they do for so long; the versions that are spoken then, each once, and how many know sums.
-fn go_on(sim: &mut Sim, seconds: u32) -> (Vec<u8>, usize) {
+fn observe_for(sim: &mut Sim, seconds: u32) -> (Vec<u8>, usize) {
     for _ in 0..seconds * 4 {
         for at in sim.alive() {
             let figures = Figures {
@@ -39,16 +39,16 @@
         }
         sim.run(250.0);
     }
-    let words: Vec<_> = sim.alive().into_iter().map(|at| sim.word(at)).collect();
-    assert!(words
+    let states: Vec<_> = sim.alive().into_iter().map(|at| sim.word(at)).collect();
+    assert!(states
         .iter()
-        .all(|word| u64::from(word.version) == word.epoch & 0xff));
-    let mut versions: Vec<u8> = words.iter().map(|word| word.version).collect();
+        .all(|state| u64::from(state.version) == state.epoch & 0xff));
+    let mut versions: Vec<u8> = states.iter().map(|state| state.version).collect();
     versions.sort_unstable();
     versions.dedup();
     (
         versions,
-        words.iter().filter(|word| word.sums.is_some()).count(),
+        states.iter().filter(|state| state.sums.is_some()).count(),
     )
 }
 
@@ -59,20 +59,24 @@
     (0..N).for_each(|place| {
         sim.start(place, 1_000, OLD);
     });
-    assert_eq!(go_on(&mut sim, 10), (vec![1], 0));
+    assert_eq!(observe_for(&mut sim, 10), (vec![1], 0));
     for place in 0..N {
-        again(&mut sim, place, 2_000, READS);
-        assert_eq!(go_on(&mut sim, 1), (vec![1], 0), "{place} is upgraded");
+        restart_as(&mut sim, place, 2_000, READS);
+        assert_eq!(
+            observe_for(&mut sim, 1),
+            (vec![1], 0),
+            "{place} is upgraded"
+        );
     }
     // Then, with every replica a new run, all know sums, and go on knowing them.
-    go_on(&mut sim, 7);
+    observe_for(&mut sim, 7);
     for _ in 0..10 {
-        assert_eq!(go_on(&mut sim, 1), (vec![2], N.into()));
+        assert_eq!(observe_for(&mut sim, 1), (vec![2], N.into()));
     }
     // The first replica of the old build takes all down; the others' restarts change nothing more.
     for place in 0..N {
-        again(&mut sim, place, 3_000, OLD);
-        let (versions, sums) = go_on(&mut sim, 1);
+        restart_as(&mut sim, place, 3_000, OLD);
+        let (versions, sums) = observe_for(&mut sim, 1);
         assert!(
             place == 0 || (versions, sums) == (vec![1], 0),
             "{place} is rolled back"
@@ -88,9 +92,9 @@
 fn whoever_missed_a_start_in_another_build_learns_of_it_before_the_step_up() {
     for seed in 0..20 {
         let mut sim = Sim::tier(60, 10, LOSSY, seed);
-        again(&mut sim, 1, 2_000, OLD);
-        assert_eq!(go_on(&mut sim, 10).0, [1]);
-        // Killed and back before anybody took it for gone.
+        restart_as(&mut sim, 1, 2_000, OLD);
+        assert_eq!(observe_for(&mut sim, 10).0, [1]);
+        // Killed and restarted before anybody declared it failed.
         let at = sim
             .alive()
             .into_iter()
@@ -99,7 +103,7 @@
         sim.kill(at);
         sim.run(500.0);
         sim.start(1, 3_000, READS);
-        assert_eq!(go_on(&mut sim, 12).0, [2]);
+        assert_eq!(observe_for(&mut sim, 12).0, [2]);
         for at in sim.alive().into_iter().filter(|at| *at < 60) {
             assert_eq!(
                 sim.with(at, |peers, _| peers.counts().steps),
