--- a/balancer/snapshots/src/drill.rs
+++ b/balancer/snapshots/src/fault_injection.rs
@@ -1,20 +1,21 @@
-//! Fault injection for the disk: for drills, and for tests with whole processes.
+//! Fault injection for the disk: for exercises in service, and for tests with complete processes.
 //!
 //! A file names the fault, read with every access; without the file there is none. Its one line is `full`
 //! (nothing can be written), `failing` (nothing can be read, written or synced), `slow 300ms` (every access takes that
-//! much longer) or `unsynced` (what was not synced is lost, kept or torn when the process is killed, as when the power
-//! goes). Anything else fails every access with a message that names it.
-use rand::Rng;
-use redb::StorageBackend;
+//! much longer) or `unsynced` (what was not synced is lost, kept or torn when the process is killed, as on power loss).
+//! Anything else fails every access with a message that names it.
 use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// What survives of a torn write is a number of these, in bytes.
-const SECTOR: usize = 512;
+use rand::Rng;
+use redb::StorageBackend;
+
+/// The unit of which some survive of a torn write, in bytes.
+const SECTOR_BYTES: usize = 512;
 
-/// The file that names the fault of the disk.
+/// The file that names the fault to inject.
 #[derive(Clone, Debug)]
 pub struct Drill(PathBuf);
 
@@ -28,7 +29,7 @@
 }
 
 impl Drill {
-    /// A drill by this file, which need not exist yet.
+    /// The fault that this file names; it need not exist yet.
     pub fn told_by(file: &Path) -> Drill {
         Drill(file.to_path_buf())
     }
@@ -58,40 +59,67 @@
     }
 }
 
-/// Storage with the faults of a drill.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Access {
+    /// Reads, and syncs of what was written.
+    Read,
+    /// Writes and changes of the length.
+    Write,
+}
+
+/// A write that was not synced.
 #[derive(Debug)]
-pub struct Drilled<B> {
+struct Write {
+    offset: u64,
+    data: Vec<u8>,
+}
+
+impl Write {
+    /// Copies what it wrote of the bytes at an offset over them.
+    fn overlay(&self, offset: u64, out: &mut [u8]) {
+        let start = self.offset.max(offset);
+        let end = (self.offset + self.data.len() as u64).min(offset + out.len() as u64);
+        if start < end {
+            let written = &self.data[(start - self.offset) as usize..(end - self.offset) as usize];
+            out[(start - offset) as usize..(end - offset) as usize].copy_from_slice(written);
+        }
+    }
+}
+
+/// Storage into which faults are injected.
+#[derive(Debug)]
+pub struct FaultyStorage<B> {
     disk: B,
     drill: Option<Drill>,
-    /// Writes that reach the disk with the next sync.
-    unsynced_writes: Mutex<Vec<(u64, Vec<u8>)>>,
+    /// Writes that reach the disk with the next sync, in their order.
+    unsynced_writes: Mutex<Vec<Write>>,
 }
 
-impl<B: StorageBackend> Drilled<B> {
-    /// Storage on this disk, with the faults of a drill if there is one.
-    pub fn new(disk: B, drill: Option<Drill>) -> Drilled<B> {
-        Drilled {
+impl<B: StorageBackend> FaultyStorage<B> {
+    /// Storage on this disk, with the faults that a file names if there is one.
+    pub fn new(disk: B, drill: Option<Drill>) -> FaultyStorage<B> {
+        FaultyStorage {
             disk,
             drill,
             unsynced_writes: Mutex::default(),
         }
     }
 
-    fn unsynced_writes(&self) -> MutexGuard<'_, Vec<(u64, Vec<u8>)>> {
+    fn unsynced_writes(&self) -> MutexGuard<'_, Vec<Write>> {
         self.unsynced_writes
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Applies the fault to an access.
-    fn inject(&self, writes: bool) -> io::Result<Fault> {
+    fn inject(&self, access: Access) -> io::Result<Fault> {
         let Some(drill) = &self.drill else {
             return Ok(Fault::None);
         };
         let fault = drill.fault()?;
         match fault {
             Fault::Failing => Err(io::Error::other("input/output error (drill)")),
-            Fault::Full if writes => Err(io::Error::new(
+            Fault::Full if access == Access::Write => Err(io::Error::new(
                 io::ErrorKind::StorageFull,
                 "no space left (drill)",
             )),
@@ -105,62 +133,58 @@
 
     fn write_unsynced(&self) -> io::Result<()> {
         let mut unsynced_writes = self.unsynced_writes();
-        for (offset, data) in unsynced_writes.iter() {
-            self.disk.write(*offset, data)?;
+        for write in unsynced_writes.iter() {
+            self.disk.write(write.offset, &write.data)?;
         }
         unsynced_writes.clear();
         Ok(())
     }
 }
 
-impl<B: StorageBackend> StorageBackend for Drilled<B> {
+impl<B: StorageBackend> StorageBackend for FaultyStorage<B> {
     fn len(&self) -> io::Result<u64> {
         self.disk.len()
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        self.inject(false)?;
+        self.inject(Access::Read)?;
         self.disk.read(offset, out)?;
-        let end = offset + out.len() as u64;
-        for (at, data) in self.unsynced_writes().iter() {
-            let (from, to) = ((*at).max(offset), (at + data.len() as u64).min(end));
-            if from < to {
-                let part = &data[(from - at) as usize..(to - at) as usize];
-                out[(from - offset) as usize..(to - offset) as usize].copy_from_slice(part);
-            }
+        for write in self.unsynced_writes().iter() {
+            write.overlay(offset, out);
         }
         Ok(())
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.inject(true)?;
+        self.inject(Access::Write)?;
         self.disk.set_len(len)
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        self.inject(false)?;
+        self.inject(Access::Read)?;
         self.write_unsynced()?;
         self.disk.sync_data()
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        if self.inject(true)? != Fault::Unsynced {
+        if self.inject(Access::Write)? != Fault::Unsynced {
             self.write_unsynced()?;
             return self.disk.write(offset, data);
         }
         let rng = &mut rand::thread_rng();
-        // A disk may write early what is not synced, or a part of it.
+        // A disk may write early what is not synced, or some sectors of it.
         match rng.gen_range(0..3) {
             0 => self.disk.write(offset, data)?,
-            1 if data.len() > SECTOR => {
-                self.disk.write(
-                    offset,
-                    &data[..rng.gen_range(1..=data.len() / SECTOR) * SECTOR],
-                )?;
+            1 if data.len() > SECTOR_BYTES => {
+                let sectors = rng.gen_range(1..=data.len() / SECTOR_BYTES);
+                self.disk.write(offset, &data[..sectors * SECTOR_BYTES])?;
             }
             _ => {}
         }
-        self.unsynced_writes().push((offset, data.to_vec()));
+        self.unsynced_writes().push(Write {
+            offset,
+            data: data.to_vec(),
+        });
         Ok(())
     }
 
--- a/balancer/snapshots/src/keeper.rs
+++ b/balancer/snapshots/src/keeper.rs
@@ -1,11 +1,18 @@
-//! Writes on a thread of its own. Queueing never blocks: only the newest payload of each kind waits for the
-//! disk, however long that takes.
-use crate::record::Kind;
-use crate::store::Store;
+//! The writer of a store, on a thread of its own. Owns the store and a queue that never blocks its callers: only the
+//! newest payload of each kind waits for the disk, however long that takes. Reads nothing.
 use std::collections::BTreeMap;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+use crate::record::Kind;
+use crate::store::Store;
+
+/// The backoff after the first of several failed writes. It doubles with each: a failing disk is not helped by retries
+/// at once.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// The longest backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+
 /// Counts of writes so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Written {
@@ -13,30 +20,63 @@
     pub commits: u64,
     /// Payloads that a newer one of their kind replaced before the disk was ready for them.
     pub replaced: u64,
-    /// Transactions that failed; what they held is tried again with the next.
+    /// Transactions that failed; their payloads are retried with the next.
     pub failed: u64,
     /// Bytes of payloads on the disk.
     pub bytes: u64,
 }
 
+/// The state that callers and the thread share.
 #[derive(Default)]
-struct Pending {
-    newest: BTreeMap<Kind, String>,
-    busy: bool,
-    stopping: bool,
+struct State {
+    /// The newest payload of each kind that waits to be written.
+    queue: BTreeMap<Kind, String>,
+    is_writing: bool,
+    is_stopping: bool,
     written: Written,
-    /// What the last failure was, until it has been read.
+    /// The last failure, until it has been read.
     failure: Option<String>,
 }
 
+impl State {
+    fn record_commit(&mut self, payloads: &[(Kind, String)]) {
+        self.written.commits += 1;
+        let bytes = payloads.iter().map(|(_, payload)| payload.len() as u64);
+        self.written.bytes += bytes.sum::<u64>();
+    }
+
+    /// Queues payloads that could not be written again, unless a newer one of their kind is queued.
+    fn requeue(&mut self, payloads: Vec<(Kind, String)>, failure: String) {
+        self.written.failed += 1;
+        self.failure = Some(failure);
+        for (kind, payload) in payloads {
+            self.queue.entry(kind).or_insert(payload);
+        }
+    }
+}
+
 struct Shared {
-    pending: Mutex<Pending>,
+    state: Mutex<State>,
     changed: Condvar,
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Pending> {
-        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Waits for payloads and takes all of them; none once the writer is dropped and nothing is queued.
+    fn next_batch(&self) -> Option<Vec<(Kind, String)>> {
+        let mut state = self.lock();
+        while state.queue.is_empty() {
+            if state.is_stopping {
+                return None;
+            }
+            let woken = self.changed.wait(state);
+            state = woken.unwrap_or_else(PoisonError::into_inner);
+        }
+        state.is_writing = true;
+        Some(std::mem::take(&mut state.queue).into_iter().collect())
     }
 }
 
@@ -45,7 +85,7 @@
     shared: Arc<Shared>,
 }
 
-/// Unix time, in milliseconds: the clock by which records are written, and by which their age is measured.
+/// Unix time in milliseconds: the clock by which records are written, and by which their age is measured.
 pub fn unix_ms() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -54,24 +94,28 @@
 
 impl Keeper {
     /// Starts the thread, which owns the store from then on.
+    ///
+    /// # Errors
+    ///
+    /// When the thread can't be started.
     pub fn start(store: Store) -> Result<Keeper, String> {
         let shared = Arc::new(Shared {
-            pending: Mutex::default(),
+            state: Mutex::default(),
             changed: Condvar::new(),
         });
         let own = shared.clone();
         let thread = std::thread::Builder::new()
             .name("store".into())
-            .spawn(move || work(&own, store));
+            .spawn(move || run(&own, store));
         thread.map_err(|e| format!("a thread for the store: {e}"))?;
         Ok(Keeper { shared })
     }
 
     /// Queues a payload to be written. It replaces an older one of its kind that is still queued.
     pub fn keep(&self, kind: Kind, payload: String) {
-        let mut pending = self.shared.lock();
-        if pending.newest.insert(kind, payload).is_some() {
-            pending.written.replaced += 1;
+        let mut state = self.shared.lock();
+        if state.queue.insert(kind, payload).is_some() {
+            state.written.replaced += 1;
         }
         self.shared.changed.notify_all();
     }
@@ -81,23 +125,24 @@
         self.shared.lock().written
     }
 
-    /// What went wrong with the last write, once.
+    /// Returns the failure of the last write, once.
     pub fn failure(&self) -> Option<String> {
         self.shared.lock().failure.take()
     }
 
-    /// Waits until all that was handed over is on the disk, or has failed; no longer than this. Returns whether it is.
+    /// Waits until all that is queued is on the disk, or has failed, for at most so long. Returns whether it is on the
+    /// disk.
     pub fn flush(&self, within: Duration) -> bool {
-        let until = Instant::now() + within;
-        let mut pending = self.shared.lock();
-        let failed = pending.written.failed;
-        while pending.busy || !pending.newest.is_empty() {
-            let remaining = until.saturating_duration_since(Instant::now());
-            if remaining.is_zero() || pending.written.failed > failed {
+        let deadline = Instant::now() + within;
+        let mut state = self.shared.lock();
+        let failed = state.written.failed;
+        while state.is_writing || !state.queue.is_empty() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() || state.written.failed > failed {
                 return false;
             }
-            let waited = self.shared.changed.wait_timeout(pending, remaining);
-            pending = waited.unwrap_or_else(PoisonError::into_inner).0;
+            let waited = self.shared.changed.wait_timeout(state, remaining);
+            state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
         true
     }
@@ -105,54 +150,34 @@
 
 impl Drop for Keeper {
     fn drop(&mut self) {
-        self.shared.lock().stopping = true;
+        self.shared.lock().is_stopping = true;
         self.shared.changed.notify_all();
     }
 }
 
-fn work(shared: &Shared, mut store: Store) {
-    let mut pause = Duration::ZERO;
-    loop {
-        let batch = {
-            let mut pending = shared.lock();
-            while pending.newest.is_empty() {
-                if pending.stopping {
-                    return;
-                }
-                pending = shared
-                    .changed
-                    .wait(pending)
-                    .unwrap_or_else(PoisonError::into_inner);
-            }
-            pending.busy = true;
-            std::mem::take(&mut pending.newest)
-        };
-        let payloads: Vec<(Kind, String)> = batch.into_iter().collect();
+/// Writes whatever is queued until the writer is dropped.
+fn run(shared: &Shared, mut store: Store) {
+    let mut backoff = Duration::ZERO;
+    while let Some(payloads) = shared.next_batch() {
         let result = store.put(&payloads, unix_ms());
-        let mut pending = shared.lock();
-        pending.busy = false;
+        let mut state = shared.lock();
+        state.is_writing = false;
         match result {
             Ok(()) => {
-                pending.written.commits += 1;
-                pending.written.bytes += payloads.iter().map(|(_, p)| p.len() as u64).sum::<u64>();
-                pause = Duration::ZERO;
+                state.record_commit(&payloads);
+                backoff = Duration::ZERO;
             }
             Err(e) => {
-                pending.written.failed += 1;
-                pending.failure = Some(e.to_string());
-                for (kind, payload) in payloads {
-                    pending.newest.entry(kind).or_insert(payload);
-                }
-                // A disk that fails is not helped by being asked at once again.
-                pause = (pause * 2).clamp(Duration::from_millis(100), Duration::from_secs(5));
+                state.requeue(payloads, e.to_string());
+                backoff = (backoff * 2).clamp(MIN_BACKOFF, MAX_BACKOFF);
             }
         }
         shared.changed.notify_all();
-        if !pause.is_zero() {
-            if pending.stopping {
+        if !backoff.is_zero() {
+            if state.is_stopping {
                 return;
             }
-            drop(shared.changed.wait_timeout(pending, pause));
+            drop(shared.changed.wait_timeout(state, backoff));
         }
     }
 }
--- a/balancer/snapshots/src/lib.rs
+++ b/balancer/snapshots/src/lib.rs
@@ -1,8 +1,8 @@
 //! Persistent state of a balancer, for deployments that have a disk.
 //!
-//! A [`Store`] holds one [`record::Record`] of each [`record::Kind`] in a redb database: whole, checked, of this owner
+//! A [`Store`] has one [`record::Record`] of each [`record::Kind`] in a redb database: complete, checked, of this owner
 //! and this deployment, or not at all. A [`keeper::Keeper`] writes on a thread of its own and queues only the newest of
-//! each kind waiting, so that a disk that stalls costs nobody else anything. What the records mean is not known here.
+//! each kind, so that a disk that stalls delays nobody else. What the records mean is not known here.
 //!
 //! redb was weighed against sled (no stable format, unmaintained), fjall and rocksdb (log-structured: many files and
 //! background threads for a few records), heed/LMDB (C code, a map that must be sized ahead) and a file replaced by
@@ -11,12 +11,12 @@
 //! faults are injected.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
-pub mod drill;
+pub mod fault_injection;
 pub mod keeper;
 pub mod record;
 pub mod store;
 
-pub use drill::Drill;
+pub use fault_injection::Drill;
 pub use keeper::{unix_ms, Keeper};
 pub use record::{Kind, Owner, Record};
 pub use store::{Found, Store};
--- a/balancer/snapshots/src/record.rs
+++ b/balancer/snapshots/src/record.rs
@@ -1,29 +1,29 @@
-//! One record: a payload with its owner, its deployment, the time it was written, and a checksum over all of that.
+//! The codec of one record: a payload with its owner, its deployment, the time at which it was written, and a checksum
+//! over all of that. Knows neither the database nor what payloads mean.
 use serde::{Deserialize, Serialize};
-use std::fmt;
 
-/// The form of records that this version writes. Older ones that it still reads would be named here.
+/// The format of records that this version writes. Older ones that it still reads would be named here.
 pub const FORMAT: u16 = 1;
-/// The largest payload, in bytes: state is small, and what is larger is not ours.
-pub const PAYLOAD_MOST: usize = 4 << 20;
+/// The length of the longest payload, in bytes: state is small, and what is larger is not ours.
+pub const MAX_PAYLOAD_LEN: usize = 4 << 20;
 
 /// The kind of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// How often the balancer has started.
+    /// The number of starts of the balancer.
     Starts,
-    /// The last good list of upstreams.
+    /// The last valid list of upstreams.
     Upstreams,
     /// What the decisions have learned.
     Learned,
 }
 
 impl Kind {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [Kind; 3] = [Kind::Starts, Kind::Upstreams, Kind::Learned];
 
-    /// Its name, in the database and in tables.
+    /// The name: its key in the database, and its text in tables.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Starts => "starts",
@@ -33,7 +33,7 @@
     }
 }
 
-/// Whose state it is.
+/// The owner of the state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Owner {
     /// The balancer's name.
@@ -42,39 +42,32 @@
     pub settings: u32,
 }
 
-/// A record as it is written and read.
+/// A decoded record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// What it holds: JSON that only its owner can read.
+    /// JSON that only its owner can interpret.
     pub payload: String,
-    /// When it was written: Unix time, in milliseconds, by the clock of then.
+    /// The time at which it was written: Unix time in milliseconds, by the clock of then.
     pub written_ms: f64,
     /// The fingerprint of the settings of then.
     pub settings: u32,
 }
 
-/// Why bytes are no record of ours.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Unfit {
-    /// They are not whole, or not what was written.
-    Broken(String),
-    /// They were written by a version whose form is not known here.
-    Format(u16),
+/// The reason why bytes are no record of this owner.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum RecordError {
+    /// They are incomplete, or not what was written.
+    #[error("broken: {0}")]
+    Malformed(String),
+    /// They were written by a later version, in a format that this one does not support.
+    #[error("of form {0}; this version reads {FORMAT}")]
+    UnsupportedFormat(u16),
     /// They belong to another balancer.
-    Owner(String),
-}
-
-impl fmt::Display for Unfit {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Unfit::Broken(what) => write!(f, "broken: {what}"),
-            Unfit::Format(format) => write!(f, "of form {format}; this version reads {FORMAT}"),
-            Unfit::Owner(name) => write!(f, "of another balancer, {name:?}"),
-        }
-    }
+    #[error("of another balancer, {0:?}")]
+    ForeignOwner(String),
 }
 
-/// How a record is stored in the database: a checksum of four bytes, then this as JSON.
+/// The stored form of a record, in JSON, behind a checksum of four bytes.
 #[derive(Serialize, Deserialize)]
 struct Stored {
     format: u16,
@@ -86,7 +79,7 @@
 }
 
 impl Record {
-    /// The bytes to store.
+    /// Encodes the bytes to store.
     pub fn encode(&self, kind: Kind, owner: &str) -> Vec<u8> {
         let stored = Stored {
             format: FORMAT,
@@ -103,41 +96,34 @@
         bytes
     }
 
-    /// A record from bytes that were stored under this kind, of any owner where none is given.
+    /// Decodes a record and its owner from bytes that were stored under this kind; of any owner where none is given.
+    ///
+    /// # Errors
+    ///
+    /// When the bytes are no record of this format, kind and owner.
     pub fn decode(
         bytes: &[u8],
         kind: Kind,
         owner: Option<&str>,
-    ) -> Result<(Record, String), Unfit> {
-        let broken = |what: &str| Err(Unfit::Broken(what.into()));
+    ) -> Result<(Record, String), RecordError> {
+        let broken = |what: &str| Err(RecordError::Malformed(what.into()));
         let Some((checksum, body)) = bytes.split_first_chunk::<4>() else {
             return broken("shorter than its checksum");
         };
-        if body.len() > 2 * PAYLOAD_MOST {
+        if body.len() > 2 * MAX_PAYLOAD_LEN {
             return broken("too long");
         }
         if crc32fast::hash(body).to_be_bytes() != *checksum {
             return broken("the checksum does not fit");
         }
-        // A later form need not have the fields of this one, so that is looked at by itself first.
-        #[derive(Deserialize)]
-        struct FormatOnly {
-            format: u16,
-        }
-        match serde_json::from_slice::<FormatOnly>(body) {
-            Ok(format_only) if format_only.format != FORMAT => {
-                return Err(Unfit::Format(format_only.format))
-            }
-            Ok(_) => {}
-            Err(e) => return Err(Unfit::Broken(e.to_string())),
-        }
+        check_format(body)?;
         let stored: Stored =
-            serde_json::from_slice(body).map_err(|e| Unfit::Broken(e.to_string()))?;
+            serde_json::from_slice(body).map_err(|e| RecordError::Malformed(e.to_string()))?;
         if stored.kind != kind {
             return broken("it is kept under another kind");
         }
         if owner.is_some_and(|owner| owner != stored.owner) {
-            return Err(Unfit::Owner(stored.owner));
+            return Err(RecordError::ForeignOwner(stored.owner));
         }
         let record = Record {
             payload: stored.payload,
@@ -147,3 +133,16 @@
         Ok((record, stored.owner))
     }
 }
+
+/// Checks the format alone: a later one need not have the fields of this one.
+fn check_format(body: &[u8]) -> Result<(), RecordError> {
+    #[derive(Deserialize)]
+    struct FormatOnly {
+        format: u16,
+    }
+    match serde_json::from_slice::<FormatOnly>(body) {
+        Ok(FormatOnly { format: FORMAT }) => Ok(()),
+        Ok(FormatOnly { format }) => Err(RecordError::UnsupportedFormat(format)),
+        Err(e) => Err(RecordError::Malformed(e.to_string())),
+    }
+}
--- a/balancer/snapshots/src/store.rs
+++ b/balancer/snapshots/src/store.rs
@@ -1,65 +1,61 @@
-//! The database in its folder: opened, or set aside and begun anew; never a reason not to start.
-use crate::drill::{Drill, Drilled};
-use crate::record::{Kind, Owner, Record, Unfit};
+//! The database in its folder: opened, or set aside and created anew. Owns the file, and its recovery from failures; an
+//! unusable file is never a reason not to start. Knows records by their kind alone.
+use std::fs::OpenOptions;
+use std::io;
+use std::panic::{catch_unwind, AssertUnwindSafe};
+use std::path::{Path, PathBuf};
+
 use redb::backends::FileBackend;
 use redb::{
     Database, DatabaseError, ReadableDatabase, StorageBackend, StorageError, TableDefinition,
     TableError,
 };
-use std::fs::OpenOptions;
-use std::io;
-use std::panic::{catch_unwind, AssertUnwindSafe};
-use std::path::{Path, PathBuf};
+
+use crate::fault_injection::{Drill, FaultyStorage};
+use crate::record::{Kind, Owner, Record, RecordError};
 
 const RECORDS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("records");
-/// The database in the folder.
+/// The file name of the database in the folder.
 pub const FILE: &str = "state.redb";
-/// Databases that were set aside are kept for a look, so many of them.
-const ASIDE_MOST: usize = 3;
-/// Memory that the database may use to keep pages, in bytes: there are only a few.
-const CACHE: usize = 256 << 10;
+/// Databases that were set aside are retained for inspection, so many of them.
+const MAX_SET_ASIDE: usize = 3;
+/// The page cache of the database, in bytes: there are only a few pages.
+const CACHE_BYTES: usize = 256 << 10;
 
-/// What was found under a kind.
+/// The outcome of reading a kind.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Found {
-    /// Nothing was ever kept, or it was dropped.
+    /// No record was ever written.
     Nothing,
     /// A record of this owner.
     Record(Record),
-    /// Something that can't be used.
-    Unfit(Unfit),
+    /// Bytes that can't be used.
+    Unfit(RecordError),
 }
 
-/// Why there is no store.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// The reason why there is no store.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NoStore {
-    /// Another process holds it.
+    /// Another process has it open.
+    #[error("another process holds it")]
     Held,
-    /// What is there is no database that can be read, and why.
+    /// The file is not a readable database, and why.
+    #[error("broken: {0}")]
     Broken(String),
-    /// The disk does not let us, and why.
+    /// The disk failed, and how.
+    #[error("{0}")]
     Disk(String),
 }
 
-impl std::fmt::Display for NoStore {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            NoStore::Held => f.write_str("another process holds it"),
-            NoStore::Broken(what) => write!(f, "broken: {what}"),
-            NoStore::Disk(what) => f.write_str(what),
-        }
-    }
-}
-
-/// Storage whose length is on the disk before anything is written that rests on it, and never shrinks.
+/// Storage whose length is synced before anything is written that depends on it, and never shrinks.
 ///
-/// redb's header says how long the file is and may reach the disk before a growth that was asked for ahead of it; a
+/// redb's header says how long the file is and may reach the disk before a growth that was requested ahead of it; a
 /// power loss in between leaves a file that is too short for its header, which redb refuses. The tests of this crate
 /// lose power there.
 #[derive(Debug)]
-struct Steady<B>(B);
+struct GrowOnlyStorage<B>(B);
 
-impl<B: StorageBackend> StorageBackend for Steady<B> {
+impl<B: StorageBackend> StorageBackend for GrowOnlyStorage<B> {
     fn len(&self) -> io::Result<u64> {
         self.0.len()
     }
@@ -84,13 +80,13 @@
     }
 }
 
-type Opener = Box<dyn Fn() -> Result<Database, NoStore> + Send>;
+type OpenDatabase = Box<dyn Fn() -> Result<Database, NoStore> + Send>;
 
-/// Records on a disk.
+/// A store of records on a disk.
 pub struct Store {
-    /// Nothing after a failure, until it could be opened again: redb goes on with nothing after one.
+    /// Absent after a failure, until it could be opened again: redb rejects everything after one.
     database: Option<Database>,
-    opener: Option<Opener>,
+    reopen: Option<OpenDatabase>,
     owner: Owner,
 }
 
@@ -100,68 +96,70 @@
     }
 }
 
-/// What became of opening a folder.
+/// A store that was opened in a folder.
 pub struct Opened {
     /// The store.
     pub store: Store,
-    /// Where a broken one was set aside, and what was wrong with it.
+    /// The path to which a broken database was set aside, and what was wrong with it.
     pub aside: Option<(PathBuf, String)>,
 }
 
-/// What the disk said of a file.
-fn disk(path: &Path) -> impl Fn(io::Error) -> NoStore + '_ {
+/// Converts an error of the disk on a file.
+fn disk_error(path: &Path) -> impl Fn(io::Error) -> NoStore + '_ {
     move |e| NoStore::Disk(format!("{}: {e}", path.display()))
 }
 
-fn no_store(e: DatabaseError) -> NoStore {
+fn classify_open_error(e: DatabaseError) -> NoStore {
     match e {
         DatabaseError::DatabaseAlreadyOpen => NoStore::Held,
-        DatabaseError::Storage(StorageError::Io(e))
-            if e.kind() != std::io::ErrorKind::InvalidData =>
-        {
+        DatabaseError::Storage(StorageError::Io(e)) if e.kind() != io::ErrorKind::InvalidData => {
             NoStore::Disk(e.to_string())
         }
         e => NoStore::Broken(e.to_string()),
     }
 }
 
-/// Runs what reads bytes that may be anything: a panic in there means that they can't be read.
-fn guarded<T>(work: impl FnOnce() -> Result<T, NoStore>) -> Result<T, NoStore> {
+/// Runs code of redb on bytes that may be anything: a panic in there means that they can't be read.
+fn catch_panic<T>(work: impl FnOnce() -> Result<T, NoStore>) -> Result<T, NoStore> {
     catch_unwind(AssertUnwindSafe(work))
         .unwrap_or_else(|_| Err(NoStore::Broken("its pages make no sense".into())))
 }
 
-fn database(backend: impl StorageBackend) -> Result<Database, NoStore> {
+fn open_database(backend: impl StorageBackend) -> Result<Database, NoStore> {
     let builder = || {
         Database::builder()
-            .set_cache_size(CACHE)
-            .create_with_backend(Steady(backend))
+            .set_cache_size(CACHE_BYTES)
+            .create_with_backend(GrowOnlyStorage(backend))
     };
-    guarded(|| builder().map_err(no_store))
+    catch_panic(|| builder().map_err(classify_open_error))
 }
 
 impl Store {
-    /// Opens the store in a folder, or begins one. What can't be read is set aside first.
+    /// Opens the store in a folder, or creates one. An unreadable database is set aside first.
+    ///
+    /// # Errors
+    ///
+    /// When another process has it open, or the disk fails.
     pub fn open(folder: &Path, owner: Owner, drill: Option<Drill>) -> Result<Opened, NoStore> {
         let path = folder.join(FILE);
-        let file = {
+        let open_file = {
             let path = path.clone();
             move || {
                 let mut options = OpenOptions::new();
                 options.read(true).write(true).create(true).truncate(false);
-                let file = options.open(&path).map_err(disk(&path))?;
-                Ok(Drilled::new(
-                    FileBackend::new(file).map_err(no_store)?,
+                let file = options.open(&path).map_err(disk_error(&path))?;
+                Ok(FaultyStorage::new(
+                    FileBackend::new(file).map_err(classify_open_error)?,
                     drill.clone(),
                 ))
             }
         };
-        match Store::through(file.clone(), owner.clone()) {
+        match Store::open_with(open_file.clone(), owner.clone()) {
             Ok(store) => Ok(Opened { store, aside: None }),
             Err(NoStore::Broken(what)) => {
-                let aside = set_aside(folder).map_err(disk(&path))?;
+                let aside = set_aside(folder).map_err(disk_error(&path))?;
                 Ok(Opened {
-                    store: Store::through(file, owner)?,
+                    store: Store::open_with(open_file, owner)?,
                     aside: Some((aside, what)),
                 })
             }
@@ -169,46 +167,58 @@
         }
     }
 
-    /// On storage that is made anew after each failure: redb wants to be opened again then.
-    pub fn through<B: StorageBackend>(
-        make: impl Fn() -> Result<B, NoStore> + Send + 'static,
+    /// Opens a store on storage that is made anew after each failure: redb has to be opened again then.
+    ///
+    /// # Errors
+    ///
+    /// When the storage can't be made, or is not a readable database.
+    pub fn open_with<B: StorageBackend>(
+        make_storage: impl Fn() -> Result<B, NoStore> + Send + 'static,
         owner: Owner,
     ) -> Result<Store, NoStore> {
-        let opener = Box::new(move || database(make()?));
-        Store::checked(Store {
-            database: Some(opener()?),
-            opener: Some(opener),
+        let reopen = Box::new(move || open_database(make_storage()?));
+        Store::verified(Store {
+            database: Some(reopen()?),
+            reopen: Some(reopen),
             owner,
         })
     }
 
-    /// On any storage: the seam at which tests put faults between.
-    pub fn on(backend: impl StorageBackend, owner: Owner) -> Result<Store, NoStore> {
-        Store::checked(Store {
-            database: Some(database(backend)?),
-            opener: None,
+    /// Opens a store on any storage, at which tests inject faults.
+    ///
+    /// # Errors
+    ///
+    /// When the storage is not a readable database.
+    pub fn on_backend(backend: impl StorageBackend, owner: Owner) -> Result<Store, NoStore> {
+        Store::verified(Store {
+            database: Some(open_database(backend)?),
+            reopen: None,
             owner,
         })
     }
 
-    /// A copy in memory of what a folder holds: nothing in the folder changes, whatever is done to the copy.
+    /// Opens a copy in memory of a folder's database: nothing in the folder changes, whatever is done to the copy.
+    ///
+    /// # Errors
+    ///
+    /// When the file can't be read, or is not a readable database.
     pub fn copy(folder: &Path, owner: Owner) -> Result<Store, NoStore> {
         let path = folder.join(FILE);
-        let bytes = std::fs::read(&path).map_err(disk(&path))?;
+        let bytes = std::fs::read(&path).map_err(disk_error(&path))?;
         let memory = redb::backends::InMemoryBackend::new();
-        let filled = memory
+        let written = memory
             .set_len(bytes.len() as u64)
             .and_then(|()| memory.write(0, &bytes));
-        filled.map_err(disk(&path))?;
-        Store::on(memory, owner)
+        written.map_err(disk_error(&path))?;
+        Store::on_backend(memory, owner)
     }
 
     /// Reads every record once, which fails on a database that can't be read.
-    fn checked(store: Store) -> Result<Store, NoStore> {
-        guarded(|| {
+    fn verified(store: Store) -> Result<Store, NoStore> {
+        catch_panic(|| {
             Kind::ALL
                 .into_iter()
-                .try_for_each(|kind| store.bytes(kind).map(drop))
+                .try_for_each(|kind| store.read_bytes(kind).map(drop))
         })?;
         Ok(store)
     }
@@ -225,7 +235,7 @@
             .ok_or_else(|| NoStore::Broken("closed".into()))
     }
 
-    fn bytes(&self, kind: Kind) -> Result<Option<Vec<u8>>, NoStore> {
+    fn read_bytes(&self, kind: Kind) -> Result<Option<Vec<u8>>, NoStore> {
         let broken = |e: &dyn std::fmt::Display| NoStore::Broken(e.to_string());
         let read = self.database()?.begin_read().map_err(|e| broken(&e))?;
         let table = match read.open_table(RECORDS) {
@@ -237,9 +247,13 @@
         Ok(value.map(|v| v.value().to_vec()))
     }
 
-    /// The record of a kind.
+    /// Reads the record of a kind.
+    ///
+    /// # Errors
+    ///
+    /// When the database can't be read.
     pub fn get(&self, kind: Kind) -> Result<Found, NoStore> {
-        let bytes = guarded(|| self.bytes(kind))?;
+        let bytes = catch_panic(|| self.read_bytes(kind))?;
         Ok(
             match bytes.map(|b| Record::decode(&b, kind, Some(&self.owner.name))) {
                 None => Found::Nothing,
@@ -249,24 +263,28 @@
         )
     }
 
-    /// Writes payloads, all of them or none, and returns once they are on the disk.
+    /// Writes payloads atomically, and returns once they are synced.
+    ///
+    /// # Errors
+    ///
+    /// When the disk fails; nothing is written then, and the next call opens the database again.
     pub fn put(&mut self, payloads: &[(Kind, String)], now_ms: f64) -> Result<(), NoStore> {
-        if let (None, Some(open)) = (&self.database, &self.opener) {
-            self.database = Some(open()?);
+        if let (None, Some(reopen)) = (&self.database, &self.reopen) {
+            self.database = Some(reopen()?);
         }
-        let done = self.write(payloads, now_ms);
-        if done.is_err() && self.opener.is_some() {
+        let result = self.write(payloads, now_ms);
+        if result.is_err() && self.reopen.is_some() {
             self.close();
         }
-        done
+        result
     }
 
     fn write(&self, payloads: &[(Kind, String)], now_ms: f64) -> Result<(), NoStore> {
-        guarded(|| {
-            let disk = |e: &dyn std::fmt::Display| NoStore::Disk(e.to_string());
-            let write = self.database()?.begin_write().map_err(|e| disk(&e))?;
+        catch_panic(|| {
+            let failed = |e: &dyn std::fmt::Display| NoStore::Disk(e.to_string());
+            let transaction = self.database()?.begin_write().map_err(|e| failed(&e))?;
             {
-                let mut table = write.open_table(RECORDS).map_err(|e| disk(&e))?;
+                let mut table = transaction.open_table(RECORDS).map_err(|e| failed(&e))?;
                 for (kind, payload) in payloads {
                     let record = Record {
                         payload: payload.clone(),
@@ -274,50 +292,54 @@
                         settings: self.owner.settings,
                     };
                     let bytes = record.encode(*kind, &self.owner.name);
-                    table
-                        .insert(kind.name(), bytes.as_slice())
-                        .map_err(|e| disk(&e))?;
+                    let inserted = table.insert(kind.name(), bytes.as_slice());
+                    inserted.map_err(|e| failed(&e))?;
                 }
             }
-            write.commit().map_err(|e| disk(&e))
+            transaction.commit().map_err(|e| failed(&e))
         })
     }
 
-    /// The fingerprint of the settings now.
+    /// The fingerprint of the current settings.
     pub fn settings(&self) -> u32 {
         self.owner.settings
     }
 }
 
 /// Renames an unreadable database, and preserves the latest few for inspection.
-fn set_aside(folder: &Path) -> std::io::Result<PathBuf> {
+fn set_aside(folder: &Path) -> io::Result<PathBuf> {
     let name = |n: usize| folder.join(format!("{FILE}.bad-{n}"));
-    // The oldest goes, the others move up by one.
-    match std::fs::remove_file(name(ASIDE_MOST)) {
-        Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(e),
-        _ => {}
-    }
-    for n in (1..ASIDE_MOST).rev() {
-        match std::fs::rename(name(n), name(n + 1)) {
-            Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(e),
-            _ => {}
-        }
+    // The oldest is removed, the others move up by one.
+    ignore_not_found(std::fs::remove_file(name(MAX_SET_ASIDE)))?;
+    for n in (1..MAX_SET_ASIDE).rev() {
+        ignore_not_found(std::fs::rename(name(n), name(n + 1)))?;
     }
     std::fs::rename(folder.join(FILE), name(1))?;
     Ok(name(1))
 }
 
-/// One record of a folder.
+fn ignore_not_found(result: io::Result<()>) -> io::Result<()> {
+    match result {
+        Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(()),
+        result => result,
+    }
+}
+
+/// One record of an inspected folder.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct InspectedRecord {
     /// The kind.
     pub kind: Kind,
-    /// The record and its owner, or why it can't be used; nothing if there is none.
-    pub found: Option<Result<(Record, String), Unfit>>,
+    /// The record and its owner, or why it can't be used; absent if there is none.
+    pub found: Option<Result<(Record, String), RecordError>>,
 }
 
-/// What a folder holds, without changing anything in it: it is read from a copy in memory.
-pub fn look(folder: &Path) -> Result<Vec<Line>, NoStore> {
+/// Inspects a folder without changing anything in it: its database is read from a copy in memory.
+///
+/// # Errors
+///
+/// When the file can't be read, or is not a readable database.
+pub fn look(folder: &Path) -> Result<Vec<InspectedRecord>, NoStore> {
     let store = Store::copy(
         folder,
         Owner {
@@ -325,12 +347,12 @@
             settings: 0,
         },
     )?;
-    let line = |kind| {
-        let bytes = store.bytes(kind)?;
-        Ok(Line {
+    let inspect = |kind| {
+        let bytes = store.read_bytes(kind)?;
+        Ok(InspectedRecord {
             kind,
             found: bytes.map(|b| Record::decode(&b, kind, None)),
         })
     };
-    Kind::ALL.into_iter().map(line).collect()
+    Kind::ALL.into_iter().map(inspect).collect()
 }
--- a/balancer/snapshots/tests/drill.rs
+++ b/balancer/snapshots/tests/fault_injection.rs
@@ -1,12 +1,12 @@
-//! A disk that does wrong on demand.
-use balancer_snapshots::drill::Drilled;
+//! Faults of a disk, injected by a file.
+use balancer_snapshots::fault_injection::FaultyStorage;
 use balancer_snapshots::Drill;
 use redb::backends::InMemoryBackend;
 use redb::StorageBackend;
 use std::io;
 use std::sync::Arc;
 
-/// A disk that the test can look at beside the drill.
+/// A disk whose content the test can read below the faults.
 #[derive(Debug, Clone)]
 struct Disk(Arc<InMemoryBackend>);
 
@@ -33,28 +33,28 @@
 }
 
 #[test]
-fn a_drill_does_what_its_file_says_and_names_what_it_does_not_know() {
+fn a_fault_file_is_obeyed_and_an_unknown_fault_is_named() {
     let folder = tempfile::TempDir::new().expect("a folder");
     let file = folder.path().join("drill");
-    let disk = Drilled::new(InMemoryBackend::new(), Some(Drill::told_by(&file)));
-    let says = |text: &str| std::fs::write(&file, text).expect("writes");
+    let disk = FaultyStorage::new(InMemoryBackend::new(), Some(Drill::told_by(&file)));
+    let set_fault = |text: &str| std::fs::write(&file, text).expect("writes");
     let read = || {
         let mut out = [0; 4];
         disk.read(0, &mut out).map(|()| out)
     };
     disk.set_len(4096).expect("grows");
     disk.write(0, b"well").expect("no file, no fault");
-    says("full\n");
+    set_fault("full\n");
     assert_eq!(
         disk.write(0, b"full").map_err(|e| e.kind()),
         Err(io::ErrorKind::StorageFull)
     );
     assert_eq!(read().expect("reads"), *b"well");
-    says("failing");
+    set_fault("failing");
     assert!(read().is_err() && disk.sync_data().is_err() && disk.set_len(8192).is_err());
-    says("slow 1ms");
+    set_fault("slow 1ms");
     assert_eq!(read().expect("reads"), *b"well");
-    says("lsow 1ms");
+    set_fault("lsow 1ms");
     assert!(read().is_err_and(|e| e.to_string().contains("\"lsow 1ms\" is no known fault")));
 }
 
@@ -64,24 +64,24 @@
     let file = folder.path().join("drill");
     std::fs::write(&file, "unsynced").expect("writes");
     let below = Disk(Arc::new(InMemoryBackend::new()));
-    let disk = Drilled::new(below.clone(), Some(Drill::told_by(&file)));
+    let disk = FaultyStorage::new(below.clone(), Some(Drill::told_by(&file)));
     disk.set_len(1 << 16).expect("grows");
     let on_disk = |at: u64| {
         let mut out = vec![0; 1024];
         below.read(at, &mut out).expect("reads");
         out
     };
-    let whole = vec![7; 1024];
+    let data = vec![7; 1024];
     let offsets: Vec<u64> = (0..60).map(|n| n * 1024).collect();
     for &at in &offsets {
-        disk.write(at, &whole).expect("writes");
+        disk.write(at, &data).expect("writes");
         let mut out = vec![0; 1024];
         disk.read(at, &mut out).expect("reads");
-        assert_eq!(out, whole);
+        assert_eq!(out, data);
     }
     // By chance all of one kind once in 3^59 runs.
     let lost = offsets.iter().filter(|&&at| on_disk(at)[0] == 0).count();
     assert!(lost > 0 && lost < 60, "{lost} of 60 lost");
     disk.sync_data().expect("syncs");
-    assert!(offsets.iter().all(|&at| on_disk(at) == whole));
+    assert!(offsets.iter().all(|&at| on_disk(at) == data));
 }
--- a/balancer/snapshots/tests/power.rs
+++ b/balancer/snapshots/tests/power.rs
@@ -11,9 +11,9 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a disk was told.
+/// An operation on a disk.
 #[derive(Clone, Debug)]
 enum Op {
     Write(u64, Vec<u8>),
@@ -33,12 +33,12 @@
     }
 }
 
-/// A disk in memory that remembers all it was told, and fails once it is told to.
+/// A disk in memory that records all operations, and fails once it is full.
 #[derive(Clone, Debug, Default)]
-struct Disk(Arc<Mutex<Told>>);
+struct Disk(Arc<Mutex<DiskState>>);
 
 #[derive(Debug, Default)]
-struct Told {
+struct DiskState {
     image: Vec<u8>,
     ops: Vec<Op>,
     /// Writes and syncs fail from here on.
@@ -47,22 +47,22 @@
 
 impl Disk {
     fn of(image: Vec<u8>) -> Disk {
-        Disk(Arc::new(Mutex::new(Told {
+        Disk(Arc::new(Mutex::new(DiskState {
             image,
-            ..Told::default()
+            ..DiskState::default()
         })))
     }
 
-    fn told(&self, op: Op) -> io::Result<()> {
-        let mut told = self.0.lock().expect("no panic");
-        if told.full {
+    fn perform(&self, op: Op) -> io::Result<()> {
+        let mut state = self.0.lock().expect("no panic");
+        if state.full {
             return Err(io::Error::new(
                 io::ErrorKind::StorageFull,
                 "no space is left",
             ));
         }
-        apply(&mut told.image, &op);
-        told.ops.push(op);
+        apply(&mut state.image, &op);
+        state.ops.push(op);
         Ok(())
     }
 
@@ -76,19 +76,21 @@
         Ok(self.0.lock().expect("no panic").image.len() as u64)
     }
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        let told = self.0.lock().expect("no panic");
-        let from = told.image.get(offset as usize..offset as usize + out.len());
+        let state = self.0.lock().expect("no panic");
+        let from = state
+            .image
+            .get(offset as usize..offset as usize + out.len());
         out.copy_from_slice(from.ok_or(io::ErrorKind::UnexpectedEof)?);
         Ok(())
     }
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.told(Op::Length(len))
+        self.perform(Op::Length(len))
     }
     fn sync_data(&self) -> io::Result<()> {
-        self.told(Op::Sync)
+        self.perform(Op::Sync)
     }
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.told(Op::Write(offset, data.to_vec()))
+        self.perform(Op::Write(offset, data.to_vec()))
     }
 }
 
@@ -99,7 +101,7 @@
     }
 }
 
-/// What a put of this number keeps: every kind names the number, and is of its own length.
+/// The payloads of a put of this number: every kind names the number, and is of its own length.
 fn payloads(number: usize) -> Vec<(Kind, String)> {
     let of = |kind: Kind| {
         (
@@ -133,12 +135,17 @@
     all[0]
 }
 
-/// What may be left of what was not synced: each write lost, kept, or torn at a sector, in any order.
-fn left(rng: &mut Pcg64Mcg, durable: &[u8], unsynced: &[Op], variant: usize) -> Vec<u8> {
+/// An image that a power loss could leave: each unsynced write lost, applied, or torn at a sector, in any order.
+fn image_after_power_loss(
+    rng: &mut Pcg64Mcg,
+    durable: &[u8],
+    unsynced: &[Op],
+    variant: usize,
+) -> Vec<u8> {
     let mut image = durable.to_vec();
     let mut ops: Vec<Op> = unsynced.to_vec();
     match variant {
-        // All of it lost; all of it kept.
+        // All of it lost; all of it applied.
         0 => ops.clear(),
         1 => {}
         _ => {
@@ -160,17 +167,17 @@
 }
 
 #[test]
-fn whatever_a_power_loss_leaves_is_the_last_put_that_was_done_or_the_one_under_way() {
+fn a_power_loss_leaves_the_last_put_that_returned_or_the_one_in_flight() {
     let disk = Disk::default();
-    let mut store = Store::on(disk.clone(), owner()).expect("a store");
-    // When each put was done, as a position in what the disk was told.
-    let mut done = vec![(disk.position(), None)];
+    let mut store = Store::on_backend(disk.clone(), owner()).expect("a store");
+    // Where each put returned, as a position in the operations on the disk.
+    let mut returned = vec![(disk.position(), None)];
     for put in 0..200 {
         store.put(&payloads(put), 1000.0).expect("puts");
-        done.push((disk.position(), Some(put)));
+        returned.push((disk.position(), Some(put)));
     }
     let ops = disk.0.lock().expect("no panic").ops.clone();
-    let begun = done[0].0;
+    let begun = returned[0].0;
     let rng = &mut Pcg64Mcg::seed_from_u64(1);
     let (mut durable, mut unsynced, mut opened) = (Vec::new(), Vec::new(), 0);
     for (at, op) in ops.iter().enumerate() {
@@ -179,14 +186,14 @@
             unsynced.drain(..).for_each(|op| apply(&mut durable, &op));
         }
         let at = at + 1;
-        let last = done
+        let last = returned
             .iter()
             .rev()
             .find(|(position, _)| *position <= at)
             .and_then(|(_, put)| *put);
         for variant in 0..VARIANTS {
-            let image = left(rng, &durable, &unsynced, variant);
-            match Store::on(Disk::of(image), owner()) {
+            let image = image_after_power_loss(rng, &durable, &unsynced, variant);
+            match Store::on_backend(Disk::of(image), owner()) {
                 Ok(store) => {
                     let found = number(&store);
                     let next = last.map_or(0, |put| put + 1);
@@ -195,7 +202,7 @@
                         "at {at}: {found:?} after {last:?}"
                     );
                 }
-                // A database that was not yet made whole for the first time has nothing to lose.
+                // A database whose creation was not complete has nothing to lose.
                 Err(NoStore::Broken(_)) if at < begun => {}
                 Err(e) => panic!("at {at}, variant {variant}: {e}"),
             }
@@ -216,7 +223,7 @@
 #[test]
 fn a_crash_in_the_middle_of_recovery_is_recovered_from_again_and_again() {
     let disk = Disk::default();
-    let mut store = Store::on(disk.clone(), owner()).expect("a store");
+    let mut store = Store::on_backend(disk.clone(), owner()).expect("a store");
     (0..5).for_each(|put| store.put(&payloads(put), 1000.0).expect("puts"));
     // Not closed: what is on the disk must be repaired at the next opening.
     let mut image = disk.0.lock().expect("no panic").image.clone();
@@ -224,26 +231,26 @@
     let rng = &mut Pcg64Mcg::seed_from_u64(2);
     for round in 0..40 {
         let disk = Disk::of(image.clone());
-        let store = Store::on(disk.clone(), owner()).expect("recovers");
+        let store = Store::on_backend(disk.clone(), owner()).expect("recovers");
         assert_eq!(number(&store), Some(4), "round {round}");
         std::mem::forget(store);
-        // The power goes at a random point of what the recovery wrote.
+        // The power is lost at a random point of what the recovery wrote.
         let ops = disk.0.lock().expect("no panic").ops.clone();
-        let cut = rng.gen_range(0..=ops.len());
-        let synced = ops[..cut]
+        let power_loss = rng.gen_range(0..=ops.len());
+        let synced = ops[..power_loss]
             .iter()
             .rposition(|op| matches!(op, Op::Sync))
             .map_or(0, |at| at + 1);
         let mut durable = image.clone();
         ops[..synced].iter().for_each(|op| apply(&mut durable, op));
-        image = left(rng, &durable, &ops[synced..cut], 2);
+        image = image_after_power_loss(rng, &durable, &ops[synced..power_loss], 2);
     }
 }
 
 #[test]
-fn a_disk_that_fills_keeps_what_it_had_and_goes_on_when_there_is_room() {
+fn a_full_disk_retains_its_records_and_is_written_again_when_it_has_space() {
     let disk = Disk::default();
-    let mut store = Store::on(disk.clone(), owner()).expect("a store");
+    let mut store = Store::on_backend(disk.clone(), owner()).expect("a store");
     store.put(&payloads(1), 1000.0).expect("puts");
     disk.0.lock().expect("no panic").full = true;
     assert!(matches!(
@@ -253,7 +260,7 @@
     drop(store);
     disk.0.lock().expect("no panic").full = false;
     let image = disk.0.lock().expect("no panic").image.clone();
-    let mut store = Store::on(Disk::of(image), owner()).expect("opens again");
+    let mut store = Store::on_backend(Disk::of(image), owner()).expect("opens again");
     let found = number(&store);
     assert!(found == Some(1) || found == Some(2), "{found:?}");
     store.put(&payloads(3), 1000.0).expect("puts");
@@ -261,7 +268,7 @@
 }
 
 #[test]
-fn what_can_not_be_read_is_set_aside_and_only_a_few_such_are_kept() {
+fn an_unreadable_database_is_set_aside_and_only_a_few_are_retained() {
     let folder = TempDir::new().expect("a folder");
     for round in 0..6 {
         std::fs::write(
@@ -283,32 +290,32 @@
 }
 
 #[test]
-fn any_flipped_bit_and_any_cut_is_seen_or_does_no_harm() {
+fn any_flipped_bit_and_any_truncation_is_detected_or_does_no_harm() {
     let folder = TempDir::new().expect("a folder");
     let mut store = Store::open(folder.path(), owner(), None)
         .expect("opens")
         .store;
     (0..4).for_each(|put| store.put(&payloads(put), 1000.0).expect("puts"));
     drop(store);
-    let whole = std::fs::read(folder.path().join(FILE)).expect("reads");
+    let complete = std::fs::read(folder.path().join(FILE)).expect("reads");
     let rng = &mut Pcg64Mcg::seed_from_u64(3);
     let (mut used, mut unusable) = (0, 0);
     for round in 0..400 {
-        let mut bytes = whole.clone();
+        let mut bytes = complete.clone();
         match round % 4 {
-            0 => bytes.truncate(rng.gen_range(0..whole.len())),
+            0 => bytes.truncate(rng.gen_range(0..complete.len())),
             _ => (0..round % 4).for_each(|_| {
-                // Most of the file is room that nobody reads: the head is where it hurts.
-                let most = if rng.gen_bool(0.7) {
+                // Most of the file is space that nobody reads: damage to the head matters.
+                let limit = if rng.gen_bool(0.7) {
                     16_384.min(bytes.len())
                 } else {
                     bytes.len()
                 };
-                let bit = rng.gen_range(0..most * 8);
+                let bit = rng.gen_range(0..limit * 8);
                 bytes[bit / 8] ^= 1 << (bit % 8);
             }),
         }
-        match Store::on(Disk::of(bytes), owner()) {
+        match Store::on_backend(Disk::of(bytes), owner()) {
             Ok(store) => Kind::ALL
                 .into_iter()
                 .for_each(|kind| match store.get(kind) {
@@ -328,7 +335,7 @@
 }
 
 #[test]
-fn another_process_a_foreign_owner_and_a_look_from_outside() {
+fn a_second_process_a_foreign_owner_and_an_inspection() {
     let folder = TempDir::new().expect("a folder");
     let mut store = Store::open(folder.path(), owner(), None)
         .expect("opens")
@@ -346,7 +353,7 @@
     assert_eq!(
         std::fs::read(folder.path().join(FILE)).expect("reads"),
         before,
-        "a look changes nothing"
+        "an inspection changes nothing"
     );
     let foreign = Owner {
         name: "n2".into(),
@@ -359,40 +366,40 @@
 }
 
 #[test]
-fn a_keeper_writes_the_newest_of_each_kind_and_what_waits_once_the_disk_works_again() {
+fn a_writer_writes_the_newest_of_each_kind_and_retries_once_the_disk_works_again() {
     let disk = Disk::default();
     let make = {
         let disk = disk.clone();
         move || Ok(disk.clone())
     };
-    let keeper = Keeper::start(Store::through(make, owner()).expect("a store")).expect("starts");
+    let keeper = Keeper::start(Store::open_with(make, owner()).expect("a store")).expect("starts");
     for put in 0..1000 {
         payloads(put % 7)
             .into_iter()
             .for_each(|(kind, payload)| keeper.keep(kind, payload));
     }
-    assert!(keeper.flush(PATIENCE));
+    assert!(keeper.flush(TIMEOUT));
     let written = keeper.written();
     assert!(written.commits >= 1 && written.failed == 0, "{written:?}");
-    // A disk that fails is told of once.
+    // A disk that fails is reported once.
     disk.0.lock().expect("no panic").full = true;
     payloads(3)
         .into_iter()
         .for_each(|(kind, payload)| keeper.keep(kind, payload));
-    assert!(!keeper.flush(PATIENCE));
+    assert!(!keeper.flush(TIMEOUT));
     assert!(keeper.failure().is_some());
     // redb takes nothing any more after a failure: the store must have been opened again for this.
     disk.0.lock().expect("no panic").full = false;
     let commits = keeper.written().commits;
     let begun = Instant::now();
     while keeper.written().commits == commits {
-        assert!(begun.elapsed() < PATIENCE, "{:?}", keeper.written());
+        assert!(begun.elapsed() < TIMEOUT, "{:?}", keeper.written());
         std::thread::sleep(Duration::from_millis(5));
     }
     drop(keeper);
     let image = disk.0.lock().expect("no panic").image.clone();
     assert_eq!(
-        number(&Store::on(Disk::of(image), owner()).expect("opens")),
+        number(&Store::on_backend(Disk::of(image), owner()).expect("opens")),
         Some(3)
     );
 }
@@ -448,8 +455,8 @@
     /// A database that is any bytes, or one with any bytes in its place somewhere, is opened or refused, and what it
     /// gives back is what was put.
     #[test]
-    fn any_file_is_a_store_or_none(start in 0usize..20_000, bytes in prop::collection::vec(any::<u8>(), 1..600), whole: bool) {
-        let image = match whole {
+    fn any_file_is_a_store_or_none(start in 0usize..20_000, bytes in prop::collection::vec(any::<u8>(), 1..600), replaces_all: bool) {
+        let image = match replaces_all {
             true => bytes,
             false => {
                 let mut image = written().clone();
@@ -458,7 +465,7 @@
                 image
             }
         };
-        if let Ok(store) = Store::on(Disk::of(image), owner()) {
+        if let Ok(store) = Store::on_backend(Disk::of(image), owner()) {
             for kind in Kind::ALL {
                 if let Ok(Found::Record(record)) = store.get(kind) {
                     prop_assert!((0..4).any(|put| payloads(put)[0].1 == record.payload));
@@ -473,10 +480,10 @@
     static IMAGE: OnceLock<Vec<u8>> = OnceLock::new();
     IMAGE.get_or_init(|| {
         let disk = Disk::default();
-        let mut store = Store::on(disk.clone(), owner()).expect("a store");
+        let mut store = Store::on_backend(disk.clone(), owner()).expect("a store");
         (0..4).for_each(|put| store.put(&payloads(put), 1000.0).expect("puts"));
         drop(store);
-        let told = disk.0.lock().expect("no panic");
-        told.image.clone()
+        let state = disk.0.lock().expect("no panic");
+        state.image.clone()
     })
 }
--- a/balancer/snapshots/tests/record.rs
+++ b/balancer/snapshots/tests/record.rs
@@ -1,5 +1,5 @@
 //! The bytes of a record: what is written is read, and nothing else.
-use balancer_snapshots::record::Unfit;
+use balancer_snapshots::record::RecordError;
 use balancer_snapshots::{Kind, Record};
 
 fn record() -> Record {
@@ -19,22 +19,22 @@
     );
     assert_eq!(
         Record::decode(&bytes, Kind::Learned, Some("n2")),
-        Err(Unfit::Owner("n1".into()))
+        Err(RecordError::ForeignOwner("n1".into()))
     );
     assert!(matches!(
         Record::decode(&bytes, Kind::Starts, None),
-        Err(Unfit::Broken(_))
+        Err(RecordError::Malformed(_))
     ));
 }
 
 #[test]
-fn a_later_form_is_told_from_a_broken_one() {
+fn a_later_format_is_distinguished_from_a_malformed_record() {
     let body = br#"{"format":9,"all":"else differs"}"#;
     let mut bytes = crc32fast::hash(body).to_be_bytes().to_vec();
     bytes.extend(body);
     assert_eq!(
         Record::decode(&bytes, Kind::Starts, None),
-        Err(Unfit::Format(9))
+        Err(RecordError::UnsupportedFormat(9))
     );
 }
 
