--- a/balancer/gossip/src/knowledge/sums.rs
+++ b/balancer/gossip/src/knowledge/sums.rs
@@ -261,8 +261,8 @@
             .collect()
     }
 
-    /// Each tenant's sum, and the age of the oldest load in it. A tenant that an owner didn't name has an equal share of
-    /// its unnamed load.
+    /// Each tenant's sum, and the age of the oldest load in it. A tenant that an owner didn't name has an equal share
+    /// of its unnamed load.
     fn tenant_sums(&self, now: Millis, up: &[Member]) -> (Vec<TenantFigures>, Millis) {
         let mut sums = self.load.tenants.clone();
         let mut sample = 1.0;
--- a/balancer/gossip/src/membership/mod.rs
+++ b/balancer/gossip/src/membership/mod.rs
@@ -1,13 +1,13 @@
 //! Membership: SWIM with suspicion and incarnations, on a fixed list of candidates.
 //!
 //! Each replica probes one other in each period, by turns its successor in the list and one of all in random order. A
-//! member that acknowledges neither the probe nor indirect probes of others is suspected, and failed if no evidence that
-//! it is alive arrives while the suspicion lasts. A member that learns that it is suspected, or failed, refutes it under
-//! a higher incarnation. Only the acknowledgement of its own probe proves to a replica that an unknown member is alive,
-//! so that no late datagram brings back a failed one.
+//! member that acknowledges neither the probe nor indirect probes of others is suspected, and failed if no evidence
+//! that it is alive arrives while the suspicion lasts. A member that learns that it is suspected, or failed, refutes it
+//! under a higher incarnation. Only the acknowledgement of its own probe proves to a replica that an unknown member is
+//! alive, so that no late datagram brings back a failed one.
 //!
-//! Source: Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol"
-//! (2002). Which version the members speak, and what they know together, is not known here.
+//! Source: Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
+//! Protocol" (2002). Which version the members speak, and what they know together, is not known here.
 mod budget;
 mod gossip;
 mod probes;
@@ -33,8 +33,8 @@
 /// The protocol period: how often a replica probes another, and so how many datagrams it sends and owes. As many pings
 /// and acks of 256 bytes are 1,829 bytes a second of the budget's 2,500, and the rest is for gossip.
 const PROTOCOL_PERIOD: Millis = 280.0;
-/// How long a suspicion lasts before the member has failed. Gossip needs a third of a second to reach the suspect and as
-/// much back; half of it is left for those that missed both to probe for themselves.
+/// How long a suspicion lasts before the member has failed. Gossip needs a third of a second to reach the suspect and
+/// as much back; half of it is left for those that missed both to probe for themselves.
 pub(crate) const SUSPICION_TIMEOUT: Millis = 1_000.0;
 /// How often a candidate that isn't up is probed, so that halves and newcomers find each other.
 const DISCOVERY_PERIOD: Millis = 1_000.0;
@@ -320,7 +320,8 @@
         let updates =
             members.filter_map(|member| self.table.update_on(now, member, self.incarnation));
         let mut updates: Vec<MemberUpdate> = updates.take(max_count).collect();
-        // Its own incarnation first, then the members that are up, so that refutations overtake suspicions and not the other way round.
+        // Its own incarnation first, then the members that are up, so that refutations overtake suspicions and not the
+        // other way round.
         updates.sort_by_key(|update| (update.member != self.own.0, update.status != Status::Up));
         [message.priority_updates.clone(), updates].concat()
     }
--- a/balancer/gossip/src/membership/probes.rs
+++ b/balancer/gossip/src/membership/probes.rs
@@ -17,8 +17,8 @@
 const LOSSY_RATIO: f64 = 0.35;
 /// The weight of one probe in that share, as an exponential moving average: noise is 5%.
 const LATE_RATIO_WEIGHT: f64 = 1.0 / 32.0;
-/// Suspected members that are probed at a time: where many are suspected at once they have failed, and the budget is for
-/// others.
+/// Suspected members that are probed at a time: where many are suspected at once they have failed, and the budget is
+/// for others.
 const MAX_SUSPECT_PROBES: usize = 8;
 /// Probes at a time at most.
 const MAX_PROBES: usize = 64;
@@ -28,8 +28,8 @@
 const MAX_RELAYS: usize = 32;
 /// Latest outcomes of own probes by which a replica judges whether it is isolated.
 const MAX_OUTCOMES: usize = 8;
-/// Stamps are whole milliseconds: evidence that a member is alive which seems older than a probe's start by no more than
-/// this still acknowledges it.
+/// Stamps are whole milliseconds: evidence that a member is alive which seems older than a probe's start by no more
+/// than this still acknowledges it.
 const STAMP_TOLERANCE: Millis = 3.0;
 
 /// Why a member is probed.
--- a/balancer/gossip/src/membership/receive.rs
+++ b/balancer/gossip/src/membership/receive.rs
@@ -19,8 +19,8 @@
 /// restarted one finds that out once, or a few times from those who knew of different ones; a duplicate goes on.
 const MAX_REFUTATIONS: usize = 4;
 const REFUTATION_WINDOW: Millis = 10_000.0;
-/// A replica whose position a second process uses doesn't raise its incarnation for so long, so that the two don't chase
-/// each other.
+/// A replica whose position a second process uses doesn't raise its incarnation for so long, so that the two don't
+/// chase each other.
 const REFUTATION_PAUSE: Millis = 30_000.0;
 /// Updates that an acknowledgement carries where the digest and this replica's table differ.
 const MAX_DIFFERENCES: usize = 16;
@@ -162,8 +162,8 @@
         }
     }
 
-    /// Takes a datagram of a version that this replica doesn't support: it responds in its own, so that the sender learns
-    /// the versions that this replica supports, and nothing else follows from it.
+    /// Takes a datagram of a version that this replica doesn't support: it responds in its own, so that the sender
+    /// learns the versions that this replica supports, and nothing else follows from it.
     pub(crate) fn handle_unsupported_version(
         &mut self,
         now: Millis,
--- a/balancer/gossip/src/membership/timers.rs
+++ b/balancer/gossip/src/membership/timers.rs
@@ -12,7 +12,7 @@
 use crate::types::{Member, Millis};
 use crate::wire::v1::{MessageKind, ProbeTarget, Status};
 
-/// Members that are asked for an indirect probe.
+/// Members that an indirect probe is requested from.
 const INDIRECT_PROBES: usize = 3;
 /// Further members that are probed in a period in which most don't acknowledge.
 const EXTRA_PROBES: usize = 3;
@@ -23,8 +23,8 @@
 /// Unknown members that are probed at once.
 const MAX_UNKNOWN_PROBES: usize = 3;
 
-/// The time that a suspicion lasts. A replica that has not probed the member itself leaves it to those that have, unless
-/// many are suspected, which can't all be probed. On a lossy network all takes longer.
+/// The time that a suspicion lasts. A replica that has not probed the member itself leaves it to those that have,
+/// unless many are suspected, which can't all be probed. On a lossy network all takes longer.
 fn suspicion_timeout(entry: &Entry, probes: &Probes) -> Millis {
     let factor = if entry.probed || probes.likely_isolated() {
         1.0
@@ -60,12 +60,12 @@
         Some(earliest.min(self.next_probe).min(self.next_discovery))
     }
 
-    /// Detects a pause of this replica. What it waited for then counts for nothing, and suspicions last
-    /// longer by as much.
+    /// Detects a pause of this replica. What it waited for then counts for nothing, and suspicions last longer by as
+    /// much.
     pub(crate) fn detect_pause(&mut self, now: Millis) {
         let Some(late) = self
             .next_timeout()
-            .map(|due| now - due)
+            .map(|timeout| now - timeout)
             .filter(|late| *late > MAX_TIMER_LATENESS)
         else {
             return;
@@ -76,7 +76,8 @@
                 entry.since = (entry.since + late).min(now);
             }
         }
-        (self.next_probe, self.next_discovery) = (now, self.next_discovery.max(now));
+        self.next_probe = now;
+        self.next_discovery = self.next_discovery.max(now);
         self.next_gossip_round = self.next_gossip_round.map(|at| at.max(now));
     }
 
@@ -196,7 +197,8 @@
         }
     }
 
-    /// Verifies that a member has failed, as others report; only some replicas do, so that it isn't probed by all at once.
+    /// Verifies that a member has failed, as others report; only some replicas do, so that it isn't probed by all at
+    /// once.
     pub(super) fn verify(&mut self, now: Millis, target: Member) {
         let up = self.table.up().len() as f64;
         if !self.probes.likely_isolated() && self.rng.gen_bool((EXPECTED_VERIFIERS / up).min(1.0)) {
--- a/balancer/gossip/src/peers.rs
+++ b/balancer/gossip/src/peers.rs
@@ -76,7 +76,7 @@
         let clocks = PeerClocks::new(config.candidates, rng.gen(), now);
         let verdicts = Verdicts::new(config.own, config.zone, rng.gen());
         let sums = LoadTable::new(config.own, config.candidates, config.tenants);
-        let negotiation = VersionNegotiation::new(config.reads, now);
+        let negotiation = VersionNegotiation::new(config.reads);
         let membership = Membership::new(
             config.own,
             config.candidates,
@@ -254,7 +254,7 @@
         self.membership.detect_pause(now);
     }
 
-    /// When [`Peers::timeout`] is to be called next.
+    /// The time at which [`Peers::timeout`] is to be called next.
     pub fn next_timeout(&self) -> Option<Millis> {
         let timeouts = [
             self.membership.next_timeout(),
--- a/balancer/gossip/src/types.rs
+++ b/balancer/gossip/src/types.rs
@@ -9,8 +9,9 @@
 /// The length of the longest datagram that may be sent, in bytes.
 pub const DATAGRAM_MOST: usize = 256;
 
-/// The length of the header, in bytes. Every datagram of every version begins with these bytes, all numbers big-endian, and ends with the CRC-32 (IEEE) of
-/// all before it, so that replicas of any two versions learn which versions the other supports:
+/// The length of the header, in bytes. Every datagram of every version begins with these bytes, all numbers big-endian,
+/// and ends with the CRC-32 (IEEE) of all before it, so that replicas of any two versions learn which versions the
+/// other supports:
 ///
 /// | at | bytes | what |
 /// | --- | --- | --- |
--- a/balancer/gossip/src/versions/agreement.rs
+++ b/balancer/gossip/src/versions/agreement.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Takes a verified header.
+    /// Takes what a verified header announces, or what another member has relayed of a member, with an epoch of 0.
     pub fn handle_announcement(
         &mut self,
         now: u64,
@@ -62,8 +62,8 @@
     /// Adopts an agreement that another replica announces, if it is later than the one known of.
     fn consider_epoch(&mut self, now: u64, from: Member, reads: Versions, epoch: Epoch) {
         let version = epoch.version();
-        // A replica agrees only on what it supports itself; what this one doesn't support it leaves to the others, who will
-        // step down as soon as they receive it. And those that it doesn't mix with agree among themselves.
+        // A replica agrees only on what it supports itself; what this one doesn't support it leaves to the others, who
+        // will step down as soon as they receive it. And incompatible members agree among themselves.
         let supported = reads.contains(version) && self.own.contains(version);
         if !supported
             || self.announced.incompatible_versions(from).is_some()
@@ -90,8 +90,8 @@
         self.step_up.deadline()
     }
 
-    /// Steps up if that is due. A replica that comes to it late was paused: others may have come and gone, so it listens
-    /// for as long again.
+    /// Steps up if that is due. A replica that comes to it late was paused: others may have come and gone, so it
+    /// listens for as long again.
     pub fn on_timeout(&mut self, now: u64) {
         let Some(deadline) = self.step_up.deadline().filter(|&deadline| deadline <= now) else {
             return;
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Steps down at once where what is known of the members asks for it; else sees to it that a step up becomes due.
+    /// Steps down at once where what is known of the members requires it, and schedules a step up where it allows one.
     fn reevaluate(&mut self, now: u64) {
         let limit = self.announced.limit();
         if limit < self.epoch.version() && self.rules.holds(Rule::OwnKnowledge) {
@@ -115,8 +115,8 @@
             };
             self.adopt(now, epoch);
         }
-        // Where a member supports less, a tier shows so by its first agreement. Whoever joins it learns from that number
-        // that it is no part of a common start.
+        // Where a member supports less, a tier shows so by its first agreement. Whoever joins it learns from that
+        // number that it is no part of a common start.
         if self.epoch.counter() == 0 && self.announced.is_limited() {
             self.adopt(now, self.next_epoch(limit));
         }
--- a/balancer/gossip/src/versions/epoch.rs
+++ b/balancer/gossip/src/versions/epoch.rs
@@ -1,7 +1,7 @@
 //! The number of an agreement on a version. No state.
 
-/// A counter, and below it in the last byte the version agreed on. So two replicas that know of the same agreement speak
-/// the same version, and of two agreements all take the same one: the larger.
+/// A counter, and below it in the last byte the version agreed on. So two replicas that know of the same agreement
+/// speak the same version, and of two agreements all take the same one: the larger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Epoch(u64);
 
--- a/balancer/gossip/src/versions/mod.rs
+++ b/balancer/gossip/src/versions/mod.rs
@@ -2,9 +2,9 @@
 //! beside each other.
 //!
 //! Each replica announces in every datagram the versions it supports and the agreement it knows of, a number that holds
-//! the version. The larger number holds. A replica that knows a live member which does not support the version makes the
-//! next agreement, on less, at once; one that has known for long enough that all live members support more makes it on
-//! more. `docs/upgrades.md` has the guarantee, its assumptions and each constant's reason.
+//! the version. The larger number holds. A replica that knows a live member which does not support the version makes
+//! the next agreement, on less, at once; one that has known for long enough that all live members support more makes it
+//! on more. `docs/upgrades.md` has the guarantee, its assumptions and each constant's reason.
 #[doc(hidden)]
 pub mod agreement;
 mod announced;
@@ -32,13 +32,13 @@
     /// Whether the operator was notified why the version is lower than this replica could speak.
     limited: bool,
     notifications: VecDeque<Told>,
-    /// Members that the operator was notified of as incompatible, and the versions that they read.
+    /// Members that the operator was notified of as incompatible, and the versions that they support.
     incompatible: BTreeMap<Member, Versions>,
 }
 
 impl VersionNegotiation {
     /// A replica that has received nothing yet. It speaks the lowest version it supports.
-    pub fn new(own: Versions, _now: Millis) -> VersionNegotiation {
+    pub fn new(own: Versions) -> VersionNegotiation {
         let agreement = Agreement::new(Rules::default(), own);
         VersionNegotiation {
             agreement,
@@ -76,8 +76,8 @@
     }
 
     /// Takes the members that are up now besides this one, the suspected ones included. One of which nothing was
-    /// [received](Negotiation::received) holds the tier at the lowest version; so whoever learns from another that a
-    /// member is up must learn from it which versions that member supports, too.
+    /// [announced](VersionNegotiation::handle_announcement) holds the tier at the lowest version; so whoever learns
+    /// from another that a member is up must learn from it which versions that member supports, too.
     pub fn handle_members(&mut self, now: Millis, up: &[Member]) {
         self.apply(|agreement| agreement.handle_members(round_to_millis(now), up));
     }
@@ -87,7 +87,7 @@
         self.apply(|agreement| agreement.on_timeout(round_to_millis(now)));
     }
 
-    /// When [`VersionNegotiation::on_timeout`] is to be called next.
+    /// The time at which [`VersionNegotiation::on_timeout`] is to be called next.
     pub fn next_timeout(&self) -> Option<Millis> {
         self.agreement
             .next_timeout()
@@ -105,8 +105,8 @@
         self.agreement.epoch()
     }
 
-    /// Whether the rest of a datagram may be acted on; to be asked after its header was
-    /// [received](Negotiation::received).
+    /// Whether the rest of a datagram may be acted on; to be called after its header was
+    /// [announced](VersionNegotiation::handle_announcement).
     pub fn accepts(&self, version: u8, epoch: u64) -> bool {
         self.agreement.accepts(version, epoch)
     }
@@ -127,9 +127,9 @@
     }
 
     /// Applies a change, and notifies the operator of the version if it has changed, or of the member that limits it.
-    fn apply(&mut self, does: impl FnOnce(&mut Agreement)) {
+    fn apply(&mut self, change: impl FnOnce(&mut Agreement)) {
         let before = self.version();
-        does(&mut self.agreement);
+        change(&mut self.agreement);
         let now = self.version();
         let announced = self.agreement.announced();
         let limited = announced.is_limited();
--- a/balancer/gossip/src/versions/rules.rs
+++ b/balancer/gossip/src/versions/rules.rs
@@ -4,7 +4,8 @@
 
 /// A higher version is taken up when all live members have supported it for this long.
 pub const STEP_UP_DELAY: u64 = 5_000;
-/// The same for a tier that starts together and has agreed on nothing yet, and in which nobody was met who supports less.
+/// The same for a tier that starts together and has agreed on nothing yet, and in which nobody was met who supports
+/// less.
 pub const FIRST_STEP_UP_DELAY: u64 = 500;
 /// The delay doubles with each step down soon after a step up, to this at most.
 pub const MAX_STEP_UP_DELAY: u64 = 60_000;
@@ -17,7 +18,8 @@
 /// An agreement whose number is further ahead than this looks wrong.
 pub const MAX_EPOCH_JUMP: u64 = 1 << 16;
 
-/// A rule that the guarantee rests on. A test leaves one out at a time, to show that the model checker misses none of them.
+/// A rule that the guarantee rests on. A test leaves one out at a time, to show that the model checker misses none of
+/// them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Rule {
     /// Not what this replica supports decides, but what all live members support.
--- a/balancer/gossip/src/wire/section.rs
+++ b/balancer/gossip/src/wire/section.rs
@@ -1,5 +1,5 @@
-//! Lists within a payload of limited length: a byte with the count, then each item in postcard's encoding. Items are added
-//! as long as they fit, so that the most urgent goes first and a datagram is never too long. Knows no message.
+//! Lists within a payload of limited length: a byte with the count, then each item in postcard's encoding. Items are
+//! added as long as they fit, so that the most urgent goes first and a datagram is never too long. Knows no message.
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Writes as many of the items, in their order, as fit into `max_len` bytes while `reserved` bytes stay free behind them.
-    /// Returns how many were written.
+    /// Writes as many of the items, in their order, as fit into `max_len` bytes while `reserved` bytes stay free behind
+    /// them. Returns how many were written.
     pub(crate) fn list<'a, T: Serialize + 'a>(
         &mut self,
         items: impl IntoIterator<Item = &'a T>,
--- a/balancer/gossip/tests/common/mod.rs
+++ b/balancer/gossip/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A network of replicas in one process: delay, loss, repetition, late datagrams, partitions, pauses, restarts, on injected
-//! time and from a seed.
+//! A network of replicas in one process: delay, loss, repetition, late datagrams, partitions, pauses, restarts, on
+//! injected time and from a seed.
 #![allow(dead_code)]
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/balancer/gossip/tests/version_agreement.rs
+++ b/balancer/gossip/tests/version_agreement.rs
@@ -88,7 +88,7 @@
 impl Tier {
     fn start(all: &[Versions]) -> Tier {
         let replica = |&reads: &Versions| Replica {
-            negotiation: VersionNegotiation::new(reads, 0.0),
+            negotiation: VersionNegotiation::new(reads),
             reads,
             incarnation: 1,
             last_received: vec![-FAILURE_TIMEOUT; all.len()],
@@ -111,7 +111,7 @@
     /// A new process with nothing remembered.
     fn restart(&mut self, replica: usize, reads: Versions) {
         let it = &mut self.replicas[replica];
-        it.negotiation = VersionNegotiation::new(reads, self.now);
+        it.negotiation = VersionNegotiation::new(reads);
         (it.reads, it.incarnation, it.is_running) = (reads, it.incarnation + 1, true);
         it.last_received.fill(-FAILURE_TIMEOUT);
     }
@@ -362,7 +362,7 @@
             .iter()
             .all(|line| line.starts_with("no version in common with member")));
     }
-    let mut between = VersionNegotiation::new(NEW, 0.0);
+    let mut between = VersionNegotiation::new(NEW);
     between.handle_announcement(0.0, Member(2), 1, only_new, 2);
     between.handle_announcement(0.0, Member(0), 1, OLD, 1);
     between.handle_members(0.0, &[Member(0), Member(2)]);
@@ -373,7 +373,7 @@
 
 #[test]
 fn a_newcomer_whom_nobody_knows_is_spoken_to_in_the_lowest_version() {
-    let mut replica = VersionNegotiation::new(NEW, 0.0);
+    let mut replica = VersionNegotiation::new(NEW);
     let agreed = 9 << 8 | 2;
     replica.handle_announcement(0.0, Member(1), 1, NEW, agreed);
     replica.handle_members(0.0, &[Member(1)]);
@@ -397,7 +397,7 @@
 
 #[test]
 fn what_is_garbled_or_forged_does_no_lasting_harm() {
-    let mut replica = VersionNegotiation::new(NEW, 0.0);
+    let mut replica = VersionNegotiation::new(NEW);
     let agreed = 1 << 8 | 2;
     replica.handle_announcement(0.0, Member(1), 5, NEW, agreed);
     replica.handle_members(0.0, &[Member(1)]);
