--- a/balancer/gossip/src/knowledge/sums.rs
+++ b/balancer/gossip/src/knowledge/sums.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 
 use crate::knowledge::ages::earliest_creation;
-use crate::types::{Figures, Member, Millis, Sums, TenantFigures};
+use crate::types::{Load, Member, Millis, Sums, TenantLoad};
 use crate::wire::v1::age_to_ticks;
 use crate::wire::v2::{CompactFloat, TenantRow, Totals, UnnamedTenants, MAX_TENANT_ROWS};
 
@@ -46,19 +46,19 @@
 #[derive(Clone, Debug)]
 struct ReceivedTenants {
     created: Millis,
-    unnamed: TenantLoad,
+    unnamed: TenantValues,
     rows: Vec<TenantRow>,
 }
 
 /// Demand, calls in flight, client connections.
-type TenantLoad = [f64; 3];
+type TenantValues = [f64; 3];
 
 /// The loads received of each candidate, and this replica's own.
 #[derive(Debug)]
 pub struct LoadTable {
     own: Member,
     tenant_count: usize,
-    load: Figures,
+    load: Load,
     observed: Option<Millis>,
     totals: Vec<Option<ReceivedTotals>>,
     tenants: Vec<Option<ReceivedTenants>>,
@@ -73,7 +73,7 @@
         LoadTable {
             own,
             tenant_count: usize::from(tenants) + 1,
-            load: Figures::default(),
+            load: Load::default(),
             observed: None,
             totals: vec![None; candidates],
             tenants: vec![None; candidates],
@@ -82,11 +82,11 @@
     }
 
     /// Takes this replica's own load.
-    pub fn observe(&mut self, now: Millis, load: Figures) {
+    pub fn observe(&mut self, now: Millis, load: Load) {
         self.load = load;
         self.load
             .tenants
-            .resize(self.tenant_count, TenantFigures::default());
+            .resize(self.tenant_count, TenantLoad::default());
         self.observed = Some(now);
     }
 
@@ -239,7 +239,7 @@
         let (tenants, tenants_age) = self.tenant_sums(now, up);
         let [demand, room, firsts, retries] = totals.map(|total| total * scale);
         Some(Sums {
-            figures: Figures {
+            load: Load {
                 demand,
                 room,
                 firsts,
@@ -263,7 +263,7 @@
 
     /// Each tenant's sum, and the age of the oldest load in it. A tenant that an owner didn't name has an equal share
     /// of its unnamed load.
-    fn tenant_sums(&self, now: Millis, up: &[Member]) -> (Vec<TenantFigures>, Millis) {
+    fn tenant_sums(&self, now: Millis, up: &[Member]) -> (Vec<TenantLoad>, Millis) {
         let mut sums = self.load.tenants.clone();
         let mut sample = 1.0;
         let mut equal_share = [0.0; 3];
@@ -299,23 +299,23 @@
 }
 
 /// A load's totals, in their order on the wire.
-fn own_totals(load: &Figures) -> [f64; 4] {
+fn own_totals(load: &Load) -> [f64; 4] {
     [load.demand, load.room, load.firsts, load.retries]
 }
 
 /// A tenant's load, in its order on the wire.
-fn tenant_load(tenant: &TenantFigures) -> TenantLoad {
+fn tenant_load(tenant: &TenantLoad) -> TenantValues {
     [tenant.demand, tenant.calls, tenant.callers]
 }
 
-fn sum<'a>(tenants: impl Iterator<Item = &'a TenantFigures>) -> TenantLoad {
+fn sum<'a>(tenants: impl Iterator<Item = &'a TenantLoad>) -> TenantValues {
     tenants
         .map(tenant_load)
         .fold([0.0; 3], |a, b| [a[0] + b[0], a[1] + b[1], a[2] + b[2]])
 }
 
 /// A tenant's share of whatever it has the largest share of.
-fn largest_share(tenant: &TenantFigures, total: TenantLoad) -> f64 {
+fn largest_share(tenant: &TenantLoad, total: TenantValues) -> f64 {
     let shares = tenant_load(tenant).into_iter().zip(total);
     shares
         .map(|(value, total)| if total > 0.0 { value / total } else { 0.0 })
--- a/balancer/gossip/src/lib.rs
+++ b/balancer/gossip/src/lib.rs
@@ -3,7 +3,7 @@
 //! lost, repeated and reordered.
 //!
 //! [`Peers`] takes datagrams, time and what this replica observes itself, and returns datagrams to send
-//! and a [`Word`] of what the tier knows, each thing with its age. What is older than its bound is left out:
+//! and a [`TierState`] of what the tier knows, each thing with its age. What is older than its bound is left out:
 //! the caller does then what it would do alone. Sockets, addresses and
 //! settings are the caller's.
 #![forbid(unsafe_code)]
--- a/balancer/gossip/src/membership/mod.rs
+++ b/balancer/gossip/src/membership/mod.rs
@@ -96,7 +96,7 @@
     pub member: Member,
     /// Zero where it is not known.
     pub incarnation: u64,
-    pub reads: SupportedVersions,
+    pub supported_versions: SupportedVersions,
 }
 
 /// Members suspected and declared failed since the start.
@@ -150,14 +150,14 @@
         own: Member,
         candidates: u16,
         incarnation: u64,
-        reads: SupportedVersions,
+        supported_versions: SupportedVersions,
         rng: Pcg64Mcg,
         now: Millis,
     ) -> Membership {
         Membership {
             own,
             incarnation,
-            table: Table::new(own, candidates, reads, now),
+            table: Table::new(own, candidates, supported_versions, now),
             gossip: GossipQueue::default(),
             probes: Probes::default(),
             budget: Budget::new(now),
--- a/balancer/gossip/src/membership/receive.rs
+++ b/balancer/gossip/src/membership/receive.rs
@@ -12,7 +12,7 @@
 pub(crate) struct Sender {
     pub member: Member,
     pub incarnation: u64,
-    pub reads: SupportedVersions,
+    pub supported_versions: SupportedVersions,
 }
 
 /// How often others may know a higher incarnation of this replica than its own within [`REFUTATION_WINDOW`]: a
@@ -48,7 +48,7 @@
         let corrections = self.handle_sender(now, from, sender.incarnation, alive_at);
         if let Some(entry) = self.table.entries.get_mut(usize::from(from.0)) {
             if entry.incarnation == sender.incarnation {
-                entry.reads = sender.reads;
+                entry.supported_versions = sender.supported_versions;
             }
         }
         for update in &body.updates {
@@ -86,7 +86,7 @@
             .map(|member| RelayedVersions {
                 member,
                 incarnation: 0,
-                reads: digest.reads,
+                supported_versions: digest.supported_versions,
             });
         self.relayed_versions.extend(relayed);
         comparison.differing
@@ -309,7 +309,7 @@
         self.relayed_versions.push(RelayedVersions {
             member,
             incarnation: after.incarnation,
-            reads: after.reads,
+            supported_versions: after.supported_versions,
         });
         if after.status == Some(Status::Up) && before.incarnation > 0 && !before.up() {
             self.restarted.push(member);
--- a/balancer/gossip/src/membership/table.rs
+++ b/balancer/gossip/src/membership/table.rs
@@ -24,7 +24,7 @@
     /// Zero where it is only known to be up.
     pub incarnation: u64,
     /// The versions it has announced.
-    pub reads: SupportedVersions,
+    pub supported_versions: SupportedVersions,
     /// Since when it has this status.
     pub since: Millis,
     /// The last time at which it was certainly alive.
@@ -57,7 +57,7 @@
             Some(Status::Up) if !digested.is_up && recently_alive => true,
             // One of the two missed a start in another build.
             Some(_) if digested.is_up && self.up() => {
-                digested.has_common_versions != (self.reads == common)
+                digested.has_common_versions != (self.supported_versions == common)
             }
             _ => false,
         }
@@ -96,13 +96,13 @@
     pub(crate) fn new(
         own: Member,
         candidates: u16,
-        reads: SupportedVersions,
+        supported_versions: SupportedVersions,
         now: Millis,
     ) -> Table {
         let entry = Entry {
             status: None,
             incarnation: 0,
-            reads: SupportedVersions::default(),
+            supported_versions: SupportedVersions::default(),
             since: now,
             last_alive: f64::NEG_INFINITY,
             verified: false,
@@ -111,7 +111,7 @@
         let mut entries = vec![entry; usize::from(candidates)];
         entries[usize::from(own.0)] = Entry {
             status: Some(Status::Up),
-            reads,
+            supported_versions,
             ..entry
         };
         Table {
@@ -194,7 +194,7 @@
         entry.incarnation = update.incarnation;
         entry.verified = false;
         entry.probed = false;
-        entry.reads = update.reads;
+        entry.supported_versions = update.supported_versions;
         entry.since = if next == Status::Suspect { since } else { now };
         if changed {
             Applied::Changed
@@ -226,7 +226,7 @@
             member: member.0,
             incarnation,
             status,
-            reads: entry.reads,
+            supported_versions: entry.supported_versions,
             age,
         })
     }
@@ -240,8 +240,8 @@
         };
         self.view_base = base + DIGEST_SPAN;
         let section = &self.entries[base..self.entries.len().min(base + DIGEST_SPAN)];
-        let reads = self.most_common_versions();
-        let is_other = |entry: &Entry| entry.up() && entry.reads != reads;
+        let supported_versions = self.most_common_versions();
+        let is_other = |entry: &Entry| entry.up() && entry.supported_versions != supported_versions;
         let others = if section.iter().any(is_other) {
             bitmap(section, is_other)
         } else {
@@ -249,7 +249,7 @@
         };
         MembershipDigest {
             base: base as u16,
-            reads,
+            supported_versions,
             bits: bitmap(section, |entry| entry.status == Some(Status::Up)),
             others,
         }
@@ -260,12 +260,12 @@
         let mut counts: BTreeMap<(u8, u8), usize> = BTreeMap::new();
         for entry in self.entries.iter().filter(|entry| entry.up()) {
             *counts
-                .entry((entry.reads.least, entry.reads.most))
+                .entry((entry.supported_versions.min, entry.supported_versions.max))
                 .or_default() += 1;
         }
         let most_common = counts.into_iter().max_by_key(|(_, count)| *count);
-        most_common.map_or(SupportedVersions::default(), |((least, most), _)| {
-            SupportedVersions { least, most }
+        most_common.map_or(SupportedVersions::default(), |((min, max), _)| {
+            SupportedVersions { min, max }
         })
     }
 
@@ -287,9 +287,9 @@
             if is_newly_up && entry.status.is_none() {
                 entry.status = Some(Status::Up);
                 entry.since = now;
-                entry.reads = digest.reads;
+                entry.supported_versions = digest.supported_versions;
                 comparison.newly_up.push(member);
-            } else if entry.differs(now, &digested, digest.reads) {
+            } else if entry.differs(now, &digested, digest.supported_versions) {
                 comparison.differing.push(member);
             }
         }
--- a/balancer/gossip/src/peers.rs
+++ b/balancer/gossip/src/peers.rs
@@ -11,7 +11,8 @@
 use crate::knowledge::verdicts::Verdicts;
 use crate::membership::{Membership, OutgoingMessage, Piggyback, RelayedVersions, Sender};
 use crate::types::{
-    Config, ConfigError, Counts, Member, Millis, Own, Told, Transmit, Versions, Word, READS,
+    Config, ConfigError, Counters, Member, Millis, Notification, Observations, TierState, Transmit,
+    VersionRange, SUPPORTED_VERSIONS,
 };
 use crate::versions::VersionNegotiation;
 use crate::wire::v1::{Head, MembershipDigest, MessageKind};
@@ -39,14 +40,14 @@
 #[derive(Debug)]
 pub struct Peers {
     config: Config,
-    counts: Counts,
+    counts: Counters,
     rng: Pcg64Mcg,
     clocks: PeerClocks,
     membership: Membership,
     negotiation: VersionNegotiation,
     verdicts: Verdicts,
     sums: LoadTable,
-    notifications: VecDeque<Told>,
+    notifications: VecDeque<Notification>,
     /// The time of the last call: when datagrams are written.
     now: Millis,
     /// Whether the last notification said that this replica is isolated.
@@ -63,8 +64,8 @@
         if config.own.0 >= config.candidates {
             return Err(ConfigError("this copy is not among the peers"));
         }
-        let Versions { least, most } = config.reads;
-        if least > most || least < READS.least || most > READS.most {
+        let VersionRange { min, max } = config.supported_versions;
+        if min > max || min < SUPPORTED_VERSIONS.min || max > SUPPORTED_VERSIONS.max {
             return Err(ConfigError(
                 "no version of the peers' protocol is left to speak",
             ));
@@ -76,16 +77,16 @@
         let clocks = PeerClocks::new(config.candidates, rng.gen(), now);
         let verdicts = Verdicts::new(config.own, config.zone, rng.gen());
         let sums = LoadTable::new(config.own, config.candidates, config.tenants);
-        let negotiation = VersionNegotiation::new(config.reads);
+        let negotiation = VersionNegotiation::new(config.supported_versions);
         let membership = Membership::new(
             config.own,
             config.candidates,
             config.incarnation,
-            config.reads.into(),
+            config.supported_versions.into(),
             rng.clone(),
             now,
         );
-        let (counts, notifications) = (Counts::default(), VecDeque::new());
+        let (counts, notifications) = (Counters::default(), VecDeque::new());
         Ok(Peers {
             config,
             counts,
@@ -102,16 +103,16 @@
     }
 
     /// Takes a datagram that came from a candidate's address. Whatever is wrong with it, it is counted and dropped.
-    pub fn datagram(&mut self, now: Millis, from: Member, bytes: &[u8]) {
+    pub fn handle_datagram(&mut self, now: Millis, from: Member, bytes: &[u8]) {
         self.detect_pause(now);
         self.counts.read += 1;
         self.counts.read_bytes += bytes.len() as u64;
-        if let Err(rejection) = self.handle_datagram(now, from, bytes) {
+        if let Err(rejection) = self.try_handle_datagram(now, from, bytes) {
             self.count_rejection(rejection);
         }
     }
 
-    fn handle_datagram(
+    fn try_handle_datagram(
         &mut self,
         now: Millis,
         from: Member,
@@ -119,7 +120,7 @@
     ) -> Result<(), Rejection> {
         let (header, payload) = wire::open(bytes)?;
         self.check_sender(&header, from)?;
-        if !self.config.reads.contains(header.version) {
+        if !self.config.supported_versions.contains(header.version) {
             // Its payload can't be read, but the header has the sender and the versions that it supports.
             self.handle_header(now, &header);
             self.membership
@@ -136,7 +137,7 @@
         let sender = Sender {
             member: from,
             incarnation: header.incarnation,
-            reads: header.reads.into(),
+            supported_versions: header.supported_versions.into(),
         };
         self.membership
             .handle_message(now, sender, transit, &body.version_1);
@@ -161,9 +162,9 @@
 
     fn count_rejection(&mut self, rejection: Rejection) {
         let counter = match rejection {
-            Rejection::Malformed => &mut self.counts.broken,
-            Rejection::ForeignDeployment => &mut self.counts.foreign,
-            Rejection::UnsupportedVersion => &mut self.counts.unspoken,
+            Rejection::Malformed => &mut self.counts.malformed,
+            Rejection::ForeignDeployment => &mut self.counts.foreign_deployment,
+            Rejection::UnsupportedVersion => &mut self.counts.unsupported_version,
             Rejection::TooOld => &mut self.counts.old,
         };
         *counter += 1;
@@ -209,7 +210,7 @@
                 now,
                 header.place,
                 header.incarnation,
-                header.reads,
+                header.supported_versions,
                 header.epoch,
             );
         }
@@ -224,10 +225,15 @@
             let RelayedVersions {
                 member,
                 incarnation,
-                reads,
+                supported_versions,
             } = relayed;
-            self.negotiation
-                .handle_announcement(now, member, incarnation, reads.into(), 0);
+            self.negotiation.handle_announcement(
+                now,
+                member,
+                incarnation,
+                supported_versions.into(),
+                0,
+            );
         }
         if self.membership.take_changed() {
             let mut up = self.membership.up();
@@ -244,7 +250,7 @@
 
     fn notify(&mut self, line: String) {
         if self.notifications.len() < MAX_NOTIFICATIONS {
-            self.notifications.push_back(Told(line));
+            self.notifications.push_back(Notification(line));
         }
     }
 
@@ -264,7 +270,7 @@
     }
 
     /// Handles all timers that have expired.
-    pub fn timeout(&mut self, now: Millis) {
+    pub fn on_timeout(&mut self, now: Millis) {
         self.detect_pause(now);
         self.negotiation.on_timeout(now);
         self.membership.on_timeout(now);
@@ -273,7 +279,7 @@
     }
 
     /// Returns the next datagram to send; to be called until there is none, after each call that takes the time.
-    pub fn transmit(&mut self) -> Option<Transmit> {
+    pub fn poll_transmit(&mut self) -> Option<Transmit> {
         let message = self.membership.poll_message()?;
         let bytes = self.encode(&message);
         self.counts.sent += 1;
@@ -309,7 +315,7 @@
         self.membership.on_updates_written(&body.version_1.updates);
         let header = Header {
             version,
-            reads: self.config.reads,
+            supported_versions: self.config.supported_versions,
             place: self.config.own,
             incarnation: self.membership.incarnation(),
             deployment: self.config.deployment,
@@ -320,13 +326,13 @@
 
     /// The version to write to a candidate in: one that isn't up may support the lowest only.
     fn version_for(&self, to: Member) -> u8 {
-        let supported = self.config.reads;
+        let supported = self.config.supported_versions;
         let version = if self.membership.is_up(to) {
             self.negotiation.version()
         } else {
-            supported.least
+            supported.min
         };
-        version.clamp(supported.least, supported.most)
+        version.clamp(supported.min, supported.max)
     }
 
     fn version_1_body(&mut self, message: &OutgoingMessage) -> v1::Body {
@@ -360,23 +366,23 @@
     }
 
     /// Returns the next notification for the operator.
-    pub fn told(&mut self) -> Option<Told> {
+    pub fn poll_notification(&mut self) -> Option<Notification> {
         self.notifications
             .pop_front()
             .or_else(|| self.negotiation.poll_notification())
     }
 
     /// Takes what this replica observes itself.
-    pub fn observe(&mut self, now: Millis, own: Own) {
+    pub fn handle_observation(&mut self, now: Millis, own: Observations) {
         self.detect_pause(now);
         if self.verdicts.observe(now, &own.against, &own.cleared) {
             self.membership.disseminate(now);
         }
-        self.sums.observe(now, own.figures);
+        self.sums.observe(now, own.load);
     }
 
     /// What the tier knows.
-    pub fn word(&mut self, now: Millis) -> Word {
+    pub fn tier_state(&mut self, now: Millis) -> TierState {
         self.detect_pause(now);
         let members = self.membership.up();
         let position = members
@@ -391,7 +397,7 @@
         } else {
             None
         };
-        Word {
+        TierState {
             up: members.len() as u32,
             place: position as u32,
             version,
@@ -423,9 +429,9 @@
     }
 
     /// Counters since the start.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> Counters {
         let counters = self.membership.counters;
-        Counts {
+        Counters {
             suspected: counters.suspected,
             gone: counters.failed,
             steps: self.negotiation.steps(),
--- a/balancer/gossip/src/types.rs
+++ b/balancer/gossip/src/types.rs
@@ -7,7 +7,7 @@
 pub type Millis = f64;
 
 /// The length of the longest datagram that may be sent, in bytes.
-pub const DATAGRAM_MOST: usize = 256;
+pub const MAX_DATAGRAM_LEN: usize = 256;
 
 /// The length of the header, in bytes. Every datagram of every version begins with these bytes, all numbers big-endian,
 /// and ends with the CRC-32 (IEEE) of all before it, so that replicas of any two versions learn which versions the
@@ -22,8 +22,8 @@
 /// | 5 | 2 | the sender's position in the list |
 /// | 7 | 8 | its incarnation |
 /// | 15 | 4 | [`Config::deployment`] |
-/// | 19 | 8 | the number of the agreement on a version that it knows of ([`Word::epoch`]) |
-pub const HEADER: usize = 27;
+/// | 19 | 8 | the number of the agreement on a version that it knows of ([`TierState::epoch`]) |
+pub const HEADER_LEN: usize = 27;
 /// The first two bytes of every datagram.
 pub const MAGIC: [u8; 2] = *b"oP";
 
@@ -33,27 +33,27 @@
 
 /// A range of versions of the protocol that a replica supports, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Versions {
+pub struct VersionRange {
     /// The lowest.
-    pub least: u8,
+    pub min: u8,
     /// The highest.
-    pub most: u8,
+    pub max: u8,
 }
 
-impl Versions {
+impl VersionRange {
     /// Whether a version is in the range.
     pub(crate) fn contains(self, version: u8) -> bool {
-        self.least <= version && version <= self.most
+        self.min <= version && version <= self.max
     }
 
     /// Whether two ranges have a version in common.
-    pub(crate) fn overlaps(self, other: Versions) -> bool {
-        self.least <= other.most && other.least <= self.most
+    pub(crate) fn overlaps(self, other: VersionRange) -> bool {
+        self.min <= other.max && other.min <= self.max
     }
 }
 
 /// The versions that this program supports: 1 has membership and verdicts, 2 sums over the tier as well.
-pub const READS: Versions = Versions { least: 1, most: 2 };
+pub const SUPPORTED_VERSIONS: VersionRange = VersionRange { min: 1, max: 2 };
 
 /// The configuration of a replica at its start.
 #[derive(Clone, Debug, PartialEq)]
@@ -72,8 +72,8 @@
     pub tenants: u16,
     /// A hash of what must be the same for sums and positions to mean the same at two replicas.
     pub deployment: u32,
-    /// The versions it supports and may speak: [`READS`], or less where the operator pins them.
-    pub reads: Versions,
+    /// The versions it supports and may speak: [`SUPPORTED_VERSIONS`], or less where the operator pins them.
+    pub supported_versions: VersionRange,
 }
 
 /// The reason why a [`Config`] was rejected, as one line.
@@ -83,7 +83,7 @@
 
 /// The load of one tenant. It adds up over the tier.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct TenantFigures {
+pub struct TenantLoad {
     /// Requests a second that were asked for.
     pub demand: f64,
     /// Calls to upstreams in flight: the mean over a second, so that slow calls count for as long as they last.
@@ -94,7 +94,7 @@
 
 /// The load of a replica, or of a tier.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct Load {
     /// Requests a second that were asked for.
     pub demand: f64,
     /// Capacity of the next tier in requests a second, as the replica estimates it.
@@ -104,7 +104,7 @@
     /// Retries a second.
     pub retries: f64,
     /// Each tenant, by its position in the settings; a last entry for all that these don't name.
-    pub tenants: Vec<TenantFigures>,
+    pub tenants: Vec<TenantLoad>,
 }
 
 /// The subject of a verdict.
@@ -118,9 +118,9 @@
 
 /// All that this replica observes itself; replaces the former observations.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Own {
+pub struct Observations {
     /// Its load.
-    pub figures: Figures,
+    pub load: Load,
     /// What it has evidence against, the worst first.
     pub against: Vec<Subject>,
     /// What it had evidence against and has had a response from since, the latest first: others may use it again.
@@ -131,7 +131,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sums {
     /// The sums, this replica's own load included.
-    pub figures: Figures,
+    pub load: Load,
     /// The upper bound of the age of the oldest load in them.
     pub age: Millis,
     /// Members whose loads are in them, of those that are up; the sums are scaled from these to all.
@@ -158,7 +158,7 @@
 
 /// What the tier knows, as far as this replica has received it. What is older than its bound is not in it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Word {
+pub struct TierState {
     /// Members that are up, this replica included, and its position among them in the list's order.
     pub up: u32,
     /// See there.
@@ -180,17 +180,17 @@
 pub struct Transmit {
     /// To whom.
     pub to: Member,
-    /// Its bytes: [`DATAGRAM_MOST`] at most.
+    /// Its bytes: [`MAX_DATAGRAM_LEN`] at most.
     pub bytes: Vec<u8>,
 }
 
 /// A notification for the operator; each change once.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told(pub String);
+pub struct Notification(pub String);
 
 /// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct Counters {
     /// Datagrams sent, and their bytes.
     pub sent: u64,
     /// See there.
@@ -200,11 +200,11 @@
     /// See there.
     pub read_bytes: u64,
     /// Datagrams dropped, and why: malformed, of another deployment, of a version not spoken, too old.
-    pub broken: u64,
+    pub malformed: u64,
     /// See there.
-    pub foreign: u64,
+    pub foreign_deployment: u64,
     /// See there.
-    pub unspoken: u64,
+    pub unsupported_version: u64,
     /// See there.
     pub old: u64,
     /// Members newly suspected, and declared failed.
--- a/balancer/gossip/src/versions/agreement.rs
+++ b/balancer/gossip/src/versions/agreement.rs
@@ -4,13 +4,13 @@
 use super::epoch::Epoch;
 use super::rules::{Rule, Rules, MAX_EPOCH_JUMP, MAX_TIMER_LATENESS};
 use super::step_up::StepUpTimer;
-use crate::types::{Member, Versions};
+use crate::types::{Member, VersionRange};
 
 /// The state machine of the agreement. Times are in whole milliseconds on this replica's clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Agreement {
     rules: Rules,
-    own: Versions,
+    own: VersionRange,
     epoch: Epoch,
     announced: Announced,
     step_up: StepUpTimer,
@@ -18,11 +18,11 @@
 
 impl Agreement {
     /// A replica that knows of no agreement yet.
-    pub fn new(rules: Rules, own: Versions) -> Agreement {
+    pub fn new(rules: Rules, own: VersionRange) -> Agreement {
         Agreement {
             rules,
             own,
-            epoch: Epoch::first(own.least),
+            epoch: Epoch::first(own.min),
             announced: Announced::new(own),
             step_up: StepUpTimer::new(),
         }
@@ -34,37 +34,43 @@
         now: u64,
         from: Member,
         incarnation: u64,
-        reads: Versions,
+        supported_versions: VersionRange,
         epoch: u64,
     ) {
         // Every program supports some version, and none supports version 0.
-        if reads.least == 0 || reads.least > reads.most {
+        if supported_versions.min == 0 || supported_versions.min > supported_versions.max {
             return;
         }
         if !self
             .announced
-            .record_announcement(self.rules, from, incarnation, reads)
+            .record_announcement(self.rules, from, incarnation, supported_versions)
         {
             return self.reevaluate(now);
         }
-        if reads.most < self.own.most && reads.overlaps(self.own) {
+        if supported_versions.max < self.own.max && supported_versions.overlaps(self.own) {
             self.step_up.established();
-            if reads.most < self.announced.limit() {
+            if supported_versions.max < self.announced.limit() {
                 self.step_up.restart(now);
             }
         }
         if let Some(epoch) = Epoch::read(epoch) {
-            self.consider_epoch(now, from, reads, epoch);
+            self.consider_epoch(now, from, supported_versions, epoch);
         }
         self.reevaluate(now);
     }
 
     /// Adopts an agreement that another replica announces, if it is later than the one known of.
-    fn consider_epoch(&mut self, now: u64, from: Member, reads: Versions, epoch: Epoch) {
+    fn consider_epoch(
+        &mut self,
+        now: u64,
+        from: Member,
+        supported_versions: VersionRange,
+        epoch: Epoch,
+    ) {
         let version = epoch.version();
         // A replica agrees only on what it supports itself; what this one doesn't support it leaves to the others, who
         // will step down as soon as they receive it. And incompatible members agree among themselves.
-        let supported = reads.contains(version) && self.own.contains(version);
+        let supported = supported_versions.contains(version) && self.own.contains(version);
         if !supported
             || self.announced.incompatible_versions(from).is_some()
             || !self.rules.holds(Rule::Adopt)
@@ -162,14 +168,14 @@
     pub fn accepts(&self, version: u8, epoch: u64) -> bool {
         // Whoever knows of no agreement yet speaks the lowest version, which means the same under all of them.
         let agreed =
-            epoch == self.epoch.number() && version <= self.version() || version == self.own.least;
+            epoch == self.epoch.number() && version <= self.version() || version == self.own.min;
         let agreed = agreed || !self.rules.holds(Rule::OwnAgreement);
         let sound = Epoch::read(epoch).is_some_and(|epoch| version <= epoch.version());
         self.own.contains(version) && agreed && sound
     }
 
     /// The versions that this replica supports.
-    pub fn own(&self) -> Versions {
+    pub fn own(&self) -> VersionRange {
         self.own
     }
 
--- a/balancer/gossip/src/versions/mod.rs
+++ b/balancer/gossip/src/versions/mod.rs
@@ -17,7 +17,7 @@
 
 use self::agreement::Agreement;
 use self::rules::Rules;
-use crate::types::{Member, Millis, Told, Versions};
+use crate::types::{Member, Millis, Notification, VersionRange};
 
 /// Notifications for the operator that wait to be polled; with more the oldest are dropped.
 const MAX_NOTIFICATIONS: usize = 64;
@@ -31,14 +31,14 @@
     steps: u64,
     /// Whether the operator was notified why the version is lower than this replica could speak.
     limited: bool,
-    notifications: VecDeque<Told>,
+    notifications: VecDeque<Notification>,
     /// Members that the operator was notified of as incompatible, and the versions that they support.
-    incompatible: BTreeMap<Member, Versions>,
+    incompatible: BTreeMap<Member, VersionRange>,
 }
 
 impl VersionNegotiation {
     /// A replica that has received nothing yet. It speaks the lowest version it supports.
-    pub fn new(own: Versions) -> VersionNegotiation {
+    pub fn new(own: VersionRange) -> VersionNegotiation {
         let agreement = Agreement::new(Rules::default(), own);
         VersionNegotiation {
             agreement,
@@ -56,21 +56,27 @@
         now: Millis,
         from: Member,
         incarnation: u64,
-        reads: Versions,
+        supported_versions: VersionRange,
         epoch: u64,
     ) {
         self.apply(|agreement| {
-            agreement.handle_announcement(round_to_millis(now), from, incarnation, reads, epoch)
+            agreement.handle_announcement(
+                round_to_millis(now),
+                from,
+                incarnation,
+                supported_versions,
+                epoch,
+            )
         });
         let incompatible = self.incompatible_versions(from);
-        if let Some(reads) =
-            incompatible.filter(|&reads| self.incompatible.insert(from, reads) != Some(reads))
-        {
+        if let Some(supported_versions) = incompatible.filter(|&supported_versions| {
+            self.incompatible.insert(from, supported_versions) != Some(supported_versions)
+        }) {
             let own = self.agreement.own();
             self.notify(format!(
                 "no version in common with member {}, which reads {} to {}, while this copy reads {} to {} and speaks {}: \
                  they go without each other's word",
-                from.0, reads.least, reads.most, own.least, own.most, self.version()
+                from.0, supported_versions.min, supported_versions.max, own.min, own.max, self.version()
             ));
         }
     }
@@ -112,12 +118,12 @@
     }
 
     /// The versions of a member that supports none in which all live members meet.
-    pub fn incompatible_versions(&self, member: Member) -> Option<Versions> {
+    pub fn incompatible_versions(&self, member: Member) -> Option<VersionRange> {
         self.agreement.announced().incompatible_versions(member)
     }
 
     /// Returns the next notification for the operator.
-    pub fn poll_notification(&mut self) -> Option<Told> {
+    pub fn poll_notification(&mut self) -> Option<Notification> {
         self.notifications.pop_front()
     }
 
@@ -139,10 +145,10 @@
         }
         let why = match announced.limiting_member() {
             _ if now > before => "all live members read it".to_string(),
-            Some((member, Some(reads))) if reads.most == now => {
+            Some((member, Some(supported_versions))) if supported_versions.max == now => {
                 format!(
                     "member {} reads {} to {}",
-                    member.0, reads.least, reads.most
+                    member.0, supported_versions.min, supported_versions.max
                 )
             }
             Some((member, None)) => format!("nobody knows what member {} reads", member.0),
@@ -154,7 +160,7 @@
         let instead = if changed {
             format!("instead of {before}")
         } else {
-            format!("and not {}", self.agreement.own().most)
+            format!("and not {}", self.agreement.own().max)
         };
         self.notify(format!(
             "version {now} {instead}, by agreement {counter}: {why}"
@@ -165,7 +171,7 @@
         if self.notifications.len() == MAX_NOTIFICATIONS {
             self.notifications.pop_front();
         }
-        self.notifications.push_back(Told(line));
+        self.notifications.push_back(Notification(line));
     }
 }
 
--- a/balancer/gossip/src/wire/mod.rs
+++ b/balancer/gossip/src/wire/mod.rs
@@ -4,18 +4,18 @@
 pub mod v1;
 pub mod v2;
 
-use crate::types::{Member, Versions, DATAGRAM_MOST, HEADER, MAGIC};
+use crate::types::{Member, VersionRange, HEADER_LEN, MAGIC, MAX_DATAGRAM_LEN};
 
 /// The CRC-32 at the end, in bytes.
 const CHECKSUM_LEN: usize = 4;
 /// The length of the longest payload, in bytes.
-pub const MAX_PAYLOAD_LEN: usize = DATAGRAM_MOST - HEADER - CHECKSUM_LEN;
+pub const MAX_PAYLOAD_LEN: usize = MAX_DATAGRAM_LEN - HEADER_LEN - CHECKSUM_LEN;
 
 /// The header of every datagram of every version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
     pub version: u8,
-    pub reads: Versions,
+    pub supported_versions: VersionRange,
     pub place: Member,
     pub incarnation: u64,
     pub deployment: u32,
@@ -32,9 +32,13 @@
 
 /// Encodes a datagram: header, payload, checksum.
 pub fn seal(header: &Header, payload: &[u8]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(HEADER + payload.len() + CHECKSUM_LEN);
+    let mut bytes = Vec::with_capacity(HEADER_LEN + payload.len() + CHECKSUM_LEN);
     bytes.extend_from_slice(&MAGIC);
-    bytes.extend_from_slice(&[header.version, header.reads.least, header.reads.most]);
+    bytes.extend_from_slice(&[
+        header.version,
+        header.supported_versions.min,
+        header.supported_versions.max,
+    ]);
     bytes.extend_from_slice(&header.place.0.to_be_bytes());
     bytes.extend_from_slice(&header.incarnation.to_be_bytes());
     bytes.extend_from_slice(&header.deployment.to_be_bytes());
@@ -51,29 +55,35 @@
 ///
 /// When the length, the magic bytes, the checksum or the versions aren't those of a datagram.
 pub fn open(bytes: &[u8]) -> Result<(Header, &[u8]), DecodeError> {
-    if bytes.len() < HEADER + CHECKSUM_LEN || bytes.len() > DATAGRAM_MOST || bytes[..2] != MAGIC {
+    if bytes.len() < HEADER_LEN + CHECKSUM_LEN
+        || bytes.len() > MAX_DATAGRAM_LEN
+        || bytes[..2] != MAGIC
+    {
         return Err(DecodeError::Malformed);
     }
     let (body, checksum) = bytes.split_at(bytes.len() - CHECKSUM_LEN);
     if crc32fast::hash(body).to_be_bytes() != checksum {
         return Err(DecodeError::Malformed);
     }
-    let reads = Versions {
-        least: body[3],
-        most: body[4],
+    let supported_versions = VersionRange {
+        min: body[3],
+        max: body[4],
     };
-    if reads.least > reads.most || body[2] < reads.least || body[2] > reads.most {
+    if supported_versions.min > supported_versions.max
+        || body[2] < supported_versions.min
+        || body[2] > supported_versions.max
+    {
         return Err(DecodeError::Malformed);
     }
     let header = Header {
         version: body[2],
-        reads,
+        supported_versions,
         place: Member(u16::from_be_bytes(fixed(&body[5..7]))),
         incarnation: u64::from_be_bytes(fixed(&body[7..15])),
         deployment: u32::from_be_bytes(fixed(&body[15..19])),
         epoch: u64::from_be_bytes(fixed(&body[19..27])),
     };
-    Ok((header, &body[HEADER..]))
+    Ok((header, &body[HEADER_LEN..]))
 }
 
 /// The first bytes of a slice as an array; the slices that it is given have its length.
--- a/balancer/gossip/src/wire/v1.rs
+++ b/balancer/gossip/src/wire/v1.rs
@@ -3,7 +3,7 @@
 
 use super::section::{Reader, Writer};
 use super::DecodeError;
-use crate::types::{Subject, Versions};
+use crate::types::{Subject, VersionRange};
 
 /// The kind of a message, as in SWIM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,24 +52,24 @@
 /// The versions that a member supports, both ends included, as it announced them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SupportedVersions {
-    pub least: u8,
-    pub most: u8,
+    pub min: u8,
+    pub max: u8,
 }
 
-impl From<Versions> for SupportedVersions {
-    fn from(versions: Versions) -> SupportedVersions {
+impl From<VersionRange> for SupportedVersions {
+    fn from(versions: VersionRange) -> SupportedVersions {
         SupportedVersions {
-            least: versions.least,
-            most: versions.most,
+            min: versions.min,
+            max: versions.max,
         }
     }
 }
 
-impl From<SupportedVersions> for Versions {
-    fn from(versions: SupportedVersions) -> Versions {
-        Versions {
-            least: versions.least,
-            most: versions.most,
+impl From<SupportedVersions> for VersionRange {
+    fn from(versions: SupportedVersions) -> VersionRange {
+        VersionRange {
+            min: versions.min,
+            max: versions.max,
         }
     }
 }
@@ -79,7 +79,7 @@
 pub struct MembershipDigest {
     pub base: u16,
     /// The versions that most of them support.
-    pub reads: SupportedVersions,
+    pub supported_versions: SupportedVersions,
     pub bits: Vec<u8>,
     /// Those that support any others; empty if there are none.
     pub others: Vec<u8>,
@@ -104,7 +104,7 @@
 pub struct DigestedMember {
     pub member: u16,
     pub is_up: bool,
-    /// Whether it supports [`MembershipDigest::reads`].
+    /// Whether it supports [`MembershipDigest::supported_versions`].
     pub has_common_versions: bool,
 }
 
@@ -130,7 +130,7 @@
     pub member: u16,
     pub incarnation: u64,
     pub status: Status,
-    pub reads: SupportedVersions,
+    pub supported_versions: SupportedVersions,
     /// How long it has been suspected, in units of [`TICK`].
     pub age: u8,
 }
@@ -183,7 +183,7 @@
     pub(crate) fn encode(&mut self, to: &mut Writer, reserved: usize) {
         // The fixed part has 30 bytes at most and the digest what its owner limits it to, so both always fit.
         to.value(&self.head, 0);
-        to.value(&(self.digest.base, self.digest.reads), 0);
+        to.value(&(self.digest.base, self.digest.supported_versions), 0);
         to.list(&self.digest.bits, usize::MAX >> 1, reserved + 3);
         to.list(&self.digest.others, usize::MAX >> 1, reserved + 2);
         let verdicts = if self.verdicts.is_empty() {
@@ -198,10 +198,10 @@
 
     pub(crate) fn decode(from: &mut Reader<'_>) -> Result<Body, DecodeError> {
         let head = from.value()?;
-        let (base, reads) = from.value()?;
+        let (base, supported_versions) = from.value()?;
         let digest = MembershipDigest {
             base,
-            reads,
+            supported_versions,
             bits: from.list()?,
             others: from.list()?,
         };
--- a/balancer/gossip/tests/common/mod.rs
+++ b/balancer/gossip/tests/common/mod.rs
@@ -4,7 +4,9 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use balancer_gossip::{Config, Member, Millis, Own, Peers, Versions, Word, READS};
+use balancer_gossip::{
+    Config, Member, Millis, Observations, Peers, TierState, VersionRange, SUPPORTED_VERSIONS,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -89,16 +91,21 @@
     pub(crate) fn tier(n: u16, tenants: u16, net: Net, seed: u64) -> Sim {
         let mut sim = Sim::new(n, tenants, net, seed);
         for place in 0..n {
-            sim.start(place, 1_000, READS);
+            sim.start(place, 1_000, SUPPORTED_VERSIONS);
         }
         sim.run(20_000.0);
         sim
     }
 
     /// Starts a replica; returns its position among [`Sim::nodes`].
-    pub(crate) fn start(&mut self, place: u16, incarnation: u64, reads: Versions) -> usize {
+    pub(crate) fn start(
+        &mut self,
+        place: u16,
+        incarnation: u64,
+        supported_versions: VersionRange,
+    ) -> usize {
         let skew = self.rng.gen_range(0.0..3_600_000.0);
-        let node = self.node(place, incarnation, reads, skew);
+        let node = self.node(place, incarnation, supported_versions, skew);
         self.nodes.push(node);
         let at = self.nodes.len() - 1;
         self.flush(at);
@@ -108,11 +115,17 @@
     /// Starts a replica anew in place of one that ran or was killed, with nothing remembered.
     pub(crate) fn restart(&mut self, at: usize, incarnation: u64) {
         let (place, skew) = (self.nodes[at].place, self.rng.gen_range(0.0..3_600_000.0));
-        self.nodes[at] = self.node(place, incarnation, READS, skew);
+        self.nodes[at] = self.node(place, incarnation, SUPPORTED_VERSIONS, skew);
         self.flush(at);
     }
 
-    fn node(&mut self, place: u16, incarnation: u64, reads: Versions, skew: Millis) -> Node {
+    fn node(
+        &mut self,
+        place: u16,
+        incarnation: u64,
+        supported_versions: VersionRange,
+        skew: Millis,
+    ) -> Node {
         let config = Config {
             own: Member(place),
             candidates: self.candidates,
@@ -121,7 +134,7 @@
             zone: place % 3,
             tenants: self.tenants,
             deployment: 7,
-            reads,
+            supported_versions,
         };
         let peers = Peers::new(config, self.now + skew).expect("a valid configuration");
         Node {
@@ -153,12 +166,12 @@
         result
     }
 
-    pub(crate) fn word(&mut self, at: usize) -> Word {
-        self.with(at, |peers, now| peers.word(now))
+    pub(crate) fn tier_state(&mut self, at: usize) -> TierState {
+        self.with(at, |peers, now| peers.tier_state(now))
     }
 
-    pub(crate) fn observe(&mut self, at: usize, own: Own) {
-        self.with(at, |peers, now| peers.observe(now, own));
+    pub(crate) fn observe(&mut self, at: usize, own: Observations) {
+        self.with(at, |peers, now| peers.handle_observation(now, own));
     }
 
     pub(crate) fn alive(&self) -> Vec<usize> {
@@ -177,7 +190,7 @@
     /// Sends what a replica has to send, and schedules its next timeout.
     fn flush(&mut self, at: usize) {
         let place = self.nodes[at].place;
-        while let Some(transmit) = self.nodes[at].peers.as_mut().and_then(Peers::transmit) {
+        while let Some(transmit) = self.nodes[at].peers.as_mut().and_then(Peers::poll_transmit) {
             self.longest = self.longest.max(transmit.bytes.len());
             if self.is_recording {
                 self.recorded
@@ -257,13 +270,13 @@
         );
         if let Some(peers) = self.nodes[at].peers.as_mut() {
             for (from, bytes) in inbox {
-                peers.datagram(now + skew, Member(from), &bytes);
+                peers.handle_datagram(now + skew, Member(from), &bytes);
             }
             if peers
                 .next_timeout()
                 .is_some_and(|deadline| deadline - skew <= now + 0.002)
             {
-                peers.timeout(now + skew + 0.002);
+                peers.on_timeout(now + skew + 0.002);
             }
             self.flush(at);
         }
@@ -285,7 +298,7 @@
             return;
         }
         if let Some(peers) = node.peers.as_mut() {
-            peers.datagram(now + node.skew, Member(from), &bytes);
+            peers.handle_datagram(now + node.skew, Member(from), &bytes);
         }
         self.flush(at);
     }
--- a/balancer/gossip/tests/golden.rs
+++ b/balancer/gossip/tests/golden.rs
@@ -9,7 +9,7 @@
 };
 use balancer_gossip::wire::v2::{CompactFloat, TenantRow, Totals, UnnamedTenants};
 use balancer_gossip::wire::{open, seal, v1, v2, Header, MAX_PAYLOAD_LEN};
-use balancer_gossip::{Config, Member, Peers, Subject, Versions, READS};
+use balancer_gossip::{Config, Member, Peers, Subject, VersionRange, SUPPORTED_VERSIONS};
 use golden::{assert_stored, stored};
 
 const DATAGRAMS: &str = include_str!("golden/datagrams.hex");
@@ -28,7 +28,7 @@
 fn header(version: u8, n: u16) -> Header {
     Header {
         version,
-        reads: Versions { least: 1, most: 2 },
+        supported_versions: VersionRange { min: 1, max: 2 },
         place: Member(258 + n),
         incarnation: 0x1112_1314_1516_1718 + u64::from(n),
         deployment: DEPLOYMENT,
@@ -42,9 +42,9 @@
         member: 300 + at,
         incarnation: 0x3132_3334 << at,
         status: STATUSES[usize::from(at) % STATUSES.len()],
-        reads: SupportedVersions {
-            least: 3 + at as u8,
-            most: 4 + at as u8,
+        supported_versions: SupportedVersions {
+            min: 3 + at as u8,
+            max: 4 + at as u8,
         },
         age: 200 + at as u8,
     };
@@ -89,13 +89,13 @@
         }),
         recent_failures: 900 + n,
     };
-    let reads = SupportedVersions {
-        least: 5 + n as u8,
-        most: 6 + n as u8,
+    let supported_versions = SupportedVersions {
+        min: 5 + n as u8,
+        max: 6 + n as u8,
     };
     let digest = MembershipDigest {
         base: 1000 + n,
-        reads,
+        supported_versions,
         bits: vec![0xa5, 0x5a + n as u8],
         others: vec![0x81],
     };
@@ -206,7 +206,7 @@
 fn a_header_of_a_later_version_is_read() {
     let later = Header {
         version: 9,
-        reads: Versions { least: 2, most: 11 },
+        supported_versions: VersionRange { min: 2, max: 11 },
         ..header(9, 7)
     };
     let bytes = seal(&later, b"unknown");
@@ -225,15 +225,15 @@
         zone: 5,
         tenants: 1300,
         deployment: DEPLOYMENT,
-        reads: READS,
+        supported_versions: SUPPORTED_VERSIONS,
     };
     for (name, bytes) in stored(DATAGRAMS) {
         let mut peers = Peers::new(config.clone(), 0.0).expect("a configuration");
         let (header, _) = open(&bytes).expect("whole");
-        peers.datagram(1.0, header.place, &bytes);
+        peers.handle_datagram(1.0, header.place, &bytes);
         let counts = peers.counts();
         assert_eq!(
-            (counts.read, counts.broken, counts.foreign),
+            (counts.read, counts.malformed, counts.foreign_deployment),
             (1, 0, 0),
             "{name}"
         );
--- a/balancer/gossip/tests/hostile_datagrams.rs
+++ b/balancer/gossip/tests/hostile_datagrams.rs
@@ -1,6 +1,6 @@
 //! Datagrams that anybody who reaches the port can send: they do no harm.
 mod common;
-use balancer_gossip::{Member, HEADER, MAGIC};
+use balancer_gossip::{Member, HEADER_LEN, MAGIC};
 use common::{Sim, LOSSY};
 use proptest::prelude::*;
 
@@ -12,7 +12,7 @@
     bytes.extend(incarnation.to_be_bytes());
     bytes.extend(7_u32.to_be_bytes());
     bytes.extend(1_u64.to_be_bytes());
-    assert_eq!(bytes.len(), HEADER);
+    assert_eq!(bytes.len(), HEADER_LEN);
     bytes.extend(payload);
     let check = crc32fast::hash(&bytes);
     bytes.extend(check.to_be_bytes());
@@ -37,17 +37,17 @@
                 1 => bytes[..bytes.len().min(20)].to_vec(),
                 _ => sealed(*kind - 1, *from, incarnation % 2_000, &bytes[..bytes.len().min(225)]),
             };
-            sim.with(0, |peers, now| peers.datagram(now, Member(*from), &bytes));
+            sim.with(0, |peers, now| peers.handle_datagram(now, Member(*from), &bytes));
             dropped += 1;
             sim.run(5.0);
         }
         let after = sim.with(0, |peers, _| peers.counts());
-        let rejected = |counts: balancer_gossip::Counts| counts.broken + counts.foreign + counts.unspoken + counts.old;
+        let rejected = |counts: balancer_gossip::Counters| counts.malformed + counts.foreign_deployment + counts.unsupported_version + counts.old;
         // A payload of random bytes that happens to be one is rare, and does no harm either.
         prop_assert!(rejected(after) - rejected(before) + 8 >= dropped, "{before:?} {after:?}");
         sim.run(6_000.0);
         for at in 0..5 {
-            let state = sim.word(at);
+            let state = sim.tier_state(at);
             prop_assert!(state.up == 5 && state.joined && state.evidence.is_empty(), "{state:?}");
         }
     }
@@ -69,7 +69,7 @@
         for _ in 0..20 {
             sim.run(200.0);
             for at in sim.alive() {
-                prop_assert_eq!(sim.word(at).up, 5);
+                prop_assert_eq!(sim.tier_state(at).up, 5);
             }
         }
         prop_assert_eq!(sim.with(0, |peers, _| peers.counts().gone), failed);
--- a/balancer/gossip/tests/knowledge.rs
+++ b/balancer/gossip/tests/knowledge.rs
@@ -6,7 +6,7 @@
 use balancer_gossip::knowledge::verdicts::{self, Verdicts};
 use balancer_gossip::wire::v1::{Verdict, VerdictState};
 use balancer_gossip::wire::v2::{CompactFloat, Totals};
-use balancer_gossip::{Figures, Member, Millis, Subject, TenantFigures};
+use balancer_gossip::{Load, Member, Millis, Subject, TenantLoad};
 
 fn totals() -> impl Strategy<Value = Totals> {
     (1..8_u16, 0..90_u8, 0.0..100.0_f64).prop_map(|(owner, age, value)| {
@@ -46,7 +46,7 @@
         let up: Vec<Member> = (0..8).map(Member).collect();
         let sums = |received: &[Totals]| {
             let mut entries = LoadTable::new(Member(0), 8, 2);
-            entries.observe(10_000.0, Figures { tenants: vec![TenantFigures::default()], ..Figures::default() });
+            entries.observe(10_000.0, Load { tenants: vec![TenantLoad::default()], ..Load::default() });
             for entry in received {
                 entries.handle_loads(10_000.0, 5.0, Member(1), LoadEntries { totals: vec![*entry], ..LoadEntries::default() });
             }
--- a/balancer/gossip/tests/tier.rs
+++ b/balancer/gossip/tests/tier.rs
@@ -1,30 +1,30 @@
 //! Tiers of replicas on a simulated network: what the protocol guarantees, from seeds, under loss and faults.
 mod common;
-use balancer_gossip::{Figures, Own, Subject, TenantFigures, READS};
+use balancer_gossip::{Load, Observations, Subject, TenantLoad, SUPPORTED_VERSIONS};
 use common::{Net, Sim, LOSSY};
 
 /// What a replica observes; the demand differs from replica to replica by 30 in 100.
-fn own(place: u16, level: f64) -> Own {
+fn own(place: u16, level: f64) -> Observations {
     let demand = level * (0.48 + 1.04 * f64::from(place * 37 % 101) / 100.0);
     let tenant = |at: u16| {
         let part = f64::from(at + 1) / 55.0;
-        TenantFigures {
+        TenantLoad {
             demand: demand * part,
             calls: demand * part / 10.0,
             callers: 3.0,
         }
     };
     let tenants = (0..10).map(tenant).collect();
-    let figures = Figures {
+    let load = Load {
         demand,
         room: 2.0 * demand,
         firsts: demand,
         retries: 0.0,
         tenants,
     };
-    Own {
-        figures,
-        ..Own::default()
+    Observations {
+        load,
+        ..Observations::default()
     }
 }
 
@@ -43,7 +43,10 @@
 /// The share of the running replicas that know so many members as up.
 fn agree(sim: &mut Sim, up: u32) -> f64 {
     let alive = sim.alive();
-    let agree = alive.iter().filter(|at| sim.word(**at).up == up).count();
+    let agree = alive
+        .iter()
+        .filter(|at| sim.tier_state(**at).up == up)
+        .count();
     agree as f64 / alive.len() as f64
 }
 
@@ -52,7 +55,7 @@
     for n in [10, 60, 300] {
         let mut sim = Sim::new(n, 9, LOSSY, u64::from(n));
         for place in 0..n {
-            sim.start(place, 1_000, READS);
+            sim.start(place, 1_000, SUPPORTED_VERSIONS);
         }
         run_observing(&mut sim, 3_000.0, 100.0);
         assert!(agree(&mut sim, n.into()) >= 0.99, "{n} replicas start");
@@ -67,12 +70,15 @@
         let each = (sent(&mut sim) - before) as f64 / f64::from(n) / 4.0;
         assert!(each < 2_750.0, "{n} replicas: {each} bytes a second");
         assert!(sim.longest <= 256);
-        let truth: f64 = (0..n).map(|place| own(place, 200.0).figures.demand).sum();
+        let truth: f64 = (0..n).map(|place| own(place, 200.0).load.demand).sum();
         for at in 0..usize::from(n) {
-            let sums = sim.word(at).sums.unwrap_or_else(|| {
-                panic!("{n} replicas: {at} received too little: {:?}", sim.word(at))
+            let sums = sim.tier_state(at).sums.unwrap_or_else(|| {
+                panic!(
+                    "{n} replicas: {at} received too little: {:?}",
+                    sim.tier_state(at)
+                )
             });
-            let off = (sums.figures.demand / truth - 1.0).abs();
+            let off = (sums.load.demand / truth - 1.0).abs();
             // Six times the error that is stated, so that one replica of 300 doesn't fail the test by chance.
             assert!(
                 off <= 6.0 * sums.error + 0.005,
@@ -91,14 +97,14 @@
 fn first_evidence_reaches_all_within_half_a_second_and_expires_unless_renewed() {
     let mut sim = Sim::tier(60, 9, LOSSY, 5);
     let subject = Subject::Upstream(77);
-    let accusing = Own {
+    let accusing = Observations {
         against: vec![subject],
         ..own(0, 100.0)
     };
     sim.observe(0, accusing);
     sim.run(500.0);
     for at in 1..60 {
-        let state = sim.word(at);
+        let state = sim.tier_state(at);
         let evidence = state.evidence.first().expect("the evidence is there");
         assert_eq!(
             (evidence.subject, evidence.observers, evidence.zones),
@@ -112,25 +118,25 @@
     }
     sim.observe(
         0,
-        Own {
+        Observations {
             cleared: vec![subject],
             ..own(0, 100.0)
         },
     );
     sim.run(500.0);
-    let cleared = |state: balancer_gossip::Word| {
+    let cleared = |state: balancer_gossip::TierState| {
         state
             .evidence
             .first()
             .map(|evidence| (evidence.observers, evidence.cleared))
     };
     assert!(
-        (1..60).all(|at| cleared(sim.word(at)) == Some((0, 1))),
+        (1..60).all(|at| cleared(sim.tier_state(at)) == Some((0, 1))),
         "withdrawn everywhere"
     );
     sim.run(3_200.0);
     assert!(
-        (0..60).all(|at| sim.word(at).evidence.is_empty()),
+        (0..60).all(|at| sim.tier_state(at).evidence.is_empty()),
         "nothing is retained beyond its bound"
     );
 }
@@ -169,7 +175,7 @@
     sim.is_partitioned = Box::new(|from, to| (from < 12) != (to < 12));
     run_observing(&mut sim, 6_000.0, 100.0);
     for at in 0..24 {
-        let state = sim.word(at);
+        let state = sim.tier_state(at);
         assert!(
             !state.joined && state.sums.is_none(),
             "half a tier is not all of it: {state:?}"
@@ -183,7 +189,7 @@
     sim.restart(20, 1);
     sim.is_partitioned = Box::new(|_, _| false);
     let took = run_until(&mut sim, 8_000.0, |sim| {
-        agree(sim, 23) == 1.0 && sim.word(0).joined
+        agree(sim, 23) == 1.0 && sim.tier_state(0).joined
     });
     println!("healed in {took} ms");
 }
@@ -198,10 +204,10 @@
     // One receives nothing: it reports itself as isolated, and makes nobody else suspect the others.
     sim.is_partitioned = Box::new(|_, to| to == 5);
     sim.run(6_000.0);
-    assert!(!sim.word(5).joined);
+    assert!(!sim.tier_state(5).joined);
     let others: Vec<u32> = (0..24)
         .filter(|at| *at != 5)
-        .map(|at| sim.word(at).up)
+        .map(|at| sim.tier_state(at).up)
         .collect();
     assert!(others.iter().all(|up| *up == 23), "{others:?}");
     sim.is_partitioned = Box::new(|_, _| false);
@@ -228,20 +234,20 @@
     sim.kill(11);
     run_until(&mut sim, 700.0, |sim| agree(sim, 23) == 1.0);
     assert_eq!(suspected(&mut sim), before);
-    assert!(sim.word(0).joined);
+    assert!(sim.tier_state(0).joined);
 }
 
 #[test]
 fn a_tier_grows_shrinks_and_loses_most_of_itself() {
     let mut sim = Sim::new(60, 9, LOSSY, 41);
     for place in 0..3 {
-        sim.start(place, 1_000, READS);
+        sim.start(place, 1_000, SUPPORTED_VERSIONS);
     }
     sim.run(6_000.0);
     assert_eq!(agree(&mut sim, 3), 1.0);
-    assert!(sim.word(0).joined);
+    assert!(sim.tier_state(0).joined);
     for place in 3..60 {
-        sim.start(place, 1_000, READS);
+        sim.start(place, 1_000, SUPPORTED_VERSIONS);
     }
     run_until(&mut sim, 4_000.0, |sim| agree(sim, 60) == 1.0);
     sim.run(8_000.0);
@@ -250,7 +256,7 @@
     let joined = sim
         .alive()
         .into_iter()
-        .filter(|at| sim.word(*at).joined)
+        .filter(|at| sim.tier_state(*at).joined)
         .count();
     assert_eq!(
         joined, 0,
@@ -260,22 +266,24 @@
     // Back at once with nothing remembered.
     (0..42).for_each(|at| sim.restart(at, 2_000));
     run_until(&mut sim, 6_000.0, |sim| {
-        agree(sim, 60) == 1.0 && sim.word(50).joined
+        agree(sim, 60) == 1.0 && sim.tier_state(50).joined
     });
 }
 
 #[test]
 fn two_replicas_under_one_name_are_reported_once_and_stay_one_member() {
     let mut sim = Sim::tier(12, 9, LOSSY, 51);
-    let twin = sim.start(4, 5_000, READS);
+    let twin = sim.start(4, 5_000, SUPPORTED_VERSIONS);
     let mut lines = Vec::new();
     let mut lowest = u32::MAX;
     for _ in 0..100 {
         sim.run(200.0);
         for at in [4, twin] {
-            lines.extend(std::iter::from_fn(|| sim.with(at, |peers, _| peers.told())));
+            lines.extend(std::iter::from_fn(|| {
+                sim.with(at, |peers, _| peers.poll_notification())
+            }));
         }
-        lowest = lowest.min(sim.word(0).up);
+        lowest = lowest.min(sim.tier_state(0).up);
     }
     let named = lines
         .iter()
--- a/balancer/gossip/tests/upgrades.rs
+++ b/balancer/gossip/tests/upgrades.rs
@@ -1,13 +1,13 @@
 //! An upgrade and the way back with complete state machines over a network that loses, repeats and delays.
 mod common;
 
-use balancer_gossip::{Figures, Own, TenantFigures, Versions, READS};
+use balancer_gossip::{Load, Observations, TenantLoad, VersionRange, SUPPORTED_VERSIONS};
 use common::{Sim, LOSSY};
 
-const OLD: Versions = Versions { least: 1, most: 1 };
+const OLD: VersionRange = VersionRange { min: 1, max: 1 };
 
 /// Ends the replica at a place as an orderly stop does, and starts it 0.5 s later with nothing remembered.
-fn restart_as(sim: &mut Sim, place: u16, incarnation: u64, reads: Versions) {
+fn restart_as(sim: &mut Sim, place: u16, incarnation: u64, supported_versions: VersionRange) {
     let running = sim
         .alive()
         .into_iter()
@@ -17,29 +17,33 @@
     sim.run(50.0);
     sim.kill(running);
     sim.run(500.0);
-    sim.start(place, incarnation, reads);
+    sim.start(place, incarnation, supported_versions);
 }
 
 /// Lets all observe what they do for so long; the versions that are spoken then, each once, and how many know sums.
 fn observe_for(sim: &mut Sim, seconds: u32) -> (Vec<u8>, usize) {
     for _ in 0..seconds * 4 {
         for at in sim.alive() {
-            let figures = Figures {
+            let load = Load {
                 demand: 10.0,
-                tenants: vec![TenantFigures::default(); 11],
-                ..Figures::default()
+                tenants: vec![TenantLoad::default(); 11],
+                ..Load::default()
             };
             sim.observe(
                 at,
-                Own {
-                    figures,
-                    ..Own::default()
+                Observations {
+                    load,
+                    ..Observations::default()
                 },
             );
         }
         sim.run(250.0);
     }
-    let states: Vec<_> = sim.alive().into_iter().map(|at| sim.word(at)).collect();
+    let states: Vec<_> = sim
+        .alive()
+        .into_iter()
+        .map(|at| sim.tier_state(at))
+        .collect();
     assert!(states
         .iter()
         .all(|state| u64::from(state.version) == state.epoch & 0xff));
@@ -61,7 +65,7 @@
     });
     assert_eq!(observe_for(&mut sim, 10), (vec![1], 0));
     for place in 0..N {
-        restart_as(&mut sim, place, 2_000, READS);
+        restart_as(&mut sim, place, 2_000, SUPPORTED_VERSIONS);
         assert_eq!(
             observe_for(&mut sim, 1),
             (vec![1], 0),
@@ -102,7 +106,7 @@
             .expect("it runs");
         sim.kill(at);
         sim.run(500.0);
-        sim.start(1, 3_000, READS);
+        sim.start(1, 3_000, SUPPORTED_VERSIONS);
         assert_eq!(observe_for(&mut sim, 12).0, [2]);
         for at in sim.alive().into_iter().filter(|at| *at < 60) {
             assert_eq!(
--- a/balancer/gossip/tests/version_agreement.rs
+++ b/balancer/gossip/tests/version_agreement.rs
@@ -4,12 +4,12 @@
     FIRST_STEP_UP_DELAY, MAX_STEP_UP_DELAY, STABLE_AFTER, STEP_UP_DELAY,
 };
 use balancer_gossip::versions::VersionNegotiation;
-use balancer_gossip::{Member, Millis, Versions};
+use balancer_gossip::{Member, Millis, VersionRange};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-const OLD: Versions = Versions { least: 1, most: 1 };
-const NEW: Versions = Versions { least: 1, most: 2 };
+const OLD: VersionRange = VersionRange { min: 1, max: 1 };
+const NEW: VersionRange = VersionRange { min: 1, max: 2 };
 /// Each replica writes to each other so often, and is taken for gone after so long a silence.
 const SEND_INTERVAL: Millis = 100.0;
 const FAILURE_TIMEOUT: Millis = 2_000.0;
@@ -17,7 +17,7 @@
 /// What a datagram's header says of its sender.
 struct Header {
     incarnation: u64,
-    reads: Versions,
+    supported_versions: VersionRange,
     epoch: u64,
     version: u8,
 }
@@ -25,7 +25,7 @@
 /// A replica, with what stands in for its membership: when it last acted on a datagram of each other.
 struct Replica {
     negotiation: VersionNegotiation,
-    reads: Versions,
+    supported_versions: VersionRange,
     incarnation: u64,
     last_received: Vec<Millis>,
     is_running: bool,
@@ -44,15 +44,21 @@
     fn take(&mut self, now: Millis, from: usize, header: &Header) {
         let Header {
             incarnation,
-            reads,
+            supported_versions,
             epoch,
             version,
         } = *header;
-        self.negotiation
-            .handle_announcement(now, Member(from as u16), incarnation, reads, epoch);
+        self.negotiation.handle_announcement(
+            now,
+            Member(from as u16),
+            incarnation,
+            supported_versions,
+            epoch,
+        );
         if self.negotiation.accepts(version, epoch) {
             assert!(
-                version <= self.reads.most && (version == 1 || epoch == self.negotiation.epoch())
+                version <= self.supported_versions.max
+                    && (version == 1 || epoch == self.negotiation.epoch())
             );
             self.last_received[from] = now;
             self.negotiation.handle_members(now, &self.up(now));
@@ -62,7 +68,7 @@
     fn header(&self) -> Header {
         Header {
             incarnation: self.incarnation,
-            reads: self.reads,
+            supported_versions: self.supported_versions,
             epoch: self.negotiation.epoch(),
             version: self.negotiation.version(),
         }
@@ -86,10 +92,10 @@
 }
 
 impl Tier {
-    fn start(all: &[Versions]) -> Tier {
-        let replica = |&reads: &Versions| Replica {
-            negotiation: VersionNegotiation::new(reads),
-            reads,
+    fn start(all: &[VersionRange]) -> Tier {
+        let replica = |&supported_versions: &VersionRange| Replica {
+            negotiation: VersionNegotiation::new(supported_versions),
+            supported_versions,
             incarnation: 1,
             last_received: vec![-FAILURE_TIMEOUT; all.len()],
             is_running: true,
@@ -109,10 +115,11 @@
     }
 
     /// A new process with nothing remembered.
-    fn restart(&mut self, replica: usize, reads: Versions) {
+    fn restart(&mut self, replica: usize, supported_versions: VersionRange) {
         let it = &mut self.replicas[replica];
-        it.negotiation = VersionNegotiation::new(reads);
-        (it.reads, it.incarnation, it.is_running) = (reads, it.incarnation + 1, true);
+        it.negotiation = VersionNegotiation::new(supported_versions);
+        (it.supported_versions, it.incarnation, it.is_running) =
+            (supported_versions, it.incarnation + 1, true);
         it.last_received.fill(-FAILURE_TIMEOUT);
     }
 
@@ -183,25 +190,27 @@
 fn a_rolling_upgrade_and_its_way_back() {
     let mut tier = Tier::start(&[OLD; 24]);
     tier.run(3_000);
-    let upgrade =
-        |tier: &mut Tier, replicas: std::ops::Range<usize>, reads: Versions, speak: u8| {
-            for replica in replicas {
-                tier.stop(replica);
-                tier.run(500);
-                tier.restart(replica, reads);
-                for _ in 0..10 {
-                    tier.run(100);
-                    let running = tier
-                        .replicas
-                        .iter()
-                        .enumerate()
-                        .filter(|(i, _)| speak == 1 || *i != replica);
-                    for (_, replica) in running {
-                        assert_eq!(replica.negotiation.version(), speak);
-                    }
+    let upgrade = |tier: &mut Tier,
+                   replicas: std::ops::Range<usize>,
+                   supported_versions: VersionRange,
+                   speak: u8| {
+        for replica in replicas {
+            tier.stop(replica);
+            tier.run(500);
+            tier.restart(replica, supported_versions);
+            for _ in 0..10 {
+                tier.run(100);
+                let running = tier
+                    .replicas
+                    .iter()
+                    .enumerate()
+                    .filter(|(i, _)| speak == 1 || *i != replica);
+                for (_, replica) in running {
+                    assert_eq!(replica.negotiation.version(), speak);
                 }
             }
-        };
+        }
+    };
     // Half of it, and back; then all of it.
     upgrade(&mut tier, 0..12, NEW, 1);
     tier.run(MAX_STEP_UP_DELAY);
@@ -322,7 +331,7 @@
     tier.stop(1);
     let late = Header {
         incarnation: tier.replicas[1].incarnation,
-        reads: OLD,
+        supported_versions: OLD,
         epoch: 1,
         version: 1,
     };
@@ -332,7 +341,7 @@
         now,
         Member(1),
         late.incarnation,
-        late.reads,
+        late.supported_versions,
         late.epoch,
     );
     assert_eq!(tier.versions_spoken(), [2]);
@@ -340,7 +349,7 @@
 
 #[test]
 fn groups_with_nothing_in_common_stay_apart_and_say_so_once() {
-    let only_new = Versions { least: 2, most: 2 };
+    let only_new = VersionRange { min: 2, max: 2 };
     let mut tier = Tier::start(&[OLD, OLD, only_new, only_new]);
     tier.run(60_000);
     for (i, replica) in tier.replicas.iter_mut().enumerate() {
@@ -401,28 +410,25 @@
     let agreed = 1 << 8 | 2;
     replica.handle_announcement(0.0, Member(1), 5, NEW, agreed);
     replica.handle_members(0.0, &[Member(1)]);
-    for (reads, epoch) in [
+    for (supported_versions, epoch) in [
         (NEW, u64::MAX),
         (NEW, u64::MAX - 0xff + 2),
         (NEW, 1 << 40 | 2),
         (NEW, 7 << 8 | 9),
         (NEW, 7 << 8),
         (OLD, 0),
-        (
-            Versions {
-                least: 0,
-                most: 255,
-            },
-            8 << 8 | 2,
-        ),
-        (Versions { least: 2, most: 1 }, 8 << 8 | 2),
+        (VersionRange { min: 0, max: 255 }, 8 << 8 | 2),
+        (VersionRange { min: 2, max: 1 }, 8 << 8 | 2),
     ] {
         // In between it goes on saying what is so.
-        replica.handle_announcement(1.0, Member(1), 5, reads, epoch);
+        replica.handle_announcement(1.0, Member(1), 5, supported_versions, epoch);
         for _ in 0..3 {
             replica.handle_announcement(2.0, Member(1), 5, NEW, agreed);
         }
-        assert!(replica.epoch() >> 8 <= 2, "{reads:?} {epoch:x}");
+        assert!(
+            replica.epoch() >> 8 <= 2,
+            "{supported_versions:?} {epoch:x}"
+        );
     }
     // One garbled announcement of less was acted on at once, as it had to be, and is over after the step-up delay.
     assert_eq!((replica.version(), replica.epoch()), (1, 2 << 8 | 1));
--- a/balancer/gossip/tests/version_model.rs
+++ b/balancer/gossip/tests/version_model.rs
@@ -7,17 +7,17 @@
 //! step-up delay ends whenever. Copies start anew in either build with nothing remembered but a larger incarnation.
 use balancer_gossip::versions::agreement::Agreement;
 use balancer_gossip::versions::rules::{Rule, Rules, MAX_STEP_UP_DELAY};
-use balancer_gossip::{Member, Versions};
+use balancer_gossip::{Member, VersionRange};
 use stateright::{Checker, Model, Property};
 
 const REPLICAS: usize = 3;
-const OLD: Versions = Versions { least: 1, most: 1 };
-const NEW: Versions = Versions { least: 1, most: 2 };
+const OLD: VersionRange = VersionRange { min: 1, max: 1 };
+const NEW: VersionRange = VersionRange { min: 1, max: 2 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Header {
     incarnation: u64,
-    reads: Versions,
+    supported_versions: VersionRange,
     epoch: u64,
     version: u8,
 }
@@ -26,10 +26,10 @@
 struct Replica {
     agreement: Agreement,
     incarnation: u64,
-    reads: Versions,
+    supported_versions: VersionRange,
     up: [bool; REPLICAS],
     /// The latest start of each of the others that it has received, and what that reads.
-    announced: [Option<(u64, Versions)>; REPLICAS],
+    announced: [Option<(u64, VersionRange)>; REPLICAS],
     /// What it has written, the latest last.
     written: Vec<Header>,
 }
@@ -62,7 +62,7 @@
     StepUpDelay(usize),
     Start {
         replica: usize,
-        reads: Versions,
+        supported_versions: VersionRange,
     },
 }
 
@@ -76,13 +76,18 @@
 }
 
 impl Replica {
-    fn start(rules: Rules, incarnation: u64, reads: Versions, written: Vec<Header>) -> Replica {
-        let agreement = Agreement::new(rules, reads);
+    fn start(
+        rules: Rules,
+        incarnation: u64,
+        supported_versions: VersionRange,
+        written: Vec<Header>,
+    ) -> Replica {
+        let agreement = Agreement::new(rules, supported_versions);
         let (up, announced) = ([false; REPLICAS], [None; REPLICAS]);
         Replica {
             agreement,
             incarnation,
-            reads,
+            supported_versions,
             up,
             announced,
             written,
@@ -93,7 +98,7 @@
         let (epoch, version) = (self.agreement.epoch(), self.agreement.version());
         Header {
             incarnation: self.incarnation,
-            reads: self.reads,
+            supported_versions: self.supported_versions,
             epoch,
             version,
         }
@@ -113,21 +118,26 @@
     fn take(&mut self, now: u64, from: usize, header: Header) -> bool {
         let Header {
             incarnation,
-            reads,
+            supported_versions,
             epoch,
             version,
         } = header;
-        self.agreement
-            .handle_announcement(now, Member(from as u16), incarnation, reads, epoch);
+        self.agreement.handle_announcement(
+            now,
+            Member(from as u16),
+            incarnation,
+            supported_versions,
+            epoch,
+        );
         if self.announced[from].is_none_or(|before| before.0 < incarnation) {
-            self.announced[from] = Some((incarnation, reads));
+            self.announced[from] = Some((incarnation, supported_versions));
         }
         if !self.agreement.accepts(version, epoch) {
             return false;
         }
         self.set(now, from, true);
         // Above the lowest, what counts is the version's and the agreement's.
-        version > self.reads.most || version > 1 && epoch != self.agreement.epoch()
+        version > self.supported_versions.max || version > 1 && epoch != self.agreement.epoch()
     }
 
     fn set(&mut self, now: u64, of: usize, up: bool) {
@@ -163,7 +173,10 @@
                 .iter_mut()
                 .for_each(|replica| replica.agreement.on_timeout(now));
         }
-        let version = replicas.iter().map(|replica| replica.reads.most).min();
+        let version = replicas
+            .iter()
+            .map(|replica| replica.supported_versions.max)
+            .min();
         let agreed = replicas.iter().all(|replica| {
             replica.agreement.epoch() == replicas[0].agreement.epoch()
                 && Some(replica.agreement.version()) == version
@@ -183,9 +196,11 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<World> {
-        let world = |builds: [Versions; REPLICAS]| {
+        let world = |builds: [VersionRange; REPLICAS]| {
             let mut replicas = builds
-                .map(|reads| Replica::start(self.rules, 1, reads, Vec::new()))
+                .map(|supported_versions| {
+                    Replica::start(self.rules, 1, supported_versions, Vec::new())
+                })
                 .to_vec();
             replicas
                 .iter_mut()
@@ -206,7 +221,10 @@
                 acts.push(Act::StepUpDelay(replica));
             }
             if world.starts < self.starts {
-                acts.extend([OLD, NEW].map(|reads| Act::Start { replica, reads }));
+                acts.extend([OLD, NEW].map(|supported_versions| Act::Start {
+                    replica,
+                    supported_versions,
+                }));
             }
         }
         for (from, to) in pairs() {
@@ -236,7 +254,10 @@
                 agreement.on_timeout(deadline);
                 agreement.shift(deadline);
             }
-            Act::Start { replica, reads } => {
+            Act::Start {
+                replica,
+                supported_versions,
+            } => {
                 world.starts += 1;
                 let Replica {
                     incarnation,
@@ -244,7 +265,7 @@
                     ..
                 } = world.replicas[replica].clone();
                 world.replicas[replica] =
-                    Replica::start(self.rules, incarnation + 1, reads, written);
+                    Replica::start(self.rules, incarnation + 1, supported_versions, written);
             }
         }
         for (replica, was) in world.replicas.iter_mut().zip(&before.replicas) {
@@ -264,8 +285,9 @@
                         let version = replica.agreement.version();
                         (0..REPLICAS).filter(|&i| replica.up[i]).all(|i| {
                             version == 1
-                                || replica.announced[i]
-                                    .is_some_and(|(_, reads)| version <= reads.most)
+                                || replica.announced[i].is_some_and(|(_, supported_versions)| {
+                                    version <= supported_versions.max
+                                })
                         })
                     })
                 },
--- a/balancer/gossip/tests/wire.rs
+++ b/balancer/gossip/tests/wire.rs
@@ -7,13 +7,13 @@
 };
 use balancer_gossip::wire::v2::{CompactFloat, TenantRow, Totals, UnnamedTenants};
 use balancer_gossip::wire::{open, seal, v1, v2, Header, MAX_PAYLOAD_LEN};
-use balancer_gossip::{Member, Subject, Versions, DATAGRAM_MOST};
+use balancer_gossip::{Member, Subject, VersionRange, MAX_DATAGRAM_LEN};
 
 fn header(version: u8) -> Header {
-    let reads = Versions { least: 1, most: 2 };
+    let supported_versions = VersionRange { min: 1, max: 2 };
     Header {
         version,
-        reads,
+        supported_versions,
         place: Member(258),
         incarnation: 0x0102_0304,
         deployment: 7,
@@ -32,10 +32,10 @@
         target: Some(ProbeTarget { member: 3, age: 2 }),
         recent_failures: 1,
     };
-    let reads = SupportedVersions { least: 1, most: 2 };
+    let supported_versions = SupportedVersions { min: 1, max: 2 };
     let digest = MembershipDigest {
         base: 0,
-        reads,
+        supported_versions,
         bits: vec![0b111],
         others: vec![0b100],
     };
@@ -43,7 +43,7 @@
         member: 2,
         incarnation: 300,
         status: Status::Suspect,
-        reads,
+        supported_versions,
         age: 5,
     };
     let verdict = |subject, state| Verdict {
@@ -181,7 +181,7 @@
         body.rows = vec![body.rows[0]; rows];
         body.totals = vec![body.totals[0]; totals];
         let payload = v2::encode(&mut body, MAX_PAYLOAD_LEN);
-        prop_assert!(seal(&header(2), &payload).len() <= DATAGRAM_MOST);
+        prop_assert!(seal(&header(2), &payload).len() <= MAX_DATAGRAM_LEN);
         let read = v2::decode(&payload).expect("what was written is read");
         prop_assert_eq!(&read.version_1.updates, &body.version_1.updates);
         prop_assert!(read.totals.len() <= totals && (totals == 0 || !read.totals.is_empty()));
--- a/balancer/proxy/src/driver/keeping.rs
+++ b/balancer/proxy/src/driver/keeping.rs
@@ -2,7 +2,7 @@
 use super::state::{Driver, Due, Handle};
 use crate::recovery::Recovery;
 use balancer_core::{Event, Learned, Millis};
-use balancer_snapshots::keeper::Written;
+use balancer_snapshots::writer::Written;
 use tokio::time::Instant;
 
 impl Handle {
--- a/balancer/proxy/src/figures.rs
+++ b/balancer/proxy/src/figures.rs
@@ -10,7 +10,7 @@
 use crate::log::Lines;
 use crate::recovery::Start;
 use balancer_core::{Ending, Refusal};
-use balancer_snapshots::keeper::Written;
+use balancer_snapshots::writer::Written;
 use hdrhistogram::Histogram;
 
 /// Times up to an hour are told apart, in microseconds; longer ones count as that.
--- a/balancer/proxy/src/figures/snapshot.rs
+++ b/balancer/proxy/src/figures/snapshot.rs
@@ -1,7 +1,7 @@
 //! What a snapshot of the figures holds. Owns no state.
 use super::Peers;
 use crate::log::Lines;
-use balancer_snapshots::keeper::Written;
+use balancer_snapshots::writer::Written;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
--- a/balancer/proxy/src/options/types.rs
+++ b/balancer/proxy/src/options/types.rs
@@ -1,5 +1,5 @@
 //! The options as types, and their defaults. Owns no state.
-use balancer_gossip::READS;
+use balancer_gossip::SUPPORTED_VERSIONS;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -157,7 +157,7 @@
             },
             peers: Peers {
                 on: false,
-                version_most: READS.most,
+                version_most: SUPPORTED_VERSIONS.max,
                 shed: true,
                 shares: true,
                 trials: true,
@@ -177,10 +177,10 @@
         if !period.contains(&self.figures.every) || !period.contains(&self.recovery.every) {
             return Err("must be at least 100ms and at most 24h".into());
         }
-        if self.peers.version_most < READS.least {
+        if self.peers.version_most < SUPPORTED_VERSIONS.min {
             return Err(format!(
                 "no version is left; this program reads {} to {}",
-                READS.least, READS.most
+                SUPPORTED_VERSIONS.min, SUPPORTED_VERSIONS.max
             ));
         }
         Ok(())
--- a/balancer/proxy/src/peers.rs
+++ b/balancer/proxy/src/peers.rs
@@ -74,16 +74,16 @@
         let listen = addresses.listen;
         let (start, now) = (Instant::now(), 0.0);
         let config = start::config(deployment, incarnation, seed, options.version_most);
-        let (candidates, reads) = (config.candidates, config.reads);
+        let (candidates, reads) = (config.candidates, config.supported_versions);
         let peers = Peers::new(config, now).map_err(|e| e.to_string())?;
         let end = End::bind(addresses).map_err(|e| format!("peer_listen: {listen}: {e}"))?;
         let address = end
             .address()
             .map_err(|e| format!("peer_listen: {listen}: {e}"))?;
         tracing::info!(
-            target: "peers", event = "peers_on", address = %address, copies = candidates, least = reads.least,
-            most = reads.most, "peers: one of {candidates}, listening on {address}, reading versions {} to {}",
-            reads.least, reads.most
+            target: "peers", event = "peers_on", address = %address, copies = candidates, least = reads.min,
+            most = reads.max, "peers: one of {candidates}, listening on {address}, reading versions {} to {}",
+            reads.min, reads.max
         );
         Ok(Tier(Rc::new(Shared {
             start,
@@ -100,21 +100,21 @@
             let more = end.take(
                 TAKEN_MOST,
                 || self.now(),
-                |at, from, bytes| peers.borrow_mut().datagram(at, from, bytes),
+                |at, from, bytes| peers.borrow_mut().handle_datagram(at, from, bytes),
             );
             let now = self.now();
             if now >= observe_at {
                 observe_at = now + OBSERVE_EVERY;
                 let own = words::own(driver.observed(), &held.counts());
-                peers.borrow_mut().observe(now, own);
+                peers.borrow_mut().handle_observation(now, own);
             }
             if peers.borrow().next_timeout().is_some_and(|at| at <= now) {
-                peers.borrow_mut().timeout(now);
+                peers.borrow_mut().on_timeout(now);
             }
             self.send_and_tell();
             if now >= word_at {
                 word_at = now + WORD_EVERY;
-                let word = peers.borrow_mut().word(now);
+                let word = peers.borrow_mut().tier_state(now);
                 driver.tier(words::word(word, &options.borrow().peers));
             }
             let due = peers
@@ -143,16 +143,16 @@
     /// What is known and was counted.
     pub(crate) fn figures(&self) -> figures::Peers {
         let mut peers = self.0.peers.borrow_mut();
-        let word = peers.word(self.now());
+        let word = peers.tier_state(self.now());
         words::figures(&word, peers.counts(), self.0.end.dropped())
     }
 
     fn send_and_tell(&self) {
         let mut peers = self.0.peers.borrow_mut();
-        while let Some(datagram) = peers.transmit() {
+        while let Some(datagram) = peers.poll_transmit() {
             self.0.end.send(&datagram);
         }
-        while let Some(told) = peers.told() {
+        while let Some(told) = peers.poll_notification() {
             tracing::info!(target: "peers", event = "peers_told", "peers: {}", told.0);
         }
     }
--- a/balancer/proxy/src/peers/end.rs
+++ b/balancer/proxy/src/peers/end.rs
@@ -2,7 +2,7 @@
 //! socket and when it was seen empty last.
 use super::Addresses;
 use crate::figures::Dropped;
-use balancer_gossip::{Member, Millis, Transmit, DATAGRAM_MOST};
+use balancer_gossip::{Member, Millis, Transmit, MAX_DATAGRAM_LEN};
 use std::cell::Cell;
 use std::collections::HashMap;
 use std::io::{Error, ErrorKind, Result};
@@ -65,14 +65,14 @@
         now: impl Fn() -> Millis,
         mut on: impl FnMut(Millis, Member, &[u8]),
     ) -> bool {
-        let mut bytes = [0; DATAGRAM_MOST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_LEN + 1];
         for _ in 0..most {
             // The time goes before the read: whatever comes in between is taken for older than it is.
             let at = now();
             match self.socket.recv_from(&mut bytes) {
                 Ok((length, from)) => match self.from.get(&from) {
                     None => self.count(|d| d.unknown += 1),
-                    Some(_) if length > DATAGRAM_MOST => self.count(|d| d.long += 1),
+                    Some(_) if length > MAX_DATAGRAM_LEN => self.count(|d| d.long += 1),
                     Some(_) if at - self.empty_at.get() > WAITED_MOST => {
                         self.count(|d| d.waited += 1)
                     }
@@ -92,7 +92,7 @@
     /// Sends, if the system takes it at once.
     pub(super) fn send(&self, datagram: &Transmit) {
         let sent = match self.to.get(usize::from(datagram.to.0)) {
-            Some(to) if datagram.bytes.len() <= DATAGRAM_MOST => {
+            Some(to) if datagram.bytes.len() <= MAX_DATAGRAM_LEN => {
                 self.socket.send_to(&datagram.bytes, to).is_ok()
             }
             _ => false,
@@ -159,7 +159,7 @@
         assert_eq!(taken(1, 200.0), (vec![(1, b"one".to_vec())], true));
         comes(&stranger, b"two");
         assert_eq!(taken(8, 200.0), (vec![], false));
-        comes(&peer, &[0; DATAGRAM_MOST + 1]);
+        comes(&peer, &[0; MAX_DATAGRAM_LEN + 1]);
         assert_eq!(taken(8, 300.0), (vec![], false));
         assert_eq!(
             end.dropped(),
@@ -184,7 +184,7 @@
         });
         end.send(&Transmit {
             to: Member(1),
-            bytes: vec![0; DATAGRAM_MOST + 1],
+            bytes: vec![0; MAX_DATAGRAM_LEN + 1],
         });
         end.send(&Transmit {
             to: Member(1),
--- a/balancer/proxy/src/peers/start.rs
+++ b/balancer/proxy/src/peers/start.rs
@@ -1,5 +1,5 @@
 //! What the tier's protocol is told at its start. Owns no state.
-use balancer_gossip::{Config, Member, Versions, READS};
+use balancer_gossip::{Config, Member, VersionRange, SUPPORTED_VERSIONS};
 use balancer_settings::Deployment;
 
 /// Its configuration at one start of this copy.
@@ -14,9 +14,9 @@
         // Without names all requests are one tenant's.
         tenants: u16::try_from(d.policy.tenants.len().max(1)).unwrap_or(u16::MAX),
         deployment: hash(d),
-        reads: Versions {
-            least: READS.least,
-            most: READS.most.min(version_most),
+        supported_versions: VersionRange {
+            min: SUPPORTED_VERSIONS.min,
+            max: SUPPORTED_VERSIONS.max.min(version_most),
         },
     }
 }
--- a/balancer/proxy/src/peers/words.rs
+++ b/balancer/proxy/src/peers/words.rs
@@ -9,13 +9,13 @@
 use balancer_gossip as peers;
 
 /// What the module observes, with the connections that each tenant's callers hold.
-pub(super) fn own(observed: Observed, callers: &[u32]) -> peers::Own {
+pub(super) fn own(observed: Observed, callers: &[u32]) -> peers::Observations {
     let Observed {
         load,
         against,
         cleared,
     } = observed;
-    let tenant = |(i, t): (usize, TenantLoad)| peers::TenantFigures {
+    let tenant = |(i, t): (usize, TenantLoad)| peers::TenantLoad {
         demand: t.demand,
         calls: t.calls,
         callers: callers.get(i).copied().map_or(0.0, f64::from),
@@ -28,8 +28,8 @@
         tenants,
     } = load;
     let tenants = tenants.into_iter().enumerate().map(tenant).collect();
-    peers::Own {
-        figures: peers::Figures {
+    peers::Observations {
+        load: peers::Load {
             demand,
             room,
             firsts,
@@ -56,8 +56,8 @@
 }
 
 /// What the tier knows, as far as the decisions may hear of it.
-pub fn word(word: peers::Word, may: &options::Peers) -> TierUpdate {
-    let peers::Word {
+pub fn word(word: peers::TierState, may: &options::Peers) -> TierUpdate {
+    let peers::TierState {
         up,
         place,
         joined,
@@ -89,16 +89,16 @@
 }
 
 fn sums(sums: peers::Sums, may: &options::Peers) -> TierSums {
-    let peers::Figures {
+    let peers::Load {
         demand,
         room,
         firsts,
         retries,
         tenants,
-    } = sums.figures;
+    } = sums.load;
     let shed = |figure: f64| if may.shed { figure } else { 0.0 };
     let shares = |figure: f64| if may.shares { figure } else { 0.0 };
-    let tenant = |t: peers::TenantFigures| TenantLoad {
+    let tenant = |t: peers::TenantLoad| TenantLoad {
         demand: shed(t.demand),
         calls: shares(t.calls),
         callers: shares(t.callers),
@@ -119,8 +119,8 @@
 
 /// The same for an operator, whatever the decisions may hear.
 pub(super) fn figures(
-    word: &peers::Word,
-    counts: peers::Counts,
+    word: &peers::TierState,
+    counts: peers::Counters,
     here: figures::Dropped,
 ) -> figures::Peers {
     let oldest = word.evidence.iter().map(|e| e.age).max_by(f64::total_cmp);
@@ -128,17 +128,17 @@
         age_ms: s.age,
         heard: s.heard,
         error: s.error,
-        demand: s.figures.demand,
-        room: s.figures.room,
-        firsts: s.figures.firsts,
-        retries: s.figures.retries,
-        calls: s.figures.tenants.iter().map(|t| t.calls).sum(),
-        callers: s.figures.tenants.iter().map(|t| t.callers).sum(),
+        demand: s.load.demand,
+        room: s.load.room,
+        firsts: s.load.firsts,
+        retries: s.load.retries,
+        calls: s.load.tenants.iter().map(|t| t.calls).sum(),
+        callers: s.load.tenants.iter().map(|t| t.callers).sum(),
     });
-    let peers::Counts {
-        broken,
-        foreign,
-        unspoken,
+    let peers::Counters {
+        malformed,
+        foreign_deployment,
+        unsupported_version,
         old,
         ..
     } = counts;
@@ -159,9 +159,9 @@
         read: counts.read,
         read_bytes: counts.read_bytes,
         dropped: figures::Dropped {
-            broken,
-            foreign,
-            unspoken,
+            broken: malformed,
+            foreign: foreign_deployment,
+            unspoken: unsupported_version,
             old,
             ..here
         },
--- a/balancer/proxy/src/recovery.rs
+++ b/balancer/proxy/src/recovery.rs
@@ -4,9 +4,9 @@
 use crate::options;
 use balancer_core::{Learned, Millis, Settings};
 use balancer_settings::Deployment;
-use balancer_snapshots::keeper::Written;
-use balancer_snapshots::store::{look, NoStore, Opened};
-use balancer_snapshots::{unix_ms, Drill, Found, Keeper, Kind, Owner, Record, Store};
+use balancer_snapshots::store::{inspect, Opened, StoreError};
+use balancer_snapshots::writer::Written;
+use balancer_snapshots::{unix_ms, FaultFile, Found, Kind, Owner, Record, SnapshotWriter, Store};
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
@@ -26,7 +26,7 @@
 
 /// What is kept from now on.
 pub(crate) struct Recovery {
-    keeper: Keeper,
+    writer: SnapshotWriter,
     roster: Roster,
     /// A fingerprint of all settings of the decisions: what they learned under others says nothing.
     policy: u32,
@@ -117,19 +117,19 @@
 /// What the disk gives back, before anybody looks at what it means.
 struct Read {
     /// Where to keep things, and where a broken store was set aside; or why nothing can be kept.
-    store: Result<Opened, NoStore>,
+    store: Result<Opened, StoreError>,
     /// Which start this is, and why that is not known if it could not be written.
-    start: Result<Start, NoStore>,
+    start: Result<Start, StoreError>,
     list: Found,
     learned: Found,
 }
 
-fn read(dir: &Path, owner: Owner, drill: Option<Drill>) -> Result<Read, NoStore> {
+fn read(dir: &Path, owner: Owner, drill: Option<FaultFile>) -> Result<Read, StoreError> {
     let mut opened = match Store::open(dir, owner.clone(), drill) {
         Ok(opened) => opened,
-        Err(NoStore::Disk(e)) => {
+        Err(StoreError::Disk(e)) => {
             // What can't be written may still be read.
-            let e = NoStore::Disk(e);
+            let e = StoreError::Disk(e);
             let Ok(copy) = Store::copy(dir, owner) else {
                 return Err(e);
             };
@@ -145,7 +145,7 @@
     };
     let kept = match opened.store.get(Kind::Starts)? {
         Found::Record(record) => Some(record.payload),
-        Found::Nothing | Found::Unfit(_) => None,
+        Found::Missing | Found::Invalid(_) => None,
     };
     let start = Start::after(kept.as_deref(), unix_ms(), rand::thread_rng().gen());
     let (list, learned) = (
@@ -177,7 +177,7 @@
     let settings = owner.settings;
     let (tell, told) = channel();
     let folder = options.dir.clone();
-    let drill = (!options.drill.as_os_str().is_empty()).then(|| Drill::told_by(&options.drill));
+    let drill = (!options.drill.as_os_str().is_empty()).then(|| FaultFile::new(&options.drill));
     let opening = std::thread::Builder::new()
         .name("recovery".into())
         .spawn(move || {
@@ -206,12 +206,12 @@
             return Recovered::default();
         }
     };
-    let keeper = store.map_err(|e| e.to_string()).and_then(|Opened { store, aside }| {
-        if let Some((to, error)) = aside {
+    let writer = store.map_err(|e| e.to_string()).and_then(|Opened { store, set_aside }| {
+        if let Some((to, error)) = set_aside {
             let to = to.display();
             tracing::warn!(target: "recovery", event = "state_set_aside", error, "recovery: {error}: set aside as {to}");
         }
-        Keeper::start(store)
+        SnapshotWriter::start(store)
     });
     let fingerprint = crc32fast::hash(policy.stored_form().as_bytes());
     let list = kept_list(&list, settings, names, options.list_age);
@@ -242,9 +242,9 @@
     );
     let mut roster = Roster::default();
     list.iter().for_each(|list| roster.apply(list));
-    let recovery = match keeper {
-        Ok(keeper) => Some(Recovery {
-            keeper,
+    let recovery = match writer {
+        Ok(writer) => Some(Recovery {
+            writer,
             roster,
             policy: fingerprint,
             every: options.every,
@@ -266,8 +266,8 @@
 fn usable(found: &Found, settings: u32) -> Result<(&Record, Millis), String> {
     let record = match found {
         Found::Record(record) => record,
-        Found::Nothing => return Err("none was kept".into()),
-        Found::Unfit(unfit) => return Err(unfit.to_string()),
+        Found::Missing => return Err("none was kept".into()),
+        Found::Invalid(unfit) => return Err(unfit.to_string()),
     };
     if record.settings != settings {
         return Err("it is of another deployment".into());
@@ -313,7 +313,7 @@
     /// Keeps the list as it stands after an answer of discovery.
     pub(crate) fn listed(&mut self, listing: &Listing) {
         self.roster.apply(listing);
-        self.keeper.keep(Kind::Upstreams, self.roster.text());
+        self.writer.enqueue(Kind::Upstreams, self.roster.text());
         self.tell_failure();
     }
 
@@ -324,7 +324,7 @@
             learned,
         };
         // Finite numbers only: there is nothing in it that JSON can't hold.
-        self.keeper.keep(
+        self.writer.enqueue(
             Kind::Learned,
             serde_json::to_string(&lesson).unwrap_or_default(),
         );
@@ -337,25 +337,25 @@
     }
 
     fn tell_failure(&self) {
-        if let Some(error) = self.keeper.failure() {
+        if let Some(error) = self.writer.failure() {
             tracing::warn!(target: "recovery", event = "state_not_written", error, "recovery: not written: {error}");
         }
     }
 
     /// What became of writes so far.
     pub(crate) fn written(&self) -> Written {
-        self.keeper.written()
+        self.writer.written()
     }
 
     /// Waits a little for what is on its way to the disk.
     pub(crate) fn flush(&self) -> bool {
-        self.keeper.flush(LAST_WRITE)
+        self.writer.flush(LAST_WRITE)
     }
 }
 
 /// What a folder holds, a line for each kind, and whether all of it can be used.
 pub(crate) fn shown(dir: &Path) -> Result<(String, bool), String> {
-    let lines = look(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
+    let lines = inspect(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
     let (mut text, mut sound) = (String::new(), true);
     for line in lines {
         let kind = line.kind.name();
--- a/balancer/proxy/tests/golden.rs
+++ b/balancer/proxy/tests/golden.rs
@@ -5,8 +5,8 @@
 //! Not held here: the fingerprint that what was learned is kept with. It is made of the names in the program's own types.
 mod common;
 use balancer_core::{Availability, Endpoint, Health, Learned, Load, UpstreamId};
-use balancer_gossip::{wire, Member as Place, Versions};
-use balancer_snapshots::store::look;
+use balancer_gossip::{wire, Member as Place, VersionRange};
+use balancer_snapshots::store::inspect;
 use balancer_snapshots::{unix_ms, Kind, Owner, Store};
 use common::*;
 use serde_json::Value;
@@ -159,7 +159,7 @@
     let started = Instant::now();
     loop {
         // A folder that is read while it is written may make no sense for a moment.
-        let line = look(dir)
+        let line = inspect(dir)
             .ok()
             .and_then(|lines| lines.into_iter().find(|line| line.kind == kind));
         if let Some(Ok((record, owner))) = line.and_then(|line| line.found) {
@@ -264,7 +264,7 @@
     let (header, _) = wire::open(&bytes[..length]).expect("whole");
     assert_eq!((header.deployment, header.place), (DEPLOYMENT, Place(1)));
     assert_eq!(
-        (header.version, header.reads),
-        (1, Versions { least: 1, most: 2 })
+        (header.version, header.supported_versions),
+        (1, VersionRange { min: 1, max: 2 })
     );
 }
--- a/balancer/proxy/tests/peers_observations.rs
+++ b/balancer/proxy/tests/peers_observations.rs
@@ -5,12 +5,12 @@
 
 #[test]
 fn what_is_switched_off_is_not_heard() {
-    let tenants = vec![peers::TenantFigures {
+    let tenants = vec![peers::TenantLoad {
         demand: 5.0,
         calls: 6.0,
         callers: 7.0,
     }];
-    let figures = peers::Figures {
+    let figures = peers::Load {
         demand: 1.0,
         room: 2.0,
         firsts: 3.0,
@@ -18,7 +18,7 @@
         tenants,
     };
     let sums = Some(peers::Sums {
-        figures,
+        load: figures,
         age: 10.0,
         heard: 3,
         error: 0.5,
@@ -31,7 +31,7 @@
         cleared: 0,
         age: 20.0,
     }];
-    let all = peers::Word {
+    let all = peers::TierState {
         up: 4,
         place: 3,
         version: 2,
--- a/balancer/snapshots/src/fault_injection.rs
+++ b/balancer/snapshots/src/fault_injection.rs
@@ -17,7 +17,7 @@
 
 /// The file that names the fault to inject.
 #[derive(Clone, Debug)]
-pub struct Drill(PathBuf);
+pub struct FaultFile(PathBuf);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
@@ -28,10 +28,10 @@
     Unsynced,
 }
 
-impl Drill {
+impl FaultFile {
     /// The fault that this file names; it need not exist yet.
-    pub fn told_by(file: &Path) -> Drill {
-        Drill(file.to_path_buf())
+    pub fn new(file: &Path) -> FaultFile {
+        FaultFile(file.to_path_buf())
     }
 
     fn fault(&self) -> io::Result<Fault> {
@@ -90,14 +90,14 @@
 #[derive(Debug)]
 pub struct FaultyStorage<B> {
     disk: B,
-    drill: Option<Drill>,
+    drill: Option<FaultFile>,
     /// Writes that reach the disk with the next sync, in their order.
     unsynced_writes: Mutex<Vec<Write>>,
 }
 
 impl<B: StorageBackend> FaultyStorage<B> {
     /// Storage on this disk, with the faults that a file names if there is one.
-    pub fn new(disk: B, drill: Option<Drill>) -> FaultyStorage<B> {
+    pub fn new(disk: B, drill: Option<FaultFile>) -> FaultyStorage<B> {
         FaultyStorage {
             disk,
             drill,
--- a/balancer/snapshots/src/lib.rs
+++ b/balancer/snapshots/src/lib.rs
@@ -1,7 +1,7 @@
 //! Persistent state of a balancer, for deployments that have a disk.
 //!
 //! A [`Store`] has one [`record::Record`] of each [`record::Kind`] in a redb database: complete, checked, of this owner
-//! and this deployment, or not at all. A [`keeper::Keeper`] writes on a thread of its own and queues only the newest of
+//! and this deployment, or not at all. A [`writer::SnapshotWriter`] writes on a thread of its own and queues only the newest of
 //! each kind, so that a disk that stalls delays nobody else. What the records mean is not known here.
 //!
 //! redb was weighed against sled (no stable format, unmaintained), fjall and rocksdb (log-structured: many files and
@@ -12,11 +12,11 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 pub mod fault_injection;
-pub mod keeper;
 pub mod record;
 pub mod store;
+pub mod writer;
 
-pub use fault_injection::Drill;
-pub use keeper::{unix_ms, Keeper};
+pub use fault_injection::FaultFile;
 pub use record::{Kind, Owner, Record};
 pub use store::{Found, Store};
+pub use writer::{unix_ms, SnapshotWriter};
--- a/balancer/snapshots/src/store.rs
+++ b/balancer/snapshots/src/store.rs
@@ -11,7 +11,7 @@
     TableError,
 };
 
-use crate::fault_injection::{Drill, FaultyStorage};
+use crate::fault_injection::{FaultFile, FaultyStorage};
 use crate::record::{Kind, Owner, Record, RecordError};
 
 const RECORDS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("records");
@@ -26,22 +26,22 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Found {
     /// No record was ever written.
-    Nothing,
+    Missing,
     /// A record of this owner.
     Record(Record),
     /// Bytes that can't be used.
-    Unfit(RecordError),
+    Invalid(RecordError),
 }
 
 /// The reason why there is no store.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NoStore {
+pub enum StoreError {
     /// Another process has it open.
     #[error("another process holds it")]
-    Held,
+    InUse,
     /// The file is not a readable database, and why.
     #[error("broken: {0}")]
-    Broken(String),
+    Corrupt(String),
     /// The disk failed, and how.
     #[error("{0}")]
     Disk(String),
@@ -80,7 +80,7 @@
     }
 }
 
-type OpenDatabase = Box<dyn Fn() -> Result<Database, NoStore> + Send>;
+type OpenDatabase = Box<dyn Fn() -> Result<Database, StoreError> + Send>;
 
 /// A store of records on a disk.
 pub struct Store {
@@ -101,31 +101,31 @@
     /// The store.
     pub store: Store,
     /// The path to which a broken database was set aside, and what was wrong with it.
-    pub aside: Option<(PathBuf, String)>,
+    pub set_aside: Option<(PathBuf, String)>,
 }
 
 /// Converts an error of the disk on a file.
-fn disk_error(path: &Path) -> impl Fn(io::Error) -> NoStore + '_ {
-    move |e| NoStore::Disk(format!("{}: {e}", path.display()))
+fn disk_error(path: &Path) -> impl Fn(io::Error) -> StoreError + '_ {
+    move |e| StoreError::Disk(format!("{}: {e}", path.display()))
 }
 
-fn classify_open_error(e: DatabaseError) -> NoStore {
+fn classify_open_error(e: DatabaseError) -> StoreError {
     match e {
-        DatabaseError::DatabaseAlreadyOpen => NoStore::Held,
+        DatabaseError::DatabaseAlreadyOpen => StoreError::InUse,
         DatabaseError::Storage(StorageError::Io(e)) if e.kind() != io::ErrorKind::InvalidData => {
-            NoStore::Disk(e.to_string())
+            StoreError::Disk(e.to_string())
         }
-        e => NoStore::Broken(e.to_string()),
+        e => StoreError::Corrupt(e.to_string()),
     }
 }
 
 /// Runs code of redb on bytes that may be anything: a panic in there means that they can't be read.
-fn catch_panic<T>(work: impl FnOnce() -> Result<T, NoStore>) -> Result<T, NoStore> {
+fn catch_panic<T>(work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     catch_unwind(AssertUnwindSafe(work))
-        .unwrap_or_else(|_| Err(NoStore::Broken("its pages make no sense".into())))
+        .unwrap_or_else(|_| Err(StoreError::Corrupt("its pages make no sense".into())))
 }
 
-fn open_database(backend: impl StorageBackend) -> Result<Database, NoStore> {
+fn open_database(backend: impl StorageBackend) -> Result<Database, StoreError> {
     let builder = || {
         Database::builder()
             .set_cache_size(CACHE_BYTES)
@@ -140,7 +140,11 @@
     /// # Errors
     ///
     /// When another process has it open, or the disk fails.
-    pub fn open(folder: &Path, owner: Owner, drill: Option<Drill>) -> Result<Opened, NoStore> {
+    pub fn open(
+        folder: &Path,
+        owner: Owner,
+        drill: Option<FaultFile>,
+    ) -> Result<Opened, StoreError> {
         let path = folder.join(FILE);
         let open_file = {
             let path = path.clone();
@@ -155,12 +159,15 @@
             }
         };
         match Store::open_with(open_file.clone(), owner.clone()) {
-            Ok(store) => Ok(Opened { store, aside: None }),
-            Err(NoStore::Broken(what)) => {
-                let aside = set_aside(folder).map_err(disk_error(&path))?;
+            Ok(store) => Ok(Opened {
+                store,
+                set_aside: None,
+            }),
+            Err(StoreError::Corrupt(what)) => {
+                let set_aside = set_aside(folder).map_err(disk_error(&path))?;
                 Ok(Opened {
                     store: Store::open_with(open_file, owner)?,
-                    aside: Some((aside, what)),
+                    set_aside: Some((set_aside, what)),
                 })
             }
             Err(e) => Err(e),
@@ -173,9 +180,9 @@
     ///
     /// When the storage can't be made, or is not a readable database.
     pub fn open_with<B: StorageBackend>(
-        make_storage: impl Fn() -> Result<B, NoStore> + Send + 'static,
+        make_storage: impl Fn() -> Result<B, StoreError> + Send + 'static,
         owner: Owner,
-    ) -> Result<Store, NoStore> {
+    ) -> Result<Store, StoreError> {
         let reopen = Box::new(move || open_database(make_storage()?));
         Store::verified(Store {
             database: Some(reopen()?),
@@ -189,7 +196,7 @@
     /// # Errors
     ///
     /// When the storage is not a readable database.
-    pub fn on_backend(backend: impl StorageBackend, owner: Owner) -> Result<Store, NoStore> {
+    pub fn on_backend(backend: impl StorageBackend, owner: Owner) -> Result<Store, StoreError> {
         Store::verified(Store {
             database: Some(open_database(backend)?),
             reopen: None,
@@ -202,7 +209,7 @@
     /// # Errors
     ///
     /// When the file can't be read, or is not a readable database.
-    pub fn copy(folder: &Path, owner: Owner) -> Result<Store, NoStore> {
+    pub fn copy(folder: &Path, owner: Owner) -> Result<Store, StoreError> {
         let path = folder.join(FILE);
         let bytes = std::fs::read(&path).map_err(disk_error(&path))?;
         let memory = redb::backends::InMemoryBackend::new();
@@ -214,7 +221,7 @@
     }
 
     /// Reads every record once, which fails on a database that can't be read.
-    fn verified(store: Store) -> Result<Store, NoStore> {
+    fn verified(store: Store) -> Result<Store, StoreError> {
         catch_panic(|| {
             Kind::ALL
                 .into_iter()
@@ -229,14 +236,14 @@
         let _ = catch_unwind(AssertUnwindSafe(|| drop(database)));
     }
 
-    fn database(&self) -> Result<&Database, NoStore> {
+    fn database(&self) -> Result<&Database, StoreError> {
         self.database
             .as_ref()
-            .ok_or_else(|| NoStore::Broken("closed".into()))
+            .ok_or_else(|| StoreError::Corrupt("closed".into()))
     }
 
-    fn read_bytes(&self, kind: Kind) -> Result<Option<Vec<u8>>, NoStore> {
-        let broken = |e: &dyn std::fmt::Display| NoStore::Broken(e.to_string());
+    fn read_bytes(&self, kind: Kind) -> Result<Option<Vec<u8>>, StoreError> {
+        let broken = |e: &dyn std::fmt::Display| StoreError::Corrupt(e.to_string());
         let read = self.database()?.begin_read().map_err(|e| broken(&e))?;
         let table = match read.open_table(RECORDS) {
             Ok(table) => table,
@@ -252,13 +259,13 @@
     /// # Errors
     ///
     /// When the database can't be read.
-    pub fn get(&self, kind: Kind) -> Result<Found, NoStore> {
+    pub fn get(&self, kind: Kind) -> Result<Found, StoreError> {
         let bytes = catch_panic(|| self.read_bytes(kind))?;
         Ok(
             match bytes.map(|b| Record::decode(&b, kind, Some(&self.owner.name))) {
-                None => Found::Nothing,
+                None => Found::Missing,
                 Some(Ok((record, _))) => Found::Record(record),
-                Some(Err(unfit)) => Found::Unfit(unfit),
+                Some(Err(unfit)) => Found::Invalid(unfit),
             },
         )
     }
@@ -268,7 +275,7 @@
     /// # Errors
     ///
     /// When the disk fails; nothing is written then, and the next call opens the database again.
-    pub fn put(&mut self, payloads: &[(Kind, String)], now_ms: f64) -> Result<(), NoStore> {
+    pub fn put(&mut self, payloads: &[(Kind, String)], now_ms: f64) -> Result<(), StoreError> {
         if let (None, Some(reopen)) = (&self.database, &self.reopen) {
             self.database = Some(reopen()?);
         }
@@ -279,9 +286,9 @@
         result
     }
 
-    fn write(&self, payloads: &[(Kind, String)], now_ms: f64) -> Result<(), NoStore> {
+    fn write(&self, payloads: &[(Kind, String)], now_ms: f64) -> Result<(), StoreError> {
         catch_panic(|| {
-            let failed = |e: &dyn std::fmt::Display| NoStore::Disk(e.to_string());
+            let failed = |e: &dyn std::fmt::Display| StoreError::Disk(e.to_string());
             let transaction = self.database()?.begin_write().map_err(|e| failed(&e))?;
             {
                 let mut table = transaction.open_table(RECORDS).map_err(|e| failed(&e))?;
@@ -339,7 +346,7 @@
 /// # Errors
 ///
 /// When the file can't be read, or is not a readable database.
-pub fn look(folder: &Path) -> Result<Vec<InspectedRecord>, NoStore> {
+pub fn inspect(folder: &Path) -> Result<Vec<InspectedRecord>, StoreError> {
     let store = Store::copy(
         folder,
         Owner {
--- a/balancer/snapshots/src/keeper.rs
+++ b/balancer/snapshots/src/writer.rs
@@ -81,7 +81,7 @@
 }
 
 /// A writer thread for a store, and the queue to it.
-pub struct Keeper {
+pub struct SnapshotWriter {
     shared: Arc<Shared>,
 }
 
@@ -92,13 +92,13 @@
         .map_or(0.0, |d| d.as_secs_f64() * 1000.0)
 }
 
-impl Keeper {
+impl SnapshotWriter {
     /// Starts the thread, which owns the store from then on.
     ///
     /// # Errors
     ///
     /// When the thread can't be started.
-    pub fn start(store: Store) -> Result<Keeper, String> {
+    pub fn start(store: Store) -> Result<SnapshotWriter, String> {
         let shared = Arc::new(Shared {
             state: Mutex::default(),
             changed: Condvar::new(),
@@ -108,11 +108,11 @@
             .name("store".into())
             .spawn(move || run(&own, store));
         thread.map_err(|e| format!("a thread for the store: {e}"))?;
-        Ok(Keeper { shared })
+        Ok(SnapshotWriter { shared })
     }
 
     /// Queues a payload to be written. It replaces an older one of its kind that is still queued.
-    pub fn keep(&self, kind: Kind, payload: String) {
+    pub fn enqueue(&self, kind: Kind, payload: String) {
         let mut state = self.shared.lock();
         if state.queue.insert(kind, payload).is_some() {
             state.written.replaced += 1;
@@ -148,7 +148,7 @@
     }
 }
 
-impl Drop for Keeper {
+impl Drop for SnapshotWriter {
     fn drop(&mut self) {
         self.shared.lock().is_stopping = true;
         self.shared.changed.notify_all();
--- a/balancer/snapshots/tests/fault_injection.rs
+++ b/balancer/snapshots/tests/fault_injection.rs
@@ -1,6 +1,6 @@
 //! Faults of a disk, injected by a file.
 use balancer_snapshots::fault_injection::FaultyStorage;
-use balancer_snapshots::Drill;
+use balancer_snapshots::FaultFile;
 use redb::backends::InMemoryBackend;
 use redb::StorageBackend;
 use std::io;
@@ -36,7 +36,7 @@
 fn a_fault_file_is_obeyed_and_an_unknown_fault_is_named() {
     let folder = tempfile::TempDir::new().expect("a folder");
     let file = folder.path().join("drill");
-    let disk = FaultyStorage::new(InMemoryBackend::new(), Some(Drill::told_by(&file)));
+    let disk = FaultyStorage::new(InMemoryBackend::new(), Some(FaultFile::new(&file)));
     let set_fault = |text: &str| std::fs::write(&file, text).expect("writes");
     let read = || {
         let mut out = [0; 4];
@@ -64,7 +64,7 @@
     let file = folder.path().join("drill");
     std::fs::write(&file, "unsynced").expect("writes");
     let below = Disk(Arc::new(InMemoryBackend::new()));
-    let disk = FaultyStorage::new(below.clone(), Some(Drill::told_by(&file)));
+    let disk = FaultyStorage::new(below.clone(), Some(FaultFile::new(&file)));
     disk.set_len(1 << 16).expect("grows");
     let on_disk = |at: u64| {
         let mut out = vec![0; 1024];
--- a/balancer/snapshots/tests/golden.rs
+++ b/balancer/snapshots/tests/golden.rs
@@ -95,7 +95,7 @@
     write.commit().expect("is written");
     drop(database);
     let opened = Store::open(dir.path(), owner(), None).expect("opens");
-    assert!(opened.aside.is_none());
+    assert!(opened.set_aside.is_none());
     for (key, kind) in KEYS {
         assert_eq!(
             opened.store.get(kind),
--- a/balancer/snapshots/tests/power.rs
+++ b/balancer/snapshots/tests/power.rs
@@ -1,6 +1,6 @@
 //! Power lost at every write and between any two syncs: each image of the disk that could be left is opened.
-use balancer_snapshots::store::{look, NoStore, FILE};
-use balancer_snapshots::{Found, Keeper, Kind, Owner, Record, Store};
+use balancer_snapshots::store::{inspect, StoreError, FILE};
+use balancer_snapshots::{Found, Kind, Owner, Record, SnapshotWriter, Store};
 use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, proptest, ProptestConfig};
 use proptest::test_runner::RngSeed;
 use rand::{Rng, SeedableRng};
@@ -118,7 +118,7 @@
 /// The number that all kinds name, if they name one.
 fn number(store: &Store) -> Option<usize> {
     let one = |kind| match store.get(kind).expect("reads") {
-        Found::Nothing => None,
+        Found::Missing => None,
         Found::Record(record) => {
             let number = record
                 .payload
@@ -128,7 +128,7 @@
             assert_eq!(record.payload, payloads(number)[0].1);
             Some(number)
         }
-        Found::Unfit(unfit) => panic!("{kind:?}: {unfit}"),
+        Found::Invalid(unfit) => panic!("{kind:?}: {unfit}"),
     };
     let all: Vec<Option<usize>> = Kind::ALL.into_iter().map(one).collect();
     assert!(all.iter().all(|n| *n == all[0]), "half a put: {all:?}");
@@ -203,7 +203,7 @@
                     );
                 }
                 // A database whose creation was not complete has nothing to lose.
-                Err(NoStore::Broken(_)) if at < begun => {}
+                Err(StoreError::Corrupt(_)) if at < begun => {}
                 Err(e) => panic!("at {at}, variant {variant}: {e}"),
             }
             opened += 1;
@@ -255,7 +255,7 @@
     disk.0.lock().expect("no panic").full = true;
     assert!(matches!(
         store.put(&payloads(2), 1000.0),
-        Err(NoStore::Disk(_))
+        Err(StoreError::Disk(_))
     ));
     drop(store);
     disk.0.lock().expect("no panic").full = false;
@@ -276,10 +276,10 @@
             format!("no database, round {round}").repeat(1000),
         )
         .expect("writes");
-        assert!(look(folder.path()).is_err());
+        assert!(inspect(folder.path()).is_err());
         let mut opened = Store::open(folder.path(), owner(), None).expect("begins anew");
-        let (aside, _) = opened.aside.take().expect("set aside");
-        assert!(std::fs::read_to_string(aside)
+        let (set_aside, _) = opened.set_aside.take().expect("set aside");
+        assert!(std::fs::read_to_string(set_aside)
             .expect("reads")
             .contains(&format!("round {round}")));
         assert_eq!(number(&opened.store), None);
@@ -326,7 +326,7 @@
                         );
                         used += 1;
                     }
-                    Ok(Found::Nothing | Found::Unfit(_)) | Err(_) => unusable += 1,
+                    Ok(Found::Missing | Found::Invalid(_)) | Err(_) => unusable += 1,
                 }),
             Err(_) => unusable += 1,
         }
@@ -342,10 +342,10 @@
         .store;
     store.put(&payloads(1), 1000.0).expect("puts");
     let second = Store::open(folder.path(), owner(), None).err();
-    assert_eq!(second, Some(NoStore::Held));
+    assert_eq!(second, Some(StoreError::InUse));
     drop(store);
     let before = std::fs::read(folder.path().join(FILE)).expect("reads");
-    let lines = look(folder.path()).expect("looks");
+    let lines = inspect(folder.path()).expect("looks");
     assert_eq!(lines.len(), Kind::ALL.len());
     assert!(lines
         .iter()
@@ -362,7 +362,7 @@
     let store = Store::open(folder.path(), foreign, None)
         .expect("opens")
         .store;
-    assert!(matches!(store.get(Kind::Starts), Ok(Found::Unfit(_))));
+    assert!(matches!(store.get(Kind::Starts), Ok(Found::Invalid(_))));
 }
 
 #[test]
@@ -372,31 +372,32 @@
         let disk = disk.clone();
         move || Ok(disk.clone())
     };
-    let keeper = Keeper::start(Store::open_with(make, owner()).expect("a store")).expect("starts");
+    let writer =
+        SnapshotWriter::start(Store::open_with(make, owner()).expect("a store")).expect("starts");
     for put in 0..1000 {
         payloads(put % 7)
             .into_iter()
-            .for_each(|(kind, payload)| keeper.keep(kind, payload));
+            .for_each(|(kind, payload)| writer.enqueue(kind, payload));
     }
-    assert!(keeper.flush(TIMEOUT));
-    let written = keeper.written();
+    assert!(writer.flush(TIMEOUT));
+    let written = writer.written();
     assert!(written.commits >= 1 && written.failed == 0, "{written:?}");
     // A disk that fails is reported once.
     disk.0.lock().expect("no panic").full = true;
     payloads(3)
         .into_iter()
-        .for_each(|(kind, payload)| keeper.keep(kind, payload));
-    assert!(!keeper.flush(TIMEOUT));
-    assert!(keeper.failure().is_some());
+        .for_each(|(kind, payload)| writer.enqueue(kind, payload));
+    assert!(!writer.flush(TIMEOUT));
+    assert!(writer.failure().is_some());
     // redb takes nothing any more after a failure: the store must have been opened again for this.
     disk.0.lock().expect("no panic").full = false;
-    let commits = keeper.written().commits;
+    let commits = writer.written().commits;
     let begun = Instant::now();
-    while keeper.written().commits == commits {
-        assert!(begun.elapsed() < TIMEOUT, "{:?}", keeper.written());
+    while writer.written().commits == commits {
+        assert!(begun.elapsed() < TIMEOUT, "{:?}", writer.written());
         std::thread::sleep(Duration::from_millis(5));
     }
-    drop(keeper);
+    drop(writer);
     let image = disk.0.lock().expect("no panic").image.clone();
     assert_eq!(
         number(&Store::on_backend(Disk::of(image), owner()).expect("opens")),
--- a/lab/src/capacity/hollow/member.rs
+++ b/lab/src/capacity/hollow/member.rs
@@ -1,8 +1,8 @@
 //! One hollow member: the loop that the node runs around the protocol. Owns the protocol's state and the socket.
 use balancer_gossip::{
-    Config, ConfigError, Figures, Member, Millis, Own, Peers, Subject, TenantFigures,
+    Config, ConfigError, Load, Member, Millis, Observations, Peers, Subject, TenantLoad,
 };
-use balancer_gossip::{DATAGRAM_MOST, READS};
+use balancer_gossip::{MAX_DATAGRAM_LEN, SUPPORTED_VERSIONS};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -97,7 +97,7 @@
             zone: place % shared.zones.max(1),
             tenants: shared.tenants,
             deployment: shared.deployment,
-            reads: READS,
+            supported_versions: SUPPORTED_VERSIONS,
         };
         Ok(Rc::new(Hollow {
             start: Instant::now(),
@@ -120,7 +120,9 @@
             let now = self.now();
             if now >= observe_at {
                 observe_at = now + OBSERVE_EVERY;
-                self.peers.borrow_mut().observe(now, self.observed());
+                self.peers
+                    .borrow_mut()
+                    .handle_observation(now, self.observed());
             }
             if self
                 .peers
@@ -128,7 +130,7 @@
                 .next_timeout()
                 .is_some_and(|at| at <= now)
             {
-                self.peers.borrow_mut().timeout(now);
+                self.peers.borrow_mut().on_timeout(now);
             }
             self.send();
             if now >= word_at {
@@ -152,22 +154,22 @@
     }
 
     /// Figures of the size that a busy balancer tells.
-    fn observed(&self) -> Own {
-        let tenant = |number: u16| TenantFigures {
+    fn observed(&self) -> Observations {
+        let tenant = |number: u16| TenantLoad {
             demand: f64::from(number % 7),
             calls: f64::from(number % 5),
             callers: f64::from(number % 3),
         };
         let tenants = (0..=self.tenants).map(tenant).collect();
-        let figures = Figures {
+        let load = Load {
             demand: 57.0,
             room: 100.0,
             firsts: 57.0,
             retries: 1.0,
             tenants,
         };
-        Own {
-            figures,
+        Observations {
+            load,
             against: self.accuses.get().into_iter().collect(),
             cleared: Vec::new(),
         }
@@ -175,7 +177,7 @@
 
     /// Hands on what has come. Returns whether more may wait.
     fn take(&self) -> bool {
-        let mut bytes = [0; DATAGRAM_MOST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_LEN + 1];
         let mut counted = self.counted.get();
         let mut more = true;
         for _ in 0..TAKEN_MOST {
@@ -187,7 +189,7 @@
             let Some(&member) = self.addresses.from.get(&from) else {
                 continue;
             };
-            if length > DATAGRAM_MOST {
+            if length > MAX_DATAGRAM_LEN {
                 continue;
             }
             counted.read.add(length);
@@ -196,7 +198,7 @@
             }
             self.peers
                 .borrow_mut()
-                .datagram(at, member, &bytes[..length]);
+                .handle_datagram(at, member, &bytes[..length]);
         }
         self.counted.set(counted);
         more
@@ -205,7 +207,7 @@
     fn send(&self) {
         let mut peers = self.peers.borrow_mut();
         let mut counted = self.counted.get();
-        while let Some(datagram) = peers.transmit() {
+        while let Some(datagram) = peers.poll_transmit() {
             let Some(to) = self.addresses.to.get(usize::from(datagram.to.0)) else {
                 continue;
             };
@@ -218,12 +220,12 @@
                 counted.to_watched.add(datagram.bytes.len());
             }
         }
-        while peers.told().is_some() {}
+        while peers.poll_notification().is_some() {}
         self.counted.set(counted);
     }
 
     fn read_word(&self, now: Millis) {
-        let word = self.peers.borrow_mut().word(now);
+        let word = self.peers.borrow_mut().tier_state(now);
         let mut counted = self.counted.get();
         counted.up = word.up;
         counted.summed = word.sums.map(|sums| sums.heard);
--- a/lab/src/capacity/hollow/tier.rs
+++ b/lab/src/capacity/hollow/tier.rs
@@ -1,7 +1,7 @@
 //! All hollow members of a tier in one thread, and the questions that the lab asks of it. Owns the thread.
 use super::member::{Addresses, Hollow, Shared};
 use crate::capacity::accounting::thread_processor;
-use balancer_gossip::{Member, Subject, DATAGRAM_MOST, HEADER};
+use balancer_gossip::{Member, Subject, HEADER_LEN, MAX_DATAGRAM_LEN};
 use std::cell::Cell;
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc as asked;
 use tokio::task::LocalSet;
 
-/// Where a datagram's header has the deployment, as `balancer_gossip::HEADER` tells.
+/// Where a datagram's header has the deployment, as `balancer_gossip::HEADER_LEN` tells.
 const DEPLOYMENT_AT: usize = 15;
 /// The pause between two looks for the first datagram.
 const LOOK_PAUSE: Duration = Duration::from_millis(5);
@@ -301,14 +301,14 @@
 /// Waits for the first datagram at any of the sockets and reads the deployment from its header.
 pub fn learn_deployment(sockets: &[(u16, UdpSocket)], most: Duration) -> Result<u32, String> {
     let end = Instant::now() + most;
-    let mut bytes = [0; DATAGRAM_MOST];
+    let mut bytes = [0; MAX_DATAGRAM_LEN];
     for (_, socket) in sockets {
         socket.set_nonblocking(true).map_err(|e| e.to_string())?;
     }
     while Instant::now() < end {
         for (_, socket) in sockets {
             match socket.recv_from(&mut bytes) {
-                Ok((length, _)) if length > HEADER => {
+                Ok((length, _)) if length > HEADER_LEN => {
                     let at = &bytes[DEPLOYMENT_AT..];
                     return Ok(u32::from_be_bytes([at[0], at[1], at[2], at[3]]));
                 }
