--- a/system/coordinator/src/coordinator.rs
+++ b/system/coordinator/src/coordinator.rs
@@ -1,11 +1,18 @@
-//! The coordinator: takes inputs, and says what to send, keep, call and answer.
+//! The coordinator's state, its start, and what may be read of it.
+//!
+//! The inputs and what follows from each stand in [`crate::steps`]; each concern (roles, proposals, requests, reads,
+//! feed, platform list) has a module with its part of the implementation.
 use crate::{
     counters::Counters,
-    lapse::Lapse,
+    job_query::PendingRead,
     machine::Machine,
+    operation::{OperationId, PendingOperation},
+    outage::Outage,
     outputs::Output,
+    pending_poll::PendingPoll,
+    platform_reader::PlatformReader,
+    proposal::Proposal,
     settings::CoordinatorSettings,
-    under_way::{Pending, Proposal, Reader, Waiter, WaitingRead},
 };
 use magpiegap_control::{DurableState, Output as ControlOutput, Replica, TimeOfDay};
 use magpiegap_distribution::ConfigurationSource;
@@ -14,45 +21,54 @@
 use magpiegap_scheduler::Scheduler;
 use std::collections::BTreeMap;
 
-/// A coordinator.
+/// A coordinator: a replica of the state, the roles that it holds, and the requests that it responds to.
+///
+/// It does no I/O: inputs come with the time, and [`Coordinator::poll_outputs`] returns what to do.
 pub struct Coordinator {
     pub(crate) settings: CoordinatorSettings,
     pub(crate) replica: Replica,
     pub(crate) machine: Machine,
     /// The configuration in force, and those before it.
     pub(crate) configurations: ConfigurationSource,
+    /// The schedulers of the roles held here, by service.
     pub(crate) schedulers: BTreeMap<String, Scheduler>,
-    pub(crate) reader: Option<Reader>,
-    pub(crate) platform: Option<PlatformList>,
-    pub(crate) vacant_since: BTreeMap<Role, Millis>,
+    /// The reader of the platform's list, where its role is held here.
+    pub(crate) platform_reader: Option<PlatformReader>,
+    /// The newest list of workers known, whoever has read it.
+    pub(crate) platform_list: Option<PlatformList>,
+    pub(crate) roles_vacant_since: BTreeMap<Role, Millis>,
+    /// Proposals in flight, by their sequence number.
     pub(crate) proposals: BTreeMap<u64, Proposal>,
+    /// The last number given to a proposal or a call to the platform.
     pub(crate) next_sequence: u64,
     pub(crate) last_proposed_at: Millis,
-    pub(crate) pending: BTreeMap<u64, Pending>,
-    /// Questions that wait until the view is confirmed.
-    pub(crate) reads: Vec<WaitingRead>,
+    pub(crate) pending_operations: BTreeMap<OperationId, PendingOperation>,
+    /// The last number given to an operation.
+    pub(crate) next_operation: OperationId,
+    /// Queries that wait until the view is confirmed.
+    pub(crate) pending_reads: Vec<PendingRead>,
     /// How long there has been no contact with a majority of the voters.
-    pub(crate) without_contact: Lapse,
+    pub(crate) contact_outage: Outage,
     /// How long this coordinator has not known what is acknowledged.
-    pub(crate) uninformed: Lapse,
-    pub(crate) next_pending: u64,
+    pub(crate) information_outage: Outage,
     pub(crate) feed: Feed,
-    pub(crate) waiters: Vec<Waiter>,
+    pub(crate) pending_polls: Vec<PendingPoll>,
     /// Roles may be acted on before this time.
-    pub(crate) lease_until: Millis,
-    /// The view in which something was proposed, and whether that is committed: then all that was proposed in earlier
-    /// views is settled.
+    pub(crate) lease_expiry: Millis,
+    /// The view in which something was proposed.
     pub(crate) entered_view: Option<ViewNumber>,
-    pub(crate) settled_in_view: bool,
-    pub(crate) leaving: bool,
+    /// The first proposal in that view is committed: all that was proposed in earlier views is committed too, or lost.
+    pub(crate) has_committed_in_view: bool,
+    /// Its roles are handed over: the process is about to end.
+    pub(crate) draining: bool,
     pub(crate) now: Millis,
     pub(crate) time_of_day: TimeOfDay,
-    /// The middle one of the times of day of all coordinators.
-    pub(crate) wall: WallMillis,
+    /// The median of the times of day of all coordinators.
+    pub(crate) median_wall: WallMillis,
     pub(crate) counters: Counters,
-    /// About how long a proposal takes until it is applied here.
-    pub(crate) commit_ms: Millis,
-    pub(crate) out: Vec<Output>,
+    /// Moving average of the time from a proposal until it is applied here.
+    pub(crate) commit_latency_ms: Millis,
+    pub(crate) outputs: Vec<Output>,
 }
 
 impl Coordinator {
@@ -70,31 +86,31 @@
             machine,
             configurations: ConfigurationSource::default(),
             schedulers: BTreeMap::new(),
-            reader: None,
-            platform: None,
-            vacant_since: BTreeMap::new(),
+            platform_reader: None,
+            platform_list: None,
+            roles_vacant_since: BTreeMap::new(),
             proposals: BTreeMap::new(),
             next_sequence: 0,
             last_proposed_at: 0,
-            pending: BTreeMap::new(),
-            reads: Vec::new(),
-            without_contact: Lapse::default(),
-            uninformed: Lapse::default(),
-            next_pending: 0,
+            pending_operations: BTreeMap::new(),
+            next_operation: 0,
+            pending_reads: Vec::new(),
+            contact_outage: Outage::default(),
+            information_outage: Outage::default(),
             feed: Feed::default(),
-            waiters: Vec::new(),
-            lease_until: 0,
+            pending_polls: Vec::new(),
+            lease_expiry: 0,
             entered_view: None,
-            settled_in_view: false,
-            leaving: false,
+            has_committed_in_view: false,
+            draining: false,
             now,
             time_of_day: TimeOfDay::default(),
-            wall: WallMillis(0),
+            median_wall: WallMillis(0),
             counters: Counters::default(),
-            commit_ms: 0,
-            out: Vec::new(),
+            commit_latency_ms: 0,
+            outputs: Vec::new(),
         };
-        coordinator.follow_configuration();
+        coordinator.update_configuration();
         coordinator.refresh_feed();
         coordinator
     }
@@ -109,12 +125,12 @@
         &self.machine.state
     }
 
-    /// The configuration that it goes by; `None`: there is none yet.
+    /// The configuration in force; `None`: there is none yet.
     pub fn configuration(&self) -> Option<&Configuration> {
         self.configurations.newest().map(AsRef::as_ref)
     }
 
-    /// A connection to the coordinator at an address was refused.
+    /// Handles that a connection to the coordinator at an address was refused.
     pub fn handle_connection_refused(&mut self, now: Millis, address: u32) {
         self.replica.handle_connection_refused(address, now);
     }
@@ -124,27 +140,27 @@
         self.replica.set_seeds(seeds);
     }
 
-    /// Whether it was told to leave, and the others go on without it.
+    /// Whether it is draining, and the others go on without it.
     pub fn has_left(&self) -> bool {
-        self.leaving && self.replica.view().position(&self.replica.own()).is_none()
+        self.draining && self.replica.view().position(&self.replica.own()).is_none()
     }
 
-    /// Hands its roles on: the process is about to end.
+    /// Hands its roles over: the process is about to end.
     pub fn leave(&mut self, now: Millis) {
         self.now = now;
-        self.leaving = true;
+        self.draining = true;
         self.replica.leave(now);
     }
 
     pub(crate) fn log(&mut self, line: String) {
-        self.out.push(Output::Control(ControlOutput::Log(line)));
+        self.outputs.push(Output::Control(ControlOutput::Log(line)));
     }
 
-    /// Takes note of the time. Returns the time of day of this machine, without the jumps of its clock.
-    pub(crate) fn begin_step(&mut self, now: Millis, clock: WallMillis) -> WallMillis {
+    /// Moves the clocks on. Returns the time of day of this machine, without the jumps of its clock.
+    pub(crate) fn advance_clocks(&mut self, now: Millis, clock: WallMillis) -> WallMillis {
         let own_wall = self.time_of_day.read(now, clock);
         self.now = now;
-        self.wall = self.replica.median_wall(own_wall, now);
+        self.median_wall = self.replica.median_wall(own_wall, now);
         own_wall
     }
 }
--- a/system/coordinator/src/counters.rs
+++ b/system/coordinator/src/counters.rs
@@ -1,4 +1,4 @@
-//! What a coordinator counts, for operators.
+//! Counters of a coordinator, for operators. Their names are those of the operator's interface.
 use magpiegap_jobs::{Applied, Change};
 use magpiegap_protocol::{CompletionKind, ConfigurationChunk};
 use serde::{Deserialize, Serialize};
@@ -10,33 +10,33 @@
     pub entries: u64,
     /// Runs put on record.
     pub runs_opened: u64,
-    /// Runs that ended with success.
+    /// Runs that completed with success.
     pub runs_done: u64,
     /// Runs that failed.
     pub runs_failed: u64,
-    /// Runs that were stopped, lapsed, or were lost.
+    /// Runs that were stopped, whose lease expired, or that were lost.
     pub runs_cut_short: u64,
-    /// Views taken up.
+    /// Views entered.
     pub views: u64,
     /// Calls to workers.
     pub worker_calls: u64,
-    /// Parts of configurations handed to agents, with those that went with the news.
+    /// Chunks of configurations sent to agents, with those that went with the feed.
     #[serde(default)]
     pub configuration_parts: u64,
-    /// Bytes of these parts.
+    /// Bytes of these chunks.
     #[serde(default)]
     pub configuration_bytes: u64,
 }
 
 impl Counters {
-    /// Counts a part of a configuration that is handed to an agent.
-    pub(crate) fn note_part(&mut self, chunk: &ConfigurationChunk) {
+    /// Counts a chunk of a configuration that is sent to an agent.
+    pub(crate) fn count_chunk(&mut self, chunk: &ConfigurationChunk) {
         self.configuration_parts += 1;
         self.configuration_bytes += chunk.bytes.len() as u64;
     }
 
     /// Counts an entry and what it has changed.
-    pub(crate) fn note_entry(&mut self, applied: &Applied) {
+    pub(crate) fn count_entry(&mut self, applied: &Applied) {
         self.entries += 1;
         for change in &applied.changes {
             match change {
--- a/system/coordinator/src/describe.rs
+++ b/system/coordinator/src/describe.rs
@@ -1,4 +1,4 @@
-//! The state of the cluster, for operators.
+//! Descriptions of the cluster and its jobs, for operators. Their fields are names of the operator's interface.
 use crate::{coordinator::Coordinator, counters::Counters};
 use magpiegap_jobs::{RoleState, State};
 use magpiegap_protocol::{CoordinatorResponse, JobId, Role};
@@ -10,28 +10,28 @@
 pub struct ClusterDescription {
     /// Number of the newest view that it knows.
     pub view: u64,
-    /// All that was proposed in earlier views is settled.
+    /// Whether all that was proposed in earlier views is committed or lost.
     pub settled: bool,
-    /// Proposals of this coordinator that are under way.
+    /// Proposals of this coordinator in flight.
     pub proposals: usize,
-    /// Requests that wait for a proposal.
+    /// Operations that wait for a proposal to be applied.
     pub requests: usize,
-    /// The chain's machines, head first.
+    /// Addresses of the chain's replicas, head first.
     pub chain: Vec<String>,
     /// How many vote on the next view.
     pub voters: usize,
-    /// This coordinator takes part in the chain.
+    /// Whether this coordinator takes part in the chain.
     pub active: bool,
     /// How long ago its view was surely the newest one, in milliseconds; `None`: it has had no contact with a majority
-    /// in this view. What is told here may be as old as that.
+    /// in this view. What is described here may be as old as that.
     #[serde(default)]
     pub contact_ms: Option<u64>,
     /// The newest entry that it knows to be committed.
     pub committed: u64,
-    /// About how long a proposal of this coordinator takes until it is applied here, in milliseconds.
+    /// Moving average of the time from a proposal of this coordinator until it is applied here, in milliseconds.
     #[serde(default)]
     pub commit_ms: u64,
-    /// Agents that wait for news here.
+    /// Agents whose long polls wait here.
     #[serde(default)]
     pub agents: usize,
     /// Those of them that do not have the newest configuration yet.
@@ -39,35 +39,35 @@
     pub agents_behind: usize,
     /// Version of the configuration.
     pub configuration: u64,
-    /// Jobs in the state, with those that have ended and are still shown.
+    /// Jobs in the state, with those that have ended and are still retained.
     pub jobs: usize,
     /// Jobs that have not ended.
     pub open_jobs: u64,
-    /// Who holds which role.
+    /// The holders of the roles.
     pub roles: Vec<RoleDescription>,
-    /// The schedulers that this coordinator holds.
+    /// The schedulers whose roles this coordinator holds.
     pub schedulers: Vec<SchedulerDescription>,
     /// What it has counted since its start.
     pub counters: Counters,
 }
 
-/// Who holds a role.
+/// The holder of a role.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleDescription {
     /// The role.
     pub role: String,
     /// The holder's address.
     pub holder: String,
-    /// Rises with each holder.
+    /// The fencing token; it rises with each holder.
     pub token: u64,
 }
 
-/// One scheduler.
+/// A scheduler and its metrics.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SchedulerDescription {
     /// The service.
     pub service: String,
-    /// Its figures.
+    /// Its metrics.
     #[serde(flatten)]
     pub summary: Summary,
 }
@@ -75,15 +75,15 @@
 impl RoleDescription {
     /// All roles that were ever held.
     pub fn all(state: &State) -> Vec<RoleDescription> {
-        let described = |(role, held): (&Role, &RoleState)| RoleDescription {
+        let describe = |(role, state): (&Role, &RoleState)| RoleDescription {
             role: match role {
                 Role::PlatformReader => "platform-reader".to_owned(),
                 Role::Scheduler(service) => format!("scheduler {service}"),
             },
-            holder: held.holder.member.ip().to_string(),
-            token: held.token.0,
+            holder: state.holder.member.ip().to_string(),
+            token: state.token.0,
         };
-        state.roles.iter().map(described).collect()
+        state.roles.iter().map(describe).collect()
     }
 }
 
@@ -94,9 +94,9 @@
         let state = &self.machine.state;
         ClusterDescription {
             view: view.number.0,
-            settled: self.settled_in_view,
+            settled: self.has_committed_in_view,
             proposals: self.proposals.len(),
-            requests: self.pending.len(),
+            requests: self.pending_operations.len(),
             chain: view
                 .chain
                 .iter()
@@ -106,8 +106,8 @@
             active: self.replica.is_active(),
             contact_ms: self.contact_age_ms(),
             committed: self.replica.committed().0,
-            commit_ms: self.commit_ms,
-            agents: self.waiters.len(),
+            commit_ms: self.commit_latency_ms,
+            agents: self.pending_polls.len(),
             agents_behind: self.agents_behind(),
             configuration: state.configuration.version,
             jobs: state.jobs.len(),
@@ -120,9 +120,9 @@
 
     fn agents_behind(&self) -> usize {
         let newest = self.machine.state.configuration.version;
-        self.waiters
+        self.pending_polls
             .iter()
-            .filter(|waiter| waiter.poll.configuration_version != newest)
+            .filter(|pending| pending.poll.configuration_version != newest)
             .count()
     }
 
@@ -132,35 +132,37 @@
     }
 
     fn describe_schedulers(&self) -> Vec<SchedulerDescription> {
-        let described = |(service, scheduler): (&String, &Scheduler)| SchedulerDescription {
+        let describe = |(service, scheduler): (&String, &Scheduler)| SchedulerDescription {
             service: service.clone(),
             summary: scheduler.summary(),
         };
-        self.schedulers.iter().map(described).collect()
+        self.schedulers.iter().map(describe).collect()
     }
 
-    /// What there is to say of a job, or who can say it.
+    /// Explains a job: why its tasks wait, and where they run; or says which coordinator can.
     pub(crate) fn explain(&self, job: JobId) -> CoordinatorResponse {
         let state = &self.machine.state;
         let Some(known) = state.jobs.get(&job) else {
-            return match self.answers_reads() && self.replica.has_contact(self.now) {
-                true => CoordinatorResponse::NoSuchJob,
-                false => CoordinatorResponse::NotServing,
+            let is_known_absent = self.can_serve_reads() && self.replica.has_contact(self.now);
+            return if is_known_absent {
+                CoordinatorResponse::NoSuchJob
+            } else {
+                CoordinatorResponse::NotServing
             };
         };
         let service = &known.submission.service;
-        if let Some(scheduler) = self.schedulers.get(service).filter(|_| self.may_act()) {
+        if let Some(scheduler) = self.schedulers.get(service).filter(|_| self.holds_lease()) {
             let text = scheduler
                 .explain(state, job)
-                .and_then(|said| serde_json::to_string(&said).ok());
+                .and_then(|explanation| serde_json::to_string(&explanation).ok());
             return text.map_or(
                 CoordinatorResponse::NotServing,
                 CoordinatorResponse::Description,
             );
         }
         match state.roles.get(&Role::Scheduler(service.clone())) {
-            Some(held) if held.holder != self.replica.own() => {
-                CoordinatorResponse::Elsewhere(held.holder.member.address)
+            Some(role) if role.holder != self.replica.own() => {
+                CoordinatorResponse::Elsewhere(role.holder.member.address)
             }
             _ => CoordinatorResponse::NotServing,
         }
--- a/system/coordinator/src/job_list.rs
+++ b/system/coordinator/src/job_list.rs
@@ -2,65 +2,67 @@
 use magpiegap_jobs::{Job, State, StepState};
 use magpiegap_protocol::JobFilter;
 use serde::{Deserialize, Serialize};
+use std::ops::Bound;
 
-/// Most jobs of one list.
-const MOST_LISTED: usize = 10_000;
+/// Maximum number of jobs in one list.
+const MAX_LISTED_JOBS: usize = 10_000;
 
-/// Some jobs, as one coordinator has them.
+/// A page of jobs, as one coordinator has them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobList {
     /// The newest entry of the log that the coordinator has applied.
     pub entry: u64,
     /// The jobs, in the order of their names.
     pub jobs: Vec<JobLine>,
-    /// The last job listed, where there are more after it.
+    /// The last job listed, where more follow; `None`: the list is complete.
     pub next: Option<String>,
 }
 
-/// One job of a list.
+/// One job of a list. The fields are names of the operator's interface.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobLine {
     /// Its name.
     pub job: String,
-    /// The queue in which it was handed in.
+    /// The queue to which it was submitted.
     pub queue: String,
     /// Its state, as clients are shown it.
     pub state: String,
     /// Its priority; zero goes first.
     pub priority: u32,
-    /// When it was handed in, in milliseconds since 1970.
+    /// When it was submitted, in milliseconds since 1970.
     pub submitted_ms: u64,
-    /// Tasks of all times that have fallen due and were not cleared away; none once it has ended.
+    /// Tasks of all occurrences that have fallen due and were not removed; none once the job has ended.
     pub tasks: usize,
-    /// Those of them that are done.
+    /// Those of them that have completed.
     pub done: usize,
-    /// Runs that may be going on.
+    /// Runs that may be in progress.
     pub running: usize,
 }
 
 impl JobList {
-    /// The jobs of a state that a filter lets through.
+    /// Lists the jobs of a state that a filter matches.
     pub fn of(state: &State, filter: &JobFilter) -> JobList {
-        let limit = (filter.limit as usize).clamp(1, MOST_LISTED);
-        let after = filter
-            .after
-            .map_or(std::ops::Bound::Unbounded, std::ops::Bound::Excluded);
-        let wanted = |job: &Job| {
+        let limit = (filter.limit as usize).clamp(1, MAX_LISTED_JOBS);
+        let after = filter.after.map_or(Bound::Unbounded, Bound::Excluded);
+        let matches = |job: &Job| {
             filter
                 .queue
                 .as_ref()
                 .is_none_or(|queue| *queue == job.submission.queue)
                 && filter.phase.is_none_or(|phase| phase == job.phase)
         };
-        let rest = state.jobs.range((after, std::ops::Bound::Unbounded));
-        let mut found = rest.map(|(_, job)| job).filter(|job| wanted(job));
+        let remaining = state.jobs.range((after, Bound::Unbounded));
+        let mut found = remaining.map(|(_, job)| job).filter(|job| matches(job));
         let jobs: Vec<JobLine> = found
             .by_ref()
             .take(limit)
             .map(|job| JobLine::of(job))
             .collect();
-        let more = found.next().is_some();
-        let next = jobs.last().filter(|_| more).map(|last| last.job.clone());
+        let has_more = found.next().is_some();
+        let next = jobs
+            .last()
+            .filter(|_| has_more)
+            .map(|last| last.job.clone());
         JobList {
             entry: state.position.index.0,
             jobs,
--- a/system/coordinator/src/machine.rs
+++ b/system/coordinator/src/machine.rs
@@ -1,10 +1,10 @@
-//! The replicated state, with what applying entries has changed since it was last looked at.
+//! The replicated state as the state machine of the log, with what the entries applied since the last step have changed.
 use magpiegap_control::{DurableState, StateMachine, StateSnapshot};
 use magpiegap_jobs::{Applied, JobsSnapshot, SnapshotBuilder, State};
 use magpiegap_protocol::{DecodeError, Entry, LogPosition, ProposalId, RoleToken};
 use std::sync::Arc;
 
-/// What an applied entry was, and what it has changed. Not its command, which nobody asks for any more.
+/// An applied entry without its command, and what it has changed.
 pub(crate) struct AppliedEntry {
     pub position: LogPosition,
     pub proposal: ProposalId,
@@ -12,15 +12,16 @@
     pub applied: Applied,
 }
 
-/// The replicated state and the entries applied since they were last taken.
+/// The replicated state, and the entries applied since the last step.
 #[derive(Default)]
 pub struct Machine {
     /// The state.
     pub state: State,
-    /// Another state that is being built up.
-    building: SnapshotBuilder,
+    /// A state that is being restored from the chunks of a snapshot.
+    restoring: SnapshotBuilder,
     pub(crate) applied: Vec<AppliedEntry>,
-    pub(crate) restored: bool,
+    /// The state was replaced by a snapshot since the last step.
+    pub(crate) was_restored: bool,
 }
 
 impl Machine {
@@ -32,7 +33,7 @@
         }
     }
 
-    /// A machine with the state that was found on disk.
+    /// Restores the state that was found on disk.
     ///
     /// # Errors
     /// When the bytes are no state that this build can read.
@@ -45,7 +46,7 @@
     }
 }
 
-/// A state at one moment.
+/// A state at one position of the log.
 #[derive(Debug)]
 struct MachineSnapshot(JobsSnapshot);
 
@@ -63,7 +64,7 @@
     }
 }
 
-/// A state at one moment, as the replica below keeps and tells it.
+/// Takes a snapshot of a state, as the replica below saves and sends it.
 pub fn take_snapshot(state: &State) -> Arc<dyn StateSnapshot> {
     Arc::new(MachineSnapshot(state.snapshot()))
 }
@@ -71,17 +72,10 @@
 impl StateMachine for Machine {
     fn apply(&mut self, entry: &Entry) {
         let applied = self.state.apply(entry);
-        let Entry {
-            position,
-            proposal,
-            role_token,
-            ..
-        } = entry;
-        let (position, proposal, role_token) = (*position, *proposal, role_token.clone());
         self.applied.push(AppliedEntry {
-            position,
-            proposal,
-            role_token,
+            position: entry.position,
+            proposal: entry.proposal,
+            role_token: entry.role_token.clone(),
             applied,
         });
     }
@@ -95,20 +89,20 @@
     }
 
     fn begin_restore(&mut self) {
-        self.building = SnapshotBuilder::default();
+        self.restoring = SnapshotBuilder::default();
     }
 
     fn add_chunk(&mut self, chunk: &[u8]) -> bool {
-        self.building.add(chunk).is_ok()
+        self.restoring.add(chunk).is_ok()
     }
 
     fn finish_restore(&mut self, position: LogPosition) -> bool {
-        let built = std::mem::take(&mut self.building).finish();
+        let built = std::mem::take(&mut self.restoring).finish();
         let Some(state) = built.filter(|state| state.position == position) else {
             return false;
         };
         self.state = state;
-        self.restored = true;
+        self.was_restored = true;
         true
     }
 }
--- a/system/coordinator/src/outputs.rs
+++ b/system/coordinator/src/outputs.rs
@@ -1,21 +1,21 @@
-//! What a coordinator wants done.
+//! Outputs of a coordinator: messages, disk work, responses, and calls to workers and the platform.
 use magpiegap_control::Output as ControlOutput;
 use magpiegap_protocol::{CoordinatorResponse, FencingToken, WorkerEntry};
 use magpiegap_scheduler::WorkerCall;
 
-/// Names a request that waits for its answer.
+/// Identifies a request that waits for its response.
 pub type RequestId = u64;
 
-/// Something that a coordinator wants done. Disk work is done in order, and each ticket is answered.
+/// An effect that a coordinator asks for. Disk work is done in order, and each ticket is confirmed.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// What its replica wants done: messages to other coordinators, disk work, lines for the log.
+    /// An output of its replica: a message to another coordinator, disk work, a log line.
     Control(ControlOutput),
-    /// Answer a request.
+    /// Respond to a request.
     Answer {
         /// The request.
         request: RequestId,
-        /// The answer.
+        /// The response.
         answer: CoordinatorResponse,
     },
     /// Call a worker.
@@ -27,16 +27,16 @@
         /// The call.
         call: WorkerCall,
     },
-    /// Ask the platform for a page of its list.
+    /// Request a page of the platform's list.
     ListWorkers {
-        /// Names the call.
+        /// Identifies the call.
         call: u64,
         /// The page; `None`: the first.
         page: Option<String>,
     },
 }
 
-/// The platform's answer.
+/// The platform's reply to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlatformReply {
     /// A page of the list.
@@ -46,8 +46,8 @@
         /// The page that follows; `None`: this was the last one.
         next: Option<String>,
     },
-    /// Too many calls.
+    /// The platform limits the rate of calls.
     Limited,
-    /// No answer, or one that can't be read.
+    /// No response in time, or none that can be read.
     Failed,
 }
--- a/system/coordinator/src/platform.rs
+++ b/system/coordinator/src/platform.rs
@@ -1,140 +1,108 @@
-//! Reads the platform's list, for all coordinators.
+//! Reads the platform's list of workers in the role of its reader, and shares it with all coordinators.
 use crate::{
     coordinator::Coordinator,
     outputs::{Output, PlatformReply},
-    under_way::Reader,
+    platform_reader::PlatformReader,
 };
 use magpiegap_control::Output as ControlOutput;
 use magpiegap_protocol::{FencingToken, Millis, PeerMessage, PlatformList};
 
-/// A call that was not answered for this long is given up.
-const CALL_PATIENCE_MS: Millis = 1500;
-/// Time until the platform is asked again after a refusal or silence.
-const RETRY_MS: Millis = 250;
-/// An unchanged list is told to the others this often.
-const REPEAT_EVERY_MS: Millis = 1000;
+/// Delay before the platform is called again after it refused a call or did not answer one.
+const RETRY_DELAY_MS: Millis = 250;
 
 impl Coordinator {
-    pub(crate) fn follow_reader(&mut self, token: Option<FencingToken>) {
-        if self.reader.as_ref().map(|reader| reader.token) == token {
+    /// Starts or ends the reader, as the log says who holds its role.
+    pub(crate) fn update_platform_reader(&mut self, token: Option<FencingToken>) {
+        if self.platform_reader.as_ref().map(PlatformReader::token) == token {
             return;
         }
-        self.reader = token.map(|token| Reader {
-            token,
-            sequence: 0,
-            next_at: self.now,
-            open: None,
-            collected: Vec::new(),
-            told_at: 0,
-        });
+        self.platform_reader = token.map(|token| PlatformReader::new(token, self.now));
     }
 
-    /// Asks for the next page when that is due.
+    /// Begins to read the list when that is due.
     pub(crate) fn read_platform(&mut self) {
-        let may_act = self.may_act();
+        let holds_lease = self.holds_lease();
         let now = self.now;
-        let Some(reader) = self.reader.as_mut() else {
+        let Some(reader) = self.platform_reader.as_mut() else {
             return;
         };
-        if reader
-            .open
-            .is_some_and(|(_, since)| now >= since + CALL_PATIENCE_MS)
-        {
-            reader.open = None;
-        }
-        if may_act && reader.open.is_none() && now >= reader.next_at {
-            reader.collected.clear();
-            self.ask_platform(None);
+        reader.expire_call(now);
+        if holds_lease && reader.is_read_due(now) {
+            reader.discard_pages();
+            self.request_platform_page(None);
         }
     }
 
-    fn ask_platform(&mut self, page: Option<String>) {
+    fn request_platform_page(&mut self, page: Option<String>) {
         self.next_sequence += 1;
         let call = self.next_sequence;
-        if let Some(reader) = self.reader.as_mut() {
-            reader.open = Some((call, self.now));
-            self.out.push(Output::ListWorkers { call, page });
+        if let Some(reader) = self.platform_reader.as_mut() {
+            reader.begin_call(call, self.now);
+            self.outputs.push(Output::ListWorkers { call, page });
         }
     }
 
-    /// The platform has answered, or has not in time.
+    /// Handles the platform's reply to a call, or that there was none in time.
     pub fn handle_platform_reply(&mut self, now: Millis, call: u64, reply: PlatformReply) {
         self.now = now;
-        let every = self.settings.list_every_ms;
-        let Some(reader) = self.reader.as_mut() else {
+        let Some(reader) = self.platform_reader.as_mut() else {
             return;
         };
-        if reader.open.is_none_or(|(open, _)| open != call) {
+        if !reader.end_call(call) {
             return;
         }
-        reader.open = None;
         match reply {
             PlatformReply::Page { workers, next } => {
-                reader.collected.extend(workers);
+                reader.add_page(workers);
                 match next {
-                    Some(page) => self.ask_platform(Some(page)),
+                    Some(page) => self.request_platform_page(Some(page)),
                     None => {
-                        reader.next_at = now + every;
-                        self.list_is_whole();
+                        reader.schedule_read(now + self.settings.list_every_ms);
+                        self.publish_platform_list();
                     }
                 }
             }
-            PlatformReply::Limited | PlatformReply::Failed => reader.next_at = now + RETRY_MS,
+            PlatformReply::Limited | PlatformReply::Failed => {
+                reader.schedule_read(now + RETRY_DELAY_MS);
+            }
         }
     }
 
-    fn list_is_whole(&mut self) {
-        let now = self.now;
-        let Some(reader) = self.reader.as_mut() else {
+    /// Sends the complete list to the other coordinators, and goes by it here.
+    fn publish_platform_list(&mut self) {
+        let Some(reader) = self.platform_reader.as_mut() else {
             return;
         };
-        let workers = std::mem::take(&mut reader.collected);
-        let changed = self
-            .platform
-            .as_ref()
-            .is_none_or(|list| list.workers != workers);
-        if !changed && now < reader.told_at + REPEAT_EVERY_MS {
+        let Some(list) = reader.finish_list(self.platform_list.as_ref(), self.now) else {
             return;
-        }
-        reader.told_at = now;
-        reader.sequence += 1;
-        let list = PlatformList {
-            token: reader.token,
-            sequence: reader.sequence,
-            workers,
         };
         let own = self.replica.own();
-        for replica in self.replica.view().chain.clone() {
-            if replica != own {
-                let message = PeerMessage::Platform(list.clone());
-                let to = replica.member.address;
-                self.out
-                    .push(Output::Control(ControlOutput::Send { to, message }));
+        for replica in &self.replica.view().chain {
+            if *replica == own {
+                continue;
             }
+            let message = PeerMessage::Platform(list.clone());
+            let to = replica.member.address;
+            self.outputs
+                .push(Output::Control(ControlOutput::Send { to, message }));
         }
-        self.take_list(list);
+        self.install_platform_list(list);
     }
 
-    /// Takes up a list, unless a newer one is known.
-    pub(crate) fn take_list(&mut self, list: PlatformList) {
-        let known = self
-            .platform
-            .as_ref()
-            .map_or((FencingToken::default(), 0), |known| {
-                (known.token, known.sequence)
-            });
-        if (list.token, list.sequence) <= known {
+    /// Goes by a list, unless a newer one is known.
+    pub(crate) fn install_platform_list(&mut self, list: PlatformList) {
+        let known = self.platform_list.as_ref();
+        let version = known.map_or((FencingToken::default(), 0), |known| {
+            (known.token, known.sequence)
+        });
+        if (list.token, list.sequence) <= version {
             return;
         }
-        let changed = self
-            .platform
-            .as_ref()
-            .is_none_or(|known| known.workers != list.workers);
-        if changed {
+        if known.is_none_or(|known| known.workers != list.workers) {
             for scheduler in self.schedulers.values_mut() {
                 scheduler.list(self.now, &self.machine.state, &list.workers);
             }
         }
-        self.platform = Some(list);
+        self.platform_list = Some(list);
     }
 }
--- a/system/coordinator/src/proposals.rs
+++ b/system/coordinator/src/proposals.rs
@@ -1,223 +1,195 @@
-//! What this coordinator has proposed and what waits for it.
+//! Proposals in flight, and the operations that they complete.
 use crate::{
     coordinator::Coordinator,
+    operation::{Operation, OperationId, PendingOperation},
     outputs::RequestId,
-    under_way::{Operation, Pending, Proposal, Purpose},
+    proposal::{Proposal, Proposed},
 };
-use magpiegap_protocol::{Command, CoordinatorResponse, Millis, ProposalId, RoleToken};
+use magpiegap_protocol::{Command, CoordinatorResponse, Millis, ProposalId};
 
-/// A request that was not answered for this long is answered as it stands.
-const REQUEST_PATIENCE_MS: Millis = 2000;
+/// An operation that has no outcome for this long gets a response without one.
+const OPERATION_TIMEOUT_MS: Millis = 2000;
 
-/// Contact with a majority that is not back after this time is taken for lost: a change of the view takes less.
-const CONTACT_LOST_MS: Millis = 300;
+/// Contact with a majority that is not back after this time counts as lost: a view change takes less.
+const CONTACT_TIMEOUT_MS: Millis = 300;
 
 /// A proposal that the head may not have got is sent again after this time ...
-const PROPOSE_AGAIN_MS: Millis = 500;
-/// ... and after as much longer as a link that takes so many bytes in a millisecond needs for it: 1.6 Mbit/s.
-const LEAST_BYTES_PER_MS: u64 = 200;
+const PROPOSAL_RETRY_MS: Millis = 500;
+/// ... and after as much longer as a link of this speed needs for it, in bytes per millisecond: 1.6 Mbit/s.
+const MIN_LINK_BYTES_PER_MS: u64 = 200;
 
 impl Coordinator {
-    /// Proposes a command. Returns whether it is under way.
-    pub(crate) fn propose(
-        &mut self,
-        command: Command,
-        role_token: Option<RoleToken>,
-        purpose: Option<Purpose>,
-        pending: Option<u64>,
-    ) -> bool {
+    /// Proposes a command. Returns whether it is in flight.
+    pub(crate) fn propose(&mut self, proposed: Proposed) -> bool {
         self.next_sequence += 1;
         let sequence = self.next_sequence;
-        let proposal = ProposalId {
-            origin: self.replica.own(),
-            sequence,
-        };
-        let wall = self.wall;
-        if !self
-            .replica
-            .propose(wall, proposal, role_token.clone(), command.clone())
-        {
+        if !self.submit_to_log(sequence, &proposed) {
             return false;
         }
-        let view = self.replica.view().number;
-        let again_at = self.now + propose_again_ms(&command);
         let proposal = Proposal {
-            purpose,
-            pending,
             proposed_at: self.now,
-            view,
-            role_token,
-            command,
-            again_at,
+            view: self.replica.view().number,
+            retry_at: self.now + retry_delay_ms(&proposed.command),
+            proposed,
         };
         self.proposals.insert(sequence, proposal);
         self.last_proposed_at = self.now;
         true
     }
 
+    /// Hands a command to the replica. Returns whether the replica takes proposals now.
+    fn submit_to_log(&mut self, sequence: u64, proposed: &Proposed) -> bool {
+        let id = ProposalId {
+            origin: self.replica.own(),
+            sequence,
+        };
+        self.replica.propose(
+            self.median_wall,
+            id,
+            proposed.role_token.clone(),
+            proposed.command.clone(),
+        )
+    }
+
     /// Sends proposals to the head again that may have been lost on their way. All commands may be applied twice.
-    pub(crate) fn propose_again(&mut self) {
+    pub(crate) fn retry_proposals(&mut self) {
         if self.replica.is_head() || !self.replica.is_active() {
             return;
         }
-        let (now, wall, origin) = (self.now, self.wall, self.replica.own());
+        let now = self.now;
         let view = self.replica.view().number;
-        for (sequence, proposal) in &mut self.proposals {
-            if now < proposal.again_at || proposal.view != view {
+        let mut proposals = std::mem::take(&mut self.proposals);
+        for (sequence, proposal) in &mut proposals {
+            if now < proposal.retry_at || proposal.view != view {
                 continue;
             }
-            proposal.again_at = now + propose_again_ms(&proposal.command);
-            let id = ProposalId {
-                origin,
-                sequence: *sequence,
-            };
-            self.replica.propose(
-                wall,
-                id,
-                proposal.role_token.clone(),
-                proposal.command.clone(),
-            );
+            proposal.retry_at = now + retry_delay_ms(&proposal.proposed.command);
+            self.submit_to_log(*sequence, &proposal.proposed);
         }
+        self.proposals = proposals;
     }
 
-    /// Takes up an operation.
-    pub(crate) fn begin(&mut self, operation: Operation, request: RequestId) {
+    /// Starts an operation, or adds the request to one in progress that has the same effect.
+    pub(crate) fn start_operation(&mut self, operation: Operation, request: RequestId) {
         let same = self
-            .pending
-            .iter_mut()
-            .find(|(_, pending)| same_operation(&pending.operation, &operation));
-        if let Some((_, pending)) = same {
+            .pending_operations
+            .values_mut()
+            .find(|pending| pending.operation.is_same(&operation));
+        if let Some(pending) = same {
             pending.requests.push(request);
             return;
         }
-        self.next_pending += 1;
-        let id = self.next_pending;
-        let pending = Pending {
+        self.next_operation += 1;
+        let id = self.next_operation;
+        let pending = PendingOperation {
             operation,
             requests: vec![request],
-            since: self.now,
-            proposed: false,
+            started_at: self.now,
+            was_proposed: false,
         };
-        self.pending.insert(id, pending);
-        self.pursue(id);
+        self.pending_operations.insert(id, pending);
+        self.propose_operation(id);
     }
 
-    /// Proposes what settles an operation.
-    pub(crate) fn pursue(&mut self, id: u64) {
-        if !self.settled_in_view {
+    /// Proposes what completes an operation.
+    fn propose_operation(&mut self, id: OperationId) {
+        if !self.has_committed_in_view {
             return;
         }
-        let Some(Pending {
-            operation,
-            proposed,
-            ..
-        }) = self.pending.get(&id).cloned()
-        else {
+        let Some(pending) = self.pending_operations.get(&id).cloned() else {
             return;
         };
-        let (command, role_token, purpose) = match operation {
-            Operation::Submit(submission) => match self.submission_command(*submission) {
-                Some((command, role_token, purpose)) => (command, Some(role_token), Some(purpose)),
-                None => {
-                    self.settle(id, &unsettled_answer(proposed));
-                    return;
-                }
-            },
-            Operation::Cancel(job) => (Command::CancelJob { job }, None, None),
+        let response_without_outcome = pending.response_without_outcome();
+        let Some(proposed) = self.proposed_for(pending.operation) else {
+            self.complete_operation(id, &response_without_outcome);
+            return;
+        };
+        let proposed = Proposed {
+            operation: Some(id),
+            ..proposed
+        };
+        if self.propose(proposed) {
+            if let Some(pending) = self.pending_operations.get_mut(&id) {
+                pending.was_proposed = true;
+            }
+        }
+    }
+
+    /// What to propose for an operation. `None`: this coordinator may not propose it.
+    fn proposed_for(&mut self, operation: Operation) -> Option<Proposed> {
+        Some(match operation {
+            Operation::Submit(submission) => return self.proposed_submission(*submission),
+            Operation::Cancel(job) => Proposed::new(Command::CancelJob { job }),
             Operation::ReplaceConfiguration {
                 base,
                 version,
                 body,
                 change,
-            } => (
-                Command::ReplaceConfiguration {
-                    base,
-                    version,
-                    body,
-                    change,
-                },
-                None,
-                None,
-            ),
-            Operation::DescribeConfiguration => (Command::Noop, None, None),
-        };
-        if self.propose(command, role_token, purpose, Some(id)) {
-            if let Some(pending) = self.pending.get_mut(&id) {
-                pending.proposed = true;
-            }
-        }
+            } => Proposed::new(Command::ReplaceConfiguration {
+                base,
+                version,
+                body,
+                change,
+            }),
+            Operation::DescribeConfiguration => Proposed::new(Command::Noop),
+        })
     }
 
-    /// Answers all that wait for an operation.
-    pub(crate) fn settle(&mut self, id: u64, answer: &CoordinatorResponse) {
-        let Some(pending) = self.pending.remove(&id) else {
+    /// Responds to all requests that wait for an operation.
+    pub(crate) fn complete_operation(&mut self, id: OperationId, response: &CoordinatorResponse) {
+        let Some(pending) = self.pending_operations.remove(&id) else {
             return;
         };
         for request in pending.requests {
-            self.answer(request, answer.clone());
+            self.respond(request, response.clone());
         }
     }
 
-    /// Answers requests that have waited too long, and all of them once this coordinator has lost its contact with the
-    /// others: a caller that hears so within a second asks another one.
-    pub(crate) fn give_up_requests(&mut self) {
+    /// Ends operations that have timed out, and all of them once contact with a majority is lost: a caller that hears so
+    /// within a second asks another coordinator.
+    pub(crate) fn expire_operations(&mut self) {
         let now = self.now;
-        self.without_contact
-            .note(self.replica.has_contact(now), now);
-        let is_lost = self.without_contact.lasts(CONTACT_LOST_MS, now);
-        let old: Vec<(u64, bool)> = self
-            .pending
+        self.contact_outage
+            .observe(self.replica.has_contact(now), now);
+        let has_lost_contact = self.contact_outage.has_lasted(CONTACT_TIMEOUT_MS, now);
+        let is_expired = |pending: &PendingOperation| {
+            has_lost_contact || now >= pending.started_at + OPERATION_TIMEOUT_MS
+        };
+        let expired: Vec<(OperationId, CoordinatorResponse)> = self
+            .pending_operations
             .iter()
-            .filter(|(_, pending)| is_lost || now >= pending.since + REQUEST_PATIENCE_MS)
-            .map(|(id, pending)| (*id, pending.proposed))
+            .filter(|(_, pending)| is_expired(pending))
+            .map(|(id, pending)| (*id, pending.response_without_outcome()))
             .collect();
-        for (id, proposed) in old {
-            self.settle(id, &unsettled_answer(proposed));
+        for (id, response) in expired {
+            self.complete_operation(id, &response);
         }
     }
 
-    /// Proposes anew what a change of the view has left open.
-    pub(crate) fn pursue_all(&mut self) {
-        // After standing still some may be old, and their callers long since served by others.
-        self.give_up_requests();
+    /// Proposes anew what a view change has left open.
+    pub(crate) fn propose_open_operations(&mut self) {
+        // After a pause of this process some may be old, and their callers long since served by others.
+        self.expire_operations();
         let view = self.replica.view().number;
         self.proposals.retain(|_, proposal| proposal.view == view);
-        let under_way: Vec<u64> = self
+        let in_flight: Vec<OperationId> = self
             .proposals
             .values()
-            .filter_map(|proposal| proposal.pending)
+            .filter_map(|proposal| proposal.proposed.operation)
             .collect();
-        let open: Vec<u64> = self
-            .pending
+        let open: Vec<OperationId> = self
+            .pending_operations
             .keys()
             .copied()
-            .filter(|id| !under_way.contains(id))
+            .filter(|id| !in_flight.contains(id))
             .collect();
         for id in open {
-            self.pursue(id);
+            self.propose_operation(id);
         }
     }
 }
 
 /// After how long a command that is not in the log is sent to the head again.
-fn propose_again_ms(command: &Command) -> Millis {
-    PROPOSE_AGAIN_MS + command.estimated_bytes() as u64 / LEAST_BYTES_PER_MS
-}
-
-/// The answer to a request that could not be settled: it may take effect only where it was proposed.
-fn unsettled_answer(proposed: bool) -> CoordinatorResponse {
-    if proposed {
-        CoordinatorResponse::Unknown
-    } else {
-        CoordinatorResponse::NotServing
-    }
-}
-
-fn same_operation(one: &Operation, other: &Operation) -> bool {
-    match (one, other) {
-        (Operation::Submit(one), Operation::Submit(other)) => one.job == other.job,
-        (Operation::Cancel(one), Operation::Cancel(other)) => one == other,
-        (one @ Operation::ReplaceConfiguration { .. }, other) => one == other,
-        _ => false,
-    }
+fn retry_delay_ms(command: &Command) -> Millis {
+    PROPOSAL_RETRY_MS + command.estimated_bytes() as u64 / MIN_LINK_BYTES_PER_MS
 }
--- a/system/coordinator/src/requests.rs
+++ b/system/coordinator/src/requests.rs
@@ -1,15 +1,18 @@
-//! Requests of proxies and of the operator's interface.
+//! Requests of agents, proxies and the operator's interface: each gets one response, as an output.
 use crate::{
     coordinator::Coordinator,
     job_list::JobList,
+    job_query::{JobQuery, QueryKind},
+    operation::{Operation, OperationId},
     outputs::{Output, RequestId},
-    under_way::{Operation, Question},
 };
 use magpiegap_jobs::{Configuration, Outcome};
-use magpiegap_protocol::{CoordinatorRequest, CoordinatorResponse, JobId, Millis, WallMillis};
+use magpiegap_protocol::{
+    CoordinatorRequest, CoordinatorResponse, JobId, Millis, Submission, WallMillis,
+};
 
 impl Coordinator {
-    /// Takes a request; its answer comes as an output, now or later.
+    /// Handles a request; its response comes as an output, now or later.
     pub fn request(
         &mut self,
         now: Millis,
@@ -17,18 +20,12 @@
         request: RequestId,
         what: CoordinatorRequest,
     ) {
-        self.begin_step(now, clock);
+        self.advance_clocks(now, clock);
         match what {
             CoordinatorRequest::Submit(submission) => self.submit(request, submission),
             CoordinatorRequest::Status { queue, job } => {
-                self.read(
-                    request,
-                    Question {
-                        queue,
-                        job,
-                        cancel: false,
-                    },
-                );
+                let kind = QueryKind::Status;
+                self.read(request, JobQuery { queue, job, kind });
             }
             CoordinatorRequest::Cancel { queue, job } => self.cancel(request, &queue, job),
             CoordinatorRequest::Count { queue } => self.count(request, &queue),
@@ -40,49 +37,52 @@
                 self.replace_configuration(request, base, body);
             }
             CoordinatorRequest::DescribeConfiguration => {
-                self.begin_in_contact(request, Operation::DescribeConfiguration);
+                self.start_operation_in_contact(request, Operation::DescribeConfiguration);
             }
             CoordinatorRequest::Describe => {
                 let text = serde_json::to_string(&self.describe()).unwrap_or_default();
-                self.answer(request, CoordinatorResponse::Description(text));
+                self.respond(request, CoordinatorResponse::Description(text));
             }
             CoordinatorRequest::Explain { job } => {
-                let answer = self.explain(job);
-                self.answer(request, answer);
+                let response = self.explain(job);
+                self.respond(request, response);
             }
             CoordinatorRequest::ListJobs(filter) => {
                 let list = JobList::of(&self.machine.state, &filter);
                 let text = serde_json::to_string(&list).unwrap_or_default();
-                self.answer(request, CoordinatorResponse::Description(text));
+                self.respond(request, CoordinatorResponse::Description(text));
             }
         }
     }
 
-    pub(crate) fn answer(&mut self, request: RequestId, answer: CoordinatorResponse) {
-        self.out.push(Output::Answer { request, answer });
+    pub(crate) fn respond(&mut self, request: RequestId, response: CoordinatorResponse) {
+        self.outputs.push(Output::Answer {
+            request,
+            answer: response,
+        });
     }
 
-    /// Begins what the log has to settle, where the log may still go on: a coordinator that was cut off says at once that
+    /// Starts an operation where the log may still grow: a coordinator without contact with a majority says at once that
     /// another one has to be asked.
-    pub(crate) fn begin_in_contact(&mut self, request: RequestId, operation: Operation) {
+    pub(crate) fn start_operation_in_contact(&mut self, request: RequestId, operation: Operation) {
         if self.replica.has_contact(self.now) {
-            self.begin(operation, request);
+            self.start_operation(operation, request);
         } else {
-            self.answer(request, CoordinatorResponse::NotServing);
+            self.respond(request, CoordinatorResponse::NotServing);
         }
     }
 
-    /// Checks a configuration whole, and hands it to the log with what leads to it from the version in force here.
+    /// Checks a configuration, and proposes it with what leads to it from the version in force here.
     fn replace_configuration(&mut self, request: RequestId, base: u64, body: Vec<u8>) {
         if !self.replica.has_contact(self.now) {
-            self.answer(request, CoordinatorResponse::NotServing);
+            self.respond(request, CoordinatorResponse::NotServing);
             return;
         }
         match Configuration::parse(&body) {
             Ok(configuration) => {
                 let version = configuration.version;
                 let change = self.configurations.change_to(base, &configuration);
-                self.begin(
+                self.start_operation(
                     Operation::ReplaceConfiguration {
                         base,
                         version,
@@ -92,43 +92,42 @@
                     request,
                 );
             }
-            Err(error) => self.answer(
+            Err(error) => self.respond(
                 request,
                 CoordinatorResponse::ConfigurationInvalid(error.to_string()),
             ),
         }
     }
 
-    fn submit(&mut self, request: RequestId, submission: Box<magpiegap_protocol::Submission>) {
+    fn submit(&mut self, request: RequestId, mut submission: Box<Submission>) {
         if self.machine.state.jobs.contains_key(&submission.job) {
-            self.answer(request, CoordinatorResponse::Accepted);
+            self.respond(request, CoordinatorResponse::Accepted);
             return;
         }
-        let here = self
+        let is_scheduled_here = self
             .schedulers
             .get(&submission.service)
             .is_some_and(|scheduler| !scheduler.is_deposed());
-        if !here || self.leaving {
-            self.answer(request, CoordinatorResponse::NotServing);
+        if !is_scheduled_here || self.draining {
+            self.respond(request, CoordinatorResponse::NotServing);
             return;
         }
-        let mut submission = submission;
-        submission.submitted_ms = self.wall;
-        self.begin(Operation::Submit(submission), request);
+        submission.submitted_ms = self.median_wall;
+        self.start_operation(Operation::Submit(submission), request);
     }
 
-    /// Cancels a job. One that is known here goes to the log at once; whether another one is there has to be read.
+    /// Cancels a job. One that is known here is proposed at once; whether another one exists has to be read.
     fn cancel(&mut self, request: RequestId, queue: &str, job: JobId) {
         match self.phase(queue, job) {
             Some(phase) if !phase.is_terminal() => {
-                self.begin_in_contact(request, Operation::Cancel(job))
+                self.start_operation_in_contact(request, Operation::Cancel(job))
             }
             _ => self.read(
                 request,
-                Question {
+                JobQuery {
                     queue: queue.to_owned(),
                     job,
-                    cancel: true,
+                    kind: QueryKind::Cancel,
                 },
             ),
         }
@@ -142,19 +141,20 @@
             .get(queue)
             .copied()
             .unwrap_or(0);
-        let answer = match self.is_informed() {
-            true => CoordinatorResponse::Count(count),
-            false => CoordinatorResponse::NotServing,
+        let response = if self.is_informed() {
+            CoordinatorResponse::Count(count)
+        } else {
+            CoordinatorResponse::NotServing
         };
-        self.answer(request, answer);
+        self.respond(request, response);
     }
 
-    /// Answers an operation that an entry has settled.
-    pub(crate) fn settle_by(&mut self, id: u64, outcome: Outcome) {
-        let Some(pending) = self.pending.get(&id) else {
+    /// Responds to the requests of an operation that an entry has decided.
+    pub(crate) fn complete_operation_with(&mut self, id: OperationId, outcome: Outcome) {
+        let Some(pending) = self.pending_operations.get(&id) else {
             return;
         };
-        let answer = match (&pending.operation, outcome) {
+        let response = match (&pending.operation, outcome) {
             // The scheduler's role has passed on: whether another entry accepts the job isn't known here.
             (_, Outcome::Fenced) => CoordinatorResponse::Unknown,
             (Operation::Submit(_), _) => CoordinatorResponse::Accepted,
@@ -173,6 +173,6 @@
                 CoordinatorResponse::Configuration(self.machine.state.configuration.body.clone())
             }
         };
-        self.settle(id, &answer);
+        self.complete_operation(id, &response);
     }
 }
--- a/system/coordinator/src/roles.rs
+++ b/system/coordinator/src/roles.rs
@@ -1,23 +1,28 @@
-//! The roles: an election each time one is vacant, decided by whose claim comes first in the log.
-use crate::{coordinator::Coordinator, outputs::Output, under_way::Purpose};
+//! Singleton roles: claimed whenever one is vacant, and given to whoever's claim comes first in the log; each with a
+//! fencing token, and acted on only under a lease.
+use crate::{
+    coordinator::Coordinator,
+    outputs::Output,
+    proposal::{Proposed, Purpose},
+};
 use magpiegap_jobs::Configuration;
-use magpiegap_protocol::{Command, FencingToken, Millis, Role, RoleToken, RunStart, Submission};
+use magpiegap_protocol::{Command, FencingToken, Millis, Role, RoleToken, Submission};
 use magpiegap_scheduler::{Output as SchedulerOutput, Scheduler, WorkerReply};
 use std::collections::BTreeMap;
 
-/// How long each further candidate waits before it claims a vacant role.
+/// How much longer each further candidate waits before it claims a vacant role.
 const CLAIM_DELAY_MS: Millis = 200;
-/// A holder proposes something at least this often, so that it knows that its view stands.
-const LEASE_EVERY_MS: Millis = 300;
+/// A role holder proposes something at least this often, so that it knows that its view stands.
+const LEASE_RENEWAL_INTERVAL_MS: Millis = 300;
 
 impl Coordinator {
     /// Whether this coordinator may act in its roles: the others can't have gone on without it yet.
-    pub(crate) fn may_act(&self) -> bool {
-        self.now < self.lease_until && self.settled_in_view && self.replica.is_active()
+    pub(crate) fn holds_lease(&self) -> bool {
+        self.now < self.lease_expiry && self.has_committed_in_view && self.replica.is_active()
     }
 
-    /// All roles that there should be, in a fixed order.
-    fn wanted_roles(&self) -> Vec<Role> {
+    /// All roles that someone should hold, in a fixed order.
+    fn expected_roles(&self) -> Vec<Role> {
         let services = self
             .configurations
             .newest()
@@ -31,41 +36,48 @@
 
     /// Claims the roles that are vacant, where it is this coordinator's turn.
     pub(crate) fn claim_roles(&mut self) {
-        // A claim by what is known before the view is settled may be void, and does no harm.
-        if self.entered_view.is_none() || !self.replica.is_active() || self.leaving {
+        // A claim from before the first commit in the view may be void, and does no harm.
+        if self.entered_view.is_none() || !self.replica.is_active() || self.draining {
             return;
         }
         let chain = self.replica.view().chain.clone();
         let own = self.replica.own();
-        let Some(place) = chain.iter().position(|replica| *replica == own) else {
+        let Some(position) = chain.iter().position(|replica| *replica == own) else {
             return;
         };
-        for (number, role) in self.wanted_roles().into_iter().enumerate() {
+        for (number, role) in self.expected_roles().into_iter().enumerate() {
             let state = self.machine.state.roles.get(&role).copied();
-            let held = state.is_some_and(|state| chain.contains(&state.holder));
-            if held && !self.is_deposed(&role) {
-                self.vacant_since.remove(&role);
+            let is_held = state.is_some_and(|state| chain.contains(&state.holder));
+            if is_held && !self.is_deposed(&role) {
+                self.roles_vacant_since.remove(&role);
                 continue;
             }
-            let since = *self.vacant_since.entry(role.clone()).or_insert(self.now);
-            let rank = (place + chain.len() - number % chain.len()) % chain.len();
-            let due = since + rank as u64 * CLAIM_DELAY_MS;
-            let under_way = self.proposals.values().any(
-                |proposal| matches!(&proposal.purpose, Some(Purpose::Claim(claimed)) if *claimed == role),
-            );
-            if self.now >= due && !under_way {
+            let vacant_since = *self
+                .roles_vacant_since
+                .entry(role.clone())
+                .or_insert(self.now);
+            // The first candidate is another replica for each role, so that the roles spread over the chain.
+            let rank = (position + chain.len() - number % chain.len()) % chain.len();
+            let claim_at = vacant_since + rank as u64 * CLAIM_DELAY_MS;
+            if self.now >= claim_at && !self.has_claim_in_flight(&role) {
                 let expected = state.map_or(FencingToken::default(), |state| state.token);
                 let command = Command::ClaimRole {
                     role: role.clone(),
                     holder: own,
-                    expected: FencingToken(expected.0),
+                    expected,
                 };
-                self.propose(command, None, Some(Purpose::Claim(role)), None);
+                self.propose(Proposed::with_purpose(command, Purpose::RoleClaim(role)));
             }
         }
     }
 
-    /// Whether a scheduler here has met a worker that has seen a higher token. It does nothing any more: either another
+    fn has_claim_in_flight(&self, role: &Role) -> bool {
+        self.proposals.values().any(
+            |proposal| matches!(&proposal.proposed.purpose, Some(Purpose::RoleClaim(claimed)) if claimed == role),
+        )
+    }
+
+    /// Whether a scheduler here has met a worker that has seen a higher token. It has stopped acting: either another
     /// coordinator holds the role, and the log will say so, or the role is claimed anew with a higher token.
     fn is_deposed(&self, role: &Role) -> bool {
         match role {
@@ -77,57 +89,60 @@
         }
     }
 
-    /// Keeps the lease of a holder fresh.
+    /// Renews the lease of a role holder by proposing something, where nothing else was proposed lately.
     pub(crate) fn renew_lease(&mut self) {
-        let holds = !self.schedulers.is_empty() || self.reader.is_some();
-        if holds && self.settled_in_view && self.now >= self.last_proposed_at + LEASE_EVERY_MS {
-            self.propose(Command::Noop, None, Some(Purpose::Lease), None);
+        let holds_role = !self.schedulers.is_empty() || self.platform_reader.is_some();
+        let is_due = self.now >= self.last_proposed_at + LEASE_RENEWAL_INTERVAL_MS;
+        if holds_role && self.has_committed_in_view && is_due {
+            self.propose(Proposed::with_purpose(Command::Noop, Purpose::LeaseRenewal));
         }
     }
 
     /// Begins and ends the work of roles as the log has it.
-    pub(crate) fn follow_roles(&mut self) {
+    pub(crate) fn update_roles(&mut self) {
         let own = self.replica.own();
-        let mut held: BTreeMap<String, FencingToken> = BTreeMap::new();
-        let mut reader = None;
+        let mut scheduler_tokens: BTreeMap<String, FencingToken> = BTreeMap::new();
+        let mut reader_token = None;
         for (role, state) in &self.machine.state.roles {
             if state.holder != own {
                 continue;
             }
             match role {
                 Role::Scheduler(service) => {
-                    held.insert(service.clone(), state.token);
+                    scheduler_tokens.insert(service.clone(), state.token);
                 }
-                Role::PlatformReader => reader = Some(state.token),
+                Role::PlatformReader => reader_token = Some(state.token),
             }
         }
         self.schedulers
-            .retain(|service, scheduler| held.get(service) == Some(&scheduler.token()));
-        for (service, token) in held {
-            if self.schedulers.contains_key(&service) {
-                continue;
-            }
-            let seed = self.settings.control.seed ^ token.0;
-            let settings = self.settings.scheduler.clone();
-            let mut scheduler = Scheduler::new(
-                &service,
-                FencingToken(token.0),
-                settings,
-                self.now,
-                &self.machine.state,
-                seed,
-            );
-            if let Some(list) = &self.platform {
-                scheduler.list(self.now, &self.machine.state, &list.workers);
+            .retain(|service, scheduler| scheduler_tokens.get(service) == Some(&scheduler.token()));
+        for (service, token) in scheduler_tokens {
+            if !self.schedulers.contains_key(&service) {
+                self.start_scheduler(service, token);
             }
-            self.log(format!("scheduler of {service} with token {token}"));
-            self.schedulers.insert(service, scheduler);
         }
-        self.follow_reader(reader);
+        self.update_platform_reader(reader_token);
+    }
+
+    fn start_scheduler(&mut self, service: String, token: FencingToken) {
+        let seed = self.settings.control.seed ^ token.0;
+        let mut scheduler = Scheduler::new(
+            &service,
+            token,
+            self.settings.scheduler.clone(),
+            self.now,
+            &self.machine.state,
+            seed,
+        );
+        if let Some(list) = &self.platform_list {
+            scheduler.list(self.now, &self.machine.state, &list.workers);
+        }
+        self.log(format!("scheduler of {service} with token {token}"));
+        self.schedulers.insert(service, scheduler);
     }
 
-    /// Takes up the newest configuration.
-    pub(crate) fn follow_configuration(&mut self) {
+    /// Puts the newest configuration of the log in force.
+    pub(crate) fn update_configuration(&mut self) {
         let state = &self.machine.state.configuration;
         if state.version
             == self
@@ -146,12 +161,9 @@
         }
     }
 
-    /// What accepts a job, if its service's scheduler is here.
-    pub(crate) fn submission_command(
-        &mut self,
-        submission: Submission,
-    ) -> Option<(Command, RoleToken, Purpose)> {
-        if !self.may_act() {
+    /// What to propose to accept a job. `None`: its service's scheduler does not act here.
+    pub(crate) fn proposed_submission(&mut self, submission: Submission) -> Option<Proposed> {
+        if !self.holds_lease() {
             return None;
         }
         let service = submission.service.clone();
@@ -162,35 +174,36 @@
             .filter(|scheduler| !scheduler.is_deposed())?;
         let command = scheduler.submit(now, submission);
         let role_token = RoleToken {
-            role: Role::Scheduler(service.clone()),
+            role: Role::Scheduler(service),
             token: scheduler.token(),
         };
-        let runs = match &command {
-            Command::SubmitJob { runs, .. } => runs.clone(),
-            _ => Vec::new(),
-        };
-        Some((command, role_token, Purpose::Scheduler { service, runs }))
+        Some(Proposed::by_scheduler(command, role_token))
     }
 
-    /// Lets the schedulers do what is due, and hands on what they want done.
+    /// Runs the schedulers, and performs their outputs.
     pub(crate) fn run_schedulers(&mut self) {
-        if !self.may_act() {
+        if !self.holds_lease() {
             return;
         }
         let services: Vec<String> = self.schedulers.keys().cloned().collect();
         for service in services {
-            let (now, wall) = (self.now, self.wall);
+            let (now, wall) = (self.now, self.median_wall);
             let Some(scheduler) = self.schedulers.get_mut(&service) else {
                 continue;
             };
             scheduler.run(now, wall, &self.machine.state);
             let token = scheduler.token();
             let outputs = scheduler.poll_outputs();
-            self.hand_on(&service, token, outputs);
+            self.perform_scheduler_outputs(&service, token, outputs);
         }
     }
 
-    fn hand_on(&mut self, service: &str, token: FencingToken, outputs: Vec<SchedulerOutput>) {
+    fn perform_scheduler_outputs(
+        &mut self,
+        service: &str,
+        token: FencingToken,
+        outputs: Vec<SchedulerOutput>,
+    ) {
         for output in outputs {
             match output {
                 SchedulerOutput::Propose(command) => {
@@ -198,7 +211,7 @@
                 }
                 SchedulerOutput::Call(call) => {
                     self.counters.worker_calls += 1;
-                    self.out.push(Output::CallWorker {
+                    self.outputs.push(Output::CallWorker {
                         service: service.to_owned(),
                         token,
                         call,
@@ -210,22 +223,14 @@
     }
 
     fn propose_for_scheduler(&mut self, service: &str, token: FencingToken, command: Command) {
-        let runs: Vec<RunStart> = match &command {
-            Command::StartRuns { runs } => runs.clone(),
-            _ => Vec::new(),
-        };
         let role_token = RoleToken {
             role: Role::Scheduler(service.to_owned()),
             token,
         };
-        let purpose = Purpose::Scheduler {
-            service: service.to_owned(),
-            runs,
-        };
-        self.propose(command, Some(role_token), Some(purpose), None);
+        self.propose(Proposed::by_scheduler(command, role_token));
     }
 
-    /// A worker has answered, or has not in time.
+    /// Handles a worker's reply to a call, or that there was none in time.
     pub fn handle_worker_reply(
         &mut self,
         now: Millis,
@@ -238,7 +243,7 @@
         if let Some(scheduler) = self
             .schedulers
             .get_mut(service)
-            .filter(|s| s.token() == token)
+            .filter(|scheduler| scheduler.token() == token)
         {
             scheduler.reply(now, &self.machine.state, call, reply);
         }
--- a/system/coordinator/src/settings.rs
+++ b/system/coordinator/src/settings.rs
@@ -1,17 +1,17 @@
-//! What a coordinator is told at its start.
+//! Settings of a coordinator.
 use magpiegap_control::ControlSettings;
 use magpiegap_protocol::Millis;
 use magpiegap_scheduler::SchedulerSettings;
 
-/// Figures of the deployment that a coordinator needs.
+/// Settings of a coordinator, its replica and its schedulers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinatorSettings {
     /// For its replica.
     pub control: ControlSettings,
     /// For its schedulers.
     pub scheduler: SchedulerSettings,
-    /// A role is acted on for this long after an own entry was proposed that has been committed.
+    /// Duration of a lease: a role is acted on for this long after a proposal of this coordinator that was committed.
     pub lease_ms: Millis,
-    /// Time between two readings of the platform's list.
+    /// Interval between two readings of the platform's list.
     pub list_every_ms: Millis,
 }
--- a/system/coordinator/src/steps.rs
+++ b/system/coordinator/src/steps.rs
@@ -1,36 +1,36 @@
-//! The ways into a coordinator, and what follows from each.
+//! Inputs of a coordinator, and what follows from each: entries applied, views entered, responses given.
 use crate::{
     coordinator::Coordinator,
     machine::AppliedEntry,
     outputs::Output,
-    under_way::{Proposal, Purpose},
+    proposal::{Proposal, Proposed, Purpose},
 };
-use magpiegap_jobs::{Applied, Change};
+use magpiegap_jobs::{Change, Outcome};
 use magpiegap_protocol::{Command, Millis, PeerMessage, ReplicaId, Role, WallMillis};
 
-/// The time of a commit that is told to operators is an average over about so many.
-const COMMITS_AVERAGED: u64 = 16;
+/// The commit latency that operators are shown is a moving average over about so many proposals.
+const COMMIT_LATENCY_WINDOW: u64 = 16;
 
 impl Coordinator {
-    /// Takes what it wants done. To be called after every input.
+    /// Returns what is to be done. To be called after every input.
     pub fn poll_outputs(&mut self) -> Vec<Output> {
         self.finish_step();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    /// Time has passed.
+    /// Handles that time has passed; to be called every few tens of milliseconds.
     pub fn tick(&mut self, now: Millis, clock: WallMillis) {
-        let own_wall = self.begin_step(now, clock);
+        let own_wall = self.advance_clocks(now, clock);
         self.replica.tick(now, own_wall, &mut self.machine);
-        self.follow_log();
+        self.process_log();
         self.claim_roles();
         self.renew_lease();
-        self.propose_again();
+        self.retry_proposals();
         self.read_platform();
-        self.give_up_requests();
+        self.expire_operations();
     }
 
-    /// Messages from another coordinator.
+    /// Handles messages from another coordinator.
     pub fn handle_messages(
         &mut self,
         now: Millis,
@@ -38,21 +38,24 @@
         from: ReplicaId,
         messages: Vec<PeerMessage>,
     ) {
-        self.begin_step(now, clock);
+        self.advance_clocks(now, clock);
         for message in messages {
             match message {
-                PeerMessage::Platform(list) => self.take_list(list),
-                message => {
-                    self.replica
-                        .handle_messages(now, self.wall, from, message, &mut self.machine)
-                }
+                PeerMessage::Platform(list) => self.install_platform_list(list),
+                message => self.replica.handle_messages(
+                    now,
+                    self.median_wall,
+                    from,
+                    message,
+                    &mut self.machine,
+                ),
             }
         }
     }
 
-    /// Disk work up to this ticket is done.
+    /// Handles that disk work up to this ticket is done.
     pub fn handle_persisted(&mut self, now: Millis, clock: WallMillis, ticket: u64) {
-        self.begin_step(now, clock);
+        self.advance_clocks(now, clock);
         self.replica
             .handle_persisted(ticket, now, &mut self.machine);
     }
@@ -60,52 +63,54 @@
     /// Follows up what the inputs have changed, until nothing more comes up.
     fn finish_step(&mut self) {
         self.replica.flush(self.now, &mut self.machine);
-        self.follow_log();
+        self.process_log();
         self.run_schedulers();
         self.replica.flush(self.now, &mut self.machine);
-        self.follow_log();
-        self.answer_reads();
-        self.answer_polls();
-        self.out
+        self.process_log();
+        self.respond_to_reads();
+        self.respond_to_polls();
+        self.outputs
             .extend(self.replica.poll_outputs().into_iter().map(Output::Control));
     }
 
-    /// Takes note of a change of the view and of the entries applied since.
-    fn follow_log(&mut self) {
-        self.follow_view();
-        let restored = std::mem::take(&mut self.machine.restored);
+    /// Follows up a view change and the entries applied since the last call.
+    fn process_log(&mut self) {
+        self.enter_view();
+        let restored = std::mem::take(&mut self.machine.was_restored);
         let applied = std::mem::take(&mut self.machine.applied);
         if restored {
-            self.follow_roles();
-            self.follow_configuration();
+            self.update_roles();
+            self.update_configuration();
             self.resume_schedulers();
         }
-        let is_fed = |change: &Change| matches!(change, Change::Role(_) | Change::Configuration);
-        let news = restored
+        let concerns_feed =
+            |change: &Change| matches!(change, Change::Role(_) | Change::Configuration);
+        let feed_changed = restored
             || applied
                 .iter()
-                .any(|entry| entry.applied.changes.iter().any(is_fed));
+                .any(|entry| entry.applied.changes.iter().any(concerns_feed));
         for entry in applied {
-            self.counters.note_entry(&entry.applied);
-            self.follow_entry(&entry);
+            self.counters.count_entry(&entry.applied);
+            self.handle_applied_entry(&entry);
         }
-        if news {
+        if feed_changed {
             self.refresh_feed();
         }
     }
 
-    fn follow_view(&mut self) {
+    /// Proposes something in a view as soon as this coordinator takes part in it.
+    fn enter_view(&mut self) {
         let view = self.replica.view().number;
         let active = self.replica.is_active();
         if self.entered_view == Some(view) && active {
             return;
         }
-        if self.settled_in_view || self.entered_view.is_some() {
-            self.settled_in_view = false;
+        if self.has_committed_in_view || self.entered_view.is_some() {
+            self.has_committed_in_view = false;
             self.entered_view = None;
             self.refresh_feed();
         }
-        if active && self.propose(Command::Noop, None, Some(Purpose::FirstOfView), None) {
+        if active && self.propose(Proposed::with_purpose(Command::Noop, Purpose::FirstInView)) {
             self.entered_view = Some(view);
             self.counters.views += 1;
             self.refresh_feed();
@@ -118,66 +123,74 @@
         }
     }
 
-    fn follow_entry(&mut self, entry: &AppliedEntry) {
-        let applied = &entry.applied;
-        let own = entry.proposal.origin == self.replica.own();
-        let proposal = own
-            .then(|| self.proposals.remove(&entry.proposal.sequence))
-            .flatten();
-        let runs = match proposal
-            .as_ref()
-            .and_then(|proposal| proposal.purpose.as_ref())
+    fn handle_applied_entry(&mut self, entry: &AppliedEntry) {
+        let proposal = self.take_own_proposal(entry);
+        self.notify_schedulers(entry, proposal.as_ref());
+        let changes = &entry.applied.changes;
+        if changes
+            .iter()
+            .any(|change| matches!(change, Change::Role(_)))
         {
-            Some(Purpose::Scheduler { runs, .. }) => runs.clone(),
-            _ => Vec::new(),
+            self.update_roles();
+        }
+        if changes.contains(&Change::Configuration) {
+            self.update_configuration();
+        }
+        if let Some(proposal) = proposal {
+            self.handle_applied_proposal(&proposal, entry.applied.outcome);
+        }
+    }
+
+    /// The proposal in flight that an entry comes from; `None` where it is another coordinator's.
+    fn take_own_proposal(&mut self, entry: &AppliedEntry) -> Option<Proposal> {
+        if entry.proposal.origin != self.replica.own() {
+            return None;
+        }
+        self.proposals.remove(&entry.proposal.sequence)
+    }
+
+    /// Notifies the schedulers that an entry concerns: all of them where it was proposed in no role.
+    fn notify_schedulers(&mut self, entry: &AppliedEntry, proposal: Option<&Proposal>) {
+        let own_runs = match proposal.and_then(|proposal| proposal.proposed.purpose.as_ref()) {
+            Some(Purpose::Scheduler { runs }) => runs.as_slice(),
+            _ => &[],
         };
         for scheduler in self.schedulers.values_mut() {
-            let of_scheduler = match &entry.role_token {
+            let is_concerned = match &entry.role_token {
                 Some(role_token) => {
                     role_token.role == Role::Scheduler(scheduler.service().to_owned())
                 }
                 None => true,
             };
-            if of_scheduler {
+            if is_concerned {
                 scheduler.applied(
                     self.now,
                     entry.position,
                     &self.machine.state,
-                    &applied.changes,
-                    &runs,
+                    &entry.applied.changes,
+                    own_runs,
                 );
             }
         }
-        if applied
-            .changes
-            .iter()
-            .any(|change| matches!(change, Change::Role(_)))
-        {
-            self.follow_roles();
-        }
-        if applied.changes.contains(&Change::Configuration) {
-            self.follow_configuration();
-        }
-        if let Some(proposal) = proposal {
-            self.follow_proposal(&proposal, applied);
-        }
     }
 
-    fn follow_proposal(&mut self, proposal: &Proposal, applied: &Applied) {
-        let took_ms = self.now.saturating_sub(proposal.proposed_at);
-        self.commit_ms = (self.commit_ms * (COMMITS_AVERAGED - 1) + took_ms) / COMMITS_AVERAGED;
-        let lease = proposal.proposed_at + self.settings.lease_ms;
-        self.lease_until = self.lease_until.max(lease);
-        if proposal.purpose == Some(Purpose::FirstOfView)
+    fn handle_applied_proposal(&mut self, proposal: &Proposal, outcome: Outcome) {
+        let latency_ms = self.now.saturating_sub(proposal.proposed_at);
+        self.commit_latency_ms = (self.commit_latency_ms * (COMMIT_LATENCY_WINDOW - 1)
+            + latency_ms)
+            / COMMIT_LATENCY_WINDOW;
+        let lease_expiry = proposal.proposed_at + self.settings.lease_ms;
+        self.lease_expiry = self.lease_expiry.max(lease_expiry);
+        if proposal.proposed.purpose == Some(Purpose::FirstInView)
             && Some(proposal.view) == self.entered_view
         {
-            self.settled_in_view = true;
-            self.vacant_since.clear();
+            self.has_committed_in_view = true;
+            self.roles_vacant_since.clear();
             self.resume_schedulers();
-            self.pursue_all();
+            self.propose_open_operations();
         }
-        if let Some(id) = proposal.pending {
-            self.settle_by(id, applied.outcome);
+        if let Some(operation) = proposal.proposed.operation {
+            self.complete_operation_with(operation, outcome);
         }
     }
 }
