--- a/system/magpiegap/src/agent/link.rs
+++ b/system/magpiegap/src/agent/link.rs
@@ -1,6 +1,6 @@
-//! Drives the agent's state machine: makes the calls that are due, and publishes what they bring.
+//! Drives the agent's state machine: makes its calls to coordinators, and publishes the feed and the configuration.
 use crate::{
-    endpoint::{self, CallError},
+    endpoint::{self, CallError, ResponseTimeouts},
     settings::NodeSettings,
 };
 use magpiegap_distribution::{
@@ -16,14 +16,14 @@
 };
 use tokio::{sync::watch, task::JoinSet, time::sleep};
 
-/// How many coordinators are asked for news at the same time, so that the loss of one delays none.
+/// Number of coordinators that are polled at the same time, so that the loss of one delays no update.
 const LINKS: usize = 2;
-/// Pause where nothing is due and no call is under way.
-const IDLE_PAUSE: Duration = Duration::from_millis(100);
-/// The settings file is read again at most this often.
-const READ_EVERY: Duration = Duration::from_secs(1);
+/// Delay where no time-out is set and no call is in flight.
+const IDLE_DELAY: Duration = Duration::from_millis(100);
+/// Minimum interval between two readings of the settings file.
+const SETTINGS_READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the agent tells the proxy beside it.
+/// The feed and the configurations that the agent serves to the proxy beside it.
 #[derive(Clone)]
 pub struct Published {
     feed: watch::Sender<Arc<Feed>>,
@@ -40,25 +40,27 @@
 }
 
 impl Published {
-    /// Nothing is known yet.
+    /// Nothing is published yet.
     pub fn new() -> Published {
         Published::default()
     }
 
-    /// The news, and word when there are others.
+    /// The newest feed, with notifications of newer ones.
     pub fn feed(&self) -> watch::Receiver<Arc<Feed>> {
         self.feed.subscribe()
     }
 
-    /// Asks what leads to the newest configuration.
-    pub fn with_configurations<T>(&self, ask: impl FnOnce(&mut ConfigurationSource) -> T) -> T {
-        ask(&mut self
-            .configurations
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner))
+    /// Runs a function on the source of configurations, and returns its result.
+    pub fn with_configurations<T>(&self, read: impl FnOnce(&mut ConfigurationSource) -> T) -> T {
+        read(
+            &mut self
+                .configurations
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner),
+        )
     }
 
-    /// Publishes news with the configuration in place.
+    /// Publishes a feed with the configuration in force.
     fn publish(&self, feed: Feed, configuration: &Arc<Configuration>) {
         if configuration.version > 0 {
             self.with_configurations(|configurations| configurations.push_shared(configuration));
@@ -68,25 +70,28 @@
 }
 
 /// The outcome of a call.
-type Outcome = (CallId, Result<CoordinatorResponse, CallFailure>);
+struct CallOutcome {
+    id: CallId,
+    response: Result<CoordinatorResponse, CallFailure>,
+}
 
 /// The link to the control plane.
 pub struct Link {
     client: reqwest::Client,
-    file: PathBuf,
-    read_at: Instant,
+    settings_file: PathBuf,
+    settings_read_at: Instant,
     port: u16,
     start: Instant,
     agent: Agent,
     published: Published,
-    calls: JoinSet<Outcome>,
+    calls: JoinSet<CallOutcome>,
 }
 
 impl Link {
-    /// A link that has not asked anyone yet.
+    /// A link that has not called anyone yet.
     pub fn new(
         client: reqwest::Client,
-        file: PathBuf,
+        settings_file: PathBuf,
         settings: &NodeSettings,
         published: Published,
     ) -> Link {
@@ -99,8 +104,8 @@
         let port = settings.request_port();
         Link {
             client,
-            file,
-            read_at: now,
+            settings_file,
+            settings_read_at: now,
             port,
             start: now,
             agent,
@@ -109,24 +114,24 @@
         }
     }
 
-    /// Asks for news without end.
+    /// Follows the feed without end.
     pub async fn run(mut self) {
         loop {
             for call in self.agent.poll_calls(self.now()) {
-                self.begin(call);
+                self.start_call(call);
             }
-            let pause = self
+            let timeout_ms = self
                 .agent
                 .next_timeout()
-                .map(|due| due.saturating_sub(self.now()).max(1));
+                .map(|at| at.saturating_sub(self.now()).max(1));
             tokio::select! {
-                Some(ended) = self.calls.join_next() => {
-                    if let Ok((id, answer)) = ended {
-                        self.take(id, answer);
+                Some(joined) = self.calls.join_next() => {
+                    if let Ok(outcome) = joined {
+                        self.handle_outcome(outcome);
                     }
                 }
-                () = sleep(Duration::from_millis(pause.unwrap_or_default())), if pause.is_some() => {}
-                else => sleep(IDLE_PAUSE).await,
+                () = sleep(Duration::from_millis(timeout_ms.unwrap_or_default())), if timeout_ms.is_some() => {}
+                else => sleep(IDLE_DELAY).await,
             }
         }
     }
@@ -135,49 +140,50 @@
         self.start.elapsed().as_millis() as Millis
     }
 
-    fn begin(&mut self, call: Call) {
+    fn start_call(&mut self, call: Call) {
         let client = self.client.clone();
         let address = SocketAddr::new(IpAddr::V4(Ipv4Addr::from(call.coordinator)), self.port);
         self.calls.spawn(async move {
-            let first_byte = Duration::from_millis(call.first_byte_timeout_ms);
-            let silence = Duration::from_millis(call.idle_timeout_ms);
-            let answer = endpoint::call_while_bytes_come(
-                &client,
-                address,
-                &call.request,
-                first_byte,
-                silence,
-            )
-            .await;
+            let timeouts = ResponseTimeouts {
+                first_byte: Duration::from_millis(call.first_byte_timeout_ms),
+                idle: Duration::from_millis(call.idle_timeout_ms),
+            };
+            let response =
+                endpoint::call_while_progressing(&client, address, &call.request, timeouts).await;
             let failure = |error| match error {
                 CallError::NotSent => CallFailure::NotConnected,
                 CallError::Unanswered => CallFailure::Unanswered,
             };
-            (call.id, answer.map_err(failure))
+            CallOutcome {
+                id: call.id,
+                response: response.map_err(failure),
+            }
         });
     }
 
-    fn take(&mut self, id: CallId, answer: Result<CoordinatorResponse, CallFailure>) {
-        if self.agent.answered(self.now(), id, answer) {
+    fn handle_outcome(&mut self, outcome: CallOutcome) {
+        if self
+            .agent
+            .answered(self.now(), outcome.id, outcome.response)
+        {
             self.published
                 .publish(self.agent.feed(), self.agent.configuration());
         }
         if let Some(fault) = self.agent.take_fault() {
-            log::error!(
-                "a change of the configuration can't be used, the whole is asked for: {fault}"
-            );
+            log::error!("configuration change is faulty, fetching all of it error={fault}");
         }
         if self.agent.is_lost() {
             self.read_seeds();
         }
     }
 
+    /// Reads the addresses of coordinators from the settings file again, once in an interval.
     fn read_seeds(&mut self) {
-        if self.read_at.elapsed() < READ_EVERY {
+        if self.settings_read_at.elapsed() < SETTINGS_READ_INTERVAL {
             return;
         }
-        self.read_at = Instant::now();
-        match NodeSettings::read(&self.file) {
+        self.settings_read_at = Instant::now();
+        match NodeSettings::read(&self.settings_file) {
             Ok(settings) => self.agent.set_seeds(settings.seed_addresses()),
             Err(error) => log::warn!("{error}"),
         }
--- a/system/magpiegap/src/agent/mod.rs
+++ b/system/magpiegap/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! The agent beside a proxy: keeps the link to the control plane, and feeds the proxy over loopback.
+//! The agent beside a proxy: follows the feed of the control plane, and serves it to the proxy over loopback.
 pub mod link;
 mod server;
 
@@ -13,7 +13,7 @@
 use rocket::http::Method;
 use std::{path::PathBuf, time::Duration};
 
-/// How long before the end of its grace the agent ends, in seconds: until then the proxy beside it is fed.
+/// How long before the end of its grace period the agent ends, in seconds: until then it serves the proxy beside it.
 const END_EARLY_S: f64 = 0.7;
 
 /// Runs an agent until it is told to end.
@@ -21,28 +21,23 @@
 /// # Errors
 /// When it can't start.
 pub(crate) async fn run(file: PathBuf, settings: NodeSettings) -> Result<(), ProgramError> {
-    let mut signals = Signals::heed()?;
+    let mut signals = Signals::listen()?;
     let published = Published::new();
     let address = settings.agent_address();
     let handler = server::FeedHandler::new(published.clone());
-    let server = ServerSettings {
+    let server_settings = ServerSettings {
         address,
         keep_alive_s: 60,
         grace_s: 1,
     };
-    let running = serving::start(serving::server(server, &[Method::Post], handler)).await?;
-    let grace = settings.bounds.grace_s;
+    let server = serving::start(serving::server(server_settings, &[Method::Post], handler)).await?;
+    let grace_s = settings.bounds.grace_s;
     let link = tokio::spawn(Link::new(endpoint::client(), file, &settings, published).run());
-    loop {
-        tokio::select! {
-            _ = signals.terminate.recv() => break,
-            // The link reads the settings file anew whenever it looks for a coordinator.
-            _ = signals.hangup.recv() => log::info!("the settings may have changed"),
-        }
-    }
-    let outlive = (grace - END_EARLY_S).max(0.0);
-    tokio::time::sleep(Duration::from_secs_f64(outlive)).await;
+    // The link reads the settings file again whenever it looks for a coordinator.
+    signals.until_terminated("settings may have changed").await;
+    let outlive_s = (grace_s - END_EARLY_S).max(0.0);
+    tokio::time::sleep(Duration::from_secs_f64(outlive_s)).await;
     link.abort();
-    running.abort();
+    server.abort();
     Ok(())
 }
--- a/system/magpiegap/src/agent/server.rs
+++ b/system/magpiegap/src/agent/server.rs
@@ -1,4 +1,4 @@
-//! What the agent tells the proxy beside it.
+//! Serves the feed and configurations to the proxy beside the agent.
 use super::link::Published;
 use crate::serving::read_body;
 use magpiegap_distribution::ConfigurationSource;
@@ -13,23 +13,23 @@
 };
 use std::{sync::Arc, time::Duration};
 
-/// Longest request.
-const MAX_BODY: u64 = 4096;
+/// Maximum length of a request, in bytes.
+const MAX_BODY_BYTES: u64 = 4096;
 
-/// Answers the proxy's long polls, and hands it configurations.
+/// Responds to the proxy's long polls and fetches of configurations.
 #[derive(Clone)]
 pub(super) struct FeedHandler {
     published: Published,
 }
 
 impl FeedHandler {
-    /// A handler that tells what is published here.
+    /// A handler that serves what is published here.
     pub(super) fn new(published: Published) -> FeedHandler {
         FeedHandler { published }
     }
 
     async fn feed(&self, poll: &FeedPoll) -> CoordinatorResponse {
-        let feed = self.wait(poll).await;
+        let feed = self.changed_feed(poll).await;
         let small_change = |configurations: &mut ConfigurationSource| {
             configurations.small_change(poll.configuration_version)
         };
@@ -50,11 +50,12 @@
         }
     }
 
-    async fn wait(&self, poll: &FeedPoll) -> Arc<Feed> {
+    /// The feed as soon as it is another one than the caller knows, or once its wait is over.
+    async fn changed_feed(&self, poll: &FeedPoll) -> Arc<Feed> {
         let mut feed = self.published.feed();
-        let news = feed.wait_for(|feed| feed.revision != poll.revision);
-        // Without news the caller is told what it knows, as a sign of life.
-        let _ = tokio::time::timeout(Duration::from_millis(poll.wait_ms), news).await;
+        let changed = feed.wait_for(|feed| feed.revision != poll.revision);
+        // Without a change the caller gets what it knows, as a heartbeat.
+        let _ = tokio::time::timeout(Duration::from_millis(poll.wait_ms), changed).await;
         let latest = feed.borrow();
         latest.clone()
     }
@@ -63,15 +64,15 @@
 #[rocket::async_trait]
 impl Handler for FeedHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
-        let body = match read_body(data, MAX_BODY).await {
+        let body = match read_body(data, MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(status) => return Outcome::from(request, status),
         };
-        let answer = match decode(&body) {
+        let response = match decode(&body) {
             Ok(CoordinatorRequest::Poll(poll)) => self.feed(&poll).await,
             Ok(CoordinatorRequest::FetchConfiguration(fetch)) => self.configuration(&fetch),
             _ => return Outcome::from(request, Status::BadRequest),
         };
-        Outcome::from(request, encode(&answer))
+        Outcome::from(request, encode(&response))
     }
 }
--- a/system/magpiegap/src/command_line.rs
+++ b/system/magpiegap/src/command_line.rs
@@ -2,8 +2,8 @@
 use crate::{
     agent, coordinator,
     error::ProgramError,
-    logging,
-    operator::{self, Call},
+    logging, operator,
+    operator_call::{self, OperatorCall},
     proxy,
     settings::NodeSettings,
     settings_check::{self, SettingsReport},
@@ -15,7 +15,10 @@
 use std::{future::Future, net::SocketAddr, path::PathBuf};
 
 /// A cluster scheduler for jobs.
-#[expect(missing_docs, reason = "a doc comment on a field would become a line of the help text")]
+#[expect(
+    missing_docs,
+    reason = "a doc comment on a field would become a line of the help text"
+)]
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version, generate(parser))]
 pub enum CommandLine {
@@ -39,24 +42,24 @@
     },
     /// Look at a settings file
     #[bpaf(command)]
-    Settings(#[bpaf(external(settings_verb))] SettingsVerb),
+    Settings(#[bpaf(external(settings_command))] SettingsCommand),
     /// Check, apply and read the configuration
     #[bpaf(command)]
-    Config(#[bpaf(external(config_verb))] ConfigVerb),
+    Config(#[bpaf(external(config_command))] ConfigCommand),
     /// Look at the cluster
     #[bpaf(command)]
-    Cluster(#[bpaf(external(cluster_verb))] ClusterVerb),
+    Cluster(#[bpaf(external(cluster_command))] ClusterCommand),
     /// Hand in, look at and cancel jobs
     #[bpaf(command)]
-    Job(#[bpaf(external(job_verb))] JobVerb),
+    Job(#[bpaf(external(job_command))] JobCommand),
     /// Look at a coordinator's state on disk
     #[bpaf(command)]
-    State(#[bpaf(external(state_verb))] StateVerb),
+    State(#[bpaf(external(state_command))] StateCommand),
 }
 
 /// What to do with a settings file.
 #[derive(Clone, Debug, Bpaf)]
-pub enum SettingsVerb {
+pub enum SettingsCommand {
     /// Check it: all faults, what may not be meant, and fields that are not used
     #[bpaf(command)]
     Check {
@@ -67,7 +70,7 @@
 
 /// What to do with the configuration.
 #[derive(Clone, Debug, Bpaf)]
-pub enum ConfigVerb {
+pub enum ConfigCommand {
     /// Check a file; nothing is sent anywhere
     #[bpaf(command)]
     Check {
@@ -99,7 +102,7 @@
 
 /// What to see of the cluster.
 #[derive(Clone, Debug, Bpaf)]
-pub enum ClusterVerb {
+pub enum ClusterCommand {
     /// View, chain, roles, workers and queues as one coordinator has them
     #[bpaf(command)]
     Status {
@@ -124,7 +127,7 @@
 
 /// Where a job is.
 #[derive(Clone, Debug, Bpaf)]
-pub struct JobPlace {
+pub struct JobTarget {
     /// Any proxy's address for clients, IP:PORT
     #[bpaf(long, argument("ADDRESS"))]
     at: SocketAddr,
@@ -138,7 +141,7 @@
 
 /// What to do with a job.
 #[derive(Clone, Debug, Bpaf)]
-pub enum JobVerb {
+pub enum JobCommand {
     /// Hand it in
     #[bpaf(command)]
     Submit {
@@ -146,14 +149,14 @@
         #[bpaf(long, argument("FILE"))]
         file: PathBuf,
         #[bpaf(external)]
-        job_place: JobPlace,
+        job_target: JobTarget,
     },
     /// Print its state
     #[bpaf(command)]
-    Status(#[bpaf(external(job_place))] JobPlace),
+    Status(#[bpaf(external(job_target))] JobTarget),
     /// Cancel it
     #[bpaf(command)]
-    Cancel(#[bpaf(external(job_place))] JobPlace),
+    Cancel(#[bpaf(external(job_target))] JobTarget),
     /// List jobs as one coordinator has them
     #[bpaf(command)]
     List {
@@ -178,12 +181,12 @@
     },
     /// Count the jobs of a queue that have not ended; PATH is its prefix
     #[bpaf(command)]
-    Count(#[bpaf(external(job_place))] JobPlace),
+    Count(#[bpaf(external(job_target))] JobTarget),
 }
 
 /// What to see of a state on disk.
 #[derive(Clone, Debug, Bpaf)]
-pub enum StateVerb {
+pub enum StateCommand {
     /// Read it whole and look for contradictions; its coordinator must not run
     #[bpaf(command)]
     Check {
@@ -222,18 +225,18 @@
 pub fn run(command: &CommandLine) -> Result<(), ProgramError> {
     match command {
         CommandLine::Proxy { settings_file } => {
-            let (file, settings) = process(settings_file)?;
+            let (file, settings) = start_process(settings_file)?;
             block_on(proxy::run(file, settings))
         }
         CommandLine::Agent { settings_file } => {
-            let (file, settings) = process(settings_file)?;
+            let (file, settings) = start_process(settings_file)?;
             block_on(agent::run(file, settings))
         }
         CommandLine::Coordinator { settings_file } => {
-            let (file, settings) = process(settings_file)?;
+            let (file, settings) = start_process(settings_file)?;
             block_on(coordinator::run(file, settings))
         }
-        CommandLine::Settings(SettingsVerb::Check { settings_file }) => {
+        CommandLine::Settings(SettingsCommand::Check { settings_file }) => {
             let file = NodeSettings::file(settings_file.clone())?;
             let report = SettingsReport::of(&file)?;
             println!("{}: {report}", file.display());
@@ -243,23 +246,23 @@
                 Some(fault) => Err(fault.in_file(&file).into()),
             }
         }
-        CommandLine::Config(verb) => config(verb),
-        CommandLine::Cluster(ClusterVerb::Status { at, json }) => show(
+        CommandLine::Config(command) => config(command),
+        CommandLine::Cluster(ClusterCommand::Status { at, json }) => print_table(
             *at,
             "/-/Cluster.Describe".to_owned(),
             *json,
             tables::cluster,
         ),
-        CommandLine::Cluster(ClusterVerb::Explain { at, job }) => {
-            look(*at, format!("/-/Job.Explain/{job}"))
+        CommandLine::Cluster(ClusterCommand::Explain { at, job }) => {
+            print_response(*at, format!("/-/Job.Explain/{job}"))
         }
-        CommandLine::Job(verb) => job(verb),
-        CommandLine::State(verb) => state(verb),
+        CommandLine::Job(command) => job(command),
+        CommandLine::State(command) => state(command),
     }
 }
 
 /// Reads the settings of a process and starts its log.
-fn process(named: &Option<PathBuf>) -> Result<(PathBuf, NodeSettings), ProgramError> {
+fn start_process(named: &Option<PathBuf>) -> Result<(PathBuf, NodeSettings), ProgramError> {
     let file = NodeSettings::file(named.clone())?;
     let settings = NodeSettings::read(&file)?;
     logging::start(&settings.node_name);
@@ -269,7 +272,10 @@
     Ok((file, settings))
 }
 
-fn block_on<T>(work: impl Future<Output = Result<T, ProgramError>>) -> Result<T, ProgramError> {
+fn block_on<T, E>(future: impl Future<Output = Result<T, E>>) -> Result<T, ProgramError>
+where
+    ProgramError: From<E>,
+{
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -277,44 +283,44 @@
             what: "the event loop",
             source,
         })?;
-    runtime.block_on(work)
+    Ok(runtime.block_on(future)?)
 }
 
-fn print_call(call: Call) -> Result<(), ProgramError> {
-    let text = block_on(operator::call(call))?;
+fn print_call(call: OperatorCall) -> Result<(), ProgramError> {
+    let text = block_on(operator_call::call(call))?;
     if !text.is_empty() {
         println!("{text}");
     }
     Ok(())
 }
 
-/// Prints what a coordinator answers to a question.
-fn look(at: SocketAddr, path: String) -> Result<(), ProgramError> {
-    print_call(Call {
+/// Prints a coordinator's response.
+fn print_response(at: SocketAddr, path: String) -> Result<(), ProgramError> {
+    print_call(OperatorCall {
         method: "GET",
         at: Some(at),
         path,
-        ..Call::default()
+        ..OperatorCall::default()
     })
 }
 
-/// Prints what a coordinator answers to a question, as it comes or as a table.
-fn show<T: DeserializeOwned>(
+/// Prints a coordinator's response, as it comes or as a table.
+fn print_table<T: DeserializeOwned>(
     at: SocketAddr,
     path: String,
     json: bool,
     table: impl Fn(&T) -> String,
 ) -> Result<(), ProgramError> {
     if json {
-        return look(at, path);
+        return print_response(at, path);
     }
-    let text = block_on(operator::call(Call {
+    let text = block_on(operator_call::call(OperatorCall {
         method: "GET",
         at: Some(at),
         path,
-        ..Call::default()
+        ..OperatorCall::default()
     }))?;
-    let unreadable = |error: serde_json::Error| ProgramError::Server(format!("{at}: {error}"));
+    let unreadable = |source| ProgramError::Description { at, source };
     print!(
         "{}",
         table(&serde_json::from_str(&text).map_err(unreadable)?)
@@ -322,9 +328,9 @@
     Ok(())
 }
 
-fn state(verb: &StateVerb) -> Result<(), ProgramError> {
-    match verb {
-        StateVerb::Check { folder } => {
+fn state(command: &StateCommand) -> Result<(), ProgramError> {
+    match command {
+        StateCommand::Check { folder } => {
             let state = StateOnDisk::read(folder)?;
             println!("{}", state.summary());
             state
@@ -336,7 +342,7 @@
                 count => Err(ProgramError::Contradictions(count)),
             }
         }
-        StateVerb::Show { folder, json } => {
+        StateCommand::Show { folder, json } => {
             let state = StateOnDisk::read(folder)?;
             match json {
                 true => println!("{}", serde_json::to_string(&state).unwrap_or_default()),
@@ -347,15 +353,15 @@
     }
 }
 
-fn config(verb: &ConfigVerb) -> Result<(), ProgramError> {
-    match verb {
-        ConfigVerb::Check { file } => {
+fn config(command: &ConfigCommand) -> Result<(), ProgramError> {
+    match command {
+        ConfigCommand::Check { file } => {
             println!("{}", operator::check_configuration(file)?);
             Ok(())
         }
-        ConfigVerb::Apply { at, base, file } => {
+        ConfigCommand::Apply { at, base, file } => {
             operator::check_configuration(file)?;
-            print_call(Call {
+            print_call(OperatorCall {
                 method: "POST",
                 at: Some(*at),
                 path: "/-/Config.Replace".to_owned(),
@@ -366,13 +372,13 @@
                 body: operator::read_file(file)?,
             })
         }
-        ConfigVerb::Describe { at } => look(*at, "/-/Config.Describe".to_owned()),
+        ConfigCommand::Describe { at } => print_response(*at, "/-/Config.Describe".to_owned()),
     }
 }
 
-fn job(verb: &JobVerb) -> Result<(), ProgramError> {
-    let (method, place, body) = match verb {
-        JobVerb::List {
+fn job(command: &JobCommand) -> Result<(), ProgramError> {
+    let (method, target, body) = match command {
+        JobCommand::List {
             json,
             at,
             queue,
@@ -387,19 +393,19 @@
                 ("after", after),
                 ("limit", &limit),
             ];
-            let path = format!("/-/Job.List?{}", operator::query(&fields));
-            return show(*at, path, *json, tables::jobs);
+            let path = format!("/-/Job.List?{}", operator_call::query(&fields));
+            return print_table(*at, path, *json, tables::jobs);
         }
-        JobVerb::Submit { file, job_place } => ("POST", job_place, operator::read_file(file)?),
-        JobVerb::Status(place) | JobVerb::Count(place) => ("GET", place, Vec::new()),
-        JobVerb::Cancel(place) => ("DELETE", place, Vec::new()),
+        JobCommand::Submit { file, job_target } => ("POST", job_target, operator::read_file(file)?),
+        JobCommand::Status(target) | JobCommand::Count(target) => ("GET", target, Vec::new()),
+        JobCommand::Cancel(target) => ("DELETE", target, Vec::new()),
     };
-    print_call(Call {
+    print_call(OperatorCall {
         method,
-        at: Some(place.at),
-        path: place.path.clone(),
+        at: Some(target.at),
+        path: target.path.clone(),
         headers: vec![
-            ("Host", place.host.clone()),
+            ("Host", target.host.clone()),
             ("Content-Type", "application/json".to_owned()),
         ],
         body,
--- a/system/magpiegap/src/coordinator/control_plane.rs
+++ b/system/magpiegap/src/coordinator/control_plane.rs
@@ -1,5 +1,5 @@
-//! The operator's interface.
-use super::{events::Handle, metrics};
+//! The operator's interface: calls over HTTP, each answered by this coordinator or redirected to the one that can.
+use super::{events::RequestHandle, metrics};
 use crate::serving::read_body;
 use magpiegap_protocol::{CoordinatorRequest, CoordinatorResponse, JobFilter, JobId, JobPhase};
 use rocket::{
@@ -12,18 +12,18 @@
 use std::{io::Cursor, net::Ipv4Addr};
 
 /// The path of a job's explanation, before its name.
-const EXPLAIN: &str = "/-/Job.Explain/";
-/// Jobs in a list where no other limit is asked for.
-const JOBS_LISTED: u32 = 100;
-/// Longest configuration, in bytes.
-const MAX_BODY: u64 = 16 << 20;
+const EXPLAIN_PATH: &str = "/-/Job.Explain/";
+/// Maximum number of jobs in a list where no other limit is requested.
+const DEFAULT_LIST_LIMIT: u32 = 100;
+/// Maximum length of a configuration, in bytes.
+const MAX_BODY_BYTES: u64 = 16 << 20;
 
-/// An answer to the operator.
+/// A response to the operator.
 struct Reply {
     status: Status,
-    kind: ContentType,
+    content_type: ContentType,
     body: Vec<u8>,
-    /// Where the call is answered instead.
+    /// The address of the coordinator that can answer, for a redirect.
     location: Option<String>,
 }
 
@@ -31,7 +31,7 @@
     fn text(status: Status, text: impl Into<String>) -> Reply {
         Reply {
             status,
-            kind: ContentType::Plain,
+            content_type: ContentType::Plain,
             body: text.into().into_bytes(),
             location: None,
         }
@@ -40,23 +40,24 @@
     fn json(body: Vec<u8>) -> Reply {
         Reply {
             status: Status::Ok,
-            kind: ContentType::JSON,
+            content_type: ContentType::JSON,
             body,
             location: None,
         }
     }
 
     fn metrics(text: String) -> Reply {
-        let kind = ContentType::parse_flexible(metrics::CONTENT_TYPE).unwrap_or(ContentType::Plain);
+        let content_type =
+            ContentType::parse_flexible(metrics::CONTENT_TYPE).unwrap_or(ContentType::Plain);
         Reply {
             status: Status::Ok,
-            kind,
+            content_type,
             body: text.into_bytes(),
             location: None,
         }
     }
 
-    fn elsewhere(location: String) -> Reply {
+    fn redirect(location: String) -> Reply {
         Reply {
             location: Some(location),
             ..Reply::text(Status::TemporaryRedirect, "")
@@ -67,7 +68,7 @@
 impl<'r> Responder<'r, 'static> for Reply {
     fn respond_to(self, _request: &'r Request<'_>) -> response::Result<'static> {
         let mut response = Response::build();
-        response.status(self.status).header(self.kind);
+        response.status(self.status).header(self.content_type);
         if let Some(location) = self.location {
             response.header(Header::new("Location", location));
         }
@@ -77,22 +78,22 @@
     }
 }
 
-/// Answers the operator.
+/// Handles the operator's calls.
 #[derive(Clone)]
 pub(super) struct ControlPlaneHandler {
-    handle: Handle,
+    handle: RequestHandle,
     /// The port of this interface, the same at all coordinators.
     port: u16,
 }
 
 impl ControlPlaneHandler {
     /// A handler for this coordinator.
-    pub(super) fn new(handle: Handle, port: u16) -> ControlPlaneHandler {
+    pub(super) fn new(handle: RequestHandle, port: u16) -> ControlPlaneHandler {
         ControlPlaneHandler { handle, port }
     }
 
-    async fn replace(&self, request: &Request<'_>, data: Data<'_>) -> Reply {
-        let body = match read_body(data, MAX_BODY).await {
+    async fn replace_configuration(&self, request: &Request<'_>, data: Data<'_>) -> Reply {
+        let body = match read_body(data, MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(status) => return Reply::text(status, "the body can't be read"),
         };
@@ -110,7 +111,7 @@
         };
         match self
             .handle
-            .ask(CoordinatorRequest::ReplaceConfiguration { base, body })
+            .request(CoordinatorRequest::ReplaceConfiguration { base, body })
             .await
         {
             Some(CoordinatorResponse::ConfigurationInvalid(fault)) => {
@@ -123,96 +124,122 @@
             Some(CoordinatorResponse::ConfigurationStale) => {
                 Reply::text(Status::BadRequest, "version: must be above the current one")
             }
-            _ => not_now(),
+            _ => unavailable(),
         }
     }
 
-    async fn describe(&self) -> Reply {
+    async fn describe_configuration(&self) -> Reply {
         match self
             .handle
-            .ask(CoordinatorRequest::DescribeConfiguration)
+            .request(CoordinatorRequest::DescribeConfiguration)
             .await
         {
             Some(CoordinatorResponse::Configuration(body)) if body.is_empty() => {
                 Reply::text(Status::NotFound, "there is no configuration yet")
             }
             Some(CoordinatorResponse::Configuration(body)) => Reply::json(body),
-            _ => not_now(),
+            _ => unavailable(),
         }
     }
 
-    async fn cluster(&self) -> Reply {
-        match self.handle.ask(CoordinatorRequest::Describe).await {
+    async fn describe_cluster(&self) -> Reply {
+        match self.handle.request(CoordinatorRequest::Describe).await {
             Some(CoordinatorResponse::Description(text)) => Reply::json(text.into_bytes()),
-            _ => not_now(),
+            _ => unavailable(),
         }
     }
 
     /// Lists jobs.
-    async fn jobs(&self, request: &Request<'_>) -> Reply {
+    async fn list_jobs(&self, request: &Request<'_>) -> Reply {
         let filter = match job_filter(request) {
             Ok(filter) => filter,
-            Err(fault) => return Reply::text(Status::BadRequest, fault),
+            Err(error) => return Reply::text(Status::BadRequest, error.to_string()),
         };
-        match self.handle.ask(CoordinatorRequest::ListJobs(filter)).await {
+        match self
+            .handle
+            .request(CoordinatorRequest::ListJobs(filter))
+            .await
+        {
             Some(CoordinatorResponse::Description(text)) => Reply::json(text.into_bytes()),
-            _ => not_now(),
+            _ => unavailable(),
         }
     }
 
-    /// The figures that monitoring systems scrape.
+    /// The metrics that monitoring systems scrape.
     async fn metrics(&self) -> Reply {
-        let description = match self.handle.ask(CoordinatorRequest::Describe).await {
+        let description = match self.handle.request(CoordinatorRequest::Describe).await {
             Some(CoordinatorResponse::Description(text)) => serde_json::from_str(&text).ok(),
             _ => None,
         };
         match description {
             Some(cluster) => Reply::metrics(metrics::to_text(cluster)),
-            None => not_now(),
+            None => unavailable(),
         }
     }
 
     /// Explains a job: why its tasks wait, and where they run.
-    async fn explain(&self, name: &str) -> Reply {
+    async fn explain_job(&self, name: &str) -> Reply {
         let Some(job) = JobId::parse(name) else {
             return Reply::text(Status::BadRequest, "a job's name has 16 hexadecimal digits");
         };
-        match self.handle.ask(CoordinatorRequest::Explain { job }).await {
+        match self
+            .handle
+            .request(CoordinatorRequest::Explain { job })
+            .await
+        {
             Some(CoordinatorResponse::Description(text)) => Reply::json(text.into_bytes()),
             Some(CoordinatorResponse::NoSuchJob) => {
                 Reply::text(Status::Gone, "there is no such job")
             }
             Some(CoordinatorResponse::Elsewhere(address)) => {
                 let (ip, port) = (Ipv4Addr::from(address), self.port);
-                Reply::elsewhere(format!("http://{ip}:{port}{EXPLAIN}{name}"))
+                Reply::redirect(format!("http://{ip}:{port}{EXPLAIN_PATH}{name}"))
             }
-            _ => not_now(),
+            _ => unavailable(),
         }
     }
 }
 
-/// Reads which jobs are wanted: `queue`, `state`, `after` and `limit` in the query.
-fn job_filter(request: &Request<'_>) -> Result<JobFilter, String> {
+/// Why a query of the list of jobs can't be used.
+#[derive(Debug, thiserror::Error)]
+enum JobFilterError {
+    /// A field has a value that can't be used.
+    #[error("{field}: must be {must}")]
+    Field {
+        field: String,
+        /// What it must be.
+        must: &'static str,
+    },
+    /// There is no field of that name.
+    #[error("{0}: there is no such field")]
+    UnknownField(String),
+}
+
+/// Reads which jobs are to be listed: `queue`, `state`, `after` and `limit` in the query.
+fn job_filter(request: &Request<'_>) -> Result<JobFilter, JobFilterError> {
     let mut filter = JobFilter {
-        limit: JOBS_LISTED,
+        limit: DEFAULT_LIST_LIMIT,
         ..JobFilter::default()
     };
     let fields = request.uri().query().map(|query| query.segments());
     for (name, value) in fields.into_iter().flatten() {
-        let wrong = |must: &str| format!("{name}: must be {must}");
+        let must_be = |must: &'static str| JobFilterError::Field {
+            field: name.to_owned(),
+            must,
+        };
         match name {
             "queue" => filter.queue = Some(percent_decoded(value)),
             "state" => {
-                let phase = JobPhase::parse(value);
-                let words = "pending, running, succeeded, failed or cancelled";
-                filter.phase = Some(phase.ok_or_else(|| wrong(words))?);
+                let phases = "pending, running, succeeded, failed or cancelled";
+                let phase = JobPhase::parse(value).ok_or_else(|| must_be(phases))?;
+                filter.phase = Some(phase);
             }
             "after" => {
-                let job = JobId::parse(value);
-                filter.after = Some(job.ok_or_else(|| wrong("16 hexadecimal digits"))?);
+                let job = JobId::parse(value).ok_or_else(|| must_be("16 hexadecimal digits"))?;
+                filter.after = Some(job);
             }
-            "limit" => filter.limit = value.parse().map_err(|_| wrong("a whole number"))?,
-            _ => return Err(format!("{name}: there is no such field")),
+            "limit" => filter.limit = value.parse().map_err(|_| must_be("a whole number"))?,
+            _ => return Err(JobFilterError::UnknownField(name.to_owned())),
         }
     }
     Ok(filter)
@@ -225,7 +252,7 @@
         .map_or_else(|_| value.to_owned(), |decoded| decoded.into_owned())
 }
 
-fn not_now() -> Reply {
+fn unavailable() -> Reply {
     Reply::text(
         Status::ServiceUnavailable,
         "this coordinator can't serve now; another one may",
@@ -236,14 +263,14 @@
 impl Handler for ControlPlaneHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
         let path = request.uri().path().as_str();
-        if let (Method::Get, Some(job)) = (request.method(), path.strip_prefix(EXPLAIN)) {
-            return Outcome::from(request, self.explain(job).await);
+        if let (Method::Get, Some(job)) = (request.method(), path.strip_prefix(EXPLAIN_PATH)) {
+            return Outcome::from(request, self.explain_job(job).await);
         }
         let reply = match (request.method(), path) {
-            (Method::Post, "/-/Config.Replace") => self.replace(request, data).await,
-            (Method::Get, "/-/Config.Describe") => self.describe().await,
-            (Method::Get, "/-/Cluster.Describe") => self.cluster().await,
-            (Method::Get, "/-/Job.List") => self.jobs(request).await,
+            (Method::Post, "/-/Config.Replace") => self.replace_configuration(request, data).await,
+            (Method::Get, "/-/Config.Describe") => self.describe_configuration().await,
+            (Method::Get, "/-/Cluster.Describe") => self.describe_cluster().await,
+            (Method::Get, "/-/Job.List") => self.list_jobs(request).await,
             (Method::Get, "/-/metrics") => self.metrics().await,
             _ => Reply::text(Status::NotFound, "no such call"),
         };
--- a/system/magpiegap/src/coordinator/disk.rs
+++ b/system/magpiegap/src/coordinator/disk.rs
@@ -1,4 +1,4 @@
-//! The disk, on a thread of its own: all that waits is written with one sync.
+//! Disk work on a thread of its own: all records that wait are written with one sync.
 use super::events::Event;
 use magpiegap_control::{DurableRecord, DurableState};
 use magpiegap_protocol::encode;
@@ -6,66 +6,54 @@
 use std::{sync::mpsc, time::Duration};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Pause before work that the disk has refused is tried again.
-const RETRY: Duration = Duration::from_millis(250);
+/// Delay before work that has failed is tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Work for the disk.
 pub(super) enum DiskWork {
-    /// Add records.
+    /// Append records.
     Records {
-        /// Names the work.
+        /// Identifies the work.
         ticket: u64,
         /// The records.
         records: Vec<DurableRecord>,
     },
-    /// Replace all that is kept.
+    /// Replace all that is saved.
     Checkpoint {
-        /// Names the work.
+        /// Identifies the work.
         ticket: u64,
-        /// What to keep.
+        /// What to save instead.
         snapshot: Box<DurableState>,
     },
 }
 
-/// Starts the thread.
+/// Starts the thread. It ends when no more work can come, or nobody waits for its results.
 pub(super) fn start(
     store: Store<FolderDirectory>,
     events: UnboundedSender<Event>,
 ) -> mpsc::Sender<DiskWork> {
     let (sender, receiver) = mpsc::channel();
-    std::thread::spawn(move || work(store, &receiver, &events));
+    std::thread::spawn(move || run(store, &receiver, &events));
     sender
 }
 
-fn work(
+fn run(
     mut store: Store<FolderDirectory>,
     inbox: &mpsc::Receiver<DiskWork>,
     events: &UnboundedSender<Event>,
 ) {
     let mut next = inbox.recv().ok();
-    while let Some(first) = next.take() {
-        let ticket = match first {
+    while let Some(work) = next.take() {
+        let ticket = match work {
             DiskWork::Checkpoint { ticket, snapshot } => {
                 retry(|| store.checkpoint(snapshot.chunks()));
                 ticket
             }
             DiskWork::Records { ticket, records } => {
-                let mut bytes: Vec<Vec<u8>> = records.iter().map(encode).collect();
-                let mut last = ticket;
-                while let Ok(more) = inbox.try_recv() {
-                    match more {
-                        DiskWork::Records { ticket, records } => {
-                            bytes.extend(records.iter().map(encode));
-                            last = ticket;
-                        }
-                        checkpoint @ DiskWork::Checkpoint { .. } => {
-                            next = Some(checkpoint);
-                            break;
-                        }
-                    }
-                }
-                retry(|| store.append(&bytes));
-                last
+                let batch = Batch::collect(ticket, &records, inbox);
+                retry(|| store.append(&batch.records));
+                next = batch.next;
+                batch.ticket
             }
         };
         if events.send(Event::Persisted(ticket)).is_err() {
@@ -77,17 +65,51 @@
     }
 }
 
-/// Does disk work until the disk takes it.
+/// Records that are written with one sync.
+struct Batch {
+    /// The ticket of the last of them.
+    ticket: u64,
+    /// The records, encoded.
+    records: Vec<Vec<u8>>,
+    /// Work of another kind that came after them.
+    next: Option<DiskWork>,
+}
+
+impl Batch {
+    /// Adds all records that wait already, up to a checkpoint.
+    fn collect(ticket: u64, records: &[DurableRecord], inbox: &mpsc::Receiver<DiskWork>) -> Batch {
+        let mut batch = Batch {
+            ticket,
+            records: records.iter().map(encode).collect(),
+            next: None,
+        };
+        while let Ok(work) = inbox.try_recv() {
+            match work {
+                DiskWork::Records { ticket, records } => {
+                    batch.records.extend(records.iter().map(encode));
+                    batch.ticket = ticket;
+                }
+                checkpoint @ DiskWork::Checkpoint { .. } => {
+                    batch.next = Some(checkpoint);
+                    break;
+                }
+            }
+        }
+        batch
+    }
+}
+
+/// Does disk work until it succeeds. Logs the first failure only, and the recovery.
 fn retry(mut work: impl FnMut() -> Result<(), StoreError>) {
-    let mut told = false;
+    let mut has_failed = false;
     while let Err(error) = work() {
-        if !told {
+        if !has_failed {
             log::error!("{error}; it is tried again");
-            told = true;
+            has_failed = true;
         }
-        std::thread::sleep(RETRY);
+        std::thread::sleep(RETRY_DELAY);
     }
-    if told {
-        log::info!("the disk takes writes again");
+    if has_failed {
+        log::info!("disk writes succeed again");
     }
 }
--- a/system/magpiegap/src/coordinator/driver.rs
+++ b/system/magpiegap/src/coordinator/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the coordinator's state machine: events in, effects out.
+//! Drives the coordinator's state machine: events go in, its outputs are performed.
 use super::{
     disk::DiskWork, events::Event, peers::Peers, platform_client, worker_client,
     worker_connections::WorkerConnections,
@@ -6,21 +6,22 @@
 use crate::{clock::Clock, settings::NodeSettings};
 use magpiegap_control::Output as ControlOutput;
 use magpiegap_coordinator::{Coordinator, Output, RequestId};
-use magpiegap_protocol::{CoordinatorResponse, Millis, PeerMessage, ReplicaId};
+use magpiegap_protocol::{CoordinatorResponse, FencingToken, Millis, PeerMessage, ReplicaId};
+use magpiegap_scheduler::WorkerCall;
 use std::{collections::HashMap, net::SocketAddr, path::PathBuf, time::Duration};
 use tokio::sync::{
     mpsc::{UnboundedReceiver, UnboundedSender},
     oneshot,
 };
 
-/// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(20);
-/// Time between two readings of the settings file.
-const READ_SETTINGS_MS: Millis = 2000;
-/// Most events taken before what they have brought up is done.
-const MOST_EVENTS: usize = 64;
+/// Interval between two ticks of the state machine.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Minimum interval between two readings of the settings file.
+const SETTINGS_READ_INTERVAL_MS: Millis = 2000;
+/// Maximum number of events handled before the outputs are performed.
+const MAX_EVENTS_PER_BATCH: usize = 64;
 
-/// What a coordinator is connected with.
+/// What the outputs are performed with.
 pub(super) struct Links {
     /// The thread that does the disk's work.
     pub disk: std::sync::mpsc::Sender<DiskWork>,
@@ -30,7 +31,7 @@
     pub client: reqwest::Client,
     /// The workers.
     pub workers: WorkerConnections,
-    /// Where the platform keeps its list.
+    /// Where the platform serves its list.
     pub platform: Option<SocketAddr>,
 }
 
@@ -40,15 +41,16 @@
     own: ReplicaId,
     coordinator: Coordinator,
     links: Links,
-    answers: HashMap<RequestId, oneshot::Sender<CoordinatorResponse>>,
+    /// Where the responses to requests go.
+    pending_responses: HashMap<RequestId, oneshot::Sender<CoordinatorResponse>>,
     next_request: RequestId,
     /// Messages of this coordinator to itself.
     to_self: Vec<PeerMessage>,
-    /// Where the addresses of other coordinators are read anew while too few of them are heard.
+    /// Where the addresses of other coordinators are read again while too few of them are heard.
     settings_file: PathBuf,
-    read_settings_at: Millis,
-    /// Told once the others go on without this coordinator.
-    left: Option<oneshot::Sender<()>>,
+    settings_read_at: Millis,
+    /// Notified once the others go on without this coordinator.
+    departed: Option<oneshot::Sender<()>>,
 }
 
 impl Driver {
@@ -59,52 +61,57 @@
         coordinator: Coordinator,
         links: Links,
         settings_file: PathBuf,
-        left: oneshot::Sender<()>,
+        departed: oneshot::Sender<()>,
     ) -> Driver {
         Driver {
             clock,
             own,
             coordinator,
             links,
-            answers: HashMap::new(),
+            pending_responses: HashMap::new(),
             next_request: 0,
             to_self: Vec::new(),
             settings_file,
-            read_settings_at: 0,
-            left: Some(left),
+            settings_read_at: 0,
+            departed: Some(departed),
         }
     }
 
-    /// Takes events until it is dropped.
+    /// Handles events until it is dropped. A message on `drain` hands the coordinator's roles over.
     pub(super) async fn run(
         mut self,
         events: UnboundedSender<Event>,
         mut inbox: UnboundedReceiver<Event>,
-        mut leave: UnboundedReceiver<()>,
+        mut drain: UnboundedReceiver<()>,
     ) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 event = inbox.recv() => {
                     let Some(event) = event else { return };
-                    self.take(event);
-                    for _ in 0..MOST_EVENTS {
+                    self.handle_event(event);
+                    for _ in 0..MAX_EVENTS_PER_BATCH {
                         match inbox.try_recv() {
-                            Ok(event) => self.take(event),
+                            Ok(event) => self.handle_event(event),
                             Err(_) => break,
                         }
                     }
                 }
                 _ = ticks.tick() => self.tick(),
-                Some(()) = leave.recv() => self.coordinator.leave(self.clock.now()),
-            }
-            self.finish(&events);
-            if self.coordinator.has_left() {
-                if let Some(left) = self.left.take() {
-                    let _ = left.send(());
-                }
+                Some(()) = drain.recv() => self.coordinator.leave(self.clock.now()),
             }
+            self.perform_outputs(&events);
+            self.notify_departed();
+        }
+    }
+
+    fn notify_departed(&mut self) {
+        if !self.coordinator.has_left() {
+            return;
+        }
+        if let Some(departed) = self.departed.take() {
+            let _ = departed.send(());
         }
     }
 
@@ -113,38 +120,39 @@
         self.read_seeds();
     }
 
-    /// Reads the addresses of other coordinators anew, while too few of them are heard.
+    /// Reads the addresses of other coordinators again, while too few of them are heard.
     fn read_seeds(&mut self) {
         let now = self.clock.now();
-        if now < self.read_settings_at + READ_SETTINGS_MS
+        if now < self.settings_read_at + SETTINGS_READ_INTERVAL_MS
             || !self.coordinator.replica().is_seeking(now)
         {
             return;
         }
-        self.read_settings_at = now;
+        self.settings_read_at = now;
         match NodeSettings::read(&self.settings_file) {
             Ok(settings) => self.coordinator.set_seeds(&settings.seed_addresses()),
             Err(error) => log::warn!("{error}"),
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let (now, wall) = (self.clock.now(), self.clock.wall());
         match event {
-            Event::Peer { from, messages } => {
-                self.links.peers.heard(from);
+            Event::PeerMessages { from, messages } => {
+                self.links.peers.handle_contact(from);
                 self.coordinator.handle_messages(now, wall, from, messages);
             }
             Event::ConnectionRefused(address) => {
                 self.coordinator.handle_connection_refused(now, address)
             }
             Event::Persisted(ticket) => self.coordinator.handle_persisted(now, wall, ticket),
-            Event::Request { what, answer } => {
+            Event::Request { request, response } => {
                 self.next_request += 1;
-                self.answers.insert(self.next_request, answer);
-                self.coordinator.request(now, wall, self.next_request, what);
+                self.pending_responses.insert(self.next_request, response);
+                self.coordinator
+                    .request(now, wall, self.next_request, request);
             }
-            Event::Worker {
+            Event::WorkerReply {
                 service,
                 token,
                 call,
@@ -153,14 +161,14 @@
                 self.coordinator
                     .handle_worker_reply(now, &service, token, call, reply);
             }
-            Event::Platform { call, reply } => {
+            Event::PlatformReply { call, reply } => {
                 self.coordinator.handle_platform_reply(now, call, reply)
             }
         }
     }
 
-    /// Does what the events have brought up, until nothing more comes up.
-    fn finish(&mut self, events: &UnboundedSender<Event>) {
+    /// Performs the outputs, until there are no more.
+    fn perform_outputs(&mut self, events: &UnboundedSender<Event>) {
         loop {
             for output in self.coordinator.poll_outputs() {
                 self.perform(output, events);
@@ -179,40 +187,50 @@
         match output {
             Output::Control(output) => self.perform_control(output),
             Output::Answer { request, answer } => {
-                if let Some(waiting) = self.answers.remove(&request) {
-                    let _ = waiting.send(answer);
+                if let Some(response) = self.pending_responses.remove(&request) {
+                    let _ = response.send(answer);
                 }
             }
             Output::CallWorker {
                 service,
                 token,
                 call,
-            } => {
-                let (workers, events) = (self.links.workers.clone(), events.clone());
-                tokio::spawn(async move {
-                    let id = call.id;
-                    let reply = worker_client::call(workers, call).await;
-                    let _ = events.send(Event::Worker {
-                        service,
-                        token,
-                        call: id,
-                        reply,
-                    });
-                });
-            }
-            Output::ListWorkers { call, page } => {
-                let (client, events) = (self.links.client.clone(), events.clone());
-                let Some(address) = self.links.platform else {
-                    return;
-                };
-                tokio::spawn(async move {
-                    let reply = platform_client::list(client, address, page).await;
-                    let _ = events.send(Event::Platform { call, reply });
-                });
-            }
+            } => self.call_worker(service, token, call, events.clone()),
+            Output::ListWorkers { call, page } => self.list_workers(call, page, events.clone()),
         }
     }
 
+    fn call_worker(
+        &self,
+        service: String,
+        token: FencingToken,
+        call: WorkerCall,
+        events: UnboundedSender<Event>,
+    ) {
+        let workers = self.links.workers.clone();
+        tokio::spawn(async move {
+            let id = call.id;
+            let reply = worker_client::call(workers, call).await;
+            let _ = events.send(Event::WorkerReply {
+                service,
+                token,
+                call: id,
+                reply,
+            });
+        });
+    }
+
+    fn list_workers(&self, call: u64, page: Option<String>, events: UnboundedSender<Event>) {
+        let Some(address) = self.links.platform else {
+            return;
+        };
+        let client = self.links.client.clone();
+        tokio::spawn(async move {
+            let reply = platform_client::list(client, address, page).await;
+            let _ = events.send(Event::PlatformReply { call, reply });
+        });
+    }
+
     fn perform_control(&mut self, output: ControlOutput) {
         match output {
             ControlOutput::Send { to, message } if to == self.own.member.address => {
@@ -220,18 +238,18 @@
             }
             ControlOutput::Send { to, message } => self.links.peers.send(to, message),
             ControlOutput::Persist { ticket, records } => {
-                self.hand_to_disk(DiskWork::Records { ticket, records });
+                self.submit_disk_work(DiskWork::Records { ticket, records });
             }
             ControlOutput::Checkpoint { ticket, snapshot } => {
-                self.hand_to_disk(DiskWork::Checkpoint { ticket, snapshot });
+                self.submit_disk_work(DiskWork::Checkpoint { ticket, snapshot });
             }
             ControlOutput::Log(line) => log::info!("{line}"),
         }
     }
 
-    fn hand_to_disk(&self, work: DiskWork) {
+    fn submit_disk_work(&self, work: DiskWork) {
         if self.links.disk.send(work).is_err() {
-            log::error!("the disk's thread has ended");
+            log::error!("disk thread has ended");
         }
     }
 }
--- a/system/magpiegap/src/coordinator/events.rs
+++ b/system/magpiegap/src/coordinator/events.rs
@@ -1,4 +1,4 @@
-//! What happens to a coordinator, and the way for requests into it.
+//! Events of the coordinator's process, and the handle by which requests get into it.
 use magpiegap_coordinator::PlatformReply;
 use magpiegap_protocol::{
     CoordinatorRequest, CoordinatorResponse, FencingToken, PeerMessage, ReplicaId,
@@ -6,49 +6,51 @@
 use magpiegap_scheduler::WorkerReply;
 use tokio::sync::{mpsc::UnboundedSender, oneshot};
 
-/// Something that has happened.
+/// Something that has happened, for the state machine.
 pub(super) enum Event {
-    /// Messages from another coordinator.
-    Peer {
+    /// Messages have come from another coordinator.
+    PeerMessages {
         from: ReplicaId,
         messages: Vec<PeerMessage>,
     },
     /// A connection to another coordinator's address was refused.
     ConnectionRefused(u32),
-    /// Disk work is done.
+    /// Disk work is done up to this ticket.
     Persisted(u64),
-    /// Somebody asks.
+    /// A request has come.
     Request {
-        what: CoordinatorRequest,
-        answer: oneshot::Sender<CoordinatorResponse>,
+        request: CoordinatorRequest,
+        /// Where its response goes.
+        response: oneshot::Sender<CoordinatorResponse>,
     },
-    /// A worker has answered, or has not in time.
-    Worker {
+    /// A worker has replied, or has not in time.
+    WorkerReply {
         service: String,
         token: FencingToken,
         call: u64,
         reply: WorkerReply,
     },
-    /// The platform has answered, or has not in time.
-    Platform { call: u64, reply: PlatformReply },
+    /// The platform has replied, or has not in time.
+    PlatformReply { call: u64, reply: PlatformReply },
 }
 
-/// The way for requests into the coordinator.
+/// Sends requests to the coordinator.
 #[derive(Clone)]
-pub(super) struct Handle {
+pub(super) struct RequestHandle {
     events: UnboundedSender<Event>,
 }
 
-impl Handle {
-    /// Requests go in here.
-    pub(super) fn new(events: UnboundedSender<Event>) -> Handle {
-        Handle { events }
+impl RequestHandle {
+    /// A handle that sends its requests among these events.
+    pub(super) fn new(events: UnboundedSender<Event>) -> RequestHandle {
+        RequestHandle { events }
     }
 
-    /// Asks, and waits for the answer; `None` when the coordinator is ending.
-    pub(super) async fn ask(&self, what: CoordinatorRequest) -> Option<CoordinatorResponse> {
-        let (answer, answered) = oneshot::channel();
-        self.events.send(Event::Request { what, answer }).ok()?;
-        answered.await.ok()
+    /// Sends a request, and waits for its response; `None` when the coordinator is ending.
+    pub(super) async fn request(&self, request: CoordinatorRequest) -> Option<CoordinatorResponse> {
+        let (response, responded) = oneshot::channel();
+        let event = Event::Request { request, response };
+        self.events.send(event).ok()?;
+        responded.await.ok()
     }
 }
--- a/system/magpiegap/src/coordinator/metrics.rs
+++ b/system/magpiegap/src/coordinator/metrics.rs
@@ -1,5 +1,5 @@
-//! The figures of a coordinator in the text format that monitoring systems scrape (OpenMetrics).
-use magpiegap_coordinator::ClusterDescription;
+//! The metrics of a coordinator in the text format that monitoring systems scrape (OpenMetrics 1.0).
+use magpiegap_coordinator::{ClusterDescription, Counters};
 use magpiegap_scheduler::Summary;
 use prometheus_client::{
     collector::Collector,
@@ -7,6 +7,7 @@
     metrics::{counter::ConstCounter, gauge::ConstGauge, MetricType},
     registry::Registry,
 };
+use std::fmt;
 
 /// The content type of the text.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
@@ -14,7 +15,7 @@
 /// The text for one scrape.
 pub fn to_text(cluster: ClusterDescription) -> String {
     let mut registry = Registry::with_prefix("magpiegap");
-    registry.register_collector(Box::new(Figures(cluster)));
+    registry.register_collector(Box::new(ClusterMetrics(cluster)));
     let mut encoded = String::new();
     // Writing to a string fails only where a name is not allowed, and all names are fixed here.
     let _ = text::encode(&mut encoded, &registry);
@@ -29,62 +30,148 @@
         .replace('\n', "\\n")
 }
 
+/// A metric of one value.
+struct Metric {
+    name: &'static str,
+    help: &'static str,
+    value: u64,
+}
+
+fn metric(name: &'static str, help: &'static str, value: u64) -> Metric {
+    Metric { name, help, value }
+}
+
+/// A gauge with a value for each scheduler.
+struct SchedulerGauge {
+    name: &'static str,
+    help: &'static str,
+    value: fn(&Summary) -> usize,
+}
+
+fn scheduler_gauge(
+    name: &'static str,
+    help: &'static str,
+    value: fn(&Summary) -> usize,
+) -> SchedulerGauge {
+    SchedulerGauge { name, help, value }
+}
+
+fn cluster_gauges(cluster: &ClusterDescription) -> [Metric; 11] {
+    [
+        metric("view", "Number of the newest view", cluster.view),
+        metric(
+            "active",
+            "Whether this coordinator takes part in the chain",
+            u64::from(cluster.active),
+        ),
+        metric(
+            "chain_replicas",
+            "Replicas in the chain",
+            cluster.chain.len() as u64,
+        ),
+        metric(
+            "committed_entry",
+            "Newest entry known to be committed",
+            cluster.committed,
+        ),
+        metric(
+            "configuration_version",
+            "Version of the configuration",
+            cluster.configuration,
+        ),
+        metric("open_jobs", "Jobs that have not ended", cluster.open_jobs),
+        metric(
+            "proposals_under_way",
+            "Proposals under way",
+            cluster.proposals as u64,
+        ),
+        metric(
+            "requests_waiting",
+            "Requests that wait for a proposal",
+            cluster.requests as u64,
+        ),
+        metric(
+            "commit_milliseconds",
+            "Time of a commit, about",
+            cluster.commit_ms,
+        ),
+        metric(
+            "agents",
+            "Agents that wait for news here",
+            cluster.agents as u64,
+        ),
+        metric(
+            "agents_behind",
+            "Agents here without the newest configuration",
+            cluster.agents_behind as u64,
+        ),
+    ]
+}
+
+fn scheduler_gauges() -> [SchedulerGauge; 5] {
+    [
+        scheduler_gauge("scheduler_workers", "Workers known", |summary| {
+            summary.workers
+        }),
+        scheduler_gauge(
+            "scheduler_silent_workers",
+            "Workers that do not answer",
+            |summary| summary.silent,
+        ),
+        scheduler_gauge("scheduler_runs", "Runs on record", |summary| summary.runs),
+        scheduler_gauge(
+            "scheduler_waiting",
+            "Tasks and gangs that wait for a place",
+            |summary| summary.waiting,
+        ),
+        scheduler_gauge(
+            "scheduler_waiting_urgent",
+            "Those of priority 0",
+            |summary| summary.waiting_urgent,
+        ),
+    ]
+}
+
+fn counter_metrics(counters: &Counters) -> [Metric; 9] {
+    [
+        metric(
+            "entries_applied",
+            "Entries applied since the start",
+            counters.entries,
+        ),
+        metric("views", "Views taken up since the start", counters.views),
+        metric("runs_opened", "Runs put on record", counters.runs_opened),
+        metric(
+            "runs_done",
+            "Runs that ended with success",
+            counters.runs_done,
+        ),
+        metric("runs_failed", "Runs that failed", counters.runs_failed),
+        metric(
+            "runs_cut_short",
+            "Runs that were stopped, lapsed or were lost",
+            counters.runs_cut_short,
+        ),
+        metric("worker_calls", "Calls to workers", counters.worker_calls),
+        metric(
+            "configuration_parts",
+            "Parts of configurations for agents",
+            counters.configuration_parts,
+        ),
+        metric(
+            "configuration_bytes",
+            "Bytes of these parts",
+            counters.configuration_bytes,
+        ),
+    ]
+}
+
 #[derive(Debug)]
-struct Figures(ClusterDescription);
+struct ClusterMetrics(ClusterDescription);
 
-impl Collector for Figures {
-    fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), std::fmt::Error> {
-        let cluster = &self.0;
-        let gauges: [(&str, &str, u64); 11] = [
-            ("view", "Number of the newest view", cluster.view),
-            (
-                "active",
-                "Whether this coordinator takes part in the chain",
-                u64::from(cluster.active),
-            ),
-            (
-                "chain_replicas",
-                "Replicas in the chain",
-                cluster.chain.len() as u64,
-            ),
-            (
-                "committed_entry",
-                "Newest entry known to be committed",
-                cluster.committed,
-            ),
-            (
-                "configuration_version",
-                "Version of the configuration",
-                cluster.configuration,
-            ),
-            ("open_jobs", "Jobs that have not ended", cluster.open_jobs),
-            (
-                "proposals_under_way",
-                "Proposals under way",
-                cluster.proposals as u64,
-            ),
-            (
-                "requests_waiting",
-                "Requests that wait for a proposal",
-                cluster.requests as u64,
-            ),
-            (
-                "commit_milliseconds",
-                "Time of a commit, about",
-                cluster.commit_ms,
-            ),
-            (
-                "agents",
-                "Agents that wait for news here",
-                cluster.agents as u64,
-            ),
-            (
-                "agents_behind",
-                "Agents here without the newest configuration",
-                cluster.agents_behind as u64,
-            ),
-        ];
-        for (name, help, value) in gauges {
+impl Collector for ClusterMetrics {
+    fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
+        for Metric { name, help, value } in cluster_gauges(&self.0) {
             let gauge = ConstGauge::new(i64::try_from(value).unwrap_or(i64::MAX));
             gauge.encode(encoder.encode_descriptor(name, help, None, gauge.metric_type())?)?;
         }
@@ -93,38 +180,13 @@
     }
 }
 
-impl Figures {
-    /// One line for each scheduler that this coordinator holds.
-    fn encode_schedulers(
-        &self,
-        encoder: &mut DescriptorEncoder<'_>,
-    ) -> Result<(), std::fmt::Error> {
-        type Figure = fn(&Summary) -> usize;
-        let figures: [(&str, &str, Figure); 5] = [
-            ("scheduler_workers", "Workers known", |summary| {
-                summary.workers
-            }),
-            (
-                "scheduler_silent_workers",
-                "Workers that do not answer",
-                |summary| summary.silent,
-            ),
-            ("scheduler_runs", "Runs on record", |summary| summary.runs),
-            (
-                "scheduler_waiting",
-                "Tasks and gangs that wait for a place",
-                |summary| summary.waiting,
-            ),
-            (
-                "scheduler_waiting_urgent",
-                "Those of priority 0",
-                |summary| summary.waiting_urgent,
-            ),
-        ];
-        for (name, help, figure) in figures {
+impl ClusterMetrics {
+    /// Encodes the gauges with a value for each scheduler of this coordinator.
+    fn encode_schedulers(&self, encoder: &mut DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
+        for SchedulerGauge { name, help, value } in scheduler_gauges() {
             let mut family = encoder.encode_descriptor(name, help, None, MetricType::Gauge)?;
             for scheduler in &self.0.schedulers {
-                let gauge = ConstGauge::new(figure(&scheduler.summary) as i64);
+                let gauge = ConstGauge::new(value(&scheduler.summary) as i64);
                 let service = escape(&scheduler.service);
                 let labels = [("service", service.as_str())];
                 gauge.encode(family.encode_family(&labels)?)?;
@@ -133,47 +195,11 @@
         Ok(())
     }
 
-    fn encode_counters(&self, encoder: &mut DescriptorEncoder<'_>) -> Result<(), std::fmt::Error> {
-        let counters = &self.0.counters;
-        let figures = [
-            (
-                "entries_applied",
-                "Entries applied since the start",
-                counters.entries,
-            ),
-            ("views", "Views taken up since the start", counters.views),
-            ("runs_opened", "Runs put on record", counters.runs_opened),
-            (
-                "runs_done",
-                "Runs that ended with success",
-                counters.runs_done,
-            ),
-            ("runs_failed", "Runs that failed", counters.runs_failed),
-            (
-                "runs_cut_short",
-                "Runs that were stopped, lapsed or were lost",
-                counters.runs_cut_short,
-            ),
-            ("worker_calls", "Calls to workers", counters.worker_calls),
-            (
-                "configuration_parts",
-                "Parts of configurations for agents",
-                counters.configuration_parts,
-            ),
-            (
-                "configuration_bytes",
-                "Bytes of these parts",
-                counters.configuration_bytes,
-            ),
-        ];
-        for (name, help, value) in figures {
+    fn encode_counters(&self, encoder: &mut DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
+        for Metric { name, help, value } in counter_metrics(&self.0.counters) {
             let counter = ConstCounter::new(value);
-            counter.encode(encoder.encode_descriptor(
-                name,
-                help,
-                None,
-                counter.metric_type(),
-            )?)?;
+            let descriptor = encoder.encode_descriptor(name, help, None, counter.metric_type())?;
+            counter.encode(descriptor)?;
         }
         Ok(())
     }
--- a/system/magpiegap/src/coordinator/mod.rs
+++ b/system/magpiegap/src/coordinator/mod.rs
@@ -15,16 +15,17 @@
     clock::Clock,
     endpoint,
     error::ProgramError,
-    serving::{self, ServerSettings},
+    serving::{self, RunningServer, ServerSettings},
     settings::NodeSettings,
     signals::Signals,
 };
 use driver::{Driver, Links};
-use events::Handle;
+use events::{Event, RequestHandle};
 use magpiegap_control::ControlSettings;
 use magpiegap_coordinator::{Coordinator, CoordinatorSettings};
 use magpiegap_protocol::{Member, ReplicaId};
 use magpiegap_scheduler::SchedulerSettings;
+use peers::Peers;
 use rand::Rng;
 use rocket::http::Method;
 use std::{
@@ -32,107 +33,139 @@
     path::PathBuf,
     time::Duration,
 };
-use store::Opened;
-use tokio::sync::{mpsc, oneshot};
+use tokio::sync::{
+    mpsc::{self, UnboundedSender},
+    oneshot,
+};
 use worker_connections::WorkerConnections;
 
-/// Time between two heartbeats.
+/// Interval between two heartbeats.
 const HEARTBEAT_MS: u64 = 60;
-/// A coordinator that is not heard for this long is taken for gone.
-const SUSPECT_MS: u64 = 320;
-/// Hundredths of the descriptors beyond which no connection to a worker is kept while it is not used.
-const WORKERS_PERCENT: usize = 70;
+/// A coordinator that is not heard for this long is suspected to have failed.
+const SUSPICION_TIMEOUT_MS: u64 = 320;
+/// Percentage of the descriptors: with more connections to workers open, none stays idle.
+const WORKER_CONNECTIONS_PERCENT: usize = 70;
 /// How long a role is acted on after the last proof that the view stands.
 const LEASE_MS: u64 = 900;
-/// Time between two readings of the platform's list.
-const LIST_EVERY_MS: u64 = 600;
-/// Kept of the time that a process has to end, in seconds, for requests under way.
-const END_RESERVE_S: f64 = 2.5;
-/// After an order to end the others get at least this long to go on without this coordinator, in seconds.
-const HAND_OVER_LEAST_S: f64 = 0.7;
-/// Once they do, callers get this long to take their answers.
-const LAST_ANSWERS: Duration = Duration::from_millis(300);
+/// Interval between two readings of the platform's list.
+const LIST_INTERVAL_MS: u64 = 600;
+/// Part of the grace period that is left for requests in flight, in seconds.
+const SHUTDOWN_RESERVE_S: f64 = 2.5;
+/// After an order to end, the others get at least this long to go on without this coordinator, in seconds.
+const MIN_HANDOVER_S: f64 = 0.7;
+/// Once they do, callers get this long to read their responses.
+const RESPONSE_GRACE: Duration = Duration::from_millis(300);
 
 /// Runs a coordinator until it is told to end.
 ///
 /// # Errors
 /// When it can't start.
 pub(crate) async fn run(file: PathBuf, settings: NodeSettings) -> Result<(), ProgramError> {
-    let mut signals = Signals::heed()?;
+    let mut signals = Signals::listen()?;
     let clock = Clock::start();
     let (events, mut inbox) = mpsc::unbounded_channel();
-    let handle = Handle::new(events.clone());
-    let requests = start_request_server(&settings, handle.clone()).await?;
-    let control_plane = start_control_plane(&settings, handle).await?;
+    let handle = RequestHandle::new(events.clone());
+    let servers = Servers::start(&settings, handle).await?;
     let Some(opened) = store::open_when_readable(&settings, &mut inbox, &mut signals).await else {
         return Ok(());
     };
-    let Opened {
-        store,
-        durable,
-        machine,
-    } = opened;
     let own = ReplicaId {
         member: Member {
             address: u32::from(settings.ip),
-            disk: durable.disk,
+            disk: opened.durable.disk,
         },
         incarnation: rand::thread_rng().gen(),
     };
     let client = endpoint::client();
-    let disk = disk::start(store, events.clone());
-    let peers = peers::start(own, settings.ip, settings.peer_port(), events.clone())
-        .await
-        .map_err(|source| ProgramError::System {
-            what: "the port for other coordinators",
-            source,
-        })?;
-    let coordinator_settings = coordinator_settings(&settings, own);
-    let coordinator = Coordinator::new(coordinator_settings, durable, machine, clock.now());
-    let workers =
-        WorkerConnections::new(settings.limits.max_fds.saturating_mul(WORKERS_PERCENT) / 100);
-    let platform = settings.cloud.address;
     let links = Links {
-        disk,
-        peers,
+        disk: disk::start(opened.store, events.clone()),
+        peers: start_peers(&settings, own, events.clone()).await?,
         client,
-        workers,
-        platform,
+        workers: WorkerConnections::new(max_worker_connections(&settings)),
+        platform: settings.cloud.address,
     };
-    let (left, others_go_on) = oneshot::channel();
-    let driver = Driver::new(clock, own, coordinator, links, file, left);
-    let (stop, stopped) = mpsc::unbounded_channel();
-    let work = tokio::spawn(driver.run(events, inbox, stopped));
-    loop {
-        tokio::select! {
-            _ = signals.terminate.recv() => break,
-            // They are read anew whenever too few of the others are heard.
-            _ = signals.hangup.recv() => log::info!("the settings may have changed"),
-        }
-    }
-    log::info!("ends, and hands its roles on");
-    let _ = stop.send(());
-    // A member that the others can't do without stays as long as it may: it may hold what only one of them has.
-    let most = (settings.bounds.grace_s - END_RESERVE_S).max(HAND_OVER_LEAST_S);
-    if tokio::time::timeout(Duration::from_secs_f64(most), others_go_on)
+    let coordinator = Coordinator::new(
+        coordinator_settings(&settings, own),
+        opened.durable,
+        opened.machine,
+        clock.now(),
+    );
+    let (departed, others_go_on) = oneshot::channel();
+    let driver = Driver::new(clock, own, coordinator, links, file, departed);
+    let (drain, drain_requests) = mpsc::unbounded_channel();
+    let driving = tokio::spawn(driver.run(events, inbox, drain_requests));
+    signals.until_terminated("settings may have changed").await;
+    log::info!("shutting down, handing over the roles");
+    let _ = drain.send(());
+    wait_for_handover(&settings, others_go_on).await;
+    servers.shut_down().await;
+    driving.abort();
+    Ok(())
+}
+
+/// Waits until the others go on without this coordinator, and callers have their responses. A member that the others
+/// can't do without stays as long as it may: it may hold what only one of them has.
+async fn wait_for_handover(settings: &NodeSettings, others_go_on: oneshot::Receiver<()>) {
+    let handover_s = (settings.bounds.grace_s - SHUTDOWN_RESERVE_S).max(MIN_HANDOVER_S);
+    if tokio::time::timeout(Duration::from_secs_f64(handover_s), others_go_on)
         .await
         .is_err()
     {
         log::warn!("the others have not gone on without this coordinator");
     }
-    tokio::time::sleep(LAST_ANSWERS).await;
-    requests.end().await;
-    if let Some(server) = control_plane {
-        server.end().await;
+    tokio::time::sleep(RESPONSE_GRACE).await;
+}
+
+fn max_worker_connections(settings: &NodeSettings) -> usize {
+    let descriptors = settings.limits.max_fds;
+    descriptors.saturating_mul(WORKER_CONNECTIONS_PERCENT) / 100
+}
+
+async fn start_peers(
+    settings: &NodeSettings,
+    own: ReplicaId,
+    events: UnboundedSender<Event>,
+) -> Result<Peers, ProgramError> {
+    peers::start(own, settings.ip, settings.peer_port(), events)
+        .await
+        .map_err(|source| ProgramError::System {
+            what: "the port for other coordinators",
+            source,
+        })
+}
+
+/// The HTTP servers of a coordinator.
+struct Servers {
+    /// For agents and proxies.
+    requests: RunningServer,
+    /// For the operator.
+    control_plane: Option<RunningServer>,
+}
+
+impl Servers {
+    async fn start(
+        settings: &NodeSettings,
+        handle: RequestHandle,
+    ) -> Result<Servers, ProgramError> {
+        Ok(Servers {
+            requests: start_request_server(settings, handle.clone()).await?,
+            control_plane: start_control_plane(settings, handle).await?,
+        })
+    }
+
+    /// Completes the requests in flight, and ends.
+    async fn shut_down(self) {
+        self.requests.shut_down().await;
+        if let Some(server) = self.control_plane {
+            server.shut_down().await;
+        }
     }
-    work.abort();
-    Ok(())
 }
 
 async fn start_request_server(
     settings: &NodeSettings,
-    handle: Handle,
-) -> Result<serving::Running, ProgramError> {
+    handle: RequestHandle,
+) -> Result<RunningServer, ProgramError> {
     let address = SocketAddr::new(IpAddr::V4(settings.ip), settings.request_port());
     let server = ServerSettings {
         address,
@@ -145,8 +178,8 @@
 
 async fn start_control_plane(
     settings: &NodeSettings,
-    handle: Handle,
-) -> Result<Option<serving::Running>, ProgramError> {
+    handle: RequestHandle,
+) -> Result<Option<RunningServer>, ProgramError> {
     let Some(address) = settings.listen.control_plane else {
         return Ok(None);
     };
@@ -169,7 +202,7 @@
             location: settings.location(),
             tolerance: settings.fault_tolerance.into(),
             heartbeat_ms: HEARTBEAT_MS,
-            suspect_ms: SUSPECT_MS,
+            suspect_ms: SUSPICION_TIMEOUT_MS,
             seed: own.incarnation,
         },
         scheduler: SchedulerSettings {
@@ -177,9 +210,9 @@
             gang_ms: bounds.gang_ms as u64,
             far_factor: bounds.far_x.max(1.0),
             status_ms: (bounds.status_s * 1000.0) as u64,
-            lease_ms: LEASE_MS + SUSPECT_MS,
+            lease_ms: LEASE_MS + SUSPICION_TIMEOUT_MS,
         },
         lease_ms: LEASE_MS,
-        list_every_ms: LIST_EVERY_MS,
+        list_every_ms: LIST_INTERVAL_MS,
     }
 }
--- a/system/magpiegap/src/coordinator/peers.rs
+++ b/system/magpiegap/src/coordinator/peers.rs
@@ -1,5 +1,5 @@
-//! Connections between coordinators, with framed messages: each way one for entries and states, and one for what must
-//! not wait behind them.
+//! Connections between coordinators, with framed messages: in each direction one for entries and snapshots, and one for
+//! urgent messages, which must not wait behind them.
 use super::events::Event;
 use magpiegap_protocol::{decode, encode, Envelope, PeerMessage, ReplicaId};
 use std::{
@@ -19,52 +19,52 @@
     time::timeout,
 };
 
-/// Longest frame, in bytes.
-const MAX_FRAME: u32 = 64 << 20;
+/// Maximum length of a frame, in bytes.
+const MAX_FRAME_BYTES: u32 = 64 << 20;
 /// A frame of about this many bytes takes no more messages, so that it can be written in time.
-const FULL_FRAME: usize = 1 << 20;
-/// Bytes read from a connection at once: most frames come whole.
-const READ_BUFFER: usize = 64 << 10;
-/// Messages that wait for one peer; more are dropped, and asked for again by those that miss them.
-const MAX_WAITING: usize = 4000;
-/// How long a connection may take to come up.
+const TARGET_FRAME_BYTES: usize = 1 << 20;
+/// Bytes read from a connection at once: most frames are complete then.
+const READ_BUFFER_BYTES: usize = 64 << 10;
+/// Maximum number of messages queued for one connection; more are dropped, and requested again by those that miss them.
+const MAX_QUEUED_MESSAGES: usize = 4000;
+/// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a peer may take no byte of a frame.
-const WRITE_SILENCE: Duration = Duration::from_millis(2000);
-/// Data that is not acknowledged for this long breaks the connection.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1000);
-/// Pause after a connection that did not come up.
-const PAUSE: Duration = Duration::from_millis(100);
+/// A connection on which a peer has taken no byte of a frame for this long is closed.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(2000);
+/// A connection on which data is not acknowledged for this long breaks (RFC 5482).
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Delay after a connection attempt that failed.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// One connection to another coordinator.
-struct Lane {
+struct PeerConnection {
     messages: Sender<PeerMessage>,
     /// Wakes the writer when the process at the other end is a new one.
     restarted: Arc<Notify>,
 }
 
-impl Lane {
+impl PeerConnection {
     /// A connection that is made once there is something to write.
-    fn start(own: ReplicaId, address: SocketAddr) -> Lane {
-        let (messages, inbox) = mpsc::channel(MAX_WAITING);
+    fn start(own: ReplicaId, address: SocketAddr) -> PeerConnection {
+        let (messages, inbox) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let restarted = Arc::new(Notify::new());
-        tokio::spawn(write_to(own, address, inbox, restarted.clone()));
-        Lane {
+        tokio::spawn(write_frames(own, address, inbox, restarted.clone()));
+        PeerConnection {
             messages,
             restarted,
         }
     }
 }
 
-/// The way to one other coordinator.
+/// The connections to one other coordinator.
 struct PeerLink {
-    urgent: Lane,
-    data: Lane,
-    /// The life of the process that was last heard there.
-    heard: Option<ReplicaId>,
+    urgent: PeerConnection,
+    data: PeerConnection,
+    /// The incarnation of the process that was last heard there.
+    last_contact: Option<ReplicaId>,
 }
 
-/// The way to other coordinators.
+/// The connections to the other coordinators.
 pub(super) struct Peers {
     own: ReplicaId,
     port: u16,
@@ -75,18 +75,18 @@
     /// Sends a message to the coordinator at an address; it may be lost.
     pub(super) fn send(&mut self, to: u32, message: PeerMessage) {
         let link = self.link(to);
-        let lane = if message.is_urgent() {
+        let connection = if message.is_urgent() {
             &link.urgent
         } else {
             &link.data
         };
-        let _ = lane.messages.try_send(message);
+        let _ = connection.messages.try_send(message);
     }
 
-    /// A coordinator was heard: if its process is a new one, the connection to the old one is of no use.
-    pub(super) fn heard(&mut self, from: ReplicaId) {
+    /// Handles that a coordinator was heard: if its process is a new one, the connections to the old one are replaced.
+    pub(super) fn handle_contact(&mut self, from: ReplicaId) {
         let link = self.link(from.member.address);
-        if link.heard.replace(from) != Some(from) {
+        if link.last_contact.replace(from) != Some(from) {
             link.urgent.restarted.notify_one();
             link.data.restarted.notify_one();
         }
@@ -97,9 +97,9 @@
         self.links.entry(address).or_insert_with(|| {
             let address = SocketAddr::new(IpAddr::V4(Ipv4Addr::from(address)), port);
             PeerLink {
-                urgent: Lane::start(own, address),
-                data: Lane::start(own, address),
-                heard: None,
+                urgent: PeerConnection::start(own, address),
+                data: PeerConnection::start(own, address),
+                last_contact: None,
             }
         })
     }
@@ -130,46 +130,46 @@
             Ok((stream, address)) => {
                 let events = events.clone();
                 tokio::spawn(async move {
-                    read_from(stream, &events).await;
-                    report_end(address.ip(), port, &events).await;
+                    read_frames(stream, &events).await;
+                    report_if_refused(address.ip(), port, &events).await;
                 });
             }
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Err(_) => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
 
-/// Looks whether a peer whose connection has ended has ended too.
-async fn report_end(ip: IpAddr, port: u16, events: &UnboundedSender<Event>) {
+/// Reports a peer whose connection has ended if it refuses another one: its process has ended then.
+async fn report_if_refused(ip: IpAddr, port: u16, events: &UnboundedSender<Event>) {
     let IpAddr::V4(address) = ip else { return };
-    let again = timeout(
+    let attempt = timeout(
         CONNECT_TIMEOUT,
         TcpStream::connect(SocketAddr::new(ip, port)),
     )
     .await;
-    if matches!(&again, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused) {
+    if matches!(&attempt, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused) {
         let _ = events.send(Event::ConnectionRefused(u32::from(address)));
     }
 }
 
 /// Reads frames until the connection ends or brings something else.
-async fn read_from(stream: TcpStream, events: &UnboundedSender<Event>) {
+async fn read_frames(stream: TcpStream, events: &UnboundedSender<Event>) {
     set_options(&stream);
-    let mut stream = BufReader::with_capacity(READ_BUFFER, stream);
+    let mut stream = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
     while let Ok(length) = stream.read_u32().await {
-        if length > MAX_FRAME {
-            log::warn!("a peer's frame of {length} bytes is too long");
+        if length > MAX_FRAME_BYTES {
+            log::warn!("frame of a peer is too long length={length} max={MAX_FRAME_BYTES}");
             return;
         }
         let mut frame = Vec::new();
-        let mut part = (&mut stream).take(u64::from(length));
-        match part.read_to_end(&mut frame).await {
+        let mut body = (&mut stream).take(u64::from(length));
+        match body.read_to_end(&mut frame).await {
             Ok(read) if read == length as usize => {}
             _ => return,
         }
         match decode::<Envelope>(&frame) {
             Ok(envelope) => {
-                let event = Event::Peer {
+                let event = Event::PeerMessages {
                     from: envelope.from,
                     messages: envelope.messages,
                 };
@@ -178,15 +178,16 @@
                 }
             }
             Err(error) => {
-                log::warn!("a peer's frame: {error}");
+                log::warn!("cannot decode frame of a peer error={error}");
                 return;
             }
         }
     }
 }
 
-/// Writes what waits, on a connection that is made anew whenever it breaks or the other end has started anew.
-async fn write_to(
+/// Writes queued messages, on a connection that is replaced whenever it breaks or the process at the other end is a new
+/// one.
+async fn write_frames(
     own: ReplicaId,
     address: SocketAddr,
     mut inbox: mpsc::Receiver<PeerMessage>,
@@ -205,45 +206,48 @@
         let Some(first) = first else { return };
         let mut bytes = first.estimated_bytes();
         let mut messages = vec![first];
-        while bytes < FULL_FRAME {
+        while bytes < TARGET_FRAME_BYTES {
             let Ok(more) = inbox.try_recv() else { break };
             bytes += more.estimated_bytes();
             messages.push(more);
         }
         if connection.is_none() {
-            connection = connect_to(address, &restarted).await;
+            connection = connect_or_delay(address, &restarted).await;
         }
         let Some(stream) = connection.as_mut() else {
             continue;
         };
-        let frame = frame(own, messages);
-        if write_while_bytes_go(stream, &frame).await.is_err() {
+        let frame = encode_frame(own, messages);
+        if write_while_progressing(stream, &frame).await.is_err() {
             connection = None;
         }
     }
 }
 
 /// Writes a frame as long as the other end takes bytes of it: a large one may take any time.
-async fn write_while_bytes_go(stream: &mut TcpStream, frame: &[u8]) -> io::Result<()> {
-    let mut left = frame;
-    while !left.is_empty() {
-        let written = timeout(WRITE_SILENCE, stream.write(left))
+///
+/// # Errors
+/// When the connection breaks, or no byte was taken for [`WRITE_TIMEOUT`].
+async fn write_while_progressing(stream: &mut TcpStream, frame: &[u8]) -> io::Result<()> {
+    let mut unwritten = frame;
+    while !unwritten.is_empty() {
+        let written = timeout(WRITE_TIMEOUT, stream.write(unwritten))
             .await
             .map_err(|_| io::ErrorKind::TimedOut)??;
         if written == 0 {
             return Err(io::ErrorKind::WriteZero.into());
         }
-        left = &left[written..];
+        unwritten = &unwritten[written..];
     }
     Ok(())
 }
 
-/// A connection, or none after a pause. A process that starts meanwhile is tried at once.
-async fn connect_to(address: SocketAddr, restarted: &Notify) -> Option<TcpStream> {
+/// Connects, or returns `None` after a delay. A process that starts meanwhile is tried at once.
+async fn connect_or_delay(address: SocketAddr, restarted: &Notify) -> Option<TcpStream> {
     let attempt = async {
         let connection = connect(address).await;
         if connection.is_none() {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         connection
     };
@@ -253,7 +257,7 @@
     }
 }
 
-fn frame(own: ReplicaId, messages: Vec<PeerMessage>) -> Vec<u8> {
+fn encode_frame(own: ReplicaId, messages: Vec<PeerMessage>) -> Vec<u8> {
     let body = encode(&Envelope {
         from: own,
         messages,
@@ -276,5 +280,5 @@
 fn set_options(stream: &TcpStream) {
     // A connection without these works too, only slower to notice that the other end is gone.
     let _ = stream.set_nodelay(true);
-    let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+    let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
 }
--- a/system/magpiegap/src/coordinator/platform_client.rs
+++ b/system/magpiegap/src/coordinator/platform_client.rs
@@ -1,9 +1,10 @@
-//! Calls to the platform.
+//! Calls to the platform for its list of workers. The names of fields are those of the platform's page.
 use magpiegap_coordinator::PlatformReply;
 use magpiegap_protocol::{Availability, Resources, WorkerEntry};
 use serde::Deserialize;
 use std::{net::SocketAddr, time::Duration};
 
+/// Timeout of a call.
 const TIMEOUT: Duration = Duration::from_millis(1200);
 
 #[derive(Deserialize)]
@@ -40,7 +41,7 @@
     gpu: f64,
 }
 
-/// Asks for a page of the list.
+/// Requests a page of the list; `None`: the first one.
 pub(super) async fn list(
     client: reqwest::Client,
     address: SocketAddr,
@@ -49,7 +50,7 @@
     let mut url = format!("http://{address}/instances");
     if let Some(page) = page {
         url.push_str("?pageToken=");
-        url.push_str(&escape(&page));
+        url.push_str(&percent_encode(&page));
     }
     let Ok(response) = client.get(url).timeout(TIMEOUT).send().await else {
         return PlatformReply::Failed;
@@ -61,11 +62,11 @@
     match status {
         200 => match serde_json::from_slice::<Page>(&body) {
             Ok(page) => PlatformReply::Page {
-                workers: page.instances.into_iter().map(entry).collect(),
+                workers: page.instances.into_iter().map(worker_entry).collect(),
                 next: page.next_page_token.filter(|token| !token.is_empty()),
             },
             Err(error) => {
-                log::warn!("the platform's list: {error}");
+                log::warn!("cannot decode the platform's list error={error}");
                 PlatformReply::Failed
             }
         },
@@ -74,19 +75,20 @@
     }
 }
 
-fn escape(text: &str) -> String {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~".contains(&byte);
-    let escaped = |byte: u8| {
-        if plain(byte) {
+/// Percent-encodes all but the unreserved characters (RFC 3986, section 2.3).
+fn percent_encode(text: &str) -> String {
+    let is_unreserved = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~".contains(&byte);
+    let encode = |byte: u8| {
+        if is_unreserved(byte) {
             char::from(byte).to_string()
         } else {
             format!("%{byte:02X}")
         }
     };
-    text.bytes().map(escaped).collect()
+    text.bytes().map(encode).collect()
 }
 
-fn entry(instance: Instance) -> WorkerEntry {
+fn worker_entry(instance: Instance) -> WorkerEntry {
     let availability = if instance.state == "draining" {
         Availability::Draining
     } else {
--- a/system/magpiegap/src/coordinator/request_server.rs
+++ b/system/magpiegap/src/coordinator/request_server.rs
@@ -1,5 +1,5 @@
-//! Requests of agents and proxies.
-use super::events::Handle;
+//! Serves the requests of agents and proxies.
+use super::events::RequestHandle;
 use crate::serving::read_body;
 use magpiegap_protocol::{decode, encode, CoordinatorRequest};
 use rocket::{
@@ -9,18 +9,18 @@
     Request,
 };
 
-/// Longest request, in bytes.
-const MAX_BODY: u64 = 1 << 20;
+/// Maximum length of a request, in bytes.
+const MAX_BODY_BYTES: u64 = 1 << 20;
 
-/// Hands requests to the coordinator.
+/// Passes requests to the coordinator.
 #[derive(Clone)]
 pub(super) struct RequestHandler {
-    handle: Handle,
+    handle: RequestHandle,
 }
 
 impl RequestHandler {
     /// A handler for this coordinator.
-    pub(super) fn new(handle: Handle) -> RequestHandler {
+    pub(super) fn new(handle: RequestHandle) -> RequestHandler {
         RequestHandler { handle }
     }
 }
@@ -28,15 +28,15 @@
 #[rocket::async_trait]
 impl Handler for RequestHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
-        let body = match read_body(data, MAX_BODY).await {
+        let body = match read_body(data, MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(status) => return Outcome::from(request, status),
         };
-        let Ok(what) = decode::<CoordinatorRequest>(&body) else {
+        let Ok(decoded) = decode::<CoordinatorRequest>(&body) else {
             return Outcome::from(request, Status::BadRequest);
         };
-        match self.handle.ask(what).await {
-            Some(answer) => Outcome::from(request, encode(&answer)),
+        match self.handle.request(decoded).await {
+            Some(response) => Outcome::from(request, encode(&response)),
             None => Outcome::from(request, Status::ServiceUnavailable),
         }
     }
--- a/system/magpiegap/src/coordinator/store.rs
+++ b/system/magpiegap/src/coordinator/store.rs
@@ -9,61 +9,61 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// Pause before files that could not be read are tried again; twice as long each time ...
-const FIRST_RETRY: Duration = Duration::from_millis(250);
+/// Backoff before files that could not be read are tried again; twice as long each time ...
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 /// ... up to this.
-const LONGEST_RETRY: Duration = Duration::from_secs(10);
+const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
 /// What was found on disk.
-pub(super) struct Opened {
-    /// Where more is kept.
+pub(super) struct OpenedState {
+    /// Where more is saved.
     pub store: Store<FolderDirectory>,
-    /// What was kept.
+    /// What was saved.
     pub durable: DurableState,
     /// The state in it.
     pub machine: Machine,
 }
 
-/// Opens the state on disk. While it can't be read all requests are answered so that another coordinator is asked: a
+/// Opens the state on disk. While it can't be read all requests are rejected so that another coordinator is asked: a
 /// process that ended could not say so, and a disk that can't be read is never taken for an empty one. `None`: the process
 /// was told to end meanwhile.
 pub(super) async fn open_when_readable(
     settings: &NodeSettings,
     inbox: &mut UnboundedReceiver<Event>,
     signals: &mut Signals,
-) -> Option<Opened> {
-    let mut pause = FIRST_RETRY;
-    let mut told = String::new();
+) -> Option<OpenedState> {
+    let mut backoff = INITIAL_BACKOFF;
+    let mut last_logged = String::new();
     loop {
         match open(settings) {
             Ok(opened) => return Some(opened),
             Err(error) => {
                 let fault = error.to_string();
-                if fault != told {
+                if fault != last_logged {
                     log::error!("{fault}; this coordinator takes no part until that is mended");
-                    told = fault;
+                    last_logged = fault;
                 }
             }
         }
         tokio::select! {
             _ = signals.terminate.recv() => return None,
-            () = turn_away(inbox) => return None,
-            () = tokio::time::sleep(pause) => pause = (2 * pause).min(LONGEST_RETRY),
+            () = reject_requests(inbox) => return None,
+            () = tokio::time::sleep(backoff) => backoff = (2 * backoff).min(MAX_BACKOFF),
         }
     }
 }
 
-/// Answers requests that this coordinator can't serve them; ends when no more can come.
-async fn turn_away(inbox: &mut UnboundedReceiver<Event>) {
+/// Responds to requests that this coordinator can't serve them; ends when no more can come.
+async fn reject_requests(inbox: &mut UnboundedReceiver<Event>) {
     while let Some(event) = inbox.recv().await {
-        if let Event::Request { answer, .. } = event {
-            let _ = answer.send(CoordinatorResponse::NotServing);
+        if let Event::Request { response, .. } = event {
+            let _ = response.send(CoordinatorResponse::NotServing);
         }
     }
 }
 
-/// Reads the state on disk. An empty disk gets a name of its own, unless the whole system starts for the first time.
-fn open(settings: &NodeSettings) -> Result<Opened, ProgramError> {
+/// Reads the state on disk. An empty disk gets an identity of its own, unless the entire system starts for the first time.
+fn open(settings: &NodeSettings) -> Result<OpenedState, ProgramError> {
     let folder = settings
         .data_dir
         .clone()
@@ -74,11 +74,11 @@
     })?;
     let (store, recovered) = Store::open(directory)?;
     let durable = match recovered.snapshot {
-        Some(parts) => DurableState::recover(parts, &recovered.records)?,
+        Some(chunks) => DurableState::recover(chunks, &recovered.records)?,
         None => empty_state(settings),
     };
     let machine = Machine::recover(&durable)?;
-    Ok(Opened {
+    Ok(OpenedState {
         store,
         durable,
         machine,
--- a/system/magpiegap/src/coordinator/worker_client.rs
+++ b/system/magpiegap/src/coordinator/worker_client.rs
@@ -1,4 +1,5 @@
-//! Calls to workers.
+//! Calls to workers: orders as the bodies of requests, and responses as replies. The names of fields are those of the
+//! workers' page; what is a `hold` there grants or renews a lease, or waits as a long poll.
 use super::worker_connections::WorkerConnections;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -35,7 +36,7 @@
 
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
-struct HoldBody {
+struct LeaseBody {
     #[serde(skip_serializing_if = "Option::is_none")]
     deadline_ms: Option<u64>,
     fence_token: u64,
@@ -44,21 +45,62 @@
     wait_ms: Option<u64>,
 }
 
-/// A run as listed: task, run, checkpoint, percent.
-type RunRow = (String, u32, String, f64);
-/// An end as listed: number, task, run, how, checkpoint.
-type EndRow = (u64, String, u32, String, String);
+/// A run as listed: an array of task, run, checkpoint and percent done.
+#[derive(Deserialize)]
+#[serde(from = "(String, u32, String, f64)")]
+struct RunRow {
+    task: String,
+    run: u32,
+    checkpoint: String,
+    percent: f64,
+}
+
+impl From<(String, u32, String, f64)> for RunRow {
+    fn from((task, run, checkpoint, percent): (String, u32, String, f64)) -> RunRow {
+        RunRow {
+            task,
+            run,
+            checkpoint,
+            percent,
+        }
+    }
+}
+
+/// A completion as listed: an array of number, task, run, kind and checkpoint.
+#[derive(Deserialize)]
+#[serde(from = "(u64, String, u32, String, String)")]
+struct CompletionRow {
+    number: u64,
+    task: String,
+    run: u32,
+    kind: String,
+    checkpoint: String,
+}
+
+impl From<(u64, String, u32, String, String)> for CompletionRow {
+    fn from(row: (u64, String, u32, String, String)) -> CompletionRow {
+        let (number, task, run, kind, checkpoint) = row;
+        CompletionRow {
+            number,
+            task,
+            run,
+            kind,
+            checkpoint,
+        }
+    }
+}
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-struct Answer {
+struct ResponseBody {
     clock_ms: Option<f64>,
     reason: Option<String>,
     running: Option<Vec<RunRow>>,
-    ended: Option<Vec<EndRow>>,
+    #[serde(rename = "ended")]
+    completed: Option<Vec<CompletionRow>>,
 }
 
-/// Makes a call.
+/// Makes a call. A call without a response, or with none that can be read, is unanswered.
 pub(super) async fn call(connections: WorkerConnections, call: WorkerCall) -> WorkerReply {
     // A worker whose address can't be read, or whose name can't be sent, can't be called.
     let Ok(address) = call.address.parse::<SocketAddr>() else {
@@ -71,12 +113,12 @@
     let Ok((status, body)) = connections.call(address, request, timeout).await else {
         return WorkerReply::Unanswered;
     };
-    let answer: Answer = serde_json::from_slice(&body).unwrap_or_default();
-    read_answer(&call, status.as_u16(), answer)
+    let response: ResponseBody = serde_json::from_slice(&body).unwrap_or_default();
+    reply(&call, status.as_u16(), &response)
 }
 
 fn http_request(call: &WorkerCall) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
-    let (path, body) = request(call);
+    let (path, body) = path_and_body(call);
     Request::post(path)
         .header(HOST, &call.address)
         .header(CONTENT_TYPE, HeaderValue::from_static("application/json"))
@@ -84,8 +126,8 @@
         .body(Full::new(Bytes::from(body)))
 }
 
-fn request(call: &WorkerCall) -> (&'static str, Vec<u8>) {
-    let fence_token = call.token;
+fn path_and_body(call: &WorkerCall) -> (&'static str, Vec<u8>) {
+    let fence_token = call.token.0;
     let (path, body) = match &call.order {
         WorkerOrder::Start {
             task,
@@ -99,7 +141,7 @@
                 run_id: *run,
                 spec,
                 deadline_ms: *deadline_ms,
-                fence_token: fence_token.0,
+                fence_token,
                 checkpointed: checkpoint,
             };
             ("/-/run-start", serde_json::to_vec(&body))
@@ -108,7 +150,7 @@
             let body = StopBody {
                 task: task.to_string(),
                 run_id: *run,
-                fence_token: fence_token.0,
+                fence_token,
             };
             ("/-/run-stop", serde_json::to_vec(&body))
         }
@@ -118,9 +160,9 @@
             wait_ms,
         } => {
             let wait_ms = (*wait_ms > 0).then_some(*wait_ms);
-            let body = HoldBody {
+            let body = LeaseBody {
                 deadline_ms: *deadline_ms,
-                fence_token: fence_token.0,
+                fence_token,
                 last_seen: *last_seen,
                 wait_ms,
             };
@@ -130,23 +172,11 @@
     (path, body.unwrap_or_default())
 }
 
-fn read_answer(call: &WorkerCall, status: u16, answer: Answer) -> WorkerReply {
-    let clock_ms = answer.clock_ms.map(|clock| clock as u64);
+fn reply(call: &WorkerCall, status: u16, response: &ResponseBody) -> WorkerReply {
+    let clock_ms = response.clock_ms.map(|clock| clock as u64);
     match status {
-        200..=299 => match &call.order {
-            WorkerOrder::Hold { .. } if answer.running.is_none() && answer.ended.is_none() => {
-                WorkerReply::Unanswered
-            }
-            WorkerOrder::Hold { .. } => WorkerReply::Done {
-                clock_ms,
-                listing: Some(listing(&answer)),
-            },
-            _ => WorkerReply::Done {
-                clock_ms,
-                listing: None,
-            },
-        },
-        409 => match answer.reason.as_deref().and_then(reason) {
+        200..=299 => success(call, response, clock_ms),
+        409 => match response.reason.as_deref().and_then(refusal_reason) {
             Some(reason) => WorkerReply::Refused { clock_ms, reason },
             None => WorkerReply::Rejected,
         },
@@ -158,7 +188,24 @@
     }
 }
 
-fn reason(word: &str) -> Option<RefusalReason> {
+fn success(call: &WorkerCall, response: &ResponseBody, clock_ms: Option<u64>) -> WorkerReply {
+    if !matches!(call.order, WorkerOrder::Hold { .. }) {
+        return WorkerReply::Done {
+            clock_ms,
+            listing: None,
+        };
+    }
+    if response.running.is_none() && response.completed.is_none() {
+        return WorkerReply::Unanswered;
+    }
+    WorkerReply::Done {
+        clock_ms,
+        listing: Some(listing(response)),
+    }
+}
+
+/// The reason of a refusal by its word on the wire.
+fn refusal_reason(word: &str) -> Option<RefusalReason> {
     match word {
         "fence" => Some(RefusalReason::RoleToken),
         "old" => Some(RefusalReason::Old),
@@ -168,7 +215,8 @@
     }
 }
 
-fn end_kind(word: &str) -> CompletionKind {
+/// The kind of a completion by its word on the wire.
+fn completion_kind(word: &str) -> CompletionKind {
     match word {
         "done" => CompletionKind::Done,
         "failed" => CompletionKind::Failed,
@@ -179,37 +227,31 @@
     }
 }
 
-fn listing(answer: &Answer) -> Listing {
-    let running = answer
-        .running
-        .iter()
-        .flatten()
-        .filter_map(|(task, run, checkpoint, percent)| {
-            let task = TaskId::parse(task)?;
-            Some(ListedRun {
-                task,
-                run: *run,
-                checkpoint: checkpoint.clone(),
-                percent: *percent as u64,
-            })
-        });
-    let ended = answer
-        .ended
-        .iter()
-        .flatten()
-        .filter_map(|(number, task, run, how, checkpoint)| {
-            let task = TaskId::parse(task)?;
-            let kind = end_kind(how);
-            Some(ListedCompletion {
-                number: *number,
-                task,
-                run: *run,
-                kind,
-                checkpoint: checkpoint.clone(),
-            })
-        });
+/// What a worker lists. Rows with a task that can't be read are left out.
+fn listing(response: &ResponseBody) -> Listing {
+    let running = response.running.iter().flatten();
+    let completed = response.completed.iter().flatten();
     Listing {
-        running: running.collect(),
-        ended: ended.collect(),
+        running: running.filter_map(listed_run).collect(),
+        ended: completed.filter_map(listed_completion).collect(),
     }
 }
+
+fn listed_run(row: &RunRow) -> Option<ListedRun> {
+    Some(ListedRun {
+        task: TaskId::parse(&row.task)?,
+        run: row.run,
+        checkpoint: row.checkpoint.clone(),
+        percent: row.percent as u64,
+    })
+}
+
+fn listed_completion(row: &CompletionRow) -> Option<ListedCompletion> {
+    Some(ListedCompletion {
+        number: row.number,
+        task: TaskId::parse(&row.task)?,
+        run: row.run,
+        kind: completion_kind(&row.kind),
+        checkpoint: row.checkpoint.clone(),
+    })
+}
--- a/system/magpiegap/src/coordinator/worker_connections.rs
+++ b/system/magpiegap/src/coordinator/worker_connections.rs
@@ -1,9 +1,9 @@
-//! Lasting connections to workers.
+//! A pool of persistent connections to workers.
 //!
-//! A scheduler makes a call for each start and each look, some thousands a second at size. `reqwest` parses a URL and
+//! A scheduler makes a call for each start and each long poll, some thousands a second at size. `reqwest` parses a URL and
 //! passes its layers for redirects and retries for each, which took two fifths of the processor time of a coordinator;
 //! here calls go straight to connections of `hyper`, on which `reqwest` stands too.
-use crate::endpoint::{CONNECT_TIMEOUT, UNACKNOWLEDGED};
+use crate::endpoint::{CONNECT_TIMEOUT, TCP_USER_TIMEOUT};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{
@@ -27,26 +27,26 @@
 };
 
 /// A connection that was not used for this long is closed.
-const IDLE_FOR: Duration = Duration::from_secs(60);
-/// Connections kept for one worker while they are not used.
-const MOST_IDLE: usize = 4;
-/// Time between two searches for connections that are to be closed, also of workers that are not called any more.
-const SEARCH_EVERY: Duration = Duration::from_secs(10);
-/// Open connections where no other limit is set.
-const MOST_OPEN: usize = 2800;
-/// Longest body of an answer, in bytes: a listing of 500 ends and all runs is far smaller.
-const MOST_BODY: usize = 4 << 20;
-
-/// Why a call has no answer.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Maximum number of idle connections to one worker.
+const MAX_IDLE_PER_WORKER: usize = 4;
+/// Interval between two sweeps that close expired connections, also of workers that are not called any more.
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(10);
+/// With more open connections than this none stays idle, where no other limit is set.
+const DEFAULT_MAX_OPEN: usize = 2800;
+/// Maximum length of a response's body, in bytes: a listing of 500 completions and all runs is far smaller.
+const MAX_BODY_BYTES: usize = 4 << 20;
+
+/// Why a call has no response.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
-    /// It took too long.
+    /// The call, or the connection attempt, has timed out.
     #[error("no answer in time")]
     Timeout,
-    /// No connection came up.
+    /// The connection attempt has failed.
     #[error("no connection: {0}")]
     Connect(#[from] io::Error),
-    /// The connection ended, or what came is no answer.
+    /// The connection ended, or what came is no HTTP response.
     #[error("the connection: {0}")]
     Http(#[from] hyper::Error),
     /// The body was cut off, or is too long.
@@ -54,15 +54,15 @@
     Body(Box<dyn std::error::Error + Send + Sync>),
 }
 
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     since: Instant,
 }
 
-/// Connections that are not used now.
+/// Connections that no call uses now.
 struct IdleConnections {
-    of_workers: HashMap<SocketAddr, Vec<Idle>>,
-    next_search: Instant,
+    by_worker: HashMap<SocketAddr, Vec<IdleConnection>>,
+    next_sweep_at: Instant,
 }
 
 /// Connections to workers, shared by all calls.
@@ -70,27 +70,27 @@
 pub struct WorkerConnections {
     idle: Arc<Mutex<IdleConnections>>,
     open: Arc<AtomicUsize>,
-    /// With more open than this none is kept while it is not used, so that descriptors are left for others.
-    most_open: usize,
+    /// With more open than this none stays idle, so that descriptors are left for others.
+    max_open: usize,
 }
 
 impl Default for WorkerConnections {
     fn default() -> Self {
-        WorkerConnections::new(MOST_OPEN)
+        WorkerConnections::new(DEFAULT_MAX_OPEN)
     }
 }
 
 impl WorkerConnections {
-    /// No connections yet; of those not used, none are kept while more than `most_open` are open.
-    pub fn new(most_open: usize) -> WorkerConnections {
+    /// A pool without connections; none stays idle while more than `max_open` are open.
+    pub fn new(max_open: usize) -> WorkerConnections {
         let idle = IdleConnections {
-            of_workers: HashMap::new(),
-            next_search: Instant::now() + SEARCH_EVERY,
+            by_worker: HashMap::new(),
+            next_sweep_at: Instant::now() + IDLE_SWEEP_INTERVAL,
         };
         WorkerConnections {
             idle: Arc::new(Mutex::new(idle)),
             open: Arc::default(),
-            most_open,
+            max_open,
         }
     }
 
@@ -99,18 +99,18 @@
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
-    /// When there is no whole answer in time; it isn't known then whether the worker has read the request.
+    /// When there is no complete response in time; it isn't known then whether the worker has read the request.
     pub async fn call(
         &self,
         to: SocketAddr,
         request: Request<Full<Bytes>>,
         timeout: Duration,
     ) -> Result<(StatusCode, Bytes), ConnectionError> {
-        let until = Instant::now() + timeout;
-        timeout_at(until, self.exchange(to, request))
+        let deadline = Instant::now() + timeout;
+        timeout_at(deadline, self.exchange(to, request))
             .await
             .map_err(|_| ConnectionError::Timeout)?
     }
@@ -123,7 +123,7 @@
         // A connection that the worker closed meanwhile gives the request back unsent.
         while let Some(mut sender) = self.take_idle(to) {
             match sender.try_send_request(request).await {
-                Ok(response) => return self.read_answer(to, sender, response).await,
+                Ok(response) => return self.read_response(to, sender, response).await,
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
                     None => return Err(error.into_error().into()),
@@ -132,21 +132,21 @@
         }
         let mut sender = self.connect(to).await?;
         let response = sender.send_request(request).await?;
-        self.read_answer(to, sender, response).await
+        self.read_response(to, sender, response).await
     }
 
-    async fn read_answer(
+    async fn read_response(
         &self,
         from: SocketAddr,
         sender: SendRequest<Full<Bytes>>,
         response: hyper::Response<hyper::body::Incoming>,
     ) -> Result<(StatusCode, Bytes), ConnectionError> {
         let status = response.status();
-        let body = Limited::new(response.into_body(), MOST_BODY)
+        let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
             .collect()
             .await;
         let body = body.map_err(ConnectionError::Body)?.to_bytes();
-        self.keep(from, sender);
+        self.release(from, sender);
         Ok((status, body))
     }
 
@@ -154,24 +154,25 @@
     fn take_idle(&self, to: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
-        idle.search(now);
-        let of_worker = idle.of_workers.get_mut(&to)?;
-        of_worker.retain(|idle| idle.is_of_use(now));
-        let last = of_worker.pop();
-        if of_worker.is_empty() {
-            idle.of_workers.remove(&to);
+        idle.sweep(now);
+        let worker_idle = idle.by_worker.get_mut(&to)?;
+        worker_idle.retain(|idle| idle.is_usable(now));
+        let last = worker_idle.pop();
+        if worker_idle.is_empty() {
+            idle.by_worker.remove(&to);
         }
         last.map(|idle| idle.sender)
     }
 
-    fn keep(&self, from: SocketAddr, sender: SendRequest<Full<Bytes>>) {
-        if sender.is_closed() || self.open() > self.most_open {
+    /// Makes a connection available to the next call, unless enough are idle.
+    fn release(&self, from: SocketAddr, sender: SendRequest<Full<Bytes>>) {
+        if sender.is_closed() || self.open() > self.max_open {
             return;
         }
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let of_worker = idle.of_workers.entry(from).or_default();
-        if of_worker.len() < MOST_IDLE {
-            of_worker.push(Idle {
+        let worker_idle = idle.by_worker.entry(from).or_default();
+        if worker_idle.len() < MAX_IDLE_PER_WORKER {
+            worker_idle.push(IdleConnection {
                 sender,
                 since: Instant::now(),
             });
@@ -179,16 +180,16 @@
     }
 
     async fn connect(&self, to: SocketAddr) -> Result<SendRequest<Full<Bytes>>, ConnectionError> {
-        let until = Instant::now() + CONNECT_TIMEOUT;
-        let stream = timeout_at(until, TcpStream::connect(to))
+        let deadline = Instant::now() + CONNECT_TIMEOUT;
+        let stream = timeout_at(deadline, TcpStream::connect(to))
             .await
             .map_err(|_| ConnectionError::Timeout)??;
         stream.set_nodelay(true)?;
-        socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+        socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let open = OpenConnection::new(&self.open);
         tokio::spawn(async move {
-            // How it ended is told to whoever waits for an answer on it.
+            // Whoever waits for a response on it gets the error.
             let _ = connection.await;
             drop(open);
         });
@@ -212,23 +213,23 @@
     }
 }
 
-impl Idle {
-    fn is_of_use(&self, now: Instant) -> bool {
-        !self.sender.is_closed() && now < self.since + IDLE_FOR
+impl IdleConnection {
+    fn is_usable(&self, now: Instant) -> bool {
+        !self.sender.is_closed() && now < self.since + IDLE_TIMEOUT
     }
 }
 
 impl IdleConnections {
-    /// Closes what is of no use any more, now and then. Workers that have gone are not called again, and without this
-    /// their connections would stay for good.
-    fn search(&mut self, now: Instant) {
-        if now < self.next_search {
+    /// Closes expired connections, once in an interval. Workers that have departed are not called again, and without
+    /// this their connections would stay for good.
+    fn sweep(&mut self, now: Instant) {
+        if now < self.next_sweep_at {
             return;
         }
-        self.next_search = now + SEARCH_EVERY;
-        self.of_workers.retain(|_, of_worker| {
-            of_worker.retain(|idle| idle.is_of_use(now));
-            !of_worker.is_empty()
+        self.next_sweep_at = now + IDLE_SWEEP_INTERVAL;
+        self.by_worker.retain(|_, worker_idle| {
+            worker_idle.retain(|idle| idle.is_usable(now));
+            !worker_idle.is_empty()
         });
     }
 }
--- a/system/magpiegap/src/endpoint.rs
+++ b/system/magpiegap/src/endpoint.rs
@@ -1,19 +1,22 @@
-//! Calls to coordinators and agents.
+//! Calls to coordinators and agents over HTTP; none is sent twice.
 use magpiegap_protocol::{decode, encode, CoordinatorRequest, CoordinatorResponse};
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::timeout;
 
 /// The path of all requests among the processes.
 pub const REQUEST_PATH: &str = "/request";
-/// How long a connection may take to come up.
+/// Timeout of a connection attempt.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// A connection whose data is not acknowledged for this long is given up.
-pub(crate) const UNACKNOWLEDGED: Duration = Duration::from_millis(1200);
+/// A connection on which data is not acknowledged for this long breaks (RFC 5482).
+pub(crate) const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1200);
+
+/// An idle connection is closed after this time.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// How a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// No connection came up: the request surely was not read.
+    /// The connection attempt failed: the request surely was not read.
     NotSent,
     /// It isn't known whether the request was read.
     Unanswered,
@@ -26,43 +29,55 @@
         .http1_only()
         .redirect(reqwest::redirect::Policy::none())
         .connect_timeout(CONNECT_TIMEOUT)
-        .pool_idle_timeout(Duration::from_secs(60))
+        .pool_idle_timeout(POOL_IDLE_TIMEOUT)
         .tcp_nodelay(true)
-        .tcp_user_timeout(UNACKNOWLEDGED);
+        .tcp_user_timeout(TCP_USER_TIMEOUT);
     builder.build().unwrap_or_default()
 }
 
-/// Calls a coordinator or agent; the whole call may take so long at most. For short answers only.
+/// How long a response may take.
+#[derive(Clone, Copy, Debug)]
+pub struct ResponseTimeouts {
+    /// Until its first byte.
+    pub first_byte: Duration,
+    /// Without a further byte.
+    pub idle: Duration,
+}
+
+/// Calls a coordinator or agent; the call as a whole times out after `call_timeout`. For short responses only.
 ///
 /// # Errors
-/// When there is no answer that can be read.
+/// When there is no response that can be read.
 pub async fn call(
     client: &reqwest::Client,
     address: SocketAddr,
     request: &CoordinatorRequest,
-    most: Duration,
+    call_timeout: Duration,
 ) -> Result<CoordinatorResponse, CallError> {
-    let whole = call_while_bytes_come(client, address, request, most, most);
-    timeout(most, whole)
+    let timeouts = ResponseTimeouts {
+        first_byte: call_timeout,
+        idle: call_timeout,
+    };
+    let response = call_while_progressing(client, address, request, timeouts);
+    timeout(call_timeout, response)
         .await
         .unwrap_or(Err(CallError::Unanswered))
 }
 
-/// Calls a coordinator or agent, and waits for its answer as long as bytes come: up to `first_byte` for the first, and up
-/// to `silence` for each that follows. A long answer on a slow link may take any time.
+/// Calls a coordinator or agent, and waits for its response as long as bytes come. A long response on a slow link may
+/// take any time.
 ///
 /// # Errors
-/// When there is no answer that can be read.
-pub async fn call_while_bytes_come(
+/// When there is no response that can be read.
+pub async fn call_while_progressing(
     client: &reqwest::Client,
     address: SocketAddr,
     request: &CoordinatorRequest,
-    first_byte: Duration,
-    silence: Duration,
+    timeouts: ResponseTimeouts,
 ) -> Result<CoordinatorResponse, CallError> {
     let url = format!("http://{address}{REQUEST_PATH}");
     let sending = client.post(url).body(encode(request)).send();
-    let sent = timeout(first_byte, sending)
+    let sent = timeout(timeouts.first_byte, sending)
         .await
         .map_err(|_| CallError::Unanswered)?;
     let mut response = sent.map_err(|error| match error.is_connect() {
@@ -71,7 +86,7 @@
     })?;
     let mut body = Vec::new();
     loop {
-        let chunk = timeout(silence, response.chunk())
+        let chunk = timeout(timeouts.idle, response.chunk())
             .await
             .map_err(|_| CallError::Unanswered)?;
         match chunk.map_err(|_| CallError::Unanswered)? {
--- a/system/magpiegap/src/error.rs
+++ b/system/magpiegap/src/error.rs
@@ -1,8 +1,8 @@
-//! Why the program ends.
-use crate::settings::SettingsError;
-use std::path::PathBuf;
+//! The errors with which the program ends; their text is what the operator reads.
+use crate::{operator_call::OperatorCallError, settings::SettingsError};
+use std::{net::SocketAddr, path::PathBuf};
 
-/// Why the program can't go on.
+/// An error with which the program ends.
 #[derive(Debug, thiserror::Error)]
 pub enum ProgramError {
     /// The settings.
@@ -23,6 +23,33 @@
     /// A server could not be started or has failed.
     #[error("server: {0}")]
     Server(String),
+    /// A file of the operator can't be read.
+    #[error("server: {file}: {source}")]
+    File {
+        /// The file.
+        file: PathBuf,
+        /// What the system said.
+        source: std::io::Error,
+    },
+    /// A configuration is invalid.
+    #[error("server: {file}: {source}")]
+    Configuration {
+        /// The file.
+        file: PathBuf,
+        /// What is wrong.
+        source: magpiegap_jobs::ConfigurationError,
+    },
+    /// A coordinator's description can't be read.
+    #[error("server: {at}: {source}")]
+    Description {
+        /// The coordinator's address.
+        at: SocketAddr,
+        /// What is wrong.
+        source: serde_json::Error,
+    },
+    /// A call to a coordinator or proxy has not succeeded.
+    #[error("server: {0}")]
+    Call(#[from] OperatorCallError),
     /// The system refuses something that is needed at the start.
     #[error("{what}: {source}")]
     System {
--- a/system/magpiegap/src/lib.rs
+++ b/system/magpiegap/src/lib.rs
@@ -1,4 +1,7 @@
 //! The processes of the scheduler: sockets, clocks, files and signals around the state machines.
+//!
+//! `proxy`, `agent` and `coordinator` each compose one process; the others are what they share, and the operator's
+//! commands. What is decided, and when, is the state machines' alone.
 #![forbid(unsafe_code)]
 
 mod agent;
@@ -9,6 +12,7 @@
 mod error;
 mod logging;
 mod operator;
+mod operator_call;
 mod proxy;
 mod serving;
 mod settings;
@@ -22,7 +26,8 @@
 pub use coordinator::{metrics, worker_connections};
 pub use error::ProgramError;
 pub use operator::check_configuration;
-pub use proxy::{admission, feed, job_body};
+pub use operator_call::OperatorCallError;
+pub use proxy::{admission, cluster_watch, job_body};
 pub use settings::{FieldFault, NodeSettings, SettingsError};
 pub use settings_check::SettingsReport;
 pub use state_on_disk::StateOnDisk;
--- a/system/magpiegap/src/logging.rs
+++ b/system/magpiegap/src/logging.rs
@@ -5,17 +5,17 @@
 /// Starts the log. Its level is `info`, or what `MAGPIEGAP_LOG` says.
 pub(crate) fn start(node: &str) {
     let level = std::env::var("MAGPIEGAP_LOG").unwrap_or_else(|_| "info".to_owned());
-    let own = LogSpecification::parse(format!("error, magpiegap={level}"));
-    let specification = own.unwrap_or_else(|_| LogSpecification::info());
-    // Where there is no place to log to, the program works all the same.
+    let specification = LogSpecification::parse(format!("error, magpiegap={level}"));
+    let specification = specification.unwrap_or_else(|_| LogSpecification::info());
+    // The program works without a log, too.
     let _ = Logger::with(specification)
         .log_to_stderr()
-        .format(line)
+        .format(write_line)
         .start();
-    log::info!("{node} starts");
+    log::info!("starting node={node}");
 }
 
-fn line(
+fn write_line(
     out: &mut dyn Write,
     _now: &mut DeferredNow,
     record: &Record<'_>,
--- a/system/magpiegap/src/proxy/admission.rs
+++ b/system/magpiegap/src/proxy/admission.rs
@@ -1,7 +1,7 @@
-//! Admission at the queues' entrance, by the decision module.
+//! Admission control of submissions, by the decision module.
 //!
-//! For each service one [`Balancer`] decides: a call is a job that is handed in, a tenant is the queue, and the
-//! upstream is the coordinator that schedules the service. What comes of a call teaches it how many it may admit.
+//! For each service one [`Balancer`] decides: a call is a submission, a tenant is the queue, and the upstream
+//! is the coordinator that schedules the service. From the outcomes of calls it learns how many it may admit.
 use balancer_core::{
     Action, Availability, Balancer, Class, Ending, Event, Member, Membership, Refusal, Request,
     RequestId, Settings, Tenant, UpstreamId,
@@ -12,29 +12,39 @@
     time::{Duration, Instant},
 };
 
-/// Queues of one service that are told apart; further ones share the last place.
-const QUEUES: usize = 64;
-/// Jobs a second of each queue's place that a proxy may hand in before it has learned more, and the measure of the
-/// least to which failures bring it down. All places together stay below what one scheduler takes.
+/// Maximum number of queues of one service that are tenants of their own; further ones share the last tenant.
+const MAX_TENANTS: usize = 64;
+/// Submissions a second that a proxy admits for each tenant before it has learned more, and the floor to which failures
+/// lower them. All tenants together stay below what one scheduler takes.
 const QUOTA_PER_S: f64 = 1.0;
-/// Within this time the answer to a job that is handed in is in time, in milliseconds.
-const OBJECTIVE_MS: f64 = 3000.0;
-/// Longest advice to a refused client, in milliseconds.
+/// Latency target of a submission, in milliseconds.
+const LATENCY_TARGET_MS: f64 = 3000.0;
+/// Maximum delay that a rejected client is advised, in milliseconds.
 const MAX_RETRY_AFTER_MS: f64 = 2000.0;
 
-/// Why a call is turned away, and when it may come back.
+/// A call that was rejected, and when it may come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TurnedAway {
-    /// In whole seconds.
+pub struct Rejected {
+    /// Delay before a retry, in seconds.
     pub retry_after_s: u32,
 }
 
-/// One service's admission.
-struct Gate {
+impl Rejected {
+    /// A rejection with the advice of the decision module, in milliseconds; rounded up to seconds, one at least.
+    fn with_delay(retry_after_ms: f64) -> Rejected {
+        let seconds = (retry_after_ms / 1000.0).ceil().max(1.0);
+        Rejected {
+            retry_after_s: seconds as u32,
+        }
+    }
+}
+
+/// Admission of one service.
+struct ServiceAdmission {
     balancer: Balancer,
-    /// The places of the queues.
+    /// The queues that are tenants of their own, in the order of the tenants.
     queues: Vec<String>,
-    /// The upstream that was told last.
+    /// The upstream that is in force.
     upstream: Option<UpstreamId>,
     next_request: u32,
 }
@@ -42,16 +52,16 @@
 /// Admission for all services.
 pub struct Admission {
     start: Instant,
-    gates: Mutex<HashMap<String, Gate>>,
+    services: Mutex<HashMap<String, ServiceAdmission>>,
 }
 
-/// A call that was admitted. Without an outcome it counts as broken off.
+/// A call that was admitted. Dropped without an outcome it counts as cancelled.
 pub struct Admitted {
     admission: Arc<Admission>,
     service: String,
     request: RequestId,
-    since: Instant,
-    ended: bool,
+    admitted_at: Instant,
+    has_outcome: bool,
 }
 
 impl Default for Admission {
@@ -61,115 +71,111 @@
 }
 
 impl Admission {
-    /// Nothing is learned yet.
+    /// Admission that has not learned anything yet.
     pub fn new() -> Admission {
         Admission {
             start: Instant::now(),
-            gates: Mutex::new(HashMap::new()),
+            services: Mutex::new(HashMap::new()),
         }
     }
 
-    fn now(&self) -> f64 {
+    /// Milliseconds since the start.
+    fn now_ms(&self) -> f64 {
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    fn gates(&self) -> MutexGuard<'_, HashMap<String, Gate>> {
-        self.gates.lock().unwrap_or_else(PoisonError::into_inner)
+    fn services(&self) -> MutexGuard<'_, HashMap<String, ServiceAdmission>> {
+        self.services.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Decides whether a job is handed on to the coordinator at an address.
+    /// Decides whether a submission goes on to the scheduler with this tag.
     ///
     /// # Errors
-    /// When it is turned away.
+    /// When it is rejected.
     pub fn admit(
         self: &Arc<Self>,
         service: &str,
         queue: &str,
         scheduler: u64,
         deadline: Instant,
-    ) -> Result<Admitted, TurnedAway> {
-        let now = self.now();
-        let since = Instant::now();
-        let deadline = now + deadline.saturating_duration_since(since).as_secs_f64() * 1000.0;
-        let mut gates = self.gates();
-        let gate = gates
-            .entry(service.to_owned())
-            .or_insert_with(|| Gate::new(now));
-        let mut actions = Vec::new();
-        gate.point_to(UpstreamId(scheduler), now, &mut actions);
-        gate.next_request = gate.next_request.wrapping_add(1);
-        let id = RequestId(gate.next_request);
-        let tenant = gate.tenant(queue);
-        let request = Request {
-            id,
-            class: 0,
-            tenant,
-            deadline,
-            tie: u64::from(id.0),
-        };
-        gate.balancer
-            .handle(now, Event::Request(request), &mut actions);
-        drop(gates);
-        let mut refused = None;
+    ) -> Result<Admitted, Rejected> {
+        let now = self.now_ms();
+        let admitted_at = Instant::now();
+        let remaining = deadline.saturating_duration_since(admitted_at);
+        let deadline = now + remaining.as_secs_f64() * 1000.0;
+        let (request, actions) = self.decide(service, queue, UpstreamId(scheduler), now, deadline);
+        let mut refusal = None;
         for action in actions {
             match action {
                 Action::Refuse {
-                    request,
+                    request: refused,
                     retry_after,
                     reason,
-                } if request == id => {
-                    refused = Some((retry_after, reason));
-                }
-                other => self.act(service, other),
+                } if refused == request => refusal = Some((retry_after, reason)),
+                other => self.perform(service, other),
             }
         }
-        match refused {
+        match refusal {
             // Where nobody is known to schedule the service, the call itself looks for somebody.
             Some((_, Refusal::NoUpstream)) | None => Ok(Admitted {
                 admission: self.clone(),
                 service: service.to_owned(),
-                request: id,
-                since,
-                ended: false,
+                request,
+                admitted_at,
+                has_outcome: false,
             }),
-            Some((retry_after, _)) => {
-                let seconds = (retry_after / 1000.0).ceil().max(1.0);
-                Err(TurnedAway {
-                    retry_after_s: seconds as u32,
-                })
-            }
+            Some((retry_after, _)) => Err(Rejected::with_delay(retry_after)),
         }
     }
 
-    fn act(self: &Arc<Self>, service: &str, action: Action) {
+    /// Lets the decision module of a service decide on a new request. Returns the request and what to do.
+    fn decide(
+        &self,
+        service: &str,
+        queue: &str,
+        upstream: UpstreamId,
+        now: f64,
+        deadline: f64,
+    ) -> (RequestId, Vec<Action>) {
+        let mut services = self.services();
+        let service_admission = services
+            .entry(service.to_owned())
+            .or_insert_with(|| ServiceAdmission::new(now));
+        let mut actions = Vec::new();
+        let request =
+            service_admission.handle_request(queue, upstream, now, deadline, &mut actions);
+        (request, actions)
+    }
+
+    fn perform(self: &Arc<Self>, service: &str, action: Action) {
         if let Action::SetTimer { after, token } = action {
             let admission = self.clone();
             let service = service.to_owned();
             tokio::spawn(async move {
                 tokio::time::sleep(Duration::from_secs_f64((after / 1000.0).max(0.001))).await;
-                admission.tell(&service, Event::Timer(token));
+                admission.handle_event(&service, Event::Timer(token));
             });
         }
     }
 
-    fn tell(self: &Arc<Self>, service: &str, event: Event) {
-        let now = self.now();
+    fn handle_event(self: &Arc<Self>, service: &str, event: Event) {
+        let now = self.now_ms();
         let mut actions = Vec::new();
-        if let Some(gate) = self.gates().get_mut(service) {
-            gate.balancer.handle(now, event, &mut actions);
+        if let Some(service_admission) = self.services().get_mut(service) {
+            service_admission.balancer.handle(now, event, &mut actions);
         }
         for action in actions {
-            self.act(service, action);
+            self.perform(service, action);
         }
     }
 }
 
-impl Gate {
-    fn new(now: f64) -> Gate {
+impl ServiceAdmission {
+    fn new(now: f64) -> ServiceAdmission {
         let settings = Settings {
             classes: vec![Class {
-                objective: OBJECTIVE_MS,
-                deadline: 2.0 * OBJECTIVE_MS,
+                objective: LATENCY_TARGET_MS,
+                deadline: 2.0 * LATENCY_TARGET_MS,
                 late_worth: 0.3,
                 ..Class::default()
             }],
@@ -178,9 +184,9 @@
                     share: 1.0,
                     quota_per_s: QUOTA_PER_S
                 };
-                QUEUES
+                MAX_TENANTS
             ],
-            // The call tries again itself: the same job may be handed in twice, and only it knows where to.
+            // The call retries itself: submissions are idempotent, and only it knows where to send them.
             attempts_cap: 1,
             max_retry_after: MAX_RETRY_AFTER_MS,
             ..Settings::default()
@@ -189,7 +195,7 @@
         let balancer = Balancer::new(settings, 1, now);
         let balancer = balancer.or_else(|_| Balancer::new(Settings::default(), 1, now));
         match balancer {
-            Ok(balancer) => Gate {
+            Ok(balancer) => ServiceAdmission {
                 balancer,
                 queues: Vec::new(),
                 upstream: None,
@@ -199,7 +205,30 @@
         }
     }
 
-    fn point_to(&mut self, upstream: UpstreamId, now: f64, actions: &mut Vec<Action>) {
+    /// Hands a new request of a queue to the decision module. Returns its identity.
+    fn handle_request(
+        &mut self,
+        queue: &str,
+        upstream: UpstreamId,
+        now: f64,
+        deadline: f64,
+        actions: &mut Vec<Action>,
+    ) -> RequestId {
+        self.set_upstream(upstream, now, actions);
+        self.next_request = self.next_request.wrapping_add(1);
+        let id = RequestId(self.next_request);
+        let request = Request {
+            id,
+            class: 0,
+            tenant: self.tenant(queue),
+            deadline,
+            tie: u64::from(id.0),
+        };
+        self.balancer.handle(now, Event::Request(request), actions);
+        id
+    }
+
+    fn set_upstream(&mut self, upstream: UpstreamId, now: f64, actions: &mut Vec<Action>) {
         if self.upstream == Some(upstream) {
             return;
         }
@@ -216,27 +245,28 @@
         );
     }
 
+    /// The tenant of a queue; a new one while there are any left.
     fn tenant(&mut self, queue: &str) -> usize {
         match self.queues.iter().position(|known| known == queue) {
-            Some(place) => place,
-            None if self.queues.len() < QUEUES => {
+            Some(tenant) => tenant,
+            None if self.queues.len() < MAX_TENANTS => {
                 self.queues.push(queue.to_owned());
                 self.queues.len() - 1
             }
-            None => QUEUES - 1,
+            None => MAX_TENANTS - 1,
         }
     }
 }
 
 impl Admitted {
-    /// What came of the call.
+    /// Reports the outcome of the call.
     pub fn end(mut self, ending: Ending) {
         self.report(ending);
     }
 
     fn report(&mut self, ending: Ending) {
-        self.ended = true;
-        let duration = self.since.elapsed().as_secs_f64() * 1000.0;
+        self.has_outcome = true;
+        let duration = self.admitted_at.elapsed().as_secs_f64() * 1000.0;
         let event = Event::Outcome {
             request: self.request,
             attempt: 0,
@@ -244,13 +274,13 @@
             duration,
             closed: true,
         };
-        self.admission.tell(&self.service, event);
+        self.admission.handle_event(&self.service, event);
     }
 }
 
 impl Drop for Admitted {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.has_outcome {
             self.report(Ending::Cancelled);
         }
     }
--- a/system/magpiegap/src/proxy/frontend.rs
+++ b/system/magpiegap/src/proxy/frontend.rs
@@ -1,8 +1,8 @@
-//! Clients' requests.
+//! Clients' requests: routed by the configuration, admitted, and sent to the coordinators.
 use super::{
-    admission::{Admission, TurnedAway},
-    calls::{Calls, Submitted},
-    feed::Knowledge,
+    admission::{Admission, Rejected},
+    calls::{CoordinatorCalls, SubmitOutcome},
+    cluster_watch::ClusterWatch,
     job_body,
 };
 use crate::serving::read_body;
@@ -22,15 +22,15 @@
     time::{Duration, Instant},
 };
 
-/// Time before a client's deadline at which the answer is sent at the latest.
-const ANSWER_BEFORE: Duration = Duration::from_millis(150);
+/// Time before a client's deadline at which the response is sent at the latest.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(150);
 /// How long a request waits for the first configuration: a proxy that has just started has one within moments, while a
 /// client that is sent away comes back a second later.
-const CONFIGURATION_PATIENCE: Duration = Duration::from_millis(900);
-/// Seconds after which a refused client may come back.
+const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(900);
+/// When a rejected client may come back, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
-/// An answer to a client.
+/// A response to a client.
 #[derive(Debug)]
 struct Reply {
     status: Status,
@@ -55,7 +55,7 @@
         }
     }
 
-    fn refused(status: Status) -> Reply {
+    fn unavailable(status: Status) -> Reply {
         Reply {
             status,
             body: String::new(),
@@ -63,39 +63,38 @@
         }
     }
 
-    fn turned_away(turned_away: TurnedAway) -> Reply {
-        let retry_after = Some(turned_away.retry_after_s);
+    fn rejected(rejected: Rejected) -> Reply {
         Reply {
             status: Status::TooManyRequests,
             body: String::new(),
-            retry_after,
+            retry_after: Some(rejected.retry_after_s),
         }
     }
 }
 
-/// Answers clients.
+/// Handles clients' requests.
 #[derive(Clone)]
 pub(super) struct FrontendHandler {
-    calls: Calls,
-    knowledge: Arc<Knowledge>,
+    calls: CoordinatorCalls,
+    cluster: Arc<ClusterWatch>,
     admission: Arc<Admission>,
 }
 
 impl FrontendHandler {
-    /// A handler that goes by what is known.
-    pub(super) fn new(calls: Calls, knowledge: Arc<Knowledge>) -> FrontendHandler {
+    /// A handler that routes by the configuration in force.
+    pub(super) fn new(calls: CoordinatorCalls, cluster: Arc<ClusterWatch>) -> FrontendHandler {
         FrontendHandler {
             calls,
-            knowledge,
+            cluster,
             admission: Arc::new(Admission::new()),
         }
     }
 
-    async fn answer(&self, request: &Request<'_>, data: Data<'_>) -> Reply {
-        let arrived = Instant::now();
-        let known = self.knowledge.configured(CONFIGURATION_PATIENCE).await;
-        let Some(configuration) = &known.configuration else {
-            return Reply::refused(Status::ServiceUnavailable);
+    async fn respond(&self, request: &Request<'_>, data: Data<'_>) -> Reply {
+        let arrived_at = Instant::now();
+        let info = self.cluster.configured(CONFIGURATION_TIMEOUT).await;
+        let Some(configuration) = &info.configuration else {
+            return Reply::unavailable(Status::ServiceUnavailable);
         };
         let host = request
             .host()
@@ -105,7 +104,7 @@
         let Some(route) = configuration.route(&host, path) else {
             return Reply::status(Status::NotFound);
         };
-        let deadline = deadline(request, route, arrived);
+        let deadline = deadline(request, route, arrived_at);
         let name = &path[route.path_prefix.len()..];
         match (request.method(), JobId::parse(name)) {
             (Method::Get, None) if name.is_empty() => self.count(route, deadline).await,
@@ -113,7 +112,7 @@
             (Method::Post, Some(job)) => {
                 self.submit(configuration, route, job, data, deadline).await
             }
-            (Method::Get, Some(job)) => self.state(route, job, deadline).await,
+            (Method::Get, Some(job)) => self.status(route, job, deadline).await,
             (Method::Delete, Some(job)) => self.cancel(route, job, deadline).await,
             _ => Reply::status(Status::MethodNotAllowed),
         }
@@ -151,31 +150,31 @@
             submitted_ms: WallMillis(0),
             spec,
         };
-        let scheduler = self.knowledge.now().scheduler_tag(&route.service);
+        let scheduler = self.cluster.current().scheduler_tag(&route.service);
         let admitted =
             match self
                 .admission
                 .admit(&route.service, &submission.queue, scheduler, deadline)
             {
                 Ok(admitted) => admitted,
-                Err(turned_away) => return Reply::turned_away(turned_away),
+                Err(rejected) => return Reply::rejected(rejected),
             };
-        let submitted = self.calls.submit(submission, deadline).await;
-        admitted.end(ending(submitted));
-        match submitted {
-            Submitted::Accepted => Reply::status(Status::Ok),
-            Submitted::Full => Reply::refused(Status::TooManyRequests),
-            Submitted::Refused => Reply::refused(Status::ServiceUnavailable),
-            Submitted::Unknown => Reply::status(Status::GatewayTimeout),
+        let outcome = self.calls.submit(submission, deadline).await;
+        admitted.end(ending(outcome));
+        match outcome {
+            SubmitOutcome::Accepted => Reply::status(Status::Ok),
+            SubmitOutcome::Full => Reply::unavailable(Status::TooManyRequests),
+            SubmitOutcome::Unsent => Reply::unavailable(Status::ServiceUnavailable),
+            SubmitOutcome::Unknown => Reply::status(Status::GatewayTimeout),
         }
     }
 
-    async fn state(&self, route: &Route, job: JobId, deadline: Instant) -> Reply {
+    async fn status(&self, route: &Route, job: JobId, deadline: Instant) -> Reply {
         let request = CoordinatorRequest::Status {
             queue: route.queue(),
             job,
         };
-        match self.calls.ask(&request, deadline).await {
+        match self.calls.read(&request, deadline).await {
             Some(CoordinatorResponse::Phase(phase)) => {
                 Reply::json(format!("{{\"state\":\"{}\"}}", phase.word()))
             }
@@ -189,7 +188,7 @@
             queue: route.queue(),
             job,
         };
-        match self.calls.ask(&request, deadline).await {
+        match self.calls.read(&request, deadline).await {
             Some(CoordinatorResponse::Accepted) => Reply::status(Status::Ok),
             Some(CoordinatorResponse::NoSuchJob) => Reply::status(Status::Gone),
             _ => Reply::status(Status::GatewayTimeout),
@@ -200,7 +199,7 @@
         let request = CoordinatorRequest::Count {
             queue: route.queue(),
         };
-        match self.calls.ask(&request, deadline).await {
+        match self.calls.read(&request, deadline).await {
             Some(CoordinatorResponse::Count(count)) => {
                 Reply::json(format!("{{\"pending\":{count}}}"))
             }
@@ -209,30 +208,32 @@
     }
 }
 
-/// What the decision module learns from the way in which a submission ended.
-fn ending(submitted: Submitted) -> Ending {
-    match submitted {
-        Submitted::Accepted => Ending::Ok,
-        Submitted::Full => Ending::Full,
-        Submitted::Refused => Ending::ConnectFailed,
-        Submitted::Unknown => Ending::Timeout,
+/// The outcome of a submission as admission learns from it.
+fn ending(outcome: SubmitOutcome) -> Ending {
+    match outcome {
+        SubmitOutcome::Accepted => Ending::Ok,
+        SubmitOutcome::Full => Ending::Full,
+        SubmitOutcome::Unsent => Ending::ConnectFailed,
+        SubmitOutcome::Unknown => Ending::Timeout,
     }
 }
 
-/// When the answer must be on its way: before the client gives up and the route's time is over.
-fn deadline(request: &Request<'_>, route: &Route, arrived: Instant) -> Instant {
-    let asked = request
+/// When the response must be on its way: before the client's deadline and the route's timeout.
+fn deadline(request: &Request<'_>, route: &Route, arrived_at: Instant) -> Instant {
+    let requested_ms = request
         .headers()
         .get_one("Deadline-Ms")
         .and_then(|text| text.trim().parse::<u64>().ok());
-    let most = asked.unwrap_or(route.timeout_ms).min(route.timeout_ms);
-    arrived + Duration::from_millis(most).saturating_sub(ANSWER_BEFORE)
+    let timeout_ms = requested_ms
+        .unwrap_or(route.timeout_ms)
+        .min(route.timeout_ms);
+    arrived_at + Duration::from_millis(timeout_ms).saturating_sub(RESPONSE_MARGIN)
 }
 
 #[rocket::async_trait]
 impl Handler for FrontendHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
-        let reply = self.answer(request, data).await;
+        let reply = self.respond(request, data).await;
         let mut response = Response::build();
         response.status(reply.status);
         if !reply.body.is_empty() {
@@ -241,7 +242,7 @@
         if let Some(seconds) = reply.retry_after {
             response.header(Header::new("Retry-After", seconds.to_string()));
         }
-        if self.knowledge.is_ending() {
+        if self.cluster.is_draining() {
             response.header(Header::new("Connection", "close"));
         }
         let length = reply.body.len();
--- a/system/magpiegap/src/proxy/job_body.rs
+++ b/system/magpiegap/src/proxy/job_body.rs
@@ -1,4 +1,4 @@
-//! Jobs as clients write them.
+//! Jobs as clients write them: the JSON body of a submission.
 use magpiegap_protocol::{JobSpec, Resources, StepSpec, WallMillis};
 use serde::Deserialize;
 
@@ -24,7 +24,7 @@
 }
 
 impl Labels {
-    fn list(self) -> Vec<String> {
+    fn into_vec(self) -> Vec<String> {
         let labels = match self {
             Labels::One(label) => vec![label],
             Labels::Several(labels) => labels,
@@ -46,6 +46,7 @@
     interval_ms: f64,
 }
 
+/// A step. Clients read its name in the text of errors.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct Step {
@@ -66,6 +67,7 @@
     schedule: Schedule,
 }
 
+/// The body. Clients read its name in the text of errors.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct Body {
@@ -87,34 +89,35 @@
         long_running: schedule.long_running
             || body.steps.iter().any(|step| step.schedule.long_running),
         repeat_count: schedule.repeat_count,
-        start_at_ms: WallMillis(whole(schedule.start_at_ms)),
-        interval_ms: whole(schedule.interval_ms),
-        steps: body.steps.into_iter().map(step).collect(),
+        start_at_ms: WallMillis(integer(schedule.start_at_ms)),
+        interval_ms: integer(schedule.interval_ms),
+        steps: body.steps.into_iter().map(step_spec).collect(),
     };
     spec.validate()?;
     Ok(spec)
 }
 
-fn whole(number: f64) -> u64 {
+/// A number without its fraction; zero for negative ones.
+fn integer(number: f64) -> u64 {
     number.max(0.0) as u64
 }
 
-fn step(step: Step) -> StepSpec {
+fn step_spec(step: Step) -> StepSpec {
     StepSpec {
         count: step.count,
         resources: Resources {
-            cpu: whole(step.cpu),
-            memory_mb: whole(step.mem_mb),
-            gpu: whole(step.gpu),
+            cpu: integer(step.cpu),
+            memory_mb: integer(step.mem_mb),
+            gpu: integer(step.gpu),
         },
-        estimated_ms: whole(step.estimated_ms),
+        estimated_ms: integer(step.estimated_ms),
         depends_on: step.depends_on,
         checkpoints: step.checkpoints,
         gang: step.gang,
         rack_local: step.rack_local,
-        requirements: step.requirements.list(),
+        requirements: step.requirements.into_vec(),
         affinity: step.affinity.filter(|rack| !rack.is_empty()),
-        anti_affinity: whole(step.anti_affinity).min(u64::from(u32::MAX)) as u32,
+        anti_affinity: integer(step.anti_affinity).min(u64::from(u32::MAX)) as u32,
         allow_duplicate: step.allow_duplicate,
     }
 }
--- a/system/magpiegap/src/proxy/mod.rs
+++ b/system/magpiegap/src/proxy/mod.rs
@@ -1,7 +1,8 @@
-//! The proxy: clients' requests, from their sockets to the coordinators and back.
+//! The proxy: clients' requests, from their sockets through routing and admission to the coordinators and back.
 pub mod admission;
 mod calls;
-pub mod feed;
+pub mod cluster_watch;
+mod feed_follower;
 mod frontend;
 pub mod job_body;
 mod readiness;
@@ -9,58 +10,55 @@
 use crate::{
     endpoint,
     error::ProgramError,
-    serving::{self, ServerSettings},
+    serving::{self, RunningServer, ServerSettings},
     settings::NodeSettings,
     signals::Signals,
 };
-use feed::Knowledge;
+use cluster_watch::ClusterWatch;
 use rocket::http::Method;
 use std::{path::PathBuf, sync::Arc, time::Duration};
 
 /// After an order to end, the platform gets this long to send clients elsewhere, in seconds.
-const TURN_AWAY_S: f64 = 2.3;
-/// How long requests under way may go on after that, in seconds.
-const FINISH_S: u32 = 2;
+const DRAIN_S: f64 = 2.3;
+/// Grace period of requests in flight after that, in seconds.
+const SHUTDOWN_GRACE_S: u32 = 2;
 
 /// Runs a proxy until it is told to end.
 ///
 /// # Errors
 /// When it can't start.
 pub(crate) async fn run(_file: PathBuf, settings: NodeSettings) -> Result<(), ProgramError> {
-    let mut signals = Signals::heed()?;
-    let knowledge = Arc::new(Knowledge::new());
+    let mut signals = Signals::listen()?;
+    let cluster = Arc::new(ClusterWatch::new());
     let client = endpoint::client();
-    let follow = tokio::spawn(feed::follow(
+    let follower = tokio::spawn(feed_follower::follow(
         client.clone(),
         settings.agent_address(),
-        knowledge.clone(),
+        cluster.clone(),
     ));
-    let readiness = start_readiness(&settings, knowledge.clone()).await?;
-    let frontend = start_frontend(&settings, client, knowledge.clone()).await?;
-    loop {
-        tokio::select! {
-            _ = signals.terminate.recv() => break,
-            _ = signals.hangup.recv() => log::info!("nothing in the settings of a proxy can change while it runs"),
-        }
-    }
-    knowledge.begin_to_end();
-    let turn_away = TURN_AWAY_S.min(settings.bounds.grace_s / 2.0).max(0.0);
-    tokio::time::sleep(Duration::from_secs_f64(turn_away)).await;
-    tokio::join!(end(frontend), end(readiness));
-    follow.abort();
+    let readiness = start_readiness(&settings, cluster.clone()).await?;
+    let frontend = start_frontend(&settings, client, cluster.clone()).await?;
+    signals
+        .until_terminated("settings of a running proxy cannot change")
+        .await;
+    cluster.drain();
+    let drain_s = DRAIN_S.min(settings.bounds.grace_s / 2.0).max(0.0);
+    tokio::time::sleep(Duration::from_secs_f64(drain_s)).await;
+    tokio::join!(shut_down(frontend), shut_down(readiness));
+    follower.abort();
     Ok(())
 }
 
-async fn end(server: Option<serving::Running>) {
+async fn shut_down(server: Option<RunningServer>) {
     if let Some(server) = server {
-        server.end().await;
+        server.shut_down().await;
     }
 }
 
 async fn start_readiness(
     settings: &NodeSettings,
-    knowledge: Arc<Knowledge>,
-) -> Result<Option<serving::Running>, ProgramError> {
+    cluster: Arc<ClusterWatch>,
+) -> Result<Option<RunningServer>, ProgramError> {
     let Some(address) = settings.listen.readiness else {
         return Ok(None);
     };
@@ -69,7 +67,7 @@
         keep_alive_s: 60,
         grace_s: 1,
     };
-    let handler = readiness::ReadinessHandler::new(knowledge);
+    let handler = readiness::ReadinessHandler::new(cluster);
     serving::start(serving::server(server, &[Method::Get], handler))
         .await
         .map(Some)
@@ -78,18 +76,18 @@
 async fn start_frontend(
     settings: &NodeSettings,
     client: reqwest::Client,
-    knowledge: Arc<Knowledge>,
-) -> Result<Option<serving::Running>, ProgramError> {
+    cluster: Arc<ClusterWatch>,
+) -> Result<Option<RunningServer>, ProgramError> {
     let Some(address) = settings.listen.frontend else {
         return Ok(None);
     };
     let server = ServerSettings {
         address,
         keep_alive_s: 60,
-        grace_s: FINISH_S,
+        grace_s: SHUTDOWN_GRACE_S,
     };
-    let calls = calls::Calls::new(client, settings.request_port(), knowledge.clone());
-    let handler = frontend::FrontendHandler::new(calls, knowledge);
+    let calls = calls::CoordinatorCalls::new(client, settings.request_port(), cluster.clone());
+    let handler = frontend::FrontendHandler::new(calls, cluster);
     let methods = [
         Method::Get,
         Method::Post,
--- a/system/magpiegap/src/proxy/readiness.rs
+++ b/system/magpiegap/src/proxy/readiness.rs
@@ -1,5 +1,5 @@
-//! Whether the proxy takes clients.
-use super::feed::Knowledge;
+//! The readiness check: whether the proxy takes clients.
+use super::cluster_watch::ClusterWatch;
 use rocket::{
     data::Data,
     http::Status,
@@ -8,27 +8,31 @@
 };
 use std::sync::Arc;
 
-/// Answers the platform's question.
+/// The path of the check.
+const READINESS_PATH: &str = "/-/ready";
+
+/// Responds to the platform's readiness checks.
 #[derive(Clone)]
 pub(super) struct ReadinessHandler {
-    knowledge: Arc<Knowledge>,
+    cluster: Arc<ClusterWatch>,
 }
 
 impl ReadinessHandler {
-    /// A handler that tells by what is known.
-    pub(super) fn new(knowledge: Arc<Knowledge>) -> ReadinessHandler {
-        ReadinessHandler { knowledge }
+    /// A handler for a proxy that knows this of the cluster.
+    pub(super) fn new(cluster: Arc<ClusterWatch>) -> ReadinessHandler {
+        ReadinessHandler { cluster }
     }
 }
 
 #[rocket::async_trait]
 impl Handler for ReadinessHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, _data: Data<'r>) -> Outcome<'r> {
-        let known = request.uri().path().as_str() == "/-/ready";
-        let status = match (known, self.knowledge.is_ready()) {
-            (false, _) => Status::NotFound,
-            (true, true) => Status::Ok,
-            (true, false) => Status::ServiceUnavailable,
+        let status = if request.uri().path().as_str() != READINESS_PATH {
+            Status::NotFound
+        } else if self.cluster.is_ready() {
+            Status::Ok
+        } else {
+            Status::ServiceUnavailable
         };
         Outcome::from(request, (status, ""))
     }
--- a/system/magpiegap/src/serving.rs
+++ b/system/magpiegap/src/serving.rs
@@ -1,4 +1,4 @@
-//! HTTP servers.
+//! HTTP servers: how they are set up, started and shut down, and how bodies are read.
 use crate::error::ProgramError;
 use rocket::{
     config::{Config, Ident, LogLevel, Shutdown as ShutdownSettings},
@@ -10,14 +10,14 @@
 };
 use std::{collections::HashSet, net::SocketAddr};
 
-/// How a server is set up.
+/// The settings of a server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerSettings {
     /// Where it listens.
     pub address: SocketAddr,
-    /// How long an open connection may wait for its next request, in seconds.
+    /// Idle timeout of a connection, in seconds.
     pub keep_alive_s: u32,
-    /// How long requests under way may go on when the server ends, in seconds.
+    /// Grace period of requests in flight when the server shuts down, in seconds.
     pub grace_s: u32,
 }
 
@@ -51,11 +51,11 @@
         .mount("/", routes)
 }
 
-/// Starts a server beside the caller's work.
+/// Starts a server on a task of its own.
 ///
 /// # Errors
 /// When it can't listen.
-pub(crate) async fn start(server: Rocket<Build>) -> Result<Running, ProgramError> {
+pub(crate) async fn start(server: Rocket<Build>) -> Result<RunningServer, ProgramError> {
     let ready = server
         .ignite()
         .await
@@ -67,40 +67,40 @@
             Err(error) => Err(ProgramError::Server(error.kind().to_string())),
         }
     });
-    Ok(Running { shutdown, task })
+    Ok(RunningServer { shutdown, task })
 }
 
-/// A server at work.
-pub(crate) struct Running {
+/// A server that runs.
+pub(crate) struct RunningServer {
     shutdown: rocket::Shutdown,
     task: tokio::task::JoinHandle<Result<(), ProgramError>>,
 }
 
-impl Running {
-    /// Ends at once.
+impl RunningServer {
+    /// Ends at once, with requests in flight.
     pub(crate) fn abort(self) {
         self.task.abort();
     }
 
-    /// Takes no new requests, and waits for those under way.
-    pub(crate) async fn end(self) {
+    /// Accepts no new requests, and waits for those in flight up to the grace period.
+    pub(crate) async fn shut_down(self) {
         self.shutdown.notify();
         let _ = self.task.await;
     }
 }
 
-/// Reads a request's body.
+/// Reads a request's body of at max_bytes `max_bytes`.
 ///
 /// # Errors
-/// The status to answer with: too long, or broken off.
-pub(crate) async fn read_body(data: Data<'_>, most: u64) -> Result<Vec<u8>, Status> {
-    let limit: ByteUnit = most.saturating_add(1).bytes();
+/// The status to respond with: too long, or broken off.
+pub(crate) async fn read_body(data: Data<'_>, max_bytes: u64) -> Result<Vec<u8>, Status> {
+    let limit: ByteUnit = max_bytes.saturating_add(1).bytes();
     let body = data
         .open(limit)
         .into_bytes()
         .await
         .map_err(|_| Status::BadRequest)?;
-    if body.len() as u64 > most {
+    if body.len() as u64 > max_bytes {
         return Err(Status::PayloadTooLarge);
     }
     Ok(body.into_inner())
--- a/system/magpiegap/src/settings.rs
+++ b/system/magpiegap/src/settings.rs
@@ -1,4 +1,5 @@
-//! The settings of a process.
+//! The settings of a process: the file, its fields, and what they must be. The names of fields are those of the page of
+//! settings.
 use magpiegap_control::Tolerance;
 use magpiegap_protocol::{FailureDomainId, Location};
 use serde::Deserialize;
@@ -11,7 +12,7 @@
 /// The variable that names the settings file.
 const SETTINGS_VARIABLE: &str = "MAGPIEGAP_BOOT";
 
-/// Why settings can't be used.
+/// An error of a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// No file is named.
@@ -71,21 +72,21 @@
 pub struct Listen {
     /// For clients.
     pub frontend: Option<SocketAddr>,
-    /// For the platform's question whether the process is ready.
+    /// For the platform's readiness checks.
     pub readiness: Option<SocketAddr>,
     /// For the operator.
     pub control_plane: Option<SocketAddr>,
 }
 
-/// What may be lost at once.
+/// The failures that are tolerated at once.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct FaultTolerance {
-    /// Machines that count.
+    /// Number of machines that may fail.
     pub machines: usize,
-    /// Zones.
+    /// Number of zones that may fail.
     pub zones: usize,
-    /// Regions.
+    /// Number of regions that may fail.
     pub regions: usize,
 }
 
@@ -114,19 +115,19 @@
     }
 }
 
-/// Figures of the rules in force that the program needs.
+/// Bounds of the rules in force that the program needs.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
-    /// Seconds that a process has to end after a SIGTERM.
+    /// Grace period of a process after a SIGTERM, in seconds.
     #[serde(rename = "graceS")]
     pub grace_s: f64,
-    /// Longest hold on a worker, in milliseconds.
+    /// Maximum duration of a lease on a worker, in milliseconds.
     #[serde(rename = "maxHoldMs")]
     pub max_hold_ms: f64,
-    /// Longest time that a worker takes to stop a run, in milliseconds.
+    /// Maximum time that a worker takes to stop a run, in milliseconds.
     pub stop_ms: f64,
-    /// Longest time that members of a gang wait for each other, in milliseconds.
+    /// Maximum time that members of a gang wait for each other, in milliseconds.
     pub gang_ms: f64,
     /// How long the state of an ended job is shown, in seconds.
     pub status_s: f64,
@@ -151,7 +152,7 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct MachineLimits {
-    /// Descriptors.
+    /// Maximum number of open file descriptors.
     pub max_fds: usize,
 }
 
@@ -165,11 +166,11 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Cloud {
-    /// Where the list is kept.
+    /// Where the list is served.
     pub address: Option<SocketAddr>,
-    /// Calls a second that it takes from all balancers together.
+    /// Rate limit of calls by all coordinators together, per second.
     pub rate_per_s: f64,
-    /// How far the list may run behind, in milliseconds.
+    /// Maximum age of the list, in milliseconds.
     pub max_lag_ms: f64,
 }
 
@@ -196,21 +197,21 @@
     /// Addresses of machines that serve the control plane.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The whole system starts for the first time, with empty disks.
+    /// Whether the entire system starts for the first time, with empty disks.
     #[serde(default)]
     pub bootstrap: bool,
-    /// Where files are kept.
+    /// The folder of the state on disk.
     pub data_dir: Option<PathBuf>,
-    /// How workers are told what to do.
+    /// How orders get to workers.
     #[serde(default)]
     pub commands: String,
     /// Where the process listens.
     #[serde(default)]
     pub listen: Listen,
-    /// What may be lost at once.
+    /// The failures that are tolerated at once.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
-    /// Figures of the rules.
+    /// Bounds of the rules.
     #[serde(default)]
     pub bounds: Bounds,
     /// What the machine gives to the process.
@@ -221,6 +222,21 @@
     pub cloud: Cloud,
 }
 
+/// A field's check.
+struct FieldCheck {
+    is_fine: bool,
+    field: &'static str,
+    must: &'static str,
+}
+
+fn check(is_fine: bool, field: &'static str, must: &'static str) -> FieldCheck {
+    FieldCheck {
+        is_fine,
+        field,
+        must,
+    }
+}
+
 impl NodeSettings {
     /// The settings file: the one named, or the one that the environment names.
     ///
@@ -267,60 +283,65 @@
     /// All fields with values that can't be used.
     pub(crate) fn faults(&self) -> Vec<FieldFault> {
         let (first, last) = self.internal_port_range;
-        let time = |value: f64| (0.0..=1e9).contains(&value);
+        let is_duration = |value: f64| (0.0..=1e9).contains(&value);
         let bounds = &self.bounds;
         let tolerance = self.fault_tolerance;
         let checks = [
-            (
+            check(
                 first > 0 && last >= first.saturating_add(2),
                 "internalPortRange",
                 "at least three ports",
             ),
-            (
-                time(bounds.max_hold_ms) && bounds.max_hold_ms >= 500.0,
+            check(
+                is_duration(bounds.max_hold_ms) && bounds.max_hold_ms >= 500.0,
                 "bounds.maxHoldMs",
                 "at least 500",
             ),
-            (
-                time(bounds.stop_ms),
+            check(
+                is_duration(bounds.stop_ms),
                 "bounds.stop_ms",
                 "a time of at least 0",
             ),
-            (
-                time(bounds.gang_ms),
+            check(
+                is_duration(bounds.gang_ms),
                 "bounds.gang_ms",
                 "a time of at least 0",
             ),
-            (
-                time(bounds.grace_s),
+            check(
+                is_duration(bounds.grace_s),
                 "bounds.graceS",
                 "a time of at least 0",
             ),
-            (
-                time(bounds.status_s),
+            check(
+                is_duration(bounds.status_s),
                 "bounds.status_s",
                 "a time of at least 0",
             ),
-            (time(bounds.far_x), "bounds.far_x", "a number of at least 0"),
-            (
+            check(
+                is_duration(bounds.far_x),
+                "bounds.far_x",
+                "a number of at least 0",
+            ),
+            check(
                 tolerance.machines <= 8,
                 "faultTolerance.machines",
                 "at most 8",
             ),
-            (tolerance.zones <= 4, "faultTolerance.zones", "at most 4"),
-            (
+            check(tolerance.zones <= 4, "faultTolerance.zones", "at most 4"),
+            check(
                 tolerance.regions <= 4,
                 "faultTolerance.regions",
                 "at most 4",
             ),
         ];
-        let faulty = checks.into_iter().filter(|(fine, ..)| !fine);
+        let is_faulty = |check: &FieldCheck| !check.is_fine;
+        let faulty = checks.into_iter().filter(is_faulty);
         faulty
-            .map(|(_, field, must)| FieldFault { field, must })
+            .map(|FieldCheck { field, must, .. }| FieldFault { field, must })
             .collect()
     }
 
-    /// Where the machine stands. Its region is the one that the table of zones names.
+    /// The failure domains of the machine. Its region is the one that the table of zones names.
     pub fn location(&self) -> Location {
         let region = self.zones.get(&self.zone).map_or("", String::as_str);
         Location {
--- a/system/magpiegap/src/settings_check.rs
+++ b/system/magpiegap/src/settings_check.rs
@@ -1,11 +1,11 @@
-//! What an operator is told of a settings file.
+//! The operator's check of a settings file: all faults, warnings, and fields that are not used.
 use crate::settings::{FieldFault, NodeSettings, SettingsError};
 use std::{fmt, path::Path};
 
-/// The way of telling workers what to do that this program speaks.
+/// The only way of sending orders to workers that this program supports.
 const INVOCATION: &str = "invocation";
 
-/// All that is worth saying of a settings file.
+/// The result of the check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsReport {
     /// Name of the machine.
@@ -64,7 +64,7 @@
     }
 }
 
-/// What works, but may not be meant.
+/// Warns of what works, but may not be meant.
 pub(crate) fn warnings(settings: &NodeSettings) -> Vec<String> {
     let mut warnings = Vec::new();
     if !settings.commands.is_empty() && settings.commands != INVOCATION {
--- a/system/magpiegap/src/state_on_disk.rs
+++ b/system/magpiegap/src/state_on_disk.rs
@@ -1,16 +1,17 @@
-//! A coordinator's state on disk, looked at while that coordinator does not run.
+//! A coordinator's state on disk, read while that coordinator does not run.
 use crate::error::ProgramError;
 use magpiegap_control::DurableState;
 use magpiegap_coordinator::{Machine, RoleDescription};
 use magpiegap_jobs::{Inconsistency, State};
+use magpiegap_protocol::Entry;
 use magpiegap_storage::{FolderDirectory, Store};
 use serde::Serialize;
 use std::{collections::BTreeMap, fmt, path::Path};
 
-/// What is in a coordinator's folder.
+/// The state in a coordinator's data folder. The fields are names of the operator's interface.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct StateOnDisk {
-    /// Names this life of the disk.
+    /// The incarnation of the disk.
     pub disk: String,
     /// Number of the newest view that it knows.
     pub view: u64,
@@ -18,28 +19,28 @@
     pub chain: Vec<String>,
     /// Who votes on the next view.
     pub voters: Vec<String>,
-    /// The view up to which it has all that was committed; `None`: it has nothing yet.
+    /// The view up to which it has all that was committed; `None`: it has no state yet.
     pub complete_up_to_view: Option<u64>,
     /// Records since the snapshot.
     pub records: usize,
-    /// The last entry that was known to be committed; what is told of jobs and roles is the state up to there.
+    /// The last entry that was known to be committed; jobs and roles are those of the state up to there.
     pub applied_entry: u64,
     /// Entries after it, which may be committed or not.
     pub entries_after: usize,
     /// Version of the configuration.
     pub configuration: u64,
-    /// Who held which role.
+    /// The holders of the roles.
     pub roles: Vec<RoleDescription>,
-    /// How many jobs of each queue are in each state.
+    /// Numbers of jobs by queue and state.
     pub jobs: BTreeMap<String, BTreeMap<String, usize>>,
-    /// How many runs may go on on each worker.
+    /// Numbers of runs that may be in progress, by worker.
     pub runs: BTreeMap<String, usize>,
-    /// Parts of it that contradict each other.
+    /// Descriptions of what in it contradicts itself.
     pub contradictions: Vec<String>,
 }
 
 impl StateOnDisk {
-    /// Reads all of a coordinator's folder.
+    /// Reads the state in a coordinator's data folder.
     ///
     /// # Errors
     /// When there is no state, or it can't be read.
@@ -56,11 +57,8 @@
         let snapshot =
             DurableState::recover(recovered.snapshot.unwrap_or_default(), &recovered.records)?;
         let mut state = Machine::recover(&snapshot)?.state;
-        for entry in snapshot
-            .entries
-            .iter()
-            .filter(|entry| entry.position.index <= snapshot.committed)
-        {
+        let is_committed = |entry: &&Entry| entry.position.index <= snapshot.committed;
+        for entry in snapshot.entries.iter().filter(is_committed) {
             state.apply(entry);
         }
         Ok(StateOnDisk::of(&snapshot, &state, records))
@@ -68,15 +66,7 @@
 
     fn of(snapshot: &DurableState, state: &State, records: usize) -> StateOnDisk {
         let view = &snapshot.agreement.current;
-        let mut jobs: BTreeMap<String, BTreeMap<String, usize>> = BTreeMap::new();
-        for job in state.jobs.values() {
-            let of_queue = jobs.entry(job.submission.queue.clone()).or_default();
-            *of_queue.entry(job.phase.word().to_owned()).or_default() += 1;
-        }
-        let runs = state
-            .workers
-            .iter()
-            .filter(|(_, worker)| !worker.runs.is_empty());
+        let is_uncommitted = |entry: &&Entry| entry.position > state.position;
         StateOnDisk {
             disk: format!("{:016x}", snapshot.disk),
             view: view.number.0,
@@ -89,17 +79,11 @@
             complete_up_to_view: snapshot.synchronized.map(|view| view.0),
             records,
             applied_entry: state.position.index.0,
-            entries_after: snapshot
-                .entries
-                .iter()
-                .filter(|entry| entry.position > state.position)
-                .count(),
+            entries_after: snapshot.entries.iter().filter(is_uncommitted).count(),
             configuration: state.configuration.version,
             roles: RoleDescription::all(state),
-            jobs,
-            runs: runs
-                .map(|(incarnation, worker)| (incarnation.clone(), worker.runs.len()))
-                .collect(),
+            jobs: jobs_by_queue(state),
+            runs: runs_by_worker(state),
             contradictions: state
                 .inconsistencies()
                 .iter()
@@ -108,7 +92,7 @@
         }
     }
 
-    /// In one line.
+    /// A summary of one line.
     pub fn summary(&self) -> String {
         let jobs: usize = self.jobs.values().flat_map(BTreeMap::values).sum();
         format!(
@@ -126,6 +110,23 @@
     }
 }
 
+fn jobs_by_queue(state: &State) -> BTreeMap<String, BTreeMap<String, usize>> {
+    let mut queues: BTreeMap<String, BTreeMap<String, usize>> = BTreeMap::new();
+    for job in state.jobs.values() {
+        let by_phase = queues.entry(job.submission.queue.clone()).or_default();
+        *by_phase.entry(job.phase.word().to_owned()).or_default() += 1;
+    }
+    queues
+}
+
+fn runs_by_worker(state: &State) -> BTreeMap<String, usize> {
+    let counts = state
+        .workers
+        .iter()
+        .map(|(incarnation, worker)| (incarnation.clone(), worker.runs.len()));
+    counts.filter(|(_, count)| *count > 0).collect()
+}
+
 impl fmt::Display for StateOnDisk {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "disk           {}", self.disk)?;
--- a/system/magpiegap/src/tables.rs
+++ b/system/magpiegap/src/tables.rs
@@ -1,4 +1,4 @@
-//! What coordinators answer, as tables for operators.
+//! Tables for operators of what coordinators describe.
 use magpiegap_coordinator::{ClusterDescription, JobList, SchedulerDescription};
 use std::fmt::Write;
 
@@ -31,7 +31,7 @@
     cells.iter().map(|cell| (*cell).to_owned()).collect()
 }
 
-/// A list of jobs.
+/// The table of a list of jobs.
 pub fn jobs(list: &JobList) -> String {
     let mut rows = vec![row(&[
         "JOB", "STATE", "PRIORITY", "DONE", "RUNNING", "QUEUE",
@@ -54,9 +54,9 @@
     text
 }
 
-/// The state of the cluster.
+/// The table of the state of the cluster.
 pub fn cluster(cluster: &ClusterDescription) -> String {
-    let at_work = if cluster.active {
+    let activity = if cluster.active {
         "at work"
     } else {
         "not in the chain"
@@ -67,7 +67,7 @@
             &format!("{}: chain {}", cluster.view, cluster.chain.join(" > ")),
         ]),
         row(&["voters", &cluster.voters.to_string()]),
-        row(&["this one", at_work]),
+        row(&["this one", activity]),
         row(&["committed", &format!("entry {}", cluster.committed)]),
         row(&["configuration", &cluster.configuration.to_string()]),
         row(&[
--- a/system/magpiegap/tests/data_folder.rs
+++ b/system/magpiegap/tests/data_folder.rs
@@ -257,6 +257,10 @@
 }
 
 /// What is in the snapshots.
+#[expect(
+    clippy::too_many_lines,
+    reason = "a table of commands, one of each kind"
+)]
 fn earlier_commands() -> Vec<Command> {
     let runs = (0..3).map(|index| {
         run(
--- a/system/magpiegap/tests/metrics.rs
+++ b/system/magpiegap/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The figures that monitoring systems scrape.
+//! The metrics that monitoring systems scrape.
 use googletest::prelude::*;
 use magpiegap::metrics::to_text;
 use magpiegap_coordinator::{ClusterDescription, Counters, SchedulerDescription};
@@ -32,7 +32,7 @@
 }
 
 #[googletest::test]
-fn given_a_coordinator_when_it_is_scraped_then_its_figures_are_in_the_usual_text_format() {
+fn given_a_coordinator_when_it_is_scraped_then_its_metrics_are_in_the_standard_text_format() {
     let text = to_text(cluster());
     let lines: Vec<&str> = text.lines().collect();
     expect_that!(lines, contains(eq(&"# TYPE magpiegap_view gauge")));
--- a/system/magpiegap/tests/worker_connections.rs
+++ b/system/magpiegap/tests/worker_connections.rs
@@ -1,4 +1,4 @@
-//! Calls to workers use lasting connections, and say when there is no answer.
+//! Calls to workers use persistent connections, and fail when there is no response.
 mod common;
 
 use bytes::Bytes;
@@ -12,7 +12,7 @@
 
 /// The body of every request.
 const BODY: &[u8] = b"{}";
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}";
+const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}";
 
 fn request() -> Request<Full<Bytes>> {
     let request = Request::post("/-/hold")
@@ -28,7 +28,10 @@
         let (mut stream, _) = listener.accept().await.expect("a connection");
         for _ in 0..2 {
             read_request(&mut stream, BODY).await;
-            stream.write_all(ANSWER).await.expect("an open connection");
+            stream
+                .write_all(RESPONSE)
+                .await
+                .expect("an open connection");
         }
     });
     let connections = WorkerConnections::default();
@@ -36,7 +39,7 @@
         let (status, body) = connections
             .call(address, request(), LONG)
             .await
-            .expect("an answer");
+            .expect("a response");
         assert_that!(status.as_u16(), eq(200));
         assert_that!(body.as_ref(), eq(b"{}"));
     }
@@ -44,14 +47,17 @@
 }
 
 #[tokio::test]
-async fn given_a_worker_that_closes_after_each_answer_when_it_is_called_twice_then_both_calls_are_answered(
+async fn given_a_worker_that_closes_after_each_response_when_it_is_called_twice_then_both_calls_get_a_response(
 ) {
     let (listener, address) = listen().await;
     tokio::spawn(async move {
         loop {
             let (mut stream, _) = listener.accept().await.expect("a connection");
             read_request(&mut stream, BODY).await;
-            stream.write_all(ANSWER).await.expect("an open connection");
+            stream
+                .write_all(RESPONSE)
+                .await
+                .expect("an open connection");
             stream.shutdown().await.expect("an open connection");
         }
     });
@@ -60,7 +66,7 @@
         let (status, _) = connections
             .call(address, request(), LONG)
             .await
-            .expect("an answer");
+            .expect("a response");
         assert_that!(status.as_u16(), eq(200));
     }
 }
@@ -76,7 +82,7 @@
 }
 
 #[tokio::test]
-async fn given_a_worker_that_does_not_answer_when_the_time_is_over_then_the_call_ends() {
+async fn given_a_worker_that_does_not_respond_when_the_timeout_is_over_then_the_call_ends() {
     let (_listener, address) = listen().await;
     let called = WorkerConnections::default()
         .call(address, request(), Duration::from_millis(20))
@@ -85,13 +91,13 @@
 }
 
 #[tokio::test]
-async fn given_an_answer_that_is_cut_off_when_it_is_read_then_it_is_no_answer() {
+async fn given_a_response_that_is_truncated_when_it_is_read_then_the_call_fails() {
     let (listener, address) = listen().await;
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         read_request(&mut stream, BODY).await;
         stream
-            .write_all(&ANSWER[..ANSWER.len() - 1])
+            .write_all(&RESPONSE[..RESPONSE.len() - 1])
             .await
             .expect("an open connection");
     });
@@ -109,7 +115,10 @@
         for _ in 0..2 {
             let (mut stream, _) = listener.accept().await.expect("a connection for each call");
             read_request(&mut stream, BODY).await;
-            stream.write_all(ANSWER).await.expect("an open connection");
+            stream
+                .write_all(RESPONSE)
+                .await
+                .expect("an open connection");
             let mut rest = [0; 1];
             assert_that!(stream.read(&mut rest).await.expect("a proper end"), eq(0));
         }
@@ -119,19 +128,19 @@
         connections
             .call(address, request(), LONG)
             .await
-            .expect("an answer");
+            .expect("a response");
     }
     worker.await.expect("each call had a connection of its own");
     assert_that!(connections.open(), eq(0));
 }
 
-/// An answer that can be told from others.
+/// A response that differs from others.
 fn numbered(number: u8) -> Vec<u8> {
     format!("HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n{number}").into_bytes()
 }
 
 #[tokio::test]
-async fn given_an_answer_that_comes_after_the_call_has_ended_when_the_next_call_is_made_then_it_gets_its_own(
+async fn given_a_response_that_comes_after_the_call_has_timed_out_when_the_next_call_is_made_then_it_gets_its_own(
 ) {
     let (listener, address) = listen().await;
     let (ended, call_ended) = tokio::sync::oneshot::channel::<()>();
@@ -157,13 +166,13 @@
     let (_, body) = connections
         .call(address, request(), LONG)
         .await
-        .expect("an answer");
+        .expect("a response");
     assert_that!(body.as_ref(), eq(b"2"));
 }
 
 #[tokio::test]
-async fn given_a_worker_that_answers_twice_when_the_next_call_is_made_then_it_gets_its_own_answer()
-{
+async fn given_a_worker_that_responds_twice_when_the_next_call_is_made_then_it_gets_its_own_response(
+) {
     let (listener, address) = listen().await;
     tokio::spawn(async move {
         let (mut first, _) = listener.accept().await.expect("a connection");
@@ -181,33 +190,36 @@
     let (_, body) = connections
         .call(address, request(), LONG)
         .await
-        .expect("an answer");
+        .expect("a response");
     assert_that!(body.as_ref(), eq(b"1"));
     let (_, body) = connections
         .call(address, request(), LONG)
         .await
-        .expect("an answer");
+        .expect("a response");
     assert_that!(body.as_ref(), eq(b"2"));
 }
 
 #[tokio::test]
-async fn given_a_kept_connection_that_is_reset_under_a_call_when_it_ends_then_the_call_was_sent_once(
+async fn given_an_idle_connection_that_is_reset_under_a_call_when_it_ends_then_the_call_was_sent_once(
 ) {
     let (listener, address) = listen().await;
     let worker = tokio::spawn(async move {
-        let (mut kept, _) = listener.accept().await.expect("a connection");
-        read_request(&mut kept, BODY).await;
-        kept.write_all(ANSWER).await.expect("an open connection");
-        read_request(&mut kept, BODY).await;
+        let (mut reused, _) = listener.accept().await.expect("a connection");
+        read_request(&mut reused, BODY).await;
+        reused
+            .write_all(RESPONSE)
+            .await
+            .expect("an open connection");
+        read_request(&mut reused, BODY).await;
         // A second request on the way makes the end a reset.
-        reset(kept);
+        reset(reused);
         stays_quiet(&listener).await
     });
     let connections = WorkerConnections::default();
     connections
         .call(address, request(), LONG)
         .await
-        .expect("an answer");
+        .expect("a response");
     let reset = connections.call(address, request(), LONG).await;
     assert_that!(reset.is_err(), eq(true));
     assert_that!(
