--- a/system/coordinator/src/coordinator.rs
+++ b/system/coordinator/src/coordinator.rs
@@ -3,16 +3,9 @@
 //! The inputs and what follows from each stand in [`crate::steps`]; each concern (roles, proposals, requests, reads,
 //! feed, platform list) has a module with its part of the implementation.
 use crate::{
-    counters::Counters,
-    job_query::PendingRead,
-    machine::Machine,
-    operation::{OperationId, PendingOperation},
-    outage::Outage,
-    outputs::Output,
-    pending_poll::PendingPoll,
-    platform_reader::PlatformReader,
-    proposal::Proposal,
-    settings::CoordinatorSettings,
+    counters::Counters, job_query::PendingRead, machine::Machine, operation::PendingOperations,
+    outage::Outage, outputs::Output, pending_poll::PendingPoll, platform_reader::PlatformReader,
+    proposal::Proposal, settings::CoordinatorSettings,
 };
 use magpiegap_control::{DurableState, Output as ControlOutput, Replica, TimeOfDay};
 use magpiegap_distribution::ConfigurationSource;
@@ -40,11 +33,9 @@
     /// Proposals in flight, by their sequence number.
     pub(crate) proposals: BTreeMap<u64, Proposal>,
     /// The last number given to a proposal or a call to the platform.
-    pub(crate) next_sequence: u64,
+    pub(crate) last_sequence: u64,
     pub(crate) last_proposed_at: Millis,
-    pub(crate) pending_operations: BTreeMap<OperationId, PendingOperation>,
-    /// The last number given to an operation.
-    pub(crate) next_operation: OperationId,
+    pub(crate) operations: PendingOperations,
     /// Queries that wait until the view is confirmed.
     pub(crate) pending_reads: Vec<PendingRead>,
     /// How long there has been no contact with a majority of the voters.
@@ -90,10 +81,9 @@
             platform_list: None,
             roles_vacant_since: BTreeMap::new(),
             proposals: BTreeMap::new(),
-            next_sequence: 0,
+            last_sequence: 0,
             last_proposed_at: 0,
-            pending_operations: BTreeMap::new(),
-            next_operation: 0,
+            operations: PendingOperations::default(),
             pending_reads: Vec::new(),
             contact_outage: Outage::default(),
             information_outage: Outage::default(),
--- a/system/coordinator/src/describe.rs
+++ b/system/coordinator/src/describe.rs
@@ -96,7 +96,7 @@
             view: view.number.0,
             settled: self.has_committed_in_view,
             proposals: self.proposals.len(),
-            requests: self.pending_operations.len(),
+            requests: self.operations.len(),
             chain: view
                 .chain
                 .iter()
--- a/system/coordinator/src/platform.rs
+++ b/system/coordinator/src/platform.rs
@@ -34,8 +34,8 @@
     }
 
     fn request_platform_page(&mut self, page: Option<String>) {
-        self.next_sequence += 1;
-        let call = self.next_sequence;
+        self.last_sequence += 1;
+        let call = self.last_sequence;
         if let Some(reader) = self.platform_reader.as_mut() {
             reader.begin_call(call, self.now);
             self.outputs.push(Output::ListWorkers { call, page });
--- a/system/coordinator/src/proposals.rs
+++ b/system/coordinator/src/proposals.rs
@@ -21,8 +21,8 @@
 impl Coordinator {
     /// Proposes a command. Returns whether it is in flight.
     pub(crate) fn propose(&mut self, proposed: Proposed) -> bool {
-        self.next_sequence += 1;
-        let sequence = self.next_sequence;
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
         if !self.submit_to_log(sequence, &proposed) {
             return false;
         }
@@ -71,24 +71,9 @@
 
     /// Starts an operation, or adds the request to one in progress that has the same effect.
     pub(crate) fn start_operation(&mut self, operation: Operation, request: RequestId) {
-        let same = self
-            .pending_operations
-            .values_mut()
-            .find(|pending| pending.operation.is_same(&operation));
-        if let Some(pending) = same {
-            pending.requests.push(request);
-            return;
+        if let Some(id) = self.operations.add(operation, request, self.now) {
+            self.propose_operation(id);
         }
-        self.next_operation += 1;
-        let id = self.next_operation;
-        let pending = PendingOperation {
-            operation,
-            requests: vec![request],
-            started_at: self.now,
-            was_proposed: false,
-        };
-        self.pending_operations.insert(id, pending);
-        self.propose_operation(id);
     }
 
     /// Proposes what completes an operation.
@@ -96,12 +81,11 @@
         if !self.has_committed_in_view {
             return;
         }
-        let Some(pending) = self.pending_operations.get(&id).cloned() else {
+        let Some(pending) = self.operations.get(id).cloned() else {
             return;
         };
-        let response_without_outcome = pending.response_without_outcome();
         let Some(proposed) = self.proposed_for(pending.operation) else {
-            self.complete_operation(id, &response_without_outcome);
+            self.end_operation(id);
             return;
         };
         let proposed = Proposed {
@@ -109,9 +93,7 @@
             ..proposed
         };
         if self.propose(proposed) {
-            if let Some(pending) = self.pending_operations.get_mut(&id) {
-                pending.was_proposed = true;
-            }
+            self.operations.mark_proposed(id);
         }
     }
 
@@ -137,7 +119,7 @@
 
     /// Responds to all requests that wait for an operation.
     pub(crate) fn complete_operation(&mut self, id: OperationId, response: &CoordinatorResponse) {
-        let Some(pending) = self.pending_operations.remove(&id) else {
+        let Some(pending) = self.operations.remove(id) else {
             return;
         };
         for request in pending.requests {
@@ -155,18 +137,20 @@
         let is_expired = |pending: &PendingOperation| {
             has_lost_contact || now >= pending.started_at + OPERATION_TIMEOUT_MS
         };
-        let expired: Vec<(OperationId, CoordinatorResponse)> = self
-            .pending_operations
-            .iter()
-            .filter(|(_, pending)| is_expired(pending))
-            .map(|(id, pending)| (*id, pending.response_without_outcome()))
-            .collect();
-        for (id, response) in expired {
+        for id in self.operations.matching(|_, pending| is_expired(pending)) {
+            self.end_operation(id);
+        }
+    }
+
+    /// Ends an operation without an outcome.
+    fn end_operation(&mut self, id: OperationId) {
+        let pending = self.operations.get(id);
+        if let Some(response) = pending.map(PendingOperation::response_without_outcome) {
             self.complete_operation(id, &response);
         }
     }
 
-    /// Proposes anew what a view change has left open.
+    /// Proposes the operations again that a view change has left without a proposal in flight.
     pub(crate) fn propose_open_operations(&mut self) {
         // After a pause of this process some may be old, and their callers long since served by others.
         self.expire_operations();
@@ -177,12 +161,7 @@
             .values()
             .filter_map(|proposal| proposal.proposed.operation)
             .collect();
-        let open: Vec<OperationId> = self
-            .pending_operations
-            .keys()
-            .copied()
-            .filter(|id| !in_flight.contains(id))
-            .collect();
+        let open = self.operations.matching(|id, _| !in_flight.contains(&id));
         for id in open {
             self.propose_operation(id);
         }
--- a/system/coordinator/src/requests.rs
+++ b/system/coordinator/src/requests.rs
@@ -18,10 +18,10 @@
         now: Millis,
         clock: WallMillis,
         request: RequestId,
-        what: CoordinatorRequest,
+        body: CoordinatorRequest,
     ) {
         self.advance_clocks(now, clock);
-        match what {
+        match body {
             CoordinatorRequest::Submit(submission) => self.submit(request, submission),
             CoordinatorRequest::Status { queue, job } => {
                 let kind = QueryKind::Status;
@@ -151,7 +151,7 @@
 
     /// Responds to the requests of an operation that an entry has decided.
     pub(crate) fn complete_operation_with(&mut self, id: OperationId, outcome: Outcome) {
-        let Some(pending) = self.pending_operations.get(&id) else {
+        let Some(pending) = self.operations.get(id) else {
             return;
         };
         let response = match (&pending.operation, outcome) {
--- a/system/magpiegap/src/agent/mod.rs
+++ b/system/magpiegap/src/agent/mod.rs
@@ -16,7 +16,7 @@
 /// How long before the end of its grace period the agent ends, in seconds: until then it serves the proxy beside it.
 const END_EARLY_S: f64 = 0.7;
 
-/// Runs an agent until it is told to end.
+/// Runs an agent until the order to end.
 ///
 /// # Errors
 /// When it can't start.
--- a/system/magpiegap/src/command_line.rs
+++ b/system/magpiegap/src/command_line.rs
@@ -377,7 +377,14 @@
 }
 
 fn job(command: &JobCommand) -> Result<(), ProgramError> {
-    let (method, target, body) = match command {
+    match command {
+        JobCommand::Submit { file, job_target } => {
+            call_proxy("POST", job_target, operator::read_file(file)?)
+        }
+        JobCommand::Status(target) | JobCommand::Count(target) => {
+            call_proxy("GET", target, Vec::new())
+        }
+        JobCommand::Cancel(target) => call_proxy("DELETE", target, Vec::new()),
         JobCommand::List {
             json,
             at,
@@ -394,12 +401,13 @@
                 ("limit", &limit),
             ];
             let path = format!("/-/Job.List?{}", operator_call::query(&fields));
-            return print_table(*at, path, *json, tables::jobs);
+            print_table(*at, path, *json, tables::jobs)
         }
-        JobCommand::Submit { file, job_target } => ("POST", job_target, operator::read_file(file)?),
-        JobCommand::Status(target) | JobCommand::Count(target) => ("GET", target, Vec::new()),
-        JobCommand::Cancel(target) => ("DELETE", target, Vec::new()),
-    };
+    }
+}
+
+/// Makes a client's call to a proxy, and prints the response.
+fn call_proxy(method: &'static str, target: &JobTarget, body: Vec<u8>) -> Result<(), ProgramError> {
     print_call(OperatorCall {
         method,
         at: Some(target.at),
--- a/system/magpiegap/src/coordinator/driver.rs
+++ b/system/magpiegap/src/coordinator/driver.rs
@@ -43,7 +43,8 @@
     links: Links,
     /// Where the responses to requests go.
     pending_responses: HashMap<RequestId, oneshot::Sender<CoordinatorResponse>>,
-    next_request: RequestId,
+    /// The last number given to a request.
+    last_request: RequestId,
     /// Messages of this coordinator to itself.
     to_self: Vec<PeerMessage>,
     /// Where the addresses of other coordinators are read again while too few of them are heard.
@@ -69,7 +70,7 @@
             coordinator,
             links,
             pending_responses: HashMap::new(),
-            next_request: 0,
+            last_request: 0,
             to_self: Vec::new(),
             settings_file,
             settings_read_at: 0,
@@ -147,10 +148,10 @@
             }
             Event::Persisted(ticket) => self.coordinator.handle_persisted(now, wall, ticket),
             Event::Request { request, response } => {
-                self.next_request += 1;
-                self.pending_responses.insert(self.next_request, response);
+                self.last_request += 1;
+                self.pending_responses.insert(self.last_request, response);
                 self.coordinator
-                    .request(now, wall, self.next_request, request);
+                    .request(now, wall, self.last_request, request);
             }
             Event::WorkerReply {
                 service,
--- a/system/magpiegap/src/coordinator/mod.rs
+++ b/system/magpiegap/src/coordinator/mod.rs
@@ -7,17 +7,13 @@
 mod peers;
 mod platform_client;
 mod request_server;
+mod servers;
 mod store;
 mod worker_client;
 pub mod worker_connections;
 
 use crate::{
-    clock::Clock,
-    endpoint,
-    error::ProgramError,
-    serving::{self, RunningServer, ServerSettings},
-    settings::NodeSettings,
-    signals::Signals,
+    clock::Clock, endpoint, error::ProgramError, settings::NodeSettings, signals::Signals,
 };
 use driver::{Driver, Links};
 use events::{Event, RequestHandle};
@@ -27,12 +23,8 @@
 use magpiegap_scheduler::SchedulerSettings;
 use peers::Peers;
 use rand::Rng;
-use rocket::http::Method;
-use std::{
-    net::{IpAddr, SocketAddr},
-    path::PathBuf,
-    time::Duration,
-};
+use servers::Servers;
+use std::{path::PathBuf, time::Duration};
 use tokio::sync::{
     mpsc::{self, UnboundedSender},
     oneshot,
@@ -56,7 +48,7 @@
 /// Once they do, callers get this long to read their responses.
 const RESPONSE_GRACE: Duration = Duration::from_millis(300);
 
-/// Runs a coordinator until it is told to end.
+/// Runs a coordinator until the order to end.
 ///
 /// # Errors
 /// When it can't start.
@@ -76,11 +68,10 @@
         },
         incarnation: rand::thread_rng().gen(),
     };
-    let client = endpoint::client();
     let links = Links {
         disk: disk::start(opened.store, events.clone()),
         peers: start_peers(&settings, own, events.clone()).await?,
-        client,
+        client: endpoint::client(),
         workers: WorkerConnections::new(max_worker_connections(&settings)),
         platform: settings.cloud.address,
     };
@@ -134,65 +125,6 @@
         })
 }
 
-/// The HTTP servers of a coordinator.
-struct Servers {
-    /// For agents and proxies.
-    requests: RunningServer,
-    /// For the operator.
-    control_plane: Option<RunningServer>,
-}
-
-impl Servers {
-    async fn start(
-        settings: &NodeSettings,
-        handle: RequestHandle,
-    ) -> Result<Servers, ProgramError> {
-        Ok(Servers {
-            requests: start_request_server(settings, handle.clone()).await?,
-            control_plane: start_control_plane(settings, handle).await?,
-        })
-    }
-
-    /// Completes the requests in flight, and ends.
-    async fn shut_down(self) {
-        self.requests.shut_down().await;
-        if let Some(server) = self.control_plane {
-            server.shut_down().await;
-        }
-    }
-}
-
-async fn start_request_server(
-    settings: &NodeSettings,
-    handle: RequestHandle,
-) -> Result<RunningServer, ProgramError> {
-    let address = SocketAddr::new(IpAddr::V4(settings.ip), settings.request_port());
-    let server = ServerSettings {
-        address,
-        keep_alive_s: 60,
-        grace_s: 1,
-    };
-    let handler = request_server::RequestHandler::new(handle);
-    serving::start(serving::server(server, &[Method::Post], handler)).await
-}
-
-async fn start_control_plane(
-    settings: &NodeSettings,
-    handle: RequestHandle,
-) -> Result<Option<RunningServer>, ProgramError> {
-    let Some(address) = settings.listen.control_plane else {
-        return Ok(None);
-    };
-    let server = ServerSettings {
-        address,
-        keep_alive_s: 15,
-        grace_s: 1,
-    };
-    let handler = control_plane::ControlPlaneHandler::new(handle, address.port());
-    let server = serving::server(server, &[Method::Get, Method::Post], handler);
-    serving::start(server).await.map(Some)
-}
-
 fn coordinator_settings(settings: &NodeSettings, own: ReplicaId) -> CoordinatorSettings {
     let bounds = settings.bounds;
     CoordinatorSettings {
--- a/system/magpiegap/src/coordinator/peers.rs
+++ b/system/magpiegap/src/coordinator/peers.rs
@@ -156,35 +156,35 @@
 async fn read_frames(stream: TcpStream, events: &UnboundedSender<Event>) {
     set_options(&stream);
     let mut stream = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
-    while let Ok(length) = stream.read_u32().await {
-        if length > MAX_FRAME_BYTES {
-            log::warn!("frame of a peer is too long length={length} max={MAX_FRAME_BYTES}");
+    while let Some(envelope) = read_frame(&mut stream).await {
+        let event = Event::PeerMessages {
+            from: envelope.from,
+            messages: envelope.messages,
+        };
+        if events.send(event).is_err() {
             return;
         }
-        let mut frame = Vec::new();
-        let mut body = (&mut stream).take(u64::from(length));
-        match body.read_to_end(&mut frame).await {
-            Ok(read) if read == length as usize => {}
-            _ => return,
-        }
-        match decode::<Envelope>(&frame) {
-            Ok(envelope) => {
-                let event = Event::PeerMessages {
-                    from: envelope.from,
-                    messages: envelope.messages,
-                };
-                if events.send(event).is_err() {
-                    return;
-                }
-            }
-            Err(error) => {
-                log::warn!("cannot decode frame of a peer error={error}");
-                return;
-            }
-        }
     }
 }
 
+/// Reads one frame. `None`: the connection has ended, or brings no frame.
+async fn read_frame(stream: &mut BufReader<TcpStream>) -> Option<Envelope> {
+    let length = stream.read_u32().await.ok()?;
+    if length > MAX_FRAME_BYTES {
+        log::warn!("frame of a peer is too long length={length} max={MAX_FRAME_BYTES}");
+        return None;
+    }
+    let mut frame = Vec::new();
+    let mut body = stream.take(u64::from(length));
+    let read = body.read_to_end(&mut frame).await.ok()?;
+    if read != length as usize {
+        return None;
+    }
+    decode::<Envelope>(&frame)
+        .inspect_err(|error| log::warn!("cannot decode frame of a peer error={error}"))
+        .ok()
+}
+
 /// Writes queued messages, on a connection that is replaced whenever it breaks or the process at the other end is a new
 /// one.
 async fn write_frames(
@@ -204,13 +204,7 @@
             first = inbox.recv() => first,
         };
         let Some(first) = first else { return };
-        let mut bytes = first.estimated_bytes();
-        let mut messages = vec![first];
-        while bytes < TARGET_FRAME_BYTES {
-            let Ok(more) = inbox.try_recv() else { break };
-            bytes += more.estimated_bytes();
-            messages.push(more);
-        }
+        let messages = fill_frame(first, &mut inbox);
         if connection.is_none() {
             connection = connect_or_delay(address, &restarted).await;
         }
@@ -224,6 +218,18 @@
     }
 }
 
+/// Adds queued messages to the first one of a frame, up to about [`TARGET_FRAME_BYTES`].
+fn fill_frame(first: PeerMessage, inbox: &mut mpsc::Receiver<PeerMessage>) -> Vec<PeerMessage> {
+    let mut bytes = first.estimated_bytes();
+    let mut messages = vec![first];
+    while bytes < TARGET_FRAME_BYTES {
+        let Ok(message) = inbox.try_recv() else { break };
+        bytes += message.estimated_bytes();
+        messages.push(message);
+    }
+    messages
+}
+
 /// Writes a frame as long as the other end takes bytes of it: a large one may take any time.
 ///
 /// # Errors
--- a/system/magpiegap/src/coordinator/worker_client.rs
+++ b/system/magpiegap/src/coordinator/worker_client.rs
@@ -14,6 +14,7 @@
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, time::Duration};
 
+/// The body of an order to start a run.
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 struct StartBody<'a> {
@@ -21,26 +22,32 @@
     run_id: u32,
     spec: &'a str,
     deadline_ms: u64,
-    fence_token: u64,
+    #[serde(rename = "fenceToken")]
+    fencing_token: u64,
     #[serde(skip_serializing_if = "str::is_empty")]
     checkpointed: &'a str,
 }
 
+/// The body of an order to stop a run.
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 struct StopBody {
     task: String,
     run_id: u32,
-    fence_token: u64,
+    #[serde(rename = "fenceToken")]
+    fencing_token: u64,
 }
 
+/// The body of a lease renewal, or of a long poll where it waits.
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 struct LeaseBody {
     #[serde(skip_serializing_if = "Option::is_none")]
     deadline_ms: Option<u64>,
-    fence_token: u64,
-    last_seen: u64,
+    #[serde(rename = "fenceToken")]
+    fencing_token: u64,
+    #[serde(rename = "lastSeen")]
+    acknowledged_completion: u64,
     #[serde(skip_serializing_if = "Option::is_none")]
     wait_ms: Option<u64>,
 }
@@ -127,7 +134,7 @@
 }
 
 fn path_and_body(call: &WorkerCall) -> (&'static str, Vec<u8>) {
-    let fence_token = call.token.0;
+    let fencing_token = call.token.0;
     let (path, body) = match &call.order {
         WorkerOrder::Start {
             task,
@@ -141,7 +148,7 @@
                 run_id: *run,
                 spec,
                 deadline_ms: *deadline_ms,
-                fence_token,
+                fencing_token,
                 checkpointed: checkpoint,
             };
             ("/-/run-start", serde_json::to_vec(&body))
@@ -150,7 +157,7 @@
             let body = StopBody {
                 task: task.to_string(),
                 run_id: *run,
-                fence_token,
+                fencing_token,
             };
             ("/-/run-stop", serde_json::to_vec(&body))
         }
@@ -162,8 +169,8 @@
             let wait_ms = (*wait_ms > 0).then_some(*wait_ms);
             let body = LeaseBody {
                 deadline_ms: *deadline_ms,
-                fence_token,
-                last_seen: *last_seen,
+                fencing_token,
+                acknowledged_completion: *last_seen,
                 wait_ms,
             };
             ("/-/hold", serde_json::to_vec(&body))
--- a/system/magpiegap/src/proxy/admission.rs
+++ b/system/magpiegap/src/proxy/admission.rs
@@ -46,7 +46,7 @@
     queues: Vec<String>,
     /// The upstream that is in force.
     upstream: Option<UpstreamId>,
-    next_request: u32,
+    last_request: u32,
 }
 
 /// Admission for all services.
@@ -199,7 +199,7 @@
                 balancer,
                 queues: Vec::new(),
                 upstream: None,
-                next_request: 0,
+                last_request: 0,
             },
             Err(error) => unreachable!("{error}"),
         }
@@ -215,8 +215,8 @@
         actions: &mut Vec<Action>,
     ) -> RequestId {
         self.set_upstream(upstream, now, actions);
-        self.next_request = self.next_request.wrapping_add(1);
-        let id = RequestId(self.next_request);
+        self.last_request = self.last_request.wrapping_add(1);
+        let id = RequestId(self.last_request);
         let request = Request {
             id,
             class: 0,
--- a/system/magpiegap/src/proxy/mod.rs
+++ b/system/magpiegap/src/proxy/mod.rs
@@ -23,7 +23,7 @@
 /// Grace period of requests in flight after that, in seconds.
 const SHUTDOWN_GRACE_S: u32 = 2;
 
-/// Runs a proxy until it is told to end.
+/// Runs a proxy until the order to end.
 ///
 /// # Errors
 /// When it can't start.
--- a/system/magpiegap/src/settings.rs
+++ b/system/magpiegap/src/settings.rs
@@ -27,12 +27,12 @@
         source: std::io::Error,
     },
     /// The file is no settings file.
-    #[error("{file}: {problem}")]
+    #[error("{file}: {}", in_one_line(source))]
     Malformed {
         /// The file.
         file: PathBuf,
         /// What is wrong, and where.
-        problem: String,
+        source: toml::de::Error,
     },
     /// A field has a value that can't be used.
     #[error("{file}: {field} must be {must}")]
@@ -46,6 +46,11 @@
     },
 }
 
+/// The text of an error without its line breaks.
+fn in_one_line(error: &toml::de::Error) -> String {
+    error.to_string().trim().replace('\n', " ")
+}
+
 /// A field with a value that can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FieldFault {
@@ -265,9 +270,9 @@
     /// # Errors
     /// When it can't be read, or is no settings file.
     pub(crate) fn parse(file: &Path) -> Result<(NodeSettings, Vec<String>), SettingsError> {
-        let malformed = |error: toml::de::Error| SettingsError::Malformed {
+        let malformed = |source: toml::de::Error| SettingsError::Malformed {
             file: file.to_owned(),
-            problem: error.to_string().trim().replace('\n', " "),
+            source,
         };
         let text = std::fs::read_to_string(file).map_err(|source| SettingsError::Unreadable {
             file: file.to_owned(),
--- a/system/magpiegap/tests/command_line.rs
+++ b/system/magpiegap/tests/command_line.rs
@@ -17,7 +17,7 @@
 }
 
 #[googletest::test]
-fn given_each_verb_when_it_is_called_as_the_pages_say_then_it_is_understood() {
+fn given_each_command_when_it_is_called_as_the_pages_say_then_it_is_accepted() {
     expect_that!(accepts(&["proxy"]), eq(true));
     expect_that!(accepts(&["agent", "--settings", "a.toml"]), eq(true));
     expect_that!(accepts(&["coordinator"]), eq(true));
@@ -94,7 +94,7 @@
 }
 
 #[googletest::test]
-fn given_a_wrong_call_when_it_is_read_then_it_is_refused() {
+fn given_a_wrong_call_when_it_is_parsed_then_it_is_rejected() {
     for words in [
         &["dance"][..],
         &["config"],
@@ -106,7 +106,7 @@
 }
 
 #[googletest::test]
-fn given_a_configuration_file_when_it_is_checked_then_its_content_or_fault_is_told() {
+fn given_a_configuration_file_when_it_is_checked_then_its_content_or_fault_is_reported() {
     let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("configuration.json");
     std::fs::write(
         &file,
@@ -127,7 +127,7 @@
 }
 
 #[googletest::test]
-fn given_a_folder_without_state_when_it_is_looked_at_then_that_is_said_and_nothing_is_made() {
+fn given_a_folder_without_state_when_it_is_read_then_that_is_reported_and_nothing_is_created() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("no-state-here");
     expect_that!(
         StateOnDisk::read(&folder).unwrap_err().to_string(),
@@ -214,7 +214,7 @@
 }
 
 #[googletest::test]
-fn given_a_state_that_contradicts_itself_when_it_is_read_then_the_place_is_named() {
+fn given_a_state_that_contradicts_itself_when_it_is_read_then_the_contradiction_is_reported() {
     let mut state = State::default();
     state.open_jobs.insert("h/q/".to_owned(), 3);
     let shown = StateOnDisk::read(&write_state("state-contradicts", &state)).unwrap();
@@ -225,7 +225,7 @@
 }
 
 #[googletest::test]
-fn given_a_list_of_jobs_when_it_is_printed_then_columns_stand_in_line() {
+fn given_a_list_of_jobs_when_it_is_printed_then_columns_are_aligned() {
     let line = |job: &str, state: &str, tasks| JobLine {
         job: job.to_owned(),
         queue: "h/q/".to_owned(),
--- a/system/magpiegap/tests/common/mod.rs
+++ b/system/magpiegap/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins on sockets that the stories of calls share.
+//! Servers on loopback sockets that the tests of calls share.
 use std::{net::SocketAddr, time::Duration};
 use tokio::{
     io::AsyncReadExt,
@@ -6,10 +6,10 @@
     time::timeout,
 };
 
-/// Longer than any call here takes.
+/// Longer than any call in these tests takes.
 pub(crate) const LONG: Duration = Duration::from_secs(20);
 /// A call that is sent once more would come within this time.
-const AGAIN: Duration = Duration::from_millis(150);
+const RESEND_WINDOW: Duration = Duration::from_millis(150);
 
 /// Listens on a free port.
 pub(crate) async fn listen() -> (TcpListener, SocketAddr) {
@@ -23,10 +23,10 @@
     let end = [b"\r\n\r\n", body].concat();
     let mut read = Vec::new();
     while !read.ends_with(&end) {
-        let mut part = [0; 1024];
-        let length = stream.read(&mut part).await.expect("a request");
+        let mut buffer = [0; 1024];
+        let length = stream.read(&mut buffer).await.expect("a request");
         assert!(length > 0, "the connection ended");
-        read.extend_from_slice(&part[..length]);
+        read.extend_from_slice(&buffer[..length]);
     }
 }
 
@@ -38,7 +38,7 @@
     drop(stream);
 }
 
-/// Whether nobody connects once more.
-pub(crate) async fn stays_quiet(listener: &TcpListener) -> bool {
-    timeout(AGAIN, listener.accept()).await.is_err()
+/// Whether no further connection comes.
+pub(crate) async fn has_no_further_connection(listener: &TcpListener) -> bool {
+    timeout(RESEND_WINDOW, listener.accept()).await.is_err()
 }
--- a/system/magpiegap/tests/jobs.rs
+++ b/system/magpiegap/tests/jobs.rs
@@ -70,7 +70,7 @@
 }
 
 #[googletest::test]
-fn given_a_fresh_proxy_when_a_few_jobs_come_then_none_is_turned_away() {
+fn given_a_fresh_proxy_when_a_few_jobs_come_then_none_is_rejected() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -79,7 +79,7 @@
 }
 
 #[googletest::test]
-fn given_more_than_the_total_when_it_comes_at_once_then_some_are_turned_away_with_advice() {
+fn given_more_than_the_total_when_it_comes_at_once_then_some_are_rejected_with_a_delay() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/system/magpiegap/tests/settings.rs
+++ b/system/magpiegap/tests/settings.rs
@@ -92,7 +92,7 @@
 }
 
 #[googletest::test]
-fn given_fields_of_others_when_settings_are_checked_then_they_are_told_and_ignored() {
+fn given_fields_of_others_when_settings_are_checked_then_they_are_reported_and_ignored() {
     let text = FINE.replace("[bounds]", "[bounds]\nlater_ms = 3");
     let report = SettingsReport::of(&file("unused", &text)).unwrap();
     expect_that!(report.is_fine(), eq(true));
@@ -104,7 +104,7 @@
 }
 
 #[googletest::test]
-fn given_a_way_of_commands_that_is_not_known_when_settings_are_checked_then_that_is_a_warning() {
+fn given_an_unknown_value_of_commands_when_settings_are_checked_then_that_is_a_warning() {
     let text = FINE.replace(
         "someLaterField = { a = 1 }",
         "commands = \"heartbeat\"\nzone = \"a\"",
