--- a/system/magpiegap/src/coordinator/control_plane.rs
+++ b/system/magpiegap/src/coordinator/control_plane.rs
@@ -1,10 +1,10 @@
 //! The operator's interface: calls over HTTP, each answered by this coordinator or redirected to the one that can.
-use super::{events::RequestHandle, metrics};
+use super::{events::RequestHandle, job_filter::job_filter, metrics};
 use crate::serving::read_body;
-use magpiegap_protocol::{CoordinatorRequest, CoordinatorResponse, JobFilter, JobId, JobPhase};
+use magpiegap_protocol::{CoordinatorRequest, CoordinatorResponse, JobId};
 use rocket::{
     data::Data,
-    http::{ContentType, Header, Method, RawStr, Status},
+    http::{ContentType, Header, Method, Status},
     response::{self, Responder, Response},
     route::{Handler, Outcome},
     Request,
@@ -13,8 +13,6 @@
 
 /// The path of a job's explanation, before its name.
 const EXPLAIN_PATH: &str = "/-/Job.Explain/";
-/// Maximum number of jobs in a list where no other limit is requested.
-const DEFAULT_LIST_LIMIT: u32 = 100;
 /// Maximum length of a configuration, in bytes.
 const MAX_BODY_BYTES: u64 = 16 << 20;
 
@@ -200,58 +198,6 @@
     }
 }
 
-/// Why a query of the list of jobs can't be used.
-#[derive(Debug, thiserror::Error)]
-enum JobFilterError {
-    /// A field has a value that can't be used.
-    #[error("{field}: must be {must}")]
-    Field {
-        field: String,
-        /// What it must be.
-        must: &'static str,
-    },
-    /// There is no field of that name.
-    #[error("{0}: there is no such field")]
-    UnknownField(String),
-}
-
-/// Reads which jobs are to be listed: `queue`, `state`, `after` and `limit` in the query.
-fn job_filter(request: &Request<'_>) -> Result<JobFilter, JobFilterError> {
-    let mut filter = JobFilter {
-        limit: DEFAULT_LIST_LIMIT,
-        ..JobFilter::default()
-    };
-    let fields = request.uri().query().map(|query| query.segments());
-    for (name, value) in fields.into_iter().flatten() {
-        let must_be = |must: &'static str| JobFilterError::Field {
-            field: name.to_owned(),
-            must,
-        };
-        match name {
-            "queue" => filter.queue = Some(percent_decoded(value)),
-            "state" => {
-                let phases = "pending, running, succeeded, failed or cancelled";
-                let phase = JobPhase::parse(value).ok_or_else(|| must_be(phases))?;
-                filter.phase = Some(phase);
-            }
-            "after" => {
-                let job = JobId::parse(value).ok_or_else(|| must_be("16 hexadecimal digits"))?;
-                filter.after = Some(job);
-            }
-            "limit" => filter.limit = value.parse().map_err(|_| must_be("a whole number"))?,
-            _ => return Err(JobFilterError::UnknownField(name.to_owned())),
-        }
-    }
-    Ok(filter)
-}
-
-/// A value of a query; one that is not properly encoded stays as it is.
-fn percent_decoded(value: &str) -> String {
-    RawStr::new(value)
-        .url_decode()
-        .map_or_else(|_| value.to_owned(), |decoded| decoded.into_owned())
-}
-
 fn unavailable() -> Reply {
     Reply::text(
         Status::ServiceUnavailable,
--- a/system/magpiegap/src/coordinator/mod.rs
+++ b/system/magpiegap/src/coordinator/mod.rs
@@ -3,6 +3,7 @@
 mod disk;
 mod driver;
 mod events;
+mod job_filter;
 pub mod metrics;
 mod peers;
 mod platform_client;
--- a/system/magpiegap/src/lib.rs
+++ b/system/magpiegap/src/lib.rs
@@ -7,6 +7,7 @@
 mod agent;
 mod clock;
 mod command_line;
+mod commands;
 mod coordinator;
 pub mod endpoint;
 mod error;
@@ -22,7 +23,8 @@
 pub mod tables;
 
 pub use agent::link;
-pub use command_line::{command_line, parser, run, CommandLine};
+pub use command_line::{command_line, parser, CommandLine};
+pub use commands::run;
 pub use coordinator::{metrics, worker_connections};
 pub use error::ProgramError;
 pub use operator::check_configuration;
--- a/system/magpiegap/src/proxy/admission.rs
+++ b/system/magpiegap/src/proxy/admission.rs
@@ -1,27 +1,15 @@
 //! Admission control of submissions, by the decision module.
 //!
-//! For each service one [`Balancer`] decides: a call is a submission, a tenant is the queue, and the upstream
+//! For each service one [`balancer_core::Balancer`] decides: a call is a submission, a tenant is the queue, and the upstream
 //! is the coordinator that schedules the service. From the outcomes of calls it learns how many it may admit.
-use balancer_core::{
-    Action, Availability, Balancer, Class, Ending, Event, Member, Membership, Refusal, Request,
-    RequestId, Settings, Tenant, UpstreamId,
-};
+use super::service_admission::ServiceAdmission;
+use balancer_core::{Action, Ending, Event, Refusal, RequestId, UpstreamId};
 use std::{
     collections::HashMap,
     sync::{Arc, Mutex, MutexGuard, PoisonError},
     time::{Duration, Instant},
 };
 
-/// Maximum number of queues of one service that are tenants of their own; further ones share the last tenant.
-const MAX_TENANTS: usize = 64;
-/// Submissions a second that a proxy admits for each tenant before it has learned more, and the floor to which failures
-/// lower them. All tenants together stay below what one scheduler takes.
-const QUOTA_PER_S: f64 = 1.0;
-/// Latency target of a submission, in milliseconds.
-const LATENCY_TARGET_MS: f64 = 3000.0;
-/// Maximum delay that a rejected client is advised, in milliseconds.
-const MAX_RETRY_AFTER_MS: f64 = 2000.0;
-
 /// A call that was rejected, and when it may come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejected {
@@ -39,16 +27,6 @@
     }
 }
 
-/// Admission of one service.
-struct ServiceAdmission {
-    balancer: Balancer,
-    /// The queues that are tenants of their own, in the order of the tenants.
-    queues: Vec<String>,
-    /// The upstream that is in force.
-    upstream: Option<UpstreamId>,
-    last_request: u32,
-}
-
 /// Admission for all services.
 pub struct Admission {
     start: Instant,
@@ -162,7 +140,7 @@
         let now = self.now_ms();
         let mut actions = Vec::new();
         if let Some(service_admission) = self.services().get_mut(service) {
-            service_admission.balancer.handle(now, event, &mut actions);
+            service_admission.handle_event(now, event, &mut actions);
         }
         for action in actions {
             self.perform(service, action);
@@ -170,94 +148,6 @@
     }
 }
 
-impl ServiceAdmission {
-    fn new(now: f64) -> ServiceAdmission {
-        let settings = Settings {
-            classes: vec![Class {
-                objective: LATENCY_TARGET_MS,
-                deadline: 2.0 * LATENCY_TARGET_MS,
-                late_worth: 0.3,
-                ..Class::default()
-            }],
-            tenants: vec![
-                Tenant {
-                    share: 1.0,
-                    quota_per_s: QUOTA_PER_S
-                };
-                MAX_TENANTS
-            ],
-            // The call retries itself: submissions are idempotent, and only it knows where to send them.
-            attempts_cap: 1,
-            max_retry_after: MAX_RETRY_AFTER_MS,
-            ..Settings::default()
-        };
-        // These settings are constant, and valid.
-        let balancer = Balancer::new(settings, 1, now);
-        let balancer = balancer.or_else(|_| Balancer::new(Settings::default(), 1, now));
-        match balancer {
-            Ok(balancer) => ServiceAdmission {
-                balancer,
-                queues: Vec::new(),
-                upstream: None,
-                last_request: 0,
-            },
-            Err(error) => unreachable!("{error}"),
-        }
-    }
-
-    /// Hands a new request of a queue to the decision module. Returns its identity.
-    fn handle_request(
-        &mut self,
-        queue: &str,
-        upstream: UpstreamId,
-        now: f64,
-        deadline: f64,
-        actions: &mut Vec<Action>,
-    ) -> RequestId {
-        self.set_upstream(upstream, now, actions);
-        self.last_request = self.last_request.wrapping_add(1);
-        let id = RequestId(self.last_request);
-        let request = Request {
-            id,
-            class: 0,
-            tenant: self.tenant(queue),
-            deadline,
-            tie: u64::from(id.0),
-        };
-        self.balancer.handle(now, Event::Request(request), actions);
-        id
-    }
-
-    fn set_upstream(&mut self, upstream: UpstreamId, now: f64, actions: &mut Vec<Action>) {
-        if self.upstream == Some(upstream) {
-            return;
-        }
-        self.upstream = Some(upstream);
-        let member = Member {
-            id: upstream,
-            availability: Availability::Ready,
-            ..Member::default()
-        };
-        self.balancer.handle(
-            now,
-            Event::Membership(Membership::Full(vec![member])),
-            actions,
-        );
-    }
-
-    /// The tenant of a queue; a new one while there are any left.
-    fn tenant(&mut self, queue: &str) -> usize {
-        match self.queues.iter().position(|known| known == queue) {
-            Some(tenant) => tenant,
-            None if self.queues.len() < MAX_TENANTS => {
-                self.queues.push(queue.to_owned());
-                self.queues.len() - 1
-            }
-            None => MAX_TENANTS - 1,
-        }
-    }
-}
-
 impl Admitted {
     /// Reports the outcome of the call.
     pub fn end(mut self, ending: Ending) {
--- a/system/magpiegap/src/proxy/frontend.rs
+++ b/system/magpiegap/src/proxy/frontend.rs
@@ -8,7 +8,9 @@
 use crate::serving::read_body;
 use balancer_core::Ending;
 use magpiegap_jobs::{Configuration, Route};
-use magpiegap_protocol::{CoordinatorRequest, CoordinatorResponse, JobId, Submission, WallMillis};
+use magpiegap_protocol::{
+    CoordinatorRequest, CoordinatorResponse, JobId, JobSpec, Submission, WallMillis,
+};
 use rocket::{
     data::Data,
     http::{ContentType, Header, Method, Status},
@@ -139,17 +141,7 @@
                 }
             }
         };
-        let submission = Submission {
-            job,
-            queue: route.queue(),
-            service: route.service.clone(),
-            priority: route.priority,
-            max_attempts: route.max_attempts,
-            stretch: route.stretch,
-            target_latency_ms: route.target_latency_ms,
-            submitted_ms: WallMillis(0),
-            spec,
-        };
+        let submission = submission(route, job, spec);
         let scheduler = self.cluster.current().scheduler_tag(&route.service);
         let admitted =
             match self
@@ -208,6 +200,21 @@
     }
 }
 
+/// The submission of a job by a route. The coordinator sets the time of its submission.
+fn submission(route: &Route, job: JobId, spec: JobSpec) -> Submission {
+    Submission {
+        job,
+        queue: route.queue(),
+        service: route.service.clone(),
+        priority: route.priority,
+        max_attempts: route.max_attempts,
+        stretch: route.stretch,
+        target_latency_ms: route.target_latency_ms,
+        submitted_ms: WallMillis(0),
+        spec,
+    }
+}
+
 /// The outcome of a submission as admission learns from it.
 fn ending(outcome: SubmitOutcome) -> Ending {
     match outcome {
--- a/system/magpiegap/src/proxy/mod.rs
+++ b/system/magpiegap/src/proxy/mod.rs
@@ -6,6 +6,7 @@
 mod frontend;
 pub mod job_body;
 mod readiness;
+mod service_admission;
 
 use crate::{
     endpoint,
--- a/system/magpiegap/src/state_on_disk.rs
+++ b/system/magpiegap/src/state_on_disk.rs
@@ -66,7 +66,7 @@
 
     fn of(snapshot: &DurableState, state: &State, records: usize) -> StateOnDisk {
         let view = &snapshot.agreement.current;
-        let is_uncommitted = |entry: &&Entry| entry.position > state.position;
+        let is_later = |entry: &&Entry| entry.position > state.position;
         StateOnDisk {
             disk: format!("{:016x}", snapshot.disk),
             view: view.number.0,
@@ -79,7 +79,7 @@
             complete_up_to_view: snapshot.synchronized.map(|view| view.0),
             records,
             applied_entry: state.position.index.0,
-            entries_after: snapshot.entries.iter().filter(is_uncommitted).count(),
+            entries_after: snapshot.entries.iter().filter(is_later).count(),
             configuration: state.configuration.version,
             roles: RoleDescription::all(state),
             jobs: jobs_by_queue(state),
--- a/system/magpiegap/tests/common/mod.rs
+++ b/system/magpiegap/tests/common/mod.rs
@@ -39,6 +39,6 @@
 }
 
 /// Whether no further connection comes.
-pub(crate) async fn has_no_further_connection(listener: &TcpListener) -> bool {
+pub(crate) async fn has_no_second_connection(listener: &TcpListener) -> bool {
     timeout(RESEND_WINDOW, listener.accept()).await.is_err()
 }
--- a/system/magpiegap/tests/endpoint.rs
+++ b/system/magpiegap/tests/endpoint.rs
@@ -1,7 +1,7 @@
 //! Calls to coordinators and agents: what is known of a call without a response, and that none is sent twice.
 mod common;
 
-use common::{has_no_further_connection, listen, read_request, reset, LONG};
+use common::{has_no_second_connection, listen, read_request, reset, LONG};
 use googletest::prelude::*;
 use magpiegap::endpoint::{call, call_while_progressing, client, CallError, ResponseTimeouts};
 use magpiegap_protocol::{encode, CoordinatorRequest, CoordinatorResponse};
@@ -40,7 +40,7 @@
         respond(&mut reused, 1).await;
         read_request(&mut reused, &encode(&count_request())).await;
         reset(reused);
-        has_no_further_connection(&listener).await
+        has_no_second_connection(&listener).await
     });
     let client = client();
     assert_that!(
--- a/system/magpiegap/tests/worker_connections.rs
+++ b/system/magpiegap/tests/worker_connections.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use bytes::Bytes;
-use common::{has_no_further_connection, listen, read_request, reset, LONG};
+use common::{has_no_second_connection, listen, read_request, reset, LONG};
 use googletest::prelude::*;
 use http_body_util::Full;
 use hyper::Request;
@@ -213,7 +213,7 @@
         read_request(&mut reused, BODY).await;
         // A second request on the way makes the end a reset.
         reset(reused);
-        has_no_further_connection(&listener).await
+        has_no_second_connection(&listener).await
     });
     let connections = WorkerConnections::default();
     connections
