--- a/system/scheduler/src/worker_list.rs
+++ b/system/scheduler/src/discovery.rs
@@ -28,15 +28,15 @@
             }
         }
         for incarnation in over {
-            self.life_is_over(&incarnation, state);
+            self.end_incarnation(&incarnation, state);
         }
         for entry in own {
-            self.list_one(entry, now, state);
+            self.refresh_worker(entry, now, state);
         }
     }
 
-    fn list_one(&mut self, entry: &WorkerEntry, now: Millis, state: &State) {
-        self.hold_news.insert(entry.incarnation.clone());
+    fn refresh_worker(&mut self, entry: &WorkerEntry, now: Millis, state: &State) {
+        self.lease_updates.insert(entry.incarnation.clone());
         let draining = entry.availability == Availability::Draining;
         if let Some(worker) = self.workers.get_mut(&entry.incarnation) {
             let news = !worker.listed
@@ -45,37 +45,37 @@
             worker.entry = entry.clone();
             worker.listed = true;
             worker.draining = draining;
-            worker.gone_at = entry.remaining_ms.map(|left| now + left);
-            self.replan |= news;
+            worker.departs_at = entry.remaining_ms.map(|left| now + left);
+            self.needs_planning |= news;
             return;
         }
-        let mut worker = Worker::new(entry.clone(), now, self.others_lapse_at());
+        let mut worker = Worker::new(entry.clone(), now, self.previous_leases_expire_at());
         if let Some(record) = state.workers.get(&entry.incarnation) {
-            worker.last_seen = record.last_seen;
-            worker.proposed_seen = record.last_seen;
+            worker.acknowledged_completion = record.last_seen;
+            worker.proposed_completion = record.last_seen;
         }
         self.workers.insert(entry.incarnation.clone(), worker);
-        self.replan = true;
+        self.needs_planning = true;
     }
 
     /// A worker's life is surely over.
-    pub(crate) fn life_is_over(&mut self, incarnation: &str, state: &State) {
+    pub(crate) fn end_incarnation(&mut self, incarnation: &str, state: &State) {
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         worker.listed = false;
         let lost = lost_runs(worker);
         if state.workers.contains_key(incarnation) {
-            self.out
+            self.outputs
                 .push(Output::Propose(Command::LoseRuns { runs: lost }));
             let incarnation = incarnation.to_owned();
-            self.out.push(Output::Propose(Command::LoseIncarnation {
+            self.outputs.push(Output::Propose(Command::LoseIncarnation {
                 incarnation,
                 ended: true,
             }));
         }
         self.workers.remove(incarnation);
-        self.replan = true;
+        self.needs_planning = true;
     }
 }
 
@@ -85,7 +85,7 @@
         task: *task,
         run: run.run,
         incarnation: worker.entry.incarnation.clone(),
-        checkpoint: run.saved.clone(),
+        checkpoint: run.latest_checkpoint.clone(),
     };
     worker.runs.iter().map(lost).collect()
 }
--- a/system/scheduler/src/explanation.rs
+++ b/system/scheduler/src/explanation.rs
@@ -16,7 +16,8 @@
     /// The service whose workers run it.
     pub service: String,
     /// What can still come of it: in time, late, too late; `None`: nothing waits.
-    pub outlook: Option<String>,
+    #[serde(rename = "outlook")]
+    pub forecast: Option<String>,
     /// All steps at all times that have fallen due and are not done.
     pub steps: Vec<StepExplanation>,
 }
@@ -66,19 +67,24 @@
     /// They are being emptied.
     pub draining: usize,
     /// They have left calls unanswered, or were not asked yet.
-    pub not_answering: usize,
+    #[serde(rename = "not_answering")]
+    pub unresponsive: usize,
     /// They are left alone for a while: their runs have failed or stood still.
-    pub left_alone: usize,
+    #[serde(rename = "left_alone")]
+    pub ejected: usize,
     /// They lack a label that the step requires.
     pub without_label: usize,
     /// They would be too small if they were empty.
     pub too_small: usize,
     /// Other runs take up their room.
-    pub without_room: usize,
+    #[serde(rename = "without_room")]
+    pub without_capacity: usize,
     /// Their room is kept for more urgent tasks.
-    pub kept_for_others: usize,
+    #[serde(rename = "kept_for_others")]
+    pub reserved_for_others: usize,
     /// They are not in the rack that holds the data.
-    pub away_from_data: usize,
+    #[serde(rename = "away_from_data")]
+    pub non_local: usize,
     /// Nothing speaks against them: the task is placed in the next round.
     pub free: usize,
 }
@@ -91,9 +97,9 @@
             .get(&id)
             .filter(|job| job.submission.service == self.service)?;
         let waiting = startable(job);
-        let outlook = waiting
+        let forecast = waiting
             .first()
-            .map(|unit| urgency(job, unit.first, self.wall).outlook);
+            .map(|unit| urgency(job, unit.first, self.wall).forecast);
         let steps = job.occurrences.iter().flat_map(|(occurrence, steps)| {
             steps
                 .steps
@@ -107,7 +113,7 @@
             state: job.phase.word(),
             queue: job.submission.queue.clone(),
             service: self.service.clone(),
-            outlook: outlook.map(|outlook| outlook.to_string()),
+            forecast: forecast.map(|forecast| forecast.to_string()),
             steps: open
                 .map(|(occurrence, step, state)| {
                     self.explain_step(job, occurrence, step, state, &waiting)
@@ -186,13 +192,13 @@
             ..WorkerCounts::default()
         };
         for worker in self.workers.values() {
-            *self.reason(&mut counts, worker, job, unit, step) += 1;
+            *self.first_obstacle(&mut counts, worker, job, unit, step) += 1;
         }
         counts
     }
 
     /// The count of the first reason for which a worker does not take a task.
-    fn reason<'a>(
+    fn first_obstacle<'a>(
         &self,
         counts: &'a mut WorkerCounts,
         worker: &Worker,
@@ -207,28 +213,30 @@
             &mut counts.not_listed
         } else if worker.draining {
             &mut counts.draining
-        } else if !worker.answers() {
-            &mut counts.not_answering
-        } else if !worker.health.takes_work(self.now) {
-            &mut counts.left_alone
+        } else if !worker.is_responsive() {
+            &mut counts.unresponsive
+        } else if !worker.health.is_schedulable(self.now) {
+            &mut counts.ejected
         } else if !worker.has_labels(&step.requirements) {
             &mut counts.without_label
         } else if !step.resources.fits(&worker.entry.capacity) {
             &mut counts.too_small
-        } else if !worker.has_room_for(&step.resources) {
-            &mut counts.without_room
+        } else if !worker.has_capacity_for(&step.resources) {
+            &mut counts.without_capacity
         } else if !self
-            .reservations
+            .nominations
             .allow(&worker.entry.incarnation, &unit.first)
-            || !self.backfill.allows(worker, &candidate, &nothing, self.now)
+            || !self
+                .backfill
+                .allows_backfill(worker, &candidate, &nothing, self.now)
         {
-            &mut counts.kept_for_others
+            &mut counts.reserved_for_others
         } else if step
             .affinity
             .as_ref()
             .is_some_and(|rack| !worker.has_label(rack))
         {
-            &mut counts.away_from_data
+            &mut counts.non_local
         } else {
             &mut counts.free
         }
--- a/system/scheduler/src/outlook.rs
+++ b/system/scheduler/src/forecast.rs
@@ -8,21 +8,21 @@
 
 /// What can still come of a job's time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Outlook {
+pub(crate) enum DeadlineForecast {
     /// It can be done in time.
-    InTime,
+    OnTime,
     /// It can be done late, for a part of its worth.
     Late,
     /// It comes too late whatever is done.
     TooLate,
 }
 
-impl fmt::Display for Outlook {
+impl fmt::Display for DeadlineForecast {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Outlook::InTime => "in time",
-            Outlook::Late => "late",
-            Outlook::TooLate => "too late",
+            DeadlineForecast::OnTime => "in time",
+            DeadlineForecast::Late => "late",
+            DeadlineForecast::TooLate => "too late",
         })
     }
 }
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LatestStarts {
     /// So that its job is done in time.
-    in_time: WallMillis,
+    on_time: WallMillis,
     /// So that its job still earns a part of its worth.
     late: WallMillis,
 }
@@ -39,12 +39,12 @@
 impl LatestStarts {
     /// Those of a task.
     pub(crate) fn of(job: &Job, task: &TaskId) -> LatestStarts {
-        let due = due_ms(job, task.occurrence);
-        let begin = begin_ms(job, task.occurrence);
+        let due = deadline_ms(job, task.occurrence);
+        let begin = period_start_ms(job, task.occurrence);
         let objective = due.since(begin);
         let left = job.submission.spec.chain_from_ms(task.step as usize);
         LatestStarts {
-            in_time: due.saturating_sub(left),
+            on_time: due.saturating_sub(left),
             late: begin
                 .saturating_add(objective.saturating_mul(LATE_FACTOR))
                 .saturating_sub(left),
@@ -52,19 +52,19 @@
     }
 
     /// What can still come of the job at this time of day.
-    pub(crate) fn outlook(&self, wall: WallMillis) -> Outlook {
-        if wall <= self.in_time {
-            Outlook::InTime
+    pub(crate) fn forecast(&self, wall: WallMillis) -> DeadlineForecast {
+        if wall <= self.on_time {
+            DeadlineForecast::OnTime
         } else if wall <= self.late {
-            Outlook::Late
+            DeadlineForecast::Late
         } else {
-            Outlook::TooLate
+            DeadlineForecast::TooLate
         }
     }
 }
 
 /// When a time of a job counts from.
-fn begin_ms(job: &Job, occurrence: u32) -> WallMillis {
+fn period_start_ms(job: &Job, occurrence: u32) -> WallMillis {
     job.submission
         .spec
         .scheduled_ms(occurrence)
@@ -72,10 +72,10 @@
 }
 
 /// When a time of a job should be done so that the job earns its worth.
-pub(crate) fn due_ms(job: &Job, occurrence: u32) -> WallMillis {
+pub(crate) fn deadline_ms(job: &Job, occurrence: u32) -> WallMillis {
     let submission = &job.submission;
     let work = submission.spec.longest_chain_ms() as f64 * submission.stretch;
-    begin_ms(job, occurrence)
+    period_start_ms(job, occurrence)
         .saturating_add(work as u64)
         .saturating_add(submission.target_latency_ms)
 }
--- a/system/scheduler/src/health.rs
+++ b/system/scheduler/src/health.rs
@@ -2,23 +2,23 @@
 use magpiegap_protocol::{JobId, Millis};
 
 /// Failures of different jobs in a row after which a worker is left alone for a while, at least ...
-const LEAST_FAILURES: usize = 2;
+const MIN_FAILURES: usize = 2;
 /// ... and at most.
-const MOST_FAILURES: usize = 3;
+const MAX_FAILURES: usize = 3;
 /// As many failures in a row as would come by chance, on a sound worker, less often than this.
-const RARE: f64 = 0.0005;
+const MAX_CHANCE: f64 = 0.0005;
 /// The weight of one run in the share of runs that fail.
 const GAIN: f64 = 0.01;
 /// First time that a worker is left alone.
-const FIRST_EJECTION_MS: Millis = 4000;
+const BASE_EJECTION_MS: Millis = 4000;
 /// Longest time that a worker is left alone.
-const LONGEST_EJECTION_MS: Millis = 30_000;
+const MAX_EJECTION_MS: Millis = 30_000;
 
 /// The share of runs that fail, over all workers of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct FailureShare(f64);
+pub(crate) struct FailureRate(f64);
 
-impl FailureShare {
+impl FailureRate {
     /// A run has ended, well or not.
     pub(crate) fn note(&mut self, failed: bool) {
         let one = if failed { 1.0 } else { 0.0 };
@@ -29,9 +29,9 @@
     /// fault, two in a row come by chance.
     pub(crate) fn failures_to_eject(self) -> usize {
         let by_chance = |failures: usize| self.0.powi(failures as i32);
-        (LEAST_FAILURES..MOST_FAILURES)
-            .find(|failures| by_chance(*failures) < RARE)
-            .unwrap_or(MOST_FAILURES)
+        (MIN_FAILURES..MAX_FAILURES)
+            .find(|failures| by_chance(*failures) < MAX_CHANCE)
+            .unwrap_or(MAX_FAILURES)
     }
 }
 
@@ -48,12 +48,12 @@
 
 impl Health {
     /// Whether the evidence allows new runs.
-    pub(crate) fn takes_work(&self, now: Millis) -> bool {
+    pub(crate) fn is_schedulable(&self, now: Millis) -> bool {
         now >= self.ejected_until
     }
 
     /// Whether it is on trial: it was left alone, and no run has ended well since.
-    pub(crate) fn on_trial(&self) -> bool {
+    pub(crate) fn is_on_probation(&self) -> bool {
         self.ejections > 0
     }
 
@@ -69,7 +69,7 @@
         if !self.failed.contains(&job) {
             self.failed.push(job);
         }
-        if self.failed.len() < failures_to_eject && !self.on_trial() {
+        if self.failed.len() < failures_to_eject && !self.is_on_probation() {
             return false;
         }
         self.eject(now);
@@ -78,8 +78,8 @@
 
     /// Leaves the worker alone for a while, each time longer.
     pub(crate) fn eject(&mut self, now: Millis) {
-        let time = FIRST_EJECTION_MS << self.ejections.min(4);
-        self.ejected_until = now + time.min(LONGEST_EJECTION_MS);
+        let time = BASE_EJECTION_MS << self.ejections.min(4);
+        self.ejected_until = now + time.min(MAX_EJECTION_MS);
         self.ejections += 1;
         self.failed.clear();
     }
--- a/system/scheduler/src/hold_waits.rs
+++ b/system/scheduler/src/lease_timing.rs
@@ -2,46 +2,46 @@
 use magpiegap_protocol::Millis;
 
 /// Longest time that a hold's answer may wait for an end, where not too many workers have runs.
-const HOLD_WAIT_MS: u64 = 500;
+const LONG_POLL_MS: u64 = 500;
 /// With more workers that have runs than this, waits are longer in proportion: looks then grow with the ends, not with
 /// the number of workers.
-const OFTEN_LOOKED_AT: u64 = 400;
+const MAX_UNSCALED_WORKERS: u64 = 400;
 /// Waits are never longer than this.
-const MOST_HOLD_WAIT_MS: u64 = 1500;
+const MAX_LONG_POLL_MS: u64 = 1500;
 /// How long a worker holds its runs: long enough for all coordinators to be started again, and no longer, since the
 /// runs of a worker that falls silent can't be started elsewhere before.
-const HOLD_MS: u64 = 3200;
+const LEASE_MS: u64 = 3200;
 
 /// How long holds wait and hold, by the number of workers that have runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct HoldWaits {
+pub(crate) struct LeaseTiming {
     wait_ms: Millis,
 }
 
-impl Default for HoldWaits {
+impl Default for LeaseTiming {
     fn default() -> Self {
-        HoldWaits {
-            wait_ms: HOLD_WAIT_MS,
+        LeaseTiming {
+            wait_ms: LONG_POLL_MS,
         }
     }
 }
 
-impl HoldWaits {
+impl LeaseTiming {
     /// For so many workers that have runs.
-    pub(crate) fn of_busy_workers(busy: usize) -> HoldWaits {
-        let proportional = HOLD_WAIT_MS.saturating_mul(busy as u64) / OFTEN_LOOKED_AT;
-        HoldWaits {
-            wait_ms: proportional.clamp(HOLD_WAIT_MS, MOST_HOLD_WAIT_MS),
+    pub(crate) fn for_busy_workers(busy: usize) -> LeaseTiming {
+        let proportional = LONG_POLL_MS.saturating_mul(busy as u64) / MAX_UNSCALED_WORKERS;
+        LeaseTiming {
+            wait_ms: proportional.clamp(LONG_POLL_MS, MAX_LONG_POLL_MS),
         }
     }
 
     /// How long an answer may wait for an end.
-    pub(crate) fn wait_ms(self) -> Millis {
+    pub(crate) fn long_poll_ms(self) -> Millis {
         self.wait_ms
     }
 
     /// How long workers are told to hold what they run: as much longer as the next hold may come later.
-    pub(crate) fn hold_ms(self, max_hold_ms: u64) -> u64 {
-        (HOLD_MS + self.wait_ms - HOLD_WAIT_MS).min(max_hold_ms * 9 / 10)
+    pub(crate) fn lease_ms(self, max_hold_ms: u64) -> u64 {
+        (LEASE_MS + self.wait_ms - LONG_POLL_MS).min(max_hold_ms * 9 / 10)
     }
 }
--- a/system/scheduler/src/holds.rs
+++ b/system/scheduler/src/leases.rs
@@ -1,7 +1,7 @@
 //! Keeps the holds on workers, and notices those that fall silent, stand still or go.
 use crate::{
     calls::{Output, WorkerOrder},
-    hold_waits::HoldWaits,
+    lease_timing::LeaseTiming,
     scheduler::{CallPurpose, Scheduler},
     worker::{remaining_ms, Run, RunPhase, Worker},
 };
@@ -9,104 +9,104 @@
 use magpiegap_protocol::{Command, Millis, TaskId};
 
 /// Longest time that a hold's answer may wait where a run makes no progress.
-const SUSPICIOUS_WAIT_MS: u64 = 150;
+const STALLED_LONG_POLL_MS: u64 = 150;
 /// Longest time between two searches through all workers for holds that are due.
-const HOLD_SEARCH_EVERY_MS: Millis = 50;
+const LEASE_SCAN_INTERVAL_MS: Millis = 50;
 /// Time between two looks at a worker that does not answer.
-const PROBE_EVERY_MS: Millis = 400;
+const RENEWAL_INTERVAL_MS: Millis = 400;
 /// A run whose progress stands still for less than this is never taken for stuck.
-const STUCK_LEAST_MS: Millis = 300;
+const MIN_STALL_MS: Millis = 300;
 /// What a long run may stand still beyond a twentieth of its estimate.
-const STUCK_LONG_MS: Millis = 1600;
+const LONG_RUN_STALL_MS: Millis = 1600;
 
 impl Scheduler {
     /// Adapts how long holds wait to the number of workers that have runs.
-    fn adapt_waits(&mut self) {
+    fn adapt_lease_timing(&mut self) {
         let busy = self
             .workers
             .values()
             .filter(|worker| !worker.runs.is_empty())
             .count();
-        self.hold_waits = HoldWaits::of_busy_workers(busy);
+        self.lease_timing = LeaseTiming::for_busy_workers(busy);
     }
 
     /// Sends the holds that are due. All workers are searched when one may be due by time alone; meanwhile only those of
     /// which there was news are looked at.
-    pub(crate) fn renew_holds(&mut self, now: Millis) {
-        let news = std::mem::take(&mut self.hold_news);
+    pub(crate) fn renew_leases(&mut self, now: Millis) {
+        let updated = std::mem::take(&mut self.lease_updates);
         let mut due = Vec::new();
-        let mut next_search = now + HOLD_SEARCH_EVERY_MS;
-        let mut look = |incarnation: &String, worker: &Worker| match next_hold(worker) {
+        let mut next_scan = now + LEASE_SCAN_INTERVAL_MS;
+        let mut consider = |incarnation: &String, worker: &Worker| match next_renewal_at(worker) {
             Some(at) if now >= at => due.push(incarnation.clone()),
-            Some(at) => next_search = next_search.min(at),
+            Some(at) => next_scan = next_scan.min(at),
             None => {}
         };
-        if now >= self.next_hold_search {
+        if now >= self.next_lease_scan {
             self.workers
                 .iter()
-                .for_each(|(incarnation, worker)| look(incarnation, worker));
-            self.next_hold_search = next_search;
+                .for_each(|(incarnation, worker)| consider(incarnation, worker));
+            self.next_lease_scan = next_scan;
         } else {
-            let known = news
+            let known = updated
                 .iter()
                 .filter_map(|incarnation| Some((incarnation, self.workers.get(incarnation)?)));
-            known.for_each(|(incarnation, worker)| look(incarnation, worker));
-            self.next_hold_search = self.next_hold_search.min(next_search);
+            known.for_each(|(incarnation, worker)| consider(incarnation, worker));
+            self.next_lease_scan = self.next_lease_scan.min(next_scan);
         }
         for incarnation in due {
-            self.send_hold(&incarnation, now);
+            self.send_renewal(&incarnation, now);
         }
     }
 
-    fn send_hold(&mut self, incarnation: &str, now: Millis) {
-        let hold_ms = self.hold_waits.hold_ms(self.settings.max_hold_ms);
-        let usual_wait_ms = self.hold_waits.wait_ms();
+    fn send_renewal(&mut self, incarnation: &str, now: Millis) {
+        let lease_ms = self.lease_timing.lease_ms(self.settings.max_hold_ms);
+        let long_poll_ms = self.lease_timing.long_poll_ms();
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         // A worker that does not answer is granted no more time: its runs are to end.
-        let grant = worker.greeted && worker.unanswered == 0;
+        let grant = worker.has_responded && worker.unanswered_renewals == 0;
         let deadline_ms = worker
-            .clock_now(now)
+            .max_clock(now)
             .filter(|_| grant)
-            .map(|clock| clock + hold_ms);
-        worker.granted_until = worker.granted_until.max(deadline_ms.unwrap_or(0));
-        let suspicious = worker.runs.values().any(|run| makes_no_progress(run, now));
+            .map(|clock| clock + lease_ms);
+        worker.lease_granted_until = worker.lease_granted_until.max(deadline_ms.unwrap_or(0));
+        let stalled = worker.runs.values().any(|run| lacks_progress(run, now));
         let wait_ms = match grant {
-            true if suspicious => SUSPICIOUS_WAIT_MS,
-            true => usual_wait_ms,
+            true if stalled => STALLED_LONG_POLL_MS,
+            true => long_poll_ms,
             false => 0,
         };
-        worker.hold.due = now + PROBE_EVERY_MS;
+        worker.lease.renew_at = now + RENEWAL_INTERVAL_MS;
         let order = WorkerOrder::Hold {
             deadline_ms,
-            last_seen: worker.last_seen,
+            last_seen: worker.acknowledged_completion,
             wait_ms,
         };
         let id = self.call(
             incarnation,
-            CallPurpose::Hold { wait_ms },
+            CallPurpose::LeaseRenewal { wait_ms },
             order,
             wait_ms + self.response_times.wait_ms(),
         );
         if let Some(worker) = self.workers.get_mut(incarnation) {
-            worker.hold.open = Some(id);
+            worker.lease.in_flight = Some(id);
         }
     }
 
     /// Looks at a worker that has left an order unanswered.
-    pub(crate) fn probe(&mut self, incarnation: &str) {
+    pub(crate) fn send_health_check(&mut self, incarnation: &str) {
         let Some(worker) = self.workers.get(incarnation) else {
             return;
         };
         let order = WorkerOrder::Hold {
             deadline_ms: None,
-            last_seen: worker.last_seen,
+            last_seen: worker.acknowledged_completion,
             wait_ms: 0,
         };
         self.call(
             incarnation,
-            CallPurpose::Probe,
+            CallPurpose::HealthCheck,
             order,
             self.response_times.wait_ms(),
         );
@@ -114,9 +114,9 @@
 
     /// Looks through all workers for what is due.
     pub(crate) fn check_workers(&mut self, now: Millis, state: &State) {
-        self.adapt_waits();
-        let instances: Vec<String> = self.workers.keys().cloned().collect();
-        for incarnation in instances {
+        self.adapt_lease_timing();
+        let incarnations: Vec<String> = self.workers.keys().cloned().collect();
+        for incarnation in incarnations {
             self.check_worker(&incarnation, now, state);
         }
     }
@@ -126,8 +126,8 @@
             return;
         };
         if worker.runs.is_empty() {
-            let over = !worker.listed && worker.hold.open.is_none();
-            if over && (worker.silent() || worker.entry.address.is_empty()) {
+            let over = !worker.listed && worker.lease.in_flight.is_none();
+            if over && (worker.is_unresponsive() || worker.entry.address.is_empty()) {
                 self.forget_worker(incarnation, state);
             }
             return;
@@ -135,21 +135,22 @@
         let pending = worker
             .runs
             .values()
-            .all(|run| matches!(run.phase, RunPhase::Proposed | RunPhase::Losing));
-        let out_of_reach = worker.silent() || worker.entry.address.is_empty() || !worker.listed;
-        if out_of_reach && !pending && worker.surely_lapsed(now) {
-            self.lose_lapsed(incarnation);
+            .all(|run| matches!(run.phase, RunPhase::Proposed | RunPhase::LossProposed));
+        let out_of_reach =
+            worker.is_unresponsive() || worker.entry.address.is_empty() || !worker.listed;
+        if out_of_reach && !pending && worker.all_leases_expired(now) {
+            self.lose_expired_runs(incarnation);
             return;
         }
-        self.leave_draining(incarnation, now);
+        self.stop_runs_outliving_worker(incarnation, now);
         self.send_orders(incarnation, now, state);
-        self.check_progress(incarnation, now);
+        self.stop_stuck_runs(incarnation, now);
     }
 
     fn forget_worker(&mut self, incarnation: &str, state: &State) {
         if state.workers.contains_key(incarnation) {
             let incarnation = incarnation.to_owned();
-            self.out.push(Output::Propose(Command::LoseIncarnation {
+            self.outputs.push(Output::Propose(Command::LoseIncarnation {
                 incarnation,
                 ended: true,
             }));
@@ -158,25 +159,25 @@
     }
 
     /// Stops runs that won't be done before their worker goes, so that they are started elsewhere at once.
-    fn leave_draining(&mut self, incarnation: &str, now: Millis) {
+    fn stop_runs_outliving_worker(&mut self, incarnation: &str, now: Millis) {
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        let Some(gone_at) = worker.gone_at.filter(|_| worker.draining) else {
+        let Some(departs_at) = worker.departs_at.filter(|_| worker.draining) else {
             return;
         };
-        let left = gone_at.saturating_sub(now);
+        let left = departs_at.saturating_sub(now);
         for run in worker.runs.values_mut() {
-            let running = run.phase == RunPhase::Started && run.stop_due.is_none();
-            if running && (run.lasting || remaining_ms(run, now) > left) {
-                run.stop_due = Some(now);
-                self.fresh.insert(incarnation.to_owned());
+            let running = run.phase == RunPhase::Started && run.next_stop_at.is_none();
+            if running && (run.long_running || remaining_ms(run, now) > left) {
+                run.next_stop_at = Some(now);
+                self.workers_with_orders.insert(incarnation.to_owned());
             }
         }
     }
 
     /// Stops runs that stand still, so that they are started elsewhere.
-    fn check_progress(&mut self, incarnation: &str, now: Millis) {
+    fn stop_stuck_runs(&mut self, incarnation: &str, now: Millis) {
         let gang_ms = self.settings.gang_ms;
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
@@ -185,21 +186,23 @@
             .runs
             .iter()
             .filter(|(_, run)| {
-                run.phase == RunPhase::Started && run.stop_due.is_none() && is_stuck(run, gang_ms)
+                run.phase == RunPhase::Started
+                    && run.next_stop_at.is_none()
+                    && is_stuck(run, gang_ms)
             })
             .map(|(task, _)| *task)
             .collect();
-        if stuck.is_empty() || worker.unanswered > 0 {
+        if stuck.is_empty() || worker.unanswered_renewals > 0 {
             return;
         }
         for task in &stuck {
             if let Some(run) = worker.runs.get_mut(task) {
-                run.stop_due = Some(now);
+                run.next_stop_at = Some(now);
             }
         }
         worker.health.eject(now);
-        self.fresh.insert(incarnation.to_owned());
-        self.out.push(Output::Log(format!(
+        self.workers_with_orders.insert(incarnation.to_owned());
+        self.outputs.push(Output::Log(format!(
             "{} runs on {incarnation} stand still and are moved",
             stuck.len()
         )));
@@ -207,21 +210,23 @@
 }
 
 /// When the next hold on a worker is to be sent; `None`: not before there is news of it.
-fn next_hold(worker: &Worker) -> Option<Millis> {
-    let unsure = !worker.greeted || worker.unanswered > 0 || worker.doubted_at.is_some();
-    let wanted = !worker.runs.is_empty() || unsure;
-    let noted = worker.proposed_seen == worker.last_seen;
+fn next_renewal_at(worker: &Worker) -> Option<Millis> {
+    let unconfirmed =
+        !worker.has_responded || worker.unanswered_renewals > 0 || worker.suspected_since.is_some();
+    let wanted = !worker.runs.is_empty() || unconfirmed;
+    let acknowledged = worker.proposed_completion == worker.acknowledged_completion;
     let reachable = !worker.entry.address.is_empty();
-    (wanted && noted && reachable && worker.hold.open.is_none()).then_some(worker.hold.due)
+    (wanted && acknowledged && reachable && worker.lease.in_flight.is_none())
+        .then_some(worker.lease.renew_at)
 }
 
 /// Whether a run should have moved on since it was started or last listed with other progress.
-fn makes_no_progress(run: &Run, now: Millis) -> bool {
+fn lacks_progress(run: &Run, now: Millis) -> bool {
     let still = now.saturating_sub(run.progress.since);
     run.phase == RunPhase::Started
-        && !run.lasting
+        && !run.long_running
         && !run.gang
-        && still > SUSPICIOUS_WAIT_MS
+        && still > STALLED_LONG_POLL_MS
         && still > run.estimated_ms / 5
 }
 
@@ -234,7 +239,7 @@
     };
     // Even on a worker that is ten times too slow progress rises by a hundredth in a tenth of the estimate.
     let patience = (run.estimated_ms / 5)
-        .min(STUCK_LONG_MS + run.estimated_ms / 20)
-        .max(STUCK_LEAST_MS);
-    !run.lasting && run.progress.percent < 100 && run.progress.still_ms() > patience + waits
+        .min(LONG_RUN_STALL_MS + run.estimated_ms / 20)
+        .max(MIN_STALL_MS);
+    !run.long_running && run.progress.percent < 100 && run.progress.stalled_ms() > patience + waits
 }
--- a/system/scheduler/src/lib.rs
+++ b/system/scheduler/src/lib.rs
@@ -8,25 +8,25 @@
 
 mod backfill;
 mod calls;
+mod capacity_index;
+mod discovery;
 mod explanation;
+mod forecast;
 mod health;
-mod hold_waits;
-mod holds;
-mod outlook;
+mod lease_timing;
+mod leases;
+mod nominations;
 mod placement;
 mod planning;
 mod preemption;
 mod queue;
 mod replies;
-mod reservations;
 mod response_times;
-mod room_index;
 mod runs;
 mod scheduler;
 mod settings;
 mod take_over;
 mod worker;
-mod worker_list;
 
 pub use calls::{
     ListedCompletion, ListedRun, Listing, Output, RefusalReason, WorkerCall, WorkerOrder,
--- a/system/scheduler/src/reservations.rs
+++ b/system/scheduler/src/nominations.rs
@@ -4,33 +4,33 @@
 use std::collections::{HashMap, HashSet};
 
 /// A reservation that has led to nothing is given up after this time.
-const GIVE_UP_MS: Millis = 1200;
+const NOMINATION_TIMEOUT_MS: Millis = 1200;
 
 #[derive(Clone, Copy, Debug)]
-struct Reservation {
+struct Nomination {
     owner: TaskId,
     since: Millis,
 }
 
 /// The workers that are kept free, and for whom.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Reservations {
-    of_worker: HashMap<String, Reservation>,
+pub(crate) struct Nominations {
+    of_worker: HashMap<String, Nomination>,
 }
 
-impl Reservations {
+impl Nominations {
     /// Whether a task may be placed on a worker.
     pub(crate) fn allow(&self, incarnation: &str, first: &TaskId) -> bool {
         self.of_worker
             .get(incarnation)
-            .is_none_or(|reservation| reservation.owner == *first)
+            .is_none_or(|nomination| nomination.owner == *first)
     }
 
     /// Whether a worker is kept free for a task.
     pub(crate) fn has(&self, first: &TaskId) -> bool {
         self.of_worker
             .values()
-            .any(|reservation| reservation.owner == *first)
+            .any(|nomination| nomination.owner == *first)
     }
 
     /// How many workers are kept free.
@@ -41,17 +41,17 @@
     /// Keeps a worker free for a task.
     pub(crate) fn add(&mut self, incarnation: String, owner: TaskId, now: Millis) {
         self.of_worker
-            .insert(incarnation, Reservation { owner, since: now });
+            .insert(incarnation, Nomination { owner, since: now });
     }
 
     /// Drops those that have lost their purpose.
     pub(crate) fn review(&mut self, waiting: &HashSet<TaskId>, workers: &Workers, now: Millis) {
-        self.of_worker.retain(|incarnation, reservation| {
-            waiting.contains(&reservation.owner)
-                && now < reservation.since + GIVE_UP_MS
+        self.of_worker.retain(|incarnation, nomination| {
+            waiting.contains(&nomination.owner)
+                && now < nomination.since + NOMINATION_TIMEOUT_MS
                 && workers
                     .get(incarnation)
-                    .is_some_and(|worker| worker.takes_work(now))
+                    .is_some_and(|worker| worker.is_schedulable(now))
         });
     }
 }
--- a/system/scheduler/src/placement.rs
+++ b/system/scheduler/src/placement.rs
@@ -1,8 +1,8 @@
 //! Chooses workers: of two random ones that fit, the less busy; packing for what needs most of a worker.
 use crate::{
     backfill::{Backfill, Candidate},
-    reservations::Reservations,
-    room_index::RoomIndex,
+    capacity_index::CapacityIndex,
+    nominations::Nominations,
     worker::{Worker, Workers},
 };
 use magpiegap_protocol::{Millis, Resources, TaskId};
@@ -10,17 +10,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Tasks that take at least this part of a worker are packed instead of spread.
-const WIDE_SHARE: f64 = 0.5;
+const MIN_PACKED_SHARE: f64 = 0.5;
 /// So many workers are drawn to find two that fit, before all are looked through.
-const MOST_DRAWS: usize = 12;
+const MAX_DRAWS: usize = 12;
 
 /// What is to be placed.
 pub(crate) struct Demand<'a> {
     pub first: TaskId,
     /// Only the rack that holds the data will do for now; for a gang, only one rack.
-    pub near_only: bool,
+    pub require_locality: bool,
     /// Workers kept free for others.
-    pub reservations: &'a Reservations,
+    pub nominations: &'a Nominations,
     /// Room that others are to get.
     pub backfill: &'a Backfill,
     /// The step, and how many of its tasks.
@@ -37,15 +37,19 @@
     /// All of them, by name.
     All(&'a [String]),
     /// Those that had room when the round of planning began.
-    WithRoom(&'a RoomIndex),
+    WithCapacity(&'a CapacityIndex),
 }
 
 impl<'a> Pool<'a> {
     /// Those that may have room for a task that takes this much processor.
-    fn may_take(self, workers: &'a Workers, cpu: u64) -> Box<dyn Iterator<Item = &'a Worker> + 'a> {
+    fn with_capacity(
+        self,
+        workers: &'a Workers,
+        cpu: u64,
+    ) -> Box<dyn Iterator<Item = &'a Worker> + 'a> {
         match self {
             Pool::All(_) => Box::new(workers.values()),
-            Pool::WithRoom(index) => index.may_take(workers, cpu),
+            Pool::WithCapacity(index) => index.with_capacity(workers, cpu),
         }
     }
 
@@ -53,7 +57,10 @@
     fn draw(self, workers: &'a Workers, cpu: u64, random: &mut StdRng) -> Option<&'a Worker> {
         let name = match self {
             Pool::All(names) => names.choose(random),
-            Pool::WithRoom(index) => index.with_cpu(cpu).choose(random).map(|(_, name)| name),
+            Pool::WithCapacity(index) => index
+                .with_free_cpu(cpu)
+                .choose(random)
+                .map(|(_, name)| name),
         };
         workers.get(name?)
     }
@@ -62,7 +69,7 @@
     fn len(self, cpu: u64) -> usize {
         match self {
             Pool::All(names) => names.len(),
-            Pool::WithRoom(index) => index.with_cpu(cpu).len(),
+            Pool::WithCapacity(index) => index.with_free_cpu(cpu).len(),
         }
     }
 }
@@ -85,7 +92,7 @@
         if let Some(chosen) = choose_rack(workers, demand, now, random) {
             return Some(chosen);
         }
-        if demand.near_only {
+        if demand.require_locality {
             return None;
         }
     }
@@ -137,14 +144,14 @@
     let fits = |worker: &&Worker| {
         allowed(worker)
             && fits(worker, demand, taken)
-            && worker.takes_work(now)
+            && worker.is_schedulable(now)
             && demand
-                .reservations
+                .nominations
                 .allow(&worker.entry.incarnation, &demand.first)
-            && keeps_promises(worker, demand, taken, now)
+            && respects_reservations(worker, demand, taken, now)
     };
     let proven = |worker: &Worker| {
-        !worker.health.on_trial() && !demand.avoid.contains(&worker.entry.incarnation)
+        !worker.health.is_on_probation() && !demand.avoid.contains(&worker.entry.incarnation)
     };
     let busy = |worker: &Worker| {
         let more = taken
@@ -165,16 +172,20 @@
         return less_busy.map(|worker| worker.entry.incarnation.clone());
     }
     let cpu = demand.candidate.step.resources.cpu;
-    let mut candidates: Vec<&Worker> = demand.pool.may_take(workers, cpu).filter(fits).collect();
+    let mut candidates: Vec<&Worker> = demand
+        .pool
+        .with_capacity(workers, cpu)
+        .filter(fits)
+        .collect();
     if let Some(rack) = &demand.candidate.step.affinity {
-        let near: Vec<&Worker> = candidates
+        let local: Vec<&Worker> = candidates
             .iter()
             .copied()
             .filter(|worker| worker.has_label(rack))
             .collect();
-        if !near.is_empty() {
-            candidates = near;
-        } else if demand.near_only {
+        if !local.is_empty() {
+            candidates = local;
+        } else if demand.require_locality {
             return None;
         }
     }
@@ -187,10 +198,12 @@
         candidates = proven;
     } else {
         // On trial a worker gets one run at a time.
-        candidates.retain(|worker| !worker.health.on_trial() || worker.runs.is_empty());
+        candidates.retain(|worker| !worker.health.is_on_probation() || worker.runs.is_empty());
     }
-    let wide = candidates.iter().any(|worker| is_wide(demand, worker));
-    let chosen = if wide || demand.candidate.step.resources.gpu > 0 {
+    let pack = candidates
+        .iter()
+        .any(|worker| needs_packing(demand, worker));
+    let chosen = if pack || demand.candidate.step.resources.gpu > 0 {
         candidates
             .into_iter()
             .max_by(|a, b| busy(a).total_cmp(&busy(b)))
@@ -202,13 +215,13 @@
 }
 
 /// Whether a task takes so much of a worker that it is packed.
-fn is_wide(demand: &Demand<'_>, worker: &Worker) -> bool {
+fn needs_packing(demand: &Demand<'_>, worker: &Worker) -> bool {
     demand
         .candidate
         .step
         .resources
         .dominant_share(&worker.entry.capacity)
-        >= WIDE_SHARE
+        >= MIN_PACKED_SHARE
 }
 
 /// Two random workers that will do, drawn instead of looked for among all: the work for a start does not grow with the
@@ -221,16 +234,16 @@
 ) -> Option<[&'w Worker; 2]> {
     let step = demand.candidate.step;
     let cpu = step.resources.cpu;
-    if step.resources.gpu > 0 || step.affinity.is_some() || demand.pool.len(cpu) < 2 * MOST_DRAWS {
+    if step.resources.gpu > 0 || step.affinity.is_some() || demand.pool.len(cpu) < 2 * MAX_DRAWS {
         return None;
     }
     let mut first: Option<&Worker> = None;
-    for _ in 0..MOST_DRAWS {
+    for _ in 0..MAX_DRAWS {
         let drawn = demand.pool.draw(workers, cpu, random);
         let Some(worker) = drawn.filter(|worker| will_do(worker)) else {
             continue;
         };
-        if is_wide(demand, worker) {
+        if needs_packing(demand, worker) {
             return None;
         }
         match first {
@@ -252,14 +265,14 @@
         .get(incarnation)
         .copied()
         .unwrap_or_default();
-    step.resources.fits(&worker.room().minus(&more))
-        && worker.room().cpu >= more.cpu + step.resources.cpu
+    step.resources.fits(&worker.free_capacity().minus(&more))
+        && worker.free_capacity().cpu >= more.cpu + step.resources.cpu
         && worker.has_labels(&step.requirements)
         && (step.anti_affinity == 0 || siblings(worker, demand, taken) < step.anti_affinity)
         && !worker.runs.contains_key(&demand.first)
 }
 
-fn keeps_promises(worker: &Worker, demand: &Demand<'_>, taken: &Taken, now: Millis) -> bool {
+fn respects_reservations(worker: &Worker, demand: &Demand<'_>, taken: &Taken, now: Millis) -> bool {
     let more = taken
         .resources
         .get(&worker.entry.incarnation)
@@ -267,7 +280,7 @@
         .unwrap_or_default();
     demand
         .backfill
-        .allows(worker, &demand.candidate, &more, now)
+        .allows_backfill(worker, &demand.candidate, &more, now)
 }
 
 /// Tasks of the same step and time on this worker.
--- a/system/scheduler/src/planning.rs
+++ b/system/scheduler/src/planning.rs
@@ -2,11 +2,11 @@
 use crate::{
     backfill::Candidate,
     calls::Output,
-    outlook::Outlook,
+    capacity_index::CapacityIndex,
+    forecast::DeadlineForecast,
     placement::{choose, Demand, Pool},
     preemption::{choose_victims, Victims},
     queue::{urgency, Urgency, Waiting, URGENT_PRIORITY},
-    room_index::RoomIndex,
     scheduler::Scheduler,
     worker::{Progress, Run, RunPhase, Workers},
 };
@@ -17,15 +17,15 @@
 use std::collections::HashSet;
 
 /// After this many tasks that found no place, the most urgent part of a round of planning ends ...
-const MOST_MISSES: usize = 40;
+const MAX_URGENT_MISSES: usize = 40;
 /// ... and after this many more the part that goes on from where the last round ended, so that all have their turn.
-const MORE_MISSES: usize = 20;
+const MAX_RESUMED_MISSES: usize = 20;
 /// A task waits for its data's rack for at most this part of the time that being away would cost.
-const PATIENCE: f64 = 0.6;
+const MAX_LOCALITY_WAIT: f64 = 0.6;
 /// An urgent task that has found no room for this long may have less urgent runs stopped for it.
 const PREEMPT_AFTER_MS: Millis = 100;
 /// Searches for runs to stop that may find none in one round: each looks at all workers.
-const MOST_VAIN_PREEMPTIONS: usize = 3;
+const MAX_FAILED_PREEMPTIONS: usize = 3;
 /// At most one in this many workers is kept free at a time for those that others were stopped for.
 const WORKERS_PER_PREEMPTION: usize = 12;
 
@@ -36,7 +36,7 @@
 }
 
 /// A task or gang as a round of planning finds it waiting.
-struct InLine {
+struct QueuedUnit {
     key: Urgency,
     unit: Startable,
     since: Millis,
@@ -44,17 +44,17 @@
 
 /// What a round of planning has come to so far.
 #[derive(Default)]
-struct Round {
+struct PlanningRound {
     runs: Vec<RunStart>,
     misses: Misses,
     /// The workers as they were when it began.
-    room: RoomIndex,
+    capacity: CapacityIndex,
     /// Searches for less urgent runs to stop that found none.
-    vain_preemptions: usize,
+    failed_preemptions: usize,
 }
 
 impl Misses {
-    fn hopeless(&self, step: &StepSpec) -> bool {
+    fn covers(&self, step: &StepSpec) -> bool {
         let covers = |shape: &StepSpec| {
             shape.resources.fits(&step.resources)
                 && shape.requirements == step.requirements
@@ -100,62 +100,68 @@
     /// Places what waits, most urgent first. Where much waits in vain, a round does not look at all of it: it goes on
     /// where the last one ended.
     pub(crate) fn plan(&mut self, now: Millis, state: &State) {
-        let in_line = |(key, waiting): (&Urgency, &Waiting)| InLine {
+        let queued_unit = |(key, waiting): (&Urgency, &Waiting)| QueuedUnit {
             key: *key,
             unit: waiting.unit.clone(),
             since: waiting.since,
         };
-        let line: Vec<InLine> = self.queue.iter().map(in_line).collect();
-        let owners: HashSet<TaskId> = line.iter().map(|waiting| waiting.key.task).collect();
-        self.reservations.review(&owners, &self.workers, now);
-        self.backfill.begin_round(now);
-        if line.is_empty() {
+        let queued: Vec<QueuedUnit> = self.queue.iter().map(queued_unit).collect();
+        let owners: HashSet<TaskId> = queued.iter().map(|waiting| waiting.key.task).collect();
+        self.nominations.review(&owners, &self.workers, now);
+        self.backfill.begin_planning_round(now);
+        if queued.is_empty() {
             return;
         }
-        let mut round = Round {
-            room: RoomIndex::of(&self.workers, now),
-            ..Round::default()
+        let mut round = PlanningRound {
+            capacity: CapacityIndex::of(&self.workers, now),
+            ..PlanningRound::default()
         };
-        let urgent = self.plan_some(&line, MOST_MISSES, &mut round, now, state);
-        if urgent < line.len() {
-            let next = self.plan_next.map_or(urgent, |next| {
-                line.partition_point(|waiting| waiting.key < next)
+        let urgent = self.plan_units(&queued, MAX_URGENT_MISSES, &mut round, now, state);
+        if urgent < queued.len() {
+            let next = self.planning_cursor.map_or(urgent, |next| {
+                queued.partition_point(|waiting| waiting.key < next)
             });
-            let from = if next >= line.len() {
+            let from = if next >= queued.len() {
                 urgent
             } else {
                 next.max(urgent)
             };
-            let most = round.misses.shapes.len() + MORE_MISSES;
-            let until = from + self.plan_some(&line[from..], most, &mut round, now, state);
-            self.plan_next = line.get(until).map(|waiting| waiting.key);
+            let max_misses = round.misses.shapes.len() + MAX_RESUMED_MISSES;
+            let until = from + self.plan_units(&queued[from..], max_misses, &mut round, now, state);
+            self.planning_cursor = queued.get(until).map(|waiting| waiting.key);
         }
         if !round.runs.is_empty() {
-            self.out
+            self.outputs
                 .push(Output::Propose(Command::StartRuns { runs: round.runs }));
         }
     }
 
     /// Places some of those in line, until so many in all have found no place. Returns how many it has looked at.
-    fn plan_some(
+    fn plan_units(
         &mut self,
-        line: &[InLine],
-        most_misses: usize,
-        round: &mut Round,
+        queued: &[QueuedUnit],
+        max_misses: usize,
+        round: &mut PlanningRound,
         now: Millis,
         state: &State,
     ) -> usize {
-        for (position, waiting) in line.iter().enumerate() {
-            if round.misses.shapes.len() >= most_misses {
+        for (position, waiting) in queued.iter().enumerate() {
+            if round.misses.shapes.len() >= max_misses {
                 return position;
             }
-            self.plan_one(waiting, round, now, state);
+            self.plan_unit(waiting, round, now, state);
         }
-        line.len()
+        queued.len()
     }
 
-    fn plan_one(&mut self, waiting: &InLine, round: &mut Round, now: Millis, state: &State) {
-        let InLine { key, unit, since } = waiting;
+    fn plan_unit(
+        &mut self,
+        waiting: &QueuedUnit,
+        round: &mut PlanningRound,
+        now: Millis,
+        state: &State,
+    ) {
+        let QueuedUnit { key, unit, since } = waiting;
         let Some(job) = state.jobs.get(&key.task.job) else {
             return;
         };
@@ -163,24 +169,25 @@
             return;
         };
         let waited = now.saturating_sub(*since);
-        if round.misses.hopeless(step) {
-            self.promise_room(job, unit, step, key, waited, now);
+        if round.misses.covers(step) {
+            self.reserve_capacity(job, unit, step, key, waited, now);
             return;
         }
-        match self.place(job, unit, key, waited, Some(&round.room), now) {
+        match self.place(job, unit, key, waited, Some(&round.capacity), now) {
             Some(mut placed) => {
                 self.queue.take(key);
                 self.backfill.release(key);
                 round.runs.append(&mut placed);
             }
             None => {
-                round
-                    .misses
-                    .add(step, has_room(&self.workers, &round.room, step, now));
-                self.promise_room(job, unit, step, key, waited, now);
-                if round.vain_preemptions < MOST_VAIN_PREEMPTIONS {
-                    let is_vain = self.preempt(key, unit, step, waited, now);
-                    round.vain_preemptions += usize::from(is_vain);
+                round.misses.add(
+                    step,
+                    any_worker_has_capacity(&self.workers, &round.capacity, step, now),
+                );
+                self.reserve_capacity(job, unit, step, key, waited, now);
+                if round.failed_preemptions < MAX_FAILED_PREEMPTIONS {
+                    let found_none = self.preempt(key, unit, step, waited, now);
+                    round.failed_preemptions += usize::from(found_none);
                 }
             }
         }
@@ -194,19 +201,19 @@
         unit: &Startable,
         urgency: &Urgency,
         waited: Millis,
-        room: Option<&RoomIndex>,
+        capacity: Option<&CapacityIndex>,
         now: Millis,
     ) -> Option<Vec<RunStart>> {
         let step = job.submission.spec.steps.get(unit.first.step as usize)?;
         let nothing = Vec::new();
         let demand = Demand {
             first: unit.first,
-            near_only: self.waits_for_rack(step, waited),
-            reservations: &self.reservations,
+            require_locality: self.waits_for_locality(step, waited),
+            nominations: &self.nominations,
             backfill: &self.backfill,
             candidate: self.candidate(job, unit, step, urgency),
             avoid: self.failed_on.get(&unit.first).unwrap_or(&nothing),
-            pool: room.map_or(Pool::All(&self.names), Pool::WithRoom),
+            pool: capacity.map_or(Pool::All(&self.worker_names), Pool::WithCapacity),
         };
         let chosen = choose(&self.workers, &demand, now, &mut self.random)?;
         let runs = starts(job, unit, step, chosen);
@@ -217,8 +224,9 @@
     }
 
     /// Whether a task waits on for the rack that holds its data, or a gang for one rack that takes all of it.
-    fn waits_for_rack(&self, step: &StepSpec, waited: Millis) -> bool {
-        (waited as f64) < step.estimated_ms as f64 * (self.settings.far_factor - 1.0) * PATIENCE
+    fn waits_for_locality(&self, step: &StepSpec, waited: Millis) -> bool {
+        (waited as f64)
+            < step.estimated_ms as f64 * (self.settings.far_factor - 1.0) * MAX_LOCALITY_WAIT
     }
 
     pub(crate) fn candidate<'a>(
@@ -233,13 +241,13 @@
             urgency,
             count: unit.count,
             far_factor: self.settings.far_factor,
-            lasting: job.submission.spec.long_running,
+            long_running: job.submission.spec.long_running,
         }
     }
 
     /// Promises a task that found no place the room that it gets first, unless it comes too late anyway, or waits for
     /// one rack to take a whole gang.
-    fn promise_room(
+    fn reserve_capacity(
         &mut self,
         job: &Job,
         unit: &Startable,
@@ -248,12 +256,12 @@
         waited: Millis,
         now: Millis,
     ) {
-        let for_rack = unit.count > 1 && step.rack_local && self.waits_for_rack(step, waited);
-        if key.outlook == Outlook::TooLate || for_rack || !self.backfill.open() {
+        let for_rack = unit.count > 1 && step.rack_local && self.waits_for_locality(step, waited);
+        if key.forecast == DeadlineForecast::TooLate || for_rack || !self.backfill.accepts_more() {
             return;
         }
         let candidate = self.candidate(job, unit, step, key);
-        self.backfill.promise(&self.workers, &candidate, now);
+        self.backfill.reserve(&self.workers, &candidate, now);
     }
 
     /// Stops less urgent runs for a task that has found no room, where that is worth what it loses. Returns whether such
@@ -266,15 +274,18 @@
         waited: Millis,
         now: Millis,
     ) -> bool {
-        let urgent = key.priority == URGENT_PRIORITY && key.outlook == Outlook::InTime;
-        let may = unit.count == 1 && urgent && waited >= PREEMPT_AFTER_MS;
-        let most = self.workers.len().div_ceil(WORKERS_PER_PREEMPTION);
-        if !may || self.reservations.has(&unit.first) || self.reservations.len() >= most {
+        let urgent = key.priority == URGENT_PRIORITY && key.forecast == DeadlineForecast::OnTime;
+        let is_eligible = unit.count == 1 && urgent && waited >= PREEMPT_AFTER_MS;
+        let max_nominations = self.workers.len().div_ceil(WORKERS_PER_PREEMPTION);
+        if !is_eligible
+            || self.nominations.has(&unit.first)
+            || self.nominations.len() >= max_nominations
+        {
             return false;
         }
         let victims = choose_victims(
             &self.workers,
-            &self.reservations,
+            &self.nominations,
             &unit.first,
             step,
             key.priority,
@@ -286,12 +297,12 @@
         if let Some(worker) = self.workers.get_mut(&incarnation) {
             for task in tasks {
                 if let Some(run) = worker.runs.get_mut(&task) {
-                    run.stop_due = Some(now);
+                    run.next_stop_at = Some(now);
                 }
             }
         }
-        self.fresh.insert(incarnation.clone());
-        self.reservations.add(incarnation, unit.first, now);
+        self.workers_with_orders.insert(incarnation.clone());
+        self.nominations.add(incarnation, unit.first, now);
         false
     }
 
@@ -304,24 +315,24 @@
             new_run(job, step, start, RunPhase::Proposed, now),
         );
         self.proposed.insert(start.task);
-        self.hold_news.insert(start.incarnation.clone());
+        self.lease_updates.insert(start.incarnation.clone());
     }
 
     /// Lets times of repeated jobs fall due.
-    pub(crate) fn open_times(&mut self, wall: WallMillis, state: &State) {
+    pub(crate) fn open_due_occurrences(&mut self, wall: WallMillis, state: &State) {
         let due: Vec<(WallMillis, JobId)> = self
-            .timed
+            .scheduled_jobs
             .iter()
             .take_while(|(at, _)| *at <= wall)
             .copied()
             .collect();
         for (at, id) in due {
             let Some(job) = state.jobs.get(&id) else {
-                self.timed.remove(&(at, id));
+                self.scheduled_jobs.remove(&(at, id));
                 continue;
             };
-            if self.times_proposed.insert((id, job.next_occurrence)) {
-                self.out.push(Output::Propose(Command::OpenOccurrence {
+            if self.proposed_occurrences.insert((id, job.next_occurrence)) {
+                self.outputs.push(Output::Propose(Command::OpenOccurrence {
                     job: id,
                     occurrence: job.next_occurrence,
                 }));
@@ -330,32 +341,39 @@
     }
 
     /// Drops ended jobs whose state need not be shown any more.
-    pub(crate) fn forget_jobs(&mut self, wall: WallMillis) {
+    pub(crate) fn forget_completed_jobs(&mut self, wall: WallMillis) {
         const MARGIN_MS: u64 = 30_000;
-        const MOST: usize = 500;
+        const MAX_FORGOTTEN: usize = 500;
         let before = wall.saturating_sub(self.settings.status_ms + MARGIN_MS);
         let over: Vec<JobId> = self
-            .ended
+            .completed_jobs
             .iter()
             .take_while(|(at, _)| *at < before)
-            .take(MOST)
+            .take(MAX_FORGOTTEN)
             .map(|(_, id)| *id)
             .collect();
         if !over.is_empty() {
-            self.ended.retain(|(_, id)| !over.contains(id));
-            self.out
+            self.completed_jobs.retain(|(_, id)| !over.contains(id));
+            self.outputs
                 .push(Output::Propose(Command::ForgetJobs { jobs: over }));
         }
     }
 }
 
 /// Whether any worker that takes work has room for one task of a step, whatever was promised to others.
-fn has_room(workers: &Workers, room: &RoomIndex, step: &StepSpec, now: Millis) -> bool {
-    room.may_take(workers, step.resources.cpu).any(|worker| {
-        worker.has_room_for(&step.resources)
-            && worker.takes_work(now)
-            && worker.has_labels(&step.requirements)
-    })
+fn any_worker_has_capacity(
+    workers: &Workers,
+    capacity: &CapacityIndex,
+    step: &StepSpec,
+    now: Millis,
+) -> bool {
+    capacity
+        .with_capacity(workers, step.resources.cpu)
+        .any(|worker| {
+            worker.has_capacity_for(&step.resources)
+                && worker.is_schedulable(now)
+                && worker.has_labels(&step.requirements)
+        })
 }
 
 /// The runs of a unit on the workers chosen for it.
@@ -395,21 +413,21 @@
         priority: job.submission.priority,
         phase,
         checkpoint: start.checkpoint.clone(),
-        saved: start.checkpoint.clone(),
+        latest_checkpoint: start.checkpoint.clone(),
         progress: Progress {
             percent: 0,
             since: now,
             seen: now,
         },
         checkpoints: step.checkpoints,
-        lasting: job.submission.spec.long_running,
+        long_running: job.submission.spec.long_running,
         gang: step.gang,
         started_at: now,
         estimated_ms: step.estimated_ms,
-        stop_due: None,
-        open_calls: 0,
-        resolved_at: now,
-        may_begin_until: 0,
-        tries: 0,
+        next_stop_at: None,
+        in_flight_orders: 0,
+        last_reply_at: now,
+        start_valid_until: 0,
+        start_attempts: 0,
     }
 }
--- a/system/scheduler/src/preemption.rs
+++ b/system/scheduler/src/preemption.rs
@@ -1,12 +1,12 @@
 //! Which runs to stop so that a more urgent task finds room.
 use crate::{
-    reservations::Reservations,
+    nominations::Nominations,
     worker::{Run, RunPhase, Worker, Workers},
 };
 use magpiegap_protocol::{Millis, StepSpec, TaskId};
 
 /// Work that may be lost for one task, in thousandths of a core times milliseconds.
-const MOST_LOSS: u64 = 6_000_000;
+const MAX_LOSS: u64 = 6_000_000;
 /// What starting again from a checkpoint costs, in milliseconds.
 const RESTORE_MS: Millis = 600;
 /// A graphics processor counts as this many thousandths of a core.
@@ -24,29 +24,29 @@
 /// The runs of lower priority whose stop gives a task room at the least loss.
 pub(crate) fn choose_victims(
     workers: &Workers,
-    reservations: &Reservations,
+    nominations: &Nominations,
     first: &TaskId,
     step: &StepSpec,
     priority: u32,
     now: Millis,
 ) -> Option<Victims> {
     let fits = |worker: &&Worker| {
-        worker.takes_work(now)
-            && !worker.health.on_trial()
+        worker.is_schedulable(now)
+            && !worker.health.is_on_probation()
             && worker.has_labels(&step.requirements)
             && step.resources.fits(&worker.entry.capacity)
-            && reservations.allow(&worker.entry.incarnation, first)
+            && nominations.allow(&worker.entry.incarnation, first)
     };
     let plans = workers
         .values()
         .filter(fits)
-        .filter_map(|worker| plan_for(worker, step, priority, now));
+        .filter_map(|worker| plan_preemption(worker, step, priority, now));
     plans
         .min_by_key(|(loss, _)| *loss)
         .map(|(_, victims)| victims)
 }
 
-fn plan_for(
+fn plan_preemption(
     worker: &Worker,
     step: &StepSpec,
     priority: u32,
@@ -55,7 +55,7 @@
     let mut candidates: Vec<(u64, TaskId, &Run)> = worker
         .runs
         .iter()
-        .filter(|(_, run)| may_be_stopped(run, priority))
+        .filter(|(_, run)| is_preemptible(run, priority))
         .map(|(task, run)| (loss(run, now), *task, run))
         .collect();
     candidates.sort_by_key(|(loss, task, _)| (*loss, *task));
@@ -71,7 +71,7 @@
         tasks.push(task);
     }
     let enough = step.resources.plus(&used).fits(&worker.entry.capacity) && !tasks.is_empty();
-    (enough && total <= MOST_LOSS).then(|| {
+    (enough && total <= MAX_LOSS).then(|| {
         (
             total,
             Victims {
@@ -82,12 +82,12 @@
     })
 }
 
-fn may_be_stopped(run: &Run, priority: u32) -> bool {
+fn is_preemptible(run: &Run, priority: u32) -> bool {
     run.priority > priority
         && run.phase == RunPhase::Started
-        && run.stop_due.is_none()
+        && run.next_stop_at.is_none()
         && !run.gang
-        && !run.lasting
+        && !run.long_running
         && run.progress.percent < NEARLY_DONE_PERCENT
 }
 
--- a/system/scheduler/src/queue.rs
+++ b/system/scheduler/src/queue.rs
@@ -1,5 +1,5 @@
 //! Tasks whose turn has come, in the order in which they are placed.
-use crate::outlook::{due_ms, LatestStarts, Outlook};
+use crate::forecast::{deadline_ms, DeadlineForecast, LatestStarts};
 use magpiegap_jobs::{startable, Job, Startable};
 use magpiegap_protocol::{JobId, Millis, TaskId, WallMillis};
 use std::collections::{BTreeMap, HashMap};
@@ -11,8 +11,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Urgency {
     pub priority: u32,
-    pub outlook: Outlook,
-    pub due_ms: WallMillis,
+    pub forecast: DeadlineForecast,
+    pub deadline_ms: WallMillis,
     pub task: TaskId,
 }
 
@@ -36,8 +36,8 @@
 pub(crate) fn urgency(job: &Job, task: TaskId, wall: WallMillis) -> Urgency {
     Urgency {
         priority: job.submission.priority,
-        outlook: LatestStarts::of(job, &task).outlook(wall),
-        due_ms: due_ms(job, task.occurrence),
+        forecast: LatestStarts::of(job, &task).forecast(wall),
+        deadline_ms: deadline_ms(job, task.occurrence),
         task,
     }
 }
@@ -101,7 +101,7 @@
     /// The jobs whose outlook has changed since they were taken up.
     pub(crate) fn outdated(&self, wall: WallMillis) -> Vec<JobId> {
         let changed =
-            |(key, waiting): &(&Urgency, &Waiting)| waiting.latest.outlook(wall) != key.outlook;
+            |(key, waiting): &(&Urgency, &Waiting)| waiting.latest.forecast(wall) != key.forecast;
         let mut changed: Vec<JobId> = self
             .waiting
             .iter()
--- a/system/scheduler/src/replies.rs
+++ b/system/scheduler/src/replies.rs
@@ -1,41 +1,41 @@
 //! Takes workers' answers.
 use crate::{
     calls::{Listing, Output, RefusalReason, WorkerOrder, WorkerReply},
-    scheduler::{CallPurpose, OpenCall, Scheduler},
+    scheduler::{CallPurpose, InFlightCall, Scheduler},
     worker::{Progress, RunPhase, Worker},
 };
 use magpiegap_jobs::State;
 use magpiegap_protocol::{Command, Millis, RunCompletion, RunId, RunStart, TaskId};
 
 /// Time until a start that a worker turned down for its health or clock is sent again.
-const RETRY_MS: Millis = 60;
+const START_RETRY_MS: Millis = 60;
 /// A worker lists at most this many ends at once; with as many the listing may not be whole.
-const MOST_ENDS_LISTED: usize = 500;
+const MAX_LISTED_COMPLETIONS: usize = 500;
 /// A stop that was answered has its effect without being repeated. In this time, beyond that for which two holds wait,
 /// the one that is open comes back and another one is answered, which shows whether the run is there.
-const STOP_SETTLES_MS: Millis = 500;
+const STOP_CONFIRMATION_MS: Millis = 500;
 /// Time until a worker that left a call unanswered is looked at again.
-const LOOK_AGAIN_MS: Millis = 30;
+const RENEWAL_RETRY_MS: Millis = 30;
 const STRAY_STOP_TIMEOUT_MS: Millis = 400;
 
 impl Scheduler {
     /// Takes the answer to a call.
     pub fn reply(&mut self, now: Millis, state: &State, call: u64, reply: WorkerReply) {
-        let Some(open) = self.calls.remove(&call) else {
+        let Some(open) = self.in_flight_calls.remove(&call) else {
             return;
         };
-        let OpenCall {
+        let InFlightCall {
             incarnation,
             purpose,
             sent_at,
         } = open;
         self.now = now;
-        self.note_answer_time(&purpose, &reply, now.saturating_sub(sent_at));
+        self.record_response_time(&purpose, &reply, now.saturating_sub(sent_at));
         if !self.workers.contains_key(&incarnation) {
             return;
         }
         if reply == WorkerReply::OtherLife {
-            self.life_is_over(&incarnation, state);
+            self.end_incarnation(&incarnation, state);
             return;
         }
         if matches!(
@@ -48,29 +48,29 @@
             self.depose(&incarnation);
             return;
         }
-        self.hold_news.insert(incarnation.clone());
-        self.note_contact(&incarnation, call, &purpose, sent_at, &reply, now);
+        self.lease_updates.insert(incarnation.clone());
+        self.record_contact(&incarnation, call, &purpose, sent_at, &reply, now);
         match purpose {
-            CallPurpose::Hold { .. } | CallPurpose::Probe => {
-                self.hold_answered(&incarnation, sent_at, reply, now)
+            CallPurpose::LeaseRenewal { .. } | CallPurpose::HealthCheck => {
+                self.handle_lease_reply(&incarnation, sent_at, reply, now)
             }
             CallPurpose::Start {
                 task,
                 run,
                 deadline_ms,
             } => {
-                self.start_answered(&incarnation, task, run, deadline_ms, reply, now);
+                self.handle_start_reply(&incarnation, task, run, deadline_ms, reply, now);
             }
             CallPurpose::Stop { task, run } => {
-                self.stop_answered(&incarnation, task, run, &reply, now)
+                self.handle_stop_reply(&incarnation, task, run, &reply, now)
             }
             CallPurpose::StopStray => {}
         }
     }
 
     /// Learns how long answers take, from calls that workers answer at once.
-    fn note_answer_time(&mut self, purpose: &CallPurpose, reply: &WorkerReply, after: Millis) {
-        if matches!(purpose, CallPurpose::Hold { wait_ms } if *wait_ms > 0) {
+    fn record_response_time(&mut self, purpose: &CallPurpose, reply: &WorkerReply, after: Millis) {
+        if matches!(purpose, CallPurpose::LeaseRenewal { wait_ms } if *wait_ms > 0) {
             return;
         }
         match reply {
@@ -80,7 +80,7 @@
     }
 
     /// What any answer, or none, says of the worker.
-    fn note_contact(
+    fn record_contact(
         &mut self,
         incarnation: &str,
         call: u64,
@@ -92,10 +92,13 @@
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        if worker.hold.open == Some(call) {
-            worker.hold.open = None;
+        if worker.lease.in_flight == Some(call) {
+            worker.lease.in_flight = None;
         }
-        let held = matches!(purpose, CallPurpose::Hold { .. } | CallPurpose::Probe);
+        let held = matches!(
+            purpose,
+            CallPurpose::LeaseRenewal { .. } | CallPurpose::HealthCheck
+        );
         let ordered = matches!(
             purpose,
             CallPurpose::Start { .. } | CallPurpose::Stop { .. }
@@ -103,30 +106,30 @@
         match reply {
             WorkerReply::Unanswered => {
                 // A single order may go unanswered on a worker that is well; holds decide.
-                worker.unanswered += u32::from(held);
-                worker.hold.due = now + LOOK_AGAIN_MS;
-                let doubt = ordered && worker.doubted_at.is_none();
+                worker.unanswered_renewals += u32::from(held);
+                worker.lease.renew_at = now + RENEWAL_RETRY_MS;
+                let doubt = ordered && worker.suspected_since.is_none();
                 if doubt {
-                    worker.doubted_at = Some(now);
-                    self.probe(incarnation);
+                    worker.suspected_since = Some(now);
+                    self.send_health_check(incarnation);
                 }
             }
             WorkerReply::Done { clock_ms, .. } | WorkerReply::Refused { clock_ms, .. } => {
                 worker.read_clock(*clock_ms, now);
-                if worker.doubted_at.is_some_and(|since| sent_at >= since) {
-                    worker.doubted_at = None;
-                    self.replan = true;
+                if worker.suspected_since.is_some_and(|since| sent_at >= since) {
+                    worker.suspected_since = None;
+                    self.needs_planning = true;
                 }
-                if held && worker.unanswered > 0 {
-                    worker.unanswered = 0;
-                    self.replan = true;
+                if held && worker.unanswered_renewals > 0 {
+                    worker.unanswered_renewals = 0;
+                    self.needs_planning = true;
                 }
             }
             WorkerReply::Unhealthy | WorkerReply::Rejected | WorkerReply::OtherLife => {}
         }
     }
 
-    fn hold_answered(
+    fn handle_lease_reply(
         &mut self,
         incarnation: &str,
         sent_at: Millis,
@@ -144,18 +147,18 @@
         else {
             return;
         };
-        if !worker.greeted {
-            worker.greeted = true;
+        if !worker.has_responded {
+            worker.has_responded = true;
             if !worker.runs.is_empty() {
-                worker.granted_until = worker.granted_until.max(clock + max_hold_ms);
+                worker.lease_granted_until = worker.lease_granted_until.max(clock + max_hold_ms);
             }
-            self.replan = true;
+            self.needs_planning = true;
         }
-        worker.hold.due = now;
-        self.take_listing(incarnation, sent_at, clock, &listing, now);
+        worker.lease.renew_at = now;
+        self.handle_listing(incarnation, sent_at, clock, &listing, now);
     }
 
-    fn take_listing(
+    fn handle_listing(
         &mut self,
         incarnation: &str,
         sent_at: Millis,
@@ -166,7 +169,7 @@
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        let mut strays: Vec<(TaskId, RunId)> = Vec::new();
+        let mut stray_runs: Vec<(TaskId, RunId)> = Vec::new();
         for listed in &listing.running {
             match worker
                 .runs
@@ -175,23 +178,23 @@
             {
                 Some(run) => {
                     if matches!(run.phase, RunPhase::Starting | RunPhase::Recorded { .. })
-                        && run.tries > 0
+                        && run.start_attempts > 0
                     {
                         run.phase = RunPhase::Started;
                         run.started_at = now;
                     }
                     run.progress.note(listed.percent, now);
                     if !listed.checkpoint.is_empty() {
-                        run.saved.clone_from(&listed.checkpoint);
+                        run.latest_checkpoint.clone_from(&listed.checkpoint);
                     }
                 }
-                None => strays.push((listed.task, listed.run)),
+                None => stray_runs.push((listed.task, listed.run)),
             }
         }
         let ends: Vec<RunCompletion> = listing
             .ended
             .iter()
-            .filter(|end| end.number > worker.last_seen)
+            .filter(|end| end.number > worker.acknowledged_completion)
             .map(|end| RunCompletion {
                 task: end.task,
                 run: end.run,
@@ -204,21 +207,22 @@
             .iter()
             .map(|end| end.number)
             .max()
-            .filter(|&n| n > worker.proposed_seen)
+            .filter(|&n| n > worker.proposed_completion)
         {
-            worker.proposed_seen = last;
+            worker.proposed_completion = last;
             let incarnation = incarnation.to_owned();
-            self.out.push(Output::Propose(Command::RecordCompletions {
-                incarnation,
-                last_seen: last,
-                ends,
-            }));
+            self.outputs
+                .push(Output::Propose(Command::RecordCompletions {
+                    incarnation,
+                    last_seen: last,
+                    ends,
+                }));
         }
-        let lost = missing(worker, sent_at, clock, listing);
+        let lost = missing_runs(worker, sent_at, clock, listing);
         if !lost.is_empty() {
-            self.lose(lost);
+            self.propose_loss(lost);
         }
-        for (task, run) in strays {
+        for (task, run) in stray_runs {
             let order = WorkerOrder::Stop { task, run };
             self.call(
                 incarnation,
@@ -229,7 +233,7 @@
         }
     }
 
-    fn start_answered(
+    fn handle_start_reply(
         &mut self,
         incarnation: &str,
         task: TaskId,
@@ -244,8 +248,8 @@
         let Some(run) = worker.runs.get_mut(&task).filter(|run| run.run == number) else {
             return;
         };
-        run.open_calls = run.open_calls.saturating_sub(1);
-        run.resolved_at = now;
+        run.in_flight_orders = run.in_flight_orders.saturating_sub(1);
+        run.last_reply_at = now;
         let mut lost = false;
         match reply {
             WorkerReply::Done { .. } => {
@@ -258,20 +262,20 @@
                         seen: now,
                     };
                 }
-                run.may_begin_until = 0;
+                run.start_valid_until = 0;
             }
             WorkerReply::Unanswered => {
                 if run.phase == RunPhase::Starting {
                     run.phase = RunPhase::Recorded { not_before: now };
                 }
-                self.fresh.insert(incarnation.to_owned());
+                self.workers_with_orders.insert(incarnation.to_owned());
             }
             WorkerReply::Refused {
                 reason: RefusalReason::Late,
                 ..
             } => {
                 run.phase = RunPhase::Recorded {
-                    not_before: now + RETRY_MS,
+                    not_before: now + START_RETRY_MS,
                 };
             }
             // It ended there, or was stopped: the next listing says so.
@@ -280,22 +284,22 @@
                 ..
             } => {
                 run.phase = RunPhase::Started;
-                run.may_begin_until = 0;
+                run.start_valid_until = 0;
             }
             WorkerReply::Refused {
                 reason: RefusalReason::Room,
                 ..
             } => {
                 // An earlier try that was not answered may still come when there is room.
-                lost = run.may_begin_until <= deadline_ms && run.tries == 1;
+                lost = run.start_valid_until <= deadline_ms && run.start_attempts == 1;
                 if !lost {
-                    run.stop_due = Some(now);
+                    run.next_stop_at = Some(now);
                 }
             }
             WorkerReply::Unhealthy | WorkerReply::Rejected => {
-                lost = run.tries == 1;
+                lost = run.start_attempts == 1;
                 if !lost {
-                    run.stop_due = Some(now);
+                    run.next_stop_at = Some(now);
                 }
                 worker.health.eject(now);
             }
@@ -314,11 +318,11 @@
                 incarnation: incarnation.to_owned(),
                 checkpoint,
             };
-            self.lose(vec![start]);
+            self.propose_loss(vec![start]);
         }
     }
 
-    fn stop_answered(
+    fn handle_stop_reply(
         &mut self,
         incarnation: &str,
         task: TaskId,
@@ -326,27 +330,27 @@
         reply: &WorkerReply,
         now: Millis,
     ) {
-        let usual_wait_ms = self.hold_waits.wait_ms();
+        let long_poll_ms = self.lease_timing.long_poll_ms();
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         let Some(run) = worker.runs.get_mut(&task).filter(|run| run.run == number) else {
             return;
         };
-        run.open_calls = run.open_calls.saturating_sub(1);
-        run.resolved_at = now;
+        run.in_flight_orders = run.in_flight_orders.saturating_sub(1);
+        run.last_reply_at = now;
         if matches!(reply, WorkerReply::Done { .. }) {
             // A start of it that comes after the stop is turned down.
-            run.may_begin_until = 0;
-            run.stop_due = Some(now + 2 * usual_wait_ms + STOP_SETTLES_MS);
+            run.start_valid_until = 0;
+            run.next_stop_at = Some(now + 2 * long_poll_ms + STOP_CONFIRMATION_MS);
         }
-        worker.hold.due = worker.hold.due.min(now);
+        worker.lease.renew_at = worker.lease.renew_at.min(now);
     }
 }
 
 /// Runs that a listing, asked for after their last order was answered, does not show: they are surely not there.
-fn missing(worker: &Worker, sent_at: Millis, clock: u64, listing: &Listing) -> Vec<RunStart> {
-    if listing.ended.len() >= MOST_ENDS_LISTED {
+fn missing_runs(worker: &Worker, sent_at: Millis, clock: u64, listing: &Listing) -> Vec<RunStart> {
+    if listing.ended.len() >= MAX_LISTED_COMPLETIONS {
         return Vec::new();
     }
     let shown = |task: &TaskId, run: RunId| {
@@ -363,18 +367,20 @@
         .runs
         .iter()
         .filter(|(task, run)| {
-            let stopped = run.stop_due.is_some() && run.tries > 0 && run.phase != RunPhase::Losing;
+            let stopped = run.next_stop_at.is_some()
+                && run.start_attempts > 0
+                && run.phase != RunPhase::LossProposed;
             (run.phase == RunPhase::Started || stopped)
-                && run.open_calls == 0
-                && sent_at > run.resolved_at
-                && clock > run.may_begin_until
+                && run.in_flight_orders == 0
+                && sent_at > run.last_reply_at
+                && clock > run.start_valid_until
                 && !shown(task, run.run)
         })
         .map(|(task, run)| RunStart {
             task: *task,
             run: run.run,
             incarnation: worker.entry.incarnation.clone(),
-            checkpoint: run.saved.clone(),
+            checkpoint: run.latest_checkpoint.clone(),
         })
         .collect()
 }
--- a/system/scheduler/src/response_times.rs
+++ b/system/scheduler/src/response_times.rs
@@ -3,13 +3,13 @@
 use magpiegap_protocol::Millis;
 
 /// Answers are never waited for less long than this.
-const LEAST_WAIT_MS: f64 = 110.0;
+const MIN_TIMEOUT_MS: f64 = 110.0;
 /// Answers are never waited for longer than this.
-const MOST_WAIT_MS: f64 = 700.0;
+const MAX_TIMEOUT_MS: f64 = 700.0;
 /// What is added to the usual time and its spread.
 const MARGIN_MS: f64 = 50.0;
 /// How many times the usual spread is allowed for.
-const SPREADS: f64 = 4.0;
+const DEVIATIONS: f64 = 4.0;
 /// The weight of one call in what is usual.
 const GAIN: f64 = 0.05;
 /// While more than this share of calls is not answered, answers are taken for late, not for lost.
@@ -19,13 +19,13 @@
 /// By how much an answer shrinks a stretched wait.
 const SHRINK: f64 = 0.97;
 /// The wait is stretched to this many times what is usual at most.
-const MOST_STRETCH: f64 = 8.0;
+const MAX_STRETCH: f64 = 8.0;
 
 /// The usual time until an answer and its spread, over all workers.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseTimes {
     mean_ms: f64,
-    spread_ms: f64,
+    deviation_ms: f64,
     /// The share of calls that are not answered.
     unanswered: f64,
     stretch: f64,
@@ -36,7 +36,7 @@
     fn default() -> Self {
         ResponseTimes {
             mean_ms: 50.0,
-            spread_ms: 60.0,
+            deviation_ms: 60.0,
             unanswered: 0.0,
             stretch: 1.0,
         }
@@ -48,7 +48,7 @@
     pub fn answered(&mut self, after: Millis) {
         let difference = after as f64 - self.mean_ms;
         self.mean_ms += GAIN * difference;
-        self.spread_ms += GAIN * (difference.abs() - self.spread_ms);
+        self.deviation_ms += GAIN * (difference.abs() - self.deviation_ms);
         self.unanswered -= GAIN * self.unanswered;
         self.stretch = (self.stretch * SHRINK).max(1.0);
     }
@@ -57,13 +57,13 @@
     pub fn unanswered(&mut self) {
         self.unanswered += GAIN * (1.0 - self.unanswered);
         if self.unanswered > LOST_SHARE {
-            self.stretch = (self.stretch * STRETCH).min(MOST_STRETCH);
+            self.stretch = (self.stretch * STRETCH).min(MAX_STRETCH);
         }
     }
 
     /// How long to wait for an answer.
     pub fn wait_ms(&self) -> Millis {
-        let usual = self.mean_ms + SPREADS * self.spread_ms + MARGIN_MS;
-        (usual.max(LEAST_WAIT_MS) * self.stretch).min(MOST_WAIT_MS) as Millis
+        let usual = self.mean_ms + DEVIATIONS * self.deviation_ms + MARGIN_MS;
+        (usual.max(MIN_TIMEOUT_MS) * self.stretch).min(MAX_TIMEOUT_MS) as Millis
     }
 }
--- a/system/scheduler/src/runs.rs
+++ b/system/scheduler/src/runs.rs
@@ -1,10 +1,10 @@
 //! Keeps the runs on the workers in step with the log, and stops those that are not wanted any more.
 use crate::{
     calls::{Output, WorkerOrder},
+    discovery::lost_runs,
     planning::new_run,
     scheduler::{CallPurpose, Scheduler},
     worker::{RunPhase, Worker},
-    worker_list::lost_runs,
 };
 use magpiegap_jobs::{Change, Job, State};
 use magpiegap_protocol::{
@@ -14,9 +14,9 @@
 /// How long a start is valid, on the worker's clock.
 const START_VALID_MS: u64 = 1500;
 /// Time between two orders to stop the same run.
-const STOP_AGAIN_MS: Millis = 300;
+const STOP_RETRY_MS: Millis = 300;
 /// A start that was not answered this often is given up.
-const MOST_STARTS: u32 = 8;
+const MAX_START_ATTEMPTS: u32 = 8;
 
 impl Scheduler {
     /// Takes note of an entry that was applied; `own_runs` are the runs in it that this scheduler proposed. What the
@@ -29,14 +29,14 @@
         changes: &[Change],
         own_runs: &[RunStart],
     ) {
-        if entry.index <= self.known_until.index {
+        if entry.index <= self.snapshot_position.index {
             return;
         }
         for change in changes {
             self.apply_change(change, now, state);
         }
         for start in own_runs {
-            self.settle_proposal(start);
+            self.release_refused_proposal(start);
         }
         for id in own_runs.iter().map(|start| start.task.job) {
             if state
@@ -51,17 +51,17 @@
 
     fn apply_change(&mut self, change: &Change, now: Millis, state: &State) {
         match change {
-            Change::RunOpened(start) => self.run_opened(start, now, state),
+            Change::RunOpened(start) => self.handle_run_opened(start, now, state),
             Change::RunClosed {
                 task,
                 run,
                 incarnation,
                 kind,
-            } => self.run_closed(*task, *run, incarnation, *kind, now),
+            } => self.handle_run_closed(*task, *run, incarnation, *kind, now),
             Change::Job(id) => self.review_job(*id, now, state),
             Change::JobForgotten(id) => {
                 self.queue.remove(*id);
-                self.ended.retain(|(_, other)| other != id);
+                self.completed_jobs.retain(|(_, other)| other != id);
                 self.failed_on.retain(|task, _| task.job != *id);
             }
             Change::CompletionsRecorded {
@@ -69,17 +69,17 @@
                 last_seen,
             } => {
                 if let Some(worker) = self.workers.get_mut(incarnation) {
-                    worker.last_seen = *last_seen;
-                    worker.proposed_seen = worker.proposed_seen.max(*last_seen);
-                    worker.hold.due = now;
-                    self.hold_news.insert(incarnation.clone());
+                    worker.acknowledged_completion = *last_seen;
+                    worker.proposed_completion = worker.proposed_completion.max(*last_seen);
+                    worker.lease.renew_at = now;
+                    self.lease_updates.insert(incarnation.clone());
                 }
             }
             Change::Configuration | Change::Role(_) => {}
         }
     }
 
-    fn run_opened(&mut self, start: &RunStart, now: Millis, state: &State) {
+    fn handle_run_opened(&mut self, start: &RunStart, now: Millis, state: &State) {
         self.proposed.remove(&start.task);
         if let Some(worker) = self.workers.get_mut(&start.incarnation) {
             if let Some(run) = worker
@@ -90,10 +90,10 @@
                 // In any other phase its start may have been sent, by this or by an earlier holder of the role.
                 if run.phase == RunPhase::Proposed {
                     run.phase = RunPhase::Recorded { not_before: now };
-                    run.resolved_at = now;
-                    worker.hold.due = worker.hold.due.min(now);
-                    self.fresh.insert(start.incarnation.clone());
-                    self.hold_news.insert(start.incarnation.clone());
+                    run.last_reply_at = now;
+                    worker.lease.renew_at = worker.lease.renew_at.min(now);
+                    self.workers_with_orders.insert(start.incarnation.clone());
+                    self.lease_updates.insert(start.incarnation.clone());
                 }
                 return;
             }
@@ -119,8 +119,8 @@
         let Some(step) = job.submission.spec.steps.get(task.step as usize) else {
             return;
         };
-        let lapse_at = self.others_lapse_at();
-        self.hold_news.insert(incarnation.to_owned());
+        let lapse_at = self.previous_leases_expire_at();
+        self.lease_updates.insert(incarnation.to_owned());
         let worker = self
             .workers
             .entry(incarnation.to_owned())
@@ -137,12 +137,12 @@
             // It was proposed before the view changed and is in the log now: its start was never sent.
             if known.phase == RunPhase::Proposed {
                 known.phase = RunPhase::Recorded { not_before: now };
-                self.fresh.insert(incarnation.to_owned());
+                self.workers_with_orders.insert(incarnation.to_owned());
             }
             // It was to be taken off the record, and was not: the next listing decides anew.
-            if known.phase == RunPhase::Losing {
+            if known.phase == RunPhase::LossProposed {
                 known.phase = RunPhase::Started;
-                known.resolved_at = now;
+                known.last_reply_at = now;
             }
             return;
         }
@@ -161,7 +161,7 @@
         worker.add_run(task, new_run(job, step, &start, RunPhase::Started, now));
     }
 
-    fn run_closed(
+    fn handle_run_closed(
         &mut self,
         task: TaskId,
         run: RunId,
@@ -169,11 +169,11 @@
         kind: Option<CompletionKind>,
         now: Millis,
     ) {
-        self.replan = true;
+        self.needs_planning = true;
         if let Some(ended @ (CompletionKind::Done | CompletionKind::Failed)) = kind {
-            self.failure_share.note(ended == CompletionKind::Failed);
+            self.failure_rate.note(ended == CompletionKind::Failed);
         }
-        let failures_to_eject = self.failure_share.failures_to_eject();
+        let failures_to_eject = self.failure_rate.failures_to_eject();
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
@@ -191,7 +191,7 @@
                     && !elsewhere
                     && worker.health.failed(task.job, failures_to_eject, now)
                 {
-                    self.left_alone_untold.insert(incarnation.to_owned());
+                    self.unreported_ejections.insert(incarnation.to_owned());
                 }
             }
             _ => {}
@@ -199,7 +199,7 @@
     }
 
     /// Releases the room of a run that was proposed and refused.
-    fn settle_proposal(&mut self, start: &RunStart) {
+    fn release_refused_proposal(&mut self, start: &RunStart) {
         self.proposed.remove(&start.task);
         let Some(worker) = self.workers.get_mut(&start.incarnation) else {
             return;
@@ -210,7 +210,7 @@
             .is_some_and(|run| run.run == start.run && run.phase == RunPhase::Proposed);
         if refused {
             worker.remove_run(&start.task, start.run);
-            self.replan = true;
+            self.needs_planning = true;
         }
     }
 
@@ -224,24 +224,24 @@
         }
         if job.phase.is_terminal() {
             self.queue.remove(id);
-            self.ended.insert((job.completed_ms, id));
-            self.timed.retain(|(_, other)| *other != id);
+            self.completed_jobs.insert((job.completed_ms, id));
+            self.scheduled_jobs.retain(|(_, other)| *other != id);
         } else {
-            self.note_schedule(job);
+            self.refresh_schedule(job);
             self.refresh_queue(id, now, state);
         }
-        self.stop_unwanted(job, now);
+        self.stop_unneeded_runs(job, now);
     }
 
-    fn note_schedule(&mut self, job: &Job) {
+    fn refresh_schedule(&mut self, job: &Job) {
         let id = job.submission.job;
         if job.submission.spec.repeat_count == 0 {
             return;
         }
-        self.timed.retain(|(_, other)| *other != id);
+        self.scheduled_jobs.retain(|(_, other)| *other != id);
         if job.next_occurrence < job.submission.spec.occurrences() {
             if let Some(at) = job.submission.spec.scheduled_ms(job.next_occurrence) {
-                self.timed.insert((at, id));
+                self.scheduled_jobs.insert((at, id));
             }
         }
     }
@@ -253,12 +253,12 @@
         let proposed = &self.proposed;
         self.queue
             .refresh(job, now, self.wall, |task| proposed.contains(task));
-        self.replan = true;
+        self.needs_planning = true;
     }
 
     /// Marks the runs of a job that are not wanted any more: of an ended job, of tasks that are done, and of gangs
     /// that have lost a member.
-    fn stop_unwanted(&mut self, job: &Job, now: Millis) {
+    fn stop_unneeded_runs(&mut self, job: &Job, now: Millis) {
         for occurrence in job.occurrences.values() {
             for (position, step) in occurrence.steps.iter().enumerate() {
                 let gang = job
@@ -279,7 +279,7 @@
                         let over = task.done && !gang;
                         if job.phase.is_terminal() || broken || over {
                             let id = job.submission.job;
-                            self.want_stop(
+                            self.request_stop(
                                 &active.incarnation,
                                 id,
                                 position,
@@ -294,7 +294,7 @@
         }
     }
 
-    fn want_stop(
+    fn request_stop(
         &mut self,
         incarnation: &str,
         job: JobId,
@@ -313,14 +313,14 @@
                 && known.run == run
         });
         if let Some((_, known)) = wanted {
-            known.stop_due.get_or_insert(now);
-            self.fresh.insert(incarnation.to_owned());
+            known.next_stop_at.get_or_insert(now);
+            self.workers_with_orders.insert(incarnation.to_owned());
         }
     }
 
     /// Sends the starts and stops that are due on the workers marked as fresh.
-    pub(crate) fn send_starts(&mut self, now: Millis, state: &State) {
-        for incarnation in std::mem::take(&mut self.fresh) {
+    pub(crate) fn send_due_orders(&mut self, now: Millis, state: &State) {
+        for incarnation in std::mem::take(&mut self.workers_with_orders) {
             self.send_orders(&incarnation, now, state);
         }
     }
@@ -330,7 +330,7 @@
         let Some(worker) = self.workers.get(incarnation) else {
             return;
         };
-        let ready = worker.greeted && !worker.silent();
+        let ready = worker.has_responded && !worker.is_unresponsive();
         let tasks: Vec<TaskId> = worker.runs.keys().copied().collect();
         let mut lost = Vec::new();
         for task in tasks {
@@ -340,9 +340,9 @@
             let Some(run) = worker.runs.get(&task) else {
                 continue;
             };
-            let unsent = matches!(run.phase, RunPhase::Recorded { .. }) && run.tries == 0;
+            let unsent = matches!(run.phase, RunPhase::Recorded { .. }) && run.start_attempts == 0;
             let refused = worker.draining || !worker.listed;
-            if unsent && (run.stop_due.is_some() || !ready || refused) {
+            if unsent && (run.next_stop_at.is_some() || !ready || refused) {
                 // Its start was never sent, so it surely isn't there.
                 lost.push(RunStart {
                     task,
@@ -352,10 +352,10 @@
                 });
                 continue;
             }
-            if !ready || run.open_calls > 0 || run.phase == RunPhase::Losing {
+            if !ready || run.in_flight_orders > 0 || run.phase == RunPhase::LossProposed {
                 continue;
             }
-            if let Some(due) = run.stop_due {
+            if let Some(due) = run.next_stop_at {
                 if now >= due {
                     self.send_stop(incarnation, task, now);
                 }
@@ -366,20 +366,20 @@
             }
         }
         if !lost.is_empty() {
-            self.lose(lost);
+            self.propose_loss(lost);
         }
     }
 
     /// Takes runs off the record that are surely not going on.
-    pub(crate) fn lose(&mut self, lost: Vec<RunStart>) {
+    pub(crate) fn propose_loss(&mut self, lost: Vec<RunStart>) {
         for start in &lost {
             // Not proposed twice while the log has it under way.
             let worker = self.workers.get_mut(&start.incarnation);
             if let Some(run) = worker.and_then(|worker| worker.runs.get_mut(&start.task)) {
-                run.phase = RunPhase::Losing;
+                run.phase = RunPhase::LossProposed;
             }
         }
-        self.out
+        self.outputs
             .push(Output::Propose(Command::LoseRuns { runs: lost }));
     }
 
@@ -390,22 +390,22 @@
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        let Some(clock) = worker.clock_now(now) else {
+        let Some(clock) = worker.max_clock(now) else {
             return;
         };
         let deadline_ms = clock + START_VALID_MS;
         let Some(run) = worker.runs.get_mut(&task) else {
             return;
         };
-        run.tries += 1;
-        if run.tries > MOST_STARTS {
-            run.stop_due = Some(now);
+        run.start_attempts += 1;
+        if run.start_attempts > MAX_START_ATTEMPTS {
+            run.next_stop_at = Some(now);
             return;
         }
         run.phase = RunPhase::Starting;
-        run.open_calls += 1;
-        run.may_begin_until = run.may_begin_until.max(deadline_ms);
-        worker.granted_until = worker.granted_until.max(deadline_ms);
+        run.in_flight_orders += 1;
+        run.start_valid_until = run.start_valid_until.max(deadline_ms);
+        worker.lease_granted_until = worker.lease_granted_until.max(deadline_ms);
         let (number, checkpoint) = (run.run, run.checkpoint.clone());
         let spec = job.submission.spec.spec.clone();
         let purpose = CallPurpose::Start {
@@ -431,8 +431,8 @@
         else {
             return;
         };
-        run.stop_due = Some(now + STOP_AGAIN_MS);
-        run.open_calls += 1;
+        run.next_stop_at = Some(now + STOP_RETRY_MS);
+        run.in_flight_orders += 1;
         let number = run.run;
         let order = WorkerOrder::Stop { task, run: number };
         let timeout = self.response_times.wait_ms();
@@ -445,7 +445,7 @@
     }
 
     /// Takes all runs of a worker off the record, once every hold on it has surely run out.
-    pub(crate) fn lose_lapsed(&mut self, incarnation: &str) {
+    pub(crate) fn lose_expired_runs(&mut self, incarnation: &str) {
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
@@ -455,13 +455,13 @@
             .values_mut()
             .filter(|run| run.phase != RunPhase::Proposed)
         {
-            run.phase = RunPhase::Losing;
+            run.phase = RunPhase::LossProposed;
         }
-        self.out.push(Output::Log(format!(
+        self.outputs.push(Output::Log(format!(
             "the holds on {incarnation} have run out: {} runs are lost",
             lost.len()
         )));
-        self.out
+        self.outputs
             .push(Output::Propose(Command::LoseRuns { runs: lost }));
     }
 }
--- a/system/scheduler/src/scheduler.rs
+++ b/system/scheduler/src/scheduler.rs
@@ -2,10 +2,10 @@
 use crate::{
     backfill::Backfill,
     calls::{Output, WorkerCall, WorkerOrder},
-    health::FailureShare,
-    hold_waits::HoldWaits,
+    health::FailureRate,
+    lease_timing::LeaseTiming,
+    nominations::Nominations,
     queue::{Queue, Urgency, URGENT_PRIORITY},
-    reservations::Reservations,
     response_times::ResponseTimes,
     settings::SchedulerSettings,
     worker::Workers,
@@ -30,16 +30,16 @@
     },
     /// A stop of a run that is on no record.
     StopStray,
-    Hold {
+    LeaseRenewal {
         /// How long its answer may wait for an end.
         wait_ms: u64,
     },
     /// A look beside a hold that is under way, at a worker that has left an order unanswered.
-    Probe,
+    HealthCheck,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct OpenCall {
+pub(crate) struct InFlightCall {
     pub incarnation: String,
     pub purpose: CallPurpose,
     pub sent_at: Millis,
@@ -69,32 +69,32 @@
     pub(crate) settings: SchedulerSettings,
     pub(crate) random: StdRng,
     /// The last entry that the state held when it was last taken up whole.
-    pub(crate) known_until: LogPosition,
+    pub(crate) snapshot_position: LogPosition,
     pub(crate) workers: Workers,
     /// The names of all workers, as they were a moment ago.
-    pub(crate) names: Vec<String>,
+    pub(crate) worker_names: Vec<String>,
     pub(crate) queue: Queue,
-    pub(crate) reservations: Reservations,
+    pub(crate) nominations: Nominations,
     pub(crate) backfill: Backfill,
     /// Tasks with a run that is proposed and not yet in the log.
     pub(crate) proposed: HashSet<TaskId>,
     /// Workers that have a run whose start may be sent now.
-    pub(crate) fresh: BTreeSet<String>,
+    pub(crate) workers_with_orders: BTreeSet<String>,
     /// Workers of which there was news, so that a hold may be due there.
-    pub(crate) hold_news: BTreeSet<String>,
+    pub(crate) lease_updates: BTreeSet<String>,
     /// When all workers are next searched for holds that are due.
-    pub(crate) next_hold_search: Millis,
+    pub(crate) next_lease_scan: Millis,
     /// Workers that are left alone since that was last told, and when it was.
-    pub(crate) left_alone_untold: BTreeSet<String>,
-    pub(crate) left_alone_told_at: Millis,
+    pub(crate) unreported_ejections: BTreeSet<String>,
+    pub(crate) ejections_reported_at: Millis,
     /// Workers on which a task has failed.
     pub(crate) failed_on: HashMap<TaskId, Vec<String>>,
     /// Repeated jobs by when their next time falls due.
-    pub(crate) timed: BTreeSet<(WallMillis, JobId)>,
-    pub(crate) times_proposed: HashSet<(JobId, u32)>,
+    pub(crate) scheduled_jobs: BTreeSet<(WallMillis, JobId)>,
+    pub(crate) proposed_occurrences: HashSet<(JobId, u32)>,
     /// Ended jobs by when they ended.
-    pub(crate) ended: BTreeSet<(WallMillis, JobId)>,
-    pub(crate) calls: BTreeMap<u64, OpenCall>,
+    pub(crate) completed_jobs: BTreeSet<(WallMillis, JobId)>,
+    pub(crate) in_flight_calls: BTreeMap<u64, InFlightCall>,
     pub(crate) response_times: ResponseTimes,
     pub(crate) next_call: u64,
     /// The steady clock at the last input.
@@ -103,17 +103,17 @@
     pub(crate) wall: WallMillis,
     pub(crate) taken_over_at: Millis,
     /// Something has changed that may let a task be placed.
-    pub(crate) replan: bool,
+    pub(crate) needs_planning: bool,
     /// No round of planning before this time.
-    pub(crate) next_plan: Millis,
+    pub(crate) next_planning_at: Millis,
     /// Where the last round of planning ended, if it did not look at all that waits.
-    pub(crate) plan_next: Option<Urgency>,
-    pub(crate) next_check: Millis,
-    pub(crate) hold_waits: HoldWaits,
-    pub(crate) failure_share: FailureShare,
+    pub(crate) planning_cursor: Option<Urgency>,
+    pub(crate) next_check_at: Millis,
+    pub(crate) lease_timing: LeaseTiming,
+    pub(crate) failure_rate: FailureRate,
     /// A worker has seen a higher token: nothing more is called or ordered with this one.
     pub(crate) deposed: bool,
-    pub(crate) out: Vec<Output>,
+    pub(crate) outputs: Vec<Output>,
 }
 
 impl Scheduler {
@@ -131,36 +131,36 @@
             token,
             settings,
             random: StdRng::seed_from_u64(seed),
-            known_until: LogPosition::default(),
+            snapshot_position: LogPosition::default(),
             workers: Workers::new(),
-            names: Vec::new(),
+            worker_names: Vec::new(),
             queue: Queue::default(),
-            reservations: Reservations::default(),
+            nominations: Nominations::default(),
             backfill: Backfill::default(),
             proposed: HashSet::new(),
-            fresh: BTreeSet::new(),
-            hold_news: BTreeSet::new(),
-            left_alone_untold: BTreeSet::new(),
-            left_alone_told_at: 0,
-            next_hold_search: now,
+            workers_with_orders: BTreeSet::new(),
+            lease_updates: BTreeSet::new(),
+            unreported_ejections: BTreeSet::new(),
+            ejections_reported_at: 0,
+            next_lease_scan: now,
             failed_on: HashMap::new(),
-            timed: BTreeSet::new(),
-            times_proposed: HashSet::new(),
-            ended: BTreeSet::new(),
-            calls: BTreeMap::new(),
+            scheduled_jobs: BTreeSet::new(),
+            proposed_occurrences: HashSet::new(),
+            completed_jobs: BTreeSet::new(),
+            in_flight_calls: BTreeMap::new(),
             response_times: ResponseTimes::default(),
             next_call: 0,
             now,
             wall: WallMillis::default(),
             taken_over_at: now,
-            replan: true,
-            next_plan: now,
-            plan_next: None,
-            next_check: now,
-            hold_waits: HoldWaits::default(),
-            failure_share: FailureShare::default(),
+            needs_planning: true,
+            next_planning_at: now,
+            planning_cursor: None,
+            next_check_at: now,
+            lease_timing: LeaseTiming::default(),
+            failure_rate: FailureRate::default(),
             deposed: false,
-            out: Vec::new(),
+            outputs: Vec::new(),
         };
         scheduler.resume(now, state);
         scheduler
@@ -192,7 +192,7 @@
             "{refused_by} has seen a higher token than {}: the role is given up",
             self.token
         );
-        self.out.push(Output::Log(line));
+        self.outputs.push(Output::Log(line));
     }
 
     /// Figures for operators.
@@ -202,7 +202,7 @@
             silent: self
                 .workers
                 .values()
-                .filter(|worker| worker.silent())
+                .filter(|worker| worker.is_unresponsive())
                 .count(),
             runs: self.workers.values().map(|worker| worker.runs.len()).sum(),
             waiting: self.queue.len(),
@@ -216,11 +216,11 @@
 
     /// Takes what it wants done.
     pub fn poll_outputs(&mut self) -> Vec<Output> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
     /// When all that other holders of the role granted has surely run out.
-    pub(crate) fn others_lapse_at(&self) -> Millis {
+    pub(crate) fn previous_leases_expire_at(&self) -> Millis {
         let hold = self.settings.max_hold_ms + self.settings.max_hold_ms / 25;
         self.taken_over_at + self.settings.lease_ms + hold
     }
@@ -238,7 +238,7 @@
         let Some(worker) = self.workers.get(incarnation).filter(|_| !self.deposed) else {
             return id;
         };
-        self.out.push(Output::Call(WorkerCall {
+        self.outputs.push(Output::Call(WorkerCall {
             id,
             address: worker.entry.address.clone(),
             incarnation: incarnation.to_owned(),
@@ -247,9 +247,9 @@
             timeout_ms,
         }));
         let sent_at = self.now;
-        self.calls.insert(
+        self.in_flight_calls.insert(
             id,
-            OpenCall {
+            InFlightCall {
                 incarnation: incarnation.to_owned(),
                 purpose,
                 sent_at,
@@ -259,15 +259,19 @@
     }
 
     /// Says which workers are left alone, once for many.
-    fn tell_left_alone(&mut self, now: Millis) {
-        if self.left_alone_untold.is_empty()
-            || now < self.left_alone_told_at + TELL_LEFT_ALONE_EVERY_MS
+    fn report_ejections(&mut self, now: Millis) {
+        if self.unreported_ejections.is_empty()
+            || now < self.ejections_reported_at + EJECTION_REPORT_INTERVAL_MS
         {
             return;
         }
-        self.left_alone_told_at = now;
-        let untold = std::mem::take(&mut self.left_alone_untold);
-        let named: Vec<&str> = untold.iter().take(MOST_NAMED).map(String::as_str).collect();
+        self.ejections_reported_at = now;
+        let untold = std::mem::take(&mut self.unreported_ejections);
+        let named: Vec<&str> = untold
+            .iter()
+            .take(MAX_REPORTED_WORKERS)
+            .map(String::as_str)
+            .collect();
         let more = untold.len() - named.len();
         let more = if more > 0 {
             format!(" and {more} more")
@@ -278,18 +282,18 @@
             "workers left alone, since their runs fail: {}{more}",
             named.join(", ")
         );
-        self.out.push(Output::Log(line));
+        self.outputs.push(Output::Log(line));
     }
 
-    fn refresh_names(&mut self) {
-        if !self.workers.keys().eq(self.names.iter()) {
-            self.names = self.workers.keys().cloned().collect();
+    fn refresh_worker_names(&mut self) {
+        if !self.workers.keys().eq(self.worker_names.iter()) {
+            self.worker_names = self.workers.keys().cloned().collect();
         }
     }
 
     /// A round looks at all that waits, so with much waiting there is a pause before the next one.
-    fn pause_after_plan(&self) -> Millis {
-        (self.queue.len() as u64 / WAITING_PER_PAUSE_MS).min(MOST_PLAN_PAUSE_MS)
+    fn planning_pause(&self) -> Millis {
+        (self.queue.len() as u64 / QUEUED_PER_PAUSE_MS).min(MAX_PLANNING_PAUSE_MS)
     }
 
     /// Does what is due. To be called after all other inputs, and every few hundredths of a second.
@@ -299,38 +303,38 @@
         }
         self.now = now;
         self.wall = wall;
-        if now >= self.next_check {
-            self.next_check = now + CHECK_EVERY_MS;
+        if now >= self.next_check_at {
+            self.next_check_at = now + CHECK_INTERVAL_MS;
             self.check_workers(now, state);
-            self.tell_left_alone(now);
-            self.refresh_names();
-            self.open_times(wall, state);
-            self.forget_jobs(wall);
+            self.report_ejections(now);
+            self.refresh_worker_names();
+            self.open_due_occurrences(wall, state);
+            self.forget_completed_jobs(wall);
             for job in self.queue.outdated(wall) {
                 self.refresh_queue(job, now, state);
             }
             // Time alone may let a task be placed: a worker's ejection ends, or a wait for a near one.
-            self.replan |= self.queue.len() > 0;
+            self.needs_planning |= self.queue.len() > 0;
         }
-        self.send_starts(now, state);
-        self.renew_holds(now);
-        if self.replan && now >= self.next_plan {
-            self.replan = false;
+        self.send_due_orders(now, state);
+        self.renew_leases(now);
+        if self.needs_planning && now >= self.next_planning_at {
+            self.needs_planning = false;
             self.plan(now, state);
-            self.next_plan = now + self.pause_after_plan();
+            self.next_planning_at = now + self.planning_pause();
         }
     }
 }
 
 /// Tasks left waiting for each millisecond of pause between two rounds of planning.
-const WAITING_PER_PAUSE_MS: u64 = 16;
+const QUEUED_PER_PAUSE_MS: u64 = 16;
 /// Longest pause between two rounds of planning.
-const MOST_PLAN_PAUSE_MS: Millis = 20;
+const MAX_PLANNING_PAUSE_MS: Millis = 20;
 
 /// Time between two lines on workers that are left alone.
-const TELL_LEFT_ALONE_EVERY_MS: Millis = 1000;
+const EJECTION_REPORT_INTERVAL_MS: Millis = 1000;
 /// Workers named in such a line.
-const MOST_NAMED: usize = 5;
+const MAX_REPORTED_WORKERS: usize = 5;
 
 /// How often everything is looked through for what is due.
-const CHECK_EVERY_MS: Millis = 50;
+const CHECK_INTERVAL_MS: Millis = 50;
--- a/system/scheduler/src/take_over.rs
+++ b/system/scheduler/src/take_over.rs
@@ -9,12 +9,12 @@
     /// in the state now never will be.
     pub fn resume(&mut self, now: Millis, state: &State) {
         self.drop_outputs();
-        self.known_until = state.position;
+        self.snapshot_position = state.position;
         self.proposed.clear();
-        self.times_proposed.clear();
-        self.fresh.clear();
-        self.timed.clear();
-        self.ended.clear();
+        self.proposed_occurrences.clear();
+        self.workers_with_orders.clear();
+        self.scheduled_jobs.clear();
+        self.completed_jobs.clear();
         let own = |id: &JobId| {
             state
                 .jobs
@@ -30,7 +30,7 @@
                 .map(|(task, run)| (*task, *run));
             wanted.insert(incarnation, runs.collect());
         }
-        self.drop_runs_off_record(&wanted);
+        self.drop_unrecorded_runs(&wanted);
         for (incarnation, runs) in wanted {
             for (task, run) in runs {
                 self.adopt_run(incarnation, task, run, now, state);
@@ -41,27 +41,27 @@
                 .workers
                 .get(incarnation)
                 .map_or(0, |record| record.last_seen);
-            worker.last_seen = seen;
-            worker.proposed_seen = seen;
+            worker.acknowledged_completion = seen;
+            worker.proposed_completion = seen;
         }
         let ids: Vec<JobId> = state.jobs.keys().copied().collect();
         for id in ids {
             self.review_job(id, now, state);
         }
-        self.replan = true;
-        self.next_hold_search = now;
+        self.needs_planning = true;
+        self.next_lease_scan = now;
     }
 
     /// Drops what was not handed on yet: it was decided by the state as it was before.
     pub(crate) fn drop_outputs(&mut self) {
-        for output in std::mem::take(&mut self.out) {
+        for output in std::mem::take(&mut self.outputs) {
             if let Output::Call(call) = output {
-                self.calls.remove(&call.id);
+                self.in_flight_calls.remove(&call.id);
             }
         }
     }
 
-    fn drop_runs_off_record(&mut self, wanted: &BTreeMap<&str, Vec<(TaskId, RunId)>>) {
+    fn drop_unrecorded_runs(&mut self, wanted: &BTreeMap<&str, Vec<(TaskId, RunId)>>) {
         for (incarnation, worker) in &mut self.workers {
             let on_record = wanted
                 .get(incarnation.as_str())
--- a/system/scheduler/src/worker.rs
+++ b/system/scheduler/src/worker.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 /// The slowest that a worker's clock may run beside ours.
-const SLOWEST_CLOCK: f64 = 0.975;
+const MIN_CLOCK_RATE: f64 = 0.975;
 
 /// A reading of a worker's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
     /// It was started, or may have been by an earlier holder of the role.
     Started,
     /// It is surely not going on, and proposed for the log to be taken off the record.
-    Losing,
+    LossProposed,
 }
 
 /// A run's progress, as far as its worker has listed it.
@@ -55,7 +55,7 @@
     }
 
     /// How long it has surely stood still.
-    pub(crate) fn still_ms(&self) -> Millis {
+    pub(crate) fn stalled_ms(&self) -> Millis {
         self.seen.saturating_sub(self.since)
     }
 }
@@ -70,12 +70,12 @@
     /// The checkpoint that it was started from.
     pub checkpoint: String,
     /// The newest checkpoint that the worker has listed.
-    pub saved: String,
+    pub latest_checkpoint: String,
     pub progress: Progress,
     /// It keeps its progress when it is stopped.
     pub checkpoints: bool,
     /// It ends only when its job is cancelled.
-    pub lasting: bool,
+    pub long_running: bool,
     /// It works only together with others.
     pub gang: bool,
     /// When it was started.
@@ -83,24 +83,24 @@
     /// How long it should take, by the client's guess.
     pub estimated_ms: u64,
     /// It is to be stopped; the next order to do so is due at this time.
-    pub stop_due: Option<Millis>,
+    pub next_stop_at: Option<Millis>,
     /// Orders for it that are under way.
-    pub open_calls: u32,
+    pub in_flight_orders: u32,
     /// When the last order for it was answered; a listing asked for before says nothing of it.
-    pub resolved_at: Millis,
+    pub last_reply_at: Millis,
     /// On the worker's clock: until when a start that was not answered may still take effect.
-    pub may_begin_until: u64,
+    pub start_valid_until: u64,
     /// How often its start was sent.
-    pub tries: u32,
+    pub start_attempts: u32,
 }
 
 /// The state of the hold on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Hold {
+pub(crate) struct LeaseRenewal {
     /// The call under way.
-    pub open: Option<u64>,
+    pub in_flight: Option<u64>,
     /// When the next one is due.
-    pub due: Millis,
+    pub renew_at: Millis,
 }
 
 /// One life of a worker.
@@ -112,25 +112,25 @@
     /// It is being emptied.
     pub draining: bool,
     /// When it goes at the earliest, while it is being emptied.
-    pub gone_at: Option<Millis>,
+    pub departs_at: Option<Millis>,
     pub used: Resources,
     pub runs: BTreeMap<TaskId, Run>,
     pub clock: Option<ClockReading>,
     /// It has answered under this scheduler's token.
-    pub greeted: bool,
+    pub has_responded: bool,
     /// On the worker's clock: the latest deadline in any order ever sent to it.
-    pub granted_until: u64,
+    pub lease_granted_until: u64,
     /// On our clock: when all that others granted has surely run out.
-    pub others_lapse_at: Millis,
-    pub hold: Hold,
+    pub previous_leases_expire_at: Millis,
+    pub lease: LeaseRenewal,
     /// Ends up to this number are in the log.
-    pub last_seen: u64,
+    pub acknowledged_completion: u64,
     /// Ends up to this number are proposed for the log.
-    pub proposed_seen: u64,
+    pub proposed_completion: u64,
     /// When an order was first not answered; until a later call is answered it gets no new work.
-    pub doubted_at: Option<Millis>,
+    pub suspected_since: Option<Millis>,
     /// Holds in a row that were not answered.
-    pub unanswered: u32,
+    pub unanswered_renewals: u32,
     pub health: Health,
 }
 
@@ -138,53 +138,57 @@
 pub(crate) type Workers = BTreeMap<String, Worker>;
 
 impl Worker {
-    pub(crate) fn new(entry: WorkerEntry, now: Millis, others_lapse_at: Millis) -> Worker {
+    pub(crate) fn new(
+        entry: WorkerEntry,
+        now: Millis,
+        previous_leases_expire_at: Millis,
+    ) -> Worker {
         Worker {
             draining: entry.availability == Availability::Draining,
-            gone_at: entry.remaining_ms.map(|left| now + left),
+            departs_at: entry.remaining_ms.map(|left| now + left),
             entry,
             listed: true,
             used: Resources::default(),
             runs: BTreeMap::new(),
             clock: None,
-            greeted: false,
-            granted_until: 0,
-            others_lapse_at,
-            hold: Hold {
-                open: None,
-                due: now,
+            has_responded: false,
+            lease_granted_until: 0,
+            previous_leases_expire_at,
+            lease: LeaseRenewal {
+                in_flight: None,
+                renew_at: now,
             },
-            last_seen: 0,
-            proposed_seen: 0,
-            doubted_at: None,
-            unanswered: 0,
+            acknowledged_completion: 0,
+            proposed_completion: 0,
+            suspected_since: None,
+            unanswered_renewals: 0,
             health: Health::default(),
         }
     }
 
     /// Resources that no run takes up.
-    pub(crate) fn room(&self) -> Resources {
+    pub(crate) fn free_capacity(&self) -> Resources {
         self.entry.capacity.minus(&self.used)
     }
 
     /// Whether this much fits beside its runs.
-    pub(crate) fn has_room_for(&self, resources: &Resources) -> bool {
+    pub(crate) fn has_capacity_for(&self, resources: &Resources) -> bool {
         resources.plus(&self.used).fits(&self.entry.capacity)
     }
 
     /// Whether it has left too many calls unanswered to be given more work.
-    pub(crate) fn silent(&self) -> bool {
-        self.unanswered >= 2
+    pub(crate) fn is_unresponsive(&self) -> bool {
+        self.unanswered_renewals >= 2
     }
 
     /// Whether it has answered under this scheduler's token, and all calls since.
-    pub(crate) fn answers(&self) -> bool {
-        self.greeted && self.unanswered == 0 && self.doubted_at.is_none()
+    pub(crate) fn is_responsive(&self) -> bool {
+        self.has_responded && self.unanswered_renewals == 0 && self.suspected_since.is_none()
     }
 
     /// Whether new runs may be placed here.
-    pub(crate) fn takes_work(&self, now: Millis) -> bool {
-        self.answers() && self.listed && !self.draining && self.health.takes_work(now)
+    pub(crate) fn is_schedulable(&self, now: Millis) -> bool {
+        self.is_responsive() && self.listed && !self.draining && self.health.is_schedulable(now)
     }
 
     pub(crate) fn add_run(&mut self, task: TaskId, run: Run) {
@@ -204,26 +208,26 @@
     }
 
     /// The latest that the worker's clock can show now; `None` while it was never read.
-    pub(crate) fn clock_now(&self, now: Millis) -> Option<u64> {
+    pub(crate) fn max_clock(&self, now: Millis) -> Option<u64> {
         let reading = self.clock?;
         Some(reading.worker_ms + now.saturating_sub(reading.received_at))
     }
 
     /// The earliest that the worker's clock can show now.
-    pub(crate) fn clock_at_least(&self, now: Millis) -> Option<u64> {
+    pub(crate) fn min_clock(&self, now: Millis) -> Option<u64> {
         let reading = self.clock?;
-        let passed = now.saturating_sub(reading.received_at) as f64 * SLOWEST_CLOCK;
+        let passed = now.saturating_sub(reading.received_at) as f64 * MIN_CLOCK_RATE;
         Some(reading.worker_ms + passed as u64)
     }
 
     /// Whether every hold ever granted to it has surely run out, so that nothing runs there any more.
-    pub(crate) fn surely_lapsed(&self, now: Millis) -> bool {
-        if !self.greeted && now < self.others_lapse_at {
+    pub(crate) fn all_leases_expired(&self, now: Millis) -> bool {
+        if !self.has_responded && now < self.previous_leases_expire_at {
             return false;
         }
-        match self.clock_at_least(now) {
-            Some(clock) => clock > self.granted_until,
-            None => now >= self.others_lapse_at,
+        match self.min_clock(now) {
+            Some(clock) => clock > self.lease_granted_until,
+            None => now >= self.previous_leases_expire_at,
         }
     }
 
@@ -231,9 +235,7 @@
     pub(crate) fn read_clock(&mut self, worker_ms: Option<u64>, now: Millis) {
         let Some(worker_ms) = worker_ms else { return };
         // Answers may overtake each other: an older reading would set the clock back.
-        let newer = self
-            .clock_at_least(now)
-            .is_none_or(|known| worker_ms >= known);
+        let newer = self.min_clock(now).is_none_or(|known| worker_ms >= known);
         if newer {
             self.clock = Some(ClockReading {
                 worker_ms,
@@ -260,10 +262,10 @@
 
 /// About how long a run still takes, by its progress or else by the client's guess.
 pub(crate) fn remaining_ms(run: &Run, now: Millis) -> Millis {
-    const TELLING_PERCENT: u64 = 10;
+    const MIN_RELIABLE_PERCENT: u64 = 10;
     let passed = now.saturating_sub(run.started_at);
     let percent = run.progress.percent;
-    if percent >= TELLING_PERCENT {
+    if percent >= MIN_RELIABLE_PERCENT {
         return passed * (100 - percent.min(100)) / percent;
     }
     run.estimated_ms.saturating_sub(passed)
--- a/system/scheduler/tests/explanation.rs
+++ b/system/scheduler/tests/explanation.rs
@@ -48,7 +48,7 @@
     expect_that!(said.steps[0].waiting, eq(2));
     let counts = WorkerCounts {
         known: 3,
-        without_room: 1,
+        without_capacity: 1,
         without_label: 1,
         draining: 1,
         ..WorkerCounts::default()
