--- /dev/null
+++ b/system/scheduler/src/applied.rs
@@ -0,0 +1,210 @@
+//! Follows the log: what each applied entry changes in the runs, workers and jobs known here.
+use crate::{
+    run::{Run, RunPhase},
+    scheduler::Scheduler,
+    worker::Worker,
+};
+use magpiegap_jobs::{Change, Job, State};
+use magpiegap_protocol::{CompletionKind, LogPosition, Millis, RunId, RunStart, TaskId};
+
+impl Scheduler {
+    /// Takes an applied entry; `own_runs` are the runs in it that this scheduler proposed. An entry that the state held
+    /// already when it was last read in full changes nothing.
+    pub fn applied(
+        &mut self,
+        now: Millis,
+        entry: LogPosition,
+        state: &State,
+        changes: &[Change],
+        own_runs: &[RunStart],
+    ) {
+        if entry.index <= self.snapshot_position.index {
+            return;
+        }
+        for change in changes {
+            self.apply_change(change, now, state);
+        }
+        for start in own_runs {
+            self.release_refused_proposal(start);
+        }
+        for id in own_runs.iter().map(|start| start.task.job) {
+            let job = state.jobs.get(&id);
+            if job.is_some_and(|job| !job.phase.is_terminal()) {
+                self.refresh_queue(id, now, state);
+            }
+        }
+    }
+
+    fn apply_change(&mut self, change: &Change, now: Millis, state: &State) {
+        match change {
+            Change::RunOpened(start) => self.handle_run_opened(start, now, state),
+            Change::RunClosed {
+                task,
+                run,
+                incarnation,
+                kind,
+            } => self.handle_run_closed(*task, *run, incarnation, *kind, now),
+            Change::Job(id) => self.review_job(*id, now, state),
+            Change::JobForgotten(id) => {
+                self.queue.remove(*id);
+                self.job_calendar.forget(*id);
+                self.failed_on.retain(|task, _| task.job != *id);
+            }
+            Change::CompletionsRecorded {
+                incarnation,
+                last_seen,
+            } => self.handle_completions_recorded(incarnation, *last_seen, now),
+            Change::Configuration | Change::Role(_) => {}
+        }
+    }
+
+    fn handle_completions_recorded(&mut self, incarnation: &str, last: u64, now: Millis) {
+        if let Some(worker) = self.workers.get_mut(incarnation) {
+            worker.acknowledged_completion = last;
+            worker.proposed_completion = worker.proposed_completion.max(last);
+            worker.lease.renew_at = now;
+            self.lease_schedule.mark_updated(incarnation);
+        }
+    }
+
+    fn handle_run_opened(&mut self, start: &RunStart, now: Millis, state: &State) {
+        self.proposed.remove(&start.task);
+        if let Some(worker) = self.workers.get_mut(&start.incarnation) {
+            if let Some(run) = worker.run_mut(&start.task, start.run) {
+                // In any other phase its start may have been sent, by this or by an earlier scheduler.
+                if run.phase == RunPhase::Proposed {
+                    run.phase = RunPhase::Recorded { not_before: now };
+                    run.last_reply_at = now;
+                    worker.lease.renew_at = worker.lease.renew_at.min(now);
+                    self.workers_with_orders.insert(start.incarnation.clone());
+                    self.lease_schedule.mark_updated(&start.incarnation);
+                }
+                return;
+            }
+        }
+        self.adopt_run(&start.incarnation, start.task, start.run, now, state);
+    }
+
+    /// Takes up a run of the log that this scheduler has not proposed since it has its role.
+    pub(crate) fn adopt_run(
+        &mut self,
+        incarnation: &str,
+        task: TaskId,
+        run: RunId,
+        now: Millis,
+        state: &State,
+    ) {
+        let Some(job) = state.jobs.get(&task.job) else {
+            return;
+        };
+        if job.submission.service != self.service {
+            return;
+        }
+        let Some(step) = job.submission.spec.steps.get(task.step as usize) else {
+            return;
+        };
+        let leases_expire_at = self.previous_leases_expire_at();
+        self.lease_schedule.mark_updated(incarnation);
+        let worker = self
+            .workers
+            .entry(incarnation.to_owned())
+            .or_insert_with(|| Worker::unlisted(incarnation, now, leases_expire_at));
+        if let Some(known) = worker.run_mut(&task, run) {
+            match known.phase {
+                // Proposed before the view changed, and in the log now: its start was never sent.
+                RunPhase::Proposed => {
+                    known.phase = RunPhase::Recorded { not_before: now };
+                    self.workers_with_orders.insert(incarnation.to_owned());
+                }
+                // Its loss was proposed and is not in the log: the next listing decides anew.
+                RunPhase::LossProposed => {
+                    known.phase = RunPhase::Started;
+                    known.last_reply_at = now;
+                }
+                RunPhase::Recorded { .. } | RunPhase::Starting | RunPhase::Started => {}
+            }
+            return;
+        }
+        let start = RunStart {
+            task,
+            run,
+            incarnation: incarnation.to_owned(),
+            checkpoint: recorded_checkpoint(job, &task, run),
+        };
+        worker.add_run(task, Run::new(job, step, &start, RunPhase::Started, now));
+    }
+
+    fn handle_run_closed(
+        &mut self,
+        task: TaskId,
+        run: RunId,
+        incarnation: &str,
+        kind: Option<CompletionKind>,
+        now: Millis,
+    ) {
+        self.planning.request();
+        if let Some(completed @ (CompletionKind::Done | CompletionKind::Failed)) = kind {
+            self.failure_rate
+                .record(completed == CompletionKind::Failed);
+        }
+        let Some(worker) = self.workers.get_mut(incarnation) else {
+            return;
+        };
+        let was_known = worker.remove_run(&task, run).is_some();
+        match kind {
+            Some(CompletionKind::Done) => worker.health.record_success(),
+            Some(CompletionKind::Failed) => {
+                self.handle_failed_run(task, incarnation, was_known, now)
+            }
+            _ => {}
+        }
+    }
+
+    fn handle_failed_run(&mut self, task: TaskId, incarnation: &str, was_known: bool, now: Millis) {
+        let failed_on = self.failed_on.entry(task).or_default();
+        // A task that has failed on other workers too may be the one at fault.
+        let failed_elsewhere = failed_on.iter().any(|other| other != incarnation);
+        if !failed_on.iter().any(|other| other == incarnation) {
+            failed_on.push(incarnation.to_owned());
+        }
+        if !was_known || failed_elsewhere {
+            return;
+        }
+        let failures_to_eject = self.failure_rate.failures_to_eject();
+        let Some(worker) = self.workers.get_mut(incarnation) else {
+            return;
+        };
+        if worker
+            .health
+            .record_failure(task.job, failures_to_eject, now)
+        {
+            self.ejection_report.add(incarnation);
+        }
+    }
+
+    /// Frees the capacity of a run that was proposed and refused.
+    fn release_refused_proposal(&mut self, start: &RunStart) {
+        self.proposed.remove(&start.task);
+        let Some(worker) = self.workers.get_mut(&start.incarnation) else {
+            return;
+        };
+        let is_refused = worker
+            .run_mut(&start.task, start.run)
+            .is_some_and(|run| run.phase == RunPhase::Proposed);
+        if is_refused {
+            worker.remove_run(&start.task, start.run);
+            self.planning.request();
+        }
+    }
+}
+
+/// The checkpoint that the log has for an active run; empty: none.
+fn recorded_checkpoint(job: &Job, task: &TaskId, run: RunId) -> String {
+    let Some(state) = job.task(task) else {
+        return String::new();
+    };
+    let active = state.active.iter().find(|active| active.run == run);
+    active
+        .map(|active| active.checkpoint.clone())
+        .unwrap_or_default()
+}
--- a/system/scheduler/src/backfill.rs
+++ b/system/scheduler/src/backfill.rs
@@ -2,7 +2,8 @@
 //! fits first, and less urgent tasks go there only where that does not delay it (EASY backfilling).
 use crate::{
     queue::Urgency,
-    worker::{remaining_ms, Run, Worker, Workers},
+    run::Run,
+    worker::{Worker, Workers},
 };
 use magpiegap_protocol::{Millis, Resources, StepSpec};
 use std::collections::BTreeMap;
@@ -258,5 +259,5 @@
         return None;
     }
     let overtime = now.saturating_sub(run.started_at) / OVERTIME_DIVISOR;
-    Some(now + remaining_ms(run, now).max(overtime))
+    Some(now + run.remaining_ms(now).max(overtime))
 }
--- a/system/scheduler/src/discovery.rs
+++ b/system/scheduler/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Follows the platform's list of workers: lives that begin, drain and end.
 use crate::{calls::Output, scheduler::Scheduler, worker::Worker};
 use magpiegap_jobs::State;
-use magpiegap_protocol::{Availability, Command, Millis, RunStart, TaskId, WorkerEntry};
+use magpiegap_protocol::{Availability, Command, Millis, WorkerEntry};
 use std::collections::{HashMap, HashSet};
 
 impl Scheduler {
@@ -36,7 +36,7 @@
     }
 
     fn refresh_worker(&mut self, entry: &WorkerEntry, now: Millis, state: &State) {
-        self.lease_updates.insert(entry.incarnation.clone());
+        self.lease_schedule.mark_updated(&entry.incarnation);
         let draining = entry.availability == Availability::Draining;
         if let Some(worker) = self.workers.get_mut(&entry.incarnation) {
             let news = !worker.listed
@@ -46,7 +46,9 @@
             worker.listed = true;
             worker.draining = draining;
             worker.departs_at = entry.remaining_ms.map(|left| now + left);
-            self.needs_planning |= news;
+            if news {
+                self.planning.request();
+            }
             return;
         }
         let mut worker = Worker::new(entry.clone(), now, self.previous_leases_expire_at());
@@ -55,7 +57,7 @@
             worker.proposed_completion = record.last_seen;
         }
         self.workers.insert(entry.incarnation.clone(), worker);
-        self.needs_planning = true;
+        self.planning.request();
     }
 
     /// A worker's life is surely over.
@@ -64,7 +66,7 @@
             return;
         };
         worker.listed = false;
-        let lost = lost_runs(worker);
+        let lost = worker.lost_runs();
         if state.workers.contains_key(incarnation) {
             self.outputs
                 .push(Output::Propose(Command::LoseRuns { runs: lost }));
@@ -75,17 +77,6 @@
             }));
         }
         self.workers.remove(incarnation);
-        self.needs_planning = true;
+        self.planning.request();
     }
 }
-
-/// A worker's recorded runs, with the newest checkpoints that it has listed.
-pub(crate) fn lost_runs(worker: &Worker) -> Vec<RunStart> {
-    let lost = |(task, run): (&TaskId, &crate::worker::Run)| RunStart {
-        task: *task,
-        run: run.run,
-        incarnation: worker.entry.incarnation.clone(),
-        checkpoint: run.latest_checkpoint.clone(),
-    };
-    worker.runs.iter().map(lost).collect()
-}
--- /dev/null
+++ b/system/scheduler/src/ejection_report.rs
@@ -0,0 +1,46 @@
+//! Tells operators which workers were ejected, in one log line for many.
+use magpiegap_protocol::Millis;
+use std::collections::BTreeSet;
+
+/// Time between two log lines.
+const REPORT_INTERVAL_MS: Millis = 1000;
+/// Workers named in a log line; more are only counted.
+const MAX_NAMED_WORKERS: usize = 5;
+
+/// Ejected workers that no log line has named yet.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct EjectionReport {
+    unreported: BTreeSet<String>,
+    reported_at: Millis,
+}
+
+impl EjectionReport {
+    /// Adds a worker that was just ejected.
+    pub(crate) fn add(&mut self, incarnation: &str) {
+        self.unreported.insert(incarnation.to_owned());
+    }
+
+    /// Returns the log line that is due.
+    pub(crate) fn poll_line(&mut self, now: Millis) -> Option<String> {
+        if self.unreported.is_empty() || now < self.reported_at + REPORT_INTERVAL_MS {
+            return None;
+        }
+        self.reported_at = now;
+        let ejected = std::mem::take(&mut self.unreported);
+        let named: Vec<&str> = ejected
+            .iter()
+            .take(MAX_NAMED_WORKERS)
+            .map(String::as_str)
+            .collect();
+        let unnamed = ejected.len() - named.len();
+        let more = if unnamed > 0 {
+            format!(" and {unnamed} more")
+        } else {
+            String::new()
+        };
+        Some(format!(
+            "workers left alone, since their runs fail: {}{more}",
+            named.join(", ")
+        ))
+    }
+}
--- a/system/scheduler/src/health.rs
+++ b/system/scheduler/src/health.rs
@@ -20,7 +20,7 @@
 
 impl FailureRate {
     /// A run has ended, well or not.
-    pub(crate) fn note(&mut self, failed: bool) {
+    pub(crate) fn record(&mut self, failed: bool) {
         let one = if failed { 1.0 } else { 0.0 };
         self.0 += GAIN * (one - self.0);
     }
@@ -58,14 +58,19 @@
     }
 
     /// A run has ended well.
-    pub(crate) fn succeeded(&mut self) {
+    pub(crate) fn record_success(&mut self) {
         self.failed.clear();
         self.ejections = 0;
     }
 
     /// A run of this job has failed; so many of different jobs in a row are evidence against the worker. Returns whether
     /// it is now left alone.
-    pub(crate) fn failed(&mut self, job: JobId, failures_to_eject: usize, now: Millis) -> bool {
+    pub(crate) fn record_failure(
+        &mut self,
+        job: JobId,
+        failures_to_eject: usize,
+        now: Millis,
+    ) -> bool {
         if !self.failed.contains(&job) {
             self.failed.push(job);
         }
--- /dev/null
+++ b/system/scheduler/src/job_review.rs
@@ -0,0 +1,100 @@
+//! Brings what is queued, scheduled and running of a job in step with the job's state in the log.
+use crate::scheduler::Scheduler;
+use magpiegap_jobs::{Job, State, StepState};
+use magpiegap_protocol::{JobId, Millis, RunId, TaskId};
+
+impl Scheduler {
+    /// Takes up what a job of this service needs now.
+    pub(crate) fn review_job(&mut self, id: JobId, now: Millis, state: &State) {
+        let Some(job) = state.jobs.get(&id) else {
+            return;
+        };
+        if job.submission.service != self.service {
+            return;
+        }
+        if job.phase.is_terminal() {
+            self.queue.remove(id);
+            self.job_calendar.complete(id, job.completed_ms);
+        } else {
+            self.job_calendar.schedule(job);
+            self.refresh_queue(id, now, state);
+        }
+        self.stop_unneeded_runs(job, now);
+    }
+
+    /// Queues the tasks of a job whose turn has come, but for those that are being placed.
+    pub(crate) fn refresh_queue(&mut self, id: JobId, now: Millis, state: &State) {
+        let Some(job) = state.jobs.get(&id) else {
+            return;
+        };
+        let proposed = &self.proposed;
+        self.queue
+            .refresh(job, now, self.wall, |task| proposed.contains(task));
+        self.planning.request();
+    }
+
+    /// Marks the runs of a job that are not needed any more: of a completed job, of tasks that are done, and of gangs
+    /// that have lost a member.
+    fn stop_unneeded_runs(&mut self, job: &Job, now: Millis) {
+        for (occurrence, steps) in &job.occurrences {
+            for (position, step) in steps.steps.iter().enumerate() {
+                let first = TaskId {
+                    job: job.submission.job,
+                    occurrence: *occurrence,
+                    step: position as u32,
+                    index: 0,
+                };
+                self.stop_unneeded_runs_of_step(job, step, first, now);
+            }
+        }
+    }
+
+    fn stop_unneeded_runs_of_step(
+        &mut self,
+        job: &Job,
+        step: &StepState,
+        first: TaskId,
+        now: Millis,
+    ) {
+        let spec = job.submission.spec.steps.get(first.step as usize);
+        let is_gang = spec.is_some_and(|spec| spec.gang);
+        for (index, task) in step.tasks.iter().enumerate() {
+            let id = TaskId {
+                index: index as u32,
+                ..first
+            };
+            for active in &task.active {
+                // Where a gang is done its members complete by themselves.
+                let is_broken = is_gang && !step.is_done() && !has_all_members(step, active.run);
+                let is_superfluous = task.done && !is_gang;
+                if job.phase.is_terminal() || is_broken || is_superfluous {
+                    self.request_stop(&active.incarnation, id, active.run, now);
+                }
+            }
+        }
+    }
+
+    /// Marks a run to be stopped; the occurrence of its task is not compared.
+    fn request_stop(&mut self, incarnation: &str, task: TaskId, run: RunId, now: Millis) {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
+            return;
+        };
+        let found = worker.runs.iter_mut().find(|(other, known)| {
+            other.job == task.job
+                && other.step == task.step
+                && other.index == task.index
+                && known.id == run
+        });
+        if let Some((_, known)) = found {
+            known.next_stop_at.get_or_insert(now);
+            self.workers_with_orders.insert(incarnation.to_owned());
+        }
+    }
+}
+
+/// Whether every task of a gang has this run.
+fn has_all_members(step: &StepState, run: RunId) -> bool {
+    step.tasks
+        .iter()
+        .all(|task| task.active.iter().any(|active| active.run == run))
+}
--- /dev/null
+++ b/system/scheduler/src/lease_schedule.rs
@@ -0,0 +1,75 @@
+//! When the lease on each worker is renewed next.
+//!
+//! A lease on a worker is renewed by a long poll that lists its runs. While one is in flight no other is sent.
+use crate::worker::{Worker, Workers};
+use magpiegap_protocol::Millis;
+use std::collections::BTreeSet;
+
+/// Longest time between two scans of all workers for renewals that are due.
+const SCAN_INTERVAL_MS: Millis = 50;
+
+/// Finds the renewals that are due without a scan of all workers each time.
+#[derive(Clone, Debug)]
+pub(crate) struct LeaseSchedule {
+    /// Workers that have changed, so that a renewal may be due there.
+    updated: BTreeSet<String>,
+    /// When all workers are scanned next, for renewals that are due by time alone.
+    next_scan: Millis,
+}
+
+impl LeaseSchedule {
+    /// Creates a schedule that scans all workers at once.
+    pub(crate) fn new(now: Millis) -> LeaseSchedule {
+        LeaseSchedule {
+            updated: BTreeSet::new(),
+            next_scan: now,
+        }
+    }
+
+    /// Marks a worker that has changed.
+    pub(crate) fn mark_updated(&mut self, incarnation: &str) {
+        self.updated.insert(incarnation.to_owned());
+    }
+
+    /// Has all workers scanned at the next call of `take_due`.
+    pub(crate) fn scan_at(&mut self, now: Millis) {
+        self.next_scan = now;
+    }
+
+    /// Returns the workers whose renewal is due, by name.
+    pub(crate) fn take_due(&mut self, workers: &Workers, now: Millis) -> Vec<String> {
+        let updated = std::mem::take(&mut self.updated);
+        let mut due = Vec::new();
+        let mut next_scan = now + SCAN_INTERVAL_MS;
+        let mut consider = |incarnation: &String, worker: &Worker| match next_renewal_at(worker) {
+            Some(at) if now >= at => due.push(incarnation.clone()),
+            Some(at) => next_scan = next_scan.min(at),
+            None => {}
+        };
+        if now >= self.next_scan {
+            for (incarnation, worker) in workers {
+                consider(incarnation, worker);
+            }
+            self.next_scan = next_scan;
+        } else {
+            for incarnation in &updated {
+                if let Some(worker) = workers.get(incarnation) {
+                    consider(incarnation, worker);
+                }
+            }
+            self.next_scan = self.next_scan.min(next_scan);
+        }
+        due
+    }
+}
+
+/// When the lease on a worker is renewed next; `None`: not before the worker changes.
+fn next_renewal_at(worker: &Worker) -> Option<Millis> {
+    let unconfirmed =
+        !worker.has_responded || worker.unanswered_renewals > 0 || worker.suspected_since.is_some();
+    let is_wanted = !worker.runs.is_empty() || unconfirmed;
+    let is_acknowledged = worker.proposed_completion == worker.acknowledged_completion;
+    let is_reachable = !worker.entry.address.is_empty();
+    (is_wanted && is_acknowledged && is_reachable && worker.lease.in_flight.is_none())
+        .then_some(worker.lease.renew_at)
+}
--- a/system/scheduler/src/leases.rs
+++ b/system/scheduler/src/leases.rs
@@ -1,17 +1,16 @@
 //! Keeps the holds on workers, and notices those that fall silent, stand still or go.
 use crate::{
+    call_table::CallPurpose,
     calls::{Output, WorkerOrder},
     lease_timing::LeaseTiming,
-    scheduler::{CallPurpose, Scheduler},
-    worker::{remaining_ms, Run, RunPhase, Worker},
+    run::{Run, RunPhase},
+    scheduler::Scheduler,
 };
 use magpiegap_jobs::State;
 use magpiegap_protocol::{Command, Millis, TaskId};
 
 /// Longest time that a hold's answer may wait where a run makes no progress.
 const STALLED_LONG_POLL_MS: u64 = 150;
-/// Longest time between two searches through all workers for holds that are due.
-const LEASE_SCAN_INTERVAL_MS: Millis = 50;
 /// Time between two looks at a worker that does not answer.
 const RENEWAL_INTERVAL_MS: Millis = 400;
 /// A run whose progress stands still for less than this is never taken for stuck.
@@ -30,30 +29,9 @@
         self.lease_timing = LeaseTiming::for_busy_workers(busy);
     }
 
-    /// Sends the holds that are due. All workers are searched when one may be due by time alone; meanwhile only those of
-    /// which there was news are looked at.
+    /// Renews the leases that are due.
     pub(crate) fn renew_leases(&mut self, now: Millis) {
-        let updated = std::mem::take(&mut self.lease_updates);
-        let mut due = Vec::new();
-        let mut next_scan = now + LEASE_SCAN_INTERVAL_MS;
-        let mut consider = |incarnation: &String, worker: &Worker| match next_renewal_at(worker) {
-            Some(at) if now >= at => due.push(incarnation.clone()),
-            Some(at) => next_scan = next_scan.min(at),
-            None => {}
-        };
-        if now >= self.next_lease_scan {
-            self.workers
-                .iter()
-                .for_each(|(incarnation, worker)| consider(incarnation, worker));
-            self.next_lease_scan = next_scan;
-        } else {
-            let known = updated
-                .iter()
-                .filter_map(|incarnation| Some((incarnation, self.workers.get(incarnation)?)));
-            known.for_each(|(incarnation, worker)| consider(incarnation, worker));
-            self.next_lease_scan = self.next_lease_scan.min(next_scan);
-        }
-        for incarnation in due {
+        for incarnation in self.lease_schedule.take_due(&self.workers, now) {
             self.send_renewal(&incarnation, now);
         }
     }
@@ -87,7 +65,7 @@
             incarnation,
             CallPurpose::LeaseRenewal { wait_ms },
             order,
-            wait_ms + self.response_times.wait_ms(),
+            wait_ms + self.calls.timeout_ms(),
         );
         if let Some(worker) = self.workers.get_mut(incarnation) {
             worker.lease.in_flight = Some(id);
@@ -108,7 +86,7 @@
             incarnation,
             CallPurpose::HealthCheck,
             order,
-            self.response_times.wait_ms(),
+            self.calls.timeout_ms(),
         );
     }
 
@@ -168,8 +146,7 @@
         };
         let left = departs_at.saturating_sub(now);
         for run in worker.runs.values_mut() {
-            let running = run.phase == RunPhase::Started && run.next_stop_at.is_none();
-            if running && (run.long_running || remaining_ms(run, now) > left) {
+            if run.is_wanted_and_started() && (run.long_running || run.remaining_ms(now) > left) {
                 run.next_stop_at = Some(now);
                 self.workers_with_orders.insert(incarnation.to_owned());
             }
@@ -185,11 +162,7 @@
         let stuck: Vec<TaskId> = worker
             .runs
             .iter()
-            .filter(|(_, run)| {
-                run.phase == RunPhase::Started
-                    && run.next_stop_at.is_none()
-                    && is_stuck(run, gang_ms)
-            })
+            .filter(|(_, run)| run.is_wanted_and_started() && is_stuck(run, gang_ms))
             .map(|(task, _)| *task)
             .collect();
         if stuck.is_empty() || worker.unanswered_renewals > 0 {
@@ -209,17 +182,6 @@
     }
 }
 
-/// When the next hold on a worker is to be sent; `None`: not before there is news of it.
-fn next_renewal_at(worker: &Worker) -> Option<Millis> {
-    let unconfirmed =
-        !worker.has_responded || worker.unanswered_renewals > 0 || worker.suspected_since.is_some();
-    let wanted = !worker.runs.is_empty() || unconfirmed;
-    let acknowledged = worker.proposed_completion == worker.acknowledged_completion;
-    let reachable = !worker.entry.address.is_empty();
-    (wanted && acknowledged && reachable && worker.lease.in_flight.is_none())
-        .then_some(worker.lease.renew_at)
-}
-
 /// Whether a run should have moved on since it was started or last listed with other progress.
 fn lacks_progress(run: &Run, now: Millis) -> bool {
     let still = now.saturating_sub(run.progress.since);
--- a/system/scheduler/src/lib.rs
+++ b/system/scheduler/src/lib.rs
@@ -6,23 +6,31 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod applied;
 mod backfill;
+mod call_table;
 mod calls;
 mod capacity_index;
 mod discovery;
+mod ejection_report;
 mod explanation;
 mod forecast;
 mod health;
+mod job_calendar;
+mod job_review;
+mod lease_schedule;
 mod lease_timing;
 mod leases;
 mod nominations;
+mod orders;
 mod placement;
 mod planning;
+mod planning_schedule;
 mod preemption;
 mod queue;
 mod replies;
 mod response_times;
-mod runs;
+mod run;
 mod scheduler;
 mod settings;
 mod take_over;
--- a/system/scheduler/src/planning.rs
+++ b/system/scheduler/src/planning.rs
@@ -7,13 +7,12 @@
     placement::{choose, Demand, Pool},
     preemption::{choose_victims, Victims},
     queue::{urgency, Urgency, Waiting, URGENT_PRIORITY},
+    run::{Run, RunPhase},
     scheduler::Scheduler,
-    worker::{Progress, Run, RunPhase, Workers},
+    worker::Workers,
 };
 use magpiegap_jobs::{startable, Job, Startable, State};
-use magpiegap_protocol::{
-    Command, JobId, Millis, RunStart, StepSpec, Submission, TaskId, WallMillis,
-};
+use magpiegap_protocol::{Command, Millis, RunStart, StepSpec, Submission, TaskId, WallMillis};
 use std::collections::HashSet;
 
 /// After this many tasks that found no place, the most urgent part of a round of planning ends ...
@@ -29,6 +28,9 @@
 /// At most one in this many workers is kept free at a time for those that others were stopped for.
 const WORKERS_PER_PREEMPTION: usize = 12;
 
+/// How much longer than the settings say the status of a completed job is retained, in milliseconds.
+const STATUS_MARGIN_MS: u64 = 30_000;
+
 /// Kinds of work that found no place in a round; the same or more finds none either.
 #[derive(Default)]
 struct Misses {
@@ -118,7 +120,7 @@
         };
         let urgent = self.plan_units(&queued, MAX_URGENT_MISSES, &mut round, now, state);
         if urgent < queued.len() {
-            let next = self.planning_cursor.map_or(urgent, |next| {
+            let next = self.planning.cursor.map_or(urgent, |next| {
                 queued.partition_point(|waiting| waiting.key < next)
             });
             let from = if next >= queued.len() {
@@ -128,7 +130,7 @@
             };
             let max_misses = round.misses.shapes.len() + MAX_RESUMED_MISSES;
             let until = from + self.plan_units(&queued[from..], max_misses, &mut round, now, state);
-            self.planning_cursor = queued.get(until).map(|waiting| waiting.key);
+            self.planning.cursor = queued.get(until).map(|waiting| waiting.key);
         }
         if !round.runs.is_empty() {
             self.outputs
@@ -312,50 +314,29 @@
         };
         worker.add_run(
             start.task,
-            new_run(job, step, start, RunPhase::Proposed, now),
+            Run::new(job, step, start, RunPhase::Proposed, now),
         );
         self.proposed.insert(start.task);
-        self.lease_updates.insert(start.incarnation.clone());
+        self.lease_schedule.mark_updated(&start.incarnation);
     }
 
-    /// Lets times of repeated jobs fall due.
+    /// Proposes the occurrences of repeated jobs that are due.
     pub(crate) fn open_due_occurrences(&mut self, wall: WallMillis, state: &State) {
-        let due: Vec<(WallMillis, JobId)> = self
-            .scheduled_jobs
-            .iter()
-            .take_while(|(at, _)| *at <= wall)
-            .copied()
-            .collect();
-        for (at, id) in due {
-            let Some(job) = state.jobs.get(&id) else {
-                self.scheduled_jobs.remove(&(at, id));
-                continue;
-            };
-            if self.proposed_occurrences.insert((id, job.next_occurrence)) {
-                self.outputs.push(Output::Propose(Command::OpenOccurrence {
-                    job: id,
-                    occurrence: job.next_occurrence,
-                }));
-            }
+        for due in self.job_calendar.take_due(wall, state) {
+            self.outputs.push(Output::Propose(Command::OpenOccurrence {
+                job: due.job,
+                occurrence: due.number,
+            }));
         }
     }
 
-    /// Drops ended jobs whose state need not be shown any more.
+    /// Proposes to remove completed jobs whose status need not be shown any more.
     pub(crate) fn forget_completed_jobs(&mut self, wall: WallMillis) {
-        const MARGIN_MS: u64 = 30_000;
-        const MAX_FORGOTTEN: usize = 500;
-        let before = wall.saturating_sub(self.settings.status_ms + MARGIN_MS);
-        let over: Vec<JobId> = self
-            .completed_jobs
-            .iter()
-            .take_while(|(at, _)| *at < before)
-            .take(MAX_FORGOTTEN)
-            .map(|(_, id)| *id)
-            .collect();
-        if !over.is_empty() {
-            self.completed_jobs.retain(|(_, id)| !over.contains(id));
+        let before = wall.saturating_sub(self.settings.status_ms + STATUS_MARGIN_MS);
+        let jobs = self.job_calendar.take_completed_before(before);
+        if !jobs.is_empty() {
             self.outputs
-                .push(Output::Propose(Command::ForgetJobs { jobs: over }));
+                .push(Output::Propose(Command::ForgetJobs { jobs }));
         }
     }
 }
@@ -398,36 +379,3 @@
     };
     unit.tasks().zip(chosen).map(start).collect()
 }
-
-/// A run as it begins.
-pub(crate) fn new_run(
-    job: &Job,
-    step: &StepSpec,
-    start: &RunStart,
-    phase: RunPhase,
-    now: Millis,
-) -> Run {
-    Run {
-        run: start.run,
-        resources: step.resources,
-        priority: job.submission.priority,
-        phase,
-        checkpoint: start.checkpoint.clone(),
-        latest_checkpoint: start.checkpoint.clone(),
-        progress: Progress {
-            percent: 0,
-            since: now,
-            seen: now,
-        },
-        checkpoints: step.checkpoints,
-        long_running: job.submission.spec.long_running,
-        gang: step.gang,
-        started_at: now,
-        estimated_ms: step.estimated_ms,
-        next_stop_at: None,
-        in_flight_orders: 0,
-        last_reply_at: now,
-        start_valid_until: 0,
-        start_attempts: 0,
-    }
-}
--- a/system/scheduler/src/preemption.rs
+++ b/system/scheduler/src/preemption.rs
@@ -1,7 +1,8 @@
 //! Which runs to stop so that a more urgent task finds room.
 use crate::{
     nominations::Nominations,
-    worker::{Run, RunPhase, Worker, Workers},
+    run::Run,
+    worker::{Worker, Workers},
 };
 use magpiegap_protocol::{Millis, StepSpec, TaskId};
 
@@ -84,8 +85,7 @@
 
 fn is_preemptible(run: &Run, priority: u32) -> bool {
     run.priority > priority
-        && run.phase == RunPhase::Started
-        && run.next_stop_at.is_none()
+        && run.is_wanted_and_started()
         && !run.gang
         && !run.long_running
         && run.progress.percent < NEARLY_DONE_PERCENT
--- a/system/scheduler/src/replies.rs
+++ b/system/scheduler/src/replies.rs
@@ -1,143 +1,139 @@
-//! Takes workers' answers.
+//! Takes workers' replies to calls.
+//!
+//! Orders that follow from a reply are only marked as due here; they are sent when time passes.
 use crate::{
+    call_table::{CallPurpose, InFlightCall},
     calls::{Listing, Output, RefusalReason, WorkerOrder, WorkerReply},
-    scheduler::{CallPurpose, InFlightCall, Scheduler},
-    worker::{Progress, RunPhase, Worker},
+    run::{Run, RunPhase, StartOutcome},
+    scheduler::Scheduler,
+    worker::Worker,
 };
 use magpiegap_jobs::State;
 use magpiegap_protocol::{Command, Millis, RunCompletion, RunId, RunStart, TaskId};
 
-/// Time until a start that a worker turned down for its health or clock is sent again.
-const START_RETRY_MS: Millis = 60;
-/// A worker lists at most this many ends at once; with as many the listing may not be whole.
+/// Completions that a worker lists at once, at most; a listing with as many may not be complete.
 const MAX_LISTED_COMPLETIONS: usize = 500;
-/// A stop that was answered has its effect without being repeated. In this time, beyond that for which two holds wait,
-/// the one that is open comes back and another one is answered, which shows whether the run is there.
+/// A stop that was acknowledged takes effect without being repeated. In this time, beyond that of two long polls, the
+/// one in flight returns and another one is replied to, which shows whether the run is there.
 const STOP_CONFIRMATION_MS: Millis = 500;
-/// Time until a worker that left a call unanswered is looked at again.
+/// Time until the lease on a worker that left a call unanswered is renewed.
 const RENEWAL_RETRY_MS: Millis = 30;
 const STRAY_STOP_TIMEOUT_MS: Millis = 400;
 
+/// A call as its reply arrives.
+struct RepliedCall {
+    id: u64,
+    call: InFlightCall,
+    /// When the reply arrived.
+    now: Millis,
+}
+
+/// The order that a reply is to.
+#[derive(Clone, Copy)]
+struct OrderedRun {
+    task: TaskId,
+    run: RunId,
+}
+
 impl Scheduler {
-    /// Takes the answer to a call.
+    /// Takes the reply to a call, which must be the first one to it.
     pub fn reply(&mut self, now: Millis, state: &State, call: u64, reply: WorkerReply) {
-        let Some(open) = self.in_flight_calls.remove(&call) else {
+        let Some(in_flight) = self.calls.remove(call) else {
             return;
         };
-        let InFlightCall {
-            incarnation,
-            purpose,
-            sent_at,
-        } = open;
         self.now = now;
-        self.record_response_time(&purpose, &reply, now.saturating_sub(sent_at));
-        if !self.workers.contains_key(&incarnation) {
-            return;
-        }
-        if reply == WorkerReply::OtherLife {
-            self.end_incarnation(&incarnation, state);
+        let elapsed_ms = now.saturating_sub(in_flight.sent_at);
+        self.calls
+            .record_response_time(&in_flight.purpose, &reply, elapsed_ms);
+        if !self.workers.contains_key(&in_flight.incarnation) {
             return;
         }
-        if matches!(
-            reply,
+        match reply {
+            WorkerReply::OtherLife => self.end_incarnation(&in_flight.incarnation, state),
             WorkerReply::Refused {
                 reason: RefusalReason::RoleToken,
                 ..
+            } => self.depose(&in_flight.incarnation),
+            reply => {
+                let replied = RepliedCall {
+                    id: call,
+                    call: in_flight,
+                    now,
+                };
+                self.handle_worker_reply(&replied, reply);
             }
-        ) {
-            self.depose(&incarnation);
-            return;
         }
-        self.lease_updates.insert(incarnation.clone());
-        self.record_contact(&incarnation, call, &purpose, sent_at, &reply, now);
-        match purpose {
+    }
+
+    /// Takes a reply of a worker whose incarnation goes on, under a token that it accepts.
+    fn handle_worker_reply(&mut self, replied: &RepliedCall, reply: WorkerReply) {
+        let incarnation = &replied.call.incarnation;
+        self.lease_schedule.mark_updated(incarnation);
+        self.record_contact(replied, &reply);
+        match replied.call.purpose {
             CallPurpose::LeaseRenewal { .. } | CallPurpose::HealthCheck => {
-                self.handle_lease_reply(&incarnation, sent_at, reply, now)
+                self.handle_lease_reply(replied, reply);
             }
             CallPurpose::Start {
                 task,
                 run,
                 deadline_ms,
             } => {
-                self.handle_start_reply(&incarnation, task, run, deadline_ms, reply, now);
+                let ordered = OrderedRun { task, run };
+                self.handle_start_reply(incarnation, ordered, deadline_ms, &reply, replied.now);
             }
             CallPurpose::Stop { task, run } => {
-                self.handle_stop_reply(&incarnation, task, run, &reply, now)
+                let ordered = OrderedRun { task, run };
+                self.handle_stop_reply(incarnation, ordered, &reply, replied.now);
             }
             CallPurpose::StopStray => {}
         }
     }
 
-    /// Learns how long answers take, from calls that workers answer at once.
-    fn record_response_time(&mut self, purpose: &CallPurpose, reply: &WorkerReply, after: Millis) {
-        if matches!(purpose, CallPurpose::LeaseRenewal { wait_ms } if *wait_ms > 0) {
-            return;
-        }
-        match reply {
-            WorkerReply::Unanswered => self.response_times.unanswered(),
-            _ => self.response_times.answered(after),
-        }
-    }
-
-    /// What any answer, or none, says of the worker.
-    fn record_contact(
-        &mut self,
-        incarnation: &str,
-        call: u64,
-        purpose: &CallPurpose,
-        sent_at: Millis,
-        reply: &WorkerReply,
-        now: Millis,
-    ) {
+    /// Records what any reply, or none, says of the worker.
+    fn record_contact(&mut self, replied: &RepliedCall, reply: &WorkerReply) {
+        let InFlightCall {
+            incarnation,
+            purpose,
+            sent_at,
+        } = &replied.call;
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        if worker.lease.in_flight == Some(call) {
+        if worker.lease.in_flight == Some(replied.id) {
             worker.lease.in_flight = None;
         }
-        let held = matches!(
-            purpose,
-            CallPurpose::LeaseRenewal { .. } | CallPurpose::HealthCheck
-        );
-        let ordered = matches!(
-            purpose,
-            CallPurpose::Start { .. } | CallPurpose::Stop { .. }
-        );
         match reply {
             WorkerReply::Unanswered => {
-                // A single order may go unanswered on a worker that is well; holds decide.
-                worker.unanswered_renewals += u32::from(held);
-                worker.lease.renew_at = now + RENEWAL_RETRY_MS;
-                let doubt = ordered && worker.suspected_since.is_none();
-                if doubt {
-                    worker.suspected_since = Some(now);
+                // A healthy worker may leave a single order unanswered; renewals decide.
+                worker.unanswered_renewals += u32::from(purpose.lists_runs());
+                worker.lease.renew_at = replied.now + RENEWAL_RETRY_MS;
+                if purpose.is_order() && worker.suspected_since.is_none() {
+                    worker.suspected_since = Some(replied.now);
                     self.send_health_check(incarnation);
                 }
             }
             WorkerReply::Done { clock_ms, .. } | WorkerReply::Refused { clock_ms, .. } => {
-                worker.read_clock(*clock_ms, now);
-                if worker.suspected_since.is_some_and(|since| sent_at >= since) {
+                worker.read_clock(*clock_ms, replied.now);
+                if worker
+                    .suspected_since
+                    .is_some_and(|since| *sent_at >= since)
+                {
                     worker.suspected_since = None;
-                    self.needs_planning = true;
+                    self.planning.request();
                 }
-                if held && worker.unanswered_renewals > 0 {
+                if purpose.lists_runs() && worker.unanswered_renewals > 0 {
                     worker.unanswered_renewals = 0;
-                    self.needs_planning = true;
+                    self.planning.request();
                 }
             }
             WorkerReply::Unhealthy | WorkerReply::Rejected | WorkerReply::OtherLife => {}
         }
     }
 
-    fn handle_lease_reply(
-        &mut self,
-        incarnation: &str,
-        sent_at: Millis,
-        reply: WorkerReply,
-        now: Millis,
-    ) {
+    fn handle_lease_reply(&mut self, replied: &RepliedCall, reply: WorkerReply) {
         let max_hold_ms = self.settings.max_hold_ms;
-        let Some(worker) = self.workers.get_mut(incarnation) else {
+        let Some(worker) = self.workers.get_mut(&replied.call.incarnation) else {
             return;
         };
         let WorkerReply::Done {
@@ -149,85 +145,33 @@
         };
         if !worker.has_responded {
             worker.has_responded = true;
+            // An earlier scheduler may have granted it a lease that is as long as any.
             if !worker.runs.is_empty() {
                 worker.lease_granted_until = worker.lease_granted_until.max(clock + max_hold_ms);
             }
-            self.needs_planning = true;
+            self.planning.request();
         }
-        worker.lease.renew_at = now;
-        self.handle_listing(incarnation, sent_at, clock, &listing, now);
+        worker.lease.renew_at = replied.now;
+        self.handle_listing(&replied.call, clock, &listing, replied.now);
     }
 
-    fn handle_listing(
-        &mut self,
-        incarnation: &str,
-        sent_at: Millis,
-        clock: u64,
-        listing: &Listing,
-        now: Millis,
-    ) {
-        let Some(worker) = self.workers.get_mut(incarnation) else {
+    fn handle_listing(&mut self, call: &InFlightCall, clock: u64, listing: &Listing, now: Millis) {
+        let Some(worker) = self.workers.get_mut(&call.incarnation) else {
             return;
         };
-        let mut stray_runs: Vec<(TaskId, RunId)> = Vec::new();
-        for listed in &listing.running {
-            match worker
-                .runs
-                .get_mut(&listed.task)
-                .filter(|run| run.run == listed.run)
-            {
-                Some(run) => {
-                    if matches!(run.phase, RunPhase::Starting | RunPhase::Recorded { .. })
-                        && run.start_attempts > 0
-                    {
-                        run.phase = RunPhase::Started;
-                        run.started_at = now;
-                    }
-                    run.progress.note(listed.percent, now);
-                    if !listed.checkpoint.is_empty() {
-                        run.latest_checkpoint.clone_from(&listed.checkpoint);
-                    }
-                }
-                None => stray_runs.push((listed.task, listed.run)),
-            }
-        }
-        let ends: Vec<RunCompletion> = listing
-            .ended
-            .iter()
-            .filter(|end| end.number > worker.acknowledged_completion)
-            .map(|end| RunCompletion {
-                task: end.task,
-                run: end.run,
-                kind: end.kind,
-                checkpoint: end.checkpoint.clone(),
-            })
-            .collect();
-        if let Some(last) = listing
-            .ended
-            .iter()
-            .map(|end| end.number)
-            .max()
-            .filter(|&n| n > worker.proposed_completion)
-        {
-            worker.proposed_completion = last;
-            let incarnation = incarnation.to_owned();
-            self.outputs
-                .push(Output::Propose(Command::RecordCompletions {
-                    incarnation,
-                    last_seen: last,
-                    ends,
-                }));
+        let stray_runs = record_running(worker, listing, now);
+        if let Some(command) = propose_completions(worker, listing) {
+            self.outputs.push(Output::Propose(command));
         }
-        let lost = missing_runs(worker, sent_at, clock, listing);
+        let lost = missing_runs(worker, call.sent_at, clock, listing);
         if !lost.is_empty() {
             self.propose_loss(lost);
         }
-        for (task, run) in stray_runs {
-            let order = WorkerOrder::Stop { task, run };
+        for OrderedRun { task, run } in stray_runs {
             self.call(
-                incarnation,
+                &call.incarnation,
                 CallPurpose::StopStray,
-                order,
+                WorkerOrder::Stop { task, run },
                 STRAY_STOP_TIMEOUT_MS,
             );
         }
@@ -236,97 +180,36 @@
     fn handle_start_reply(
         &mut self,
         incarnation: &str,
-        task: TaskId,
-        number: RunId,
+        ordered: OrderedRun,
         deadline_ms: u64,
-        reply: WorkerReply,
+        reply: &WorkerReply,
         now: Millis,
     ) {
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        let Some(run) = worker.runs.get_mut(&task).filter(|run| run.run == number) else {
+        let Some(run) = worker.run_mut(&ordered.task, ordered.run) else {
             return;
         };
-        run.in_flight_orders = run.in_flight_orders.saturating_sub(1);
-        run.last_reply_at = now;
-        let mut lost = false;
-        match reply {
-            WorkerReply::Done { .. } => {
-                if run.phase == RunPhase::Starting {
-                    run.phase = RunPhase::Started;
-                    run.started_at = now;
-                    run.progress = Progress {
-                        percent: 0,
-                        since: now,
-                        seen: now,
-                    };
-                }
-                run.start_valid_until = 0;
-            }
-            WorkerReply::Unanswered => {
-                if run.phase == RunPhase::Starting {
-                    run.phase = RunPhase::Recorded { not_before: now };
-                }
+        run.handle_order_reply(now);
+        let outcome = run.handle_start_reply(reply, deadline_ms, now);
+        let start = run.to_start(ordered.task, incarnation);
+        if matches!(reply, WorkerReply::Unhealthy | WorkerReply::Rejected) {
+            worker.health.eject(now);
+        }
+        match outcome {
+            StartOutcome::Settled => {}
+            StartOutcome::Retry => {
                 self.workers_with_orders.insert(incarnation.to_owned());
             }
-            WorkerReply::Refused {
-                reason: RefusalReason::Late,
-                ..
-            } => {
-                run.phase = RunPhase::Recorded {
-                    not_before: now + START_RETRY_MS,
-                };
-            }
-            // It ended there, or was stopped: the next listing says so.
-            WorkerReply::Refused {
-                reason: RefusalReason::Old,
-                ..
-            } => {
-                run.phase = RunPhase::Started;
-                run.start_valid_until = 0;
-            }
-            WorkerReply::Refused {
-                reason: RefusalReason::Room,
-                ..
-            } => {
-                // An earlier try that was not answered may still come when there is room.
-                lost = run.start_valid_until <= deadline_ms && run.start_attempts == 1;
-                if !lost {
-                    run.next_stop_at = Some(now);
-                }
-            }
-            WorkerReply::Unhealthy | WorkerReply::Rejected => {
-                lost = run.start_attempts == 1;
-                if !lost {
-                    run.next_stop_at = Some(now);
-                }
-                worker.health.eject(now);
-            }
-            // Neither comes here: the one has given the role up, with the other the worker's life is over.
-            WorkerReply::Refused {
-                reason: RefusalReason::RoleToken,
-                ..
-            }
-            | WorkerReply::OtherLife => {}
-        }
-        if lost {
-            let checkpoint = run.checkpoint.clone();
-            let start = RunStart {
-                task,
-                run: number,
-                incarnation: incarnation.to_owned(),
-                checkpoint,
-            };
-            self.propose_loss(vec![start]);
+            StartOutcome::NeverBegan => self.propose_loss(vec![start]),
         }
     }
 
     fn handle_stop_reply(
         &mut self,
         incarnation: &str,
-        task: TaskId,
-        number: RunId,
+        ordered: OrderedRun,
         reply: &WorkerReply,
         now: Millis,
     ) {
@@ -334,13 +217,12 @@
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        let Some(run) = worker.runs.get_mut(&task).filter(|run| run.run == number) else {
+        let Some(run) = worker.run_mut(&ordered.task, ordered.run) else {
             return;
         };
-        run.in_flight_orders = run.in_flight_orders.saturating_sub(1);
-        run.last_reply_at = now;
+        run.handle_order_reply(now);
         if matches!(reply, WorkerReply::Done { .. }) {
-            // A start of it that comes after the stop is turned down.
+            // A start of it that arrives after the stop is refused.
             run.start_valid_until = 0;
             run.next_stop_at = Some(now + 2 * long_poll_ms + STOP_CONFIRMATION_MS);
         }
@@ -348,39 +230,82 @@
     }
 }
 
-/// Runs that a listing, asked for after their last order was answered, does not show: they are surely not there.
+/// Records the runs that a worker lists as running. Returns those that are not on record there.
+fn record_running(worker: &mut Worker, listing: &Listing, now: Millis) -> Vec<OrderedRun> {
+    let mut stray_runs = Vec::new();
+    for listed in &listing.running {
+        match worker.run_mut(&listed.task, listed.run) {
+            Some(run) => run.handle_listed(listed, now),
+            None => stray_runs.push(OrderedRun {
+                task: listed.task,
+                run: listed.run,
+            }),
+        }
+    }
+    stray_runs
+}
+
+/// Returns the command that records the completions listed, if there are any that no command was proposed for.
+fn propose_completions(worker: &mut Worker, listing: &Listing) -> Option<Command> {
+    let last = listing
+        .ended
+        .iter()
+        .map(|completion| completion.number)
+        .max()?;
+    if last <= worker.proposed_completion {
+        return None;
+    }
+    let completions = listing
+        .ended
+        .iter()
+        .filter(|completion| completion.number > worker.acknowledged_completion)
+        .map(|completion| RunCompletion {
+            task: completion.task,
+            run: completion.run,
+            kind: completion.kind,
+            checkpoint: completion.checkpoint.clone(),
+        })
+        .collect();
+    worker.proposed_completion = last;
+    Some(Command::RecordCompletions {
+        incarnation: worker.entry.incarnation.clone(),
+        last_seen: last,
+        ends: completions,
+    })
+}
+
+/// Returns the runs that a listing, requested after their last order was replied to, does not show: they are surely not
+/// running.
 fn missing_runs(worker: &Worker, sent_at: Millis, clock: u64, listing: &Listing) -> Vec<RunStart> {
     if listing.ended.len() >= MAX_LISTED_COMPLETIONS {
         return Vec::new();
     }
-    let shown = |task: &TaskId, run: RunId| {
-        listing
-            .running
-            .iter()
-            .any(|listed| listed.task == *task && listed.run == run)
-            || listing
-                .ended
-                .iter()
-                .any(|end| end.task == *task && end.run == run)
+    let is_overdue = |run: &Run| {
+        let is_stopped = run.next_stop_at.is_some()
+            && run.start_attempts > 0
+            && run.phase != RunPhase::LossProposed;
+        (run.phase == RunPhase::Started || is_stopped)
+            && run.in_flight_orders == 0
+            && sent_at > run.last_reply_at
+            && clock > run.start_valid_until
     };
     worker
         .runs
         .iter()
-        .filter(|(task, run)| {
-            let stopped = run.next_stop_at.is_some()
-                && run.start_attempts > 0
-                && run.phase != RunPhase::LossProposed;
-            (run.phase == RunPhase::Started || stopped)
-                && run.in_flight_orders == 0
-                && sent_at > run.last_reply_at
-                && clock > run.start_valid_until
-                && !shown(task, run.run)
-        })
-        .map(|(task, run)| RunStart {
-            task: *task,
-            run: run.run,
-            incarnation: worker.entry.incarnation.clone(),
-            checkpoint: run.latest_checkpoint.clone(),
-        })
+        .filter(|(task, run)| is_overdue(run) && !shows(listing, task, run.id))
+        .map(|(task, run)| run.to_lost(*task, &worker.entry.incarnation))
         .collect()
 }
+
+/// Whether a listing shows a run, running or completed.
+fn shows(listing: &Listing, task: &TaskId, run: RunId) -> bool {
+    let is_running = listing
+        .running
+        .iter()
+        .any(|listed| listed.task == *task && listed.run == run);
+    is_running
+        || listing
+            .ended
+            .iter()
+            .any(|completion| completion.task == *task && completion.run == run)
+}
--- a/system/scheduler/src/scheduler.rs
+++ b/system/scheduler/src/scheduler.rs
@@ -1,49 +1,24 @@
 //! The scheduler's state and the ways in and out of it.
 use crate::{
     backfill::Backfill,
+    call_table::{CallPurpose, CallTable, InFlightCall},
     calls::{Output, WorkerCall, WorkerOrder},
+    ejection_report::EjectionReport,
     health::FailureRate,
+    job_calendar::JobCalendar,
+    lease_schedule::LeaseSchedule,
     lease_timing::LeaseTiming,
     nominations::Nominations,
-    queue::{Queue, Urgency, URGENT_PRIORITY},
-    response_times::ResponseTimes,
+    planning_schedule::PlanningSchedule,
+    queue::{Queue, URGENT_PRIORITY},
     settings::SchedulerSettings,
     worker::Workers,
 };
 use magpiegap_jobs::State;
-use magpiegap_protocol::{FencingToken, JobId, LogPosition, Millis, RunId, TaskId, WallMillis};
+use magpiegap_protocol::{FencingToken, LogPosition, Millis, TaskId, WallMillis};
 use rand::{rngs::StdRng, SeedableRng};
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
-
-/// What a call under way was for.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum CallPurpose {
-    Start {
-        task: TaskId,
-        run: RunId,
-        deadline_ms: u64,
-    },
-    Stop {
-        task: TaskId,
-        run: RunId,
-    },
-    /// A stop of a run that is on no record.
-    StopStray,
-    LeaseRenewal {
-        /// How long its answer may wait for an end.
-        wait_ms: u64,
-    },
-    /// A look beside a hold that is under way, at a worker that has left an order unanswered.
-    HealthCheck,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct InFlightCall {
-    pub incarnation: String,
-    pub purpose: CallPurpose,
-    pub sent_at: Millis,
-}
+use std::collections::{BTreeSet, HashMap, HashSet};
 
 /// Figures on a scheduler, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -80,34 +55,18 @@
     pub(crate) proposed: HashSet<TaskId>,
     /// Workers that have a run whose start may be sent now.
     pub(crate) workers_with_orders: BTreeSet<String>,
-    /// Workers of which there was news, so that a hold may be due there.
-    pub(crate) lease_updates: BTreeSet<String>,
-    /// When all workers are next searched for holds that are due.
-    pub(crate) next_lease_scan: Millis,
-    /// Workers that are left alone since that was last told, and when it was.
-    pub(crate) unreported_ejections: BTreeSet<String>,
-    pub(crate) ejections_reported_at: Millis,
+    pub(crate) lease_schedule: LeaseSchedule,
+    pub(crate) ejection_report: EjectionReport,
     /// Workers on which a task has failed.
     pub(crate) failed_on: HashMap<TaskId, Vec<String>>,
-    /// Repeated jobs by when their next time falls due.
-    pub(crate) scheduled_jobs: BTreeSet<(WallMillis, JobId)>,
-    pub(crate) proposed_occurrences: HashSet<(JobId, u32)>,
-    /// Ended jobs by when they ended.
-    pub(crate) completed_jobs: BTreeSet<(WallMillis, JobId)>,
-    pub(crate) in_flight_calls: BTreeMap<u64, InFlightCall>,
-    pub(crate) response_times: ResponseTimes,
-    pub(crate) next_call: u64,
+    pub(crate) job_calendar: JobCalendar,
+    pub(crate) calls: CallTable,
     /// The steady clock at the last input.
     pub(crate) now: Millis,
     /// The time of day when time last passed.
     pub(crate) wall: WallMillis,
     pub(crate) taken_over_at: Millis,
-    /// Something has changed that may let a task be placed.
-    pub(crate) needs_planning: bool,
-    /// No round of planning before this time.
-    pub(crate) next_planning_at: Millis,
-    /// Where the last round of planning ended, if it did not look at all that waits.
-    pub(crate) planning_cursor: Option<Urgency>,
+    pub(crate) planning: PlanningSchedule,
     pub(crate) next_check_at: Millis,
     pub(crate) lease_timing: LeaseTiming,
     pub(crate) failure_rate: FailureRate,
@@ -139,23 +98,15 @@
             backfill: Backfill::default(),
             proposed: HashSet::new(),
             workers_with_orders: BTreeSet::new(),
-            lease_updates: BTreeSet::new(),
-            unreported_ejections: BTreeSet::new(),
-            ejections_reported_at: 0,
-            next_lease_scan: now,
+            lease_schedule: LeaseSchedule::new(now),
+            ejection_report: EjectionReport::default(),
             failed_on: HashMap::new(),
-            scheduled_jobs: BTreeSet::new(),
-            proposed_occurrences: HashSet::new(),
-            completed_jobs: BTreeSet::new(),
-            in_flight_calls: BTreeMap::new(),
-            response_times: ResponseTimes::default(),
-            next_call: 0,
+            job_calendar: JobCalendar::default(),
+            calls: CallTable::default(),
             now,
             wall: WallMillis::default(),
             taken_over_at: now,
-            needs_planning: true,
-            next_planning_at: now,
-            planning_cursor: None,
+            planning: PlanningSchedule::new(now),
             next_check_at: now,
             lease_timing: LeaseTiming::default(),
             failure_rate: FailureRate::default(),
@@ -233,8 +184,7 @@
         order: WorkerOrder,
         timeout_ms: Millis,
     ) -> u64 {
-        self.next_call += 1;
-        let id = self.next_call;
+        let id = self.calls.next_id();
         let Some(worker) = self.workers.get(incarnation).filter(|_| !self.deposed) else {
             return id;
         };
@@ -247,7 +197,7 @@
             timeout_ms,
         }));
         let sent_at = self.now;
-        self.in_flight_calls.insert(
+        self.calls.insert(
             id,
             InFlightCall {
                 incarnation: incarnation.to_owned(),
@@ -258,44 +208,12 @@
         id
     }
 
-    /// Says which workers are left alone, once for many.
-    fn report_ejections(&mut self, now: Millis) {
-        if self.unreported_ejections.is_empty()
-            || now < self.ejections_reported_at + EJECTION_REPORT_INTERVAL_MS
-        {
-            return;
-        }
-        self.ejections_reported_at = now;
-        let untold = std::mem::take(&mut self.unreported_ejections);
-        let named: Vec<&str> = untold
-            .iter()
-            .take(MAX_REPORTED_WORKERS)
-            .map(String::as_str)
-            .collect();
-        let more = untold.len() - named.len();
-        let more = if more > 0 {
-            format!(" and {more} more")
-        } else {
-            String::new()
-        };
-        let line = format!(
-            "workers left alone, since their runs fail: {}{more}",
-            named.join(", ")
-        );
-        self.outputs.push(Output::Log(line));
-    }
-
     fn refresh_worker_names(&mut self) {
         if !self.workers.keys().eq(self.worker_names.iter()) {
             self.worker_names = self.workers.keys().cloned().collect();
         }
     }
 
-    /// A round looks at all that waits, so with much waiting there is a pause before the next one.
-    fn planning_pause(&self) -> Millis {
-        (self.queue.len() as u64 / QUEUED_PER_PAUSE_MS).min(MAX_PLANNING_PAUSE_MS)
-    }
-
     /// Does what is due. To be called after all other inputs, and every few hundredths of a second.
     pub fn run(&mut self, now: Millis, wall: WallMillis, state: &State) {
         if self.deposed {
@@ -306,7 +224,9 @@
         if now >= self.next_check_at {
             self.next_check_at = now + CHECK_INTERVAL_MS;
             self.check_workers(now, state);
-            self.report_ejections(now);
+            if let Some(line) = self.ejection_report.poll_line(now) {
+                self.outputs.push(Output::Log(line));
+            }
             self.refresh_worker_names();
             self.open_due_occurrences(wall, state);
             self.forget_completed_jobs(wall);
@@ -314,27 +234,18 @@
                 self.refresh_queue(job, now, state);
             }
             // Time alone may let a task be placed: a worker's ejection ends, or a wait for a near one.
-            self.needs_planning |= self.queue.len() > 0;
+            if self.queue.len() > 0 {
+                self.planning.request();
+            }
         }
         self.send_due_orders(now, state);
         self.renew_leases(now);
-        if self.needs_planning && now >= self.next_planning_at {
-            self.needs_planning = false;
+        if self.planning.try_begin(now) {
             self.plan(now, state);
-            self.next_planning_at = now + self.planning_pause();
+            self.planning.end_round(now, self.queue.len());
         }
     }
 }
 
-/// Tasks left waiting for each millisecond of pause between two rounds of planning.
-const QUEUED_PER_PAUSE_MS: u64 = 16;
-/// Longest pause between two rounds of planning.
-const MAX_PLANNING_PAUSE_MS: Millis = 20;
-
-/// Time between two lines on workers that are left alone.
-const EJECTION_REPORT_INTERVAL_MS: Millis = 1000;
-/// Workers named in such a line.
-const MAX_REPORTED_WORKERS: usize = 5;
-
 /// How often everything is looked through for what is due.
 const CHECK_INTERVAL_MS: Millis = 50;
--- a/system/scheduler/src/take_over.rs
+++ b/system/scheduler/src/take_over.rs
@@ -11,10 +11,8 @@
         self.drop_outputs();
         self.snapshot_position = state.position;
         self.proposed.clear();
-        self.proposed_occurrences.clear();
         self.workers_with_orders.clear();
-        self.scheduled_jobs.clear();
-        self.completed_jobs.clear();
+        self.job_calendar.clear();
         let own = |id: &JobId| {
             state
                 .jobs
@@ -48,15 +46,15 @@
         for id in ids {
             self.review_job(id, now, state);
         }
-        self.needs_planning = true;
-        self.next_lease_scan = now;
+        self.planning.request();
+        self.lease_schedule.scan_at(now);
     }
 
     /// Drops what was not handed on yet: it was decided by the state as it was before.
     pub(crate) fn drop_outputs(&mut self) {
         for output in std::mem::take(&mut self.outputs) {
             if let Output::Call(call) = output {
-                self.in_flight_calls.remove(&call.id);
+                self.calls.remove(call.id);
             }
         }
     }
@@ -69,7 +67,7 @@
             let gone: Vec<(TaskId, RunId)> = worker
                 .runs
                 .iter()
-                .map(|(task, run)| (*task, run.run))
+                .map(|(task, run)| (*task, run.id))
                 .filter(|pair| !on_record.contains(pair))
                 .collect();
             for (task, run) in gone {
--- a/system/scheduler/src/worker.rs
+++ b/system/scheduler/src/worker.rs
@@ -1,6 +1,6 @@
 //! What the scheduler knows of one life of a worker.
-use crate::health::Health;
-use magpiegap_protocol::{Availability, Millis, Resources, RunId, TaskId, WorkerEntry};
+use crate::{health::Health, run::Run};
+use magpiegap_protocol::{Availability, Millis, Resources, RunId, RunStart, TaskId, WorkerEntry};
 use std::collections::BTreeMap;
 
 /// The slowest that a worker's clock may run beside ours.
@@ -15,85 +15,6 @@
     pub received_at: Millis,
 }
 
-/// How far a run has come, as far as the scheduler knows.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RunPhase {
-    /// Proposed for the log.
-    Proposed,
-    /// In the log; its start is still to be sent, not before this time.
-    Recorded { not_before: Millis },
-    /// Its start was sent and has not been answered.
-    Starting,
-    /// It was started, or may have been by an earlier holder of the role.
-    Started,
-    /// It is surely not going on, and proposed for the log to be taken off the record.
-    LossProposed,
-}
-
-/// A run's progress, as far as its worker has listed it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Progress {
-    /// In hundredths.
-    pub percent: u64,
-    /// When it was first listed there.
-    pub since: Millis,
-    /// When it was last listed there.
-    pub seen: Millis,
-}
-
-impl Progress {
-    /// Takes note of a listing.
-    pub(crate) fn note(&mut self, percent: u64, now: Millis) {
-        if percent != self.percent {
-            *self = Progress {
-                percent,
-                since: now,
-                seen: now,
-            };
-        }
-        self.seen = now;
-    }
-
-    /// How long it has surely stood still.
-    pub(crate) fn stalled_ms(&self) -> Millis {
-        self.seen.saturating_sub(self.since)
-    }
-}
-
-/// A run on a worker.
-#[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Run {
-    pub run: RunId,
-    pub resources: Resources,
-    pub priority: u32,
-    pub phase: RunPhase,
-    /// The checkpoint that it was started from.
-    pub checkpoint: String,
-    /// The newest checkpoint that the worker has listed.
-    pub latest_checkpoint: String,
-    pub progress: Progress,
-    /// It keeps its progress when it is stopped.
-    pub checkpoints: bool,
-    /// It ends only when its job is cancelled.
-    pub long_running: bool,
-    /// It works only together with others.
-    pub gang: bool,
-    /// When it was started.
-    pub started_at: Millis,
-    /// How long it should take, by the client's guess.
-    pub estimated_ms: u64,
-    /// It is to be stopped; the next order to do so is due at this time.
-    pub next_stop_at: Option<Millis>,
-    /// Orders for it that are under way.
-    pub in_flight_orders: u32,
-    /// When the last order for it was answered; a listing asked for before says nothing of it.
-    pub last_reply_at: Millis,
-    /// On the worker's clock: until when a start that was not answered may still take effect.
-    pub start_valid_until: u64,
-    /// How often its start was sent.
-    pub start_attempts: u32,
-}
-
 /// The state of the hold on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LeaseRenewal {
@@ -166,6 +87,22 @@
         }
     }
 
+    /// Creates a worker that the log names and the platform does not list.
+    pub(crate) fn unlisted(
+        incarnation: &str,
+        now: Millis,
+        previous_leases_expire_at: Millis,
+    ) -> Worker {
+        let entry = WorkerEntry {
+            incarnation: incarnation.to_owned(),
+            ..WorkerEntry::default()
+        };
+        Worker {
+            listed: false,
+            ..Worker::new(entry, now, previous_leases_expire_at)
+        }
+    }
+
     /// Resources that no run takes up.
     pub(crate) fn free_capacity(&self) -> Resources {
         self.entry.capacity.minus(&self.used)
@@ -191,6 +128,20 @@
         self.is_responsive() && self.listed && !self.draining && self.health.is_schedulable(now)
     }
 
+    /// A run with this id.
+    pub(crate) fn run_mut(&mut self, task: &TaskId, id: RunId) -> Option<&mut Run> {
+        self.runs.get_mut(task).filter(|run| run.id == id)
+    }
+
+    /// All its runs, with the newest checkpoints that it has listed.
+    pub(crate) fn lost_runs(&self) -> Vec<RunStart> {
+        self.runs
+            .iter()
+            .map(|(task, run)| run.to_lost(*task, &self.entry.incarnation))
+            .collect()
+    }
+
+    /// Adds a run and takes up its capacity.
     pub(crate) fn add_run(&mut self, task: TaskId, run: Run) {
         if let Some(old) = self.runs.insert(task, run.clone()) {
             self.used = self.used.minus(&old.resources);
@@ -199,7 +150,7 @@
     }
 
     pub(crate) fn remove_run(&mut self, task: &TaskId, run: RunId) -> Option<Run> {
-        if self.runs.get(task)?.run != run {
+        if self.runs.get(task)?.id != run {
             return None;
         }
         let removed = self.runs.remove(task)?;
@@ -259,14 +210,3 @@
         self.entry.labels.last().map_or("", String::as_str)
     }
 }
-
-/// About how long a run still takes, by its progress or else by the client's guess.
-pub(crate) fn remaining_ms(run: &Run, now: Millis) -> Millis {
-    const MIN_RELIABLE_PERCENT: u64 = 10;
-    let passed = now.saturating_sub(run.started_at);
-    let percent = run.progress.percent;
-    if percent >= MIN_RELIABLE_PERCENT {
-        return passed * (100 - percent.min(100)) / percent;
-    }
-    run.estimated_ms.saturating_sub(passed)
-}
