--- a/system/scheduler/src/placement.rs
+++ b/system/scheduler/src/placement.rs
@@ -1,4 +1,7 @@
-//! Chooses workers: of two random ones that fit, the less busy; packing for what needs most of a worker.
+//! Chooses workers for tasks: the less busy of two random ones that fit, or the busiest that fits for tasks that take a
+//! large share of a worker.
+//!
+//! Source: Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001.
 use crate::{
     backfill::{Backfill, Candidate},
     capacity_index::CapacityIndex,
@@ -9,25 +12,25 @@
 use rand::{rngs::StdRng, seq::SliceRandom};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tasks that take at least this part of a worker are packed instead of spread.
+/// Tasks that take at least this share of a worker are packed instead of spread.
 const MIN_PACKED_SHARE: f64 = 0.5;
-/// So many workers are drawn to find two that fit, before all are looked through.
+/// Workers drawn to find two that fit, before all are scanned.
 const MAX_DRAWS: usize = 12;
 
 /// What is to be placed.
 pub(crate) struct Demand<'a> {
     pub first: TaskId,
-    /// Only the rack that holds the data will do for now; for a gang, only one rack.
+    /// Only the rack that holds the data is accepted; for a gang, only one rack for all its tasks.
     pub require_locality: bool,
-    /// Workers kept free for others.
+    /// Workers reserved for those that had others preempted there.
     pub nominations: &'a Nominations,
-    /// Room that others are to get.
+    /// Capacity reserved for more urgent tasks.
     pub backfill: &'a Backfill,
     /// The step, and how many of its tasks.
     pub candidate: Candidate<'a>,
     /// Workers on which these tasks have failed.
     pub avoid: &'a [String],
-    /// The workers to look at.
+    /// The workers to consider.
     pub pool: Pool<'a>,
 }
 
@@ -36,12 +39,12 @@
 pub(crate) enum Pool<'a> {
     /// All of them, by name.
     All(&'a [String]),
-    /// Those that had room when the round of planning began.
+    /// Those that had free capacity when the round of planning began.
     WithCapacity(&'a CapacityIndex),
 }
 
 impl<'a> Pool<'a> {
-    /// Those that may have room for a task that takes this much processor.
+    /// Those that may have capacity for a task that takes so many thousandths of a core.
     fn with_capacity(
         self,
         workers: &'a Workers,
@@ -60,7 +63,7 @@
             Pool::WithCapacity(index) => index
                 .with_free_cpu(cpu)
                 .choose(random)
-                .map(|(_, name)| name),
+                .map(|worker| &worker.incarnation),
         };
         workers.get(name?)
     }
@@ -74,230 +77,270 @@
     }
 }
 
-/// What placing several tasks has used up so far.
+/// What the tasks placed so far take up, by worker.
 #[derive(Default)]
 struct Taken {
     resources: BTreeMap<String, Resources>,
     tasks: BTreeMap<String, u32>,
 }
 
-/// A worker for each task, or none when they don't all fit.
+impl Taken {
+    fn add(&mut self, incarnation: &str, resources: &Resources) {
+        let used = self.resources.entry(incarnation.to_owned()).or_default();
+        *used = used.plus(resources);
+        *self.tasks.entry(incarnation.to_owned()).or_default() += 1;
+    }
+
+    fn resources_on(&self, worker: &Worker) -> Resources {
+        let taken = self.resources.get(&worker.entry.incarnation);
+        taken.copied().unwrap_or_default()
+    }
+
+    fn tasks_on(&self, worker: &Worker) -> u32 {
+        let taken = self.tasks.get(&worker.entry.incarnation);
+        taken.copied().unwrap_or(0)
+    }
+}
+
+/// Chooses a worker for each task; `None`: they don't all fit.
 pub(crate) fn choose<'w>(
     workers: &'w Workers,
     demand: &Demand<'w>,
     now: Millis,
     random: &mut StdRng,
 ) -> Option<Vec<String>> {
+    let placer = Placer {
+        workers,
+        demand,
+        now,
+    };
     if demand.candidate.count > 1 && demand.candidate.step.rack_local {
-        if let Some(chosen) = choose_rack(workers, demand, now, random) {
+        if let Some(chosen) = placer.choose_rack(random) {
             return Some(chosen);
         }
         if demand.require_locality {
             return None;
         }
     }
-    choose_all(workers, demand, now, random, |_| true)
+    placer.choose_all(random, |_| true)
 }
 
-/// One rack that takes all tasks: the one that they leave fullest.
-fn choose_rack<'w>(
+/// One search for workers.
+struct Placer<'d, 'w> {
     workers: &'w Workers,
-    demand: &Demand<'w>,
+    demand: &'d Demand<'w>,
     now: Millis,
-    random: &mut StdRng,
-) -> Option<Vec<String>> {
-    let racks: BTreeSet<&str> = workers.values().map(Worker::rack).collect();
-    let mut racks: Vec<&str> = racks.into_iter().collect();
-    racks.shuffle(random);
-    racks
-        .into_iter()
-        .find_map(|rack| choose_all(workers, demand, now, random, |worker| worker.rack() == rack))
 }
 
-fn choose_all<'w>(
-    workers: &'w Workers,
-    demand: &Demand<'w>,
-    now: Millis,
-    random: &mut StdRng,
-    allowed: impl Fn(&Worker) -> bool,
-) -> Option<Vec<String>> {
-    let mut taken = Taken::default();
-    let mut chosen = Vec::with_capacity(demand.candidate.count as usize);
-    for _ in 0..demand.candidate.count {
-        let incarnation = choose_one(workers, demand, now, random, &taken, &allowed)?;
-        let used = taken.resources.entry(incarnation.clone()).or_default();
-        *used = used.plus(&demand.candidate.step.resources);
-        *taken.tasks.entry(incarnation.clone()).or_default() += 1;
-        chosen.push(incarnation);
+impl<'w> Placer<'_, 'w> {
+    /// One rack that takes all tasks: the first that does, in random order.
+    fn choose_rack(&self, random: &mut StdRng) -> Option<Vec<String>> {
+        let racks: BTreeSet<&str> = self.workers.values().map(Worker::rack).collect();
+        let mut racks: Vec<&str> = racks.into_iter().collect();
+        racks.shuffle(random);
+        racks
+            .into_iter()
+            .find_map(|rack| self.choose_all(random, |worker| worker.rack() == rack))
     }
-    Some(chosen)
-}
 
-fn choose_one<'w>(
-    workers: &'w Workers,
-    demand: &Demand<'w>,
-    now: Millis,
-    random: &mut StdRng,
-    taken: &Taken,
-    allowed: &impl Fn(&Worker) -> bool,
-) -> Option<String> {
-    let fits = |worker: &&Worker| {
-        allowed(worker)
-            && fits(worker, demand, taken)
-            && worker.is_schedulable(now)
-            && demand
-                .nominations
-                .allow(&worker.entry.incarnation, &demand.first)
-            && respects_reservations(worker, demand, taken, now)
-    };
-    let proven = |worker: &Worker| {
-        !worker.health.is_on_probation() && !demand.avoid.contains(&worker.entry.incarnation)
-    };
-    let busy = |worker: &Worker| {
-        let more = taken
-            .resources
-            .get(&worker.entry.incarnation)
-            .copied()
-            .unwrap_or_default();
-        worker
-            .used
-            .plus(&more)
-            .plus(&demand.candidate.step.resources)
-            .dominant_share(&worker.entry.capacity)
-    };
-    if let Some(two) = draw_two(workers, demand, random, |worker| {
-        fits(&worker) && proven(worker)
-    }) {
-        let less_busy = two.into_iter().min_by(|a, b| busy(a).total_cmp(&busy(b)));
-        return less_busy.map(|worker| worker.entry.incarnation.clone());
+    fn choose_all(
+        &self,
+        random: &mut StdRng,
+        is_allowed: impl Fn(&Worker) -> bool,
+    ) -> Option<Vec<String>> {
+        let candidate = &self.demand.candidate;
+        let mut taken = Taken::default();
+        let mut chosen = Vec::with_capacity(candidate.count as usize);
+        for _ in 0..candidate.count {
+            let incarnation = self.choose_one(random, &taken, &is_allowed)?;
+            taken.add(&incarnation, &candidate.step.resources);
+            chosen.push(incarnation);
+        }
+        Some(chosen)
+    }
+
+    fn choose_one(
+        &self,
+        random: &mut StdRng,
+        taken: &Taken,
+        is_allowed: &impl Fn(&Worker) -> bool,
+    ) -> Option<String> {
+        let fits = |worker: &Worker| is_allowed(worker) && self.fits(worker, taken);
+        let chosen = match self.draw_two(random, |worker| fits(worker) && self.is_proven(worker)) {
+            Some(two) => self.less_busy(two, taken),
+            None => {
+                let cpu = self.demand.candidate.step.resources.cpu;
+                let pool = self.demand.pool.with_capacity(self.workers, cpu);
+                let candidates = pool.filter(|worker| fits(worker)).collect();
+                let candidates = self.prefer_proven(self.prefer_local(candidates)?);
+                self.choose_among(candidates, random, taken)
+            }
+        };
+        chosen.map(|worker| worker.entry.incarnation.clone())
     }
-    let cpu = demand.candidate.step.resources.cpu;
-    let mut candidates: Vec<&Worker> = demand
-        .pool
-        .with_capacity(workers, cpu)
-        .filter(fits)
-        .collect();
-    if let Some(rack) = &demand.candidate.step.affinity {
+
+    /// Keeps the workers in the rack that holds the data, or all where none of them is and locality is not required.
+    fn prefer_local(&self, candidates: Vec<&'w Worker>) -> Option<Vec<&'w Worker>> {
+        let Some(rack) = &self.demand.candidate.step.affinity else {
+            return Some(candidates);
+        };
         let local: Vec<&Worker> = candidates
             .iter()
             .copied()
             .filter(|worker| worker.has_label(rack))
             .collect();
         if !local.is_empty() {
-            candidates = local;
-        } else if demand.require_locality {
-            return None;
+            return Some(local);
         }
+        (!self.demand.require_locality).then_some(candidates)
     }
-    let proven: Vec<&Worker> = candidates
-        .iter()
-        .copied()
-        .filter(|worker| proven(worker))
-        .collect();
-    if !proven.is_empty() {
-        candidates = proven;
-    } else {
-        // On trial a worker gets one run at a time.
-        candidates.retain(|worker| !worker.health.is_on_probation() || worker.runs.is_empty());
-    }
-    let pack = candidates
-        .iter()
-        .any(|worker| needs_packing(demand, worker));
-    let chosen = if pack || demand.candidate.step.resources.gpu > 0 {
-        candidates
-            .into_iter()
-            .max_by(|a, b| busy(a).total_cmp(&busy(b)))
-    } else {
-        let two: Vec<&Worker> = candidates.choose_multiple(random, 2).copied().collect();
-        two.into_iter().min_by(|a, b| busy(a).total_cmp(&busy(b)))
-    };
-    chosen.map(|worker| worker.entry.incarnation.clone())
-}
 
-/// Whether a task takes so much of a worker that it is packed.
-fn needs_packing(demand: &Demand<'_>, worker: &Worker) -> bool {
-    demand
-        .candidate
-        .step
-        .resources
-        .dominant_share(&worker.entry.capacity)
-        >= MIN_PACKED_SHARE
-}
+    /// Keeps the workers that nothing speaks against; where there are none, those that may take a run on probation.
+    fn prefer_proven(&self, candidates: Vec<&'w Worker>) -> Vec<&'w Worker> {
+        let proven: Vec<&Worker> = candidates
+            .iter()
+            .copied()
+            .filter(|worker| self.is_proven(worker))
+            .collect();
+        if !proven.is_empty() {
+            return proven;
+        }
+        // On probation a worker gets one run at a time.
+        let may_take =
+            |worker: &&Worker| !worker.health.is_on_probation() || worker.runs.is_empty();
+        candidates.into_iter().filter(may_take).collect()
+    }
 
-/// Two random workers that will do, drawn instead of looked for among all: the work for a start does not grow with the
-/// number of workers. `None` where a few draws do not find two, or where a task is not to be spread at random.
-fn draw_two<'w>(
-    workers: &'w Workers,
-    demand: &Demand<'w>,
-    random: &mut StdRng,
-    will_do: impl Fn(&Worker) -> bool,
-) -> Option<[&'w Worker; 2]> {
-    let step = demand.candidate.step;
-    let cpu = step.resources.cpu;
-    if step.resources.gpu > 0 || step.affinity.is_some() || demand.pool.len(cpu) < 2 * MAX_DRAWS {
-        return None;
+    fn choose_among(
+        &self,
+        candidates: Vec<&'w Worker>,
+        random: &mut StdRng,
+        taken: &Taken,
+    ) -> Option<&'w Worker> {
+        let needs_packing = candidates.iter().any(|worker| self.needs_packing(worker));
+        if needs_packing || self.demand.candidate.step.resources.gpu > 0 {
+            return self.busiest(candidates, taken);
+        }
+        let two: Vec<&Worker> = candidates.choose_multiple(random, 2).copied().collect();
+        self.less_busy(two, taken)
     }
-    let mut first: Option<&Worker> = None;
-    for _ in 0..MAX_DRAWS {
-        let drawn = demand.pool.draw(workers, cpu, random);
-        let Some(worker) = drawn.filter(|worker| will_do(worker)) else {
-            continue;
-        };
-        if needs_packing(demand, worker) {
+
+    /// Two random workers that will do, drawn instead of searched for among all: the work for a start does not grow with
+    /// the number of workers. `None`: a few draws do not find two, or the task is not to be spread at random.
+    fn draw_two(
+        &self,
+        random: &mut StdRng,
+        will_do: impl Fn(&Worker) -> bool,
+    ) -> Option<[&'w Worker; 2]> {
+        let step = self.demand.candidate.step;
+        let cpu = step.resources.cpu;
+        let is_drawable = step.resources.gpu == 0 && step.affinity.is_none();
+        if !is_drawable || self.demand.pool.len(cpu) < 2 * MAX_DRAWS {
             return None;
         }
-        match first {
-            None => first = Some(worker),
-            Some(first) if first.entry.incarnation != worker.entry.incarnation => {
-                return Some([first, worker])
+        let mut first: Option<&Worker> = None;
+        for _ in 0..MAX_DRAWS {
+            let drawn = self.demand.pool.draw(self.workers, cpu, random);
+            let Some(worker) = drawn.filter(|worker| will_do(worker)) else {
+                continue;
+            };
+            if self.needs_packing(worker) {
+                return None;
+            }
+            match first {
+                None => first = Some(worker),
+                Some(first) if first.entry.incarnation != worker.entry.incarnation => {
+                    return Some([first, worker])
+                }
+                Some(_) => {}
             }
-            Some(_) => {}
         }
+        None
     }
-    None
-}
 
-fn fits(worker: &Worker, demand: &Demand<'_>, taken: &Taken) -> bool {
-    let incarnation = &worker.entry.incarnation;
-    let step = demand.candidate.step;
-    let more = taken
-        .resources
-        .get(incarnation)
-        .copied()
-        .unwrap_or_default();
-    step.resources.fits(&worker.free_capacity().minus(&more))
-        && worker.free_capacity().cpu >= more.cpu + step.resources.cpu
-        && worker.has_labels(&step.requirements)
-        && (step.anti_affinity == 0 || siblings(worker, demand, taken) < step.anti_affinity)
-        && !worker.runs.contains_key(&demand.first)
-}
+    fn less_busy(
+        &self,
+        workers: impl IntoIterator<Item = &'w Worker>,
+        taken: &Taken,
+    ) -> Option<&'w Worker> {
+        workers.into_iter().min_by(|one, other| {
+            self.load_on(one, taken)
+                .total_cmp(&self.load_on(other, taken))
+        })
+    }
 
-fn respects_reservations(worker: &Worker, demand: &Demand<'_>, taken: &Taken, now: Millis) -> bool {
-    let more = taken
-        .resources
-        .get(&worker.entry.incarnation)
-        .copied()
-        .unwrap_or_default();
-    demand
-        .backfill
-        .allows_backfill(worker, &demand.candidate, &more, now)
-}
+    fn busiest(
+        &self,
+        workers: impl IntoIterator<Item = &'w Worker>,
+        taken: &Taken,
+    ) -> Option<&'w Worker> {
+        workers.into_iter().max_by(|one, other| {
+            self.load_on(one, taken)
+                .total_cmp(&self.load_on(other, taken))
+        })
+    }
 
-/// Tasks of the same step and time on this worker.
-fn siblings(worker: &Worker, demand: &Demand<'_>, taken: &Taken) -> u32 {
-    let from = TaskId {
-        index: 0,
-        ..demand.first
-    };
-    let to = TaskId {
-        index: u32::MAX,
-        ..demand.first
-    };
-    let there = worker.runs.range(from..=to).count() as u32;
-    there
-        + taken
-            .tasks
-            .get(&worker.entry.incarnation)
-            .copied()
-            .unwrap_or(0)
+    /// The share of a worker's scarcest resource that is in use once it has one task more.
+    fn load_on(&self, worker: &Worker, taken: &Taken) -> f64 {
+        worker
+            .used
+            .plus(&taken.resources_on(worker))
+            .plus(&self.demand.candidate.step.resources)
+            .dominant_share(&worker.entry.capacity)
+    }
+
+    /// Whether a task takes so much of a worker that it is packed.
+    fn needs_packing(&self, worker: &Worker) -> bool {
+        let resources = &self.demand.candidate.step.resources;
+        resources.dominant_share(&worker.entry.capacity) >= MIN_PACKED_SHARE
+    }
+
+    /// Whether nothing speaks against a worker: it is not on probation, and these tasks have not failed there.
+    fn is_proven(&self, worker: &Worker) -> bool {
+        let has_failed_here = self.demand.avoid.contains(&worker.entry.incarnation);
+        !worker.health.is_on_probation() && !has_failed_here
+    }
+
+    /// Whether a worker takes one task more.
+    fn fits(&self, worker: &Worker, taken: &Taken) -> bool {
+        let Demand {
+            first,
+            nominations,
+            backfill,
+            candidate,
+            ..
+        } = self.demand;
+        let more = taken.resources_on(worker);
+        self.has_capacity(worker, &more)
+            && worker.has_labels(&candidate.step.requirements)
+            && self.allows_sibling(worker, taken)
+            && !worker.runs.contains_key(first)
+            && worker.is_schedulable(self.now)
+            && nominations.allow(&worker.entry.incarnation, first)
+            && backfill.allows_backfill(worker, candidate, &more, self.now)
+    }
+
+    fn has_capacity(&self, worker: &Worker, more: &Resources) -> bool {
+        let resources = &self.demand.candidate.step.resources;
+        let free = worker.free_capacity();
+        resources.fits(&free.minus(more)) && free.cpu >= more.cpu + resources.cpu
+    }
+
+    /// Whether a worker may run another task of the same step and occurrence.
+    fn allows_sibling(&self, worker: &Worker, taken: &Taken) -> bool {
+        let max_siblings = self.demand.candidate.step.anti_affinity;
+        if max_siblings == 0 {
+            return true;
+        }
+        let first = TaskId {
+            index: 0,
+            ..self.demand.first
+        };
+        let last = TaskId {
+            index: u32::MAX,
+            ..self.demand.first
+        };
+        let running = worker.runs.range(first..=last).count() as u32;
+        running + taken.tasks_on(worker) < max_siblings
+    }
 }
--- a/system/scheduler/src/planning.rs
+++ b/system/scheduler/src/planning.rs
@@ -1,11 +1,13 @@
-//! Decides which waiting tasks are started where.
+//! Decides which queued tasks are started where, in rounds of planning.
+//!
+//! It composes placement, backfill and preemption; each of them is a module of its own.
 use crate::{
     backfill::Candidate,
     calls::Output,
     capacity_index::CapacityIndex,
     forecast::DeadlineForecast,
     placement::{choose, Demand, Pool},
-    preemption::{choose_victims, Victims},
+    preemption::{choose_victims, Preemptor, Victims},
     queue::{urgency, Urgency, Waiting, URGENT_PRIORITY},
     run::{Run, RunPhase},
     scheduler::Scheduler,
@@ -15,33 +17,37 @@
 use magpiegap_protocol::{Command, Millis, RunStart, StepSpec, Submission, TaskId, WallMillis};
 use std::collections::HashSet;
 
-/// After this many tasks that found no place, the most urgent part of a round of planning ends ...
+/// After this many tasks that could not be placed, the most urgent part of a round ends ...
 const MAX_URGENT_MISSES: usize = 40;
 /// ... and after this many more the part that goes on from where the last round ended, so that all have their turn.
 const MAX_RESUMED_MISSES: usize = 20;
-/// A task waits for its data's rack for at most this part of the time that being away would cost.
-const MAX_LOCALITY_WAIT: f64 = 0.6;
-/// An urgent task that has found no room for this long may have less urgent runs stopped for it.
+/// A task waits for its data's rack for at most this share of the time that running elsewhere would cost.
+const MAX_LOCALITY_WAIT_SHARE: f64 = 0.6;
+/// An urgent task that could not be placed for this long may preempt less urgent runs.
 const PREEMPT_AFTER_MS: Millis = 100;
-/// Searches for runs to stop that may find none in one round: each looks at all workers.
+/// Searches for runs to preempt that may fail in one round: each considers all workers.
 const MAX_FAILED_PREEMPTIONS: usize = 3;
-/// At most one in this many workers is kept free at a time for those that others were stopped for.
-const WORKERS_PER_PREEMPTION: usize = 12;
-
+/// At most one in this many workers is nominated at a time for those that preempted others.
+const WORKERS_PER_NOMINATION: usize = 12;
 /// How much longer than the settings say the status of a completed job is retained, in milliseconds.
 const STATUS_MARGIN_MS: u64 = 30_000;
 
-/// Kinds of work that found no place in a round; the same or more finds none either.
-#[derive(Default)]
-struct Misses {
-    shapes: Vec<StepSpec>,
-}
-
-/// A task or gang as a round of planning finds it waiting.
+/// A task or gang as a round finds it in the queue.
 struct QueuedUnit {
-    key: Urgency,
+    urgency: Urgency,
     unit: Startable,
-    since: Millis,
+    queued_at: Millis,
+}
+
+/// A task or gang that is to be placed.
+#[derive(Clone, Copy)]
+struct PlannedUnit<'a> {
+    job: &'a Job,
+    unit: &'a Startable,
+    step: &'a StepSpec,
+    urgency: &'a Urgency,
+    /// How long it has been queued, in milliseconds.
+    waited_ms: Millis,
 }
 
 /// What a round of planning has come to so far.
@@ -51,13 +57,31 @@
     misses: Misses,
     /// The workers as they were when it began.
     capacity: CapacityIndex,
-    /// Searches for less urgent runs to stop that found none.
+    /// Searches for less urgent runs to preempt that found none.
     failed_preemptions: usize,
 }
 
+/// How a search for runs to preempt went.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Preemption {
+    /// Runs are being stopped.
+    Begun,
+    /// The task may not preempt now; nothing was searched.
+    NotEligible,
+    /// No runs are worth stopping for it.
+    NoVictims,
+}
+
+/// Kinds of tasks that could not be placed in a round; those that need the same or more can't be placed either.
+#[derive(Default)]
+struct Misses {
+    shapes: Vec<StepSpec>,
+}
+
 impl Misses {
+    /// Whether a task needs at least what one of them needs.
     fn covers(&self, step: &StepSpec) -> bool {
-        let covers = |shape: &StepSpec| {
+        let is_covered_by = |shape: &StepSpec| {
             shape.resources.fits(&step.resources)
                 && shape.requirements == step.requirements
                 && shape.affinity == step.affinity
@@ -65,13 +89,17 @@
                 && shape.anti_affinity == 0
                 && !shape.gang
         };
-        self.shapes.iter().any(covers)
+        self.shapes.iter().any(is_covered_by)
     }
 
-    /// Notes a task that found no place. Where no worker had room at all, shorter tasks find none either; else what
-    /// was promised to others kept it out, which shorter ones may not delay.
-    fn add(&mut self, step: &StepSpec, any_room: bool) {
-        let estimated_ms = if any_room { step.estimated_ms } else { 0 };
+    /// Adds a task that could not be placed. Where no worker had capacity at all, shorter tasks can't be placed either;
+    /// else reservations kept it out, which shorter ones may not delay.
+    fn add(&mut self, step: &StepSpec, any_has_capacity: bool) {
+        let estimated_ms = if any_has_capacity {
+            step.estimated_ms
+        } else {
+            0
+        };
         self.shapes.push(StepSpec {
             estimated_ms,
             ..step.clone()
@@ -80,7 +108,8 @@
 }
 
 impl Scheduler {
-    /// A command that accepts a job, and starts its first tasks if there is room and nothing more urgent waits.
+    /// Returns a command that accepts a job, and starts its first tasks if there is capacity and nothing more urgent is
+    /// queued.
     pub fn submit(&mut self, now: Millis, submission: Submission) -> Command {
         let job = Job::new(submission.clone());
         let mut runs = Vec::new();
@@ -89,7 +118,17 @@
             if self.queue.first().is_some_and(|first| *first < urgency) {
                 break;
             }
-            if let Some(mut placed) = self.place(&job, &unit, &urgency, 0, None, now) {
+            let Some(step) = step_of(&job, &unit) else {
+                continue;
+            };
+            let planned = PlannedUnit {
+                job: &job,
+                unit: &unit,
+                step,
+                urgency: &urgency,
+                waited_ms: 0,
+            };
+            if let Some(mut placed) = self.place(&planned, None, now) {
                 runs.append(&mut placed);
             }
         }
@@ -99,16 +138,11 @@
         }
     }
 
-    /// Places what waits, most urgent first. Where much waits in vain, a round does not look at all of it: it goes on
-    /// where the last one ended.
+    /// Plays a round of planning: places what is queued, most urgent first. Where much can't be placed, a round does not
+    /// consider all of it: it goes on where the last one ended.
     pub(crate) fn plan(&mut self, now: Millis, state: &State) {
-        let queued_unit = |(key, waiting): (&Urgency, &Waiting)| QueuedUnit {
-            key: *key,
-            unit: waiting.unit.clone(),
-            since: waiting.since,
-        };
-        let queued: Vec<QueuedUnit> = self.queue.iter().map(queued_unit).collect();
-        let owners: HashSet<TaskId> = queued.iter().map(|waiting| waiting.key.task).collect();
+        let queued = self.queued_units();
+        let owners: HashSet<TaskId> = queued.iter().map(|queued| queued.urgency.task).collect();
         self.nominations.review(&owners, &self.workers, now);
         self.backfill.begin_planning_round(now);
         if queued.is_empty() {
@@ -120,17 +154,10 @@
         };
         let urgent = self.plan_units(&queued, MAX_URGENT_MISSES, &mut round, now, state);
         if urgent < queued.len() {
-            let next = self.planning.cursor.map_or(urgent, |next| {
-                queued.partition_point(|waiting| waiting.key < next)
-            });
-            let from = if next >= queued.len() {
-                urgent
-            } else {
-                next.max(urgent)
-            };
+            let from = self.resume_position(&queued, urgent);
             let max_misses = round.misses.shapes.len() + MAX_RESUMED_MISSES;
             let until = from + self.plan_units(&queued[from..], max_misses, &mut round, now, state);
-            self.planning.cursor = queued.get(until).map(|waiting| waiting.key);
+            self.planning.cursor = queued.get(until).map(|queued| queued.urgency);
         }
         if !round.runs.is_empty() {
             self.outputs
@@ -138,7 +165,29 @@
         }
     }
 
-    /// Places some of those in line, until so many in all have found no place. Returns how many it has looked at.
+    fn queued_units(&self) -> Vec<QueuedUnit> {
+        let queued_unit = |(urgency, waiting): (&Urgency, &Waiting)| QueuedUnit {
+            urgency: *urgency,
+            unit: waiting.unit.clone(),
+            queued_at: waiting.since,
+        };
+        self.queue.iter().map(queued_unit).collect()
+    }
+
+    /// Where a round goes on after its most urgent part: where the last one ended, if that is later in the queue.
+    fn resume_position(&self, queued: &[QueuedUnit], urgent: usize) -> usize {
+        let Some(cursor) = self.planning.cursor else {
+            return urgent;
+        };
+        let next = queued.partition_point(|queued| queued.urgency < cursor);
+        if next >= queued.len() {
+            urgent
+        } else {
+            next.max(urgent)
+        }
+    }
+
+    /// Places queued units, until so many in all could not be placed. Returns how many it has considered.
     fn plan_units(
         &mut self,
         queued: &[QueuedUnit],
@@ -158,59 +207,63 @@
 
     fn plan_unit(
         &mut self,
-        waiting: &QueuedUnit,
+        queued: &QueuedUnit,
         round: &mut PlanningRound,
         now: Millis,
         state: &State,
     ) {
-        let QueuedUnit { key, unit, since } = waiting;
-        let Some(job) = state.jobs.get(&key.task.job) else {
+        let Some(job) = state.jobs.get(&queued.urgency.task.job) else {
             return;
         };
-        let Some(step) = job.submission.spec.steps.get(key.task.step as usize) else {
+        let Some(step) = step_of(job, &queued.unit) else {
             return;
         };
-        let waited = now.saturating_sub(*since);
+        let planned = PlannedUnit {
+            job,
+            unit: &queued.unit,
+            step,
+            urgency: &queued.urgency,
+            waited_ms: now.saturating_sub(queued.queued_at),
+        };
         if round.misses.covers(step) {
-            self.reserve_capacity(job, unit, step, key, waited, now);
+            self.reserve_capacity(&planned, now);
             return;
         }
-        match self.place(job, unit, key, waited, Some(&round.capacity), now) {
-            Some(mut placed) => {
-                self.queue.take(key);
-                self.backfill.release(key);
-                round.runs.append(&mut placed);
-            }
-            None => {
-                round.misses.add(
-                    step,
-                    any_worker_has_capacity(&self.workers, &round.capacity, step, now),
-                );
-                self.reserve_capacity(job, unit, step, key, waited, now);
-                if round.failed_preemptions < MAX_FAILED_PREEMPTIONS {
-                    let found_none = self.preempt(key, unit, step, waited, now);
-                    round.failed_preemptions += usize::from(found_none);
-                }
-            }
+        if let Some(mut placed) = self.place(&planned, Some(&round.capacity), now) {
+            self.queue.take(&queued.urgency);
+            self.backfill.release(&queued.urgency);
+            round.runs.append(&mut placed);
+            return;
+        }
+        let any_has_capacity = any_worker_has_capacity(&self.workers, &round.capacity, step, now);
+        round.misses.add(step, any_has_capacity);
+        self.reserve_capacity(&planned, now);
+        if round.failed_preemptions < MAX_FAILED_PREEMPTIONS
+            && self.preempt(&planned, now) == Preemption::NoVictims
+        {
+            round.failed_preemptions += 1;
         }
     }
 
-    /// Finds places for a task or gang and takes up the room there; in a round of planning among those that had room when
-    /// it began.
+    /// Places a task or gang and takes up the capacity; in a round of planning among the workers that had free capacity
+    /// when it began.
     fn place(
         &mut self,
-        job: &Job,
-        unit: &Startable,
-        urgency: &Urgency,
-        waited: Millis,
+        planned: &PlannedUnit<'_>,
         capacity: Option<&CapacityIndex>,
         now: Millis,
     ) -> Option<Vec<RunStart>> {
-        let step = job.submission.spec.steps.get(unit.first.step as usize)?;
+        let PlannedUnit {
+            job,
+            unit,
+            step,
+            urgency,
+            waited_ms,
+        } = *planned;
         let nothing = Vec::new();
         let demand = Demand {
             first: unit.first,
-            require_locality: self.waits_for_locality(step, waited),
+            require_locality: self.waits_for_locality(step, waited_ms),
             nominations: &self.nominations,
             backfill: &self.backfill,
             candidate: self.candidate(job, unit, step, urgency),
@@ -220,17 +273,18 @@
         let chosen = choose(&self.workers, &demand, now, &mut self.random)?;
         let runs = starts(job, unit, step, chosen);
         for start in &runs {
-            self.reserve(job, step, start, now);
+            self.add_proposed_run(job, step, start, now);
         }
         Some(runs)
     }
 
-    /// Whether a task waits on for the rack that holds its data, or a gang for one rack that takes all of it.
-    fn waits_for_locality(&self, step: &StepSpec, waited: Millis) -> bool {
-        (waited as f64)
-            < step.estimated_ms as f64 * (self.settings.far_factor - 1.0) * MAX_LOCALITY_WAIT
+    /// Whether a task still waits for the rack that holds its data, or a gang for one rack that takes all of it.
+    fn waits_for_locality(&self, step: &StepSpec, waited_ms: Millis) -> bool {
+        let extra_factor = self.settings.far_factor - 1.0;
+        (waited_ms as f64) < step.estimated_ms as f64 * extra_factor * MAX_LOCALITY_WAIT_SHARE
     }
 
+    /// The unit as backfill sees it.
     pub(crate) fn candidate<'a>(
         &self,
         job: &Job,
@@ -247,54 +301,43 @@
         }
     }
 
-    /// Promises a task that found no place the room that it gets first, unless it comes too late anyway, or waits for
-    /// one rack to take a whole gang.
-    fn reserve_capacity(
-        &mut self,
-        job: &Job,
-        unit: &Startable,
-        step: &StepSpec,
-        key: &Urgency,
-        waited: Millis,
-        now: Millis,
-    ) {
-        let for_rack = unit.count > 1 && step.rack_local && self.waits_for_locality(step, waited);
-        if key.forecast == DeadlineForecast::TooLate || for_rack || !self.backfill.accepts_more() {
+    /// Reserves the capacity that frees up first for a task that could not be placed, unless it comes too late anyway,
+    /// or waits for one rack to take a whole gang.
+    fn reserve_capacity(&mut self, planned: &PlannedUnit<'_>, now: Millis) {
+        let PlannedUnit {
+            job,
+            unit,
+            step,
+            urgency,
+            waited_ms,
+        } = *planned;
+        let is_rack_gang = unit.count > 1 && step.rack_local;
+        if urgency.forecast == DeadlineForecast::TooLate
+            || is_rack_gang && self.waits_for_locality(step, waited_ms)
+            || !self.backfill.accepts_more()
+        {
             return;
         }
-        let candidate = self.candidate(job, unit, step, key);
+        let candidate = self.candidate(job, unit, step, urgency);
         self.backfill.reserve(&self.workers, &candidate, now);
     }
 
-    /// Stops less urgent runs for a task that has found no room, where that is worth what it loses. Returns whether such
-    /// were looked for in vain.
-    fn preempt(
-        &mut self,
-        key: &Urgency,
-        unit: &Startable,
-        step: &StepSpec,
-        waited: Millis,
-        now: Millis,
-    ) -> bool {
-        let urgent = key.priority == URGENT_PRIORITY && key.forecast == DeadlineForecast::OnTime;
-        let is_eligible = unit.count == 1 && urgent && waited >= PREEMPT_AFTER_MS;
-        let max_nominations = self.workers.len().div_ceil(WORKERS_PER_PREEMPTION);
-        if !is_eligible
-            || self.nominations.has(&unit.first)
-            || self.nominations.len() >= max_nominations
-        {
-            return false;
+    /// Stops less urgent runs for a task that could not be placed, where that is worth what it loses.
+    fn preempt(&mut self, planned: &PlannedUnit<'_>, now: Millis) -> Preemption {
+        if !self.may_preempt(planned) {
+            return Preemption::NotEligible;
         }
-        let victims = choose_victims(
-            &self.workers,
-            &self.nominations,
-            &unit.first,
-            step,
-            key.priority,
-            now,
-        );
-        let Some(Victims { incarnation, tasks }) = victims else {
-            return true;
+        let preemptor = Preemptor {
+            first: planned.unit.first,
+            step: planned.step,
+            priority: planned.urgency.priority,
+        };
+        let victims = choose_victims(&self.workers, &self.nominations, &preemptor, now);
+        let Some(Victims {
+            incarnation, tasks, ..
+        }) = victims
+        else {
+            return Preemption::NoVictims;
         };
         if let Some(worker) = self.workers.get_mut(&incarnation) {
             for task in tasks {
@@ -304,18 +347,29 @@
             }
         }
         self.workers_with_orders.insert(incarnation.clone());
-        self.nominations.add(incarnation, unit.first, now);
-        false
+        self.nominations.add(incarnation, planned.unit.first, now);
+        Preemption::Begun
+    }
+
+    fn may_preempt(&self, planned: &PlannedUnit<'_>) -> bool {
+        let urgency = planned.urgency;
+        let is_urgent =
+            urgency.priority == URGENT_PRIORITY && urgency.forecast == DeadlineForecast::OnTime;
+        let max_nominations = self.workers.len().div_ceil(WORKERS_PER_NOMINATION);
+        planned.unit.count == 1
+            && is_urgent
+            && planned.waited_ms >= PREEMPT_AFTER_MS
+            && !self.nominations.has(&planned.unit.first)
+            && self.nominations.len() < max_nominations
     }
 
-    fn reserve(&mut self, job: &Job, step: &StepSpec, start: &RunStart, now: Millis) {
+    /// Adds a run that is being proposed, so that its capacity is not given to others.
+    fn add_proposed_run(&mut self, job: &Job, step: &StepSpec, start: &RunStart, now: Millis) {
         let Some(worker) = self.workers.get_mut(&start.incarnation) else {
             return;
         };
-        worker.add_run(
-            start.task,
-            Run::new(job, step, start, RunPhase::Proposed, now),
-        );
+        let run = Run::new(job, step, start, RunPhase::Proposed, now);
+        worker.add_run(start.task, run);
         self.proposed.insert(start.task);
         self.lease_schedule.mark_updated(&start.incarnation);
     }
@@ -341,7 +395,11 @@
     }
 }
 
-/// Whether any worker that takes work has room for one task of a step, whatever was promised to others.
+fn step_of<'a>(job: &'a Job, unit: &Startable) -> Option<&'a StepSpec> {
+    job.submission.spec.steps.get(unit.first.step as usize)
+}
+
+/// Whether any schedulable worker has capacity for one task of a step, reserved for others or not.
 fn any_worker_has_capacity(
     workers: &Workers,
     capacity: &CapacityIndex,
@@ -362,20 +420,13 @@
     let tasks = || unit.tasks().filter_map(|task| job.task(&task));
     let run = tasks().map(|task| task.last_run).max().unwrap_or(0) + 1;
     // Members of a gang all go on from the same checkpoint; any member's will do.
-    let shared = tasks()
-        .map(|task| task.checkpoint.as_str())
-        .max()
-        .unwrap_or("")
-        .to_owned();
+    let shared = tasks().map(|task| task.checkpoint.as_str()).max();
+    let checkpoint = shared.filter(|_| step.checkpoints).unwrap_or("");
     let start = |(task, incarnation)| RunStart {
         task,
         run,
         incarnation,
-        checkpoint: if step.checkpoints {
-            shared.clone()
-        } else {
-            String::new()
-        },
+        checkpoint: checkpoint.to_owned(),
     };
     unit.tasks().zip(chosen).map(start).collect()
 }
--- a/system/scheduler/src/preemption.rs
+++ b/system/scheduler/src/preemption.rs
@@ -1,4 +1,4 @@
-//! Which runs to stop so that a more urgent task finds room.
+//! Chooses runs to preempt so that a more urgent task finds capacity.
 use crate::{
     nominations::Nominations,
     run::Run,
@@ -8,11 +8,11 @@
 
 /// Work that may be lost for one task, in thousandths of a core times milliseconds.
 const MAX_LOSS: u64 = 6_000_000;
-/// What starting again from a checkpoint costs, in milliseconds.
+/// What restarting from a checkpoint costs, in milliseconds.
 const RESTORE_MS: Millis = 600;
 /// A graphics processor counts as this many thousandths of a core.
 const GPU_AS_CPU: u64 = 8000;
-/// A run that is nearly done is left alone.
+/// A run with this progress is not preempted.
 const NEARLY_DONE_PERCENT: u64 = 80;
 
 /// Runs to stop, all on one worker.
@@ -20,67 +20,67 @@
 pub(crate) struct Victims {
     pub incarnation: String,
     pub tasks: Vec<TaskId>,
+    /// The work that is lost, in thousandths of a core times milliseconds.
+    loss: u64,
 }
 
-/// The runs of lower priority whose stop gives a task room at the least loss.
+/// A task that may preempt others.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Preemptor<'a> {
+    pub first: TaskId,
+    pub step: &'a StepSpec,
+    /// Runs of a higher number may be preempted for it.
+    pub priority: u32,
+}
+
+/// Chooses the runs of lower priority whose stop makes capacity for a task at the least loss.
 pub(crate) fn choose_victims(
     workers: &Workers,
     nominations: &Nominations,
-    first: &TaskId,
-    step: &StepSpec,
-    priority: u32,
+    preemptor: &Preemptor<'_>,
     now: Millis,
 ) -> Option<Victims> {
-    let fits = |worker: &&Worker| {
+    let step = preemptor.step;
+    let suits = |worker: &&Worker| {
         worker.is_schedulable(now)
             && !worker.health.is_on_probation()
             && worker.has_labels(&step.requirements)
             && step.resources.fits(&worker.entry.capacity)
-            && nominations.allow(&worker.entry.incarnation, first)
+            && nominations.allow(&worker.entry.incarnation, &preemptor.first)
     };
-    let plans = workers
+    workers
         .values()
-        .filter(fits)
-        .filter_map(|worker| plan_preemption(worker, step, priority, now));
-    plans
-        .min_by_key(|(loss, _)| *loss)
-        .map(|(_, victims)| victims)
+        .filter(suits)
+        .filter_map(|worker| victims_on(worker, preemptor, now))
+        .min_by_key(|victims| victims.loss)
 }
 
-fn plan_preemption(
-    worker: &Worker,
-    step: &StepSpec,
-    priority: u32,
-    now: Millis,
-) -> Option<(u64, Victims)> {
-    let mut candidates: Vec<(u64, TaskId, &Run)> = worker
+/// The runs to stop on one worker, those that lose the least first.
+fn victims_on(worker: &Worker, preemptor: &Preemptor<'_>, now: Millis) -> Option<Victims> {
+    let mut candidates: Vec<(&TaskId, &Run)> = worker
         .runs
         .iter()
-        .filter(|(_, run)| is_preemptible(run, priority))
-        .map(|(task, run)| (loss(run, now), *task, run))
+        .filter(|(_, run)| is_preemptible(run, preemptor.priority))
         .collect();
-    candidates.sort_by_key(|(loss, task, _)| (*loss, *task));
+    candidates.sort_by_key(|(task, run)| (loss_of(run, now), **task));
+    let wanted = &preemptor.step.resources;
+    let capacity = &worker.entry.capacity;
     let mut used = worker.used;
-    let mut total = 0;
-    let mut tasks = Vec::new();
-    for (loss, task, run) in candidates {
-        if step.resources.plus(&used).fits(&worker.entry.capacity) {
+    let mut victims = Victims {
+        incarnation: worker.entry.incarnation.clone(),
+        tasks: Vec::new(),
+        loss: 0,
+    };
+    for (task, run) in candidates {
+        if wanted.plus(&used).fits(capacity) {
             break;
         }
         used = used.minus(&run.resources);
-        total += loss;
-        tasks.push(task);
+        victims.loss += loss_of(run, now);
+        victims.tasks.push(*task);
     }
-    let enough = step.resources.plus(&used).fits(&worker.entry.capacity) && !tasks.is_empty();
-    (enough && total <= MAX_LOSS).then(|| {
-        (
-            total,
-            Victims {
-                incarnation: worker.entry.incarnation.clone(),
-                tasks,
-            },
-        )
-    })
+    let suffices = wanted.plus(&used).fits(capacity) && !victims.tasks.is_empty();
+    (suffices && victims.loss <= MAX_LOSS).then_some(victims)
 }
 
 fn is_preemptible(run: &Run, priority: u32) -> bool {
@@ -91,13 +91,13 @@
         && run.progress.percent < NEARLY_DONE_PERCENT
 }
 
-/// What stopping a run loses.
-fn loss(run: &Run, now: Millis) -> u64 {
-    let passed = now.saturating_sub(run.started_at);
-    let lost = if run.checkpoints {
-        passed.min(RESTORE_MS)
+/// What stopping a run loses, in thousandths of a core times milliseconds.
+fn loss_of(run: &Run, now: Millis) -> u64 {
+    let elapsed_ms = now.saturating_sub(run.started_at);
+    let lost_ms = if run.checkpoints {
+        elapsed_ms.min(RESTORE_MS)
     } else {
-        passed
+        elapsed_ms
     };
-    lost * (run.resources.cpu + GPU_AS_CPU * run.resources.gpu)
+    lost_ms * (run.resources.cpu + GPU_AS_CPU * run.resources.gpu)
 }
