--- a/system/scheduler/src/backfill.rs
+++ b/system/scheduler/src/backfill.rs
@@ -1,5 +1,8 @@
-//! Keeps small tasks from starving large ones: a task that found no place is promised the room on the worker where it
-//! fits first, and less urgent tasks go there only where that does not delay it (EASY backfilling).
+//! Keeps small tasks from starving large ones: a task that could not be placed reserves capacity on the worker where it
+//! fits first, and less urgent tasks are placed there only where they do not delay it (EASY backfilling).
+//!
+//! Reservations are forecasts and bind nobody but this module's caller. Source: Lifka, "The ANL/IBM SP Scheduling
+//! System", 1995, here with more than one reservation at a time.
 use crate::{
     queue::Urgency,
     run::Run,
@@ -8,52 +11,52 @@
 use magpiegap_protocol::{Millis, Resources, StepSpec};
 use std::collections::BTreeMap;
 
-/// How long a run that is being stopped still takes up its room.
+/// How long a run that is being stopped is expected to take up its capacity.
 const STOPPING_MS: Millis = 300;
-/// Promises are made anew at most this often ...
+/// Reservations are renewed at most this often ...
 const REFRESH_INTERVAL_MS: Millis = 40;
-/// ... and less often where making them means to look at many workers: once in a millisecond for so many looks.
+/// ... and less often where that visits many workers: a millisecond later for each so many visits.
 const WORKER_VISITS_PER_MS: u64 = 100;
-/// At most so many tasks are promised room at a time: for later ones a forecast says little.
+/// Tasks that have reservations at a time, at most: for later ones a forecast says little.
 const MAX_RESERVATION_OWNERS: usize = 40;
-/// A run that has outlived its estimate is expected to go on for this part of the time that it has run.
+/// A run that has outlived its estimate is expected to go on for one part in so many of the time that it has run.
 const OVERTIME_DIVISOR: u64 = 8;
 
-/// Room on a worker that a waiting task is to get.
+/// Capacity on a worker that a queued task is to get.
 #[derive(Clone, Debug)]
 struct Reservation {
     owner: Urgency,
     resources: Resources,
-    /// When the runs that take up the room should have ended.
+    /// When the runs that take it up should have completed.
     available_at: Millis,
 }
 
-/// When the runs on a worker should end, and what each then leaves free, the earliest first.
+/// When the runs on a worker should complete, and what each then frees, the earliest first.
 type FreedCapacity = Vec<(Millis, Resources)>;
 
-/// The room that waiting tasks are to get, by worker.
+/// The reservations of queued tasks, by worker.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Backfill {
     reservations: BTreeMap<String, Vec<Reservation>>,
-    /// The ends on each worker as far as they were asked for since the last refresh.
+    /// The expected completions on each worker, as far as they were needed since the last refresh.
     freed: BTreeMap<String, FreedCapacity>,
-    /// How many tasks have a promise.
+    /// How many tasks have reservations.
     owner_count: usize,
-    /// When they were last made, and how many workers were looked at for that.
+    /// When they were last renewed, and how many visits to workers that took.
     refreshed_at: Millis,
     worker_visits: u64,
-    /// Promises are being made.
+    /// Reservations are being made.
     refreshing: bool,
 }
 
-/// A task that asks for room.
+/// A task that needs capacity.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate<'a> {
     pub step: &'a StepSpec,
     pub urgency: &'a Urgency,
-    /// How many tasks need room at the same time.
+    /// How many tasks need capacity at the same time.
     pub count: u32,
-    /// How much longer it takes away from its data.
+    /// How many times as long it takes away from its data.
     pub far_factor: f64,
     /// Its job's tasks run until the job is cancelled.
     pub long_running: bool,
@@ -72,7 +75,7 @@
 }
 
 impl Backfill {
-    /// Begins a round of planning: from time to time all promises are dropped, to be made anew in it.
+    /// Begins a round of planning: from time to time all reservations are dropped, to be made anew in it.
     pub(crate) fn begin_planning_round(&mut self, now: Millis) {
         let pause = REFRESH_INTERVAL_MS.max(self.worker_visits / WORKER_VISITS_PER_MS);
         self.refreshing = now >= self.refreshed_at + pause;
@@ -85,12 +88,12 @@
         }
     }
 
-    /// Whether another task may be promised room in this round.
+    /// Whether another task may reserve capacity in this round.
     pub(crate) fn accepts_more(&self) -> bool {
         self.refreshing && self.owner_count < MAX_RESERVATION_OWNERS
     }
 
-    /// Drops what was promised to a task that has found a place.
+    /// Drops the reservations of a task that was placed.
     pub(crate) fn release(&mut self, owner: &Urgency) {
         if self.owner_count > 0 {
             self.drop_reservations_of(owner);
@@ -103,8 +106,8 @@
         }
     }
 
-    /// Promises a task, or all tasks of a gang, the room that it gets first. A task that has room now waits for
-    /// something else, and keeps no worker from others.
+    /// Reserves the capacity that a task, or all tasks of a gang, gets first. A task that fits now waits for something
+    /// else, and keeps no worker from others.
     pub(crate) fn reserve(&mut self, workers: &Workers, candidate: &Candidate<'_>, now: Millis) {
         let mut waits_for_capacity = false;
         for _ in 0..candidate.count {
@@ -130,7 +133,7 @@
         }
     }
 
-    /// The worker that has room for one task first, and when.
+    /// The worker on which one task fits first, and when.
     fn earliest<'w>(
         &mut self,
         workers: &'w Workers,
@@ -157,7 +160,7 @@
             .min()
     }
 
-    /// When a worker should have room for a task beside all that was promised there.
+    /// When a task should fit on a worker beside all that is reserved there; `None`: not before a run is stopped.
     fn fits_at(&mut self, worker: &Worker, step: &StepSpec, now: Millis) -> Option<Millis> {
         let reserved = self
             .reservations
@@ -188,7 +191,7 @@
         None
     }
 
-    /// Whether a task may be placed on a worker that has room for it, beside `taken` more: it delays no task that is
+    /// Whether a task may be placed on a worker that has capacity for it, beside `taken` more: it delays no task that is
     /// more urgent.
     pub(crate) fn allows_backfill(
         &self,
@@ -214,7 +217,7 @@
     }
 }
 
-/// Whether a task still leaves the room of a promise when that is due.
+/// Whether a task leaves the capacity of a reservation free by when that is available.
 fn fits_alongside(
     worker: &Worker,
     reservations: &[Reservation],
@@ -250,7 +253,7 @@
     freed
 }
 
-/// When a run should end; `None`: only when it is stopped.
+/// When a run should complete; `None`: only when it is stopped.
 fn expected_completion_at(run: &Run, now: Millis) -> Option<Millis> {
     if run.next_stop_at.is_some() {
         return Some(now + STOPPING_MS);
--- a/system/scheduler/src/call_table.rs
+++ b/system/scheduler/src/call_table.rs
@@ -92,13 +92,13 @@
             return;
         }
         match reply {
-            WorkerReply::Unanswered => self.response_times.unanswered(),
-            _ => self.response_times.answered(elapsed_ms),
+            WorkerReply::Unanswered => self.response_times.record_timeout(),
+            _ => self.response_times.record_reply(elapsed_ms),
         }
     }
 
     /// How long to wait for a reply that comes at once.
     pub(crate) fn timeout_ms(&self) -> Millis {
-        self.response_times.wait_ms()
+        self.response_times.timeout_ms()
     }
 }
--- a/system/scheduler/src/calls.rs
+++ b/system/scheduler/src/calls.rs
@@ -1,36 +1,36 @@
-//! Calls to workers and their answers.
+//! Calls to workers and their replies, as values: what sends them, and how they look on the wire, is not decided here.
 use magpiegap_protocol::{Command, CompletionKind, FencingToken, Millis, RunId, TaskId};
 
-/// What a worker is told.
+/// What a worker is ordered to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkerOrder {
-    /// Start a run.
+    /// Starts a run.
     Start {
         /// The task.
         task: TaskId,
         /// The run.
         run: RunId,
-        /// The job's text.
+        /// The job's text, which the worker takes as it is.
         spec: String,
-        /// On the worker's clock: the start is void after it, and all that runs is held until then.
+        /// On the worker's clock: the start is void after it, and the lease on all that runs lasts until then.
         deadline_ms: u64,
         /// The checkpoint to go on from; empty: none.
         checkpoint: String,
     },
-    /// Stop a run.
+    /// Stops a run.
     Stop {
         /// The task.
         task: TaskId,
         /// The run.
         run: RunId,
     },
-    /// Hold what runs, and tell what runs and what has ended.
+    /// Renews the lease on all that runs, and lists what runs and what has completed (a long poll).
     Hold {
-        /// On the worker's clock: until when to hold; `None`: no longer than before.
+        /// On the worker's clock: when the lease expires; `None`: no later than before.
         deadline_ms: Option<u64>,
-        /// Ends up to this number may be forgotten.
+        /// Completions up to this number are acknowledged.
         last_seen: u64,
-        /// How long the answer may wait for an end.
+        /// How long the reply may wait for a completion.
         wait_ms: u64,
     },
 }
@@ -38,17 +38,17 @@
 /// One call to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerCall {
-    /// Names the call.
+    /// Identifies the call.
     pub id: u64,
-    /// Where to.
+    /// The worker's address.
     pub address: String,
-    /// The life that is meant.
+    /// The incarnation that is meant.
     pub incarnation: String,
-    /// The fencing token.
+    /// The fencing token of the scheduler's role.
     pub token: FencingToken,
-    /// What it is told.
+    /// What the worker is to do.
     pub order: WorkerOrder,
-    /// How long to wait for the answer.
+    /// How long to wait for the reply.
     pub timeout_ms: Millis,
 }
 
@@ -63,7 +63,7 @@
     Log(String),
 }
 
-/// A run that a worker has listed as going on.
+/// A run that a worker lists as running.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedRun {
     /// The task.
@@ -72,70 +72,70 @@
     pub run: RunId,
     /// The last checkpoint; empty: none.
     pub checkpoint: String,
-    /// How much of it is done, in hundredths.
+    /// Its progress in percent.
     pub percent: u64,
 }
 
-/// A run that a worker has listed as ended.
+/// A run that a worker lists as completed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedCompletion {
-    /// Counts the ends of this life.
+    /// Numbers the completions of this incarnation.
     pub number: u64,
     /// The task.
     pub task: TaskId,
     /// The run.
     pub run: RunId,
-    /// How it ended.
+    /// How it completed.
     pub kind: CompletionKind,
     /// The last checkpoint; empty: none.
     pub checkpoint: String,
 }
 
-/// What a worker runs and what has ended there.
+/// What a worker runs and what has completed there.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// Runs going on.
+    /// Runs that are running.
     pub running: Vec<ListedRun>,
-    /// Runs that have ended, by rising number.
+    /// Runs that have completed, by rising number.
     pub ended: Vec<ListedCompletion>,
 }
 
-/// Why a worker turned a start down.
+/// Why a worker refused an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
     /// It has seen a higher fencing token.
     RoleToken,
-    /// The run isn't above one that has ended there, or was stopped before it came.
+    /// The run isn't above one that has completed there, or was stopped before its start arrived.
     Old,
     /// The deadline has passed.
     Late,
-    /// There is no room.
+    /// There is not enough free capacity.
     Room,
 }
 
-/// How a call ended.
+/// The reply to a call, or what stands for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkerReply {
     /// It was done.
     Done {
         /// The worker's clock.
         clock_ms: Option<u64>,
-        /// For a hold: what runs and what has ended.
+        /// For a renewal: what runs and what has completed.
         listing: Option<Listing>,
     },
-    /// It was turned down, and nothing was done.
+    /// It was refused, and nothing was done.
     Refused {
         /// The worker's clock.
         clock_ms: Option<u64>,
         /// Why.
         reason: RefusalReason,
     },
-    /// Another life answers at that address: the one that was meant is over.
+    /// Another incarnation replied at that address: the one that was meant is over.
     OtherLife,
-    /// The worker isn't well and has done nothing.
+    /// The worker is unhealthy and has done nothing.
     Unhealthy,
-    /// The worker could not make sense of the call and has done nothing.
+    /// The worker could not read the call and has done nothing.
     Rejected,
-    /// There was no answer: it may have been done, or may be done later.
+    /// There was no reply in time: it may have been done, or may be done later.
     Unanswered,
 }
--- a/system/scheduler/src/capacity_index.rs
+++ b/system/scheduler/src/capacity_index.rs
@@ -1,6 +1,7 @@
 //! An index of workers by free processor capacity: where nearly all are full, few have to be considered.
 use crate::worker::{Worker, Workers};
 use magpiegap_protocol::Millis;
+use std::cmp::Reverse;
 
 /// A lookup of a worker by name costs as much as iterating over this many.
 const LOOKUP_COST: usize = 8;
@@ -32,7 +33,7 @@
                 incarnation: incarnation.clone(),
             })
             .collect();
-        by_free_cpu.sort_unstable_by(|one, other| other.cpu.cmp(&one.cpu));
+        by_free_cpu.sort_unstable_by_key(|worker| Reverse(worker.cpu));
         CapacityIndex { by_free_cpu }
     }
 
--- a/system/scheduler/src/discovery.rs
+++ b/system/scheduler/src/discovery.rs
@@ -1,11 +1,11 @@
-//! Follows the platform's list of workers: lives that begin, drain and end.
+//! Follows the platform's list of workers: incarnations that begin, drain and end.
 use crate::{calls::Output, scheduler::Scheduler, worker::Worker};
 use magpiegap_jobs::State;
 use magpiegap_protocol::{Availability, Command, Millis, WorkerEntry};
 use std::collections::{HashMap, HashSet};
 
 impl Scheduler {
-    /// Takes the platform's list.
+    /// Takes the platform's list, which is complete: workers that it lacks have departed.
     pub fn list(&mut self, now: Millis, state: &State, entries: &[WorkerEntry]) {
         let own: Vec<&WorkerEntry> = entries
             .iter()
@@ -60,7 +60,7 @@
         self.planning.request();
     }
 
-    /// A worker's life is surely over.
+    /// Ends an incarnation that is surely over, and loses its runs.
     pub(crate) fn end_incarnation(&mut self, incarnation: &str, state: &State) {
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
--- a/system/scheduler/src/explanation.rs
+++ b/system/scheduler/src/explanation.rs
@@ -1,4 +1,6 @@
-//! Says of a job what runs, what waits, and why no worker takes what waits, for operators.
+//! Explains to operators what of a job runs, what is queued, and why no worker takes what is queued.
+//!
+//! It decides nothing. The names of its fields in JSON are read by operators and stay as they are.
 use crate::{queue::urgency, scheduler::Scheduler, worker::Worker};
 use magpiegap_jobs::{startable, Job, Startable, State, StepState, TaskState};
 use magpiegap_protocol::{JobId, StepSpec, TaskId};
@@ -9,88 +11,88 @@
 pub struct Explanation {
     /// The job's name.
     pub job: String,
-    /// Its state, in the word that clients are shown.
+    /// Its state, as clients are shown it.
     pub state: &'static str,
     /// Its queue.
     pub queue: String,
     /// The service whose workers run it.
     pub service: String,
-    /// What can still come of it: in time, late, too late; `None`: nothing waits.
+    /// The forecast of its deadline: in time, late, too late; `None`: nothing is queued.
     #[serde(rename = "outlook")]
     pub forecast: Option<String>,
-    /// All steps at all times that have fallen due and are not done.
+    /// All steps of occurrences that are due, where they are not done.
     pub steps: Vec<StepExplanation>,
 }
 
-/// A step at one time.
+/// A step of one occurrence.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct StepExplanation {
-    /// The time, counted from zero.
+    /// The occurrence, counted from zero.
     #[serde(rename = "time")]
     pub occurrence: u32,
-    /// The step's place in the job, counted from zero.
+    /// The step's position in the job, counted from zero.
     pub step: u32,
     /// How many tasks it has.
     pub tasks: usize,
     /// How many of them are done.
     pub done: u32,
-    /// Runs that may be going on.
+    /// Runs that may be running.
     pub running: Vec<RunExplanation>,
-    /// How many tasks wait for a place.
+    /// How many tasks are queued.
     pub waiting: u32,
     /// Earlier steps that must be done first.
     pub waits_for_steps: Vec<u32>,
-    /// Why no worker takes the first task that waits.
+    /// Why no worker takes the first task that is queued.
     pub workers: Option<WorkerCounts>,
 }
 
-/// A run that may be going on.
+/// A run that may be running.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RunExplanation {
     /// The task.
     pub task: String,
     /// The run's number.
     pub run: u32,
-    /// The worker's life.
+    /// The worker's incarnation.
     pub worker: String,
-    /// How far it has come, in hundredths; `None`: its worker has not said yet.
+    /// Its progress in percent; `None`: its worker has not listed it yet.
     pub percent: Option<u64>,
 }
 
-/// The workers of the service, each under the first reason that holds.
+/// The workers of the service, each counted under the first obstacle that holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct WorkerCounts {
-    /// All.
+    /// All workers.
     pub known: usize,
     /// The platform does not list them any more.
     pub not_listed: usize,
-    /// They are being emptied.
+    /// They are draining.
     pub draining: usize,
-    /// They have left calls unanswered, or were not asked yet.
+    /// They have left calls unanswered, or were not called yet.
     #[serde(rename = "not_answering")]
     pub unresponsive: usize,
-    /// They are left alone for a while: their runs have failed or stood still.
+    /// They are ejected for a while: their runs have failed or made no progress.
     #[serde(rename = "left_alone")]
     pub ejected: usize,
     /// They lack a label that the step requires.
     pub without_label: usize,
-    /// They would be too small if they were empty.
+    /// They would be too small without any runs.
     pub too_small: usize,
-    /// Other runs take up their room.
+    /// Other runs take up their capacity.
     #[serde(rename = "without_room")]
     pub without_capacity: usize,
-    /// Their room is kept for more urgent tasks.
+    /// Their capacity is reserved for more urgent tasks.
     #[serde(rename = "kept_for_others")]
     pub reserved_for_others: usize,
     /// They are not in the rack that holds the data.
     #[serde(rename = "away_from_data")]
     pub non_local: usize,
-    /// Nothing speaks against them: the task is placed in the next round.
+    /// There is no obstacle: the task is placed in the next round.
     pub free: usize,
 }
 
 impl Scheduler {
-    /// What there is to say of a job of this service.
+    /// Explains a job; `None`: the service has no such job.
     pub fn explain(&self, state: &State, id: JobId) -> Option<Explanation> {
         let job = state
             .jobs
@@ -197,7 +199,7 @@
         counts
     }
 
-    /// The count of the first reason for which a worker does not take a task.
+    /// The count of the first obstacle to placing a task on a worker.
     fn first_obstacle<'a>(
         &self,
         counts: &'a mut WorkerCounts,
--- a/system/scheduler/src/forecast.rs
+++ b/system/scheduler/src/forecast.rs
@@ -1,19 +1,19 @@
-//! What can still come of a job, by how much of it is left to do.
+//! Forecasts whether a job meets its deadline, by how much of it is left to do.
 use magpiegap_jobs::Job;
 use magpiegap_protocol::{TaskId, WallMillis};
 use std::fmt;
 
-/// A job done within this many times its objective still earns a part of its worth.
+/// A job done within this many times its objective still earns a part of its value.
 const LATE_FACTOR: u64 = 3;
 
-/// What can still come of a job's time.
+/// Whether a job can still meet its deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum DeadlineForecast {
     /// It can be done in time.
     OnTime,
-    /// It can be done late, for a part of its worth.
+    /// It can be done late, for a part of its value.
     Late,
-    /// It comes too late whatever is done.
+    /// It is too late whatever is done.
     TooLate,
 }
 
@@ -27,17 +27,17 @@
     }
 }
 
-/// Until when a task may begin, if all that comes after it takes as long as the client guesses.
+/// Until when a task may begin, if all that comes after it takes as long as the client estimates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LatestStarts {
     /// So that its job is done in time.
     on_time: WallMillis,
-    /// So that its job still earns a part of its worth.
+    /// So that its job still earns a part of its value.
     late: WallMillis,
 }
 
 impl LatestStarts {
-    /// Those of a task.
+    /// Computes those of a task.
     pub(crate) fn of(job: &Job, task: &TaskId) -> LatestStarts {
         let due = deadline_ms(job, task.occurrence);
         let begin = period_start_ms(job, task.occurrence);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// What can still come of the job at this time of day.
+    /// The forecast at this time of day.
     pub(crate) fn forecast(&self, wall: WallMillis) -> DeadlineForecast {
         if wall <= self.on_time {
             DeadlineForecast::OnTime
@@ -63,7 +63,7 @@
     }
 }
 
-/// When a time of a job counts from.
+/// When the time of an occurrence counts from.
 fn period_start_ms(job: &Job, occurrence: u32) -> WallMillis {
     job.submission
         .spec
@@ -71,7 +71,7 @@
         .unwrap_or(job.submission.submitted_ms)
 }
 
-/// When a time of a job should be done so that the job earns its worth.
+/// The deadline of an occurrence: done by then, the job earns its full value.
 pub(crate) fn deadline_ms(job: &Job, occurrence: u32) -> WallMillis {
     let submission = &job.submission;
     let work = submission.spec.longest_chain_ms() as f64 * submission.stretch;
--- a/system/scheduler/src/leases.rs
+++ b/system/scheduler/src/leases.rs
@@ -1,4 +1,7 @@
-//! Keeps the holds on workers, and notices those that fall silent, stand still or go.
+//! Renews the leases on workers, and stops or loses the runs on those that are unresponsive, stalled or departing.
+//!
+//! A lease is what a worker grants: it runs its tasks until a time on its clock and stops them by itself after that. On
+//! the wire a renewal is the worker's `hold`, a long poll that is replied to when a run completes.
 use crate::{
     call_table::CallPurpose,
     calls::{Output, WorkerOrder},
@@ -9,17 +12,17 @@
 use magpiegap_jobs::State;
 use magpiegap_protocol::{Command, Millis, TaskId};
 
-/// Longest time that a hold's answer may wait where a run makes no progress.
+/// Longest time that a renewal may wait for a completion where a run makes no progress.
 const STALLED_LONG_POLL_MS: u64 = 150;
-/// Time between two looks at a worker that does not answer.
+/// Time between two renewals on a worker that does not reply.
 const RENEWAL_INTERVAL_MS: Millis = 400;
-/// A run whose progress stands still for less than this is never taken for stuck.
+/// A run that has not made progress for less than this is never taken for stuck.
 const MIN_STALL_MS: Millis = 300;
-/// What a long run may stand still beyond a twentieth of its estimate.
+/// How long a long run may go without progress, beyond a twentieth of its estimate.
 const LONG_RUN_STALL_MS: Millis = 1600;
 
 impl Scheduler {
-    /// Adapts how long holds wait to the number of workers that have runs.
+    /// Adapts the length of long polls to the number of workers that have runs.
     fn adapt_lease_timing(&mut self) {
         let busy = self
             .workers
@@ -42,7 +45,7 @@
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        // A worker that does not answer is granted no more time: its runs are to end.
+        // A worker that does not reply gets no longer lease: its runs are to stop.
         let grant = worker.has_responded && worker.unanswered_renewals == 0;
         let deadline_ms = worker
             .max_clock(now)
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Looks at a worker that has left an order unanswered.
+    /// Checks a worker that has left an order unanswered, without renewing its lease.
     pub(crate) fn send_health_check(&mut self, incarnation: &str) {
         let Some(worker) = self.workers.get(incarnation) else {
             return;
@@ -90,7 +93,7 @@
         );
     }
 
-    /// Looks through all workers for what is due.
+    /// Checks all workers for what is due there.
     pub(crate) fn check_workers(&mut self, now: Millis, state: &State) {
         self.adapt_lease_timing();
         let incarnations: Vec<String> = self.workers.keys().cloned().collect();
@@ -136,7 +139,7 @@
         self.workers.remove(incarnation);
     }
 
-    /// Stops runs that won't be done before their worker goes, so that they are started elsewhere at once.
+    /// Stops runs that won't complete before their worker departs, so that they are started elsewhere at once.
     fn stop_runs_outliving_worker(&mut self, incarnation: &str, now: Millis) {
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Stops runs that stand still, so that they are started elsewhere.
+    /// Stops runs that make no progress, so that they are started elsewhere.
     fn stop_stuck_runs(&mut self, incarnation: &str, now: Millis) {
         let gang_ms = self.settings.gang_ms;
         let Some(worker) = self.workers.get_mut(incarnation) else {
@@ -182,7 +185,7 @@
     }
 }
 
-/// Whether a run should have moved on since it was started or last listed with other progress.
+/// Whether a run should have made progress since it was started or last listed with other progress.
 fn lacks_progress(run: &Run, now: Millis) -> bool {
     let still = now.saturating_sub(run.progress.since);
     run.phase == RunPhase::Started
--- a/system/scheduler/src/lib.rs
+++ b/system/scheduler/src/lib.rs
@@ -1,8 +1,10 @@
 //! Places and starts the tasks of one service, as a state machine without I/O.
 //!
-//! A [`Scheduler`] exists where its role is held. It reads the replicated state, proposes commands for the log, and
-//! says which calls to make to workers. A run is in the log before its start is sent, and an end is in the log before
-//! the worker is told that it was seen.
+//! A [`Scheduler`] exists on the coordinator that has the service's role. It reads the replicated state, proposes
+//! commands for the log, and lists the calls to make to workers. It owns no socket, disk or clock: its caller sends the
+//! calls, commits the commands and tells the time.
+//!
+//! A run is in the log before its start is sent, and a completion is in the log before it is acknowledged to its worker.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/system/scheduler/src/nominations.rs
+++ b/system/scheduler/src/nominations.rs
@@ -1,9 +1,11 @@
-//! Workers kept free for a moment, for a task that others were stopped for.
+//! Workers that are nominated for a task that had other runs preempted there, and that nobody else gets for a moment.
+//!
+//! The term is that of Kubernetes (`nominatedNodeName`); reservations by forecast are those of backfill.
 use crate::worker::Workers;
 use magpiegap_protocol::{Millis, TaskId};
 use std::collections::{HashMap, HashSet};
 
-/// A reservation that has led to nothing is given up after this time.
+/// A nomination that has led to nothing is dropped after this time.
 const NOMINATION_TIMEOUT_MS: Millis = 1200;
 
 #[derive(Clone, Copy, Debug)]
@@ -12,7 +14,7 @@
     since: Millis,
 }
 
-/// The workers that are kept free, and for whom.
+/// The nominated workers, and for whom.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Nominations {
     of_worker: HashMap<String, Nomination>,
@@ -26,19 +28,19 @@
             .is_none_or(|nomination| nomination.owner == *first)
     }
 
-    /// Whether a worker is kept free for a task.
+    /// Whether a worker is nominated for a task.
     pub(crate) fn has(&self, first: &TaskId) -> bool {
         self.of_worker
             .values()
             .any(|nomination| nomination.owner == *first)
     }
 
-    /// How many workers are kept free.
+    /// How many workers are nominated.
     pub(crate) fn len(&self) -> usize {
         self.of_worker.len()
     }
 
-    /// Keeps a worker free for a task.
+    /// Nominates a worker for a task.
     pub(crate) fn add(&mut self, incarnation: String, owner: TaskId, now: Millis) {
         self.of_worker
             .insert(incarnation, Nomination { owner, since: now });
--- a/system/scheduler/src/queue.rs
+++ b/system/scheduler/src/queue.rs
@@ -1,4 +1,4 @@
-//! Tasks whose turn has come, in the order in which they are placed.
+//! The queue of tasks that may be started, in the order in which they are placed.
 use crate::forecast::{deadline_ms, DeadlineForecast, LatestStarts};
 use magpiegap_jobs::{startable, Job, Startable};
 use magpiegap_protocol::{JobId, Millis, TaskId, WallMillis};
@@ -7,7 +7,7 @@
 /// Tasks of this priority are urgent: for others, stopping and starting again costs more than it gains.
 pub(crate) const URGENT_PRIORITY: u32 = 0;
 
-/// Who goes first: the lower priority number, then who can still be in time, then who is due earlier.
+/// The order of the queue: the lower priority number, then who can still be on time, then the earlier deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Urgency {
     pub priority: u32,
@@ -16,17 +16,17 @@
     pub task: TaskId,
 }
 
-/// A task or gang that waits for a place.
+/// A queued task or gang.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Waiting {
     pub unit: Startable,
-    /// Since when it waits.
+    /// When it was queued.
     pub since: Millis,
     /// Until when it may begin.
     latest: LatestStarts,
 }
 
-/// All that waits.
+/// All queued tasks and gangs.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
     waiting: BTreeMap<Urgency, Waiting>,
@@ -43,19 +43,19 @@
 }
 
 impl Queue {
-    /// Takes up what a job has waiting now; `passed_over` are tasks that are being placed.
+    /// Queues what may be started of a job now, but for tasks that are being placed (`is_being_placed`).
     pub(crate) fn refresh(
         &mut self,
         job: &Job,
         now: Millis,
         wall: WallMillis,
-        passed_over: impl Fn(&TaskId) -> bool,
+        is_being_placed: impl Fn(&TaskId) -> bool,
     ) {
         let id = job.submission.job;
         let old = self.remove(id);
         let mut keys = Vec::new();
         for unit in startable(job) {
-            if unit.tasks().any(|task| passed_over(&task)) {
+            if unit.tasks().any(|task| is_being_placed(&task)) {
                 continue;
             }
             let key = urgency(job, unit.first, wall);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Drops all that a job has waiting.
+    /// Drops all that is queued of a job, and returns it.
     pub(crate) fn remove(&mut self, job: JobId) -> BTreeMap<Urgency, Waiting> {
         let keys = self.of_job.remove(&job).unwrap_or_default();
         keys.into_iter()
@@ -85,7 +85,7 @@
             .collect()
     }
 
-    /// Takes one out that was placed.
+    /// Takes out one that was placed.
     pub(crate) fn take(&mut self, key: &Urgency) {
         self.waiting.remove(key);
         if let Some(keys) = self.of_job.get_mut(&key.task.job) {
@@ -93,12 +93,12 @@
         }
     }
 
-    /// All that waits, most urgent first.
+    /// All that is queued, most urgent first.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&Urgency, &Waiting)> {
         self.waiting.iter()
     }
 
-    /// The jobs whose outlook has changed since they were taken up.
+    /// The jobs whose forecast has changed since they were queued.
     pub(crate) fn outdated(&self, wall: WallMillis) -> Vec<JobId> {
         let changed =
             |(key, waiting): &(&Urgency, &Waiting)| waiting.latest.forecast(wall) != key.forecast;
@@ -117,7 +117,7 @@
         self.waiting.keys().next()
     }
 
-    /// How many wait.
+    /// How many are queued.
     pub(crate) fn len(&self) -> usize {
         self.waiting.len()
     }
--- a/system/scheduler/src/response_times.rs
+++ b/system/scheduler/src/response_times.rs
@@ -1,69 +1,71 @@
-//! How long workers take to answer, and from that how long to wait for an answer: a fixed wait that is too short for a
-//! busy coordinator would have it repeat everything, and be busier still.
+//! How long workers take to reply, and from that the timeout of calls that are replied to at once.
+//!
+//! A fixed timeout that is too short for a busy coordinator would have it repeat everything, and be busier still. Mean and
+//! deviation are smoothed as in RFC 6298; where most calls time out the timeout is stretched.
 use magpiegap_protocol::Millis;
 
-/// Answers are never waited for less long than this.
+/// Timeouts are never shorter than this.
 const MIN_TIMEOUT_MS: f64 = 110.0;
-/// Answers are never waited for longer than this.
+/// Timeouts are never longer than this.
 const MAX_TIMEOUT_MS: f64 = 700.0;
-/// What is added to the usual time and its spread.
+/// What is added to the mean and the deviations.
 const MARGIN_MS: f64 = 50.0;
-/// How many times the usual spread is allowed for.
+/// How many deviations are added to the mean.
 const DEVIATIONS: f64 = 4.0;
-/// The weight of one call in what is usual.
+/// The weight of one call in the mean, the deviation and the share of calls without a reply.
 const GAIN: f64 = 0.05;
-/// While more than this share of calls is not answered, answers are taken for late, not for lost.
+/// While more than this share of calls has no reply, replies are taken for late, not for lost.
 const LOST_SHARE: f64 = 0.6;
-/// By how much an unanswered call then stretches the wait.
+/// By how much a call without a reply then stretches the timeout.
 const STRETCH: f64 = 1.1;
-/// By how much an answer shrinks a stretched wait.
+/// By how much a reply shrinks a stretched timeout.
 const SHRINK: f64 = 0.97;
-/// The wait is stretched to this many times what is usual at most.
+/// The timeout is stretched by this factor at most.
 const MAX_STRETCH: f64 = 8.0;
 
-/// The usual time until an answer and its spread, over all workers.
+/// The smoothed response time over all workers, and its deviation.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseTimes {
     mean_ms: f64,
     deviation_ms: f64,
-    /// The share of calls that are not answered.
-    unanswered: f64,
+    /// The share of calls that had no reply in time.
+    unanswered_share: f64,
     stretch: f64,
 }
 
 impl Default for ResponseTimes {
-    /// Nothing is known yet, and all workers are greeted at once: the first answers may take long.
+    /// Nothing is known yet, and all workers are called at once: the first replies may take long.
     fn default() -> Self {
         ResponseTimes {
             mean_ms: 50.0,
             deviation_ms: 60.0,
-            unanswered: 0.0,
+            unanswered_share: 0.0,
             stretch: 1.0,
         }
     }
 }
 
 impl ResponseTimes {
-    /// A call that is answered at once was answered after this long.
-    pub fn answered(&mut self, after: Millis) {
-        let difference = after as f64 - self.mean_ms;
+    /// Records the response time of a call that is replied to at once.
+    pub fn record_reply(&mut self, elapsed_ms: Millis) {
+        let difference = elapsed_ms as f64 - self.mean_ms;
         self.mean_ms += GAIN * difference;
         self.deviation_ms += GAIN * (difference.abs() - self.deviation_ms);
-        self.unanswered -= GAIN * self.unanswered;
+        self.unanswered_share -= GAIN * self.unanswered_share;
         self.stretch = (self.stretch * SHRINK).max(1.0);
     }
 
-    /// A call was not answered in time.
-    pub fn unanswered(&mut self) {
-        self.unanswered += GAIN * (1.0 - self.unanswered);
-        if self.unanswered > LOST_SHARE {
+    /// Records a call that had no reply in time.
+    pub fn record_timeout(&mut self) {
+        self.unanswered_share += GAIN * (1.0 - self.unanswered_share);
+        if self.unanswered_share > LOST_SHARE {
             self.stretch = (self.stretch * STRETCH).min(MAX_STRETCH);
         }
     }
 
-    /// How long to wait for an answer.
-    pub fn wait_ms(&self) -> Millis {
-        let usual = self.mean_ms + DEVIATIONS * self.deviation_ms + MARGIN_MS;
-        (usual.max(MIN_TIMEOUT_MS) * self.stretch).min(MAX_TIMEOUT_MS) as Millis
+    /// The timeout of a call, in milliseconds: 110 to 700.
+    pub fn timeout_ms(&self) -> Millis {
+        let smoothed_ms = self.mean_ms + DEVIATIONS * self.deviation_ms + MARGIN_MS;
+        (smoothed_ms.max(MIN_TIMEOUT_MS) * self.stretch).min(MAX_TIMEOUT_MS) as Millis
     }
 }
--- a/system/scheduler/src/scheduler.rs
+++ b/system/scheduler/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler's state and the ways in and out of it.
+//! The scheduler: it composes the parts that own its state, and holds its inputs and outputs.
 use crate::{
     backfill::Backfill,
     call_table::{CallPurpose, CallTable, InFlightCall},
@@ -20,16 +20,16 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-/// Figures on a scheduler, for operators.
+/// Counts of a scheduler, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Workers known.
+    /// Workers that are known.
     pub workers: usize,
-    /// Workers that don't answer.
+    /// Workers that are unresponsive.
     pub silent: usize,
     /// Runs on record.
     pub runs: usize,
-    /// Tasks and gangs that wait for a place.
+    /// Tasks and gangs in the queue.
     pub waiting: usize,
     /// Those of them that are of the most urgent priority.
     #[serde(default)]
@@ -43,17 +43,17 @@
     pub(crate) token: FencingToken,
     pub(crate) settings: SchedulerSettings,
     pub(crate) random: StdRng,
-    /// The last entry that the state held when it was last taken up whole.
+    /// The last entry that the state held when it was last read in full.
     pub(crate) snapshot_position: LogPosition,
     pub(crate) workers: Workers,
-    /// The names of all workers, as they were a moment ago.
+    /// The names of all workers, as of the last check.
     pub(crate) worker_names: Vec<String>,
     pub(crate) queue: Queue,
     pub(crate) nominations: Nominations,
     pub(crate) backfill: Backfill,
     /// Tasks with a run that is proposed and not yet in the log.
     pub(crate) proposed: HashSet<TaskId>,
-    /// Workers that have a run whose start may be sent now.
+    /// Workers that may have starts or stops due.
     pub(crate) workers_with_orders: BTreeSet<String>,
     pub(crate) lease_schedule: LeaseSchedule,
     pub(crate) ejection_report: EjectionReport,
@@ -61,7 +61,7 @@
     pub(crate) failed_on: HashMap<TaskId, Vec<String>>,
     pub(crate) job_calendar: JobCalendar,
     pub(crate) calls: CallTable,
-    /// The steady clock at the last input.
+    /// The monotonic clock at the last input.
     pub(crate) now: Millis,
     /// The time of day when time last passed.
     pub(crate) wall: WallMillis,
@@ -70,13 +70,13 @@
     pub(crate) next_check_at: Millis,
     pub(crate) lease_timing: LeaseTiming,
     pub(crate) failure_rate: FailureRate,
-    /// A worker has seen a higher token: nothing more is called or ordered with this one.
+    /// A worker has seen a higher token: nothing more is called or proposed with this one.
     pub(crate) deposed: bool,
     pub(crate) outputs: Vec<Output>,
 }
 
 impl Scheduler {
-    /// A scheduler whose role was just taken over.
+    /// Creates the scheduler of a role that was just taken over; `seed` decides its random choices.
     pub fn new(
         service: &str,
         token: FencingToken,
@@ -117,7 +117,7 @@
         scheduler
     }
 
-    /// The service.
+    /// The service whose workers it schedules.
     pub fn service(&self) -> &str {
         &self.service
     }
@@ -127,12 +127,12 @@
         self.token
     }
 
-    /// Whether a worker has refused it for a higher token: it does nothing any more.
+    /// Whether a worker has refused its token for a higher one: it does nothing any more.
     pub fn is_deposed(&self) -> bool {
         self.deposed
     }
 
-    /// Gives the role up at once, with all that was not handed on yet.
+    /// Gives the role up at once, and drops the outputs that were not polled.
     pub(crate) fn depose(&mut self, refused_by: &str) {
         if self.deposed {
             return;
@@ -146,7 +146,7 @@
         self.outputs.push(Output::Log(line));
     }
 
-    /// Figures for operators.
+    /// Counts for operators.
     pub fn summary(&self) -> Summary {
         Summary {
             workers: self.workers.len(),
@@ -165,18 +165,18 @@
         }
     }
 
-    /// Takes what it wants done.
+    /// Takes the outputs since the last call, in the order in which they are to be carried out.
     pub fn poll_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// When all that other holders of the role granted has surely run out.
+    /// When all leases that earlier owners of the role granted have surely expired.
     pub(crate) fn previous_leases_expire_at(&self) -> Millis {
         let hold = self.settings.max_hold_ms + self.settings.max_hold_ms / 25;
         self.taken_over_at + self.settings.lease_ms + hold
     }
 
-    /// Sends an order to a worker.
+    /// Sends an order to a worker and returns the call's id; a deposed scheduler sends nothing.
     pub(crate) fn call(
         &mut self,
         incarnation: &str,
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Does what is due. To be called after all other inputs, and every few hundredths of a second.
+    /// Does what is due at this time. To be called after all other inputs, and every 50 ms or more often.
     pub fn run(&mut self, now: Millis, wall: WallMillis, state: &State) {
         if self.deposed {
             return;
@@ -233,7 +233,7 @@
             for job in self.queue.outdated(wall) {
                 self.refresh_queue(job, now, state);
             }
-            // Time alone may let a task be placed: a worker's ejection ends, or a wait for a near one.
+            // Time alone may let a task be placed: a worker's ejection ends, or a wait for locality.
             if self.queue.len() > 0 {
                 self.planning.request();
             }
@@ -247,5 +247,5 @@
     }
 }
 
-/// How often everything is looked through for what is due.
+/// Time between two checks of all workers, jobs and forecasts.
 const CHECK_INTERVAL_MS: Millis = 50;
--- a/system/scheduler/src/settings.rs
+++ b/system/scheduler/src/settings.rs
@@ -1,18 +1,18 @@
-//! What a scheduler is told at its start.
+//! The settings of a scheduler.
 use magpiegap_protocol::Millis;
 
-/// Figures of the deployment that a scheduler needs.
+/// What a scheduler needs to know of its deployment; times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerSettings {
-    /// Longest time that a worker may hold its runs without being asked again.
+    /// Longest lease that a worker may be granted. Default: 6000.
     pub max_hold_ms: Millis,
-    /// Longest time that members of a gang wait for each other.
+    /// Longest time that members of a gang wait for each other. Default: 3000.
     pub gang_ms: Millis,
-    /// How many times as long a task takes away from its data or its gang.
+    /// How many times as long a task takes away from its data or its gang. Default: 2.
     pub far_factor: f64,
-    /// How long the state of an ended job is kept.
+    /// How long the status of a completed job is retained. Default: 120000.
     pub status_ms: u64,
-    /// How long a holder of the role before may have gone on giving orders after it lost the role.
+    /// How long an earlier owner of the role may have gone on sending orders after it lost the role. Default: 1500.
     pub lease_ms: Millis,
 }
 
--- a/system/scheduler/src/take_over.rs
+++ b/system/scheduler/src/take_over.rs
@@ -1,12 +1,12 @@
-//! Takes up the replicated state: when the role is taken over, and after a change of the view.
+//! Reads the replicated state in full: when the role is taken over, and after a change of the view.
 use crate::{calls::Output, scheduler::Scheduler};
 use magpiegap_jobs::State;
 use magpiegap_protocol::{JobId, Millis, RunId, TaskId};
 use std::collections::BTreeMap;
 
 impl Scheduler {
-    /// Takes up the state after a change of the view or of the role's holder: what was proposed before and is not
-    /// in the state now never will be.
+    /// Reads the state after a change of the view or of the role's owner: what was proposed before and is not in the
+    /// state now never will be.
     pub fn resume(&mut self, now: Millis, state: &State) {
         self.drop_outputs();
         self.snapshot_position = state.position;
@@ -50,7 +50,7 @@
         self.lease_schedule.scan_at(now);
     }
 
-    /// Drops what was not handed on yet: it was decided by the state as it was before.
+    /// Drops the outputs that were not polled: they were decided by the state as it was before.
     pub(crate) fn drop_outputs(&mut self) {
         for output in std::mem::take(&mut self.outputs) {
             if let Output::Call(call) = output {
--- a/system/scheduler/src/worker.rs
+++ b/system/scheduler/src/worker.rs
@@ -1,9 +1,9 @@
-//! What the scheduler knows of one life of a worker.
+//! What the scheduler knows of one incarnation of a worker: its capacity, runs, clock and lease.
 use crate::{health::Health, run::Run};
 use magpiegap_protocol::{Availability, Millis, Resources, RunId, RunStart, TaskId, WorkerEntry};
 use std::collections::BTreeMap;
 
-/// The slowest that a worker's clock may run beside ours.
+/// The slowest rate at which a worker's clock may run beside ours.
 const MIN_CLOCK_RATE: f64 = 0.975;
 
 /// A reading of a worker's clock.
@@ -11,51 +11,51 @@
 pub(crate) struct ClockReading {
     /// What the clock showed, in milliseconds.
     pub worker_ms: u64,
-    /// When the answer that said so came.
+    /// When the reply that said so arrived.
     pub received_at: Millis,
 }
 
-/// The state of the hold on a worker.
+/// The state of the lease on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LeaseRenewal {
-    /// The call under way.
+    /// The renewal in flight.
     pub in_flight: Option<u64>,
     /// When the next one is due.
     pub renew_at: Millis,
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
     pub entry: WorkerEntry,
     /// The platform still lists it.
     pub listed: bool,
-    /// It is being emptied.
+    /// It accepts no new runs and departs once its runs are stopped.
     pub draining: bool,
-    /// When it goes at the earliest, while it is being emptied.
+    /// When it departs at the earliest, while it is draining.
     pub departs_at: Option<Millis>,
     pub used: Resources,
     pub runs: BTreeMap<TaskId, Run>,
     pub clock: Option<ClockReading>,
-    /// It has answered under this scheduler's token.
+    /// It has replied under this scheduler's token.
     pub has_responded: bool,
     /// On the worker's clock: the latest deadline in any order ever sent to it.
     pub lease_granted_until: u64,
-    /// On our clock: when all that others granted has surely run out.
+    /// On our clock: when all leases that earlier schedulers granted have surely expired.
     pub previous_leases_expire_at: Millis,
     pub lease: LeaseRenewal,
-    /// Ends up to this number are in the log.
+    /// Completions up to this number are in the log.
     pub acknowledged_completion: u64,
-    /// Ends up to this number are proposed for the log.
+    /// Completions up to this number are proposed for the log.
     pub proposed_completion: u64,
-    /// When an order was first not answered; until a later call is answered it gets no new work.
+    /// When an order was first left unanswered; until a later call is replied to it gets no new runs.
     pub suspected_since: Option<Millis>,
-    /// Holds in a row that were not answered.
+    /// Renewals in a row that were left unanswered.
     pub unanswered_renewals: u32,
     pub health: Health,
 }
 
-/// The workers of a service, by the name of their life.
+/// The workers of a service, by the name of their incarnation.
 pub(crate) type Workers = BTreeMap<String, Worker>;
 
 impl Worker {
@@ -103,22 +103,22 @@
         }
     }
 
-    /// Resources that no run takes up.
+    /// The resources that no run takes up.
     pub(crate) fn free_capacity(&self) -> Resources {
         self.entry.capacity.minus(&self.used)
     }
 
-    /// Whether this much fits beside its runs.
+    /// Whether so much fits beside its runs.
     pub(crate) fn has_capacity_for(&self, resources: &Resources) -> bool {
         resources.plus(&self.used).fits(&self.entry.capacity)
     }
 
-    /// Whether it has left too many calls unanswered to be given more work.
+    /// Whether it has left too many renewals unanswered to be sent orders.
     pub(crate) fn is_unresponsive(&self) -> bool {
         self.unanswered_renewals >= 2
     }
 
-    /// Whether it has answered under this scheduler's token, and all calls since.
+    /// Whether it has replied under this scheduler's token, and to all calls since.
     pub(crate) fn is_responsive(&self) -> bool {
         self.has_responded && self.unanswered_renewals == 0 && self.suspected_since.is_none()
     }
@@ -158,7 +158,7 @@
         Some(removed)
     }
 
-    /// The latest that the worker's clock can show now; `None` while it was never read.
+    /// The latest that the worker's clock can show now; `None`: it was never read.
     pub(crate) fn max_clock(&self, now: Millis) -> Option<u64> {
         let reading = self.clock?;
         Some(reading.worker_ms + now.saturating_sub(reading.received_at))
@@ -171,7 +171,7 @@
         Some(reading.worker_ms + passed as u64)
     }
 
-    /// Whether every hold ever granted to it has surely run out, so that nothing runs there any more.
+    /// Whether every lease ever granted to it has surely expired, so that nothing runs there any more.
     pub(crate) fn all_leases_expired(&self, now: Millis) -> bool {
         if !self.has_responded && now < self.previous_leases_expire_at {
             return false;
@@ -182,10 +182,10 @@
         }
     }
 
-    /// Takes a reading of the clock from an answer.
+    /// Takes a reading of the clock from a reply.
     pub(crate) fn read_clock(&mut self, worker_ms: Option<u64>, now: Millis) {
         let Some(worker_ms) = worker_ms else { return };
-        // Answers may overtake each other: an older reading would set the clock back.
+        // Replies may overtake each other: an older reading would set the clock back.
         let newer = self.min_clock(now).is_none_or(|known| worker_ms >= known);
         if newer {
             self.clock = Some(ClockReading {
--- a/system/scheduler/tests/common/mod.rs
+++ b/system/scheduler/tests/common/mod.rs
@@ -15,7 +15,7 @@
 pub(crate) const WORKER_CLOCK: u64 = 1_000_000;
 
 /// A scheduler with its log, which commits at once.
-pub(crate) struct Story {
+pub(crate) struct Harness {
     pub now: u64,
     pub state: State,
     pub scheduler: Scheduler,
@@ -52,11 +52,11 @@
     }
 }
 
-impl Story {
-    pub(crate) fn new(workers: &[&str]) -> Story {
+impl Harness {
+    pub(crate) fn new(workers: &[&str]) -> Harness {
         let state = State::default();
         let scheduler = Scheduler::new("s", TOKEN, SchedulerSettings::default(), 1000, &state, 1);
-        let mut story = Story {
+        let mut harness = Harness {
             now: 1000,
             state,
             scheduler,
@@ -65,18 +65,20 @@
             logs: Vec::new(),
         };
         let entries: Vec<WorkerEntry> = workers.iter().map(|name| worker(name)).collect();
-        story.scheduler.list(story.now, &story.state, &entries);
-        story.pass(10);
-        story.greet();
-        story
+        harness
+            .scheduler
+            .list(harness.now, &harness.state, &entries);
+        harness.advance(10);
+        harness.reply_to_first_calls();
+        harness
     }
 
-    /// All workers answer their first hold.
-    pub(crate) fn greet(&mut self) {
+    /// All workers reply to their first renewal.
+    pub(crate) fn reply_to_first_calls(&mut self) {
         for call in self.take_calls() {
             self.reply(&call, self.listing(vec![], vec![]));
         }
-        self.pass(10);
+        self.advance(10);
     }
 
     pub(crate) fn clock(&self) -> u64 {
@@ -138,7 +140,7 @@
         self.proposed.push(command);
     }
 
-    pub(crate) fn pass(&mut self, ms: u64) {
+    pub(crate) fn advance(&mut self, ms: u64) {
         self.now += ms;
         for _ in 0..4 {
             self.scheduler
@@ -182,7 +184,7 @@
         };
         let command = self.scheduler.submit(self.now, submission);
         self.commit(command);
-        self.pass(0);
+        self.advance(0);
     }
 
     pub(crate) fn starts(&mut self) -> Vec<WorkerCall> {
@@ -228,8 +230,8 @@
     }
 }
 
-/// A hold's wait, in milliseconds.
-pub(crate) fn waits(calls: &[WorkerCall]) -> Vec<u64> {
+/// How long the renewals among these calls may wait, in milliseconds.
+pub(crate) fn long_polls(calls: &[WorkerCall]) -> Vec<u64> {
     let wait = |call: &WorkerCall| match call.order {
         WorkerOrder::Hold { wait_ms, .. } => Some(wait_ms),
         _ => None,
--- a/system/scheduler/tests/explanation.rs
+++ b/system/scheduler/tests/explanation.rs
@@ -1,4 +1,4 @@
-//! What operators are told of a job.
+//! How a job is explained to operators.
 mod common;
 
 use common::*;
@@ -7,9 +7,9 @@
 use magpiegap_scheduler::WorkerCounts;
 
 #[googletest::test]
-fn given_a_job_that_waits_when_it_is_explained_then_each_worker_has_its_reason() {
-    // Given: one worker is full, one lacks the label, one is being emptied
-    let mut story = Story::new(&["w1"]);
+fn given_a_queued_job_when_it_is_explained_then_each_worker_is_counted_under_its_obstacle() {
+    // Given: one worker is full, one lacks the label, one is draining
+    let mut harness = Harness::new(&["w1"]);
     let labelled = WorkerEntry {
         labels: vec!["b".to_owned()],
         ..worker("w2")
@@ -18,34 +18,36 @@
         availability: Availability::Draining,
         ..worker("w3")
     };
-    story
-        .scheduler
-        .list(story.now, &story.state, &[worker("w1"), labelled, draining]);
-    story.pass(10);
-    story.greet();
-    story.submit(
+    harness.scheduler.list(
+        harness.now,
+        &harness.state,
+        &[worker("w1"), labelled, draining],
+    );
+    harness.advance(10);
+    harness.reply_to_first_calls();
+    harness.submit(
         1,
         vec![StepSpec {
             requirements: vec!["a".to_owned()],
             ..step(1, 3000)
         }],
     );
-    story.submit(
+    harness.submit(
         2,
         vec![StepSpec {
             requirements: vec!["a".to_owned()],
             ..step(2, 3000)
         }],
     );
-    story.pass(10);
+    harness.advance(10);
     // When
-    let Some(said) = story.scheduler.explain(&story.state, JobId(2)) else {
+    let Some(explanation) = harness.scheduler.explain(&harness.state, JobId(2)) else {
         panic!("no explanation")
     };
     // Then
-    expect_that!(said.state, eq("pending"));
-    expect_that!(said.steps.len(), eq(1));
-    expect_that!(said.steps[0].waiting, eq(2));
+    expect_that!(explanation.state, eq("pending"));
+    expect_that!(explanation.steps.len(), eq(1));
+    expect_that!(explanation.steps[0].waiting, eq(2));
     let counts = WorkerCounts {
         known: 3,
         without_capacity: 1,
@@ -53,11 +55,11 @@
         draining: 1,
         ..WorkerCounts::default()
     };
-    expect_that!(said.steps[0].workers, some(eq(counts)));
-    let Some(running) = story.scheduler.explain(&story.state, JobId(1)) else {
+    expect_that!(explanation.steps[0].workers, some(eq(counts)));
+    let Some(running) = harness.scheduler.explain(&harness.state, JobId(1)) else {
         panic!("no explanation")
     };
     expect_that!(running.steps[0].running.len(), eq(1));
     expect_that!(running.steps[0].running[0].worker, eq("w1"));
-    expect_that!(story.scheduler.explain(&story.state, JobId(3)), none());
+    expect_that!(harness.scheduler.explain(&harness.state, JobId(3)), none());
 }
--- a/system/scheduler/tests/lease_renewal.rs
+++ b/system/scheduler/tests/lease_renewal.rs
@@ -1,7 +1,7 @@
-//! Holds are sent when there is news of a worker and when time alone calls for them, without a search at each step.
+//! Leases are renewed when a worker changes and when time alone calls for it, without a scan at each step.
 mod common;
 
-use common::{step, task, waits, Story};
+use common::{long_polls, step, task, Harness};
 use googletest::prelude::*;
 use magpiegap_protocol::{
     Command, CompletionKind, JobId, JobSpec, RunCompletion, Submission, WallMillis,
@@ -12,29 +12,29 @@
 
 const WORKERS: [&str; 3] = ["w1", "w2", "w3"];
 
-fn holds(calls: &[WorkerCall]) -> Vec<WorkerCall> {
-    let is_hold = |call: &&WorkerCall| matches!(call.order, WorkerOrder::Hold { .. });
-    calls.iter().filter(is_hold).cloned().collect()
+fn renewals(calls: &[WorkerCall]) -> Vec<WorkerCall> {
+    let is_renewal = |call: &&WorkerCall| matches!(call.order, WorkerOrder::Hold { .. });
+    calls.iter().filter(is_renewal).cloned().collect()
 }
 
-/// A run on a worker that was started; its hold is under way.
-fn with_one_run() -> (Story, WorkerCall) {
-    let mut story = Story::new(&WORKERS);
-    story.submit(1, vec![step(1, 1000)]);
-    for start in story.starts() {
-        story.reply(&start, story.done());
+/// A run on a worker that was started; its renewal is in flight.
+fn harness_with_one_run() -> (Harness, WorkerCall) {
+    let mut harness = Harness::new(&WORKERS);
+    harness.submit(1, vec![step(1, 1000)]);
+    for start in harness.starts() {
+        harness.reply(&start, harness.done());
     }
-    story.pass(1);
-    let hold = holds(&story.take_calls()).pop().expect("a hold");
-    (story, hold)
+    harness.advance(1);
+    let renewal = renewals(&harness.take_calls()).pop().expect("a renewal");
+    (harness, renewal)
 }
 
 #[googletest::test]
-fn given_idle_workers_when_a_run_is_only_proposed_then_its_worker_is_held_at_once() {
-    let mut story = Story::new(&WORKERS);
-    // Just after a search that found nothing due.
-    story.pass(1);
-    story.take_calls();
+fn given_idle_workers_when_a_run_is_only_proposed_then_the_lease_there_is_renewed_at_once() {
+    let mut harness = Harness::new(&WORKERS);
+    // Just after a scan that found nothing due.
+    harness.advance(1);
+    harness.take_calls();
     let submission = Submission {
         job: JobId(1),
         queue: "q".to_owned(),
@@ -43,37 +43,39 @@
         max_attempts: 3,
         stretch: 2.0,
         target_latency_ms: 1000,
-        submitted_ms: WallMillis(1_000_000 + story.now),
+        submitted_ms: WallMillis(1_000_000 + harness.now),
         spec: JobSpec {
             steps: vec![step(1, 1000)],
             ..JobSpec::default()
         },
     };
-    story.scheduler.submit(story.now, submission);
-    story
-        .scheduler
-        .run(story.now, WallMillis(1_000_000 + story.now), &story.state);
-    let is_hold = |output: &Output| matches!(output, Output::Call(call) if matches!(call.order, WorkerOrder::Hold { .. }));
+    harness.scheduler.submit(harness.now, submission);
+    harness.scheduler.run(
+        harness.now,
+        WallMillis(1_000_000 + harness.now),
+        &harness.state,
+    );
+    let is_renewal = |output: &Output| matches!(output, Output::Call(call) if matches!(call.order, WorkerOrder::Hold { .. }));
     expect_that!(
-        story
+        harness
             .scheduler
             .poll_outputs()
             .iter()
-            .filter(|output| is_hold(output))
+            .filter(|output| is_renewal(output))
             .count(),
         eq(1)
     );
 }
 
 #[googletest::test]
-fn given_an_end_when_it_is_noted_then_the_next_hold_is_sent_in_the_same_step() {
-    let mut story = Story::new(&["w1"]);
-    story.submit(1, vec![step(2, 1000)]);
-    for start in story.starts() {
-        story.reply(&start, story.done());
+fn given_a_completion_when_it_is_recorded_then_the_next_renewal_is_sent_at_once() {
+    let mut harness = Harness::new(&["w1"]);
+    harness.submit(1, vec![step(2, 1000)]);
+    for start in harness.starts() {
+        harness.reply(&start, harness.done());
     }
-    story.pass(1);
-    let hold = holds(&story.take_calls()).pop().expect("a hold");
+    harness.advance(1);
+    let renewal = renewals(&harness.take_calls()).pop().expect("a renewal");
     let ended = ListedCompletion {
         number: 1,
         task: task(1, 0),
@@ -87,67 +89,66 @@
         checkpoint: String::new(),
         percent: 10,
     };
-    story.reply(&hold, story.listing(vec![running], vec![ended]));
-    // The end goes to the log and comes back.
-    story.pass(0);
-    expect_that!(holds(&story.take_calls()).len(), eq(1));
+    harness.reply(&renewal, harness.listing(vec![running], vec![ended]));
+    // The completion goes to the log and comes back.
+    harness.advance(0);
+    expect_that!(renewals(&harness.take_calls()).len(), eq(1));
 }
 
 #[googletest::test]
-fn given_a_hold_without_an_answer_when_time_passes_and_nothing_else_happens_then_the_worker_is_looked_at_again(
-) {
-    let (mut story, hold) = with_one_run();
-    story.reply(&hold, WorkerReply::Unanswered);
-    story.pass(5);
-    expect_that!(holds(&story.take_calls()), is_empty());
-    story.pass(30);
-    let again = holds(&story.take_calls());
+fn given_a_renewal_without_a_reply_when_only_time_passes_then_it_is_sent_again() {
+    let (mut harness, renewal) = harness_with_one_run();
+    harness.reply(&renewal, WorkerReply::Unanswered);
+    harness.advance(5);
+    expect_that!(renewals(&harness.take_calls()), is_empty());
+    harness.advance(30);
+    let again = renewals(&harness.take_calls());
     expect_that!(again.len(), eq(1));
-    expect_that!(again[0].incarnation, eq(&hold.incarnation));
+    expect_that!(again[0].incarnation, eq(&renewal.incarnation));
 }
 
 #[googletest::test]
-fn given_a_hold_under_way_when_steps_follow_each_other_then_no_other_is_sent() {
-    let (mut story, _) = with_one_run();
+fn given_a_renewal_in_flight_when_time_passes_then_no_other_is_sent() {
+    let (mut harness, _) = harness_with_one_run();
     for _ in 0..200 {
-        story.pass(1);
+        harness.advance(1);
     }
-    expect_that!(waits(&story.take_calls()), is_empty());
+    expect_that!(long_polls(&harness.take_calls()), is_empty());
 }
 
 #[googletest::test]
-fn given_all_workers_full_when_one_gets_room_then_the_next_round_of_planning_finds_it() {
+fn given_all_workers_full_when_one_gets_capacity_then_the_next_round_of_planning_finds_it() {
     let names: Vec<String> = (0..60).map(|number| format!("w{number}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let mut story = Story::new(&names);
+    let mut harness = Harness::new(&names);
     for job in 0..60 {
-        story.submit(job + 1, vec![step(1, 4000)]);
+        harness.submit(job + 1, vec![step(1, 4000)]);
     }
-    let starts = story.starts();
+    let starts = harness.starts();
     expect_that!(starts.len(), eq(60));
     for start in &starts {
-        story.reply(start, story.done());
+        harness.reply(start, harness.done());
     }
-    // More wait than one round looks at, and the last of them fits into little room.
+    // More are queued than one round considers, and the last of them needs little capacity.
     for job in 0..100 {
-        story.submit_with_priority(1000 + job, 1, vec![step(1, 3000 + job)]);
+        harness.submit_with_priority(1000 + job, 1, vec![step(1, 3000 + job)]);
     }
-    story.submit_with_priority(2000, 1, vec![step(1, 500)]);
-    expect_that!(story.starts(), is_empty());
+    harness.submit_with_priority(2000, 1, vec![step(1, 500)]);
+    expect_that!(harness.starts(), is_empty());
     let end = RunCompletion {
         task: task(1, 0),
         run: 1,
         kind: CompletionKind::Done,
         checkpoint: String::new(),
     };
-    let freed = story.active(task(1, 0)).pop().expect("a run");
-    story.commit(Command::RecordCompletions {
+    let freed = harness.active(task(1, 0)).pop().expect("a run");
+    harness.commit(Command::RecordCompletions {
         incarnation: freed.clone(),
         last_seen: 1,
         ends: vec![end],
     });
-    story.pass(25);
-    let started: Vec<String> = story
+    harness.advance(25);
+    let started: Vec<String> = harness
         .starts()
         .into_iter()
         .map(|call| call.incarnation)
--- a/system/scheduler/tests/starting.rs
+++ b/system/scheduler/tests/starting.rs
@@ -1,4 +1,4 @@
-//! When a scheduler places, records and starts, and when it takes up what others have begun.
+//! When a scheduler places, records and starts runs, and when it takes over those of an earlier one.
 mod common;
 
 use common::*;
@@ -13,20 +13,20 @@
 };
 
 #[googletest::test]
-fn given_a_worker_with_room_when_a_job_comes_then_its_run_is_in_the_log_before_the_start() {
-    let mut story = Story::new(&["w1"]);
-    story.submit(1, vec![step(1, 1000)]);
-    expect_that!(story.active(task(1, 0)), elements_are![eq("w1")]);
-    let starts = story.starts();
+fn given_a_worker_with_capacity_when_a_job_comes_then_its_run_is_in_the_log_before_the_start() {
+    let mut harness = Harness::new(&["w1"]);
+    harness.submit(1, vec![step(1, 1000)]);
+    expect_that!(harness.active(task(1, 0)), elements_are![eq("w1")]);
+    let starts = harness.starts();
     expect_that!(starts.len(), eq(1));
     expect_that!(starts[0].token, eq(TOKEN));
 }
 
 #[googletest::test]
-fn given_two_workers_when_tasks_are_placed_then_none_gets_more_than_it_has() {
-    let mut story = Story::new(&["w1", "w2"]);
-    story.submit(1, vec![step(9, 1000)]);
-    let starts = story.starts();
+fn given_two_workers_when_tasks_are_placed_then_none_gets_more_than_its_capacity() {
+    let mut harness = Harness::new(&["w1", "w2"]);
+    harness.submit(1, vec![step(9, 1000)]);
+    let starts = harness.starts();
     expect_that!(starts.len(), eq(8));
     let of = |name: &str| {
         starts
@@ -39,31 +39,31 @@
 
 #[googletest::test]
 fn given_an_unanswered_start_when_time_passes_then_the_same_run_is_sent_there_again() {
-    let mut story = Story::new(&["w1", "w2"]);
-    story.submit(1, vec![step(1, 1000)]);
-    let first = story.starts().remove(0);
-    story.now += 250;
-    story.reply(&first, WorkerReply::Unanswered);
-    story.pass(10);
-    let again = story.starts();
+    let mut harness = Harness::new(&["w1", "w2"]);
+    harness.submit(1, vec![step(1, 1000)]);
+    let first = harness.starts().remove(0);
+    harness.now += 250;
+    harness.reply(&first, WorkerReply::Unanswered);
+    harness.advance(10);
+    let again = harness.starts();
     expect_that!(again.len(), eq(1));
     expect_that!(again[0].incarnation, eq(&first.incarnation));
-    expect_that!(story.active(task(1, 0)).len(), eq(1));
+    expect_that!(harness.active(task(1, 0)).len(), eq(1));
 }
 
 #[googletest::test]
-fn given_an_end_when_it_is_listed_then_it_is_in_the_log_before_the_worker_hears_of_it() {
-    let mut story = Story::new(&["w1"]);
-    story.submit(1, vec![step(1, 1000)]);
-    let start = story.starts().remove(0);
-    story.reply(&start, story.done());
-    let hold = story
+fn given_a_completion_when_it_is_listed_then_it_is_in_the_log_before_it_is_acknowledged() {
+    let mut harness = Harness::new(&["w1"]);
+    harness.submit(1, vec![step(1, 1000)]);
+    let start = harness.starts().remove(0);
+    harness.reply(&start, harness.done());
+    let renewal = harness
         .take_calls()
         .into_iter()
         .find(|c| matches!(c.order, WorkerOrder::Hold { .. }))
         .unwrap();
     expect_that!(
-        matches!(hold.order, WorkerOrder::Hold { last_seen: 0, .. }),
+        matches!(renewal.order, WorkerOrder::Hold { last_seen: 0, .. }),
         eq(true)
     );
     let end = ListedCompletion {
@@ -73,12 +73,12 @@
         kind: CompletionKind::Done,
         checkpoint: String::new(),
     };
-    story.reply(&hold, story.listing(vec![], vec![end]));
-    story.pass(10);
-    expect_that!(story.state.workers["w1"].last_seen, eq(1));
-    story.submit(2, vec![step(1, 1000)]);
-    let holds = story.take_calls();
-    let seen = holds.iter().find_map(|call| match call.order {
+    harness.reply(&renewal, harness.listing(vec![], vec![end]));
+    harness.advance(10);
+    expect_that!(harness.state.workers["w1"].last_seen, eq(1));
+    harness.submit(2, vec![step(1, 1000)]);
+    let renewals = harness.take_calls();
+    let seen = renewals.iter().find_map(|call| match call.order {
         WorkerOrder::Hold { last_seen, .. } => Some(last_seen),
         _ => None,
     });
@@ -88,22 +88,22 @@
 #[googletest::test]
 fn given_a_change_of_view_when_the_scheduler_resumes_then_what_it_had_decided_is_dropped() {
     // Given: a listing that lacks a run, just before the view changes
-    let mut story = Story::new(&["w1"]);
-    story.submit(1, vec![step(1, 1000)]);
-    let start = story.starts().remove(0);
-    story.reply(&start, story.done());
-    let hold = story.take_calls().remove(0);
-    story.reply(&hold, story.listing(vec![], vec![]));
-    story.now += 10;
-    let later = story.scheduler.poll_outputs();
+    let mut harness = Harness::new(&["w1"]);
+    harness.submit(1, vec![step(1, 1000)]);
+    let start = harness.starts().remove(0);
+    harness.reply(&start, harness.done());
+    let renewal = harness.take_calls().remove(0);
+    harness.reply(&renewal, harness.listing(vec![], vec![]));
+    harness.now += 10;
+    let later = harness.scheduler.poll_outputs();
     drop(later);
-    story.pass(10);
-    let hold = story.take_calls().pop().unwrap();
-    story.reply(&hold, story.listing(vec![], vec![]));
+    harness.advance(10);
+    let renewal = harness.take_calls().pop().unwrap();
+    harness.reply(&renewal, harness.listing(vec![], vec![]));
     // When
-    story.scheduler.resume(story.now, &story.state);
+    harness.scheduler.resume(harness.now, &harness.state);
     // Then
-    let lost = story.scheduler.poll_outputs();
+    let lost = harness.scheduler.poll_outputs();
     expect_that!(
         lost.iter()
             .filter(|output| matches!(output, Output::Propose(_)))
@@ -113,19 +113,19 @@
 }
 
 #[googletest::test]
-fn given_no_room_at_the_worker_when_a_start_is_turned_down_then_the_task_waits_again() {
-    let mut story = Story::new(&["w1"]);
-    story.submit(1, vec![step(1, 1000)]);
-    let start = story.starts().remove(0);
-    story.reply(
+fn given_no_capacity_at_the_worker_when_a_start_is_refused_then_the_task_is_queued_again() {
+    let mut harness = Harness::new(&["w1"]);
+    harness.submit(1, vec![step(1, 1000)]);
+    let start = harness.starts().remove(0);
+    harness.reply(
         &start,
         WorkerReply::Refused {
-            clock_ms: Some(story.clock()),
+            clock_ms: Some(harness.clock()),
             reason: RefusalReason::Room,
         },
     );
-    story.pass(10);
-    let again = story.starts();
+    harness.advance(10);
+    let again = harness.starts();
     expect_that!(again.len(), eq(1));
     expect_that!(
         matches!(again[0].order, WorkerOrder::Start { run: 2, .. }),
@@ -135,13 +135,13 @@
 
 #[googletest::test]
 fn given_a_cancelled_job_when_its_run_goes_on_then_it_is_stopped() {
-    let mut story = Story::new(&["w1"]);
-    story.submit(1, vec![step(1, 1000)]);
-    let start = story.starts().remove(0);
-    story.reply(&start, story.done());
-    story.commit(Command::CancelJob { job: JobId(1) });
-    story.pass(10);
-    let stops = story
+    let mut harness = Harness::new(&["w1"]);
+    harness.submit(1, vec![step(1, 1000)]);
+    let start = harness.starts().remove(0);
+    harness.reply(&start, harness.done());
+    harness.commit(Command::CancelJob { job: JobId(1) });
+    harness.advance(10);
+    let stops = harness
         .take_calls()
         .iter()
         .filter(|call| matches!(call.order, WorkerOrder::Stop { .. }))
@@ -150,20 +150,20 @@
 }
 
 #[googletest::test]
-fn given_a_scheduler_that_took_up_the_whole_state_when_older_entries_follow_then_no_run_is_taken_for_unsent(
+fn given_a_scheduler_that_read_the_full_state_when_older_entries_follow_then_no_run_is_taken_for_unsent(
 ) {
-    // Given: a run that an earlier holder of the role has started
-    let mut story = Story::new(&["w1"]);
-    story.submit(1, vec![step(1, 1000)]);
-    let start = story.starts().remove(0);
-    story.reply(&start, story.done());
-    // When: the next holder begins with the state as it is after a batch of entries, and then hears of each of them
+    // Given: a run that an earlier owner of the role has started
+    let mut harness = Harness::new(&["w1"]);
+    harness.submit(1, vec![step(1, 1000)]);
+    let start = harness.starts().remove(0);
+    harness.reply(&start, harness.done());
+    // When: the next owner begins with the state as it is after a batch of entries, and then hears of each of them
     let mut next = Scheduler::new(
         "s",
         TOKEN.next(),
         SchedulerSettings::default(),
-        story.now,
-        &story.state,
+        harness.now,
+        &harness.state,
         2,
     );
     let opened = RunStart {
@@ -173,24 +173,28 @@
         checkpoint: String::new(),
     };
     let change = Change::RunOpened(opened);
-    for entry in 1..=story.state.position.index.0 {
+    for entry in 1..=harness.state.position.index.0 {
         let entry = LogPosition {
             view: ViewNumber(1),
             index: LogIndex(entry),
         };
         next.applied(
-            story.now,
+            harness.now,
             entry,
-            &story.state,
+            &harness.state,
             std::slice::from_ref(&change),
             &[],
         );
     }
-    next.list(story.now, &story.state, &[worker("w1")]);
+    next.list(harness.now, &harness.state, &[worker("w1")]);
     let mut lost = 0;
     for _ in 0..20 {
-        story.now += 50;
-        next.run(story.now, WallMillis(1_000_000 + story.now), &story.state);
+        harness.now += 50;
+        next.run(
+            harness.now,
+            WallMillis(1_000_000 + harness.now),
+            &harness.state,
+        );
         let outputs = next.poll_outputs();
         lost += outputs
             .iter()
@@ -206,11 +210,11 @@
     // Given
     let names: Vec<String> = (0..60).map(|number| format!("w{number}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let mut story = Story::new(&names);
-    story.pass(100);
+    let mut harness = Harness::new(&names);
+    harness.advance(100);
     // When: three tasks for each worker, a quarter of a worker each
-    story.submit(1, vec![step(180, 1000)]);
-    let starts = story.starts();
+    harness.submit(1, vec![step(180, 1000)]);
+    let starts = harness.starts();
     // Then: all are placed, no worker has too many, and hardly one has none
     expect_that!(starts.len(), eq(180));
     let of = |name: &str| {
@@ -225,23 +229,25 @@
 }
 
 #[googletest::test]
-fn given_many_workers_of_which_two_have_a_label_when_a_task_needs_it_then_it_is_placed_there() {
+fn given_two_workers_with_a_label_among_many_when_a_task_needs_it_then_it_is_placed_there() {
     let names: Vec<String> = (0..60).map(|number| format!("w{number}")).collect();
-    let mut story = Story::new(&[]);
+    let mut harness = Harness::new(&[]);
     let mut entries: Vec<_> = names.iter().map(|name| worker(name)).collect();
     for entry in entries.iter_mut().take(2) {
         entry.labels.push("rare".to_owned());
     }
-    story.scheduler.list(story.now, &story.state, &entries);
-    story.pass(10);
-    story.greet();
-    story.pass(100);
+    harness
+        .scheduler
+        .list(harness.now, &harness.state, &entries);
+    harness.advance(10);
+    harness.reply_to_first_calls();
+    harness.advance(100);
     let rare = StepSpec {
         requirements: vec!["rare".to_owned()],
         ..step(4, 1000)
     };
-    story.submit(1, vec![rare]);
-    let starts = story.starts();
+    harness.submit(1, vec![rare]);
+    let starts = harness.starts();
     expect_that!(starts.len(), eq(4));
     expect_that!(
         starts
