--- a/system/scheduler/src/discovery.rs
+++ b/system/scheduler/src/discovery.rs
@@ -39,14 +39,14 @@
         self.lease_schedule.mark_updated(&entry.incarnation);
         let draining = entry.availability == Availability::Draining;
         if let Some(worker) = self.workers.get_mut(&entry.incarnation) {
-            let news = !worker.listed
+            let has_changed = !worker.listed
                 || worker.entry.address != entry.address
                 || worker.draining != draining;
             worker.entry = entry.clone();
             worker.listed = true;
             worker.draining = draining;
             worker.departs_at = entry.remaining_ms.map(|left| now + left);
-            if news {
+            if has_changed {
                 self.planning.request();
             }
             return;
--- a/system/scheduler/src/explanation.rs
+++ b/system/scheduler/src/explanation.rs
@@ -3,7 +3,7 @@
 //! It decides nothing. The names of its fields in JSON are read by operators and stay as they are.
 use crate::{queue::urgency, scheduler::Scheduler, worker::Worker};
 use magpiegap_jobs::{startable, Job, Startable, State, StepState, TaskState};
-use magpiegap_protocol::{JobId, StepSpec, TaskId};
+use magpiegap_protocol::{JobId, Resources, StepSpec, TaskId};
 use serde::Serialize;
 
 /// A job as its scheduler sees it.
@@ -98,70 +98,59 @@
             .jobs
             .get(&id)
             .filter(|job| job.submission.service == self.service)?;
-        let waiting = startable(job);
-        let forecast = waiting
+        let queued = startable(job);
+        let forecast = queued
             .first()
             .map(|unit| urgency(job, unit.first, self.wall).forecast);
-        let steps = job.occurrences.iter().flat_map(|(occurrence, steps)| {
-            steps
-                .steps
-                .iter()
-                .enumerate()
-                .map(|(step, state)| (*occurrence, step as u32, state))
-        });
-        let open = steps.filter(|(_, _, step)| !step.is_done());
+        let mut steps = Vec::new();
+        for (occurrence, state) in &job.occurrences {
+            for (position, step) in state.steps.iter().enumerate() {
+                if step.is_done() {
+                    continue;
+                }
+                let first = TaskId {
+                    job: id,
+                    occurrence: *occurrence,
+                    step: position as u32,
+                    index: 0,
+                };
+                steps.push(self.explain_step(job, first, step, &queued));
+            }
+        }
         Some(Explanation {
             job: id.to_string(),
             state: job.phase.word(),
             queue: job.submission.queue.clone(),
             service: self.service.clone(),
             forecast: forecast.map(|forecast| forecast.to_string()),
-            steps: open
-                .map(|(occurrence, step, state)| {
-                    self.explain_step(job, occurrence, step, state, &waiting)
-                })
-                .collect(),
+            steps,
         })
     }
 
+    /// Explains the step of a job whose first task is `first`.
     fn explain_step(
         &self,
         job: &Job,
-        occurrence: u32,
-        step: u32,
-        state: &StepState,
-        waiting: &[Startable],
+        first: TaskId,
+        step: &StepState,
+        queued: &[Startable],
     ) -> StepExplanation {
-        let spec = job.submission.spec.steps.get(step as usize);
-        let of_step =
-            |unit: &&Startable| (unit.first.occurrence, unit.first.step) == (occurrence, step);
-        let units: Vec<&Startable> = waiting.iter().filter(of_step).collect();
-        let is_open = |earlier: &u32| {
-            let earlier = job
-                .occurrences
-                .get(&occurrence)
-                .and_then(|occurrence| occurrence.steps.get(*earlier as usize));
-            earlier.is_some_and(|earlier| !earlier.is_done())
-        };
-        let depends_on = spec.map_or(&[][..], |spec| &spec.depends_on[..]);
-        let first = units.first().zip(spec);
+        let spec = job.submission.spec.steps.get(first.step as usize);
+        let units: Vec<&Startable> = queued
+            .iter()
+            .filter(|unit| unit.first.occurrence == first.occurrence)
+            .filter(|unit| unit.first.step == first.step)
+            .collect();
+        let first_unit = units.first().zip(spec);
         StepExplanation {
-            occurrence,
-            step,
-            tasks: state.tasks.len(),
-            done: state.done,
-            running: self.explain_runs(
-                TaskId {
-                    job: job.submission.job,
-                    occurrence,
-                    step,
-                    index: 0,
-                },
-                &state.tasks,
-            ),
+            occurrence: first.occurrence,
+            step: first.step,
+            tasks: step.tasks.len(),
+            done: step.done,
+            running: self.explain_runs(first, &step.tasks),
             waiting: units.iter().map(|unit| unit.count).sum(),
-            waits_for_steps: depends_on.iter().copied().filter(is_open).collect(),
-            workers: first.map(|(unit, spec)| self.count_workers(job, unit, spec)),
+            waits_for_steps: open_dependencies(job, first.occurrence, spec),
+            workers: first_unit.map(|(unit, spec)| self.count_workers(job, unit, spec)),
         }
     }
 
@@ -210,7 +199,7 @@
     ) -> &'a mut usize {
         let urgency = urgency(job, unit.first, self.wall);
         let candidate = self.candidate(job, unit, step, &urgency);
-        let nothing = magpiegap_protocol::Resources::default();
+        let nothing = Resources::default();
         if !worker.listed {
             &mut counts.not_listed
         } else if worker.draining {
@@ -244,3 +233,15 @@
         }
     }
 }
+
+/// The steps that must be done before a step of an occurrence, and are not.
+fn open_dependencies(job: &Job, occurrence: u32, step: Option<&StepSpec>) -> Vec<u32> {
+    let (Some(step), Some(occurrence)) = (step, job.occurrences.get(&occurrence)) else {
+        return Vec::new();
+    };
+    let is_open = |earlier: &u32| {
+        let earlier = occurrence.steps.get(*earlier as usize);
+        earlier.is_some_and(|earlier| !earlier.is_done())
+    };
+    step.depends_on.iter().copied().filter(is_open).collect()
+}
--- a/system/scheduler/src/leases.rs
+++ b/system/scheduler/src/leases.rs
@@ -197,14 +197,16 @@
 
 /// Whether a run has been listed with the same progress for too long.
 fn is_stuck(run: &Run, gang_ms: Millis) -> bool {
-    let waits = if run.gang && run.progress.percent == 0 {
+    let gang_wait_ms = if run.gang && run.progress.percent == 0 {
         gang_ms
     } else {
         0
     };
     // Even on a worker that is ten times too slow progress rises by a hundredth in a tenth of the estimate.
-    let patience = (run.estimated_ms / 5)
+    let max_stall_ms = (run.estimated_ms / 5)
         .min(LONG_RUN_STALL_MS + run.estimated_ms / 20)
         .max(MIN_STALL_MS);
-    !run.long_running && run.progress.percent < 100 && run.progress.stalled_ms() > patience + waits
+    !run.long_running
+        && run.progress.percent < 100
+        && run.progress.stalled_ms() > max_stall_ms + gang_wait_ms
 }
--- a/system/scheduler/src/planning.rs
+++ b/system/scheduler/src/planning.rs
@@ -8,7 +8,7 @@
     forecast::DeadlineForecast,
     placement::{choose, Demand, Pool},
     preemption::{choose_victims, Preemptor, Victims},
-    queue::{urgency, Urgency, Waiting, URGENT_PRIORITY},
+    queue::{urgency, Queued, Urgency, URGENT_PRIORITY},
     run::{Run, RunPhase},
     scheduler::Scheduler,
     worker::Workers,
@@ -166,10 +166,10 @@
     }
 
     fn queued_units(&self) -> Vec<QueuedUnit> {
-        let queued_unit = |(urgency, waiting): (&Urgency, &Waiting)| QueuedUnit {
+        let queued_unit = |(urgency, queued): (&Urgency, &Queued)| QueuedUnit {
             urgency: *urgency,
-            unit: waiting.unit.clone(),
-            queued_at: waiting.since,
+            unit: queued.unit.clone(),
+            queued_at: queued.queued_at,
         };
         self.queue.iter().map(queued_unit).collect()
     }
@@ -196,11 +196,11 @@
         now: Millis,
         state: &State,
     ) -> usize {
-        for (position, waiting) in queued.iter().enumerate() {
+        for (position, unit) in queued.iter().enumerate() {
             if round.misses.shapes.len() >= max_misses {
                 return position;
             }
-            self.plan_unit(waiting, round, now, state);
+            self.plan_unit(unit, round, now, state);
         }
         queued.len()
     }
--- a/system/scheduler/src/queue.rs
+++ b/system/scheduler/src/queue.rs
@@ -18,18 +18,18 @@
 
 /// A queued task or gang.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Waiting {
+pub(crate) struct Queued {
     pub unit: Startable,
     /// When it was queued.
-    pub since: Millis,
+    pub queued_at: Millis,
     /// Until when it may begin.
-    latest: LatestStarts,
+    latest_start: LatestStarts,
 }
 
 /// All queued tasks and gangs.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
-    waiting: BTreeMap<Urgency, Waiting>,
+    queued: BTreeMap<Urgency, Queued>,
     of_job: HashMap<JobId, Vec<Urgency>>,
 }
 
@@ -60,14 +60,14 @@
             }
             let key = urgency(job, unit.first, wall);
             let known = old.iter().find(|(other, _)| other.task == key.task);
-            let since = known.map_or(now, |(_, waiting)| waiting.since);
-            let latest = LatestStarts::of(job, &key.task);
-            self.waiting.insert(
+            let queued_at = known.map_or(now, |(_, queued)| queued.queued_at);
+            let latest_start = LatestStarts::of(job, &key.task);
+            self.queued.insert(
                 key,
-                Waiting {
+                Queued {
                     unit,
-                    since,
-                    latest,
+                    queued_at,
+                    latest_start,
                 },
             );
             keys.push(key);
@@ -78,32 +78,33 @@
     }
 
     /// Drops all that is queued of a job, and returns it.
-    pub(crate) fn remove(&mut self, job: JobId) -> BTreeMap<Urgency, Waiting> {
+    pub(crate) fn remove(&mut self, job: JobId) -> BTreeMap<Urgency, Queued> {
         let keys = self.of_job.remove(&job).unwrap_or_default();
         keys.into_iter()
-            .filter_map(|key| Some((key, self.waiting.remove(&key)?)))
+            .filter_map(|key| Some((key, self.queued.remove(&key)?)))
             .collect()
     }
 
     /// Takes out one that was placed.
     pub(crate) fn take(&mut self, key: &Urgency) {
-        self.waiting.remove(key);
+        self.queued.remove(key);
         if let Some(keys) = self.of_job.get_mut(&key.task.job) {
             keys.retain(|other| other != key);
         }
     }
 
     /// All that is queued, most urgent first.
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (&Urgency, &Waiting)> {
-        self.waiting.iter()
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&Urgency, &Queued)> {
+        self.queued.iter()
     }
 
     /// The jobs whose forecast has changed since they were queued.
     pub(crate) fn outdated(&self, wall: WallMillis) -> Vec<JobId> {
-        let changed =
-            |(key, waiting): &(&Urgency, &Waiting)| waiting.latest.forecast(wall) != key.forecast;
+        let changed = |(key, queued): &(&Urgency, &Queued)| {
+            queued.latest_start.forecast(wall) != key.forecast
+        };
         let mut changed: Vec<JobId> = self
-            .waiting
+            .queued
             .iter()
             .filter(changed)
             .map(|(key, _)| key.task.job)
@@ -114,11 +115,11 @@
 
     /// The most urgent.
     pub(crate) fn first(&self) -> Option<&Urgency> {
-        self.waiting.keys().next()
+        self.queued.keys().next()
     }
 
     /// How many are queued.
     pub(crate) fn len(&self) -> usize {
-        self.waiting.len()
+        self.queued.len()
     }
 }
--- a/system/scheduler/src/replies.rs
+++ b/system/scheduler/src/replies.rs
@@ -198,7 +198,7 @@
             worker.health.eject(now);
         }
         match outcome {
-            StartOutcome::Settled => {}
+            StartOutcome::Resolved => {}
             StartOutcome::Retry => {
                 self.workers_with_orders.insert(incarnation.to_owned());
             }
--- a/system/scheduler/src/run.rs
+++ b/system/scheduler/src/run.rs
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StartOutcome {
     /// Nothing: the run is started, is tried again later, or the next listing says what became of it.
-    Settled,
+    Resolved,
     /// The start is sent again as soon as it may be.
     Retry,
     /// The run surely never began.
@@ -188,7 +188,7 @@
                     self.progress = Progress::new(0, now);
                 }
                 self.start_valid_until = 0;
-                StartOutcome::Settled
+                StartOutcome::Resolved
             }
             WorkerReply::Unanswered => {
                 if self.phase == RunPhase::Starting {
@@ -203,7 +203,7 @@
                 self.give_up_start(self.start_attempts == 1, now)
             }
             // Does not come here: the incarnation of the worker is over.
-            WorkerReply::OtherLife => StartOutcome::Settled,
+            WorkerReply::OtherLife => StartOutcome::Resolved,
         }
     }
 
@@ -218,13 +218,13 @@
                 self.phase = RunPhase::Recorded {
                     not_before: now + START_RETRY_MS,
                 };
-                StartOutcome::Settled
+                StartOutcome::Resolved
             }
             // It completed there, or was stopped: the next listing says so.
             RefusalReason::Old => {
                 self.phase = RunPhase::Started;
                 self.start_valid_until = 0;
-                StartOutcome::Settled
+                StartOutcome::Resolved
             }
             // An earlier attempt without a reply may still take effect once there is capacity.
             RefusalReason::Room => {
@@ -233,7 +233,7 @@
                 self.give_up_start(is_only_attempt, now)
             }
             // Does not come here: the role is given up.
-            RefusalReason::RoleToken => StartOutcome::Settled,
+            RefusalReason::RoleToken => StartOutcome::Resolved,
         }
     }
 
@@ -243,7 +243,7 @@
             return StartOutcome::NeverBegan;
         }
         self.next_stop_at = Some(now);
-        StartOutcome::Settled
+        StartOutcome::Resolved
     }
 
     /// About how long it still takes, in milliseconds, by its progress or else by the client's estimate.
--- a/system/scheduler/src/take_over.rs
+++ b/system/scheduler/src/take_over.rs
@@ -64,13 +64,13 @@
             let on_record = wanted
                 .get(incarnation.as_str())
                 .map_or(&[][..], Vec::as_slice);
-            let gone: Vec<(TaskId, RunId)> = worker
+            let unrecorded: Vec<(TaskId, RunId)> = worker
                 .runs
                 .iter()
                 .map(|(task, run)| (*task, run.id))
                 .filter(|pair| !on_record.contains(pair))
                 .collect();
-            for (task, run) in gone {
+            for (task, run) in unrecorded {
                 worker.remove_run(&task, run);
             }
         }
