--- a/system/scheduler/src/applied.rs
+++ b/system/scheduler/src/applied.rs
@@ -46,9 +46,8 @@
             } => self.handle_run_closed(*task, *run, incarnation, *kind, now),
             Change::Job(id) => self.review_job(*id, now, state),
             Change::JobForgotten(id) => {
-                self.queue.remove(*id);
+                self.planner.forget_job(*id);
                 self.job_calendar.forget(*id);
-                self.failed_on.retain(|task, _| task.job != *id);
             }
             Change::CompletionsRecorded {
                 incarnation,
@@ -59,25 +58,25 @@
     }
 
     fn handle_completions_recorded(&mut self, incarnation: &str, last: u64, now: Millis) {
-        if let Some(worker) = self.workers.get_mut(incarnation) {
+        if let Some(worker) = self.table.workers.get_mut(incarnation) {
             worker.acknowledged_completion = last;
             worker.proposed_completion = worker.proposed_completion.max(last);
             worker.lease.renew_at = now;
-            self.lease_schedule.mark_updated(incarnation);
+            self.table.lease_schedule.mark_updated(incarnation);
         }
     }
 
     fn handle_run_opened(&mut self, start: &RunStart, now: Millis, state: &State) {
-        self.proposed.remove(&start.task);
-        if let Some(worker) = self.workers.get_mut(&start.incarnation) {
+        self.table.resolve_proposal(&start.task);
+        if let Some(worker) = self.table.workers.get_mut(&start.incarnation) {
             if let Some(run) = worker.run_mut(&start.task, start.run) {
                 // In any other phase its start may have been sent, by this or by an earlier scheduler.
                 if run.phase == RunPhase::Proposed {
                     run.phase = RunPhase::Recorded { not_before: now };
                     run.last_reply_at = now;
                     worker.lease.renew_at = worker.lease.renew_at.min(now);
-                    self.workers_with_orders.insert(start.incarnation.clone());
-                    self.lease_schedule.mark_updated(&start.incarnation);
+                    self.table.mark_order_due(&start.incarnation);
+                    self.table.lease_schedule.mark_updated(&start.incarnation);
                 }
                 return;
             }
@@ -104,8 +103,9 @@
             return;
         };
         let leases_expire_at = self.previous_leases_expire_at();
-        self.lease_schedule.mark_updated(incarnation);
+        self.table.lease_schedule.mark_updated(incarnation);
         let worker = self
+            .table
             .workers
             .entry(incarnation.to_owned())
             .or_insert_with(|| Worker::unlisted(incarnation, now, leases_expire_at));
@@ -114,7 +114,7 @@
                 // Proposed before the view changed, and in the log now: its start was never sent.
                 RunPhase::Proposed => {
                     known.phase = RunPhase::Recorded { not_before: now };
-                    self.workers_with_orders.insert(incarnation.to_owned());
+                    self.table.mark_order_due(incarnation);
                 }
                 // Its loss was proposed and is not in the log: the next listing decides anew.
                 RunPhase::LossProposed => {
@@ -142,12 +142,12 @@
         kind: Option<CompletionKind>,
         now: Millis,
     ) {
-        self.planning.request();
+        self.planner.request();
         if let Some(completed @ (CompletionKind::Done | CompletionKind::Failed)) = kind {
             self.failure_rate
                 .record(completed == CompletionKind::Failed);
         }
-        let Some(worker) = self.workers.get_mut(incarnation) else {
+        let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
         let was_known = worker.remove_run(&task, run).is_some();
@@ -161,17 +161,13 @@
     }
 
     fn handle_failed_run(&mut self, task: TaskId, incarnation: &str, was_known: bool, now: Millis) {
-        let failed_on = self.failed_on.entry(task).or_default();
         // A task that has failed on other workers too may be the one at fault.
-        let failed_elsewhere = failed_on.iter().any(|other| other != incarnation);
-        if !failed_on.iter().any(|other| other == incarnation) {
-            failed_on.push(incarnation.to_owned());
-        }
+        let failed_elsewhere = self.planner.record_failure(task, incarnation);
         if !was_known || failed_elsewhere {
             return;
         }
         let failures_to_eject = self.failure_rate.failures_to_eject();
-        let Some(worker) = self.workers.get_mut(incarnation) else {
+        let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
         if worker
@@ -184,8 +180,8 @@
 
     /// Frees the capacity of a run that was proposed and refused.
     fn release_refused_proposal(&mut self, start: &RunStart) {
-        self.proposed.remove(&start.task);
-        let Some(worker) = self.workers.get_mut(&start.incarnation) else {
+        self.table.resolve_proposal(&start.task);
+        let Some(worker) = self.table.workers.get_mut(&start.incarnation) else {
             return;
         };
         let is_refused = worker
@@ -193,7 +189,7 @@
             .is_some_and(|run| run.phase == RunPhase::Proposed);
         if is_refused {
             worker.remove_run(&start.task, start.run);
-            self.planning.request();
+            self.planner.request();
         }
     }
 }
--- a/system/scheduler/src/discovery.rs
+++ b/system/scheduler/src/discovery.rs
@@ -17,7 +17,7 @@
             .map(|entry| (entry.address.as_str(), entry.incarnation.as_str()))
             .collect();
         let mut over = Vec::new();
-        for (incarnation, worker) in &mut self.workers {
+        for (incarnation, worker) in &mut self.table.workers {
             if listed.contains(incarnation.as_str()) {
                 continue;
             }
@@ -36,9 +36,9 @@
     }
 
     fn refresh_worker(&mut self, entry: &WorkerEntry, now: Millis, state: &State) {
-        self.lease_schedule.mark_updated(&entry.incarnation);
+        self.table.lease_schedule.mark_updated(&entry.incarnation);
         let draining = entry.availability == Availability::Draining;
-        if let Some(worker) = self.workers.get_mut(&entry.incarnation) {
+        if let Some(worker) = self.table.workers.get_mut(&entry.incarnation) {
             let has_changed = !worker.listed
                 || worker.entry.address != entry.address
                 || worker.draining != draining;
@@ -47,7 +47,7 @@
             worker.draining = draining;
             worker.departs_at = entry.remaining_ms.map(|left| now + left);
             if has_changed {
-                self.planning.request();
+                self.planner.request();
             }
             return;
         }
@@ -56,13 +56,13 @@
             worker.acknowledged_completion = record.last_seen;
             worker.proposed_completion = record.last_seen;
         }
-        self.workers.insert(entry.incarnation.clone(), worker);
-        self.planning.request();
+        self.table.workers.insert(entry.incarnation.clone(), worker);
+        self.planner.request();
     }
 
     /// Ends an incarnation that is surely over, and loses its runs.
     pub(crate) fn end_incarnation(&mut self, incarnation: &str, state: &State) {
-        let Some(worker) = self.workers.get_mut(incarnation) else {
+        let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
         worker.listed = false;
@@ -76,7 +76,7 @@
                 ended: true,
             }));
         }
-        self.workers.remove(incarnation);
-        self.planning.request();
+        self.table.workers.remove(incarnation);
+        self.planner.request();
     }
 }
--- a/system/scheduler/src/explanation.rs
+++ b/system/scheduler/src/explanation.rs
@@ -163,6 +163,7 @@
             };
             for active in &task.active {
                 let known = self
+                    .table
                     .workers
                     .get(&active.incarnation)
                     .and_then(|worker| worker.runs.get(&id));
@@ -179,10 +180,10 @@
 
     fn count_workers(&self, job: &Job, unit: &Startable, step: &StepSpec) -> WorkerCounts {
         let mut counts = WorkerCounts {
-            known: self.workers.len(),
+            known: self.table.workers.len(),
             ..WorkerCounts::default()
         };
-        for worker in self.workers.values() {
+        for worker in self.table.workers.values() {
             *self.first_obstacle(&mut counts, worker, job, unit, step) += 1;
         }
         counts
@@ -198,7 +199,7 @@
         step: &StepSpec,
     ) -> &'a mut usize {
         let urgency = urgency(job, unit.first, self.wall);
-        let candidate = self.candidate(job, unit, step, &urgency);
+        let candidate = self.planner.candidate(job, unit, step, &urgency);
         let nothing = Resources::default();
         if !worker.listed {
             &mut counts.not_listed
@@ -215,9 +216,11 @@
         } else if !worker.has_capacity_for(&step.resources) {
             &mut counts.without_capacity
         } else if !self
+            .planner
             .nominations
             .allow(&worker.entry.incarnation, &unit.first)
             || !self
+                .planner
                 .backfill
                 .allows_backfill(worker, &candidate, &nothing, self.now)
         {
--- a/system/scheduler/src/job_review.rs
+++ b/system/scheduler/src/job_review.rs
@@ -1,7 +1,10 @@
 //! Brings what is queued, scheduled and running of a job in step with the job's state in the log.
-use crate::scheduler::Scheduler;
+use crate::{calls::Output, scheduler::Scheduler};
 use magpiegap_jobs::{Job, State, StepState};
-use magpiegap_protocol::{JobId, Millis, RunId, TaskId};
+use magpiegap_protocol::{Command, JobId, Millis, RunId, TaskId, WallMillis};
+
+/// How much longer than the settings say the status of a completed job is retained, in milliseconds.
+const STATUS_MARGIN_MS: u64 = 30_000;
 
 impl Scheduler {
     /// Takes up what a job of this service needs now.
@@ -13,7 +16,7 @@
             return;
         }
         if job.phase.is_terminal() {
-            self.queue.remove(id);
+            self.planner.queue.remove(id);
             self.job_calendar.complete(id, job.completed_ms);
         } else {
             self.job_calendar.schedule(job);
@@ -27,10 +30,11 @@
         let Some(job) = state.jobs.get(&id) else {
             return;
         };
-        let proposed = &self.proposed;
-        self.queue
-            .refresh(job, now, self.wall, |task| proposed.contains(task));
-        self.planning.request();
+        let table = &self.table;
+        self.planner
+            .queue
+            .refresh(job, now, self.wall, |task| table.is_proposed(task));
+        self.planner.request();
     }
 
     /// Marks the runs of a job that are not needed any more: of a completed job, of tasks that are done, and of gangs
@@ -76,7 +80,7 @@
 
     /// Marks a run to be stopped; the occurrence of its task is not compared.
     fn request_stop(&mut self, incarnation: &str, task: TaskId, run: RunId, now: Millis) {
-        let Some(worker) = self.workers.get_mut(incarnation) else {
+        let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
         let found = worker.runs.iter_mut().find(|(other, known)| {
@@ -87,7 +91,27 @@
         });
         if let Some((_, known)) = found {
             known.next_stop_at.get_or_insert(now);
-            self.workers_with_orders.insert(incarnation.to_owned());
+            self.table.mark_order_due(incarnation);
+        }
+    }
+
+    /// Proposes the occurrences of repeated jobs that are due.
+    pub(crate) fn open_due_occurrences(&mut self, wall: WallMillis, state: &State) {
+        for due in self.job_calendar.take_due(wall, state) {
+            self.outputs.push(Output::Propose(Command::OpenOccurrence {
+                job: due.job,
+                occurrence: due.number,
+            }));
+        }
+    }
+
+    /// Proposes to remove completed jobs whose status need not be shown any more.
+    pub(crate) fn forget_completed_jobs(&mut self, wall: WallMillis) {
+        let before = wall.saturating_sub(self.settings.status_ms + STATUS_MARGIN_MS);
+        let jobs = self.job_calendar.take_completed_before(before);
+        if !jobs.is_empty() {
+            self.outputs
+                .push(Output::Propose(Command::ForgetJobs { jobs }));
         }
     }
 }
--- a/system/scheduler/src/leases.rs
+++ b/system/scheduler/src/leases.rs
@@ -24,17 +24,13 @@
 impl Scheduler {
     /// Adapts the length of long polls to the number of workers that have runs.
     fn adapt_lease_timing(&mut self) {
-        let busy = self
-            .workers
-            .values()
-            .filter(|worker| !worker.runs.is_empty())
-            .count();
+        let busy = self.table.busy_workers();
         self.lease_timing = LeaseTiming::for_busy_workers(busy);
     }
 
     /// Renews the leases that are due.
     pub(crate) fn renew_leases(&mut self, now: Millis) {
-        for incarnation in self.lease_schedule.take_due(&self.workers, now) {
+        for incarnation in self.table.take_due_renewals(now) {
             self.send_renewal(&incarnation, now);
         }
     }
@@ -42,7 +38,7 @@
     fn send_renewal(&mut self, incarnation: &str, now: Millis) {
         let lease_ms = self.lease_timing.lease_ms(self.settings.max_hold_ms);
         let long_poll_ms = self.lease_timing.long_poll_ms();
-        let Some(worker) = self.workers.get_mut(incarnation) else {
+        let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
         // A worker that does not reply gets no longer lease: its runs are to stop.
@@ -70,14 +66,14 @@
             order,
             wait_ms + self.calls.timeout_ms(),
         );
-        if let Some(worker) = self.workers.get_mut(incarnation) {
+        if let Some(worker) = self.table.workers.get_mut(incarnation) {
             worker.lease.in_flight = Some(id);
         }
     }
 
     /// Checks a worker that has left an order unanswered, without renewing its lease.
     pub(crate) fn send_health_check(&mut self, incarnation: &str) {
-        let Some(worker) = self.workers.get(incarnation) else {
+        let Some(worker) = self.table.workers.get(incarnation) else {
             return;
         };
         let order = WorkerOrder::Hold {
@@ -96,14 +92,14 @@
     /// Checks all workers for what is due there.
     pub(crate) fn check_workers(&mut self, now: Millis, state: &State) {
         self.adapt_lease_timing();
-        let incarnations: Vec<String> = self.workers.keys().cloned().collect();
+        let incarnations: Vec<String> = self.table.workers.keys().cloned().collect();
         for incarnation in incarnations {
             self.check_worker(&incarnation, now, state);
         }
     }
 
     fn check_worker(&mut self, incarnation: &str, now: Millis, state: &State) {
-        let Some(worker) = self.workers.get(incarnation) else {
+        let Some(worker) = self.table.workers.get(incarnation) else {
             return;
         };
         if worker.runs.is_empty() {
@@ -136,30 +132,34 @@
                 ended: true,
             }));
         }
-        self.workers.remove(incarnation);
+        self.table.workers.remove(incarnation);
     }
 
     /// Stops runs that won't complete before their worker departs, so that they are started elsewhere at once.
     fn stop_runs_outliving_worker(&mut self, incarnation: &str, now: Millis) {
-        let Some(worker) = self.workers.get_mut(incarnation) else {
+        let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
         let Some(departs_at) = worker.departs_at.filter(|_| worker.draining) else {
             return;
         };
         let left = departs_at.saturating_sub(now);
+        let mut any_stopped = false;
         for run in worker.runs.values_mut() {
             if run.is_wanted_and_started() && (run.long_running || run.remaining_ms(now) > left) {
                 run.next_stop_at = Some(now);
-                self.workers_with_orders.insert(incarnation.to_owned());
+                any_stopped = true;
             }
         }
+        if any_stopped {
+            self.table.mark_order_due(incarnation);
+        }
     }
 
     /// Stops runs that make no progress, so that they are started elsewhere.
     fn stop_stuck_runs(&mut self, incarnation: &str, now: Millis) {
         let gang_ms = self.settings.gang_ms;
-        let Some(worker) = self.workers.get_mut(incarnation) else {
+        let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
         let stuck: Vec<TaskId> = worker
@@ -177,7 +177,7 @@
             }
         }
         worker.health.eject(now);
-        self.workers_with_orders.insert(incarnation.to_owned());
+        self.table.mark_order_due(incarnation);
         self.outputs.push(Output::Log(format!(
             "{} runs on {incarnation} stand still and are moved",
             stuck.len()
--- a/system/scheduler/src/orders.rs
+++ b/system/scheduler/src/orders.rs
@@ -48,14 +48,14 @@
 impl Scheduler {
     /// Sends the starts and stops that are due on the workers marked to have some.
     pub(crate) fn send_due_orders(&mut self, now: Millis, state: &State) {
-        for incarnation in std::mem::take(&mut self.workers_with_orders) {
+        for incarnation in self.table.take_workers_with_orders() {
             self.send_orders(&incarnation, now, state);
         }
     }
 
     /// Sends the starts and stops that are due on one worker.
     pub(crate) fn send_orders(&mut self, incarnation: &str, now: Millis, state: &State) {
-        let Some(worker) = self.workers.get(incarnation) else {
+        let Some(worker) = self.table.workers.get(incarnation) else {
             return;
         };
         let mut lost = Vec::new();
@@ -83,7 +83,7 @@
     pub(crate) fn propose_loss(&mut self, lost: Vec<RunStart>) {
         for start in &lost {
             // Marked, so that it is not proposed again before the log has it.
-            let worker = self.workers.get_mut(&start.incarnation);
+            let worker = self.table.workers.get_mut(&start.incarnation);
             if let Some(run) = worker.and_then(|worker| worker.runs.get_mut(&start.task)) {
                 run.phase = RunPhase::LossProposed;
             }
@@ -94,7 +94,7 @@
 
     /// Proposes the loss of all runs of a worker, once every lease ever granted to it has surely expired.
     pub(crate) fn lose_expired_runs(&mut self, incarnation: &str) {
-        let Some(worker) = self.workers.get_mut(incarnation) else {
+        let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
         let lost = worker.lost_runs();
@@ -115,7 +115,7 @@
         let Some(job) = state.jobs.get(&task.job) else {
             return;
         };
-        let Some(worker) = self.workers.get_mut(incarnation) else {
+        let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
         let Some(clock) = worker.max_clock(now) else {
@@ -150,7 +150,7 @@
     }
 
     fn send_stop(&mut self, incarnation: &str, task: TaskId, now: Millis) {
-        let Some(worker) = self.workers.get_mut(incarnation) else {
+        let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
         let Some(run) = worker.runs.get_mut(&task) else {
--- a/system/scheduler/src/planning.rs
+++ b/system/scheduler/src/planner.rs
@@ -2,20 +2,22 @@
 //!
 //! It composes placement, backfill and preemption; each of them is a module of its own.
 use crate::{
-    backfill::Candidate,
-    calls::Output,
+    backfill::{Backfill, Candidate},
     capacity_index::CapacityIndex,
     forecast::DeadlineForecast,
+    nominations::Nominations,
     placement::{choose, Demand, Pool},
+    planning_schedule::PlanningSchedule,
     preemption::{choose_victims, Preemptor, Victims},
-    queue::{urgency, Queued, Urgency, URGENT_PRIORITY},
+    queue::{urgency, Queue, Queued, Urgency, URGENT_PRIORITY},
     run::{Run, RunPhase},
-    scheduler::Scheduler,
+    run_table::RunTable,
     worker::Workers,
 };
 use magpiegap_jobs::{startable, Job, Startable, State};
-use magpiegap_protocol::{Command, Millis, RunStart, StepSpec, Submission, TaskId, WallMillis};
-use std::collections::HashSet;
+use magpiegap_protocol::{JobId, Millis, RunStart, StepSpec, TaskId};
+use rand::{rngs::StdRng, SeedableRng};
+use std::collections::{HashMap, HashSet};
 
 /// After this many tasks that could not be placed, the most urgent part of a round ends ...
 const MAX_URGENT_MISSES: usize = 40;
@@ -29,8 +31,6 @@
 const MAX_FAILED_PREEMPTIONS: usize = 3;
 /// At most one in this many workers is nominated at a time for those that preempted others.
 const WORKERS_PER_NOMINATION: usize = 12;
-/// How much longer than the settings say the status of a completed job is retained, in milliseconds.
-const STATUS_MARGIN_MS: u64 = 30_000;
 
 /// A task or gang as a round finds it in the queue.
 struct QueuedUnit {
@@ -107,62 +107,134 @@
     }
 }
 
-impl Scheduler {
-    /// Returns a command that accepts a job, and starts its first tasks if there is capacity and nothing more urgent is
-    /// queued.
-    pub fn submit(&mut self, now: Millis, submission: Submission) -> Command {
-        let job = Job::new(submission.clone());
+/// Owns the queue of a service, and decides which of its tasks run where.
+#[derive(Clone, Debug)]
+pub(crate) struct Planner {
+    pub queue: Queue,
+    pub nominations: Nominations,
+    pub backfill: Backfill,
+    schedule: PlanningSchedule,
+    /// The names of all workers, as of the last check.
+    worker_names: Vec<String>,
+    /// Workers on which a task has failed.
+    failed_on: HashMap<TaskId, Vec<String>>,
+    /// How many times as long a task takes away from its data.
+    far_factor: f64,
+    random: StdRng,
+}
+
+impl Planner {
+    /// Creates a planner for a service where tasks take `far_factor` times as long away from their data; `seed` decides
+    /// its random choices.
+    pub(crate) fn new(now: Millis, far_factor: f64, seed: u64) -> Planner {
+        Planner {
+            queue: Queue::default(),
+            nominations: Nominations::default(),
+            backfill: Backfill::default(),
+            schedule: PlanningSchedule::new(now),
+            worker_names: Vec::new(),
+            failed_on: HashMap::new(),
+            far_factor,
+            random: StdRng::seed_from_u64(seed),
+        }
+    }
+
+    /// Has a round of planning played as soon as one may be.
+    pub(crate) fn request(&mut self) {
+        self.schedule.request();
+    }
+
+    /// Plays a round of planning if one is due. Returns the runs to propose.
+    pub(crate) fn poll_round(
+        &mut self,
+        table: &mut RunTable,
+        now: Millis,
+        state: &State,
+    ) -> Vec<RunStart> {
+        if !self.schedule.try_begin(now) {
+            return Vec::new();
+        }
+        let runs = self.plan(table, now, state);
+        self.schedule.end_round(now, self.queue.len());
+        runs
+    }
+
+    /// Takes the names of all workers anew, where they have changed.
+    pub(crate) fn refresh_worker_names(&mut self, workers: &Workers) {
+        if !workers.keys().eq(self.worker_names.iter()) {
+            self.worker_names = workers.keys().cloned().collect();
+        }
+    }
+
+    /// Drops all that is known of a job that the log has removed.
+    pub(crate) fn forget_job(&mut self, job: JobId) {
+        self.queue.remove(job);
+        self.failed_on.retain(|task, _| task.job != job);
+    }
+
+    /// Records that a task has failed on a worker. Returns whether it has failed on another one before.
+    pub(crate) fn record_failure(&mut self, task: TaskId, incarnation: &str) -> bool {
+        let failed_on = self.failed_on.entry(task).or_default();
+        let failed_elsewhere = failed_on.iter().any(|other| other != incarnation);
+        if !failed_on.iter().any(|other| other == incarnation) {
+            failed_on.push(incarnation.to_owned());
+        }
+        failed_elsewhere
+    }
+
+    /// Places the first tasks of a job that is being submitted, if there is capacity and nothing more urgent is queued.
+    pub(crate) fn place_submitted(
+        &mut self,
+        table: &mut RunTable,
+        job: &Job,
+        now: Millis,
+    ) -> Vec<RunStart> {
         let mut runs = Vec::new();
-        for unit in startable(&job) {
-            let urgency = urgency(&job, unit.first, submission.submitted_ms);
+        for unit in startable(job) {
+            let urgency = urgency(job, unit.first, job.submission.submitted_ms);
             if self.queue.first().is_some_and(|first| *first < urgency) {
                 break;
             }
-            let Some(step) = step_of(&job, &unit) else {
+            let Some(step) = step_of(job, &unit) else {
                 continue;
             };
             let planned = PlannedUnit {
-                job: &job,
+                job,
                 unit: &unit,
                 step,
                 urgency: &urgency,
                 waited_ms: 0,
             };
-            if let Some(mut placed) = self.place(&planned, None, now) {
+            if let Some(mut placed) = self.place(table, &planned, None, now) {
                 runs.append(&mut placed);
             }
         }
-        Command::SubmitJob {
-            submission: Box::new(submission),
-            runs,
-        }
+        runs
     }
 
     /// Plays a round of planning: places what is queued, most urgent first. Where much can't be placed, a round does not
     /// consider all of it: it goes on where the last one ended.
-    pub(crate) fn plan(&mut self, now: Millis, state: &State) {
+    fn plan(&mut self, table: &mut RunTable, now: Millis, state: &State) -> Vec<RunStart> {
         let queued = self.queued_units();
         let owners: HashSet<TaskId> = queued.iter().map(|queued| queued.urgency.task).collect();
-        self.nominations.review(&owners, &self.workers, now);
+        self.nominations.review(&owners, &table.workers, now);
         self.backfill.begin_planning_round(now);
         if queued.is_empty() {
-            return;
+            return Vec::new();
         }
         let mut round = PlanningRound {
-            capacity: CapacityIndex::of(&self.workers, now),
+            capacity: CapacityIndex::of(&table.workers, now),
             ..PlanningRound::default()
         };
-        let urgent = self.plan_units(&queued, MAX_URGENT_MISSES, &mut round, now, state);
+        let urgent = self.plan_units(table, &queued, MAX_URGENT_MISSES, &mut round, now, state);
         if urgent < queued.len() {
             let from = self.resume_position(&queued, urgent);
             let max_misses = round.misses.shapes.len() + MAX_RESUMED_MISSES;
-            let until = from + self.plan_units(&queued[from..], max_misses, &mut round, now, state);
-            self.planning.cursor = queued.get(until).map(|queued| queued.urgency);
-        }
-        if !round.runs.is_empty() {
-            self.outputs
-                .push(Output::Propose(Command::StartRuns { runs: round.runs }));
+            let until =
+                from + self.plan_units(table, &queued[from..], max_misses, &mut round, now, state);
+            self.schedule.cursor = queued.get(until).map(|queued| queued.urgency);
         }
+        round.runs
     }
 
     fn queued_units(&self) -> Vec<QueuedUnit> {
@@ -176,7 +248,7 @@
 
     /// Where a round goes on after its most urgent part: where the last one ended, if that is later in the queue.
     fn resume_position(&self, queued: &[QueuedUnit], urgent: usize) -> usize {
-        let Some(cursor) = self.planning.cursor else {
+        let Some(cursor) = self.schedule.cursor else {
             return urgent;
         };
         let next = queued.partition_point(|queued| queued.urgency < cursor);
@@ -190,6 +262,7 @@
     /// Places queued units, until so many in all could not be placed. Returns how many it has considered.
     fn plan_units(
         &mut self,
+        table: &mut RunTable,
         queued: &[QueuedUnit],
         max_misses: usize,
         round: &mut PlanningRound,
@@ -200,13 +273,14 @@
             if round.misses.shapes.len() >= max_misses {
                 return position;
             }
-            self.plan_unit(unit, round, now, state);
+            self.plan_unit(table, unit, round, now, state);
         }
         queued.len()
     }
 
     fn plan_unit(
         &mut self,
+        table: &mut RunTable,
         queued: &QueuedUnit,
         round: &mut PlanningRound,
         now: Millis,
@@ -226,20 +300,20 @@
             waited_ms: now.saturating_sub(queued.queued_at),
         };
         if round.misses.covers(step) {
-            self.reserve_capacity(&planned, now);
+            self.reserve_capacity(table, &planned, now);
             return;
         }
-        if let Some(mut placed) = self.place(&planned, Some(&round.capacity), now) {
+        if let Some(mut placed) = self.place(table, &planned, Some(&round.capacity), now) {
             self.queue.take(&queued.urgency);
             self.backfill.release(&queued.urgency);
             round.runs.append(&mut placed);
             return;
         }
-        let any_has_capacity = any_worker_has_capacity(&self.workers, &round.capacity, step, now);
+        let any_has_capacity = any_worker_has_capacity(&table.workers, &round.capacity, step, now);
         round.misses.add(step, any_has_capacity);
-        self.reserve_capacity(&planned, now);
+        self.reserve_capacity(table, &planned, now);
         if round.failed_preemptions < MAX_FAILED_PREEMPTIONS
-            && self.preempt(&planned, now) == Preemption::NoVictims
+            && self.preempt(table, &planned, now) == Preemption::NoVictims
         {
             round.failed_preemptions += 1;
         }
@@ -249,6 +323,7 @@
     /// when it began.
     fn place(
         &mut self,
+        table: &mut RunTable,
         planned: &PlannedUnit<'_>,
         capacity: Option<&CapacityIndex>,
         now: Millis,
@@ -270,17 +345,18 @@
             avoid: self.failed_on.get(&unit.first).unwrap_or(&nothing),
             pool: capacity.map_or(Pool::All(&self.worker_names), Pool::WithCapacity),
         };
-        let chosen = choose(&self.workers, &demand, now, &mut self.random)?;
+        let chosen = choose(&table.workers, &demand, now, &mut self.random)?;
         let runs = starts(job, unit, step, chosen);
         for start in &runs {
-            self.add_proposed_run(job, step, start, now);
+            let run = Run::new(job, step, start, RunPhase::Proposed, now);
+            table.add_proposed(&start.incarnation, start.task, run);
         }
         Some(runs)
     }
 
     /// Whether a task still waits for the rack that holds its data, or a gang for one rack that takes all of it.
     fn waits_for_locality(&self, step: &StepSpec, waited_ms: Millis) -> bool {
-        let extra_factor = self.settings.far_factor - 1.0;
+        let extra_factor = self.far_factor - 1.0;
         (waited_ms as f64) < step.estimated_ms as f64 * extra_factor * MAX_LOCALITY_WAIT_SHARE
     }
 
@@ -296,14 +372,14 @@
             step,
             urgency,
             count: unit.count,
-            far_factor: self.settings.far_factor,
+            far_factor: self.far_factor,
             long_running: job.submission.spec.long_running,
         }
     }
 
     /// Reserves the capacity that frees up first for a task that could not be placed, unless it comes too late anyway,
     /// or waits for one rack to take a whole gang.
-    fn reserve_capacity(&mut self, planned: &PlannedUnit<'_>, now: Millis) {
+    fn reserve_capacity(&mut self, table: &RunTable, planned: &PlannedUnit<'_>, now: Millis) {
         let PlannedUnit {
             job,
             unit,
@@ -319,12 +395,17 @@
             return;
         }
         let candidate = self.candidate(job, unit, step, urgency);
-        self.backfill.reserve(&self.workers, &candidate, now);
+        self.backfill.reserve(&table.workers, &candidate, now);
     }
 
     /// Stops less urgent runs for a task that could not be placed, where that is worth what it loses.
-    fn preempt(&mut self, planned: &PlannedUnit<'_>, now: Millis) -> Preemption {
-        if !self.may_preempt(planned) {
+    fn preempt(
+        &mut self,
+        table: &mut RunTable,
+        planned: &PlannedUnit<'_>,
+        now: Millis,
+    ) -> Preemption {
+        if !self.may_preempt(table, planned) {
             return Preemption::NotEligible;
         }
         let preemptor = Preemptor {
@@ -332,67 +413,36 @@
             step: planned.step,
             priority: planned.urgency.priority,
         };
-        let victims = choose_victims(&self.workers, &self.nominations, &preemptor, now);
+        let victims = choose_victims(&table.workers, &self.nominations, &preemptor, now);
         let Some(Victims {
             incarnation, tasks, ..
         }) = victims
         else {
             return Preemption::NoVictims;
         };
-        if let Some(worker) = self.workers.get_mut(&incarnation) {
+        if let Some(worker) = table.workers.get_mut(&incarnation) {
             for task in tasks {
                 if let Some(run) = worker.runs.get_mut(&task) {
                     run.next_stop_at = Some(now);
                 }
             }
         }
-        self.workers_with_orders.insert(incarnation.clone());
+        table.mark_order_due(&incarnation);
         self.nominations.add(incarnation, planned.unit.first, now);
         Preemption::Begun
     }
 
-    fn may_preempt(&self, planned: &PlannedUnit<'_>) -> bool {
+    fn may_preempt(&self, table: &RunTable, planned: &PlannedUnit<'_>) -> bool {
         let urgency = planned.urgency;
         let is_urgent =
             urgency.priority == URGENT_PRIORITY && urgency.forecast == DeadlineForecast::OnTime;
-        let max_nominations = self.workers.len().div_ceil(WORKERS_PER_NOMINATION);
+        let max_nominations = table.workers.len().div_ceil(WORKERS_PER_NOMINATION);
         planned.unit.count == 1
             && is_urgent
             && planned.waited_ms >= PREEMPT_AFTER_MS
             && !self.nominations.has(&planned.unit.first)
             && self.nominations.len() < max_nominations
     }
-
-    /// Adds a run that is being proposed, so that its capacity is not given to others.
-    fn add_proposed_run(&mut self, job: &Job, step: &StepSpec, start: &RunStart, now: Millis) {
-        let Some(worker) = self.workers.get_mut(&start.incarnation) else {
-            return;
-        };
-        let run = Run::new(job, step, start, RunPhase::Proposed, now);
-        worker.add_run(start.task, run);
-        self.proposed.insert(start.task);
-        self.lease_schedule.mark_updated(&start.incarnation);
-    }
-
-    /// Proposes the occurrences of repeated jobs that are due.
-    pub(crate) fn open_due_occurrences(&mut self, wall: WallMillis, state: &State) {
-        for due in self.job_calendar.take_due(wall, state) {
-            self.outputs.push(Output::Propose(Command::OpenOccurrence {
-                job: due.job,
-                occurrence: due.number,
-            }));
-        }
-    }
-
-    /// Proposes to remove completed jobs whose status need not be shown any more.
-    pub(crate) fn forget_completed_jobs(&mut self, wall: WallMillis) {
-        let before = wall.saturating_sub(self.settings.status_ms + STATUS_MARGIN_MS);
-        let jobs = self.job_calendar.take_completed_before(before);
-        if !jobs.is_empty() {
-            self.outputs
-                .push(Output::Propose(Command::ForgetJobs { jobs }));
-        }
-    }
 }
 
 fn step_of<'a>(job: &'a Job, unit: &Startable) -> Option<&'a StepSpec> {
--- a/system/scheduler/src/replies.rs
+++ b/system/scheduler/src/replies.rs
@@ -45,7 +45,7 @@
         let elapsed_ms = now.saturating_sub(in_flight.sent_at);
         self.calls
             .record_response_time(&in_flight.purpose, &reply, elapsed_ms);
-        if !self.workers.contains_key(&in_flight.incarnation) {
+        if !self.table.workers.contains_key(&in_flight.incarnation) {
             return;
         }
         match reply {
@@ -68,7 +68,7 @@
     /// Takes a reply of a worker whose incarnation goes on, under a token that it accepts.
     fn handle_worker_reply(&mut self, replied: &RepliedCall, reply: WorkerReply) {
         let incarnation = &replied.call.incarnation;
-        self.lease_schedule.mark_updated(incarnation);
+        self.table.lease_schedule.mark_updated(incarnation);
         self.record_contact(replied, &reply);
         match replied.call.purpose {
             CallPurpose::LeaseRenewal { .. } | CallPurpose::HealthCheck => {
@@ -97,7 +97,7 @@
             purpose,
             sent_at,
         } = &replied.call;
-        let Some(worker) = self.workers.get_mut(incarnation) else {
+        let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
         if worker.lease.in_flight == Some(replied.id) {
@@ -120,11 +120,11 @@
                     .is_some_and(|since| *sent_at >= since)
                 {
                     worker.suspected_since = None;
-                    self.planning.request();
+                    self.planner.request();
                 }
                 if purpose.lists_runs() && worker.unanswered_renewals > 0 {
                     worker.unanswered_renewals = 0;
-                    self.planning.request();
+                    self.planner.request();
                 }
             }
             WorkerReply::Unhealthy | WorkerReply::Rejected | WorkerReply::OtherLife => {}
@@ -133,7 +133,7 @@
 
     fn handle_lease_reply(&mut self, replied: &RepliedCall, reply: WorkerReply) {
         let max_hold_ms = self.settings.max_hold_ms;
-        let Some(worker) = self.workers.get_mut(&replied.call.incarnation) else {
+        let Some(worker) = self.table.workers.get_mut(&replied.call.incarnation) else {
             return;
         };
         let WorkerReply::Done {
@@ -149,14 +149,14 @@
             if !worker.runs.is_empty() {
                 worker.lease_granted_until = worker.lease_granted_until.max(clock + max_hold_ms);
             }
-            self.planning.request();
+            self.planner.request();
         }
         worker.lease.renew_at = replied.now;
         self.handle_listing(&replied.call, clock, &listing, replied.now);
     }
 
     fn handle_listing(&mut self, call: &InFlightCall, clock: u64, listing: &Listing, now: Millis) {
-        let Some(worker) = self.workers.get_mut(&call.incarnation) else {
+        let Some(worker) = self.table.workers.get_mut(&call.incarnation) else {
             return;
         };
         let stray_runs = record_running(worker, listing, now);
@@ -185,7 +185,7 @@
         reply: &WorkerReply,
         now: Millis,
     ) {
-        let Some(worker) = self.workers.get_mut(incarnation) else {
+        let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
         let Some(run) = worker.run_mut(&ordered.task, ordered.run) else {
@@ -200,7 +200,7 @@
         match outcome {
             StartOutcome::Resolved => {}
             StartOutcome::Retry => {
-                self.workers_with_orders.insert(incarnation.to_owned());
+                self.table.mark_order_due(incarnation);
             }
             StartOutcome::NeverBegan => self.propose_loss(vec![start]),
         }
@@ -214,7 +214,7 @@
         now: Millis,
     ) {
         let long_poll_ms = self.lease_timing.long_poll_ms();
-        let Some(worker) = self.workers.get_mut(incarnation) else {
+        let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
         let Some(run) = worker.run_mut(&ordered.task, ordered.run) else {
--- a/system/scheduler/src/scheduler.rs
+++ b/system/scheduler/src/scheduler.rs
@@ -1,24 +1,19 @@
 //! The scheduler: it composes the parts that own its state, and holds its inputs and outputs.
 use crate::{
-    backfill::Backfill,
     call_table::{CallPurpose, CallTable, InFlightCall},
     calls::{Output, WorkerCall, WorkerOrder},
     ejection_report::EjectionReport,
     health::FailureRate,
     job_calendar::JobCalendar,
-    lease_schedule::LeaseSchedule,
     lease_timing::LeaseTiming,
-    nominations::Nominations,
-    planning_schedule::PlanningSchedule,
-    queue::{Queue, URGENT_PRIORITY},
+    planner::Planner,
+    queue::URGENT_PRIORITY,
+    run_table::RunTable,
     settings::SchedulerSettings,
-    worker::Workers,
 };
-use magpiegap_jobs::State;
-use magpiegap_protocol::{FencingToken, LogPosition, Millis, TaskId, WallMillis};
-use rand::{rngs::StdRng, SeedableRng};
+use magpiegap_jobs::{Job, State};
+use magpiegap_protocol::{Command, FencingToken, LogPosition, Millis, Submission, WallMillis};
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeSet, HashMap, HashSet};
 
 /// Counts of a scheduler, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -42,23 +37,10 @@
     pub(crate) service: String,
     pub(crate) token: FencingToken,
     pub(crate) settings: SchedulerSettings,
-    pub(crate) random: StdRng,
     /// The last entry that the state held when it was last read in full.
     pub(crate) snapshot_position: LogPosition,
-    pub(crate) workers: Workers,
-    /// The names of all workers, as of the last check.
-    pub(crate) worker_names: Vec<String>,
-    pub(crate) queue: Queue,
-    pub(crate) nominations: Nominations,
-    pub(crate) backfill: Backfill,
-    /// Tasks with a run that is proposed and not yet in the log.
-    pub(crate) proposed: HashSet<TaskId>,
-    /// Workers that may have starts or stops due.
-    pub(crate) workers_with_orders: BTreeSet<String>,
-    pub(crate) lease_schedule: LeaseSchedule,
+    pub(crate) table: RunTable,
     pub(crate) ejection_report: EjectionReport,
-    /// Workers on which a task has failed.
-    pub(crate) failed_on: HashMap<TaskId, Vec<String>>,
     pub(crate) job_calendar: JobCalendar,
     pub(crate) calls: CallTable,
     /// The monotonic clock at the last input.
@@ -66,7 +48,7 @@
     /// The time of day when time last passed.
     pub(crate) wall: WallMillis,
     pub(crate) taken_over_at: Millis,
-    pub(crate) planning: PlanningSchedule,
+    pub(crate) planner: Planner,
     pub(crate) next_check_at: Millis,
     pub(crate) lease_timing: LeaseTiming,
     pub(crate) failure_rate: FailureRate,
@@ -88,25 +70,16 @@
         let mut scheduler = Scheduler {
             service: service.to_owned(),
             token,
-            settings,
-            random: StdRng::seed_from_u64(seed),
             snapshot_position: LogPosition::default(),
-            workers: Workers::new(),
-            worker_names: Vec::new(),
-            queue: Queue::default(),
-            nominations: Nominations::default(),
-            backfill: Backfill::default(),
-            proposed: HashSet::new(),
-            workers_with_orders: BTreeSet::new(),
-            lease_schedule: LeaseSchedule::new(now),
+            table: RunTable::new(now),
             ejection_report: EjectionReport::default(),
-            failed_on: HashMap::new(),
             job_calendar: JobCalendar::default(),
             calls: CallTable::default(),
             now,
             wall: WallMillis::default(),
             taken_over_at: now,
-            planning: PlanningSchedule::new(now),
+            planner: Planner::new(now, settings.far_factor, seed),
+            settings,
             next_check_at: now,
             lease_timing: LeaseTiming::default(),
             failure_rate: FailureRate::default(),
@@ -149,15 +122,12 @@
     /// Counts for operators.
     pub fn summary(&self) -> Summary {
         Summary {
-            workers: self.workers.len(),
-            silent: self
-                .workers
-                .values()
-                .filter(|worker| worker.is_unresponsive())
-                .count(),
-            runs: self.workers.values().map(|worker| worker.runs.len()).sum(),
-            waiting: self.queue.len(),
+            workers: self.table.workers.len(),
+            silent: self.table.unresponsive_workers(),
+            runs: self.table.runs(),
+            waiting: self.planner.queue.len(),
             waiting_urgent: self
+                .planner
                 .queue
                 .iter()
                 .filter(|(key, _)| key.priority == URGENT_PRIORITY)
@@ -165,6 +135,17 @@
         }
     }
 
+    /// Returns a command that accepts a job, and starts its first tasks if there is capacity and nothing more urgent is
+    /// queued.
+    pub fn submit(&mut self, now: Millis, submission: Submission) -> Command {
+        let job = Job::new(submission.clone());
+        let runs = self.planner.place_submitted(&mut self.table, &job, now);
+        Command::SubmitJob {
+            submission: Box::new(submission),
+            runs,
+        }
+    }
+
     /// Takes the outputs since the last call, in the order in which they are to be carried out.
     pub fn poll_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
@@ -185,7 +166,12 @@
         timeout_ms: Millis,
     ) -> u64 {
         let id = self.calls.next_id();
-        let Some(worker) = self.workers.get(incarnation).filter(|_| !self.deposed) else {
+        let Some(worker) = self
+            .table
+            .workers
+            .get(incarnation)
+            .filter(|_| !self.deposed)
+        else {
             return id;
         };
         self.outputs.push(Output::Call(WorkerCall {
@@ -208,12 +194,6 @@
         id
     }
 
-    fn refresh_worker_names(&mut self) {
-        if !self.workers.keys().eq(self.worker_names.iter()) {
-            self.worker_names = self.workers.keys().cloned().collect();
-        }
-    }
-
     /// Does what is due at this time. To be called after all other inputs, and every 50 ms or more often.
     pub fn run(&mut self, now: Millis, wall: WallMillis, state: &State) {
         if self.deposed {
@@ -227,22 +207,23 @@
             if let Some(line) = self.ejection_report.poll_line(now) {
                 self.outputs.push(Output::Log(line));
             }
-            self.refresh_worker_names();
+            self.planner.refresh_worker_names(&self.table.workers);
             self.open_due_occurrences(wall, state);
             self.forget_completed_jobs(wall);
-            for job in self.queue.outdated(wall) {
+            for job in self.planner.queue.outdated(wall) {
                 self.refresh_queue(job, now, state);
             }
             // Time alone may let a task be placed: a worker's ejection ends, or a wait for locality.
-            if self.queue.len() > 0 {
-                self.planning.request();
+            if self.planner.queue.len() > 0 {
+                self.planner.request();
             }
         }
         self.send_due_orders(now, state);
         self.renew_leases(now);
-        if self.planning.try_begin(now) {
-            self.plan(now, state);
-            self.planning.end_round(now, self.queue.len());
+        let runs = self.planner.poll_round(&mut self.table, now, state);
+        if !runs.is_empty() {
+            self.outputs
+                .push(Output::Propose(Command::StartRuns { runs }));
         }
     }
 }
--- a/system/scheduler/src/take_over.rs
+++ b/system/scheduler/src/take_over.rs
@@ -10,8 +10,7 @@
     pub fn resume(&mut self, now: Millis, state: &State) {
         self.drop_outputs();
         self.snapshot_position = state.position;
-        self.proposed.clear();
-        self.workers_with_orders.clear();
+        self.table.clear_pending();
         self.job_calendar.clear();
         let own = |id: &JobId| {
             state
@@ -34,7 +33,7 @@
                 self.adopt_run(incarnation, task, run, now, state);
             }
         }
-        for (incarnation, worker) in &mut self.workers {
+        for (incarnation, worker) in &mut self.table.workers {
             let seen = state
                 .workers
                 .get(incarnation)
@@ -46,8 +45,8 @@
         for id in ids {
             self.review_job(id, now, state);
         }
-        self.planning.request();
-        self.lease_schedule.scan_at(now);
+        self.planner.request();
+        self.table.lease_schedule.scan_at(now);
     }
 
     /// Drops the outputs that were not polled: they were decided by the state as it was before.
@@ -60,7 +59,7 @@
     }
 
     fn drop_unrecorded_runs(&mut self, wanted: &BTreeMap<&str, Vec<(TaskId, RunId)>>) {
-        for (incarnation, worker) in &mut self.workers {
+        for (incarnation, worker) in &mut self.table.workers {
             let on_record = wanted
                 .get(incarnation.as_str())
                 .map_or(&[][..], Vec::as_slice);
