--- a/system/scheduler/examples/throughput.rs
+++ b/system/scheduler/examples/throughput.rs
@@ -1,8 +1,8 @@
-//! How long the scheduler's core takes for each run, against the number of workers and of tasks that wait in vain.
+//! How long the scheduler's core takes for each run, against the number of workers and of tasks that can't be placed.
 //!
 //! `cargo run --profile system -p magpiegap-scheduler --example throughput`
 //!
-//! A scheduler between a log that commits at once and workers that answer at once: jobs of two tasks come, are placed,
+//! A scheduler between a log that commits at once and workers that reply at once: jobs of two tasks come, are placed,
 //! started and listed as done. The time is that of the scheduler and of applying the log, without sockets, disks and
 //! other replicas.
 use magpiegap_jobs::State;
@@ -25,7 +25,7 @@
 const JOBS: u64 = 4000;
 /// Time of the day at which the play begins.
 const WALL_MS: WallMillis = WallMillis(1_000_000);
-/// Jobs handed in at the same moment, before answers are taken.
+/// Jobs submitted at the same moment, before replies are taken.
 const JOBS_AT_ONCE: u64 = 10;
 
 struct Bench {
@@ -33,9 +33,9 @@
     state: State,
     scheduler: Scheduler,
     calls: Vec<WorkerCall>,
-    /// Ends that each worker has to tell, and how many it has had.
-    ends: HashMap<String, Vec<ListedCompletion>>,
-    numbers: BTreeMap<String, u64>,
+    /// Completions that each worker has yet to have acknowledged, and how many it has had.
+    completions: HashMap<String, Vec<ListedCompletion>>,
+    completed: BTreeMap<String, u64>,
 }
 
 impl Bench {
@@ -54,8 +54,8 @@
             state,
             scheduler,
             calls: Vec::new(),
-            ends: HashMap::new(),
-            numbers: BTreeMap::new(),
+            completions: HashMap::new(),
+            completed: BTreeMap::new(),
         };
         let entries: Vec<WorkerEntry> = (0..workers).map(worker).collect();
         bench.scheduler.list(bench.now, &bench.state, &entries);
@@ -99,7 +99,7 @@
         );
     }
 
-    /// A few milliseconds pass; all workers answer what they were asked.
+    /// A few milliseconds pass; all workers reply to their calls.
     fn step(&mut self) {
         self.now += 5;
         for _ in 0..4 {
@@ -114,20 +114,23 @@
             }
         }
         for call in std::mem::take(&mut self.calls) {
-            let reply = self.answer(&call);
+            let reply = self.reply_to(&call);
             self.scheduler.reply(self.now, &self.state, call.id, reply);
         }
     }
 
-    fn answer(&mut self, call: &WorkerCall) -> WorkerReply {
+    fn reply_to(&mut self, call: &WorkerCall) -> WorkerReply {
         let clock_ms = Some((WALL_MS + self.now).0);
-        let ends = self.ends.entry(call.incarnation.clone()).or_default();
+        let completions = self
+            .completions
+            .entry(call.incarnation.clone())
+            .or_default();
         match &call.order {
             WorkerOrder::Start { task, run, .. } => {
-                let number = self.numbers.entry(call.incarnation.clone()).or_default();
+                let number = self.completed.entry(call.incarnation.clone()).or_default();
                 *number += 1;
                 let checkpoint = String::new();
-                ends.push(ListedCompletion {
+                completions.push(ListedCompletion {
                     number: *number,
                     task: *task,
                     run: *run,
@@ -144,10 +147,10 @@
                 listing: None,
             },
             WorkerOrder::Hold { last_seen, .. } => {
-                ends.retain(|end| end.number > *last_seen);
+                completions.retain(|completion| completion.number > *last_seen);
                 let listing = Listing {
                     running: Vec::new(),
-                    ended: ends.clone(),
+                    ended: completions.clone(),
                 };
                 WorkerReply::Done {
                     clock_ms,
@@ -213,12 +216,12 @@
 fn play(workers: usize, waiting: u64) -> f64 {
     let mut bench = Bench::new(workers);
     for number in 0..waiting {
-        // Wants a label that no worker has, and is unlike all before.
-        let wanted = StepSpec {
+        // Requires a label that no worker has, and is unlike all before.
+        let infeasible = StepSpec {
             requirements: vec!["none".to_owned()],
             ..step(1, 2000 - number)
         };
-        bench.submit(1_000_000 + number, 1, wanted);
+        bench.submit(1_000_000 + number, 1, infeasible);
     }
     bench.step();
     let began = Instant::now();
@@ -236,7 +239,7 @@
 /// Time between two of them, in milliseconds.
 const ROUND_MS: u64 = 25;
 
-/// Microseconds for a round of planning while all workers are full and so many jobs of two tasks wait for room.
+/// Microseconds for a round of planning while all workers are full and so many jobs of two tasks are queued for capacity.
 fn play_full(workers: usize, waiting: u64, priority: u32) -> f64 {
     let mut bench = Bench::new(workers);
     // Four runs on each worker, which never end.
@@ -259,7 +262,7 @@
             .scheduler
             .run(bench.now, WALL_MS + bench.now, &bench.state);
         bench.scheduler.poll_outputs();
-        // Something ends, or comes, between any two rounds.
+        // Something completes, or comes, between any two rounds.
         bench.submit(2_000_000 + bench.now, 2, step(1, 15_000));
     }
     began.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64
--- a/system/scheduler/src/explanation.rs
+++ b/system/scheduler/src/explanation.rs
@@ -3,7 +3,7 @@
 //! It decides nothing. The names of its fields in JSON are read by operators and stay as they are.
 use crate::{queue::urgency, scheduler::Scheduler, worker::Worker};
 use magpiegap_jobs::{startable, Job, Startable, State, StepState, TaskState};
-use magpiegap_protocol::{JobId, Resources, StepSpec, TaskId};
+use magpiegap_protocol::{JobId, StepSpec, TaskId};
 use serde::Serialize;
 
 /// A job as its scheduler sees it.
@@ -200,7 +200,6 @@
     ) -> &'a mut usize {
         let urgency = urgency(job, unit.first, self.wall);
         let candidate = self.planner.candidate(job, unit, step, &urgency);
-        let nothing = Resources::default();
         if !worker.listed {
             &mut counts.not_listed
         } else if worker.draining {
@@ -217,12 +216,7 @@
             &mut counts.without_capacity
         } else if !self
             .planner
-            .nominations
-            .allow(&worker.entry.incarnation, &unit.first)
-            || !self
-                .planner
-                .backfill
-                .allows_backfill(worker, &candidate, &nothing, self.now)
+            .allows(worker, unit.first, &candidate, self.now)
         {
             &mut counts.reserved_for_others
         } else if step
--- a/system/scheduler/src/planner.rs
+++ b/system/scheduler/src/planner.rs
@@ -12,10 +12,10 @@
     queue::{urgency, Queue, Queued, Urgency, URGENT_PRIORITY},
     run::{Run, RunPhase},
     run_table::RunTable,
-    worker::Workers,
+    worker::{Worker, Workers},
 };
 use magpiegap_jobs::{startable, Job, Startable, State};
-use magpiegap_protocol::{JobId, Millis, RunStart, StepSpec, TaskId};
+use magpiegap_protocol::{JobId, Millis, Resources, RunStart, StepSpec, TaskId};
 use rand::{rngs::StdRng, SeedableRng};
 use std::collections::{HashMap, HashSet};
 
@@ -111,8 +111,8 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Planner {
     pub queue: Queue,
-    pub nominations: Nominations,
-    pub backfill: Backfill,
+    nominations: Nominations,
+    backfill: Backfill,
     schedule: PlanningSchedule,
     /// The names of all workers, as of the last check.
     worker_names: Vec<String>,
@@ -377,6 +377,21 @@
         }
     }
 
+    /// Whether neither a nomination nor a reservation keeps a task from a worker.
+    pub(crate) fn allows(
+        &self,
+        worker: &Worker,
+        first: TaskId,
+        candidate: &Candidate<'_>,
+        now: Millis,
+    ) -> bool {
+        let nothing = Resources::default();
+        self.nominations.allow(&worker.entry.incarnation, &first)
+            && self
+                .backfill
+                .allows_backfill(worker, candidate, &nothing, now)
+    }
+
     /// Reserves the capacity that frees up first for a task that could not be placed, unless it comes too late anyway,
     /// or waits for one rack to take a whole gang.
     fn reserve_capacity(&mut self, table: &RunTable, planned: &PlannedUnit<'_>, now: Millis) {
