--- a/system/scheduler/src/run.rs
+++ b/system/scheduler/src/run.rs
@@ -7,7 +7,7 @@
 
 /// Time until a start that a worker refused as late is sent again.
 const START_RETRY_MS: Millis = 60;
-/// From this progress on the remaining time is told from it and not from the estimate.
+/// From this progress on the remaining time is derived from it and not from the estimate.
 const MIN_RELIABLE_PERCENT: u64 = 10;
 
 /// How far a run has come.
--- a/system/scheduler/src/scheduler.rs
+++ b/system/scheduler/src/scheduler.rs
@@ -15,6 +15,11 @@
 use magpiegap_protocol::{Command, FencingToken, LogPosition, Millis, Submission, WallMillis};
 use serde::{Deserialize, Serialize};
 
+/// Time between two checks of all workers, jobs and forecasts.
+const CHECK_INTERVAL_MS: Millis = 50;
+/// A lease may last longer than granted by one part in so many, on a worker whose clock is slow.
+const CLOCK_DRIFT_DIVISOR: u64 = 25;
+
 /// Counts of a scheduler, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
@@ -153,8 +158,9 @@
 
     /// When all leases that earlier owners of the role granted have surely expired.
     pub(crate) fn previous_leases_expire_at(&self) -> Millis {
-        let hold = self.settings.max_hold_ms + self.settings.max_hold_ms / 25;
-        self.taken_over_at + self.settings.lease_ms + hold
+        let max_hold_ms = self.settings.max_hold_ms;
+        let max_lease_ms = max_hold_ms + max_hold_ms / CLOCK_DRIFT_DIVISOR;
+        self.taken_over_at + self.settings.lease_ms + max_lease_ms
     }
 
     /// Sends an order to a worker and returns the call's id; a deposed scheduler sends nothing.
@@ -227,6 +233,3 @@
         }
     }
 }
-
-/// Time between two checks of all workers, jobs and forecasts.
-const CHECK_INTERVAL_MS: Millis = 50;
--- a/system/scheduler/tests/response_times.rs
+++ b/system/scheduler/tests/response_times.rs
@@ -3,9 +3,9 @@
 use magpiegap_scheduler::ResponseTimes;
 
 /// The timeout after so many calls with this response time; one that takes longer than the timeout counts as lost.
-fn timeout_after(answers: usize, ms: u64) -> u64 {
+fn timeout_after(calls: usize, ms: u64) -> u64 {
     let mut response_times = ResponseTimes::default();
-    for _ in 0..answers {
+    for _ in 0..calls {
         if ms < response_times.timeout_ms() {
             response_times.record_reply(ms);
         } else {
