--- a/system/scheduler/src/worker_list.rs
+++ b/system/scheduler/src/discovery.rs
@@ -1,11 +1,11 @@
-//! Follows the platform's list of workers: lives that begin, drain and end.
+//! Follows the platform's list of workers: incarnations that begin, drain and end.
 use crate::{calls::Output, scheduler::Scheduler, worker::Worker};
 use magpiegap_jobs::State;
-use magpiegap_protocol::{Availability, Command, Millis, RunStart, TaskId, WorkerEntry};
+use magpiegap_protocol::{Availability, Command, Millis, WorkerEntry};
 use std::collections::{HashMap, HashSet};
 
 impl Scheduler {
-    /// Takes the platform's list.
+    /// Takes the platform's list, which is complete: workers that it lacks have departed.
     pub fn list(&mut self, now: Millis, state: &State, entries: &[WorkerEntry]) {
         let own: Vec<&WorkerEntry> = entries
             .iter()
@@ -17,7 +17,7 @@
             .map(|entry| (entry.address.as_str(), entry.incarnation.as_str()))
             .collect();
         let mut over = Vec::new();
-        for (incarnation, worker) in &mut self.workers {
+        for (incarnation, worker) in &mut self.table.workers {
             if listed.contains(incarnation.as_str()) {
                 continue;
             }
@@ -28,64 +28,55 @@
             }
         }
         for incarnation in over {
-            self.life_is_over(&incarnation, state);
+            self.end_incarnation(&incarnation, state);
         }
         for entry in own {
-            self.list_one(entry, now, state);
+            self.refresh_worker(entry, now, state);
         }
     }
 
-    fn list_one(&mut self, entry: &WorkerEntry, now: Millis, state: &State) {
-        self.hold_news.insert(entry.incarnation.clone());
+    fn refresh_worker(&mut self, entry: &WorkerEntry, now: Millis, state: &State) {
+        self.table.lease_schedule.mark_updated(&entry.incarnation);
         let draining = entry.availability == Availability::Draining;
-        if let Some(worker) = self.workers.get_mut(&entry.incarnation) {
-            let news = !worker.listed
+        if let Some(worker) = self.table.workers.get_mut(&entry.incarnation) {
+            let has_changed = !worker.listed
                 || worker.entry.address != entry.address
                 || worker.draining != draining;
             worker.entry = entry.clone();
             worker.listed = true;
             worker.draining = draining;
-            worker.gone_at = entry.remaining_ms.map(|left| now + left);
-            self.replan |= news;
+            worker.departs_at = entry.remaining_ms.map(|left| now + left);
+            if has_changed {
+                self.planner.request();
+            }
             return;
         }
-        let mut worker = Worker::new(entry.clone(), now, self.others_lapse_at());
+        let mut worker = Worker::new(entry.clone(), now, self.previous_leases_expire_at());
         if let Some(record) = state.workers.get(&entry.incarnation) {
-            worker.last_seen = record.last_seen;
-            worker.proposed_seen = record.last_seen;
+            worker.acknowledged_completion = record.last_seen;
+            worker.proposed_completion = record.last_seen;
         }
-        self.workers.insert(entry.incarnation.clone(), worker);
-        self.replan = true;
+        self.table.workers.insert(entry.incarnation.clone(), worker);
+        self.planner.request();
     }
 
-    /// A worker's life is surely over.
-    pub(crate) fn life_is_over(&mut self, incarnation: &str, state: &State) {
-        let Some(worker) = self.workers.get_mut(incarnation) else {
+    /// Ends an incarnation that is surely over, and loses its runs.
+    pub(crate) fn end_incarnation(&mut self, incarnation: &str, state: &State) {
+        let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
         worker.listed = false;
-        let lost = lost_runs(worker);
+        let lost = worker.lost_runs();
         if state.workers.contains_key(incarnation) {
-            self.out
+            self.outputs
                 .push(Output::Propose(Command::LoseRuns { runs: lost }));
             let incarnation = incarnation.to_owned();
-            self.out.push(Output::Propose(Command::LoseIncarnation {
+            self.outputs.push(Output::Propose(Command::LoseIncarnation {
                 incarnation,
                 ended: true,
             }));
         }
-        self.workers.remove(incarnation);
-        self.replan = true;
+        self.table.workers.remove(incarnation);
+        self.planner.request();
     }
 }
-
-/// A worker's recorded runs, with the newest checkpoints that it has listed.
-pub(crate) fn lost_runs(worker: &Worker) -> Vec<RunStart> {
-    let lost = |(task, run): (&TaskId, &crate::worker::Run)| RunStart {
-        task: *task,
-        run: run.run,
-        incarnation: worker.entry.incarnation.clone(),
-        checkpoint: run.saved.clone(),
-    };
-    worker.runs.iter().map(lost).collect()
-}
--- a/system/scheduler/src/explanation.rs
+++ b/system/scheduler/src/explanation.rs
@@ -1,4 +1,6 @@
-//! Says of a job what runs, what waits, and why no worker takes what waits, for operators.
+//! Explains to operators what of a job runs, what is queued, and why no worker takes what is queued.
+//!
+//! It decides nothing. The names of its fields in JSON are read by operators and stay as they are.
 use crate::{queue::urgency, scheduler::Scheduler, worker::Worker};
 use magpiegap_jobs::{startable, Job, Startable, State, StepState, TaskState};
 use magpiegap_protocol::{JobId, StepSpec, TaskId};
@@ -9,151 +11,146 @@
 pub struct Explanation {
     /// The job's name.
     pub job: String,
-    /// Its state, in the word that clients are shown.
+    /// Its state, as clients are shown it.
     pub state: &'static str,
     /// Its queue.
     pub queue: String,
     /// The service whose workers run it.
     pub service: String,
-    /// What can still come of it: in time, late, too late; `None`: nothing waits.
-    pub outlook: Option<String>,
-    /// All steps at all times that have fallen due and are not done.
+    /// The forecast of its deadline: in time, late, too late; `None`: nothing is queued.
+    #[serde(rename = "outlook")]
+    pub forecast: Option<String>,
+    /// All steps of occurrences that are due, where they are not done.
     pub steps: Vec<StepExplanation>,
 }
 
-/// A step at one time.
+/// A step of one occurrence.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct StepExplanation {
-    /// The time, counted from zero.
+    /// The occurrence, counted from zero.
     #[serde(rename = "time")]
     pub occurrence: u32,
-    /// The step's place in the job, counted from zero.
+    /// The step's position in the job, counted from zero.
     pub step: u32,
     /// How many tasks it has.
     pub tasks: usize,
     /// How many of them are done.
     pub done: u32,
-    /// Runs that may be going on.
+    /// Runs that may be running.
     pub running: Vec<RunExplanation>,
-    /// How many tasks wait for a place.
+    /// How many tasks are queued.
     pub waiting: u32,
     /// Earlier steps that must be done first.
     pub waits_for_steps: Vec<u32>,
-    /// Why no worker takes the first task that waits.
+    /// Why no worker takes the first task that is queued.
     pub workers: Option<WorkerCounts>,
 }
 
-/// A run that may be going on.
+/// A run that may be running.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RunExplanation {
     /// The task.
     pub task: String,
     /// The run's number.
     pub run: u32,
-    /// The worker's life.
+    /// The worker's incarnation.
     pub worker: String,
-    /// How far it has come, in hundredths; `None`: its worker has not said yet.
+    /// Its progress in percent; `None`: its worker has not listed it yet.
     pub percent: Option<u64>,
 }
 
-/// The workers of the service, each under the first reason that holds.
+/// The workers of the service, each counted under the first obstacle that holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct WorkerCounts {
-    /// All.
+    /// All workers.
     pub known: usize,
     /// The platform does not list them any more.
     pub not_listed: usize,
-    /// They are being emptied.
+    /// They are draining.
     pub draining: usize,
-    /// They have left calls unanswered, or were not asked yet.
-    pub not_answering: usize,
-    /// They are left alone for a while: their runs have failed or stood still.
-    pub left_alone: usize,
+    /// They have left calls unanswered, or were not called yet.
+    #[serde(rename = "not_answering")]
+    pub unresponsive: usize,
+    /// They are ejected for a while: their runs have failed or made no progress.
+    #[serde(rename = "left_alone")]
+    pub ejected: usize,
     /// They lack a label that the step requires.
     pub without_label: usize,
-    /// They would be too small if they were empty.
+    /// They would be too small without any runs.
     pub too_small: usize,
-    /// Other runs take up their room.
-    pub without_room: usize,
-    /// Their room is kept for more urgent tasks.
-    pub kept_for_others: usize,
+    /// Other runs take up their capacity.
+    #[serde(rename = "without_room")]
+    pub without_capacity: usize,
+    /// Their capacity is reserved for more urgent tasks.
+    #[serde(rename = "kept_for_others")]
+    pub reserved_for_others: usize,
     /// They are not in the rack that holds the data.
-    pub away_from_data: usize,
-    /// Nothing speaks against them: the task is placed in the next round.
+    #[serde(rename = "away_from_data")]
+    pub non_local: usize,
+    /// There is no obstacle: the task is placed in the next round.
     pub free: usize,
 }
 
 impl Scheduler {
-    /// What there is to say of a job of this service.
+    /// Explains a job; `None`: the service has no such job.
     pub fn explain(&self, state: &State, id: JobId) -> Option<Explanation> {
         let job = state
             .jobs
             .get(&id)
             .filter(|job| job.submission.service == self.service)?;
-        let waiting = startable(job);
-        let outlook = waiting
+        let queued = startable(job);
+        let forecast = queued
             .first()
-            .map(|unit| urgency(job, unit.first, self.wall).outlook);
-        let steps = job.occurrences.iter().flat_map(|(occurrence, steps)| {
-            steps
-                .steps
-                .iter()
-                .enumerate()
-                .map(|(step, state)| (*occurrence, step as u32, state))
-        });
-        let open = steps.filter(|(_, _, step)| !step.is_done());
+            .map(|unit| urgency(job, unit.first, self.wall).forecast);
+        let mut steps = Vec::new();
+        for (occurrence, state) in &job.occurrences {
+            for (position, step) in state.steps.iter().enumerate() {
+                if step.is_done() {
+                    continue;
+                }
+                let first = TaskId {
+                    job: id,
+                    occurrence: *occurrence,
+                    step: position as u32,
+                    index: 0,
+                };
+                steps.push(self.explain_step(job, first, step, &queued));
+            }
+        }
         Some(Explanation {
             job: id.to_string(),
             state: job.phase.word(),
             queue: job.submission.queue.clone(),
             service: self.service.clone(),
-            outlook: outlook.map(|outlook| outlook.to_string()),
-            steps: open
-                .map(|(occurrence, step, state)| {
-                    self.explain_step(job, occurrence, step, state, &waiting)
-                })
-                .collect(),
+            forecast: forecast.map(|forecast| forecast.to_string()),
+            steps,
         })
     }
 
+    /// Explains the step of a job whose first task is `first`.
     fn explain_step(
         &self,
         job: &Job,
-        occurrence: u32,
-        step: u32,
-        state: &StepState,
-        waiting: &[Startable],
+        first: TaskId,
+        step: &StepState,
+        queued: &[Startable],
     ) -> StepExplanation {
-        let spec = job.submission.spec.steps.get(step as usize);
-        let of_step =
-            |unit: &&Startable| (unit.first.occurrence, unit.first.step) == (occurrence, step);
-        let units: Vec<&Startable> = waiting.iter().filter(of_step).collect();
-        let is_open = |earlier: &u32| {
-            let earlier = job
-                .occurrences
-                .get(&occurrence)
-                .and_then(|occurrence| occurrence.steps.get(*earlier as usize));
-            earlier.is_some_and(|earlier| !earlier.is_done())
-        };
-        let depends_on = spec.map_or(&[][..], |spec| &spec.depends_on[..]);
-        let first = units.first().zip(spec);
+        let spec = job.submission.spec.steps.get(first.step as usize);
+        let units: Vec<&Startable> = queued
+            .iter()
+            .filter(|unit| unit.first.occurrence == first.occurrence)
+            .filter(|unit| unit.first.step == first.step)
+            .collect();
+        let first_unit = units.first().zip(spec);
         StepExplanation {
-            occurrence,
-            step,
-            tasks: state.tasks.len(),
-            done: state.done,
-            running: self.explain_runs(
-                TaskId {
-                    job: job.submission.job,
-                    occurrence,
-                    step,
-                    index: 0,
-                },
-                &state.tasks,
-            ),
+            occurrence: first.occurrence,
+            step: first.step,
+            tasks: step.tasks.len(),
+            done: step.done,
+            running: self.explain_runs(first, &step.tasks),
             waiting: units.iter().map(|unit| unit.count).sum(),
-            waits_for_steps: depends_on.iter().copied().filter(is_open).collect(),
-            workers: first.map(|(unit, spec)| self.count_workers(job, unit, spec)),
+            waits_for_steps: open_dependencies(job, first.occurrence, spec),
+            workers: first_unit.map(|(unit, spec)| self.count_workers(job, unit, spec)),
         }
     }
 
@@ -166,6 +163,7 @@
             };
             for active in &task.active {
                 let known = self
+                    .table
                     .workers
                     .get(&active.incarnation)
                     .and_then(|worker| worker.runs.get(&id));
@@ -182,17 +180,17 @@
 
     fn count_workers(&self, job: &Job, unit: &Startable, step: &StepSpec) -> WorkerCounts {
         let mut counts = WorkerCounts {
-            known: self.workers.len(),
+            known: self.table.workers.len(),
             ..WorkerCounts::default()
         };
-        for worker in self.workers.values() {
-            *self.reason(&mut counts, worker, job, unit, step) += 1;
+        for worker in self.table.workers.values() {
+            *self.first_obstacle(&mut counts, worker, job, unit, step) += 1;
         }
         counts
     }
 
-    /// The count of the first reason for which a worker does not take a task.
-    fn reason<'a>(
+    /// The count of the first obstacle to placing a task on a worker.
+    fn first_obstacle<'a>(
         &self,
         counts: &'a mut WorkerCounts,
         worker: &Worker,
@@ -201,36 +199,46 @@
         step: &StepSpec,
     ) -> &'a mut usize {
         let urgency = urgency(job, unit.first, self.wall);
-        let candidate = self.candidate(job, unit, step, &urgency);
-        let nothing = magpiegap_protocol::Resources::default();
+        let candidate = self.planner.candidate(job, unit, step, &urgency);
         if !worker.listed {
             &mut counts.not_listed
         } else if worker.draining {
             &mut counts.draining
-        } else if !worker.answers() {
-            &mut counts.not_answering
-        } else if !worker.health.takes_work(self.now) {
-            &mut counts.left_alone
+        } else if !worker.is_responsive() {
+            &mut counts.unresponsive
+        } else if !worker.health.is_schedulable(self.now) {
+            &mut counts.ejected
         } else if !worker.has_labels(&step.requirements) {
             &mut counts.without_label
         } else if !step.resources.fits(&worker.entry.capacity) {
             &mut counts.too_small
-        } else if !worker.has_room_for(&step.resources) {
-            &mut counts.without_room
+        } else if !worker.has_capacity_for(&step.resources) {
+            &mut counts.without_capacity
         } else if !self
-            .reservations
-            .allow(&worker.entry.incarnation, &unit.first)
-            || !self.backfill.allows(worker, &candidate, &nothing, self.now)
+            .planner
+            .allows(worker, unit.first, &candidate, self.now)
         {
-            &mut counts.kept_for_others
+            &mut counts.reserved_for_others
         } else if step
             .affinity
             .as_ref()
             .is_some_and(|rack| !worker.has_label(rack))
         {
-            &mut counts.away_from_data
+            &mut counts.non_local
         } else {
             &mut counts.free
         }
     }
 }
+
+/// The steps that must be done before a step of an occurrence, and are not.
+fn open_dependencies(job: &Job, occurrence: u32, step: Option<&StepSpec>) -> Vec<u32> {
+    let (Some(step), Some(occurrence)) = (step, job.occurrences.get(&occurrence)) else {
+        return Vec::new();
+    };
+    let is_open = |earlier: &u32| {
+        let earlier = occurrence.steps.get(*earlier as usize);
+        earlier.is_some_and(|earlier| !earlier.is_done())
+    };
+    step.depends_on.iter().copied().filter(is_open).collect()
+}
--- a/system/scheduler/src/outlook.rs
+++ b/system/scheduler/src/forecast.rs
@@ -1,81 +1,81 @@
-//! What can still come of a job, by how much of it is left to do.
+//! Forecasts whether a job meets its deadline, by how much of it is left to do.
 use magpiegap_jobs::Job;
 use magpiegap_protocol::{TaskId, WallMillis};
 use std::fmt;
 
-/// A job done within this many times its objective still earns a part of its worth.
+/// A job done within this many times its objective still earns a part of its value.
 const LATE_FACTOR: u64 = 3;
 
-/// What can still come of a job's time.
+/// Whether a job can still meet its deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Outlook {
+pub(crate) enum DeadlineForecast {
     /// It can be done in time.
-    InTime,
-    /// It can be done late, for a part of its worth.
+    OnTime,
+    /// It can be done late, for a part of its value.
     Late,
-    /// It comes too late whatever is done.
+    /// It is too late whatever is done.
     TooLate,
 }
 
-impl fmt::Display for Outlook {
+impl fmt::Display for DeadlineForecast {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Outlook::InTime => "in time",
-            Outlook::Late => "late",
-            Outlook::TooLate => "too late",
+            DeadlineForecast::OnTime => "in time",
+            DeadlineForecast::Late => "late",
+            DeadlineForecast::TooLate => "too late",
         })
     }
 }
 
-/// Until when a task may begin, if all that comes after it takes as long as the client guesses.
+/// Until when a task may begin, if all that comes after it takes as long as the client estimates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LatestStarts {
     /// So that its job is done in time.
-    in_time: WallMillis,
-    /// So that its job still earns a part of its worth.
+    on_time: WallMillis,
+    /// So that its job still earns a part of its value.
     late: WallMillis,
 }
 
 impl LatestStarts {
-    /// Those of a task.
+    /// Computes those of a task.
     pub(crate) fn of(job: &Job, task: &TaskId) -> LatestStarts {
-        let due = due_ms(job, task.occurrence);
-        let begin = begin_ms(job, task.occurrence);
+        let due = deadline_ms(job, task.occurrence);
+        let begin = period_start_ms(job, task.occurrence);
         let objective = due.since(begin);
         let left = job.submission.spec.chain_from_ms(task.step as usize);
         LatestStarts {
-            in_time: due.saturating_sub(left),
+            on_time: due.saturating_sub(left),
             late: begin
                 .saturating_add(objective.saturating_mul(LATE_FACTOR))
                 .saturating_sub(left),
         }
     }
 
-    /// What can still come of the job at this time of day.
-    pub(crate) fn outlook(&self, wall: WallMillis) -> Outlook {
-        if wall <= self.in_time {
-            Outlook::InTime
+    /// The forecast at this time of day.
+    pub(crate) fn forecast(&self, wall: WallMillis) -> DeadlineForecast {
+        if wall <= self.on_time {
+            DeadlineForecast::OnTime
         } else if wall <= self.late {
-            Outlook::Late
+            DeadlineForecast::Late
         } else {
-            Outlook::TooLate
+            DeadlineForecast::TooLate
         }
     }
 }
 
-/// When a time of a job counts from.
-fn begin_ms(job: &Job, occurrence: u32) -> WallMillis {
+/// When the time of an occurrence counts from.
+fn period_start_ms(job: &Job, occurrence: u32) -> WallMillis {
     job.submission
         .spec
         .scheduled_ms(occurrence)
         .unwrap_or(job.submission.submitted_ms)
 }
 
-/// When a time of a job should be done so that the job earns its worth.
-pub(crate) fn due_ms(job: &Job, occurrence: u32) -> WallMillis {
+/// The deadline of an occurrence: done by then, the job earns its full value.
+pub(crate) fn deadline_ms(job: &Job, occurrence: u32) -> WallMillis {
     let submission = &job.submission;
     let work = submission.spec.longest_chain_ms() as f64 * submission.stretch;
-    begin_ms(job, occurrence)
+    period_start_ms(job, occurrence)
         .saturating_add(work as u64)
         .saturating_add(submission.target_latency_ms)
 }
--- /dev/null
+++ b/system/scheduler/src/leases.rs
@@ -0,0 +1,212 @@
+//! Renews the leases on workers, and stops or loses the runs on those that are unresponsive, stalled or departing.
+//!
+//! A lease is what a worker grants: it runs its tasks until a time on its clock and stops them by itself after that. On
+//! the wire a renewal is the worker's `hold`, a long poll that is replied to when a run completes.
+use crate::{
+    call_table::CallPurpose,
+    calls::{Output, WorkerOrder},
+    lease_timing::LeaseTiming,
+    run::{Run, RunPhase},
+    scheduler::Scheduler,
+};
+use magpiegap_jobs::State;
+use magpiegap_protocol::{Command, Millis, TaskId};
+
+/// Longest time that a renewal may wait for a completion where a run makes no progress.
+const STALLED_LONG_POLL_MS: u64 = 150;
+/// Time between two renewals on a worker that does not reply.
+const RENEWAL_INTERVAL_MS: Millis = 400;
+/// A run that has not made progress for less than this is never taken for stuck.
+const MIN_STALL_MS: Millis = 300;
+/// How long a long run may go without progress, beyond a twentieth of its estimate.
+const LONG_RUN_STALL_MS: Millis = 1600;
+
+impl Scheduler {
+    /// Adapts the length of long polls to the number of workers that have runs.
+    fn adapt_lease_timing(&mut self) {
+        let busy = self.table.busy_workers();
+        self.lease_timing = LeaseTiming::for_busy_workers(busy);
+    }
+
+    /// Renews the leases that are due.
+    pub(crate) fn renew_leases(&mut self, now: Millis) {
+        for incarnation in self.table.take_due_renewals(now) {
+            self.send_renewal(&incarnation, now);
+        }
+    }
+
+    fn send_renewal(&mut self, incarnation: &str, now: Millis) {
+        let lease_ms = self.lease_timing.lease_ms(self.settings.max_hold_ms);
+        let long_poll_ms = self.lease_timing.long_poll_ms();
+        let Some(worker) = self.table.workers.get_mut(incarnation) else {
+            return;
+        };
+        // A worker that does not reply gets no longer lease: its runs are to stop.
+        let grant = worker.has_responded && worker.unanswered_renewals == 0;
+        let deadline_ms = worker
+            .max_clock(now)
+            .filter(|_| grant)
+            .map(|clock| clock + lease_ms);
+        worker.lease_granted_until = worker.lease_granted_until.max(deadline_ms.unwrap_or(0));
+        let stalled = worker.runs.values().any(|run| lacks_progress(run, now));
+        let wait_ms = match grant {
+            true if stalled => STALLED_LONG_POLL_MS,
+            true => long_poll_ms,
+            false => 0,
+        };
+        worker.lease.renew_at = now + RENEWAL_INTERVAL_MS;
+        let order = WorkerOrder::Hold {
+            deadline_ms,
+            last_seen: worker.acknowledged_completion,
+            wait_ms,
+        };
+        let id = self.call(
+            incarnation,
+            CallPurpose::LeaseRenewal { wait_ms },
+            order,
+            wait_ms + self.calls.timeout_ms(),
+        );
+        if let Some(worker) = self.table.workers.get_mut(incarnation) {
+            worker.lease.in_flight = Some(id);
+        }
+    }
+
+    /// Checks a worker that has left an order unanswered, without renewing its lease.
+    pub(crate) fn send_health_check(&mut self, incarnation: &str) {
+        let Some(worker) = self.table.workers.get(incarnation) else {
+            return;
+        };
+        let order = WorkerOrder::Hold {
+            deadline_ms: None,
+            last_seen: worker.acknowledged_completion,
+            wait_ms: 0,
+        };
+        self.call(
+            incarnation,
+            CallPurpose::HealthCheck,
+            order,
+            self.calls.timeout_ms(),
+        );
+    }
+
+    /// Checks all workers for what is due there.
+    pub(crate) fn check_workers(&mut self, now: Millis, state: &State) {
+        self.adapt_lease_timing();
+        let incarnations: Vec<String> = self.table.workers.keys().cloned().collect();
+        for incarnation in incarnations {
+            self.check_worker(&incarnation, now, state);
+        }
+    }
+
+    fn check_worker(&mut self, incarnation: &str, now: Millis, state: &State) {
+        let Some(worker) = self.table.workers.get(incarnation) else {
+            return;
+        };
+        if worker.runs.is_empty() {
+            let over = !worker.listed && worker.lease.in_flight.is_none();
+            if over && (worker.is_unresponsive() || worker.entry.address.is_empty()) {
+                self.forget_worker(incarnation, state);
+            }
+            return;
+        }
+        let pending = worker
+            .runs
+            .values()
+            .all(|run| matches!(run.phase, RunPhase::Proposed | RunPhase::LossProposed));
+        let out_of_reach =
+            worker.is_unresponsive() || worker.entry.address.is_empty() || !worker.listed;
+        if out_of_reach && !pending && worker.all_leases_expired(now) {
+            self.lose_expired_runs(incarnation);
+            return;
+        }
+        self.stop_runs_outliving_worker(incarnation, now);
+        self.send_orders(incarnation, now, state);
+        self.stop_stuck_runs(incarnation, now);
+    }
+
+    fn forget_worker(&mut self, incarnation: &str, state: &State) {
+        if state.workers.contains_key(incarnation) {
+            let incarnation = incarnation.to_owned();
+            self.outputs.push(Output::Propose(Command::LoseIncarnation {
+                incarnation,
+                ended: true,
+            }));
+        }
+        self.table.workers.remove(incarnation);
+    }
+
+    /// Stops runs that won't complete before their worker departs, so that they are started elsewhere at once.
+    fn stop_runs_outliving_worker(&mut self, incarnation: &str, now: Millis) {
+        let Some(worker) = self.table.workers.get_mut(incarnation) else {
+            return;
+        };
+        let Some(departs_at) = worker.departs_at.filter(|_| worker.draining) else {
+            return;
+        };
+        let left = departs_at.saturating_sub(now);
+        let mut any_stopped = false;
+        for run in worker.runs.values_mut() {
+            if run.is_wanted_and_started() && (run.long_running || run.remaining_ms(now) > left) {
+                run.next_stop_at = Some(now);
+                any_stopped = true;
+            }
+        }
+        if any_stopped {
+            self.table.mark_order_due(incarnation);
+        }
+    }
+
+    /// Stops runs that make no progress, so that they are started elsewhere.
+    fn stop_stuck_runs(&mut self, incarnation: &str, now: Millis) {
+        let gang_ms = self.settings.gang_ms;
+        let Some(worker) = self.table.workers.get_mut(incarnation) else {
+            return;
+        };
+        let stuck: Vec<TaskId> = worker
+            .runs
+            .iter()
+            .filter(|(_, run)| run.is_wanted_and_started() && is_stuck(run, gang_ms))
+            .map(|(task, _)| *task)
+            .collect();
+        if stuck.is_empty() || worker.unanswered_renewals > 0 {
+            return;
+        }
+        for task in &stuck {
+            if let Some(run) = worker.runs.get_mut(task) {
+                run.next_stop_at = Some(now);
+            }
+        }
+        worker.health.eject(now);
+        self.table.mark_order_due(incarnation);
+        self.outputs.push(Output::Log(format!(
+            "{} runs on {incarnation} stand still and are moved",
+            stuck.len()
+        )));
+    }
+}
+
+/// Whether a run should have made progress since it was started or last listed with other progress.
+fn lacks_progress(run: &Run, now: Millis) -> bool {
+    let still = now.saturating_sub(run.progress.since);
+    run.phase == RunPhase::Started
+        && !run.long_running
+        && !run.gang
+        && still > STALLED_LONG_POLL_MS
+        && still > run.estimated_ms / 5
+}
+
+/// Whether a run has been listed with the same progress for too long.
+fn is_stuck(run: &Run, gang_ms: Millis) -> bool {
+    let gang_wait_ms = if run.gang && run.progress.percent == 0 {
+        gang_ms
+    } else {
+        0
+    };
+    // Even on a worker that is ten times too slow progress rises by a hundredth in a tenth of the estimate.
+    let max_stall_ms = (run.estimated_ms / 5)
+        .min(LONG_RUN_STALL_MS + run.estimated_ms / 20)
+        .max(MIN_STALL_MS);
+    !run.long_running
+        && run.progress.percent < 100
+        && run.progress.stalled_ms() > max_stall_ms + gang_wait_ms
+}
--- a/system/scheduler/src/queue.rs
+++ b/system/scheduler/src/queue.rs
@@ -1,5 +1,5 @@
-//! Tasks whose turn has come, in the order in which they are placed.
-use crate::outlook::{due_ms, LatestStarts, Outlook};
+//! The queue of tasks that may be started, in the order in which they are placed.
+use crate::forecast::{deadline_ms, DeadlineForecast, LatestStarts};
 use magpiegap_jobs::{startable, Job, Startable};
 use magpiegap_protocol::{JobId, Millis, TaskId, WallMillis};
 use std::collections::{BTreeMap, HashMap};
@@ -7,67 +7,67 @@
 /// Tasks of this priority are urgent: for others, stopping and starting again costs more than it gains.
 pub(crate) const URGENT_PRIORITY: u32 = 0;
 
-/// Who goes first: the lower priority number, then who can still be in time, then who is due earlier.
+/// The order of the queue: the lower priority number, then who can still be on time, then the earlier deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Urgency {
     pub priority: u32,
-    pub outlook: Outlook,
-    pub due_ms: WallMillis,
+    pub forecast: DeadlineForecast,
+    pub deadline_ms: WallMillis,
     pub task: TaskId,
 }
 
-/// A task or gang that waits for a place.
+/// A queued task or gang.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Waiting {
+pub(crate) struct Queued {
     pub unit: Startable,
-    /// Since when it waits.
-    pub since: Millis,
+    /// When it was queued.
+    pub queued_at: Millis,
     /// Until when it may begin.
-    latest: LatestStarts,
+    latest_start: LatestStarts,
 }
 
-/// All that waits.
+/// All queued tasks and gangs.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
-    waiting: BTreeMap<Urgency, Waiting>,
+    queued: BTreeMap<Urgency, Queued>,
     of_job: HashMap<JobId, Vec<Urgency>>,
 }
 
 pub(crate) fn urgency(job: &Job, task: TaskId, wall: WallMillis) -> Urgency {
     Urgency {
         priority: job.submission.priority,
-        outlook: LatestStarts::of(job, &task).outlook(wall),
-        due_ms: due_ms(job, task.occurrence),
+        forecast: LatestStarts::of(job, &task).forecast(wall),
+        deadline_ms: deadline_ms(job, task.occurrence),
         task,
     }
 }
 
 impl Queue {
-    /// Takes up what a job has waiting now; `passed_over` are tasks that are being placed.
+    /// Queues what may be started of a job now, but for tasks that are being placed (`is_being_placed`).
     pub(crate) fn refresh(
         &mut self,
         job: &Job,
         now: Millis,
         wall: WallMillis,
-        passed_over: impl Fn(&TaskId) -> bool,
+        is_being_placed: impl Fn(&TaskId) -> bool,
     ) {
         let id = job.submission.job;
         let old = self.remove(id);
         let mut keys = Vec::new();
         for unit in startable(job) {
-            if unit.tasks().any(|task| passed_over(&task)) {
+            if unit.tasks().any(|task| is_being_placed(&task)) {
                 continue;
             }
             let key = urgency(job, unit.first, wall);
             let known = old.iter().find(|(other, _)| other.task == key.task);
-            let since = known.map_or(now, |(_, waiting)| waiting.since);
-            let latest = LatestStarts::of(job, &key.task);
-            self.waiting.insert(
+            let queued_at = known.map_or(now, |(_, queued)| queued.queued_at);
+            let latest_start = LatestStarts::of(job, &key.task);
+            self.queued.insert(
                 key,
-                Waiting {
+                Queued {
                     unit,
-                    since,
-                    latest,
+                    queued_at,
+                    latest_start,
                 },
             );
             keys.push(key);
@@ -77,33 +77,34 @@
         }
     }
 
-    /// Drops all that a job has waiting.
-    pub(crate) fn remove(&mut self, job: JobId) -> BTreeMap<Urgency, Waiting> {
+    /// Drops all that is queued of a job, and returns it.
+    pub(crate) fn remove(&mut self, job: JobId) -> BTreeMap<Urgency, Queued> {
         let keys = self.of_job.remove(&job).unwrap_or_default();
         keys.into_iter()
-            .filter_map(|key| Some((key, self.waiting.remove(&key)?)))
+            .filter_map(|key| Some((key, self.queued.remove(&key)?)))
             .collect()
     }
 
-    /// Takes one out that was placed.
+    /// Takes out one that was placed.
     pub(crate) fn take(&mut self, key: &Urgency) {
-        self.waiting.remove(key);
+        self.queued.remove(key);
         if let Some(keys) = self.of_job.get_mut(&key.task.job) {
             keys.retain(|other| other != key);
         }
     }
 
-    /// All that waits, most urgent first.
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (&Urgency, &Waiting)> {
-        self.waiting.iter()
+    /// All that is queued, most urgent first.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&Urgency, &Queued)> {
+        self.queued.iter()
     }
 
-    /// The jobs whose outlook has changed since they were taken up.
+    /// The jobs whose forecast has changed since they were queued.
     pub(crate) fn outdated(&self, wall: WallMillis) -> Vec<JobId> {
-        let changed =
-            |(key, waiting): &(&Urgency, &Waiting)| waiting.latest.outlook(wall) != key.outlook;
+        let changed = |(key, queued): &(&Urgency, &Queued)| {
+            queued.latest_start.forecast(wall) != key.forecast
+        };
         let mut changed: Vec<JobId> = self
-            .waiting
+            .queued
             .iter()
             .filter(changed)
             .map(|(key, _)| key.task.job)
@@ -114,11 +115,11 @@
 
     /// The most urgent.
     pub(crate) fn first(&self) -> Option<&Urgency> {
-        self.waiting.keys().next()
+        self.queued.keys().next()
     }
 
-    /// How many wait.
+    /// How many are queued.
     pub(crate) fn len(&self) -> usize {
-        self.waiting.len()
+        self.queued.len()
     }
 }
--- a/system/scheduler/src/take_over.rs
+++ b/system/scheduler/src/take_over.rs
@@ -1,20 +1,17 @@
-//! Takes up the replicated state: when the role is taken over, and after a change of the view.
+//! Reads the replicated state in full: when the role is taken over, and after a change of the view.
 use crate::{calls::Output, scheduler::Scheduler};
 use magpiegap_jobs::State;
 use magpiegap_protocol::{JobId, Millis, RunId, TaskId};
 use std::collections::BTreeMap;
 
 impl Scheduler {
-    /// Takes up the state after a change of the view or of the role's holder: what was proposed before and is not
-    /// in the state now never will be.
+    /// Reads the state after a change of the view or of the role's owner: what was proposed before and is not in the
+    /// state now never will be.
     pub fn resume(&mut self, now: Millis, state: &State) {
         self.drop_outputs();
-        self.known_until = state.position;
-        self.proposed.clear();
-        self.times_proposed.clear();
-        self.fresh.clear();
-        self.timed.clear();
-        self.ended.clear();
+        self.snapshot_position = state.position;
+        self.table.clear_pending();
+        self.job_calendar.clear();
         let own = |id: &JobId| {
             state
                 .jobs
@@ -30,49 +27,49 @@
                 .map(|(task, run)| (*task, *run));
             wanted.insert(incarnation, runs.collect());
         }
-        self.drop_runs_off_record(&wanted);
+        self.drop_unrecorded_runs(&wanted);
         for (incarnation, runs) in wanted {
             for (task, run) in runs {
                 self.adopt_run(incarnation, task, run, now, state);
             }
         }
-        for (incarnation, worker) in &mut self.workers {
+        for (incarnation, worker) in &mut self.table.workers {
             let seen = state
                 .workers
                 .get(incarnation)
                 .map_or(0, |record| record.last_seen);
-            worker.last_seen = seen;
-            worker.proposed_seen = seen;
+            worker.acknowledged_completion = seen;
+            worker.proposed_completion = seen;
         }
         let ids: Vec<JobId> = state.jobs.keys().copied().collect();
         for id in ids {
             self.review_job(id, now, state);
         }
-        self.replan = true;
-        self.next_hold_search = now;
+        self.planner.request();
+        self.table.lease_schedule.scan_at(now);
     }
 
-    /// Drops what was not handed on yet: it was decided by the state as it was before.
+    /// Drops the outputs that were not polled: they were decided by the state as it was before.
     pub(crate) fn drop_outputs(&mut self) {
-        for output in std::mem::take(&mut self.out) {
+        for output in std::mem::take(&mut self.outputs) {
             if let Output::Call(call) = output {
-                self.calls.remove(&call.id);
+                self.calls.remove(call.id);
             }
         }
     }
 
-    fn drop_runs_off_record(&mut self, wanted: &BTreeMap<&str, Vec<(TaskId, RunId)>>) {
-        for (incarnation, worker) in &mut self.workers {
+    fn drop_unrecorded_runs(&mut self, wanted: &BTreeMap<&str, Vec<(TaskId, RunId)>>) {
+        for (incarnation, worker) in &mut self.table.workers {
             let on_record = wanted
                 .get(incarnation.as_str())
                 .map_or(&[][..], Vec::as_slice);
-            let gone: Vec<(TaskId, RunId)> = worker
+            let unrecorded: Vec<(TaskId, RunId)> = worker
                 .runs
                 .iter()
-                .map(|(task, run)| (*task, run.run))
+                .map(|(task, run)| (*task, run.id))
                 .filter(|pair| !on_record.contains(pair))
                 .collect();
-            for (task, run) in gone {
+            for (task, run) in unrecorded {
                 worker.remove_run(&task, run);
             }
         }
--- a/system/scheduler/src/worker.rs
+++ b/system/scheduler/src/worker.rs
@@ -1,192 +1,147 @@
-//! What the scheduler knows of one life of a worker.
-use crate::health::Health;
-use magpiegap_protocol::{Availability, Millis, Resources, RunId, TaskId, WorkerEntry};
+//! What the scheduler knows of one incarnation of a worker: its capacity, runs, clock and lease.
+use crate::{health::Health, run::Run};
+use magpiegap_protocol::{Availability, Millis, Resources, RunId, RunStart, TaskId, WorkerEntry};
 use std::collections::BTreeMap;
 
-/// The slowest that a worker's clock may run beside ours.
-const SLOWEST_CLOCK: f64 = 0.975;
+/// The slowest rate at which a worker's clock may run beside ours.
+const MIN_CLOCK_RATE: f64 = 0.975;
 
 /// A reading of a worker's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClockReading {
     /// What the clock showed, in milliseconds.
     pub worker_ms: u64,
-    /// When the answer that said so came.
+    /// When the reply that said so arrived.
     pub received_at: Millis,
 }
 
-/// How far a run has come, as far as the scheduler knows.
+/// The state of the lease on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RunPhase {
-    /// Proposed for the log.
-    Proposed,
-    /// In the log; its start is still to be sent, not before this time.
-    Recorded { not_before: Millis },
-    /// Its start was sent and has not been answered.
-    Starting,
-    /// It was started, or may have been by an earlier holder of the role.
-    Started,
-    /// It is surely not going on, and proposed for the log to be taken off the record.
-    Losing,
-}
-
-/// A run's progress, as far as its worker has listed it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Progress {
-    /// In hundredths.
-    pub percent: u64,
-    /// When it was first listed there.
-    pub since: Millis,
-    /// When it was last listed there.
-    pub seen: Millis,
-}
-
-impl Progress {
-    /// Takes note of a listing.
-    pub(crate) fn note(&mut self, percent: u64, now: Millis) {
-        if percent != self.percent {
-            *self = Progress {
-                percent,
-                since: now,
-                seen: now,
-            };
-        }
-        self.seen = now;
-    }
-
-    /// How long it has surely stood still.
-    pub(crate) fn still_ms(&self) -> Millis {
-        self.seen.saturating_sub(self.since)
-    }
-}
-
-/// A run on a worker.
-#[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Run {
-    pub run: RunId,
-    pub resources: Resources,
-    pub priority: u32,
-    pub phase: RunPhase,
-    /// The checkpoint that it was started from.
-    pub checkpoint: String,
-    /// The newest checkpoint that the worker has listed.
-    pub saved: String,
-    pub progress: Progress,
-    /// It keeps its progress when it is stopped.
-    pub checkpoints: bool,
-    /// It ends only when its job is cancelled.
-    pub lasting: bool,
-    /// It works only together with others.
-    pub gang: bool,
-    /// When it was started.
-    pub started_at: Millis,
-    /// How long it should take, by the client's guess.
-    pub estimated_ms: u64,
-    /// It is to be stopped; the next order to do so is due at this time.
-    pub stop_due: Option<Millis>,
-    /// Orders for it that are under way.
-    pub open_calls: u32,
-    /// When the last order for it was answered; a listing asked for before says nothing of it.
-    pub resolved_at: Millis,
-    /// On the worker's clock: until when a start that was not answered may still take effect.
-    pub may_begin_until: u64,
-    /// How often its start was sent.
-    pub tries: u32,
-}
-
-/// The state of the hold on a worker.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Hold {
-    /// The call under way.
-    pub open: Option<u64>,
+pub(crate) struct LeaseRenewal {
+    /// The renewal in flight.
+    pub in_flight: Option<u64>,
     /// When the next one is due.
-    pub due: Millis,
+    pub renew_at: Millis,
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
     pub entry: WorkerEntry,
     /// The platform still lists it.
     pub listed: bool,
-    /// It is being emptied.
+    /// It accepts no new runs and departs once its runs are stopped.
     pub draining: bool,
-    /// When it goes at the earliest, while it is being emptied.
-    pub gone_at: Option<Millis>,
+    /// When it departs at the earliest, while it is draining.
+    pub departs_at: Option<Millis>,
     pub used: Resources,
     pub runs: BTreeMap<TaskId, Run>,
     pub clock: Option<ClockReading>,
-    /// It has answered under this scheduler's token.
-    pub greeted: bool,
+    /// It has replied under this scheduler's token.
+    pub has_responded: bool,
     /// On the worker's clock: the latest deadline in any order ever sent to it.
-    pub granted_until: u64,
-    /// On our clock: when all that others granted has surely run out.
-    pub others_lapse_at: Millis,
-    pub hold: Hold,
-    /// Ends up to this number are in the log.
-    pub last_seen: u64,
-    /// Ends up to this number are proposed for the log.
-    pub proposed_seen: u64,
-    /// When an order was first not answered; until a later call is answered it gets no new work.
-    pub doubted_at: Option<Millis>,
-    /// Holds in a row that were not answered.
-    pub unanswered: u32,
+    pub lease_granted_until: u64,
+    /// On our clock: when all leases that earlier schedulers granted have surely expired.
+    pub previous_leases_expire_at: Millis,
+    pub lease: LeaseRenewal,
+    /// Completions up to this number are in the log.
+    pub acknowledged_completion: u64,
+    /// Completions up to this number are proposed for the log.
+    pub proposed_completion: u64,
+    /// When an order was first left unanswered; until a later call is replied to it gets no new runs.
+    pub suspected_since: Option<Millis>,
+    /// Renewals in a row that were left unanswered.
+    pub unanswered_renewals: u32,
     pub health: Health,
 }
 
-/// The workers of a service, by the name of their life.
+/// The workers of a service, by the name of their incarnation.
 pub(crate) type Workers = BTreeMap<String, Worker>;
 
 impl Worker {
-    pub(crate) fn new(entry: WorkerEntry, now: Millis, others_lapse_at: Millis) -> Worker {
+    pub(crate) fn new(
+        entry: WorkerEntry,
+        now: Millis,
+        previous_leases_expire_at: Millis,
+    ) -> Worker {
         Worker {
             draining: entry.availability == Availability::Draining,
-            gone_at: entry.remaining_ms.map(|left| now + left),
+            departs_at: entry.remaining_ms.map(|left| now + left),
             entry,
             listed: true,
             used: Resources::default(),
             runs: BTreeMap::new(),
             clock: None,
-            greeted: false,
-            granted_until: 0,
-            others_lapse_at,
-            hold: Hold {
-                open: None,
-                due: now,
+            has_responded: false,
+            lease_granted_until: 0,
+            previous_leases_expire_at,
+            lease: LeaseRenewal {
+                in_flight: None,
+                renew_at: now,
             },
-            last_seen: 0,
-            proposed_seen: 0,
-            doubted_at: None,
-            unanswered: 0,
+            acknowledged_completion: 0,
+            proposed_completion: 0,
+            suspected_since: None,
+            unanswered_renewals: 0,
             health: Health::default(),
         }
     }
 
-    /// Resources that no run takes up.
-    pub(crate) fn room(&self) -> Resources {
+    /// Creates a worker that the log names and the platform does not list.
+    pub(crate) fn unlisted(
+        incarnation: &str,
+        now: Millis,
+        previous_leases_expire_at: Millis,
+    ) -> Worker {
+        let entry = WorkerEntry {
+            incarnation: incarnation.to_owned(),
+            ..WorkerEntry::default()
+        };
+        Worker {
+            listed: false,
+            ..Worker::new(entry, now, previous_leases_expire_at)
+        }
+    }
+
+    /// The resources that no run takes up.
+    pub(crate) fn free_capacity(&self) -> Resources {
         self.entry.capacity.minus(&self.used)
     }
 
-    /// Whether this much fits beside its runs.
-    pub(crate) fn has_room_for(&self, resources: &Resources) -> bool {
+    /// Whether so much fits beside its runs.
+    pub(crate) fn has_capacity_for(&self, resources: &Resources) -> bool {
         resources.plus(&self.used).fits(&self.entry.capacity)
     }
 
-    /// Whether it has left too many calls unanswered to be given more work.
-    pub(crate) fn silent(&self) -> bool {
-        self.unanswered >= 2
+    /// Whether it has left too many renewals unanswered to be sent orders.
+    pub(crate) fn is_unresponsive(&self) -> bool {
+        self.unanswered_renewals >= 2
     }
 
-    /// Whether it has answered under this scheduler's token, and all calls since.
-    pub(crate) fn answers(&self) -> bool {
-        self.greeted && self.unanswered == 0 && self.doubted_at.is_none()
+    /// Whether it has replied under this scheduler's token, and to all calls since.
+    pub(crate) fn is_responsive(&self) -> bool {
+        self.has_responded && self.unanswered_renewals == 0 && self.suspected_since.is_none()
     }
 
     /// Whether new runs may be placed here.
-    pub(crate) fn takes_work(&self, now: Millis) -> bool {
-        self.answers() && self.listed && !self.draining && self.health.takes_work(now)
+    pub(crate) fn is_schedulable(&self, now: Millis) -> bool {
+        self.is_responsive() && self.listed && !self.draining && self.health.is_schedulable(now)
+    }
+
+    /// A run with this id.
+    pub(crate) fn run_mut(&mut self, task: &TaskId, id: RunId) -> Option<&mut Run> {
+        self.runs.get_mut(task).filter(|run| run.id == id)
+    }
+
+    /// All its runs, with the newest checkpoints that it has listed.
+    pub(crate) fn lost_runs(&self) -> Vec<RunStart> {
+        self.runs
+            .iter()
+            .map(|(task, run)| run.to_lost(*task, &self.entry.incarnation))
+            .collect()
     }
 
+    /// Adds a run and takes up its capacity.
     pub(crate) fn add_run(&mut self, task: TaskId, run: Run) {
         if let Some(old) = self.runs.insert(task, run.clone()) {
             self.used = self.used.minus(&old.resources);
@@ -195,7 +150,7 @@
     }
 
     pub(crate) fn remove_run(&mut self, task: &TaskId, run: RunId) -> Option<Run> {
-        if self.runs.get(task)?.run != run {
+        if self.runs.get(task)?.id != run {
             return None;
         }
         let removed = self.runs.remove(task)?;
@@ -203,37 +158,35 @@
         Some(removed)
     }
 
-    /// The latest that the worker's clock can show now; `None` while it was never read.
-    pub(crate) fn clock_now(&self, now: Millis) -> Option<u64> {
+    /// The latest that the worker's clock can show now; `None`: it was never read.
+    pub(crate) fn max_clock(&self, now: Millis) -> Option<u64> {
         let reading = self.clock?;
         Some(reading.worker_ms + now.saturating_sub(reading.received_at))
     }
 
     /// The earliest that the worker's clock can show now.
-    pub(crate) fn clock_at_least(&self, now: Millis) -> Option<u64> {
+    pub(crate) fn min_clock(&self, now: Millis) -> Option<u64> {
         let reading = self.clock?;
-        let passed = now.saturating_sub(reading.received_at) as f64 * SLOWEST_CLOCK;
+        let passed = now.saturating_sub(reading.received_at) as f64 * MIN_CLOCK_RATE;
         Some(reading.worker_ms + passed as u64)
     }
 
-    /// Whether every hold ever granted to it has surely run out, so that nothing runs there any more.
-    pub(crate) fn surely_lapsed(&self, now: Millis) -> bool {
-        if !self.greeted && now < self.others_lapse_at {
+    /// Whether every lease ever granted to it has surely expired, so that nothing runs there any more.
+    pub(crate) fn all_leases_expired(&self, now: Millis) -> bool {
+        if !self.has_responded && now < self.previous_leases_expire_at {
             return false;
         }
-        match self.clock_at_least(now) {
-            Some(clock) => clock > self.granted_until,
-            None => now >= self.others_lapse_at,
+        match self.min_clock(now) {
+            Some(clock) => clock > self.lease_granted_until,
+            None => now >= self.previous_leases_expire_at,
         }
     }
 
-    /// Takes a reading of the clock from an answer.
+    /// Takes a reading of the clock from a reply.
     pub(crate) fn read_clock(&mut self, worker_ms: Option<u64>, now: Millis) {
         let Some(worker_ms) = worker_ms else { return };
-        // Answers may overtake each other: an older reading would set the clock back.
-        let newer = self
-            .clock_at_least(now)
-            .is_none_or(|known| worker_ms >= known);
+        // Replies may overtake each other: an older reading would set the clock back.
+        let newer = self.min_clock(now).is_none_or(|known| worker_ms >= known);
         if newer {
             self.clock = Some(ClockReading {
                 worker_ms,
@@ -257,14 +210,3 @@
         self.entry.labels.last().map_or("", String::as_str)
     }
 }
-
-/// About how long a run still takes, by its progress or else by the client's guess.
-pub(crate) fn remaining_ms(run: &Run, now: Millis) -> Millis {
-    const TELLING_PERCENT: u64 = 10;
-    let passed = now.saturating_sub(run.started_at);
-    let percent = run.progress.percent;
-    if percent >= TELLING_PERCENT {
-        return passed * (100 - percent.min(100)) / percent;
-    }
-    run.estimated_ms.saturating_sub(passed)
-}
--- /dev/null
+++ b/system/scheduler/tests/lease_renewal.rs
@@ -0,0 +1,158 @@
+//! Leases are renewed when a worker changes and when time alone calls for it, without a scan at each step.
+mod common;
+
+use common::{long_polls, step, task, Harness};
+use googletest::prelude::*;
+use magpiegap_protocol::{
+    Command, CompletionKind, JobId, JobSpec, RunCompletion, Submission, WallMillis,
+};
+use magpiegap_scheduler::{
+    ListedCompletion, ListedRun, Output, WorkerCall, WorkerOrder, WorkerReply,
+};
+
+const WORKERS: [&str; 3] = ["w1", "w2", "w3"];
+
+fn renewals(calls: &[WorkerCall]) -> Vec<WorkerCall> {
+    let is_renewal = |call: &&WorkerCall| matches!(call.order, WorkerOrder::Hold { .. });
+    calls.iter().filter(is_renewal).cloned().collect()
+}
+
+/// A run on a worker that was started; its renewal is in flight.
+fn harness_with_one_run() -> (Harness, WorkerCall) {
+    let mut harness = Harness::new(&WORKERS);
+    harness.submit(1, vec![step(1, 1000)]);
+    for start in harness.starts() {
+        harness.reply(&start, harness.done());
+    }
+    harness.advance(1);
+    let renewal = renewals(&harness.take_calls()).pop().expect("a renewal");
+    (harness, renewal)
+}
+
+#[googletest::test]
+fn given_idle_workers_when_a_run_is_only_proposed_then_the_lease_there_is_renewed_at_once() {
+    let mut harness = Harness::new(&WORKERS);
+    // Just after a scan that found nothing due.
+    harness.advance(1);
+    harness.take_calls();
+    let submission = Submission {
+        job: JobId(1),
+        queue: "q".to_owned(),
+        service: "s".to_owned(),
+        priority: 0,
+        max_attempts: 3,
+        stretch: 2.0,
+        target_latency_ms: 1000,
+        submitted_ms: WallMillis(1_000_000 + harness.now),
+        spec: JobSpec {
+            steps: vec![step(1, 1000)],
+            ..JobSpec::default()
+        },
+    };
+    harness.scheduler.submit(harness.now, submission);
+    harness.scheduler.run(
+        harness.now,
+        WallMillis(1_000_000 + harness.now),
+        &harness.state,
+    );
+    let is_renewal = |output: &Output| matches!(output, Output::Call(call) if matches!(call.order, WorkerOrder::Hold { .. }));
+    expect_that!(
+        harness
+            .scheduler
+            .poll_outputs()
+            .iter()
+            .filter(|output| is_renewal(output))
+            .count(),
+        eq(1)
+    );
+}
+
+#[googletest::test]
+fn given_a_completion_when_it_is_recorded_then_the_next_renewal_is_sent_at_once() {
+    let mut harness = Harness::new(&["w1"]);
+    harness.submit(1, vec![step(2, 1000)]);
+    for start in harness.starts() {
+        harness.reply(&start, harness.done());
+    }
+    harness.advance(1);
+    let renewal = renewals(&harness.take_calls()).pop().expect("a renewal");
+    let ended = ListedCompletion {
+        number: 1,
+        task: task(1, 0),
+        run: 1,
+        kind: CompletionKind::Done,
+        checkpoint: String::new(),
+    };
+    let running = ListedRun {
+        task: task(1, 1),
+        run: 1,
+        checkpoint: String::new(),
+        percent: 10,
+    };
+    harness.reply(&renewal, harness.listing(vec![running], vec![ended]));
+    // The completion goes to the log and comes back.
+    harness.advance(0);
+    expect_that!(renewals(&harness.take_calls()).len(), eq(1));
+}
+
+#[googletest::test]
+fn given_a_renewal_without_a_reply_when_only_time_passes_then_it_is_sent_again() {
+    let (mut harness, renewal) = harness_with_one_run();
+    harness.reply(&renewal, WorkerReply::Unanswered);
+    harness.advance(5);
+    expect_that!(renewals(&harness.take_calls()), is_empty());
+    harness.advance(30);
+    let again = renewals(&harness.take_calls());
+    expect_that!(again.len(), eq(1));
+    expect_that!(again[0].incarnation, eq(&renewal.incarnation));
+}
+
+#[googletest::test]
+fn given_a_renewal_in_flight_when_time_passes_then_no_other_is_sent() {
+    let (mut harness, _) = harness_with_one_run();
+    for _ in 0..200 {
+        harness.advance(1);
+    }
+    expect_that!(long_polls(&harness.take_calls()), is_empty());
+}
+
+#[googletest::test]
+fn given_all_workers_full_when_one_gets_capacity_then_the_next_round_of_planning_finds_it() {
+    let names: Vec<String> = (0..60).map(|number| format!("w{number}")).collect();
+    let names: Vec<&str> = names.iter().map(String::as_str).collect();
+    let mut harness = Harness::new(&names);
+    for job in 0..60 {
+        harness.submit(job + 1, vec![step(1, 4000)]);
+    }
+    let starts = harness.starts();
+    expect_that!(starts.len(), eq(60));
+    for start in &starts {
+        harness.reply(start, harness.done());
+    }
+    // More are queued than one round considers, and the last of them needs little capacity.
+    for job in 0..100 {
+        harness.submit_with_priority(1000 + job, 1, vec![step(1, 3000 + job)]);
+    }
+    harness.submit_with_priority(2000, 1, vec![step(1, 500)]);
+    expect_that!(harness.starts(), is_empty());
+    let end = RunCompletion {
+        task: task(1, 0),
+        run: 1,
+        kind: CompletionKind::Done,
+        checkpoint: String::new(),
+    };
+    let freed = harness.active(task(1, 0)).pop().expect("a run");
+    harness.commit(Command::RecordCompletions {
+        incarnation: freed.clone(),
+        last_seen: 1,
+        ends: vec![end],
+    });
+    harness.advance(25);
+    let started: Vec<String> = harness
+        .starts()
+        .into_iter()
+        .map(|call| call.incarnation)
+        .collect();
+    expect_that!(started, not(is_empty()));
+    expect_that!(started, each(eq(&freed)));
+}
