--- a/system/magpiegap/src/proxy/service_admission.rs
+++ b/system/magpiegap/src/proxy/service_admission.rs
@@ -1,7 +1,7 @@
 //! Admission of one service: the decision module with its settings, tenants and upstream.
 use balancer_core::{
-    Action, Availability, Balancer, Class, Event, Endpoint, EndpointUpdate, Request, RequestId, Settings,
-    Tenant, UpstreamId,
+    Action, Availability, Balancer, Class, Endpoint, EndpointUpdate, Event, Request, RequestId,
+    Settings, Tenant, UpstreamId,
 };
 
 /// Maximum number of queues of one service that are tenants of their own; further ones share the last tenant.
