--- a/system/coordinator/src/counters.rs
+++ b/system/coordinator/src/counters.rs
@@ -40,7 +40,7 @@
         self.entries += 1;
         for change in &applied.changes {
             match change {
-                Change::RunOpened(_) => self.runs_opened += 1,
+                Change::RunStarted(_) => self.runs_opened += 1,
                 Change::RunClosed {
                     kind: Some(CompletionKind::Done),
                     ..
--- a/system/coordinator/src/describe.rs
+++ b/system/coordinator/src/describe.rs
@@ -162,7 +162,7 @@
         }
         match state.roles.get(&Role::Scheduler(service.clone())) {
             Some(role) if role.holder != self.replica.own() => {
-                CoordinatorResponse::Elsewhere(role.holder.member.address)
+                CoordinatorResponse::Redirect(role.holder.member.address)
             }
             _ => CoordinatorResponse::NotServing,
         }
--- a/system/coordinator/src/feeds.rs
+++ b/system/coordinator/src/feeds.rs
@@ -91,7 +91,9 @@
     }
 
     fn feed_for(&mut self, poll: &FeedPoll) -> CoordinatorResponse {
-        let change = self.configurations.small_change(poll.configuration_version);
+        let change = self
+            .configurations
+            .inline_change(poll.configuration_version);
         if let Some(chunk) = &change {
             self.counters.count_chunk(chunk);
         }
--- a/system/coordinator/src/job_list.rs
+++ b/system/coordinator/src/job_list.rs
@@ -13,14 +13,14 @@
     /// The newest entry of the log that the coordinator has applied.
     pub entry: u64,
     /// The jobs, in the order of their names.
-    pub jobs: Vec<JobLine>,
+    pub jobs: Vec<JobRow>,
     /// The last job listed, where more follow; `None`: the list is complete.
     pub next: Option<String>,
 }
 
 /// One job of a list. The fields are names of the operator's interface.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobLine {
+pub struct JobRow {
     /// Its name.
     pub job: String,
     /// The queue to which it was submitted.
@@ -53,10 +53,10 @@
         };
         let remaining = state.jobs.range((after, Bound::Unbounded));
         let mut found = remaining.map(|(_, job)| job).filter(|job| matches(job));
-        let jobs: Vec<JobLine> = found
+        let jobs: Vec<JobRow> = found
             .by_ref()
             .take(limit)
-            .map(|job| JobLine::of(job))
+            .map(|job| JobRow::of(job))
             .collect();
         let has_more = found.next().is_some();
         let next = jobs
@@ -71,8 +71,8 @@
     }
 }
 
-impl JobLine {
-    fn of(job: &Job) -> JobLine {
+impl JobRow {
+    fn of(job: &Job) -> JobRow {
         let steps = || {
             job.occurrences
                 .values()
@@ -85,10 +85,10 @@
                 .sum::<usize>()
         };
         let submission = &job.submission;
-        JobLine {
+        JobRow {
             job: submission.job.to_string(),
             queue: submission.queue.clone(),
-            state: job.phase.word().to_owned(),
+            state: job.phase.as_str().to_owned(),
             priority: submission.priority,
             submitted_ms: submission.submitted_ms.0,
             tasks: steps().map(|step| step.tasks.len()).sum(),
--- a/system/coordinator/src/lib.rs
+++ b/system/coordinator/src/lib.rs
@@ -31,7 +31,7 @@
 pub use coordinator::Coordinator;
 pub use counters::Counters;
 pub use describe::{ClusterDescription, RoleDescription, SchedulerDescription};
-pub use job_list::{JobLine, JobList};
+pub use job_list::{JobList, JobRow};
 pub use machine::{take_snapshot, Machine};
 pub use outputs::{Output, PlatformReply, RequestId};
 pub use settings::CoordinatorSettings;
--- a/system/coordinator/src/platform.rs
+++ b/system/coordinator/src/platform.rs
@@ -57,7 +57,7 @@
                 match next {
                     Some(page) => self.request_platform_page(Some(page)),
                     None => {
-                        reader.schedule_read(now + self.settings.list_every_ms);
+                        reader.schedule_read(now + self.settings.list_interval_ms);
                         self.publish_platform_list();
                     }
                 }
--- a/system/coordinator/src/settings.rs
+++ b/system/coordinator/src/settings.rs
@@ -13,5 +13,5 @@
     /// Duration of a lease: a role is acted on for this long after a proposal of this coordinator that was committed.
     pub lease_ms: Millis,
     /// Interval between two readings of the platform's list.
-    pub list_every_ms: Millis,
+    pub list_interval_ms: Millis,
 }
--- a/system/coordinator/src/steps.rs
+++ b/system/coordinator/src/steps.rs
@@ -83,8 +83,12 @@
             self.update_configuration();
             self.resume_schedulers();
         }
-        let concerns_feed =
-            |change: &Change| matches!(change, Change::Role(_) | Change::Configuration);
+        let concerns_feed = |change: &Change| {
+            matches!(
+                change,
+                Change::RoleClaimed(_) | Change::ConfigurationReplaced
+            )
+        };
         let feed_changed = restored
             || applied
                 .iter()
@@ -129,11 +133,11 @@
         let changes = &entry.applied.changes;
         if changes
             .iter()
-            .any(|change| matches!(change, Change::Role(_)))
+            .any(|change| matches!(change, Change::RoleClaimed(_)))
         {
             self.update_roles();
         }
-        if changes.contains(&Change::Configuration) {
+        if changes.contains(&Change::ConfigurationReplaced) {
             self.update_configuration();
         }
         if let Some(proposal) = proposal {
--- a/system/demo/src/worker_server.rs
+++ b/system/demo/src/worker_server.rs
@@ -153,10 +153,10 @@
 }
 
 fn hold_order(body: &OrderBody) -> WorkerOrder {
-    WorkerOrder::Hold {
+    WorkerOrder::RenewLease {
         deadline_ms: body.deadline_ms,
-        last_seen: body.last_seen,
-        wait_ms: body.wait_ms,
+        acknowledged_completion: body.last_seen,
+        long_poll_ms: body.wait_ms,
     }
 }
 
@@ -227,9 +227,9 @@
             409,
             serde_json::json!({ "clockMs": clock_ms, "reason": reason_word(reason) }),
         ),
-        WorkerReply::OtherLife => (421, serde_json::json!({})),
+        WorkerReply::OtherIncarnation => (421, serde_json::json!({})),
         WorkerReply::Unhealthy => (503, serde_json::json!({})),
-        WorkerReply::Rejected | WorkerReply::Unanswered => (400, serde_json::json!({})),
+        WorkerReply::Unreadable | WorkerReply::TimedOut => (400, serde_json::json!({})),
     };
     Answer { status, body }
 }
@@ -241,12 +241,12 @@
         .map(|run| serde_json::json!([run.task.to_string(), run.run, run.checkpoint, run.percent]))
         .collect();
     let ended: Vec<serde_json::Value> = listing
-        .ended
+        .completed
         .iter()
         .map(|end| {
             let how = end_word(end.kind);
             serde_json::json!([
-                end.number,
+                end.sequence,
                 end.task.to_string(),
                 end.run,
                 how,
@@ -259,10 +259,10 @@
 
 fn reason_word(reason: RefusalReason) -> &'static str {
     match reason {
-        RefusalReason::RoleToken => "fence",
-        RefusalReason::Old => "old",
-        RefusalReason::Late => "late",
-        RefusalReason::Room => "room",
+        RefusalReason::StaleToken => "fence",
+        RefusalReason::Superseded => "old",
+        RefusalReason::DeadlinePassed => "late",
+        RefusalReason::NoCapacity => "room",
     }
 }
 
@@ -271,8 +271,8 @@
         CompletionKind::Done => "done",
         CompletionKind::Failed => "failed",
         CompletionKind::Stopped => "stopped",
-        CompletionKind::Lapsed => "lapsed",
-        CompletionKind::Broken => "broken",
-        CompletionKind::Alone => "alone",
+        CompletionKind::LeaseExpired => "lapsed",
+        CompletionKind::GangEnded => "broken",
+        CompletionKind::GangTimedOut => "alone",
     }
 }
--- a/system/distribution/examples/sizes.rs
+++ b/system/distribution/examples/sizes.rs
@@ -24,7 +24,7 @@
     let complete = source
         .chunk(&Default::default())
         .map_or(0, |chunk| chunk.length);
-    let change = source.small_change(1).map_or(0, |chunk| chunk.length);
+    let change = source.inline_change(1).map_or(0, |chunk| chunk.length);
     (complete, change)
 }
 
--- a/system/distribution/src/agent.rs
+++ b/system/distribution/src/agent.rs
@@ -190,7 +190,7 @@
     }
 
     fn handle_poll_outcome(&mut self, now: Millis, number: usize, outcome: CallOutcome) {
-        let has_timed_out = outcome == Err(CallFailure::Unanswered);
+        let has_timed_out = outcome == Err(CallFailure::NoResponse);
         let is_served = match outcome {
             Ok(CoordinatorResponse::Feed(feed)) => self.update_feed(*feed),
             Ok(_) | Err(_) => false,
@@ -222,7 +222,7 @@
         if !self.fetcher.is_in_flight() {
             return;
         }
-        let has_timed_out = outcome == Err(CallFailure::Unanswered);
+        let has_timed_out = outcome == Err(CallFailure::NoResponse);
         let received = match outcome {
             Ok(CoordinatorResponse::ConfigurationChunk(chunk)) => self.receiver.take(*chunk),
             Ok(_) | Err(_) => Received::Unusable,
--- a/system/distribution/src/call.rs
+++ b/system/distribution/src/call.rs
@@ -31,7 +31,7 @@
     /// No connection was established.
     NotConnected,
     /// No response came in time, or none that can be read.
-    Unanswered,
+    NoResponse,
 }
 
 /// Whether a call is in flight.
--- a/system/distribution/src/source.rs
+++ b/system/distribution/src/source.rs
@@ -90,7 +90,7 @@
     }
 
     /// The change from a version to the newest one, where it is small enough to be sent with the feed.
-    pub fn small_change(&mut self, base: u64) -> Option<ConfigurationChunk> {
+    pub fn inline_change(&mut self, base: u64) -> Option<ConfigurationChunk> {
         if self.newest()?.version <= base {
             return None;
         }
--- a/system/distribution/tests/slow_link/mod.rs
+++ b/system/distribution/tests/slow_link/mod.rs
@@ -257,7 +257,7 @@
     }
 
     fn poll_response(&mut self, at: usize, feed: &Feed, poll: &FeedPoll) -> CoordinatorResponse {
-        let change = self.sources[at].small_change(poll.configuration_version);
+        let change = self.sources[at].inline_change(poll.configuration_version);
         CoordinatorResponse::Feed(Box::new(Feed {
             change,
             ..feed.clone()
@@ -305,7 +305,7 @@
     ) -> Option<Result<CoordinatorResponse, CallFailure>> {
         let call = &in_flight.call;
         let timeout_at = in_flight.started_at + call.first_byte_timeout_ms;
-        let timed_out = || (self.now >= timeout_at).then_some(Err(CallFailure::Unanswered));
+        let timed_out = || (self.now >= timeout_at).then_some(Err(CallFailure::NoResponse));
         let Some(arriving) = &in_flight.arriving else {
             return timed_out();
         };
--- a/system/distribution/tests/transfers.rs
+++ b/system/distribution/tests/transfers.rs
@@ -40,10 +40,10 @@
 #[googletest::test]
 fn given_a_small_difference_when_the_feed_is_sent_then_it_goes_with_it() {
     let mut source = source([configuration(3, 0..MANY), configuration(4, 0..MANY + 2)]);
-    expect_that!(source.small_change(3).is_some(), eq(true));
-    expect_that!(source.small_change(4), none());
+    expect_that!(source.inline_change(3).is_some(), eq(true));
+    expect_that!(source.inline_change(4), none());
     // The complete configuration is too long.
-    expect_that!(source.small_change(0), none());
+    expect_that!(source.inline_change(0), none());
 }
 
 #[googletest::test]
@@ -121,7 +121,7 @@
         eq(&configuration(5, 0..5))
     );
     expect_that!(
-        forwarded.small_change(3).map(|chunk| chunk.transfer.base),
+        forwarded.inline_change(3).map(|chunk| chunk.transfer.base),
         some(eq(3))
     );
 }
@@ -161,7 +161,7 @@
         .expect("a chunk");
     expect_that!(matches!(receiver.take(older), Received::Unusable), eq(true));
     let mut unrelated = common::source([configuration(7, 0..2), configuration(8, 0..4)]);
-    let building_on_seven = unrelated.small_change(7).expect("a small difference");
+    let building_on_seven = unrelated.inline_change(7).expect("a small difference");
     expect_that!(
         matches!(receiver.take(building_on_seven), Received::Unusable),
         eq(true)
--- a/system/fleet/src/client.rs
+++ b/system/fleet/src/client.rs
@@ -88,7 +88,7 @@
             (CoordinatorRequest::Submit(_), CoordinatorResponse::Accepted) => self.accepted = true,
             (
                 CoordinatorRequest::Submit(_),
-                CoordinatorResponse::NotServing | CoordinatorResponse::Full,
+                CoordinatorResponse::NotServing | CoordinatorResponse::NoCapacity,
             ) => {
                 self.rejected = self.tries == 1 && self.gives_up();
             }
--- a/system/fleet/src/edge.rs
+++ b/system/fleet/src/edge.rs
@@ -106,7 +106,7 @@
         for under_way in ended {
             let answer = match under_way.arriving {
                 Some(arriving) if now >= arriving.whole_at => Ok(arriving.answer),
-                _ => Err(CallFailure::Unanswered),
+                _ => Err(CallFailure::NoResponse),
             };
             self.agent.answered(now, under_way.call.id, answer);
         }
--- a/system/fleet/src/machines.rs
+++ b/system/fleet/src/machines.rs
@@ -209,6 +209,6 @@
             ..SchedulerSettings::default()
         },
         lease_ms: 900,
-        list_every_ms: 600,
+        list_interval_ms: 600,
     }
 }
--- a/system/fleet/src/oracle.rs
+++ b/system/fleet/src/oracle.rs
@@ -94,7 +94,7 @@
                     .or_default()
                     .insert(run);
             }
-            CompletionKind::Alone => self.waited_alone += 1,
+            CompletionKind::GangTimedOut => self.waited_alone += 1,
             _ => {}
         }
     }
--- a/system/fleet/src/orders.rs
+++ b/system/fleet/src/orders.rs
@@ -21,7 +21,7 @@
         let unanswered = Event::Reply {
             to: from.clone(),
             call: call.id,
-            reply: WorkerReply::Unanswered,
+            reply: WorkerReply::TimedOut,
         };
         self.schedule(call.timeout_ms, unanswered);
         let Some(worker) = self.workers.iter().position(|worker| {
@@ -80,13 +80,15 @@
         let Some(from) = from.filter(|_| cut.is_none()) else {
             return;
         };
-        if let WorkerOrder::Hold {
-            last_seen, wait_ms, ..
+        if let WorkerOrder::RenewLease {
+            acknowledged_completion,
+            long_poll_ms: wait_ms,
+            ..
         } = call.order
         {
             let news = self.workers[number]
                 .as_ref()
-                .is_none_or(|worker| worker.has_news(last_seen));
+                .is_none_or(|worker| worker.has_news(acknowledged_completion));
             if wait_ms > 0 && !news && matches!(reply, WorkerReply::Done { .. }) {
                 self.schedule(
                     STEP_MS,
@@ -112,13 +114,17 @@
     }
 
     pub(crate) fn wait_on(&mut self, number: usize, from: Caller, call: WorkerCall, until: u64) {
-        let WorkerOrder::Hold { last_seen, .. } = call.order else {
+        let WorkerOrder::RenewLease {
+            acknowledged_completion,
+            ..
+        } = call.order
+        else {
             return;
         };
         let Some(worker) = self.workers[number].as_mut() else {
             return;
         };
-        if !worker.has_news(last_seen) && self.now < until {
+        if !worker.has_news(acknowledged_completion) && self.now < until {
             self.schedule(
                 STEP_MS,
                 Event::Waiting {
@@ -131,10 +137,10 @@
             return;
         }
         let look = WorkerCall {
-            order: WorkerOrder::Hold {
+            order: WorkerOrder::RenewLease {
                 deadline_ms: None,
-                last_seen,
-                wait_ms: 0,
+                acknowledged_completion,
+                long_poll_ms: 0,
             },
             ..call
         };
--- a/system/fleet/src/watching.rs
+++ b/system/fleet/src/watching.rs
@@ -139,7 +139,10 @@
         {
             self.report(
                 now,
-                format!("{by} shows job {job} as {}, and it had ended", phase.word()),
+                format!(
+                    "{by} shows job {job} as {}, and it had ended",
+                    phase.as_str()
+                ),
             );
         }
     }
--- a/system/fleet/src/worker.rs
+++ b/system/fleet/src/worker.rs
@@ -151,7 +151,7 @@
         self.over.insert(task, running.run);
         let checkpoint = running.checkpoint(now, task);
         let end = ListedCompletion {
-            number: self.number,
+            sequence: self.number,
             task,
             run: running.run,
             kind: how,
@@ -180,15 +180,17 @@
         if clock > self.hold_until {
             let lapsed: Vec<TaskId> = self.runs.keys().copied().collect();
             for task in lapsed {
-                self.end(now, task, CompletionKind::Lapsed);
+                self.end(now, task, CompletionKind::LeaseExpired);
             }
             self.lapsed_up_to = self.number;
         }
     }
 
     /// Whether a hold with these terms would be answered now.
-    pub fn has_news(&self, last_seen: u64) -> bool {
-        self.ended.iter().any(|end| end.number > last_seen)
+    pub fn has_news(&self, acknowledged_completion: u64) -> bool {
+        self.ended
+            .iter()
+            .any(|end| end.sequence > acknowledged_completion)
     }
 
     /// Takes what it has done since this was last asked.
@@ -199,14 +201,14 @@
     /// Carries out an order.
     pub fn take(&mut self, now: u64, call: &WorkerCall, work: Option<Work>) -> WorkerReply {
         if call.incarnation != self.entry.incarnation {
-            return WorkerReply::OtherLife;
+            return WorkerReply::OtherIncarnation;
         }
         self.pass_time(now);
         let clock_ms = Some(self.clock(now));
         if call.token < self.token {
             return WorkerReply::Refused {
                 clock_ms,
-                reason: RefusalReason::RoleToken,
+                reason: RefusalReason::StaleToken,
             };
         }
         self.token = call.token;
@@ -225,15 +227,15 @@
                     listing: None,
                 }
             }
-            WorkerOrder::Hold {
+            WorkerOrder::RenewLease {
                 deadline_ms,
-                last_seen,
+                acknowledged_completion,
                 ..
             } => {
                 self.extend(now, deadline_ms.unwrap_or(0));
                 let (noted, kept) = std::mem::take(&mut self.ended)
                     .into_iter()
-                    .partition(|end| end.number <= *last_seen);
+                    .partition(|end| end.sequence <= *acknowledged_completion);
                 self.ended = kept;
                 self.note(noted);
                 WorkerReply::Done {
@@ -247,7 +249,7 @@
     fn note(&mut self, ends: Vec<ListedCompletion>) {
         let in_time = ends
             .into_iter()
-            .filter(|end| end.number > self.lapsed_up_to);
+            .filter(|end| end.sequence > self.lapsed_up_to);
         let noted: Vec<NotedEnd> = in_time
             .map(|end| NotedEnd {
                 task: end.task,
@@ -277,7 +279,7 @@
         let clock_ms = Some(self.clock(now));
         let refused = |reason| WorkerReply::Refused { clock_ms, reason };
         if self.clock(now) > deadline_ms {
-            return refused(RefusalReason::Late);
+            return refused(RefusalReason::DeadlinePassed);
         }
         self.extend(now, deadline_ms);
         if let Some(running) = self.runs.get(&task) {
@@ -287,19 +289,19 @@
                     listing: None,
                 }
             } else {
-                refused(RefusalReason::Old)
+                refused(RefusalReason::Superseded)
             };
         }
         if self.over.get(&task).is_some_and(|over| *over >= run) {
-            return refused(RefusalReason::Old);
+            return refused(RefusalReason::Superseded);
         }
         let Some(work) = work else {
-            return WorkerReply::Rejected;
+            return WorkerReply::Unreadable;
         };
         let room = self.entry.capacity.minus(&self.used());
         let fits = work.resources.fits(&room);
         if self.guards && !fits {
-            return refused(RefusalReason::Room);
+            return refused(RefusalReason::NoCapacity);
         }
         self.runs
             .insert(task, Running::new(now, run, checkpoint, &work));
@@ -337,7 +339,7 @@
         };
         Listing {
             running: self.runs.iter().map(listed).collect(),
-            ended: self.ended.clone(),
+            completed: self.ended.clone(),
         }
     }
 
@@ -371,9 +373,9 @@
         };
         let Some(gang) = running.gang else { return };
         if gang.together.is_some() {
-            self.end(now, task, CompletionKind::Broken);
+            self.end(now, task, CompletionKind::GangEnded);
         } else if now >= running.started + gang_ms {
-            self.end(now, task, CompletionKind::Alone);
+            self.end(now, task, CompletionKind::GangTimedOut);
         }
     }
 }
--- a/system/fleet/tests/run_model/running.rs
+++ b/system/fleet/tests/run_model/running.rs
@@ -131,14 +131,14 @@
     }
 
     pub(crate) fn send(&mut self, holder: usize, call: WorkerCall) {
-        let is_hold = matches!(call.order, WorkerOrder::Hold { .. });
+        let is_hold = matches!(call.order, WorkerOrder::RenewLease { .. });
         let under_way = self.calls.iter().filter(|call| !call.is_given_up).count();
         if is_hold && under_way >= MOST_CALLS {
             // As good as lost, and answered so.
             self.answers.push(Answer {
                 holder,
                 call: call.id,
-                reply: WorkerReply::Unanswered,
+                reply: WorkerReply::TimedOut,
             });
             return;
         }
@@ -167,7 +167,7 @@
                 self.answers.push(Answer {
                     holder,
                     call: call.id,
-                    reply: WorkerReply::Unanswered,
+                    reply: WorkerReply::TimedOut,
                 });
             }
             return;
@@ -253,7 +253,7 @@
             reply,
         } = self.answers.remove(position);
         let reply = if is_lost {
-            WorkerReply::Unanswered
+            WorkerReply::TimedOut
         } else {
             reply
         };
--- a/system/fleet/tests/run_model/steps.rs
+++ b/system/fleet/tests/run_model/steps.rs
@@ -89,7 +89,7 @@
                 world.answers.push(Answer {
                     holder,
                     call: call.id,
-                    reply: WorkerReply::Unanswered,
+                    reply: WorkerReply::TimedOut,
                 });
             }
             Step::GiveUp(position) => {
@@ -99,7 +99,7 @@
                 world.answers.push(Answer {
                     holder,
                     call,
-                    reply: WorkerReply::Unanswered,
+                    reply: WorkerReply::TimedOut,
                 });
             }
             Step::Answer(position) => world.answer(position, false),
--- a/system/jobs/src/apply.rs
+++ b/system/jobs/src/apply.rs
@@ -51,9 +51,9 @@
             Command::StartRuns { runs } => self.start_runs(runs),
             Command::RecordCompletions {
                 incarnation,
-                last_seen,
-                ends,
-            } => self.record_completions(incarnation, *last_seen, ends),
+                acknowledged_completion,
+                completions,
+            } => self.record_completions(incarnation, *acknowledged_completion, completions),
             Command::LoseRuns { runs } => self.lose_runs(runs),
             Command::LoseIncarnation { incarnation, ended } => {
                 self.lose_incarnation(incarnation, *ended)
--- a/system/jobs/src/apply_configuration.rs
+++ b/system/jobs/src/apply_configuration.rs
@@ -31,7 +31,7 @@
             return Outcome::Stale;
         }
         current.replace(version, body, change, fingerprint);
-        self.changes.push(Change::Configuration);
+        self.changes.push(Change::ConfigurationReplaced);
         Outcome::Done
     }
 
@@ -49,7 +49,7 @@
             token: expected.next(),
         };
         self.state.roles.insert(role.clone(), claimed);
-        self.changes.push(Change::Role(role.clone()));
+        self.changes.push(Change::RoleClaimed(role.clone()));
         Outcome::Done
     }
 }
--- a/system/jobs/src/apply_jobs.rs
+++ b/system/jobs/src/apply_jobs.rs
@@ -16,7 +16,7 @@
         *self.state.open_jobs.entry(queue).or_default() += 1;
         let job = Job::new(submission.clone());
         self.state.jobs.insert(id, Shared::new(job));
-        self.changes.push(Change::Job(id));
+        self.changes.push(Change::JobChanged(id));
         self.start_runs(runs);
         Outcome::Done
     }
@@ -27,7 +27,7 @@
             Some(job) if job.phase.is_terminal() => Outcome::Repeated,
             Some(_) => {
                 self.end_job(id, JobPhase::Cancelled);
-                self.changes.push(Change::Job(id));
+                self.changes.push(Change::JobChanged(id));
                 Outcome::Done
             }
         }
@@ -60,7 +60,7 @@
         if !is_opened {
             return Outcome::Void;
         }
-        self.changes.push(Change::Job(id));
+        self.changes.push(Change::JobChanged(id));
         Outcome::Done
     }
 
--- a/system/jobs/src/apply_runs.rs
+++ b/system/jobs/src/apply_runs.rs
@@ -12,7 +12,7 @@
         let mut outcome = Outcome::Void;
         for start in runs {
             if self.start_run(start).is_some() {
-                self.changes.push(Change::RunOpened(start.clone()));
+                self.changes.push(Change::RunStarted(start.clone()));
                 outcome = Outcome::Done;
             }
         }
@@ -53,15 +53,15 @@
     pub(crate) fn record_completions(
         &mut self,
         incarnation: &str,
-        last_seen: u64,
+        acknowledged_completion: u64,
         completions: &[RunCompletion],
     ) -> Outcome {
         let worker = self.state.workers.entry(incarnation.to_owned());
         let worker = worker.or_default();
-        if last_seen <= worker.last_seen {
+        if acknowledged_completion <= worker.acknowledged_completion {
             return Outcome::Repeated;
         }
-        worker.last_seen = last_seen;
+        worker.acknowledged_completion = acknowledged_completion;
         for completion in completions {
             let kind = Some(completion.kind);
             if self.close_run(incarnation, completion.task, completion.run, kind) {
@@ -71,7 +71,7 @@
         }
         self.changes.push(Change::CompletionsRecorded {
             incarnation: incarnation.to_owned(),
-            last_seen,
+            acknowledged_completion,
         });
         Outcome::Done
     }
@@ -149,7 +149,7 @@
                 self.end_job(id, JobPhase::Succeeded);
             }
         }
-        self.changes.push(Change::Job(id));
+        self.changes.push(Change::JobChanged(id));
     }
 
     pub(crate) fn lose_runs(&mut self, runs: &[RunStart]) -> Outcome {
--- a/system/jobs/src/change.rs
+++ b/system/jobs/src/change.rs
@@ -22,13 +22,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// Another configuration is current.
-    Configuration,
+    ConfigurationReplaced,
     /// A role has another holder.
-    Role(Role),
+    RoleClaimed(Role),
     /// A job was accepted, has progressed, or has ended.
-    Job(JobId),
+    JobChanged(JobId),
     /// A run may be active from now on.
-    RunOpened(RunStart),
+    RunStarted(RunStart),
     /// A run is not active any more.
     RunClosed {
         /// Its task.
@@ -45,7 +45,7 @@
         /// The worker's incarnation.
         incarnation: String,
         /// The highest one, by the worker's numbers.
-        last_seen: u64,
+        acknowledged_completion: u64,
     },
     /// A job that had ended was removed.
     JobForgotten(JobId),
--- a/system/jobs/src/job.rs
+++ b/system/jobs/src/job.rs
@@ -90,9 +90,9 @@
                 task.failures
             }
             CompletionKind::Stopped
-            | CompletionKind::Lapsed
-            | CompletionKind::Broken
-            | CompletionKind::Alone => 0,
+            | CompletionKind::LeaseExpired
+            | CompletionKind::GangEnded
+            | CompletionKind::GangTimedOut => 0,
         }
     }
 
--- a/system/jobs/src/lib.rs
+++ b/system/jobs/src/lib.rs
@@ -30,7 +30,7 @@
 pub use configuration_error::ConfigurationError;
 pub use consistency::Inconsistency;
 pub use job::{ActiveRun, Job, OccurrenceState, StepState, TaskState};
-pub use readiness::{startable, Startable};
+pub use readiness::{startable_units, StartableUnit};
 pub use route::Route;
 pub use route_table::RouteTable;
 pub use shared::Shared;
--- a/system/jobs/src/readiness.rs
+++ b/system/jobs/src/readiness.rs
@@ -4,14 +4,14 @@
 
 /// Tasks to be started: a single one, or all of a gang together.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Startable {
+pub struct StartableUnit {
     /// The first task.
     pub first: TaskId,
     /// Number of tasks; they have consecutive indexes.
     pub count: u32,
 }
 
-impl Startable {
+impl StartableUnit {
     /// The tasks, in the order of their indexes.
     pub fn tasks(&self) -> impl Iterator<Item = TaskId> + '_ {
         (0..self.count).map(|offset| TaskId {
@@ -22,7 +22,7 @@
 }
 
 /// The tasks of a job whose step is ready and that are neither done nor active, by occurrence, step and index.
-pub fn startable(job: &Job) -> Vec<Startable> {
+pub fn startable_units(job: &Job) -> Vec<StartableUnit> {
     let mut found = Vec::new();
     if job.phase.is_terminal() {
         return found;
@@ -55,10 +55,10 @@
     })
 }
 
-fn push_step(found: &mut Vec<Startable>, first: TaskId, spec: &StepSpec, step: &StepState) {
+fn push_step(found: &mut Vec<StartableUnit>, first: TaskId, spec: &StepSpec, step: &StepState) {
     if spec.gang {
         if step.tasks.iter().all(|task| task.active.is_empty()) {
-            found.push(Startable {
+            found.push(StartableUnit {
                 first,
                 count: step.tasks.len() as u32,
             });
@@ -67,7 +67,7 @@
     }
     for (index, task) in step.tasks.iter().enumerate() {
         if !task.done && task.active.is_empty() {
-            found.push(Startable {
+            found.push(StartableUnit {
                 first: TaskId {
                     index: index as u32,
                     ..first
--- a/system/jobs/src/state.rs
+++ b/system/jobs/src/state.rs
@@ -53,7 +53,7 @@
 pub struct WorkerRecord {
     /// The highest completion that was recorded, by the worker's numbers.
     #[n(0)]
-    pub last_seen: u64,
+    pub acknowledged_completion: u64,
     /// The latest run of each task that may be going on there.
     #[n(1)]
     pub runs: BTreeMap<TaskId, RunId>,
--- a/system/jobs/tests/consistency.rs
+++ b/system/jobs/tests/consistency.rs
@@ -65,8 +65,8 @@
         &mut state,
         Command::RecordCompletions {
             incarnation: "w".to_owned(),
-            last_seen: 1,
-            ends: vec![completion],
+            acknowledged_completion: 1,
+            completions: vec![completion],
         },
     );
     state
--- a/system/jobs/tests/golden/samples.rs
+++ b/system/jobs/tests/golden/samples.rs
@@ -108,7 +108,7 @@
 
 pub(crate) fn worker(ended: bool) -> WorkerRecord {
     WorkerRecord {
-        last_seen: 18,
+        acknowledged_completion: 18,
         runs: [(task(1), 19), (task(2), 20)].into(),
         ended,
     }
--- a/system/jobs/tests/state.rs
+++ b/system/jobs/tests/state.rs
@@ -3,7 +3,7 @@
 
 use common::{apply, apply_as, replica};
 use googletest::prelude::*;
-use magpiegap_jobs::{startable, Change, Outcome, State};
+use magpiegap_jobs::{startable_units, Change, Outcome, State};
 use magpiegap_protocol::{
     Command, CompletionKind, FencingToken, JobId, JobPhase, JobSpec, Role, RoleToken,
     RunCompletion, RunStart, StepSpec, Submission, TaskId, WallMillis,
@@ -71,7 +71,7 @@
 fn complete(
     state: &mut State,
     incarnation: &str,
-    last_seen: u64,
+    acknowledged_completion: u64,
     start: &RunStart,
     kind: CompletionKind,
 ) -> magpiegap_jobs::Applied {
@@ -85,8 +85,8 @@
         state,
         Command::RecordCompletions {
             incarnation: incarnation.to_owned(),
-            last_seen,
-            ends: completions,
+            acknowledged_completion,
+            completions: completions,
         },
     )
 }
@@ -103,12 +103,12 @@
         ..step(2)
     };
     submit(&mut state, submission(vec![step(1), second]));
-    expect_that!(startable(&state.jobs[&JOB]).len(), eq(1));
+    expect_that!(startable_units(&state.jobs[&JOB]).len(), eq(1));
     let first = start(0, 0, 1, "a");
     start_runs(&mut state, vec![first.clone()]);
-    expect_that!(startable(&state.jobs[&JOB]).len(), eq(0));
+    expect_that!(startable_units(&state.jobs[&JOB]).len(), eq(0));
     complete(&mut state, "a", 1, &first, CompletionKind::Done);
-    expect_that!(startable(&state.jobs[&JOB]).len(), eq(2));
+    expect_that!(startable_units(&state.jobs[&JOB]).len(), eq(2));
     expect_that!(phase(&state), eq(JobPhase::Running));
 }
 
@@ -178,7 +178,7 @@
         let started = start(0, 0, run, "a");
         start_runs(&mut state, vec![started.clone()]);
         let kind = if run % 2 == 0 {
-            CompletionKind::Lapsed
+            CompletionKind::LeaseExpired
         } else {
             CompletionKind::Stopped
         };
@@ -222,9 +222,9 @@
     complete(&mut state, "w0", 1, &runs[0], CompletionKind::Failed);
     complete(&mut state, "w1", 1, &runs[1], CompletionKind::Failed);
     expect_that!(phase(&state), eq(JobPhase::Running));
-    let counts: Vec<u32> = startable(&state.jobs[&JOB])
+    let counts: Vec<u32> = startable_units(&state.jobs[&JOB])
         .iter()
-        .map(|startable| startable.count)
+        .map(|startable_units| startable_units.count)
         .collect();
     expect_that!(counts, eq(&vec![2]));
 }
@@ -238,7 +238,7 @@
     apply(&mut state, Command::CancelJob { job: JOB });
     complete(&mut state, "a", 1, &first, CompletionKind::Stopped);
     expect_that!(phase(&state), eq(JobPhase::Cancelled));
-    expect_that!(startable(&state.jobs[&JOB]), is_empty());
+    expect_that!(startable_units(&state.jobs[&JOB]), is_empty());
     expect_that!(
         submit(&mut state, submission(vec![step(2)])),
         eq(Outcome::Repeated)
@@ -268,7 +268,7 @@
     repeated.spec.start_at_ms = WallMillis(5000);
     repeated.spec.interval_ms = 100;
     submit(&mut state, repeated);
-    expect_that!(startable(&state.jobs[&JOB]), is_empty());
+    expect_that!(startable_units(&state.jobs[&JOB]), is_empty());
     for occurrence in 0..2 {
         expect_that!(
             apply(
@@ -321,7 +321,7 @@
         let started = start(0, 0, run, "a");
         start_runs(&mut state, vec![started.clone()]);
         complete(&mut state, "a", u64::from(run), &started, kind);
-        expect_that!(startable(&state.jobs[&JOB]).len(), eq(1));
+        expect_that!(startable_units(&state.jobs[&JOB]).len(), eq(1));
     }
     expect_that!(phase(&state), eq(JobPhase::Running));
 }
@@ -344,7 +344,7 @@
         .filter(|change| matches!(change, Change::RunClosed { .. }))
         .count();
     expect_that!(closed, eq(2));
-    expect_that!(startable(&state.jobs[&JOB]).len(), eq(2));
+    expect_that!(startable_units(&state.jobs[&JOB]).len(), eq(2));
     expect_that!(state.workers.get("a"), none());
 }
 
--- a/system/magpiegap/src/agent/link.rs
+++ b/system/magpiegap/src/agent/link.rs
@@ -152,7 +152,7 @@
                 endpoint::call_while_progressing(&client, address, &call.request, timeouts).await;
             let failure = |error| match error {
                 CallError::NotSent => CallFailure::NotConnected,
-                CallError::Unanswered => CallFailure::Unanswered,
+                CallError::Unanswered => CallFailure::NoResponse,
             };
             CallOutcome {
                 id: call.id,
--- a/system/magpiegap/src/agent/server.rs
+++ b/system/magpiegap/src/agent/server.rs
@@ -30,10 +30,10 @@
 
     async fn feed(&self, poll: &FeedPoll) -> CoordinatorResponse {
         let feed = self.changed_feed(poll).await;
-        let small_change = |configurations: &mut ConfigurationSource| {
-            configurations.small_change(poll.configuration_version)
+        let inline_change = |configurations: &mut ConfigurationSource| {
+            configurations.inline_change(poll.configuration_version)
         };
-        let change = self.published.with_configurations(small_change);
+        let change = self.published.with_configurations(inline_change);
         CoordinatorResponse::Feed(Box::new(Feed {
             change,
             ..(*feed).clone()
--- a/system/magpiegap/src/coordinator/control_plane.rs
+++ b/system/magpiegap/src/coordinator/control_plane.rs
@@ -189,7 +189,7 @@
             Some(CoordinatorResponse::NoSuchJob) => {
                 Reply::text(Status::Gone, "there is no such job")
             }
-            Some(CoordinatorResponse::Elsewhere(address)) => {
+            Some(CoordinatorResponse::Redirect(address)) => {
                 let (ip, port) = (Ipv4Addr::from(address), self.port);
                 Reply::redirect(format!("http://{ip}:{port}{EXPLAIN_PATH}{name}"))
             }
--- a/system/magpiegap/src/coordinator/mod.rs
+++ b/system/magpiegap/src/coordinator/mod.rs
@@ -146,6 +146,6 @@
             lease_ms: LEASE_MS + SUSPICION_TIMEOUT_MS,
         },
         lease_ms: LEASE_MS,
-        list_every_ms: LIST_INTERVAL_MS,
+        list_interval_ms: LIST_INTERVAL_MS,
     }
 }
--- a/system/magpiegap/src/coordinator/worker_client.rs
+++ b/system/magpiegap/src/coordinator/worker_client.rs
@@ -111,14 +111,14 @@
 pub(super) async fn call(connections: WorkerConnections, call: WorkerCall) -> WorkerReply {
     // A worker whose address can't be read, or whose name can't be sent, can't be called.
     let Ok(address) = call.address.parse::<SocketAddr>() else {
-        return WorkerReply::Unanswered;
+        return WorkerReply::TimedOut;
     };
     let Ok(request) = http_request(&call) else {
-        return WorkerReply::Unanswered;
+        return WorkerReply::TimedOut;
     };
     let timeout = Duration::from_millis(call.timeout_ms);
     let Ok((status, body)) = connections.call(address, request, timeout).await else {
-        return WorkerReply::Unanswered;
+        return WorkerReply::TimedOut;
     };
     let response: ResponseBody = serde_json::from_slice(&body).unwrap_or_default();
     reply(&call, status.as_u16(), &response)
@@ -161,10 +161,10 @@
             };
             ("/-/run-stop", serde_json::to_vec(&body))
         }
-        WorkerOrder::Hold {
+        WorkerOrder::RenewLease {
             deadline_ms,
-            last_seen,
-            wait_ms,
+            acknowledged_completion: last_seen,
+            long_poll_ms: wait_ms,
         } => {
             let wait_ms = (*wait_ms > 0).then_some(*wait_ms);
             let body = LeaseBody {
@@ -185,25 +185,25 @@
         200..=299 => success(call, response, clock_ms),
         409 => match response.reason.as_deref().and_then(refusal_reason) {
             Some(reason) => WorkerReply::Refused { clock_ms, reason },
-            None => WorkerReply::Rejected,
+            None => WorkerReply::Unreadable,
         },
-        421 => WorkerReply::OtherLife,
+        421 => WorkerReply::OtherIncarnation,
         429 | 503 => WorkerReply::Unhealthy,
-        400..=499 => WorkerReply::Rejected,
+        400..=499 => WorkerReply::Unreadable,
         // Whether the order was carried out isn't known.
-        _ => WorkerReply::Unanswered,
+        _ => WorkerReply::TimedOut,
     }
 }
 
 fn success(call: &WorkerCall, response: &ResponseBody, clock_ms: Option<u64>) -> WorkerReply {
-    if !matches!(call.order, WorkerOrder::Hold { .. }) {
+    if !matches!(call.order, WorkerOrder::RenewLease { .. }) {
         return WorkerReply::Done {
             clock_ms,
             listing: None,
         };
     }
     if response.running.is_none() && response.completed.is_none() {
-        return WorkerReply::Unanswered;
+        return WorkerReply::TimedOut;
     }
     WorkerReply::Done {
         clock_ms,
@@ -214,10 +214,10 @@
 /// The reason of a refusal by its word on the wire.
 fn refusal_reason(word: &str) -> Option<RefusalReason> {
     match word {
-        "fence" => Some(RefusalReason::RoleToken),
-        "old" => Some(RefusalReason::Old),
-        "late" => Some(RefusalReason::Late),
-        "room" => Some(RefusalReason::Room),
+        "fence" => Some(RefusalReason::StaleToken),
+        "old" => Some(RefusalReason::Superseded),
+        "late" => Some(RefusalReason::DeadlinePassed),
+        "room" => Some(RefusalReason::NoCapacity),
         _ => None,
     }
 }
@@ -227,9 +227,9 @@
     match word {
         "done" => CompletionKind::Done,
         "failed" => CompletionKind::Failed,
-        "lapsed" => CompletionKind::Lapsed,
-        "broken" => CompletionKind::Broken,
-        "alone" => CompletionKind::Alone,
+        "lapsed" => CompletionKind::LeaseExpired,
+        "broken" => CompletionKind::GangEnded,
+        "alone" => CompletionKind::GangTimedOut,
         _ => CompletionKind::Stopped,
     }
 }
@@ -240,7 +240,7 @@
     let completed = response.completed.iter().flatten();
     Listing {
         running: running.filter_map(listed_run).collect(),
-        ended: completed.filter_map(listed_completion).collect(),
+        completed: completed.filter_map(listed_completion).collect(),
     }
 }
 
@@ -255,7 +255,7 @@
 
 fn listed_completion(row: &CompletionRow) -> Option<ListedCompletion> {
     Some(ListedCompletion {
-        number: row.number,
+        sequence: row.number,
         task: TaskId::parse(&row.task)?,
         run: row.run,
         kind: completion_kind(&row.kind),
--- a/system/magpiegap/src/proxy/calls.rs
+++ b/system/magpiegap/src/proxy/calls.rs
@@ -112,7 +112,7 @@
                 let call = self.call_scheduler(&service, holder, &request, deadline);
                 match call.await {
                     Ok(CoordinatorResponse::Accepted) => return SubmitOutcome::Accepted,
-                    Ok(CoordinatorResponse::Full) if !was_sent => return SubmitOutcome::Full,
+                    Ok(CoordinatorResponse::NoCapacity) if !was_sent => return SubmitOutcome::Full,
                     Ok(CoordinatorResponse::NotServing) | Err(CallError::NotSent) => {}
                     Ok(_) | Err(CallError::Unanswered) => was_sent = true,
                 }
--- a/system/magpiegap/src/proxy/frontend.rs
+++ b/system/magpiegap/src/proxy/frontend.rs
@@ -168,7 +168,7 @@
         };
         match self.calls.read(&request, deadline).await {
             Some(CoordinatorResponse::Phase(phase)) => {
-                Reply::json(format!("{{\"state\":\"{}\"}}", phase.word()))
+                Reply::json(format!("{{\"state\":\"{}\"}}", phase.as_str()))
             }
             Some(CoordinatorResponse::NoSuchJob) => Reply::status(Status::Gone),
             _ => Reply::status(Status::GatewayTimeout),
--- a/system/magpiegap/src/state_on_disk.rs
+++ b/system/magpiegap/src/state_on_disk.rs
@@ -114,7 +114,7 @@
     let mut queues: BTreeMap<String, BTreeMap<String, usize>> = BTreeMap::new();
     for job in state.jobs.values() {
         let by_phase = queues.entry(job.submission.queue.clone()).or_default();
-        *by_phase.entry(job.phase.word().to_owned()).or_default() += 1;
+        *by_phase.entry(job.phase.as_str().to_owned()).or_default() += 1;
     }
     queues
 }
--- a/system/magpiegap/tests/command_line.rs
+++ b/system/magpiegap/tests/command_line.rs
@@ -3,7 +3,7 @@
 use magpiegap::{check_configuration, parser, tables, StateOnDisk};
 use magpiegap_control::{DurableRecord, DurableState};
 use magpiegap_coordinator::take_snapshot;
-use magpiegap_coordinator::{ClusterDescription, JobLine, JobList};
+use magpiegap_coordinator::{ClusterDescription, JobList, JobRow};
 use magpiegap_jobs::{RoleState, State};
 use magpiegap_protocol::{
     encode, Command, Entry, FencingToken, LogIndex, LogPosition, Member, ProposalId, ReplicaId,
@@ -226,13 +226,13 @@
 
 #[googletest::test]
 fn given_a_list_of_jobs_when_it_is_printed_then_columns_are_aligned() {
-    let line = |job: &str, state: &str, tasks| JobLine {
+    let line = |job: &str, state: &str, tasks| JobRow {
         job: job.to_owned(),
         queue: "h/q/".to_owned(),
         state: state.to_owned(),
         tasks,
         done: 1,
-        ..JobLine::default()
+        ..JobRow::default()
     };
     let jobs = vec![
         line("0000000000000001", "running", 12),
--- a/system/magpiegap/tests/data_folder.rs
+++ b/system/magpiegap/tests/data_folder.rs
@@ -217,11 +217,11 @@
     }
 }
 
-fn ends(incarnation: &str, last_seen: u64, ends: Vec<RunCompletion>) -> Command {
+fn ends(incarnation: &str, acknowledged_completion: u64, ends: Vec<RunCompletion>) -> Command {
     Command::RecordCompletions {
         incarnation: incarnation.to_owned(),
-        last_seen,
-        ends,
+        acknowledged_completion,
+        completions: ends,
     }
 }
 
@@ -314,7 +314,12 @@
         ends(
             "w-2",
             7,
-            vec![end(task(LONG, 0, 1), 2, CompletionKind::Lapsed, "c-4")],
+            vec![end(
+                task(LONG, 0, 1),
+                2,
+                CompletionKind::LeaseExpired,
+                "c-4",
+            )],
         ),
         Command::StartRuns {
             runs: vec![
@@ -332,7 +337,7 @@
         ends(
             "w-2",
             8,
-            vec![end(task(LONG, 1, 1), 1, CompletionKind::Broken, "")],
+            vec![end(task(LONG, 1, 1), 1, CompletionKind::GangEnded, "")],
         ),
         Command::StartRuns {
             runs: vec![run(task(REPEATED, 0, 0), 1, "w-6", "")],
@@ -366,7 +371,7 @@
             "w-1",
             9,
             vec![
-                end(task(LONG, 1, 0), 2, CompletionKind::Alone, ""),
+                end(task(LONG, 1, 0), 2, CompletionKind::GangTimedOut, ""),
                 end(task(LONG, 1, 0), 1, CompletionKind::Stopped, ""),
             ],
         ),
@@ -609,7 +614,7 @@
 #[googletest::test]
 fn the_state_that_is_stored_has_something_of_each_kind() {
     let state = state_after(&entries()[..SECOND]);
-    let mut phases: Vec<&str> = state.jobs.values().map(|job| job.phase.word()).collect();
+    let mut phases: Vec<&str> = state.jobs.values().map(|job| job.phase.as_str()).collect();
     phases.sort_unstable();
     expect_that!(
         phases,
--- a/system/magpiegap/tests/jobs.rs
+++ b/system/magpiegap/tests/jobs.rs
@@ -30,7 +30,7 @@
         (job.steps[1].resources.gpu, job.steps[1].anti_affinity),
         eq((1, 2))
     );
-    expect_that!(job.longest_chain_ms(), eq(7900));
+    expect_that!(job.critical_path_ms(), eq(7900));
     expect_that!(job.scheduled_ms(2), some(eq(WallMillis(1_700_000_006_000))));
 }
 
--- a/system/magpiegap/tests/worker_bodies.rs
+++ b/system/magpiegap/tests/worker_bodies.rs
@@ -303,7 +303,10 @@
                 .unwrap();
         let mut ends = Vec::new();
         for entry in read.entries {
-            if let Command::RecordCompletions { ends: noted, .. } = entry.command {
+            if let Command::RecordCompletions {
+                completions: noted, ..
+            } = entry.command
+            {
                 ends.extend(noted);
             }
         }
@@ -459,9 +462,9 @@
         of_nobody(1, CompletionKind::Done, "c-1"),
         of_nobody(2, CompletionKind::Failed, ""),
         of_nobody(3, CompletionKind::Stopped, "c-3"),
-        of_nobody(4, CompletionKind::Lapsed, "c-4"),
-        of_nobody(5, CompletionKind::Broken, "c-5"),
-        of_nobody(6, CompletionKind::Alone, "c-6"),
+        of_nobody(4, CompletionKind::LeaseExpired, "c-4"),
+        of_nobody(5, CompletionKind::GangEnded, "c-5"),
+        of_nobody(6, CompletionKind::GangTimedOut, "c-6"),
         of_nobody(7, CompletionKind::Stopped, "c-7"),
         RunCompletion {
             task: own,
--- a/system/protocol/src/command.rs
+++ b/system/protocol/src/command.rs
@@ -70,10 +70,10 @@
         incarnation: String,
         /// Number of the last completion in the list.
         #[n(1)]
-        last_seen: u64,
+        acknowledged_completion: u64,
         /// The completions, in the order of their numbers.
         #[n(2)]
-        ends: Vec<RunCompletion>,
+        completions: Vec<RunCompletion>,
     },
     /// Closes runs that never began, or ended without a completion.
     #[n(7)]
@@ -121,7 +121,7 @@
                 submission.estimated_bytes() + RUN_BYTES * runs.len()
             }
             Command::StartRuns { runs } | Command::LoseRuns { runs } => RUN_BYTES * runs.len(),
-            Command::RecordCompletions { ends, .. } => RUN_BYTES * ends.len(),
+            Command::RecordCompletions { completions, .. } => RUN_BYTES * completions.len(),
             _ => 0,
         }
     }
--- a/system/protocol/src/job.rs
+++ b/system/protocol/src/job.rs
@@ -131,7 +131,7 @@
     }
 
     /// Length of the critical path: the longest chain of estimated durations through the steps, in milliseconds.
-    pub fn longest_chain_ms(&self) -> u64 {
+    pub fn critical_path_ms(&self) -> u64 {
         // Steps depend on earlier ones only, so that those before a step are known when it is reached.
         let mut chains: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
@@ -147,7 +147,7 @@
     }
 
     /// The longest chain of estimated durations that starts with a step, in milliseconds; zero for one that there is not.
-    pub fn chain_from_ms(&self, first: usize) -> u64 {
+    pub fn critical_path_from_ms(&self, first: usize) -> u64 {
         let mut chains = vec![0_u64; self.steps.len()];
         // Steps depend on earlier ones only, so that those after a step are known when it is reached.
         for (position, step) in self.steps.iter().enumerate().rev() {
--- a/system/protocol/src/requests.rs
+++ b/system/protocol/src/requests.rs
@@ -24,7 +24,7 @@
 
 impl JobPhase {
     /// The text that clients see.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             JobPhase::Pending => "pending",
             JobPhase::Running => "running",
@@ -43,7 +43,7 @@
             JobPhase::Failed,
             JobPhase::Cancelled,
         ];
-        phases.into_iter().find(|phase| phase.word() == text)
+        phases.into_iter().find(|phase| phase.as_str() == text)
     }
 
     /// Whether the job has ended: nothing of it is started any more.
@@ -144,7 +144,7 @@
     Accepted,
     /// The job was rejected and won't be accepted by this request: there is no capacity for it now.
     #[n(1)]
-    Full,
+    NoCapacity,
     /// This coordinator can't serve the request and has done nothing; another one may.
     #[n(2)]
     NotServing,
@@ -180,7 +180,7 @@
     Description(#[n(0)] String),
     /// Another coordinator schedules the job's service; its address.
     #[n(13)]
-    Elsewhere(#[n(0)] u32),
+    Redirect(#[n(0)] u32),
     /// A chunk of a configuration.
     #[n(14)]
     ConfigurationChunk(#[n(0)] Box<ConfigurationChunk>),
--- a/system/protocol/src/run.rs
+++ b/system/protocol/src/run.rs
@@ -16,13 +16,13 @@
     Stopped,
     /// The worker lease under which it ran expired.
     #[n(3)]
-    Lapsed,
+    LeaseExpired,
     /// Another member of its gang ended first.
     #[n(4)]
-    Broken,
+    GangEnded,
     /// It timed out waiting for the other members of its gang.
     #[n(5)]
-    Alone,
+    GangTimedOut,
 }
 
 /// The completion of a run, as its worker reports it.
--- a/system/protocol/tests/stored_bytes.rs
+++ b/system/protocol/tests/stored_bytes.rs
@@ -65,8 +65,8 @@
         "note-ends",
         &Command::RecordCompletions {
             incarnation: "w-17/5".to_owned(),
-            last_seen: 37,
-            ends: completions,
+            acknowledged_completion: 37,
+            completions: completions,
         },
     );
     stored.keeps(
@@ -110,9 +110,9 @@
         CompletionKind::Done,
         CompletionKind::Failed,
         CompletionKind::Stopped,
-        CompletionKind::Lapsed,
-        CompletionKind::Broken,
-        CompletionKind::Alone,
+        CompletionKind::LeaseExpired,
+        CompletionKind::GangEnded,
+        CompletionKind::GangTimedOut,
     ]
 }
 
@@ -427,7 +427,7 @@
     let mut stored = Stored::read(include_str!("golden/answers.hex"));
     let responses = [
         ("accepted", CoordinatorResponse::Accepted),
-        ("full", CoordinatorResponse::Full),
+        ("full", CoordinatorResponse::NoCapacity),
         ("not-serving", CoordinatorResponse::NotServing),
         ("unknown", CoordinatorResponse::Unknown),
         ("no-such-job", CoordinatorResponse::NoSuchJob),
@@ -477,7 +477,7 @@
             "description",
             CoordinatorResponse::Description("{\"view\":78}".to_owned()),
         ),
-        ("elsewhere", CoordinatorResponse::Elsewhere(0x0a00_000b)),
+        ("elsewhere", CoordinatorResponse::Redirect(0x0a00_000b)),
         (
             "configuration-part",
             CoordinatorResponse::ConfigurationChunk(Box::new(chunk())),
@@ -532,7 +532,7 @@
     stored.keeps("role-platform-reader", &Role::PlatformReader);
     stored.keeps("role-scheduler", &scheduler());
     stored.keeps("end-kinds", &every_completion_kind().to_vec());
-    stored.keeps("run-end", &run_completion(CompletionKind::Lapsed));
+    stored.keeps("run-end", &run_completion(CompletionKind::LeaseExpired));
     stored.keeps("run-start", &run_start());
     stored.keeps("resources", &resources());
     stored.keeps("step", &step());
--- a/system/scheduler/examples/throughput.rs
+++ b/system/scheduler/examples/throughput.rs
@@ -131,7 +131,7 @@
                 *number += 1;
                 let checkpoint = String::new();
                 completions.push(ListedCompletion {
-                    number: *number,
+                    sequence: *number,
                     task: *task,
                     run: *run,
                     kind: CompletionKind::Done,
@@ -146,11 +146,14 @@
                 clock_ms,
                 listing: None,
             },
-            WorkerOrder::Hold { last_seen, .. } => {
-                completions.retain(|completion| completion.number > *last_seen);
+            WorkerOrder::RenewLease {
+                acknowledged_completion,
+                ..
+            } => {
+                completions.retain(|completion| completion.sequence > *acknowledged_completion);
                 let listing = Listing {
                     running: Vec::new(),
-                    ended: completions.clone(),
+                    completed: completions.clone(),
                 };
                 WorkerReply::Done {
                     clock_ms,
--- a/system/scheduler/src/applied.rs
+++ b/system/scheduler/src/applied.rs
@@ -37,23 +37,23 @@
 
     fn apply_change(&mut self, change: &Change, now: Millis, state: &State) {
         match change {
-            Change::RunOpened(start) => self.handle_run_opened(start, now, state),
+            Change::RunStarted(start) => self.handle_run_opened(start, now, state),
             Change::RunClosed {
                 task,
                 run,
                 incarnation,
                 kind,
             } => self.handle_run_closed(*task, *run, incarnation, *kind, now),
-            Change::Job(id) => self.review_job(*id, now, state),
+            Change::JobChanged(id) => self.review_job(*id, now, state),
             Change::JobForgotten(id) => {
                 self.planner.forget_job(*id);
                 self.job_calendar.forget(*id);
             }
             Change::CompletionsRecorded {
                 incarnation,
-                last_seen,
-            } => self.handle_completions_recorded(incarnation, *last_seen, now),
-            Change::Configuration | Change::Role(_) => {}
+                acknowledged_completion,
+            } => self.handle_completions_recorded(incarnation, *acknowledged_completion, now),
+            Change::ConfigurationReplaced | Change::RoleClaimed(_) => {}
         }
     }
 
--- a/system/scheduler/src/call_table.rs
+++ b/system/scheduler/src/call_table.rs
@@ -92,7 +92,7 @@
             return;
         }
         match reply {
-            WorkerReply::Unanswered => self.response_times.record_timeout(),
+            WorkerReply::TimedOut => self.response_times.record_timeout(),
             _ => self.response_times.record_reply(elapsed_ms),
         }
     }
--- a/system/scheduler/src/calls.rs
+++ b/system/scheduler/src/calls.rs
@@ -25,13 +25,13 @@
         run: RunId,
     },
     /// Renews the lease on all that runs, and lists what runs and what has completed (a long poll).
-    Hold {
+    RenewLease {
         /// On the worker's clock: when the lease expires; `None`: no later than before.
         deadline_ms: Option<u64>,
         /// Completions up to this number are acknowledged.
-        last_seen: u64,
+        acknowledged_completion: u64,
         /// How long the reply may wait for a completion.
-        wait_ms: u64,
+        long_poll_ms: u64,
     },
 }
 
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedCompletion {
     /// Numbers the completions of this incarnation.
-    pub number: u64,
+    pub sequence: u64,
     /// The task.
     pub task: TaskId,
     /// The run.
@@ -97,20 +97,20 @@
     /// Runs that are running.
     pub running: Vec<ListedRun>,
     /// Runs that have completed, by rising number.
-    pub ended: Vec<ListedCompletion>,
+    pub completed: Vec<ListedCompletion>,
 }
 
 /// Why a worker refused an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
     /// It has seen a higher fencing token.
-    RoleToken,
+    StaleToken,
     /// The run isn't above one that has completed there, or was stopped before its start arrived.
-    Old,
+    Superseded,
     /// The deadline has passed.
-    Late,
+    DeadlinePassed,
     /// There is not enough free capacity.
-    Room,
+    NoCapacity,
 }
 
 /// The reply to a call, or what stands for it.
@@ -131,11 +131,11 @@
         reason: RefusalReason,
     },
     /// Another incarnation replied at that address: the one that was meant is over.
-    OtherLife,
+    OtherIncarnation,
     /// The worker is unhealthy and has done nothing.
     Unhealthy,
     /// The worker could not read the call and has done nothing.
-    Rejected,
+    Unreadable,
     /// There was no reply in time: it may have been done, or may be done later.
-    Unanswered,
+    TimedOut,
 }
--- a/system/scheduler/src/discovery.rs
+++ b/system/scheduler/src/discovery.rs
@@ -53,8 +53,8 @@
         }
         let mut worker = Worker::new(entry.clone(), now, self.previous_leases_expire_at());
         if let Some(record) = state.workers.get(&entry.incarnation) {
-            worker.acknowledged_completion = record.last_seen;
-            worker.proposed_completion = record.last_seen;
+            worker.acknowledged_completion = record.acknowledged_completion;
+            worker.proposed_completion = record.acknowledged_completion;
         }
         self.table.workers.insert(entry.incarnation.clone(), worker);
         self.planner.request();
--- a/system/scheduler/src/explanation.rs
+++ b/system/scheduler/src/explanation.rs
@@ -2,7 +2,7 @@
 //!
 //! It decides nothing. The names of its fields in JSON are read by operators and stay as they are.
 use crate::{queue::urgency, scheduler::Scheduler, worker::Worker};
-use magpiegap_jobs::{startable, Job, Startable, State, StepState, TaskState};
+use magpiegap_jobs::{startable_units, Job, StartableUnit, State, StepState, TaskState};
 use magpiegap_protocol::{JobId, StepSpec, TaskId};
 use serde::Serialize;
 
@@ -98,7 +98,7 @@
             .jobs
             .get(&id)
             .filter(|job| job.submission.service == self.service)?;
-        let queued = startable(job);
+        let queued = startable_units(job);
         let forecast = queued
             .first()
             .map(|unit| urgency(job, unit.first, self.wall).forecast);
@@ -119,7 +119,7 @@
         }
         Some(Explanation {
             job: id.to_string(),
-            state: job.phase.word(),
+            state: job.phase.as_str(),
             queue: job.submission.queue.clone(),
             service: self.service.clone(),
             forecast: forecast.map(|forecast| forecast.to_string()),
@@ -133,10 +133,10 @@
         job: &Job,
         first: TaskId,
         step: &StepState,
-        queued: &[Startable],
+        queued: &[StartableUnit],
     ) -> StepExplanation {
         let spec = job.submission.spec.steps.get(first.step as usize);
-        let units: Vec<&Startable> = queued
+        let units: Vec<&StartableUnit> = queued
             .iter()
             .filter(|unit| unit.first.occurrence == first.occurrence)
             .filter(|unit| unit.first.step == first.step)
@@ -178,7 +178,7 @@
         runs
     }
 
-    fn count_workers(&self, job: &Job, unit: &Startable, step: &StepSpec) -> WorkerCounts {
+    fn count_workers(&self, job: &Job, unit: &StartableUnit, step: &StepSpec) -> WorkerCounts {
         let mut counts = WorkerCounts {
             known: self.table.workers.len(),
             ..WorkerCounts::default()
@@ -195,7 +195,7 @@
         counts: &'a mut WorkerCounts,
         worker: &Worker,
         job: &Job,
-        unit: &Startable,
+        unit: &StartableUnit,
         step: &StepSpec,
     ) -> &'a mut usize {
         let urgency = urgency(job, unit.first, self.wall);
--- a/system/scheduler/src/forecast.rs
+++ b/system/scheduler/src/forecast.rs
@@ -42,7 +42,10 @@
         let due = deadline_ms(job, task.occurrence);
         let begin = period_start_ms(job, task.occurrence);
         let objective = due.since(begin);
-        let left = job.submission.spec.chain_from_ms(task.step as usize);
+        let left = job
+            .submission
+            .spec
+            .critical_path_from_ms(task.step as usize);
         LatestStarts {
             on_time: due.saturating_sub(left),
             late: begin
@@ -74,7 +77,7 @@
 /// The deadline of an occurrence: done by then, the job earns its full value.
 pub(crate) fn deadline_ms(job: &Job, occurrence: u32) -> WallMillis {
     let submission = &job.submission;
-    let work = submission.spec.longest_chain_ms() as f64 * submission.stretch;
+    let work = submission.spec.critical_path_ms() as f64 * submission.stretch;
     period_start_ms(job, occurrence)
         .saturating_add(work as u64)
         .saturating_add(submission.target_latency_ms)
--- a/system/scheduler/src/leases.rs
+++ b/system/scheduler/src/leases.rs
@@ -55,10 +55,10 @@
             false => 0,
         };
         worker.lease.renew_at = now + RENEWAL_INTERVAL_MS;
-        let order = WorkerOrder::Hold {
+        let order = WorkerOrder::RenewLease {
             deadline_ms,
-            last_seen: worker.acknowledged_completion,
-            wait_ms,
+            acknowledged_completion: worker.acknowledged_completion,
+            long_poll_ms: wait_ms,
         };
         let id = self.call(
             incarnation,
@@ -76,10 +76,10 @@
         let Some(worker) = self.table.workers.get(incarnation) else {
             return;
         };
-        let order = WorkerOrder::Hold {
+        let order = WorkerOrder::RenewLease {
             deadline_ms: None,
-            last_seen: worker.acknowledged_completion,
-            wait_ms: 0,
+            acknowledged_completion: worker.acknowledged_completion,
+            long_poll_ms: 0,
         };
         self.call(
             incarnation,
--- a/system/scheduler/src/planner.rs
+++ b/system/scheduler/src/planner.rs
@@ -14,7 +14,7 @@
     run_table::RunTable,
     worker::{Worker, Workers},
 };
-use magpiegap_jobs::{startable, Job, Startable, State};
+use magpiegap_jobs::{startable_units, Job, StartableUnit, State};
 use magpiegap_protocol::{JobId, Millis, Resources, RunStart, StepSpec, TaskId};
 use rand::{rngs::StdRng, SeedableRng};
 use std::collections::{HashMap, HashSet};
@@ -35,7 +35,7 @@
 /// A task or gang as a round finds it in the queue.
 struct QueuedUnit {
     urgency: Urgency,
-    unit: Startable,
+    unit: StartableUnit,
     queued_at: Millis,
 }
 
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy)]
 struct PlannedUnit<'a> {
     job: &'a Job,
-    unit: &'a Startable,
+    unit: &'a StartableUnit,
     step: &'a StepSpec,
     urgency: &'a Urgency,
     /// How long it has been queued, in milliseconds.
@@ -190,7 +190,7 @@
         now: Millis,
     ) -> Vec<RunStart> {
         let mut runs = Vec::new();
-        for unit in startable(job) {
+        for unit in startable_units(job) {
             let urgency = urgency(job, unit.first, job.submission.submitted_ms);
             if self.queue.first().is_some_and(|first| *first < urgency) {
                 break;
@@ -364,7 +364,7 @@
     pub(crate) fn candidate<'a>(
         &self,
         job: &Job,
-        unit: &Startable,
+        unit: &StartableUnit,
         step: &'a StepSpec,
         urgency: &'a Urgency,
     ) -> Candidate<'a> {
@@ -460,7 +460,7 @@
     }
 }
 
-fn step_of<'a>(job: &'a Job, unit: &Startable) -> Option<&'a StepSpec> {
+fn step_of<'a>(job: &'a Job, unit: &StartableUnit) -> Option<&'a StepSpec> {
     job.submission.spec.steps.get(unit.first.step as usize)
 }
 
@@ -481,7 +481,7 @@
 }
 
 /// The runs of a unit on the workers chosen for it.
-fn starts(job: &Job, unit: &Startable, step: &StepSpec, chosen: Vec<String>) -> Vec<RunStart> {
+fn starts(job: &Job, unit: &StartableUnit, step: &StepSpec, chosen: Vec<String>) -> Vec<RunStart> {
     let tasks = || unit.tasks().filter_map(|task| job.task(&task));
     let run = tasks().map(|task| task.last_run).max().unwrap_or(0) + 1;
     // Members of a gang all go on from the same checkpoint; any member's will do.
--- a/system/scheduler/src/queue.rs
+++ b/system/scheduler/src/queue.rs
@@ -1,6 +1,6 @@
 //! The queue of tasks that may be started, in the order in which they are placed.
 use crate::forecast::{deadline_ms, DeadlineForecast, LatestStarts};
-use magpiegap_jobs::{startable, Job, Startable};
+use magpiegap_jobs::{startable_units, Job, StartableUnit};
 use magpiegap_protocol::{JobId, Millis, TaskId, WallMillis};
 use std::collections::{BTreeMap, HashMap};
 
@@ -19,7 +19,7 @@
 /// A queued task or gang.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Queued {
-    pub unit: Startable,
+    pub unit: StartableUnit,
     /// When it was queued.
     pub queued_at: Millis,
     /// Until when it may begin.
@@ -54,7 +54,7 @@
         let id = job.submission.job;
         let old = self.remove(id);
         let mut keys = Vec::new();
-        for unit in startable(job) {
+        for unit in startable_units(job) {
             if unit.tasks().any(|task| is_being_placed(&task)) {
                 continue;
             }
--- a/system/scheduler/src/replies.rs
+++ b/system/scheduler/src/replies.rs
@@ -49,9 +49,9 @@
             return;
         }
         match reply {
-            WorkerReply::OtherLife => self.end_incarnation(&in_flight.incarnation, state),
+            WorkerReply::OtherIncarnation => self.end_incarnation(&in_flight.incarnation, state),
             WorkerReply::Refused {
-                reason: RefusalReason::RoleToken,
+                reason: RefusalReason::StaleToken,
                 ..
             } => self.depose(&in_flight.incarnation),
             reply => {
@@ -104,7 +104,7 @@
             worker.lease.in_flight = None;
         }
         match reply {
-            WorkerReply::Unanswered => {
+            WorkerReply::TimedOut => {
                 // A healthy worker may leave a single order unanswered; renewals decide.
                 worker.unanswered_renewals += u32::from(purpose.lists_runs());
                 worker.lease.renew_at = replied.now + RENEWAL_RETRY_MS;
@@ -127,7 +127,7 @@
                     self.planner.request();
                 }
             }
-            WorkerReply::Unhealthy | WorkerReply::Rejected | WorkerReply::OtherLife => {}
+            WorkerReply::Unhealthy | WorkerReply::Unreadable | WorkerReply::OtherIncarnation => {}
         }
     }
 
@@ -194,7 +194,7 @@
         run.handle_order_reply(now);
         let outcome = run.handle_start_reply(reply, deadline_ms, now);
         let start = run.to_start(ordered.task, incarnation);
-        if matches!(reply, WorkerReply::Unhealthy | WorkerReply::Rejected) {
+        if matches!(reply, WorkerReply::Unhealthy | WorkerReply::Unreadable) {
             worker.health.eject(now);
         }
         match outcome {
@@ -248,17 +248,17 @@
 /// Returns the command that records the completions listed, if there are any that no command was proposed for.
 fn propose_completions(worker: &mut Worker, listing: &Listing) -> Option<Command> {
     let last = listing
-        .ended
+        .completed
         .iter()
-        .map(|completion| completion.number)
+        .map(|completion| completion.sequence)
         .max()?;
     if last <= worker.proposed_completion {
         return None;
     }
     let completions = listing
-        .ended
+        .completed
         .iter()
-        .filter(|completion| completion.number > worker.acknowledged_completion)
+        .filter(|completion| completion.sequence > worker.acknowledged_completion)
         .map(|completion| RunCompletion {
             task: completion.task,
             run: completion.run,
@@ -269,15 +269,15 @@
     worker.proposed_completion = last;
     Some(Command::RecordCompletions {
         incarnation: worker.entry.incarnation.clone(),
-        last_seen: last,
-        ends: completions,
+        acknowledged_completion: last,
+        completions: completions,
     })
 }
 
 /// Returns the runs that a listing, requested after their last order was replied to, does not show: they are surely not
 /// running.
 fn missing_runs(worker: &Worker, sent_at: Millis, clock: u64, listing: &Listing) -> Vec<RunStart> {
-    if listing.ended.len() >= MAX_LISTED_COMPLETIONS {
+    if listing.completed.len() >= MAX_LISTED_COMPLETIONS {
         return Vec::new();
     }
     let is_overdue = |run: &Run| {
@@ -305,7 +305,7 @@
         .any(|listed| listed.task == *task && listed.run == run);
     is_running
         || listing
-            .ended
+            .completed
             .iter()
             .any(|completion| completion.task == *task && completion.run == run)
 }
--- a/system/scheduler/src/run.rs
+++ b/system/scheduler/src/run.rs
@@ -190,7 +190,7 @@
                 self.start_valid_until = 0;
                 StartOutcome::Resolved
             }
-            WorkerReply::Unanswered => {
+            WorkerReply::TimedOut => {
                 if self.phase == RunPhase::Starting {
                     self.phase = RunPhase::Recorded { not_before: now };
                 }
@@ -199,11 +199,11 @@
             WorkerReply::Refused { reason, .. } => {
                 self.handle_start_refused(*reason, deadline_ms, now)
             }
-            WorkerReply::Unhealthy | WorkerReply::Rejected => {
+            WorkerReply::Unhealthy | WorkerReply::Unreadable => {
                 self.give_up_start(self.start_attempts == 1, now)
             }
             // Does not come here: the incarnation of the worker is over.
-            WorkerReply::OtherLife => StartOutcome::Resolved,
+            WorkerReply::OtherIncarnation => StartOutcome::Resolved,
         }
     }
 
@@ -214,26 +214,26 @@
         now: Millis,
     ) -> StartOutcome {
         match reason {
-            RefusalReason::Late => {
+            RefusalReason::DeadlinePassed => {
                 self.phase = RunPhase::Recorded {
                     not_before: now + START_RETRY_MS,
                 };
                 StartOutcome::Resolved
             }
             // It completed there, or was stopped: the next listing says so.
-            RefusalReason::Old => {
+            RefusalReason::Superseded => {
                 self.phase = RunPhase::Started;
                 self.start_valid_until = 0;
                 StartOutcome::Resolved
             }
             // An earlier attempt without a reply may still take effect once there is capacity.
-            RefusalReason::Room => {
+            RefusalReason::NoCapacity => {
                 let is_only_attempt =
                     self.start_valid_until <= deadline_ms && self.start_attempts == 1;
                 self.give_up_start(is_only_attempt, now)
             }
             // Does not come here: the role is given up.
-            RefusalReason::RoleToken => StartOutcome::Resolved,
+            RefusalReason::StaleToken => StartOutcome::Resolved,
         }
     }
 
--- a/system/scheduler/src/take_over.rs
+++ b/system/scheduler/src/take_over.rs
@@ -37,7 +37,7 @@
             let seen = state
                 .workers
                 .get(incarnation)
-                .map_or(0, |record| record.last_seen);
+                .map_or(0, |record| record.acknowledged_completion);
             worker.acknowledged_completion = seen;
             worker.proposed_completion = seen;
         }
--- a/system/scheduler/tests/common/mod.rs
+++ b/system/scheduler/tests/common/mod.rs
@@ -92,7 +92,10 @@
     ) -> WorkerReply {
         WorkerReply::Done {
             clock_ms: Some(self.clock()),
-            listing: Some(Listing { running, ended }),
+            listing: Some(Listing {
+                running,
+                completed: ended,
+            }),
         }
     }
 
@@ -233,7 +236,10 @@
 /// How long the renewals among these calls may wait, in milliseconds.
 pub(crate) fn long_polls(calls: &[WorkerCall]) -> Vec<u64> {
     let wait = |call: &WorkerCall| match call.order {
-        WorkerOrder::Hold { wait_ms, .. } => Some(wait_ms),
+        WorkerOrder::RenewLease {
+            long_poll_ms: wait_ms,
+            ..
+        } => Some(wait_ms),
         _ => None,
     };
     calls.iter().filter_map(wait).collect()
--- a/system/scheduler/tests/deposed.rs
+++ b/system/scheduler/tests/deposed.rs
@@ -9,7 +9,7 @@
 fn refused(harness: &Harness) -> WorkerReply {
     WorkerReply::Refused {
         clock_ms: Some(harness.clock()),
-        reason: RefusalReason::RoleToken,
+        reason: RefusalReason::StaleToken,
     }
 }
 
--- a/system/scheduler/tests/ejection.rs
+++ b/system/scheduler/tests/ejection.rs
@@ -9,7 +9,11 @@
 const WORKERS: [&str; 7] = ["w1", "w2", "w3", "w4", "w5", "w6", "w7"];
 
 /// Lets a job for each worker fail there, all in the same moment.
-fn fail_on_all_workers(harness: &mut Harness, round: u64, last_seen: &mut BTreeMap<String, u64>) {
+fn fail_on_all_workers(
+    harness: &mut Harness,
+    round: u64,
+    acknowledged_completion: &mut BTreeMap<String, u64>,
+) {
     for number in 0..WORKERS.len() as u64 {
         harness.submit(100 * round + number, vec![step(1, 4000)]);
     }
@@ -18,7 +22,9 @@
         let magpiegap_scheduler::WorkerOrder::Start { task, run, .. } = start.order else {
             continue;
         };
-        let seen = last_seen.entry(start.incarnation.clone()).or_default();
+        let seen = acknowledged_completion
+            .entry(start.incarnation.clone())
+            .or_default();
         *seen += 1;
         let ends = vec![RunCompletion {
             task,
@@ -28,8 +34,8 @@
         }];
         harness.commit(Command::RecordCompletions {
             incarnation: start.incarnation,
-            last_seen: *seen,
-            ends,
+            acknowledged_completion: *seen,
+            completions: ends,
         });
         // Its job is not tried again elsewhere.
         harness.commit(Command::CancelJob { job: task.job });
@@ -39,9 +45,9 @@
 #[googletest::test]
 fn given_many_workers_that_fail_all_runs_when_they_are_ejected_then_one_log_line_names_them() {
     let mut harness = Harness::new(&WORKERS);
-    let mut last_seen = BTreeMap::new();
+    let mut acknowledged_completion = BTreeMap::new();
     for round in 1..12 {
-        fail_on_all_workers(&mut harness, round, &mut last_seen);
+        fail_on_all_workers(&mut harness, round, &mut acknowledged_completion);
     }
     harness.advance(60);
     let lines: Vec<&String> = harness
--- a/system/scheduler/tests/lease_renewal.rs
+++ b/system/scheduler/tests/lease_renewal.rs
@@ -13,7 +13,7 @@
 const WORKERS: [&str; 3] = ["w1", "w2", "w3"];
 
 fn renewals(calls: &[WorkerCall]) -> Vec<WorkerCall> {
-    let is_renewal = |call: &&WorkerCall| matches!(call.order, WorkerOrder::Hold { .. });
+    let is_renewal = |call: &&WorkerCall| matches!(call.order, WorkerOrder::RenewLease { .. });
     calls.iter().filter(is_renewal).cloned().collect()
 }
 
@@ -55,7 +55,7 @@
         WallMillis(1_000_000 + harness.now),
         &harness.state,
     );
-    let is_renewal = |output: &Output| matches!(output, Output::Call(call) if matches!(call.order, WorkerOrder::Hold { .. }));
+    let is_renewal = |output: &Output| matches!(output, Output::Call(call) if matches!(call.order, WorkerOrder::RenewLease { .. }));
     expect_that!(
         harness
             .scheduler
@@ -77,7 +77,7 @@
     harness.advance(1);
     let renewal = renewals(&harness.take_calls()).pop().expect("a renewal");
     let ended = ListedCompletion {
-        number: 1,
+        sequence: 1,
         task: task(1, 0),
         run: 1,
         kind: CompletionKind::Done,
@@ -98,7 +98,7 @@
 #[googletest::test]
 fn given_a_renewal_without_a_reply_when_only_time_passes_then_it_is_sent_again() {
     let (mut harness, renewal) = harness_with_one_run();
-    harness.reply(&renewal, WorkerReply::Unanswered);
+    harness.reply(&renewal, WorkerReply::TimedOut);
     harness.advance(5);
     expect_that!(renewals(&harness.take_calls()), is_empty());
     harness.advance(30);
@@ -144,8 +144,8 @@
     let freed = harness.active(task(1, 0)).pop().expect("a run");
     harness.commit(Command::RecordCompletions {
         incarnation: freed.clone(),
-        last_seen: 1,
-        ends: vec![end],
+        acknowledged_completion: 1,
+        completions: vec![end],
     });
     harness.advance(25);
     let started: Vec<String> = harness
--- a/system/scheduler/tests/starting.rs
+++ b/system/scheduler/tests/starting.rs
@@ -43,7 +43,7 @@
     harness.submit(1, vec![step(1, 1000)]);
     let first = harness.starts().remove(0);
     harness.now += 250;
-    harness.reply(&first, WorkerReply::Unanswered);
+    harness.reply(&first, WorkerReply::TimedOut);
     harness.advance(10);
     let again = harness.starts();
     expect_that!(again.len(), eq(1));
@@ -60,14 +60,20 @@
     let renewal = harness
         .take_calls()
         .into_iter()
-        .find(|c| matches!(c.order, WorkerOrder::Hold { .. }))
+        .find(|c| matches!(c.order, WorkerOrder::RenewLease { .. }))
         .unwrap();
     expect_that!(
-        matches!(renewal.order, WorkerOrder::Hold { last_seen: 0, .. }),
+        matches!(
+            renewal.order,
+            WorkerOrder::RenewLease {
+                acknowledged_completion: 0,
+                ..
+            }
+        ),
         eq(true)
     );
     let end = ListedCompletion {
-        number: 1,
+        sequence: 1,
         task: task(1, 0),
         run: 1,
         kind: CompletionKind::Done,
@@ -75,11 +81,14 @@
     };
     harness.reply(&renewal, harness.listing(vec![], vec![end]));
     harness.advance(10);
-    expect_that!(harness.state.workers["w1"].last_seen, eq(1));
+    expect_that!(harness.state.workers["w1"].acknowledged_completion, eq(1));
     harness.submit(2, vec![step(1, 1000)]);
     let renewals = harness.take_calls();
     let seen = renewals.iter().find_map(|call| match call.order {
-        WorkerOrder::Hold { last_seen, .. } => Some(last_seen),
+        WorkerOrder::RenewLease {
+            acknowledged_completion,
+            ..
+        } => Some(acknowledged_completion),
         _ => None,
     });
     expect_that!(seen, some(eq(1)));
@@ -121,7 +130,7 @@
         &start,
         WorkerReply::Refused {
             clock_ms: Some(harness.clock()),
-            reason: RefusalReason::Room,
+            reason: RefusalReason::NoCapacity,
         },
     );
     harness.advance(10);
@@ -172,7 +181,7 @@
         incarnation: "w1".to_owned(),
         checkpoint: String::new(),
     };
-    let change = Change::RunOpened(opened);
+    let change = Change::RunStarted(opened);
     for entry in 1..=harness.state.position.index.0 {
         let entry = LogPosition {
             view: ViewNumber(1),
--- a/system/scheduler/tests/starvation.rs
+++ b/system/scheduler/tests/starvation.rs
@@ -34,8 +34,8 @@
     };
     harness.commit(Command::RecordCompletions {
         incarnation: "w1".to_owned(),
-        last_seen: 1,
-        ends: vec![end],
+        acknowledged_completion: 1,
+        completions: vec![end],
     });
     // Then
     for _ in 0..100 {
--- a/system/scheduler/tests/stopping.rs
+++ b/system/scheduler/tests/stopping.rs
@@ -12,7 +12,10 @@
 /// How long a worker takes to reply: renewals wait for a completion as long as they may.
 fn reply_delay_ms(call: &WorkerCall) -> u64 {
     match call.order {
-        WorkerOrder::Hold { wait_ms, .. } => wait_ms + NETWORK_DELAY_MS,
+        WorkerOrder::RenewLease {
+            long_poll_ms: wait_ms,
+            ..
+        } => wait_ms + NETWORK_DELAY_MS,
         _ => NETWORK_DELAY_MS,
     }
 }
@@ -30,7 +33,7 @@
         due = later;
         for (_, call) in ready {
             let reply = match call.order {
-                WorkerOrder::Hold { .. } => harness.listing(vec![], vec![]),
+                WorkerOrder::RenewLease { .. } => harness.listing(vec![], vec![]),
                 _ => harness.done(),
             };
             harness.reply(&call, reply);
@@ -53,7 +56,7 @@
     expect_that!(starts.len(), eq(2));
     // One start is acknowledged; whether the other one took effect is not known.
     harness.reply(&starts[0], harness.done());
-    harness.reply(&starts[1], WorkerReply::Unanswered);
+    harness.reply(&starts[1], WorkerReply::TimedOut);
     harness.commit(Command::CancelJob { job: JobId(1) });
     advance_with_empty_workers(&mut harness, 4000);
     expect_that!(harness.state.workers["w1"].runs.len(), eq(0));
@@ -89,8 +92,8 @@
     while harness.now < until {
         for call in harness.take_calls() {
             let reply = match call.order {
-                WorkerOrder::Hold { .. } => harness.listing(vec![], vec![]),
-                _ => WorkerReply::Unanswered,
+                WorkerOrder::RenewLease { .. } => harness.listing(vec![], vec![]),
+                _ => WorkerReply::TimedOut,
             };
             harness.reply(&call, reply);
         }
@@ -105,7 +108,7 @@
     harness.submit(1, vec![step(1, 1000)]);
     let start = harness.starts().remove(0);
     harness.advance(110);
-    harness.reply(&start, WorkerReply::Unanswered);
+    harness.reply(&start, WorkerReply::TimedOut);
     harness.commit(Command::CancelJob { job: JobId(1) });
     advance_with_late_orders(&mut harness, 800);
     expect_that!(harness.state.workers["w1"].runs.len(), eq(1));
@@ -120,7 +123,7 @@
     harness.submit(1, vec![step(1, 1000)]);
     let first = harness.starts().remove(0);
     harness.advance(110);
-    harness.reply(&first, WorkerReply::Unanswered);
+    harness.reply(&first, WorkerReply::TimedOut);
     harness.advance(10);
     let second = harness.starts().remove(0);
     let clock_ms = Some(harness.clock());
@@ -128,7 +131,7 @@
         &second,
         WorkerReply::Refused {
             clock_ms,
-            reason: RefusalReason::Room,
+            reason: RefusalReason::NoCapacity,
         },
     );
     harness.advance(10);
--- a/system/scheduler/tests/unresponsive_workers.rs
+++ b/system/scheduler/tests/unresponsive_workers.rs
@@ -22,7 +22,7 @@
             let reply = if call.incarnation == "w2" {
                 harness.listing(vec![], vec![])
             } else {
-                WorkerReply::Unanswered
+                WorkerReply::TimedOut
             };
             harness.reply(&call, reply);
         }
@@ -102,7 +102,7 @@
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 1000)]);
     let start = harness.starts().remove(0);
-    harness.reply(&start, WorkerReply::OtherLife);
+    harness.reply(&start, WorkerReply::OtherIncarnation);
     harness.advance(10);
     expect_that!(harness.active(task(1, 0)), is_empty());
 }
@@ -157,7 +157,7 @@
     expect_that!(renewal.timeout_ms, lt(700));
     // When
     harness.advance(renewal.timeout_ms);
-    harness.reply(&renewal, WorkerReply::Unanswered);
+    harness.reply(&renewal, WorkerReply::TimedOut);
     harness.advance(50);
     // Then
     expect_that!(long_polls(&harness.take_calls()), elements_are![eq(&0)]);
