--- a/system/control/src/agreement.rs
+++ b/system/control/src/agreement.rs
@@ -1,9 +1,10 @@
-//! Agreement on the next view: one instance of single-decree Paxos for each view, among the voters of the one before.
-use crate::durable::AgreementState;
+//! Agreement on the next view: one instance of single-decree Paxos (Lamport, 2001) for each view, among the voters of the
+//! one before. It owns the state of acceptor and proposer; the messages are in `view_change`.
+use crate::durable_state::AgreementState;
 use magpiegap_protocol::{AcceptedView, Ballot, LogPosition, Member, Promise, View, ViewNumber};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A proposer's state.
+/// A round of this replica as proposer.
 #[derive(Clone, Debug)]
 pub(crate) struct Round {
     pub ballot: Ballot,
@@ -19,16 +20,16 @@
     pub state: AgreementState,
     pub round: Option<Round>,
     /// The highest round seen in any ballot.
-    pub highest_round: u64,
+    pub highest_round_seen: u64,
 }
 
 impl Agreement {
     pub(crate) fn new(state: AgreementState) -> Agreement {
-        let highest_round = state.promised.map_or(0, |ballot| ballot.round);
+        let highest_round_seen = state.promised.map_or(0, |ballot| ballot.round);
         Agreement {
             state,
             round: None,
-            highest_round,
+            highest_round_seen,
         }
     }
 
@@ -38,15 +39,15 @@
     }
 
     /// Whether the replica takes part in the agreement on the next view, and so takes no writes in this one.
-    pub(crate) fn sealed(&self) -> bool {
+    pub(crate) fn is_sealed(&self) -> bool {
         self.state.promised.is_some()
     }
 
-    /// Begins a round as proposer. The tag is of this life of the process, so that no two rounds share a ballot.
-    pub(crate) fn begin(&mut self, own_tag: u32, now: u64) -> Ballot {
-        self.highest_round += 1;
+    /// Starts a round as proposer. The tag is of this incarnation of the process, so that no two rounds share a ballot.
+    pub(crate) fn start_round(&mut self, own_tag: u32, now: u64) -> Ballot {
+        self.highest_round_seen += 1;
         let ballot = Ballot {
-            round: self.highest_round,
+            round: self.highest_round_seen,
             proposer: own_tag,
         };
         self.round = Some(Round {
@@ -63,7 +64,7 @@
     /// # Errors
     /// The ballot promised before.
     pub(crate) fn promise(&mut self, ballot: Ballot) -> Result<Option<AcceptedView>, Ballot> {
-        self.highest_round = self.highest_round.max(ballot.round);
+        self.highest_round_seen = self.highest_round_seen.max(ballot.round);
         match self.state.promised {
             Some(promised) if promised > ballot => Err(promised),
             _ => {
@@ -78,7 +79,7 @@
     /// # Errors
     /// The ballot promised before.
     pub(crate) fn accept(&mut self, ballot: Ballot, view: &View) -> Result<(), Ballot> {
-        self.highest_round = self.highest_round.max(ballot.round);
+        self.highest_round_seen = self.highest_round_seen.max(ballot.round);
         match self.state.promised {
             Some(promised) if promised > ballot => Err(promised),
             _ => {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Takes up a view that was agreed. Returns whether it is news.
+    /// Takes up a view that was agreed. Returns whether it is newer than the one known.
     pub(crate) fn decide(&mut self, view: &View) -> bool {
         if view.number <= self.state.current.number {
             return false;
@@ -111,8 +112,9 @@
         self.promises.len() >= current.majority()
     }
 
-    /// What must be proposed since it may have been decided already.
-    pub(crate) fn bound_view(&self) -> Option<View> {
+    /// The view accepted in the highest ballot among the promises: it may have been decided already, so only it may be
+    /// proposed.
+    pub(crate) fn highest_accepted_view(&self) -> Option<View> {
         let accepted = self
             .promises
             .values()
@@ -123,7 +125,7 @@
     }
 
     /// The voters that have all that was committed, with the last entry on their disks.
-    pub(crate) fn complete(&self) -> BTreeMap<Member, LogPosition> {
+    pub(crate) fn complete_voters(&self) -> BTreeMap<Member, LogPosition> {
         let complete = |(member, promise): (&Member, &Promise)| Some((*member, promise.complete?));
         self.promises.iter().filter_map(complete).collect()
     }
--- a/system/control/src/catch_up.rs
+++ b/system/control/src/catch_up.rs
@@ -1,25 +1,25 @@
-//! Catching up: a replica asks its source for what it is missing. The source is its predecessor in the chain; outside
+//! Catch-up: a replica requests what it is missing from its source. The source is its predecessor in the chain; outside
 //! of the chain it is the tail, and the replica is taken into a view once it has caught up, so that no write waits for
-//! what is on its way. Entries are told a limited number of bytes at a time.
+//! what is in flight. Entries come a limited number of bytes at a time.
 use crate::{
-    chain_state::{Activity, ASK_FIRST_MS},
-    durable::DurableRecord,
+    catch_up_backoff::CatchUpBackoff,
+    chain_state::{Activity, CommitSample},
+    durable_state::DurableRecord,
+    log::EntryBatch,
     peer::Peer,
     replica::Replica,
-    transfers::Incoming,
+    snapshot_progress::IncomingSnapshot,
     StateMachine,
 };
 use magpiegap_protocol::{Entry, LogIndex, Millis, PeerMessage, ReplicaId};
 
-/// A replica whose source has told it nothing for this long asks it.
-const SOURCE_SILENT_MS: Millis = 600;
-/// Longest time between two requests for what is missing.
-const ASK_MOST_MS: Millis = 2000;
-/// A replica that knows all that was committed this long ago lacks only what is on its way.
-const CLOSE_MS: Millis = 250;
+/// A replica whose source has sent it nothing for this long sends a request.
+const SOURCE_TIMEOUT_MS: Millis = 600;
+/// A replica that knows all that was committed this long ago lacks only what is in flight.
+const CAUGHT_UP_LAG_MS: Millis = 250;
 
 impl Replica {
-    /// Who tells this replica what is new.
+    /// The replica that sends this one new entries.
     pub(crate) fn source(&self) -> Option<ReplicaId> {
         match self.chain.activity {
             Activity::Learning | Activity::Following => self.agreement.state.current.tail(),
@@ -27,25 +27,25 @@
         }
     }
 
-    /// Whether this replica takes entries from its source as they come.
-    fn takes_entries(&self) -> bool {
+    /// Whether this replica accepts entries from its source as they come.
+    fn accepts_entries(&self) -> bool {
         matches!(self.chain.activity, Activity::Active | Activity::Following)
-            && !self.agreement.sealed()
+            && !self.agreement.is_sealed()
     }
 
-    /// Takes note of what is committed now.
-    pub(crate) fn note_committed(&mut self, now: Millis) {
-        let chain = &mut self.chain;
-        if chain.activity != Activity::Active {
+    /// Records the commit index of now.
+    pub(crate) fn record_commit_index(&mut self, now: Millis) {
+        if self.chain.activity != Activity::Active {
             return;
         }
-        chain.committed_at.push_back((now, chain.committed));
-        while chain
-            .committed_at
+        let committed = self.chain.committed;
+        let history = &mut self.chain.commit_history;
+        history.push_back(CommitSample { at: now, committed });
+        while history
             .get(1)
-            .is_some_and(|(at, _)| at + CLOSE_MS <= now)
+            .is_some_and(|sample| sample.at + CAUGHT_UP_LAG_MS <= now)
         {
-            chain.committed_at.pop_front();
+            history.pop_front();
         }
     }
 
@@ -55,33 +55,33 @@
         let last = self.chain.log.last().index;
         let older = self
             .chain
-            .committed_at
+            .commit_history
             .front()
-            .map_or(last, |(_, committed)| *committed);
+            .map_or(last, |sample| sample.committed);
         // One that knows an older view may call itself complete and be wrong.
         let complete =
             peer.status.complete && peer.status.view == self.agreement.state.current.number;
         complete || peer.status.committed >= older
     }
 
-    /// Takes entries from the source.
-    pub(crate) fn append(
+    /// Handles new entries from the source.
+    pub(crate) fn handle_append(
         &mut self,
         after: LogIndex,
         entries: Vec<Entry>,
         durable: LogIndex,
         now: Millis,
     ) {
-        if !self.takes_entries() {
+        if !self.accepts_entries() {
             return;
         }
-        self.chain.source_heard_at = now;
+        self.chain.source_last_heard = now;
         self.chain.source_durable = self.chain.source_durable.max(Some(durable));
         if after > self.chain.log.last().index {
-            self.ask_source(now);
+            self.request_missing(now);
             return;
         }
-        self.chain.ask_again_ms = ASK_FIRST_MS;
+        self.chain.catch_up_backoff.shorten();
         for entry in entries {
             if entry.position.index == self.chain.log.last().index + 1 {
                 self.chain.log.push(entry);
@@ -94,30 +94,30 @@
         }
     }
 
-    /// Asks the source while this replica waits for what it is missing, and when it has heard nothing for a while: the
+    /// Sends the source a request while this replica waits for what it is missing, and when it has heard nothing for a while: the
     /// source may not know of it.
-    pub(crate) fn ask_if_needed(&mut self, now: Millis) {
-        let silent = now >= self.chain.source_heard_at + SOURCE_SILENT_MS;
+    pub(crate) fn request_missing_if_needed(&mut self, now: Millis) {
+        let has_timed_out = now >= self.chain.source_last_heard + SOURCE_TIMEOUT_MS;
         let needed = match self.chain.activity {
             Activity::Inactive => false,
             Activity::Joining | Activity::Learning => true,
-            Activity::Active | Activity::Following => silent && self.takes_entries(),
+            Activity::Active | Activity::Following => has_timed_out && self.accepts_entries(),
         };
         if needed {
-            self.ask_source(now);
+            self.request_missing(now);
         }
     }
 
-    /// Asks the source for what is missing, not too often.
-    fn ask_source(&mut self, now: Millis) {
-        let waited =
-            self.chain.asked_at == 0 || now >= self.chain.asked_at + self.chain.ask_again_ms;
-        let Some(source) = self.source().filter(|_| waited) else {
+    /// Requests what is missing from the source, unless the backoff says to wait.
+    fn request_missing(&mut self, now: Millis) {
+        if !self.chain.catch_up_backoff.allows_request(now) {
+            return;
+        }
+        let Some(source) = self.source() else {
             return;
         };
-        self.chain.asked_at = now.max(1);
-        self.chain.ask_again_ms = (2 * self.chain.ask_again_ms).min(ASK_MOST_MS);
-        if self.ask_for_parts(source) {
+        self.chain.catch_up_backoff.record_request(now);
+        if self.request_chunks(source) {
             return;
         }
         let view = self.agreement.state.current.number;
@@ -125,64 +125,69 @@
             .chain
             .incoming
             .as_ref()
-            .map_or(self.chain.log.last(), Incoming::last);
+            .map_or(self.chain.log.last(), IncomingSnapshot::last);
         self.send(
             source.member.address,
             PeerMessage::Synchronize { view, last },
         );
     }
 
-    /// Asks the source now: what has come just now is not all.
-    pub(crate) fn ask_again_at_once(&mut self, now: Millis) {
-        self.chain.asked_at = 0;
-        self.chain.ask_again_ms = ASK_FIRST_MS;
-        self.ask_source(now);
+    /// Requests what is missing now: what has just come is not all.
+    pub(crate) fn request_missing_now(&mut self, now: Millis) {
+        self.chain.catch_up_backoff = CatchUpBackoff::new();
+        self.request_missing(now);
     }
 
-    /// Takes entries that were missing.
-    pub(crate) fn take_missing(
+    /// Handles entries that were missing, which follow the entry `after`.
+    pub(crate) fn handle_missing_entries(
         &mut self,
         after: LogIndex,
-        mut entries: Vec<Entry>,
-        more: bool,
+        batch: EntryBatch,
         now: Millis,
         machine: &mut dyn StateMachine,
     ) {
-        if self.take_entries_of_incoming(after, &mut entries, more, now, machine) {
+        if self.is_incoming_snapshot_received() {
+            self.extend_incoming_snapshot(after, batch, now, machine);
             return;
         }
         match self.chain.activity {
             Activity::Inactive => {}
             Activity::Active | Activity::Following => {
-                self.append(after, entries, LogIndex(0), now);
-                if more {
-                    self.ask_again_at_once(now);
+                self.handle_append(after, batch.entries, LogIndex(0), now);
+                if batch.more {
+                    self.request_missing_now(now);
                 }
             }
-            Activity::Joining | Activity::Learning if after == self.chain.log.last().index => {
-                entries
-                    .into_iter()
-                    .for_each(|entry| self.chain.log.push(entry));
-                self.hand_entries_to_disk(now);
-                if more {
-                    self.ask_again_at_once(now);
-                    return;
-                }
-                self.begin_to_take_entries(now);
-                if let Some(view) = self
-                    .synchronized
-                    .filter(|_| self.chain.activity == Activity::Active)
-                {
-                    self.persist(vec![DurableRecord::Synchronized(view)], Vec::new(), now);
+            Activity::Joining | Activity::Learning => {
+                if after == self.chain.log.last().index {
+                    self.extend_log(batch, now);
                 }
             }
-            Activity::Joining | Activity::Learning => {}
         }
     }
 
-    /// From now on the replica takes entries as they come; in the chain it takes part. What it answers for still waits
-    /// for its disk.
-    pub(crate) fn begin_to_take_entries(&mut self, now: Millis) {
+    /// Adds entries that were missing to the log; after the last of them the replica has caught up.
+    fn extend_log(&mut self, batch: EntryBatch, now: Millis) {
+        for entry in batch.entries {
+            self.chain.log.push(entry);
+        }
+        self.submit_entries_to_disk(now);
+        if batch.more {
+            self.request_missing_now(now);
+            return;
+        }
+        self.finish_catch_up(now);
+        if self.chain.activity != Activity::Active {
+            return;
+        }
+        if let Some(view) = self.synchronized {
+            self.persist(vec![DurableRecord::Synchronized(view)], Vec::new(), now);
+        }
+    }
+
+    /// Ends the catch-up: from now on the replica accepts entries as they come, and in the chain it is active. What it
+    /// acknowledges still waits for its disk.
+    pub(crate) fn finish_catch_up(&mut self, now: Millis) {
         self.chain.activity = match self.chain.activity {
             Activity::Joining => Activity::Active,
             Activity::Learning => Activity::Following,
@@ -192,8 +197,8 @@
             self.synchronized = Some(self.agreement.state.current.number);
         }
         self.chain.incoming = None;
-        self.chain.source_heard_at = now;
-        self.chain.ask_again_ms = ASK_FIRST_MS;
+        self.chain.source_last_heard = now;
+        self.chain.catch_up_backoff.shorten();
         self.chain.followers.clear();
     }
 }
--- a/system/control/src/chain.rs
+++ b/system/control/src/chain.rs
@@ -1,19 +1,18 @@
-//! The chain: entries pass down, what is on disk is told down, the tail commits.
+//! Chain replication (van Renesse and Schneider, 2004): entries and durable indexes pass down, the tail commits, and what
+//! is committed is applied. How entries are sent is in `replication`.
 use crate::{
-    chain_state::{Activity, ASK_FIRST_MS},
-    durable::DurableRecord,
-    replica::{After, Replica},
-    StateMachine,
+    catch_up_backoff::CatchUpBackoff, chain_state::Activity, disk_tickets::OnDurable,
+    durable_state::DurableRecord, replica::Replica, StateMachine,
 };
 use magpiegap_protocol::{
     Command, Entry, LogIndex, LogPosition, Millis, PeerMessage, ProposalId, ReplicaId, RoleToken,
     View, WallMillis,
 };
 
-/// The head holds entries back for its disk for this long at most.
-const MOST_BATCH_WAIT_MS: Millis = 20;
-/// Most entries that a replica which does not take part applies at a time.
-const MOST_APPLIED_AT_ONCE: u64 = 256;
+/// The head delays entries for its disk for this long at most.
+const MAX_BATCH_WAIT_MS: Millis = 20;
+/// Most entries that a replica which is not active applies in one step.
+const MAX_APPLIED_PER_STEP: u64 = 256;
 
 impl Replica {
     pub(crate) fn own_position(&self) -> Option<usize> {
@@ -35,7 +34,7 @@
 
     /// Whether this replica takes part in the chain now.
     pub fn is_active(&self) -> bool {
-        self.chain.activity == Activity::Active && !self.agreement.sealed()
+        self.chain.activity == Activity::Active && !self.agreement.is_sealed()
     }
 
     /// Whether writes enter here.
@@ -52,9 +51,8 @@
     pub(crate) fn enter_view(&mut self, view: &View, now: Millis, machine: &mut dyn StateMachine) {
         self.chain.followers.clear();
         self.chain.source_durable = None;
-        self.chain.asked_at = 0;
-        self.chain.ask_again_ms = ASK_FIRST_MS;
-        self.chain.requests.clear();
+        self.chain.catch_up_backoff = CatchUpBackoff::new();
+        self.chain.pending_requests.clear();
         if let Some(incoming) = self.chain.incoming.as_mut() {
             incoming.forget_entries();
         }
@@ -76,7 +74,7 @@
         self.flush_chain(now, machine);
     }
 
-    /// Proposes a command. Returns whether it is under way: to the log, or to the head.
+    /// Proposes a command. Returns whether it is in flight: to the log, or to the head.
     pub fn propose(
         &mut self,
         wall: WallMillis,
@@ -85,7 +83,7 @@
         command: Command,
     ) -> bool {
         if self.is_head() {
-            self.write(wall, proposal, role_token, command);
+            self.append_at_head(wall, proposal, role_token, command);
             return true;
         }
         let Some(head) = self.agreement.state.current.head() else {
@@ -108,7 +106,7 @@
     }
 
     /// Adds an entry at the head; it goes on at the end of this step.
-    pub(crate) fn write(
+    pub(crate) fn append_at_head(
         &mut self,
         wall: WallMillis,
         proposal: ProposalId,
@@ -130,39 +128,39 @@
 
     /// Whether the head's disk is still at work on entries: what comes meanwhile goes on together once it is done. Nothing
     /// is lost by that, since a commit needs the head's disk too, and the whole chain has fewer messages to deal with.
-    fn batch_is_under_way(&self, now: Millis) -> bool {
+    fn is_batch_in_flight(&self, now: Millis) -> bool {
         self.own_position() == Some(0)
-            && self.chain.own_durable < self.chain.handed_to_disk
-            && now < self.chain.handed_at + MOST_BATCH_WAIT_MS
+            && self.chain.disk.durable < self.chain.disk.submitted
+            && now < self.chain.disk.submitted_at + MAX_BATCH_WAIT_MS
     }
 
-    pub(crate) fn hand_entries_to_disk(&mut self, now: Millis) {
+    pub(crate) fn submit_entries_to_disk(&mut self, now: Millis) {
         let last = self.chain.log.last().index;
-        if last <= self.chain.handed_to_disk || self.batch_is_under_way(now) {
+        if last <= self.chain.disk.submitted || self.is_batch_in_flight(now) {
             return;
         }
-        self.chain.handed_at = now;
-        let Some(entries) = self.chain.log.after(self.chain.handed_to_disk) else {
+        self.chain.disk.submitted_at = now;
+        let Some(entries) = self.chain.log.after(self.chain.disk.submitted) else {
             return;
         };
-        self.chain.handed_to_disk = last;
+        self.chain.disk.submitted = last;
         let records = vec![
             DurableRecord::Entries(entries),
             DurableRecord::Committed(self.chain.committed),
         ];
-        self.persist(records, vec![After::EntriesDurable(last.0)], now);
+        self.persist(records, vec![OnDurable::EntriesDurable(last)], now);
     }
 
-    /// Hands new entries to the disk and the followers, commits at the tail, and applies what is committed.
+    /// Passes new entries to the disk and the followers, commits at the tail, and applies what is committed.
     pub(crate) fn flush_chain(&mut self, now: Millis, machine: &mut dyn StateMachine) {
         if self.is_active() {
-            self.answer_requests(now, machine);
-            self.hand_entries_to_disk(now);
-            self.tell_followers(now);
+            self.serve_pending_requests(now, machine);
+            self.submit_entries_to_disk(now);
+            self.replicate_to_followers(now);
             self.commit_at_tail();
         }
         if self.chain.activity == Activity::Following {
-            self.hand_entries_to_disk(now);
+            self.submit_entries_to_disk(now);
         }
         self.apply_committed(machine);
     }
@@ -170,29 +168,30 @@
     /// Entries up to this one are on the disks of this replica and of all before it.
     pub(crate) fn chain_durable(&self) -> LogIndex {
         match self.own_position() {
-            Some(0) => self.chain.own_durable,
+            Some(0) => self.chain.disk.durable,
             _ => self
                 .chain
-                .own_durable
+                .disk
+                .durable
                 .min(self.chain.source_durable.unwrap_or_default()),
         }
     }
 
     fn commit_at_tail(&mut self) {
+        if self.successor().is_some() {
+            return;
+        }
         let committed = self.chain.committed.max(self.chain_durable());
-        let news = committed > self.chain.committed_told;
-        if self.successor().is_some()
-            || !news
-            || !self.leaves_a_copy(&self.agreement.state.current.chain)
-        {
+        let is_newer = committed > self.chain.committed_announced;
+        if !is_newer || !self.keeps_replica(&self.agreement.state.current.chain) {
             return;
         }
         self.chain.committed = committed;
-        self.chain.committed_told = committed;
-        self.tell_committed();
+        self.chain.committed_announced = committed;
+        self.announce_committed();
     }
 
-    pub(crate) fn tell_committed(&mut self) {
+    pub(crate) fn announce_committed(&mut self) {
         let view = self.agreement.state.current.number;
         let index = self.chain.committed;
         let own = self.settings.own;
@@ -210,8 +209,8 @@
         }
     }
 
-    /// Takes the tail's word on what is committed.
-    pub(crate) fn learn_committed(&mut self, index: LogIndex) {
+    /// Handles a commit index that the tail has announced.
+    pub(crate) fn handle_committed(&mut self, index: LogIndex) {
         if self.is_active() {
             self.chain.committed = self
                 .chain
@@ -223,15 +222,15 @@
     /// Applies what is committed. After a start that may be much: while the replica does not take part it is done in
     /// parts, so that it is heard meanwhile, and most is done when the view is agreed.
     fn apply_committed(&mut self, machine: &mut dyn StateMachine) {
-        let most = if self.is_active() {
+        let max_applied = if self.is_active() {
             u64::MAX
         } else {
-            MOST_APPLIED_AT_ONCE
+            MAX_APPLIED_PER_STEP
         };
         let until = self
             .chain
             .committed
-            .min(self.chain.applied.saturating_add(most));
+            .min(self.chain.applied.saturating_add(max_applied));
         while self.chain.applied < until {
             let Some(entry) = self.chain.log.get(self.chain.applied.next()) else {
                 break;
@@ -244,6 +243,6 @@
             .outgoing
             .as_ref()
             .map_or(LogIndex::MAX, |outgoing| outgoing.position().index);
-        self.chain.log.trim(self.chain.applied, needed);
+        self.chain.log.compact(self.chain.applied, needed);
     }
 }
--- a/system/control/src/chain_state.rs
+++ b/system/control/src/chain_state.rs
@@ -1,7 +1,10 @@
-//! The state of the chain at one replica.
+//! The state of the chain at one replica: data only. What changes it is in `chain`, `replication`, `catch_up` and
+//! `snapshot_transfer`.
 use crate::{
+    catch_up_backoff::CatchUpBackoff,
     log::Log,
-    transfers::{Incoming, Outgoing},
+    progress::FollowerProgress,
+    snapshot_progress::{IncomingSnapshot, OutgoingSnapshot},
 };
 use magpiegap_protocol::{LogIndex, LogPosition, Millis, ReplicaId};
 use std::collections::{BTreeMap, VecDeque};
@@ -11,9 +14,9 @@
 pub(crate) enum Activity {
     /// Nothing: there is no chain yet, or the replica leads one and does not have all that was committed.
     Inactive,
-    /// It is outside of the chain, and waits for what it is missing.
+    /// A learner: it is outside of the chain, and waits for what it is missing.
     Learning,
-    /// It is outside of the chain, and is told by the tail what is committed.
+    /// A learner that has caught up: the tail sends it new entries.
     Following,
     /// It is in the chain, and waits for what it is missing.
     Joining,
@@ -21,18 +24,23 @@
     Active,
 }
 
-/// A replica that this one passes entries on to: its successor, or at the tail one that catches up outside of the chain.
+/// The entries of the log on this replica's disk.
 #[derive(Clone, Debug)]
-pub(crate) struct Follower {
-    pub replica: ReplicaId,
-    /// The last entry sent to it.
-    pub sent: LogIndex,
-    /// What it was last told to be on disk, and when.
-    pub told: (LogIndex, Millis),
+pub(crate) struct LocalDisk {
+    /// Entries up to this one are on disk.
+    pub durable: LogIndex,
+    /// The last entry submitted to the disk.
+    pub submitted: LogIndex,
+    /// When entries were last submitted.
+    pub submitted_at: Millis,
 }
 
-/// Time until a source that has not answered is asked for the second time.
-pub(crate) const ASK_FIRST_MS: Millis = 60;
+/// The commit index at one moment.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct CommitSample {
+    pub at: Millis,
+    pub committed: LogIndex,
+}
 
 /// The state of the chain at one replica.
 #[derive(Clone, Debug)]
@@ -42,33 +50,26 @@
     /// The last entry applied to the state.
     pub applied: LogIndex,
     pub committed: LogIndex,
-    /// Entries up to this one are on this replica's disk.
-    pub own_durable: LogIndex,
+    pub disk: LocalDisk,
     /// Entries up to this one are on the disks of the source and of all before it. The source is the predecessor; for a
     /// replica outside of the chain, the tail. `None`: it has said nothing in this view.
     pub source_durable: Option<LogIndex>,
-    /// The last entry handed to the disk.
-    pub handed_to_disk: LogIndex,
-    /// When entries were last handed to the disk.
-    pub handed_at: Millis,
     /// Those that have asked for entries and get them as they come.
-    pub followers: Vec<Follower>,
-    /// When the source last told where it stands.
-    pub source_heard_at: Millis,
-    /// What was committed at moments up to a while ago, oldest first.
-    pub committed_at: VecDeque<(Millis, LogIndex)>,
-    /// What others have asked for before this replica could give it, with the last entry that they have.
-    pub requests: BTreeMap<ReplicaId, LogPosition>,
-    /// A state that others may ask for.
-    pub outgoing: Option<Outgoing>,
-    /// A state that is being built up, to take the place of what this replica has.
-    pub incoming: Option<Incoming>,
-    /// When the source was last asked for what is missing.
-    pub asked_at: Millis,
-    /// Until it is asked again: longer each time, since a whole state takes long to make and to send.
-    pub ask_again_ms: Millis,
-    /// What the others were last told to be committed.
-    pub committed_told: LogIndex,
+    pub followers: Vec<FollowerProgress>,
+    /// When the source last sent its progress.
+    pub source_last_heard: Millis,
+    /// The commit index at moments up to a while ago, oldest first.
+    pub commit_history: VecDeque<CommitSample>,
+    /// Requests that came before this replica was active, with the last entry that the sender has.
+    pub pending_requests: BTreeMap<ReplicaId, LogPosition>,
+    /// A snapshot that others may request.
+    pub outgoing: Option<OutgoingSnapshot>,
+    /// A snapshot that is being received, to replace what this replica has.
+    pub incoming: Option<IncomingSnapshot>,
+    /// How often the source is sent requests for what is missing.
+    pub catch_up_backoff: CatchUpBackoff,
+    /// The commit index last announced to the others.
+    pub committed_announced: LogIndex,
 }
 
 impl Chain {
@@ -79,19 +80,20 @@
             log,
             applied: applied.index,
             committed: applied.index,
-            own_durable: LogIndex::default(),
+            disk: LocalDisk {
+                durable: LogIndex::default(),
+                submitted: last,
+                submitted_at: 0,
+            },
             source_durable: None,
-            handed_to_disk: last,
-            handed_at: 0,
             followers: Vec::new(),
-            source_heard_at: 0,
-            committed_at: VecDeque::new(),
-            requests: BTreeMap::new(),
+            source_last_heard: 0,
+            commit_history: VecDeque::new(),
+            pending_requests: BTreeMap::new(),
             outgoing: None,
             incoming: None,
-            asked_at: 0,
-            ask_again_ms: ASK_FIRST_MS,
-            committed_told: LogIndex::default(),
+            catch_up_backoff: CatchUpBackoff::new(),
+            committed_announced: LogIndex::default(),
         }
     }
 }
--- a/system/control/src/durable.rs
+++ b/system/control/src/durable_state.rs
@@ -1,4 +1,4 @@
-//! What a replica keeps on disk.
+//! What a replica has on disk, and its encoding.
 use crate::state_machine::{EncodedSnapshot, StateSnapshot};
 use magpiegap_protocol::{
     decode, encode, AcceptedView, Ballot, DecodeError, Entry, LogIndex, LogPosition, View,
@@ -24,7 +24,7 @@
 /// One record of the log on disk.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum DurableRecord {
-    /// The state of the agreement, whole.
+    /// The complete state of the agreement.
     #[n(0)]
     Agreement(#[n(0)] Box<AgreementState>),
     /// Entries that follow those before.
@@ -38,10 +38,10 @@
     Committed(#[n(0)] LogIndex),
 }
 
-/// All that a replica keeps, at one moment.
+/// All that a replica has on disk, at one moment.
 #[derive(Clone, Debug)]
 pub struct DurableState {
-    /// Names this life of the disk.
+    /// Names this incarnation of the disk.
     pub disk: u64,
     /// The state of the agreement.
     pub agreement: AgreementState,
@@ -57,9 +57,9 @@
     pub committed: LogIndex,
 }
 
-/// The first part of a snapshot on disk: all but the state.
+/// The first chunk of a snapshot on disk: all but the state.
 #[derive(Clone, Debug, Encode, Decode)]
-struct Head {
+struct Header {
     #[n(0)]
     disk: u64,
     #[n(1)]
@@ -68,7 +68,7 @@
     synchronized: Option<ViewNumber>,
     #[n(3)]
     applied: LogPosition,
-    /// The state in one piece, as earlier builds kept it; empty: the parts that follow hold it.
+    /// The state as one chunk, as earlier builds wrote it; empty: the chunks that follow hold it.
     #[cbor(n(4), with = "minicbor::bytes")]
     state: Vec<u8>,
     #[n(5)]
@@ -102,9 +102,9 @@
         }
     }
 
-    /// What goes on disk, part by part.
+    /// What goes on disk, chunk by chunk.
     pub fn chunks(&self) -> impl Iterator<Item = Vec<u8>> + '_ {
-        let head = Head {
+        let header = Header {
             disk: self.disk,
             agreement: self.agreement.clone(),
             synchronized: self.synchronized,
@@ -113,11 +113,11 @@
             entries: self.entries.clone(),
             committed: self.committed,
         };
-        std::iter::once(encode(&head))
+        std::iter::once(encode(&header))
             .chain((0..self.state.chunks()).map(|number| self.state.chunk(number)))
     }
 
-    /// What was kept, from the parts of a snapshot and the records that came after it.
+    /// Recovers what was on disk, from the chunks of a snapshot and the records that came after it.
     ///
     /// # Errors
     /// When the bytes are not of a build that this one understands.
@@ -125,19 +125,19 @@
         mut chunks: Vec<Vec<u8>>,
         records: &[Vec<u8>],
     ) -> Result<DurableState, DecodeError> {
-        let head: Head = decode(chunks.first().map_or(&[], Vec::as_slice))?;
+        let header: Header = decode(chunks.first().map_or(&[], Vec::as_slice))?;
         let state = match chunks.len() {
-            0 | 1 => vec![head.state],
+            0 | 1 => vec![header.state],
             _ => chunks.drain(1..).collect(),
         };
         let mut snapshot = DurableState {
-            disk: head.disk,
-            agreement: head.agreement,
-            synchronized: head.synchronized,
-            applied: head.applied,
-            state: Arc::new(EncodedSnapshot::new(head.applied, state)),
-            entries: head.entries,
-            committed: head.committed,
+            disk: header.disk,
+            agreement: header.agreement,
+            synchronized: header.synchronized,
+            applied: header.applied,
+            state: Arc::new(EncodedSnapshot::new(header.applied, state)),
+            entries: header.entries,
+            committed: header.committed,
         };
         for record in records {
             snapshot.add(decode(record)?);
--- /dev/null
+++ b/system/control/src/inputs.rs
@@ -0,0 +1,243 @@
+//! The inputs of a replica: messages, the passing of time, and the completion of disk work. Each is passed on to the
+//! module that owns its concept.
+use crate::{
+    disk_tickets::OnDurable, log::EntryBatch, replica::Replica, snapshot_transfer::Chunk,
+    StateMachine,
+};
+use magpiegap_protocol::{Heartbeat, Millis, PeerMessage, ReplicaId, ViewNumber, WallMillis};
+
+/// Bytes of records after which a checkpoint is written.
+const CHECKPOINT_BYTES: usize = 4 << 20;
+
+/// A replica sends about so many heartbeats a second at most, to all its monitors together.
+const MAX_HEARTBEATS_PER_S: u64 = 90;
+/// At least so many heartbeats fit into the time after which a replica is suspected.
+const MIN_HEARTBEATS_PER_SUSPICION: Millis = 3;
+
+impl Replica {
+    /// Does what is due. To be called every few hundredths of a second.
+    pub fn tick(&mut self, now: Millis, own_wall: WallMillis, machine: &mut dyn StateMachine) {
+        if !self.started {
+            self.flush(now, machine);
+            return;
+        }
+        if now >= self.next_heartbeat_at {
+            self.next_heartbeat_at = now + self.heartbeat_interval(now);
+            self.send_heartbeats(now, own_wall);
+            self.record_commit_index(now);
+            self.membership.expire_peers(now);
+            self.expire_outgoing_snapshot(now);
+        }
+        self.check_view(now);
+        self.request_missing_if_needed(now);
+        if self.tickets.needs_checkpoint(CHECKPOINT_BYTES) {
+            self.checkpoint(now, machine);
+        }
+        self.flush(now, machine);
+    }
+
+    /// Handles a message from another replica.
+    pub fn handle_messages(
+        &mut self,
+        now: Millis,
+        wall: WallMillis,
+        from: ReplicaId,
+        message: PeerMessage,
+        machine: &mut dyn StateMachine,
+    ) {
+        match message {
+            PeerMessage::Heartbeat(heartbeat) => self.handle_heartbeat(from, &heartbeat, now),
+            PeerMessage::Prepare { number, ballot } => {
+                self.handle_prepare(from, number, ballot, now)
+            }
+            PeerMessage::Promise(promise) => self.handle_promise(from, promise, now),
+            PeerMessage::Reject { number, promised } => self.handle_reject(number, promised, now),
+            PeerMessage::Accept { ballot, view } => self.handle_accept(from, ballot, &view, now),
+            PeerMessage::Accepted { number, ballot } => {
+                self.handle_accepted(from, number, ballot, now, machine)
+            }
+            PeerMessage::Decided(view) => self.handle_decided(&view, now, machine),
+            message => self.handle_chain_message(now, wall, from, message, machine),
+        }
+    }
+
+    /// Handles a message that counts only in the view in which it was sent.
+    fn handle_chain_message(
+        &mut self,
+        now: Millis,
+        wall: WallMillis,
+        from: ReplicaId,
+        message: PeerMessage,
+        machine: &mut dyn StateMachine,
+    ) {
+        if view_of(&message) != Some(self.view().number) {
+            return;
+        }
+        match message {
+            PeerMessage::Committed { index, .. } => self.handle_committed(index),
+            PeerMessage::Synchronize { last, .. } => {
+                self.handle_synchronize(from, last, now, machine)
+            }
+            PeerMessage::RequestSnapshotChunk {
+                position, number, ..
+            } => self.handle_chunk_request(from, position, number, now, machine),
+            PeerMessage::Propose {
+                proposal,
+                role_token,
+                command,
+                ..
+            } if self.is_head() => self.append_at_head(wall, proposal, role_token, command),
+            message if self.source() == Some(from) => {
+                self.handle_source_message(now, from, message, machine)
+            }
+            // Only the source's word counts.
+            _ => {}
+        }
+    }
+
+    /// Handles a message that counts only when it comes from the source, in the current view.
+    fn handle_source_message(
+        &mut self,
+        now: Millis,
+        from: ReplicaId,
+        message: PeerMessage,
+        machine: &mut dyn StateMachine,
+    ) {
+        match message {
+            PeerMessage::Append {
+                after,
+                entries,
+                durable,
+                ..
+            } => self.handle_append(after, entries, durable, now),
+            PeerMessage::MissingEntries {
+                after,
+                entries,
+                more,
+                ..
+            } => {
+                let batch = EntryBatch { entries, more };
+                self.handle_missing_entries(after, batch, now, machine);
+            }
+            PeerMessage::SnapshotOffer {
+                position, chunks, ..
+            } => self.handle_snapshot_offer(position, chunks, now, machine),
+            PeerMessage::SnapshotChunk {
+                position,
+                number,
+                checksum,
+                bytes,
+                ..
+            } => {
+                let chunk = Chunk {
+                    position,
+                    number,
+                    checksum,
+                    bytes,
+                };
+                self.handle_snapshot_chunk(from, &chunk, now, machine);
+            }
+            // Not for this layer.
+            _ => {}
+        }
+    }
+
+    /// Ends a step: passes on what has come up.
+    pub fn flush(&mut self, now: Millis, machine: &mut dyn StateMachine) {
+        self.flush_chain(now, machine);
+    }
+
+    /// Handles the completion of disk work: all up to this ticket is durable.
+    pub fn handle_persisted(&mut self, ticket: u64, now: Millis, machine: &mut dyn StateMachine) {
+        while let Some(done) = self.tickets.pop_completed(ticket) {
+            self.fitness.record_disk_work(done.issued_at, now);
+            for release in done.on_durable {
+                self.handle_durable(release);
+            }
+        }
+        self.flush(now, machine);
+    }
+
+    fn handle_durable(&mut self, release: OnDurable) {
+        match release {
+            OnDurable::Send { to, message } => self.send(to, message),
+            OnDurable::EntriesDurable(index) => {
+                let disk = &mut self.chain.disk;
+                disk.durable = disk.durable.max(index);
+            }
+            OnDurable::Started => self.started = true,
+        }
+    }
+
+    fn handle_heartbeat(&mut self, from: ReplicaId, heartbeat: &Heartbeat, now: Millis) {
+        if self.membership.handle_heartbeat(from, heartbeat, now) {
+            // It waits for a heartbeat that says that it is heard.
+            self.next_heartbeat_at = now;
+        }
+        self.record_quorum_contact(from, heartbeat);
+        let current = self.view();
+        if heartbeat.view < current.number {
+            let decided = PeerMessage::Decided(current.clone());
+            self.send(from.member.address, decided);
+        } else if heartbeat.view == current.number && current.tail() == Some(from) {
+            self.handle_committed(heartbeat.committed);
+        }
+    }
+
+    /// Records the echo of an own heartbeat, when its sender has not gone on from the view that it knows.
+    fn record_quorum_contact(&mut self, from: ReplicaId, heartbeat: &Heartbeat) {
+        let own = self.settings.own;
+        let echo = heartbeat
+            .heard
+            .iter()
+            .find(|report| report.replica == own)
+            .map_or(0, |report| report.echo);
+        if echo > 0 && !heartbeat.sealed {
+            self.quorum_contact
+                .confirm(from.member, heartbeat.view, echo);
+        }
+    }
+
+    /// Time until the next heartbeats: longer with many monitors, so that they don't take up the processors of a
+    /// large core, and short enough that several fit into the time after which a replica is suspected.
+    fn heartbeat_interval(&self, now: Millis) -> Millis {
+        let monitors = self.membership.monitors(now).len() as u64;
+        let spread = monitors * 1000 / MAX_HEARTBEATS_PER_S;
+        spread
+            .min(self.settings.suspect_ms / MIN_HEARTBEATS_PER_SUSPICION)
+            .max(self.settings.heartbeat_ms)
+    }
+
+    fn send_heartbeats(&mut self, now: Millis, own_wall: WallMillis) {
+        let heartbeat = Heartbeat {
+            sent_at: now,
+            sealed: self.agreement.is_sealed(),
+            view: self.view().number,
+            serving: self.is_serving(),
+            unfit: self.is_unfit(now),
+            location: self.settings.location,
+            heard: self.membership.reports(now),
+            wall_ms: own_wall,
+            committed: self.chain.committed,
+            complete: self.is_complete(),
+        };
+        for address in self.membership.monitors(now) {
+            self.send(address, PeerMessage::Heartbeat(heartbeat.clone()));
+        }
+    }
+}
+
+/// The view in which a message counts; `None`: it is of the agreement or of the failure detector, and of no view.
+fn view_of(message: &PeerMessage) -> Option<ViewNumber> {
+    match message {
+        PeerMessage::Append { view, .. }
+        | PeerMessage::Committed { view, .. }
+        | PeerMessage::Synchronize { view, .. }
+        | PeerMessage::MissingEntries { view, .. }
+        | PeerMessage::SnapshotOffer { view, .. }
+        | PeerMessage::RequestSnapshotChunk { view, .. }
+        | PeerMessage::SnapshotChunk { view, .. }
+        | PeerMessage::Propose { view, .. } => Some(*view),
+        _ => None,
+    }
+}
--- a/system/control/src/membership.rs
+++ b/system/control/src/membership.rs
@@ -1,4 +1,5 @@
-//! Who is there: heartbeats to a few monitors on a ring, and what others report.
+//! The failure detector: heartbeats to a few monitors on a ring, and what others report. It owns what is known of other
+//! replicas; who is taken into a view is decided in `view_composition`.
 use crate::{
     peer::{Peer, Status},
     settings::ControlSettings,
@@ -7,13 +8,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How many successors on the ring hear a replica's heartbeats: in a core of up to nine, all others.
-const MONITORS: usize = 8;
-/// A newcomer must have been heard for this long.
-const SETTLE_MS: Millis = 150;
+const MAX_MONITORS: usize = 8;
+/// A newcomer must have been heard for this long before it may be taken into a view.
+const MIN_STABLE_MS: Millis = 150;
 /// Reports on replicas that were not heard for this long are dropped.
-const FORGET_MS: Millis = 30_000;
+const PEER_EXPIRY_MS: Millis = 30_000;
 /// A replica that is in no view and was not heard for this long has no place on the ring.
-const OUTSIDER_MS: Millis = 3000;
+const OUTSIDER_TIMEOUT_MS: Millis = 3000;
 
 /// All that is known of other replicas.
 #[derive(Clone, Debug)]
@@ -23,7 +24,7 @@
     /// Where others may be found while too few of the view are heard.
     seeds: BTreeSet<u32>,
     /// The addresses of the newest view: of its voters and of its chain.
-    of_view: BTreeSet<u32>,
+    view_addresses: BTreeSet<u32>,
     peers: BTreeMap<Member, Peer>,
     /// The addresses with which each member says to be connected both ways.
     connected: BTreeMap<Member, BTreeSet<u32>>,
@@ -35,12 +36,12 @@
             own: settings.own,
             suspect_ms: settings.suspect_ms,
             seeds: BTreeSet::new(),
-            of_view: BTreeSet::new(),
+            view_addresses: BTreeSet::new(),
             peers: BTreeMap::new(),
             connected: BTreeMap::new(),
         };
         membership.set_seeds(&settings.seeds);
-        membership.follow(view);
+        membership.start_view(view);
         membership
     }
 
@@ -54,12 +55,12 @@
             .collect();
     }
 
-    /// Takes up the addresses of a view. Those of members that it has left out are forgotten once they fall silent.
-    pub(crate) fn follow(&mut self, view: &View) {
+    /// Takes up the addresses of a view. Those of members that it has left out expire once they are not heard.
+    pub(crate) fn start_view(&mut self, view: &View) {
         let voters = view.voters.iter().map(|member| member.address);
         let chain = view.chain.iter().map(|replica| replica.member.address);
         let own = self.own.member.address;
-        self.of_view = voters
+        self.view_addresses = voters
             .chain(chain)
             .filter(|address| *address != own)
             .collect();
@@ -70,22 +71,23 @@
         let heard: BTreeSet<u32> = self
             .peers
             .values()
-            .filter(|peer| self.is_recent(peer.direct, now))
+            .filter(|peer| self.is_recent(peer.last_direct, now))
             .map(|peer| peer.replica.member.address)
             .collect();
-        let of_view = self.of_view.intersection(&heard).count();
-        2 * of_view < self.of_view.len() || self.of_view.is_empty()
+        let view_addresses = self.view_addresses.intersection(&heard).count();
+        2 * view_addresses < self.view_addresses.len() || self.view_addresses.is_empty()
     }
 
     /// The addresses on the ring, without this replica's own.
     fn ring(&self, now: Millis) -> BTreeSet<u32> {
-        let is_near = |peer: &&Peer| now.saturating_sub(peer.last_heard) <= OUTSIDER_MS;
+        let is_recent_peer =
+            |peer: &&Peer| now.saturating_sub(peer.last_heard) <= OUTSIDER_TIMEOUT_MS;
         let heard = self
             .peers
             .values()
-            .filter(is_near)
+            .filter(is_recent_peer)
             .map(|peer| peer.replica.member.address);
-        let mut ring: BTreeSet<u32> = self.of_view.iter().copied().chain(heard).collect();
+        let mut ring: BTreeSet<u32> = self.view_addresses.iter().copied().chain(heard).collect();
         if self.is_seeking(now) {
             ring.extend(&self.seeds);
         }
@@ -99,29 +101,34 @@
         let ring = self.ring(now);
         let after = ring.range(own..);
         let before = ring.range(..own);
-        after.chain(before).copied().take(MONITORS).collect()
+        after.chain(before).copied().take(MAX_MONITORS).collect()
     }
 
-    /// Takes a heartbeat. Returns whether it is the first one from this life of the replica.
-    pub(crate) fn hear(&mut self, from: ReplicaId, heartbeat: &Heartbeat, now: Millis) -> bool {
+    /// Handles a heartbeat. Returns whether it is the first one from this incarnation of the replica.
+    pub(crate) fn handle_heartbeat(
+        &mut self,
+        from: ReplicaId,
+        heartbeat: &Heartbeat,
+        now: Millis,
+    ) -> bool {
         let known = self
             .peers
             .get(&from.member)
-            .is_some_and(|peer| peer.replica == from && peer.direct.is_some());
-        self.record(from, now, heartbeat.into(), now);
+            .is_some_and(|peer| peer.replica == from && peer.last_direct.is_some());
+        self.record_status(from, now, heartbeat.into(), now);
         let own = self.own;
-        let hears_us = heartbeat
+        let last_heard_us = heartbeat
             .heard
             .iter()
             .find(|report| report.replica == own)
             .map(|report| report.age_ms);
         let suspect_ms = self.suspect_ms;
         if let Some(peer) = self.peers.get_mut(&from.member) {
-            peer.direct = Some(now);
+            peer.last_direct = Some(now);
             peer.echo = peer.echo.max(heartbeat.sent_at);
             peer.wall_offset = Some(heartbeat.wall_ms.0 as i64 - now as i64);
-            if hears_us.is_some_and(|age| age < suspect_ms) {
-                peer.hears_us = Some(now);
+            if last_heard_us.is_some_and(|age| age < suspect_ms) {
+                peer.last_heard_us = Some(now);
             }
         }
         let connected = heartbeat.heard.iter().filter(|report| report.bidirectional);
@@ -132,14 +139,14 @@
         for report in &heartbeat.heard {
             if report.replica.member != own.member && report.age_ms < suspect_ms {
                 let at = now.saturating_sub(report.age_ms);
-                self.record(report.replica, at, report.into(), now);
+                self.record_status(report.replica, at, report.into(), now);
             }
         }
         !known
     }
 
-    /// Takes note of what a replica said at a time.
-    fn record(&mut self, replica: ReplicaId, at: Millis, status: Status, now: Millis) {
+    /// Records what a replica said at a time.
+    fn record_status(&mut self, replica: ReplicaId, at: Millis, status: Status, now: Millis) {
         let fresh = Peer::new(replica, status, at, now);
         let peer = self.peers.entry(replica.member).or_insert(fresh);
         if at < peer.last_heard {
@@ -157,8 +164,8 @@
     }
 
     /// Whether a replica has been heard for long enough that it may be taken into a view.
-    pub(crate) fn has_settled(peer: &Peer, now: Millis) -> bool {
-        now.saturating_sub(peer.first_heard) >= SETTLE_MS
+    pub(crate) fn is_stable(peer: &Peer, now: Millis) -> bool {
+        now.saturating_sub(peer.first_heard) >= MIN_STABLE_MS
     }
 
     /// Reports for a heartbeat.
@@ -189,10 +196,10 @@
     }
 
     /// The replicas that are heard and hear this one, without this one.
-    pub(crate) fn heard(&self, now: Millis) -> Vec<Peer> {
-        let bidirectional = |peer: &Peer| match self.is_recent(peer.direct, now) {
+    pub(crate) fn reachable(&self, now: Millis) -> Vec<Peer> {
+        let bidirectional = |peer: &Peer| match self.is_recent(peer.last_direct, now) {
             true => self.is_connected(peer, now),
-            // Heard of from others only: those it tells nothing itself, since it has other monitors.
+            // Heard of from others only: it sends this replica nothing itself, since it has other monitors.
             false => !self.all_hear_each_other(now),
         };
         let heard = |peer: &&Peer| {
@@ -214,21 +221,21 @@
 
     /// Whether the ring is so small that everyone monitors everyone.
     fn all_hear_each_other(&self, now: Millis) -> bool {
-        self.ring(now).len() <= MONITORS
+        self.ring(now).len() <= MAX_MONITORS
     }
 
-    /// Whether something happened, and not so long ago that a replica counts as gone.
+    /// Whether something happened, and not so long ago that a replica is suspected.
     fn is_recent(&self, at: Option<Millis>, now: Millis) -> bool {
         at.is_some_and(|at| now.saturating_sub(at) <= self.suspect_ms)
     }
 
     /// Whether a peer and this replica hear each other.
     fn is_connected(&self, peer: &Peer, now: Millis) -> bool {
-        self.is_recent(peer.direct, now) && self.is_recent(peer.hears_us, now)
+        self.is_recent(peer.last_direct, now) && self.is_recent(peer.last_heard_us, now)
     }
 
-    /// Whether a member says that it and all of the others hear each other. In a large ring that can't be told.
-    pub(crate) fn says_connected(
+    /// Whether a member says that it and all of the others hear each other. In a large ring that isn't known.
+    pub(crate) fn reports_connection_to(
         &self,
         member: &Member,
         others: &[ReplicaId],
@@ -250,10 +257,10 @@
         self.peers.get(member)
     }
 
-    /// The middle one of the times of day of all that are heard, with this replica's own.
+    /// The median of the times of day of all that are heard, with this replica's own.
     pub(crate) fn median_wall(&self, own_wall: WallMillis, now: Millis) -> WallMillis {
         let recent = |peer: &&Peer| {
-            peer.direct
+            peer.last_direct
                 .is_some_and(|at| now.saturating_sub(at) <= 2 * self.suspect_ms)
         };
         let heard = self
@@ -269,7 +276,7 @@
     }
 
     /// Whether this very process was heard lately.
-    pub(crate) fn is_heard(&self, replica: &ReplicaId, now: Millis) -> bool {
+    pub(crate) fn is_reachable(&self, replica: &ReplicaId, now: Millis) -> bool {
         self.peers.get(&replica.member).is_some_and(|peer| {
             peer.replica == *replica && self.is_recent(Some(peer.last_heard), now)
         })
@@ -288,9 +295,9 @@
     }
 
     /// Drops what is known of replicas that were not heard for long.
-    pub(crate) fn forget(&mut self, now: Millis) {
+    pub(crate) fn expire_peers(&mut self, now: Millis) {
         self.peers
-            .retain(|_, peer| now.saturating_sub(peer.last_heard) < FORGET_MS);
+            .retain(|_, peer| now.saturating_sub(peer.last_heard) < PEER_EXPIRY_MS);
         self.connected
             .retain(|member, _| self.peers.contains_key(member));
     }
--- a/system/control/src/peer.rs
+++ b/system/control/src/peer.rs
@@ -1,4 +1,4 @@
-//! What is known of another replica.
+//! What is known of another replica: data only, kept by `membership`.
 use magpiegap_protocol::{
     Heartbeat, Location, LogIndex, Millis, PeerReport, ReplicaId, ViewNumber,
 };
@@ -16,7 +16,7 @@
     pub complete: bool,
     /// The newest entry that it knew to be committed.
     pub committed: LogIndex,
-    /// Where it stands.
+    /// Its zone and region.
     pub location: Location,
 }
 
@@ -70,14 +70,14 @@
     pub replica: ReplicaId,
     /// What it said last.
     pub status: Status,
-    /// Since when it has been heard without a pause.
+    /// Since when it has been heard without a break.
     pub first_heard: Millis,
-    /// When it was last heard, by this replica or by others that told it.
+    /// When it was last heard, by this replica or by others that reported it.
     pub last_heard: Millis,
-    /// When it last said that it hears us; `None`: it tells us nothing itself.
-    pub hears_us: Option<Millis>,
-    /// When it last told us something itself.
-    pub direct: Option<Millis>,
+    /// When it last said that it hears us; `None`: it sends us nothing itself.
+    pub last_heard_us: Option<Millis>,
+    /// When it last sent us a heartbeat itself.
+    pub last_direct: Option<Millis>,
     /// When a connection to its address was refused; what was heard until then counts no more.
     pub refused_at: Option<Millis>,
     /// Its time of day less our steady clock.
@@ -94,8 +94,8 @@
             status,
             first_heard: now,
             last_heard: at,
-            hears_us: None,
-            direct: None,
+            last_heard_us: None,
+            last_direct: None,
             refused_at: None,
             wall_offset: None,
             echo: 0,
--- a/system/control/src/contact.rs
+++ b/system/control/src/quorum_contact.rs
@@ -1,4 +1,4 @@
-//! Contact with a majority of the voters: whether the view that a replica knows is still the newest one.
+//! Quorum contact, contact with a majority of the voters: whether the view that a replica knows is still the newest one.
 //!
 //! Each heartbeat carries the time of its sending, and whoever hears it sends that time back. A voter that echoes the time
 //! `t`, knows view `v` and takes no part in the agreement on the next view had not gone on from `v` at `t`, on the clock of
@@ -17,11 +17,11 @@
 
 /// What the voters have confirmed.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Contact {
+pub(crate) struct QuorumContact {
     confirmed: BTreeMap<Member, Confirmation>,
 }
 
-impl Contact {
+impl QuorumContact {
     /// A voter had not gone on from a view when it got the heartbeat that was sent at this time.
     pub(crate) fn confirm(&mut self, voter: Member, view: ViewNumber, at: Millis) {
         let known = self
@@ -42,7 +42,7 @@
             if *voter == own {
                 now
             } else {
-                self.heard_by(view, *voter)
+                self.confirmed_by(view, *voter)
             }
         };
         let mut times: Vec<Millis> = view.voters.iter().map(confirmed).collect();
@@ -51,7 +51,7 @@
     }
 
     /// Up to when, on our steady clock, a member of the view has surely heard from us; zero: that isn't known.
-    pub(crate) fn heard_by(&self, view: &View, member: Member) -> Millis {
+    pub(crate) fn confirmed_by(&self, view: &View, member: Member) -> Millis {
         let confirmed = self
             .confirmed
             .get(&member)
@@ -59,8 +59,8 @@
         confirmed.map_or(0, |confirmation| confirmation.at)
     }
 
-    /// Drops what those that are not of the view any more have confirmed.
-    pub(crate) fn follow(&mut self, view: &View) {
+    /// Drops what members that are no longer of the view have confirmed.
+    pub(crate) fn retain_members(&mut self, view: &View) {
         let in_chain = |member: &Member| view.chain.iter().any(|replica| replica.member == *member);
         self.confirmed
             .retain(|member, _| view.voters.contains(member) || in_chain(member));
--- a/system/control/src/replica.rs
+++ b/system/control/src/replica.rs
@@ -1,29 +1,27 @@
-//! One replica: takes messages, the passing of time and the disk's word, and says what to send and to keep.
+//! One replica of the control plane: the parts that it is made of, what can be asked of it, and what it wants done. How it
+//! handles its inputs is in `inputs`.
 use crate::{
     agreement::Agreement,
     chain_state::{Activity, Chain},
-    contact::Contact,
-    durable::{DurableRecord, DurableState},
+    disk_tickets::{DiskTickets, OnDurable},
+    durable_state::{DurableRecord, DurableState},
+    fitness::Fitness,
     log::Log,
     membership::Membership,
+    quorum_contact::QuorumContact,
     settings::ControlSettings,
+    view_timer::ViewTimer,
     StateMachine,
 };
 use magpiegap_protocol::{
     Entry, LogIndex, Millis, PeerMessage, ReplicaId, View, ViewNumber, WallMillis,
 };
-use rand::{rngs::StdRng, SeedableRng};
-use std::collections::VecDeque;
 
-/// A disk that has not done what it was asked to for this long makes the replica unfit ...
-const DISK_PATIENCE_MS: Millis = 350;
-/// ... and for this much longer, so that a slow disk does not come and go with every write.
-const UNFIT_MS: Millis = 2500;
 /// A view that was the newest one this long ago is taken for the newest one where seconds matter, and not less.
 pub const CONTACT_MS: Millis = 600;
 
 /// Something that a replica wants done. Disk work is done in order, and each ticket is answered with
-/// [`Replica::persisted`].
+/// [`Replica::handle_persisted`].
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Send a message to the coordinator at an address.
@@ -51,47 +49,25 @@
     Log(String),
 }
 
-/// What waits for the disk.
-#[derive(Clone, Debug, PartialEq)]
-pub(crate) enum After {
-    Send(u32, PeerMessage),
-    EntriesDurable(u64),
-    /// What was read at the start is surely on disk.
-    Started,
-}
-
-#[derive(Clone, Debug)]
-pub(crate) struct Ticket {
-    pub number: u64,
-    pub issued_at: Millis,
-    pub after: Vec<After>,
-}
-
-/// One replica.
+/// A replica of the control plane.
 #[derive(Clone, Debug)]
 pub struct Replica {
     pub(crate) settings: ControlSettings,
     pub(crate) agreement: Agreement,
     pub(crate) membership: Membership,
-    pub(crate) contact: Contact,
+    pub(crate) quorum_contact: QuorumContact,
     pub(crate) chain: Chain,
     /// The view up to which this replica has all that was committed.
     pub(crate) synchronized: Option<ViewNumber>,
-    pub(crate) random: StdRng,
-    pub(crate) view_since: Millis,
-    pub(crate) needed_since: Option<Millis>,
-    pub(crate) next_round_at: Millis,
+    pub(crate) view_timer: ViewTimer,
+    /// Names this incarnation of the disk.
     disk: u64,
     /// What was read at the start is surely on disk, with the name of the disk: from here on others may hear of it.
     pub(crate) started: bool,
-    leaving: bool,
-    /// The disk was too slow a moment ago; the replica is unfit until then.
-    pub(crate) unfit_until: Millis,
-    pub(crate) next_heartbeat: Millis,
-    next_ticket: u64,
-    pub(crate) tickets: VecDeque<Ticket>,
-    pub(crate) bytes_since_checkpoint: usize,
-    out: Vec<Output>,
+    pub(crate) fitness: Fitness,
+    pub(crate) next_heartbeat_at: Millis,
+    pub(crate) tickets: DiskTickets,
+    outputs: Vec<Output>,
 }
 
 impl Replica {
@@ -99,7 +75,7 @@
     /// the same.
     ///
     /// What was read may be there only because the process before was killed, and may not outlast a loss of power. So the
-    /// first thing that the replica wants is that all of it is written anew; until that is done it keeps silent.
+    /// first thing that the replica wants is that all of it is written anew; until that is done it sends nothing.
     pub fn new(settings: ControlSettings, durable: DurableState, now: Millis) -> Replica {
         let membership = Membership::new(&settings, &durable.agreement.current);
         let log = Log::new(durable.applied, durable.entries.clone());
@@ -114,31 +90,22 @@
             chain.activity = Activity::Learning;
         }
         let mut replica = Replica {
-            random: StdRng::seed_from_u64(settings.seed),
+            view_timer: ViewTimer::new(settings.seed, now),
             agreement: Agreement::new(durable.agreement.clone()),
             membership,
-            contact: Contact::default(),
+            quorum_contact: QuorumContact::default(),
             chain,
             synchronized: durable.synchronized,
-            view_since: now,
-            needed_since: None,
-            next_round_at: now,
             disk: durable.disk,
             started: false,
-            leaving: false,
-            unfit_until: 0,
-            next_heartbeat: now,
-            next_ticket: 0,
-            tickets: VecDeque::new(),
-            bytes_since_checkpoint: 0,
-            out: Vec::new(),
+            fitness: Fitness::default(),
+            next_heartbeat_at: now,
+            tickets: DiskTickets::default(),
+            outputs: Vec::new(),
             settings,
         };
-        let ticket = replica.ticket(vec![After::EntriesDurable(last.0), After::Started], now);
-        replica.out.push(Output::Checkpoint {
-            ticket,
-            snapshot: Box::new(durable),
-        });
+        let on_durable = vec![OnDurable::EntriesDurable(last), OnDurable::Started];
+        replica.write_checkpoint(durable, on_durable, now);
         replica
     }
 
@@ -159,7 +126,7 @@
 
     /// Takes what it wants done.
     pub fn poll_outputs(&mut self) -> Vec<Output> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
     /// A connection to the coordinator at an address was refused: most likely its process has ended.
@@ -179,8 +146,8 @@
 
     /// Announces that this replica is about to end, so that the others go on without it at once.
     pub fn leave(&mut self, now: Millis) {
-        self.leaving = true;
-        self.next_heartbeat = now;
+        self.fitness.drain();
+        self.next_heartbeat_at = now;
     }
 
     /// The middle one of the times of day of the core machines.
@@ -203,78 +170,56 @@
     /// Whether this replica takes part in the newest view of at most [`CONTACT_MS`] milliseconds ago, and knows all that
     /// was committed then: it is the tail, or the tail has told it since.
     pub fn is_informed(&self, now: Millis) -> bool {
-        let told_at = match self.view().tail() {
+        let tail_last_heard = match self.view().tail() {
             Some(tail) if tail != self.settings.own => {
-                self.contact.heard_by(self.view(), tail.member)
+                self.quorum_contact.confirmed_by(self.view(), tail.member)
             }
             _ => now,
         };
-        let informed_at = self.confirmed_at(now).min(told_at);
+        let informed_at = self.confirmed_at(now).min(tail_last_heard);
         self.is_active() && informed_at > 0 && now <= informed_at + CONTACT_MS
     }
 
     /// Until when this replica's view was surely the newest one; zero: that isn't known.
     pub fn confirmed_at(&self, now: Millis) -> Millis {
-        self.contact
+        self.quorum_contact
             .confirmed_at(self.view(), self.settings.own.member, now)
     }
 
     /// Whether this replica is at work in its view, or waits for its predecessor there.
-    pub(crate) fn serving(&self) -> bool {
+    pub(crate) fn is_serving(&self) -> bool {
         matches!(self.chain.activity, Activity::Joining | Activity::Active)
-            && !self.agreement.sealed()
+            && !self.agreement.is_sealed()
     }
 
     /// Whether this replica can't take part for now.
-    pub(crate) fn unfit(&self, now: Millis) -> bool {
-        let stuck = |ticket: &Ticket| now.saturating_sub(ticket.issued_at) > DISK_PATIENCE_MS;
-        self.leaving || now < self.unfit_until || self.tickets.front().is_some_and(stuck)
-    }
-
-    /// Takes note of disk work that took too long.
-    pub(crate) fn judge_disk(&mut self, issued_at: Millis, now: Millis) {
-        if now.saturating_sub(issued_at) > DISK_PATIENCE_MS {
-            self.unfit_until = now + UNFIT_MS;
-        }
+    pub(crate) fn is_unfit(&self, now: Millis) -> bool {
+        self.fitness.is_unfit(self.tickets.oldest_issued_at(), now)
     }
 
     pub(crate) fn log(&mut self, line: String) {
-        self.out.push(Output::Log(line));
+        self.outputs.push(Output::Log(line));
     }
 
     /// Sends a message; one to this replica itself comes back like any other.
     pub(crate) fn send(&mut self, to: u32, message: PeerMessage) {
-        self.out.push(Output::Send { to, message });
+        self.outputs.push(Output::Send { to, message });
     }
 
-    fn ticket(&mut self, after: Vec<After>, now: Millis) -> u64 {
-        self.next_ticket += 1;
-        self.tickets.push_back(Ticket {
-            number: self.next_ticket,
-            issued_at: now,
-            after,
-        });
-        self.next_ticket
-    }
-
-    pub(crate) fn persist(&mut self, records: Vec<DurableRecord>, after: Vec<After>, now: Millis) {
-        let ticket = self.ticket(after, now);
-        self.bytes_since_checkpoint += records.iter().map(rough_size).sum::<usize>();
-        self.out.push(Output::Persist { ticket, records });
-    }
-
-    /// Entries that are still on their way to the disk are not those of the log any more.
-    pub(crate) fn forget_entries_under_way(&mut self) {
-        for ticket in &mut self.tickets {
-            ticket
-                .after
-                .retain(|after| !matches!(after, After::EntriesDurable(_)));
-        }
+    /// Adds records to the log on disk.
+    pub(crate) fn persist(
+        &mut self,
+        records: Vec<DurableRecord>,
+        on_durable: Vec<OnDurable>,
+        now: Millis,
+    ) {
+        let bytes = records.iter().map(estimated_bytes).sum();
+        let ticket = self.tickets.issue_records(bytes, on_durable, now);
+        self.outputs.push(Output::Persist { ticket, records });
     }
 
     /// Replaces all that is on disk by what the replica has now.
     pub(crate) fn checkpoint(&mut self, now: Millis, machine: &mut dyn StateMachine) {
-        self.bytes_since_checkpoint = 0;
         let last = self.chain.log.last().index;
         let snapshot = DurableState {
             disk: self.disk,
@@ -285,9 +230,18 @@
             entries: self.chain.log.after(self.chain.applied).unwrap_or_default(),
             committed: self.chain.committed.min(last),
         };
-        self.chain.handed_to_disk = last;
-        let ticket = self.ticket(vec![After::EntriesDurable(last.0)], now);
-        self.out.push(Output::Checkpoint {
+        self.chain.disk.submitted = last;
+        self.write_checkpoint(snapshot, vec![OnDurable::EntriesDurable(last)], now);
+    }
+
+    fn write_checkpoint(
+        &mut self,
+        snapshot: DurableState,
+        on_durable: Vec<OnDurable>,
+        now: Millis,
+    ) {
+        let ticket = self.tickets.issue_checkpoint(on_durable, now);
+        self.outputs.push(Output::Checkpoint {
             ticket,
             snapshot: Box::new(snapshot),
         });
@@ -295,7 +249,7 @@
 }
 
 /// About how many bytes a record takes up on disk.
-fn rough_size(record: &DurableRecord) -> usize {
+fn estimated_bytes(record: &DurableRecord) -> usize {
     match record {
         DurableRecord::Entries(entries) => entries.iter().map(Entry::estimated_bytes).sum(),
         DurableRecord::Agreement(_) => 1000,
--- /dev/null
+++ b/system/control/src/replication.rs
@@ -0,0 +1,115 @@
+//! Replication: sending entries to the followers, which are the successor and, at the tail, the learners.
+use crate::{log::EntryBatch, progress::FollowerProgress, replica::Replica, StateMachine};
+use magpiegap_protocol::{LogPosition, Millis, PeerMessage, ReplicaId};
+
+/// A message carries entries of about so many bytes at most.
+const MAX_MESSAGE_BYTES: usize = 512 << 10;
+
+impl Replica {
+    /// Whether a replica gets its entries from this one in the current view.
+    pub(crate) fn is_source_of(&self, other: &ReplicaId) -> bool {
+        let outside = !self.agreement.state.current.chain.contains(other);
+        let is_last = self.own_position().is_some() && self.successor().is_none();
+        self.successor() == Some(*other) || (is_last && outside)
+    }
+
+    /// Handles a request for what a follower is missing: sends that, and from then on new entries as they come.
+    pub(crate) fn handle_synchronize(
+        &mut self,
+        from: ReplicaId,
+        last: LogPosition,
+        now: Millis,
+        machine: &mut dyn StateMachine,
+    ) {
+        if !self.is_source_of(&from) {
+            return;
+        }
+        if !self.is_active() {
+            self.chain.pending_requests.insert(from, last);
+            return;
+        }
+        let log = &self.chain.log;
+        let batch = log
+            .contains(last)
+            .then(|| log.batch_after(last.index, MAX_MESSAGE_BYTES))
+            .flatten();
+        let Some(EntryBatch { entries, more }) = batch else {
+            self.offer_snapshot(from, now, machine);
+            return;
+        };
+        let view = self.agreement.state.current.number;
+        if !more {
+            self.follow_from_now(from, now);
+        }
+        self.send(
+            from.member.address,
+            PeerMessage::MissingEntries {
+                view,
+                after: last.index,
+                entries,
+                more,
+            },
+        );
+    }
+
+    /// Handles the requests that came before this replica was active.
+    pub(crate) fn serve_pending_requests(&mut self, now: Millis, machine: &mut dyn StateMachine) {
+        for (from, last) in std::mem::take(&mut self.chain.pending_requests) {
+            self.handle_synchronize(from, last, now, machine);
+        }
+    }
+
+    /// Sends the followers new entries and the durable index.
+    pub(crate) fn replicate_to_followers(&mut self, now: Millis) {
+        let successor = self.successor();
+        let membership = &self.membership;
+        let is_retained = |follower: &FollowerProgress| {
+            successor == Some(follower.replica) || membership.is_reachable(&follower.replica, now)
+        };
+        let mut followers = std::mem::take(&mut self.chain.followers);
+        followers.retain(is_retained);
+        for follower in &mut followers {
+            self.replicate_to(follower, now);
+        }
+        self.chain.followers = followers;
+    }
+
+    /// Sends it new entries from now on, and soon what is on disk.
+    fn follow_from_now(&mut self, replica: ReplicaId, now: Millis) {
+        let sent = self.chain.log.last().index;
+        let followers = &mut self.chain.followers;
+        followers.retain(|follower| follower.replica != replica);
+        followers.push(FollowerProgress::new(replica, sent, now));
+    }
+
+    fn replicate_to(&mut self, follower: &mut FollowerProgress, now: Millis) {
+        let last = self.chain.disk.submitted;
+        let durable = self.chain_durable();
+        if !follower.needs_append(last, durable, now) {
+            return;
+        }
+        let view = self.agreement.state.current.number;
+        loop {
+            let after = follower.sent;
+            let batch = self
+                .chain
+                .log
+                .batch_between(after, last.max(after), MAX_MESSAGE_BYTES);
+            let Some(EntryBatch { entries, more }) = batch else {
+                return;
+            };
+            let sent = entries.last().map_or(after, |entry| entry.position.index);
+            follower.record_append(sent, durable, now);
+            let message = PeerMessage::Append {
+                view,
+                after,
+                entries,
+                durable,
+            };
+            self.send(follower.replica.member.address, message);
+            if !more {
+                return;
+            }
+        }
+    }
+}
--- a/system/control/src/settings.rs
+++ b/system/control/src/settings.rs
@@ -1,21 +1,21 @@
-//! What a replica is told at its start.
+//! The settings of a replica.
 use crate::tolerance::Tolerance;
 use magpiegap_protocol::{Location, Millis, ReplicaId};
 
-/// Figures of the deployment that a replica needs.
+/// What a replica needs to know of its deployment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlSettings {
-    /// Its own name: machine, disk, and this life of the process.
+    /// Its own name: machine, disk, and this incarnation of the process.
     pub own: ReplicaId,
     /// Addresses of other coordinators, as known at the start.
     pub seeds: Vec<u32>,
-    /// Where its machine stands.
+    /// The zone and region of its machine.
     pub location: Location,
     /// What may be lost at once.
     pub tolerance: Tolerance,
     /// Time between two heartbeats.
     pub heartbeat_ms: Millis,
-    /// A replica that is not heard for this long is taken for gone.
+    /// A replica that is not heard for this long is suspected.
     pub suspect_ms: Millis,
     /// Seeds random choices.
     pub seed: u64,
--- a/system/control/src/transfers.rs
+++ b/system/control/src/snapshot_progress.rs
@@ -1,40 +1,40 @@
-//! States on their way: one that others may ask for, and one that is being built up.
+//! The progress of snapshot transfers: of one that others may request, and of one that is being received.
 use crate::state_machine::StateSnapshot;
 use magpiegap_protocol::{Entry, LogPosition, Millis};
 use std::sync::Arc;
 
-/// A state that others may ask for.
+/// A snapshot that others may request.
 #[derive(Clone, Debug)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingSnapshot {
     pub state: Arc<dyn StateSnapshot>,
-    /// When it was last asked for.
-    pub asked_at: Millis,
+    /// When a chunk of it was last requested.
+    pub last_requested_at: Millis,
 }
 
-impl Outgoing {
-    /// The last entry of the state; those after it must be there for whoever takes it.
+impl OutgoingSnapshot {
+    /// The last entry in the snapshot; those after it must be there for whoever takes it.
     pub(crate) fn position(&self) -> LogPosition {
         self.state.position()
     }
 }
 
-/// A state that is being built up.
+/// A snapshot that is being received.
 #[derive(Clone, Debug)]
-pub(crate) struct Incoming {
+pub(crate) struct IncomingSnapshot {
     /// The last entry that it holds.
     pub position: LogPosition,
-    /// How many parts it has.
+    /// How many chunks it has.
     pub chunks: u32,
-    /// The next part to come.
+    /// The next chunk to come.
     pub next: u32,
-    /// Entries after the state.
+    /// Entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-impl Incoming {
-    /// A state of which nothing has come yet.
-    pub(crate) fn new(position: LogPosition, chunks: u32) -> Incoming {
-        Incoming {
+impl IncomingSnapshot {
+    /// A snapshot of which nothing has come yet.
+    pub(crate) fn new(position: LogPosition, chunks: u32) -> IncomingSnapshot {
+        IncomingSnapshot {
             position,
             chunks,
             next: 0,
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Whether all of the state is there.
-    pub(crate) fn is_whole(&self) -> bool {
+    /// Whether all chunks are there.
+    pub(crate) fn has_all_chunks(&self) -> bool {
         self.next >= self.chunks
     }
 
--- a/system/control/src/state_transfer.rs
+++ b/system/control/src/snapshot_transfer.rs
@@ -1,24 +1,24 @@
-//! A whole state on its way from one replica to another.
+//! The transfer of a snapshot from one replica to another.
 //!
-//! The source freezes its state and offers it; the other one asks for the parts, a few at a time, builds the state up, and
-//! then asks for the entries that have come since. Only when it has those too it puts all of it, with one checkpoint, into
-//! the place of what it had: until then its disk still counts for what it holds. Neither side has more than a few parts
+//! The source takes a snapshot and offers it; the follower requests the chunks, a few at a time, restores the state, and
+//! then requests the entries that have come since. Only when it has those too it puts all of it, with one checkpoint, into
+//! the place of what it had: until then its disk still counts for what it holds. Neither side has more than a few chunks
 //! in memory, and no write waits for any of it. After a break, also one by a change of the view, it goes on where it was.
 use crate::{
-    chain_state::{Activity, ASK_FIRST_MS},
-    log::Log,
+    chain_state::Activity,
+    log::{EntryBatch, Log},
     replica::Replica,
-    transfers::{Incoming, Outgoing},
+    snapshot_progress::{IncomingSnapshot, OutgoingSnapshot},
     StateMachine,
 };
-use magpiegap_protocol::{fnv1a, Entry, LogIndex, LogPosition, Millis, PeerMessage, ReplicaId};
+use magpiegap_protocol::{fnv1a, LogIndex, LogPosition, Millis, PeerMessage, ReplicaId};
 
-/// How many parts are asked for before the first of them has come.
-const CHUNKS_AHEAD: u32 = 4;
-/// A frozen state that nobody has asked for this long is dropped.
-const KEEP_FROZEN_MS: Millis = 5000;
+/// How many chunks are requested before the first of them has come.
+const MAX_CHUNKS_IN_FLIGHT: u32 = 4;
+/// A snapshot of which nobody has requested a chunk for this long is dropped.
+const OUTGOING_SNAPSHOT_TTL_MS: Millis = 5000;
 
-/// A part of a state, as it was told.
+/// A chunk of a snapshot, as it was received.
 #[derive(Clone, Debug)]
 pub(crate) struct Chunk {
     pub position: LogPosition,
@@ -28,15 +28,16 @@
 }
 
 impl Replica {
-    /// Offers another replica the whole state.
-    pub(crate) fn offer_state(
+    /// Offers a follower a snapshot.
+    pub(crate) fn offer_snapshot(
         &mut self,
         to: ReplicaId,
         now: Millis,
         machine: &mut dyn StateMachine,
     ) {
-        let of_use = |outgoing: &Outgoing| self.chain.log.has_all_after(outgoing.position().index);
-        let state = match self.chain.outgoing.take().filter(of_use) {
+        let is_usable =
+            |outgoing: &OutgoingSnapshot| self.chain.log.covers(outgoing.position().index);
+        let state = match self.chain.outgoing.take().filter(is_usable) {
             Some(outgoing) => outgoing.state,
             None => machine.snapshot(),
         };
@@ -46,15 +47,15 @@
             position: state.position(),
             chunks: state.chunks(),
         };
-        self.chain.outgoing = Some(Outgoing {
+        self.chain.outgoing = Some(OutgoingSnapshot {
             state,
-            asked_at: now,
+            last_requested_at: now,
         });
         self.send(to.member.address, offer);
     }
 
-    /// Gives another replica a part of a state that was offered, or offers another state in its place.
-    pub(crate) fn give_part(
+    /// Handles a request for a chunk of an offered snapshot; where that is no longer there, another one is offered.
+    pub(crate) fn handle_chunk_request(
         &mut self,
         to: ReplicaId,
         position: LogPosition,
@@ -71,12 +72,13 @@
             .as_mut()
             .filter(|known| known.position() == position)
         else {
-            self.offer_state(to, now, machine);
+            self.offer_snapshot(to, now, machine);
             return;
         };
-        outgoing.asked_at = now;
+        outgoing.last_requested_at = now;
         let bytes = outgoing.state.chunk(number);
-        let (view, checksum) = (self.view().number, fnv1a(&bytes));
+        let checksum = fnv1a(&bytes);
+        let view = self.view().number;
         let chunk = PeerMessage::SnapshotChunk {
             view,
             position,
@@ -87,28 +89,30 @@
         self.send(to.member.address, chunk);
     }
 
-    /// Lets go of a frozen state that nobody asks for any more.
-    pub(crate) fn drop_outgoing(&mut self, now: Millis) {
-        let idle = |outgoing: &Outgoing| now >= outgoing.asked_at + KEEP_FROZEN_MS;
+    /// Drops a snapshot that nobody requests any more.
+    pub(crate) fn expire_outgoing_snapshot(&mut self, now: Millis) {
+        let idle = |outgoing: &OutgoingSnapshot| {
+            now >= outgoing.last_requested_at + OUTGOING_SNAPSHOT_TTL_MS
+        };
         if self.chain.outgoing.as_ref().is_some_and(idle) {
             self.chain.outgoing = None;
         }
     }
 
-    /// The source has a state for this replica.
-    pub(crate) fn take_offer(
+    /// Handles the offer of a snapshot by the source.
+    pub(crate) fn handle_snapshot_offer(
         &mut self,
         position: LogPosition,
         chunks: u32,
         now: Millis,
         machine: &mut dyn StateMachine,
     ) {
-        let is_news = match self.chain.activity {
+        let is_newer = match self.chain.activity {
             Activity::Inactive => false,
             Activity::Joining | Activity::Learning => true,
             Activity::Active | Activity::Following => position.index > self.chain.log.last().index,
         };
-        if !is_news {
+        if !is_newer {
             return;
         }
         let known = self
@@ -118,30 +122,31 @@
             .map(|incoming| (incoming.position, incoming.chunks));
         if known != Some((position, chunks)) {
             machine.begin_restore();
-            self.chain.incoming = Some(Incoming::new(position, chunks));
+            self.chain.incoming = Some(IncomingSnapshot::new(position, chunks));
         }
-        self.ask_again_at_once(now);
+        self.request_missing_now(now);
     }
 
-    /// Asks for what is missing of the state that is being built up; `false` when there is none, or all of it is there.
-    pub(crate) fn ask_for_parts(&mut self, source: ReplicaId) -> bool {
+    /// Requests the next chunks of the incoming snapshot; `false` when there is none, or all chunks are there.
+    pub(crate) fn request_chunks(&mut self, source: ReplicaId) -> bool {
         let Some(incoming) = self
             .chain
             .incoming
             .as_ref()
-            .filter(|incoming| !incoming.is_whole())
+            .filter(|incoming| !incoming.has_all_chunks())
         else {
             return false;
         };
-        let (position, next) = (incoming.position, incoming.next);
-        let until = incoming.chunks.min(next + CHUNKS_AHEAD);
-        for number in next..until {
-            self.ask_for_part(source, position, number);
+        let position = incoming.position;
+        let first = incoming.next;
+        let until = incoming.chunks.min(first + MAX_CHUNKS_IN_FLIGHT);
+        for number in first..until {
+            self.request_chunk(source, position, number);
         }
         true
     }
 
-    fn ask_for_part(&mut self, source: ReplicaId, position: LogPosition, number: u32) {
+    fn request_chunk(&mut self, source: ReplicaId, position: LogPosition, number: u32) {
         let view = self.view().number;
         self.send(
             source.member.address,
@@ -153,8 +158,8 @@
         );
     }
 
-    /// Takes the next part of the state.
-    pub(crate) fn take_part(
+    /// Handles the next chunk of the incoming snapshot.
+    pub(crate) fn handle_snapshot_chunk(
         &mut self,
         from: ReplicaId,
         chunk: &Chunk,
@@ -170,7 +175,7 @@
         let Some(incoming) = self.chain.incoming.as_mut() else {
             return;
         };
-        if incoming.position != position || incoming.next != number || incoming.is_whole() {
+        if incoming.position != position || incoming.next != number || incoming.has_all_chunks() {
             return;
         }
         if fnv1a(bytes) != checksum || !machine.add_chunk(bytes) {
@@ -182,48 +187,47 @@
             return;
         }
         incoming.next += 1;
-        let (whole, chunks) = (incoming.is_whole(), incoming.chunks);
-        self.chain.asked_at = now.max(1);
-        self.chain.ask_again_ms = ASK_FIRST_MS;
-        let ahead = number + CHUNKS_AHEAD;
-        if whole {
-            self.ask_again_at_once(now);
-        } else if ahead < chunks {
-            self.ask_for_part(from, position, ahead);
+        let is_received = incoming.has_all_chunks();
+        let chunks = incoming.chunks;
+        self.chain.catch_up_backoff.record_response(now);
+        let next_request = number + MAX_CHUNKS_IN_FLIGHT;
+        if is_received {
+            self.request_missing_now(now);
+        } else if next_request < chunks {
+            self.request_chunk(from, position, next_request);
         }
     }
 
-    /// Takes entries that follow the state, when all of that is there; `false` when none is being built up.
-    pub(crate) fn take_entries_of_incoming(
+    /// Whether all chunks of an incoming snapshot are there, so that the entries after it are what is missing.
+    pub(crate) fn is_incoming_snapshot_received(&self) -> bool {
+        let incoming = self.chain.incoming.as_ref();
+        incoming.is_some_and(IncomingSnapshot::has_all_chunks)
+    }
+
+    /// Adds entries to an incoming snapshot of which all chunks are there; after the last of them it is installed.
+    pub(crate) fn extend_incoming_snapshot(
         &mut self,
         after: LogIndex,
-        entries: &mut Vec<Entry>,
-        more: bool,
+        mut batch: EntryBatch,
         now: Millis,
         machine: &mut dyn StateMachine,
-    ) -> bool {
-        let Some(incoming) = self
-            .chain
-            .incoming
-            .as_mut()
-            .filter(|incoming| incoming.is_whole())
-        else {
-            return false;
+    ) {
+        let Some(incoming) = self.chain.incoming.as_mut() else {
+            return;
         };
         if after != incoming.last().index {
-            return true;
+            return;
         }
-        incoming.entries.append(entries);
-        if more {
-            self.ask_again_at_once(now);
+        incoming.entries.append(&mut batch.entries);
+        if batch.more {
+            self.request_missing_now(now);
         } else {
-            self.install(now, machine);
+            self.install_snapshot(now, machine);
         }
-        true
     }
 
-    /// Puts the state that was built up, and the entries after it, into the place of what this replica had.
-    fn install(&mut self, now: Millis, machine: &mut dyn StateMachine) {
+    /// Replaces what this replica had by the incoming snapshot and the entries after it.
+    fn install_snapshot(&mut self, now: Millis, machine: &mut dyn StateMachine) {
         let Some(incoming) = self.chain.incoming.take() else {
             return;
         };
@@ -234,9 +238,9 @@
         self.chain.applied = incoming.position.index;
         self.chain.committed = self.chain.committed.max(incoming.position.index);
         self.chain.log = Log::new(incoming.position, incoming.entries);
-        self.begin_to_take_entries(now);
-        self.forget_entries_under_way();
-        self.chain.own_durable = LogIndex::default();
+        self.finish_catch_up(now);
+        self.tickets.forget_entries_in_flight();
+        self.chain.disk.durable = LogIndex::default();
         self.checkpoint(now, machine);
     }
 }
--- a/system/control/src/state_machine.rs
+++ b/system/control/src/state_machine.rs
@@ -1,15 +1,15 @@
-//! The replicated state as the replica below it sees it: something that entries are applied to, that can be frozen at one
-//! moment, and that can be built up anew from the parts of a frozen one.
+//! The replicated state as the replica below it sees it: something that entries are applied to, of which snapshots can be
+//! taken, and that can be restored from the chunks of one.
 use magpiegap_protocol::{Entry, LogPosition};
 use std::{fmt, sync::Arc};
 
-/// A state at one moment, which does not change any more. Its parts are encoded one at a time, when they are needed.
+/// A state at one moment, which does not change any more. Its chunks are encoded one at a time, when they are needed.
 pub trait StateSnapshot: fmt::Debug + Send + Sync {
     /// The last entry applied to it.
     fn position(&self) -> LogPosition;
-    /// How many parts it has, at least one.
+    /// How many chunks it has, at least one.
     fn chunks(&self) -> u32;
-    /// One of its parts, encoded; empty for one that it does not have.
+    /// One of its chunks, encoded; empty for one that it does not have.
     fn chunk(&self, number: u32) -> Vec<u8>;
 }
 
@@ -21,16 +21,15 @@
     fn position(&self) -> LogPosition;
     /// The state as it is now.
     fn snapshot(&self) -> Arc<dyn StateSnapshot>;
-    /// Begins to build up another state. The present one stays until that is whole.
+    /// Begins to restore another state. The present one stays until that is complete.
     fn begin_restore(&mut self);
-    /// Adds the next part; `false` when the bytes are none.
+    /// Adds the next chunk; `false` when the bytes are none.
     fn add_chunk(&mut self, chunk: &[u8]) -> bool;
-    /// Puts the state that was built up into the place of the present one; `false`, and no change, when it is not that of
-    /// this position.
+    /// Replaces the present state by the restored one; `false`, and no change, when it is not that of this position.
     fn finish_restore(&mut self, position: LogPosition) -> bool;
 }
 
-/// A state as its encoded parts.
+/// A snapshot as its encoded chunks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EncodedSnapshot {
     position: LogPosition,
@@ -38,7 +37,7 @@
 }
 
 impl EncodedSnapshot {
-    /// A state of these parts.
+    /// A snapshot of these chunks.
     pub fn new(position: LogPosition, chunks: Vec<Vec<u8>>) -> EncodedSnapshot {
         EncodedSnapshot { position, chunks }
     }
@@ -61,7 +60,7 @@
     }
 }
 
-/// Restores a machine from a state; `false`, and no change, when that can't be read.
+/// Restores a machine from a snapshot; `false`, and no change, when that can't be read.
 pub fn restore(machine: &mut dyn StateMachine, state: &dyn StateSnapshot) -> bool {
     machine.begin_restore();
     let read = (0..state.chunks()).all(|number| machine.add_chunk(&state.chunk(number)));
--- a/system/control/src/time_of_day.rs
+++ b/system/control/src/time_of_day.rs
@@ -6,7 +6,7 @@
 /// A jump that has lasted for this long is a correction, and is followed.
 const CORRECTION_AFTER_MS: Millis = 60_000;
 /// A clock that has been read for less than this is followed in any case: its first reading may have been amid a jump.
-const YOUNG_MS: Millis = 15_000;
+const WARM_UP_MS: Millis = 15_000;
 
 /// What a clock shows beside the steady clock: its reading less that of the steady clock.
 type Offset = i64;
@@ -42,7 +42,7 @@
         believed: Offset,
         shown: Offset,
     ) -> bool {
-        if shown.abs_diff(believed) <= JUMP_MS || now < first_read + YOUNG_MS {
+        if shown.abs_diff(believed) <= JUMP_MS || now < first_read + WARM_UP_MS {
             return true;
         }
         match self.jumped {
--- a/system/control/src/tolerance.rs
+++ b/system/control/src/tolerance.rs
@@ -23,16 +23,15 @@
         }
     }
 
-    /// Whether of replicas that stand there one is left after any loss. Those of unknown places count as in one place.
-    pub fn leaves_a_copy(&self, locations: &[Location]) -> bool {
+    /// Whether one of the replicas at these locations is left after any loss. Unknown zones and regions count as one.
+    pub fn keeps_replica(&self, locations: &[Location]) -> bool {
         locations.len() > self.machines
             && count_by(locations, |location| location.zone).len() > self.zones
             && count_by(locations, |location| location.region).len() > self.regions
     }
 
-    /// Whether of voters that stand there a majority is left after any loss. Those of unknown places count as in one
-    /// place.
-    pub fn leaves_a_majority(&self, locations: &[Location]) -> bool {
+    /// Whether a majority of the voters at these locations is left after any loss. Unknown zones and regions count as one.
+    pub fn keeps_majority(&self, locations: &[Location]) -> bool {
         let majority = locations.len() / 2 + 1;
         let zones = largest(count_by(locations, |location| location.zone), self.zones);
         let regions = largest(
@@ -43,26 +42,26 @@
         locations.len().saturating_sub(lost) >= majority
     }
 
-    /// How many voters are needed where each stands in another place.
-    pub fn least_voters(&self) -> usize {
+    /// How many voters are needed where each is in a failure domain of its own.
+    pub fn min_voters(&self) -> usize {
         2 * self.machines.max(self.zones).max(self.regions) + 1
     }
 }
 
 fn count_by(
     locations: &[Location],
-    place: impl Fn(&Location) -> FailureDomainId,
+    domain: impl Fn(&Location) -> FailureDomainId,
 ) -> BTreeMap<FailureDomainId, usize> {
     let mut counts = BTreeMap::new();
     for location in locations {
-        *counts.entry(place(location)).or_insert(0) += 1;
+        *counts.entry(domain(location)).or_insert(0) += 1;
     }
     counts
 }
 
-/// How many are in the so many largest places.
-fn largest(counts: BTreeMap<FailureDomainId, usize>, places: usize) -> usize {
+/// How many are in the so many largest failure domains.
+fn largest(counts: BTreeMap<FailureDomainId, usize>, domains: usize) -> usize {
     let mut counts: Vec<usize> = counts.into_values().collect();
     counts.sort_unstable_by(|one, other| other.cmp(one));
-    counts.into_iter().take(places).sum()
+    counts.into_iter().take(domains).sum()
 }
--- a/system/control/src/view_change.rs
+++ b/system/control/src/view_change.rs
@@ -1,21 +1,14 @@
-//! When the next view is proposed and by whom, and the messages of the agreement on it.
+//! The change of the view: when the next one is proposed and by whom, and the messages of the agreement on it. The rules
+//! of Paxos are in `agreement`, the members of the next view in `view_composition`.
 use crate::{
-    durable::DurableRecord,
-    peer::Peer,
-    replica::{After, Replica},
-    view_reason::ViewReason,
-    StateMachine,
+    disk_tickets::OnDurable, durable_state::DurableRecord, peer::Peer, replica::Replica,
+    view_reason::ViewReason, view_timer::ROUND_TIMEOUT_MS, StateMachine,
 };
 use magpiegap_protocol::{
     Ballot, Member, Millis, PeerMessage, Promise, ReplicaId, View, ViewNumber,
 };
-use rand::Rng;
 use std::collections::BTreeSet;
 
-/// How long each further candidate waits before it proposes in place of those before it.
-const RANK_DELAY_MS: Millis = 250;
-/// A round that has led to nothing is given up after this time.
-const ROUND_TIMEOUT_MS: Millis = 500;
 /// How long a proposer waits for more than a majority of promises.
 const PROMISE_WAIT_MS: Millis = 60;
 /// A member of the chain that does not take part is replaced, or taken in anew, after this time.
@@ -34,54 +27,54 @@
             return;
         }
         self.agreement.round = None;
-        let alive = self.alive(now);
-        let Some(reason) = self.view_needed(&alive, now) else {
-            self.needed_since = None;
+        let available = self.available(now);
+        let Some(reason) = self.reason_for_view(&available, now) else {
+            self.view_timer.record_not_needed();
             return;
         };
-        let needed_since = *self.needed_since.get_or_insert(now);
-        let Some(rank) = self.proposer_rank(&alive) else {
+        let needed_since = self.view_timer.record_needed(now);
+        let Some(rank) = self.proposer_rank(&available) else {
             return;
         };
-        if now >= needed_since + rank * RANK_DELAY_MS && now >= self.next_round_at {
-            self.begin_round(&reason, now);
+        if self.view_timer.may_start_round(rank, needed_since, now) {
+            self.start_round(&reason, now);
         }
     }
 
     /// Why another view is needed; `None`: it is not.
-    fn view_needed(&self, alive: &[ReplicaId], now: Millis) -> Option<ViewReason> {
+    fn reason_for_view(&self, available: &[ReplicaId], now: Millis) -> Option<ViewReason> {
         let current = &self.agreement.state.current;
-        let voters = alive
+        let voters = available
             .iter()
             .filter(|replica| current.voters.contains(&replica.member))
             .count();
         if voters < current.majority() {
             return None;
         }
-        let wanted: BTreeSet<ReplicaId> = self.wanted(alive, now).into_iter().collect();
+        let next_chain: BTreeSet<ReplicaId> = self.next_chain(available, now).into_iter().collect();
         let chain: BTreeSet<ReplicaId> = current.chain.iter().copied().collect();
-        if let Some(newcomer) = wanted.difference(&chain).next() {
+        if let Some(newcomer) = next_chain.difference(&chain).next() {
             return Some(ViewReason::Newcomer(*newcomer));
         }
-        if let Some(gone) = chain.difference(&wanted).next() {
-            return Some(ViewReason::Gone(*gone));
+        if let Some(departed) = chain.difference(&next_chain).next() {
+            return Some(ViewReason::Departed(*departed));
         }
-        if self.agreement.sealed() {
+        if self.agreement.is_sealed() {
             return Some(ViewReason::Unfinished);
         }
-        self.idle_member(now).map(ViewReason::Idle)
+        self.idle_chain_member(now).map(ViewReason::Idle)
     }
 
     /// A member of the chain that is there and has not taken part for a while.
-    fn idle_member(&self, now: Millis) -> Option<ReplicaId> {
-        if now < self.view_since + IDLE_MEMBER_MS {
+    fn idle_chain_member(&self, now: Millis) -> Option<ReplicaId> {
+        if self.view_timer.view_age(now) < IDLE_MEMBER_MS {
             return None;
         }
         let current = &self.agreement.state.current;
         let idle = |peer: &Peer| peer.status.view == current.number && !peer.status.serving;
         let own = self.settings.own;
         let is_idle = |replica: &&ReplicaId| match **replica == own {
-            true => !self.serving(),
+            true => !self.is_serving(),
             false => self.membership.peer(&replica.member).is_some_and(idle),
         };
         current.chain.iter().find(is_idle).copied()
@@ -89,9 +82,9 @@
 
     /// How many are to propose before this replica; `None` when it has no vote, or is outside of a chain of which
     /// others are there: they know better who can take part.
-    fn proposer_rank(&self, alive: &[ReplicaId]) -> Option<u64> {
+    fn proposer_rank(&self, available: &[ReplicaId]) -> Option<u64> {
         let current = &self.agreement.state.current;
-        let mut candidates: Vec<ReplicaId> = alive
+        let mut candidates: Vec<ReplicaId> = available
             .iter()
             .copied()
             .filter(|replica| current.voters.contains(&replica.member))
@@ -108,11 +101,11 @@
         Some(own as u64)
     }
 
-    fn begin_round(&mut self, reason: &ViewReason, now: Millis) {
-        self.next_round_at = now + ROUND_TIMEOUT_MS + self.random.gen_range(0..200);
+    fn start_round(&mut self, reason: &ViewReason, now: Millis) {
+        self.view_timer.delay_after_start(now);
         let ballot = self
             .agreement
-            .begin(self.settings.own.incarnation as u32, now);
+            .start_round(self.settings.own.incarnation as u32, now);
         let number = self.agreement.next_number();
         self.log(format!("proposes view {number}: {reason}"));
         let message = PeerMessage::Prepare { number, ballot };
@@ -126,15 +119,15 @@
         }
     }
 
-    /// A proposer asks for the agreement on the next view.
-    pub(crate) fn prepare(
+    /// Handles a prepare: a proposer starts a round of the agreement on the next view.
+    pub(crate) fn handle_prepare(
         &mut self,
         from: ReplicaId,
         number: ViewNumber,
         ballot: Ballot,
         now: Millis,
     ) {
-        if !self.takes_part(from, number) {
+        if !self.votes_on(from, number) {
             return;
         }
         match self.agreement.promise(ballot) {
@@ -146,7 +139,13 @@
                     accepted,
                     complete,
                 });
-                self.persist_agreement(vec![After::Send(from.member.address, promise)], now);
+                self.persist_agreement(
+                    vec![OnDurable::Send {
+                        to: from.member.address,
+                        message: promise,
+                    }],
+                    now,
+                );
             }
             Err(promised) => self.send(
                 from.member.address,
@@ -155,8 +154,8 @@
         }
     }
 
-    /// Whether this replica votes on that view. Tells a proposer that lies behind.
-    fn takes_part(&mut self, from: ReplicaId, number: ViewNumber) -> bool {
+    /// Whether this replica votes on that view. A proposer that lies behind is sent the newest one.
+    fn votes_on(&mut self, from: ReplicaId, number: ViewNumber) -> bool {
         if !self.started {
             return false;
         }
@@ -169,8 +168,8 @@
         number == current.number.next() && current.voters.contains(&self.settings.own.member)
     }
 
-    /// A voter takes part in this replica's round.
-    pub(crate) fn promised(&mut self, from: ReplicaId, promise: Promise, now: Millis) {
+    /// Handles a promise: a voter takes part in this replica's round.
+    pub(crate) fn handle_promise(&mut self, from: ReplicaId, promise: Promise, now: Millis) {
         let number = self.agreement.next_number();
         let voter = self.agreement.state.current.voters.contains(&from.member);
         let Some(round) = self.agreement.round.as_mut() else {
@@ -186,22 +185,23 @@
     /// Proposes a view once enough voters take part.
     fn propose_view(&mut self, now: Millis) {
         let current = self.agreement.state.current.clone();
-        let alive = self.alive(now);
+        let available = self.available(now);
         let Some(round) = self.agreement.round.as_ref() else {
             return;
         };
         if round.proposed.is_some() || !round.has_majority(&current) {
             return;
         }
-        let expected = alive
+        let expected = available
             .iter()
             .filter(|replica| current.voters.contains(&replica.member))
             .count();
         if round.promises.len() < expected && now < round.started_at + PROMISE_WAIT_MS {
             return;
         }
-        let compose = || self.compose_view(&current, &alive, &round.complete(), now);
-        let view = round.bound_view().or_else(compose);
+        let compose =
+            || self.compose_next_view(&current, &available, &round.complete_voters(), now);
+        let view = round.highest_accepted_view().or_else(compose);
         let Some(view) = view else { return };
         let ballot = round.ballot;
         if let Some(round) = self.agreement.round.as_mut() {
@@ -210,22 +210,28 @@
         self.send_to_voters(&PeerMessage::Accept { ballot, view });
     }
 
-    /// A proposer asks to accept a view.
-    pub(crate) fn accept_view(
+    /// Handles an accept request: a proposer requests that a view be accepted.
+    pub(crate) fn handle_accept(
         &mut self,
         from: ReplicaId,
         ballot: Ballot,
         view: &View,
         now: Millis,
     ) {
-        if !self.takes_part(from, view.number) {
+        if !self.votes_on(from, view.number) {
             return;
         }
         let number = view.number;
         match self.agreement.accept(ballot, view) {
             Ok(()) => {
                 let accepted = PeerMessage::Accepted { number, ballot };
-                self.persist_agreement(vec![After::Send(from.member.address, accepted)], now);
+                self.persist_agreement(
+                    vec![OnDurable::Send {
+                        to: from.member.address,
+                        message: accepted,
+                    }],
+                    now,
+                );
             }
             Err(promised) => self.send(
                 from.member.address,
@@ -234,8 +240,8 @@
         }
     }
 
-    /// A voter has accepted the view of this replica's round.
-    pub(crate) fn accepted(
+    /// Handles the acceptance, by a voter, of the view of this replica's round.
+    pub(crate) fn handle_accepted(
         &mut self,
         from: ReplicaId,
         number: ViewNumber,
@@ -262,16 +268,16 @@
         accepted.insert(from.member);
         if accepted.len() >= majority {
             let view = view.clone();
-            self.announce(&view, now);
-            self.decided(&view, now, machine);
+            self.announce_view(&view, now);
+            self.handle_decided(&view, now, machine);
         }
     }
 
-    fn announce(&mut self, view: &View, now: Millis) {
+    fn announce_view(&mut self, view: &View, now: Millis) {
         let mut addresses: BTreeSet<u32> = self
-            .peers_there(now)
+            .available_peers(now)
             .iter()
-            .map(|p| p.replica.member.address)
+            .map(|peer| peer.replica.member.address)
             .collect();
         addresses.extend(view.voters.iter().map(|voter| voter.address));
         addresses.extend(view.chain.iter().map(|replica| replica.member.address));
@@ -281,12 +287,12 @@
         }
     }
 
-    /// A higher ballot is under way.
-    pub(crate) fn rejected(&mut self, number: ViewNumber, promised: Ballot, now: Millis) {
+    /// Handles a rejection: a higher ballot is in flight.
+    pub(crate) fn handle_reject(&mut self, number: ViewNumber, promised: Ballot, now: Millis) {
         if number != self.agreement.next_number() {
             return;
         }
-        self.agreement.highest_round = self.agreement.highest_round.max(promised.round);
+        self.agreement.highest_round_seen = self.agreement.highest_round_seen.max(promised.round);
         if self
             .agreement
             .round
@@ -294,26 +300,30 @@
             .is_some_and(|round| round.ballot < promised)
         {
             self.agreement.round = None;
-            self.next_round_at = now + ROUND_TIMEOUT_MS / 2 + self.random.gen_range(0..200);
+            self.view_timer.delay_after_rejection(now);
         }
     }
 
-    /// Takes up a view that was agreed.
-    pub(crate) fn decided(&mut self, view: &View, now: Millis, machine: &mut dyn StateMachine) {
+    /// Handles a view that was agreed.
+    pub(crate) fn handle_decided(
+        &mut self,
+        view: &View,
+        now: Millis,
+        machine: &mut dyn StateMachine,
+    ) {
         if !self.agreement.decide(view) {
             return;
         }
-        self.view_since = now;
-        self.needed_since = None;
-        self.next_heartbeat = now;
-        self.membership.follow(view);
-        self.contact.follow(view);
+        self.view_timer.start_view(now);
+        self.next_heartbeat_at = now;
+        self.membership.start_view(view);
+        self.quorum_contact.retain_members(view);
         self.persist_agreement(Vec::new(), now);
         self.log(format!("view {}: {}", view.number, describe(view)));
         self.enter_view(view, now, machine);
     }
 
-    fn persist_agreement(&mut self, after: Vec<After>, now: Millis) {
+    fn persist_agreement(&mut self, after: Vec<OnDurable>, now: Millis) {
         let state = Box::new(self.agreement.state.clone());
         self.persist(vec![DurableRecord::Agreement(state)], after, now);
     }
--- a/system/control/src/view_members.rs
+++ b/system/control/src/view_composition.rs
@@ -1,10 +1,10 @@
-//! With whom the next view is formed.
+//! The composition of the next view: its chain and its voters, from the replicas that are available.
 use crate::{chain_state::Activity, membership::Membership, peer::Peer, replica::Replica};
 use magpiegap_protocol::{Location, LogPosition, Member, MemberLocation, Millis, ReplicaId, View};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// More voters than this make agreement slow.
-const MOST_VOTERS: usize = 9;
+/// Most voters of a view: more of them make agreement slow.
+const MAX_VOTERS: usize = 9;
 
 impl Replica {
     /// Whether this replica's disk has all that was committed so far.
@@ -16,20 +16,20 @@
 
     /// All that are there and can take part, this replica included. Those that can't for now count where there would
     /// be too few without them: a slow disk is better than none.
-    pub(crate) fn alive(&self, now: Millis) -> Vec<ReplicaId> {
+    pub(crate) fn available(&self, now: Millis) -> Vec<ReplicaId> {
         let mut there: Vec<(ReplicaId, bool)> = self
-            .peers_there(now)
+            .available_peers(now)
             .iter()
             .map(|peer| (peer.replica, peer.status.unfit))
             .collect();
-        there.push((self.settings.own, self.unfit(now)));
+        there.push((self.settings.own, self.is_unfit(now)));
         there.sort_unstable();
         let fit: Vec<ReplicaId> = there
             .iter()
             .filter(|(_, unfit)| !unfit)
             .map(|(replica, _)| *replica)
             .collect();
-        if self.leaves_a_copy(&fit) {
+        if self.keeps_replica(&fit) {
             return fit;
         }
         there.into_iter().map(|(replica, _)| replica).collect()
@@ -37,7 +37,7 @@
 
     /// Those that the chain is to consist of. One that has yet to catch up stays outside of it meanwhile, unless there
     /// would be too few without it: nothing could be committed then anyway.
-    pub(crate) fn wanted(&self, alive: &[ReplicaId], now: Millis) -> Vec<ReplicaId> {
+    pub(crate) fn next_chain(&self, available: &[ReplicaId], now: Millis) -> Vec<ReplicaId> {
         let chain = &self.agreement.state.current.chain;
         let own = self.settings.own;
         let caught_up = |replica: &ReplicaId| match *replica == own {
@@ -47,13 +47,13 @@
                 .peer(&replica.member)
                 .is_some_and(|peer| self.has_caught_up(peer)),
         };
-        let mut ready: Vec<ReplicaId> = alive
+        let mut ready: Vec<ReplicaId> = available
             .iter()
             .copied()
             .filter(|replica| chain.contains(replica))
             .collect();
         let chain_goes_on = !ready.is_empty();
-        for newcomer in alive
+        for newcomer in available
             .iter()
             .filter(|replica| !chain.contains(replica) && caught_up(replica))
         {
@@ -61,57 +61,56 @@
             let connected = *newcomer == own
                 || self
                     .membership
-                    .says_connected(&newcomer.member, &ready, now);
+                    .reports_connection_to(&newcomer.member, &ready, now);
             if connected || !chain_goes_on {
                 ready.push(*newcomer);
             }
         }
-        if self.leaves_a_copy(&ready) {
+        if self.keeps_replica(&ready) {
             return ready;
         }
-        alive.to_vec()
+        available.to_vec()
     }
 
     /// The other replicas that are there. A newcomer has to settle, unless all voters are back and nobody serves: then
     /// it disturbs nobody, and all of them wait for the view.
-    pub(crate) fn peers_there(&self, now: Millis) -> Vec<Peer> {
-        let heard = self.membership.heard(now);
+    pub(crate) fn available_peers(&self, now: Millis) -> Vec<Peer> {
+        let heard = self.membership.reachable(now);
         let current = &self.agreement.state.current;
         let is_back = |voter: &Member| {
             *voter == self.settings.own.member
                 || heard.iter().any(|peer| peer.replica.member == *voter)
         };
         let all_back = current.voters.iter().all(is_back);
-        let served = self.serving() || heard.iter().any(|peer| peer.status.serving);
+        let served = self.is_serving() || heard.iter().any(|peer| peer.status.serving);
         if all_back && !served {
             return heard;
         }
-        let belongs = |peer: &Peer| {
-            Membership::has_settled(peer, now) || current.chain.contains(&peer.replica)
-        };
+        let belongs =
+            |peer: &Peer| Membership::is_stable(peer, now) || current.chain.contains(&peer.replica);
         heard.into_iter().filter(belongs).collect()
     }
 
     /// The next view: all that are there and have caught up, led by one that has all that was committed.
-    pub(crate) fn compose_view(
+    pub(crate) fn compose_next_view(
         &self,
         current: &View,
-        alive: &[ReplicaId],
+        available: &[ReplicaId],
         complete: &BTreeMap<Member, LogPosition>,
         now: Millis,
     ) -> Option<View> {
         let last = |replica: &ReplicaId| complete.get(&replica.member).copied();
-        let mut chain = self.wanted(alive, now);
+        let mut chain = self.next_chain(available, now);
         let newest = chain.iter().filter_map(last).max()?;
         chain.sort_by_key(|replica| {
             let can_lead = last(replica) == Some(newest);
-            let place = current
+            let position = current
                 .chain
                 .iter()
                 .position(|other| other.member == replica.member);
-            (!can_lead, place.unwrap_or(usize::MAX), *replica)
+            (!can_lead, position.unwrap_or(usize::MAX), *replica)
         });
-        let voters = self.next_voters(current, alive, &chain);
+        let voters = self.next_voters(current, available, &chain);
         let locations = self.locations_of(&voters, &chain);
         Some(View {
             locations,
@@ -119,7 +118,7 @@
         })
     }
 
-    /// Where a member stands, as far as that is known.
+    /// The location of a member, as far as that is known.
     fn location(&self, member: &Member) -> Location {
         if *member == self.settings.own.member {
             return self.settings.location;
@@ -130,18 +129,18 @@
         }
     }
 
-    /// Whether whatever may be lost at once leaves one of these replicas.
-    pub(crate) fn leaves_a_copy(&self, replicas: &[ReplicaId]) -> bool {
+    /// Whether any loss that is tolerated keeps one of these replicas.
+    pub(crate) fn keeps_replica(&self, replicas: &[ReplicaId]) -> bool {
         let locations: Vec<Location> = replicas
             .iter()
             .map(|replica| self.location(&replica.member))
             .collect();
-        self.settings.tolerance.leaves_a_copy(&locations)
+        self.settings.tolerance.keeps_replica(&locations)
     }
 
-    fn leaves_a_majority(&self, voters: &[Member]) -> bool {
+    fn keeps_majority(&self, voters: &[Member]) -> bool {
         let locations: Vec<Location> = voters.iter().map(|voter| self.location(voter)).collect();
-        self.settings.tolerance.leaves_a_majority(&locations)
+        self.settings.tolerance.keeps_majority(&locations)
     }
 
     fn locations_of(&self, voters: &[Member], chain: &[ReplicaId]) -> Vec<MemberLocation> {
@@ -159,11 +158,16 @@
             .collect()
     }
 
-    /// The voters of the next view: a machine with a new disk takes the place of its old one, a newcomer that of a
-    /// voter that is gone, or one more place while there are too few.
-    fn next_voters(&self, current: &View, alive: &[ReplicaId], chain: &[ReplicaId]) -> Vec<Member> {
+    /// The voters of the next view: a machine with a new disk takes the seat of its old one, a newcomer that of a
+    /// voter that has departed, or one more seat while there are too few.
+    fn next_voters(
+        &self,
+        current: &View,
+        available: &[ReplicaId],
+        chain: &[ReplicaId],
+    ) -> Vec<Member> {
         let mut voters = current.voters.clone();
-        let is_alive = |member: &Member| alive.iter().any(|replica| replica.member == *member);
+        let is_alive = |member: &Member| available.iter().any(|replica| replica.member == *member);
         for newcomer in chain.iter().map(|replica| replica.member) {
             if voters.contains(&newcomer) {
                 continue;
@@ -172,36 +176,36 @@
             let same_machine = voters
                 .iter()
                 .position(|voter| voter.address == newcomer.address);
-            let gone = voters.iter().position(|voter| !is_alive(voter));
-            match same_machine.or_else(|| gone.filter(|_| !too_few)) {
-                Some(place) => voters[place] = newcomer,
+            let departed = voters.iter().position(|voter| !is_alive(voter));
+            match same_machine.or_else(|| departed.filter(|_| !too_few)) {
+                Some(position) => voters[position] = newcomer,
                 None if too_few => voters.push(newcomer),
                 None => {}
             }
         }
-        self.drop_surplus_voters(&mut voters, alive);
+        self.drop_surplus_voters(&mut voters, available);
         voters.sort_unstable();
         voters
     }
 
     /// Whether one more voter is needed: there are few, or the loss of a zone or region would take a majority.
     fn too_few_voters(&self, voters: &[Member]) -> bool {
-        let few = voters.len() < self.settings.tolerance.least_voters();
-        few || (voters.len() < MOST_VOTERS && !self.leaves_a_majority(voters))
+        let few = voters.len() < self.settings.tolerance.min_voters();
+        few || (voters.len() < MAX_VOTERS && !self.keeps_majority(voters))
     }
 
-    /// Where one place has so many voters that its loss would take a majority, some of them give up their vote.
-    fn drop_surplus_voters(&self, voters: &mut Vec<Member>, alive: &[ReplicaId]) {
-        let least = self.settings.tolerance.least_voters();
-        while voters.len() > least && !self.leaves_a_majority(voters) {
+    /// Where one zone or region has so many voters that its loss would take a majority, some of them give up their vote.
+    fn drop_surplus_voters(&self, voters: &mut Vec<Member>, available: &[ReplicaId]) {
+        let min_voters = self.settings.tolerance.min_voters();
+        while voters.len() > min_voters && !self.keeps_majority(voters) {
             let surplus = voters.iter().copied().max_by_key(|member| {
                 let zone = self.location(member).zone;
                 let beside = voters
                     .iter()
                     .filter(|voter| self.location(voter).zone == zone)
                     .count();
-                let gone = !alive.iter().any(|replica| replica.member == *member);
-                (beside, gone)
+                let departed = !available.iter().any(|replica| replica.member == *member);
+                (beside, departed)
             });
             voters.retain(|voter| Some(*voter) != surplus);
         }
--- a/system/control/src/view_reason.rs
+++ b/system/control/src/view_reason.rs
@@ -8,7 +8,7 @@
     /// A replica outside of the chain can take part.
     Newcomer(ReplicaId),
     /// A member of the chain is gone, or can't take part.
-    Gone(ReplicaId),
+    Departed(ReplicaId),
     /// The agreement on the next view was begun by another replica and led to nothing.
     Unfinished,
     /// A member of the chain is there and does not take part.
@@ -19,7 +19,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ViewReason::Newcomer(replica) => write!(formatter, "{} can take part", replica.member),
-            ViewReason::Gone(replica) => write!(formatter, "{} is gone", replica.member),
+            ViewReason::Departed(replica) => write!(formatter, "{} is gone", replica.member),
             ViewReason::Unfinished => {
                 write!(formatter, "its agreement was begun and led to nothing")
             }
--- a/system/control/tests/zones.rs
+++ b/system/control/tests/zones.rs
@@ -24,13 +24,13 @@
 #[googletest::test]
 fn given_replicas_of_one_zone_when_a_zone_may_be_lost_then_they_do_not_suffice() {
     expect_that!(
-        ONE_ZONE.leaves_a_copy(&in_zones(&["a", "a", "a"])),
+        ONE_ZONE.keeps_replica(&in_zones(&["a", "a", "a"])),
         eq(false)
     );
-    expect_that!(ONE_ZONE.leaves_a_copy(&in_zones(&["a", "b"])), eq(true));
-    expect_that!(ONE_ZONE.leaves_a_copy(&in_zones(&["a"])), eq(false));
+    expect_that!(ONE_ZONE.keeps_replica(&in_zones(&["a", "b"])), eq(true));
+    expect_that!(ONE_ZONE.keeps_replica(&in_zones(&["a"])), eq(false));
     expect_that!(
-        Tolerance::of_machines(1).leaves_a_copy(&in_zones(&["a", "a"])),
+        Tolerance::of_machines(1).keeps_replica(&in_zones(&["a", "a"])),
         eq(true)
     );
 }
@@ -38,19 +38,19 @@
 #[googletest::test]
 fn given_voters_when_any_zone_may_be_lost_then_none_may_hold_half_of_them() {
     expect_that!(
-        ONE_ZONE.leaves_a_majority(&in_zones(&["a", "a", "b"])),
+        ONE_ZONE.keeps_majority(&in_zones(&["a", "a", "b"])),
         eq(false)
     );
     expect_that!(
-        ONE_ZONE.leaves_a_majority(&in_zones(&["a", "a", "b", "b"])),
+        ONE_ZONE.keeps_majority(&in_zones(&["a", "a", "b", "b"])),
         eq(false)
     );
     expect_that!(
-        ONE_ZONE.leaves_a_majority(&in_zones(&["a", "b", "c"])),
+        ONE_ZONE.keeps_majority(&in_zones(&["a", "b", "c"])),
         eq(true)
     );
     expect_that!(
-        ONE_ZONE.leaves_a_majority(&in_zones(&["a", "a", "b", "b", "c"])),
+        ONE_ZONE.keeps_majority(&in_zones(&["a", "a", "b", "b", "c"])),
         eq(true)
     );
 }
@@ -68,10 +68,10 @@
     };
     let one_region = [at("a", "r"), at("b", "r"), at("c", "s")];
     let three_regions = [at("a", "r"), at("b", "s"), at("c", "t")];
-    expect_that!(tolerance.leaves_a_copy(&one_region[..2]), eq(false));
-    expect_that!(tolerance.leaves_a_copy(&one_region), eq(true));
-    expect_that!(tolerance.leaves_a_majority(&one_region), eq(false));
-    expect_that!(tolerance.leaves_a_majority(&three_regions), eq(true));
+    expect_that!(tolerance.keeps_replica(&one_region[..2]), eq(false));
+    expect_that!(tolerance.keeps_replica(&one_region), eq(true));
+    expect_that!(tolerance.keeps_majority(&one_region), eq(false));
+    expect_that!(tolerance.keeps_majority(&three_regions), eq(true));
 }
 
 #[googletest::test]
