--- a/system/control/src/agreement.rs
+++ b/system/control/src/agreement.rs
@@ -1,17 +1,38 @@
 //! Agreement on the next view: one instance of single-decree Paxos (Lamport, 2001) for each view, among the voters of the
 //! one before. It owns the state of acceptor and proposer; the messages are in `view_change`.
 use crate::durable_state::AgreementState;
-use magpiegap_protocol::{AcceptedView, Ballot, LogPosition, Member, Promise, View, ViewNumber};
+use magpiegap_protocol::{
+    AcceptedView, Ballot, LogPosition, Member, Millis, Promise, View, ViewNumber,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A round of this replica as proposer.
 #[derive(Clone, Debug)]
 pub(crate) struct Round {
     pub ballot: Ballot,
-    pub started_at: u64,
+    pub started_at: Millis,
+    /// The promises of the voters to this ballot.
     pub promises: BTreeMap<Member, Promise>,
-    /// The view proposed, and the voters that have accepted it.
-    pub proposed: Option<(View, BTreeSet<Member>)>,
+    /// The view proposed; `None`: too few voters have promised so far.
+    pub proposed: Option<ProposedView>,
+}
+
+/// A view on its way to being accepted.
+#[derive(Clone, Debug)]
+pub(crate) struct ProposedView {
+    pub view: View,
+    /// The voters that have accepted it.
+    pub accepted_by: BTreeSet<Member>,
+}
+
+impl ProposedView {
+    /// A view that nobody has accepted so far.
+    pub(crate) fn new(view: View) -> ProposedView {
+        ProposedView {
+            view,
+            accepted_by: BTreeSet::new(),
+        }
+    }
 }
 
 /// The state of the agreement at one replica.
@@ -20,7 +41,7 @@
     pub state: AgreementState,
     pub round: Option<Round>,
     /// The highest round seen in any ballot.
-    pub highest_round_seen: u64,
+    highest_round_seen: u64,
 }
 
 impl Agreement {
@@ -44,7 +65,7 @@
     }
 
     /// Starts a round as proposer. The tag is of this incarnation of the process, so that no two rounds share a ballot.
-    pub(crate) fn start_round(&mut self, own_tag: u32, now: u64) -> Ballot {
+    pub(crate) fn start_round(&mut self, own_tag: u32, now: Millis) -> Ballot {
         self.highest_round_seen += 1;
         let ballot = Ballot {
             round: self.highest_round_seen,
@@ -59,38 +80,44 @@
         ballot
     }
 
-    /// Takes part in a ballot, when it is the highest so far.
+    /// Promises a ballot, when it is the highest so far; returns the view accepted before.
     ///
     /// # Errors
-    /// The ballot promised before.
+    /// The ballot promised before, when that is higher.
     pub(crate) fn promise(&mut self, ballot: Ballot) -> Result<Option<AcceptedView>, Ballot> {
-        self.highest_round_seen = self.highest_round_seen.max(ballot.round);
-        match self.state.promised {
-            Some(promised) if promised > ballot => Err(promised),
-            _ => {
-                self.state.promised = Some(ballot);
-                Ok(self.state.accepted.clone())
-            }
-        }
+        self.take_ballot(ballot)?;
+        Ok(self.state.accepted.clone())
     }
 
     /// Accepts a view, when no higher ballot was promised.
     ///
     /// # Errors
-    /// The ballot promised before.
+    /// The ballot promised before, when that is higher.
     pub(crate) fn accept(&mut self, ballot: Ballot, view: &View) -> Result<(), Ballot> {
-        self.highest_round_seen = self.highest_round_seen.max(ballot.round);
-        match self.state.promised {
-            Some(promised) if promised > ballot => Err(promised),
-            _ => {
-                self.state.promised = Some(ballot);
-                self.state.accepted = Some(AcceptedView {
-                    ballot,
-                    view: view.clone(),
-                });
-                Ok(())
-            }
+        self.take_ballot(ballot)?;
+        self.state.accepted = Some(AcceptedView {
+            ballot,
+            view: view.clone(),
+        });
+        Ok(())
+    }
+
+    /// Promises to take no lower ballot than this one.
+    ///
+    /// # Errors
+    /// The ballot promised before, when that is higher.
+    fn take_ballot(&mut self, ballot: Ballot) -> Result<(), Ballot> {
+        self.record_round(ballot.round);
+        if let Some(promised) = self.state.promised.filter(|promised| *promised > ballot) {
+            return Err(promised);
         }
+        self.state.promised = Some(ballot);
+        Ok(())
+    }
+
+    /// Records a round that was seen in a ballot: this replica's next one is higher.
+    pub(crate) fn record_round(&mut self, round: u64) {
+        self.highest_round_seen = self.highest_round_seen.max(round);
     }
 
     /// Takes up a view that was agreed. Returns whether it is newer than the one known.
@@ -124,7 +151,7 @@
             .map(|accepted| accepted.view.clone())
     }
 
-    /// The voters that have all that was committed, with the last entry on their disks.
+    /// The voters that have all that was committed, with the last entry of each.
     pub(crate) fn complete_voters(&self) -> BTreeMap<Member, LogPosition> {
         let complete = |(member, promise): (&Member, &Promise)| Some((*member, promise.complete?));
         self.promises.iter().filter_map(complete).collect()
--- a/system/control/src/chain.rs
+++ b/system/control/src/chain.rs
@@ -15,6 +15,7 @@
 const MAX_APPLIED_PER_STEP: u64 = 256;
 
 impl Replica {
+    /// The position of this replica in the chain, the head being 0.
     pub(crate) fn own_position(&self) -> Option<usize> {
         self.agreement.state.current.position(&self.settings.own)
     }
@@ -32,7 +33,7 @@
         self.neighbour(1)
     }
 
-    /// Whether this replica takes part in the chain now.
+    /// Whether this replica is active in the chain now.
     pub fn is_active(&self) -> bool {
         self.chain.activity == Activity::Active && !self.agreement.is_sealed()
     }
@@ -127,13 +128,14 @@
     }
 
     /// Whether the head's disk is still at work on entries: what comes meanwhile goes on together once it is done. Nothing
-    /// is lost by that, since a commit needs the head's disk too, and the whole chain has fewer messages to deal with.
+    /// is lost by that, since a commit needs the head's disk too, and the entire chain has fewer messages to deal with.
     fn is_batch_in_flight(&self, now: Millis) -> bool {
         self.own_position() == Some(0)
             && self.chain.disk.durable < self.chain.disk.submitted
             && now < self.chain.disk.submitted_at + MAX_BATCH_WAIT_MS
     }
 
+    /// Submits new entries to the disk, unless a batch is in flight.
     pub(crate) fn submit_entries_to_disk(&mut self, now: Millis) {
         let last = self.chain.log.last().index;
         if last <= self.chain.disk.submitted || self.is_batch_in_flight(now) {
@@ -177,6 +179,7 @@
         }
     }
 
+    /// Commits, at the tail, what is durable on the entire chain.
     fn commit_at_tail(&mut self) {
         if self.successor().is_some() {
             return;
@@ -191,6 +194,7 @@
         self.announce_committed();
     }
 
+    /// Announces the commit index to the others of the chain.
     pub(crate) fn announce_committed(&mut self) {
         let view = self.agreement.state.current.number;
         let index = self.chain.committed;
@@ -219,8 +223,8 @@
         }
     }
 
-    /// Applies what is committed. After a start that may be much: while the replica does not take part it is done in
-    /// parts, so that it is heard meanwhile, and most is done when the view is agreed.
+    /// Applies what is committed. After a start that may be much: while the replica is not active it is done in
+    /// batches, so that heartbeats go out meanwhile, and little is left when the view is agreed.
     fn apply_committed(&mut self, machine: &mut dyn StateMachine) {
         let max_applied = if self.is_active() {
             u64::MAX
--- a/system/control/src/chain_state.rs
+++ b/system/control/src/chain_state.rs
@@ -20,7 +20,7 @@
     Following,
     /// It is in the chain, and waits for what it is missing.
     Joining,
-    /// It takes part.
+    /// It is a member of the chain and serves.
     Active,
 }
 
@@ -47,14 +47,15 @@
 pub(crate) struct Chain {
     pub activity: Activity,
     pub log: Log,
-    /// The last entry applied to the state.
+    /// The applied index.
     pub applied: LogIndex,
+    /// The commit index, as far as it is known here.
     pub committed: LogIndex,
     pub disk: LocalDisk,
     /// Entries up to this one are on the disks of the source and of all before it. The source is the predecessor; for a
     /// replica outside of the chain, the tail. `None`: it has said nothing in this view.
     pub source_durable: Option<LogIndex>,
-    /// Those that have asked for entries and get them as they come.
+    /// Those that have requested entries and are sent new ones as they come.
     pub followers: Vec<FollowerProgress>,
     /// When the source last sent its progress.
     pub source_last_heard: Millis,
--- a/system/control/src/log.rs
+++ b/system/control/src/log.rs
@@ -55,7 +55,8 @@
 
     /// All entries after this one; `None` when they are not all in memory.
     pub(crate) fn after(&self, index: LogIndex) -> Option<Vec<Entry>> {
-        self.batch_after(index, usize::MAX).map(|batch| batch.entries)
+        self.batch_after(index, usize::MAX)
+            .map(|batch| batch.entries)
     }
 
     /// The first entries after this one, of about so many bytes, one at least; `None` when they are not all in memory.
--- a/system/control/src/membership.rs
+++ b/system/control/src/membership.rs
@@ -13,7 +13,7 @@
 const MIN_STABLE_MS: Millis = 150;
 /// Reports on replicas that were not heard for this long are dropped.
 const PEER_EXPIRY_MS: Millis = 30_000;
-/// A replica that is in no view and was not heard for this long has no place on the ring.
+/// A replica that is in no view and was not heard for this long is not on the ring.
 const OUTSIDER_TIMEOUT_MS: Millis = 3000;
 
 /// All that is known of other replicas.
@@ -66,7 +66,7 @@
             .collect();
     }
 
-    /// Whether too few of the view are heard, so that the seeds are asked too.
+    /// Whether too few of the view are reachable, so that the seeds are sent heartbeats too.
     pub(crate) fn is_seeking(&self, now: Millis) -> bool {
         let heard: BTreeSet<u32> = self
             .peers
@@ -195,7 +195,7 @@
         self.peers.values().map(report).collect()
     }
 
-    /// The replicas that are heard and hear this one, without this one.
+    /// The other replicas that are reachable both ways: they are heard, and hear this one.
     pub(crate) fn reachable(&self, now: Millis) -> Vec<Peer> {
         let bidirectional = |peer: &Peer| match self.is_recent(peer.last_direct, now) {
             true => self.is_connected(peer, now),
--- a/system/control/src/peer.rs
+++ b/system/control/src/peer.rs
@@ -8,9 +8,9 @@
 pub(crate) struct Status {
     /// The newest view that it knows.
     pub view: ViewNumber,
-    /// It takes part in that view.
+    /// It serves in that view.
     pub serving: bool,
-    /// It can't take part for now.
+    /// It can't be a member of a chain for now.
     pub unfit: bool,
     /// Its disk had all that was committed up to that view.
     pub complete: bool,
--- a/system/control/src/replica.rs
+++ b/system/control/src/replica.rs
@@ -1,4 +1,4 @@
-//! One replica of the control plane: the parts that it is made of, what can be asked of it, and what it wants done. How it
+//! One replica of the control plane: the components that it is made of, its queries, and its outputs. How it
 //! handles its inputs is in `inputs`.
 use crate::{
     agreement::Agreement,
@@ -86,7 +86,7 @@
             .min(chain.log.last().index)
             .max(durable.applied.index);
         if durable.agreement.current.number > ViewNumber::default() {
-            // This life of the process is in no chain yet.
+            // This incarnation of the process is in no chain yet.
             chain.activity = Activity::Learning;
         }
         let mut replica = Replica {
@@ -139,36 +139,36 @@
         self.membership.set_seeds(seeds);
     }
 
-    /// Whether so few of the view are heard that the seeds are asked too.
+    /// Whether so few of the view are reachable that the seeds are sent heartbeats too.
     pub fn is_seeking(&self, now: Millis) -> bool {
         self.membership.is_seeking(now)
     }
 
-    /// Announces that this replica is about to end, so that the others go on without it at once.
+    /// Announces that this process is about to end, so that the others go on without it at once.
     pub fn leave(&mut self, now: Millis) {
         self.fitness.drain();
         self.next_heartbeat_at = now;
     }
 
-    /// The middle one of the times of day of the core machines.
+    /// The median of the times of day of the core machines.
     pub fn median_wall(&self, own_wall: WallMillis, now: Millis) -> WallMillis {
         self.membership.median_wall(own_wall, now)
     }
 
-    /// Whether this replica takes part in its view, and that was the newest one at some moment of the last
+    /// Whether this replica is active in its view, and that was the newest one at some moment of the last
     /// [`CONTACT_MS`] milliseconds.
     pub fn has_contact(&self, now: Millis) -> bool {
         let confirmed_at = self.confirmed_at(now);
         self.is_active() && confirmed_at > 0 && now <= confirmed_at + CONTACT_MS
     }
 
-    /// Whether this replica takes part in its view, and that was the newest one at some moment after `since`.
+    /// Whether this replica is active in its view, and that was the newest one at some moment after `since`.
     pub fn has_contact_since(&self, since: Millis, now: Millis) -> bool {
         self.is_active() && self.confirmed_at(now) > since
     }
 
-    /// Whether this replica takes part in the newest view of at most [`CONTACT_MS`] milliseconds ago, and knows all that
-    /// was committed then: it is the tail, or the tail has told it since.
+    /// Whether this replica is active in the newest view of at most [`CONTACT_MS`] milliseconds ago, and knows all that
+    /// was committed then: it is the tail, or the tail has announced it since.
     pub fn is_informed(&self, now: Millis) -> bool {
         let tail_last_heard = match self.view().tail() {
             Some(tail) if tail != self.settings.own => {
@@ -186,7 +186,7 @@
             .confirmed_at(self.view(), self.settings.own.member, now)
     }
 
-    /// Whether this replica is at work in its view, or waits for its predecessor there.
+    /// Whether this replica is active in its view, or catches up as a member of its chain.
     pub(crate) fn is_serving(&self) -> bool {
         matches!(self.chain.activity, Activity::Joining | Activity::Active)
             && !self.agreement.is_sealed()
@@ -197,6 +197,7 @@
         self.fitness.is_unfit(self.tickets.oldest_issued_at(), now)
     }
 
+    /// Adds a line to the operator's log.
     pub(crate) fn log(&mut self, line: String) {
         self.outputs.push(Output::Log(line));
     }
@@ -234,6 +235,7 @@
         self.write_checkpoint(snapshot, vec![OnDurable::EntriesDurable(last)], now);
     }
 
+    /// Issues a checkpoint of this state.
     fn write_checkpoint(
         &mut self,
         snapshot: DurableState,
--- a/system/control/src/snapshot_transfer.rs
+++ b/system/control/src/snapshot_transfer.rs
@@ -181,7 +181,7 @@
         if fnv1a(bytes) != checksum || !machine.add_chunk(bytes) {
             self.chain.incoming = None;
             self.log(format!(
-                "part {number} of the state of {} can't be read",
+                "snapshot chunk {number} of {} can't be read",
                 from.member
             ));
             return;
@@ -232,7 +232,7 @@
             return;
         };
         if !machine.finish_restore(incoming.position) {
-            self.log("the state that was told is not whole".to_owned());
+            self.log("the incoming snapshot is not complete".to_owned());
             return;
         }
         self.chain.applied = incoming.position.index;
--- a/system/control/src/time_of_day.rs
+++ b/system/control/src/time_of_day.rs
@@ -11,48 +11,53 @@
 /// What a clock shows beside the steady clock: its reading less that of the steady clock.
 type Offset = i64;
 
+/// An offset, and since when it has been shown.
+#[derive(Clone, Copy, Debug)]
+struct Shown {
+    since: Millis,
+    offset: Offset,
+}
+
 /// Reads a clock that may jump.
 #[derive(Clone, Debug, Default)]
 pub struct TimeOfDay {
-    /// When the clock was first read, and the offset that is believed.
-    believed: Option<(Millis, Offset)>,
-    /// Since when the clock shows another offset, and which.
-    jumped: Option<(Millis, Offset)>,
+    /// The offset that is believed; `since` is when the clock was first read.
+    believed: Option<Shown>,
+    /// Another offset that the clock shows at present.
+    jumped: Option<Shown>,
 }
 
 impl TimeOfDay {
     /// The time of day when the steady clock shows `now` and the machine's clock `wall`.
     pub fn read(&mut self, now: Millis, wall: WallMillis) -> WallMillis {
-        let shown = wall.0 as Offset - now as Offset;
-        let (first_read, believed) = *self.believed.get_or_insert((now, shown));
-        let offset = if self.follows(now, first_read, believed, shown) {
-            self.believed = Some((first_read, shown));
+        let offset = wall.0 as Offset - now as Offset;
+        let shown = Shown { since: now, offset };
+        let mut believed = *self.believed.get_or_insert(shown);
+        if self.follows(believed, shown) {
+            believed.offset = offset;
+            self.believed = Some(believed);
             self.jumped = None;
-            shown
-        } else {
-            believed
-        };
-        WallMillis(u64::try_from(now as Offset + offset).unwrap_or(0))
+        }
+        WallMillis(u64::try_from(now as Offset + believed.offset).unwrap_or(0))
     }
 
-    fn follows(
-        &mut self,
-        now: Millis,
-        first_read: Millis,
-        believed: Offset,
-        shown: Offset,
-    ) -> bool {
-        if shown.abs_diff(believed) <= JUMP_MS || now < first_read + WARM_UP_MS {
+    /// Whether the offset that is shown now is to be believed; one that is not is remembered.
+    fn follows(&mut self, believed: Shown, shown: Shown) -> bool {
+        let now = shown.since;
+        if is_close(shown, believed) || now < believed.since + WARM_UP_MS {
             return true;
         }
         match self.jumped {
-            Some((since, jumped)) if jumped.abs_diff(shown) <= JUMP_MS => {
-                now >= since + CORRECTION_AFTER_MS
-            }
+            Some(jumped) if is_close(jumped, shown) => now >= jumped.since + CORRECTION_AFTER_MS,
             _ => {
-                self.jumped = Some((now, shown));
+                self.jumped = Some(shown);
                 false
             }
         }
     }
 }
+
+/// Whether two offsets differ by drift only.
+fn is_close(one: Shown, other: Shown) -> bool {
+    one.offset.abs_diff(other.offset) <= JUMP_MS
+}
--- a/system/control/src/view_change.rs
+++ b/system/control/src/view_change.rs
@@ -1,8 +1,8 @@
 //! The change of the view: when the next one is proposed and by whom, and the messages of the agreement on it. The rules
 //! of Paxos are in `agreement`, the members of the next view in `view_composition`.
 use crate::{
-    disk_tickets::OnDurable, durable_state::DurableRecord, peer::Peer, replica::Replica,
-    view_reason::ViewReason, view_timer::ROUND_TIMEOUT_MS, StateMachine,
+    agreement::ProposedView, disk_tickets::OnDurable, durable_state::DurableRecord, peer::Peer,
+    replica::Replica, view_reason::ViewReason, view_timer::ROUND_TIMEOUT_MS, StateMachine,
 };
 use magpiegap_protocol::{
     Ballot, Member, Millis, PeerMessage, Promise, ReplicaId, View, ViewNumber,
@@ -11,7 +11,7 @@
 
 /// How long a proposer waits for more than a majority of promises.
 const PROMISE_WAIT_MS: Millis = 60;
-/// A member of the chain that does not take part is replaced, or taken in anew, after this time.
+/// A member of the chain that is not active is replaced, or taken in anew, after this time.
 const IDLE_MEMBER_MS: Millis = 500;
 
 impl Replica {
@@ -65,7 +65,7 @@
         self.idle_chain_member(now).map(ViewReason::Idle)
     }
 
-    /// A member of the chain that is there and has not taken part for a while.
+    /// A member of the chain that is reachable and has not been active for a while.
     fn idle_chain_member(&self, now: Millis) -> Option<ReplicaId> {
         if self.view_timer.view_age(now) < IDLE_MEMBER_MS {
             return None;
@@ -80,8 +80,8 @@
         current.chain.iter().find(is_idle).copied()
     }
 
-    /// How many are to propose before this replica; `None` when it has no vote, or is outside of a chain of which
-    /// others are there: they know better who can take part.
+    /// How many replicas propose before this one; `None` when it has no vote, or is outside of a chain of which others
+    /// are available: they know better who can be a member.
     fn proposer_rank(&self, available: &[ReplicaId]) -> Option<u64> {
         let current = &self.agreement.state.current;
         let mut candidates: Vec<ReplicaId> = available
@@ -202,10 +202,12 @@
         let compose =
             || self.compose_next_view(&current, &available, &round.complete_voters(), now);
         let view = round.highest_accepted_view().or_else(compose);
-        let Some(view) = view else { return };
+        let Some(view) = view else {
+            return;
+        };
         let ballot = round.ballot;
         if let Some(round) = self.agreement.round.as_mut() {
-            round.proposed = Some((view.clone(), BTreeSet::new()));
+            round.proposed = Some(ProposedView::new(view.clone()));
         }
         self.send_to_voters(&PeerMessage::Accept { ballot, view });
     }
@@ -262,12 +264,12 @@
         else {
             return;
         };
-        let Some((view, accepted)) = round.proposed.as_mut() else {
+        let Some(proposed) = round.proposed.as_mut() else {
             return;
         };
-        accepted.insert(from.member);
-        if accepted.len() >= majority {
-            let view = view.clone();
+        proposed.accepted_by.insert(from.member);
+        if proposed.accepted_by.len() >= majority {
+            let view = proposed.view.clone();
             self.announce_view(&view, now);
             self.handle_decided(&view, now, machine);
         }
@@ -292,7 +294,7 @@
         if number != self.agreement.next_number() {
             return;
         }
-        self.agreement.highest_round_seen = self.agreement.highest_round_seen.max(promised.round);
+        self.agreement.record_round(promised.round);
         if self
             .agreement
             .round
@@ -329,6 +331,7 @@
     }
 }
 
+/// The chain and the number of voters, for the operator's log.
 fn describe(view: &View) -> String {
     let chain: Vec<String> = view
         .chain
--- a/system/control/src/view_composition.rs
+++ b/system/control/src/view_composition.rs
@@ -14,28 +14,34 @@
             .is_some_and(|view| current.complete_since(view, &self.settings.own.member))
     }
 
-    /// All that are there and can take part, this replica included. Those that can't for now count where there would
-    /// be too few without them: a slow disk is better than none.
+    /// All replicas that are reachable and fit, this one included. The unfit ones count where there would be too few
+    /// without them: a slow disk is better than none.
     pub(crate) fn available(&self, now: Millis) -> Vec<ReplicaId> {
-        let mut there: Vec<(ReplicaId, bool)> = self
-            .available_peers(now)
+        let peers = self.available_peers(now);
+        let mut reachable: Vec<ReplicaId> = peers.iter().map(|peer| peer.replica).collect();
+        reachable.push(self.settings.own);
+        reachable.sort_unstable();
+        let mut unfit: BTreeSet<ReplicaId> = peers
             .iter()
-            .map(|peer| (peer.replica, peer.status.unfit))
+            .filter(|peer| peer.status.unfit)
+            .map(|peer| peer.replica)
             .collect();
-        there.push((self.settings.own, self.is_unfit(now)));
-        there.sort_unstable();
-        let fit: Vec<ReplicaId> = there
+        if self.is_unfit(now) {
+            unfit.insert(self.settings.own);
+        }
+        let fit: Vec<ReplicaId> = reachable
             .iter()
-            .filter(|(_, unfit)| !unfit)
-            .map(|(replica, _)| *replica)
+            .copied()
+            .filter(|replica| !unfit.contains(replica))
             .collect();
         if self.keeps_replica(&fit) {
-            return fit;
+            fit
+        } else {
+            reachable
         }
-        there.into_iter().map(|(replica, _)| replica).collect()
     }
 
-    /// Those that the chain is to consist of. One that has yet to catch up stays outside of it meanwhile, unless there
+    /// The members of the next chain. A replica that has yet to catch up stays outside of it meanwhile, unless there
     /// would be too few without it: nothing could be committed then anyway.
     pub(crate) fn next_chain(&self, available: &[ReplicaId], now: Millis) -> Vec<ReplicaId> {
         let chain = &self.agreement.state.current.chain;
@@ -72,7 +78,7 @@
         available.to_vec()
     }
 
-    /// The other replicas that are there. A newcomer has to settle, unless all voters are back and nobody serves: then
+    /// The other replicas that are available. A newcomer has to be stable, unless all voters are back and nobody serves: then
     /// it disturbs nobody, and all of them wait for the view.
     pub(crate) fn available_peers(&self, now: Millis) -> Vec<Peer> {
         let heard = self.membership.reachable(now);
@@ -91,7 +97,7 @@
         heard.into_iter().filter(belongs).collect()
     }
 
-    /// The next view: all that are there and have caught up, led by one that has all that was committed.
+    /// The next view: all that are available and have caught up, led by one that has all that was committed.
     pub(crate) fn compose_next_view(
         &self,
         current: &View,
--- a/system/control/src/view_reason.rs
+++ b/system/control/src/view_reason.rs
@@ -5,13 +5,13 @@
 /// Why another view is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ViewReason {
-    /// A replica outside of the chain can take part.
+    /// A replica outside of the chain can become a member.
     Newcomer(ReplicaId),
-    /// A member of the chain is gone, or can't take part.
+    /// A member of the chain has departed, or is unfit.
     Departed(ReplicaId),
     /// The agreement on the next view was begun by another replica and led to nothing.
     Unfinished,
-    /// A member of the chain is there and does not take part.
+    /// A member of the chain is reachable and not active.
     Idle(ReplicaId),
 }
 
