--- a/system/control/tests/common/counting_state.rs
+++ b/system/control/tests/common/counting_state.rs
@@ -3,21 +3,21 @@
 use magpiegap_protocol::{decode, encode, Entry, LogPosition, ProposalId};
 use std::sync::Arc;
 
-/// How many parts a state has.
+/// How many chunks a snapshot has.
 const CHUNKS: u32 = 9;
 
-/// Counts what was applied, and remembers what that was until it is asked.
+/// Counts what was applied, and remembers what that was until that is taken.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CountingState {
     pub position: LogPosition,
     applied: Vec<(u64, ProposalId)>,
-    building: Vec<LogPosition>,
+    restoring: Vec<LogPosition>,
 }
 
 #[derive(Debug)]
-struct FrozenCount(LogPosition);
+struct CountSnapshot(LogPosition);
 
-impl StateSnapshot for FrozenCount {
+impl StateSnapshot for CountSnapshot {
     fn position(&self) -> LogPosition {
         self.0
     }
@@ -30,7 +30,7 @@
 }
 
 impl CountingState {
-    /// Takes what was applied since this was last asked.
+    /// Takes what was applied since this was last called.
     pub(crate) fn take_applied(&mut self) -> Vec<(u64, ProposalId)> {
         std::mem::take(&mut self.applied)
     }
@@ -50,22 +50,23 @@
         self.position
     }
     fn snapshot(&self) -> Arc<dyn StateSnapshot> {
-        Arc::new(FrozenCount(self.position))
+        Arc::new(CountSnapshot(self.position))
     }
     fn begin_restore(&mut self) {
-        self.building.clear();
+        self.restoring.clear();
     }
     fn add_chunk(&mut self, chunk: &[u8]) -> bool {
         decode(chunk)
-            .map(|position| self.building.push(position))
+            .map(|position| self.restoring.push(position))
             .is_ok()
     }
     fn finish_restore(&mut self, position: LogPosition) -> bool {
-        let built = std::mem::take(&mut self.building);
-        let whole = built.len() == CHUNKS as usize && built.iter().all(|chunk| *chunk == position);
-        if whole {
+        let built = std::mem::take(&mut self.restoring);
+        let is_complete =
+            built.len() == CHUNKS as usize && built.iter().all(|chunk| *chunk == position);
+        if is_complete {
             self.position = position;
         }
-        whole
+        is_complete
     }
 }
--- a/system/control/tests/common/disk_change.rs
+++ b/system/control/tests/common/disk_change.rs
@@ -1,4 +1,4 @@
-//! What a disk is asked to keep.
+//! What a disk is to write.
 use magpiegap_control::{DurableRecord, DurableState};
 
 /// A change of a disk that is not confirmed yet.
@@ -7,14 +7,14 @@
     /// Records behind those before.
     Records(Vec<DurableRecord>),
     /// All of it, anew.
-    Whole(Box<DurableState>),
+    Checkpoint(Box<DurableState>),
 }
 
 impl DiskChange {
     /// Makes the change.
     pub(crate) fn apply(self, disk: &mut DurableState) {
         match self {
-            DiskChange::Whole(snapshot) => *disk = *snapshot,
+            DiskChange::Checkpoint(snapshot) => *disk = *snapshot,
             DiskChange::Records(records) => records.into_iter().for_each(|record| disk.add(record)),
         }
     }
--- a/system/control/tests/common/group.rs
+++ b/system/control/tests/common/group.rs
@@ -13,7 +13,7 @@
 
 /// Length of one step of time.
 const STEP_MS: Millis = 5;
-/// How long a message takes, unless it tells a replica much that it is missing.
+/// How long a message takes, unless it carries much that a replica is missing.
 const DELAY_MS: Millis = 2;
 
 struct Running {
@@ -39,18 +39,18 @@
 pub(crate) struct Group {
     pub now: Millis,
     pub tolerance: Tolerance,
-    /// Where each machine stands; those not named stand in one unknown place.
+    /// The location of each machine; those not named are in one unknown zone.
     pub locations: BTreeMap<u32, Location>,
-    /// How long it takes to tell a replica that has missed much what it is missing.
+    /// How long it takes to send a replica that has missed much what it is missing.
     pub catch_up_delay_ms: Millis,
     /// Those that neither send nor receive.
     pub cut_off: BTreeSet<u32>,
     /// Pairs that don't hear each other, the lower address first.
     pub cut_links: BTreeSet<(u32, u32)>,
-    /// Machines that stand still, and until when.
-    pub snapshot: BTreeMap<u32, Millis>,
-    /// Seeds how long messages and syncs take; `None`: always the same.
-    pub chance: Option<StdRng>,
+    /// Frozen machines, and until when.
+    pub frozen_until: BTreeMap<u32, Millis>,
+    /// Draws how long messages and syncs take; `None`: always the same.
+    pub random: Option<StdRng>,
     /// What was applied under each index, by whichever replica did it first.
     pub history: BTreeMap<u64, ProposalId>,
     /// Indexes under which another replica has applied something else.
@@ -58,12 +58,12 @@
     running: BTreeMap<u32, Running>,
     disks: BTreeMap<u32, DurableState>,
     events: BTreeMap<(Millis, u64), Event>,
-    /// When the last message on the way from one to another arrives.
+    /// When the last message in flight from one to another arrives.
     links: BTreeMap<(u32, u32), Millis>,
     /// When the last work of each disk is done.
     syncs: BTreeMap<u32, Millis>,
     sequence: u64,
-    boots: u64,
+    incarnations: u64,
     proposals: u64,
 }
 
@@ -92,8 +92,8 @@
             catch_up_delay_ms: DELAY_MS,
             cut_off: BTreeSet::new(),
             cut_links: BTreeSet::new(),
-            snapshot: BTreeMap::new(),
-            chance: None,
+            frozen_until: BTreeMap::new(),
+            random: None,
             history: BTreeMap::new(),
             contradictions: Vec::new(),
             running: BTreeMap::new(),
@@ -102,7 +102,7 @@
             links: BTreeMap::new(),
             syncs: BTreeMap::new(),
             sequence: 0,
-            boots: 0,
+            incarnations: 0,
             proposals: 0,
         };
         for address in addresses {
@@ -128,7 +128,7 @@
     }
 
     fn is_frozen(&self, address: u32) -> bool {
-        self.snapshot
+        self.frozen_until
             .get(&address)
             .is_some_and(|until| self.now < *until)
     }
@@ -236,7 +236,7 @@
         let until = self.now + for_ms;
         while self.now < until {
             self.now += STEP_MS;
-            self.happen();
+            self.run_events();
             for address in self.running.keys().copied().collect::<Vec<u32>>() {
                 let now = self.now;
                 if self.is_frozen(address) {
--- a/system/control/tests/common/group/delivery.rs
+++ b/system/control/tests/common/group/delivery.rs
@@ -5,16 +5,16 @@
 use magpiegap_protocol::{Millis, PeerMessage, ReplicaId, WallMillis};
 use rand::Rng;
 
-/// So many missing entries are told as fast as anything else.
+/// So many missing entries are sent as fast as anything else.
 const FEW_ENTRIES: usize = 5;
 /// How long a sync takes.
 const SYNC_MS: Millis = 9;
 /// Where chance decides, messages and syncs take up to this long.
-const MOST_DELAY_MS: Millis = 30;
-const MOST_SYNC_MS: Millis = 60;
+const MAX_DELAY_MS: Millis = 30;
+const MAX_SYNC_MS: Millis = 60;
 
 impl Group {
-    pub(super) fn happen(&mut self) {
+    pub(super) fn run_events(&mut self) {
         while let Some(first) = self
             .events
             .first_entry()
@@ -26,7 +26,7 @@
                 Event::Persisted { address, .. } => *address,
             };
             if self.is_frozen(at) {
-                let until = self.snapshot[&at];
+                let until = self.frozen_until[&at];
                 self.schedule_at(until, event);
                 continue;
             }
@@ -86,7 +86,7 @@
                     self.write_disk(own, ticket, DiskChange::Records(records));
                 }
                 Output::Checkpoint { ticket, snapshot } => {
-                    self.write_disk(own, ticket, DiskChange::Whole(snapshot));
+                    self.write_disk(own, ticket, DiskChange::Checkpoint(snapshot));
                 }
                 Output::Log(_) => {}
             }
@@ -104,7 +104,7 @@
             PeerMessage::MissingEntries { ref entries, .. } if entries.len() > FEW_ENTRIES => {
                 self.catch_up_delay_ms
             }
-            _ => self.some_time(DELAY_MS, MOST_DELAY_MS),
+            _ => self.some_time(DELAY_MS, MAX_DELAY_MS),
         };
         // Messages from one replica to another arrive in order.
         let link = self.links.entry((from.member.address, to)).or_default();
@@ -127,17 +127,17 @@
             change: Box::new(change),
         };
         // A disk does its work in order.
-        let sync = self.some_time(SYNC_MS, MOST_SYNC_MS);
+        let sync = self.some_time(SYNC_MS, MAX_SYNC_MS);
         let done = self.syncs.entry(address).or_default();
         *done = (self.now + sync).max(*done);
         let at = *done;
         self.schedule_at(at, event);
     }
 
-    fn some_time(&mut self, usual: Millis, most: Millis) -> Millis {
-        self.chance
+    fn some_time(&mut self, expected: Millis, max: Millis) -> Millis {
+        self.random
             .as_mut()
-            .map_or(usual, |chance| chance.gen_range(1..=most))
+            .map_or(expected, |random| random.gen_range(1..=max))
     }
 
     pub(super) fn schedule_at(&mut self, at: Millis, event: Event) {
--- a/system/control/tests/common/group/machines.rs
+++ b/system/control/tests/common/group/machines.rs
@@ -7,14 +7,14 @@
 impl Group {
     /// Starts the process on a machine.
     pub(crate) fn start_replica(&mut self, address: u32) {
-        self.boots += 1;
+        self.incarnations += 1;
         let disk = self.disks[&address].clone();
         let own = ReplicaId {
             member: Member {
                 address,
                 disk: disk.disk,
             },
-            incarnation: self.boots,
+            incarnation: self.incarnations,
         };
         let settings = ControlSettings {
             own,
@@ -23,7 +23,7 @@
             tolerance: self.tolerance,
             heartbeat_ms: 60,
             suspect_ms: 320,
-            seed: self.boots,
+            seed: self.incarnations,
         };
         let mut machine = CountingState::default();
         assert!(restore(&mut machine, &*disk.state));
@@ -42,8 +42,8 @@
         let Some(killed) = self.running.remove(&address) else {
             return;
         };
-        let own_boot = killed.replica.own().incarnation;
-        let of_process = |event: &Event| matches!(event, Event::Persisted { address: at, incarnation, .. } if *at == address && *incarnation == own_boot);
+        let own_incarnation = killed.replica.own().incarnation;
+        let of_process = |event: &Event| matches!(event, Event::Persisted { address: at, incarnation, .. } if *at == address && *incarnation == own_incarnation);
         let keys: Vec<(Millis, u64)> = self
             .events
             .iter()
@@ -66,16 +66,16 @@
 
     /// Empties the disk of a machine whose process does not run.
     pub(crate) fn wipe(&mut self, address: u32) {
-        let disk = 1000 + self.boots;
+        let disk = 1000 + self.incarnations;
         let state = CountingState::default().snapshot();
         self.disks
             .insert(address, DurableState::empty(disk, None, Vec::new(), state));
     }
 
-    /// A machine is gone for good, and an empty one starts at another address.
-    pub(crate) fn replace(&mut self, gone: u32, new: u32) {
-        self.running.remove(&gone);
-        self.disks.remove(&gone);
+    /// A machine is removed for good, and an empty one starts at another address.
+    pub(crate) fn replace(&mut self, removed: u32, new: u32) {
+        self.running.remove(&removed);
+        self.disks.remove(&removed);
         self.wipe(new);
         self.start_replica(new);
     }
--- a/system/control/tests/common/mod.rs
+++ b/system/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the stories of replicas share.
+//! What the tests of replicas share.
 #![allow(dead_code)]
 pub(crate) mod counting_state;
 pub(crate) mod disk_change;
@@ -26,7 +26,7 @@
         no_state()
     }
     fn begin_restore(&mut self) {}
-    fn add_chunk(&mut self, _part: &[u8]) -> bool {
+    fn add_chunk(&mut self, _chunk: &[u8]) -> bool {
         true
     }
     fn finish_restore(&mut self, _position: LogPosition) -> bool {
@@ -34,7 +34,7 @@
     }
 }
 
-/// A state of one part, with nothing in it.
+/// A snapshot of one chunk, with nothing in it.
 pub(crate) fn no_state() -> Arc<dyn StateSnapshot> {
     Arc::new(EncodedSnapshot::new(
         LogPosition::default(),
@@ -54,7 +54,7 @@
     replica
 }
 
-/// What a replica at work in a view tells of another one that it hears.
+/// What a replica active in a view reports of another one that it hears.
 pub(crate) fn report(of: ReplicaId, view: u64) -> PeerReport {
     PeerReport {
         replica: of,
--- a/system/control/tests/contact.rs
+++ b/system/control/tests/contact.rs
@@ -68,7 +68,7 @@
 }
 
 #[googletest::test]
-fn given_a_machine_that_stood_still_when_heartbeats_of_before_come_then_they_prove_nothing_newer() {
+fn given_a_machine_that_was_frozen_when_older_heartbeats_come_then_they_prove_nothing_newer() {
     let mut head = head();
     // They were sent before, and waited in its sockets.
     for waited in [100, 160, 220] {
--- a/system/control/tests/golden.rs
+++ b/system/control/tests/golden.rs
@@ -135,7 +135,7 @@
     ]
 }
 
-/// A snapshot with something in each of its fields, whose state has two parts.
+/// A snapshot with something in each of its fields, whose state has two chunks.
 fn full_snapshot() -> DurableState {
     let applied = LogPosition {
         view: ViewNumber(7),
@@ -186,14 +186,14 @@
     expect_that!(read.committed, eq(meant.committed), "{name}");
 }
 
-/// A snapshot is written in parts with the bytes stored as `name 0`, `name 1` and so on, and they are read as it.
-fn expect_parts(name: &str, count: usize, snapshot: &DurableState) {
+/// A snapshot is written in chunks with the bytes stored as `name 0`, `name 1` and so on, and they are read as it.
+fn expect_chunks(name: &str, count: usize, snapshot: &DurableState) {
     let written: Vec<String> = snapshot.chunks().map(|chunk| hex(&chunk)).collect();
     let names: Vec<String> = (0..count)
         .map(|number| format!("{name} {number}"))
         .collect();
-    let kept: Vec<&str> = names.iter().map(|name| stored_hex(name)).collect();
-    expect_that!(written, eq(&kept), "{name}");
+    let expected: Vec<&str> = names.iter().map(|name| stored_hex(name)).collect();
+    expect_that!(written, eq(&expected), "{name}");
     let read = DurableState::recover(names.iter().map(|name| stored(name)).collect(), &[]);
     expect_same(name, &read.unwrap(), snapshot);
 }
@@ -234,15 +234,15 @@
 }
 
 #[googletest::test]
-fn the_parts_of_a_snapshot_keep_their_bytes() {
-    expect_parts("snapshot", 3, &full_snapshot());
-    expect_parts("first snapshot", 2, &first_snapshot());
+fn the_chunks_of_a_snapshot_keep_their_bytes() {
+    expect_chunks("snapshot", 3, &full_snapshot());
+    expect_chunks("first snapshot", 2, &first_snapshot());
 }
 
-/// Earlier builds kept the state in the head, and those before them did not say what was committed. Nothing writes such
+/// Earlier builds wrote the state in the header, and those before them did not say what was committed. Nothing writes such
 /// snapshots any more: the stored bytes were made from those of today's head, with the state put in its place.
 #[googletest::test]
-fn a_snapshot_that_holds_the_state_in_one_piece_is_still_read() {
+fn a_snapshot_that_holds_the_state_as_one_chunk_is_still_read() {
     let mut meant = full_snapshot();
     meant.state = Arc::new(EncodedSnapshot::new(
         meant.applied,
--- a/system/control/tests/joining.rs
+++ b/system/control/tests/joining.rs
@@ -1,4 +1,4 @@
-//! A replica that joins asks its predecessor for what is missing, and does not keep it from its work.
+//! A replica that joins requests what is missing from its predecessor, and does not keep it from its work.
 mod common;
 
 use common::{no_state, settings, started, NoState};
@@ -47,19 +47,19 @@
         PeerMessage::Decided(view),
         &mut NoState,
     );
-    tell_state(&mut middle, 10, 1, vec![entry(1)]);
-    let asks = PeerMessage::Synchronize {
+    send_snapshot(&mut middle, 10, 1, vec![entry(1)]);
+    let request = PeerMessage::Synchronize {
         view: ViewNumber(1),
         last: LogPosition::default(),
     };
-    middle.handle_messages(20, WallMillis(0), tail, asks, &mut NoState);
+    middle.handle_messages(20, WallMillis(0), tail, request, &mut NoState);
     middle.flush(20, &mut NoState);
     middle.poll_outputs();
     middle
 }
 
-/// The head tells a replica an empty state, and the entries after it.
-fn tell_state(to: &mut Replica, now: u64, view: u64, entries: Vec<Entry>) {
+/// The head sends a replica an empty snapshot, and the entries after it.
+fn send_snapshot(to: &mut Replica, now: u64, view: u64, entries: Vec<Entry>) {
     let (head, position) = (replica(1, 0), LogPosition::default());
     to.handle_messages(
         now,
@@ -101,11 +101,11 @@
 }
 
 #[googletest::test]
-fn given_a_state_that_comes_twice_when_entries_follow_then_they_are_still_passed_on() {
+fn given_a_snapshot_that_comes_twice_when_entries_follow_then_they_are_still_replicated() {
     // Given
     let mut middle = middle_replica();
     // When
-    tell_state(&mut middle, 30, 1, vec![entry(1)]);
+    send_snapshot(&mut middle, 30, 1, vec![entry(1)]);
     let append = PeerMessage::Append {
         view: ViewNumber(1),
         after: LogIndex(1),
@@ -119,9 +119,9 @@
 }
 
 #[googletest::test]
-fn given_an_active_replica_when_its_predecessor_tells_it_nothing_then_it_asks() {
+fn given_an_active_replica_when_its_predecessor_sends_nothing_then_it_requests_what_is_missing() {
     let mut middle = middle_replica();
-    let asks = |output: &Output| {
+    let is_request = |output: &Output| {
         matches!(
             output,
             Output::Send {
@@ -130,22 +130,22 @@
             }
         )
     };
-    let mut asked = 0;
+    let mut requested = 0;
     for now in (40..2000).step_by(20) {
         middle.tick(now, WallMillis(now), &mut NoState);
-        asked += middle
+        requested += middle
             .poll_outputs()
             .iter()
-            .filter(|output| asks(output))
+            .filter(|output| is_request(output))
             .count();
-        expect_that!(asked == 0 || now >= 600, eq(true));
+        expect_that!(requested == 0 || now >= 600, eq(true));
     }
-    expect_that!(asked, ge(1));
+    expect_that!(requested, ge(1));
 }
 
 #[googletest::test]
-fn given_a_replica_that_caught_up_slowly_when_it_misses_entries_again_then_it_asks_soon() {
-    // Given: it had to ask several times for what it missed
+fn given_a_replica_that_caught_up_slowly_when_it_misses_entries_again_then_its_backoff_is_short() {
+    // Given: it had to send several requests for what it missed
     let mut middle = middle_replica();
     let gap = |after: u64| PeerMessage::Append {
         view: ViewNumber(1),
@@ -167,7 +167,7 @@
     // When
     middle.handle_messages(4100, WallMillis(0), replica(1, 0), gap(7), &mut NoState);
     // Then
-    let asks = |output: &Output| {
+    let is_request = |output: &Output| {
         matches!(
             output,
             Output::Send {
@@ -176,12 +176,12 @@
             }
         )
     };
-    expect_that!(middle.poll_outputs().iter().any(asks), eq(true));
+    expect_that!(middle.poll_outputs().iter().any(is_request), eq(true));
 }
 
-/// Up to where the successor was last told that entries are on disk.
-fn told_durable(outputs: &[Output]) -> u64 {
-    let told = |output: &Output| match output {
+/// The durable index last sent to the successor.
+fn advertised_durable(outputs: &[Output]) -> u64 {
+    let faults = |output: &Output| match output {
         Output::Send {
             to: 3,
             message: PeerMessage::Append { durable, .. },
@@ -190,16 +190,16 @@
     };
     outputs
         .iter()
-        .filter_map(told)
+        .filter_map(faults)
         .next_back()
         .unwrap_or(LogIndex::default())
         .0
 }
 
 #[googletest::test]
-fn given_entries_on_their_way_to_the_disk_when_a_whole_state_replaces_them_then_they_do_not_count_as_kept(
+fn given_entries_in_flight_to_the_disk_when_a_snapshot_replaces_them_then_they_do_not_count_as_durable(
 ) {
-    // Given: entries of view 1 are handed to the disk, which is slow
+    // Given: entries of view 1 are submitted to the disk, which is slow
     let mut middle = middle_replica();
     let append = PeerMessage::Append {
         view: ViewNumber(1),
@@ -230,15 +230,15 @@
         PeerMessage::Decided(view),
         &mut NoState,
     );
-    tell_state(&mut middle, 50, 2, vec![entry(1)]);
-    let asks = PeerMessage::Synchronize {
+    send_snapshot(&mut middle, 50, 2, vec![entry(1)]);
+    let request = PeerMessage::Synchronize {
         view: ViewNumber(2),
         last: LogPosition {
             view: ViewNumber(1),
             index: LogIndex(1),
         },
     };
-    middle.handle_messages(60, WallMillis(0), tail, asks, &mut NoState);
+    middle.handle_messages(60, WallMillis(0), tail, request, &mut NoState);
     let other = Entry {
         position: LogPosition {
             view: ViewNumber(2),
@@ -257,12 +257,12 @@
     middle.handle_persisted(ticket.unwrap_or_default(), 80, &mut NoState);
     middle.tick(300, WallMillis(300), &mut NoState);
     // Then
-    expect_that!(told_durable(&middle.poll_outputs()), eq(0));
+    expect_that!(advertised_durable(&middle.poll_outputs()), eq(0));
 }
 
 #[googletest::test]
-fn given_a_predecessor_that_takes_long_when_a_replica_joins_then_it_asks_less_and_less_often() {
-    // Given: a replica with an empty disk, in a chain behind one that does not answer
+fn given_a_slow_predecessor_when_a_replica_joins_then_its_requests_back_off() {
+    // Given: a replica with an empty disk, in a chain behind one that does not respond
     let (head, own) = (replica(1, 0), replica(2, 7));
     let empty = DurableState::empty(7, None, Vec::new(), no_state());
     let mut joining = started(settings(own, vec![1]), empty);
@@ -275,10 +275,10 @@
         &mut NoState,
     );
     // When
-    let mut asked_at = Vec::new();
+    let mut requested_at = Vec::new();
     for now in (0..6000).step_by(20) {
         joining.tick(now, WallMillis(now), &mut NoState);
-        let asks = |output: &Output| {
+        let is_request = |output: &Output| {
             matches!(
                 output,
                 Output::Send {
@@ -287,17 +287,20 @@
                 }
             )
         };
-        if joining.poll_outputs().iter().any(asks) {
-            asked_at.push(now);
+        if joining.poll_outputs().iter().any(is_request) {
+            requested_at.push(now);
         }
     }
     // Then
-    expect_that!(asked_at.first(), some(eq(&0)));
-    expect_that!(asked_at.len(), le(8));
-    expect_that!(asked_at.len(), ge(4));
-    let pauses: Vec<u64> = asked_at.windows(2).map(|pair| pair[1] - pair[0]).collect();
-    expect_that!(pauses.is_sorted(), eq(true), "{pauses:?}");
-    expect_that!(pauses.last(), some(le(&2020)));
+    expect_that!(requested_at.first(), some(eq(&0)));
+    expect_that!(requested_at.len(), le(8));
+    expect_that!(requested_at.len(), ge(4));
+    let intervals: Vec<u64> = requested_at
+        .windows(2)
+        .map(|pair| pair[1] - pair[0])
+        .collect();
+    expect_that!(intervals.is_sorted(), eq(true), "{intervals:?}");
+    expect_that!(intervals.last(), some(le(&2020)));
 }
 
 /// What a replica sends to the successor of the middle one.
@@ -310,11 +313,10 @@
 }
 
 #[googletest::test]
-fn given_a_successor_whose_entries_do_not_fit_when_it_asks_again_then_only_an_offer_is_sent_again()
-{
+fn given_a_successor_whose_entries_do_not_fit_when_it_retries_then_only_an_offer_is_sent_again() {
     // Given: a successor whose last entry the middle one does not know
     let mut middle = middle_replica();
-    let asks = PeerMessage::Synchronize {
+    let request = PeerMessage::Synchronize {
         view: ViewNumber(1),
         last: LogPosition {
             view: ViewNumber(0),
@@ -327,7 +329,7 @@
             now,
             WallMillis(0),
             replica(3, 8),
-            asks.clone(),
+            request.clone(),
             &mut NoState,
         );
         let sent = sent_to_tail(middle.poll_outputs());
@@ -343,19 +345,18 @@
 }
 
 #[googletest::test]
-fn given_a_state_that_is_not_there_any_more_when_a_part_of_it_is_asked_for_then_another_one_is_offered(
-) {
+fn given_a_snapshot_that_has_expired_when_a_chunk_of_it_is_requested_then_another_one_is_offered() {
     let mut middle = middle_replica();
     let position = LogPosition {
         view: ViewNumber(0),
         index: LogIndex(5),
     };
-    let asks = PeerMessage::RequestSnapshotChunk {
+    let request = PeerMessage::RequestSnapshotChunk {
         view: ViewNumber(1),
         position,
         number: 3,
     };
-    middle.handle_messages(30, WallMillis(0), replica(3, 8), asks, &mut NoState);
+    middle.handle_messages(30, WallMillis(0), replica(3, 8), request, &mut NoState);
     let sent = sent_to_tail(middle.poll_outputs());
     expect_that!(
         sent,
@@ -367,8 +368,8 @@
 }
 
 #[googletest::test]
-fn given_a_part_that_was_changed_on_its_way_when_it_comes_then_the_state_is_asked_for_anew() {
-    // Given: a replica in the chain that is told a state of two parts
+fn given_a_corrupt_chunk_when_it_arrives_then_the_snapshot_is_requested_anew() {
+    // Given: a replica in the chain that is offered a snapshot of two chunks
     let (head, own) = (replica(1, 0), replica(2, 7));
     let mut joining = started(
         settings(own, vec![1]),
@@ -409,7 +410,7 @@
     joining.handle_messages(20, WallMillis(0), head, chunk, &mut NoState);
     joining.tick(400, WallMillis(400), &mut NoState);
     // Then
-    let asks = |output: &Output| {
+    let is_request = |output: &Output| {
         matches!(
             output,
             Output::Send {
@@ -418,5 +419,5 @@
             }
         )
     };
-    expect_that!(joining.poll_outputs().iter().any(asks), eq(true));
+    expect_that!(joining.poll_outputs().iter().any(is_request), eq(true));
 }
--- a/system/control/tests/learning.rs
+++ b/system/control/tests/learning.rs
@@ -4,7 +4,7 @@
 use common::group::Group;
 use googletest::prelude::*;
 
-/// A group of five, two of which come back with empty disks; it takes long to tell them the state.
+/// A group of five, two of which come back with empty disks; it takes long to send them the state.
 fn two_of_five_wiped() -> Group {
     let mut group = Group::start(5, 2);
     for _ in 0..10 {
@@ -99,7 +99,7 @@
 }
 
 #[googletest::test]
-fn given_a_loss_of_power_of_all_when_two_disks_are_lost_then_the_others_commit_before_the_state_is_told(
+fn given_a_loss_of_power_of_all_when_two_disks_are_lost_then_the_others_commit_before_the_snapshot_is_sent(
 ) {
     let mut group = Group::start(5, 2);
     for _ in 0..10 {
--- a/system/control/tests/median_time.rs
+++ b/system/control/tests/median_time.rs
@@ -26,7 +26,7 @@
     )
 }
 
-fn tell_time(to: &mut Replica, from: u32, now: Millis, wall_ms: WallMillis) {
+fn exchange_clocks(to: &mut Replica, from: u32, now: Millis, wall_ms: WallMillis) {
     let heartbeat = Heartbeat {
         wall_ms,
         ..heartbeat(0)
@@ -43,18 +43,18 @@
 #[googletest::test]
 fn given_a_clock_that_is_far_ahead_when_two_others_are_heard_then_it_is_not_followed() {
     let mut replica_1 = one_of_three();
-    tell_time(&mut replica_1, 2, 100, TRUE_MS + 100);
-    tell_time(&mut replica_1, 3, 100, TRUE_MS + 103);
+    exchange_clocks(&mut replica_1, 2, 100, TRUE_MS + 100);
+    exchange_clocks(&mut replica_1, 3, 100, TRUE_MS + 103);
     let own_wall = TRUE_MS + 60_100;
     expect_that!(replica_1.median_wall(own_wall, 100), eq(TRUE_MS + 103));
-    // What others told counts on with the steady clock.
+    // What others reported counts on with the steady clock.
     expect_that!(replica_1.median_wall(own_wall, 300), eq(TRUE_MS + 303));
 }
 
 #[googletest::test]
-fn given_another_clock_that_is_far_behind_when_it_is_heard_then_the_middle_one_counts() {
+fn given_another_clock_that_is_far_behind_when_it_is_heard_then_the_median_counts() {
     let mut replica_1 = one_of_three();
-    tell_time(&mut replica_1, 2, 100, TRUE_MS - 3_600_000);
-    tell_time(&mut replica_1, 3, 100, TRUE_MS + 90);
+    exchange_clocks(&mut replica_1, 2, 100, TRUE_MS - 3_600_000);
+    exchange_clocks(&mut replica_1, 3, 100, TRUE_MS + 90);
     expect_that!(replica_1.median_wall(TRUE_MS + 100, 100), eq(TRUE_MS + 90));
 }
--- a/system/control/tests/model/beginnings.rs
+++ b/system/control/tests/model/initial_worlds.rs
@@ -5,7 +5,7 @@
 /// A world in which all take part and an entry is committed.
 pub(crate) fn serving(size: usize, tolerance: usize, budget: Budget) -> World {
     let mut world = World::new(size, tolerance, budget);
-    world.settle(8);
+    world.run_ticks(8);
     let serving = world
         .machines
         .iter()
@@ -15,7 +15,7 @@
         size
     );
     world.write();
-    world.settle(2);
+    world.run_ticks(2);
     assert!(!world.history.is_empty());
     world
 }
@@ -27,9 +27,9 @@
         .find(|machine| world.replica(*machine).is_some_and(Replica::is_tail))
         .unwrap_or(0);
     world.machines[tail].is_cut_off = true;
-    world.settle(8);
+    world.run_ticks(8);
     world.write();
-    world.settle(2);
+    world.run_ticks(2);
     world
 }
 
@@ -37,14 +37,14 @@
 pub(crate) fn with_a_wiped_one(size: usize, tolerance: usize, budget: Budget) -> World {
     let mut world = serving(size, tolerance, budget);
     world.wipe(0);
-    world.settle(8);
+    world.run_ticks(8);
     world.write();
-    world.settle(1);
+    world.run_ticks(1);
     world
 }
 
 /// A world in which all have lost power.
-pub(crate) fn dark(size: usize, tolerance: usize, budget: Budget) -> World {
+pub(crate) fn all_powered_off(size: usize, tolerance: usize, budget: Budget) -> World {
     let mut world = serving(size, tolerance, budget);
     world.write();
     for machine in 0..size {
--- a/system/control/tests/model/main.rs
+++ b/system/control/tests/model/main.rs
@@ -1,20 +1,20 @@
 //! The replicas that run, explored by a model checker: views, the chain, learners, wiped and replaced voters, loss of
-//! power, cuts, and machines that stand still.
+//! power, partitions, and machines that freeze.
 //!
-//! Each step is one of: a message arrives or is lost, all that is under way arrives, a disk confirms what it was asked to
-//! keep, time passes, a write or a question comes, a process is killed, a machine loses power or its disk, starts again, is cut off or stands still. Time
-//! passes for all at once, and heartbeats arrive while it does, except at machines that stand still, where they wait. How
+//! Each step is one of: a message arrives or is lost, all that is in flight arrives, a disk confirms what was submitted to
+//! it, time passes, a write or a read comes, a process is killed, a machine loses power or its disk, starts again, is cut off or freezes. Time
+//! passes for all at once, and heartbeats arrive while it does, except at frozen machines, where they wait. How
 //! much of each may happen is bounded (`Budget`); within that breadth-first search takes every order of steps up to a
 //! number of states, and random walks go on far beyond it.
-mod beginnings;
 #[path = "../common/mod.rs"]
 mod common;
-mod questions;
+mod initial_worlds;
+mod reads;
 mod running;
 mod steps;
 mod world;
 
-use beginnings::{dark, serving, with_a_wiped_one, without_one};
+use initial_worlds::{all_powered_off, serving, with_a_wiped_one, without_one};
 use stateright::{Checker, HasDiscoveries, Model, UniformChooser};
 use steps::Core;
 use world::{Budget, World, NOTHING};
@@ -51,9 +51,9 @@
     );
     for discoveries in [breadth.discoveries(), depth.discoveries()] {
         if let Some((property, path)) = discoveries.into_iter().next() {
-            let wrong = path.last_state().wrong.clone();
+            let violation = path.last_state().violation.clone();
             panic!(
-                "{name}: {property}: {wrong:?}; steps: {:#?}",
+                "{name}: {property}: {violation:?}; steps: {:#?}",
                 path.into_actions()
             );
         }
@@ -61,11 +61,11 @@
 }
 
 #[test]
-fn given_a_serving_core_when_one_is_cut_off_or_stands_still_then_nothing_is_lost_or_hidden() {
+fn given_a_serving_core_when_one_is_cut_off_or_freezes_then_nothing_is_lost_or_hidden() {
     let budget = Budget {
         ticks: 14,
         writes: 3,
-        questions: 2,
+        reads: 2,
         cuts: 1,
         freezes: 1,
         lost_messages: 1,
@@ -79,7 +79,7 @@
     let budget = Budget {
         ticks: 14,
         writes: 2,
-        questions: 2,
+        reads: 2,
         kills: 1,
         power_losses: 1,
         ..NOTHING
@@ -92,7 +92,7 @@
     let budget = Budget {
         ticks: 16,
         writes: 2,
-        questions: 1,
+        reads: 1,
         power_losses: 2,
         ..NOTHING
     };
@@ -128,15 +128,15 @@
     let budget = Budget {
         ticks: 12,
         writes: 2,
-        questions: 1,
+        reads: 1,
         kills: 1,
         lost_messages: 1,
         ..NOTHING
     };
     explore(
-        "dark",
+        "all powered off",
         1,
-        vec![dark(3, 1, budget), dark(5, 2, budget)],
+        vec![all_powered_off(3, 1, budget), all_powered_off(5, 2, budget)],
         20_000,
         40_000,
     );
--- /dev/null
+++ b/system/control/tests/model/reads.rs
@@ -0,0 +1,46 @@
+//! Reads at the tail, and how many disks hold what was acknowledged.
+use crate::world::{Machine, Read, World};
+use magpiegap_control::StateMachine;
+use magpiegap_protocol::{LogIndex, ProposalId};
+
+impl World {
+    pub(crate) fn start_read(&mut self, machine: usize) {
+        let acknowledged = self.history.keys().next_back().copied().unwrap_or(0);
+        self.reads.push(Read {
+            machine,
+            since: self.now,
+            acknowledged,
+        });
+    }
+
+    /// Serves the reads that a coordinator would serve now.
+    pub(crate) fn serve_reads(&mut self) {
+        let now = self.now;
+        for read in std::mem::take(&mut self.reads) {
+            let Some((replica, state)) = self.machines[read.machine].process.as_ref() else {
+                continue;
+            };
+            let is_current = state.position().view == replica.view().number;
+            let can_serve =
+                replica.is_tail() && is_current && replica.has_contact_since(read.since, now);
+            if !can_serve || self.machines[read.machine].is_frozen {
+                self.reads.push(read);
+            } else if state.position().index < LogIndex(read.acknowledged) {
+                self.violation = Some(format!("{read:?} was answered by {:?}", state.position()));
+            }
+        }
+    }
+
+    /// How many disks hold an entry that was acknowledged, whatever loses its power.
+    pub(crate) fn replicas_with(&self, index: u64, proposal: ProposalId) -> usize {
+        let holds = |machine: &&Machine| {
+            let disk = &machine.synced;
+            let in_state = disk.applied.index >= LogIndex(index);
+            in_state
+                || disk.entries.iter().any(|entry| {
+                    entry.position.index == LogIndex(index) && entry.proposal == proposal
+                })
+        };
+        self.machines.iter().filter(holds).count()
+    }
+}
--- a/system/control/tests/model/running.rs
+++ b/system/control/tests/model/running.rs
@@ -13,14 +13,14 @@
 
 impl World {
     pub(crate) fn start(&mut self, machine: usize, tolerance: usize) {
-        self.boots += 1;
+        self.incarnations += 1;
         let disk = self.machines[machine].disk.clone();
         let own = ReplicaId {
             member: Member {
                 address: address(machine),
                 disk: disk.disk,
             },
-            incarnation: self.boots,
+            incarnation: self.incarnations,
         };
         let settings = ControlSettings {
             own,
@@ -41,9 +41,8 @@
     pub(crate) fn end(&mut self, machine: usize) {
         self.machines[machine].process = None;
         self.machines[machine].is_frozen = false;
-        self.questions
-            .retain(|question| question.machine != machine);
-        // What was on its way to the process is lost with its connections.
+        self.reads.retain(|read| read.machine != machine);
+        // What was in flight to the process is lost with its connections.
         self.links.retain(|(_, to), _| *to != machine);
     }
 
@@ -53,10 +52,10 @@
         self.end(machine);
     }
 
-    /// Ends a machine's process and empties its disk, which gets another name.
+    /// Ends a machine's process and empties its disk, which gets another incarnation.
     pub(crate) fn wipe(&mut self, machine: usize) {
         self.end(machine);
-        let name = 1000 + self.boots;
+        let name = 1000 + self.incarnations;
         let empty =
             DurableState::empty(name, None, Vec::new(), CountingState::default().snapshot());
         let wiped = &mut self.machines[machine];
@@ -90,7 +89,7 @@
             let applied = state.take_applied();
             for (index, proposal) in applied {
                 if *self.history.entry(index).or_insert(proposal) != proposal {
-                    self.wrong = Some(format!("entry {index} was replaced"));
+                    self.violation = Some(format!("entry {index} was replaced"));
                 }
             }
             if outputs.is_empty() {
@@ -112,7 +111,7 @@
             Output::Checkpoint { ticket, snapshot } => {
                 self.machines[machine]
                     .pending
-                    .push_back((ticket, DiskChange::Whole(snapshot)));
+                    .push_back((ticket, DiskChange::Checkpoint(snapshot)));
             }
             Output::Send { to, message } => self.send(machine, own, (to - 1) as usize, message),
             Output::Log(_) => {}
@@ -143,7 +142,7 @@
             .push_back((own, message));
     }
 
-    /// A disk has everything that it was asked to keep.
+    /// A disk has everything that was submitted to it.
     pub(crate) fn sync(&mut self, machine: usize) {
         let pending = std::mem::take(&mut self.machines[machine].pending);
         let Some((last, _)) = pending.back() else {
@@ -174,7 +173,7 @@
                 });
             }
         }
-        self.answer_questions();
+        self.serve_reads();
     }
 
     pub(crate) fn write(&mut self) {
@@ -197,7 +196,7 @@
     }
 
     /// Lets everything happen in order, and time pass, until a chain of all serves.
-    pub(crate) fn settle(&mut self, ticks: usize) {
+    pub(crate) fn run_ticks(&mut self, ticks: usize) {
         for _ in 0..ticks {
             self.tick();
             self.run_links();
--- a/system/control/tests/model/steps.rs
+++ b/system/control/tests/model/steps.rs
@@ -1,5 +1,5 @@
 //! The steps that the checker takes, and what must hold after each.
-use crate::world::{World, MOST_QUESTIONS};
+use crate::world::{World, MAX_PENDING_READS};
 use magpiegap_control::Replica;
 use stateright::{Model, Property};
 
@@ -18,13 +18,13 @@
     },
     Sync(usize),
     Write,
-    Ask(usize),
+    Read(usize),
     Kill(usize),
     LosePower(usize),
     Wipe(usize),
     Start(usize),
     CutOff(usize),
-    Mend(usize),
+    Reconnect(usize),
     Freeze(usize),
     Thaw(usize),
 }
@@ -51,7 +51,7 @@
                 budget.cuts * u8::from(!known.is_cut_off),
                 Step::CutOff(machine),
             ),
-            (u8::from(known.is_cut_off), Step::Mend(machine)),
+            (u8::from(known.is_cut_off), Step::Reconnect(machine)),
             (
                 budget.freezes * u8::from(!known.is_frozen),
                 Step::Freeze(machine),
@@ -90,8 +90,8 @@
             steps.extend(Core::faults(world, machine));
             let is_tail =
                 world.is_awake(machine) && world.replica(machine).is_some_and(Replica::is_tail);
-            if is_tail && world.budget.questions > 0 && world.questions.len() < MOST_QUESTIONS {
-                steps.push(Step::Ask(machine));
+            if is_tail && world.budget.reads > 0 && world.reads.len() < MAX_PENDING_READS {
+                steps.push(Step::Read(machine));
             }
         }
         if world.budget.ticks > 0 {
@@ -126,9 +126,9 @@
                 world.budget.writes -= 1;
                 world.write();
             }
-            Step::Ask(machine) => {
-                world.budget.questions -= 1;
-                world.ask(machine);
+            Step::Read(machine) => {
+                world.budget.reads -= 1;
+                world.start_read(machine);
             }
             Step::Kill(machine) => {
                 world.budget.kills -= 1;
@@ -149,32 +149,31 @@
                 world.budget.cuts -= 1;
                 world.machines[machine].is_cut_off = true;
             }
-            Step::Mend(machine) => world.machines[machine].is_cut_off = false,
+            Step::Reconnect(machine) => world.machines[machine].is_cut_off = false,
             Step::Freeze(machine) => {
                 world.budget.freezes -= 1;
                 world.machines[machine].is_frozen = true;
             }
             Step::Thaw(machine) => world.machines[machine].is_frozen = false,
         }
-        world.answer_questions();
+        world.serve_reads();
         Some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "nothing acknowledged is replaced or hidden from a question",
-                |_, world: &World| world.wrong.is_none(),
+                "nothing acknowledged is replaced or hidden from a read",
+                |_, world: &World| world.violation.is_none(),
             ),
             Property::always(
                 "what is acknowledged is on as many disks as no loss takes",
                 |core: &Core, world: &World| {
                     let lost = core.worlds[0].budget.wipes - world.budget.wipes;
-                    let least = (core.tolerance + 1).saturating_sub(usize::from(lost));
-                    world
-                        .history
-                        .iter()
-                        .all(|(index, proposal)| world.copies(*index, *proposal) >= least)
+                    let min_replicas = (core.tolerance + 1).saturating_sub(usize::from(lost));
+                    world.history.iter().all(|(index, proposal)| {
+                        world.replicas_with(*index, *proposal) >= min_replicas
+                    })
                 },
             ),
         ]
--- a/system/control/tests/model/world.rs
+++ b/system/control/tests/model/world.rs
@@ -10,15 +10,15 @@
 
 /// How much time passes at once.
 pub(crate) const TICK_MS: Millis = 110;
-/// Questions are asked of the machine that is the tail in its own eyes.
-pub(crate) const MOST_QUESTIONS: usize = 2;
+/// Reads go to the machine that is the tail in its own eyes.
+pub(crate) const MAX_PENDING_READS: usize = 2;
 
 /// How often each thing may still happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Budget {
     pub ticks: u8,
     pub writes: u8,
-    pub questions: u8,
+    pub reads: u8,
     pub lost_messages: u8,
     pub kills: u8,
     pub power_losses: u8,
@@ -30,7 +30,7 @@
 pub(crate) const NOTHING: Budget = Budget {
     ticks: 0,
     writes: 0,
-    questions: 0,
+    reads: 0,
     lost_messages: 0,
     kills: 0,
     power_losses: 0,
@@ -46,19 +46,19 @@
     pub disk: DurableState,
     /// What of that outlasts a loss of power.
     pub synced: DurableState,
-    /// Asked of the disk and not confirmed.
+    /// Submitted to the disk and not confirmed.
     pub pending: VecDeque<(u64, DiskChange)>,
     pub process: Option<(Replica, CountingState)>,
     pub is_cut_off: bool,
     pub is_frozen: bool,
 }
 
-/// A question that waits for the tail's answer.
+/// A read that waits for the tail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Question {
+pub(crate) struct Read {
     pub machine: usize,
     pub since: Millis,
-    /// The newest entry that anybody had been told to be kept when it came.
+    /// The newest entry acknowledged to anybody when it came.
     pub acknowledged: u64,
 }
 
@@ -69,12 +69,12 @@
     pub machines: Vec<Machine>,
     pub links: BTreeMap<(usize, usize), VecDeque<(ReplicaId, PeerMessage)>>,
     pub budget: Budget,
-    pub boots: u64,
+    pub incarnations: u64,
     pub proposals: u64,
     /// What was applied under each index by whichever replica did it first: from then on it is acknowledged.
     pub history: BTreeMap<u64, ProposalId>,
-    pub questions: Vec<Question>,
-    pub wrong: Option<String>,
+    pub reads: Vec<Read>,
+    pub violation: Option<String>,
 }
 
 pub(crate) fn address(machine: usize) -> u32 {
@@ -108,11 +108,11 @@
             machines: (0..size).map(machine).collect(),
             links: BTreeMap::new(),
             budget,
-            boots: 0,
+            incarnations: 0,
             proposals: 0,
             history: BTreeMap::new(),
-            questions: Vec::new(),
-            wrong: None,
+            reads: Vec::new(),
+            violation: None,
         };
         for machine in 0..size {
             world.start(machine, tolerance);
@@ -131,7 +131,7 @@
             .map(|(replica, _)| replica)
     }
 
-    /// What tells two worlds apart.
+    /// A hash by which worlds are distinguished.
     pub(crate) fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         format!("{self:?}").hash(&mut hasher);
@@ -165,7 +165,7 @@
         write!(
             f,
             "{} {:?} {:?} {:?} {:?}",
-            self.now, self.links, self.budget, self.questions, self.wrong
+            self.now, self.links, self.budget, self.reads, self.violation
         )
     }
 }
--- a/system/control/tests/replaced.rs
+++ b/system/control/tests/replaced.rs
@@ -10,8 +10,8 @@
     group.write();
     group.run(200);
     for round in 0..7_u32 {
-        let gone = group.addresses()[0];
-        group.replace(gone, 20 + round);
+        let removed = group.addresses()[0];
+        group.replace(removed, 20 + round);
         group.run(4000);
         assert_eq!(group.chain().len(), 5, "round {round}: {:?}", group.chain());
         group.write();
--- a/system/control/tests/state_transfer.rs
+++ b/system/control/tests/snapshot_transfer.rs
@@ -1,4 +1,4 @@
-//! A replica that can't be told entries is told the whole state, part by part.
+//! Snapshot transfer: a replica that can't be sent entries is sent a snapshot, chunk by chunk.
 mod common;
 
 use common::{no_state, settings, started, NoState};
@@ -9,9 +9,9 @@
     ViewNumber, WallMillis,
 };
 
-/// Parts of the state that is told.
+/// Chunks of the snapshot.
 const CHUNKS: u32 = 10;
-/// The last entry of that state.
+/// The last entry in the snapshot.
 const STATE: LogPosition = LogPosition {
     view: ViewNumber(1),
     index: LogIndex(50),
@@ -50,7 +50,7 @@
     })
 }
 
-/// A replica with an empty disk outside of the chain, to which the tail has offered its state.
+/// A replica with an empty disk outside of the chain, to which the tail has offered a snapshot.
 fn learner() -> Replica {
     let own = replica(3, 7);
     let mut learner = started(
@@ -91,9 +91,9 @@
     }
 }
 
-/// The parts that a replica asks for.
-fn asked(replica: &mut Replica) -> Vec<u32> {
-    let asks = |output| match output {
+/// The chunks that a replica requests.
+fn requested(replica: &mut Replica) -> Vec<u32> {
+    let chunk_number = |output| match output {
         Output::Send {
             to: 2,
             message: PeerMessage::RequestSnapshotChunk { number, .. },
@@ -103,12 +103,12 @@
     replica
         .poll_outputs()
         .into_iter()
-        .filter_map(asks)
+        .filter_map(chunk_number)
         .collect()
 }
 
-/// After which entry a replica asks for more.
-fn asked_after(outputs: &[Output]) -> Option<u64> {
+/// After which entry a replica requests more.
+fn requested_after(outputs: &[Output]) -> Option<u64> {
     outputs.iter().rev().find_map(|output| match output {
         Output::Send {
             to: 2,
@@ -128,35 +128,35 @@
 }
 
 #[googletest::test]
-fn given_an_offered_state_when_parts_come_then_a_few_are_asked_for_at_a_time() {
+fn given_an_offered_snapshot_when_chunks_come_then_a_few_are_in_flight_at_a_time() {
     let mut learner = learner();
     expect_that!(
-        asked(&mut learner),
+        requested(&mut learner),
         elements_are![eq(&0), eq(&1), eq(&2), eq(&3)]
     );
     learner.handle_messages(20, WallMillis(0), tail(), chunk(2, 0), &mut NoState);
-    expect_that!(asked(&mut learner), elements_are![eq(&4)]);
+    expect_that!(requested(&mut learner), elements_are![eq(&4)]);
     // One that comes again, or too soon, is passed over.
     learner.handle_messages(21, WallMillis(0), tail(), chunk(2, 0), &mut NoState);
     learner.handle_messages(22, WallMillis(0), tail(), chunk(2, 3), &mut NoState);
-    expect_that!(asked(&mut learner), is_empty());
+    expect_that!(requested(&mut learner), is_empty());
 }
 
 #[googletest::test]
-fn given_parts_that_were_lost_when_time_passes_then_they_are_asked_for_again() {
+fn given_chunks_that_were_lost_when_time_passes_then_they_are_requested_again() {
     let mut learner = learner();
     learner.handle_messages(20, WallMillis(0), tail(), chunk(2, 0), &mut NoState);
     learner.handle_messages(21, WallMillis(0), tail(), chunk(2, 1), &mut NoState);
     learner.poll_outputs();
     learner.tick(200, WallMillis(200), &mut NoState);
     expect_that!(
-        asked(&mut learner),
+        requested(&mut learner),
         elements_are![eq(&2), eq(&3), eq(&4), eq(&5)]
     );
 }
 
 #[googletest::test]
-fn given_a_change_of_the_view_when_the_same_state_is_offered_then_it_goes_on_where_it_was() {
+fn given_a_change_of_the_view_when_the_same_snapshot_is_offered_then_its_transfer_resumes() {
     let mut learner = learner();
     for number in 0..6 {
         learner.handle_messages(20, WallMillis(0), tail(), chunk(2, number), &mut NoState);
@@ -171,13 +171,13 @@
     );
     learner.handle_messages(31, WallMillis(0), tail(), offer(3), &mut NoState);
     expect_that!(
-        asked(&mut learner),
+        requested(&mut learner),
         elements_are![eq(&6), eq(&7), eq(&8), eq(&9)]
     );
 }
 
 #[googletest::test]
-fn given_all_parts_when_entries_are_missing_then_nothing_takes_the_place_of_what_it_had_before_they_are_there(
+fn given_all_chunks_when_entries_are_missing_then_the_snapshot_is_installed_only_once_they_are_there(
 ) {
     let mut learner = learner();
     for number in 0..CHUNKS {
@@ -185,7 +185,7 @@
     }
     let outputs = learner.poll_outputs();
     expect_that!(checkpoints(&outputs), is_empty());
-    expect_that!(asked_after(&outputs), some(eq(50)));
+    expect_that!(requested_after(&outputs), some(eq(50)));
     let entries: Vec<Entry> = (51..=60).map(|index| entry(1, index)).collect();
     let some_of_them = PeerMessage::MissingEntries {
         view: ViewNumber(2),
@@ -196,7 +196,7 @@
     learner.handle_messages(30, WallMillis(0), tail(), some_of_them, &mut NoState);
     let outputs = learner.poll_outputs();
     expect_that!(checkpoints(&outputs), is_empty());
-    expect_that!(asked_after(&outputs), some(eq(60)));
+    expect_that!(requested_after(&outputs), some(eq(60)));
     let entries = vec![entry(2, 61)];
     let rest = PeerMessage::MissingEntries {
         view: ViewNumber(2),
@@ -218,7 +218,7 @@
 }
 
 #[googletest::test]
-fn given_entries_after_the_state_when_the_view_changes_then_they_are_asked_for_anew() {
+fn given_entries_after_the_snapshot_when_the_view_changes_then_they_are_requested_anew() {
     // Given: the old tail had an entry that was not committed
     let mut learner = learner();
     for number in 0..CHUNKS {
@@ -243,5 +243,5 @@
     learner.poll_outputs();
     learner.tick(500, WallMillis(500), &mut NoState);
     // Then
-    expect_that!(asked_after(&learner.poll_outputs()), some(eq(50)));
+    expect_that!(requested_after(&learner.poll_outputs()), some(eq(50)));
 }
--- a/system/control/tests/starting.rs
+++ b/system/control/tests/starting.rs
@@ -13,8 +13,8 @@
     }
 }
 
-/// The life of a replica after its start.
-fn new_life(address: u32) -> ReplicaId {
+/// The incarnation of a replica after its start.
+fn new_incarnation(address: u32) -> ReplicaId {
     ReplicaId {
         incarnation: 90 + u64::from(address),
         ..replica(address)
@@ -27,13 +27,13 @@
     let chain = (1..=3).map(replica).collect();
     let mut disk = DurableState::empty(0, Some(ViewNumber(1)), voters.clone(), no_state());
     disk.agreement.current = View::initial(voters.clone()).next(voters, chain);
-    let own = new_life(1);
+    let own = new_incarnation(1);
     started(settings(own, vec![1, 2, 3]), disk)
 }
 
 /// A heartbeat of a replica that hears the first one.
 fn heard_heartbeat(view: u64, serving: bool) -> PeerMessage {
-    let heard = vec![report(new_life(1), view)];
+    let heard = vec![report(new_incarnation(1), view)];
     PeerMessage::Heartbeat(Heartbeat {
         serving,
         heard,
@@ -61,7 +61,7 @@
         replica_1.handle_messages(
             10,
             WallMillis(0),
-            new_life(other),
+            new_incarnation(other),
             heard_heartbeat(1, false),
             &mut NoState,
         );
@@ -71,14 +71,14 @@
 }
 
 #[googletest::test]
-fn given_a_start_of_all_when_one_is_missing_then_the_others_are_given_time_to_settle() {
+fn given_a_start_of_all_when_one_is_missing_then_the_others_wait_until_they_are_stable() {
     let mut replica_1 = restarted();
     let mut proposed_at = None;
     for now in (0..1000).step_by(20) {
         replica_1.handle_messages(
             now,
             WallMillis(0),
-            new_life(2),
+            new_incarnation(2),
             heard_heartbeat(1, false),
             &mut NoState,
         );
@@ -90,13 +90,13 @@
 }
 
 #[googletest::test]
-fn given_others_that_serve_when_a_replica_starts_then_it_disturbs_them_only_once_it_has_settled() {
+fn given_others_that_serve_when_a_replica_starts_then_it_disturbs_them_only_once_it_is_stable() {
     let mut replica_1 = restarted();
     for other in [2, 3] {
         replica_1.handle_messages(
             10,
             WallMillis(0),
-            new_life(other),
+            new_incarnation(other),
             heard_heartbeat(1, true),
             &mut NoState,
         );
@@ -113,7 +113,7 @@
     replica_1.handle_messages(
         10,
         WallMillis(0),
-        new_life(2),
+        new_incarnation(2),
         heard_heartbeat(1, false),
         &mut NoState,
     );
@@ -131,14 +131,14 @@
 }
 
 #[googletest::test]
-fn given_a_view_with_all_when_one_of_them_has_not_settled_then_no_view_without_it_is_proposed() {
-    // Given: a view with this life of all three, agreed a moment after the last of them was first heard
+fn given_a_view_with_all_when_one_of_them_is_not_stable_yet_then_no_view_without_it_is_proposed() {
+    // Given: a view with this incarnation of all three, agreed a moment after the last of them was first heard
     let mut replica_1 = restarted();
     for now in (0..100).step_by(20) {
         replica_1.handle_messages(
             now,
             WallMillis(0),
-            new_life(2),
+            new_incarnation(2),
             heard_heartbeat(1, false),
             &mut NoState,
         );
@@ -146,11 +146,11 @@
     replica_1.handle_messages(
         100,
         WallMillis(0),
-        new_life(3),
+        new_incarnation(3),
         heard_heartbeat(1, false),
         &mut NoState,
     );
-    let chain: Vec<ReplicaId> = (1..=3).map(new_life).collect();
+    let chain: Vec<ReplicaId> = (1..=3).map(new_incarnation).collect();
     let voters: Vec<Member> = chain.iter().map(|replica| replica.member).collect();
     let view = View::initial(voters.clone())
         .next(voters.clone(), chain.clone())
@@ -158,7 +158,7 @@
     replica_1.handle_messages(
         110,
         WallMillis(0),
-        new_life(2),
+        new_incarnation(2),
         PeerMessage::Decided(view),
         &mut NoState,
     );
@@ -169,7 +169,7 @@
             replica_1.handle_messages(
                 now,
                 WallMillis(0),
-                new_life(other),
+                new_incarnation(other),
                 heard_heartbeat(2, true),
                 &mut NoState,
             );
--- a/system/control/tests/turmoil.rs
+++ b/system/control/tests/turmoil.rs
@@ -1,15 +1,15 @@
-//! Whatever goes wrong within what may be lost, no committed entry is lost or replaced by another one.
+//! Whatever goes violations within what may be lost, no committed entry is lost or replaced by another one.
 mod common;
 
 use common::group::Group;
 use rand::{rngs::StdRng, Rng, SeedableRng};
 
-/// How long things go wrong, in milliseconds.
+/// How long things go violations, in milliseconds.
 const TURMOIL_MS: u64 = 12_000;
-/// Longest time that one thing goes wrong.
-const MOST_MS: u64 = 1500;
+/// Longest time that one thing goes violations.
+const MAX_FAULT_MS: u64 = 1500;
 
-/// What goes wrong next.
+/// What goes violations next.
 #[derive(Clone, Debug)]
 enum Fault {
     /// A process is killed, and its disk has all that it wrote.
@@ -20,7 +20,7 @@
     PowerLossOfAll,
     /// All processes are killed.
     KillOfAll,
-    /// A machine stands still.
+    /// A machine freezes.
     Freeze(u32),
     /// Two machines don't hear each other.
     CutLink(u32, u32),
@@ -44,20 +44,28 @@
     }
 }
 
-struct Story {
+/// How much of what is broken is repaired at once.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Repair {
+    All,
+    /// Each thing with a chance of one half.
+    Half,
+}
+
+struct Scenario {
     group: Group,
     random: StdRng,
-    told: Vec<String>,
+    faults: Vec<String>,
 }
 
-impl Story {
-    fn new(seed: u64, size: u32, tolerance: usize) -> Story {
+impl Scenario {
+    fn new(seed: u64, size: u32, tolerance: usize) -> Scenario {
         let mut group = Group::start(size, tolerance);
-        group.chance = Some(StdRng::seed_from_u64(seed));
-        Story {
+        group.random = Some(StdRng::seed_from_u64(seed));
+        Scenario {
             group,
             random: StdRng::seed_from_u64(!seed),
-            told: Vec::new(),
+            faults: Vec::new(),
         }
     }
 
@@ -69,9 +77,9 @@
         }
     }
 
-    fn strike(&mut self, fault: &Fault) {
-        self.told.push(format!("{} {fault:?}", self.group.now));
-        let until = self.group.now + self.random.gen_range(50..MOST_MS);
+    fn inject(&mut self, fault: &Fault) {
+        self.faults.push(format!("{} {fault:?}", self.group.now));
+        let until = self.group.now + self.random.gen_range(50..MAX_FAULT_MS);
         match *fault {
             Fault::Kill(address) => self.group.kill_replica(address),
             Fault::PowerLoss(address) => self.group.stop_replica(address),
@@ -86,7 +94,7 @@
                 .into_iter()
                 .for_each(|at| self.group.kill_replica(at)),
             Fault::Freeze(address) => {
-                self.group.snapshot.insert(address, until);
+                self.group.frozen_until.insert(address, until);
             }
             Fault::CutLink(one, other) => {
                 self.group.cut_links.insert((one, other));
@@ -97,8 +105,9 @@
         }
     }
 
-    /// Some of what is broken is mended.
-    fn mend(&mut self, all: bool) {
+    /// Some of what is broken is repaired.
+    fn repair(&mut self, repair: Repair) {
+        let all = repair == Repair::All;
         for address in self.group.addresses() {
             if !self.group.runs(address) && (all || self.random.gen_bool(0.5)) {
                 self.group.start_replica(address);
@@ -111,14 +120,14 @@
         self.group.cut_off.retain(|_| !all && random.gen_bool(0.5));
     }
 
-    /// All is mended; then up to so many disks are lost, while the others lose power.
+    /// All is repaired; then up to so many disks are lost, while the others lose power.
     fn lose_disks(&mut self, count: usize) {
-        self.mend(true);
+        self.repair(Repair::All);
         self.pass(6000);
         let mut addresses = self.group.addresses();
         for _ in 0..count {
             let lost = addresses.remove(self.random.gen_range(0..addresses.len()));
-            self.told
+            self.faults
                 .push(format!("{} the disk of {lost} is lost", self.group.now));
             self.group.stop_replica(lost);
             self.group.wipe(lost);
@@ -127,41 +136,41 @@
         for address in addresses.into_iter().filter(|_| others_lose_power) {
             self.group.stop_replica(address);
         }
-        let pause = self.random.gen_range(5..600);
-        self.pass(pause);
+        let interval = self.random.gen_range(5..600);
+        self.pass(interval);
     }
 }
 
-/// Plays one seed; returns what was wrong.
+/// Plays one seed; returns what was violations.
 fn play(seed: u64, size: u32, tolerance: usize) -> Vec<String> {
-    let mut story = Story::new(seed, size, tolerance);
-    let until = story.group.now + TURMOIL_MS;
-    while story.group.now < until {
-        let fault = Fault::any(&mut story.random, size);
-        story.strike(&fault);
-        let pause = story.random.gen_range(10..800);
-        story.pass(pause);
-        story.mend(false);
+    let mut scenario = Scenario::new(seed, size, tolerance);
+    let until = scenario.group.now + TURMOIL_MS;
+    while scenario.group.now < until {
+        let fault = Fault::any(&mut scenario.random, size);
+        scenario.inject(&fault);
+        let interval = scenario.random.gen_range(10..800);
+        scenario.pass(interval);
+        scenario.repair(Repair::Half);
     }
-    story.lose_disks(tolerance);
-    story.mend(true);
-    story.pass(6000);
-    let mut wrong = Vec::new();
-    let committed = story.group.committed();
-    story.pass(500);
-    if story.group.committed() <= committed {
-        wrong.push(format!("nothing more is committed after {committed}"));
+    scenario.lose_disks(tolerance);
+    scenario.repair(Repair::All);
+    scenario.pass(6000);
+    let mut violations = Vec::new();
+    let committed = scenario.group.committed();
+    scenario.pass(500);
+    if scenario.group.committed() <= committed {
+        violations.push(format!("nothing more is committed after {committed}"));
     }
-    if !story.group.contradictions.is_empty() {
-        wrong.push(format!(
+    if !scenario.group.contradictions.is_empty() {
+        violations.push(format!(
             "entries were replaced: {:?}",
-            story.group.contradictions
+            scenario.group.contradictions
         ));
     }
-    if !wrong.is_empty() {
-        wrong.push(format!("seed {seed}: {:#?}", story.told));
+    if !violations.is_empty() {
+        violations.push(format!("seed {seed}: {:#?}", scenario.faults));
     }
-    wrong
+    violations
 }
 
 /// Plays some seeds; `CONTROL_SEEDS` in the environment asks for more or fewer, `CONTROL_FIRST` for others.
@@ -169,8 +178,8 @@
     let number = |name| std::env::var(name).ok().and_then(|text| text.parse().ok());
     let first = number("CONTROL_FIRST").unwrap_or(0);
     for seed in first..first + number("CONTROL_SEEDS").unwrap_or(count) {
-        let wrong = play(seed, size, tolerance);
-        assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+        let violations = play(seed, size, tolerance);
+        assert!(violations.is_empty(), "{}", violations.join("\n"));
     }
 }
 
--- a/system/control/tests/zones.rs
+++ b/system/control/tests/zones.rs
@@ -56,7 +56,7 @@
 }
 
 #[googletest::test]
-fn given_regions_when_one_may_be_lost_then_copies_and_voters_are_in_several() {
+fn given_regions_when_one_may_be_lost_then_replicas_and_voters_are_in_several() {
     let tolerance = Tolerance {
         machines: 1,
         zones: 0,
