--- a/system/control/src/inputs.rs
+++ b/system/control/src/inputs.rs
@@ -1,8 +1,8 @@
 //! The inputs of a replica: messages, the passing of time, and the completion of disk work. Each is passed on to the
 //! module that owns its concept.
 use crate::{
-    disk_tickets::OnDurable, log::EntryBatch, replica::Replica, snapshot_transfer::Chunk,
-    StateMachine,
+    disk_tickets::OnDurable, log::EntryBatch, peer::report_on, replica::Replica,
+    snapshot_transfer::Chunk, StateMachine,
 };
 use magpiegap_protocol::{Heartbeat, Millis, PeerMessage, ReplicaId, ViewNumber, WallMillis};
 
@@ -186,12 +186,7 @@
 
     /// Records the echo of an own heartbeat, when its sender has not gone on from the view that it knows.
     fn record_quorum_contact(&mut self, from: ReplicaId, heartbeat: &Heartbeat) {
-        let own = self.settings.own;
-        let echo = heartbeat
-            .heard
-            .iter()
-            .find(|report| report.replica == own)
-            .map_or(0, |report| report.echo);
+        let echo = report_on(heartbeat, self.settings.own).map_or(0, |report| report.echo);
         if echo > 0 && !heartbeat.sealed {
             self.quorum_contact
                 .confirm(from.member, heartbeat.view, echo);
--- a/system/control/src/lib.rs
+++ b/system/control/src/lib.rs
@@ -23,6 +23,7 @@
 mod quorum_contact;
 mod replica;
 mod replication;
+mod ring;
 mod settings;
 mod snapshot_progress;
 mod snapshot_transfer;
--- a/system/control/src/membership.rs
+++ b/system/control/src/membership.rs
@@ -1,14 +1,13 @@
 //! The failure detector: heartbeats to a few monitors on a ring, and what others report. It owns what is known of other
 //! replicas; who is taken into a view is decided in `view_composition`.
 use crate::{
-    peer::{Peer, Status},
+    peer::{report_on, Peer, Status},
+    ring::{self, Ring},
     settings::ControlSettings,
 };
 use magpiegap_protocol::{Heartbeat, Member, Millis, PeerReport, ReplicaId, View, WallMillis};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many successors on the ring hear a replica's heartbeats: in a core of up to nine, all others.
-const MAX_MONITORS: usize = 8;
 /// A newcomer must have been heard for this long before it may be taken into a view.
 const MIN_STABLE_MS: Millis = 150;
 /// Reports on replicas that were not heard for this long are dropped.
@@ -21,10 +20,7 @@
 pub(crate) struct Membership {
     own: ReplicaId,
     suspect_ms: Millis,
-    /// Where others may be found while too few of the view are heard.
-    seeds: BTreeSet<u32>,
-    /// The addresses of the newest view: of its voters and of its chain.
-    view_addresses: BTreeSet<u32>,
+    ring: Ring,
     peers: BTreeMap<Member, Peer>,
     /// The addresses with which each member says to be connected both ways.
     connected: BTreeMap<Member, BTreeSet<u32>>,
@@ -32,76 +28,49 @@
 
 impl Membership {
     pub(crate) fn new(settings: &ControlSettings, view: &View) -> Membership {
-        let mut membership = Membership {
+        Membership {
             own: settings.own,
             suspect_ms: settings.suspect_ms,
-            seeds: BTreeSet::new(),
-            view_addresses: BTreeSet::new(),
+            ring: Ring::new(settings.own.member.address, &settings.seeds, view),
             peers: BTreeMap::new(),
             connected: BTreeMap::new(),
-        };
-        membership.set_seeds(&settings.seeds);
-        membership.start_view(view);
-        membership
+        }
     }
 
     /// Replaces the addresses at which others may be found.
     pub(crate) fn set_seeds(&mut self, seeds: &[u32]) {
-        let own = self.own.member.address;
-        self.seeds = seeds
-            .iter()
-            .copied()
-            .filter(|address| *address != own)
-            .collect();
+        self.ring.set_seeds(seeds);
     }
 
     /// Takes up the addresses of a view. Those of members that it has left out expire once they are not heard.
     pub(crate) fn start_view(&mut self, view: &View) {
-        let voters = view.voters.iter().map(|member| member.address);
-        let chain = view.chain.iter().map(|replica| replica.member.address);
-        let own = self.own.member.address;
-        self.view_addresses = voters
-            .chain(chain)
-            .filter(|address| *address != own)
-            .collect();
+        self.ring.start_view(view);
     }
 
     /// Whether too few of the view are reachable, so that the seeds are sent heartbeats too.
     pub(crate) fn is_seeking(&self, now: Millis) -> bool {
-        let heard: BTreeSet<u32> = self
+        let reachable: BTreeSet<u32> = self
             .peers
             .values()
             .filter(|peer| self.is_recent(peer.last_direct, now))
             .map(|peer| peer.replica.member.address)
             .collect();
-        let view_addresses = self.view_addresses.intersection(&heard).count();
-        2 * view_addresses < self.view_addresses.len() || self.view_addresses.is_empty()
+        self.ring.needs_seeds(&reachable)
     }
 
     /// The addresses on the ring, without this replica's own.
-    fn ring(&self, now: Millis) -> BTreeSet<u32> {
-        let is_recent_peer =
-            |peer: &&Peer| now.saturating_sub(peer.last_heard) <= OUTSIDER_TIMEOUT_MS;
-        let heard = self
+    fn ring_addresses(&self, now: Millis) -> BTreeSet<u32> {
+        let recent = self
             .peers
             .values()
-            .filter(is_recent_peer)
+            .filter(|peer| now.saturating_sub(peer.last_heard) <= OUTSIDER_TIMEOUT_MS)
             .map(|peer| peer.replica.member.address);
-        let mut ring: BTreeSet<u32> = self.view_addresses.iter().copied().chain(heard).collect();
-        if self.is_seeking(now) {
-            ring.extend(&self.seeds);
-        }
-        ring.remove(&self.own.member.address);
-        ring
+        self.ring.addresses(recent, self.is_seeking(now))
     }
 
-    /// Those that hear this replica's heartbeats: its successors on the ring of addresses.
+    /// Those that are sent this replica's heartbeats.
     pub(crate) fn monitors(&self, now: Millis) -> Vec<u32> {
-        let own = self.own.member.address;
-        let ring = self.ring(now);
-        let after = ring.range(own..);
-        let before = ring.range(..own);
-        after.chain(before).copied().take(MAX_MONITORS).collect()
+        self.ring.monitors(&self.ring_addresses(now))
     }
 
     /// Handles a heartbeat. Returns whether it is the first one from this incarnation of the replica.
@@ -116,33 +85,35 @@
             .get(&from.member)
             .is_some_and(|peer| peer.replica == from && peer.last_direct.is_some());
         self.record_status(from, now, heartbeat.into(), now);
-        let own = self.own;
-        let last_heard_us = heartbeat
-            .heard
-            .iter()
-            .find(|report| report.replica == own)
-            .map(|report| report.age_ms);
-        let suspect_ms = self.suspect_ms;
+        self.record_contact(from, heartbeat, now);
+        for report in &heartbeat.heard {
+            if report.replica.member != self.own.member && report.age_ms < self.suspect_ms {
+                let at = now.saturating_sub(report.age_ms);
+                self.record_status(report.replica, at, report.into(), now);
+            }
+        }
+        !known
+    }
+
+    /// Records what a heartbeat says of the connections of its sender.
+    fn record_contact(&mut self, from: ReplicaId, heartbeat: &Heartbeat, now: Millis) {
+        let hears_us =
+            report_on(heartbeat, self.own).is_some_and(|report| report.age_ms < self.suspect_ms);
         if let Some(peer) = self.peers.get_mut(&from.member) {
             peer.last_direct = Some(now);
             peer.echo = peer.echo.max(heartbeat.sent_at);
             peer.wall_offset = Some(heartbeat.wall_ms.0 as i64 - now as i64);
-            if last_heard_us.is_some_and(|age| age < suspect_ms) {
+            if hears_us {
                 peer.last_heard_us = Some(now);
             }
         }
-        let connected = heartbeat.heard.iter().filter(|report| report.bidirectional);
-        let connected = connected
+        let connected = heartbeat
+            .heard
+            .iter()
+            .filter(|report| report.bidirectional)
             .map(|report| report.replica.member.address)
             .collect();
         self.connected.insert(from.member, connected);
-        for report in &heartbeat.heard {
-            if report.replica.member != own.member && report.age_ms < suspect_ms {
-                let at = now.saturating_sub(report.age_ms);
-                self.record_status(report.replica, at, report.into(), now);
-            }
-        }
-        !known
     }
 
     /// Records what a replica said at a time.
@@ -197,20 +168,20 @@
 
     /// The other replicas that are reachable both ways: they are heard, and hear this one.
     pub(crate) fn reachable(&self, now: Millis) -> Vec<Peer> {
-        let bidirectional = |peer: &Peer| match self.is_recent(peer.last_direct, now) {
+        let is_bidirectional = |peer: &Peer| match self.is_recent(peer.last_direct, now) {
             true => self.is_connected(peer, now),
             // Heard of from others only: it sends this replica nothing itself, since it has other monitors.
             false => !self.all_hear_each_other(now),
         };
-        let heard = |peer: &&Peer| {
-            now.saturating_sub(peer.last_heard) <= self.suspect_ms
+        let is_reachable = |peer: &&Peer| {
+            self.is_recent(Some(peer.last_heard), now)
                 && peer
                     .refused_at
                     .is_none_or(|refused| peer.last_heard > refused)
-                && bidirectional(peer)
+                && is_bidirectional(peer)
         };
         let mut newest: BTreeMap<u32, Peer> = BTreeMap::new();
-        for peer in self.peers.values().filter(heard) {
+        for peer in self.peers.values().filter(is_reachable) {
             let known = newest.entry(peer.replica.member.address).or_insert(*peer);
             if peer.last_heard > known.last_heard {
                 *known = *peer;
@@ -221,7 +192,7 @@
 
     /// Whether the ring is so small that everyone monitors everyone.
     fn all_hear_each_other(&self, now: Millis) -> bool {
-        self.ring(now).len() <= MAX_MONITORS
+        ring::all_are_monitors(&self.ring_addresses(now))
     }
 
     /// Whether something happened, and not so long ago that a replica is suspected.
--- a/system/control/src/peer.rs
+++ b/system/control/src/peer.rs
@@ -64,6 +64,14 @@
     }
 }
 
+/// What a heartbeat reports on a replica.
+pub(crate) fn report_on(heartbeat: &Heartbeat, replica: ReplicaId) -> Option<&PeerReport> {
+    heartbeat
+        .heard
+        .iter()
+        .find(|report| report.replica == replica)
+}
+
 /// What is known of another replica.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Peer {
