--- a/system/control/src/agreement.rs
+++ b/system/control/src/agreement.rs
@@ -38,7 +38,8 @@
 /// The state of the agreement at one replica.
 #[derive(Clone, Debug)]
 pub(crate) struct Agreement {
-    pub state: AgreementState,
+    state: AgreementState,
+    /// This replica's own round, while it proposes.
     pub round: Option<Round>,
     /// The highest round seen in any ballot.
     highest_round_seen: u64,
@@ -54,7 +55,17 @@
         }
     }
 
-    /// The view that is to be agreed next.
+    /// The newest view known to be agreed.
+    pub(crate) fn current(&self) -> &View {
+        &self.state.current
+    }
+
+    /// What must outlast the process.
+    pub(crate) fn state(&self) -> &AgreementState {
+        &self.state
+    }
+
+    /// The number of the view that is to be agreed next.
     pub(crate) fn next_number(&self) -> ViewNumber {
         self.state.current.number.next()
     }
--- a/system/control/src/catch_up.rs
+++ b/system/control/src/catch_up.rs
@@ -22,7 +22,7 @@
     /// The replica that sends this one new entries.
     pub(crate) fn source(&self) -> Option<ReplicaId> {
         match self.chain.activity {
-            Activity::Learning | Activity::Following => self.agreement.state.current.tail(),
+            Activity::Learning | Activity::Following => self.agreement.current().tail(),
             _ => self.predecessor(),
         }
     }
@@ -59,8 +59,7 @@
             .front()
             .map_or(last, |sample| sample.committed);
         // One that knows an older view may call itself complete and be wrong.
-        let complete =
-            peer.status.complete && peer.status.view == self.agreement.state.current.number;
+        let complete = peer.status.complete && peer.status.view == self.view().number;
         complete || peer.status.committed >= older
     }
 
@@ -94,8 +93,8 @@
         }
     }
 
-    /// Sends the source a request while this replica waits for what it is missing, and when it has heard nothing for a while: the
-    /// source may not know of it.
+    /// Sends the source a request while this replica waits for what it is missing, and when it has heard nothing for a
+    /// while: the source may not know of it.
     pub(crate) fn request_missing_if_needed(&mut self, now: Millis) {
         let has_timed_out = now >= self.chain.source_last_heard + SOURCE_TIMEOUT_MS;
         let needed = match self.chain.activity {
@@ -120,7 +119,7 @@
         if self.request_chunks(source) {
             return;
         }
-        let view = self.agreement.state.current.number;
+        let view = self.view().number;
         let last = self
             .chain
             .incoming
@@ -194,7 +193,7 @@
             _ => return,
         };
         if self.chain.activity == Activity::Active {
-            self.synchronized = Some(self.agreement.state.current.number);
+            self.synchronized = Some(self.view().number);
         }
         self.chain.incoming = None;
         self.chain.source_last_heard = now;
--- a/system/control/src/catch_up_backoff.rs
+++ b/system/control/src/catch_up_backoff.rs
@@ -34,7 +34,7 @@
             .is_none_or(|requested_at| now >= requested_at + self.backoff_ms)
     }
 
-    /// Records a request, and doubles the pause up to its bound.
+    /// Records a request, and doubles the pause up to its bound. A request at time 0 counts as one at 1.
     pub(crate) fn record_request(&mut self, now: Millis) {
         self.requested_at = Some(now.max(1));
         self.backoff_ms = (2 * self.backoff_ms).min(MAX_BACKOFF_MS);
--- a/system/control/src/chain.rs
+++ b/system/control/src/chain.rs
@@ -17,12 +17,12 @@
 impl Replica {
     /// The position of this replica in the chain, the head being 0.
     pub(crate) fn own_position(&self) -> Option<usize> {
-        self.agreement.state.current.position(&self.settings.own)
+        self.agreement.current().position(&self.settings.own)
     }
 
     fn neighbour(&self, offset: isize) -> Option<ReplicaId> {
         let position = self.own_position()?.checked_add_signed(offset)?;
-        self.agreement.state.current.chain.get(position).copied()
+        self.agreement.current().chain.get(position).copied()
     }
 
     pub(crate) fn predecessor(&self) -> Option<ReplicaId> {
@@ -72,7 +72,7 @@
                 now,
             );
         }
-        self.flush_chain(now, machine);
+        self.flush(now, machine);
     }
 
     /// Proposes a command. Returns whether it is in flight: to the log, or to the head.
@@ -87,13 +87,13 @@
             self.append_at_head(wall, proposal, role_token, command);
             return true;
         }
-        let Some(head) = self.agreement.state.current.head() else {
+        let Some(head) = self.agreement.current().head() else {
             return false;
         };
         if !self.is_active() {
             return false;
         }
-        let view = self.agreement.state.current.number;
+        let view = self.view().number;
         self.send(
             head.member.address,
             PeerMessage::Propose {
@@ -115,7 +115,7 @@
         command: Command,
     ) {
         let position = LogPosition {
-            view: self.agreement.state.current.number,
+            view: self.view().number,
             index: self.chain.log.last().index.next(),
         };
         self.chain.log.push(Entry {
@@ -153,8 +153,8 @@
         self.persist(records, vec![OnDurable::EntriesDurable(last)], now);
     }
 
-    /// Passes new entries to the disk and the followers, commits at the tail, and applies what is committed.
-    pub(crate) fn flush_chain(&mut self, now: Millis, machine: &mut dyn StateMachine) {
+    /// Ends a step: passes new entries to the disk and the followers, commits at the tail, and applies what is committed.
+    pub fn flush(&mut self, now: Millis, machine: &mut dyn StateMachine) {
         if self.is_active() {
             self.serve_pending_requests(now, machine);
             self.submit_entries_to_disk(now);
@@ -186,7 +186,7 @@
         }
         let committed = self.chain.committed.max(self.chain_durable());
         let is_newer = committed > self.chain.committed_announced;
-        if !is_newer || !self.keeps_replica(&self.agreement.state.current.chain) {
+        if !is_newer || !self.keeps_replica(&self.agreement.current().chain) {
             return;
         }
         self.chain.committed = committed;
@@ -196,13 +196,12 @@
 
     /// Announces the commit index to the others of the chain.
     pub(crate) fn announce_committed(&mut self) {
-        let view = self.agreement.state.current.number;
+        let view = self.view().number;
         let index = self.chain.committed;
         let own = self.settings.own;
         let others: Vec<u32> = self
             .agreement
-            .state
-            .current
+            .current()
             .chain
             .iter()
             .filter(|replica| **replica != own)
--- a/system/control/src/durable_state.rs
+++ b/system/control/src/durable_state.rs
@@ -1,7 +1,7 @@
 //! What a replica has on disk, and its encoding.
 use crate::state_machine::{EncodedSnapshot, StateSnapshot};
 use magpiegap_protocol::{
-    decode, encode, AcceptedView, Ballot, DecodeError, Entry, LogIndex, LogPosition, View,
+    decode, encode, AcceptedView, Ballot, DecodeError, Entry, LogIndex, LogPosition, Member, View,
     ViewNumber,
 };
 use minicbor::{Decode, Encode};
@@ -83,7 +83,7 @@
     pub fn empty(
         disk: u64,
         synchronized: Option<ViewNumber>,
-        voters: Vec<magpiegap_protocol::Member>,
+        voters: Vec<Member>,
         state: Arc<dyn StateSnapshot>,
     ) -> Self {
         let agreement = AgreementState {
--- a/system/control/src/inputs.rs
+++ b/system/control/src/inputs.rs
@@ -142,11 +142,6 @@
         }
     }
 
-    /// Ends a step: passes on what has come up.
-    pub fn flush(&mut self, now: Millis, machine: &mut dyn StateMachine) {
-        self.flush_chain(now, machine);
-    }
-
     /// Handles the completion of disk work: all up to this ticket is durable.
     pub fn handle_persisted(&mut self, ticket: u64, now: Millis, machine: &mut dyn StateMachine) {
         while let Some(done) = self.tickets.pop_completed(ticket) {
--- a/system/control/src/replica.rs
+++ b/system/control/src/replica.rs
@@ -116,7 +116,7 @@
 
     /// The newest view that this replica knows.
     pub fn view(&self) -> &View {
-        &self.agreement.state.current
+        self.agreement.current()
     }
 
     /// The newest entry known to be committed.
@@ -224,7 +224,7 @@
         let last = self.chain.log.last().index;
         let snapshot = DurableState {
             disk: self.disk,
-            agreement: self.agreement.state.clone(),
+            agreement: self.agreement.state().clone(),
             synchronized: self.synchronized,
             applied: machine.position(),
             state: machine.snapshot(),
--- a/system/control/src/replication.rs
+++ b/system/control/src/replication.rs
@@ -8,7 +8,7 @@
 impl Replica {
     /// Whether a replica gets its entries from this one in the current view.
     pub(crate) fn is_source_of(&self, other: &ReplicaId) -> bool {
-        let outside = !self.agreement.state.current.chain.contains(other);
+        let outside = !self.agreement.current().chain.contains(other);
         let is_last = self.own_position().is_some() && self.successor().is_none();
         self.successor() == Some(*other) || (is_last && outside)
     }
@@ -37,7 +37,7 @@
             self.offer_snapshot(from, now, machine);
             return;
         };
-        let view = self.agreement.state.current.number;
+        let view = self.view().number;
         if !more {
             self.follow_from_now(from, now);
         }
@@ -88,7 +88,7 @@
         if !follower.needs_append(last, durable, now) {
             return;
         }
-        let view = self.agreement.state.current.number;
+        let view = self.view().number;
         loop {
             let after = follower.sent;
             let batch = self
--- a/system/control/src/view_change.rs
+++ b/system/control/src/view_change.rs
@@ -43,7 +43,7 @@
 
     /// Why another view is needed; `None`: it is not.
     fn reason_for_view(&self, available: &[ReplicaId], now: Millis) -> Option<ViewReason> {
-        let current = &self.agreement.state.current;
+        let current = self.agreement.current();
         let voters = available
             .iter()
             .filter(|replica| current.voters.contains(&replica.member))
@@ -70,7 +70,7 @@
         if self.view_timer.view_age(now) < IDLE_MEMBER_MS {
             return None;
         }
-        let current = &self.agreement.state.current;
+        let current = self.agreement.current();
         let idle = |peer: &Peer| peer.status.view == current.number && !peer.status.serving;
         let own = self.settings.own;
         let is_idle = |replica: &&ReplicaId| match **replica == own {
@@ -83,7 +83,7 @@
     /// How many replicas propose before this one; `None` when it has no vote, or is outside of a chain of which others
     /// are available: they know better who can be a member.
     fn proposer_rank(&self, available: &[ReplicaId]) -> Option<u64> {
-        let current = &self.agreement.state.current;
+        let current = self.agreement.current();
         let mut candidates: Vec<ReplicaId> = available
             .iter()
             .copied()
@@ -113,7 +113,7 @@
     }
 
     fn send_to_voters(&mut self, message: &PeerMessage) {
-        let voters: Vec<Member> = self.agreement.state.current.voters.clone();
+        let voters: Vec<Member> = self.agreement.current().voters.clone();
         for voter in voters {
             self.send(voter.address, message.clone());
         }
@@ -159,7 +159,7 @@
         if !self.started {
             return false;
         }
-        let current = &self.agreement.state.current;
+        let current = self.agreement.current();
         if number <= current.number {
             let decided = PeerMessage::Decided(current.clone());
             self.send(from.member.address, decided);
@@ -171,7 +171,7 @@
     /// Handles a promise: a voter takes part in this replica's round.
     pub(crate) fn handle_promise(&mut self, from: ReplicaId, promise: Promise, now: Millis) {
         let number = self.agreement.next_number();
-        let voter = self.agreement.state.current.voters.contains(&from.member);
+        let voter = self.agreement.current().voters.contains(&from.member);
         let Some(round) = self.agreement.round.as_mut() else {
             return;
         };
@@ -184,7 +184,7 @@
 
     /// Proposes a view once enough voters take part.
     fn propose_view(&mut self, now: Millis) {
-        let current = self.agreement.state.current.clone();
+        let current = self.agreement.current().clone();
         let available = self.available(now);
         let Some(round) = self.agreement.round.as_ref() else {
             return;
@@ -251,7 +251,7 @@
         now: Millis,
         machine: &mut dyn StateMachine,
     ) {
-        let current = &self.agreement.state.current;
+        let current = self.agreement.current();
         if number != current.number.next() || !current.voters.contains(&from.member) {
             return;
         }
@@ -326,7 +326,7 @@
     }
 
     fn persist_agreement(&mut self, after: Vec<OnDurable>, now: Millis) {
-        let state = Box::new(self.agreement.state.clone());
+        let state = Box::new(self.agreement.state().clone());
         self.persist(vec![DurableRecord::Agreement(state)], after, now);
     }
 }
--- a/system/control/src/view_composition.rs
+++ b/system/control/src/view_composition.rs
@@ -9,7 +9,7 @@
 impl Replica {
     /// Whether this replica's disk has all that was committed so far.
     pub(crate) fn is_complete(&self) -> bool {
-        let current = &self.agreement.state.current;
+        let current = self.agreement.current();
         self.synchronized
             .is_some_and(|view| current.complete_since(view, &self.settings.own.member))
     }
@@ -44,7 +44,7 @@
     /// The members of the next chain. A replica that has yet to catch up stays outside of it meanwhile, unless there
     /// would be too few without it: nothing could be committed then anyway.
     pub(crate) fn next_chain(&self, available: &[ReplicaId], now: Millis) -> Vec<ReplicaId> {
-        let chain = &self.agreement.state.current.chain;
+        let chain = &self.agreement.current().chain;
         let own = self.settings.own;
         let caught_up = |replica: &ReplicaId| match *replica == own {
             true => self.is_complete() || self.chain.activity == Activity::Following,
@@ -78,11 +78,11 @@
         available.to_vec()
     }
 
-    /// The other replicas that are available. A newcomer has to be stable, unless all voters are back and nobody serves: then
-    /// it disturbs nobody, and all of them wait for the view.
+    /// The other replicas that are available. A newcomer has to be stable, unless all voters are back and nobody serves:
+    /// then it disturbs nobody, and all of them wait for the view.
     pub(crate) fn available_peers(&self, now: Millis) -> Vec<Peer> {
         let heard = self.membership.reachable(now);
-        let current = &self.agreement.state.current;
+        let current = self.agreement.current();
         let is_back = |voter: &Member| {
             *voter == self.settings.own.member
                 || heard.iter().any(|peer| peer.replica.member == *voter)
@@ -131,7 +131,7 @@
         }
         match self.membership.peer(member) {
             Some(peer) => peer.status.location,
-            None => self.agreement.state.current.location(member),
+            None => self.agreement.current().location(member),
         }
     }
 
--- a/system/control/tests/model/main.rs
+++ b/system/control/tests/model/main.rs
@@ -2,8 +2,8 @@
 //! power, partitions, and machines that freeze.
 //!
 //! Each step is one of: a message arrives or is lost, all that is in flight arrives, a disk confirms what was submitted to
-//! it, time passes, a write or a read comes, a process is killed, a machine loses power or its disk, starts again, is cut off or freezes. Time
-//! passes for all at once, and heartbeats arrive while it does, except at frozen machines, where they wait. How
+//! it, time passes, a write or a read comes, a process is killed, a machine loses power or its disk, starts again, is cut
+//! off or freezes. Time passes for all at once, and heartbeats arrive while it does, except at frozen machines, where they wait. How
 //! much of each may happen is bounded (`Budget`); within that breadth-first search takes every order of steps up to a
 //! number of states, and random walks go on far beyond it.
 #[path = "../common/mod.rs"]
