--- a/system/control/src/agreement.rs
+++ b/system/control/src/agreement.rs
@@ -1,5 +1,5 @@
 //! Agreement on the next view: one instance of single-decree Paxos (Lamport, 2001) for each view, among the voters of the
-//! one before. It owns the state of acceptor and proposer; the messages are in `view_change`.
+//! one before. It owns the state of acceptor and proposer; the messages are in `voting`.
 use crate::durable_state::AgreementState;
 use magpiegap_protocol::{
     AcceptedView, Ballot, LogPosition, Member, Millis, Promise, View, ViewNumber,
--- a/system/control/src/catch_up.rs
+++ b/system/control/src/catch_up.rs
@@ -2,21 +2,14 @@
 //! of the chain it is the tail, and the replica is taken into a view once it has caught up, so that no write waits for
 //! what is in flight. Entries come a limited number of bytes at a time.
 use crate::{
-    catch_up_backoff::CatchUpBackoff,
-    chain_state::{Activity, CommitSample},
-    durable_state::DurableRecord,
-    log::EntryBatch,
-    peer::Peer,
-    replica::Replica,
-    snapshot_progress::IncomingSnapshot,
+    catch_up_backoff::CatchUpBackoff, chain_state::Activity, durable_state::DurableRecord,
+    log::EntryBatch, peer::Peer, replica::Replica, snapshot_progress::IncomingSnapshot,
     StateMachine,
 };
 use magpiegap_protocol::{Entry, LogIndex, Millis, PeerMessage, ReplicaId};
 
 /// A replica whose source has sent it nothing for this long sends a request.
 const SOURCE_TIMEOUT_MS: Millis = 600;
-/// A replica that knows all that was committed this long ago lacks only what is in flight.
-const CAUGHT_UP_LAG_MS: Millis = 250;
 
 impl Replica {
     /// The replica that sends this one new entries.
@@ -39,25 +32,14 @@
             return;
         }
         let committed = self.chain.committed;
-        let history = &mut self.chain.commit_history;
-        history.push_back(CommitSample { at: now, committed });
-        while history
-            .get(1)
-            .is_some_and(|sample| sample.at + CAUGHT_UP_LAG_MS <= now)
-        {
-            history.pop_front();
-        }
+        self.chain.commit_history.record(committed, now);
     }
 
     /// Whether a chain that takes a replica in does not have to wait for it: its disk has all, or lacks only the latest.
     pub(crate) fn has_caught_up(&self, peer: &Peer) -> bool {
         // After a start this replica does not know yet what of its log is committed.
         let last = self.chain.log.last().index;
-        let older = self
-            .chain
-            .commit_history
-            .front()
-            .map_or(last, |sample| sample.committed);
+        let older = self.chain.commit_history.oldest().unwrap_or(last);
         // One that knows an older view may call itself complete and be wrong.
         let complete = peer.status.complete && peer.status.view == self.view().number;
         complete || peer.status.committed >= older
@@ -88,8 +70,7 @@
         }
         if self.chain.activity == Activity::Following {
             // What is on the tail's disk is on all disks of the chain.
-            let known = durable.min(self.chain.log.last().index);
-            self.chain.committed = self.chain.committed.max(known);
+            self.chain.record_committed(durable);
         }
     }
 
--- a/system/control/src/chain.rs
+++ b/system/control/src/chain.rs
@@ -215,10 +215,7 @@
     /// Handles a commit index that the tail has announced.
     pub(crate) fn handle_committed(&mut self, index: LogIndex) {
         if self.is_active() {
-            self.chain.committed = self
-                .chain
-                .committed
-                .max(index.min(self.chain.log.last().index));
+            self.chain.record_committed(index);
         }
     }
 
--- a/system/control/src/chain_state.rs
+++ b/system/control/src/chain_state.rs
@@ -1,13 +1,14 @@
-//! The state of the chain at one replica: data only. What changes it is in `chain`, `replication`, `catch_up` and
+//! The state of the chain at one replica. What changes it is in `chain`, `replication`, `catch_up` and
 //! `snapshot_transfer`.
 use crate::{
     catch_up_backoff::CatchUpBackoff,
+    commit_history::CommitHistory,
     log::Log,
     progress::FollowerProgress,
     snapshot_progress::{IncomingSnapshot, OutgoingSnapshot},
 };
 use magpiegap_protocol::{LogIndex, LogPosition, Millis, ReplicaId};
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 
 /// What a replica does in the current view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,13 +36,6 @@
     pub submitted_at: Millis,
 }
 
-/// The commit index at one moment.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct CommitSample {
-    pub at: Millis,
-    pub committed: LogIndex,
-}
-
 /// The state of the chain at one replica.
 #[derive(Clone, Debug)]
 pub(crate) struct Chain {
@@ -59,8 +53,7 @@
     pub followers: Vec<FollowerProgress>,
     /// When the source last sent its progress.
     pub source_last_heard: Millis,
-    /// The commit index at moments up to a while ago, oldest first.
-    pub commit_history: VecDeque<CommitSample>,
+    pub commit_history: CommitHistory,
     /// Requests that came before this replica was active, with the last entry that the sender has.
     pub pending_requests: BTreeMap<ReplicaId, LogPosition>,
     /// A snapshot that others may request.
@@ -89,7 +82,7 @@
             source_durable: None,
             followers: Vec::new(),
             source_last_heard: 0,
-            commit_history: VecDeque::new(),
+            commit_history: CommitHistory::default(),
             pending_requests: BTreeMap::new(),
             outgoing: None,
             incoming: None,
@@ -97,4 +90,10 @@
             committed_announced: LogIndex::default(),
         }
     }
+
+    /// Raises the commit index to this entry, or to the last one that is there.
+    pub(crate) fn record_committed(&mut self, index: LogIndex) {
+        let known = index.min(self.log.last().index);
+        self.committed = self.committed.max(known);
+    }
 }
--- a/system/control/src/lib.rs
+++ b/system/control/src/lib.rs
@@ -12,6 +12,7 @@
 mod catch_up_backoff;
 mod chain;
 mod chain_state;
+mod commit_history;
 mod disk_tickets;
 mod durable_state;
 mod fitness;
@@ -34,6 +35,7 @@
 mod view_composition;
 mod view_reason;
 mod view_timer;
+mod voting;
 
 pub use durable_state::{DurableRecord, DurableState};
 pub use replica::{Output, Replica, CONTACT_MS};
--- a/system/control/src/replica.rs
+++ b/system/control/src/replica.rs
@@ -170,13 +170,13 @@
     /// Whether this replica is active in the newest view of at most [`CONTACT_MS`] milliseconds ago, and knows all that
     /// was committed then: it is the tail, or the tail has announced it since.
     pub fn is_informed(&self, now: Millis) -> bool {
-        let tail_last_heard = match self.view().tail() {
+        let tail_confirmed_at = match self.view().tail() {
             Some(tail) if tail != self.settings.own => {
                 self.quorum_contact.confirmed_by(self.view(), tail.member)
             }
             _ => now,
         };
-        let informed_at = self.confirmed_at(now).min(tail_last_heard);
+        let informed_at = self.confirmed_at(now).min(tail_confirmed_at);
         self.is_active() && informed_at > 0 && now <= informed_at + CONTACT_MS
     }
 
