--- a/system/control/tests/common/group.rs
+++ b/system/control/tests/common/group.rs
@@ -44,9 +44,9 @@
     /// How long it takes to send a replica that has missed much what it is missing.
     pub catch_up_delay_ms: Millis,
     /// Those that neither send nor receive.
-    pub cut_off: BTreeSet<u32>,
+    pub partitioned: BTreeSet<u32>,
     /// Pairs that don't hear each other, the lower address first.
-    pub cut_links: BTreeSet<(u32, u32)>,
+    pub partitioned_links: BTreeSet<(u32, u32)>,
     /// Frozen machines, and until when.
     pub frozen_until: BTreeMap<u32, Millis>,
     /// Draws how long messages and syncs take; `None`: always the same.
@@ -90,8 +90,8 @@
             tolerance,
             locations,
             catch_up_delay_ms: DELAY_MS,
-            cut_off: BTreeSet::new(),
-            cut_links: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
+            partitioned_links: BTreeSet::new(),
             frozen_until: BTreeMap::new(),
             random: None,
             history: BTreeMap::new(),
--- a/system/control/tests/common/group/delivery.rs
+++ b/system/control/tests/common/group/delivery.rs
@@ -94,9 +94,10 @@
     }
 
     fn send(&mut self, from: ReplicaId, to: u32, message: PeerMessage) {
-        let cut = self.cut_off.contains(&to) || self.cut_off.contains(&from.member.address);
+        let is_partitioned =
+            self.partitioned.contains(&to) || self.partitioned.contains(&from.member.address);
         let pair = (to.min(from.member.address), to.max(from.member.address));
-        if (cut || self.cut_links.contains(&pair)) && to != from.member.address {
+        if (is_partitioned || self.partitioned_links.contains(&pair)) && to != from.member.address {
             return;
         }
         let delay = match message {
--- a/system/control/tests/golden.rs
+++ b/system/control/tests/golden.rs
@@ -164,7 +164,7 @@
     snapshot
 }
 
-fn parts_of(state: &dyn StateSnapshot) -> Vec<Vec<u8>> {
+fn chunks_of(state: &dyn StateSnapshot) -> Vec<Vec<u8>> {
     (0..state.chunks())
         .map(|number| state.chunk(number))
         .collect()
@@ -178,8 +178,8 @@
     expect_that!(read.applied, eq(meant.applied), "{name}");
     expect_that!(read.state.position(), eq(meant.state.position()), "{name}");
     expect_that!(
-        parts_of(read.state.as_ref()),
-        eq(&parts_of(meant.state.as_ref())),
+        chunks_of(read.state.as_ref()),
+        eq(&chunks_of(meant.state.as_ref())),
         "{name}"
     );
     expect_that!(read.entries, eq(&meant.entries), "{name}");
--- a/system/control/tests/learning.rs
+++ b/system/control/tests/learning.rs
@@ -87,13 +87,13 @@
 #[googletest::test]
 fn given_a_replica_that_was_cut_off_when_it_is_back_then_it_follows_and_joins_soon() {
     let mut group = Group::start(3, 1);
-    group.cut_off.insert(2);
+    group.partitioned.insert(2);
     for _ in 0..20 {
         group.write();
         group.run(100);
     }
     expect_that!(group.chain(), unordered_elements_are![eq(&1), eq(&3)]);
-    group.cut_off.clear();
+    group.partitioned.clear();
     group.run(700);
     expect_that!(group.chain().len(), eq(3));
 }
@@ -135,7 +135,7 @@
 fn given_a_link_cut_between_two_of_the_chain_when_all_others_hear_both_then_one_goes_and_views_stop_changing(
 ) {
     let mut group = Group::start(5, 2);
-    group.cut_links.insert((2, 5));
+    group.partitioned_links.insert((2, 5));
     group.run(1500);
     let view = group.view();
     expect_that!(group.chain().len(), eq(4));
@@ -143,7 +143,7 @@
         expect_next_write_commits(&mut group);
     }
     expect_that!(group.view(), eq(view));
-    group.cut_links.clear();
+    group.partitioned_links.clear();
     group.run(1000);
     expect_that!(group.chain().len(), eq(5));
 }
@@ -156,11 +156,11 @@
     group.run(1000);
     let tail = group.chain().last().copied().unwrap_or_default();
     let view = group.view();
-    group.cut_links.insert((3.min(tail), 3.max(tail)));
+    group.partitioned_links.insert((3.min(tail), 3.max(tail)));
     group.start_replica(3);
     group.run(3000);
     expect_that!(group.view(), eq(view));
-    group.cut_links.clear();
+    group.partitioned_links.clear();
     group.run(1500);
     expect_that!(group.chain().len(), eq(5));
 }
@@ -173,7 +173,7 @@
         group.stop_replica(address);
     }
     group.run(1000);
-    group.cut_links.insert((2, 5));
+    group.partitioned_links.insert((2, 5));
     for address in [2, 5] {
         group.start_replica(address);
     }
@@ -182,7 +182,7 @@
     expect_that!(group.chain().len(), eq(4));
     group.run(3000);
     expect_that!(group.view(), eq(view));
-    group.cut_links.clear();
+    group.partitioned_links.clear();
     group.run(1500);
     expect_that!(group.chain().len(), eq(5));
 }
--- a/system/control/tests/model/initial_worlds.rs
+++ b/system/control/tests/model/initial_worlds.rs
@@ -26,7 +26,7 @@
     let tail = (0..size)
         .find(|machine| world.replica(*machine).is_some_and(Replica::is_tail))
         .unwrap_or(0);
-    world.machines[tail].is_cut_off = true;
+    world.machines[tail].is_partitioned = true;
     world.run_ticks(8);
     world.write();
     world.run_ticks(2);
--- a/system/control/tests/model/main.rs
+++ b/system/control/tests/model/main.rs
@@ -66,7 +66,7 @@
         ticks: 14,
         writes: 3,
         reads: 2,
-        cuts: 1,
+        partitions: 1,
         freezes: 1,
         lost_messages: 1,
         ..NOTHING
--- a/system/control/tests/model/running.rs
+++ b/system/control/tests/model/running.rs
@@ -125,8 +125,8 @@
             });
             return;
         }
-        let is_cut = self.machines[from].is_cut_off || self.machines[to].is_cut_off;
-        if is_cut || self.machines[to].process.is_none() {
+        let is_partitioned = self.machines[from].is_partitioned || self.machines[to].is_partitioned;
+        if is_partitioned || self.machines[to].process.is_none() {
             return;
         }
         let is_heartbeat = matches!(message, PeerMessage::Heartbeat(_));
--- a/system/control/tests/model/steps.rs
+++ b/system/control/tests/model/steps.rs
@@ -23,7 +23,7 @@
     LosePower(usize),
     Wipe(usize),
     Start(usize),
-    CutOff(usize),
+    Partition(usize),
     Reconnect(usize),
     Freeze(usize),
     Thaw(usize),
@@ -48,10 +48,10 @@
             (budget.power_losses, Step::LosePower(machine)),
             (budget.wipes, Step::Wipe(machine)),
             (
-                budget.cuts * u8::from(!known.is_cut_off),
-                Step::CutOff(machine),
+                budget.partitions * u8::from(!known.is_partitioned),
+                Step::Partition(machine),
             ),
-            (u8::from(known.is_cut_off), Step::Reconnect(machine)),
+            (u8::from(known.is_partitioned), Step::Reconnect(machine)),
             (
                 budget.freezes * u8::from(!known.is_frozen),
                 Step::Freeze(machine),
@@ -145,11 +145,11 @@
                 world.wipe(machine);
             }
             Step::Start(machine) => world.start(machine, self.tolerance),
-            Step::CutOff(machine) => {
-                world.budget.cuts -= 1;
-                world.machines[machine].is_cut_off = true;
+            Step::Partition(machine) => {
+                world.budget.partitions -= 1;
+                world.machines[machine].is_partitioned = true;
             }
-            Step::Reconnect(machine) => world.machines[machine].is_cut_off = false,
+            Step::Reconnect(machine) => world.machines[machine].is_partitioned = false,
             Step::Freeze(machine) => {
                 world.budget.freezes -= 1;
                 world.machines[machine].is_frozen = true;
--- a/system/control/tests/model/world.rs
+++ b/system/control/tests/model/world.rs
@@ -23,7 +23,7 @@
     pub kills: u8,
     pub power_losses: u8,
     pub wipes: u8,
-    pub cuts: u8,
+    pub partitions: u8,
     pub freezes: u8,
 }
 
@@ -35,7 +35,7 @@
     kills: 0,
     power_losses: 0,
     wipes: 0,
-    cuts: 0,
+    partitions: 0,
     freezes: 0,
 };
 
@@ -49,7 +49,7 @@
     /// Submitted to the disk and not confirmed.
     pub pending: VecDeque<(u64, DiskChange)>,
     pub process: Option<(Replica, CountingState)>,
-    pub is_cut_off: bool,
+    pub is_partitioned: bool,
     pub is_frozen: bool,
 }
 
@@ -100,7 +100,7 @@
             synced: empty.clone(),
             pending: VecDeque::new(),
             process: None,
-            is_cut_off: false,
+            is_partitioned: false,
             is_frozen: false,
         };
         let mut world = World {
@@ -149,7 +149,7 @@
             write!(
                 f,
                 "{:?} {process:?} ",
-                (&machine.pending, machine.is_cut_off, machine.is_frozen)
+                (&machine.pending, machine.is_partitioned, machine.is_frozen)
             )?;
             write!(
                 f,
--- a/system/control/tests/replaced.rs
+++ b/system/control/tests/replaced.rs
@@ -25,7 +25,7 @@
     let mut group = often_replaced();
     let chain = group.chain();
     group
-        .cut_links
+        .partitioned_links
         .insert((chain[1].min(chain[4]), chain[1].max(chain[4])));
     group.run(1500);
     let view = group.view();
--- a/system/control/tests/turmoil.rs
+++ b/system/control/tests/turmoil.rs
@@ -23,9 +23,9 @@
     /// A machine freezes.
     Freeze(u32),
     /// Two machines don't hear each other.
-    CutLink(u32, u32),
+    PartitionLink(u32, u32),
     /// A machine hears none of the others.
-    CutOff(u32),
+    Partition(u32),
 }
 
 impl Fault {
@@ -38,8 +38,8 @@
             4 => Fault::PowerLossOfAll,
             5 => Fault::KillOfAll,
             6 | 7 => Fault::Freeze(one),
-            8 | 9 => Fault::CutLink(one.min(other), one.max(other)),
-            _ => Fault::CutOff(one),
+            8 | 9 => Fault::PartitionLink(one.min(other), one.max(other)),
+            _ => Fault::Partition(one),
         }
     }
 }
@@ -96,11 +96,11 @@
             Fault::Freeze(address) => {
                 self.group.frozen_until.insert(address, until);
             }
-            Fault::CutLink(one, other) => {
-                self.group.cut_links.insert((one, other));
+            Fault::PartitionLink(one, other) => {
+                self.group.partitioned_links.insert((one, other));
             }
-            Fault::CutOff(address) => {
-                self.group.cut_off.insert(address);
+            Fault::Partition(address) => {
+                self.group.partitioned.insert(address);
             }
         }
     }
@@ -115,9 +115,11 @@
         }
         let random = &mut self.random;
         self.group
-            .cut_links
+            .partitioned_links
+            .retain(|_| !all && random.gen_bool(0.5));
+        self.group
+            .partitioned
             .retain(|_| !all && random.gen_bool(0.5));
-        self.group.cut_off.retain(|_| !all && random.gen_bool(0.5));
     }
 
     /// All is repaired; then up to so many disks are lost, while the others lose power.
