--- a/system/control/src/peer.rs
+++ b/system/control/src/peer.rs
@@ -1,4 +1,4 @@
-//! What is known of another replica.
+//! What is known of another replica: data only, kept by `membership`.
 use magpiegap_protocol::{
     Heartbeat, Location, LogIndex, Millis, PeerReport, ReplicaId, ViewNumber,
 };
@@ -8,15 +8,15 @@
 pub(crate) struct Status {
     /// The newest view that it knows.
     pub view: ViewNumber,
-    /// It takes part in that view.
+    /// It serves in that view.
     pub serving: bool,
-    /// It can't take part for now.
+    /// It can't be a member of a chain for now.
     pub unfit: bool,
     /// Its disk had all that was committed up to that view.
     pub complete: bool,
     /// The newest entry that it knew to be committed.
     pub committed: LogIndex,
-    /// Where it stands.
+    /// Its zone and region.
     pub location: Location,
 }
 
@@ -64,20 +64,28 @@
     }
 }
 
+/// What a heartbeat reports on a replica.
+pub(crate) fn report_on(heartbeat: &Heartbeat, replica: ReplicaId) -> Option<&PeerReport> {
+    heartbeat
+        .heard
+        .iter()
+        .find(|report| report.replica == replica)
+}
+
 /// What is known of another replica.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Peer {
     pub replica: ReplicaId,
     /// What it said last.
     pub status: Status,
-    /// Since when it has been heard without a pause.
+    /// Since when it has been heard without a break.
     pub first_heard: Millis,
-    /// When it was last heard, by this replica or by others that told it.
+    /// When it was last heard, by this replica or by others that reported it.
     pub last_heard: Millis,
-    /// When it last said that it hears us; `None`: it tells us nothing itself.
-    pub hears_us: Option<Millis>,
-    /// When it last told us something itself.
-    pub direct: Option<Millis>,
+    /// When it last said that it hears us; `None`: it sends us nothing itself.
+    pub last_heard_us: Option<Millis>,
+    /// When it last sent us a heartbeat itself.
+    pub last_direct: Option<Millis>,
     /// When a connection to its address was refused; what was heard until then counts no more.
     pub refused_at: Option<Millis>,
     /// Its time of day less our steady clock.
@@ -94,8 +102,8 @@
             status,
             first_heard: now,
             last_heard: at,
-            hears_us: None,
-            direct: None,
+            last_heard_us: None,
+            last_direct: None,
             refused_at: None,
             wall_offset: None,
             echo: 0,
--- a/system/control/tests/replaced.rs
+++ b/system/control/tests/replaced.rs
@@ -10,8 +10,8 @@
     group.write();
     group.run(200);
     for round in 0..7_u32 {
-        let gone = group.addresses()[0];
-        group.replace(gone, 20 + round);
+        let removed = group.addresses()[0];
+        group.replace(removed, 20 + round);
         group.run(4000);
         assert_eq!(group.chain().len(), 5, "round {round}: {:?}", group.chain());
         group.write();
@@ -25,7 +25,7 @@
     let mut group = often_replaced();
     let chain = group.chain();
     group
-        .cut_links
+        .partitioned_links
         .insert((chain[1].min(chain[4]), chain[1].max(chain[4])));
     group.run(1500);
     let view = group.view();
