--- a/system/control/src/catch_up.rs
+++ b/system/control/src/catch_up.rs
@@ -108,7 +108,7 @@
             .map_or(self.chain.log.last(), IncomingSnapshot::last);
         self.send(
             source.member.address,
-            PeerMessage::Synchronize { view, last },
+            PeerMessage::RequestEntries { view, last },
         );
     }
 
--- a/system/control/src/inputs.rs
+++ b/system/control/src/inputs.rs
@@ -16,7 +16,12 @@
 
 impl Replica {
     /// Does what is due. To be called every few hundredths of a second.
-    pub fn tick(&mut self, now: Millis, own_wall: WallMillis, machine: &mut dyn StateMachine) {
+    pub fn on_timeout(
+        &mut self,
+        now: Millis,
+        own_wall: WallMillis,
+        machine: &mut dyn StateMachine,
+    ) {
         if !self.started {
             self.flush(now, machine);
             return;
@@ -75,7 +80,7 @@
         }
         match message {
             PeerMessage::Committed { index, .. } => self.handle_committed(index),
-            PeerMessage::Synchronize { last, .. } => {
+            PeerMessage::RequestEntries { last, .. } => {
                 self.handle_synchronize(from, last, now, machine)
             }
             PeerMessage::RequestSnapshotChunk {
@@ -194,8 +199,8 @@
         let monitors = self.membership.monitors(now).len() as u64;
         let spread = monitors * 1000 / MAX_HEARTBEATS_PER_S;
         spread
-            .min(self.settings.suspect_ms / MIN_HEARTBEATS_PER_SUSPICION)
-            .max(self.settings.heartbeat_ms)
+            .min(self.settings.suspicion_timeout_ms / MIN_HEARTBEATS_PER_SUSPICION)
+            .max(self.settings.heartbeat_interval_ms)
     }
 
     fn send_heartbeats(&mut self, now: Millis, own_wall: WallMillis) {
@@ -206,7 +211,7 @@
             serving: self.is_serving(),
             unfit: self.is_unfit(now),
             location: self.settings.location,
-            heard: self.membership.reports(now),
+            reports: self.membership.reports(now),
             wall_ms: own_wall,
             committed: self.chain.committed,
             complete: self.is_complete(),
@@ -222,7 +227,7 @@
     match message {
         PeerMessage::Append { view, .. }
         | PeerMessage::Committed { view, .. }
-        | PeerMessage::Synchronize { view, .. }
+        | PeerMessage::RequestEntries { view, .. }
         | PeerMessage::MissingEntries { view, .. }
         | PeerMessage::SnapshotOffer { view, .. }
         | PeerMessage::RequestSnapshotChunk { view, .. }
--- a/system/control/src/lib.rs
+++ b/system/control/src/lib.rs
@@ -38,7 +38,7 @@
 mod voting;
 
 pub use durable_state::{DurableRecord, DurableState};
-pub use replica::{Output, Replica, CONTACT_MS};
+pub use replica::{Output, Replica, QUORUM_CONTACT_TIMEOUT_MS};
 pub use settings::ControlSettings;
 pub use state_machine::{restore, EncodedSnapshot, StateMachine, StateSnapshot};
 pub use time_of_day::TimeOfDay;
--- a/system/control/src/membership.rs
+++ b/system/control/src/membership.rs
@@ -30,7 +30,7 @@
     pub(crate) fn new(settings: &ControlSettings, view: &View) -> Membership {
         Membership {
             own: settings.own,
-            suspect_ms: settings.suspect_ms,
+            suspect_ms: settings.suspicion_timeout_ms,
             ring: Ring::new(settings.own.member.address, &settings.seeds, view),
             peers: BTreeMap::new(),
             connected: BTreeMap::new(),
@@ -86,7 +86,7 @@
             .is_some_and(|peer| peer.replica == from && peer.last_direct.is_some());
         self.record_status(from, now, heartbeat.into(), now);
         self.record_contact(from, heartbeat, now);
-        for report in &heartbeat.heard {
+        for report in &heartbeat.reports {
             if report.replica.member != self.own.member && report.age_ms < self.suspect_ms {
                 let at = now.saturating_sub(report.age_ms);
                 self.record_status(report.replica, at, report.into(), now);
@@ -108,7 +108,7 @@
             }
         }
         let connected = heartbeat
-            .heard
+            .reports
             .iter()
             .filter(|report| report.bidirectional)
             .map(|report| report.replica.member.address)
--- a/system/control/src/peer.rs
+++ b/system/control/src/peer.rs
@@ -67,7 +67,7 @@
 /// What a heartbeat reports on a replica.
 pub(crate) fn report_on(heartbeat: &Heartbeat, replica: ReplicaId) -> Option<&PeerReport> {
     heartbeat
-        .heard
+        .reports
         .iter()
         .find(|report| report.replica == replica)
 }
--- a/system/control/src/replica.rs
+++ b/system/control/src/replica.rs
@@ -18,7 +18,7 @@
 };
 
 /// A view that was the newest one this long ago is taken for the newest one where seconds matter, and not less.
-pub const CONTACT_MS: Millis = 600;
+pub const QUORUM_CONTACT_TIMEOUT_MS: Millis = 600;
 
 /// Something that a replica wants done. Disk work is done in order, and each ticket is answered with
 /// [`Replica::handle_persisted`].
@@ -120,7 +120,7 @@
     }
 
     /// The newest entry known to be committed.
-    pub fn committed(&self) -> LogIndex {
+    pub fn commit_index(&self) -> LogIndex {
         self.chain.committed
     }
 
@@ -140,36 +140,36 @@
     }
 
     /// Whether so few of the view are reachable that the seeds are sent heartbeats too.
-    pub fn is_seeking(&self, now: Millis) -> bool {
+    pub fn needs_seeds(&self, now: Millis) -> bool {
         self.membership.is_seeking(now)
     }
 
     /// Announces that this process is about to end, so that the others go on without it at once.
-    pub fn leave(&mut self, now: Millis) {
+    pub fn drain(&mut self, now: Millis) {
         self.fitness.drain();
         self.next_heartbeat_at = now;
     }
 
     /// The median of the times of day of the core machines.
-    pub fn median_wall(&self, own_wall: WallMillis, now: Millis) -> WallMillis {
+    pub fn median_time_of_day(&self, own_wall: WallMillis, now: Millis) -> WallMillis {
         self.membership.median_wall(own_wall, now)
     }
 
     /// Whether this replica is active in its view, and that was the newest one at some moment of the last
-    /// [`CONTACT_MS`] milliseconds.
-    pub fn has_contact(&self, now: Millis) -> bool {
+    /// [`QUORUM_CONTACT_TIMEOUT_MS`] milliseconds.
+    pub fn has_quorum_contact(&self, now: Millis) -> bool {
         let confirmed_at = self.confirmed_at(now);
-        self.is_active() && confirmed_at > 0 && now <= confirmed_at + CONTACT_MS
+        self.is_active() && confirmed_at > 0 && now <= confirmed_at + QUORUM_CONTACT_TIMEOUT_MS
     }
 
     /// Whether this replica is active in its view, and that was the newest one at some moment after `since`.
-    pub fn has_contact_since(&self, since: Millis, now: Millis) -> bool {
+    pub fn has_quorum_contact_since(&self, since: Millis, now: Millis) -> bool {
         self.is_active() && self.confirmed_at(now) > since
     }
 
-    /// Whether this replica is active in the newest view of at most [`CONTACT_MS`] milliseconds ago, and knows all that
+    /// Whether this replica is active in the newest view of at most [`QUORUM_CONTACT_TIMEOUT_MS`] milliseconds ago, and knows all that
     /// was committed then: it is the tail, or the tail has announced it since.
-    pub fn is_informed(&self, now: Millis) -> bool {
+    pub fn knows_committed(&self, now: Millis) -> bool {
         let tail_confirmed_at = match self.view().tail() {
             Some(tail) if tail != self.settings.own => {
                 self.quorum_contact.confirmed_by(self.view(), tail.member)
@@ -177,7 +177,7 @@
             _ => now,
         };
         let informed_at = self.confirmed_at(now).min(tail_confirmed_at);
-        self.is_active() && informed_at > 0 && now <= informed_at + CONTACT_MS
+        self.is_active() && informed_at > 0 && now <= informed_at + QUORUM_CONTACT_TIMEOUT_MS
     }
 
     /// Until when this replica's view was surely the newest one; zero: that isn't known.
--- a/system/control/src/settings.rs
+++ b/system/control/src/settings.rs
@@ -14,9 +14,9 @@
     /// What may be lost at once.
     pub tolerance: Tolerance,
     /// Time between two heartbeats.
-    pub heartbeat_ms: Millis,
+    pub heartbeat_interval_ms: Millis,
     /// A replica that is not heard for this long is suspected.
-    pub suspect_ms: Millis,
+    pub suspicion_timeout_ms: Millis,
     /// Seeds random choices.
     pub seed: u64,
 }
--- a/system/control/tests/common/group.rs
+++ b/system/control/tests/common/group.rs
@@ -173,7 +173,7 @@
     pub(crate) fn committed(&self) -> u64 {
         self.running
             .values()
-            .map(|running| running.replica.committed())
+            .map(|running| running.replica.commit_index())
             .max()
             .unwrap_or_default()
             .0
@@ -243,7 +243,7 @@
                     continue;
                 }
                 if let Some(Running { replica, machine }) = self.running.get_mut(&address) {
-                    replica.tick(now, WallMillis(now), machine);
+                    replica.on_timeout(now, WallMillis(now), machine);
                 }
                 self.perform(address);
             }
--- a/system/control/tests/common/group/machines.rs
+++ b/system/control/tests/common/group/machines.rs
@@ -21,8 +21,8 @@
             seeds: self.disks.keys().copied().collect(),
             location: self.locations.get(&address).copied().unwrap_or_default(),
             tolerance: self.tolerance,
-            heartbeat_ms: 60,
-            suspect_ms: 320,
+            heartbeat_interval_ms: 60,
+            suspicion_timeout_ms: 320,
             seed: self.incarnations,
         };
         let mut machine = CountingState::default();
--- a/system/control/tests/common/mod.rs
+++ b/system/control/tests/common/mod.rs
@@ -76,7 +76,7 @@
         view: ViewNumber(view),
         serving: false,
         unfit: false,
-        heard: Vec::new(),
+        reports: Vec::new(),
         wall_ms: WallMillis(0),
         committed: LogIndex(0),
         complete: true,
@@ -93,8 +93,8 @@
         seeds,
         location: Location::default(),
         tolerance: Tolerance::of_machines(1),
-        heartbeat_ms: 60,
-        suspect_ms: 320,
+        heartbeat_interval_ms: 60,
+        suspicion_timeout_ms: 320,
         seed: 1,
     }
 }
--- a/system/control/tests/contact.rs
+++ b/system/control/tests/contact.rs
@@ -3,7 +3,7 @@
 
 use common::{heartbeat, no_state, report, settings, started, NoState};
 use googletest::prelude::*;
-use magpiegap_control::{DurableState, Replica, CONTACT_MS};
+use magpiegap_control::{DurableState, Replica, QUORUM_CONTACT_TIMEOUT_MS};
 use magpiegap_protocol::{
     Heartbeat, Member, Millis, PeerMessage, PeerReport, ReplicaId, View, ViewNumber, WallMillis,
 };
@@ -42,7 +42,7 @@
     }];
     PeerMessage::Heartbeat(Heartbeat {
         serving: true,
-        heard,
+        reports: heard,
         sent_at: 1,
         sealed,
         ..heartbeat(view)
@@ -52,7 +52,7 @@
 #[googletest::test]
 fn given_an_echo_of_a_majority_when_it_comes_then_the_view_stood_when_its_heartbeat_was_sent() {
     let mut head = head();
-    expect_that!(head.has_contact(100), eq(false));
+    expect_that!(head.has_quorum_contact(100), eq(false));
     head.handle_messages(
         150,
         WallMillis(0),
@@ -61,10 +61,16 @@
         &mut NoState,
     );
     expect_that!(head.confirmed_at(160), eq(100));
-    expect_that!(head.has_contact_since(99, 160), eq(true));
-    expect_that!(head.has_contact_since(100, 160), eq(false));
-    expect_that!(head.has_contact(100 + CONTACT_MS), eq(true));
-    expect_that!(head.has_contact(101 + CONTACT_MS), eq(false));
+    expect_that!(head.has_quorum_contact_since(99, 160), eq(true));
+    expect_that!(head.has_quorum_contact_since(100, 160), eq(false));
+    expect_that!(
+        head.has_quorum_contact(100 + QUORUM_CONTACT_TIMEOUT_MS),
+        eq(true)
+    );
+    expect_that!(
+        head.has_quorum_contact(101 + QUORUM_CONTACT_TIMEOUT_MS),
+        eq(false)
+    );
 }
 
 #[googletest::test]
@@ -87,7 +93,7 @@
             &mut NoState,
         );
     }
-    expect_that!(head.has_contact(20_000), eq(false));
+    expect_that!(head.has_quorum_contact(20_000), eq(false));
     expect_that!(head.confirmed_at(20_000), eq(220));
 }
 
@@ -101,7 +107,7 @@
         echo(1, 100, true),
         &mut NoState,
     );
-    expect_that!(head.has_contact(150), eq(false));
+    expect_that!(head.has_quorum_contact(150), eq(false));
 }
 
 #[googletest::test]
@@ -121,7 +127,7 @@
         echo(0, 100, false),
         &mut NoState,
     );
-    expect_that!(head.has_contact(150), eq(false));
+    expect_that!(head.has_quorum_contact(150), eq(false));
 }
 
 #[googletest::test]
@@ -135,7 +141,7 @@
         incarnation: 9,
     };
     head.handle_messages(150, WallMillis(0), wiped, echo(1, 100, false), &mut NoState);
-    expect_that!(head.has_contact(150), eq(false));
+    expect_that!(head.has_quorum_contact(150), eq(false));
 }
 
 #[googletest::test]
@@ -168,8 +174,8 @@
         echo(1, 100, false),
         &mut NoState,
     );
-    expect_that!(head.has_contact(160), eq(true));
-    expect_that!(head.is_informed(160), eq(false));
+    expect_that!(head.has_quorum_contact(160), eq(true));
+    expect_that!(head.knows_committed(160), eq(false));
     head.handle_messages(
         170,
         WallMillis(0),
@@ -177,7 +183,7 @@
         echo(1, 140, false),
         &mut NoState,
     );
-    expect_that!(head.is_informed(180), eq(true));
+    expect_that!(head.knows_committed(180), eq(true));
     // From then on only the middle one is heard.
     head.handle_messages(
         900,
@@ -186,6 +192,6 @@
         echo(1, 880, false),
         &mut NoState,
     );
-    expect_that!(head.has_contact(910), eq(true));
-    expect_that!(head.is_informed(910), eq(false));
+    expect_that!(head.has_quorum_contact(910), eq(true));
+    expect_that!(head.knows_committed(910), eq(false));
 }
--- a/system/control/tests/joining.rs
+++ b/system/control/tests/joining.rs
@@ -48,7 +48,7 @@
         &mut NoState,
     );
     send_snapshot(&mut middle, 10, 1, vec![entry(1)]);
-    let request = PeerMessage::Synchronize {
+    let request = PeerMessage::RequestEntries {
         view: ViewNumber(1),
         last: LogPosition::default(),
     };
@@ -126,13 +126,13 @@
             output,
             Output::Send {
                 to: 1,
-                message: PeerMessage::Synchronize { .. }
+                message: PeerMessage::RequestEntries { .. }
             }
         )
     };
     let mut requested = 0;
     for now in (40..2000).step_by(20) {
-        middle.tick(now, WallMillis(now), &mut NoState);
+        middle.on_timeout(now, WallMillis(now), &mut NoState);
         requested += middle
             .poll_outputs()
             .iter()
@@ -172,7 +172,7 @@
             output,
             Output::Send {
                 to: 1,
-                message: PeerMessage::Synchronize { .. }
+                message: PeerMessage::RequestEntries { .. }
             }
         )
     };
@@ -231,7 +231,7 @@
         &mut NoState,
     );
     send_snapshot(&mut middle, 50, 2, vec![entry(1)]);
-    let request = PeerMessage::Synchronize {
+    let request = PeerMessage::RequestEntries {
         view: ViewNumber(2),
         last: LogPosition {
             view: ViewNumber(1),
@@ -255,7 +255,7 @@
     middle.handle_messages(70, WallMillis(0), head, append, &mut NoState);
     middle.poll_outputs();
     middle.handle_persisted(ticket.unwrap_or_default(), 80, &mut NoState);
-    middle.tick(300, WallMillis(300), &mut NoState);
+    middle.on_timeout(300, WallMillis(300), &mut NoState);
     // Then
     expect_that!(advertised_durable(&middle.poll_outputs()), eq(0));
 }
@@ -277,12 +277,12 @@
     // When
     let mut requested_at = Vec::new();
     for now in (0..6000).step_by(20) {
-        joining.tick(now, WallMillis(now), &mut NoState);
+        joining.on_timeout(now, WallMillis(now), &mut NoState);
         let is_request = |output: &Output| {
             matches!(
                 output,
                 Output::Send {
-                    message: PeerMessage::Synchronize { .. },
+                    message: PeerMessage::RequestEntries { .. },
                     ..
                 }
             )
@@ -316,7 +316,7 @@
 fn given_a_successor_whose_entries_do_not_fit_when_it_retries_then_only_an_offer_is_sent_again() {
     // Given: a successor whose last entry the middle one does not know
     let mut middle = middle_replica();
-    let request = PeerMessage::Synchronize {
+    let request = PeerMessage::RequestEntries {
         view: ViewNumber(1),
         last: LogPosition {
             view: ViewNumber(0),
@@ -408,14 +408,14 @@
         bytes: vec![7],
     };
     joining.handle_messages(20, WallMillis(0), head, chunk, &mut NoState);
-    joining.tick(400, WallMillis(400), &mut NoState);
+    joining.on_timeout(400, WallMillis(400), &mut NoState);
     // Then
     let is_request = |output: &Output| {
         matches!(
             output,
             Output::Send {
                 to: 1,
-                message: PeerMessage::Synchronize { .. }
+                message: PeerMessage::RequestEntries { .. }
             }
         )
     };
--- a/system/control/tests/learning.rs
+++ b/system/control/tests/learning.rs
@@ -57,7 +57,7 @@
     group.write();
     group.run(200);
     expect_that!(group.committed(), gt(before));
-    expect_that!(group.replica(5).committed().0, eq(group.committed()));
+    expect_that!(group.replica(5).commit_index().0, eq(group.committed()));
 }
 
 #[googletest::test]
--- a/system/control/tests/median_time.rs
+++ b/system/control/tests/median_time.rs
@@ -46,9 +46,15 @@
     exchange_clocks(&mut replica_1, 2, 100, TRUE_MS + 100);
     exchange_clocks(&mut replica_1, 3, 100, TRUE_MS + 103);
     let own_wall = TRUE_MS + 60_100;
-    expect_that!(replica_1.median_wall(own_wall, 100), eq(TRUE_MS + 103));
+    expect_that!(
+        replica_1.median_time_of_day(own_wall, 100),
+        eq(TRUE_MS + 103)
+    );
     // What others reported counts on with the steady clock.
-    expect_that!(replica_1.median_wall(own_wall, 300), eq(TRUE_MS + 303));
+    expect_that!(
+        replica_1.median_time_of_day(own_wall, 300),
+        eq(TRUE_MS + 303)
+    );
 }
 
 #[googletest::test]
@@ -56,5 +62,8 @@
     let mut replica_1 = one_of_three();
     exchange_clocks(&mut replica_1, 2, 100, TRUE_MS - 3_600_000);
     exchange_clocks(&mut replica_1, 3, 100, TRUE_MS + 90);
-    expect_that!(replica_1.median_wall(TRUE_MS + 100, 100), eq(TRUE_MS + 90));
+    expect_that!(
+        replica_1.median_time_of_day(TRUE_MS + 100, 100),
+        eq(TRUE_MS + 90)
+    );
 }
--- a/system/control/tests/model/reads.rs
+++ b/system/control/tests/model/reads.rs
@@ -21,8 +21,9 @@
                 continue;
             };
             let is_current = state.position().view == replica.view().number;
-            let can_serve =
-                replica.is_tail() && is_current && replica.has_contact_since(read.since, now);
+            let can_serve = replica.is_tail()
+                && is_current
+                && replica.has_quorum_contact_since(read.since, now);
             if !can_serve || self.machines[read.machine].is_frozen {
                 self.reads.push(read);
             } else if state.position().index < LogIndex(read.acknowledged) {
--- a/system/control/tests/model/running.rs
+++ b/system/control/tests/model/running.rs
@@ -27,8 +27,8 @@
             seeds: (0..self.machines.len()).map(address).collect(),
             location: Location::default(),
             tolerance: Tolerance::of_machines(tolerance),
-            heartbeat_ms: 60,
-            suspect_ms: 320,
+            heartbeat_interval_ms: 60,
+            suspicion_timeout_ms: 320,
             seed: 1,
         };
         let mut state = CountingState::default();
@@ -169,7 +169,7 @@
         for machine in 0..self.machines.len() {
             if self.is_awake(machine) {
                 self.with(machine, |replica, now, state| {
-                    replica.tick(now, WallMillis(now), state)
+                    replica.on_timeout(now, WallMillis(now), state)
                 });
             }
         }
--- a/system/control/tests/snapshot_transfer.rs
+++ b/system/control/tests/snapshot_transfer.rs
@@ -112,7 +112,7 @@
     outputs.iter().rev().find_map(|output| match output {
         Output::Send {
             to: 2,
-            message: PeerMessage::Synchronize { last, .. },
+            message: PeerMessage::RequestEntries { last, .. },
         } => Some(last.index.0),
         _ => None,
     })
@@ -148,7 +148,7 @@
     learner.handle_messages(20, WallMillis(0), tail(), chunk(2, 0), &mut NoState);
     learner.handle_messages(21, WallMillis(0), tail(), chunk(2, 1), &mut NoState);
     learner.poll_outputs();
-    learner.tick(200, WallMillis(200), &mut NoState);
+    learner.on_timeout(200, WallMillis(200), &mut NoState);
     expect_that!(
         requested(&mut learner),
         elements_are![eq(&2), eq(&3), eq(&4), eq(&5)]
@@ -214,7 +214,7 @@
         durable: LogIndex(61),
     };
     learner.handle_messages(50, WallMillis(0), tail(), append, &mut NoState);
-    expect_that!(learner.committed(), eq(LogIndex(61)));
+    expect_that!(learner.commit_index(), eq(LogIndex(61)));
 }
 
 #[googletest::test]
@@ -241,7 +241,7 @@
         &mut NoState,
     );
     learner.poll_outputs();
-    learner.tick(500, WallMillis(500), &mut NoState);
+    learner.on_timeout(500, WallMillis(500), &mut NoState);
     // Then
     expect_that!(requested_after(&learner.poll_outputs()), some(eq(50)));
 }
--- a/system/control/tests/starting.rs
+++ b/system/control/tests/starting.rs
@@ -36,7 +36,7 @@
     let heard = vec![report(new_incarnation(1), view)];
     PeerMessage::Heartbeat(Heartbeat {
         serving,
-        heard,
+        reports: heard,
         ..heartbeat(view)
     })
 }
@@ -66,7 +66,7 @@
             &mut NoState,
         );
     }
-    replica_1.tick(20, WallMillis(20), &mut NoState);
+    replica_1.on_timeout(20, WallMillis(20), &mut NoState);
     expect_that!(proposes(&replica_1.poll_outputs()), eq(true));
 }
 
@@ -82,7 +82,7 @@
             heard_heartbeat(1, false),
             &mut NoState,
         );
-        replica_1.tick(now, WallMillis(now), &mut NoState);
+        replica_1.on_timeout(now, WallMillis(now), &mut NoState);
         let proposed = proposes(&replica_1.poll_outputs());
         proposed_at = proposed_at.or(proposed.then_some(now));
     }
@@ -101,14 +101,14 @@
             &mut NoState,
         );
     }
-    replica_1.tick(20, WallMillis(20), &mut NoState);
+    replica_1.on_timeout(20, WallMillis(20), &mut NoState);
     expect_that!(proposes(&replica_1.poll_outputs()), eq(false));
 }
 
 #[googletest::test]
 fn given_a_replica_that_is_heard_for_the_first_time_then_it_is_answered_at_the_next_tick() {
     let mut replica_1 = restarted();
-    replica_1.tick(0, WallMillis(0), &mut NoState);
+    replica_1.on_timeout(0, WallMillis(0), &mut NoState);
     replica_1.poll_outputs();
     replica_1.handle_messages(
         10,
@@ -117,7 +117,7 @@
         heard_heartbeat(1, false),
         &mut NoState,
     );
-    replica_1.tick(20, WallMillis(20), &mut NoState);
+    replica_1.on_timeout(20, WallMillis(20), &mut NoState);
     let heartbeats = |output: &Output| {
         matches!(
             output,
@@ -174,7 +174,7 @@
                 &mut NoState,
             );
         }
-        replica_1.tick(now, WallMillis(now), &mut NoState);
+        replica_1.on_timeout(now, WallMillis(now), &mut NoState);
         proposed |= proposes(&replica_1.poll_outputs());
     }
     // Then
--- a/system/coordinator/src/coordinator.rs
+++ b/system/coordinator/src/coordinator.rs
@@ -10,7 +10,7 @@
 use magpiegap_control::{DurableState, Output as ControlOutput, Replica, TimeOfDay};
 use magpiegap_distribution::ConfigurationSource;
 use magpiegap_jobs::Configuration;
-use magpiegap_protocol::{Feed, Millis, PlatformList, Role, ViewNumber, WallMillis};
+use magpiegap_protocol::{Feed, Millis, Role, ViewNumber, WallMillis, WorkerList};
 use magpiegap_scheduler::Scheduler;
 use std::collections::BTreeMap;
 
@@ -28,7 +28,7 @@
     /// The reader of the platform's list, where its role is held here.
     pub(crate) platform_reader: Option<PlatformReader>,
     /// The newest list of workers known, whoever has read it.
-    pub(crate) platform_list: Option<PlatformList>,
+    pub(crate) platform_list: Option<WorkerList>,
     pub(crate) roles_vacant_since: BTreeMap<Role, Millis>,
     /// Proposals in flight, by their sequence number.
     pub(crate) proposals: BTreeMap<u64, Proposal>,
@@ -131,15 +131,15 @@
     }
 
     /// Whether it is draining, and the others go on without it.
-    pub fn has_left(&self) -> bool {
+    pub fn has_departed(&self) -> bool {
         self.draining && self.replica.view().position(&self.replica.own()).is_none()
     }
 
     /// Hands its roles over: the process is about to end.
-    pub fn leave(&mut self, now: Millis) {
+    pub fn drain(&mut self, now: Millis) {
         self.now = now;
         self.draining = true;
-        self.replica.leave(now);
+        self.replica.drain(now);
     }
 
     pub(crate) fn log(&mut self, line: String) {
@@ -150,7 +150,7 @@
     pub(crate) fn advance_clocks(&mut self, now: Millis, clock: WallMillis) -> WallMillis {
         let own_wall = self.time_of_day.read(now, clock);
         self.now = now;
-        self.median_wall = self.replica.median_wall(own_wall, now);
+        self.median_wall = self.replica.median_time_of_day(own_wall, now);
         own_wall
     }
 }
--- a/system/coordinator/src/counters.rs
+++ b/system/coordinator/src/counters.rs
@@ -15,14 +15,16 @@
     /// Runs that failed.
     pub runs_failed: u64,
     /// Runs that were stopped, whose lease expired, or that were lost.
-    pub runs_cut_short: u64,
+    #[serde(rename = "runs_cut_short")]
+    pub runs_interrupted: u64,
     /// Views entered.
     pub views: u64,
     /// Calls to workers.
     pub worker_calls: u64,
     /// Chunks of configurations sent to agents, with those that went with the feed.
     #[serde(default)]
-    pub configuration_parts: u64,
+    #[serde(rename = "configuration_parts")]
+    pub configuration_chunks: u64,
     /// Bytes of these chunks.
     #[serde(default)]
     pub configuration_bytes: u64,
@@ -31,7 +33,7 @@
 impl Counters {
     /// Counts a chunk of a configuration that is sent to an agent.
     pub(crate) fn count_chunk(&mut self, chunk: &ConfigurationChunk) {
-        self.configuration_parts += 1;
+        self.configuration_chunks += 1;
         self.configuration_bytes += chunk.bytes.len() as u64;
     }
 
@@ -49,7 +51,7 @@
                     kind: Some(CompletionKind::Failed),
                     ..
                 } => self.runs_failed += 1,
-                Change::RunClosed { .. } => self.runs_cut_short += 1,
+                Change::RunClosed { .. } => self.runs_interrupted += 1,
                 _ => {}
             }
         }
--- a/system/coordinator/src/describe.rs
+++ b/system/coordinator/src/describe.rs
@@ -11,7 +11,8 @@
     /// Number of the newest view that it knows.
     pub view: u64,
     /// Whether all that was proposed in earlier views is committed or lost.
-    pub settled: bool,
+    #[serde(rename = "settled")]
+    pub has_committed_in_view: bool,
     /// Proposals of this coordinator in flight.
     pub proposals: usize,
     /// Operations that wait for a proposal to be applied.
@@ -74,7 +75,7 @@
 
 impl RoleDescription {
     /// All roles that were ever held.
-    pub fn all(state: &State) -> Vec<RoleDescription> {
+    pub fn of_state(state: &State) -> Vec<RoleDescription> {
         let describe = |(role, state): (&Role, &RoleState)| RoleDescription {
             role: match role {
                 Role::PlatformReader => "platform-reader".to_owned(),
@@ -94,7 +95,7 @@
         let state = &self.machine.state;
         ClusterDescription {
             view: view.number.0,
-            settled: self.has_committed_in_view,
+            has_committed_in_view: self.has_committed_in_view,
             proposals: self.proposals.len(),
             requests: self.operations.len(),
             chain: view
@@ -105,14 +106,14 @@
             voters: view.voters.len(),
             active: self.replica.is_active(),
             contact_ms: self.contact_age_ms(),
-            committed: self.replica.committed().0,
+            committed: self.replica.commit_index().0,
             commit_ms: self.commit_latency_ms,
             agents: self.pending_polls.len(),
             agents_behind: self.agents_behind(),
             configuration: state.configuration.version,
             jobs: state.jobs.len(),
             open_jobs: state.open_jobs.values().sum(),
-            roles: RoleDescription::all(state),
+            roles: RoleDescription::of_state(state),
             schedulers: self.describe_schedulers(),
             counters: self.counters,
         }
@@ -143,7 +144,8 @@
     pub(crate) fn explain(&self, job: JobId) -> CoordinatorResponse {
         let state = &self.machine.state;
         let Some(known) = state.jobs.get(&job) else {
-            let is_known_absent = self.can_serve_reads() && self.replica.has_contact(self.now);
+            let is_known_absent =
+                self.can_serve_reads() && self.replica.has_quorum_contact(self.now);
             return if is_known_absent {
                 CoordinatorResponse::NoSuchJob
             } else {
--- a/system/coordinator/src/feeds.rs
+++ b/system/coordinator/src/feeds.rs
@@ -13,7 +13,7 @@
     /// Whether this coordinator knows what had been acknowledged up to a moment ago: after a view change, and after
     /// a restart of all, that takes the first entry of the view.
     pub(crate) fn is_informed(&self) -> bool {
-        self.has_committed_in_view && self.replica.is_informed(self.now)
+        self.has_committed_in_view && self.replica.knows_committed(self.now)
     }
 
     /// Brings the feed up to date.
--- a/system/coordinator/src/job_list.rs
+++ b/system/coordinator/src/job_list.rs
@@ -81,7 +81,7 @@
         let running = |step: &StepState| {
             step.tasks
                 .iter()
-                .map(|task| task.active.len())
+                .map(|task| task.active_runs.len())
                 .sum::<usize>()
         };
         let submission = &job.submission;
--- a/system/coordinator/src/platform.rs
+++ b/system/coordinator/src/platform.rs
@@ -5,7 +5,7 @@
     platform_reader::PlatformReader,
 };
 use magpiegap_control::Output as ControlOutput;
-use magpiegap_protocol::{FencingToken, Millis, PeerMessage, PlatformList};
+use magpiegap_protocol::{FencingToken, Millis, PeerMessage, WorkerList};
 
 /// Delay before the platform is called again after it refused a call or did not answer one.
 const RETRY_DELAY_MS: Millis = 250;
@@ -90,7 +90,7 @@
     }
 
     /// Goes by a list, unless a newer one is known.
-    pub(crate) fn install_platform_list(&mut self, list: PlatformList) {
+    pub(crate) fn install_platform_list(&mut self, list: WorkerList) {
         let known = self.platform_list.as_ref();
         let version = known.map_or((FencingToken::default(), 0), |known| {
             (known.token, known.sequence)
@@ -100,7 +100,7 @@
         }
         if known.is_none_or(|known| known.workers != list.workers) {
             for scheduler in self.schedulers.values_mut() {
-                scheduler.list(self.now, &self.machine.state, &list.workers);
+                scheduler.handle_worker_list(self.now, &self.machine.state, &list.workers);
             }
         }
         self.platform_list = Some(list);
--- a/system/coordinator/src/platform_reader.rs
+++ b/system/coordinator/src/platform_reader.rs
@@ -1,5 +1,5 @@
 //! The state of the role that reads the platform's list: the call in flight and the pages collected so far.
-use magpiegap_protocol::{FencingToken, Millis, PlatformList, WorkerEntry};
+use magpiegap_protocol::{FencingToken, Millis, WorkerEntry, WorkerList};
 
 /// A platform call that was not answered for this long has timed out.
 const CALL_TIMEOUT_MS: Millis = 1500;
@@ -86,9 +86,9 @@
     /// Takes the list of all pages. `None`: it is the known one, and was sent to the others a moment ago.
     pub(crate) fn finish_list(
         &mut self,
-        known: Option<&PlatformList>,
+        known: Option<&WorkerList>,
         now: Millis,
-    ) -> Option<PlatformList> {
+    ) -> Option<WorkerList> {
         let workers = std::mem::take(&mut self.collected);
         let has_changed = known.is_none_or(|list| list.workers != workers);
         if !has_changed && now < self.published_at + REBROADCAST_INTERVAL_MS {
@@ -96,7 +96,7 @@
         }
         self.published_at = now;
         self.sequence += 1;
-        Some(PlatformList {
+        Some(WorkerList {
             token: self.token,
             sequence: self.sequence,
             workers,
--- a/system/coordinator/src/proposals.rs
+++ b/system/coordinator/src/proposals.rs
@@ -132,7 +132,7 @@
     pub(crate) fn expire_operations(&mut self) {
         let now = self.now;
         self.contact_outage
-            .observe(self.replica.has_contact(now), now);
+            .observe(self.replica.has_quorum_contact(now), now);
         let has_lost_contact = self.contact_outage.has_lasted(CONTACT_TIMEOUT_MS, now);
         let is_expired = |pending: &PendingOperation| {
             has_lost_contact || now >= pending.started_at + OPERATION_TIMEOUT_MS
--- a/system/coordinator/src/requests.rs
+++ b/system/coordinator/src/requests.rs
@@ -13,7 +13,7 @@
 
 impl Coordinator {
     /// Handles a request; its response comes as an output, now or later.
-    pub fn request(
+    pub fn handle_request(
         &mut self,
         now: Millis,
         clock: WallMillis,
@@ -65,7 +65,7 @@
     /// Starts an operation where the log may still grow: a coordinator without contact with a majority says at once that
     /// another one has to be asked.
     pub(crate) fn start_operation_in_contact(&mut self, request: RequestId, operation: Operation) {
-        if self.replica.has_contact(self.now) {
+        if self.replica.has_quorum_contact(self.now) {
             self.start_operation(operation, request);
         } else {
             self.respond(request, CoordinatorResponse::NotServing);
@@ -74,7 +74,7 @@
 
     /// Checks a configuration, and proposes it with what leads to it from the version in force here.
     fn replace_configuration(&mut self, request: RequestId, base: u64, body: Vec<u8>) {
-        if !self.replica.has_contact(self.now) {
+        if !self.replica.has_quorum_contact(self.now) {
             self.respond(request, CoordinatorResponse::NotServing);
             return;
         }
--- a/system/coordinator/src/roles.rs
+++ b/system/coordinator/src/roles.rs
@@ -135,7 +135,7 @@
             seed,
         );
         if let Some(list) = &self.platform_list {
-            scheduler.list(self.now, &self.machine.state, &list.workers);
+            scheduler.handle_worker_list(self.now, &self.machine.state, &list.workers);
         }
         self.log(format!("scheduler of {service} with token {token}"));
         self.schedulers.insert(service, scheduler);
@@ -191,7 +191,7 @@
             let Some(scheduler) = self.schedulers.get_mut(&service) else {
                 continue;
             };
-            scheduler.run(now, wall, &self.machine.state);
+            scheduler.on_timeout(now, wall, &self.machine.state);
             let token = scheduler.token();
             let outputs = scheduler.poll_outputs();
             self.perform_scheduler_outputs(&service, token, outputs);
@@ -245,7 +245,7 @@
             .get_mut(service)
             .filter(|scheduler| scheduler.token() == token)
         {
-            scheduler.reply(now, &self.machine.state, call, reply);
+            scheduler.handle_reply(now, &self.machine.state, call, reply);
         }
     }
 }
--- a/system/coordinator/src/steps.rs
+++ b/system/coordinator/src/steps.rs
@@ -19,9 +19,9 @@
     }
 
     /// Handles that time has passed; to be called every few tens of milliseconds.
-    pub fn tick(&mut self, now: Millis, clock: WallMillis) {
+    pub fn on_timeout(&mut self, now: Millis, clock: WallMillis) {
         let own_wall = self.advance_clocks(now, clock);
-        self.replica.tick(now, own_wall, &mut self.machine);
+        self.replica.on_timeout(now, own_wall, &mut self.machine);
         self.process_log();
         self.claim_roles();
         self.renew_lease();
@@ -167,7 +167,7 @@
                 None => true,
             };
             if is_concerned {
-                scheduler.applied(
+                scheduler.handle_applied(
                     self.now,
                     entry.position,
                     &self.machine.state,
--- a/system/distribution/src/agent.rs
+++ b/system/distribution/src/agent.rs
@@ -77,7 +77,7 @@
     }
 
     /// Whether no coordinator serves this agent now.
-    pub fn is_lost(&self) -> bool {
+    pub fn is_disconnected(&self) -> bool {
         self.links.iter().all(|link| link.serving().is_none())
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Handles the outcome of a call. Returns whether the feed for the proxy has changed.
-    pub fn answered(&mut self, now: Millis, id: CallId, outcome: CallOutcome) -> bool {
+    pub fn handle_outcome(&mut self, now: Millis, id: CallId, outcome: CallOutcome) -> bool {
         let before = self.versions();
         match id {
             CallId::Poll(link) => self.handle_poll_outcome(now, link, outcome),
--- a/system/distribution/tests/agents.rs
+++ b/system/distribution/tests/agents.rs
@@ -117,13 +117,13 @@
         links: 2,
     });
     expect_that!(agent.feed(), eq(&Feed::default()));
-    expect_that!(agent.is_lost(), eq(true));
+    expect_that!(agent.is_disconnected(), eq(true));
     let calls = agent.poll_calls(0);
     expect_that!(calls.len(), eq(2));
     expect_that!(calls[0].coordinator, not(eq(calls[1].coordinator)));
     expect_that!(agent.next_timeout(), none());
     expect_that!(
-        agent.answered(1, CallId::Poll(0), Err(CallFailure::NotConnected)),
+        agent.handle_outcome(1, CallId::Poll(0), Err(CallFailure::NotConnected)),
         eq(false)
     );
     // It moves on after a delay.
@@ -151,7 +151,7 @@
         chain: vec![1],
         ..Feed::default()
     };
-    agent.answered(
+    agent.handle_outcome(
         1,
         CallId::Poll(0),
         Ok(CoordinatorResponse::Feed(Box::new(feed))),
@@ -176,7 +176,7 @@
         offset: 0,
         bytes: vec![1, 2, 3],
     };
-    agent.answered(
+    agent.handle_outcome(
         2,
         CallId::Fetch,
         Ok(CoordinatorResponse::ConfigurationChunk(Box::new(chunk))),
@@ -207,7 +207,7 @@
         ..Feed::default()
     };
     let receive = |agent: &mut Agent, now, feed| {
-        agent.answered(
+        agent.handle_outcome(
             now,
             CallId::Poll(0),
             Ok(CoordinatorResponse::Feed(Box::new(feed))),
--- a/system/distribution/tests/slow_link/mod.rs
+++ b/system/distribution/tests/slow_link/mod.rs
@@ -294,7 +294,8 @@
                 continue;
             };
             if let Some(outcome) = self.outcome(&in_flight) {
-                self.agent.answered(self.now, in_flight.call.id, outcome);
+                self.agent
+                    .handle_outcome(self.now, in_flight.call.id, outcome);
             }
         }
     }
--- a/system/fleet/src/asking.rs
+++ b/system/fleet/src/asking.rs
@@ -118,7 +118,7 @@
         self.requests
             .insert((node, self.nodes[node].life, id), asker);
         self.with_node(node, None, |coordinator, now, wall| {
-            coordinator.request(now, WallMillis(wall), id, request)
+            coordinator.handle_request(now, WallMillis(wall), id, request)
         });
     }
 
--- a/system/fleet/src/delivery.rs
+++ b/system/fleet/src/delivery.rs
@@ -125,7 +125,7 @@
         }
         for number in 0..self.nodes.len() {
             self.with_node(number, None, |coordinator, now, wall| {
-                coordinator.tick(now, WallMillis(wall))
+                coordinator.on_timeout(now, WallMillis(wall))
             });
         }
     }
--- a/system/fleet/src/edge.rs
+++ b/system/fleet/src/edge.rs
@@ -108,7 +108,7 @@
                 Some(arriving) if now >= arriving.whole_at => Ok(arriving.answer),
                 _ => Err(CallFailure::NoResponse),
             };
-            self.agent.answered(now, under_way.call.id, answer);
+            self.agent.handle_outcome(now, under_way.call.id, answer);
         }
     }
 }
--- a/system/fleet/src/edges.rs
+++ b/system/fleet/src/edges.rs
@@ -28,7 +28,7 @@
             // Nobody listens there.
             self.edges[number]
                 .agent
-                .answered(self.now, id, Err(CallFailure::NotConnected));
+                .handle_outcome(self.now, id, Err(CallFailure::NotConnected));
             return;
         };
         self.edges[number].begin(call, self.now);
--- a/system/fleet/src/machines.rs
+++ b/system/fleet/src/machines.rs
@@ -105,7 +105,7 @@
             Fault::Leave { node, for_ms } => {
                 self.nodes[node].leaves_for_ms = Some(for_ms);
                 let life = self.nodes[node].life;
-                self.with_node(node, None, |coordinator, now, _| coordinator.leave(now));
+                self.with_node(node, None, |coordinator, now, _| coordinator.drain(now));
                 self.schedule(
                     MOST_HAND_OVER_MS,
                     Event::Restore(Restore::Leaving { node, life }),
@@ -181,7 +181,7 @@
             let has_left = self.nodes[node]
                 .coordinator
                 .as_ref()
-                .is_some_and(Coordinator::has_left);
+                .is_some_and(Coordinator::has_departed);
             if has_left {
                 self.end_leaving(node);
             }
@@ -200,12 +200,12 @@
             seeds,
             location: Location::default(),
             tolerance: Tolerance::of_machines(settings.tolerance),
-            heartbeat_ms: 80,
-            suspect_ms: 420,
+            heartbeat_interval_ms: 80,
+            suspicion_timeout_ms: 420,
             seed: own.incarnation,
         },
         scheduler: SchedulerSettings {
-            max_hold_ms: MAX_HOLD_MS,
+            max_lease_ms: MAX_HOLD_MS,
             ..SchedulerSettings::default()
         },
         lease_ms: 900,
--- a/system/fleet/src/worker.rs
+++ b/system/fleet/src/worker.rs
@@ -139,7 +139,7 @@
         self.runs
             .values()
             .fold(Resources::default(), |sum, running| {
-                sum.plus(&running.resources)
+                sum.add(&running.resources)
             })
     }
 
@@ -298,8 +298,8 @@
         let Some(work) = work else {
             return WorkerReply::Unreadable;
         };
-        let room = self.entry.capacity.minus(&self.used());
-        let fits = work.resources.fits(&room);
+        let room = self.entry.capacity.saturating_sub(&self.used());
+        let fits = work.resources.fits_in(&room);
         if self.guards && !fits {
             return refused(RefusalReason::NoCapacity);
         }
--- a/system/fleet/tests/run_model/running.rs
+++ b/system/fleet/tests/run_model/running.rs
@@ -12,8 +12,8 @@
 
 fn settings() -> SchedulerSettings {
     SchedulerSettings {
-        max_hold_ms: MAX_HOLD_MS,
-        lease_ms: LEASE_MS,
+        max_lease_ms: MAX_HOLD_MS,
+        role_lease_ms: LEASE_MS,
         ..SchedulerSettings::default()
     }
 }
@@ -35,7 +35,7 @@
 impl World {
     pub(crate) fn take_over(&mut self) {
         let number = self.holders.len();
-        let expected = self.state.token(&role());
+        let expected = self.state.fencing_token(&role());
         let claim = Command::ClaimRole {
             role: role(),
             holder: replica(number),
@@ -45,9 +45,9 @@
         for holder in &mut self.holders {
             holder.acts_until.get_or_insert(self.now + LEASE_MS);
         }
-        let token = self.state.token(&role());
+        let token = self.state.fencing_token(&role());
         let mut scheduler = Scheduler::new(SERVICE, token, settings(), self.now, &self.state, 7);
-        scheduler.list(self.now, &self.state, &self.entries());
+        scheduler.handle_worker_list(self.now, &self.state, &self.entries());
         self.holders.push(Holder {
             scheduler,
             acts_until: None,
@@ -82,9 +82,13 @@
         let applied = self.state.apply(&entry);
         for (number, holder) in self.holders.iter_mut().enumerate() {
             let own: &[RunStart] = if number == by { &runs } else { &[] };
-            holder
-                .scheduler
-                .applied(self.now, entry.position, &self.state, &applied.changes, own);
+            holder.scheduler.handle_applied(
+                self.now,
+                entry.position,
+                &self.state,
+                &applied.changes,
+                own,
+            );
         }
         applied
     }
@@ -120,7 +124,7 @@
         let wall = 1_000_000 + self.now;
         self.holders[holder]
             .scheduler
-            .run(self.now, WallMillis(wall), &self.state);
+            .on_timeout(self.now, WallMillis(wall), &self.state);
         for output in self.holders[holder].scheduler.poll_outputs() {
             match output {
                 Output::Propose(command) => self.proposals.push_back((holder, command)),
@@ -241,7 +245,9 @@
         self.workers[number] = self.new_worker(number);
         let entries = self.entries();
         for holder in &mut self.holders {
-            holder.scheduler.list(self.now, &self.state, &entries);
+            holder
+                .scheduler
+                .handle_worker_list(self.now, &self.state, &entries);
         }
         self.run_all();
     }
@@ -259,7 +265,7 @@
         };
         self.holders[holder]
             .scheduler
-            .reply(self.now, &self.state, call, reply);
+            .handle_reply(self.now, &self.state, call, reply);
         self.run(holder);
     }
 
--- a/system/jobs/src/apply.rs
+++ b/system/jobs/src/apply.rs
@@ -27,7 +27,7 @@
     }
 
     fn is_current(&self, role_token: &RoleToken) -> bool {
-        self.token(&role_token.role) == role_token.token
+        self.fencing_token(&role_token.role) == role_token.token
     }
 }
 
--- a/system/jobs/src/apply_configuration.rs
+++ b/system/jobs/src/apply_configuration.rs
@@ -41,7 +41,7 @@
         holder: ReplicaId,
         expected: FencingToken,
     ) -> Outcome {
-        if self.state.token(role) != expected {
+        if self.state.fencing_token(role) != expected {
             return Outcome::Void;
         }
         let claimed = RoleState {
--- a/system/jobs/src/apply_runs.rs
+++ b/system/jobs/src/apply_runs.rs
@@ -32,12 +32,12 @@
         }
         let allows_duplicate = job.step_spec(&id)?.allow_duplicate;
         let task = job.task_mut(&id)?;
-        let is_taken = !allows_duplicate && !task.active.is_empty();
+        let is_taken = !allows_duplicate && !task.active_runs.is_empty();
         if task.done || start.run <= task.last_run || is_taken {
             return None;
         }
         task.last_run = start.run;
-        task.active.push(ActiveRun {
+        task.active_runs.push(ActiveRun {
             run: start.run,
             incarnation: start.incarnation.clone(),
             checkpoint: start.checkpoint.clone(),
@@ -94,7 +94,7 @@
         let job = self.state.job_mut(&task.job);
         if let Some(state) = job.and_then(|job| job.task_mut(&task)) {
             state
-                .active
+                .active_runs
                 .retain(|active| active.run != run || active.incarnation != incarnation);
         }
         self.changes.push(Change::RunClosed {
--- a/system/jobs/src/consistency.rs
+++ b/system/jobs/src/consistency.rs
@@ -121,7 +121,7 @@
         let state = self.jobs.get(&task.job).and_then(|job| job.task(task));
         state.is_some_and(|state| {
             state
-                .active
+                .active_runs
                 .iter()
                 .any(|active| active.run == run && active.incarnation == incarnation)
         })
@@ -168,7 +168,7 @@
     }
 
     fn check_active_runs(&self, task: TaskId, state: &TaskState, found: &mut Vec<Inconsistency>) {
-        for active in &state.active {
+        for active in &state.active_runs {
             let worker = self.workers.get(&active.incarnation);
             let recorded = worker.and_then(|worker| worker.runs.get(&task));
             if recorded != Some(&active.run) {
--- a/system/jobs/src/job.rs
+++ b/system/jobs/src/job.rs
@@ -38,7 +38,7 @@
     pub checkpoint: String,
     /// Runs that may be going on.
     #[n(4)]
-    pub active: Vec<ActiveRun>,
+    pub active_runs: Vec<ActiveRun>,
 }
 
 /// The state of one step in one occurrence.
@@ -134,7 +134,7 @@
         self.steps
             .iter()
             .flat_map(|step| &step.tasks)
-            .any(|task| !task.active.is_empty())
+            .any(|task| !task.active_runs.is_empty())
     }
 }
 
--- a/system/jobs/src/readiness.rs
+++ b/system/jobs/src/readiness.rs
@@ -57,7 +57,7 @@
 
 fn push_step(found: &mut Vec<StartableUnit>, first: TaskId, spec: &StepSpec, step: &StepState) {
     if spec.gang {
-        if step.tasks.iter().all(|task| task.active.is_empty()) {
+        if step.tasks.iter().all(|task| task.active_runs.is_empty()) {
             found.push(StartableUnit {
                 first,
                 count: step.tasks.len() as u32,
@@ -66,7 +66,7 @@
         return;
     }
     for (index, task) in step.tasks.iter().enumerate() {
-        if !task.done && task.active.is_empty() {
+        if !task.done && task.active_runs.is_empty() {
             found.push(StartableUnit {
                 first: TaskId {
                     index: index as u32,
--- a/system/jobs/src/state.rs
+++ b/system/jobs/src/state.rs
@@ -87,7 +87,7 @@
 
 impl State {
     /// The current fencing token of a role; zero for one that was never held.
-    pub fn token(&self, role: &Role) -> FencingToken {
+    pub fn fencing_token(&self, role: &Role) -> FencingToken {
         self.roles
             .get(role)
             .map_or(FencingToken::default(), |state| state.token)
--- a/system/jobs/tests/golden/samples.rs
+++ b/system/jobs/tests/golden/samples.rs
@@ -37,7 +37,7 @@
         last_run: 6,
         failures: 7,
         checkpoint: "second".to_owned(),
-        active: vec![active_run()],
+        active_runs: vec![active_run()],
     }
 }
 
--- a/system/magpiegap/src/agent/link.rs
+++ b/system/magpiegap/src/agent/link.rs
@@ -164,7 +164,7 @@
     fn handle_outcome(&mut self, outcome: CallOutcome) {
         if self
             .agent
-            .answered(self.now(), outcome.id, outcome.response)
+            .handle_outcome(self.now(), outcome.id, outcome.response)
         {
             self.published
                 .publish(self.agent.feed(), self.agent.configuration());
@@ -172,7 +172,7 @@
         if let Some(fault) = self.agent.take_fault() {
             log::error!("configuration change is faulty, fetching all of it error={fault}");
         }
-        if self.agent.is_lost() {
+        if self.agent.is_disconnected() {
             self.read_seeds();
         }
     }
--- a/system/magpiegap/src/coordinator/driver.rs
+++ b/system/magpiegap/src/coordinator/driver.rs
@@ -100,7 +100,7 @@
                     }
                 }
                 _ = ticks.tick() => self.tick(),
-                Some(()) = drain.recv() => self.coordinator.leave(self.clock.now()),
+                Some(()) = drain.recv() => self.coordinator.drain(self.clock.now()),
             }
             self.perform_outputs(&events);
             self.notify_departed();
@@ -108,7 +108,7 @@
     }
 
     fn notify_departed(&mut self) {
-        if !self.coordinator.has_left() {
+        if !self.coordinator.has_departed() {
             return;
         }
         if let Some(departed) = self.departed.take() {
@@ -117,7 +117,8 @@
     }
 
     fn tick(&mut self) {
-        self.coordinator.tick(self.clock.now(), self.clock.wall());
+        self.coordinator
+            .on_timeout(self.clock.now(), self.clock.wall());
         self.read_seeds();
     }
 
@@ -125,7 +126,7 @@
     fn read_seeds(&mut self) {
         let now = self.clock.now();
         if now < self.settings_read_at + SETTINGS_READ_INTERVAL_MS
-            || !self.coordinator.replica().is_seeking(now)
+            || !self.coordinator.replica().needs_seeds(now)
         {
             return;
         }
@@ -151,7 +152,7 @@
                 self.last_request += 1;
                 self.pending_responses.insert(self.last_request, response);
                 self.coordinator
-                    .request(now, wall, self.last_request, request);
+                    .handle_request(now, wall, self.last_request, request);
             }
             Event::WorkerReply {
                 service,
--- a/system/magpiegap/src/coordinator/metrics.rs
+++ b/system/magpiegap/src/coordinator/metrics.rs
@@ -116,18 +116,18 @@
         scheduler_gauge(
             "scheduler_silent_workers",
             "Workers that do not answer",
-            |summary| summary.silent,
+            |summary| summary.unresponsive,
         ),
         scheduler_gauge("scheduler_runs", "Runs on record", |summary| summary.runs),
         scheduler_gauge(
             "scheduler_waiting",
             "Tasks and gangs that wait for a place",
-            |summary| summary.waiting,
+            |summary| summary.queued,
         ),
         scheduler_gauge(
             "scheduler_waiting_urgent",
             "Those of priority 0",
-            |summary| summary.waiting_urgent,
+            |summary| summary.queued_urgent,
         ),
     ]
 }
@@ -150,13 +150,13 @@
         metric(
             "runs_cut_short",
             "Runs that were stopped, lapsed or were lost",
-            counters.runs_cut_short,
+            counters.runs_interrupted,
         ),
         metric("worker_calls", "Calls to workers", counters.worker_calls),
         metric(
             "configuration_parts",
             "Parts of configurations for agents",
-            counters.configuration_parts,
+            counters.configuration_chunks,
         ),
         metric(
             "configuration_bytes",
--- a/system/magpiegap/src/state_on_disk.rs
+++ b/system/magpiegap/src/state_on_disk.rs
@@ -81,7 +81,7 @@
             applied_entry: state.position.index.0,
             entries_after: snapshot.entries.iter().filter(is_later).count(),
             configuration: state.configuration.version,
-            roles: RoleDescription::all(state),
+            roles: RoleDescription::of_state(state),
             jobs: jobs_by_queue(state),
             runs: runs_by_worker(state),
             contradictions: state
--- a/system/magpiegap/src/tables.rs
+++ b/system/magpiegap/src/tables.rs
@@ -87,7 +87,7 @@
     for SchedulerDescription { service, summary } in &cluster.schedulers {
         let summary = format!(
             "{service}: {} workers ({} silent), {} runs, {} waiting",
-            summary.workers, summary.silent, summary.runs, summary.waiting
+            summary.workers, summary.unresponsive, summary.runs, summary.queued
         );
         rows.push(row(&["scheduler", &summary]));
     }
--- a/system/magpiegap/tests/data_folder.rs
+++ b/system/magpiegap/tests/data_folder.rs
@@ -628,6 +628,6 @@
         (tasks[1].failures, tasks[1].checkpoint.as_str()),
         eq((1, "c-4"))
     );
-    expect_that!(tasks[2].active.len(), eq(2));
+    expect_that!(tasks[2].active_runs.len(), eq(2));
     expect_that!(state.inconsistencies().len(), eq(0));
 }
--- a/system/magpiegap/tests/metrics.rs
+++ b/system/magpiegap/tests/metrics.rs
@@ -9,10 +9,10 @@
         service: "a \"quoted\" service".to_owned(),
         summary: Summary {
             workers: 12,
-            silent: 1,
+            unresponsive: 1,
             runs: 40,
-            waiting: 3,
-            waiting_urgent: 2,
+            queued: 3,
+            queued_urgent: 2,
         },
     };
     ClusterDescription {
--- a/system/protocol/src/lib.rs
+++ b/system/protocol/src/lib.rs
@@ -32,7 +32,7 @@
 pub use job::{JobSpec, JobSpecError, StepSpec, MAX_SPEC_BYTES, MAX_TASKS_PER_JOB};
 pub use location::{FailureDomainId, Location, MemberLocation};
 pub use numbers::{Ballot, FencingToken, LogIndex, Millis, ViewNumber, WallMillis};
-pub use peer::{AcceptedView, Envelope, Heartbeat, PeerMessage, PeerReport, PlatformList, Promise};
+pub use peer::{AcceptedView, Envelope, Heartbeat, PeerMessage, PeerReport, Promise, WorkerList};
 pub use requests::{CoordinatorRequest, CoordinatorResponse, JobFilter, JobPhase};
 pub use resources::Resources;
 pub use role::{Role, RoleToken};
--- a/system/protocol/src/peer.rs
+++ b/system/protocol/src/peer.rs
@@ -70,7 +70,7 @@
     pub unfit: bool,
     /// Reports of other coordinators.
     #[n(3)]
-    pub heard: Vec<PeerReport>,
+    pub reports: Vec<PeerReport>,
     /// The sender's time of day.
     #[n(4)]
     pub wall_ms: WallMillis,
@@ -125,7 +125,7 @@
 
 /// The platform's list of workers, as its reader last received it.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
-pub struct PlatformList {
+pub struct WorkerList {
     /// Fencing token of the reader.
     #[n(0)]
     pub token: FencingToken,
@@ -217,7 +217,7 @@
     },
     /// Requests missing entries from the predecessor.
     #[n(9)]
-    Synchronize {
+    RequestEntries {
         /// The view.
         #[n(0)]
         view: ViewNumber,
@@ -260,7 +260,7 @@
     },
     /// The platform's list of workers.
     #[n(13)]
-    Platform(#[n(0)] PlatformList),
+    Platform(#[n(0)] WorkerList),
     /// Offers a snapshot, where the log does not reach back far enough. It is requested chunk by chunk.
     #[n(14)]
     SnapshotOffer {
@@ -334,7 +334,7 @@
             | PeerMessage::Decided(_) => true,
             PeerMessage::Append { .. }
             | PeerMessage::Committed { .. }
-            | PeerMessage::Synchronize { .. }
+            | PeerMessage::RequestEntries { .. }
             | PeerMessage::MissingEntries { .. }
             | PeerMessage::SnapshotOffer { .. }
             | PeerMessage::RequestSnapshotChunk { .. }
--- a/system/protocol/src/resources.rs
+++ b/system/protocol/src/resources.rs
@@ -17,12 +17,12 @@
 
 impl Resources {
     /// Whether a request for this much fits into a capacity.
-    pub fn fits(&self, capacity: &Resources) -> bool {
+    pub fn fits_in(&self, capacity: &Resources) -> bool {
         self.cpu <= capacity.cpu && self.memory_mb <= capacity.memory_mb && self.gpu <= capacity.gpu
     }
 
     /// The sum of both.
-    pub fn plus(&self, other: &Resources) -> Resources {
+    pub fn add(&self, other: &Resources) -> Resources {
         Resources {
             cpu: self.cpu + other.cpu,
             memory_mb: self.memory_mb + other.memory_mb,
@@ -31,7 +31,7 @@
     }
 
     /// The difference of both; never below zero.
-    pub fn minus(&self, other: &Resources) -> Resources {
+    pub fn saturating_sub(&self, other: &Resources) -> Resources {
         Resources {
             cpu: self.cpu.saturating_sub(other.cpu),
             memory_mb: self.memory_mb.saturating_sub(other.memory_mb),
--- a/system/protocol/tests/golden/samples.rs
+++ b/system/protocol/tests/golden/samples.rs
@@ -182,7 +182,7 @@
         view: ViewNumber(16),
         serving: true,
         unfit: true,
-        heard: vec![report()],
+        reports: vec![report()],
         wall_ms: WallMillis(1_700_000_000_789),
         committed: LogIndex(70_003),
         complete: true,
@@ -223,13 +223,13 @@
     }
 }
 
-pub(crate) fn platform_list() -> PlatformList {
+pub(crate) fn platform_list() -> WorkerList {
     let ready = WorkerEntry {
         availability: Availability::Ready,
         remaining_ms: None,
         ..worker()
     };
-    PlatformList {
+    WorkerList {
         token: FencingToken(22),
         sequence: 23,
         workers: vec![worker(), ready],
--- a/system/protocol/tests/messages.rs
+++ b/system/protocol/tests/messages.rs
@@ -97,7 +97,7 @@
             memory_mb: 101,
             gpu: 0
         }
-        .fits(&capacity),
+        .fits_in(&capacity),
         eq(false)
     );
     expect_that!(
--- a/system/protocol/tests/stored_bytes.rs
+++ b/system/protocol/tests/stored_bytes.rs
@@ -202,7 +202,7 @@
         ),
         (
             "synchronize",
-            PeerMessage::Synchronize {
+            PeerMessage::RequestEntries {
                 view: ViewNumber(59),
                 last: position(),
             },
@@ -627,7 +627,7 @@
     let heartbeat = Heartbeat {
         serving: false,
         unfit: false,
-        heard: vec![],
+        reports: vec![],
         complete: false,
         sealed: false,
         ..heartbeat()
--- a/system/scheduler/examples/throughput.rs
+++ b/system/scheduler/examples/throughput.rs
@@ -58,7 +58,9 @@
             completed: BTreeMap::new(),
         };
         let entries: Vec<WorkerEntry> = (0..workers).map(worker).collect();
-        bench.scheduler.list(bench.now, &bench.state, &entries);
+        bench
+            .scheduler
+            .handle_worker_list(bench.now, &bench.state, &entries);
         bench.step();
         bench
     }
@@ -90,7 +92,7 @@
             wall_ms: WALL_MS + self.now,
         };
         let applied = self.state.apply(&entry);
-        self.scheduler.applied(
+        self.scheduler.handle_applied(
             self.now,
             entry.position,
             &self.state,
@@ -104,7 +106,7 @@
         self.now += 5;
         for _ in 0..4 {
             self.scheduler
-                .run(self.now, WALL_MS + self.now, &self.state);
+                .on_timeout(self.now, WALL_MS + self.now, &self.state);
             for output in self.scheduler.poll_outputs() {
                 match output {
                     Output::Call(call) => self.calls.push(call),
@@ -115,7 +117,8 @@
         }
         for call in std::mem::take(&mut self.calls) {
             let reply = self.reply_to(&call);
-            self.scheduler.reply(self.now, &self.state, call.id, reply);
+            self.scheduler
+                .handle_reply(self.now, &self.state, call.id, reply);
         }
     }
 
@@ -263,7 +266,7 @@
         bench.now += ROUND_MS;
         bench
             .scheduler
-            .run(bench.now, WALL_MS + bench.now, &bench.state);
+            .on_timeout(bench.now, WALL_MS + bench.now, &bench.state);
         bench.scheduler.poll_outputs();
         // Something completes, or comes, between any two rounds.
         bench.submit(2_000_000 + bench.now, 2, step(1, 15_000));
--- a/system/scheduler/src/applied.rs
+++ b/system/scheduler/src/applied.rs
@@ -10,7 +10,7 @@
 impl Scheduler {
     /// Takes an applied entry; `own_runs` are the runs in it that this scheduler proposed. An entry that the state held
     /// already when it was last read in full changes nothing.
-    pub fn applied(
+    pub fn handle_applied(
         &mut self,
         now: Millis,
         entry: LogPosition,
@@ -199,7 +199,7 @@
     let Some(state) = job.task(task) else {
         return String::new();
     };
-    let active = state.active.iter().find(|active| active.run == run);
+    let active = state.active_runs.iter().find(|active| active.run == run);
     active
         .map(|active| active.checkpoint.clone())
         .unwrap_or_default()
--- a/system/scheduler/src/backfill.rs
+++ b/system/scheduler/src/backfill.rs
@@ -167,13 +167,13 @@
             .get(&worker.entry.incarnation)
             .map_or(&[][..], Vec::as_slice);
         let wanted = reserved.iter().fold(step.resources, |sum, reservation| {
-            sum.plus(&reservation.resources)
+            sum.add(&reservation.resources)
         });
-        if !wanted.fits(&worker.entry.capacity) {
+        if !wanted.fits_in(&worker.entry.capacity) {
             return None;
         }
-        let mut used = worker.used.plus(&wanted);
-        if used.fits(&worker.entry.capacity) {
+        let mut used = worker.used.add(&wanted);
+        if used.fits_in(&worker.entry.capacity) {
             return Some(now);
         }
         let incarnation = &worker.entry.incarnation;
@@ -183,8 +183,8 @@
         }
         let freed = self.freed.get(incarnation).map_or(&[][..], Vec::as_slice);
         for (completion_at, freed) in freed {
-            used = used.minus(freed);
-            if used.fits(&worker.entry.capacity) {
+            used = used.saturating_sub(freed);
+            if used.fits_in(&worker.entry.capacity) {
                 return Some(*completion_at);
             }
         }
@@ -229,8 +229,8 @@
     let reserved = reservations
         .iter()
         .filter(|other| other.owner < *candidate.urgency);
-    let wanted = reserved.fold(candidate.step.resources.plus(taken), |sum, reservation| {
-        sum.plus(&reservation.resources)
+    let wanted = reserved.fold(candidate.step.resources.add(taken), |sum, reservation| {
+        sum.add(&reservation.resources)
     });
     let still_running = |run: &&Run| {
         expected_completion_at(run, now)
@@ -240,8 +240,8 @@
         .runs
         .values()
         .filter(still_running)
-        .fold(wanted, |sum, run| sum.plus(&run.resources));
-    used.fits(&worker.entry.capacity)
+        .fold(wanted, |sum, run| sum.add(&run.resources));
+    used.fits_in(&worker.entry.capacity)
 }
 
 fn freed_capacity(worker: &Worker, now: Millis) -> FreedCapacity {
--- a/system/scheduler/src/discovery.rs
+++ b/system/scheduler/src/discovery.rs
@@ -6,7 +6,7 @@
 
 impl Scheduler {
     /// Takes the platform's list, which is complete: workers that it lacks have departed.
-    pub fn list(&mut self, now: Millis, state: &State, entries: &[WorkerEntry]) {
+    pub fn handle_worker_list(&mut self, now: Millis, state: &State, entries: &[WorkerEntry]) {
         let own: Vec<&WorkerEntry> = entries
             .iter()
             .filter(|entry| entry.service == self.service)
--- a/system/scheduler/src/explanation.rs
+++ b/system/scheduler/src/explanation.rs
@@ -161,7 +161,7 @@
                 index: index as u32,
                 ..first
             };
-            for active in &task.active {
+            for active in &task.active_runs {
                 let known = self
                     .table
                     .workers
@@ -210,7 +210,7 @@
             &mut counts.ejected
         } else if !worker.has_labels(&step.requirements) {
             &mut counts.without_label
-        } else if !step.resources.fits(&worker.entry.capacity) {
+        } else if !step.resources.fits_in(&worker.entry.capacity) {
             &mut counts.too_small
         } else if !worker.has_capacity_for(&step.resources) {
             &mut counts.without_capacity
--- a/system/scheduler/src/job_review.rs
+++ b/system/scheduler/src/job_review.rs
@@ -67,7 +67,7 @@
                 index: index as u32,
                 ..first
             };
-            for active in &task.active {
+            for active in &task.active_runs {
                 // Where a gang is done its members complete by themselves.
                 let is_broken = is_gang && !step.is_done() && !has_all_members(step, active.run);
                 let is_superfluous = task.done && !is_gang;
@@ -107,7 +107,7 @@
 
     /// Proposes to remove completed jobs whose status need not be shown any more.
     pub(crate) fn forget_completed_jobs(&mut self, wall: WallMillis) {
-        let before = wall.saturating_sub(self.settings.status_ms + STATUS_MARGIN_MS);
+        let before = wall.saturating_sub(self.settings.status_retention_ms + STATUS_MARGIN_MS);
         let jobs = self.job_calendar.take_completed_before(before);
         if !jobs.is_empty() {
             self.outputs
@@ -120,5 +120,5 @@
 fn has_all_members(step: &StepState, run: RunId) -> bool {
     step.tasks
         .iter()
-        .all(|task| task.active.iter().any(|active| active.run == run))
+        .all(|task| task.active_runs.iter().any(|active| active.run == run))
 }
--- a/system/scheduler/src/leases.rs
+++ b/system/scheduler/src/leases.rs
@@ -36,7 +36,7 @@
     }
 
     fn send_renewal(&mut self, incarnation: &str, now: Millis) {
-        let lease_ms = self.lease_timing.lease_ms(self.settings.max_hold_ms);
+        let lease_ms = self.lease_timing.lease_ms(self.settings.max_lease_ms);
         let long_poll_ms = self.lease_timing.long_poll_ms();
         let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
@@ -158,7 +158,7 @@
 
     /// Stops runs that make no progress, so that they are started elsewhere.
     fn stop_stuck_runs(&mut self, incarnation: &str, now: Millis) {
-        let gang_ms = self.settings.gang_ms;
+        let gang_ms = self.settings.gang_timeout_ms;
         let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
--- a/system/scheduler/src/placement.rs
+++ b/system/scheduler/src/placement.rs
@@ -87,7 +87,7 @@
 impl Taken {
     fn add(&mut self, incarnation: &str, resources: &Resources) {
         let used = self.resources.entry(incarnation.to_owned()).or_default();
-        *used = used.plus(resources);
+        *used = used.add(resources);
         *self.tasks.entry(incarnation.to_owned()).or_default() += 1;
     }
 
@@ -284,8 +284,8 @@
     fn load_on(&self, worker: &Worker, taken: &Taken) -> f64 {
         worker
             .used
-            .plus(&taken.resources_on(worker))
-            .plus(&self.demand.candidate.step.resources)
+            .add(&taken.resources_on(worker))
+            .add(&self.demand.candidate.step.resources)
             .dominant_share(&worker.entry.capacity)
     }
 
@@ -323,7 +323,7 @@
     fn has_capacity(&self, worker: &Worker, more: &Resources) -> bool {
         let resources = &self.demand.candidate.step.resources;
         let free = worker.free_capacity();
-        resources.fits(&free.minus(more)) && free.cpu >= more.cpu + resources.cpu
+        resources.fits_in(&free.saturating_sub(more)) && free.cpu >= more.cpu + resources.cpu
     }
 
     /// Whether a worker may run another task of the same step and occurrence.
--- a/system/scheduler/src/planner.rs
+++ b/system/scheduler/src/planner.rs
@@ -82,7 +82,7 @@
     /// Whether a task needs at least what one of them needs.
     fn covers(&self, step: &StepSpec) -> bool {
         let is_covered_by = |shape: &StepSpec| {
-            shape.resources.fits(&step.resources)
+            shape.resources.fits_in(&step.resources)
                 && shape.requirements == step.requirements
                 && shape.affinity == step.affinity
                 && shape.estimated_ms <= step.estimated_ms
--- a/system/scheduler/src/preemption.rs
+++ b/system/scheduler/src/preemption.rs
@@ -45,7 +45,7 @@
         worker.is_schedulable(now)
             && !worker.health.is_on_probation()
             && worker.has_labels(&step.requirements)
-            && step.resources.fits(&worker.entry.capacity)
+            && step.resources.fits_in(&worker.entry.capacity)
             && nominations.allow(&worker.entry.incarnation, &preemptor.first)
     };
     workers
@@ -72,14 +72,14 @@
         loss: 0,
     };
     for (task, run) in candidates {
-        if wanted.plus(&used).fits(capacity) {
+        if wanted.add(&used).fits_in(capacity) {
             break;
         }
-        used = used.minus(&run.resources);
+        used = used.saturating_sub(&run.resources);
         victims.loss += loss_of(run, now);
         victims.tasks.push(*task);
     }
-    let suffices = wanted.plus(&used).fits(capacity) && !victims.tasks.is_empty();
+    let suffices = wanted.add(&used).fits_in(capacity) && !victims.tasks.is_empty();
     (suffices && victims.loss <= MAX_LOSS).then_some(victims)
 }
 
--- a/system/scheduler/src/replies.rs
+++ b/system/scheduler/src/replies.rs
@@ -37,7 +37,7 @@
 
 impl Scheduler {
     /// Takes the reply to a call, which must be the first one to it.
-    pub fn reply(&mut self, now: Millis, state: &State, call: u64, reply: WorkerReply) {
+    pub fn handle_reply(&mut self, now: Millis, state: &State, call: u64, reply: WorkerReply) {
         let Some(in_flight) = self.calls.remove(call) else {
             return;
         };
@@ -132,7 +132,7 @@
     }
 
     fn handle_lease_reply(&mut self, replied: &RepliedCall, reply: WorkerReply) {
-        let max_hold_ms = self.settings.max_hold_ms;
+        let max_hold_ms = self.settings.max_lease_ms;
         let Some(worker) = self.table.workers.get_mut(&replied.call.incarnation) else {
             return;
         };
--- a/system/scheduler/src/scheduler.rs
+++ b/system/scheduler/src/scheduler.rs
@@ -26,14 +26,16 @@
     /// Workers that are known.
     pub workers: usize,
     /// Workers that are unresponsive.
-    pub silent: usize,
+    #[serde(rename = "silent")]
+    pub unresponsive: usize,
     /// Runs on record.
     pub runs: usize,
     /// Tasks and gangs in the queue.
-    pub waiting: usize,
+    #[serde(rename = "waiting")]
+    pub queued: usize,
     /// Those of them that are of the most urgent priority.
-    #[serde(default)]
-    pub waiting_urgent: usize,
+    #[serde(default, rename = "waiting_urgent")]
+    pub queued_urgent: usize,
 }
 
 /// Places and starts the tasks of one service.
@@ -83,7 +85,7 @@
             now,
             wall: WallMillis::default(),
             taken_over_at: now,
-            planner: Planner::new(now, settings.far_factor, seed),
+            planner: Planner::new(now, settings.remote_factor, seed),
             settings,
             next_check_at: now,
             lease_timing: LeaseTiming::default(),
@@ -128,10 +130,10 @@
     pub fn summary(&self) -> Summary {
         Summary {
             workers: self.table.workers.len(),
-            silent: self.table.unresponsive_workers(),
+            unresponsive: self.table.unresponsive_workers(),
             runs: self.table.runs(),
-            waiting: self.planner.queue.len(),
-            waiting_urgent: self
+            queued: self.planner.queue.len(),
+            queued_urgent: self
                 .planner
                 .queue
                 .iter()
@@ -158,9 +160,9 @@
 
     /// When all leases that earlier owners of the role granted have surely expired.
     pub(crate) fn previous_leases_expire_at(&self) -> Millis {
-        let max_hold_ms = self.settings.max_hold_ms;
+        let max_hold_ms = self.settings.max_lease_ms;
         let max_lease_ms = max_hold_ms + max_hold_ms / CLOCK_DRIFT_DIVISOR;
-        self.taken_over_at + self.settings.lease_ms + max_lease_ms
+        self.taken_over_at + self.settings.role_lease_ms + max_lease_ms
     }
 
     /// Sends an order to a worker and returns the call's id; a deposed scheduler sends nothing.
@@ -201,7 +203,7 @@
     }
 
     /// Does what is due at this time. To be called after all other inputs, and every 50 ms or more often.
-    pub fn run(&mut self, now: Millis, wall: WallMillis, state: &State) {
+    pub fn on_timeout(&mut self, now: Millis, wall: WallMillis, state: &State) {
         if self.deposed {
             return;
         }
--- a/system/scheduler/src/worker.rs
+++ b/system/scheduler/src/worker.rs
@@ -105,12 +105,12 @@
 
     /// The resources that no run takes up.
     pub(crate) fn free_capacity(&self) -> Resources {
-        self.entry.capacity.minus(&self.used)
+        self.entry.capacity.saturating_sub(&self.used)
     }
 
     /// Whether so much fits beside its runs.
     pub(crate) fn has_capacity_for(&self, resources: &Resources) -> bool {
-        resources.plus(&self.used).fits(&self.entry.capacity)
+        resources.add(&self.used).fits_in(&self.entry.capacity)
     }
 
     /// Whether it has left too many renewals unanswered to be sent orders.
@@ -144,9 +144,9 @@
     /// Adds a run and takes up its capacity.
     pub(crate) fn add_run(&mut self, task: TaskId, run: Run) {
         if let Some(old) = self.runs.insert(task, run.clone()) {
-            self.used = self.used.minus(&old.resources);
+            self.used = self.used.saturating_sub(&old.resources);
         }
-        self.used = self.used.plus(&run.resources);
+        self.used = self.used.add(&run.resources);
     }
 
     pub(crate) fn remove_run(&mut self, task: &TaskId, run: RunId) -> Option<Run> {
@@ -154,7 +154,7 @@
             return None;
         }
         let removed = self.runs.remove(task)?;
-        self.used = self.used.minus(&removed.resources);
+        self.used = self.used.saturating_sub(&removed.resources);
         Some(removed)
     }
 
--- a/system/scheduler/tests/backfill.rs
+++ b/system/scheduler/tests/backfill.rs
@@ -61,7 +61,7 @@
     ];
     harness
         .scheduler
-        .list(harness.now, &harness.state, &entries);
+        .handle_worker_list(harness.now, &harness.state, &entries);
     harness.advance(10);
     harness.reply_to_first_calls();
     let gang = StepSpec {
--- a/system/scheduler/tests/common/mod.rs
+++ b/system/scheduler/tests/common/mod.rs
@@ -67,7 +67,7 @@
         let entries: Vec<WorkerEntry> = workers.iter().map(|name| worker(name)).collect();
         harness
             .scheduler
-            .list(harness.now, &harness.state, &entries);
+            .handle_worker_list(harness.now, &harness.state, &entries);
         harness.advance(10);
         harness.reply_to_first_calls();
         harness
@@ -133,7 +133,7 @@
             _ => Vec::new(),
         };
         let applied = self.state.apply(&entry);
-        self.scheduler.applied(
+        self.scheduler.handle_applied(
             self.now,
             entry.position,
             &self.state,
@@ -147,7 +147,7 @@
         self.now += ms;
         for _ in 0..4 {
             self.scheduler
-                .run(self.now, WallMillis(1_000_000 + self.now), &self.state);
+                .on_timeout(self.now, WallMillis(1_000_000 + self.now), &self.state);
             for output in self.scheduler.poll_outputs() {
                 match output {
                     Output::Call(call) => self.calls.push(call),
@@ -159,7 +159,8 @@
     }
 
     pub(crate) fn reply(&mut self, call: &WorkerCall, reply: WorkerReply) {
-        self.scheduler.reply(self.now, &self.state, call.id, reply);
+        self.scheduler
+            .handle_reply(self.now, &self.state, call.id, reply);
     }
 
     pub(crate) fn take_calls(&mut self) -> Vec<WorkerCall> {
@@ -207,7 +208,7 @@
             .and_then(|job| job.task(&task));
         state
             .map(|task| {
-                task.active
+                task.active_runs
                     .iter()
                     .map(|run| run.incarnation.clone())
                     .collect()
--- a/system/scheduler/tests/deposed.rs
+++ b/system/scheduler/tests/deposed.rs
@@ -46,7 +46,7 @@
     harness.now += 2000;
     harness
         .scheduler
-        .run(harness.now, WallMillis(harness.now), &harness.state);
+        .on_timeout(harness.now, WallMillis(harness.now), &harness.state);
     let reply = refused(&harness);
     harness.reply(&starts[0], reply);
     let orders = harness.scheduler.poll_outputs();
--- a/system/scheduler/tests/explanation.rs
+++ b/system/scheduler/tests/explanation.rs
@@ -18,7 +18,7 @@
         availability: Availability::Draining,
         ..worker("w3")
     };
-    harness.scheduler.list(
+    harness.scheduler.handle_worker_list(
         harness.now,
         &harness.state,
         &[worker("w1"), labelled, draining],
--- a/system/scheduler/tests/lease_renewal.rs
+++ b/system/scheduler/tests/lease_renewal.rs
@@ -50,7 +50,7 @@
         },
     };
     harness.scheduler.submit(harness.now, submission);
-    harness.scheduler.run(
+    harness.scheduler.on_timeout(
         harness.now,
         WallMillis(1_000_000 + harness.now),
         &harness.state,
--- a/system/scheduler/tests/starting.rs
+++ b/system/scheduler/tests/starting.rs
@@ -187,7 +187,7 @@
             view: ViewNumber(1),
             index: LogIndex(entry),
         };
-        next.applied(
+        next.handle_applied(
             harness.now,
             entry,
             &harness.state,
@@ -195,11 +195,11 @@
             &[],
         );
     }
-    next.list(harness.now, &harness.state, &[worker("w1")]);
+    next.handle_worker_list(harness.now, &harness.state, &[worker("w1")]);
     let mut lost = 0;
     for _ in 0..20 {
         harness.now += 50;
-        next.run(
+        next.on_timeout(
             harness.now,
             WallMillis(1_000_000 + harness.now),
             &harness.state,
@@ -247,7 +247,7 @@
     }
     harness
         .scheduler
-        .list(harness.now, &harness.state, &entries);
+        .handle_worker_list(harness.now, &harness.state, &entries);
     harness.advance(10);
     harness.reply_to_first_calls();
     harness.advance(100);
--- a/system/scheduler/tests/unresponsive_workers.rs
+++ b/system/scheduler/tests/unresponsive_workers.rs
@@ -12,9 +12,11 @@
     harness.submit(1, vec![step(1, 1000)]);
     let start = harness.starts().remove(0);
     harness.reply(&start, harness.done());
-    harness
-        .scheduler
-        .list(harness.now, &harness.state, &[worker("w1"), worker("w2")]);
+    harness.scheduler.handle_worker_list(
+        harness.now,
+        &harness.state,
+        &[worker("w1"), worker("w2")],
+    );
     harness.advance(0);
     let mut lost_after = 0;
     while lost_after == 0 && harness.now < 30_000 {
@@ -32,7 +34,7 @@
         }
     }
     // Every lease that was ever granted has expired by then, on a clock that is two hundredths slow.
-    let longest = SchedulerSettings::default().max_hold_ms;
+    let longest = SchedulerSettings::default().max_lease_ms;
     expect_that!(lost_after, gt(2_500));
     expect_that!(lost_after, lt(1000 + longest + longest / 20 + 2000));
     expect_that!(harness.active(task(1, 0)), elements_are![eq("w2")]);
