--- a/system/jobs/tests/state.rs
+++ b/system/jobs/tests/state.rs
@@ -86,7 +86,7 @@
         Command::RecordCompletions {
             incarnation: incarnation.to_owned(),
             acknowledged_completion,
-            completions: completions,
+            completions,
         },
     )
 }
--- a/system/protocol/tests/stored_bytes.rs
+++ b/system/protocol/tests/stored_bytes.rs
@@ -66,7 +66,7 @@
         &Command::RecordCompletions {
             incarnation: "w-17/5".to_owned(),
             acknowledged_completion: 37,
-            completions: completions,
+            completions,
         },
     );
     stored.keeps(
--- a/system/scheduler/src/replies.rs
+++ b/system/scheduler/src/replies.rs
@@ -270,7 +270,7 @@
     Some(Command::RecordCompletions {
         incarnation: worker.entry.incarnation.clone(),
         acknowledged_completion: last,
-        completions: completions,
+        completions,
     })
 }
 
