--- a/system/control/src/replica.rs
+++ b/system/control/src/replica.rs
@@ -17,7 +17,8 @@
     Entry, LogIndex, Millis, PeerMessage, ReplicaId, View, ViewNumber, WallMillis,
 };
 
-/// A view that was the newest one this long ago is taken for the newest one where seconds matter, and not less.
+/// How long a proof of quorum contact counts, in milliseconds: a majority confirmed by echoed heartbeats, at most this long
+/// ago, that the view was still the newest one (`docs/system/hardening.md`).
 pub const QUORUM_CONTACT_TIMEOUT_MS: Millis = 600;
 
 /// Something that a replica wants done. Disk work is done in order, and each ticket is answered with
@@ -167,8 +168,8 @@
         self.is_active() && self.confirmed_at(now) > since
     }
 
-    /// Whether this replica is active in the newest view of at most [`QUORUM_CONTACT_TIMEOUT_MS`] milliseconds ago, and knows all that
-    /// was committed then: it is the tail, or the tail has announced it since.
+    /// Whether this replica is active in the newest view of at most [`QUORUM_CONTACT_TIMEOUT_MS`] ago, and knows all
+    /// that was committed then: it is the tail, or the tail has announced it since.
     pub fn knows_committed(&self, now: Millis) -> bool {
         let tail_confirmed_at = match self.view().tail() {
             Some(tail) if tail != self.settings.own => {
