--- a/balancer/core/src/policy/capacity.rs
+++ b/balancer/core/src/policy/capacity.rs
@@ -1,188 +1,223 @@
-//! Owns what one copy has learned of the next tier's capacity, from how late answers are.
+//! Learns the next tier's capacity for this instance, from how late responses are.
 use super::limits::CYCLE;
 use crate::{interface::*, state::*};
 
-/// Weight of the newest cycle in a tenant's demand: one copy sees only a few calls of a tenant per cycle.
+/// Weight of the newest cycle in a tenant's demand: one instance sees only a few calls of a tenant per cycle.
 pub(super) const DEMAND_GAIN: f64 = 0.3;
-/// An answer is timely within this part of its objective; the rest is room for queues until they are known.
+/// A response is timely within this part of its objective; the rest is for queues until they are known.
 const TIMELY: f64 = 0.4;
-/// Lateness counts from 0 there to 1 at the objective, and to this much for failures and time-outs.
-pub(super) const LATENESS_MOST: f64 = 2.0;
-/// Mean lateness at which capacity rests: the tail that heavy work and slow servers have anyway.
-const LATENESS_REST: f64 = 0.08;
+/// Lateness counts from 0 there to 1 at the objective, and to this much for failures and timeouts.
+pub(super) const MAX_LATENESS: f64 = 2.0;
+/// Mean lateness at which capacity is unchanged: the tail that heavy work and slow servers have anyway.
+const STEADY_LATENESS: f64 = 0.08;
 /// Capacity before anything was learned: in the first tier the stated quotas, below it this multiple of them.
-const START_BELOW: f64 = 4.0;
-/// Growth of capacity per cycle when no answer is late; its fall for each unit of lateness, and at most.
-const CAPACITY_UP: f64 = 0.2;
-const CAPACITY_DOWN: f64 = 0.6;
-const CAPACITY_FALL: f64 = 0.35;
-/// Part of answers in time below which the floor gives way; its least part, or nothing would come back.
-pub(super) const SUCCESS_WANTED: f64 = 0.7;
-pub(super) const FLOOR_LEAST: f64 = 0.3;
-/// Answers that are needed to judge by.
-const LEARN_LEAST: f64 = 4.0;
-/// Answer time in unloaded ones at which calls in flight are what capacity takes; at which all are refused.
-pub(super) const INFLIGHT_FULL: f64 = 1.6;
-pub(super) const INFLIGHT_MOST: f64 = 2.2;
-/// Growth per cycle of what counts as the unloaded answer time, which is the least mean seen of late.
-const UNLOADED_UP: f64 = 0.02;
-/// Capacity stays within this multiple of the peak lately admitted; what a cycle keeps of that and the like.
-const CAPACITY_ROOM: f64 = 2.0;
-pub(super) const CYCLE_KEPT: f64 = 0.95;
+const INITIAL_MULTIPLE_BELOW: f64 = 4.0;
+/// Capacity before anything was learned where no quotas are stated: calls per cycle.
+const INITIAL_UNSTATED: f64 = 1000.0;
+/// Least quota of an instance: calls per cycle.
+const MIN_QUOTA: f64 = 0.1;
+/// Growth of capacity per cycle when no response is late.
+const CAPACITY_GROWTH: f64 = 0.2;
+/// Fall of capacity per cycle for each unit of lateness.
+const CAPACITY_FALL: f64 = 0.6;
+/// Largest fall of capacity in one cycle.
+const MAX_CAPACITY_FALL: f64 = 0.35;
+/// Part of responses in time below which the floor gives way.
+pub(super) const MIN_SUCCESS: f64 = 0.7;
+/// Least part of the floor, or nothing would return.
+pub(super) const MIN_FLOOR: f64 = 0.3;
+/// Responses that are needed to judge by.
+const MIN_RESPONSES: f64 = 4.0;
+/// Response time in unloaded ones at which calls in flight are what capacity takes.
+pub(super) const IN_FLIGHT_FULL: f64 = 1.6;
+/// Response time in unloaded ones at which all requests are refused.
+pub(super) const MAX_IN_FLIGHT: f64 = 2.2;
+/// Growth per cycle of what counts as the unloaded response time, which is the least mean seen of late.
+const UNLOADED_GROWTH: f64 = 0.02;
+/// Capacity stays within this multiple of the peak lately admitted.
+const CAPACITY_MARGIN: f64 = 2.0;
+/// What a cycle keeps of the peak lately admitted and the like.
+pub(super) const CYCLE_DECAY: f64 = 0.95;
+
+/// A cycle that has ended.
+pub(super) struct CycleEnd {
+    /// Requests that were admitted.
+    pub admitted: f64,
+    /// The part of its length that it lasted.
+    pub part: f64,
+    /// Whether it lasted long enough to judge by.
+    pub complete: bool,
+    /// Whether requests within their limits were refused.
+    pub refused_within_limit: bool,
+}
 
 impl Capacity {
-    pub(crate) fn new(s: &Settings) -> Self {
-        let quota: f64 =
-            s.tenants.iter().map(|t| t.quota_per_s).sum::<f64>() / f64::from(s.balancers);
-        // Starting above its quotas, the first tier crowded the servers at once. Tiers below start with more
-        // room, as a refusal there wastes the work done above; not with more for upstreams in slow start.
-        let start = if s.stage == 0 { 1.0 } else { START_BELOW };
-        let stated = start * quota * CYCLE / 1000.0;
+    pub(crate) fn new(settings: &Settings) -> Self {
+        let tenants = settings.tenants.iter();
+        let balancers = f64::from(settings.balancers);
+        let quota_per_s = tenants.map(|tenant| tenant.quota_per_s).sum::<f64>() / balancers;
+        // Starting above its quotas, the first tier overloaded the servers at once. Tiers below start with more
+        // capacity, as a refusal there wastes the work done above; not with more for upstreams in slow start.
+        let is_first_tier = settings.stage == 0;
+        let multiple = if is_first_tier {
+            1.0
+        } else {
+            INITIAL_MULTIPLE_BELOW
+        };
+        let stated = multiple * quota_per_s * CYCLE / 1000.0;
         // Quotas count clients' requests: tiers below get several calls for one.
-        let quotas = if s.stage == 0 {
-            stated * f64::from(s.balancers)
+        let total_quota = if is_first_tier {
+            stated * balancers
         } else {
             0.0
         };
         // Without stated quotas nothing is known: the first cycle refuses no one and shows what is carried.
-        let capacity = if stated > 0.0 { stated } else { 1000.0 };
-        let objective = s.mean_objective();
-        let (recent, peak, unloaded) = (stated / start, stated, objective / 4.0);
-        let load = Load {
-            capacity,
-            recent,
-            peak,
-            unloaded,
-            success: 1.0,
-            uncrowded: 1.0,
-            served: 0.0,
+        let capacity = if stated > 0.0 {
+            stated
+        } else {
+            INITIAL_UNSTATED
         };
-        let quota = (quota * CYCLE / 1000.0).max(0.1);
-        let (listed, usable, timely) = (1.0, 1.0, TIMELY * objective);
+        let objective = settings.mean_objective();
         Capacity {
-            load,
-            quota,
-            quotas,
-            listed,
-            usable,
-            timely,
+            load: Load {
+                capacity,
+                recent: stated / multiple,
+                peak: stated,
+                unloaded: objective / 4.0,
+                success: 1.0,
+                uncrowded: 1.0,
+                served: 0.0,
+            },
+            even_quota: (quota_per_s * CYCLE / 1000.0).max(MIN_QUOTA),
+            total_quota,
+            listed: 1.0,
+            usable: 1.0,
+            timely: TIMELY * objective,
             ..Capacity::default()
         }
     }
 
-    /// The unloaded answer time is the least mean of late, let up only while most answers are in time.
-    pub(crate) fn note_latency(&mut self, latency: Millis) {
-        let up = if self.load.success < SUCCESS_WANTED {
+    /// Records the mean response time. The unloaded one is the least mean of late, let up only while most responses
+    /// are in time.
+    pub(crate) fn record_response_time(&mut self, mean: Millis) {
+        let load = &mut self.load;
+        let growth = if load.success < MIN_SUCCESS {
             1.0
         } else {
-            1.0 + UNLOADED_UP
+            1.0 + UNLOADED_GROWTH
         };
-        self.load.unloaded = (self.load.unloaded * up).min(latency);
-        // Crowded servers stay slow: the floor gives way, and comes back in steps, or so would the crowd.
-        if latency > INFLIGHT_MOST * self.load.unloaded {
-            self.load.uncrowded *= 1.0 - CAPACITY_FALL;
-        } else if latency < INFLIGHT_FULL * self.load.unloaded {
-            self.load.uncrowded *= 1.0 + CAPACITY_UP;
+        load.unloaded = (load.unloaded * growth).min(mean);
+        // Overloaded servers stay slow: the floor gives way, and returns in steps, or so would the overload.
+        if mean > MAX_IN_FLIGHT * load.unloaded {
+            load.uncrowded *= 1.0 - MAX_CAPACITY_FALL;
+        } else if mean < IN_FLIGHT_FULL * load.unloaded {
+            load.uncrowded *= 1.0 + CAPACITY_GROWTH;
         }
-        self.load.uncrowded = self.load.uncrowded.clamp(FLOOR_LEAST, 1.0);
+        load.uncrowded = load.uncrowded.clamp(MIN_FLOOR, 1.0);
     }
 
-    /// Books what was admitted in a cycle that lasted `part` of its length.
-    pub(crate) fn end_cycle(&mut self, admitted: f64, part: f64, crowded: bool) {
-        self.load.recent += if part > 0.0 {
-            part * DEMAND_GAIN * (admitted / part - self.load.recent)
+    /// Updates what was admitted of late, and adapts the capacity after a complete cycle.
+    pub(super) fn end_cycle(&mut self, cycle: &CycleEnd) {
+        let per_cycle = cycle.admitted / cycle.part;
+        if cycle.part > 0.0 {
+            self.load.recent += cycle.part * DEMAND_GAIN * (per_cycle - self.load.recent);
+        }
+        if !cycle.complete {
+            return;
+        }
+        self.load.peak = per_cycle.max(self.load.peak * CYCLE_DECAY);
+        self.adapt(per_cycle);
+        // More is lent than can be carried: back to that, so that limits decide who is refused.
+        let carried = if cycle.refused_within_limit {
+            per_cycle
         } else {
-            0.0
+            f64::INFINITY
         };
-        if part >= 0.5 {
-            self.load.peak = (admitted / part).max(self.load.peak * CYCLE_KEPT);
-            self.adapt(admitted / part);
-            // More is lent than can be carried: back to that, so that limits decide who is refused.
-            let most = if crowded {
-                admitted / part
-            } else {
-                f64::INFINITY
-            };
-            let most = most.min(self.load.peak * CAPACITY_ROOM + 1.0);
-            self.load.capacity = self.load.capacity.min(most).max(self.floor());
-            if self.load.served > 0.0 && self.quotas > 0.0 {
-                // Past the quotas little is gained, and what copies learn in quiet times tips all in a burst.
-                self.load.capacity = self.load.capacity.min(self.share() * (1.0 + CAPACITY_UP));
-            }
+        let max = carried.min(self.load.peak * CAPACITY_MARGIN + 1.0);
+        self.load.capacity = self.load.capacity.min(max).max(self.floor());
+        if self.knows_served() {
+            // Past the quotas little is gained, and what instances learn in quiet times overloads all in a burst.
+            let max = self.quota_share() * (1.0 + CAPACITY_GROWTH);
+            self.load.capacity = self.load.capacity.min(max);
         }
     }
 
-    /// Least capacity, or lateness would cut it to nothing: the quotas, as far as answers and upstreams let.
+    /// Whether it is known how much of the stated quotas all instances together get served.
+    fn knows_served(&self) -> bool {
+        self.load.served > 0.0 && self.total_quota > 0.0
+    }
+
+    /// Least capacity, or lateness would cut it to nothing: the quotas, as far as responses and upstreams let.
     fn floor(&self) -> f64 {
-        let success = (self.load.success / SUCCESS_WANTED).clamp(FLOOR_LEAST, self.load.uncrowded);
-        self.share() * self.usable * success
+        let success = (self.load.success / MIN_SUCCESS).clamp(MIN_FLOOR, self.load.uncrowded);
+        self.quota_share() * self.usable * success
     }
 
-    /// This balancer's part of the quotas: an even one, or more where clients ask more of it than of others.
-    fn share(&self) -> f64 {
+    /// This instance's part of the quotas: an even one, or more where clients send it more than others.
+    fn quota_share(&self) -> f64 {
         let part = if self.load.served > 0.0 {
             (self.load.recent / self.load.served).min(1.0)
         } else {
             0.0
         };
-        self.quota.max(self.quotas * part)
+        self.even_quota.max(self.total_quota * part)
     }
 
-    pub(crate) fn note_served(&mut self, served: Option<f64>) {
+    /// Records how many calls per cycle all instances together get served, as far as that is known.
+    pub(crate) fn record_served(&mut self, served: Option<f64>) {
         let before = if self.load.served > 0.0 {
             self.load.served
         } else {
-            self.quotas
+            self.total_quota
         };
         self.load.served = served.map_or(0.0, |served| before + DEMAND_GAIN * (served - before));
     }
 
     /// What the upstreams carry per cycle for this balancer when all is well, though an overload admits less.
-    /// More balancers than stated get less each: by what is served in all, else by what each is asked.
-    pub(crate) fn carried(&self, asked: f64) -> f64 {
-        let (carried, served) = (
-            self.load.recent * self.load.success.max(FLOOR_LEAST),
-            self.load.served,
-        );
-        let (told, even) = (
-            served > 0.0 && self.quotas > 0.0,
-            self.quota.min(CAPACITY_ROOM * asked),
-        );
-        let part = if told {
-            self.quotas * (carried / served).min(1.0)
+    /// More balancers than stated get less each: by what is served in all, else by the demand on each.
+    pub(crate) fn carried(&self, demand: f64) -> f64 {
+        let carried = self.load.recent * self.load.success.max(MIN_FLOOR);
+        let quota = if self.knows_served() {
+            self.total_quota * (carried / self.load.served).min(1.0)
         } else {
-            even
+            self.even_quota.min(CAPACITY_MARGIN * demand)
         };
-        carried.max(part * self.listed)
+        carried.max(quota * self.listed)
     }
 
-    /// Takes note of how late an answer was.
-    pub(crate) fn learn(&mut self, lateness: f64) {
-        self.in_time += f64::from(u8::from(lateness < 1.0));
+    /// Records how late a response was.
+    pub(crate) fn record_lateness(&mut self, lateness: f64) {
+        if lateness < 1.0 {
+            self.in_time += 1.0;
+        }
         self.lateness += lateness;
-        self.answers += 1.0;
+        self.responses += 1.0;
     }
 
-    /// Moves the learned capacity: up the more the sooner answers come; down beyond the tail that always is.
+    /// Moves the learned capacity: up the more the sooner responses come; down beyond the tail that always is.
     fn adapt(&mut self, admitted: f64) {
-        if self.answers < LEARN_LEAST {
+        if self.responses < MIN_RESPONSES {
             return;
         }
-        let mean = self.lateness / self.answers;
-        self.load.success += DEMAND_GAIN * (self.in_time / self.answers - self.load.success);
-        if mean > LATENESS_REST {
-            let fall = (CAPACITY_DOWN * (mean - LATENESS_REST)).min(CAPACITY_FALL);
-            self.load.capacity = (self.load.capacity * (1.0 - fall)).max(self.floor());
+        let mean = self.lateness / self.responses;
+        let load = &mut self.load;
+        load.success += DEMAND_GAIN * (self.in_time / self.responses - load.success);
+        if mean > STEADY_LATENESS {
+            let fall = (CAPACITY_FALL * (mean - STEADY_LATENESS)).min(MAX_CAPACITY_FALL);
+            let lowered = load.capacity * (1.0 - fall);
+            self.load.capacity = lowered.max(self.floor());
         } else {
-            // What was admitted and answered in time was within capacity, whatever was learned before.
-            self.load.capacity = self.load.capacity.max(admitted)
-                * (1.0 + CAPACITY_UP * (1.0 - mean / LATENESS_REST));
+            // What was admitted and served in time was within capacity, whatever was learned before.
+            let growth = 1.0 + CAPACITY_GROWTH * (1.0 - mean / STEADY_LATENESS);
+            load.capacity = load.capacity.max(admitted) * growth;
         }
-        (self.lateness, self.in_time, self.answers) = (0.0, 0.0, 0.0);
+        self.lateness = 0.0;
+        self.in_time = 0.0;
+        self.responses = 0.0;
     }
 }
 
-/// How late an answer is that took `part` of its class's objective.
-pub(super) fn lateness(part: f64) -> f64 {
-    ((part - TIMELY) / (1.0 - TIMELY)).clamp(0.0, LATENESS_MOST)
+/// How late a response is that took `relative` of its class's objective.
+pub(super) fn lateness(relative: f64) -> f64 {
+    ((relative - TIMELY) / (1.0 - TIMELY)).clamp(0.0, MAX_LATENESS)
 }
--- a/balancer/core/src/policy/ejection.rs
+++ b/balancer/core/src/policy/ejection.rs
@@ -1,199 +1,252 @@
-//! Owns how upstreams fail, hang and crowd: decides which are taken out, and for how long.
-use super::{limits::CYCLE, subset::SUBSET_LEAST, tier::WORD_KEPT};
+//! Decides which upstreams are ejected as outliers, and for how long, from how their calls end.
+use super::tier::UPDATE_VALID_FOR;
 use crate::{interface::*, state::*};
 
 /// Smoothing of an upstream's failures, per outcome.
-const FAIL_GAIN: f64 = 0.25;
-/// An upstream is ejected when its failures exceed this and this multiple of the whole list's.
-const EJECT_AT: f64 = 0.4;
-const EJECT_RATIO: f64 = 2.0;
-/// Failures but hanging eject no more than this part, yet one: they may come from elsewhere; the rest crowds.
-const EJECT_PART: f64 = 1.0 / 3.0;
-/// First ejection lasts this long, each further one as much longer, up to the most.
-const EJECT_BASE: Millis = 2000.0;
-pub(super) const EJECT_MOST: Millis = 16_000.0;
-/// An upstream with calls out that has not answered for this many mean answer times counts as hung.
-const SILENT_FACTOR: f64 = 6.0;
-const SILENT_LEAST: Millis = 300.0;
-/// Smoothing of an upstream's own answer time.
-const ANSWER_GAIN: f64 = 0.2;
-/// Crowded is who says it holds this multiple of what others say and this many more; for how long; smoothing.
-const CROWDED_AT: f64 = 1.5;
-const CROWDED_SPARE: f64 = 2.0;
-const SAID_KEPT: Millis = 2000.0;
-const SAID_GAIN: f64 = 0.05;
+const FAILURE_GAIN: f64 = 0.25;
+/// Smoothing of the failures of all upstreams, per outcome.
+const FLEET_FAILURE_GAIN: f64 = 0.02;
+/// An upstream is ejected when its failures exceed this and `EJECTION_RATIO`.
+const EJECTION_FAILURE_RATE: f64 = 0.4;
+/// Multiple of the failures of all upstreams that one must exceed to be ejected.
+const EJECTION_RATIO: f64 = 2.0;
+/// Part of upstreams that failures other than hanging eject at most, yet one: they may come from elsewhere, and the
+/// rest gets overloaded.
+const MAX_EJECTED_PART: f64 = 1.0 / 3.0;
+/// Outcomes that are needed to eject by.
+const MIN_OUTCOMES: u32 = 3;
+/// The first ejection lasts this long, each further one as much longer.
+const BASE_EJECTION: Millis = 2000.0;
+pub(super) const MAX_EJECTION: Millis = 16_000.0;
+/// An upstream with calls in flight that has not responded for this many mean response times is unresponsive.
+const UNRESPONSIVE_FACTOR: f64 = 6.0;
+const MIN_UNRESPONSIVE: Millis = 300.0;
+/// Smoothing of an upstream's own response time.
+const SLOWNESS_GAIN: f64 = 0.2;
+
+/// A call that ended.
+pub(super) struct CallEnd {
+    /// Slot of its upstream.
+    pub slot: usize,
+    /// How long its connection may have been idle.
+    pub idle_step: usize,
+    pub ending: Ending,
+    pub duration: Millis,
+    /// The part of the class's objective that it took.
+    pub relative: f64,
+}
+
+impl CallEnd {
+    /// Whether it got no response, though it may have been received.
+    fn is_lost(&self) -> bool {
+        matches!(self.ending, Ending::Timeout | Ending::Reset)
+    }
+
+    /// Whether it ended before it could get a response.
+    fn is_aborted(&self) -> bool {
+        matches!(self.ending, Ending::Cancelled | Ending::ConnectFailed)
+    }
+}
 
 impl Fleet {
-    /// Whether its zone is left.
-    pub(crate) fn left(&self, i: usize) -> bool {
-        self.zones.left(self.slots[i].member.zone)
+    /// Whether the upstream's zone is ejected.
+    pub(crate) fn is_in_ejected_zone(&self, slot: usize) -> bool {
+        self.zones.is_ejected(self.slots[slot].endpoint.zone)
     }
 
-    /// Whether a call is lost, though its time-out tells of it too late.
-    pub(crate) fn lost(
-        &self,
-        (_, i, sent, rest): (u32, usize, Millis, usize),
-        now: Millis,
-    ) -> bool {
-        self.left(i) || (now - sent >= self.answers.patience() && self.rested.dropped(rest))
+    /// Whether a call counts as lost, though its timeout tells of it too late.
+    pub(crate) fn is_lost(&self, attempt: &InFlightAttempt, now: Millis) -> bool {
+        let overdue = now - attempt.sent_at >= self.response_times.overdue_after();
+        self.is_in_ejected_zone(attempt.slot)
+            || (overdue && self.idle_connections.are_dropped(attempt.idle_step))
     }
 
-    /// Whether an upstream owes answers and has given none for far longer than answers take elsewhere.
-    pub(crate) fn silent(&self, i: usize, now: Millis) -> bool {
-        let u = &self.slots[i];
-        u.inflight > 0
-            && now - u.silent_since > (SILENT_FACTOR * self.answers.latency).max(SILENT_LEAST)
+    /// Whether an upstream owes responses and has given none for far longer than responses take elsewhere.
+    pub(crate) fn is_unresponsive(&self, slot: usize, now: Millis) -> bool {
+        let upstream = &self.slots[slot];
+        let bound = (UNRESPONSIVE_FACTOR * self.response_times.mean).max(MIN_UNRESPONSIVE);
+        upstream.in_flight > 0 && now - upstream.unanswered_since > bound
     }
 
-    /// Books how an attempt ended, after which part of its objective. Tells whether it is its own fault.
-    pub(crate) fn ended(
+    /// Records how a call ended, and ejects its upstream if need be. Returns whether the upstream is at fault.
+    pub(super) fn on_call_end(
         &mut self,
-        at: (usize, usize),
-        how: (Ending, Millis, f64),
+        call: &CallEnd,
         now: Millis,
         tier: &Tier,
         rng: &mut Rng,
     ) -> bool {
-        let ((i, rest), (ending, duration, part)) = (at, how);
+        let overdue_after = self.response_times.overdue_after();
+        let upstream = &mut self.slots[call.slot];
         self.zones
-            .note(&mut self.slots[i], ending, self.answers.patience(), now);
-        let hung = ending == Ending::Timeout && self.silent(i, now);
-        // Neither is the doing of a tier behind, nor does it matter how many others fail.
-        let alone = hung || ending == Ending::ConnectFailed;
-        let lost = matches!(ending, Ending::Timeout | Ending::Reset);
-        let cut = matches!(ending, Ending::Cancelled | Ending::ConnectFailed);
-        if !cut && ending != Ending::Moot {
-            self.rested.note_lost(rest, lost);
+            .on_call_end(upstream, call.ending, overdue_after, now);
+        let hung = call.ending == Ending::Timeout && self.is_unresponsive(call.slot, now);
+        if !call.is_aborted() && call.ending != Ending::Moot {
+            self.idle_connections
+                .record_call(call.idle_step, call.is_lost());
         }
-        let ejected = self
-            .by_id
-            .values()
-            .filter(|&&k| now < self.slots[k].health.ejected_until)
-            .count();
-        let room = hung || ejected < ((self.subset.ready as f64 * EJECT_PART) as usize).max(1);
-        let u = &mut self.slots[i];
-        u.ended(lost || cut, now);
-        if matches!(ending, Ending::Cancelled | Ending::Moot) {
+        let may_eject = hung || self.ejected(now) < self.max_ejected();
+        let upstream = &mut self.slots[call.slot];
+        let connection = if call.is_lost() || call.is_aborted() {
+            ConnectionFate::Closed
+        } else {
+            ConnectionFate::Reusable
+        };
+        upstream.on_call_end(connection, now);
+        if matches!(call.ending, Ending::Cancelled | Ending::Moot) {
             return false;
         }
-        let failed = ending != Ending::Ok;
-        u.silent_since = if ending != Ending::Timeout {
-            now
+        if call.ending != Ending::Timeout {
+            upstream.unanswered_since = now;
+        }
+        self.record_slowness(call);
+        self.judge(call, hung, may_eject, now, tier, rng)
+    }
+
+    /// Upstreams that are ejected now.
+    fn ejected(&self, now: Millis) -> usize {
+        self.by_id
+            .values()
+            .filter(|&&slot| now < self.slots[slot].health.ejected_until)
+            .count()
+    }
+
+    /// Upstreams that failures other than hanging may eject.
+    fn max_ejected(&self) -> usize {
+        ((self.subset.ready as f64 * MAX_EJECTED_PART) as usize).max(1)
+    }
+
+    fn record_slowness(&mut self, call: &CallEnd) {
+        let upstream = &mut self.slots[call.slot];
+        let kind = upstream.endpoint.kind;
+        let slowness = if call.ending == Ending::Ok {
+            self.response_times
+                .record_response(kind, call.duration, call.relative)
         } else {
-            u.silent_since
+            self.response_times.record_failure(kind, call.relative)
         };
-        let took = self.answers.note(u.member.kind, !failed, duration, part);
-        u.health.slowness += ANSWER_GAIN * (took - u.health.slowness);
-        self.near.note_took(u.member.zone, took);
-        let (bad, h) = (f64::from(u8::from(failed)), &mut u.health);
-        // Who takes work and answers nothing while others answer need not be waited for until more time out.
-        h.fails = if hung {
+        upstream.health.slowness += SLOWNESS_GAIN * (slowness - upstream.health.slowness);
+        self.locality
+            .record_slowness(upstream.endpoint.zone, slowness);
+    }
+
+    /// Records a success or failure, and ejects the upstream if need be. Returns whether it is at fault.
+    fn judge(
+        &mut self,
+        call: &CallEnd,
+        hung: bool,
+        may_eject: bool,
+        now: Millis,
+        tier: &Tier,
+        rng: &mut Rng,
+    ) -> bool {
+        let upstream = &mut self.slots[call.slot];
+        let failed = call.ending != Ending::Ok;
+        // Neither is the doing of a tier behind, nor does it matter how many others fail.
+        let certain = hung || call.ending == Ending::ConnectFailed;
+        let failure = f64::from(u8::from(failed));
+        let health = &mut upstream.health;
+        // One that takes work and does not respond while others do need not be waited for until more time out.
+        health.fails = if hung {
             1.0
         } else {
-            h.fails + FAIL_GAIN * (bad - h.fails)
+            health.fails + FAILURE_GAIN * (failure - health.fails)
+        };
+        health.outcomes += 1;
+        // The fleet's rate counts all: where most fail, it is no fault of each one's own.
+        self.failure_rate += FLEET_FAILURE_GAIN * (failure - self.failure_rate);
+        // Others observe the same: one's own first failure will do, unless it responded here of late.
+        let no_recent_success = upstream
+            .last_success
+            .is_none_or(|at| now - at > UPDATE_VALID_FOR);
+        let subject = Subject::Upstream(upstream.endpoint.id);
+        let corroborated = no_recent_success && tier.corroborates(subject, now);
+        if !failed {
+            upstream.last_success = Some(now);
+        }
+        let bound = if corroborated {
+            EJECTION_FAILURE_RATE / 2.0
+        } else {
+            EJECTION_FAILURE_RATE
         };
-        h.outcomes += 1;
-        // The fleet's figure counts all: where most fail, it is no fault of each one's own.
-        self.fails += 0.02 * (bad - self.fails);
-        // Others say the same: one's own first failure will do, unless it answered here of late.
-        let silent = u.ok_at.is_none_or(|at| now - at > WORD_KEPT);
-        let backed = silent && tier.backs(Subject::Upstream(u.member.id), now);
-        u.ok_at = if failed { u.ok_at } else { Some(now) };
-        let at = if backed { EJECT_AT / 2.0 } else { EJECT_AT };
-        let own = h.fails > at && (alone || h.fails > EJECT_RATIO * self.fails);
-        if !failed && now >= h.ejected_until && h.fails < EJECT_AT / 2.0 {
-            h.ejections = 0;
+        let stands_out = certain || health.fails > EJECTION_RATIO * self.failure_rate;
+        let at_fault = health.fails > bound && stands_out;
+        let is_ejected = now < health.ejected_until;
+        if !failed && !is_ejected && health.fails < EJECTION_FAILURE_RATE / 2.0 {
+            health.ejections = 0;
         }
-        if failed && own && room && (alone || backed || h.outcomes >= 3) && now >= h.ejected_until {
-            // A server that fails fast holds few calls and would win every comparison: take it out.
-            let length = (EJECT_BASE * f64::from(h.ejections + 1)).min(EJECT_MOST);
-            h.ejected_until = now + length * (0.75 + 0.5 * unit(rng));
-            h.ejections += 1;
-            h.lost_until = if ending == Ending::Error {
-                h.lost_until
-            } else {
-                h.ejected_until
-            };
-            // One more failure after its return ejects it again.
-            h.fails = EJECT_AT;
+        let enough_evidence = certain || corroborated || health.outcomes >= MIN_OUTCOMES;
+        if failed && at_fault && may_eject && enough_evidence && !is_ejected {
+            eject(health, call.ending, now, rng);
         }
-        own
+        at_fault
     }
 
-    /// Whether it answers nothing, or has answered since. Errors do not tell: they may come from behind.
-    pub(crate) fn evidence(&self, i: usize, now: Millis) -> Option<bool> {
-        // Every ejection begins at this part of failures: less tells of an answer.
-        let (h, answered) = (&self.slots[i].health, self.slots[i].health.fails < EJECT_AT);
-        let told =
-            h.lost_until > 0.0 && now < h.lost_until + if answered { EJECT_MOST } else { 0.0 };
-        self.silent(i, now)
-            .then_some(true)
-            .or(told.then_some(!answered))
+    /// What this instance observes of an upstream. Errors do not count: they may come from behind.
+    pub(crate) fn finding(&self, slot: usize, now: Millis) -> Option<Finding> {
+        if self.is_unresponsive(slot, now) {
+            return Some(Finding::Unresponsive);
+        }
+        let health = &self.slots[slot].health;
+        if health.lost_until <= 0.0 {
+            return None;
+        }
+        // Every ejection begins at this failure rate: less tells of a response.
+        if health.fails < EJECTION_FAILURE_RATE {
+            (now < health.lost_until + MAX_EJECTION).then_some(Finding::Cleared)
+        } else {
+            (now < health.lost_until).then_some(Finding::Unresponsive)
+        }
     }
 
-    /// What others have ejected too stays out, until one is answered or by chance it is the own turn.
-    pub(crate) fn hold(
+    /// Extends the ejection of what others have ejected too, until one of them gets a response or by chance it is this
+    /// instance's turn to try. `since_last` is the time since this was last done.
+    pub(crate) fn extend_ejections(
         &mut self,
         tier: &Tier,
-        s: &Settings,
-        (since, now): (Millis, Millis),
+        settings: &Settings,
+        since_last: Millis,
+        now: Millis,
         rng: &mut Rng,
     ) {
-        for u in self
-            .slots
-            .iter_mut()
-            .filter(|u| u.health.lost_until > now && tier.word(now).is_some())
-        {
-            let (h, (first, then)) = (
-                &mut u.health,
-                tier.wait(Subject::Upstream(u.member.id), s, now),
-            );
-            if first > 1.0 {
-                let turn = unit(rng) * EJECT_BASE * then < since;
-                let until = if turn {
+        if tier.current(now).is_none() {
+            return;
+        }
+        for upstream in &mut self.slots {
+            let health = &mut upstream.health;
+            if health.lost_until <= now {
+                continue;
+            }
+            let pauses = tier.trial_pauses(Subject::Upstream(upstream.endpoint.id), settings, now);
+            if pauses.first > 1.0 {
+                let is_turn = random_unit(rng) * BASE_EJECTION * pauses.repeated < since_last;
+                let until = if is_turn {
                     now
                 } else {
-                    h.ejected_until.max(now + WORD_KEPT)
+                    health.ejected_until.max(now + UPDATE_VALID_FOR)
                 };
-                (h.ejected_until, h.lost_until) = (until, until);
+                health.ejected_until = until;
+                health.lost_until = until;
             }
         }
     }
 
-    /// Whether it is ejected, silent or crowded.
-    pub(crate) fn out(&self, i: usize, now: Millis) -> bool {
-        now < self.slots[i].health.ejected_until || self.silent(i, now) || self.crowded(i, now)
-    }
-
-    /// Takes note of what an upstream says it holds.
-    pub(crate) fn said(&mut self, id: UpstreamId, held: f64, now: Millis) {
-        if let Some(&i) = self.by_id.get(&id).filter(|_| held.is_finite()) {
-            (self.slots[i].held, self.slots[i].held_at) = (held, now);
-            self.held += SAID_GAIN * (held - self.held);
-            self.near.note_said(self.slots[i].member.zone, held);
-        }
-    }
-
-    /// Calls per cycle that all copies together get served, by what upstreams have said of late.
-    pub(crate) fn served_by_all(&self, now: Millis) -> Option<f64> {
-        let up = |u: &&Upstream| {
-            u.member.availability == Availability::Ready && now >= u.health.lost_until
-        };
-        let up: Vec<&Upstream> = self
-            .by_id
-            .values()
-            .map(|&i| &self.slots[i])
-            .filter(up)
-            .collect();
-        let heard = |u: &&&Upstream| u.served > 0.0 && now - u.served_at < SAID_KEPT;
-        let heard: Vec<f64> = up.iter().filter(heard).map(|u| u.served).collect();
-        let mean = heard.iter().sum::<f64>() / heard.len() as f64;
-        (heard.len() >= SUBSET_LEAST / 2).then_some(mean * up.len() as f64 * CYCLE / 1000.0)
+    /// Whether it is ejected, unresponsive or overloaded.
+    pub(crate) fn is_excluded(&self, slot: usize, now: Millis) -> bool {
+        now < self.slots[slot].health.ejected_until
+            || self.is_unresponsive(slot, now)
+            || self.is_overloaded(slot, now)
     }
+}
 
-    /// Whether it said of late that it holds far more than others do, of one call each of many balancers.
-    pub(crate) fn crowded(&self, i: usize, now: Millis) -> bool {
-        let u = &self.slots[i];
-        now - u.held_at < SAID_KEPT && u.held > CROWDED_AT * self.held + CROWDED_SPARE
+/// Ejects an upstream. One that fails fast has few calls in flight and would win every comparison.
+fn eject(health: &mut Health, ending: Ending, now: Millis, rng: &mut Rng) {
+    let length = (BASE_EJECTION * f64::from(health.ejections + 1)).min(MAX_EJECTION);
+    health.ejected_until = now + length * (0.75 + 0.5 * random_unit(rng));
+    health.ejections += 1;
+    if ending != Ending::Error {
+        health.lost_until = health.ejected_until;
     }
+    // One more failure after its return ejects it again.
+    health.fails = EJECTION_FAILURE_RATE;
 }
--- /dev/null
+++ b/balancer/core/src/policy/endpoints.rs
@@ -0,0 +1,110 @@
+//! Applies updates of the endpoint list, and counts the upstreams in it.
+use crate::{interface::*, state::*};
+
+/// Upstreams as parts of the most ready ones there were.
+pub(super) struct UpstreamCounts {
+    /// Listed as ready.
+    pub listed: f64,
+    /// Usable, each by its slow-start weight.
+    pub usable: f64,
+}
+
+impl Fleet {
+    pub(crate) fn new(settings: &Settings) -> Self {
+        Fleet {
+            subset: Subset::new(settings),
+            response_times: ResponseTimes::new(settings),
+            locality: Locality::new(settings),
+            ..Fleet::default()
+        }
+    }
+
+    /// Applies an update of the endpoint list.
+    pub(crate) fn apply(
+        &mut self,
+        update: EndpointUpdate,
+        settings: &Settings,
+        now: Millis,
+        rng: &mut Rng,
+    ) {
+        let Some((endpoints, is_full)) = update.members() else {
+            return;
+        };
+        if is_full {
+            self.remove_unlisted(&endpoints);
+        }
+        for endpoint in endpoints {
+            self.apply_endpoint(endpoint, now, rng);
+        }
+        for slot in 0..self.slots.len() {
+            self.free_if_removed(slot);
+        }
+        self.choose_subset(settings);
+    }
+
+    fn apply_endpoint(&mut self, endpoint: Endpoint, now: Millis, rng: &mut Rng) {
+        let known = self.by_id.get(&endpoint.id).copied();
+        let same_start = |&slot: &usize| self.slots[slot].endpoint.since == endpoint.since;
+        if let Some(slot) = known.filter(same_start) {
+            self.slots[slot].endpoint = endpoint;
+        } else if known.is_some() || endpoint.availability != Availability::Removed {
+            let slot = self.slot_for(endpoint.id);
+            // Restarted under its old id it is in slow start again, and its old failures are forgotten.
+            self.slots[slot] = Upstream {
+                endpoint,
+                in_flight: known.map_or(0, |slot| self.slots[slot].in_flight),
+                health: Health {
+                    slowness: 1.0,
+                    ..Health::default()
+                },
+                // Hundreds of instances must not each send their first call at once: start in random phase.
+                slow_start_tokens: random_unit(rng),
+                slow_start_tokens_at: now,
+                idle_since: now,
+                unanswered_since: now,
+                ..Upstream::default()
+            };
+        }
+    }
+
+    /// Lets the subset follow the traffic.
+    pub(crate) fn resize_subset(&mut self, settings: &Settings, calls_per_cycle: f64) {
+        let mean = self.response_times.mean;
+        if let Some(size) = self.subset.new_size(mean, settings, calls_per_cycle) {
+            self.subset.max_members = size;
+            self.choose_subset(settings);
+        }
+    }
+
+    fn choose_subset(&mut self, settings: &Settings) {
+        self.subset
+            .choose(&self.slots, &self.by_id, self.locality.local_zone, settings);
+    }
+
+    /// Counts the ready upstreams, and the usable ones.
+    pub(super) fn count(&mut self, settings: &Settings, now: Millis) -> UpstreamCounts {
+        let mut ready_weight = 0.0;
+        let mut usable_weight = 0.0;
+        for &slot in self.by_id.values() {
+            let upstream = &self.slots[slot];
+            if upstream.endpoint.availability != Availability::Ready {
+                continue;
+            }
+            let weight = upstream.slow_start_weight(settings, now);
+            ready_weight += weight;
+            // Errors eject too, but may come from behind and do not show that it can carry nothing.
+            let lost = now < upstream.health.lost_until
+                || self.is_unresponsive(slot, now)
+                || self.is_overloaded(slot, now);
+            if !lost {
+                usable_weight += weight * (1.0 - self.zones.diverted(upstream.endpoint.zone));
+            }
+        }
+        self.max_ready = self.max_ready.max(ready_weight);
+        let max_ready = self.max_ready.max(0.1);
+        UpstreamCounts {
+            listed: (self.subset.ready as f64 / max_ready).min(1.0),
+            usable: usable_weight / max_ready,
+        }
+    }
+}
--- /dev/null
+++ b/balancer/core/src/policy/events.rs
@@ -0,0 +1,214 @@
+//! Takes every event and timer of an instance to the part that it is for.
+use super::{capacity::MIN_SUCCESS, limits::CYCLE, requests::MAX_RETRY_BUDGET};
+use crate::{interface::*, state::*};
+
+/// First pause before the endpoint list is requested again after a failure; it doubles.
+const MIN_SUBSCRIBE_BACKOFF: Millis = 250.0;
+/// Longest such pause, or a third of [`Settings::subscribe_timeout`].
+const MAX_SUBSCRIBE_BACKOFF: Millis = 2000.0;
+/// Zones are judged this often.
+const ZONE_INTERVAL: Millis = 100.0;
+
+const TIMER_CYCLE: u32 = 0;
+const TIMER_SUBSCRIBE: u32 = 1;
+const TIMER_ZONES: u32 = 2;
+
+impl Balancer {
+    /// A fresh instance that knows nothing yet. `seed` feeds its random choices.
+    ///
+    /// # Errors
+    ///
+    /// The first setting that [`Settings::validate`] refuses.
+    pub fn new(settings: Settings, seed: u64, now: Millis) -> Result<Self, SettingsError> {
+        settings.validate()?;
+        let admission = Admission::new(&settings, now);
+        let capacity = Capacity::new(&settings);
+        let mut fleet = Fleet::new(&settings);
+        fleet.resize_subset(&settings, capacity.load.peak);
+        Ok(Balancer::with_parts(
+            settings,
+            seed,
+            admission,
+            capacity,
+            fleet,
+            MAX_RETRY_BUDGET,
+        ))
+    }
+
+    /// What this instance observes, for the others of its tier.
+    pub fn observed(&mut self, now: Millis) -> Observed {
+        let capacity_per_s = self.capacity.load.capacity * 1000.0 / CYCLE;
+        let load = self.meter.load(capacity_per_s, now);
+        self.fleet
+            .observed(load, |slot| self.fleet.finding(slot, now))
+    }
+
+    /// Handles one event and appends what is to be done. `now` must not go back.
+    pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
+        let now = if now.is_finite() { now } else { 0.0 };
+        if !self.started {
+            self.start(actions);
+        }
+        match event {
+            Event::EndpointUpdate(update) => self.handle_endpoint_update(now, update, actions),
+            Event::Restored { learned, age } => self.handle_restored(now, learned, age),
+            Event::Request(request) => self.handle_request(now, &request, actions),
+            Event::Outcome {
+                request,
+                attempt,
+                ending,
+                duration,
+                closed,
+            } => {
+                let outcome = AttemptOutcome {
+                    request,
+                    attempt,
+                    ending,
+                    duration,
+                    closed,
+                };
+                self.handle_outcome(now, &outcome, actions);
+            }
+            Event::Served { upstream, per_s } => {
+                self.fleet.record_served_rate(upstream, per_s, now);
+            }
+            Event::Load { upstream, held } => {
+                self.fleet.record_reported_load(upstream, held, now);
+            }
+            Event::ClientDisconnected(id) => self.handle_client_disconnected(id, actions),
+            Event::Tier(update) => self.handle_tier_update(now, update),
+            Event::EndBy(deadline) => self.handle_end_by(deadline),
+            Event::Timer(token) => self.on_timeout(now, token, actions),
+            Event::Streaming { .. } => {}
+        }
+    }
+
+    fn start(&mut self, actions: &mut Actions) {
+        self.started = true;
+        // Instances started together must not recompute in step.
+        actions.push(Action::SetTimer {
+            after: CYCLE * (0.5 + 0.5 * random_unit(&mut self.rng)),
+            token: TIMER_CYCLE,
+        });
+        actions.push(Action::SetTimer {
+            after: ZONE_INTERVAL,
+            token: TIMER_ZONES,
+        });
+        if self.settings.subscribes {
+            actions.push(Action::Subscribe);
+        }
+    }
+
+    fn handle_endpoint_update(
+        &mut self,
+        now: Millis,
+        update: EndpointUpdate,
+        actions: &mut Actions,
+    ) {
+        if self.settings.subscribes && matches!(update, EndpointUpdate::Failed) {
+            return self.retry_subscribe(actions);
+        }
+        if !matches!(update, EndpointUpdate::Cached(_)) {
+            self.subscribe_failures = 0;
+        }
+        self.fleet.apply(update, &self.settings, now, &mut self.rng);
+        self.recount(now);
+        self.restore_saved(now);
+    }
+
+    /// Requests the endpoint list again later. The registry is one queue for all: back off with jitter, well within the
+    /// time in which the list must come.
+    fn retry_subscribe(&mut self, actions: &mut Actions) {
+        let max = (self.settings.subscribe_timeout / 3.0).min(MAX_SUBSCRIBE_BACKOFF);
+        let doubled = f64::from(1u32 << self.subscribe_failures.min(10));
+        let backoff = (MIN_SUBSCRIBE_BACKOFF * doubled).min(max);
+        self.subscribe_failures += 1;
+        actions.push(Action::SetTimer {
+            after: backoff * (0.5 + 0.5 * random_unit(&mut self.rng)),
+            token: TIMER_SUBSCRIBE,
+        });
+    }
+
+    fn handle_restored(&mut self, now: Millis, learned: Box<Learned>, age: Millis) {
+        let valid = learned.validate(&self.settings).is_ok();
+        self.saved_state = valid.then(|| SavedState {
+            learned,
+            saved_at: now - age.max(0.0),
+        });
+        self.restore_saved(now);
+    }
+
+    fn handle_client_disconnected(&mut self, id: RequestId, actions: &mut Actions) {
+        let Some(pending) = self.pending.get_mut(&id) else {
+            return;
+        };
+        pending.abandoned = true;
+        if let Some(attempt) = pending.in_flight.filter(|_| self.settings.cancel) {
+            actions.push(Action::Cancel {
+                request: id,
+                attempt: attempt.number,
+            });
+        }
+    }
+
+    fn handle_tier_update(&mut self, now: Millis, update: Box<TierUpdate>) {
+        let since_last = self.tier.handle_update(update, now);
+        self.load_shedding.handle_sums(
+            self.tier.sums(now),
+            self.capacity.total_quota,
+            &self.admission.tenants,
+        );
+        self.fleet
+            .extend_ejections(&self.tier, &self.settings, since_last, now, &mut self.rng);
+    }
+
+    fn handle_end_by(&mut self, deadline: Millis) {
+        for pending in self.pending.values_mut() {
+            pending.deadline = pending.deadline.min(deadline);
+        }
+    }
+
+    fn on_timeout(&mut self, now: Millis, token: u32, actions: &mut Actions) {
+        match token {
+            TIMER_CYCLE => self.on_cycle(now, actions),
+            TIMER_ZONES => {
+                self.judge_zones(now, actions);
+                actions.push(Action::SetTimer {
+                    after: ZONE_INTERVAL,
+                    token: TIMER_ZONES,
+                });
+            }
+            TIMER_SUBSCRIBE => actions.push(Action::Subscribe),
+            _ => {}
+        }
+    }
+
+    fn on_cycle(&mut self, now: Millis, actions: &mut Actions) {
+        self.judge_overdue(now);
+        self.capacity
+            .record_response_time(self.fleet.response_times.mean);
+        self.fleet.zones.return_by_degrees(now, actions);
+        self.recount(now);
+        self.capacity.record_served(self.fleet.served_by_all(now));
+        self.admission.end_cycle(now, &mut self.capacity);
+        let late = self.capacity.load.success < MIN_SUCCESS;
+        actions.extend(self.report_lateness(late));
+        self.fleet
+            .resize_subset(&self.settings, self.capacity.load.recent);
+        actions.push(Action::SetTimer {
+            after: CYCLE,
+            token: TIMER_CYCLE,
+        });
+    }
+
+    /// Keeps capacity in step with the upstreams there are: to unlearn what was learned with more of them
+    /// would take seconds of late responses.
+    pub(super) fn recount(&mut self, now: Millis) {
+        let counts = self.fleet.count(&self.settings, now);
+        let before = std::mem::replace(&mut self.capacity.usable, counts.usable);
+        self.capacity.listed = counts.listed;
+        if counts.usable > 0.0 && before > 0.0 {
+            self.capacity.load.capacity *= counts.usable / before;
+        }
+    }
+}
--- a/balancer/core/src/policy/pick.rs
+++ b/balancer/core/src/policy/pick.rs
@@ -4,94 +4,136 @@
 
 /// Random draws before the pick walks the list or settles for one.
 const DRAWS: usize = 6;
-/// The ratio of answer times that decides between two that hold as many calls.
-const ANSWER_RATIO: f64 = 1.25;
-/// The part of the calls that keep to the own zone for which both are drawn there; the others draw one there.
-const NEAR_BOTH: f64 = 0.2;
+/// The ratio of response times that decides between two with as many calls in flight.
+const RESPONSE_TIME_RATIO: f64 = 1.25;
+/// The part of the calls that prefer the local zone for which both are drawn there; the others draw one there.
+const BOTH_LOCAL_PART: f64 = 0.2;
+
+/// How far a call prefers the local zone.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Preference {
+    /// Not at all.
+    AnyZone,
+    /// One of the two is drawn there.
+    OneLocal,
+    /// Both are.
+    BothLocal,
+}
+
+impl Preference {
+    fn prefers_local(self) -> bool {
+        self != Preference::AnyZone
+    }
+}
 
 impl Fleet {
-    /// By own calls in flight. If these are equal (few, mostly), the one whose answers took clearly less of
-    /// late; else, if calls keep near, the one in the own zone; else the one used longest ago.
-    pub(crate) fn less_busy(&self, a: usize, b: usize, now: Millis, lean: bool) -> bool {
+    /// Whether to prefer `a` to `b`. By own calls in flight. If these are equal (few, mostly), the one whose responses
+    /// took clearly less of late; else, if the call prefers the local zone, the one there; else the one used longest
+    /// ago.
+    fn is_less_busy(&self, a: usize, b: usize, now: Millis, prefers_local: bool) -> bool {
         let (a, b) = (&self.slots[a], &self.slots[b]);
-        let near = |u: &Upstream| Some(u.member.zone) == self.near.zone;
-        let usual = |u| self.answers.usual(u, now);
-        let slow = |a, b| {
-            usual(a)
-                .zip(usual(b))
-                .is_some_and(|(a, b)| a > ANSWER_RATIO * b)
+        let is_local = |upstream: &Upstream| self.locality.is_local(upstream.endpoint.zone);
+        let expected = |upstream| self.response_times.expected_relative(upstream, now);
+        let is_slower = |one, other| {
+            let times = expected(one).zip(expected(other));
+            times.is_some_and(|(one, other)| one > RESPONSE_TIME_RATIO * other)
         };
-        match a.inflight.cmp(&b.inflight) {
-            Ordering::Equal if slow(a, b) => false,
-            Ordering::Equal if slow(b, a) => true,
-            Ordering::Equal if lean && near(a) != near(b) => near(a),
+        match a.in_flight.cmp(&b.in_flight) {
+            Ordering::Equal if is_slower(a, b) => false,
+            Ordering::Equal if is_slower(b, a) => true,
+            Ordering::Equal if prefers_local && is_local(a) != is_local(b) => is_local(a),
             Ordering::Equal => a.health.last_used < b.health.last_used,
             order => order == Ordering::Less,
         }
     }
 
-    /// The place in the pool of one in slow start that may be sent a call now, among the first so many.
-    fn cold_with_token(
+    /// The position in the pool of an upstream in slow start that may be sent a call now, among the first so many.
+    fn warming_up_with_token(
         &mut self,
         among: usize,
         start: usize,
-        ask: &PickRequest<'_>,
+        request: &PickRequest<'_>,
     ) -> Option<usize> {
-        (0..among).map(|k| (start + k) % among).find(|&k| {
-            let i = self.subset.pools[ask.pool].members[k];
-            self.slots[i].warmth(ask.settings, ask.now) < 1.0 && self.usable(i, ask)
-        })
+        (0..among)
+            .map(|offset| (start + offset) % among)
+            .find(|&position| {
+                let slot = self.subset.pools[request.class].members[position];
+                self.slots[slot].is_warming_up(request.settings, request.now)
+                    && self.is_usable(slot, request)
+            })
+    }
+
+    /// How many of a pool's first members are of the local zone; zero while that is ejected.
+    fn usable_local(&self, class: usize) -> usize {
+        let pool = &self.subset.pools[class];
+        if pool.local > 0 && self.is_in_ejected_zone(pool.members[0]) {
+            0
+        } else {
+            pool.local
+        }
+    }
+
+    /// Draws whether the call prefers the local zone.
+    fn draw_preference(&self, local: usize, rng: &mut Rng) -> Preference {
+        if local == 0 || random_unit(rng) >= self.locality.local_part() {
+            Preference::AnyZone
+        } else if random_unit(rng) < BOTH_LOCAL_PART {
+            Preference::BothLocal
+        } else {
+            Preference::OneLocal
+        }
     }
 
     /// The less busy of two random usable upstreams; one in slow start that has a token is drawn first.
-    pub(crate) fn pick(&mut self, ask: &PickRequest<'_>, rng: &mut Rng) -> Option<usize> {
-        let (n, near) = (
-            self.subset.pools[ask.pool].members.len(),
-            self.subset.pools[ask.pool].near,
-        );
-        if n == 0 {
+    pub(crate) fn pick(&mut self, request: &PickRequest<'_>, rng: &mut Rng) -> Option<usize> {
+        let size = self.subset.pools[request.class].members.len();
+        if size == 0 {
             return None;
         }
-        let near = if near > 0 && self.left(self.subset.pools[ask.pool].members[0]) {
-            0
-        } else {
-            near
-        };
-        let lean = near > 0 && unit(rng) < self.near.lean();
-        let both = lean && unit(rng) < NEAR_BOTH;
+        let local = self.usable_local(request.class);
+        let preference = self.draw_preference(local, rng);
+        let prefers_local = preference.prefers_local();
+        let start = random_below(rng, size);
+        let among = if prefers_local { local } else { size };
+        let warming_up = self.warming_up_with_token(among, start, request);
         let mut best: Option<usize> = None;
-        let start = below(rng, n);
-        let cold = self.cold_with_token(if lean { near } else { n }, start, ask);
-        for draw in 0..DRAWS + n {
-            let drawn = if lean && (both || best.is_none()) {
-                near
-            } else {
-                n
+        for draw in 0..DRAWS + size {
+            let draws_local = match preference {
+                Preference::AnyZone => false,
+                Preference::OneLocal => best.is_none(),
+                Preference::BothLocal => true,
             };
-            let k = if draw < DRAWS {
-                below(rng, drawn)
+            let drawn = if draw < DRAWS {
+                random_below(rng, if draws_local { local } else { size })
             } else {
-                (start + draw) % n
+                (start + draw) % size
             };
-            let i = self.subset.pools[ask.pool].members[cold.filter(|_| draw == 0).unwrap_or(k)];
+            let position = warming_up.filter(|_| draw == 0).unwrap_or(drawn);
+            let slot = self.subset.pools[request.class].members[position];
             // Should the draws miss the few that will do, walk once round the list, up to the first: rare.
             let walked = draw >= DRAWS && best.is_some();
-            let out = walked || (best == Some(i) && n > 1) || ask.avoid == Some(i);
-            let (zone, allowed) = (self.slots[i].member.zone, ask.allows(&self.slots[i].member));
-            if out || !allowed || !self.usable(i, ask) || !self.zones.stands(zone, ask, rng) {
+            let is_repeated = best == Some(slot) && size > 1;
+            if walked || is_repeated || !self.is_candidate(slot, request, rng) {
                 continue;
             }
             match best {
-                Some(b) => {
-                    return Some(if self.less_busy(i, b, ask.now, lean) {
-                        i
-                    } else {
-                        b
-                    })
+                None => best = Some(slot),
+                Some(best) if self.is_less_busy(slot, best, request.now, prefers_local) => {
+                    return Some(slot);
                 }
-                None => best = Some(i),
+                Some(best) => return Some(best),
             }
         }
         best
     }
+
+    /// Whether every rule allows an upstream that was drawn. It takes part in a trial of its zone by that.
+    fn is_candidate(&mut self, slot: usize, request: &PickRequest<'_>, rng: &mut Rng) -> bool {
+        let endpoint = &self.slots[slot].endpoint;
+        let zone = endpoint.zone;
+        request.avoid != Some(slot)
+            && request.allows(endpoint)
+            && self.is_usable(slot, request)
+            && self.zones.accepts_draw(zone, request, rng)
+    }
 }
--- /dev/null
+++ b/balancer/core/src/policy/restore.rs
@@ -0,0 +1,117 @@
+//! Saves what was learned for a later instance, and restores it there.
+use super::{capacity::MIN_FLOOR, ejection::MAX_EJECTION};
+use crate::{interface::*, state::*};
+
+/// What was learned of the load is worth less the older it is: 0.37 at this age. Load turns over in a minute or so.
+const LOAD_DECAY_TIME: Millis = 30_000.0;
+/// The same for response times: machines do not turn over as fast.
+const RESPONSE_TIME_DECAY_TIME: Millis = 600_000.0;
+
+/// What saved state is worth at its age, each from 0 to 1.
+struct Weights {
+    load: f64,
+    response_times: f64,
+}
+
+/// Moves a value towards a saved one.
+fn blend(value: &mut f64, saved: f64, weight: f64) {
+    *value += weight * (saved - *value);
+}
+
+impl Balancer {
+    /// What was learned so far, to be saved for a later instance. Limits follow from it by the published rule.
+    pub fn learned(&mut self, now: Millis) -> Learned {
+        let counts = self.fleet.count(&self.settings, now);
+        learned(self, counts.usable, now)
+    }
+
+    /// Restores what was saved, once there is an endpoint list.
+    pub(super) fn restore_saved(&mut self, now: Millis) {
+        let has_list = self.fleet.subset.ready > 0;
+        if let Some(saved) = self.saved_state.take_if(|_| has_list) {
+            self.restore(now, &saved.learned, now - saved.saved_at);
+        }
+    }
+
+    /// Restores what was learned `age` ago: faded towards what this instance starts with, and scaled to the
+    /// upstreams that there are now, or instances that all return would overload the ones in slow start.
+    fn restore(&mut self, now: Millis, saved: &Learned, age: Millis) {
+        let weights = Weights {
+            load: (-age / LOAD_DECAY_TIME).exp(),
+            response_times: (-age / RESPONSE_TIME_DECAY_TIME).exp(),
+        };
+        self.restore_upstreams(now, saved, age, &weights);
+        self.restore_response_times(saved, &weights);
+        let fleet = &mut self.fleet;
+        // What is listed now may be the few that are left of what was shared out among many.
+        fleet.max_ready = fleet.max_ready.max(weights.load * saved.upstreams_max);
+        let counts = fleet.count(&self.settings, now);
+        let capacity = &mut self.capacity;
+        capacity.listed = counts.listed;
+        capacity.usable = counts.usable;
+        let scale = (counts.usable / saved.upstreams_usable.max(0.01)).min(1.0);
+        // Before it is known it is taken for the quotas.
+        capacity.load.served = if saved.load.served > 0.0 {
+            capacity.total_quota
+        } else {
+            0.0
+        };
+        let saved_load = saved.load.scaled(scale);
+        capacity.load = capacity
+            .load
+            .mixed(&saved_load, weights.load, weights.response_times);
+        capacity.load.uncrowded = capacity.load.uncrowded.max(MIN_FLOOR);
+        for (tenant, &demand) in self.admission.tenants.iter_mut().zip(&saved.demands) {
+            if let Some(demand) = demand {
+                tenant.seen = true;
+                blend(&mut tenant.demand, demand, weights.load);
+            }
+        }
+        fleet.resize_subset(&self.settings, capacity.load.recent);
+        self.admission.end_cycle(now, capacity);
+    }
+
+    fn restore_upstreams(&mut self, now: Millis, saved: &Learned, age: Millis, weights: &Weights) {
+        let fleet = &mut self.fleet;
+        let clock_shift = now - age - saved.at;
+        for &(id, since, health) in &saved.upstreams {
+            let Some(&slot) = fleet.by_id.get(&id) else {
+                continue;
+            };
+            let upstream = &mut fleet.slots[slot];
+            if upstream.endpoint.since != since {
+                continue;
+            }
+            let shifted = health.shifted(clock_shift);
+            upstream.health = Health {
+                fails: weights.load * health.fails,
+                ejected_until: shifted.ejected_until.min(now + MAX_EJECTION),
+                lost_until: shifted.lost_until.min(now + MAX_EJECTION),
+                ..shifted
+            };
+        }
+    }
+
+    fn restore_response_times(&mut self, saved: &Learned, weights: &Weights) {
+        let fleet = &mut self.fleet;
+        for (&kind, &(relative, samples)) in &saved.kinds {
+            // Fewer responses to rest on, so that new ones count for more.
+            let samples = samples * weights.response_times;
+            if relative > 0.0 && samples >= 1.0 {
+                let times = KindResponseTime { relative, samples };
+                fleet.response_times.kinds.entry(kind).or_insert(times);
+            }
+        }
+        let loss_rates = &mut fleet.idle_connections.loss_rates;
+        for (loss_rate, &saved) in loss_rates.iter_mut().zip(&saved.rest_lost) {
+            blend(loss_rate, saved, weights.response_times);
+        }
+        let times = &mut fleet.response_times;
+        blend(&mut times.mean, saved.answer, weights.response_times);
+        blend(
+            &mut times.deviation,
+            saved.deviation,
+            weights.response_times,
+        );
+    }
+}
--- a/balancer/core/src/policy/subset.rs
+++ b/balancer/core/src/policy/subset.rs
@@ -1,91 +1,108 @@
-//! Owns which upstreams this copy keeps connections to, for each class.
+//! Decides which upstreams this instance has connections to, for each class.
 use super::limits::CYCLE;
 use crate::{interface::*, state::*};
+use std::collections::BTreeSet;
 
-/// Calls an upstream of the subset should get per idle period, so that its connections stay warm.
+/// Calls an upstream of the subset should get per idle period, so that its connections stay open.
 const CALLS_PER_IDLE: f64 = 4.0;
 /// Upstreams in the subset for each call in flight: two choices find an idle one; more cost connections.
 const SUBSET_SPREAD: f64 = 2.0;
 /// Never fewer upstreams in the subset than this, so that a few that fail leave enough to choose from.
-pub(super) const SUBSET_LEAST: usize = 8;
-/// Upstreams in it for each near one where zones are even: with half as many of other zones.
+pub(super) const MIN_SUBSET: usize = 8;
+/// Upstreams in it for each local one where zones are even: with half as many of other zones.
 const EVEN_SPREAD: f64 = 1.5;
+/// Fractional part of the golden ratio: its multiples are spread evenly, however many there are.
+const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
+
+/// The first so many of the ring from a position on, which is a part of the ring.
+fn run_of_ring(ring: &[usize], position: f64, max: usize) -> Vec<usize> {
+    let size = ring.len();
+    let start = (size as f64 * position) as usize;
+    (0..size.min(max))
+        .map(|offset| ring[(start + offset) % size])
+        .collect()
+}
 
 impl Subset {
-    /// Each balancer keeps to a run of the ring, evenly placed by its number, as connections are scarce.
+    /// Each balancer uses a run of the ring, evenly placed by its number, as connections are scarce.
     pub(crate) fn choose(
         &mut self,
         slots: &[Upstream],
-        by_id: &ById,
-        zone: Option<u16>,
-        s: &Settings,
+        by_id: &SlotById,
+        local_zone: Option<u16>,
+        settings: &Settings,
     ) {
-        let ready = |&&i: &&usize| slots[i].member.availability == Availability::Ready;
-        let mut ring: Vec<usize> = by_id.values().filter(ready).copied().collect();
+        let endpoint = |slot: usize| &slots[slot].endpoint;
+        let is_local = |&slot: &usize| Some(endpoint(slot).zone) == local_zone;
+        let mut ring: Vec<usize> = by_id
+            .values()
+            .copied()
+            .filter(|&slot| endpoint(slot).availability == Availability::Ready)
+            .collect();
         // Groups stand together on it, so that a guarded request finds others of its group in the subset.
-        ring.sort_by_key(|&i| {
-            let m = &slots[i].member;
+        ring.sort_by_key(|&slot| {
+            let endpoint = endpoint(slot);
+            let group = UpstreamId(endpoint.group.into());
             (
-                ring_place(UpstreamId(m.group.into())),
-                ring_place(m.id),
-                m.id,
+                ring_position(group),
+                ring_position(endpoint.id),
+                endpoint.id,
             )
         });
         self.ready = ring.len();
-        let own = |&i: &usize| Some(slots[i].member.zone) == zone;
-        let (even, most) = (
-            f64::from(s.index % s.balancers) / f64::from(s.balancers),
-            self.size,
-        );
-        // Even among the copies of a zone as well, however they are numbered.
-        let golden = (f64::from(s.index) * 0.618_033_988_749_895).fract();
-        let run = |from: &[usize], place: f64, most: usize| -> Vec<usize> {
-            let n = from.len();
-            (0..n.min(most))
-                .map(|k| from[((n as f64 * place) as usize + k) % n])
-                .collect()
-        };
-        for (pool, class) in self.pools.iter_mut().zip(&s.classes) {
+        let remote_position =
+            f64::from(settings.index % settings.balancers) / f64::from(settings.balancers);
+        // Even among the instances of a zone as well, however they are numbered.
+        let local_position = (f64::from(settings.index) * GOLDEN_RATIO).fract();
+        let max = self.max_members;
+        for (pool, class) in self.pools.iter_mut().zip(&settings.classes) {
             let allowed = ring
                 .iter()
                 .copied()
-                .filter(|&i| class.admits(&slots[i].member));
-            let (near, far): (Vec<usize>, Vec<usize>) = allowed.partition(own);
-            pool.members = run(&near, golden, most);
-            pool.near = pool.members.len();
-            pool.members.extend(run(
-                &far,
-                even,
-                if near.is_empty() {
-                    most
-                } else {
-                    most.div_ceil(2)
-                },
-            ));
+                .filter(|&slot| class.admits(endpoint(slot)));
+            let (local, remote): (Vec<usize>, Vec<usize>) = allowed.partition(is_local);
+            let max_remote = if local.is_empty() {
+                max
+            } else {
+                max.div_ceil(2)
+            };
+            pool.members = run_of_ring(&local, local_position, max);
+            pool.local = pool.members.len();
+            pool.members
+                .extend(run_of_ring(&remote, remote_position, max_remote));
+        }
+        let zones: BTreeSet<u16> = ring.iter().map(|&slot| endpoint(slot).zone).collect();
+        let local = ring.iter().copied().filter(is_local).count();
+        self.load_per_member = self.load_per_member(local, zones.len());
+    }
+
+    /// The part of what this balancer carries that one member carries, with so many ready upstreams in the local zone.
+    /// All balancers of a zone use the few upstreams that it may have: they share these with more others.
+    fn load_per_member(&self, local: usize, zones: usize) -> f64 {
+        let members = self.pools.iter().map(|pool| pool.members.len());
+        let members = members.fold(1, usize::max) as f64;
+        let local_members = self.pools.iter().map(|pool| pool.local);
+        let local_members = local_members.fold(1, usize::max) as f64;
+        let local = local * zones;
+        if local == 0 {
+            return 1.0 / members;
         }
-        // All balancers of a zone hold the few upstreams that it may have: they share these with more others.
-        let zones: std::collections::BTreeSet<u16> =
-            ring.iter().map(|&i| slots[i].member.zone).collect();
-        let near = ring.iter().copied().filter(own).count() * zones.len();
-        let held = self
-            .pools
-            .iter()
-            .map(|p| p.members.len())
-            .fold(1, usize::max) as f64;
-        let held_near = self.pools.iter().map(|p| p.near).fold(1, usize::max) as f64;
-        let part = near as f64 / ring.len() as f64 * held / held_near / EVEN_SPREAD;
-        self.each = if near > 0 { part.min(1.0) } else { 1.0 } / held;
+        let part = local as f64 / self.ready as f64 * members / local_members / EVEN_SPREAD;
+        part.min(1.0) / members
     }
 
-    /// The subset follows the traffic that keeps it busy and warm; small changes are not worth connections.
-    pub(crate) fn wants(
+    /// The size that the subset should change to. It follows the traffic that keeps its connections open; small
+    /// changes are not worth new ones.
+    pub(crate) fn new_size(
         &self,
-        latency: Millis,
-        s: &Settings,
+        response_time: Millis,
+        settings: &Settings,
         calls_per_cycle: f64,
     ) -> Option<usize> {
-        let per_rate = (latency * SUBSET_SPREAD).min(s.idle_close / CALLS_PER_IDLE);
-        let want = ((calls_per_cycle / CYCLE * per_rate).min(1e6) as usize).max(SUBSET_LEAST);
-        (want * 4 < self.size * 3 || want * 3 > self.size * 4).then_some(want)
+        let per_rate = (response_time * SUBSET_SPREAD).min(settings.idle_close / CALLS_PER_IDLE);
+        let wanted = (calls_per_cycle / CYCLE * per_rate).min(1e6) as usize;
+        let wanted = wanted.max(MIN_SUBSET);
+        let size = self.max_members;
+        (wanted * 4 < size * 3 || wanted * 3 > size * 4).then_some(wanted)
     }
 }
--- a/balancer/core/src/policy/zones.rs
+++ b/balancer/core/src/policy/zones.rs
@@ -1,88 +1,140 @@
-//! Owns what is known of zones as wholes: leaves one that does not answer, and comes back by degrees.
-use super::{capacity::CYCLE_KEPT, limits::CYCLE};
+//! Decides which zones are ejected as a whole because they do not respond, and how they return by degrees.
+use super::{capacity::CYCLE_DECAY, limits::CYCLE};
 use crate::{interface::*, state::*};
 
-/// A zone is left that owes so many answer times, each call up to this much, each broken upstream one.
-const ZONE_OWES: f64 = 6.0;
-const ZONE_OWES_EACH: f64 = 4.0;
-/// It is tried this often, times one more than it was left of late, and comes back from this part, doubling.
-const ZONE_TRIAL: Millis = 500.0;
-const ZONE_FIRST: f64 = 0.125;
+/// A zone is ejected that owes so many response times.
+const EJECTION_OVERDUE: f64 = 6.0;
+/// Each call counts up to this much; each broken upstream counts one.
+const MAX_OVERDUE_PER_CALL: f64 = 4.0;
+/// It is tried this often, times one more than it was ejected of late.
+const TRIAL_INTERVAL: Millis = 500.0;
+/// It returns from this part of its draws, doubling.
+const FIRST_RETURN: f64 = 0.125;
 
 impl Zones {
-    /// Takes note of how an attempt at an upstream ended.
-    pub(crate) fn note(&mut self, u: &mut Upstream, ending: Ending, patience: Millis, now: Millis) {
-        let any = now - self.heard < patience;
-        let z = self.by_zone.entry(u.member.zone).or_default();
-        if matches!(ending, Ending::Ok | Ending::Error | Ending::Full) {
-            (z.heard, z.broken, self.heard) = (now, 0.0, now);
-        } else if any && !matches!(ending, Ending::Cancelled | Ending::Moot | Ending::Unknown) {
-            z.broken += f64::from(u8::from(u.broke_at <= z.heard));
-            u.broke_at = now;
+    /// Records how a call to an upstream ended.
+    pub(crate) fn on_call_end(
+        &mut self,
+        upstream: &mut Upstream,
+        ending: Ending,
+        overdue_after: Millis,
+        now: Millis,
+    ) {
+        let any_responds = now - self.last_response < overdue_after;
+        let zone = self.by_zone.entry(upstream.endpoint.zone).or_default();
+        match ending {
+            Ending::Ok | Ending::Error | Ending::Full => {
+                zone.last_response = now;
+                zone.broken_upstreams = 0.0;
+                self.last_response = now;
+            }
+            Ending::Cancelled | Ending::Moot | Ending::Unknown => {}
+            Ending::Timeout | Ending::ConnectFailed | Ending::Reset => {
+                if any_responds {
+                    if upstream.broken_at <= zone.last_response {
+                        zone.broken_upstreams += 1.0;
+                    }
+                    upstream.broken_at = now;
+                }
+            }
         }
     }
 
-    /// Counts a call that is out, up to the last answer from anywhere: where none comes, all would be left.
-    pub(crate) fn owe(&mut self, zone: u16, sent: Millis, takes: Millis) {
-        let z = self.by_zone.entry(zone).or_default();
-        z.owes += ((self.heard - sent.max(z.heard)) / takes - 1.0).clamp(0.0, ZONE_OWES_EACH);
+    /// Counts a call in flight, up to the last response from anywhere: where none comes, all would be ejected.
+    pub(crate) fn count_in_flight(&mut self, zone: u16, sent_at: Millis, expected: Millis) {
+        let zone = self.by_zone.entry(zone).or_default();
+        let waited = self.last_response - sent_at.max(zone.last_response);
+        zone.overdue += (waited / expected - 1.0).clamp(0.0, MAX_OVERDUE_PER_CALL);
     }
 
-    /// Leaves zones that owe too much. Tells whether there were any.
-    pub(crate) fn leave(&mut self, tier: &Tier, now: Millis, actions: &mut Actions) -> bool {
-        let heard = self.heard;
-        let enough = |zone| {
-            ZONE_OWES
-                / if tier.backs(Subject::Zone(zone), now) {
-                    2.0
-                } else {
-                    1.0
-                }
-        };
-        let quiet = |zone, z: &Zone| z.gone < 1.0 && z.owes > enough(zone) && z.heard < heard;
-        let before = actions.len();
-        for (zone, z) in self.by_zone.iter_mut().filter(|(zone, z)| quiet(**zone, z)) {
-            (z.gone, z.since, z.falls, z.tried, z.tries) = (1.0, now, z.falls + 1.0, now, 0);
-            actions.push(z.told_left(*zone, now));
+    /// Ejects zones that owe too much. Returns whether there were any.
+    pub(crate) fn eject_unresponsive(
+        &mut self,
+        tier: &Tier,
+        now: Millis,
+        actions: &mut Actions,
+    ) -> bool {
+        let mut ejected_any = false;
+        for (&number, zone) in &mut self.by_zone {
+            let bound = if tier.corroborates(Subject::Zone(number), now) {
+                EJECTION_OVERDUE / 2.0
+            } else {
+                EJECTION_OVERDUE
+            };
+            let others_respond = zone.last_response < self.last_response;
+            if zone.diverted < 1.0 && zone.overdue > bound && others_respond {
+                zone.eject(now);
+                actions.push(zone.report_ejection(number, now));
+                ejected_any = true;
+            }
         }
-        actions.len() > before
+        ejected_any
     }
 
-    /// Zones that answer come back by degrees, each held the longer the more often they were left of late.
-    pub(crate) fn come_back(&mut self, now: Millis, actions: &mut Actions) {
-        for (zone, z) in &mut self.by_zone {
-            let (before, share, bad) = (
-                z.gone,
-                1.0 - z.gone,
-                z.broken >= 1.0 || z.owes > ZONE_OWES / 2.0,
-            );
-            if before == 0.0 {
-                z.falls *= CYCLE_KEPT;
-            } else if bad {
-                let less = 1.0 - (share / 2.0).max(ZONE_FIRST);
-                (z.gone, z.since) = (if before < 1.0 { less } else { before }, now);
-            } else if z.heard > z.since && (before >= 1.0 || now - z.since > z.falls * CYCLE) {
-                (z.gone, z.since) = (1.0 - (2.0 * share).clamp(ZONE_FIRST, 1.0), now);
-            }
-            if z.gone != before {
-                actions.push(z.told_back(*zone));
+    /// Lets zones that respond return by degrees, each the slower the more often they were ejected of late.
+    pub(crate) fn return_by_degrees(&mut self, now: Millis, actions: &mut Actions) {
+        for (&number, zone) in &mut self.by_zone {
+            let before = zone.diverted;
+            zone.step_return(now);
+            if zone.diverted != before {
+                actions.push(zone.report_return(number));
             }
         }
     }
 
-    /// Whether one of a zone that is left or returning may be drawn now.
-    pub(crate) fn stands(&mut self, zone: u16, ask: &PickRequest<'_>, rng: &mut Rng) -> bool {
-        let Some(z) = self.by_zone.get_mut(&zone).filter(|z| z.gone > 0.0) else {
+    /// Whether an upstream of a zone that is ejected or returning may be drawn now.
+    pub(crate) fn accepts_draw(
+        &mut self,
+        number: u16,
+        request: &PickRequest<'_>,
+        rng: &mut Rng,
+    ) -> bool {
+        let Some(zone) = self.by_zone.get_mut(&number) else {
             return true;
         };
-        let (first, then) = ask.tier.wait(Subject::Zone(zone), ask.settings, ask.now);
-        let pause = ZONE_TRIAL * (1.0 + z.falls) * if z.tries == 0 { first } else { then };
-        let tries = ask.harmless && z.heard <= z.since && ask.now - z.tried > pause;
-        (z.tried, z.tries) = if tries {
-            (ask.now, z.tries + 1)
+        if zone.diverted <= 0.0 {
+            return true;
+        }
+        let now = request.now;
+        let subject = Subject::Zone(number);
+        let pauses = request.tier.trial_pauses(subject, request.settings, now);
+        let multiple = if zone.trials == 0 {
+            pauses.first
         } else {
-            (z.tried, z.tries)
+            pauses.repeated
         };
-        tries || ask.desperate || unit(rng) >= z.gone
+        let pause = TRIAL_INTERVAL * (1.0 + zone.ejections) * multiple;
+        let responds = zone.last_response > zone.changed_at;
+        let is_trial = request.harmless && !responds && now - zone.last_trial > pause;
+        if is_trial {
+            zone.last_trial = now;
+            zone.trials += 1;
+        }
+        is_trial || request.last_resort || random_unit(rng) >= zone.diverted
+    }
+}
+
+impl Zone {
+    /// Moves one step between ejected and returned, once a cycle.
+    fn step_return(&mut self, now: Millis) {
+        if self.diverted == 0.0 {
+            self.ejections *= CYCLE_DECAY;
+            return;
+        }
+        let part = 1.0 - self.diverted;
+        let is_ejected = self.diverted >= 1.0;
+        let fails = self.broken_upstreams >= 1.0 || self.overdue > EJECTION_OVERDUE / 2.0;
+        if fails {
+            if !is_ejected {
+                self.diverted = 1.0 - (part / 2.0).max(FIRST_RETURN);
+            }
+            self.changed_at = now;
+            return;
+        }
+        let waited = now - self.changed_at > self.ejections * CYCLE;
+        if self.last_response > self.changed_at && (is_ejected || waited) {
+            self.diverted = 1.0 - (2.0 * part).clamp(FIRST_RETURN, 1.0);
+            self.changed_at = now;
+        }
     }
 }
--- a/balancer/core/src/state/admission.rs
+++ b/balancer/core/src/state/admission.rs
@@ -1,4 +1,4 @@
-//! What tenants asked for and got this cycle, and the calls in flight.
+//! What tenants requested and got this cycle, and the calls in flight.
 use super::TenantState;
 use crate::interface::{Millis, Settings, Tenant};
 
@@ -6,42 +6,54 @@
 #[derive(Default)]
 pub(crate) struct Admission {
     pub tenants: Vec<TenantState>,
-    /// This cycle: admitted less what was saved up, when it began, and admitted.
-    pub admitted: f64,
+    /// Requests admitted beyond what the capacity of the time since has covered. Never below zero.
+    pub uncovered: f64,
     pub cycle_start: Millis,
+    /// Requests admitted this cycle.
     pub cycle_admitted: f64,
-    /// Calls in flight; those of them that are lost.
-    pub inflight: f64,
-    pub lost: f64,
-    /// Whether calls within their limits were refused this cycle.
-    pub crowded: bool,
+    /// Calls in flight.
+    pub in_flight: f64,
+    /// Calls in flight that count as lost.
+    pub in_flight_lost: f64,
+    /// Whether requests within their limits were refused this cycle.
+    pub refused_within_limit: bool,
 }
 
 impl Admission {
-    /// Nobody asked for anything yet.
-    pub(crate) fn new(s: &Settings, now: Millis) -> Self {
-        let none = vec![Tenant {
+    /// Nothing was requested yet.
+    pub(crate) fn new(settings: &Settings, now: Millis) -> Self {
+        let single_tenant = vec![Tenant {
             share: 1.0,
             quota_per_s: 0.0,
         }];
-        let listed = if s.tenants.is_empty() {
-            &none
+        let listed = if settings.tenants.is_empty() {
+            &single_tenant
         } else {
-            &s.tenants
+            &settings.tenants
         };
-        let fresh = |weight| TenantState {
+        let with_weight = |weight| TenantState {
             weight,
             ..TenantState::default()
         };
-        let mut tenants: Vec<TenantState> = listed.iter().map(|t| fresh(t.share)).collect();
-        // One further place for tenants that the settings do not list, however many they are.
-        tenants.push(fresh(
-            listed.iter().map(|t| t.share).fold(f64::INFINITY, f64::min),
-        ));
+        let mut tenants: Vec<TenantState> = listed
+            .iter()
+            .map(|tenant| with_weight(tenant.share))
+            .collect();
+        // One further entry for tenants that the settings do not list, however many they are.
+        let smallest_share = listed
+            .iter()
+            .map(|tenant| tenant.share)
+            .fold(f64::INFINITY, f64::min);
+        tenants.push(with_weight(smallest_share));
         Admission {
             tenants,
             cycle_start: now,
             ..Admission::default()
         }
     }
+
+    /// Requests per cycle that all tenants together make.
+    pub(crate) fn total_demand(&self) -> f64 {
+        self.tenants.iter().map(|tenant| tenant.demand).sum()
+    }
 }
--- a/balancer/core/src/state/balancer.rs
+++ b/balancer/core/src/state/balancer.rs
@@ -1,12 +1,19 @@
 //! All that one instance knows.
-use super::{Admission, Capacity, Fleet, Meter, Pending, Rng, Shed, Tier};
+use super::{Admission, Capacity, Fleet, LoadShedding, Meter, Pending, Rng, Tier};
 use crate::interface::{Action, Learned, Millis, RequestId, Settings};
 use rand_core::SeedableRng;
 use std::collections::BTreeMap;
 
-/// What a call of the decision logic adds to.
+/// What a call of the decision logic appends to.
 pub(crate) type Actions = Vec<Action>;
 
+/// What an earlier instance learned, until there is an endpoint list to apply it to.
+pub(crate) struct SavedState {
+    pub learned: Box<Learned>,
+    /// When it was handed out, on this instance's clock.
+    pub saved_at: Millis,
+}
+
 /// One instance of the decision logic.
 pub struct Balancer {
     pub(crate) settings: Settings,
@@ -14,58 +21,60 @@
     pub(crate) admission: Admission,
     pub(crate) capacity: Capacity,
     pub(crate) fleet: Fleet,
-    /// Requests without a final answer.
+    /// Requests without a final response.
     pub(crate) pending: BTreeMap<RequestId, Pending>,
-    /// Further attempts that may be made now.
-    pub(crate) retries: f64,
-    /// What it asked for, sent and held of late, for the others of its tier.
+    /// Retries that may be made now.
+    pub(crate) retry_budget: f64,
+    /// What was requested and sent of late, for the other instances of the tier.
     pub(crate) meter: Meter,
-    /// What it heard of them, and up to which level they all refuse.
+    /// What the other instances observe.
     pub(crate) tier: Tier,
-    pub(crate) shed: Shed,
-    /// Whether the first event came; calls for the list that failed in a row; whether answers are late.
+    pub(crate) load_shedding: LoadShedding,
+    /// Whether the first event came.
     pub(crate) started: bool,
-    pub(crate) ask_failures: u32,
-    pub(crate) late: bool,
-    /// What an earlier instance learned and when, until there is a list to hold it against.
-    pub(crate) kept: Option<(Box<Learned>, Millis)>,
+    /// Calls for the endpoint list that failed in a row.
+    pub(crate) subscribe_failures: u32,
+    /// Whether the operator was last told that responses are late.
+    pub(crate) reported_late: bool,
+    pub(crate) saved_state: Option<SavedState>,
 }
 
 impl Balancer {
-    /// One that has been told nothing yet.
-    pub(crate) fn of(
-        s: Settings,
+    /// An instance that has handled no event yet.
+    pub(crate) fn with_parts(
+        settings: Settings,
         seed: u64,
-        parts: (Admission, Capacity, Fleet),
-        retries: f64,
+        admission: Admission,
+        capacity: Capacity,
+        fleet: Fleet,
+        retry_budget: f64,
     ) -> Self {
-        let (admission, capacity, fleet) = parts;
         Balancer {
             rng: Rng::seed_from_u64(seed),
             meter: Meter::new(admission.tenants.len()),
             tier: Tier::default(),
-            shed: Shed::new(&s, admission.tenants.len()),
-            settings: s,
+            load_shedding: LoadShedding::new(&settings, admission.tenants.len()),
+            settings,
             admission,
             capacity,
             fleet,
             pending: BTreeMap::new(),
-            retries,
+            retry_budget,
             started: false,
-            ask_failures: 0,
-            late: false,
-            kept: None,
+            subscribe_failures: 0,
+            reported_late: false,
+            saved_state: None,
         }
     }
 
-    /// Tells the operator when answers begin to be late, and when no longer.
-    pub(crate) fn told_late(&mut self, late: bool) -> Option<Action> {
-        let turned = std::mem::replace(&mut self.late, late) != late;
+    /// Reports to the operator when responses begin to be late, and when no longer.
+    pub(crate) fn report_lateness(&mut self, late: bool) -> Option<Action> {
+        let changed = std::mem::replace(&mut self.reported_late, late) != late;
         let state = if late {
             "late or failed: capacity is cut"
         } else {
             "in time again"
         };
-        turned.then(|| Action::Log(format!("answers of tier {} {state}", self.settings.stage)))
+        changed.then(|| Action::Log(format!("answers of tier {} {state}", self.settings.stage)))
     }
 }
--- a/balancer/core/src/state/learned.rs
+++ b/balancer/core/src/state/learned.rs
@@ -1,31 +1,34 @@
-//! What an instance knows, as it is kept for a later one.
-use super::Balancer;
+//! What an instance has learned, as it is saved for a later one.
+use super::{Balancer, KindResponseTime};
 use crate::interface::{Learned, Millis};
 
-/// What is kept of all that an instance knows, where `usable` is the part of upstreams that can be used.
-pub(crate) fn learned(of: &Balancer, usable: f64, now: Millis) -> Learned {
-    let (a, c, f) = (&of.admission, &of.capacity, &of.fleet);
-    let called = f
+/// The part of an instance's state that is saved, where `usable` is the part of upstreams that can be used.
+pub(crate) fn learned(balancer: &Balancer, usable: f64, now: Millis) -> Learned {
+    let fleet = &balancer.fleet;
+    let called = fleet
         .by_id
         .values()
-        .map(|&i| &f.slots[i])
-        .filter(|u| u.health.outcomes > 0);
+        .map(|&slot| &fleet.slots[slot])
+        .filter(|upstream| upstream.health.outcomes > 0);
+    let tenants = balancer.admission.tenants.iter();
+    let kind = |(&kind, time): (&u8, &KindResponseTime)| (kind, (time.relative, time.samples));
     Learned {
         at: now,
-        load: c.load,
-        upstreams_max: f.most,
+        load: balancer.capacity.load,
+        upstreams_max: fleet.max_ready,
         upstreams_usable: usable,
-        answer: f.answers.latency,
-        deviation: f.answers.deviation,
-        demands: a
-            .tenants
-            .iter()
-            .map(|t| t.seen.then_some(t.demand))
+        answer: fleet.response_times.mean,
+        deviation: fleet.response_times.deviation,
+        demands: tenants
+            .map(|tenant| tenant.seen.then_some(tenant.demand))
             .collect(),
-        kinds: f.answers.kinds.clone(),
-        rest_lost: f.rested.lost.to_vec(),
+        kinds: fleet.response_times.kinds.iter().map(kind).collect(),
+        rest_lost: fleet.idle_connections.loss_rates.to_vec(),
         upstreams: called
-            .map(|u| (u.member.id, u.member.since, u.health))
+            .map(|upstream| {
+                let endpoint = &upstream.endpoint;
+                (endpoint.id, endpoint.since, upstream.health)
+            })
             .collect(),
     }
 }
--- a/balancer/core/src/state/meter.rs
+++ b/balancer/core/src/state/meter.rs
@@ -1,8 +1,13 @@
-//! What a copy counts for the others of its tier: means over about the last second.
+//! What an instance counts for the others of its tier: means over about the last second.
 use crate::interface::{Millis, TenantLoad, TierLoad};
 
-/// What is counted fades over this time: to 0.37 of itself.
-const SPAN: Millis = 1000.0;
+/// What is counted decays over this time: to 0.37 of itself.
+const DECAY_TIME: Millis = 1000.0;
+
+/// The part of an exponential mean that is left at `now`.
+fn decay(since: Millis, now: Millis) -> f64 {
+    (-(now - since).max(0.0) / DECAY_TIME).exp()
+}
 
 /// Events a second.
 #[derive(Clone, Copy, Default)]
@@ -13,12 +18,12 @@
 
 impl Rate {
     fn read(&self, now: Millis) -> f64 {
-        self.per_s * kept(self.at, now)
+        self.per_s * decay(self.at, now)
     }
 
-    fn note(&mut self, now: Millis) {
+    fn record(&mut self, now: Millis) {
         *self = Rate {
-            per_s: self.read(now) + 1000.0 / SPAN,
+            per_s: self.read(now) + 1000.0 / DECAY_TIME,
             at: now,
         };
     }
@@ -26,34 +31,44 @@
 
 /// A number that changes in steps, and its mean.
 #[derive(Clone, Copy, Default)]
-struct Level {
+struct Gauge {
     value: f64,
     mean: f64,
     at: Millis,
 }
 
-impl Level {
+impl Gauge {
     fn read(&self, now: Millis) -> f64 {
-        self.value + (self.mean - self.value) * kept(self.at, now)
+        self.value + (self.mean - self.value) * decay(self.at, now)
     }
 
-    fn change(&mut self, by: f64, now: Millis) {
-        *self = Level {
+    fn add(&mut self, change: f64, now: Millis) {
+        *self = Gauge {
             mean: self.read(now),
-            value: self.value + by,
+            value: self.value + change,
             at: now,
         };
     }
 }
 
-fn kept(at: Millis, now: Millis) -> f64 {
-    (-(now - at).max(0.0) / SPAN).exp()
+/// What one tenant requests and has in flight.
+#[derive(Clone, Copy, Default)]
+struct TenantMeter {
+    requests: Rate,
+    in_flight: Gauge,
+}
+
+/// Whether an attempt is a request's first.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum AttemptKind {
+    First,
+    Retry,
 }
 
 /// Requests, attempts and calls in flight.
 pub(crate) struct Meter {
-    tenants: Vec<(Rate, Level)>,
-    firsts: Rate,
+    tenants: Vec<TenantMeter>,
+    first_attempts: Rate,
     retries: Rate,
 }
 
@@ -61,51 +76,49 @@
     /// Nothing was counted yet, of so many tenants: at least one.
     pub(crate) fn new(tenants: usize) -> Self {
         Meter {
-            tenants: vec![Default::default(); tenants],
-            firsts: Rate::default(),
+            tenants: vec![TenantMeter::default(); tenants],
+            first_attempts: Rate::default(),
             retries: Rate::default(),
         }
     }
 
-    /// A tenant's rate and calls. The last place is for all that have none of their own.
-    fn of(&mut self, tenant: usize) -> &mut (Rate, Level) {
+    /// A tenant's meter. The last one is for all that have none of their own.
+    fn tenant(&mut self, tenant: usize) -> &mut TenantMeter {
         let last = self.tenants.len() - 1;
         &mut self.tenants[tenant.min(last)]
     }
 
-    /// A tenant asked for a request.
-    pub(crate) fn asked(&mut self, tenant: usize, now: Millis) {
-        self.of(tenant).0.note(now);
+    /// Counts a tenant's request.
+    pub(crate) fn on_request(&mut self, tenant: usize, now: Millis) {
+        self.tenant(tenant).requests.record(now);
     }
 
-    /// An attempt of its has begun.
-    pub(crate) fn sent(&mut self, tenant: usize, first: bool, now: Millis) {
-        if first {
-            &mut self.firsts
-        } else {
-            &mut self.retries
+    /// Counts an attempt that begins.
+    pub(crate) fn on_attempt_start(&mut self, tenant: usize, kind: AttemptKind, now: Millis) {
+        match kind {
+            AttemptKind::First => self.first_attempts.record(now),
+            AttemptKind::Retry => self.retries.record(now),
         }
-        .note(now);
-        self.of(tenant).1.change(1.0, now);
+        self.tenant(tenant).in_flight.add(1.0, now);
     }
 
-    /// One has ended.
-    pub(crate) fn ended(&mut self, tenant: usize, now: Millis) {
-        self.of(tenant).1.change(-1.0, now);
+    /// Counts an attempt that has ended.
+    pub(crate) fn on_attempt_end(&mut self, tenant: usize, now: Millis) {
+        self.tenant(tenant).in_flight.add(-1.0, now);
     }
 
-    /// All of it, and what there is room for.
-    pub(crate) fn load(&self, room: f64, now: Millis) -> TierLoad {
-        let tenant = |(asked, calls): &(Rate, Level)| TenantLoad {
-            demand: asked.read(now),
-            calls: calls.read(now),
+    /// All that was counted, with the capacity that there is.
+    pub(crate) fn load(&self, capacity_per_s: f64, now: Millis) -> TierLoad {
+        let load_of = |tenant: &TenantMeter| TenantLoad {
+            demand: tenant.requests.read(now),
+            calls: tenant.in_flight.read(now),
             callers: 0.0,
         };
-        let tenants: Vec<TenantLoad> = self.tenants.iter().map(tenant).collect();
+        let tenants: Vec<TenantLoad> = self.tenants.iter().map(load_of).collect();
         TierLoad {
-            demand: tenants.iter().map(|t| t.demand).sum(),
-            room,
-            firsts: self.firsts.read(now),
+            demand: tenants.iter().map(|tenant| tenant.demand).sum(),
+            room: capacity_per_s,
+            firsts: self.first_attempts.read(now),
             retries: self.retries.read(now),
             tenants,
         }
--- a/balancer/core/src/state/observed.rs
+++ b/balancer/core/src/state/observed.rs
@@ -1,38 +1,60 @@
-//! What a copy tells the others of its tier, as they are told it.
+//! What an instance observes, as the others of its tier are told it.
 use super::{Fleet, Upstream, Zone};
 use crate::interface::{Observed, Subject, TierLoad};
 use std::cmp::Reverse;
 
+/// What is observed of an upstream or a zone that fails or has failed.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Finding {
+    /// It does not respond.
+    Unresponsive,
+    /// It did not, and has responded since.
+    Cleared,
+}
+
+impl Zone {
+    fn finding(&self) -> Option<Finding> {
+        if self.diverted >= 1.0 {
+            Some(Finding::Unresponsive)
+        } else if self.diverted > 0.0 {
+            Some(Finding::Cleared)
+        } else {
+            None
+        }
+    }
+}
+
 impl Fleet {
-    /// Zones that are left, and upstreams that there is evidence against; and those that have answered again.
+    /// Zones and upstreams that there is evidence against, and those that respond again; `finding` judges a slot.
     pub(crate) fn observed(
         &self,
         load: TierLoad,
-        evidence: impl Fn(usize) -> Option<bool>,
+        finding: impl Fn(usize) -> Option<Finding>,
     ) -> Observed {
-        let zones = |left: bool| {
-            let of = move |z: &Zone| z.gone > 0.0 && (z.gone >= 1.0) == left;
+        let zones = |wanted: Finding| {
             self.zones
                 .by_zone
                 .iter()
-                .filter(move |(_, z)| of(z))
-                .map(|(&zone, _)| Subject::Zone(zone))
+                .filter(move |(_, zone)| zone.finding() == Some(wanted))
+                .map(|(&number, _)| Subject::Zone(number))
         };
-        let upstreams = |against: bool| {
-            let told = self
+        let upstreams = |wanted: Finding| {
+            let mut matching: Vec<&Upstream> = self
                 .by_id
                 .values()
-                .filter(|&&i| evidence(i) == Some(against));
-            let mut told: Vec<&Upstream> = told.map(|&i| &self.slots[i]).collect();
-            told.sort_by_key(|u| Reverse(u.health.ejections));
-            told.into_iter().map(|u| Subject::Upstream(u.member.id))
+                .filter(|&&slot| finding(slot) == Some(wanted))
+                .map(|&slot| &self.slots[slot])
+                .collect();
+            matching.sort_by_key(|upstream| Reverse(upstream.health.ejections));
+            matching
+                .into_iter()
+                .map(|upstream| Subject::Upstream(upstream.endpoint.id))
         };
-        let against = zones(true).chain(upstreams(true)).collect();
-        let cleared = zones(false).chain(upstreams(false)).collect();
+        let subjects = |wanted| zones(wanted).chain(upstreams(wanted)).collect();
         Observed {
             load,
-            against,
-            cleared,
+            against: subjects(Finding::Unresponsive),
+            cleared: subjects(Finding::Cleared),
         }
     }
 }
--- a/balancer/core/src/state/subset.rs
+++ b/balancer/core/src/state/subset.rs
@@ -4,8 +4,9 @@
 /// Where a class may go; nothing else is ever a candidate, also as a last resort.
 #[derive(Clone, Default)]
 pub(crate) struct Pool {
-    /// The first so many are of the own zone.
-    pub near: usize,
+    /// The first so many members are of the local zone.
+    pub local: usize,
+    /// Slots.
     pub members: Vec<usize>,
 }
 
@@ -14,22 +15,22 @@
 pub(crate) struct Subset {
     /// The ready upstreams of the subset, for each class.
     pub pools: Vec<Pool>,
-    /// Ready upstreams in the whole list.
+    /// Ready upstreams in the full list.
     pub ready: usize,
     /// The part of what this balancer carries that one upstream of the subset carries.
-    pub each: f64,
-    /// The most of them that each class uses.
-    pub size: usize,
+    pub load_per_member: f64,
+    /// The most upstreams that each class uses.
+    pub max_members: usize,
 }
 
 impl Subset {
     /// No upstream is known yet.
-    pub(crate) fn new(s: &Settings) -> Self {
+    pub(crate) fn new(settings: &Settings) -> Self {
         Subset {
-            pools: vec![Pool::default(); s.classes.len()],
+            pools: vec![Pool::default(); settings.classes.len()],
             ready: 0,
-            each: 1.0,
-            size: 0,
+            load_per_member: 1.0,
+            max_members: 0,
         }
     }
 }
--- a/balancer/core/src/state/tenant.rs
+++ b/balancer/core/src/state/tenant.rs
@@ -1,12 +1,15 @@
 //! What is known of a tenant in this cycle.
 
-/// A tenant's demand and limit, in calls per cycle.
+/// A tenant's demand and limit, in requests per cycle.
 #[derive(Default)]
 pub(crate) struct TenantState {
+    /// Quota share relative to the other tenants'.
     pub weight: f64,
+    /// Whether it ever made a request.
     pub seen: bool,
-    /// Attempts this cycle, refused ones too; and their smoothed number per cycle.
-    pub count: f64,
+    /// Requests this cycle, refused ones too.
+    pub cycle_requests: f64,
+    /// Smoothed requests per cycle.
     pub demand: f64,
     /// Admitted this cycle, less what was saved up in earlier ones.
     pub admitted: f64,
--- a/balancer/core/src/state/tier.rs
+++ b/balancer/core/src/state/tier.rs
@@ -1,38 +1,40 @@
-//! What was heard of the tier.
-use super::ring_place;
+//! What was received of the tier.
+use super::ring_position;
 use crate::interface::{Millis, Subject, TierUpdate, UpstreamId};
 
-/// The last word that can be acted on, and when it came.
+/// The last update that can be acted on, and when it came.
 #[derive(Default)]
 pub(crate) struct Tier {
-    pub word: Option<Box<TierUpdate>>,
-    pub at: Millis,
-    /// Whether there ever was one that told of others.
-    pub met: bool,
+    pub update: Option<Box<TierUpdate>>,
+    pub updated_at: Millis,
+    /// Whether there ever was an update that named other instances.
+    pub has_met_others: bool,
 }
 
 impl Tier {
-    /// Takes a word in. Tells how long ago the last one came.
-    pub(crate) fn hear(&mut self, word: Box<TierUpdate>, now: Millis) -> Millis {
-        let since = now - self.at;
-        (self.word, self.at) = (Some(word).filter(|w| w.joined && w.is_sound()), now);
-        self.met |= self.word.as_ref().is_some_and(|w| w.up > 1);
-        since
+    /// Stores an update, and returns the time since the last one.
+    pub(crate) fn handle_update(&mut self, update: Box<TierUpdate>, now: Millis) -> Millis {
+        let since_last = now - self.updated_at;
+        self.update = Some(update).filter(|update| update.joined && update.is_sound());
+        self.updated_at = now;
+        self.has_met_others |= self.update.as_ref().is_some_and(|update| update.up > 1);
+        since_last
     }
 }
 
-/// How many members come before this one in an order that is another for each subject and the same at every member:
-/// by rendezvous hashing.
-pub(crate) fn members_before(word: &TierUpdate, subject: Subject) -> u32 {
-    let what = match subject {
+/// The number of members before this one in an order that differs by subject and is the same at every member: by
+/// rendezvous hashing (Thaler and Ravishankar, 1998).
+pub(crate) fn members_before(update: &TierUpdate, subject: Subject) -> u32 {
+    let subject_id = match subject {
         Subject::Upstream(id) => id.0,
         Subject::Zone(zone) => u64::from(zone),
     };
     let rank = |place: u32| {
-        ring_place(UpstreamId(
-            what ^ ring_place(UpstreamId(u64::from(place) + 1)),
-        ))
+        let member = ring_position(UpstreamId(u64::from(place) + 1));
+        ring_position(UpstreamId(subject_id ^ member))
     };
-    let own = rank(word.place);
-    (0..word.up).filter(|&place| rank(place) > own).count() as u32
+    let own_rank = rank(update.place);
+    (0..update.up)
+        .filter(|&place| rank(place) > own_rank)
+        .count() as u32
 }
