--- a/balancer/core/src/interface.rs
+++ b/balancer/core/src/interface.rs
@@ -1,7 +1,8 @@
-//! What a [`Balancer`](crate::Balancer) is told and what it asks for: settings, ids, events, actions.
+//! What a [`Balancer`](crate::Balancer) takes and returns: settings, identities, events, actions.
 //!
 //! Every time is in milliseconds on one clock that only increases; the balancer reads no clock itself.
 mod actions;
+mod checks;
 mod endpoints;
 mod events;
 mod ids;
@@ -11,6 +12,7 @@
 mod tier;
 
 pub use actions::*;
+pub(crate) use endpoints::ListKind;
 pub use endpoints::*;
 pub use events::*;
 pub use ids::*;
--- a/balancer/core/src/interface/actions.rs
+++ b/balancer/core/src/interface/actions.rs
@@ -1,4 +1,4 @@
-//! What an instance asks for.
+//! What an instance wants done.
 use super::{Millis, Refusal, RequestId, UpstreamId};
 
 /// What the balancer wants done, in order.
@@ -8,9 +8,9 @@
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The upstream that it goes to.
         upstream: UpstreamId,
-        /// Time-out of this attempt; zero: until the client's deadline.
+        /// Timeout of this attempt; zero: until the client's deadline.
         timeout: Millis,
         /// It must not be written after this time, however late its connection comes up; infinite: no such bound.
         write_by: Millis,
@@ -22,29 +22,29 @@
         /// The attempt's number.
         attempt: u32,
     },
-    /// Final answer: refused, and another try does no harm.
+    /// Final response: refused, and a retry does no harm.
     Refuse {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away; zero: no advice.
+        /// How long the client should wait before a retry; zero: no advice.
         retry_after: Millis,
         /// Why, for the operator.
         reason: Refusal,
     },
-    /// Final answer: failed, with no promise about its effect.
+    /// Final response: failed, and it may have had an effect.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Close the connections to an upstream that carry no call now.
+    /// Close the connections to an upstream that have no call in flight.
     CloseIdle(UpstreamId),
-    /// Subscribe to changes of the list; one [`EndpointUpdate`](crate::Membership) event answers.
+    /// Subscribe to changes of the endpoint list; one [`EndpointUpdate`](crate::EndpointUpdate) event responds.
     Subscribe,
-    /// Ask for one [`Event::Timer`](crate::Event::Timer).
+    /// Set a timer for one [`Event::Timer`](crate::Event::Timer).
     SetTimer {
         /// From now.
         after: Millis,
-        /// Handed back with the event.
+        /// Returned with the event.
         token: u32,
     },
     /// A line for the operator's log.
--- a/balancer/core/src/interface/endpoints.rs
+++ b/balancer/core/src/interface/endpoints.rs
@@ -1,4 +1,4 @@
-//! News about the list of upstreams.
+//! The endpoint list and its updates.
 use super::{Class, Millis, UpstreamId};
 
 /// Whether an upstream takes new work.
@@ -7,16 +7,16 @@
     /// Takes new work.
     #[default]
     Ready,
-    /// Finishes what it holds; nothing new may be sent.
+    /// Completes its calls in flight; nothing new may be sent.
     Draining,
     /// Removed.
     Removed,
 }
 
-/// One line of the list of upstreams.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Endpoint {
-    /// Which upstream.
+    /// Identity of the upstream.
     pub id: UpstreamId,
     /// Its zone.
     pub zone: u16,
@@ -30,38 +30,51 @@
     pub since: Millis,
 }
 
-/// News about the list of upstreams.
+/// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointUpdate {
-    /// The whole list; what it lacks is gone.
+    /// The full list; upstreams that it lacks are removed.
     Full(Vec<Endpoint>),
-    /// The whole list as this instance last had it, perhaps old.
+    /// The full list as this instance last had it, perhaps outdated.
     Cached(Vec<Endpoint>),
     /// Only what changed.
     Delta(Vec<Endpoint>),
-    /// A call for the list failed or the subscription broke; the old list stands.
+    /// A call for the list failed or the subscription broke; the last list remains valid.
     Failed,
 }
 
+/// Which upstreams a list names.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum ListKind {
+    /// All that there are.
+    Full,
+    /// Those that changed.
+    Delta,
+}
+
 impl Class {
     /// Whether it may be sent to this upstream at all.
-    pub fn admits(&self, m: &Endpoint) -> bool {
-        self.zones
+    pub fn admits(&self, endpoint: &Endpoint) -> bool {
+        let zone_allowed = self
+            .zones
+            .as_ref()
+            .is_none_or(|zones| zones.contains(&endpoint.zone));
+        let kind_allowed = self
+            .kinds
             .as_ref()
-            .is_none_or(|zones| zones.contains(&m.zone))
-            && self
-                .kinds
-                .as_ref()
-                .is_none_or(|kinds| kinds.contains(&m.kind))
+            .is_none_or(|kinds| kinds.contains(&endpoint.kind));
+        zone_allowed && kind_allowed
     }
 }
 
 impl EndpointUpdate {
-    /// What it names, and whether that is the whole list; nothing when there was no list.
-    pub fn members(self) -> Option<(Vec<Endpoint>, bool)> {
+    /// The upstreams that it names, and which these are; none when there was no list.
+    pub(crate) fn into_endpoints(self) -> Option<(Vec<Endpoint>, ListKind)> {
         match self {
-            EndpointUpdate::Full(m) | EndpointUpdate::Cached(m) => Some((m, true)),
-            EndpointUpdate::Delta(m) => Some((m, false)),
+            EndpointUpdate::Full(endpoints) | EndpointUpdate::Cached(endpoints) => {
+                Some((endpoints, ListKind::Full))
+            }
+            EndpointUpdate::Delta(endpoints) => Some((endpoints, ListKind::Delta)),
             EndpointUpdate::Failed => None,
         }
     }
--- a/balancer/core/src/interface/events.rs
+++ b/balancer/core/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! What an instance is told while it runs.
+//! What happens to an instance while it runs.
 use super::{EndpointUpdate, Learned, Millis, RequestId, TierUpdate, UpstreamId};
 
 /// How an attempt ended.
@@ -6,12 +6,12 @@
 pub enum Ending {
     /// Served.
     Ok,
-    /// An error answer; it may have run.
+    /// An error response; it may have run.
     Error,
-    /// Turned away (full or draining); never ran, unless
+    /// Rejected (overloaded or draining); never ran, unless
     /// [`Settings::late_shedding`](crate::Settings::late_shedding) is set.
     Full,
-    /// No answer in time; may have run or still run.
+    /// No response in time; may have run or still run.
     Timeout,
     /// No connection could be made; never ran.
     ConnectFailed,
@@ -36,9 +36,9 @@
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// Its tenant is over its limit, and what is learned to be there is used up.
+    /// Its tenant is over its limit, and the learned capacity is used up.
     OverLimit,
-    /// Less time is left than answers take.
+    /// Less time is left than responses take.
     TooLittleTime,
     /// No upstream can be sent to.
     NoUpstream,
@@ -49,7 +49,7 @@
 /// A client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Its identity.
     pub id: RequestId,
     /// Position in [`Settings::classes`](crate::Settings::classes).
     pub class: usize,
@@ -57,19 +57,19 @@
     pub tenant: usize,
     /// When the client gives up.
     pub deadline: Millis,
-    /// A hash of what it asks for, even over all values and the same at every copy and for every try of a client, as
-    /// far as that can be told: who must refuse a part of what comes refuses the lowest.
+    /// A hash of what it requests, even over all values and the same at every instance and for every retry of a
+    /// client, as far as that can be told: load shedding sheds the lowest first.
     pub tie: u64,
 }
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News about the list of upstreams.
+    /// The endpoint list changed.
     EndpointUpdate(EndpointUpdate),
-    /// A request came in: one final answer is now owed.
+    /// A request came in: it is owed one final response from now on.
     Request(Request),
-    /// The answer of a streamed request has begun; its attempt is now the client's.
+    /// The response of a streamed request has begun; its attempt is now the client's.
     Streaming {
         /// The request.
         request: RequestId,
@@ -89,35 +89,34 @@
         /// The request has ended, by this outcome or earlier.
         closed: bool,
     },
-    /// What an upstream said of its load; comes just before the outcome that it was attached to.
+    /// An upstream reported its load; comes just before the outcome that the report was attached to.
     Load {
         /// The upstream.
         upstream: UpstreamId,
-        /// Requests that it held, from all balancers together, a little while ago; finite.
+        /// Requests in flight at it, from all balancers together, a little while ago; finite.
         held: f64,
     },
-    /// How many requests a second an upstream says it serves, for all balancers together; finite. Like
-    /// [`Event::Load`].
+    /// An upstream reported how many requests a second it serves, for all balancers together. Like [`Event::Load`].
     Served {
         /// The upstream.
         upstream: UpstreamId,
-        /// Requests a second.
+        /// Requests a second; finite.
         per_s: f64,
     },
-    /// What an earlier instance with these settings had learned; see [`Learned::validate`], what fails it is passed
-    /// over. Counts from the first list that names a ready upstream on.
+    /// What an earlier instance with these settings had learned; ignored if [`Learned::validate`] refuses it. Applied
+    /// from the first endpoint list that names a ready upstream on.
     Restored {
         /// The state.
         learned: Box<Learned>,
         /// Time since it was handed out.
         age: Millis,
     },
-    /// What this copy has heard of its tier; replaces what it had heard before.
+    /// What this instance has received of its tier; replaces the update before.
     Tier(Box<TierUpdate>),
-    /// The client left, or its time ran out: nothing is owed any more.
+    /// The client disconnected, or its time ran out: it is owed no response any more.
     ClientDisconnected(RequestId),
-    /// The program is to end: every request that is open needs its final answer by this time.
+    /// The program shuts down: every request that is open needs its final response by this time.
     EndBy(Millis),
-    /// A timer asked for with [`Action::SetTimer`](crate::Action::SetTimer) is due.
+    /// A timer set with [`Action::SetTimer`](crate::Action::SetTimer) has expired.
     Timer(u32),
 }
--- a/balancer/core/src/interface/ids.rs
+++ b/balancer/core/src/interface/ids.rs
@@ -1,12 +1,14 @@
-//! Times and names.
+//! Times and identities.
 use serde::{Deserialize, Serialize};
 
 /// Milliseconds: a point on the caller's clock, or a span of it.
 pub type Millis = f64;
-/// Names one request for as long as it lasts; never used twice within an instance's life.
+
+/// Identity of one request while it is open; never used twice by an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
-/// Names one upstream server. Carries no meaning; the same value at every balancer.
+
+/// Identity of one upstream server. Has no meaning; the same value at every balancer.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/balancer/core/src/policy/endpoints.rs
+++ b/balancer/core/src/policy/endpoints.rs
@@ -27,10 +27,10 @@
         now: Millis,
         rng: &mut Rng,
     ) {
-        let Some((endpoints, is_full)) = update.members() else {
+        let Some((endpoints, kind)) = update.into_endpoints() else {
             return;
         };
-        if is_full {
+        if kind == ListKind::Full {
             self.remove_unlisted(&endpoints);
         }
         for endpoint in endpoints {
