--- a/balancer/core/src/interface.rs
+++ b/balancer/core/src/interface.rs
@@ -8,6 +8,7 @@
 mod ids;
 mod learned;
 mod settings;
+mod settings_error;
 mod stored_form;
 mod tier;
 
@@ -17,6 +18,6 @@
 pub use events::*;
 pub use ids::*;
 pub use learned::*;
-
 pub use settings::*;
+pub use settings_error::*;
 pub use tier::*;
--- a/balancer/core/src/interface/settings.rs
+++ b/balancer/core/src/interface/settings.rs
@@ -1,6 +1,6 @@
 //! What an instance starts with: classes, tenants, the deployment.
 use super::checks::{check, is_amount, is_part, is_positive};
-use super::Millis;
+use super::{Millis, SettingsError};
 
 /// What repeating a request of a class may do.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -145,16 +145,6 @@
     }
 }
 
-/// Why [`Settings`] were refused.
-#[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("setting {field} must be {must}")]
-pub struct SettingsError {
-    /// The field at fault.
-    pub field: &'static str,
-    /// What it must be.
-    pub must: &'static str,
-}
-
 impl Settings {
     /// The mean objective of all classes.
     pub(crate) fn mean_objective(&self) -> Millis {
