--- a/balancer/settings/tests/bad_input.rs
+++ b/balancer/settings/tests/bad_input.rs
@@ -161,6 +161,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn what_cannot_be_used_is_refused_with_the_field_at_fault() {
     let many = |value: &str, n: usize| vec![value; n].join(",");
     let class = r#"{"name": "read", "objective": 100, "deadline": 400, "effect": "free"}"#;
--- a/balancer/settings/tests/golden.rs
+++ b/balancer/settings/tests/golden.rs
@@ -30,6 +30,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "a value with every field written out"
+)]
 fn settings_with_every_key_are_read_field_by_field() {
     let classes = vec![
         Class {
--- a/balancer/simulator/src/host.rs
+++ b/balancer/simulator/src/host.rs
@@ -1,116 +1,174 @@
 //! Hosts the balancers of a simulation: takes the records of a batch to them and their actions into the reply.
-use crate::wire::{self, Batch, Record, Reply, Table};
-use balancer_core::{Action, Balancer, Event};
+use crate::wire::{self, Batch, Record, Reply, Table, UpdateError};
+use balancer_core::{Action, Balancer, Event, Millis, SettingsError, UpstreamId};
+use balancer_settings::{Deployment, DeploymentError};
 use std::collections::BTreeMap;
 
-/// The balancers of a simulation and the lists that they were sent.
+/// What is wrong with a batch, and which of its records is at fault.
+#[derive(Debug, thiserror::Error)]
+#[error("record {record}: {source}")]
+pub struct BatchError {
+    /// The record, counted from zero.
+    pub record: usize,
+    /// What is wrong with it.
+    pub source: RecordError,
+}
+
+/// What is wrong with a record.
+#[derive(Debug, thiserror::Error)]
+pub enum RecordError {
+    /// It belongs to no instance.
+    #[error("no instance was named before this record")]
+    NoTarget,
+    /// Settings that cannot be read.
+    #[error("settings of instance {instance}: {source}")]
+    Deployment {
+        /// The instance.
+        instance: u16,
+        /// What is wrong with them.
+        source: DeploymentError,
+    },
+    /// Settings that the balancer refuses.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// An update of the endpoint list that cannot be resolved.
+    #[error("table {table}: {source}")]
+    Update {
+        /// The number of the table.
+        table: u32,
+        /// What is wrong with it.
+        source: UpdateError,
+    },
+}
+
+/// A balancer, with where load reports hold what it is interested in.
+struct Instance {
+    balancer: Balancer,
+    /// Column of the requests in flight.
+    in_flight_column: Option<usize>,
+    /// Column of the requests served per second.
+    served_column: Option<usize>,
+}
+
+/// The balancers of a simulation and the endpoint lists that they were sent.
 #[derive(Default)]
 pub struct Host {
-    /// Each with the places of the requests held and of those served among the values of load reports.
-    balancers: BTreeMap<u16, (Balancer, [Option<usize>; 2])>,
+    instances: BTreeMap<u16, Instance>,
     tables: BTreeMap<u32, Table>,
     actions: Vec<Action>,
     reply: Reply,
-    /// The instance that the reply's records belong to so far.
-    answering: Option<u16>,
+    /// The instance that the next records belong to.
+    target: Option<u16>,
+    /// The instance that the reply's last records belong to.
+    replying: Option<u16>,
 }
 
 impl Host {
-    /// Hands a batch to the balancers and puts the reply together; the message names the record at fault.
-    pub fn batch(&mut self, batch: &Batch) -> Result<Vec<u8>, String> {
-        let mut target = None;
-        self.answering = None;
-        for (i, record) in batch.records.iter().enumerate() {
-            self.record(batch, record, &mut target)
-                .map_err(|e| format!("record {i}: {e}"))?;
+    /// Hands a batch to the balancers and returns the reply.
+    ///
+    /// # Errors
+    ///
+    /// The first record at fault; the records before it have been handled.
+    pub fn handle_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, BatchError> {
+        self.target = None;
+        self.replying = None;
+        for (position, record) in batch.records.iter().enumerate() {
+            self.handle_record(batch, record)
+                .map_err(|source| BatchError {
+                    record: position,
+                    source,
+                })?;
         }
         Ok(self.reply.finish(batch.number))
     }
 
-    fn record(
-        &mut self,
-        batch: &Batch,
-        record: &Record,
-        target: &mut Option<u16>,
-    ) -> Result<(), String> {
-        let now = batch.now;
-        let instance = || target.ok_or("no instance was named before this record".to_string());
+    fn target(&self) -> Result<u16, RecordError> {
+        self.target.ok_or(RecordError::NoTarget)
+    }
+
+    fn handle_record(&mut self, batch: &Batch, record: &Record) -> Result<(), RecordError> {
         match record {
-            Record::Target(id) => *target = Some(*id),
-            Record::Table { number, members } => {
-                self.tables.insert(*number, members.clone());
+            Record::Target(instance) => self.target = Some(*instance),
+            Record::Table { number, endpoints } => {
+                self.tables.insert(*number, endpoints.clone());
             }
             Record::Configure { seed, setup } => {
-                let id = instance()?;
-                let deployment = balancer_settings::deployment(&batch.tail[setup.clone()])
-                    .map_err(|e| format!("settings of instance {id}: {e}"))?;
-                let balancer =
-                    Balancer::new(deployment.policy, *seed, now).map_err(|e| e.to_string())?;
-                let columns = [deployment.held_column, deployment.served_column];
-                self.balancers.insert(id, (balancer, columns));
+                self.configure(*seed, &batch.tail[setup.clone()], batch.now)?;
             }
             Record::Destroy => {
-                self.balancers.remove(&instance()?);
+                self.instances.remove(&self.target()?);
             }
             Record::Sync { kind, table } => {
-                let news = wire::membership(*kind, self.tables.get(table))
-                    .map_err(|e| format!("table {table}: {e}"))?;
-                self.event(instance()?, now, Event::EndpointUpdate(news));
+                let update = wire::endpoint_update(*kind, self.tables.get(table));
+                let update = update.map_err(|source| RecordError::Update {
+                    table: *table,
+                    source,
+                })?;
+                let event = Event::EndpointUpdate(update);
+                self.handle_event(self.target()?, batch.now, event);
             }
             Record::Outcome {
                 event,
                 upstream,
                 report,
             } => {
-                let id = instance()?;
-                let columns = self
-                    .balancers
-                    .get(&id)
-                    .map_or([None; 2], |&(_, columns)| columns);
-                let [held, served] =
-                    columns.map(|column| report.get(column?).map(|&v| f64::from(v)));
-                if let Some(held) = held {
-                    self.event(
-                        id,
-                        now,
-                        Event::Load {
-                            upstream: *upstream,
-                            held,
-                        },
-                    );
-                }
-                if let Some(per_s) = served {
-                    self.event(
-                        id,
-                        now,
-                        Event::Served {
-                            upstream: *upstream,
-                            per_s,
-                        },
-                    );
-                }
-                self.event(id, now, event.clone());
+                let instance = self.target()?;
+                self.handle_load_report(instance, batch.now, *upstream, report);
+                self.handle_event(instance, batch.now, event.clone());
+            }
+            Record::Event(event) => {
+                self.handle_event(self.target()?, batch.now, event.clone());
             }
-            Record::Event(event) => self.event(instance()?, now, event.clone()),
             Record::Skip => {}
         }
         Ok(())
     }
 
-    fn event(&mut self, id: u16, now: f64, event: Event) {
-        let Some((balancer, _)) = self.balancers.get_mut(&id) else {
+    /// Starts the target instance.
+    fn configure(&mut self, seed: u64, setup: &[u8], now: Millis) -> Result<(), RecordError> {
+        let id = self.target()?;
+        let deployment = Deployment::read(setup).map_err(|source| RecordError::Deployment {
+            instance: id,
+            source,
+        })?;
+        let instance = Instance {
+            balancer: Balancer::new(deployment.policy, seed, now)?,
+            in_flight_column: deployment.held_column,
+            served_column: deployment.served_column,
+        };
+        self.instances.insert(id, instance);
+        Ok(())
+    }
+
+    fn handle_load_report(&mut self, id: u16, now: Millis, upstream: UpstreamId, report: &[f32]) {
+        let Some(instance) = self.instances.get(&id) else {
+            return;
+        };
+        let value = |column: Option<usize>| report.get(column?).map(|&value| f64::from(value));
+        let in_flight = value(instance.in_flight_column);
+        let served = value(instance.served_column);
+        if let Some(held) = in_flight {
+            self.handle_event(id, now, Event::Load { upstream, held });
+        }
+        if let Some(per_s) = served {
+            self.handle_event(id, now, Event::Served { upstream, per_s });
+        }
+    }
+
+    fn handle_event(&mut self, id: u16, now: Millis, event: Event) {
+        let Some(instance) = self.instances.get_mut(&id) else {
             return;
         };
-        balancer.handle(now, event, &mut self.actions);
+        instance.balancer.handle(now, event, &mut self.actions);
         if self.actions.is_empty() {
             return;
         }
-        if self.answering != Some(id) {
-            self.reply.at(id);
-            self.answering = Some(id);
+        if self.replying != Some(id) {
+            self.reply.set_instance(id);
+            self.replying = Some(id);
         }
         for action in self.actions.drain(..) {
-            self.reply.action(&action);
+            self.reply.add(&action);
         }
     }
 }
--- a/balancer/simulator/src/lib.rs
+++ b/balancer/simulator/src/lib.rs
@@ -4,4 +4,4 @@
 mod host;
 pub mod wire;
 
-pub use host::Host;
+pub use host::{BatchError, Host, RecordError};
--- a/balancer/simulator/src/main.rs
+++ b/balancer/simulator/src/main.rs
@@ -1,24 +1,39 @@
 //! Hosts balancer_core balancers on the simulator's wire: frames in on standard input, replies out.
 #![forbid(unsafe_code)]
-use balancer_simulator::{wire, Host};
+use balancer_simulator::{wire, BatchError, Host};
 use std::io::{self, Write};
 use std::process::ExitCode;
 
-fn run() -> Result<(), String> {
-    let (mut input, mut output) = (io::stdin().lock(), io::stdout().lock());
+/// Why the program ends before its input does.
+#[derive(Debug, thiserror::Error)]
+enum RunError {
+    #[error(transparent)]
+    Wire(#[from] wire::WireError),
+    #[error("frame {frame}, {source}")]
+    Batch { frame: u64, source: BatchError },
+    #[error("writing the reply: {0}")]
+    Write(#[source] io::Error),
+}
+
+fn run() -> Result<(), RunError> {
+    let mut input = io::stdin().lock();
+    let mut output = io::stdout().lock();
     let mut host = Host::default();
     for number in 0.. {
-        let Some(frame) = wire::read_frame(&mut input, number).map_err(|e| e.to_string())? else {
+        let Some(frame) = wire::read_frame(&mut input, number)? else {
             break;
         };
-        let batch = wire::decode(&frame, number).map_err(|e| e.to_string())?;
+        let batch = wire::decode(&frame, number)?;
         let reply = host
-            .batch(&batch)
-            .map_err(|e| format!("frame {number}, {e}"))?;
+            .handle_batch(&batch)
+            .map_err(|source| RunError::Batch {
+                frame: number,
+                source,
+            })?;
         output
             .write_all(&reply)
             .and_then(|()| output.flush())
-            .map_err(|e| format!("writing the reply: {e}"))?;
+            .map_err(RunError::Write)?;
     }
     Ok(())
 }
@@ -26,8 +41,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("balancer-simulator: {message}");
+        Err(error) => {
+            eprintln!("balancer-simulator: {error}");
             ExitCode::FAILURE
         }
     }
--- a/balancer/simulator/src/wire.rs
+++ b/balancer/simulator/src/wire.rs
@@ -7,7 +7,7 @@
 mod reply;
 
 pub use batch::{decode, Batch};
-pub use error::WireError;
+pub use error::{HeaderError, RecordError, UpdateError, WireError};
 pub use frame::{read_frame, MAX_FRAME};
-pub use record::{membership, Record, Table};
+pub use record::{endpoint_update, Record, Table};
 pub use reply::Reply;
--- a/balancer/simulator/src/wire/batch.rs
+++ b/balancer/simulator/src/wire/batch.rs
@@ -1,12 +1,12 @@
 //! Decodes a frame into its records. Owns no state.
 use super::bytes::{f64_at, u32_at};
-use super::error::WireError;
-use super::frame::HEADER_IN;
+use super::error::{HeaderError, WireError};
+use super::frame::HEADER_SIZE;
 use super::record::{decode_record, Record};
 use balancer_core::Millis;
 
 /// Bytes of a record.
-const EVENT: usize = 48;
+const RECORD_SIZE: usize = 48;
 
 /// A decoded batch.
 #[derive(Debug)]
@@ -21,47 +21,56 @@
     pub tail: Vec<u8>,
 }
 
-/// Decodes a whole frame. `batch` counts frames from zero, for messages only.
+/// The fields of a frame's header.
+struct Header {
+    now: Millis,
+    number: u32,
+    count: usize,
+}
+
+/// Decodes a complete frame. `batch` counts frames from zero, for errors only.
+///
+/// # Errors
+///
+/// What is wrong with the header, or with the first record at fault.
 pub fn decode(frame: &[u8], batch: u64) -> Result<Batch, WireError> {
-    let header = |what: String| WireError::Header { batch, what };
-    if frame.len() < HEADER_IN {
-        return Err(header(format!(
-            "{} bytes are too few for a frame",
-            frame.len()
-        )));
+    let header = decode_header(frame).map_err(|source| WireError::Header { batch, source })?;
+    let body = &frame[HEADER_SIZE..];
+    let (records, tail) = body.split_at(header.count * RECORD_SIZE);
+    let records = records.chunks_exact(RECORD_SIZE).enumerate();
+    let records = records.map(|(position, record)| {
+        decode_record(record, tail).map_err(|source| WireError::Record {
+            batch,
+            record: position,
+            source,
+        })
+    });
+    Ok(Batch {
+        now: header.now,
+        number: header.number,
+        records: records.collect::<Result<_, _>>()?,
+        tail: tail.to_vec(),
+    })
+}
+
+fn decode_header(frame: &[u8]) -> Result<Header, HeaderError> {
+    let length = frame.len();
+    if length < HEADER_SIZE {
+        return Err(HeaderError::TooShort { length });
     }
-    if u32_at(frame, 0) as usize != frame.len() {
-        return Err(header(format!(
-            "stated size {} is not the {} bytes at hand",
-            u32_at(frame, 0),
-            frame.len()
-        )));
+    let stated = u32_at(frame, 0);
+    if stated as usize != length {
+        return Err(HeaderError::SizeMismatch { stated, length });
     }
     let count = u32_at(frame, 4) as usize;
-    let body = frame.len() - HEADER_IN;
-    if count > body / EVENT {
-        return Err(header(format!(
-            "{count} records do not fit into {body} bytes"
-        )));
+    let body = length - HEADER_SIZE;
+    if count > body / RECORD_SIZE {
+        return Err(HeaderError::TooManyRecords { count, body });
     }
     let now = f64_at(frame, 8);
     if !now.is_finite() {
-        return Err(header(format!("the clock reads {now}")));
-    }
-    let tail = &frame[HEADER_IN + count * EVENT..];
-    let mut records = Vec::with_capacity(count);
-    for i in 0..count {
-        let r = &frame[HEADER_IN + i * EVENT..HEADER_IN + (i + 1) * EVENT];
-        records.push(decode_record(r, tail).map_err(|what| WireError::Record {
-            batch,
-            record: i,
-            what,
-        })?);
+        return Err(HeaderError::Clock(now));
     }
-    Ok(Batch {
-        now,
-        number: u32_at(frame, 16),
-        records,
-        tail: tail.to_vec(),
-    })
+    let number = u32_at(frame, 16);
+    Ok(Header { now, number, count })
 }
--- a/balancer/simulator/src/wire/bytes.rs
+++ b/balancer/simulator/src/wire/bytes.rs
@@ -1,33 +1,34 @@
-//! Reads numbers of the wire, which are big-endian. Whoever calls has checked the length. Owns no state.
+//! Reads numbers of the wire, which are big-endian. The caller has checked the length. Owns no state.
 use balancer_core::UpstreamId;
 
-fn take<const N: usize>(b: &[u8], at: usize) -> [u8; N] {
-    let mut out = [0; N];
-    out.copy_from_slice(&b[at..at + N]);
-    out
+fn array_at<const N: usize>(bytes: &[u8], offset: usize) -> [u8; N] {
+    let mut array = [0; N];
+    array.copy_from_slice(&bytes[offset..offset + N]);
+    array
 }
 
 /// A big-endian number at this offset, which must lie within.
-pub(super) fn u16_at(b: &[u8], at: usize) -> u16 {
-    u16::from_be_bytes(take(b, at))
+pub(super) fn u16_at(bytes: &[u8], offset: usize) -> u16 {
+    u16::from_be_bytes(array_at(bytes, offset))
 }
 
 /// See [`u16_at`].
-pub(super) fn u32_at(b: &[u8], at: usize) -> u32 {
-    u32::from_be_bytes(take(b, at))
+pub(super) fn u32_at(bytes: &[u8], offset: usize) -> u32 {
+    u32::from_be_bytes(array_at(bytes, offset))
 }
 
 /// See [`u16_at`].
-pub(super) fn u64_at(b: &[u8], at: usize) -> u64 {
-    u64::from_be_bytes(take(b, at))
+pub(super) fn u64_at(bytes: &[u8], offset: usize) -> u64 {
+    u64::from_be_bytes(array_at(bytes, offset))
 }
 
 /// See [`u16_at`].
-pub(super) fn f64_at(b: &[u8], at: usize) -> f64 {
-    f64::from_bits(u64_at(b, at))
+pub(super) fn f64_at(bytes: &[u8], offset: usize) -> f64 {
+    f64::from_bits(u64_at(bytes, offset))
 }
 
 /// The id of an upstream: six bytes.
-pub(super) fn upstream_at(b: &[u8], at: usize) -> UpstreamId {
-    UpstreamId((u64::from(u32_at(b, at)) << 16) | u64::from(u16_at(b, at + 4)))
+pub(super) fn upstream_at(bytes: &[u8], offset: usize) -> UpstreamId {
+    let high = u64::from(u32_at(bytes, offset)) << 16;
+    UpstreamId(high | u64::from(u16_at(bytes, offset + 4)))
 }
--- a/balancer/simulator/src/wire/record.rs
+++ b/balancer/simulator/src/wire/record.rs
@@ -1,5 +1,6 @@
 //! Decodes one record of a batch; what it points at lies in the frame's tail. Owns no state.
 use super::bytes::{f64_at, u16_at, u32_at, u64_at, upstream_at};
+use super::error::{RecordError, UpdateError};
 use balancer_core::{
     Availability, Ending, Endpoint, EndpointUpdate, Event, Request, RequestId, UpstreamId,
 };
@@ -7,7 +8,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Bytes of an entry of a list.
-const ENTRY: usize = 24;
+const ENTRY_SIZE: usize = 24;
+/// The most values of a load report.
+const MAX_REPORT: usize = 4;
 
 /// A list of upstreams as a `table` record carries it.
 pub type Table = Vec<Endpoint>;
@@ -26,141 +29,163 @@
     },
     /// An instance was killed.
     Destroy,
-    /// A numbered list for the whole process.
+    /// A numbered list for all instances.
     Table {
         /// What `Sync` records point at it by.
         number: u32,
         /// The list.
-        members: Table,
+        endpoints: Table,
     },
-    /// News about upstreams, pointing at a table.
+    /// An update of the endpoint list, pointing at a table.
     Sync {
-        /// What the news is, see [`membership`].
+        /// The kind of update, see [`endpoint_update`].
         kind: u8,
         /// The number of the table.
         table: u32,
     },
-    /// Anything else the module handles.
+    /// Anything else the balancer handles.
     Event(Event),
     /// An attempt ended; the upstream and the values of its load report, as many as there are.
     Outcome {
-        /// What the module is told.
+        /// What the balancer handles.
         event: Event,
         /// The upstream of the attempt.
         upstream: UpstreamId,
         /// The values of its load report.
         report: Vec<f32>,
     },
-    /// A legal record that the module has no use for.
+    /// A legal record that the balancer has no use for.
     Skip,
 }
 
-fn span(tail: &[u8], offset: u32, len: u64, what: &str) -> Result<Range<usize>, String> {
-    let end = u64::from(offset) + len;
+/// The bytes of the tail from an offset on.
+fn range(
+    tail: &[u8],
+    start: u32,
+    length: u64,
+    what: &'static str,
+) -> Result<Range<usize>, RecordError> {
+    let end = u64::from(start) + length;
     if end > tail.len() as u64 {
-        return Err(format!(
-            "{what}: bytes {offset} to {end} lie outside the tail of {}",
-            tail.len()
-        ));
+        return Err(RecordError::OutsideTail {
+            what,
+            start,
+            end,
+            tail: tail.len(),
+        });
     }
-    Ok(offset as usize..end as usize)
+    Ok(start as usize..end as usize)
 }
 
-fn finite(v: f64, what: &str) -> Result<f64, String> {
-    if v.is_finite() {
-        Ok(v)
+fn finite(value: f64, what: &'static str) -> Result<f64, RecordError> {
+    if value.is_finite() {
+        Ok(value)
     } else {
-        Err(format!("{what} reads {v}"))
+        Err(RecordError::NotFinite { what, value })
     }
 }
 
-/// By the key, which a client's next try has as well; without one by the id.
-fn tie(r: &[u8]) -> u64 {
-    xxh3_64(if u64_at(r, 10) == 0 {
-        &r[1..5]
+/// By the key, which a client's retry has as well; without one by the id.
+fn tie(record: &[u8]) -> u64 {
+    let has_key = u64_at(record, 10) != 0;
+    xxh3_64(if has_key {
+        &record[10..18]
     } else {
-        &r[10..18]
+        &record[1..5]
     })
 }
 
-/// Decodes one record; the message says what is wrong with it.
-pub(super) fn decode_record(r: &[u8], tail: &[u8]) -> Result<Record, String> {
-    Ok(match r[0] {
-        0 => Record::Event(Event::Timer(u32_at(r, 1))),
-        1 => Record::Destroy,
-        2 => Record::Sync {
-            kind: r[1],
-            table: u32_at(r, 10),
-        },
-        3 | 7 => Record::Skip,
-        4 => {
-            let setup = span(tail, u32_at(r, 9), u64::from(u32_at(r, 13)), "settings")?;
-            Record::Configure {
-                seed: u64_at(r, 1),
-                setup,
-            }
+/// Decodes one record.
+pub(super) fn decode_record(record: &[u8], tail: &[u8]) -> Result<Record, RecordError> {
+    match record[0] {
+        0 => Ok(Record::Event(Event::Timer(u32_at(record, 1)))),
+        1 => Ok(Record::Destroy),
+        2 => Ok(Record::Sync {
+            kind: record[1],
+            table: u32_at(record, 10),
+        }),
+        3 | 7 => Ok(Record::Skip),
+        4 => decode_configure(record, tail),
+        5 => decode_request(record),
+        6 => decode_table(record, tail),
+        8 => decode_outcome(record),
+        9 => {
+            let id = RequestId(u32_at(record, 1));
+            Ok(Record::Event(Event::ClientDisconnected(id)))
         }
-        5 => Record::Event(Event::Request(Request {
-            id: RequestId(u32_at(r, 1)),
-            class: usize::from(r[5]),
-            tenant: u32_at(r, 6) as usize,
-            deadline: finite(f64_at(r, 18), "deadline")?,
-            tie: tie(r),
+        10 => Ok(Record::Target(u16_at(record, 1))),
+        11 => Ok(Record::Event(Event::Streaming {
+            request: RequestId(u32_at(record, 1)),
+            attempt: u32::from(u16_at(record, 11)),
         })),
-        6 => {
-            let bytes = u64::from(u32_at(r, 9)) * ENTRY as u64;
-            let range = span(tail, u32_at(r, 5), bytes, "entries")?;
-            let members = tail[range]
-                .chunks_exact(ENTRY)
-                .map(decode_entry)
-                .collect::<Result<_, _>>()?;
-            Record::Table {
-                number: u32_at(r, 1),
-                members,
-            }
-        }
-        8 => Record::Outcome {
-            event: Event::Outcome {
-                request: RequestId(u32_at(r, 1)),
-                attempt: u32::from(u16_at(r, 5)),
-                ending: ending(u16_at(r, 13)),
-                duration: finite(f64_at(r, 15), "duration")?,
-                closed: r[23] != 0,
-            },
-            upstream: upstream_at(r, 7),
-            report: (0..usize::from(r[24]).min(4))
-                .map(|k| f32::from_bits(u32_at(r, 25 + 4 * k)))
-                .collect(),
+        code => Err(RecordError::UnknownEvent(code)),
+    }
+}
+
+fn decode_configure(record: &[u8], tail: &[u8]) -> Result<Record, RecordError> {
+    let length = u64::from(u32_at(record, 13));
+    Ok(Record::Configure {
+        seed: u64_at(record, 1),
+        setup: range(tail, u32_at(record, 9), length, "settings")?,
+    })
+}
+
+fn decode_request(record: &[u8]) -> Result<Record, RecordError> {
+    Ok(Record::Event(Event::Request(Request {
+        id: RequestId(u32_at(record, 1)),
+        class: usize::from(record[5]),
+        tenant: u32_at(record, 6) as usize,
+        deadline: finite(f64_at(record, 18), "deadline")?,
+        tie: tie(record),
+    })))
+}
+
+fn decode_table(record: &[u8], tail: &[u8]) -> Result<Record, RecordError> {
+    let length = u64::from(u32_at(record, 9)) * ENTRY_SIZE as u64;
+    let range = range(tail, u32_at(record, 5), length, "entries")?;
+    let entries = tail[range].chunks_exact(ENTRY_SIZE);
+    Ok(Record::Table {
+        number: u32_at(record, 1),
+        endpoints: entries.map(decode_entry).collect::<Result<_, _>>()?,
+    })
+}
+
+fn decode_outcome(record: &[u8]) -> Result<Record, RecordError> {
+    let values = usize::from(record[24]).min(MAX_REPORT);
+    let value = |position| f32::from_bits(u32_at(record, 25 + 4 * position));
+    Ok(Record::Outcome {
+        event: Event::Outcome {
+            request: RequestId(u32_at(record, 1)),
+            attempt: u32::from(u16_at(record, 5)),
+            ending: ending(u16_at(record, 13)),
+            duration: finite(f64_at(record, 15), "duration")?,
+            closed: record[23] != 0,
         },
-        9 => Record::Event(Event::ClientDisconnected(RequestId(u32_at(r, 1)))),
-        10 => Record::Target(u16_at(r, 1)),
-        11 => Record::Event(Event::Streaming {
-            request: RequestId(u32_at(r, 1)),
-            attempt: u32::from(u16_at(r, 11)),
-        }),
-        code => return Err(format!("unknown event code {code}")),
+        upstream: upstream_at(record, 7),
+        report: (0..values).map(value).collect(),
     })
 }
 
-fn decode_entry(e: &[u8]) -> Result<Endpoint, String> {
-    let availability = match e[11] {
-        3 => Availability::Ready,
-        0 => Availability::Draining,
-        2 => Availability::Removed,
-        other => return Err(format!("unknown availability {other}")),
-    };
-    let since = finite(f64_at(e, 16), "start time of an upstream")?;
-    let (zone, kind, group) = (u16_at(e, 6), e[8], u16_at(e, 9));
+fn decode_entry(entry: &[u8]) -> Result<Endpoint, RecordError> {
     Ok(Endpoint {
-        id: upstream_at(e, 0),
-        zone,
-        kind,
-        group,
-        availability,
-        since,
+        availability: availability(entry[11])?,
+        since: finite(f64_at(entry, 16), "start time of an upstream")?,
+        id: upstream_at(entry, 0),
+        zone: u16_at(entry, 6),
+        kind: entry[8],
+        group: u16_at(entry, 9),
     })
 }
 
+fn availability(code: u8) -> Result<Availability, RecordError> {
+    match code {
+        0 => Ok(Availability::Draining),
+        2 => Ok(Availability::Removed),
+        3 => Ok(Availability::Ready),
+        other => Err(RecordError::UnknownAvailability(other)),
+    }
+}
+
 fn ending(code: u16) -> Ending {
     match code {
         200 => Ending::Ok,
@@ -175,18 +200,18 @@
     }
 }
 
-/// Resolves what a `sync` record says against the table it points at.
-pub fn membership(kind: u8, table: Option<&Table>) -> Result<EndpointUpdate, String> {
-    let list = || {
-        table
-            .cloned()
-            .ok_or_else(|| "points at a table that was never sent".to_string())
-    };
-    Ok(match kind {
-        0 => EndpointUpdate::Full(list()?),
-        1 => EndpointUpdate::Failed,
-        2 => EndpointUpdate::Delta(list()?),
-        3 => EndpointUpdate::Cached(list()?),
-        other => return Err(format!("unknown kind of news {other}")),
-    })
+/// Resolves a `sync` record against the table it points at.
+///
+/// # Errors
+///
+/// The kind is unknown, or it needs a table that was never sent.
+pub fn endpoint_update(kind: u8, table: Option<&Table>) -> Result<EndpointUpdate, UpdateError> {
+    let endpoints = || table.cloned().ok_or(UpdateError::MissingTable);
+    match kind {
+        0 => Ok(EndpointUpdate::Full(endpoints()?)),
+        1 => Ok(EndpointUpdate::Failed),
+        2 => Ok(EndpointUpdate::Delta(endpoints()?)),
+        3 => Ok(EndpointUpdate::Cached(endpoints()?)),
+        other => Err(UpdateError::UnknownKind(other)),
+    }
 }
--- a/balancer/simulator/src/wire/reply.rs
+++ b/balancer/simulator/src/wire/reply.rs
@@ -1,11 +1,25 @@
-//! Puts replies together.
-use balancer_core::Action;
+//! Encodes replies.
+use balancer_core::{Action, Millis, RequestId, UpstreamId};
 
-const HEADER_OUT: usize = 12;
-/// Bytes of an action.
-const ACTION: usize = 24;
+/// Bytes of the header of a frame to the simulator.
+const HEADER_SIZE: usize = 12;
+/// Bytes of a record.
+const RECORD_SIZE: usize = 24;
 
-/// A reply being put together.
+/// Codes of the records of a reply.
+mod code {
+    pub(super) const FAIL: u8 = 1;
+    pub(super) const CLOSE_IDLE: u8 = 2;
+    pub(super) const REFUSE: u8 = 3;
+    pub(super) const SUBSCRIBE: u8 = 5;
+    pub(super) const LOG: u8 = 6;
+    pub(super) const SEND: u8 = 7;
+    pub(super) const INSTANCE: u8 = 8;
+    pub(super) const SET_TIMER: u8 = 10;
+    pub(super) const CANCEL: u8 = 12;
+}
+
+/// A reply being encoded.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -14,21 +28,22 @@
 }
 
 impl Reply {
+    /// Adds an empty record.
     fn record(&mut self, code: u8) -> &mut [u8] {
-        let at = self.records.len();
-        self.records.resize(at + ACTION, 0);
-        self.records[at] = code;
+        let start = self.records.len();
+        self.records.resize(start + RECORD_SIZE, 0);
+        self.records[start] = code;
         self.count += 1;
-        &mut self.records[at..]
+        &mut self.records[start..]
     }
 
     /// Names the instance that the next actions belong to.
-    pub fn at(&mut self, instance: u16) {
-        self.record(8)[1..3].copy_from_slice(&instance.to_be_bytes());
+    pub fn set_instance(&mut self, instance: u16) {
+        self.record(code::INSTANCE)[1..3].copy_from_slice(&instance.to_be_bytes());
     }
 
     /// Adds one action.
-    pub fn action(&mut self, action: &Action) {
+    pub fn add(&mut self, action: &Action) {
         match action {
             // What is sent here is written at once, so that there is no time to bound.
             Action::Send {
@@ -36,51 +51,61 @@
                 upstream,
                 timeout,
                 ..
-            } => {
-                let r = self.record(7);
-                r[1..5].copy_from_slice(&request.0.to_be_bytes());
-                r[5..11].copy_from_slice(&upstream.0.to_be_bytes()[2..]);
-                r[11..19].copy_from_slice(&timeout.to_be_bytes());
-            }
-            Action::Cancel { request, attempt } => {
-                let r = self.record(12);
-                r[1..5].copy_from_slice(&request.0.to_be_bytes());
-                r[5..7].copy_from_slice(&(*attempt as u16).to_be_bytes());
-            }
+            } => self.add_send(*request, *upstream, *timeout),
+            Action::Cancel { request, attempt } => self.add_cancel(*request, *attempt),
             Action::Refuse {
                 request,
                 retry_after,
                 ..
-            } => {
-                let r = self.record(3);
-                r[1..5].copy_from_slice(&request.0.to_be_bytes());
-                r[5..13].copy_from_slice(&retry_after.to_be_bytes());
-            }
+            } => self.add_refuse(*request, *retry_after),
             Action::Fail { request } => {
-                self.record(1)[1..5].copy_from_slice(&request.0.to_be_bytes())
+                self.record(code::FAIL)[1..5].copy_from_slice(&request.0.to_be_bytes());
             }
             Action::CloseIdle(upstream) => {
-                self.record(2)[1..7].copy_from_slice(&upstream.0.to_be_bytes()[2..]);
+                let record = self.record(code::CLOSE_IDLE);
+                record[1..7].copy_from_slice(&upstream.0.to_be_bytes()[2..]);
             }
-            Action::Subscribe => self.record(5)[1] = 1,
+            Action::Subscribe => self.record(code::SUBSCRIBE)[1] = 1,
             Action::SetTimer { after, token } => {
-                let r = self.record(10);
-                r[1..9].copy_from_slice(&after.to_be_bytes());
-                r[9..13].copy_from_slice(&token.to_be_bytes());
-            }
-            Action::Log(text) => {
-                let (offset, len) = (self.tail.len() as u32, text.len() as u32);
-                self.tail.extend_from_slice(text.as_bytes());
-                let r = self.record(6);
-                r[1..5].copy_from_slice(&offset.to_be_bytes());
-                r[5..9].copy_from_slice(&len.to_be_bytes());
+                let record = self.record(code::SET_TIMER);
+                record[1..9].copy_from_slice(&after.to_be_bytes());
+                record[9..13].copy_from_slice(&token.to_be_bytes());
             }
+            Action::Log(text) => self.add_log(text),
         }
     }
 
+    fn add_send(&mut self, request: RequestId, upstream: UpstreamId, timeout: Millis) {
+        let record = self.record(code::SEND);
+        record[1..5].copy_from_slice(&request.0.to_be_bytes());
+        record[5..11].copy_from_slice(&upstream.0.to_be_bytes()[2..]);
+        record[11..19].copy_from_slice(&timeout.to_be_bytes());
+    }
+
+    fn add_cancel(&mut self, request: RequestId, attempt: u32) {
+        let record = self.record(code::CANCEL);
+        record[1..5].copy_from_slice(&request.0.to_be_bytes());
+        record[5..7].copy_from_slice(&(attempt as u16).to_be_bytes());
+    }
+
+    fn add_refuse(&mut self, request: RequestId, retry_after: Millis) {
+        let record = self.record(code::REFUSE);
+        record[1..5].copy_from_slice(&request.0.to_be_bytes());
+        record[5..13].copy_from_slice(&retry_after.to_be_bytes());
+    }
+
+    fn add_log(&mut self, text: &str) {
+        let offset = self.tail.len() as u32;
+        let length = text.len() as u32;
+        self.tail.extend_from_slice(text.as_bytes());
+        let record = self.record(code::LOG);
+        record[1..5].copy_from_slice(&offset.to_be_bytes());
+        record[5..9].copy_from_slice(&length.to_be_bytes());
+    }
+
     /// The finished frame; the reply is empty again afterwards.
     pub fn finish(&mut self, number: u32) -> Vec<u8> {
-        let size = HEADER_OUT + self.records.len() + self.tail.len();
+        let size = HEADER_SIZE + self.records.len() + self.tail.len();
         let mut frame = Vec::with_capacity(size);
         frame.extend_from_slice(&(size as u32).to_be_bytes());
         frame.extend_from_slice(&self.count.to_be_bytes());
--- a/balancer/simulator/tests/golden.rs
+++ b/balancer/simulator/tests/golden.rs
@@ -7,7 +7,7 @@
     Action, Availability, Ending, Endpoint, EndpointUpdate, Event, Refusal, Request, RequestId,
     UpstreamId,
 };
-use balancer_simulator::wire::{decode, membership, read_frame, Record, Reply};
+use balancer_simulator::wire::{decode, endpoint_update, read_frame, Record, Reply};
 use balancer_simulator::Host;
 use golden::{assert_stored, stored};
 
@@ -63,6 +63,7 @@
 }
 
 /// What each frame says besides the instance that it is for.
+#[expect(clippy::too_many_lines, reason = "a table of frames")]
 fn frames() -> Vec<(&'static str, Option<Record>)> {
     let sync = |kind| Record::Sync { kind, table: TABLE };
     let frames = vec![
@@ -77,7 +78,7 @@
             "table",
             Record::Table {
                 number: TABLE,
-                members: members(),
+                endpoints: members(),
             },
         ),
         ("sync_full", sync(0)),
@@ -170,16 +171,19 @@
 fn every_kind_of_news_of_upstreams_is_told_from_the_others() {
     let table = Some(members());
     assert_eq!(
-        membership(0, table.as_ref()),
+        endpoint_update(0, table.as_ref()),
         Ok(EndpointUpdate::Full(members()))
     );
-    assert_eq!(membership(1, table.as_ref()), Ok(EndpointUpdate::Failed));
     assert_eq!(
-        membership(2, table.as_ref()),
+        endpoint_update(1, table.as_ref()),
+        Ok(EndpointUpdate::Failed)
+    );
+    assert_eq!(
+        endpoint_update(2, table.as_ref()),
         Ok(EndpointUpdate::Delta(members()))
     );
     assert_eq!(
-        membership(3, table.as_ref()),
+        endpoint_update(3, table.as_ref()),
         Ok(EndpointUpdate::Cached(members()))
     );
 }
@@ -193,7 +197,9 @@
             .expect("a frame");
         assert_eq!(frame, bytes, "{name}");
         let batch = decode(&frame, 0).expect("is read");
-        let reply = host.batch(&batch).unwrap_or_else(|e| panic!("{name}: {e}"));
+        let reply = host
+            .handle_batch(&batch)
+            .unwrap_or_else(|e| panic!("{name}: {e}"));
         assert_eq!(reply[..4], (reply.len() as u32).to_be_bytes(), "{name}");
         assert_eq!(reply[8..12], batch.number.to_be_bytes(), "{name}");
     }
@@ -241,15 +247,15 @@
     let mut reply = Reply::default();
     let mut made = vec![("empty".to_string(), reply.finish(0x0102_0304))];
     for (number, (name, action)) in (0x0102_0305..).zip(&actions) {
-        reply.at(0x0304);
-        reply.action(action);
+        reply.set_instance(0x0304);
+        reply.add(action);
         made.push((name.to_string(), reply.finish(number)));
     }
     for (instance, (_, action)) in (0x0304..).zip(&actions) {
-        reply.at(instance);
-        reply.action(action);
+        reply.set_instance(instance);
+        reply.add(action);
     }
-    reply.action(&Action::Log("and more".into()));
+    reply.add(&Action::Log("and more".into()));
     made.push(("all".into(), reply.finish(0x0102_03ff)));
     assert_stored(REPLIES, &made);
 }
--- a/balancer/simulator/tests/mutated.rs
+++ b/balancer/simulator/tests/mutated.rs
@@ -86,7 +86,7 @@
     let read = read_frame(&mut &bytes[..], 0).map_err(|e| e.to_string());
     let whole = read.and_then(|frame| frame.ok_or_else(|| "no frame".to_string()));
     let decoded = whole.and_then(|frame| decode(&frame, 0).map_err(|e| e.to_string()));
-    match decoded.and_then(|batch| host.batch(&batch)) {
+    match decoded.and_then(|batch| host.handle_batch(&batch).map_err(|e| e.to_string())) {
         Ok(reply) => {
             // It states its own size.
             assert_eq!(reply[..4], (reply.len() as u32).to_be_bytes());
@@ -105,7 +105,7 @@
     let frames = session();
     assert!(play(&mut host, &frames[0]));
     let batch = decode(&frames[1], 1).expect("a good frame");
-    let reply = host.batch(&batch).expect("a reply");
+    let reply = host.handle_batch(&batch).expect("a reply");
     let sends = reply[12..]
         .chunks_exact(24)
         .filter(|action| action[0] == 7)
--- a/balancer/simulator/tests/wire.rs
+++ b/balancer/simulator/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The codec against the frames that the documentation shows, and against bad ones.
 use balancer_core::{Action, Ending, EndpointUpdate, Event, Request, RequestId, UpstreamId};
-use balancer_simulator::wire::{decode, membership, read_frame, Record, Reply};
+use balancer_simulator::wire::{decode, endpoint_update, read_frame, Record, Reply};
 use xxhash_rust::xxh3::xxh3_64;
 
 fn bytes(hex: &str) -> Vec<u8> {
@@ -58,19 +58,19 @@
     );
 
     let mut reply = Reply::default();
-    reply.at(3);
-    reply.action(&Action::Send {
+    reply.set_instance(3);
+    reply.add(&Action::Send {
         request: id,
         upstream: UpstreamId(0x0a12_4a07_2bc3),
         timeout: 80.0,
         write_by: f64::INFINITY,
     });
-    reply.action(&Action::SetTimer {
+    reply.add(&Action::SetTimer {
         after: 500.0,
         token: 0x4d,
     });
-    reply.at(5);
-    reply.action(&Action::Log("two servers known".into()));
+    reply.set_instance(5);
+    reply.add(&Action::Log("two servers known".into()));
     let mut want = bytes("00000095 00000005 0000000c");
     want.extend(padded("08 0003", 24));
     want.extend(padded("07 5d3a91c4 0a124a07 2bc3 4054000000000000", 24));
@@ -94,12 +94,18 @@
     let size = frame.len() as u32;
     frame[..4].copy_from_slice(&size.to_be_bytes());
     let batch = decode(&frame, 0).unwrap();
-    let Record::Table { number: 0, members } = &batch.records[0] else {
+    let Record::Table {
+        number: 0,
+        endpoints,
+    } = &batch.records[0]
+    else {
         panic!("{batch:?}")
     };
-    assert_eq!(members[1].id, UpstreamId(0x0a90_11f2_2bec));
-    assert_eq!(members[1].since, 6100.0);
-    assert!(matches!(membership(2, Some(members)), Ok(EndpointUpdate::Delta(m)) if m.len() == 2));
+    assert_eq!(endpoints[1].id, UpstreamId(0x0a90_11f2_2bec));
+    assert_eq!(endpoints[1].since, 6100.0);
+    assert!(
+        matches!(endpoint_update(2, Some(endpoints)), Ok(EndpointUpdate::Delta(m)) if m.len() == 2)
+    );
 }
 
 #[test]
