--- a/balancer/core/tests/common/mod.rs
+++ b/balancer/core/tests/common/mod.rs
@@ -1,11 +1,12 @@
-//! A world for one balancer: it answers what the balancer sends and checks the rules on its own account.
+//! A harness for one balancer: it responds to what the balancer sends and checks the rules on its own account.
 #![allow(dead_code)] // each test file uses its own part
+mod rules;
 pub(crate) mod slow_start;
 pub(crate) mod tier;
 use balancer_core::*;
 use std::collections::BTreeMap;
 
-pub(crate) fn member(id: u64) -> Endpoint {
+pub(crate) fn endpoint(id: u64) -> Endpoint {
     Endpoint {
         id: UpstreamId(id),
         zone: 0,
@@ -35,89 +36,106 @@
         .collect()
 }
 
-/// A request's life as the checker saw it.
-pub(crate) struct Seen {
+/// A request as the harness saw it.
+pub(crate) struct RequestRecord {
     pub class: usize,
     pub deadline: f64,
+    /// Where and when each attempt was sent.
     pub sends: Vec<(UpstreamId, f64)>,
     /// When each attempt times out.
-    pub until: Vec<f64>,
-    /// Attempts out, and whether each ended one may have run (`None`: still out).
-    pub ended: Vec<Option<Ending>>,
-    pub answered: bool,
+    pub timeouts: Vec<f64>,
+    /// How each attempt ended; `None`: it is in flight.
+    pub endings: Vec<Option<Ending>>,
+    /// It has its final response.
+    pub completed: bool,
+}
+
+impl RequestRecord {
+    /// The attempt in flight that times out first.
+    fn next_timeout(&self) -> Option<usize> {
+        (0..self.endings.len())
+            .filter(|&attempt| self.endings[attempt].is_none())
+            .min_by(|&a, &b| self.timeouts[a].total_cmp(&self.timeouts[b]))
+    }
+}
+
+/// A response on its way.
+#[derive(Clone, Copy)]
+pub(crate) struct ScheduledResponse {
+    pub at: f64,
+    pub request: u32,
+    pub attempt: usize,
+    pub ending: Ending,
+}
+
+/// What happens next as time passes.
+enum Next {
+    Timeout { request: RequestId, attempt: usize },
+    Timer { index: usize, token: u32 },
 }
 
 /// Drives a balancer and checks each action against the rules, knowing nothing of how it decides.
-pub(crate) struct World {
+pub(crate) struct Harness {
     pub balancer: Balancer,
     pub settings: Settings,
     pub now: f64,
     pub listed: BTreeMap<UpstreamId, Endpoint>,
-    pub seen: BTreeMap<RequestId, Seen>,
+    pub requests: BTreeMap<RequestId, RequestRecord>,
     pub timers: Vec<(f64, u32)>,
     pub log: Vec<Action>,
-    /// Answers on their way: when, request, attempt, ending.
-    pub due: Vec<(f64, u32, usize, Ending)>,
-    /// The attempt of each request that a server was last asked to answer.
-    asked: BTreeMap<u32, usize>,
+    pub scheduled: Vec<ScheduledResponse>,
+    /// The attempt of each request that a server last took.
+    last_served: BTreeMap<u32, usize>,
 }
 
-impl World {
-    /// Whether this end of an attempt proves that it never ran.
-    fn proves(&self, ending: Option<Ending>) -> bool {
-        match ending {
-            Some(Ending::Full) => !self.settings.late_shedding,
-            Some(Ending::ConnectFailed | Ending::Moot) => true,
-            _ => false,
-        }
-    }
-
-    pub(crate) fn new(settings: Settings, seed: u64, members: Vec<Endpoint>) -> Self {
+impl Harness {
+    pub(crate) fn new(settings: Settings, seed: u64, endpoints: Vec<Endpoint>) -> Self {
         let balancer = Balancer::new(settings.clone(), seed, 0.0).expect("settings");
-        let mut world = World {
+        let mut harness = Harness {
             balancer,
             settings,
             now: 0.0,
             listed: BTreeMap::new(),
-            seen: BTreeMap::new(),
+            requests: BTreeMap::new(),
             timers: Vec::new(),
             log: Vec::new(),
-            due: Vec::new(),
-            asked: BTreeMap::new(),
+            scheduled: Vec::new(),
+            last_served: BTreeMap::new(),
         };
-        world.list(EndpointUpdate::Cached(members));
-        world
+        harness.update_endpoints(EndpointUpdate::Cached(endpoints));
+        harness
     }
 
-    pub(crate) fn list(&mut self, news: EndpointUpdate) {
-        let (members, whole) = match &news {
-            EndpointUpdate::Full(m) | EndpointUpdate::Cached(m) => (m.clone(), true),
-            EndpointUpdate::Delta(m) => (m.clone(), false),
-            EndpointUpdate::Failed => (Vec::new(), false),
-        };
-        if whole {
-            self.listed
-                .values_mut()
-                .for_each(|m| m.availability = Availability::Removed);
+    pub(crate) fn update_endpoints(&mut self, update: EndpointUpdate) {
+        if matches!(update, EndpointUpdate::Full(_) | EndpointUpdate::Cached(_)) {
+            for endpoint in self.listed.values_mut() {
+                endpoint.availability = Availability::Removed;
+            }
         }
-        self.listed.extend(members.into_iter().map(|m| (m.id, m)));
-        self.event(Event::EndpointUpdate(news));
+        let named = match &update {
+            EndpointUpdate::Full(endpoints)
+            | EndpointUpdate::Cached(endpoints)
+            | EndpointUpdate::Delta(endpoints) => endpoints.clone(),
+            EndpointUpdate::Failed => Vec::new(),
+        };
+        self.listed
+            .extend(named.into_iter().map(|endpoint| (endpoint.id, endpoint)));
+        self.handle(Event::EndpointUpdate(update));
     }
 
     pub(crate) fn request(&mut self, id: u32, class: usize, tenant: usize) -> Vec<Action> {
         let deadline = self.now + self.settings.classes[class].deadline;
         let id = RequestId(id);
-        let (sends, until, ended) = (Vec::new(), Vec::new(), Vec::new());
-        let fresh = Seen {
+        let record = RequestRecord {
             class,
             deadline,
-            sends,
-            until,
-            ended,
-            answered: false,
+            sends: Vec::new(),
+            timeouts: Vec::new(),
+            endings: Vec::new(),
+            completed: false,
         };
-        self.seen.insert(id, fresh);
-        self.event(Event::Request(Request {
+        self.requests.insert(id, record);
+        self.handle(Event::Request(Request {
             id,
             class,
             tenant,
@@ -128,12 +146,12 @@
 
     pub(crate) fn outcome(&mut self, id: u32, attempt: usize, ending: Ending) -> Vec<Action> {
         let request = RequestId(id);
-        let seen = self.seen.get_mut(&request).expect("a known request");
-        seen.ended[attempt] = Some(ending);
-        seen.answered |= ending == Ending::Ok;
-        let duration = self.now - seen.sends[attempt].1;
-        let closed = seen.answered;
-        self.event(Event::Outcome {
+        let record = self.requests.get_mut(&request).expect("a known request");
+        record.endings[attempt] = Some(ending);
+        record.completed |= ending == Ending::Ok;
+        let duration = self.now - record.sends[attempt].1;
+        let closed = record.completed;
+        self.handle(Event::Outcome {
             request,
             attempt: attempt as u32,
             ending,
@@ -142,12 +160,12 @@
         })
     }
 
-    pub(crate) fn gone(&mut self, id: u32) -> Vec<Action> {
-        self.seen
+    pub(crate) fn disconnect(&mut self, id: u32) -> Vec<Action> {
+        self.requests
             .get_mut(&RequestId(id))
             .expect("a known request")
-            .answered = true;
-        self.event(Event::ClientDisconnected(RequestId(id)))
+            .completed = true;
+        self.handle(Event::ClientDisconnected(RequestId(id)))
     }
 
     /// Sends `per_s` requests a second for `span`, tenant by tenant in turn; `server` says how each attempt
@@ -161,222 +179,132 @@
     ) {
         let until = self.now + span;
         while self.now < until {
-            let id = self.seen.last_key_value().map_or(0, |(id, _)| id.0 + 1);
+            let id = self.requests.last_key_value().map_or(0, |(id, _)| id.0 + 1);
             self.request(id, 0, tenants[id as usize % tenants.len()]);
-            self.answer(id, server);
+            self.serve(id, server);
             let next = self.now + 1000.0 / per_s;
-            while let Some(i) = (0..self.due.len())
-                .filter(|&i| self.due[i].0 <= next)
-                .min_by(|&a, &b| self.due[a].0.total_cmp(&self.due[b].0))
-            {
-                let (at, id, attempt, ending) = self.due.swap_remove(i);
-                self.pass((at - self.now).max(0.0));
-                if self.seen[&RequestId(id)].ended[attempt].is_none() {
-                    self.outcome(id, attempt, ending);
-                    self.answer(id, server);
+            while let Some(response) = self.take_scheduled(next) {
+                self.advance((response.at - self.now).max(0.0));
+                let record = &self.requests[&RequestId(response.request)];
+                if record.endings[response.attempt].is_none() {
+                    self.outcome(response.request, response.attempt, response.ending);
+                    self.serve(response.request, server);
                 }
             }
-            self.pass(next - self.now);
-            // What a timer has sent again has its answers as well.
-            let out = self
-                .seen
+            self.advance(next - self.now);
+            // What a timer has sent again has its responses as well.
+            let in_flight: Vec<u32> = self
+                .requests
                 .iter()
-                .filter(|(_, s)| s.ended.last() == Some(&None));
-            for id in out.map(|(id, _)| id.0).collect::<Vec<_>>() {
-                self.answer(id, server);
+                .filter(|(_, record)| record.endings.last() == Some(&None))
+                .map(|(id, _)| id.0)
+                .collect();
+            for id in in_flight {
+                self.serve(id, server);
             }
         }
     }
 
-    /// Puts the answer to the newest attempt of a request on its way.
-    fn answer(&mut self, id: u32, server: &dyn Fn(UpstreamId) -> Option<(Ending, f64)>) {
-        let seen = &self.seen[&RequestId(id)];
-        let Some(&(upstream, _)) = seen.sends.last() else {
+    /// Takes the first response that is scheduled up to a time.
+    fn take_scheduled(&mut self, until: f64) -> Option<ScheduledResponse> {
+        let first = (0..self.scheduled.len())
+            .filter(|&index| self.scheduled[index].at <= until)
+            .min_by(|&a, &b| self.scheduled[a].at.total_cmp(&self.scheduled[b].at))?;
+        Some(self.scheduled.swap_remove(first))
+    }
+
+    /// Schedules the response to the newest attempt of a request.
+    fn serve(&mut self, id: u32, server: &dyn Fn(UpstreamId) -> Option<(Ending, f64)>) {
+        let record = &self.requests[&RequestId(id)];
+        let Some(&(upstream, _)) = record.sends.last() else {
             return;
         };
-        let attempt = seen.sends.len() - 1;
-        if seen.ended[attempt].is_none() && self.asked.insert(id, attempt) != Some(attempt) {
+        let attempt = record.sends.len() - 1;
+        let in_flight = record.endings[attempt].is_none();
+        if in_flight && self.last_served.insert(id, attempt) != Some(attempt) {
             if let Some((ending, after)) = server(upstream) {
-                self.due.push((self.now + after, id, attempt, ending));
+                self.scheduled.push(ScheduledResponse {
+                    at: self.now + after,
+                    request: id,
+                    attempt,
+                    ending,
+                });
             }
         }
     }
 
     /// How many requests since `from` got an attempt, and how many attempts went to each upstream.
     pub(crate) fn sent_since(&self, from: f64) -> (usize, BTreeMap<UpstreamId, usize>) {
-        let mut to = BTreeMap::new();
+        let mut by_upstream = BTreeMap::new();
         let mut requests = 0;
-        for s in self.seen.values() {
-            let late: Vec<_> = s.sends.iter().filter(|(_, at)| *at >= from).collect();
-            requests += usize::from(!late.is_empty());
-            late.iter()
-                .for_each(|(id, _)| *to.entry(*id).or_insert(0) += 1);
+        for record in self.requests.values() {
+            let sends = record.sends.iter().filter(|(_, at)| *at >= from);
+            requests += usize::from(sends.clone().next().is_some());
+            for (upstream, _) in sends {
+                *by_upstream.entry(*upstream).or_insert(0) += 1;
+            }
         }
-        (requests, to)
+        (requests, by_upstream)
     }
 
     /// Moves the clock, firing timers and timing out what reaches its deadline.
-    pub(crate) fn pass(&mut self, span: f64) {
+    pub(crate) fn advance(&mut self, span: f64) {
         let until = self.now + span;
-        loop {
-            let next_out = |s: &Seen| {
-                let out = (0..s.ended.len()).filter(|&n| s.ended[n].is_none());
-                out.min_by(|&a, &b| s.until[a].total_cmp(&s.until[b]))
-            };
-            let late = self
-                .seen
-                .iter()
-                .filter_map(|(id, s)| Some((id, s, next_out(s)?)));
-            let due = late.map(|(id, s, n)| (s.until[n].max(self.now), Some(*id), n as u32));
-            let timers = self.timers.iter().map(|&(at, token)| (at, None, token));
-            let next = due.chain(timers).min_by(|a, b| a.0.total_cmp(&b.0));
-            let Some((at, request, token)) = next.filter(|n| n.0 <= until) else {
-                break;
-            };
+        while let Some((at, next)) = self.next().filter(|(at, _)| *at <= until) {
             self.now = at;
-            match request {
-                Some(id) => {
-                    self.outcome(id.0, token as usize, Ending::Timeout);
-                    let s = &self.seen[&id];
+            match next {
+                Next::Timeout { request, attempt } => {
+                    self.outcome(request.0, attempt, Ending::Timeout);
+                    let record = &self.requests[&request];
+                    let has_time = at < record.deadline;
                     assert!(
-                        at < s.deadline || s.answered || s.ended.contains(&None),
-                        "{id:?} has no final answer in time"
+                        has_time || record.completed || record.endings.contains(&None),
+                        "{request:?} has no final answer in time"
                     );
                 }
-                None => {
-                    let i = self
-                        .timers
-                        .iter()
-                        .position(|t| *t == (at, token))
-                        .expect("the timer");
-                    self.timers.remove(i);
-                    self.event(Event::Timer(token));
+                Next::Timer { index, token } => {
+                    self.timers.remove(index);
+                    self.handle(Event::Timer(token));
                 }
             }
         }
         self.now = until;
     }
 
-    pub(crate) fn event(&mut self, event: Event) -> Vec<Action> {
+    /// What happens next, and when; of what happens at once time-outs come before timers.
+    fn next(&self) -> Option<(f64, Next)> {
+        let timeouts = self.requests.iter().filter_map(|(&request, record)| {
+            let attempt = record.next_timeout()?;
+            let at = record.timeouts[attempt].max(self.now);
+            Some((at, Next::Timeout { request, attempt }))
+        });
+        let timers = self.timers.iter().enumerate();
+        let timers = timers.map(|(index, &(at, token))| (at, Next::Timer { index, token }));
+        timeouts
+            .chain(timers)
+            .min_by(|(a, _), (b, _)| a.total_cmp(b))
+    }
+
+    pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
             self.check(action);
         }
-        for (id, s) in &self.seen {
-            let held = !s.answered && s.ended.iter().all(Option::is_some);
-            assert!(!held, "{id:?} is neither answered nor out anywhere");
+        for (id, record) in &self.requests {
+            let forgotten = !record.completed && record.endings.iter().all(Option::is_some);
+            assert!(!forgotten, "{id:?} is neither answered nor out anywhere");
         }
         self.log.extend(actions.iter().cloned());
         for action in &actions {
-            // The outcome of what is called off comes at once.
+            // The outcome of what is cancelled comes at once.
             if let Action::Cancel { request, attempt } = *action {
-                if self.seen[&request].ended[attempt as usize].is_none() {
-                    self.outcome(request.0, attempt as usize, Ending::Cancelled);
+                let attempt = attempt as usize;
+                if self.requests[&request].endings[attempt].is_none() {
+                    self.outcome(request.0, attempt, Ending::Cancelled);
                 }
             }
         }
         actions
     }
-
-    fn check(&mut self, action: &Action) {
-        let now = self.now;
-        let may = |w: &Self, s: &Seen| s.ended.iter().position(|e| !w.proves(*e));
-        match action {
-            Action::Send {
-                request,
-                upstream,
-                timeout,
-                write_by,
-            } => {
-                let m = &self.listed[upstream];
-                assert_eq!(
-                    m.availability,
-                    Availability::Ready,
-                    "{request:?} sent to {m:?}"
-                );
-                let s = &self.seen[request];
-                let c = &self.settings.classes[s.class];
-                assert!(
-                    c.zones.as_ref().is_none_or(|l| l.contains(&m.zone)),
-                    "{request:?} placed at {m:?}"
-                );
-                assert!(
-                    c.kinds.as_ref().is_none_or(|l| l.contains(&m.kind)),
-                    "{request:?} placed at {m:?}"
-                );
-                assert!(!s.answered, "{request:?} sent after its final answer");
-                assert!(now < s.deadline, "{request:?} sent too late");
-                assert!(
-                    s.sends.len() < self.settings.max_attempts as usize,
-                    "{request:?}: too many attempts"
-                );
-                let out = s.ended.contains(&None);
-                assert!(!out, "{request:?}: two attempts out");
-                let first = may(self, s);
-                let bounded = first.is_some() && matches!(c.effect, Effect::Guarded { .. });
-                assert_eq!(
-                    write_by.is_finite(),
-                    bounded,
-                    "{request:?}: written by {write_by}"
-                );
-                if let Some(first) = first {
-                    match c.effect {
-                        Effect::Free => {}
-                        Effect::SingleShot => panic!("{request:?} may run twice"),
-                        Effect::Guarded { scope, window } => {
-                            let (before, sent) = s.sends[first];
-                            let b = &self.listed[&before];
-                            assert!(now < sent + window, "{request:?} resent after the window");
-                            assert!(
-                                *write_by <= sent + window,
-                                "{request:?} may be written after the window"
-                            );
-                            assert!(match scope {
-                                DedupScope::All => true,
-                                DedupScope::Zone => b.zone == m.zone,
-                                DedupScope::Cell => b.group == m.group,
-                            });
-                        }
-                    }
-                }
-                let s = self.seen.get_mut(request).expect("a known request");
-                assert!(*timeout >= 0.0, "{request:?} times out at once");
-                s.until.push(if *timeout > 0.0 {
-                    s.deadline.min(now + timeout)
-                } else {
-                    s.deadline
-                });
-                s.sends.push((*upstream, now));
-                s.ended.push(None);
-            }
-            Action::Refuse { request, .. } | Action::Fail { request } => {
-                let s = &self.seen[request];
-                assert!(!s.answered, "{request:?} answered twice");
-                if matches!(action, Action::Refuse { .. }) {
-                    let harmless = match self.settings.classes[s.class].effect {
-                        Effect::Free
-                        | Effect::Guarded {
-                            scope: DedupScope::All,
-                            ..
-                        } => true,
-                        _ => may(self, s).is_none(),
-                    };
-                    assert!(harmless, "{request:?} refused though it may have run");
-                }
-                self.seen
-                    .get_mut(request)
-                    .expect("a known request")
-                    .answered = true;
-            }
-            Action::Cancel { request, attempt } => {
-                assert!(
-                    self.settings.cancel && (*attempt as usize) < self.seen[request].sends.len()
-                );
-            }
-            Action::SetTimer { after, token } => self.timers.push((now + after, *token)),
-            Action::Subscribe => assert!(self.settings.subscribes, "the list is pushed"),
-            Action::CloseIdle(_) | Action::Log(_) => {}
-        }
-    }
 }
--- a/balancer/core/tests/common/slow_start.rs
+++ b/balancer/core/tests/common/slow_start.rs
@@ -85,7 +85,7 @@
             kind: (id % 3) as u8,
             zone,
             since,
-            ..super::member(id)
+            ..super::endpoint(id)
         }
     }
 }
@@ -190,7 +190,7 @@
 
 impl Fleet {
     fn new(day: Day) -> Self {
-        let members = (1..=day.upstreams).map(|id| (UpstreamId(id), day.listed(id, 0.0)));
+        let endpoints = (1..=day.upstreams).map(|id| (UpstreamId(id), day.listed(id, 0.0)));
         let weights = (0..day.balancers).map(day.weight).collect();
         let mut fleet = Fleet {
             now: 0.0,
@@ -198,7 +198,7 @@
             rng: Pcg64Mcg::seed_from_u64(day.seed),
             due: BinaryHeap::new(),
             processes: Vec::new(),
-            listed: members.collect(),
+            listed: endpoints.collect(),
             weights,
             sends: BTreeMap::new(),
             recent: BTreeMap::new(),
--- a/balancer/core/tests/common/tier/mod.rs
+++ b/balancer/core/tests/common/tier/mod.rs
@@ -8,7 +8,7 @@
 pub(crate) use self::clients::{Answer, Want};
 use self::schedule::{At, Due};
 use self::servers::{Out, Server};
-use super::{class, member, tenants};
+use super::{class, endpoint, tenants};
 use balancer_core::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -84,7 +84,7 @@
         let list: Vec<Endpoint> = (0..servers as u64)
             .map(|id| Endpoint {
                 zone: zone_of(UpstreamId(id)),
-                ..member(id)
+                ..endpoint(id)
             })
             .collect();
         let mut tier = Tier {
--- a/balancer/core/tests/failures/attempts.rs
+++ b/balancer/core/tests/failures/attempts.rs
@@ -1,6 +1,6 @@
 //! The end of a request and its further attempts.
 use crate::common::*;
-use crate::worlds::{shared, world};
+use crate::setup::{new_harness, shared};
 use balancer_core::*;
 
 /// Where a late answer earns nothing, an attempt that ran on only held slots, in every tier above too.
@@ -11,32 +11,32 @@
             late_value,
             ..class(Effect::SingleShot)
         };
-        let mut w = World::new(
+        let mut harness = Harness::new(
             Settings {
                 classes: vec![class],
                 ..Settings::default()
             },
             4,
-            vec![member(1)],
+            vec![endpoint(1)],
         );
-        w.request(1, 0, 0);
-        w.pass(most - 100.0);
+        harness.request(1, 0, 0);
+        harness.advance(most - 100.0);
         assert!(
-            !w.seen[&RequestId(1)].answered,
+            !harness.requests[&RequestId(1)].completed,
             "not given up before {most}"
         );
-        w.pass(100.0);
-        assert!(w.seen[&RequestId(1)].answered, "over by {most}");
+        harness.advance(100.0);
+        assert!(harness.requests[&RequestId(1)].completed, "over by {most}");
     }
 }
 
 /// Waiting for the deadline left no time for another attempt, though one was allowed and would have been answered.
 #[test]
 fn where_answers_get_lost_a_repeat_goes_out_in_time() {
-    let mut w = world(shared(&[1.0]), 6);
+    let mut harness = new_harness(shared(&[1.0]), 6);
     let server = |id| (id != UpstreamId(2)).then_some((Ending::Ok, 40.0));
-    w.traffic(20_000.0, 30.0, &[0], &server);
-    let mut again = w.seen.values().filter(|s| s.sends.len() > 1);
+    harness.traffic(20_000.0, 30.0, &[0], &server);
+    let mut again = harness.requests.values().filter(|s| s.sends.len() > 1);
     // Left to the end of the aim, 490 ms, the repeat would come too late.
     assert!(
         again.any(|s| s.sends[1].1 - s.sends[0].1 < 450.0),
@@ -63,13 +63,13 @@
     };
     let cells = |id| Endpoint {
         group: (id % 10) as u16,
-        ..member(id)
+        ..endpoint(id)
     };
-    let mut w = World::new(settings, 4, (1..=60).map(cells).collect());
+    let mut harness = Harness::new(settings, 4, (1..=60).map(cells).collect());
     let mut elsewhere = 0;
     for id in 0..40 {
-        w.request(id, 0, 0);
-        w.outcome(
+        harness.request(id, 0, 0);
+        harness.outcome(
             id,
             0,
             if id % 2 == 0 {
@@ -78,12 +78,12 @@
                 Ending::Ok
             },
         );
-        let sends = w.seen[&RequestId(id)].sends.clone();
+        let sends = harness.requests[&RequestId(id)].sends.clone();
         if let [first, again] = sends[..] {
             elsewhere += u32::from(first.0 != again.0);
-            w.outcome(id, 1, Ending::Ok);
+            harness.outcome(id, 1, Ending::Ok);
         }
-        w.pass(500.0);
+        harness.advance(500.0);
     }
     assert!(
         elsewhere >= 17,
@@ -93,9 +93,9 @@
 
 #[test]
 fn further_attempts_stay_within_their_budget() {
-    let mut w = world(shared(&[1.0]), 8);
-    w.traffic(20_000.0, 40.0, &[0], &|_| Some((Ending::Error, 5.0)));
-    let (requests, to) = w.sent_since(0.0);
+    let mut harness = new_harness(shared(&[1.0]), 8);
+    harness.traffic(20_000.0, 40.0, &[0], &|_| Some((Ending::Error, 5.0)));
+    let (requests, to) = harness.sent_since(0.0);
     let attempts: usize = to.values().sum();
     // A fifth of all requests, refused ones too, and the ten saved at the start.
     assert!(
--- a/balancer/core/tests/failures/capacity.rs
+++ b/balancer/core/tests/failures/capacity.rs
@@ -1,18 +1,18 @@
 //! The limit on calls in flight: how it is learned, and its floor at the stated quotas.
 use crate::common::*;
-use crate::worlds::{fast, shared, slow, world};
+use crate::setup::{fast, new_harness, shared, slow};
 use balancer_core::*;
 
 /// Capacity once spiralled down on old news and took half a minute to come back.
 #[test]
 fn capacity_comes_back_soon_after_an_overload() {
-    let mut w = world(shared(&[1.0]), 4);
-    w.traffic(5000.0, 60.0, &[0], &fast);
-    w.traffic(8000.0, 60.0, &[0], &slow);
-    w.traffic(6000.0, 60.0, &[0], &fast);
-    let from = w.now;
-    w.traffic(2000.0, 60.0, &[0], &fast);
-    let (sent, _) = w.sent_since(from);
+    let mut harness = new_harness(shared(&[1.0]), 4);
+    harness.traffic(5000.0, 60.0, &[0], &fast);
+    harness.traffic(8000.0, 60.0, &[0], &slow);
+    harness.traffic(6000.0, 60.0, &[0], &fast);
+    let from = harness.now;
+    harness.traffic(2000.0, 60.0, &[0], &fast);
+    let (sent, _) = harness.sent_since(from);
     assert!(sent > 100, "{sent} of 120 pass six seconds after the end");
 }
 
@@ -24,36 +24,42 @@
         objective: 1000.0,
         ..class(Effect::Free)
     };
-    let mut w = world(
+    let mut harness = new_harness(
         Settings {
             classes: vec![class],
             ..shared(&[1.0])
         },
         4,
     );
-    let out = |w: &World| w.seen.values().filter(|s| s.ended.contains(&None)).count();
-    w.traffic(6000.0, 60.0, &[0], &|_| Some((Ending::Ok, 120.0)));
-    w.traffic(8000.0, 60.0, &[0], &|_| Some((Ending::Ok, 700.0)));
+    let out = |harness: &Harness| {
+        harness
+            .requests
+            .values()
+            .filter(|s| s.endings.contains(&None))
+            .count()
+    };
+    harness.traffic(6000.0, 60.0, &[0], &|_| Some((Ending::Ok, 120.0)));
+    harness.traffic(8000.0, 60.0, &[0], &|_| Some((Ending::Ok, 700.0)));
     assert!(
-        out(&w) < 14,
+        out(&harness) < 14,
         "{} calls are still out at crowded servers",
-        out(&w)
+        out(&harness)
     );
     // It comes back once they answer as before.
-    w.traffic(9000.0, 60.0, &[0], &|_| Some((Ending::Ok, 120.0)));
-    let from = w.now;
-    w.traffic(2000.0, 60.0, &[0], &|_| Some((Ending::Ok, 120.0)));
+    harness.traffic(9000.0, 60.0, &[0], &|_| Some((Ending::Ok, 120.0)));
+    let from = harness.now;
+    harness.traffic(2000.0, 60.0, &[0], &|_| Some((Ending::Ok, 120.0)));
     assert!(
-        w.sent_since(from).0 > 110,
+        harness.sent_since(from).0 > 110,
         "{} of 120 pass again",
-        w.sent_since(from).0
+        harness.sent_since(from).0
     );
 }
 
 /// Calls sent before the last cut were left out: with answers slower than a cycle only the fast ones were heard.
 #[test]
 fn capacity_hears_the_slow_answers_too() {
-    let mut w = world(shared(&[1.0]), 8);
+    let mut harness = new_harness(shared(&[1.0]), 8);
     let server = |id: UpstreamId| Some((Ending::Ok, if id.0 < 4 { 60.0 } else { 1400.0 }));
     let class = Class {
         objective: 1000.0,
@@ -61,16 +67,16 @@
         late_value: 0.5,
         ..class(Effect::Free)
     };
-    w = World::new(
+    harness = Harness::new(
         Settings {
             classes: vec![class],
-            ..w.settings
+            ..harness.settings
         },
         4,
-        (1..=8).map(member).collect(),
+        (1..=8).map(endpoint).collect(),
     );
-    w.traffic(10_000.0, 120.0, &[0], &server);
-    let (sent, _) = w.sent_since(5000.0);
+    harness.traffic(10_000.0, 120.0, &[0], &server);
+    let (sent, _) = harness.sent_since(5000.0);
     assert!(
         sent < 450,
         "{sent} of 600 admitted, though many answers are late; the quotas are 300"
@@ -81,10 +87,10 @@
 #[test]
 fn the_floor_follows_the_ready_upstreams() {
     let admitted = |ready: u64| {
-        let mut w = world(shared(&[1.0]), 8);
-        w.list(EndpointUpdate::Full((1..=ready).map(member).collect()));
-        w.traffic(10_000.0, 120.0, &[0], &|_| Some((Ending::Ok, 420.0)));
-        w.sent_since(5000.0).0
+        let mut harness = new_harness(shared(&[1.0]), 8);
+        harness.update_endpoints(EndpointUpdate::Full((1..=ready).map(endpoint).collect()));
+        harness.traffic(10_000.0, 120.0, &[0], &|_| Some((Ending::Ok, 420.0)));
+        harness.sent_since(5000.0).0
     };
     let (all, half) = (admitted(8), admitted(4));
     assert!(
@@ -97,7 +103,7 @@
 #[test]
 fn a_tier_below_starts_with_room() {
     for (stage, least) in [(0, 0), (1, 60)] {
-        let mut w = world(
+        let mut harness = new_harness(
             Settings {
                 stage,
                 ..shared(&[1.0])
@@ -105,10 +111,10 @@
             4,
         );
         for id in 0..60 {
-            w.request(id, 0, 0);
-            w.outcome(id, 0, Ending::Ok);
+            harness.request(id, 0, 0);
+            harness.outcome(id, 0, Ending::Ok);
         }
-        let (sent, _) = w.sent_since(0.0);
+        let (sent, _) = harness.sent_since(0.0);
         assert!(sent >= least, "{sent} pass in tier {stage}");
     }
 }
@@ -118,15 +124,15 @@
 #[test]
 fn the_floor_counts_only_upstreams_that_can_be_used() {
     let unhurried = |_| Some((Ending::Ok, 260.0));
-    let rate = |w: &mut World, server: &dyn Fn(UpstreamId) -> Option<(Ending, f64)>| {
-        w.traffic(6000.0, 60.0, &[0], server);
-        let from = w.now;
-        w.traffic(3000.0, 60.0, &[0], server);
-        w.sent_since(from).0
+    let rate = |harness: &mut Harness, server: &dyn Fn(UpstreamId) -> Option<(Ending, f64)>| {
+        harness.traffic(6000.0, 60.0, &[0], server);
+        let from = harness.now;
+        harness.traffic(3000.0, 60.0, &[0], server);
+        harness.sent_since(from).0
     };
     // Answers a little late hold the capacity at its floor: the quotas, 60 a second.
-    let mut w = world(shared(&[1.0]), 4);
-    assert!(rate(&mut w, &unhurried) > 170, "all pass");
+    let mut harness = new_harness(shared(&[1.0]), 4);
+    assert!(rate(&mut harness, &unhurried) > 170, "all pass");
     let lost = |id| {
         if id > UpstreamId(2) {
             Some((Ending::ConnectFailed, 100.0))
@@ -134,23 +140,23 @@
             unhurried(id)
         }
     };
-    let sent = rate(&mut w, &lost);
+    let sent = rate(&mut harness, &lost);
     assert!(
         (60..140).contains(&sent),
         "{sent} of 180 pass with half of the upstreams lost"
     );
-    let mut w = world(shared(&[1.0]), 4);
-    rate(&mut w, &unhurried);
-    let since = w.now;
-    w.list(EndpointUpdate::Delta(
+    let mut harness = new_harness(shared(&[1.0]), 4);
+    rate(&mut harness, &unhurried);
+    let since = harness.now;
+    harness.update_endpoints(EndpointUpdate::Delta(
         (3..=4)
             .map(|id| Endpoint {
                 since,
-                ..member(id)
+                ..endpoint(id)
             })
             .collect(),
     ));
-    let sent = rate(&mut w, &unhurried);
+    let sent = rate(&mut harness, &unhurried);
     assert!(
         (60..140).contains(&sent),
         "{sent} of 180 pass with half of the upstreams cold"
@@ -161,23 +167,29 @@
 /// the eleven that were left.
 #[test]
 fn learned_capacity_follows_the_upstreams_there_are() {
-    let mut w = world(shared(&[1.0]), 8);
-    w.traffic(6000.0, 100.0, &[0], &fast);
-    let out = |w: &World| w.seen.values().filter(|s| s.ended.contains(&None)).count();
-    let hold = |w: &mut World| {
+    let mut harness = new_harness(shared(&[1.0]), 8);
+    harness.traffic(6000.0, 100.0, &[0], &fast);
+    let out = |harness: &Harness| {
+        harness
+            .requests
+            .values()
+            .filter(|s| s.endings.contains(&None))
+            .count()
+    };
+    let hold = |harness: &mut Harness| {
         // Nothing answers for a moment: what passes shows the capacity.
-        w.traffic(400.0, 300.0, &[0], &|_| None);
-        out(w)
+        harness.traffic(400.0, 300.0, &[0], &|_| None);
+        out(harness)
     };
-    let all = hold(&mut w);
-    let mut w = world(shared(&[1.0]), 8);
-    w.traffic(6000.0, 100.0, &[0], &fast);
+    let all = hold(&mut harness);
+    let mut harness = new_harness(shared(&[1.0]), 8);
+    harness.traffic(6000.0, 100.0, &[0], &fast);
     let draining = |id| Endpoint {
         availability: Availability::Draining,
-        ..member(id)
+        ..endpoint(id)
     };
-    w.list(EndpointUpdate::Delta((1..=4).map(draining).collect()));
-    let half = hold(&mut w);
+    harness.update_endpoints(EndpointUpdate::Delta((1..=4).map(draining).collect()));
+    let half = hold(&mut harness);
     assert!(
         all > 20 && half * 10 < all * 7,
         "{half} calls pass with half of the upstreams, {all} with all"
@@ -188,7 +200,7 @@
 /// errors came from the tier behind.
 #[test]
 fn an_upstream_ejected_for_errors_still_counts_in_the_floor() {
-    let mut w = world(shared(&[1.0]), 4);
+    let mut harness = new_harness(shared(&[1.0]), 4);
     let server = |id| {
         Some(if id == UpstreamId(4) {
             (Ending::Error, 50.0)
@@ -196,9 +208,9 @@
             (Ending::Ok, 260.0)
         })
     };
-    w.traffic(8000.0, 60.0, &[0], &server);
-    let from = w.now;
-    w.traffic(4000.0, 60.0, &[0], &server);
-    let sent = w.sent_since(from).0;
+    harness.traffic(8000.0, 60.0, &[0], &server);
+    let from = harness.now;
+    harness.traffic(4000.0, 60.0, &[0], &server);
+    let sent = harness.sent_since(from).0;
     assert!(sent > 225, "{sent} of 240 pass");
 }
--- a/balancer/core/tests/failures/choice.rs
+++ b/balancer/core/tests/failures/choice.rs
@@ -1,17 +1,17 @@
 //! Which upstream is taken, and the subset that a balancer connects to.
 use crate::common::*;
-use crate::worlds::{fast, shared, world};
+use crate::setup::{fast, new_harness, shared};
 use balancer_core::*;
 use std::collections::BTreeMap;
 
 /// Copies that carry little hold nothing at most upstreams: a slow kind got as much as a fast one.
 #[test]
 fn of_two_that_hold_as_many_calls_the_one_that_answers_sooner_is_taken() {
-    let mut w = world(shared(&[1.0]), 6);
+    let mut harness = new_harness(shared(&[1.0]), 6);
     let server =
         |id: UpstreamId| Some((Ending::Ok, if id.0.is_multiple_of(2) { 60.0 } else { 15.0 }));
-    w.traffic(20_000.0, 20.0, &[0], &server);
-    let (sent, to) = w.sent_since(5000.0);
+    harness.traffic(20_000.0, 20.0, &[0], &server);
+    let (sent, to) = harness.sent_since(5000.0);
     let slow: usize = to
         .iter()
         .filter(|(id, _)| id.0 % 2 == 0)
@@ -24,9 +24,9 @@
 /// A copy that carries little compares zeros; it once sent all its calls to the same few.
 #[test]
 fn a_copy_that_carries_little_spreads_its_calls() {
-    let mut w = world(shared(&[1.0]), 5);
-    w.traffic(60_000.0, 1.0, &[0], &fast);
-    let (sent, to) = w.sent_since(0.0);
+    let mut harness = new_harness(shared(&[1.0]), 5);
+    harness.traffic(60_000.0, 1.0, &[0], &fast);
+    let (sent, to) = harness.sent_since(0.0);
     let most = to.values().max().copied().unwrap_or(0);
     assert!(to.len() == 5 && most * 3 < sent, "{to:?}");
 }
@@ -41,9 +41,10 @@
             balancers: 20,
             ..shared(&[1.0])
         };
-        let mut w = World::new(settings, u64::from(index), (1..=40).map(member).collect());
-        w.traffic(12_000.0, 8.0, &[0], &fast);
-        let (_, to) = w.sent_since(6000.0);
+        let mut harness =
+            Harness::new(settings, u64::from(index), (1..=40).map(endpoint).collect());
+        harness.traffic(12_000.0, 8.0, &[0], &fast);
+        let (_, to) = harness.sent_since(6000.0);
         assert!(
             (5..=14).contains(&to.len()),
             "copy {index} used {} upstreams",
@@ -68,9 +69,9 @@
         idle_close: 30_000.0,
         ..shared(&[1.0])
     };
-    let mut w = World::new(settings, 4, (1..=100).map(member).collect());
-    w.traffic(20_000.0, 3.0, &[0], &|_| Some((Ending::Ok, 200.0)));
-    let (sent, to) = w.sent_since(0.0);
+    let mut harness = Harness::new(settings, 4, (1..=100).map(endpoint).collect());
+    harness.traffic(20_000.0, 3.0, &[0], &|_| Some((Ending::Ok, 200.0)));
+    let (sent, to) = harness.sent_since(0.0);
     assert!(
         sent > 40 && to.len() <= 10,
         "{sent} calls used {} upstreams",
@@ -89,29 +90,30 @@
         balancers: COPIES,
         ..shared(&[1.0])
     };
-    let mut worlds: Vec<World> = (0..COPIES).map(|i| world(settings(i), 8)).collect();
+    let mut harnesses: Vec<Harness> = (0..COPIES).map(|i| new_harness(settings(i), 8)).collect();
     let mut held = BTreeMap::new();
     let (mut due, mut most): (Vec<(f64, usize, u32, UpstreamId)>, _) = (Vec::new(), 0.0);
     for step in 0..1500 {
-        for (i, w) in worlds.iter_mut().enumerate() {
-            w.pass(10.0);
+        for (i, harness) in harnesses.iter_mut().enumerate() {
+            harness.advance(10.0);
             while let Some(k) = due
                 .iter()
-                .position(|&(at, copy, ..)| copy == i && at <= w.now)
+                .position(|&(at, copy, ..)| copy == i && at <= harness.now)
             {
                 // What the upstream holds for all comes with its answer.
                 let (_, _, id, upstream) = due.swap_remove(k);
                 *held.entry(upstream).or_insert(0.0) -= 1.0;
-                w.event(Event::Load {
+                harness.handle(Event::Load {
                     upstream,
                     held: held[&upstream],
                 });
-                w.outcome(id, 0, Ending::Ok);
+                harness.outcome(id, 0, Ending::Ok);
             }
             // Five calls a second and copy. Seven upstreams take 100 ms; the slow one works on one at a time.
             if (step + i).is_multiple_of(20) {
-                w.request(step as u32, 0, 0);
-                let Some(&(upstream, at)) = w.seen[&RequestId(step as u32)].sends.first() else {
+                harness.request(step as u32, 0, 0);
+                let Some(&(upstream, at)) = harness.requests[&RequestId(step as u32)].sends.first()
+                else {
                     continue;
                 };
                 let held = held.entry(upstream).or_insert(0.0);
@@ -140,25 +142,25 @@
 
 #[test]
 fn crowded_upstreams_are_used_where_there_are_no_others_and_odd_reports_do_no_harm() {
-    let mut w = world(shared(&[1.0]), 3);
+    let mut harness = new_harness(shared(&[1.0]), 3);
     for odd in [f64::NAN, f64::INFINITY, -1e300] {
-        w.event(Event::Load {
+        harness.handle(Event::Load {
             upstream: UpstreamId(1),
             held: odd,
         });
     }
-    w.event(Event::Load {
+    harness.handle(Event::Load {
         upstream: UpstreamId(77),
         held: 5.0,
     });
     (1..=3).for_each(|id| {
-        _ = w.event(Event::Load {
+        _ = harness.handle(Event::Load {
             upstream: UpstreamId(id),
             held: 1e9,
         })
     });
-    w.traffic(1000.0, 20.0, &[0], &fast);
-    assert_eq!(w.sent_since(0.0).0, 20, "all pass");
+    harness.traffic(1000.0, 20.0, &[0], &fast);
+    assert_eq!(harness.sent_since(0.0).0, 20, "all pass");
 }
 
 /// A copy with few calls hears of each upstream late. Until then it sent slow kinds as much as fast ones, and all
@@ -172,11 +174,11 @@
         quota_per_s: 100.0 * f64::from(COPIES),
     }];
     let answer = |id| Some((Ending::Ok, if slow(id) { 300.0 } else { 100.0 }));
-    let members = || {
+    let endpoints = || {
         (1..=40)
             .map(|id| Endpoint {
                 kind: (id % 2) as u8,
-                ..member(id)
+                ..endpoint(id)
             })
             .collect()
     };
@@ -188,13 +190,13 @@
             tenants: tenants.clone(),
             ..shared(&[1.0])
         };
-        let mut w = World::new(settings, u64::from(index), members());
+        let mut harness = Harness::new(settings, u64::from(index), endpoints());
         // Ten of 40 upstreams at most have answered this copy.
-        w.traffic(100.0, 100.0, &[0], &answer);
-        w.traffic(350.0, 2.0, &[0], &answer);
-        let from = w.now;
-        w.traffic(50.0, 100.0, &[0], &|_| None);
-        let (requests, to) = w.sent_since(from);
+        harness.traffic(100.0, 100.0, &[0], &answer);
+        harness.traffic(350.0, 2.0, &[0], &answer);
+        let from = harness.now;
+        harness.traffic(50.0, 100.0, &[0], &|_| None);
+        let (requests, to) = harness.sent_since(from);
         all += requests;
         to_slow += to
             .iter()
--- a/balancer/core/tests/failures/connections.rs
+++ b/balancer/core/tests/failures/connections.rs
@@ -1,26 +1,30 @@
 //! Idle connections that the network drops unseen.
 use crate::common::*;
-use crate::worlds::{shared, world};
+use crate::setup::{new_harness, shared};
 use balancer_core::*;
 use std::collections::BTreeMap;
 
 /// A request on connections that are dropped unseen after 300 ms without use: tells whether it got lost. `open` holds
 /// when each upstream's connection was last used; answers come at once.
-fn on_reaped_connections(w: &mut World, open: &mut BTreeMap<UpstreamId, f64>, id: u32) -> bool {
+fn on_reaped_connections(
+    harness: &mut Harness,
+    open: &mut BTreeMap<UpstreamId, f64>,
+    id: u32,
+) -> bool {
     let mut lost = false;
-    for action in w.request(id, 0, 0) {
+    for action in harness.request(id, 0, 0) {
         match action {
             Action::CloseIdle(upstream) => drop(open.remove(&upstream)),
             Action::Send { upstream, .. } => {
                 let rested = open
-                    .insert(upstream, w.now)
-                    .map_or(0.0, |used| w.now - used);
-                lost = rested > 300.0 && rested < w.settings.idle_close;
+                    .insert(upstream, harness.now)
+                    .map_or(0.0, |used| harness.now - used);
+                lost = rested > 300.0 && rested < harness.settings.idle_close;
                 if lost {
                     // Nothing comes back, and the connection with it.
                     open.remove(&upstream);
                 } else {
-                    w.outcome(id, 0, Ending::Ok);
+                    harness.outcome(id, 0, Ending::Ok);
                 }
             }
             _ => {}
@@ -32,11 +36,12 @@
 /// Connections that rested were dropped on the way unseen: each call on one waited for nothing.
 #[test]
 fn rested_connections_are_closed_before_use_once_calls_on_them_get_lost() {
-    let mut w = world(shared(&[1.0]), 8);
+    let mut harness = new_harness(shared(&[1.0]), 8);
     let (mut open, mut lost) = (BTreeMap::new(), [0, 0]);
     for id in 0..2000 {
-        lost[usize::from(id >= 1000)] += u32::from(on_reaped_connections(&mut w, &mut open, id));
-        w.pass(200.0);
+        lost[usize::from(id >= 1000)] +=
+            u32::from(on_reaped_connections(&mut harness, &mut open, id));
+        harness.advance(200.0);
     }
     assert!(lost[0] > 5, "it has to be met first: {lost:?}");
     assert!(
@@ -60,13 +65,13 @@
         tenants: tenants(&[1.0], 40.0),
         ..Settings::default()
     };
-    let mut w = world(settings, 12);
+    let mut harness = new_harness(settings, 12);
     let mut open = BTreeMap::new();
     for id in 0..140 {
-        on_reaped_connections(&mut w, &mut open, id);
-        w.pass(40.0);
+        on_reaped_connections(&mut harness, &mut open, id);
+        harness.advance(40.0);
     }
-    let (sent, _) = w.sent_since(3000.0);
+    let (sent, _) = harness.sent_since(3000.0);
     assert!(
         sent > 40,
         "{sent} of 65 calls pass before the first time-out tells"
--- a/balancer/core/tests/failures/ejection.rs
+++ b/balancer/core/tests/failures/ejection.rs
@@ -1,12 +1,12 @@
 //! Upstreams that fail, hang or answer nothing: ejection, and its limits.
 use crate::common::*;
-use crate::worlds::{fast, shared, world};
+use crate::setup::{fast, new_harness, shared};
 use balancer_core::*;
 use std::collections::BTreeMap;
 
 #[test]
 fn a_fast_failing_upstream_does_not_win_every_comparison() {
-    let mut w = world(shared(&[1.0]), 6);
+    let mut harness = new_harness(shared(&[1.0]), 6);
     let server = |id| {
         Some(if id == UpstreamId(2) {
             (Ending::Error, 2.0)
@@ -14,8 +14,8 @@
             (Ending::Ok, 120.0)
         })
     };
-    w.traffic(10_000.0, 60.0, &[0], &server);
-    let (sent, to) = w.sent_since(3000.0);
+    harness.traffic(10_000.0, 60.0, &[0], &server);
+    let (sent, to) = harness.sent_since(3000.0);
     let failing = to.get(&UpstreamId(2)).copied().unwrap_or(0);
     assert!(
         failing * 20 < sent,
@@ -29,10 +29,10 @@
 
 #[test]
 fn a_hung_upstream_is_passed_over_and_costs_no_capacity() {
-    let mut w = world(shared(&[1.0]), 6);
+    let mut harness = new_harness(shared(&[1.0]), 6);
     let server = |id| (id != UpstreamId(2)).then_some((Ending::Ok, 40.0));
-    w.traffic(20_000.0, 60.0, &[0], &server);
-    let (sent, to) = w.sent_since(4000.0);
+    harness.traffic(20_000.0, 60.0, &[0], &server);
+    let (sent, to) = harness.sent_since(4000.0);
     let hung = to.get(&UpstreamId(2)).copied().unwrap_or(0);
     assert!(hung <= 12, "{hung} calls went to the hung one");
     assert!(sent > 900, "the others carry on: {sent} of 960");
@@ -42,10 +42,10 @@
 /// here but one, which then took every call.
 #[test]
 fn errors_that_come_from_behind_do_not_leave_all_calls_to_one() {
-    let mut w = world(shared(&[1.0]), 4);
-    w.traffic(4000.0, 60.0, &[0], &fast);
+    let mut harness = new_harness(shared(&[1.0]), 4);
+    harness.traffic(4000.0, 60.0, &[0], &fast);
     let failures = std::cell::RefCell::new(BTreeMap::new());
-    w.traffic(1000.0, 60.0, &[0], &|id| {
+    harness.traffic(1000.0, 60.0, &[0], &|id| {
         let mut failures = failures.borrow_mut();
         let n = failures.entry(id).or_insert(0);
         *n += 1;
@@ -55,9 +55,9 @@
             (Ending::Ok, 50.0)
         })
     });
-    let from = w.now;
-    w.traffic(1000.0, 60.0, &[0], &fast);
-    let (sent, to) = w.sent_since(from);
+    let from = harness.now;
+    harness.traffic(1000.0, 60.0, &[0], &fast);
+    let (sent, to) = harness.sent_since(from);
     assert!(
         to.len() >= 3 && to.values().all(|&n| n * 2 < sent),
         "{sent} calls went to {to:?}"
@@ -71,19 +71,19 @@
         late_value: 0.5,
         ..class(Effect::SingleShot)
     };
-    let mut w = world(
+    let mut harness = new_harness(
         Settings {
             classes: vec![class],
             ..shared(&[1.0])
         },
         3,
     );
-    w.traffic(3000.0, 60.0, &[0], &|_| Some((Ending::Ok, 50.0)));
-    let from = w.now;
+    harness.traffic(3000.0, 60.0, &[0], &|_| Some((Ending::Ok, 50.0)));
+    let from = harness.now;
     let server = |id| (id != UpstreamId(2)).then_some((Ending::Ok, 150.0));
-    w.traffic(1800.0, 40.0, &[0], &server);
-    let late = w
-        .seen
+    harness.traffic(1800.0, 40.0, &[0], &server);
+    let late = harness
+        .requests
         .values()
         .flat_map(|s| &s.sends)
         .filter(|(to, at)| *to == UpstreamId(2) && *at > from + 600.0);
@@ -96,15 +96,15 @@
 
 #[test]
 fn an_ejected_upstream_serves_when_it_is_the_last() {
-    let mut w = world(shared(&[1.0]), 1);
+    let mut harness = new_harness(shared(&[1.0]), 1);
     for id in 0..8 {
-        w.request(id, 0, 0);
-        let s = &w.seen[&RequestId(id)];
+        harness.request(id, 0, 0);
+        let s = &harness.requests[&RequestId(id)];
         assert!(!s.sends.is_empty(), "request {id} is tried");
-        w.outcome(id, 0, Ending::Reset);
-        if w.seen[&RequestId(id)].ended.last() == Some(&None) {
-            let last = w.seen[&RequestId(id)].ended.len() - 1;
-            w.outcome(id, last, Ending::Ok);
+        harness.outcome(id, 0, Ending::Reset);
+        if harness.requests[&RequestId(id)].endings.last() == Some(&None) {
+            let last = harness.requests[&RequestId(id)].endings.len() - 1;
+            harness.outcome(id, last, Ending::Ok);
         }
     }
 }
@@ -113,8 +113,8 @@
 /// more, and every copy kept trying them.
 #[test]
 fn refused_connections_eject_their_upstream_though_calls_fail_everywhere() {
-    let mut w = world(shared(&[1.0]), 9);
-    w.traffic(4000.0, 60.0, &[0], &fast);
+    let mut harness = new_harness(shared(&[1.0]), 9);
+    harness.traffic(4000.0, 60.0, &[0], &fast);
     let turn = std::cell::Cell::new(0);
     let failing = |id: UpstreamId| {
         turn.set(turn.get() + 1);
@@ -124,10 +124,10 @@
             _ => (Ending::Ok, 50.0),
         })
     };
-    w.traffic(3000.0, 60.0, &[0], &failing);
-    let from = w.now;
-    w.traffic(5000.0, 60.0, &[0], &failing);
-    let (_, to) = w.sent_since(from);
+    harness.traffic(3000.0, 60.0, &[0], &failing);
+    let from = harness.now;
+    harness.traffic(5000.0, 60.0, &[0], &failing);
+    let (_, to) = harness.sent_since(from);
     let refused: usize = (1..=4).filter_map(|id| to.get(&UpstreamId(id))).sum();
     let all: usize = to.values().sum();
     assert!(
--- a/balancer/core/tests/failures/main.rs
+++ b/balancer/core/tests/failures/main.rs
@@ -7,6 +7,6 @@
 mod connections;
 mod ejection;
 mod overload;
+mod setup;
 mod tenants;
-mod worlds;
 mod zones;
--- a/balancer/core/tests/failures/overload.rs
+++ b/balancer/core/tests/failures/overload.rs
@@ -1,6 +1,6 @@
 //! More requests than the upstreams can serve: what is admitted and what is refused.
 use crate::common::*;
-use crate::worlds::{fast, shared, world};
+use crate::setup::{fast, new_harness, shared};
 use balancer_core::*;
 
 /// Judged by answers alone, a tier that stops answering looks well until the time-outs come.
@@ -10,17 +10,17 @@
         late_value: 0.5,
         ..class(Effect::Free)
     };
-    let mut w = world(
+    let mut harness = new_harness(
         Settings {
             classes: vec![class],
             ..shared(&[1.0])
         },
         4,
     );
-    w.traffic(5000.0, 60.0, &[0], &fast);
-    let from = w.now;
-    w.traffic(1500.0, 60.0, &[0], &|_| None);
-    let (sent, _) = w.sent_since(from);
+    harness.traffic(5000.0, 60.0, &[0], &fast);
+    let from = harness.now;
+    harness.traffic(1500.0, 60.0, &[0], &|_| None);
+    let (sent, _) = harness.sent_since(from);
     assert!(
         sent < 60,
         "{sent} of 90 calls went into a tier that answers nothing"
@@ -31,15 +31,19 @@
 /// was admitted, up to the quotas and beyond, was lost.
 #[test]
 fn failures_of_most_upstreams_are_not_blamed_on_each_and_cut_capacity_below_the_quotas() {
-    let mut w = world(shared(&[1.0]), 6);
-    w.traffic(5000.0, 60.0, &[0], &fast);
-    w.traffic(10_000.0, 60.0, &[0], &|_| Some((Ending::Error, 5.0)));
-    let from = w.now;
-    w.traffic(5000.0, 60.0, &[0], &|_| Some((Ending::Error, 5.0)));
-    let (sent, _) = w.sent_since(from);
+    let mut harness = new_harness(shared(&[1.0]), 6);
+    harness.traffic(5000.0, 60.0, &[0], &fast);
+    harness.traffic(10_000.0, 60.0, &[0], &|_| Some((Ending::Error, 5.0)));
+    let from = harness.now;
+    harness.traffic(5000.0, 60.0, &[0], &|_| Some((Ending::Error, 5.0)));
+    let (sent, _) = harness.sent_since(from);
     assert!(sent < 150, "{sent} of 300 calls went where nearly all fail");
     assert!(sent > 0, "some are left to learn from");
-    let lines = w.log.iter().filter(|a| matches!(a, Action::Log(_))).count();
+    let lines = harness
+        .log
+        .iter()
+        .filter(|a| matches!(a, Action::Log(_)))
+        .count();
     assert!(
         (1..=3).contains(&lines),
         "the log tells of a change of state, once: {lines} lines"
@@ -54,28 +58,31 @@
         deadline: 80.0,
         ..class(Effect::Free)
     };
-    let mut w = world(
+    let mut harness = new_harness(
         Settings {
             classes: vec![class(Effect::Free), short],
             ..shared(&[1.0])
         },
         8,
     );
-    let sent = |w: &World, id: u32| !w.seen[&RequestId(id)].sends.is_empty();
+    let sent = |harness: &Harness, id: u32| !harness.requests[&RequestId(id)].sends.is_empty();
     // Nothing is known yet: it is tried.
-    w.request(10_000, 1, 0);
-    assert!(sent(&w, 10_000), "refused before anything was heard");
-    w.traffic(3000.0, 40.0, &[0], &|_| Some((Ending::Ok, 120.0)));
-    w.request(10_001, 0, 0);
-    w.request(10_002, 1, 0);
+    harness.request(10_000, 1, 0);
+    assert!(sent(&harness, 10_000), "refused before anything was heard");
+    harness.traffic(3000.0, 40.0, &[0], &|_| Some((Ending::Ok, 120.0)));
+    harness.request(10_001, 0, 0);
+    harness.request(10_002, 1, 0);
     assert!(
-        sent(&w, 10_001) && !sent(&w, 10_002),
+        sent(&harness, 10_001) && !sent(&harness, 10_002),
         "one has the time and the other has not"
     );
     // Nobody waits for an answer: to try it costs nothing, and shows whether answers take less by now.
-    w.pass(3000.0);
-    w.request(10_003, 1, 0);
-    assert!(sent(&w, 10_003), "what was learned once holds for ever");
+    harness.advance(3000.0);
+    harness.request(10_003, 1, 0);
+    assert!(
+        sent(&harness, 10_003),
+        "what was learned once holds for ever"
+    );
 }
 
 /// Traffic is uneven over the copies. With an even part of the quotas each, the busy ones refused while all together
@@ -93,27 +100,33 @@
         tenants: tenants.clone(),
         ..shared(&[1.0])
     };
-    let mut worlds: Vec<World> = (0..COPIES).map(|i| world(settings(i), 8)).collect();
+    let mut harnesses: Vec<Harness> = (0..COPIES).map(|i| new_harness(settings(i), 8)).collect();
     // Ten copies ask for twice their even part, the others for less than half of it. Answers are a little late, so
     // that nothing more is learned.
     let asked = |i: usize| if i < 10 { 20.0 } else { 4.0 };
     let answer = |_| Some((Ending::Ok, 240.0));
     let mut served = 0;
     for _ in 0..30 {
-        let from = worlds[0].now;
-        for (i, w) in worlds.iter_mut().enumerate() {
+        let from = harnesses[0].now;
+        for (i, harness) in harnesses.iter_mut().enumerate() {
             for id in (1..=8).map(UpstreamId).filter(|_| served > 0) {
-                w.event(Event::Served {
+                harness.handle(Event::Served {
                     upstream: id,
                     per_s: f64::from(served) / 8.0,
                 });
             }
-            w.traffic(1000.0, asked(i), &[0], &answer);
+            harness.traffic(1000.0, asked(i), &[0], &answer);
         }
-        served = worlds.iter().map(|w| w.sent_since(from).0 as u32).sum();
+        served = harnesses
+            .iter()
+            .map(|harness| harness.sent_since(from).0 as u32)
+            .sum();
     }
-    let from = worlds[0].now - 10_000.0;
-    let busy: usize = worlds[..10].iter().map(|w| w.sent_since(from).0).sum();
+    let from = harnesses[0].now - 10_000.0;
+    let busy: usize = harnesses[..10]
+        .iter()
+        .map(|harness| harness.sent_since(from).0)
+        .sum();
     assert!(busy > 1800, "ten busy copies get {busy} of 2000 through");
     assert!(served < 400, "{served} a second are more than the quotas");
 }
@@ -133,20 +146,20 @@
         tenants: tenants.clone(),
         ..shared(&[1.0])
     };
-    let mut worlds: Vec<World> = (0..COPIES).map(|i| world(settings(i), 8)).collect();
+    let mut harnesses: Vec<Harness> = (0..COPIES).map(|i| new_harness(settings(i), 8)).collect();
     let mut second = |asked: f64, served: usize| -> usize {
-        let sent = |w: &mut World| {
-            let from = w.now;
+        let sent = |harness: &mut Harness| {
+            let from = harness.now;
             for id in (1..=8).map(UpstreamId) {
-                w.event(Event::Served {
+                harness.handle(Event::Served {
                     upstream: id,
                     per_s: served as f64 / 8.0,
                 });
             }
-            w.traffic(1000.0, asked, &[0], &fast);
-            w.sent_since(from).0
+            harness.traffic(1000.0, asked, &[0], &fast);
+            harness.sent_since(from).0
         };
-        worlds.iter_mut().map(sent).sum()
+        harnesses.iter_mut().map(sent).sum()
     };
     let mut served = 9 * COPIES as usize;
     for _ in 0..15 {
--- a/balancer/core/tests/failures/worlds.rs
+++ b/balancer/core/tests/failures/setup.rs
@@ -1,4 +1,4 @@
-//! Settings, servers and worlds that the tests share.
+//! Settings, servers and harnesses that the tests share.
 use crate::common::*;
 use balancer_core::*;
 
@@ -10,8 +10,8 @@
     Some((Ending::Ok, 900.0))
 }
 
-pub(crate) fn world(settings: Settings, upstreams: u64) -> World {
-    World::new(settings, 4, (1..=upstreams).map(member).collect())
+pub(crate) fn new_harness(settings: Settings, upstreams: u64) -> Harness {
+    Harness::new(settings, 4, (1..=upstreams).map(endpoint).collect())
 }
 
 /// Settings of one class (objective 500 ms) and of tenants with these shares of 60 requests a second.
--- a/balancer/core/tests/failures/zones.rs
+++ b/balancer/core/tests/failures/zones.rs
@@ -1,18 +1,18 @@
 //! Zones: one that is lost, and the own one against the others.
 use crate::common::*;
-use crate::worlds::{fast, shared};
+use crate::setup::{fast, shared};
 use balancer_core::*;
 
 /// Met in an incident: a whole zone answered nothing, too much to eject server by server.
 #[test]
 fn a_zone_that_is_cut_off_is_left_alone() {
-    let members = (1..=12)
+    let endpoints = (1..=12)
         .map(|id| Endpoint {
             zone: (id % 3) as u16,
-            ..member(id)
+            ..endpoint(id)
         })
         .collect();
-    let mut w = World::new(shared(&[1.0]), 4, members);
+    let mut harness = Harness::new(shared(&[1.0]), 4, endpoints);
     let server = |id: UpstreamId| {
         Some(if id.0 % 3 == 2 {
             (Ending::ConnectFailed, 100.0)
@@ -20,8 +20,8 @@
             (Ending::Ok, 50.0)
         })
     };
-    w.traffic(12_000.0, 60.0, &[0], &server);
-    let (sent, to) = w.sent_since(4000.0);
+    harness.traffic(12_000.0, 60.0, &[0], &server);
+    let (sent, to) = harness.sent_since(4000.0);
     let lost: usize = to
         .iter()
         .filter(|(id, _)| id.0 % 3 == 2)
@@ -40,18 +40,18 @@
         cross_zone_price: 0.015,
         ..shared(&[1.0])
     };
-    let members = (0..4)
+    let endpoints = (0..4)
         .map(|id| Endpoint {
             zone: id as u16,
-            ..member(id)
+            ..endpoint(id)
         })
         .collect();
-    let mut w = World::new(settings, 4, members);
+    let mut harness = Harness::new(settings, 4, endpoints);
     // The one in the own zone is slow, though not so slow that its answers are late.
-    w.traffic(10_000.0, 60.0, &[0], &|id| {
+    harness.traffic(10_000.0, 60.0, &[0], &|id| {
         Some((Ending::Ok, if id.0 == 0 { 190.0 } else { 60.0 }))
     });
-    let (_, to) = w.sent_since(0.0);
+    let (_, to) = harness.sent_since(0.0);
     let all: usize = to.values().sum();
     let own = to[&UpstreamId(0)];
     assert!(
@@ -69,12 +69,12 @@
     };
     let in_zones = |id| Endpoint {
         zone: (id % 2) as u16,
-        ..member(id)
+        ..endpoint(id)
     };
-    let mut w = World::new(settings, 4, (1..=12).map(in_zones).collect());
+    let mut harness = Harness::new(settings, 4, (1..=12).map(in_zones).collect());
     // Each answer is back before the next call: all are always equally busy.
-    w.traffic(4000.0, 15.0, &[0], &fast);
-    let (_, to) = w.sent_since(0.0);
+    harness.traffic(4000.0, 15.0, &[0], &fast);
+    let (_, to) = harness.sent_since(0.0);
     let near: usize = to
         .iter()
         .filter(|(id, _)| id.0 % 2 == 0)
@@ -85,13 +85,13 @@
         near * 10 > all * 6,
         "{near} of {all} calls stayed in the zone"
     );
-    w.list(EndpointUpdate::Full(
+    harness.update_endpoints(EndpointUpdate::Full(
         (1..=12).filter(|id| id % 2 == 1).map(in_zones).collect(),
     ));
-    let from = w.now;
-    w.traffic(4000.0, 15.0, &[0], &fast);
+    let from = harness.now;
+    harness.traffic(4000.0, 15.0, &[0], &fast);
     assert!(
-        w.sent_since(from).0 > 55,
+        harness.sent_since(from).0 > 55,
         "the other zone serves when the own has none"
     );
 }
--- a/balancer/core/tests/late_connections.rs
+++ b/balancer/core/tests/late_connections.rs
@@ -12,7 +12,7 @@
         tenants: tenants(&[1.0], 40.0),
         ..Settings::default()
     };
-    let mut w = World::new(settings, 5, (1..=4).map(member).collect());
+    let mut harness = Harness::new(settings, 5, (1..=4).map(endpoint).collect());
     let drawn = Cell::new(7u32);
     let third_fails = |_: UpstreamId| {
         drawn.set(
@@ -27,8 +27,8 @@
             (Ending::Ok, 150.0)
         })
     };
-    w.traffic(30_000.0, 30.0, &[0], &third_fails);
-    let (sent, _) = w.sent_since(5000.0);
+    harness.traffic(30_000.0, 30.0, &[0], &third_fails);
+    let (sent, _) = harness.sent_since(5000.0);
     // One in four may be refused; with all but one out of four at times it was more than half.
     assert!(
         sent * 4 > 3 * 25_000 / 30,
--- a/balancer/core/tests/observed.rs
+++ b/balancer/core/tests/observed.rs
@@ -4,13 +4,13 @@
 use balancer_core::*;
 use common::*;
 
-fn world(upstreams: u64) -> World {
+fn new_harness(upstreams: u64) -> Harness {
     let settings = Settings {
         classes: vec![class(Effect::Free)],
         tenants: tenants(&[0.5, 0.5], 400.0),
         ..Settings::default()
     };
-    World::new(settings, 4, (1..=upstreams).map(member).collect())
+    Harness::new(settings, 4, (1..=upstreams).map(endpoint).collect())
 }
 
 fn near(figure: f64, wanted: f64) -> bool {
@@ -19,12 +19,12 @@
 
 #[test]
 fn rates_and_calls_in_flight_are_means_over_about_a_second() {
-    let mut w = world(6);
+    let mut harness = new_harness(6);
     // A fourth of the requests is the second tenant's.
-    w.traffic(12_000.0, 80.0, &[0, 0, 0, 1], &|_| {
+    harness.traffic(12_000.0, 80.0, &[0, 0, 0, 1], &|_| {
         Some((Ending::Ok, 100.0))
     });
-    let seen = w.balancer.observed(w.now).load;
+    let seen = harness.balancer.observed(harness.now).load;
     assert!(
         near(seen.demand, 80.0) && near(seen.firsts, 80.0) && seen.retries < 0.1,
         "{seen:?}"
@@ -43,13 +43,13 @@
         "{seen:?}"
     );
     // Nobody asks any more: it fades, whether or not it was asked for meanwhile.
-    let later = w.balancer.observed(w.now + 8000.0).load;
+    let later = harness.balancer.observed(harness.now + 8000.0).load;
     assert!(later.demand < 0.1 && later.firsts < 0.1, "{later:?}");
 }
 
 #[test]
 fn further_attempts_count_as_such() {
-    let mut w = world(6);
+    let mut harness = new_harness(6);
     let some = |id: UpstreamId| {
         Some(if id.0 == 1 {
             (Ending::Error, 10.0)
@@ -57,8 +57,8 @@
             (Ending::Ok, 50.0)
         })
     };
-    w.traffic(1500.0, 80.0, &[0], &some);
-    let seen = w.balancer.observed(w.now).load;
+    harness.traffic(1500.0, 80.0, &[0], &some);
+    let seen = harness.balancer.observed(harness.now).load;
     assert!(seen.retries > 0.5 && seen.retries < seen.firsts, "{seen:?}");
     let calls: f64 = seen.tenants.iter().map(|t| t.calls).sum();
     assert!(
@@ -69,10 +69,10 @@
 
 #[test]
 fn an_upstream_that_cannot_be_reached_is_told_of_until_it_has_answered_again() {
-    let mut w = world(6);
+    let mut harness = new_harness(6);
     let subject = Subject::Upstream(UpstreamId(1));
-    w.traffic(4000.0, 80.0, &[0], &|_| Some((Ending::Ok, 50.0)));
-    let seen = w.balancer.observed(w.now);
+    harness.traffic(4000.0, 80.0, &[0], &|_| Some((Ending::Ok, 50.0)));
+    let seen = harness.balancer.observed(harness.now);
     assert!(
         seen.against.is_empty() && seen.cleared.is_empty(),
         "{seen:?}"
@@ -84,14 +84,14 @@
             (Ending::Ok, 50.0)
         })
     };
-    w.traffic(1500.0, 80.0, &[0], &refuses);
-    let seen = w.balancer.observed(w.now);
+    harness.traffic(1500.0, 80.0, &[0], &refuses);
+    let seen = harness.balancer.observed(harness.now);
     assert!(
         seen.against == [subject] && seen.cleared.is_empty(),
         "{seen:?}"
     );
-    w.traffic(8000.0, 80.0, &[0], &|_| Some((Ending::Ok, 50.0)));
-    let seen = w.balancer.observed(w.now);
+    harness.traffic(8000.0, 80.0, &[0], &|_| Some((Ending::Ok, 50.0)));
+    let seen = harness.balancer.observed(harness.now);
     assert!(
         seen.against.is_empty() && seen.cleared == [subject],
         "{seen:?}"
@@ -104,28 +104,28 @@
             (Ending::Ok, 50.0)
         })
     };
-    w.traffic(2000.0, 80.0, &[0], &errs);
-    let seen = w.balancer.observed(w.now);
+    harness.traffic(2000.0, 80.0, &[0], &errs);
+    let seen = harness.balancer.observed(harness.now);
     assert!(seen.against.is_empty(), "{seen:?}");
 }
 
 #[test]
 fn a_zone_that_is_left_comes_first() {
-    let member = |id: u64| Endpoint {
+    let endpoint = |id: u64| Endpoint {
         zone: (id % 2) as u16,
-        ..member(id)
+        ..endpoint(id)
     };
     let settings = Settings {
         classes: vec![class(Effect::Free)],
         tenants: tenants(&[1.0], 400.0),
         ..Settings::default()
     };
-    let mut w = World::new(settings, 4, (1..=8).map(member).collect());
-    w.traffic(4000.0, 100.0, &[0], &|_| Some((Ending::Ok, 50.0)));
-    w.traffic(1500.0, 100.0, &[0], &|id| {
+    let mut harness = Harness::new(settings, 4, (1..=8).map(endpoint).collect());
+    harness.traffic(4000.0, 100.0, &[0], &|_| Some((Ending::Ok, 50.0)));
+    harness.traffic(1500.0, 100.0, &[0], &|id| {
         (id.0 % 2 == 0).then_some((Ending::Ok, 50.0))
     });
-    let seen = w.balancer.observed(w.now);
+    let seen = harness.balancer.observed(harness.now);
     assert_eq!(seen.against.first(), Some(&Subject::Zone(1)), "{seen:?}");
     let odd = |s: &Subject| {
         matches!(s, Subject::Zone(1)) || matches!(s, Subject::Upstream(id) if id.0 % 2 == 1)
--- a/balancer/core/tests/restored.rs
+++ b/balancer/core/tests/restored.rs
@@ -16,20 +16,20 @@
 
 /// A world that has lived for a while with an upstream that fails and one that is slow, and more than its quotas. The
 /// one that fails has just been ejected.
-fn taught() -> World {
-    let mut w = World::new(settings(), 4, (1..=8).map(member).collect());
+fn taught() -> Harness {
+    let mut harness = Harness::new(settings(), 4, (1..=8).map(endpoint).collect());
     let mut live = |span| {
-        w.traffic(span, 120.0, &[0, 0, 0, 1], &|id| match id.0 {
+        harness.traffic(span, 120.0, &[0, 0, 0, 1], &|id| match id.0 {
             1 => Some((Ending::ConnectFailed, 1.0)),
             2 => Some((Ending::Ok, 190.0)),
             _ => Some((Ending::Ok, 50.0)),
         });
-        let kept = w.balancer.learned(w.now);
+        let kept = harness.balancer.learned(harness.now);
         left(&kept) > 3000.0
     };
     live(20_000.0);
     while !live(100.0) {}
-    w
+    harness
 }
 
 /// How long the upstream that fails stays ejected.
@@ -39,23 +39,23 @@
 }
 
 /// One that has just started, with a list of `upstreams`, and is given what was learned.
-fn restarted(learned: &Learned, age: f64, upstreams: Vec<Endpoint>) -> World {
-    let mut w = World::new(settings(), 5, upstreams);
-    w.event(Event::Restored {
+fn restarted(learned: &Learned, age: f64, upstreams: Vec<Endpoint>) -> Harness {
+    let mut harness = Harness::new(settings(), 5, upstreams);
+    harness.handle(Event::Restored {
         learned: Box::new(learned.clone()),
         age,
     });
-    w
+    harness
 }
 
 fn listed() -> Vec<Endpoint> {
-    (1..=8).map(member).collect()
+    (1..=8).map(endpoint).collect()
 }
 
 #[test]
 fn what_was_learned_comes_back_whole_and_fades_to_what_a_start_knows_without_a_cliff() {
-    let mut w = taught();
-    let kept = w.balancer.learned(w.now);
+    let mut harness = taught();
+    let kept = harness.balancer.learned(harness.now);
     assert_eq!(kept.validate(&settings()), Ok(()));
     assert!(
         kept.load.capacity > 100.0 && kept.demands[0] > Some(80.0),
@@ -76,7 +76,7 @@
         (again.demands, &again.kinds),
         (kept.demands.clone(), &kept.kinds)
     );
-    let fresh = World::new(settings(), 5, listed()).balancer.learned(0.0);
+    let fresh = Harness::new(settings(), 5, listed()).balancer.learned(0.0);
     let mut last = kept.load.capacity;
     for age in [1.0, 5.0, 10.0, 20.0, 40.0, 80.0, 160.0, 1e6, 1e12] {
         let now = restarted(&kept, age * 1000.0, listed())
@@ -99,12 +99,13 @@
 
 #[test]
 fn an_ejection_goes_on_for_what_is_left_of_it_unless_the_upstream_has_restarted_since() {
-    let mut w = taught();
-    let kept = w.balancer.learned(w.now);
+    let mut harness = taught();
+    let kept = harness.balancer.learned(harness.now);
     let left = left(&kept);
-    let calls_to_it = |w: &mut World| {
-        w.traffic(left * 0.8, 100.0, &[0], &|_| Some((Ending::Ok, 50.0)));
-        w.sent_since(0.0)
+    let calls_to_it = |harness: &mut Harness| {
+        harness.traffic(left * 0.8, 100.0, &[0], &|_| Some((Ending::Ok, 50.0)));
+        harness
+            .sent_since(0.0)
             .1
             .get(&UpstreamId(1))
             .copied()
@@ -120,20 +121,20 @@
 
 #[test]
 fn what_is_restored_waits_for_a_list_and_counts_only_the_upstreams_that_are_left() {
-    let mut w = taught();
-    let kept = w.balancer.learned(w.now);
+    let mut harness = taught();
+    let kept = harness.balancer.learned(harness.now);
     let mut late = restarted(&kept, 0.0, Vec::new());
     let before = late.balancer.learned(0.0).load.capacity;
     assert_eq!(
         before,
-        World::new(settings(), 5, Vec::new())
+        Harness::new(settings(), 5, Vec::new())
             .balancer
             .learned(0.0)
             .load
             .capacity
     );
-    late.pass(400.0);
-    late.list(EndpointUpdate::Full(listed()[..4].to_vec()));
+    late.advance(400.0);
+    late.update_endpoints(EndpointUpdate::Full(listed()[..4].to_vec()));
     let capacity = late.balancer.learned(late.now).load.capacity;
     // Seven of eight could be used then, three of four now.
     let part = capacity / kept.load.capacity;
@@ -181,32 +182,32 @@
     };
     let cold = |id| Endpoint {
         since: 100_000.0,
-        ..member(id)
+        ..endpoint(id)
     };
-    let mut worlds: Vec<World> = (0..COPIES)
+    let mut harnesses: Vec<Harness> = (0..COPIES)
         .map(|i| {
-            let mut w = World::new(settings(i), u64::from(i), Vec::new());
-            w.pass(100_000.0);
-            w.event(Event::Restored {
+            let mut harness = Harness::new(settings(i), u64::from(i), Vec::new());
+            harness.advance(100_000.0);
+            harness.handle(Event::Restored {
                 learned: Box::new(kept.clone()),
                 age: 500.0,
             });
-            w.list(EndpointUpdate::Full((1..=4).map(cold).collect()));
-            w
+            harness.update_endpoints(EndpointUpdate::Full((1..=4).map(cold).collect()));
+            harness
         })
         .collect();
     let mut calls = vec![[0u32; 4]; 4];
     let mut id = 0;
     for _ in 0..160 {
-        for w in &mut worlds {
+        for harness in &mut harnesses {
             id += 1;
-            w.request(id, 0, 0);
-            if let Some(&(to, at)) = w.seen[&RequestId(id)].sends.last() {
+            harness.request(id, 0, 0);
+            if let Some(&(to, at)) = harness.requests[&RequestId(id)].sends.last() {
                 let second = ((at - 100_000.0) / 1000.0) as usize;
                 calls[second.min(3)][to.0 as usize - 1] += 1;
-                w.outcome(id, 0, Ending::Ok);
+                harness.outcome(id, 0, Ending::Ok);
             }
-            w.pass(25.0);
+            harness.advance(25.0);
         }
     }
     // Thirty upstreams carried 2,400 calls a second, 80 each.
@@ -281,15 +282,15 @@
     /// Whatever stands in a record: it is taken back and the balancer works, or it is passed over whole.
     #[test]
     fn any_state_is_taken_back_or_passed_over_whole(kept in learned(), age in figure()) {
-        let fresh = World::new(settings(), 5, listed()).balancer.learned(0.0);
-        let mut w = restarted(&kept, age, listed());
-        let now = w.balancer.learned(0.0);
+        let fresh = Harness::new(settings(), 5, listed()).balancer.learned(0.0);
+        let mut harness = restarted(&kept, age, listed());
+        let now = harness.balancer.learned(0.0);
         prop_assert_eq!(now.validate(&settings()), Ok(()));
         if kept.validate(&settings()).is_err() {
             prop_assert_eq!(now, fresh);
         }
-        w.traffic(1500.0, 40.0, &[0, 1], &|_| Some((Ending::Ok, 50.0)));
-        let later = w.balancer.learned(w.now);
+        harness.traffic(1500.0, 40.0, &[0, 1], &|_| Some((Ending::Ok, 50.0)));
+        let later = harness.balancer.learned(harness.now);
         prop_assert_eq!(later.validate(&settings()), Ok(()));
     }
 }
--- a/balancer/core/tests/rules.rs
+++ b/balancer/core/tests/rules.rs
@@ -59,12 +59,12 @@
     let zoned = |id: u64| Endpoint {
         zone: (id % 2) as u16,
         kind: (id % 3) as u8,
-        ..member(id)
+        ..endpoint(id)
     };
-    let mut world = World::new(settings, seed, (1..9).map(zoned).collect());
+    let mut harness = Harness::new(settings, seed, (1..9).map(zoned).collect());
     let mut since = 0.0;
     for id in 0..1500u32 {
-        world.pass(f64::from(rng.next_u32() % 40));
+        harness.advance(f64::from(rng.next_u32() % 40));
         match rng.next_u32() % 20 {
             0 => {
                 since += 1000.0;
@@ -75,9 +75,9 @@
                     &[ready, ready, Availability::Draining, Availability::Removed],
                 );
                 if availability != Availability::Removed
-                    || world.listed.contains_key(&UpstreamId(id))
+                    || harness.listed.contains_key(&UpstreamId(id))
                 {
-                    world.list(EndpointUpdate::Delta(vec![Endpoint {
+                    harness.update_endpoints(EndpointUpdate::Delta(vec![Endpoint {
                         availability,
                         since,
                         ..zoned(id)
@@ -85,12 +85,12 @@
                 }
             }
             1 if id.is_multiple_of(7) => {
-                world.list(EndpointUpdate::Full((1..7).map(zoned).collect()))
+                harness.update_endpoints(EndpointUpdate::Full((1..7).map(zoned).collect()))
             }
-            2 if world.settings.subscribes => world.list(EndpointUpdate::Failed),
+            2 if harness.settings.subscribes => harness.update_endpoints(EndpointUpdate::Failed),
             _ => {}
         }
-        world.request(id, rng.next_u32() as usize % 8, rng.next_u32() as usize % 5);
+        harness.request(id, rng.next_u32() as usize % 8, rng.next_u32() as usize % 5);
         let endings = [
             Ending::Ok,
             Ending::Ok,
@@ -104,26 +104,26 @@
             Ending::Unknown,
         ];
         for _ in 0..rng.next_u32() % 4 {
-            let open = |s: &Seen| s.ended.iter().position(Option::is_none);
-            let out: Vec<_> = world
-                .seen
+            let open = |s: &RequestRecord| s.endings.iter().position(Option::is_none);
+            let out: Vec<_> = harness
+                .requests
                 .iter()
                 .filter_map(|(id, s)| Some((id.0, open(s)?)))
                 .collect();
             if let Some(&(id, attempt)) = out.get(rng.next_u32() as usize % out.len().max(1)) {
                 match rng.next_u32() % 12 {
-                    0 => drop(world.gone(id)),
-                    _ => drop(world.outcome(id, attempt, pick(&mut rng, &endings))),
+                    0 => drop(harness.disconnect(id)),
+                    _ => drop(harness.outcome(id, attempt, pick(&mut rng, &endings))),
                 }
             }
         }
     }
-    world.pass(10_000.0);
+    harness.advance(10_000.0);
     assert!(
-        world.seen.values().all(|s| s.answered),
+        harness.requests.values().all(|s| s.completed),
         "every request has its final answer"
     );
-    world.log
+    harness.log
 }
 
 #[test]
@@ -161,31 +161,34 @@
 
 #[test]
 fn a_single_shot_goes_on_after_proof_that_it_never_ran_and_stops_otherwise() {
-    let mut world = World::new(
+    let mut harness = Harness::new(
         one_class(Effect::SingleShot),
         1,
-        (1..5).map(member).collect(),
+        (1..5).map(endpoint).collect(),
     );
-    world.request(1, 0, 0);
+    harness.request(1, 0, 0);
     assert!(
-        matches!(world.outcome(1, 0, Ending::Full)[..], [Action::Send { .. }]),
+        matches!(
+            harness.outcome(1, 0, Ending::Full)[..],
+            [Action::Send { .. }]
+        ),
         "never ran: sent again"
     );
     assert!(matches!(
-        world.outcome(1, 1, Ending::Full)[..],
+        harness.outcome(1, 1, Ending::Full)[..],
         [Action::Send { .. }]
     ));
     assert!(
         matches!(
-            world.outcome(1, 2, Ending::Full)[..],
+            harness.outcome(1, 2, Ending::Full)[..],
             [Action::Refuse { .. }]
         ),
         "attempts are spent"
     );
-    world.request(2, 0, 0);
+    harness.request(2, 0, 0);
     assert!(
         matches!(
-            world.outcome(2, 0, Ending::Reset)[..],
+            harness.outcome(2, 0, Ending::Reset)[..],
             [Action::Fail { .. }]
         ),
         "it may have run"
@@ -198,16 +201,19 @@
         late_shedding: true,
         ..one_class(Effect::SingleShot)
     };
-    let mut world = World::new(settings, 1, (1..5).map(member).collect());
-    world.request(1, 0, 0);
+    let mut harness = Harness::new(settings, 1, (1..5).map(endpoint).collect());
+    harness.request(1, 0, 0);
     assert!(
-        matches!(world.outcome(1, 0, Ending::Full)[..], [Action::Fail { .. }]),
+        matches!(
+            harness.outcome(1, 0, Ending::Full)[..],
+            [Action::Fail { .. }]
+        ),
         "it may have run"
     );
-    world.request(2, 0, 0);
+    harness.request(2, 0, 0);
     assert!(
         matches!(
-            world.outcome(2, 0, Ending::ConnectFailed)[..],
+            harness.outcome(2, 0, Ending::ConnectFailed)[..],
             [Action::Send { .. }]
         ),
         "it never ran"
@@ -223,16 +229,16 @@
     };
     let groups = |id| Endpoint {
         group: (id % 2) as u16,
-        ..member(id)
+        ..endpoint(id)
     };
-    let mut world = World::new(settings, 1, (1..9).map(groups).collect());
+    let mut harness = Harness::new(settings, 1, (1..9).map(groups).collect());
     for id in 0..40 {
-        world.request(id, 0, 0);
-        world.pass(50.0);
+        harness.request(id, 0, 0);
+        harness.advance(50.0);
         // The checker holds the group and the window to the attempt that was answered 'full'.
-        world.outcome(id, 0, Ending::Full);
-        if world.seen[&RequestId(id)].ended.len() == 2 {
-            world.outcome(id, 1, Ending::Ok);
+        harness.outcome(id, 0, Ending::Full);
+        if harness.requests[&RequestId(id)].endings.len() == 2 {
+            harness.outcome(id, 1, Ending::Ok);
         }
     }
 }
@@ -251,16 +257,16 @@
     let far = |id| Endpoint {
         zone: (id % 2) as u16,
         kind: (id % 3) as u8,
-        ..member(id)
+        ..endpoint(id)
     };
     // Of sixty, ten are open to the class: drawing among all would miss them often.
-    let mut world = World::new(settings, 1, (1..=60).map(far).collect());
+    let mut harness = Harness::new(settings, 1, (1..=60).map(far).collect());
     for id in 0..200 {
         assert!(
-            matches!(world.request(id, 0, 0)[..], [.., Action::Send { .. }]),
+            matches!(harness.request(id, 0, 0)[..], [.., Action::Send { .. }]),
             "request {id} finds a place"
         );
-        world.outcome(
+        harness.outcome(
             id,
             0,
             if id % 9 == 0 {
@@ -269,16 +275,16 @@
                 Ending::Ok
             },
         );
-        if world.seen[&RequestId(id)].ended.last() == Some(&None) {
-            world.outcome(id, 1, Ending::Ok);
+        if harness.requests[&RequestId(id)].endings.last() == Some(&None) {
+            harness.outcome(id, 1, Ending::Ok);
         }
     }
     let elsewhere = |id: &u64| !(id % 2 == 1 && id % 3 == 2);
-    world.list(EndpointUpdate::Full(
+    harness.update_endpoints(EndpointUpdate::Full(
         (1..=60).filter(elsewhere).map(far).collect(),
     ));
     assert!(
-        matches!(world.request(999, 0, 0)[..], [Action::Refuse { .. }]),
+        matches!(harness.request(999, 0, 0)[..], [Action::Refuse { .. }]),
         "never anywhere else"
     );
 }
@@ -329,29 +335,29 @@
         scope: DedupScope::Cell,
         window: 700.0,
     };
-    let members = |group| {
+    let endpoints = |group| {
         (1..5)
             .map(|id| Endpoint {
                 group,
-                ..member(id)
+                ..endpoint(id)
             })
             .collect::<Vec<_>>()
     };
-    let mut world = World::new(one_class(guarded), 1, members(4));
-    world.request(1, 0, 0);
-    world.pass(600.0);
+    let mut harness = Harness::new(one_class(guarded), 1, endpoints(4));
+    harness.request(1, 0, 0);
+    harness.advance(600.0);
     assert!(
         matches!(
-            world.outcome(1, 0, Ending::Error)[..],
+            harness.outcome(1, 0, Ending::Error)[..],
             [Action::Send { .. }]
         ),
         "they remember it"
     );
-    world.request(2, 0, 0);
-    world.pass(701.0);
+    harness.request(2, 0, 0);
+    harness.advance(701.0);
     assert!(
         matches!(
-            world.outcome(2, 0, Ending::Error)[..],
+            harness.outcome(2, 0, Ending::Error)[..],
             [Action::Fail { .. }]
         ),
         "they have forgotten it"
@@ -359,13 +365,13 @@
     let strangers = (1..5)
         .map(|id| Endpoint {
             group: id as u16,
-            ..member(id)
+            ..endpoint(id)
         })
         .collect();
-    let mut world = World::new(one_class(guarded), 1, strangers);
-    world.request(1, 0, 0);
-    let again = world.outcome(1, 0, Ending::Error);
-    let to = |a: &Action| matches!(a, Action::Send { upstream, .. } if *upstream == world.seen[&RequestId(1)].sends[0].0);
+    let mut harness = Harness::new(one_class(guarded), 1, strangers);
+    harness.request(1, 0, 0);
+    let again = harness.outcome(1, 0, Ending::Error);
+    let to = |a: &Action| matches!(a, Action::Send { upstream, .. } if *upstream == harness.requests[&RequestId(1)].sends[0].0);
     assert!(
         again
             .iter()
@@ -376,43 +382,43 @@
 
 #[test]
 fn an_upstream_that_drains_or_is_gone_gets_nothing_from_then_on() {
-    let mut world = World::new(Settings::default(), 1, (1..4).map(member).collect());
+    let mut harness = Harness::new(Settings::default(), 1, (1..4).map(endpoint).collect());
     let gone = |id, availability| Endpoint {
         availability,
-        ..member(id)
+        ..endpoint(id)
     };
-    world.list(EndpointUpdate::Delta(vec![
+    harness.update_endpoints(EndpointUpdate::Delta(vec![
         gone(1, Availability::Draining),
         gone(2, Availability::Removed),
     ]));
     for id in 0..50 {
-        world.request(id, 0, 0);
-        world.outcome(id, 0, Ending::Ok);
+        harness.request(id, 0, 0);
+        harness.outcome(id, 0, Ending::Ok);
     }
-    assert!(world
-        .seen
+    assert!(harness
+        .requests
         .values()
         .all(|s| s.sends.iter().all(|(to, _)| *to == UpstreamId(3))));
-    world.list(EndpointUpdate::Full(Vec::new()));
+    harness.update_endpoints(EndpointUpdate::Full(Vec::new()));
     assert!(
-        matches!(world.request(99, 0, 0)[..], [Action::Refuse { .. }]),
+        matches!(harness.request(99, 0, 0)[..], [Action::Refuse { .. }]),
         "what a full list lacks is gone"
     );
 }
 
 #[test]
 fn no_ready_upstream_is_a_refusal_at_once() {
-    let mut world = World::new(Settings::default(), 1, Vec::new());
+    let mut harness = Harness::new(Settings::default(), 1, Vec::new());
     assert!(matches!(
-        world.request(1, 0, 0)[..],
+        harness.request(1, 0, 0)[..],
         [Action::Refuse { .. }]
     ));
-    world.list(EndpointUpdate::Full(vec![Endpoint {
+    harness.update_endpoints(EndpointUpdate::Full(vec![Endpoint {
         availability: Availability::Draining,
-        ..member(1)
+        ..endpoint(1)
     }]));
     assert!(matches!(
-        world.request(2, 0, 0)[..],
+        harness.request(2, 0, 0)[..],
         [Action::Refuse { .. }]
     ));
 }
@@ -423,9 +429,9 @@
         subscribes: true,
         ..Settings::default()
     };
-    let mut world = World::new(settings.clone(), 5, vec![member(1)]);
-    world.request(1, 0, 0);
-    let mut again = World::new(settings, 6, vec![member(1)]);
+    let mut harness = Harness::new(settings.clone(), 5, vec![endpoint(1)]);
+    harness.request(1, 0, 0);
+    let mut again = Harness::new(settings, 6, vec![endpoint(1)]);
     assert!(
         again.log.contains(&Action::Subscribe),
         "it asks for the list at once"
@@ -438,7 +444,7 @@
         closed: true,
     };
     assert!(
-        again.event(late).is_empty(),
+        again.handle(late).is_empty(),
         "outcomes of a former life are ignored"
     );
     assert!(matches!(again.request(2, 0, 0)[..], [Action::Send { .. }]));
@@ -446,7 +452,7 @@
 
 #[test]
 fn unknown_classes_tenants_requests_and_timers_do_no_harm() {
-    let mut world = World::new(Settings::default(), 1, vec![member(1)]);
+    let mut harness = Harness::new(Settings::default(), 1, vec![endpoint(1)]);
     let stranger = Request {
         id: RequestId(9),
         class: 7,
@@ -455,25 +461,25 @@
         tie: 0,
     };
     let mut actions = Vec::new();
-    world
+    harness
         .balancer
         .handle(0.0, Event::Request(stranger), &mut actions);
     assert!(
         matches!(actions[..], [Action::Refuse { .. }]),
         "an unknown class is refused: nothing has run"
     );
-    assert!(world
-        .event(Event::ClientDisconnected(RequestId(77)))
+    assert!(harness
+        .handle(Event::ClientDisconnected(RequestId(77)))
         .is_empty());
-    assert!(world.event(Event::Timer(12345)).is_empty());
-    assert!(world
-        .event(Event::Streaming {
+    assert!(harness.handle(Event::Timer(12345)).is_empty());
+    assert!(harness
+        .handle(Event::Streaming {
             request: RequestId(77),
             attempt: 3
         })
         .is_empty());
     assert!(
-        matches!(world.request(1, 0, 999)[..], [Action::Send { .. }]),
+        matches!(harness.request(1, 0, 999)[..], [Action::Send { .. }]),
         "an unlisted tenant is served"
     );
 }
@@ -497,7 +503,7 @@
         let list = (1..5)
             .map(|id| Endpoint {
                 since: value,
-                ..member(id)
+                ..endpoint(id)
             })
             .collect();
         balancer.handle(
@@ -549,22 +555,24 @@
         subscribes: true,
         ..Settings::default()
     };
-    let mut world = World::new(settings.clone(), 3, vec![member(1)]);
+    let mut harness = Harness::new(settings.clone(), 3, vec![endpoint(1)]);
     let mut waits = Vec::new();
     for _ in 0..12 {
-        let actions = world.event(Event::EndpointUpdate(EndpointUpdate::Failed));
+        let actions = harness.handle(Event::EndpointUpdate(EndpointUpdate::Failed));
         let wait = actions.iter().find_map(|a| match a {
             Action::SetTimer { after, token } => Some((*after, *token)),
             _ => None,
         });
         let (after, token) = wait.expect("a timer to ask again");
-        world.now += after;
-        assert_eq!(world.event(Event::Timer(token)), [Action::Subscribe]);
+        harness.now += after;
+        assert_eq!(harness.handle(Event::Timer(token)), [Action::Subscribe]);
         waits.push(after);
     }
     assert!(waits[11] > 4.0 * waits[0], "the pauses grow: {waits:?}");
     assert!(
-        waits.iter().all(|&w| w < settings.subscribe_timeout / 2.0),
+        waits
+            .iter()
+            .all(|&wait| wait < settings.subscribe_timeout / 2.0),
         "never counts as told: {waits:?}"
     );
 }
@@ -574,16 +582,16 @@
 #[test]
 fn the_pause_before_the_list_is_asked_for_again_leaves_time_for_two_calls() {
     for (seed, subscribe_timeout) in
-        (0..40).flat_map(|seed| [2_000.0, 10_000.0, 60_000.0].map(|w| (seed, w)))
+        (0..40).flat_map(|seed| [2_000.0, 10_000.0, 60_000.0].map(|timeout| (seed, timeout)))
     {
         let settings = Settings {
             subscribes: true,
             subscribe_timeout,
             ..Settings::default()
         };
-        let mut world = World::new(settings, seed, vec![member(1)]);
+        let mut harness = Harness::new(settings, seed, vec![endpoint(1)]);
         for failures in 1..12 {
-            let actions = world.event(Event::EndpointUpdate(EndpointUpdate::Failed));
+            let actions = harness.handle(Event::EndpointUpdate(EndpointUpdate::Failed));
             let pauses = actions.iter().filter_map(|a| match a {
                 Action::SetTimer { after, .. } => Some(*after),
                 _ => None,
@@ -609,35 +617,35 @@
         overload_multiple: 2.5,
         ..Settings::default()
     };
-    let members = || (1..=20).map(member).collect::<Vec<_>>();
-    let mut worlds: Vec<World> = (0..COPIES)
-        .map(|i| World::new(settings(i), u64::from(i), members()))
+    let endpoints = || (1..=20).map(endpoint).collect::<Vec<_>>();
+    let mut harnesses: Vec<Harness> = (0..COPIES)
+        .map(|i| Harness::new(settings(i), u64::from(i), endpoints()))
         .collect();
     let (mut id, mut sent_to, mut cold_sends) = (0, 0, Vec::new());
     for step in 0..200 {
         // Two calls a second and copy, answered after 50 ms; the upstream restarts after ten seconds.
-        for (i, w) in worlds.iter_mut().enumerate() {
+        for (i, harness) in harnesses.iter_mut().enumerate() {
             if step == 100 {
-                w.list(EndpointUpdate::Delta(vec![Endpoint {
-                    since: w.now,
-                    ..member(1)
+                harness.update_endpoints(EndpointUpdate::Delta(vec![Endpoint {
+                    since: harness.now,
+                    ..endpoint(1)
                 }]));
             }
             if (step + i).is_multiple_of(5) {
                 id += 1;
-                w.request(id, 0, 0);
-                if let Some(&(to, at)) = w.seen[&RequestId(id)].sends.last() {
+                harness.request(id, 0, 0);
+                if let Some(&(to, at)) = harness.requests[&RequestId(id)].sends.last() {
                     sent_to += u32::from(step >= 100);
                     if to == UpstreamId(1) && step >= 100 {
                         cold_sends.push(at);
                     }
-                    w.pass(50.0);
-                    w.outcome(id, 0, Ending::Ok);
-                    w.pass(50.0);
+                    harness.advance(50.0);
+                    harness.outcome(id, 0, Ending::Ok);
+                    harness.advance(50.0);
                     continue;
                 }
             }
-            w.pass(100.0);
+            harness.advance(100.0);
         }
     }
     assert!(sent_to > 3000, "the others carry on: {sent_to}");
@@ -671,33 +679,33 @@
         overload_multiple: 2.5,
         ..Settings::default()
     };
-    let members = || (1..=10).map(member).collect::<Vec<_>>();
-    let mut worlds: Vec<World> = (0..COPIES)
-        .map(|i| World::new(settings(i), u64::from(i), members()))
+    let endpoints = || (1..=10).map(endpoint).collect::<Vec<_>>();
+    let mut harnesses: Vec<Harness> = (0..COPIES)
+        .map(|i| Harness::new(settings(i), u64::from(i), endpoints()))
         .collect();
     let (mut id, mut cold_sends) = (0, Vec::new());
     for step in 0..200 {
         // One call a second and copy, a tenth of the quotas; the upstream restarts after ten seconds.
-        for (i, w) in worlds.iter_mut().enumerate() {
+        for (i, harness) in harnesses.iter_mut().enumerate() {
             if step == 100 {
-                w.list(EndpointUpdate::Delta(vec![Endpoint {
-                    since: w.now,
-                    ..member(1)
+                harness.update_endpoints(EndpointUpdate::Delta(vec![Endpoint {
+                    since: harness.now,
+                    ..endpoint(1)
                 }]));
             }
             if (step + i).is_multiple_of(10) {
                 id += 1;
-                w.request(id, 0, 0);
-                let (to, at) = w.seen[&RequestId(id)].sends[0];
+                harness.request(id, 0, 0);
+                let (to, at) = harness.requests[&RequestId(id)].sends[0];
                 if to == UpstreamId(1) && step >= 100 {
                     cold_sends.push(at);
                 }
-                w.pass(50.0);
-                w.outcome(id, 0, Ending::Ok);
-                w.pass(50.0);
+                harness.advance(50.0);
+                harness.outcome(id, 0, Ending::Ok);
+                harness.advance(50.0);
                 continue;
             }
-            w.pass(100.0);
+            harness.advance(100.0);
         }
     }
     // 40 calls a second over 10 upstreams, each of which carries 40 a second when the quotas are used.
--- a/balancer/core/tests/tier.rs
+++ b/balancer/core/tests/tier.rs
@@ -3,7 +3,7 @@
 
 use balancer_core::*;
 use common::tier::*;
-use common::{member, tenants, World};
+use common::{endpoint, tenants, Harness};
 use std::cell::Cell;
 
 /// Two tenants of equal shares, each asking for so many times what the servers can do.
@@ -205,21 +205,21 @@
     };
     // Calls to it in the second after its first ones ended so.
     let calls = |endings: &'static [Ending], words: bool| {
-        let members = (0..6).map(member).collect();
-        let mut w = World::new(
+        let endpoints = (0..6).map(endpoint).collect();
+        let mut harness = Harness::new(
             Settings {
                 tenants: tenants(&[1.0], 100.0),
                 ..Settings::default()
             },
             1,
-            members,
+            endpoints,
         );
         let answered = Cell::new(0);
         while answered.get() < endings.len() {
             if words {
-                w.event(Event::Tier(Box::new(word())));
+                harness.handle(Event::Tier(Box::new(word())));
             }
-            w.traffic(10.0, 100.0, &[0], &|id| {
+            harness.traffic(10.0, 100.0, &[0], &|id| {
                 let n = answered.replace(answered.get() + usize::from(id.0 == 1));
                 Some((
                     if id.0 == 1 {
@@ -231,10 +231,11 @@
                 ))
             });
         }
-        w.traffic(50.0, 100.0, &[0], &|_| Some((Ending::Ok, 20.0)));
-        let from = w.now;
-        w.traffic(1000.0, 100.0, &[0], &|_| Some((Ending::Ok, 20.0)));
-        w.sent_since(from)
+        harness.traffic(50.0, 100.0, &[0], &|_| Some((Ending::Ok, 20.0)));
+        let from = harness.now;
+        harness.traffic(1000.0, 100.0, &[0], &|_| Some((Ending::Ok, 20.0)));
+        harness
+            .sent_since(from)
             .1
             .get(&UpstreamId(1))
             .copied()
--- a/balancer/core/tests/unheard.rs
+++ b/balancer/core/tests/unheard.rs
@@ -17,19 +17,19 @@
         max_retry_after: 1000.0,
         ..Settings::default()
     };
-    let members = (1..=8)
+    let endpoints = (1..=8)
         .map(|id| Endpoint {
             zone: (id % 2) as u16,
-            ..member(id)
+            ..endpoint(id)
         })
         .collect();
-    let mut w = World::new(settings, 4, members);
+    let mut harness = Harness::new(settings, 4, endpoints);
     for step in 0..160 {
         if let Some(word) = word(step) {
-            w.event(Event::Tier(Box::new(word)));
+            harness.handle(Event::Tier(Box::new(word)));
         }
         let per_s = if step / 40 == 1 { 200.0 } else { 60.0 };
-        w.traffic(100.0, per_s, &[0, 0, 0, 1], &|id| match (step / 40, id.0) {
+        harness.traffic(100.0, per_s, &[0, 0, 0, 1], &|id| match (step / 40, id.0) {
             (1, _) => Some((Ending::Ok, 400.0)),
             (2, 1..=2) => Some((Ending::Error, 5.0)),
             (2, 3) => Some((Ending::ConnectFailed, 1.0)),
@@ -37,7 +37,7 @@
             _ => Some((Ending::Ok, 40.0)),
         });
     }
-    w.log
+    harness.log
 }
 
 #[test]
