--- a/balancer/core/tests/common/tier/exchange.rs
+++ b/balancer/core/tests/common/tier/exchange.rs
@@ -1,80 +1,101 @@
-//! What the replicas of the tier learn from each other.
-use super::Tier;
+//! What the instances of the tier learn from each other.
+use super::TierSimulation;
 use balancer_core::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-impl Tier {
-    /// Words to all copies: sums of those that hear each other, without what is their own in the evidence.
-    pub(super) fn tell(&mut self) {
-        let up: Vec<usize> = (0..self.copies.len())
-            .filter(|&c| self.copies[c].up)
-            .collect();
-        let (now, copies) = (self.now, &mut self.copies);
-        let all: Vec<_> = up
-            .iter()
-            .map(|&c| (c, copies[c].balancer.observed(now)))
-            .collect();
-        let joined: Vec<_> = all.iter().filter(|(c, _)| self.copies[*c].joined).collect();
-        let mut load = TierLoad {
-            tenants: vec![TenantLoad::default(); 3],
-            ..TierLoad::default()
-        };
-        for (_, Observed { load: l, .. }) in &joined {
-            load.demand += l.demand;
-            load.room += l.room;
-            load.firsts += l.firsts;
-            load.retries += l.retries;
-            load.tenants
-                .iter_mut()
-                .zip(&l.tenants)
-                .for_each(|(to, t)| to.demand += t.demand);
-        }
-        for (place, &(c, _)) in joined.iter().enumerate() {
-            let mut evidence: BTreeMap<Subject, (u32, BTreeSet<u16>, u32)> = BTreeMap::new();
-            for (
-                other,
-                Observed {
-                    against, cleared, ..
-                },
-            ) in joined.iter().filter(|(other, _)| other != c)
-            {
-                for &subject in against.iter() {
-                    let e = evidence.entry(subject).or_default();
-                    e.0 += 1;
-                    e.1.insert((other % 3) as u16);
-                }
-                cleared
-                    .iter()
-                    .for_each(|&subject| evidence.entry(subject).or_default().2 += 1);
-            }
-            let evidence = evidence
-                .into_iter()
-                .map(|(subject, (observers, zones, cleared))| Evidence {
-                    subject,
-                    observers,
-                    zones: zones.len() as u32,
-                    cleared,
-                    age: 100.0,
-                })
-                .collect();
-            let sums = Some(TierSums {
-                load: load.clone(),
-                age: 300.0,
-                error: 0.0,
-            });
-            let (up, place) = (joined.len() as u32, place as u32);
-            if let Some(word) = (self.word)(
-                self.now,
-                TierUpdate {
-                    up,
-                    place,
-                    joined: true,
-                    sums,
-                    evidence,
-                },
-            ) {
-                self.event(*c, Event::Tier(Box::new(word)));
+/// Age of the evidence in an update.
+const EVIDENCE_AGE: f64 = 100.0;
+/// Age of the sums in an update.
+const SUMS_AGE: f64 = 300.0;
+
+/// What an instance that hears the others observes.
+struct Observation {
+    instance: usize,
+    observed: Observed,
+}
+
+/// Who observed what of one subject.
+#[derive(Default)]
+struct Observers {
+    against: u32,
+    zones: BTreeSet<u16>,
+    cleared: u32,
+}
+
+impl TierSimulation {
+    /// Updates all instances: sums of those that hear each other, and evidence without their own.
+    pub(super) fn exchange_updates(&mut self) {
+        let observations = self.observations();
+        let load = total_load(&observations);
+        for (place, own) in observations.iter().enumerate() {
+            let update = TierUpdate {
+                up: observations.len() as u32,
+                place: place as u32,
+                joined: true,
+                sums: Some(TierSums {
+                    load: load.clone(),
+                    age: SUMS_AGE,
+                    error: 0.0,
+                }),
+                evidence: evidence_for(own.instance, &observations),
+            };
+            if let Some(update) = (self.filter_update)(self.now, update) {
+                self.handle(own.instance, Event::Tier(Box::new(update)));
             }
         }
     }
+
+    fn observations(&mut self) -> Vec<Observation> {
+        let now = self.now;
+        let up = self.instances.iter_mut().enumerate();
+        up.filter(|(_, instance)| instance.up)
+            .map(|(index, instance)| (instance.joined, index, instance.balancer.observed(now)))
+            .filter(|(joined, ..)| *joined)
+            .map(|(_, instance, observed)| Observation { instance, observed })
+            .collect()
+    }
+}
+
+fn total_load(observations: &[Observation]) -> TierLoad {
+    let mut total = TierLoad {
+        tenants: vec![TenantLoad::default(); 3],
+        ..TierLoad::default()
+    };
+    for Observation { observed, .. } in observations {
+        let load = &observed.load;
+        total.demand += load.demand;
+        total.room += load.room;
+        total.firsts += load.firsts;
+        total.retries += load.retries;
+        for (sum, tenant) in total.tenants.iter_mut().zip(&load.tenants) {
+            sum.demand += tenant.demand;
+        }
+    }
+    total
+}
+
+/// The evidence of all instances but one.
+fn evidence_for(instance: usize, observations: &[Observation]) -> Vec<Evidence> {
+    let mut subjects: BTreeMap<Subject, Observers> = BTreeMap::new();
+    for other in observations {
+        if other.instance == instance {
+            continue;
+        }
+        for &subject in &other.observed.against {
+            let observers = subjects.entry(subject).or_default();
+            observers.against += 1;
+            observers.zones.insert((other.instance % 3) as u16);
+        }
+        for &subject in &other.observed.cleared {
+            subjects.entry(subject).or_default().cleared += 1;
+        }
+    }
+    let evidence = |(subject, observers): (Subject, Observers)| Evidence {
+        subject,
+        observers: observers.against,
+        zones: observers.zones.len() as u32,
+        cleared: observers.cleared,
+        age: EVIDENCE_AGE,
+    };
+    subjects.into_iter().map(evidence).collect()
 }
--- a/balancer/core/tests/common/tier/mod.rs
+++ b/balancer/core/tests/common/tier/mod.rs
@@ -1,63 +1,90 @@
-//! A tier in miniature: many balancers before the same servers, clients that come again, and words with ages.
-mod clients;
+//! A tier in miniature: many balancers before the same servers, clients that retry, and updates of the tier with ages.
 mod exchange;
 mod measures;
+mod requests;
 mod schedule;
 mod servers;
 
-pub(crate) use self::clients::{Answer, Want};
-use self::schedule::{At, Due};
-use self::servers::{Out, Server};
+use self::requests::OpenRequest;
+pub(crate) use self::requests::{ClientRequest, ClientResponse};
+use self::schedule::{Schedule, Step};
+use self::servers::{Call, Server};
 use super::{class, endpoint, tenants};
 use balancer_core::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
+use std::collections::BTreeMap;
 
-/// Calls that a server works on at a time, the time that one takes, and the most that wait.
+/// Calls that a server works on at a time.
 pub(crate) const SLOTS: usize = 4;
-pub(crate) const TAKES: f64 = 40.0;
-const QUEUE: usize = 100;
-/// Words come this often.
-const WORDS: f64 = 250.0;
+/// The time that a call takes, in milliseconds.
+pub(crate) const SERVICE_TIME: f64 = 40.0;
+/// The most calls that wait at a server.
+const MAX_QUEUE: usize = 100;
+/// Updates of the tier come this often, in milliseconds.
+const UPDATE_INTERVAL: f64 = 250.0;
+/// The longest time between two looks at a tenant's rate, in milliseconds.
+const MAX_ARRIVAL_PAUSE: f64 = 100.0;
 
-pub(crate) struct Copy {
+/// A balancer of the tier.
+pub(crate) struct Instance {
     pub balancer: Balancer,
     pub up: bool,
     pub joined: bool,
-    open: BTreeMap<RequestId, (Want, u32)>,
+    open: BTreeMap<RequestId, OpenRequest>,
 }
 
-pub(crate) struct Tier {
+/// How a tenant's clients make requests.
+#[derive(Clone, Copy)]
+pub(crate) struct TenantRate {
+    /// Requests a second.
+    pub per_s: f64,
+    /// The part of them that is of the first class.
+    pub first_class: f64,
+}
+
+/// When a client first made a request.
+pub(crate) struct Arrival {
+    pub at: f64,
+    pub tenant: usize,
+}
+
+/// An attempt that was sent.
+pub(crate) struct SentAttempt {
+    pub at: f64,
+    pub upstream: UpstreamId,
+    pub attempt: u32,
+}
+
+/// What passes of an update of the tier on its way to an instance at a time.
+pub(crate) type UpdateFilter = fn(f64, TierUpdate) -> Option<TierUpdate>;
+
+pub(crate) struct TierSimulation {
     pub now: f64,
-    pub copies: Vec<Copy>,
+    pub instances: Vec<Instance>,
     servers: Vec<Server>,
     pub settings: Settings,
-    /// Requests a second by each tenant, with the part of them that is of the first class.
-    pub rates: Vec<(f64, f64)>,
-    /// Times as long as a server takes now; a dead one answers nothing.
-    pub slow: Box<dyn Fn(usize, f64) -> f64>,
-    /// The part of a server's answers that are errors, however soon it gives them.
-    pub errs: Box<dyn Fn(usize, f64) -> f64>,
-    /// Words pass through this on their way to a copy; what it drops is lost.
-    pub word: fn(f64, TierUpdate) -> Option<TierUpdate>,
+    pub rates: Vec<TenantRate>,
+    /// Times as long as a server takes now; infinite: it does not respond.
+    pub slowness: Box<dyn Fn(usize, f64) -> f64>,
+    /// The part of a server's responses that are errors, however soon it gives them.
+    pub error_rate: Box<dyn Fn(usize, f64) -> f64>,
+    pub filter_update: UpdateFilter,
     /// All that was decided, in order.
     pub log: Vec<(usize, Action)>,
-    /// How many times a client comes again.
-    pub tries: u32,
-    /// When each want of each tenant first came, and every answer.
-    pub asked: Vec<(f64, usize)>,
-    pub answers: Vec<Answer>,
-    pub sends: Vec<(f64, usize, UpstreamId, u32)>,
-    due: BinaryHeap<Reverse<At>>,
-    outs: BTreeMap<u64, Out>,
+    /// How many times a client retries.
+    pub max_retries: u32,
+    pub arrivals: Vec<Arrival>,
+    pub responses: Vec<ClientResponse>,
+    pub sends: Vec<SentAttempt>,
+    schedule: Schedule,
+    calls: BTreeMap<u64, Call>,
     number: u64,
     rng: Pcg64Mcg,
 }
 
-pub(crate) fn settings(copies: usize) -> Settings {
-    let sort = |value| Class {
+pub(crate) fn settings(instances: usize) -> Settings {
+    let with_value = |value| Class {
         objective: 500.0,
         deadline: 2000.0,
         value,
@@ -65,8 +92,8 @@
         ..class(Effect::Free)
     };
     Settings {
-        balancers: copies as u32,
-        classes: vec![sort(1.0), sort(8.0)],
+        balancers: instances as u32,
+        classes: vec![with_value(1.0), with_value(8.0)],
         tenants: tenants(&[0.5, 0.5], 1000.0),
         cancel: true,
         max_retry_after: 1500.0,
@@ -79,168 +106,184 @@
     (id.0 % 3) as u16
 }
 
-impl Tier {
-    pub(crate) fn new(copies: usize, servers: usize, settings: Settings, seed: u64) -> Self {
-        let list: Vec<Endpoint> = (0..servers as u64)
-            .map(|id| Endpoint {
-                zone: zone_of(UpstreamId(id)),
-                ..endpoint(id)
-            })
-            .collect();
-        let mut tier = Tier {
+impl TierSimulation {
+    pub(crate) fn new(instances: usize, servers: usize, settings: Settings, seed: u64) -> Self {
+        let mut tier = TierSimulation {
             now: 0.0,
-            copies: Vec::new(),
+            instances: Vec::new(),
             servers: (0..servers).map(|_| Server::default()).collect(),
             settings,
-            rates: vec![(0.0, 0.5); 2],
-            slow: Box::new(|_, _| 1.0),
-            errs: Box::new(|_, _| 0.0),
-            word: |_, word| Some(word),
+            rates: vec![
+                TenantRate {
+                    per_s: 0.0,
+                    first_class: 0.5
+                };
+                2
+            ],
+            slowness: Box::new(|_, _| 1.0),
+            error_rate: Box::new(|_, _| 0.0),
+            filter_update: |_, update| Some(update),
             log: Vec::new(),
-            tries: 3,
-            answers: Vec::new(),
-            asked: Vec::new(),
+            max_retries: 3,
+            responses: Vec::new(),
+            arrivals: Vec::new(),
             sends: Vec::new(),
-            due: BinaryHeap::new(),
-            outs: BTreeMap::new(),
+            schedule: Schedule::default(),
+            calls: BTreeMap::new(),
             number: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
         };
-        for index in 0..copies {
-            let own = Settings {
-                index: index as u32,
-                zone: (index % 3) as u16,
-                ..tier.settings.clone()
-            };
-            let balancer = Balancer::new(own, seed * 1000 + index as u64, 0.0).expect("settings");
-            tier.copies.push(Copy {
-                balancer,
-                up: true,
-                joined: true,
-                open: BTreeMap::new(),
-            });
-            tier.event(
-                index,
-                Event::EndpointUpdate(EndpointUpdate::Cached(list.clone())),
-            );
+        for index in 0..instances {
+            tier.start_instance(index, seed);
+        }
+        for tenant in 0..tier.rates.len() {
+            tier.after(0.0, Step::Arrival { tenant });
         }
-        (0..tier.rates.len()).for_each(|tenant| tier.after(0.0, Due::Arrival(tenant)));
-        tier.after(WORDS, Due::Word);
+        tier.after(UPDATE_INTERVAL, Step::TierUpdates);
         tier
     }
 
+    fn start_instance(&mut self, index: usize, seed: u64) {
+        let settings = Settings {
+            index: index as u32,
+            zone: (index % 3) as u16,
+            ..self.settings.clone()
+        };
+        let balancer = Balancer::new(settings, seed * 1000 + index as u64, 0.0).expect("settings");
+        self.instances.push(Instance {
+            balancer,
+            up: true,
+            joined: true,
+            open: BTreeMap::new(),
+        });
+        let endpoints = (0..self.servers.len() as u64).map(|id| Endpoint {
+            zone: zone_of(UpstreamId(id)),
+            ..endpoint(id)
+        });
+        let update = EndpointUpdate::Cached(endpoints.collect());
+        self.handle(index, Event::EndpointUpdate(update));
+    }
+
     /// What the servers can do, in requests a second.
-    pub(crate) fn can(&self) -> f64 {
-        (self.servers.len() * SLOTS) as f64 * 1000.0 / TAKES
+    pub(crate) fn capacity(&self) -> f64 {
+        (self.servers.len() * SLOTS) as f64 * 1000.0 / SERVICE_TIME
     }
 
-    fn unit(&mut self) -> f64 {
+    fn random_unit(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn after(&mut self, span: f64, due: Due) {
+    fn after(&mut self, span: f64, step: Step) {
         self.number += 1;
-        self.due
-            .push(Reverse(At(self.now + span, self.number, due)));
+        self.schedule.add(self.now + span, self.number, step);
     }
 
     pub(crate) fn run(&mut self, span: f64) {
         let until = self.now + span;
-        while self
-            .due
-            .peek()
-            .is_some_and(|Reverse(At(at, ..))| *at <= until)
-        {
-            let Some(Reverse(At(at, _, due))) = self.due.pop() else {
-                break;
-            };
+        while let Some((at, step)) = self.schedule.next(until) {
             self.now = at;
-            match due {
-                Due::Arrival(tenant) => {
-                    let (rate, first) = self.rates[tenant];
-                    let pause = -(1.0 - self.unit()).ln() * 1000.0 / rate.max(0.001);
-                    self.after(pause.min(100.0), Due::Arrival(tenant));
-                    if pause <= 100.0 {
-                        let class = usize::from(self.unit() >= first);
-                        let tie = self.rng.next_u64();
-                        self.asked.push((self.now, tenant));
-                        self.ask(Want {
-                            class,
-                            tenant,
-                            tie,
-                            began: self.now,
-                            tries: 0,
-                        });
-                    }
-                }
-                Due::Try(want) => self.ask(want),
-                Due::Timer(copy, token) => self.event(copy, Event::Timer(token)),
-                Due::Done(server, out) => {
-                    let bad = self.unit() < (self.errs)(server, self.now);
-                    self.ended(out, if bad { Ending::Error } else { Ending::Ok });
+            match step {
+                Step::Arrival { tenant } => self.arrive(tenant),
+                Step::Retry(request) => self.request(request),
+                Step::Timer { instance, token } => self.handle(instance, Event::Timer(token)),
+                Step::Completion { server, call } => {
+                    let failed = self.random_unit() < (self.error_rate)(server, self.now);
+                    self.end_call(call, if failed { Ending::Error } else { Ending::Ok });
                     self.servers[server].busy -= 1;
                     self.work(server);
                 }
-                Due::Timeout(out) => self.ended(out, Ending::Timeout),
-                Due::Word => {
-                    self.tell();
-                    self.after(WORDS, Due::Word);
+                Step::Timeout { call } => self.end_call(call, Ending::Timeout),
+                Step::TierUpdates => {
+                    self.exchange_updates();
+                    self.after(UPDATE_INTERVAL, Step::TierUpdates);
                 }
             }
         }
         self.now = until;
     }
 
-    /// Gives a copy another view of the room there is.
-    pub(crate) fn believe(&mut self, copy: usize, times: f64) {
-        let mut learned = Box::new(self.copies[copy].balancer.learned(self.now));
-        learned.load.capacity *= times;
-        self.event(copy, Event::Restored { learned, age: 0.0 });
+    /// A tenant's request arrives, or its rate is looked at again.
+    fn arrive(&mut self, tenant: usize) {
+        let rate = self.rates[tenant];
+        let pause = -(1.0 - self.random_unit()).ln() * 1000.0 / rate.per_s.max(0.001);
+        self.after(pause.min(MAX_ARRIVAL_PAUSE), Step::Arrival { tenant });
+        if pause > MAX_ARRIVAL_PAUSE {
+            return;
+        }
+        let class = usize::from(self.random_unit() >= rate.first_class);
+        let tie = self.rng.next_u64();
+        self.arrivals.push(Arrival {
+            at: self.now,
+            tenant,
+        });
+        self.request(ClientRequest {
+            class,
+            tenant,
+            tie,
+            started_at: self.now,
+            retries: 0,
+        });
+    }
+
+    /// Scales the capacity that an instance has learned.
+    pub(crate) fn scale_learned_capacity(&mut self, instance: usize, factor: f64) {
+        let mut learned = Box::new(self.instances[instance].balancer.learned(self.now));
+        learned.load.capacity *= factor;
+        self.handle(instance, Event::Restored { learned, age: 0.0 });
     }
 
-    /// Copies stop at once; what they held goes back to its clients.
+    /// Kills instances; their open requests return to their clients.
     pub(crate) fn kill(&mut self, which: impl Fn(usize) -> bool) {
-        for copy in (0..self.copies.len()).filter(|&c| which(c)) {
-            self.copies[copy].up = false;
-            let open: Vec<RequestId> = self.copies[copy].open.keys().copied().collect();
-            open.into_iter().for_each(|id| self.refused(copy, id, 0.0));
-            self.outs.retain(|_, o| o.copy != copy);
+        for index in (0..self.instances.len()).filter(|&index| which(index)) {
+            self.instances[index].up = false;
+            let open: Vec<RequestId> = self.instances[index].open.keys().copied().collect();
+            for id in open {
+                self.refused(index, id, 0.0);
+            }
+            self.calls.retain(|_, call| call.instance != index);
         }
     }
 
-    fn event(&mut self, copy: usize, event: Event) {
-        let mut actions = Vec::new();
-        if !self.copies[copy].up {
+    fn handle(&mut self, instance: usize, event: Event) {
+        if !self.instances[instance].up {
             return;
         }
-        self.copies[copy]
+        let mut actions = Vec::new();
+        self.instances[instance]
             .balancer
             .handle(self.now, event, &mut actions);
         for action in actions {
-            self.log.push((copy, action.clone()));
-            match action {
-                Action::Send {
-                    request,
-                    upstream,
-                    timeout,
-                    ..
-                } => self.send(copy, request, upstream, timeout),
-                Action::SetTimer { after, token } => self.after(after, Due::Timer(copy, token)),
-                Action::Refuse {
-                    request,
-                    retry_after,
-                    ..
-                } => self.refused(copy, request, retry_after),
-                Action::Fail { request } => self.refused(copy, request, 0.0),
-                Action::Cancel { request, attempt } => {
-                    let of =
-                        |o: &Out| o.copy == copy && (o.request, o.attempt) == (request, attempt);
-                    if let Some(out) = self.outs.iter().find(|(_, o)| of(o)).map(|(&out, _)| out) {
-                        self.ended(out, Ending::Cancelled);
-                    }
+            self.log.push((instance, action.clone()));
+            self.act(instance, action);
+        }
+    }
+
+    fn act(&mut self, instance: usize, action: Action) {
+        match action {
+            Action::Send {
+                request,
+                upstream,
+                timeout,
+                ..
+            } => self.send(instance, request, upstream, timeout),
+            Action::SetTimer { after, token } => self.after(after, Step::Timer { instance, token }),
+            Action::Refuse {
+                request,
+                retry_after,
+                ..
+            } => self.refused(instance, request, retry_after),
+            Action::Fail { request } => self.refused(instance, request, 0.0),
+            Action::Cancel { request, attempt } => {
+                let is_cancelled = |call: &Call| {
+                    call.instance == instance && call.request == request && call.attempt == attempt
+                };
+                let mut calls = self.calls.iter();
+                let cancelled = calls.find(|(_, call)| is_cancelled(call));
+                if let Some((&call, _)) = cancelled {
+                    self.end_call(call, Ending::Cancelled);
                 }
-                Action::Log(_) | Action::CloseIdle(_) | Action::Subscribe => {}
             }
+            Action::Log(_) | Action::CloseIdle(_) | Action::Subscribe => {}
         }
     }
 }
--- a/balancer/core/tests/common/tier/schedule.rs
+++ b/balancer/core/tests/common/tier/schedule.rs
@@ -1,32 +1,66 @@
 //! What happens next, ordered by time.
-use super::clients::Want;
+use super::requests::ClientRequest;
+use std::cmp::{Ordering, Reverse};
+use std::collections::BinaryHeap;
 
 #[derive(Clone, Debug)]
-pub(super) enum Due {
-    Arrival(usize),
-    Try(Want),
-    Timer(usize, u32),
-    Done(usize, u64),
-    Timeout(u64),
-    Word,
+pub(super) enum Step {
+    /// A tenant's next request arrives.
+    Arrival { tenant: usize },
+    /// A client retries.
+    Retry(ClientRequest),
+    /// A timer of an instance expires.
+    Timer { instance: usize, token: u32 },
+    /// A server completes a call.
+    Completion { server: usize, call: u64 },
+    /// A call times out.
+    Timeout { call: u64 },
+    /// Instances receive updates of their tier.
+    TierUpdates,
 }
 
-/// An event with its time and its number, which decides between equal times.
-pub(super) struct At(pub f64, pub u64, pub Due);
+/// A step with its time and its number, which decides between equal times.
+struct Scheduled {
+    at: f64,
+    number: u64,
+    step: Step,
+}
 
-impl PartialEq for At {
+impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
-impl Eq for At {}
-impl PartialOrd for At {
-    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
+impl Eq for Scheduled {}
+impl PartialOrd for Scheduled {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for At {
-    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        self.0.total_cmp(&other.0).then(self.1.cmp(&other.1))
+impl Ord for Scheduled {
+    fn cmp(&self, other: &Self) -> Ordering {
+        self.at
+            .total_cmp(&other.at)
+            .then(self.number.cmp(&other.number))
+    }
+}
+
+/// Steps to come.
+#[derive(Default)]
+pub(super) struct Schedule(BinaryHeap<Reverse<Scheduled>>);
+
+impl Schedule {
+    pub(super) fn add(&mut self, at: f64, number: u64, step: Step) {
+        self.0.push(Reverse(Scheduled { at, number, step }));
+    }
+
+    /// Takes the next step up to a time, and when it happens.
+    pub(super) fn next(&mut self, until: f64) -> Option<(f64, Step)> {
+        let Reverse(next) = self.0.peek()?;
+        if next.at > until {
+            return None;
+        }
+        let Reverse(next) = self.0.pop()?;
+        Some((next.at, next.step))
     }
 }
--- a/balancer/core/tests/common/tier/servers.rs
+++ b/balancer/core/tests/common/tier/servers.rs
@@ -1,6 +1,6 @@
-//! Servers with slots and a queue, and the attempts that are out at them.
-use super::schedule::Due;
-use super::{Answer, Tier, QUEUE, SLOTS, TAKES};
+//! Servers with slots and a queue, and the calls in flight at them.
+use super::schedule::Step;
+use super::{ClientResponse, SentAttempt, TierSimulation, MAX_QUEUE, SERVICE_TIME, SLOTS};
 use balancer_core::*;
 use std::collections::VecDeque;
 
@@ -10,61 +10,50 @@
     pub queue: VecDeque<u64>,
 }
 
-/// An attempt that is out.
-pub(super) struct Out {
-    pub copy: usize,
+/// An attempt in flight.
+pub(super) struct Call {
+    pub instance: usize,
     pub request: RequestId,
     pub attempt: u32,
-    pub server: usize,
-    pub sent: f64,
+    pub sent_at: f64,
 }
 
-impl Tier {
+impl TierSimulation {
+    /// Lets a server begin as many calls as it has slots.
     pub(super) fn work(&mut self, server: usize) {
-        let slow = (self.slow)(server, self.now);
-        while slow.is_finite() && self.servers[server].busy < SLOTS {
-            let Some(out) = self.servers[server].queue.pop_front() else {
+        let slowness = (self.slowness)(server, self.now);
+        while slowness.is_finite() && self.servers[server].busy < SLOTS {
+            let Some(call) = self.servers[server].queue.pop_front() else {
                 break;
             };
             self.servers[server].busy += 1;
-            let takes = TAKES * slow * (0.5 + self.unit());
-            self.after(takes, Due::Done(server, out));
+            let service_time = SERVICE_TIME * slowness * (0.5 + self.random_unit());
+            self.after(service_time, Step::Completion { server, call });
         }
     }
 
-    /// A server works on a call to its end, wanted or not.
-    pub(super) fn ended(&mut self, out: u64, ending: Ending) {
-        let Some(Out {
-            copy,
-            request,
-            attempt,
-            sent,
-            ..
-        }) = self.outs.remove(&out)
-        else {
+    /// Ends a call for its instance. A server works on it to its end, wanted or not.
+    pub(super) fn end_call(&mut self, call: u64, ending: Ending) {
+        let Some(call) = self.calls.remove(&call) else {
             return;
         };
         let closed = ending == Ending::Ok;
-        let (want, duration) = (
-            self.copies[copy].open.get(&request).cloned(),
-            self.now - sent,
-        );
-        self.event(
-            copy,
-            Event::Outcome {
-                request,
-                attempt,
-                ending,
-                duration,
-                closed,
-            },
-        );
-        if let Some((want, _)) = want.filter(|_| closed) {
-            self.copies[copy].open.remove(&request);
-            self.answers.push(Answer {
+        let open = self.instances[call.instance].open.get(&call.request);
+        let request = open.map(|open| open.request.clone());
+        let outcome = Event::Outcome {
+            request: call.request,
+            attempt: call.attempt,
+            ending,
+            duration: self.now - call.sent_at,
+            closed,
+        };
+        self.handle(call.instance, outcome);
+        if let Some(request) = request.filter(|_| closed) {
+            self.instances[call.instance].open.remove(&call.request);
+            self.responses.push(ClientResponse {
                 at: self.now,
-                copy,
-                want,
+                instance: call.instance,
+                request,
                 served: true,
                 retry_after: 0.0,
             });
@@ -73,27 +62,32 @@
 
     pub(super) fn send(
         &mut self,
-        copy: usize,
-        request: RequestId,
+        instance: usize,
+        id: RequestId,
         upstream: UpstreamId,
         timeout: f64,
     ) {
         let server = upstream.0 as usize;
-        let c = &mut self.copies[copy];
-        let (want, sends) = c.open.get_mut(&request).expect("an open request");
-        let attempt = std::mem::replace(sends, *sends + 1);
-        let left = want.began + self.settings.classes[want.class].deadline - self.now;
-        self.sends.push((self.now, copy, upstream, attempt));
+        let open = self.instances[instance].open.get_mut(&id);
+        let open = open.expect("an open request");
+        let attempt = open.attempts;
+        open.attempts += 1;
+        let request = open.request.clone();
+        let left = self.deadline(&request) - self.now;
+        self.sends.push(SentAttempt {
+            at: self.now,
+            upstream,
+            attempt,
+        });
         self.number += 1;
-        let out = self.number;
-        self.outs.insert(
-            out,
-            Out {
-                copy,
-                request,
+        let call = self.number;
+        self.calls.insert(
+            call,
+            Call {
+                instance,
+                request: id,
                 attempt,
-                server,
-                sent: self.now,
+                sent_at: self.now,
             },
         );
         let timeout = if timeout > 0.0 {
@@ -101,11 +95,12 @@
         } else {
             left
         };
-        self.after(timeout.max(0.0), Due::Timeout(out));
-        if (self.slow)(server, self.now).is_finite() && self.servers[server].queue.len() >= QUEUE {
-            return self.ended(out, Ending::Full);
+        self.after(timeout.max(0.0), Step::Timeout { call });
+        let responds = (self.slowness)(server, self.now).is_finite();
+        if responds && self.servers[server].queue.len() >= MAX_QUEUE {
+            return self.end_call(call, Ending::Full);
         }
-        self.servers[server].queue.push_back(out);
+        self.servers[server].queue.push_back(call);
         self.work(server);
     }
 }
