--- a/balancer/core/tests/restored.rs
+++ b/balancer/core/tests/restored.rs
@@ -149,21 +149,9 @@
     restarted(&kept, 0.0, leaving).traffic(3000.0, 60.0, &[0], &|_| Some((Ending::Ok, 50.0)));
 }
 
-/// All copies come back at once with what thirty upstreams carried, and find four, cold.
-#[test]
-fn copies_that_all_restore_at_once_tip_no_cold_upstream() {
-    const COPIES: u32 = 60;
-    let settings = |index| Settings {
-        index,
-        balancers: COPIES,
-        tenants: tenants(&[1.0], 2400.0),
-        slow_start_from: 0.15,
-        slow_start_time: 20_000.0,
-        overload_multiple: 2.5,
-        ..Settings::default()
-    };
-    let demands = vec![Some(40.0), None];
-    let kept = Learned {
+/// What one of sixty instances learned while thirty upstreams carried 2,400 calls a second.
+fn learned_with_thirty_upstreams() -> Learned {
+    Learned {
         load: Load {
             capacity: 80.0,
             recent: 40.0,
@@ -177,25 +165,40 @@
         upstreams_usable: 1.0,
         answer: 50.0,
         deviation: 10.0,
-        demands,
+        demands: vec![Some(40.0), None],
         ..Learned::default()
+    }
+}
+
+/// All instances return at once with what thirty upstreams carried, and find four, in slow start.
+#[test]
+fn instances_that_all_restore_at_once_overload_no_upstream_in_slow_start() {
+    const INSTANCES: u32 = 60;
+    const STARTED_AT: f64 = 100_000.0;
+    let settings = |index| Settings {
+        index,
+        balancers: INSTANCES,
+        tenants: tenants(&[1.0], 2400.0),
+        slow_start_from: 0.15,
+        slow_start_time: 20_000.0,
+        overload_multiple: 2.5,
+        ..Settings::default()
     };
-    let cold = |id| Endpoint {
-        since: 100_000.0,
+    let started = |id| Endpoint {
+        since: STARTED_AT,
         ..endpoint(id)
     };
-    let mut harnesses: Vec<Harness> = (0..COPIES)
-        .map(|i| {
-            let mut harness = Harness::new(settings(i), u64::from(i), Vec::new());
-            harness.advance(100_000.0);
-            harness.handle(Event::Restored {
-                learned: Box::new(kept.clone()),
-                age: 500.0,
-            });
-            harness.update_endpoints(EndpointUpdate::Full((1..=4).map(cold).collect()));
-            harness
-        })
-        .collect();
+    let start = |index| {
+        let mut harness = Harness::new(settings(index), u64::from(index), Vec::new());
+        harness.advance(STARTED_AT);
+        harness.handle(Event::Restored {
+            learned: Box::new(learned_with_thirty_upstreams()),
+            age: 500.0,
+        });
+        harness.update_endpoints(EndpointUpdate::Full((1..=4).map(started).collect()));
+        harness
+    };
+    let mut harnesses: Vec<Harness> = (0..INSTANCES).map(start).collect();
     let mut calls = vec![[0u32; 4]; 4];
     let mut id = 0;
     for _ in 0..160 {
@@ -203,7 +206,7 @@
             id += 1;
             harness.request(id, 0, 0);
             if let Some(&(to, at)) = harness.requests[&RequestId(id)].sends.last() {
-                let second = ((at - 100_000.0) / 1000.0) as usize;
+                let second = ((at - STARTED_AT) / 1000.0) as usize;
                 calls[second.min(3)][to.0 as usize - 1] += 1;
                 harness.outcome(id, 0, Ending::Ok);
             }
@@ -212,10 +215,10 @@
     }
     // Thirty upstreams carried 2,400 calls a second, 80 each.
     for (second, calls) in calls.iter().enumerate() {
-        let warmth = 0.15 + 0.85 * second as f64 / 20.0;
+        let weight = 0.15 + 0.85 * second as f64 / 20.0;
         for &n in calls {
             assert!(
-                f64::from(n) <= 2.5 * 80.0 * warmth,
+                f64::from(n) <= 2.5 * 80.0 * weight,
                 "{calls:?} in second {second}"
             );
         }
--- a/balancer/core/tests/zones.rs
+++ b/balancer/core/tests/zones.rs
@@ -85,71 +85,72 @@
     move |zone| (zone != lost).then_some(1.0)
 }
 
+fn has_line(log: &[String], start: &str) -> bool {
+    log.iter().any(|line| line.starts_with(start))
+}
+
 #[test]
-fn a_lost_zone_is_left_at_once_its_calls_are_repeated_and_it_comes_back_by_degrees() {
+fn a_lost_zone_is_ejected_at_once_its_calls_are_retried_and_it_returns_by_degrees() {
     let mut harness = new_harness();
     live(&mut harness, 20_000.0, 60.0, well);
     assert_eq!(said(&mut harness), Vec::<String>::new());
-    let lost = harness.now;
+    let lost_at = harness.now;
     cut(&mut harness, 0);
     live(&mut harness, 600.0, 60.0, without(0));
     let log = said(&mut harness);
-    assert!(
-        log.iter()
-            .any(|l| l.starts_with("zone 0 is left: it owes ")),
-        "{log:?}"
-    );
-    let left = harness.now;
+    assert!(has_line(&log, "zone 0 is left: it owes "), "{log:?}");
+    let ejected_at = harness.now;
     live(&mut harness, 4000.0, 60.0, without(0));
-    let after = sent(&harness, left);
+    let after = sent(&harness, ejected_at);
     assert!(
         after[0] * 100 <= after.iter().sum::<usize>() * 2,
         "trials only: {after:?} {log:?} {:?}",
         said(&mut harness)
     );
-    // What hung in it was sent again elsewhere, and was answered.
-    let hung = |s: &&RequestRecord| {
-        s.sends
-            .first()
-            .is_some_and(|(id, at)| zone_of(*id) == 0 && *at > lost - ANSWER)
+    assert_hung_calls_were_retried(&harness, lost_at);
+    assert_returns_by_degrees(&mut harness);
+}
+
+/// What hung in zone 0 when it was lost was sent again elsewhere, and was answered.
+fn assert_hung_calls_were_retried(harness: &Harness, lost_at: f64) {
+    let hung = |record: &&RequestRecord| {
+        let first = record.sends.first();
+        first.is_some_and(|(id, at)| zone_of(*id) == 0 && *at > lost_at - ANSWER)
     };
     let hung: Vec<&RequestRecord> = harness.requests.values().filter(hung).collect();
     let served = hung
         .iter()
-        .filter(|s| s.endings.last() == Some(&Some(Ending::Ok)))
+        .filter(|record| record.endings.last() == Some(&Some(Ending::Ok)))
         .count();
     assert!(
         hung.len() >= 3 && served * 4 >= hung.len() * 3,
         "{served} of {}",
         hung.len()
     );
-    let back = harness.now;
-    let mut shares = Vec::new();
+}
+
+/// Zone 0 is well again: its part of the calls returns, and not all at once.
+fn assert_returns_by_degrees(harness: &mut Harness) {
+    let well_from = harness.now;
+    let mut local = Vec::new();
     for _ in 0..16 {
         let from = harness.now;
-        live(&mut harness, 1000.0, 60.0, well);
-        shares.push(sent(&harness, from)[0]);
+        live(harness, 1000.0, 60.0, well);
+        local.push(sent(harness, from)[0]);
     }
-    let log = said(&mut harness);
+    let log = said(harness);
+    let has = |line: &str| log.iter().any(|logged| logged == line);
     assert!(
-        log.iter()
-            .any(|l| l == "zone 0 is returning: 0.125 of its draws stand"),
+        has("zone 0 is returning: 0.125 of its draws stand"),
         "{log:?}"
     );
+    assert!(has("zone 0 is near: 1.000 of its draws stand"), "{log:?}");
+    let all = sent(harness, well_from).iter().sum::<usize>() / 16;
     assert!(
-        log.iter()
-            .any(|l| l == "zone 0 is near: 1.000 of its draws stand"),
-        "{log:?}"
-    );
-    let whole = sent(&harness, back).iter().sum::<usize>() / 16;
-    assert!(
-        shares[1] * 2 < whole.max(2),
-        "not all at once: {shares:?} of {whole}"
-    );
-    assert!(
-        shares[15] * 2 > whole,
-        "all in the end: {shares:?} of {whole}"
+        local[1] * 2 < all.max(2),
+        "not all at once: {local:?} of {all}"
     );
+    assert!(local[15] * 2 > all, "all in the end: {local:?} of {all}");
 }
 
 /// A shared dependency: leaving any of them would only crowd the rest.
