--- a/balancer/core/tests/failures/attempts.rs
+++ b/balancer/core/tests/failures/attempts.rs
@@ -5,8 +5,8 @@
 
 /// Where a late answer earns nothing, an attempt that ran on only held slots, in every tier above too.
 #[test]
-fn a_request_ends_at_its_aim_where_late_answers_earn_nothing() {
-    for (late_value, most) in [(0.0, 500.0), (0.4, 2000.0)] {
+fn a_request_ends_at_its_objective_where_late_responses_earn_nothing() {
+    for (late_value, max) in [(0.0, 500.0), (0.4, 2000.0)] {
         let class = Class {
             late_value,
             ..class(Effect::SingleShot)
@@ -20,19 +20,19 @@
             vec![endpoint(1)],
         );
         harness.request(1, 0, 0);
-        harness.advance(most - 100.0);
+        harness.advance(max - 100.0);
         assert!(
             !harness.requests[&RequestId(1)].completed,
-            "not given up before {most}"
+            "not given up before {max}"
         );
         harness.advance(100.0);
-        assert!(harness.requests[&RequestId(1)].completed, "over by {most}");
+        assert!(harness.requests[&RequestId(1)].completed, "over by {max}");
     }
 }
 
 /// Waiting for the deadline left no time for another attempt, though one was allowed and would have been answered.
 #[test]
-fn where_answers_get_lost_a_repeat_goes_out_in_time() {
+fn where_responses_get_lost_a_retry_goes_out_in_time() {
     let mut harness = new_harness(shared(&[1.0]), 6);
     let server = |id| (id != UpstreamId(2)).then_some((Ending::Ok, 40.0));
     harness.traffic(20_000.0, 30.0, &[0], &server);
@@ -46,7 +46,7 @@
 
 /// A subset drawn without regard to groups held no other upstream that knows the key.
 #[test]
-fn a_guarded_repeat_finds_another_upstream_of_its_group() {
+fn a_guarded_retry_finds_another_upstream_of_its_group() {
     let guarded = Effect::Guarded {
         scope: DedupScope::Cell,
         window: 5000.0,
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn further_attempts_stay_within_their_budget() {
+fn retries_stay_within_their_budget() {
     let mut harness = new_harness(shared(&[1.0]), 8);
     harness.traffic(20_000.0, 40.0, &[0], &|_| Some((Ending::Error, 5.0)));
     let (requests, to) = harness.sent_since(0.0);
--- a/balancer/core/tests/failures/capacity.rs
+++ b/balancer/core/tests/failures/capacity.rs
@@ -5,7 +5,7 @@
 
 /// Capacity once spiralled down on old news and took half a minute to come back.
 #[test]
-fn capacity_comes_back_soon_after_an_overload() {
+fn capacity_recovers_soon_after_an_overload() {
     let mut harness = new_harness(shared(&[1.0]), 4);
     harness.traffic(5000.0, 60.0, &[0], &fast);
     harness.traffic(8000.0, 60.0, &[0], &slow);
@@ -19,7 +19,7 @@
 /// Met in an incident: crowded servers stay slow for as long as they hold as many calls, and the floor at the quotas
 /// held them there, with answers that took four times as long and yet were in time.
 #[test]
-fn the_floor_gives_way_while_servers_are_crowded() {
+fn the_floor_gives_way_while_servers_are_overloaded() {
     let class = Class {
         objective: 1000.0,
         ..class(Effect::Free)
@@ -58,7 +58,7 @@
 
 /// Calls sent before the last cut were left out: with answers slower than a cycle only the fast ones were heard.
 #[test]
-fn capacity_hears_the_slow_answers_too() {
+fn capacity_counts_the_slow_responses_too() {
     let mut harness = new_harness(shared(&[1.0]), 8);
     let server = |id: UpstreamId| Some((Ending::Ok, if id.0 < 4 { 60.0 } else { 1400.0 }));
     let class = Class {
@@ -101,7 +101,7 @@
 
 /// Tiers below refused for want of capacity at the start, though none of their answers was late.
 #[test]
-fn a_tier_below_starts_with_room() {
+fn a_tier_below_starts_with_more_capacity() {
     for (stage, least) in [(0, 0), (1, 60)] {
         let mut harness = new_harness(
             Settings {
--- a/balancer/core/tests/failures/choice.rs
+++ b/balancer/core/tests/failures/choice.rs
@@ -6,7 +6,7 @@
 
 /// Copies that carry little hold nothing at most upstreams: a slow kind got as much as a fast one.
 #[test]
-fn of_two_that_hold_as_many_calls_the_one_that_answers_sooner_is_taken() {
+fn of_two_with_as_many_calls_in_flight_the_faster_one_is_picked() {
     let mut harness = new_harness(shared(&[1.0]), 6);
     let server =
         |id: UpstreamId| Some((Ending::Ok, if id.0.is_multiple_of(2) { 60.0 } else { 15.0 }));
@@ -23,17 +23,17 @@
 
 /// A copy that carries little compares zeros; it once sent all its calls to the same few.
 #[test]
-fn a_copy_that_carries_little_spreads_its_calls() {
+fn an_instance_with_little_traffic_spreads_its_calls() {
     let mut harness = new_harness(shared(&[1.0]), 5);
     harness.traffic(60_000.0, 1.0, &[0], &fast);
     let (sent, to) = harness.sent_since(0.0);
-    let most = to.values().max().copied().unwrap_or(0);
-    assert!(to.len() == 5 && most * 3 < sent, "{to:?}");
+    let max = to.values().max().copied().unwrap_or(0);
+    assert!(to.len() == 5 && max * 3 < sent, "{to:?}");
 }
 
 /// Connections grow as copies times servers: each copy keeps to a stable part that its traffic keeps warm.
 #[test]
-fn the_subset_follows_the_traffic_and_is_balanced_between_copies() {
+fn the_subset_follows_the_traffic_and_is_balanced_between_instances() {
     let mut load = BTreeMap::new();
     for index in 0..20 {
         let settings = Settings {
@@ -52,10 +52,10 @@
         );
         to.keys().for_each(|id| *load.entry(*id).or_insert(0) += 1);
     }
-    let most = load.values().max().copied().unwrap_or(0);
+    let max = load.values().max().copied().unwrap_or(0);
     assert!(
-        load.len() == 40 && most <= 7,
-        "{most} copies on one upstream, {} used",
+        load.len() == 40 && max <= 7,
+        "{max} copies on one upstream, {} used",
         load.len()
     );
 }
@@ -63,7 +63,7 @@
 /// Upstreams cap their connections and serve worse with many: a tier ran out of them, and never recovered, when
 /// each of a hundred copies with a few calls in flight kept one open to most upstreams.
 #[test]
-fn a_copy_that_carries_little_keeps_few_connections_from_the_start() {
+fn an_instance_with_little_traffic_opens_few_connections_from_the_start() {
     let settings = Settings {
         balancers: 20,
         idle_close: 30_000.0,
@@ -79,69 +79,77 @@
     );
 }
 
+/// A call in flight.
+struct Call {
+    ends_at: f64,
+    instance: usize,
+    id: u32,
+    upstream: UpstreamId,
+}
+
 /// Met on days of a large fleet: each of many copies had one call at most at a slow upstream, which seemed as little
 /// as elsewhere, and all together they crowded it.
 #[test]
-fn many_copies_with_a_call_each_do_not_crowd_a_slow_upstream() {
-    const COPIES: u32 = 40;
+fn many_instances_with_a_call_each_do_not_overload_a_slow_upstream() {
+    const INSTANCES: u32 = 40;
     let slow = UpstreamId(1);
     let settings = |index| Settings {
         index,
-        balancers: COPIES,
+        balancers: INSTANCES,
         ..shared(&[1.0])
     };
-    let mut harnesses: Vec<Harness> = (0..COPIES).map(|i| new_harness(settings(i), 8)).collect();
-    let mut held = BTreeMap::new();
-    let (mut due, mut most): (Vec<(f64, usize, u32, UpstreamId)>, _) = (Vec::new(), 0.0);
+    let mut harnesses: Vec<Harness> = (0..INSTANCES)
+        .map(|i| new_harness(settings(i), 8))
+        .collect();
+    let mut in_flight = BTreeMap::new();
+    let mut calls: Vec<Call> = Vec::new();
+    let mut max = 0.0;
     for step in 0..1500 {
-        for (i, harness) in harnesses.iter_mut().enumerate() {
+        for (instance, harness) in harnesses.iter_mut().enumerate() {
             harness.advance(10.0);
-            while let Some(k) = due
-                .iter()
-                .position(|&(at, copy, ..)| copy == i && at <= harness.now)
-            {
-                // What the upstream holds for all comes with its answer.
-                let (_, _, id, upstream) = due.swap_remove(k);
-                *held.entry(upstream).or_insert(0.0) -= 1.0;
+            let now = harness.now;
+            let is_due = |call: &Call| call.instance == instance && call.ends_at <= now;
+            while let Some(due) = calls.iter().position(is_due) {
+                // What the upstream has in flight from all comes with its response.
+                let Call { id, upstream, .. } = calls.swap_remove(due);
+                *in_flight.entry(upstream).or_insert(0.0) -= 1.0;
                 harness.handle(Event::Load {
                     upstream,
-                    held: held[&upstream],
+                    held: in_flight[&upstream],
                 });
                 harness.outcome(id, 0, Ending::Ok);
             }
-            // Five calls a second and copy. Seven upstreams take 100 ms; the slow one works on one at a time.
-            if (step + i).is_multiple_of(20) {
-                harness.request(step as u32, 0, 0);
-                let Some(&(upstream, at)) = harness.requests[&RequestId(step as u32)].sends.first()
-                else {
-                    continue;
-                };
-                let held = held.entry(upstream).or_insert(0.0);
-                *held += 1.0;
-                due.push((
-                    at + if upstream == slow {
-                        100.0 * *held
-                    } else {
-                        100.0
-                    },
-                    i,
-                    step as u32,
-                    upstream,
-                ));
+            // Five calls a second and instance. Seven upstreams take 100 ms; the slow one works on one at a time.
+            if !(step + instance).is_multiple_of(20) {
+                continue;
             }
+            let id = step as u32;
+            harness.request(id, 0, 0);
+            let Some(&(upstream, at)) = harness.requests[&RequestId(id)].sends.first() else {
+                continue;
+            };
+            let at_upstream = in_flight.entry(upstream).or_insert(0.0);
+            *at_upstream += 1.0;
+            let ahead = if upstream == slow { *at_upstream } else { 1.0 };
+            calls.push(Call {
+                ends_at: at + 100.0 * ahead,
+                instance,
+                id,
+                upstream,
+            });
         }
         if step >= 500 {
-            most = held.get(&slow).copied().unwrap_or(0.0).max(most);
+            max = in_flight.get(&slow).copied().unwrap_or(0.0).max(max);
         }
     }
     assert!(
-        most < 10.0,
-        "{COPIES} copies have up to {most} calls at the slow upstream"
+        max < 10.0,
+        "{INSTANCES} copies have up to {max} calls at the slow upstream"
     );
 }
 
 #[test]
-fn crowded_upstreams_are_used_where_there_are_no_others_and_odd_reports_do_no_harm() {
+fn overloaded_upstreams_are_used_where_there_are_no_others_and_odd_reports_do_no_harm() {
     let mut harness = new_harness(shared(&[1.0]), 3);
     for odd in [f64::NAN, f64::INFINITY, -1e300] {
         harness.handle(Event::Load {
@@ -166,12 +174,12 @@
 /// A copy with few calls hears of each upstream late. Until then it sent slow kinds as much as fast ones, and all
 /// copies together crowded them in the first seconds.
 #[test]
-fn copies_keep_off_a_slow_kind_that_they_have_only_heard_of_elsewhere() {
-    const COPIES: u32 = 200;
+fn instances_avoid_a_slow_kind_known_from_other_upstreams_only() {
+    const INSTANCES: u32 = 200;
     let slow = |id: UpstreamId| id.0 % 2 == 1;
     let tenants = vec![Tenant {
         share: 1.0,
-        quota_per_s: 100.0 * f64::from(COPIES),
+        quota_per_s: 100.0 * f64::from(INSTANCES),
     }];
     let answer = |id| Some((Ending::Ok, if slow(id) { 300.0 } else { 100.0 }));
     let endpoints = || {
@@ -183,10 +191,10 @@
             .collect()
     };
     let (mut all, mut to_slow) = (0, 0);
-    for index in 0..COPIES {
+    for index in 0..INSTANCES {
         let settings = Settings {
             index,
-            balancers: COPIES,
+            balancers: INSTANCES,
             tenants: tenants.clone(),
             ..shared(&[1.0])
         };
@@ -204,7 +212,7 @@
             .map(|(_, n)| n)
             .sum::<usize>();
     }
-    assert!(all >= 4 * COPIES as usize, "only {all} sent");
+    assert!(all >= 4 * INSTANCES as usize, "only {all} sent");
     assert!(
         to_slow * 5 < all * 2,
         "{to_slow} of {all} go to the slow half"
--- a/balancer/core/tests/failures/connections.rs
+++ b/balancer/core/tests/failures/connections.rs
@@ -16,10 +16,10 @@
         match action {
             Action::CloseIdle(upstream) => drop(open.remove(&upstream)),
             Action::Send { upstream, .. } => {
-                let rested = open
+                let idle = open
                     .insert(upstream, harness.now)
                     .map_or(0.0, |used| harness.now - used);
-                lost = rested > 300.0 && rested < harness.settings.idle_close;
+                lost = idle > 300.0 && idle < harness.settings.idle_close;
                 if lost {
                     // Nothing comes back, and the connection with it.
                     open.remove(&upstream);
@@ -33,9 +33,9 @@
     lost
 }
 
-/// Connections that rested were dropped on the way unseen: each call on one waited for nothing.
+/// Connections that idle were dropped on the way unseen: each call on one waited for nothing.
 #[test]
-fn rested_connections_are_closed_before_use_once_calls_on_them_get_lost() {
+fn idle_connections_are_closed_before_use_once_calls_on_them_get_lost() {
     let mut harness = new_harness(shared(&[1.0]), 8);
     let (mut open, mut lost) = (BTreeMap::new(), [0, 0]);
     for id in 0..2000 {
--- a/balancer/core/tests/failures/ejection.rs
+++ b/balancer/core/tests/failures/ejection.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_hung_upstream_is_passed_over_and_costs_no_capacity() {
+fn a_hung_upstream_is_avoided_and_costs_no_capacity() {
     let mut harness = new_harness(shared(&[1.0]), 6);
     let server = |id| (id != UpstreamId(2)).then_some((Ending::Ok, 40.0));
     harness.traffic(20_000.0, 60.0, &[0], &server);
@@ -66,7 +66,7 @@
 
 /// An upstream that took calls and answered none went on getting more until the first time-out told.
 #[test]
-fn an_upstream_that_owes_an_answer_for_long_is_passed_over_at_once() {
+fn an_unresponsive_upstream_is_avoided_at_once() {
     let class = Class {
         late_value: 0.5,
         ..class(Effect::SingleShot)
--- a/balancer/core/tests/failures/overload.rs
+++ b/balancer/core/tests/failures/overload.rs
@@ -88,19 +88,21 @@
 /// Traffic is uneven over the copies. With an even part of the quotas each, the busy ones refused while all together
 /// used three quarters of them.
 #[test]
-fn a_busy_copy_may_use_what_others_leave_of_the_quotas() {
-    const COPIES: u32 = 40;
+fn a_busy_instance_may_use_what_others_leave_of_the_quotas() {
+    const INSTANCES: u32 = 40;
     let tenants = vec![Tenant {
         share: 1.0,
-        quota_per_s: 10.0 * f64::from(COPIES),
+        quota_per_s: 10.0 * f64::from(INSTANCES),
     }];
     let settings = |index| Settings {
         index,
-        balancers: COPIES,
+        balancers: INSTANCES,
         tenants: tenants.clone(),
         ..shared(&[1.0])
     };
-    let mut harnesses: Vec<Harness> = (0..COPIES).map(|i| new_harness(settings(i), 8)).collect();
+    let mut harnesses: Vec<Harness> = (0..INSTANCES)
+        .map(|i| new_harness(settings(i), 8))
+        .collect();
     // Ten copies ask for twice their even part, the others for less than half of it. Answers are a little late, so
     // that nothing more is learned.
     let asked = |i: usize| if i < 10 { 20.0 } else { 4.0 };
@@ -134,19 +136,21 @@
 /// Every copy learned a capacity of up to twice what it let pass, in sum more than there was. A burst then crowded
 /// the upstreams before answers told.
 #[test]
-fn a_burst_passes_little_more_than_the_quotas_once_what_was_saved_up_is_spent() {
-    const COPIES: u32 = 40;
+fn a_burst_passes_little_more_than_the_quotas_once_saved_up_tokens_are_spent() {
+    const INSTANCES: u32 = 40;
     let tenants = vec![Tenant {
         share: 1.0,
-        quota_per_s: 10.0 * f64::from(COPIES),
+        quota_per_s: 10.0 * f64::from(INSTANCES),
     }];
     let settings = |index| Settings {
         index,
-        balancers: COPIES,
+        balancers: INSTANCES,
         tenants: tenants.clone(),
         ..shared(&[1.0])
     };
-    let mut harnesses: Vec<Harness> = (0..COPIES).map(|i| new_harness(settings(i), 8)).collect();
+    let mut harnesses: Vec<Harness> = (0..INSTANCES)
+        .map(|i| new_harness(settings(i), 8))
+        .collect();
     let mut second = |asked: f64, served: usize| -> usize {
         let sent = |harness: &mut Harness| {
             let from = harness.now;
@@ -161,7 +165,7 @@
         };
         harnesses.iter_mut().map(sent).sum()
     };
-    let mut served = 9 * COPIES as usize;
+    let mut served = 9 * INSTANCES as usize;
     for _ in 0..15 {
         served = second(9.0, served);
     }
--- a/balancer/core/tests/failures/tenants.rs
+++ b/balancer/core/tests/failures/tenants.rs
@@ -27,7 +27,7 @@
 
 /// A large tenant far over its share took a third of everything while small ones within theirs were refused.
 #[test]
-fn crowding_falls_on_the_tenant_that_is_over_its_limit() {
+fn overload_is_borne_by_the_tenant_that_is_over_its_limit() {
     let mut harness = new_harness(shared(&[0.4, 0.3, 0.3]), 4);
     let tenants = [0, 0, 0, 0, 0, 0, 0, 0, 1, 2];
     harness.traffic(4000.0, 60.0, &tenants, &fast);
--- a/balancer/core/tests/failures/zones.rs
+++ b/balancer/core/tests/failures/zones.rs
@@ -5,7 +5,7 @@
 
 /// Met in an incident: a whole zone answered nothing, too much to eject server by server.
 #[test]
-fn a_zone_that_is_cut_off_is_left_alone() {
+fn a_zone_that_is_partitioned_off_is_avoided() {
     let endpoints = (1..=12)
         .map(|id| Endpoint {
             zone: (id % 3) as u16,
@@ -35,7 +35,7 @@
 
 /// Met in an incident: a copy with one server in its zone, a slow one, sent it every call that it would take.
 #[test]
-fn a_weak_own_zone_does_not_keep_the_calls_from_the_others() {
+fn a_weak_local_zone_does_not_keep_the_calls_from_the_others() {
     let settings = Settings {
         cross_zone_price: 0.015,
         ..shared(&[1.0])
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn the_own_zone_decides_between_upstreams_that_are_as_busy() {
+fn the_local_zone_decides_between_upstreams_that_are_as_busy() {
     let settings = Settings {
         cross_zone_price: 0.2,
         ..shared(&[1.0])
@@ -75,15 +75,15 @@
     // Each answer is back before the next call: all are always equally busy.
     harness.traffic(4000.0, 15.0, &[0], &fast);
     let (_, to) = harness.sent_since(0.0);
-    let near: usize = to
+    let local: usize = to
         .iter()
         .filter(|(id, _)| id.0 % 2 == 0)
         .map(|(_, n)| n)
         .sum();
     let all: usize = to.values().sum();
     assert!(
-        near * 10 > all * 6,
-        "{near} of {all} calls stayed in the zone"
+        local * 10 > all * 6,
+        "{local} of {all} calls stayed in the zone"
     );
     harness.update_endpoints(EndpointUpdate::Full(
         (1..=12).filter(|id| id % 2 == 1).map(in_zones).collect(),
--- a/balancer/core/tests/limits.rs
+++ b/balancer/core/tests/limits.rs
@@ -4,7 +4,7 @@
 use rand_pcg::Pcg64Mcg;
 
 /// The post prints whole numbers, rounded loosely: it has A at 3 in cycle 3, where its demand was 3.
-fn near(got: &[f64], want: &[f64]) {
+fn is_close(got: &[f64], want: &[f64]) {
     for (g, w) in got.iter().zip(want) {
         assert!(
             (g - w).abs() <= 0.75,
@@ -18,10 +18,10 @@
     let equal = [1.0; 4];
     let next = |demands: &[f64]| limits(40.0, demands, &equal, 0.1);
     // The first cycle splits equally: nothing was asked yet, and all that is left goes back in parts.
-    near(&next(&[0.0; 4]), &[10.0; 4]);
-    near(&next(&[2.0, 15.0, 10.0, 10.0]), &[5.0, 15.0, 10.0, 10.0]);
-    near(&next(&[3.0, 15.0, 50.0, 10.0]), &[3.0, 11.0, 16.0, 10.0]);
-    near(&next(&[0.0, 15.0, 50.0, 5.0]), &[1.0, 12.0, 22.0, 5.0]);
+    is_close(&next(&[0.0; 4]), &[10.0; 4]);
+    is_close(&next(&[2.0, 15.0, 10.0, 10.0]), &[5.0, 15.0, 10.0, 10.0]);
+    is_close(&next(&[3.0, 15.0, 50.0, 10.0]), &[3.0, 11.0, 16.0, 10.0]);
+    is_close(&next(&[0.0, 15.0, 50.0, 5.0]), &[1.0, 12.0, 22.0, 5.0]);
 }
 
 #[test]
--- a/balancer/core/tests/observed.rs
+++ b/balancer/core/tests/observed.rs
@@ -13,8 +13,8 @@
     Harness::new(settings, 4, (1..=upstreams).map(endpoint).collect())
 }
 
-fn near(figure: f64, wanted: f64) -> bool {
-    (figure - wanted).abs() < 0.25 * wanted
+fn is_close(number: f64, wanted: f64) -> bool {
+    (number - wanted).abs() < 0.25 * wanted
 }
 
 #[test]
@@ -26,7 +26,7 @@
     });
     let seen = harness.balancer.observed(harness.now).load;
     assert!(
-        near(seen.demand, 80.0) && near(seen.firsts, 80.0) && seen.retries < 0.1,
+        is_close(seen.demand, 80.0) && is_close(seen.firsts, 80.0) && seen.retries < 0.1,
         "{seen:?}"
     );
     assert!(seen.room > 80.0, "{seen:?}");
@@ -35,11 +35,11 @@
         panic!("{seen:?}")
     };
     assert!(
-        near(first.demand, 60.0) && near(second.demand, 20.0) && other.demand == 0.0,
+        is_close(first.demand, 60.0) && is_close(second.demand, 20.0) && other.demand == 0.0,
         "{seen:?}"
     );
     assert!(
-        near(first.calls, 6.0) && near(second.calls, 2.0) && other.calls == 0.0,
+        is_close(first.calls, 6.0) && is_close(second.calls, 2.0) && other.calls == 0.0,
         "{seen:?}"
     );
     // Nobody asks any more: it fades, whether or not it was asked for meanwhile.
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn further_attempts_count_as_such() {
+fn retries_count_as_such() {
     let mut harness = new_harness(6);
     let some = |id: UpstreamId| {
         Some(if id.0 == 1 {
@@ -62,13 +62,13 @@
     assert!(seen.retries > 0.5 && seen.retries < seen.firsts, "{seen:?}");
     let calls: f64 = seen.tenants.iter().map(|t| t.calls).sum();
     assert!(
-        near(calls, 4.0),
+        is_close(calls, 4.0),
         "an attempt that failed is out no more: {seen:?}"
     );
 }
 
 #[test]
-fn an_upstream_that_cannot_be_reached_is_told_of_until_it_has_answered_again() {
+fn an_unreachable_upstream_is_reported_until_it_has_responded_again() {
     let mut harness = new_harness(6);
     let subject = Subject::Upstream(UpstreamId(1));
     harness.traffic(4000.0, 80.0, &[0], &|_| Some((Ending::Ok, 50.0)));
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_zone_that_is_left_comes_first() {
+fn an_ejected_zone_comes_first() {
     let endpoint = |id: u64| Endpoint {
         zone: (id % 2) as u16,
         ..endpoint(id)
--- a/balancer/core/tests/restored.rs
+++ b/balancer/core/tests/restored.rs
@@ -16,26 +16,26 @@
 
 /// A world that has lived for a while with an upstream that fails and one that is slow, and more than its quotas. The
 /// one that fails has just been ejected.
-fn taught() -> Harness {
+fn with_learned_state() -> Harness {
     let mut harness = Harness::new(settings(), 4, (1..=8).map(endpoint).collect());
-    let mut live = |span| {
+    let mut run = |span| {
         harness.traffic(span, 120.0, &[0, 0, 0, 1], &|id| match id.0 {
             1 => Some((Ending::ConnectFailed, 1.0)),
             2 => Some((Ending::Ok, 190.0)),
             _ => Some((Ending::Ok, 50.0)),
         });
-        let kept = harness.balancer.learned(harness.now);
-        left(&kept) > 3000.0
+        let saved = harness.balancer.learned(harness.now);
+        ejection_left(&saved) > 3000.0
     };
-    live(20_000.0);
-    while !live(100.0) {}
+    run(20_000.0);
+    while !run(100.0) {}
     harness
 }
 
 /// How long the upstream that fails stays ejected.
-fn left(kept: &Learned) -> f64 {
-    let ejected = kept.upstreams.iter().find(|(id, ..)| *id == UpstreamId(1));
-    ejected.map_or(0.0, |(.., health)| health.ejected_until - kept.at)
+fn ejection_left(saved: &Learned) -> f64 {
+    let ejected = saved.upstreams.iter().find(|(id, ..)| *id == UpstreamId(1));
+    ejected.map_or(0.0, |(.., health)| health.ejected_until - saved.at)
 }
 
 /// One that has just started, with a list of `upstreams`, and is given what was learned.
@@ -48,38 +48,43 @@
     harness
 }
 
-fn listed() -> Vec<Endpoint> {
+fn endpoints() -> Vec<Endpoint> {
     (1..=8).map(endpoint).collect()
 }
 
 #[test]
-fn what_was_learned_comes_back_whole_and_fades_to_what_a_start_knows_without_a_cliff() {
-    let mut harness = taught();
-    let kept = harness.balancer.learned(harness.now);
-    assert_eq!(kept.validate(&settings()), Ok(()));
+fn what_was_learned_is_restored_completely_and_fades_evenly_with_its_age() {
+    let mut harness = with_learned_state();
+    let saved = harness.balancer.learned(harness.now);
+    assert_eq!(saved.validate(&settings()), Ok(()));
     assert!(
-        kept.load.capacity > 100.0 && kept.demands[0] > Some(80.0),
-        "{kept:?}"
+        saved.load.capacity > 100.0 && saved.demands[0] > Some(80.0),
+        "{saved:?}"
     );
-    assert!(left(&kept) > 0.0, "{kept:?}");
-    let mut back = restarted(&kept, 0.0, listed());
-    let again = back.balancer.learned(0.0);
-    let near = |a: f64, b: f64| (a - b).abs() <= 0.03 * a.abs().max(b.abs()) + 1e-6;
+    assert!(ejection_left(&saved) > 0.0, "{saved:?}");
+    let mut later = restarted(&saved, 0.0, endpoints());
+    let restored = later.balancer.learned(0.0);
+    let is_close = |a: f64, b: f64| (a - b).abs() <= 0.03 * a.abs().max(b.abs()) + 1e-6;
     assert!(
-        near(again.load.capacity, kept.load.capacity),
+        is_close(restored.load.capacity, saved.load.capacity),
         "{} is {}",
-        again.load.capacity,
-        kept.load.capacity
+        restored.load.capacity,
+        saved.load.capacity
+    );
+    assert!(
+        is_close(restored.answer, saved.answer)
+            && is_close(restored.load.unloaded, saved.load.unloaded)
     );
-    assert!(near(again.answer, kept.answer) && near(again.load.unloaded, kept.load.unloaded));
     assert_eq!(
-        (again.demands, &again.kinds),
-        (kept.demands.clone(), &kept.kinds)
+        (restored.demands, &restored.kinds),
+        (saved.demands.clone(), &saved.kinds)
     );
-    let fresh = Harness::new(settings(), 5, listed()).balancer.learned(0.0);
-    let mut last = kept.load.capacity;
+    let fresh = Harness::new(settings(), 5, endpoints())
+        .balancer
+        .learned(0.0);
+    let mut last = saved.load.capacity;
     for age in [1.0, 5.0, 10.0, 20.0, 40.0, 80.0, 160.0, 1e6, 1e12] {
-        let now = restarted(&kept, age * 1000.0, listed())
+        let now = restarted(&saved, age * 1000.0, endpoints())
             .balancer
             .learned(0.0);
         let (low, high) = (fresh.load.capacity.min(last) - 1e-6, last + 1e-6);
@@ -91,7 +96,7 @@
         last = now.load.capacity;
     }
     assert!(
-        near(last, fresh.load.capacity),
+        is_close(last, fresh.load.capacity),
         "{last} in the end, a start has {}",
         fresh.load.capacity
     );
@@ -99,11 +104,13 @@
 
 #[test]
 fn an_ejection_goes_on_for_what_is_left_of_it_unless_the_upstream_has_restarted_since() {
-    let mut harness = taught();
-    let kept = harness.balancer.learned(harness.now);
-    let left = left(&kept);
+    let mut harness = with_learned_state();
+    let saved = harness.balancer.learned(harness.now);
+    let ejection_left = ejection_left(&saved);
     let calls_to_it = |harness: &mut Harness| {
-        harness.traffic(left * 0.8, 100.0, &[0], &|_| Some((Ending::Ok, 50.0)));
+        harness.traffic(ejection_left * 0.8, 100.0, &[0], &|_| {
+            Some((Ending::Ok, 50.0))
+        });
         harness
             .sent_since(0.0)
             .1
@@ -111,19 +118,19 @@
             .copied()
             .unwrap_or(0)
     };
-    assert_eq!(calls_to_it(&mut restarted(&kept, 0.0, listed())), 0);
+    assert_eq!(calls_to_it(&mut restarted(&saved, 0.0, endpoints())), 0);
     // Its time has run out meanwhile.
-    assert!(calls_to_it(&mut restarted(&kept, left, listed())) > 0);
-    let mut since = listed();
+    assert!(calls_to_it(&mut restarted(&saved, ejection_left, endpoints())) > 0);
+    let mut since = endpoints();
     since[0].since = 1.0;
-    assert!(calls_to_it(&mut restarted(&kept, 0.0, since)) > 0);
+    assert!(calls_to_it(&mut restarted(&saved, 0.0, since)) > 0);
 }
 
 #[test]
 fn what_is_restored_waits_for_a_list_and_counts_only_the_upstreams_that_are_left() {
-    let mut harness = taught();
-    let kept = harness.balancer.learned(harness.now);
-    let mut late = restarted(&kept, 0.0, Vec::new());
+    let mut harness = with_learned_state();
+    let saved = harness.balancer.learned(harness.now);
+    let mut late = restarted(&saved, 0.0, Vec::new());
     let before = late.balancer.learned(0.0).load.capacity;
     assert_eq!(
         before,
@@ -134,19 +141,19 @@
             .capacity
     );
     late.advance(400.0);
-    late.update_endpoints(EndpointUpdate::Full(listed()[..4].to_vec()));
+    late.update_endpoints(EndpointUpdate::Full(endpoints()[..4].to_vec()));
     let capacity = late.balancer.learned(late.now).load.capacity;
     // Seven of eight could be used then, three of four now.
-    let part = capacity / kept.load.capacity;
+    let part = capacity / saved.load.capacity;
     assert!(
         (0.4..0.5).contains(&part),
         "{capacity} of {}",
-        kept.load.capacity
+        saved.load.capacity
     );
     // An upstream that is named in what was kept and is draining now draws nothing: the world checks it.
-    let mut leaving = listed();
-    leaving[3].availability = Availability::Draining;
-    restarted(&kept, 0.0, leaving).traffic(3000.0, 60.0, &[0], &|_| Some((Ending::Ok, 50.0)));
+    let mut draining = endpoints();
+    draining[3].availability = Availability::Draining;
+    restarted(&saved, 0.0, draining).traffic(3000.0, 60.0, &[0], &|_| Some((Ending::Ok, 50.0)));
 }
 
 /// What one of sixty instances learned while thirty upstreams carried 2,400 calls a second.
@@ -230,7 +237,7 @@
 }
 
 /// Any figure that a file could hold.
-fn figure() -> impl Strategy<Value = f64> {
+fn any_number() -> impl Strategy<Value = f64> {
     prop_oneof![
         4 => 0.0..200.0f64,
         1 => 0.0..1.0f64,
@@ -246,13 +253,13 @@
 
 prop_compose! {
     fn learned()(
-        rates in prop::collection::vec(figure(), 5),
+        rates in prop::collection::vec(any_number(), 5),
         parts in prop::collection::vec(part(), 3),
-        times in prop::collection::vec(figure(), 4),
-        demands in prop::collection::vec(prop::option::of(figure()), 2..=4),
-        kinds in prop::collection::vec((any::<u8>(), 0.0..4.5f64, figure()), 0..3),
+        times in prop::collection::vec(any_number(), 4),
+        demands in prop::collection::vec(prop::option::of(any_number()), 2..=4),
+        kinds in prop::collection::vec((any::<u8>(), 0.0..4.5f64, any_number()), 0..3),
         rest_lost in prop::collection::vec(part(), 0..12),
-        upstreams in prop::collection::vec((0u64..12, prop::collection::vec(figure(), 4), part(), any::<u32>()), 0..6),
+        upstreams in prop::collection::vec((0u64..12, prop::collection::vec(any_number(), 4), part(), any::<u32>()), 0..6),
     ) -> Learned {
         Learned {
             at: times[3],
@@ -284,12 +291,12 @@
 
     /// Whatever stands in a record: it is taken back and the balancer works, or it is passed over whole.
     #[test]
-    fn any_state_is_taken_back_or_passed_over_whole(kept in learned(), age in figure()) {
-        let fresh = Harness::new(settings(), 5, listed()).balancer.learned(0.0);
-        let mut harness = restarted(&kept, age, listed());
+    fn any_state_is_restored_or_ignored_completely(saved in learned(), age in any_number()) {
+        let fresh = Harness::new(settings(), 5, endpoints()).balancer.learned(0.0);
+        let mut harness = restarted(&saved, age, endpoints());
         let now = harness.balancer.learned(0.0);
         prop_assert_eq!(now.validate(&settings()), Ok(()));
-        if kept.validate(&settings()).is_err() {
+        if saved.validate(&settings()).is_err() {
             prop_assert_eq!(now, fresh);
         }
         harness.traffic(1500.0, 40.0, &[0, 1], &|_| Some((Ending::Ok, 50.0)));
--- a/balancer/core/tests/rules.rs
+++ b/balancer/core/tests/rules.rs
@@ -389,13 +389,13 @@
         ),
         "they have forgotten it"
     );
-    let strangers = (1..5)
+    let other_groups = (1..5)
         .map(|id| Endpoint {
             group: id as u16,
             ..endpoint(id)
         })
         .collect();
-    let mut harness = Harness::new(one_class(guarded), 1, strangers);
+    let mut harness = Harness::new(one_class(guarded), 1, other_groups);
     harness.request(1, 0, 0);
     let again = harness.outcome(1, 0, Ending::Error);
     let to = |a: &Action| matches!(a, Action::Send { upstream, .. } if *upstream == harness.requests[&RequestId(1)].sends[0].0);
@@ -408,15 +408,15 @@
 }
 
 #[test]
-fn an_upstream_that_drains_or_is_gone_gets_nothing_from_then_on() {
+fn a_draining_or_removed_upstream_gets_nothing_from_then_on() {
     let mut harness = Harness::new(Settings::default(), 1, (1..4).map(endpoint).collect());
-    let gone = |id, availability| Endpoint {
+    let changed = |id, availability| Endpoint {
         availability,
         ..endpoint(id)
     };
     harness.update_endpoints(EndpointUpdate::Delta(vec![
-        gone(1, Availability::Draining),
-        gone(2, Availability::Removed),
+        changed(1, Availability::Draining),
+        changed(2, Availability::Removed),
     ]));
     for id in 0..50 {
         harness.request(id, 0, 0);
@@ -480,7 +480,7 @@
 #[test]
 fn unknown_classes_tenants_requests_and_timers_do_no_harm() {
     let mut harness = Harness::new(Settings::default(), 1, vec![endpoint(1)]);
-    let stranger = Request {
+    let unknown = Request {
         id: RequestId(9),
         class: 7,
         tenant: 7,
@@ -490,7 +490,7 @@
     let mut actions = Vec::new();
     harness
         .balancer
-        .handle(0.0, Event::Request(stranger), &mut actions);
+        .handle(0.0, Event::Request(unknown), &mut actions);
     assert!(
         matches!(actions[..], [Action::Refuse { .. }]),
         "an unknown class is refused: nothing has run"
@@ -577,37 +577,40 @@
 }
 
 #[test]
-fn the_list_is_asked_for_again_with_backoff_well_within_ask_within() {
+fn the_list_is_requested_again_with_backoff_well_within_its_timeout() {
     let settings = Settings {
         subscribes: true,
         ..Settings::default()
     };
     let mut harness = Harness::new(settings.clone(), 3, vec![endpoint(1)]);
-    let mut waits = Vec::new();
+    let mut backoffs = Vec::new();
     for _ in 0..12 {
         let actions = harness.handle(Event::EndpointUpdate(EndpointUpdate::Failed));
-        let wait = actions.iter().find_map(|a| match a {
+        let backoff = actions.iter().find_map(|a| match a {
             Action::SetTimer { after, token } => Some((*after, *token)),
             _ => None,
         });
-        let (after, token) = wait.expect("a timer to ask again");
+        let (after, token) = backoff.expect("a timer to ask again");
         harness.now += after;
         assert_eq!(harness.handle(Event::Timer(token)), [Action::Subscribe]);
-        waits.push(after);
+        backoffs.push(after);
     }
-    assert!(waits[11] > 4.0 * waits[0], "the pauses grow: {waits:?}");
     assert!(
-        waits
+        backoffs[11] > 4.0 * backoffs[0],
+        "the pauses grow: {backoffs:?}"
+    );
+    assert!(
+        backoffs
             .iter()
-            .all(|&wait| wait < settings.subscribe_timeout / 2.0),
-        "never counts as told: {waits:?}"
+            .all(|&backoff| backoff < settings.subscribe_timeout / 2.0),
+        "never counts as told: {backoffs:?}"
     );
 }
 
 /// A change counts as told 6 s after discovery had it, whatever a deployment says of `subscribe_timeout`: a pause, a call that
 /// falls silent and the next one must fit, 1.5 s for each call.
 #[test]
-fn the_pause_before_the_list_is_asked_for_again_leaves_time_for_two_calls() {
+fn the_backoff_before_the_list_is_requested_again_allows_two_calls() {
     for (seed, subscribe_timeout) in
         (0..40).flat_map(|seed| [2_000.0, 10_000.0, 60_000.0].map(|timeout| (seed, timeout)))
     {
@@ -634,21 +637,21 @@
 
 /// Hundreds of balancers see one upstream restart; together they must stay under the tipping point.
 #[test]
-fn a_cold_upstream_is_not_pushed_over_by_all_together() {
-    const COPIES: u32 = 200;
+fn an_upstream_in_slow_start_is_not_overloaded_by_all_together() {
+    const INSTANCES: u32 = 200;
     let settings = |index| Settings {
         index,
-        balancers: COPIES,
+        balancers: INSTANCES,
         slow_start_from: 0.15,
         slow_start_time: 20_000.0,
         overload_multiple: 2.5,
         ..Settings::default()
     };
     let endpoints = || (1..=20).map(endpoint).collect::<Vec<_>>();
-    let mut harnesses: Vec<Harness> = (0..COPIES)
+    let mut harnesses: Vec<Harness> = (0..INSTANCES)
         .map(|i| Harness::new(settings(i), u64::from(i), endpoints()))
         .collect();
-    let (mut id, mut sent_to, mut cold_sends) = (0, 0, Vec::new());
+    let (mut id, mut sent_to, mut slow_start_sends) = (0, 0, Vec::new());
     for step in 0..200 {
         // Two calls a second and copy, answered after 50 ms; the upstream restarts after ten seconds.
         for (i, harness) in harnesses.iter_mut().enumerate() {
@@ -664,7 +667,7 @@
                 if let Some(&(to, at)) = harness.requests[&RequestId(id)].sends.last() {
                     sent_to += u32::from(step >= 100);
                     if to == UpstreamId(1) && step >= 100 {
-                        cold_sends.push(at);
+                        slow_start_sends.push(at);
                     }
                     harness.advance(50.0);
                     harness.outcome(id, 0, Ending::Ok);
@@ -679,27 +682,30 @@
     // 400 calls a second over 20 upstreams: each carries 20 a second at least.
     for window in 0..10 {
         let from = 10_000.0 + f64::from(window) * 1000.0;
-        let calls = cold_sends
+        let calls = slow_start_sends
             .iter()
             .filter(|&&t| t >= from && t < from + 1000.0)
             .count() as f64;
-        let warmth = 0.15 + 0.85 * f64::from(window) / 20.0;
+        let weight = 0.15 + 0.85 * f64::from(window) / 20.0;
         assert!(
-            calls <= 2.5 * 20.0 * warmth,
-            "{calls} calls in second {window} at warmth {warmth}"
+            calls <= 2.5 * 20.0 * weight,
+            "{calls} calls in second {window} at warmth {weight}"
         );
     }
-    assert!(!cold_sends.is_empty(), "it is warmed up, not shut out");
+    assert!(
+        !slow_start_sends.is_empty(),
+        "it is warmed up, not shut out"
+    );
 }
 
 /// Met on a day of replacements: after an overload little was admitted, a cold upstream was given its part of that
 /// little, and the warm ones stayed crowded for as long as it was kept out.
 #[test]
-fn a_cold_upstream_gets_its_part_though_little_is_admitted() {
-    const COPIES: u32 = 40;
+fn an_upstream_in_slow_start_gets_its_part_though_little_is_admitted() {
+    const INSTANCES: u32 = 40;
     let settings = |index| Settings {
         index,
-        balancers: COPIES,
+        balancers: INSTANCES,
         tenants: tenants(&[1.0], 400.0),
         slow_start_from: 0.15,
         slow_start_time: 20_000.0,
@@ -707,10 +713,10 @@
         ..Settings::default()
     };
     let endpoints = || (1..=10).map(endpoint).collect::<Vec<_>>();
-    let mut harnesses: Vec<Harness> = (0..COPIES)
+    let mut harnesses: Vec<Harness> = (0..INSTANCES)
         .map(|i| Harness::new(settings(i), u64::from(i), endpoints()))
         .collect();
-    let (mut id, mut cold_sends) = (0, Vec::new());
+    let (mut id, mut slow_start_sends) = (0, Vec::new());
     for step in 0..200 {
         // One call a second and copy, a tenth of the quotas; the upstream restarts after ten seconds.
         for (i, harness) in harnesses.iter_mut().enumerate() {
@@ -725,7 +731,7 @@
                 harness.request(id, 0, 0);
                 let (to, at) = harness.requests[&RequestId(id)].sends[0];
                 if to == UpstreamId(1) && step >= 100 {
-                    cold_sends.push(at);
+                    slow_start_sends.push(at);
                 }
                 harness.advance(50.0);
                 harness.outcome(id, 0, Ending::Ok);
@@ -737,20 +743,20 @@
     }
     // 40 calls a second over 10 upstreams, each of which carries 40 a second when the quotas are used.
     assert!(
-        cold_sends.len() > 30,
+        slow_start_sends.len() > 30,
         "{} calls of 400 in ten seconds",
-        cold_sends.len()
+        slow_start_sends.len()
     );
     for window in 0..10 {
         let from = 10_000.0 + f64::from(window) * 1000.0;
-        let calls = cold_sends
+        let calls = slow_start_sends
             .iter()
             .filter(|&&t| t >= from && t < from + 1000.0)
             .count() as f64;
-        let warmth = 0.15 + 0.85 * f64::from(window) / 20.0;
+        let weight = 0.15 + 0.85 * f64::from(window) / 20.0;
         assert!(
-            calls <= 2.5 * 40.0 * warmth,
-            "{calls} calls in second {window} at warmth {warmth}"
+            calls <= 2.5 * 40.0 * weight,
+            "{calls} calls in second {window} at warmth {weight}"
         );
     }
 }
--- a/balancer/core/tests/unheard.rs
+++ b/balancer/core/tests/switched_off.rs
@@ -5,7 +5,7 @@
 use common::*;
 
 /// Overload, late answers, errors and a zone that goes silent, with a word every 100 ms.
-fn day(word: impl Fn(usize) -> Option<TierUpdate>) -> Vec<Action> {
+fn day(update: impl Fn(usize) -> Option<TierUpdate>) -> Vec<Action> {
     let settings = Settings {
         classes: vec![Class {
             late_value: 0.5,
@@ -25,8 +25,8 @@
         .collect();
     let mut harness = Harness::new(settings, 4, endpoints);
     for step in 0..160 {
-        if let Some(word) = word(step) {
-            harness.handle(Event::Tier(Box::new(word)));
+        if let Some(update) = update(step) {
+            harness.handle(Event::Tier(Box::new(update)));
         }
         let per_s = if step / 40 == 1 { 200.0 } else { 60.0 };
         harness.traffic(100.0, per_s, &[0, 0, 0, 1], &|id| match (step / 40, id.0) {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_word_without_what_is_switched_off_changes_nothing() {
+fn an_update_without_what_is_switched_off_changes_nothing() {
     let alone = day(|_| None);
     let refused = alone
         .iter()
@@ -65,15 +65,15 @@
     });
     for sums in [None, sums] {
         // Cut off for a while as well.
-        let word = |step: usize| TierUpdate {
+        let update = |step: usize| TierUpdate {
             up: 1,
             place: 0,
             joined: step % 50 < 30,
             sums: sums.clone(),
             evidence: vec![],
         };
-        let heard = day(|step| Some(word(step)));
-        let differs = alone.iter().zip(&heard).position(|(a, b)| a != b);
-        assert!(alone == heard, "{sums:?}: from {differs:?} on");
+        let with_updates = day(|step| Some(update(step)));
+        let differs = alone.iter().zip(&with_updates).position(|(a, b)| a != b);
+        assert!(alone == with_updates, "{sums:?}: from {differs:?} on");
     }
 }
--- a/balancer/core/tests/zones.rs
+++ b/balancer/core/tests/zones.rs
@@ -41,14 +41,14 @@
 }
 
 /// Sends, with answers that take as long as `slow` says for each zone; a zone of which it says nothing is silent.
-fn live(harness: &mut Harness, span: f64, per_s: f64, slow: impl Fn(u16) -> Option<f64>) {
+fn run(harness: &mut Harness, span: f64, per_s: f64, slow: impl Fn(u16) -> Option<f64>) {
     harness.traffic(span, per_s, &[0], &|id| {
         slow(zone_of(id)).map(|times| (Ending::Ok, ANSWER * times))
     });
 }
 
 /// What is out to a zone gets no answer any more.
-fn cut(harness: &mut Harness, zone: u16) {
+fn drop_in_flight(harness: &mut Harness, zone: u16) {
     let requests = &harness.requests;
     harness.scheduled.retain(|response| {
         let sends = &requests[&RequestId(response.request)].sends;
@@ -68,7 +68,7 @@
 }
 
 /// Lines of the log since they were last taken that speak of a zone.
-fn said(harness: &mut Harness) -> Vec<String> {
+fn take_zone_log(harness: &mut Harness) -> Vec<String> {
     let log = std::mem::take(&mut harness.log);
     let line = |a| match a {
         Action::Log(line) if line.starts_with("zone ") => Some(line),
@@ -77,11 +77,11 @@
     log.into_iter().filter_map(line).collect()
 }
 
-fn well(_: u16) -> Option<f64> {
+fn healthy(_: u16) -> Option<f64> {
     Some(1.0)
 }
 
-fn without(lost: u16) -> impl Fn(u16) -> Option<f64> {
+fn except(lost: u16) -> impl Fn(u16) -> Option<f64> {
     move |zone| (zone != lost).then_some(1.0)
 }
 
@@ -92,20 +92,20 @@
 #[test]
 fn a_lost_zone_is_ejected_at_once_its_calls_are_retried_and_it_returns_by_degrees() {
     let mut harness = new_harness();
-    live(&mut harness, 20_000.0, 60.0, well);
-    assert_eq!(said(&mut harness), Vec::<String>::new());
+    run(&mut harness, 20_000.0, 60.0, healthy);
+    assert_eq!(take_zone_log(&mut harness), Vec::<String>::new());
     let lost_at = harness.now;
-    cut(&mut harness, 0);
-    live(&mut harness, 600.0, 60.0, without(0));
-    let log = said(&mut harness);
+    drop_in_flight(&mut harness, 0);
+    run(&mut harness, 600.0, 60.0, except(0));
+    let log = take_zone_log(&mut harness);
     assert!(has_line(&log, "zone 0 is left: it owes "), "{log:?}");
     let ejected_at = harness.now;
-    live(&mut harness, 4000.0, 60.0, without(0));
+    run(&mut harness, 4000.0, 60.0, except(0));
     let after = sent(&harness, ejected_at);
     assert!(
         after[0] * 100 <= after.iter().sum::<usize>() * 2,
         "trials only: {after:?} {log:?} {:?}",
-        said(&mut harness)
+        take_zone_log(&mut harness)
     );
     assert_hung_calls_were_retried(&harness, lost_at);
     assert_returns_by_degrees(&mut harness);
@@ -135,10 +135,10 @@
     let mut local = Vec::new();
     for _ in 0..16 {
         let from = harness.now;
-        live(harness, 1000.0, 60.0, well);
+        run(harness, 1000.0, 60.0, healthy);
         local.push(sent(harness, from)[0]);
     }
-    let log = said(harness);
+    let log = take_zone_log(harness);
     let has = |line: &str| log.iter().any(|logged| logged == line);
     assert!(
         has("zone 0 is returning: 0.125 of its draws stand"),
@@ -155,29 +155,29 @@
 
 /// A shared dependency: leaving any of them would only crowd the rest.
 #[test]
-fn where_all_fall_silent_or_get_slow_no_zone_is_left() {
+fn where_all_time_out_or_get_slow_no_zone_is_ejected() {
     let mut harness = new_harness();
-    live(&mut harness, 10_000.0, 60.0, well);
-    live(&mut harness, 5000.0, 60.0, |_| None);
-    assert_eq!(said(&mut harness), Vec::<String>::new());
+    run(&mut harness, 10_000.0, 60.0, healthy);
+    run(&mut harness, 5000.0, 60.0, |_| None);
+    assert_eq!(take_zone_log(&mut harness), Vec::<String>::new());
     let mut harness = new_harness();
-    live(&mut harness, 10_000.0, 60.0, well);
+    run(&mut harness, 10_000.0, 60.0, healthy);
     for slow in [1.4, 1.8, 2.2, 2.6, 3.0] {
-        live(&mut harness, 2000.0, 60.0, |_| Some(slow));
+        run(&mut harness, 2000.0, 60.0, |_| Some(slow));
     }
-    assert_eq!(said(&mut harness), Vec::<String>::new());
+    assert_eq!(take_zone_log(&mut harness), Vec::<String>::new());
 }
 
 /// The own zone is the one that is cut off from the others, or two of three are lost: it serves from what answers.
 #[test]
-fn a_copy_whose_zone_is_cut_off_goes_on_with_it_alone() {
+fn an_instance_whose_zone_is_partitioned_off_goes_on_with_it_alone() {
     let mut harness = new_harness();
-    live(&mut harness, 20_000.0, 40.0, well);
-    live(&mut harness, 1500.0, 40.0, |zone| {
+    run(&mut harness, 20_000.0, 40.0, healthy);
+    run(&mut harness, 1500.0, 40.0, |zone| {
         (zone == 0).then_some(1.0)
     });
     let from = harness.now;
-    live(&mut harness, 4000.0, 40.0, |zone| {
+    run(&mut harness, 4000.0, 40.0, |zone| {
         (zone == 0).then_some(1.0)
     });
     let after = sent(&harness, from);
@@ -189,16 +189,16 @@
 
 /// One that answers slowly is not lost: fewer calls go to it, and none are called off.
 #[test]
-fn a_slow_zone_is_not_left_but_drawn_from_less_when_it_is_the_own_one() {
+fn a_slow_local_zone_is_not_ejected_but_drawn_from_less() {
     let mut harness = new_harness();
-    live(&mut harness, 20_000.0, 40.0, well);
-    let near = sent(&harness, 10_000.0);
+    run(&mut harness, 20_000.0, 40.0, healthy);
+    let local = sent(&harness, 10_000.0);
     assert!(
-        near[0] * 10 > near.iter().sum::<usize>() * 5,
-        "near while it is well: {near:?}"
+        local[0] * 10 > local.iter().sum::<usize>() * 5,
+        "near while it is well: {local:?}"
     );
     let from = harness.now;
-    live(&mut harness, 10_000.0, 40.0, |zone| {
+    run(&mut harness, 10_000.0, 40.0, |zone| {
         Some(if zone == 0 { 2.0 } else { 1.0 })
     });
     let slow = sent(&harness, from + 5000.0);
@@ -206,21 +206,21 @@
         slow[0] * 3 < slow.iter().sum::<usize>(),
         "spilt while it is slow: {slow:?}"
     );
-    assert_eq!(said(&mut harness), Vec::<String>::new());
+    assert_eq!(take_zone_log(&mut harness), Vec::<String>::new());
     let from = harness.now;
-    live(&mut harness, 20_000.0, 40.0, well);
-    let again = sent(&harness, from + 15_000.0);
+    run(&mut harness, 20_000.0, 40.0, healthy);
+    let recovered = sent(&harness, from + 15_000.0);
     assert!(
-        again[0] * 10 > again.iter().sum::<usize>() * 5,
-        "near again: {again:?}"
+        recovered[0] * 10 > recovered.iter().sum::<usize>() * 5,
+        "near again: {recovered:?}"
     );
 }
 
 /// Half of a zone fails: the half that answers keeps it, and what fails is ejected one by one.
 #[test]
-fn a_zone_half_of_which_fails_is_not_left() {
+fn a_zone_half_of_which_fails_is_not_ejected() {
     let mut harness = new_harness();
-    live(&mut harness, 10_000.0, 60.0, well);
+    run(&mut harness, 10_000.0, 60.0, healthy);
     harness.traffic(8000.0, 60.0, &[0], &|id| {
         let fails = zone_of(id) == 1 && id.0 % 2 == 0;
         Some(if fails {
@@ -229,14 +229,14 @@
             (Ending::Ok, ANSWER)
         })
     });
-    assert_eq!(said(&mut harness), Vec::<String>::new());
+    assert_eq!(take_zone_log(&mut harness), Vec::<String>::new());
 }
 
 /// RequestRecord on a day of 45 minutes: one upstream that died with many calls out took its zone along.
 #[test]
 fn one_upstream_that_breaks_all_its_calls_at_once_does_not_take_its_zone_along() {
     let mut harness = new_harness();
-    live(&mut harness, 10_000.0, 200.0, well);
+    run(&mut harness, 10_000.0, 200.0, healthy);
     let of = |harness: &Harness| -> Vec<(u32, usize)> {
         let out = harness
             .requests
@@ -258,14 +258,14 @@
     }
     assert!(broken >= 7, "{broken}");
     harness.advance(150.0);
-    assert_eq!(said(&mut harness), Vec::<String>::new());
+    assert_eq!(take_zone_log(&mut harness), Vec::<String>::new());
 }
 
 /// A zone that refuses every connection is left as one that is silent is.
 #[test]
-fn a_zone_that_refuses_every_connection_is_left() {
+fn a_zone_that_refuses_every_connection_is_ejected() {
     let mut harness = new_harness();
-    live(&mut harness, 10_000.0, 60.0, well);
+    run(&mut harness, 10_000.0, 60.0, healthy);
     harness.traffic(3000.0, 60.0, &[0], &|id| {
         Some(if zone_of(id) == 0 {
             (Ending::ConnectFailed, 1.0)
@@ -273,7 +273,7 @@
             (Ending::Ok, ANSWER)
         })
     });
-    let log = said(&mut harness);
+    let log = take_zone_log(&mut harness);
     assert!(
         log.iter().any(|l| l.starts_with("zone 0 is left")),
         "{log:?}"
@@ -281,36 +281,39 @@
 }
 
 #[test]
-fn a_zone_that_flaps_comes_back_more_slowly_each_time() {
+fn a_zone_that_flaps_returns_more_slowly_each_time() {
     let mut harness = new_harness();
-    live(&mut harness, 10_000.0, 60.0, well);
-    let mut took = Vec::new();
+    run(&mut harness, 10_000.0, 60.0, healthy);
+    let mut times_to_return = Vec::new();
     for _ in 0..4 {
-        live(&mut harness, 1500.0, 60.0, without(0));
-        said(&mut harness);
+        run(&mut harness, 1500.0, 60.0, except(0));
+        take_zone_log(&mut harness);
         let from = harness.now;
-        while !said(&mut harness)
+        while !take_zone_log(&mut harness)
             .iter()
             .any(|l| l.starts_with("zone 0 is near"))
         {
-            live(&mut harness, 500.0, 60.0, well);
+            run(&mut harness, 500.0, 60.0, healthy);
             assert!(harness.now - from < 60_000.0, "never back");
         }
-        took.push(harness.now - from);
+        times_to_return.push(harness.now - from);
     }
-    assert!(took[3] > 1.5 * took[0], "{took:?}");
+    assert!(
+        times_to_return[3] > 1.5 * times_to_return[0],
+        "{times_to_return:?}"
+    );
 }
 
 /// It makes five requests a second, all tiers' calls long done between two of them.
 #[test]
-fn a_copy_that_sees_little_leaves_a_lost_zone_too() {
+fn an_instance_with_little_traffic_ejects_a_lost_zone_too() {
     let mut harness = new_harness();
-    live(&mut harness, 20_000.0, 5.0, well);
+    run(&mut harness, 20_000.0, 5.0, healthy);
     let (from, left) = (harness.now, Cell::new(None));
     while left.get().is_none() {
-        live(&mut harness, 200.0, 5.0, without(0));
+        run(&mut harness, 200.0, 5.0, except(0));
         left.set(
-            said(&mut harness)
+            take_zone_log(&mut harness)
                 .iter()
                 .any(|l| l.starts_with("zone 0 is left"))
                 .then_some(harness.now - from),
@@ -322,28 +325,28 @@
 
 /// A release that empties a zone is told by the list, and is no failure.
 #[test]
-fn a_zone_emptied_by_a_release_is_not_left() {
+fn a_zone_drained_by_a_release_is_not_ejected() {
     let mut harness = new_harness();
-    live(&mut harness, 10_000.0, 60.0, well);
-    let leaving = |availability| {
+    run(&mut harness, 10_000.0, 60.0, healthy);
+    let with_availability = |availability| {
         let zone = listed().into_iter().filter(|m| m.zone == 0);
         EndpointUpdate::Delta(zone.map(|m| Endpoint { availability, ..m }).collect())
     };
-    harness.update_endpoints(leaving(Availability::Draining));
-    live(&mut harness, 3000.0, 60.0, well);
-    harness.update_endpoints(leaving(Availability::Removed));
-    live(&mut harness, 3000.0, 60.0, well);
-    assert_eq!(said(&mut harness), Vec::<String>::new());
+    harness.update_endpoints(with_availability(Availability::Draining));
+    run(&mut harness, 3000.0, 60.0, healthy);
+    harness.update_endpoints(with_availability(Availability::Removed));
+    run(&mut harness, 3000.0, 60.0, healthy);
+    assert_eq!(take_zone_log(&mut harness), Vec::<String>::new());
     assert!(sent(&harness, 14_000.0)[1] > 20);
 }
 
 /// While a zone is gone, what is admitted is what the others carry.
 #[test]
-fn capacity_becomes_what_is_left() {
+fn capacity_becomes_that_of_the_other_zones() {
     let mut harness = new_harness();
-    live(&mut harness, 20_000.0, 60.0, well);
+    run(&mut harness, 20_000.0, 60.0, healthy);
     let before = harness.balancer.learned(harness.now).load.capacity;
-    live(&mut harness, 1000.0, 60.0, without(0));
+    run(&mut harness, 1000.0, 60.0, except(0));
     let after = harness.balancer.learned(harness.now).load.capacity;
     assert!(after < 0.8 * before, "{after} after {before}");
 }
--- a/balancer/settings/tests/bad_input.rs
+++ b/balancer/settings/tests/bad_input.rs
@@ -359,7 +359,7 @@
 }
 
 #[test]
-fn the_longest_lists_are_taken() {
+fn the_longest_lists_are_accepted() {
     let kinds = format!(r#""kinds": [{}]"#, vec!["\"m\""; 255].join(","));
     let read = deployment(GOOD.replace(r#""kinds": ["m1", "m2"]"#, &kinds).as_bytes());
     assert_eq!(read.map(|d| d.kinds.len()), Ok(255));
--- a/balancer/settings/tests/golden.rs
+++ b/balancer/settings/tests/golden.rs
@@ -168,19 +168,19 @@
 }
 
 #[test]
-fn the_deployments_word_the_simulators_wire_as_they_did() {
+fn the_deployments_name_the_simulators_wire_as_they_did() {
     assert_leaves(WIRE, include_str!("golden/wire.txt"));
 }
 
 #[test]
-fn the_deployments_word_real_requests_as_they_did() {
+fn the_deployments_name_real_requests_as_they_did() {
     assert_leaves(REAL, include_str!("golden/real.txt"));
 }
 
 /// Keys that the file of the wire gives another name, and that settings are read by: each is in the stored settings, so
 /// that it is read by this name.
 #[test]
-fn settings_are_read_in_the_words_of_the_wire() {
+fn settings_are_read_by_the_names_of_the_wire() {
     let wire: Value = serde_json::from_str(WIRE).expect("JSON");
     let whole: Value = serde_json::from_str(WHOLE).expect("JSON");
     let read = [
--- a/balancer/settings/tests/settings.rs
+++ b/balancer/settings/tests/settings.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_requests_held_and_served_are_found_among_the_columns_of_load_reports() {
+fn the_requests_in_flight_and_served_are_found_among_the_columns_of_load_reports() {
     let column = |stats: &str| {
         deployment(MINIMAL.replace("\"novel\": [1]", stats).as_bytes())
             .map(|d| (d.held_column, d.served_column))
--- a/balancer/simulator/tests/bad_input.rs
+++ b/balancer/simulator/tests/bad_input.rs
@@ -44,7 +44,7 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
-fn what_is_wrong_is_named_and_nothing_further_is_written() {
+fn faults_are_named_and_nothing_more_is_written() {
     let good = frame(&[], &[]);
     let target: &[u8] = &[10, 0, 3];
     let configure: Vec<u8> = [&[4u8][..], &[0; 8], &[0, 0, 0, 0, 0, 0, 0, 2]].concat();
--- a/balancer/simulator/tests/golden.rs
+++ b/balancer/simulator/tests/golden.rs
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn every_kind_of_news_of_upstreams_is_told_from_the_others() {
+fn every_kind_of_endpoint_update_is_distinguished() {
     let table = Some(members());
     assert_eq!(
         endpoint_update(0, table.as_ref()),
