--- a/balancer/core/src/policy/admission.rs
+++ b/balancer/core/src/policy/admission.rs
@@ -4,7 +4,7 @@
 
 /// Cycles' worth of limit that a tenant may save up; evens out the chance arrivals of tiny counts.
 const BURST_CYCLES: f64 = 6.0;
-/// Calls in flight that are always allowed, since an instance that carries little cannot send parts of a call.
+/// Calls in flight that are always allowed, since an instance with little traffic cannot send parts of a call.
 const MIN_IN_FLIGHT: f64 = 1.0;
 /// Part of its length from which a cycle counts as complete.
 const COMPLETE_CYCLE: f64 = 0.5;
--- a/balancer/core/src/policy/attempts.rs
+++ b/balancer/core/src/policy/attempts.rs
@@ -72,7 +72,7 @@
         let carried = self.capacity.carried(self.admission.total_demand());
         let carried_by_one = carried / CYCLE * self.fleet.subset.load_per_member;
         let is_first = pending.attempts == 0;
-        let leaves_time = now + 3.0 * self.fleet.response_times.mean < pending.deadline;
+        let has_time = now + 3.0 * self.fleet.response_times.mean < pending.deadline;
         let request = PickRequest {
             settings,
             tier: &self.tier,
@@ -80,7 +80,7 @@
             class: pending.class,
             slow_start_rate: carried_by_one * SLOW_START_PART * settings.overload_multiple,
             avoid: pending.last_slot,
-            harmless: is_first && settings.classes[pending.class].effect.harmless() && leaves_time,
+            harmless: is_first && settings.classes[pending.class].effect.harmless() && has_time,
             last_resort: false,
             dedup,
         };
--- a/balancer/core/src/policy/ejection.rs
+++ b/balancer/core/src/policy/ejection.rs
@@ -169,8 +169,8 @@
         } else {
             EJECTION_FAILURE_RATE
         };
-        let stands_out = certain || health.fails > EJECTION_RATIO * self.failure_rate;
-        let at_fault = health.fails > bound && stands_out;
+        let is_outlier = certain || health.fails > EJECTION_RATIO * self.failure_rate;
+        let at_fault = health.fails > bound && is_outlier;
         let is_ejected = now < health.ejected_until;
         if !failed && !is_ejected && health.fails < EJECTION_FAILURE_RATE / 2.0 {
             health.ejections = 0;
--- a/balancer/core/tests/common/mod.rs
+++ b/balancer/core/tests/common/mod.rs
@@ -271,7 +271,7 @@
         self.now = until;
     }
 
-    /// What happens next, and when; of what happens at once time-outs come before timers.
+    /// What happens next, and when; of what happens at once timeouts come before timers.
     fn next(&self) -> Option<(f64, Next)> {
         let timeouts = self.requests.iter().filter_map(|(&request, record)| {
             let attempt = record.next_timeout()?;
--- a/balancer/core/tests/failures/attempts.rs
+++ b/balancer/core/tests/failures/attempts.rs
@@ -1,9 +1,9 @@
-//! The end of a request and its further attempts.
+//! The end of a request and its retries.
 use crate::common::*;
 use crate::setup::{new_harness, shared};
 use balancer_core::*;
 
-/// Where a late answer earns nothing, an attempt that ran on only held slots, in every tier above too.
+/// Where a late response earns nothing, an attempt that ran on only took slots, in every tier above too.
 #[test]
 fn a_request_ends_at_its_objective_where_late_responses_earn_nothing() {
     for (late_value, max) in [(0.0, 500.0), (0.4, 2000.0)] {
@@ -30,21 +30,21 @@
     }
 }
 
-/// Waiting for the deadline left no time for another attempt, though one was allowed and would have been answered.
+/// Waiting for the deadline left no time for another attempt, though one was allowed and would have been served.
 #[test]
 fn where_responses_get_lost_a_retry_goes_out_in_time() {
     let mut harness = new_harness(shared(&[1.0]), 6);
     let server = |id| (id != UpstreamId(2)).then_some((Ending::Ok, 40.0));
     harness.traffic(20_000.0, 30.0, &[0], &server);
     let mut again = harness.requests.values().filter(|s| s.sends.len() > 1);
-    // Left to the end of the aim, 490 ms, the repeat would come too late.
+    // Left to the end of the objective, 490 ms, the retry would come too late.
     assert!(
         again.any(|s| s.sends[1].1 - s.sends[0].1 < 450.0),
         "what was lost is repeated in time"
     );
 }
 
-/// A subset drawn without regard to groups held no other upstream that knows the key.
+/// A subset drawn without regard to groups had no other upstream that knows the key.
 #[test]
 fn a_guarded_retry_finds_another_upstream_of_its_group() {
     let guarded = Effect::Guarded {
--- a/balancer/core/tests/failures/capacity.rs
+++ b/balancer/core/tests/failures/capacity.rs
@@ -3,7 +3,7 @@
 use crate::setup::{fast, new_harness, shared, slow};
 use balancer_core::*;
 
-/// Capacity once spiralled down on old news and took half a minute to come back.
+/// Capacity once spiralled down on outdated responses and took half a minute to recover.
 #[test]
 fn capacity_recovers_soon_after_an_overload() {
     let mut harness = new_harness(shared(&[1.0]), 4);
@@ -16,8 +16,8 @@
     assert!(sent > 100, "{sent} of 120 pass six seconds after the end");
 }
 
-/// Met in an incident: crowded servers stay slow for as long as they hold as many calls, and the floor at the quotas
-/// held them there, with answers that took four times as long and yet were in time.
+/// Met in an incident: overloaded servers stay slow for as long as they have as many calls in flight, and the floor at
+/// the quotas left them there, with responses that took four times as long and yet were in time.
 #[test]
 fn the_floor_gives_way_while_servers_are_overloaded() {
     let class = Class {
@@ -45,7 +45,7 @@
         "{} calls are still out at crowded servers",
         out(&harness)
     );
-    // It comes back once they answer as before.
+    // It recovers once they respond as before.
     harness.traffic(9000.0, 60.0, &[0], &|_| Some((Ending::Ok, 120.0)));
     let from = harness.now;
     harness.traffic(2000.0, 60.0, &[0], &|_| Some((Ending::Ok, 120.0)));
@@ -56,7 +56,7 @@
     );
 }
 
-/// Calls sent before the last cut were left out: with answers slower than a cycle only the fast ones were heard.
+/// Calls sent before the last cut were left out: with responses slower than a cycle only the fast ones were counted.
 #[test]
 fn capacity_counts_the_slow_responses_too() {
     let mut harness = new_harness(shared(&[1.0]), 8);
@@ -99,7 +99,7 @@
     );
 }
 
-/// Tiers below refused for want of capacity at the start, though none of their answers was late.
+/// Tiers below refused for want of capacity at the start, though none of their responses was late.
 #[test]
 fn a_tier_below_starts_with_more_capacity() {
     for (stage, least) in [(0, 0), (1, 60)] {
@@ -119,8 +119,8 @@
     }
 }
 
-/// Met on days that lose a zone: the list names lost upstreams as ready for many seconds, and cold ones at once; the
-/// floor took them for whole ones, and what it let pass crowded those that were left.
+/// Met on days that lose a zone: the list names lost upstreams as ready for many seconds, and ones in slow start at
+/// once; the floor took them for full ones, and what it let pass overloaded those that were left.
 #[test]
 fn the_floor_counts_only_upstreams_that_can_be_used() {
     let unhurried = |_| Some((Ending::Ok, 260.0));
@@ -130,7 +130,7 @@
         harness.traffic(3000.0, 60.0, &[0], server);
         harness.sent_since(from).0
     };
-    // Answers a little late hold the capacity at its floor: the quotas, 60 a second.
+    // Responses a little late keep the capacity at its floor: the quotas, 60 a second.
     let mut harness = new_harness(shared(&[1.0]), 4);
     assert!(rate(&mut harness, &unhurried) > 170, "all pass");
     let lost = |id| {
@@ -163,7 +163,7 @@
     );
 }
 
-/// Met on days that replace servers: five of sixteen drained at once, and what had been learned with sixteen crowded
+/// Met on days that replace servers: five of sixteen drained at once, and what had been learned with sixteen overloaded
 /// the eleven that were left.
 #[test]
 fn learned_capacity_follows_the_upstreams_there_are() {
@@ -177,7 +177,7 @@
             .count()
     };
     let hold = |harness: &mut Harness| {
-        // Nothing answers for a moment: what passes shows the capacity.
+        // Nothing responds for a moment: what passes shows the capacity.
         harness.traffic(400.0, 300.0, &[0], &|_| None);
         out(harness)
     };
@@ -196,8 +196,8 @@
     );
 }
 
-/// Met on the earlier days: with four servers, one ejected for errors took a quarter off the floor each time, though the
-/// errors came from the tier behind.
+/// Met on the earlier days: with four servers, one ejected for errors took a quarter off the floor each time, though
+/// the errors came from the tier behind.
 #[test]
 fn an_upstream_ejected_for_errors_still_counts_in_the_floor() {
     let mut harness = new_harness(shared(&[1.0]), 4);
--- a/balancer/core/tests/failures/choice.rs
+++ b/balancer/core/tests/failures/choice.rs
@@ -4,7 +4,7 @@
 use balancer_core::*;
 use std::collections::BTreeMap;
 
-/// Copies that carry little hold nothing at most upstreams: a slow kind got as much as a fast one.
+/// Instances that carry little hold nothing at most upstreams: a slow kind got as much as a fast one.
 #[test]
 fn of_two_with_as_many_calls_in_flight_the_faster_one_is_picked() {
     let mut harness = new_harness(shared(&[1.0]), 6);
@@ -21,7 +21,7 @@
     assert!(slow > 0, "what was learned fades, and they are tried again");
 }
 
-/// A copy that carries little compares zeros; it once sent all its calls to the same few.
+/// An instance with little traffic compares zeros; it once sent all its calls to the same few.
 #[test]
 fn an_instance_with_little_traffic_spreads_its_calls() {
     let mut harness = new_harness(shared(&[1.0]), 5);
@@ -31,7 +31,7 @@
     assert!(to.len() == 5 && max * 3 < sent, "{to:?}");
 }
 
-/// Connections grow as copies times servers: each copy keeps to a stable part that its traffic keeps warm.
+/// Connections grow as instances times servers: each instance uses a stable part that its traffic keeps open.
 #[test]
 fn the_subset_follows_the_traffic_and_is_balanced_between_instances() {
     let mut load = BTreeMap::new();
@@ -61,7 +61,7 @@
 }
 
 /// Upstreams cap their connections and serve worse with many: a tier ran out of them, and never recovered, when
-/// each of a hundred copies with a few calls in flight kept one open to most upstreams.
+/// each of a hundred instances with a few calls in flight kept one open to most upstreams.
 #[test]
 fn an_instance_with_little_traffic_opens_few_connections_from_the_start() {
     let settings = Settings {
@@ -87,8 +87,8 @@
     upstream: UpstreamId,
 }
 
-/// Met on days of a large fleet: each of many copies had one call at most at a slow upstream, which seemed as little
-/// as elsewhere, and all together they crowded it.
+/// Met on days of a large fleet: each of many instances had one call at most at a slow upstream, which seemed as little
+/// as elsewhere, and all together they overloaded it.
 #[test]
 fn many_instances_with_a_call_each_do_not_overload_a_slow_upstream() {
     const INSTANCES: u32 = 40;
@@ -171,8 +171,8 @@
     assert_eq!(harness.sent_since(0.0).0, 20, "all pass");
 }
 
-/// A copy with few calls hears of each upstream late. Until then it sent slow kinds as much as fast ones, and all
-/// copies together crowded them in the first seconds.
+/// An instance with few calls learns of each upstream late. Until then it sent slow kinds as much as fast ones, and all
+/// instances together overloaded them in the first seconds.
 #[test]
 fn instances_avoid_a_slow_kind_known_from_other_upstreams_only() {
     const INSTANCES: u32 = 200;
@@ -199,7 +199,7 @@
             ..shared(&[1.0])
         };
         let mut harness = Harness::new(settings, u64::from(index), endpoints());
-        // Ten of 40 upstreams at most have answered this copy.
+        // Ten of 40 upstreams at most have responded to this instance.
         harness.traffic(100.0, 100.0, &[0], &answer);
         harness.traffic(350.0, 2.0, &[0], &answer);
         let from = harness.now;
--- a/balancer/core/tests/failures/connections.rs
+++ b/balancer/core/tests/failures/connections.rs
@@ -4,8 +4,8 @@
 use balancer_core::*;
 use std::collections::BTreeMap;
 
-/// A request on connections that are dropped unseen after 300 ms without use: tells whether it got lost. `open` holds
-/// when each upstream's connection was last used; answers come at once.
+/// A request on connections that are dropped unseen after 300 ms without use: returns whether it got lost. `open` holds
+/// when each upstream's connection was last used; responses come at once.
 fn on_reaped_connections(
     harness: &mut Harness,
     open: &mut BTreeMap<UpstreamId, f64>,
@@ -51,7 +51,7 @@
     );
 }
 
-/// Lost calls, waited for until their time-outs, filled what may be in flight, and the rest was refused.
+/// Lost calls, waited for until their timeouts, filled what may be in flight, and the rest was refused.
 #[test]
 fn calls_lost_with_their_connection_do_not_fill_what_may_be_in_flight() {
     let class = Class {
--- a/balancer/core/tests/failures/ejection.rs
+++ b/balancer/core/tests/failures/ejection.rs
@@ -1,4 +1,4 @@
-//! Upstreams that fail, hang or answer nothing: ejection, and its limits.
+//! Upstreams that fail, hang or do not respond: ejection, and its limits.
 use crate::common::*;
 use crate::setup::{fast, new_harness, shared};
 use balancer_core::*;
@@ -64,7 +64,7 @@
     );
 }
 
-/// An upstream that took calls and answered none went on getting more until the first time-out told.
+/// An upstream that took calls and responded to none went on getting more until the first timeout.
 #[test]
 fn an_unresponsive_upstream_is_avoided_at_once() {
     let class = Class {
@@ -110,7 +110,7 @@
 }
 
 /// Met on days that lose a zone: while many calls failed everywhere, servers that could not be reached were ejected no
-/// more, and every copy kept trying them.
+/// more, and every instance kept trying them.
 #[test]
 fn refused_connections_eject_their_upstream_though_calls_fail_everywhere() {
     let mut harness = new_harness(shared(&[1.0]), 9);
--- a/balancer/core/tests/failures/overload.rs
+++ b/balancer/core/tests/failures/overload.rs
@@ -3,7 +3,7 @@
 use crate::setup::{fast, new_harness, shared};
 use balancer_core::*;
 
-/// Judged by answers alone, a tier that stops answering looks well until the time-outs come.
+/// Judged by responses alone, a tier that stops responding looks well until the timeouts come.
 #[test]
 fn calls_in_flight_are_bounded_before_any_answer_is_late() {
     let class = Class {
@@ -27,7 +27,7 @@
     );
 }
 
-/// In an overload each time-out was taken for its upstream's own fault, and capacity never heard of it: all that
+/// In an overload each timeout was taken for its upstream's own fault, and capacity never heard of it: all that
 /// was admitted, up to the quotas and beyond, was lost.
 #[test]
 fn failures_of_most_upstreams_are_not_blamed_on_each_and_cut_capacity_below_the_quotas() {
@@ -76,7 +76,7 @@
         sent(&harness, 10_001) && !sent(&harness, 10_002),
         "one has the time and the other has not"
     );
-    // Nobody waits for an answer: to try it costs nothing, and shows whether answers take less by now.
+    // Nobody waits for an answer: to try it costs nothing, and shows whether responses take less by now.
     harness.advance(3000.0);
     harness.request(10_003, 1, 0);
     assert!(
@@ -85,7 +85,7 @@
     );
 }
 
-/// Traffic is uneven over the copies. With an even part of the quotas each, the busy ones refused while all together
+/// Traffic is uneven over the instances. With an even part of the quotas each, the busy ones refused while all together
 /// used three quarters of them.
 #[test]
 fn a_busy_instance_may_use_what_others_leave_of_the_quotas() {
@@ -103,9 +103,9 @@
     let mut harnesses: Vec<Harness> = (0..INSTANCES)
         .map(|i| new_harness(settings(i), 8))
         .collect();
-    // Ten copies ask for twice their even part, the others for less than half of it. Answers are a little late, so
+    // Ten instances request twice their even part, the others for less than half of it. Responses are a little late, so
     // that nothing more is learned.
-    let asked = |i: usize| if i < 10 { 20.0 } else { 4.0 };
+    let requested = |i: usize| if i < 10 { 20.0 } else { 4.0 };
     let answer = |_| Some((Ending::Ok, 240.0));
     let mut served = 0;
     for _ in 0..30 {
@@ -117,7 +117,7 @@
                     per_s: f64::from(served) / 8.0,
                 });
             }
-            harness.traffic(1000.0, asked(i), &[0], &answer);
+            harness.traffic(1000.0, requested(i), &[0], &answer);
         }
         served = harnesses
             .iter()
@@ -133,8 +133,8 @@
     assert!(served < 400, "{served} a second are more than the quotas");
 }
 
-/// Every copy learned a capacity of up to twice what it let pass, in sum more than there was. A burst then crowded
-/// the upstreams before answers told.
+/// Every instance learned a capacity of up to twice what it let pass, in sum more than there was. A burst then
+/// overloaded the upstreams before responses showed it.
 #[test]
 fn a_burst_passes_little_more_than_the_quotas_once_saved_up_tokens_are_spent() {
     const INSTANCES: u32 = 40;
@@ -151,7 +151,7 @@
     let mut harnesses: Vec<Harness> = (0..INSTANCES)
         .map(|i| new_harness(settings(i), 8))
         .collect();
-    let mut second = |asked: f64, served: usize| -> usize {
+    let mut second = |requested: f64, served: usize| -> usize {
         let sent = |harness: &mut Harness| {
             let from = harness.now;
             for id in (1..=8).map(UpstreamId) {
@@ -160,7 +160,7 @@
                     per_s: served as f64 / 8.0,
                 });
             }
-            harness.traffic(1000.0, asked, &[0], &fast);
+            harness.traffic(1000.0, requested, &[0], &fast);
             harness.sent_since(from).0
         };
         harnesses.iter_mut().map(sent).sum()
--- a/balancer/core/tests/failures/tenants.rs
+++ b/balancer/core/tests/failures/tenants.rs
@@ -6,17 +6,17 @@
 #[test]
 fn an_over_limit_tenant_is_refused_and_one_within_its_share_is_not() {
     let mut harness = new_harness(shared(&[0.6, 0.4]), 4);
-    // Tenant 0 asks for nine times as much as tenant 1; answers come late, so capacity is short.
+    // Tenant 0 asks for nine times as much as tenant 1; responses come late, so capacity is short.
     harness.traffic(20_000.0, 150.0, &[0, 0, 0, 0, 0, 0, 0, 0, 0, 1], &|_| {
         Some((Ending::Ok, 232.0))
     });
     let share = |tenant: usize| {
         let of = |id: &RequestId| usize::from(id.0 % 10 == 9) == tenant;
-        let asked = harness
+        let requested = harness
             .requests
             .iter()
             .filter(|(id, s)| of(id) && s.deadline > 12_000.0);
-        let (all, sent) = asked.fold((0u32, 0u32), |(a, n), (_, s)| {
+        let (all, sent) = requested.fold((0u32, 0u32), |(a, n), (_, s)| {
             (a + 1, n + u32::from(!s.sends.is_empty()))
         });
         f64::from(sent) / f64::from(all)
@@ -34,12 +34,16 @@
     let from = harness.now;
     harness.traffic(10_000.0, 200.0, &tenants, &|_| Some((Ending::Ok, 190.0)));
     let passed = |of: &dyn Fn(u32) -> bool| {
-        let asked: Vec<_> = harness
+        let requested: Vec<_> = harness
             .requests
             .iter()
             .filter(|(id, s)| of(id.0 % 10) && s.deadline > from + 5000.0)
             .collect();
-        asked.iter().filter(|(_, s)| !s.sends.is_empty()).count() as f64 / asked.len() as f64
+        requested
+            .iter()
+            .filter(|(_, s)| !s.sends.is_empty())
+            .count() as f64
+            / requested.len() as f64
     };
     let (large, small) = (passed(&|t| t < 8), passed(&|t| t >= 8));
     assert!(
--- a/balancer/core/tests/failures/zones.rs
+++ b/balancer/core/tests/failures/zones.rs
@@ -1,9 +1,9 @@
-//! Zones: one that is lost, and the own one against the others.
+//! Zones: one that is lost, and the local one against the others.
 use crate::common::*;
 use crate::setup::{fast, shared};
 use balancer_core::*;
 
-/// Met in an incident: a whole zone answered nothing, too much to eject server by server.
+/// Met in an incident: a complete zone gave no response, too much to eject server by server.
 #[test]
 fn a_zone_that_is_partitioned_off_is_avoided() {
     let endpoints = (1..=12)
@@ -33,7 +33,7 @@
     );
 }
 
-/// Met in an incident: a copy with one server in its zone, a slow one, sent it every call that it would take.
+/// Met in an incident: an instance with one server in its zone, a slow one, sent it every call that it would take.
 #[test]
 fn a_weak_local_zone_does_not_keep_the_calls_from_the_others() {
     let settings = Settings {
@@ -47,7 +47,7 @@
         })
         .collect();
     let mut harness = Harness::new(settings, 4, endpoints);
-    // The one in the own zone is slow, though not so slow that its answers are late.
+    // The one in the local zone is slow, though not so slow that its responses are late.
     harness.traffic(10_000.0, 60.0, &[0], &|id| {
         Some((Ending::Ok, if id.0 == 0 { 190.0 } else { 60.0 }))
     });
@@ -72,7 +72,7 @@
         ..endpoint(id)
     };
     let mut harness = Harness::new(settings, 4, (1..=12).map(in_zones).collect());
-    // Each answer is back before the next call: all are always equally busy.
+    // Each response is back before the next call: all are always equally busy.
     harness.traffic(4000.0, 15.0, &[0], &fast);
     let (_, to) = harness.sent_since(0.0);
     let local: usize = to
--- a/balancer/core/tests/late_connections.rs
+++ b/balancer/core/tests/late_connections.rs
@@ -4,8 +4,9 @@
 use common::*;
 use std::cell::Cell;
 
-/// Two in a row ejected an upstream, however many were out already: a handful of upstreams was out for most of the time,
-/// the least capacity fell with what was left of them, and most requests were refused though next to none failed.
+/// Two in a row ejected an upstream, however many were out already: a handful of upstreams was out for most of the
+/// time, the least capacity fell with what was left of them, and most requests were refused though next to none
+/// failed.
 #[test]
 fn late_connections_everywhere_do_not_take_most_upstreams_out() {
     let settings = Settings {
--- a/balancer/core/tests/limits.rs
+++ b/balancer/core/tests/limits.rs
@@ -17,7 +17,7 @@
 fn the_posts_worked_table() {
     let equal = [1.0; 4];
     let next = |demands: &[f64]| limits(40.0, demands, &equal, 0.1);
-    // The first cycle splits equally: nothing was asked yet, and all that is left goes back in parts.
+    // The first cycle splits equally: nothing was requested yet, and all that is left goes back in parts.
     is_close(&next(&[0.0; 4]), &[10.0; 4]);
     is_close(&next(&[2.0, 15.0, 10.0, 10.0]), &[5.0, 15.0, 10.0, 10.0]);
     is_close(&next(&[3.0, 15.0, 50.0, 10.0]), &[3.0, 11.0, 16.0, 10.0]);
--- a/balancer/core/tests/observed.rs
+++ b/balancer/core/tests/observed.rs
@@ -1,4 +1,4 @@
-//! What a copy tells the others of its tier is what happened to it.
+//! What an instance observes for the others of its tier is what happened to it.
 mod common;
 
 use balancer_core::*;
--- a/balancer/core/tests/rules.rs
+++ b/balancer/core/tests/rules.rs
@@ -175,7 +175,7 @@
 }
 
 fn one_class(effect: Effect) -> Settings {
-    // Late answers are worth something, so that requests last until their deadline.
+    // Late responses are worth something, so that requests last until their deadline.
     let class = Class {
         late_value: 0.5,
         ..class(effect)
@@ -262,7 +262,7 @@
     for id in 0..40 {
         harness.request(id, 0, 0);
         harness.advance(50.0);
-        // The checker holds the group and the window to the attempt that was answered 'full'.
+        // The checker holds the group and the window to the attempt that was rejected.
         harness.outcome(id, 0, Ending::Full);
         if harness.requests[&RequestId(id)].endings.len() == 2 {
             harness.outcome(id, 1, Ending::Ok);
@@ -607,8 +607,8 @@
     );
 }
 
-/// A change counts as told 6 s after discovery had it, whatever a deployment says of `subscribe_timeout`: a pause, a call that
-/// falls silent and the next one must fit, 1.5 s for each call.
+/// A change counts as notified 6 s after discovery had it, whatever a deployment says of `subscribe_timeout`: a pause,
+/// a call that times out and the next one must fit, 1.5 s for each call.
 #[test]
 fn the_backoff_before_the_list_is_requested_again_allows_two_calls() {
     for (seed, subscribe_timeout) in
@@ -653,7 +653,7 @@
         .collect();
     let (mut id, mut sent_to, mut slow_start_sends) = (0, 0, Vec::new());
     for step in 0..200 {
-        // Two calls a second and copy, answered after 50 ms; the upstream restarts after ten seconds.
+        // Two calls a second and instance, served after 50 ms; the upstream restarts after ten seconds.
         for (i, harness) in harnesses.iter_mut().enumerate() {
             if step == 100 {
                 harness.update_endpoints(EndpointUpdate::Delta(vec![Endpoint {
@@ -698,8 +698,8 @@
     );
 }
 
-/// Met on a day of replacements: after an overload little was admitted, a cold upstream was given its part of that
-/// little, and the warm ones stayed crowded for as long as it was kept out.
+/// Met on a day of replacements: after an overload little was admitted, an upstream in slow start was given its part
+/// of that little, and the others stayed overloaded for as long as it was kept out.
 #[test]
 fn an_upstream_in_slow_start_gets_its_part_though_little_is_admitted() {
     const INSTANCES: u32 = 40;
@@ -718,7 +718,7 @@
         .collect();
     let (mut id, mut slow_start_sends) = (0, Vec::new());
     for step in 0..200 {
-        // One call a second and copy, a tenth of the quotas; the upstream restarts after ten seconds.
+        // One call a second and instance, a tenth of the quotas; the upstream restarts after ten seconds.
         for (i, harness) in harnesses.iter_mut().enumerate() {
             if step == 100 {
                 harness.update_endpoints(EndpointUpdate::Delta(vec![Endpoint {
--- a/balancer/core/tests/switched_off.rs
+++ b/balancer/core/tests/switched_off.rs
@@ -1,10 +1,10 @@
-//! What the host leaves out of a word, since the operator has switched it off, must be as if nobody had said it.
+//! What the host leaves out of an update, since the operator has switched it off, must be as if nobody had observed it.
 mod common;
 
 use balancer_core::*;
 use common::*;
 
-/// Overload, late answers, errors and a zone that goes silent, with a word every 100 ms.
+/// Overload, late responses, errors and a zone that times out, with an update every 100 ms.
 fn day(update: impl Fn(usize) -> Option<TierUpdate>) -> Vec<Action> {
     let settings = Settings {
         classes: vec![Class {
--- a/balancer/core/tests/tier.rs
+++ b/balancer/core/tests/tier.rs
@@ -145,7 +145,7 @@
             dear > 0.4 && dear > 5.0 * cheap,
             "{instances} instances: {dear:.2} of the dear, {cheap:.2} of the cheap"
         );
-        // What is refused by one copy is so by the next.
+        // What is refused by one instance is so by the next.
         let same = (0..20)
             .map(|k| refusals(&mut tier, 0, (2 * k + 1) * (u64::MAX / 40)))
             .sum::<f64>()
--- a/balancer/core/tests/zones.rs
+++ b/balancer/core/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Zones that are lost, cut off, slow, flapping or emptied, as one copy sees them.
+//! Zones that are lost, partitioned off, slow, flapping or drained, as one instance sees them.
 mod common;
 
 use balancer_core::*;
@@ -40,14 +40,14 @@
     Harness::new(settings(), 4, listed())
 }
 
-/// Sends, with answers that take as long as `slow` says for each zone; a zone of which it says nothing is silent.
+/// Sends, with responses that take as long as `slow` says for each zone; a zone of which it says nothing times out.
 fn run(harness: &mut Harness, span: f64, per_s: f64, slow: impl Fn(u16) -> Option<f64>) {
     harness.traffic(span, per_s, &[0], &|id| {
         slow(zone_of(id)).map(|times| (Ending::Ok, ANSWER * times))
     });
 }
 
-/// What is out to a zone gets no answer any more.
+/// What is out to a zone gets no response any more.
 fn drop_in_flight(harness: &mut Harness, zone: u16) {
     let requests = &harness.requests;
     harness.scheduled.retain(|response| {
@@ -111,7 +111,7 @@
     assert_returns_by_degrees(&mut harness);
 }
 
-/// What hung in zone 0 when it was lost was sent again elsewhere, and was answered.
+/// What hung in zone 0 when it was lost was retried elsewhere, and was served.
 fn assert_hung_calls_were_retried(harness: &Harness, lost_at: f64) {
     let hung = |record: &&RequestRecord| {
         let first = record.sends.first();
@@ -153,7 +153,7 @@
     assert!(local[15] * 2 > all, "all in the end: {local:?} of {all}");
 }
 
-/// A shared dependency: leaving any of them would only crowd the rest.
+/// A shared dependency: ejecting any of them would only overload the rest.
 #[test]
 fn where_all_time_out_or_get_slow_no_zone_is_ejected() {
     let mut harness = new_harness();
@@ -168,7 +168,7 @@
     assert_eq!(take_zone_log(&mut harness), Vec::<String>::new());
 }
 
-/// The own zone is the one that is cut off from the others, or two of three are lost: it serves from what answers.
+/// The local zone is the one that is partitioned off from the others, or two of three are lost: it uses what responds.
 #[test]
 fn an_instance_whose_zone_is_partitioned_off_goes_on_with_it_alone() {
     let mut harness = new_harness();
@@ -187,7 +187,7 @@
     );
 }
 
-/// One that answers slowly is not lost: fewer calls go to it, and none are called off.
+/// One that responds slowly is not lost: fewer calls go to it, and none are cancelled.
 #[test]
 fn a_slow_local_zone_is_not_ejected_but_drawn_from_less() {
     let mut harness = new_harness();
@@ -216,7 +216,7 @@
     );
 }
 
-/// Half of a zone fails: the half that answers keeps it, and what fails is ejected one by one.
+/// Half of a zone fails: the half that responds keeps it, and what fails is ejected one by one.
 #[test]
 fn a_zone_half_of_which_fails_is_not_ejected() {
     let mut harness = new_harness();
@@ -245,7 +245,7 @@
         out.map(|(id, s)| (id.0, s.sends.len() - 1)).collect()
     };
     let mut broken = 0;
-    // Whatever is out to four upstreams of the own zone: each time all of one of them.
+    // Whatever is out to four upstreams of the local zone: each time all of one of them.
     for (id, attempt) in of(&harness) {
         let to = harness.requests[&RequestId(id)].sends[attempt].0;
         if zone_of(to) == 0 && to.0 < 12 {
@@ -261,7 +261,7 @@
     assert_eq!(take_zone_log(&mut harness), Vec::<String>::new());
 }
 
-/// A zone that refuses every connection is left as one that is silent is.
+/// A zone that refuses every connection is ejected as one that times out is.
 #[test]
 fn a_zone_that_refuses_every_connection_is_ejected() {
     let mut harness = new_harness();
@@ -323,7 +323,7 @@
     assert!(left.get() < Some(3000.0), "{left:?}");
 }
 
-/// A release that empties a zone is told by the list, and is no failure.
+/// A release that empties a zone is announced by the list, and is no failure.
 #[test]
 fn a_zone_drained_by_a_release_is_not_ejected() {
     let mut harness = new_harness();
--- a/balancer/settings/src/deployment.rs
+++ b/balancer/settings/src/deployment.rs
@@ -162,8 +162,8 @@
     }
 }
 
-fn dedup_scope(position: usize, word: &str) -> Result<DedupScope, DeploymentError> {
-    match word {
+fn dedup_scope(position: usize, value: &str) -> Result<DedupScope, DeploymentError> {
+    match value {
         "all" => Ok(DedupScope::All),
         "zone" => Ok(DedupScope::Zone),
         "cell" => Ok(DedupScope::Cell),
@@ -174,10 +174,10 @@
     }
 }
 
-fn unknown(key: &str, what: &'static str, word: &str) -> DeploymentError {
-    DeploymentError::UnknownWord {
+fn unknown(key: &str, what: &'static str, value: &str) -> DeploymentError {
+    DeploymentError::UnknownValue {
         key: key.to_string(),
         what,
-        word: word.to_string(),
+        value: value.to_string(),
     }
 }
--- a/balancer/settings/src/error.rs
+++ b/balancer/settings/src/error.rs
@@ -15,15 +15,15 @@
         /// What is wrong with it.
         source: serde_json::Error,
     },
-    /// A word that means nothing.
-    #[error("{key}: unknown {what} {word:?}")]
-    UnknownWord {
+    /// A value with no meaning.
+    #[error("{key}: unknown {what} {value:?}")]
+    UnknownValue {
         /// The key.
         key: String,
-        /// What the word stands for.
+        /// What the value chooses.
         what: &'static str,
-        /// The word.
-        word: String,
+        /// The value.
+        value: String,
     },
     /// A list that is too long.
     #[error("{key}: {entries} entries; {max} at most")]
--- a/balancer/settings/tests/golden.rs
+++ b/balancer/settings/tests/golden.rs
@@ -1,11 +1,11 @@
-//! Settings as values, field by field, and the words of the deployments' files. Operators' files are written in these
-//! words and outlive a build: whatever a name inside the program becomes, a key keeps its name and its meaning.
+//! Settings as values, field by field, and the keys of the deployments' files. Operators' files are written by these
+//! keys and outlive a build: whatever a name inside the program becomes, a key keeps its name and its meaning.
 use balancer_core::{Class, DedupScope, Effect, Settings, Tenant};
 use balancer_settings::{deployment, Deployment};
 use serde_json::Value;
 
-const WHOLE: &str = include_str!("golden/whole.json");
-const LEAST: &str = include_str!("golden/least.json");
+const FULL: &str = include_str!("golden/whole.json");
+const MINIMAL: &str = include_str!("golden/least.json");
 const WIRE: &str = include_str!("../../../deploy/sites/wire.json");
 const REAL: &str = include_str!("../../../deploy/sites/real.json");
 
@@ -101,7 +101,7 @@
         held_column: Some(2),
         served_column: Some(1),
     };
-    assert_eq!(deployment(WHOLE.as_bytes()), Ok(wanted));
+    assert_eq!(deployment(FULL.as_bytes()), Ok(wanted));
 }
 
 #[test]
@@ -138,7 +138,7 @@
         held_column: None,
         served_column: None,
     };
-    assert_eq!(deployment(LEAST.as_bytes()), Ok(wanted));
+    assert_eq!(deployment(MINIMAL.as_bytes()), Ok(wanted));
 }
 
 /// The leaves of a value, a line for each: the path to it, and what it is.
@@ -182,7 +182,7 @@
 #[test]
 fn settings_are_read_by_the_names_of_the_wire() {
     let wire: Value = serde_json::from_str(WIRE).expect("JSON");
-    let whole: Value = serde_json::from_str(WHOLE).expect("JSON");
+    let full: Value = serde_json::from_str(FULL).expect("JSON");
     let read = [
         ("zones", ""),
         ("tier", ""),
@@ -208,15 +208,15 @@
     ];
     for (word, within) in read {
         let key = wire["init"]["rename"][word].as_str().expect(word);
-        let there = whole.pointer(within).and_then(|object| object.get(key));
+        let there = full.pointer(within).and_then(|object| object.get(key));
         assert!(there.is_some(), "{word}: no {key} in {within:?}");
     }
     let words = ["safe", "keyed", "unsafe", "ask"].map(|word| &wire["init"]["words"][word]);
-    let classes = [0, 1, 5].map(|class| &whole["classes"][class]["effect"]);
+    let classes = [0, 1, 5].map(|class| &full["classes"][class]["effect"]);
     assert_eq!(
         (words[..3].to_vec(), words[3]),
-        (classes.to_vec(), &whole["membership_mode"])
+        (classes.to_vec(), &full["membership_mode"])
     );
-    let least: Value = serde_json::from_str(LEAST).expect("JSON");
+    let least: Value = serde_json::from_str(MINIMAL).expect("JSON");
     assert_eq!(wire["init"]["words"]["push"], least["membership_mode"]);
 }
--- a/balancer/settings/tests/settings.rs
+++ b/balancer/settings/tests/settings.rs
@@ -23,11 +23,11 @@
         }
     );
     assert!(!deployment(MINIMAL.as_bytes()).unwrap().peers);
-    let told = MINIMAL.replace(
+    let with_peers = MINIMAL.replace(
         "\"attempts_cap\": 3",
         "\"attempts_cap\": 3, \"peers\": true",
     );
-    assert!(deployment(told.as_bytes()).unwrap().peers);
+    assert!(deployment(with_peers.as_bytes()).unwrap().peers);
     assert_eq!(
         (s.idle_close, s.subscribe_timeout, s.stage, s.subscribes),
         (5000.0, 10_000.0, 0, false)
--- a/balancer/settings/tests/stored_form.rs
+++ b/balancer/settings/tests/stored_form.rs
@@ -2,8 +2,8 @@
 //! settings, so that this text must not change where they do not.
 use balancer_settings::deployment;
 
-const WHOLE: &str = include_str!("golden/whole.json");
-const LEAST: &str = include_str!("golden/least.json");
+const FULL: &str = include_str!("golden/whole.json");
+const MINIMAL: &str = include_str!("golden/least.json");
 
 fn stored_form(json: &str) -> String {
     let deployment = deployment(json.as_bytes()).expect("settings");
@@ -13,8 +13,8 @@
 #[test]
 fn settings_keep_the_form_that_stored_state_is_tied_to() {
     for (json, stored) in [
-        (WHOLE, include_str!("golden/stored_form_whole.txt")),
-        (LEAST, include_str!("golden/stored_form_least.txt")),
+        (FULL, include_str!("golden/stored_form_whole.txt")),
+        (MINIMAL, include_str!("golden/stored_form_least.txt")),
     ] {
         assert_eq!(stored_form(json), stored);
     }
--- a/balancer/simulator/src/lib.rs
+++ b/balancer/simulator/src/lib.rs
@@ -1,4 +1,5 @@
-//! Hosts balancer_core balancers on the simulator's wire. The program only carries frames between its pipes and [`Host`].
+//! Hosts balancer_core balancers on the simulator's wire. The program only carries frames between its pipes and
+//! [`Host`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 mod host;
--- a/balancer/simulator/tests/golden.rs
+++ b/balancer/simulator/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire as it is, byte for byte: what is read of it and what is written. The simulator is the users' and
-//! changes for nobody; a build that reads or writes anything else can't be played in it.
+//! The simulator's wire as it is, byte for byte: what is read of it and what is written. The simulator is the users'
+//! and changes for nobody; a build that reads or writes anything else can't be played in it.
 #[path = "../../core/tests/common/golden.rs"]
 mod golden;
 
--- a/balancer/simulator/tests/mutated.rs
+++ b/balancer/simulator/tests/mutated.rs
@@ -1,4 +1,4 @@
-//! Frames that are cut off or mutated are refused with one line or answered; nothing panics.
+//! Frames that are cut off or mutated are refused with one line or handled; nothing panics.
 use balancer_simulator::wire::{decode, read_frame};
 use balancer_simulator::Host;
 
@@ -39,7 +39,8 @@
     .concat()
 }
 
-/// Frames of one simulation: a balancer starts, hears of two upstreams, has three requests and their outcomes, and ends.
+/// Frames of one simulation: a balancer starts, hears of two upstreams, has three requests and their outcomes, and
+/// ends.
 fn session() -> Vec<Vec<u8>> {
     let target = vec![10, 0, 3];
     let length = (SETTINGS.len() as u32).to_be_bytes();
@@ -84,8 +85,8 @@
 /// Whether the frame is taken.
 fn play(host: &mut Host, bytes: &[u8]) -> bool {
     let read = read_frame(&mut &bytes[..], 0).map_err(|e| e.to_string());
-    let whole = read.and_then(|frame| frame.ok_or_else(|| "no frame".to_string()));
-    let decoded = whole.and_then(|frame| decode(&frame, 0).map_err(|e| e.to_string()));
+    let full = read.and_then(|frame| frame.ok_or_else(|| "no frame".to_string()));
+    let decoded = full.and_then(|frame| decode(&frame, 0).map_err(|e| e.to_string()));
     match decoded.and_then(|batch| host.handle_batch(&batch).map_err(|e| e.to_string())) {
         Ok(reply) => {
             // It states its own size.
@@ -110,19 +111,19 @@
         .chunks_exact(24)
         .filter(|action| action[0] == 7)
         .count();
-    // The upstreams are cold: how many of the three they get is the module's choice.
+    // The upstreams are in slow start: how many of the three they get is the module's choice.
     assert!(sends >= 1, "{reply:?}");
     assert!(frames[2..].iter().all(|frame| play(&mut host, frame)));
 }
 
 #[test]
 fn a_frame_that_is_cut_off_at_any_length_is_refused() {
-    for whole in session() {
-        for length in 0..whole.len() {
-            assert!(!play(&mut Host::default(), &whole[..length]), "{length}");
+    for full in session() {
+        for length in 0..full.len() {
+            assert!(!play(&mut Host::default(), &full[..length]), "{length}");
             // With a size that fits what is there it may be taken, if only the tail is shorter.
             if length >= HEADER {
-                play(&mut Host::default(), &sized(whole[..length].to_vec()));
+                play(&mut Host::default(), &sized(full[..length].to_vec()));
             }
         }
     }
@@ -151,8 +152,8 @@
     let (mut taken, mut refused) = (0, 0);
     for _ in 0..10_000 {
         let mut host = Host::default();
-        for whole in session() {
-            let mut bytes = whole;
+        for full in session() {
+            let mut bytes = full;
             for _ in 0..below(3) {
                 let at = below(bytes.len());
                 match below(4) {
