--- /dev/null
+++ b/lab/src/error.rs
@@ -0,0 +1,42 @@
+//! Errors of files and addresses, which several layers of the lab share. What the layers add to them is theirs.
+use std::io;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use thiserror::Error;
+
+/// A file or folder that could not be read, written or made.
+#[derive(Debug, Error)]
+#[error("{}: {source}", path.display())]
+pub struct FileError {
+    /// The file or folder.
+    pub path: PathBuf,
+    /// What the operating system says of it.
+    pub source: io::Error,
+}
+
+impl FileError {
+    /// Returns a function that adds the path to an error of the operating system, for `map_err`.
+    pub(crate) fn at(path: &Path) -> impl FnOnce(io::Error) -> FileError + '_ {
+        move |source| FileError {
+            path: path.to_path_buf(),
+            source,
+        }
+    }
+}
+
+/// An address that could not be listened on.
+#[derive(Debug, Error)]
+#[error("{address}: {source}")]
+pub struct BindError {
+    /// The address.
+    pub address: SocketAddr,
+    /// What the operating system says of it.
+    pub source: io::Error,
+}
+
+impl BindError {
+    /// Returns a function that adds the address to an error of the operating system, for `map_err`.
+    pub(crate) fn at(address: SocketAddr) -> impl FnOnce(io::Error) -> BindError {
+        move |source| BindError { address, source }
+    }
+}
--- /dev/null
+++ b/lab/src/faults/network.rs
@@ -0,0 +1,46 @@
+//! Loses, repeats, delays and forges datagrams between balancers. The emulated network is
+//! [`Datagrams`](crate::datagrams::Datagrams)'s.
+use super::injector::Injector;
+use crate::draw::PlannedFault;
+use crate::experiment::{FaultKind, Range};
+use crate::net::lock;
+
+/// From this share of lost datagrams on no balancer can be expected to know its peers.
+const MUFFLED_LOSS: f64 = 0.5;
+
+impl Injector {
+    pub(super) async fn datagram_garbage(&self, fault: &PlannedFault) {
+        let world = &self.fleet.world;
+        tokio::select! {
+            () = world.datagrams.garbage(fault.size) => {}
+            () = world.clock.until(fault.until) => {}
+            () = world.ended() => {}
+        }
+    }
+
+    pub(super) async fn degrade_datagrams(&self, fault: &PlannedFault) {
+        let world = &self.fleet.world;
+        let usual = world.experiment.net.clone();
+        let muffles = fault.kind == FaultKind::DatagramLoss && fault.size >= MUFFLED_LOSS;
+        if muffles {
+            lock(&world.oracle).muffle(true, world.now());
+        }
+        world
+            .datagrams
+            .change(|conditions| match (fault.kind, fault.delay) {
+                (FaultKind::DatagramLoss, _) => conditions.loss = fault.size,
+                (FaultKind::DatagramRepeat, _) => conditions.repeat = fault.size,
+                (_, Some((least, most))) => conditions.delay = Range { least, most },
+                _ => {}
+            });
+        world.clock.until(fault.until).await;
+        world.datagrams.change(|conditions| match fault.kind {
+            FaultKind::DatagramLoss => conditions.loss = usual.datagram_loss,
+            FaultKind::DatagramRepeat => conditions.repeat = usual.datagram_repeat,
+            _ => conditions.delay = usual.datagrams.0,
+        });
+        if muffles {
+            lock(&world.oracle).muffle(false, world.now());
+        }
+    }
+}
--- a/lab/src/faults/upstreams.rs
+++ b/lab/src/faults/upstreams.rs
@@ -1,57 +1,108 @@
-//! Upstreams that die, fall silent or are replaced, and come back cold.
-use super::ends::{kill, restart};
-use super::news::News;
+//! Makes upstreams slow or failing, and has them die, vanish or be replaced and come back warming up.
+use super::balancers::kill;
+use super::error::FaultError;
+use super::injector::{for_each_at_once, upstreams_of, Injector};
 use crate::agent::State;
+use crate::draw::PlannedFault;
 use crate::experiment::{FaultKind, Millis};
-use crate::fleet::Fleet;
-use crate::guard::Guard;
-use std::sync::Arc;
 
-pub(super) async fn leave_and_return(
-    fleet: Arc<Fleet>,
-    guard: Guard,
-    news: Arc<News>,
-    u: usize,
-    kind: FaultKind,
-    until: Millis,
-) -> Result<(), String> {
-    let world = &fleet.world;
-    let upstream = &fleet.upstreams[u];
-    let beside = world.beside(u);
-    let discovery = &world.experiment.discovery;
-    match kind {
-        FaultKind::Replace => {
-            news.tell(&fleet, u, State::Leaving, discovery.notice);
-            let longest = world.plan.longest();
-            let drained = discovery.notice.0.most + discovery.spread.0.most + longest;
-            world.clock.until(world.now() + drained).await;
-            upstream.end();
-            news.tell(&fleet, u, State::Left, discovery.notice);
-        }
-        FaultKind::Lose => {
-            upstream.vanish();
-            news.tell(&fleet, u, State::Left, discovery.silent_notice);
-        }
-        _ => {
-            upstream.end();
-            news.tell(&fleet, u, State::Left, discovery.notice);
+impl Injector {
+    pub(super) async fn slow_upstreams(&self, fault: &PlannedFault) {
+        let upstreams = upstreams_of(fault);
+        for &upstream in &upstreams {
+            self.fleet.upstreams[upstream].slow_down(fault.size);
+        }
+        self.fleet.world.clock.until(fault.until).await;
+        for &upstream in &upstreams {
+            self.fleet.upstreams[upstream].slow_down(1.0);
         }
     }
-    if let Some(b) = beside {
-        kill(&fleet, b);
+
+    pub(super) async fn fail_upstreams(&self, fault: &PlannedFault) {
+        let upstreams = upstreams_of(fault);
+        for &upstream in &upstreams {
+            self.fleet.upstreams[upstream].fail(Some(fault.size));
+        }
+        self.fleet.world.clock.until(fault.until).await;
+        for &upstream in &upstreams {
+            self.fleet.upstreams[upstream].fail(None);
+        }
     }
-    world.clock.until(until).await;
-    if kind == FaultKind::Replace {
-        news.replaced(u);
+
+    pub(super) fn reset_upstreams(&self, fault: &PlannedFault) {
+        for upstream in upstreams_of(fault) {
+            for link in self.fleet.upstreams[upstream].links.values() {
+                link.reset();
+            }
+        }
     }
-    upstream.begin(world.now());
-    if kind == FaultKind::Lose {
-        upstream.reappear();
+
+    /// Ends upstreams with the balancers beside them, and starts them again.
+    pub(super) async fn lose_upstreams(&self, fault: &PlannedFault) -> Result<(), FaultError> {
+        let (kind, until) = (fault.kind, fault.until);
+        for_each_at_once(upstreams_of(fault), |upstream| {
+            let injector = self.clone();
+            async move { injector.lose_upstream(upstream, kind, until).await }
+        })
+        .await
     }
-    if let Some(b) = beside {
-        fleet.balancers[b].ended().await;
-        restart(&fleet, &guard, b).await?;
+
+    async fn lose_upstream(
+        &self,
+        index: usize,
+        kind: FaultKind,
+        until: Millis,
+    ) -> Result<(), FaultError> {
+        let fleet = &self.fleet;
+        let world = &fleet.world;
+        let upstream = &fleet.upstreams[index];
+        let beside = world.beside(index);
+        self.end_upstream(index, kind).await;
+        if let Some(balancer) = beside {
+            kill(fleet, balancer);
+        }
+        world.clock.until(until).await;
+        if kind == FaultKind::Replace {
+            self.announcements.replaced(index);
+        }
+        upstream.begin(world.now());
+        if kind == FaultKind::Lose {
+            upstream.reappear();
+        }
+        if let Some(balancer) = beside {
+            fleet.balancers[balancer].exited().await;
+            self.start(balancer).await?;
+        }
+        let delay = world.experiment.discovery.add;
+        self.announcements
+            .announce(fleet, index, State::Active, delay);
+        Ok(())
+    }
+
+    /// Ends an upstream as the kind of fault does it, and announces that.
+    async fn end_upstream(&self, index: usize, kind: FaultKind) {
+        let fleet = &self.fleet;
+        let world = &fleet.world;
+        let upstream = &fleet.upstreams[index];
+        let discovery = &world.experiment.discovery;
+        let announce = |state, delay| self.announcements.announce(fleet, index, state, delay);
+        match kind {
+            FaultKind::Replace => {
+                announce(State::Draining, discovery.notice);
+                let longest = world.plan.longest();
+                let drain = discovery.notice.0.most + discovery.spread.0.most + longest;
+                world.clock.until(world.now() + drain).await;
+                upstream.end();
+                announce(State::Removed, discovery.notice);
+            }
+            FaultKind::Lose => {
+                upstream.vanish();
+                announce(State::Removed, discovery.silent_notice);
+            }
+            _ => {
+                upstream.end();
+                announce(State::Removed, discovery.notice);
+            }
+        }
     }
-    news.tell(&fleet, u, State::Active, discovery.add);
-    Ok(())
 }
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::draw::Plan;
 use crate::experiment::Experiment;
-use crate::process::{Process, Runs};
+use crate::process::{LaunchSpec, Process};
 use crate::upstream::Upstream;
 use crate::world::World;
 use std::path::Path;
@@ -27,7 +27,7 @@
     pub fn new(
         e: &Experiment,
         plan: &Plan,
-        builds: &[Runs],
+        builds: &[LaunchSpec],
         root: &Path,
         folder: &Path,
     ) -> Result<Arc<Fleet>, String> {
@@ -49,7 +49,7 @@
     /// Starts the upstreams, the agents and the network between balancers; the balancers start one by one.
     pub fn listen(&self) -> Result<(), String> {
         for agent in &self.agents {
-            agent.start(&self.world)?;
+            agent.start(&self.world).map_err(|e| e.to_string())?;
         }
         for upstream in &self.upstreams {
             upstream.start(&self.world)?;
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -7,6 +7,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 pub mod agent;
+pub mod atomic_file;
 pub mod audit;
 pub mod call;
 pub mod capacity;
@@ -15,6 +16,7 @@
 pub mod convergence;
 pub mod datagrams;
 pub mod draw;
+pub mod error;
 pub mod experiment;
 pub mod faults;
 pub mod figures;
@@ -33,5 +35,4 @@
 pub mod state;
 pub mod tally;
 pub mod upstream;
-pub mod whole_file;
 pub mod world;
--- a/lab/src/run/play.rs
+++ b/lab/src/run/play.rs
@@ -10,7 +10,7 @@
 use crate::guard::Guard;
 use crate::net::lock;
 use crate::oracle::Oracle;
-use crate::process::Runs;
+use crate::process::LaunchSpec;
 use crate::world::World;
 use indicatif::{ProgressBar, ProgressStyle};
 use nix::sys::signal::Signal;
@@ -76,11 +76,11 @@
     // Whatever happened: nothing of this run is left behind.
     fleet.world.over.send_replace(true);
     for process in &fleet.balancers {
-        process.signal(Signal::SIGCONT, true);
-        process.signal(Signal::SIGKILL, true);
+        process.stop(Signal::SIGCONT);
+        process.stop(Signal::SIGKILL);
     }
     for process in &fleet.balancers {
-        process.ended().await;
+        process.exited().await;
     }
     let stopped = ended?;
     Ok(sum_up(
@@ -107,12 +107,12 @@
 }
 
 /// What balancers may run: the program under test, then each build.
-fn runs(e: &Experiment, program: &Program, builds: &BTreeMap<String, String>) -> Vec<Runs> {
-    let plain = Runs {
+fn runs(e: &Experiment, program: &Program, builds: &BTreeMap<String, String>) -> Vec<LaunchSpec> {
+    let plain = LaunchSpec {
         command: program.command.clone(),
         options: merged(&e.options, &program.options),
     };
-    let build = |b: &Build| Runs {
+    let build = |b: &Build| LaunchSpec {
         command: builds.get(&b.name).unwrap_or(&program.command).clone(),
         options: match b.bare {
             true => b.options.clone(),
@@ -148,7 +148,9 @@
     loop {
         tokio::select! {
             started = starts.join_next() => match started {
-                Some(started) => started.map_err(|e| e.to_string())??,
+                Some(started) => started
+                    .map_err(|e| e.to_string())?
+                    .map_err(|e| e.to_string())?,
                 None => break,
             },
             _ = stop.wait_for(|s| *s) => return Ok(true),
--- a/lab/src/run/sum_up.rs
+++ b/lab/src/run/sum_up.rs
@@ -27,7 +27,7 @@
     let reports: Vec<_> = fleet
         .balancers
         .iter()
-        .filter_map(|p| p.figures())
+        .filter_map(|p| p.read_metrics())
         .filter_map(|f| f.tier())
         .collect();
     if reports.is_empty() {
@@ -94,9 +94,9 @@
         .zip(&plan.balancers)
         .map(|(p, b)| Held {
             name: b.name.clone(),
-            memory_kb: p.most_memory.load(Ordering::Relaxed),
-            descriptors: p.most_descriptors.load(Ordering::Relaxed),
-            cpu_s: p.ticks.load(Ordering::Relaxed) as f64 / TICKS,
+            memory_kb: p.max_memory_kb.load(Ordering::Relaxed),
+            descriptors: p.max_descriptors.load(Ordering::Relaxed),
+            cpu_s: p.cpu_ticks.load(Ordering::Relaxed) as f64 / TICKS,
         });
     let faults = plan.faults.iter().map(|f| {
         let until = if f.kind == FaultKind::Reset {
--- a/lab/src/run/watch.rs
+++ b/lab/src/run/watch.rs
@@ -29,16 +29,16 @@
     fleet
         .balancers
         .iter()
-        .for_each(|process| process.check_number(world));
+        .for_each(|process| process.check_incarnation(world));
     let through = fleet
         .balancers
         .iter()
         .enumerate()
-        .filter(|(_, p)| p.starts() == 1 && p.runs());
+        .filter(|(_, p)| p.starts() == 1 && p.is_running());
     for (b, process) in through {
         let fresh = async {
             loop {
-                match process.figures() {
+                match process.read_metrics() {
                     Some(counted) if counted.at_ms > over => return Some(counted),
                     Some(_) => tokio::time::sleep(FIGURES_ASK).await,
                     None => return None,
@@ -95,7 +95,10 @@
         let looked = fleet.clone();
         // Reading what the system says of some dozens of processes takes milliseconds.
         let look = tokio::task::spawn_blocking(move || {
-            looked.balancers.iter().for_each(|p| p.look(&looked.world))
+            looked
+                .balancers
+                .iter()
+                .for_each(|p| p.sample_usage(&looked.world))
         });
         if look.await.is_err() {
             return;
@@ -128,11 +131,11 @@
             .iter()
             .enumerate()
             .filter(move |(b, _)| world.plan.balancers[*b].tier == tier);
-        all.filter(|(_, process)| process.is_peer())
+        all.filter(|(_, process)| process.exchanges_datagrams())
     };
     for tier in 0..world.experiment.tiers.len() {
         let running: BTreeSet<usize> = peers(tier).map(|(b, _)| b).collect();
-        let reports = peers(tier).filter_map(|(b, process)| Some((b, process.figures()?)));
+        let reports = peers(tier).filter_map(|(b, process)| Some((b, process.read_metrics()?)));
         let reports: Vec<_> = reports
             .filter_map(|(b, f)| Some((b, f.at_ms - world.clock.unix(0.0), f.tier()?)))
             .collect();
--- a/lab/tests/parts/whole_file.rs
+++ b/lab/tests/parts/atomic_file.rs
@@ -1,5 +1,5 @@
 //! Files that are replaced while others write beside them.
-use balancer_lab::whole_file::replace;
+use balancer_lab::atomic_file::replace;
 use std::path::Path;
 
 const WRITES: usize = 400;
@@ -7,7 +7,7 @@
 /// Replaces a file again and again, and looks each time that it holds one of its own texts.
 fn write_and_read(path: &Path, own: &str) -> Result<(), String> {
     for number in 0..WRITES {
-        replace(path, &format!("{own} {number}"))?;
+        replace(path, &format!("{own} {number}")).map_err(|e| e.to_string())?;
         let found = std::fs::read_to_string(path).map_err(|e| e.to_string())?;
         if !found.starts_with(own) {
             return Err(format!("{} holds {found:?}", path.display()));
--- a/lab/tests/parts/main.rs
+++ b/lab/tests/parts/main.rs
@@ -1,5 +1,6 @@
 //! Tests of the parts of the lab, each by its public interface and without processes of balancers.
 mod answers;
+mod atomic_file;
 mod audit;
 mod convergence;
 mod datagrams;
@@ -7,4 +8,3 @@
 mod net;
 mod oracle;
 mod state;
-mod whole_file;
