--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -9,7 +9,7 @@
 use balancer_lab::programs::{builds, deploy, programs, with_options};
 use balancer_lab::results::{compare, summary, Asked, Results};
 use balancer_lab::run::{play, Stage};
-use balancer_lab::stand_in::{self, Choice, Wrong};
+use balancer_lab::stand_in::{self, Misbehavior, Policy};
 use clap::{Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -59,10 +59,11 @@
     #[command(hide = true)]
     StandIn {
         /// How to choose.
-        choice: Choice,
+        #[arg(value_name = "CHOICE")]
+        policy: Policy,
         /// What to do wrong.
-        #[arg(long)]
-        wrong: Option<Wrong>,
+        #[arg(long = "wrong", value_name = "WRONG")]
+        misbehavior: Option<Misbehavior>,
     },
     /// Kill what is left when standard input ends. The lab starts this itself.
     #[command(hide = true)]
@@ -139,9 +140,10 @@
         Verb::List { folder } => list_it(&folder),
         Verb::Check { files } => check_them(&files),
         Verb::Capacity(capacity) => capacity_it(capacity),
-        Verb::StandIn { choice, wrong } => {
-            runtime(2).and_then(|r| r.block_on(stand_in::run(choice, wrong)).map(|()| End::Held))
-        }
+        Verb::StandIn {
+            policy,
+            misbehavior,
+        } => run_stand_in(policy, misbehavior),
         Verb::Guard => {
             stand_guard(std::io::stdin().lock());
             Ok(End::Held)
@@ -157,6 +159,12 @@
     }
 }
 
+fn run_stand_in(policy: Policy, misbehavior: Option<Misbehavior>) -> Result<End, String> {
+    let runtime = runtime(2)?;
+    let done = runtime.block_on(stand_in::run(policy, misbehavior));
+    done.map(|()| End::Held).map_err(|e| e.to_string())
+}
+
 fn runtime(threads: usize) -> Result<tokio::runtime::Runtime, String> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(threads)
--- /dev/null
+++ b/lab/src/report/plots.rs
@@ -0,0 +1,222 @@
+//! The plots of the page: what each shows of the plays.
+use super::plot::{FaultSpan, Line, Plot, PlotError};
+use crate::clock::histogram;
+use crate::draw::Plan;
+use crate::experiment::Experiment;
+use crate::figures::{figures, Figures, Played};
+use crate::tally::{Done, How, Second};
+
+/// A metric over the requests that were due in each second.
+struct MetricPlot {
+    title: &'static str,
+    unit: &'static str,
+    /// The highest value that the metric can have, if there is one.
+    top: Option<f64>,
+    value: fn(&Figures) -> f64,
+}
+
+const METRIC_PLOTS: [MetricPlot; 5] = [
+    MetricPlot {
+        title: "Worth served, of what was asked for",
+        unit: "part",
+        top: Some(1.0),
+        value: |metrics| metrics.worth,
+    },
+    MetricPlot {
+        title: "Answered in time",
+        unit: "part",
+        top: Some(1.0),
+        value: |metrics| metrics.in_time,
+    },
+    MetricPlot {
+        title: "Refused",
+        unit: "part",
+        top: Some(1.0),
+        value: |metrics| metrics.refused,
+    },
+    MetricPlot {
+        title: "Failed or unanswered",
+        unit: "part",
+        top: Some(1.0),
+        value: |metrics| metrics.failed,
+    },
+    MetricPlot {
+        title: "Time to the answer, 99th percentile",
+        unit: "ms",
+        top: None,
+        value: |metrics| metrics.p99_ms,
+    },
+];
+
+/// A count of each second.
+struct CountPlot {
+    title: &'static str,
+    value: fn(&Second) -> f64,
+}
+
+const COUNT_PLOTS: [CountPlot; 3] = [
+    CountPlot {
+        title: "Attempts that cross zones",
+        value: |second| second.crossings as f64,
+    },
+    CountPlot {
+        title: "New connections to upstreams",
+        value: |second| second.connections as f64,
+    },
+    CountPlot {
+        title: "Upstreams that are slow because they were crowded",
+        value: |second| second.choked as f64,
+    },
+];
+
+/// Writes all plots of the plays.
+pub(super) fn write_plots(
+    html: &mut String,
+    experiment: &Experiment,
+    plan: &Plan,
+    plays: &[&Played],
+    faults: &[FaultSpan],
+) -> Result<(), PlotError> {
+    let draws = Plots {
+        experiment,
+        plan,
+        plays,
+        faults,
+    };
+    for metric in &METRIC_PLOTS {
+        html.push_str(&draws.metric(metric)?);
+    }
+    html.push_str(&draws.percentiles()?);
+    for play in plays {
+        html.push_str(&draws.zones(play)?);
+    }
+    for count in &COUNT_PLOTS {
+        html.push_str(&draws.count(count)?);
+    }
+    Ok(())
+}
+
+/// What the plots are drawn from.
+struct Plots<'a> {
+    experiment: &'a Experiment,
+    plan: &'a Plan,
+    plays: &'a [&'a Played],
+    faults: &'a [FaultSpan],
+}
+
+impl Plots<'_> {
+    fn metric(&self, metric: &MetricPlot) -> Result<String, PlotError> {
+        let line = |play: &&Played| Line {
+            name: play.program.clone(),
+            points: self.metric_by_second(play, metric.value),
+        };
+        let lines: Vec<Line> = self.plays.iter().map(line).collect();
+        Plot {
+            title: metric.title,
+            x_label: "second",
+            y_label: metric.unit,
+            top: metric.top,
+            lines: &lines,
+            faults: self.faults,
+        }
+        .figure()
+    }
+
+    fn percentiles(&self) -> Result<String, PlotError> {
+        let lines: Vec<Line> = self.plays.iter().map(|play| percentiles(play)).collect();
+        Plot {
+            title: "Time to the answer by percentile",
+            x_label: "percentile",
+            y_label: "ms",
+            top: None,
+            lines: &lines,
+            faults: &[],
+        }
+        .figure()
+    }
+
+    /// Attempts at the upstreams of each zone, for one program.
+    fn zones(&self, play: &Played) -> Result<String, PlotError> {
+        let zones = self.experiment.fleet.zones.iter().enumerate();
+        let line = |(zone, name): (usize, &String)| Line {
+            name: name.clone(),
+            points: self.count_by_second(play, |second| second.attempts[zone] as f64),
+        };
+        let lines: Vec<Line> = zones.map(line).collect();
+        let title = format!(
+            "Attempts a second at the upstreams of each zone: {}",
+            play.program
+        );
+        Plot {
+            title: &title,
+            x_label: "second",
+            y_label: "a second",
+            top: None,
+            lines: &lines,
+            faults: self.faults,
+        }
+        .figure()
+    }
+
+    fn count(&self, count: &CountPlot) -> Result<String, PlotError> {
+        let line = |play: &&Played| Line {
+            name: play.program.clone(),
+            points: self.count_by_second(play, count.value),
+        };
+        let lines: Vec<Line> = self.plays.iter().map(line).collect();
+        Plot {
+            title: count.title,
+            x_label: "second",
+            y_label: "",
+            top: None,
+            lines: &lines,
+            faults: self.faults,
+        }
+        .figure()
+    }
+
+    /// The points of a count. The second in which the last responses come is no full one, and left out.
+    fn count_by_second(&self, play: &Played, value: impl Fn(&Second) -> f64) -> Vec<(f64, f64)> {
+        let full_seconds = (self.plan.length / 1000.0) as u32;
+        (0..full_seconds)
+            .zip(&play.tally.seconds)
+            .map(|(number, second)| (f64::from(number), value(second)))
+            .collect()
+    }
+
+    /// The points of a metric, over the requests that were due in each second.
+    fn metric_by_second(&self, play: &Played, value: fn(&Figures) -> f64) -> Vec<(f64, f64)> {
+        let seconds = (self.plan.length / 1000.0).ceil() as usize;
+        let mut by_second: Vec<Vec<Done>> = vec![Vec::new(); seconds];
+        for done in &play.tally.done {
+            if let Some(second) = by_second.get_mut((done.at / 1000.0) as usize) {
+                second.push(done.clone());
+            }
+        }
+        let metrics = |done: &[Done]| figures(self.experiment, self.plan, done, |_| true);
+        // A second in which nothing was due has no share of anything.
+        by_second
+            .iter()
+            .enumerate()
+            .filter(|(_, done)| !done.is_empty())
+            .map(|(number, done)| (number as f64, value(&metrics(done))))
+            .collect()
+    }
+}
+
+/// The time to the response by percentile, in steps of a half, over what was served.
+fn percentiles(play: &Played) -> Line {
+    let mut times = histogram();
+    let served = |done: &&Done| done.how == How::Served;
+    for done in play.tally.done.iter().filter(served) {
+        times.saturating_record((done.took * 1000.0) as u64);
+    }
+    let at = |percentile: f64| {
+        let micros = times.value_at_quantile(percentile / 100.0);
+        (percentile, micros as f64 / 1000.0)
+    };
+    Line {
+        name: play.program.clone(),
+        points: (1..=199).map(|half| at(f64::from(half) / 2.0)).collect(),
+    }
+}
--- a/lab/src/results/folder.rs
+++ b/lab/src/results/folder.rs
@@ -135,7 +135,10 @@
     /// Writes the report, and says where.
     pub fn report(&self, e: &Experiment, plan: &Plan, plays: &[Played]) -> Result<PathBuf, String> {
         let path = self.folder.join("report.html");
-        write(&path, &report::page(e, plan, plays)?)?;
+        write(
+            &path,
+            &report::page(e, plan, plays).map_err(|e| e.to_string())?,
+        )?;
         Ok(path)
     }
 }
--- a/lab/src/stand_in/wrong.rs
+++ b/lab/src/stand_in/misbehavior.rs
@@ -1,67 +1,92 @@
-//! How a stand-in chooses, and what it does that it must not.
+//! How a stand-in chooses upstreams, and what it does that a balancer must not. The names on the command line are fixed.
 use clap::ValueEnum;
 
-/// How a pass-through chooses.
+/// How a stand-in chooses an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Choice {
+pub enum Policy {
     /// Any of the active ones.
     Random,
     /// Each in turn.
     RoundRobin,
 }
 
-/// What one does that it must not.
+/// What a stand-in does that a balancer must not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Wrong {
+pub enum Misbehavior {
     /// Closes the connection of every tenth request after it has sent it on.
-    Loses,
+    #[value(name = "loses")]
+    LoseResponse,
     /// Says nothing to every tenth request.
-    Holds,
+    #[value(name = "holds")]
+    NeverRespond,
     /// Answers every tenth request by itself.
-    Invents,
+    #[value(name = "invents")]
+    InventResponse,
     /// Sends what failed or was served once more, whatever its class.
-    Repeats,
+    #[value(name = "repeats")]
+    RepeatRequest,
     /// Refuses every tenth request after it has run.
-    Refuses,
+    #[value(name = "refuses")]
+    RefuseAfterRun,
     /// Sends every request to two upstreams at once.
-    Doubles,
+    #[value(name = "doubles")]
+    SendTwiceAtOnce,
     /// Tries ever again.
-    Insists,
+    #[value(name = "insists")]
+    RetryTooOften,
     /// Sends every tenth request once more after it has answered.
-    Lingers,
+    #[value(name = "lingers")]
+    SendAfterResponse,
     /// Ignores that an upstream drains.
-    Deaf,
+    #[value(name = "deaf")]
+    IgnoreUpdates,
     /// Sends everything to whoever started last.
-    Crowds,
+    #[value(name = "crowds")]
+    SendToNewest,
     /// Sends on requests under ids of its own.
-    Forges,
+    #[value(name = "forges")]
+    ForgeRequestId,
     /// Takes ever more memory.
-    Swells,
+    #[value(name = "swells")]
+    LeakMemory,
     /// Takes ever more descriptors.
-    Hoards,
+    #[value(name = "hoards")]
+    LeakDescriptors,
     /// Ends after some requests.
-    Dies,
+    #[value(name = "dies")]
+    Crash,
     /// Never reports that it is ready.
-    Idles,
+    #[value(name = "idles")]
+    NeverReady,
     /// Sends its peers more than a datagram may hold.
-    Shouts,
+    #[value(name = "shouts")]
+    OversizeDatagram,
     /// Writes figures of twice what it took.
-    Boasts,
+    #[value(name = "boasts")]
+    OverstateMetrics,
     /// Writes the same number of its start each time.
-    Stutters,
+    #[value(name = "stutters")]
+    RepeatIncarnation,
     /// Writes that it acts on sums of a minute ago.
-    Remembers,
+    #[value(name = "remembers")]
+    StaleSums,
     /// Refuses the first tenant that it has seen, once it has seen another.
-    Favours,
+    #[value(name = "favours")]
+    RefuseFirstTenant,
     /// Speaks with its peers as it should, and reads version 1 alone. Nothing wrong by itself: others may be, beside
     /// it.
-    SpeaksOld,
+    #[value(name = "speaks-old")]
+    OldVersionOnly,
     /// Speaks with its peers, reads versions 1 and 2, and sends 2 whoever is there.
-    Misspeaks,
+    #[value(name = "misspeaks")]
+    UnreadableVersion,
     /// Reads versions 1 and 2, and sends 1 for ever.
-    Clings,
+    #[value(name = "clings")]
+    NeverAgree,
     /// Tells of a number of the agreement that goes back.
-    Rewinds,
+    #[value(name = "rewinds")]
+    RewindEpoch,
     /// Sends its peers what is no datagram.
-    Mumbles,
+    #[value(name = "mumbles")]
+    InvalidChecksum,
 }
