--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -52,7 +52,7 @@
             agent.start(&self.world).map_err(|e| e.to_string())?;
         }
         for upstream in &self.upstreams {
-            upstream.start(&self.world)?;
+            upstream.start(&self.world).map_err(|e| e.to_string())?;
         }
         let world = self.world.clone();
         self.world
--- a/lab/src/machine.rs
+++ b/lab/src/machine.rs
@@ -1,110 +1,129 @@
-//! One emulated machine: slots, a queue, cores, warmth, and what overload does to it.
+//! One emulated machine: slots, a queue, cores, slow start, and what overload does to it.
 //!
-//! Sans-I/O: it takes requests and the time, and answers when it is to be polled again. Work is laid out
-//! on the cores by its own clock, so that a host that asks a little late changes no figure.
+//! Sans-I/O: it takes requests and the time, and returns when it is to be polled again. Work is laid out on the cores by
+//! its own clock, so that a host that polls a little late changes no result. It knows nothing of sockets.
 use crate::draw::Upstream;
 use crate::experiment::Millis;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
-/// Names one request, or one piece of work, at one machine.
+/// Identifies one request, or one piece of work, at one machine.
 pub type Token = u64;
 
+/// Requests beyond the collapse limit that chance may bring.
+const CHANCE_REQUESTS: f64 = 4.0;
+
 /// How a machine admits a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// A slot: its work may begin.
     Slot,
-    /// Queued: the one whose [`Machine::leave`] frees a slot names it.
+    /// Queued: [`Machine::handle_departure`] of another request returns it once it has a slot.
     Queued,
-    /// Turned away.
+    /// Rejected.
     Full,
 }
 
-/// How far a cold start has come, and what is sent meanwhile.
-struct Cold {
+/// Work that a machine was sent during its slow start.
+struct SentWork {
+    at: Millis,
+    /// In milliseconds of a core.
+    work: f64,
+    /// Whether the sender had been notified of the machine's start.
+    informed: bool,
+}
+
+/// How far a slow start has come, and what is sent meanwhile.
+struct SlowStart {
     since: Millis,
     /// Work done since the start, in milliseconds of a core.
     done: f64,
-    /// Work sent lately: when, how much, and whether by a balancer that had been notified of the start.
-    sent: VecDeque<(Millis, f64, bool)>,
+    /// Work sent within the window of the collapse limit.
+    sent: VecDeque<SentWork>,
 }
 
-/// The bound on what a cold machine bears.
+/// The load under which a machine collapses during its slow start.
 #[derive(Clone, Copy, Debug)]
-pub struct Tipping {
-    /// It falls over when sent this many times what it can do at that moment ...
+pub struct CollapseLimit {
+    /// It collapses when sent this many times what it can do at that moment ...
     pub multiple: f64,
-    /// ... for this long.
-    pub fall: Millis,
+    /// ... over this time.
+    pub window: Millis,
 }
 
-/// How a machine fell over.
+/// How a machine collapsed during its slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Tipped {
+pub struct Collapse {
     /// Work sent within the window, in milliseconds of a core.
     pub sent: f64,
-    /// What it bears in such a window.
-    pub bears: f64,
-    /// The part of it that came from balancers that had been notified of its start.
-    pub knew_start: f64,
+    /// Work that it can take in such a window.
+    pub limit: f64,
+    /// The share of the work sent that came from balancers that had been notified of its start.
+    pub informed_share: f64,
 }
 
 /// One machine.
 pub struct Machine {
     plan: Upstream,
-    tipping: Tipping,
-    /// Mean work of a request here, the allowance for chance in what tips it.
+    collapse_limit: CollapseLimit,
+    /// Mean work of a request here, the allowance for chance in the collapse limit.
     mean_work: f64,
-    /// Times slower by a fault.
-    slower: f64,
-    /// Open connections as a part of the most.
+    /// How many times slower a fault makes it.
+    slowdown: f64,
+    /// Open connections as a share of the limit.
     connections: f64,
-    cold: Option<Cold>,
-    tipped: Option<Tipped>,
+    slow_start: Option<SlowStart>,
+    collapse: Option<Collapse>,
     /// Requests in a slot.
-    inside: HashSet<Token>,
-    waiting: VecDeque<Token>,
+    in_slot: HashSet<Token>,
+    /// Requests that wait for a slot.
+    queued: VecDeque<Token>,
     /// Work that waits for a core.
     ready: VecDeque<(Token, f64)>,
-    /// Work on a core: when it ends.
-    running: BTreeMap<(u64, Token), f64>,
-    overloaded: Option<Millis>,
-    degraded: Option<Millis>,
-    idle: Option<Millis>,
+    /// Work on a core, by when it ends.
+    running: BTreeMap<(Micros, Token), f64>,
+    overloaded_since: Option<Millis>,
+    degraded_since: Option<Millis>,
+    idle_since: Option<Millis>,
 }
 
-/// An order for times that are never NaN.
-fn key(at: Millis) -> u64 {
+/// A point of the run in microseconds, which can be ordered.
+type Micros = u64;
+
+fn micros(at: Millis) -> Micros {
     (at.max(0.0) * 1000.0) as u64
 }
 
+fn millis(at: Micros) -> Millis {
+    at as f64 / 1000.0
+}
+
 impl Machine {
     /// A warm machine.
-    pub fn new(plan: Upstream, tipping: Tipping, mean_work: f64) -> Machine {
+    pub fn new(plan: Upstream, collapse_limit: CollapseLimit, mean_work: f64) -> Machine {
         Machine {
             plan,
-            tipping,
+            collapse_limit,
             mean_work,
-            slower: 1.0,
+            slowdown: 1.0,
             connections: 0.0,
-            cold: None,
-            tipped: None,
-            inside: HashSet::new(),
-            waiting: VecDeque::new(),
+            slow_start: None,
+            collapse: None,
+            in_slot: HashSet::new(),
+            queued: VecDeque::new(),
             ready: VecDeque::new(),
             running: BTreeMap::new(),
-            overloaded: None,
-            degraded: None,
-            idle: None,
+            overloaded_since: None,
+            degraded_since: None,
+            idle_since: None,
         }
     }
 
-    /// Starts anew, cold, with nothing in it.
+    /// Starts anew, with nothing in it and a slow start before it.
     pub fn restart(&mut self, now: Millis) {
-        let slower = self.slower;
-        *self = Machine::new(self.plan.clone(), self.tipping, self.mean_work);
-        self.slower = slower;
-        self.cold = Some(Cold {
+        let slowdown = self.slowdown;
+        *self = Machine::new(self.plan.clone(), self.collapse_limit, self.mean_work);
+        self.slowdown = slowdown;
+        self.slow_start = Some(SlowStart {
             since: now,
             done: 0.0,
             sent: VecDeque::new(),
@@ -113,59 +132,69 @@
 
     /// A fault makes it this many times slower; 1 ends that.
     pub fn slow_down(&mut self, times: f64) {
-        self.slower = times.max(0.01);
+        self.slowdown = times.max(0.01);
     }
 
-    /// The part of its table of connections that is in use.
-    pub fn connected(&mut self, part: f64) {
-        self.connections = part.clamp(0.0, 1.0);
+    /// Sets the share of its table of connections that is in use.
+    pub fn set_connections(&mut self, share: f64) {
+        self.connections = share.clamp(0.0, 1.0);
     }
 
-    /// The part of its capacity that it has as warm as it is now.
-    pub fn warmth(&self, now: Millis) -> f64 {
-        let Some(cold) = &self.cold else { return 1.0 };
+    /// The share of its capacity that it has in its slow start; 1 without one.
+    pub fn slow_start_weight(&self, now: Millis) -> f64 {
+        let Some(slow_start) = &self.slow_start else {
+            return 1.0;
+        };
         // Capacity rises with time, or with the work done if that is more.
         let all = self.plan.cold_for * self.plan.cores as f64 * self.plan.speed;
-        let progress =
-            ((now - cold.since) / self.plan.cold_for.max(1.0)).max(cold.done / all.max(1.0));
+        let by_time = (now - slow_start.since) / self.plan.cold_for.max(1.0);
+        let by_work = slow_start.done / all.max(1.0);
+        let progress = by_time.max(by_work);
         (self.plan.cold_from + (1.0 - self.plan.cold_from) * progress).min(1.0)
     }
 
     /// What each core does in a millisecond.
     fn rate(&self, now: Millis) -> f64 {
-        let choke = match (self.degraded, self.plan.choke) {
+        let choke = match (self.degraded_since, self.plan.choke) {
             (Some(_), Some(choke)) => choke.slower,
             _ => 1.0,
         };
         let table = 1.0 - self.plan.full_tax * self.connections;
-        (self.plan.speed * self.warmth(now) * table / choke / self.slower).max(1e-6)
+        (self.plan.speed * self.slow_start_weight(now) * table / choke / self.slowdown).max(1e-6)
     }
 
-    /// Requests that it holds, those that wait included.
-    pub fn holds(&self) -> usize {
-        self.inside.len() + self.waiting.len()
+    /// Requests in flight, those that are queued included.
+    pub fn in_flight(&self) -> usize {
+        self.in_slot.len() + self.queued.len()
     }
 
     /// Whether it is slow because it was overloaded.
     pub fn is_degraded(&self) -> bool {
-        self.degraded.is_some()
+        self.degraded_since.is_some()
     }
 
-    /// How it fell over, if it did since its last start.
-    pub fn tipped(&self) -> Option<Tipped> {
-        self.tipped
+    /// How it collapsed, if it did since its last start.
+    pub fn collapse(&self) -> Option<Collapse> {
+        self.collapse
     }
 
-    /// A request comes: `work` is what it asks for in all, `knew_start` whether its sender knew of the last start.
-    pub fn enter(&mut self, now: Millis, token: Token, work: f64, knew_start: bool) -> Admission {
-        self.note_sent(now, work, knew_start);
-        let admission = if self.tipped.is_some() {
+    /// Admits a request, or rejects it: `work` is all that it asks for, `informed` whether its sender has been notified
+    /// of the last start.
+    pub fn handle_request(
+        &mut self,
+        now: Millis,
+        token: Token,
+        work: f64,
+        informed: bool,
+    ) -> Admission {
+        self.record_sent(now, work, informed);
+        let admission = if self.collapse.is_some() {
             Admission::Full
-        } else if self.inside.len() < self.plan.slots {
-            self.inside.insert(token);
+        } else if self.in_slot.len() < self.plan.slots {
+            self.in_slot.insert(token);
             Admission::Slot
-        } else if self.waiting.len() < self.plan.queue {
-            self.waiting.push_back(token);
+        } else if self.queued.len() < self.plan.queue {
+            self.queued.push_back(token);
             Admission::Queued
         } else {
             Admission::Full
@@ -174,48 +203,48 @@
         admission
     }
 
-    fn note_sent(&mut self, now: Millis, work: f64, knew_start: bool) {
-        let warm = self.warmth(now) >= 1.0;
-        let Some(cold) = &mut self.cold else { return };
-        if warm {
-            self.cold = None;
+    fn record_sent(&mut self, now: Millis, work: f64, informed: bool) {
+        let is_warm = self.slow_start_weight(now) >= 1.0;
+        let Some(slow_start) = &mut self.slow_start else {
+            return;
+        };
+        if is_warm {
+            self.slow_start = None;
             return;
         }
-        cold.sent.push_back((now, work, knew_start));
-        while cold
-            .sent
-            .front()
-            .is_some_and(|&(at, ..)| at < now - self.tipping.fall)
-        {
-            cold.sent.pop_front();
+        slow_start.sent.push_back(SentWork {
+            at: now,
+            work,
+            informed,
+        });
+        let CollapseLimit { multiple, window } = self.collapse_limit;
+        let is_past = |sent: &SentWork| sent.at < now - window;
+        while slow_start.sent.front().is_some_and(is_past) {
+            slow_start.sent.pop_front();
         }
-        let sent: f64 = cold.sent.iter().map(|(_, work, _)| work).sum();
-        let by_informed: f64 = cold
-            .sent
-            .iter()
-            .filter(|(.., knew_start)| *knew_start)
-            .map(|(_, work, _)| work)
-            .sum();
-        let can = self.plan.cores as f64 * self.plan.speed * self.warmth(now);
-        // A few requests more than the budget are chance.
-        let bears = self.tipping.multiple * can * self.tipping.fall + 4.0 * self.mean_work;
-        if sent > bears && self.tipped.is_none() {
-            self.tipped = Some(Tipped {
+        let sent: f64 = slow_start.sent.iter().map(|sent| sent.work).sum();
+        let informed = slow_start.sent.iter().filter(|sent| sent.informed);
+        let sent_by_informed: f64 = informed.map(|sent| sent.work).sum();
+        let rate = self.plan.cores as f64 * self.plan.speed * self.slow_start_weight(now);
+        // A few requests more than the limit are chance.
+        let limit = multiple * rate * window + CHANCE_REQUESTS * self.mean_work;
+        if sent > limit && self.collapse.is_none() {
+            self.collapse = Some(Collapse {
                 sent,
-                bears,
-                knew_start: by_informed / sent,
+                limit,
+                informed_share: sent_by_informed / sent,
             });
         }
     }
 
-    /// A request in a slot asks for a core for this much work; [`Machine::advance`] says when it is done.
-    pub fn work(&mut self, now: Millis, token: Token, work: f64) {
+    /// Queues work of a request in a slot for a core; [`Machine::on_timeout`] returns it once it is done.
+    pub fn start_work(&mut self, now: Millis, token: Token, work: f64) {
         self.ready.push_back((token, work.max(0.0)));
         self.fill_cores(now);
     }
 
-    /// A piece of work is given up; what runs goes on where the machine does not stop it.
-    pub fn drop_work(&mut self, now: Millis, token: Token) {
+    /// Cancels work; what runs goes on where the machine does not stop it.
+    pub fn cancel_work(&mut self, now: Millis, token: Token) {
         self.ready.retain(|(t, _)| *t != token);
         if self.plan.cancel_stops {
             self.running.retain(|(_, t), _| *t != token);
@@ -223,15 +252,15 @@
         self.fill_cores(now);
     }
 
-    /// A request leaves its place, wherever it is. The one that gets its slot, if one waited.
-    pub fn leave(&mut self, now: Millis, token: Token) -> Option<Token> {
+    /// Removes a request, and returns the queued one that gets its slot.
+    pub fn handle_departure(&mut self, now: Millis, token: Token) -> Option<Token> {
         let mut next = None;
-        if self.inside.remove(&token) {
-            next = self.waiting.pop_front();
-            self.inside.extend(next);
+        if self.in_slot.remove(&token) {
+            next = self.queued.pop_front();
+            self.in_slot.extend(next);
         } else {
-            // One from before a restart is in neither place.
-            self.waiting.retain(|t| *t != token);
+            // A request from before a restart is in neither.
+            self.queued.retain(|t| *t != token);
         }
         self.update_overload(now);
         next
@@ -243,27 +272,23 @@
                 return;
             };
             let end = now + work / self.rate(now);
-            self.running.insert((key(end), token), work);
+            self.running.insert((micros(end), token), work);
         }
     }
 
-    /// When it is to be polled next.
-    pub fn next(&self) -> Option<Millis> {
-        let work = self
-            .running
-            .keys()
-            .next()
-            .map(|&(at, _)| at as f64 / 1000.0);
+    /// When [`Machine::on_timeout`] is to be called next.
+    pub fn next_timeout(&self) -> Option<Millis> {
+        let work = self.running.keys().next().map(|&(at, _)| millis(at));
         let overload = self.plan.choke.and_then(|c| {
             let slow = self
-                .overloaded
-                .filter(|_| self.degraded.is_none())
+                .overloaded_since
+                .filter(|_| self.degraded_since.is_none())
                 .map(|at| at + c.over);
             let idle = self
-                .idle
-                .filter(|_| self.degraded.is_some())
+                .idle_since
+                .filter(|_| self.degraded_since.is_some())
                 .map(|at| at + c.rest);
-            let latest = self.degraded.map(|at| at + c.most);
+            let latest = self.degraded_since.map(|at| at + c.most);
             [slow, idle, latest]
                 .into_iter()
                 .flatten()
@@ -275,17 +300,17 @@
             .min_by(f64::total_cmp)
     }
 
-    /// Adds the work that is done by now, each piece ended at its own time.
-    pub fn advance(&mut self, now: Millis, done: &mut Vec<Token>) {
+    /// Appends the work that is done by now to `done`, each piece ended at its own time.
+    pub fn on_timeout(&mut self, now: Millis, done: &mut Vec<Token>) {
         while let Some(entry) = self.running.first_entry() {
             let (ends, token) = *entry.key();
-            let at = ends as f64 / 1000.0;
+            let at = millis(ends);
             if at > now {
                 break;
             }
             let work = entry.remove();
-            if let Some(cold) = &mut self.cold {
-                cold.done += work;
+            if let Some(slow_start) = &mut self.slow_start {
+                slow_start.done += work;
             }
             done.push(token);
             // The core takes up its next piece when this one ended, not when somebody looked.
@@ -296,27 +321,30 @@
 
     fn update_overload(&mut self, now: Millis) {
         let Some(choke) = self.plan.choke else { return };
-        let held_per_core = self.holds() as f64 / self.plan.cores as f64;
-        self.overloaded = if held_per_core >= choke.at {
-            self.overloaded.or(Some(now))
+        let in_flight_per_core = self.in_flight() as f64 / self.plan.cores as f64;
+        self.overloaded_since = if in_flight_per_core >= choke.at {
+            self.overloaded_since.or(Some(now))
         } else {
             None
         };
-        self.idle = if held_per_core < choke.below {
-            self.idle.or(Some(now))
+        self.idle_since = if in_flight_per_core < choke.below {
+            self.idle_since.or(Some(now))
         } else {
             None
         };
-        match self.degraded {
-            None if self.overloaded.is_some_and(|at| now - at >= choke.over) => {
-                self.degraded = Some(now);
-                self.idle = None;
+        match self.degraded_since {
+            None if self
+                .overloaded_since
+                .is_some_and(|at| now - at >= choke.over) =>
+            {
+                self.degraded_since = Some(now);
+                self.idle_since = None;
             }
             Some(since) => {
-                let idle = self.idle.is_some_and(|at| now - at >= choke.rest);
+                let idle = self.idle_since.is_some_and(|at| now - at >= choke.rest);
                 if idle || now - since >= choke.most {
-                    self.degraded = None;
-                    self.overloaded = None;
+                    self.degraded_since = None;
+                    self.overloaded_since = None;
                 }
             }
             None => {}
--- a/lab/src/upstream/emulated.rs
+++ b/lab/src/upstream/emulated.rs
@@ -1,8 +1,8 @@
 //! One upstream: its machine, who waits for it, and what faults do to it. Owns its state.
-use super::load_report::LoadReport;
+use super::load_report::{Load, LoadReport, ReportRules};
 use crate::draw::{self, Calls, Plan};
 use crate::experiment::{Experiment, Millis};
-use crate::machine::{Machine, Tipping, Token};
+use crate::machine::{CollapseLimit, Machine, Token};
 use crate::net::{lock, Direction, Link};
 use crate::world::World;
 use std::collections::HashMap;
@@ -11,25 +11,32 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch, Notify};
 
+/// What changes while an upstream runs.
 pub(super) struct State {
     pub(super) machine: Machine,
+    /// Who waits for a slot or for work to be done.
     pub(super) waiters: HashMap<Token, oneshot::Sender<()>>,
-    pub(super) next: Token,
-    pub(super) connections: usize,
+    last_token: Token,
+    connections: usize,
     pub(super) load_report: LoadReport,
-    /// Recent service times and ends, for load reports.
-    pub(super) recent: Millis,
-    pub(super) served: u64,
-    pub(super) counted: (Millis, u64),
-    pub(super) noise: Calls,
-    pub(super) tipped_told: bool,
+    /// The oracle has judged the collapse of this start.
+    pub(super) collapse_reported: bool,
+}
+
+impl State {
+    /// Wakes whoever waits for a token.
+    fn wake(&mut self, token: Token) {
+        if let Some(waiter) = self.waiters.remove(&token) {
+            // Whoever waited may have left.
+            let _ = waiter.send(());
+        }
+    }
 }
 
 /// One upstream.
 pub struct Upstream {
     pub(super) index: usize,
     pub(super) plan: draw::Upstream,
-    pub(super) noise: f64,
     pub(super) connection_idle: Duration,
     pub(super) state: Mutex<State>,
     pub(super) wake: Notify,
@@ -39,19 +46,19 @@
     pub(super) listens: watch::Sender<bool>,
     /// How often it has started.
     pub(super) starts: AtomicUsize,
-    /// Part of its answers that are errors, by a fault, in millionths.
+    /// The share of its responses that are errors, in millionths.
     pub(super) errors: AtomicUsize,
 }
 
 impl Upstream {
-    /// A warm one that listens to nobody yet.
+    /// Returns an upstream that is warm and listens to nobody yet.
     pub fn new(index: usize, experiment: &Experiment, plan: &Plan) -> Upstream {
         let own = plan.upstreams[index].clone();
         let tier = &experiment.tiers[own.tier];
         let rules = &experiment.balancer;
-        let tipping = Tipping {
+        let collapse_limit = CollapseLimit {
             multiple: rules.tip_multiple,
-            fall: rules.fall.0.mean(),
+            window: rules.fall.0.mean(),
         };
         let shares: f64 = experiment.classes.iter().map(|c| c.share).sum();
         let mean: f64 = experiment
@@ -64,26 +71,24 @@
             .iter()
             .enumerate()
             .filter(|(_, b)| b.tier == own.tier);
-        let load_report = LoadReport {
-            at: f64::NEG_INFINITY,
-            text: String::new(),
-            next: None,
+        let mean_work = mean * tier.work;
+        let report_rules = ReportRules {
+            period: own.report_period,
+            delay: own.report_delay,
+            noise: tier.report.noise,
         };
+        let draws = Calls::new(plan.seed ^ (index as u64) << 32);
+        let load_report = LoadReport::new(report_rules, draws, mean_work / own.speed);
         Upstream {
             index,
-            noise: tier.report.noise,
             connection_idle: Duration::from_secs_f64(tier.connections.idle.0.mean() / 1000.0),
             state: Mutex::new(State {
-                machine: Machine::new(own.clone(), tipping, mean * tier.work),
+                machine: Machine::new(own.clone(), collapse_limit, mean_work),
                 waiters: HashMap::new(),
-                next: 1,
+                last_token: 1,
                 connections: 0,
                 load_report,
-                recent: mean * tier.work / own.speed,
-                served: 0,
-                counted: (0.0, 0),
-                noise: Calls::new(plan.seed ^ (index as u64) << 32),
-                tipped_told: false,
+                collapse_reported: false,
             }),
             wake: Notify::new(),
             links: senders.map(|(b, _)| (b, Link::open())).collect(),
@@ -108,14 +113,11 @@
         loop {
             let next = {
                 let mut state = lock(&self.state);
-                state.machine.advance(world.now(), &mut done);
+                state.machine.on_timeout(world.now(), &mut done);
                 for token in done.drain(..) {
-                    if let Some(waiter) = state.waiters.remove(&token) {
-                        // Whoever waited may have gone.
-                        let _ = waiter.send(());
-                    }
+                    state.wake(token);
                 }
-                state.machine.next()
+                state.machine.next_timeout()
             };
             tokio::select! {
                 () = async {
@@ -141,10 +143,10 @@
         self.wake.notify_one();
     }
 
-    /// A fault makes it answer this part with errors; `None`: as it was drawn.
-    pub fn fail(&self, part: Option<f64>) {
-        let part = part.unwrap_or(self.plan.errors);
-        self.errors.store((part * 1e6) as usize, Ordering::Relaxed);
+    /// A fault makes it respond with errors to this share of attempts; none restores the share of the plan.
+    pub fn fail(&self, share: Option<f64>) {
+        let share = share.unwrap_or(self.plan.errors);
+        self.errors.store((share * 1e6) as usize, Ordering::Relaxed);
     }
 
     /// Its process ends: connections are reset, new ones refused.
@@ -153,7 +155,7 @@
         self.links.values().for_each(|link| link.reset());
     }
 
-    /// Its machine falls silent.
+    /// Its machine becomes unreachable: nothing passes, and nothing is refused.
     pub fn vanish(&self) {
         for link in self.links.values() {
             link.cut(Direction::Inward);
@@ -170,12 +172,12 @@
         }
     }
 
-    /// Its process starts: cold, with nothing in it.
+    /// Its process starts, with nothing in it and a slow start before it.
     pub fn begin(&self, now: Millis) {
         let mut state = lock(&self.state);
         state.machine.restart(now);
         state.waiters.clear();
-        state.tipped_told = false;
+        state.collapse_reported = false;
         self.starts.fetch_add(1, Ordering::Relaxed);
         drop(state);
         self.listens.send_replace(true);
@@ -187,27 +189,57 @@
         self.starts.load(Ordering::Relaxed)
     }
 
-    pub(super) fn connected(&self, by: isize) -> usize {
+    /// Counts a connection that opened, and returns how many are open.
+    pub(super) fn connection_opened(&self) -> usize {
+        self.count_connections(|connections| connections.saturating_add(1))
+    }
+
+    /// Counts a connection that closed.
+    pub(super) fn connection_closed(&self) {
+        self.count_connections(|connections| connections.saturating_sub(1));
+    }
+
+    fn count_connections(&self, change: impl FnOnce(usize) -> usize) -> usize {
         let mut state = lock(&self.state);
-        state.connections = state.connections.saturating_add_signed(by);
-        let part = state.connections as f64 / self.plan.connections as f64;
-        state.machine.connected(part);
+        state.connections = change(state.connections);
+        let share = state.connections as f64 / self.plan.connections as f64;
+        state.machine.set_connections(share);
         state.connections
     }
 
-    pub(super) fn token(&self) -> Token {
+    pub(super) fn next_token(&self) -> Token {
+        let mut state = lock(&self.state);
+        state.last_token += 1;
+        state.last_token
+    }
+
+    /// Removes an attempt from the machine; a queued one gets its slot.
+    pub(super) fn remove(&self, now: Millis, token: Token) {
+        let mut state = lock(&self.state);
+        state.waiters.remove(&token);
+        state.machine.cancel_work(now, token);
+        if let Some(next) = state.machine.handle_departure(now, token) {
+            state.wake(next);
+        }
+        drop(state);
+        self.wake.notify_one();
+    }
+
+    /// The load report that responses carry now.
+    pub(super) fn load_report(&self, now: Millis) -> String {
         let mut state = lock(&self.state);
-        state.next += 1;
-        state.next
+        let state = &mut *state;
+        let in_flight = state.machine.in_flight();
+        state.load_report.text(now, &Load { in_flight })
     }
 
     /// Waits for a piece of work to be done by a core.
     pub(super) async fn work(&self, world: &World, token: Token, work: f64) {
-        let (tell, done) = oneshot::channel();
+        let (waiter, done) = oneshot::channel();
         {
             let mut state = lock(&self.state);
-            state.waiters.insert(token, tell);
-            state.machine.work(world.now(), token, work);
+            state.waiters.insert(token, waiter);
+            state.machine.start_work(world.now(), token, work);
         }
         self.wake.notify_one();
         // An end without an announcement is a restart: nothing goes on from here.
--- a/lab/src/upstream/load_report.rs
+++ b/lab/src/upstream/load_report.rs
@@ -1,9 +1,96 @@
-//! The load that an upstream reports of itself.
+//! The load that an upstream reports of itself: measured now and then, shown a little later, and a little wrong.
+use crate::draw::Calls;
 use crate::experiment::Millis;
 
-/// The load report that answers carry, and the next one, which shows later.
+/// The weight of the latest service time in their moving average.
+const SERVICE_TIME_WEIGHT: f64 = 0.1;
+
+/// What a report is measured from at one moment.
+pub(super) struct Load {
+    pub(super) in_flight: usize,
+}
+
+/// How often reports are taken, and how well.
+#[derive(Clone, Copy)]
+pub(super) struct ReportRules {
+    pub(super) period: Millis,
+    /// From a measurement until it shows.
+    pub(super) delay: Millis,
+    /// By how much each value may be off, as a share of it.
+    pub(super) noise: f64,
+}
+
+/// A report that does not show yet.
+struct Pending {
+    shows_at: Millis,
+    text: String,
+}
+
+/// The load report that responses carry, and the next one, which shows later.
 pub(super) struct LoadReport {
-    pub(super) at: Millis,
-    pub(super) text: String,
-    pub(super) next: Option<(Millis, String)>,
+    rules: ReportRules,
+    measured_at: Millis,
+    text: String,
+    pending: Option<Pending>,
+    draws: Calls,
+    /// Moving average of service times.
+    service_time: Millis,
+    served: u64,
+    /// When the rate was measured last, and how many had been served then.
+    rate_since: Millis,
+    served_before: u64,
+}
+
+impl LoadReport {
+    pub(super) fn new(rules: ReportRules, draws: Calls, service_time: Millis) -> LoadReport {
+        LoadReport {
+            rules,
+            measured_at: f64::NEG_INFINITY,
+            text: String::new(),
+            pending: None,
+            draws,
+            service_time,
+            served: 0,
+            rate_since: 0.0,
+            served_before: 0,
+        }
+    }
+
+    /// Records that an attempt was served.
+    pub(super) fn record_served(&mut self, took: Millis) {
+        self.service_time += SERVICE_TIME_WEIGHT * (took - self.service_time);
+        self.served += 1;
+    }
+
+    /// The report that shows now; measures the next one if it is time.
+    pub(super) fn text(&mut self, now: Millis, load: &Load) -> String {
+        if let Some(due) = self.pending.take_if(|pending| now >= pending.shows_at) {
+            self.text = due.text;
+        }
+        if now - self.measured_at >= self.rules.period && self.pending.is_none() {
+            self.measure(now, load);
+        }
+        self.text.clone()
+    }
+
+    fn measure(&mut self, now: Millis, load: &Load) {
+        let span = (now - self.rate_since).max(1.0);
+        let served = (self.served - self.served_before) as f64;
+        let qps = self.noisy(served * 1000.0 / span);
+        let latency = self.noisy(self.service_time);
+        let in_flight = self.noisy(load.in_flight as f64);
+        let text = format!("TEXT latency_ms={latency:.1}, qps={qps:.1}, inflight={in_flight:.1}");
+        self.rate_since = now;
+        self.served_before = self.served;
+        self.measured_at = now;
+        self.pending = Some(Pending {
+            shows_at: now + self.rules.delay,
+            text,
+        });
+    }
+
+    fn noisy(&mut self, value: f64) -> f64 {
+        let off = (self.draws.noise() - 1.0) * 5.0;
+        (value * (1.0 + self.rules.noise * off)).max(0.0)
+    }
 }
--- a/lab/src/upstream/mod.rs
+++ b/lab/src/upstream/mod.rs
@@ -1,9 +1,10 @@
 //! An emulated upstream on sockets: a [`Machine`](crate::machine::Machine) behind a port for each balancer that may
 //! send to it.
-mod connect;
+mod attempt;
 mod emulated;
 mod load_report;
-mod out;
+mod ports;
+mod respond;
 mod serve;
 
 pub use emulated::Upstream;
--- a/lab/tests/parts/machine.rs
+++ b/lab/tests/parts/machine.rs
@@ -1,7 +1,7 @@
 //! An emulated machine: its slots, its queue, its cores, and how overload and a cold start slow it down.
 use balancer_lab::draw::{Choke, Upstream};
 use balancer_lab::experiment::Millis;
-use balancer_lab::machine::{Admission, Machine, Tipping, Token};
+use balancer_lab::machine::{Admission, CollapseLimit, Machine, Token};
 
 fn plan() -> Upstream {
     Upstream {
@@ -38,9 +38,9 @@
 fn machine() -> Machine {
     Machine::new(
         plan(),
-        Tipping {
+        CollapseLimit {
             multiple: 2.5,
-            fall: 3000.0,
+            window: 3000.0,
         },
         10.0,
     )
@@ -48,48 +48,54 @@
 
 fn done(m: &mut Machine, now: Millis) -> Vec<Token> {
     let mut done = Vec::new();
-    m.advance(now, &mut done);
+    m.on_timeout(now, &mut done);
     done
 }
 
 #[test]
-fn slots_then_the_waiting_room_then_the_door() {
+fn fills_slots_then_the_queue_then_rejects() {
     let mut m = machine();
-    let admissions: Vec<Admission> = (0..6).map(|t| m.enter(0.0, t, 10.0, true)).collect();
+    let admissions: Vec<Admission> = (0..6)
+        .map(|t| m.handle_request(0.0, t, 10.0, true))
+        .collect();
     assert_eq!(admissions[..4], [Admission::Slot; 4]);
     assert_eq!(admissions[4..], [Admission::Queued, Admission::Full]);
-    assert_eq!(m.leave(1.0, 0), Some(4), "who waited gets the slot");
-    assert_eq!(m.holds(), 4);
+    assert_eq!(
+        m.handle_departure(1.0, 0),
+        Some(4),
+        "who waited gets the slot"
+    );
+    assert_eq!(m.in_flight(), 4);
 }
 
 #[test]
 fn work_is_laid_out_by_its_own_clock_however_late_anyone_looks() {
     let mut m = machine();
     for t in 0..4 {
-        m.enter(0.0, t, 10.0, true);
-        m.work(0.0, t, 10.0);
+        m.handle_request(0.0, t, 10.0, true);
+        m.start_work(0.0, t, 10.0);
     }
-    assert_eq!(m.next(), Some(10.0));
+    assert_eq!(m.next_timeout(), Some(10.0));
     // Looked at only at 25 ms: the second pair ran from 10 to 20 all the same.
     assert_eq!(done(&mut m, 25.0).len(), 4);
-    m.work(25.0, 9, 10.0);
+    m.start_work(25.0, 9, 10.0);
     assert_eq!((done(&mut m, 34.0), done(&mut m, 35.0)), (vec![], vec![9]));
 }
 
 #[test]
-fn a_crowd_makes_it_slow_until_it_has_rested() {
+fn overload_degrades_it_until_it_has_been_idle() {
     let mut m = machine();
-    (0..4).for_each(|t| assert_eq!(m.enter(0.0, t, 10.0, true), Admission::Slot));
+    (0..4).for_each(|t| assert_eq!(m.handle_request(0.0, t, 10.0, true), Admission::Slot));
     done(&mut m, 999.0);
     assert!(!m.is_degraded());
     done(&mut m, 1000.0);
     assert!(m.is_degraded());
-    m.work(1000.0, 0, 10.0);
+    m.start_work(1000.0, 0, 10.0);
     assert_eq!(
         (done(&mut m, 1019.0), done(&mut m, 1020.0)),
         (vec![], vec![0])
     );
-    (0..4).for_each(|t| assert_eq!(m.leave(2000.0, t), None));
+    (0..4).for_each(|t| assert_eq!(m.handle_departure(2000.0, t), None));
     done(&mut m, 3999.0);
     assert!(m.is_degraded());
     done(&mut m, 4000.0);
@@ -97,31 +103,35 @@
 }
 
 #[test]
-fn a_cold_machine_warms_and_falls_over_when_overfed_by_all_together() {
+fn slow_start_ends_and_too_much_work_in_it_collapses_the_machine() {
     let mut m = machine();
     m.restart(0.0);
     assert_eq!(
-        (m.warmth(0.0), m.warmth(5000.0), m.warmth(10_000.0)),
+        (
+            m.slow_start_weight(0.0),
+            m.slow_start_weight(5000.0),
+            m.slow_start_weight(10_000.0)
+        ),
         (0.25, 0.625, 1.0)
     );
     // 2.5 times what half a core can do for 3 s is 3,750 ms, with a little for chance.
     for n in 0..37 {
-        m.enter(n as f64, n, 100.0, n % 4 != 0);
-        m.leave(n as f64, n);
+        m.handle_request(n as f64, n, 100.0, n % 4 != 0);
+        m.handle_departure(n as f64, n);
     }
-    assert_eq!(m.tipped(), None);
+    assert_eq!(m.collapse(), None);
     for n in 37..50 {
-        m.enter(40.0, n, 100.0, true);
+        m.handle_request(40.0, n, 100.0, true);
     }
-    let tipped = m.tipped().expect("it fell over");
+    let collapse = m.collapse().expect("it fell over");
     assert!(
-        tipped.sent > tipped.bears && tipped.knew_start > 0.7,
-        "{tipped:?}"
+        collapse.sent > collapse.limit && collapse.informed_share > 0.7,
+        "{collapse:?}"
     );
-    assert_eq!(m.enter(50.0, 99, 1.0, true), Admission::Full);
+    assert_eq!(m.handle_request(50.0, 99, 1.0, true), Admission::Full);
     m.restart(60.0);
     assert_eq!(
-        (m.tipped(), m.enter(61.0, 1, 1.0, true)),
+        (m.collapse(), m.handle_request(61.0, 1, 1.0, true)),
         (None, Admission::Slot)
     );
 }
@@ -130,6 +140,6 @@
 fn a_fault_and_a_full_table_slow_it_down() {
     let mut m = machine();
     m.slow_down(3.0);
-    m.work(0.0, 1, 10.0);
+    m.start_work(0.0, 1, 10.0);
     assert_eq!((done(&mut m, 29.0), done(&mut m, 30.0)), (vec![], vec![1]));
 }
