--- a/lab/src/machine.rs
+++ b/lab/src/machine.rs
@@ -98,7 +98,7 @@
 }
 
 impl Machine {
-    /// A warm machine.
+    /// Returns a machine that has long been started.
     pub fn new(plan: Upstream, collapse_limit: CollapseLimit, mean_work: f64) -> Machine {
         Machine {
             plan,
@@ -155,12 +155,13 @@
 
     /// What each core does in a millisecond.
     fn rate(&self, now: Millis) -> f64 {
-        let choke = match (self.degraded_since, self.plan.choke) {
+        let degradation = match (self.degraded_since, self.plan.choke) {
             (Some(_), Some(choke)) => choke.slower,
             _ => 1.0,
         };
-        let table = 1.0 - self.plan.full_tax * self.connections;
-        (self.plan.speed * self.slow_start_weight(now) * table / choke / self.slowdown).max(1e-6)
+        let capacity = 1.0 - self.plan.full_tax * self.connections;
+        let speed = self.plan.speed * self.slow_start_weight(now) * capacity;
+        (speed / degradation / self.slowdown).max(1e-6)
     }
 
     /// Requests in flight, those that are queued included.
