--- a/system/demo/src/clients.rs
+++ b/system/demo/src/clients.rs
@@ -1,4 +1,5 @@
-//! The operator and the clients: hand the configuration and jobs in, and ask for their states.
+//! The operator and the clients: submit the configuration and jobs, and ask for the jobs' states. What they submit and
+//! when is the scenario's.
 use crate::{
     cluster::{client_address, control_address, readiness_address},
     error::DemoError,
@@ -9,20 +10,24 @@
 
 /// The host of the demo's only queue.
 const HOST: &str = "demo.example";
-/// The path under which its jobs are handed in.
+/// The path under which its jobs are submitted.
 const PREFIX: &str = "/pages/";
-/// How long one try may take.
-const TRY_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Pause before the next try.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Time between two questions for a job's state.
-const ASK_EVERY: Duration = Duration::from_millis(100);
+/// The job with number 0; the others count up.
+const FIRST_JOB: u64 = 0xde30_0000_0000_0000;
+/// How long one attempt may take.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1500);
+/// `ATTEMPT_TIMEOUT` as a header.
+const DEADLINE_MS: &str = "1500";
+/// Time until the next attempt.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two requests for a job's state.
+const STATUS_INTERVAL: Duration = Duration::from_millis(100);
 /// How long the cluster may take to get ready.
-const READY_WITHIN: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How a job went, as its client saw it.
 #[derive(Clone, Debug)]
-pub(crate) struct JobStory {
+pub(crate) struct JobOutcome {
     /// How long until it was accepted.
     pub accepted_after_ms: u64,
     /// How long until it was shown as succeeded; `None`: it never was.
@@ -44,7 +49,7 @@
     pub(crate) fn new(coordinators: u8, proxies: u8) -> Clients {
         let builder = reqwest::Client::builder()
             .no_proxy()
-            .timeout(TRY_TIMEOUT)
+            .timeout(ATTEMPT_TIMEOUT)
             .tcp_nodelay(true);
         Clients {
             http: builder.build().unwrap_or_default(),
@@ -53,51 +58,43 @@
         }
     }
 
-    /// Hands the first configuration in, and waits until all proxies are ready.
+    /// Submits the first configuration, and waits until all proxies are ready.
     ///
     /// # Errors
     /// When that takes too long.
     pub(crate) async fn configure(&self) -> Result<(), DemoError> {
-        let body = serde_json::json!({
-            "version": 1,
-            "routes": [{
-                "name": "pages", "hostname": HOST, "pathPrefix": PREFIX, "type": "unsafe", "timeoutMs": 3000,
-                "targetLatencyMs": 250, "priority": 0, "service": "pages", "maxAttempts": 3, "stretch": 2.0,
-            }],
-            "services": [{
-                "name": "pages", "healthPath": "/health", "maxConnections": 64, "protocol": "h1", "tls": false,
-                "guards": true,
-            }],
-            "limits": {
-                "maxHeaderBytes": 16384, "maxBodyBytes": 262_144, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000,
-            },
-        });
-        let until = Instant::now() + READY_WITHIN;
-        while !self.try_configure(&body.to_string()).await {
-            wait_until(until, "no coordinator takes the configuration").await?;
+        let body = configuration_body().to_string();
+        let deadline = Instant::now() + READY_TIMEOUT;
+        while !self.submit_configuration(&body).await {
+            if Instant::now() > deadline {
+                return Err(DemoError::ConfigurationTimeout);
+            }
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
         for number in 1..=self.proxies {
             while !self.is_ready(readiness_address(number)).await {
-                wait_until(until, "a proxy does not get ready").await?;
+                if Instant::now() > deadline {
+                    return Err(DemoError::ReadinessTimeout);
+                }
+                tokio::time::sleep(RETRY_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    async fn try_configure(&self, body: &str) -> bool {
+    /// Submits the configuration to each coordinator until one accepts it.
+    async fn submit_configuration(&self, body: &str) -> bool {
         for number in 1..=self.coordinators {
             let url = format!("http://{}/-/Config.Replace", control_address(number));
-            let request = self
+            let sent = self
                 .http
                 .post(url)
                 .header("Base-Version", "0")
-                .body(body.to_owned());
-            let request = request.header("Content-Type", "application/json");
-            if request
+                .header("Content-Type", "application/json")
+                .body(body.to_owned())
                 .send()
-                .await
-                .is_ok_and(|response| response.status().is_success())
-            {
+                .await;
+            if sent.is_ok_and(|response| response.status().is_success()) {
                 return true;
             }
         }
@@ -113,80 +110,99 @@
         sent.is_ok_and(|response| response.status().as_u16() == 200)
     }
 
-    /// Hands a job in and follows it until it has ended, or for as long as `patience` lasts.
+    /// Submits a job and follows it until it has ended or `timeout` is over.
     pub(crate) async fn follow_job(
         &self,
         number: u64,
         steps: Vec<StepWork>,
-        patience: Duration,
-    ) -> JobStory {
-        let path = format!("{PREFIX}{:016x}", 0xde30_0000_0000_0000 + number);
+        timeout: Duration,
+    ) -> JobOutcome {
+        let path = format!("{PREFIX}{:016x}", FIRST_JOB + number);
         let body = work::to_body(&steps).to_string();
         let began = Instant::now();
-        let mut story = JobStory {
+        let mut outcome = JobOutcome {
             accepted_after_ms: 0,
             succeeded_after_ms: None,
             state: "never accepted".to_owned(),
         };
-        let mut tries = number;
-        while !self.submit(self.proxy(tries), &path, &body).await {
-            if began.elapsed() > patience {
-                return story;
+        let mut attempt = number;
+        while !self.submit(self.proxy(attempt), &path, &body).await {
+            if began.elapsed() > timeout {
+                return outcome;
             }
-            tries += 1;
-            tokio::time::sleep(PAUSE).await;
+            attempt += 1;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
-        story.accepted_after_ms = began.elapsed().as_millis() as u64;
-        while began.elapsed() < patience {
-            if let Some(state) = self.state(self.proxy(tries), &path).await {
-                story.state = state;
-            } else {
-                tries += 1;
+        outcome.accepted_after_ms = elapsed_ms(began);
+        while began.elapsed() < timeout {
+            match self.state(self.proxy(attempt), &path).await {
+                Some(state) => outcome.state = state,
+                None => attempt += 1,
             }
-            match story.state.as_str() {
+            match outcome.state.as_str() {
                 "succeeded" => {
-                    story.succeeded_after_ms = Some(began.elapsed().as_millis() as u64);
-                    return story;
+                    outcome.succeeded_after_ms = Some(elapsed_ms(began));
+                    return outcome;
                 }
-                "failed" | "cancelled" => return story,
-                _ => tokio::time::sleep(ASK_EVERY).await,
+                "failed" | "cancelled" => return outcome,
+                _ => tokio::time::sleep(STATUS_INTERVAL).await,
             }
         }
-        story
+        outcome
     }
 
-    fn proxy(&self, tries: u64) -> SocketAddr {
-        client_address((tries % u64::from(self.proxies.max(1))) as u8 + 1)
+    /// The proxy for an attempt: each in turn.
+    fn proxy(&self, attempt: u64) -> SocketAddr {
+        client_address((attempt % u64::from(self.proxies.max(1))) as u8 + 1)
     }
 
     async fn submit(&self, proxy: SocketAddr, path: &str, body: &str) -> bool {
-        let request = self
+        let sent = self
             .http
             .post(format!("http://{proxy}{path}"))
-            .header("Host", HOST);
-        let request = request
+            .header("Host", HOST)
             .header("Content-Type", "application/json")
-            .header("Deadline-Ms", "1500");
-        let sent = request.body(body.to_owned()).send().await;
+            .header("Deadline-Ms", DEADLINE_MS)
+            .body(body.to_owned())
+            .send()
+            .await;
         sent.is_ok_and(|response| response.status().is_success())
     }
 
+    /// A job's state; `None`: the proxy did not show it.
     async fn state(&self, proxy: SocketAddr, path: &str) -> Option<String> {
-        let request = self
+        let response = self
             .http
             .get(format!("http://{proxy}{path}"))
-            .header("Host", HOST);
-        let response = request.header("Deadline-Ms", "1500").send().await.ok()?;
+            .header("Host", HOST)
+            .header("Deadline-Ms", DEADLINE_MS)
+            .send()
+            .await
+            .ok()?;
         let body = response.bytes().await.ok()?;
         let value: serde_json::Value = serde_json::from_slice(&body).ok()?;
         value.get("state")?.as_str().map(str::to_owned)
     }
 }
 
-async fn wait_until(until: Instant, complaint: &str) -> Result<(), DemoError> {
-    if Instant::now() > until {
-        return Err(DemoError::Cluster(complaint.to_owned()));
-    }
-    tokio::time::sleep(PAUSE).await;
-    Ok(())
+/// The demo's only configuration: one queue, one service.
+fn configuration_body() -> serde_json::Value {
+    serde_json::json!({
+        "version": 1,
+        "routes": [{
+            "name": "pages", "hostname": HOST, "pathPrefix": PREFIX, "type": "unsafe", "timeoutMs": 3000,
+            "targetLatencyMs": 250, "priority": 0, "service": "pages", "maxAttempts": 3, "stretch": 2.0,
+        }],
+        "services": [{
+            "name": "pages", "healthPath": "/health", "maxConnections": 64, "protocol": "h1", "tls": false,
+            "guards": true,
+        }],
+        "limits": {
+            "maxHeaderBytes": 16384, "maxBodyBytes": 262_144, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000,
+        },
+    })
+}
+
+fn elapsed_ms(began: Instant) -> u64 {
+    began.elapsed().as_millis() as u64
 }
--- a/system/demo/src/cluster.rs
+++ b/system/demo/src/cluster.rs
@@ -1,25 +1,34 @@
-//! The scheduler's processes: their settings, starts and kills.
-use crate::{error::DemoError, options::Options, usage, worker_server::MAX_HOLD_MS};
+//! The scheduler's processes: their settings, starts and kills. What they do is the program's.
+use crate::{
+    error::DemoError,
+    options::Options,
+    usage::{self, Usage},
+    worker_server::MAX_LEASE_MS,
+};
 use std::{
     fs::File,
-    net::SocketAddr,
+    net::{Ipv4Addr, SocketAddr},
     path::{Path, PathBuf},
     process::Stdio,
 };
 use tokio::process::{Child, Command};
 
-/// First address of the coordinators; the last number counts up.
-const COORDINATORS: [u8; 3] = [127, 0, 61];
-/// First address of the machines with a proxy.
-const EDGES: [u8; 3] = [127, 0, 62];
-/// Where coordinators serve the operator.
+/// The network of the coordinators; the last byte of an address counts up.
+const COORDINATOR_NETWORK: [u8; 3] = [127, 0, 61];
+/// The network of the machines with a proxy and an agent.
+const EDGE_NETWORK: [u8; 3] = [127, 0, 62];
+/// The port on which coordinators serve the operator.
 const CONTROL_PORT: u16 = 18_146;
-/// Where proxies serve clients.
+/// The port on which proxies serve clients.
 const CLIENT_PORT: u16 = 18_144;
-/// Where proxies say whether they are ready.
+/// The port on which proxies show their readiness.
 const READINESS_PORT: u16 = 18_140;
 /// First port for the processes among themselves: the same on all machines, each of which has an address of its own.
-const INTERNAL_PORTS: u16 = 17_660;
+const FIRST_INTERNAL_PORT: u16 = 17_660;
+/// The last of them.
+const LAST_INTERNAL_PORT: u16 = FIRST_INTERNAL_PORT + 15;
+/// How many coordinators are seeds.
+const MAX_SEEDS: u8 = 3;
 
 /// One process of the cluster.
 pub(crate) struct Process {
@@ -104,13 +113,12 @@
     }
 
     fn settings_text(&self, name: &str, role: &str, number: u8) -> String {
-        let [a, b, c] = if role == "coordinator" {
-            COORDINATORS
-        } else {
-            EDGES
+        let network = match role {
+            "coordinator" => COORDINATOR_NETWORK,
+            _ => EDGE_NETWORK,
         };
-        let ip = format!("{a}.{b}.{c}.{number}");
-        let seeds: Vec<String> = (1..=self.coordinators.min(3))
+        let ip = ip_address(network, number);
+        let seeds: Vec<String> = (1..=self.coordinators.min(MAX_SEEDS))
             .map(|number| format!("\"{}\"", control_address(number)))
             .collect();
         let listen = match role {
@@ -123,20 +131,19 @@
         let tolerance = (self.coordinators.max(1) - 1) / 2;
         format!(
             "nodeName = \"{name}\"\nrole = \"{role}\"\nip = \"{ip}\"\nzone = \"a\"\n\
-             internalPortRange = [{INTERNAL_PORTS}, {}]\nseeds = [{}]\nbootstrap = true\ndataDir = \"{}\"\n\
+             internalPortRange = [{FIRST_INTERNAL_PORT}, {LAST_INTERNAL_PORT}]\nseeds = [{}]\nbootstrap = true\ndataDir = \"{}\"\n\
              commands = \"invocation\"\n[listen]\n{listen}\n[faultTolerance]\nmachines = {tolerance}\n\
-             [bounds]\nmaxHoldMs = {MAX_HOLD_MS}\n[cloud]\naddress = \"{}\"\nratePerS = 30.0\n",
-            INTERNAL_PORTS + 15,
+             [bounds]\nmaxHoldMs = {MAX_LEASE_MS}\n[cloud]\naddress = \"{}\"\nratePerS = 30.0\n",
             seeds.join(", "),
             data.display(),
             self.platform,
         )
     }
 
-    /// Kills a process at once.
+    /// Kills a process without a graceful shutdown.
     ///
     /// # Errors
-    /// When there is none of that name, or the system refuses.
+    /// When there is no process of that name, or the system refuses.
     pub(crate) async fn kill(&mut self, name: &str) -> Result<(), DemoError> {
         self.find(name)?
             .child
@@ -145,13 +152,15 @@
             .map_err(DemoError::system(format!("killing {name}")))
     }
 
-    /// Starts a process again that has ended.
+    /// Starts a process that has ended again.
     ///
     /// # Errors
-    /// When there is none of that name, or the system refuses.
-    pub(crate) fn start_again(&mut self, name: &str) -> Result<(), DemoError> {
+    /// When there is no process of that name, or the system refuses.
+    pub(crate) fn restart(&mut self, name: &str) -> Result<(), DemoError> {
         let process = self.find(name)?;
-        let (role, settings, log) = (process.role, process.settings.clone(), process.log.clone());
+        let role = process.role;
+        let settings = process.settings.clone();
+        let log = process.log.clone();
         let child = self.spawn(role, &settings, &log)?;
         self.find(name)?.child = child;
         Ok(())
@@ -162,13 +171,13 @@
             .processes
             .iter_mut()
             .find(|process| process.name == name);
-        found.ok_or_else(|| DemoError::Cluster(format!("there is no process {name}")))
+        found.ok_or_else(|| DemoError::UnknownProcess(name.to_owned()))
     }
 }
 
 impl Process {
-    /// What it has used since it was last started.
-    pub(crate) fn usage(&self) -> usage::Usage {
+    /// Its usage since it was last started; zero where the system does not report it.
+    pub(crate) fn usage(&self) -> Usage {
         self.child
             .id()
             .and_then(usage::of_process)
@@ -176,20 +185,21 @@
     }
 }
 
-/// Where a coordinator serves the operator.
+/// The address at which a coordinator serves the operator.
 pub(crate) fn control_address(number: u8) -> SocketAddr {
-    let [a, b, c] = COORDINATORS;
-    SocketAddr::from(([a, b, c, number], CONTROL_PORT))
+    SocketAddr::from((ip_address(COORDINATOR_NETWORK, number), CONTROL_PORT))
 }
 
-/// Where a proxy serves clients.
+/// The address at which a proxy serves clients.
 pub(crate) fn client_address(number: u8) -> SocketAddr {
-    let [a, b, c] = EDGES;
-    SocketAddr::from(([a, b, c, number], CLIENT_PORT))
+    SocketAddr::from((ip_address(EDGE_NETWORK, number), CLIENT_PORT))
 }
 
-/// Where a proxy says whether it is ready.
+/// The address at which a proxy shows its readiness.
 pub(crate) fn readiness_address(number: u8) -> SocketAddr {
-    let [a, b, c] = EDGES;
-    SocketAddr::from(([a, b, c, number], READINESS_PORT))
+    SocketAddr::from((ip_address(EDGE_NETWORK, number), READINESS_PORT))
+}
+
+fn ip_address([first, second, third]: [u8; 3], number: u8) -> Ipv4Addr {
+    Ipv4Addr::new(first, second, third, number)
 }
--- a/system/demo/src/http_server.rs
+++ b/system/demo/src/http_server.rs
@@ -1,23 +1,32 @@
-//! A small HTTP/1.1 server for the stand-ins.
+//! A small HTTP/1.1 server for the stand-ins: whole requests in, JSON responses out. No TLS, no limits.
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
-use hyper::{body::Incoming, service::service_fn, Request, Response};
+use hyper::{
+    body::Incoming,
+    header::{HeaderValue, CONTENT_TYPE},
+    server::conn::http1,
+    service::service_fn,
+    StatusCode,
+};
 use hyper_util::rt::TokioIo;
 use std::{convert::Infallible, future::Future, sync::Arc};
-use tokio::{net::TcpListener, task::JoinHandle};
+use tokio::{
+    net::TcpListener,
+    task::{JoinHandle, JoinSet},
+};
 
 /// A request as the stand-ins see it.
-pub(crate) struct Call {
+pub(crate) struct Request {
     /// The path, without the query.
     pub path: String,
-    /// The life that is meant, where the caller names one.
-    pub expected_instance: Option<String>,
-    /// The body.
+    /// The incarnation that is meant (`Expected-Instance`), where the caller names one.
+    pub expected_incarnation: Option<String>,
+    /// The body; empty where it could not be read.
     pub body: Bytes,
 }
 
-/// An answer: status and JSON body.
-pub(crate) struct Answer {
+/// A response: status and JSON body.
+pub(crate) struct Response {
     /// The status code.
     pub status: u16,
     /// The body.
@@ -27,20 +36,19 @@
 /// Serves until the task is aborted; connections end with it.
 pub(crate) fn serve<H, F>(listener: TcpListener, handler: H) -> JoinHandle<()>
 where
-    H: Fn(Call) -> F + Send + Sync + 'static,
-    F: Future<Output = Answer> + Send + 'static,
+    H: Fn(Request) -> F + Send + Sync + 'static,
+    F: Future<Output = Response> + Send + 'static,
 {
     let handler = Arc::new(handler);
     tokio::spawn(async move {
-        let mut connections = tokio::task::JoinSet::new();
+        let mut connections = JoinSet::new();
         while let Ok((stream, _)) = listener.accept().await {
             let _ = stream.set_nodelay(true);
             let handler = handler.clone();
             let service = service_fn(move |request| respond(handler.clone(), request));
-            let connection = hyper::server::conn::http1::Builder::new()
-                .serve_connection(TokioIo::new(stream), service);
+            let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             connections.spawn(async move {
-                // A caller that goes away ends its connection; nobody else is touched.
+                // An error ends this connection alone.
                 let _ = connection.await;
             });
             while connections.try_join_next().is_some() {}
@@ -50,33 +58,36 @@
 
 async fn respond<H, F>(
     handler: Arc<H>,
-    request: Request<Incoming>,
-) -> Result<Response<Full<Bytes>>, Infallible>
+    request: hyper::Request<Incoming>,
+) -> Result<hyper::Response<Full<Bytes>>, Infallible>
 where
-    H: Fn(Call) -> F,
-    F: Future<Output = Answer>,
+    H: Fn(Request) -> F,
+    F: Future<Output = Response>,
 {
+    let response = handler(read_request(request).await).await;
+    let mut encoded = hyper::Response::new(Full::new(Bytes::from(response.body.to_string())));
+    *encoded.status_mut() =
+        StatusCode::from_u16(response.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    encoded
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    Ok(encoded)
+}
+
+async fn read_request(request: hyper::Request<Incoming>) -> Request {
     let path = request.uri().path().to_owned();
-    let header = request.headers().get("Expected-Instance");
-    let expected_instance = header
+    let expected_incarnation = request
+        .headers()
+        .get("Expected-Instance")
         .and_then(|value| value.to_str().ok())
         .map(str::to_owned);
     let body = match request.into_body().collect().await {
         Ok(body) => body.to_bytes(),
         Err(_) => Bytes::new(),
     };
-    let answer = handler(Call {
+    Request {
         path,
-        expected_instance,
+        expected_incarnation,
         body,
-    })
-    .await;
-    let mut response = Response::new(Full::new(Bytes::from(answer.body.to_string())));
-    let status = hyper::StatusCode::from_u16(answer.status);
-    *response.status_mut() = status.unwrap_or(hyper::StatusCode::INTERNAL_SERVER_ERROR);
-    let json = hyper::header::HeaderValue::from_static("application/json");
-    response
-        .headers_mut()
-        .insert(hyper::header::CONTENT_TYPE, json);
-    Ok(response)
+    }
 }
--- a/system/demo/src/main.rs
+++ b/system/demo/src/main.rs
@@ -1,18 +1,30 @@
 //! A small cluster on loopback: real coordinators, proxies and agents, stand-ins for the platform and the workers.
 #![forbid(unsafe_code)]
 
-use bpaf::Args;
-use magpiegap_demo::{options, story};
+use bpaf::{Args, ParseFailure};
+use magpiegap::ProgramError;
+use magpiegap_demo::{options, scenario, DemoError};
 use std::process::ExitCode;
 
 /// The scheduler's processes are started from this very program, so that one build makes all that the demo needs.
 const ROLES: [&str; 3] = ["proxy", "agent", "coordinator"];
 
+/// Why the program has failed.
+#[derive(Debug, thiserror::Error)]
+enum MainError {
+    #[error(transparent)]
+    Demo(#[from] DemoError),
+    #[error(transparent)]
+    Role(#[from] ProgramError),
+    #[error("{0:?}")]
+    CommandLine(ParseFailure),
+}
+
 fn main() -> ExitCode {
-    let first = std::env::args().nth(1);
-    let outcome = match first.as_deref() {
+    let first_argument = std::env::args().nth(1);
+    let outcome = match first_argument.as_deref() {
         Some(role) if ROLES.contains(&role) => run_role(),
-        _ => story::run(&options::read()).map_err(|error| error.to_string()),
+        _ => scenario::run(&options::read()).map_err(MainError::from),
     };
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
@@ -23,8 +35,10 @@
     }
 }
 
-fn run_role() -> Result<(), String> {
-    let parsed = magpiegap::parser().run_inner(Args::current_args());
-    let command = parsed.map_err(|failure| format!("{failure:?}"))?;
-    magpiegap::run(&command).map_err(|error| error.to_string())
+/// Runs one of the scheduler's processes.
+fn run_role() -> Result<(), MainError> {
+    let command = magpiegap::parser()
+        .run_inner(Args::current_args())
+        .map_err(MainError::CommandLine)?;
+    Ok(magpiegap::run(&command)?)
 }
--- a/system/demo/src/platform.rs
+++ b/system/demo/src/platform.rs
@@ -1,41 +1,37 @@
-//! A stand-in for the platform: the list of workers.
+//! A stand-in for the platform: its list of workers, served by HTTP.
 use crate::{
     error::DemoError,
-    http_server::{serve, Answer, Call},
+    http_server::{serve, Request, Response},
 };
 use magpiegap_protocol::WorkerEntry;
 use std::{
     collections::BTreeMap,
     net::SocketAddr,
-    sync::{Arc, Mutex, PoisonError},
+    sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 use tokio::net::TcpListener;
 
-/// The list, shared with the workers that stand in it.
+/// The list of workers by incarnation; clones share it.
 #[derive(Clone, Default)]
 pub(crate) struct Platform {
     entries: Arc<Mutex<BTreeMap<String, WorkerEntry>>>,
 }
 
 impl Platform {
-    /// Puts a worker on the list.
+    /// Adds a worker to the list.
     pub(crate) fn add(&self, entry: WorkerEntry) {
-        let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
-        entries.insert(entry.incarnation.clone(), entry);
+        self.entries().insert(entry.incarnation.clone(), entry);
     }
 
-    /// Takes a worker off the list.
+    /// Removes a worker from the list.
     pub(crate) fn remove(&self, incarnation: &str) {
-        self.entries
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .remove(incarnation);
+        self.entries().remove(incarnation);
     }
 
-    /// Serves the list. Returns where.
+    /// Starts to serve the list, and returns the address.
     ///
     /// # Errors
-    /// When no port can be had.
+    /// When no port is available.
     pub(crate) async fn start(&self) -> Result<SocketAddr, DemoError> {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
@@ -44,28 +40,34 @@
             .local_addr()
             .map_err(DemoError::system("the platform's port"))?;
         let platform = self.clone();
-        serve(listener, move |call| {
-            let answer = platform.answer(&call);
-            async move { answer }
+        serve(listener, move |request| {
+            let response = platform.handle_request(&request);
+            async move { response }
         });
         Ok(address)
     }
 
-    fn answer(&self, call: &Call) -> Answer {
-        if call.path != "/instances" {
-            return Answer {
+    fn entries(&self) -> MutexGuard<'_, BTreeMap<String, WorkerEntry>> {
+        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn handle_request(&self, request: &Request) -> Response {
+        if request.path != "/instances" {
+            return Response {
                 status: 404,
                 body: serde_json::Value::Null,
             };
         }
-        let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
-        let instances: Vec<serde_json::Value> = entries.values().map(row).collect();
-        let body = serde_json::json!({ "instances": instances, "nextPageToken": null });
-        Answer { status: 200, body }
+        let instances: Vec<serde_json::Value> =
+            self.entries().values().map(instance_body).collect();
+        Response {
+            status: 200,
+            body: serde_json::json!({ "instances": instances, "nextPageToken": null }),
+        }
     }
 }
 
-fn row(entry: &WorkerEntry) -> serde_json::Value {
+fn instance_body(entry: &WorkerEntry) -> serde_json::Value {
     serde_json::json!({
         "id": entry.incarnation,
         "service": entry.service,
--- /dev/null
+++ b/system/demo/src/timeline.rs
@@ -0,0 +1,166 @@
+//! The report's page: a timeline of the runs on workers, with what was done to the cluster, and the table.
+use crate::{
+    results::{ClusterEvent, Results},
+    worker_server::WorkerEvent,
+};
+use magpiegap_fleet::RunEvent;
+use magpiegap_protocol::{CompletionKind, RunId, TaskId};
+use std::{collections::BTreeMap, fmt::Write};
+
+/// Pixels for a second.
+const SECOND_PX: u64 = 40;
+/// Pixels for a worker.
+const ROW_PX: u64 = 18;
+/// Pixels between the bars of two workers.
+const ROW_GAP_PX: u64 = 3;
+/// Pixels for the names of workers.
+const NAMES_PX: u64 = 60;
+/// Pixels to the right of the last run and the names.
+const MARGIN_PX: u64 = 200;
+/// Pixels below the last worker.
+const FOOTER_PX: u64 = 60;
+/// Pixels for a line of text in the footer, and how many lines there are.
+const LINE_PX: u64 = 12;
+const FOOTER_LINES: u64 = 3;
+
+/// How a run's bar is drawn; the names are the page's classes.
+#[derive(Clone, Copy)]
+enum BarStyle {
+    Done,
+    Other,
+    Lost,
+}
+
+impl BarStyle {
+    fn class(self) -> &'static str {
+        match self {
+            BarStyle::Done => "done",
+            BarStyle::Other => "other",
+            BarStyle::Lost => "lost",
+        }
+    }
+}
+
+/// A run on a worker.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RunKey {
+    incarnation: String,
+    task: String,
+    run: RunId,
+}
+
+impl RunKey {
+    fn new(event: &WorkerEvent, task: &TaskId, run: RunId) -> RunKey {
+        RunKey {
+            incarnation: event.incarnation.clone(),
+            task: task.to_string(),
+            run,
+        }
+    }
+}
+
+/// One run on the timeline; times in milliseconds since the demo began.
+struct Bar {
+    incarnation: String,
+    from: u64,
+    to: u64,
+    style: BarStyle,
+}
+
+/// Returns the page.
+pub(crate) fn to_page(results: &Results, table: &str) -> String {
+    let bars = bars(&results.worker_events);
+    let rows = rows(&bars);
+    let last = bars.iter().map(|bar| bar.to).max().unwrap_or(0);
+    let width = to_px(last) + MARGIN_PX;
+    let height = ROW_PX * rows.len() as u64 + FOOTER_PX;
+    let mut page = String::from(
+        "<!doctype html><meta charset=utf-8><title>magpiegap demo</title><style>body{font:13px sans-serif}\
+         .done{fill:#4a8}.other{fill:#c83}.lost{fill:#b33}rect{opacity:.55}</style><h1>Runs on workers</h1>",
+    );
+    let _ = write!(page, "<svg width={width} height={height}>");
+    for (name, row) in &rows {
+        let _ = write!(page, "<text x=0 y={}>{name}</text>", 13 + row * ROW_PX);
+    }
+    for bar in &bars {
+        write_bar(&mut page, bar, rows[bar.incarnation.as_str()]);
+    }
+    for (number, event) in results.cluster_events.iter().enumerate() {
+        let line = number as u64 % FOOTER_LINES;
+        write_cluster_event(&mut page, event, height, line);
+    }
+    let _ = write!(page, "</svg><h1>Figures</h1><pre>{table}</pre>");
+    page
+}
+
+/// The rows of the workers, in the order of their first bars.
+fn rows(bars: &[Bar]) -> BTreeMap<&str, u64> {
+    let mut rows = BTreeMap::new();
+    for bar in bars {
+        let next = rows.len() as u64;
+        rows.entry(bar.incarnation.as_str()).or_insert(next);
+    }
+    rows
+}
+
+/// The runs: those that have ended, then those that had not at the last event.
+fn bars(worker_events: &[WorkerEvent]) -> Vec<Bar> {
+    let last = worker_events.iter().map(|event| event.at).max();
+    let mut started: BTreeMap<RunKey, u64> = BTreeMap::new();
+    let mut bars = Vec::new();
+    for event in worker_events {
+        match &event.run_event {
+            RunEvent::Started { task, run, .. } => {
+                started.insert(RunKey::new(event, task, *run), event.at);
+            }
+            RunEvent::Completed(completion) => {
+                let key = RunKey::new(event, &completion.task, completion.run);
+                if let Some(from) = started.remove(&key) {
+                    bars.push(Bar {
+                        incarnation: key.incarnation,
+                        from,
+                        to: event.at,
+                        style: match completion.kind {
+                            CompletionKind::Done => BarStyle::Done,
+                            _ => BarStyle::Other,
+                        },
+                    });
+                }
+            }
+            RunEvent::Acknowledged(_) => {}
+        }
+    }
+    bars.extend(started.into_iter().map(|(key, from)| Bar {
+        incarnation: key.incarnation,
+        from,
+        to: last.unwrap_or(0),
+        style: BarStyle::Lost,
+    }));
+    bars
+}
+
+fn to_px(ms: u64) -> u64 {
+    ms * SECOND_PX / 1000
+}
+
+fn write_bar(page: &mut String, bar: &Bar, row: u64) {
+    let x = NAMES_PX + to_px(bar.from);
+    let y = row * ROW_PX;
+    let width = to_px(bar.to.saturating_sub(bar.from)).max(1);
+    let _ = write!(
+        page,
+        "<rect class={} x={x} y={y} width={width} height={}></rect>",
+        bar.style.class(),
+        ROW_PX - ROW_GAP_PX
+    );
+}
+
+fn write_cluster_event(page: &mut String, event: &ClusterEvent, height: u64, line: u64) {
+    let x = NAMES_PX + to_px(event.at);
+    let y = height - LINE_PX * line - 4;
+    let _ = write!(
+        page,
+        "<line x1={x} x2={x} y1=0 y2={height} stroke=#b33></line>"
+    );
+    let _ = write!(page, "<text x={} y={y}>{}</text>", x + 3, event.what);
+}
--- a/system/demo/src/work.rs
+++ b/system/demo/src/work.rs
@@ -1,7 +1,11 @@
-//! What the demo's jobs consist of, and how that is written into a job's text for the stand-in workers.
+//! The work of the demo's jobs, and how it is written into a job's text for the stand-in workers.
 use magpiegap_protocol::{Resources, TaskId};
+use serde_json::{json, Value};
 
-/// What one task of a step does.
+/// Megabytes for each task.
+pub const MEMORY_MB: u64 = 100;
+
+/// The work of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StepWork {
     /// Tasks of the step.
@@ -10,14 +14,36 @@
     pub cpu: u64,
     /// How long each task takes, in milliseconds.
     pub duration_ms: u64,
-    /// The tasks work only together.
+    /// Whether the tasks work only together.
     pub gang: bool,
 }
 
-/// Megabytes for each task.
-pub const MEMORY_MB: u64 = 100;
+/// The work of one task, as a worker reads it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TaskWork {
+    /// What the task takes up.
+    pub resources: Resources,
+    /// How long it takes, in milliseconds.
+    pub duration_ms: u64,
+}
+
+impl TaskWork {
+    /// Reads the work of a task from the text of its job; `None`: the text is of no such job.
+    pub fn parse(text: &str, task: &TaskId) -> Option<TaskWork> {
+        let line = text.lines().nth(task.step as usize)?;
+        let (cpu, duration_ms) = line.split_once(' ')?;
+        Some(TaskWork {
+            resources: Resources {
+                cpu: cpu.parse().ok()?,
+                memory_mb: MEMORY_MB,
+                gpu: 0,
+            },
+            duration_ms: duration_ms.parse().ok()?,
+        })
+    }
+}
 
-/// The job's text: a line for each step.
+/// Returns the text of a job: a line for each step.
 pub fn to_text(steps: &[StepWork]) -> String {
     let lines: Vec<String> = steps
         .iter()
@@ -26,35 +52,24 @@
     lines.join("\n")
 }
 
-/// What a task asks for and how long it takes, by the text of its job; `None`: the text is of no such job.
-pub fn of_task(text: &str, task: &TaskId) -> Option<(Resources, u64)> {
-    let line = text.lines().nth(task.step as usize)?;
-    let (cpu, duration) = line.split_once(' ')?;
-    let resources = Resources {
-        cpu: cpu.parse().ok()?,
-        memory_mb: MEMORY_MB,
-        gpu: 0,
-    };
-    Some((resources, duration.parse().ok()?))
+/// Returns the body that submits a job; each step depends on the one before.
+pub fn to_body(steps: &[StepWork]) -> Value {
+    let steps_body: Vec<Value> = steps.iter().enumerate().map(step_body).collect();
+    json!({ "spec": to_text(steps), "steps": steps_body })
 }
 
-/// The body that hands a job in; each step waits for the one before.
-pub fn to_body(steps: &[StepWork]) -> serde_json::Value {
-    let step = |(position, step): (usize, &StepWork)| {
-        let mut body = serde_json::json!({
-            "count": step.count,
-            "cpu": step.cpu,
-            "memMb": MEMORY_MB,
-            "estimatedMs": step.duration_ms,
-        });
-        if step.gang {
-            body["gang"] = true.into();
-        }
-        if let Some(before) = position.checked_sub(1) {
-            body["dependsOn"] = serde_json::json!([before]);
-        }
-        body
-    };
-    let steps_body: Vec<serde_json::Value> = steps.iter().enumerate().map(step).collect();
-    serde_json::json!({ "spec": to_text(steps), "steps": steps_body })
+fn step_body((position, step): (usize, &StepWork)) -> Value {
+    let mut body = json!({
+        "count": step.count,
+        "cpu": step.cpu,
+        "memMb": MEMORY_MB,
+        "estimatedMs": step.duration_ms,
+    });
+    if step.gang {
+        body["gang"] = true.into();
+    }
+    if let Some(before) = position.checked_sub(1) {
+        body["dependsOn"] = json!([before]);
+    }
+    body
 }
--- a/system/demo/src/worker_server.rs
+++ b/system/demo/src/worker_server.rs
@@ -1,74 +1,64 @@
 //! A stand-in for a worker: the in-memory fleet's worker behind the protocol's HTTP calls.
 use crate::{
     error::DemoError,
-    http_server::{serve, Answer, Call},
-    work,
+    http_server::{serve, Request, Response},
+    work::TaskWork,
+    worker_body::{to_response, OrderBody},
 };
-use magpiegap_fleet::{Deed, Work, Worker};
-use magpiegap_protocol::{CompletionKind, FencingToken, Resources, TaskId, WorkerEntry};
-use magpiegap_scheduler::{Listing, RefusalReason, WorkerCall, WorkerOrder, WorkerReply};
-use serde::Deserialize;
+use magpiegap_fleet::{RunEvent, Work, Worker, WorkerSettings};
+use magpiegap_protocol::{CompletionKind, Resources, WorkerEntry};
+use magpiegap_scheduler::{WorkerCall, WorkerOrder, WorkerReply};
 use std::{
-    sync::{Arc, Mutex, PoisonError},
+    sync::{Arc, Mutex, MutexGuard, PoisonError},
     time::Duration,
 };
 use tokio::{net::TcpListener, sync::mpsc::UnboundedSender, task::JoinHandle, time::Instant};
 
-/// Workers refuse what does not fit.
-const GUARDS: bool = true;
-/// Longest hold on a worker.
-pub(crate) const MAX_HOLD_MS: u64 = 6000;
-/// What each worker has.
+/// The longest lease on a worker, in milliseconds.
+pub(crate) const MAX_LEASE_MS: u64 = 6000;
+/// The capacity of each worker.
 const CAPACITY: Resources = Resources {
     cpu: 8000,
     memory_mb: 16_000,
     gpu: 0,
 };
-/// How often a worker that is asked to wait for an end looks for one.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
-
-/// Something that happened on a worker.
+/// How often a long poll looks for a completion.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// How far the clocks of two workers with neighbouring numbers are apart, in milliseconds.
+const CLOCK_OFFSET_MS: u64 = 100_000;
+/// Workers of a rack.
+const RACK_SIZE: u16 = 8;
+
+/// An event of a run on a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkerEvent {
-    /// Which worker.
+    /// The worker's incarnation.
     pub incarnation: String,
     /// When, in milliseconds since the demo began.
     pub at: u64,
     /// What.
-    pub deed: Deed,
+    pub run_event: RunEvent,
 }
 
-#[derive(Deserialize, Default)]
-#[serde(rename_all = "camelCase", default)]
-struct OrderBody {
-    task: String,
-    run_id: u32,
-    spec: String,
-    deadline_ms: Option<u64>,
-    fence_token: u64,
-    last_seen: u64,
-    wait_ms: u64,
-    checkpointed: String,
+/// A worker that serves.
+pub(crate) struct RunningWorker {
+    /// As the platform lists it.
+    pub entry: WorkerEntry,
+    server: JoinHandle<()>,
 }
 
+/// What the handlers of a worker's requests share.
 struct Shared {
     worker: Mutex<Worker>,
     began: Instant,
     events: UnboundedSender<WorkerEvent>,
 }
 
-/// A worker that serves.
-pub(crate) struct RunningWorker {
-    /// As the platform lists it.
-    pub entry: WorkerEntry,
-    server: JoinHandle<()>,
-}
-
 impl RunningWorker {
     /// Starts a worker.
     ///
     /// # Errors
-    /// When no port can be had.
+    /// When no port is available.
     pub(crate) async fn start(
         number: u16,
         began: Instant,
@@ -86,23 +76,23 @@
             address: address.to_string(),
             zone: "a".to_owned(),
             capacity: CAPACITY,
-            labels: vec!["a".to_owned(), format!("r{}", number / 8)],
+            labels: vec!["a".to_owned(), format!("r{}", number / RACK_SIZE)],
             ..WorkerEntry::default()
         };
-        let clock_offset = 100_000 * u64::from(number);
-        let worker = Mutex::new(Worker::new(
-            entry.clone(),
-            GUARDS,
-            clock_offset,
-            1000,
-            MAX_HOLD_MS,
-        ));
+        let settings = WorkerSettings {
+            guards: true,
+            clock_offset_ms: CLOCK_OFFSET_MS * u64::from(number),
+            clock_rate_permille: 1000,
+            max_lease_ms: MAX_LEASE_MS,
+        };
         let shared = Arc::new(Shared {
-            worker,
+            worker: Mutex::new(Worker::new(entry.clone(), settings)),
             began,
             events,
         });
-        let server = serve(listener, move |call| answer(shared.clone(), call));
+        let server = serve(listener, move |request| {
+            handle_request(shared.clone(), request)
+        });
         Ok(RunningWorker { entry, server })
     }
 
@@ -112,93 +102,55 @@
     }
 }
 
-async fn answer(shared: Arc<Shared>, call: Call) -> Answer {
-    let Ok(body) = serde_json::from_slice::<OrderBody>(&call.body) else {
-        return status_only(400);
+async fn handle_request(shared: Arc<Shared>, request: Request) -> Response {
+    let body = match OrderBody::parse(&request.body) {
+        Ok(body) => body,
+        Err(error) => return error.response(),
     };
-    let order = match call.path.as_str() {
-        "/-/run-start" => start_order(&body),
-        "/-/run-stop" => TaskId::parse(&body.task).map(|task| WorkerOrder::Stop {
-            task,
-            run: body.run_id,
-        }),
-        "/-/hold" => Some(hold_order(&body)),
-        _ => return status_only(404),
+    let call = match body.to_call(&request.path, request.expected_incarnation) {
+        Ok(call) => call,
+        Err(error) => return error.response(),
     };
-    let Some(order) = order else {
-        return status_only(400);
-    };
-    let call = WorkerCall {
-        id: 0,
-        address: String::new(),
-        incarnation: call.expected_instance.unwrap_or_default(),
-        token: FencingToken(body.fence_token),
-        order,
-        timeout_ms: 0,
-    };
-    if body.wait_ms > 0 {
-        wait_for_end(&shared, body.last_seen, Duration::from_millis(body.wait_ms)).await;
+    if body.long_poll_ms > 0 {
+        let max_wait = Duration::from_millis(body.long_poll_ms);
+        wait_for_completion(&shared, body.acknowledged_completion, max_wait).await;
     }
-    to_answer(shared.take(&call))
-}
-
-fn start_order(body: &OrderBody) -> Option<WorkerOrder> {
-    Some(WorkerOrder::Start {
-        task: TaskId::parse(&body.task)?,
-        run: body.run_id,
-        spec: body.spec.clone(),
-        deadline_ms: body.deadline_ms?,
-        checkpoint: body.checkpointed.clone(),
-    })
+    to_response(shared.handle_call(&call))
 }
 
-fn hold_order(body: &OrderBody) -> WorkerOrder {
-    WorkerOrder::RenewLease {
-        deadline_ms: body.deadline_ms,
-        acknowledged_completion: body.last_seen,
-        long_poll_ms: body.wait_ms,
-    }
-}
-
-async fn wait_for_end(shared: &Shared, last_seen: u64, most: Duration) {
-    let until = Instant::now() + most;
-    while Instant::now() < until && !shared.has_news(last_seen) {
-        tokio::time::sleep(LOOK_EVERY).await;
+async fn wait_for_completion(shared: &Shared, acknowledged_completion: u64, max_wait: Duration) {
+    let until = Instant::now() + max_wait;
+    while Instant::now() < until && !shared.has_completion(acknowledged_completion) {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 impl Shared {
+    /// Milliseconds since the demo began.
     fn now(&self) -> u64 {
         self.began.elapsed().as_millis() as u64
     }
 
-    fn has_news(&self, last_seen: u64) -> bool {
-        let mut worker = self.worker.lock().unwrap_or_else(PoisonError::into_inner);
-        worker.pass_time(self.now());
-        worker.has_news(last_seen)
+    fn worker(&self) -> MutexGuard<'_, Worker> {
+        self.worker.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn has_completion(&self, acknowledged_completion: u64) -> bool {
+        let mut worker = self.worker();
+        worker.on_timeout(self.now());
+        worker.has_unacknowledged_completion(acknowledged_completion)
     }
 
-    fn take(&self, call: &WorkerCall) -> WorkerReply {
+    fn handle_call(&self, call: &WorkerCall) -> WorkerReply {
         let now = self.now();
-        let work = match &call.order {
-            WorkerOrder::Start { task, spec, .. } => work::of_task(spec, task),
-            _ => None,
-        };
-        // Workers of the demo do not speak with each other: members of a gang work each by itself.
-        let work = work.map(|(resources, duration_ms)| Work {
-            resources,
-            duration_ms,
-            how: CompletionKind::Done,
-            checkpoints: false,
-            gang: false,
-        });
-        let mut worker = self.worker.lock().unwrap_or_else(PoisonError::into_inner);
-        let reply = worker.take(now, call, work);
-        for deed in worker.take_deeds() {
+        let work = find_work(&call.order);
+        let mut worker = self.worker();
+        let reply = worker.handle_call(now, call, work);
+        for run_event in worker.poll_events() {
             let event = WorkerEvent {
                 incarnation: worker.entry.incarnation.clone(),
                 at: now,
-                deed,
+                run_event,
             };
             let _ = self.events.send(event);
         }
@@ -206,73 +158,18 @@
     }
 }
 
-fn status_only(status: u16) -> Answer {
-    Answer {
-        status,
-        body: serde_json::json!({}),
-    }
-}
-
-fn to_answer(reply: WorkerReply) -> Answer {
-    let (status, body) = match reply {
-        WorkerReply::Done {
-            clock_ms,
-            listing: None,
-        } => (200, serde_json::json!({ "clockMs": clock_ms })),
-        WorkerReply::Done {
-            clock_ms,
-            listing: Some(listing),
-        } => (200, listing_body(clock_ms, &listing)),
-        WorkerReply::Refused { clock_ms, reason } => (
-            409,
-            serde_json::json!({ "clockMs": clock_ms, "reason": reason_word(reason) }),
-        ),
-        WorkerReply::OtherIncarnation => (421, serde_json::json!({})),
-        WorkerReply::Unhealthy => (503, serde_json::json!({})),
-        WorkerReply::Unreadable | WorkerReply::TimedOut => (400, serde_json::json!({})),
+/// The work that a start order means. Workers of the demo do not speak with each other: members of a gang work each by
+/// itself.
+fn find_work(order: &WorkerOrder) -> Option<Work> {
+    let WorkerOrder::Start { task, spec, .. } = order else {
+        return None;
     };
-    Answer { status, body }
-}
-
-fn listing_body(clock_ms: Option<u64>, listing: &Listing) -> serde_json::Value {
-    let running: Vec<serde_json::Value> = listing
-        .running
-        .iter()
-        .map(|run| serde_json::json!([run.task.to_string(), run.run, run.checkpoint, run.percent]))
-        .collect();
-    let ended: Vec<serde_json::Value> = listing
-        .completed
-        .iter()
-        .map(|end| {
-            let how = end_word(end.kind);
-            serde_json::json!([
-                end.sequence,
-                end.task.to_string(),
-                end.run,
-                how,
-                end.checkpoint
-            ])
-        })
-        .collect();
-    serde_json::json!({ "clockMs": clock_ms, "running": running, "ended": ended })
-}
-
-fn reason_word(reason: RefusalReason) -> &'static str {
-    match reason {
-        RefusalReason::StaleToken => "fence",
-        RefusalReason::Superseded => "old",
-        RefusalReason::DeadlinePassed => "late",
-        RefusalReason::NoCapacity => "room",
-    }
-}
-
-fn end_word(kind: CompletionKind) -> &'static str {
-    match kind {
-        CompletionKind::Done => "done",
-        CompletionKind::Failed => "failed",
-        CompletionKind::Stopped => "stopped",
-        CompletionKind::LeaseExpired => "lapsed",
-        CompletionKind::GangEnded => "broken",
-        CompletionKind::GangTimedOut => "alone",
-    }
+    let work = TaskWork::parse(spec, task)?;
+    Some(Work {
+        resources: work.resources,
+        duration_ms: work.duration_ms,
+        kind: CompletionKind::Done,
+        checkpoints: false,
+        gang: false,
+    })
 }
--- a/system/demo/tests/work.rs
+++ b/system/demo/tests/work.rs
@@ -1,6 +1,6 @@
 //! The text of a job tells the stand-in workers what each task does.
 use googletest::prelude::*;
-use magpiegap_demo::work::{of_task, to_body, to_text, StepWork, MEMORY_MB};
+use magpiegap_demo::work::{to_body, to_text, StepWork, TaskWork, MEMORY_MB};
 use magpiegap_protocol::{JobId, Resources, TaskId};
 
 fn steps() -> Vec<StepWork> {
@@ -30,20 +30,23 @@
 }
 
 #[googletest::test]
-fn given_a_job_of_two_steps_when_a_worker_reads_its_text_then_it_finds_each_steps_work() {
+fn given_a_job_of_two_steps_when_a_worker_reads_its_text_then_it_finds_the_work_of_each_step() {
     let text = to_text(&steps());
-    let second = Resources {
-        cpu: 1500,
-        memory_mb: MEMORY_MB,
-        gpu: 0,
+    let second = TaskWork {
+        resources: Resources {
+            cpu: 1500,
+            memory_mb: MEMORY_MB,
+            gpu: 0,
+        },
+        duration_ms: 900,
     };
-    expect_that!(of_task(&text, &task(1)), some(eq((second, 900))));
-    expect_that!(of_task(&text, &task(2)), none());
-    expect_that!(of_task("no such text", &task(0)), none());
+    expect_that!(TaskWork::parse(&text, &task(1)), some(eq(second)));
+    expect_that!(TaskWork::parse(&text, &task(2)), none());
+    expect_that!(TaskWork::parse("no such text", &task(0)), none());
 }
 
 #[googletest::test]
-fn given_a_job_of_two_steps_when_it_is_handed_in_then_the_second_waits_for_the_first() {
+fn given_a_job_of_two_steps_when_it_is_submitted_then_the_second_depends_on_the_first() {
     let body = to_body(&steps());
     expect_that!(body["steps"][0]["dependsOn"].is_null(), eq(true));
     expect_that!(body["steps"][1]["dependsOn"][0].as_u64(), some(eq(0)));
--- /dev/null
+++ b/system/fleet/src/active_faults.rs
@@ -0,0 +1,73 @@
+//! Faults in force: which links, disks and calls are affected now. What a fault is stands in `faults`; when it ends is
+//! an event.
+use crate::faults::WorkerPartitionScope;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Time that a healthy disk takes for a sync, in milliseconds.
+const SYNC_MS: u64 = 10;
+
+/// The direction from one core machine to another.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct Link {
+    pub from: usize,
+    pub to: usize,
+}
+
+/// The faults that last for a time.
+#[derive(Debug, Default)]
+pub(crate) struct ActiveFaults {
+    partitions: BTreeSet<Link>,
+    worker_partitions: BTreeMap<usize, WorkerPartitionScope>,
+    /// Time that a sync takes on slow disks, in milliseconds, by core machine.
+    slow_disks: BTreeMap<usize, u64>,
+    /// Hundredths of the workers' calls that arrive late.
+    delayed_order_percent: u32,
+}
+
+impl ActiveFaults {
+    pub(crate) fn partition(&mut self, link: Link) {
+        self.partitions.insert(link);
+    }
+
+    pub(crate) fn restore_link(&mut self, link: Link) {
+        self.partitions.remove(&link);
+    }
+
+    pub(crate) fn is_partitioned(&self, link: Link) -> bool {
+        self.partitions.contains(&link)
+    }
+
+    pub(crate) fn partition_worker(&mut self, worker: usize, scope: WorkerPartitionScope) {
+        self.worker_partitions.insert(worker, scope);
+    }
+
+    pub(crate) fn restore_worker_link(&mut self, worker: usize) {
+        self.worker_partitions.remove(&worker);
+    }
+
+    /// What a worker is cut off from; `None`: it is reachable.
+    pub(crate) fn worker_partition(&self, worker: usize) -> Option<WorkerPartitionScope> {
+        self.worker_partitions.get(&worker).copied()
+    }
+
+    pub(crate) fn slow_disk(&mut self, node: usize, sync_ms: u64) {
+        self.slow_disks.insert(node, sync_ms);
+    }
+
+    pub(crate) fn restore_disk_speed(&mut self, node: usize) {
+        self.slow_disks.remove(&node);
+    }
+
+    /// Time that a sync takes on a machine's disk now, in milliseconds.
+    pub(crate) fn sync_ms(&self, node: usize) -> u64 {
+        self.slow_disks.get(&node).copied().unwrap_or(SYNC_MS)
+    }
+
+    pub(crate) fn set_delayed_order_percent(&mut self, percent: u32) {
+        self.delayed_order_percent = percent;
+    }
+
+    pub(crate) fn delayed_order_percent(&self) -> u32 {
+        self.delayed_order_percent
+    }
+}
--- a/system/fleet/src/client.rs
+++ b/system/fleet/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients and the operator: what they want, and how far they have got.
+//! Clients and operators: what they want, and how far they have got. Which coordinator they ask is the fleet's.
 use magpiegap_protocol::{
     fnv1a, CoordinatorRequest, CoordinatorResponse, JobId, JobPhase, Submission, TaskId,
 };
@@ -9,26 +9,27 @@
     pub submission: Submission,
     pub cancel_at: Option<u64>,
     pub accepted: bool,
-    /// How often it was handed in.
-    pub tries: u32,
-    /// Its only try was turned away: nothing of it may ever run.
+    /// How often it was submitted.
+    pub attempts: u32,
+    /// Its only attempt was rejected: nothing of it may ever run.
     pub rejected: bool,
     pub cancelled: bool,
     pub phase: Option<JobPhase>,
-    pub next_at: u64,
+    pub next_request_at: u64,
 }
 
 impl ClientJob {
-    pub(crate) fn new(submission: Submission, begins: u64, cancel_at: Option<u64>) -> ClientJob {
+    /// A job that is submitted at `submit_at`.
+    pub(crate) fn new(submission: Submission, submit_at: u64, cancel_at: Option<u64>) -> ClientJob {
         ClientJob {
             submission,
             cancel_at,
             accepted: false,
-            tries: 0,
+            attempts: 0,
             rejected: false,
             cancelled: false,
             phase: None,
-            next_at: begins,
+            next_request_at: submit_at,
         }
     }
 
@@ -36,36 +37,36 @@
         self.submission.job
     }
 
-    /// Whether its client does not come back once it was turned away.
-    fn gives_up(&self) -> bool {
+    /// Whether its client does not come back once it was rejected.
+    fn gives_up_when_rejected(&self) -> bool {
         self.submission.job.0.is_multiple_of(5)
     }
 
-    /// Whether nothing more is to be asked.
-    pub(crate) fn is_over(&self) -> bool {
+    /// Whether nothing more is to be requested.
+    pub(crate) fn is_finished(&self) -> bool {
         self.rejected || self.phase.is_some_and(JobPhase::is_terminal)
     }
 
     /// All tasks of the job.
     pub(crate) fn tasks(&self) -> Vec<TaskId> {
+        let spec = &self.submission.spec;
         let mut tasks = Vec::new();
-        for occurrence in 0..self.submission.spec.occurrences() {
-            for (step, spec) in self.submission.spec.steps.iter().enumerate() {
-                for index in 0..spec.count {
-                    tasks.push(TaskId {
-                        job: self.id(),
-                        occurrence,
-                        step: step as u32,
-                        index,
-                    });
-                }
+        for occurrence in 0..spec.occurrences() {
+            for (step, step_spec) in spec.steps.iter().enumerate() {
+                let of_step = (0..step_spec.count).map(|index| TaskId {
+                    job: self.id(),
+                    occurrence,
+                    step: step as u32,
+                    index,
+                });
+                tasks.extend(of_step);
             }
         }
         tasks
     }
 
-    /// What to ask next.
-    pub(crate) fn request(&self, now: u64) -> CoordinatorRequest {
+    /// What to request next.
+    pub(crate) fn next_request(&self, now: u64) -> CoordinatorRequest {
         let queue = self.submission.queue.clone();
         if !self.accepted {
             return CoordinatorRequest::Submit(Box::new(self.submission.clone()));
@@ -82,48 +83,48 @@
         }
     }
 
-    /// Takes the answer to what was asked.
-    pub(crate) fn take(&mut self, asked: &CoordinatorRequest, answer: &CoordinatorResponse) {
-        match (asked, answer) {
-            (CoordinatorRequest::Submit(_), CoordinatorResponse::Accepted) => self.accepted = true,
-            (
-                CoordinatorRequest::Submit(_),
-                CoordinatorResponse::NotServing | CoordinatorResponse::NoCapacity,
-            ) => {
-                self.rejected = self.tries == 1 && self.gives_up();
-            }
-            (CoordinatorRequest::Cancel { .. }, CoordinatorResponse::Accepted) => {
-                self.cancelled = true
-            }
-            (CoordinatorRequest::Status { .. }, CoordinatorResponse::Phase(phase)) => {
-                self.phase = Some(*phase)
+    /// Takes the response to a request.
+    pub(crate) fn handle_response(
+        &mut self,
+        request: &CoordinatorRequest,
+        response: &CoordinatorResponse,
+    ) {
+        use CoordinatorRequest as Request;
+        use CoordinatorResponse as Response;
+        match (request, response) {
+            (Request::Submit(_), Response::Accepted) => self.accepted = true,
+            (Request::Submit(_), Response::NotServing | Response::NoCapacity) => {
+                self.rejected = self.attempts == 1 && self.gives_up_when_rejected();
             }
+            (Request::Cancel { .. }, Response::Accepted) => self.cancelled = true,
+            (Request::Status { .. }, Response::Phase(phase)) => self.phase = Some(*phase),
             _ => {}
         }
     }
 }
 
-/// An operator's order to replace the configuration; it is sent again unchanged until it has a clear answer.
+/// An operator's request to replace the configuration; it is sent again unchanged until it has a clear response.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Order {
+pub(crate) struct ConfigurationChange {
     pub base: u64,
     pub version: u64,
     pub body: Vec<u8>,
 }
 
-impl Order {
+impl ConfigurationChange {
     /// The change of an operator that builds on a version. Sometimes all operators choose the same number.
-    pub(crate) fn new(operator: usize, base: u64, size: ConfigurationSize) -> Order {
+    pub(crate) fn new(operator: usize, base: u64, size: ConfigurationSize) -> ConfigurationChange {
         let own_number = if base.is_multiple_of(3) {
             0
         } else {
             operator as u64
         };
         let version = base + 1 + own_number;
-        Order {
+        let body = configuration_body(operator, base, version, size);
+        ConfigurationChange {
             base,
             version,
-            body: configuration(operator, base, version, size),
+            body,
         }
     }
 }
@@ -131,15 +132,15 @@
 /// An operator.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Operator {
-    /// The order that has no clear answer yet.
-    pub order: Option<Order>,
-    pub next_at: u64,
+    /// The change that has no clear response yet.
+    pub pending_change: Option<ConfigurationChange>,
+    pub next_request_at: u64,
 }
 
 /// How large the configurations of operators are.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConfigurationSize {
-    /// Bytes that mean nothing.
+    /// Bytes without meaning.
     pub padding: usize,
     /// Routes beside the one that is used.
     pub routes: u64,
@@ -158,8 +159,13 @@
     )
 }
 
-/// A configuration with one service and one queue that is used; each order has another one.
-fn configuration(operator: usize, base: u64, version: u64, size: ConfigurationSize) -> Vec<u8> {
+/// A configuration with one service and one queue that is used; each change has another one.
+fn configuration_body(
+    operator: usize,
+    base: u64,
+    version: u64,
+    size: ConfigurationSize,
+) -> Vec<u8> {
     let idle: String = (0..size.routes)
         .map(|number| idle_route(number, version))
         .collect();
--- a/system/fleet/src/disk.rs
+++ b/system/fleet/src/disk.rs
@@ -1,23 +1,31 @@
-//! A disk: what is synced lasts, what is not may be lost.
+//! A simulated disk: what is synced lasts, what is only written may be lost with the power.
 use magpiegap_control::{DurableRecord, DurableState};
 use rand::{rngs::StdRng, Rng};
 
-/// Work that the disk has not synced yet.
+/// Content of a write.
 #[derive(Clone, Debug)]
-pub(crate) enum Work {
+pub(crate) enum WriteContent {
     Records(Vec<DurableRecord>),
     Checkpoint(Box<DurableState>),
 }
 
+/// A write that is not synced yet.
+#[derive(Clone, Debug)]
+struct PendingWrite {
+    ticket: u64,
+    content: WriteContent,
+}
+
 /// A node's disk.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Disk {
     durable: Option<DurableState>,
-    pending: Vec<(u64, Work)>,
+    /// By rising ticket.
+    pending: Vec<PendingWrite>,
 }
 
 impl Disk {
-    /// A disk that holds this.
+    /// A disk that holds a state.
     pub(crate) fn new(state: DurableState) -> Disk {
         Disk {
             durable: Some(state),
@@ -25,40 +33,38 @@
         }
     }
 
-    /// Takes work that is not synced yet.
-    pub(crate) fn write(&mut self, ticket: u64, work: Work) {
-        self.pending.push((ticket, work));
+    /// Takes a write that is not synced yet.
+    pub(crate) fn write(&mut self, ticket: u64, content: WriteContent) {
+        self.pending.push(PendingWrite { ticket, content });
     }
 
-    /// Syncs all work up to a ticket.
+    /// Syncs all writes up to a ticket.
     pub(crate) fn sync(&mut self, ticket: u64) {
-        let split = self
-            .pending
-            .partition_point(|(number, _)| *number <= ticket);
-        for (_, work) in self.pending.drain(..split).collect::<Vec<_>>() {
-            self.add(work);
+        let split = self.pending.partition_point(|write| write.ticket <= ticket);
+        for write in self.pending.drain(..split).collect::<Vec<_>>() {
+            self.make_durable(write.content);
         }
     }
 
-    fn add(&mut self, work: Work) {
-        match (work, &mut self.durable) {
-            (Work::Checkpoint(snapshot), durable) => *durable = Some(*snapshot),
-            (Work::Records(records), Some(durable)) => {
-                records.into_iter().for_each(|record| durable.add(record))
+    fn make_durable(&mut self, content: WriteContent) {
+        match (content, &mut self.durable) {
+            (WriteContent::Checkpoint(snapshot), durable) => *durable = Some(*snapshot),
+            (WriteContent::Records(records), Some(durable)) => {
+                records.into_iter().for_each(|record| durable.add(record));
             }
-            (Work::Records(_), None) => {}
+            (WriteContent::Records(_), None) => {}
         }
     }
 
-    /// The process dies: the files stay as they were written.
-    pub(crate) fn process_dies(&mut self) {
+    /// Kills the process: the files stay as they were written.
+    pub(crate) fn kill_process(&mut self) {
         self.sync(u64::MAX);
     }
 
-    /// Power is lost: of what was not synced some first part is there.
-    pub(crate) fn power_is_lost(&mut self, random: &mut StdRng) {
-        let kept = random.gen_range(0..=self.pending.len());
-        self.pending.truncate(kept);
+    /// Cuts the power: of what was not synced, some prefix survives.
+    pub(crate) fn lose_power(&mut self, random: &mut StdRng) {
+        let survivors = random.gen_range(0..=self.pending.len());
+        self.pending.truncate(survivors);
         self.sync(u64::MAX);
     }
 
--- a/system/fleet/src/edge.rs
+++ b/system/fleet/src/edge.rs
@@ -1,43 +1,44 @@
-//! An edge of the fleet: an agent that asks coordinators for news and configurations, on a link with a rate and a queue.
+//! An edge of the fleet: an agent that follows configurations, on a link with a rate and a queue. Which coordinator
+//! answers its calls is the fleet's.
 use magpiegap_distribution::{Agent, AgentSettings, Call, CallFailure, CallId};
 use magpiegap_jobs::Configuration;
 use magpiegap_protocol::{encode, CoordinatorResponse};
 
-/// What HTTP and TCP add to an answer, in bytes.
-const HEADS: u64 = 300;
-/// Bytes after which an answer's first piece is there.
-const PIECE: u64 = 1460;
+/// What the headers of HTTP and TCP add to a response, in bytes.
+const HEADER_BYTES: u64 = 300;
+/// Bytes after which the first segment of a response has arrived.
+const FIRST_SEGMENT_BYTES: u64 = 1460;
 /// One way between an edge and a core machine, in milliseconds.
-const DELAY_MS: u64 = 5;
-/// How many coordinators an agent asks for news at the same time.
+const LINK_DELAY_MS: u64 = 5;
+/// How many coordinators an agent polls at the same time.
 const LINKS: usize = 2;
 
-/// An answer on its way over an edge's link.
-struct Arriving {
-    answer: CoordinatorResponse,
-    first_piece_at: u64,
-    whole_at: u64,
+/// A response on its way over an edge's link.
+struct InTransit {
+    response: CoordinatorResponse,
+    first_byte_at: u64,
+    complete_at: u64,
 }
 
 /// A call of an agent that has no outcome yet.
-struct UnderWay {
+struct PendingCall {
     call: Call,
-    begun_at: u64,
-    arriving: Option<Arriving>,
+    started_at: u64,
+    in_transit: Option<InTransit>,
 }
 
 /// An edge: its agent and its link.
 pub(crate) struct Edge {
     pub agent: Agent,
-    calls: Vec<UnderWay>,
-    /// When the link has carried all that was put on it.
+    calls: Vec<PendingCall>,
+    /// When the link has carried all that is queued on it.
     link_free_at: u64,
-    /// The newest configuration that was ever in force here.
-    pub newest: u64,
+    /// The newest configuration version that was ever in force here.
+    pub newest_version: u64,
 }
 
 impl Edge {
-    /// An edge that knows only where coordinators may be found.
+    /// An edge that knows only the addresses of some coordinators.
     pub(crate) fn new(number: usize, seeds: Vec<u32>) -> Edge {
         let settings = AgentSettings {
             own_address: number as u32,
@@ -48,7 +49,7 @@
             agent: Agent::new(settings),
             calls: Vec::new(),
             link_free_at: 0,
-            newest: 0,
+            newest_version: 0,
         }
     }
 
@@ -62,63 +63,64 @@
         self.agent.configuration()
     }
 
-    /// A call has been made.
-    pub(crate) fn begin(&mut self, call: Call, now: u64) {
-        self.calls.push(UnderWay {
+    /// Starts a call.
+    pub(crate) fn start_call(&mut self, call: Call, now: u64) {
+        self.calls.push(PendingCall {
             call,
-            begun_at: now,
-            arriving: None,
+            started_at: now,
+            in_transit: None,
         });
     }
 
-    /// An answer is put on the link behind all that it carries already.
-    pub(crate) fn put_on_link(
+    /// Queues a response on the link, behind all that it carries already.
+    pub(crate) fn queue_response(
         &mut self,
         id: CallId,
-        answer: CoordinatorResponse,
+        response: CoordinatorResponse,
         now: u64,
-        bytes_a_second: u64,
+        bytes_per_second: u64,
     ) {
-        let bytes = encode(&answer).len() as u64 + HEADS;
-        let millis = |bytes: u64| bytes * 1000 / bytes_a_second.max(1) + 1;
-        let begins = self.link_free_at.max(now);
-        self.link_free_at = begins + millis(bytes);
-        let arriving = Arriving {
-            answer,
-            first_piece_at: begins + millis(bytes.min(PIECE)) + DELAY_MS,
-            whole_at: begins + millis(bytes) + DELAY_MS,
+        let bytes = encode(&response).len() as u64 + HEADER_BYTES;
+        let transfer_ms = |bytes: u64| bytes * 1000 / bytes_per_second.max(1) + 1;
+        let starts_at = self.link_free_at.max(now);
+        self.link_free_at = starts_at + transfer_ms(bytes);
+        let in_transit = InTransit {
+            response,
+            first_byte_at: starts_at + transfer_ms(bytes.min(FIRST_SEGMENT_BYTES)) + LINK_DELAY_MS,
+            complete_at: starts_at + transfer_ms(bytes) + LINK_DELAY_MS,
         };
-        if let Some(under_way) = self
-            .calls
-            .iter_mut()
-            .find(|under_way| under_way.call.id == id)
-        {
-            under_way.arriving = Some(arriving);
+        if let Some(pending) = self.calls.iter_mut().find(|pending| pending.call.id == id) {
+            pending.in_transit = Some(in_transit);
         }
     }
 
-    /// Ends the calls whose answers are there whole, and those whose first piece has not come in time.
-    pub(crate) fn end_calls(&mut self, now: u64) {
-        let (ended, going_on): (Vec<UnderWay>, Vec<UnderWay>) = std::mem::take(&mut self.calls)
-            .into_iter()
-            .partition(|call| call.is_over(now));
-        self.calls = going_on;
-        for under_way in ended {
-            let answer = match under_way.arriving {
-                Some(arriving) if now >= arriving.whole_at => Ok(arriving.answer),
+    /// Ends the calls whose responses are complete, and those that have timed out.
+    pub(crate) fn on_timeout(&mut self, now: u64) {
+        let (finished, pending): (Vec<PendingCall>, Vec<PendingCall>) =
+            std::mem::take(&mut self.calls)
+                .into_iter()
+                .partition(|call| call.is_finished(now));
+        self.calls = pending;
+        for finished_call in finished {
+            let outcome = match finished_call.in_transit {
+                Some(in_transit) if now >= in_transit.complete_at => Ok(in_transit.response),
                 _ => Err(CallFailure::NoResponse),
             };
-            self.agent.handle_outcome(now, under_way.call.id, answer);
+            self.agent
+                .handle_outcome(now, finished_call.call.id, outcome);
         }
     }
 }
 
-impl UnderWay {
-    fn is_over(&self, now: u64) -> bool {
-        let patience_ends = self.begun_at + self.call.first_byte_timeout_ms;
-        match &self.arriving {
-            Some(arriving) if arriving.first_piece_at <= patience_ends => now >= arriving.whole_at,
-            _ => now >= patience_ends,
+impl PendingCall {
+    /// Whether the response is complete, or its first byte has not come in time.
+    fn is_finished(&self, now: u64) -> bool {
+        let times_out_at = self.started_at + self.call.first_byte_timeout_ms;
+        match &self.in_transit {
+            Some(in_transit) if in_transit.first_byte_at <= times_out_at => {
+                now >= in_transit.complete_at
+            }
+            _ => now >= times_out_at,
         }
     }
 }
--- a/system/fleet/src/events.rs
+++ b/system/fleet/src/events.rs
@@ -1,90 +1,101 @@
-//! What happens in a fleet, and who waits for what.
-use crate::client::Order;
-use magpiegap_distribution::CallId;
-use magpiegap_protocol::{CoordinatorRequest, FencingToken, PeerMessage, ReplicaId};
+//! Events of simulated time, and the queue that holds them until they are due. Handling them is the fleet's.
+use crate::active_faults::Link;
+use magpiegap_protocol::{FencingToken, PeerMessage, ReplicaId};
 use magpiegap_scheduler::{WorkerCall, WorkerReply};
+use std::collections::BTreeMap;
+
+/// One process of a core machine; events that are meant for an earlier process are dropped.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct ProcessId {
+    pub node: usize,
+    /// Counts the starts and stops of the machine's process.
+    pub incarnation: u64,
+}
+
+/// The scheduler that has made a call to a worker.
+#[derive(Clone)]
+pub(crate) struct Caller {
+    pub process: ProcessId,
+    pub service: String,
+    pub token: FencingToken,
+}
 
 /// Something that happens at a moment of simulated time.
 pub(crate) enum Event {
-    Peer {
+    /// A message reaches a core machine.
+    PeerMessage {
         to: usize,
         from: ReplicaId,
         message: PeerMessage,
     },
-    Synced {
-        node: usize,
-        life: u64,
-        ticket: u64,
-    },
-    Order {
+    /// A disk has synced all writes up to a ticket.
+    Synced { process: ProcessId, ticket: u64 },
+    /// A call reaches a worker; without a caller nobody waits for the reply any more.
+    WorkerCall {
         worker: usize,
-        from: Option<Caller>,
+        caller: Option<Caller>,
         call: WorkerCall,
     },
-    /// A hold that waits for an end.
-    Waiting {
+    /// A lease renewal that is answered at the next completion, or at the end of its long poll.
+    LongPoll {
         worker: usize,
-        from: Caller,
+        caller: Caller,
         call: WorkerCall,
         until: u64,
     },
-    Reply {
-        to: Caller,
+    /// A worker's reply reaches its caller.
+    WorkerReply {
+        caller: Caller,
         call: u64,
         reply: WorkerReply,
     },
-    Platform {
-        node: usize,
-        life: u64,
-        call: u64,
-    },
+    /// The platform answers with its list of workers.
+    PlatformReply { process: ProcessId, call: u64 },
+    /// A fault is over.
     Restore(Restore),
 }
 
-/// What a fault had broken and is whole again.
+/// What a fault had broken and is restored.
 pub(crate) enum Restore {
-    Node {
-        from: usize,
-        to: usize,
-    },
+    /// The link from one core machine to another.
+    Link(Link),
+    /// A worker that had crashed; it comes back as another incarnation.
     Worker(usize),
-    WorkerCut(usize),
-    Disk(usize),
-    Orders,
-    /// A machine that was told to leave is ended, if it has not ended yet.
-    Leaving {
-        node: usize,
-        life: u64,
-    },
+    WorkerLink(usize),
+    DiskSpeed(usize),
+    OrderDelay,
+    /// A process that was told to drain is ended, if it has not ended yet.
+    DrainDeadline(ProcessId),
 }
 
-/// The scheduler that has made a call.
-#[derive(Clone)]
-pub(crate) struct Caller {
-    pub node: usize,
-    pub life: u64,
-    pub service: String,
-    pub token: FencingToken,
+/// Events in the order of their times; those of the same time in the order in which they were scheduled.
+#[derive(Default)]
+pub(crate) struct EventQueue {
+    last_sequence: u64,
+    entries: BTreeMap<EventKey, Event>,
 }
 
-/// Who waits for an answer.
-pub(crate) enum Asker {
-    Client(usize, CoordinatorRequest),
-    /// An operator; some answers are lost on their way to it.
-    Operator {
-        number: usize,
-        order: Order,
-        is_lost: bool,
-        at: u64,
-    },
-    /// The agent of an edge.
-    Edge {
-        number: usize,
-        id: CallId,
-    },
-    /// Somebody who only looks, and when it asked.
-    Observer {
-        request: CoordinatorRequest,
-        at: u64,
-    },
+/// The order of events.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct EventKey {
+    at: u64,
+    sequence: u64,
+}
+
+impl EventQueue {
+    /// Adds an event at a time in milliseconds.
+    pub(crate) fn push(&mut self, at: u64, event: Event) {
+        self.last_sequence += 1;
+        let key = EventKey {
+            at,
+            sequence: self.last_sequence,
+        };
+        self.entries.insert(key, event);
+    }
+
+    /// Takes the first event whose time has come.
+    pub(crate) fn pop_due(&mut self, now: u64) -> Option<Event> {
+        let first = self.entries.first_entry()?;
+        (first.key().at <= now).then(|| first.remove())
+    }
 }
--- a/system/fleet/src/faults.rs
+++ b/system/fleet/src/faults.rs
@@ -1,7 +1,16 @@
-//! What goes wrong.
+//! Faults that can be injected into a fleet. Injecting them is the fleet's.
 use rand::{rngs::StdRng, Rng};
 
-/// One thing that goes wrong.
+/// What a partitioned worker loses.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum WorkerPartitionScope {
+    /// Calls do not reach the worker.
+    Calls,
+    /// Calls reach the worker; its replies are lost.
+    Replies,
+}
+
+/// One fault. Durations are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// A process is killed; it starts again after this many milliseconds.
@@ -30,7 +39,7 @@
         /// Until they start again.
         for_ms: u64,
     },
-    /// A process stands still.
+    /// A process is frozen: it does nothing, and what is meant for it waits.
     Freeze {
         /// Which core machine.
         node: usize,
@@ -38,7 +47,7 @@
         for_ms: u64,
     },
     /// Messages from one core machine to another are lost.
-    Cut {
+    Partition {
         /// From.
         from: usize,
         /// To.
@@ -46,57 +55,57 @@
         /// For how long.
         for_ms: u64,
     },
-    /// A worker does not get orders, or its answers are lost.
-    WorkerCut {
+    /// Calls to a worker or its replies are lost.
+    WorkerPartition {
         /// Which worker.
         worker: usize,
-        /// Only its answers are lost.
-        answers_only: bool,
+        /// Which of them are lost.
+        scope: WorkerPartitionScope,
         /// For how long.
         for_ms: u64,
     },
-    /// A worker dies and comes back as another life.
+    /// A worker crashes and comes back as another incarnation.
     WorkerCrash {
         /// Which worker.
         worker: usize,
         /// Until it is back.
         for_ms: u64,
     },
-    /// A share of the orders is carried out late, and not answered.
-    LateOrders {
+    /// A share of the calls to workers is carried out late, and not answered.
+    DelayedOrders {
         /// Hundredths.
         percent: u32,
         /// For how long.
         for_ms: u64,
     },
-    /// A disk takes long for everything.
+    /// A disk is slow.
     SlowDisk {
         /// Which core machine.
         node: usize,
-        /// For each sync.
+        /// Time of each sync.
         sync_ms: u64,
         /// For how long.
         for_ms: u64,
     },
-    /// A core machine neither hears nor is heard by the other core machines; all others reach it.
-    CutOff {
+    /// A core machine is partitioned from all other core machines, both ways; clients and workers reach it.
+    Isolate {
         /// Which core machine.
         node: usize,
         /// For how long.
         for_ms: u64,
     },
-    /// A process is told to end, has time to hand over, and starts again.
-    Leave {
+    /// A process is drained, ends and starts again.
+    Drain {
         /// Which core machine.
         node: usize,
         /// Until it starts again, after its end.
         for_ms: u64,
     },
-    /// A machine is gone for good; an empty one comes at another address.
+    /// A machine is removed for good; an empty one replaces it at another address.
     Replace {
         /// Which core machine.
         node: usize,
-        /// Until the other one starts.
+        /// Until the replacement starts.
         for_ms: u64,
     },
     /// The time of day jumps on a core machine.
@@ -109,7 +118,7 @@
 }
 
 impl Fault {
-    /// Some fault.
+    /// Draws a fault for a fleet of this size.
     pub fn random(random: &mut StdRng, nodes: usize, workers: usize) -> Fault {
         let node = random.gen_range(0..nodes);
         let worker = random.gen_range(0..workers);
@@ -123,14 +132,18 @@
             3 => Fault::Wipe { node, for_ms },
             4 => Fault::PowerLossOfAll { for_ms: for_ms * 2 },
             5 | 6 => Fault::Freeze { node, for_ms },
-            7 | 8 => Fault::Cut {
+            7 | 8 => Fault::Partition {
                 from: node,
                 to: (node + random.gen_range(1..nodes)) % nodes,
                 for_ms,
             },
-            9 => Fault::WorkerCut {
+            9 => Fault::WorkerPartition {
                 worker,
-                answers_only: random.gen_bool(0.5),
+                scope: if random.gen_bool(0.5) {
+                    WorkerPartitionScope::Replies
+                } else {
+                    WorkerPartitionScope::Calls
+                },
                 for_ms: for_ms * 2,
             },
             11 => Fault::SlowDisk {
@@ -143,12 +156,12 @@
                 by_ms: random.gen_range(-3000..3000),
             },
             10 => Fault::WorkerCrash { worker, for_ms },
-            13 => Fault::CutOff { node, for_ms },
-            14 => Fault::Leave {
+            13 => Fault::Isolate { node, for_ms },
+            14 => Fault::Drain {
                 node,
                 for_ms: for_ms / 4,
             },
-            _ => Fault::LateOrders {
+            _ => Fault::DelayedOrders {
                 percent: random.gen_range(3..60),
                 for_ms: 2 * for_ms,
             },
--- /dev/null
+++ b/system/fleet/src/fleet/worker_calls.rs
@@ -0,0 +1,292 @@
+//! Carries calls to the workers and their replies back, lets time pass on workers, and shows their runs to the oracle.
+use super::{find_step, Fleet, MAX_ATTEMPTS, STEP_MS};
+use crate::{
+    events::{Caller, Event},
+    faults::WorkerPartitionScope,
+    oracle::Start,
+    worker::{checkpoint_owner, RunEvent, Work},
+};
+use magpiegap_protocol::{CompletionKind, RunId, TaskId};
+use magpiegap_scheduler::{WorkerCall, WorkerOrder, WorkerReply};
+use rand::Rng;
+
+/// How long a run works that lasts until it is stopped, in milliseconds.
+const LONG_RUNNING_MS: u64 = 1_000_000_000;
+/// The shortest delay of a call that arrives late, in milliseconds.
+const MIN_DELAY_MS: u64 = 50;
+/// Bound of the delay of calls that are still valid when they arrive, in milliseconds.
+const MAX_VALID_DELAY_MS: u64 = 1500;
+/// Bound of the delay of other calls, in milliseconds.
+const MAX_DELAY_MS: u64 = 12_000;
+
+impl Fleet {
+    /// Sends a call to a worker. The caller has some reply within its timeout.
+    pub(super) fn call_worker(&mut self, caller: Caller, call: WorkerCall) {
+        if let WorkerOrder::Start { task, .. } = call.order {
+            self.oracle.start_ordered(self.now, task);
+        }
+        let timed_out = Event::WorkerReply {
+            caller: caller.clone(),
+            call: call.id,
+            reply: WorkerReply::TimedOut,
+        };
+        self.schedule(call.timeout_ms, timed_out);
+        let Some(worker) = self.find_worker(&call.address) else {
+            return;
+        };
+        if self.random.gen_range(0..100) < self.active_faults.delayed_order_percent() {
+            let delay_ms = self.order_delay_ms();
+            let event = Event::WorkerCall {
+                worker,
+                caller: None,
+                call,
+            };
+            self.schedule(delay_ms, event);
+            return;
+        }
+        let delay_ms = self.network_delay_ms();
+        let event = Event::WorkerCall {
+            worker,
+            caller: Some(caller),
+            call,
+        };
+        self.schedule(delay_ms, event);
+    }
+
+    fn find_worker(&self, address: &str) -> Option<usize> {
+        self.workers.iter().position(|worker| {
+            worker
+                .as_ref()
+                .is_some_and(|worker| worker.entry.address == address)
+        })
+    }
+
+    /// Draws the delay of a call that arrives late. Most dangerous are those that come while they are still valid, after
+    /// newer ones.
+    fn order_delay_ms(&mut self) -> u64 {
+        let max_ms = if self.random.gen_bool(0.5) {
+            MAX_VALID_DELAY_MS
+        } else {
+            MAX_DELAY_MS
+        };
+        self.random.gen_range(MIN_DELAY_MS..max_ms)
+    }
+
+    /// Draws the time that a message takes to or from a worker.
+    fn network_delay_ms(&mut self) -> u64 {
+        self.random.gen_range(1..6)
+    }
+
+    /// A call reaches a worker.
+    pub(super) fn handle_worker_call(
+        &mut self,
+        number: usize,
+        caller: Option<Caller>,
+        call: WorkerCall,
+    ) {
+        // A call that is carried out late was received before any partition.
+        let partition = match caller {
+            Some(_) => self.active_faults.worker_partition(number),
+            None => None,
+        };
+        if partition == Some(WorkerPartitionScope::Calls) {
+            return;
+        }
+        let work = self.find_work(&call);
+        let now = self.now;
+        let Some(worker) = self.workers[number].as_mut() else {
+            return;
+        };
+        let reply = worker.handle_call(now, &call, work);
+        let long_poll_ms = match reply {
+            WorkerReply::Done { .. } => long_poll_ms(&call, |acknowledged| {
+                worker.has_unacknowledged_completion(acknowledged)
+            }),
+            _ => None,
+        };
+        self.record_run_events(number);
+        let Some(caller) = caller.filter(|_| partition.is_none()) else {
+            return;
+        };
+        if let Some(long_poll_ms) = long_poll_ms {
+            let event = Event::LongPoll {
+                worker: number,
+                caller,
+                call,
+                until: now + long_poll_ms,
+            };
+            self.schedule(STEP_MS, event);
+            return;
+        }
+        let delay_ms = self.network_delay_ms();
+        let event = Event::WorkerReply {
+            caller,
+            call: call.id,
+            reply,
+        };
+        self.schedule(delay_ms, event);
+    }
+
+    /// Answers a long poll when there is a completion or its time is over; else it goes on waiting.
+    pub(super) fn handle_long_poll(
+        &mut self,
+        number: usize,
+        caller: Caller,
+        call: WorkerCall,
+        until: u64,
+    ) {
+        let WorkerOrder::RenewLease {
+            acknowledged_completion,
+            ..
+        } = call.order
+        else {
+            return;
+        };
+        let Some(worker) = self.workers[number].as_mut() else {
+            return;
+        };
+        if !worker.has_unacknowledged_completion(acknowledged_completion) && self.now < until {
+            let event = Event::LongPoll {
+                worker: number,
+                caller,
+                call,
+                until,
+            };
+            self.schedule(STEP_MS, event);
+            return;
+        }
+        // The lease was renewed when the call came; only what is listed is newer.
+        let order = WorkerOrder::RenewLease {
+            deadline_ms: None,
+            acknowledged_completion,
+            long_poll_ms: 0,
+        };
+        let refreshed = WorkerCall { order, ..call };
+        let reply = worker.handle_call(self.now, &refreshed, None);
+        self.record_run_events(number);
+        if self.active_faults.worker_partition(number).is_none() {
+            let event = Event::WorkerReply {
+                caller,
+                call: refreshed.id,
+                reply,
+            };
+            self.schedule(1, event);
+        }
+    }
+
+    /// The work that a start order means: how long it takes and how it ends.
+    fn find_work(&self, call: &WorkerCall) -> Option<Work> {
+        let WorkerOrder::Start { task, run, .. } = &call.order else {
+            return None;
+        };
+        let step = find_step(&self.specs, task)?;
+        let is_long_running = self
+            .specs
+            .get(&task.job)
+            .is_some_and(|spec| spec.long_running);
+        let owner = checkpoint_owner(*task, step);
+        let fails = self.run_fails(owner, *run);
+        let kind = if fails {
+            CompletionKind::Failed
+        } else {
+            CompletionKind::Done
+        };
+        let duration_ms = match step.estimated_ms {
+            _ if is_long_running && !fails => LONG_RUNNING_MS,
+            // Of a gang that fails one member does, and the others end when it does.
+            estimated if fails && owner != *task => 2 * estimated + 1000,
+            estimated => estimated,
+        };
+        Some(Work {
+            resources: step.resources,
+            duration_ms,
+            kind,
+            checkpoints: step.checkpoints,
+            gang: step.gang,
+        })
+    }
+
+    /// Whether a run fails: as good as drawn, and the same each time that it is asked.
+    fn run_fails(&self, task: TaskId, run: RunId) -> bool {
+        let mixed = task.job.0
+            ^ (u64::from(task.index) << 20)
+            ^ (u64::from(task.step) << 40)
+            ^ u64::from(run);
+        mixed.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32 & 0xffff
+            < self.settings.failing_percent * 0xffff / 100
+    }
+
+    /// Lets time pass on all workers.
+    pub(super) fn run_workers(&mut self) {
+        for worker in self.workers.iter_mut().flatten() {
+            worker.on_timeout(self.now);
+        }
+        self.run_gangs();
+        for number in 0..self.workers.len() {
+            self.record_run_events(number);
+        }
+    }
+
+    /// Shows the events of a worker's runs to the oracle.
+    fn record_run_events(&mut self, number: usize) {
+        let wall = self.wall();
+        let Some(worker) = self.workers[number].as_mut() else {
+            return;
+        };
+        let run_events = worker.poll_events();
+        let entry = &worker.entry;
+        let specs = &self.specs;
+        let owner_of = |task: TaskId| match find_step(specs, &task) {
+            Some(step) => checkpoint_owner(task, step),
+            None => task,
+        };
+        for run_event in &run_events {
+            match run_event {
+                RunEvent::Started {
+                    task,
+                    run,
+                    checkpoint,
+                    over_capacity,
+                } => {
+                    let start = Start {
+                        at: self.now,
+                        wall,
+                        worker: entry,
+                        task: *task,
+                        run: *run,
+                        checkpoint,
+                        over_capacity: *over_capacity,
+                    };
+                    if let Some(spec) = specs.get(&task.job) {
+                        self.oracle.run_started(&start, spec, MAX_ATTEMPTS);
+                    }
+                }
+                RunEvent::Completed(completion) => {
+                    let owner = owner_of(completion.task);
+                    self.oracle
+                        .run_completed(&entry.incarnation, completion, owner);
+                }
+                RunEvent::Acknowledged(completions) => {
+                    self.oracle.completions_acknowledged(
+                        self.now,
+                        &entry.incarnation,
+                        completions,
+                        owner_of,
+                    );
+                }
+            }
+        }
+    }
+}
+
+/// How long a lease renewal waits for a completion; `None`: it is answered at once.
+fn long_poll_ms(call: &WorkerCall, has_completion: impl FnOnce(u64) -> bool) -> Option<u64> {
+    match call.order {
+        WorkerOrder::RenewLease {
+            acknowledged_completion,
+            long_poll_ms,
+            ..
+        } if long_poll_ms > 0 && !has_completion(acknowledged_completion) => Some(long_poll_ms),
+        _ => None,
+    }
+}
--- a/system/fleet/src/lib.rs
+++ b/system/fleet/src/lib.rs
@@ -1,30 +1,24 @@
-//! An in-memory fleet of coordinators, workers and clients, with seeded faults, for tests.
+//! An in-memory fleet of coordinators, workers and clients, with fault injection from a seed, for tests.
 //!
-//! The state machines that the programs run are run here on simulated time, network, disks and clocks. Nothing
-//! sleeps, and a seed gives the same story each time. What must never happen is checked at every step.
+//! The state machines that the programs run are run here on simulated time, network, disks and clocks. Nothing sleeps,
+//! and the same seed gives the same run each time. Invariants are checked at every step. It is no model of the
+//! program's sockets, files or threads: those are exercised by the demo.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod asking;
+mod active_faults;
 mod client;
-mod delivery;
 mod disk;
 mod edge;
-mod edges;
 mod events;
 mod faults;
 mod fleet;
-mod gangs;
-mod jobs;
-mod machines;
 mod node;
 mod oracle;
-mod orders;
-mod told;
-mod watching;
+mod pending_requests;
 mod worker;
 
-pub use faults::Fault;
+pub use faults::{Fault, WorkerPartitionScope};
 pub use fleet::{Fleet, FleetSettings};
 pub use oracle::Violation;
-pub use worker::{Deed, NotedEnd, Work, Worker};
+pub use worker::{RunCompletion, RunEvent, Work, Worker, WorkerSettings};
--- a/system/fleet/src/worker.rs
+++ b/system/fleet/src/worker.rs
@@ -1,215 +1,96 @@
-//! A worker, by the pages' word: runs, holds, fencing tokens, ends, late orders.
+//! A worker as the pages describe it: runs, its lease, fencing tokens, completions. It does no work and keeps no time
+//! of its own; the fleet and the demo drive it by calls and by `on_timeout`.
+mod active_run;
+mod run_events;
+
+pub(crate) use run_events::{checkpoint_owner, first_of_step};
+pub use run_events::{RunCompletion, RunEvent, Work};
+
+use active_run::ActiveRun;
 use magpiegap_protocol::{CompletionKind, FencingToken, Resources, RunId, TaskId, WorkerEntry};
 use magpiegap_scheduler::{
     ListedCompletion, ListedRun, Listing, RefusalReason, WorkerCall, WorkerOrder, WorkerReply,
 };
 use std::collections::BTreeMap;
 
-/// A run going on.
-#[derive(Clone, Debug)]
-struct Running {
-    run: RunId,
-    resources: Resources,
-    started: u64,
-    finishes: u64,
-    how: CompletionKind,
-    /// What was done before, in hundredths.
-    saved_percent: u64,
-    /// It has a checkpoint to leave behind.
-    checkpoints: bool,
-    gang: Option<Gang>,
-}
-
-/// A member of a gang.
+/// How a worker behaves.
 #[derive(Clone, Copy, Debug)]
-struct Gang {
-    duration_ms: u64,
-    /// Since when all are together and work.
-    together: Option<u64>,
+pub struct WorkerSettings {
+    /// Whether it refuses what does not fit; else it starts whatever it is told to.
+    pub guards: bool,
+    /// How far its clock is off, in milliseconds.
+    pub clock_offset_ms: u64,
+    /// How fast its clock runs, in thousandths of true time.
+    pub clock_rate_permille: u64,
+    /// The longest lease that it grants, in milliseconds.
+    pub max_lease_ms: u64,
 }
 
-/// What starting a task means to a worker; told by the fleet, as a real worker learns it from the text.
+/// A member of a gang that a worker runs.
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
-    /// What it takes up.
-    pub resources: Resources,
-    /// How long it takes.
-    pub duration_ms: u64,
-    /// How it ends.
-    pub how: CompletionKind,
-    /// It checkpoints its progress.
-    pub checkpoints: bool,
-    /// It works only together with the others of its step.
-    pub gang: bool,
-}
-
-/// An end that a caller has taken note of before the hold ran out.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NotedEnd {
-    /// The task.
+pub(crate) struct GangMember {
     pub task: TaskId,
-    /// The run.
     pub run: RunId,
-    /// How it ended.
-    pub how: CompletionKind,
-}
-
-/// Something that a worker has done.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Deed {
-    /// A run has begun.
-    Started {
-        /// The task.
-        task: TaskId,
-        /// The run.
-        run: RunId,
-        /// The checkpoint that it goes on from; empty: none.
-        checkpoint: String,
-        /// The worker has now more to do than it has room for.
-        over_capacity: bool,
-    },
-    /// A run has ended.
-    Ended {
-        /// The task.
-        task: TaskId,
-        /// The run.
-        run: RunId,
-        /// How.
-        how: CompletionKind,
-    },
-    /// Ends were taken note of by the caller.
-    Noted(Vec<NotedEnd>),
+    pub is_working: bool,
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
     /// As the platform lists it.
     pub entry: WorkerEntry,
-    /// It refuses what does not fit.
-    guards: bool,
-    clock_offset: u64,
-    /// Thousandths: how fast its clock runs.
-    clock_rate: u64,
+    settings: WorkerSettings,
+    /// The highest fencing token that a call has come with.
     token: FencingToken,
-    hold_until: u64,
-    max_hold_ms: u64,
-    runs: BTreeMap<TaskId, Running>,
-    ended: Vec<ListedCompletion>,
-    number: u64,
-    /// The last end before the hold ran out: a caller that takes note of it later takes it for lost.
-    lapsed_up_to: u64,
+    /// When the lease expires, by the worker's clock.
+    lease_until: u64,
+    runs: BTreeMap<TaskId, ActiveRun>,
+    /// The completions that are not acknowledged yet.
+    completions: Vec<ListedCompletion>,
+    last_sequence: u64,
+    /// The last completion before the lease expired: a caller that acknowledges it later takes it for lost.
+    expired_sequence: u64,
     /// The highest run of each task that has ended or was stopped here.
-    over: BTreeMap<TaskId, RunId>,
-    pub(crate) deeds: Vec<Deed>,
+    last_runs: BTreeMap<TaskId, RunId>,
+    run_events: Vec<RunEvent>,
+}
+
+/// An order to start a task.
+#[derive(Clone, Copy)]
+struct StartOrder<'a> {
+    task: TaskId,
+    run: RunId,
+    /// By the worker's clock.
+    deadline_ms: u64,
+    checkpoint: &'a str,
 }
 
 impl Worker {
-    /// A worker that has just started. Its clock is off by `clock_offset` milliseconds and runs at `clock_rate`
-    /// thousandths of true time.
-    pub fn new(
-        entry: WorkerEntry,
-        guards: bool,
-        clock_offset: u64,
-        clock_rate: u64,
-        max_hold_ms: u64,
-    ) -> Worker {
+    /// A worker that has just started.
+    pub fn new(entry: WorkerEntry, settings: WorkerSettings) -> Worker {
         Worker {
             entry,
-            guards,
-            clock_offset,
-            clock_rate,
+            settings,
             token: FencingToken(0),
-            hold_until: 0,
-            max_hold_ms,
+            lease_until: 0,
             runs: BTreeMap::new(),
-            ended: Vec::new(),
-            number: 0,
-            lapsed_up_to: 0,
-            over: BTreeMap::new(),
-            deeds: Vec::new(),
-        }
-    }
-
-    fn clock(&self, now: u64) -> u64 {
-        self.clock_offset + now * self.clock_rate / 1000
-    }
-
-    fn used(&self) -> Resources {
-        self.runs
-            .values()
-            .fold(Resources::default(), |sum, running| {
-                sum.add(&running.resources)
-            })
-    }
-
-    fn end(&mut self, now: u64, task: TaskId, how: CompletionKind) {
-        let Some(running) = self.runs.remove(&task) else {
-            return;
-        };
-        self.number += 1;
-        self.over.insert(task, running.run);
-        let checkpoint = running.checkpoint(now, task);
-        let end = ListedCompletion {
-            sequence: self.number,
-            task,
-            run: running.run,
-            kind: how,
-            checkpoint,
-        };
-        self.ended.push(end);
-        self.deeds.push(Deed::Ended {
-            task,
-            run: running.run,
-            how,
-        });
-    }
-
-    /// Ends what has finished or is held no longer.
-    pub fn pass_time(&mut self, now: u64) {
-        let clock = self.clock(now);
-        let finished: Vec<(TaskId, CompletionKind)> = self
-            .runs
-            .iter()
-            .filter(|(_, running)| now >= running.finishes)
-            .map(|(task, running)| (*task, running.how))
-            .collect();
-        for (task, how) in finished {
-            self.end(now, task, how);
-        }
-        if clock > self.hold_until {
-            let lapsed: Vec<TaskId> = self.runs.keys().copied().collect();
-            for task in lapsed {
-                self.end(now, task, CompletionKind::LeaseExpired);
-            }
-            self.lapsed_up_to = self.number;
+            completions: Vec::new(),
+            last_sequence: 0,
+            expired_sequence: 0,
+            last_runs: BTreeMap::new(),
+            run_events: Vec::new(),
         }
     }
 
-    /// Whether a hold with these terms would be answered now.
-    pub fn has_news(&self, acknowledged_completion: u64) -> bool {
-        self.ended
-            .iter()
-            .any(|end| end.sequence > acknowledged_completion)
-    }
-
-    /// Takes what it has done since this was last asked.
-    pub fn take_deeds(&mut self) -> Vec<Deed> {
-        std::mem::take(&mut self.deeds)
-    }
-
-    /// Carries out an order.
-    pub fn take(&mut self, now: u64, call: &WorkerCall, work: Option<Work>) -> WorkerReply {
+    /// Carries out a call at a true time in milliseconds. `work` is what a start order means; a start without it is
+    /// unreadable.
+    pub fn handle_call(&mut self, now: u64, call: &WorkerCall, work: Option<Work>) -> WorkerReply {
         if call.incarnation != self.entry.incarnation {
             return WorkerReply::OtherIncarnation;
         }
-        self.pass_time(now);
-        let clock_ms = Some(self.clock(now));
+        self.on_timeout(now);
         if call.token < self.token {
-            return WorkerReply::Refused {
-                clock_ms,
-                reason: RefusalReason::StaleToken,
-            };
+            return self.refuse(now, RefusalReason::StaleToken);
         }
         self.token = call.token;
         match &call.order {
@@ -219,213 +100,233 @@
                 deadline_ms,
                 checkpoint,
                 ..
-            } => self.start(now, *task, *run, *deadline_ms, checkpoint, work),
+            } => {
+                let order = StartOrder {
+                    task: *task,
+                    run: *run,
+                    deadline_ms: *deadline_ms,
+                    checkpoint,
+                };
+                self.start(now, order, work)
+            }
             WorkerOrder::Stop { task, run } => {
                 self.stop(now, *task, *run);
-                WorkerReply::Done {
-                    clock_ms,
-                    listing: None,
-                }
+                self.done(now)
             }
             WorkerOrder::RenewLease {
                 deadline_ms,
                 acknowledged_completion,
                 ..
             } => {
-                self.extend(now, deadline_ms.unwrap_or(0));
-                let (noted, kept) = std::mem::take(&mut self.ended)
-                    .into_iter()
-                    .partition(|end| end.sequence <= *acknowledged_completion);
-                self.ended = kept;
-                self.note(noted);
+                self.extend_lease(now, deadline_ms.unwrap_or(0));
+                self.acknowledge(*acknowledged_completion);
                 WorkerReply::Done {
-                    clock_ms,
+                    clock_ms: Some(self.clock(now)),
                     listing: Some(self.listing(now)),
                 }
             }
         }
     }
 
-    fn note(&mut self, ends: Vec<ListedCompletion>) {
-        let in_time = ends
-            .into_iter()
-            .filter(|end| end.sequence > self.lapsed_up_to);
-        let noted: Vec<NotedEnd> = in_time
-            .map(|end| NotedEnd {
-                task: end.task,
-                run: end.run,
-                how: end.kind,
-            })
+    /// Ends the runs that have finished, and all of them when the lease has expired.
+    pub fn on_timeout(&mut self, now: u64) {
+        let finished: Vec<(TaskId, CompletionKind)> = self
+            .runs
+            .iter()
+            .filter(|(_, run)| run.is_finished(now))
+            .map(|(task, run)| (*task, run.kind()))
             .collect();
-        if !noted.is_empty() {
-            self.deeds.push(Deed::Noted(noted));
+        for (task, kind) in finished {
+            self.end(now, task, kind);
+        }
+        if self.clock(now) > self.lease_until {
+            let expired: Vec<TaskId> = self.runs.keys().copied().collect();
+            for task in expired {
+                self.end(now, task, CompletionKind::LeaseExpired);
+            }
+            self.expired_sequence = self.last_sequence;
         }
     }
 
-    fn extend(&mut self, now: u64, deadline_ms: u64) {
-        let most = self.clock(now) + self.max_hold_ms;
-        self.hold_until = self.hold_until.max(deadline_ms.min(most));
+    /// Whether a lease renewal that acknowledges this completion would be answered without waiting.
+    pub fn has_unacknowledged_completion(&self, acknowledged_completion: u64) -> bool {
+        self.completions
+            .iter()
+            .any(|completion| completion.sequence > acknowledged_completion)
+    }
+
+    /// Returns the events since the last poll.
+    pub fn poll_events(&mut self) -> Vec<RunEvent> {
+        std::mem::take(&mut self.run_events)
     }
 
-    fn start(
-        &mut self,
-        now: u64,
-        task: TaskId,
-        run: RunId,
-        deadline_ms: u64,
-        checkpoint: &str,
-        work: Option<Work>,
-    ) -> WorkerReply {
-        let clock_ms = Some(self.clock(now));
-        let refused = |reason| WorkerReply::Refused { clock_ms, reason };
-        if self.clock(now) > deadline_ms {
-            return refused(RefusalReason::DeadlinePassed);
+    /// The members of gangs that run here.
+    pub(crate) fn gang_members(&self) -> impl Iterator<Item = GangMember> + '_ {
+        self.runs
+            .iter()
+            .filter(|(_, active)| active.is_gang_member())
+            .map(|(task, active)| GangMember {
+                task: *task,
+                run: active.run(),
+                is_working: active.is_gang_working(),
+            })
+    }
+
+    /// Lets a member of a gang begin to work: all members are there.
+    pub(crate) fn begin_gang_work(&mut self, now: u64, task: TaskId) {
+        if let Some(active) = self.runs.get_mut(&task) {
+            active.begin_gang_work(now);
         }
-        self.extend(now, deadline_ms);
-        if let Some(running) = self.runs.get(&task) {
-            return if running.run == run {
-                WorkerReply::Done {
-                    clock_ms,
-                    listing: None,
-                }
+    }
+
+    /// Ends a member of an incomplete gang, if the gang has worked before or the wait for it has timed out.
+    pub(crate) fn end_incomplete_gang(&mut self, now: u64, task: TaskId, gang_timeout_ms: u64) {
+        let Some(active) = self.runs.get(&task) else {
+            return;
+        };
+        if !active.is_gang_member() {
+            return;
+        }
+        if active.is_gang_working() {
+            self.end(now, task, CompletionKind::GangEnded);
+        } else if now >= active.started_at() + gang_timeout_ms {
+            self.end(now, task, CompletionKind::GangTimedOut);
+        }
+    }
+
+    /// Its own clock at a true time.
+    fn clock(&self, now: u64) -> u64 {
+        self.settings.clock_offset_ms + now * self.settings.clock_rate_permille / 1000
+    }
+
+    fn refuse(&self, now: u64, reason: RefusalReason) -> WorkerReply {
+        WorkerReply::Refused {
+            clock_ms: Some(self.clock(now)),
+            reason,
+        }
+    }
+
+    fn done(&self, now: u64) -> WorkerReply {
+        WorkerReply::Done {
+            clock_ms: Some(self.clock(now)),
+            listing: None,
+        }
+    }
+
+    fn free_capacity(&self) -> Resources {
+        let used = self
+            .runs
+            .values()
+            .fold(Resources::default(), |sum, active| {
+                sum.add(&active.resources())
+            });
+        self.entry.capacity.saturating_sub(&used)
+    }
+
+    fn extend_lease(&mut self, now: u64, deadline_ms: u64) {
+        let max = self.clock(now) + self.settings.max_lease_ms;
+        self.lease_until = self.lease_until.max(deadline_ms.min(max));
+    }
+
+    /// Drops the completions up to one that the caller has recorded.
+    fn acknowledge(&mut self, acknowledged_completion: u64) {
+        let (acknowledged, pending): (Vec<ListedCompletion>, Vec<ListedCompletion>) =
+            std::mem::take(&mut self.completions)
+                .into_iter()
+                .partition(|completion| completion.sequence <= acknowledged_completion);
+        self.completions = pending;
+        let in_time: Vec<RunCompletion> = acknowledged
+            .iter()
+            .filter(|completion| completion.sequence > self.expired_sequence)
+            .map(|completion| RunCompletion {
+                task: completion.task,
+                run: completion.run,
+                kind: completion.kind,
+            })
+            .collect();
+        if !in_time.is_empty() {
+            self.run_events.push(RunEvent::Acknowledged(in_time));
+        }
+    }
+
+    fn start(&mut self, now: u64, order: StartOrder<'_>, work: Option<Work>) -> WorkerReply {
+        let StartOrder { task, run, .. } = order;
+        if self.clock(now) > order.deadline_ms {
+            return self.refuse(now, RefusalReason::DeadlinePassed);
+        }
+        self.extend_lease(now, order.deadline_ms);
+        if let Some(active) = self.runs.get(&task) {
+            return if active.run() == run {
+                self.done(now)
             } else {
-                refused(RefusalReason::Superseded)
+                self.refuse(now, RefusalReason::Superseded)
             };
         }
-        if self.over.get(&task).is_some_and(|over| *over >= run) {
-            return refused(RefusalReason::Superseded);
+        if self
+            .last_runs
+            .get(&task)
+            .is_some_and(|last_run| *last_run >= run)
+        {
+            return self.refuse(now, RefusalReason::Superseded);
         }
         let Some(work) = work else {
             return WorkerReply::Unreadable;
         };
-        let room = self.entry.capacity.saturating_sub(&self.used());
-        let fits = work.resources.fits_in(&room);
-        if self.guards && !fits {
-            return refused(RefusalReason::NoCapacity);
+        let fits = work.resources.fits_in(&self.free_capacity());
+        if self.settings.guards && !fits {
+            return self.refuse(now, RefusalReason::NoCapacity);
         }
-        self.runs
-            .insert(task, Running::new(now, run, checkpoint, &work));
-        let checkpoint = checkpoint.to_owned();
-        self.deeds.push(Deed::Started {
+        let active = ActiveRun::new(now, run, order.checkpoint, &work);
+        self.runs.insert(task, active);
+        self.run_events.push(RunEvent::Started {
             task,
             run,
-            checkpoint,
+            checkpoint: order.checkpoint.to_owned(),
             over_capacity: !fits,
         });
-        WorkerReply::Done {
-            clock_ms,
-            listing: None,
-        }
+        self.done(now)
     }
 
     fn stop(&mut self, now: u64, task: TaskId, run: RunId) {
-        let over = self.over.entry(task).or_default();
-        *over = (*over).max(run);
-        if self
+        let last_run = self.last_runs.entry(task).or_default();
+        *last_run = (*last_run).max(run);
+        let is_active = self
             .runs
             .get(&task)
-            .is_some_and(|running| running.run == run)
-        {
+            .is_some_and(|active| active.run() == run);
+        if is_active {
             self.end(now, task, CompletionKind::Stopped);
         }
     }
 
-    fn listing(&self, now: u64) -> Listing {
-        let listed = |(task, running): (&TaskId, &Running)| ListedRun {
-            task: *task,
-            run: running.run,
-            checkpoint: running.checkpoint(now, *task),
-            percent: running.percent(now),
-        };
-        Listing {
-            running: self.runs.iter().map(listed).collect(),
-            completed: self.ended.clone(),
-        }
-    }
-
-    /// The gangs that have members here: their step and run, and whether they work.
-    pub(crate) fn gangs(&self) -> impl Iterator<Item = (TaskId, RunId, bool)> + '_ {
-        let member = |(task, running): (&TaskId, &Running)| {
-            running
-                .gang
-                .map(|gang| (*task, running.run, gang.together.is_some()))
-        };
-        self.runs.iter().filter_map(member)
-    }
-
-    /// All members of a gang's run are there: this one begins to work.
-    pub(crate) fn begin_together(&mut self, now: u64, task: TaskId) {
-        let Some(running) = self.runs.get_mut(&task) else {
+    fn end(&mut self, now: u64, task: TaskId, kind: CompletionKind) {
+        let Some(active) = self.runs.remove(&task) else {
             return;
         };
-        let Some(gang) = running.gang.as_mut() else {
-            return;
-        };
-        gang.together = Some(now);
-        running.started = now;
-        running.finishes = now + gang.duration_ms * (100 - running.saved_percent) / 100;
-    }
-
-    /// Ends members of gangs that have waited in vain, and one whose other members are not there any more.
-    pub(crate) fn part(&mut self, now: u64, task: TaskId, gang_ms: u64) {
-        let Some(running) = self.runs.get(&task) else {
-            return;
-        };
-        let Some(gang) = running.gang else { return };
-        if gang.together.is_some() {
-            self.end(now, task, CompletionKind::GangEnded);
-        } else if now >= running.started + gang_ms {
-            self.end(now, task, CompletionKind::GangTimedOut);
-        }
-    }
-}
-
-impl Running {
-    fn new(now: u64, run: RunId, checkpoint: &str, work: &Work) -> Running {
-        let saved_percent = checkpoint
-            .rsplit_once('@')
-            .and_then(|(_, percent)| percent.parse().ok())
-            .unwrap_or(0);
-        let gang = work.gang.then_some(Gang {
-            duration_ms: work.duration_ms,
-            together: None,
-        });
-        let left_ms = work.duration_ms * (100 - saved_percent) / 100;
-        Running {
+        let run = active.run();
+        self.last_sequence += 1;
+        self.last_runs.insert(task, run);
+        self.completions.push(ListedCompletion {
+            sequence: self.last_sequence,
+            task,
             run,
-            resources: work.resources,
-            started: now,
-            finishes: if work.gang { u64::MAX } else { now + left_ms },
-            how: work.how,
-            saved_percent,
-            checkpoints: work.checkpoints,
-            gang,
-        }
-    }
-
-    /// How much of the task is done, in hundredths.
-    fn percent(&self, now: u64) -> u64 {
-        if self.finishes == u64::MAX {
-            return self.saved_percent;
-        }
-        let whole = self.finishes.saturating_sub(self.started).max(1);
-        let part = now.saturating_sub(self.started).min(whole);
-        (self.saved_percent + (100 - self.saved_percent) * part / whole).min(99)
+            kind,
+            checkpoint: active.checkpoint(now, task),
+        });
+        self.run_events
+            .push(RunEvent::Completed(RunCompletion { task, run, kind }));
     }
 
-    /// Whose progress it is, and how much: members of a gang share it.
-    fn checkpoint(&self, now: u64, task: TaskId) -> String {
-        match (self.checkpoints, self.percent(now)) {
-            (false, _) | (_, 0) => String::new(),
-            (true, percent) => format!("{}@{percent}", checkpoint_owner(task, self.gang.is_some())),
+    fn listing(&self, now: u64) -> Listing {
+        let listed = |(task, active): (&TaskId, &ActiveRun)| ListedRun {
+            task: *task,
+            run: active.run(),
+            checkpoint: active.checkpoint(now, *task),
+            percent: active.percent(now),
+        };
+        Listing {
+            running: self.runs.iter().map(listed).collect(),
+            completed: self.completions.clone(),
         }
     }
 }
-
-/// The name under which a task's checkpoints go: members of a gang share theirs.
-pub(crate) fn checkpoint_owner(task: TaskId, gang: bool) -> TaskId {
-    TaskId {
-        index: if gang { 0 } else { task.index },
-        ..task
-    }
-}
--- a/system/fleet/tests/calm.rs
+++ b/system/fleet/tests/calm.rs
@@ -1,4 +1,4 @@
-//! A calm fleet does all that it is asked to.
+//! A fleet without faults completes all that is submitted to it.
 use googletest::prelude::*;
 use magpiegap_fleet::{Fleet, FleetSettings};
 use magpiegap_protocol::JobPhase;
@@ -13,7 +13,7 @@
         .map(|number| {
             fleet.submit_at(
                 3000 + number * 100,
-                Fleet::chain_of_steps(&[(3, 1000, 400), (2, 2000, 300)]),
+                Fleet::chain_of_steps(vec![Fleet::step(3, 1000, 400), Fleet::step(2, 2000, 300)]),
                 None,
             )
         })
@@ -50,7 +50,11 @@
         ..FleetSettings::default()
     });
     // When
-    let job = fleet.submit_at(3000, Fleet::chain_of_steps(&[(1, 1000, 100)]), None);
+    let job = fleet.submit_at(
+        3000,
+        Fleet::chain_of_steps(vec![Fleet::step(1, 1000, 100)]),
+        None,
+    );
     fleet.run_until_done(60_000);
     // Then
     expect_that!(fleet.violations(), is_empty());
@@ -58,7 +62,7 @@
 }
 
 #[googletest::test]
-fn given_a_calm_fleet_when_jobs_of_every_kind_come_then_all_end_and_no_gang_waits_in_vain() {
+fn given_a_calm_fleet_when_jobs_of_every_kind_are_submitted_then_all_end_and_no_gang_times_out() {
     for guards in [true, false] {
         // Given
         let mut fleet = Fleet::new(FleetSettings {
@@ -69,24 +73,24 @@
         // When
         for number in 0..60 {
             let at = 3000 + number * 300;
-            let job = fleet.any_job(&mut random, at);
-            let ends_at = job.long_running.then_some(at + 5000);
-            fleet.submit_at(at, job, ends_at);
+            let job = fleet.random_job(&mut random, at);
+            let cancel_at = job.long_running.then_some(at + 5000);
+            fleet.submit_at(at, job, cancel_at);
         }
         fleet.run_until_done(60_000);
         // Then
         expect_that!(fleet.violations(), is_empty());
-        expect_that!(fleet.open_jobs(), is_empty());
-        expect_that!(fleet.waited_alone(), eq(0));
+        expect_that!(fleet.unfinished_jobs(), is_empty());
+        expect_that!(fleet.gang_timeouts(), eq(0));
     }
 }
 
 #[googletest::test]
-fn given_many_jobs_that_nobody_can_run_when_others_come_after_them_then_these_are_done() {
-    // Given: more kinds of tasks than a round of planning looks at, at each priority, all of them first in line
+fn given_many_jobs_that_no_worker_can_run_when_others_are_queued_behind_them_then_these_are_done() {
+    // Given: more kinds of tasks than one pass of planning looks at, at each priority, all of them first in the queue
     let mut fleet = Fleet::new(FleetSettings::default());
     for number in 0..180 {
-        let mut job = Fleet::chain_of_steps(&[(1, 1000, 200)]);
+        let mut job = Fleet::chain_of_steps(vec![Fleet::step(1, 1000, 200)]);
         job.steps[0].requirements = vec![format!("nobody-has-{number}")];
         fleet.submit_at(3000, job, Some(25_000));
     }
@@ -95,7 +99,7 @@
         .map(|number| {
             fleet.submit_at(
                 5000 + number * 100,
-                Fleet::chain_of_steps(&[(2, 1000, 300)]),
+                Fleet::chain_of_steps(vec![Fleet::step(2, 1000, 300)]),
                 None,
             )
         })
--- a/system/fleet/tests/worst_days.rs
+++ b/system/fleet/tests/fault_scenarios.rs
@@ -1,22 +1,22 @@
-//! Five faults of the control side, each brought about by a simulated run: a machine that is cut off, operators that
-//! change the configuration at once, a loss right after a repair, hundreds of changes, and orders that come late.
-use magpiegap_fleet::{Fault, Fleet, FleetSettings};
+//! Five fault scenarios of the control plane, each in simulated runs: an isolated machine, operators that change the
+//! configuration at once, a loss right after a repair, hundreds of changes, and delayed orders.
+use magpiegap_fleet::{Fault, Fleet, FleetSettings, WorkerPartitionScope};
 use rand::{rngs::StdRng, Rng, SeedableRng};
 
-/// When the first fault strikes, in milliseconds.
+/// When the first fault is injected, in milliseconds.
 const BEGIN_MS: u64 = 4000;
 /// A machine that is back, or new, has caught up after this time (`catchUpS`).
 const CATCH_UP_MS: u64 = 4000;
 /// How long jobs may take after the last fault.
 const END_MS: u64 = 60_000;
 
-/// A fleet with jobs, some of which are cancelled, and the chance that faults are drawn by.
+/// A fleet with jobs, some of which are cancelled, and the generator that faults are drawn from.
 fn fleet_with_jobs(settings: FleetSettings, jobs: u64) -> (Fleet, StdRng) {
     let mut random = StdRng::seed_from_u64(settings.seed ^ 0x0bad);
     let mut fleet = Fleet::new(settings);
     for number in 0..jobs {
         let at = 3000 + number * 150;
-        let job = fleet.any_job(&mut random, at);
+        let job = fleet.random_job(&mut random, at);
         let cancel_at = random
             .gen_bool(0.25)
             .then(|| at + random.gen_range(50..3000));
@@ -27,17 +27,17 @@
     (fleet, random)
 }
 
-/// Lets everything end; panics when a rule was broken, a job is open, or a configuration is not everywhere.
-fn end(mut fleet: Fleet, seed: u64) {
+/// Lets all jobs end; panics when an invariant was violated, a job is open, or a configuration is not everywhere.
+fn expect_sound_end(mut fleet: Fleet, seed: u64) {
     fleet.run_until(fleet.now() + 3 * CATCH_UP_MS);
     fleet.run_until_done(fleet.now() + END_MS);
     let mut wrong: Vec<String> = fleet
         .violations()
         .iter()
-        .map(|v| format!("{}: {}", v.at, v.what))
+        .map(|violation| format!("{}: {}", violation.at, violation.what))
         .collect();
     wrong.truncate(20);
-    let open = fleet.open_jobs();
+    let open = fleet.unfinished_jobs();
     wrong.extend(
         open.iter()
             .take(3)
@@ -60,7 +60,7 @@
     assert!(wrong.is_empty(), "seed {seed}: {}", wrong.join("\n"));
 }
 
-/// Seeds to play; `FLEET_SEEDS` in the environment asks for more or fewer, `FLEET_FIRST` for others.
+/// Seeds to run; `FLEET_SEEDS` in the environment asks for more or fewer, `FLEET_FIRST` for others.
 fn seeds(count: u64) -> std::ops::Range<u64> {
     let number = |name| std::env::var(name).ok().and_then(|text| text.parse().ok());
     let first = number("FLEET_FIRST").unwrap_or(0);
@@ -68,13 +68,13 @@
 }
 
 #[googletest::test]
-fn given_a_machine_cut_off_for_twenty_seconds_when_it_is_asked_then_it_shows_and_confirms_nothing_old(
+fn given_a_machine_isolated_for_twenty_seconds_when_it_is_sent_requests_then_its_responses_are_not_stale(
 ) {
     for seed in seeds(12) {
         let settings = FleetSettings {
             nodes: if seed % 3 == 0 { 5 } else { 3 },
             tolerance: if seed % 3 == 0 { 2 } else { 1 },
-            lost_answers_percent: 50,
+            lost_responses_percent: 50,
             operators: 1 + seed as usize % 2,
             seed,
             ..FleetSettings::default()
@@ -82,40 +82,40 @@
         let nodes = settings.nodes;
         let (mut fleet, mut random) = fleet_with_jobs(settings, 40);
         // Each of them in turn, so that head, tail and schedulers are among them; the last one stands still.
-        for round in 0..3 {
+        for iteration in 0..3 {
             let node = random.gen_range(0..nodes);
-            let for_ms = if round == 0 {
+            let for_ms = if iteration == 0 {
                 20_000
             } else {
                 random.gen_range(700..6000)
             };
-            match round {
-                2 => fleet.strike(&Fault::Freeze { node, for_ms }),
-                _ => fleet.strike(&Fault::CutOff { node, for_ms }),
+            match iteration {
+                2 => fleet.inject(&Fault::Freeze { node, for_ms }),
+                _ => fleet.inject(&Fault::Isolate { node, for_ms }),
             }
-            if round < 2 {
-                // A caller that is told so within a second asks another coordinator.
+            if iteration < 2 {
+                // A caller that has a response within a second turns to another coordinator.
                 fleet.run_until(fleet.now() + for_ms);
                 assert!(
-                    fleet.longest_order_ms() <= 1000,
+                    fleet.longest_change_ms() <= 1000,
                     "seed {seed}: {} ms",
-                    fleet.longest_order_ms()
+                    fleet.longest_change_ms()
                 );
             }
             fleet.run_until(fleet.now() + for_ms + CATCH_UP_MS);
         }
-        end(fleet, seed);
+        expect_sound_end(fleet, seed);
     }
 }
 
 #[googletest::test]
-fn given_two_operators_whose_answers_are_lost_when_coordinators_go_then_one_order_a_number_is_confirmed(
+fn given_operators_whose_responses_are_lost_when_coordinators_fail_then_one_change_a_version_is_accepted(
 ) {
     for seed in seeds(12) {
         let settings = FleetSettings {
             operators: 3,
-            order_every_ms: 120,
-            lost_answers_percent: 80,
+            change_interval_ms: 120,
+            lost_responses_percent: 80,
             seed,
             ..FleetSettings::default()
         };
@@ -129,18 +129,18 @@
                 1 => Fault::PowerLoss { node, for_ms },
                 2 => Fault::PowerLossOfAll { for_ms },
                 3 => Fault::Freeze { node, for_ms },
-                _ => Fault::CutOff { node, for_ms },
+                _ => Fault::Isolate { node, for_ms },
             };
-            fleet.strike(&fault);
+            fleet.inject(&fault);
             fleet.run_until(fleet.now() + random.gen_range(100..4000));
         }
-        end(fleet, seed);
+        expect_sound_end(fleet, seed);
     }
 }
 
 #[googletest::test]
-fn given_a_repair_or_a_member_that_leaves_when_another_one_is_lost_right_after_it_then_nothing_is_lost(
-) {
+fn given_a_repair_or_a_drained_member_when_another_one_is_lost_right_after_it_then_nothing_is_lost()
+{
     for seed in seeds(16) {
         let five = seed % 4 == 0;
         let settings = FleetSettings {
@@ -151,8 +151,8 @@
         };
         let nodes = settings.nodes;
         let (mut fleet, mut random) = fleet_with_jobs(settings, 40);
-        for round in 0..4 {
-            let first = (seed as usize + round) % nodes;
+        for iteration in 0..4 {
+            let first = (seed as usize + iteration) % nodes;
             let second = (first + random.gen_range(1..nodes)) % nodes;
             let repair = match random.gen_range(0..4) {
                 0 => Fault::Replace {
@@ -163,7 +163,7 @@
                     node: first,
                     for_ms: random.gen_range(50..2000),
                 },
-                2 => Fault::Leave {
+                2 => Fault::Drain {
                     node: first,
                     for_ms: 300,
                 },
@@ -172,21 +172,21 @@
                     for_ms: random.gen_range(50..2000),
                 },
             };
-            fleet.strike(&repair);
-            // The one that was repaired counts as lost until it has caught up; a moment later another disk goes, and
-            // all others lose power.
+            fleet.inject(&repair);
+            // The one that was repaired counts as lost until it has caught up; a moment later another disk is
+            // wiped, and all machines may lose power.
             fleet.run_until(fleet.now() + 4000 + CATCH_UP_MS + random.gen_range(0..100));
             let all_go = random.gen_bool(0.6);
             if all_go {
-                fleet.strike(&Fault::PowerLossOfAll { for_ms: 600 });
+                fleet.inject(&Fault::PowerLossOfAll { for_ms: 600 });
             }
-            fleet.strike(&Fault::Wipe {
+            fleet.inject(&Fault::Wipe {
                 node: second,
                 for_ms: 700,
             });
             fleet.run_until(fleet.now() + 4000 + CATCH_UP_MS);
         }
-        end(fleet, seed);
+        expect_sound_end(fleet, seed);
     }
 }
 
@@ -194,7 +194,7 @@
 fn given_hundreds_of_large_configurations_when_members_start_again_then_all_catch_up() {
     for seed in seeds(3) {
         let settings = FleetSettings {
-            order_every_ms: 50,
+            change_interval_ms: 50,
             configuration_bytes: 60_000,
             nodes: if seed % 2 == 0 { 3 } else { 5 },
             tolerance: if seed % 2 == 0 { 1 } else { 2 },
@@ -203,9 +203,9 @@
         };
         let nodes = settings.nodes;
         let (mut fleet, mut random) = fleet_with_jobs(settings, 10);
-        for round in 0..4 {
+        for iteration in 0..4 {
             let node = random.gen_range(0..nodes);
-            fleet.strike(&match round {
+            fleet.inject(&match iteration {
                 0 => Fault::PowerLoss { node, for_ms: 4000 },
                 1 => Fault::Wipe { node, for_ms: 1000 },
                 2 => Fault::Kill { node, for_ms: 1500 },
@@ -218,13 +218,12 @@
             "{}",
             fleet.acknowledged_configuration()
         );
-        end(fleet, seed);
+        expect_sound_end(fleet, seed);
     }
 }
 
 #[googletest::test]
-fn given_orders_that_come_late_when_roles_pass_on_and_workers_are_replaced_then_nothing_runs_twice()
-{
+fn given_delayed_orders_when_roles_pass_on_and_workers_are_replaced_then_nothing_runs_twice() {
     for seed in seeds(12) {
         let settings = FleetSettings {
             failing_percent: 5,
@@ -235,26 +234,26 @@
         let (nodes, workers) = (settings.nodes, settings.workers);
         let (mut fleet, mut random) = fleet_with_jobs(settings, 60);
         for _ in 0..6 {
-            fleet.strike(&Fault::LateOrders {
+            fleet.inject(&Fault::DelayedOrders {
                 percent: 50,
                 for_ms: 2500,
             });
             let worker = random.gen_range(0..workers);
-            fleet.strike(&Fault::WorkerCut {
+            fleet.inject(&Fault::WorkerPartition {
                 worker,
-                answers_only: true,
+                scope: WorkerPartitionScope::Replies,
                 for_ms: 1500,
             });
             fleet.run_until(fleet.now() + random.gen_range(50..800));
             let node = random.gen_range(0..nodes);
-            fleet.strike(&Fault::Kill { node, for_ms: 300 });
+            fleet.inject(&Fault::Kill { node, for_ms: 300 });
             fleet.run_until(fleet.now() + random.gen_range(50..800));
-            fleet.strike(&Fault::WorkerCrash {
+            fleet.inject(&Fault::WorkerCrash {
                 worker: random.gen_range(0..workers),
                 for_ms: 400,
             });
             fleet.run_until(fleet.now() + 2500);
         }
-        end(fleet, seed);
+        expect_sound_end(fleet, seed);
     }
 }
--- a/system/fleet/tests/run_model/main.rs
+++ b/system/fleet/tests/run_model/main.rs
@@ -1,9 +1,9 @@
 //! A task's runs, explored by a model checker over the scheduler, the replicated state and the workers that run.
 //!
-//! A job with one task, two workers. Each step is one of: a call arrives at its worker, is lost, or is given up by its
-//! caller and arrives later; an answer comes back or is lost; the log takes the next proposal; time passes, shortly or
-//! longer than any hold; the role passes to another scheduler, while the one before may go on for as long as its lease
-//! lasts; a worker dies and comes back as another life. Calls and answers overtake each other as they like.
+//! A job with one task, two workers. Each step is one of: a call is delivered to its worker, is lost, or is delivered
+//! after its caller has timed out; a reply is delivered or lost; the log commits the next proposal; time passes, shortly
+//! or longer than any lease; the role passes to another scheduler, while the one before may go on until its lease
+//! expires; a worker crashes and comes back as another incarnation. Calls and replies overtake each other freely.
 
 mod running;
 mod steps;
@@ -39,22 +39,22 @@
         breadth.max_depth(),
         walk.state_count()
     );
-    let mut ends = false;
+    let mut task_ends = false;
     for discoveries in [breadth.discoveries(), walk.discoveries()] {
         let found: BTreeMap<_, _> = discoveries.into_iter().collect();
-        ends |= found.contains_key("the task ends");
+        task_ends |= found.contains_key("the task ends");
         if let Some(path) = found
             .into_iter()
             .find(|(name, _)| *name != "the task ends")
             .map(|(_, path)| path)
         {
-            let wrong = path.last_state().wrong.clone();
-            panic!("{name}: {wrong:?}; steps: {:#?}", path.into_actions());
+            let violation = path.last_state().violation.clone();
+            panic!("{name}: {violation:?}; steps: {:#?}", path.into_actions());
         }
     }
     // With a slow task few random walks are long enough.
     assert!(
-        ends || work_ms == SLOW_MS,
+        task_ends || work_ms == SLOW_MS,
         "{name}: in no story the task ends"
     );
 }
@@ -63,17 +63,17 @@
     short: 30,
     middle: 0,
     long: 0,
-    silences: 0,
-    lost: 0,
-    late: 0,
+    unreachable_workers: 0,
+    lost_messages: 0,
+    late_calls: 0,
     take_overs: 0,
     crashes: 0,
 };
 
 #[test]
-fn given_orders_that_come_late_when_the_role_passes_on_then_nothing_runs_twice() {
+fn given_late_orders_when_the_role_passes_on_then_nothing_runs_twice() {
     let budget = Budget {
-        late: 3,
+        late_calls: 3,
         take_overs: 2,
         ..QUIET
     };
@@ -81,15 +81,15 @@
 }
 
 #[test]
-fn given_lost_calls_and_answers_when_holds_run_out_then_nothing_runs_twice() {
+fn given_lost_calls_and_replies_when_leases_expire_then_nothing_runs_twice() {
     let budget = Budget {
         long: 2,
-        lost: 4,
-        late: 2,
+        lost_messages: 4,
+        late_calls: 2,
         ..QUIET
     };
     explore(
-        "lost calls, holds run out",
+        "lost calls, leases expire",
         QUICK_MS,
         budget,
         15_000,
@@ -98,27 +98,27 @@
 }
 
 #[test]
-fn given_a_silent_worker_when_the_role_passes_on_then_its_run_is_started_elsewhere_only_after_its_hold(
+fn given_an_unreachable_worker_when_the_role_passes_on_then_its_run_restarts_elsewhere_only_after_its_lease(
 ) {
     let budget = Budget {
         short: 6,
         middle: 10,
-        silences: 1,
+        unreachable_workers: 1,
         take_overs: 1,
         ..QUIET
     };
-    explore("silent worker", SLOW_MS, budget, 15_000, 150_000);
+    explore("unreachable worker", SLOW_MS, budget, 15_000, 150_000);
 }
 
 #[test]
-fn given_a_worker_that_dies_when_its_orders_are_late_then_nothing_runs_twice() {
+fn given_a_worker_that_crashes_when_its_orders_are_late_then_nothing_runs_twice() {
     let budget = Budget {
         long: 1,
-        late: 2,
-        lost: 1,
+        late_calls: 2,
+        lost_messages: 1,
         crashes: 2,
         take_overs: 1,
         ..QUIET
     };
-    explore("workers that die", QUICK_MS, budget, 15_000, 60_000);
+    explore("workers that crash", QUICK_MS, budget, 15_000, 60_000);
 }
--- a/system/fleet/tests/run_model/running.rs
+++ b/system/fleet/tests/run_model/running.rs
@@ -1,6 +1,9 @@
-//! What happens: the role passes on, the log commits, calls arrive, answers come back, time passes, workers die.
-use crate::world::{Answer, Call, Holder, World, LEASE_MS, MAX_HOLD_MS, MOST_CALLS, SERVICE};
-use magpiegap_fleet::{Deed, Work};
+//! Transitions of the world: the role passes on, the log commits, calls and replies are delivered, time passes, workers
+//! crash.
+use crate::world::{
+    PendingCall, PendingReply, RoleOwner, World, LEASE_MS, MAX_CALLS, MAX_LEASE_MS, SERVICE,
+};
+use magpiegap_fleet::{RunEvent, Work};
 use magpiegap_jobs::Applied;
 use magpiegap_protocol::{
     Command, CompletionKind, Entry, LogPosition, Member, ProposalId, ReplicaId, Resources, Role,
@@ -12,16 +15,16 @@
 
 fn settings() -> SchedulerSettings {
     SchedulerSettings {
-        max_lease_ms: MAX_HOLD_MS,
+        max_lease_ms: MAX_LEASE_MS,
         role_lease_ms: LEASE_MS,
         ..SchedulerSettings::default()
     }
 }
 
-fn replica(holder: usize) -> ReplicaId {
+fn replica(owner: usize) -> ReplicaId {
     ReplicaId {
         member: Member {
-            address: holder as u32 + 1,
+            address: owner as u32 + 1,
             disk: 0,
         },
         incarnation: 1,
@@ -34,7 +37,7 @@
 
 impl World {
     pub(crate) fn take_over(&mut self) {
-        let number = self.holders.len();
+        let number = self.owners.len();
         let expected = self.state.fencing_token(&role());
         let claim = Command::ClaimRole {
             role: role(),
@@ -42,17 +45,17 @@
             expected,
         };
         self.apply(number, None, claim);
-        for holder in &mut self.holders {
-            holder.acts_until.get_or_insert(self.now + LEASE_MS);
+        for owner in &mut self.owners {
+            owner.acts_until.get_or_insert(self.now + LEASE_MS);
         }
         let token = self.state.fencing_token(&role());
         let mut scheduler = Scheduler::new(SERVICE, token, settings(), self.now, &self.state, 7);
         scheduler.handle_worker_list(self.now, &self.state, &self.entries());
-        self.holders.push(Holder {
+        self.owners.push(RoleOwner {
             scheduler,
             acts_until: None,
         });
-        self.run(number);
+        self.run_owner(number);
     }
 
     pub(crate) fn apply(
@@ -80,9 +83,9 @@
             wall_ms: WallMillis(1_000_000 + self.now),
         };
         let applied = self.state.apply(&entry);
-        for (number, holder) in self.holders.iter_mut().enumerate() {
+        for (number, owner) in self.owners.iter_mut().enumerate() {
             let own: &[RunStart] = if number == by { &runs } else { &[] };
-            holder.scheduler.handle_applied(
+            owner.scheduler.handle_applied(
                 self.now,
                 entry.position,
                 &self.state,
@@ -99,65 +102,65 @@
         };
         let role_token = RoleToken {
             role: role(),
-            token: self.holders[by].scheduler.token(),
+            token: self.owners[by].scheduler.token(),
         };
         self.apply(by, Some(role_token), command);
-        self.run_all();
+        self.run_owners();
     }
 
-    pub(crate) fn may_act(&self, holder: usize) -> bool {
-        self.holders[holder]
+    pub(crate) fn may_act(&self, owner: usize) -> bool {
+        self.owners[owner]
             .acts_until
             .is_none_or(|until| self.now < until)
     }
 
-    pub(crate) fn run_all(&mut self) {
-        for holder in 0..self.holders.len() {
-            self.run(holder);
+    pub(crate) fn run_owners(&mut self) {
+        for owner in 0..self.owners.len() {
+            self.run_owner(owner);
         }
     }
 
-    pub(crate) fn run(&mut self, holder: usize) {
-        if !self.may_act(holder) {
+    pub(crate) fn run_owner(&mut self, owner: usize) {
+        if !self.may_act(owner) {
             return;
         }
         let wall = 1_000_000 + self.now;
-        self.holders[holder]
+        self.owners[owner]
             .scheduler
             .on_timeout(self.now, WallMillis(wall), &self.state);
-        for output in self.holders[holder].scheduler.poll_outputs() {
+        for output in self.owners[owner].scheduler.poll_outputs() {
             match output {
-                Output::Propose(command) => self.proposals.push_back((holder, command)),
-                Output::Call(call) => self.send(holder, call),
+                Output::Propose(command) => self.proposals.push_back((owner, command)),
+                Output::Call(call) => self.send(owner, call),
                 Output::Log(_) => {}
             }
         }
     }
 
-    pub(crate) fn send(&mut self, holder: usize, call: WorkerCall) {
-        let is_hold = matches!(call.order, WorkerOrder::RenewLease { .. });
-        let under_way = self.calls.iter().filter(|call| !call.is_given_up).count();
-        if is_hold && under_way >= MOST_CALLS {
-            // As good as lost, and answered so.
-            self.answers.push(Answer {
-                holder,
+    pub(crate) fn send(&mut self, owner: usize, call: WorkerCall) {
+        let is_renewal = matches!(call.order, WorkerOrder::RenewLease { .. });
+        let in_flight = self.calls.iter().filter(|call| !call.has_timed_out).count();
+        if is_renewal && in_flight >= MAX_CALLS {
+            // As good as lost.
+            self.replies.push(PendingReply {
+                owner,
                 call: call.id,
                 reply: WorkerReply::TimedOut,
             });
             return;
         }
-        self.calls.push(Call {
-            holder,
+        self.calls.push(PendingCall {
+            owner,
             call,
-            is_given_up: false,
+            has_timed_out: false,
         });
     }
 
-    pub(crate) fn arrive(&mut self, position: usize) {
-        let Call {
-            holder,
+    pub(crate) fn deliver_call(&mut self, position: usize) {
+        let PendingCall {
+            owner,
             call,
-            is_given_up,
+            has_timed_out,
         } = self.calls.remove(position);
         let Some(number) = self
             .workers
@@ -166,10 +169,10 @@
         else {
             return;
         };
-        if self.silent.contains(&number) {
-            if !is_given_up {
-                self.answers.push(Answer {
-                    holder,
+        if self.unreachable.contains(&number) {
+            if !has_timed_out {
+                self.replies.push(PendingReply {
+                    owner,
                     call: call.id,
                     reply: WorkerReply::TimedOut,
                 });
@@ -184,32 +187,34 @@
                 gpu: 0,
             },
             duration_ms: self.work_ms,
-            how: CompletionKind::Done,
+            kind: CompletionKind::Done,
             checkpoints: false,
             gang: false,
         };
-        let reply = worker.take(self.now, &call, Some(work));
-        self.note_deeds();
-        if !is_given_up {
-            self.answers.push(Answer {
-                holder,
+        let reply = worker.handle_call(self.now, &call, Some(work));
+        self.record_run_events();
+        if !has_timed_out {
+            self.replies.push(PendingReply {
+                owner,
                 call: call.id,
                 reply,
             });
         }
     }
 
-    pub(crate) fn note_deeds(&mut self) {
+    pub(crate) fn record_run_events(&mut self) {
         for number in 0..self.workers.len() {
             let incarnation = self.workers[number].entry.incarnation.clone();
-            for deed in self.workers[number].take_deeds() {
-                match deed {
-                    Deed::Started { run, .. } => self.started(&incarnation, run),
-                    Deed::Ended { run, .. } => {
-                        self.running.remove(&(incarnation.clone(), run));
+            for run_event in self.workers[number].poll_events() {
+                match run_event {
+                    RunEvent::Started { run, .. } => self.started(&incarnation, run),
+                    RunEvent::Completed(completion) => {
+                        self.running.remove(&(incarnation.clone(), completion.run));
                     }
-                    Deed::Noted(ends) => {
-                        self.noted_done |= ends.iter().any(|end| end.how == CompletionKind::Done);
+                    RunEvent::Acknowledged(completions) => {
+                        self.completion_acknowledged |= completions
+                            .iter()
+                            .any(|completion| completion.kind == CompletionKind::Done);
                     }
                 }
             }
@@ -218,25 +223,25 @@
 
     pub(crate) fn started(&mut self, incarnation: &str, run: RunId) {
         if let Some((other, other_run)) = self.running.iter().next() {
-            self.wrong = Some(format!(
+            self.violation = Some(format!(
                 "run {run} on {incarnation} beside run {other_run} on {other}"
             ));
         }
-        if self.noted_done {
-            self.wrong = Some(format!(
+        if self.completion_acknowledged {
+            self.violation = Some(format!(
                 "run {run} on {incarnation} after an end was taken note of"
             ));
         }
         self.running.insert((incarnation.to_owned(), run));
     }
 
-    pub(crate) fn pass(&mut self, ms: u64) {
+    pub(crate) fn pass_time(&mut self, ms: u64) {
         self.now += ms;
         for worker in &mut self.workers {
-            worker.pass_time(self.now);
+            worker.on_timeout(self.now);
         }
-        self.note_deeds();
-        self.run_all();
+        self.record_run_events();
+        self.run_owners();
     }
 
     pub(crate) fn crash(&mut self, number: usize) {
@@ -244,45 +249,47 @@
         self.running.retain(|(other, _)| *other != incarnation);
         self.workers[number] = self.new_worker(number);
         let entries = self.entries();
-        for holder in &mut self.holders {
-            holder
+        for owner in &mut self.owners {
+            owner
                 .scheduler
                 .handle_worker_list(self.now, &self.state, &entries);
         }
-        self.run_all();
+        self.run_owners();
     }
 
-    pub(crate) fn answer(&mut self, position: usize, is_lost: bool) {
-        let Answer {
-            holder,
-            call,
-            reply,
-        } = self.answers.remove(position);
-        let reply = if is_lost {
-            WorkerReply::TimedOut
-        } else {
-            reply
-        };
-        self.holders[holder]
+    pub(crate) fn deliver_reply(&mut self, position: usize) {
+        let pending = self.replies.remove(position);
+        self.handle_reply(pending);
+    }
+
+    pub(crate) fn lose_reply(&mut self, position: usize) {
+        let mut pending = self.replies.remove(position);
+        pending.reply = WorkerReply::TimedOut;
+        self.handle_reply(pending);
+    }
+
+    fn handle_reply(&mut self, pending: PendingReply) {
+        let PendingReply { owner, call, reply } = pending;
+        self.owners[owner]
             .scheduler
             .handle_reply(self.now, &self.state, call, reply);
-        self.run(holder);
+        self.run_owner(owner);
     }
 
-    /// All that is under way arrives, is answered and is committed, as it would on a calm day.
-    pub(crate) fn settle(&mut self) {
-        // A scheduler that has lost the role proposes again and again until its lease ends.
+    /// Commits, delivers and answers all that is in flight, as without faults.
+    pub(crate) fn deliver_all(&mut self) {
+        // A scheduler that has lost the role proposes again and again until its lease expires.
         for _ in 0..self.proposals.len() {
             self.commit();
         }
-        let under_way = self.calls.iter().filter(|call| !call.is_given_up).count();
-        for _ in 0..under_way {
-            if let Some(position) = self.calls.iter().position(|call| !call.is_given_up) {
-                self.arrive(position);
+        let in_flight = self.calls.iter().filter(|call| !call.has_timed_out).count();
+        for _ in 0..in_flight {
+            if let Some(position) = self.calls.iter().position(|call| !call.has_timed_out) {
+                self.deliver_call(position);
             }
         }
-        for _ in 0..self.answers.len() {
-            self.answer(0, false);
+        for _ in 0..self.replies.len() {
+            self.deliver_reply(0);
         }
     }
 }
--- a/system/fleet/tests/run_model/steps.rs
+++ b/system/fleet/tests/run_model/steps.rs
@@ -1,27 +1,28 @@
 //! The steps that the checker takes, and what must hold after each.
-use crate::world::{Answer, Budget, Call, World, LONG_MS, MIDDLE_MS, SHORT_MS};
+use crate::world::{Budget, PendingCall, PendingReply, World, LONG_MS, MIDDLE_MS, SHORT_MS};
 use magpiegap_scheduler::WorkerReply;
 use stateright::{Model, Property};
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Step {
-    /// All that is under way arrives and is answered in order.
-    Settle,
-    Arrive(usize),
-    Lose(usize),
-    GiveUp(usize),
-    Answer(usize),
-    LoseAnswer(usize),
+    /// All that is in flight is delivered and answered in order.
+    DeliverAll,
+    DeliverCall(usize),
+    LoseCall(usize),
+    TimeOut(usize),
+    DeliverReply(usize),
+    LoseReply(usize),
     Commit,
-    Pass,
+    PassShort,
     PassMiddle,
     PassLong,
-    /// No call reaches a worker any more.
-    Silence(usize),
+    /// No call reaches this worker any more.
+    MakeUnreachable(usize),
     TakeOver,
     Crash(usize),
 }
-/// What is explored.
+
+/// The model: what is explored.
 pub(crate) struct Runs {
     pub budget: Budget,
     pub work_ms: u64,
@@ -38,28 +39,28 @@
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
         let budget = world.budget;
         for (position, call) in world.calls.iter().enumerate() {
-            steps.push(Step::Arrive(position));
-            if budget.lost > 0 && !call.is_given_up {
-                steps.push(Step::Lose(position));
+            steps.push(Step::DeliverCall(position));
+            if budget.lost_messages > 0 && !call.has_timed_out {
+                steps.push(Step::LoseCall(position));
             }
-            if budget.late > 0 && !call.is_given_up {
-                steps.push(Step::GiveUp(position));
+            if budget.late_calls > 0 && !call.has_timed_out {
+                steps.push(Step::TimeOut(position));
             }
         }
-        for position in 0..world.answers.len() {
-            steps.push(Step::Answer(position));
-            if budget.lost > 0 {
-                steps.push(Step::LoseAnswer(position));
+        for position in 0..world.replies.len() {
+            steps.push(Step::DeliverReply(position));
+            if budget.lost_messages > 0 {
+                steps.push(Step::LoseReply(position));
             }
         }
         if !world.proposals.is_empty() {
             steps.push(Step::Commit);
         }
-        if !(world.calls.is_empty() && world.answers.is_empty() && world.proposals.is_empty()) {
-            steps.push(Step::Settle);
+        if !(world.calls.is_empty() && world.replies.is_empty() && world.proposals.is_empty()) {
+            steps.push(Step::DeliverAll);
         }
         if budget.short > 0 {
-            steps.push(Step::Pass);
+            steps.push(Step::PassShort);
         }
         if budget.middle > 0 {
             steps.push(Step::PassMiddle);
@@ -67,8 +68,8 @@
         if budget.long > 0 {
             steps.push(Step::PassLong);
         }
-        if budget.silences > 0 {
-            steps.extend([Step::Silence(0), Step::Silence(1)]);
+        if budget.unreachable_workers > 0 {
+            steps.extend([Step::MakeUnreachable(0), Step::MakeUnreachable(1)]);
         }
         if budget.take_overs > 0 {
             steps.push(Step::TakeOver);
@@ -81,48 +82,48 @@
     fn next_state(&self, last: &World, step: Step) -> Option<World> {
         let mut world = last.clone();
         match step {
-            Step::Settle => world.settle(),
-            Step::Arrive(position) => world.arrive(position),
-            Step::Lose(position) => {
-                world.budget.lost -= 1;
-                let Call { holder, call, .. } = world.calls.remove(position);
-                world.answers.push(Answer {
-                    holder,
+            Step::DeliverAll => world.deliver_all(),
+            Step::DeliverCall(position) => world.deliver_call(position),
+            Step::LoseCall(position) => {
+                world.budget.lost_messages -= 1;
+                let PendingCall { owner, call, .. } = world.calls.remove(position);
+                world.replies.push(PendingReply {
+                    owner,
                     call: call.id,
                     reply: WorkerReply::TimedOut,
                 });
             }
-            Step::GiveUp(position) => {
-                world.budget.late -= 1;
-                world.calls[position].is_given_up = true;
-                let (holder, call) = (world.calls[position].holder, world.calls[position].call.id);
-                world.answers.push(Answer {
-                    holder,
+            Step::TimeOut(position) => {
+                world.budget.late_calls -= 1;
+                world.calls[position].has_timed_out = true;
+                let (owner, call) = (world.calls[position].owner, world.calls[position].call.id);
+                world.replies.push(PendingReply {
+                    owner,
                     call,
                     reply: WorkerReply::TimedOut,
                 });
             }
-            Step::Answer(position) => world.answer(position, false),
-            Step::LoseAnswer(position) => {
-                world.budget.lost -= 1;
-                world.answer(position, true);
+            Step::DeliverReply(position) => world.deliver_reply(position),
+            Step::LoseReply(position) => {
+                world.budget.lost_messages -= 1;
+                world.lose_reply(position);
             }
             Step::Commit => world.commit(),
-            Step::Pass => {
+            Step::PassShort => {
                 world.budget.short -= 1;
-                world.pass(SHORT_MS);
+                world.pass_time(SHORT_MS);
             }
             Step::PassMiddle => {
                 world.budget.middle -= 1;
-                world.pass(MIDDLE_MS);
+                world.pass_time(MIDDLE_MS);
             }
-            Step::Silence(number) => {
-                world.budget.silences -= 1;
-                world.silent.insert(number);
+            Step::MakeUnreachable(number) => {
+                world.budget.unreachable_workers -= 1;
+                world.unreachable.insert(number);
             }
             Step::PassLong => {
                 world.budget.long -= 1;
-                world.pass(LONG_MS);
+                world.pass_time(LONG_MS);
             }
             Step::TakeOver => {
                 world.budget.take_overs -= 1;
@@ -140,9 +141,11 @@
         vec![
             Property::always(
                 "no run beside another one, and none after a noted end",
-                |_, world: &World| world.wrong.is_none(),
+                |_, world: &World| world.violation.is_none(),
             ),
-            Property::sometimes("the task ends", |_, world: &World| world.noted_done),
+            Property::sometimes("the task ends", |_, world: &World| {
+                world.completion_acknowledged
+            }),
         ]
     }
 }
--- a/system/fleet/tests/run_model/world.rs
+++ b/system/fleet/tests/run_model/world.rs
@@ -1,5 +1,5 @@
-//! Everything at one moment: the log's state, holders of the role, workers, calls and answers under way.
-use magpiegap_fleet::Worker;
+//! The state of the model: the replicated state, owners of the role, workers, calls and replies in flight.
+use magpiegap_fleet::{Worker, WorkerSettings};
 use magpiegap_jobs::State;
 use magpiegap_protocol::{
     Command, JobId, JobSpec, Resources, RunId, StepSpec, Submission, WallMillis, WorkerEntry,
@@ -13,49 +13,52 @@
 
 pub(crate) const SERVICE: &str = "s";
 pub(crate) const SHORT_MS: u64 = 60;
-/// Part of a hold.
+/// Part of a worker lease.
 pub(crate) const MIDDLE_MS: u64 = 2000;
-/// Longer than any hold, and than a scheduler waits for one.
+/// Longer than any worker lease, and than a scheduler waits for one.
 pub(crate) const LONG_MS: u64 = 9000;
-pub(crate) const MAX_HOLD_MS: u64 = 6000;
+pub(crate) const MAX_LEASE_MS: u64 = 6000;
 /// How long the task takes.
 pub(crate) const QUICK_MS: u64 = 200;
 pub(crate) const SLOW_MS: u64 = 12_000;
 pub(crate) const LEASE_MS: u64 = 900;
 pub(crate) const JOB: JobId = JobId(1);
-/// Calls under way beyond these are not sent: the scheduler looks at its workers again and again.
-pub(crate) const MOST_CALLS: usize = 5;
+/// Lease renewals beyond these calls in flight are not sent: the scheduler looks at its workers again and again.
+pub(crate) const MAX_CALLS: usize = 5;
+
+/// How often each kind of step may still be taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Budget {
     pub short: u8,
     pub middle: u8,
     pub long: u8,
-    pub silences: u8,
-    pub lost: u8,
-    pub late: u8,
+    pub unreachable_workers: u8,
+    pub lost_messages: u8,
+    pub late_calls: u8,
     pub take_overs: u8,
     pub crashes: u8,
 }
 
-/// A scheduler that holds, or held, the role.
+/// A scheduler that owns, or owned, the role.
 #[derive(Clone)]
-pub(crate) struct Holder {
+pub(crate) struct RoleOwner {
     pub scheduler: Scheduler,
-    /// When its lease ends, once another one has the role.
+    /// When its lease expires, once another one has the role.
     pub acts_until: Option<u64>,
 }
 
-/// A call under way, or one that its caller has given up.
+/// A call in flight; its caller may have timed out.
 #[derive(Clone, Debug)]
-pub(crate) struct Call {
-    pub holder: usize,
+pub(crate) struct PendingCall {
+    pub owner: usize,
     pub call: WorkerCall,
-    pub is_given_up: bool,
+    pub has_timed_out: bool,
 }
 
+/// A reply in flight to its caller.
 #[derive(Clone, Debug)]
-pub(crate) struct Answer {
-    pub holder: usize,
+pub(crate) struct PendingReply {
+    pub owner: usize,
     pub call: u64,
     pub reply: WorkerReply,
 }
@@ -65,37 +68,38 @@
     pub now: u64,
     pub work_ms: u64,
     pub state: State,
-    pub holders: Vec<Holder>,
+    pub owners: Vec<RoleOwner>,
     pub workers: Vec<Worker>,
     /// Workers that no call reaches.
-    pub silent: BTreeSet<usize>,
-    pub lives: u64,
-    pub calls: Vec<Call>,
-    pub answers: Vec<Answer>,
+    pub unreachable: BTreeSet<usize>,
+    pub worker_incarnations: u64,
+    pub calls: Vec<PendingCall>,
+    pub replies: Vec<PendingReply>,
     pub proposals: VecDeque<(usize, Command)>,
     pub budget: Budget,
-    /// What goes on where.
+    /// The runs in progress, by worker incarnation.
     pub running: BTreeSet<(String, RunId)>,
-    pub noted_done: bool,
-    pub wrong: Option<String>,
+    pub completion_acknowledged: bool,
+    pub violation: Option<String>,
 }
+
 impl World {
     pub(crate) fn new(budget: Budget, work_ms: u64) -> World {
         let mut world = World {
             now: 1000,
             work_ms,
             state: State::default(),
-            holders: Vec::new(),
+            owners: Vec::new(),
             workers: Vec::new(),
-            silent: BTreeSet::new(),
-            lives: 0,
+            unreachable: BTreeSet::new(),
+            worker_incarnations: 0,
             calls: Vec::new(),
-            answers: Vec::new(),
+            replies: Vec::new(),
             proposals: VecDeque::new(),
             budget,
             running: BTreeSet::new(),
-            noted_done: false,
-            wrong: None,
+            completion_acknowledged: false,
+            violation: None,
         };
         for number in 0..2 {
             let worker = world.new_worker(number);
@@ -125,17 +129,17 @@
                 ..JobSpec::default()
             },
         };
-        let command = world.holders[0].scheduler.submit(world.now, submission);
+        let command = world.owners[0].scheduler.submit(world.now, submission);
         world.proposals.push_back((0, command));
-        // Both workers have answered their first hold, and the start is on its way.
-        world.settle();
+        // Both workers have answered their first lease renewal, and the start is in flight.
+        world.deliver_all();
         world
     }
 
     pub(crate) fn new_worker(&mut self, number: usize) -> Worker {
-        self.lives += 1;
+        self.worker_incarnations += 1;
         let entry = WorkerEntry {
-            incarnation: format!("i-{number}-{}", self.lives),
+            incarnation: format!("i-{number}-{}", self.worker_incarnations),
             service: SERVICE.to_owned(),
             address: format!("w{number}"),
             capacity: Resources {
@@ -146,7 +150,13 @@
             ..WorkerEntry::default()
         };
         // One clock is right, the other is slow by 2%.
-        Worker::new(entry, true, 5000, 980 + 20 * number as u64, MAX_HOLD_MS)
+        let settings = WorkerSettings {
+            guards: true,
+            clock_offset_ms: 5000,
+            clock_rate_permille: 980 + 20 * number as u64,
+            max_lease_ms: MAX_LEASE_MS,
+        };
+        Worker::new(entry, settings)
     }
 
     pub(crate) fn entries(&self) -> Vec<WorkerEntry> {
@@ -170,18 +180,18 @@
             "{} {:?} {:?} ",
             self.now, self.state.jobs, self.state.workers
         )?;
-        for holder in &self.holders {
-            write!(f, "{:?} {:?} ", holder.scheduler, holder.acts_until)?;
+        for owner in &self.owners {
+            write!(f, "{:?} {:?} ", owner.scheduler, owner.acts_until)?;
         }
         write!(
             f,
             "{:?} {:?} {:?} {:?}",
-            self.workers, self.calls, self.answers, self.proposals
+            self.workers, self.calls, self.replies, self.proposals
         )?;
         write!(
             f,
             "{:?} {:?} {:?} {:?}",
-            self.budget, self.running, self.silent, self.wrong
+            self.budget, self.running, self.unreachable, self.violation
         )
     }
 }
