--- a/lab/src/call.rs
+++ b/lab/src/call.rs
@@ -96,6 +96,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet: docs/OPEN.md")]
     async fn carry(&self, world: &World) -> CallResult {
         pause(self.delay).await;
         let gives_up = world.clock.instant(self.sent + self.timeout);
--- a/lab/src/clients.rs
+++ b/lab/src/clients.rs
@@ -52,6 +52,7 @@
 }
 
 /// One request over all its tries.
+#[expect(clippy::too_many_lines, reason = "not split yet: docs/OPEN.md")]
 async fn request(world: &World, a: &Arrival) -> Done {
     let deadline = world.plan.spans[a.class].1;
     let clients = &world.experiment.clients;
--- a/lab/src/draw/requests.rs
+++ b/lab/src/draw/requests.rs
@@ -92,6 +92,7 @@
     pub weakest: f64,
 }
 
+#[expect(clippy::too_many_lines, reason = "not split yet: docs/OPEN.md")]
 pub(super) fn draw_requests(
     e: &Experiment,
     seed: u64,
--- a/lab/src/draw/whole.rs
+++ b/lab/src/draw/whole.rs
@@ -7,6 +7,7 @@
 use crate::experiment::Experiment;
 
 /// Draws a plan. The error says what the figures together do not allow.
+#[expect(clippy::too_many_lines, reason = "not split yet: docs/OPEN.md")]
 pub fn plan(e: &Experiment, seed: u64) -> Result<Plan, String> {
     let machines = &mut stream(seed, Stream::Machines);
     let mut upstreams: Vec<Upstream> = Vec::new();
--- a/lab/src/experiment/check/fault.rs
+++ b/lab/src/experiment/check/fault.rs
@@ -4,6 +4,7 @@
 use crate::experiment::fault::{Fault, FaultKind};
 use crate::experiment::whole::Experiment;
 
+#[expect(clippy::too_many_lines, reason = "not split yet: docs/OPEN.md")]
 pub(super) fn check_fault(key: &str, fault: &Fault, e: &Experiment) -> Result<(), Wrong> {
     use FaultKind::*;
     let wrong = |part: &str, what: String| Err((format!("{key}.{part}"), what));
--- a/lab/src/experiment/check/mod.rs
+++ b/lab/src/experiment/check/mod.rs
@@ -14,6 +14,7 @@
 use tier::check_tier;
 
 /// What the types alone do not say.
+#[expect(clippy::too_many_lines, reason = "not split yet: docs/OPEN.md")]
 pub(super) fn check(e: &Experiment) -> Result<(), Wrong> {
     let wrong = |key: &str, what: &str| Err((key.to_string(), what.to_string()));
     if !(1000.0..=3_600_000.0).contains(&e.length.0.most) || e.length.0.least < 1000.0 {
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -197,6 +197,7 @@
     }
 }
 
+#[expect(clippy::too_many_lines, reason = "not split yet: docs/OPEN.md")]
 fn run_it(run: &Run) -> Result<End, String> {
     tracing_subscriber::fmt()
         .with_max_level(run.log)
--- a/lab/src/results/compare.rs
+++ b/lab/src/results/compare.rs
@@ -60,6 +60,7 @@
 }
 
 /// Each program against the first: the mean of the differences, play by play, and half their range.
+#[expect(clippy::too_many_lines, reason = "not split yet: docs/OPEN.md")]
 pub fn compare(plays: &[Played]) -> String {
     // Part of a run compares with nothing.
     let plays: Vec<&Played> = plays.iter().filter(|p| !p.stopped).collect();
--- a/lab/src/results/summary.rs
+++ b/lab/src/results/summary.rs
@@ -4,6 +4,7 @@
 use std::fmt::Write;
 
 /// The summary of all plays, as lines for a terminal.
+#[expect(clippy::too_many_lines, reason = "not split yet: docs/OPEN.md")]
 pub fn summary(plays: &[Played]) -> String {
     let mut text = format!(
         "{:<18} {:>8} {:>7} {:>7} {:>6} {:>8} {:>7} {:>7} {:>7}  rules\n",
--- a/lab/src/run/sum_up.rs
+++ b/lab/src/run/sum_up.rs
@@ -46,6 +46,7 @@
     })
 }
 
+#[expect(clippy::too_many_lines, reason = "not split yet: docs/OPEN.md")]
 pub(super) fn sum_up(
     fleet: &Fleet,
     (name, command): (&str, &str),
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -102,6 +102,7 @@
 
 impl World {
     /// Puts a run together; nothing of it runs yet.
+    #[expect(clippy::too_many_lines, reason = "not split yet: docs/OPEN.md")]
     pub fn new(
         experiment: &Experiment,
         plan: &Plan,
--- a/lab/tests/fleet/experiments.rs
+++ b/lab/tests/fleet/experiments.rs
@@ -9,6 +9,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet: docs/OPEN.md")]
 fn what_is_wrong_is_named_with_its_line_and_key() {
     assert!(parse(&good()).is_ok());
     let wrong = |from: &str, to: &str| {
--- a/lab/tests/fleet/fleets.rs
+++ b/lab/tests/fleet/fleets.rs
@@ -264,6 +264,7 @@
 
 /// Six balancers with a disk: power is lost, disks fill and fail, folders are spoiled, and one is killed over and over.
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet: docs/OPEN.md")]
 fn a_fleet_with_disks_keeps_every_rule_through_crashes_power_losses_and_disks_that_do_wrong() {
     let faults = r#"
 [options.recovery]
--- a/lab/tests/fleet/tier.rs
+++ b/lab/tests/fleet/tier.rs
@@ -63,6 +63,7 @@
 /// goes back, while datagrams that nobody meant come to their ports, others are lost or cut one way, and the front is out
 /// for a moment.
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet: docs/OPEN.md")]
 fn a_tier_is_upgraded_in_turn_and_steps_down_for_one_that_goes_back() {
     let faults = r#"
 [options.figures]
