--- a/balancer/proxy/src/clients/framing.rs
+++ b/balancer/proxy/src/clients/framing.rs
@@ -65,12 +65,12 @@
     }
 
     /// Whether something was taken that is not this body's, once that is whole.
-    pub(super) fn went_beyond(&self) -> bool {
+    pub(super) fn may_have_taken_beyond(&self) -> bool {
         matches!(self, Framing::Lines { last_empty: false })
     }
 
     /// Nothing is to come any more.
-    pub(super) fn is_over(&self) -> bool {
+    pub(super) fn is_complete(&self) -> bool {
         matches!(self, Framing::Length(0))
     }
 }
--- a/balancer/proxy/src/clients/idle.rs
+++ b/balancer/proxy/src/clients/idle.rs
@@ -1,6 +1,6 @@
-//! Clients' connections between requests. Holds which ones rest, since when, and finds the one that makes way for
-//! another client; which tenant's it is to be is asked of the module.
-use crate::held::Connection;
+//! Client connections between requests. Owns which of them are idle and since when, and finds the one to evict for
+//! another client; which tenant's it is to be is decided by the balancer core.
+use crate::connection_counts::CountedConnection;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -8,95 +8,108 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A connection may be closed once it has rested for this long.
+/// A connection that has been idle for this long is evicted before others.
 const IDLE_LONG_ENOUGH: Duration = Duration::from_secs(2);
 
 /// A client's connection.
 pub(super) struct ClientConnection {
-    /// Tells it to close.
-    pub close: Notify,
-    /// It closes once it is idle, so that its answers say so.
-    pub closes: Cell<bool>,
-    /// Whose it is.
-    pub of: Connection,
-    /// Its position among the idle ones.
-    place: Cell<Option<u64>>,
+    /// Notified when the connection is evicted.
+    pub close_requested: Notify,
+    /// Whether it closes once it is idle, so that its responses say so.
+    pub is_closing: Cell<bool>,
+    /// Counts it for its tenant.
+    pub counted: CountedConnection,
+    /// Its key among the idle connections, while it is one.
+    idle_key: Cell<Option<IdleKey>>,
 }
 
 impl ClientConnection {
-    /// One that is not idle.
-    pub(super) fn new(of: Connection) -> Rc<ClientConnection> {
+    /// Creates a connection that is not idle.
+    pub(super) fn new(counted: CountedConnection) -> Rc<ClientConnection> {
         Rc::new(ClientConnection {
-            close: Notify::new(),
-            closes: Cell::new(false),
-            of,
-            place: Cell::new(None),
+            close_requested: Notify::new(),
+            is_closing: Cell::new(false),
+            counted,
+            idle_key: Cell::new(None),
         })
     }
 
     /// Whether it is between requests.
     pub(super) fn is_idle(&self) -> bool {
-        self.place.get().is_some()
+        self.idle_key.get().is_some()
     }
 }
 
+/// Orders idle connections by when they last became idle.
+type IdleKey = u64;
+
+struct Idle {
+    since: Instant,
+    client: Rc<ClientConnection>,
+}
+
 /// The connections between requests.
 #[derive(Default)]
 pub(super) struct IdleConnections {
-    /// Since when they are idle, the one idle longest first.
-    places: RefCell<BTreeMap<u64, (Instant, Rc<ClientConnection>)>>,
-    /// Orders them by when they last fell idle.
-    turn: Cell<u64>,
+    /// The one idle longest comes first.
+    idle: RefCell<BTreeMap<IdleKey, Idle>>,
+    last_key: Cell<IdleKey>,
 }
 
 impl IdleConnections {
-    /// Notes that a connection is between requests, or has said nothing yet.
+    /// Notes that a connection is between requests, or has sent nothing yet.
     pub(super) fn became_idle(&self, client: &Rc<ClientConnection>) {
-        self.turn.set(self.turn.get() + 1);
-        client.place.set(Some(self.turn.get()));
-        self.places
-            .borrow_mut()
-            .insert(self.turn.get(), (Instant::now(), client.clone()));
+        let key = self.last_key.get() + 1;
+        self.last_key.set(key);
+        client.idle_key.set(Some(key));
+        let idle = Idle {
+            since: Instant::now(),
+            client: client.clone(),
+        };
+        self.idle.borrow_mut().insert(key, idle);
     }
 
-    /// Notes that a connection is not between requests any more, or is gone.
+    /// Notes that a connection has begun a request, or is closed.
     pub(super) fn became_busy(&self, client: &ClientConnection) {
-        if let Some(place) = client.place.take() {
-            self.places.borrow_mut().remove(&place);
+        if let Some(key) = client.idle_key.take() {
+            self.idle.borrow_mut().remove(&key);
         }
     }
 
-    /// Tells one connection to close, if any rests: of those that have rested for long enough one that never sent a
-    /// request, else one of the tenant that `furthest` names by what each holds. Where none has, the one that
-    /// rested longest.
-    pub(super) fn close_one(
+    /// Tells one idle connection to close and returns whether there was any. Of those idle for long enough it takes one
+    /// that never sent a request, else one of the tenant that `tenant_to_evict` names by the connection counts. Where
+    /// none has been idle for that long, it takes the one idle longest.
+    pub(super) fn evict_one(
         &self,
-        held: &[u32],
-        furthest: impl Fn(&[u32]) -> Option<usize>,
+        counts: &[u32],
+        tenant_to_evict: impl Fn(&[u32]) -> Option<usize>,
     ) -> bool {
-        let mut places = self.places.borrow_mut();
-        let long = || {
-            places
-                .values()
-                .take_while(|(since, _)| since.elapsed() >= IDLE_LONG_ENOUGH)
-                .map(|(_, c)| c)
+        let mut idle = self.idle.borrow_mut();
+        let long_idle = || {
+            idle.values()
+                .take_while(|idle| idle.since.elapsed() >= IDLE_LONG_ENOUGH)
+                .map(|idle| &idle.client)
         };
-        let spare = |tenant: Option<usize>| long().find(|c| c.of.tenant() == tenant);
-        let of_tenants = || {
-            let mut counts = vec![0; held.len()];
-            long()
-                .filter_map(|c| c.of.tenant())
-                .for_each(|i| counts[i] = held[i]);
-            furthest(&counts).and_then(|tenant| spare(Some(tenant)))
+        let first_of =
+            |tenant: Option<usize>| long_idle().find(|client| client.counted.tenant() == tenant);
+        let of_chosen_tenant = || {
+            let mut eligible = vec![0; counts.len()];
+            long_idle()
+                .filter_map(|client| client.counted.tenant())
+                .for_each(|tenant| eligible[tenant] = counts[tenant]);
+            tenant_to_evict(&eligible).and_then(|tenant| first_of(Some(tenant)))
         };
-        let longest = || places.values().next().map(|(_, c)| c);
-        let Some(client) = spare(None).or_else(of_tenants).or_else(longest).cloned() else {
+        let longest_idle = || idle.values().next().map(|idle| &idle.client);
+        let chosen = first_of(None)
+            .or_else(of_chosen_tenant)
+            .or_else(longest_idle);
+        let Some(client) = chosen.cloned() else {
             return false;
         };
-        if let Some(place) = client.place.get() {
-            places.remove(&place);
+        if let Some(key) = client.idle_key.get() {
+            idle.remove(&key);
         }
-        client.close.notify_one();
+        client.close_requested.notify_one();
         true
     }
 }
--- a/balancer/proxy/src/clients/lingering.rs
+++ b/balancer/proxy/src/clients/linger.rs
@@ -1,7 +1,7 @@
 //! A lingering close: whoever closes a socket over bytes that it has not read resets the connection, and the client's
 //! system may then throw away the last answer before the client has read it. So after a last answer only the side that
 //! writes is shut, and what the client still sends is read and thrown away for a little while. Holds no state.
-use super::phase::{over, Phase};
+use super::phase::{wait_for_closed, Phase};
 use super::stream::ClientStream;
 use std::future::poll_fn;
 use std::time::Duration;
@@ -11,26 +11,26 @@
 /// Whether connections linger at all.
 const ENABLED: bool = true;
 /// For this long at most.
-const LINGER_MOST: Duration = Duration::from_millis(500);
+const MAX_LINGER: Duration = Duration::from_millis(500);
 /// And for so many bytes.
-const DISCARD_MOST: usize = 64 << 10;
+const MAX_DISCARDED_BYTES: usize = 64 << 10;
 
 /// Closes a connection whose last answer was written. Nothing that comes from now on is taken as a request.
 pub(super) async fn linger(stream: &ClientStream, phase: &mut watch::Receiver<Phase>) {
-    if !ENABLED || stream.has_ended() || stream.shut_write().is_err() {
+    if !ENABLED || stream.is_disconnected() || stream.shut_write().is_err() {
         return;
     }
     tokio::select! {
         biased;
-        () = over(phase) => {}
+        () = wait_for_closed(phase) => {}
         () = discard(stream) => {}
-        () = sleep(LINGER_MOST) => {}
+        () = sleep(MAX_LINGER) => {}
     }
 }
 
 /// Reads until the client has closed its side, or has sent too much.
 async fn discard(stream: &ClientStream) {
-    let mut left = DISCARD_MOST;
+    let mut left = MAX_DISCARDED_BYTES;
     while left > 0 {
         match poll_fn(|cx| stream.poll_discard(cx)).await {
             0 => return,
--- a/balancer/proxy/src/clients/mod.rs
+++ b/balancer/proxy/src/clients/mod.rs
@@ -1,14 +1,14 @@
-//! The clients' side: takes requests whole, hands them to the driver and writes the one final answer.
-mod accepting;
-mod answers;
+//! The clients' side: receives complete requests, forwards them to the driver and writes the one final response.
 mod connection;
 mod framing;
 mod idle;
-mod lingering;
+mod linger;
 mod phase;
 mod requests;
+mod responses;
+mod server;
 mod slots;
 mod stream;
 
-pub(crate) use accepting::Server;
 pub(crate) use phase::Phase;
+pub(crate) use server::Server;
--- a/balancer/proxy/src/clients/phase.rs
+++ b/balancer/proxy/src/clients/phase.rs
@@ -5,24 +5,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
     /// Serving.
-    Up,
+    Serving,
     /// Told to end: what comes is still served, but not taken any more by those who ask whether this is ready.
     /// Clients go on using the connections they have, and may have nobody else to turn to yet, so these stay
     /// open for as long as all can be answered.
-    Leaving,
+    Draining,
     /// Nothing new is accepted, and connections between requests are closed.
     Closing,
     /// All is answered, or will not be any more: connections that only linger are dropped.
-    Over,
+    Closed,
 }
 
 /// Waits until clients' connections are to be closed.
-pub(super) async fn closing(phase: &mut watch::Receiver<Phase>) {
+pub(super) async fn wait_for_closing(phase: &mut watch::Receiver<Phase>) {
     // Whoever would tell it has gone: all is over.
     let _ = phase.wait_for(|p| *p >= Phase::Closing).await;
 }
 
 /// Waits until nothing may linger any more.
-pub(super) async fn over(phase: &mut watch::Receiver<Phase>) {
-    let _ = phase.wait_for(|p| *p == Phase::Over).await;
+pub(super) async fn wait_for_closed(phase: &mut watch::Receiver<Phase>) {
+    let _ = phase.wait_for(|p| *p == Phase::Closed).await;
 }
--- a/balancer/proxy/src/clients/requests.rs
+++ b/balancer/proxy/src/clients/requests.rs
@@ -1,8 +1,8 @@
-//! Reads requests whole, finds out whose they are and hands them to the driver. Holds what the settings say of them.
-use super::answers::refuse_input;
-use crate::driver::{Handle, Waiting};
-use crate::held::Connection;
-use crate::message::{end_to_end, Outgoing, BODY_MOST, DEADLINE};
+//! Receives complete requests, classifies them and forwards them to the driver. Owns the settings of classes and tenants.
+use super::responses::rejection;
+use crate::connection_counts::CountedConnection;
+use crate::driver::{Handle, PendingResponse, ReceivedRequest};
+use crate::message::{retain_end_to_end, OutgoingRequest, DEADLINE_HEADER, MAX_BODY_LEN};
 use balancer_core::{Effect, Millis};
 use balancer_settings::Deployment;
 use bytes::Bytes;
@@ -13,155 +13,188 @@
 use std::cell::Cell;
 use tokio::time::{timeout_at, Instant};
 
-/// Longest request id taken.
-const ID_MOST: usize = 256;
+/// Longest request id accepted, in bytes.
+const MAX_REQUEST_ID_LEN: usize = 256;
+/// Longest time that a client may wait, in milliseconds: a day.
+const MAX_TIMEOUT: Millis = 86_400_000.0;
 
-/// Takes requests for the driver.
-pub(super) struct Requests {
-    /// Who answers them.
-    pub driver: Handle,
-    /// What classes and tenants there are.
-    pub deployment: Deployment,
+/// Why a request is rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum RequestError {
+    #[error("Req-Id is missing")]
+    NoId,
+    #[error("Req-Id is bad")]
+    InvalidId,
+    #[error("Req-Kind is missing")]
+    NoClass,
+    #[error("Req-Kind is unknown")]
+    UnknownClass,
+    #[error("Req-Owner is missing")]
+    NoTenant,
+    #[error("Req-Owner is unknown")]
+    UnknownTenant,
+    #[error("Req-Deadline is missing")]
+    NoTimeout,
+    #[error("Req-Deadline is bad")]
+    InvalidTimeout,
+    #[error("the method or Idempotency-Key does not fit the class")]
+    ClassMismatch,
+    #[error("a GET has no body")]
+    BodyOfGet,
+    #[error("the body is too large")]
+    BodyTooLarge,
+    #[error("the body is broken")]
+    BodyBroken,
+    #[error("the body did not come")]
+    BodyTimedOut,
 }
 
-/// A request that was read whole.
-pub(super) struct WholeRequest {
+impl RequestError {
+    /// Returns the response that says so.
+    pub(super) fn response(self) -> Response<Full<Bytes>> {
+        let status = match self {
+            RequestError::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            RequestError::BodyTimedOut => StatusCode::REQUEST_TIMEOUT,
+            _ => StatusCode::BAD_REQUEST,
+        };
+        rejection(status, &self.to_string())
+    }
+}
+
+/// What a request's head says of it.
+struct Classification {
     class: usize,
     tenant: usize,
-    patience: Millis,
-    out: Outgoing,
+    timeout: Millis,
+}
+
+/// Receives requests for the driver.
+pub(super) struct Requests {
+    /// Responds to them.
+    pub driver: Handle,
+    /// The settings of classes and tenants.
+    pub deployment: Deployment,
 }
 
 impl Requests {
-    /// Reads a request whole, whose body must have come by `by`.
-    pub(super) async fn read(
+    /// Receives a complete request, whose body must have come by `body_by`.
+    ///
+    /// # Errors
+    /// Says why the request is rejected.
+    pub(super) async fn receive(
         &self,
         request: Request<Incoming>,
-        by: Instant,
-        held: &Connection,
-    ) -> Result<WholeRequest, Response<Full<Bytes>>> {
+        body_by: Instant,
+        connection: &CountedConnection,
+    ) -> Result<ReceivedRequest, RequestError> {
         let (head, body) = request.into_parts();
-        let bad = |what: &str| refuse_input(StatusCode::BAD_REQUEST, what);
-        let (class, tenant, patience) = self.classify(&head.method, &head.headers).map_err(bad)?;
-        held.is_of(tenant);
+        let classification = self.classify(&head.method, &head.headers)?;
+        connection.assign_to(classification.tenant);
         if head.method == Method::GET && !body.is_end_stream() {
-            return Err(bad("a GET has no body"));
-        }
-        if body.size_hint().lower() > BODY_MOST as u64 {
-            return Err(refuse_input(
-                StatusCode::PAYLOAD_TOO_LARGE,
-                "the body is too large",
-            ));
+            return Err(RequestError::BodyOfGet);
         }
-        let body = match timeout_at(by, Limited::new(body, BODY_MOST).collect()).await {
-            Ok(Ok(body)) => body.to_bytes(),
-            Ok(Err(e)) if e.is::<LengthLimitError>() => {
-                return Err(refuse_input(
-                    StatusCode::PAYLOAD_TOO_LARGE,
-                    "the body is too large",
-                ));
-            }
-            Ok(Err(_)) => return Err(bad("the body is broken")),
-            Err(_) => {
-                return Err(refuse_input(
-                    StatusCode::REQUEST_TIMEOUT,
-                    "the body did not come",
-                ))
-            }
-        };
+        let body = receive_body(body, body_by).await?;
         let mut headers = head.headers;
-        end_to_end(&mut headers);
-        headers.remove(&DEADLINE);
+        retain_end_to_end(&mut headers);
+        headers.remove(&DEADLINE_HEADER);
         let target = head
             .uri
             .path_and_query()
-            .map(|p| Uri::from(p.clone()))
+            .map(|path| Uri::from(path.clone()))
             .unwrap_or_default();
-        let out = Outgoing {
-            method: head.method,
-            target,
-            headers,
-            body,
-            over: Cell::new(false),
-        };
-        Ok(WholeRequest {
-            class,
-            tenant,
-            patience,
-            out,
+        Ok(ReceivedRequest {
+            class: classification.class,
+            tenant: classification.tenant,
+            timeout: classification.timeout,
+            outgoing: OutgoingRequest {
+                method: head.method,
+                target,
+                headers,
+                body,
+                has_ended: Cell::new(false),
+            },
         })
     }
 
-    /// Hands a request to the driver: from now on one final answer is owed. `None`: more are open than may be.
-    pub(super) fn hand_on(&self, request: WholeRequest) -> Option<Waiting> {
-        let WholeRequest {
-            class,
-            tenant,
-            patience,
-            out,
-        } = request;
-        self.driver.take(class, tenant, patience, out)
+    /// Forwards a request to the driver: from now on one final response is owed. `None`: more are open than may be.
+    pub(super) fn forward(&self, request: ReceivedRequest) -> Option<PendingResponse> {
+        self.driver.handle_request(request)
     }
 
-    /// Class, tenant and patience of a request, or what is wrong with its head.
     fn classify(
         &self,
         method: &Method,
         headers: &HeaderMap,
-    ) -> Result<(usize, usize, Millis), &'static str> {
-        let d = &self.deployment;
-        let one = |name: &str| {
-            let mut all = headers.get_all(name).iter();
-            let value = all.next()?.to_str().ok()?;
-            all.next().is_none().then_some(value)
-        };
-        let id = one("req-id").ok_or("Req-Id is missing")?;
-        if id.is_empty() || id.len() > ID_MOST {
-            return Err("Req-Id is bad");
+    ) -> Result<Classification, RequestError> {
+        let deployment = &self.deployment;
+        let id = single(headers, "req-id").ok_or(RequestError::NoId)?;
+        if id.is_empty() || id.len() > MAX_REQUEST_ID_LEN {
+            return Err(RequestError::InvalidId);
         }
-        let kind = one("req-kind").ok_or("Req-Kind is missing")?;
-        let class = d
-            .classes
-            .iter()
-            .position(|c| c == kind)
-            .ok_or("Req-Kind is unknown")?;
-        let tenant = if d.tenants.is_empty() {
+        let kind = single(headers, "req-kind").ok_or(RequestError::NoClass)?;
+        let class = position(&deployment.classes, kind).ok_or(RequestError::UnknownClass)?;
+        let tenant = if deployment.tenants.is_empty() {
             0
         } else {
-            let owner = one("req-owner").ok_or("Req-Owner is missing")?;
-            d.tenants
-                .iter()
-                .position(|t| t == owner)
-                .ok_or("Req-Owner is unknown")?
+            let owner = single(headers, "req-owner").ok_or(RequestError::NoTenant)?;
+            position(&deployment.tenants, owner).ok_or(RequestError::UnknownTenant)?
         };
-        let patience = one("req-deadline").ok_or("Req-Deadline is missing")?;
-        let patience = span(patience).ok_or("Req-Deadline is bad")?;
-        let keyed = one("idempotency-key").is_some_and(|k| !k.is_empty());
-        let form = match d.policy.classes[class].effect {
+        let timeout = single(headers, "req-deadline").ok_or(RequestError::NoTimeout)?;
+        let timeout = parse_duration(timeout).ok_or(RequestError::InvalidTimeout)?;
+        let effect = &deployment.policy.classes[class].effect;
+        let has_key = single(headers, "idempotency-key").is_some_and(|key| !key.is_empty());
+        let fits = match effect {
             Effect::Free => method == Method::GET,
-            Effect::Guarded { .. } => method == Method::POST && keyed,
+            Effect::Guarded { .. } => method == Method::POST && has_key,
             Effect::SingleShot => {
                 method == Method::POST && !headers.contains_key("idempotency-key")
             }
         };
-        if !form {
-            return Err("the method or Idempotency-Key does not fit the class");
+        if !fits {
+            return Err(RequestError::ClassMismatch);
         }
-        Ok((class, tenant, patience))
+        Ok(Classification {
+            class,
+            tenant,
+            timeout,
+        })
+    }
+}
+
+/// Returns the value of a header that is there once.
+fn single<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+    let mut values = headers.get_all(name).iter();
+    let value = values.next()?.to_str().ok()?;
+    values.next().is_none().then_some(value)
+}
+
+fn position(names: &[String], name: &str) -> Option<usize> {
+    names.iter().position(|listed| listed == name)
+}
+
+async fn receive_body(body: Incoming, by: Instant) -> Result<Bytes, RequestError> {
+    if body.size_hint().lower() > MAX_BODY_LEN as u64 {
+        return Err(RequestError::BodyTooLarge);
+    }
+    match timeout_at(by, Limited::new(body, MAX_BODY_LEN).collect()).await {
+        Ok(Ok(body)) => Ok(body.to_bytes()),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(RequestError::BodyTooLarge),
+        Ok(Err(_)) => Err(RequestError::BodyBroken),
+        Err(_) => Err(RequestError::BodyTimedOut),
     }
 }
 
-/// A span of time as clients write it: a number and `m` for milliseconds or `u` for microseconds.
-fn span(text: &str) -> Option<Millis> {
+/// Parses a duration as clients write it: a number and `m` for milliseconds or `u` for microseconds.
+fn parse_duration(text: &str) -> Option<Millis> {
     let text = text.trim();
     let (number, unit) = match (text.strip_suffix('m'), text.strip_suffix('u')) {
         (Some(number), _) => (number, 1.0),
         (_, Some(number)) => (number, 0.001),
         _ => return None,
     };
-    let plain = !number.is_empty() && number.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    let value = plain.then(|| number.parse::<f64>().ok())?? * unit;
-    (0.0..=86_400_000.0).contains(&value).then_some(value)
+    let is_plain = !number.is_empty() && number.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    let value = is_plain.then(|| number.parse::<f64>().ok())?? * unit;
+    (0.0..=MAX_TIMEOUT).contains(&value).then_some(value)
 }
 
 #[cfg(test)]
@@ -169,9 +202,9 @@
     use super::*;
 
     #[test]
-    fn spans_have_a_number_and_a_unit() {
-        assert_eq!(span("480m"), Some(480.0));
-        assert_eq!(span("1500u"), Some(1.5));
+    fn durations_have_a_number_and_a_unit() {
+        assert_eq!(parse_duration("480m"), Some(480.0));
+        assert_eq!(parse_duration("1500u"), Some(1.5));
         for bad in [
             "",
             "m",
@@ -183,7 +216,7 @@
             "4 m",
             "99999999999m",
         ] {
-            assert_eq!(span(bad), None, "{bad}");
+            assert_eq!(parse_duration(bad), None, "{bad}");
         }
     }
 }
--- a/balancer/proxy/src/clients/answers.rs
+++ b/balancer/proxy/src/clients/responses.rs
@@ -1,33 +1,33 @@
-//! The answers that clients get, in HTTP's form. Holds no state.
-use crate::message::Answer;
+//! The responses that clients get, in HTTP's form. Owns no state.
+use crate::message::FinalResponse;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
 
-/// No body.
+/// Returns a response without a body.
 pub(super) fn plain(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
-/// What is wrong with a request, on one line.
-pub(super) fn refuse_input(status: StatusCode, what: &str) -> Response<Full<Bytes>> {
+/// Returns a response that says on one line what is wrong with a request.
+pub(super) fn rejection(status: StatusCode, what: &str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(format!("{what}\n"))));
     *response.status_mut() = status;
     response
 }
 
-/// The one final answer to a request.
-pub(super) fn final_answer(answer: Answer) -> Response<Full<Bytes>> {
-    match answer {
-        Answer::Served { headers, body } => {
+/// Converts the one final response to a request.
+pub(super) fn to_http(response: FinalResponse) -> Response<Full<Bytes>> {
+    match response {
+        FinalResponse::Served { headers, body } => {
             let mut response = Response::new(Full::new(body));
             *response.headers_mut() = headers;
             response
         }
-        Answer::Refused { retry_after } => {
+        FinalResponse::Refused { retry_after } => {
             let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
             if retry_after > 0.0 {
                 // Digits and a point only, so this cannot fail.
@@ -37,6 +37,6 @@
             }
             response
         }
-        Answer::Failed => plain(StatusCode::BAD_GATEWAY),
+        FinalResponse::Failed => plain(StatusCode::BAD_GATEWAY),
     }
 }
--- a/balancer/proxy/src/clients/accepting.rs
+++ b/balancer/proxy/src/clients/server.rs
@@ -1,10 +1,10 @@
 //! Accepts clients for as long as the program serves. Holds nothing beside what it hands to their connections.
 use super::connection::Connections;
-use super::phase::{closing, Phase};
+use super::phase::{wait_for_closing, Phase};
 use super::requests::Requests;
 use super::slots::Slots;
+use crate::connection_counts::ConnectionCounts;
 use crate::driver::Handle;
-use crate::held::Held;
 use crate::sockets::Sockets;
 use balancer_settings::Deployment;
 use std::io::{self, ErrorKind};
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 
 /// Pause after an accept that failed, for want of descriptors for one.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
 /// The clients' side as a whole.
 pub(crate) struct Server(Rc<Connections>);
@@ -26,9 +26,9 @@
         deployment: Deployment,
         sockets: Sockets,
         phase: watch::Receiver<Phase>,
-        held: Held,
+        connection_counts: ConnectionCounts,
     ) -> Server {
-        let slots = Slots::new(driver.clone(), sockets, held);
+        let slots = Slots::new(driver.clone(), sockets, connection_counts);
         Server(Rc::new(Connections {
             requests: Requests { driver, deployment },
             slots,
@@ -45,7 +45,7 @@
             let accepted = tokio::select! {
                 biased;
                 accepted = listener.accept() => accepted,
-                () = closing(&mut phase) => break,
+                () = wait_for_closing(&mut phase) => break,
             };
             match accepted {
                 Ok((stream, _)) => {
@@ -55,23 +55,23 @@
                 // Out of descriptors, or a client that left at once: no reason to end, nor to spin.
                 Err(e) => {
                     if !std::mem::replace(&mut failing, true) {
-                        warn_of(&e);
+                        log_accept_failure(&e);
                     }
-                    slots.close_one();
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    slots.evict_one();
+                    tokio::time::sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
-        if let Err(e) = accept_waiting(&connections, listener).await {
-            warn_of(&e);
+        if let Err(e) = accept_backlog(&connections, listener).await {
+            log_accept_failure(&e);
         }
-        slots.emptied().await;
+        slots.all_released().await;
     }
 }
 
 /// Accepts whoever waits by now, and drops the listener once the system itself says that nobody does: what they have
 /// written counts as taken, and the runtime may not know of them yet. No await stands between that and the drop.
-async fn accept_waiting(connections: &Rc<Connections>, listener: TcpListener) -> io::Result<()> {
+async fn accept_backlog(connections: &Rc<Connections>, listener: TcpListener) -> io::Result<()> {
     let listener = listener.into_std()?;
     loop {
         match listener.accept() {
@@ -94,6 +94,6 @@
     }
 }
 
-fn warn_of(error: &io::Error) {
+fn log_accept_failure(error: &io::Error) {
     tracing::warn!(target: "callers", event = "accept_failed", error = %error, "accept: {error}");
 }
--- a/balancer/proxy/src/clients/slots.rs
+++ b/balancer/proxy/src/clients/slots.rs
@@ -1,54 +1,62 @@
-//! Slots for clients' connections: who gets one, and which of them makes way. Owns no state.
+//! Connection slots for clients: who gets one, and which connection is evicted for it. Owns no state beyond the idle
+//! connections and the counts that it is given.
 use super::idle::IdleConnections;
+use crate::connection_counts::ConnectionCounts;
 use crate::driver::Handle;
-use crate::held::Held;
 use crate::sockets::{ClientSlot, Sockets};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// While all clients' connections are busy, the next look for one that may be closed comes after this.
-const CROWDED_PAUSE: Duration = Duration::from_millis(10);
+/// While all client connections are busy, the next attempt to evict one comes after this.
+const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The clients' part of the sockets.
+/// The clients' share of the socket budget.
 pub(super) struct Slots {
     driver: Handle,
     sockets: Sockets,
-    /// Whose the connected ones are.
-    pub held: Held,
-    /// Those of them between requests.
+    /// Connections by tenant.
+    pub connection_counts: ConnectionCounts,
+    /// Connections between requests.
     pub idle: IdleConnections,
 }
 
 impl Slots {
-    /// What `sockets` leaves, and the idle connections of `driver` to upstreams where that is not enough.
-    pub(super) fn new(driver: Handle, sockets: Sockets, held: Held) -> Rc<Slots> {
+    /// Creates slots from what `sockets` leaves; where that is not enough, idle upstream connections of `driver` are
+    /// closed for them.
+    pub(super) fn new(
+        driver: Handle,
+        sockets: Sockets,
+        connection_counts: ConnectionCounts,
+    ) -> Rc<Slots> {
         Rc::new(Slots {
             driver,
             sockets,
-            held,
+            connection_counts,
             idle: IdleConnections::default(),
         })
     }
 
-    /// Closes a connection between requests, if there is one.
-    pub(super) fn close_one(&self) -> bool {
+    /// Evicts a connection between requests and returns whether there was any.
+    pub(super) fn evict_one(&self) -> bool {
+        let counts = self.connection_counts.by_tenant();
         self.idle
-            .close_one(&self.held.counts(), |held| self.driver.furthest_over(held))
+            .evict_one(&counts, |eligible| self.driver.tenant_to_evict(eligible))
     }
 
-    /// A slot for one more client. Guards against idle connections that clients keep shutting others out: what is
-    /// written to a connection that waits to be accepted counts as taken, so one between requests makes way.
-    pub(super) async fn free(&self) -> Option<ClientSlot> {
+    /// Waits for a slot for one more client. Guards against idle connections that clients keep open and that shut others
+    /// out: what is written to a connection that waits to be accepted counts as received, so an idle one is evicted.
+    pub(super) async fn acquire(&self) -> Option<ClientSlot> {
         loop {
-            if let Some(slot) = self.sockets.client() {
+            if let Some(slot) = self.sockets.try_acquire_client() {
                 return Some(slot);
             }
-            if !self.close_one() && self.sockets.exhausted() {
+            if !self.evict_one() && self.sockets.is_exhausted() {
                 self.driver.free_socket();
             }
-            // Whoever closes gives its slot back; while all are busy, look again a little later.
-            if let Ok(slot) = timeout(CROWDED_PAUSE, self.sockets.client_waits()).await {
+            // Whoever closes returns its slot; while all are busy, try again a little later.
+            let acquired = self.sockets.acquire_client();
+            if let Ok(slot) = timeout(EVICTION_RETRY_INTERVAL, acquired).await {
                 return slot;
             }
         }
@@ -56,11 +64,11 @@
 
     /// Whether one more client may connect now.
     pub(super) fn has_free(&self) -> bool {
-        self.sockets.client().is_some()
+        self.sockets.try_acquire_client().is_some()
     }
 
     /// Waits until no client is connected.
-    pub(super) async fn emptied(&self) {
-        self.sockets.clients_left().await;
+    pub(super) async fn all_released(&self) {
+        self.sockets.all_clients_released().await;
     }
 }
--- a/balancer/proxy/src/clients/stream.rs
+++ b/balancer/proxy/src/clients/stream.rs
@@ -18,11 +18,11 @@
 use tokio::time::{sleep, Sleep};
 
 /// Nothing more is read ahead of hyper while this much is held.
-const READ_AHEAD_MOST: usize = 16 << 10;
+const MAX_READ_AHEAD: usize = 16 << 10;
 /// Read at once.
-const CHUNK: usize = 4 << 10;
+const READ_CHUNK_LEN: usize = 4 << 10;
 /// How often the end of a client that has sent more than is read ahead is looked for.
-const BEYOND_PAUSE: Duration = Duration::from_millis(25);
+const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// What hyper may read now.
 enum Reading {
@@ -31,30 +31,30 @@
     /// The body of the request that is open.
     Body(Framing),
     /// Nothing: the request was read whole and waits for its answer. `begun` as for the next one's head.
-    Waiting { begun: bool },
+    AwaitingResponse { begun: bool },
 }
 
 impl Reading {
     /// Whether hyper has a part of the next request.
     fn has_begun(&self) -> bool {
         match self {
-            Reading::Body(framing) => framing.went_beyond(),
-            Reading::Head { begun, .. } | Reading::Waiting { begun } => *begun,
+            Reading::Body(framing) => framing.may_have_taken_beyond(),
+            Reading::Head { begun, .. } | Reading::AwaitingResponse { begun } => *begun,
         }
     }
 }
 
 struct Shared {
     socket: TcpStream,
-    ahead: BytesMut,
+    read_ahead: BytesMut,
     reading: Reading,
     /// The client has shut its side, or the connection is broken.
-    ended: bool,
+    disconnected: bool,
     /// All that hyper wrote was taken by the system.
     flushed: bool,
     /// The connection's task, while it waits for the socket.
     waker: Option<Waker>,
-    beyond: Option<Pin<Box<Sleep>>>,
+    disconnect_poll: Option<Pin<Box<Sleep>>>,
 }
 
 /// A client's socket. Clones are the same one.
@@ -66,15 +66,15 @@
     pub(super) fn new(socket: TcpStream) -> ClientStream {
         ClientStream(Rc::new(RefCell::new(Shared {
             socket,
-            ahead: BytesMut::new(),
+            read_ahead: BytesMut::new(),
             reading: Reading::Head {
                 scan: HeadScan::default(),
                 begun: false,
             },
-            ended: false,
+            disconnected: false,
             flushed: true,
             waker: None,
-            beyond: None,
+            disconnect_poll: None,
         })))
     }
 
@@ -84,9 +84,9 @@
     }
 
     /// The request was read whole and waits for its answer from now on.
-    pub(super) fn begin_waiting(&self) {
+    pub(super) fn begin_awaiting_response(&self) {
         let mut shared = self.0.borrow_mut();
-        shared.reading = Reading::Waiting {
+        shared.reading = Reading::AwaitingResponse {
             begun: shared.reading.has_begun(),
         };
     }
@@ -98,8 +98,8 @@
             scan: HeadScan::default(),
             begun: shared.reading.has_begun(),
         };
-        shared.beyond = None;
-        let unread = !shared.ahead.is_empty() || shared.ended;
+        shared.disconnect_poll = None;
+        let unread = !shared.read_ahead.is_empty() || shared.disconnected;
         // hyper was told that nothing is there, and is told anew.
         if let Some(waker) = shared.waker.take_if(|_| unread) {
             waker.wake();
@@ -107,8 +107,8 @@
     }
 
     /// Whether a request waits for its answer.
-    pub(super) fn is_waiting(&self) -> bool {
-        matches!(self.0.borrow().reading, Reading::Waiting { .. })
+    pub(super) fn awaits_response(&self) -> bool {
+        matches!(self.0.borrow().reading, Reading::AwaitingResponse { .. })
     }
 
     /// Whether the system has taken all that was written.
@@ -117,29 +117,29 @@
     }
 
     /// Whether the client is known to have gone.
-    pub(super) fn has_ended(&self) -> bool {
-        self.0.borrow().ended
+    pub(super) fn is_disconnected(&self) -> bool {
+        self.0.borrow().disconnected
     }
 
     /// Whether a part of a request has come that hyper has not read whole.
     pub(super) fn has_begun(&self) -> bool {
         let shared = self.0.borrow();
-        !shared.ahead.is_empty() || shared.reading.has_begun()
+        !shared.read_ahead.is_empty() || shared.reading.has_begun()
     }
 
     /// Reads what lies in the socket at this very moment, whatever the runtime knows of it. Returns whether anything
     /// was found: bytes, or the end of the client.
-    pub(super) fn look(&self) -> bool {
+    pub(super) fn read_available(&self) -> bool {
         let mut shared = self.0.borrow_mut();
         let mut found = false;
         while shared.may_read() {
-            let mut chunk = [0; CHUNK];
+            let mut chunk = [0; READ_CHUNK_LEN];
             let read = (&*SockRef::from(&shared.socket)).read(&mut chunk);
             match read {
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 read => {
-                    shared.note(read.map(|length| &chunk[..length]));
+                    shared.record_read(read.map(|length| &chunk[..length]));
                     found = true;
                 }
             }
@@ -148,15 +148,15 @@
     }
 
     /// Reads ahead until the client has gone.
-    pub(super) fn poll_ended(&self, cx: &mut Context<'_>) -> Poll<()> {
+    pub(super) fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut shared = self.0.borrow_mut();
         while shared.may_read() {
             ready!(shared.poll_fill(cx));
         }
-        if shared.ended {
+        if shared.disconnected {
             return Poll::Ready(());
         }
-        shared.poll_ended_beyond(cx)
+        shared.poll_disconnected_beyond(cx)
     }
 }
 
@@ -169,7 +169,7 @@
 
     /// Reads once and throws away what came. Returns how much that was: none once the client has gone.
     pub(super) fn poll_discard(&self, cx: &mut Context<'_>) -> Poll<usize> {
-        let mut chunk = [0; CHUNK];
+        let mut chunk = [0; READ_CHUNK_LEN];
         let mut buffer = ReadBuf::new(&mut chunk);
         let read = ready!(Pin::new(&mut self.0.borrow_mut().socket).poll_read(cx, &mut buffer));
         Poll::Ready(read.map_or(0, |()| buffer.filled().len()))
@@ -178,27 +178,27 @@
 
 impl Shared {
     fn may_read(&self) -> bool {
-        !self.ended && self.ahead.len() < READ_AHEAD_MOST
+        !self.disconnected && self.read_ahead.len() < MAX_READ_AHEAD
     }
 
-    fn note(&mut self, read: io::Result<&[u8]>) {
+    fn record_read(&mut self, read: io::Result<&[u8]>) {
         match read {
-            Ok([]) | Err(_) => self.ended = true,
-            Ok(bytes) => self.ahead.extend_from_slice(bytes),
+            Ok([]) | Err(_) => self.disconnected = true,
+            Ok(bytes) => self.read_ahead.extend_from_slice(bytes),
         }
     }
 
     /// Reads once.
     fn poll_fill(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        self.remember(cx);
-        let mut chunk = [0; CHUNK];
+        self.register_waker(cx);
+        let mut chunk = [0; READ_CHUNK_LEN];
         let mut buffer = ReadBuf::new(&mut chunk);
         let read = ready!(Pin::new(&mut self.socket).poll_read(cx, &mut buffer));
-        self.note(read.map(|()| buffer.filled()));
+        self.record_read(read.map(|()| buffer.filled()));
         Poll::Ready(())
     }
 
-    fn remember(&mut self, cx: &Context<'_>) {
+    fn register_waker(&mut self, cx: &Context<'_>) {
         if !self
             .waker
             .as_ref()
@@ -209,28 +209,28 @@
     }
 
     /// Looks for the end of a client that has sent more than is read ahead: the system tells of it without a read.
-    fn poll_ended_beyond(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+    fn poll_disconnected_beyond(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         loop {
             let ready = pin!(self.socket.ready(Interest::READABLE)).poll(cx);
             if let Poll::Ready(Ok(ready)) = ready {
-                self.ended = ready.is_read_closed();
+                self.disconnected = ready.is_read_closed();
             }
-            if self.ended {
+            if self.disconnected {
                 return Poll::Ready(());
             }
             let pause = self
-                .beyond
-                .get_or_insert_with(|| Box::pin(sleep(BEYOND_PAUSE)));
+                .disconnect_poll
+                .get_or_insert_with(|| Box::pin(sleep(DISCONNECT_POLL_INTERVAL)));
             ready!(pause.as_mut().poll(cx));
-            self.beyond = None;
+            self.disconnect_poll = None;
         }
     }
 
     /// How much of what is held hyper may have now, and notes that it has it.
-    fn hand_over(&mut self, most: usize) -> usize {
-        let held = &self.ahead[..self.ahead.len().min(most)];
+    fn take_ahead(&mut self, most: usize) -> usize {
+        let held = &self.read_ahead[..self.read_ahead.len().min(most)];
         match &mut self.reading {
-            Reading::Waiting { .. } => 0,
+            Reading::AwaitingResponse { .. } => 0,
             Reading::Body(framing) => framing.take(held),
             Reading::Head { scan, begun } => {
                 *begun = true;
@@ -239,10 +239,10 @@
         }
     }
 
-    fn wants_nothing(&self) -> bool {
+    fn reads_nothing(&self) -> bool {
         match &self.reading {
-            Reading::Waiting { .. } => true,
-            Reading::Body(framing) => framing.is_over(),
+            Reading::AwaitingResponse { .. } => true,
+            Reading::Body(framing) => framing.is_complete(),
             Reading::Head { .. } => false,
         }
     }
@@ -257,22 +257,22 @@
         mut into: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let mut shared = self.0.borrow_mut();
-        if shared.wants_nothing() {
-            shared.remember(cx);
+        if shared.reads_nothing() {
+            shared.register_waker(cx);
             return Poll::Pending;
         }
-        if shared.ahead.is_empty() && !shared.ended {
+        if shared.read_ahead.is_empty() && !shared.disconnected {
             ready!(shared.poll_fill(cx));
         }
-        if shared.ahead.is_empty() {
+        if shared.read_ahead.is_empty() {
             return Poll::Ready(Ok(()));
         }
-        let length = shared.hand_over(into.remaining());
-        into.put_slice(&shared.ahead[..length]);
-        shared.ahead.advance(length);
-        if shared.ahead.is_empty() {
+        let length = shared.take_ahead(into.remaining());
+        into.put_slice(&shared.read_ahead[..length]);
+        shared.read_ahead.advance(length);
+        if shared.read_ahead.is_empty() {
             // Idle connections hold no memory for what they may read.
-            shared.ahead = BytesMut::new();
+            shared.read_ahead = BytesMut::new();
         }
         Poll::Ready(Ok(()))
     }
--- a/balancer/proxy/src/command_line.rs
+++ b/balancer/proxy/src/command_line.rs
@@ -60,9 +60,9 @@
                 .filter(|path| !path.is_empty())
                 .map(PathBuf::from)
         };
-        let current = self.options.or_else(|| named_by(options::FILE));
+        let current = self.options.or_else(|| named_by(options::FILE_VARIABLE));
         let deprecated_file = current.is_none();
-        match current.or_else(|| named_by(options::OLD_FILE)) {
+        match current.or_else(|| named_by(options::OLD_FILE_VARIABLE)) {
             Some(file) => Sources {
                 file: Some(file),
                 deprecated_file,
--- a/balancer/proxy/src/discovery/call.rs
+++ b/balancer/proxy/src/discovery/call.rs
@@ -1,12 +1,13 @@
 //! One connection to discovery, and one call on it. Decides nothing.
-use super::watch::{CallId, Event, WAIT};
-use crate::listing::{Listing, Names};
+use super::watch::{CallId, Event, LONG_POLL_TIMEOUT};
+use crate::listing::{Listing, ListingError, Names};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1;
 use hyper::{header, Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use std::cell::Cell;
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::net::TcpStream;
@@ -14,11 +15,28 @@
 use tokio::task::AbortHandle;
 use tokio_util::io::InspectReader;
 
-/// Largest list accepted.
-const LIST_MOST: usize = 4 << 20;
+/// Largest list accepted, in bytes.
+const MAX_LIST_LEN: usize = 4 << 20;
 
-/// What a call tells.
-pub(super) enum Notice {
+/// Why a call failed.
+#[derive(Debug, thiserror::Error)]
+enum CallError {
+    #[error("{0}")]
+    Connect(#[source] io::Error),
+    #[error("{0}")]
+    Request(#[source] hyper::http::Error),
+    #[error("{0}")]
+    Http(#[source] hyper::Error),
+    #[error("answered {0}")]
+    Status(StatusCode),
+    #[error("{0}")]
+    Body(#[source] Box<dyn std::error::Error + Send + Sync>),
+    #[error(transparent)]
+    Listing(#[from] ListingError),
+}
+
+/// What a call reports.
+pub(super) enum CallReport {
     /// How far it is, or that it failed.
     Event(Event),
     /// It was answered; its connection is free for the next call.
@@ -43,23 +61,24 @@
     async fn open(
         addr: SocketAddr,
         id: CallId,
-        tell: &UnboundedSender<Notice>,
-    ) -> Result<Connection, String> {
-        let stream = TcpStream::connect(addr).await.map_err(|e| e.to_string())?;
+        reports: &UnboundedSender<CallReport>,
+    ) -> Result<Connection, CallError> {
+        let stream = TcpStream::connect(addr).await.map_err(CallError::Connect)?;
         let call = Rc::new(Cell::new(id));
-        let (reading, notices) = (call.clone(), tell.clone());
+        let (current_call, reports) = (call.clone(), reports.clone());
         let stream = InspectReader::new(stream, move |bytes: &[u8]| {
             if !bytes.is_empty() {
+                let received = Event::Received(current_call.get());
                 // Nobody listens any more once the watch has ended.
-                let _ = notices.send(Notice::Event(Event::Received(reading.get())));
+                let _ = reports.send(CallReport::Event(received));
             }
         });
-        let (sender, conn) = http1::handshake(TokioIo::new(stream))
+        let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|e| e.to_string())?;
+            .map_err(CallError::Http)?;
         let task = tokio::task::spawn_local(async move {
             // How the connection ended shows in the call that was on it.
-            let _ = conn.await;
+            let _ = connection.await;
         });
         Ok(Connection {
             sender,
@@ -71,68 +90,75 @@
 
 /// A call that is to be made.
 pub(super) struct Call {
-    /// Its number.
+    /// Its id.
     pub id: CallId,
     /// The version that is known, if any.
     pub since: Option<u64>,
-    /// Where discovery is.
+    /// Where discovery listens.
     pub addr: SocketAddr,
     /// A connection from an earlier call to that address.
-    pub kept: Option<Connection>,
-    /// What zones and kinds are called.
+    pub reusable: Option<Connection>,
+    /// Names of zones and kinds.
     pub names: Rc<Names>,
 }
 
 impl Call {
-    /// Makes the call and tells how far it is and what came of it.
-    pub(super) async fn run(self, tell: UnboundedSender<Notice>) {
+    /// Makes the call and reports its progress and its result.
+    pub(super) async fn run(self, reports: UnboundedSender<CallReport>) {
         let id = self.id;
-        let notice = match self.answer(&tell).await {
-            Ok((listing, connection)) => Notice::Answered(id, listing, connection),
-            Err(error) => Notice::Event(Event::Failed(id, error)),
+        let report = match self.response(&reports).await {
+            Ok((listing, connection)) => CallReport::Answered(id, listing, connection),
+            Err(error) => CallReport::Event(Event::Failed(id, error.to_string())),
         };
         // Nobody listens any more once the watch has ended.
-        let _ = tell.send(notice);
+        let _ = reports.send(report);
     }
 
-    async fn answer(self, tell: &UnboundedSender<Notice>) -> Result<(Listing, Connection), String> {
-        let mut connection = match usable(self.kept).await {
+    async fn response(
+        self,
+        reports: &UnboundedSender<CallReport>,
+    ) -> Result<(Listing, Connection), CallError> {
+        let request = self.request();
+        let mut connection = match usable(self.reusable).await {
             Some(connection) => connection,
-            None => Connection::open(self.addr, self.id, tell).await?,
+            None => Connection::open(self.addr, self.id, reports).await?,
         };
         connection.call.set(self.id);
-        let _ = tell.send(Notice::Event(Event::Connected(self.id)));
-        let path = match self.since {
-            Some(version) => format!(
-                "/api/targets?since={version}&timeout_ms={}",
-                WAIT.as_millis()
-            ),
-            None => "/api/targets".to_string(),
-        };
-        let request = Request::get(path)
-            .header(header::HOST, self.addr.to_string())
-            .body(Empty::new());
-        let request = request.map_err(|e| e.to_string())?;
-        let answer = connection
+        let _ = reports.send(CallReport::Event(Event::Connected(self.id)));
+        let request = request.map_err(CallError::Request)?;
+        let response = connection
             .sender
             .send_request(request)
             .await
-            .map_err(|e| e.to_string())?;
-        if answer.status() != StatusCode::OK {
-            return Err(format!("answered {}", answer.status()));
+            .map_err(CallError::Http)?;
+        if response.status() != StatusCode::OK {
+            return Err(CallError::Status(response.status()));
         }
-        let body = Limited::new(answer.into_body(), LIST_MOST)
+        let body = Limited::new(response.into_body(), MAX_LIST_LEN)
             .collect()
             .await
-            .map_err(|e| e.to_string())?;
+            .map_err(CallError::Body)?;
         let listing = Listing::parse(&body.to_bytes(), &self.names)?;
         Ok((listing, connection))
     }
+
+    fn request(&self) -> Result<Request<Empty<Bytes>>, hyper::http::Error> {
+        let timeout_ms = LONG_POLL_TIMEOUT.as_millis();
+        let path = match self.since {
+            Some(version) => {
+                format!("/api/targets?since={version}&timeout_ms={timeout_ms}")
+            }
+            None => "/api/targets".to_string(),
+        };
+        Request::get(path)
+            .header(header::HOST, self.addr.to_string())
+            .body(Empty::new())
+    }
 }
 
-/// A connection that discovery closed after its last answer is no failed call.
-async fn usable(kept: Option<Connection>) -> Option<Connection> {
-    let mut connection = kept?;
+/// Returns the connection if it may carry a call: one that discovery closed after its last response is no failed call.
+async fn usable(connection: Option<Connection>) -> Option<Connection> {
+    let mut connection = connection?;
     connection.sender.ready().await.ok()?;
     Some(connection)
 }
--- a/balancer/proxy/src/discovery/mod.rs
+++ b/balancer/proxy/src/discovery/mod.rs
@@ -1,9 +1,10 @@
 //! The watch that keeps the list of upstreams fresh.
 //!
-//! [`watch`] decides when discovery is asked, on time that is handed to it and without I/O; [`call`] is one connection
-//! and one call on it; [`runner`] carries out what the watch wants.
+//! [`watch`] decides when discovery is called, on injected time and without I/O; [`call`] is one connection and one call
+//! on it; [`runner`] carries out the watch's actions.
 mod call;
 mod runner;
 mod watch;
 
 pub(crate) use runner::Discovery;
+pub(crate) use watch::Mode;
--- a/balancer/proxy/src/discovery/runner.rs
+++ b/balancer/proxy/src/discovery/runner.rs
@@ -1,7 +1,7 @@
-//! Carries out what the watch wants, and tells whoever uses the list. Owns the calls that are out and the connection
-//! that is free between two calls; decides nothing.
-use super::call::{Call, Connection, Notice};
-use super::watch::{Action, Answer, CallId, Event, Mode, Watch};
+//! Carries out the watch's actions, and hands lists to their user. Owns the calls in flight and the connection that is
+//! free between two calls; decides nothing.
+use super::call::{Call, CallReport, Connection};
+use super::watch::{Action, CallId, Event, ListUpdate, Mode, Watch};
 use crate::listing::{ListUser, Listing, Names};
 use std::future::pending;
 use std::net::SocketAddr;
@@ -11,22 +11,28 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep_until, Instant};
 
-/// Keeps the list fresh: answers each of the module's subscriptions and keeps a watch that stands.
+/// Keeps the endpoint list fresh: serves the module's subscriptions and keeps a watch in place.
 pub(crate) struct Discovery {
-    /// Where discovery is now; a reload may name another address.
+    /// Where discovery listens now; a reload may name another address.
     addr: Receiver<SocketAddr>,
     version: Option<u64>,
     calls: Calls,
-    notices: UnboundedReceiver<Notice>,
+    reports: UnboundedReceiver<CallReport>,
 }
 
-/// The calls that are out.
+/// A call in flight.
+struct RunningCall {
+    id: CallId,
+    task: AbortHandle,
+}
+
+/// The calls in flight.
 struct Calls {
     names: Rc<Names>,
-    running: Vec<(CallId, AbortHandle)>,
+    running: Vec<RunningCall>,
     /// A connection that carries no call now.
     free: Option<Connection>,
-    tell: UnboundedSender<Notice>,
+    reports: UnboundedSender<CallReport>,
 }
 
 impl Calls {
@@ -35,165 +41,171 @@
             id,
             since,
             addr,
-            kept: self.free.take(),
+            reusable: self.free.take(),
             names: self.names.clone(),
         };
-        let task = tokio::task::spawn_local(call.run(self.tell.clone()));
-        self.running.push((id, task.abort_handle()));
+        let task = tokio::task::spawn_local(call.run(self.reports.clone()));
+        self.running.push(RunningCall {
+            id,
+            task: task.abort_handle(),
+        });
     }
 
     /// Stops a call, which closes its connection.
     fn abandon(&mut self, id: CallId) {
-        self.running
-            .iter()
-            .filter(|(running, _)| *running == id)
-            .for_each(|(_, task)| task.abort());
-        self.ended(id);
+        for call in self.running.iter().filter(|call| call.id == id) {
+            call.task.abort();
+        }
+        self.end(id);
     }
 
-    fn ended(&mut self, id: CallId) {
-        self.running.retain(|(running, _)| *running != id);
+    fn end(&mut self, id: CallId) {
+        self.running.retain(|call| call.id != id);
     }
 
-    fn running(&self, id: CallId) -> bool {
-        self.running.iter().any(|(running, _)| *running == id)
+    fn is_running(&self, id: CallId) -> bool {
+        self.running.iter().any(|call| call.id == id)
     }
 }
 
 /// What ended a wait.
-enum Woken {
-    Moved,
-    Notice(Notice),
+enum Wakeup {
+    AddressChanged,
+    Report(CallReport),
     Subscribed,
-    Due,
+    Timeout,
+}
+
+/// What is to be done after a wakeup.
+#[derive(Default)]
+struct Step {
+    actions: Vec<Action>,
+    /// The list that came, for [`Action::Deliver`].
+    listing: Option<Listing>,
 }
 
 impl Discovery {
-    /// Begins with the version of the list that the balancer already has, if any.
+    /// Creates the watch with the version of the list that the balancer already has, if any.
     pub(crate) fn new(addr: Receiver<SocketAddr>, names: Names, version: Option<u64>) -> Discovery {
-        let (tell, notices) = unbounded_channel();
+        let (sender, reports) = unbounded_channel();
         let calls = Calls {
             names: Rc::new(names),
             running: Vec::new(),
             free: None,
-            tell,
+            reports: sender,
         };
         Discovery {
             addr,
             version,
             calls,
-            notices,
+            reports,
         }
     }
 
-    /// Serves subscriptions for ever. With `pushed` the list needs no asking and the watch always stands.
-    pub(crate) async fn run(mut self, user: impl ListUser, pushed: bool) {
-        let mode = if pushed {
-            Mode::Pushed
-        } else {
-            Mode::OnRequest
-        };
+    /// Keeps the list fresh for ever.
+    pub(crate) async fn run(mut self, user: impl ListUser, mode: Mode) {
         let mut watch = Watch::new(mode, self.version);
-        let mut actions = Vec::new();
-        watch.start(Instant::now().into_std(), &mut actions);
-        self.perform(&mut actions, &user, None);
+        let mut first = Step::default();
+        watch.handle_start(Instant::now().into_std(), &mut first.actions);
+        self.perform(first, &user);
         loop {
-            let woken = self
-                .woken(&user, watch.deadline().map(Instant::from_std))
-                .await;
-            let now = Instant::now().into_std();
-            let mut listing = None;
-            match woken {
-                Woken::Due => watch.handle_timeout(now, &mut actions),
-                Woken::Subscribed => watch.handle(now, Event::Subscribed, &mut actions),
-                Woken::Moved => {
-                    self.calls.free = None;
-                    watch.handle(now, Event::Moved, &mut actions);
-                }
-                Woken::Notice(notice) => {
-                    if let Some(event) = self.event(notice, &mut listing) {
-                        watch.handle(now, event, &mut actions);
-                    }
-                }
-            }
-            // However much comes, what is due is done.
-            if watch.deadline().is_some_and(|deadline| now >= deadline) {
-                watch.handle_timeout(now, &mut actions);
-            }
-            self.perform(&mut actions, &user, listing.as_ref());
+            let timeout = watch.next_timeout().map(Instant::from_std);
+            let wakeup = self.next_wakeup(&user, timeout).await;
+            let step = self.handle_wakeup(&mut watch, wakeup);
+            self.perform(step, &user);
         }
     }
 
-    /// Waits for whatever comes first. What has come goes before what is due: a call that was answered is not late.
-    async fn woken(&mut self, user: &impl ListUser, deadline: Option<Instant>) -> Woken {
-        let due = async {
-            match deadline {
-                Some(deadline) => sleep_until(deadline).await,
+    /// Waits for whatever comes first. What has come goes before timeouts: a call that was answered is not late.
+    async fn next_wakeup(&mut self, user: &impl ListUser, timeout: Option<Instant>) -> Wakeup {
+        let timeout = async {
+            match timeout {
+                Some(at) => sleep_until(at).await,
                 None => pending().await,
             }
         };
         tokio::select! {
             biased;
-            Ok(()) = self.addr.changed() => Woken::Moved,
-            Some(notice) = self.notices.recv() => Woken::Notice(notice),
-            () = user.subscribed() => Woken::Subscribed,
-            () = due => Woken::Due,
+            Ok(()) = self.addr.changed() => Wakeup::AddressChanged,
+            Some(report) = self.reports.recv() => Wakeup::Report(report),
+            () = user.subscribed() => Wakeup::Subscribed,
+            () = timeout => Wakeup::Timeout,
         }
     }
 
-    /// What the watch is told of a notice. `None`: it is of a call that was given up, maybe at an address that is left.
-    fn event(&mut self, notice: Notice, listing: &mut Option<Listing>) -> Option<Event> {
-        match notice {
-            Notice::Event(event) => {
+    fn handle_wakeup(&mut self, watch: &mut Watch, wakeup: Wakeup) -> Step {
+        let now = Instant::now().into_std();
+        let mut step = Step::default();
+        match wakeup {
+            Wakeup::Timeout => watch.on_timeout(now, &mut step.actions),
+            Wakeup::Subscribed => {
+                watch.handle_event(now, Event::Subscribed, &mut step.actions);
+            }
+            Wakeup::AddressChanged => {
+                self.calls.free = None;
+                watch.handle_event(now, Event::AddressChanged, &mut step.actions);
+            }
+            Wakeup::Report(report) => {
+                if let Some(event) = self.event(report, &mut step.listing) {
+                    watch.handle_event(now, event, &mut step.actions);
+                }
+            }
+        }
+        // However much comes, timeouts that are due are handled.
+        if watch.next_timeout().is_some_and(|at| now >= at) {
+            watch.on_timeout(now, &mut step.actions);
+        }
+        step
+    }
+
+    /// Turns a report into the watch's event. `None`: it is of a call that was abandoned, maybe at an earlier address.
+    fn event(&mut self, report: CallReport, listing: &mut Option<Listing>) -> Option<Event> {
+        match report {
+            CallReport::Event(event) => {
                 if let Event::Failed(id, _) = event {
-                    self.calls.ended(id);
+                    self.calls.end(id);
                 }
                 Some(event)
             }
-            Notice::Answered(id, answer, connection) => {
-                if !self.calls.running(id) {
+            CallReport::Answered(id, answered, connection) => {
+                if !self.calls.is_running(id) {
                     return None;
                 }
-                self.calls.ended(id);
+                self.calls.end(id);
                 self.calls.free = Some(connection);
-                let (version, full, changes) =
-                    (answer.version, answer.full, !answer.entries.is_empty());
-                *listing = Some(answer);
-                Some(Event::Answered(
-                    id,
-                    Answer {
-                        version,
-                        full,
-                        changes,
-                    },
-                ))
+                let update = ListUpdate {
+                    version: answered.version,
+                    full: answered.full,
+                    changes: !answered.entries.is_empty(),
+                };
+                *listing = Some(answered);
+                Some(Event::Answered(id, update))
             }
         }
     }
 
-    fn perform(
-        &mut self,
-        actions: &mut Vec<Action>,
-        user: &impl ListUser,
-        listing: Option<&Listing>,
-    ) {
-        for action in actions.drain(..) {
+    fn perform(&mut self, step: Step, user: &impl ListUser) {
+        for action in step.actions {
             match action {
                 Action::Call { id, since } => self.calls.begin(id, since, *self.addr.borrow()),
                 Action::Abandon(id) => self.calls.abandon(id),
-                Action::Deliver => listing.into_iter().for_each(|listing| user.listed(listing)),
-                Action::Overdue { received } => tell_overdue(received),
+                Action::Deliver => {
+                    if let Some(listing) = &step.listing {
+                        user.handle_list(listing);
+                    }
+                }
+                Action::Overdue { received } => log_overdue(received),
                 Action::Fail(error) => {
                     self.calls.free = None;
                     tracing::info!(target: "discovery", event = "discovery_failed", error, "discovery: {error}");
-                    user.list_failed();
+                    user.handle_list_failure();
                 }
             }
         }
     }
 }
 
-fn tell_overdue(received: bool) {
+fn log_overdue(received: bool) {
     let error = if received {
         "no whole answer in time"
     } else {
--- a/balancer/proxy/src/driver/attempts.rs
+++ b/balancer/proxy/src/driver/attempts.rs
@@ -1,93 +1,109 @@
-//! Attempts that are out, from their send to the one end that counts. Owns no state.
-use super::state::{Attempt, Driver, Due, Handle};
-use crate::figures::{name_of, Ended as How};
-use crate::message::Answer;
-use crate::upstreams::Ended;
+//! Attempts in flight, from their send to the one end that counts. Owns no state.
+use super::state::{Attempt, AttemptId, Driver, Handle};
+use super::timers::Timer;
+use crate::message::{FinalResponse, OutgoingRequest};
+use crate::metrics::RequestOutcome;
+use crate::upstreams::{AttemptTimes, Upstream};
 use balancer_core::{Ending, Event, Millis, RequestId, UpstreamId};
+use std::rc::Rc;
 use std::time::Duration;
+use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
+/// How long the module lets an attempt take.
+#[derive(Clone, Copy)]
+pub(super) struct AttemptLimits {
+    /// From its send to its response; zero: until the request's deadline.
+    pub timeout: Millis,
+    /// When it must not be written any more, on the module's clock.
+    pub write_by: Millis,
+}
+
+/// How an attempt ended.
+pub(super) struct AttemptResult {
+    ending: Ending,
+    response: Option<FinalResponse>,
+}
+
+impl AttemptResult {
+    /// Creates a result without a response.
+    pub(super) fn of(ending: Ending) -> AttemptResult {
+        AttemptResult {
+            ending,
+            response: None,
+        }
+    }
+}
+
+/// An attempt that is about to be written.
+struct Dispatch {
+    id: AttemptId,
+    target: Rc<Upstream>,
+    outgoing: Rc<OutgoingRequest>,
+    times: AttemptTimes,
+}
+
 impl Handle {
+    /// Begins an attempt, or tells the module that it is moot.
     pub(super) fn send(
         &self,
-        d: &mut Driver,
-        id: RequestId,
-        to: UpstreamId,
-        times: (Millis, Millis),
+        driver: &mut Driver,
+        request: RequestId,
+        upstream: UpstreamId,
+        limits: AttemptLimits,
     ) {
-        let (timeout, write_by) = times;
-        let (now, now_ms) = (Instant::now(), d.now());
-        let stood_still = d.stood_still(now).as_secs_f64() * 1000.0;
-        let Some(open) = d.open.get_mut(&id) else {
+        let now = Instant::now();
+        let Some(dispatch) = driver.prepare_attempt(now, request, upstream, limits) else {
             return;
         };
-        let number = open.sends;
-        if number == 0 {
-            // The first attempt follows the request at once: its client has waited while the program stood still.
-            open.deadline -= stood_still;
+        let id = dispatch.id;
+        let until = dispatch.times.until;
+        let needs_socket = dispatch.target.oldest_idle().is_none();
+        if needs_socket && driver.transport.sockets.is_exhausted() {
+            driver.free_socket();
         }
-        open.sends += 1;
-        let target = d.upstreams.get(&to).map(|(u, ..)| u.clone());
-        let (Some(target), true) = (target, open.reply.is_some()) else {
-            let closed = open.reply.is_none();
-            let ending = Ending::Moot;
-            d.events.push_back(Event::Outcome {
-                request: id,
-                attempt: number,
-                ending,
-                duration: 0.0,
-                closed,
-            });
-            return;
-        };
-        let left = (open.deadline - now_ms).max(0.0);
-        let wait = if timeout > 0.0 {
-            timeout.min(left)
-        } else {
-            left
+        let task = self.spawn_attempt(driver, upstream, dispatch);
+        let timeout = driver.timers.set(until, Timer::Attempt(id));
+        driver.note_attempt_began(id, upstream);
+        let attempt = Attempt {
+            upstream,
+            sent_at: now,
+            task,
+            timeout,
         };
-        let until = now + Duration::from_secs_f64(wait / 1000.0);
-        // An attempt that may not be written any more is over then, so that this bounds its dial as well.
-        let write_by = now + Duration::from_secs_f64((write_by - now_ms).clamp(0.0, wait) / 1000.0);
-        open.running += 1;
-        let out = open.out.clone();
-        let (transport, handle) = (d.transport.clone(), self.clone());
-        if target.oldest_idle().is_none() && transport.sockets.exhausted() {
-            d.free_socket();
-        }
+        driver.attempts.insert(id, attempt);
+        self.0.timers_changed.notify_one();
+    }
+
+    fn spawn_attempt(
+        &self,
+        driver: &Driver,
+        upstream: UpstreamId,
+        dispatch: Dispatch,
+    ) -> AbortHandle {
+        let (transport, handle) = (driver.transport.clone(), self.clone());
         let task = tokio::task::spawn_local(async move {
-            let Ended {
-                ending,
-                answer,
-                held,
-                served,
-            } = transport.attempt(target, out, (write_by, until)).await;
-            if let Some(held) = held {
-                handle.feed(Event::Load { upstream: to, held });
+            let outcome = transport
+                .attempt(dispatch.target, dispatch.outgoing, dispatch.times)
+                .await;
+            if let Some(held) = outcome.in_flight {
+                handle.feed(Event::Load { upstream, held });
             }
-            if let Some(per_s) = served {
-                handle.feed(Event::Served {
-                    upstream: to,
-                    per_s,
-                });
+            if let Some(per_s) = outcome.served_per_s {
+                handle.feed(Event::Served { upstream, per_s });
             }
-            handle.ended(id, number, ending, answer);
+            let result = AttemptResult {
+                ending: outcome.ending,
+                response: outcome.response,
+            };
+            handle.on_attempt_ended(dispatch.id, result);
         });
-        let due = d.set_timer(until, Due::Attempt(id, number));
-        d.note_attempt(id, number, to);
-        let attempt = Attempt {
-            upstream: to,
-            sent: now,
-            task: task.abort_handle(),
-            due,
-        };
-        d.attempts.insert((id, number), attempt);
-        self.0.timers.notify_one();
+        task.abort_handle()
     }
 
-    /// An attempt has ended: tells the module, unless an earlier end of it counts.
-    pub(super) fn ended(&self, id: RequestId, number: u32, ending: Ending, answer: Option<Answer>) {
-        let event = self.0.driver.borrow_mut().end(id, number, ending, answer);
+    /// Tells the module that an attempt has ended, unless an earlier end of it counts.
+    pub(super) fn on_attempt_ended(&self, id: AttemptId, result: AttemptResult) {
+        let event = self.0.driver.borrow_mut().end_attempt(id, result);
         if let Some(event) = event {
             self.feed(event);
         }
@@ -95,65 +111,123 @@
 }
 
 impl Driver {
-    /// Books the end of an attempt; only the first one counts. What still runs for it stops, and its connection
-    /// is closed. The event is the module's one outcome for its send.
-    pub(super) fn end(
+    /// Counts the attempt for its request. `None`: the request is not open, or the attempt is moot, which the module is
+    /// told.
+    fn prepare_attempt(
         &mut self,
-        id: RequestId,
-        number: u32,
-        ending: Ending,
-        answer: Option<Answer>,
-    ) -> Option<Event> {
-        let attempt = self.attempts.remove(&(id, number))?;
-        attempt.task.abort();
-        self.timers.remove(&attempt.due);
-        self.forget_upstream(attempt.upstream);
-        let duration = attempt.sent.elapsed().as_secs_f64() * 1000.0;
-        if let Some(f) = &mut self.figures {
-            f.attempt_ended(ending, duration);
-        }
-        if self.watched() {
-            let request = self.open.get(&id).map_or("", |open| open.out.id());
-            let reason = name_of(ending);
-            tracing::debug!(target: "attempts", event = "attempt_ended", request, attempt = number, reason, ms = duration);
-        }
-        let mut served = false;
-        let mut closed = true;
-        if let Some(open) = self.open.get_mut(&id) {
-            open.running -= 1;
-            if let Some((reply, answer)) = answer.and_then(|a| Some((open.end()?, a))) {
-                served = true;
-                // A client that left in the same instant gets nothing; it is no longer owed anything.
-                let _ = reply.send(answer);
-            }
-            closed = open.reply.is_none();
-        }
-        if served {
-            self.note_ended(id, How::Served);
+        now: Instant,
+        request: RequestId,
+        upstream: UpstreamId,
+        limits: AttemptLimits,
+    ) -> Option<Dispatch> {
+        let now_ms = self.now();
+        let stalled_ms = self.timers.stalled_for(now).as_secs_f64() * 1000.0;
+        let open = self.open.get_mut(&request)?;
+        let id = AttemptId::new(request, open.attempts_sent);
+        if id.number == 0 {
+            // The first attempt follows the request at once: its client has waited while the program was stalled.
+            open.deadline -= stalled_ms;
         }
-        self.forget(id);
+        open.attempts_sent += 1;
+        let target = self
+            .upstreams
+            .get(&upstream)
+            .map(|known| known.upstream.clone());
+        let (Some(target), true) = (target, open.is_unanswered()) else {
+            let closed = !open.is_unanswered();
+            self.events.push_back(Event::Outcome {
+                request,
+                attempt: id.number,
+                ending: Ending::Moot,
+                duration: 0.0,
+                closed,
+            });
+            return None;
+        };
+        open.attempts_in_flight += 1;
+        Some(Dispatch {
+            id,
+            target,
+            outgoing: open.outgoing.clone(),
+            times: attempt_times(now, now_ms, open.deadline, limits),
+        })
+    }
+
+    /// Records the end of an attempt; only the first one counts. What still runs for it stops, and its connection
+    /// is closed. The event is the module's one outcome for its send.
+    pub(super) fn end_attempt(&mut self, id: AttemptId, result: AttemptResult) -> Option<Event> {
+        let attempt = self.attempts.remove(&id)?;
+        attempt.task.abort();
+        self.timers.cancel(attempt.timeout);
+        self.forget_removed_upstream(attempt.upstream);
+        let duration = attempt.sent_at.elapsed().as_secs_f64() * 1000.0;
+        self.note_attempt_ended(id, result.ending, duration);
+        let closed = self.apply_attempt_result(id.request, result.response);
+        self.forget_request(id.request);
         Some(Event::Outcome {
-            request: id,
-            attempt: number,
-            ending,
+            request: id.request,
+            attempt: id.number,
+            ending: result.ending,
             duration,
             closed,
         })
     }
 
-    /// Attempts that would be waited for past this time are given up then.
-    pub(super) fn cut_attempts(&mut self, at: Instant) {
+    /// Hands an attempt's response to the client and returns whether the request is answered or closed now.
+    fn apply_attempt_result(&mut self, id: RequestId, response: Option<FinalResponse>) -> bool {
+        let Some(open) = self.open.get_mut(&id) else {
+            return true;
+        };
+        open.attempts_in_flight -= 1;
+        let mut is_served = false;
+        if let Some(response) = response {
+            if let Some(responder) = open.end() {
+                is_served = true;
+                // A client that disconnected in the same instant gets nothing; it is owed no response any more.
+                let _ = responder.send(response);
+            }
+        }
+        let is_closed = !open.is_unanswered();
+        if is_served {
+            self.note_request_ended(id, RequestOutcome::Served);
+        }
+        is_closed
+    }
+
+    /// Moves the timeouts of attempts that would last past this time to it.
+    pub(super) fn limit_attempts(&mut self, at: Instant) {
         let late = self
             .attempts
             .iter()
-            .filter(|(_, a)| a.due.0 > at)
-            .map(|(&key, _)| key);
-        for (id, number) in late.collect::<Vec<_>>() {
-            let due = self.set_timer(at, Due::Attempt(id, number));
-            if let Some(attempt) = self.attempts.get_mut(&(id, number)) {
-                self.timers
-                    .remove(&std::mem::replace(&mut attempt.due, due));
+            .filter(|(_, attempt)| attempt.timeout.at > at)
+            .map(|(&id, _)| id);
+        for id in late.collect::<Vec<_>>() {
+            let timeout = self.timers.set(at, Timer::Attempt(id));
+            if let Some(attempt) = self.attempts.get_mut(&id) {
+                let previous = std::mem::replace(&mut attempt.timeout, timeout);
+                self.timers.cancel(previous);
             }
         }
     }
 }
+
+/// Returns the times of an attempt on the runtime's clock.
+fn attempt_times(
+    now: Instant,
+    now_ms: Millis,
+    deadline: Millis,
+    limits: AttemptLimits,
+) -> AttemptTimes {
+    let left = (deadline - now_ms).max(0.0);
+    let wait = if limits.timeout > 0.0 {
+        limits.timeout.min(left)
+    } else {
+        left
+    };
+    // An attempt that may not be written any more is over then, so that this bounds its dial as well.
+    let write_within = (limits.write_by - now_ms).clamp(0.0, wait);
+    AttemptTimes {
+        write_by: now + Duration::from_secs_f64(write_within / 1000.0),
+        until: now + Duration::from_secs_f64(wait / 1000.0),
+    }
+}
--- a/balancer/proxy/src/driver/requests.rs
+++ b/balancer/proxy/src/driver/requests.rs
@@ -1,164 +1,194 @@
-//! Requests that are open, from the moment they are taken to their one final answer. Owns no state.
-use super::state::{Driver, Handle, Open};
-use crate::figures::Ended as How;
-use crate::message::{Answer, Outgoing};
+//! Open requests, from their receipt to their one final response. Owns no state.
+use super::state::{Driver, Handle, OpenRequest};
+use crate::message::{FinalResponse, OutgoingRequest};
+use crate::metrics::RequestOutcome;
 use balancer_core::{Event, Millis, Request, RequestId};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Time for the last answer to reach the client before it stops waiting.
-const ANSWER_MARGIN: Millis = 5.0;
+/// Time for the last response to reach the client before it stops waiting.
+const RESPONSE_MARGIN: Millis = 5.0;
 
-/// A request that waits for its final answer. Dropping it tells the module that the client is gone.
-pub(crate) struct Waiting {
+/// A request as clients send it, complete.
+pub(crate) struct ReceivedRequest {
+    /// Its class, by position.
+    pub class: usize,
+    /// Its tenant, by position.
+    pub tenant: usize,
+    /// How long its client waits.
+    pub timeout: Millis,
+    /// What is forwarded.
+    pub outgoing: OutgoingRequest,
+}
+
+/// A request that waits for its final response. Dropping it tells the module that the client has disconnected.
+pub(crate) struct PendingResponse {
     handle: Handle,
     id: RequestId,
-    answer: oneshot::Receiver<Answer>,
-    done: bool,
+    response: oneshot::Receiver<FinalResponse>,
+    is_done: bool,
 }
 
-impl Waiting {
-    /// The final answer.
-    pub(crate) async fn answer(mut self) -> Answer {
-        let answer = (&mut self.answer).await.unwrap_or(Answer::Failed);
-        self.done = true;
-        answer
+impl PendingResponse {
+    /// Waits for the final response.
+    pub(crate) async fn response(mut self) -> FinalResponse {
+        let response = (&mut self.response).await;
+        self.is_done = true;
+        response.unwrap_or(FinalResponse::Failed)
     }
 }
 
-impl Drop for Waiting {
+impl Drop for PendingResponse {
     fn drop(&mut self) {
-        if !self.done {
-            self.handle.client_gone(self.id);
+        if !self.is_done {
+            self.handle.handle_client_disconnected(self.id);
         }
     }
 }
 
 impl Handle {
-    /// Which tenant's connection is to make way, by how many each holds.
-    pub(crate) fn furthest_over(&self, held: &[u32]) -> Option<usize> {
-        self.0.driver.borrow().balancer.furthest_over(held)
+    /// Returns the tenant one of whose connections is to be evicted, given each tenant's count.
+    pub(crate) fn tenant_to_evict(&self, connections: &[u32]) -> Option<usize> {
+        self.0.driver.borrow().balancer.furthest_over(connections)
     }
 
-    /// Requests that have no final answer yet.
-    pub(crate) fn open(&self) -> usize {
-        self.0
-            .driver
-            .borrow()
-            .open
-            .values()
-            .filter(|o| o.reply.is_some())
-            .count()
+    /// Returns how many requests have no final response yet.
+    pub(crate) fn unanswered(&self) -> usize {
+        self.0.driver.borrow().unanswered()
     }
 
-    /// Takes a request: from now on one final answer is owed. `None`: more are open than may be.
-    pub(crate) fn take(
-        &self,
-        class: usize,
-        tenant: usize,
-        patience: Millis,
-        out: Outgoing,
-    ) -> Option<Waiting> {
-        let (reply, answer) = oneshot::channel();
-        let (id, deadline, tie) = {
-            let mut d = self.0.driver.borrow_mut();
-            if let Some(f) = &mut d.figures {
-                f.taken();
-            }
-            if d.open.len() >= d.max_open {
-                if let Some(f) = &mut d.figures {
-                    f.ended(How::Full, 0.0);
-                }
-                return None;
-            }
-            while d.open.contains_key(&RequestId(d.next_id)) {
-                d.next_id = d.next_id.wrapping_add(1);
-            }
-            let id = RequestId(d.next_id);
-            d.next_id = d.next_id.wrapping_add(1);
-            let deadline = d.now() + (patience - ANSWER_MARGIN).max(0.0);
-            let deadline = d.ends.map_or(deadline, |ends| deadline.min(ends));
-            tracing::debug!(target: "requests", event = "request_taken", request = out.id(), class, tenant);
-            let tie = out.tie();
-            let (taken, out) = (d.watched().then(Instant::now), Rc::new(out));
-            let open = Open {
-                reply: Some(reply),
-                out,
-                taken,
-                deadline,
-                sends: 0,
-                running: 0,
-            };
-            d.open.insert(id, open);
-            (id, deadline, tie)
-        };
-        self.feed(Event::Request(Request {
-            id,
-            class,
-            tenant,
-            deadline,
-            tie,
-        }));
-        Some(Waiting {
+    /// Takes a request: from now on one final response is owed. `None`: more are open than may be.
+    pub(crate) fn handle_request(&self, received: ReceivedRequest) -> Option<PendingResponse> {
+        let (responder, response) = oneshot::channel();
+        let request = self
+            .0
+            .driver
+            .borrow_mut()
+            .open_request(received, responder)?;
+        let id = request.id;
+        self.feed(Event::Request(request));
+        Some(PendingResponse {
             handle: self.clone(),
             id,
-            answer,
-            done: false,
+            response,
+            is_done: false,
         })
     }
 
-    /// Every request that is open, and every one that still comes, gets its final answer by `end`, however long its
+    /// Gives every request that is open, and every one that still comes, its final response by `end`, however long its
     /// client would wait.
-    pub(crate) fn end_by(&self, end: Instant) {
-        let at = end - Duration::from_secs_f64(ANSWER_MARGIN / 1000.0);
-        let by = {
-            let mut d = self.0.driver.borrow_mut();
-            let by = d.start_ms + at.saturating_duration_since(d.start).as_secs_f64() * 1000.0;
-            d.open
-                .values_mut()
-                .for_each(|o| o.deadline = o.deadline.min(by));
-            d.cut_attempts(at);
-            d.ends = Some(by);
-            d.keep_learned();
-            by
-        };
-        self.feed(Event::EndBy(by));
-        self.0.timers.notify_one();
+    pub(crate) fn shut_down_by(&self, end: Instant) {
+        let at = end - Duration::from_secs_f64(RESPONSE_MARGIN / 1000.0);
+        let deadline = self.0.driver.borrow_mut().shut_down_by(at);
+        self.feed(Event::EndBy(deadline));
+        self.0.timers_changed.notify_one();
     }
 
-    pub(super) fn client_gone(&self, id: RequestId) {
+    fn handle_client_disconnected(&self, id: RequestId) {
         {
-            let mut d = self.0.driver.borrow_mut();
+            let mut driver = self.0.driver.borrow_mut();
             // Answered in the same instant: the module has ended it already.
-            if d.open.get_mut(&id).and_then(Open::end).is_none() {
+            let open = driver.open.get_mut(&id);
+            if open.and_then(OpenRequest::end).is_none() {
                 return;
             }
-            d.note_ended(id, How::Left);
-            d.forget(id);
+            driver.note_request_ended(id, RequestOutcome::ClientDisconnected);
+            driver.forget_request(id);
         }
         self.feed(Event::ClientDisconnected(id));
     }
 }
 
 impl Driver {
-    pub(super) fn answer(&mut self, id: RequestId, answer: Answer, how: How) {
-        if let Some(reply) = self.open.get_mut(&id).and_then(Open::end) {
-            // A client that left in the same instant gets nothing; it is no longer owed anything.
-            let _ = reply.send(answer);
-            self.note_ended(id, how);
+    /// Opens a request, unless too many are open, and returns it as the module is told of it.
+    fn open_request(
+        &mut self,
+        received: ReceivedRequest,
+        responder: oneshot::Sender<FinalResponse>,
+    ) -> Option<Request> {
+        if let Some(metrics) = &mut self.metrics {
+            metrics.request_received();
+        }
+        if self.open.len() >= self.max_open {
+            if let Some(metrics) = &mut self.metrics {
+                metrics.request_ended(RequestOutcome::TooManyOpen, 0.0);
+            }
+            return None;
         }
-        self.forget(id);
+        let id = self.next_request_id();
+        let (class, tenant) = (received.class, received.tenant);
+        let own_deadline = self.now() + (received.timeout - RESPONSE_MARGIN).max(0.0);
+        let deadline = self
+            .shutdown_deadline
+            .map_or(own_deadline, |shutdown| own_deadline.min(shutdown));
+        let outgoing = received.outgoing;
+        tracing::debug!(target: "requests", event = "request_taken", request = outgoing.id(), class, tenant);
+        let tie = outgoing.tie_breaker();
+        let open = OpenRequest {
+            responder: Some(responder),
+            received_at: self.observes_requests().then(Instant::now),
+            outgoing: Rc::new(outgoing),
+            deadline,
+            attempts_sent: 0,
+            attempts_in_flight: 0,
+        };
+        self.open.insert(id, open);
+        Some(Request {
+            id,
+            class,
+            tenant,
+            deadline,
+            tie,
+        })
     }
 
-    /// Forgets a request that is answered and has nothing out.
-    pub(super) fn forget(&mut self, id: RequestId) {
-        if self
+    /// Returns an id that no open request has.
+    fn next_request_id(&mut self) -> RequestId {
+        while self.open.contains_key(&RequestId(self.next_id)) {
+            self.next_id = self.next_id.wrapping_add(1);
+        }
+        let id = RequestId(self.next_id);
+        self.next_id = self.next_id.wrapping_add(1);
+        id
+    }
+
+    /// Limits all deadlines and returns the limit on the module's clock.
+    fn shut_down_by(&mut self, at: Instant) -> Millis {
+        let after_start = at.saturating_duration_since(self.start);
+        let deadline = self.start_ms + after_start.as_secs_f64() * 1000.0;
+        for request in self.open.values_mut() {
+            request.deadline = request.deadline.min(deadline);
+        }
+        self.limit_attempts(at);
+        self.shutdown_deadline = Some(deadline);
+        self.persist_learned();
+        deadline
+    }
+
+    /// Gives a request its final response, unless it has one.
+    pub(super) fn respond(
+        &mut self,
+        id: RequestId,
+        response: FinalResponse,
+        outcome: RequestOutcome,
+    ) {
+        if let Some(responder) = self.open.get_mut(&id).and_then(OpenRequest::end) {
+            // A client that disconnected in the same instant gets nothing; it is owed no response any more.
+            let _ = responder.send(response);
+            self.note_request_ended(id, outcome);
+        }
+        self.forget_request(id);
+    }
+
+    /// Forgets a request that is answered and has no attempt in flight.
+    pub(super) fn forget_request(&mut self, id: RequestId) {
+        let is_done = self
             .open
             .get(&id)
-            .is_some_and(|o| o.reply.is_none() && o.running == 0)
-        {
+            .is_some_and(|open| !open.is_unanswered() && open.attempts_in_flight == 0);
+        if is_done {
             self.open.remove(&id);
         }
     }
--- a/balancer/proxy/src/driver/tier.rs
+++ b/balancer/proxy/src/driver/tier.rs
@@ -1,17 +1,17 @@
-//! The tier's other copies, as the module hears of them and tells them. Owns no state.
+//! The tier's other replicas: what is known of them goes to the module, and its observations come from it. Owns no state.
 use super::state::Handle;
 use balancer_core::{Event, Observed, TierUpdate};
 
 impl Handle {
-    /// Tells the module what this copy has heard of its tier.
-    pub(crate) fn tier(&self, word: TierUpdate) {
-        self.feed(Event::Tier(Box::new(word)));
+    /// Tells the module what this replica knows of its tier.
+    pub(crate) fn handle_tier_update(&self, update: TierUpdate) {
+        self.feed(Event::Tier(Box::new(update)));
     }
 
-    /// What the module observes, for the others.
+    /// Returns what the module observes, for the other replicas.
     pub(crate) fn observed(&self) -> Observed {
-        let mut d = self.0.driver.borrow_mut();
-        let now = d.now();
-        d.balancer.observed(now)
+        let mut driver = self.0.driver.borrow_mut();
+        let now = driver.now();
+        driver.balancer.observed(now)
     }
 }
--- a/balancer/proxy/src/driver/timers.rs
+++ b/balancer/proxy/src/driver/timers.rs
@@ -1,111 +1,121 @@
-//! What is due when, and what is done then. Owns no state.
-use super::state::{Driver, Due, Handle};
-use balancer_core::{Ending, Event};
+//! The queue of timers, and how late they fire. Owns the queue; what a timer does is the loop's.
+use balancer_core::RequestId;
+use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often idle connections are looked through. There is always a timer due within this, so that a program that has
-/// stood still finds one overdue by as much, but for this.
-const SWEEP: Duration = Duration::from_millis(100);
-/// Timers that are later than this show that the program stood still: stopped, or in one long turn.
-const STALL_LEAST: Duration = Duration::from_millis(20);
+/// Timers that are later than this show that the program was stalled: stopped, or in one long turn.
+const MIN_STALL: Duration = Duration::from_millis(20);
 /// What is read this soon after a stall was noticed may have come during it.
-const STALL_SHOWS: Duration = Duration::from_millis(20);
+const STALL_WINDOW: Duration = Duration::from_millis(20);
 
-impl Handle {
-    /// Fires timers for ever.
-    pub(crate) async fn run(&self) {
-        {
-            let mut d = self.0.driver.borrow_mut();
-            d.set_timer(Instant::now() + SWEEP, Due::Sweep);
-            d.keep_later();
-        }
-        loop {
-            let next = self
-                .0
-                .driver
-                .borrow()
-                .timers
-                .first_key_value()
-                .map(|(&(at, _), _)| at);
-            match next {
-                Some(at) if at <= Instant::now() => self.fire(),
-                Some(at) => tokio::select! {
-                    () = tokio::time::sleep_until(at) => {}
-                    () = self.0.timers.notified() => {}
-                },
-                None => self.0.timers.notified().await,
-            }
-        }
+/// One attempt of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) struct AttemptId {
+    /// The request.
+    pub request: RequestId,
+    /// The attempt's number, counted from zero.
+    pub number: u32,
+}
+
+impl AttemptId {
+    /// Names an attempt.
+    pub(super) fn new(request: RequestId, number: u32) -> AttemptId {
+        AttemptId { request, number }
     }
+}
+
+/// What a timer is for.
+pub(super) enum Timer {
+    /// The decision module, with its token.
+    Module(u32),
+    /// The timeout of an attempt.
+    Attempt(AttemptId),
+    /// Closing connections that were idle for too long.
+    SweepIdle,
+    /// Persisting what the module has learned.
+    PersistLearned,
+}
+
+/// A timer's place in the queue: its time, and then the order in which timers were set.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct TimerKey {
+    /// When it is due.
+    pub at: Instant,
+    sequence: u64,
+}
 
-    pub(super) fn fire(&self) {
-        let Some(due) = self.0.driver.borrow_mut().pop_timer(Instant::now()) else {
-            return;
+/// A timer that fired late.
+struct Stall {
+    noticed: Instant,
+    lateness: Duration,
+}
+
+/// The timers that are set.
+#[derive(Default)]
+pub(super) struct Timers {
+    queue: BTreeMap<TimerKey, Timer>,
+    last_sequence: u64,
+    last_stall: Option<Stall>,
+}
+
+impl Timers {
+    /// Sets a timer.
+    pub(super) fn set(&mut self, at: Instant, timer: Timer) -> TimerKey {
+        self.last_sequence += 1;
+        let key = TimerKey {
+            at,
+            sequence: self.last_sequence,
         };
-        match due {
-            Due::Module(token) => self.feed(Event::Timer(token)),
-            Due::Attempt(id, number) => self.ended(id, number, Ending::Timeout, None),
-            Due::Sweep => {
-                let mut d = self.0.driver.borrow_mut();
-                let now = Instant::now();
-                for (upstream, ..) in d.upstreams.values() {
-                    upstream.sweep(now, d.transport.idle);
-                }
-                d.set_timer(now + SWEEP, Due::Sweep);
-            }
-            Due::Keep => {
-                let mut d = self.0.driver.borrow_mut();
-                // What comes in while it ends says little of what it will meet when it starts again.
-                if d.ends.is_none() {
-                    d.keep_learned();
-                    d.keep_later();
-                }
-            }
-        }
+        self.queue.insert(key, timer);
+        key
+    }
+
+    /// Cancels a timer, if it has not fired.
+    pub(super) fn cancel(&mut self, key: TimerKey) {
+        self.queue.remove(&key);
     }
-}
 
-impl Driver {
-    pub(super) fn set_timer(&mut self, at: Instant, due: Due) -> (Instant, u64) {
-        self.timer_seq += 1;
-        self.timers.insert((at, self.timer_seq), due);
-        (at, self.timer_seq)
+    /// Returns when the next timer is due.
+    pub(super) fn next_timeout(&self) -> Option<Instant> {
+        self.queue.first_key_value().map(|(key, _)| key.at)
     }
 
-    fn pop_timer(&mut self, now: Instant) -> Option<Due> {
-        // Of all timers that became due meanwhile the first tells most.
-        let late = self.overdue(now);
-        if late >= STALL_LEAST && late > self.recent_stall(now) {
-            self.stall = Some((now, late));
+    /// Takes the next timer out, and notes a stall if it is late.
+    pub(super) fn pop(&mut self, now: Instant) -> Option<Timer> {
+        // Of all timers that became due meanwhile the first shows most.
+        let lateness = self.lateness(now);
+        if lateness >= MIN_STALL && lateness > self.recent_stall(now) {
+            self.last_stall = Some(Stall {
+                noticed: now,
+                lateness,
+            });
         }
-        Some(self.timers.pop_first()?.1)
+        Some(self.queue.pop_first()?.1)
     }
 
-    /// How long the timer that is due next has been due.
-    fn overdue(&self, now: Instant) -> Duration {
-        let next = self.timers.first_key_value();
-        next.map_or(Duration::ZERO, |(&(at, _), _)| {
-            now.saturating_duration_since(at)
-        })
+    /// Returns for how long the next timer has been due.
+    fn lateness(&self, now: Instant) -> Duration {
+        self.next_timeout()
+            .map_or(Duration::ZERO, |at| now.saturating_duration_since(at))
     }
 
-    /// How late a timer fired a moment ago.
+    /// Returns how late a timer fired a moment ago.
     fn recent_stall(&self, now: Instant) -> Duration {
-        let recent = self
-            .stall
-            .filter(|(noticed, _)| now - *noticed < STALL_SHOWS);
-        recent.map_or(Duration::ZERO, |(_, late)| late)
+        self.last_stall
+            .as_ref()
+            .filter(|stall| now - stall.noticed < STALL_WINDOW)
+            .map_or(Duration::ZERO, |stall| stall.lateness)
     }
 
-    /// How long what is read now may have lain unread because the program stood still. Its timers may not have been
-    /// looked at since.
-    pub(super) fn stood_still(&self, now: Instant) -> Duration {
-        let waited = self.recent_stall(now).max(self.overdue(now));
-        if waited < STALL_LEAST {
+    /// Returns how long what is read now may have lain unread because the program was stalled. Its timers may not have
+    /// been looked at since.
+    pub(super) fn stalled_for(&self, now: Instant) -> Duration {
+        let stalled = self.recent_stall(now).max(self.lateness(now));
+        if stalled < MIN_STALL {
             Duration::ZERO
         } else {
-            waited
+            stalled
         }
     }
 }
--- a/balancer/proxy/src/lib.rs
+++ b/balancer/proxy/src/lib.rs
@@ -6,14 +6,16 @@
 mod clients;
 mod command_line;
 pub mod config;
+mod connection_counts;
 mod discovery;
 mod driver;
-mod ending;
-mod figures;
-mod held;
+
+mod json;
 mod listing;
 mod log;
 mod message;
+mod metrics;
+mod metrics_reporter;
 pub mod one_line;
 pub mod options;
 mod peers;
@@ -21,12 +23,12 @@
 mod recovery;
 mod reload;
 mod serve;
+mod shutdown;
 mod signals;
-mod snapshots;
 mod sockets;
 mod upstreams;
 
-pub use listing::{Entry, Listing, Names};
+pub use listing::{Entry, Listing, ListingError, Names};
 #[doc(hidden)]
-pub use peers::word as tier_word;
+pub use peers::tier_update;
 pub use program::main;
--- a/balancer/proxy/src/listing.rs
+++ b/balancer/proxy/src/listing.rs
@@ -1,4 +1,5 @@
-//! The list of upstreams in discovery's form, and what whoever keeps the list fresh tells of it.
+//! The endpoint list in discovery's form, and the interface between the watch and the user of the list. Owns no state.
+use crate::json::{self, JsonError};
 use crate::one_line::one_line;
 use balancer_core::{Availability, Endpoint, UpstreamId};
 use balancer_settings::Deployment;
@@ -6,6 +7,11 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+/// State of an upstream that was removed, on the wire.
+const REMOVED_STATE: &str = "left";
+/// Start times are below this, in milliseconds since 1970.
+const MAX_START_MS: f64 = 1e15;
+
 /// Names of zones and kinds, by the position that the module knows them by.
 pub struct Names {
     zones: Vec<String>,
@@ -14,10 +20,10 @@
 
 impl Names {
     /// The names that the settings list.
-    pub fn of(d: &Deployment) -> Names {
+    pub fn of(deployment: &Deployment) -> Names {
         Names {
-            zones: d.zones.clone(),
-            kinds: d.kinds.clone(),
+            zones: deployment.zones.clone(),
+            kinds: deployment.kinds.clone(),
         }
     }
 }
@@ -29,7 +35,7 @@
     servers: Vec<RawEntry>,
 }
 
-/// An entry as discovery words it.
+/// An entry in discovery's form.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct RawEntry {
     id: String,
@@ -45,23 +51,23 @@
     started_ms: f64,
 }
 
-/// One upstream of an answer: its line for the module and its address.
+/// One upstream of a response: its endpoint for the module and its address.
 #[derive(Clone, Debug)]
 pub struct Entry {
     /// Its name in discovery.
     pub name: String,
-    /// What the module is told.
-    pub member: Endpoint,
+    /// The endpoint as the module sees it.
+    pub endpoint: Endpoint,
     /// Where it listens, as this balancer sees it.
     pub addr: SocketAddr,
 }
 
-/// An answer of discovery.
+/// A response of discovery.
 #[derive(Clone, Debug)]
 pub struct Listing {
     /// Grows with each change.
     pub version: u64,
-    /// Whether this is the whole list, or only what changed.
+    /// Whether this is the full list, or only what changed.
     pub full: bool,
     /// The upstreams.
     pub entries: Vec<Entry>,
@@ -69,26 +75,50 @@
     raw: Vec<RawEntry>,
 }
 
+/// Why a response of discovery cannot be used: one line of bounded length that names the field.
+#[derive(Debug, thiserror::Error)]
+#[error("{}", one_line(&.0.to_string()))]
+pub struct ListingError(#[source] InvalidListing);
+
+#[derive(Debug, thiserror::Error)]
+enum InvalidListing {
+    #[error(transparent)]
+    Json(#[from] JsonError),
+    #[error("servers[{position}].{cause}")]
+    Entry {
+        position: usize,
+        #[source]
+        cause: InvalidEntry,
+    },
+}
+
+/// What is wrong with an entry; begins with the field at fault.
+#[derive(Debug, thiserror::Error)]
+enum InvalidEntry {
+    #[error("state: unknown state {state:?} of upstream {id:?}")]
+    State { state: String, id: String },
+    #[error("id: missing")]
+    NoId,
+    #[error("started_ms: reads {started_ms} at upstream {id:?}")]
+    StartTime { started_ms: f64, id: String },
+}
+
 impl Listing {
-    /// Reads an answer. One bad entry spoils it whole, so that a garbled list never replaces a good one.
-    /// What is wrong is one line that names the field.
-    pub fn parse(json: &[u8], names: &Names) -> Result<Listing, String> {
-        Listing::read(json, names).map_err(|error| one_line(&error))
+    /// Reads a response. One invalid entry spoils it completely, so that a garbled list never replaces a good one.
+    ///
+    /// # Errors
+    /// Names the field at fault.
+    pub fn parse(json: &[u8], names: &Names) -> Result<Listing, ListingError> {
+        Listing::read(json, names).map_err(ListingError)
     }
 
-    fn read(json: &[u8], names: &Names) -> Result<Listing, String> {
-        let mut json = serde_json::Deserializer::from_slice(json);
-        let raw: RawListing = serde_path_to_error::deserialize(&mut json).map_err(|e| {
-            match e.path().to_string() {
-                path if path == "." || path == "?" => e.inner().to_string(),
-                path => format!("{path}: {}", e.inner()),
-            }
-        })?;
-        json.end().map_err(|e| e.to_string())?;
-        let entries = raw.servers.iter().cloned().enumerate();
-        let entries =
-            entries.map(|(i, e)| entry(e, names).map_err(|what| format!("servers[{i}].{what}")));
-        let entries = entries.collect::<Result<_, _>>()?;
+    fn read(json: &[u8], names: &Names) -> Result<Listing, InvalidListing> {
+        let raw: RawListing = json::parse(json)?;
+        let mut entries = Vec::with_capacity(raw.servers.len());
+        for (position, server) in raw.servers.iter().enumerate() {
+            let entry = parse_entry(server.clone(), names);
+            entries.push(entry.map_err(|cause| InvalidListing::Entry { position, cause })?);
+        }
         Ok(Listing {
             version: raw.version,
             full: raw.full,
@@ -97,60 +127,53 @@
         })
     }
 
-    /// The lines for the module.
-    pub fn members(&self) -> impl Iterator<Item = Endpoint> + '_ {
-        self.entries.iter().map(|e| e.member.clone())
+    /// Returns the endpoints for the module.
+    pub fn endpoints(&self) -> impl Iterator<Item = Endpoint> + '_ {
+        self.entries.iter().map(|entry| entry.endpoint.clone())
     }
 }
 
-/// Reads an entry; the message begins with the field at fault.
-fn entry(e: RawEntry, names: &Names) -> Result<Entry, String> {
-    let availability = match e.state.as_str() {
+fn parse_entry(raw: RawEntry, names: &Names) -> Result<Entry, InvalidEntry> {
+    let availability = match raw.state.as_str() {
         "active" => Availability::Ready,
         "leaving" => Availability::Draining,
-        "left" => Availability::Removed,
-        other => {
-            return Err(format!(
-                "state: unknown state {other:?} of upstream {:?}",
-                e.id
-            ))
+        REMOVED_STATE => Availability::Removed,
+        _ => {
+            return Err(InvalidEntry::State {
+                state: raw.state,
+                id: raw.id,
+            })
         }
     };
-    if e.id.is_empty() {
-        return Err("id: missing".into());
+    if raw.id.is_empty() {
+        return Err(InvalidEntry::NoId);
     }
-    if !(0.0..1e15).contains(&e.started_ms) {
-        return Err(format!(
-            "started_ms: reads {} at upstream {:?}",
-            e.started_ms, e.id
-        ));
+    if !(0.0..MAX_START_MS).contains(&raw.started_ms) {
+        return Err(InvalidEntry::StartTime {
+            started_ms: raw.started_ms,
+            id: raw.id,
+        });
     }
-    // A name that the settings do not list gets a position that no class is bound to.
-    let zone = names
-        .zones
-        .iter()
-        .position(|z| *z == e.zone)
-        .map_or(u16::MAX, |i| i as u16);
-    let kind = names
-        .kinds
-        .iter()
-        .position(|k| *k == e.kind)
-        .map_or(u8::MAX, |i| i as u8);
-    let (id, group, since) = (upstream_id(&e.id), e.cell, e.started_ms);
+    let endpoint = Endpoint {
+        id: upstream_id(&raw.id),
+        // A name that the settings do not list gets a position that no class is bound to.
+        zone: position(&names.zones, &raw.zone).map_or(u16::MAX, |i| i as u16),
+        kind: position(&names.kinds, &raw.kind).map_or(u8::MAX, |i| i as u8),
+        group: raw.cell,
+        availability,
+        since: raw.started_ms,
+    };
     Ok(Entry {
-        name: e.id,
-        member: Endpoint {
-            id,
-            zone,
-            kind,
-            group,
-            availability,
-            since,
-        },
-        addr: e.addr,
+        name: raw.id,
+        endpoint,
+        addr: raw.addr,
     })
 }
 
+fn position(names: &[String], name: &str) -> Option<usize> {
+    names.iter().position(|listed| listed == name)
+}
+
 /// A stable id for an upstream's name, the same at every balancer (FNV-1a): the module spreads the balancers
 /// over the upstreams by a ring of these ids, so numbers given in order of arrival would crowd some of them.
 fn upstream_id(name: &str) -> UpstreamId {
@@ -158,15 +181,24 @@
     UpstreamId(name.bytes().fold(0xcbf2_9ce4_8422_2325, step))
 }
 
-/// The whole list as it stands, in discovery's form, to be kept.
+/// The current full list in discovery's form, to be saved.
 #[derive(Default)]
-pub(crate) struct Roster {
+pub(crate) struct ListSnapshot {
     version: u64,
     entries: BTreeMap<String, RawEntry>,
 }
 
-impl Roster {
-    /// Takes an answer of discovery. What is gone is not kept.
+impl ListSnapshot {
+    /// Creates a snapshot of a list, or an empty one.
+    pub(crate) fn of(listing: Option<&Listing>) -> ListSnapshot {
+        let mut snapshot = ListSnapshot::default();
+        if let Some(listing) = listing {
+            snapshot.apply(listing);
+        }
+        snapshot
+    }
+
+    /// Applies a response of discovery. What was removed is not saved.
     pub(crate) fn apply(&mut self, listing: &Listing) {
         self.version = listing.version;
         if listing.full {
@@ -174,16 +206,16 @@
         }
         for raw in &listing.raw {
             match raw.state.as_str() {
-                "left" => self.entries.remove(&raw.id),
+                REMOVED_STATE => self.entries.remove(&raw.id),
                 _ => self.entries.insert(raw.id.clone(), raw.clone()),
             };
         }
     }
 
-    /// It as text, as discovery would write it.
-    pub(crate) fn text(&self) -> String {
+    /// Returns the list as discovery would write it.
+    pub(crate) fn to_json(&self) -> String {
         let servers = self.entries.values().cloned().collect();
-        // Names and finite numbers only: there is nothing in it that JSON can't hold.
+        // Names and finite numbers only: all of it can be written as JSON.
         serde_json::to_string(&RawListing {
             version: self.version,
             full: true,
@@ -193,12 +225,12 @@
     }
 }
 
-/// Who uses the list: asks for it, and is told what came of that.
+/// The user of the list: subscribes to it, and is notified of updates and failures.
 pub(crate) trait ListUser {
     /// Waits until a subscription is wanted.
     async fn subscribed(&self);
-    /// Takes an answer of discovery.
-    fn listed(&self, listing: &Listing);
-    /// A call for the list failed or the watch broke.
-    fn list_failed(&self);
+    /// Handles a response of discovery.
+    fn handle_list(&self, listing: &Listing);
+    /// Handles a failed call or a broken watch.
+    fn handle_list_failure(&self);
 }
--- a/balancer/proxy/src/log.rs
+++ b/balancer/proxy/src/log.rs
@@ -1,6 +1,6 @@
-//! The log: events of stable names, as text or as objects, held to a rate, on a thread of their own so that nobody
-//! who does not read it holds up a request.
-use crate::options::{Format, Level, Log};
+//! The log: events of stable names, as text or as objects, limited to a rate, written on a thread of their own so that a
+//! reader that stalls holds up no request. Owns the rate limits and the counters of lines.
+use crate::options::{Format, Level, LogOptions, LOG_TARGETS};
 use serde_json::{Map, Value};
 use std::collections::HashMap;
 use std::fmt;
@@ -16,12 +16,17 @@
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt};
 use tracing_subscriber::registry::Registry;
 use tracing_subscriber::reload;
-use tracing_subscriber::util::SubscriberInitExt;
+use tracing_subscriber::util::{SubscriberInitExt, TryInitError};
 
-/// Lines that wait for a reader at most; what comes beyond is dropped and counted.
-const WAITING: usize = 1024;
+/// Maximum of lines queued for the reader; what comes beyond is dropped and counted.
+const MAX_QUEUED_LINES: usize = 1024;
 
-/// The log while the program runs; what waits is written when this is dropped.
+/// The log could not be started.
+#[derive(Debug, thiserror::Error)]
+#[error("the log: {0}")]
+pub(crate) struct LogError(#[source] TryInitError);
+
+/// The log while the program runs; queued lines are written when this is dropped.
 pub(crate) struct Logging {
     filter: reload::Handle<Targets, Registry>,
     shared: Arc<Shared>,
@@ -31,62 +36,74 @@
 
 #[derive(Default)]
 struct Shared {
-    /// Lines a second from one cause.
+    /// Maximum of lines a second from one call site.
     rate: AtomicU64,
     written: AtomicU64,
-    left_out: AtomicU64,
+    suppressed: AtomicU64,
 }
 
-/// What became of the lines so far.
+/// Counters of lines since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
-pub(crate) struct Lines {
-    /// Handed to the reader.
+pub(crate) struct LogCounters {
+    /// Queued for the reader.
     pub written: u64,
-    /// Left out because their cause was over its rate.
-    pub left_out: u64,
-    /// Dropped because nobody read.
+    /// Suppressed because their call site was over its rate.
+    #[serde(rename = "left_out")]
+    pub suppressed: u64,
+    /// Dropped because the reader stalled.
     pub dropped: u64,
 }
 
-fn filter(of: &Log) -> Targets {
-    let level = |level: Level| match level {
+fn level_filter(level: Level) -> LevelFilter {
+    match level {
         Level::Off => LevelFilter::OFF,
         Level::Error => LevelFilter::ERROR,
         Level::Warn => LevelFilter::WARN,
         Level::Info => LevelFilter::INFO,
         Level::Debug => LevelFilter::DEBUG,
-    };
-    let parts = of.parts.iter().map(|(part, l)| (part.clone(), level(*l)));
-    // Libraries below have nothing to say to an operator: only our own parts are logged.
-    let own = crate::options::PARTS
+    }
+}
+
+fn filter(options: &LogOptions) -> Targets {
+    // Events of libraries are of no use to operators: only our own targets are logged.
+    let own = LOG_TARGETS
+        .iter()
+        .map(|target| (target.to_string(), level_filter(options.level)));
+    let single = options
+        .targets
         .iter()
-        .map(|part| (part.to_string(), level(of.level)));
-    Targets::new().with_targets(own).with_targets(parts)
+        .map(|(target, level)| (target.clone(), level_filter(*level)));
+    Targets::new().with_targets(own).with_targets(single)
 }
 
 impl Logging {
-    /// Starts it.
-    pub(crate) fn start(of: &Log) -> Result<Logging, String> {
+    /// Starts the log.
+    ///
+    /// # Errors
+    /// Only one log can be started in a process.
+    pub(crate) fn start(options: &LogOptions) -> Result<Logging, LogError> {
         let builder = NonBlockingBuilder::default()
             .lossy(true)
-            .buffered_lines_limit(WAITING);
+            .buffered_lines_limit(MAX_QUEUED_LINES);
         let (writer, guard) = builder.finish(std::io::stderr());
         let dropped = writer.error_counter();
         let shared = Arc::new(Shared::default());
-        shared.rate.store(u64::from(of.rate), Ordering::Relaxed);
+        shared
+            .rate
+            .store(u64::from(options.rate), Ordering::Relaxed);
         let lines = Writer {
             writer,
-            format: of.format,
+            format: options.format,
             shared: shared.clone(),
-            causes: Mutex::default(),
+            call_sites: Mutex::default(),
             dropped: dropped.clone(),
-            told: AtomicU64::new(0),
+            reported_dropped: AtomicU64::new(0),
         };
-        let (filter, handle) = reload::Layer::new(filter(of));
+        let (filter, handle) = reload::Layer::new(filter(options));
         let started = tracing_subscriber::registry()
             .with(lines.with_filter(filter))
             .try_init();
-        started.map_err(|e| format!("the log: {e}"))?;
+        started.map_err(LogError)?;
         Ok(Logging {
             filter: handle,
             shared,
@@ -95,81 +112,82 @@
         })
     }
 
-    /// Takes over what may change while the program runs.
-    pub(crate) fn change(&self, to: &Log) {
+    /// Applies the options that may change while the program runs.
+    pub(crate) fn reconfigure(&self, options: &LogOptions) {
         self.shared
             .rate
-            .store(u64::from(to.rate), Ordering::Relaxed);
+            .store(u64::from(options.rate), Ordering::Relaxed);
         // It fails only once the log has ended.
-        let _ = self.filter.reload(filter(to));
+        let _ = self.filter.reload(filter(options));
     }
 
-    /// What became of the lines so far.
-    pub(crate) fn lines(&self) -> Lines {
-        Lines {
+    /// Returns the counters of lines.
+    pub(crate) fn counters(&self) -> LogCounters {
+        LogCounters {
             written: self.shared.written.load(Ordering::Relaxed),
-            left_out: self.shared.left_out.load(Ordering::Relaxed),
+            suppressed: self.shared.suppressed.load(Ordering::Relaxed),
             dropped: self.dropped.dropped_lines() as u64,
         }
     }
 }
 
-/// How much one cause has said lately.
-struct Cause {
+/// The rate limit of one call site.
+struct RateLimit {
     since: Instant,
     lines: u64,
-    left_out: u64,
+    suppressed: u64,
 }
 
 struct Writer {
     writer: NonBlocking,
     format: Format,
     shared: Arc<Shared>,
-    causes: Mutex<HashMap<Identifier, Cause>>,
+    call_sites: Mutex<HashMap<Identifier, RateLimit>>,
     dropped: ErrorCounter,
-    /// Dropped lines that were told of.
-    told: AtomicU64,
+    /// Dropped lines that were reported.
+    reported_dropped: AtomicU64,
 }
 
 impl Writer {
-    /// Whether a cause may write one more line, and how many it was held to be silent for before.
-    fn allows(&self, of: &Metadata<'_>) -> Option<u64> {
+    /// Returns how many lines of a call site were suppressed before this one; `None`: it is suppressed too.
+    fn admit(&self, metadata: &Metadata<'_>) -> Option<u64> {
         let rate = self.shared.rate.load(Ordering::Relaxed);
-        let mut causes = self
-            .causes
+        let mut call_sites = self
+            .call_sites
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
         let now = Instant::now();
-        let cause = causes.entry(of.callsite()).or_insert(Cause {
+        let limit = call_sites.entry(metadata.callsite()).or_insert(RateLimit {
             since: now,
             lines: 0,
-            left_out: 0,
+            suppressed: 0,
         });
-        if now.duration_since(cause.since).as_secs() >= 1 {
-            (cause.since, cause.lines) = (now, 0);
+        if now.duration_since(limit.since).as_secs() >= 1 {
+            limit.since = now;
+            limit.lines = 0;
         }
-        cause.lines += 1;
-        if cause.lines > rate {
-            cause.left_out += 1;
-            self.shared.left_out.fetch_add(1, Ordering::Relaxed);
+        limit.lines += 1;
+        if limit.lines > rate {
+            limit.suppressed += 1;
+            self.shared.suppressed.fetch_add(1, Ordering::Relaxed);
             return None;
         }
-        Some(std::mem::take(&mut cause.left_out))
+        Some(std::mem::take(&mut limit.suppressed))
     }
 
-    fn line(&self, metadata: &Metadata<'_>, fields: Map<String, Value>) {
+    fn write_line(&self, metadata: &Metadata<'_>, fields: Map<String, Value>) {
         let mut line = match self.format {
             Format::Text => text(&fields),
             Format::Json => json(metadata, fields),
         };
         line.push('\n');
         self.shared.written.fetch_add(1, Ordering::Relaxed);
-        // A line that nobody takes is counted by the writer itself.
+        // A line that is dropped is counted by the writer itself.
         let _ = self.writer.clone().write_all(line.as_bytes());
     }
 }
 
-/// What an event says, in a sentence if it has one, or else its name and fields.
+/// Formats an event as text: its message if it has one, or else its name and fields.
 fn text(fields: &Map<String, Value>) -> String {
     if let Some(Value::String(message)) = fields.get("message") {
         return message.replace('\n', " ");
@@ -222,7 +240,7 @@
         self.0.insert(field.name().into(), value.into());
     }
     fn record_str(&mut self, field: &Field, value: &str) {
-        // Figures come as an object already.
+        // Metrics come as an object already.
         let value = match field.name() {
             "figures" => serde_json::from_str(value).unwrap_or_else(|_| value.into()),
             _ => value.into(),
@@ -235,37 +253,44 @@
     }
 }
 
+impl Writer {
+    fn write_suppressed(&self, metadata: &Metadata<'_>, fields: &Map<String, Value>, count: u64) {
+        let name = fields.get("event").cloned().unwrap_or_default();
+        let name = name.as_str().unwrap_or_default();
+        let mut record = Map::new();
+        record.insert("event".into(), "lines_left_out".into());
+        record.insert("of".into(), name.into());
+        record.insert("count".into(), count.into());
+        let message = format!("log: {count} lines like {name} were left out");
+        record.insert("message".into(), message.into());
+        self.write_line(metadata, record);
+    }
+
+    fn write_dropped(&self, metadata: &Metadata<'_>, count: u64) {
+        let mut record = Map::new();
+        record.insert("event".into(), "lines_dropped".into());
+        record.insert("count".into(), count.into());
+        let message = format!("log: {count} lines so far were dropped: nobody read them");
+        record.insert("message".into(), message.into());
+        self.write_line(metadata, record);
+    }
+}
+
 impl<S: Subscriber> Layer<S> for Writer {
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
-        let Some(left_out) = self.allows(event.metadata()) else {
+        let metadata = event.metadata();
+        let Some(suppressed) = self.admit(metadata) else {
             return;
         };
         let mut fields = Fields(Map::new());
         event.record(&mut fields);
-        if left_out > 0 {
-            let name = fields.0.get("event").cloned().unwrap_or_default();
-            let name = name.as_str().unwrap_or_default();
-            let mut note = Map::new();
-            note.insert("event".into(), "lines_left_out".into());
-            note.insert("of".into(), name.into());
-            note.insert("count".into(), left_out.into());
-            note.insert(
-                "message".into(),
-                format!("log: {left_out} lines like {name} were left out").into(),
-            );
-            self.line(event.metadata(), note);
+        if suppressed > 0 {
+            self.write_suppressed(metadata, &fields.0, suppressed);
         }
         let dropped = self.dropped.dropped_lines() as u64;
-        if self.told.swap(dropped, Ordering::Relaxed) < dropped {
-            let mut note = Map::new();
-            note.insert("event".into(), "lines_dropped".into());
-            note.insert("count".into(), dropped.into());
-            note.insert(
-                "message".into(),
-                format!("log: {dropped} lines so far were dropped: nobody read them").into(),
-            );
-            self.line(event.metadata(), note);
+        if self.reported_dropped.swap(dropped, Ordering::Relaxed) < dropped {
+            self.write_dropped(metadata, dropped);
         }
-        self.line(event.metadata(), fields.0);
+        self.write_line(metadata, fields.0);
     }
 }
--- a/balancer/proxy/src/message.rs
+++ b/balancer/proxy/src/message.rs
@@ -8,12 +8,12 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Bodies hold at most this much, both ways.
-pub(crate) const BODY_MOST: usize = 64 << 10;
+pub(crate) const MAX_BODY_LEN: usize = 64 << 10;
 /// Tells how long an attempt will be waited for.
-pub(crate) const DEADLINE: HeaderName = HeaderName::from_static("req-deadline");
+pub(crate) const DEADLINE_HEADER: HeaderName = HeaderName::from_static("req-deadline");
 
 /// Headers that belong to one connection and are not passed on.
-const HOP: [HeaderName; 8] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
     header::PROXY_AUTHENTICATE,
@@ -25,7 +25,7 @@
 ];
 
 /// Takes out the headers that belong to one connection; the length of a body is framed anew.
-pub(crate) fn end_to_end(headers: &mut HeaderMap) {
+pub(crate) fn retain_end_to_end(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -33,7 +33,7 @@
         .flat_map(|v| v.split(','))
         .filter_map(|v| v.trim().parse().ok())
         .collect();
-    for name in HOP
+    for name in HOP_BY_HOP_HEADERS
         .iter()
         .chain(&named)
         .chain(&[header::CONTENT_LENGTH, header::EXPECT])
@@ -43,7 +43,7 @@
 }
 
 /// A request as it goes on to upstreams.
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingRequest {
     /// Its method.
     pub method: Method,
     /// Path and query.
@@ -53,12 +53,12 @@
     /// The whole body.
     pub body: Bytes,
     /// Set when the request has ended: what has not been written for it by then must not be.
-    pub over: Cell<bool>,
+    pub has_ended: Cell<bool>,
 }
 
 /// The one final answer to a request.
 #[derive(Debug)]
-pub(crate) enum Answer {
+pub(crate) enum FinalResponse {
     /// An upstream's answer.
     Served {
         /// Its end-to-end headers.
@@ -75,7 +75,7 @@
     Failed,
 }
 
-impl Outgoing {
+impl OutgoingRequest {
     /// Its id, for the log.
     pub(crate) fn id(&self) -> &str {
         self.headers
@@ -86,7 +86,7 @@
 
     /// A hash of its key, which a client's next try has as well; without one of its id. Not of the path: requests of
     /// one path may be half of all, and what is shed by it would be all of them or none.
-    pub(crate) fn tie(&self) -> u64 {
+    pub(crate) fn tie_breaker(&self) -> u64 {
         let key = self
             .headers
             .get("idempotency-key")
--- a/balancer/proxy/src/options/loaded.rs
+++ b/balancer/proxy/src/options/loaded.rs
@@ -1,7 +1,6 @@
-//! Options that were read, with the source of each: what is shown, checked against the disk and taken over. Owns no
-//! state.
-use super::merged::flat;
-use super::{Options, Source};
+//! Options that were read, with the source of each: what is shown, checked against the disk and applied. Owns no state.
+use super::merged::flatten;
+use super::{Options, OptionsError, Source};
 use std::collections::BTreeMap;
 use toml::Table;
 
@@ -26,67 +25,79 @@
     pub fn shown(&self) -> Vec<(String, String)> {
         // Options are made of what a table can hold.
         let table = Table::try_from(&self.options).unwrap_or_default();
-        flat(&table)
+        flatten(&table)
             .into_iter()
             .map(|(key, value)| (key, value.to_string()))
             .collect()
     }
 
-    /// Whether what the options name can be used; looks at the disk.
-    pub fn usable(&self) -> Result<(), String> {
+    /// Checks whether what the options name can be used; looks at the disk.
+    ///
+    /// # Errors
+    /// Names the key of a folder that cannot be written to.
+    pub fn check_usable(&self) -> Result<(), OptionsError> {
         let folders = [
-            ("figures.dir", &self.options.figures.dir),
+            ("figures.dir", &self.options.metrics.dir),
             ("recovery.dir", &self.options.recovery.dir),
         ];
-        for (key, dir) in folders
+        let named = folders
             .into_iter()
-            .filter(|(_, dir)| !dir.as_os_str().is_empty())
-        {
-            let made = tempfile::Builder::new()
+            .filter(|(_, dir)| !dir.as_os_str().is_empty());
+        for (key, dir) in named {
+            let created = tempfile::Builder::new()
                 .prefix(".writable")
                 .tempfile_in(dir);
-            made.map_err(|e| {
-                format!(
-                    "{}: {key}: {}: can't be written to: {e}",
-                    self.source(key),
-                    dir.display()
-                )
+            created.map_err(|cause| OptionsError::NotWritable {
+                at: self.source(key),
+                key,
+                dir: dir.clone(),
+                cause,
             })?;
         }
         Ok(())
     }
 
-    /// Whether a running program can take these over from `before`; names the first key that it can't.
-    pub fn follows(&self, before: &Options) -> Result<(), String> {
+    /// Checks whether a running program can take these over from `before`.
+    ///
+    /// # Errors
+    /// Names the first key that cannot change.
+    pub fn check_follows(&self, before: &Options) -> Result<(), OptionsError> {
         let (now, then) = (&self.options, before);
-        for (key, same) in [
+        let (recovery, recovery_then) = (&now.recovery, &then.recovery);
+        let compared = [
             ("log.format", now.log.format == then.log.format),
-            ("figures.dir", now.figures.dir == then.figures.dir),
-            ("recovery.dir", now.recovery.dir == then.recovery.dir),
+            ("figures.dir", now.metrics.dir == then.metrics.dir),
+            ("recovery.dir", recovery.dir == recovery_then.dir),
             (
                 "recovery.list_age",
-                now.recovery.list_age == then.recovery.list_age,
+                recovery.max_list_age == recovery_then.max_list_age,
             ),
             (
                 "recovery.learned",
-                now.recovery.learned == then.recovery.learned,
+                recovery.restore_learned == recovery_then.restore_learned,
+            ),
+            (
+                "recovery.every",
+                recovery.interval == recovery_then.interval,
+            ),
+            (
+                "recovery.drill",
+                recovery.fault_file == recovery_then.fault_file,
             ),
-            ("recovery.every", now.recovery.every == then.recovery.every),
-            ("recovery.drill", now.recovery.drill == then.recovery.drill),
             ("peers.on", now.peers.on == then.peers.on),
             (
                 "peers.version_most",
-                now.peers.version_most == then.peers.version_most,
+                now.peers.max_version == then.peers.max_version,
             ),
-            ("figures.log", now.figures.on() == then.figures.on()),
-        ] {
-            if !same {
-                return Err(format!(
-                    "{}: {key}: can't change while the program runs",
-                    self.source(key)
-                ));
-            }
+            ("figures.log", now.metrics.is_on() == then.metrics.is_on()),
+        ];
+        let changed = compared.into_iter().find(|(_, is_same)| !is_same);
+        match changed {
+            None => Ok(()),
+            Some((key, _)) => Err(OptionsError::Fixed {
+                at: self.source(key),
+                key,
+            }),
         }
-        Ok(())
     }
 }
--- a/balancer/proxy/src/options/merged.rs
+++ b/balancer/proxy/src/options/merged.rs
@@ -1,23 +1,24 @@
 //! Puts what the sources say together, key by key; each is checked at once. Owns the table of options while they are
 //! read.
-use super::{Options, Source, PARTS};
+use super::error::UnknownKey;
+use super::{Options, OptionsError, Source, LOG_TARGETS};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::Path;
 use toml::{Table, Value};
+use toml_edit::Document;
 
 /// Variables of the environment that set options begin so; the key follows in capitals, with `_` for each dot.
 pub(super) const PREFIX: &str = "BALANCER_OPTION_";
 /// How such variables began in earlier versions. They are read still, before those of today, with a warning.
 pub(super) const OLD_PREFIX: &str = "HERONDOCK_";
 /// The form of the options file that this program writes of and reads; one that names a later form is refused.
-const VERSION: i64 = 1;
-/// Parts of the program that are on the way: their tables have names already, so that a file for a later version is
-/// not taken for a slip of the pen.
-const LATER: [&str; 3] = ["zones", "shared", "duties"];
+const NEWEST_VERSION: i64 = 1;
+/// Tables of later versions: a file for one is not taken for a slip of the pen.
+const LATER_TABLES: [&str; 3] = ["zones", "shared", "duties"];
 
 /// A value as it stands in a variable or a flag: TOML, or else plain text.
-pub(super) fn plain(text: &str) -> Value {
+pub(super) fn parse_value(text: &str) -> Value {
     let table: Result<Table, _> = toml::from_str(&format!("v = {text}"));
     table
         .ok()
@@ -25,14 +26,14 @@
         .unwrap_or_else(|| Value::String(text.into()))
 }
 
-/// Every key with a value that is no table, and its value. The parts of the log's levels are keys of their own.
-pub(super) fn flat(table: &Table) -> Vec<(String, Value)> {
+/// Returns every key with a value that is no table, and its value. Each target of the log's levels is a key of its own.
+pub(super) fn flatten(table: &Table) -> Vec<(String, Value)> {
     let mut all = Vec::new();
     for (name, value) in table {
         match value {
             Value::Table(inner) => {
                 all.extend(
-                    flat(inner)
+                    flatten(inner)
                         .into_iter()
                         .map(|(key, value)| (format!("{name}.{key}"), value)),
                 );
@@ -43,7 +44,7 @@
     all
 }
 
-/// What the sources read so far come to.
+/// The sources read so far, merged.
 pub(super) struct Merged {
     pub(super) table: Table,
     /// What `table` says, checked.
@@ -52,107 +53,185 @@
     pub(super) known: Vec<String>,
 }
 
-impl Merged {
-    /// Takes a file's text.
-    pub(super) fn file(&mut self, path: &Path, text: &str) -> Result<(), String> {
-        let shown = path.display();
-        let line_at = |offset: usize| text[..offset.min(text.len())].matches('\n').count() + 1;
-        let document = toml_edit::Document::parse(text).map_err(|e| {
-            let line = e.span().map_or(1, |s| line_at(s.start));
-            format!("{shown}:{line}: {}", e.message().trim().replace('\n', " "))
+/// An options file with the lines of its keys.
+struct OptionsFile<'a> {
+    path: &'a Path,
+    text: &'a str,
+    document: Document<&'a str>,
+}
+
+impl<'a> OptionsFile<'a> {
+    fn parse(path: &'a Path, text: &'a str) -> Result<OptionsFile<'a>, OptionsError> {
+        let document = Document::parse(text).map_err(|error| OptionsError::Syntax {
+            path: path.into(),
+            line: error.span().map_or(1, |span| line_at(text, span.start)),
+            message: error.message().trim().replace('\n', " "),
         })?;
-        let line_of = |key: &str| {
-            let (mut item, mut at) = (document.as_item(), None);
-            for name in key.split('.') {
-                let Some(table) = item.as_table_like() else {
-                    break;
-                };
-                let Some((key, next)) = table.get_key_value(name) else {
-                    break;
-                };
-                at = key.span().or_else(|| next.span()).or(at);
-                item = next;
-            }
-            at.map_or(1, |s| line_at(s.start))
-        };
-        let table: Table = toml::from_str(text).map_err(|e| format!("{shown}: {}", e.message()))?;
+        Ok(OptionsFile {
+            path,
+            text,
+            document,
+        })
+    }
+
+    fn table(&self) -> Result<Table, OptionsError> {
+        toml::from_str(self.text).map_err(|cause| OptionsError::Table {
+            path: self.path.into(),
+            cause,
+        })
+    }
+
+    /// Returns the line of a key, or of as much of it as is there.
+    fn line_of(&self, key: &str) -> usize {
+        let (mut item, mut span) = (self.document.as_item(), None);
+        for name in key.split('.') {
+            let Some(table) = item.as_table_like() else {
+                break;
+            };
+            let Some((key, next)) = table.get_key_value(name) else {
+                break;
+            };
+            span = key.span().or_else(|| next.span()).or(span);
+            item = next;
+        }
+        span.map_or(1, |span| line_at(self.text, span.start))
+    }
+}
+
+/// Returns the number of the line at an offset, counted from one.
+fn line_at(text: &str, offset: usize) -> usize {
+    text[..offset.min(text.len())].matches('\n').count() + 1
+}
+
+impl Merged {
+    /// Merges a file's text.
+    pub(super) fn merge_file(&mut self, path: &Path, text: &str) -> Result<(), OptionsError> {
+        let file = OptionsFile::parse(path, text)?;
+        let table = file.table()?;
         match table.get("version") {
             None => {}
-            Some(Value::Integer(version)) if (1..=VERSION).contains(version) => {}
+            Some(Value::Integer(version)) if (1..=NEWEST_VERSION).contains(version) => {}
             Some(version) => {
-                let line = line_of("version");
-                return Err(format!(
-                    "{shown}:{line}: version: {version} is not known; this program reads 1 to {VERSION}"
-                ));
+                return Err(OptionsError::Version {
+                    path: path.into(),
+                    line: file.line_of("version"),
+                    found: version.to_string(),
+                    newest: NEWEST_VERSION,
+                });
             }
         }
-        for (key, value) in flat(&table).into_iter().filter(|(key, _)| key != "version") {
-            let line = line_of(&key);
+        let options = flatten(&table).into_iter();
+        for (key, value) in options.filter(|(key, _)| key != "version") {
+            let line = file.line_of(&key);
             self.set(&key, value, Source::File(path.into(), line))?;
         }
-        // A table without a key says nothing, but its name may be a slip.
-        for (name, _) in table
+        self.check_empty_tables(&file, &table)
+    }
+
+    /// Checks tables without a key: one sets nothing, but its name may be a slip.
+    fn check_empty_tables(
+        &self,
+        file: &OptionsFile<'_>,
+        table: &Table,
+    ) -> Result<(), OptionsError> {
+        let empty = table
             .iter()
-            .filter(|(_, v)| v.as_table().is_some_and(Table::is_empty))
-        {
-            if !self.known.iter().any(|k| k.split('.').next() == Some(name)) {
-                return Err(format!("{shown}:{}: {}", line_of(name), self.unknown(name)));
+            .filter(|(_, value)| value.as_table().is_some_and(Table::is_empty));
+        for (name, _) in empty {
+            let is_known = |key: &String| key.split('.').next() == Some(name);
+            if !self.known.iter().any(is_known) {
+                let line = file.line_of(name);
+                return Err(OptionsError::UnknownKey {
+                    at: format!("{}:{line}", file.path.display()),
+                    unknown: self.unknown(name),
+                });
             }
         }
         Ok(())
     }
 
-    /// What a key that is not known should perhaps have been.
-    fn unknown(&self, key: &str) -> String {
-        let first = key.split('.').next().unwrap_or(key);
-        if LATER.contains(&first) {
-            return format!("{key}: this version has no part {first:?}");
-        }
-        let parts = PARTS.iter().map(|p| format!("log.parts.{p}"));
-        let all = self
-            .known
+    /// Returns every key that may be set.
+    fn settable_keys(&self) -> impl Iterator<Item = String> + '_ {
+        let targets = LOG_TARGETS
             .iter()
-            .cloned()
-            .chain(parts)
-            .chain(["log".into(), "figures".into()]);
-        let near = all
-            .max_by(|a, b| strsim::jaro_winkler(a, key).total_cmp(&strsim::jaro_winkler(b, key)));
-        format!(
-            "{key}: unknown; the nearest known key is {}",
-            near.unwrap_or_default()
-        )
+            .map(|target| format!("log.parts.{target}"));
+        self.known.iter().cloned().chain(targets)
     }
 
-    /// The key that a variable sets.
-    pub(super) fn key_of(&self, variable: &str) -> Result<String, String> {
+    /// Returns what a key that is not known should perhaps have been.
+    fn unknown(&self, key: &str) -> UnknownKey {
+        let table = key.split('.').next().unwrap_or(key);
+        if LATER_TABLES.contains(&table) {
+            return UnknownKey::Later {
+                key: key.into(),
+                table: table.into(),
+            };
+        }
+        let similarity = |known: &String| strsim::jaro_winkler(known, key);
+        let nearest = self
+            .settable_keys()
+            .chain(["log".into(), "figures".into()])
+            .max_by(|a, b| similarity(a).total_cmp(&similarity(b)));
+        UnknownKey::Slip {
+            key: key.into(),
+            nearest: nearest.unwrap_or_default(),
+        }
+    }
+
+    /// Returns the key that a variable sets.
+    pub(super) fn key_of(&self, variable: &str) -> Result<String, OptionsError> {
         let key = variable
             .strip_prefix(PREFIX)
             .or_else(|| variable.strip_prefix(OLD_PREFIX))
             .unwrap_or(variable);
         let wanted = key.to_ascii_lowercase();
-        let parts = PARTS.iter().map(|p| format!("log.parts.{p}"));
         let found = self
-            .known
-            .iter()
-            .cloned()
-            .chain(parts)
+            .settable_keys()
             .find(|key| key.replace('.', "_") == wanted);
-        found.ok_or_else(|| {
-            format!(
-                "{variable}: {}",
-                self.unknown(&wanted.replacen('_', ".", 1))
-            )
+        found.ok_or_else(|| OptionsError::UnknownKey {
+            at: variable.into(),
+            unknown: self.unknown(&wanted.replacen('_', ".", 1)),
         })
     }
 
-    /// Sets one key. What comes of it is checked at once, so that what is wrong is named with its source.
-    pub(super) fn set(&mut self, key: &str, value: Value, source: Source) -> Result<(), String> {
-        let part = key
+    /// Sets one key and checks the result at once, so that an error names the source.
+    pub(super) fn set(
+        &mut self,
+        key: &str,
+        value: Value,
+        source: Source,
+    ) -> Result<(), OptionsError> {
+        let is_target_level = key
             .strip_prefix("log.parts.")
-            .is_some_and(|part| PARTS.contains(&part));
-        if !part && !self.known.iter().any(|k| k == key) {
-            return Err(format!("{source}: {}", self.unknown(key)));
+            .is_some_and(|target| LOG_TARGETS.contains(&target));
+        if !is_target_level && !self.known.iter().any(|known| known == key) {
+            return Err(OptionsError::UnknownKey {
+                at: source.to_string(),
+                unknown: self.unknown(key),
+            });
         }
+        let shown = value.to_string();
+        self.insert(key, value, &source)?;
+        let read: Result<Options, _> = Options::deserialize(self.table.clone());
+        let options = read.map_err(|error| OptionsError::Type {
+            at: source.clone(),
+            key: key.into(),
+            value: shown.clone(),
+            message: error.message().trim().replace('\n', " "),
+        })?;
+        options.check().map_err(|cause| OptionsError::Invalid {
+            at: source.clone(),
+            key: key.into(),
+            value: shown,
+            cause,
+        })?;
+        self.options = options;
+        self.sources.insert(key.into(), source);
+        Ok(())
+    }
+
+    /// Puts a value into the table, under a key that is known.
+    fn insert(&mut self, key: &str, value: Value, source: &Source) -> Result<(), OptionsError> {
         let mut names: Vec<&str> = key.split('.').collect();
         let last = names.pop().unwrap_or(key);
         let mut table = &mut self.table;
@@ -160,22 +239,12 @@
             let inner = table
                 .entry(name)
                 .or_insert_with(|| Value::Table(Table::new()));
-            table = inner
-                .as_table_mut()
-                .ok_or_else(|| format!("{source}: {key}: no table"))?;
+            table = inner.as_table_mut().ok_or_else(|| OptionsError::NoTable {
+                at: source.clone(),
+                key: key.into(),
+            })?;
         }
-        let shown = value.to_string();
         table.insert(last.into(), value);
-        let read: Result<Options, _> = Options::deserialize(self.table.clone());
-        let options = read.map_err(|e| {
-            let what = e.message().trim().replace('\n', " ");
-            format!("{source}: {key}: {shown}: {what}")
-        })?;
-        options
-            .check()
-            .map_err(|what| format!("{source}: {key}: {shown}: {what}"))?;
-        self.options = options;
-        self.sources.insert(key.into(), source);
         Ok(())
     }
 }
--- a/balancer/proxy/src/options/types.rs
+++ b/balancer/proxy/src/options/types.rs
@@ -5,8 +5,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Parts of the program whose events can be told apart.
-pub const PARTS: [&str; 9] = [
+/// Targets of log events.
+pub const LOG_TARGETS: [&str; 9] = [
     "run",
     "discovery",
     "callers",
@@ -17,10 +17,10 @@
     "recovery",
     "peers",
 ];
-/// The shortest time between two snapshots of the figures, or of what was learned.
-const EVERY_LEAST: Duration = Duration::from_millis(100);
-/// The longest. Times far beyond it can't be added to the clock.
-const EVERY_MOST: Duration = Duration::from_secs(24 * 60 * 60);
+/// Shortest interval of metrics snapshots, and of saves of what was learned.
+const MIN_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest of these intervals. Times far beyond it can't be added to the clock.
+const MAX_INTERVAL: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// How much is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -50,74 +50,89 @@
 
 /// `[log]`
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Log {
+#[serde(deny_unknown_fields, rename = "Log")]
+pub struct LogOptions {
     /// How much is logged.
     pub level: Level,
     /// How a line looks. Fixed for as long as the program runs.
     pub format: Format,
-    /// Lines a second, at most, from one cause.
+    /// Maximum of lines a second from one call site.
     pub rate: u32,
-    /// Levels of single parts, where they differ.
-    pub parts: BTreeMap<String, Level>,
+    /// Levels of single targets, where they differ.
+    #[serde(rename = "parts")]
+    pub targets: BTreeMap<String, Level>,
 }
 
 /// `[figures]`
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Figures {
+#[serde(deny_unknown_fields, rename = "Figures")]
+pub struct MetricsOptions {
     /// Where `figures.json` is written; empty: nowhere. Fixed for as long as the program runs.
     pub dir: PathBuf,
     /// Whether snapshots are logged.
     pub log: bool,
-    /// How often a snapshot is made.
-    #[serde(with = "humantime_serde")]
-    pub every: Duration,
+    /// Interval of snapshots.
+    #[serde(rename = "every", with = "humantime_serde")]
+    pub interval: Duration,
 }
 
-impl Figures {
+impl MetricsOptions {
     /// Whether anything is counted.
-    pub fn on(&self) -> bool {
+    pub fn is_on(&self) -> bool {
         self.log || !self.dir.as_os_str().is_empty()
     }
 }
 
 /// `[recovery]`
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Recovery {
-    /// Where state is kept; empty: nowhere. Fixed for as long as the program runs.
+#[serde(deny_unknown_fields, rename = "Recovery")]
+pub struct RecoveryOptions {
+    /// Where state is persisted; empty: nowhere. Fixed for as long as the program runs.
     pub dir: PathBuf,
-    /// A kept list of upstreams is used until it is this old. Read at the start only.
-    #[serde(with = "humantime_serde")]
-    pub list_age: Duration,
-    /// Whether what the decisions have learned is taken back. Read at the start only.
-    pub learned: bool,
-    /// How often what they have learned is kept.
-    #[serde(with = "humantime_serde")]
-    pub every: Duration,
-    /// For drills: a file that says what the disk does wrong; empty: nothing.
-    pub drill: PathBuf,
+    /// A saved list of upstreams is used until it is this old. Read at the start only.
+    #[serde(rename = "list_age", with = "humantime_serde")]
+    pub max_list_age: Duration,
+    /// Whether what the decisions have learned is restored. Read at the start only.
+    #[serde(rename = "learned")]
+    pub restore_learned: bool,
+    /// Interval at which what they have learned is saved.
+    #[serde(rename = "every", with = "humantime_serde")]
+    pub interval: Duration,
+    /// For fault injection: a file that says what the disk does wrong; empty: nothing.
+    #[serde(rename = "drill")]
+    pub fault_file: PathBuf,
+}
+
+impl RecoveryOptions {
+    /// Whether anything is persisted.
+    pub fn is_on(&self) -> bool {
+        !self.dir.as_os_str().is_empty()
+    }
 }
 
 /// `[peers]`
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Peers {
-    /// Whether this copy speaks with the others of its tier, where the settings allow that. Fixed for as long as the
+#[serde(deny_unknown_fields, rename = "Peers")]
+pub struct PeerOptions {
+    /// Whether this replica speaks with the others of its tier, where the settings allow that. Fixed for as long as the
     /// program runs.
     pub on: bool,
-    /// The highest version of the peers' protocol that it reads and speaks, if the program knows a higher one. Fixed
-    /// for as long as the program runs.
-    pub version_most: u8,
-    /// Whether the decisions hear the sums of demand, room and attempts over the tier.
-    pub shed: bool,
-    /// Whether they hear each tenant's sums of calls and of callers' connections.
-    pub shares: bool,
-    /// Whether they hear how many copies are up, and the place of this one among them.
-    pub trials: bool,
-    /// Whether they hear the evidence of others against upstreams and zones.
-    pub verdicts: bool,
+    /// The highest protocol version to support, if the program supports a higher one. Fixed for as long as the program
+    /// runs.
+    #[serde(rename = "version_most")]
+    pub max_version: u8,
+    /// Whether load shedding uses the sums of demand, capacity and attempts over the tier.
+    #[serde(rename = "shed")]
+    pub use_load_sums: bool,
+    /// Whether quotas use each tenant's sums of calls in flight and of client connections.
+    #[serde(rename = "shares")]
+    pub use_tenant_sums: bool,
+    /// Whether the decisions use the number of replicas up, and this one's position among them.
+    #[serde(rename = "trials")]
+    pub use_membership: bool,
+    /// Whether the decisions use the evidence of other replicas against upstreams and zones.
+    #[serde(rename = "verdicts")]
+    pub use_evidence: bool,
 }
 
 /// All options.
@@ -125,63 +140,82 @@
 #[serde(deny_unknown_fields)]
 pub struct Options {
     /// The log.
-    pub log: Log,
-    /// The figures.
-    pub figures: Figures,
+    pub log: LogOptions,
+    /// The metrics.
+    #[serde(rename = "figures")]
+    pub metrics: MetricsOptions,
     /// What outlives the program.
-    pub recovery: Recovery,
-    /// The other copies of the tier.
-    pub peers: Peers,
+    pub recovery: RecoveryOptions,
+    /// The tier's other replicas.
+    pub peers: PeerOptions,
+}
+
+/// What is wrong with the value of an option.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidOption {
+    /// A rate of zero.
+    #[error("must be at least 1")]
+    ZeroRate,
+    /// An interval out of bounds.
+    #[error("must be at least 100ms and at most 24h")]
+    Interval,
+    /// A highest version below the lowest that is supported.
+    #[error(
+        "no version is left; this program reads {} to {}",
+        SUPPORTED_VERSIONS.min,
+        SUPPORTED_VERSIONS.max
+    )]
+    NoVersion,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Options {
-            log: Log {
+            log: LogOptions {
                 level: Level::Info,
                 format: Format::Text,
                 rate: 20,
-                parts: BTreeMap::new(),
+                targets: BTreeMap::new(),
             },
-            figures: Figures {
+            metrics: MetricsOptions {
                 dir: PathBuf::new(),
                 log: false,
-                every: Duration::from_secs(1),
+                interval: Duration::from_secs(1),
             },
-            recovery: Recovery {
+            recovery: RecoveryOptions {
                 dir: PathBuf::new(),
-                list_age: Duration::from_secs(3600),
-                learned: true,
-                every: Duration::from_secs(1),
-                drill: PathBuf::new(),
+                max_list_age: Duration::from_secs(3600),
+                restore_learned: true,
+                interval: Duration::from_secs(1),
+                fault_file: PathBuf::new(),
             },
-            peers: Peers {
+            peers: PeerOptions {
                 on: false,
-                version_most: SUPPORTED_VERSIONS.max,
-                shed: true,
-                shares: true,
-                trials: true,
-                verdicts: true,
+                max_version: SUPPORTED_VERSIONS.max,
+                use_load_sums: true,
+                use_tenant_sums: true,
+                use_membership: true,
+                use_evidence: true,
             },
         }
     }
 }
 
 impl Options {
-    /// What the types alone do not say.
-    pub fn check(&self) -> Result<(), String> {
+    /// Checks what the types alone do not say.
+    ///
+    /// # Errors
+    /// Names the first rule that a value breaks.
+    pub fn check(&self) -> Result<(), InvalidOption> {
         if self.log.rate == 0 {
-            return Err("must be at least 1".into());
+            return Err(InvalidOption::ZeroRate);
         }
-        let period = EVERY_LEAST..=EVERY_MOST;
-        if !period.contains(&self.figures.every) || !period.contains(&self.recovery.every) {
-            return Err("must be at least 100ms and at most 24h".into());
+        let allowed = MIN_INTERVAL..=MAX_INTERVAL;
+        if !allowed.contains(&self.metrics.interval) || !allowed.contains(&self.recovery.interval) {
+            return Err(InvalidOption::Interval);
         }
-        if self.peers.version_most < SUPPORTED_VERSIONS.min {
-            return Err(format!(
-                "no version is left; this program reads {} to {}",
-                SUPPORTED_VERSIONS.min, SUPPORTED_VERSIONS.max
-            ));
+        if self.peers.max_version < SUPPORTED_VERSIONS.min {
+            return Err(InvalidOption::NoVersion);
         }
         Ok(())
     }
--- a/balancer/proxy/src/peers.rs
+++ b/balancer/proxy/src/peers.rs
@@ -1,159 +1,215 @@
-//! The tier's other copies: the thin end, on a socket and a clock, of the protocol in `balancer-gossip`. Datagrams and
-//! time go in, datagrams and words come out; nothing is decided here. Owns the protocol's state.
+//! The tier's other replicas: runs the protocol of `balancer-gossip` on a socket and a clock. Datagrams and time go in,
+//! datagrams and tier updates come out; nothing is decided here. Owns the protocol's state.
 mod addresses;
-mod end;
-mod start;
-mod words;
+mod config;
+mod convert;
+mod socket;
 
-pub(crate) use addresses::{Addresses, Unread};
-pub use words::word;
+pub(crate) use addresses::{Addresses, UnparsedAddresses};
+pub(crate) use config::TierConfig;
+pub use convert::tier_update;
 
+use crate::connection_counts::ConnectionCounts;
 use crate::driver::Handle;
-use crate::figures;
-use crate::held::Held;
-use crate::options::{self, Options};
-use balancer_gossip::{Millis, Peers};
+use crate::metrics::TierMetrics;
+use crate::options::Options;
+use addresses::AddressesError;
+use balancer_gossip::{ConfigError, Millis, Peers};
 use balancer_settings::Deployment;
-use end::End;
+use socket::{PeerSocket, Pending};
 use std::cell::RefCell;
+use std::io;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-/// How often the decisions hear what the tier knows, and how often the tier is told what they observe.
-const WORD_EVERY: Millis = 100.0;
-const OBSERVE_EVERY: Millis = 200.0;
-/// Datagrams taken at a time, and the pause before more of them are: a flood leaves time for requests.
-const TAKEN_MOST: usize = 32;
-const PAUSE: Duration = Duration::from_millis(1);
-
-/// What this copy is in its tier.
-pub(crate) struct Parts<'a> {
-    /// The settings.
-    pub deployment: &'a Deployment,
-    /// What the configuration says of peers.
-    pub addresses: &'a Unread,
-    /// The operator's options.
-    pub options: &'a options::Peers,
-    /// A number that grows with each start of this copy.
-    pub incarnation: u64,
-    /// Feeds random choices.
-    pub seed: u64,
+/// Interval at which the decisions are told what the tier knows.
+const UPDATE_INTERVAL: Millis = 100.0;
+/// Interval at which the tier is told what this replica observes.
+const OBSERVATION_INTERVAL: Millis = 200.0;
+/// Maximum of datagrams received in one turn.
+const MAX_DATAGRAMS_PER_TURN: usize = 32;
+/// Pause between two turns: a flood leaves time for requests.
+const TURN_INTERVAL: Duration = Duration::from_millis(1);
+
+/// Why a replica has no contact with its tier.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum TierError {
+    /// The settings do not permit datagrams.
+    #[error("settings.permissions.peers: datagrams are not allowed")]
+    NotPermitted,
+    /// The addresses are invalid.
+    #[error(transparent)]
+    Addresses(#[from] AddressesError),
+    /// The protocol's configuration is invalid.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The socket cannot be opened.
+    #[error("peer_listen: {listen}: {cause}")]
+    Socket {
+        /// Where it was to listen.
+        listen: SocketAddr,
+        /// What the system says.
+        #[source]
+        cause: io::Error,
+    },
 }
 
-/// Where the copies of the tier hear each other, or why they may not or cannot.
-pub(crate) fn addresses(d: &Deployment, said: &Unread) -> Result<Addresses, String> {
-    if !d.peers {
-        return Err("settings.permissions.peers: datagrams are not allowed".into());
+/// Returns the addresses of the tier's replicas.
+///
+/// # Errors
+/// Says why they may not be used, or which is invalid.
+pub(crate) fn addresses(
+    deployment: &Deployment,
+    unparsed: &UnparsedAddresses,
+) -> Result<Addresses, TierError> {
+    if !deployment.peers {
+        return Err(TierError::NotPermitted);
     }
-    said.read(d.policy.balancers)
+    Ok(unparsed.parse(deployment.policy.balancers)?)
 }
 
-/// This copy's part in its tier.
+/// This replica's contact with its tier. Clones are the same.
 #[derive(Clone)]
 pub(crate) struct Tier(Rc<Shared>);
 
 struct Shared {
     start: Instant,
-    end: End,
+    socket: PeerSocket,
     peers: RefCell<Peers>,
 }
 
+/// When periodic work is due, on the tier's clock.
+struct Schedule {
+    update_at: Millis,
+    observe_at: Millis,
+}
+
 impl Tier {
     /// Opens the socket; [`Tier::run`] must run for anything to come of it.
-    pub(crate) fn start(parts: Parts<'_>) -> Result<Tier, String> {
-        let Parts {
-            deployment,
-            incarnation,
-            seed,
-            options,
-            ..
-        } = parts;
-        let addresses = addresses(deployment, parts.addresses)?;
+    pub(crate) fn start(tier: TierConfig<'_>) -> Result<Tier, TierError> {
+        let addresses = addresses(tier.deployment, tier.addresses)?;
         let listen = addresses.listen;
-        let (start, now) = (Instant::now(), 0.0);
-        let config = start::config(deployment, incarnation, seed, options.version_most);
-        let (candidates, reads) = (config.candidates, config.supported_versions);
-        let peers = Peers::new(config, now).map_err(|e| e.to_string())?;
-        let end = End::bind(addresses).map_err(|e| format!("peer_listen: {listen}: {e}"))?;
-        let address = end
-            .address()
-            .map_err(|e| format!("peer_listen: {listen}: {e}"))?;
+        let start = Instant::now();
+        let config = config::config(&tier);
+        let (replicas, versions) = (config.candidates, config.supported_versions);
+        let peers = Peers::new(config, 0.0)?;
+        let socket_error = |cause| TierError::Socket { listen, cause };
+        let socket = PeerSocket::bind(addresses).map_err(socket_error)?;
+        let address = socket.local_addr().map_err(socket_error)?;
         tracing::info!(
-            target: "peers", event = "peers_on", address = %address, copies = candidates, least = reads.min,
-            most = reads.max, "peers: one of {candidates}, listening on {address}, reading versions {} to {}",
-            reads.min, reads.max
+            target: "peers", event = "peers_on", address = %address, copies = replicas, least = versions.min,
+            most = versions.max, "peers: one of {replicas}, listening on {address}, reading versions {} to {}",
+            versions.min, versions.max
         );
         Ok(Tier(Rc::new(Shared {
             start,
-            end,
+            socket,
             peers: RefCell::new(peers),
         })))
     }
 
-    /// Speaks with the others for ever: tells the driver what the tier knows, and the tier what it observes.
-    pub(crate) async fn run(self, driver: Handle, held: Held, options: watch::Receiver<Options>) {
-        let Shared { end, peers, .. } = &*self.0;
-        let (mut word_at, mut observe_at) = (WORD_EVERY, 0.0);
+    /// Runs the protocol for ever: tells the driver what the tier knows, and the tier what the driver observes.
+    pub(crate) async fn run(
+        self,
+        driver: Handle,
+        connection_counts: ConnectionCounts,
+        options: watch::Receiver<Options>,
+    ) {
+        let mut schedule = Schedule {
+            update_at: UPDATE_INTERVAL,
+            observe_at: 0.0,
+        };
         loop {
-            let more = end.take(
-                TAKEN_MOST,
-                || self.now(),
-                |at, from, bytes| peers.borrow_mut().handle_datagram(at, from, bytes),
-            );
+            let pending = self.receive();
             let now = self.now();
-            if now >= observe_at {
-                observe_at = now + OBSERVE_EVERY;
-                let own = words::own(driver.observed(), &held.counts());
-                peers.borrow_mut().handle_observation(now, own);
-            }
-            if peers.borrow().next_timeout().is_some_and(|at| at <= now) {
-                peers.borrow_mut().on_timeout(now);
-            }
-            self.send_and_tell();
-            if now >= word_at {
-                word_at = now + WORD_EVERY;
-                let word = peers.borrow_mut().tier_state(now);
-                driver.tier(words::word(word, &options.borrow().peers));
+            if now >= schedule.observe_at {
+                schedule.observe_at = now + OBSERVATION_INTERVAL;
+                self.observe(now, &driver, &connection_counts);
             }
-            let due = peers
-                .borrow()
-                .next_timeout()
-                .unwrap_or(f64::INFINITY)
-                .min(word_at)
-                .min(observe_at);
-            let wake = self.0.start + Duration::from_secs_f64(due.max(0.0) / 1000.0);
-            // However often something is due, requests come in between.
-            let wake = wake.max(Instant::now() + PAUSE);
-            tokio::select! {
-                () = end.readable(), if !more => {}
-                () = sleep_until(wake), if !more => {}
-                () = tokio::time::sleep(PAUSE), if more => {}
+            self.handle_timeout(now);
+            self.send_and_log();
+            if now >= schedule.update_at {
+                schedule.update_at = now + UPDATE_INTERVAL;
+                self.update(now, &driver, &options);
             }
+            self.wait(pending, &schedule).await;
+        }
+    }
+
+    fn receive(&self) -> Pending {
+        let Shared { socket, peers, .. } = &*self.0;
+        socket.receive(
+            MAX_DATAGRAMS_PER_TURN,
+            || self.now(),
+            |at, from, bytes| peers.borrow_mut().handle_datagram(at, from, bytes),
+        )
+    }
+
+    fn observe(&self, now: Millis, driver: &Handle, connection_counts: &ConnectionCounts) {
+        let counts = connection_counts.by_tenant();
+        let observations = convert::observations(driver.observed(), &counts);
+        self.0
+            .peers
+            .borrow_mut()
+            .handle_observation(now, observations);
+    }
+
+    fn handle_timeout(&self, now: Millis) {
+        let mut peers = self.0.peers.borrow_mut();
+        if peers.next_timeout().is_some_and(|at| at <= now) {
+            peers.on_timeout(now);
+        }
+    }
+
+    fn update(&self, now: Millis, driver: &Handle, options: &watch::Receiver<Options>) {
+        let state = self.0.peers.borrow_mut().tier_state(now);
+        let update = convert::tier_update(state, &options.borrow().peers);
+        driver.handle_tier_update(update);
+    }
+
+    /// Waits until there may be something to do.
+    async fn wait(&self, pending: Pending, schedule: &Schedule) {
+        if pending == Pending::Maybe {
+            tokio::time::sleep(TURN_INTERVAL).await;
+            return;
+        }
+        let timeout = self.0.peers.borrow().next_timeout();
+        let next = timeout
+            .unwrap_or(f64::INFINITY)
+            .min(schedule.update_at)
+            .min(schedule.observe_at);
+        let wake_at = self.0.start + Duration::from_secs_f64(next.max(0.0) / 1000.0);
+        // However often something is due, requests are served in between.
+        let wake_at = wake_at.max(Instant::now() + TURN_INTERVAL);
+        tokio::select! {
+            () = self.0.socket.readable() => {}
+            () = sleep_until(wake_at) => {}
         }
     }
 
-    /// Tells the others that this copy ends.
+    /// Tells the other replicas that this one is shutting down.
     pub(crate) fn leave(&self) {
         self.0.peers.borrow_mut().leave(self.now());
-        self.send_and_tell();
+        self.send_and_log();
     }
 
-    /// What is known and was counted.
-    pub(crate) fn figures(&self) -> figures::Peers {
+    /// Returns the tier's metrics.
+    pub(crate) fn metrics(&self) -> TierMetrics {
         let mut peers = self.0.peers.borrow_mut();
-        let word = peers.tier_state(self.now());
-        words::figures(&word, peers.counts(), self.0.end.dropped())
+        let state = peers.tier_state(self.now());
+        convert::tier_metrics(&state, peers.counts(), self.0.socket.dropped())
     }
 
-    fn send_and_tell(&self) {
+    fn send_and_log(&self) {
         let mut peers = self.0.peers.borrow_mut();
         while let Some(datagram) = peers.poll_transmit() {
-            self.0.end.send(&datagram);
+            self.0.socket.send(&datagram);
         }
-        while let Some(told) = peers.poll_notification() {
-            tracing::info!(target: "peers", event = "peers_told", "peers: {}", told.0);
+        while let Some(notification) = peers.poll_notification() {
+            tracing::info!(target: "peers", event = "peers_told", "peers: {}", notification.0);
         }
     }
 
--- /dev/null
+++ b/balancer/proxy/src/peers/convert.rs
@@ -0,0 +1,148 @@
+//! Conversions between the module's types and the tier protocol's: what this replica observes goes out, what the tier
+//! knows comes in. What the operator has switched off is left out on the way in, so that the decisions are those of a
+//! replica without peers. Owns no state.
+use crate::metrics;
+use crate::options::PeerOptions;
+use balancer_core::{
+    Evidence, Observed, Subject, TenantLoad, TierLoad, TierSums, TierUpdate, UpstreamId,
+};
+use balancer_gossip as gossip;
+
+/// Converts what the module observes, with the connections of each tenant's clients.
+pub(super) fn observations(observed: Observed, client_connections: &[u32]) -> gossip::Observations {
+    let load = observed.load;
+    let tenants = load.tenants.into_iter().enumerate();
+    let tenants = tenants.map(|(position, tenant)| gossip::TenantLoad {
+        demand: tenant.demand,
+        calls: tenant.calls,
+        callers: client_connections
+            .get(position)
+            .copied()
+            .map_or(0.0, f64::from),
+    });
+    gossip::Observations {
+        load: gossip::Load {
+            demand: load.demand,
+            room: load.room,
+            firsts: load.firsts,
+            retries: load.retries,
+            tenants: tenants.collect(),
+        },
+        against: observed.against.into_iter().map(to_gossip).collect(),
+        cleared: observed.cleared.into_iter().map(to_gossip).collect(),
+    }
+}
+
+fn to_gossip(subject: Subject) -> gossip::Subject {
+    match subject {
+        Subject::Upstream(UpstreamId(id)) => gossip::Subject::Upstream(id),
+        Subject::Zone(zone) => gossip::Subject::Zone(zone),
+    }
+}
+
+fn to_core(subject: gossip::Subject) -> Subject {
+    match subject {
+        gossip::Subject::Upstream(id) => Subject::Upstream(UpstreamId(id)),
+        gossip::Subject::Zone(zone) => Subject::Zone(zone),
+    }
+}
+
+/// Converts what the tier knows, as far as the options let the decisions use it.
+pub fn tier_update(state: gossip::TierState, options: &PeerOptions) -> TierUpdate {
+    // Without membership, as if this were the only replica.
+    let (up, place) = if options.use_membership {
+        (state.up, state.place)
+    } else {
+        (1, 0)
+    };
+    let evidence = state.evidence.into_iter();
+    let evidence = evidence
+        .filter(|_| options.use_evidence)
+        .map(|evidence| Evidence {
+            subject: to_core(evidence.subject),
+            observers: evidence.observers,
+            zones: evidence.zones,
+            cleared: evidence.cleared,
+            age: evidence.age,
+        });
+    let sums = state
+        .sums
+        .filter(|_| options.use_load_sums || options.use_tenant_sums);
+    TierUpdate {
+        up,
+        place,
+        joined: state.joined,
+        sums: sums.map(|sums| tier_sums(sums, options)),
+        evidence: evidence.collect(),
+    }
+}
+
+fn tier_sums(sums: gossip::Sums, options: &PeerOptions) -> TierSums {
+    let zero_unless = |used: bool, value: f64| if used { value } else { 0.0 };
+    let load_sum = |value| zero_unless(options.use_load_sums, value);
+    let tenant_sum = |value| zero_unless(options.use_tenant_sums, value);
+    let tenants = sums.load.tenants.into_iter().map(|tenant| TenantLoad {
+        demand: load_sum(tenant.demand),
+        calls: tenant_sum(tenant.calls),
+        callers: tenant_sum(tenant.callers),
+    });
+    TierSums {
+        load: TierLoad {
+            demand: load_sum(sums.load.demand),
+            room: load_sum(sums.load.room),
+            firsts: load_sum(sums.load.firsts),
+            retries: load_sum(sums.load.retries),
+            tenants: tenants.collect(),
+        },
+        age: sums.age,
+        error: sums.error,
+    }
+}
+
+/// Converts what the tier knows to metrics, whatever the decisions may use.
+pub(super) fn tier_metrics(
+    state: &gossip::TierState,
+    counters: gossip::Counters,
+    dropped_here: metrics::DroppedDatagrams,
+) -> metrics::TierMetrics {
+    let evidence_ages = state.evidence.iter().map(|evidence| evidence.age);
+    metrics::TierMetrics {
+        replicas_up: state.up,
+        position: state.place,
+        joined: state.joined,
+        version: state.version,
+        epoch: state.epoch,
+        version_changes: counters.steps,
+        suspected: counters.suspected,
+        removed: counters.gone,
+        sums: state.sums.as_ref().map(sum_metrics),
+        evidence: state.evidence.len() as u64,
+        evidence_age_ms: evidence_ages.max_by(f64::total_cmp),
+        sent: counters.sent,
+        sent_bytes: counters.sent_bytes,
+        read: counters.read,
+        read_bytes: counters.read_bytes,
+        dropped: metrics::DroppedDatagrams {
+            malformed: counters.malformed,
+            foreign_deployment: counters.foreign_deployment,
+            unsupported_version: counters.unsupported_version,
+            old: counters.old,
+            ..dropped_here
+        },
+    }
+}
+
+fn sum_metrics(sums: &gossip::Sums) -> metrics::TierSums {
+    let tenants = &sums.load.tenants;
+    metrics::TierSums {
+        age_ms: sums.age,
+        replicas: sums.heard,
+        error: sums.error,
+        demand: sums.load.demand,
+        capacity: sums.load.room,
+        first_attempts: sums.load.firsts,
+        retries: sums.load.retries,
+        in_flight: tenants.iter().map(|tenant| tenant.calls).sum(),
+        client_connections: tenants.iter().map(|tenant| tenant.callers).sum(),
+    }
+}
--- a/balancer/proxy/src/program.rs
+++ b/balancer/proxy/src/program.rs
@@ -1,12 +1,12 @@
-//! What each verb of the command line does, and the codes that the process ends with. Owns no state.
+//! The verbs of the command line, and the exit codes of the process. Owns no state.
 use crate::check;
 use crate::command_line::{self, StateVerb, Verb};
 use crate::config::Config;
 use crate::log::Logging;
 use crate::one_line::one_line;
-use crate::options::{Loaded, Sources};
+use crate::options::{Loaded, OptionsError, Sources};
 use crate::recovery;
-use crate::serve;
+use crate::serve::{self, ServeError};
 use std::process::ExitCode;
 
 /// Unusable options, or a configuration or folder of state that a check finds unusable.
@@ -16,7 +16,7 @@
 /// Whatever else the program cannot start with, or ended by.
 const FAILED: u8 = 1;
 
-/// Runs the program as its command line says.
+/// Runs the program as its command line says, and returns its exit code.
 pub fn main() -> ExitCode {
     match command_line::verb() {
         Verb::Run(arguments) => run(arguments.sources()),
@@ -25,90 +25,98 @@
     }
 }
 
-/// Says on one line why the program ends.
-fn failed(message: &str, code: u8) -> ExitCode {
+/// Prints on one line why the program ends.
+fn fail(message: &str, code: u8) -> ExitCode {
     eprintln!("balancer-proxy: {}", one_line(message));
     ExitCode::from(code)
 }
 
-fn usable_options(sources: &Sources) -> Result<Loaded, String> {
+fn usable_options(sources: &Sources) -> Result<Loaded, OptionsError> {
     let loaded = sources.load()?;
-    loaded.usable()?;
+    loaded.check_usable()?;
     Ok(loaded)
 }
 
 fn check(sources: &Sources) -> ExitCode {
     let loaded = match usable_options(sources) {
         Ok(loaded) => loaded,
-        Err(message) => return failed(&message, UNUSABLE),
+        Err(error) => return fail(&error.to_line(), UNUSABLE),
     };
     match Config::load() {
         Ok(config) => {
-            print!("{}", check::told(&config, &loaded));
+            print!("{}", check::report(&config, &loaded));
             ExitCode::SUCCESS
         }
-        Err(message) => failed(&message, UNUSABLE),
+        Err(error) => fail(&error.to_string(), UNUSABLE),
     }
 }
 
 fn run(sources: Sources) -> ExitCode {
     let loaded = match usable_options(&sources) {
         Ok(loaded) => loaded,
-        Err(message) => return failed(&message, UNUSABLE),
+        Err(error) => return fail(&error.to_line(), UNUSABLE),
     };
     let config = match Config::load() {
         Ok(config) => config,
-        Err(message) => return failed(&message, UNUSABLE_CONFIGURATION),
+        Err(error) => return fail(&error.to_string(), UNUSABLE_CONFIGURATION),
     };
     let logging = match Logging::start(&loaded.options.log) {
         Ok(logging) => logging,
-        Err(message) => return failed(&message, FAILED),
+        Err(error) => return fail(&error.to_string(), FAILED),
     };
     for variable in &loaded.deprecated {
         tracing::warn!(target: "run", event = "deprecated_variable", variable, "{variable} is deprecated: its name begins with BALANCER_ now");
     }
-    if !loaded.options.recovery.dir.as_os_str().is_empty() {
-        quiet_panics();
+    if loaded.options.recovery.is_on() {
+        install_panic_hook();
     }
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build();
-    let done = runtime.map_err(|e| e.to_string()).and_then(|runtime| {
-        let serving = serve::run(config, sources, loaded.options, &logging);
-        tokio::task::LocalSet::new().block_on(&runtime, serving)
-    });
-    match done {
+    match serve(config, sources, loaded, &logging) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            // What waits in the log goes first.
+        Err(error) => {
+            // What is queued in the log goes first.
             drop(logging);
-            failed(&message, FAILED)
+            fail(&error.to_string(), FAILED)
         }
     }
 }
 
+/// Serves on a runtime of its own.
+fn serve(
+    config: Config,
+    sources: Sources,
+    loaded: Loaded,
+    logging: &Logging,
+) -> Result<(), ServeError> {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(ServeError::Runtime)?;
+    let serving = serve::run(config, sources, loaded.options, logging);
+    tokio::task::LocalSet::new().block_on(&runtime, serving)
+}
+
 fn state(verb: &StateVerb) -> ExitCode {
-    quiet_panics();
-    let (dir, checks) = match verb {
+    install_panic_hook();
+    let (dir, must_be_usable) = match verb {
         StateVerb::Show { dir } => (dir, false),
         StateVerb::Check { dir } => (dir, true),
     };
-    match recovery::shown(dir) {
-        Ok((text, sound)) => {
-            print!("{text}");
-            if sound || !checks {
+    match recovery::inspect(dir) {
+        Ok(inspection) => {
+            print!("{}", inspection.text);
+            if inspection.is_usable || !must_be_usable {
                 ExitCode::SUCCESS
             } else {
                 ExitCode::from(UNUSABLE)
             }
         }
-        Err(message) => failed(&message, UNUSABLE),
+        Err(error) => fail(&error.to_string(), UNUSABLE),
     }
 }
 
-/// A database whose bytes make no sense ends in a panic of its reader, which is caught and told of in one line where it
-/// matters. The panic itself is told at debug.
-fn quiet_panics() {
+/// Logs panics. A database whose bytes make no sense ends in a panic of its reader, which is caught and logged in one line
+/// where it matters; the panic itself is logged at debug.
+fn install_panic_hook() {
     std::panic::set_hook(Box::new(|panic| {
         let what = panic.to_string().replace('\n', " ");
         if std::thread::current().name() == Some("main") {
--- /dev/null
+++ b/balancer/proxy/src/recovery/folder.rs
@@ -0,0 +1,102 @@
+//! Reads the folder that state is persisted in, on a thread of its own: a disk that stalls does not hold up the start.
+//! Owns no state.
+use super::start::Start;
+use crate::options::RecoveryOptions;
+use balancer_snapshots::store::{Opened, StoreError};
+use balancer_snapshots::{unix_ms, FaultFile, Found, Kind, Owner, Store};
+use std::io;
+use std::path::Path;
+use std::sync::mpsc::{channel, RecvTimeoutError};
+use std::time::Duration;
+
+/// A disk that has not answered after this is done without.
+const READ_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Why a folder cannot be read.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum FolderError {
+    /// It holds no usable store.
+    #[error("{0}")]
+    Store(#[source] StoreError),
+    /// The disk has not answered in time.
+    #[error("no answer within {READ_TIMEOUT:?}")]
+    Timeout,
+    /// The thread that reads it has failed.
+    #[error("it could not be read")]
+    Failed,
+    /// The thread that reads it could not be started.
+    #[error("{0}")]
+    Thread(#[source] io::Error),
+}
+
+/// What a folder holds, before its meaning is looked at.
+pub(super) struct FolderContents {
+    /// The store to write to, or why nothing can be written.
+    pub store: Result<Opened, StoreError>,
+    /// Which start this is, or why that could not be written.
+    pub start: Result<Start, StoreError>,
+    /// The record of the list.
+    pub list: Found,
+    /// The record of what was learned.
+    pub learned: Found,
+}
+
+/// Reads the folder that the options name and records this start in it.
+pub(super) fn read(options: &RecoveryOptions, owner: Owner) -> Result<FolderContents, FolderError> {
+    let (sender, contents) = channel();
+    let dir = options.dir.clone();
+    let faults =
+        (!options.fault_file.as_os_str().is_empty()).then(|| FaultFile::new(&options.fault_file));
+    std::thread::Builder::new()
+        .name("recovery".into())
+        .spawn(move || {
+            // Nobody may wait for it any more.
+            let _ = sender.send(read_now(&dir, owner, faults));
+        })
+        .map_err(FolderError::Thread)?;
+    match contents.recv_timeout(READ_TIMEOUT) {
+        Ok(contents) => contents.map_err(FolderError::Store),
+        Err(RecvTimeoutError::Timeout) => Err(FolderError::Timeout),
+        Err(RecvTimeoutError::Disconnected) => Err(FolderError::Failed),
+    }
+}
+
+fn read_now(
+    dir: &Path,
+    owner: Owner,
+    faults: Option<FaultFile>,
+) -> Result<FolderContents, StoreError> {
+    let mut opened = match Store::open(dir, owner.clone(), faults) {
+        Ok(opened) => opened,
+        Err(error @ StoreError::Disk(_)) => return read_copy(dir, owner, error),
+        Err(error) => return Err(error),
+    };
+    let start = match opened.store.get(Kind::Starts)? {
+        Found::Record(record) => Start::after(Some(&record.payload)),
+        Found::Missing | Found::Invalid(_) => Start::after(None),
+    };
+    let list = opened.store.get(Kind::Upstreams)?;
+    let learned = opened.store.get(Kind::Learned)?;
+    // On the disk before it is used: an incarnation must not come again. Numbers only: all of it can be written as JSON.
+    let text = serde_json::to_string(&start).unwrap_or_default();
+    let written = opened.store.put(&[(Kind::Starts, text)], unix_ms());
+    Ok(FolderContents {
+        store: Ok(opened),
+        start: written.map(|()| start),
+        list,
+        learned,
+    })
+}
+
+/// Reads a folder that cannot be written to.
+fn read_copy(dir: &Path, owner: Owner, error: StoreError) -> Result<FolderContents, StoreError> {
+    let Ok(copy) = Store::copy(dir, owner) else {
+        return Err(error);
+    };
+    Ok(FolderContents {
+        list: copy.get(Kind::Upstreams)?,
+        learned: copy.get(Kind::Learned)?,
+        store: Err(error.clone()),
+        start: Err(error),
+    })
+}
--- a/balancer/proxy/src/signals.rs
+++ b/balancer/proxy/src/signals.rs
@@ -1,4 +1,5 @@
-//! The signals that the program acts on.
+//! The signals that the program handles. Owns their streams.
+use std::io;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
 /// The signals, from the moment that they no longer end the process by themselves.
@@ -9,23 +10,22 @@
 }
 
 impl Signals {
-    /// Takes the signals over from the system.
-    pub(crate) fn listen() -> Result<Signals, String> {
-        let listen = |kind| signal(kind).map_err(|e| e.to_string());
-        let terminate = listen(SignalKind::terminate())?;
-        let interrupt = listen(SignalKind::interrupt())?;
-        let hang_up = listen(SignalKind::hangup())?;
+    /// Installs the handlers.
+    ///
+    /// # Errors
+    /// Says why the system does not let them be installed.
+    pub(crate) fn listen() -> io::Result<Signals> {
         Ok(Signals {
-            terminate,
-            interrupt,
-            hang_up,
+            terminate: signal(SignalKind::terminate())?,
+            interrupt: signal(SignalKind::interrupt())?,
+            hang_up: signal(SignalKind::hangup())?,
         })
     }
 
-    /// The signals to end, and those to read everything again.
-    pub(crate) fn split(self) -> (EndSignals, Signal) {
+    /// Separates the signals to shut down from the signal to reload.
+    pub(crate) fn split(self) -> (ShutdownSignals, Signal) {
         (
-            EndSignals {
+            ShutdownSignals {
                 terminate: self.terminate,
                 interrupt: self.interrupt,
             },
@@ -35,13 +35,13 @@
 }
 
 /// SIGTERM and SIGINT.
-pub(crate) struct EndSignals {
+pub(crate) struct ShutdownSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
-impl EndSignals {
-    /// Waits until the program is told to end.
+impl ShutdownSignals {
+    /// Waits for one of them.
     pub(crate) async fn received(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
