--- a/balancer/proxy/src/upstreams/attempt.rs
+++ b/balancer/proxy/src/upstreams/attempt.rs
@@ -1,9 +1,11 @@
-//! Attempts: one request to one upstream, written once at most, and its answer.
+//! Attempts: one request to one upstream, written at most once, and its response. Owns no state beyond an attempt's own.
 use super::connection::Connection;
-use super::load_report::{reported, HELD, SERVED};
+use super::load_report::{reported, IN_FLIGHT_FIELD, SERVED_PER_S_FIELD};
 use super::pool::Upstream;
-use super::request_write::{Progress, Refused};
-use crate::message::{end_to_end, Answer, Outgoing, BODY_MOST, DEADLINE};
+use super::request_write::{Progress, WriteRefusal};
+use crate::message::{
+    retain_end_to_end, FinalResponse, OutgoingRequest, DEADLINE_HEADER, MAX_BODY_LEN,
+};
 use crate::sockets::Sockets;
 use balancer_core::Ending;
 use bytes::Bytes;
@@ -17,27 +19,47 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
 
-/// How long the time-out of an idle connection is undercut: what is sent on one that the upstream is about to
-/// close ends as a reset, and the upstream counts from its last byte, not from when we read it.
-const IDLE_MARGIN: Duration = Duration::from_millis(250);
-/// How long a connection may take to be ready for its next request once an answer has been read whole.
-const READY_WAIT: Duration = Duration::from_millis(5);
+/// How much the idle timeout of upstreams is undercut: what is sent on a connection that the upstream is about to close
+/// ends as a reset, and the upstream counts from its last byte, not from when we read it.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(250);
+/// How long a connection may take to be ready for its next request once a response has been read completely.
+const READY_TIMEOUT: Duration = Duration::from_millis(5);
+/// The time left that a request's head states may be this old when it is written.
+const MAX_DEADLINE_AGE: Duration = Duration::from_millis(50);
 
-/// The time left that a request's head tells may be this old when it is written.
-const STAMP_MOST: Duration = Duration::from_millis(50);
-
-const DECLINED: HeaderName = HeaderName::from_static("srv-declined");
+/// Marks a response as a rejection: the request never ran.
+const DECLINED_HEADER: HeaderName = HeaderName::from_static("srv-declined");
 
 /// How an attempt ended.
-pub(crate) struct Ended {
+pub(crate) struct AttemptOutcome {
     /// What the module is told.
     pub ending: Ending,
-    /// The answer, if the request was served.
-    pub answer: Option<Answer>,
-    /// The requests that the upstream says it holds.
-    pub held: Option<f64>,
-    /// The requests a second that it says it serves.
-    pub served: Option<f64>,
+    /// The response, if the request was served.
+    pub response: Option<FinalResponse>,
+    /// The requests in flight that the upstream reports.
+    pub in_flight: Option<f64>,
+    /// The requests a second that the upstream reports to serve.
+    pub served_per_s: Option<f64>,
+}
+
+impl AttemptOutcome {
+    fn failed(ending: Ending) -> AttemptOutcome {
+        AttemptOutcome {
+            ending,
+            response: None,
+            in_flight: None,
+            served_per_s: None,
+        }
+    }
+}
+
+/// The times that bound an attempt.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct AttemptTimes {
+    /// The request must not be written from then on.
+    pub write_by: Instant,
+    /// The response is waited for until then.
+    pub until: Instant,
 }
 
 /// What all attempts share.
@@ -46,208 +68,256 @@
     /// A connection that is not up after this long counts as refused.
     pub dial_timeout: Duration,
     /// Connections are closed when idle for this long.
-    pub idle: Duration,
-    /// Sockets that may still be opened.
+    pub idle_timeout: Duration,
+    /// The budget of sockets.
     pub sockets: Sockets,
 }
 
 impl Transport {
-    /// `idle_close` is when upstreams close idle connections.
+    /// Creates a transport; `idle_close` is when upstreams close idle connections.
     pub(crate) fn new(dial_timeout: Duration, idle_close: Duration, sockets: Sockets) -> Self {
-        let idle = idle_close.saturating_sub(IDLE_MARGIN).max(idle_close / 2);
+        let idle_timeout = idle_close
+            .saturating_sub(IDLE_TIMEOUT_MARGIN)
+            .max(idle_close / 2);
         Transport {
             dial_timeout,
-            idle,
+            idle_timeout,
             sockets,
         }
     }
 
     async fn dial(&self, addr: SocketAddr, until: Instant) -> Option<Connection> {
-        let permit = self.sockets.upstream()?;
+        let permit = self.sockets.try_acquire_upstream()?;
         let until = until.min(Instant::now() + self.dial_timeout);
         timeout_at(until, Connection::dial(addr, permit))
             .await
             .ok()?
     }
 
-    /// A connection to `to`, and whether it has carried requests before.
-    async fn connect(&self, to: &Upstream, until: Instant) -> Option<(Connection, bool)> {
-        match to.take(self.idle) {
-            Some((connection, settled)) => {
-                sleep_until(settled).await;
-                Some((connection, true))
-            }
-            None => Some((self.dial(to.addr.get(), until).await?, false)),
+    /// Takes an idle connection, or opens one.
+    async fn connect(&self, upstream: &Upstream, until: Instant) -> Option<Connected> {
+        if let Some(reused) = upstream.take(self.idle_timeout) {
+            sleep_until(reused.ready_at).await;
+            return Some(Connected {
+                connection: reused.connection,
+                is_reused: true,
+            });
         }
+        let connection = self.dial(upstream.addr.get(), until).await?;
+        Some(Connected {
+            connection,
+            is_reused: false,
+        })
     }
 
-    /// Writes the request on one connection and waits for the head of its answer. Nothing is written twice: another
-    /// connection is tried only if the one before did not take a byte, or surely not all.
-    async fn exchange(&self, of: &Exchange) -> Result<(Connection, Response<Incoming>), Ending> {
+    /// Writes the request on one connection and waits for the head of its response. Nothing is written twice: another
+    /// connection is used only if the one before did not take a byte, or surely not all.
+    async fn exchange(&self, exchange: &Exchange) -> Result<Exchanged, Ending> {
+        let write_by = exchange.times.write_by;
         loop {
-            let connected = self.connect(&of.to, of.write_by).await;
-            let (mut connection, reused) = connected.ok_or_else(|| of.not_connected())?;
-            // Guards against a client that left, or a list that came, before this turn began: the runtime asks the
-            // system once more what has come, and hands that to those who wait for it first.
+            let connected = self.connect(&exchange.upstream, write_by).await;
+            let connected = connected.ok_or_else(|| exchange.not_connected())?;
+            let Connected {
+                mut connection,
+                is_reused,
+            } = connected;
+            // Guards against a client that disconnected, or a list that came, before this turn began: the runtime asks
+            // the system once more what has come, and hands that to those who wait for it first.
             yield_now().await;
-            let request = of.request().ok_or(Ending::Moot)?;
-            of.begin_on(&connection);
-            let answer = connection.sender.try_send_request(request).await;
-            let refused = connection.write.refused();
-            match (answer, connection.write.progress()) {
-                (Ok(answer), Progress::Whole) if has_two_lengths(&answer) => {
-                    return Err(Ending::Reset)
-                }
-                (Ok(answer), Progress::Whole) if refused.is_none() => {
-                    return Ok((connection, answer))
-                }
-                // Of no request that was not whole at the upstream; it can't get whole any more.
-                (Ok(answer), _) if ending(&answer) == Ending::Full => return Err(Ending::Full),
-                (Ok(_), _) => return Err(Ending::ConnectFailed),
-                (Err(_), _) if refused == Some(Refused::Over) => return Err(Ending::Moot),
-                (Err(_), _) if refused == Some(Refused::Stale) => {}
-                // A connection that was idle and had been closed meanwhile, or has brought something unasked, says
-                // nothing about the upstream, so the next one is tried; each is tried once.
-                (Err(_), Progress::Unwritten) if reused => {}
-                (Err(_), Progress::Unwritten | Progress::Partial) => {
-                    return Err(Ending::ConnectFailed)
+            let request = exchange.request().ok_or(Ending::Moot)?;
+            exchange.begin_write(&connection);
+            let response = connection.sender.try_send_request(request).await;
+            let refusal = connection.write.refusal();
+            let progress = connection.write.progress();
+            match response {
+                Ok(head) => {
+                    check_head(&head, progress, refusal)?;
+                    return Ok(Exchanged { connection, head });
                 }
-                (Err(_), Progress::Whole) => return Err(Ending::Reset),
+                Err(_) => check_may_use_another(progress, refusal, is_reused)?,
             }
         }
     }
 
-    /// Carries one attempt out: its request is written once at most, and not after the first of `times`; it ends by
-    /// the second. Dropping the future closes the connection.
+    /// Carries out one attempt: its request is written at most once, and not after `times.write_by`; it ends by
+    /// `times.until`. Dropping the future closes the connection.
     pub(crate) async fn attempt(
         &self,
-        to: Rc<Upstream>,
-        out: Rc<Outgoing>,
-        times: (Instant, Instant),
-    ) -> Ended {
-        let failed = |ending| Ended {
-            ending,
-            answer: None,
-            held: None,
-            served: None,
-        };
-        let (write_by, until) = times;
-        let of = Exchange {
-            to,
-            out,
-            write_by,
-            until,
+        upstream: Rc<Upstream>,
+        outgoing: Rc<OutgoingRequest>,
+        times: AttemptTimes,
+    ) -> AttemptOutcome {
+        let exchange = Exchange {
+            upstream,
+            outgoing,
+            times,
         };
-        let (mut connection, answer) = match self.exchange(&of).await {
+        let Exchanged {
+            mut connection,
+            head,
+        } = match self.exchange(&exchange).await {
             Ok(exchanged) => exchanged,
-            Err(ending) => return failed(ending),
+            Err(ending) => return AttemptOutcome::failed(ending),
         };
-        let (ending, headers) = (ending(&answer), answer.headers());
-        let (held, served) = (reported(headers, HELD), reported(headers, SERVED));
-        let (head, body) = answer.into_parts();
-        let Ok(body) = Limited::new(body, BODY_MOST).collect().await else {
-            return failed(Ending::Reset);
+        let ending = ending_of(&head);
+        let in_flight = reported(head.headers(), IN_FLIGHT_FIELD);
+        let served_per_s = reported(head.headers(), SERVED_PER_S_FIELD);
+        let (head, body) = head.into_parts();
+        let Ok(body) = Limited::new(body, MAX_BODY_LEN).collect().await else {
+            return AttemptOutcome::failed(Ending::Reset);
         };
-        // Back before the outcome is told: what the module sends next may go on this connection.
-        if let Ok(Ok(())) = timeout(READY_WAIT, connection.sender.ready()).await {
-            of.to.give_back(connection);
+        // Put back before the outcome is told: what the module sends next may go on this connection.
+        if let Ok(Ok(())) = timeout(READY_TIMEOUT, connection.sender.ready()).await {
+            exchange.upstream.put_back(connection);
         }
-        let answer = (ending == Ending::Ok).then(|| {
+        let response = (ending == Ending::Ok).then(|| {
             let mut headers = head.headers;
-            end_to_end(&mut headers);
-            Answer::Served {
+            retain_end_to_end(&mut headers);
+            FinalResponse::Served {
                 headers,
                 body: body.to_bytes(),
             }
         });
-        Ended {
+        AttemptOutcome {
             ending,
-            answer,
-            held,
-            served,
+            response,
+            in_flight,
+            served_per_s,
         }
     }
 }
 
+/// A connection that may carry a request.
+struct Connected {
+    connection: Connection,
+    /// Whether it has carried requests before.
+    is_reused: bool,
+}
+
+/// A request that was written, and the head of its response.
+struct Exchanged {
+    connection: Connection,
+    head: Response<Incoming>,
+}
+
 /// A request on its way to an upstream.
 struct Exchange {
-    to: Rc<Upstream>,
-    out: Rc<Outgoing>,
-    /// It must not be written from then on.
-    write_by: Instant,
-    /// It is waited for until then.
-    until: Instant,
+    upstream: Rc<Upstream>,
+    outgoing: Rc<OutgoingRequest>,
+    times: AttemptTimes,
 }
 
 impl Exchange {
-    /// What it means that no connection came up. One given up for want of time says nothing about the upstream.
+    /// Returns what it means that no connection came up. One given up for want of time says nothing about the upstream.
     fn not_connected(&self) -> Ending {
-        if Instant::now() >= self.write_by {
+        if Instant::now() >= self.times.write_by {
             Ending::Moot
         } else {
             Ending::ConnectFailed
         }
     }
 
-    /// The request with the time that is left now; `None` if it may not be written any more.
+    /// Returns the request with the time that is left now; `None` if it may not be written any more.
     fn request(&self) -> Option<Request<Full<Bytes>>> {
         let now = Instant::now();
-        may_begin(&self.to, &self.out, self.write_by, now).ok()?;
-        let left = (self.until - now).as_micros();
-        let mut request = self.out.request().ok()?;
-        request
-            .headers_mut()
-            .insert(DEADLINE, HeaderValue::try_from(format!("{left}u")).ok()?);
+        check_may_begin(&self.upstream, &self.outgoing, self.times.write_by, now).ok()?;
+        let left = (self.times.until - now).as_micros();
+        let deadline = HeaderValue::try_from(format!("{left}u")).ok()?;
+        let mut request = self.outgoing.request().ok()?;
+        request.headers_mut().insert(DEADLINE_HEADER, deadline);
         Some(request)
     }
 
     /// Has the write of the request checked on `connection`.
-    fn begin_on(&self, connection: &Connection) {
-        let (to, out, write_by) = (self.to.clone(), self.out.clone(), self.write_by);
-        let stamped = Instant::now();
+    fn begin_write(&self, connection: &Connection) {
+        let (upstream, outgoing) = (self.upstream.clone(), self.outgoing.clone());
+        let write_by = self.times.write_by;
+        let deadline_set = Instant::now();
         connection.write.begin(move |progress| {
             let now = Instant::now();
             match progress {
-                Progress::Unwritten => may_begin(&to, &out, write_by, now)?,
-                _ if out.over.get() => return Err(Refused::Over),
+                Progress::Unwritten => check_may_begin(&upstream, &outgoing, write_by, now)?,
+                _ if outgoing.has_ended.get() => return Err(WriteRefusal::Ended),
                 _ => return Ok(()),
             }
-            if now - stamped > STAMP_MOST {
-                return Err(Refused::Stale);
+            if now - deadline_set > MAX_DEADLINE_AGE {
+                return Err(WriteRefusal::DeadlineStale);
             }
             Ok(())
         });
     }
 }
 
-/// Whether the first byte of a request may be written. Guards against what was decided before dialling and must not be
-/// written after it: the upstream may drain, the attempt's time, the window of a repeat or the request itself may be over
-/// by now.
-fn may_begin(
-    to: &Upstream,
-    out: &Outgoing,
+/// Checks whether the first byte of a request may be written. Guards against what was decided before dialling and must
+/// not be written after it: the upstream may be draining, the attempt's time, the window of a retry or the request itself
+/// may be over by now.
+fn check_may_begin(
+    upstream: &Upstream,
+    outgoing: &OutgoingRequest,
     write_by: Instant,
     now: Instant,
-) -> Result<(), Refused> {
-    if to.closed.get() || out.over.get() || now >= write_by {
-        return Err(Refused::Over);
+) -> Result<(), WriteRefusal> {
+    if upstream.is_closed.get() || outgoing.has_ended.get() || now >= write_by {
+        return Err(WriteRefusal::Ended);
     }
     Ok(())
 }
 
-/// Whether an answer says in two ways how long it is. One of them is wrong, and nobody can tell which: what is read as
-/// the next answer may be the rest of this one.
-fn has_two_lengths<B>(answer: &Response<B>) -> bool {
-    let headers = answer.headers();
+/// Checks whether a response can be the one to the request that was written.
+fn check_head<B>(
+    head: &Response<B>,
+    progress: Progress,
+    refusal: Option<WriteRefusal>,
+) -> Result<(), Ending> {
+    let is_complete = progress == Progress::Complete;
+    if is_complete && has_ambiguous_length(head) {
+        return Err(Ending::Reset);
+    }
+    if is_complete && refusal.is_none() {
+        return Ok(());
+    }
+    // The response to a request that was not complete at the upstream; it can't become complete any more.
+    if ending_of(head) == Ending::Full {
+        return Err(Ending::Full);
+    }
+    Err(Ending::ConnectFailed)
+}
+
+/// Checks whether another connection may carry a request that failed on this one.
+fn check_may_use_another(
+    progress: Progress,
+    refusal: Option<WriteRefusal>,
+    is_reused: bool,
+) -> Result<(), Ending> {
+    match (refusal, progress) {
+        (Some(WriteRefusal::Ended), _) => Err(Ending::Moot),
+        (Some(WriteRefusal::DeadlineStale), _) => Ok(()),
+        // A connection that was idle and had been closed meanwhile, or has brought unsolicited input, says nothing about
+        // the upstream, so the next one is used; each is used once.
+        (_, Progress::Unwritten) if is_reused => Ok(()),
+        (_, Progress::Unwritten | Progress::Partial) => Err(Ending::ConnectFailed),
+        (_, Progress::Complete) => Err(Ending::Reset),
+    }
+}
+
+/// Whether a response states its length in two ways. One of them is wrong, and nobody can tell which: what is read as
+/// the next response may be the rest of this one (RFC 9112, section 6.3).
+fn has_ambiguous_length<B>(response: &Response<B>) -> bool {
+    let headers = response.headers();
     headers.contains_key(header::TRANSFER_ENCODING) && headers.contains_key(header::CONTENT_LENGTH)
 }
 
-/// What an answer says. Only a mark that the request was turned away proves that it never ran.
-fn ending<B>(answer: &Response<B>) -> Ending {
-    let declined = answer.headers().get(DECLINED).is_some_and(|v| v == "1");
-    match answer.status() {
+/// Returns what a response says of its attempt. Only the mark of a rejection proves that the request never ran.
+fn ending_of<B>(response: &Response<B>) -> Ending {
+    let headers = response.headers();
+    let is_declined = headers
+        .get(DECLINED_HEADER)
+        .is_some_and(|value| value == "1");
+    match response.status() {
         StatusCode::OK => Ending::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Ending::Full,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_declined => {
+            Ending::Full
+        }
         _ => Ending::Error,
     }
 }
--- a/balancer/proxy/src/upstreams/connection.rs
+++ b/balancer/proxy/src/upstreams/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to an upstream: dialled, and closed when dropped.
 use super::request_write::{CheckedStream, RequestWrite};
-use crate::message::BODY_MOST;
+use crate::message::MAX_BODY_LEN;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::client::conn::http1;
@@ -38,7 +38,7 @@
         let write = RequestWrite::new();
         let stream = TokioIo::new(CheckedStream::new(stream, write.clone()));
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(BODY_MOST)
+            .max_buf_size(MAX_BODY_LEN)
             .handshake(stream)
             .await
             .ok()?;
--- a/balancer/proxy/src/upstreams/mod.rs
+++ b/balancer/proxy/src/upstreams/mod.rs
@@ -5,5 +5,5 @@
 mod pool;
 mod request_write;
 
-pub(crate) use attempt::{Ended, Transport};
+pub(crate) use attempt::{AttemptTimes, Transport};
 pub(crate) use pool::Upstream;
--- a/balancer/proxy/src/upstreams/pool.rs
+++ b/balancer/proxy/src/upstreams/pool.rs
@@ -1,4 +1,4 @@
-//! An upstream and the connections to it that carry nothing now. Owns these.
+//! An upstream and its idle connections. Owns these.
 use super::connection::Connection;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -6,16 +6,24 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An upstream may send a second answer some milliseconds after the first. It spoils a connection that carries nothing,
-/// and would be taken for the answer of the next request that is written: none is until this long after an answer.
-const SETTLE: Duration = Duration::from_millis(10);
+/// An upstream may send a second response some milliseconds after the first. It spoils an idle connection, and would be
+/// taken for the response of the next request that is written: none is until this long after a response.
+const REUSE_DELAY: Duration = Duration::from_millis(10);
 
 struct Idle {
     connection: Connection,
     since: Instant,
 }
 
-/// One upstream: where it is, and the connections to it that carry nothing now.
+/// A connection that is taken for its next request.
+pub(super) struct ReusedConnection {
+    /// The connection.
+    pub connection: Connection,
+    /// When it may carry the request.
+    pub ready_at: Instant,
+}
+
+/// One upstream: where it is, and its idle connections.
 pub(crate) struct Upstream {
     /// Its name in discovery.
     pub name: String,
@@ -23,53 +31,52 @@
     pub zone: u16,
     /// Where it listens.
     pub addr: Cell<SocketAddr>,
-    /// It drains or is gone: nothing more may be written to it, also of what was decided before. A list may have counted
-    /// as told some time before it is read here, so that a grace from now on could end too late.
-    pub closed: Cell<bool>,
+    /// It is draining or removed: nothing more may be written to it, also of what was decided before. A list may have
+    /// counted as delivered some time before it is read here, so that a grace period from now on could end too late.
+    pub is_closed: Cell<bool>,
     idle: RefCell<Vec<Idle>>,
 }
 
 impl Upstream {
-    /// An upstream that nothing is connected to yet.
+    /// Creates an upstream without connections.
     pub(crate) fn new(name: String, zone: u16, addr: SocketAddr) -> Rc<Upstream> {
-        let (addr, closed, idle) = (Cell::new(addr), Cell::new(false), RefCell::default());
         Rc::new(Upstream {
             name,
             zone,
-            addr,
-            closed,
-            idle,
+            addr: Cell::new(addr),
+            is_closed: Cell::new(false),
+            idle: RefCell::default(),
         })
     }
 
-    /// Closes the connections that carry no call now.
+    /// Closes the idle connections.
     pub(crate) fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes the connections that have been idle for longer than `most`, and those the other side closed.
-    pub(crate) fn sweep(&self, now: Instant, most: Duration) {
+    /// Closes the connections that have been idle for `idle_timeout`, and those the other side closed.
+    pub(crate) fn sweep(&self, now: Instant, idle_timeout: Duration) {
         self.idle
             .borrow_mut()
-            .retain(|i| !i.connection.sender.is_closed() && now - i.since < most);
+            .retain(|idle| !idle.connection.sender.is_closed() && now - idle.since < idle_timeout);
     }
 
-    /// Since when the connection that was idle longest is idle.
+    /// Returns since when the connection that was idle longest is idle.
     pub(crate) fn oldest_idle(&self) -> Option<Instant> {
-        self.idle.borrow().first().map(|i| i.since)
+        self.idle.borrow().first().map(|idle| idle.since)
     }
 
     /// Closes the connection that was idle longest.
-    pub(crate) fn drop_oldest(&self) {
+    pub(crate) fn close_oldest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         if !idle.is_empty() {
             idle.remove(0);
         }
     }
 
-    /// Keeps a connection whose answer has been read whole, unless the upstream drains.
-    pub(super) fn give_back(&self, connection: Connection) {
-        if !self.closed.get() {
+    /// Keeps a connection whose response has been read completely, unless the upstream is closed.
+    pub(super) fn put_back(&self, connection: Connection) {
+        if !self.is_closed.get() {
             self.idle.borrow_mut().push(Idle {
                 connection,
                 since: Instant::now(),
@@ -77,15 +84,20 @@
         }
     }
 
-    /// A connection and when it may carry its next request: the one used last of those that may now, as the others then
-    /// go idle and close instead of all being kept warm by turns; else the one that may next.
-    pub(super) fn take(&self, most: Duration) -> Option<(Connection, Instant)> {
+    /// Takes an idle connection: the one used last of those that may carry a request now, as the others then reach their
+    /// timeout instead of all being used by turns; else the one that may next.
+    pub(super) fn take(&self, idle_timeout: Duration) -> Option<ReusedConnection> {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|i| i.connection.sender.is_ready() && now - i.since < most);
-        let settled = idle.iter().rposition(|i| i.since + SETTLE <= now);
-        let at = settled.or((!idle.is_empty()).then_some(0))?;
-        let Idle { connection, since } = idle.remove(at);
-        Some((connection, since + SETTLE))
+        idle.retain(|idle| idle.connection.sender.is_ready() && now - idle.since < idle_timeout);
+        let ready = idle
+            .iter()
+            .rposition(|idle| idle.since + REUSE_DELAY <= now);
+        let position = ready.or((!idle.is_empty()).then_some(0))?;
+        let Idle { connection, since } = idle.remove(position);
+        Some(ReusedConnection {
+            connection,
+            ready_at: since + REUSE_DELAY,
+        })
     }
 }
--- a/balancer/proxy/src/upstreams/request_write.rs
+++ b/balancer/proxy/src/upstreams/request_write.rs
@@ -18,21 +18,21 @@
     /// Not all: it never runs if the connection ends now.
     Partial,
     /// All: it may run.
-    Whole,
+    Complete,
 }
 
 /// Why a request was not written, or not to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Refused {
+pub(super) enum WriteRefusal {
     /// The request has ended, or nothing more may be written to this upstream.
-    Over,
+    Ended,
     /// What its head says has grown too old.
-    Stale,
+    DeadlineStale,
     /// Bytes or an end of the connection came before the request was written: they are no answer to it.
-    Spoilt,
+    UnsolicitedInput,
 }
 
-type Permission = Box<dyn Fn(Progress) -> Result<(), Refused>>;
+type Permission = Box<dyn Fn(Progress) -> Result<(), WriteRefusal>>;
 
 /// The request that a connection carries now, as far as it is written.
 pub(super) struct RequestWrite {
@@ -41,8 +41,8 @@
     missing: Cell<Option<usize>>,
     progress: Cell<Progress>,
     /// Something was read while the request was half written.
-    early: Cell<bool>,
-    refused: Cell<Option<Refused>>,
+    has_early_input: Cell<bool>,
+    refusal: Cell<Option<WriteRefusal>>,
 }
 
 impl RequestWrite {
@@ -52,18 +52,21 @@
             permission: RefCell::default(),
             missing: Cell::new(None),
             progress: Cell::new(Progress::Unwritten),
-            early: Cell::new(false),
-            refused: Cell::new(None),
+            has_early_input: Cell::new(false),
+            refusal: Cell::new(None),
         })
     }
 
     /// A request is about to be handed over. `permission` is asked before each write, until the request is whole.
-    pub(super) fn begin(&self, permission: impl Fn(Progress) -> Result<(), Refused> + 'static) {
+    pub(super) fn begin(
+        &self,
+        permission: impl Fn(Progress) -> Result<(), WriteRefusal> + 'static,
+    ) {
         *self.permission.borrow_mut() = Some(Box::new(permission));
         self.missing.set(None);
         self.progress.set(Progress::Unwritten);
-        self.early.set(false);
-        self.refused.set(None);
+        self.has_early_input.set(false);
+        self.refusal.set(None);
     }
 
     /// How much of the request has been written.
@@ -72,36 +75,36 @@
     }
 
     /// Why it was not written, if a check refused it.
-    pub(super) fn refused(&self) -> Option<Refused> {
-        self.refused.get()
+    pub(super) fn refusal(&self) -> Option<WriteRefusal> {
+        self.refusal.get()
     }
 
     /// Asks whether the next bytes may be written.
-    fn check(&self, stream: &TcpStream) -> Result<(), Refused> {
+    fn check(&self, stream: &TcpStream) -> Result<(), WriteRefusal> {
         let progress = self.progress.get();
-        if progress == Progress::Whole {
+        if progress == Progress::Complete {
             return Ok(());
         }
         if let Some(permission) = &*self.permission.borrow() {
             permission(progress)?;
         }
-        if self.early.get() || has_input(stream) {
-            return Err(Refused::Spoilt);
+        if self.has_early_input.get() || has_input(stream) {
+            return Err(WriteRefusal::UnsolicitedInput);
         }
         Ok(())
     }
 
     /// Notes that something was read, or the end of what there is.
-    fn read(&self) {
+    fn note_read(&self) {
         if self.progress.get() == Progress::Partial {
-            self.early.set(true);
+            self.has_early_input.set(true);
         }
     }
 
     /// Notes that of `offered` bytes `written` were taken. The whole request is offered at its first write: its body is
     /// one piece in memory. Only of a head that fills the write buffer alone the body comes later; such a request
     /// counts as whole too early, which is the safe side.
-    fn wrote(&self, offered: usize, written: usize) {
+    fn note_written(&self, offered: usize, written: usize) {
         let missing = self
             .missing
             .get()
@@ -109,7 +112,7 @@
             .saturating_sub(written);
         self.missing.set(Some(missing));
         self.progress.set(if missing == 0 {
-            Progress::Whole
+            Progress::Complete
         } else {
             Progress::Partial
         });
@@ -144,7 +147,7 @@
     ) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         ready!(Pin::new(&mut this.stream).poll_read(cx, buffer))?;
-        this.request.read();
+        this.request.note_read();
         Poll::Ready(Ok(()))
     }
 }
@@ -164,13 +167,13 @@
         pieces: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
-        if let Err(refused) = this.request.check(&this.stream) {
-            this.request.refused.set(Some(refused));
+        if let Err(refusal) = this.request.check(&this.stream) {
+            this.request.refusal.set(Some(refusal));
             return Poll::Ready(Err(ErrorKind::ConnectionAborted.into()));
         }
         let offered = pieces.iter().map(|piece| piece.len()).sum();
         let written = ready!(Pin::new(&mut this.stream).poll_write_vectored(cx, pieces))?;
-        this.request.wrote(offered, written);
+        this.request.note_written(offered, written);
         Poll::Ready(Ok(written))
     }
 
--- a/balancer/proxy/tests/attempts_write.rs
+++ b/balancer/proxy/tests/attempts_write.rs
@@ -4,7 +4,7 @@
 #[path = "../src/upstreams/request_write.rs"]
 mod request_write;
 
-use request_write::{CheckedStream, Progress, Refused, RequestWrite};
+use request_write::{CheckedStream, Progress, RequestWrite, WriteRefusal};
 use std::cell::Cell;
 use std::future::poll_fn;
 use std::io::{self, IoSlice, Read, Write};
@@ -111,7 +111,7 @@
     runtime.block_on(test);
 }
 
-fn refused(written: io::Result<usize>) {
+fn refusal(written: io::Result<usize>) {
     assert_eq!(
         written.expect_err("it was written").kind(),
         io::ErrorKind::ConnectionAborted
@@ -126,8 +126,8 @@
         assert_eq!(pair.request.progress(), Progress::Unwritten);
         assert_eq!(pair.write(REQUEST).await.expect("written"), REQUEST.len());
         assert_eq!(
-            (pair.request.progress(), pair.request.refused()),
-            (Progress::Whole, None)
+            (pair.request.progress(), pair.request.refusal()),
+            (Progress::Complete, None)
         );
         assert_eq!(pair.got(), REQUEST);
     });
@@ -136,16 +136,16 @@
 #[test]
 fn nothing_is_written_for_a_request_that_ended_after_it_was_handed_over() {
     run(async {
-        for why in [Refused::Over, Refused::Stale] {
+        for why in [WriteRefusal::Ended, WriteRefusal::DeadlineStale] {
             let mut pair = Pair::new();
             let over = Rc::new(Cell::new(false));
             let asked = over.clone();
             pair.request
                 .begin(move |_| if asked.get() { Err(why) } else { Ok(()) });
             over.set(true);
-            refused(pair.write(REQUEST).await);
+            refusal(pair.write(REQUEST).await);
             assert_eq!(
-                (pair.request.progress(), pair.request.refused()),
+                (pair.request.progress(), pair.request.refusal()),
                 (Progress::Unwritten, Some(why))
             );
             assert_eq!(pair.got(), b"");
@@ -165,9 +165,12 @@
             .write_all(b"HTTP/1.1 200 OK\r\n")
             .expect("writes");
         pair.arrives(17);
-        refused(pair.write(REQUEST).await);
-        let seen = (pair.request.progress(), pair.request.refused());
-        assert_eq!(seen, (Progress::Unwritten, Some(Refused::Spoilt)));
+        refusal(pair.write(REQUEST).await);
+        let seen = (pair.request.progress(), pair.request.refusal());
+        assert_eq!(
+            seen,
+            (Progress::Unwritten, Some(WriteRefusal::UnsolicitedInput))
+        );
         assert_eq!(pair.got(), REQUEST, "the first request alone");
     });
 }
@@ -181,9 +184,12 @@
             .shutdown(Shutdown::Write)
             .expect("ends its side");
         pair.arrives(0);
-        refused(pair.write(REQUEST).await);
-        let seen = (pair.request.progress(), pair.request.refused());
-        assert_eq!(seen, (Progress::Unwritten, Some(Refused::Spoilt)));
+        refusal(pair.write(REQUEST).await);
+        let seen = (pair.request.progress(), pair.request.refusal());
+        assert_eq!(
+            seen,
+            (Progress::Unwritten, Some(WriteRefusal::UnsolicitedInput))
+        );
         assert_eq!(pair.got(), b"");
     });
 }
@@ -203,8 +209,8 @@
         // Either look at it may find the error, which the system tells once; the end stays.
         while matches!(pair.probe.peek(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock) {
         }
-        refused(pair.write(REQUEST).await);
-        assert_eq!(pair.request.refused(), Some(Refused::Spoilt));
+        refusal(pair.write(REQUEST).await);
+        assert_eq!(pair.request.refusal(), Some(WriteRefusal::UnsolicitedInput));
     });
 }
 
@@ -216,7 +222,7 @@
         let asked = over.clone();
         pair.request.begin(move |_| {
             if asked.get() {
-                Err(Refused::Over)
+                Err(WriteRefusal::Ended)
             } else {
                 Ok(())
             }
@@ -226,10 +232,10 @@
         assert!(taken < LARGE);
         assert_eq!(pair.request.progress(), Progress::Partial);
         over.set(true);
-        refused(pair.write_now(&large[taken..]));
+        refusal(pair.write_now(&large[taken..]));
         assert_eq!(
-            (pair.request.progress(), pair.request.refused()),
-            (Progress::Partial, Some(Refused::Over))
+            (pair.request.progress(), pair.request.refusal()),
+            (Progress::Partial, Some(WriteRefusal::Ended))
         );
         assert_eq!(pair.got().len(), taken);
     });
@@ -239,14 +245,14 @@
 fn an_answer_to_half_a_request_keeps_the_rest_back() {
     run(async {
         // Seen by a read before the next write, or lying there unread.
-        for read in [true, false] {
+        for with_read in [true, false] {
             let mut pair = Pair::new();
             pair.request.begin(|_| Ok(()));
             let large = vec![b'x'; LARGE];
             let taken = pair.fill(&large).await;
             pair.upstream.write_all(b"early").expect("writes");
             pair.arrives(5);
-            if read {
+            if with_read {
                 let (mut bytes, mut got) = ([0; 5], 0);
                 while got < 5 {
                     let mut buffer = ReadBuf::new(&mut bytes[got..]);
@@ -255,9 +261,12 @@
                     got += buffer.filled().len();
                 }
             }
-            refused(pair.write_now(&large[taken..]));
-            let seen = (pair.request.progress(), pair.request.refused());
-            assert_eq!(seen, (Progress::Partial, Some(Refused::Spoilt)));
+            refusal(pair.write_now(&large[taken..]));
+            let seen = (pair.request.progress(), pair.request.refusal());
+            assert_eq!(
+                seen,
+                (Progress::Partial, Some(WriteRefusal::UnsolicitedInput))
+            );
         }
     });
 }
--- a/balancer/proxy/tests/bad_input_options.rs
+++ b/balancer/proxy/tests/bad_input_options.rs
@@ -66,7 +66,7 @@
                 deprecated_file: false,
                 set: vec![format!("{key}={period}")],
             };
-            let error = sources.load().expect_err(period);
+            let error = sources.load().expect_err(period).to_line();
             is_one_line(&error);
             assert!(error.starts_with(&format!("--set: {key}: ")), "{error}");
         }
@@ -119,7 +119,7 @@
     };
     assert!(read(OPTIONS.as_bytes()).is_ok());
     let deep = format!("[log]\nparts = {}", "[".repeat(100_000));
-    is_one_line(&read(deep.as_bytes()).expect_err("deep"));
+    is_one_line(&read(deep.as_bytes()).expect_err("deep").to_line());
     let mut numbers = Numbers(3);
     let (mut taken, mut refused) = (0, 0);
     for _ in 0..3_000 {
@@ -127,19 +127,16 @@
             Ok(loaded) => {
                 taken += 1;
                 // What is taken can be added to the clock.
-                let every = loaded
-                    .options
-                    .figures
-                    .every
-                    .max(loaded.options.recovery.every);
+                let options = loaded.options;
+                let interval = options.metrics.interval.max(options.recovery.interval);
                 assert!(
-                    std::time::Instant::now().checked_add(every).is_some(),
-                    "{every:?}"
+                    std::time::Instant::now().checked_add(interval).is_some(),
+                    "{interval:?}"
                 );
             }
             Err(error) => {
                 refused += 1;
-                is_one_line(&error);
+                is_one_line(&error.to_line());
             }
         }
     }
--- a/balancer/proxy/tests/bad_input_read.rs
+++ b/balancer/proxy/tests/bad_input_read.rs
@@ -81,12 +81,18 @@
         assert!(GOOD.contains(from), "{from}");
         let error = Config::parse(GOOD.replacen(from, to, 1).as_bytes())
             .err()
-            .expect(wanted);
+            .expect(wanted)
+            .to_string();
         is_one_line(&error);
         assert!(error.contains(wanted), "wanted {wanted}: {error}");
     }
     let not_text = [&GOOD.as_bytes()[..20], &[0xff], &GOOD.as_bytes()[20..]].concat();
-    is_one_line(&Config::parse(&not_text).err().expect("not UTF-8"));
+    is_one_line(
+        &Config::parse(&not_text)
+            .err()
+            .expect("not UTF-8")
+            .to_string(),
+    );
 }
 
 #[test]
@@ -111,12 +117,14 @@
         is_one_line(
             &Config::parse(&GOOD.as_bytes()[..length])
                 .err()
-                .expect("cut off"),
+                .expect("cut off")
+                .to_string(),
         );
     }
     let names = names();
     for length in 0..LIST.len() {
-        is_one_line(&Listing::parse(&LIST.as_bytes()[..length], &names).expect_err("cut off"));
+        let error = Listing::parse(&LIST.as_bytes()[..length], &names).expect_err("cut off");
+        is_one_line(&error.to_string());
     }
 }
 
@@ -168,8 +176,9 @@
         ),
     ] {
         assert!(LIST.contains(from), "{from}");
-        let error =
-            Listing::parse(LIST.replacen(from, to, 1).as_bytes(), &names).expect_err(wanted);
+        let error = Listing::parse(LIST.replacen(from, to, 1).as_bytes(), &names)
+            .expect_err(wanted)
+            .to_string();
         is_one_line(&error);
         assert!(error.contains(wanted), "wanted {wanted}: {error}");
     }
@@ -191,7 +200,7 @@
             }
             Err(error) => {
                 refused += 1;
-                is_one_line(&error);
+                is_one_line(&error.to_string());
             }
         }
     }
@@ -210,11 +219,11 @@
         match Listing::parse(&mutated(LIST, b':', TOO_LONG, &mut numbers), &names) {
             Ok(listing) => {
                 taken += 1;
-                assert!(listing.members().all(|m| (0.0..1e15).contains(&m.since)));
+                assert!(listing.endpoints().all(|m| (0.0..1e15).contains(&m.since)));
             }
             Err(error) => {
                 refused += 1;
-                is_one_line(&error);
+                is_one_line(&error.to_string());
             }
         }
     }
--- a/balancer/proxy/tests/config.rs
+++ b/balancer/proxy/tests/config.rs
@@ -18,7 +18,7 @@
         (c.seed, c.sockets, c.deployment.dial_timeout),
         (0x8c1f_30d2_7a5b_e964, 1024, 250.0)
     );
-    let list: Vec<_> = c.known.iter().flat_map(Listing::members).collect();
+    let list: Vec<_> = c.known.iter().flat_map(Listing::endpoints).collect();
     assert_eq!((list.len(), list[0].kind, list[0].group), (1, 1, 3));
 }
 
@@ -28,6 +28,7 @@
         Config::parse(GOOD.replace(from, to).as_bytes())
             .err()
             .unwrap()
+            .to_string()
     };
     assert!(error("\"seed\":\"8c1f30d27a5be964\",", "").contains("seed"));
     assert!(error("8c1f30d27a5be964", "xyz").starts_with("seed"));
--- a/balancer/proxy/tests/discovery_watch.rs
+++ b/balancer/proxy/tests/discovery_watch.rs
@@ -4,14 +4,14 @@
 mod watch;
 
 use std::time::{Duration, Instant};
-use watch::{Action, Answer, CallId, Event, Mode, Watch, WAIT};
+use watch::{Action, CallId, Event, ListUpdate, Mode, Watch, LONG_POLL_TIMEOUT};
 
 /// A change counts as told this long after discovery had it and could be reached.
-const TOLD: Duration = Duration::from_secs(6);
+const DELIVERY_TIME: Duration = Duration::from_secs(6);
 /// The same after SIGHUP.
-const TOLD_AFTER_MOVE: Duration = Duration::from_secs(4);
+const DELIVERY_TIME_AFTER_MOVE: Duration = Duration::from_secs(4);
 /// A call that is heard and has news is answered within this.
-const ANSWERED: Duration = Duration::from_millis(300);
+const RESPONSE_TIME: Duration = Duration::from_millis(300);
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -27,7 +27,7 @@
     /// Never lets the connection come up.
     NeverUp,
     /// Says nothing.
-    Silent,
+    Unresponsive,
     /// Writes half of the answer and then nothing.
     Half,
     /// Writes a piece each 0.4 s, for ever.
@@ -35,46 +35,46 @@
     /// Answers with a version from before, where one is known.
     Stale,
     /// Answers a watch with no news once its wait is over, and a call for the whole list with version 1.
-    NoNews,
+    NoChange,
     /// The same at once.
-    NoWait,
+    NoChangeAtOnce,
     /// Writes the news in pieces over 4 s.
     Slow,
     /// Answers with the news.
-    Answers,
+    Responds,
 }
 
 const BAD: [Manner; 7] = [
     Manner::Refuses,
     Manner::Resets,
     Manner::NeverUp,
-    Manner::Silent,
+    Manner::Unresponsive,
     Manner::Half,
     Manner::Trickles,
     Manner::Stale,
 ];
 
 /// The version that the news leads to.
-const NEWS: u64 = 2;
+const CHANGED_VERSION: u64 = 2;
 
 struct World {
     watch: Watch,
     start: Instant,
     now: Duration,
     /// What calls will meet, by time.
-    due: Vec<(Duration, Event)>,
+    scheduled: Vec<(Duration, Event)>,
     /// Calls that are out.
     open: Vec<CallId>,
-    most_open: usize,
+    max_open: usize,
     /// When each call began.
     calls: Vec<Duration>,
     failures: usize,
     /// When the news was handed on.
-    told: Option<Duration>,
+    delivered_at: Option<Duration>,
     /// What is done with each call: by its beginning.
     manner: Box<dyn Fn(usize, Duration) -> Manner>,
     /// How long the module waits before it subscribes again after a failure.
-    again: Duration,
+    resubscribe_after: Duration,
 }
 
 impl World {
@@ -87,17 +87,17 @@
             watch: Watch::new(mode, version),
             start: Instant::now(),
             now: Duration::ZERO,
-            due: Vec::new(),
+            scheduled: Vec::new(),
             open: Vec::new(),
-            most_open: 0,
+            max_open: 0,
             calls: Vec::new(),
             failures: 0,
-            told: None,
+            delivered_at: None,
             manner: Box::new(manner),
-            again: ms(60_000),
+            resubscribe_after: ms(60_000),
         };
         let mut actions = Vec::new();
-        world.watch.start(world.start, &mut actions);
+        world.watch.handle_start(world.start, &mut actions);
         world.perform(actions, None);
         if mode == Mode::OnRequest {
             world.handle(Event::Subscribed);
@@ -115,28 +115,29 @@
         }
         let mut actions = Vec::new();
         self.watch
-            .handle(self.start + self.now, event, &mut actions);
+            .handle_event(self.start + self.now, event, &mut actions);
         self.perform(actions, answer);
     }
 
-    fn perform(&mut self, actions: Vec<Action>, answer: Option<Answer>) {
+    fn perform(&mut self, actions: Vec<Action>, answer: Option<ListUpdate>) {
         for action in actions {
             match action {
                 Action::Call { id, since } => self.begin(id, since),
                 Action::Abandon(id) => {
                     self.open.retain(|open| *open != id);
-                    self.due.retain(|(_, event)| !is_of(event, id));
+                    self.scheduled.retain(|(_, event)| !is_of(event, id));
                 }
                 Action::Deliver => {
                     let answer = answer.expect("an answer to hand on");
-                    if answer.version >= NEWS && self.told.is_none() {
-                        self.told = Some(self.now);
+                    if answer.version >= CHANGED_VERSION && self.delivered_at.is_none() {
+                        self.delivered_at = Some(self.now);
                     }
                 }
                 Action::Overdue { .. } => {}
                 Action::Fail(_) => {
                     self.failures += 1;
-                    self.due.push((self.now + self.again, Event::Subscribed));
+                    self.scheduled
+                        .push((self.now + self.resubscribe_after, Event::Subscribed));
                 }
             }
         }
@@ -146,61 +147,61 @@
         let manner = (self.manner)(self.calls.len(), self.now);
         self.calls.push(self.now);
         self.open.push(id);
-        self.most_open = self.most_open.max(self.open.len());
+        self.max_open = self.max_open.max(self.open.len());
         let answer = |version, changes| {
             Event::Answered(
                 id,
-                Answer {
+                ListUpdate {
                     version,
                     full: since.is_none(),
                     changes: changes || since.is_none(),
                 },
             )
         };
-        let news = answer(NEWS, since != Some(NEWS));
+        let change = answer(CHANGED_VERSION, since != Some(CHANGED_VERSION));
         let wait = if since.is_none() {
             Duration::ZERO
         } else {
-            WAIT
+            LONG_POLL_TIMEOUT
         };
-        let has_news = since.is_none_or(|version| version < NEWS);
+        let has_change = since.is_none_or(|version| version < CHANGED_VERSION);
         if !matches!(manner, Manner::Refuses | Manner::NeverUp) {
             self.after(ms(1), Event::Connected(id));
         }
         match manner {
             Manner::Refuses => self.after(ms(1), Event::Failed(id, "refused".into())),
             Manner::Resets => self.after(ms(200), Event::Failed(id, "reset".into())),
-            Manner::NeverUp | Manner::Silent => {}
+            Manner::NeverUp | Manner::Unresponsive => {}
             Manner::Half => self.after(ms(200), Event::Received(id)),
             Manner::Trickles => (1..200).for_each(|n| self.after(ms(400) * n, Event::Received(id))),
             Manner::Stale if since.is_some_and(|version| version > 0) => {
                 self.after(ms(5), answer(0, true))
             }
             Manner::Stale => self.after(ms(5), Event::Failed(id, "garbled".into())),
-            Manner::NoNews => self.after(wait + ms(1), answer(since.unwrap_or(1), false)),
-            Manner::NoWait => self.after(ms(2), answer(since.unwrap_or(1), false)),
-            Manner::Slow if has_news => {
+            Manner::NoChange => self.after(wait + ms(1), answer(since.unwrap_or(1), false)),
+            Manner::NoChangeAtOnce => self.after(ms(2), answer(since.unwrap_or(1), false)),
+            Manner::Slow if has_change => {
                 (1..10).for_each(|n| self.after(ms(400) * n, Event::Received(id)));
-                self.after(ms(4000), news);
+                self.after(ms(4000), change);
             }
-            Manner::Answers if has_news => self.after(ANSWERED, news),
-            Manner::Slow | Manner::Answers => self.after(wait + ms(1), news),
+            Manner::Responds if has_change => self.after(RESPONSE_TIME, change),
+            Manner::Slow | Manner::Responds => self.after(wait + ms(1), change),
         }
     }
 
     fn after(&mut self, delay: Duration, event: Event) {
-        self.due.push((self.now + delay, event));
+        self.scheduled.push((self.now + delay, event));
     }
 
     /// Plays until a time, or until the news is known.
     fn play(&mut self, until: Duration) {
-        while self.told.is_none() {
-            let next = (0..self.due.len()).min_by_key(|&i| self.due[i].0);
-            let deadline = self.watch.deadline().map(|at| at - self.start);
-            let event_at = next.map(|i| self.due[i].0);
+        while self.delivered_at.is_none() {
+            let next = (0..self.scheduled.len()).min_by_key(|&i| self.scheduled[i].0);
+            let next_timeout = self.watch.next_timeout().map(|at| at - self.start);
+            let event_at = next.map(|i| self.scheduled[i].0);
             let at = event_at
                 .into_iter()
-                .chain(deadline)
+                .chain(next_timeout)
                 .min()
                 .expect("something is due");
             if at > until {
@@ -208,16 +209,15 @@
             }
             self.now = self.now.max(at);
             if event_at == Some(at) {
-                let (_, event) = self.due.remove(next.expect("it is due"));
+                let (_, event) = self.scheduled.remove(next.expect("it is due"));
                 self.handle(event);
             } else {
                 let mut actions = Vec::new();
-                self.watch
-                    .handle_timeout(self.start + self.now, &mut actions);
+                self.watch.on_timeout(self.start + self.now, &mut actions);
                 self.perform(actions, None);
             }
         }
-        self.now = self.now.max(until.min(self.told.unwrap_or(until)));
+        self.now = self.now.max(until.min(self.delivered_at.unwrap_or(until)));
     }
 }
 
@@ -225,7 +225,7 @@
     match event {
         Event::Connected(of) | Event::Received(of) => *of == id,
         Event::Answered(of, _) | Event::Failed(of, _) => *of == id,
-        Event::Subscribed | Event::Moved => false,
+        Event::Subscribed | Event::AddressChanged => false,
     }
 }
 
@@ -237,35 +237,35 @@
 #[test]
 fn a_change_is_known_in_time_after_any_three_failures_and_one_silence() {
     let mut latest = Duration::ZERO;
-    let each = || BAD.into_iter().chain([Manner::NoNews]);
+    let each = || BAD.into_iter().chain([Manner::NoChange]);
     for (mode, known) in MODES.into_iter().flat_map(|m| KNOWN.map(|k| (m, k))) {
         for before in each().flat_map(|a| each().flat_map(move |b| each().map(move |c| [a, b, c])))
         {
             for step in 0..12 {
                 let reached = ms(step * 430);
                 for then in [
-                    Manner::Silent,
+                    Manner::Unresponsive,
                     Manner::NeverUp,
                     Manner::Half,
                     Manner::Trickles,
-                    Manner::Answers,
+                    Manner::Responds,
                 ] {
                     // The first call after discovery can be reached again may still be one that falls silent.
                     let first = std::cell::Cell::new(true);
                     let manner = move |number: usize, now: Duration| match now < reached {
                         true => before[number % 3],
                         false if first.replace(false) => then,
-                        false => Manner::Answers,
+                        false => Manner::Responds,
                     };
                     let mut world = World::new(mode, known, manner);
-                    world.play(reached + TOLD);
-                    let told = world.told.unwrap_or(Duration::MAX);
+                    world.play(reached + DELIVERY_TIME);
+                    let delivered_at = world.delivered_at.unwrap_or(Duration::MAX);
                     assert!(
-                        told <= reached + TOLD,
-                        "{mode:?}, known {known:?}, {before:?}, reached at {reached:?}, then {then:?}: {told:?}"
+                        delivered_at <= reached + DELIVERY_TIME,
+                        "{mode:?}, known {known:?}, {before:?}, reached at {reached:?}, then {then:?}: {delivered_at:?}"
                     );
-                    latest = latest.max(told.saturating_sub(reached));
-                    assert!(world.most_open <= 2, "{} calls at once", world.most_open);
+                    latest = latest.max(delivered_at.saturating_sub(reached));
+                    assert!(world.max_open <= 2, "{} calls at once", world.max_open);
                 }
             }
         }
@@ -278,7 +278,7 @@
 fn three_silences_in_a_row_are_borne() {
     for (mode, known) in MODES.into_iter().flat_map(|m| KNOWN.map(|k| (m, k))) {
         for manner in [
-            Manner::Silent,
+            Manner::Unresponsive,
             Manner::NeverUp,
             Manner::Half,
             Manner::Trickles,
@@ -286,13 +286,13 @@
             let mut world = World::new(
                 mode,
                 known,
-                move |n, _| if n < 3 { manner } else { Manner::Answers },
+                move |n, _| if n < 3 { manner } else { Manner::Responds },
             );
-            world.play(TOLD);
-            let told = world.told.expect("known in time");
+            world.play(DELIVERY_TIME);
+            let delivered_at = world.delivered_at.expect("known in time");
             assert!(
-                told <= ms(4800),
-                "{mode:?}, known {known:?}, {manner:?}: {told:?}"
+                delivered_at <= ms(4800),
+                "{mode:?}, known {known:?}, {manner:?}: {delivered_at:?}"
             );
         }
     }
@@ -304,12 +304,15 @@
     for (mode, known) in MODES.into_iter().flat_map(|m| KNOWN.map(|k| (m, k))) {
         let mut world = World::new(mode, known, |n, _| match n {
             0 => Manner::Refuses,
-            1 | 2 => Manner::Silent,
-            _ => Manner::Answers,
+            1 | 2 => Manner::Unresponsive,
+            _ => Manner::Responds,
         });
-        world.play(TOLD);
-        let told = world.told.expect("known in time");
-        assert!(told <= ms(5500), "{mode:?}, known {known:?}: {told:?}");
+        world.play(DELIVERY_TIME);
+        let delivered_at = world.delivered_at.expect("known in time");
+        assert!(
+            delivered_at <= ms(5500),
+            "{mode:?}, known {known:?}: {delivered_at:?}"
+        );
         assert_eq!(world.failures, 1, "a silence is no failure");
     }
 }
@@ -319,7 +322,11 @@
     for (mode, known) in MODES.into_iter().flat_map(|m| KNOWN.map(|k| (m, k))) {
         let mut world = World::new(mode, known, |_, _| Manner::Slow);
         world.play(ms(30_000));
-        assert_eq!(world.told, Some(ms(4000)), "{mode:?}, known {known:?}");
+        assert_eq!(
+            world.delivered_at,
+            Some(ms(4000)),
+            "{mode:?}, known {known:?}"
+        );
         assert!(world.calls.len() <= 4, "{} calls", world.calls.len());
     }
 }
@@ -330,7 +337,7 @@
         if n == 0 {
             Manner::Trickles
         } else {
-            Manner::NoNews
+            Manner::NoChange
         }
     });
     world.play(ms(29_900));
@@ -359,16 +366,16 @@
     for (mode, known) in MODES.into_iter().flat_map(|m| KNOWN.map(|k| (m, k))) {
         let mut world = World::new(mode, known, |n, _| {
             if n < 30 {
-                Manner::NoWait
+                Manner::NoChangeAtOnce
             } else {
-                Manner::Answers
+                Manner::Responds
             }
         });
-        world.play(TOLD);
-        let told = world.told.expect("known in time");
+        world.play(DELIVERY_TIME);
+        let delivered_at = world.delivered_at.expect("known in time");
         assert!(
-            told >= ms(2800),
-            "{mode:?}, known {known:?}: 30 calls in {told:?}"
+            delivered_at >= ms(2800),
+            "{mode:?}, known {known:?}: 30 calls in {delivered_at:?}"
         );
         // All 30 were answered 2 ms after they began.
         let gaps: Vec<_> = world.calls[..=30]
@@ -392,14 +399,14 @@
                 let silences = std::cell::Cell::new(0);
                 let manner = move |_: usize, now: Duration| match now < moved {
                     true => before,
-                    false if silences.replace(silences.get() + 1) < 2 => Manner::Silent,
-                    false => Manner::Answers,
+                    false if silences.replace(silences.get() + 1) < 2 => Manner::Unresponsive,
+                    false => Manner::Responds,
                 };
                 let mut world = World::new(mode, known, manner);
                 world.play(moved);
                 world.now = moved;
                 let calls = world.calls.len();
-                world.handle(Event::Moved);
+                world.handle(Event::AddressChanged);
                 assert_eq!(
                     world.calls.len(),
                     calls + 1,
@@ -410,9 +417,9 @@
                     1,
                     "{mode:?}, {before:?}: the old address is left"
                 );
-                world.play(moved + TOLD_AFTER_MOVE);
+                world.play(moved + DELIVERY_TIME_AFTER_MOVE);
                 assert!(
-                    world.told.is_some(),
+                    world.delivered_at.is_some(),
                     "{mode:?}, known {known:?}, {before:?}, moved at {moved:?}"
                 );
             }
@@ -424,10 +431,10 @@
 fn nothing_is_asked_before_the_module_subscribes() {
     let mut watch = Watch::new(Mode::OnRequest, Some(1));
     let (start, mut actions) = (Instant::now(), Vec::new());
-    watch.start(start, &mut actions);
-    watch.handle(start, Event::Moved, &mut actions);
-    watch.handle_timeout(start + ms(60_000), &mut actions);
-    assert_eq!((actions, watch.deadline()), (Vec::new(), None));
+    watch.handle_start(start, &mut actions);
+    watch.handle_event(start, Event::AddressChanged, &mut actions);
+    watch.on_timeout(start + ms(60_000), &mut actions);
+    assert_eq!((actions, watch.next_timeout()), (Vec::new(), None));
 }
 
 /// A subscription that comes while the watch stands is answered by it, and once only.
@@ -435,29 +442,33 @@
 fn the_first_answer_is_handed_on_and_then_only_changes() {
     let mut watch = Watch::new(Mode::OnRequest, Some(1));
     let mut now = Instant::now();
-    let nothing = Answer {
+    let nothing = ListUpdate {
         version: 1,
         full: false,
         changes: false,
     };
     let mut actions = Vec::new();
-    watch.handle(now, Event::Subscribed, &mut actions);
+    watch.handle_event(now, Event::Subscribed, &mut actions);
     for delivered in [true, false, false] {
         let Some(&Action::Call { id, since: Some(1) }) = actions.last() else {
             panic!("{actions:?}")
         };
         actions.clear();
-        now += WAIT;
-        watch.handle(now, Event::Answered(id, nothing), &mut actions);
+        now += LONG_POLL_TIMEOUT;
+        watch.handle_event(now, Event::Answered(id, nothing), &mut actions);
         assert_eq!(actions[0] == Action::Deliver, delivered);
     }
     let Some(&Action::Call { id, .. }) = actions.last() else {
         panic!("{actions:?}")
     };
     actions.clear();
-    watch.handle(now, Event::Subscribed, &mut actions);
+    watch.handle_event(now, Event::Subscribed, &mut actions);
     assert_eq!(actions, [], "the call that stands answers it");
-    watch.handle(now + WAIT, Event::Answered(id, nothing), &mut actions);
+    watch.handle_event(
+        now + LONG_POLL_TIMEOUT,
+        Event::Answered(id, nothing),
+        &mut actions,
+    );
     assert_eq!(actions[0], Action::Deliver);
 }
 
@@ -466,34 +477,40 @@
 fn an_overdue_answer_never_goes_back() {
     let mut watch = Watch::new(Mode::Pushed, Some(1));
     let (start, mut actions) = (Instant::now(), Vec::new());
-    watch.start(start, &mut actions);
+    watch.handle_start(start, &mut actions);
     let [Action::Call { id: first, .. }] = actions[..] else {
         panic!("{actions:?}")
     };
-    watch.handle(start, Event::Connected(first), &mut actions);
-    watch.handle(start + ms(1400), Event::Received(first), &mut actions);
+    watch.handle_event(start, Event::Connected(first), &mut actions);
+    watch.handle_event(start + ms(1400), Event::Received(first), &mut actions);
     actions.clear();
-    watch.handle_timeout(start + ms(1500), &mut actions);
+    watch.on_timeout(start + ms(1500), &mut actions);
     let [Action::Overdue { received: true }, Action::Call { id: second, .. }] = actions[..] else {
         panic!("{actions:?}")
     };
     actions.clear();
-    let news = Answer {
+    let change = ListUpdate {
         version: 3,
         full: true,
         changes: true,
     };
-    watch.handle(
+    watch.handle_event(
         start + ms(1600),
-        Event::Answered(second, news),
+        Event::Answered(second, change),
         &mut actions,
     );
     assert_eq!(actions[0], Action::Deliver);
     actions.clear();
-    watch.handle(start + ms(1700), Event::Received(first), &mut actions);
-    watch.handle(
+    watch.handle_event(start + ms(1700), Event::Received(first), &mut actions);
+    watch.handle_event(
         start + ms(1700),
-        Event::Answered(first, Answer { version: 2, ..news }),
+        Event::Answered(
+            first,
+            ListUpdate {
+                version: 2,
+                ..change
+            },
+        ),
         &mut actions,
     );
     assert!(
--- a/balancer/proxy/tests/golden.rs
+++ b/balancer/proxy/tests/golden.rs
@@ -127,7 +127,7 @@
     assert_eq!(known.entries.len(), wanted.len());
     for (entry, (name, addr, (at, member))) in known.entries.iter().zip(wanted) {
         assert_eq!(
-            ((entry.name.clone(), entry.addr), &entry.member),
+            ((entry.name.clone(), entry.addr), &entry.endpoint),
             (at(name, addr), &member)
         );
     }
--- a/balancer/proxy/tests/load_report.rs
+++ b/balancer/proxy/tests/load_report.rs
@@ -3,7 +3,7 @@
 mod load_report;
 
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
-use load_report::{reported, HELD, SERVED};
+use load_report::{reported, IN_FLIGHT_FIELD, SERVED_PER_S_FIELD};
 
 #[test]
 fn load_reports_are_read_and_what_cannot_be_read_is_no_report() {
@@ -13,11 +13,14 @@
             HeaderValue::from_static(report),
         )])
     };
-    let held = |text| reported(&report(text), HELD);
+    let held = |text| reported(&report(text), IN_FLIGHT_FIELD);
     assert_eq!(held("TEXT latency_ms=31.5, qps=40, inflight=7"), Some(7.0));
     assert_eq!(held(" TEXT inflight = 2.5"), Some(2.5));
     assert_eq!(
-        reported(&report("TEXT latency_ms=31.5, qps=40, inflight=7"), SERVED),
+        reported(
+            &report("TEXT latency_ms=31.5, qps=40, inflight=7"),
+            SERVED_PER_S_FIELD
+        ),
         Some(40.0)
     );
     for bad in [
--- a/balancer/proxy/tests/message.rs
+++ b/balancer/proxy/tests/message.rs
@@ -6,12 +6,12 @@
 use bytes::Bytes;
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::{Method, Uri};
-use message::Outgoing;
+use message::OutgoingRequest;
 use std::cell::Cell;
 
 #[test]
 fn tries_of_a_client_share_a_tie_by_their_key_alone() {
-    let tie = |key: Option<&'static str>, id: &'static str| {
+    let tie_breaker = |key: Option<&'static str>, id: &'static str| {
         let named = [("req-id", Some(id)), ("idempotency-key", key)].into_iter();
         let headers = named.filter_map(|(name, value)| {
             Some((
@@ -20,18 +20,18 @@
             ))
         });
         let (method, target) = (Method::POST, Uri::from_static("/api/same"));
-        let (headers, body, over) = (headers.collect(), Bytes::new(), Cell::new(false));
-        Outgoing {
+        let (headers, body, has_ended) = (headers.collect(), Bytes::new(), Cell::new(false));
+        OutgoingRequest {
             method,
             target,
             headers,
             body,
-            over,
+            has_ended,
         }
-        .tie()
+        .tie_breaker()
     };
-    assert_eq!(tie(Some("k1"), "1"), tie(Some("k1"), "2"));
-    assert_ne!(tie(Some("k1"), "1"), tie(Some("k2"), "1"));
-    assert_ne!(tie(None, "1"), tie(None, "2"));
-    assert_eq!(tie(Some(""), "1"), tie(None, "1"));
+    assert_eq!(tie_breaker(Some("k1"), "1"), tie_breaker(Some("k1"), "2"));
+    assert_ne!(tie_breaker(Some("k1"), "1"), tie_breaker(Some("k2"), "1"));
+    assert_ne!(tie_breaker(None, "1"), tie_breaker(None, "2"));
+    assert_eq!(tie_breaker(Some(""), "1"), tie_breaker(None, "1"));
 }
--- a/balancer/proxy/tests/options.rs
+++ b/balancer/proxy/tests/options.rs
@@ -8,7 +8,7 @@
         .iter()
         .map(|(n, v)| (n.to_string(), v.to_string()));
     let set: Vec<String> = set.iter().map(|s| s.to_string()).collect();
-    load(Some((Path::new("o.toml"), text)), variables, &set)
+    load(Some((Path::new("o.toml"), text)), variables, &set).map_err(|error| error.to_string())
 }
 
 #[test]
@@ -35,8 +35,8 @@
     ];
     let loaded = read(file, &variables, &["log.level=debug"]).expect("good");
     assert_eq!(loaded.options.log.level, Level::Debug);
-    assert_eq!(loaded.options.figures.every, Duration::from_millis(250));
-    assert_eq!(loaded.options.log.parts.len(), 2);
+    assert_eq!(loaded.options.metrics.interval, Duration::from_millis(250));
+    assert_eq!(loaded.options.log.targets.len(), 2);
     let origin = |key: &str| loaded.source(key).to_string();
     assert_eq!(
         (origin("log.level"), origin("log.rate")),
@@ -121,7 +121,12 @@
 #[test]
 fn only_what_may_change_follows_a_running_program() {
     let before = Options::default();
-    let follows = |text: &str| read(text, &[], &[]).expect("good").follows(&before);
+    let follows = |text: &str| {
+        let loaded = read(text, &[], &[]).expect("good");
+        loaded
+            .check_follows(&before)
+            .map_err(|error| error.to_string())
+    };
     assert_eq!(
         follows("[log]\nlevel = \"debug\"\nrate = 3\n[figures]\nevery = \"2s\"\n[peers]\nshed = false\n"),
         Ok(())
--- a/balancer/proxy/tests/peers_addresses.rs
+++ b/balancer/proxy/tests/peers_addresses.rs
@@ -3,13 +3,13 @@
 #[path = "../src/peers/addresses.rs"]
 mod addresses;
 
-use addresses::Unread;
+use addresses::UnparsedAddresses;
 use balancer_gossip::Member;
 use serde_json::{json, Value};
 
 #[test]
 fn what_is_wrong_with_addresses_is_named_with_its_field() {
-    let read = |listen: Value, peers: Value| Unread { listen, peers }.read(2);
+    let read = |listen: Value, peers: Value| UnparsedAddresses { listen, peers }.parse(2);
     let (good, two) = (json!("127.0.0.1:0"), json!(["127.0.0.1:7", "127.0.0.2:7"]));
     let read_well = read(good.clone(), two.clone()).expect("good");
     assert_eq!(
@@ -46,6 +46,7 @@
             "peers[1]: 127.0.0.1:7 is peers[0] already",
         ),
     ] {
-        assert_eq!(read(listen, peers), Err(wanted.into()));
+        let error = read(listen, peers).map_err(|error| error.to_string());
+        assert_eq!(error, Err(wanted.into()));
     }
 }
--- a/balancer/proxy/tests/peers_observations.rs
+++ b/balancer/proxy/tests/peers_observations.rs
@@ -1,7 +1,7 @@
 //! What the decisions learn from the tier's other replicas, by what the operator has switched off.
 use balancer_core::TierUpdate;
 use balancer_gossip as peers;
-use balancer_proxy::{options, tier_word};
+use balancer_proxy::{options::PeerOptions, tier_update};
 
 #[test]
 fn what_is_switched_off_is_not_heard() {
@@ -41,13 +41,13 @@
         evidence,
     };
     let hears = |shed, shares, trials, verdicts| {
-        let may = options::Peers {
+        let may = PeerOptions {
             on: true,
-            version_most: 2,
-            shed,
-            shares,
-            trials,
-            verdicts,
+            max_version: 2,
+            use_load_sums: shed,
+            use_tenant_sums: shares,
+            use_membership: trials,
+            use_evidence: verdicts,
         };
         let TierUpdate {
             up,
@@ -55,7 +55,7 @@
             joined,
             sums,
             evidence,
-        } = tier_word(all.clone(), &may);
+        } = tier_update(all.clone(), &may);
         assert!(joined);
         let load = sums.map(|s| {
             (
