--- a/balancer/proxy/src/clients/connection.rs
+++ b/balancer/proxy/src/clients/connection.rs
@@ -28,14 +28,14 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-/// A client has this long from connecting until its first request is whole: one that sends something else, or
+/// A client has this long from connecting until its first request is complete: one that sends something else, or
 /// nothing, is owed an error or a close within 3 s.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A kept connection has this long for the head of its next request.
+/// A persistent connection has this long for the head of its next request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
 /// And this long for the body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection that is to close, and owes no answer, has this long to take what was written, or to send the rest of
+/// A connection that is to close, and owes no response, has this long to take what was written, or to send the rest of
 /// a head that has begun.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 const READY_PATH: &str = "/-/ready";
@@ -53,13 +53,13 @@
 
 /// What ends a connection.
 enum CloseReason {
-    /// hyper has ended it: the client closed it, wanted it closed after an answer, or sent no proper request.
+    /// hyper has ended it: the client closed it, wanted it closed after a response, or sent no proper request.
     Finished,
     /// hyper has ended it, as no head came in time.
     HeadTimedOut,
-    /// The client left while its request waited for an answer.
+    /// The client disconnected while its request waited for a response.
     ClientDisconnected,
-    /// No whole request came in time.
+    /// No complete request came in time.
     FirstRequestTimedOut,
     /// It makes way for another client.
     Evicted,
@@ -76,7 +76,7 @@
 }
 
 impl<C: Future<Output = hyper::Result<()>> + Unpin> Exchange<C> {
-    /// Goes on until hyper ends the connection, or the client leaves while its request waits for an answer.
+    /// Goes on until hyper ends the connection, or the client disconnects while its request waits for a response.
     fn poll_serve(&mut self, cx: &mut Context<'_>) -> Poll<CloseReason> {
         if let Poll::Ready(closed) = Pin::new(&mut self.connection).poll(cx) {
             let is_overdue = closed.is_err_and(|error| error.is_timeout());
@@ -120,7 +120,7 @@
 
     /// Waits until nothing is open on a connection that is to close for this reason. Guards against a close in the
     /// middle of a head, whose last byte may have been written by then, and against clients that never read their
-    /// answer: for these it waits until `until` at most.
+    /// response: for these it waits until `until` at most.
     async fn close_idle(&mut self, reason: CloseReason, mut until: Instant) -> CloseReason {
         self.client.is_closing.set(true);
         loop {
@@ -227,7 +227,7 @@
                     if let Some(closed) = poll_fn(|cx| exchange.poll_drained(cx)).await {
                         return closed;
                     }
-                    // It has said nothing whole so far, so that nothing is owed but the close.
+                    // It has sent no complete request so far, so that nothing is owed but the close.
                     if first.get().is_some() {
                         return CloseReason::FirstRequestTimedOut;
                     }
--- a/balancer/proxy/src/clients/framing.rs
+++ b/balancer/proxy/src/clients/framing.rs
@@ -29,7 +29,7 @@
 pub(super) enum Framing {
     /// So many bytes are to come.
     Length(u64),
-    /// In chunks: it ends with some empty line, and `last_empty` tells whether the last one taken was empty.
+    /// In chunks: it ends with some empty line, and `last_empty` says whether the last one taken was empty.
     Lines { last_empty: bool },
 }
 
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Whether something was taken that is not this body's, once that is whole.
+    /// Whether something was taken that is not this body's, once that is complete.
     pub(super) fn may_have_taken_beyond(&self) -> bool {
         matches!(self, Framing::Lines { last_empty: false })
     }
--- a/balancer/proxy/src/clients/linger.rs
+++ b/balancer/proxy/src/clients/linger.rs
@@ -1,6 +1,6 @@
 //! A lingering close: whoever closes a socket over bytes that it has not read resets the connection, and the client's
-//! system may then throw away the last answer before the client has read it. So after a last answer only the side that
-//! writes is shut, and what the client still sends is read and thrown away for a little while. Holds no state.
+//! system may then throw away the last response before the client has read it. So after a last response only the side that
+//! writes is shut, and what the client still sends is read and thrown away for a little while. Owns no state.
 use super::phase::{wait_for_closed, Phase};
 use super::stream::ClientStream;
 use std::future::poll_fn;
@@ -10,12 +10,12 @@
 
 /// Whether connections linger at all.
 const ENABLED: bool = true;
-/// For this long at most.
+/// Longest time that a connection lingers.
 const MAX_LINGER: Duration = Duration::from_millis(500);
-/// And for so many bytes.
+/// Maximum of bytes discarded while it lingers.
 const MAX_DISCARDED_BYTES: usize = 64 << 10;
 
-/// Closes a connection whose last answer was written. Nothing that comes from now on is taken as a request.
+/// Closes a connection whose last response was written. Nothing that comes from now on is taken as a request.
 pub(super) async fn linger(stream: &ClientStream, phase: &mut watch::Receiver<Phase>) {
     if !ENABLED || stream.is_disconnected() || stream.shut_write().is_err() {
         return;
--- a/balancer/proxy/src/clients/phase.rs
+++ b/balancer/proxy/src/clients/phase.rs
@@ -1,4 +1,4 @@
-//! How far the end of the program has come, as clients' connections see it. Holds no state of its own.
+//! How far the end of the program has come, as clients' connections see it. Owns no state.
 use tokio::sync::watch;
 
 /// How far the end of the program has come.
@@ -6,7 +6,7 @@
 pub(crate) enum Phase {
     /// Serving.
     Serving,
-    /// Told to end: what comes is still served, but not taken any more by those who ask whether this is ready.
+    /// Shutting down: what comes is still served, but the balancer is not ready any more for those who check that.
     /// Clients go on using the connections they have, and may have nobody else to turn to yet, so these stay
     /// open for as long as all can be answered.
     Draining,
@@ -18,7 +18,7 @@
 
 /// Waits until clients' connections are to be closed.
 pub(super) async fn wait_for_closing(phase: &mut watch::Receiver<Phase>) {
-    // Whoever would tell it has gone: all is over.
+    // The sender was dropped: all is over.
     let _ = phase.wait_for(|p| *p >= Phase::Closing).await;
 }
 
--- a/balancer/proxy/src/clients/server.rs
+++ b/balancer/proxy/src/clients/server.rs
@@ -1,4 +1,4 @@
-//! Accepts clients for as long as the program serves. Holds nothing beside what it hands to their connections.
+//! Accepts clients for as long as the program serves. Owns nothing beside what it hands to their connections.
 use super::connection::Connections;
 use super::phase::{wait_for_closing, Phase};
 use super::requests::Requests;
@@ -16,7 +16,7 @@
 /// Pause after an accept that failed, for want of descriptors for one.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// The clients' side as a whole.
+/// The clients' side.
 pub(crate) struct Server(Rc<Connections>);
 
 impl Server {
--- a/balancer/proxy/src/clients/stream.rs
+++ b/balancer/proxy/src/clients/stream.rs
@@ -1,5 +1,5 @@
 //! A client's socket, as its connection's task and hyper share it. Owns what was read from it and not yet handed to
-//! hyper. While a request waits for its answer the connection's task reads ahead here, so that the end of the client
+//! hyper. While a request waits for its response the connection's task reads ahead here, so that the end of the client
 //! shows also behind bytes of its next request.
 use super::framing::{Framing, HeadScan};
 use bytes::{Buf, BytesMut};
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Sleep};
 
-/// Nothing more is read ahead of hyper while this much is held.
+/// Maximum read ahead of hyper, in bytes.
 const MAX_READ_AHEAD: usize = 16 << 10;
 /// Read at once.
 const READ_CHUNK_LEN: usize = 4 << 10;
@@ -30,7 +30,7 @@
     Head { scan: HeadScan, begun: bool },
     /// The body of the request that is open.
     Body(Framing),
-    /// Nothing: the request was read whole and waits for its answer. `begun` as for the next one's head.
+    /// Nothing: the request was read completely and waits for its response. `begun` as for the next one's head.
     AwaitingResponse { begun: bool },
 }
 
@@ -78,12 +78,12 @@
         })))
     }
 
-    /// A head was read whole, and its body comes in this form.
+    /// Notes that a head was read completely, and that its body comes in this framing.
     pub(super) fn begin_body(&self, framing: Framing) {
         self.0.borrow_mut().reading = Reading::Body(framing);
     }
 
-    /// The request was read whole and waits for its answer from now on.
+    /// Notes that the request was read completely and waits for its response from now on.
     pub(super) fn begin_awaiting_response(&self) {
         let mut shared = self.0.borrow_mut();
         shared.reading = Reading::AwaitingResponse {
@@ -91,7 +91,7 @@
         };
     }
 
-    /// The request has its answer: hyper reads on.
+    /// Notes that the request has its response: hyper reads on.
     pub(super) fn end_request(&self) {
         let mut shared = self.0.borrow_mut();
         shared.reading = Reading::Head {
@@ -100,13 +100,13 @@
         };
         shared.disconnect_poll = None;
         let unread = !shared.read_ahead.is_empty() || shared.disconnected;
-        // hyper was told that nothing is there, and is told anew.
+        // hyper waits, as nothing was there before.
         if let Some(waker) = shared.waker.take_if(|_| unread) {
             waker.wake();
         }
     }
 
-    /// Whether a request waits for its answer.
+    /// Whether a request waits for its response.
     pub(super) fn awaits_response(&self) -> bool {
         matches!(self.0.borrow().reading, Reading::AwaitingResponse { .. })
     }
@@ -116,12 +116,12 @@
         self.0.borrow().flushed
     }
 
-    /// Whether the client is known to have gone.
+    /// Whether the client is known to have disconnected.
     pub(super) fn is_disconnected(&self) -> bool {
         self.0.borrow().disconnected
     }
 
-    /// Whether a part of a request has come that hyper has not read whole.
+    /// Whether a part of a request has come that hyper has not read completely.
     pub(super) fn has_begun(&self) -> bool {
         let shared = self.0.borrow();
         !shared.read_ahead.is_empty() || shared.reading.has_begun()
@@ -147,7 +147,7 @@
         found
     }
 
-    /// Reads ahead until the client has gone.
+    /// Reads ahead until the client has disconnected.
     pub(super) fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut shared = self.0.borrow_mut();
         while shared.may_read() {
@@ -167,7 +167,7 @@
         SockRef::from(&self.0.borrow().socket).shutdown(Shutdown::Write)
     }
 
-    /// Reads once and throws away what came. Returns how much that was: none once the client has gone.
+    /// Reads once and throws away what came. Returns how much that was: none once the client has disconnected.
     pub(super) fn poll_discard(&self, cx: &mut Context<'_>) -> Poll<usize> {
         let mut chunk = [0; READ_CHUNK_LEN];
         let mut buffer = ReadBuf::new(&mut chunk);
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Looks for the end of a client that has sent more than is read ahead: the system tells of it without a read.
+    /// Looks for the end of a client that has sent more than is read ahead: the system shows it without a read.
     fn poll_disconnected_beyond(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         loop {
             let ready = pin!(self.socket.ready(Interest::READABLE)).poll(cx);
@@ -226,15 +226,15 @@
         }
     }
 
-    /// How much of what is held hyper may have now, and notes that it has it.
-    fn take_ahead(&mut self, most: usize) -> usize {
-        let held = &self.read_ahead[..self.read_ahead.len().min(most)];
+    /// Returns how much of what was read ahead hyper may have now, and notes that it has it.
+    fn take_ahead(&mut self, max_len: usize) -> usize {
+        let available = &self.read_ahead[..self.read_ahead.len().min(max_len)];
         match &mut self.reading {
             Reading::AwaitingResponse { .. } => 0,
-            Reading::Body(framing) => framing.take(held),
+            Reading::Body(framing) => framing.take(available),
             Reading::Head { scan, begun } => {
                 *begun = true;
-                scan.take(held)
+                scan.take(available)
             }
         }
     }
--- a/balancer/proxy/src/config.rs
+++ b/balancer/proxy/src/config.rs
@@ -229,7 +229,7 @@
     Ok(())
 }
 
-/// What a running balancer keeps from its start, whatever a configuration says that is read again.
+/// What stays as it was at the start, whatever a configuration says that is read again.
 pub struct Fixed {
     name: String,
     listen: SocketAddr,
--- a/balancer/proxy/src/discovery/watch.rs
+++ b/balancer/proxy/src/discovery/watch.rs
@@ -1,26 +1,26 @@
-//! When discovery is asked: a state machine on injected time, without I/O. Owns what is known of the watch: the version
+//! When discovery is called: a state machine on injected time, without I/O. Owns what is known of the watch: the version
 //! of the list, the call that stands, and an older one that may still be answered.
 //!
 //! One deadline holds in every state: [`Watch::next_timeout`] is never further away than [`CALL_TIMEOUT`] after the last call
-//! began or [`MAX_BACKOFF`] after it failed, and then discovery is asked again whatever came before. A change counts as
-//! told 6 s after discovery had it and could be reached. The longest way there is a pause, two calls without an answer
-//! and one with: 2 s, twice 1.5 s, and 0.5 s for the answer.
+//! began or [`MAX_BACKOFF`] after it failed, and then discovery is called again whatever came before. A change counts as
+//! delivered 6 s after discovery had it and could be reached. The longest way there is a pause, two calls without a response
+//! and one with: 2 s, twice 1.5 s, and 0.5 s for the response.
 use std::time::{Duration, Instant};
 
-/// How long a call may wait for news at discovery.
+/// How long a call may wait for changes at discovery.
 pub(super) const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(1);
-/// A call without a whole answer this long after it began is followed by the next: its wait, and time to answer.
+/// A call without a complete response this long after it began is followed by the next: its wait, and time to respond.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Pause after a failed call where the list is pushed: the agent is on this machine and answers at no cost.
+/// Pause after a failed call where the list is pushed: the agent is on this machine and responds at no cost.
 const PUSHED_BACKOFF: Duration = Duration::from_millis(500);
-/// Pause after a failed call where lists are asked for, unless the module asks earlier.
+/// Pause after a failed call where lists are requested, unless the module subscribes earlier.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// A call that is answered with nothing newer is followed by the next this long after it began at the soonest: discovery
-/// may answer without waiting. A watch continues if the next call comes within 200 ms of the last answer.
+/// may respond without waiting. A watch continues if the next call comes within 200 ms of the last response.
 const MIN_CALL_INTERVAL: Duration = Duration::from_millis(100);
-/// How long an overdue call may go on, from its beginning, while nothing of its answer has come.
+/// How long an overdue call may go on, from its beginning, while nothing of its response has come.
 const OVERDUE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long an overdue call may go on between two pieces of its answer.
+/// How long an overdue call may go on between two chunks of its response.
 const OVERDUE_READ_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How long an overdue call may go on in all.
 const MAX_OVERDUE: Duration = Duration::from_secs(30);
@@ -38,12 +38,12 @@
     OnRequest,
 }
 
-/// What an answer says of the list.
+/// What a response says of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ListUpdate {
     /// The version that it leads to.
     pub version: u64,
-    /// Whether it is the whole list.
+    /// Whether it is the full list.
     pub full: bool,
     /// Whether it names any upstream.
     pub changes: bool,
@@ -52,15 +52,15 @@
 /// What happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Event {
-    /// The module wants to be told of changes.
+    /// The module has subscribed to changes.
     Subscribed,
     /// Discovery has another address.
     AddressChanged,
     /// The connection of a call is up.
     Connected(CallId),
-    /// Some bytes of an answer came.
+    /// Some bytes of a response came.
     Received(CallId),
-    /// A whole answer came.
+    /// A complete response came.
     Answered(CallId, ListUpdate),
     /// A call was refused, broke, or brought what cannot be used.
     Failed(CallId, String),
@@ -69,7 +69,7 @@
 /// What is to be done, in this order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Action {
-    /// Call for changes since a version, or for the whole list.
+    /// Call for changes since a version, or for the full list.
     Call {
         /// Its number.
         id: CallId,
@@ -78,14 +78,14 @@
     },
     /// Give a call up and close its connection.
     Abandon(CallId),
-    /// Hand the answer that was just told on.
+    /// Hand the list that has just come to its user.
     Deliver,
-    /// Tell that a call was not answered in time; whether a part of the answer came.
+    /// Log that a call was not answered in time; whether a part of the response came.
     Overdue {
         /// See there.
         received: bool,
     },
-    /// Tell that the watch has failed, and why.
+    /// Report that the watch has failed, and why.
     Fail(String),
 }
 
@@ -111,7 +111,7 @@
         matches!(self.stage, Stage::Receiving(_))
     }
 
-    /// Whether an answer may still come though it is late. A connection that came up and on which a call for news
+    /// Whether a response may still come though it is late. A connection that came up and on which a call for changes
     /// stays without a byte is broken.
     fn may_be_answered(&self) -> bool {
         self.stage != Stage::Waiting || self.since.is_none()
@@ -144,7 +144,7 @@
     state: State,
     /// A call that was not answered in time but may be yet; the next one stands beside it.
     overdue: Option<Call>,
-    /// Whether the subscription that stands has had its first answer.
+    /// Whether the current subscription has had its first response.
     is_informed: bool,
     next_id: u64,
 }
@@ -205,20 +205,20 @@
             Event::AddressChanged => self.handle_moved(now, actions),
             Event::Connected(id) => self.set_stage(id, Stage::Waiting),
             Event::Received(id) => self.set_stage(id, Stage::Receiving(now)),
-            Event::Answered(id, answer) => self.handle_answered(now, id, answer, actions),
+            Event::Answered(id, update) => self.handle_answered(now, id, update, actions),
             Event::Failed(id, error) => self.handle_failed(now, id, error, actions),
         }
     }
 
     fn handle_subscribed(&mut self, now: Instant, actions: &mut Vec<Action>) {
         self.is_informed = false;
-        // A call that stands answers the subscription.
+        // The current call answers the subscription.
         if !matches!(self.state, State::Calling(_)) {
             self.begin_call(now, actions);
         }
     }
 
-    /// The old address tells nothing more, and the new one has not failed yet.
+    /// The old address reports nothing more, and the new one has not failed yet.
     fn handle_moved(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if let Some(call) = self.overdue.take() {
             actions.push(Action::Abandon(call.id));
@@ -246,7 +246,7 @@
         &mut self,
         now: Instant,
         id: CallId,
-        answer: ListUpdate,
+        update: ListUpdate,
         actions: &mut Vec<Action>,
     ) {
         let (call, is_current) = match (self.state, self.overdue) {
@@ -255,16 +255,16 @@
             _ => return,
         };
         let expected = call.since.unwrap_or(0);
-        if answer.version < expected || (call.since.is_none() && !answer.full) {
-            let error = format!("version {} does not follow {expected}", answer.version);
+        if update.version < expected || (call.since.is_none() && !update.full) {
+            let error = format!("version {} does not follow {expected}", update.version);
             return self.handle_failed(now, id, error, actions);
         }
-        let newer = self.version.is_none_or(|known| answer.version > known);
-        // Guards against an overdue answer that is older than what came meanwhile.
-        if self.version.is_none_or(|known| answer.version >= known) {
-            self.version = Some(answer.version);
-            // One event answers the subscription; after that only changes are news.
-            if !self.is_informed || answer.full || answer.changes {
+        let newer = self.version.is_none_or(|known| update.version > known);
+        // Guards against an overdue response that is older than what came meanwhile.
+        if self.version.is_none_or(|known| update.version >= known) {
+            self.version = Some(update.version);
+            // One event answers the subscription; after that only changes are delivered.
+            if !self.is_informed || update.full || update.changes {
                 actions.push(Action::Deliver);
             }
             self.is_informed = true;
@@ -280,7 +280,7 @@
         }
     }
 
-    /// The connection of the answer has proven itself: the next call goes on it, unless the one that stands is being
+    /// The connection of the response has proven itself: the next call goes on it, unless the current one is being
     /// answered.
     fn handle_overdue_answered(&mut self, now: Instant, actions: &mut Vec<Action>) {
         self.overdue = None;
@@ -299,7 +299,7 @@
         error: String,
         actions: &mut Vec<Action>,
     ) {
-        // That an overdue call fails is no news: the next one stands in its place.
+        // That an overdue call fails is of no interest: the next one has replaced it.
         if self.overdue.take_if(|call| call.id == id).is_some() {
             return;
         }
@@ -317,7 +317,7 @@
         actions.push(Action::Fail(error));
     }
 
-    /// Keeps the call beside the next one if it may still be answered. One call is kept at most, and one whose answer
+    /// Keeps the call beside the next one if it may still be answered. At most one is kept, and one whose response
     /// is coming goes before one that has none.
     fn keep_overdue(&mut self, call: Call, actions: &mut Vec<Action>) {
         let better = self
--- a/balancer/proxy/src/message.rs
+++ b/balancer/proxy/src/message.rs
@@ -1,4 +1,4 @@
-//! A request and its answer as they go through the balancer, and the headers that do not.
+//! A request and its response as they go through the balancer, and the headers that do not.
 use balancer_core::Millis;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -7,9 +7,9 @@
 use std::cell::Cell;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bodies hold at most this much, both ways.
+/// Longest body, both ways, in bytes.
 pub(crate) const MAX_BODY_LEN: usize = 64 << 10;
-/// Tells how long an attempt will be waited for.
+/// The header that states how long a response is waited for.
 pub(crate) const DEADLINE_HEADER: HeaderName = HeaderName::from_static("req-deadline");
 
 /// Headers that belong to one connection and are not passed on.
@@ -50,23 +50,23 @@
     pub target: Uri,
     /// End-to-end headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
     /// Set when the request has ended: what has not been written for it by then must not be.
     pub has_ended: Cell<bool>,
 }
 
-/// The one final answer to a request.
+/// The one final response to a request.
 #[derive(Debug)]
 pub(crate) enum FinalResponse {
-    /// An upstream's answer.
+    /// An upstream's response.
     Served {
         /// Its end-to-end headers.
         headers: HeaderMap,
-        /// Its whole body.
+        /// Its complete body.
         body: Bytes,
     },
-    /// Refused: another try does no harm.
+    /// Refused: a retry does no harm.
     Refused {
         /// How long the client should stay away; zero: no advice.
         retry_after: Millis,
@@ -84,7 +84,7 @@
             .unwrap_or_default()
     }
 
-    /// A hash of its key, which a client's next try has as well; without one of its id. Not of the path: requests of
+    /// Returns a hash of its key, which a client's retry has as well; without one of its id. Not of the path: requests of
     /// one path may be half of all, and what is shed by it would be all of them or none.
     pub(crate) fn tie_breaker(&self) -> u64 {
         let key = self
--- a/balancer/proxy/src/peers/socket.rs
+++ b/balancer/proxy/src/peers/socket.rs
@@ -147,20 +147,26 @@
         (socket, address)
     }
 
-    #[test]
-    fn what_waits_is_taken_from_members_alone_and_only_if_its_age_is_known() {
-        let runtime = tokio::runtime::Builder::new_current_thread()
+    fn runtime() -> tokio::runtime::Runtime {
+        tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
-            .expect("a runtime");
+            .expect("a runtime")
+    }
+
+    /// The socket of member 0, whose peer is member 1.
+    fn bind(peer: SocketAddr) -> PeerSocket {
+        let listen = SocketAddr::from(([127, 0, 0, 1], 0));
+        let peers = vec![listen, peer];
+        PeerSocket::bind(Addresses { listen, peers }).expect("binds")
+    }
+
+    #[test]
+    fn datagrams_are_received_from_members_alone_and_only_if_their_age_is_known() {
+        let runtime = runtime();
         let _inside = runtime.enter();
         let ((peer, peer_at), (stranger, _)) = (sender(), sender());
-        let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-        let own = PeerSocket::bind(Addresses {
-            listen,
-            peers: vec![listen, peer_at],
-        })
-        .expect("binds");
+        let own = bind(peer_at);
         let at = own.local_addr().expect("an address");
         let receive = |max: usize, now: Millis| {
             let mut received = Vec::new();
@@ -206,6 +212,24 @@
             receive(8, 301.0 + 2.0 * MAX_QUEUED_TIME),
             (vec![(1, b"new".to_vec())], Pending::Nothing)
         );
+        assert_eq!(
+            own.dropped(),
+            DroppedDatagrams {
+                unknown_sender: 1,
+                too_long: 1,
+                waited_too_long: 1,
+                ..DroppedDatagrams::default()
+            }
+        );
+    }
+
+    #[test]
+    fn what_cannot_be_sent_is_counted() {
+        let runtime = runtime();
+        let _inside = runtime.enter();
+        let (peer, peer_at) = sender();
+        let own = bind(peer_at);
+        let at = own.local_addr().expect("an address");
         // To nobody's address, and longer than any may be.
         own.send(&Transmit {
             to: Member(7),
@@ -224,9 +248,6 @@
         assert_eq!(
             own.dropped(),
             DroppedDatagrams {
-                unknown_sender: 1,
-                too_long: 1,
-                waited_too_long: 1,
                 unsent: 2,
                 ..DroppedDatagrams::default()
             }
--- a/balancer/proxy/src/upstreams/attempt.rs
+++ b/balancer/proxy/src/upstreams/attempt.rs
@@ -166,7 +166,7 @@
         let Ok(body) = Limited::new(body, MAX_BODY_LEN).collect().await else {
             return AttemptOutcome::failed(Ending::Reset);
         };
-        // Put back before the outcome is told: what the module sends next may go on this connection.
+        // Put back before the outcome is reported: what the module sends next may go on this connection.
         if let Ok(Ok(())) = timeout(READY_TIMEOUT, connection.sender.ready()).await {
             exchange.upstream.put_back(connection);
         }
--- a/balancer/proxy/src/upstreams/request_write.rs
+++ b/balancer/proxy/src/upstreams/request_write.rs
@@ -1,5 +1,5 @@
 //! The write of one request, checked at the system call. The request is handed to the connection's task, which writes in
-//! a later turn: what was true when it was handed over may be over by then, so that it is asked once more here.
+//! a later turn: what was true when it was handed over may be over by then, so that it is checked once more here.
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind, IoSlice};
@@ -28,7 +28,7 @@
     Ended,
     /// What its head says has grown too old.
     DeadlineStale,
-    /// Bytes or an end of the connection came before the request was written: they are no answer to it.
+    /// Bytes or an end of the connection came before the request was written: they are no response to it.
     UnsolicitedInput,
 }
 
@@ -57,7 +57,7 @@
         })
     }
 
-    /// A request is about to be handed over. `permission` is asked before each write, until the request is whole.
+    /// A request is about to be handed over. `permission` is checked before each write, until the request is complete.
     pub(super) fn begin(
         &self,
         permission: impl Fn(Progress) -> Result<(), WriteRefusal> + 'static,
@@ -79,7 +79,7 @@
         self.refusal.get()
     }
 
-    /// Asks whether the next bytes may be written.
+    /// Checks whether the next bytes may be written.
     fn check(&self, stream: &TcpStream) -> Result<(), WriteRefusal> {
         let progress = self.progress.get();
         if progress == Progress::Complete {
@@ -101,9 +101,9 @@
         }
     }
 
-    /// Notes that of `offered` bytes `written` were taken. The whole request is offered at its first write: its body is
+    /// Notes that of `offered` bytes `written` were taken. The complete request is offered at its first write: its body is
     /// one piece in memory. Only of a head that fills the write buffer alone the body comes later; such a request
-    /// counts as whole too early, which is the safe side.
+    /// counts as complete too early, which is the safe side.
     fn note_written(&self, offered: usize, written: usize) {
         let missing = self
             .missing
--- a/balancer/proxy/tests/bad_input.rs
+++ b/balancer/proxy/tests/bad_input.rs
@@ -144,7 +144,11 @@
 }
 
 #[test]
-fn a_reload_of_what_cannot_be_used_changes_nothing() {
+#[expect(
+    clippy::too_many_lines,
+    reason = "a table of configurations and their errors"
+)]
+fn a_reload_of_an_invalid_configuration_changes_nothing() {
     let upstream = Upstream::start(|_| ok("x"));
     let discovery = Discovery::start();
     let good = config(
@@ -319,13 +323,17 @@
 }
 
 #[test]
-fn a_request_that_cannot_be_used_is_refused_and_not_sent_on() {
+#[expect(
+    clippy::too_many_lines,
+    reason = "a table of requests and their responses"
+)]
+fn an_invalid_request_is_rejected_and_not_forwarded() {
     let upstream = Upstream::start(|_| ok("x"));
     let node = Node::with(&[upstream.addr]);
-    let whole = get("r1", "5000m");
+    let valid = get("r1", "5000m");
     let status = |from: &str, to: &str| {
-        assert!(whole.contains(from), "{from}");
-        node.client().call(&whole.replacen(from, to, 1)).status()
+        assert!(valid.contains(from), "{from}");
+        node.client().call(&valid.replacen(from, to, 1)).status()
     };
     for deadline in [
         "NaNm",
@@ -383,7 +391,7 @@
     // A deadline that has come already leaves nothing to do.
     let late = status("Req-Deadline: 5000m", "Req-Deadline: 0m");
     assert!((500..600).contains(&late), "{late}");
-    let huge = whole.replacen(
+    let huge = valid.replacen(
         "Req-Id: r1",
         &format!("Req-Id: r1\r\nX-Huge: {}", "x".repeat(1 << 20)),
         1,
--- a/balancer/proxy/tests/bad_input_read.rs
+++ b/balancer/proxy/tests/bad_input_read.rs
@@ -26,7 +26,8 @@
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_is_refused_with_the_field_at_fault() {
+#[expect(clippy::too_many_lines, reason = "a table of inputs and their errors")]
+fn an_invalid_configuration_is_refused_with_the_field_at_fault() {
     let long = format!("\"seed\":\"{}\"", "x\u{1b}".repeat(1 << 20));
     let sockets = "\"sockets\":1024";
     for (from, to, wanted) in [
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn what_is_cut_off_at_any_length_is_refused() {
+fn input_truncated_at_any_length_is_refused() {
     for length in 0..GOOD.len() {
         is_one_line(
             &Config::parse(&GOOD.as_bytes()[..length])
--- a/balancer/proxy/tests/options.rs
+++ b/balancer/proxy/tests/options.rs
@@ -50,7 +50,8 @@
 }
 
 #[test]
-fn what_is_wrong_is_one_line_with_its_place_and_key() {
+#[expect(clippy::too_many_lines, reason = "a table of inputs and their errors")]
+fn an_error_is_one_line_with_its_position_and_key() {
     for (text, wanted) in [
         (
             "[log]\nlevle = \"info\"\n",
--- a/balancer/proxy/tests/peers.rs
+++ b/balancer/proxy/tests/peers.rs
@@ -146,8 +146,25 @@
     }
 }
 
+/// Sends garbage to each replica, from a stranger and from the addresses of peers.
+fn send_garbage(wire: &Wire) {
+    let stranger = UdpSocket::bind("127.0.0.1:0").expect("binds");
+    for n in 0..200usize {
+        let length = [0, 1, 27, 64, 256, 257, 1400][n % 7];
+        let bytes: Vec<u8> = (0..length).map(|i| (i * 31 + n * 17) as u8).collect();
+        let headed = [b"oP\x01\x01\x02".as_slice(), &bytes].concat();
+        let (to, from) = (n % COPIES, (n / COPIES) % COPIES);
+        for bytes in [&bytes, &headed] {
+            stranger.send_to(bytes, wire.listens(to)).expect("sends");
+            wire.peers[from]
+                .send_to(bytes, wire.listens(to))
+                .expect("sends");
+        }
+    }
+}
+
 #[test]
-fn a_tier_knows_who_is_there_and_speaks_what_all_of_it_reads() {
+fn a_tier_knows_its_members_and_uses_a_version_that_all_support() {
     let (wire, upstream) = (Wire::start(), Upstream::start(|_| ok("x")));
     let mut copies: Vec<Copy> = (0..COPIES)
         .map(|n| Copy::start(n, &wire, &upstream, &[]))
@@ -175,20 +192,7 @@
     copies.push(Copy::start(COPIES - 1, &wire, &upstream, &[]));
     all(&copies, "it is back", whole);
 
-    // Garbage, from anybody and from the addresses of peers.
-    let stranger = UdpSocket::bind("127.0.0.1:0").expect("binds");
-    for n in 0..200usize {
-        let length = [0, 1, 27, 64, 256, 257, 1400][n % 7];
-        let bytes: Vec<u8> = (0..length).map(|i| (i * 31 + n * 17) as u8).collect();
-        let headed = [b"oP\x01\x01\x02".as_slice(), &bytes].concat();
-        let (to, from) = (n % COPIES, (n / COPIES) % COPIES);
-        for bytes in [&bytes, &headed] {
-            stranger.send_to(bytes, wire.listens(to)).expect("sends");
-            wire.peers[from]
-                .send_to(bytes, wire.listens(to))
-                .expect("sends");
-        }
-    }
+    send_garbage(&wire);
     all(&copies, "garbage is counted and changes nothing", |t| {
         let dropped = |why: &str| t["dropped"][why].as_u64().unwrap_or(0);
         whole(t) && dropped("unknown") >= 80 && dropped("long") >= 10 && dropped("broken") >= 10
@@ -220,8 +224,18 @@
     assert!(wire.longest.load(Ordering::SeqCst) <= 256);
 }
 
+fn check_says(configuration: &str, wanted: &str) {
+    let mut check = command(configuration);
+    check
+        .args(["check", "--set", "peers.on=true"])
+        .stdout(Stdio::piped());
+    let printed = check.output().expect("runs").stdout;
+    let printed = String::from_utf8_lossy(&printed).into_owned();
+    assert!(printed.contains(wanted), "{printed}");
+}
+
 #[test]
-fn where_peers_may_not_or_cannot_be_on_one_line_says_so_and_all_else_is_as_ever() {
+fn without_contact_to_peers_one_line_says_why_and_requests_are_served() {
     let upstream = Upstream::start(|_| ok("x"));
     let peers: Vec<String> = (1..=COPIES).map(|n| format!("\"127.0.0.1:{n}\"")).collect();
     let peers = peers.join(",");
@@ -252,13 +266,7 @@
         assert!(text.contains(from), "{text}");
         let text = text.replace(from, to);
         if !to.contains("192") {
-            let mut check = command(&text);
-            check
-                .args(["check", "--set", "peers.on=true"])
-                .stdout(Stdio::piped());
-            let told = check.output().expect("runs").stdout;
-            let told = String::from_utf8_lossy(&told).into_owned();
-            assert!(told.contains(&format!("peers: off, {wanted}")), "{told}");
+            check_says(&text, &format!("peers: off, {wanted}"));
         }
         let mut run = command(&text);
         run.args([
--- a/balancer/proxy/tests/peers_observations.rs
+++ b/balancer/proxy/tests/peers_observations.rs
@@ -3,14 +3,14 @@
 use balancer_gossip as peers;
 use balancer_proxy::{options::PeerOptions, tier_update};
 
-#[test]
-fn what_is_switched_off_is_not_heard() {
+/// All that a tier can know.
+fn complete_state() -> peers::TierState {
     let tenants = vec![peers::TenantLoad {
         demand: 5.0,
         calls: 6.0,
         callers: 7.0,
     }];
-    let figures = peers::Load {
+    let load = peers::Load {
         demand: 1.0,
         room: 2.0,
         firsts: 3.0,
@@ -18,7 +18,7 @@
         tenants,
     };
     let sums = Some(peers::Sums {
-        load: figures,
+        load,
         age: 10.0,
         heard: 3,
         error: 0.5,
@@ -31,7 +31,7 @@
         cleared: 0,
         age: 20.0,
     }];
-    let all = peers::TierState {
+    peers::TierState {
         up: 4,
         place: 3,
         version: 2,
@@ -39,7 +39,12 @@
         joined: true,
         sums,
         evidence,
-    };
+    }
+}
+
+#[test]
+fn what_is_switched_off_is_not_used() {
+    let complete = complete_state();
     let hears = |shed, shares, trials, verdicts| {
         let may = PeerOptions {
             on: true,
@@ -55,7 +60,7 @@
             joined,
             sums,
             evidence,
-        } = tier_update(all.clone(), &may);
+        } = tier_update(complete.clone(), &may);
         assert!(joined);
         let load = sums.map(|s| {
             (
