--- a/balancer/proxy/tests/attempts.rs
+++ b/balancer/proxy/tests/attempts.rs
@@ -4,7 +4,7 @@
 use common::raw::{RawConnection, RawUpstream};
 use common::{
     command, config, get, listing, pay, read, refusing, Discovery, Message, Node, Unreachable,
-    PATIENCE,
+    TEST_TIMEOUT,
 };
 use std::time::{Duration, Instant};
 
@@ -36,7 +36,7 @@
     // Both wait for it when it goes on, the connection first.
     node.pause();
     let mut upstream = unreachable.reach();
-    client.leave();
+    client.disconnect();
     node.resume();
     assert!(read(&mut upstream).is_none(), "something was written");
 }
@@ -45,7 +45,7 @@
 fn next_request(open: &mut Vec<RawConnection>) -> (Message, RawConnection) {
     let began = Instant::now();
     loop {
-        assert!(began.elapsed() < PATIENCE, "nothing comes");
+        assert!(began.elapsed() < TEST_TIMEOUT, "nothing comes");
         if let Some(at) = open.iter().position(RawConnection::has_input) {
             let mut connection = open.swap_remove(at);
             if let Some(request) = connection.request() {
@@ -69,32 +69,32 @@
         connection.request().expect("a request");
         connection.answer("warm");
     }
-    let [mut leaves, mut stays] = clients;
+    let [mut disconnecting, mut staying] = clients;
     assert_eq!(
         (
-            leaves.answer().expect("an answer").status(),
-            stays.answer().expect("one").status()
+            disconnecting.answer().expect("an answer").status(),
+            staying.answer().expect("one").status()
         ),
         (200, 200)
     );
-    leaves.send(&get("gone", "20000m"));
+    disconnecting.send(&get("gone", "20000m"));
     let mut open = Vec::from(connections);
-    let (request, mut held) = next_request(&mut open);
+    let (request, mut pending) = next_request(&mut open);
     assert_eq!(request.header("req-id"), Some("gone"));
     node.pause();
-    held.write("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
-    leaves.leave();
+    pending.write("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
+    disconnecting.disconnect();
     node.resume();
-    open.push(held);
+    open.push(pending);
     // Whatever is written for the one that left is written before what comes later.
-    stays.send(&get("next", "20000m"));
+    staying.send(&get("next", "20000m"));
     let (request, mut connection) = next_request(&mut open);
     assert_eq!(request.header("req-id"), Some("next"));
     connection.answer("x");
-    assert_eq!(stays.answer().expect("an answer").status(), 200);
-    let further = |mut other: RawConnection| other.has_input() && other.request().is_some();
+    assert_eq!(staying.answer().expect("an answer").status(), 200);
+    let has_request = |mut other: RawConnection| other.has_input() && other.request().is_some();
     assert!(
-        !open.into_iter().any(further),
+        !open.into_iter().any(has_request),
         "the one that left has another attempt"
     );
 }
@@ -139,9 +139,9 @@
 #[test]
 fn an_answer_without_a_length_is_whole_at_its_end_and_broken_by_a_reset() {
     let text = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nthe answer";
-    let whole = answered_with(text, After::End, "20000m");
+    let complete = answered_with(text, After::End, "20000m");
     assert_eq!(
-        (whole.status(), whole.body.as_slice()),
+        (complete.status(), complete.body.as_slice()),
         (200, &b"the answer"[..])
     );
     assert_eq!(answered_with(text, After::Reset, "20000m").status(), 502);
@@ -189,8 +189,11 @@
 fn an_answer_after_an_interim_one_is_the_answer() {
     let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
     let text = format!("{interim}HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody");
-    let whole = answered_with(&text, After::End, "20000m");
-    assert_eq!((whole.status(), whole.body.as_slice()), (200, &b"body"[..]));
+    let complete = answered_with(&text, After::End, "20000m");
+    assert_eq!(
+        (complete.status(), complete.body.as_slice()),
+        (200, &b"body"[..])
+    );
 }
 
 #[test]
@@ -283,7 +286,7 @@
         client.answer().expect("an answer");
         client.send(&pay("r", "20000m"));
         while !connection.has_input() {
-            assert!(answered.elapsed() < PATIENCE, "nothing comes");
+            assert!(answered.elapsed() < TEST_TIMEOUT, "nothing comes");
             std::thread::yield_now();
         }
         let after = answered.elapsed();
@@ -329,7 +332,7 @@
     let mut shown = 0;
     while shown < 5 {
         assert!(
-            began.elapsed() < PATIENCE,
+            began.elapsed() < TEST_TIMEOUT,
             "this machine is too slow to show it"
         );
         if let Some(answer) = second_answer_soon_after_the_first() {
--- a/balancer/proxy/tests/attempts_write.rs
+++ b/balancer/proxy/tests/attempts_write.rs
@@ -139,9 +139,9 @@
         for why in [WriteRefusal::Ended, WriteRefusal::DeadlineStale] {
             let mut pair = Pair::new();
             let over = Rc::new(Cell::new(false));
-            let asked = over.clone();
+            let has_ended = over.clone();
             pair.request
-                .begin(move |_| if asked.get() { Err(why) } else { Ok(()) });
+                .begin(move |_| if has_ended.get() { Err(why) } else { Ok(()) });
             over.set(true);
             refusal(pair.write(REQUEST).await);
             assert_eq!(
@@ -219,9 +219,9 @@
     run(async {
         let mut pair = Pair::new();
         let over = Rc::new(Cell::new(false));
-        let asked = over.clone();
+        let has_ended = over.clone();
         pair.request.begin(move |_| {
-            if asked.get() {
+            if has_ended.get() {
                 Err(WriteRefusal::Ended)
             } else {
                 Ok(())
--- a/balancer/proxy/tests/bad_input.rs
+++ b/balancer/proxy/tests/bad_input.rs
@@ -265,12 +265,12 @@
     let mut command = command(&pushed(&discovery, &good));
     command.args(["run", "--set", "log.rate=100000"]);
     let node = Node::run(command, discovery);
-    let gone = listing(2, true, &[(0, upstream.addr, "left")]);
+    let removed = listing(2, true, &[(0, upstream.addr, "left")]);
     let bad = [
-        gone[..gone.len() - 1].to_string(),
-        gone.replace("\"full\":true", "\"full\":\"yes\""),
-        gone.replace("\"version\":2", "\"version\":1e300"),
-        gone.replace("\"started_ms\":0", "\"started_ms\":-1"),
+        removed[..removed.len() - 1].to_string(),
+        removed.replace("\"full\":true", "\"full\":\"yes\""),
+        removed.replace("\"version\":2", "\"version\":1e300"),
+        removed.replace("\"started_ms\":0", "\"started_ms\":-1"),
         listing(0, true, &[(0, upstream.addr, "left")]),
     ];
     for (n, list) in bad.iter().enumerate() {
@@ -291,7 +291,9 @@
 /// connection ends without an answer.
 fn status_of(node: &Node, bytes: &[u8]) -> Option<u16> {
     let stream = TcpStream::connect(node.addr).expect("connects");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a time-out");
     let mut stream = BufReader::new(stream);
     // The balancer may close before all is written.
     let _ = stream.get_mut().write_all(bytes);
@@ -309,9 +311,9 @@
 fn a_request_that_is_cut_off_at_any_length_is_not_sent_on() {
     let upstream = Upstream::start(|_| ok("x"));
     let node = Node::with(&[upstream.addr]);
-    let whole = pay("cut", "5000m");
-    for length in 0..whole.len() {
-        let status = status_of(&node, &whole.as_bytes()[..length]);
+    let complete = pay("cut", "5000m");
+    for length in 0..complete.len() {
+        let status = status_of(&node, &complete.as_bytes()[..length]);
         assert!(
             status.is_none_or(|s| (400..500).contains(&s)),
             "{length}: {status:?}"
@@ -400,7 +402,7 @@
     // Unknown headers go on as they are.
     assert_eq!(status("Req-Id: r1", "Req-Id: last\r\nX-Novel: 1e300"), 200);
     assert_eq!(upstream.request().header("req-id"), Some("last"));
-    assert_eq!(upstream.further(), 0);
+    assert_eq!(upstream.additional_requests(), 0);
     never_panicked(&node);
 }
 
--- a/balancer/proxy/tests/leaving.rs
+++ b/balancer/proxy/tests/client_disconnects.rs
@@ -10,7 +10,7 @@
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug)]
-enum Leave {
+enum Disconnect {
     Close,
     Reset,
     HalfClose,
@@ -22,19 +22,19 @@
     Nothing,
     HalfTogether,
     HalfLater,
-    WholeTogether,
-    WholeLater,
+    CompleteTogether,
+    CompleteLater,
     /// More than is read ahead of its answer.
     ManyLater,
 }
 
-const LEAVES: [Leave; 3] = [Leave::Close, Leave::Reset, Leave::HalfClose];
+const DISCONNECTS: [Disconnect; 3] = [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose];
 const AFTER: [After; 6] = [
     After::Nothing,
     After::HalfTogether,
     After::HalfLater,
-    After::WholeTogether,
-    After::WholeLater,
+    After::CompleteTogether,
+    After::CompleteLater,
     After::ManyLater,
 ];
 
@@ -44,26 +44,26 @@
         match self {
             After::Nothing => Vec::new(),
             After::HalfTogether | After::HalfLater => next[..next.len() / 2].to_vec(),
-            After::WholeTogether | After::WholeLater => next,
+            After::CompleteTogether | After::CompleteLater => next,
             After::ManyLater => next.repeat(300),
         }
     }
 
     fn is_together(self) -> bool {
-        matches!(self, After::HalfTogether | After::WholeTogether)
+        matches!(self, After::HalfTogether | After::CompleteTogether)
     }
 }
 
-impl Leave {
+impl Disconnect {
     /// Leaves; what is returned keeps a socket open that is only shut.
-    fn leave(self, client: RawClient) -> Option<RawClient> {
+    fn disconnect(self, client: RawClient) -> Option<RawClient> {
         match self {
-            Leave::Close => None,
-            Leave::Reset => {
+            Disconnect::Close => None,
+            Disconnect::Reset => {
                 client.reset();
                 None
             }
-            Leave::HalfClose => {
+            Disconnect::HalfClose => {
                 client.half_close();
                 Some(client)
             }
@@ -90,28 +90,28 @@
     node
 }
 
-fn is_seen_while_its_request_is_dialled(leave: Leave, after: After) {
+fn is_noticed_while_its_request_is_dialled(disconnect: Disconnect, after: After) {
     let full = Unreachable::start();
     let node = keeps_attempts(&[full.addr]);
     let without = node.descriptors();
-    let mut client = RawClient::connect(node.addr, PATIENCE);
+    let mut client = RawClient::connect(node.addr, TEST_TIMEOUT);
     let (mut request, more) = (pay("gone", "80000m").into_bytes(), after.bytes());
     if after.is_together() {
         request.extend_from_slice(&more);
     }
     client.send(&request);
-    node.holds(|held| held >= without + 2, "it does not dial");
+    node.holds(|sockets| sockets >= without + 2, "it does not dial");
     if !after.is_together() {
         client.send(&more);
     }
-    let _stays = leave.leave(client);
+    let _stays = disconnect.disconnect(client);
     node.holds(
-        |held| held <= without + 1,
-        &format!("it does not see {leave:?} after {after:?}"),
+        |sockets| sockets <= without + 1,
+        &format!("it does not see {disconnect:?} after {after:?}"),
     );
     assert!(
         read(&mut full.reach()).is_none(),
-        "sent for nobody: {leave:?} after {after:?}"
+        "sent for nobody: {disconnect:?} after {after:?}"
     );
 }
 
@@ -119,36 +119,36 @@
 fn a_client_that_closes_is_seen_while_its_request_is_dialled() {
     AFTER
         .into_iter()
-        .for_each(|after| is_seen_while_its_request_is_dialled(Leave::Close, after));
+        .for_each(|after| is_noticed_while_its_request_is_dialled(Disconnect::Close, after));
 }
 
 #[test]
 fn a_client_that_resets_is_seen_while_its_request_is_dialled() {
     AFTER
         .into_iter()
-        .for_each(|after| is_seen_while_its_request_is_dialled(Leave::Reset, after));
+        .for_each(|after| is_noticed_while_its_request_is_dialled(Disconnect::Reset, after));
 }
 
 #[test]
 fn a_client_that_shuts_its_side_is_seen_while_its_request_is_dialled() {
     AFTER
         .into_iter()
-        .for_each(|after| is_seen_while_its_request_is_dialled(Leave::HalfClose, after));
+        .for_each(|after| is_noticed_while_its_request_is_dialled(Disconnect::HalfClose, after));
 }
 
 /// The first attempt is out when the client leaves, and fails after that.
 #[test]
 fn nothing_is_repeated_for_a_client_that_left_during_an_attempt() {
-    for leave in LEAVES {
-        for after in [After::Nothing, After::HalfTogether, After::WholeLater] {
-            let (fail, word) = channel();
-            let word = Mutex::new(Some(word));
+    for disconnect in DISCONNECTS {
+        for after in [After::Nothing, After::HalfTogether, After::CompleteLater] {
+            let (fail, signal) = channel();
+            let signal = Mutex::new(Some(signal));
             let behave = move |message: &Message| match message.header("req-id") {
-                Some("gone") => match word.lock().expect("no panic").take() {
-                    Some(word) => {
+                Some("gone") => match signal.lock().expect("no panic").take() {
+                    Some(signal) => {
                         let failed =
                             "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
-                        Then::Hold(word, failed.into())
+                        Then::Hold(signal, failed.into())
                     }
                     None => ok("repeated"),
                 },
@@ -157,25 +157,29 @@
             let upstream = Upstream::start(behave);
             let node = keeps_attempts(&[upstream.addr]);
             let without = node.descriptors();
-            let mut client = RawClient::connect(node.addr, PATIENCE);
+            let mut client = RawClient::connect(node.addr, TEST_TIMEOUT);
             let mut request = get("gone", "80000m").into_bytes();
             request.extend_from_slice(&after.bytes());
             client.send(&request);
             assert_eq!(upstream.request().header("req-id"), Some("gone"));
-            let _stays = leave.leave(client);
+            let _stays = disconnect.disconnect(client);
             // The attempt is out still.
             node.holds(
-                |held| held <= without + 1,
-                &format!("it does not see {leave:?} after {after:?}"),
+                |sockets| sockets <= without + 1,
+                &format!("it does not see {disconnect:?} after {after:?}"),
             );
             fail.send(()).expect("the upstream waits");
             assert_eq!(node.client().call(&get("other", "20000m")).status(), 200);
             assert_eq!(
                 upstream.request().header("req-id"),
                 Some("other"),
-                "{leave:?} after {after:?}"
+                "{disconnect:?} after {after:?}"
+            );
+            assert_eq!(
+                upstream.additional_requests(),
+                0,
+                "{disconnect:?} after {after:?}"
             );
-            assert_eq!(upstream.further(), 0, "{leave:?} after {after:?}");
         }
     }
 }
@@ -183,14 +187,14 @@
 /// The balancer stands still while the client leaves and the attempt fails, so that it finds both in one turn.
 #[test]
 fn nothing_is_repeated_for_a_client_whose_end_comes_with_the_failure() {
-    for leave in LEAVES {
+    for disconnect in DISCONNECTS {
         for after in [After::Nothing, After::HalfTogether] {
-            let (fail, word) = channel();
-            let word = Mutex::new(Some(word));
+            let (fail, signal) = channel();
+            let signal = Mutex::new(Some(signal));
             let upstream = Upstream::start(move |message| match message.header("req-id") {
-                Some("gone") => match word.lock().expect("no panic").take() {
-                    Some(word) => Then::Hold(
-                        word,
+                Some("gone") => match signal.lock().expect("no panic").take() {
+                    Some(signal) => Then::Hold(
+                        signal,
                         "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n".into(),
                     ),
                     None => ok("repeated"),
@@ -198,48 +202,52 @@
                 _ => ok("x"),
             });
             let node = Node::with(&[upstream.addr]);
-            let mut client = RawClient::connect(node.addr, PATIENCE);
+            let mut client = RawClient::connect(node.addr, TEST_TIMEOUT);
             let mut request = get("gone", "80000m").into_bytes();
             request.extend_from_slice(&after.bytes());
             client.send(&request);
             assert_eq!(upstream.request().header("req-id"), Some("gone"));
             let (port, balancer) = (client.port(), node.addr.port());
             node.pause();
-            let _stays = leave.leave(client);
+            let _stays = disconnect.disconnect(client);
             fail.send(()).expect("the upstream waits");
             // A busy system may deliver the one long after the other.
             let left =
                 |s: &SystemSocket| (s.local, s.remote) != (balancer, port) || s.state == CLOSE_WAIT;
             let failed = |s: &SystemSocket| s.remote == upstream.addr.port() && s.unread > 0;
             let both = |all: &[SystemSocket]| all.iter().all(left) && all.iter().any(failed);
-            wait_for_system(PATIENCE, both, "the end and the failure do not arrive");
+            wait_for_system(TEST_TIMEOUT, both, "the end and the failure do not arrive");
             node.resume();
             assert_eq!(node.client().call(&get("other", "20000m")).status(), 200);
             assert_eq!(
                 upstream.request().header("req-id"),
                 Some("other"),
-                "{leave:?} after {after:?}"
+                "{disconnect:?} after {after:?}"
+            );
+            assert_eq!(
+                upstream.additional_requests(),
+                0,
+                "{disconnect:?} after {after:?}"
             );
-            assert_eq!(upstream.further(), 0, "{leave:?} after {after:?}");
         }
     }
 }
 
 #[test]
 fn a_request_whose_body_never_comes_whole_goes_nowhere() {
-    for leave in LEAVES {
+    for disconnect in DISCONNECTS {
         let upstream = Upstream::start(|_| ok("x"));
         let node = Node::with(&[upstream.addr]);
         node.discovery.called();
         let without = node.descriptors();
-        let mut client = RawClient::connect(node.addr, PATIENCE);
+        let mut client = RawClient::connect(node.addr, TEST_TIMEOUT);
         let request = pay("gone", "20000m");
         client.send(&request.as_bytes()[..request.len() - 2]);
-        node.holds(|held| held > without, "it does not accept");
-        let _stays = leave.leave(client);
+        node.holds(|sockets| sockets > without, "it does not accept");
+        let _stays = disconnect.disconnect(client);
         node.holds(
-            |held| held <= without,
-            &format!("it does not see {leave:?}"),
+            |sockets| sockets <= without,
+            &format!("it does not see {disconnect:?}"),
         );
         assert_eq!(node.client().call(&get("other", "20000m")).status(), 200);
         assert_eq!(upstream.request().header("req-id"), Some("other"));
@@ -262,7 +270,7 @@
         1 => pay(id, "20000m"),
         _ => chunked(id),
     });
-    let mut client = RawClient::connect(node.addr, PATIENCE);
+    let mut client = RawClient::connect(node.addr, TEST_TIMEOUT);
     let all: String = requests.collect();
     let mut reader = client.reader();
     client.send(all.as_bytes());
@@ -287,7 +295,7 @@
         ))
     });
     let node = Node::with(&[upstream.addr]);
-    let mut client = RawClient::connect(node.addr, PATIENCE);
+    let mut client = RawClient::connect(node.addr, TEST_TIMEOUT);
     let ids: Vec<String> = (0..200).map(|n| format!("late-{n:03}")).collect();
     let all: String = ids.iter().map(|id| get(id, "20000m")).collect();
     client.send(all.as_bytes());
--- a/balancer/proxy/tests/common/agent.rs
+++ b/balancer/proxy/tests/common/agent.rs
@@ -1,6 +1,6 @@
 //! Discovery that treats each call as a test says, with many connections at once.
 #![allow(dead_code)]
-use super::{read, PATIENCE};
+use super::{read, TEST_TIMEOUT};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,7 +12,7 @@
 /// What it does with one call.
 pub(crate) enum Manner {
     /// Says nothing; the connection stays up.
-    Silent,
+    Unresponsive,
     /// Ends the connection without an answer.
     Ends,
     /// Writes the first half of this list and then nothing.
@@ -61,7 +61,7 @@
 
     /// The next call's path.
     pub(crate) fn called(&self) -> String {
-        self.calls.recv_timeout(PATIENCE).expect("a call").1
+        self.calls.recv_timeout(TEST_TIMEOUT).expect("a call").1
     }
 
     /// Waits for a call with this in its path.
@@ -80,7 +80,7 @@
 /// `None`: the connection is over.
 fn treat(stream: &mut TcpStream, what: Manner) -> Option<()> {
     match what {
-        Manner::Silent => {}
+        Manner::Unresponsive => {}
         Manner::Ends => return None,
         Manner::Half(list) => {
             let whole = answer(&list);
--- a/balancer/proxy/tests/common/client.rs
+++ b/balancer/proxy/tests/common/client.rs
@@ -1,5 +1,5 @@
 //! A client of the balancer.
-use super::{raw, read, Message, PATIENCE};
+use super::{raw, read, Message, TEST_TIMEOUT};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::thread;
@@ -11,7 +11,9 @@
     /// `None`: nobody listens there.
     pub(crate) fn connect(addr: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(addr).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         Some(Client(BufReader::new(stream)))
     }
 
@@ -26,12 +28,12 @@
     }
 
     /// Closes the connection and waits until the balancer's side of the system has its end.
-    pub(crate) fn leave(self) {
+    pub(crate) fn disconnect(self) {
         let port = self.0.get_ref().local_addr().expect("an address").port();
         drop(self);
         let began = Instant::now();
         while !raw::end_has_arrived(port) {
-            assert!(began.elapsed() < PATIENCE, "the end does not arrive");
+            assert!(began.elapsed() < TEST_TIMEOUT, "the end does not arrive");
             thread::yield_now();
         }
     }
--- a/balancer/proxy/tests/common/discovery.rs
+++ b/balancer/proxy/tests/common/discovery.rs
@@ -1,5 +1,5 @@
 //! A fake discovery, and the lists that it gives.
-use super::{read, Message, PATIENCE};
+use super::{read, Message, TEST_TIMEOUT};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -58,7 +58,7 @@
 
     /// The next call's path.
     pub(crate) fn called(&self) -> String {
-        let call = self.calls.recv_timeout(PATIENCE).expect("a call");
+        let call = self.calls.recv_timeout(TEST_TIMEOUT).expect("a call");
         call.start.split(' ').nth(1).expect("a path").into()
     }
 }
--- a/balancer/proxy/tests/common/mod.rs
+++ b/balancer/proxy/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A balancer under test between small fakes: clients, upstreams and discovery, on ephemeral loopback ports.
-//! Everything waits for what it needs to have happened; [`PATIENCE`] only ends a test that has failed.
+//! Everything waits for what it needs to have happened; [`TEST_TIMEOUT`] only ends a test that has failed.
 #![allow(dead_code, unused_imports)]
 pub(crate) mod agent;
 mod client;
@@ -19,4 +19,4 @@
 
 use std::time::Duration;
 
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
--- a/balancer/proxy/tests/common/node.rs
+++ b/balancer/proxy/tests/common/node.rs
@@ -1,5 +1,5 @@
 //! The balancer under test, as a process.
-use super::{config, listing, Client, Discovery, PATIENCE};
+use super::{config, listing, Client, Discovery, TEST_TIMEOUT};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -128,7 +128,7 @@
     pub(crate) fn holds(&self, wanted: impl Fn(usize) -> bool, otherwise: &str) {
         let started = Instant::now();
         while !wanted(self.descriptors()) {
-            assert!(started.elapsed() < PATIENCE, "{otherwise}");
+            assert!(started.elapsed() < TEST_TIMEOUT, "{otherwise}");
             thread::yield_now();
         }
     }
@@ -157,7 +157,7 @@
             .expect("its state")
             .contains(") T ")
         {
-            assert!(started.elapsed() < PATIENCE, "it does not stop");
+            assert!(started.elapsed() < TEST_TIMEOUT, "it does not stop");
             thread::yield_now();
         }
     }
@@ -186,7 +186,7 @@
         let started = Instant::now();
         while self.log().iter().filter(|l| l.contains(text)).count() < times {
             assert!(
-                started.elapsed() < PATIENCE,
+                started.elapsed() < TEST_TIMEOUT,
                 "{text:?} is not in {:?}",
                 self.log()
             );
--- a/balancer/proxy/tests/common/raw.rs
+++ b/balancer/proxy/tests/common/raw.rs
@@ -1,5 +1,5 @@
 //! An upstream whose connections the test itself reads and writes, in the order that it wants.
-use super::{read, Message, PATIENCE};
+use super::{read, Message, TEST_TIMEOUT};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
@@ -32,7 +32,7 @@
                     return (RawConnection::new(stream), at);
                 }
             }
-            assert!(began.elapsed() < PATIENCE, "no connection comes");
+            assert!(began.elapsed() < TEST_TIMEOUT, "no connection comes");
             std::thread::yield_now();
         }
     }
@@ -44,7 +44,9 @@
 impl RawConnection {
     fn new(stream: TcpStream) -> RawConnection {
         stream.set_nonblocking(false).expect("blocks");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         stream.set_nodelay(true).expect("writes at once");
         RawConnection(BufReader::new(stream))
     }
--- a/balancer/proxy/tests/common/raw_client.rs
+++ b/balancer/proxy/tests/common/raw_client.rs
@@ -12,25 +12,29 @@
 
 impl RawClient {
     /// Reads wait for this long at most.
-    pub(crate) fn connect(addr: SocketAddr, patience: Duration) -> RawClient {
+    pub(crate) fn connect(addr: SocketAddr, client_timeout: Duration) -> RawClient {
         let stream = TcpStream::connect(addr).expect("connects");
         stream.set_nodelay(true).expect("sends at once");
-        stream.set_read_timeout(Some(patience)).expect("a time-out");
         stream
-            .set_write_timeout(Some(patience))
+            .set_read_timeout(Some(client_timeout))
+            .expect("a time-out");
+        stream
+            .set_write_timeout(Some(client_timeout))
             .expect("a time-out");
         RawClient(stream)
     }
 
     /// The same, and its system takes little that it has not read: what comes beyond that stays at the other side.
-    pub(crate) fn connect_narrow(addr: SocketAddr, patience: Duration) -> RawClient {
+    pub(crate) fn connect_narrow(addr: SocketAddr, client_timeout: Duration) -> RawClient {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.set_recv_buffer_size(NARROW).expect("a small buffer");
         socket.connect(&addr.into()).expect("connects");
         let stream = TcpStream::from(socket);
-        stream.set_read_timeout(Some(patience)).expect("a time-out");
         stream
-            .set_write_timeout(Some(patience))
+            .set_read_timeout(Some(client_timeout))
+            .expect("a time-out");
+        stream
+            .set_write_timeout(Some(client_timeout))
             .expect("a time-out");
         RawClient(stream)
     }
@@ -114,13 +118,13 @@
 
 /// Waits until the system shows this.
 pub(crate) fn wait_for_system(
-    patience: Duration,
+    client_timeout: Duration,
     shown: impl Fn(&[SystemSocket]) -> bool,
     otherwise: &str,
 ) {
     let started = std::time::Instant::now();
     while !shown(&system_sockets()) {
-        assert!(started.elapsed() < patience, "{otherwise}");
+        assert!(started.elapsed() < client_timeout, "{otherwise}");
         std::thread::yield_now();
     }
 }
--- a/balancer/proxy/tests/common/ends.rs
+++ b/balancer/proxy/tests/common/shutdown.rs
@@ -3,7 +3,7 @@
 use super::common::*;
 
 /// An upstream that answers requests whose id begins with `ok`, and is silent on all others.
-pub(crate) fn hangs() -> Upstream {
+pub(crate) fn answers_ok_alone() -> Upstream {
     Upstream::start(|m| {
         if m.header("req-id").is_some_and(|id| id.starts_with("ok")) {
             ok("x")
@@ -15,12 +15,12 @@
 
 /// A balancer that soon closes its clients' connections when it is told to end, as its longest deadline is short. What
 /// its clients say of their own deadlines goes beyond that.
-pub(crate) fn ends_soon(upstream: &Upstream) -> Node {
-    ends_by(upstream, 1000)
+pub(crate) fn shuts_down_soon(upstream: &Upstream) -> Node {
+    shuts_down_within(upstream, 1000)
 }
 
 /// The same with this longest deadline, in milliseconds.
-pub(crate) fn ends_by(upstream: &Upstream, deadline: u32) -> Node {
+pub(crate) fn shuts_down_within(upstream: &Upstream, deadline: u32) -> Node {
     let discovery = Discovery::start();
     let known = listing(1, true, &[(0, upstream.addr, "active")]);
     let config = config(discovery.addr, 1024, &known)
@@ -33,7 +33,7 @@
 }
 
 /// A connection on which a request has been served.
-pub(crate) fn kept(node: &Node) -> Client {
+pub(crate) fn served_client(node: &Node) -> Client {
     let mut client = node.client();
     assert_eq!(client.call(&get("ok", "5000m")).status(), 200);
     client
--- a/balancer/proxy/tests/common/upstream.rs
+++ b/balancer/proxy/tests/common/upstream.rs
@@ -1,5 +1,5 @@
 //! A fake upstream, and addresses where there is none.
-use super::{read, Message, PATIENCE};
+use super::{read, Message, TEST_TIMEOUT};
 use balancer_lab::net::{Manner, Port};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -75,7 +75,7 @@
         loop {
             match self
                 .seen
-                .recv_timeout(PATIENCE)
+                .recv_timeout(TEST_TIMEOUT)
                 .expect("a request at the upstream")
             {
                 Seen::Request(m) => return m,
@@ -88,14 +88,14 @@
     pub(crate) fn closed(&self) {
         while !matches!(
             self.seen
-                .recv_timeout(PATIENCE)
+                .recv_timeout(TEST_TIMEOUT)
                 .expect("a closed connection"),
             Seen::Closed
         ) {}
     }
 
     /// How many further requests have come.
-    pub(crate) fn further(&self) -> usize {
+    pub(crate) fn additional_requests(&self) -> usize {
         self.seen
             .try_iter()
             .filter(|s| matches!(s, Seen::Request(_)))
@@ -119,7 +119,7 @@
             Then::Hang => break,
             Then::Wait => {}
             Then::Hold(word, text) => {
-                let _ = word.recv_timeout(PATIENCE);
+                let _ = word.recv_timeout(TEST_TIMEOUT);
                 let _ = stream.get_mut().write_all(text.as_bytes());
             }
         }
@@ -184,7 +184,9 @@
             .expect("a connection");
         let stream = accepted.into_std().expect("a stream");
         stream.set_nonblocking(false).expect("blocks");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         BufReader::new(stream)
     }
 }
--- a/balancer/proxy/tests/discovery.rs
+++ b/balancer/proxy/tests/discovery.rs
@@ -21,13 +21,13 @@
 fn served_by(node: &Node, body: &[u8]) {
     let (mut client, started) = (node.client(), Instant::now());
     while client.call(&get("r", "5000m")).body != body {
-        assert!(started.elapsed() < PATIENCE, "the list is not in use");
+        assert!(started.elapsed() < TEST_TIMEOUT, "the list is not in use");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
 /// News that version 2 brings, after calls that meet something else first.
-fn news_comes_into_use(
+fn change_comes_into_use(
     first: impl Fn(usize, String) -> Option<Manner> + Clone + Send + Sync + 'static,
 ) {
     for mode in MODES {
@@ -37,7 +37,7 @@
         );
         let (list, first) = (listing(2, true, &[(1, new.addr, "active")]), first.clone());
         let agent = Agent::start(move |number, path| match path.contains("since=2&") {
-            true => Manner::Silent,
+            true => Manner::Unresponsive,
             false => first(number, list.clone()).unwrap_or(Manner::Answers(list.clone())),
         });
         let node = knowing(&agent, mode, &old);
@@ -47,23 +47,23 @@
 
 #[test]
 fn half_an_answer_is_asked_for_anew() {
-    news_comes_into_use(|number, list| (number < 2).then_some(Manner::Half(list)));
+    change_comes_into_use(|number, list| (number < 2).then_some(Manner::Half(list)));
 }
 
 #[test]
 fn a_watch_that_ends_instead_of_telling_is_asked_anew() {
-    news_comes_into_use(|number, _| (number < 2).then_some(Manner::Ends));
+    change_comes_into_use(|number, _| (number < 2).then_some(Manner::Ends));
 }
 
 #[test]
 fn an_answer_that_trickles_for_ever_holds_nothing_up() {
-    news_comes_into_use(|number, _| (number < 3).then_some(Manner::Trickles));
+    change_comes_into_use(|number, _| (number < 3).then_some(Manner::Trickles));
 }
 
 /// Each answer takes 3 s, head and body in small pieces.
 #[test]
 fn a_list_that_takes_long_but_keeps_coming_is_taken() {
-    news_comes_into_use(|_, list| Some(Manner::Pieces(list, 30, Duration::from_millis(100))));
+    change_comes_into_use(|_, list| Some(Manner::Pieces(list, 30, Duration::from_millis(100))));
 }
 
 #[test]
@@ -72,14 +72,14 @@
         Upstream::start(|_| ok("old")),
         Upstream::start(|_| ok("new")),
     );
-    let silent = Unreachable::start();
+    let unresponsive = Unreachable::start();
     let known = listing(1, true, &[(0, old.addr, "active")]);
     let node = Node::run(
-        command(&config(silent.addr, 1024, &known)),
+        command(&config(unresponsive.addr, 1024, &known)),
         Discovery::start(),
     );
     node.logs_times("discovery: no answer in time", 3);
-    let mut call = silent.reach();
+    let mut call = unresponsive.reach();
     assert!(read(&mut call).expect("a call").start.contains("since=1&"));
     let list = listing(2, true, &[(1, new.addr, "active")]);
     let answer = format!(
@@ -105,7 +105,7 @@
     node.logs_times("discovery: ", 4);
     let list = listing(2, true, &[(1, new.addr, "active")]);
     let moved = Agent::start(move |_, path| match path.contains("since=2&") {
-        true => Manner::Silent,
+        true => Manner::Unresponsive,
         false => Manner::Answers(list.clone()),
     });
     node.reload(&config(moved.addr, 1024, "null"));
@@ -131,7 +131,7 @@
     for n in 0..20 {
         assert_eq!(client.call(&get(&format!("n{n}"), "5000m")).body, b"new");
     }
-    assert_eq!(old.further(), 0);
+    assert_eq!(old.additional_requests(), 0);
 }
 
 #[test]
@@ -179,7 +179,7 @@
     // What was sent on before still gets its answer.
     assert_eq!(client.answer().expect("an answer").body, b"old");
     assert_eq!(client.call(&get("r2", "10000m")).body, b"new");
-    assert_eq!(old.further(), 0);
+    assert_eq!(old.additional_requests(), 0);
 }
 
 #[test]
@@ -229,7 +229,7 @@
     let is_down = down.clone();
     let agent = Agent::start(move |_, path| match *is_down.lock().expect("no panic") {
         true => Manner::Ends,
-        false if path.contains("since=2&") => Manner::Silent,
+        false if path.contains("since=2&") => Manner::Unresponsive,
         false => Manner::Answers(list.clone()),
     });
     let known = listing(1, true, &[(0, old.addr, "active")]);
--- a/balancer/proxy/tests/silence.rs
+++ b/balancer/proxy/tests/discovery_timeouts.rs
@@ -8,12 +8,12 @@
 use std::time::{Duration, Instant};
 
 /// Discovery that says nothing to so many calls, and gives the list to each one after them; tells when calls come.
-fn silent(times: usize, list: String) -> (SocketAddr, Receiver<Instant>) {
+fn unresponsive(times: usize, list: String) -> (SocketAddr, Receiver<Instant>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
     let addr = listener.local_addr().expect("an address");
     let (tell, calls) = channel();
     thread::spawn(move || {
-        let mut kept = Vec::new();
+        let mut open_streams = Vec::new();
         for (number, stream) in listener.incoming().flatten().enumerate() {
             let mut stream = BufReader::new(stream);
             if read(&mut stream).is_none() || tell.send(Instant::now()).is_err() {
@@ -24,7 +24,7 @@
                 let _ = stream.get_mut().write_all((head + &list).as_bytes());
             }
             // Stays open, and silent from here on.
-            kept.push(stream);
+            open_streams.push(stream);
         }
     });
     (addr, calls)
@@ -35,12 +35,12 @@
         Upstream::start(|_| ok("old")),
         Upstream::start(|_| ok("new")),
     );
-    let (addr, calls) = silent(3, listing(6, true, &[(1, new.addr, "active")]));
+    let (addr, calls) = unresponsive(3, listing(6, true, &[(1, new.addr, "active")]));
     let known = listing(5, true, &[(0, old.addr, "active")]);
     let config = config(addr, 1024, &known).replace("on_request", mode);
     let node = Node::run(command(&config), Discovery::start());
     let calls: Vec<Instant> = (0..4)
-        .map(|_| calls.recv_timeout(PATIENCE).expect("a call"))
+        .map(|_| calls.recv_timeout(TEST_TIMEOUT).expect("a call"))
         .collect();
     // What the first one hid counts as told 6 s after it fell silent. A slow machine lengthens a wait, so that the
     // shortest of those on which it rests says what was meant.
@@ -52,7 +52,7 @@
     let mut client = node.client();
     let started = Instant::now();
     while client.call(&get("r", "5000m")).body != b"new" {
-        assert!(started.elapsed() < PATIENCE, "the list is not in use");
+        assert!(started.elapsed() < TEST_TIMEOUT, "the list is not in use");
     }
 }
 
@@ -72,11 +72,11 @@
 fn a_first_list_is_asked_for_as_often_as_changes() {
     for mode in ["pushed", "on_request"] {
         let new = Upstream::start(|_| ok("new"));
-        let (addr, calls) = silent(4, listing(6, true, &[(1, new.addr, "active")]));
+        let (addr, calls) = unresponsive(4, listing(6, true, &[(1, new.addr, "active")]));
         let config = config(addr, 1024, "null").replace("on_request", mode);
         let node = Node::run(command(&config), Discovery::start());
         let calls: Vec<Instant> = (0..5)
-            .map(|_| calls.recv_timeout(PATIENCE).expect("a call"))
+            .map(|_| calls.recv_timeout(TEST_TIMEOUT).expect("a call"))
             .collect();
         // 1.5 s each; a slow machine lengthens a wait, but not the last beyond the first by so much.
         assert!(
@@ -86,7 +86,7 @@
         let (mut client, started) = (node.client(), Instant::now());
         while client.call(&get("r", "5000m")).body != b"new" {
             assert!(
-                started.elapsed() < PATIENCE,
+                started.elapsed() < TEST_TIMEOUT,
                 "{mode}: the list is not in use"
             );
         }
--- a/balancer/proxy/tests/floods.rs
+++ b/balancer/proxy/tests/floods.rs
@@ -1,13 +1,13 @@
 //! Many improper clients at once beside proper ones, and clients that never read their answers: the improper get an
 //! error or a close in time, the proper their answers, and memory stays bounded.
 mod common;
-#[path = "common/ends.rs"]
-mod ends;
 #[path = "common/raw_client.rs"]
 mod raw_client;
+#[path = "common/shutdown.rs"]
+mod shutdown;
 use common::*;
-use ends::ends_by;
 use raw_client::RawClient;
+use shutdown::shuts_down_within;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Barrier};
@@ -82,7 +82,7 @@
 
     /// Plays it. Returns how long the balancer took to end the connection.
     fn play(self, addr: SocketAddr) -> Duration {
-        let mut client = RawClient::connect(addr, PATIENCE);
+        let mut client = RawClient::connect(addr, TEST_TIMEOUT);
         let connected = Instant::now();
         self.send(&mut client);
         let (bytes, _) = client.rest();
@@ -198,9 +198,9 @@
         Some("unread") => ok(&large),
         _ => ok("x"),
     });
-    let mut node = ends_by(&upstream, 1000);
+    let mut node = shuts_down_within(&upstream, 1000);
     let mut unreading: Vec<RawClient> = (0..UNREADING)
-        .map(|_| RawClient::connect(node.addr, PATIENCE))
+        .map(|_| RawClient::connect(node.addr, TEST_TIMEOUT))
         .collect();
     for client in &mut unreading {
         client.send(get("unread", "20000m").repeat(UNREAD_REQUESTS).as_bytes());
@@ -210,13 +210,13 @@
     is_served(node.addr, 0);
     let peak = peak_memory(&node);
     assert!(peak < MEMORY_MOST, "{peak} kB");
-    let told = Instant::now();
+    let signalled_at = Instant::now();
     node.terminate();
     assert_eq!(node.wait().code(), Some(0));
     // The longest deadline is taken as 3 s, and SIGKILL comes 0.7 s after it.
     assert!(
-        told.elapsed() < Duration::from_millis(3700),
+        signalled_at.elapsed() < Duration::from_millis(3700),
         "ended after {:?}",
-        told.elapsed()
+        signalled_at.elapsed()
     );
 }
--- a/balancer/proxy/tests/golden.rs
+++ b/balancer/proxy/tests/golden.rs
@@ -141,7 +141,7 @@
 }
 
 /// Keeps payloads as an earlier build of the balancer under test would have.
-fn keep(dir: &Path, payloads: &[(Kind, String)]) {
+fn persist(dir: &Path, payloads: &[(Kind, String)]) {
     let mut store = Store::open(dir, owner(), None).expect("opens").store;
     store.put(payloads, unix_ms()).expect("is written");
 }
@@ -155,7 +155,7 @@
 }
 
 /// The payload of a kind, once there is one as wanted; it must be of the balancer under test and of its settings.
-fn kept(dir: &Path, kind: Kind, wanted: impl Fn(&str) -> bool) -> String {
+fn persisted(dir: &Path, kind: Kind, wanted: impl Fn(&str) -> bool) -> String {
     let started = Instant::now();
     loop {
         // A folder that is read while it is written may make no sense for a moment.
@@ -169,7 +169,7 @@
             }
         }
         assert!(
-            started.elapsed() < PATIENCE,
+            started.elapsed() < TEST_TIMEOUT,
             "{kind:?} is not kept as wanted"
         );
         std::thread::sleep(Duration::from_millis(5));
@@ -180,9 +180,9 @@
 fn a_folder_of_an_earlier_build_is_taken_up_and_written_on_in_its_words() {
     let dir = TempDir::new().expect("a folder");
     let list = UPSTREAMS.trim_end();
-    let lesson =
+    let learned_record =
         |policy: &Value| format!(r#"{{"policy":{policy},"learned":{}}}"#, LEARNED.trim_end());
-    keep(
+    persist(
         dir.path(),
         &[
             (
@@ -193,7 +193,7 @@
                 Kind::Upstreams,
                 list.replace(r#""version":5"#, r#""version":4"#),
             ),
-            (Kind::Learned, lesson(&Value::from(0))),
+            (Kind::Learned, learned_record(&Value::from(0))),
         ],
     );
     let node = started(dir.path());
@@ -202,7 +202,7 @@
     node.logs("nothing learned: the settings are others now");
     assert!(node.discovery.called().starts_with("/api/targets?since=4&"));
     assert_eq!(
-        kept(dir.path(), Kind::Starts, |text| text.contains(":8,")),
+        persisted(dir.path(), Kind::Starts, |text| text.contains(":8,")),
         format!(r#"{{"count":8,"incarnation":{}}}"#, INCARNATION + 1)
     );
     // An upstream that has left is not kept; the list is, in the words that it had.
@@ -212,10 +212,10 @@
         &[(2, ([127, 0, 0, 1], 10).into(), "left")],
     ));
     assert_eq!(
-        kept(dir.path(), Kind::Upstreams, |text| text.contains(":5,")),
+        persisted(dir.path(), Kind::Upstreams, |text| text.contains(":5,")),
         list
     );
-    let text = kept(dir.path(), Kind::Learned, |text| {
+    let text = persisted(dir.path(), Kind::Learned, |text| {
         !text.starts_with(r#"{"policy":0,"#)
     });
     drop(node);
@@ -227,7 +227,10 @@
         format!(r#"{{"policy":{},"learned":{wanted}}}"#, value["policy"])
     );
     // What an earlier build had learned under this policy is taken back.
-    keep(dir.path(), &[(Kind::Learned, lesson(&value["policy"]))]);
+    persist(
+        dir.path(),
+        &[(Kind::Learned, learned_record(&value["policy"]))],
+    );
     started(dir.path()).logs("what was learned until");
 }
 
@@ -235,7 +238,7 @@
 #[test]
 fn a_folder_with_the_count_of_starts_alone_is_taken_up() {
     let dir = TempDir::new().expect("a folder");
-    keep(dir.path(), &[(Kind::Starts, "7".into())]);
+    persist(dir.path(), &[(Kind::Starts, "7".into())]);
     started(dir.path()).logs("recovery: start 8");
 }
 
@@ -243,7 +246,7 @@
 fn a_copy_tells_its_tier_by_the_fingerprint_it_had() {
     let bind = || UdpSocket::bind("127.0.0.1:0").expect("binds");
     let (peer, own) = (bind(), bind());
-    peer.set_read_timeout(Some(PATIENCE)).expect("a time");
+    peer.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time");
     let address = |socket: &UdpSocket| socket.local_addr().expect("an address");
     let discovery = Discovery::start();
     let peers = format!(
--- a/balancer/proxy/tests/load_report.rs
+++ b/balancer/proxy/tests/load_report.rs
@@ -13,9 +13,12 @@
             HeaderValue::from_static(report),
         )])
     };
-    let held = |text| reported(&report(text), IN_FLIGHT_FIELD);
-    assert_eq!(held("TEXT latency_ms=31.5, qps=40, inflight=7"), Some(7.0));
-    assert_eq!(held(" TEXT inflight = 2.5"), Some(2.5));
+    let in_flight = |text| reported(&report(text), IN_FLIGHT_FIELD);
+    assert_eq!(
+        in_flight("TEXT latency_ms=31.5, qps=40, inflight=7"),
+        Some(7.0)
+    );
+    assert_eq!(in_flight(" TEXT inflight = 2.5"), Some(2.5));
     assert_eq!(
         reported(
             &report("TEXT latency_ms=31.5, qps=40, inflight=7"),
@@ -32,6 +35,6 @@
         "TEXT inflight=-1",
         "TEXT inflight=NaN",
     ] {
-        assert_eq!(held(bad), None, "{bad}");
+        assert_eq!(in_flight(bad), None, "{bad}");
     }
 }
--- a/balancer/proxy/tests/operate.rs
+++ b/balancer/proxy/tests/operate.rs
@@ -145,7 +145,7 @@
 
 #[test]
 fn a_reload_while_it_ends_changes_nothing() {
-    let (word, held) = channel();
+    let (release, held) = channel();
     let held = std::sync::Mutex::new(Some(held));
     let upstream = Upstream::start(move |_| {
         let held = held.lock().expect("no panic").take().expect("one request");
@@ -158,7 +158,7 @@
     node.terminate();
     node.logs("told to end");
     node.hang_up();
-    word.send(()).expect("waits");
+    release.send(()).expect("waits");
     assert_eq!(client.answer().expect("an answer").status(), 200);
     assert!(node.wait().success());
 }
@@ -282,7 +282,7 @@
             .count()
     };
     while note(&node.log()) < 2 {
-        assert!(started.elapsed() < PATIENCE, "{:?}", node.log());
+        assert!(started.elapsed() < TEST_TIMEOUT, "{:?}", node.log());
         sent += 1;
         // Whether it is served or refused is not asked here.
         client.call(&get(&format!("r{sent}"), "5000m"));
@@ -341,7 +341,7 @@
     };
     let started = Instant::now();
     while snapshot().is_none_or(|s| s["ended"]["left"] != 1) {
-        assert!(started.elapsed() < PATIENCE, "{:?}", snapshot());
+        assert!(started.elapsed() < TEST_TIMEOUT, "{:?}", snapshot());
     }
     node.terminate();
     assert!(node.wait().success());
--- a/balancer/proxy/tests/peers.rs
+++ b/balancer/proxy/tests/peers.rs
@@ -10,14 +10,14 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-const COPIES: usize = 5;
+const REPLICAS: usize = 5;
 /// Members are given up, and versions agreed on, seconds after there is reason to.
 const LONG: Duration = Duration::from_secs(90);
 
 /// The address of each copy as its peers see it, and where the copy listens that has it now.
 struct Wire {
     peers: Vec<Arc<UdpSocket>>,
-    copies: Arc<Mutex<Vec<Option<SocketAddr>>>>,
+    replicas: Arc<Mutex<Vec<Option<SocketAddr>>>>,
     /// The longest datagram that came.
     longest: Arc<AtomicUsize>,
 }
@@ -25,18 +25,18 @@
 impl Wire {
     fn start() -> Wire {
         let bind = |_| Arc::new(UdpSocket::bind("127.0.0.1:0").expect("binds"));
-        let peers: Vec<_> = (0..COPIES).map(bind).collect();
-        let (copies, longest) = (
-            Arc::new(Mutex::new(vec![None; COPIES])),
+        let peers: Vec<_> = (0..REPLICAS).map(bind).collect();
+        let (replicas, longest) = (
+            Arc::new(Mutex::new(vec![None; REPLICAS])),
             Arc::new(AtomicUsize::new(0)),
         );
         for (to, socket) in peers.iter().cloned().enumerate() {
-            let (peers, copies, longest) = (peers.clone(), copies.clone(), longest.clone());
+            let (peers, replicas, longest) = (peers.clone(), replicas.clone(), longest.clone());
             std::thread::spawn(move || {
                 let mut bytes = [0; 2048];
                 while let Ok((length, sender)) = socket.recv_from(&mut bytes) {
                     longest.fetch_max(length, Ordering::SeqCst);
-                    let known = copies.lock().expect("no panic").clone();
+                    let known = replicas.lock().expect("no panic").clone();
                     let from = known.iter().position(|&at| at == Some(sender));
                     if let (Some(from), Some(at)) = (from, known[to]) {
                         // Where nobody listens any more it is lost.
@@ -47,7 +47,7 @@
         }
         Wire {
             peers,
-            copies,
+            replicas,
             longest,
         }
     }
@@ -57,13 +57,18 @@
         self.peers.iter().map(address).collect::<Vec<_>>().join(",")
     }
 
-    fn listens(&self, copy: usize) -> SocketAddr {
-        self.copies.lock().expect("no panic")[copy].expect("it listens")
+    fn listens(&self, replica: usize) -> SocketAddr {
+        self.replicas.lock().expect("no panic")[replica].expect("it listens")
     }
 }
 
 /// A configuration whose settings allow datagrams, of one of two zones.
-fn configured(copy: usize, discovery: SocketAddr, upstream: SocketAddr, peers: &str) -> String {
+fn configuration(
+    replica: usize,
+    discovery: SocketAddr,
+    upstream: SocketAddr,
+    peers: &str,
+) -> String {
     let known = listing(1, true, &[(0, upstream, "active")]);
     config(discovery, 1024, &known)
         .replace(
@@ -73,23 +78,23 @@
         .replace(
             "\"balancers\":1,\"index\":0",
             &format!(
-                "\"balancers\":{COPIES},\"index\":{copy},\"zone\":{}",
-                copy % 2
+                "\"balancers\":{REPLICAS},\"index\":{replica},\"zone\":{}",
+                replica % 2
             ),
         )
         .replace("\"dcs\":[\"a\"]", "\"dcs\":[\"a\",\"b\"]")
         .replace("\"attempts_cap\"", "\"peers\":true,\"attempts_cap\"")
 }
 
-struct Copy {
+struct Replica {
     node: Node,
     dir: TempDir,
 }
 
-impl Copy {
-    fn start(number: usize, wire: &Wire, upstream: &Upstream, more: &[&str]) -> Copy {
+impl Replica {
+    fn start(number: usize, wire: &Wire, upstream: &Upstream, more: &[&str]) -> Replica {
         let (dir, discovery) = (TempDir::new().expect("a folder"), Discovery::start());
-        let mut command = command(&configured(
+        let mut command = command(&configuration(
             number,
             discovery.addr,
             upstream.addr,
@@ -111,8 +116,8 @@
             .expect("peers are on");
         let (_, rest) = line.split_once("listening on ").expect("an address");
         let at = rest.split(',').next().and_then(|at| at.parse().ok());
-        wire.copies.lock().expect("no panic")[number] = Some(at.expect("an address"));
-        Copy { node, dir }
+        wire.replicas.lock().expect("no panic")[number] = Some(at.expect("an address"));
+        Replica { node, dir }
     }
 
     /// What its figures say of the tier.
@@ -132,15 +137,18 @@
 
 /// Waits until the figures of all of these copies are as wanted.
 fn all<'a>(
-    copies: impl IntoIterator<Item = &'a Copy>,
+    replicas: impl IntoIterator<Item = &'a Replica>,
     what: &str,
     wanted: impl Fn(&Value) -> bool,
 ) {
-    let (started, copies) = (Instant::now(), Vec::from_iter(copies));
-    while !copies.iter().all(|c| wanted(&c.tier())) {
+    let (started, replicas) = (Instant::now(), Vec::from_iter(replicas));
+    while !replicas.iter().all(|c| wanted(&c.tier())) {
         if started.elapsed() > LONG {
-            let told = |c: &&Copy| format!("{} {:?}\n", c.tier(), c.node.log());
-            panic!("{what}:\n{}", copies.iter().map(told).collect::<String>());
+            let describe = |c: &&Replica| format!("{} {:?}\n", c.tier(), c.node.log());
+            panic!(
+                "{what}:\n{}",
+                replicas.iter().map(describe).collect::<String>()
+            );
         }
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -153,7 +161,7 @@
         let length = [0, 1, 27, 64, 256, 257, 1400][n % 7];
         let bytes: Vec<u8> = (0..length).map(|i| (i * 31 + n * 17) as u8).collect();
         let headed = [b"oP\x01\x01\x02".as_slice(), &bytes].concat();
-        let (to, from) = (n % COPIES, (n / COPIES) % COPIES);
+        let (to, from) = (n % REPLICAS, (n / REPLICAS) % REPLICAS);
         for bytes in [&bytes, &headed] {
             stranger.send_to(bytes, wire.listens(to)).expect("sends");
             wire.peers[from]
@@ -166,61 +174,61 @@
 #[test]
 fn a_tier_knows_its_members_and_uses_a_version_that_all_support() {
     let (wire, upstream) = (Wire::start(), Upstream::start(|_| ok("x")));
-    let mut copies: Vec<Copy> = (0..COPIES)
-        .map(|n| Copy::start(n, &wire, &upstream, &[]))
+    let mut replicas: Vec<Replica> = (0..REPLICAS)
+        .map(|n| Replica::start(n, &wire, &upstream, &[]))
         .collect();
-    let whole =
-        |t: &Value| t["up"] == COPIES && t["joined"] == true && t["sums"]["heard"] == COPIES;
-    all(&copies, "all are there, and their sums", |t| {
-        whole(t) && t["version"] == 2
+    let all_known =
+        |t: &Value| t["up"] == REPLICAS && t["joined"] == true && t["sums"]["heard"] == REPLICAS;
+    all(&replicas, "all are there, and their sums", |t| {
+        all_known(t) && t["version"] == 2
     });
     // A connection that one of them holds is known to each.
-    let mut client = copies[0].node.client();
+    let mut client = replicas[0].node.client();
     assert_eq!(client.call(&get("held", "20000m")).status(), 200);
-    all(&copies, "its connection", |t| {
-        whole(t)
+    all(&replicas, "its connection", |t| {
+        all_known(t)
             && t["sums"]["callers"]
                 .as_f64()
-                .is_some_and(|held| (0.9..1.1).contains(&held))
+                .is_some_and(|connections| (0.9..1.1).contains(&connections))
     });
 
     // Killed, it is missed, and comes back with nothing remembered.
-    drop(copies.pop());
-    all(&copies, "one is gone", |t| {
-        t["up"] == COPIES - 1 && t["sums"]["heard"] == COPIES - 1
+    drop(replicas.pop());
+    all(&replicas, "one is gone", |t| {
+        t["up"] == REPLICAS - 1 && t["sums"]["heard"] == REPLICAS - 1
     });
-    copies.push(Copy::start(COPIES - 1, &wire, &upstream, &[]));
-    all(&copies, "it is back", whole);
+    replicas.push(Replica::start(REPLICAS - 1, &wire, &upstream, &[]));
+    all(&replicas, "it is back", all_known);
 
     send_garbage(&wire);
-    all(&copies, "garbage is counted and changes nothing", |t| {
+    all(&replicas, "garbage is counted and changes nothing", |t| {
         let dropped = |why: &str| t["dropped"][why].as_u64().unwrap_or(0);
-        whole(t) && dropped("unknown") >= 80 && dropped("long") >= 10 && dropped("broken") >= 10
+        all_known(t) && dropped("unknown") >= 80 && dropped("long") >= 10 && dropped("broken") >= 10
     });
-    copies.iter().for_each(Copy::serves);
+    replicas.iter().for_each(Replica::serves);
 
     // One that reads the first version alone takes the place of another, and ends.
-    copies[0].node.terminate();
-    drop(copies.remove(0));
-    let before = copies[0].tier()["epoch"].as_u64().expect("an epoch");
-    let mut old = Copy::start(0, &wire, &upstream, &["peers.version_most=1"]);
-    let first = |t: &Value| t["up"] == COPIES && t["version"] == 1 && t["sums"].is_null();
+    replicas[0].node.terminate();
+    drop(replicas.remove(0));
+    let before = replicas[0].tier()["epoch"].as_u64().expect("an epoch");
+    let mut old = Replica::start(0, &wire, &upstream, &["peers.version_most=1"]);
+    let first = |t: &Value| t["up"] == REPLICAS && t["version"] == 1 && t["sums"].is_null();
     all(
-        copies.iter().chain([&old]),
+        replicas.iter().chain([&old]),
         "all speak the first version",
         first,
     );
-    assert!(copies
+    assert!(replicas
         .iter()
         .all(|c| c.tier()["epoch"].as_u64() > Some(before)));
     old.serves();
     old.node.terminate();
     assert!(old.node.wait().success());
-    let fewer = |t: &Value| t["up"] == COPIES - 1 && t["version"] == 2;
-    all(&copies, "the others speak the second again", |t| {
-        fewer(t) && t["sums"]["heard"] == COPIES - 1
+    let fewer = |t: &Value| t["up"] == REPLICAS - 1 && t["version"] == 2;
+    all(&replicas, "the others speak the second again", |t| {
+        fewer(t) && t["sums"]["heard"] == REPLICAS - 1
     });
-    copies.iter().for_each(Copy::serves);
+    replicas.iter().for_each(Replica::serves);
     assert!(wire.longest.load(Ordering::SeqCst) <= 256);
 }
 
@@ -237,7 +245,9 @@
 #[test]
 fn without_contact_to_peers_one_line_says_why_and_requests_are_served() {
     let upstream = Upstream::start(|_| ok("x"));
-    let peers: Vec<String> = (1..=COPIES).map(|n| format!("\"127.0.0.1:{n}\"")).collect();
+    let peers: Vec<String> = (1..=REPLICAS)
+        .map(|n| format!("\"127.0.0.1:{n}\""))
+        .collect();
     let peers = peers.join(",");
     for (from, to, wanted) in [
         (
@@ -262,7 +272,7 @@
         ),
     ] {
         let (dir, discovery) = (TempDir::new().expect("a folder"), Discovery::start());
-        let text = configured(0, discovery.addr, upstream.addr, &peers);
+        let text = configuration(0, discovery.addr, upstream.addr, &peers);
         assert!(text.contains(from), "{text}");
         let text = text.replace(from, to);
         if !to.contains("192") {
@@ -290,7 +300,7 @@
         );
         let started = Instant::now();
         while figures(&dir)["requests"] != 1 {
-            assert!(started.elapsed() < PATIENCE, "{}", figures(&dir));
+            assert!(started.elapsed() < TEST_TIMEOUT, "{}", figures(&dir));
         }
         assert!(figures(&dir).get("peers").is_none());
     }
--- a/balancer/proxy/tests/readiness.rs
+++ b/balancer/proxy/tests/readiness.rs
@@ -55,7 +55,7 @@
             threads.spawn(move || {
                 let list = list.clone();
                 let agent = Agent::start(move |number, path| match path.contains("since=2&") {
-                    true => Manner::Silent,
+                    true => Manner::Unresponsive,
                     false => manner(number, list.clone()),
                 });
                 let started = Instant::now();
@@ -69,7 +69,7 @@
 #[test]
 fn a_balancer_is_ready_soon_after_discovery_is_back_from_silence() {
     every_balancer_becomes_ready(|number, list| match number {
-        0..3 => Manner::Silent,
+        0..3 => Manner::Unresponsive,
         _ => Manner::Answers(list),
     });
 }
@@ -93,7 +93,7 @@
     for known in ["null".to_string(), listing(1, true, &[])] {
         let list = listing(2, true, &[(0, upstream.addr, "active")]);
         let agent = Agent::start(move |_, path| match path.contains("since=2&") {
-            true => Manner::Silent,
+            true => Manner::Unresponsive,
             false => Manner::Late(Duration::from_secs(4), list.clone()),
         });
         let started = Instant::now();
@@ -104,7 +104,7 @@
 #[test]
 fn a_balancer_that_knows_a_list_is_ready_while_discovery_is_down() {
     let upstream = Upstream::start(|_| ok("x"));
-    let agent = Agent::start(|_, _| Manner::Silent);
+    let agent = Agent::start(|_, _| Manner::Unresponsive);
     let node = run(
         &agent,
         "pushed",
@@ -116,7 +116,7 @@
 /// Nobody can serve a request: not ready, whatever the list says beside.
 #[test]
 fn a_balancer_that_knows_nobody_to_send_to_is_not_ready() {
-    let agent = Agent::start(|_, _| Manner::Silent);
+    let agent = Agent::start(|_, _| Manner::Unresponsive);
     let leaving = listing(
         1,
         true,
--- a/balancer/proxy/tests/recovery.rs
+++ b/balancer/proxy/tests/recovery.rs
@@ -36,7 +36,7 @@
 #[test]
 fn a_killed_balancer_serves_from_the_list_it_had_while_discovery_is_silent() {
     let dir = TempDir::new().expect("a folder");
-    let (kept, gone) = (
+    let (listed, lost) = (
         Upstream::start(|_| ok("kept")),
         Upstream::start(|_| ok("gone")),
     );
@@ -45,16 +45,16 @@
     node.discovery.answer(&listing(
         4,
         true,
-        &[(0, kept.addr, "active"), (1, gone.addr, "active")],
+        &[(0, listed.addr, "active"), (1, lost.addr, "active")],
     ));
     node.discovery
-        .answer(&listing(5, false, &[(1, gone.addr, "left")]));
+        .answer(&listing(5, false, &[(1, lost.addr, "left")]));
     // The call after the last answer: that one has been taken.
     while !node.discovery.called().starts_with("/api/targets?since=5&") {}
     let shown = || state("show", dir.path()).1;
     let started_at = std::time::Instant::now();
     while !shown().contains("\"version\":5") {
-        assert!(started_at.elapsed() < PATIENCE, "{}", shown());
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "{}", shown());
     }
     let figures = || std::fs::read_to_string(dir.path().join("figures.json")).unwrap_or_default();
     // One write or two: a newer list takes the place of one that the disk has not got to.
@@ -62,7 +62,7 @@
         text.contains("\"recovery\":{\"commits\":") && !text.contains("\"commits\":0")
     };
     while !written(figures()) {
-        assert!(started_at.elapsed() < PATIENCE, "{}", figures());
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "{}", figures());
     }
     assert!(figures().contains("\"starts\":1"), "{}", figures());
     drop(node);
@@ -72,7 +72,7 @@
     for n in 0..5 {
         assert_eq!(client.call(&get(&format!("r{n}"), "5000m")).body, b"kept");
     }
-    assert_eq!(gone.further(), 0);
+    assert_eq!(lost.additional_requests(), 0);
     let called = node.discovery.called();
     assert!(called.starts_with("/api/targets?since=5&"), "{called}");
     // One that is older than it may be is not used.
@@ -133,7 +133,7 @@
 }
 
 /// What is kept under a kind, as `state show` prints it.
-fn kept(kind: &str, dir: &Path) -> Option<String> {
+fn persisted(kind: &str, dir: &Path) -> Option<String> {
     state("show", dir)
         .1
         .lines()
@@ -144,7 +144,7 @@
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let started = std::time::Instant::now();
     while !holds() {
-        assert!(started.elapsed() < PATIENCE, "{what}");
+        assert!(started.elapsed() < TEST_TIMEOUT, "{what}");
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
 }
@@ -182,7 +182,7 @@
         assert_eq!(client.call(&get(&format!("r{n}"), "5000m")).body, b"served");
     }
     wait_until("learned is kept", || {
-        kept("learned", dir.path()).is_some_and(|l| l.contains("capacity"))
+        persisted("learned", dir.path()).is_some_and(|l| l.contains("capacity"))
     });
     drop(node);
     let node = with(&plain, &[]);
@@ -264,7 +264,7 @@
     node.discovery
         .answer(&listing(1, true, &[(0, upstream.addr, "active")]));
     wait_until("the list is kept", || {
-        kept("upstreams", dir.path()).is_some_and(|l| l.contains("s-0"))
+        persisted("upstreams", dir.path()).is_some_and(|l| l.contains("s-0"))
     });
     for fault in ["full", "failing", "slow 20s"] {
         std::fs::write(&drill, fault).expect("writes");
--- a/balancer/proxy/tests/repeat_window.rs
+++ b/balancer/proxy/tests/repeat_window.rs
@@ -22,7 +22,7 @@
     let breaks = Upstream::start(move |_| {
         let ends = ends.lock().expect("no panic");
         let _ = ends.0.send(());
-        let _ = ends.1.recv_timeout(PATIENCE);
+        let _ = ends.1.recv_timeout(TEST_TIMEOUT);
         Then::Hang
     });
     let late = Unreachable::start();
@@ -36,7 +36,7 @@
     node.discovery.called();
     let mut client = node.client();
     client.send(&keyed("k1"));
-    came.recv_timeout(PATIENCE)
+    came.recv_timeout(TEST_TIMEOUT)
         .expect("a request at the upstream");
     // Only now is there another upstream, to which the repeat goes.
     node.discovery
@@ -50,7 +50,7 @@
         "what is known by its key may be tried again"
     );
     assert_eq!(
-        breaks.further(),
+        breaks.additional_requests(),
         1,
         "no repeat goes to the one that failed either"
     );
--- a/balancer/proxy/tests/shares.rs
+++ b/balancer/proxy/tests/shares.rs
@@ -19,7 +19,7 @@
         client
     };
     // Callers may hold 30 of the 64 descriptors.
-    let mut kept: Vec<Client> = (0..4)
+    let mut connected: Vec<Client> = (0..4)
         .map(|i| caller(format!("kept-{i}"), "club"))
         .collect();
     let mut flood: Vec<Client> = (0..25)
@@ -28,7 +28,7 @@
     // One that says nothing is closed after 2.5 s: by then all others have rested for long enough.
     node.client().closed();
     let new: Vec<Client> = (0..9).map(|i| caller(format!("new-{i}"), "club")).collect();
-    for (i, client) in kept.iter_mut().enumerate() {
+    for (i, client) in connected.iter_mut().enumerate() {
         assert_eq!(
             client.call(&get(&format!("again-{i}"), "10000m")).status(),
             200,
--- a/balancer/proxy/tests/ending.rs
+++ b/balancer/proxy/tests/shutdown.rs
@@ -1,15 +1,15 @@
 //! The end of the program: whoever has written a request whole gets an answer, and whoever gets none has nothing running.
 mod common;
-#[path = "common/ends.rs"]
-mod ends;
+#[path = "common/shutdown.rs"]
+mod shutdown;
 use common::*;
-use ends::{ends_soon, hangs, kept, until_shown};
+use shutdown::{answers_ok_alone, served_client, shuts_down_soon, until_shown};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::thread;
 use std::time::Duration;
 
-/// From the word to end until [`ends_soon`] closes its callers' connections; a moment more; and when it has ended.
+/// From the word to end until [`shuts_down_soon`] closes its callers' connections; a moment more; and when it has ended.
 const CLOSES: Duration = Duration::from_millis(700);
 const CLOSED: Duration = Duration::from_millis(900);
 const ENDED: Duration = Duration::from_millis(1700);
@@ -29,15 +29,15 @@
 #[test]
 fn a_request_whose_last_byte_comes_after_the_close_is_answered_before_the_end() {
     until_shown(|| {
-        let upstream = hangs();
-        let mut node = ends_soon(&upstream);
+        let upstream = answers_ok_alone();
+        let mut node = shuts_down_soon(&upstream);
         let request = pay("late", "20000m");
         let (head, body) = request.split_at(request.len() - 4);
-        let (mut again, mut fresh) = (kept(&node), node.client());
+        let (mut again, mut fresh) = (served_client(&node), node.client());
         again.send(head);
         fresh.send(head);
         // Served after both heads were read.
-        kept(&node);
+        served_client(&node);
         close(&node);
         again.send(body);
         fresh.send(body);
@@ -64,17 +64,17 @@
     lie_unread(ENDED);
 }
 
-fn lie_unread(stands: Duration) {
+fn lie_unread(stalled_for: Duration) {
     until_shown(|| {
-        let upstream = hangs();
-        let mut node = ends_soon(&upstream);
-        let (whole, piece) = (get("whole", "20000m"), pay("piece", "20000m"));
-        let ((start, end), (head, body)) = (whole.split_at(40), piece.split_at(piece.len() - 4));
+        let upstream = answers_ok_alone();
+        let mut node = shuts_down_soon(&upstream);
+        let (complete, piece) = (get("whole", "20000m"), pay("piece", "20000m"));
+        let ((start, end), (head, body)) = (complete.split_at(40), piece.split_at(piece.len() - 4));
         // What is written before the program stops, and what comes while it stands.
-        let cases = [("", whole.as_str()), (start, end), (head, body)];
+        let cases = [("", complete.as_str()), (start, end), (head, body)];
         let mut clients: Vec<_> = cases
             .iter()
-            .map(|&(first, then)| (kept(&node), first, then))
+            .map(|&(first, then)| (served_client(&node), first, then))
             .collect();
         clients.extend(
             cases
@@ -85,7 +85,7 @@
             client.send(first);
         }
         // Served after all that was read.
-        kept(&node);
+        served_client(&node);
         node.terminate();
         node.logs("told to end");
         node.pause();
@@ -93,11 +93,11 @@
         let Some(waits) = node.try_client() else {
             return false;
         };
-        clients.push((waits, "", &whole));
+        clients.push((waits, "", &complete));
         for (client, _, then) in &mut clients {
             client.send(then);
         }
-        thread::sleep(stands);
+        thread::sleep(stalled_for);
         node.resume();
         for (n, (client, ..)) in clients.iter_mut().enumerate() {
             let answer = client
@@ -120,15 +120,15 @@
 #[test]
 fn a_connection_is_not_closed_in_the_middle_of_a_head() {
     until_shown(|| {
-        let upstream = hangs();
-        let mut node = ends_soon(&upstream);
+        let upstream = answers_ok_alone();
+        let mut node = shuts_down_soon(&upstream);
         let request = get("late", "20000m");
         let (start, end) = request.split_at(40);
-        let (mut again, mut fresh) = (kept(&node), node.client());
+        let (mut again, mut fresh) = (served_client(&node), node.client());
         again.send(start);
         fresh.send(start);
         // Served after both were read.
-        kept(&node);
+        served_client(&node);
         close(&node);
         again.send(end);
         fresh.send(end);
@@ -152,9 +152,9 @@
 /// after another over the moment of the close. A close may cross a request, and then that one went nowhere.
 #[test]
 fn what_was_sent_on_is_answered_whenever_its_caller_wrote_it() {
-    let upstream = hangs();
-    let mut node = ends_soon(&upstream);
-    let mut crossing: Vec<Client> = (0..CROSSING).map(|_| kept(&node)).collect();
+    let upstream = answers_ok_alone();
+    let mut node = shuts_down_soon(&upstream);
+    let mut crossing: Vec<Client> = (0..CROSSING).map(|_| served_client(&node)).collect();
     let (addr, mut unanswered) = (node.addr, Vec::new());
     thread::scope(|scope| {
         let callers: Vec<_> = (0..12)
--- a/balancer/proxy/tests/ending_signals.rs
+++ b/balancer/proxy/tests/shutdown_signals.rs
@@ -1,13 +1,13 @@
 //! Signals at the end of the program, one behind the other, and who is connected just then: each request that was
 //! written whole gets its answer in time, and each idle connection ends in order.
 mod common;
-#[path = "common/ends.rs"]
-mod ends;
 #[path = "common/raw_client.rs"]
 mod raw_client;
+#[path = "common/shutdown.rs"]
+mod shutdown;
 use common::*;
-use ends::{ends_by, ends_soon, hangs, kept, until_shown};
 use raw_client::RawClient;
+use shutdown::{answers_ok_alone, served_client, shuts_down_soon, shuts_down_within, until_shown};
 use std::time::{Duration, Instant};
 
 /// A request that was open at SIGTERM is answered within this from then, where no deadline is longer than 3 s.
@@ -41,9 +41,9 @@
 #[test]
 fn a_second_word_to_end_changes_nothing() {
     until_shown(|| {
-        let upstream = hangs();
-        let mut node = ends_by(&upstream, 2500);
-        let (mut open, mut later) = (kept(&node), kept(&node));
+        let upstream = answers_ok_alone();
+        let mut node = shuts_down_within(&upstream, 2500);
+        let (mut open, mut later) = (served_client(&node), served_client(&node));
         open.send(&get("open", "20000m"));
         while upstream.request().header("req-id") != Some("open") {}
         node.terminate();
@@ -72,9 +72,9 @@
 /// Both signals wait when the program goes on, together with a request that it has not read.
 fn ends_with_a_reload(configuration: Configuration, reload_first: bool) {
     until_shown(|| {
-        let upstream = hangs();
-        let mut node = ends_soon(&upstream);
-        let (mut open, mut unread) = (kept(&node), kept(&node));
+        let upstream = answers_ok_alone();
+        let mut node = shuts_down_soon(&upstream);
+        let (mut open, mut unread) = (served_client(&node), served_client(&node));
         open.send(&get("open", "20000m"));
         while upstream.request().header("req-id") != Some("open") {}
         node.pause();
@@ -119,9 +119,9 @@
 
 /// Requests that were open at SIGTERM, one repeatable and one not, whose upstream never answers.
 fn answers_in_time(deadline: u32, most: Duration) {
-    let upstream = hangs();
-    let mut node = ends_by(&upstream, deadline);
-    let (mut read, mut paid) = (kept(&node), kept(&node));
+    let upstream = answers_ok_alone();
+    let mut node = shuts_down_within(&upstream, deadline);
+    let (mut read, mut paid) = (served_client(&node), served_client(&node));
     read.send(&get("hangs-read", "80000m"));
     paid.send(&pay("hangs-pay", "80000m"));
     let mut hanging = 0;
@@ -133,11 +133,11 @@
                 .is_some_and(|id| id.starts_with("hangs")),
         );
     }
-    let told = Instant::now();
+    let signalled_at = Instant::now();
     node.terminate();
     is_given_up(read.answer(), &node);
     is_given_up(paid.answer(), &node);
-    let answered = told.elapsed();
+    let answered = signalled_at.elapsed();
     assert!(
         answered < most,
         "answered after {answered:?} with a longest deadline of {deadline} ms"
@@ -160,10 +160,10 @@
 /// Connections that have served a request and those that never sent one, as their clients wait for the end.
 #[test]
 fn idle_clients_that_stay_until_the_end_are_closed_in_order() {
-    let upstream = hangs();
-    let mut node = ends_by(&upstream, 2500);
+    let upstream = answers_ok_alone();
+    let mut node = shuts_down_within(&upstream, 2500);
     let mut clients: Vec<RawClient> = (0..20)
-        .map(|_| RawClient::connect(node.addr, PATIENCE))
+        .map(|_| RawClient::connect(node.addr, TEST_TIMEOUT))
         .collect();
     for client in &mut clients[..10] {
         client.send(get("ok", "5000m").as_bytes());
@@ -173,7 +173,7 @@
         );
     }
     // Accepted after all of these.
-    kept(&node);
+    served_client(&node);
     node.terminate();
     for (n, client) in clients.iter_mut().enumerate() {
         let (bytes, in_order) = client.rest();
@@ -189,20 +189,20 @@
 #[test]
 fn requests_in_pieces_over_the_whole_end_are_answered() {
     until_shown(|| {
-        let upstream = hangs();
-        let mut node = ends_soon(&upstream);
+        let upstream = answers_ok_alone();
+        let mut node = shuts_down_soon(&upstream);
         let requests = [get("hangs", "20000m"), pay("hangs", "20000m")];
         let cuts = [[20, 60], [requests[1].len() - 3, requests[1].len() - 1]];
         let mut clients: Vec<(Client, &str, [usize; 2])> = Vec::new();
         for (request, cut) in requests.iter().zip(cuts) {
-            clients.push((kept(&node), request, cut));
+            clients.push((served_client(&node), request, cut));
             clients.push((node.client(), request, cut));
         }
         clients
             .iter_mut()
             .for_each(|(client, request, [first, _])| client.send(&request[..*first]));
         // Served after the first pieces were read.
-        kept(&node);
+        served_client(&node);
         node.terminate();
         node.logs("told to end");
         clients
--- a/balancer/proxy/tests/sockets_attempts.rs
+++ b/balancer/proxy/tests/sockets_attempts.rs
@@ -23,7 +23,7 @@
     let (a, b) = (Upstream::start(behave.clone()), Upstream::start(behave));
     let node = Node::with(&[a.addr, b.addr]);
     assert_eq!(node.client().call(&pay("r1", "5000m")).status(), 200);
-    assert_eq!(a.further() + b.further(), 2);
+    assert_eq!(a.additional_requests() + b.additional_requests(), 2);
 
     for first in [
         || status("503 Service Unavailable"),
@@ -38,7 +38,7 @@
         let node = Node::with(&[a.addr, b.addr]);
         // It may have run: neither another attempt nor a refusal, which would invite one.
         assert_eq!(node.client().call(&pay("r1", "5000m")).status(), 502);
-        assert_eq!(a.further() + b.further(), 1);
+        assert_eq!(a.additional_requests() + b.additional_requests(), 1);
     }
 }
 
@@ -50,7 +50,7 @@
     for i in 0..10 {
         assert_eq!(client.call(&pay(&format!("r{i}"), "5000m")).status(), 200);
     }
-    assert_eq!(upstream.further(), 10);
+    assert_eq!(upstream.additional_requests(), 10);
 }
 
 #[test]
@@ -76,12 +76,12 @@
         );
         node.holds(|n| n <= without, "the closed connection is still held");
     }
-    assert_eq!(upstream.further(), 0);
+    assert_eq!(upstream.additional_requests(), 0);
 }
 
 #[test]
 fn silence_until_the_deadline_gets_one_answer_and_closes_the_connection() {
-    let silent = || {
+    let unresponsive = || {
         Upstream::start(|m| {
             if m.header("req-id") == Some("late") {
                 Then::Wait
@@ -90,7 +90,7 @@
             }
         })
     };
-    let upstream = silent();
+    let upstream = unresponsive();
     let node = Node::with(&[upstream.addr]);
     let mut client = node.client();
     assert_eq!(client.call(&pay("late", "300m")).status(), 502);
@@ -180,27 +180,31 @@
             ))
         }
     };
-    let (crowded, idle) = (Upstream::start(says(500)), Upstream::start(says(1)));
-    let node = Node::with(&[crowded.addr, idle.addr]);
+    let (overloaded, idle) = (Upstream::start(says(500)), Upstream::start(says(1)));
+    let node = Node::with(&[overloaded.addr, idle.addr]);
     let mut client = node.client();
     // What it says counts for 2 s: calls that took longer, on a slow machine, show nothing and are made again.
     let began = Instant::now();
     loop {
         assert!(
-            began.elapsed() < PATIENCE,
+            began.elapsed() < TEST_TIMEOUT,
             "no four calls within a second, the first of them to the crowded one"
         );
         let first = Instant::now();
         let mut call = || assert_eq!(client.call(&get("r", "5000m")).status(), 200);
         call();
-        if crowded.further() == 0 {
+        if overloaded.additional_requests() == 0 {
             continue;
         }
         (0..3).for_each(|_| call());
         if first.elapsed() < Duration::from_secs(1) {
-            assert_eq!(crowded.further(), 0, "the crowded one gets more calls");
+            assert_eq!(
+                overloaded.additional_requests(),
+                0,
+                "the crowded one gets more calls"
+            );
             break;
         }
     }
-    assert!(idle.further() >= 3, "the other one serves");
+    assert!(idle.additional_requests() >= 3, "the other one serves");
 }
--- a/balancer/proxy/tests/sockets_clients.rs
+++ b/balancer/proxy/tests/sockets_clients.rs
@@ -26,20 +26,20 @@
     let node = Node::with(&[upstream.addr]);
     let mut kept = node.client();
     assert_eq!(kept.call(&get("r1", "5000m")).status(), 200);
-    let mut silent = node.client();
+    let mut idle = node.client();
     let mut half = node.client();
     half.send("GET /api HTTP/1.1\r\nReq-Id: r2\r\n");
     let mut bodiless = node.client();
     bodiless.send(pay("r3", "20000m").strip_suffix("body").expect("its body"));
     // Each waits for 20 s at most, so that a slow machine makes no difference.
-    silent.closed();
+    idle.closed();
     half.closed();
     assert_eq!(bodiless.answer().expect("an error").status(), 408);
     // A connection on which a request was served is kept longer.
     assert_eq!(kept.call(&get("r4", "5000m")).status(), 200);
     assert_eq!(upstream.request().header("req-id"), Some("r1"));
     assert_eq!(upstream.request().header("req-id"), Some("r4"));
-    assert_eq!(upstream.further(), 0);
+    assert_eq!(upstream.additional_requests(), 0);
 }
 
 #[test]
@@ -61,6 +61,6 @@
     drop(clients);
     let started = std::time::Instant::now();
     while node.client().call(&get("after", "10000m")).status() != 200 {
-        assert!(started.elapsed() < PATIENCE, "it does not recover");
+        assert!(started.elapsed() < TEST_TIMEOUT, "it does not recover");
     }
 }
--- a/balancer/proxy/tests/sockets_requests.rs
+++ b/balancer/proxy/tests/sockets_requests.rs
@@ -98,7 +98,7 @@
     node.client().send("\u{16}\u{3}\u{1} garbage \r\n\r\n\r\n");
     assert_eq!(client.call(&good).status(), 200);
     assert_eq!(upstream.request().header("req-id"), Some("r1"));
-    assert_eq!(upstream.further(), 0);
+    assert_eq!(upstream.additional_requests(), 0);
 }
 
 #[test]
@@ -115,7 +115,7 @@
     let started = std::time::Instant::now();
     let answer = client.call(&pay("r1", "86400000m"));
     assert_eq!(answer.status(), 503);
-    assert!(started.elapsed() < PATIENCE);
+    assert!(started.elapsed() < TEST_TIMEOUT);
     let after: f64 = answer
         .header("retry-after")
         .expect("advice")
--- a/balancer/proxy/tests/sockets_shutdown.rs
+++ b/balancer/proxy/tests/sockets_shutdown.rs
@@ -97,7 +97,11 @@
         503
     );
     assert_eq!(node.wait().code(), Some(0));
-    assert_eq!(upstream.further(), 0, "nothing new was sent at the end");
+    assert_eq!(
+        upstream.additional_requests(),
+        0,
+        "nothing new was sent at the end"
+    );
     assert!(
         !node.log().iter().any(|l| l.contains("at the end")),
         "it was held up: {:?}",
