--- a/balancer/proxy/tests/peers_observations.rs
+++ b/balancer/proxy/tests/peers_observations.rs
@@ -1,16 +1,16 @@
 //! What the decisions learn from the tier's other replicas, by what the operator has switched off.
 use balancer_core::TierUpdate;
 use balancer_gossip as peers;
-use balancer_proxy::{options, tier_word};
+use balancer_proxy::{options::PeerOptions, tier_update};
 
-#[test]
-fn what_is_switched_off_is_not_heard() {
+/// All that a tier can know.
+fn complete_state() -> peers::TierState {
     let tenants = vec![peers::TenantLoad {
         demand: 5.0,
         calls: 6.0,
         callers: 7.0,
     }];
-    let figures = peers::Load {
+    let load = peers::Load {
         demand: 1.0,
         room: 2.0,
         firsts: 3.0,
@@ -18,7 +18,7 @@
         tenants,
     };
     let sums = Some(peers::Sums {
-        load: figures,
+        load,
         age: 10.0,
         heard: 3,
         error: 0.5,
@@ -31,7 +31,7 @@
         cleared: 0,
         age: 20.0,
     }];
-    let all = peers::TierState {
+    peers::TierState {
         up: 4,
         place: 3,
         version: 2,
@@ -39,15 +39,20 @@
         joined: true,
         sums,
         evidence,
-    };
+    }
+}
+
+#[test]
+fn what_is_switched_off_is_not_used() {
+    let complete = complete_state();
     let hears = |shed, shares, trials, verdicts| {
-        let may = options::Peers {
+        let may = PeerOptions {
             on: true,
-            version_most: 2,
-            shed,
-            shares,
-            trials,
-            verdicts,
+            max_version: 2,
+            use_load_sums: shed,
+            use_tenant_sums: shares,
+            use_membership: trials,
+            use_evidence: verdicts,
         };
         let TierUpdate {
             up,
@@ -55,7 +60,7 @@
             joined,
             sums,
             evidence,
-        } = tier_word(all.clone(), &may);
+        } = tier_update(complete.clone(), &may);
         assert!(joined);
         let load = sums.map(|s| {
             (
