--- a/balancer/gossip/src/peers.rs
+++ b/balancer/gossip/src/peers.rs
@@ -260,7 +260,7 @@
         self.membership.detect_pause(now);
     }
 
-    /// The time at which [`Peers::timeout`] is to be called next.
+    /// The time at which [`Peers::on_timeout`] is to be called next.
     pub fn next_timeout(&self) -> Option<Millis> {
         let timeouts = [
             self.membership.next_timeout(),
