--- a/system/scheduler/src/applied.rs
+++ b/system/scheduler/src/applied.rs
@@ -1,4 +1,4 @@
-//! Follows the log: what each applied entry changes in the runs, workers and jobs known here.
+//! Handles applied log entries: updates the runs, workers and jobs that the scheduler tracks.
 use crate::{
     run::{Run, RunPhase},
     scheduler::Scheduler,
@@ -8,8 +8,8 @@
 use magpiegap_protocol::{CompletionKind, LogPosition, Millis, RunId, RunStart, TaskId};
 
 impl Scheduler {
-    /// Takes an applied entry; `own_runs` are the runs in it that this scheduler proposed. An entry that the state held
-    /// already when it was last read in full changes nothing.
+    /// Handles an applied entry; `own_runs` are the runs in it that this scheduler proposed. Entries up to the position
+    /// at which the state was last read in full are ignored.
     pub fn handle_applied(
         &mut self,
         now: Millis,
@@ -70,7 +70,7 @@
         self.table.resolve_proposal(&start.task);
         if let Some(worker) = self.table.workers.get_mut(&start.incarnation) {
             if let Some(run) = worker.run_mut(&start.task, start.run) {
-                // In any other phase its start may have been sent, by this or by an earlier scheduler.
+                // In any other phase this or an earlier scheduler may already have sent the start.
                 if run.phase == RunPhase::Proposed {
                     run.phase = RunPhase::Recorded { not_before: now };
                     run.last_reply_at = now;
@@ -84,7 +84,7 @@
         self.adopt_run(&start.incarnation, start.task, start.run, now, state);
     }
 
-    /// Takes up a run of the log that this scheduler has not proposed since it has its role.
+    /// Tracks a run from the log that this scheduler has not proposed since it took over its role.
     pub(crate) fn adopt_run(
         &mut self,
         incarnation: &str,
@@ -111,12 +111,12 @@
             .or_insert_with(|| Worker::unlisted(incarnation, now, leases_expire_at));
         if let Some(known) = worker.run_mut(&task, run) {
             match known.phase {
-                // Proposed before the view changed, and in the log now: its start was never sent.
+                // Proposed before the view change and now in the log; its start was never sent.
                 RunPhase::Proposed => {
                     known.phase = RunPhase::Recorded { not_before: now };
                     self.table.mark_order_due(incarnation);
                 }
-                // Its loss was proposed and is not in the log: the next listing decides anew.
+                // Its loss was proposed but is not in the log; the next listing shows whether it is running.
                 RunPhase::LossProposed => {
                     known.phase = RunPhase::Started;
                     known.last_reply_at = now;
@@ -161,7 +161,7 @@
     }
 
     fn handle_failed_run(&mut self, task: TaskId, incarnation: &str, was_known: bool, now: Millis) {
-        // A task that has failed on other workers too may be the one at fault.
+        // The task itself may be at fault if it has failed on other workers too.
         let failed_elsewhere = self.planner.record_failure(task, incarnation);
         if !was_known || failed_elsewhere {
             return;
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Frees the capacity of a run that was proposed and refused.
+    /// Releases the capacity of a proposed run that was refused when its entry was applied.
     fn release_refused_proposal(&mut self, start: &RunStart) {
         self.table.resolve_proposal(&start.task);
         let Some(worker) = self.table.workers.get_mut(&start.incarnation) else {
@@ -194,7 +194,7 @@
     }
 }
 
-/// The checkpoint that the log has for an active run; empty: none.
+/// The checkpoint recorded for an active run; empty if there is none.
 fn recorded_checkpoint(job: &Job, task: &TaskId, run: RunId) -> String {
     let Some(state) = job.task(task) else {
         return String::new();
--- a/system/scheduler/src/backfill.rs
+++ b/system/scheduler/src/backfill.rs
@@ -1,8 +1,9 @@
-//! Keeps small tasks from starving large ones: a task that could not be placed reserves capacity on the worker where it
-//! fits first, and less urgent tasks are placed there only where they do not delay it (EASY backfilling).
+//! EASY backfilling: a task that cannot be placed reserves capacity on the worker where it is expected to fit first,
+//! and less urgent tasks are placed there only if they do not delay it. This keeps small tasks from starving large
+//! ones.
 //!
-//! Reservations are forecasts and bind nobody but this module's caller. Source: Lifka, "The ANL/IBM SP Scheduling
-//! System", 1995, here with more than one reservation at a time.
+//! Reservations are forecasts; only the planner observes them. Source: Lifka, "The ANL/IBM SP Scheduling System", 1995,
+//! extended to more than one reservation at a time.
 use crate::{
     queue::Urgency,
     run::Run,
@@ -11,54 +12,55 @@
 use magpiegap_protocol::{Millis, Resources, StepSpec};
 use std::collections::BTreeMap;
 
-/// How long a run that is being stopped is expected to take up its capacity.
+/// Expected time until a run that is being stopped releases its capacity.
 const STOPPING_MS: Millis = 300;
-/// Reservations are renewed at most this often ...
+/// Minimum time between two recomputations of the reservations.
 const REFRESH_INTERVAL_MS: Millis = 40;
-/// ... and less often where that visits many workers: a millisecond later for each so many visits.
+/// The interval is at least one millisecond per this many workers examined in the last recomputation, to bound its
+/// cost.
 const WORKER_VISITS_PER_MS: u64 = 100;
-/// Tasks that have reservations at a time, at most: for later ones a forecast says little.
+/// Maximum number of tasks with reservations; forecasts for tasks further back in the queue are too inaccurate to help.
 const MAX_RESERVATION_OWNERS: usize = 40;
-/// A run that has outlived its estimate is expected to go on for one part in so many of the time that it has run.
+/// A run that exceeds its estimate is expected to run on for its elapsed time divided by this.
 const OVERTIME_DIVISOR: u64 = 8;
 
-/// Capacity on a worker that a queued task is to get.
+/// Capacity on a worker that is reserved for a queued task.
 #[derive(Clone, Debug)]
 struct Reservation {
     owner: Urgency,
     resources: Resources,
-    /// When the runs that take it up should have completed.
+    /// When the runs that now use this capacity are expected to complete.
     available_at: Millis,
 }
 
-/// When the runs on a worker should complete, and what each then frees, the earliest first.
+/// Expected completion times of the runs on a worker, in ascending order, with the resources that each run frees.
 type FreedCapacity = Vec<(Millis, Resources)>;
 
-/// The reservations of queued tasks, by worker.
+/// Reservations of queued tasks, by worker.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Backfill {
     reservations: BTreeMap<String, Vec<Reservation>>,
-    /// The expected completions on each worker, as far as they were needed since the last refresh.
+    /// Expected completions per worker, computed on demand since the last refresh.
     freed: BTreeMap<String, FreedCapacity>,
-    /// How many tasks have reservations.
+    /// Number of tasks with reservations.
     owner_count: usize,
-    /// When they were last renewed, and how many visits to workers that took.
+    /// When the reservations were last recomputed.
     refreshed_at: Millis,
     worker_visits: u64,
-    /// Reservations are being made.
+    /// Reservations are being recomputed in the current planning round.
     refreshing: bool,
 }
 
-/// A task that needs capacity.
+/// A task or gang that needs capacity.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate<'a> {
     pub step: &'a StepSpec,
     pub urgency: &'a Urgency,
-    /// How many tasks need capacity at the same time.
+    /// Number of tasks that must be placed together.
     pub count: u32,
-    /// How many times as long it takes away from its data.
+    /// Factor by which the task takes longer when it runs away from its data.
     pub far_factor: f64,
-    /// Its job's tasks run until the job is cancelled.
+    /// The tasks run until their job is cancelled.
     pub long_running: bool,
 }
 
@@ -75,7 +77,8 @@
 }
 
 impl Backfill {
-    /// Begins a round of planning: from time to time all reservations are dropped, to be made anew in it.
+    /// Begins a planning round. If the refresh interval has passed, drops all reservations so that this round
+    /// recomputes them.
     pub(crate) fn begin_planning_round(&mut self, now: Millis) {
         let pause = REFRESH_INTERVAL_MS.max(self.worker_visits / WORKER_VISITS_PER_MS);
         self.refreshing = now >= self.refreshed_at + pause;
@@ -93,7 +96,7 @@
         self.refreshing && self.owner_count < MAX_RESERVATION_OWNERS
     }
 
-    /// Drops the reservations of a task that was placed.
+    /// Drops the reservations of a task that has been placed.
     pub(crate) fn release(&mut self, owner: &Urgency) {
         if self.owner_count > 0 {
             self.drop_reservations_of(owner);
@@ -106,8 +109,8 @@
         }
     }
 
-    /// Reserves the capacity that a task, or all tasks of a gang, gets first. A task that fits now waits for something
-    /// else, and keeps no worker from others.
+    /// Reserves the earliest available capacity for a task, or for all tasks of a gang. A task that already fits on
+    /// workers is waiting for something other than capacity and keeps no reservation.
     pub(crate) fn reserve(&mut self, workers: &Workers, candidate: &Candidate<'_>, now: Millis) {
         let mut waits_for_capacity = false;
         for _ in 0..candidate.count {
@@ -133,7 +136,7 @@
         }
     }
 
-    /// The worker on which one task fits first, and when.
+    /// The worker on which one task is expected to fit first, and the time at which it does.
     fn earliest<'w>(
         &mut self,
         workers: &'w Workers,
@@ -160,7 +163,8 @@
             .min()
     }
 
-    /// When a task should fit on a worker beside all that is reserved there; `None`: not before a run is stopped.
+    /// When a task is expected to fit on a worker in addition to all its reservations; `None` if that takes stopping a
+    /// run.
     fn fits_at(&mut self, worker: &Worker, step: &StepSpec, now: Millis) -> Option<Millis> {
         let reserved = self
             .reservations
@@ -191,8 +195,8 @@
         None
     }
 
-    /// Whether a task may be placed on a worker that has capacity for it, beside `taken` more: it delays no task that is
-    /// more urgent.
+    /// Whether a task may be placed on a worker without delaying a more urgent task. The worker has enough free
+    /// capacity; `allocated` is what this search has already allocated on it.
     pub(crate) fn allows_backfill(
         &self,
         worker: &Worker,
@@ -217,7 +221,7 @@
     }
 }
 
-/// Whether a task leaves the capacity of a reservation free by when that is available.
+/// Whether the capacity of a reservation is free when the reservation becomes available, even with the task running.
 fn fits_alongside(
     worker: &Worker,
     reservations: &[Reservation],
@@ -254,7 +258,7 @@
     freed
 }
 
-/// When a run should complete; `None`: only when it is stopped.
+/// When a run is expected to complete; `None` if it runs until it is stopped.
 fn expected_completion_at(run: &Run, now: Millis) -> Option<Millis> {
     if run.next_stop_at.is_some() {
         return Some(now + STOPPING_MS);
--- a/system/scheduler/src/call_table.rs
+++ b/system/scheduler/src/call_table.rs
@@ -1,14 +1,14 @@
-//! The calls to workers that are in flight, and how long such calls take.
+//! Tracks the calls to workers that are in flight and the response times of calls.
 //!
-//! It says what each call was for; what a reply means is decided where replies are handled.
+//! It records the purpose of each call; `replies` interprets the reply.
 use crate::{calls::WorkerReply, response_times::ResponseTimes};
 use magpiegap_protocol::{Millis, RunId, TaskId};
 use std::collections::BTreeMap;
 
-/// What a call in flight was made for.
+/// The purpose of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CallPurpose {
-    /// Starts a run, before this time on the worker's clock.
+    /// Starts a run, no later than `deadline_ms` on the worker's clock.
     Start {
         task: TaskId,
         run: RunId,
@@ -16,19 +16,19 @@
     },
     /// Stops a run.
     Stop { task: TaskId, run: RunId },
-    /// Stops a run that is not on record.
+    /// Stops a run that the worker lists but the scheduler does not track there.
     StopStray,
     /// Renews the worker's lease and waits for completions (a long poll).
     LeaseRenewal {
-        /// How long its reply may wait for a completion.
+        /// How long the worker may delay its reply to wait for a completion.
         wait_ms: u64,
     },
-    /// Checks a worker that has left an order unanswered, beside a renewal that may be in flight.
+    /// Checks a worker that did not reply to an order; may be sent while a renewal is in flight.
     HealthCheck,
 }
 
 impl CallPurpose {
-    /// Whether its reply carries a listing of the worker's runs.
+    /// Whether the reply carries a listing of the worker's runs.
     pub(crate) fn lists_runs(&self) -> bool {
         matches!(
             self,
@@ -36,27 +36,27 @@
         )
     }
 
-    /// Whether it starts or stops a run on record.
+    /// Whether the call starts or stops a tracked run.
     pub(crate) fn is_order(&self) -> bool {
         matches!(self, CallPurpose::Start { .. } | CallPurpose::Stop { .. })
     }
 
-    /// Whether a worker replies as soon as it can, without waiting for a completion.
+    /// Whether the worker replies immediately, without waiting for a completion.
     fn is_replied_at_once(&self) -> bool {
         !matches!(self, CallPurpose::LeaseRenewal { wait_ms } if *wait_ms > 0)
     }
 }
 
-/// A call whose reply has not come.
+/// A call that has no reply yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct InFlightCall {
-    /// The worker's incarnation that was called.
+    /// The worker incarnation that was called.
     pub incarnation: String,
     pub purpose: CallPurpose,
     pub sent_at: Millis,
 }
 
-/// All calls in flight.
+/// The calls in flight, by id.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CallTable {
     in_flight: BTreeMap<u64, InFlightCall>,
@@ -65,23 +65,22 @@
 }
 
 impl CallTable {
-    /// Returns an id that no call has had.
+    /// Returns an unused call id.
     pub(crate) fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    /// Adds a call that is being sent.
     pub(crate) fn insert(&mut self, id: u64, call: InFlightCall) {
         self.in_flight.insert(id, call);
     }
 
-    /// Takes out a call whose reply has come, or that is not sent after all; `None`: it is not in flight.
+    /// Removes a call that was replied to or dropped before it was sent; `None` if it is not in flight.
     pub(crate) fn remove(&mut self, id: u64) -> Option<InFlightCall> {
         self.in_flight.remove(&id)
     }
 
-    /// Learns from a reply, or from none, how long replies take.
+    /// Updates the response time estimate from a reply or a timeout.
     pub(crate) fn record_response_time(
         &mut self,
         purpose: &CallPurpose,
@@ -97,7 +96,7 @@
         }
     }
 
-    /// How long to wait for a reply that comes at once.
+    /// Timeout of a call that is replied to immediately.
     pub(crate) fn timeout_ms(&self) -> Millis {
         self.response_times.timeout_ms()
     }
--- a/system/scheduler/src/calls.rs
+++ b/system/scheduler/src/calls.rs
@@ -1,7 +1,7 @@
-//! Calls to workers and their replies, as values: what sends them, and how they look on the wire, is not decided here.
+//! Calls to workers and their replies as plain values, independent of transport and wire format.
 use magpiegap_protocol::{Command, CompletionKind, FencingToken, Millis, RunId, TaskId};
 
-/// What a worker is ordered to do.
+/// An order to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkerOrder {
     /// Starts a run.
@@ -10,11 +10,12 @@
         task: TaskId,
         /// The run.
         run: RunId,
-        /// The job's text, which the worker takes as it is.
+        /// The job's specification, passed to the worker unchanged.
         spec: String,
-        /// On the worker's clock: the start is void after it, and the lease on all that runs lasts until then.
+        /// On the worker's clock: the start is invalid after this time, and the lease on all runs is extended until
+        /// then.
         deadline_ms: u64,
-        /// The checkpoint to go on from; empty: none.
+        /// The checkpoint to resume from; empty if there is none.
         checkpoint: String,
     },
     /// Stops a run.
@@ -24,13 +25,13 @@
         /// The run.
         run: RunId,
     },
-    /// Renews the lease on all that runs, and lists what runs and what has completed (a long poll).
+    /// Renews the lease on all runs and requests a listing of running and completed runs (a long poll).
     RenewLease {
-        /// On the worker's clock: when the lease expires; `None`: no later than before.
+        /// On the worker's clock: when the lease expires; `None` leaves its expiry unchanged.
         deadline_ms: Option<u64>,
         /// Completions up to this number are acknowledged.
         acknowledged_completion: u64,
-        /// How long the reply may wait for a completion.
+        /// How long the worker may delay its reply to wait for a completion.
         long_poll_ms: u64,
     },
 }
@@ -42,20 +43,20 @@
     pub id: u64,
     /// The worker's address.
     pub address: String,
-    /// The incarnation that is meant.
+    /// The worker incarnation that the call is addressed to.
     pub incarnation: String,
     /// The fencing token of the scheduler's role.
     pub token: FencingToken,
-    /// What the worker is to do.
+    /// The order to the worker.
     pub order: WorkerOrder,
     /// How long to wait for the reply.
     pub timeout_ms: Millis,
 }
 
-/// Something that a scheduler wants done.
+/// An action that the scheduler asks its caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Propose a command for the log, in the scheduler's role.
+    /// Propose a command for the log under the scheduler's role.
     Propose(Command),
     /// Call a worker.
     Call(WorkerCall),
@@ -70,7 +71,7 @@
     pub task: TaskId,
     /// The run.
     pub run: RunId,
-    /// The last checkpoint; empty: none.
+    /// The last checkpoint; empty if there is none.
     pub checkpoint: String,
     /// Its progress in percent.
     pub percent: u64,
@@ -79,7 +80,7 @@
 /// A run that a worker lists as completed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedCompletion {
-    /// Numbers the completions of this incarnation.
+    /// Sequence number among the completions of this incarnation.
     pub sequence: u64,
     /// The task.
     pub task: TaskId,
@@ -87,16 +88,16 @@
     pub run: RunId,
     /// How it completed.
     pub kind: CompletionKind,
-    /// The last checkpoint; empty: none.
+    /// The last checkpoint; empty if there is none.
     pub checkpoint: String,
 }
 
-/// What a worker runs and what has completed there.
+/// The running and completed runs on a worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// Runs that are running.
+    /// Running runs.
     pub running: Vec<ListedRun>,
-    /// Runs that have completed, by rising number.
+    /// Completed runs in ascending order of sequence number.
     pub completed: Vec<ListedCompletion>,
 }
 
@@ -105,37 +106,38 @@
 pub enum RefusalReason {
     /// It has seen a higher fencing token.
     StaleToken,
-    /// The run isn't above one that has completed there, or was stopped before its start arrived.
+    /// A run of the same task with the same or a higher number has completed there, or the run was stopped before its
+    /// start arrived.
     Superseded,
-    /// The deadline has passed.
+    /// The deadline of the order has passed.
     DeadlinePassed,
     /// There is not enough free capacity.
     NoCapacity,
 }
 
-/// The reply to a call, or what stands for it.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkerReply {
-    /// It was done.
+    /// The order was carried out.
     Done {
         /// The worker's clock.
         clock_ms: Option<u64>,
-        /// For a renewal: what runs and what has completed.
+        /// For a renewal: the running and completed runs.
         listing: Option<Listing>,
     },
-    /// It was refused, and nothing was done.
+    /// The order was refused and had no effect.
     Refused {
         /// The worker's clock.
         clock_ms: Option<u64>,
-        /// Why.
+        /// The reason for the refusal.
         reason: RefusalReason,
     },
-    /// Another incarnation replied at that address: the one that was meant is over.
+    /// Another incarnation replied at the address; the addressed incarnation has ended.
     OtherIncarnation,
-    /// The worker is unhealthy and has done nothing.
+    /// The worker reported that it is unhealthy; the order had no effect.
     Unhealthy,
-    /// The worker could not read the call and has done nothing.
+    /// The worker could not parse the call; the order had no effect.
     Unreadable,
-    /// There was no reply in time: it may have been done, or may be done later.
+    /// No reply within the timeout; the order may have taken effect or may still do so.
     TimedOut,
 }
--- a/system/scheduler/src/capacity_index.rs
+++ b/system/scheduler/src/capacity_index.rs
@@ -1,29 +1,29 @@
-//! An index of workers by free processor capacity: where nearly all are full, few have to be considered.
+//! Indexes workers by free CPU, so that placement examines few workers when nearly all are full.
 use crate::worker::{Worker, Workers};
 use magpiegap_protocol::Millis;
 use std::cmp::Reverse;
 
-/// A lookup of a worker by name costs as much as iterating over this many.
+/// Cost of looking up a worker by name, relative to visiting it in an iteration over all workers.
 const LOOKUP_COST: usize = 8;
 
-/// A worker's free processor capacity at one moment.
+/// A worker's free CPU when the index was built.
 #[derive(Clone, Debug)]
 pub(crate) struct FreeCpu {
-    /// In thousandths of a core.
+    /// In millicores.
     cpu: u64,
     pub incarnation: String,
 }
 
-/// The workers that are schedulable, those with the most free processor capacity first, as they were at one moment.
+/// The schedulable workers in descending order of free CPU, as of one point in time.
 ///
-/// Within a round of planning capacity is only taken up, so that a worker that had too little then has too little now.
+/// A planning round only allocates capacity, so a worker without enough free CPU when the index was built has too
+/// little for the rest of the round.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CapacityIndex {
     by_free_cpu: Vec<FreeCpu>,
 }
 
 impl CapacityIndex {
-    /// Creates the index of these workers.
     pub(crate) fn of(workers: &Workers, now: Millis) -> CapacityIndex {
         let mut by_free_cpu: Vec<FreeCpu> = workers
             .iter()
@@ -37,14 +37,14 @@
         CapacityIndex { by_free_cpu }
     }
 
-    /// The workers that had at least so many thousandths of a core free.
+    /// The workers that had at least `cpu` millicores free.
     pub(crate) fn with_free_cpu(&self, cpu: u64) -> &[FreeCpu] {
         let end = self.by_free_cpu.partition_point(|worker| worker.cpu >= cpu);
         &self.by_free_cpu[..end]
     }
 
-    /// The workers that had at least so much free, or all where these are many: to iterate over all is faster than to
-    /// look many up by name.
+    /// The workers that had at least `cpu` millicores free, or all workers if iterating over all is cheaper than
+    /// looking up that many by name.
     pub(crate) fn with_capacity<'w>(
         &self,
         workers: &'w Workers,
--- a/system/scheduler/src/discovery.rs
+++ b/system/scheduler/src/discovery.rs
@@ -1,11 +1,11 @@
-//! Follows the platform's list of workers: incarnations that begin, drain and end.
+//! Handles the platform's list of workers: incarnations that start, drain and end.
 use crate::{calls::Output, scheduler::Scheduler, worker::Worker};
 use magpiegap_jobs::State;
 use magpiegap_protocol::{Availability, Command, Millis, WorkerEntry};
 use std::collections::{HashMap, HashSet};
 
 impl Scheduler {
-    /// Takes the platform's list, which is complete: workers that it lacks have departed.
+    /// Handles the platform's complete list; workers missing from it have departed.
     pub fn handle_worker_list(&mut self, now: Millis, state: &State, entries: &[WorkerEntry]) {
         let own: Vec<&WorkerEntry> = entries
             .iter()
@@ -60,7 +60,7 @@
         self.planner.request();
     }
 
-    /// Ends an incarnation that is surely over, and loses its runs.
+    /// Removes an incarnation that is known to have ended and proposes the loss of its runs.
     pub(crate) fn end_incarnation(&mut self, incarnation: &str, state: &State) {
         let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
--- a/system/scheduler/src/ejection_report.rs
+++ b/system/scheduler/src/ejection_report.rs
@@ -1,13 +1,13 @@
-//! Tells operators which workers were ejected, in one log line for many.
+//! Batches ejected workers into periodic log lines.
 use magpiegap_protocol::Millis;
 use std::collections::BTreeSet;
 
-/// Time between two log lines.
+/// Minimum time between two log lines.
 const REPORT_INTERVAL_MS: Millis = 1000;
-/// Workers named in a log line; more are only counted.
+/// Maximum number of workers named in a log line; the rest are counted.
 const MAX_NAMED_WORKERS: usize = 5;
 
-/// Ejected workers that no log line has named yet.
+/// Ejected workers that have not been logged yet.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EjectionReport {
     unreported: BTreeSet<String>,
@@ -15,12 +15,11 @@
 }
 
 impl EjectionReport {
-    /// Adds a worker that was just ejected.
     pub(crate) fn add(&mut self, incarnation: &str) {
         self.unreported.insert(incarnation.to_owned());
     }
 
-    /// Returns the log line that is due.
+    /// Returns a log line if one is due.
     pub(crate) fn poll_line(&mut self, now: Millis) -> Option<String> {
         if self.unreported.is_empty() || now < self.reported_at + REPORT_INTERVAL_MS {
             return None;
--- a/system/scheduler/src/explanation.rs
+++ b/system/scheduler/src/explanation.rs
@@ -1,26 +1,27 @@
-//! Explains to operators what of a job runs, what is queued, and why no worker takes what is queued.
+//! Explains a job to operators: its running and queued tasks, and why no worker accepts the queued ones.
 //!
-//! It decides nothing. The names of its fields in JSON are read by operators and stay as they are.
+//! Read-only. The JSON field names are part of the operator interface and must not change.
 use crate::{queue::urgency, scheduler::Scheduler, worker::Worker};
 use magpiegap_jobs::{startable_units, Job, StartableUnit, State, StepState, TaskState};
 use magpiegap_protocol::{JobId, StepSpec, TaskId};
 use serde::Serialize;
 
-/// A job as its scheduler sees it.
+/// The state of a job as seen by its scheduler.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Explanation {
     /// The job's name.
     pub job: String,
-    /// Its state, as clients are shown it.
+    /// The job's state as shown to clients.
     pub state: &'static str,
-    /// Its queue.
+    /// The job's queue.
     pub queue: String,
-    /// The service whose workers run it.
+    /// The service whose workers run the job.
     pub service: String,
-    /// The forecast of its deadline: in time, late, too late; `None`: nothing is queued.
+    /// The deadline forecast of its first startable task: `in time`, `late` or `too late`; `None` if no task is
+    /// startable.
     #[serde(rename = "outlook")]
     pub forecast: Option<String>,
-    /// All steps of occurrences that are due, where they are not done.
+    /// The unfinished steps of the open occurrences.
     pub steps: Vec<StepExplanation>,
 }
 
@@ -32,21 +33,21 @@
     pub occurrence: u32,
     /// The step's position in the job, counted from zero.
     pub step: u32,
-    /// How many tasks it has.
+    /// Number of tasks in the step.
     pub tasks: usize,
-    /// How many of them are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// Runs that may be running.
+    /// Active runs.
     pub running: Vec<RunExplanation>,
-    /// How many tasks are queued.
+    /// Number of queued tasks.
     pub waiting: u32,
-    /// Earlier steps that must be done first.
+    /// Dependencies of this step that are not done yet.
     pub waits_for_steps: Vec<u32>,
-    /// Why no worker takes the first task that is queued.
+    /// Workers by the obstacle to placing the first queued task; `None` if no task is queued.
     pub workers: Option<WorkerCounts>,
 }
 
-/// A run that may be running.
+/// An active run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RunExplanation {
     /// The task.
@@ -55,44 +56,44 @@
     pub run: u32,
     /// The worker's incarnation.
     pub worker: String,
-    /// Its progress in percent; `None`: its worker has not listed it yet.
+    /// Progress in percent; `None` if the scheduler does not track the run.
     pub percent: Option<u64>,
 }
 
-/// The workers of the service, each counted under the first obstacle that holds.
+/// The workers of the service, each counted under the first obstacle that applies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct WorkerCounts {
     /// All workers.
     pub known: usize,
-    /// The platform does not list them any more.
+    /// Workers that the platform no longer lists.
     pub not_listed: usize,
-    /// They are draining.
+    /// Draining workers.
     pub draining: usize,
-    /// They have left calls unanswered, or were not called yet.
+    /// Workers that did not reply to recent calls or have not been called yet.
     #[serde(rename = "not_answering")]
     pub unresponsive: usize,
-    /// They are ejected for a while: their runs have failed or made no progress.
+    /// Workers that are ejected because their runs failed or made no progress.
     #[serde(rename = "left_alone")]
     pub ejected: usize,
-    /// They lack a label that the step requires.
+    /// Workers that lack a label required by the step.
     pub without_label: usize,
-    /// They would be too small without any runs.
+    /// Workers whose total capacity is too small.
     pub too_small: usize,
-    /// Other runs take up their capacity.
+    /// Workers whose free capacity is too small.
     #[serde(rename = "without_room")]
     pub without_capacity: usize,
-    /// Their capacity is reserved for more urgent tasks.
+    /// Workers with capacity reserved for other tasks.
     #[serde(rename = "kept_for_others")]
     pub reserved_for_others: usize,
-    /// They are not in the rack that holds the data.
+    /// Workers outside the rack that holds the data.
     #[serde(rename = "away_from_data")]
     pub non_local: usize,
-    /// There is no obstacle: the task is placed in the next round.
+    /// Workers without an obstacle; the task can be placed there in the next planning round.
     pub free: usize,
 }
 
 impl Scheduler {
-    /// Explains a job; `None`: the service has no such job.
+    /// Explains a job; `None` if the service has no such job.
     pub fn explain(&self, state: &State, id: JobId) -> Option<Explanation> {
         let job = state
             .jobs
@@ -127,7 +128,7 @@
         })
     }
 
-    /// Explains the step of a job whose first task is `first`.
+    /// Explains the step whose first task is `first`.
     fn explain_step(
         &self,
         job: &Job,
@@ -189,7 +190,7 @@
         counts
     }
 
-    /// The count of the first obstacle to placing a task on a worker.
+    /// The counter for the first obstacle to placing a task on a worker.
     fn first_obstacle<'a>(
         &self,
         counts: &'a mut WorkerCounts,
@@ -231,7 +232,7 @@
     }
 }
 
-/// The steps that must be done before a step of an occurrence, and are not.
+/// The dependencies of a step that are not done in an occurrence.
 fn open_dependencies(job: &Job, occurrence: u32, step: Option<&StepSpec>) -> Vec<u32> {
     let (Some(step), Some(occurrence)) = (step, job.occurrences.get(&occurrence)) else {
         return Vec::new();
--- a/system/scheduler/src/forecast.rs
+++ b/system/scheduler/src/forecast.rs
@@ -1,19 +1,19 @@
-//! Forecasts whether a job meets its deadline, by how much of it is left to do.
+//! Forecasts whether a job can meet its deadline, from the work that remains on its critical path.
 use magpiegap_jobs::Job;
 use magpiegap_protocol::{TaskId, WallMillis};
 use std::fmt;
 
-/// A job done within this many times its objective still earns a part of its value.
+/// A job that completes within this multiple of its objective still earns part of its value.
 const LATE_FACTOR: u64 = 3;
 
 /// Whether a job can still meet its deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum DeadlineForecast {
-    /// It can be done in time.
+    /// The job can complete by its deadline.
     OnTime,
-    /// It can be done late, for a part of its value.
+    /// The job can complete late and earn part of its value.
     Late,
-    /// It is too late whatever is done.
+    /// The job can no longer earn any value.
     TooLate,
 }
 
@@ -27,17 +27,16 @@
     }
 }
 
-/// Until when a task may begin, if all that comes after it takes as long as the client estimates.
+/// The latest start times of a task, assuming that it and the steps that depend on it take their estimated time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LatestStarts {
-    /// So that its job is done in time.
+    /// Latest start for the job to complete by its deadline.
     on_time: WallMillis,
-    /// So that its job still earns a part of its value.
+    /// Latest start for the job to earn part of its value.
     late: WallMillis,
 }
 
 impl LatestStarts {
-    /// Computes those of a task.
     pub(crate) fn of(job: &Job, task: &TaskId) -> LatestStarts {
         let due = deadline_ms(job, task.occurrence);
         let begin = period_start_ms(job, task.occurrence);
@@ -54,7 +53,7 @@
         }
     }
 
-    /// The forecast at this time of day.
+    /// Returns the forecast for a start at the wall-clock time `wall`.
     pub(crate) fn forecast(&self, wall: WallMillis) -> DeadlineForecast {
         if wall <= self.on_time {
             DeadlineForecast::OnTime
@@ -66,7 +65,7 @@
     }
 }
 
-/// When the time of an occurrence counts from.
+/// The time from which the objective of an occurrence is measured.
 fn period_start_ms(job: &Job, occurrence: u32) -> WallMillis {
     job.submission
         .spec
@@ -74,7 +73,7 @@
         .unwrap_or(job.submission.submitted_ms)
 }
 
-/// The deadline of an occurrence: done by then, the job earns its full value.
+/// The deadline of an occurrence; a job that completes by then earns its full value.
 pub(crate) fn deadline_ms(job: &Job, occurrence: u32) -> WallMillis {
     let submission = &job.submission;
     let work = submission.spec.critical_path_ms() as f64 * submission.stretch;
--- a/system/scheduler/src/health.rs
+++ b/system/scheduler/src/health.rs
@@ -1,34 +1,34 @@
-//! Ejects workers that reply well and do their work badly, by how their runs complete (outlier ejection).
+//! Outlier ejection: ejects workers that respond but whose runs fail or make no progress.
 //!
-//! Workers that do not reply are not its concern.
+//! Unresponsive workers are handled by lease renewal, not here.
 use magpiegap_protocol::{JobId, Millis};
 
-/// Failures of different jobs in a row after which a worker is ejected, at least ...
+/// Minimum number of consecutive failures of different jobs that eject a worker.
 const MIN_FAILURES: usize = 2;
-/// ... and at most.
+/// Maximum number of consecutive failures of different jobs that eject a worker.
 const MAX_FAILURES: usize = 3;
-/// As many failures in a row as come by chance, on a healthy worker, with less probability than this.
+/// The failures that eject a worker must occur by chance on a healthy worker with a probability below this.
 const MAX_CHANCE: f64 = 0.0005;
-/// The weight of one run in the rate of failures.
+/// Weight of one run in the smoothed failure rate.
 const GAIN: f64 = 0.01;
-/// Length of a worker's first ejection.
+/// Duration of a worker's first ejection; it doubles with each consecutive ejection.
 const BASE_EJECTION_MS: Millis = 4000;
-/// Length of an ejection, at most.
+/// Maximum duration of an ejection.
 const MAX_EJECTION_MS: Millis = 30_000;
 
-/// The share of runs that fail, over all workers of a service.
+/// Smoothed share of failed runs over all workers of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct FailureRate(f64);
 
 impl FailureRate {
-    /// Records a run that is done or has failed.
+    /// Records a run that completed, successfully or not.
     pub(crate) fn record(&mut self, failed: bool) {
         let one = if failed { 1.0 } else { 0.0 };
         self.0 += GAIN * (one - self.0);
     }
 
-    /// How many failures of different jobs in a row are evidence against a worker: where many runs fail by their own
-    /// fault, two in a row come by chance.
+    /// Number of consecutive failures of different jobs that eject a worker. Where many runs fail because of their
+    /// jobs, two consecutive failures are not enough evidence against a worker.
     pub(crate) fn failures_to_eject(self) -> usize {
         let by_chance = |failures: usize| self.0.powi(failures as i32);
         (MIN_FAILURES..MAX_FAILURES)
@@ -37,36 +37,35 @@
     }
 }
 
-/// What a worker's runs have shown of it.
+/// A worker's health as shown by its runs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Health {
-    /// The jobs whose runs have failed here since a run was last done.
+    /// Jobs whose runs have failed on this worker since its last successful run.
     failed: Vec<JobId>,
-    /// No new runs before this time.
+    /// End of the current or last ejection; no new runs are placed before it.
     ejected_until: Millis,
-    /// How often in a row it was ejected.
+    /// Number of consecutive ejections.
     ejections: u32,
 }
 
 impl Health {
-    /// Whether it is not ejected.
+    /// Whether the worker is not ejected.
     pub(crate) fn is_schedulable(&self, now: Millis) -> bool {
         now >= self.ejected_until
     }
 
-    /// Whether it is on probation: it was ejected, and no run has been done since.
+    /// Whether the worker is on probation: it was ejected and has not completed a run successfully since.
     pub(crate) fn is_on_probation(&self) -> bool {
         self.ejections > 0
     }
 
-    /// Records a run that is done.
     pub(crate) fn record_success(&mut self) {
         self.failed.clear();
         self.ejections = 0;
     }
 
-    /// Records a failed run of this job; so many of different jobs in a row are evidence against the worker. Returns
-    /// whether it is ejected now.
+    /// Records a failed run and returns whether it ejects the worker: either `failures_to_eject` different jobs have
+    /// failed in a row, or the worker is on probation.
     pub(crate) fn record_failure(
         &mut self,
         job: JobId,
@@ -83,7 +82,7 @@
         true
     }
 
-    /// Ejects the worker for a while, each time for longer.
+    /// Ejects the worker, for longer with each consecutive ejection.
     pub(crate) fn eject(&mut self, now: Millis) {
         let time = BASE_EJECTION_MS << self.ejections.min(4);
         self.ejected_until = now + time.min(MAX_EJECTION_MS);
--- a/system/scheduler/src/job_calendar.rs
+++ b/system/scheduler/src/job_calendar.rs
@@ -1,41 +1,39 @@
-//! Jobs by the time of day at which something is due for them: the next occurrence of a repeated job, and the removal
-//! of a completed one.
+//! Wall-clock timers of jobs: the next occurrence of repeated jobs and the removal of completed jobs.
 //!
-//! It proposes nothing itself: it returns what is due.
+//! Only returns what is due; the caller proposes the commands.
 use magpiegap_jobs::{Job, State};
 use magpiegap_protocol::{JobId, WallMillis};
 use std::collections::{BTreeSet, HashSet};
 
-/// Jobs that one command removes, at most.
+/// Maximum number of jobs removed by one command.
 const MAX_REMOVED_AT_ONCE: usize = 500;
 
-/// An occurrence of a repeated job, counted from zero.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Occurrence {
     pub job: JobId,
     pub number: u32,
 }
 
-/// The times of day at which jobs need something.
+/// Pending wall-clock timers of the jobs of a service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct JobCalendar {
-    /// Repeated jobs by when their next occurrence is due.
+    /// Repeated jobs, by the time of their next occurrence.
     scheduled: BTreeSet<(WallMillis, JobId)>,
-    /// Occurrences that were proposed for the log.
+    /// Occurrences that have been proposed for the log.
     proposed: HashSet<Occurrence>,
-    /// Completed jobs by when they were completed.
+    /// Completed jobs, by their completion time.
     completed: BTreeSet<(WallMillis, JobId)>,
 }
 
 impl JobCalendar {
-    /// Drops everything, before the replicated state is read again.
+    /// Removes all timers, before the replicated state is read again.
     pub(crate) fn clear(&mut self) {
         self.scheduled.clear();
         self.proposed.clear();
         self.completed.clear();
     }
 
-    /// Schedules the next occurrence of a job that is not completed; does nothing for one that is not repeated.
+    /// Schedules the next occurrence of an active job; does nothing if the job is not repeated.
     pub(crate) fn schedule(&mut self, job: &Job) {
         let id = job.submission.job;
         let spec = &job.submission.spec;
@@ -55,18 +53,18 @@
         self.scheduled.retain(|(_, other)| *other != job);
     }
 
-    /// Records that a job is completed.
+    /// Records that a job has completed and cancels its next occurrence.
     pub(crate) fn complete(&mut self, job: JobId, completed_at: WallMillis) {
         self.completed.insert((completed_at, job));
         self.unschedule(job);
     }
 
-    /// Drops a completed job that the log has removed.
+    /// Removes a completed job that the log has removed.
     pub(crate) fn forget(&mut self, job: JobId) {
         self.completed.retain(|(_, other)| *other != job);
     }
 
-    /// Returns the occurrences that are due and were not returned before.
+    /// Returns the due occurrences that have not been returned before.
     pub(crate) fn take_due(&mut self, wall: WallMillis, state: &State) -> Vec<Occurrence> {
         let due: Vec<(WallMillis, JobId)> = self
             .scheduled
@@ -91,7 +89,7 @@
         occurrences
     }
 
-    /// Takes out jobs that were completed before this time, the earliest first and not too many at once.
+    /// Removes and returns the earliest jobs completed before `before`, up to [`MAX_REMOVED_AT_ONCE`].
     pub(crate) fn take_completed_before(&mut self, before: WallMillis) -> Vec<JobId> {
         let removed: Vec<JobId> = self
             .completed
--- a/system/scheduler/src/job_review.rs
+++ b/system/scheduler/src/job_review.rs
@@ -1,13 +1,13 @@
-//! Brings what is queued, scheduled and running of a job in step with the job's state in the log.
+//! Reconciles the queue, timers and runs of a job with the job's state in the log.
 use crate::{calls::Output, scheduler::Scheduler};
 use magpiegap_jobs::{Job, State, StepState};
 use magpiegap_protocol::{Command, JobId, Millis, RunId, TaskId, WallMillis};
 
-/// How much longer than the settings say the status of a completed job is retained, in milliseconds.
+/// Extra time, in milliseconds, for which the status of a completed job is retained beyond the configured retention.
 const STATUS_MARGIN_MS: u64 = 30_000;
 
 impl Scheduler {
-    /// Takes up what a job of this service needs now.
+    /// Updates the queue, timers and runs of a job of this service after its state has changed.
     pub(crate) fn review_job(&mut self, id: JobId, now: Millis, state: &State) {
         let Some(job) = state.jobs.get(&id) else {
             return;
@@ -25,7 +25,7 @@
         self.stop_unneeded_runs(job, now);
     }
 
-    /// Queues the tasks of a job whose turn has come, but for those that are being placed.
+    /// Queues the startable tasks of a job, except those with a proposed run.
     pub(crate) fn refresh_queue(&mut self, id: JobId, now: Millis, state: &State) {
         let Some(job) = state.jobs.get(&id) else {
             return;
@@ -37,8 +37,8 @@
         self.planner.request();
     }
 
-    /// Marks the runs of a job that are not needed any more: of a completed job, of tasks that are done, and of gangs
-    /// that have lost a member.
+    /// Requests the stop of runs that are no longer needed: runs of completed jobs, of tasks that are done, and of
+    /// gangs that have lost a member.
     fn stop_unneeded_runs(&mut self, job: &Job, now: Millis) {
         for (occurrence, steps) in &job.occurrences {
             for (position, step) in steps.steps.iter().enumerate() {
@@ -68,7 +68,7 @@
                 ..first
             };
             for active in &task.active_runs {
-                // Where a gang is done its members complete by themselves.
+                // Members of a gang that is done complete without being stopped.
                 let is_broken = is_gang && !step.is_done() && !has_all_members(step, active.run);
                 let is_superfluous = task.done && !is_gang;
                 if job.phase.is_terminal() || is_broken || is_superfluous {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Marks a run to be stopped.
+    /// Requests the stop of a run; the order is sent later.
     fn request_stop(&mut self, incarnation: &str, task: TaskId, run: RunId, now: Millis) {
         let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Proposes the occurrences of repeated jobs that are due.
+    /// Proposes to open the due occurrences of repeated jobs.
     pub(crate) fn open_due_occurrences(&mut self, wall: WallMillis, state: &State) {
         for due in self.job_calendar.take_due(wall, state) {
             self.outputs.push(Output::Propose(Command::OpenOccurrence {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Proposes to remove completed jobs whose status need not be shown any more.
+    /// Proposes to remove completed jobs whose status retention has passed.
     pub(crate) fn forget_completed_jobs(&mut self, wall: WallMillis) {
         let before = wall.saturating_sub(self.settings.status_retention_ms + STATUS_MARGIN_MS);
         let jobs = self.job_calendar.take_completed_before(before);
@@ -110,7 +110,7 @@
     }
 }
 
-/// Whether every task of a gang has this run.
+/// Whether every task of a gang has an active run with this number.
 fn has_all_members(step: &StepState, run: RunId) -> bool {
     step.tasks
         .iter()
--- a/system/scheduler/src/lease_schedule.rs
+++ b/system/scheduler/src/lease_schedule.rs
@@ -1,24 +1,24 @@
-//! When the lease on each worker is renewed next.
+//! Decides when the lease of each worker is renewed.
 //!
-//! A lease on a worker is renewed by a long poll that lists its runs. While one is in flight no other is sent.
+//! A lease is renewed by a long poll that also lists the worker's runs; only one is in flight per worker.
 use crate::worker::{Worker, Workers};
 use magpiegap_protocol::Millis;
 use std::collections::BTreeSet;
 
-/// Longest time between two scans of all workers for renewals that are due.
+/// Maximum time between two scans of all workers for due renewals.
 const SCAN_INTERVAL_MS: Millis = 50;
 
-/// Finds the renewals that are due without a scan of all workers each time.
+/// Finds due renewals without scanning all workers on each call.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaseSchedule {
-    /// Workers that have changed, so that a renewal may be due there.
+    /// Workers that have changed since the last call, so that a renewal may be due.
     updated: BTreeSet<String>,
-    /// When all workers are scanned next, for renewals that are due by time alone.
+    /// When all workers are scanned next, for renewals that become due by time alone.
     next_scan: Millis,
 }
 
 impl LeaseSchedule {
-    /// Creates a schedule that scans all workers at once.
+    /// Creates a schedule whose first call of `take_due` scans all workers.
     pub(crate) fn new(now: Millis) -> LeaseSchedule {
         LeaseSchedule {
             updated: BTreeSet::new(),
@@ -26,17 +26,16 @@
         }
     }
 
-    /// Marks a worker that has changed.
     pub(crate) fn mark_updated(&mut self, incarnation: &str) {
         self.updated.insert(incarnation.to_owned());
     }
 
-    /// Has all workers scanned at the next call of `take_due`.
+    /// Schedules a scan of all workers at the next call of `take_due`.
     pub(crate) fn scan_at(&mut self, now: Millis) {
         self.next_scan = now;
     }
 
-    /// Returns the workers whose renewal is due, by name.
+    /// Returns the incarnations of the workers whose renewal is due.
     pub(crate) fn take_due(&mut self, workers: &Workers, now: Millis) -> Vec<String> {
         let updated = std::mem::take(&mut self.updated);
         let mut due = Vec::new();
@@ -63,7 +62,7 @@
     }
 }
 
-/// When the lease on a worker is renewed next; `None`: not before the worker changes.
+/// When the next renewal of a worker's lease is due; `None` if none is due before the worker changes.
 fn next_renewal_at(worker: &Worker) -> Option<Millis> {
     let unconfirmed =
         !worker.has_responded || worker.unanswered_renewals > 0 || worker.suspected_since.is_some();
--- a/system/scheduler/src/lease_timing.rs
+++ b/system/scheduler/src/lease_timing.rs
@@ -1,18 +1,18 @@
-//! How long renewals of leases wait for a completion, and how long the leases are.
+//! Durations of long polls and leases.
 use magpiegap_protocol::Millis;
 
-/// How long a renewal may wait for a completion, where not too many workers have runs.
+/// Duration of long polls with up to [`MAX_UNSCALED_WORKERS`] busy workers.
 const LONG_POLL_MS: u64 = 500;
-/// With more workers that have runs than this, long polls are longer in proportion: calls then grow with the completions,
-/// not with the number of workers.
+/// Above this number of busy workers, long polls lengthen in proportion, so that the rate of calls grows with the
+/// number of completions instead of the number of workers.
 const MAX_UNSCALED_WORKERS: u64 = 400;
-/// Long polls are never longer than this.
+/// Maximum duration of a long poll.
 const MAX_LONG_POLL_MS: u64 = 1500;
-/// Length of a lease: long enough for all coordinators to restart, and no longer, since the runs of an unresponsive
-/// worker can't be started elsewhere before it expires.
+/// Base duration of a lease: long enough for all coordinators to restart, and no longer, because the runs of an
+/// unresponsive worker cannot be restarted elsewhere before its lease expires.
 const LEASE_MS: u64 = 3200;
 
-/// The length of long polls and leases, by the number of workers that have runs.
+/// Durations of long polls and leases, derived from the number of busy workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LeaseTiming {
     wait_ms: Millis,
@@ -27,7 +27,7 @@
 }
 
 impl LeaseTiming {
-    /// The timing for so many workers that have runs.
+    /// Returns the timing for `busy` workers that have runs.
     pub(crate) fn for_busy_workers(busy: usize) -> LeaseTiming {
         let proportional = LONG_POLL_MS.saturating_mul(busy as u64) / MAX_UNSCALED_WORKERS;
         LeaseTiming {
@@ -40,7 +40,8 @@
         self.wait_ms
     }
 
-    /// Length of the leases that are granted: longer by as much as the next renewal may come later.
+    /// Duration of granted leases, extended by as much as long polls are longer than their base duration, and kept a
+    /// tenth below the longest lease allowed.
     pub(crate) fn lease_ms(self, max_hold_ms: u64) -> u64 {
         (LEASE_MS + self.wait_ms - LONG_POLL_MS).min(max_hold_ms * 9 / 10)
     }
--- a/system/scheduler/src/leases.rs
+++ b/system/scheduler/src/leases.rs
@@ -1,7 +1,7 @@
-//! Renews the leases on workers, and stops or loses the runs on those that are unresponsive, stalled or departing.
+//! Renews the leases of workers, and stops or loses the runs on workers that are unresponsive, stalled or departing.
 //!
-//! A lease is what a worker grants: it runs its tasks until a time on its clock and stops them by itself after that. On
-//! the wire a renewal is the worker's `hold`, a long poll that is replied to when a run completes.
+//! Under a lease a worker runs its tasks until a deadline on its own clock; when the lease expires it stops them. On
+//! the wire a renewal is the worker's `hold` request, a long poll that is replied to when a run completes.
 use crate::{
     call_table::CallPurpose,
     calls::{Output, WorkerOrder},
@@ -12,23 +12,22 @@
 use magpiegap_jobs::State;
 use magpiegap_protocol::{Command, Millis, TaskId};
 
-/// Longest time that a renewal may wait for a completion where a run makes no progress.
+/// Maximum duration of a long poll to a worker with a run that makes no progress.
 const STALLED_LONG_POLL_MS: u64 = 150;
-/// Time between two renewals on a worker that does not reply.
+/// Retry interval for renewals of a worker that does not reply.
 const RENEWAL_INTERVAL_MS: Millis = 400;
-/// A run that has not made progress for less than this is never taken for stuck.
+/// Minimum time without progress after which a run may be considered stuck.
 const MIN_STALL_MS: Millis = 300;
-/// How long a long run may go without progress, beyond a twentieth of its estimate.
+/// Allowed time without progress for runs with long estimates, in addition to a twentieth of the estimate.
 const LONG_RUN_STALL_MS: Millis = 1600;
 
 impl Scheduler {
-    /// Adapts the length of long polls to the number of workers that have runs.
+    /// Adapts the duration of long polls and leases to the number of workers that have runs.
     fn adapt_lease_timing(&mut self) {
         let busy = self.table.busy_workers();
         self.lease_timing = LeaseTiming::for_busy_workers(busy);
     }
 
-    /// Renews the leases that are due.
     pub(crate) fn renew_leases(&mut self, now: Millis) {
         for incarnation in self.table.take_due_renewals(now) {
             self.send_renewal(&incarnation, now);
@@ -41,7 +40,7 @@
         let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
-        // A worker that does not reply gets no longer lease: its runs are to stop.
+        // The lease of a worker that does not reply is not extended, so that its runs stop when it expires.
         let grant = worker.has_responded && worker.unanswered_renewals == 0;
         let deadline_ms = worker
             .max_clock(now)
@@ -71,7 +70,7 @@
         }
     }
 
-    /// Checks a worker that has left an order unanswered, without renewing its lease.
+    /// Checks whether a worker that did not reply to an order is responsive, without renewing its lease.
     pub(crate) fn send_health_check(&mut self, incarnation: &str) {
         let Some(worker) = self.table.workers.get(incarnation) else {
             return;
@@ -89,7 +88,7 @@
         );
     }
 
-    /// Checks all workers for what is due there.
+    /// Runs the periodic checks of all workers.
     pub(crate) fn check_workers(&mut self, now: Millis, state: &State) {
         self.adapt_lease_timing();
         let incarnations: Vec<String> = self.table.workers.keys().cloned().collect();
@@ -135,7 +134,8 @@
         self.table.workers.remove(incarnation);
     }
 
-    /// Stops runs that won't complete before their worker departs, so that they are started elsewhere at once.
+    /// Stops runs that will not complete before their draining worker departs, so that they are restarted elsewhere in
+    /// time.
     fn stop_runs_outliving_worker(&mut self, incarnation: &str, now: Millis) {
         let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Stops runs that make no progress, so that they are started elsewhere.
+    /// Stops runs that make no progress, so that they are restarted elsewhere, and ejects their worker.
     fn stop_stuck_runs(&mut self, incarnation: &str, now: Millis) {
         let gang_ms = self.settings.gang_timeout_ms;
         let Some(worker) = self.table.workers.get_mut(incarnation) else {
@@ -185,7 +185,7 @@
     }
 }
 
-/// Whether a run should have made progress since it was started or last listed with other progress.
+/// Whether a run has made no progress for longer than expected since it started or last progressed.
 fn lacks_progress(run: &Run, now: Millis) -> bool {
     let still = now.saturating_sub(run.progress.since);
     run.phase == RunPhase::Started
@@ -195,14 +195,14 @@
         && still > run.estimated_ms / 5
 }
 
-/// Whether a run has been listed with the same progress for too long.
+/// Whether successive listings have shown a run with the same progress for too long.
 fn is_stuck(run: &Run, gang_ms: Millis) -> bool {
     let gang_wait_ms = if run.gang && run.progress.percent == 0 {
         gang_ms
     } else {
         0
     };
-    // Even on a worker that is ten times too slow progress rises by a hundredth in a tenth of the estimate.
+    // Even on a worker that is ten times too slow, progress should rise by one percent within a tenth of the estimate.
     let max_stall_ms = (run.estimated_ms / 5)
         .min(LONG_RUN_STALL_MS + run.estimated_ms / 20)
         .max(MIN_STALL_MS);
--- a/system/scheduler/src/lib.rs
+++ b/system/scheduler/src/lib.rs
@@ -1,10 +1,11 @@
 //! Places and starts the tasks of one service, as a state machine without I/O.
 //!
-//! A [`Scheduler`] exists on the coordinator that has the service's role. It reads the replicated state, proposes
-//! commands for the log, and lists the calls to make to workers. It owns no socket, disk or clock: its caller sends the
-//! calls, commits the commands and tells the time.
+//! The coordinator that owns a service's role runs its [`Scheduler`]. It reads the replicated state, proposes commands
+//! for the log and emits calls to workers. It uses no sockets, disks or clocks: its caller sends the calls, commits the
+//! commands and passes in the current time.
 //!
-//! A run is in the log before its start is sent, and a completion is in the log before it is acknowledged to its worker.
+//! A run is committed to the log before its start is sent, and a completion is committed before it is acknowledged to
+//! its worker.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/system/scheduler/src/nominations.rs
+++ b/system/scheduler/src/nominations.rs
@@ -1,11 +1,11 @@
-//! Workers that are nominated for a task that had other runs preempted there, and that nobody else gets for a moment.
+//! Nominates workers for tasks that have preempted runs there, so that the freed capacity goes to no other task.
 //!
-//! The term is that of Kubernetes (`nominatedNodeName`); reservations by forecast are those of backfill.
+//! The term comes from Kubernetes (`nominatedNodeName`). Reservations based on forecasts are in `backfill`.
 use crate::worker::Workers;
 use magpiegap_protocol::{Millis, TaskId};
 use std::collections::{HashMap, HashSet};
 
-/// A nomination that has led to nothing is dropped after this time.
+/// Nominations expire after this time.
 const NOMINATION_TIMEOUT_MS: Millis = 1200;
 
 #[derive(Clone, Copy, Debug)]
@@ -14,39 +14,37 @@
     since: Millis,
 }
 
-/// The nominated workers, and for whom.
+/// Nominated workers and the tasks that they are nominated for.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Nominations {
     of_worker: HashMap<String, Nomination>,
 }
 
 impl Nominations {
-    /// Whether a task may be placed on a worker.
+    /// Whether nominations allow a task to be placed on a worker.
     pub(crate) fn allow(&self, incarnation: &str, first: &TaskId) -> bool {
         self.of_worker
             .get(incarnation)
             .is_none_or(|nomination| nomination.owner == *first)
     }
 
-    /// Whether a worker is nominated for a task.
+    /// Whether any worker is nominated for a task.
     pub(crate) fn has(&self, first: &TaskId) -> bool {
         self.of_worker
             .values()
             .any(|nomination| nomination.owner == *first)
     }
 
-    /// How many workers are nominated.
     pub(crate) fn len(&self) -> usize {
         self.of_worker.len()
     }
 
-    /// Nominates a worker for a task.
     pub(crate) fn add(&mut self, incarnation: String, owner: TaskId, now: Millis) {
         self.of_worker
             .insert(incarnation, Nomination { owner, since: now });
     }
 
-    /// Drops those that have lost their purpose.
+    /// Drops nominations that have expired, or whose task is no longer queued or whose worker is no longer schedulable.
     pub(crate) fn review(&mut self, waiting: &HashSet<TaskId>, workers: &Workers, now: Millis) {
         self.of_worker.retain(|incarnation, nomination| {
             waiting.contains(&nomination.owner)
--- a/system/scheduler/src/orders.rs
+++ b/system/scheduler/src/orders.rs
@@ -1,4 +1,4 @@
-//! Sends the orders to start and stop runs, and proposes the loss of runs that are surely not running.
+//! Sends orders to start and stop runs, and proposes the loss of runs that are known not to be running.
 use crate::{
     call_table::CallPurpose,
     calls::{Output, WorkerOrder},
@@ -9,20 +9,20 @@
 use magpiegap_jobs::State;
 use magpiegap_protocol::{Command, Millis, RunStart, TaskId};
 
-/// How long a start is valid, on the worker's clock.
+/// How long a start order stays valid, on the worker's clock.
 const START_VALID_MS: u64 = 1500;
-/// Time between two orders to stop the same run.
+/// Retry interval for stop orders of the same run.
 const STOP_RETRY_MS: Millis = 300;
-/// A start is sent this often at most before the run is given up.
+/// Maximum number of start orders sent for a run before it is stopped.
 const MAX_START_ATTEMPTS: u32 = 8;
 
-/// What is to be done about a run now.
+/// The action that is due for a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DueOrder {
     Nothing,
     Start,
     Stop,
-    /// Its start was never sent and is not to be sent any more, so that it is surely not running.
+    /// The start was never sent and must not be sent any more, so the run cannot be running.
     Lose,
 }
 
@@ -46,14 +46,14 @@
 }
 
 impl Scheduler {
-    /// Sends the starts and stops that are due on the workers marked to have some.
+    /// Sends the due start and stop orders to the workers marked by `mark_order_due`.
     pub(crate) fn send_due_orders(&mut self, now: Millis, state: &State) {
         for incarnation in self.table.take_workers_with_orders() {
             self.send_orders(&incarnation, now, state);
         }
     }
 
-    /// Sends the starts and stops that are due on one worker.
+    /// Sends the due start and stop orders to one worker.
     pub(crate) fn send_orders(&mut self, incarnation: &str, now: Millis, state: &State) {
         let Some(worker) = self.table.workers.get(incarnation) else {
             return;
@@ -79,10 +79,10 @@
         }
     }
 
-    /// Proposes to take runs off the record that are surely not running.
+    /// Proposes the loss of runs that are known not to be running.
     pub(crate) fn propose_loss(&mut self, lost: Vec<RunStart>) {
         for start in &lost {
-            // Marked, so that it is not proposed again before the log has it.
+            // Prevents a second proposal before the log has decided on this one.
             let worker = self.table.workers.get_mut(&start.incarnation);
             if let Some(run) = worker.and_then(|worker| worker.runs.get_mut(&start.task)) {
                 run.phase = RunPhase::LossProposed;
@@ -92,7 +92,7 @@
             .push(Output::Propose(Command::LoseRuns { runs: lost }));
     }
 
-    /// Proposes the loss of all runs of a worker, once every lease ever granted to it has surely expired.
+    /// Proposes the loss of all runs of a worker; every lease ever granted to it must have expired.
     pub(crate) fn lose_expired_runs(&mut self, incarnation: &str) {
         let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
--- a/system/scheduler/src/placement.rs
+++ b/system/scheduler/src/placement.rs
@@ -1,5 +1,5 @@
-//! Chooses workers for tasks: the less busy of two random ones that fit, or the busiest that fits for tasks that take a
-//! large share of a worker.
+//! Chooses workers for tasks: the less loaded of two random workers that fit, or, for tasks that take a large share of
+//! a worker, the most loaded worker that fits.
 //!
 //! Source: Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001.
 use crate::{
@@ -14,37 +14,35 @@
 
 /// Tasks that take at least this share of a worker are packed instead of spread.
 const MIN_PACKED_SHARE: f64 = 0.5;
-/// Workers drawn to find two that fit, before all are scanned.
+/// Maximum number of workers sampled to find two that fit, before all workers are scanned.
 const MAX_DRAWS: usize = 12;
 
-/// What is to be placed.
+/// A placement request.
 pub(crate) struct Demand<'a> {
     pub first: TaskId,
-    /// Only the rack that holds the data is accepted; for a gang, only one rack for all its tasks.
+    /// Accept only the rack that holds the data, or for a rack-local gang only a single rack for all its tasks.
     pub require_locality: bool,
-    /// Workers reserved for those that had others preempted there.
+    /// Workers nominated for tasks that have preempted runs there.
     pub nominations: &'a Nominations,
-    /// Capacity reserved for more urgent tasks.
     pub backfill: &'a Backfill,
-    /// The step, and how many of its tasks.
+    /// The step and the number of its tasks to place.
     pub candidate: Candidate<'a>,
-    /// Workers on which these tasks have failed.
+    /// Workers on which the task has failed before.
     pub avoid: &'a [String],
-    /// The workers to consider.
     pub pool: Pool<'a>,
 }
 
-/// The workers that a task may be placed on.
+/// The workers to choose from.
 #[derive(Clone, Copy)]
 pub(crate) enum Pool<'a> {
-    /// All of them, by name.
+    /// All workers, by incarnation.
     All(&'a [String]),
-    /// Those that had free capacity when the round of planning began.
+    /// The workers that had free capacity when the planning round began.
     WithCapacity(&'a CapacityIndex),
 }
 
 impl<'a> Pool<'a> {
-    /// Those that may have capacity for a task that takes so many thousandths of a core.
+    /// The workers that may have `cpu` millicores free.
     fn with_capacity(
         self,
         workers: &'a Workers,
@@ -56,7 +54,7 @@
         }
     }
 
-    /// One of them at random.
+    /// Returns a random worker.
     fn draw(self, workers: &'a Workers, cpu: u64, random: &mut StdRng) -> Option<&'a Worker> {
         let name = match self {
             Pool::All(names) => names.choose(random),
@@ -68,7 +66,7 @@
         workers.get(name?)
     }
 
-    /// How many there are.
+    /// Number of workers that may have `cpu` millicores free.
     fn len(self, cpu: u64) -> usize {
         match self {
             Pool::All(names) => names.len(),
@@ -77,7 +75,7 @@
     }
 }
 
-/// What the tasks placed so far take up, by worker.
+/// Resources and task counts allocated by this search so far, by worker.
 #[derive(Default)]
 struct Taken {
     resources: BTreeMap<String, Resources>,
@@ -102,7 +100,7 @@
     }
 }
 
-/// Chooses a worker for each task; `None`: they don't all fit.
+/// Chooses a worker for each task; `None` if they do not all fit.
 pub(crate) fn choose<'w>(
     workers: &'w Workers,
     demand: &Demand<'w>,
@@ -125,7 +123,6 @@
     placer.choose_all(random, |_| true)
 }
 
-/// One search for workers.
 struct Placer<'d, 'w> {
     workers: &'w Workers,
     demand: &'d Demand<'w>,
@@ -133,7 +130,7 @@
 }
 
 impl<'w> Placer<'_, 'w> {
-    /// One rack that takes all tasks: the first that does, in random order.
+    /// Chooses workers in the first rack, in random order, that fits all tasks.
     fn choose_rack(&self, random: &mut StdRng) -> Option<Vec<String>> {
         let racks: BTreeSet<&str> = self.workers.values().map(Worker::rack).collect();
         let mut racks: Vec<&str> = racks.into_iter().collect();
@@ -179,7 +176,7 @@
         chosen.map(|worker| worker.entry.incarnation.clone())
     }
 
-    /// Keeps the workers in the rack that holds the data, or all where none of them is and locality is not required.
+    /// Keeps the workers in the rack that holds the data, or all if none of them is in it and locality is not required.
     fn prefer_local(&self, candidates: Vec<&'w Worker>) -> Option<Vec<&'w Worker>> {
         let Some(rack) = &self.demand.candidate.step.affinity else {
             return Some(candidates);
@@ -195,7 +192,7 @@
         (!self.demand.require_locality).then_some(candidates)
     }
 
-    /// Keeps the workers that nothing speaks against; where there are none, those that may take a run on probation.
+    /// Keeps the workers without known failures; if there are none, those that may take a run on probation.
     fn prefer_proven(&self, candidates: Vec<&'w Worker>) -> Vec<&'w Worker> {
         let proven: Vec<&Worker> = candidates
             .iter()
@@ -205,7 +202,7 @@
         if !proven.is_empty() {
             return proven;
         }
-        // On probation a worker gets one run at a time.
+        // A worker on probation gets one run at a time.
         let may_take =
             |worker: &&Worker| !worker.health.is_on_probation() || worker.runs.is_empty();
         candidates.into_iter().filter(may_take).collect()
@@ -225,8 +222,8 @@
         self.less_busy(two, taken)
     }
 
-    /// Two random workers that will do, drawn instead of searched for among all: the work for a start does not grow with
-    /// the number of workers. `None`: a few draws do not find two, or the task is not to be spread at random.
+    /// Samples two random acceptable workers, so that the cost of a placement does not grow with the number of workers.
+    /// `None` if a few samples do not find two, or if the task must not be spread at random.
     fn draw_two(
         &self,
         random: &mut StdRng,
@@ -280,7 +277,7 @@
         })
     }
 
-    /// The share of a worker's scarcest resource that is in use once it has one task more.
+    /// The dominant resource share in use on a worker with one more task.
     fn load_on(&self, worker: &Worker, taken: &Taken) -> f64 {
         worker
             .used
@@ -289,19 +286,19 @@
             .dominant_share(&worker.entry.capacity)
     }
 
-    /// Whether a task takes so much of a worker that it is packed.
+    /// Whether a task takes a share of a worker that is large enough to be packed.
     fn needs_packing(&self, worker: &Worker) -> bool {
         let resources = &self.demand.candidate.step.resources;
         resources.dominant_share(&worker.entry.capacity) >= MIN_PACKED_SHARE
     }
 
-    /// Whether nothing speaks against a worker: it is not on probation, and these tasks have not failed there.
+    /// Whether a worker is not on probation and the task has not failed there.
     fn is_proven(&self, worker: &Worker) -> bool {
         let has_failed_here = self.demand.avoid.contains(&worker.entry.incarnation);
         !worker.health.is_on_probation() && !has_failed_here
     }
 
-    /// Whether a worker takes one task more.
+    /// Whether one more task can be placed on a worker.
     fn fits(&self, worker: &Worker, taken: &Taken) -> bool {
         let Demand {
             first,
@@ -326,7 +323,7 @@
         resources.fits_in(&free.saturating_sub(more)) && free.cpu >= more.cpu + resources.cpu
     }
 
-    /// Whether a worker may run another task of the same step and occurrence.
+    /// Whether the anti-affinity of the step allows one more of its tasks on a worker.
     fn allows_sibling(&self, worker: &Worker, taken: &Taken) -> bool {
         let max_siblings = self.demand.candidate.step.anti_affinity;
         if max_siblings == 0 {
--- a/system/scheduler/src/planner.rs
+++ b/system/scheduler/src/planner.rs
@@ -1,6 +1,6 @@
-//! Decides which queued tasks are started where, in rounds of planning.
+//! Decides in planning rounds which queued tasks start on which workers.
 //!
-//! It composes placement, backfill and preemption; each of them is a module of its own.
+//! It combines placement, backfill and preemption, each of which is a separate module.
 use crate::{
     backfill::{Backfill, Candidate},
     capacity_index::CapacityIndex,
@@ -19,67 +19,68 @@
 use rand::{rngs::StdRng, SeedableRng};
 use std::collections::{HashMap, HashSet};
 
-/// After this many tasks that could not be placed, the most urgent part of a round ends ...
+/// Number of failed placements that ends the part of a round that starts with the most urgent tasks.
 const MAX_URGENT_MISSES: usize = 40;
-/// ... and after this many more the part that goes on from where the last round ended, so that all have their turn.
+/// Number of further failed placements that ends the part of a round that resumes where the last round ended; resuming
+/// there keeps infeasible tasks from starving the tasks behind them.
 const MAX_RESUMED_MISSES: usize = 20;
-/// A task waits for its data's rack for at most this share of the time that running elsewhere would cost.
+/// A task waits for the rack of its data at most for this share of the extra time that running elsewhere would take.
 const MAX_LOCALITY_WAIT_SHARE: f64 = 0.6;
-/// An urgent task that could not be placed for this long may preempt less urgent runs.
+/// Time in the queue after which an urgent task may preempt less urgent runs.
 const PREEMPT_AFTER_MS: Millis = 100;
-/// Searches for runs to preempt that may fail in one round: each considers all workers.
+/// Maximum number of failed searches for preemption victims in one round; each examines all workers.
 const MAX_FAILED_PREEMPTIONS: usize = 3;
-/// At most one in this many workers is nominated at a time for those that preempted others.
+/// At most one in this many workers is nominated at a time, to bound preemption.
 const WORKERS_PER_NOMINATION: usize = 12;
 
-/// A task or gang as a round finds it in the queue.
+/// A task or gang in the queue at the start of a round.
 struct QueuedUnit {
     urgency: Urgency,
     unit: StartableUnit,
     queued_at: Millis,
 }
 
-/// A task or gang that is to be placed.
+/// A task or gang to place.
 #[derive(Clone, Copy)]
 struct PlannedUnit<'a> {
     job: &'a Job,
     unit: &'a StartableUnit,
     step: &'a StepSpec,
     urgency: &'a Urgency,
-    /// How long it has been queued, in milliseconds.
+    /// Time in the queue, in milliseconds.
     waited_ms: Millis,
 }
 
-/// What a round of planning has come to so far.
+/// The state of a planning round.
 #[derive(Default)]
 struct PlanningRound {
     runs: Vec<RunStart>,
     misses: Misses,
-    /// The workers as they were when it began.
+    /// Free capacity of the workers when the round began.
     capacity: CapacityIndex,
-    /// Searches for less urgent runs to preempt that found none.
+    /// Number of searches for preemption victims that found none.
     failed_preemptions: usize,
 }
 
-/// How a search for runs to preempt went.
+/// The result of an attempted preemption.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Preemption {
-    /// Runs are being stopped.
+    /// The stop of the victims was requested.
     Begun,
-    /// The task may not preempt now; nothing was searched.
+    /// The task may not preempt now; no search was made.
     NotEligible,
-    /// No runs are worth stopping for it.
+    /// No victims were found whose loss is acceptable.
     NoVictims,
 }
 
-/// Kinds of tasks that could not be placed in a round; those that need the same or more can't be placed either.
+/// Steps that could not be placed in a round. Steps that need the same or more cannot be placed either and are skipped.
 #[derive(Default)]
 struct Misses {
     shapes: Vec<StepSpec>,
 }
 
 impl Misses {
-    /// Whether a task needs at least what one of them needs.
+    /// Whether a step needs at least what a step that failed needs.
     fn covers(&self, step: &StepSpec) -> bool {
         let is_covered_by = |shape: &StepSpec| {
             shape.resources.fits_in(&step.resources)
@@ -92,8 +93,8 @@
         self.shapes.iter().any(is_covered_by)
     }
 
-    /// Adds a task that could not be placed. Where no worker had capacity at all, shorter tasks can't be placed either;
-    /// else reservations kept it out, which shorter ones may not delay.
+    /// Adds a step that could not be placed. If no worker had enough capacity, shorter tasks cannot be placed either.
+    /// Otherwise reservations prevented the placement, and shorter tasks may still fit before these.
     fn add(&mut self, step: &StepSpec, any_has_capacity: bool) {
         let estimated_ms = if any_has_capacity {
             step.estimated_ms
@@ -107,25 +108,25 @@
     }
 }
 
-/// Owns the queue of a service, and decides which of its tasks run where.
+/// Owns the queue of a service and decides which of its tasks run where.
 #[derive(Clone, Debug)]
 pub(crate) struct Planner {
     pub queue: Queue,
     nominations: Nominations,
     backfill: Backfill,
     schedule: PlanningSchedule,
-    /// The names of all workers, as of the last check.
+    /// The incarnations of all workers, as of the last check.
     worker_names: Vec<String>,
-    /// Workers on which a task has failed.
+    /// The workers on which each task has failed.
     failed_on: HashMap<TaskId, Vec<String>>,
-    /// How many times as long a task takes away from its data.
+    /// Factor by which a task takes longer when it runs away from its data.
     far_factor: f64,
     random: StdRng,
 }
 
 impl Planner {
-    /// Creates a planner for a service where tasks take `far_factor` times as long away from their data; `seed` decides
-    /// its random choices.
+    /// Creates a planner; `remote_factor` is the slowdown of tasks away from their data and `seed` seeds random
+    /// choices.
     pub(crate) fn new(now: Millis, far_factor: f64, seed: u64) -> Planner {
         Planner {
             queue: Queue::default(),
@@ -139,12 +140,12 @@
         }
     }
 
-    /// Has a round of planning played as soon as one may be.
+    /// Requests a planning round as soon as one is allowed.
     pub(crate) fn request(&mut self) {
         self.schedule.request();
     }
 
-    /// Plays a round of planning if one is due. Returns the runs to propose.
+    /// Runs a planning round if one is due and returns the runs to propose.
     pub(crate) fn poll_round(
         &mut self,
         table: &mut RunTable,
@@ -159,20 +160,20 @@
         runs
     }
 
-    /// Takes the names of all workers anew, where they have changed.
+    /// Refreshes the list of worker incarnations if it has changed.
     pub(crate) fn refresh_worker_names(&mut self, workers: &Workers) {
         if !workers.keys().eq(self.worker_names.iter()) {
             self.worker_names = workers.keys().cloned().collect();
         }
     }
 
-    /// Drops all that is known of a job that the log has removed.
+    /// Removes the planning state of a job that the log has removed.
     pub(crate) fn forget_job(&mut self, job: JobId) {
         self.queue.remove(job);
         self.failed_on.retain(|task, _| task.job != job);
     }
 
-    /// Records that a task has failed on a worker. Returns whether it has failed on another one before.
+    /// Records that a task has failed on a worker. Returns whether it has failed on another worker before.
     pub(crate) fn record_failure(&mut self, task: TaskId, incarnation: &str) -> bool {
         let failed_on = self.failed_on.entry(task).or_default();
         let failed_elsewhere = failed_on.iter().any(|other| other != incarnation);
@@ -182,7 +183,7 @@
         failed_elsewhere
     }
 
-    /// Places the first tasks of a job that is being submitted, if there is capacity and nothing more urgent is queued.
+    /// Places the first tasks of a job that is being submitted, if there is capacity and no more urgent task is queued.
     pub(crate) fn place_submitted(
         &mut self,
         table: &mut RunTable,
@@ -212,8 +213,8 @@
         runs
     }
 
-    /// Plays a round of planning: places what is queued, most urgent first. Where much can't be placed, a round does not
-    /// consider all of it: it goes on where the last one ended.
+    /// Runs a planning round: places queued tasks in order of urgency. A round with many failed placements does not
+    /// examine the whole queue; the next one resumes where it ended.
     fn plan(&mut self, table: &mut RunTable, now: Millis, state: &State) -> Vec<RunStart> {
         let queued = self.queued_units();
         let owners: HashSet<TaskId> = queued.iter().map(|queued| queued.urgency.task).collect();
@@ -246,7 +247,8 @@
         self.queue.iter().map(queued_unit).collect()
     }
 
-    /// Where a round goes on after its most urgent part: where the last one ended, if that is later in the queue.
+    /// The queue position at which a round continues after its most urgent part: where the last round ended, if that is
+    /// further back.
     fn resume_position(&self, queued: &[QueuedUnit], urgent: usize) -> usize {
         let Some(cursor) = self.schedule.cursor else {
             return urgent;
@@ -259,7 +261,7 @@
         }
     }
 
-    /// Places queued units, until so many in all could not be placed. Returns how many it has considered.
+    /// Places queued units until the round has `max_failed` failed placements. Returns the number of units examined.
     fn plan_units(
         &mut self,
         table: &mut RunTable,
@@ -319,8 +321,7 @@
         }
     }
 
-    /// Places a task or gang and takes up the capacity; in a round of planning among the workers that had free capacity
-    /// when it began.
+    /// Places a task or gang and allocates its capacity, on workers from `capacity` if given, otherwise on any worker.
     fn place(
         &mut self,
         table: &mut RunTable,
@@ -354,13 +355,14 @@
         Some(runs)
     }
 
-    /// Whether a task still waits for the rack that holds its data, or a gang for one rack that takes all of it.
+    /// Whether a task still waits for the rack that holds its data, or a rack-local gang for a single rack that fits
+    /// all its tasks.
     fn waits_for_locality(&self, step: &StepSpec, waited_ms: Millis) -> bool {
         let extra_factor = self.far_factor - 1.0;
         (waited_ms as f64) < step.estimated_ms as f64 * extra_factor * MAX_LOCALITY_WAIT_SHARE
     }
 
-    /// The unit as backfill sees it.
+    /// Describes a unit for backfill.
     pub(crate) fn candidate<'a>(
         &self,
         job: &Job,
@@ -377,7 +379,7 @@
         }
     }
 
-    /// Whether neither a nomination nor a reservation keeps a task from a worker.
+    /// Whether neither nominations nor reservations keep a task from a worker.
     pub(crate) fn allows(
         &self,
         worker: &Worker,
@@ -392,8 +394,8 @@
                 .allows_backfill(worker, candidate, &nothing, now)
     }
 
-    /// Reserves the capacity that frees up first for a task that could not be placed, unless it comes too late anyway,
-    /// or waits for one rack to take a whole gang.
+    /// Reserves the earliest available capacity for a task that could not be placed, unless the task is too late anyway
+    /// or waits for a single rack to fit a gang.
     fn reserve_capacity(&mut self, table: &RunTable, planned: &PlannedUnit<'_>, now: Millis) {
         let PlannedUnit {
             job,
@@ -413,7 +415,7 @@
         self.backfill.reserve(&table.workers, &candidate, now);
     }
 
-    /// Stops less urgent runs for a task that could not be placed, where that is worth what it loses.
+    /// Requests the stop of less urgent runs for a task that could not be placed, if the work lost is acceptable.
     fn preempt(
         &mut self,
         table: &mut RunTable,
@@ -464,7 +466,7 @@
     job.submission.spec.steps.get(unit.first.step as usize)
 }
 
-/// Whether any schedulable worker has capacity for one task of a step, reserved for others or not.
+/// Whether any schedulable worker has capacity for one task of a step, ignoring reservations.
 fn any_worker_has_capacity(
     workers: &Workers,
     capacity: &CapacityIndex,
@@ -480,11 +482,11 @@
         })
 }
 
-/// The runs of a unit on the workers chosen for it.
+/// The runs of a unit on its chosen workers.
 fn starts(job: &Job, unit: &StartableUnit, step: &StepSpec, chosen: Vec<String>) -> Vec<RunStart> {
     let tasks = || unit.tasks().filter_map(|task| job.task(&task));
     let run = tasks().map(|task| task.last_run).max().unwrap_or(0) + 1;
-    // Members of a gang all go on from the same checkpoint; any member's will do.
+    // All members of a gang resume from the same checkpoint, which may be that of any member.
     let shared = tasks().map(|task| task.checkpoint.as_str()).max();
     let checkpoint = shared.filter(|_| step.checkpoints).unwrap_or("");
     let start = |(task, incarnation)| RunStart {
--- a/system/scheduler/src/preemption.rs
+++ b/system/scheduler/src/preemption.rs
@@ -1,4 +1,4 @@
-//! Chooses runs to preempt so that a more urgent task finds capacity.
+//! Chooses runs to preempt to make capacity for a more urgent task.
 use crate::{
     nominations::Nominations,
     run::Run,
@@ -6,34 +6,34 @@
 };
 use magpiegap_protocol::{Millis, StepSpec, TaskId};
 
-/// Work that may be lost for one task, in thousandths of a core times milliseconds.
+/// Maximum work that may be lost to place one task, in millicore-milliseconds.
 const MAX_LOSS: u64 = 6_000_000;
-/// What restarting from a checkpoint costs, in milliseconds.
+/// Cost of restarting from a checkpoint, in milliseconds.
 const RESTORE_MS: Millis = 600;
-/// A graphics processor counts as this many thousandths of a core.
+/// Number of millicores that a GPU counts as.
 const GPU_AS_CPU: u64 = 8000;
-/// A run with this progress is not preempted.
+/// Runs with at least this progress are not preempted.
 const NEARLY_DONE_PERCENT: u64 = 80;
 
-/// Runs to stop, all on one worker.
+/// The runs to stop, all on one worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Victims {
     pub incarnation: String,
     pub tasks: Vec<TaskId>,
-    /// The work that is lost, in thousandths of a core times milliseconds.
+    /// The work that is lost, in millicore-milliseconds.
     loss: u64,
 }
 
-/// A task that may preempt others.
+/// A task that may preempt runs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Preemptor<'a> {
     pub first: TaskId,
     pub step: &'a StepSpec,
-    /// Runs of a higher number may be preempted for it.
+    /// Only runs with a higher priority number, which are less urgent, may be preempted.
     pub priority: u32,
 }
 
-/// Chooses the runs of lower priority whose stop makes capacity for a task at the least loss.
+/// Chooses the less urgent runs whose stop makes capacity for a task with the least work lost.
 pub(crate) fn choose_victims(
     workers: &Workers,
     nominations: &Nominations,
@@ -55,7 +55,7 @@
         .min_by_key(|victims| victims.loss)
 }
 
-/// The runs to stop on one worker, those that lose the least first.
+/// The runs to stop on one worker, chosen in ascending order of work lost.
 fn victims_on(worker: &Worker, preemptor: &Preemptor<'_>, now: Millis) -> Option<Victims> {
     let mut candidates: Vec<(&TaskId, &Run)> = worker
         .runs
@@ -91,7 +91,7 @@
         && run.progress.percent < NEARLY_DONE_PERCENT
 }
 
-/// What stopping a run loses, in thousandths of a core times milliseconds.
+/// The work lost by stopping a run, in millicore-milliseconds.
 fn loss_of(run: &Run, now: Millis) -> u64 {
     let elapsed_ms = now.saturating_sub(run.started_at);
     let lost_ms = if run.checkpoints {
--- a/system/scheduler/src/queue.rs
+++ b/system/scheduler/src/queue.rs
@@ -1,13 +1,14 @@
-//! The queue of tasks that may be started, in the order in which they are placed.
+//! The queue of startable tasks, in placement order.
 use crate::forecast::{deadline_ms, DeadlineForecast, LatestStarts};
 use magpiegap_jobs::{startable_units, Job, StartableUnit};
 use magpiegap_protocol::{JobId, Millis, TaskId, WallMillis};
 use std::collections::{BTreeMap, HashMap};
 
-/// Tasks of this priority are urgent: for others, stopping and starting again costs more than it gains.
+/// The most urgent priority. Only its tasks may preempt: for others, stopping and restarting runs costs more than it
+/// gains.
 pub(crate) const URGENT_PRIORITY: u32 = 0;
 
-/// The order of the queue: the lower priority number, then who can still be on time, then the earlier deadline.
+/// The order of the queue: by priority number, then by deadline forecast, then by deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Urgency {
     pub priority: u32,
@@ -16,17 +17,15 @@
     pub task: TaskId,
 }
 
-/// A queued task or gang.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Queued {
     pub unit: StartableUnit,
-    /// When it was queued.
     pub queued_at: Millis,
-    /// Until when it may begin.
+    /// The latest start times that determine its forecast.
     latest_start: LatestStarts,
 }
 
-/// All queued tasks and gangs.
+/// The queued tasks and gangs of a service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
     queued: BTreeMap<Urgency, Queued>,
@@ -43,7 +42,7 @@
 }
 
 impl Queue {
-    /// Queues what may be started of a job now, but for tasks that are being placed (`is_being_placed`).
+    /// Replaces the queued units of a job by those that are startable now, except tasks that are being placed.
     pub(crate) fn refresh(
         &mut self,
         job: &Job,
@@ -77,7 +76,7 @@
         }
     }
 
-    /// Drops all that is queued of a job, and returns it.
+    /// Removes and returns all queued units of a job.
     pub(crate) fn remove(&mut self, job: JobId) -> BTreeMap<Urgency, Queued> {
         let keys = self.of_job.remove(&job).unwrap_or_default();
         keys.into_iter()
@@ -85,7 +84,7 @@
             .collect()
     }
 
-    /// Takes out one that was placed.
+    /// Removes a unit that was placed.
     pub(crate) fn take(&mut self, key: &Urgency) {
         self.queued.remove(key);
         if let Some(keys) = self.of_job.get_mut(&key.task.job) {
@@ -93,7 +92,7 @@
         }
     }
 
-    /// All that is queued, most urgent first.
+    /// Iterates over all queued units, most urgent first.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&Urgency, &Queued)> {
         self.queued.iter()
     }
@@ -113,12 +112,11 @@
         changed
     }
 
-    /// The most urgent.
+    /// The most urgent queued unit.
     pub(crate) fn first(&self) -> Option<&Urgency> {
         self.queued.keys().next()
     }
 
-    /// How many are queued.
     pub(crate) fn len(&self) -> usize {
         self.queued.len()
     }
--- a/system/scheduler/src/replies.rs
+++ b/system/scheduler/src/replies.rs
@@ -1,6 +1,6 @@
-//! Takes workers' replies to calls.
+//! Handles workers' replies to calls.
 //!
-//! Orders that follow from a reply are only marked as due here; they are sent when time passes.
+//! Orders that follow from a reply are only marked as due here; `on_timeout` sends them.
 use crate::{
     call_table::{CallPurpose, InFlightCall},
     calls::{Listing, Output, RefusalReason, WorkerOrder, WorkerReply},
@@ -11,24 +11,23 @@
 use magpiegap_jobs::State;
 use magpiegap_protocol::{Command, Millis, RunCompletion, RunId, RunStart, TaskId};
 
-/// Completions that a worker lists at once, at most; a listing with as many may not be complete.
+/// Maximum number of completions in one listing; a listing with this many may be incomplete.
 const MAX_LISTED_COMPLETIONS: usize = 500;
-/// A stop that was acknowledged takes effect without being repeated. In this time, beyond that of two long polls, the
-/// one in flight returns and another one is replied to, which shows whether the run is there.
+/// A stop that was acknowledged is not repeated for the duration of two long polls plus this time. By then the long
+/// poll in flight has returned and another one has been replied to, which shows whether the run has ended.
 const STOP_CONFIRMATION_MS: Millis = 500;
-/// Time until the lease on a worker that left a call unanswered is renewed.
+/// Delay before the lease of a worker that did not reply to a call is renewed.
 const RENEWAL_RETRY_MS: Millis = 30;
 const STRAY_STOP_TIMEOUT_MS: Millis = 400;
 
-/// A call as its reply arrives.
+/// A call whose reply has arrived.
 struct RepliedCall {
     id: u64,
     call: InFlightCall,
-    /// When the reply arrived.
     now: Millis,
 }
 
-/// The order that a reply is to.
+/// The run that a replied order was for.
 #[derive(Clone, Copy)]
 struct OrderedRun {
     task: TaskId,
@@ -36,7 +35,7 @@
 }
 
 impl Scheduler {
-    /// Takes the reply to a call, which must be the first one to it.
+    /// Handles the reply to a call; only the first reply to a call has an effect.
     pub fn handle_reply(&mut self, now: Millis, state: &State, call: u64, reply: WorkerReply) {
         let Some(in_flight) = self.calls.remove(call) else {
             return;
@@ -65,7 +64,7 @@
         }
     }
 
-    /// Takes a reply of a worker whose incarnation goes on, under a token that it accepts.
+    /// Handles a reply of an incarnation that has not ended and has not rejected this scheduler's token.
     fn handle_worker_reply(&mut self, replied: &RepliedCall, reply: WorkerReply) {
         let incarnation = &replied.call.incarnation;
         self.table.lease_schedule.mark_updated(incarnation);
@@ -90,7 +89,7 @@
         }
     }
 
-    /// Records what any reply, or none, says of the worker.
+    /// Updates the clock reading and the responsiveness of a worker from any reply or timeout.
     fn record_contact(&mut self, replied: &RepliedCall, reply: &WorkerReply) {
         let InFlightCall {
             incarnation,
@@ -105,7 +104,7 @@
         }
         match reply {
             WorkerReply::TimedOut => {
-                // A healthy worker may leave a single order unanswered; renewals decide.
+                // A healthy worker may miss a single order, so only unanswered renewals and health checks are counted.
                 worker.unanswered_renewals += u32::from(purpose.lists_runs());
                 worker.lease.renew_at = replied.now + RENEWAL_RETRY_MS;
                 if purpose.is_order() && worker.suspected_since.is_none() {
@@ -145,7 +144,7 @@
         };
         if !worker.has_responded {
             worker.has_responded = true;
-            // An earlier scheduler may have granted it a lease that is as long as any.
+            // An earlier scheduler may have granted it a lease of the maximum duration.
             if !worker.runs.is_empty() {
                 worker.lease_granted_until = worker.lease_granted_until.max(clock + max_hold_ms);
             }
@@ -222,7 +221,7 @@
         };
         run.handle_order_reply(now);
         if matches!(reply, WorkerReply::Done { .. }) {
-            // A start of it that arrives after the stop is refused.
+            // The worker refuses a start of the run that arrives after the stop.
             run.start_valid_until = 0;
             run.next_stop_at = Some(now + 2 * long_poll_ms + STOP_CONFIRMATION_MS);
         }
@@ -230,7 +229,7 @@
     }
 }
 
-/// Records the runs that a worker lists as running. Returns those that are not on record there.
+/// Records the runs that a worker lists as running. Returns the listed runs that are not tracked on this worker.
 fn record_running(worker: &mut Worker, listing: &Listing, now: Millis) -> Vec<OrderedRun> {
     let mut stray_runs = Vec::new();
     for listed in &listing.running {
@@ -245,7 +244,7 @@
     stray_runs
 }
 
-/// Returns the command that records the completions listed, if there are any that no command was proposed for.
+/// Returns a command that records the listed completions, if some have not been proposed yet.
 fn propose_completions(worker: &mut Worker, listing: &Listing) -> Option<Command> {
     let last = listing
         .completed
@@ -274,8 +273,8 @@
     })
 }
 
-/// Returns the runs that a listing, requested after their last order was replied to, does not show: they are surely not
-/// running.
+/// Returns the runs that are missing from a listing that was requested after the reply to their last order. They are
+/// known not to be running.
 fn missing_runs(worker: &Worker, sent_at: Millis, clock: u64, listing: &Listing) -> Vec<RunStart> {
     if listing.completed.len() >= MAX_LISTED_COMPLETIONS {
         return Vec::new();
@@ -297,7 +296,7 @@
         .collect()
 }
 
-/// Whether a listing shows a run, running or completed.
+/// Whether a listing includes a run, as running or completed.
 fn shows(listing: &Listing, task: &TaskId, run: RunId) -> bool {
     let is_running = listing
         .running
--- a/system/scheduler/src/response_times.rs
+++ b/system/scheduler/src/response_times.rs
@@ -1,26 +1,27 @@
-//! How long workers take to reply, and from that the timeout of calls that are replied to at once.
+//! Tracks the response times of workers and derives the timeout of calls that are replied to immediately.
 //!
-//! A fixed timeout that is too short for a busy coordinator would have it repeat everything, and be busier still. Mean and
-//! deviation are smoothed as in RFC 6298; where most calls time out the timeout is stretched.
+//! With a fixed timeout that is too short for a busy coordinator, it would retry every call and become busier still.
+//! Mean and deviation are smoothed as in RFC 6298; the timeout backs off when most calls time out.
 use magpiegap_protocol::Millis;
 
-/// Timeouts are never shorter than this.
+/// Lower bound of the timeout, before backoff.
 const MIN_TIMEOUT_MS: f64 = 110.0;
-/// Timeouts are never longer than this.
+/// Upper bound of the timeout.
 const MAX_TIMEOUT_MS: f64 = 700.0;
-/// What is added to the mean and the deviations.
+/// Margin added to the mean and the deviations.
 const MARGIN_MS: f64 = 50.0;
-/// How many deviations are added to the mean.
+/// Number of deviations added to the mean.
 const DEVIATIONS: f64 = 4.0;
-/// The weight of one call in the mean, the deviation and the share of calls without a reply.
+/// Weight of one call in the mean, the deviation and the share of calls without a reply.
 const GAIN: f64 = 0.05;
-/// While more than this share of calls has no reply, replies are taken for late, not for lost.
+/// If more than this share of calls time out, replies are assumed to be late instead of lost, and the timeout backs
+/// off.
 const LOST_SHARE: f64 = 0.6;
-/// By how much a call without a reply then stretches the timeout.
+/// Factor applied to the backoff for each call that then times out.
 const STRETCH: f64 = 1.1;
-/// By how much a reply shrinks a stretched timeout.
+/// Factor applied to the backoff for each reply.
 const SHRINK: f64 = 0.97;
-/// The timeout is stretched by this factor at most.
+/// Upper bound of the backoff.
 const MAX_STRETCH: f64 = 8.0;
 
 /// The smoothed response time over all workers, and its deviation.
@@ -28,13 +29,13 @@
 pub struct ResponseTimes {
     mean_ms: f64,
     deviation_ms: f64,
-    /// The share of calls that had no reply in time.
+    /// Smoothed share of calls that timed out.
     unanswered_share: f64,
     stretch: f64,
 }
 
 impl Default for ResponseTimes {
-    /// Nothing is known yet, and all workers are called at once: the first replies may take long.
+    /// Starts with a long timeout: all workers are called at once, so the first replies may be slow.
     fn default() -> Self {
         ResponseTimes {
             mean_ms: 50.0,
@@ -46,7 +47,7 @@
 }
 
 impl ResponseTimes {
-    /// Records the response time of a call that is replied to at once.
+    /// Records the response time of a call that is replied to immediately.
     pub fn record_reply(&mut self, elapsed_ms: Millis) {
         let difference = elapsed_ms as f64 - self.mean_ms;
         self.mean_ms += GAIN * difference;
@@ -55,7 +56,7 @@
         self.stretch = (self.stretch * SHRINK).max(1.0);
     }
 
-    /// Records a call that had no reply in time.
+    /// Records a call that timed out.
     pub fn record_timeout(&mut self) {
         self.unanswered_share += GAIN * (1.0 - self.unanswered_share);
         if self.unanswered_share > LOST_SHARE {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The timeout of a call, in milliseconds: 110 to 700.
+    /// The timeout of a call, in milliseconds, between 110 and 700.
     pub fn timeout_ms(&self) -> Millis {
         let smoothed_ms = self.mean_ms + DEVIATIONS * self.deviation_ms + MARGIN_MS;
         (smoothed_ms.max(MIN_TIMEOUT_MS) * self.stretch).min(MAX_TIMEOUT_MS) as Millis
--- a/system/scheduler/src/run.rs
+++ b/system/scheduler/src/run.rs
@@ -1,31 +1,31 @@
-//! One attempt of a task on a worker, as far as the scheduler knows it.
+//! The scheduler's view of one attempt of a task on a worker.
 //!
-//! It holds no reference to its worker and sends nothing: it says what follows from a reply or a listing.
+//! It is independent of its worker and sends nothing; it returns what follows from a reply or listing.
 use crate::calls::{ListedRun, RefusalReason, WorkerReply};
 use magpiegap_jobs::Job;
 use magpiegap_protocol::{Millis, Resources, RunId, RunStart, StepSpec, TaskId};
 
-/// Time until a start that a worker refused as late is sent again.
+/// Delay before a start that a worker refused as expired is sent again.
 const START_RETRY_MS: Millis = 60;
-/// From this progress on the remaining time is derived from it and not from the estimate.
+/// Minimum progress from which the remaining time is extrapolated instead of taken from the estimate.
 const MIN_RELIABLE_PERCENT: u64 = 10;
 
-/// How far a run has come.
+/// The lifecycle phase of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunPhase {
     /// Proposed for the log.
     Proposed,
-    /// In the log; its start is still to be sent, not before this time.
+    /// In the log; its start is to be sent no earlier than `not_before`.
     Recorded { not_before: Millis },
     /// Its start was sent and has no reply yet.
     Starting,
-    /// It was started, or may have been by an earlier scheduler of the service.
+    /// Started, or possibly started by an earlier scheduler of the service.
     Started,
-    /// It is surely not running, and its loss is proposed for the log.
+    /// Known not to be running; its loss is proposed for the log.
     LossProposed,
 }
 
-/// A run's progress as its worker has listed it.
+/// A run's progress as listed by its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Progress {
     pub percent: u64,
@@ -51,58 +51,56 @@
         self.last_listed_at = now;
     }
 
-    /// For how long it has surely not changed, in milliseconds.
+    /// Time between the first and the last listing with the current percentage, in milliseconds.
     pub(crate) fn stalled_ms(&self) -> Millis {
         self.last_listed_at.saturating_sub(self.since)
     }
 }
 
-/// What follows from the reply to a start.
+/// The result of a reply to a start order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StartOutcome {
-    /// Nothing: the run is started, is tried again later, or the next listing says what became of it.
+    /// No immediate action: the run is started, will be retried or stopped later, or the next listing shows its state.
     Resolved,
-    /// The start is sent again as soon as it may be.
+    /// The start must be retried as soon as it is due.
     Retry,
-    /// The run surely never began.
+    /// The run is known to have never begun.
     NeverBegan,
 }
 
-/// A run on a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Run {
     pub id: RunId,
     pub resources: Resources,
     pub priority: u32,
     pub phase: RunPhase,
-    /// The checkpoint that it was started from; empty: none.
+    /// The checkpoint that it was started from; empty if there is none.
     pub checkpoint: String,
-    /// The newest checkpoint that the worker has listed.
+    /// The newest checkpoint that the worker has listed, or else the one that it was started from.
     pub latest_checkpoint: String,
     pub progress: Progress,
-    /// It keeps its progress when it is stopped.
+    /// Its step writes checkpoints, so that it can resume after it is stopped.
     pub checkpoints: bool,
-    /// It completes only when its job is cancelled.
+    /// It runs until its job is cancelled.
     pub long_running: bool,
-    /// It works only together with the other members of its gang.
+    /// It makes progress only together with the other members of its gang.
     pub gang: bool,
     pub started_at: Millis,
-    /// How long it should take, by the client's estimate.
+    /// The client's estimate of its duration, in milliseconds.
     pub estimated_ms: u64,
-    /// It is to be stopped; the next order to do so is due at this time.
+    /// When the next stop order is due, if the run is to be stopped.
     pub next_stop_at: Option<Millis>,
-    /// Orders for it that are in flight.
+    /// Number of orders for it that are in flight.
     pub in_flight_orders: u32,
-    /// When the last order for it was replied to; a listing requested before says nothing of it.
+    /// When the last order for it was replied to. A listing requested before that may be outdated for this run.
     pub last_reply_at: Millis,
-    /// On the worker's clock: until when a start without a reply may still take effect.
+    /// On the worker's clock: until when a start that was not replied to may still take effect.
     pub start_valid_until: u64,
-    /// How often its start was sent.
+    /// Number of start orders sent.
     pub start_attempts: u32,
 }
 
 impl Run {
-    /// Creates a run as it begins.
     pub(crate) fn new(
         job: &Job,
         step: &StepSpec,
@@ -131,12 +129,12 @@
         }
     }
 
-    /// Whether it is started and is not to be stopped.
+    /// Whether it is started and no stop has been requested.
     pub(crate) fn is_wanted_and_started(&self) -> bool {
         self.phase == RunPhase::Started && self.next_stop_at.is_none()
     }
 
-    /// The run as the log names it, with the checkpoint that it was started from.
+    /// The run as recorded in the log, with the checkpoint that it was started from.
     pub(crate) fn to_start(&self, task: TaskId, incarnation: &str) -> RunStart {
         RunStart {
             task,
@@ -146,7 +144,7 @@
         }
     }
 
-    /// The run as the log names it when it is lost, with the newest checkpoint that is known.
+    /// The run as named in a proposal of its loss, with its newest known checkpoint.
     pub(crate) fn to_lost(&self, task: TaskId, incarnation: &str) -> RunStart {
         RunStart {
             checkpoint: self.latest_checkpoint.clone(),
@@ -154,7 +152,7 @@
         }
     }
 
-    /// Records that its worker lists it as running.
+    /// Records that the worker lists it as running.
     pub(crate) fn handle_listed(&mut self, listed: &ListedRun, now: Millis) {
         let is_awaited = matches!(self.phase, RunPhase::Starting | RunPhase::Recorded { .. });
         if is_awaited && self.start_attempts > 0 {
@@ -167,13 +165,13 @@
         }
     }
 
-    /// Records that an order for it is no longer in flight.
+    /// Records a reply to, or a timeout of, an order for this run.
     pub(crate) fn handle_order_reply(&mut self, now: Millis) {
         self.in_flight_orders = self.in_flight_orders.saturating_sub(1);
         self.last_reply_at = now;
     }
 
-    /// Takes the reply to a start that was valid until `deadline_ms` on the worker's clock.
+    /// Handles the reply to a start that was valid until `deadline_ms` on the worker's clock.
     pub(crate) fn handle_start_reply(
         &mut self,
         reply: &WorkerReply,
@@ -202,7 +200,7 @@
             WorkerReply::Unhealthy | WorkerReply::Unreadable => {
                 self.give_up_start(self.start_attempts == 1, now)
             }
-            // Does not come here: the incarnation of the worker is over.
+            // Handled by the scheduler, which removes the ended incarnation.
             WorkerReply::OtherIncarnation => StartOutcome::Resolved,
         }
     }
@@ -220,24 +218,24 @@
                 };
                 StartOutcome::Resolved
             }
-            // It completed there, or was stopped: the next listing says so.
+            // The run has completed or was stopped there; the next listing shows which.
             RefusalReason::Superseded => {
                 self.phase = RunPhase::Started;
                 self.start_valid_until = 0;
                 StartOutcome::Resolved
             }
-            // An earlier attempt without a reply may still take effect once there is capacity.
+            // An earlier attempt that was not replied to may still take effect once there is capacity.
             RefusalReason::NoCapacity => {
                 let is_only_attempt =
                     self.start_valid_until <= deadline_ms && self.start_attempts == 1;
                 self.give_up_start(is_only_attempt, now)
             }
-            // Does not come here: the role is given up.
+            // Handled by the scheduler, which gives up its role.
             RefusalReason::StaleToken => StartOutcome::Resolved,
         }
     }
 
-    /// Gives a refused run up; where an earlier start may still take effect it is stopped first.
+    /// Gives up a refused run. If an earlier start may still take effect, the run is stopped first.
     fn give_up_start(&mut self, is_only_attempt: bool, now: Millis) -> StartOutcome {
         if is_only_attempt {
             return StartOutcome::NeverBegan;
@@ -246,7 +244,7 @@
         StartOutcome::Resolved
     }
 
-    /// About how long it still takes, in milliseconds, by its progress or else by the client's estimate.
+    /// Estimated remaining time in milliseconds, extrapolated from its progress or else based on the client's estimate.
     pub(crate) fn remaining_ms(&self, now: Millis) -> Millis {
         let elapsed_ms = now.saturating_sub(self.started_at);
         let percent = self.progress.percent;
--- a/system/scheduler/src/run_table.rs
+++ b/system/scheduler/src/run_table.rs
@@ -1,6 +1,6 @@
-//! The workers of a service with their runs, and which of them need orders or a renewal of their lease.
+//! Tracks the workers of a service with their runs, and which workers need orders or a lease renewal.
 //!
-//! It sends nothing and proposes nothing: it is what the parts of the scheduler agree on.
+//! Shared by the modules of the scheduler; it sends and proposes nothing itself.
 use crate::{
     lease_schedule::LeaseSchedule,
     run::Run,
@@ -9,19 +9,18 @@
 use magpiegap_protocol::{Millis, TaskId};
 use std::collections::{BTreeSet, HashSet};
 
-/// All that is known of the runs of a service.
+/// The workers and runs of a service.
 #[derive(Clone, Debug)]
 pub(crate) struct RunTable {
     pub workers: Workers,
     pub lease_schedule: LeaseSchedule,
     /// Tasks with a run that is proposed and not yet in the log.
     proposed: HashSet<TaskId>,
-    /// Workers that may have starts or stops due.
+    /// Workers that may have start or stop orders due.
     workers_with_orders: BTreeSet<String>,
 }
 
 impl RunTable {
-    /// Creates a table without workers.
     pub(crate) fn new(now: Millis) -> RunTable {
         RunTable {
             workers: Workers::new(),
@@ -31,7 +30,7 @@
         }
     }
 
-    /// Adds a run that is being proposed, so that its capacity is not given to others.
+    /// Adds a run that is being proposed, which allocates its capacity.
     pub(crate) fn add_proposed(&mut self, incarnation: &str, task: TaskId, run: Run) {
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
@@ -41,50 +40,48 @@
         self.lease_schedule.mark_updated(incarnation);
     }
 
-    /// Records that the log has decided on the run proposed for a task.
+    /// Records that the log has accepted or refused the run proposed for a task.
     pub(crate) fn resolve_proposal(&mut self, task: &TaskId) {
         self.proposed.remove(task);
     }
 
-    /// Whether a run is proposed for a task and not yet in the log.
+    /// Whether a task has a proposed run that is not yet in the log.
     pub(crate) fn is_proposed(&self, task: &TaskId) -> bool {
         self.proposed.contains(task)
     }
 
-    /// Marks a worker that may have starts or stops due.
+    /// Marks a worker that may have start or stop orders due.
     pub(crate) fn mark_order_due(&mut self, incarnation: &str) {
         self.workers_with_orders.insert(incarnation.to_owned());
     }
 
-    /// Takes the workers that were marked since the last call.
+    /// Returns the workers that were marked since the last call.
     pub(crate) fn take_workers_with_orders(&mut self) -> BTreeSet<String> {
         std::mem::take(&mut self.workers_with_orders)
     }
 
-    /// Returns the workers whose lease is to be renewed now, by name.
+    /// Returns the incarnations of the workers whose lease renewal is due.
     pub(crate) fn take_due_renewals(&mut self, now: Millis) -> Vec<String> {
         self.lease_schedule.take_due(&self.workers, now)
     }
 
-    /// Drops what was proposed and what was marked, before the replicated state is read again.
+    /// Clears proposed runs and marked workers, before the replicated state is read again.
     pub(crate) fn clear_pending(&mut self) {
         self.proposed.clear();
         self.workers_with_orders.clear();
     }
 
-    /// How many workers are unresponsive.
     pub(crate) fn unresponsive_workers(&self) -> usize {
         let workers = self.workers.values();
         workers.filter(|worker| worker.is_unresponsive()).count()
     }
 
-    /// How many workers have runs.
+    /// Number of workers that have runs.
     pub(crate) fn busy_workers(&self) -> usize {
         let workers = self.workers.values();
         workers.filter(|worker| !worker.runs.is_empty()).count()
     }
 
-    /// How many runs there are.
     pub(crate) fn runs(&self) -> usize {
         let workers = self.workers.values();
         workers.map(|worker: &Worker| worker.runs.len()).sum()
--- a/system/scheduler/src/scheduler.rs
+++ b/system/scheduler/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler: it composes the parts that own its state, and holds its inputs and outputs.
+//! The scheduler: owns the state of its modules, handles time and collects outputs.
 use crate::{
     call_table::{CallPurpose, CallTable, InFlightCall},
     calls::{Output, WorkerCall, WorkerOrder},
@@ -15,25 +15,25 @@
 use magpiegap_protocol::{Command, FencingToken, LogPosition, Millis, Submission, WallMillis};
 use serde::{Deserialize, Serialize};
 
-/// Time between two checks of all workers, jobs and forecasts.
+/// Interval between checks of all workers, jobs and forecasts.
 const CHECK_INTERVAL_MS: Millis = 50;
-/// A lease may last longer than granted by one part in so many, on a worker whose clock is slow.
+/// On a worker with a slow clock a lease may last longer than granted, by its duration divided by this.
 const CLOCK_DRIFT_DIVISOR: u64 = 25;
 
-/// Counts of a scheduler, for operators.
+/// Scheduler statistics for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Workers that are known.
+    /// Known workers.
     pub workers: usize,
-    /// Workers that are unresponsive.
+    /// Unresponsive workers.
     #[serde(rename = "silent")]
     pub unresponsive: usize,
-    /// Runs on record.
+    /// Tracked runs.
     pub runs: usize,
-    /// Tasks and gangs in the queue.
+    /// Queued tasks and gangs.
     #[serde(rename = "waiting")]
     pub queued: usize,
-    /// Those of them that are of the most urgent priority.
+    /// Queued tasks and gangs of the most urgent priority.
     #[serde(default, rename = "waiting_urgent")]
     pub queued_urgent: usize,
 }
@@ -44,28 +44,28 @@
     pub(crate) service: String,
     pub(crate) token: FencingToken,
     pub(crate) settings: SchedulerSettings,
-    /// The last entry that the state held when it was last read in full.
+    /// Position of the last entry included when the state was last read in full.
     pub(crate) snapshot_position: LogPosition,
     pub(crate) table: RunTable,
     pub(crate) ejection_report: EjectionReport,
     pub(crate) job_calendar: JobCalendar,
     pub(crate) calls: CallTable,
-    /// The monotonic clock at the last input.
+    /// Monotonic time of the last input.
     pub(crate) now: Millis,
-    /// The time of day when time last passed.
+    /// Wall-clock time of the last call of `on_timeout`.
     pub(crate) wall: WallMillis,
     pub(crate) taken_over_at: Millis,
     pub(crate) planner: Planner,
     pub(crate) next_check_at: Millis,
     pub(crate) lease_timing: LeaseTiming,
     pub(crate) failure_rate: FailureRate,
-    /// A worker has seen a higher token: nothing more is called or proposed with this one.
+    /// A worker has seen a higher fencing token: no calls or proposals are made any more.
     pub(crate) deposed: bool,
     pub(crate) outputs: Vec<Output>,
 }
 
 impl Scheduler {
-    /// Creates the scheduler of a role that was just taken over; `seed` decides its random choices.
+    /// Creates the scheduler of a role that was just taken over; `seed` seeds its random choices.
     pub fn new(
         service: &str,
         token: FencingToken,
@@ -107,12 +107,12 @@
         self.token
     }
 
-    /// Whether a worker has refused its token for a higher one: it does nothing any more.
+    /// Whether a worker has refused its token because it has seen a higher one. A deposed scheduler is inactive.
     pub fn is_deposed(&self) -> bool {
         self.deposed
     }
 
-    /// Gives the role up at once, and drops the outputs that were not polled.
+    /// Gives up the role immediately and drops the outputs that were not polled.
     pub(crate) fn depose(&mut self, refused_by: &str) {
         if self.deposed {
             return;
@@ -126,7 +126,7 @@
         self.outputs.push(Output::Log(line));
     }
 
-    /// Counts for operators.
+    /// Returns statistics for operators.
     pub fn summary(&self) -> Summary {
         Summary {
             workers: self.table.workers.len(),
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Returns a command that accepts a job, and starts its first tasks if there is capacity and nothing more urgent is
+    /// Returns a command that accepts a job, and starts its first tasks if there is capacity and no more urgent task is
     /// queued.
     pub fn submit(&mut self, now: Millis, submission: Submission) -> Command {
         let job = Job::new(submission.clone());
@@ -153,19 +153,19 @@
         }
     }
 
-    /// Takes the outputs since the last call, in the order in which they are to be carried out.
+    /// Returns the outputs since the last call, in the order in which they must be carried out.
     pub fn poll_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// When all leases that earlier owners of the role granted have surely expired.
+    /// When all leases granted by earlier owners of the role have expired, even on workers with slow clocks.
     pub(crate) fn previous_leases_expire_at(&self) -> Millis {
         let max_hold_ms = self.settings.max_lease_ms;
         let max_lease_ms = max_hold_ms + max_hold_ms / CLOCK_DRIFT_DIVISOR;
         self.taken_over_at + self.settings.role_lease_ms + max_lease_ms
     }
 
-    /// Sends an order to a worker and returns the call's id; a deposed scheduler sends nothing.
+    /// Sends an order to a worker and returns the id of the call. A deposed scheduler sends nothing.
     pub(crate) fn call(
         &mut self,
         incarnation: &str,
@@ -202,7 +202,7 @@
         id
     }
 
-    /// Does what is due at this time. To be called after all other inputs, and every 50 ms or more often.
+    /// Performs all work that is due at `now`. Must be called after each other input, and at least every 50 ms.
     pub fn on_timeout(&mut self, now: Millis, wall: WallMillis, state: &State) {
         if self.deposed {
             return;
@@ -221,7 +221,7 @@
             for job in self.planner.queue.outdated(wall) {
                 self.refresh_queue(job, now, state);
             }
-            // Time alone may let a task be placed: a worker's ejection ends, or a wait for locality.
+            // A task may become placeable by time alone, when an ejection or a wait for locality ends.
             if self.planner.queue.len() > 0 {
                 self.planner.request();
             }
--- a/system/scheduler/src/settings.rs
+++ b/system/scheduler/src/settings.rs
@@ -1,18 +1,18 @@
-//! The settings of a scheduler.
+//! Settings of a scheduler.
 use magpiegap_protocol::Millis;
 
-/// What a scheduler needs to know of its deployment; times are in milliseconds.
+/// Settings of a scheduler that depend on the deployment. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerSettings {
-    /// Longest lease that a worker may be granted. Default: 6000.
+    /// Maximum duration of a lease granted to a worker. Default: 6000.
     pub max_lease_ms: Millis,
-    /// Longest time that members of a gang wait for each other. Default: 3000.
+    /// Maximum time for which the members of a gang wait for each other. Default: 3000.
     pub gang_timeout_ms: Millis,
-    /// How many times as long a task takes away from its data or its gang. Default: 2.
+    /// Factor by which a task takes longer away from its data or its gang. Default: 2.
     pub remote_factor: f64,
     /// How long the status of a completed job is retained. Default: 120000.
     pub status_retention_ms: u64,
-    /// How long an earlier owner of the role may have gone on sending orders after it lost the role. Default: 1500.
+    /// How long an earlier owner of the role may continue to send orders after it has lost the role. Default: 1500.
     pub role_lease_ms: Millis,
 }
 
--- a/system/scheduler/src/take_over.rs
+++ b/system/scheduler/src/take_over.rs
@@ -1,12 +1,12 @@
-//! Reads the replicated state in full: when the role is taken over, and after a change of the view.
+//! Reloads the full replicated state, when the role is taken over and after a view change.
 use crate::{calls::Output, scheduler::Scheduler};
 use magpiegap_jobs::State;
 use magpiegap_protocol::{JobId, Millis, RunId, TaskId};
 use std::collections::BTreeMap;
 
 impl Scheduler {
-    /// Reads the state after a change of the view or of the role's owner: what was proposed before and is not in the
-    /// state now never will be.
+    /// Reloads the state after a change of the view or of the role's owner. Earlier proposals that are not in the state
+    /// will never be committed.
     pub fn resume(&mut self, now: Millis, state: &State) {
         self.drop_outputs();
         self.snapshot_position = state.position;
@@ -49,7 +49,7 @@
         self.table.lease_schedule.scan_at(now);
     }
 
-    /// Drops the outputs that were not polled: they were decided by the state as it was before.
+    /// Drops the outputs that were not polled, because they were based on the previous state.
     pub(crate) fn drop_outputs(&mut self) {
         for output in std::mem::take(&mut self.outputs) {
             if let Output::Call(call) = output {
--- a/system/scheduler/src/worker.rs
+++ b/system/scheduler/src/worker.rs
@@ -1,26 +1,26 @@
-//! What the scheduler knows of one incarnation of a worker: its capacity, runs, clock and lease.
+//! The scheduler's view of one incarnation of a worker: its capacity, runs, clock and lease.
 use crate::{health::Health, run::Run};
 use magpiegap_protocol::{Availability, Millis, Resources, RunId, RunStart, TaskId, WorkerEntry};
 use std::collections::BTreeMap;
 
-/// The slowest rate at which a worker's clock may run beside ours.
+/// Minimum rate of a worker's clock relative to the scheduler's clock.
 const MIN_CLOCK_RATE: f64 = 0.975;
 
 /// A reading of a worker's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClockReading {
-    /// What the clock showed, in milliseconds.
+    /// The time on the worker's clock, in milliseconds.
     pub worker_ms: u64,
-    /// When the reply that said so arrived.
+    /// When the reply with the reading arrived.
     pub received_at: Millis,
 }
 
-/// The state of the lease on a worker.
+/// The renewals of a worker's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LeaseRenewal {
-    /// The renewal in flight.
+    /// The call id of the renewal in flight.
     pub in_flight: Option<u64>,
-    /// When the next one is due.
+    /// When the next renewal is due.
     pub renew_at: Millis,
 }
 
@@ -28,34 +28,34 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
     pub entry: WorkerEntry,
-    /// The platform still lists it.
+    /// Whether the platform lists it.
     pub listed: bool,
-    /// It accepts no new runs and departs once its runs are stopped.
+    /// Whether it is draining: it accepts no new runs and departs once its runs have stopped.
     pub draining: bool,
-    /// When it departs at the earliest, while it is draining.
+    /// The earliest time of its departure, while it is draining.
     pub departs_at: Option<Millis>,
     pub used: Resources,
     pub runs: BTreeMap<TaskId, Run>,
     pub clock: Option<ClockReading>,
-    /// It has replied under this scheduler's token.
+    /// Whether it has replied to this scheduler.
     pub has_responded: bool,
-    /// On the worker's clock: the latest deadline in any order ever sent to it.
+    /// On the worker's clock: the latest deadline in any order sent to it.
     pub lease_granted_until: u64,
-    /// On our clock: when all leases that earlier schedulers granted have surely expired.
+    /// On the scheduler's clock: when all leases granted by earlier schedulers have expired.
     pub previous_leases_expire_at: Millis,
     pub lease: LeaseRenewal,
-    /// Completions up to this number are in the log.
+    /// Completions up to this sequence number are in the log.
     pub acknowledged_completion: u64,
-    /// Completions up to this number are proposed for the log.
+    /// Completions up to this sequence number are in the log or proposed for it.
     pub proposed_completion: u64,
-    /// When an order was first left unanswered; until a later call is replied to it gets no new runs.
+    /// When an order first timed out; no new runs are placed here until a later call is replied to.
     pub suspected_since: Option<Millis>,
-    /// Renewals in a row that were left unanswered.
+    /// Number of consecutive renewals that timed out.
     pub unanswered_renewals: u32,
     pub health: Health,
 }
 
-/// The workers of a service, by the name of their incarnation.
+/// The workers of a service, by incarnation.
 pub(crate) type Workers = BTreeMap<String, Worker>;
 
 impl Worker {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Creates a worker that the log names and the platform does not list.
+    /// Creates a worker that the log refers to but the platform does not list.
     pub(crate) fn unlisted(
         incarnation: &str,
         now: Millis,
@@ -103,24 +103,23 @@
         }
     }
 
-    /// The resources that no run takes up.
     pub(crate) fn free_capacity(&self) -> Resources {
         self.entry.capacity.saturating_sub(&self.used)
     }
 
-    /// Whether so much fits beside its runs.
+    /// Whether the resources fit into its free capacity.
     pub(crate) fn has_capacity_for(&self, resources: &Resources) -> bool {
         resources
             .saturating_add(&self.used)
             .fits_in(&self.entry.capacity)
     }
 
-    /// Whether it has left too many renewals unanswered to be sent orders.
+    /// Whether it has missed too many consecutive renewals to be sent orders.
     pub(crate) fn is_unresponsive(&self) -> bool {
         self.unanswered_renewals >= 2
     }
 
-    /// Whether it has replied under this scheduler's token, and to all calls since.
+    /// Whether it has replied to this scheduler and to all recent calls.
     pub(crate) fn is_responsive(&self) -> bool {
         self.has_responded && self.unanswered_renewals == 0 && self.suspected_since.is_none()
     }
@@ -130,12 +129,12 @@
         self.is_responsive() && self.listed && !self.draining && self.health.is_schedulable(now)
     }
 
-    /// A run with this id.
+    /// Returns the run of a task if it has this id.
     pub(crate) fn run_mut(&mut self, task: &TaskId, id: RunId) -> Option<&mut Run> {
         self.runs.get_mut(task).filter(|run| run.id == id)
     }
 
-    /// All its runs, with the newest checkpoints that it has listed.
+    /// All its runs as named in a proposal of their loss, with their newest known checkpoints.
     pub(crate) fn lost_runs(&self) -> Vec<RunStart> {
         self.runs
             .iter()
@@ -143,7 +142,7 @@
             .collect()
     }
 
-    /// Adds a run and takes up its capacity.
+    /// Adds a run and allocates its capacity.
     pub(crate) fn add_run(&mut self, task: TaskId, run: Run) {
         if let Some(old) = self.runs.insert(task, run.clone()) {
             self.used = self.used.saturating_sub(&old.resources);
@@ -160,20 +159,20 @@
         Some(removed)
     }
 
-    /// The latest that the worker's clock can show now; `None`: it was never read.
+    /// Upper bound of the time that the worker's clock shows now; `None` if it was never read.
     pub(crate) fn max_clock(&self, now: Millis) -> Option<u64> {
         let reading = self.clock?;
         Some(reading.worker_ms + now.saturating_sub(reading.received_at))
     }
 
-    /// The earliest that the worker's clock can show now.
+    /// Lower bound of the time that the worker's clock shows now; `None` if it was never read.
     pub(crate) fn min_clock(&self, now: Millis) -> Option<u64> {
         let reading = self.clock?;
         let passed = now.saturating_sub(reading.received_at) as f64 * MIN_CLOCK_RATE;
         Some(reading.worker_ms + passed as u64)
     }
 
-    /// Whether every lease ever granted to it has surely expired, so that nothing runs there any more.
+    /// Whether every lease ever granted to it has expired, so that no run can be active there.
     pub(crate) fn all_leases_expired(&self, now: Millis) -> bool {
         if !self.has_responded && now < self.previous_leases_expire_at {
             return false;
@@ -184,10 +183,10 @@
         }
     }
 
-    /// Takes a reading of the clock from a reply.
+    /// Updates the clock reading from a reply.
     pub(crate) fn read_clock(&mut self, worker_ms: Option<u64>, now: Millis) {
         let Some(worker_ms) = worker_ms else { return };
-        // Replies may overtake each other: an older reading would set the clock back.
+        // Replies may arrive out of order; an older reading must not set the clock back.
         let newer = self.min_clock(now).is_none_or(|known| worker_ms >= known);
         if newer {
             self.clock = Some(ClockReading {
@@ -197,17 +196,15 @@
         }
     }
 
-    /// Whether the worker has all of these labels.
     pub(crate) fn has_labels(&self, wanted: &[String]) -> bool {
         wanted.iter().all(|label| self.has_label(label))
     }
 
-    /// Whether the worker has this label.
     pub(crate) fn has_label(&self, label: &str) -> bool {
         self.entry.labels.iter().any(|own| own == label)
     }
 
-    /// The rack: the last label, as the platform lists the kind first.
+    /// The rack label, which the platform lists last, after the kind of the worker.
     pub(crate) fn rack(&self) -> &str {
         self.entry.labels.last().map_or("", String::as_str)
     }
