--- a/system/scheduler/src/ejection_report.rs
+++ b/system/scheduler/src/ejection_report.rs
@@ -38,7 +38,7 @@
             String::new()
         };
         Some(format!(
-            "workers left alone, since their runs fail: {}{more}",
+            "ejected workers whose runs fail: {}{more}",
             named.join(", ")
         ))
     }
--- a/system/scheduler/src/leases.rs
+++ b/system/scheduler/src/leases.rs
@@ -179,7 +179,7 @@
         worker.health.eject(now);
         self.table.mark_order_due(incarnation);
         self.outputs.push(Output::Log(format!(
-            "{} runs on {incarnation} stand still and are moved",
+            "stopping {} runs on worker {incarnation} that make no progress, and ejecting the worker",
             stuck.len()
         )));
     }
--- a/system/scheduler/src/orders.rs
+++ b/system/scheduler/src/orders.rs
@@ -104,7 +104,7 @@
             }
         }
         self.outputs.push(Output::Log(format!(
-            "the holds on {incarnation} have run out: {} runs are lost",
+            "all leases on worker {incarnation} have expired; proposing the loss of its {} runs",
             lost.len()
         )));
         self.outputs
--- a/system/scheduler/src/scheduler.rs
+++ b/system/scheduler/src/scheduler.rs
@@ -120,7 +120,7 @@
         self.deposed = true;
         self.drop_outputs();
         let line = format!(
-            "{refused_by} has seen a higher token than {}: the role is given up",
+            "worker {refused_by} has seen a higher fencing token than {}; giving up the role",
             self.token
         );
         self.outputs.push(Output::Log(line));
--- a/system/scheduler/tests/ejection.rs
+++ b/system/scheduler/tests/ejection.rs
@@ -53,7 +53,7 @@
     let lines: Vec<&String> = harness
         .logs
         .iter()
-        .filter(|line| line.contains("left alone"))
+        .filter(|line| line.contains("ejected workers"))
         .collect();
     expect_that!(lines.len(), eq(1));
     expect_that!(
