--- a/system/scheduler/src/applied.rs
+++ b/system/scheduler/src/applied.rs
@@ -37,17 +37,17 @@
 
     fn apply_change(&mut self, change: &Change, now: Millis, state: &State) {
         match change {
-            Change::RunStarted(start) => self.handle_run_opened(start, now, state),
+            Change::RunStarted(start) => self.handle_run_recorded(start, now, state),
             Change::RunClosed {
                 task,
                 run,
                 incarnation,
                 kind,
             } => self.handle_run_closed(*task, *run, incarnation, *kind, now),
-            Change::JobChanged(id) => self.review_job(*id, now, state),
+            Change::JobChanged(id) => self.reconcile_job(*id, now, state),
             Change::JobForgotten(id) => {
-                self.planner.forget_job(*id);
-                self.job_calendar.forget(*id);
+                self.planner.remove_job(*id);
+                self.job_timers.remove(*id);
             }
             Change::CompletionsRecorded {
                 incarnation,
@@ -66,7 +66,7 @@
         }
     }
 
-    fn handle_run_opened(&mut self, start: &RunStart, now: Millis, state: &State) {
+    fn handle_run_recorded(&mut self, start: &RunStart, now: Millis, state: &State) {
         self.table.resolve_proposal(&start.task);
         if let Some(worker) = self.table.workers.get_mut(&start.incarnation) {
             if let Some(run) = worker.run_mut(&start.task, start.run) {
@@ -142,7 +142,7 @@
         kind: Option<CompletionKind>,
         now: Millis,
     ) {
-        self.planner.request();
+        self.planner.request_round();
         if let Some(completed @ (CompletionKind::Done | CompletionKind::Failed)) = kind {
             self.failure_rate
                 .record(completed == CompletionKind::Failed);
@@ -189,7 +189,7 @@
             .is_some_and(|run| run.phase == RunPhase::Proposed);
         if is_refused {
             worker.remove_run(&start.task, start.run);
-            self.planner.request();
+            self.planner.request_round();
         }
     }
 }
--- a/system/scheduler/src/backfill.rs
+++ b/system/scheduler/src/backfill.rs
@@ -13,12 +13,12 @@
 use std::collections::BTreeMap;
 
 /// Expected time until a run that is being stopped releases its capacity.
-const STOPPING_MS: Millis = 300;
+const STOP_DURATION_MS: Millis = 300;
 /// Minimum time between two recomputations of the reservations.
 const REFRESH_INTERVAL_MS: Millis = 40;
 /// The interval is at least one millisecond per this many workers examined in the last recomputation, to bound its
 /// cost.
-const WORKER_VISITS_PER_MS: u64 = 100;
+const EXAMINED_WORKERS_PER_MS: u64 = 100;
 /// Maximum number of tasks with reservations; forecasts for tasks further back in the queue are too inaccurate to help.
 const MAX_RESERVATION_OWNERS: usize = 40;
 /// A run that exceeds its estimate is expected to run on for its elapsed time divided by this.
@@ -46,7 +46,7 @@
     owner_count: usize,
     /// When the reservations were last recomputed.
     refreshed_at: Millis,
-    worker_visits: u64,
+    examined_workers: u64,
     /// Reservations are being recomputed in the current planning round.
     refreshing: bool,
 }
@@ -59,19 +59,19 @@
     /// Number of tasks that must be placed together.
     pub count: u32,
     /// Factor by which the task takes longer when it runs away from its data.
-    pub far_factor: f64,
+    pub remote_factor: f64,
     /// The tasks run until their job is cancelled.
     pub long_running: bool,
 }
 
 impl Candidate<'_> {
     fn duration_ms(&self, worker: &Worker) -> Millis {
-        let away = self
+        let is_remote = self
             .step
             .affinity
             .as_ref()
             .is_some_and(|rack| !worker.has_label(rack));
-        let factor = if away { self.far_factor } else { 1.0 };
+        let factor = if is_remote { self.remote_factor } else { 1.0 };
         (self.step.estimated_ms as f64 * factor) as Millis
     }
 }
@@ -80,11 +80,11 @@
     /// Begins a planning round. If the refresh interval has passed, drops all reservations so that this round
     /// recomputes them.
     pub(crate) fn begin_planning_round(&mut self, now: Millis) {
-        let pause = REFRESH_INTERVAL_MS.max(self.worker_visits / WORKER_VISITS_PER_MS);
-        self.refreshing = now >= self.refreshed_at + pause;
+        let interval = REFRESH_INTERVAL_MS.max(self.examined_workers / EXAMINED_WORKERS_PER_MS);
+        self.refreshing = now >= self.refreshed_at + interval;
         if self.refreshing {
             self.refreshed_at = now;
-            self.worker_visits = 0;
+            self.examined_workers = 0;
             self.reservations.clear();
             self.freed.clear();
             self.owner_count = 0;
@@ -114,7 +114,8 @@
     pub(crate) fn reserve(&mut self, workers: &Workers, candidate: &Candidate<'_>, now: Millis) {
         let mut waits_for_capacity = false;
         for _ in 0..candidate.count {
-            let Some((available_at, incarnation)) = self.earliest(workers, candidate, now) else {
+            let Some((available_at, incarnation)) = self.earliest_fit(workers, candidate, now)
+            else {
                 break;
             };
             waits_for_capacity |= available_at > now;
@@ -137,15 +138,15 @@
     }
 
     /// The worker on which one task is expected to fit first, and the time at which it does.
-    fn earliest<'w>(
+    fn earliest_fit<'w>(
         &mut self,
         workers: &'w Workers,
         candidate: &Candidate<'_>,
         now: Millis,
     ) -> Option<(Millis, &'w str)> {
-        self.worker_visits += workers.len() as u64;
+        self.examined_workers += workers.len() as u64;
         let step = candidate.step;
-        let suits = |worker: &Worker| {
+        let is_eligible = |worker: &Worker| {
             worker.is_schedulable(now)
                 && !worker.health.is_on_probation()
                 && worker.has_labels(&step.requirements)
@@ -156,7 +157,7 @@
         };
         workers
             .iter()
-            .filter(|(_, worker)| suits(worker))
+            .filter(|(_, worker)| is_eligible(worker))
             .filter_map(|(incarnation, worker)| {
                 Some((self.fits_at(worker, step, now)?, incarnation.as_str()))
             })
@@ -170,13 +171,13 @@
             .reservations
             .get(&worker.entry.incarnation)
             .map_or(&[][..], Vec::as_slice);
-        let wanted = reserved.iter().fold(step.resources, |sum, reservation| {
+        let required = reserved.iter().fold(step.resources, |sum, reservation| {
             sum.saturating_add(&reservation.resources)
         });
-        if !wanted.fits_in(&worker.entry.capacity) {
+        if !required.fits_in(&worker.entry.capacity) {
             return None;
         }
-        let mut used = worker.used.saturating_add(&wanted);
+        let mut used = worker.used.saturating_add(&required);
         if used.fits_in(&worker.entry.capacity) {
             return Some(now);
         }
@@ -186,8 +187,8 @@
                 .insert(incarnation.clone(), freed_capacity(worker, now));
         }
         let freed = self.freed.get(incarnation).map_or(&[][..], Vec::as_slice);
-        for (completion_at, freed) in freed {
-            used = used.saturating_sub(freed);
+        for (completion_at, resources) in freed {
+            used = used.saturating_sub(resources);
             if used.fits_in(&worker.entry.capacity) {
                 return Some(*completion_at);
             }
@@ -201,7 +202,7 @@
         &self,
         worker: &Worker,
         candidate: &Candidate<'_>,
-        taken: &Resources,
+        allocated: &Resources,
         now: Millis,
     ) -> bool {
         let Some(reservations) = self.reservations.get(&worker.entry.incarnation) else {
@@ -212,12 +213,12 @@
         } else {
             now + candidate.duration_ms(worker)
         };
-        let delayed = |reservation: &Reservation| {
+        let is_delayed = |reservation: &Reservation| {
             reservation.owner < *candidate.urgency
                 && completion_at > reservation.available_at
-                && !fits_alongside(worker, reservations, reservation, candidate, taken, now)
+                && !fits_alongside(worker, reservations, reservation, candidate, allocated, now)
         };
-        !reservations.iter().any(delayed)
+        !reservations.iter().any(is_delayed)
     }
 }
 
@@ -227,25 +228,25 @@
     reservations: &[Reservation],
     reservation: &Reservation,
     candidate: &Candidate<'_>,
-    taken: &Resources,
+    allocated: &Resources,
     now: Millis,
 ) -> bool {
     let reserved = reservations
         .iter()
         .filter(|other| other.owner < *candidate.urgency);
-    let wanted = reserved.fold(
-        candidate.step.resources.saturating_add(taken),
+    let required = reserved.fold(
+        candidate.step.resources.saturating_add(allocated),
         |sum, reservation| sum.saturating_add(&reservation.resources),
     );
-    let still_running = |run: &&Run| {
+    let is_still_running = |run: &&Run| {
         expected_completion_at(run, now)
             .is_none_or(|completion_at| completion_at > reservation.available_at)
     };
     let used = worker
         .runs
         .values()
-        .filter(still_running)
-        .fold(wanted, |sum, run| sum.saturating_add(&run.resources));
+        .filter(is_still_running)
+        .fold(required, |sum, run| sum.saturating_add(&run.resources));
     used.fits_in(&worker.entry.capacity)
 }
 
@@ -261,7 +262,7 @@
 /// When a run is expected to complete; `None` if it runs until it is stopped.
 fn expected_completion_at(run: &Run, now: Millis) -> Option<Millis> {
     if run.next_stop_at.is_some() {
-        return Some(now + STOPPING_MS);
+        return Some(now + STOP_DURATION_MS);
     }
     if run.long_running {
         return None;
--- a/system/scheduler/src/call_table.rs
+++ b/system/scheduler/src/call_table.rs
@@ -17,7 +17,7 @@
     /// Stops a run.
     Stop { task: TaskId, run: RunId },
     /// Stops a run that the worker lists but the scheduler does not track there.
-    StopStray,
+    StopOrphan,
     /// Renews the worker's lease and waits for completions (a long poll).
     LeaseRenewal {
         /// How long the worker may delay its reply to wait for a completion.
@@ -42,7 +42,7 @@
     }
 
     /// Whether the worker replies immediately, without waiting for a completion.
-    fn is_replied_at_once(&self) -> bool {
+    fn is_replied_immediately(&self) -> bool {
         !matches!(self, CallPurpose::LeaseRenewal { wait_ms } if *wait_ms > 0)
     }
 }
@@ -87,7 +87,7 @@
         reply: &WorkerReply,
         elapsed_ms: Millis,
     ) {
-        if !purpose.is_replied_at_once() {
+        if !purpose.is_replied_immediately() {
             return;
         }
         match reply {
--- a/system/scheduler/src/discovery.rs
+++ b/system/scheduler/src/discovery.rs
@@ -7,16 +7,19 @@
 impl Scheduler {
     /// Handles the platform's complete list; workers missing from it have departed.
     pub fn handle_worker_list(&mut self, now: Millis, state: &State, entries: &[WorkerEntry]) {
-        let own: Vec<&WorkerEntry> = entries
+        let own_entries: Vec<&WorkerEntry> = entries
             .iter()
             .filter(|entry| entry.service == self.service)
             .collect();
-        let listed: HashSet<&str> = own.iter().map(|entry| entry.incarnation.as_str()).collect();
-        let addresses: HashMap<&str, &str> = own
+        let listed: HashSet<&str> = own_entries
+            .iter()
+            .map(|entry| entry.incarnation.as_str())
+            .collect();
+        let addresses: HashMap<&str, &str> = own_entries
             .iter()
             .map(|entry| (entry.address.as_str(), entry.incarnation.as_str()))
             .collect();
-        let mut over = Vec::new();
+        let mut ended = Vec::new();
         for (incarnation, worker) in &mut self.table.workers {
             if listed.contains(incarnation.as_str()) {
                 continue;
@@ -24,13 +27,13 @@
             worker.listed = false;
             let successor = addresses.get(worker.entry.address.as_str());
             if successor.is_some_and(|other| other != incarnation) {
-                over.push(incarnation.clone());
+                ended.push(incarnation.clone());
             }
         }
-        for incarnation in over {
+        for incarnation in ended {
             self.end_incarnation(&incarnation, state);
         }
-        for entry in own {
+        for entry in own_entries {
             self.refresh_worker(entry, now, state);
         }
     }
@@ -47,7 +50,7 @@
             worker.draining = draining;
             worker.departs_at = entry.remaining_ms.map(|left| now + left);
             if has_changed {
-                self.planner.request();
+                self.planner.request_round();
             }
             return;
         }
@@ -57,7 +60,7 @@
             worker.proposed_completion = record.acknowledged_completion;
         }
         self.table.workers.insert(entry.incarnation.clone(), worker);
-        self.planner.request();
+        self.planner.request_round();
     }
 
     /// Removes an incarnation that is known to have ended and proposes the loss of its runs.
@@ -77,6 +80,6 @@
             }));
         }
         self.table.workers.remove(incarnation);
-        self.planner.request();
+        self.planner.request_round();
     }
 }
--- a/system/scheduler/src/explanation.rs
+++ b/system/scheduler/src/explanation.rs
@@ -150,7 +150,7 @@
             done: step.done,
             running: self.explain_runs(first, &step.tasks),
             waiting: units.iter().map(|unit| unit.count).sum(),
-            waits_for_steps: open_dependencies(job, first.occurrence, spec),
+            waits_for_steps: unfinished_dependencies(job, first.occurrence, spec),
             workers: first_unit.map(|(unit, spec)| self.count_workers(job, unit, spec)),
         }
     }
@@ -233,13 +233,17 @@
 }
 
 /// The dependencies of a step that are not done in an occurrence.
-fn open_dependencies(job: &Job, occurrence: u32, step: Option<&StepSpec>) -> Vec<u32> {
+fn unfinished_dependencies(job: &Job, occurrence: u32, step: Option<&StepSpec>) -> Vec<u32> {
     let (Some(step), Some(occurrence)) = (step, job.occurrences.get(&occurrence)) else {
         return Vec::new();
     };
-    let is_open = |earlier: &u32| {
-        let earlier = occurrence.steps.get(*earlier as usize);
-        earlier.is_some_and(|earlier| !earlier.is_done())
+    let is_unfinished = |dependency: &u32| {
+        let dependency = occurrence.steps.get(*dependency as usize);
+        dependency.is_some_and(|dependency| !dependency.is_done())
     };
-    step.depends_on.iter().copied().filter(is_open).collect()
+    step.depends_on
+        .iter()
+        .copied()
+        .filter(is_unfinished)
+        .collect()
 }
--- a/system/scheduler/src/forecast.rs
+++ b/system/scheduler/src/forecast.rs
@@ -38,18 +38,18 @@
 
 impl LatestStarts {
     pub(crate) fn of(job: &Job, task: &TaskId) -> LatestStarts {
-        let due = deadline_ms(job, task.occurrence);
-        let begin = period_start_ms(job, task.occurrence);
-        let objective = due.since(begin);
-        let left = job
+        let deadline = deadline_ms(job, task.occurrence);
+        let start = period_start_ms(job, task.occurrence);
+        let objective = deadline.since(start);
+        let remaining_ms = job
             .submission
             .spec
             .critical_path_from_ms(task.step as usize);
         LatestStarts {
-            on_time: due.saturating_sub(left),
-            late: begin
+            on_time: deadline.saturating_sub(remaining_ms),
+            late: start
                 .saturating_add(objective.saturating_mul(LATE_FACTOR))
-                .saturating_sub(left),
+                .saturating_sub(remaining_ms),
         }
     }
 
--- a/system/scheduler/src/health.rs
+++ b/system/scheduler/src/health.rs
@@ -4,13 +4,13 @@
 use magpiegap_protocol::{JobId, Millis};
 
 /// Minimum number of consecutive failures of different jobs that eject a worker.
-const MIN_FAILURES: usize = 2;
+const MIN_FAILURES_TO_EJECT: usize = 2;
 /// Maximum number of consecutive failures of different jobs that eject a worker.
-const MAX_FAILURES: usize = 3;
+const MAX_FAILURES_TO_EJECT: usize = 3;
 /// The failures that eject a worker must occur by chance on a healthy worker with a probability below this.
-const MAX_CHANCE: f64 = 0.0005;
+const MAX_CHANCE_PROBABILITY: f64 = 0.0005;
 /// Weight of one run in the smoothed failure rate.
-const GAIN: f64 = 0.01;
+const SMOOTHING_FACTOR: f64 = 0.01;
 /// Duration of a worker's first ejection; it doubles with each consecutive ejection.
 const BASE_EJECTION_MS: Millis = 4000;
 /// Maximum duration of an ejection.
@@ -23,17 +23,17 @@
 impl FailureRate {
     /// Records a run that completed, successfully or not.
     pub(crate) fn record(&mut self, failed: bool) {
-        let one = if failed { 1.0 } else { 0.0 };
-        self.0 += GAIN * (one - self.0);
+        let sample = if failed { 1.0 } else { 0.0 };
+        self.0 += SMOOTHING_FACTOR * (sample - self.0);
     }
 
     /// Number of consecutive failures of different jobs that eject a worker. Where many runs fail because of their
     /// jobs, two consecutive failures are not enough evidence against a worker.
     pub(crate) fn failures_to_eject(self) -> usize {
-        let by_chance = |failures: usize| self.0.powi(failures as i32);
-        (MIN_FAILURES..MAX_FAILURES)
-            .find(|failures| by_chance(*failures) < MAX_CHANCE)
-            .unwrap_or(MAX_FAILURES)
+        let chance_probability = |failures: usize| self.0.powi(failures as i32);
+        (MIN_FAILURES_TO_EJECT..MAX_FAILURES_TO_EJECT)
+            .find(|failures| chance_probability(*failures) < MAX_CHANCE_PROBABILITY)
+            .unwrap_or(MAX_FAILURES_TO_EJECT)
     }
 }
 
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Health {
     /// Jobs whose runs have failed on this worker since its last successful run.
-    failed: Vec<JobId>,
+    failed_jobs: Vec<JobId>,
     /// End of the current or last ejection; no new runs are placed before it.
     ejected_until: Millis,
     /// Number of consecutive ejections.
@@ -60,7 +60,7 @@
     }
 
     pub(crate) fn record_success(&mut self) {
-        self.failed.clear();
+        self.failed_jobs.clear();
         self.ejections = 0;
     }
 
@@ -72,10 +72,10 @@
         failures_to_eject: usize,
         now: Millis,
     ) -> bool {
-        if !self.failed.contains(&job) {
-            self.failed.push(job);
+        if !self.failed_jobs.contains(&job) {
+            self.failed_jobs.push(job);
         }
-        if self.failed.len() < failures_to_eject && !self.is_on_probation() {
+        if self.failed_jobs.len() < failures_to_eject && !self.is_on_probation() {
             return false;
         }
         self.eject(now);
@@ -84,9 +84,9 @@
 
     /// Ejects the worker, for longer with each consecutive ejection.
     pub(crate) fn eject(&mut self, now: Millis) {
-        let time = BASE_EJECTION_MS << self.ejections.min(4);
-        self.ejected_until = now + time.min(MAX_EJECTION_MS);
+        let duration_ms = BASE_EJECTION_MS << self.ejections.min(4);
+        self.ejected_until = now + duration_ms.min(MAX_EJECTION_MS);
         self.ejections += 1;
-        self.failed.clear();
+        self.failed_jobs.clear();
     }
 }
--- a/system/scheduler/src/job_review.rs
+++ b/system/scheduler/src/job_reconciliation.rs
@@ -8,7 +8,7 @@
 
 impl Scheduler {
     /// Updates the queue, timers and runs of a job of this service after its state has changed.
-    pub(crate) fn review_job(&mut self, id: JobId, now: Millis, state: &State) {
+    pub(crate) fn reconcile_job(&mut self, id: JobId, now: Millis, state: &State) {
         let Some(job) = state.jobs.get(&id) else {
             return;
         };
@@ -17,9 +17,9 @@
         }
         if job.phase.is_terminal() {
             self.planner.queue.remove(id);
-            self.job_calendar.complete(id, job.completed_ms);
+            self.job_timers.complete(id, job.completed_ms);
         } else {
-            self.job_calendar.schedule(job);
+            self.job_timers.schedule(job);
             self.refresh_queue(id, now, state);
         }
         self.stop_unneeded_runs(job, now);
@@ -34,7 +34,7 @@
         self.planner
             .queue
             .refresh(job, now, self.wall, |task| table.is_proposed(task));
-        self.planner.request();
+        self.planner.request_round();
     }
 
     /// Requests the stop of runs that are no longer needed: runs of completed jobs, of tasks that are done, and of
@@ -91,7 +91,7 @@
 
     /// Proposes to open the due occurrences of repeated jobs.
     pub(crate) fn open_due_occurrences(&mut self, wall: WallMillis, state: &State) {
-        for due in self.job_calendar.take_due(wall, state) {
+        for due in self.job_timers.take_due(wall, state) {
             self.outputs.push(Output::Propose(Command::OpenOccurrence {
                 job: due.job,
                 occurrence: due.number,
@@ -102,7 +102,7 @@
     /// Proposes to remove completed jobs whose status retention has passed.
     pub(crate) fn forget_completed_jobs(&mut self, wall: WallMillis) {
         let before = wall.saturating_sub(self.settings.status_retention_ms + STATUS_MARGIN_MS);
-        let jobs = self.job_calendar.take_completed_before(before);
+        let jobs = self.job_timers.take_completed_before(before);
         if !jobs.is_empty() {
             self.outputs
                 .push(Output::Propose(Command::ForgetJobs { jobs }));
--- a/system/scheduler/src/job_calendar.rs
+++ b/system/scheduler/src/job_timers.rs
@@ -16,7 +16,7 @@
 
 /// Pending wall-clock timers of the jobs of a service.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct JobCalendar {
+pub(crate) struct JobTimers {
     /// Repeated jobs, by the time of their next occurrence.
     scheduled: BTreeSet<(WallMillis, JobId)>,
     /// Occurrences that have been proposed for the log.
@@ -25,7 +25,7 @@
     completed: BTreeSet<(WallMillis, JobId)>,
 }
 
-impl JobCalendar {
+impl JobTimers {
     /// Removes all timers, before the replicated state is read again.
     pub(crate) fn clear(&mut self) {
         self.scheduled.clear();
@@ -60,7 +60,7 @@
     }
 
     /// Removes a completed job that the log has removed.
-    pub(crate) fn forget(&mut self, job: JobId) {
+    pub(crate) fn remove(&mut self, job: JobId) {
         self.completed.retain(|(_, other)| *other != job);
     }
 
--- a/system/scheduler/src/lease_schedule.rs
+++ b/system/scheduler/src/lease_schedule.rs
@@ -40,20 +40,20 @@
         let updated = std::mem::take(&mut self.updated);
         let mut due = Vec::new();
         let mut next_scan = now + SCAN_INTERVAL_MS;
-        let mut consider = |incarnation: &String, worker: &Worker| match next_renewal_at(worker) {
+        let mut check = |incarnation: &String, worker: &Worker| match next_renewal_at(worker) {
             Some(at) if now >= at => due.push(incarnation.clone()),
             Some(at) => next_scan = next_scan.min(at),
             None => {}
         };
         if now >= self.next_scan {
             for (incarnation, worker) in workers {
-                consider(incarnation, worker);
+                check(incarnation, worker);
             }
             self.next_scan = next_scan;
         } else {
             for incarnation in &updated {
                 if let Some(worker) = workers.get(incarnation) {
-                    consider(incarnation, worker);
+                    check(incarnation, worker);
                 }
             }
             self.next_scan = self.next_scan.min(next_scan);
@@ -64,11 +64,11 @@
 
 /// When the next renewal of a worker's lease is due; `None` if none is due before the worker changes.
 fn next_renewal_at(worker: &Worker) -> Option<Millis> {
-    let unconfirmed =
+    let is_unconfirmed =
         !worker.has_responded || worker.unanswered_renewals > 0 || worker.suspected_since.is_some();
-    let is_wanted = !worker.runs.is_empty() || unconfirmed;
+    let needs_renewal = !worker.runs.is_empty() || is_unconfirmed;
     let is_acknowledged = worker.proposed_completion == worker.acknowledged_completion;
     let is_reachable = !worker.entry.address.is_empty();
-    (is_wanted && is_acknowledged && is_reachable && worker.lease.in_flight.is_none())
+    (needs_renewal && is_acknowledged && is_reachable && worker.lease.in_flight.is_none())
         .then_some(worker.lease.renew_at)
 }
--- a/system/scheduler/src/lease_timing.rs
+++ b/system/scheduler/src/lease_timing.rs
@@ -42,7 +42,7 @@
 
     /// Duration of granted leases, extended by as much as long polls are longer than their base duration, and kept a
     /// tenth below the longest lease allowed.
-    pub(crate) fn lease_ms(self, max_hold_ms: u64) -> u64 {
-        (LEASE_MS + self.wait_ms - LONG_POLL_MS).min(max_hold_ms * 9 / 10)
+    pub(crate) fn lease_ms(self, max_lease_ms: u64) -> u64 {
+        (LEASE_MS + self.wait_ms - LONG_POLL_MS).min(max_lease_ms * 9 / 10)
     }
 }
--- a/system/scheduler/src/leases.rs
+++ b/system/scheduler/src/leases.rs
@@ -59,7 +59,7 @@
             acknowledged_completion: worker.acknowledged_completion,
             long_poll_ms: wait_ms,
         };
-        let id = self.call(
+        let id = self.send_call(
             incarnation,
             CallPurpose::LeaseRenewal { wait_ms },
             order,
@@ -80,7 +80,7 @@
             acknowledged_completion: worker.acknowledged_completion,
             long_poll_ms: 0,
         };
-        self.call(
+        self.send_call(
             incarnation,
             CallPurpose::HealthCheck,
             order,
@@ -102,20 +102,20 @@
             return;
         };
         if worker.runs.is_empty() {
-            let over = !worker.listed && worker.lease.in_flight.is_none();
-            if over && (worker.is_unresponsive() || worker.entry.address.is_empty()) {
-                self.forget_worker(incarnation, state);
+            let is_removable = !worker.listed && worker.lease.in_flight.is_none();
+            if is_removable && (worker.is_unresponsive() || worker.entry.address.is_empty()) {
+                self.remove_worker(incarnation, state);
             }
             return;
         }
-        let pending = worker
+        let all_await_commit = worker
             .runs
             .values()
             .all(|run| matches!(run.phase, RunPhase::Proposed | RunPhase::LossProposed));
-        let out_of_reach =
+        let is_unreachable =
             worker.is_unresponsive() || worker.entry.address.is_empty() || !worker.listed;
-        if out_of_reach && !pending && worker.all_leases_expired(now) {
-            self.lose_expired_runs(incarnation);
+        if is_unreachable && !all_await_commit && worker.all_leases_expired(now) {
+            self.propose_loss_of_expired_runs(incarnation);
             return;
         }
         self.stop_runs_outliving_worker(incarnation, now);
@@ -123,7 +123,7 @@
         self.stop_stuck_runs(incarnation, now);
     }
 
-    fn forget_worker(&mut self, incarnation: &str, state: &State) {
+    fn remove_worker(&mut self, incarnation: &str, state: &State) {
         if state.workers.contains_key(incarnation) {
             let incarnation = incarnation.to_owned();
             self.outputs.push(Output::Propose(Command::LoseIncarnation {
@@ -143,10 +143,12 @@
         let Some(departs_at) = worker.departs_at.filter(|_| worker.draining) else {
             return;
         };
-        let left = departs_at.saturating_sub(now);
+        let remaining_ms = departs_at.saturating_sub(now);
         let mut any_stopped = false;
         for run in worker.runs.values_mut() {
-            if run.is_wanted_and_started() && (run.long_running || run.remaining_ms(now) > left) {
+            if run.is_started_and_not_stopping()
+                && (run.long_running || run.remaining_ms(now) > remaining_ms)
+            {
                 run.next_stop_at = Some(now);
                 any_stopped = true;
             }
@@ -158,14 +160,14 @@
 
     /// Stops runs that make no progress, so that they are restarted elsewhere, and ejects their worker.
     fn stop_stuck_runs(&mut self, incarnation: &str, now: Millis) {
-        let gang_ms = self.settings.gang_timeout_ms;
+        let gang_timeout_ms = self.settings.gang_timeout_ms;
         let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
         let stuck: Vec<TaskId> = worker
             .runs
             .iter()
-            .filter(|(_, run)| run.is_wanted_and_started() && is_stuck(run, gang_ms))
+            .filter(|(_, run)| run.is_started_and_not_stopping() && is_stuck(run, gang_timeout_ms))
             .map(|(task, _)| *task)
             .collect();
         if stuck.is_empty() || worker.unanswered_renewals > 0 {
@@ -187,18 +189,18 @@
 
 /// Whether a run has made no progress for longer than expected since it started or last progressed.
 fn lacks_progress(run: &Run, now: Millis) -> bool {
-    let still = now.saturating_sub(run.progress.since);
+    let stalled_ms = now.saturating_sub(run.progress.since);
     run.phase == RunPhase::Started
         && !run.long_running
         && !run.gang
-        && still > STALLED_LONG_POLL_MS
-        && still > run.estimated_ms / 5
+        && stalled_ms > STALLED_LONG_POLL_MS
+        && stalled_ms > run.estimated_ms / 5
 }
 
 /// Whether successive listings have shown a run with the same progress for too long.
-fn is_stuck(run: &Run, gang_ms: Millis) -> bool {
+fn is_stuck(run: &Run, gang_timeout_ms: Millis) -> bool {
     let gang_wait_ms = if run.gang && run.progress.percent == 0 {
-        gang_ms
+        gang_timeout_ms
     } else {
         0
     };
--- a/system/scheduler/src/nominations.rs
+++ b/system/scheduler/src/nominations.rs
@@ -17,37 +17,42 @@
 /// Nominated workers and the tasks that they are nominated for.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Nominations {
-    of_worker: HashMap<String, Nomination>,
+    by_worker: HashMap<String, Nomination>,
 }
 
 impl Nominations {
     /// Whether nominations allow a task to be placed on a worker.
     pub(crate) fn allow(&self, incarnation: &str, first: &TaskId) -> bool {
-        self.of_worker
+        self.by_worker
             .get(incarnation)
             .is_none_or(|nomination| nomination.owner == *first)
     }
 
     /// Whether any worker is nominated for a task.
     pub(crate) fn has(&self, first: &TaskId) -> bool {
-        self.of_worker
+        self.by_worker
             .values()
             .any(|nomination| nomination.owner == *first)
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.of_worker.len()
+        self.by_worker.len()
     }
 
     pub(crate) fn add(&mut self, incarnation: String, owner: TaskId, now: Millis) {
-        self.of_worker
+        self.by_worker
             .insert(incarnation, Nomination { owner, since: now });
     }
 
     /// Drops nominations that have expired, or whose task is no longer queued or whose worker is no longer schedulable.
-    pub(crate) fn review(&mut self, waiting: &HashSet<TaskId>, workers: &Workers, now: Millis) {
-        self.of_worker.retain(|incarnation, nomination| {
-            waiting.contains(&nomination.owner)
+    pub(crate) fn retain_valid(
+        &mut self,
+        queued: &HashSet<TaskId>,
+        workers: &Workers,
+        now: Millis,
+    ) {
+        self.by_worker.retain(|incarnation, nomination| {
+            queued.contains(&nomination.owner)
                 && now < nomination.since + NOMINATION_TIMEOUT_MS
                 && workers
                     .get(incarnation)
--- a/system/scheduler/src/orders.rs
+++ b/system/scheduler/src/orders.rs
@@ -23,7 +23,7 @@
     Start,
     Stop,
     /// The start was never sent and must not be sent any more, so the run cannot be running.
-    Lose,
+    ProposeLoss,
 }
 
 impl DueOrder {
@@ -32,7 +32,7 @@
         let accepts_starts = is_reachable && worker.listed && !worker.draining;
         let is_unsent = matches!(run.phase, RunPhase::Recorded { .. }) && run.start_attempts == 0;
         if is_unsent && (run.next_stop_at.is_some() || !accepts_starts) {
-            return DueOrder::Lose;
+            return DueOrder::ProposeLoss;
         }
         if !is_reachable || run.in_flight_orders > 0 || run.phase == RunPhase::LossProposed {
             return DueOrder::Nothing;
@@ -63,7 +63,7 @@
         for (task, run) in &worker.runs {
             match DueOrder::of(run, worker, now) {
                 DueOrder::Nothing => {}
-                DueOrder::Lose => lost.push(run.to_start(*task, incarnation)),
+                DueOrder::ProposeLoss => lost.push(run.to_start(*task, incarnation)),
                 order => due.push((*task, order)),
             }
         }
@@ -71,7 +71,7 @@
             match order {
                 DueOrder::Start => self.send_start(incarnation, task, state, now),
                 DueOrder::Stop => self.send_stop(incarnation, task, now),
-                DueOrder::Nothing | DueOrder::Lose => {}
+                DueOrder::Nothing | DueOrder::ProposeLoss => {}
             }
         }
         if !lost.is_empty() {
@@ -93,7 +93,7 @@
     }
 
     /// Proposes the loss of all runs of a worker; every lease ever granted to it must have expired.
-    pub(crate) fn lose_expired_runs(&mut self, incarnation: &str) {
+    pub(crate) fn propose_loss_of_expired_runs(&mut self, incarnation: &str) {
         let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
@@ -146,7 +146,7 @@
             deadline_ms,
             checkpoint: run.checkpoint.clone(),
         };
-        self.call(incarnation, purpose, order, self.calls.timeout_ms());
+        self.send_call(incarnation, purpose, order, self.calls.timeout_ms());
     }
 
     fn send_stop(&mut self, incarnation: &str, task: TaskId, now: Millis) {
@@ -159,7 +159,7 @@
         run.next_stop_at = Some(now + STOP_RETRY_MS);
         run.in_flight_orders += 1;
         let run = run.id;
-        self.call(
+        self.send_call(
             incarnation,
             CallPurpose::Stop { task, run },
             WorkerOrder::Stop { task, run },
--- a/system/scheduler/src/placement.rs
+++ b/system/scheduler/src/placement.rs
@@ -15,7 +15,7 @@
 /// Tasks that take at least this share of a worker are packed instead of spread.
 const MIN_PACKED_SHARE: f64 = 0.5;
 /// Maximum number of workers sampled to find two that fit, before all workers are scanned.
-const MAX_DRAWS: usize = 12;
+const MAX_SAMPLES: usize = 12;
 
 /// A placement request.
 pub(crate) struct Demand<'a> {
@@ -55,7 +55,7 @@
     }
 
     /// Returns a random worker.
-    fn draw(self, workers: &'a Workers, cpu: u64, random: &mut StdRng) -> Option<&'a Worker> {
+    fn sample(self, workers: &'a Workers, cpu: u64, random: &mut StdRng) -> Option<&'a Worker> {
         let name = match self {
             Pool::All(names) => names.choose(random),
             Pool::WithCapacity(index) => index
@@ -77,12 +77,12 @@
 
 /// Resources and task counts allocated by this search so far, by worker.
 #[derive(Default)]
-struct Taken {
+struct Allocations {
     resources: BTreeMap<String, Resources>,
     tasks: BTreeMap<String, u32>,
 }
 
-impl Taken {
+impl Allocations {
     fn add(&mut self, incarnation: &str, resources: &Resources) {
         let used = self.resources.entry(incarnation.to_owned()).or_default();
         *used = used.saturating_add(resources);
@@ -90,13 +90,13 @@
     }
 
     fn resources_on(&self, worker: &Worker) -> Resources {
-        let taken = self.resources.get(&worker.entry.incarnation);
-        taken.copied().unwrap_or_default()
+        let allocated = self.resources.get(&worker.entry.incarnation);
+        allocated.copied().unwrap_or_default()
     }
 
     fn tasks_on(&self, worker: &Worker) -> u32 {
-        let taken = self.tasks.get(&worker.entry.incarnation);
-        taken.copied().unwrap_or(0)
+        let allocated = self.tasks.get(&worker.entry.incarnation);
+        allocated.copied().unwrap_or(0)
     }
 }
 
@@ -146,11 +146,11 @@
         is_allowed: impl Fn(&Worker) -> bool,
     ) -> Option<Vec<String>> {
         let candidate = &self.demand.candidate;
-        let mut taken = Taken::default();
+        let mut allocated = Allocations::default();
         let mut chosen = Vec::with_capacity(candidate.count as usize);
         for _ in 0..candidate.count {
-            let incarnation = self.choose_one(random, &taken, &is_allowed)?;
-            taken.add(&incarnation, &candidate.step.resources);
+            let incarnation = self.choose_one(random, &allocated, &is_allowed)?;
+            allocated.add(&incarnation, &candidate.step.resources);
             chosen.push(incarnation);
         }
         Some(chosen)
@@ -159,18 +159,20 @@
     fn choose_one(
         &self,
         random: &mut StdRng,
-        taken: &Taken,
+        allocated: &Allocations,
         is_allowed: &impl Fn(&Worker) -> bool,
     ) -> Option<String> {
-        let fits = |worker: &Worker| is_allowed(worker) && self.fits(worker, taken);
-        let chosen = match self.draw_two(random, |worker| fits(worker) && self.is_proven(worker)) {
-            Some(two) => self.less_busy(two, taken),
+        let fits = |worker: &Worker| is_allowed(worker) && self.fits(worker, allocated);
+        let chosen = match self.sample_two(random, |worker| {
+            fits(worker) && self.is_healthy_for_task(worker)
+        }) {
+            Some(pair) => self.less_loaded(pair, allocated),
             None => {
                 let cpu = self.demand.candidate.step.resources.cpu;
                 let pool = self.demand.pool.with_capacity(self.workers, cpu);
                 let candidates = pool.filter(|worker| fits(worker)).collect();
-                let candidates = self.prefer_proven(self.prefer_local(candidates)?);
-                self.choose_among(candidates, random, taken)
+                let candidates = self.prefer_healthy(self.prefer_local(candidates)?);
+                self.choose_among(candidates, random, allocated)
             }
         };
         chosen.map(|worker| worker.entry.incarnation.clone())
@@ -193,14 +195,14 @@
     }
 
     /// Keeps the workers without known failures; if there are none, those that may take a run on probation.
-    fn prefer_proven(&self, candidates: Vec<&'w Worker>) -> Vec<&'w Worker> {
-        let proven: Vec<&Worker> = candidates
+    fn prefer_healthy(&self, candidates: Vec<&'w Worker>) -> Vec<&'w Worker> {
+        let healthy: Vec<&Worker> = candidates
             .iter()
             .copied()
-            .filter(|worker| self.is_proven(worker))
+            .filter(|worker| self.is_healthy_for_task(worker))
             .collect();
-        if !proven.is_empty() {
-            return proven;
+        if !healthy.is_empty() {
+            return healthy;
         }
         // A worker on probation gets one run at a time.
         let may_take =
@@ -212,33 +214,33 @@
         &self,
         candidates: Vec<&'w Worker>,
         random: &mut StdRng,
-        taken: &Taken,
+        allocated: &Allocations,
     ) -> Option<&'w Worker> {
         let needs_packing = candidates.iter().any(|worker| self.needs_packing(worker));
         if needs_packing || self.demand.candidate.step.resources.gpu > 0 {
-            return self.busiest(candidates, taken);
+            return self.most_loaded(candidates, allocated);
         }
-        let two: Vec<&Worker> = candidates.choose_multiple(random, 2).copied().collect();
-        self.less_busy(two, taken)
+        let pair: Vec<&Worker> = candidates.choose_multiple(random, 2).copied().collect();
+        self.less_loaded(pair, allocated)
     }
 
     /// Samples two random acceptable workers, so that the cost of a placement does not grow with the number of workers.
     /// `None` if a few samples do not find two, or if the task must not be spread at random.
-    fn draw_two(
+    fn sample_two(
         &self,
         random: &mut StdRng,
-        will_do: impl Fn(&Worker) -> bool,
+        is_acceptable: impl Fn(&Worker) -> bool,
     ) -> Option<[&'w Worker; 2]> {
         let step = self.demand.candidate.step;
         let cpu = step.resources.cpu;
-        let is_drawable = step.resources.gpu == 0 && step.affinity.is_none();
-        if !is_drawable || self.demand.pool.len(cpu) < 2 * MAX_DRAWS {
+        let can_sample = step.resources.gpu == 0 && step.affinity.is_none();
+        if !can_sample || self.demand.pool.len(cpu) < 2 * MAX_SAMPLES {
             return None;
         }
         let mut first: Option<&Worker> = None;
-        for _ in 0..MAX_DRAWS {
-            let drawn = self.demand.pool.draw(self.workers, cpu, random);
-            let Some(worker) = drawn.filter(|worker| will_do(worker)) else {
+        for _ in 0..MAX_SAMPLES {
+            let sampled = self.demand.pool.sample(self.workers, cpu, random);
+            let Some(worker) = sampled.filter(|worker| is_acceptable(worker)) else {
                 continue;
             };
             if self.needs_packing(worker) {
@@ -255,33 +257,33 @@
         None
     }
 
-    fn less_busy(
+    fn less_loaded(
         &self,
         workers: impl IntoIterator<Item = &'w Worker>,
-        taken: &Taken,
+        allocated: &Allocations,
     ) -> Option<&'w Worker> {
-        workers.into_iter().min_by(|one, other| {
-            self.load_on(one, taken)
-                .total_cmp(&self.load_on(other, taken))
+        workers.into_iter().min_by(|a, b| {
+            self.load_on(a, allocated)
+                .total_cmp(&self.load_on(b, allocated))
         })
     }
 
-    fn busiest(
+    fn most_loaded(
         &self,
         workers: impl IntoIterator<Item = &'w Worker>,
-        taken: &Taken,
+        allocated: &Allocations,
     ) -> Option<&'w Worker> {
-        workers.into_iter().max_by(|one, other| {
-            self.load_on(one, taken)
-                .total_cmp(&self.load_on(other, taken))
+        workers.into_iter().max_by(|a, b| {
+            self.load_on(a, allocated)
+                .total_cmp(&self.load_on(b, allocated))
         })
     }
 
     /// The dominant resource share in use on a worker with one more task.
-    fn load_on(&self, worker: &Worker, taken: &Taken) -> f64 {
+    fn load_on(&self, worker: &Worker, allocated: &Allocations) -> f64 {
         worker
             .used
-            .saturating_add(&taken.resources_on(worker))
+            .saturating_add(&allocated.resources_on(worker))
             .saturating_add(&self.demand.candidate.step.resources)
             .dominant_share(&worker.entry.capacity)
     }
@@ -293,13 +295,13 @@
     }
 
     /// Whether a worker is not on probation and the task has not failed there.
-    fn is_proven(&self, worker: &Worker) -> bool {
+    fn is_healthy_for_task(&self, worker: &Worker) -> bool {
         let has_failed_here = self.demand.avoid.contains(&worker.entry.incarnation);
         !worker.health.is_on_probation() && !has_failed_here
     }
 
     /// Whether one more task can be placed on a worker.
-    fn fits(&self, worker: &Worker, taken: &Taken) -> bool {
+    fn fits(&self, worker: &Worker, allocated: &Allocations) -> bool {
         let Demand {
             first,
             nominations,
@@ -307,10 +309,10 @@
             candidate,
             ..
         } = self.demand;
-        let more = taken.resources_on(worker);
+        let more = allocated.resources_on(worker);
         self.has_capacity(worker, &more)
             && worker.has_labels(&candidate.step.requirements)
-            && self.allows_sibling(worker, taken)
+            && self.allows_sibling(worker, allocated)
             && !worker.runs.contains_key(first)
             && worker.is_schedulable(self.now)
             && nominations.allow(&worker.entry.incarnation, first)
@@ -324,7 +326,7 @@
     }
 
     /// Whether the anti-affinity of the step allows one more of its tasks on a worker.
-    fn allows_sibling(&self, worker: &Worker, taken: &Taken) -> bool {
+    fn allows_sibling(&self, worker: &Worker, allocated: &Allocations) -> bool {
         let max_siblings = self.demand.candidate.step.anti_affinity;
         if max_siblings == 0 {
             return true;
@@ -338,6 +340,6 @@
             ..self.demand.first
         };
         let running = worker.runs.range(first..=last).count() as u32;
-        running + taken.tasks_on(worker) < max_siblings
+        running + allocated.tasks_on(worker) < max_siblings
     }
 }
--- a/system/scheduler/src/planner.rs
+++ b/system/scheduler/src/planner.rs
@@ -20,10 +20,10 @@
 use std::collections::{HashMap, HashSet};
 
 /// Number of failed placements that ends the part of a round that starts with the most urgent tasks.
-const MAX_URGENT_MISSES: usize = 40;
+const MAX_FAILED_URGENT_PLACEMENTS: usize = 40;
 /// Number of further failed placements that ends the part of a round that resumes where the last round ended; resuming
 /// there keeps infeasible tasks from starving the tasks behind them.
-const MAX_RESUMED_MISSES: usize = 20;
+const MAX_FAILED_RESUMED_PLACEMENTS: usize = 20;
 /// A task waits for the rack of its data at most for this share of the extra time that running elsewhere would take.
 const MAX_LOCALITY_WAIT_SHARE: f64 = 0.6;
 /// Time in the queue after which an urgent task may preempt less urgent runs.
@@ -55,7 +55,7 @@
 #[derive(Default)]
 struct PlanningRound {
     runs: Vec<RunStart>,
-    misses: Misses,
+    failed_placements: FailedPlacements,
     /// Free capacity of the workers when the round began.
     capacity: CapacityIndex,
     /// Number of searches for preemption victims that found none.
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Preemption {
     /// The stop of the victims was requested.
-    Begun,
+    Started,
     /// The task may not preempt now; no search was made.
     NotEligible,
     /// No victims were found whose loss is acceptable.
@@ -75,22 +75,22 @@
 
 /// Steps that could not be placed in a round. Steps that need the same or more cannot be placed either and are skipped.
 #[derive(Default)]
-struct Misses {
-    shapes: Vec<StepSpec>,
+struct FailedPlacements {
+    steps: Vec<StepSpec>,
 }
 
-impl Misses {
+impl FailedPlacements {
     /// Whether a step needs at least what a step that failed needs.
     fn covers(&self, step: &StepSpec) -> bool {
-        let is_covered_by = |shape: &StepSpec| {
-            shape.resources.fits_in(&step.resources)
-                && shape.requirements == step.requirements
-                && shape.affinity == step.affinity
-                && shape.estimated_ms <= step.estimated_ms
-                && shape.anti_affinity == 0
-                && !shape.gang
+        let is_covered_by = |failed: &StepSpec| {
+            failed.resources.fits_in(&step.resources)
+                && failed.requirements == step.requirements
+                && failed.affinity == step.affinity
+                && failed.estimated_ms <= step.estimated_ms
+                && failed.anti_affinity == 0
+                && !failed.gang
         };
-        self.shapes.iter().any(is_covered_by)
+        self.steps.iter().any(is_covered_by)
     }
 
     /// Adds a step that could not be placed. If no worker had enough capacity, shorter tasks cannot be placed either.
@@ -101,7 +101,7 @@
         } else {
             0
         };
-        self.shapes.push(StepSpec {
+        self.steps.push(StepSpec {
             estimated_ms,
             ..step.clone()
         });
@@ -120,14 +120,14 @@
     /// The workers on which each task has failed.
     failed_on: HashMap<TaskId, Vec<String>>,
     /// Factor by which a task takes longer when it runs away from its data.
-    far_factor: f64,
+    remote_factor: f64,
     random: StdRng,
 }
 
 impl Planner {
     /// Creates a planner; `remote_factor` is the slowdown of tasks away from their data and `seed` seeds random
     /// choices.
-    pub(crate) fn new(now: Millis, far_factor: f64, seed: u64) -> Planner {
+    pub(crate) fn new(now: Millis, remote_factor: f64, seed: u64) -> Planner {
         Planner {
             queue: Queue::default(),
             nominations: Nominations::default(),
@@ -135,14 +135,14 @@
             schedule: PlanningSchedule::new(now),
             worker_names: Vec::new(),
             failed_on: HashMap::new(),
-            far_factor,
+            remote_factor,
             random: StdRng::seed_from_u64(seed),
         }
     }
 
     /// Requests a planning round as soon as one is allowed.
-    pub(crate) fn request(&mut self) {
-        self.schedule.request();
+    pub(crate) fn request_round(&mut self) {
+        self.schedule.request_round();
     }
 
     /// Runs a planning round if one is due and returns the runs to propose.
@@ -168,7 +168,7 @@
     }
 
     /// Removes the planning state of a job that the log has removed.
-    pub(crate) fn forget_job(&mut self, job: JobId) {
+    pub(crate) fn remove_job(&mut self, job: JobId) {
         self.queue.remove(job);
         self.failed_on.retain(|task, _| task.job != job);
     }
@@ -218,7 +218,7 @@
     fn plan(&mut self, table: &mut RunTable, now: Millis, state: &State) -> Vec<RunStart> {
         let queued = self.queued_units();
         let owners: HashSet<TaskId> = queued.iter().map(|queued| queued.urgency.task).collect();
-        self.nominations.review(&owners, &table.workers, now);
+        self.nominations.retain_valid(&owners, &table.workers, now);
         self.backfill.begin_planning_round(now);
         if queued.is_empty() {
             return Vec::new();
@@ -227,12 +227,19 @@
             capacity: CapacityIndex::of(&table.workers, now),
             ..PlanningRound::default()
         };
-        let urgent = self.plan_units(table, &queued, MAX_URGENT_MISSES, &mut round, now, state);
+        let urgent = self.plan_units(
+            table,
+            &queued,
+            MAX_FAILED_URGENT_PLACEMENTS,
+            &mut round,
+            now,
+            state,
+        );
         if urgent < queued.len() {
             let from = self.resume_position(&queued, urgent);
-            let max_misses = round.misses.shapes.len() + MAX_RESUMED_MISSES;
+            let max_failed = round.failed_placements.steps.len() + MAX_FAILED_RESUMED_PLACEMENTS;
             let until =
-                from + self.plan_units(table, &queued[from..], max_misses, &mut round, now, state);
+                from + self.plan_units(table, &queued[from..], max_failed, &mut round, now, state);
             self.schedule.cursor = queued.get(until).map(|queued| queued.urgency);
         }
         round.runs
@@ -266,13 +273,13 @@
         &mut self,
         table: &mut RunTable,
         queued: &[QueuedUnit],
-        max_misses: usize,
+        max_failed: usize,
         round: &mut PlanningRound,
         now: Millis,
         state: &State,
     ) -> usize {
         for (position, unit) in queued.iter().enumerate() {
-            if round.misses.shapes.len() >= max_misses {
+            if round.failed_placements.steps.len() >= max_failed {
                 return position;
             }
             self.plan_unit(table, unit, round, now, state);
@@ -301,7 +308,7 @@
             urgency: &queued.urgency,
             waited_ms: now.saturating_sub(queued.queued_at),
         };
-        if round.misses.covers(step) {
+        if round.failed_placements.covers(step) {
             self.reserve_capacity(table, &planned, now);
             return;
         }
@@ -312,7 +319,7 @@
             return;
         }
         let any_has_capacity = any_worker_has_capacity(&table.workers, &round.capacity, step, now);
-        round.misses.add(step, any_has_capacity);
+        round.failed_placements.add(step, any_has_capacity);
         self.reserve_capacity(table, &planned, now);
         if round.failed_preemptions < MAX_FAILED_PREEMPTIONS
             && self.preempt(table, &planned, now) == Preemption::NoVictims
@@ -336,14 +343,14 @@
             urgency,
             waited_ms,
         } = *planned;
-        let nothing = Vec::new();
+        let no_workers = Vec::new();
         let demand = Demand {
             first: unit.first,
             require_locality: self.waits_for_locality(step, waited_ms),
             nominations: &self.nominations,
             backfill: &self.backfill,
             candidate: self.candidate(job, unit, step, urgency),
-            avoid: self.failed_on.get(&unit.first).unwrap_or(&nothing),
+            avoid: self.failed_on.get(&unit.first).unwrap_or(&no_workers),
             pool: capacity.map_or(Pool::All(&self.worker_names), Pool::WithCapacity),
         };
         let chosen = choose(&table.workers, &demand, now, &mut self.random)?;
@@ -358,8 +365,8 @@
     /// Whether a task still waits for the rack that holds its data, or a rack-local gang for a single rack that fits
     /// all its tasks.
     fn waits_for_locality(&self, step: &StepSpec, waited_ms: Millis) -> bool {
-        let extra_factor = self.far_factor - 1.0;
-        (waited_ms as f64) < step.estimated_ms as f64 * extra_factor * MAX_LOCALITY_WAIT_SHARE
+        let slowdown = self.remote_factor - 1.0;
+        (waited_ms as f64) < step.estimated_ms as f64 * slowdown * MAX_LOCALITY_WAIT_SHARE
     }
 
     /// Describes a unit for backfill.
@@ -374,7 +381,7 @@
             step,
             urgency,
             count: unit.count,
-            far_factor: self.far_factor,
+            remote_factor: self.remote_factor,
             long_running: job.submission.spec.long_running,
         }
     }
@@ -387,11 +394,11 @@
         candidate: &Candidate<'_>,
         now: Millis,
     ) -> bool {
-        let nothing = Resources::default();
+        let no_resources = Resources::default();
         self.nominations.allow(&worker.entry.incarnation, &first)
             && self
                 .backfill
-                .allows_backfill(worker, candidate, &nothing, now)
+                .allows_backfill(worker, candidate, &no_resources, now)
     }
 
     /// Reserves the earliest available capacity for a task that could not be placed, unless the task is too late anyway
@@ -446,7 +453,7 @@
         }
         table.mark_order_due(&incarnation);
         self.nominations.add(incarnation, planned.unit.first, now);
-        Preemption::Begun
+        Preemption::Started
     }
 
     fn may_preempt(&self, table: &RunTable, planned: &PlannedUnit<'_>) -> bool {
--- a/system/scheduler/src/planning_schedule.rs
+++ b/system/scheduler/src/planning_schedule.rs
@@ -30,7 +30,7 @@
     }
 
     /// Requests a round as soon as one is allowed.
-    pub(crate) fn request(&mut self) {
+    pub(crate) fn request_round(&mut self) {
         self.is_requested = true;
     }
 
--- a/system/scheduler/src/preemption.rs
+++ b/system/scheduler/src/preemption.rs
@@ -41,7 +41,7 @@
     now: Millis,
 ) -> Option<Victims> {
     let step = preemptor.step;
-    let suits = |worker: &&Worker| {
+    let is_eligible = |worker: &&Worker| {
         worker.is_schedulable(now)
             && !worker.health.is_on_probation()
             && worker.has_labels(&step.requirements)
@@ -50,7 +50,7 @@
     };
     workers
         .values()
-        .filter(suits)
+        .filter(is_eligible)
         .filter_map(|worker| victims_on(worker, preemptor, now))
         .min_by_key(|victims| victims.loss)
 }
@@ -63,7 +63,7 @@
         .filter(|(_, run)| is_preemptible(run, preemptor.priority))
         .collect();
     candidates.sort_by_key(|(task, run)| (loss_of(run, now), **task));
-    let wanted = &preemptor.step.resources;
+    let required = &preemptor.step.resources;
     let capacity = &worker.entry.capacity;
     let mut used = worker.used;
     let mut victims = Victims {
@@ -72,20 +72,21 @@
         loss: 0,
     };
     for (task, run) in candidates {
-        if wanted.saturating_add(&used).fits_in(capacity) {
+        if required.saturating_add(&used).fits_in(capacity) {
             break;
         }
         used = used.saturating_sub(&run.resources);
         victims.loss += loss_of(run, now);
         victims.tasks.push(*task);
     }
-    let suffices = wanted.saturating_add(&used).fits_in(capacity) && !victims.tasks.is_empty();
-    (suffices && victims.loss <= MAX_LOSS).then_some(victims)
+    let is_sufficient =
+        required.saturating_add(&used).fits_in(capacity) && !victims.tasks.is_empty();
+    (is_sufficient && victims.loss <= MAX_LOSS).then_some(victims)
 }
 
 fn is_preemptible(run: &Run, priority: u32) -> bool {
     run.priority > priority
-        && run.is_wanted_and_started()
+        && run.is_started_and_not_stopping()
         && !run.gang
         && !run.long_running
         && run.progress.percent < NEARLY_DONE_PERCENT
--- a/system/scheduler/src/queue.rs
+++ b/system/scheduler/src/queue.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
     queued: BTreeMap<Urgency, Queued>,
-    of_job: HashMap<JobId, Vec<Urgency>>,
+    by_job: HashMap<JobId, Vec<Urgency>>,
 }
 
 pub(crate) fn urgency(job: &Job, task: TaskId, wall: WallMillis) -> Urgency {
@@ -72,13 +72,13 @@
             keys.push(key);
         }
         if !keys.is_empty() {
-            self.of_job.insert(id, keys);
+            self.by_job.insert(id, keys);
         }
     }
 
     /// Removes and returns all queued units of a job.
     pub(crate) fn remove(&mut self, job: JobId) -> BTreeMap<Urgency, Queued> {
-        let keys = self.of_job.remove(&job).unwrap_or_default();
+        let keys = self.by_job.remove(&job).unwrap_or_default();
         keys.into_iter()
             .filter_map(|key| Some((key, self.queued.remove(&key)?)))
             .collect()
@@ -87,7 +87,7 @@
     /// Removes a unit that was placed.
     pub(crate) fn take(&mut self, key: &Urgency) {
         self.queued.remove(key);
-        if let Some(keys) = self.of_job.get_mut(&key.task.job) {
+        if let Some(keys) = self.by_job.get_mut(&key.task.job) {
             keys.retain(|other| other != key);
         }
     }
--- a/system/scheduler/src/replies.rs
+++ b/system/scheduler/src/replies.rs
@@ -18,7 +18,7 @@
 const STOP_CONFIRMATION_MS: Millis = 500;
 /// Delay before the lease of a worker that did not reply to a call is renewed.
 const RENEWAL_RETRY_MS: Millis = 30;
-const STRAY_STOP_TIMEOUT_MS: Millis = 400;
+const ORPHAN_STOP_TIMEOUT_MS: Millis = 400;
 
 /// A call whose reply has arrived.
 struct RepliedCall {
@@ -68,7 +68,7 @@
     fn handle_worker_reply(&mut self, replied: &RepliedCall, reply: WorkerReply) {
         let incarnation = &replied.call.incarnation;
         self.table.lease_schedule.mark_updated(incarnation);
-        self.record_contact(replied, &reply);
+        self.update_responsiveness(replied, &reply);
         match replied.call.purpose {
             CallPurpose::LeaseRenewal { .. } | CallPurpose::HealthCheck => {
                 self.handle_lease_reply(replied, reply);
@@ -85,12 +85,12 @@
                 let ordered = OrderedRun { task, run };
                 self.handle_stop_reply(incarnation, ordered, &reply, replied.now);
             }
-            CallPurpose::StopStray => {}
+            CallPurpose::StopOrphan => {}
         }
     }
 
     /// Updates the clock reading and the responsiveness of a worker from any reply or timeout.
-    fn record_contact(&mut self, replied: &RepliedCall, reply: &WorkerReply) {
+    fn update_responsiveness(&mut self, replied: &RepliedCall, reply: &WorkerReply) {
         let InFlightCall {
             incarnation,
             purpose,
@@ -119,11 +119,11 @@
                     .is_some_and(|since| *sent_at >= since)
                 {
                     worker.suspected_since = None;
-                    self.planner.request();
+                    self.planner.request_round();
                 }
                 if purpose.lists_runs() && worker.unanswered_renewals > 0 {
                     worker.unanswered_renewals = 0;
-                    self.planner.request();
+                    self.planner.request_round();
                 }
             }
             WorkerReply::Unhealthy | WorkerReply::Unreadable | WorkerReply::OtherIncarnation => {}
@@ -131,7 +131,7 @@
     }
 
     fn handle_lease_reply(&mut self, replied: &RepliedCall, reply: WorkerReply) {
-        let max_hold_ms = self.settings.max_lease_ms;
+        let max_lease_ms = self.settings.max_lease_ms;
         let Some(worker) = self.table.workers.get_mut(&replied.call.incarnation) else {
             return;
         };
@@ -146,9 +146,9 @@
             worker.has_responded = true;
             // An earlier scheduler may have granted it a lease of the maximum duration.
             if !worker.runs.is_empty() {
-                worker.lease_granted_until = worker.lease_granted_until.max(clock + max_hold_ms);
+                worker.lease_granted_until = worker.lease_granted_until.max(clock + max_lease_ms);
             }
-            self.planner.request();
+            self.planner.request_round();
         }
         worker.lease.renew_at = replied.now;
         self.handle_listing(&replied.call, clock, &listing, replied.now);
@@ -158,7 +158,7 @@
         let Some(worker) = self.table.workers.get_mut(&call.incarnation) else {
             return;
         };
-        let stray_runs = record_running(worker, listing, now);
+        let orphaned_runs = record_running(worker, listing, now);
         if let Some(command) = propose_completions(worker, listing) {
             self.outputs.push(Output::Propose(command));
         }
@@ -166,12 +166,12 @@
         if !lost.is_empty() {
             self.propose_loss(lost);
         }
-        for OrderedRun { task, run } in stray_runs {
-            self.call(
+        for OrderedRun { task, run } in orphaned_runs {
+            self.send_call(
                 &call.incarnation,
-                CallPurpose::StopStray,
+                CallPurpose::StopOrphan,
                 WorkerOrder::Stop { task, run },
-                STRAY_STOP_TIMEOUT_MS,
+                ORPHAN_STOP_TIMEOUT_MS,
             );
         }
     }
@@ -231,17 +231,17 @@
 
 /// Records the runs that a worker lists as running. Returns the listed runs that are not tracked on this worker.
 fn record_running(worker: &mut Worker, listing: &Listing, now: Millis) -> Vec<OrderedRun> {
-    let mut stray_runs = Vec::new();
+    let mut orphaned_runs = Vec::new();
     for listed in &listing.running {
         match worker.run_mut(&listed.task, listed.run) {
             Some(run) => run.handle_listed(listed, now),
-            None => stray_runs.push(OrderedRun {
+            None => orphaned_runs.push(OrderedRun {
                 task: listed.task,
                 run: listed.run,
             }),
         }
     }
-    stray_runs
+    orphaned_runs
 }
 
 /// Returns a command that records the listed completions, if some have not been proposed yet.
@@ -279,7 +279,7 @@
     if listing.completed.len() >= MAX_LISTED_COMPLETIONS {
         return Vec::new();
     }
-    let is_overdue = |run: &Run| {
+    let must_be_listed = |run: &Run| {
         let is_stopped = run.next_stop_at.is_some()
             && run.start_attempts > 0
             && run.phase != RunPhase::LossProposed;
@@ -291,13 +291,13 @@
     worker
         .runs
         .iter()
-        .filter(|(task, run)| is_overdue(run) && !shows(listing, task, run.id))
+        .filter(|(task, run)| must_be_listed(run) && !includes_run(listing, task, run.id))
         .map(|(task, run)| run.to_lost(*task, &worker.entry.incarnation))
         .collect()
 }
 
 /// Whether a listing includes a run, as running or completed.
-fn shows(listing: &Listing, task: &TaskId, run: RunId) -> bool {
+fn includes_run(listing: &Listing, task: &TaskId, run: RunId) -> bool {
     let is_running = listing
         .running
         .iter()
--- a/system/scheduler/src/run.rs
+++ b/system/scheduler/src/run.rs
@@ -130,7 +130,7 @@
     }
 
     /// Whether it is started and no stop has been requested.
-    pub(crate) fn is_wanted_and_started(&self) -> bool {
+    pub(crate) fn is_started_and_not_stopping(&self) -> bool {
         self.phase == RunPhase::Started && self.next_stop_at.is_none()
     }
 
--- a/system/scheduler/src/scheduler.rs
+++ b/system/scheduler/src/scheduler.rs
@@ -4,7 +4,7 @@
     calls::{Output, WorkerCall, WorkerOrder},
     ejection_report::EjectionReport,
     health::FailureRate,
-    job_calendar::JobCalendar,
+    job_timers::JobTimers,
     lease_timing::LeaseTiming,
     planner::Planner,
     queue::URGENT_PRIORITY,
@@ -48,7 +48,7 @@
     pub(crate) snapshot_position: LogPosition,
     pub(crate) table: RunTable,
     pub(crate) ejection_report: EjectionReport,
-    pub(crate) job_calendar: JobCalendar,
+    pub(crate) job_timers: JobTimers,
     pub(crate) calls: CallTable,
     /// Monotonic time of the last input.
     pub(crate) now: Millis,
@@ -80,7 +80,7 @@
             snapshot_position: LogPosition::default(),
             table: RunTable::new(now),
             ejection_report: EjectionReport::default(),
-            job_calendar: JobCalendar::default(),
+            job_timers: JobTimers::default(),
             calls: CallTable::default(),
             now,
             wall: WallMillis::default(),
@@ -160,13 +160,13 @@
 
     /// When all leases granted by earlier owners of the role have expired, even on workers with slow clocks.
     pub(crate) fn previous_leases_expire_at(&self) -> Millis {
-        let max_hold_ms = self.settings.max_lease_ms;
-        let max_lease_ms = max_hold_ms + max_hold_ms / CLOCK_DRIFT_DIVISOR;
-        self.taken_over_at + self.settings.role_lease_ms + max_lease_ms
+        let max_lease_ms = self.settings.max_lease_ms;
+        let max_lease_with_drift_ms = max_lease_ms + max_lease_ms / CLOCK_DRIFT_DIVISOR;
+        self.taken_over_at + self.settings.role_lease_ms + max_lease_with_drift_ms
     }
 
     /// Sends an order to a worker and returns the id of the call. A deposed scheduler sends nothing.
-    pub(crate) fn call(
+    pub(crate) fn send_call(
         &mut self,
         incarnation: &str,
         purpose: CallPurpose,
@@ -223,7 +223,7 @@
             }
             // A task may become placeable by time alone, when an ejection or a wait for locality ends.
             if self.planner.queue.len() > 0 {
-                self.planner.request();
+                self.planner.request_round();
             }
         }
         self.send_due_orders(now, state);
--- a/system/scheduler/src/take_over.rs
+++ b/system/scheduler/src/take_over.rs
@@ -11,41 +11,41 @@
         self.drop_outputs();
         self.snapshot_position = state.position;
         self.table.clear_pending();
-        self.job_calendar.clear();
-        let own = |id: &JobId| {
+        self.job_timers.clear();
+        let is_own_job = |id: &JobId| {
             state
                 .jobs
                 .get(id)
                 .is_some_and(|job| job.submission.service == self.service)
         };
-        let mut wanted: BTreeMap<&str, Vec<(TaskId, RunId)>> = BTreeMap::new();
+        let mut recorded_runs: BTreeMap<&str, Vec<(TaskId, RunId)>> = BTreeMap::new();
         for (incarnation, record) in &state.workers {
             let runs = record
                 .runs
                 .iter()
-                .filter(|(task, _)| own(&task.job))
+                .filter(|(task, _)| is_own_job(&task.job))
                 .map(|(task, run)| (*task, *run));
-            wanted.insert(incarnation, runs.collect());
+            recorded_runs.insert(incarnation, runs.collect());
         }
-        self.drop_unrecorded_runs(&wanted);
-        for (incarnation, runs) in wanted {
+        self.drop_unrecorded_runs(&recorded_runs);
+        for (incarnation, runs) in recorded_runs {
             for (task, run) in runs {
                 self.adopt_run(incarnation, task, run, now, state);
             }
         }
         for (incarnation, worker) in &mut self.table.workers {
-            let seen = state
+            let acknowledged = state
                 .workers
                 .get(incarnation)
                 .map_or(0, |record| record.acknowledged_completion);
-            worker.acknowledged_completion = seen;
-            worker.proposed_completion = seen;
+            worker.acknowledged_completion = acknowledged;
+            worker.proposed_completion = acknowledged;
         }
         let ids: Vec<JobId> = state.jobs.keys().copied().collect();
         for id in ids {
-            self.review_job(id, now, state);
+            self.reconcile_job(id, now, state);
         }
-        self.planner.request();
+        self.planner.request_round();
         self.table.lease_schedule.scan_at(now);
     }
 
@@ -58,16 +58,16 @@
         }
     }
 
-    fn drop_unrecorded_runs(&mut self, wanted: &BTreeMap<&str, Vec<(TaskId, RunId)>>) {
+    fn drop_unrecorded_runs(&mut self, recorded_runs: &BTreeMap<&str, Vec<(TaskId, RunId)>>) {
         for (incarnation, worker) in &mut self.table.workers {
-            let on_record = wanted
+            let recorded = recorded_runs
                 .get(incarnation.as_str())
                 .map_or(&[][..], Vec::as_slice);
             let unrecorded: Vec<(TaskId, RunId)> = worker
                 .runs
                 .iter()
                 .map(|(task, run)| (*task, run.id))
-                .filter(|pair| !on_record.contains(pair))
+                .filter(|pair| !recorded.contains(pair))
                 .collect();
             for (task, run) in unrecorded {
                 worker.remove_run(&task, run);
--- a/system/scheduler/src/worker.rs
+++ b/system/scheduler/src/worker.rs
@@ -168,8 +168,8 @@
     /// Lower bound of the time that the worker's clock shows now; `None` if it was never read.
     pub(crate) fn min_clock(&self, now: Millis) -> Option<u64> {
         let reading = self.clock?;
-        let passed = now.saturating_sub(reading.received_at) as f64 * MIN_CLOCK_RATE;
-        Some(reading.worker_ms + passed as u64)
+        let elapsed = now.saturating_sub(reading.received_at) as f64 * MIN_CLOCK_RATE;
+        Some(reading.worker_ms + elapsed as u64)
     }
 
     /// Whether every lease ever granted to it has expired, so that no run can be active there.
@@ -187,8 +187,8 @@
     pub(crate) fn read_clock(&mut self, worker_ms: Option<u64>, now: Millis) {
         let Some(worker_ms) = worker_ms else { return };
         // Replies may arrive out of order; an older reading must not set the clock back.
-        let newer = self.min_clock(now).is_none_or(|known| worker_ms >= known);
-        if newer {
+        let is_newer = self.min_clock(now).is_none_or(|known| worker_ms >= known);
+        if is_newer {
             self.clock = Some(ClockReading {
                 worker_ms,
                 received_at: now,
@@ -196,12 +196,12 @@
         }
     }
 
-    pub(crate) fn has_labels(&self, wanted: &[String]) -> bool {
-        wanted.iter().all(|label| self.has_label(label))
+    pub(crate) fn has_labels(&self, required: &[String]) -> bool {
+        required.iter().all(|label| self.has_label(label))
     }
 
     pub(crate) fn has_label(&self, label: &str) -> bool {
-        self.entry.labels.iter().any(|own| own == label)
+        self.entry.labels.iter().any(|other| other == label)
     }
 
     /// The rack label, which the platform lists last, after the kind of the worker.
