--- a/system/scheduler/src/health.rs
+++ b/system/scheduler/src/health.rs
@@ -7,7 +7,8 @@
 const MIN_FAILURES_TO_EJECT: usize = 2;
 /// Maximum number of consecutive failures of different jobs that eject a worker.
 const MAX_FAILURES_TO_EJECT: usize = 3;
-/// The failures that eject a worker must occur by chance on a healthy worker with a probability below this.
+/// Consecutive failures are evidence against a worker if, at the failure rate of all workers, they occur by chance with
+/// a probability below this.
 const MAX_CHANCE_PROBABILITY: f64 = 0.0005;
 /// Weight of one run in the smoothed failure rate.
 const SMOOTHING_FACTOR: f64 = 0.01;
--- a/system/scheduler/tests/backfill.rs
+++ b/system/scheduler/tests/backfill.rs
@@ -1,4 +1,4 @@
-//! Queued large tasks get capacity, and small ones do not delay them.
+//! Backfilling: large tasks reserve capacity, and small tasks run before them only if they cause no delay.
 mod common;
 
 use common::*;
@@ -6,7 +6,7 @@
 use magpiegap_protocol::{StepSpec, WorkerEntry};
 
 #[googletest::test]
-fn given_a_queued_large_task_when_small_ones_come_then_only_those_that_do_not_delay_it_start() {
+fn small_tasks_start_unless_they_delay_large_task() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![timed_step(2000, 1000)]);
     harness.submit(2, vec![timed_step(4000, 1000)]);
@@ -21,7 +21,7 @@
 }
 
 #[googletest::test]
-fn given_a_queued_large_task_when_a_more_urgent_one_comes_then_that_is_started_at_once() {
+fn urgent_task_ignores_less_urgent_reservation() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![timed_step(2000, 1000)]);
     harness.submit_with_priority(2, 1, vec![timed_step(4000, 1000)]);
@@ -31,23 +31,23 @@
 }
 
 #[googletest::test]
-fn given_a_queued_large_task_when_another_worker_has_capacity_then_less_urgent_ones_start_there() {
+fn less_urgent_task_starts_on_unreserved_worker() {
     let mut harness = Harness::new(&["w1", "w2"]);
     harness.submit(1, vec![timed_step(2500, 1000)]);
     harness.submit(2, vec![timed_step(2500, 9000)]);
     harness.submit(3, vec![timed_step(4000, 1000)]);
     harness.advance(50);
-    let soon = harness.active(task(1, 0));
-    let late = harness.active(task(2, 0));
-    expect_that!(soon, not(container_eq(late.clone())));
+    let freed_soon = harness.active(task(1, 0));
+    let freed_late = harness.active(task(2, 0));
+    expect_that!(freed_soon, not(container_eq(freed_late.clone())));
     harness.submit_with_priority(4, 1, vec![timed_step(1000, 3000)]);
     harness.advance(50);
-    expect_that!(harness.active(task(4, 0)), container_eq(late));
+    expect_that!(harness.active(task(4, 0)), container_eq(freed_late));
 }
 
 #[googletest::test]
-fn given_a_gang_that_waits_for_one_rack_when_others_come_then_it_reserves_no_free_worker() {
-    // Given: two racks of two workers each; a gang of four waits for a rack that takes all of it
+fn gang_waiting_for_rack_reserves_no_free_worker() {
+    // Given two racks of two workers each, and a gang of four that waits for a rack that fits all of it.
     let mut harness = Harness::new(&["w1"]);
     let in_rack = |name: &str, rack: &str| WorkerEntry {
         labels: vec!["a".to_owned(), rack.to_owned()],
@@ -73,19 +73,17 @@
     harness.submit(1, vec![gang]);
     harness.advance(50);
     expect_that!(harness.active(task(1, 0)), is_empty());
-    // When
     harness.submit_with_priority(2, 1, vec![timed_step(2000, 9000)]);
     harness.advance(50);
-    // Then
     expect_that!(harness.active(task(2, 0)).len(), eq(1));
 }
 
 #[googletest::test]
-fn given_many_queued_large_tasks_when_small_ones_are_queued_behind_them_then_those_still_start() {
+fn small_task_starts_behind_many_large_tasks() {
     let mut harness = Harness::new(&["w1", "w2"]);
     harness.submit(1, vec![timed_step(4000, 9000)]);
     harness.submit(2, vec![timed_step(1500, 9000)]);
-    // Each is due after the one before and shorter than it, so that none is like an earlier one.
+    // Later deadlines and shorter estimates keep any task from being skipped for an earlier failed placement.
     for number in 0..60 {
         harness.advance(30);
         harness.submit(100 + number, vec![timed_step(4000, 8000 - number * 10)]);
--- a/system/scheduler/tests/common/mod.rs
+++ b/system/scheduler/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A scheduler between the log and its workers.
+//! Test harness: a scheduler with a simulated log and simulated workers.
 #![allow(dead_code)]
 use magpiegap_jobs::State;
 use magpiegap_protocol::{
@@ -11,10 +11,10 @@
 };
 
 pub(crate) const TOKEN: FencingToken = FencingToken(5);
-/// What the workers' clocks show when ours shows zero.
+/// Offset of the workers' clocks from the scheduler's clock.
 pub(crate) const WORKER_CLOCK: u64 = 1_000_000;
 
-/// A scheduler with its log, which commits at once.
+/// A scheduler with a log that commits each proposal immediately.
 pub(crate) struct Harness {
     pub now: u64,
     pub state: State,
@@ -73,7 +73,7 @@
         harness
     }
 
-    /// All workers reply to their first renewal.
+    /// Replies to the first renewal of each worker with an empty listing.
     pub(crate) fn reply_to_first_calls(&mut self) {
         for call in self.take_calls() {
             self.reply(&call, self.listing(vec![], vec![]));
@@ -88,14 +88,11 @@
     pub(crate) fn listing(
         &self,
         running: Vec<ListedRun>,
-        ended: Vec<ListedCompletion>,
+        completed: Vec<ListedCompletion>,
     ) -> WorkerReply {
         WorkerReply::Done {
             clock_ms: Some(self.clock()),
-            listing: Some(Listing {
-                running,
-                completed: ended,
-            }),
+            listing: Some(Listing { running, completed }),
         }
     }
 
@@ -231,7 +228,7 @@
     }
 }
 
-/// A step of one task that takes this long.
+/// A step of one task with this CPU demand and estimate.
 pub(crate) fn timed_step(cpu: u64, estimated_ms: u64) -> StepSpec {
     StepSpec {
         estimated_ms,
@@ -239,7 +236,7 @@
     }
 }
 
-/// How long the renewals among these calls may wait, in milliseconds.
+/// The long-poll durations of the renewals among these calls, in milliseconds.
 pub(crate) fn long_polls(calls: &[WorkerCall]) -> Vec<u64> {
     let wait = |call: &WorkerCall| match call.order {
         WorkerOrder::RenewLease {
--- a/system/scheduler/tests/deposed.rs
+++ b/system/scheduler/tests/deposed.rs
@@ -1,4 +1,4 @@
-//! A scheduler that a worker refuses for a higher token gives its role up at once.
+//! A scheduler whose token a worker refuses as stale gives up its role immediately.
 mod common;
 
 use common::{step, Harness, TOKEN};
@@ -14,17 +14,14 @@
 }
 
 #[googletest::test]
-fn given_a_worker_that_has_seen_a_higher_token_when_it_refuses_a_start_then_nothing_more_is_called()
-{
-    // Given
+fn start_refused_for_higher_token_ends_all_calls() {
     let mut harness = Harness::new(&["w1", "w2"]);
     harness.submit(1, vec![step(1, 1000)]);
     let starts = harness.starts();
     expect_that!(starts.len(), eq(1));
-    // When
     let reply = refused(&harness);
     harness.reply(&starts[0], reply);
-    // Then: not to any worker, and not for what comes later
+    // No calls are made any more, neither to other workers nor for later jobs.
     expect_that!(harness.scheduler.is_deposed(), eq(true));
     harness.take_calls();
     harness.submit(2, vec![step(1, 1000)]);
@@ -35,12 +32,12 @@
 }
 
 #[googletest::test]
-fn given_calls_not_yet_polled_when_a_start_is_refused_for_a_higher_token_then_they_are_dropped() {
+fn stale_token_refusal_drops_unpolled_calls() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 1000)]);
     let starts = harness.starts();
     expect_that!(starts.len(), eq(1));
-    // The scheduler has decided more by the time that the refusal comes.
+    // By the time the refusal arrives, the scheduler has queued further outputs.
     harness.submit(2, vec![step(1, 1000)]);
     harness.take_calls();
     harness.now += 2000;
@@ -49,11 +46,11 @@
         .on_timeout(harness.now, WallMillis(harness.now), &harness.state);
     let reply = refused(&harness);
     harness.reply(&starts[0], reply);
-    let orders = harness.scheduler.poll_outputs();
-    expect_that!(orders.len(), eq(1), "only a log line: {orders:?}");
+    let outputs = harness.scheduler.poll_outputs();
+    expect_that!(outputs.len(), eq(1), "only a log line: {outputs:?}");
 }
 
-/// A scheduler that waits for the reply to a call, for each purpose of calls.
+/// For each kind of call, a scheduler that waits for the reply to such a call.
 fn call_of_each_purpose() -> Vec<(&'static str, Harness, WorkerCall)> {
     let with_start = || {
         let mut harness = Harness::new(&["w1"]);
@@ -81,7 +78,7 @@
 }
 
 #[googletest::test]
-fn given_a_higher_token_at_a_worker_when_any_call_is_refused_for_it_then_the_role_is_given_up() {
+fn any_refusal_for_higher_token_deposes_scheduler() {
     let purposes = call_of_each_purpose();
     expect_that!(purposes.len(), eq(3));
     for (purpose, mut harness, call) in purposes {
@@ -93,7 +90,7 @@
 }
 
 #[googletest::test]
-fn given_other_refusals_when_they_arrive_then_the_role_goes_on() {
+fn other_refusals_do_not_depose_scheduler() {
     for reason in [
         RefusalReason::Superseded,
         RefusalReason::DeadlinePassed,
--- a/system/scheduler/tests/ejection.rs
+++ b/system/scheduler/tests/ejection.rs
@@ -1,4 +1,4 @@
-//! Workers whose runs fail are ejected, and one log line names many of them.
+//! Workers whose runs fail are ejected, and one log line reports many of them.
 mod common;
 
 use common::{step, Harness};
@@ -8,7 +8,7 @@
 
 const WORKERS: [&str; 7] = ["w1", "w2", "w3", "w4", "w5", "w6", "w7"];
 
-/// Lets a job for each worker fail there, all in the same moment.
+/// Submits one job per worker; their runs all fail at the same time.
 fn fail_on_all_workers(
     harness: &mut Harness,
     round: u64,
@@ -22,11 +22,11 @@
         let magpiegap_scheduler::WorkerOrder::Start { task, run, .. } = start.order else {
             continue;
         };
-        let seen = acknowledged_completion
+        let acknowledged = acknowledged_completion
             .entry(start.incarnation.clone())
             .or_default();
-        *seen += 1;
-        let ends = vec![RunCompletion {
+        *acknowledged += 1;
+        let completions = vec![RunCompletion {
             task,
             run,
             kind: CompletionKind::Failed,
@@ -34,16 +34,16 @@
         }];
         harness.commit(Command::RecordCompletions {
             incarnation: start.incarnation,
-            acknowledged_completion: *seen,
-            completions: ends,
+            acknowledged_completion: *acknowledged,
+            completions,
         });
-        // Its job is not tried again elsewhere.
+        // Cancelling the job prevents a retry on another worker.
         harness.commit(Command::CancelJob { job: task.job });
     }
 }
 
 #[googletest::test]
-fn given_many_workers_that_fail_all_runs_when_they_are_ejected_then_one_log_line_names_them() {
+fn one_log_line_reports_many_ejections() {
     let mut harness = Harness::new(&WORKERS);
     let mut acknowledged_completion = BTreeMap::new();
     for round in 1..12 {
--- a/system/scheduler/tests/explanation.rs
+++ b/system/scheduler/tests/explanation.rs
@@ -1,4 +1,4 @@
-//! How a job is explained to operators.
+//! Job explanations for operators.
 mod common;
 
 use common::*;
@@ -7,8 +7,8 @@
 use magpiegap_scheduler::WorkerCounts;
 
 #[googletest::test]
-fn given_a_queued_job_when_it_is_explained_then_each_worker_is_counted_under_its_obstacle() {
-    // Given: one worker is full, one lacks the label, one is draining
+fn explanation_counts_each_worker_under_first_obstacle() {
+    // One worker is full, one lacks the label, and one is draining.
     let mut harness = Harness::new(&["w1"]);
     let labelled = WorkerEntry {
         labels: vec!["b".to_owned()],
@@ -40,11 +40,9 @@
         }],
     );
     harness.advance(10);
-    // When
     let Some(explanation) = harness.scheduler.explain(&harness.state, JobId(2)) else {
         panic!("no explanation")
     };
-    // Then
     expect_that!(explanation.state, eq("pending"));
     expect_that!(explanation.steps.len(), eq(1));
     expect_that!(explanation.steps[0].waiting, eq(2));
--- a/system/scheduler/tests/lease_renewal.rs
+++ b/system/scheduler/tests/lease_renewal.rs
@@ -1,4 +1,4 @@
-//! Leases are renewed when a worker changes and when time alone calls for it, without a scan at each step.
+//! Lease renewals are sent when a worker changes or time passes, without a scan of all workers on each step.
 mod common;
 
 use common::{long_polls, step, task, Harness};
@@ -17,7 +17,7 @@
     calls.iter().filter(is_renewal).cloned().collect()
 }
 
-/// A run on a worker that was started; its renewal is in flight.
+/// Returns a harness with one started run, and the renewal in flight to its worker.
 fn harness_with_one_run() -> (Harness, WorkerCall) {
     let mut harness = Harness::new(&WORKERS);
     harness.submit(1, vec![step(1, 1000)]);
@@ -30,9 +30,9 @@
 }
 
 #[googletest::test]
-fn given_idle_workers_when_a_run_is_only_proposed_then_the_lease_there_is_renewed_at_once() {
+fn proposing_a_run_renews_lease_immediately() {
     let mut harness = Harness::new(&WORKERS);
-    // Just after a scan that found nothing due.
+    // A scan has just found no renewal due.
     harness.advance(1);
     harness.take_calls();
     let submission = Submission {
@@ -68,7 +68,7 @@
 }
 
 #[googletest::test]
-fn given_a_completion_when_it_is_recorded_then_the_next_renewal_is_sent_at_once() {
+fn recording_a_completion_renews_lease_immediately() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(2, 1000)]);
     for start in harness.starts() {
@@ -76,7 +76,7 @@
     }
     harness.advance(1);
     let renewal = renewals(&harness.take_calls()).pop().expect("a renewal");
-    let ended = ListedCompletion {
+    let completion = ListedCompletion {
         sequence: 1,
         task: task(1, 0),
         run: 1,
@@ -89,26 +89,26 @@
         checkpoint: String::new(),
         percent: 10,
     };
-    harness.reply(&renewal, harness.listing(vec![running], vec![ended]));
-    // The completion goes to the log and comes back.
+    harness.reply(&renewal, harness.listing(vec![running], vec![completion]));
+    // Commits the completion and applies it.
     harness.advance(0);
     expect_that!(renewals(&harness.take_calls()).len(), eq(1));
 }
 
 #[googletest::test]
-fn given_a_renewal_without_a_reply_when_only_time_passes_then_it_is_sent_again() {
+fn timed_out_renewal_is_retried() {
     let (mut harness, renewal) = harness_with_one_run();
     harness.reply(&renewal, WorkerReply::TimedOut);
     harness.advance(5);
     expect_that!(renewals(&harness.take_calls()), is_empty());
     harness.advance(30);
-    let again = renewals(&harness.take_calls());
-    expect_that!(again.len(), eq(1));
-    expect_that!(again[0].incarnation, eq(&renewal.incarnation));
+    let retries = renewals(&harness.take_calls());
+    expect_that!(retries.len(), eq(1));
+    expect_that!(retries[0].incarnation, eq(&renewal.incarnation));
 }
 
 #[googletest::test]
-fn given_a_renewal_in_flight_when_time_passes_then_no_other_is_sent() {
+fn only_one_renewal_is_in_flight_per_worker() {
     let (mut harness, _) = harness_with_one_run();
     for _ in 0..200 {
         harness.advance(1);
@@ -117,7 +117,7 @@
 }
 
 #[googletest::test]
-fn given_all_workers_full_when_one_gets_capacity_then_the_next_round_of_planning_finds_it() {
+fn freed_capacity_is_used_in_next_planning_round() {
     let names: Vec<String> = (0..60).map(|number| format!("w{number}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut harness = Harness::new(&names);
@@ -129,13 +129,13 @@
     for start in &starts {
         harness.reply(start, harness.done());
     }
-    // More are queued than one round considers, and the last of them needs little capacity.
+    // More tasks are queued than one round examines, and the last one needs little capacity.
     for job in 0..100 {
         harness.submit_with_priority(1000 + job, 1, vec![step(1, 3000 + job)]);
     }
     harness.submit_with_priority(2000, 1, vec![step(1, 500)]);
     expect_that!(harness.starts(), is_empty());
-    let end = RunCompletion {
+    let completion = RunCompletion {
         task: task(1, 0),
         run: 1,
         kind: CompletionKind::Done,
@@ -145,7 +145,7 @@
     harness.commit(Command::RecordCompletions {
         incarnation: freed.clone(),
         acknowledged_completion: 1,
-        completions: vec![end],
+        completions: vec![completion],
     });
     harness.advance(25);
     let started: Vec<String> = harness
--- a/system/scheduler/tests/lease_timing.rs
+++ b/system/scheduler/tests/lease_timing.rs
@@ -1,11 +1,11 @@
-//! How often leases are renewed, by the number of busy workers.
+//! The duration of long polls depends on the number of busy workers.
 mod common;
 
 use common::*;
 use googletest::prelude::*;
 use magpiegap_protocol::StepSpec;
 
-/// Tasks that each fill a worker, on so many of them; returns the long polls that follow.
+/// Starts one task on each of `count` workers, each filling its worker, and returns the long polls that follow.
 fn long_polls_with_busy_workers(count: usize) -> Vec<u64> {
     let names: Vec<String> = (0..count).map(|number| format!("w{number}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -17,7 +17,7 @@
             ..step(count as u32, 4000)
         }],
     );
-    // A round of planning does not take all of them at once.
+    // One planning round does not place all of the tasks.
     for _ in 0..200 {
         for start in harness.starts() {
             harness.reply(&start, harness.done());
@@ -32,14 +32,14 @@
 }
 
 #[googletest::test]
-fn given_a_few_busy_workers_when_leases_are_renewed_then_each_is_called_twice_a_second() {
+fn few_busy_workers_renew_at_least_twice_a_second() {
     let long_polls = long_polls_with_busy_workers(20);
     expect_that!(long_polls, not(is_empty()));
     expect_that!(long_polls, each(le(&500)));
 }
 
 #[googletest::test]
-fn given_many_busy_workers_when_leases_are_renewed_then_calls_do_not_grow_with_their_number() {
+fn long_polls_lengthen_with_number_of_busy_workers() {
     let long_polls = long_polls_with_busy_workers(800);
     expect_that!(long_polls.iter().max(), some(eq(&1000)));
     expect_that!(
--- a/system/scheduler/tests/starting.rs
+++ b/system/scheduler/tests/starting.rs
@@ -1,4 +1,4 @@
-//! When a scheduler places, records and starts runs, and when it takes over those of an earlier one.
+//! Placing, recording and starting runs, and taking over the runs of an earlier scheduler.
 mod common;
 
 use common::*;
@@ -13,7 +13,7 @@
 };
 
 #[googletest::test]
-fn given_a_worker_with_capacity_when_a_job_comes_then_its_run_is_in_the_log_before_the_start() {
+fn run_is_logged_before_its_start_is_sent() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 1000)]);
     expect_that!(harness.active(task(1, 0)), elements_are![eq("w1")]);
@@ -23,36 +23,36 @@
 }
 
 #[googletest::test]
-fn given_two_workers_when_tasks_are_placed_then_none_gets_more_than_its_capacity() {
+fn placement_does_not_exceed_worker_capacity() {
     let mut harness = Harness::new(&["w1", "w2"]);
     harness.submit(1, vec![step(9, 1000)]);
     let starts = harness.starts();
     expect_that!(starts.len(), eq(8));
-    let of = |name: &str| {
+    let starts_on = |name: &str| {
         starts
             .iter()
             .filter(|call| call.incarnation == name)
             .count()
     };
-    expect_that!((of("w1"), of("w2")), eq((4, 4)));
+    expect_that!((starts_on("w1"), starts_on("w2")), eq((4, 4)));
 }
 
 #[googletest::test]
-fn given_an_unanswered_start_when_time_passes_then_the_same_run_is_sent_there_again() {
+fn timed_out_start_is_retried_on_same_worker() {
     let mut harness = Harness::new(&["w1", "w2"]);
     harness.submit(1, vec![step(1, 1000)]);
     let first = harness.starts().remove(0);
     harness.now += 250;
     harness.reply(&first, WorkerReply::TimedOut);
     harness.advance(10);
-    let again = harness.starts();
-    expect_that!(again.len(), eq(1));
-    expect_that!(again[0].incarnation, eq(&first.incarnation));
+    let retries = harness.starts();
+    expect_that!(retries.len(), eq(1));
+    expect_that!(retries[0].incarnation, eq(&first.incarnation));
     expect_that!(harness.active(task(1, 0)).len(), eq(1));
 }
 
 #[googletest::test]
-fn given_a_completion_when_it_is_listed_then_it_is_in_the_log_before_it_is_acknowledged() {
+fn completion_is_logged_before_it_is_acknowledged() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 1000)]);
     let start = harness.starts().remove(0);
@@ -60,7 +60,7 @@
     let renewal = harness
         .take_calls()
         .into_iter()
-        .find(|c| matches!(c.order, WorkerOrder::RenewLease { .. }))
+        .find(|call| matches!(call.order, WorkerOrder::RenewLease { .. }))
         .unwrap();
     expect_that!(
         matches!(
@@ -72,31 +72,31 @@
         ),
         eq(true)
     );
-    let end = ListedCompletion {
+    let completion = ListedCompletion {
         sequence: 1,
         task: task(1, 0),
         run: 1,
         kind: CompletionKind::Done,
         checkpoint: String::new(),
     };
-    harness.reply(&renewal, harness.listing(vec![], vec![end]));
+    harness.reply(&renewal, harness.listing(vec![], vec![completion]));
     harness.advance(10);
     expect_that!(harness.state.workers["w1"].acknowledged_completion, eq(1));
     harness.submit(2, vec![step(1, 1000)]);
     let renewals = harness.take_calls();
-    let seen = renewals.iter().find_map(|call| match call.order {
+    let acknowledged = renewals.iter().find_map(|call| match call.order {
         WorkerOrder::RenewLease {
             acknowledged_completion,
             ..
         } => Some(acknowledged_completion),
         _ => None,
     });
-    expect_that!(seen, some(eq(1)));
+    expect_that!(acknowledged, some(eq(1)));
 }
 
 #[googletest::test]
-fn given_a_change_of_view_when_the_scheduler_resumes_then_what_it_had_decided_is_dropped() {
-    // Given: a listing that lacks a run, just before the view changes
+fn resume_after_view_change_drops_pending_proposals() {
+    // A listing shows that a run is missing just before the view changes.
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 1000)]);
     let start = harness.starts().remove(0);
@@ -104,17 +104,16 @@
     let renewal = harness.take_calls().remove(0);
     harness.reply(&renewal, harness.listing(vec![], vec![]));
     harness.now += 10;
-    let later = harness.scheduler.poll_outputs();
-    drop(later);
+    let discarded = harness.scheduler.poll_outputs();
+    drop(discarded);
     harness.advance(10);
     let renewal = harness.take_calls().pop().unwrap();
     harness.reply(&renewal, harness.listing(vec![], vec![]));
-    // When
     harness.scheduler.resume(harness.now, &harness.state);
-    // Then
-    let lost = harness.scheduler.poll_outputs();
+    let outputs = harness.scheduler.poll_outputs();
     expect_that!(
-        lost.iter()
+        outputs
+            .iter()
             .filter(|output| matches!(output, Output::Propose(_)))
             .count(),
         eq(0)
@@ -122,7 +121,7 @@
 }
 
 #[googletest::test]
-fn given_no_capacity_at_the_worker_when_a_start_is_refused_then_the_task_is_queued_again() {
+fn start_refused_for_capacity_requeues_task() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 1000)]);
     let start = harness.starts().remove(0);
@@ -134,16 +133,16 @@
         },
     );
     harness.advance(10);
-    let again = harness.starts();
-    expect_that!(again.len(), eq(1));
+    let retries = harness.starts();
+    expect_that!(retries.len(), eq(1));
     expect_that!(
-        matches!(again[0].order, WorkerOrder::Start { run: 2, .. }),
+        matches!(retries[0].order, WorkerOrder::Start { run: 2, .. }),
         eq(true)
     );
 }
 
 #[googletest::test]
-fn given_a_cancelled_job_when_its_run_goes_on_then_it_is_stopped() {
+fn cancelling_a_job_stops_its_run() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 1000)]);
     let start = harness.starts().remove(0);
@@ -159,14 +158,13 @@
 }
 
 #[googletest::test]
-fn given_a_scheduler_that_read_the_full_state_when_older_entries_follow_then_no_run_is_taken_for_unsent(
-) {
-    // Given: a run that an earlier owner of the role has started
+fn entries_before_snapshot_do_not_lose_started_runs() {
+    // An earlier owner of the role has started a run.
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 1000)]);
     let start = harness.starts().remove(0);
     harness.reply(&start, harness.done());
-    // When: the next owner begins with the state as it is after a batch of entries, and then hears of each of them
+    // The next owner reads the state after a batch of entries, and then receives each of these entries.
     let mut next = Scheduler::new(
         "s",
         FencingToken(TOKEN.0 + 1),
@@ -210,35 +208,33 @@
             .filter(|output| matches!(output, Output::Propose(Command::LoseRuns { .. })))
             .count();
     }
-    // Then
     expect_that!(lost, eq(0));
 }
 
 #[googletest::test]
-fn given_many_workers_when_tasks_are_placed_then_the_less_busy_of_two_random_ones_gets_each() {
-    // Given
+fn two_choice_placement_balances_tasks_over_workers() {
     let names: Vec<String> = (0..60).map(|number| format!("w{number}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut harness = Harness::new(&names);
     harness.advance(100);
-    // When: three tasks for each worker, a quarter of a worker each
+    // Submits three tasks per worker, each needing a quarter of a worker.
     harness.submit(1, vec![step(180, 1000)]);
     let starts = harness.starts();
-    // Then: all are placed, no worker has too many, and hardly one has none
+    // All tasks are placed, no worker has more than four, and at most three workers have none.
     expect_that!(starts.len(), eq(180));
-    let of = |name: &str| {
+    let starts_on = |name: &str| {
         starts
             .iter()
             .filter(|call| call.incarnation == name)
             .count()
     };
-    let counts: Vec<usize> = names.iter().map(|name| of(name)).collect();
+    let counts: Vec<usize> = names.iter().map(|name| starts_on(name)).collect();
     expect_that!(counts.iter().max(), some(le(&4)));
     expect_that!(counts.iter().filter(|count| **count == 0).count(), le(3));
 }
 
 #[googletest::test]
-fn given_two_workers_with_a_label_among_many_when_a_task_needs_it_then_it_is_placed_there() {
+fn task_is_placed_on_workers_with_required_label() {
     let names: Vec<String> = (0..60).map(|number| format!("w{number}")).collect();
     let mut harness = Harness::new(&[]);
     let mut entries: Vec<_> = names.iter().map(|name| worker(name)).collect();
--- a/system/scheduler/tests/starvation.rs
+++ b/system/scheduler/tests/starvation.rs
@@ -1,11 +1,11 @@
-//! However many infeasible tasks are queued, feasible ones are started.
+//! Feasible tasks start however many infeasible tasks are queued.
 mod common;
 
 use common::{step, task, Harness};
 use googletest::prelude::*;
 use magpiegap_protocol::{Command, CompletionKind, RunCompletion, StepSpec};
 
-/// A task that no worker can run, and unlike all others.
+/// A task that no worker can run and that differs from all others, so that each is a separate failed placement.
 fn infeasible(number: u64) -> StepSpec {
     StepSpec {
         requirements: vec!["no-such-label".to_owned()],
@@ -14,8 +14,8 @@
 }
 
 #[googletest::test]
-fn given_many_kinds_of_infeasible_tasks_when_a_feasible_one_comes_then_it_is_started() {
-    // Given: a worker that is full, and more urgent tasks than a round of planning tries
+fn infeasible_tasks_do_not_starve_feasible_task() {
+    // The worker is full, and more infeasible tasks of higher urgency are queued than a planning round tries.
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 4000)]);
     for number in 0..200 {
@@ -24,9 +24,9 @@
     harness.submit_with_priority(2, 2, vec![step(1, 1000)]);
     let starts = harness.starts();
     expect_that!(starts.len(), eq(1));
-    // When: the worker is empty
+    // The run on the worker completes.
     harness.reply(&starts[0], harness.done());
-    let end = RunCompletion {
+    let completion = RunCompletion {
         task: task(1, 0),
         run: 1,
         kind: CompletionKind::Done,
@@ -35,9 +35,8 @@
     harness.commit(Command::RecordCompletions {
         incarnation: "w1".to_owned(),
         acknowledged_completion: 1,
-        completions: vec![end],
+        completions: vec![completion],
     });
-    // Then
     for _ in 0..100 {
         harness.advance(20);
     }
--- a/system/scheduler/tests/stopping.rs
+++ b/system/scheduler/tests/stopping.rs
@@ -1,4 +1,4 @@
-//! Runs that are to be stopped.
+//! Stopping runs that are no longer needed.
 mod common;
 
 use common::*;
@@ -8,10 +8,10 @@
 };
 use magpiegap_scheduler::{RefusalReason, WorkerCall, WorkerOrder, WorkerReply};
 
-/// How long a reply takes on the network.
+/// Network delay of a reply.
 const NETWORK_DELAY_MS: u64 = 5;
 
-/// How long a worker takes to reply: renewals wait for a completion as long as they may.
+/// Reply delay of a worker: renewals are delayed for as long as they may wait for a completion.
 fn reply_delay_ms(call: &WorkerCall) -> u64 {
     match call.order {
         WorkerOrder::RenewLease {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Lets time pass with workers that run nothing at all, and reply to every call.
+/// Advances time with workers that run nothing and reply to every call.
 fn advance_with_empty_workers(harness: &mut Harness, for_ms: u64) {
     let mut due: Vec<(u64, WorkerCall)> = Vec::new();
     let until = harness.now + for_ms;
@@ -45,7 +45,7 @@
 }
 
 #[googletest::test]
-fn given_a_gang_that_is_not_running_when_it_is_stopped_then_it_is_soon_off_the_record() {
+fn cancelled_gang_that_is_not_running_is_removed() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(
         1,
@@ -56,7 +56,7 @@
     );
     let starts = harness.starts();
     expect_that!(starts.len(), eq(2));
-    // One start is acknowledged; whether the other one took effect is not known.
+    // One start is acknowledged; the other one times out, so that it may or may not have taken effect.
     harness.reply(&starts[0], harness.done());
     harness.reply(&starts[1], WorkerReply::TimedOut);
     harness.commit(Command::CancelJob { job: JobId(1) });
@@ -65,8 +65,7 @@
 }
 
 #[googletest::test]
-fn given_an_acknowledged_stop_when_the_completion_is_not_listed_yet_then_it_is_not_repeated_at_once(
-) {
+fn acknowledged_stop_is_not_repeated_immediately() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 1000)]);
     let start = harness.starts().remove(0);
@@ -85,10 +84,10 @@
     expect_that!(stops, eq(1));
 }
 
-/// How long a start is valid, with a margin.
+/// Time after which a start has certainly expired: its validity and a margin.
 const SURELY_VOID_MS: u64 = 1700;
 
-/// Lets time pass with a worker that carries nothing out, replies to no order, and lists nothing.
+/// Advances time with a worker that executes no orders, does not reply to them, and lists no runs.
 fn advance_with_late_orders(harness: &mut Harness, for_ms: u64) {
     let until = harness.now + for_ms;
     while harness.now < until {
@@ -104,8 +103,7 @@
 }
 
 #[googletest::test]
-fn given_a_start_and_a_stop_without_replies_when_the_run_is_not_listed_then_it_counts_until_the_start_is_void(
-) {
+fn unlisted_run_is_tracked_until_start_expires() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 1000)]);
     let start = harness.starts().remove(0);
@@ -119,8 +117,7 @@
 }
 
 #[googletest::test]
-fn given_a_start_without_a_reply_when_its_retry_is_refused_for_capacity_then_the_first_one_still_counts(
-) {
+fn refused_retry_does_not_void_first_start() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 1000)]);
     let first = harness.starts().remove(0);
@@ -137,7 +134,7 @@
         },
     );
     harness.advance(10);
-    // The first one may still be carried out, once there is capacity.
+    // The first start may still take effect once there is capacity.
     let last_run = |harness: &Harness| {
         harness.state.jobs[&JobId(1)]
             .task(&task(1, 0))
@@ -147,12 +144,12 @@
     advance_with_late_orders(&mut harness, 500);
     expect_that!(last_run(&harness), some(eq(1)));
     advance_with_late_orders(&mut harness, 2 * SURELY_VOID_MS);
-    // By then it is void, and the task was started anew.
+    // The first start has expired, and the task has been restarted.
     expect_that!(last_run(&harness), some(gt(1)));
 }
 
-/// Submits job 1 with two occurrences that are due at once, and acknowledges their starts: the worker has the same
-/// step, index and run number of both.
+/// Submits job 1 with two occurrences that are due immediately, and acknowledges their starts. The two runs on the
+/// worker differ only in their occurrence.
 fn start_two_occurrences(harness: &mut Harness, step: StepSpec) {
     let spec = JobSpec {
         steps: vec![step],
@@ -170,14 +167,13 @@
     }
 }
 
-/// A run that a worker is ordered to start or to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct OrderedRun {
     task: TaskId,
     run: RunId,
 }
 
-/// The runs that workers are ordered to stop within half a second, each once.
+/// The distinct runs that workers are ordered to stop within half a second.
 fn stopped_runs(harness: &mut Harness) -> Vec<OrderedRun> {
     let mut stopped = Vec::new();
     for _ in 0..50 {
@@ -204,7 +200,7 @@
 }
 
 #[googletest::test]
-fn given_runs_alike_of_two_occurrences_when_the_job_is_cancelled_then_both_are_stopped() {
+fn cancelling_a_job_stops_runs_of_all_occurrences() {
     let mut harness = Harness::new(&["w1"]);
     start_two_occurrences(&mut harness, step(1, 1000));
     harness.commit(Command::CancelJob { job: JobId(1) });
@@ -215,7 +211,7 @@
 }
 
 #[googletest::test]
-fn given_gangs_of_two_occurrences_when_one_loses_a_member_then_the_other_goes_on() {
+fn broken_gang_does_not_stop_other_occurrences() {
     for broken in [0, 1] {
         let mut harness = Harness::new(&["w1"]);
         let gang = StepSpec {
--- a/system/scheduler/tests/unresponsive_workers.rs
+++ b/system/scheduler/tests/unresponsive_workers.rs
@@ -1,4 +1,4 @@
-//! Workers that do not reply, make no progress or have another incarnation, and a scheduler that was suspended itself.
+//! Unresponsive workers, stuck runs, replaced incarnations, and a scheduler that was suspended.
 mod common;
 
 use common::*;
@@ -7,7 +7,7 @@
 use magpiegap_scheduler::{ListedRun, SchedulerSettings, WorkerOrder, WorkerReply};
 
 #[googletest::test]
-fn given_an_unresponsive_worker_when_its_lease_may_last_then_its_task_is_started_nowhere_else() {
+fn task_of_unresponsive_worker_restarts_after_lease_expires() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 1000)]);
     let start = harness.starts().remove(0);
@@ -33,7 +33,7 @@
             lost_after = harness.now;
         }
     }
-    // Every lease that was ever granted has expired by then, on a clock that is two hundredths slow.
+    // Every lease ever granted must have expired by then, even on a clock that is two percent slow.
     let longest = SchedulerSettings::default().max_lease_ms;
     expect_that!(lost_after, gt(2_500));
     expect_that!(lost_after, lt(1000 + longest + longest / 20 + 2000));
@@ -41,7 +41,7 @@
 }
 
 #[googletest::test]
-fn given_a_stuck_run_when_listings_show_no_progress_then_it_is_stopped() {
+fn run_without_listed_progress_is_stopped() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 1000)]);
     let start = harness.starts().remove(0);
@@ -65,7 +65,7 @@
 }
 
 #[googletest::test]
-fn given_a_scheduler_that_was_suspended_when_it_resumes_then_no_run_is_taken_for_stuck() {
+fn suspended_scheduler_does_not_stop_runs_as_stuck() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 1000)]);
     let start = harness.starts().remove(0);
@@ -88,7 +88,7 @@
 }
 
 #[googletest::test]
-fn given_all_workers_ejected_when_that_ends_then_queued_tasks_are_placed() {
+fn queued_tasks_are_placed_when_ejection_ends() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 100)]);
     let start = harness.starts().remove(0);
@@ -100,7 +100,7 @@
 }
 
 #[googletest::test]
-fn given_another_incarnation_at_the_address_when_it_replies_then_the_old_runs_are_lost_at_once() {
+fn reply_from_other_incarnation_loses_old_runs() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 1000)]);
     let start = harness.starts().remove(0);
@@ -110,7 +110,7 @@
 }
 
 #[googletest::test]
-fn given_a_run_without_progress_when_it_is_listed_then_the_next_long_poll_is_short() {
+fn run_without_progress_shortens_next_long_poll() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 1000)]);
     let start = harness.starts().remove(0);
@@ -133,8 +133,8 @@
 }
 
 #[googletest::test]
-fn given_a_renewal_whose_reply_is_lost_when_it_times_out_then_the_worker_is_called_again_soon() {
-    // Given: a worker that has replied at once so far
+fn lost_renewal_reply_is_retried_soon() {
+    // The worker has replied immediately so far, so the call timeout is short.
     let mut harness = Harness::new(&["w1"]);
     for number in 1..100 {
         harness.submit(number, vec![step(1, 1000)]);
@@ -157,10 +157,8 @@
         elements_are![ge(&500)]
     );
     expect_that!(renewal.timeout_ms, lt(700));
-    // When
     harness.advance(renewal.timeout_ms);
     harness.reply(&renewal, WorkerReply::TimedOut);
     harness.advance(50);
-    // Then
     expect_that!(long_polls(&harness.take_calls()), elements_are![eq(&0)]);
 }
