--- a/system/scheduler/src/applied.rs
+++ b/system/scheduler/src/applied.rs
@@ -57,10 +57,10 @@
         }
     }
 
-    fn handle_completions_recorded(&mut self, incarnation: &str, last: u64, now: Millis) {
+    fn handle_completions_recorded(&mut self, incarnation: &str, sequence: u64, now: Millis) {
         if let Some(worker) = self.table.workers.get_mut(incarnation) {
-            worker.acknowledged_completion = last;
-            worker.proposed_completion = worker.proposed_completion.max(last);
+            worker.acknowledged_completion = sequence;
+            worker.proposed_completion = worker.proposed_completion.max(sequence);
             worker.lease.renew_at = now;
             self.table.lease_schedule.mark_updated(incarnation);
         }
--- a/system/scheduler/src/discovery.rs
+++ b/system/scheduler/src/discovery.rs
@@ -48,7 +48,7 @@
             worker.entry = entry.clone();
             worker.listed = true;
             worker.draining = draining;
-            worker.departs_at = entry.remaining_ms.map(|left| now + left);
+            worker.departs_at = entry.remaining_ms.map(|remaining_ms| now + remaining_ms);
             if has_changed {
                 self.planner.request_round();
             }
--- a/system/scheduler/src/ejection_report.rs
+++ b/system/scheduler/src/ejection_report.rs
@@ -32,13 +32,13 @@
             .map(String::as_str)
             .collect();
         let unnamed = ejected.len() - named.len();
-        let more = if unnamed > 0 {
+        let suffix = if unnamed > 0 {
             format!(" and {unnamed} more")
         } else {
             String::new()
         };
         Some(format!(
-            "ejected workers whose runs fail: {}{more}",
+            "ejected workers whose runs fail: {}{suffix}",
             named.join(", ")
         ))
     }
--- a/system/scheduler/src/job_reconciliation.rs
+++ b/system/scheduler/src/job_reconciliation.rs
@@ -91,10 +91,10 @@
 
     /// Proposes to open the due occurrences of repeated jobs.
     pub(crate) fn open_due_occurrences(&mut self, wall: WallMillis, state: &State) {
-        for due in self.job_timers.take_due(wall, state) {
+        for occurrence in self.job_timers.take_due(wall, state) {
             self.outputs.push(Output::Propose(Command::OpenOccurrence {
-                job: due.job,
-                occurrence: due.number,
+                job: occurrence.job,
+                occurrence: occurrence.number,
             }));
         }
     }
--- a/system/scheduler/src/lease_timing.rs
+++ b/system/scheduler/src/lease_timing.rs
@@ -40,8 +40,8 @@
         self.wait_ms
     }
 
-    /// Duration of granted leases, extended by as much as long polls are longer than their base duration, and kept a
-    /// tenth below the longest lease allowed.
+    /// Duration of granted leases: extended by as much as long polls exceed their base duration, and capped at nine
+    /// tenths of `max_lease_ms`.
     pub(crate) fn lease_ms(self, max_lease_ms: u64) -> u64 {
         (LEASE_MS + self.wait_ms - LONG_POLL_MS).min(max_lease_ms * 9 / 10)
     }
--- a/system/scheduler/src/planner.rs
+++ b/system/scheduler/src/planner.rs
@@ -227,7 +227,7 @@
             capacity: CapacityIndex::of(&table.workers, now),
             ..PlanningRound::default()
         };
-        let urgent = self.plan_units(
+        let urgent_end = self.plan_units(
             table,
             &queued,
             MAX_FAILED_URGENT_PLACEMENTS,
@@ -235,12 +235,19 @@
             now,
             state,
         );
-        if urgent < queued.len() {
-            let from = self.resume_position(&queued, urgent);
+        if urgent_end < queued.len() {
+            let resumed_start = self.resume_position(&queued, urgent_end);
             let max_failed = round.failed_placements.steps.len() + MAX_FAILED_RESUMED_PLACEMENTS;
-            let until =
-                from + self.plan_units(table, &queued[from..], max_failed, &mut round, now, state);
-            self.schedule.cursor = queued.get(until).map(|queued| queued.urgency);
+            let resumed_end = resumed_start
+                + self.plan_units(
+                    table,
+                    &queued[resumed_start..],
+                    max_failed,
+                    &mut round,
+                    now,
+                    state,
+                );
+            self.schedule.cursor = queued.get(resumed_end).map(|queued| queued.urgency);
         }
         round.runs
     }
@@ -256,15 +263,15 @@
 
     /// The queue position at which a round continues after its most urgent part: where the last round ended, if that is
     /// further back.
-    fn resume_position(&self, queued: &[QueuedUnit], urgent: usize) -> usize {
+    fn resume_position(&self, queued: &[QueuedUnit], urgent_end: usize) -> usize {
         let Some(cursor) = self.schedule.cursor else {
-            return urgent;
+            return urgent_end;
         };
         let next = queued.partition_point(|queued| queued.urgency < cursor);
         if next >= queued.len() {
-            urgent
+            urgent_end
         } else {
-            next.max(urgent)
+            next.max(urgent_end)
         }
     }
 
@@ -354,7 +361,7 @@
             pool: capacity.map_or(Pool::All(&self.worker_names), Pool::WithCapacity),
         };
         let chosen = choose(&table.workers, &demand, now, &mut self.random)?;
-        let runs = starts(job, unit, step, chosen);
+        let runs = run_starts(job, unit, step, chosen);
         for start in &runs {
             let run = Run::new(job, step, start, RunPhase::Proposed, now);
             table.add_proposed(&start.incarnation, start.task, run);
@@ -490,7 +497,12 @@
 }
 
 /// The runs of a unit on its chosen workers.
-fn starts(job: &Job, unit: &StartableUnit, step: &StepSpec, chosen: Vec<String>) -> Vec<RunStart> {
+fn run_starts(
+    job: &Job,
+    unit: &StartableUnit,
+    step: &StepSpec,
+    chosen: Vec<String>,
+) -> Vec<RunStart> {
     let tasks = || unit.tasks().filter_map(|task| job.task(&task));
     let run = tasks().map(|task| task.last_run).max().unwrap_or(0) + 1;
     // All members of a gang resume from the same checkpoint, which may be that of any member.
--- a/system/scheduler/src/run.rs
+++ b/system/scheduler/src/run.rs
@@ -51,7 +51,8 @@
         self.last_listed_at = now;
     }
 
-    /// Time between the first and the last listing with the current percentage, in milliseconds.
+    /// Time between the first and the last listing with the current percentage, in milliseconds: a lower bound of how
+    /// long the run has made no progress.
     pub(crate) fn stalled_ms(&self) -> Millis {
         self.last_listed_at.saturating_sub(self.since)
     }
@@ -154,8 +155,8 @@
 
     /// Records that the worker lists it as running.
     pub(crate) fn handle_listed(&mut self, listed: &ListedRun, now: Millis) {
-        let is_awaited = matches!(self.phase, RunPhase::Starting | RunPhase::Recorded { .. });
-        if is_awaited && self.start_attempts > 0 {
+        let is_start_pending = matches!(self.phase, RunPhase::Starting | RunPhase::Recorded { .. });
+        if is_start_pending && self.start_attempts > 0 {
             self.phase = RunPhase::Started;
             self.started_at = now;
         }
--- a/system/scheduler/src/worker.rs
+++ b/system/scheduler/src/worker.rs
@@ -66,7 +66,7 @@
     ) -> Worker {
         Worker {
             draining: entry.availability == Availability::Draining,
-            departs_at: entry.remaining_ms.map(|left| now + left),
+            departs_at: entry.remaining_ms.map(|remaining_ms| now + remaining_ms),
             entry,
             listed: true,
             used: Resources::default(),
