--- a/system/scheduler/src/discovery.rs
+++ b/system/scheduler/src/discovery.rs
@@ -1,22 +1,25 @@
-//! Follows the platform's list of workers: incarnations that begin, drain and end.
+//! Handles the platform's list of workers: incarnations that start, drain and end.
 use crate::{calls::Output, scheduler::Scheduler, worker::Worker};
 use magpiegap_jobs::State;
 use magpiegap_protocol::{Availability, Command, Millis, WorkerEntry};
 use std::collections::{HashMap, HashSet};
 
 impl Scheduler {
-    /// Takes the platform's list, which is complete: workers that it lacks have departed.
+    /// Handles the platform's complete list; workers missing from it have departed.
     pub fn handle_worker_list(&mut self, now: Millis, state: &State, entries: &[WorkerEntry]) {
-        let own: Vec<&WorkerEntry> = entries
+        let own_entries: Vec<&WorkerEntry> = entries
             .iter()
             .filter(|entry| entry.service == self.service)
             .collect();
-        let listed: HashSet<&str> = own.iter().map(|entry| entry.incarnation.as_str()).collect();
-        let addresses: HashMap<&str, &str> = own
+        let listed: HashSet<&str> = own_entries
+            .iter()
+            .map(|entry| entry.incarnation.as_str())
+            .collect();
+        let addresses: HashMap<&str, &str> = own_entries
             .iter()
             .map(|entry| (entry.address.as_str(), entry.incarnation.as_str()))
             .collect();
-        let mut over = Vec::new();
+        let mut ended = Vec::new();
         for (incarnation, worker) in &mut self.table.workers {
             if listed.contains(incarnation.as_str()) {
                 continue;
@@ -24,13 +27,13 @@
             worker.listed = false;
             let successor = addresses.get(worker.entry.address.as_str());
             if successor.is_some_and(|other| other != incarnation) {
-                over.push(incarnation.clone());
+                ended.push(incarnation.clone());
             }
         }
-        for incarnation in over {
+        for incarnation in ended {
             self.end_incarnation(&incarnation, state);
         }
-        for entry in own {
+        for entry in own_entries {
             self.refresh_worker(entry, now, state);
         }
     }
@@ -45,9 +48,9 @@
             worker.entry = entry.clone();
             worker.listed = true;
             worker.draining = draining;
-            worker.departs_at = entry.remaining_ms.map(|left| now + left);
+            worker.departs_at = entry.remaining_ms.map(|remaining_ms| now + remaining_ms);
             if has_changed {
-                self.planner.request();
+                self.planner.request_round();
             }
             return;
         }
@@ -57,10 +60,10 @@
             worker.proposed_completion = record.acknowledged_completion;
         }
         self.table.workers.insert(entry.incarnation.clone(), worker);
-        self.planner.request();
+        self.planner.request_round();
     }
 
-    /// Ends an incarnation that is surely over, and loses its runs.
+    /// Removes an incarnation that is known to have ended and proposes the loss of its runs.
     pub(crate) fn end_incarnation(&mut self, incarnation: &str, state: &State) {
         let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
@@ -77,6 +80,6 @@
             }));
         }
         self.table.workers.remove(incarnation);
-        self.planner.request();
+        self.planner.request_round();
     }
 }
--- a/system/scheduler/src/orders.rs
+++ b/system/scheduler/src/orders.rs
@@ -1,4 +1,4 @@
-//! Sends the orders to start and stop runs, and proposes the loss of runs that are surely not running.
+//! Sends orders to start and stop runs, and proposes the loss of runs that are known not to be running.
 use crate::{
     call_table::CallPurpose,
     calls::{Output, WorkerOrder},
@@ -9,21 +9,21 @@
 use magpiegap_jobs::State;
 use magpiegap_protocol::{Command, Millis, RunStart, TaskId};
 
-/// How long a start is valid, on the worker's clock.
+/// How long a start order stays valid, on the worker's clock.
 const START_VALID_MS: u64 = 1500;
-/// Time between two orders to stop the same run.
+/// Retry interval for stop orders of the same run.
 const STOP_RETRY_MS: Millis = 300;
-/// A start is sent this often at most before the run is given up.
+/// Maximum number of start orders sent for a run before it is stopped.
 const MAX_START_ATTEMPTS: u32 = 8;
 
-/// What is to be done about a run now.
+/// The action that is due for a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DueOrder {
     Nothing,
     Start,
     Stop,
-    /// Its start was never sent and is not to be sent any more, so that it is surely not running.
-    Lose,
+    /// The start was never sent and must not be sent any more, so the run cannot be running.
+    ProposeLoss,
 }
 
 impl DueOrder {
@@ -32,7 +32,7 @@
         let accepts_starts = is_reachable && worker.listed && !worker.draining;
         let is_unsent = matches!(run.phase, RunPhase::Recorded { .. }) && run.start_attempts == 0;
         if is_unsent && (run.next_stop_at.is_some() || !accepts_starts) {
-            return DueOrder::Lose;
+            return DueOrder::ProposeLoss;
         }
         if !is_reachable || run.in_flight_orders > 0 || run.phase == RunPhase::LossProposed {
             return DueOrder::Nothing;
@@ -46,14 +46,14 @@
 }
 
 impl Scheduler {
-    /// Sends the starts and stops that are due on the workers marked to have some.
+    /// Sends the due start and stop orders to the workers marked by `mark_order_due`.
     pub(crate) fn send_due_orders(&mut self, now: Millis, state: &State) {
         for incarnation in self.table.take_workers_with_orders() {
             self.send_orders(&incarnation, now, state);
         }
     }
 
-    /// Sends the starts and stops that are due on one worker.
+    /// Sends the due start and stop orders to one worker.
     pub(crate) fn send_orders(&mut self, incarnation: &str, now: Millis, state: &State) {
         let Some(worker) = self.table.workers.get(incarnation) else {
             return;
@@ -63,7 +63,7 @@
         for (task, run) in &worker.runs {
             match DueOrder::of(run, worker, now) {
                 DueOrder::Nothing => {}
-                DueOrder::Lose => lost.push(run.to_start(*task, incarnation)),
+                DueOrder::ProposeLoss => lost.push(run.to_start(*task, incarnation)),
                 order => due.push((*task, order)),
             }
         }
@@ -71,7 +71,7 @@
             match order {
                 DueOrder::Start => self.send_start(incarnation, task, state, now),
                 DueOrder::Stop => self.send_stop(incarnation, task, now),
-                DueOrder::Nothing | DueOrder::Lose => {}
+                DueOrder::Nothing | DueOrder::ProposeLoss => {}
             }
         }
         if !lost.is_empty() {
@@ -79,10 +79,10 @@
         }
     }
 
-    /// Proposes to take runs off the record that are surely not running.
+    /// Proposes the loss of runs that are known not to be running.
     pub(crate) fn propose_loss(&mut self, lost: Vec<RunStart>) {
         for start in &lost {
-            // Marked, so that it is not proposed again before the log has it.
+            // Prevents a second proposal before the log has decided on this one.
             let worker = self.table.workers.get_mut(&start.incarnation);
             if let Some(run) = worker.and_then(|worker| worker.runs.get_mut(&start.task)) {
                 run.phase = RunPhase::LossProposed;
@@ -92,8 +92,8 @@
             .push(Output::Propose(Command::LoseRuns { runs: lost }));
     }
 
-    /// Proposes the loss of all runs of a worker, once every lease ever granted to it has surely expired.
-    pub(crate) fn lose_expired_runs(&mut self, incarnation: &str) {
+    /// Proposes the loss of all runs of a worker; every lease ever granted to it must have expired.
+    pub(crate) fn propose_loss_of_expired_runs(&mut self, incarnation: &str) {
         let Some(worker) = self.table.workers.get_mut(incarnation) else {
             return;
         };
@@ -104,7 +104,7 @@
             }
         }
         self.outputs.push(Output::Log(format!(
-            "the holds on {incarnation} have run out: {} runs are lost",
+            "all leases on worker {incarnation} have expired; proposing the loss of its {} runs",
             lost.len()
         )));
         self.outputs
@@ -146,7 +146,7 @@
             deadline_ms,
             checkpoint: run.checkpoint.clone(),
         };
-        self.call(incarnation, purpose, order, self.calls.timeout_ms());
+        self.send_call(incarnation, purpose, order, self.calls.timeout_ms());
     }
 
     fn send_stop(&mut self, incarnation: &str, task: TaskId, now: Millis) {
@@ -159,7 +159,7 @@
         run.next_stop_at = Some(now + STOP_RETRY_MS);
         run.in_flight_orders += 1;
         let run = run.id;
-        self.call(
+        self.send_call(
             incarnation,
             CallPurpose::Stop { task, run },
             WorkerOrder::Stop { task, run },
