--- a/balancer/core/src/interface.rs
+++ b/balancer/core/src/interface.rs
@@ -1,6 +1,6 @@
-//! What a [`Balancer`](crate::Balancer) takes and returns: settings, identities, events, actions.
+//! Public types of a [`Balancer`](crate::Balancer): settings, identifiers, events and actions.
 //!
-//! Every time is in milliseconds on one clock that only increases; the balancer reads no clock itself.
+//! All times are in milliseconds on one monotonic clock, supplied by the caller.
 mod actions;
 mod checks;
 mod endpoints;
--- a/balancer/core/src/interface/actions.rs
+++ b/balancer/core/src/interface/actions.rs
@@ -1,52 +1,53 @@
-//! What an instance wants done.
+//! Actions that the balancer requests from its host.
 use super::{Millis, Refusal, RequestId, UpstreamId};
 
-/// What the balancer wants done, in order.
+/// An action for the host to perform. Actions are performed in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Begin an attempt.
+    /// Start an attempt.
     Send {
         /// The request.
         request: RequestId,
         /// The upstream that it goes to.
         upstream: UpstreamId,
-        /// Timeout of this attempt; zero: until the client's deadline.
+        /// Timeout of this attempt; zero means the client's deadline.
         timeout: Millis,
-        /// It must not be written after this time, however late its connection comes up; infinite: no such bound.
+        /// Latest time at which the request may be written to the connection, however long connecting takes;
+        /// infinite if unbounded.
         write_by: Millis,
     },
-    /// Stop waiting for an attempt; its outcome still comes.
+    /// Stop waiting for an attempt; its outcome is still reported.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt's number.
         attempt: u32,
     },
-    /// Final response: refused, and a retry does no harm.
+    /// Final response: the request is refused, and retrying it is safe.
     Refuse {
         /// The request.
         request: RequestId,
-        /// How long the client should wait before a retry; zero: no advice.
+        /// How long the client should wait before a retry; zero means no advice.
         retry_after: Millis,
-        /// Why, for the operator.
+        /// Reason, for the operator.
         reason: Refusal,
     },
-    /// Final response: failed, and it may have had an effect.
+    /// Final response: the request failed and may have had an effect.
     Fail {
         /// The request.
         request: RequestId,
     },
     /// Close the connections to an upstream that have no call in flight.
     CloseIdle(UpstreamId),
-    /// Subscribe to changes of the endpoint list; one [`EndpointUpdate`](crate::EndpointUpdate) event responds.
+    /// Subscribe to changes of the endpoint list; answered by one [`EndpointUpdate`](crate::EndpointUpdate) event.
     Subscribe,
-    /// Set a timer for one [`Event::Timer`](crate::Event::Timer).
+    /// Set a one-shot timer that triggers [`Event::Timer`](crate::Event::Timer).
     SetTimer {
-        /// From now.
+        /// Delay from now.
         after: Millis,
-        /// Returned with the event.
+        /// Passed back in the event.
         token: u32,
     },
-    /// A line for the operator's log.
+    /// Write a line to the operator's log.
     Log(String),
 }
--- a/balancer/core/src/interface/endpoints.rs
+++ b/balancer/core/src/interface/endpoints.rs
@@ -1,59 +1,59 @@
 //! The endpoint list and its updates.
 use super::{Class, Millis, UpstreamId};
 
-/// Whether an upstream takes new work.
+/// Whether an upstream accepts new calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Availability {
-    /// Takes new work.
+    /// Accepts new calls.
     #[default]
     Ready,
-    /// Completes its calls in flight; nothing new may be sent.
+    /// Completes its calls in flight; no new call may be sent.
     Draining,
-    /// Removed.
+    /// No longer in service.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Endpoint {
-    /// Identity of the upstream.
+    /// Identifier of the upstream.
     pub id: UpstreamId,
-    /// Its zone.
+    /// Zone in which it runs.
     pub zone: u16,
-    /// Its machine kind.
+    /// Machine type.
     pub kind: u8,
-    /// The group whose members share the keys they have seen.
+    /// Group of upstreams that share their deduplication keys.
     pub group: u16,
-    /// Whether it takes new work.
+    /// Whether it accepts new calls.
     pub availability: Availability,
-    /// When its process last started; zero: long ago.
+    /// When its process last started; zero if long ago.
     pub since: Millis,
 }
 
 /// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointUpdate {
-    /// The full list; upstreams that it lacks are removed.
+    /// The full list; upstreams missing from it are removed.
     Full(Vec<Endpoint>),
-    /// The full list as this instance last had it, perhaps outdated.
+    /// The full list as this instance last received it; may be outdated.
     Cached(Vec<Endpoint>),
-    /// Only what changed.
+    /// Changed entries only.
     Delta(Vec<Endpoint>),
-    /// A call for the list failed or the subscription broke; the last list remains valid.
+    /// Fetching the list failed or the subscription was interrupted; the last list remains valid.
     Failed,
 }
 
-/// Which upstreams a list names.
+/// Which upstreams a list contains.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ListKind {
-    /// All that there are.
+    /// All upstreams.
     Full,
-    /// Those that changed.
+    /// Changed upstreams only.
     Delta,
 }
 
 impl Class {
-    /// Whether it may be sent to this upstream at all.
+    /// Whether placement constraints allow requests of this class at the upstream.
     pub fn admits(&self, endpoint: &Endpoint) -> bool {
         let zone_allowed = self
             .zones
@@ -68,7 +68,7 @@
 }
 
 impl EndpointUpdate {
-    /// The upstreams that it names, and which these are; none when there was no list.
+    /// The endpoints in the update and whether they are the full list; `None` if there was no list.
     pub(crate) fn into_endpoints(self) -> Option<(Vec<Endpoint>, ListKind)> {
         match self {
             EndpointUpdate::Full(endpoints) | EndpointUpdate::Cached(endpoints) => {
--- a/balancer/core/src/interface/events.rs
+++ b/balancer/core/src/interface/events.rs
@@ -1,32 +1,32 @@
-//! What happens to an instance while it runs.
+//! Events that the host passes to an instance.
 use super::{EndpointUpdate, Learned, Millis, RequestId, TierUpdate, UpstreamId};
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Served.
+    /// A successful response.
     Ok,
-    /// An error response; it may have run.
+    /// An error response; the request may have run.
     Error,
-    /// Rejected (overloaded or draining); never ran, unless
+    /// Rejected by the upstream (overloaded or draining); never ran, unless
     /// [`Settings::late_shedding`](crate::Settings::late_shedding) is set.
     Rejected,
-    /// No response in time; may have run or still run.
+    /// No response within the timeout; may have run or still be running.
     Timeout,
-    /// No connection could be made; never ran.
+    /// No connection could be established; never ran.
     ConnectFailed,
-    /// The connection broke; may have run.
+    /// The connection was reset; may have run.
     Reset,
-    /// Cancelled; may have run.
+    /// Cancelled by the host; may have run.
     Cancelled,
-    /// Was not sent at all; never ran.
+    /// Never sent; never ran.
     NotSent,
-    /// Something unknown; counts as one that may have run.
+    /// Unknown outcome; treated as one that may have run.
     Unknown,
 }
 
 impl Ending {
-    /// Whether this ending proves that the attempt never ran; for `Rejected` see
+    /// Whether this ending proves that the attempt never ran. For `Rejected`, see also
     /// [`Settings::late_shedding`](crate::Settings::late_shedding).
     pub fn never_ran(self) -> bool {
         matches!(
@@ -36,89 +36,89 @@
     }
 }
 
-/// Why a request is refused.
+/// Reason for which a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// Its tenant is over its limit, and the learned capacity is used up.
+    /// The tenant is over its limit and the learned capacity is used up.
     OverLimit,
-    /// Less time is left than responses take.
+    /// Less time is left until the deadline than a response takes.
     TooLittleTime,
-    /// No upstream can be sent to.
+    /// No upstream is available.
     NoUpstream,
-    /// An attempt failed, and no other may or can be made.
+    /// An attempt failed, and no retry is allowed or possible.
     GivenUp,
 }
 
 /// A client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its identity.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// Position in [`Settings::classes`](crate::Settings::classes).
+    /// Index into [`Settings::classes`](crate::Settings::classes).
     pub class: usize,
-    /// Position in [`Settings::tenants`](crate::Settings::tenants).
+    /// Index into [`Settings::tenants`](crate::Settings::tenants).
     pub tenant: usize,
-    /// When the client gives up.
+    /// When the client stops waiting.
     pub deadline: Millis,
-    /// A hash of what it requests, even over all values and the same at every instance and for every retry of a
-    /// client, as far as that can be told: load shedding sheds the lowest first.
+    /// Uniformly distributed hash of the request, as far as possible the same at every instance and for every retry
+    /// by the client. Load shedding rejects the lowest values first.
     pub tie: u64,
 }
 
-/// What happened.
+/// An event in the life of an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The endpoint list changed.
     EndpointUpdate(EndpointUpdate),
-    /// A request came in: it is owed one final response from now on.
+    /// A request arrived. It gets exactly one final response.
     Request(Request),
-    /// The response of a streamed request has begun; its attempt is now the client's.
+    /// The response to a streaming request has started; the client now follows this attempt directly.
     Streaming {
         /// The request.
         request: RequestId,
         /// The attempt's number.
         attempt: u32,
     },
-    /// An attempt ended. Exactly one for each [`Action::Send`](crate::Action::Send).
+    /// An attempt ended. Reported exactly once for each [`Action::Send`](crate::Action::Send).
     Outcome {
         /// The request.
         request: RequestId,
-        /// The attempt's number, counted from zero in the order of sends.
+        /// The attempt's number, counted from zero in send order.
         attempt: u32,
         /// How it ended.
         ending: Ending,
         /// Time since it was sent; finite.
         duration: Millis,
-        /// The request has ended, by this outcome or earlier.
+        /// Whether the request has ended, with this outcome or earlier.
         closed: bool,
     },
-    /// An upstream reported its load; comes just before the outcome that the report was attached to.
+    /// An upstream reported its load. Delivered just before the outcome of the response that carried the report.
     Load {
         /// The upstream.
         upstream: UpstreamId,
-        /// Requests in flight at it, from all balancers together, a little while ago; finite.
+        /// Requests in flight at the upstream from all balancers, shortly before the report arrived; finite.
         in_flight: f64,
     },
-    /// An upstream reported how many requests a second it serves, for all balancers together. Like [`Event::Load`].
+    /// An upstream reported its request rate over all balancers. Delivered like [`Event::Load`].
     Served {
         /// The upstream.
         upstream: UpstreamId,
-        /// Requests a second; finite.
+        /// Requests per second; finite.
         per_s: f64,
     },
-    /// What an earlier instance with these settings had learned; ignored if [`Learned::validate`] refuses it. Applied
-    /// from the first endpoint list that names a ready upstream on.
+    /// State learned by an earlier instance with these settings; ignored if [`Learned::validate`] rejects it. Applied
+    /// once an endpoint list contains a ready upstream.
     Restored {
         /// The state.
         learned: Box<Learned>,
-        /// Time since it was handed out.
+        /// Time since the state was saved.
         age: Millis,
     },
-    /// What this instance has received of its tier; replaces the update before.
+    /// State of the tier as received by this instance; replaces the previous update.
     Tier(Box<TierUpdate>),
-    /// The client disconnected, or its time ran out: it is owed no response any more.
+    /// The client disconnected or its deadline passed; it no longer needs a response.
     ClientDisconnected(RequestId),
-    /// The program shuts down: every request that is open needs its final response by this time.
+    /// The process is shutting down: every open request must get its final response by this time.
     EndBy(Millis),
     /// A timer set with [`Action::SetTimer`](crate::Action::SetTimer) has expired.
     Timer(u32),
--- a/balancer/core/src/interface/learned.rs
+++ b/balancer/core/src/interface/learned.rs
@@ -1,37 +1,37 @@
-//! What an instance has learned, to be saved for a later one.
-use super::checks::{check, is_amount, is_part};
+//! Learned state of an instance, saved for a later one.
+use super::checks::{check, is_amount, is_fraction};
 use super::{Millis, Settings, SettingsError, UpstreamId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Least response time that is valid, in milliseconds: one that took no time would never be grown from again.
+/// Minimum valid response time. The unloaded response time grows by a factor, so it could never recover from zero.
 const MIN_RESPONSE_TIME: Millis = 1e-3;
 
-/// The largest count of an upstream's outcomes or ejections: counting stops there.
+/// Maximum count of an upstream's outcomes or ejections; counters saturate here.
 const MAX_COUNT: u32 = 1_000_000_000;
 
-/// What an instance has learned of the load. Rates are calls per cycle, of a second.
+/// Learned load. Rates are in calls per cycle of one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// What the next tier carries for this instance.
+    /// Capacity of the next tier for this instance.
     pub capacity: f64,
-    /// What was admitted: its mean of late.
+    /// Recent mean of the admitted rate.
     pub recent: f64,
-    /// What was admitted: its peak of late.
+    /// Recent peak of the admitted rate.
     pub peak: f64,
-    /// What all instances together get served, by what upstreams report; zero: not known.
+    /// Served rate over all instances, as reported by upstreams; zero if unknown.
     pub served: f64,
-    /// The part of responses in time.
+    /// Fraction of responses within their objective.
     pub success: f64,
-    /// The part of the least capacity that is left while responses take as long as in an overload.
+    /// Fraction of the capacity floor that applies; reduced while response times indicate an overload.
     pub uncrowded: f64,
-    /// The mean time of a response that was not queued.
+    /// Mean response time without queueing.
     pub unloaded: Millis,
 }
 
 impl Load {
-    /// The same for `size` times as many upstreams.
+    /// Scales the rates to `size` times as many upstreams.
     pub fn scaled(self, size: f64) -> Load {
         Load {
             capacity: size * self.capacity,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Blends it with a saved one: of weight `load` in what it says of the load, and `times` in response times.
+    /// Interpolates towards a saved load: with weight `load` for load values and `times` for response times.
     pub fn mixed(self, saved: &Load, load: f64, times: f64) -> Load {
         let blend = |now: f64, then: f64, weight: f64| now + weight * (then - now);
         Load {
@@ -56,28 +56,28 @@
     }
 }
 
-/// What an instance has learned of an upstream.
+/// Learned state of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Health {
-    /// Response time as a multiple of its kind's.
+    /// Response time relative to the mean of its machine type.
     pub slowness: f64,
-    /// The part of attempts of late that failed.
+    /// Recent fraction of attempts that failed.
     pub fails: f64,
-    /// Attempts that have ended.
+    /// Number of completed attempts.
     pub outcomes: u32,
     /// When it was last used.
     pub last_used: Millis,
-    /// Until when it is ejected.
+    /// End of its ejection.
     pub ejected_until: Millis,
-    /// Until when it is ejected for more than errors, which a tier behind may have caused.
+    /// End of its ejection for a cause other than error responses, which a downstream tier may have caused.
     pub lost_until: Millis,
-    /// Ejections in a row.
+    /// Consecutive ejections.
     pub ejections: u32,
 }
 
 impl Health {
-    /// The same on a clock that reads this much more. What was before its zero was long ago.
+    /// Converts the times to a clock that is ahead by `by`. Times before its zero become zero.
     pub fn shifted(self, by: Millis) -> Health {
         let shift = |at: Millis| (at + by).max(0.0);
         Health {
@@ -88,14 +88,14 @@
         }
     }
 
-    /// Counts an attempt that has ended.
+    /// Counts a completed attempt.
     pub(crate) fn count_outcome(&mut self) {
-        self.outcomes = counted(self.outcomes);
+        self.outcomes = saturating_increment(self.outcomes);
     }
 
     /// Counts an ejection.
     pub(crate) fn count_ejection(&mut self) {
-        self.ejections = counted(self.ejections);
+        self.ejections = saturating_increment(self.ejections);
     }
 
     fn is_valid(&self) -> bool {
@@ -107,51 +107,51 @@
             self.lost_until,
         ];
         amounts.into_iter().all(is_amount)
-            && is_part(self.fails)
+            && is_fraction(self.fails)
             && counts.into_iter().all(|count| count <= MAX_COUNT)
     }
 }
 
-/// One more than this count, or the largest one.
-fn counted(count: u32) -> u32 {
+/// Increments a counter, saturating at [`MAX_COUNT`].
+fn saturating_increment(count: u32) -> u32 {
     count.saturating_add(1).min(MAX_COUNT)
 }
 
-/// What an instance has learned, as [`Balancer::learned`](crate::Balancer::learned) hands it out and
-/// [`Event::Restored`](crate::Event::Restored) returns it to a later one.
+/// Learned state of an instance, as returned by [`Balancer::learned`](crate::Balancer::learned) and passed to a later
+/// instance in [`Event::Restored`](crate::Event::Restored).
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Learned {
-    /// When that was, on the clock of then: all times in it are on that clock.
+    /// When the state was saved, on the clock of the saving instance, which all times here refer to.
     pub at: Millis,
-    /// The load.
+    /// Learned load.
     pub load: Load,
-    /// The most ready upstreams that there were, each by its slow-start weight.
+    /// Highest number of ready upstreams so far, weighted by slow start.
     #[serde(rename = "upstreams_most")]
     pub upstreams_max: f64,
-    /// The part of `upstreams_max` that could be sent to.
+    /// Fraction of `upstreams_max` that was usable.
     pub upstreams_usable: f64,
     /// Mean response time.
     pub answer: Millis,
     /// Mean deviation from the mean response time.
     pub deviation: Millis,
-    /// Requests per cycle that each tenant made, by position in [`Settings::tenants`], with one further entry for
-    /// all that are not listed; absent: none was seen.
+    /// Requests per cycle of each tenant, in the order of [`Settings::tenants`], plus one entry for all unlisted
+    /// tenants; absent for tenants without requests.
     pub demands: Vec<Option<f64>>,
-    /// Response times of machine kinds, as parts of the class's objective, and the responses that each rests on.
+    /// Mean response time of each machine type relative to the class's objective, and its number of samples.
     pub kinds: BTreeMap<u8, (f64, f64)>,
-    /// The part of calls that got no response, in steps by how long their connection may have been idle.
+    /// Fraction of calls without a response, bucketed by how long their connection may have been idle.
     pub rest_lost: Vec<f64>,
-    /// Upstreams that were called, with when their processes had started: nothing applies to another start.
+    /// Upstreams that were called, with the start time of their process. The state does not apply after a restart.
     pub upstreams: Vec<(UpstreamId, Millis, Health)>,
 }
 
 impl Learned {
-    /// Checks every number. What passes can be restored completely, however old it is.
+    /// Checks every number. State that passes can be restored completely, whatever its age.
     ///
     /// # Errors
     ///
-    /// The first field at fault.
+    /// Returns the first invalid field.
     pub fn validate(&self, settings: &Settings) -> Result<(), SettingsError> {
         self.check_load()?;
         self.check_response_times(settings)?;
@@ -162,7 +162,7 @@
             "a rate of at least 0 for each tenant",
         )?;
         check(
-            self.rest_lost.iter().copied().all(is_part),
+            self.rest_lost.iter().copied().all(is_fraction),
             "learned.rest_lost",
             "between 0 and 1",
         )?;
@@ -172,7 +172,7 @@
                 .iter()
                 .all(|(_, since, health)| is_amount(*since) && health.is_valid()),
             "learned.upstreams",
-            "numbers of at least 0, counts of a billion at most",
+            "numbers of at least 0, counts of at most 1000000000",
         )
     }
 
@@ -193,26 +193,26 @@
         )?;
         let parts = [load.success, load.uncrowded, self.upstreams_usable];
         check(
-            parts.into_iter().all(is_part),
+            parts.into_iter().all(is_fraction),
             "learned.load.success",
             "between 0 and 1",
         )
     }
 
     fn check_response_times(&self, settings: &Settings) -> Result<(), SettingsError> {
-        // No response takes longer than the longest deadline.
+        // No response can take longer than the longest deadline.
         let deadlines = settings.classes.iter().map(|class| class.deadline);
         let longest = deadlines.fold(0.0, f64::max);
         let is_response_time = |time: f64| (MIN_RESPONSE_TIME..=longest).contains(&time);
         check(
             is_response_time(self.answer) && is_response_time(self.load.unloaded),
             "learned.answer",
-            "a time that an answer can take",
+            "at least 0.001 ms and at most the longest deadline",
         )?;
         check(
             (0.0..=longest).contains(&self.deviation),
             "learned.deviation",
-            "a time that an answer can take",
+            "between 0 and the longest deadline",
         )
     }
 
@@ -226,7 +226,7 @@
                 (0.0..=max_relative).contains(&relative) && is_amount(samples)
             }),
             "learned.kinds",
-            "times that answers can take",
+            "response times relative to the objective within the deadlines, sample counts of at least 0",
         )
     }
 }
--- a/balancer/core/src/interface/settings.rs
+++ b/balancer/core/src/interface/settings.rs
@@ -1,26 +1,26 @@
-//! What an instance starts with: classes, tenants, the deployment.
-use super::checks::{check, is_amount, is_part, is_positive};
+//! Configuration of an instance: request classes, tenants and deployment.
+use super::checks::{check, is_amount, is_fraction, is_positive};
 use super::{Millis, SettingsError};
 
-/// What repeating a request of a class may do.
+/// Whether requests of a class may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Effect {
-    /// May run any number of times.
+    /// Idempotent: may run any number of times.
     #[default]
     Free,
-    /// Carries a key; upstreams within `scope` discard repeats for `window` after the first send.
+    /// Carries a deduplication key; upstreams within `scope` discard duplicates for `window` after the first send.
     Guarded {
-        /// The upstreams that discard each other's repeats.
+        /// The upstreams that share deduplication keys.
         scope: DedupScope,
-        /// How long they remember, counted from the send of the first attempt that may have run.
+        /// How long keys are kept, from the sending of the first attempt that may have run.
         window: Millis,
     },
-    /// Must never run twice.
+    /// Not idempotent: must never run twice.
     SingleShot,
 }
 
 impl Effect {
-    /// Whether a retry does no harm, wherever it goes.
+    /// Whether a retry is safe at any upstream.
     pub fn harmless(self) -> bool {
         matches!(
             self,
@@ -33,89 +33,90 @@
     }
 }
 
-/// Which upstreams share the memory of keys for [`Effect::Guarded`] requests.
+/// Which upstreams share the deduplication keys of [`Effect::Guarded`] requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// Every upstream of the tier.
+    /// All upstreams of the tier.
     All,
-    /// Those in the same zone.
+    /// Upstreams in the same zone.
     Zone,
-    /// Those of the same group.
+    /// Upstreams of the same group.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
-    /// A response within this time earns its full value. Above zero.
+    /// Latency objective: a response within this time has its full value. Above zero.
     pub objective: Millis,
-    /// The longest that a client waits over all its retries. At least `objective`.
+    /// Longest time that a client waits, including all its retries. At least `objective`.
     pub deadline: Millis,
-    /// What a repeat may do.
+    /// Whether a request may run more than once.
     pub effect: Effect,
-    /// The part of its value that a response after `objective` still earns.
+    /// Fraction of its value that a response after `objective` keeps.
     pub late_value: f64,
-    /// What a response earns beside one of another class; zero: not stated.
+    /// Value of a response relative to other classes; zero if not configured.
     pub value: f64,
-    /// The only zones it may be sent to, at every attempt; `None`: any. Not an empty list.
+    /// Zones to which attempts may be sent; `None` for any. Must not be an empty list.
     pub zones: Option<Vec<u16>>,
-    /// The only machine kinds it may be sent to, at every attempt; `None`: any. Not an empty list.
+    /// Machine types to which attempts may be sent; `None` for any. Must not be an empty list.
     pub kinds: Option<Vec<u8>>,
 }
 
-/// A tenant with a stated share in the service.
+/// A tenant with a configured share of the service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its share relative to the other tenants; need not sum to one. At least zero.
+    /// Share relative to the other tenants; shares need not add up to one. At least zero.
     pub share: f64,
-    /// Requests per second within its share, over all balancers together; zero when not stated.
+    /// Request quota per second, over all balancers; zero if not configured.
     pub quota_per_s: f64,
 }
 
-/// Everything an instance starts with. [`Settings::default`] gives documented defaults.
+/// Configuration of an instance. See [`Settings::default`] for the defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// This instance's number among the balancers of its tier, from zero.
+    /// Index of this instance among the balancers of its tier, from zero.
     pub index: u32,
-    /// How many balancers the tier has. At least one.
+    /// Number of balancers in the tier. At least one.
     pub balancers: u32,
-    /// The tier that this instance sends to; zero is the one that clients reach first.
+    /// Index of the tier that this instance sends to; zero is the tier that clients reach first.
     pub stage: u32,
-    /// The zone this instance runs in.
+    /// Zone in which this instance runs.
     pub zone: u16,
-    /// Request classes; requests name them by position. At least one.
+    /// Request classes, referenced by index. At least one.
     pub classes: Vec<Class>,
-    /// Tenants; requests name them by position. Empty: all traffic is one tenant's.
+    /// Tenants, referenced by index. If empty, all traffic belongs to one tenant.
     pub tenants: Vec<Tenant>,
-    /// The most attempts for one request. At least one.
+    /// Maximum number of attempts per request. At least one.
     pub max_attempts: u32,
     /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Whether the endpoint list must be requested (`true`) or is pushed (`false`).
+    /// Whether the endpoint list is subscribed to (`true`) or pushed (`false`).
     pub subscribes: bool,
-    /// An instance that has neither a subscription nor requested one for this long counts as notified all the same.
+    /// An instance that has no subscription and has not requested one for this long is treated as notified of changes.
+    /// Above zero.
     pub subscribe_timeout: Millis,
-    /// Idle connections close after this time.
+    /// Idle connections are closed after this time.
     pub idle_close: Millis,
-    /// The longest advised wait before a retry that clients heed; zero: no advice is passed on.
+    /// Longest retry delay that clients respect; zero if no delay is advised.
     pub max_retry_after: Millis,
-    /// An upstream in slow start begins at this fraction of its capacity or higher.
+    /// Minimum fraction of its capacity that an upstream has at the beginning of slow start.
     pub slow_start_from: f64,
-    /// Slow start ends after this time at the latest.
+    /// Maximum duration of slow start.
     pub slow_start_time: Millis,
-    /// An upstream in slow start is overloaded when sent more than this multiple of its capacity at that moment.
+    /// An upstream in slow start is overloaded beyond this multiple of its current capacity.
     pub overload_multiple: f64,
-    /// The window in which that is counted, for what all balancers send together. Above zero.
+    /// Window over which `overload_multiple` applies, for calls from all balancers. Above zero.
     pub overload_window: Millis,
-    /// Upstreams also shed work that they had begun: [`Ending::Rejected`](crate::Ending::Rejected) is no proof that an
-    /// attempt never ran.
+    /// Whether upstreams may also reject requests that they have started, so that
+    /// [`Ending::Rejected`](crate::Ending::Rejected) does not prove that an attempt never ran.
     pub late_shedding: bool,
-    /// Price of one zone crossing per first attempt, as a part of a request's value.
+    /// Cost of sending a first attempt to another zone, as a fraction of a request's value.
     pub cross_zone_price: f64,
 }
 
 impl Default for Settings {
-    /// One balancer, one free class (1 s objective, 3 s deadline), one tenant, a pushed list, one zone.
+    /// One balancer, one idempotent class (objective 1 s, deadline 3 s), one tenant, a pushed endpoint list, one zone.
     fn default() -> Self {
         Settings {
             index: 0,
@@ -146,7 +147,7 @@
 }
 
 impl Settings {
-    /// The mean objective of all classes.
+    /// Mean objective over all classes.
     pub(crate) fn mean_objective(&self) -> Millis {
         let objectives = self.classes.iter().map(|class| class.objective);
         objectives.sum::<f64>() / self.classes.len() as f64
@@ -156,7 +157,7 @@
     ///
     /// # Errors
     ///
-    /// The first field at fault, by the name that it has in [`Settings::stored_form`].
+    /// Returns the first invalid field, by its name in [`Settings::stored_form`].
     pub fn validate(&self) -> Result<(), SettingsError> {
         check(self.balancers >= 1, "balancers", "at least 1")?;
         check(!self.classes.is_empty(), "classes", "at least one")?;
@@ -188,7 +189,7 @@
 
     fn validate_slow_start(&self) -> Result<(), SettingsError> {
         check(
-            is_part(self.slow_start_from),
+            is_fraction(self.slow_start_from),
             "cold_from",
             "between 0 and 1",
         )?;
--- a/balancer/core/src/interface/settings_error.rs
+++ b/balancer/core/src/interface/settings_error.rs
@@ -1,11 +1,11 @@
-//! What is wrong with settings or saved state.
+//! Validation errors of settings and saved state.
 
-/// Why [`Settings`](crate::Settings) were refused.
+/// An invalid field in [`Settings`](crate::Settings) or in saved state.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("setting {field} must be {must}")]
 pub struct SettingsError {
-    /// The field at fault.
+    /// Name of the invalid field.
     pub field: &'static str,
-    /// What it must be.
+    /// Requirement that the field does not meet.
     pub must: &'static str,
 }
--- a/balancer/core/src/interface/stored_form.rs
+++ b/balancer/core/src/interface/stored_form.rs
@@ -1,5 +1,5 @@
-//! The text of the settings that stored state is tied to. It holds the names that were current when it was first
-//! written, so that renaming a field does not make a balancer drop what an earlier version has learned.
+//! Text form of the settings that identifies the configuration of stored state. It keeps the field names of its first
+//! version, so that renaming a field does not invalidate the state that an earlier version has saved.
 use super::{Class, Settings};
 use std::fmt;
 
@@ -10,8 +10,8 @@
 struct StoredClass<'a>(&'a Class);
 
 impl Settings {
-    /// A text that is the same as long as the settings are: what was learned under one text is of no use under
-    /// another. No name in it changes.
+    /// Text form of the settings, equal for equal settings. Learned state is only valid for the text form it was saved
+    /// with. The names in it never change.
     pub fn stored_form(&self) -> String {
         format!("{:?}", StoredSettings(self))
     }
--- a/balancer/core/src/interface/tier.rs
+++ b/balancer/core/src/interface/tier.rs
@@ -1,16 +1,16 @@
-//! What the instances of a tier know together: evidence with an age, never a command. A balancer works without any of
-//! it, only less well informed.
+//! State that the instances of a tier share: observations with an age, never commands. A balancer also works without
+//! it, with local information only.
 use super::checks::is_amount;
 use super::{Millis, UpstreamId};
 
-/// One tenant's part in the sums over a tier.
+/// Load of one tenant, summed over a tier.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TenantLoad {
-    /// Requests a second that were made.
+    /// Requests per second.
     pub demand: f64,
-    /// Calls to upstreams in flight, as a mean over a second: slow calls count for as long as they last.
+    /// Mean number of upstream calls in flight over about a second; a call counts for its whole duration.
     pub calls: f64,
-    /// Open connections of clients.
+    /// Open client connections.
     pub client_connections: f64,
 }
 
@@ -22,24 +22,24 @@
     }
 }
 
-/// What is summed over a tier. Rates are per second.
+/// Load, summed over a tier. Rates are per second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TierLoad {
-    /// Requests that were made.
+    /// Incoming requests.
     pub demand: f64,
-    /// Requests that the next tier has the capacity for. Zero: demand, capacity and attempts are not known.
+    /// Capacity of the next tier; zero if demand, capacity and attempts are unknown.
     pub capacity: f64,
     /// First attempts.
     pub first_attempts: f64,
     /// Retries.
     pub retries: f64,
-    /// By position in [`Settings::tenants`](crate::Settings::tenants), with one further entry for all that are not
-    /// listed.
+    /// Load by tenant, in the order of [`Settings::tenants`](crate::Settings::tenants), plus one entry for all unlisted
+    /// tenants.
     pub tenants: Vec<TenantLoad>,
 }
 
 impl TierLoad {
-    /// Demand as a multiple of capacity.
+    /// Ratio of demand to capacity.
     pub fn pressure(&self) -> f64 {
         self.demand / self.capacity.max(1.0)
     }
@@ -48,11 +48,11 @@
 /// Sums over all live instances, this one included.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TierSums {
-    /// The sums.
+    /// The summed load.
     pub load: TierLoad,
-    /// Age of the oldest number in them, at most.
+    /// Upper bound on the age of the oldest summand.
     pub age: Millis,
-    /// Their relative standard error.
+    /// Relative standard error of the sums.
     pub error: f64,
 }
 
@@ -71,49 +71,50 @@
     }
 }
 
-/// What evidence is against.
+/// An upstream or zone that observations refer to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Subject {
     /// An upstream.
     Upstream(UpstreamId),
-    /// A zone, by position.
+    /// A zone, by number.
     Zone(u16),
 }
 
-/// Evidence of other instances.
+/// Observations of a failing upstream or zone by other instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Evidence {
-    /// Against what.
+    /// The observed upstream or zone.
     pub subject: Subject,
-    /// Distinct instances that observe it.
+    /// Number of instances that observe the failure.
     pub observers: u32,
-    /// Distinct zones that these are in.
+    /// Number of zones in which these instances run.
     pub zones: u32,
-    /// Distinct instances that it has responded to again.
+    /// Number of instances that have since received a response.
     pub cleared: u32,
-    /// Age of the latest observation, at most.
+    /// Upper bound on the age of the latest observation.
     pub age: Millis,
 }
 
-/// What this instance has received of its tier.
+/// State of the tier, as received by this instance.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TierUpdate {
-    /// Instances that are up, this one included. One: nothing is known of others.
+    /// Number of live instances, including this one; one if no other is known.
     pub up: u32,
-    /// This one's position among them, from zero.
+    /// Index of this instance among them, from zero.
     pub position: u32,
-    /// Whether it hears most of them: one that is partitioned off must not take its part for the full tier.
+    /// Whether this instance is connected to most of them. A partitioned instance must not take its partition for the
+    /// whole tier.
     pub joined: bool,
-    /// Sums over them; absent where nothing recent enough was received, or not all instances send sums yet.
+    /// Sums over the tier; absent if no recent ones were received, or if some instances do not support sums yet.
     pub sums: Option<TierSums>,
-    /// Evidence of others.
+    /// Observations by other instances.
     pub evidence: Vec<Evidence>,
 }
 
 impl TierUpdate {
-    /// Whether every number in it is one that can be: an update that is not sound is ignored.
+    /// Whether every number is valid; an invalid update is ignored.
     pub fn is_sound(&self) -> bool {
-        // As many members as a list can have.
+        // Member lists hold at most `u16::MAX` members.
         let is_member = self.position < self.up && self.up <= u32::from(u16::MAX);
         is_member
             && self.sums.iter().all(TierSums::is_sound)
@@ -121,13 +122,13 @@
     }
 }
 
-/// What this instance observes, for the others.
+/// Observations of this instance, shared with the others.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Observed {
-    /// Its part in the sums. `callers` is left at zero: the host knows it.
+    /// Load of this instance. `client_connections` is zero here; the host fills it in.
     pub load: TierLoad,
-    /// What it has evidence against, the worst first.
+    /// Upstreams and zones that it observes to fail, the worst first.
     pub against: Vec<Subject>,
-    /// What it had evidence against and has had a response from since.
+    /// Upstreams and zones that failed and have responded since.
     pub cleared: Vec<Subject>,
 }
--- a/balancer/core/src/lib.rs
+++ b/balancer/core/src/lib.rs
@@ -1,7 +1,7 @@
 //! The decisions of a load balancer for services that call services, as a sans-I/O state machine.
 //!
-//! A [`Balancer`] is told what happens ([`Event`]) and answers with what to do ([`Action`]); it opens no
-//! socket, reads no clock and shares nothing with other instances.
+//! A [`Balancer`] receives events ([`Event`]) and returns the actions to perform ([`Action`]); it opens no
+//! socket, reads no clock and shares no state with other instances.
 //!
 //! ```
 //! use balancer_core::*;
@@ -21,7 +21,7 @@
 //! actions.clear();
 //! let answer = Event::Outcome { request: id, attempt: 0, ending: Ending::Ok, duration: 20.0, closed: true };
 //! balancer.handle(21.0, answer, &mut actions);
-//! assert!(actions.is_empty(), "a served request is over");
+//! assert!(actions.is_empty(), "a served request needs no further action");
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
