--- a/balancer/core/src/policy.rs
+++ b/balancer/core/src/policy.rs
@@ -1,9 +1,9 @@
-//! Every decision of the balancer. The types of its interface are in `interface`, its records in `state`.
+//! Decision logic of the balancer. Its public types are in `interface`, its data structures in `state`.
 //!
-//! Ordinary path of a request: count it as its tenant's demand; admit it when its tenant is within its
-//! limit or the cycle's capacity is not used up, refuse it otherwise; send it to the less busy of two
-//! random ready upstreams by our own calls in flight. Everything else here is an exception to that, and
-//! says which failure it guards against.
+//! Normal path of a request: count it towards its tenant's demand; admit it if the tenant is within its limit or the
+//! cycle's capacity is not used up, otherwise refuse it; send it to the one of two random ready upstreams that has
+//! fewer calls of this instance in flight. Everything else handles exceptions, and states the failure that it
+//! guards against.
 mod admission;
 mod attempts;
 mod capacity;
--- a/balancer/core/src/policy/admission.rs
+++ b/balancer/core/src/policy/admission.rs
@@ -1,16 +1,16 @@
-//! Decides which requests are admitted, from what tenants requested and got this cycle and the calls in flight.
+//! Admission control: by tenant limits, the capacity of the cycle and the calls in flight.
 use super::{capacity::*, limits::*, load_shedding::CAPACITY_MARGIN};
 use crate::{interface::*, state::*};
 
-/// Cycles' worth of limit that a tenant may save up; evens out the chance arrivals of tiny counts.
+/// Unused limit that a tenant may accumulate, in cycles; smooths random arrivals at low request counts.
 const BURST_CYCLES: f64 = 6.0;
-/// Calls in flight that are always allowed, since an instance with little traffic cannot send parts of a call.
+/// Calls in flight that are always allowed, as the computed bound is below one for an instance with little traffic.
 const MIN_IN_FLIGHT: f64 = 1.0;
-/// Part of its length from which a cycle counts as complete.
+/// Minimum fraction of its length for a cycle to count as complete.
 const COMPLETE_CYCLE: f64 = 0.5;
 
 impl Admission {
-    /// Counts the request as demand and decides whether it is admitted.
+    /// Counts the request towards demand and decides whether it is admitted.
     pub(crate) fn admit(
         &mut self,
         tenant: usize,
@@ -19,21 +19,23 @@
         capacity: &mut Capacity,
     ) -> bool {
         if !self.tenants[tenant].seen {
-            // A new tenant ends the cycle early, so that it has a limit at once (as published).
+            // A new tenant ends the cycle early, so that it gets a limit immediately (as in the published algorithm).
             self.tenants[tenant].seen = true;
             self.end_cycle(now, capacity);
         }
-        // Responses tell of an overload only when they come, late. Calls in flight tell at once: more than
-        // the capacity takes in the unloaded response time are waiting somewhere.
+        // Late responses reveal an overload only when they arrive. The number of calls in flight reveals it
+        // immediately: calls beyond capacity times unloaded response time are queued somewhere.
         let load = &capacity.load;
         let in_flight_during = |time: Millis| load.capacity / CYCLE * time + MIN_IN_FLIGHT;
-        let full_in_flight = in_flight_during(load.unloaded * IN_FLIGHT_FULL);
-        let max_in_flight = in_flight_during((load.unloaded * MAX_IN_FLIGHT).max(capacity.timely));
+        let full_in_flight = in_flight_during(load.unloaded * FULL_IN_FLIGHT_MULTIPLE);
+        let max_in_flight =
+            in_flight_during((load.unloaded * MAX_IN_FLIGHT_MULTIPLE).max(capacity.on_time_limit));
         let state = &mut self.tenants[tenant];
         state.cycle_requests += 1.0;
         let in_flight = self.in_flight - self.in_flight_lost;
-        let full = self.uncovered >= load.capacity || in_flight >= full_in_flight;
-        // Where the tier has a level, a request above it is as within limits; those within limits there go last.
+        let full = self.bucket_level >= load.capacity || in_flight >= full_in_flight;
+        // If the tier has a shedding level, requests above it count as within limits, and requests of tenants within
+        // their tier-wide limit are refused last.
         let within_limit = state.admitted < state.limit || verdict != SheddingVerdict::NoLevel;
         let max_in_flight = if verdict == SheddingVerdict::WithinLimit {
             max_in_flight * CAPACITY_MARGIN
@@ -46,44 +48,45 @@
             return false;
         }
         state.admitted += 1.0;
-        self.uncovered += 1.0;
+        self.bucket_level += 1.0;
         self.cycle_admitted += 1.0;
         true
     }
 
-    /// Ends the cycle: updates demands and capacity, and gives tenants new limits.
+    /// Ends the cycle: updates demands, capacity and tenant limits.
     pub(crate) fn end_cycle(&mut self, now: Millis, capacity: &mut Capacity) {
-        // A cycle that a new tenant cut short counts for the part that it lasted.
-        let part = ((now - self.cycle_start) / CYCLE).clamp(0.0, 1.0);
+        // A cycle that a new tenant ended early counts in proportion to its duration.
+        let fraction = ((now - self.cycle_start) / CYCLE).clamp(0.0, 1.0);
         self.cycle_start = now;
-        self.update_demands(part);
+        self.update_demands(fraction);
         let refused_within_limit =
-            part >= COMPLETE_CYCLE && std::mem::take(&mut self.refused_within_limit);
+            fraction >= COMPLETE_CYCLE && std::mem::take(&mut self.refused_within_limit);
         capacity.end_cycle(&CycleEnd {
             admitted: self.cycle_admitted,
-            part,
-            complete: part >= COMPLETE_CYCLE,
+            fraction,
+            complete: fraction >= COMPLETE_CYCLE,
             refused_within_limit,
         });
         self.cycle_admitted = 0.0;
         let capacity = capacity.load.capacity;
-        self.update_limits(part, capacity);
-        self.uncovered = (self.uncovered - capacity * part).clamp(0.0, capacity);
+        self.update_limits(fraction, capacity);
+        self.bucket_level = (self.bucket_level - capacity * fraction).clamp(0.0, capacity);
     }
 
-    fn update_demands(&mut self, part: f64) {
-        let gain = part * DEMAND_GAIN;
+    fn update_demands(&mut self, fraction: f64) {
+        let gain = fraction * DEMAND_GAIN;
         for tenant in self.tenants.iter_mut().filter(|tenant| tenant.seen) {
-            if part > 0.0 {
-                tenant.demand += gain * (tenant.cycle_requests / part - tenant.demand);
+            if fraction > 0.0 {
+                tenant.demand += gain * (tenant.cycle_requests / fraction - tenant.demand);
             }
             tenant.cycle_requests = 0.0;
         }
     }
 
-    fn update_limits(&mut self, part: f64, capacity: f64) {
+    fn update_limits(&mut self, fraction: f64, capacity: f64) {
         let seen = || self.tenants.iter().filter(|tenant| tenant.seen);
-        // Tiny counts: a limit at the mean refuses half the cycles of a steady tenant, so one deviation more.
+        // At low request counts, a limit at the mean would refuse requests of a steady tenant in half of the cycles,
+        // so one standard deviation is added.
         let demands: Vec<f64> = seen()
             .map(|tenant| tenant.demand + tenant.demand.sqrt())
             .collect();
@@ -91,7 +94,7 @@
         let new_limits = limits(capacity, &demands, &weights, RESERVATION);
         let seen = self.tenants.iter_mut().filter(|tenant| tenant.seen);
         for (tenant, limit) in seen.zip(new_limits) {
-            let unused = tenant.admitted - tenant.limit * part;
+            let unused = tenant.admitted - tenant.limit * fraction;
             tenant.admitted = unused.clamp(-BURST_CYCLES * limit, limit);
             tenant.limit = limit;
         }
@@ -99,7 +102,7 @@
 }
 
 impl Balancer {
-    /// The tenant furthest over its share of callers' connections; one that can spare none holds zero.
+    /// The tenant with the most client connections relative to its share; tenants with zero are skipped.
     pub fn furthest_over(&self, in_use: &[u32]) -> Option<usize> {
         let tenants = &self.admission.tenants;
         let relative = |tenant: &usize| f64::from(in_use[*tenant]) / tenants[*tenant].weight;
--- a/balancer/core/src/policy/attempts.rs
+++ b/balancer/core/src/policy/attempts.rs
@@ -1,55 +1,57 @@
-//! Decides whether a request gets an attempt, where to, for how long, and its final response. Owns no state.
+//! Attempts of a request: whether to make one, at which upstream and with which timeout, and the final response if
+//! none succeeds. Stateless.
 use super::{idle_connections::NextConnection, limits::CYCLE, response_times::TIMEOUT_DEVIATIONS};
 use crate::{interface::*, state::*};
 
-/// An attempt is given up early only where failures exceed this, or a quarter of it on connections idle as long.
+/// Attempts time out early only if the upstream's failure rate exceeds this, or the loss rate of connections that were
+/// idle as long exceeds a quarter of it.
 const SUSPECT_FAILURE_RATE: f64 = 0.2;
-/// Where more than this part of all attempts fails, a tier declines as a whole, or what is behind it does.
-const DECLINING_FAILURE_RATE: f64 = 0.5;
-/// Part of the slow-start budget that is used; the rest absorbs chance and calls heavier than average.
-const SLOW_START_PART: f64 = 0.5;
+/// A higher failure rate over all upstreams means that the whole tier, or one downstream of it, is failing.
+const TIER_FAILURE_RATE: f64 = 0.5;
+/// Fraction of the slow-start budget that is used; the rest absorbs random variation and expensive calls.
+const SLOW_START_BUDGET_FRACTION: f64 = 0.5;
 
-/// What an attempt must keep to because an earlier one may have run.
-struct RepeatRule {
-    /// Where a repeat is discarded.
+/// Constraints on an attempt after an earlier one that may have run.
+struct RetryConstraints {
+    /// Upstreams that discard a duplicate.
     dedup: Option<DedupDomain>,
-    /// When the attempt must have been written; infinite: no such bound.
+    /// Latest time at which the attempt may be written; infinite if unbounded.
     write_by: Millis,
 }
 
 impl Balancer {
-    /// Sends an attempt if an upstream can be found and every rule allows it. Returns whether it did.
+    /// Sends an attempt if allowed and an upstream is available. Returns whether it was sent.
     pub(super) fn send(&mut self, now: Millis, id: RequestId, actions: &mut Actions) -> bool {
         let Some(pending) = self.pending.get(&id) else {
             return false;
         };
-        let Some(rule) = self.repeat_rule(pending) else {
+        let Some(constraints) = self.retry_constraints(pending) else {
             return false;
         };
-        let too_late = now >= pending.deadline.min(rule.write_by);
+        let too_late = now >= pending.deadline.min(constraints.write_by);
         if pending.attempts >= self.settings.max_attempts || too_late {
             return false;
         }
-        let Some(slot) = self.pick_slot(now, id, rule.dedup) else {
+        let Some(slot) = self.pick_slot(now, id, constraints.dedup) else {
             return false;
         };
-        self.start_attempt(now, id, slot, rule.write_by, actions);
+        self.start_attempt(now, id, slot, constraints.write_by, actions);
         true
     }
 
-    /// What a further attempt must keep to; none: there must not be one.
-    fn repeat_rule(&self, pending: &Pending) -> Option<RepeatRule> {
-        let unbound = RepeatRule {
+    /// Constraints on the next attempt; `None` if it is not allowed.
+    fn retry_constraints(&self, pending: &Pending) -> Option<RetryConstraints> {
+        let unconstrained = RetryConstraints {
             dedup: None,
             write_by: f64::INFINITY,
         };
         let Some(run) = pending.first_run else {
-            return Some(unbound);
+            return Some(unconstrained);
         };
         match self.settings.classes[pending.class].effect {
-            Effect::Free => Some(unbound),
+            Effect::Free => Some(unconstrained),
             Effect::SingleShot => None,
-            Effect::Guarded { scope, window } => Some(RepeatRule {
+            Effect::Guarded { scope, window } => Some(RetryConstraints {
                 dedup: Some(DedupDomain {
                     scope,
                     zone: run.zone,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Picks an upstream for a pending request, as a last resort one that should be left alone.
+    /// Picks an upstream for a pending request; excluded upstreams are used as a last resort.
     fn pick_slot(
         &mut self,
         now: Millis,
@@ -70,7 +72,7 @@
         let pending = self.pending.get(&id)?;
         let settings = &self.settings;
         let carried = self.capacity.carried(self.admission.total_demand());
-        let carried_by_one = carried / CYCLE * self.fleet.subset.load_per_member;
+        let carried_per_upstream = carried / CYCLE * self.fleet.subset.load_per_member;
         let is_first = pending.attempts == 0;
         let has_time = now + 3.0 * self.fleet.response_times.mean < pending.deadline;
         let request = PickRequest {
@@ -78,9 +80,13 @@
             tier: &self.tier,
             now,
             class: pending.class,
-            slow_start_rate: carried_by_one * SLOW_START_PART * settings.overload_multiple,
+            slow_start_rate: carried_per_upstream
+                * SLOW_START_BUDGET_FRACTION
+                * settings.overload_multiple,
             avoid: pending.last_slot,
-            harmless: is_first && settings.classes[pending.class].effect.harmless() && has_time,
+            may_test_zone: is_first
+                && settings.classes[pending.class].effect.harmless()
+                && has_time,
             last_resort: false,
             dedup,
         };
@@ -150,8 +156,8 @@
         }
     }
 
-    /// A call without a response, as of heavy work, is waited for until the deadline, but where responses got lost of
-    /// late and a repeat is legal.
+    /// Timeout of an attempt. It is the deadline, as slow calls may be expensive ones, unless responses were lost recently
+    /// and a retry is allowed.
     fn timeout(&self, pending: &Pending, slot: usize, idle_step: usize, now: Millis) -> Millis {
         let fleet = &self.fleet;
         let upstream = &fleet.slots[slot];
@@ -173,13 +179,13 @@
         }
     }
 
-    /// Whether a retry is within what this instance may make, and no tier that declines is sent it.
+    /// Whether the retry budget allows a retry, and the tier is not failing as a whole.
     pub(super) fn may_retry(&self, now: Millis) -> bool {
-        let accepts = self.fleet.failure_rate <= DECLINING_FAILURE_RATE;
+        let accepts = self.fleet.failure_rate <= TIER_FAILURE_RATE;
         self.retry_budget >= 1.0 && (accepts || self.tier.sums(now).is_none())
     }
 
-    /// Gives the one final response: a refusal where a retry is known to do no harm, else a failure.
+    /// Gives the final response: a refusal if a retry by the client is known to be safe, else a failure.
     pub(super) fn give_up(&mut self, id: RequestId, now: Millis, actions: &mut Actions) {
         let Some(pending) = self.pending.remove(&id) else {
             return;
@@ -197,13 +203,13 @@
         });
     }
 
-    /// A refusal, with advice on when to return.
+    /// A refusal with a suggested retry delay.
     pub(super) fn refusal(&mut self, request: RequestId, reason: Refusal, now: Millis) -> Action {
-        // Until the next cycle has begun, with jitter, so that those who heed it do not return together.
+        // About one cycle, with jitter so that clients do not retry at the same time.
         let jitter = 0.5 + random_unit(&mut self.rng);
         let max = self.settings.max_retry_after;
         let retry_after = match self.tier.sums(now) {
-            // What exceeds a tier's capacity returns evenly over as many cycles as the demand is times too much.
+            // Excess demand is spread over as many cycles as the ratio of demand to capacity.
             Some(sums) => jitter * (CYCLE * sums.load.pressure().max(1.0)).min(max / 1.5),
             None => (CYCLE * jitter).min(max),
         };
--- a/balancer/core/src/policy/ejection.rs
+++ b/balancer/core/src/policy/ejection.rs
@@ -1,48 +1,48 @@
-//! Decides which upstreams are ejected as outliers, and for how long, from how their calls end.
+//! Outlier ejection: which upstreams are ejected and for how long, by the outcomes of their calls.
 use super::tier::UPDATE_VALID_FOR;
 use crate::{interface::*, state::*};
 
-/// Smoothing of an upstream's failures, per outcome.
+/// Smoothing factor of an upstream's failure rate, per outcome.
 const FAILURE_GAIN: f64 = 0.25;
-/// Smoothing of the failures of all upstreams, per outcome.
+/// Smoothing factor of the failure rate over all upstreams, per outcome.
 const FLEET_FAILURE_GAIN: f64 = 0.02;
-/// An upstream is ejected when its failures exceed this and `EJECTION_RATIO`.
+/// Failure rate above which an upstream is ejected, if it also exceeds `EJECTION_RATIO`.
 const EJECTION_FAILURE_RATE: f64 = 0.4;
-/// Multiple of the failures of all upstreams that one must exceed to be ejected.
+/// Multiple of the failure rate over all upstreams above which an upstream is an outlier.
 const EJECTION_RATIO: f64 = 2.0;
-/// Part of upstreams that failures other than hanging eject at most, yet one: they may come from elsewhere, and the
-/// rest gets overloaded.
-const MAX_EJECTED_PART: f64 = 1.0 / 3.0;
-/// Outcomes that are needed to eject by.
+/// Maximum fraction of upstreams, but at least one, that may be ejected unless they hang: other failures may come from
+/// elsewhere, and more ejections would overload the remaining upstreams.
+const MAX_EJECTED_FRACTION: f64 = 1.0 / 3.0;
+/// Minimum number of outcomes to eject an upstream.
 const MIN_OUTCOMES: u32 = 3;
-/// The first ejection lasts this long, each further one as much longer.
+/// Duration of the first ejection; each consecutive one is longer by this.
 const BASE_EJECTION: Millis = 2000.0;
 pub(super) const MAX_EJECTION: Millis = 16_000.0;
-/// An upstream with calls in flight that has not responded for this many mean response times is unresponsive.
+/// An upstream with calls in flight is unresponsive after this many mean response times without a response.
 const UNRESPONSIVE_FACTOR: f64 = 6.0;
 const MIN_UNRESPONSIVE: Millis = 300.0;
-/// Smoothing of an upstream's own response time.
+/// Smoothing factor of an upstream's relative response time.
 const SLOWNESS_GAIN: f64 = 0.2;
 
-/// A call that ended.
+/// A completed call.
 pub(super) struct CallEnd {
     /// Slot of its upstream.
     pub slot: usize,
-    /// How long its connection may have been idle.
+    /// How long its connection may have been idle, in steps.
     pub idle_step: usize,
     pub ending: Ending,
     pub duration: Millis,
-    /// The part of the class's objective that it took.
+    /// Duration as a fraction of the class's objective.
     pub relative: f64,
 }
 
 impl CallEnd {
-    /// Whether it got no response, though it may have been received.
+    /// Whether the call may have been received but got no response.
     fn is_lost(&self) -> bool {
         matches!(self.ending, Ending::Timeout | Ending::Reset)
     }
 
-    /// Whether it ended before it could get a response.
+    /// Whether the call ended before a response was possible.
     fn is_aborted(&self) -> bool {
         matches!(self.ending, Ending::Cancelled | Ending::ConnectFailed)
     }
@@ -54,21 +54,21 @@
         self.zones.is_ejected(self.slots[slot].endpoint.zone)
     }
 
-    /// Whether a call counts as lost, though its timeout tells of it too late.
+    /// Whether a call in flight counts as lost before its timeout expires.
     pub(crate) fn is_lost(&self, attempt: &InFlightAttempt, now: Millis) -> bool {
         let overdue = now - attempt.sent_at >= self.response_times.overdue_after();
         self.is_in_ejected_zone(attempt.slot)
             || (overdue && self.idle_connections.are_dropped(attempt.idle_step))
     }
 
-    /// Whether an upstream owes responses and has given none for far longer than responses take elsewhere.
+    /// Whether an upstream with calls in flight has not responded for much longer than the mean response time.
     pub(crate) fn is_unresponsive(&self, slot: usize, now: Millis) -> bool {
         let upstream = &self.slots[slot];
         let bound = (UNRESPONSIVE_FACTOR * self.response_times.mean).max(MIN_UNRESPONSIVE);
         upstream.in_flight > 0 && now - upstream.unanswered_since > bound
     }
 
-    /// Records how a call ended, and ejects its upstream if need be. Returns whether the upstream is at fault.
+    /// Records the outcome of a call and ejects its upstream if needed. Returns whether the upstream is at fault.
     pub(super) fn on_call_end(
         &mut self,
         call: &CallEnd,
@@ -100,10 +100,10 @@
             upstream.unanswered_since = now;
         }
         self.record_slowness(call);
-        self.judge(call, hung, may_eject, now, tier, rng)
+        self.record_result(call, hung, may_eject, now, tier, rng)
     }
 
-    /// Upstreams that are ejected now.
+    /// Number of upstreams currently ejected.
     fn ejected(&self, now: Millis) -> usize {
         self.by_id
             .values()
@@ -111,9 +111,9 @@
             .count()
     }
 
-    /// Upstreams that failures other than hanging may eject.
+    /// Maximum number of ejected upstreams for failures other than hanging.
     fn max_ejected(&self) -> usize {
-        ((self.subset.ready as f64 * MAX_EJECTED_PART) as usize).max(1)
+        ((self.subset.ready as f64 * MAX_EJECTED_FRACTION) as usize).max(1)
     }
 
     fn record_slowness(&mut self, call: &CallEnd) {
@@ -130,8 +130,8 @@
             .record_slowness(upstream.endpoint.zone, slowness);
     }
 
-    /// Records a success or failure, and ejects the upstream if need be. Returns whether it is at fault.
-    fn judge(
+    /// Records a success or failure and ejects the upstream if needed. Returns whether it is at fault.
+    fn record_result(
         &mut self,
         call: &CallEnd,
         hung: bool,
@@ -142,20 +142,21 @@
     ) -> bool {
         let upstream = &mut self.slots[call.slot];
         let failed = call.ending != Ending::Ok;
-        // Neither is the doing of a tier behind, nor does it matter how many others fail.
-        let certain = hung || call.ending == Ending::ConnectFailed;
+        // Neither can be caused by a downstream tier, so the failure rate of other upstreams does not matter.
+        let is_conclusive = hung || call.ending == Ending::ConnectFailed;
         let failure = f64::from(u8::from(failed));
         let health = &mut upstream.health;
-        // One that takes work and does not respond while others do need not be waited for until more time out.
+        // An upstream that accepts calls without responding is ejected without waiting for further timeouts.
         health.fails = if hung {
             1.0
         } else {
             health.fails + FAILURE_GAIN * (failure - health.fails)
         };
         health.count_outcome();
-        // The fleet's rate counts all: where most fail, it is no fault of each one's own.
+        // Includes all upstreams: if most fail, no single one is an outlier.
         self.failure_rate += FLEET_FAILURE_GAIN * (failure - self.failure_rate);
-        // Others observe the same: one's own first failure will do, unless it responded here of late.
+        // If other instances observe the same, the first failure seen here suffices, unless the upstream responded to
+        // this instance recently.
         let no_recent_success = upstream
             .last_success
             .is_none_or(|at| now - at > UPDATE_VALID_FOR);
@@ -169,20 +170,20 @@
         } else {
             EJECTION_FAILURE_RATE
         };
-        let is_outlier = certain || health.fails > EJECTION_RATIO * self.failure_rate;
+        let is_outlier = is_conclusive || health.fails > EJECTION_RATIO * self.failure_rate;
         let at_fault = health.fails > bound && is_outlier;
         let is_ejected = now < health.ejected_until;
         if !failed && !is_ejected && health.fails < EJECTION_FAILURE_RATE / 2.0 {
             health.ejections = 0;
         }
-        let enough_evidence = certain || corroborated || health.outcomes >= MIN_OUTCOMES;
+        let enough_evidence = is_conclusive || corroborated || health.outcomes >= MIN_OUTCOMES;
         if failed && at_fault && may_eject && enough_evidence && !is_ejected {
             eject(health, call.ending, now, rng);
         }
         at_fault
     }
 
-    /// What this instance observes of an upstream. Errors do not count: they may come from behind.
+    /// What this instance observes of an upstream. Error responses do not count, as a downstream tier may cause them.
     pub(crate) fn finding(&self, slot: usize, now: Millis) -> Option<Finding> {
         if self.is_unresponsive(slot, now) {
             return Some(Finding::Unresponsive);
@@ -191,7 +192,7 @@
         if health.lost_until <= 0.0 {
             return None;
         }
-        // Every ejection begins at this failure rate: less tells of a response.
+        // Every ejection starts at this failure rate; a lower rate means that there was a response since.
         if health.fails < EJECTION_FAILURE_RATE {
             (now < health.lost_until + MAX_EJECTION).then_some(Finding::Cleared)
         } else {
@@ -199,8 +200,8 @@
         }
     }
 
-    /// Extends the ejection of what others have ejected too, until one of them gets a response or by chance it is this
-    /// instance's turn to try. `since_last` is the time since this was last done.
+    /// Extends the ejections of upstreams that other instances have ejected too, until one of them gets a response or a
+    /// random draw selects this instance for a trial. `since_last` is the time since the previous call.
     pub(crate) fn extend_ejections(
         &mut self,
         tier: &Tier,
@@ -217,9 +218,10 @@
             if health.lost_until <= now {
                 continue;
             }
-            let pauses = tier.trial_pauses(Subject::Upstream(upstream.endpoint.id), settings, now);
-            if pauses.first > 1.0 {
-                let is_turn = random_unit(rng) * BASE_EJECTION * pauses.repeated < since_last;
+            let factors =
+                tier.trial_interval_factors(Subject::Upstream(upstream.endpoint.id), settings, now);
+            if factors.first > 1.0 {
+                let is_turn = random_unit(rng) * BASE_EJECTION * factors.subsequent < since_last;
                 let until = if is_turn {
                     now
                 } else {
@@ -231,7 +233,7 @@
         }
     }
 
-    /// Whether it is ejected, unresponsive or overloaded.
+    /// Whether the upstream is ejected, unresponsive or overloaded.
     pub(crate) fn is_excluded(&self, slot: usize, now: Millis) -> bool {
         now < self.slots[slot].health.ejected_until
             || self.is_unresponsive(slot, now)
@@ -239,7 +241,7 @@
     }
 }
 
-/// Ejects an upstream. One that fails fast has few calls in flight and would win every comparison.
+/// Ejects an upstream. Without ejection, one that fails fast would be preferred for its few calls in flight.
 fn eject(health: &mut Health, ending: Ending, now: Millis, rng: &mut Rng) {
     health.count_ejection();
     let length = (BASE_EJECTION * f64::from(health.ejections)).min(MAX_EJECTION);
@@ -247,6 +249,6 @@
     if ending != Ending::Error {
         health.lost_until = health.ejected_until;
     }
-    // One more failure after its return ejects it again.
+    // One more failure after the ejection ends ejects it again.
     health.fails = EJECTION_FAILURE_RATE;
 }
--- a/balancer/core/src/policy/endpoints.rs
+++ b/balancer/core/src/policy/endpoints.rs
@@ -1,11 +1,11 @@
-//! Applies updates of the endpoint list, and counts the upstreams in it.
+//! Applies updates of the endpoint list and counts upstreams.
 use crate::{interface::*, state::*};
 
-/// Upstreams as parts of the most ready ones there were.
+/// Upstreams as fractions of the highest number of ready ones so far.
 pub(super) struct UpstreamCounts {
     /// Listed as ready.
     pub listed: f64,
-    /// Usable, each by its slow-start weight.
+    /// Usable, weighted by slow start.
     pub usable: f64,
 }
 
@@ -49,7 +49,7 @@
             self.slots[slot].endpoint = endpoint;
         } else if known.is_some() || endpoint.availability != Availability::Removed {
             let slot = self.slot_for(endpoint.id);
-            // Restarted under its old id it is in slow start again, and its old failures are forgotten.
+            // After a restart under the same id, the upstream is in slow start and its failure history is reset.
             self.slots[slot] = Upstream {
                 endpoint,
                 in_flight: known.map_or(0, |slot| self.slots[slot].in_flight),
@@ -57,7 +57,8 @@
                     slowness: 1.0,
                     ..Health::default()
                 },
-                // Hundreds of instances must not each send their first call at once: start in random phase.
+                // Start with a random phase, so that hundreds of instances do not all send their first call at the same
+                // time.
                 slow_start_tokens: random_unit(rng),
                 slow_start_tokens_at: now,
                 idle_since: now,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Lets the subset follow the traffic.
+    /// Adapts the size of the subset to the traffic.
     pub(crate) fn resize_subset(&mut self, settings: &Settings, calls_per_cycle: f64) {
         let mean = self.response_times.mean;
         if let Some(size) = self.subset.new_size(mean, settings, calls_per_cycle) {
@@ -81,8 +82,8 @@
             .choose(&self.slots, &self.by_id, self.locality.local_zone, settings);
     }
 
-    /// Counts the ready upstreams, and the usable ones.
-    pub(super) fn count(&mut self, settings: &Settings, now: Millis) -> UpstreamCounts {
+    /// Counts the ready and the usable upstreams.
+    pub(super) fn count_upstreams(&mut self, settings: &Settings, now: Millis) -> UpstreamCounts {
         let mut ready_weight = 0.0;
         let mut usable_weight = 0.0;
         for &slot in self.by_id.values() {
@@ -92,7 +93,8 @@
             }
             let weight = upstream.slow_start_weight(settings, now);
             ready_weight += weight;
-            // Errors eject too, but may come from behind and do not show that it can carry nothing.
+            // Ejections for error responses do not count: a downstream tier may cause them, and they do not show that
+            // the upstream has no capacity.
             let lost = now < upstream.health.lost_until
                 || self.is_unresponsive(slot, now)
                 || self.is_overloaded(slot, now);
--- a/balancer/core/src/policy/events.rs
+++ b/balancer/core/src/policy/events.rs
@@ -1,12 +1,12 @@
-//! Takes every event and timer of an instance to the part that it is for.
+//! Dispatches the events and timers of an instance.
 use super::{capacity::MIN_SUCCESS, limits::CYCLE, requests::MAX_RETRY_BUDGET};
 use crate::{interface::*, state::*};
 
-/// First pause before the endpoint list is requested again after a failure; it doubles.
+/// Initial backoff before the endpoint list is requested again after a failure; doubles on each failure.
 const MIN_SUBSCRIBE_BACKOFF: Millis = 250.0;
-/// Longest such pause, or a third of [`Settings::subscribe_timeout`].
+/// Maximum backoff, unless a third of [`Settings::subscribe_timeout`] is shorter.
 const MAX_SUBSCRIBE_BACKOFF: Millis = 2000.0;
-/// Zones are judged this often.
+/// Interval between checks for unresponsive zones.
 const ZONE_INTERVAL: Millis = 100.0;
 
 const TIMER_CYCLE: u32 = 0;
@@ -14,11 +14,11 @@
 const TIMER_ZONES: u32 = 2;
 
 impl Balancer {
-    /// A fresh instance that knows nothing yet. `seed` feeds its random choices.
+    /// Creates an instance without learned state. `seed` initializes its random number generator.
     ///
     /// # Errors
     ///
-    /// The first setting that [`Settings::validate`] refuses.
+    /// Returns the first setting that [`Settings::validate`] rejects.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Result<Self, SettingsError> {
         settings.validate()?;
         let admission = Admission::new(&settings, now);
@@ -35,7 +35,7 @@
         ))
     }
 
-    /// What this instance observes, for the others of its tier.
+    /// Observations of this instance, to be shared with the others of its tier.
     pub fn observed(&mut self, now: Millis) -> Observed {
         let capacity_per_s = self.capacity.load.capacity * 1000.0 / CYCLE;
         let load = self.meter.load(capacity_per_s, now);
@@ -43,7 +43,7 @@
             .observed(load, |slot| self.fleet.finding(slot, now))
     }
 
-    /// Handles one event and appends what is to be done. `now` must not go back.
+    /// Handles one event and appends the resulting actions. `now` must never decrease.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         let now = if now.is_finite() { now } else { 0.0 };
         if !self.started {
@@ -81,14 +81,14 @@
             Event::ClientDisconnected(id) => self.handle_client_disconnected(id, actions),
             Event::Tier(update) => self.handle_tier_update(now, update),
             Event::EndBy(deadline) => self.handle_end_by(deadline),
-            Event::Timer(token) => self.on_timeout(now, token, actions),
+            Event::Timer(token) => self.on_timer(now, token, actions),
             Event::Streaming { .. } => {}
         }
     }
 
     fn start(&mut self, actions: &mut Actions) {
         self.started = true;
-        // Instances started together must not recompute in step.
+        // Jitter, so that instances started together do not run their cycles in lockstep.
         actions.push(Action::SetTimer {
             after: CYCLE * (0.5 + 0.5 * random_unit(&mut self.rng)),
             token: TIMER_CYCLE,
@@ -115,12 +115,12 @@
             self.subscribe_failures = 0;
         }
         self.fleet.apply(update, &self.settings, now, &mut self.rng);
-        self.recount(now);
+        self.rescale_capacity(now);
         self.restore_saved(now);
     }
 
-    /// Requests the endpoint list again later. The registry is one queue for all: back off with jitter, well within the
-    /// time in which the list must come.
+    /// Requests the endpoint list again later, with backoff and jitter as all instances share one registry, and well within
+    /// the subscribe timeout.
     fn retry_subscribe(&mut self, actions: &mut Actions) {
         let max = (self.settings.subscribe_timeout / 3.0).min(MAX_SUBSCRIBE_BACKOFF);
         let doubled = f64::from(1u32 << self.subscribe_failures.min(10));
@@ -171,11 +171,11 @@
         }
     }
 
-    fn on_timeout(&mut self, now: Millis, token: u32, actions: &mut Actions) {
+    fn on_timer(&mut self, now: Millis, token: u32, actions: &mut Actions) {
         match token {
             TIMER_CYCLE => self.on_cycle(now, actions),
             TIMER_ZONES => {
-                self.judge_zones(now, actions);
+                self.check_zones(now, actions);
                 actions.push(Action::SetTimer {
                     after: ZONE_INTERVAL,
                     token: TIMER_ZONES,
@@ -187,11 +187,11 @@
     }
 
     fn on_cycle(&mut self, now: Millis, actions: &mut Actions) {
-        self.judge_overdue(now);
+        self.record_overdue_calls(now);
         self.capacity
             .record_response_time(self.fleet.response_times.mean);
-        self.fleet.zones.return_by_degrees(now, actions);
-        self.recount(now);
+        self.fleet.zones.return_gradually(now, actions);
+        self.rescale_capacity(now);
         self.capacity.record_served(self.fleet.served_by_all(now));
         self.admission.end_cycle(now, &mut self.capacity);
         let late = self.capacity.load.success < MIN_SUCCESS;
@@ -204,10 +204,10 @@
         });
     }
 
-    /// Keeps capacity in step with the upstreams there are: to unlearn what was learned with more of them
-    /// would take seconds of late responses.
-    pub(super) fn recount(&mut self, now: Millis) {
-        let counts = self.fleet.count(&self.settings, now);
+    /// Scales capacity with the number of usable upstreams. Adapting to a smaller number from late responses alone would
+    /// take seconds.
+    pub(super) fn rescale_capacity(&mut self, now: Millis) {
+        let counts = self.fleet.count_upstreams(&self.settings, now);
         let before = std::mem::replace(&mut self.capacity.usable, counts.usable);
         self.capacity.listed = counts.listed;
         if counts.usable > 0.0 && before > 0.0 {
--- a/balancer/core/src/policy/idle_connections.rs
+++ b/balancer/core/src/policy/idle_connections.rs
@@ -1,29 +1,29 @@
-//! Learns how often calls are lost on connections that were idle, and decides whether these are closed.
+//! Learns the loss rate of calls on idle connections, and decides when to close these.
 use crate::{interface::*, state::*};
 
-/// Idle connections are judged by how long they were idle, in steps that double from this.
-const FIRST_STEP: Millis = 125.0;
-/// Smoothing of the part of calls that got no response.
+/// First step of the idle times by which loss rates are bucketed; each further step doubles.
+const FIRST_IDLE_STEP: Millis = 125.0;
+/// Smoothing factor of the loss rates.
 const LOSS_GAIN: f64 = 0.1;
-/// The part of calls lost from which idle connections count as dropped.
+/// Loss rate above which idle connections count as dropped by the network.
 const DROPPED_LOSS_RATE: f64 = 0.2;
-/// The part of calls that still tries connections that count as dropped.
-const TRIAL_PART: f64 = 0.02;
+/// Fraction of calls that still use connections that count as dropped.
+const TRIAL_FRACTION: f64 = 0.02;
 
-/// Which connection the next call takes.
+/// Connection for the next call.
 pub(super) enum NextConnection {
-    /// One that may have been idle for so many steps; zero: a new one.
+    /// A connection that may have been idle for this many steps; zero for a new one.
     Open {
         /// See [`IDLE_STEPS`].
         idle_step: usize,
     },
-    /// A new one, after those that are idle are closed.
+    /// A new connection, after the idle ones are closed.
     CloseIdleFirst,
 }
 
 impl IdleConnections {
-    /// Decides which connection the next call takes. Idle ones may be dropped on the way, unseen: what is sent on one
-    /// gets no response.
+    /// Decides which connection the next call uses. The network may drop idle connections without notice; calls sent on
+    /// them get no response.
     pub(super) fn next(
         &self,
         upstream: &Upstream,
@@ -35,17 +35,17 @@
         if upstream.connections <= upstream.in_flight || idle >= settings.idle_close {
             return NextConnection::Open { idle_step: 0 };
         }
-        let doublings = (idle / FIRST_STEP).max(0.5).log2();
+        let doublings = (idle / FIRST_IDLE_STEP).max(0.5).log2();
         let idle_step = ((doublings + 2.0) as usize).min(IDLE_STEPS - 1);
         let may_be_dropped = (1..=idle_step).any(|step| self.are_dropped(step));
-        if may_be_dropped && random_unit(rng) > TRIAL_PART {
+        if may_be_dropped && random_unit(rng) > TRIAL_FRACTION {
             NextConnection::CloseIdleFirst
         } else {
             NextConnection::Open { idle_step }
         }
     }
 
-    /// Whether connections idle for so many steps get dropped: calls on them are lost more than on new ones.
+    /// Whether connections idle for this many steps count as dropped: they lose more calls than new connections.
     pub(crate) fn are_dropped(&self, idle_step: usize) -> bool {
         let loss_rate = self.loss_rates[idle_step];
         loss_rate > DROPPED_LOSS_RATE && loss_rate > 2.0 * self.loss_rates[0]
--- a/balancer/core/src/policy/load_reports.rs
+++ b/balancer/core/src/policy/load_reports.rs
@@ -1,17 +1,17 @@
-//! Judges what upstreams report of their load: what they have in flight and serve.
+//! Evaluates the load reports of upstreams: their requests in flight and their request rate.
 use super::{limits::CYCLE, subset::MIN_SUBSET};
 use crate::{interface::*, state::*};
 
-/// An upstream is overloaded that reports this multiple of the mean load and `OVERLOAD_MARGIN` requests more.
+/// An upstream is overloaded if its reported load exceeds this multiple of the mean by `OVERLOAD_MARGIN` requests.
 const OVERLOAD_RATIO: f64 = 1.5;
 const OVERLOAD_MARGIN: f64 = 2.0;
-/// A report counts for this long.
+/// How long a report is valid.
 const REPORT_VALID_FOR: Millis = 2000.0;
-/// Smoothing of the mean reported load.
+/// Smoothing factor of the mean reported load.
 const REPORT_GAIN: f64 = 0.05;
 
 impl Fleet {
-    /// Records how many requests an upstream reports to have in flight.
+    /// Records the number of requests in flight that an upstream reports.
     pub(crate) fn record_reported_load(&mut self, id: UpstreamId, load: f64, now: Millis) {
         if let Some(&slot) = self.by_id.get(&id).filter(|_| load.is_finite()) {
             let upstream = &mut self.slots[slot];
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Calls per cycle that all instances together get served, by what upstreams have reported of late.
+    /// Served rate over all instances in calls per cycle, from recent reports of upstreams.
     pub(crate) fn served_by_all(&self, now: Millis) -> Option<f64> {
         let is_up = |upstream: &&Upstream| {
             upstream.endpoint.availability == Availability::Ready
@@ -47,7 +47,8 @@
         (rates.len() >= MIN_SUBSET / 2).then_some(mean * up.len() as f64 * CYCLE / 1000.0)
     }
 
-    /// Whether an upstream reported of late a far higher load than others, of one call each of many balancers.
+    /// Whether an upstream recently reported a much higher load than others; with many balancers, the sum of few calls
+    /// from each can overload an upstream.
     pub(crate) fn is_overloaded(&self, slot: usize, now: Millis) -> bool {
         let upstream = &self.slots[slot];
         let bound = OVERLOAD_RATIO * self.mean_reported_load + OVERLOAD_MARGIN;
--- a/balancer/core/src/policy/load_shedding.rs
+++ b/balancer/core/src/policy/load_shedding.rs
@@ -1,24 +1,24 @@
-//! Decides the level up to which all instances of a tier shed alike: what is over a tenant's limit there.
+//! Tier-wide load shedding: all instances shed the same requests of tenants over their tier-wide limit.
 use super::limits::{limits, RESERVATION};
 use crate::{interface::*, state::*};
 
-/// A tenant must be over its limit by so many standard errors of the sums.
+/// Standard errors of the sums by which a tenant must exceed its limit.
 const STANDARD_ERRORS: f64 = 2.0;
-/// The limits are those of this multiple of the capacity, and so far may tenants go beyond it who are within theirs:
-/// each instance's own admission holds back what is not there, and capacity grows only by what is tried.
+/// Multiple of the capacity for which tier-wide limits are computed, and up to which requests within them are admitted.
+/// Above one, as learned capacity grows only if it is exceeded; each instance's own admission still bounds the load.
 pub(super) const CAPACITY_MARGIN: f64 = 1.25;
-/// The most of a tenant's requests that is shed: what still passes shows when there is capacity.
+/// Maximum fraction of a tenant's requests that is shed; the rest shows when capacity becomes available.
 const MAX_SHED: f64 = 0.95;
-/// Excess below which nothing is shed.
+/// Minimum excess for shedding.
 const MIN_EXCESS: f64 = 0.005;
-/// How fast an instance learns, per request, that shed ones are retried.
+/// Adaptation rate of the retry multiple, per request.
 const RETRY_GAIN: f64 = 0.02;
-/// How much more often requests come because of that, at most.
+/// Maximum factor by which retries of shed requests raise the request rate.
 const MAX_RETRY_MULTIPLE: f64 = 8.0;
 
 impl LoadShedding {
-    /// Updates the excess of each tenant by the published limits over the tier. What keeps to the stated quotas is no
-    /// excess: where there is no capacity for it, that is for each instance's own admission.
+    /// Updates the excess of each tenant over its limit in the tier. Demand within the configured quotas is no excess; if
+    /// the capacity is lower, each instance's own admission refuses the surplus.
     pub(crate) fn handle_sums(
         &mut self,
         sums: Option<&TierSums>,
@@ -46,26 +46,27 @@
             if demand <= 0.0 {
                 continue;
             }
-            // The smaller a part of the total, the less certain it is.
+            // The relative error is larger for a tenant with a smaller part of the total.
             let margin = 1.0 + STANDARD_ERRORS * sums.error * (total_demand / demand).sqrt();
             *excess = (1.0 - limit * margin / demand).clamp(0.0, MAX_SHED);
         }
     }
 
-    /// Judges a request. First is shed what earns least for its work, in doublings, so that what instances learned
-    /// apart makes no two orders; then what has the lowest tie.
-    pub(crate) fn judge(
+    /// Decides whether a request is shed. Classes with the lowest value per response time are shed first, and within a
+    /// class requests with the lowest tie. Values are rounded to powers of two, so that differences in learned response
+    /// times do not change the order between instances.
+    pub(crate) fn decide(
         &mut self,
         tenant: usize,
         request: &Request,
         classes: &[Class],
     ) -> SheddingVerdict {
         self.record_request(tenant, request.class);
-        let passes = 1.0 - self.excess[tenant];
+        let pass_fraction = 1.0 - self.excess[tenant];
         if self.excess.iter().all(|&excess| excess < MIN_EXCESS) {
             return SheddingVerdict::NoLevel;
         }
-        if passes > 1.0 - MIN_EXCESS {
+        if pass_fraction > 1.0 - MIN_EXCESS {
             return SheddingVerdict::WithinLimit;
         }
         let value = |class: usize| {
@@ -77,11 +78,11 @@
             tie: request.tie,
         };
         let before = self.shed_before(tenant, key, value);
-        let is_shed = before < (1.0 - self.retry_multiple * passes).min(MAX_SHED);
-        // Shed requests are retried with their ties, so that most of what comes is below the level: it is put
-        // where as many pass as should.
+        let is_shed = before < (1.0 - self.retry_multiple * pass_fraction).min(MAX_SHED);
+        // Shed requests are retried with the same tie, so that most incoming requests are below the level: adapt it until
+        // the intended fraction passes.
         let passed = f64::from(u8::from(!is_shed));
-        let deviation = 1.0 - passed / passes;
+        let deviation = 1.0 - passed / pass_fraction;
         let multiple = self.retry_multiple * (1.0 + RETRY_GAIN * deviation);
         self.retry_multiple = multiple.clamp(1.0, MAX_RETRY_MULTIPLE);
         if is_shed {
--- a/balancer/core/src/policy/outcomes.rs
+++ b/balancer/core/src/policy/outcomes.rs
@@ -1,4 +1,4 @@
-//! Handles how attempts end: learns from it, and decides whether the request is retried.
+//! Handles the outcomes of attempts: learns from them and decides whether requests are retried.
 use super::{
     capacity::{lateness, MAX_LATENESS},
     ejection::CallEnd,
@@ -6,7 +6,7 @@
 use crate::{interface::*, state::*};
 
 impl Balancer {
-    /// Records how an attempt ended, and retries its request or gives it up if need be.
+    /// Records the outcome of an attempt, and retries its request or gives it up if needed.
     pub(super) fn handle_outcome(
         &mut self,
         now: Millis,
@@ -21,7 +21,7 @@
         let Some(attempt) = pending.in_flight.take_if(is_same) else {
             return;
         };
-        // Where upstreams also shed work that they had begun, a rejection proves nothing.
+        // If upstreams may also reject requests that they have started, a rejection proves nothing.
         let rejection_proves_nothing =
             outcome.ending == Ending::Rejected && self.settings.late_shedding;
         let never_ran = outcome.ending.never_ran() && !rejection_proves_nothing;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Learns of the upstream and of the capacity from a call that ended.
+    /// Updates the upstream's health and the capacity from a completed call.
     fn learn_from(
         &mut self,
         now: Millis,
@@ -73,7 +73,7 @@
                 self.capacity.record_lateness(lateness);
             }
             Ending::Cancelled | Ending::NotSent => {}
-            // Blame the upstream or the connection, not the fleet, for failures that are its own.
+            // Failures caused by a single upstream or connection do not reduce capacity.
             _ if at_fault || connections.are_dropped(attempt.idle_step) => {}
             _ => self.capacity.record_lateness(MAX_LATENESS),
         }
--- a/balancer/core/src/policy/overdue.rs
+++ b/balancer/core/src/policy/overdue.rs
@@ -1,28 +1,28 @@
-//! Judges calls in flight that are overdue. Owns no state.
+//! Handles overdue calls in flight. Stateless.
 use super::{capacity::lateness, limits::CYCLE};
 use crate::{interface::*, state::*};
 
-/// The attempt in flight of a request that a client still waits for.
-fn wanted_attempt(pending: &Pending) -> Option<&InFlightAttempt> {
+/// The attempt in flight of a request, if the client still waits for it.
+fn awaited_attempt(pending: &Pending) -> Option<&InFlightAttempt> {
     pending.in_flight.as_ref().filter(|_| !pending.abandoned)
 }
 
 impl Balancer {
-    /// Counts calls that fill what may be in flight and are lost.
+    /// Counts the lost calls in flight, which are not charged against the bound on calls in flight.
     pub(super) fn count_lost(&mut self, now: Millis) {
         let lost = self
             .pending
             .values()
-            .filter_map(wanted_attempt)
+            .filter_map(awaited_attempt)
             .filter(|attempt| self.fleet.is_lost(attempt, now));
         self.admission.in_flight_lost = lost.count() as f64;
     }
 
-    /// Counts calls that are late before their responses come: judged by the responses alone, which are the fast ones
-    /// at first, a tier that slows down would look well.
-    pub(super) fn judge_overdue(&mut self, now: Millis) {
+    /// Records the lateness of calls in flight before their responses arrive. The first responses to arrive are the fast
+    /// ones, so responses alone would show a slowdown late.
+    pub(super) fn record_overdue_calls(&mut self, now: Millis) {
         for pending in self.pending.values() {
-            let Some(attempt) = wanted_attempt(pending) else {
+            let Some(attempt) = awaited_attempt(pending) else {
                 continue;
             };
             let elapsed = now - attempt.sent_at;
@@ -33,18 +33,18 @@
                     .record_call(attempt.idle_step, true);
             }
             let lateness = lateness(elapsed / self.settings.classes[pending.class].objective);
-            let excused =
+            let excluded =
                 self.fleet.is_lost(attempt, now) || self.fleet.is_unresponsive(attempt.slot, now);
-            if lateness > 0.0 && !excused {
+            if lateness > 0.0 && !excluded {
                 self.capacity.record_lateness(lateness);
             }
         }
         self.count_lost(now);
     }
 
-    /// Judges zones by all their calls. Calls that hang in one that is ejected are cancelled, and retried where that is
-    /// legal.
-    pub(super) fn judge_zones(&mut self, now: Millis, actions: &mut Actions) {
+    /// Ejects unresponsive zones, by the calls to all their upstreams. Calls in flight to an ejected zone are cancelled if
+    /// they may be retried.
+    pub(super) fn check_zones(&mut self, now: Millis, actions: &mut Actions) {
         self.count_overdue_by_zone(now);
         let ejected_any = self
             .fleet
@@ -53,7 +53,7 @@
         if !ejected_any {
             return;
         }
-        self.recount(now);
+        self.rescale_capacity(now);
         if self.settings.cancel {
             self.cancel_in_ejected_zones(now, actions);
         }
@@ -70,7 +70,7 @@
             .max(1.0);
         fleet.zones.restart_overdue();
         for pending in self.pending.values() {
-            let Some(attempt) = wanted_attempt(pending) else {
+            let Some(attempt) = awaited_attempt(pending) else {
                 continue;
             };
             let upstream = &fleet.slots[attempt.slot];
@@ -85,14 +85,14 @@
 
     fn cancel_in_ejected_zones(&mut self, now: Millis, actions: &mut Actions) {
         for (&request, pending) in &self.pending {
-            let Some(attempt) = wanted_attempt(pending) else {
+            let Some(attempt) = awaited_attempt(pending) else {
                 continue;
             };
             let effect = self.settings.classes[pending.class].effect;
             let may_retry = effect.harmless() && pending.attempts < self.settings.max_attempts;
             let has_time = now + self.fleet.response_times.mean < pending.deadline;
             if self.fleet.is_in_ejected_zone(attempt.slot) && may_retry && has_time {
-                // Once for each loss, so that it is no multiple: beside what is allowed for each request.
+                // Allow one retry for each cancelled call, in addition to the regular budget.
                 self.retry_budget += 1.0;
                 actions.push(Action::Cancel {
                     request,
--- a/balancer/core/src/policy/pick.rs
+++ b/balancer/core/src/policy/pick.rs
@@ -1,22 +1,22 @@
-//! Picks an upstream for a call. Owns no state.
+//! Picks an upstream for a call. Stateless.
 use crate::{interface::*, state::*};
 use std::cmp::Ordering;
 
-/// Random draws before the pick walks the list or settles for one.
+/// Random draws before the pool is scanned in order.
 const DRAWS: usize = 6;
-/// The ratio of response times that decides between two with as many calls in flight.
+/// Ratio of expected response times from which the faster of two upstreams with equal calls in flight is preferred.
 const RESPONSE_TIME_RATIO: f64 = 1.25;
-/// The part of the calls that prefer the local zone for which both are drawn there; the others draw one there.
-const BOTH_LOCAL_PART: f64 = 0.2;
+/// Of the calls that prefer the local zone, the fraction that draws both candidates there; the others draw one there.
+const BOTH_LOCAL_FRACTION: f64 = 0.2;
 
-/// How far a call prefers the local zone.
+/// How strongly a call prefers the local zone.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Preference {
-    /// Not at all.
+    /// No preference.
     AnyZone,
-    /// One of the two is drawn there.
+    /// One of the two candidates is drawn from the local zone.
     OneLocal,
-    /// Both are.
+    /// Both candidates are drawn from the local zone.
     BothLocal,
 }
 
@@ -27,9 +27,8 @@
 }
 
 impl Fleet {
-    /// Whether to prefer `a` to `b`. By own calls in flight. If these are equal (few, mostly), the one whose responses
-    /// took clearly less of late; else, if the call prefers the local zone, the one there; else the one used longest
-    /// ago.
+    /// Whether to prefer `a` to `b`: by this instance's calls in flight. At equal numbers, which are frequent, the clearly
+    /// faster one; else, if the call prefers the local zone, the local one; else the least recently used one.
     fn is_less_busy(&self, a: usize, b: usize, now: Millis, prefers_local: bool) -> bool {
         let (a, b) = (&self.slots[a], &self.slots[b]);
         let is_local = |upstream: &Upstream| self.locality.is_local(upstream.endpoint.zone);
@@ -47,15 +46,15 @@
         }
     }
 
-    /// The position in the pool of an upstream in slow start that may be sent a call now, among the first so many.
+    /// Index of an upstream in slow start that may be sent a call now, among the first `prefix` members of the pool.
     fn warming_up_with_token(
         &mut self,
-        among: usize,
+        prefix: usize,
         start: usize,
         request: &PickRequest<'_>,
     ) -> Option<usize> {
-        (0..among)
-            .map(|offset| (start + offset) % among)
+        (0..prefix)
+            .map(|offset| (start + offset) % prefix)
             .find(|&position| {
                 let slot = self.subset.pools[request.class].members[position];
                 self.slots[slot].is_warming_up(request.settings, request.now)
@@ -63,7 +62,7 @@
             })
     }
 
-    /// How many of a pool's first members are of the local zone; zero while that is ejected.
+    /// Number of local members, which come first in a pool; zero while the local zone is ejected.
     fn usable_local(&self, class: usize) -> usize {
         let pool = &self.subset.pools[class];
         if pool.local > 0 && self.is_in_ejected_zone(pool.members[0]) {
@@ -73,18 +72,18 @@
         }
     }
 
-    /// Draws whether the call prefers the local zone.
+    /// Randomly decides whether the call prefers the local zone.
     fn draw_preference(&self, local: usize, rng: &mut Rng) -> Preference {
-        if local == 0 || random_unit(rng) >= self.locality.local_part() {
+        if local == 0 || random_unit(rng) >= self.locality.local_fraction() {
             Preference::AnyZone
-        } else if random_unit(rng) < BOTH_LOCAL_PART {
+        } else if random_unit(rng) < BOTH_LOCAL_FRACTION {
             Preference::BothLocal
         } else {
             Preference::OneLocal
         }
     }
 
-    /// The less busy of two random usable upstreams; one in slow start that has a token is drawn first.
+    /// Picks the less busy of two random usable upstreams; one in slow start that has a token is considered first.
     pub(crate) fn pick(&mut self, request: &PickRequest<'_>, rng: &mut Rng) -> Option<usize> {
         let size = self.subset.pools[request.class].members.len();
         if size == 0 {
@@ -94,8 +93,8 @@
         let preference = self.draw_preference(local, rng);
         let prefers_local = preference.prefers_local();
         let start = random_below(rng, size);
-        let among = if prefers_local { local } else { size };
-        let warming_up = self.warming_up_with_token(among, start, request);
+        let prefix = if prefers_local { local } else { size };
+        let warming_up = self.warming_up_with_token(prefix, start, request);
         let mut best: Option<usize> = None;
         for draw in 0..DRAWS + size {
             let draws_local = match preference {
@@ -110,7 +109,7 @@
             };
             let position = warming_up.filter(|_| draw == 0).unwrap_or(drawn);
             let slot = self.subset.pools[request.class].members[position];
-            // Should the draws miss the few that will do, walk once round the list, up to the first: rare.
+            // If random draws find no candidate, scan the pool until the first one. This is rare.
             let walked = draw >= DRAWS && best.is_some();
             let is_repeated = best == Some(slot) && size > 1;
             if walked || is_repeated || !self.is_candidate(slot, request, rng) {
@@ -127,7 +126,7 @@
         best
     }
 
-    /// Whether every rule allows an upstream that was drawn. It takes part in a trial of its zone by that.
+    /// Whether a drawn upstream may be used. This can count as a trial call to its zone.
     fn is_candidate(&mut self, slot: usize, request: &PickRequest<'_>, rng: &mut Rng) -> bool {
         let endpoint = &self.slots[slot].endpoint;
         let zone = endpoint.zone;
--- a/balancer/core/src/policy/requests.rs
+++ b/balancer/core/src/policy/requests.rs
@@ -1,15 +1,16 @@
-//! Decides on each request that comes in, and how many retries are earned by it.
+//! Handles incoming requests, and the retry budget that they earn.
 use crate::{interface::*, state::*};
 
-/// Where a late response earns nothing, the request ends at this part of its objective: just in time to say so.
-const LATENCY_TARGET_PART: f64 = 0.98;
-/// Retries allowed per request on average: a failing tier is not sent a multiple.
+/// If late responses have no value, requests are given up at this fraction of their objective, so that the final
+/// response still arrives in time.
+const LATENCY_TARGET_FRACTION: f64 = 0.98;
+/// Retries earned per request, so that retries cannot multiply the load on a failing tier.
 const RETRY_RATIO: f64 = 0.2;
-/// Retries that may be saved up.
+/// Maximum retry budget.
 pub(super) const MAX_RETRY_BUDGET: f64 = 10.0;
-/// Retries that all instances of a tier together may save up, where they hear of each other.
+/// Maximum retry budget over all instances of a tier, if they exchange updates.
 const MAX_TIER_RETRY_BUDGET: f64 = 100.0;
-/// Retries per first attempt while demand on the tier exceeds its capacity, as each takes a first attempt's place.
+/// Retries earned per first attempt while demand exceeds the tier's capacity, as each retry displaces a first attempt.
 const OVERLOADED_RETRY_RATIO: f64 = 0.05;
 
 impl Balancer {
@@ -21,16 +22,16 @@
         self.earn_retries(now);
         self.meter.on_request(request.tenant, now);
         let tenant = request.tenant.min(self.admission.tenants.len() - 1);
-        if let Some(reason) = self.refuse(now, request, tenant) {
+        if let Some(reason) = self.check_refusal(now, request, tenant) {
             let refusal = self.refusal(request.id, reason, now);
             return actions.push(refusal);
         }
         let class = &self.settings.classes[request.class];
-        // A late response that earns nothing only fills a place in every tier above.
+        // A late response without value would only occupy a slot in every tier above.
         let useful_until = if class.late_value > 0.0 {
             f64::INFINITY
         } else {
-            now + class.objective * LATENCY_TARGET_PART
+            now + class.objective * LATENCY_TARGET_FRACTION
         };
         let pending = Pending {
             class: request.class,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Adds to the retry budget what a request earns.
+    /// Adds the retries that a request earns to the retry budget.
     fn earn_retries(&mut self, now: Millis) {
         let max_budget = self.tier.current(now).map_or(MAX_RETRY_BUDGET, |update| {
             (MAX_TIER_RETRY_BUDGET / f64::from(update.up)).clamp(1.0, MAX_RETRY_BUDGET)
@@ -64,20 +65,20 @@
         self.retry_budget = (self.retry_budget + earned).min(max_budget);
     }
 
-    /// Why a request is refused, if it is; else it counts as admitted.
-    fn refuse(&mut self, now: Millis, request: &Request, tenant: usize) -> Option<Refusal> {
+    /// Decides whether a request is refused, and for which reason; otherwise it counts as admitted.
+    fn check_refusal(&mut self, now: Millis, request: &Request, tenant: usize) -> Option<Refusal> {
         let Some(class) = self.settings.classes.get(request.class) else {
             return Some(Refusal::TooLittleTime);
         };
-        // Hardly any upstream responds in so little time: the call would only keep others waiting. Where no call is in
-        // flight it is sent, or what was learned in a slow time would apply for ever.
+        // A response within the remaining time is unlikely, and the call would only delay others. Without calls in
+        // flight the request is sent anyway, as response times learned in a slow period would otherwise never be updated.
         let fastest = self.fleet.response_times.fastest_relative() * class.objective;
         if self.admission.in_flight > 0.0 && request.deadline - now < fastest {
             return Some(Refusal::TooLittleTime);
         }
         let verdict = if self.tier.sums(now).is_some() {
             self.load_shedding
-                .judge(tenant, request, &self.settings.classes)
+                .decide(tenant, request, &self.settings.classes)
         } else {
             SheddingVerdict::NoLevel
         };
--- a/balancer/core/src/policy/response_times.rs
+++ b/balancer/core/src/policy/response_times.rs
@@ -1,16 +1,16 @@
-//! Learns and estimates response times, of all upstreams and of each machine kind.
+//! Learns and estimates response times, over all upstreams and by machine type.
 use crate::{interface::*, state::*};
 use std::collections::BTreeMap;
 
-/// An attempt that may be repeated is given up after the mean response time and this many mean deviations.
+/// Mean deviations above the mean response time after which a call is overdue.
 pub(super) const TIMEOUT_DEVIATIONS: f64 = 4.0;
-/// Smoothing of a kind's response time, once it has many.
+/// Smoothing factor of a machine type's response time, once it has many samples.
 const KIND_GAIN: f64 = 0.02;
-/// Smoothing of the mean response time and its deviation.
+/// Smoothing factor of the mean response time and its mean deviation.
 const MEAN_GAIN: f64 = 0.05;
-/// How long an upstream's own response time is remembered unused: to 0.37 of itself.
+/// Time constant with which the slowness of an unused upstream decays.
 const SLOWNESS_DECAY_TIME: Millis = 5000.0;
-/// What a failure counts for at least, as a multiple of its kind's response time.
+/// Minimum slowness recorded for a failure.
 const MIN_FAILURE_SLOWNESS: f64 = 2.0;
 
 impl ResponseTimes {
@@ -23,12 +23,12 @@
         }
     }
 
-    /// The response time after which a call is overdue.
+    /// Response time from which a call is overdue.
     pub(crate) fn overdue_after(&self) -> Millis {
         self.mean + TIMEOUT_DEVIATIONS * self.deviation
     }
 
-    /// The response time of the fastest kind, as a part of the objective; zero before the first response.
+    /// Response time of the fastest machine type relative to the objective; zero before the first response.
     pub(crate) fn fastest_relative(&self) -> f64 {
         self.kinds
             .values()
@@ -38,7 +38,7 @@
             .unwrap_or(0.0)
     }
 
-    /// How many times longer responses of a kind take than the mean one; at least once.
+    /// Ratio of a machine type's response time to the mean; at least one.
     pub(crate) fn kind_slowness(&self, kind: u8) -> f64 {
         let mut total_relative = 0.0;
         let mut total_samples = 0.0;
@@ -51,8 +51,8 @@
         })
     }
 
-    /// The response time to expect of an upstream, as a part of the objective, once its kind has responded: its own
-    /// slowness decays if unused.
+    /// Expected response time of an upstream relative to the objective; `None` before the first response of its machine
+    /// type. The upstream's own slowness decays while it is unused.
     pub(crate) fn expected_relative(&self, upstream: &Upstream, now: Millis) -> Option<f64> {
         let kind = self
             .kinds
@@ -63,14 +63,13 @@
         Some(kind.relative * (1.0 + (health.slowness - 1.0) * decay))
     }
 
-    /// The response time to expect of an upstream: the mean one before its kind has responded.
+    /// Expected response time of an upstream; the overall mean before the first response of its machine type.
     pub(crate) fn expected(&self, upstream: &Upstream, objective: Millis, now: Millis) -> Millis {
         self.expected_relative(upstream, now)
             .map_or(self.mean, |relative| relative * objective)
     }
 
-    /// Records a response of a kind, which took `relative` of its objective. Returns how many times longer it took
-    /// than the kind's responses do.
+    /// Records a response of a machine type that took `relative` times its objective. Returns its slowness.
     pub(crate) fn record_response(&mut self, kind: u8, duration: Millis, relative: f64) -> f64 {
         let kind = self.kinds.entry(kind).or_default();
         kind.samples += 1.0;
@@ -80,15 +79,14 @@
         slowness(kind, relative)
     }
 
-    /// Records a failure after `relative` of the objective. Returns what it counts for, as a multiple of the kind's
-    /// response time.
+    /// Returns the slowness that a failure after `relative` times the objective counts for.
     pub(crate) fn record_failure(&mut self, kind: u8, relative: f64) -> f64 {
         let kind = self.kinds.entry(kind).or_default();
         slowness(kind, relative).max(MIN_FAILURE_SLOWNESS)
     }
 }
 
-/// How many times longer than the kind's responses one took.
+/// Ratio of a response time to the mean of its machine type.
 fn slowness(kind: &KindResponseTime, relative: f64) -> f64 {
     if kind.relative > 0.0 {
         relative / kind.relative
--- a/balancer/core/src/policy/restore.rs
+++ b/balancer/core/src/policy/restore.rs
@@ -1,31 +1,31 @@
-//! Saves what was learned for a later instance, and restores it there.
+//! Saves and restores learned state.
 use super::{capacity::MIN_FLOOR, ejection::MAX_EJECTION};
 use crate::{interface::*, state::*};
 
-/// What was learned of the load is worth less the older it is: 0.37 at this age. Load turns over in a minute or so.
+/// Time constant with which the weight of saved load values decays; load changes within about a minute.
 const LOAD_DECAY_TIME: Millis = 30_000.0;
-/// The same for response times: machines do not turn over as fast.
+/// Time constant for saved response times, which change more slowly.
 const RESPONSE_TIME_DECAY_TIME: Millis = 600_000.0;
 
-/// What saved state is worth at its age, each from 0 to 1.
+/// Weights of saved state by its age, from 0 to 1.
 struct Weights {
     load: f64,
     response_times: f64,
 }
 
-/// Moves a value towards a saved one.
+/// Interpolates a value towards a saved one.
 fn blend(value: &mut f64, saved: f64, weight: f64) {
     *value += weight * (saved - *value);
 }
 
 impl Balancer {
-    /// What was learned so far, to be saved for a later instance. Limits follow from it by the published rule.
+    /// Learned state, to be saved for a later instance. Tenant limits are not included, as they are computed from it.
     pub fn learned(&mut self, now: Millis) -> Learned {
-        let counts = self.fleet.count(&self.settings, now);
+        let counts = self.fleet.count_upstreams(&self.settings, now);
         learned(self, counts.usable, now)
     }
 
-    /// Restores what was saved, once there is an endpoint list.
+    /// Restores saved state once the endpoint list contains a ready upstream.
     pub(super) fn restore_saved(&mut self, now: Millis) {
         let has_list = self.fleet.subset.ready > 0;
         if let Some(saved) = self.saved_state.take_if(|_| has_list) {
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Restores what was learned `age` ago: faded towards what this instance starts with, and scaled to the
-    /// upstreams that there are now, or instances that all return would overload the ones in slow start.
+    /// Restores state of the given age: interpolated towards the initial state, and scaled to the usable upstreams, as
+    /// instances that restart together would otherwise overload upstreams in slow start.
     fn restore(&mut self, now: Millis, saved: &Learned, age: Millis) {
         let weights = Weights {
             load: (-age / LOAD_DECAY_TIME).exp(),
@@ -43,14 +43,14 @@
         self.restore_upstreams(now, saved, age, &weights);
         self.restore_response_times(saved, &weights);
         let fleet = &mut self.fleet;
-        // What is listed now may be the few that are left of what was shared out among many.
+        // The current list may be a small remainder of the upstreams that the saved capacity refers to.
         fleet.max_ready = fleet.max_ready.max(weights.load * saved.upstreams_max);
-        let counts = fleet.count(&self.settings, now);
+        let counts = fleet.count_upstreams(&self.settings, now);
         let capacity = &mut self.capacity;
         capacity.listed = counts.listed;
         capacity.usable = counts.usable;
         let scale = (counts.usable / saved.upstreams_usable.max(0.01)).min(1.0);
-        // Before it is known it is taken for the quotas.
+        // The served rate is assumed to equal the quotas until upstreams report it.
         capacity.load.served = if saved.load.served > 0.0 {
             capacity.total_quota
         } else {
@@ -95,7 +95,7 @@
     fn restore_response_times(&mut self, saved: &Learned, weights: &Weights) {
         let fleet = &mut self.fleet;
         for (&kind, &(relative, samples)) in &saved.kinds {
-            // Fewer responses to rest on, so that new ones count for more.
+            // A reduced sample count gives new responses a higher weight.
             let samples = samples * weights.response_times;
             if relative > 0.0 && samples >= 1.0 {
                 let times = KindResponseTime { relative, samples };
--- a/balancer/core/src/policy/slow_start.rs
+++ b/balancer/core/src/policy/slow_start.rs
@@ -1,11 +1,11 @@
-//! Decides how many calls each upstream in slow start may be sent, by a token bucket each.
+//! Limits the calls to each upstream in slow start with a token bucket.
 use crate::state::*;
 
-/// A token that goes unused expires after this part of the window that the budget holds in.
+/// Unused tokens expire after this fraction of the overload window.
 const TOKEN_EXPIRY: f64 = 0.5;
 
 impl Fleet {
-    /// Whether a listed upstream may be sent a call now: it is not excluded, and within its slow-start budget.
+    /// Whether an upstream may be sent a call now: it is not excluded and within its slow-start budget.
     pub(crate) fn is_usable(&mut self, slot: usize, request: &PickRequest<'_>) -> bool {
         let now = request.now;
         if !request.last_resort && self.is_excluded(slot, now) {
@@ -17,8 +17,8 @@
         if weight >= 1.0 {
             return true;
         }
-        // A token comes whenever the sum, begun in random phase, passes a whole number: all balancers get the
-        // sum of their rates. Unused ones expire, or what hundreds have saved would come in one burst.
+        // Tokens accumulate fractionally from a random phase, so that the calls of all balancers add up to the sum of
+        // their rates. Unused tokens expire, as hundreds of balancers could otherwise spend theirs in one burst.
         let slowness = self.response_times.kind_slowness(upstream.endpoint.kind);
         let rate = request.slow_start_rate * weight / slowness;
         let max_saved = (rate * settings.overload_window * TOKEN_EXPIRY).min(1.0);
--- a/balancer/core/src/policy/subset.rs
+++ b/balancer/core/src/policy/subset.rs
@@ -1,21 +1,22 @@
-//! Decides which upstreams this instance has connections to, for each class.
+//! Subsetting: which upstreams this instance connects to, by class.
 use super::limits::CYCLE;
 use crate::{interface::*, state::*};
 use std::collections::BTreeSet;
 
-/// Calls an upstream of the subset should get per idle period, so that its connections stay open.
+/// Target number of calls per idle timeout to each upstream of the subset, so that its connections stay open.
 const CALLS_PER_IDLE: f64 = 4.0;
-/// Upstreams in the subset for each call in flight: two choices find an idle one; more cost connections.
+/// Upstreams in the subset per call in flight: enough to find an idle one in two draws without opening more connections
+/// than needed.
 const SUBSET_SPREAD: f64 = 2.0;
-/// Never fewer upstreams in the subset than this, so that a few that fail leave enough to choose from.
+/// Minimum size of the subset, so that enough upstreams remain when some fail.
 pub(super) const MIN_SUBSET: usize = 8;
-/// Upstreams in it for each local one where zones are even: with half as many of other zones.
-const EVEN_SPREAD: f64 = 1.5;
-/// Fractional part of the golden ratio: its multiples are spread evenly, however many there are.
+/// Ratio of subset size to local members if zones are equally large: half as many remote members as local ones.
+const EVEN_ZONE_RATIO: f64 = 1.5;
+/// Fractional part of the golden ratio; its multiples modulo one are evenly distributed for any count.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
-/// The first so many of the ring from a position on, which is a part of the ring.
-fn run_of_ring(ring: &[usize], position: f64, max: usize) -> Vec<usize> {
+/// Up to `max` consecutive members of the ring, starting at `position`, a fraction of the ring's length.
+fn ring_segment(ring: &[usize], position: f64, max: usize) -> Vec<usize> {
     let size = ring.len();
     let start = (size as f64 * position) as usize;
     (0..size.min(max))
@@ -24,7 +25,7 @@
 }
 
 impl Subset {
-    /// Each balancer uses a run of the ring, evenly placed by its number, as connections are scarce.
+    /// Chooses a segment of the ring, evenly placed by the balancer's index. A subset limits the number of connections.
     pub(crate) fn choose(
         &mut self,
         slots: &[Upstream],
@@ -39,7 +40,7 @@
             .copied()
             .filter(|&slot| endpoint(slot).availability == Availability::Ready)
             .collect();
-        // Groups stand together on it, so that a guarded request finds others of its group in the subset.
+        // Members of a group are adjacent, so that the subset contains other members for retries of guarded requests.
         ring.sort_by_key(|&slot| {
             let endpoint = endpoint(slot);
             let group = UpstreamId(endpoint.group.into());
@@ -52,7 +53,7 @@
         self.ready = ring.len();
         let remote_position =
             f64::from(settings.index % settings.balancers) / f64::from(settings.balancers);
-        // Even among the instances of a zone as well, however they are numbered.
+        // Evenly distributed among the instances of a zone as well, whatever their indexes.
         let local_position = (f64::from(settings.index) * GOLDEN_RATIO).fract();
         let max = self.max_members;
         for (pool, class) in self.pools.iter_mut().zip(&settings.classes) {
@@ -66,18 +67,18 @@
             } else {
                 max.div_ceil(2)
             };
-            pool.members = run_of_ring(&local, local_position, max);
+            pool.members = ring_segment(&local, local_position, max);
             pool.local = pool.members.len();
             pool.members
-                .extend(run_of_ring(&remote, remote_position, max_remote));
+                .extend(ring_segment(&remote, remote_position, max_remote));
         }
         let zones: BTreeSet<u16> = ring.iter().map(|&slot| endpoint(slot).zone).collect();
         let local = ring.iter().copied().filter(is_local).count();
         self.load_per_member = self.load_per_member(local, zones.len());
     }
 
-    /// The part of what this balancer carries that one member carries, with so many ready upstreams in the local zone.
-    /// All balancers of a zone use the few upstreams that it may have: they share these with more others.
+    /// Fraction of this balancer's calls that one member gets, with `local` ready upstreams in the local zone. If that zone
+    /// has few upstreams, all its balancers share them, which lowers the fraction.
     fn load_per_member(&self, local: usize, zones: usize) -> f64 {
         let members = self.pools.iter().map(|pool| pool.members.len());
         let members = members.fold(1, usize::max) as f64;
@@ -87,12 +88,12 @@
         if local == 0 {
             return 1.0 / members;
         }
-        let part = local as f64 / self.ready as f64 * members / local_members / EVEN_SPREAD;
-        part.min(1.0) / members
+        let fraction = local as f64 / self.ready as f64 * members / local_members / EVEN_ZONE_RATIO;
+        fraction.min(1.0) / members
     }
 
-    /// The size that the subset should change to. It follows the traffic that keeps its connections open; small
-    /// changes are not worth new ones.
+    /// New size of the subset, if it should change. It follows the traffic, which keeps the connections open; small changes
+    /// do not justify new connections.
     pub(crate) fn new_size(
         &self,
         response_time: Millis,
--- a/balancer/core/src/policy/tier.rs
+++ b/balancer/core/src/policy/tier.rs
@@ -1,39 +1,39 @@
-//! Decides what an update of the tier counts for. Beyond its bound, or partitioned off, it is as if none had come.
+//! Decides how tier updates are used. Outdated updates, and those received while partitioned, are ignored.
 use crate::{interface::*, state::*};
 
-/// An update counts this long by the own clock, since updates may stop coming: several come in that time, so that
-/// a lost one changes nothing.
+/// How long an update is valid, on the local clock, as updates may stop arriving. Several arrive within this time, so
+/// that losing one has no effect.
 pub(super) const UPDATE_VALID_FOR: Millis = 1500.0;
-/// Sums and evidence in an update count up to this age.
+/// Maximum age of the sums and evidence in an update.
 const MAX_AGE: Millis = 3000.0;
-/// Evidence of so many instances, in so many zones, lets half of the own evidence do.
+/// Number of observing instances, and of their zones, from which half of the local evidence suffices.
 const MIN_OBSERVERS: u32 = 3;
 const MIN_OBSERVER_ZONES: u32 = 2;
-/// All instances together try what they have ejected as often as so many alone would.
+/// Total trial rate over all instances, as a multiple of the rate of a single instance.
 const TRIAL_INSTANCES: f64 = 2.0;
 
-/// How many times longer than alone this instance waits between trials of what others have ejected too; at least once.
-pub(super) struct TrialPauses {
+/// Factors by which this instance extends its trial intervals if other instances also try; at least one.
+pub(super) struct TrialIntervalFactors {
     /// Before the first trial.
     pub first: f64,
-    /// Before each further one.
-    pub repeated: f64,
+    /// Before each subsequent one.
+    pub subsequent: f64,
 }
 
 impl Tier {
-    /// The last update, while it counts.
+    /// The last update, while it is valid.
     pub(crate) fn current(&self, now: Millis) -> Option<&TierUpdate> {
         let update = self.update.as_deref();
         update.filter(|_| now - self.updated_at <= UPDATE_VALID_FOR)
     }
 
-    /// The sums over the tier, while they count.
+    /// The sums over the tier, while they are valid.
     pub(crate) fn sums(&self, now: Millis) -> Option<&TierSums> {
         let sums = self.current(now)?.sums.as_ref();
         sums.filter(|sums| sums.load.capacity > 0.0 && sums.age + now - self.updated_at <= MAX_AGE)
     }
 
-    /// What other instances have against it, unless one got a response since.
+    /// Evidence of other instances against a subject, unless one has received a response since.
     fn evidence(&self, subject: Subject, now: Millis) -> Option<&Evidence> {
         let update = self.current(now)?;
         let evidence = update
@@ -44,34 +44,34 @@
         (evidence.cleared == 0 && age <= MAX_AGE).then_some(evidence)
     }
 
-    /// Whether enough other instances have evidence against it.
+    /// Whether enough other instances have evidence against a subject.
     pub(crate) fn corroborates(&self, subject: Subject, now: Millis) -> bool {
         self.evidence(subject, now).is_some_and(|evidence| {
             evidence.observers >= MIN_OBSERVERS && evidence.zones >= MIN_OBSERVER_ZONES
         })
     }
 
-    /// The pauses between trials. Each instance has its turn in an order that all know; once one got a response, nobody
-    /// waits.
-    pub(super) fn trial_pauses(
+    /// Factors for the trial intervals. The instances try in an order known to all of them; once one has received a
+    /// response, no instance waits any longer.
+    pub(super) fn trial_interval_factors(
         &self,
         subject: Subject,
         settings: &Settings,
         now: Millis,
-    ) -> TrialPauses {
+    ) -> TrialIntervalFactors {
         let (turn, instances) = match (self.current(now), self.evidence(subject, now)) {
             (Some(update), Some(evidence)) if f64::from(evidence.observers) >= TRIAL_INSTANCES => {
                 (members_before(update, subject) + 1, update.up)
             }
-            // Partitioned off from others who may be trying as well: by its number, its even part.
-            (None, _) if self.has_met_others => {
+            // Partitioned from other instances that may also try: assume an equal share of the trials, by index.
+            (None, _) if self.has_seen_peers => {
                 (settings.index % settings.balancers + 1, settings.balancers)
             }
             _ => (0, 0),
         };
-        TrialPauses {
+        TrialIntervalFactors {
             first: (f64::from(turn) / TRIAL_INSTANCES).max(1.0),
-            repeated: (f64::from(instances) / TRIAL_INSTANCES).max(1.0),
+            subsequent: (f64::from(instances) / TRIAL_INSTANCES).max(1.0),
         }
     }
 }
--- a/balancer/core/src/policy/zones.rs
+++ b/balancer/core/src/policy/zones.rs
@@ -1,18 +1,18 @@
-//! Decides which zones are ejected as a whole because they do not respond, and how they return by degrees.
+//! Ejects unresponsive zones as a whole, and gradually returns traffic to them.
 use super::{capacity::CYCLE_DECAY, limits::CYCLE};
 use crate::{interface::*, state::*};
 
-/// A zone is ejected that owes so many response times.
+/// A zone is ejected if its calls in flight are overdue by this many expected response times in total.
 const EJECTION_OVERDUE: f64 = 6.0;
-/// Each call counts up to this much; each broken upstream counts one.
+/// Maximum contribution of each call; each broken upstream contributes one.
 const MAX_OVERDUE_PER_CALL: f64 = 4.0;
-/// It is tried this often, times one more than it was ejected of late.
+/// Base interval between trials of an ejected zone; multiplied by one plus the number of recent ejections.
 const TRIAL_INTERVAL: Millis = 500.0;
-/// It returns from this part of its draws, doubling.
-const FIRST_RETURN: f64 = 0.125;
+/// Initial fraction of its draws that a returning zone accepts; doubles in each step.
+const INITIAL_RETURN_FRACTION: f64 = 0.125;
 
 impl Zones {
-    /// Records how a call to an upstream ended.
+    /// Records the outcome of a call to an upstream.
     pub(crate) fn on_call_end(
         &mut self,
         upstream: &mut Upstream,
@@ -40,14 +40,15 @@
         }
     }
 
-    /// Counts a call in flight, up to the last response from anywhere: where none comes, all would be ejected.
+    /// Adds the overdue time of a call in flight, measured until the last response from any zone, so that no zone is
+    /// ejected if none responds.
     pub(crate) fn count_in_flight(&mut self, zone: u16, sent_at: Millis, expected: Millis) {
         let zone = self.by_zone.entry(zone).or_default();
         let waited = self.last_response - sent_at.max(zone.last_response);
         zone.overdue += (waited / expected - 1.0).clamp(0.0, MAX_OVERDUE_PER_CALL);
     }
 
-    /// Ejects zones that owe too much. Returns whether there were any.
+    /// Ejects unresponsive zones. Returns whether there were any.
     pub(crate) fn eject_unresponsive(
         &mut self,
         tier: &Tier,
@@ -71,8 +72,8 @@
         ejected_any
     }
 
-    /// Lets zones that respond return by degrees, each the slower the more often they were ejected of late.
-    pub(crate) fn return_by_degrees(&mut self, now: Millis, actions: &mut Actions) {
+    /// Gradually returns traffic to zones that respond; more slowly for zones that were ejected more often recently.
+    pub(crate) fn return_gradually(&mut self, now: Millis, actions: &mut Actions) {
         for (&number, zone) in &mut self.by_zone {
             let before = zone.diverted;
             zone.step_return(now);
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Whether an upstream of a zone that is ejected or returning may be drawn now.
+    /// Whether a draw of an upstream in this zone is accepted; always true unless the zone is ejected or returning.
     pub(crate) fn accepts_draw(
         &mut self,
         number: u16,
@@ -97,15 +98,17 @@
         }
         let now = request.now;
         let subject = Subject::Zone(number);
-        let pauses = request.tier.trial_pauses(subject, request.settings, now);
+        let factors = request
+            .tier
+            .trial_interval_factors(subject, request.settings, now);
         let multiple = if zone.trials == 0 {
-            pauses.first
+            factors.first
         } else {
-            pauses.repeated
+            factors.subsequent
         };
-        let pause = TRIAL_INTERVAL * (1.0 + zone.ejections) * multiple;
+        let interval = TRIAL_INTERVAL * (1.0 + zone.ejections) * multiple;
         let responds = zone.last_response > zone.changed_at;
-        let is_trial = request.harmless && !responds && now - zone.last_trial > pause;
+        let is_trial = request.may_test_zone && !responds && now - zone.last_trial > interval;
         if is_trial {
             zone.last_trial = now;
             zone.trials += 1;
@@ -115,7 +118,7 @@
 }
 
 impl Zone {
-    /// Moves one step between ejected and returned, once a cycle.
+    /// Adjusts the diverted fraction by one step; called once per cycle.
     fn step_return(&mut self, now: Millis) {
         if self.diverted == 0.0 {
             self.ejections *= CYCLE_DECAY;
@@ -126,14 +129,14 @@
         let fails = self.broken_upstreams >= 1.0 || self.overdue > EJECTION_OVERDUE / 2.0;
         if fails {
             if !is_ejected {
-                self.diverted = 1.0 - (part / 2.0).max(FIRST_RETURN);
+                self.diverted = 1.0 - (part / 2.0).max(INITIAL_RETURN_FRACTION);
             }
             self.changed_at = now;
             return;
         }
         let waited = now - self.changed_at > self.ejections * CYCLE;
         if self.last_response > self.changed_at && (is_ejected || waited) {
-            self.diverted = 1.0 - (2.0 * part).clamp(FIRST_RETURN, 1.0);
+            self.diverted = 1.0 - (2.0 * part).clamp(INITIAL_RETURN_FRACTION, 1.0);
             self.changed_at = now;
         }
     }
--- a/balancer/core/src/state.rs
+++ b/balancer/core/src/state.rs
@@ -1,4 +1,4 @@
-//! Records of what an instance knows, and its random draws. Nothing here decides: that is in `policy`.
+//! State of an instance and its random number generator. Decisions are made in `policy`.
 mod admission;
 mod balancer;
 mod capacity;
--- a/balancer/core/src/state/admission.rs
+++ b/balancer/core/src/state/admission.rs
@@ -1,13 +1,13 @@
-//! What tenants requested and got this cycle, and the calls in flight.
+//! State of admission control: requests of this cycle by tenant, and calls in flight.
 use super::TenantState;
 use crate::interface::{Millis, Settings, Tenant};
 
-/// The tenants' limits within the next tier's capacity.
+/// State of admission control.
 #[derive(Default)]
 pub(crate) struct Admission {
     pub tenants: Vec<TenantState>,
-    /// Requests admitted beyond what the capacity of the time since has covered. Never below zero.
-    pub uncovered: f64,
+    /// Level of a leaky bucket: rises with each admitted request and drains at the rate of the capacity. Never negative.
+    pub bucket_level: f64,
     pub cycle_start: Millis,
     /// Requests admitted this cycle.
     pub cycle_admitted: f64,
@@ -20,7 +20,7 @@
 }
 
 impl Admission {
-    /// Nothing was requested yet.
+    /// Initial state, without requests.
     pub(crate) fn new(settings: &Settings, now: Millis) -> Self {
         let single_tenant = vec![Tenant {
             share: 1.0,
@@ -39,7 +39,7 @@
             .iter()
             .map(|tenant| with_weight(tenant.share))
             .collect();
-        // One further entry for tenants that the settings do not list, however many they are.
+        // One additional entry, shared by all tenants that the settings do not list.
         let smallest_share = listed
             .iter()
             .map(|tenant| tenant.share)
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Requests per cycle that all tenants together make.
+    /// Requests per cycle over all tenants.
     pub(crate) fn total_demand(&self) -> f64 {
         self.tenants.iter().map(|tenant| tenant.demand).sum()
     }
--- a/balancer/core/src/state/balancer.rs
+++ b/balancer/core/src/state/balancer.rs
@@ -1,20 +1,20 @@
-//! All that one instance knows.
+//! Complete state of one instance.
 use super::{Admission, Capacity, Fleet, LoadShedding, Meter, Pending, Rng, Tier};
 use crate::interface::{Action, Learned, Millis, RequestId, Settings};
 use rand_core::SeedableRng;
 use std::collections::BTreeMap;
 
-/// What a call of the decision logic appends to.
+/// Output buffer for actions.
 pub(crate) type Actions = Vec<Action>;
 
-/// What an earlier instance learned, until there is an endpoint list to apply it to.
+/// State of an earlier instance, kept until there is an endpoint list to apply it to.
 pub(crate) struct SavedState {
     pub learned: Box<Learned>,
-    /// When it was handed out, on this instance's clock.
+    /// When it was saved, on this instance's clock.
     pub saved_at: Millis,
 }
 
-/// One instance of the decision logic.
+/// One instance of the load balancer's decision logic.
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) rng: Rng,
@@ -23,24 +23,24 @@
     pub(crate) fleet: Fleet,
     /// Requests without a final response.
     pub(crate) pending: BTreeMap<RequestId, Pending>,
-    /// Retries that may be made now.
+    /// Retries that are currently allowed.
     pub(crate) retry_budget: f64,
-    /// What was requested and sent of late, for the other instances of the tier.
+    /// Recent request and attempt rates, for the other instances of the tier.
     pub(crate) meter: Meter,
-    /// What the other instances observe.
+    /// Observations of the other instances.
     pub(crate) tier: Tier,
     pub(crate) load_shedding: LoadShedding,
-    /// Whether the first event came.
+    /// Whether the first event was handled.
     pub(crate) started: bool,
-    /// Calls for the endpoint list that failed in a row.
+    /// Consecutive failures to fetch the endpoint list.
     pub(crate) subscribe_failures: u32,
-    /// Whether the operator was last told that responses are late.
+    /// Whether the last logged state was that responses are late.
     pub(crate) reported_late: bool,
     pub(crate) saved_state: Option<SavedState>,
 }
 
 impl Balancer {
-    /// An instance that has handled no event yet.
+    /// An instance that has not handled any event.
     pub(crate) fn with_parts(
         settings: Settings,
         seed: u64,
@@ -67,14 +67,19 @@
         }
     }
 
-    /// Reports to the operator when responses begin to be late, and when no longer.
+    /// Logs when responses start or stop being late.
     pub(crate) fn report_lateness(&mut self, late: bool) -> Option<Action> {
         let changed = std::mem::replace(&mut self.reported_late, late) != late;
         let state = if late {
-            "late or failed: capacity is cut"
+            "late or failing: reducing capacity"
         } else {
-            "in time again"
+            "on time again"
         };
-        changed.then(|| Action::Log(format!("answers of tier {} {state}", self.settings.stage)))
+        changed.then(|| {
+            Action::Log(format!(
+                "responses of tier {} are {state}",
+                self.settings.stage
+            ))
+        })
     }
 }
--- a/balancer/core/src/state/capacity.rs
+++ b/balancer/core/src/state/capacity.rs
@@ -1,25 +1,25 @@
-//! What one instance has learned of the next tier's capacity.
+//! Learned capacity of the next tier.
 use crate::interface::{Load, Millis};
 
-/// The next tier's capacity for this instance.
+/// Capacity of the next tier for this instance.
 #[derive(Default)]
 pub(crate) struct Capacity {
-    /// Learned from how late responses are.
+    /// Learned from the lateness of responses.
     pub load: Load,
-    /// This instance's even part of the stated quotas, in calls per cycle.
+    /// Equal share of the configured quotas, in calls per cycle.
     pub even_quota: f64,
-    /// The stated quotas of all instances together, in calls per cycle; zero where they are not known to hold.
+    /// Configured quotas over all instances, in calls per cycle; zero where they do not apply.
     pub total_quota: f64,
-    /// Upstreams listed as ready, as a part of the most there were.
+    /// Listed ready upstreams as a fraction of the highest number so far.
     pub listed: f64,
-    /// Upstreams that can be used, as a part of the most there were.
+    /// Usable upstreams as a fraction of the highest number so far.
     pub usable: f64,
-    /// Responses since capacity was last adapted.
+    /// Number of responses since capacity was last adapted.
     pub responses: f64,
-    /// Those of `responses` that were in time.
+    /// Number of `responses` within their objective.
     pub in_time: f64,
-    /// Summed lateness of `responses`.
+    /// Total lateness of `responses`.
     pub lateness: f64,
-    /// Response time up to which responses are timely.
-    pub timely: Millis,
+    /// Response time up to which responses count as on time.
+    pub on_time_limit: Millis,
 }
--- a/balancer/core/src/state/fleet.rs
+++ b/balancer/core/src/state/fleet.rs
@@ -1,23 +1,23 @@
-//! What is known of all upstreams together.
+//! State of all upstreams.
 use super::{IdleConnections, Locality, ResponseTimes, Subset, Upstream, Zones};
 use crate::interface::{Availability, Endpoint, Millis, UpstreamId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The slot of each upstream.
+/// Slot index by upstream.
 pub(crate) type SlotById = BTreeMap<UpstreamId, usize>;
 
-/// The upstreams, and what is known of them together.
+/// The upstreams and their aggregated state.
 #[derive(Default)]
 pub(crate) struct Fleet {
-    /// Slots of removed upstreams are used again.
+    /// Slots of removed upstreams are reused.
     pub slots: Vec<Upstream>,
     pub by_id: SlotById,
     pub free_slots: Vec<usize>,
-    /// The most ready upstreams that there were, each by its slow-start weight.
+    /// Highest number of ready upstreams so far, weighted by slow start.
     pub max_ready: f64,
-    /// The part of attempts that failed.
+    /// Smoothed fraction of attempts that failed.
     pub failure_rate: f64,
-    /// Mean of the loads that upstreams report.
+    /// Smoothed mean of the loads that upstreams report.
     pub mean_reported_load: f64,
     pub subset: Subset,
     pub response_times: ResponseTimes,
@@ -27,7 +27,7 @@
 }
 
 impl Fleet {
-    /// Marks the upstreams as removed that a full list does not name.
+    /// Marks upstreams that are missing from a full list as removed.
     pub(crate) fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<UpstreamId> = endpoints.iter().map(|endpoint| endpoint.id).collect();
         for upstream in &mut self.slots {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The slot of an upstream, a new one if it has none.
+    /// The slot of an upstream; allocates one if needed.
     pub(crate) fn slot_for(&mut self, id: UpstreamId) -> usize {
         let known = self.by_id.get(&id).copied();
         let slot = known
@@ -49,7 +49,7 @@
         slot
     }
 
-    /// Records how many requests a second an upstream reports that it serves.
+    /// Records the request rate that an upstream reports.
     pub(crate) fn record_served_rate(&mut self, id: UpstreamId, per_s: f64, now: Millis) {
         if let Some(&slot) = self.by_id.get(&id).filter(|_| per_s.is_finite()) {
             let upstream = &mut self.slots[slot];
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Frees the slot of a removed upstream once no call to it is in flight.
+    /// Frees the slot of a removed upstream without calls in flight.
     pub(crate) fn free_if_removed(&mut self, slot: usize) {
         let upstream = &self.slots[slot];
         let id = upstream.endpoint.id;
--- a/balancer/core/src/state/idle_connections.rs
+++ b/balancer/core/src/state/idle_connections.rs
@@ -1,11 +1,11 @@
-//! How often calls are lost on connections that were idle.
+//! Loss rates of calls on idle connections.
 
-/// Steps of how long a connection may have been idle; the first: not at all.
+/// Number of idle-time steps; step zero means a new connection.
 pub(crate) const IDLE_STEPS: usize = 10;
 
-/// Losses on connections that were idle.
+/// Loss rates by idle time.
 #[derive(Default)]
 pub(crate) struct IdleConnections {
-    /// The part of calls that got no response, by step of how long the connection may have been idle.
+    /// Fraction of calls without a response, by idle-time step of their connection.
     pub loss_rates: [f64; IDLE_STEPS],
 }
--- a/balancer/core/src/state/learned.rs
+++ b/balancer/core/src/state/learned.rs
@@ -1,8 +1,8 @@
-//! What an instance has learned, as it is saved for a later one.
+//! Conversion of an instance's learned state to its saved form.
 use super::{Balancer, KindResponseTime};
 use crate::interface::{Learned, Millis};
 
-/// The part of an instance's state that is saved, where `usable` is the part of upstreams that can be used.
+/// The learned state to be saved; `usable` is the fraction of upstreams that can be used.
 pub(crate) fn learned(balancer: &Balancer, usable: f64, now: Millis) -> Learned {
     let fleet = &balancer.fleet;
     let called = fleet
--- a/balancer/core/src/state/load_shedding.rs
+++ b/balancer/core/src/state/load_shedding.rs
@@ -1,47 +1,48 @@
-//! What exceeds the tenants' limits in the tier, and what an instance has seen of the classes.
+//! State of tier-wide load shedding: excess by tenant, and statistics by class.
 use crate::interface::{Ending, Millis, Settings};
 
-/// Requests by which a tenant's mix of classes is known: then old ones count half.
+/// Number of requests after which the counts of a tenant's class mix are halved, so that old requests lose weight.
 const MIX_REQUESTS: f64 = 400.0;
-/// Weight of a class's newest response.
+/// Smoothing factor of response times by class.
 const RESPONSE_TIME_GAIN: f64 = 0.02;
 
-/// What the tier's level of shedding means for a request.
+/// Result of tier-wide load shedding for a request.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum SheddingVerdict {
-    /// There is no level: the tier has the capacity for what it is sent, or that is not known.
+    /// No shedding level applies: the tier's capacity suffices or is unknown.
     NoLevel,
-    /// Its tenant is within its limit over the tier, and others are not.
+    /// The tenant is within its tier-wide limit, while others are not.
     WithinLimit,
-    /// Its tenant is over its limit, and the request is worth more than what is shed.
+    /// The tenant is over its limit, and the request ranks above the shedding level.
     AboveLevel,
-    /// All instances shed it.
+    /// The request ranks below the shedding level; all instances shed it.
     BelowLevel,
 }
 
-/// By what the requests of a tenant are ordered.
+/// Sort key of a tenant's requests in shedding order.
 #[derive(Clone, Copy)]
 pub(crate) struct ClassKey {
-    /// Position in the settings.
+    /// Index in the settings.
     pub class: usize,
     /// See [`Request::tie`](crate::Request::tie).
     pub tie: u64,
 }
 
-/// The level up to which all instances shed, and the order in which they do.
+/// State of tier-wide load shedding.
 pub(crate) struct LoadShedding {
-    /// The part of each tenant's requests that is over its limit.
+    /// Fraction of each tenant's requests over its tier-wide limit.
     pub excess: Vec<f64>,
-    /// The part of ties that passes, as a multiple of the part of requests: shed requests are retried.
+    /// Ratio of the fraction of ties that passes to the fraction of requests that passes; above one, as shed requests are
+    /// retried with the same tie.
     pub retry_multiple: f64,
-    /// Requests of each tenant by class.
+    /// Recent requests of each tenant by class.
     class_mixes: Vec<Vec<f64>>,
-    /// Response times by class.
+    /// Mean response times by class.
     pub response_times: Vec<Millis>,
 }
 
 impl LoadShedding {
-    /// Nothing is over a limit, and responses are assumed to take their objective.
+    /// Initial state: no excess, and response times equal to the objectives.
     pub(crate) fn new(settings: &Settings, tenants: usize) -> Self {
         let classes = &settings.classes;
         LoadShedding {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Records a request.
+    /// Counts a request in the tenant's class mix.
     pub(crate) fn record_request(&mut self, tenant: usize, class: usize) {
         let mix = &mut self.class_mixes[tenant];
         mix[class] += 1.0;
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Records how an attempt ended, and after how long.
+    /// Records the outcome and duration of an attempt.
     pub(crate) fn record_outcome(&mut self, class: usize, ending: Ending, duration: Millis) {
         if ending == Ending::Ok {
             let mean = &mut self.response_times[class];
@@ -69,8 +70,8 @@
         }
     }
 
-    /// The part of a tenant's requests that are shed before this one: those of classes with a lower value, and of those
-    /// with the same value the ones with a lower tie.
+    /// Fraction of a tenant's requests that is shed before this one: those of classes with a lower value, and those of
+    /// classes with the same value and a lower tie.
     pub(crate) fn shed_before(
         &self,
         tenant: usize,
--- a/balancer/core/src/state/locality.rs
+++ b/balancer/core/src/state/locality.rs
@@ -1,11 +1,11 @@
-//! How the local zone compares with the others.
+//! Statistics of the local zone and of the other zones.
 use crate::interface::Settings;
 
-/// What is known of the upstreams of the local zone, or of all others.
+/// Statistics of the upstreams of the local zone, or of all other zones.
 pub(crate) struct LocalityStats {
-    /// Response time as a multiple of the machine kind's.
+    /// Mean response time relative to the machine type's.
     pub slowness: f64,
-    /// Load that upstreams report.
+    /// Mean load reported by upstreams.
     pub reported_load: f64,
 }
 
@@ -18,17 +18,17 @@
     }
 }
 
-/// The local zone and the others.
+/// Statistics of local and remote upstreams.
 #[derive(Default)]
 pub(crate) struct Locality {
-    /// The local zone, where crossing zones has a price.
+    /// The local zone; `None` if cross-zone calls have no cost.
     pub local_zone: Option<u16>,
     pub local: LocalityStats,
     pub remote: LocalityStats,
 }
 
 impl Locality {
-    /// Nothing was measured yet.
+    /// Initial state, without measurements.
     pub(crate) fn new(settings: &Settings) -> Self {
         Locality {
             local_zone: (settings.cross_zone_price > 0.0).then_some(settings.zone),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether a zone is the local one, and crossing zones has a price.
+    /// Whether a zone is the local one, and cross-zone calls have a cost.
     pub(crate) fn is_local(&self, zone: u16) -> bool {
         Some(zone) == self.local_zone
     }
--- a/balancer/core/src/state/meter.rs
+++ b/balancer/core/src/state/meter.rs
@@ -1,15 +1,15 @@
-//! What an instance counts for the others of its tier: means over about the last second.
+//! Load counters that an instance shares with its tier: means over about the last second.
 use crate::interface::{Millis, TenantLoad, TierLoad};
 
-/// What is counted decays over this time: to 0.37 of itself.
+/// Time constant of the exponential decay.
 const DECAY_TIME: Millis = 1000.0;
 
-/// The part of an exponential mean that is left at `now`.
+/// Remaining weight of an exponential mean at `now`.
 fn decay(since: Millis, now: Millis) -> f64 {
     (-(now - since).max(0.0) / DECAY_TIME).exp()
 }
 
-/// Events a second.
+/// Rate of events per second.
 #[derive(Clone, Copy, Default)]
 struct Rate {
     per_s: f64,
@@ -29,7 +29,7 @@
     }
 }
 
-/// A number that changes in steps, and its mean.
+/// A value that changes in steps, and its exponential mean.
 #[derive(Clone, Copy, Default)]
 struct Gauge {
     value: f64,
@@ -51,21 +51,21 @@
     }
 }
 
-/// What one tenant requests and has in flight.
+/// Request rate and calls in flight of one tenant.
 #[derive(Clone, Copy, Default)]
 struct TenantMeter {
     requests: Rate,
     in_flight: Gauge,
 }
 
-/// Whether an attempt is a request's first.
+/// Whether an attempt is the first one of its request or a retry.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AttemptKind {
     First,
     Retry,
 }
 
-/// Requests, attempts and calls in flight.
+/// Measures requests, attempts and calls in flight.
 pub(crate) struct Meter {
     tenants: Vec<TenantMeter>,
     first_attempts: Rate,
@@ -73,7 +73,7 @@
 }
 
 impl Meter {
-    /// Nothing was counted yet, of so many tenants: at least one.
+    /// Creates a meter for the given number of tenants, at least one.
     pub(crate) fn new(tenants: usize) -> Self {
         Meter {
             tenants: vec![TenantMeter::default(); tenants],
@@ -82,7 +82,7 @@
         }
     }
 
-    /// A tenant's meter. The last one is for all that have none of their own.
+    /// The meter of a tenant; unlisted tenants share the last one.
     fn tenant(&mut self, tenant: usize) -> &mut TenantMeter {
         let last = self.tenants.len() - 1;
         &mut self.tenants[tenant.min(last)]
@@ -93,7 +93,7 @@
         self.tenant(tenant).requests.record(now);
     }
 
-    /// Counts an attempt that begins.
+    /// Counts an attempt that starts.
     pub(crate) fn on_attempt_start(&mut self, tenant: usize, kind: AttemptKind, now: Millis) {
         match kind {
             AttemptKind::First => self.first_attempts.record(now),
@@ -107,7 +107,7 @@
         self.tenant(tenant).in_flight.add(-1.0, now);
     }
 
-    /// All that was counted, with the capacity that there is.
+    /// The measured load, together with the given capacity.
     pub(crate) fn load(&self, capacity_per_s: f64, now: Millis) -> TierLoad {
         let load_of = |tenant: &TenantMeter| TenantLoad {
             demand: tenant.requests.read(now),
--- a/balancer/core/src/state/observed.rs
+++ b/balancer/core/src/state/observed.rs
@@ -1,14 +1,14 @@
-//! What an instance observes, as the others of its tier are told it.
+//! Observations that an instance shares with the others of its tier.
 use super::{Fleet, Upstream, Zone};
 use crate::interface::{Observed, Subject, TierLoad};
 use std::cmp::Reverse;
 
-/// What is observed of an upstream or a zone that fails or has failed.
+/// Observed state of an upstream or zone that fails or has failed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Finding {
     /// It does not respond.
     Unresponsive,
-    /// It did not, and has responded since.
+    /// It did not respond earlier, but has responded since.
     Cleared,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl Fleet {
-    /// Zones and upstreams that there is evidence against, and those that respond again; `finding` judges a slot.
+    /// Zones and upstreams that fail, and those that respond again; `finding` gives the observed state of a slot.
     pub(crate) fn observed(
         &self,
         load: TierLoad,
--- a/balancer/core/src/state/outcome.rs
+++ b/balancer/core/src/state/outcome.rs
@@ -1,4 +1,4 @@
-//! How an attempt ended.
+//! Outcome of an attempt.
 use crate::interface::{Ending, Millis, RequestId};
 
 /// The fields of [`Event::Outcome`](crate::Event::Outcome).
@@ -9,6 +9,6 @@
     pub ending: Ending,
     /// Time since it was sent.
     pub duration: Millis,
-    /// The request has ended, by this outcome or earlier.
+    /// Whether the request has ended, with this outcome or earlier.
     pub closed: bool,
 }
--- a/balancer/core/src/state/pending.rs
+++ b/balancer/core/src/state/pending.rs
@@ -1,15 +1,15 @@
-//! What is known of a request that has no final response yet.
+//! Requests without a final response.
 use crate::interface::Millis;
 
 /// An attempt without an outcome.
 #[derive(Clone, Copy)]
 pub(crate) struct InFlightAttempt {
-    /// Counted from zero in the order of sends.
+    /// Number of the attempt, from zero in send order.
     pub number: u32,
     /// Slot of its upstream.
     pub slot: usize,
     pub sent_at: Millis,
-    /// How long its connection may have been idle, in steps; see [`IDLE_STEPS`](super::IDLE_STEPS).
+    /// Idle-time step of its connection; see [`IDLE_STEPS`](super::IDLE_STEPS).
     pub idle_step: usize,
 }
 
@@ -23,21 +23,21 @@
     pub group: u16,
 }
 
-/// A request that has no final response yet.
+/// A request without a final response.
 pub(crate) struct Pending {
-    /// Position in the settings.
+    /// Index in the settings.
     pub class: usize,
-    /// Position in the admission's table.
+    /// Index in [`Admission::tenants`](super::Admission::tenants).
     pub tenant: usize,
-    /// When a response stops being worth anything: no attempt runs longer.
+    /// When a response loses its value; no attempt runs longer.
     pub deadline: Millis,
-    /// Attempts that were begun.
+    /// Number of attempts made.
     pub attempts: u32,
     pub in_flight: Option<InFlightAttempt>,
     /// The first attempt that may have run.
     pub first_run: Option<PossibleRun>,
     /// Slot of the last attempt.
     pub last_slot: Option<usize>,
-    /// The client is no longer there: nothing is owed to it.
+    /// Whether the client has disconnected and needs no response.
     pub abandoned: bool,
 }
--- a/balancer/core/src/state/pick_request.rs
+++ b/balancer/core/src/state/pick_request.rs
@@ -1,8 +1,8 @@
-//! What an upstream is picked for.
+//! Input for picking an upstream.
 use super::Tier;
 use crate::interface::{DedupScope, Endpoint, Millis, Settings};
 
-/// Where a repeat of a guarded request is discarded, should the request have run already.
+/// Upstreams that discard a duplicate of a guarded request that may have run.
 #[derive(Clone, Copy)]
 pub(crate) struct DedupDomain {
     pub scope: DedupScope,
@@ -12,29 +12,28 @@
     pub group: u16,
 }
 
-/// A call that an upstream is to be picked for.
+/// A call that needs an upstream.
 #[derive(Clone)]
 pub(crate) struct PickRequest<'a> {
     pub settings: &'a Settings,
     pub tier: &'a Tier,
     pub now: Millis,
-    /// Position of the class, and of its pool in the subset.
+    /// Index of the class and of its pool in the subset.
     pub class: usize,
-    /// Calls per millisecond that this instance may send to upstreams in slow start, for each that their weights add
-    /// up to.
+    /// Calls per millisecond that this instance may send to an upstream in slow start, to be multiplied by its weight.
     pub slow_start_rate: f64,
-    /// Slot of an upstream that is not to be picked.
+    /// Slot of an upstream that must not be picked.
     pub avoid: Option<usize>,
-    /// It may run again anywhere, and there is time for that.
-    pub harmless: bool,
-    /// Nothing better is left: ejected, unresponsive and overloaded upstreams will do.
+    /// Whether the call is safe to retry anywhere and has time for it, so that it may test an ejected zone.
+    pub may_test_zone: bool,
+    /// Whether ejected, unresponsive and overloaded upstreams may be picked, for lack of others.
     pub last_resort: bool,
-    /// Set for a repeat of a guarded request.
+    /// Set for a retry of a guarded request that may have run.
     pub dedup: Option<DedupDomain>,
 }
 
 impl PickRequest<'_> {
-    /// Whether the upstream would discard the request, should it be a repeat that ran already.
+    /// Whether the upstream would discard the request as a duplicate if it ran already.
     pub(crate) fn allows(&self, endpoint: &Endpoint) -> bool {
         self.dedup.is_none_or(|domain| match domain.scope {
             DedupScope::All => true,
--- a/balancer/core/src/state/random.rs
+++ b/balancer/core/src/state/random.rs
@@ -1,15 +1,15 @@
-//! Random draws. Owns no state: the generator is the caller's.
+//! Random numbers. Stateless: the caller owns the generator.
 use rand_core::RngCore;
 
-/// The generator of every random choice.
+/// Random number generator of all decisions.
 pub(crate) type Rng = rand_pcg::Pcg64Mcg;
 
-/// Draws from 0 to below 1.
+/// Uniform random number in `[0, 1)`.
 pub(crate) fn random_unit(rng: &mut Rng) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Draws from 0 to below `bound`.
+/// Uniform random integer in `[0, bound)`.
 pub(crate) fn random_below(rng: &mut Rng, bound: usize) -> usize {
     ((u128::from(rng.next_u64()) * bound as u128) >> 64) as usize
 }
--- a/balancer/core/src/state/response_times.rs
+++ b/balancer/core/src/state/response_times.rs
@@ -1,20 +1,20 @@
-//! How long responses take.
+//! Response time statistics.
 use crate::interface::Millis;
 use std::collections::BTreeMap;
 
-/// The response time of a machine kind.
+/// Response time of a machine type.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct KindResponseTime {
-    /// Mean, as a part of the class's objective; zero before the first response.
+    /// Mean relative to the class's objective; zero before the first response.
     pub relative: f64,
-    /// Responses that the mean rests on.
+    /// Number of responses in the mean.
     pub samples: f64,
 }
 
-/// Response times, of all upstreams together and of each machine kind.
+/// Response times over all upstreams and by machine type.
 #[derive(Default)]
 pub(crate) struct ResponseTimes {
-    /// An instance that sees little traffic learns of a kind long before it has learned of each upstream.
+    /// By machine type, as an instance with little traffic learns these long before each upstream's response time.
     pub kinds: BTreeMap<u8, KindResponseTime>,
     pub mean: Millis,
     /// Mean deviation from the mean.
--- a/balancer/core/src/state/subset.rs
+++ b/balancer/core/src/state/subset.rs
@@ -1,12 +1,12 @@
-//! Which upstreams each class may use.
+//! The subset of upstreams that each class uses.
 use crate::interface::Settings;
 
-/// Where a class may go; nothing else is ever a candidate, also as a last resort.
+/// Upstreams that a class may use. No other upstream is ever a candidate, not even as a last resort.
 #[derive(Clone, Default)]
 pub(crate) struct Pool {
-    /// The first so many members are of the local zone.
+    /// Number of members in the local zone, which come first.
     pub local: usize,
-    /// Slots.
+    /// Slots of the members.
     pub members: Vec<usize>,
 }
 
@@ -17,14 +17,14 @@
     pub pools: Vec<Pool>,
     /// Ready upstreams in the full list.
     pub ready: usize,
-    /// The part of what this balancer carries that one upstream of the subset carries.
+    /// Fraction of this balancer's calls that one upstream of the subset gets.
     pub load_per_member: f64,
-    /// The most upstreams that each class uses.
+    /// Maximum number of upstreams per class and side, local or remote.
     pub max_members: usize,
 }
 
 impl Subset {
-    /// No upstream is known yet.
+    /// Initial state, without upstreams.
     pub(crate) fn new(settings: &Settings) -> Self {
         Subset {
             pools: vec![Pool::default(); settings.classes.len()],
--- a/balancer/core/src/state/tenant.rs
+++ b/balancer/core/src/state/tenant.rs
@@ -1,17 +1,17 @@
-//! What is known of a tenant in this cycle.
+//! Demand and limit of a tenant.
 
 /// A tenant's demand and limit, in requests per cycle.
 #[derive(Default)]
 pub(crate) struct TenantState {
-    /// Quota share relative to the other tenants'.
+    /// Share relative to the other tenants.
     pub weight: f64,
-    /// Whether it ever made a request.
+    /// Whether it has made a request.
     pub seen: bool,
-    /// Requests this cycle, refused ones too.
+    /// Requests in this cycle, including refused ones.
     pub cycle_requests: f64,
     /// Smoothed requests per cycle.
     pub demand: f64,
-    /// Admitted this cycle, less what was saved up in earlier ones.
+    /// Requests admitted in this cycle, less the unused limit of earlier cycles.
     pub admitted: f64,
     pub limit: f64,
 }
--- a/balancer/core/src/state/upstream.rs
+++ b/balancer/core/src/state/upstream.rs
@@ -1,45 +1,45 @@
-//! What is known of an upstream.
+//! State of an upstream.
 use crate::interface::{Endpoint, Health, Millis, Settings};
 
-/// What becomes of the connection of a call that ended.
+/// State of a connection after its call has ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ConnectionFate {
-    /// It is open for another call.
+    /// Open for another call.
     Reusable,
-    /// Its call got no response: it does not come back for another.
+    /// Closed, as its call got no response.
     Closed,
 }
 
-/// An upstream that is listed, or that still owes a response.
+/// An upstream that is listed or has calls in flight.
 #[derive(Default)]
 pub(crate) struct Upstream {
     pub endpoint: Endpoint,
-    /// Calls of this instance in flight.
+    /// This instance's calls in flight.
     pub in_flight: u32,
-    /// Connections that should be open.
+    /// Expected number of open connections.
     pub connections: u32,
-    /// Since when one of the connections may have been idle.
+    /// Earliest time since when one of the connections may have been idle.
     pub idle_since: Millis,
-    /// Since when it owes a response and has given none.
+    /// Since when it has had calls in flight without responding.
     pub unanswered_since: Millis,
     pub health: Health,
-    /// When it last served a call.
+    /// When it last completed a call successfully.
     pub last_success: Option<Millis>,
-    /// When a call to it last counted as broken in its zone: however many do, it counts once.
+    /// When a call to it last failed without a response. Each upstream counts only once among its zone's broken ones.
     pub broken_at: Millis,
-    /// Requests in flight that it reports, from all instances together.
+    /// Requests in flight over all instances, as it last reported.
     pub reported_load: f64,
     pub reported_load_at: Millis,
-    /// Requests a second that it reports to serve, for all instances together.
+    /// Requests per second over all instances, as it last reported.
     pub served_rate: f64,
     pub served_rate_at: Millis,
-    /// Slow-start budget: calls that may be sent now.
+    /// Slow-start token bucket: calls that may be sent now.
     pub slow_start_tokens: f64,
     pub slow_start_tokens_at: Millis,
 }
 
 impl Upstream {
-    /// The part of its full capacity that an upstream has now, at least.
+    /// Minimum fraction of its full capacity that the upstream has now.
     pub(crate) fn slow_start_weight(&self, settings: &Settings, now: Millis) -> f64 {
         let age = now - self.endpoint.since;
         if self.endpoint.since <= 0.0 || age >= settings.slow_start_time {
@@ -54,7 +54,7 @@
         self.slow_start_weight(settings, now) < 1.0
     }
 
-    /// Records a call that was sent, on a connection that may have been idle for so many steps; zero: on a new one.
+    /// Records a sent call and the idle-time step of its connection; zero for a new connection.
     pub(crate) fn on_call_start(&mut self, idle_step: usize, now: Millis) {
         if idle_step == 0 {
             self.connections = self.in_flight;
@@ -71,7 +71,7 @@
         self.slow_start_tokens -= 1.0;
     }
 
-    /// Records a call that ended.
+    /// Records a completed call.
     pub(crate) fn on_call_end(&mut self, connection: ConnectionFate, now: Millis) {
         if self.in_flight >= self.connections {
             self.idle_since = now;
--- a/balancer/core/src/state/zone.rs
+++ b/balancer/core/src/state/zone.rs
@@ -1,23 +1,23 @@
-//! What is known of zones.
+//! State of zones.
 use crate::interface::{Action, Millis};
 use std::collections::BTreeMap;
 
-/// A zone, judged by more calls than any of its upstreams sees.
+/// A zone. It gets more calls than any single upstream, so that failures are detected sooner.
 #[derive(Default)]
 pub(crate) struct Zone {
-    /// The part of its draws that are made elsewhere: 0 none, 1 ejected, between them returning.
+    /// Fraction of its draws that are diverted to other zones: 1 if ejected, between 0 and 1 while returning.
     pub diverted: f64,
     pub last_response: Millis,
-    /// Upstreams of which calls broke since the last response.
+    /// Upstreams with calls that failed without a response since the zone's last response.
     pub broken_upstreams: f64,
-    /// Overdue response times of its calls in flight and broken upstreams.
+    /// Total overdue time of its calls in flight, in expected response times, plus its broken upstreams.
     pub overdue: f64,
-    /// How often it was ejected of late.
+    /// Number of recent ejections, decaying over time.
     pub ejections: f64,
-    /// When `diverted` last changed.
+    /// When `diverted` last changed or the zone last failed.
     pub changed_at: Millis,
     pub last_trial: Millis,
-    /// Trials since it was ejected.
+    /// Trials since the ejection.
     pub trials: u32,
 }
 
@@ -31,34 +31,34 @@
         self.trials = 0;
     }
 
-    /// Reports to the operator that it is ejected.
+    /// Logs that the zone was ejected.
     pub(crate) fn report_ejection(&self, zone: u16, now: Millis) -> Action {
         let overdue = self.overdue;
         let since = now - self.last_response;
         Action::Log(format!(
-            "zone {zone} is left: it owes {overdue:.1} answer times, since {since:.0} ms"
+            "zone {zone} ejected: {overdue:.1} response times overdue, last response {since:.0} ms ago"
         ))
     }
 
-    /// Reports to the operator how far it has returned.
+    /// Logs what fraction of its draws a returning zone accepts.
     pub(crate) fn report_return(&self, zone: u16) -> Action {
         let state = if self.diverted > 0.0 {
             "returning"
         } else {
-            "near"
+            "in service"
         };
         let part = 1.0 - self.diverted;
         Action::Log(format!(
-            "zone {zone} is {state}: {part:.3} of its draws stand"
+            "zone {zone} is {state}: accepts {part:.3} of its draws"
         ))
     }
 }
 
-/// The zones, judged by more calls than any upstream sees.
+/// All zones.
 #[derive(Default)]
 pub(crate) struct Zones {
     pub by_zone: BTreeMap<u16, Zone>,
-    /// When any upstream last responded.
+    /// When an upstream of any zone last responded.
     pub last_response: Millis,
 }
 
@@ -68,12 +68,12 @@
         self.diverted(zone) >= 1.0
     }
 
-    /// The part of a zone's draws that are made elsewhere.
+    /// Fraction of a zone's draws that are diverted to other zones.
     pub(crate) fn diverted(&self, zone: u16) -> f64 {
         self.by_zone.get(&zone).map_or(0.0, |zone| zone.diverted)
     }
 
-    /// Begins a new count of what is overdue in each zone.
+    /// Resets the overdue time of each zone to its number of broken upstreams.
     pub(crate) fn restart_overdue(&mut self) {
         for zone in self.by_zone.values_mut() {
             zone.overdue = zone.broken_upstreams;
--- a/balancer/core/tests/switched_off.rs
+++ b/balancer/core/tests/switched_off.rs
@@ -49,7 +49,7 @@
         .count();
     let left = alone
         .iter()
-        .any(|a| matches!(a, Action::Log(line) if line.contains("is left")));
+        .any(|a| matches!(a, Action::Log(line) if line.contains("ejected")));
     assert!(
         refused > 50 && left,
         "a day on which much is decided: {refused} refused, {left}"
--- a/balancer/core/tests/zones.rs
+++ b/balancer/core/tests/zones.rs
@@ -98,7 +98,7 @@
     drop_in_flight(&mut harness, 0);
     run(&mut harness, 600.0, 60.0, except(0));
     let log = take_zone_log(&mut harness);
-    assert!(has_line(&log, "zone 0 is left: it owes "), "{log:?}");
+    assert!(has_line(&log, "zone 0 ejected: "), "{log:?}");
     let ejected_at = harness.now;
     run(&mut harness, 4000.0, 60.0, except(0));
     let after = sent(&harness, ejected_at);
@@ -141,10 +141,13 @@
     let log = take_zone_log(harness);
     let has = |line: &str| log.iter().any(|logged| logged == line);
     assert!(
-        has("zone 0 is returning: 0.125 of its draws stand"),
+        has("zone 0 is returning: accepts 0.125 of its draws"),
+        "{log:?}"
+    );
+    assert!(
+        has("zone 0 is in service: accepts 1.000 of its draws"),
         "{log:?}"
     );
-    assert!(has("zone 0 is near: 1.000 of its draws stand"), "{log:?}");
     let all = sent(harness, well_from).iter().sum::<usize>() / 16;
     assert!(
         local[1] * 2 < all.max(2),
@@ -275,7 +278,7 @@
     });
     let log = take_zone_log(&mut harness);
     assert!(
-        log.iter().any(|l| l.starts_with("zone 0 is left")),
+        log.iter().any(|l| l.starts_with("zone 0 ejected")),
         "{log:?}"
     );
 }
@@ -291,7 +294,7 @@
         let from = harness.now;
         while !take_zone_log(&mut harness)
             .iter()
-            .any(|l| l.starts_with("zone 0 is near"))
+            .any(|l| l.starts_with("zone 0 is in service"))
         {
             run(&mut harness, 500.0, 60.0, healthy);
             assert!(harness.now - from < 60_000.0, "never back");
@@ -315,7 +318,7 @@
         left.set(
             take_zone_log(&mut harness)
                 .iter()
-                .any(|l| l.starts_with("zone 0 is left"))
+                .any(|l| l.starts_with("zone 0 ejected"))
                 .then_some(harness.now - from),
         );
         assert!(harness.now - from < 5000.0, "not left");
