--- a/balancer/core/src/lib.rs
+++ b/balancer/core/src/lib.rs
@@ -1,4 +1,4 @@
-//! The decisions of a load balancer for services that call services, as a sans-I/O state machine.
+//! Decision logic of a load balancer for service-to-service calls, as a sans-I/O state machine.
 //!
 //! A [`Balancer`] receives events ([`Event`]) and returns the actions to perform ([`Action`]); it opens no
 //! socket, reads no clock and shares no state with other instances.
@@ -19,8 +19,8 @@
 //! assert!(matches!(actions[0], Action::Send { request, upstream: UpstreamId(1), .. } if request == id));
 //!
 //! actions.clear();
-//! let answer = Event::Outcome { request: id, attempt: 0, ending: Ending::Ok, duration: 20.0, closed: true };
-//! balancer.handle(21.0, answer, &mut actions);
+//! let outcome = Event::Outcome { request: id, attempt: 0, ending: Ending::Ok, duration: 20.0, closed: true };
+//! balancer.handle(21.0, outcome, &mut actions);
 //! assert!(actions.is_empty(), "a served request needs no further action");
 //! ```
 #![forbid(unsafe_code)]
--- a/balancer/core/src/policy/attempts.rs
+++ b/balancer/core/src/policy/attempts.rs
@@ -100,7 +100,7 @@
             .or_else(|| self.fleet.pick(&last_resort, &mut self.rng))
     }
 
-    /// Records and sends an attempt.
+    /// Records an attempt and emits its send action.
     fn start_attempt(
         &mut self,
         now: Millis,
--- a/balancer/core/src/policy/requests.rs
+++ b/balancer/core/src/policy/requests.rs
@@ -14,7 +14,7 @@
 const OVERLOADED_RETRY_RATIO: f64 = 0.05;
 
 impl Balancer {
-    /// Sends a request, or refuses it.
+    /// Admits and sends a request, or refuses it.
     pub(super) fn handle_request(&mut self, now: Millis, request: &Request, actions: &mut Actions) {
         if self.pending.contains_key(&request.id) {
             return;
--- a/balancer/core/src/state/upstream.rs
+++ b/balancer/core/src/state/upstream.rs
@@ -49,7 +49,7 @@
         (from + (1.0 - from) * age.max(0.0) / settings.slow_start_time).min(1.0)
     }
 
-    /// Whether it is in slow start.
+    /// Whether the upstream is in slow start.
     pub(crate) fn is_warming_up(&self, settings: &Settings, now: Millis) -> bool {
         self.slow_start_weight(settings, now) < 1.0
     }
--- a/balancer/core/src/state/zone.rs
+++ b/balancer/core/src/state/zone.rs
@@ -22,7 +22,6 @@
 }
 
 impl Zone {
-    /// Ejects it.
     pub(crate) fn eject(&mut self, now: Millis) {
         self.diverted = 1.0;
         self.changed_at = now;
--- a/balancer/core/tests/common/golden.rs
+++ b/balancer/core/tests/common/golden.rs
@@ -1,7 +1,7 @@
-//! Bytes that were stored once, for the tests of every crate that pins some: a file has a line for each record, its
-//! name and its bytes in hexadecimal. Nothing here writes such a file: bytes that are others now fail a test.
+//! Golden files of encoded records, shared by the tests of several crates. Each line holds the name of a record and its
+//! bytes in hexadecimal. Nothing here writes such a file, so that a changed encoding fails a test.
 
-/// The records of a file, in its order.
+/// The records of a golden file, in order.
 pub(crate) fn stored(file: &str) -> Vec<(&str, Vec<u8>)> {
     let record = |line| {
         let (name, hex): (&str, &str) = str::split_once(line, ": ").expect("a name and bytes");
@@ -11,7 +11,7 @@
     file.lines().map(record).collect()
 }
 
-/// Holds the bytes that the program makes against those of a file: the same records, names and order.
+/// Asserts that the encoded records equal those of a golden file, including names and order.
 pub(crate) fn assert_stored(file: &str, made: &[(String, Vec<u8>)]) {
     let line = |(name, bytes): &(String, Vec<u8>)| {
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
--- a/balancer/core/tests/common/mod.rs
+++ b/balancer/core/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A harness for one balancer: it responds to what the balancer sends and checks the rules on its own account.
-#![allow(dead_code)] // each test file uses its own part
+//! Test harness for one balancer: simulates upstream responses and independently checks each action against the rules.
+#![allow(dead_code)] // each test binary uses only some of the helpers
 mod rules;
 pub(crate) mod slow_start;
 pub(crate) mod tier;
@@ -36,22 +36,22 @@
         .collect()
 }
 
-/// A request as the harness saw it.
+/// A request as recorded by the harness.
 pub(crate) struct RequestRecord {
     pub class: usize,
     pub deadline: f64,
-    /// Where and when each attempt was sent.
+    /// Upstream and time of each attempt.
     pub sends: Vec<(UpstreamId, f64)>,
     /// When each attempt times out.
     pub timeouts: Vec<f64>,
-    /// How each attempt ended; `None`: it is in flight.
+    /// How each attempt ended; `None` while in flight.
     pub endings: Vec<Option<Ending>>,
-    /// It has its final response.
+    /// Whether it has its final response.
     pub completed: bool,
 }
 
 impl RequestRecord {
-    /// The attempt in flight that times out first.
+    /// The attempt in flight with the earliest timeout.
     fn next_timeout(&self) -> Option<usize> {
         (0..self.endings.len())
             .filter(|&attempt| self.endings[attempt].is_none())
@@ -59,7 +59,7 @@
     }
 }
 
-/// A response on its way.
+/// A response that will arrive later.
 #[derive(Clone, Copy)]
 pub(crate) struct ScheduledResponse {
     pub at: f64,
@@ -68,13 +68,13 @@
     pub ending: Ending,
 }
 
-/// What happens next as time passes.
+/// The next event in simulated time.
 enum Next {
     Timeout { request: RequestId, attempt: usize },
     Timer { index: usize, token: u32 },
 }
 
-/// Drives a balancer and checks each action against the rules, knowing nothing of how it decides.
+/// Drives a balancer and checks each action against the rules, independently of the implementation.
 pub(crate) struct Harness {
     pub balancer: Balancer,
     pub settings: Settings,
@@ -84,7 +84,7 @@
     pub timers: Vec<(f64, u32)>,
     pub log: Vec<Action>,
     pub scheduled: Vec<ScheduledResponse>,
-    /// The attempt of each request that a server last took.
+    /// The last attempt of each request for which a response was scheduled.
     last_served: BTreeMap<u32, usize>,
 }
 
@@ -168,8 +168,8 @@
         self.handle(Event::ClientDisconnected(RequestId(id)))
     }
 
-    /// Sends `per_s` requests a second for `span`, tenant by tenant in turn; `server` says how each attempt
-    /// ends and after how long (`None`: never).
+    /// Sends `per_s` requests per second for `span`, alternating between tenants. `server` gives the ending of each attempt
+    /// and its duration (`None`: no response).
     pub(crate) fn traffic(
         &mut self,
         span: f64,
@@ -192,7 +192,7 @@
                 }
             }
             self.advance(next - self.now);
-            // What a timer has sent again has its responses as well.
+            // Attempts that were sent by timers get responses as well.
             let in_flight: Vec<u32> = self
                 .requests
                 .iter()
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Takes the first response that is scheduled up to a time.
+    /// Removes the earliest response that is scheduled until a time.
     fn take_scheduled(&mut self, until: f64) -> Option<ScheduledResponse> {
         let first = (0..self.scheduled.len())
             .filter(|&index| self.scheduled[index].at <= until)
@@ -213,7 +213,7 @@
         Some(self.scheduled.swap_remove(first))
     }
 
-    /// Schedules the response to the newest attempt of a request.
+    /// Schedules the response to the latest attempt of a request.
     fn serve(&mut self, id: u32, server: &dyn Fn(UpstreamId) -> Option<(Ending, f64)>) {
         let record = &self.requests[&RequestId(id)];
         let Some(&(upstream, _)) = record.sends.last() else {
@@ -233,7 +233,7 @@
         }
     }
 
-    /// How many requests since `from` got an attempt, and how many attempts went to each upstream.
+    /// Number of requests with an attempt since `from`, and number of attempts by upstream.
     pub(crate) fn sent_since(&self, from: f64) -> (usize, BTreeMap<UpstreamId, usize>) {
         let mut by_upstream = BTreeMap::new();
         let mut requests = 0;
@@ -247,7 +247,7 @@
         (requests, by_upstream)
     }
 
-    /// Moves the clock, firing timers and timing out what reaches its deadline.
+    /// Advances the clock, firing timers and attempt timeouts.
     pub(crate) fn advance(&mut self, span: f64) {
         let until = self.now + span;
         while let Some((at, next)) = self.next().filter(|(at, _)| *at <= until) {
@@ -259,7 +259,7 @@
                     let has_time = at < record.deadline;
                     assert!(
                         has_time || record.completed || record.endings.contains(&None),
-                        "{request:?} has no final answer in time"
+                        "{request:?} has no final response in time"
                     );
                 }
                 Next::Timer { index, token } => {
@@ -271,7 +271,7 @@
         self.now = until;
     }
 
-    /// What happens next, and when; of what happens at once timeouts come before timers.
+    /// The next event and its time; at equal times, timeouts come before timers.
     fn next(&self) -> Option<(f64, Next)> {
         let timeouts = self.requests.iter().filter_map(|(&request, record)| {
             let attempt = record.next_timeout()?;
@@ -292,12 +292,15 @@
             self.check(action);
         }
         for (id, record) in &self.requests {
-            let forgotten = !record.completed && record.endings.iter().all(Option::is_some);
-            assert!(!forgotten, "{id:?} is neither answered nor out anywhere");
+            let unresolved = !record.completed && record.endings.iter().all(Option::is_some);
+            assert!(
+                !unresolved,
+                "{id:?} has neither a final response nor an attempt in flight"
+            );
         }
         self.log.extend(actions.iter().cloned());
         for action in &actions {
-            // The outcome of what is cancelled comes at once.
+            // A cancelled attempt reports its outcome immediately.
             if let Action::Cancel { request, attempt } = *action {
                 let attempt = attempt as usize;
                 if self.requests[&request].endings[attempt].is_none() {
--- a/balancer/core/tests/common/mutations.rs
+++ b/balancer/core/tests/common/mutations.rs
@@ -1,17 +1,17 @@
-//! Texts changed at random, for the tests of bad input of every crate that reads some: the same ones for the same seed.
+//! Deterministic random mutations of text, shared by the invalid-input tests of several crates.
 
-/// Changes texts of one format.
+/// Mutates texts of one format.
 pub(crate) struct Mutations<'a> {
-    /// What stands before a value.
+    /// Byte that precedes a value.
     pub separator: u8,
-    /// What may stand after a value.
+    /// Bytes that can follow a value.
     pub value_ends: &'static [u8],
-    /// What is put where a value was.
+    /// Replacements for values.
     pub values: Vec<&'a str>,
     pub generator: SplitMix64,
 }
 
-/// A small generator: the same numbers for the same seed, always.
+/// SplitMix64 generator: the same sequence for the same seed.
 pub(crate) struct SplitMix64(pub u64);
 
 impl SplitMix64 {
@@ -29,7 +29,8 @@
 }
 
 impl Mutations<'_> {
-    /// The text after one change or two: a value replaced, a byte changed, a span taken out, doubled or cut off.
+    /// The text after one or two mutations: a value replaced, a byte changed, a range removed or duplicated, or the text
+    /// truncated.
     pub(crate) fn of(&mut self, text: &str) -> Vec<u8> {
         let mut bytes = text.as_bytes().to_vec();
         for _ in 0..=self.generator.below(2) {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Replaces the first value that begins after a byte, or what stands there if none does.
+    /// Replaces the first value after position `at`, or the text at that position if no value follows.
     fn replace_value(&mut self, bytes: &mut Vec<u8>, at: usize) {
         let from = bytes[at..]
             .iter()
--- a/balancer/core/tests/common/rules.rs
+++ b/balancer/core/tests/common/rules.rs
@@ -1,4 +1,4 @@
-//! The rules that every action must keep to, checked on the harness's own account.
+//! Rules that every action must satisfy, checked from the harness's own records.
 use super::{Harness, RequestRecord};
 use balancer_core::*;
 
@@ -27,7 +27,7 @@
                     } => true,
                     _ => self.first_run(record).is_none(),
                 };
-                assert!(harmless, "{request:?} refused though it may have run");
+                assert!(harmless, "{request:?} refused although it may have run");
                 self.complete(*request);
             }
             Action::Fail { request } => {
@@ -71,21 +71,27 @@
         let zones = class.zones.as_ref();
         assert!(
             zones.is_none_or(|zones| zones.contains(&endpoint.zone)),
-            "{request:?} placed at {endpoint:?}"
+            "{request:?} sent to the wrong zone: {endpoint:?}"
         );
         let kinds = class.kinds.as_ref();
         assert!(
             kinds.is_none_or(|kinds| kinds.contains(&endpoint.kind)),
-            "{request:?} placed at {endpoint:?}"
+            "{request:?} sent to the wrong machine type: {endpoint:?}"
+        );
+        assert!(
+            !record.completed,
+            "{request:?} sent after its final response"
+        );
+        assert!(
+            self.now < record.deadline,
+            "{request:?} sent after its deadline"
         );
-        assert!(!record.completed, "{request:?} sent after its final answer");
-        assert!(self.now < record.deadline, "{request:?} sent too late");
         assert!(
             record.sends.len() < self.settings.max_attempts as usize,
             "{request:?}: too many attempts"
         );
         let in_flight = record.endings.contains(&None);
-        assert!(!in_flight, "{request:?}: two attempts out");
+        assert!(!in_flight, "{request:?}: two attempts in flight");
     }
 
     fn check_repeat(&self, request: RequestId, upstream: UpstreamId, write_by: f64) {
@@ -96,7 +102,7 @@
         assert_eq!(
             write_by.is_finite(),
             bounded,
-            "{request:?}: written by {write_by}"
+            "{request:?}: bounded only for guarded retries, but write_by is {write_by}"
         );
         let Some(first_run) = first_run else {
             return;
@@ -107,7 +113,10 @@
             Effect::Guarded { scope, window } => {
                 let (first_upstream, sent_at) = record.sends[first_run];
                 let window_end = sent_at + window;
-                assert!(self.now < window_end, "{request:?} resent after the window");
+                assert!(
+                    self.now < window_end,
+                    "{request:?} retried after the window"
+                );
                 assert!(
                     write_by <= window_end,
                     "{request:?} may be written after the window"
@@ -125,7 +134,7 @@
 
     fn record_send(&mut self, request: RequestId, upstream: UpstreamId, timeout: f64) {
         let now = self.now;
-        assert!(timeout >= 0.0, "{request:?} times out at once");
+        assert!(timeout >= 0.0, "{request:?} has a negative timeout");
         let record = self.requests.get_mut(&request).expect("a known request");
         record.timeouts.push(if timeout > 0.0 {
             record.deadline.min(now + timeout)
@@ -138,7 +147,7 @@
 
     fn check_final(&self, request: RequestId) {
         let completed = self.requests[&request].completed;
-        assert!(!completed, "{request:?} answered twice");
+        assert!(!completed, "{request:?} has two final responses");
     }
 
     fn complete(&mut self, request: RequestId) {
--- a/balancer/core/tests/common/slow_start/budget.rs
+++ b/balancer/core/tests/common/slow_start/budget.rs
@@ -1,4 +1,4 @@
-//! Counts what upstreams in slow start were sent against what they may be sent.
+//! Compares the calls sent to upstreams in slow start with their budgets.
 use super::fleet::{Fleet, Start};
 use super::*;
 
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Window {
     pub calls: usize,
-    /// The most calls that may be sent in it.
+    /// Maximum number of calls allowed in it.
     pub budget: f64,
     /// Age of the upstream at its end.
     pub age: f64,
@@ -18,34 +18,34 @@
     }
 }
 
-/// What was sent to the upstreams in slow start.
+/// Summary of the calls sent to upstreams in slow start.
 pub(crate) struct Outcome {
-    /// The worst window: calls in it as a part of its budget.
+    /// Calls relative to the budget in the worst window.
     pub worst_use: f64,
     pub worst_window: Window,
-    /// Calls sent to upstreams in slow start, as a part of what the multiple allows over it.
+    /// Calls sent to upstreams in slow start, as a fraction of those allowed over the whole slow start.
     pub used: f64,
     /// Calls that upstreams in slow start served.
     pub served_in_slow_start: usize,
-    /// Clients' requests since the restart.
+    /// Client requests since the restart.
     pub requested: usize,
-    /// Those of `requested` that were served.
+    /// Client requests since the restart that were served.
     pub served_requests: usize,
 }
 
-/// The least that an upstream can do at this age, as a part of its full capacity.
+/// Minimum capacity of an upstream at this age, as a fraction of its full capacity.
 pub(crate) fn slow_start_weight(age: f64) -> f64 {
     (SLOW_START_FROM + (1.0 - SLOW_START_FROM) * age / SLOW_START_TIME).min(1.0)
 }
 
-/// The most calls that may be sent within a window in which the settings allow `n`.
+/// Maximum number of calls in a window for which the settings allow `n`, with slack for random variation.
 pub(crate) fn budget(n: f64) -> f64 {
     let slack = if n < 30.0 { 3.0 } else { 2.0 };
     n + slack * n.sqrt() + slack
 }
 
 impl Fleet {
-    pub(super) fn judge(&self) -> Outcome {
+    pub(super) fn summarize(&self) -> Outcome {
         let mut worst_window = Window::default();
         let mut worst_use = 0.0;
         let mut allowed = 0.0;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The window that ends with each call to an upstream in slow start.
+    /// The windows that end with each call to an upstream in slow start.
     fn windows(&self, start: &Start, sends: &[f64]) -> Vec<Window> {
         let (id, since) = (start.0, start.1 as f64);
         let capacity = self.scenario.capacity * (self.scenario.relative_capacity)(id);
@@ -94,7 +94,7 @@
         windows
     }
 
-    /// Calls that the multiple allows over a slow start, until it ends or the upstream starts again.
+    /// Calls that the overload multiple allows during a slow start, until it ends or the upstream restarts.
     fn allowed(&self, start: &Start) -> f64 {
         let (id, since) = (start.0, start.1 as f64);
         let capacity = self.scenario.capacity * (self.scenario.relative_capacity)(id);
--- a/balancer/core/tests/common/slow_start/events.rs
+++ b/balancer/core/tests/common/slow_start/events.rs
@@ -1,4 +1,4 @@
-//! What happens when, in the order of simulated time.
+//! Scheduled steps, ordered by simulated time.
 use balancer_core::*;
 
 pub(super) enum Step {
--- a/balancer/core/tests/common/slow_start/fleet.rs
+++ b/balancer/core/tests/common/slow_start/fleet.rs
@@ -1,4 +1,4 @@
-//! The balancers, the upstreams and the clients on simulated time.
+//! Simulation of balancers, upstreams and clients.
 use super::events::{At, Call, Step};
 use super::scenario::Scenario;
 use super::*;
@@ -7,17 +7,17 @@
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
-/// What a response takes on average, in milliseconds.
+/// Mean response time in milliseconds.
 const SERVICE_TIME: f64 = 50.0;
-/// What a failed connection takes, and a rejection, in milliseconds.
+/// Duration of a failed connection or a rejection in milliseconds.
 const FAILURE_TIME: f64 = 5.0;
-/// An upstream rejects calls beyond this much work ahead of them, in milliseconds.
+/// Queueing delay in milliseconds beyond which an upstream rejects calls.
 const MAX_QUEUE: f64 = 300.0;
 
-/// One start of an upstream: which, and the millisecond.
+/// One start of an upstream, and its time in milliseconds.
 pub(super) type Start = (UpstreamId, u64);
 
-/// A balancer, how many processes it had before, and the attempts and deadline of each of its open requests.
+/// A balancer process, its number of earlier restarts, and the attempts and deadlines of its open requests.
 pub(super) struct Process {
     pub(super) balancer: Balancer,
     pub(super) incarnation: u64,
@@ -27,17 +27,17 @@
 pub(super) struct Fleet {
     pub(super) scenario: Scenario,
     pub(super) now: f64,
-    pub(super) number: u64,
+    pub(super) sequence: u64,
     pub(super) rng: Pcg64Mcg,
     pub(super) schedule: BinaryHeap<Reverse<At>>,
     pub(super) processes: Vec<Process>,
     pub(super) listed: BTreeMap<UpstreamId, Endpoint>,
     pub(super) weights: Vec<f64>,
-    /// When calls were sent to each upstream since its slow start began.
+    /// Send times of calls to each upstream since the beginning of its slow start.
     pub(super) sends: BTreeMap<Start, Vec<f64>>,
-    /// Calls that each upstream served within the last second.
+    /// Times of calls that each upstream served within the last second.
     pub(super) recent: BTreeMap<UpstreamId, VecDeque<f64>>,
-    /// When each upstream has done all that it was sent.
+    /// When each upstream will have completed all its calls.
     pub(super) busy_until: BTreeMap<UpstreamId, f64>,
     pub(super) served_in_slow_start: usize,
     pub(super) requested: usize,
@@ -51,7 +51,7 @@
         let weights = (0..scenario.balancers).map(scenario.weight).collect();
         let mut fleet = Fleet {
             now: 0.0,
-            number: 0,
+            sequence: 0,
             rng: Pcg64Mcg::seed_from_u64(scenario.seed),
             schedule: BinaryHeap::new(),
             processes: Vec::new(),
@@ -110,19 +110,19 @@
         Balancer::new(settings, seed, self.now).expect("settings")
     }
 
-    /// A new process learns its list.
+    /// Sends the endpoint list to a new process.
     fn send_list(&mut self, index: usize) {
-        let update_endpoints = self.listed.values().cloned().collect();
+        let endpoints = self.listed.values().cloned().collect();
         self.event(
             index,
-            Event::EndpointUpdate(EndpointUpdate::Cached(update_endpoints)),
+            Event::EndpointUpdate(EndpointUpdate::Cached(endpoints)),
         );
     }
 
-    fn after(&mut self, span: f64, schedule: Step) {
-        self.number += 1;
+    fn after(&mut self, span: f64, step: Step) {
+        self.sequence += 1;
         self.schedule
-            .push(Reverse(At(self.now + span, self.number, schedule)));
+            .push(Reverse(At(self.now + span, self.sequence, step)));
     }
 
     fn random_unit(&mut self) -> f64 {
@@ -130,13 +130,13 @@
     }
 
     pub(super) fn run(&mut self) {
-        while let Some(Reverse(At(at, _, schedule))) = self
+        while let Some(Reverse(At(at, _, step))) = self
             .schedule
             .pop()
-            .filter(|schedule| schedule.0 .0 <= self.scenario.span)
+            .filter(|next| next.0 .0 <= self.scenario.span)
         {
             self.now = at;
-            match schedule {
+            match step {
                 Step::Arrival => self.arrival(),
                 Step::Timer(index, incarnation, token)
                     if self.processes[index].incarnation == incarnation =>
@@ -161,15 +161,16 @@
     }
 
     fn update_endpoints(&mut self, updates: Vec<Endpoint>) {
-        for m in &updates {
+        for endpoint in &updates {
             if self
                 .listed
-                .get(&m.id)
-                .is_none_or(|known| known.since != m.since)
+                .get(&endpoint.id)
+                .is_none_or(|known| known.since != endpoint.since)
             {
-                self.sends.insert((m.id, m.since as u64), Vec::new());
+                self.sends
+                    .insert((endpoint.id, endpoint.since as u64), Vec::new());
             }
-            self.listed.insert(m.id, m.clone());
+            self.listed.insert(endpoint.id, endpoint.clone());
         }
         for index in 0..self.processes.len() {
             self.event(
@@ -211,8 +212,8 @@
             at < 0.0
         };
         let index = self.weights.iter().position(within).unwrap_or(last);
-        self.number += 1;
-        let id = RequestId(self.number as u32);
+        self.sequence += 1;
+        let id = RequestId(self.sequence as u32);
         let deadline = self.now + 2000.0;
         self.processes[index].open.insert(id, (0, deadline));
         self.requested += usize::from(self.now >= RESTART_AT);
@@ -223,12 +224,12 @@
                 class: 0,
                 tenant: 0,
                 deadline,
-                tie: self.number,
+                tie: self.sequence,
             }),
         );
     }
 
-    /// Ends a call, if its balancer still runs and waits for it.
+    /// Completes a call, if its balancer process still runs and waits for it.
     fn end_call(&mut self, call: &Call, ending: Ending) {
         let process = &mut self.processes[call.balancer];
         let open = process.open.get(&call.request);
@@ -251,7 +252,7 @@
         self.event(call.balancer, outcome);
     }
 
-    /// Counts a call that an upstream served, and lets it report its rate.
+    /// Counts a served call and reports the upstream's request rate.
     fn record_served(&mut self, balancer: usize, upstream: UpstreamId) {
         let now = self.now;
         self.served_requests += usize::from(now >= RESTART_AT);
@@ -337,15 +338,15 @@
         self.after(duration.min(time_limit), Step::Ended { call, ending });
     }
 
-    /// An upstream takes a call, as far as it can: how that ends, and after how long.
+    /// Executes a call at an upstream; returns its ending and duration.
     fn work(&mut self, to: UpstreamId) -> (Ending, f64) {
         let (now, since) = (self.now, self.listed[&to].since);
-        let warm = if since > 0.0 {
+        let weight = if since > 0.0 {
             slow_start_weight(now - since)
         } else {
             1.0
         };
-        let per_s = self.scenario.capacity * (self.scenario.relative_capacity)(to) * warm;
+        let per_s = self.scenario.capacity * (self.scenario.relative_capacity)(to) * weight;
         let busy_until = self.busy_until.entry(to).or_default();
         let wait = (*busy_until - now).max(0.0);
         if wait > MAX_QUEUE {
--- a/balancer/core/tests/common/slow_start/scenario.rs
+++ b/balancer/core/tests/common/slow_start/scenario.rs
@@ -1,38 +1,38 @@
-//! The fleet, what clients request and what goes wrong.
+//! Configuration of a simulated scenario.
 use super::{RESTART_AT, SLOW_START_TIME};
 use balancer_core::*;
 
-/// The fleet, what clients request and what goes wrong.
+/// The fleet, the client load and the failures of a scenario.
 pub(crate) struct Scenario {
-    /// Balancers that run.
+    /// Number of running balancers.
     pub balancers: usize,
-    /// Balancers that the settings name.
+    /// Number of balancers in the settings.
     pub stated_balancers: usize,
     pub upstreams: u64,
-    /// The first so many upstreams restart at [`RESTART_AT`].
+    /// Number of upstreams, from the first, that restart at [`RESTART_AT`].
     pub restarting: u64,
-    /// Calls a second that an upstream carries after slow start.
+    /// Capacity of an upstream after slow start, in calls per second.
     pub capacity: f64,
-    /// Calls a second that clients make, as a part of what all upstreams carry.
+    /// Client load over time, as a fraction of the capacity of all upstreams.
     pub load: fn(f64) -> f64,
-    /// How much of the traffic a balancer gets beside the others.
+    /// Traffic of a balancer relative to the others.
     pub weight: fn(usize) -> f64,
-    /// How calls end, by upstream and time.
+    /// Ending of calls, by upstream and time.
     pub ending: fn(UpstreamId, f64) -> Ending,
-    /// Whether a balancer restarts then; looked at every 100 ms.
+    /// Whether a balancer restarts at a time; checked every 100 ms.
     pub restarts: fn(usize, f64) -> bool,
-    /// Updates of the list but the restart itself: sent to all at that time.
+    /// Endpoint updates other than the restart, sent to all balancers at the given time.
     pub updates: Vec<(f64, Vec<Endpoint>)>,
     pub stage: u32,
-    /// The part of what the upstreams carry that the quotas state.
+    /// Quotas as a fraction of the capacity of all upstreams.
     pub quotas: f64,
-    /// Upstreams report how many requests a second they serve.
+    /// Whether upstreams report their request rate.
     pub reports_served: bool,
-    /// Capacity of an upstream beside the others of the fleet.
+    /// Capacity of an upstream relative to the others.
     pub relative_capacity: fn(UpstreamId) -> f64,
-    /// The zone of an upstream, of three; balancers run in all of them alike.
+    /// Zone of an upstream, out of three; balancers are evenly distributed over them.
     pub zone: fn(UpstreamId) -> u16,
-    /// Calls prefer the local zone.
+    /// Whether calls prefer the local zone.
     pub prefers_local: bool,
     pub span: f64,
     pub seed: u64,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// A ready upstream that started then.
+    /// A ready upstream that started at the given time.
     pub(crate) fn listed(&self, id: u64, since: f64) -> Endpoint {
         let zone = (self.zone)(UpstreamId(id));
         Endpoint {
--- a/balancer/core/tests/common/tier/exchange.rs
+++ b/balancer/core/tests/common/tier/exchange.rs
@@ -1,4 +1,4 @@
-//! What the instances of the tier learn from each other.
+//! Exchange of updates between the instances of the tier.
 use super::TierSimulation;
 use balancer_core::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,13 +8,13 @@
 /// Age of the sums in an update.
 const SUMS_AGE: f64 = 300.0;
 
-/// What an instance that hears the others observes.
+/// Observations of a connected instance.
 struct Observation {
     instance: usize,
     observed: Observed,
 }
 
-/// Who observed what of one subject.
+/// Observers of one subject.
 #[derive(Default)]
 struct Observers {
     against: u32,
@@ -23,7 +23,7 @@
 }
 
 impl TierSimulation {
-    /// Updates all instances: sums of those that hear each other, and evidence without their own.
+    /// Sends each connected instance the sums over all of them and the evidence of the others.
     pub(super) fn exchange_updates(&mut self) {
         let observations = self.observations();
         let load = total_load(&observations);
@@ -74,7 +74,7 @@
     total
 }
 
-/// The evidence of all instances but one.
+/// The evidence of all instances except the given one.
 fn evidence_for(instance: usize, observations: &[Observation]) -> Vec<Evidence> {
     let mut subjects: BTreeMap<Subject, Observers> = BTreeMap::new();
     for other in observations {
--- a/balancer/core/tests/common/tier/measures.rs
+++ b/balancer/core/tests/common/tier/measures.rs
@@ -1,10 +1,9 @@
-//! What a run came to.
+//! Results of a simulation run.
 use super::{ClientRequest, ClientResponse, TierSimulation};
 use balancer_core::UpstreamId;
 
 impl TierSimulation {
-    /// Requests that were served per second in this time, within the objective and as long as instances advised clients
-    /// to wait.
+    /// Requests per second that were served in this period, within the objective plus the advised retry delays.
     pub(crate) fn goodput(
         &self,
         from: f64,
@@ -22,7 +21,7 @@
         within.filter(is_good).count() as f64 * 1000.0 / (to - from)
     }
 
-    /// The part of a tenant's requests in this time that was served.
+    /// Fraction of a tenant's requests in this period that was served.
     pub(crate) fn served_part(&self, from: f64, to: f64, tenant: usize) -> f64 {
         let requested = self
             .arrivals
@@ -33,7 +32,7 @@
         goodput * (to - from) / 1000.0 / requested as f64
     }
 
-    /// Attempts a second in this time that went to such upstreams.
+    /// Attempts per second in this period to matching upstreams.
     pub(crate) fn sent_rate(&self, from: f64, to: f64, counts: impl Fn(UpstreamId) -> bool) -> f64 {
         let sends = self.sends.iter();
         let within = sends.filter(|send| send.at >= from && send.at < to && counts(send.upstream));
--- a/balancer/core/tests/common/tier/mod.rs
+++ b/balancer/core/tests/common/tier/mod.rs
@@ -1,4 +1,4 @@
-//! A tier in miniature: many balancers before the same servers, clients that retry, and updates of the tier with ages.
+//! Simulation of a tier: many balancers with the same servers, clients that retry, and delayed tier updates.
 mod exchange;
 mod measures;
 mod requests;
@@ -15,15 +15,15 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// Calls that a server works on at a time.
+/// Concurrent calls per server.
 pub(crate) const SLOTS: usize = 4;
-/// The time that a call takes, in milliseconds.
+/// Duration of a call in milliseconds.
 pub(crate) const SERVICE_TIME: f64 = 40.0;
-/// The most calls that wait at a server.
+/// Maximum queue length of a server.
 const MAX_QUEUE: usize = 100;
-/// Updates of the tier come this often, in milliseconds.
+/// Interval of tier updates in milliseconds.
 const UPDATE_INTERVAL: f64 = 250.0;
-/// The longest time between two looks at a tenant's rate, in milliseconds.
+/// Maximum interval in milliseconds after which a tenant's rate is read again.
 const MAX_ARRIVAL_PAUSE: f64 = 100.0;
 
 /// A balancer of the tier.
@@ -34,16 +34,16 @@
     open: BTreeMap<RequestId, OpenRequest>,
 }
 
-/// How a tenant's clients make requests.
+/// Request rate of a tenant.
 #[derive(Clone, Copy)]
 pub(crate) struct TenantRate {
-    /// Requests a second.
+    /// Requests per second.
     pub per_s: f64,
-    /// The part of them that is of the first class.
+    /// Fraction of requests of the first class.
     pub first_class: f64,
 }
 
-/// When a client first made a request.
+/// First arrival of a client's request.
 pub(crate) struct Arrival {
     pub at: f64,
     pub tenant: usize,
@@ -56,7 +56,7 @@
     pub attempt: u32,
 }
 
-/// What passes of an update of the tier on its way to an instance at a time.
+/// Modifies or drops a tier update on its way to an instance, by time.
 pub(crate) type UpdateFilter = fn(f64, TierUpdate) -> Option<TierUpdate>;
 
 pub(crate) struct TierSimulation {
@@ -65,14 +65,14 @@
     servers: Vec<Server>,
     pub settings: Settings,
     pub rates: Vec<TenantRate>,
-    /// Times as long as a server takes now; infinite: it does not respond.
+    /// Factor on the duration of a server's calls, by time; infinite if the server does not respond.
     pub slowness: Box<dyn Fn(usize, f64) -> f64>,
-    /// The part of a server's responses that are errors, however soon it gives them.
+    /// Fraction of a server's responses that are errors, by time.
     pub error_rate: Box<dyn Fn(usize, f64) -> f64>,
     pub filter_update: UpdateFilter,
-    /// All that was decided, in order.
+    /// All actions, in order.
     pub log: Vec<(usize, Action)>,
-    /// How many times a client retries.
+    /// Maximum number of retries by a client.
     pub max_retries: u32,
     pub arrivals: Vec<Arrival>,
     pub responses: Vec<ClientResponse>,
@@ -164,7 +164,7 @@
         self.handle(index, Event::EndpointUpdate(update));
     }
 
-    /// What the servers can do, in requests a second.
+    /// Capacity of all servers in requests per second.
     pub(crate) fn capacity(&self) -> f64 {
         (self.servers.len() * SLOTS) as f64 * 1000.0 / SERVICE_TIME
     }
@@ -202,7 +202,7 @@
         self.now = until;
     }
 
-    /// A tenant's request arrives, or its rate is looked at again.
+    /// Handles the arrival of a tenant's request, or reads its rate again.
     fn arrive(&mut self, tenant: usize) {
         let rate = self.rates[tenant];
         let pause = -(1.0 - self.random_unit()).ln() * 1000.0 / rate.per_s.max(0.001);
@@ -232,7 +232,7 @@
         self.handle(instance, Event::Restored { learned, age: 0.0 });
     }
 
-    /// Kills instances; their open requests return to their clients.
+    /// Kills instances; clients of their open requests see a failure.
     pub(crate) fn kill(&mut self, which: impl Fn(usize) -> bool) {
         for index in (0..self.instances.len()).filter(|&index| which(index)) {
             self.instances[index].up = false;
--- a/balancer/core/tests/common/tier/requests.rs
+++ b/balancer/core/tests/common/tier/requests.rs
@@ -1,13 +1,13 @@
-//! Clients: what each requests, the instances that it tries, and the responses that it gets.
+//! Clients: their requests, retries and responses.
 use super::schedule::Step;
 use super::TierSimulation;
 use balancer_core::*;
 use rand_core::RngCore;
 
-/// Pause before the retry of a client that got no advice, in milliseconds.
+/// Delay before a client's retry without advice, in milliseconds.
 const UNADVISED_PAUSE: f64 = 100.0;
 
-/// What a client requests, over all its retries.
+/// A client's request, over all its retries.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientRequest {
     pub class: usize,
@@ -17,7 +17,7 @@
     pub retries: u32,
 }
 
-/// One final response, as its client saw it.
+/// A final response, as received by the client.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientResponse {
     pub at: f64,
@@ -28,7 +28,7 @@
 }
 
 impl TierSimulation {
-    /// A client tries any instance that is up.
+    /// Sends a request to a random live instance.
     pub(super) fn request(&mut self, request: ClientRequest) {
         let up: Vec<usize> = (0..self.instances.len())
             .filter(|&instance| self.instances[instance].up)
@@ -83,9 +83,9 @@
     }
 }
 
-/// A request at an instance.
+/// An open request at an instance.
 pub(super) struct OpenRequest {
     pub request: ClientRequest,
-    /// Attempts that were sent.
+    /// Number of attempts sent.
     pub attempts: u32,
 }
--- a/balancer/core/tests/common/tier/schedule.rs
+++ b/balancer/core/tests/common/tier/schedule.rs
@@ -1,4 +1,4 @@
-//! What happens next, ordered by time.
+//! Scheduled steps, ordered by time.
 use super::requests::ClientRequest;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -19,7 +19,7 @@
     TierUpdates,
 }
 
-/// A step with its time and its number, which decides between equal times.
+/// A step with its time, and a sequence number that orders steps of equal time.
 struct Scheduled {
     at: f64,
     number: u64,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Steps to come.
+/// Pending steps.
 #[derive(Default)]
 pub(super) struct Schedule(BinaryHeap<Reverse<Scheduled>>);
 
@@ -54,7 +54,7 @@
         self.0.push(Reverse(Scheduled { at, number, step }));
     }
 
-    /// Takes the next step up to a time, and when it happens.
+    /// Removes the next step until a time, and returns it with its time.
     pub(super) fn next(&mut self, until: f64) -> Option<(f64, Step)> {
         let Reverse(next) = self.0.peek()?;
         if next.at > until {
--- a/balancer/core/tests/common/tier/servers.rs
+++ b/balancer/core/tests/common/tier/servers.rs
@@ -1,4 +1,4 @@
-//! Servers with slots and a queue, and the calls in flight at them.
+//! Servers with concurrent slots and a queue, and their calls in flight.
 use super::schedule::Step;
 use super::{ClientResponse, SentAttempt, TierSimulation, MAX_QUEUE, SERVICE_TIME, SLOTS};
 use balancer_core::*;
@@ -19,7 +19,7 @@
 }
 
 impl TierSimulation {
-    /// Lets a server begin as many calls as it has slots.
+    /// Starts queued calls while the server has free slots.
     pub(super) fn work(&mut self, server: usize) {
         let slowness = (self.slowness)(server, self.now);
         while slowness.is_finite() && self.servers[server].busy < SLOTS {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Ends a call for its instance. A server works on it to its end, wanted or not.
+    /// Reports the outcome of a call to its instance. The server still completes its work on the call.
     pub(super) fn end_call(&mut self, call: u64, ending: Ending) {
         let Some(call) = self.calls.remove(&call) else {
             return;
--- a/balancer/core/tests/failures/attempts.rs
+++ b/balancer/core/tests/failures/attempts.rs
@@ -1,11 +1,11 @@
-//! The end of a request and its retries.
+//! Deadlines and retries of requests.
 use crate::common::*;
 use crate::setup::{new_harness, shared};
 use balancer_core::*;
 
-/// Where a late response earns nothing, an attempt that ran on only took slots, in every tier above too.
+/// If late responses have no value, waiting longer only occupies slots, also in every tier above.
 #[test]
-fn a_request_ends_at_its_objective_where_late_responses_earn_nothing() {
+fn requests_without_late_value_end_at_objective() {
     for (late_value, max) in [(0.0, 500.0), (0.4, 2000.0)] {
         let class = Class {
             late_value,
@@ -23,30 +23,36 @@
         harness.advance(max - 100.0);
         assert!(
             !harness.requests[&RequestId(1)].completed,
-            "not given up before {max}"
+            "given up before {max}"
         );
         harness.advance(100.0);
-        assert!(harness.requests[&RequestId(1)].completed, "over by {max}");
+        assert!(
+            harness.requests[&RequestId(1)].completed,
+            "not completed by {max}"
+        );
     }
 }
 
-/// Waiting for the deadline left no time for another attempt, though one was allowed and would have been served.
+/// Waiting for a lost response until the deadline leaves no time for a retry that is allowed and would be served.
 #[test]
-fn where_responses_get_lost_a_retry_goes_out_in_time() {
+fn lost_responses_are_retried_in_time() {
     let mut harness = new_harness(shared(&[1.0]), 6);
     let server = |id| (id != UpstreamId(2)).then_some((Ending::Ok, 40.0));
     harness.traffic(20_000.0, 30.0, &[0], &server);
-    let mut again = harness.requests.values().filter(|s| s.sends.len() > 1);
-    // Left to the end of the objective, 490 ms, the retry would come too late.
+    let mut again = harness
+        .requests
+        .values()
+        .filter(|record| record.sends.len() > 1);
+    // At the end of the objective, 490 ms, a retry would be too late.
     assert!(
-        again.any(|s| s.sends[1].1 - s.sends[0].1 < 450.0),
-        "what was lost is repeated in time"
+        again.any(|record| record.sends[1].1 - record.sends[0].1 < 450.0),
+        "no lost call is retried in time"
     );
 }
 
-/// A subset drawn without regard to groups had no other upstream that knows the key.
+/// A subset that ignores groups may contain no other upstream that knows the deduplication key.
 #[test]
-fn a_guarded_retry_finds_another_upstream_of_its_group() {
+fn guarded_retry_finds_another_group_member() {
     let guarded = Effect::Guarded {
         scope: DedupScope::Cell,
         window: 5000.0,
@@ -87,20 +93,20 @@
     }
     assert!(
         elsewhere >= 17,
-        "{elsewhere} of 20 repeats found another of their group"
+        "{elsewhere} of 20 retries went to another upstream of their group"
     );
 }
 
 #[test]
-fn retries_stay_within_their_budget() {
+fn retries_stay_within_the_retry_budget() {
     let mut harness = new_harness(shared(&[1.0]), 8);
     harness.traffic(20_000.0, 40.0, &[0], &|_| Some((Ending::Error, 5.0)));
     let (requests, to) = harness.sent_since(0.0);
     let attempts: usize = to.values().sum();
-    // A fifth of all requests, refused ones too, and the ten saved at the start.
+    // A fifth of all requests, including refused ones, and the initial budget of ten.
     assert!(
         attempts <= requests + 800 / 5 + 10,
         "{attempts} attempts for {requests} requests"
     );
-    assert!(attempts > requests, "some are tried again");
+    assert!(attempts > requests, "no request was retried");
 }
--- a/balancer/core/tests/failures/capacity.rs
+++ b/balancer/core/tests/failures/capacity.rs
@@ -1,9 +1,9 @@
-//! The limit on calls in flight: how it is learned, and its floor at the stated quotas.
+//! Learned capacity, and its floor at the configured quotas.
 use crate::common::*;
 use crate::setup::{fast, new_harness, shared, slow};
 use balancer_core::*;
 
-/// Capacity once spiralled down on outdated responses and took half a minute to recover.
+/// Outdated late responses must not keep reducing capacity after an overload; recovery then takes half a minute.
 #[test]
 fn capacity_recovers_soon_after_an_overload() {
     let mut harness = new_harness(shared(&[1.0]), 4);
@@ -13,13 +13,16 @@
     let from = harness.now;
     harness.traffic(2000.0, 60.0, &[0], &fast);
     let (sent, _) = harness.sent_since(from);
-    assert!(sent > 100, "{sent} of 120 pass six seconds after the end");
+    assert!(
+        sent > 100,
+        "{sent} of 120 admitted six seconds after the overload"
+    );
 }
 
-/// Met in an incident: overloaded servers stay slow for as long as they have as many calls in flight, and the floor at
-/// the quotas left them there, with responses that took four times as long and yet were in time.
+/// Overloaded servers stay slow while their number of calls in flight stays the same. A fixed floor at the quotas keeps
+/// them overloaded if responses take four times as long but are still within their objective.
 #[test]
-fn the_floor_gives_way_while_servers_are_overloaded() {
+fn capacity_floor_drops_while_servers_are_overloaded() {
     let class = Class {
         objective: 1000.0,
         ..class(Effect::Free)
@@ -31,34 +34,35 @@
         },
         4,
     );
-    let out = |harness: &Harness| {
+    let in_flight = |harness: &Harness| {
         harness
             .requests
             .values()
-            .filter(|s| s.endings.contains(&None))
+            .filter(|record| record.endings.contains(&None))
             .count()
     };
     harness.traffic(6000.0, 60.0, &[0], &|_| Some((Ending::Ok, 120.0)));
     harness.traffic(8000.0, 60.0, &[0], &|_| Some((Ending::Ok, 700.0)));
     assert!(
-        out(&harness) < 14,
-        "{} calls are still out at crowded servers",
-        out(&harness)
+        in_flight(&harness) < 14,
+        "{} calls are still in flight at overloaded servers",
+        in_flight(&harness)
     );
-    // It recovers once they respond as before.
+    // Admission recovers once the servers respond as before.
     harness.traffic(9000.0, 60.0, &[0], &|_| Some((Ending::Ok, 120.0)));
     let from = harness.now;
     harness.traffic(2000.0, 60.0, &[0], &|_| Some((Ending::Ok, 120.0)));
     assert!(
         harness.sent_since(from).0 > 110,
-        "{} of 120 pass again",
+        "{} of 120 admitted after the recovery",
         harness.sent_since(from).0
     );
 }
 
-/// Calls sent before the last cut were left out: with responses slower than a cycle only the fast ones were counted.
+/// If calls sent before the last decrease are ignored, only fast responses count once the others take longer than a
+/// cycle.
 #[test]
-fn capacity_counts_the_slow_responses_too() {
+fn slow_responses_reduce_capacity() {
     let mut harness = new_harness(shared(&[1.0]), 8);
     let server = |id: UpstreamId| Some((Ending::Ok, if id.0 < 4 { 60.0 } else { 1400.0 }));
     let class = Class {
@@ -79,13 +83,13 @@
     let (sent, _) = harness.sent_since(5000.0);
     assert!(
         sent < 450,
-        "{sent} of 600 admitted, though many answers are late; the quotas are 300"
+        "{sent} of 600 admitted although many responses are late; the quotas are 300"
     );
 }
 
-/// Half of a tier went away, and the stated quotas went on as the floor of what was sent to the rest.
+/// If half of a tier is removed, the capacity floor must shrink with it, or the rest is overloaded.
 #[test]
-fn the_floor_follows_the_ready_upstreams() {
+fn capacity_floor_follows_the_ready_upstreams() {
     let admitted = |ready: u64| {
         let mut harness = new_harness(shared(&[1.0]), 8);
         harness.update_endpoints(EndpointUpdate::Full((1..=ready).map(endpoint).collect()));
@@ -99,9 +103,9 @@
     );
 }
 
-/// Tiers below refused for want of capacity at the start, though none of their responses was late.
+/// With too low an initial capacity, lower tiers refuse requests although no response is late.
 #[test]
-fn a_tier_below_starts_with_more_capacity() {
+fn lower_tiers_start_with_more_capacity() {
     for (stage, least) in [(0, 0), (1, 60)] {
         let mut harness = new_harness(
             Settings {
@@ -115,38 +119,41 @@
             harness.outcome(id, 0, Ending::Ok);
         }
         let (sent, _) = harness.sent_since(0.0);
-        assert!(sent >= least, "{sent} pass in tier {stage}");
+        assert!(sent >= least, "{sent} admitted in tier {stage}");
     }
 }
 
-/// Met on days that lose a zone: the list names lost upstreams as ready for many seconds, and ones in slow start at
-/// once; the floor took them for full ones, and what it let pass overloaded those that were left.
+/// After the loss of a zone, the list names lost upstreams as ready for many seconds, and then upstreams in slow start.
+/// If the floor counts either at full capacity, the remaining upstreams are overloaded.
 #[test]
-fn the_floor_counts_only_upstreams_that_can_be_used() {
-    let unhurried = |_| Some((Ending::Ok, 260.0));
+fn capacity_floor_counts_only_usable_upstreams() {
+    let slightly_late = |_| Some((Ending::Ok, 260.0));
     let rate = |harness: &mut Harness, server: &dyn Fn(UpstreamId) -> Option<(Ending, f64)>| {
         harness.traffic(6000.0, 60.0, &[0], server);
         let from = harness.now;
         harness.traffic(3000.0, 60.0, &[0], server);
         harness.sent_since(from).0
     };
-    // Responses a little late keep the capacity at its floor: the quotas, 60 a second.
+    // Slightly late responses keep capacity at its floor, the quotas of 60 requests per second.
     let mut harness = new_harness(shared(&[1.0]), 4);
-    assert!(rate(&mut harness, &unhurried) > 170, "all pass");
+    assert!(
+        rate(&mut harness, &slightly_late) > 170,
+        "not all requests admitted"
+    );
     let lost = |id| {
         if id > UpstreamId(2) {
             Some((Ending::ConnectFailed, 100.0))
         } else {
-            unhurried(id)
+            slightly_late(id)
         }
     };
     let sent = rate(&mut harness, &lost);
     assert!(
         (60..140).contains(&sent),
-        "{sent} of 180 pass with half of the upstreams lost"
+        "{sent} of 180 admitted with half of the upstreams lost"
     );
     let mut harness = new_harness(shared(&[1.0]), 4);
-    rate(&mut harness, &unhurried);
+    rate(&mut harness, &slightly_late);
     let since = harness.now;
     harness.update_endpoints(EndpointUpdate::Delta(
         (3..=4)
@@ -156,32 +163,32 @@
             })
             .collect(),
     ));
-    let sent = rate(&mut harness, &unhurried);
+    let sent = rate(&mut harness, &slightly_late);
     assert!(
         (60..140).contains(&sent),
-        "{sent} of 180 pass with half of the upstreams cold"
+        "{sent} of 180 admitted with half of the upstreams in slow start"
     );
 }
 
-/// Met on days that replace servers: five of sixteen drained at once, and what had been learned with sixteen overloaded
-/// the eleven that were left.
+/// When several upstreams drain at once, the capacity learned with all of them overloads the remaining ones: seen with
+/// five of sixteen.
 #[test]
-fn learned_capacity_follows_the_upstreams_there_are() {
+fn learned_capacity_follows_the_ready_upstreams() {
     let mut harness = new_harness(shared(&[1.0]), 8);
     harness.traffic(6000.0, 100.0, &[0], &fast);
-    let out = |harness: &Harness| {
+    let in_flight = |harness: &Harness| {
         harness
             .requests
             .values()
-            .filter(|s| s.endings.contains(&None))
+            .filter(|record| record.endings.contains(&None))
             .count()
     };
-    let hold = |harness: &mut Harness| {
-        // Nothing responds for a moment: what passes shows the capacity.
+    let in_flight_without_responses = |harness: &mut Harness| {
+        // Without responses, the number of admitted requests shows the capacity.
         harness.traffic(400.0, 300.0, &[0], &|_| None);
-        out(harness)
+        in_flight(harness)
     };
-    let all = hold(&mut harness);
+    let all = in_flight_without_responses(&mut harness);
     let mut harness = new_harness(shared(&[1.0]), 8);
     harness.traffic(6000.0, 100.0, &[0], &fast);
     let draining = |id| Endpoint {
@@ -189,17 +196,17 @@
         ..endpoint(id)
     };
     harness.update_endpoints(EndpointUpdate::Delta((1..=4).map(draining).collect()));
-    let half = hold(&mut harness);
+    let half = in_flight_without_responses(&mut harness);
     assert!(
         all > 20 && half * 10 < all * 7,
-        "{half} calls pass with half of the upstreams, {all} with all"
+        "{half} calls admitted with half of the upstreams, {all} with all"
     );
 }
 
-/// Met on the earlier days: with four servers, one ejected for errors took a quarter off the floor each time, though
-/// the errors came from the tier behind.
+/// Errors may come from a downstream tier. If the floor excludes upstreams ejected for errors, each ejection among four
+/// upstreams lowers it by a quarter.
 #[test]
-fn an_upstream_ejected_for_errors_still_counts_in_the_floor() {
+fn error_ejections_do_not_lower_capacity_floor() {
     let mut harness = new_harness(shared(&[1.0]), 4);
     let server = |id| {
         Some(if id == UpstreamId(4) {
@@ -212,5 +219,5 @@
     let from = harness.now;
     harness.traffic(4000.0, 60.0, &[0], &server);
     let sent = harness.sent_since(from).0;
-    assert!(sent > 225, "{sent} of 240 pass");
+    assert!(sent > 225, "{sent} of 240 admitted");
 }
--- a/balancer/core/tests/failures/choice.rs
+++ b/balancer/core/tests/failures/choice.rs
@@ -1,12 +1,13 @@
-//! Which upstream is taken, and the subset that a balancer connects to.
+//! Choice of upstreams, and the subset that a balancer connects to.
 use crate::common::*;
 use crate::setup::{fast, new_harness, shared};
 use balancer_core::*;
 use std::collections::BTreeMap;
 
-/// Instances that carry little hold nothing at most upstreams: a slow kind got as much as a fast one.
+/// An instance with little traffic has no calls in flight at most upstreams, so calls in flight alone would not favor
+/// faster ones.
 #[test]
-fn of_two_with_as_many_calls_in_flight_the_faster_one_is_picked() {
+fn faster_of_two_equally_busy_upstreams_is_picked() {
     let mut harness = new_harness(shared(&[1.0]), 6);
     let server =
         |id: UpstreamId| Some((Ending::Ok, if id.0.is_multiple_of(2) { 60.0 } else { 15.0 }));
@@ -17,13 +18,16 @@
         .filter(|(id, _)| id.0 % 2 == 0)
         .map(|(_, n)| n)
         .sum();
-    assert!(slow * 3 < sent, "{slow} of {sent} went to the slow ones");
-    assert!(slow > 0, "what was learned fades, and they are tried again");
+    assert!(
+        slow * 3 < sent,
+        "{slow} of {sent} went to the slow upstreams"
+    );
+    assert!(slow > 0, "the slow upstreams were never tried again");
 }
 
-/// An instance with little traffic compares zeros; it once sent all its calls to the same few.
+/// With no calls in flight anywhere, all comparisons are ties, which must not always favor the same upstreams.
 #[test]
-fn an_instance_with_little_traffic_spreads_its_calls() {
+fn low_traffic_instances_spread_their_calls() {
     let mut harness = new_harness(shared(&[1.0]), 5);
     harness.traffic(60_000.0, 1.0, &[0], &fast);
     let (sent, to) = harness.sent_since(0.0);
@@ -31,9 +35,9 @@
     assert!(to.len() == 5 && max * 3 < sent, "{to:?}");
 }
 
-/// Connections grow as instances times servers: each instance uses a stable part that its traffic keeps open.
+/// Full meshes need instances times servers connections; so each instance uses a stable subset sized to its traffic.
 #[test]
-fn the_subset_follows_the_traffic_and_is_balanced_between_instances() {
+fn subset_follows_traffic_and_is_balanced() {
     let mut load = BTreeMap::new();
     for index in 0..20 {
         let settings = Settings {
@@ -47,7 +51,7 @@
         let (_, to) = harness.sent_since(6000.0);
         assert!(
             (5..=14).contains(&to.len()),
-            "copy {index} used {} upstreams",
+            "instance {index} used {} upstreams",
             to.len()
         );
         to.keys().for_each(|id| *load.entry(*id).or_insert(0) += 1);
@@ -55,15 +59,15 @@
     let max = load.values().max().copied().unwrap_or(0);
     assert!(
         load.len() == 40 && max <= 7,
-        "{max} copies on one upstream, {} used",
+        "{max} instances on one upstream, {} upstreams used",
         load.len()
     );
 }
 
-/// Upstreams cap their connections and serve worse with many: a tier ran out of them, and never recovered, when
-/// each of a hundred instances with a few calls in flight kept one open to most upstreams.
+/// Upstreams limit their connections and slow down with many. If each of a hundred instances with few calls keeps a
+/// connection to most upstreams, the tier runs out of connections and does not recover.
 #[test]
-fn an_instance_with_little_traffic_opens_few_connections_from_the_start() {
+fn low_traffic_instances_open_few_connections() {
     let settings = Settings {
         balancers: 20,
         idle_close: 30_000.0,
@@ -87,10 +91,10 @@
     upstream: UpstreamId,
 }
 
-/// Met on days of a large fleet: each of many instances had one call at most at a slow upstream, which seemed as little
-/// as elsewhere, and all together they overloaded it.
+/// In a large fleet each instance has at most one call at a slow upstream, no more than elsewhere, yet all instances
+/// together overload it.
 #[test]
-fn many_instances_with_a_call_each_do_not_overload_a_slow_upstream() {
+fn many_instances_do_not_overload_a_slow_upstream() {
     const INSTANCES: u32 = 40;
     let slow = UpstreamId(1);
     let settings = |index| Settings {
@@ -110,7 +114,7 @@
             let now = harness.now;
             let is_due = |call: &Call| call.instance == instance && call.ends_at <= now;
             while let Some(due) = calls.iter().position(is_due) {
-                // What the upstream has in flight from all comes with its response.
+                // Each response reports the upstream's calls in flight from all instances.
                 let Call { id, upstream, .. } = calls.swap_remove(due);
                 *in_flight.entry(upstream).or_insert(0.0) -= 1.0;
                 harness.handle(Event::Load {
@@ -119,7 +123,8 @@
                 });
                 harness.outcome(id, 0, Ending::Ok);
             }
-            // Five calls a second and instance. Seven upstreams take 100 ms; the slow one works on one at a time.
+            // Each instance sends five calls per second. Seven upstreams take 100 ms per call; the slow one processes one
+            // call at a time.
             if !(step + instance).is_multiple_of(20) {
                 continue;
             }
@@ -144,12 +149,12 @@
     }
     assert!(
         max < 10.0,
-        "{INSTANCES} copies have up to {max} calls at the slow upstream"
+        "{INSTANCES} instances have up to {max} calls at the slow upstream"
     );
 }
 
 #[test]
-fn overloaded_upstreams_are_used_where_there_are_no_others_and_odd_reports_do_no_harm() {
+fn invalid_or_uniform_overload_reports_block_no_requests() {
     let mut harness = new_harness(shared(&[1.0]), 3);
     for odd in [f64::NAN, f64::INFINITY, -1e300] {
         harness.handle(Event::Load {
@@ -168,20 +173,20 @@
         })
     });
     harness.traffic(1000.0, 20.0, &[0], &fast);
-    assert_eq!(harness.sent_since(0.0).0, 20, "all pass");
+    assert_eq!(harness.sent_since(0.0).0, 20, "not all requests sent");
 }
 
-/// An instance with few calls learns of each upstream late. Until then it sent slow kinds as much as fast ones, and all
-/// instances together overloaded them in the first seconds.
+/// An instance with few calls takes long to learn each upstream's response time. Unless it learns by machine type, all
+/// instances together overload the slow machines in the first seconds.
 #[test]
-fn instances_avoid_a_slow_kind_known_from_other_upstreams_only() {
+fn slow_machine_types_are_avoided_at_unknown_upstreams() {
     const INSTANCES: u32 = 200;
     let slow = |id: UpstreamId| id.0 % 2 == 1;
     let tenants = vec![Tenant {
         share: 1.0,
         quota_per_s: 100.0 * f64::from(INSTANCES),
     }];
-    let answer = |id| Some((Ending::Ok, if slow(id) { 300.0 } else { 100.0 }));
+    let server = |id| Some((Ending::Ok, if slow(id) { 300.0 } else { 100.0 }));
     let endpoints = || {
         (1..=40)
             .map(|id| Endpoint {
@@ -199,9 +204,9 @@
             ..shared(&[1.0])
         };
         let mut harness = Harness::new(settings, u64::from(index), endpoints());
-        // Ten of 40 upstreams at most have responded to this instance.
-        harness.traffic(100.0, 100.0, &[0], &answer);
-        harness.traffic(350.0, 2.0, &[0], &answer);
+        // At most ten of 40 upstreams have responded to this instance.
+        harness.traffic(100.0, 100.0, &[0], &server);
+        harness.traffic(350.0, 2.0, &[0], &server);
         let from = harness.now;
         harness.traffic(50.0, 100.0, &[0], &|_| None);
         let (requests, to) = harness.sent_since(from);
@@ -212,9 +217,9 @@
             .map(|(_, n)| n)
             .sum::<usize>();
     }
-    assert!(all >= 4 * INSTANCES as usize, "only {all} sent");
+    assert!(all >= 4 * INSTANCES as usize, "only {all} requests sent");
     assert!(
         to_slow * 5 < all * 2,
-        "{to_slow} of {all} go to the slow half"
+        "{to_slow} of {all} calls went to the slow half"
     );
 }
--- a/balancer/core/tests/failures/connections.rs
+++ b/balancer/core/tests/failures/connections.rs
@@ -1,11 +1,11 @@
-//! Idle connections that the network drops unseen.
+//! Idle connections that the network drops without notice.
 use crate::common::*;
 use crate::setup::{new_harness, shared};
 use balancer_core::*;
 use std::collections::BTreeMap;
 
-/// A request on connections that are dropped unseen after 300 ms without use: returns whether it got lost. `open` holds
-/// when each upstream's connection was last used; responses come at once.
+/// Sends a request over connections that the network silently drops after 300 ms idle; returns whether it was lost.
+/// `open` holds the last use of each upstream's connection; responses arrive immediately.
 fn on_reaped_connections(
     harness: &mut Harness,
     open: &mut BTreeMap<UpstreamId, f64>,
@@ -21,7 +21,7 @@
                     .map_or(0.0, |used| harness.now - used);
                 lost = idle > 300.0 && idle < harness.settings.idle_close;
                 if lost {
-                    // Nothing comes back, and the connection with it.
+                    // No response arrives, and the connection is unusable.
                     open.remove(&upstream);
                 } else {
                     harness.outcome(id, 0, Ending::Ok);
@@ -33,9 +33,9 @@
     lost
 }
 
-/// Connections that idle were dropped on the way unseen: each call on one waited for nothing.
+/// The network may drop idle connections without notice; every call on one waits for its timeout.
 #[test]
-fn idle_connections_are_closed_before_use_once_calls_on_them_get_lost() {
+fn lossy_idle_connections_are_closed_before_use() {
     let mut harness = new_harness(shared(&[1.0]), 8);
     let (mut open, mut lost) = (BTreeMap::new(), [0, 0]);
     for id in 0..2000 {
@@ -43,17 +43,18 @@
             u32::from(on_reaped_connections(&mut harness, &mut open, id));
         harness.advance(200.0);
     }
-    assert!(lost[0] > 5, "it has to be met first: {lost:?}");
+    assert!(lost[0] > 5, "too few calls were lost at first: {lost:?}");
     assert!(
         lost[1] * 10 < 1000,
-        "later, {} of 1000 calls take a connection that is gone",
+        "later, {} of 1000 calls used a dropped connection",
         lost[1]
     );
 }
 
-/// Lost calls, waited for until their timeouts, filled what may be in flight, and the rest was refused.
+/// Lost calls that wait for their timeouts must not use up the bound on calls in flight, or further requests are
+/// refused.
 #[test]
-fn calls_lost_with_their_connection_do_not_fill_what_may_be_in_flight() {
+fn lost_calls_do_not_count_as_in_flight() {
     let class = Class {
         objective: 200.0,
         deadline: 6000.0,
@@ -74,6 +75,6 @@
     let (sent, _) = harness.sent_since(3000.0);
     assert!(
         sent > 40,
-        "{sent} of 65 calls pass before the first time-out tells"
+        "{sent} of 65 calls sent before the first timeout"
     );
 }
--- a/balancer/core/tests/failures/ejection.rs
+++ b/balancer/core/tests/failures/ejection.rs
@@ -1,11 +1,11 @@
-//! Upstreams that fail, hang or do not respond: ejection, and its limits.
+//! Ejection of upstreams that fail, hang or do not respond.
 use crate::common::*;
 use crate::setup::{fast, new_harness, shared};
 use balancer_core::*;
 use std::collections::BTreeMap;
 
 #[test]
-fn a_fast_failing_upstream_does_not_win_every_comparison() {
+fn fast_failing_upstream_is_not_preferred() {
     let mut harness = new_harness(shared(&[1.0]), 6);
     let server = |id| {
         Some(if id == UpstreamId(2) {
@@ -19,29 +19,29 @@
     let failing = to.get(&UpstreamId(2)).copied().unwrap_or(0);
     assert!(
         failing * 20 < sent,
-        "{failing} of {sent} went to the failing one: {to:?}"
+        "{failing} of {sent} went to the failing upstream: {to:?}"
     );
     assert!(
         sent > 350,
-        "its failures are its own and cost the others no capacity: {sent} of 420"
+        "one upstream's failures reduced total capacity: {sent} of 420 sent"
     );
 }
 
 #[test]
-fn a_hung_upstream_is_avoided_and_costs_no_capacity() {
+fn hung_upstream_is_avoided_without_losing_capacity() {
     let mut harness = new_harness(shared(&[1.0]), 6);
     let server = |id| (id != UpstreamId(2)).then_some((Ending::Ok, 40.0));
     harness.traffic(20_000.0, 60.0, &[0], &server);
     let (sent, to) = harness.sent_since(4000.0);
     let hung = to.get(&UpstreamId(2)).copied().unwrap_or(0);
-    assert!(hung <= 12, "{hung} calls went to the hung one");
-    assert!(sent > 900, "the others carry on: {sent} of 960");
+    assert!(hung <= 12, "{hung} calls went to the hung upstream");
+    assert!(sent > 900, "the other upstreams got {sent} of 960 requests");
 }
 
-/// Met in an incident: a zone of the tier behind was lost, and the few errors that came of it ejected all servers
-/// here but one, which then took every call.
+/// When a downstream tier loses a zone, the resulting errors must not eject all upstreams but one, which would then get
+/// every call.
 #[test]
-fn errors_that_come_from_behind_do_not_leave_all_calls_to_one() {
+fn downstream_errors_do_not_eject_most_upstreams() {
     let mut harness = new_harness(shared(&[1.0]), 4);
     harness.traffic(4000.0, 60.0, &[0], &fast);
     let failures = std::cell::RefCell::new(BTreeMap::new());
@@ -64,9 +64,9 @@
     );
 }
 
-/// An upstream that took calls and responded to none went on getting more until the first timeout.
+/// An upstream that accepts calls without responding would get more of them until the first timeout.
 #[test]
-fn an_unresponsive_upstream_is_avoided_at_once() {
+fn unresponsive_upstream_is_avoided_before_timeouts() {
     let class = Class {
         late_value: 0.5,
         ..class(Effect::SingleShot)
@@ -85,22 +85,22 @@
     let late = harness
         .requests
         .values()
-        .flat_map(|s| &s.sends)
+        .flat_map(|record| &record.sends)
         .filter(|(to, at)| *to == UpstreamId(2) && *at > from + 600.0);
     assert_eq!(
         late.count(),
         0,
-        "it has owed an answer for six usual ones by then"
+        "calls sent after six mean response times without a response"
     );
 }
 
 #[test]
-fn an_ejected_upstream_serves_when_it_is_the_last() {
+fn last_ejected_upstream_still_serves() {
     let mut harness = new_harness(shared(&[1.0]), 1);
     for id in 0..8 {
         harness.request(id, 0, 0);
-        let s = &harness.requests[&RequestId(id)];
-        assert!(!s.sends.is_empty(), "request {id} is tried");
+        let record = &harness.requests[&RequestId(id)];
+        assert!(!record.sends.is_empty(), "request {id} has no attempt");
         harness.outcome(id, 0, Ending::Reset);
         if harness.requests[&RequestId(id)].endings.last() == Some(&None) {
             let last = harness.requests[&RequestId(id)].endings.len() - 1;
@@ -109,10 +109,10 @@
     }
 }
 
-/// Met on days that lose a zone: while many calls failed everywhere, servers that could not be reached were ejected no
-/// more, and every instance kept trying them.
+/// With a high failure rate everywhere, unreachable upstreams are no outliers by failure rate; they must be ejected all
+/// the same, or every instance keeps trying them.
 #[test]
-fn refused_connections_eject_their_upstream_though_calls_fail_everywhere() {
+fn refused_connections_eject_despite_widespread_failures() {
     let mut harness = new_harness(shared(&[1.0]), 9);
     harness.traffic(4000.0, 60.0, &[0], &fast);
     let turn = std::cell::Cell::new(0);
@@ -132,6 +132,6 @@
     let all: usize = to.values().sum();
     assert!(
         refused * 20 < all,
-        "{refused} of {all} attempts went where no connection comes up"
+        "{refused} of {all} attempts went to unreachable upstreams"
     );
 }
--- a/balancer/core/tests/failures/main.rs
+++ b/balancer/core/tests/failures/main.rs
@@ -1,4 +1,4 @@
-//! One test for each failure met: it fails without the guard that `balancer/core/src/policy` names it at.
+//! Regression tests, one for each known failure mode. Each fails without its safeguard in `balancer/core/src/policy`.
 mod attempts;
 mod capacity;
 mod choice;
--- a/balancer/core/tests/failures/overload.rs
+++ b/balancer/core/tests/failures/overload.rs
@@ -1,11 +1,11 @@
-//! More requests than the upstreams can serve: what is admitted and what is refused.
+//! Admission when there are more requests than the upstreams can serve.
 use crate::common::*;
 use crate::setup::{fast, new_harness, shared};
 use balancer_core::*;
 
-/// Judged by responses alone, a tier that stops responding looks well until the timeouts come.
+/// By responses alone, a tier that stops responding looks healthy until the timeouts.
 #[test]
-fn calls_in_flight_are_bounded_before_any_answer_is_late() {
+fn calls_in_flight_are_bounded_without_responses() {
     let class = Class {
         late_value: 0.5,
         ..class(Effect::Free)
@@ -23,22 +23,22 @@
     let (sent, _) = harness.sent_since(from);
     assert!(
         sent < 60,
-        "{sent} of 90 calls went into a tier that answers nothing"
+        "{sent} of 90 calls sent to a tier that does not respond"
     );
 }
 
-/// In an overload each timeout was taken for its upstream's own fault, and capacity never heard of it: all that
-/// was admitted, up to the quotas and beyond, was lost.
+/// If each failure in an overload is attributed to its upstream alone, capacity is never reduced, and all requests
+/// admitted up to the quotas and beyond are lost.
 #[test]
-fn failures_of_most_upstreams_are_not_blamed_on_each_and_cut_capacity_below_the_quotas() {
+fn widespread_failures_reduce_capacity_below_the_quotas() {
     let mut harness = new_harness(shared(&[1.0]), 6);
     harness.traffic(5000.0, 60.0, &[0], &fast);
     harness.traffic(10_000.0, 60.0, &[0], &|_| Some((Ending::Error, 5.0)));
     let from = harness.now;
     harness.traffic(5000.0, 60.0, &[0], &|_| Some((Ending::Error, 5.0)));
     let (sent, _) = harness.sent_since(from);
-    assert!(sent < 150, "{sent} of 300 calls went where nearly all fail");
-    assert!(sent > 0, "some are left to learn from");
+    assert!(sent < 150, "{sent} of 300 calls sent while nearly all fail");
+    assert!(sent > 0, "no calls left to detect a recovery");
     let lines = harness
         .log
         .iter()
@@ -46,14 +46,13 @@
         .count();
     assert!(
         (1..=3).contains(&lines),
-        "the log tells of a change of state, once: {lines} lines"
+        "each change of state must be logged once: {lines} lines"
     );
 }
 
-/// Clients with little time left came again and again. Their calls were sent and given up soon after, and kept
-/// those waiting who had time.
+/// Calls for clients with little time left are given up soon after, and delay requests that still have time.
 #[test]
-fn requests_with_less_time_than_answers_take_are_refused_while_others_are_out() {
+fn requests_with_too_little_time_are_refused() {
     let short = Class {
         deadline: 80.0,
         ..class(Effect::Free)
@@ -66,29 +65,29 @@
         8,
     );
     let sent = |harness: &Harness, id: u32| !harness.requests[&RequestId(id)].sends.is_empty();
-    // Nothing is known yet: it is tried.
+    // Without learned response times it is sent.
     harness.request(10_000, 1, 0);
-    assert!(sent(&harness, 10_000), "refused before anything was heard");
+    assert!(sent(&harness, 10_000), "refused before the first response");
     harness.traffic(3000.0, 40.0, &[0], &|_| Some((Ending::Ok, 120.0)));
     harness.request(10_001, 0, 0);
     harness.request(10_002, 1, 0);
     assert!(
         sent(&harness, 10_001) && !sent(&harness, 10_002),
-        "one has the time and the other has not"
+        "only the request with enough time must be sent"
     );
-    // Nobody waits for an answer: to try it costs nothing, and shows whether responses take less by now.
+    // Without calls in flight, sending it delays no other request and updates the response time.
     harness.advance(3000.0);
     harness.request(10_003, 1, 0);
     assert!(
         sent(&harness, 10_003),
-        "what was learned once holds for ever"
+        "an outdated response time is never updated"
     );
 }
 
-/// Instances of a fleet.
+/// Number of instances in a fleet.
 const INSTANCES: u32 = 40;
 
-/// All instances before eight upstreams, with quotas of ten requests a second for each.
+/// All instances, with eight upstreams and quotas of ten requests per second and instance.
 fn all_instances() -> Vec<Harness> {
     let tenants = vec![Tenant {
         share: 1.0,
@@ -105,15 +104,15 @@
         .collect()
 }
 
-/// Traffic is uneven over the instances. With an even part of the quotas each, the busy ones refused while all together
-/// used three quarters of them.
+/// With unevenly distributed traffic and an equal part of the quotas each, busy instances refuse requests although all
+/// instances together use only three quarters of the quotas.
 #[test]
-fn a_busy_instance_may_use_what_others_leave_of_the_quotas() {
+fn busy_instances_may_use_unused_quota() {
     let mut harnesses = all_instances();
-    // Ten instances request twice their even part, the others for less than half of it. Responses are a little late, so
-    // that nothing more is learned.
+    // Ten instances get twice their equal part, the others less than half of it. Responses are slightly late, so that
+    // capacity does not grow.
     let requested = |i: usize| if i < 10 { 20.0 } else { 4.0 };
-    let answer = |_| Some((Ending::Ok, 240.0));
+    let server = |_| Some((Ending::Ok, 240.0));
     let mut served = 0;
     for _ in 0..30 {
         let from = harnesses[0].now;
@@ -124,7 +123,7 @@
                     per_s: f64::from(served) / 8.0,
                 });
             }
-            harness.traffic(1000.0, requested(i), &[0], &answer);
+            harness.traffic(1000.0, requested(i), &[0], &server);
         }
         served = harnesses
             .iter()
@@ -136,14 +135,20 @@
         .iter()
         .map(|harness| harness.sent_since(from).0)
         .sum();
-    assert!(busy > 1800, "ten busy copies get {busy} of 2000 through");
-    assert!(served < 400, "{served} a second are more than the quotas");
+    assert!(
+        busy > 1800,
+        "ten busy instances sent {busy} of 2000 requests"
+    );
+    assert!(
+        served < 400,
+        "{served} requests per second exceed the quotas"
+    );
 }
 
-/// Every instance learned a capacity of up to twice what it let pass, in sum more than there was. A burst then
-/// overloaded the upstreams before responses showed it.
+/// If every instance learns a capacity of up to twice its admitted rate, the sum exceeds the real capacity, and a burst
+/// overloads the upstreams before responses show it.
 #[test]
-fn a_burst_passes_little_more_than_the_quotas_once_saved_up_tokens_are_spent() {
+fn burst_admission_stays_close_to_the_quotas() {
     let mut harnesses = all_instances();
     let mut second = |requested: f64, served: usize| -> usize {
         let sent = |harness: &mut Harness| {
@@ -163,9 +168,12 @@
     for _ in 0..15 {
         served = second(9.0, served);
     }
-    assert!(served > 350, "{served} of 360 pass in a quiet time");
+    assert!(served > 350, "{served} of 360 admitted at low load");
     for _ in 0..12 {
         served = second(25.0, served);
     }
-    assert!(served < 500, "{served} pass in a burst, quotas are 400");
+    assert!(
+        served < 500,
+        "{served} admitted in a burst; the quotas are 400"
+    );
 }
--- a/balancer/core/tests/failures/setup.rs
+++ b/balancer/core/tests/failures/setup.rs
@@ -1,4 +1,4 @@
-//! Settings, servers and harnesses that the tests share.
+//! Shared settings, servers and harnesses.
 use crate::common::*;
 use balancer_core::*;
 
@@ -14,7 +14,7 @@
     Harness::new(settings, 4, (1..=upstreams).map(endpoint).collect())
 }
 
-/// Settings of one class (objective 500 ms) and of tenants with these shares of 60 requests a second.
+/// Settings with one class (objective 500 ms) and tenants with the given shares of 60 requests per second.
 pub(crate) fn shared(shares: &[f64]) -> Settings {
     Settings {
         classes: vec![class(Effect::Free)],
--- a/balancer/core/tests/failures/zones.rs
+++ b/balancer/core/tests/failures/zones.rs
@@ -1,11 +1,11 @@
-//! Zones: one that is lost, and the local one against the others.
+//! Lost zones, and preference for the local zone.
 use crate::common::*;
 use crate::setup::{fast, shared};
 use balancer_core::*;
 
-/// Met in an incident: a complete zone gave no response, too much to eject server by server.
+/// A whole zone that does not respond has too many upstreams to eject one by one.
 #[test]
-fn a_zone_that_is_partitioned_off_is_avoided() {
+fn partitioned_zone_is_avoided() {
     let endpoints = (1..=12)
         .map(|id| Endpoint {
             zone: (id % 3) as u16,
@@ -29,13 +29,13 @@
         .sum();
     assert!(
         lost * 25 < sent,
-        "{lost} of {sent} attempts tried the zone that is cut off"
+        "{lost} of {sent} attempts went to the partitioned zone"
     );
 }
 
-/// Met in an incident: an instance with one server in its zone, a slow one, sent it every call that it would take.
+/// An instance whose zone has only one upstream, a slow one, must not send it every call.
 #[test]
-fn a_weak_local_zone_does_not_keep_the_calls_from_the_others() {
+fn weak_local_zone_spills_to_other_zones() {
     let settings = Settings {
         cross_zone_price: 0.015,
         ..shared(&[1.0])
@@ -47,7 +47,7 @@
         })
         .collect();
     let mut harness = Harness::new(settings, 4, endpoints);
-    // The one in the local zone is slow, though not so slow that its responses are late.
+    // The upstream in the local zone is slow, but its responses are not late.
     harness.traffic(10_000.0, 60.0, &[0], &|id| {
         Some((Ending::Ok, if id.0 == 0 { 190.0 } else { 60.0 }))
     });
@@ -56,13 +56,16 @@
     let own = to[&UpstreamId(0)];
     assert!(
         own * 4 < all,
-        "the slow one in the own zone got {own} of {all} calls"
+        "the slow local upstream got {own} of {all} calls"
+    );
+    assert!(
+        to.values().all(|&n| n * 20 > all),
+        "some upstream got too few calls: {to:?}"
     );
-    assert!(to.values().all(|&n| n * 20 > all), "all serve: {to:?}");
 }
 
 #[test]
-fn the_local_zone_decides_between_upstreams_that_are_as_busy() {
+fn local_zone_wins_between_equally_busy_upstreams() {
     let settings = Settings {
         cross_zone_price: 0.2,
         ..shared(&[1.0])
@@ -72,7 +75,7 @@
         ..endpoint(id)
     };
     let mut harness = Harness::new(settings, 4, (1..=12).map(in_zones).collect());
-    // Each response is back before the next call: all are always equally busy.
+    // Each response arrives before the next call, so that all upstreams are always equally busy.
     harness.traffic(4000.0, 15.0, &[0], &fast);
     let (_, to) = harness.sent_since(0.0);
     let local: usize = to
@@ -83,7 +86,7 @@
     let all: usize = to.values().sum();
     assert!(
         local * 10 > all * 6,
-        "{local} of {all} calls stayed in the zone"
+        "{local} of {all} calls stayed in the local zone"
     );
     harness.update_endpoints(EndpointUpdate::Full(
         (1..=12).filter(|id| id % 2 == 1).map(in_zones).collect(),
@@ -92,6 +95,6 @@
     harness.traffic(4000.0, 15.0, &[0], &fast);
     assert!(
         harness.sent_since(from).0 > 55,
-        "the other zone serves when the own has none"
+        "the other zone must serve when the local one has no upstream"
     );
 }
--- a/balancer/core/tests/late_connections.rs
+++ b/balancer/core/tests/late_connections.rs
@@ -1,14 +1,13 @@
-//! Connections that come up too late, a third of them, whichever upstream they go to.
+//! A third of all connections fail, independently of the upstream.
 mod common;
 use balancer_core::*;
 use common::*;
 use std::cell::Cell;
 
-/// Two in a row ejected an upstream, however many were out already: a handful of upstreams was out for most of the
-/// time, the least capacity fell with what was left of them, and most requests were refused though next to none
-/// failed.
+/// Without a bound on ejections, two consecutive failures eject an upstream even if most are ejected already. The
+/// capacity floor then shrinks with the usable upstreams, and most requests are refused although few would fail.
 #[test]
-fn late_connections_everywhere_do_not_take_most_upstreams_out() {
+fn uniform_connect_failures_do_not_eject_most_upstreams() {
     let settings = Settings {
         tenants: tenants(&[1.0], 40.0),
         ..Settings::default()
@@ -30,10 +29,10 @@
     };
     harness.traffic(30_000.0, 30.0, &[0], &third_fails);
     let (sent, _) = harness.sent_since(5000.0);
-    // One in four may be refused; with all but one out of four at times it was more than half.
+    // One in four requests may be refused. With three of four upstreams ejected at times, more than half are.
     assert!(
         sent * 4 > 3 * 25_000 / 30,
-        "{sent} of {} requests were sent on",
+        "{sent} of {} requests were sent",
         25_000 / 30
     );
 }
--- a/balancer/core/tests/observed.rs
+++ b/balancer/core/tests/observed.rs
@@ -1,4 +1,4 @@
-//! What an instance observes for the others of its tier is what happened to it.
+//! Observations that an instance shares with its tier.
 mod common;
 
 use balancer_core::*;
@@ -18,9 +18,9 @@
 }
 
 #[test]
-fn rates_and_calls_in_flight_are_means_over_about_a_second() {
+fn observed_load_is_a_mean_over_one_second() {
     let mut harness = new_harness(6);
-    // A fourth of the requests is the second tenant's.
+    // A quarter of the requests belong to the second tenant.
     harness.traffic(12_000.0, 80.0, &[0, 0, 0, 1], &|_| {
         Some((Ending::Ok, 100.0))
     });
@@ -30,7 +30,7 @@
         "{seen:?}"
     );
     assert!(seen.capacity > 80.0, "{seen:?}");
-    // The last place is for tenants that are not listed.
+    // The last entry is for unlisted tenants.
     let [first, second, other] = seen.tenants[..] else {
         panic!("{seen:?}")
     };
@@ -42,7 +42,7 @@
         is_close(first.calls, 6.0) && is_close(second.calls, 2.0) && other.calls == 0.0,
         "{seen:?}"
     );
-    // Nobody asks any more: it fades, whether or not it was asked for meanwhile.
+    // Without further requests the rates decay, even if they are not read in between.
     let later = harness.balancer.observed(harness.now + 8000.0).load;
     assert!(
         later.demand < 0.1 && later.first_attempts < 0.1,
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn retries_count_as_such() {
+fn retries_are_counted_separately() {
     let mut harness = new_harness(6);
     let some = |id: UpstreamId| {
         Some(if id.0 == 1 {
@@ -69,12 +69,12 @@
     let calls: f64 = seen.tenants.iter().map(|t| t.calls).sum();
     assert!(
         is_close(calls, 4.0),
-        "an attempt that failed is out no more: {seen:?}"
+        "failed attempts must not count as in flight: {seen:?}"
     );
 }
 
 #[test]
-fn an_unreachable_upstream_is_reported_until_it_has_responded_again() {
+fn unreachable_upstream_is_reported_until_it_responds() {
     let mut harness = new_harness(6);
     let subject = Subject::Upstream(UpstreamId(1));
     harness.traffic(4000.0, 80.0, &[0], &|_| Some((Ending::Ok, 50.0)));
@@ -102,7 +102,7 @@
         seen.against.is_empty() && seen.cleared == [subject],
         "{seen:?}"
     );
-    // Errors may come from a tier behind: they eject, and are no evidence.
+    // Errors may come from a downstream tier: they cause ejections but are not shared as evidence.
     let errs = |id: UpstreamId| {
         Some(if id.0 == 2 {
             (Ending::Error, 10.0)
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn an_ejected_zone_comes_first() {
+fn ejected_zone_is_reported_first() {
     let endpoint = |id: u64| Endpoint {
         zone: (id % 2) as u16,
         ..endpoint(id)
@@ -133,8 +133,9 @@
     });
     let seen = harness.balancer.observed(harness.now);
     assert_eq!(seen.against.first(), Some(&Subject::Zone(1)), "{seen:?}");
-    let odd = |s: &Subject| {
-        matches!(s, Subject::Zone(1)) || matches!(s, Subject::Upstream(id) if id.0 % 2 == 1)
+    let odd = |subject: &Subject| {
+        matches!(subject, Subject::Zone(1))
+            || matches!(subject, Subject::Upstream(id) if id.0 % 2 == 1)
     };
     assert!(seen.against.iter().all(odd), "{seen:?}");
 }
--- a/balancer/core/tests/restored.rs
+++ b/balancer/core/tests/restored.rs
@@ -1,4 +1,4 @@
-//! What an earlier instance has learned, taken back by a later one.
+//! Restoring the learned state of an earlier instance.
 mod common;
 
 use balancer_core::*;
@@ -14,8 +14,7 @@
     }
 }
 
-/// A world that has lived for a while with an upstream that fails and one that is slow, and more than its quotas. The
-/// one that fails has just been ejected.
+/// A harness that has run for a while above its quotas, with a slow upstream and a failing one that was just ejected.
 fn with_learned_state() -> Harness {
     let mut harness = Harness::new(settings(), 4, (1..=8).map(endpoint).collect());
     let mut run = |span| {
@@ -32,13 +31,13 @@
     harness
 }
 
-/// How long the upstream that fails stays ejected.
+/// Remaining ejection time of the failing upstream.
 fn ejection_left(saved: &Learned) -> f64 {
     let ejected = saved.upstreams.iter().find(|(id, ..)| *id == UpstreamId(1));
     ejected.map_or(0.0, |(.., health)| health.ejected_until - saved.at)
 }
 
-/// One that has just started, with a list of `upstreams`, and is given what was learned.
+/// A newly started instance with the given endpoints and learned state.
 fn restarted(learned: &Learned, age: f64, upstreams: Vec<Endpoint>) -> Harness {
     let mut harness = Harness::new(settings(), 5, upstreams);
     harness.handle(Event::Restored {
@@ -53,7 +52,7 @@
 }
 
 #[test]
-fn what_was_learned_is_restored_completely_and_fades_evenly_with_its_age() {
+fn restored_state_is_complete_and_decays_with_age() {
     let mut harness = with_learned_state();
     let saved = harness.balancer.learned(harness.now);
     assert_eq!(saved.validate(&settings()), Ok(()));
@@ -97,13 +96,13 @@
     }
     assert!(
         is_close(last, fresh.load.capacity),
-        "{last} in the end, a start has {}",
+        "{last} finally, a new instance has {}",
         fresh.load.capacity
     );
 }
 
 #[test]
-fn an_ejection_goes_on_for_what_is_left_of_it_unless_the_upstream_has_restarted_since() {
+fn restored_ejections_expire_or_end_on_restart() {
     let mut harness = with_learned_state();
     let saved = harness.balancer.learned(harness.now);
     let ejection_left = ejection_left(&saved);
@@ -119,7 +118,7 @@
             .unwrap_or(0)
     };
     assert_eq!(calls_to_it(&mut restarted(&saved, 0.0, endpoints())), 0);
-    // Its time has run out meanwhile.
+    // The ejection has expired in the meantime.
     assert!(calls_to_it(&mut restarted(&saved, ejection_left, endpoints())) > 0);
     let mut since = endpoints();
     since[0].since = 1.0;
@@ -127,7 +126,7 @@
 }
 
 #[test]
-fn what_is_restored_waits_for_a_list_and_counts_only_the_upstreams_that_are_left() {
+fn restore_waits_for_endpoints_and_scales_capacity() {
     let mut harness = with_learned_state();
     let saved = harness.balancer.learned(harness.now);
     let mut late = restarted(&saved, 0.0, Vec::new());
@@ -143,20 +142,20 @@
     late.advance(400.0);
     late.update_endpoints(EndpointUpdate::Full(endpoints()[..4].to_vec()));
     let capacity = late.balancer.learned(late.now).load.capacity;
-    // Seven of eight could be used then, three of four now.
+    // Seven of eight upstreams were usable then, three of four are now.
     let part = capacity / saved.load.capacity;
     assert!(
         (0.4..0.5).contains(&part),
         "{capacity} of {}",
         saved.load.capacity
     );
-    // An upstream that is named in what was kept and is draining now draws nothing: the world checks it.
+    // An upstream of the saved state that is draining now gets no calls; the harness checks this.
     let mut draining = endpoints();
     draining[3].availability = Availability::Draining;
     restarted(&saved, 0.0, draining).traffic(3000.0, 60.0, &[0], &|_| Some((Ending::Ok, 50.0)));
 }
 
-/// What one of sixty instances learned while thirty upstreams carried 2,400 calls a second.
+/// State learned by one of sixty instances while thirty upstreams carried 2,400 calls per second.
 fn learned_with_thirty_upstreams() -> Learned {
     Learned {
         load: Load {
@@ -177,9 +176,9 @@
     }
 }
 
-/// All instances return at once with what thirty upstreams carried, and find four, in slow start.
+/// All instances restart at the same time with capacity learned from thirty upstreams, and find four in slow start.
 #[test]
-fn instances_that_all_restore_at_once_overload_no_upstream_in_slow_start() {
+fn simultaneous_restores_respect_slow_start_budgets() {
     const INSTANCES: u32 = 60;
     const STARTED_AT: f64 = 100_000.0;
     let settings = |index| Settings {
@@ -220,7 +219,7 @@
             harness.advance(25.0);
         }
     }
-    // Thirty upstreams carried 2,400 calls a second, 80 each.
+    // Thirty upstreams carried 2,400 calls per second, 80 each.
     for (second, calls) in calls.iter().enumerate() {
         let weight = 0.15 + 0.85 * second as f64 / 20.0;
         for &n in calls {
@@ -232,16 +231,16 @@
     }
     assert!(
         calls.iter().all(|c| c.iter().sum::<u32>() > 0),
-        "they are warmed up: {calls:?}"
+        "some upstreams got no calls in slow start: {calls:?}"
     );
 }
 
-/// Longest time that an upstream may stay ejected from now on, in milliseconds.
+/// Maximum remaining ejection time in milliseconds.
 const MAX_EJECTION_MS: f64 = 20_000.0;
-/// The largest count that a record may hold.
+/// Maximum valid count in saved state.
 const MAX_COUNT: u32 = 1_000_000_000;
 
-/// A record with these counts of an upstream that has just failed too often and is not ejected.
+/// Saved state of an upstream with the given counts that fails and is not ejected.
 fn learned_with_counts(outcomes: u32, ejections: u32) -> Learned {
     let health = Health {
         slowness: 1.0,
@@ -258,7 +257,7 @@
 }
 
 #[test]
-fn the_largest_counts_are_counted_on_and_larger_ones_are_refused() {
+fn counts_saturate_and_larger_ones_are_rejected() {
     for (outcomes, ejections, is_valid) in [
         (u32::MAX, 0, false),
         (0, u32::MAX, false),
@@ -284,7 +283,7 @@
     }
 }
 
-/// Any figure that a file could hold.
+/// Any number that a file could contain.
 fn any_number() -> impl Strategy<Value = f64> {
     prop_oneof![
         4 => 0.0..200.0f64,
@@ -295,7 +294,7 @@
     ]
 }
 
-/// Any count that a file could hold, the largest ones often.
+/// Any count that a file could contain, often a very large one.
 fn any_count() -> impl Strategy<Value = u32> {
     prop_oneof![
         2 => any::<u32>(),
@@ -328,7 +327,7 @@
             upstreams_max: rates[4], upstreams_usable: parts[2],
             answer: times[0], deviation: times[1],
             demands,
-            kinds: kinds.into_iter().map(|(kind, usual, answers)| (kind, (usual, answers))).collect(),
+            kinds: kinds.into_iter().map(|(kind, relative, samples)| (kind, (relative, samples))).collect(),
             rest_lost,
             upstreams: upstreams.into_iter().map(|(id, f, fails, ejections, outcomes)| {
                 let (slowness, last_used, ejected_until, lost_until) = (f[0], f[1], f[2], f[3]);
@@ -347,7 +346,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever stands in a record: it is taken back and the balancer works, or it is passed over whole.
+    /// Any saved state is either restored, with a working balancer, or ignored as a whole.
     #[test]
     fn any_state_is_restored_or_ignored_completely(saved in learned(), age in any_number()) {
         let fresh = Harness::new(settings(), 5, endpoints()).balancer.learned(0.0);
@@ -357,7 +356,7 @@
         if saved.validate(&settings()).is_err() {
             prop_assert_eq!(now, fresh);
         }
-        // Some upstreams fail, so that ejections and outcomes are counted on from what was restored.
+        // Some upstreams fail, so that restored ejection and outcome counts are incremented.
         harness.traffic(1500.0, 40.0, &[0, 1], &|id| match id.0 % 4 {
             0 => Some((Ending::ConnectFailed, 1.0)),
             1 => Some((Ending::Error, 20.0)),
--- a/balancer/core/tests/rules/endpoints.rs
+++ b/balancer/core/tests/rules/endpoints.rs
@@ -1,9 +1,9 @@
-//! The endpoint list: who may be sent to, and when the list is requested again.
+//! Endpoint list: eligible upstreams, and the backoff before the list is requested again.
 use crate::common::*;
 use balancer_core::*;
 
 #[test]
-fn a_class_goes_only_where_it_is_placed_and_is_refused_when_nothing_there_is_ready() {
+fn requests_respect_placement_or_are_refused() {
     let placed = Class {
         zones: Some(vec![1]),
         kinds: Some(vec![2]),
@@ -13,17 +13,17 @@
         classes: vec![placed],
         ..Settings::default()
     };
-    let far = |id| Endpoint {
+    let placed_endpoint = |id| Endpoint {
         zone: (id % 2) as u16,
         kind: (id % 3) as u8,
         ..endpoint(id)
     };
-    // Of sixty, ten are open to the class: drawing among all would miss them often.
-    let mut harness = Harness::new(settings, 1, (1..=60).map(far).collect());
+    // Only ten of sixty upstreams are allowed for the class; draws among all would often miss them.
+    let mut harness = Harness::new(settings, 1, (1..=60).map(placed_endpoint).collect());
     for id in 0..200 {
         assert!(
             matches!(harness.request(id, 0, 0)[..], [.., Action::Send { .. }]),
-            "request {id} finds a place"
+            "request {id} was not sent"
         );
         harness.outcome(
             id,
@@ -40,16 +40,16 @@
     }
     let elsewhere = |id: &u64| !(id % 2 == 1 && id % 3 == 2);
     harness.update_endpoints(EndpointUpdate::Full(
-        (1..=60).filter(elsewhere).map(far).collect(),
+        (1..=60).filter(elsewhere).map(placed_endpoint).collect(),
     ));
     assert!(
         matches!(harness.request(999, 0, 0)[..], [Action::Refuse { .. }]),
-        "never anywhere else"
+        "sent in violation of the placement"
     );
 }
 
 #[test]
-fn a_draining_or_removed_upstream_gets_nothing_from_then_on() {
+fn draining_and_removed_upstreams_get_no_calls() {
     let mut harness = Harness::new(Settings::default(), 1, (1..4).map(endpoint).collect());
     let changed = |id, availability| Endpoint {
         availability,
@@ -66,16 +66,16 @@
     assert!(harness
         .requests
         .values()
-        .all(|s| s.sends.iter().all(|(to, _)| *to == UpstreamId(3))));
+        .all(|record| record.sends.iter().all(|(to, _)| *to == UpstreamId(3))));
     harness.update_endpoints(EndpointUpdate::Full(Vec::new()));
     assert!(
         matches!(harness.request(99, 0, 0)[..], [Action::Refuse { .. }]),
-        "what a full list lacks is gone"
+        "an upstream missing from the full list was used"
     );
 }
 
 #[test]
-fn no_ready_upstream_is_a_refusal_at_once() {
+fn requests_without_ready_upstream_are_refused_immediately() {
     let mut harness = Harness::new(Settings::default(), 1, Vec::new());
     assert!(matches!(
         harness.request(1, 0, 0)[..],
@@ -92,17 +92,17 @@
 }
 
 #[test]
-fn a_killed_instance_starts_from_nothing_but_its_cached_list() {
+fn restarted_instance_has_only_its_cached_list() {
     let settings = Settings {
         subscribes: true,
         ..Settings::default()
     };
     let mut harness = Harness::new(settings.clone(), 5, vec![endpoint(1)]);
     harness.request(1, 0, 0);
-    let mut again = Harness::new(settings, 6, vec![endpoint(1)]);
+    let mut restarted = Harness::new(settings, 6, vec![endpoint(1)]);
     assert!(
-        again.log.contains(&Action::Subscribe),
-        "it asks for the list at once"
+        restarted.log.contains(&Action::Subscribe),
+        "a new instance must subscribe immediately"
     );
     let late = Event::Outcome {
         request: RequestId(1),
@@ -112,14 +112,17 @@
         closed: true,
     };
     assert!(
-        again.handle(late).is_empty(),
-        "outcomes of a former life are ignored"
+        restarted.handle(late).is_empty(),
+        "outcomes for an earlier process must be ignored"
     );
-    assert!(matches!(again.request(2, 0, 0)[..], [Action::Send { .. }]));
+    assert!(matches!(
+        restarted.request(2, 0, 0)[..],
+        [Action::Send { .. }]
+    ));
 }
 
 #[test]
-fn the_list_is_requested_again_with_backoff_well_within_its_timeout() {
+fn subscribe_backoff_grows_within_the_timeout() {
     let settings = Settings {
         subscribes: true,
         ..Settings::default()
@@ -132,27 +135,27 @@
             Action::SetTimer { after, token } => Some((*after, *token)),
             _ => None,
         });
-        let (after, token) = backoff.expect("a timer to ask again");
+        let (after, token) = backoff.expect("a timer for the next subscription");
         harness.now += after;
         assert_eq!(harness.handle(Event::Timer(token)), [Action::Subscribe]);
         backoffs.push(after);
     }
     assert!(
         backoffs[11] > 4.0 * backoffs[0],
-        "the pauses grow: {backoffs:?}"
+        "the backoff does not grow: {backoffs:?}"
     );
     assert!(
         backoffs
             .iter()
             .all(|&backoff| backoff < settings.subscribe_timeout / 2.0),
-        "never counts as told: {backoffs:?}"
+        "the backoff exceeds half of the subscribe timeout: {backoffs:?}"
     );
 }
 
-/// A change counts as notified 6 s after discovery had it, whatever a deployment says of `subscribe_timeout`: a pause,
-/// a call that times out and the next one must fit, 1.5 s for each call.
+/// Instances are treated as notified 6 s after a change, whatever the configured `subscribe_timeout`. This leaves time
+/// for a backoff, a call that times out and a second call, with 1.5 s for each call.
 #[test]
-fn the_backoff_before_the_list_is_requested_again_allows_two_calls() {
+fn subscribe_backoff_allows_two_calls() {
     for (seed, subscribe_timeout) in
         (0..40).flat_map(|seed| [2_000.0, 10_000.0, 60_000.0].map(|timeout| (seed, timeout)))
     {
--- a/balancer/core/tests/rules/input.rs
+++ b/balancer/core/tests/rules/input.rs
@@ -1,50 +1,55 @@
-//! Settings, events and times that make no sense do no harm.
+//! Handling of invalid settings, events and times.
 use crate::common::*;
 use crate::one_class;
 use balancer_core::*;
 
 #[test]
-fn bad_settings_name_their_field() {
+fn settings_errors_name_the_invalid_field() {
     let field = |change: &dyn Fn(&mut Settings)| {
-        let mut s = Settings {
+        let mut settings = Settings {
             tenants: tenants(&[1.0], 10.0),
             ..Settings::default()
         };
-        change(&mut s);
-        Balancer::new(s, 1, 0.0).err().map(|e| e.field)
+        change(&mut settings);
+        Balancer::new(settings, 1, 0.0)
+            .err()
+            .map(|error| error.field)
     };
     assert_eq!(field(&|_| {}), None);
-    assert_eq!(field(&|s| s.balancers = 0), Some("balancers"));
-    assert_eq!(field(&|s| s.classes.clear()), Some("classes"));
+    assert_eq!(field(&|settings| settings.balancers = 0), Some("balancers"));
+    assert_eq!(field(&|settings| settings.classes.clear()), Some("classes"));
     assert_eq!(
-        field(&|s| s.classes[0].objective = f64::NAN),
+        field(&|settings| settings.classes[0].objective = f64::NAN),
         Some("classes.objective")
     );
     assert_eq!(
-        field(&|s| s.classes[0].deadline = -1.0),
+        field(&|settings| settings.classes[0].deadline = -1.0),
         Some("classes.deadline")
     );
     assert_eq!(
-        field(&|s| s.classes[0].zones = Some(Vec::new())),
+        field(&|settings| settings.classes[0].zones = Some(Vec::new())),
         Some("classes.runs_in")
     );
     assert_eq!(
-        field(&|s| s.classes[0].kinds = Some(Vec::new())),
+        field(&|settings| settings.classes[0].kinds = Some(Vec::new())),
         Some("classes.kinds_only")
     );
     assert_eq!(
-        field(&|s| s.tenants[0].quota_per_s = 1e300),
+        field(&|settings| settings.tenants[0].quota_per_s = 1e300),
         Some("tenants.quota_per_s")
     );
     assert_eq!(
-        field(&|s| s.slow_start_time = f64::INFINITY),
+        field(&|settings| settings.slow_start_time = f64::INFINITY),
         Some("ramp_time")
     );
-    assert_eq!(field(&|s| s.subscribe_timeout = 0.0), Some("ask_within"));
+    assert_eq!(
+        field(&|settings| settings.subscribe_timeout = 0.0),
+        Some("ask_within")
+    );
 }
 
 #[test]
-fn unknown_classes_tenants_requests_and_timers_do_no_harm() {
+fn unknown_identifiers_are_handled_safely() {
     let mut harness = Harness::new(Settings::default(), 1, vec![endpoint(1)]);
     let unknown = Request {
         id: RequestId(9),
@@ -59,7 +64,7 @@
         .handle(0.0, Event::Request(unknown), &mut actions);
     assert!(
         matches!(actions[..], [Action::Refuse { .. }]),
-        "an unknown class is refused: nothing has run"
+        "an unknown class must be refused"
     );
     assert!(harness
         .handle(Event::ClientDisconnected(RequestId(77)))
@@ -73,13 +78,13 @@
         .is_empty());
     assert!(
         matches!(harness.request(1, 0, 999)[..], [Action::Send { .. }]),
-        "an unlisted tenant is served"
+        "an unlisted tenant must be served"
     );
 }
 
-/// The module must not panic, whatever the host hands it.
+/// Invalid numbers from the host must not cause a panic.
 #[test]
-fn odd_numbers_for_times_do_no_harm() {
+fn invalid_times_cause_no_panic() {
     let odd = [
         f64::NAN,
         f64::INFINITY,
--- a/balancer/core/tests/rules/main.rs
+++ b/balancer/core/tests/rules/main.rs
@@ -1,17 +1,17 @@
-//! The four rules under random events (fixed seeds), by a checker that knows nothing of the decisions.
+//! Rules that always hold, checked independently of the implementation, also under random events with fixed seeds.
 #[path = "../common/mod.rs"]
 mod common;
 mod endpoints;
 mod input;
+mod random_events;
 mod repeats;
 mod slow_start;
-mod storms;
 
 use balancer_core::{Class, Effect, Settings};
 use common::*;
 
 fn one_class(effect: Effect) -> Settings {
-    // Late responses are worth something, so that requests last until their deadline.
+    // Late responses have value, so that requests last until their deadline.
     let class = Class {
         late_value: 0.5,
         ..class(effect)
--- a/balancer/core/tests/rules/storms.rs
+++ b/balancer/core/tests/rules/random_events.rs
@@ -1,4 +1,4 @@
-//! Random storms of events keep the rules, and the same events give the same actions.
+//! Random events never break the rules, and equal events give equal actions.
 use crate::common::*;
 use balancer_core::*;
 use rand_core::{RngCore, SeedableRng};
@@ -8,7 +8,7 @@
     from[rng.next_u32() as usize % from.len()]
 }
 
-/// How an attempt may end in a storm; most are served.
+/// Possible endings of an attempt, with a higher probability of success.
 const ENDINGS: [Ending; 10] = [
     Ending::Ok,
     Ending::Ok,
@@ -22,9 +22,9 @@
     Ending::Unknown,
 ];
 
-/// Classes of all effects, some of which are placed.
-fn storm_classes(seed: u64) -> Vec<Class> {
-    // Where late responses earn nothing, requests end before the window does: half of the storms let them last.
+/// Classes with all effects, some with placement constraints.
+fn random_event_classes(seed: u64) -> Vec<Class> {
+    // If late responses have no value, requests end before the deduplication window: half of the runs give them value.
     let late_value = if seed.is_multiple_of(2) { 0.5 } else { 0.0 };
     let class = |effect| Class {
         late_value,
@@ -56,9 +56,9 @@
     ]
 }
 
-fn storm_settings(seed: u64, rng: &mut Pcg64Mcg) -> Settings {
+fn random_event_settings(seed: u64, rng: &mut Pcg64Mcg) -> Settings {
     Settings {
-        classes: storm_classes(seed),
+        classes: random_event_classes(seed),
         late_shedding: seed % 4 < 2,
         tenants: if seed.is_multiple_of(2) {
             Vec::new()
@@ -118,9 +118,9 @@
     }
 }
 
-fn storm(seed: u64) -> Vec<Action> {
+fn run_random_events(seed: u64) -> Vec<Action> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let settings = storm_settings(seed, &mut rng);
+    let settings = random_event_settings(seed, &mut rng);
     let mut harness = Harness::new(settings, seed, (1..9).map(zoned).collect());
     let mut since = 0.0;
     for id in 0..1500u32 {
@@ -146,28 +146,28 @@
     harness.advance(10_000.0);
     assert!(
         harness.requests.values().all(|record| record.completed),
-        "every request has its final answer"
+        "some request has no final response"
     );
     harness.log
 }
 
 #[test]
-fn random_storms_keep_the_rules() {
+fn random_events_never_break_the_rules() {
     let mut sends = 0;
     for seed in 0..16 {
-        sends += storm(seed)
+        sends += run_random_events(seed)
             .iter()
             .filter(|a| matches!(a, Action::Send { .. }))
             .count();
     }
     assert!(
         sends > 4000,
-        "the storms sent {sends} attempts only: too few to prove anything"
+        "only {sends} attempts sent: too few for the test to be meaningful"
     );
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
-    assert_eq!(storm(17), storm(17));
-    assert_ne!(storm(17), storm(18));
+fn equal_events_give_equal_actions() {
+    assert_eq!(run_random_events(17), run_random_events(17));
+    assert_ne!(run_random_events(17), run_random_events(18));
 }
--- a/balancer/core/tests/rules/repeats.rs
+++ b/balancer/core/tests/rules/repeats.rs
@@ -1,9 +1,9 @@
-//! When a request is sent again, by the effect of its class.
+//! Retries of a request, depending on the effect of its class.
 use crate::common::*;
 use crate::one_class;
 use balancer_core::*;
 
-/// Ends an attempt of a request, and checks the only action that follows.
+/// Ends an attempt of a request and checks that exactly one action of the given kind follows.
 macro_rules! assert_outcome {
     ($harness:expr, $request:expr, $attempt:expr, $ending:ident => $action:ident, $why:expr) => {
         assert!(
@@ -18,22 +18,22 @@
 }
 
 #[test]
-fn a_single_shot_goes_on_after_proof_that_it_never_ran_and_stops_otherwise() {
+fn single_shot_is_retried_only_if_never_run() {
     let mut harness = Harness::new(
         one_class(Effect::SingleShot),
         1,
         (1..5).map(endpoint).collect(),
     );
     harness.request(1, 0, 0);
-    assert_outcome!(harness, 1, 0, Rejected => Send, "never ran: sent again");
-    assert_outcome!(harness, 1, 1, Rejected => Send, "it never ran");
-    assert_outcome!(harness, 1, 2, Rejected => Refuse, "attempts are spent");
+    assert_outcome!(harness, 1, 0, Rejected => Send, "first attempt never ran");
+    assert_outcome!(harness, 1, 1, Rejected => Send, "second attempt never ran");
+    assert_outcome!(harness, 1, 2, Rejected => Refuse, "no attempts left");
     harness.request(2, 0, 0);
     assert_outcome!(harness, 2, 0, Reset => Fail, "it may have run");
 }
 
 #[test]
-fn full_is_no_proof_where_upstreams_shed_work_that_they_had_begun() {
+fn late_shedding_rejections_count_as_possible_runs() {
     let settings = Settings {
         late_shedding: true,
         ..one_class(Effect::SingleShot)
@@ -60,7 +60,7 @@
     for id in 0..40 {
         harness.request(id, 0, 0);
         harness.advance(50.0);
-        // The checker holds the group and the window to the attempt that was rejected.
+        // The harness checks group and window relative to the rejected attempt.
         harness.outcome(id, 0, Ending::Rejected);
         if harness.requests[&RequestId(id)].endings.len() == 2 {
             harness.outcome(id, 1, Ending::Ok);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_guarded_request_is_repeated_within_its_group_and_window_only() {
+fn guarded_retries_stay_within_group_and_window() {
     let guarded = Effect::Guarded {
         scope: DedupScope::Cell,
         window: 700.0,
@@ -85,10 +85,10 @@
     let mut harness = Harness::new(one_class(guarded), 1, endpoints(4));
     harness.request(1, 0, 0);
     harness.advance(600.0);
-    assert_outcome!(harness, 1, 0, Error => Send, "they remember it");
+    assert_outcome!(harness, 1, 0, Error => Send, "within the deduplication window");
     harness.request(2, 0, 0);
     harness.advance(701.0);
-    assert_outcome!(harness, 2, 0, Error => Fail, "they have forgotten it");
+    assert_outcome!(harness, 2, 0, Error => Fail, "after the deduplication window");
     let other_groups = (1..5)
         .map(|id| Endpoint {
             group: id as u16,
@@ -97,12 +97,12 @@
         .collect();
     let mut harness = Harness::new(one_class(guarded), 1, other_groups);
     harness.request(1, 0, 0);
-    let again = harness.outcome(1, 0, Ending::Error);
+    let actions = harness.outcome(1, 0, Ending::Error);
     let to = |a: &Action| matches!(a, Action::Send { upstream, .. } if *upstream == harness.requests[&RequestId(1)].sends[0].0);
     assert!(
-        again
+        actions
             .iter()
             .all(|a| matches!(a, Action::Fail { .. }) || to(a)),
-        "no other has its key: {again:?}"
+        "retried in another group: {actions:?}"
     );
 }
--- a/balancer/core/tests/slow_start.rs
+++ b/balancer/core/tests/slow_start.rs
@@ -1,15 +1,15 @@
-//! What all balancers together send to an upstream in slow start, against its budget in every sliding window.
+//! Calls from all balancers to upstreams in slow start, compared with their budget in every sliding window.
 mod common;
 
 use balancer_core::*;
 use common::slow_start::*;
 
-/// The size of a fleet.
+/// Size of a fleet.
 #[derive(Clone, Copy, Debug)]
 struct FleetSize {
     balancers: usize,
     upstreams: u64,
-    /// Calls a second that an upstream carries after slow start.
+    /// Capacity of an upstream after slow start, in calls per second.
     capacity: f64,
 }
 
@@ -32,7 +32,7 @@
     fleet(300, 30, 20.0),
 ];
 
-/// A kind of scenario: its name, and what differs from a usual one.
+/// A scenario variant: its name and its change to the default scenario.
 type Variant = (&'static str, fn(&mut Scenario));
 
 const SCENARIOS: [Variant; 20] = [
@@ -47,8 +47,8 @@
             }
         }
     }),
-    ("burst after quiet", burst_after_quiet),
-    ("late burst after quiet", |scenario| {
+    ("burst after low load", burst_after_low_load),
+    ("late burst after low load", |scenario| {
         scenario.load = |t| if t < 20_000.0 { 0.1 } else { 2.5 }
     }),
     ("uneven load", |scenario| scenario.weight = uneven),
@@ -68,10 +68,10 @@
     ("all balancers restart, twice", |scenario| {
         scenario.restarts = |_, t| [70, 130].contains(&tenths(t))
     }),
-    ("the restarted one returns errors", |scenario| {
+    ("the restarted upstream returns errors", |scenario| {
         scenario.ending = |id, t| failing(id.0 == 1, t, Ending::Error)
     }),
-    ("the restarted one is full", |scenario| {
+    ("the restarted upstream rejects calls", |scenario| {
         scenario.ending = |id, t| failing(id.0 == 1, t, Ending::Rejected)
     }),
     ("last resort", last_resort),
@@ -82,8 +82,8 @@
     ("restarted twice", |scenario| {
         scenario.updates = vec![(9_000.0, vec![scenario.listed(1, 9_000.0)])]
     }),
-    ("slow kind, overload", |scenario| {
-        scenario.relative_capacity = with_slow_kind;
+    ("slow machine type, overload", |scenario| {
+        scenario.relative_capacity = with_slow_machine_type;
         scenario.load = |_| 2.0;
     }),
     ("most replaced within four seconds", |scenario| {
@@ -134,7 +134,8 @@
     scenario.zone = |id| if id.0 == 1 { 0 } else { 1 + (id.0 % 2) as u16 };
 }
 
-/// The upstreams of a zone are lost and restart in turn: the first is the only local one for a third of the balancers.
+/// All upstreams of a zone are lost and restart one after another, so that the first is at first the only local one for
+/// a third of the balancers.
 fn zone_returns(scenario: &mut Scenario) {
     scenario.prefers_local = true;
     scenario.zone = |id| (id.0 % 3) as u16;
@@ -166,16 +167,16 @@
     }
 }
 
-fn failing(it: bool, t: f64, how: Ending) -> Ending {
-    if it && t > RESTART_AT {
-        how
+fn failing(matches: bool, t: f64, ending: Ending) -> Ending {
+    if matches && t > RESTART_AT {
+        ending
     } else {
         Ending::Ok
     }
 }
 
-/// A third of the upstreams can do less than half of what the others can.
-fn with_slow_kind(id: UpstreamId) -> f64 {
+/// A third of the upstreams have less than half the capacity of the others.
+fn with_slow_machine_type(id: UpstreamId) -> f64 {
     if id.0 % 3 == 1 {
         0.53
     } else {
@@ -183,30 +184,30 @@
     }
 }
 
-fn burst_after_quiet(scenario: &mut Scenario) {
+fn burst_after_low_load(scenario: &mut Scenario) {
     scenario.load = |t| if t < 12_000.0 { 0.1 } else { 2.5 };
 }
 
-/// All the others refuse connections from then on, and clients come again and again.
+/// All upstreams but the first refuse connections after a while, and client load is high.
 fn last_resort(scenario: &mut Scenario) {
     scenario.load = |t| if t < 14_000.0 { 0.1 } else { 10.0 };
     scenario.ending = |id, t| failing(id.0 != 1 && t > 14_000.0, t, Ending::ConnectFailed);
 }
 
-/// Plays a kind of scenario with so many seeds. The worst window of all, as a part of its budget.
-fn worst_of(fleet: FleetSize, seeds: u64, change: fn(&mut Scenario)) -> f64 {
+/// Runs a scenario variant with several seeds. Returns the calls relative to the budget in the worst window.
+fn worst_window_use(fleet: FleetSize, seeds: u64, change: fn(&mut Scenario)) -> f64 {
     let worst_use = (0..seeds).map(|seed| {
         let mut scenario = Scenario::new(fleet.balancers, fleet.upstreams, fleet.capacity, seed);
         change(&mut scenario);
-        play(scenario).worst_use
+        run_scenario(scenario).worst_use
     });
     worst_use.fold(0.0, f64::max)
 }
 
-/// Plays every kind of scenario with every fleet, prints a table, and checks every window.
-fn all_scenarios(seeds: u64) {
+/// Runs every scenario variant with every fleet, prints a table and checks every window.
+fn check_all_scenarios(seeds: u64) {
     let mut over = Vec::new();
-    println!("worst window / used / requests answered");
+    println!("worst window / budget used / requests served");
     for (name, change) in SCENARIOS {
         let mut line = String::new();
         for fleet in FLEETS {
@@ -215,7 +216,7 @@
                 let mut scenario =
                     Scenario::new(fleet.balancers, fleet.upstreams, fleet.capacity, seed);
                 change(&mut scenario);
-                let outcome = play(scenario);
+                let outcome = run_scenario(scenario);
                 if outcome.worst_use > 1.0 {
                     over.push(format!(
                         "{name}, {fleet:?}, seed {seed}: {:?}",
@@ -235,33 +236,34 @@
 }
 
 #[test]
-fn no_window_exceeds_the_budget_of_an_upstream_in_slow_start() {
-    all_scenarios(1);
+fn no_window_exceeds_the_slow_start_budget() {
+    check_all_scenarios(1);
 }
 
 #[test]
 #[ignore = "minutes; see docs/findings/slow-start.md"]
 fn no_window_exceeds_the_budget_with_many_seeds() {
-    all_scenarios(20);
+    check_all_scenarios(20);
 }
 
-/// Each of 300 balancers had saved one call while little was asked: all were spent at once when a burst came, or
-/// when nothing else was left.
+/// If each of 300 balancers saves one token at low load, all may be spent at once in a burst, or when no other upstream
+/// is left.
 #[test]
-fn calls_saved_in_quiet_do_not_exceed_the_budget_together() {
+fn saved_slow_start_tokens_stay_within_the_budget() {
     let fleet = fleet(300, 8, 40.0);
-    let worst_use = worst_of(fleet, 3, last_resort);
+    let worst_use = worst_window_use(fleet, 3, last_resort);
     assert!(
         worst_use <= 1.0,
-        "as the last resort: {worst_use} times the budget"
+        "as a last resort: {worst_use} times the budget"
     );
-    let worst_use = worst_of(fleet, 3, burst_after_quiet);
+    let worst_use = worst_window_use(fleet, 3, burst_after_low_load);
     assert!(worst_use <= 1.0, "in a burst: {worst_use} times the budget");
 }
 
-/// Below the first tier a new process takes four times its quota for what is carried.
+/// Below the first tier, the initial capacity of a new process is four times its quota. Slow-start budgets must not be
+/// based on it.
 #[test]
-fn new_processes_of_a_lower_tier_keep_to_the_budget() {
+fn new_lower_tier_processes_stay_within_budget() {
     let new = |scenario: &mut Scenario| {
         scenario.stage = 1;
         scenario.load = |_| 2.0;
@@ -273,31 +275,32 @@
         fleet(45, 8, 40.0),
         fleet(300, 8, 80.0),
     ] {
-        let worst_use = worst_of(fleet, 3, new);
+        let worst_use = worst_window_use(fleet, 3, new);
         assert!(worst_use <= 1.0, "{fleet:?}: {worst_use} times the budget");
     }
 }
 
-/// A slow machine can do half of what the mean one can, and was allowed as much.
+/// A slow machine has half the mean capacity, and needs a smaller slow-start budget.
 #[test]
-fn a_slow_kind_is_sent_no_more_than_it_bears() {
+fn slow_machine_types_stay_within_budget() {
     let slow = |scenario: &mut Scenario| {
-        burst_after_quiet(scenario);
-        scenario.relative_capacity = with_slow_kind;
+        burst_after_low_load(scenario);
+        scenario.relative_capacity = with_slow_machine_type;
     };
     for fleet in [
         fleet(100, 8, 80.0),
         fleet(300, 8, 80.0),
         fleet(300, 30, 40.0),
     ] {
-        let worst_use = worst_of(fleet, 3, slow);
+        let worst_use = worst_window_use(fleet, 3, slow);
         assert!(worst_use <= 1.0, "{fleet:?}: {worst_use} times the budget");
     }
 }
 
-/// Every process took an even part of the quotas by the stated number: the sum grew with those that ran beside.
+/// If every process assumes an equal part of the quotas by the configured number of balancers, the sum grows with each
+/// additional process.
 #[test]
-fn more_processes_than_stated_keep_to_the_budget() {
+fn more_balancers_than_configured_stay_within_budget() {
     let many = |scenario: &mut Scenario| scenario.stated_balancers = scenario.balancers.div_ceil(3);
     let overloaded = |scenario: &mut Scenario| {
         scenario.stated_balancers = scenario.balancers.div_ceil(3);
@@ -310,28 +313,28 @@
         fleet(300, 8, 80.0),
         fleet(300, 30, 20.0),
     ] {
-        let worst_use = worst_of(fleet, 3, many);
+        let worst_use = worst_window_use(fleet, 3, many);
         assert!(
             worst_use <= 1.0,
             "{fleet:?}, usual load: {worst_use} times the budget"
         );
-        let worst_use = worst_of(fleet, 3, overloaded);
+        let worst_use = worst_window_use(fleet, 3, overloaded);
         assert!(
             worst_use <= 1.0,
-            "{fleet:?}, overload, upstreams say what they serve: {worst_use} times the budget"
+            "{fleet:?}, overload, upstreams report their rate: {worst_use} times the budget"
         );
     }
 }
 
-/// A third of the balancers have one upstream of sixty in their zone and keep to it.
+/// A third of the balancers have a single local upstream, of up to sixty, and prefer it.
 #[test]
-fn a_zone_with_few_upstreams_keeps_to_the_budget() {
+fn single_local_upstream_stays_within_budget() {
     let one = |scenario: &mut Scenario| {
         one_local_upstream(scenario);
         scenario.load = |t| if t < 9_500.0 { 0.1 } else { 2.5 };
     };
     for fleet in [fleet(45, 30, 20.0), fleet(300, 60, 20.0)] {
-        let worst_use = worst_of(fleet, 2, one);
+        let worst_use = worst_window_use(fleet, 2, one);
         assert!(worst_use <= 1.0, "{fleet:?}: {worst_use} times the budget");
     }
 }
--- a/balancer/core/tests/switched_off.rs
+++ b/balancer/core/tests/switched_off.rs
@@ -1,11 +1,11 @@
-//! What the host leaves out of an update, since the operator has switched it off, must be as if nobody had observed it.
+//! The host omits from tier updates whatever the operator has disabled; this must have the same effect as no updates.
 mod common;
 
 use balancer_core::*;
 use common::*;
 
-/// Overload, late responses, errors and a zone that times out, with an update every 100 ms.
-fn day(update: impl Fn(usize) -> Option<TierUpdate>) -> Vec<Action> {
+/// Runs phases of overload, late responses, errors and a zone without responses, with an update every 100 ms.
+fn run_with_updates(update: impl Fn(usize) -> Option<TierUpdate>) -> Vec<Action> {
     let settings = Settings {
         classes: vec![Class {
             late_value: 0.5,
@@ -41,18 +41,18 @@
 }
 
 #[test]
-fn an_update_without_what_is_switched_off_changes_nothing() {
-    let alone = day(|_| None);
-    let refused = alone
+fn tier_updates_without_content_change_nothing() {
+    let without_updates = run_with_updates(|_| None);
+    let refused = without_updates
         .iter()
         .filter(|a| matches!(a, Action::Refuse { .. }))
         .count();
-    let left = alone
+    let zone_ejected = without_updates
         .iter()
         .any(|a| matches!(a, Action::Log(line) if line.contains("ejected")));
     assert!(
-        refused > 50 && left,
-        "a day on which much is decided: {refused} refused, {left}"
+        refused > 50 && zone_ejected,
+        "the run must refuse requests and eject a zone: {refused} refused, zone ejected: {zone_ejected}"
     );
     let none = TierLoad {
         tenants: vec![TenantLoad::default(); 3],
@@ -64,7 +64,7 @@
         error: 0.0,
     });
     for sums in [None, sums] {
-        // Cut off for a while as well.
+        // Includes a period in which the instance is partitioned.
         let update = |step: usize| TierUpdate {
             up: 1,
             position: 0,
@@ -72,8 +72,14 @@
             sums: sums.clone(),
             evidence: vec![],
         };
-        let with_updates = day(|step| Some(update(step)));
-        let differs = alone.iter().zip(&with_updates).position(|(a, b)| a != b);
-        assert!(alone == with_updates, "{sums:?}: from {differs:?} on");
+        let with_updates = run_with_updates(|step| Some(update(step)));
+        let differs = without_updates
+            .iter()
+            .zip(&with_updates)
+            .position(|(a, b)| a != b);
+        assert!(
+            without_updates == with_updates,
+            "{sums:?}: differs from {differs:?}"
+        );
     }
 }
--- a/balancer/core/tests/tier/evidence.rs
+++ b/balancer/core/tests/tier/evidence.rs
@@ -1,19 +1,19 @@
-//! Evidence of other instances, and trials of a lost zone.
+//! Effect of evidence from other instances, and trials of a lost zone.
 use crate::common::tier::*;
 use crate::common::{endpoint, tenants, Harness};
 use crate::set_demand;
 use balancer_core::*;
 use std::cell::Cell;
 
-/// What an instance hears of the others.
+/// Updates that an instance receives from the others.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Hears {
+enum Received {
     Nothing,
     Evidence,
 }
 
-/// Calls to an upstream in the second after its first ones ended so, for an instance that hears of others what it does.
-fn calls_after(endings: &[Ending], hears: Hears) -> usize {
+/// Calls to an upstream within a second after its first calls had these endings, with or without evidence of others.
+fn calls_after(endings: &[Ending], received: Received) -> usize {
     let failing = UpstreamId(1);
     let update = || TierUpdate {
         up: 12,
@@ -34,7 +34,7 @@
     let mut harness = Harness::new(settings, 1, (0..6).map(endpoint).collect());
     let responses = Cell::new(0);
     while responses.get() < endings.len() {
-        if hears == Hears::Evidence {
+        if received == Received::Evidence {
             harness.handle(Event::Tier(Box::new(update())));
         }
         harness.traffic(10.0, 100.0, &[0], &|id| {
@@ -54,28 +54,28 @@
 }
 
 #[test]
-fn evidence_of_others_halves_the_own_evidence_needed_and_does_nothing_alone() {
+fn evidence_of_others_halves_the_ejection_threshold() {
     assert!(
-        calls_after(&[Ending::Ok], Hears::Evidence) > 5,
-        "evidence alone took it out"
+        calls_after(&[Ending::Ok], Received::Evidence) > 5,
+        "ejected by evidence of others alone"
     );
     assert!(
-        calls_after(&[Ending::Error], Hears::Nothing) > 5,
-        "one failure took it out without evidence"
+        calls_after(&[Ending::Error], Received::Nothing) > 5,
+        "ejected after one failure without evidence of others"
     );
     assert_eq!(
-        calls_after(&[Ending::Error], Hears::Evidence),
+        calls_after(&[Ending::Error], Received::Evidence),
         0,
-        "one failure and evidence did not take it out"
+        "not ejected after one failure with evidence of others"
     );
     assert!(
-        calls_after(&[Ending::Ok, Ending::Error], Hears::Evidence) > 5,
-        "a fresh answer did not count for more"
+        calls_after(&[Ending::Ok, Ending::Error], Received::Evidence) > 5,
+        "ejected in spite of a recent response"
     );
 }
 
 #[test]
-fn trials_of_a_lost_zone_do_not_grow_with_the_instances_and_it_returns() {
+fn trial_rate_is_independent_of_instance_count() {
     let lost = |at: f64| (10_000.0..30_000.0).contains(&at);
     let trials = |instances: usize, filter: UpdateFilter, matches: fn(UpstreamId) -> bool| {
         let mut tier = TierSimulation::new(instances, 24, settings(instances), 5);
@@ -97,34 +97,34 @@
     let zone: fn(UpstreamId) -> bool = |id| zone_of(id) == 1;
     let one: fn(UpstreamId) -> bool = |id| id.0 == 1;
     for instances in [12, 24, 48] {
-        let (rate, back) = trials(instances, |_, update| Some(update), zone);
+        let (rate, recovered) = trials(instances, |_, update| Some(update), zone);
         assert!(
             rate > 0.1 && rate < 3.0,
-            "{instances} instances: {rate:.1} trials a second"
+            "{instances} instances: {rate:.1} trials per second"
         );
         assert!(
-            back > 0.5,
-            "{instances} instances: {back:.2} of its calls are back after ten seconds"
+            recovered > 0.5,
+            "{instances} instances: {recovered:.2} of the zone's calls after ten seconds"
         );
         let (rate, _) = trials(instances, |_, update| Some(update), one);
         assert!(
             rate < 1.5,
-            "{instances} instances: {rate:.1} trials a second of one server"
+            "{instances} instances: {rate:.1} trials per second of one server"
         );
     }
-    let (cut_off, _) = trials(48, |now, update| (now < 15_000.0).then_some(update), zone);
+    let (partitioned, _) = trials(48, |now, update| (now < 15_000.0).then_some(update), zone);
     assert!(
-        cut_off > 0.1 && cut_off < 3.0,
-        "{cut_off:.1} trials a second by instances that hear nothing any more"
+        partitioned > 0.1 && partitioned < 3.0,
+        "{partitioned:.1} trials per second by instances that no longer receive updates"
     );
-    let (alone, _) = trials(48, |_, _| None, zone);
+    let (uncoordinated, _) = trials(48, |_, _| None, zone);
     assert!(
-        alone > 8.0,
-        "without updates {alone:.1} a second: the test shows nothing"
+        uncoordinated > 8.0,
+        "{uncoordinated:.1} trials per second without updates: too few for the test to be meaningful"
     );
-    let (alone, _) = trials(48, |_, _| None, one);
+    let (uncoordinated, _) = trials(48, |_, _| None, one);
     assert!(
-        alone > 2.0,
-        "without updates {alone:.1} a second: the test shows nothing"
+        uncoordinated > 2.0,
+        "{uncoordinated:.1} trials per second without updates: too few for the test to be meaningful"
     );
 }
--- a/balancer/core/tests/tier/limits.rs
+++ b/balancer/core/tests/tier/limits.rs
@@ -1,9 +1,9 @@
-//! Limits that all instances apply alike.
+//! Tier-wide limits, applied alike by all instances.
 use crate::common::tier::*;
-use crate::{any, calm, set_demand};
+use crate::{any_request, set_demand, steady_tier};
 use balancer_core::*;
 
-/// The part of all instances that refuses a request with this tie.
+/// Fraction of the instances that refuse a request with this tie.
 fn refusals(tier: &mut TierSimulation, class: usize, tie: u64) -> f64 {
     let started_at = tier.now;
     let before = tier.responses.len();
@@ -28,40 +28,40 @@
 }
 
 #[test]
-fn a_tenant_over_its_limit_is_refused_the_same_requests_by_all_instances() {
+fn all_instances_shed_the_same_requests() {
     for (seed, instances) in [(1, 12), (2, 24), (3, 96)] {
-        let mut tier = calm(instances, seed);
+        let mut tier = steady_tier(instances, seed);
         set_demand(&mut tier, 1.6, 0.4);
         tier.run(15_000.0);
-        let (from, to, can) = (tier.now - 12_000.0, tier.now, tier.capacity());
-        let all = tier.goodput(from, to, any) / can;
+        let (from, to, capacity) = (tier.now - 12_000.0, tier.now, tier.capacity());
+        let all = tier.goodput(from, to, any_request) / capacity;
         assert!(
             all > 0.95,
-            "{instances} instances: {all:.2} of what the servers can do is answered in time"
+            "{instances} instances: goodput is {all:.2} of the servers' capacity"
         );
-        let beside = tier.served_part(from, to, 1);
+        let within_share = tier.served_part(from, to, 1);
         assert!(
-            beside > 0.97,
-            "{instances} instances: the tenant within its share gets {beside:.2}"
+            within_share > 0.97,
+            "{instances} instances: {within_share:.2} served of the tenant within its share"
         );
         let class = |class| {
             tier.goodput(from, to, |request| {
                 (request.tenant, request.class) == (0, class)
-            }) / can
+            }) / capacity
         };
-        let (cheap, dear) = (class(0), class(1));
+        let (low_value, high_value) = (class(0), class(1));
         assert!(
-            dear > 0.4 && dear > 5.0 * cheap,
-            "{instances} instances: {dear:.2} of the dear, {cheap:.2} of the cheap"
+            high_value > 0.4 && high_value > 5.0 * low_value,
+            "{instances} instances: goodput {high_value:.2} of high value, {low_value:.2} of low value"
         );
-        // What is refused by one instance is so by the next.
+        // All instances refuse the same requests.
         let same = (0..20)
             .map(|k| refusals(&mut tier, 0, (2 * k + 1) * (u64::MAX / 40)))
             .sum::<f64>()
             / 20.0;
         assert!(
             same > 0.95,
-            "{instances} instances: {same:.2} refuse what goes first"
+            "{instances} instances: {same:.2} refuse the requests that are shed first"
         );
         let last = (0..20)
             .map(|k| refusals(&mut tier, 1, u64::MAX - k))
@@ -69,13 +69,13 @@
             / 20.0;
         assert!(
             last < 0.4,
-            "{instances} instances: {last:.2} refuse what goes last"
+            "{instances} instances: {last:.2} refuse the requests that are shed last"
         );
     }
 }
 
 #[test]
-fn refused_clients_are_advised_to_retry_spread_over_what_they_heed() {
+fn retry_advice_is_spread_over_its_range() {
     for max in [0.0, 800.0, 6000.0] {
         let mut tier = TierSimulation::new(
             12,
@@ -96,7 +96,7 @@
             .collect();
         assert!(
             advised.len() > 1000 && advised.iter().all(|&after| after <= max),
-            "more than {max} ms"
+            "too few refusals, or advice above {max} ms"
         );
         let bins = (1..=10).map(|k| {
             advised
@@ -107,7 +107,7 @@
         let fullest = bins.max().unwrap_or(0) as f64 / advised.len() as f64;
         assert!(
             fullest < 0.25,
-            "of {max} ms one tenth is given to {fullest:.2} of them"
+            "{fullest:.2} of the advised delays fall into the same tenth of {max} ms"
         );
     }
 }
--- a/balancer/core/tests/tier/main.rs
+++ b/balancer/core/tests/tier/main.rs
@@ -1,4 +1,4 @@
-//! Many instances before the same servers: what updates of each other change, and what they must not.
+//! Effects of tier updates on many instances with the same servers.
 #[path = "../common/mod.rs"]
 mod common;
 mod evidence;
@@ -8,7 +8,7 @@
 
 use common::tier::*;
 
-/// Sets the demand of two tenants with equal shares, each as a multiple of what the servers can do.
+/// Sets the demand of two tenants with equal shares, each as a multiple of the servers' capacity.
 fn set_demand(tier: &mut TierSimulation, first: f64, second: f64) {
     let rate = |multiple: f64| TenantRate {
         per_s: multiple * tier.capacity(),
@@ -17,13 +17,13 @@
     tier.rates = vec![rate(first), rate(second)];
 }
 
-fn calm(instances: usize, seed: u64) -> TierSimulation {
+fn steady_tier(instances: usize, seed: u64) -> TierSimulation {
     let mut tier = TierSimulation::new(instances, 12, settings(instances), seed);
     set_demand(&mut tier, 0.4, 0.4);
     tier.run(10_000.0);
     tier
 }
 
-fn any(_: &ClientRequest) -> bool {
+fn any_request(_: &ClientRequest) -> bool {
     true
 }
--- a/balancer/core/tests/tier/updates.rs
+++ b/balancer/core/tests/tier/updates.rs
@@ -1,9 +1,9 @@
-//! Which updates of the tier count.
+//! Handling of invalid and outdated tier updates.
 use crate::common::tier::*;
 use crate::set_demand;
 use balancer_core::*;
 
-/// The same update with capacity for hardly anything, so much older.
+/// The update with a very low capacity, and with its age increased.
 fn with_low_capacity(mut update: TierUpdate, age: f64) -> TierUpdate {
     if let Some(sums) = &mut update.sums {
         sums.load.capacity = 1.0;
@@ -17,8 +17,8 @@
 }
 
 #[test]
-fn updates_that_do_not_count_change_nothing() {
-    let play = |filter: UpdateFilter| {
+fn invalid_updates_change_nothing() {
+    let run = |filter: UpdateFilter| {
         let mut tier = TierSimulation::new(6, 3, settings(6), 3);
         tier.filter_update = filter;
         tier.slowness = Box::new(|server, at| if server == 1 && at < 9000.0 { 6.0 } else { 1.0 });
@@ -28,48 +28,45 @@
         tier.run(8000.0);
         tier.log
     };
-    let without = play(|_, _| None);
+    let without = run(|_, _| None);
     assert!(
         without
             .iter()
             .any(|(_, a)| matches!(a, Action::Refuse { .. })),
-        "nothing was refused"
+        "no request was refused"
     );
     let filters: [(&str, UpdateFilter); 5] = [
-        ("of an instance that is cut off", |_, update| {
+        ("of a partitioned instance", |_, update| {
             Some(TierUpdate {
                 joined: false,
                 ..update
             })
         }),
-        ("that stopped coming", |now, update| {
+        ("that stopped arriving", |now, update| {
             (now < 3000.0).then_some(with_low_capacity(update, 0.0))
         }),
-        ("that tell of what is too old", |_, update| {
+        ("that are outdated", |_, update| {
             Some(with_low_capacity(update, 3000.0))
         }),
-        ("with a place that is none", |_, update| {
+        ("with an invalid position", |_, update| {
             Some(TierUpdate {
                 position: update.up,
                 ..update
             })
         }),
-        ("with a figure that is none", |_, mut update| {
+        ("with an invalid number", |_, mut update| {
             update
                 .sums
                 .iter_mut()
-                .for_each(|s| s.load.capacity = f64::NAN);
+                .for_each(|sums| sums.load.capacity = f64::NAN);
             Some(update)
         }),
     ];
     for (name, filter) in filters {
-        assert!(
-            play(filter) == without,
-            "updates {name} change what is decided"
-        );
+        assert!(run(filter) == without, "updates {name} change decisions");
     }
     assert!(
-        play(|_, update| Some(update)) != without,
-        "the updates that count change nothing either"
+        run(|_, update| Some(update)) != without,
+        "valid updates change no decision either"
     );
 }
--- a/balancer/core/tests/zones.rs
+++ b/balancer/core/tests/zones.rs
@@ -1,11 +1,11 @@
-//! Zones that are lost, partitioned off, slow, flapping or drained, as one instance sees them.
+//! Lost, partitioned, slow, flapping and drained zones, as seen by one instance.
 mod common;
 
 use balancer_core::*;
 use common::*;
 use std::cell::Cell;
 
-const ANSWER: f64 = 250.0;
+const RESPONSE_TIME: f64 = 250.0;
 
 fn settings() -> Settings {
     let class = Class {
@@ -40,14 +40,14 @@
     Harness::new(settings(), 4, listed())
 }
 
-/// Sends, with responses that take as long as `slow` says for each zone; a zone of which it says nothing times out.
+/// Sends traffic. `slow` gives a factor on the response time by zone, or `None` for a zone that does not respond.
 fn run(harness: &mut Harness, span: f64, per_s: f64, slow: impl Fn(u16) -> Option<f64>) {
     harness.traffic(span, per_s, &[0], &|id| {
-        slow(zone_of(id)).map(|times| (Ending::Ok, ANSWER * times))
+        slow(zone_of(id)).map(|times| (Ending::Ok, RESPONSE_TIME * times))
     });
 }
 
-/// What is out to a zone gets no response any more.
+/// Drops the responses to all calls in flight to a zone.
 fn drop_in_flight(harness: &mut Harness, zone: u16) {
     let requests = &harness.requests;
     harness.scheduled.retain(|response| {
@@ -56,7 +56,7 @@
     });
 }
 
-/// Attempts since `from` by zone.
+/// Attempts since `from`, by zone.
 fn sent(harness: &Harness, from: f64) -> [usize; 3] {
     let mut by = [0; 3];
     harness
@@ -67,7 +67,7 @@
     by
 }
 
-/// Lines of the log since they were last taken that speak of a zone.
+/// Removes and returns the log lines about zones.
 fn take_zone_log(harness: &mut Harness) -> Vec<String> {
     let log = std::mem::take(&mut harness.log);
     let line = |a| match a {
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_lost_zone_is_ejected_at_once_its_calls_are_retried_and_it_returns_by_degrees() {
+fn lost_zone_is_ejected_and_returns_gradually() {
     let mut harness = new_harness();
     run(&mut harness, 20_000.0, 60.0, healthy);
     assert_eq!(take_zone_log(&mut harness), Vec::<String>::new());
@@ -104,18 +104,18 @@
     let after = sent(&harness, ejected_at);
     assert!(
         after[0] * 100 <= after.iter().sum::<usize>() * 2,
-        "trials only: {after:?} {log:?} {:?}",
+        "more than trial calls to the lost zone: {after:?} {log:?} {:?}",
         take_zone_log(&mut harness)
     );
     assert_hung_calls_were_retried(&harness, lost_at);
     assert_returns_by_degrees(&mut harness);
 }
 
-/// What hung in zone 0 when it was lost was retried elsewhere, and was served.
+/// Checks that calls in flight to zone 0 at its loss were retried elsewhere and served.
 fn assert_hung_calls_were_retried(harness: &Harness, lost_at: f64) {
     let hung = |record: &&RequestRecord| {
         let first = record.sends.first();
-        first.is_some_and(|(id, at)| zone_of(*id) == 0 && *at > lost_at - ANSWER)
+        first.is_some_and(|(id, at)| zone_of(*id) == 0 && *at > lost_at - RESPONSE_TIME)
     };
     let hung: Vec<&RequestRecord> = harness.requests.values().filter(hung).collect();
     let served = hung
@@ -129,9 +129,9 @@
     );
 }
 
-/// Zone 0 is well again: its part of the calls returns, and not all at once.
+/// Checks that traffic gradually returns to zone 0 after its recovery.
 fn assert_returns_by_degrees(harness: &mut Harness) {
-    let well_from = harness.now;
+    let recovered_at = harness.now;
     let mut local = Vec::new();
     for _ in 0..16 {
         let from = harness.now;
@@ -148,17 +148,20 @@
         has("zone 0 is in service: accepts 1.000 of its draws"),
         "{log:?}"
     );
-    let all = sent(harness, well_from).iter().sum::<usize>() / 16;
+    let all = sent(harness, recovered_at).iter().sum::<usize>() / 16;
     assert!(
         local[1] * 2 < all.max(2),
-        "not all at once: {local:?} of {all}"
+        "traffic returned too fast: {local:?} of {all}"
+    );
+    assert!(
+        local[15] * 2 > all,
+        "traffic did not return completely: {local:?} of {all}"
     );
-    assert!(local[15] * 2 > all, "all in the end: {local:?} of {all}");
 }
 
-/// A shared dependency: ejecting any of them would only overload the rest.
+/// If all zones fail or slow down together, as with a shared dependency, ejecting one would only overload the rest.
 #[test]
-fn where_all_time_out_or_get_slow_no_zone_is_ejected() {
+fn simultaneous_timeouts_or_slowness_eject_no_zone() {
     let mut harness = new_harness();
     run(&mut harness, 10_000.0, 60.0, healthy);
     run(&mut harness, 5000.0, 60.0, |_| None);
@@ -171,9 +174,9 @@
     assert_eq!(take_zone_log(&mut harness), Vec::<String>::new());
 }
 
-/// The local zone is the one that is partitioned off from the others, or two of three are lost: it uses what responds.
+/// If the local zone is partitioned from the others, or the two others are lost, it uses the upstreams that respond.
 #[test]
-fn an_instance_whose_zone_is_partitioned_off_goes_on_with_it_alone() {
+fn partitioned_instance_uses_only_its_own_zone() {
     let mut harness = new_harness();
     run(&mut harness, 20_000.0, 40.0, healthy);
     run(&mut harness, 1500.0, 40.0, |zone| {
@@ -190,15 +193,15 @@
     );
 }
 
-/// One that responds slowly is not lost: fewer calls go to it, and none are cancelled.
+/// A zone that responds slowly is not ejected: it gets fewer calls, and none are cancelled.
 #[test]
-fn a_slow_local_zone_is_not_ejected_but_drawn_from_less() {
+fn slow_local_zone_gets_less_traffic_without_ejection() {
     let mut harness = new_harness();
     run(&mut harness, 20_000.0, 40.0, healthy);
     let local = sent(&harness, 10_000.0);
     assert!(
         local[0] * 10 > local.iter().sum::<usize>() * 5,
-        "near while it is well: {local:?}"
+        "too few local calls while the zone is healthy: {local:?}"
     );
     let from = harness.now;
     run(&mut harness, 10_000.0, 40.0, |zone| {
@@ -207,7 +210,7 @@
     let slow = sent(&harness, from + 5000.0);
     assert!(
         slow[0] * 3 < slow.iter().sum::<usize>(),
-        "spilt while it is slow: {slow:?}"
+        "too many local calls while the zone is slow: {slow:?}"
     );
     assert_eq!(take_zone_log(&mut harness), Vec::<String>::new());
     let from = harness.now;
@@ -215,13 +218,13 @@
     let recovered = sent(&harness, from + 15_000.0);
     assert!(
         recovered[0] * 10 > recovered.iter().sum::<usize>() * 5,
-        "near again: {recovered:?}"
+        "too few local calls after the recovery: {recovered:?}"
     );
 }
 
-/// Half of a zone fails: the half that responds keeps it, and what fails is ejected one by one.
+/// If half of a zone's upstreams fail, the other half keeps it in service, and the failing ones are ejected one by one.
 #[test]
-fn a_zone_half_of_which_fails_is_not_ejected() {
+fn half_failed_zone_is_not_ejected() {
     let mut harness = new_harness();
     run(&mut harness, 10_000.0, 60.0, healthy);
     harness.traffic(8000.0, 60.0, &[0], &|id| {
@@ -229,27 +232,28 @@
         Some(if fails {
             (Ending::ConnectFailed, 1.0)
         } else {
-            (Ending::Ok, ANSWER)
+            (Ending::Ok, RESPONSE_TIME)
         })
     });
     assert_eq!(take_zone_log(&mut harness), Vec::<String>::new());
 }
 
-/// RequestRecord on a day of 45 minutes: one upstream that died with many calls out took its zone along.
+/// One upstream that fails with many calls in flight must not cause the ejection of its zone.
 #[test]
-fn one_upstream_that_breaks_all_its_calls_at_once_does_not_take_its_zone_along() {
+fn one_broken_upstream_does_not_eject_its_zone() {
     let mut harness = new_harness();
     run(&mut harness, 10_000.0, 200.0, healthy);
-    let of = |harness: &Harness| -> Vec<(u32, usize)> {
-        let out = harness
+    let in_flight = |harness: &Harness| -> Vec<(u32, usize)> {
+        let open = harness
             .requests
             .iter()
-            .filter(|(_, s)| s.endings.last() == Some(&None));
-        out.map(|(id, s)| (id.0, s.sends.len() - 1)).collect()
+            .filter(|(_, record)| record.endings.last() == Some(&None));
+        open.map(|(id, record)| (id.0, record.sends.len() - 1))
+            .collect()
     };
     let mut broken = 0;
-    // Whatever is out to four upstreams of the local zone: each time all of one of them.
-    for (id, attempt) in of(&harness) {
+    // Reset all calls in flight to four upstreams of zone 0.
+    for (id, attempt) in in_flight(&harness) {
         let to = harness.requests[&RequestId(id)].sends[attempt].0;
         if zone_of(to) == 0 && to.0 < 12 {
             harness
@@ -264,16 +268,16 @@
     assert_eq!(take_zone_log(&mut harness), Vec::<String>::new());
 }
 
-/// A zone that refuses every connection is ejected as one that times out is.
+/// A zone that refuses all connections is ejected like one that times out.
 #[test]
-fn a_zone_that_refuses_every_connection_is_ejected() {
+fn zone_refusing_all_connections_is_ejected() {
     let mut harness = new_harness();
     run(&mut harness, 10_000.0, 60.0, healthy);
     harness.traffic(3000.0, 60.0, &[0], &|id| {
         Some(if zone_of(id) == 0 {
             (Ending::ConnectFailed, 1.0)
         } else {
-            (Ending::Ok, ANSWER)
+            (Ending::Ok, RESPONSE_TIME)
         })
     });
     let log = take_zone_log(&mut harness);
@@ -284,7 +288,7 @@
 }
 
 #[test]
-fn a_zone_that_flaps_returns_more_slowly_each_time() {
+fn flapping_zone_returns_more_slowly_each_time() {
     let mut harness = new_harness();
     run(&mut harness, 10_000.0, 60.0, healthy);
     let mut times_to_return = Vec::new();
@@ -297,7 +301,7 @@
             .any(|l| l.starts_with("zone 0 is in service"))
         {
             run(&mut harness, 500.0, 60.0, healthy);
-            assert!(harness.now - from < 60_000.0, "never back");
+            assert!(harness.now - from < 60_000.0, "zone 0 did not return");
         }
         times_to_return.push(harness.now - from);
     }
@@ -307,28 +311,28 @@
     );
 }
 
-/// It makes five requests a second, all tiers' calls long done between two of them.
+/// At five requests per second, few calls are in flight when the zone is lost.
 #[test]
-fn an_instance_with_little_traffic_ejects_a_lost_zone_too() {
+fn low_traffic_instance_ejects_a_lost_zone() {
     let mut harness = new_harness();
     run(&mut harness, 20_000.0, 5.0, healthy);
-    let (from, left) = (harness.now, Cell::new(None));
-    while left.get().is_none() {
+    let (from, ejected_after) = (harness.now, Cell::new(None));
+    while ejected_after.get().is_none() {
         run(&mut harness, 200.0, 5.0, except(0));
-        left.set(
+        ejected_after.set(
             take_zone_log(&mut harness)
                 .iter()
                 .any(|l| l.starts_with("zone 0 ejected"))
                 .then_some(harness.now - from),
         );
-        assert!(harness.now - from < 5000.0, "not left");
+        assert!(harness.now - from < 5000.0, "zone 0 was not ejected");
     }
-    assert!(left.get() < Some(3000.0), "{left:?}");
+    assert!(ejected_after.get() < Some(3000.0), "{ejected_after:?}");
 }
 
-/// A release that empties a zone is announced by the list, and is no failure.
+/// A release that drains a zone is announced in the endpoint list, and is not a failure.
 #[test]
-fn a_zone_drained_by_a_release_is_not_ejected() {
+fn zone_drained_by_a_release_is_not_ejected() {
     let mut harness = new_harness();
     run(&mut harness, 10_000.0, 60.0, healthy);
     let with_availability = |availability| {
@@ -343,9 +347,9 @@
     assert!(sent(&harness, 14_000.0)[1] > 20);
 }
 
-/// While a zone is gone, what is admitted is what the others carry.
+/// While a zone is lost, capacity is that of the other zones.
 #[test]
-fn capacity_becomes_that_of_the_other_zones() {
+fn capacity_shrinks_when_a_zone_is_lost() {
     let mut harness = new_harness();
     run(&mut harness, 20_000.0, 60.0, healthy);
     let before = harness.balancer.learned(harness.now).load.capacity;
