--- a/balancer/core/tests/common/slow_start/budget.rs
+++ b/balancer/core/tests/common/slow_start/budget.rs
@@ -13,7 +13,7 @@
 }
 
 impl Window {
-    fn used(&self) -> f64 {
+    fn usage(&self) -> f64 {
         self.calls as f64 / self.budget
     }
 }
@@ -52,8 +52,8 @@
         let mut sent = 0;
         for (start, sends) in &self.sends {
             for window in self.windows(start, sends) {
-                if window.used() > worst_use {
-                    worst_use = window.used();
+                if window.usage() > worst_use {
+                    worst_use = window.usage();
                     worst_window = window;
                 }
                 sent += 1;
--- a/balancer/core/tests/common/slow_start/fleet.rs
+++ b/balancer/core/tests/common/slow_start/fleet.rs
@@ -1,5 +1,5 @@
 //! Simulation of balancers, upstreams and clients.
-use super::events::{At, Call, Step};
+use super::events::{Call, ScheduledStep, Step};
 use super::scenario::Scenario;
 use super::*;
 use balancer_core::*;
@@ -29,7 +29,7 @@
     pub(super) now: f64,
     pub(super) sequence: u64,
     pub(super) rng: Pcg64Mcg,
-    pub(super) schedule: BinaryHeap<Reverse<At>>,
+    pub(super) schedule: BinaryHeap<Reverse<ScheduledStep>>,
     pub(super) processes: Vec<Process>,
     pub(super) listed: BTreeMap<UpstreamId, Endpoint>,
     pub(super) weights: Vec<f64>,
@@ -75,7 +75,7 @@
             fleet.send_list(index);
         }
         fleet.after(0.0, Step::Arrival);
-        fleet.after(100.0, Step::BalancerRestarts);
+        fleet.after(100.0, Step::BalancerRestart);
         fleet.after(RESTART_AT, Step::UpstreamRestart);
         let times: Vec<f64> = fleet
             .scenario
@@ -122,7 +122,7 @@
     fn after(&mut self, span: f64, step: Step) {
         self.sequence += 1;
         self.schedule
-            .push(Reverse(At(self.now + span, self.sequence, step)));
+            .push(Reverse(ScheduledStep(self.now + span, self.sequence, step)));
     }
 
     fn random_unit(&mut self) -> f64 {
@@ -130,7 +130,7 @@
     }
 
     pub(super) fn run(&mut self) {
-        while let Some(Reverse(At(at, _, step))) = self
+        while let Some(Reverse(ScheduledStep(at, _, step))) = self
             .schedule
             .pop()
             .filter(|next| next.0 .0 <= self.scenario.span)
@@ -144,8 +144,8 @@
                     self.event(index, Event::Timer(token));
                 }
                 Step::Timer(..) => {}
-                Step::Ended { call, ending } => self.end_call(&call, ending),
-                Step::BalancerRestarts => self.restart_balancers(),
+                Step::CallEnd { call, ending } => self.end_call(&call, ending),
+                Step::BalancerRestart => self.restart_balancers(),
                 Step::UpstreamRestart => {
                     let restarting = (1..=self.scenario.restarting)
                         .map(|id| self.scenario.listed(id, self.now))
@@ -193,7 +193,7 @@
                 self.send_list(index);
             }
         }
-        self.after(100.0, Step::BalancerRestarts);
+        self.after(100.0, Step::BalancerRestart);
     }
 
     fn arrival(&mut self) {
@@ -318,7 +318,7 @@
             left
         };
         let (ending, duration) = match (self.scenario.ending)(upstream, now) {
-            Ending::Ok => self.work(upstream),
+            Ending::Ok => self.serve_call(upstream),
             Ending::Timeout => (Ending::Timeout, f64::INFINITY),
             failure => (failure, FAILURE_TIME),
         };
@@ -335,11 +335,11 @@
             upstream,
             sent_at: now,
         };
-        self.after(duration.min(time_limit), Step::Ended { call, ending });
+        self.after(duration.min(time_limit), Step::CallEnd { call, ending });
     }
 
     /// Executes a call at an upstream; returns its ending and duration.
-    fn work(&mut self, to: UpstreamId) -> (Ending, f64) {
+    fn serve_call(&mut self, to: UpstreamId) -> (Ending, f64) {
         let (now, since) = (self.now, self.listed[&to].since);
         let weight = if since > 0.0 {
             slow_start_weight(now - since)
--- a/balancer/core/tests/common/tier/mod.rs
+++ b/balancer/core/tests/common/tier/mod.rs
@@ -79,7 +79,7 @@
     pub sends: Vec<SentAttempt>,
     schedule: Schedule,
     calls: BTreeMap<u64, Call>,
-    number: u64,
+    sequence: u64,
     rng: Pcg64Mcg,
 }
 
@@ -130,7 +130,7 @@
             sends: Vec::new(),
             schedule: Schedule::default(),
             calls: BTreeMap::new(),
-            number: 0,
+            sequence: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
         };
         for index in 0..instances {
@@ -174,8 +174,8 @@
     }
 
     fn after(&mut self, span: f64, step: Step) {
-        self.number += 1;
-        self.schedule.add(self.now + span, self.number, step);
+        self.sequence += 1;
+        self.schedule.add(self.now + span, self.sequence, step);
     }
 
     pub(crate) fn run(&mut self, span: f64) {
@@ -190,7 +190,7 @@
                     let failed = self.random_unit() < (self.error_rate)(server, self.now);
                     self.end_call(call, if failed { Ending::Error } else { Ending::Ok });
                     self.servers[server].busy -= 1;
-                    self.work(server);
+                    self.start_queued_calls(server);
                 }
                 Step::Timeout { call } => self.end_call(call, Ending::Timeout),
                 Step::TierUpdates => {
@@ -238,7 +238,7 @@
             self.instances[index].up = false;
             let open: Vec<RequestId> = self.instances[index].open.keys().copied().collect();
             for id in open {
-                self.refused(index, id, 0.0);
+                self.handle_refusal(index, id, 0.0);
             }
             self.calls.retain(|_, call| call.instance != index);
         }
@@ -254,11 +254,11 @@
             .handle(self.now, event, &mut actions);
         for action in actions {
             self.log.push((instance, action.clone()));
-            self.act(instance, action);
+            self.perform_action(instance, action);
         }
     }
 
-    fn act(&mut self, instance: usize, action: Action) {
+    fn perform_action(&mut self, instance: usize, action: Action) {
         match action {
             Action::Send {
                 request,
@@ -271,8 +271,8 @@
                 request,
                 retry_after,
                 ..
-            } => self.refused(instance, request, retry_after),
-            Action::Fail { request } => self.refused(instance, request, 0.0),
+            } => self.handle_refusal(instance, request, retry_after),
+            Action::Fail { request } => self.handle_refusal(instance, request, 0.0),
             Action::Cancel { request, attempt } => {
                 let is_cancelled = |call: &Call| {
                     call.instance == instance && call.request == request && call.attempt == attempt
--- a/balancer/core/tests/common/tier/requests.rs
+++ b/balancer/core/tests/common/tier/requests.rs
@@ -38,8 +38,8 @@
     }
 
     pub(crate) fn request_at(&mut self, instance: usize, request: ClientRequest) {
-        self.number += 1;
-        let id = RequestId(self.number as u32);
+        self.sequence += 1;
+        let id = RequestId(self.sequence as u32);
         let event = Event::Request(Request {
             id,
             class: request.class,
@@ -59,7 +59,7 @@
         request.started_at + self.settings.classes[request.class].deadline
     }
 
-    pub(super) fn refused(&mut self, instance: usize, id: RequestId, retry_after: f64) {
+    pub(super) fn handle_refusal(&mut self, instance: usize, id: RequestId, retry_after: f64) {
         let Some(OpenRequest { request, .. }) = self.instances[instance].open.remove(&id) else {
             return;
         };
--- a/balancer/core/tests/common/tier/schedule.rs
+++ b/balancer/core/tests/common/tier/schedule.rs
@@ -22,7 +22,7 @@
 /// A step with its time, and a sequence number that orders steps of equal time.
 struct Scheduled {
     at: f64,
-    number: u64,
+    sequence: u64,
     step: Step,
 }
 
@@ -41,7 +41,7 @@
     fn cmp(&self, other: &Self) -> Ordering {
         self.at
             .total_cmp(&other.at)
-            .then(self.number.cmp(&other.number))
+            .then(self.sequence.cmp(&other.sequence))
     }
 }
 
@@ -50,8 +50,8 @@
 pub(super) struct Schedule(BinaryHeap<Reverse<Scheduled>>);
 
 impl Schedule {
-    pub(super) fn add(&mut self, at: f64, number: u64, step: Step) {
-        self.0.push(Reverse(Scheduled { at, number, step }));
+    pub(super) fn add(&mut self, at: f64, sequence: u64, step: Step) {
+        self.0.push(Reverse(Scheduled { at, sequence, step }));
     }
 
     /// Removes the next step until a time, and returns it with its time.
--- a/balancer/core/tests/common/tier/servers.rs
+++ b/balancer/core/tests/common/tier/servers.rs
@@ -20,7 +20,7 @@
 
 impl TierSimulation {
     /// Starts queued calls while the server has free slots.
-    pub(super) fn work(&mut self, server: usize) {
+    pub(super) fn start_queued_calls(&mut self, server: usize) {
         let slowness = (self.slowness)(server, self.now);
         while slowness.is_finite() && self.servers[server].busy < SLOTS {
             let Some(call) = self.servers[server].queue.pop_front() else {
@@ -79,8 +79,8 @@
             upstream,
             attempt,
         });
-        self.number += 1;
-        let call = self.number;
+        self.sequence += 1;
+        let call = self.sequence;
         self.calls.insert(
             call,
             Call {
@@ -101,6 +101,6 @@
             return self.end_call(call, Ending::Rejected);
         }
         self.servers[server].queue.push_back(call);
-        self.work(server);
+        self.start_queued_calls(server);
     }
 }
--- a/balancer/core/tests/restored.rs
+++ b/balancer/core/tests/restored.rs
@@ -15,7 +15,7 @@
 }
 
 /// A harness that has run for a while above its quotas, with a slow upstream and a failing one that was just ejected.
-fn with_learned_state() -> Harness {
+fn harness_with_learned_state() -> Harness {
     let mut harness = Harness::new(settings(), 4, (1..=8).map(endpoint).collect());
     let mut run = |span| {
         harness.traffic(span, 120.0, &[0, 0, 0, 1], &|id| match id.0 {
@@ -53,7 +53,7 @@
 
 #[test]
 fn restored_state_is_complete_and_decays_with_age() {
-    let mut harness = with_learned_state();
+    let mut harness = harness_with_learned_state();
     let saved = harness.balancer.learned(harness.now);
     assert_eq!(saved.validate(&settings()), Ok(()));
     assert!(
@@ -103,7 +103,7 @@
 
 #[test]
 fn restored_ejections_expire_or_end_on_restart() {
-    let mut harness = with_learned_state();
+    let mut harness = harness_with_learned_state();
     let saved = harness.balancer.learned(harness.now);
     let ejection_left = ejection_left(&saved);
     let calls_to_it = |harness: &mut Harness| {
@@ -127,7 +127,7 @@
 
 #[test]
 fn restore_waits_for_endpoints_and_scales_capacity() {
-    let mut harness = with_learned_state();
+    let mut harness = harness_with_learned_state();
     let saved = harness.balancer.learned(harness.now);
     let mut late = restarted(&saved, 0.0, Vec::new());
     let before = late.balancer.learned(0.0).load.capacity;
