--- a/balancer/core/tests/common/tier/servers.rs
+++ b/balancer/core/tests/common/tier/servers.rs
@@ -1,4 +1,4 @@
-//! Servers with slots and a queue, and the calls in flight at them.
+//! Servers with concurrent slots and a queue, and their calls in flight.
 use super::schedule::Step;
 use super::{ClientResponse, SentAttempt, TierSimulation, MAX_QUEUE, SERVICE_TIME, SLOTS};
 use balancer_core::*;
@@ -19,8 +19,8 @@
 }
 
 impl TierSimulation {
-    /// Lets a server begin as many calls as it has slots.
-    pub(super) fn work(&mut self, server: usize) {
+    /// Starts queued calls while the server has free slots.
+    pub(super) fn start_queued_calls(&mut self, server: usize) {
         let slowness = (self.slowness)(server, self.now);
         while slowness.is_finite() && self.servers[server].busy < SLOTS {
             let Some(call) = self.servers[server].queue.pop_front() else {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Ends a call for its instance. A server works on it to its end, wanted or not.
+    /// Reports the outcome of a call to its instance. The server still completes its work on the call.
     pub(super) fn end_call(&mut self, call: u64, ending: Ending) {
         let Some(call) = self.calls.remove(&call) else {
             return;
@@ -79,8 +79,8 @@
             upstream,
             attempt,
         });
-        self.number += 1;
-        let call = self.number;
+        self.sequence += 1;
+        let call = self.sequence;
         self.calls.insert(
             call,
             Call {
@@ -101,6 +101,6 @@
             return self.end_call(call, Ending::Rejected);
         }
         self.servers[server].queue.push_back(call);
-        self.work(server);
+        self.start_queued_calls(server);
     }
 }
