--- a/system/jobs/src/apply.rs
+++ b/system/jobs/src/apply.rs
@@ -1,4 +1,4 @@
-//! Applies the entries of the log: checks the fencing token and hands the command on.
+//! Applies log entries: validates the fencing token and dispatches the command.
 use crate::{
     change::{Applied, Outcome},
     transition::Transition,
@@ -7,7 +7,7 @@
 use magpiegap_protocol::{Command, Entry, RoleToken};
 
 impl State {
-    /// Applies the next entry. Entries of a role that has passed to another coordinator change nothing but the position.
+    /// Applies the next entry. An entry with an outdated fencing token changes only the log position.
     pub fn apply(&mut self, entry: &Entry) -> Applied {
         self.position = entry.position;
         let is_fenced = entry
--- a/system/jobs/src/apply_configuration.rs
+++ b/system/jobs/src/apply_configuration.rs
@@ -1,4 +1,4 @@
-//! Applies what entries say of the configuration and of singleton roles.
+//! Commands that replace the configuration or claim a singleton role.
 use crate::{
     change::{Change, Outcome},
     transition::Transition,
@@ -6,7 +6,7 @@
 };
 use magpiegap_protocol::{fnv1a, FencingToken, ReplicaId, Role};
 
-/// Distinguishes configurations that were sent under the same version.
+/// Hashes the base version and body, to distinguish configurations submitted with the same version number.
 fn fingerprint(base: u64, body: &[u8]) -> u64 {
     fnv1a(base.to_le_bytes().iter().chain(body))
 }
--- a/system/jobs/src/apply_jobs.rs
+++ b/system/jobs/src/apply_jobs.rs
@@ -1,4 +1,4 @@
-//! Applies what entries say of jobs: that they are submitted, cancelled, due again or forgotten.
+//! Commands that submit, cancel and remove jobs and open their occurrences.
 use crate::{
     change::{Change, Outcome},
     transition::Transition,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Moves a job to a terminal phase, and takes it out of the count of its queue. Does nothing once it is in one.
+    /// Moves a job to a terminal phase and decrements the open-job count of its queue. Has no effect on an ended job.
     pub(crate) fn end_job(&mut self, id: JobId, phase: JobPhase) {
         let Some(job) = self.state.jobs.get_mut(&id).map(Shared::make_mut) else {
             return;
@@ -64,15 +64,15 @@
         Outcome::Done
     }
 
-    /// Forgets the jobs that have ended and have no run going on; the others stay.
+    /// Removes the given jobs, except those that have not ended or still have active runs.
     pub(crate) fn forget_jobs(&mut self, jobs: &[JobId]) -> Outcome {
         for id in jobs {
-            let is_over = self
+            let is_removable = self
                 .state
                 .jobs
                 .get(id)
                 .is_some_and(|job| job.phase.is_terminal() && !job.has_active_runs());
-            if is_over {
+            if is_removable {
                 self.state.jobs.remove(id);
                 self.changes.push(Change::JobForgotten(*id));
             }
--- a/system/jobs/src/apply_runs.rs
+++ b/system/jobs/src/apply_runs.rs
@@ -1,4 +1,4 @@
-//! Applies what entries say of runs: that they are started, completed or lost.
+//! Commands that record runs as started, completed or lost.
 use crate::{
     change::{Change, Outcome},
     job::StepKind,
@@ -19,7 +19,7 @@
         outcome
     }
 
-    /// Opens one run; `None` where its task, job or worker can't have another one.
+    /// Records the start of a run. Returns `None` if the task, job or worker does not permit it.
     fn start_run(&mut self, start: &RunStart) -> Option<()> {
         let id = start.task;
         let worker = self.state.workers.get(&start.incarnation);
@@ -32,8 +32,8 @@
         }
         let allows_duplicate = job.step_spec(&id)?.allow_duplicate;
         let task = job.task_mut(&id)?;
-        let is_taken = !allows_duplicate && !task.active_runs.is_empty();
-        if task.done || start.run <= task.last_run || is_taken {
+        let has_conflicting_run = !allows_duplicate && !task.active_runs.is_empty();
+        if task.done || start.run <= task.last_run || has_conflicting_run {
             return None;
         }
         task.last_run = start.run;
@@ -76,7 +76,7 @@
         Outcome::Done
     }
 
-    /// Removes a run from its worker and its task; `false` when the worker's record doesn't have it.
+    /// Removes a run from its worker and its task. Returns `false` if the worker's record does not contain it.
     fn close_run(
         &mut self,
         incarnation: &str,
@@ -106,7 +106,7 @@
         true
     }
 
-    /// Counts a completion for its task or gang; the job fails with the last attempt.
+    /// Records a completion for its task or gang. The job fails when the last permitted attempt has failed.
     fn record_completion(&mut self, completion: &RunCompletion) {
         let task = &completion.task;
         let Some(job) = self.state.job_mut(&task.job) else {
@@ -134,18 +134,19 @@
         }
     }
 
-    /// Moves a job on after one of its runs was closed: drops what is done, and ends the job with its last occurrence.
+    /// Prunes completed occurrences of a job after one of its runs was closed, and ends the job once all
+    /// occurrences are done.
     fn advance_job(&mut self, id: JobId) {
         let Some(job) = self.state.job_mut(&id) else {
             return;
         };
-        let done = count_done_occurrences(job);
+        let done_before = count_done_occurrences(job);
         let pruned_before = job.occurrences_done;
         job.prune();
         if !job.phase.is_terminal() {
-            let still_active = count_done_occurrences(job);
-            job.occurrences_done = pruned_before + (done - still_active);
-            if pruned_before + done == job.submission.spec.occurrences() {
+            let retained = count_done_occurrences(job);
+            job.occurrences_done = pruned_before + (done_before - retained);
+            if pruned_before + done_before == job.submission.spec.occurrences() {
                 self.end_job(id, JobPhase::Succeeded);
             }
         }
@@ -155,14 +156,14 @@
     pub(crate) fn lose_runs(&mut self, runs: &[RunStart]) -> Outcome {
         for lost in runs {
             if self.close_run(&lost.incarnation, lost.task, lost.run, None) {
-                self.keep_checkpoint(lost);
+                self.record_checkpoint(lost);
                 self.advance_job(lost.task.job);
             }
         }
         Outcome::Done
     }
 
-    fn keep_checkpoint(&mut self, lost: &RunStart) {
+    fn record_checkpoint(&mut self, lost: &RunStart) {
         if lost.checkpoint.is_empty() {
             return;
         }
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Closes all runs of an incarnation of a worker. One that has ended never runs anything again.
+    /// Closes all runs of a worker incarnation, and removes the worker if the incarnation has ended.
     pub(crate) fn lose_incarnation(&mut self, incarnation: &str, has_ended: bool) -> Outcome {
         let Some(worker) = self.state.workers.get_mut(incarnation) else {
             return Outcome::Void;
@@ -190,7 +191,7 @@
     }
 }
 
-/// How many occurrences that have steps are done, without those that were pruned.
+/// Counts the completed occurrences that have steps and have not been pruned.
 fn count_done_occurrences(job: &Job) -> u32 {
     job.occurrences
         .values()
--- a/system/jobs/src/change.rs
+++ b/system/jobs/src/change.rs
@@ -1,61 +1,61 @@
-//! What applying an entry results in.
+//! Results of applying a log entry.
 use magpiegap_protocol::{CompletionKind, JobId, Role, RunId, RunStart, TaskId};
 
-/// The result of an entry for whoever proposed it.
+/// The result of an entry, as returned to its proposer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It took effect.
+    /// The entry took effect.
     Done,
-    /// The same was done before: nothing changed.
+    /// The entry had already taken effect; nothing changed.
     Repeated,
-    /// Its fencing token is not the current one: its proposer has lost the role.
+    /// The fencing token is not current: the proposer no longer holds the role.
     Fenced,
-    /// It does not apply to the state as it is.
+    /// The entry is not valid in the current state; nothing changed.
     Void,
-    /// The configuration builds on a version that is not the current one.
+    /// The base version of the configuration is not the current version.
     Conflict,
-    /// The configuration's version isn't above the current one.
+    /// The version of the configuration is not higher than the current version.
     Stale,
 }
 
-/// One change that an entry made.
+/// A single state change made by an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Another configuration is current.
+    /// The current configuration was replaced.
     ConfigurationReplaced,
-    /// A role has another holder.
+    /// A role was claimed, possibly by its previous holder.
     RoleClaimed(Role),
-    /// A job was accepted, has progressed, or has ended.
+    /// A job was accepted, progressed or ended.
     JobChanged(JobId),
-    /// A run may be active from now on.
+    /// A run became active.
     RunStarted(RunStart),
-    /// A run is not active any more.
+    /// A run is no longer active.
     RunClosed {
-        /// Its task.
+        /// The task.
         task: TaskId,
-        /// Its number.
+        /// The run number.
         run: RunId,
         /// The worker's incarnation.
         incarnation: String,
-        /// How it completed; `None`: it was lost.
+        /// How the run completed; `None` if it was lost.
         kind: Option<CompletionKind>,
     },
     /// Completions of a worker were recorded.
     CompletionsRecorded {
         /// The worker's incarnation.
         incarnation: String,
-        /// The highest one, by the worker's numbers.
+        /// The highest recorded completion number of the worker.
         acknowledged_completion: u64,
     },
-    /// A job that had ended was removed.
+    /// An ended job was removed from the state.
     JobForgotten(JobId),
 }
 
 /// The result of applying an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Applied {
-    /// The result for its proposer.
+    /// The result for the proposer.
     pub outcome: Outcome,
-    /// All changes, in the order in which they were made.
+    /// State changes in the order in which they were made.
     pub changes: Vec<Change>,
 }
--- a/system/jobs/src/configuration.rs
+++ b/system/jobs/src/configuration.rs
@@ -1,37 +1,37 @@
-//! The operator's configuration after validation: routes, services and limits.
+//! The validated cluster configuration: routes, services and limits.
 //!
-//! How it is read from JSON is in `configuration_parser`; how it travels is the business of the distribution crate.
+//! The `configuration_parser` module reads it from JSON. The distribution crate transfers it to agents and proxies.
 use crate::{route::Route, route_table::RouteTable};
 use minicbor::{Decode, Encode};
 use std::collections::BTreeMap;
 
-/// One service: the workers that run the jobs of its routes.
+/// A service, whose workers run the jobs of its routes.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Service {
-    /// Name that routes refer to.
+    /// Unique service name, referenced by routes.
     #[n(0)]
     pub name: String,
-    /// Path of the health check at its workers.
+    /// Path of the workers' health check.
     #[n(1)]
     pub health_path: String,
-    /// Maximum number of connections to one worker.
+    /// Maximum number of connections per worker.
     #[n(2)]
     pub max_connections: u64,
-    /// Whether its workers reject tasks that do not fit into their capacity.
+    /// Whether workers reject tasks that exceed their remaining capacity.
     #[n(3)]
     pub guards: bool,
 }
 
-/// Limits on requests of clients.
+/// Limits on client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Limits {
-    /// Maximum length of a body, in bytes.
+    /// Maximum body size, in bytes.
     #[n(0)]
     pub max_body_bytes: u64,
-    /// Maximum length of the request line and headers, in bytes.
+    /// Maximum size of the request line and headers, in bytes.
     #[n(1)]
     pub max_header_bytes: u64,
-    /// Maximum time without a request on an open connection, in milliseconds.
+    /// Maximum idle time of a client connection, in milliseconds.
     #[n(2)]
     pub idle_timeout_ms: u64,
 }
@@ -46,21 +46,21 @@
     }
 }
 
-/// A valid configuration. Clones, and versions derived from it, share the routes.
+/// A validated configuration. Clones and derived versions share unchanged routes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Version number; zero only in the empty default.
+    /// Version number; zero only in the default value.
     pub version: u64,
-    /// Routes, each to a service that exists.
+    /// Routes; each refers to a defined service.
     pub routes: RouteTable,
     /// Services by name.
     pub services: BTreeMap<String, Service>,
-    /// Limits on requests of clients.
+    /// Limits on client requests.
     pub limits: Limits,
 }
 
 impl Configuration {
-    /// The route with the longest matching prefix for a host and path.
+    /// Returns the route of a host with the longest prefix that matches the path.
     pub fn route(&self, hostname: &str, path: &str) -> Option<&Route> {
         self.routes.find(hostname, path)
     }
--- a/system/jobs/src/configuration_error.rs
+++ b/system/jobs/src/configuration_error.rs
@@ -1,43 +1,44 @@
-//! Why a configuration is rejected.
+//! Errors in configurations submitted by operators.
 use std::str::Utf8Error;
 use tinyjson::JsonParseError;
 
-/// The first fault of a configuration that is rejected.
+/// The first error found in a rejected configuration.
 ///
-/// Operators read the text: it names the field, route or service as it stands in the body that they sent.
+/// The message is returned to the operator and identifies the field, route or service by its name in the submitted
+/// JSON.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigurationError {
     /// The body is not UTF-8.
-    #[error("not readable as JSON: {0}")]
+    #[error("body is not valid UTF-8: {0}")]
     NotUtf8(#[source] Utf8Error),
     /// The body is not JSON.
-    #[error("not readable as JSON: {0}")]
+    #[error("body is not valid JSON: {0}")]
     NotJson(#[source] JsonParseError),
-    /// A field is missing or of the wrong type.
-    #[error("{field}: must be {must}")]
+    /// A field is missing, has the wrong type or is out of range.
+    #[error("{field}: must be {expected}")]
     Field {
-        /// Path of the field from the top of the body.
+        /// Path of the field from the root of the JSON body.
         field: String,
-        /// What it must be.
-        must: &'static str,
+        /// The expected type or range.
+        expected: &'static str,
     },
     /// A route refers to a service that is not defined.
     #[error("route {route}: unknown service {service}")]
     UnknownService {
-        /// Name of the route.
+        /// The route.
         route: String,
-        /// Name of the service.
+        /// The service.
         service: String,
     },
     /// Two routes match the same requests.
     #[error("routes {first} and {second} have the same host and prefix")]
     DuplicateMatch {
-        /// Name of the route that comes first in the body.
+        /// The route that is listed first.
         first: String,
-        /// Name of the other one.
+        /// The route that is listed later.
         second: String,
     },
-    /// Two routes, or two services, have the same name.
-    #[error("{0}: the name comes twice")]
+    /// Two routes or two services have the same name.
+    #[error("duplicate name: {0}")]
     DuplicateName(String),
 }
--- a/system/jobs/src/configuration_parser.rs
+++ b/system/jobs/src/configuration_parser.rs
@@ -1,6 +1,6 @@
-//! Reads a configuration from the operator's JSON and validates it.
+//! Parses and validates the JSON configuration submitted by an operator.
 //!
-//! Unknown fields are ignored. Names of fields are those that operators write.
+//! Unknown fields are ignored.
 use crate::{
     configuration::{Configuration, Limits, Service},
     configuration_error::ConfigurationError,
@@ -19,17 +19,17 @@
 const DEFAULT_STRETCH: f64 = 1.0;
 
 impl Configuration {
-    /// Reads and validates a configuration.
+    /// Parses and validates a configuration.
     ///
     /// # Errors
-    /// The first fault found.
+    /// Returns the first error found.
     pub fn parse(body: &[u8]) -> Result<Configuration, ConfigurationError> {
         let text = std::str::from_utf8(body).map_err(ConfigurationError::NotUtf8)?;
         let value: JsonValue = text.parse().map_err(ConfigurationError::NotJson)?;
         let fields = JsonFields::new(String::new(), &value)?;
         let version = fields.integer("version", 0)?;
         if version == 0 {
-            return Err(field_error("version", "a whole number above 0"));
+            return Err(field_error("version", "an integer above 0"));
         }
         let services = parse_services(&fields)?;
         let routes = parse_routes(&fields, &services)?;
@@ -68,7 +68,7 @@
     })
 }
 
-/// What a route matches: requests with this host, in lower case, and this prefix of the path.
+/// Matching criteria of a route: lower-case host and path prefix.
 type RouteMatch = (String, String);
 
 fn parse_routes(
@@ -107,7 +107,10 @@
 fn parse_route(fields: &JsonFields<'_>) -> Result<Route, ConfigurationError> {
     let timeout_ms = fields.integer("timeoutMs", 0)?;
     if timeout_ms == 0 {
-        return Err(field_error(fields.path_of("timeoutMs"), "above 0"));
+        return Err(field_error(
+            fields.field_path("timeoutMs"),
+            "an integer above 0",
+        ));
     }
     Ok(Route {
         name: fields.string("name")?,
@@ -115,9 +118,9 @@
         path_prefix: fields.string("pathPrefix")?,
         timeout_ms,
         target_latency_ms: fields.integer("targetLatencyMs", 0)?,
-        priority: fields.small_integer("priority", 0)?,
+        priority: fields.integer_u32("priority", 0)?,
         service: fields.string("service")?,
-        max_attempts: fields.small_integer("maxAttempts", DEFAULT_MAX_ATTEMPTS)?,
+        max_attempts: fields.integer_u32("maxAttempts", DEFAULT_MAX_ATTEMPTS)?,
         stretch: fields.number("stretch", DEFAULT_STRETCH)?,
     })
 }
--- a/system/jobs/src/consistency.rs
+++ b/system/jobs/src/consistency.rs
@@ -1,25 +1,25 @@
-//! Checks that the parts of a state agree: what is stored twice, for speed, must be the same in both places.
+//! Consistency checks of the state: denormalized records must agree with the records that they duplicate.
 //!
-//! Nothing is repaired here.
+//! The checks only report inconsistencies and do not repair them.
 use crate::{Configuration, Job, State, StepState, TaskState};
 use magpiegap_protocol::{JobId, RunId, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Two parts of a state that contradict each other.
+/// Two parts of a state that do not agree.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Inconsistency {
-    /// The stored number of a queue's open jobs is wrong.
+    /// The recorded number of unfinished jobs of a queue is wrong.
     #[error("queue {queue}: {recorded} open jobs are kept, {counted} are there")]
     OpenJobs {
-        /// Name of the queue.
+        /// The queue.
         queue: String,
-        /// The stored number.
+        /// The recorded number.
         recorded: u64,
-        /// The number of jobs that have not ended.
+        /// The actual number of unfinished jobs.
         counted: u64,
     },
-    /// A worker's record has a run that its task does not have.
-    #[error("run {run} of {task} is on record for {incarnation}, and not for the task")]
+    /// A run is recorded for a worker but not for its task.
+    #[error("run {run} of {task} is recorded for worker {incarnation}, but not for the task")]
     RunWithoutTask {
         /// The worker's incarnation.
         incarnation: String,
@@ -28,8 +28,8 @@
         /// The run.
         run: RunId,
     },
-    /// A task has a run that the worker's record does not have.
-    #[error("run {run} of {task} is on record for the task, and not for {incarnation}")]
+    /// A run is recorded for a task but not for its worker.
+    #[error("run {run} of {task} is recorded for the task, but not for worker {incarnation}")]
     RunWithoutWorker {
         /// The worker's incarnation.
         incarnation: String,
@@ -38,29 +38,29 @@
         /// The run.
         run: RunId,
     },
-    /// The stored number of a step's done tasks is wrong.
-    #[error("job {job}, time {occurrence}, step {step}: the count of its done tasks is wrong")]
+    /// The recorded number of completed tasks of a step is wrong.
+    #[error("job {job}, occurrence {occurrence}, step {step}: wrong count of completed tasks")]
     DoneTasks {
         /// The job.
         job: JobId,
-        /// Number of the occurrence.
+        /// The occurrence number.
         occurrence: u32,
-        /// Position of the step.
+        /// The step index.
         step: usize,
     },
-    /// An occurrence is open before its turn, or more are done than were opened.
-    #[error("job {job}: its times do not fit together")]
+    /// An occurrence is present that has not been opened yet, or more have completed than were opened.
+    #[error("job {job}: occurrences contradict the occurrence counters")]
     Occurrences {
         /// The job.
         job: JobId,
     },
-    /// The current configuration can't be read, or has another version than the stored one.
-    #[error("the configuration does not have the version kept")]
+    /// The current configuration is invalid, or its version differs from the recorded one.
+    #[error("the stored configuration is invalid or does not have the recorded version")]
     Configuration,
 }
 
 impl State {
-    /// All contradictions. There are none in a state that came about by applying entries.
+    /// Returns all inconsistencies. A state produced by applying log entries has none.
     pub fn inconsistencies(&self) -> Vec<Inconsistency> {
         let mut found = Vec::new();
         self.check_open_jobs(&mut found);
@@ -128,19 +128,19 @@
     }
 
     fn check_job(&self, id: JobId, job: &Job, found: &mut Vec<Inconsistency>) {
-        let are_opened = job
+        let all_opened = job
             .occurrences
             .keys()
             .all(|occurrence| *occurrence < job.next_occurrence);
-        if !are_opened || job.occurrences_done > job.next_occurrence {
+        if !all_opened || job.occurrences_done > job.next_occurrence {
             found.push(Inconsistency::Occurrences { job: id });
         }
         for (occurrence, state) in &job.occurrences {
-            for (position, step) in state.steps.iter().enumerate() {
+            for (step_index, step) in state.steps.iter().enumerate() {
                 let first = TaskId {
                     job: id,
                     occurrence: *occurrence,
-                    step: position as u32,
+                    step: step_index as u32,
                     index: 0,
                 };
                 self.check_step(first, step, found);
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Checks a step, of which `first` is the first task.
+    /// Checks a step whose first task is `first`.
     fn check_step(&self, first: TaskId, step: &StepState, found: &mut Vec<Inconsistency>) {
         let counted = step.tasks.iter().filter(|task| task.done).count();
         if step.done as usize != counted {
--- a/system/jobs/src/job.rs
+++ b/system/jobs/src/job.rs
@@ -1,22 +1,22 @@
-//! The state of one job: its occurrences, steps, tasks and runs.
+//! State of one job: its occurrences, steps, tasks and runs.
 //!
-//! Which entries change it, and what else changes with it, is in the `apply` modules.
+//! The `apply` modules call into this module and update the parts of the state outside the job.
 use magpiegap_protocol::{
     CompletionKind, JobPhase, RunCompletion, RunId, StepSpec, Submission, TaskId, WallMillis,
 };
 use minicbor::{Decode, Encode};
 use std::collections::BTreeMap;
 
-/// A run that may be going on.
+/// A run recorded as started and not yet closed. It may still be executing on its worker.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ActiveRun {
-    /// Number of the run among those of its task.
+    /// Run number, unique within the task.
     #[n(0)]
     pub run: RunId,
-    /// The worker's incarnation.
+    /// Incarnation of the worker that executes the run.
     #[n(1)]
     pub incarnation: String,
-    /// The checkpoint that it resumes from; empty: none.
+    /// Checkpoint from which the run resumes; empty if it starts from the beginning.
     #[n(2)]
     pub checkpoint: String,
 }
@@ -24,56 +24,56 @@
 /// The state of one task.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct TaskState {
-    /// Whether one of its runs has completed with `done`.
+    /// Whether the task has completed successfully.
     #[n(0)]
     pub done: bool,
-    /// The highest run so far; zero: none.
+    /// Highest run number used so far; zero if the task has never been started.
     #[n(1)]
     pub last_run: RunId,
-    /// How many of its runs have failed.
+    /// Number of failed runs.
     #[n(2)]
     pub failures: u32,
-    /// The newest checkpoint that a completion has brought; empty: none.
+    /// Latest reported checkpoint; empty if there is none.
     #[n(3)]
     pub checkpoint: String,
-    /// Runs that may be going on.
+    /// Runs recorded as started and not yet closed.
     #[n(4)]
     pub active_runs: Vec<ActiveRun>,
 }
 
-/// The failed runs of a gang. Several members may report the same run.
+/// Failed runs of a gang. Several members may report the failure of the same run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct GangFailures {
-    /// How many there are.
+    /// Number of distinct failed runs.
     #[n(0)]
     pub count: u32,
-    /// The highest of them.
+    /// Highest failed run number.
     #[n(1)]
     pub last_run: RunId,
 }
 
-/// The state of one step in one occurrence.
+/// The state of one step within one occurrence.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct StepState {
-    /// Its tasks, by index.
+    /// The step's tasks, by index.
     #[n(0)]
     pub tasks: Vec<TaskState>,
-    /// How many of the tasks are done.
+    /// Number of tasks that are done.
     #[n(1)]
     pub done: u32,
-    /// For a gang: its failed runs.
+    /// Failed runs of the gang; unused for steps that are not gangs.
     #[n(2)]
     pub gang_failures: GangFailures,
 }
 
 impl StepState {
-    /// Whether all of its tasks are done.
+    /// Returns whether all tasks of the step are done.
     pub fn is_done(&self) -> bool {
         self.done as usize == self.tasks.len()
     }
 
-    /// Records the completion of a run. Returns how many runs of its task, or of the gang, have failed so far if this one
-    /// has; else zero.
+    /// Records the completion of a run. For a failed run, returns the total number of failed runs of the task or gang;
+    /// otherwise returns zero.
     pub(crate) fn record_completion(&mut self, completion: &RunCompletion, kind: StepKind) -> u32 {
         let index = completion.task.index as usize;
         let Some(task) = self.tasks.get_mut(index) else {
@@ -85,7 +85,7 @@
         match completion.kind {
             CompletionKind::Done if kind.long_running => 0,
             CompletionKind::Done if kind.gang => {
-                // The members of a gang end together: the completion of one counts for all.
+                // Gang members end together, so the completion of one completes all of them.
                 self.tasks.iter_mut().for_each(|task| task.done = true);
                 self.done = self.tasks.len() as u32;
                 0
@@ -107,7 +107,8 @@
         }
     }
 
-    /// Counts a failed run of a gang once, however many members report it. Returns how many have failed so far.
+    /// Counts a failed gang run once, regardless of how many members report it. Returns the total number of failed
+    /// runs.
     fn record_gang_failure(&mut self, run: RunId) -> u32 {
         let GangFailures { count, last_run } = self.gang_failures;
         if last_run < run {
@@ -120,30 +121,30 @@
     }
 }
 
-/// What decides how a completion counts for its step.
+/// Properties of a step that determine how completions are counted.
 #[derive(Clone, Copy)]
 pub(crate) struct StepKind {
-    /// All tasks run, and end, together.
+    /// All tasks of the step start and end together.
     pub(crate) gang: bool,
-    /// Tasks of the job are started again whenever they end.
+    /// Tasks of the job are restarted whenever they end.
     pub(crate) long_running: bool,
 }
 
 /// The state of one occurrence of a job.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct OccurrenceState {
-    /// Its steps, in the order of the specification.
+    /// Steps in the order of the job specification.
     #[n(0)]
     pub steps: Vec<StepState>,
 }
 
 impl OccurrenceState {
-    /// Whether all steps are done.
+    /// Returns whether all steps are done.
     pub fn is_done(&self) -> bool {
         self.steps.iter().all(StepState::is_done)
     }
 
-    /// Whether any run may be going on.
+    /// Returns whether any task of the occurrence has an active run.
     pub fn has_active_runs(&self) -> bool {
         self.steps
             .iter()
@@ -155,28 +156,28 @@
 /// The state of one job.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Job {
-    /// What was submitted. Its steps and text are dropped once the job has ended and no run is active.
+    /// The submission. Its steps and specification text are dropped once the job has ended and has no active runs.
     #[n(0)]
     pub submission: Submission,
-    /// The phase that its client sees.
+    /// The phase reported to clients.
     #[n(1)]
     pub phase: JobPhase,
-    /// The occurrences that have been opened and not been pruned, by number.
+    /// Opened occurrences that have not been pruned, by number.
     #[n(2)]
     pub occurrences: BTreeMap<u32, OccurrenceState>,
     /// Number of the next occurrence to open.
     #[n(3)]
     pub next_occurrence: u32,
-    /// How many occurrences were done and have been pruned.
+    /// Number of completed occurrences that have been pruned.
     #[n(4)]
     pub occurrences_done: u32,
-    /// When it ended, by the time of day of the chain's head; zero: it has not.
+    /// End time as stamped by the head of the chain; zero if the job has not ended.
     #[n(5)]
     pub completed_ms: WallMillis,
 }
 
 impl Job {
-    /// A job that was just accepted. The only occurrence of a job without a schedule is opened at once.
+    /// Creates a newly accepted job. A job without a schedule has a single occurrence, which is opened immediately.
     pub fn new(submission: Submission) -> Job {
         let has_schedule = submission.spec.repeat_count > 0;
         let mut job = Job {
@@ -193,7 +194,7 @@
         job
     }
 
-    /// Opens the next occurrence. Returns `false`, and does nothing, for any other one and once the job has ended.
+    /// Opens an occurrence. Returns `false` without any change unless it is the next one of a job that has not ended.
     pub fn open_occurrence(&mut self, occurrence: u32) -> bool {
         if occurrence != self.next_occurrence
             || occurrence >= self.submission.spec.occurrences()
@@ -201,25 +202,31 @@
         {
             return false;
         }
-        let untouched = |step: &StepSpec| StepState {
+        let initial_state = |step: &StepSpec| StepState {
             tasks: vec![TaskState::default(); step.count as usize],
             ..StepState::default()
         };
-        let steps = self.submission.spec.steps.iter().map(untouched).collect();
+        let steps = self
+            .submission
+            .spec
+            .steps
+            .iter()
+            .map(initial_state)
+            .collect();
         self.occurrences
             .insert(occurrence, OccurrenceState { steps });
         self.next_occurrence += 1;
         true
     }
 
-    /// The state of a task.
+    /// Returns the state of a task.
     pub fn task(&self, task: &TaskId) -> Option<&TaskState> {
         let occurrence = self.occurrences.get(&task.occurrence)?;
         let step = occurrence.steps.get(task.step as usize)?;
         step.tasks.get(task.index as usize)
     }
 
-    /// The specification of a task's step.
+    /// Returns the specification of the step to which a task belongs.
     pub(crate) fn step_spec(&self, task: &TaskId) -> Option<&StepSpec> {
         self.submission.spec.steps.get(task.step as usize)
     }
@@ -233,22 +240,22 @@
         self.step_mut(task)?.tasks.get_mut(task.index as usize)
     }
 
-    /// Whether any run may be going on.
+    /// Returns whether any task of the job has an active run.
     pub fn has_active_runs(&self) -> bool {
         self.occurrences
             .values()
             .any(OccurrenceState::has_active_runs)
     }
 
-    /// Moves the job to a terminal phase.
+    /// Moves the job to a terminal phase and records the end time.
     pub(crate) fn end(&mut self, phase: JobPhase, wall_ms: WallMillis) {
         self.phase = phase;
-        // Zero stands for a job that has not ended.
+        // Zero is reserved for jobs that have not ended.
         self.completed_ms = wall_ms.max(WallMillis(1));
     }
 
-    /// Drops what can't be needed any more: occurrences that are done, and all steps of a job that has ended. What has an
-    /// active run stays.
+    /// Drops completed occurrences, or all occurrences and the specification if the job has ended. An occurrence with
+    /// active runs is retained, and an ended job with active runs is not pruned.
     pub(crate) fn prune(&mut self) {
         if self.phase.is_terminal() {
             if !self.has_active_runs() {
--- a/system/jobs/src/json_fields.rs
+++ b/system/jobs/src/json_fields.rs
@@ -1,35 +1,35 @@
-//! Typed access to the fields of a JSON object, with errors that name the field.
+//! Typed access to the fields of a JSON object, with errors that identify the field.
 //!
-//! It knows nothing of configurations. A field that is `null` counts as missing.
+//! The module is independent of the configuration schema. Accessors of scalars treat `null` as missing.
 use crate::configuration_error::ConfigurationError;
 use std::collections::HashMap;
 use tinyjson::JsonValue;
 
 type Object = HashMap<String, JsonValue>;
 
-/// Largest number up to which a double holds every integer: 2 to the power of 53.
+/// 2^53: every integer up to this value is exactly representable as an `f64`.
 const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
 
-/// Builds the error of a field that is missing or of the wrong type.
-pub(crate) fn field_error(field: impl Into<String>, must: &'static str) -> ConfigurationError {
+/// Creates the error for a field that is missing, has the wrong type or is out of range.
+pub(crate) fn field_error(field: impl Into<String>, expected: &'static str) -> ConfigurationError {
     ConfigurationError::Field {
         field: field.into(),
-        must,
+        expected,
     }
 }
 
 /// The fields of one JSON object.
 pub(crate) struct JsonFields<'a> {
-    /// Path of the object from the top of the body; empty for the top itself.
+    /// Path of the object from the root of the JSON body; empty for the root.
     path: String,
     object: &'a Object,
 }
 
 impl<'a> JsonFields<'a> {
-    /// The fields of the object at a path.
+    /// Wraps the object at a path.
     ///
     /// # Errors
-    /// When the value is not an object.
+    /// Returns an error if the value is not an object.
     pub(crate) fn new(
         path: String,
         value: &'a JsonValue,
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Path of a field from the top of the body.
-    pub(crate) fn path_of(&self, field: &str) -> String {
+    /// Returns the path of a field from the root of the JSON body.
+    pub(crate) fn field_path(&self, field: &str) -> String {
         if self.path.is_empty() {
             field.to_owned()
         } else {
@@ -49,20 +49,20 @@
         }
     }
 
-    /// The value of a field, also when it is `null`.
+    /// Returns the value of a field, including `null`.
     pub(crate) fn value(&self, field: &str) -> Option<&'a JsonValue> {
         self.object.get(field)
     }
 
-    /// A string that must be present.
+    /// Returns a required string.
     pub(crate) fn string(&self, field: &str) -> Result<String, ConfigurationError> {
         self.value(field)
             .and_then(|value| value.get::<String>())
             .cloned()
-            .ok_or_else(|| field_error(self.path_of(field), "a text"))
+            .ok_or_else(|| field_error(self.field_path(field), "a string"))
     }
 
-    /// An integer of at least zero that JSON numbers hold exactly.
+    /// Returns an integer from 0 to [`MAX_EXACT_INTEGER`].
     pub(crate) fn integer(&self, field: &str, default: u64) -> Result<u64, ConfigurationError> {
         match self.value(field) {
             None | Some(JsonValue::Null) => Ok(default),
@@ -72,48 +72,48 @@
                 Ok(*number as u64)
             }
             Some(_) => Err(field_error(
-                self.path_of(field),
-                "a whole number of at least 0",
+                self.field_path(field),
+                "an integer from 0 to 2^53",
             )),
         }
     }
 
-    /// An integer that fits into 32 bits.
-    pub(crate) fn small_integer(
-        &self,
-        field: &str,
-        default: u32,
-    ) -> Result<u32, ConfigurationError> {
+    /// Returns an integer that fits into 32 bits.
+    pub(crate) fn integer_u32(&self, field: &str, default: u32) -> Result<u32, ConfigurationError> {
         let integer = self.integer(field, u64::from(default))?;
-        u32::try_from(integer).map_err(|_| field_error(self.path_of(field), "a smaller number"))
+        u32::try_from(integer)
+            .map_err(|_| field_error(self.field_path(field), "an integer below 2^32"))
     }
 
-    /// A finite number of at least zero.
+    /// Returns a finite number of at least zero.
     pub(crate) fn number(&self, field: &str, default: f64) -> Result<f64, ConfigurationError> {
         match self.value(field) {
             None | Some(JsonValue::Null) => Ok(default),
             Some(JsonValue::Number(number)) if number.is_finite() && *number >= 0.0 => Ok(*number),
-            Some(_) => Err(field_error(self.path_of(field), "a number of at least 0")),
+            Some(_) => Err(field_error(
+                self.field_path(field),
+                "a number of at least 0",
+            )),
         }
     }
 
-    /// A boolean; `false` when it is missing.
+    /// Returns a boolean, `false` if missing.
     pub(crate) fn boolean(&self, field: &str) -> Result<bool, ConfigurationError> {
         match self.value(field) {
             None | Some(JsonValue::Null) => Ok(false),
             Some(JsonValue::Boolean(boolean)) => Ok(*boolean),
-            Some(_) => Err(field_error(self.path_of(field), "true or false")),
+            Some(_) => Err(field_error(self.field_path(field), "true or false")),
         }
     }
 
-    /// The objects of an array that must be present.
+    /// Returns the objects of a required array.
     pub(crate) fn objects(&self, field: &str) -> Result<Vec<JsonFields<'a>>, ConfigurationError> {
-        let path = self.path_of(field);
+        let path = self.field_path(field);
         let Some(values) = self
             .value(field)
             .and_then(|value| value.get::<Vec<JsonValue>>())
         else {
-            return Err(field_error(path, "a list"));
+            return Err(field_error(path, "an array"));
         };
         values
             .iter()
--- a/system/jobs/src/lib.rs
+++ b/system/jobs/src/lib.rs
@@ -1,8 +1,8 @@
-//! The replicated state of the scheduler: configuration, roles, jobs and what runs where.
+//! Replicated state machine of the scheduler: configuration, roles, jobs, runs and workers.
 //!
-//! A deterministic state machine (Schneider, 1990): each coordinator applies the same committed entries in the same
-//! order and so has the same state. Nothing here reads a clock or does I/O; which tasks run where is decided by the
-//! scheduler, and only recorded here.
+//! The state machine is deterministic (Schneider, 1990): every coordinator applies the same committed entries in the
+//! same order and therefore reaches the same state. The crate does not read clocks and does no I/O. Placement decisions
+//! are made by the scheduler crate; this crate only records them.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/system/jobs/src/readiness.rs
+++ b/system/jobs/src/readiness.rs
@@ -1,18 +1,18 @@
-//! Which tasks of a job may be started now, by its dependencies and active runs. Capacity is not considered.
+//! Determines which tasks of a job can be started, based on dependencies and active runs. Capacity is not considered.
 use crate::{Job, StepState};
 use magpiegap_protocol::{StepSpec, TaskId};
 
-/// Tasks to be started: a single one, or all of a gang together.
+/// Tasks that are started together: a single task, or all members of a gang.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartableUnit {
     /// The first task.
     pub first: TaskId,
-    /// Number of tasks; they have consecutive indexes.
+    /// Number of tasks, whose indexes are consecutive.
     pub count: u32,
 }
 
 impl StartableUnit {
-    /// The tasks, in the order of their indexes.
+    /// Returns the tasks in index order.
     pub fn tasks(&self) -> impl Iterator<Item = TaskId> + '_ {
         (0..self.count).map(|offset| TaskId {
             index: self.first.index + offset,
@@ -21,44 +21,50 @@
     }
 }
 
-/// The tasks of a job whose step is ready and that are neither done nor active, by occurrence, step and index.
+/// Returns the startable units of a job, ordered by occurrence, step and index. Their steps have no unfinished
+/// dependencies, and none of their tasks is done or has an active run.
 pub fn startable_units(job: &Job) -> Vec<StartableUnit> {
-    let mut found = Vec::new();
+    let mut units = Vec::new();
     if job.phase.is_terminal() {
-        return found;
+        return units;
     }
     for (&occurrence, state) in &job.occurrences {
-        for (position, step) in state.steps.iter().enumerate() {
-            let Some(spec) = job.submission.spec.steps.get(position) else {
+        for (step_index, step) in state.steps.iter().enumerate() {
+            let Some(spec) = job.submission.spec.steps.get(step_index) else {
                 continue;
             };
-            if step.is_done() || !is_ready(spec, &state.steps) {
+            if step.is_done() || !has_dependencies_done(spec, &state.steps) {
                 continue;
             }
             let first = TaskId {
                 job: job.submission.job,
                 occurrence,
-                step: position as u32,
+                step: step_index as u32,
                 index: 0,
             };
-            push_step(&mut found, first, spec, step);
+            push_step_units(&mut units, first, spec, step);
         }
     }
-    found
+    units
 }
 
-/// Whether all steps that a step depends on are done.
-fn is_ready(spec: &StepSpec, steps: &[StepState]) -> bool {
-    spec.depends_on.iter().all(|position| {
-        let dependency = steps.get(*position as usize);
+/// Returns whether all dependencies of a step are done.
+fn has_dependencies_done(spec: &StepSpec, steps: &[StepState]) -> bool {
+    spec.depends_on.iter().all(|step_index| {
+        let dependency = steps.get(*step_index as usize);
         dependency.is_some_and(StepState::is_done)
     })
 }
 
-fn push_step(found: &mut Vec<StartableUnit>, first: TaskId, spec: &StepSpec, step: &StepState) {
+fn push_step_units(
+    units: &mut Vec<StartableUnit>,
+    first: TaskId,
+    spec: &StepSpec,
+    step: &StepState,
+) {
     if spec.gang {
         if step.tasks.iter().all(|task| task.active_runs.is_empty()) {
-            found.push(StartableUnit {
+            units.push(StartableUnit {
                 first,
                 count: step.tasks.len() as u32,
             });
@@ -67,7 +73,7 @@
     }
     for (index, task) in step.tasks.iter().enumerate() {
         if !task.done && task.active_runs.is_empty() {
-            found.push(StartableUnit {
+            units.push(StartableUnit {
                 first: TaskId {
                     index: index as u32,
                     ..first
--- a/system/jobs/src/route_table.rs
+++ b/system/jobs/src/route_table.rs
@@ -1,40 +1,41 @@
-//! The routes of a configuration, indexed by name and by host.
+//! Routes of a configuration, indexed by name and by host.
 use crate::route::Route;
 use std::{
     collections::{BTreeMap, HashMap},
     sync::Arc,
 };
 
-/// The routes of one configuration.
+/// The routes of a configuration.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     by_name: BTreeMap<String, Arc<Route>>,
-    /// By host in lower case.
+    /// Routes by lower-case host.
     by_host: HashMap<String, Vec<Arc<Route>>>,
 }
 
 impl RouteTable {
-    /// Number of routes.
+    /// Returns the number of routes.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Whether there are no routes.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 
-    /// All routes, in the order of their names.
+    /// Returns the routes, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.by_name.values()
     }
 
-    /// The route of this name.
+    /// Returns the route with the given name.
     pub fn get(&self, name: &str) -> Option<&Arc<Route>> {
         self.by_name.get(name)
     }
 
-    /// The route with the longest matching prefix for a host, in any case, and path.
+    /// Returns the route of a host with the longest prefix that matches the path. The host is compared case-
+    /// insensitively.
     pub fn find(&self, hostname: &str, path: &str) -> Option<&Route> {
         let routes = self.by_host.get(&hostname.to_ascii_lowercase())?;
         routes
--- a/system/jobs/src/shared.rs
+++ b/system/jobs/src/shared.rs
@@ -1,18 +1,18 @@
-//! A copy-on-write value, which a state and its snapshots share until one of them changes it.
+//! Copy-on-write values shared between the state and its snapshots.
 use minicbor::{decode, encode, Decode, Decoder, Encode, Encoder};
 use std::{ops::Deref, sync::Arc};
 
-/// A copy-on-write value. It is encoded as the value itself.
+/// A copy-on-write value. Its encoding is that of the inner value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shared<T>(Arc<T>);
 
 impl<T: Clone> Shared<T> {
-    /// Wraps a value that nothing shares yet.
+    /// Wraps a value.
     pub fn new(value: T) -> Shared<T> {
         Shared(Arc::new(value))
     }
 
-    /// The value, to be changed; it is cloned first if it is shared.
+    /// Returns a mutable reference to the value, cloning it first if it is shared.
     pub fn make_mut(&mut self) -> &mut T {
         Arc::make_mut(&mut self.0)
     }
--- a/system/jobs/src/snapshot.rs
+++ b/system/jobs/src/snapshot.rs
@@ -1,28 +1,29 @@
-//! Snapshots of a state, in chunks, and how a state is rebuilt from them.
+//! Chunked snapshots of the state.
 //!
-//! Each chunk is an encoded [`State`] with some of the records: the first has all but the jobs, the others have jobs only.
+//! Each chunk is an encoded [`State`] that holds a subset of the records: the first chunk holds everything except the
+//! jobs, all others hold only jobs.
 use crate::{Job, Shared, State};
 use magpiegap_protocol::{decode, encode, DecodeError, JobId, LogPosition};
 use std::collections::BTreeMap;
 
-/// Jobs in one chunk: half a megabyte at most, mostly a tenth of that.
+/// Maximum number of jobs per chunk. A chunk is at most 0.5 MB and typically 50 kB.
 const JOBS_PER_CHUNK: usize = 128;
 
-/// A state at one position of the log. Taking it costs a pointer for each job; a job that is changed later is copied
-/// first.
+/// An immutable copy of the state at one log position. Taking it copies one pointer per job; jobs are cloned only when
+/// the live state changes them.
 #[derive(Clone, Debug)]
 pub struct JobsSnapshot {
-    /// The state without its jobs.
-    head: State,
+    /// The state without jobs.
+    base: State,
     jobs: BTreeMap<JobId, Shared<Job>>,
-    /// The first job of each chunk that has jobs.
-    first_jobs: Vec<JobId>,
+    /// The first job of each job chunk.
+    chunk_starts: Vec<JobId>,
 }
 
 impl State {
-    /// Takes a snapshot.
+    /// Takes a snapshot of the current state.
     pub fn snapshot(&self) -> JobsSnapshot {
-        let head = State {
+        let base = State {
             position: self.position,
             configuration: self.configuration.clone(),
             roles: self.roles.clone(),
@@ -30,32 +31,32 @@
             workers: self.workers.clone(),
             open_jobs: self.open_jobs.clone(),
         };
-        let first_jobs = self.jobs.keys().step_by(JOBS_PER_CHUNK).copied().collect();
+        let chunk_starts = self.jobs.keys().step_by(JOBS_PER_CHUNK).copied().collect();
         JobsSnapshot {
-            head,
+            base,
             jobs: self.jobs.clone(),
-            first_jobs,
+            chunk_starts,
         }
     }
 }
 
 impl JobsSnapshot {
-    /// Position of the last entry that is in it.
+    /// Returns the log position of the last entry included.
     pub fn position(&self) -> LogPosition {
-        self.head.position
+        self.base.position
     }
 
-    /// Number of chunks: at least one.
+    /// Returns the number of chunks, at least one.
     pub fn chunks(&self) -> u32 {
-        1 + self.first_jobs.len() as u32
+        1 + self.chunk_starts.len() as u32
     }
 
-    /// The encoded chunk of a number, from zero; empty for one that there is not.
+    /// Returns the encoded chunk with a zero-based number, or an empty vector if the number is out of range.
     pub fn chunk(&self, number: u32) -> Vec<u8> {
-        let Some(jobs_chunk) = number.checked_sub(1) else {
-            return encode(&self.head);
+        let Some(jobs_chunk_index) = number.checked_sub(1) else {
+            return encode(&self.base);
         };
-        let Some(first_job) = self.first_jobs.get(jobs_chunk as usize) else {
+        let Some(first_job) = self.chunk_starts.get(jobs_chunk_index as usize) else {
             return Vec::new();
         };
         let jobs = self.jobs.range(first_job..).take(JOBS_PER_CHUNK);
@@ -66,7 +67,7 @@
     }
 }
 
-/// Rebuilds a state from the chunks of a snapshot, in their order. A complete encoded state is taken as the only
+/// Rebuilds a state from the chunks of a snapshot, added in order. A complete encoded state is accepted as a single
 /// chunk.
 #[derive(Clone, Debug, Default)]
 pub struct SnapshotBuilder {
@@ -77,7 +78,7 @@
     /// Adds the next chunk.
     ///
     /// # Errors
-    /// When the bytes are not a chunk of a snapshot.
+    /// Returns an error if the bytes do not decode as a snapshot chunk.
     pub fn add(&mut self, chunk: &[u8]) -> Result<(), DecodeError> {
         let chunk: State = decode(chunk)?;
         match self.state.as_mut() {
@@ -87,7 +88,7 @@
         Ok(())
     }
 
-    /// The rebuilt state; `None` when no chunk was added.
+    /// Returns the rebuilt state, or `None` if no chunk was added.
     pub fn finish(self) -> Option<State> {
         self.state
     }
--- a/system/jobs/src/state.rs
+++ b/system/jobs/src/state.rs
@@ -1,31 +1,31 @@
-//! The replicated state: what it consists of. How entries change it is in the `apply` modules.
+//! Data types of the replicated state. The `apply` modules implement the changes that log entries make to it.
 use crate::{Job, Shared};
 use magpiegap_protocol::{FencingToken, JobId, LogPosition, ReplicaId, Role, RunId, TaskId};
 use minicbor::{Decode, Encode};
 use std::collections::BTreeMap;
 
-/// How many configurations are remembered, so that one which is sent again is recognized.
+/// Number of recent configurations whose fingerprints are kept to detect retransmissions.
 const MAX_FINGERPRINTS: usize = 4096;
 
-/// The current configuration, and fingerprints of the latest ones.
+/// The current configuration and the fingerprints of recently accepted ones.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ConfigurationState {
-    /// Version of the current configuration; zero: there is none.
+    /// Version of the current configuration; zero if none has been accepted.
     #[n(0)]
     pub version: u64,
-    /// The body as the operator sent it.
+    /// The unmodified JSON body sent by the operator.
     #[cbor(n(1), with = "minicbor::bytes")]
     pub body: Vec<u8>,
-    /// Fingerprints of the accepted configurations, by version.
+    /// Fingerprints of accepted configurations, by version.
     #[n(2)]
     pub fingerprints: BTreeMap<u64, u64>,
-    /// The encoded difference to the version that it builds on; empty: it isn't known.
+    /// The encoded difference from its base version; empty if unknown.
     #[cbor(n(3), with = "minicbor::bytes", default)]
     pub change: Vec<u8>,
 }
 
 impl ConfigurationState {
-    /// Makes another configuration the current one.
+    /// Replaces the current configuration and evicts the oldest fingerprints.
     pub(crate) fn replace(&mut self, version: u64, body: &[u8], change: &[u8], fingerprint: u64) {
         self.version = version;
         self.body = body.to_vec();
@@ -37,27 +37,27 @@
     }
 }
 
-/// Who holds a singleton role.
+/// The current holder of a singleton role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RoleState {
-    /// The coordinator that holds it.
+    /// The coordinator that holds the role.
     #[n(0)]
     pub holder: ReplicaId,
-    /// Fencing token of this holder: higher than those of all before.
+    /// The holder's fencing token, higher than that of every previous holder.
     #[n(1)]
     pub token: FencingToken,
 }
 
-/// What is recorded of one incarnation of a worker.
+/// Runs and acknowledged completions of one worker incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct WorkerRecord {
-    /// The highest completion that was recorded, by the worker's numbers.
+    /// The highest completion number of this worker that has been recorded.
     #[n(0)]
     pub acknowledged_completion: u64,
-    /// The latest run of each task that may be going on there.
+    /// The active run of each task assigned to this worker.
     #[n(1)]
     pub runs: BTreeMap<TaskId, RunId>,
-    /// Whether the incarnation has ended.
+    /// Whether the incarnation has ended and can no longer run tasks.
     #[n(2)]
     pub ended: bool,
 }
@@ -65,35 +65,36 @@
 /// The complete replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct State {
-    /// Position of the last entry that was applied.
+    /// Log position of the last applied entry.
     #[n(0)]
     pub position: LogPosition,
-    /// The operator's configuration.
+    /// The cluster configuration set by the operator.
     #[n(1)]
     pub configuration: ConfigurationState,
-    /// Singleton roles that were ever held.
+    /// All singleton roles that have ever been claimed.
     #[n(2)]
     pub roles: BTreeMap<Role, RoleState>,
-    /// Jobs by name; a snapshot shares those that have not changed since.
+    /// Jobs by ID. Jobs unchanged since a snapshot was taken are shared with it.
     #[n(3)]
     pub jobs: BTreeMap<JobId, Shared<Job>>,
-    /// Workers that ever ran something, by incarnation, until that has ended.
+    /// Workers that have been assigned runs or have reported completions, by incarnation. Ended incarnations are
+    /// removed.
     #[n(4)]
     pub workers: BTreeMap<String, WorkerRecord>,
-    /// How many jobs of each queue have not ended; queues without such jobs are left out.
+    /// Number of unfinished jobs per queue; queues without unfinished jobs are omitted.
     #[n(5)]
     pub open_jobs: BTreeMap<String, u64>,
 }
 
 impl State {
-    /// The current fencing token of a role; zero for one that was never held.
+    /// Returns the current fencing token of a role, or zero if the role has never been claimed.
     pub fn fencing_token(&self, role: &Role) -> FencingToken {
         self.roles
             .get(role)
             .map_or(FencingToken::default(), |state| state.token)
     }
 
-    /// A job to be changed: it is copied first if a snapshot shares it.
+    /// Returns a mutable reference to a job, cloning the job first if a snapshot shares it.
     pub(crate) fn job_mut(&mut self, id: &JobId) -> Option<&mut Job> {
         self.jobs.get_mut(id).map(Shared::make_mut)
     }
--- a/system/jobs/tests/configuration.rs
+++ b/system/jobs/tests/configuration.rs
@@ -48,7 +48,7 @@
     expect_that!(fault(&complete), eq(""));
     expect_that!(
         fault(&complete[..complete.len() - 3]),
-        starts_with("not readable as JSON")
+        starts_with("body is not valid JSON")
     );
     expect_that!(
         fault(&configuration("0", std::slice::from_ref(&valid))),
@@ -80,5 +80,5 @@
         contains_substring("unknown service t")
     );
     expect_that!(fault("[]"), contains_substring("must be an object"));
-    expect_that!(fault("\u{0}"), starts_with("not readable"));
+    expect_that!(fault("\u{0}"), starts_with("body is not valid JSON"));
 }
