--- a/system/coordinator/src/coordinator.rs
+++ b/system/coordinator/src/coordinator.rs
@@ -1,7 +1,7 @@
-//! The coordinator's state, its start, and what may be read of it.
+//! State, construction and accessors of the coordinator.
 //!
-//! The inputs and what follows from each stand in [`crate::steps`]; each concern (roles, proposals, requests, reads,
-//! feed, platform list) has a module with its part of the implementation.
+//! [`crate::event_handlers`] processes inputs. Roles, proposals, requests, reads, the feed and the platform list are
+//! implemented in a module each.
 use crate::{
     counters::Counters, job_query::PendingRead, machine::Machine, operation::PendingOperations,
     outage::Outage, outputs::Output, pending_poll::PendingPoll, platform_reader::PlatformReader,
@@ -14,56 +14,57 @@
 use magpiegap_scheduler::Scheduler;
 use std::collections::BTreeMap;
 
-/// A coordinator: a replica of the state, the roles that it holds, and the requests that it responds to.
+/// A coordinator: a replica of the state, the singleton roles that it holds, and its pending requests.
 ///
-/// It does no I/O: inputs come with the time, and [`Coordinator::poll_outputs`] returns what to do.
+/// It does no I/O. Every input carries the current time, and [`Coordinator::poll_outputs`] returns the effects to
+/// perform.
 pub struct Coordinator {
     pub(crate) settings: CoordinatorSettings,
     pub(crate) replica: Replica,
     pub(crate) machine: Machine,
-    /// The configuration in force, and those before it.
+    /// The current configuration and earlier versions.
     pub(crate) configurations: ConfigurationSource,
-    /// The schedulers of the roles held here, by service.
+    /// Schedulers whose roles this coordinator holds, by service.
     pub(crate) schedulers: BTreeMap<String, Scheduler>,
-    /// The reader of the platform's list, where its role is held here.
+    /// Reader of the platform's worker list, if this coordinator holds that role.
     pub(crate) platform_reader: Option<PlatformReader>,
-    /// The newest list of workers known, whoever has read it.
+    /// Newest known worker list, read by this or another coordinator.
     pub(crate) platform_list: Option<WorkerList>,
     pub(crate) roles_vacant_since: BTreeMap<Role, Millis>,
-    /// Proposals in flight, by their sequence number.
+    /// Proposals in flight, by sequence number.
     pub(crate) proposals: BTreeMap<u64, Proposal>,
-    /// The last number given to a proposal or a call to the platform.
+    /// Last sequence number used for a proposal or a platform call.
     pub(crate) last_sequence: u64,
     pub(crate) last_proposed_at: Millis,
     pub(crate) operations: PendingOperations,
-    /// Queries that wait until the view is confirmed.
+    /// Queries waiting for confirmation of the view.
     pub(crate) pending_reads: Vec<PendingRead>,
-    /// How long there has been no contact with a majority of the voters.
+    /// Tracks loss of contact with a majority of the voters.
     pub(crate) contact_outage: Outage,
-    /// How long this coordinator has not known what is acknowledged.
-    pub(crate) information_outage: Outage,
+    /// Tracks how long the feed cannot be served because this coordinator may lack acknowledged entries or is draining.
+    pub(crate) feed_outage: Outage,
     pub(crate) feed: Feed,
     pub(crate) pending_polls: Vec<PendingPoll>,
-    /// Roles may be acted on before this time.
+    /// End of the lease under which this coordinator acts in its roles.
     pub(crate) lease_expiry: Millis,
-    /// The view in which something was proposed.
+    /// The current view, once this coordinator has proposed its first entry in it.
     pub(crate) entered_view: Option<ViewNumber>,
-    /// The first proposal in that view is committed: all that was proposed in earlier views is committed too, or lost.
+    /// The first proposal in `entered_view` is committed. Every proposal of earlier views is then committed or lost.
     pub(crate) has_committed_in_view: bool,
-    /// Its roles are handed over: the process is about to end.
+    /// The process is shutting down and hands over its roles.
     pub(crate) draining: bool,
     pub(crate) now: Millis,
     pub(crate) time_of_day: TimeOfDay,
-    /// The median of the times of day of all coordinators.
+    /// Median of the coordinators' wall clocks.
     pub(crate) median_wall: WallMillis,
     pub(crate) counters: Counters,
-    /// Moving average of the time from a proposal until it is applied here.
+    /// Moving average of the time from a local proposal until it is applied here.
     pub(crate) commit_latency_ms: Millis,
     pub(crate) outputs: Vec<Output>,
 }
 
 impl Coordinator {
-    /// A coordinator that has just started, with what was on its disk, and with the machine recovered from that.
+    /// Creates a coordinator from its durable state and the machine recovered from it.
     pub fn new(
         settings: CoordinatorSettings,
         durable: DurableState,
@@ -86,7 +87,7 @@
             operations: PendingOperations::default(),
             pending_reads: Vec::new(),
             contact_outage: Outage::default(),
-            information_outage: Outage::default(),
+            feed_outage: Outage::default(),
             feed: Feed::default(),
             pending_polls: Vec::new(),
             lease_expiry: 0,
@@ -105,37 +106,37 @@
         coordinator
     }
 
-    /// The replica below.
+    /// Returns the replica.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// The replicated state.
+    /// Returns the replicated state.
     pub fn state(&self) -> &magpiegap_jobs::State {
         &self.machine.state
     }
 
-    /// The configuration in force; `None`: there is none yet.
+    /// Returns the current configuration, or `None` if none has been accepted.
     pub fn configuration(&self) -> Option<&Configuration> {
         self.configurations.newest().map(AsRef::as_ref)
     }
 
-    /// Handles that a connection to the coordinator at an address was refused.
+    /// Handles a refused connection to the coordinator at an address.
     pub fn handle_connection_refused(&mut self, now: Millis, address: u32) {
         self.replica.handle_connection_refused(address, now);
     }
 
-    /// Replaces the addresses at which other coordinators may be found.
+    /// Replaces the seed addresses of other coordinators.
     pub fn set_seeds(&mut self, seeds: &[u32]) {
         self.replica.set_seeds(seeds);
     }
 
-    /// Whether it is draining, and the others go on without it.
+    /// Returns whether this coordinator is draining and no longer part of the view.
     pub fn has_departed(&self) -> bool {
         self.draining && self.replica.view().position(&self.replica.own()).is_none()
     }
 
-    /// Hands its roles over: the process is about to end.
+    /// Starts handing over roles before the process shuts down.
     pub fn drain(&mut self, now: Millis) {
         self.now = now;
         self.draining = true;
@@ -146,7 +147,7 @@
         self.outputs.push(Output::Control(ControlOutput::Log(line)));
     }
 
-    /// Moves the clocks on. Returns the time of day of this machine, without the jumps of its clock.
+    /// Advances the clocks. Returns the local wall-clock time, corrected for clock jumps.
     pub(crate) fn advance_clocks(&mut self, now: Millis, clock: WallMillis) -> WallMillis {
         let own_wall = self.time_of_day.read(now, clock);
         self.now = now;
--- a/system/coordinator/src/counters.rs
+++ b/system/coordinator/src/counters.rs
@@ -1,43 +1,43 @@
-//! Counters of a coordinator, for operators. Their names are those of the operator's interface.
+//! Counters of a coordinator for operators. The serialized field names are part of the operator interface.
 use magpiegap_jobs::{Applied, Change};
 use magpiegap_protocol::{CompletionKind, ConfigurationChunk};
 use serde::{Deserialize, Serialize};
 
-/// What a coordinator has counted since its start, over all entries that it has applied.
+/// Counters of a coordinator since its start. Entries and runs are counted as they are applied from the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
     /// Entries applied.
     pub entries: u64,
-    /// Runs put on record.
+    /// Runs recorded as started.
     pub runs_opened: u64,
-    /// Runs that completed with success.
+    /// Runs that completed successfully.
     pub runs_done: u64,
     /// Runs that failed.
     pub runs_failed: u64,
-    /// Runs that were stopped, whose lease expired, or that were lost.
+    /// Runs that ended otherwise: stopped, lost, lease expired, or terminated with their gang.
     #[serde(rename = "runs_cut_short")]
     pub runs_interrupted: u64,
-    /// Views entered.
+    /// Views that were entered.
     pub views: u64,
     /// Calls to workers.
     pub worker_calls: u64,
-    /// Chunks of configurations sent to agents, with those that went with the feed.
+    /// Configuration chunks sent to agents, including those sent with the feed.
     #[serde(default)]
     #[serde(rename = "configuration_parts")]
     pub configuration_chunks: u64,
-    /// Bytes of these chunks.
+    /// Total size of these chunks, in bytes.
     #[serde(default)]
     pub configuration_bytes: u64,
 }
 
 impl Counters {
-    /// Counts a chunk of a configuration that is sent to an agent.
+    /// Counts a configuration chunk that is sent to an agent.
     pub(crate) fn count_chunk(&mut self, chunk: &ConfigurationChunk) {
         self.configuration_chunks += 1;
         self.configuration_bytes += chunk.bytes.len() as u64;
     }
 
-    /// Counts an entry and what it has changed.
+    /// Counts an applied entry and the run changes that it made.
     pub(crate) fn count_entry(&mut self, applied: &Applied) {
         self.entries += 1;
         for change in &applied.changes {
--- a/system/coordinator/src/describe.rs
+++ b/system/coordinator/src/describe.rs
@@ -1,54 +1,57 @@
-//! Descriptions of the cluster and its jobs, for operators. Their fields are names of the operator's interface.
+//! Descriptions of the cluster and its jobs for operators. The serialized field names are part of the operator
+//! interface.
 use crate::{coordinator::Coordinator, counters::Counters};
 use magpiegap_jobs::{RoleState, State};
 use magpiegap_protocol::{CoordinatorResponse, JobId, Role};
 use magpiegap_scheduler::{Scheduler, Summary};
 use serde::{Deserialize, Serialize};
 
-/// The cluster as one coordinator sees it.
+/// The state of the cluster as seen by one coordinator.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClusterDescription {
-    /// Number of the newest view that it knows.
+    /// Number of the newest known view.
     pub view: u64,
-    /// Whether all that was proposed in earlier views is committed or lost.
+    /// Whether this coordinator's first proposal in the view is committed. Every proposal of earlier views is then
+    /// committed or lost.
     #[serde(rename = "settled")]
     pub has_committed_in_view: bool,
-    /// Proposals of this coordinator in flight.
+    /// Number of this coordinator's proposals in flight.
     pub proposals: usize,
-    /// Operations that wait for a proposal to be applied.
+    /// Number of operations without an outcome.
     pub requests: usize,
-    /// Addresses of the chain's replicas, head first.
+    /// Addresses of the replicas in the chain, head first.
     pub chain: Vec<String>,
-    /// How many vote on the next view.
+    /// Number of voters for the next view.
     pub voters: usize,
-    /// Whether this coordinator takes part in the chain.
+    /// Whether this coordinator is active in the chain.
     pub active: bool,
-    /// How long ago its view was surely the newest one, in milliseconds; `None`: it has had no contact with a majority
-    /// in this view. What is described here may be as old as that.
+    /// Time since the view was last confirmed to be the newest, in milliseconds; `None` without any contact with a
+    /// majority
+    /// in this view. This description may be outdated by that much.
     #[serde(default)]
     pub contact_ms: Option<u64>,
-    /// The newest entry that it knows to be committed.
+    /// Index of the newest entry known to be committed.
     pub committed: u64,
-    /// Moving average of the time from a proposal of this coordinator until it is applied here, in milliseconds.
+    /// Moving average of the time from a local proposal until it is applied here, in milliseconds.
     #[serde(default)]
     pub commit_ms: u64,
-    /// Agents whose long polls wait here.
+    /// Number of agents with a pending long poll at this coordinator.
     #[serde(default)]
     pub agents: usize,
-    /// Those of them that do not have the newest configuration yet.
+    /// Number of these agents without the newest configuration.
     #[serde(default)]
     pub agents_behind: usize,
-    /// Version of the configuration.
+    /// Version of the current configuration.
     pub configuration: u64,
-    /// Jobs in the state, with those that have ended and are still retained.
+    /// Number of jobs in the state, including ended jobs that are still retained.
     pub jobs: usize,
-    /// Jobs that have not ended.
+    /// Number of jobs that have not ended.
     pub open_jobs: u64,
-    /// The holders of the roles.
+    /// Holders of the singleton roles.
     pub roles: Vec<RoleDescription>,
-    /// The schedulers whose roles this coordinator holds.
+    /// Schedulers whose roles this coordinator holds.
     pub schedulers: Vec<SchedulerDescription>,
-    /// What it has counted since its start.
+    /// Counters since the start of the process.
     pub counters: Counters,
 }
 
@@ -59,7 +62,7 @@
     pub role: String,
     /// The holder's address.
     pub holder: String,
-    /// The fencing token; it rises with each holder.
+    /// The fencing token, which increases with each claim.
     pub token: u64,
 }
 
@@ -74,7 +77,7 @@
 }
 
 impl RoleDescription {
-    /// All roles that were ever held.
+    /// Describes all roles that have ever been claimed.
     pub fn of_state(state: &State) -> Vec<RoleDescription> {
         let describe = |(role, state): (&Role, &RoleState)| RoleDescription {
             role: match role {
@@ -89,7 +92,7 @@
 }
 
 impl Coordinator {
-    /// The state of the cluster as this coordinator sees it.
+    /// Describes the cluster as seen by this coordinator.
     pub fn describe(&self) -> ClusterDescription {
         let view = self.replica.view();
         let state = &self.machine.state;
@@ -140,7 +143,7 @@
         self.schedulers.iter().map(describe).collect()
     }
 
-    /// Explains a job: why its tasks wait, and where they run; or says which coordinator can.
+    /// Explains where the tasks of a job run and why others wait, or redirects to the coordinator that can.
     pub(crate) fn explain(&self, job: JobId) -> CoordinatorResponse {
         let state = &self.machine.state;
         let Some(known) = state.jobs.get(&job) else {
--- a/system/coordinator/src/steps.rs
+++ b/system/coordinator/src/event_handlers.rs
@@ -1,24 +1,24 @@
-//! Inputs of a coordinator, and what follows from each: entries applied, views entered, responses given.
+//! Processes inputs of the coordinator and their effects: applied entries, view changes and responses.
 use crate::{
     coordinator::Coordinator,
     machine::AppliedEntry,
     outputs::Output,
-    proposal::{Proposal, Proposed, Purpose},
+    proposal::{Proposal, ProposalDraft, Purpose},
 };
 use magpiegap_jobs::{Change, Outcome};
 use magpiegap_protocol::{Command, Millis, PeerMessage, ReplicaId, Role, WallMillis};
 
-/// The commit latency that operators are shown is a moving average over about so many proposals.
+/// Approximate number of proposals over which the reported commit latency is averaged.
 const COMMIT_LATENCY_WINDOW: u64 = 16;
 
 impl Coordinator {
-    /// Returns what is to be done. To be called after every input.
+    /// Returns the effects to perform. Must be called after every input.
     pub fn poll_outputs(&mut self) -> Vec<Output> {
-        self.finish_step();
+        self.process_effects();
         std::mem::take(&mut self.outputs)
     }
 
-    /// Handles that time has passed; to be called every few tens of milliseconds.
+    /// Handles the passage of time. Must be called every few tens of milliseconds.
     pub fn on_timeout(&mut self, now: Millis, clock: WallMillis) {
         let own_wall = self.advance_clocks(now, clock);
         self.replica.on_timeout(now, own_wall, &mut self.machine);
@@ -26,7 +26,7 @@
         self.claim_roles();
         self.renew_lease();
         self.retry_proposals();
-        self.read_platform();
+        self.read_platform_list();
         self.expire_operations();
     }
 
@@ -53,15 +53,16 @@
         }
     }
 
-    /// Handles that disk work up to this ticket is done.
+    /// Handles the completion of all disk writes up to a ticket.
     pub fn handle_persisted(&mut self, now: Millis, clock: WallMillis, ticket: u64) {
         self.advance_clocks(now, clock);
         self.replica
             .handle_persisted(ticket, now, &mut self.machine);
     }
 
-    /// Follows up what the inputs have changed, until nothing more comes up.
-    fn finish_step(&mut self) {
+    /// Processes the effects of inputs, including those of proposals that schedulers make meanwhile, and collects the
+    /// outputs.
+    fn process_effects(&mut self) {
         self.replica.flush(self.now, &mut self.machine);
         self.process_log();
         self.run_schedulers();
@@ -73,7 +74,7 @@
             .extend(self.replica.poll_outputs().into_iter().map(Output::Control));
     }
 
-    /// Follows up a view change and the entries applied since the last call.
+    /// Processes view changes, restored snapshots and entries applied since the last call.
     fn process_log(&mut self) {
         self.enter_view();
         let restored = std::mem::take(&mut self.machine.was_restored);
@@ -83,7 +84,7 @@
             self.update_configuration();
             self.resume_schedulers();
         }
-        let concerns_feed = |change: &Change| {
+        let affects_feed = |change: &Change| {
             matches!(
                 change,
                 Change::RoleClaimed(_) | Change::ConfigurationReplaced
@@ -92,7 +93,7 @@
         let feed_changed = restored
             || applied
                 .iter()
-                .any(|entry| entry.applied.changes.iter().any(concerns_feed));
+                .any(|entry| entry.applied.changes.iter().any(affects_feed));
         for entry in applied {
             self.counters.count_entry(&entry.applied);
             self.handle_applied_entry(&entry);
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Proposes something in a view as soon as this coordinator takes part in it.
+    /// Proposes a first entry in a new view as soon as this coordinator is active in it.
     fn enter_view(&mut self) {
         let view = self.replica.view().number;
         let active = self.replica.is_active();
@@ -114,7 +115,12 @@
             self.entered_view = None;
             self.refresh_feed();
         }
-        if active && self.propose(Proposed::with_purpose(Command::Noop, Purpose::FirstInView)) {
+        if active
+            && self.propose(ProposalDraft::with_purpose(
+                Command::Noop,
+                Purpose::FirstInView,
+            ))
+        {
             self.entered_view = Some(view);
             self.counters.views += 1;
             self.refresh_feed();
@@ -145,7 +151,7 @@
         }
     }
 
-    /// The proposal in flight that an entry comes from; `None` where it is another coordinator's.
+    /// Removes and returns the local proposal of an applied entry, or `None` if another coordinator proposed it.
     fn take_own_proposal(&mut self, entry: &AppliedEntry) -> Option<Proposal> {
         if entry.proposal.origin != self.replica.own() {
             return None;
@@ -153,20 +159,20 @@
         self.proposals.remove(&entry.proposal.sequence)
     }
 
-    /// Notifies the schedulers that an entry concerns: all of them where it was proposed in no role.
+    /// Notifies the scheduler whose role proposed an entry, or all schedulers if it was proposed without a role.
     fn notify_schedulers(&mut self, entry: &AppliedEntry, proposal: Option<&Proposal>) {
-        let own_runs = match proposal.and_then(|proposal| proposal.proposed.purpose.as_ref()) {
+        let own_runs = match proposal.and_then(|proposal| proposal.draft.purpose.as_ref()) {
             Some(Purpose::Scheduler { runs }) => runs.as_slice(),
             _ => &[],
         };
         for scheduler in self.schedulers.values_mut() {
-            let is_concerned = match &entry.role_token {
+            let is_affected = match &entry.role_token {
                 Some(role_token) => {
                     role_token.role == Role::Scheduler(scheduler.service().to_owned())
                 }
                 None => true,
             };
-            if is_concerned {
+            if is_affected {
                 scheduler.handle_applied(
                     self.now,
                     entry.position,
@@ -185,16 +191,16 @@
             / COMMIT_LATENCY_WINDOW;
         let lease_expiry = proposal.proposed_at + self.settings.lease_ms;
         self.lease_expiry = self.lease_expiry.max(lease_expiry);
-        if proposal.proposed.purpose == Some(Purpose::FirstInView)
+        if proposal.draft.purpose == Some(Purpose::FirstInView)
             && Some(proposal.view) == self.entered_view
         {
             self.has_committed_in_view = true;
             self.roles_vacant_since.clear();
             self.resume_schedulers();
-            self.propose_open_operations();
+            self.repropose_operations();
         }
-        if let Some(operation) = proposal.proposed.operation {
-            self.complete_operation_with(operation, outcome);
+        if let Some(operation) = proposal.draft.operation {
+            self.complete_operation_with_outcome(operation, outcome);
         }
     }
 }
--- a/system/coordinator/src/feeds.rs
+++ b/system/coordinator/src/feeds.rs
@@ -1,22 +1,23 @@
-//! The feed of agents and proxies: long polls, which get a response as soon as anything has changed.
+//! The feed of agents and proxies. They use long polls, which are answered as soon as the feed changes.
 use crate::{coordinator::Coordinator, outputs::RequestId, pending_poll::PendingPoll};
 use magpiegap_protocol::{
     ConfigurationFetch, CoordinatorResponse, Feed, FeedPoll, Millis, RoleHolder,
 };
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Polls are not rejected before a coordinator has not known for this long what is acknowledged: a view change takes
-/// less, and ends with an update.
+/// A coordinator that may lack acknowledged entries rejects polls only after this time. View changes take less time and
+/// end with a feed update, so that polls need not be rejected during them.
 const VIEW_CHANGE_GRACE_MS: Millis = 150;
 
 impl Coordinator {
-    /// Whether this coordinator knows what had been acknowledged up to a moment ago: after a view change, and after
-    /// a restart of all, that takes the first entry of the view.
-    pub(crate) fn is_informed(&self) -> bool {
+    /// Returns whether this coordinator knows all entries that were acknowledged until recently. After a view change,
+    /// or a
+    /// restart of all coordinators, this requires the commit of the first entry in the view.
+    pub(crate) fn is_up_to_date(&self) -> bool {
         self.has_committed_in_view && self.replica.knows_committed(self.now)
     }
 
-    /// Brings the feed up to date.
+    /// Rebuilds the feed from the current state.
     pub(crate) fn refresh_feed(&mut self) {
         let state = &self.machine.state;
         let view = self.replica.view();
@@ -46,7 +47,7 @@
         self.feed = feed;
     }
 
-    /// Accepts a long poll; its response comes as an output, later.
+    /// Accepts a long poll. The response is a later output.
     pub(crate) fn poll(&mut self, request: RequestId, poll: FeedPoll) {
         let expires_at = self.now + poll.wait_ms;
         self.pending_polls.push(PendingPoll {
@@ -56,18 +57,15 @@
         });
     }
 
-    /// Responds to the polls whose turn has come.
+    /// Responds to polls that are due, and rejects all polls if the feed cannot be served here.
     pub(crate) fn respond_to_polls(&mut self) {
         if self.pending_polls.is_empty() {
             return;
         }
         let (now, revision) = (self.now, self.feed.revision);
         let is_serving = self.is_serving_feed();
-        self.information_outage.observe(is_serving, now);
-        let is_rejecting = self.draining
-            || self
-                .information_outage
-                .has_lasted(VIEW_CHANGE_GRACE_MS, now);
+        self.feed_outage.observe(is_serving, now);
+        let is_rejecting = self.draining || self.feed_outage.has_lasted(VIEW_CHANGE_GRACE_MS, now);
         let is_answered =
             |poll: &PendingPoll| is_rejecting || (is_serving && poll.is_due(revision, now));
         let (answered, pending): (Vec<PendingPoll>, Vec<PendingPoll>) =
@@ -85,9 +83,9 @@
         }
     }
 
-    /// Whether polls and fetches are served here.
+    /// Returns whether polls and configuration fetches are served here.
     fn is_serving_feed(&self) -> bool {
-        self.is_informed() && !self.draining
+        self.is_up_to_date() && !self.draining
     }
 
     fn feed_for(&mut self, poll: &FeedPoll) -> CoordinatorResponse {
@@ -103,7 +101,7 @@
         }))
     }
 
-    /// Responds with a chunk of what leads to the newest configuration.
+    /// Responds with a chunk of the encoded change to the newest configuration.
     pub(crate) fn fetch_configuration(&mut self, request: RequestId, fetch: &ConfigurationFetch) {
         let chunk = self
             .is_serving_feed()
--- a/system/coordinator/src/job_list.rs
+++ b/system/coordinator/src/job_list.rs
@@ -1,46 +1,46 @@
-//! Lists of jobs, for operators.
+//! Job lists for operators.
 use magpiegap_jobs::{Job, State, StepState};
 use magpiegap_protocol::JobFilter;
 use serde::{Deserialize, Serialize};
 use std::ops::Bound;
 
-/// Maximum number of jobs in one list.
+/// Maximum number of jobs per page.
 const MAX_LISTED_JOBS: usize = 10_000;
 
-/// A page of jobs, as one coordinator has them.
+/// A page of jobs from the state of one coordinator.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobList {
-    /// The newest entry of the log that the coordinator has applied.
+    /// Index of the last log entry applied by the coordinator.
     pub entry: u64,
-    /// The jobs, in the order of their names.
+    /// The jobs, ordered by ID.
     pub jobs: Vec<JobRow>,
-    /// The last job listed, where more follow; `None`: the list is complete.
+    /// ID of the last job on the page if more jobs follow; otherwise `None`.
     pub next: Option<String>,
 }
 
-/// One job of a list. The fields are names of the operator's interface.
+/// A job in a list. The field names are part of the operator interface.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRow {
-    /// Its name.
+    /// The job ID.
     pub job: String,
-    /// The queue to which it was submitted.
+    /// The queue to which the job was submitted.
     pub queue: String,
-    /// Its state, as clients are shown it.
+    /// The phase, as reported to clients.
     pub state: String,
-    /// Its priority; zero goes first.
+    /// The priority; zero is the highest.
     pub priority: u32,
-    /// When it was submitted, in milliseconds since 1970.
+    /// Submission time, in milliseconds since the Unix epoch.
     pub submitted_ms: u64,
-    /// Tasks of all occurrences that have fallen due and were not removed; none once the job has ended.
+    /// Number of tasks in opened occurrences that have not been pruned; zero for an ended job without active runs.
     pub tasks: usize,
-    /// Those of them that have completed.
+    /// Number of these tasks that are done.
     pub done: usize,
-    /// Runs that may be in progress.
+    /// Number of active runs.
     pub running: usize,
 }
 
 impl JobList {
-    /// Lists the jobs of a state that a filter matches.
+    /// Lists the jobs that match a filter.
     pub fn of(state: &State, filter: &JobFilter) -> JobList {
         let limit = (filter.limit as usize).clamp(1, MAX_LISTED_JOBS);
         let after = filter.after.map_or(Bound::Unbounded, Bound::Excluded);
--- a/system/coordinator/src/job_query.rs
+++ b/system/coordinator/src/job_query.rs
@@ -1,26 +1,26 @@
-//! Queries about jobs, and those that wait for their turn.
+//! Queries about jobs, and queries waiting for confirmation of the view.
 use crate::outputs::RequestId;
 use magpiegap_protocol::{JobId, Millis};
 
-/// Why a job is looked up.
+/// The purpose of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QueryKind {
-    /// To return its phase.
+    /// Return the phase of the job.
     Status,
-    /// To cancel it, if it exists.
+    /// Cancel the job if it exists.
     Cancel,
 }
 
 /// A query about a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct JobQuery {
-    /// The queue in which the client looks for it.
+    /// The queue in which the client expects the job.
     pub queue: String,
     pub job: JobId,
     pub kind: QueryKind,
 }
 
-/// A query that waits until the view is confirmed.
+/// A query waiting for confirmation that the view is current.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PendingRead {
     pub request: RequestId,
--- a/system/coordinator/src/lib.rs
+++ b/system/coordinator/src/lib.rs
@@ -1,15 +1,17 @@
-//! A coordinator as a state machine without I/O: a replica of the state, the roles that it holds, and the requests
-//! that it responds to.
+//! Coordinator implemented as a state machine without I/O. It combines a replica of the state, the singleton roles held
+//! by this process, and request handling.
 //!
-//! Inputs (messages, requests, replies, the time) go in by the methods of [`Coordinator`]; after each,
-//! [`Coordinator::poll_outputs`] returns the effects. Consensus and the log are `magpiegap-control`'s, the rules of jobs
-//! `magpiegap-jobs`'s, and placement `magpiegap-scheduler`'s; sockets, clocks and files are the program's.
+//! Inputs (messages, requests, replies, timeouts) are passed to methods of [`Coordinator`]. After each input,
+//! [`Coordinator::poll_outputs`] returns the effects to perform. `magpiegap-control` implements consensus and the log,
+//! `magpiegap-jobs` the replicated state and `magpiegap-scheduler` placement. The executable provides sockets, clocks
+//! and files.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod coordinator;
 mod counters;
 mod describe;
+mod event_handlers;
 mod feeds;
 mod job_list;
 mod job_query;
@@ -26,7 +28,6 @@
 mod requests;
 mod roles;
 mod settings;
-mod steps;
 
 pub use coordinator::Coordinator;
 pub use counters::Counters;
--- a/system/coordinator/src/machine.rs
+++ b/system/coordinator/src/machine.rs
@@ -1,10 +1,10 @@
-//! The replicated state as the state machine of the log, with what the entries applied since the last step have changed.
+//! Adapts the replicated state to the state machine interface of the log, and collects the changes of applied entries.
 use magpiegap_control::{DurableState, RestoreError, StateMachine, StateSnapshot};
 use magpiegap_jobs::{Applied, JobsSnapshot, SnapshotBuilder, State};
 use magpiegap_protocol::{DecodeError, Entry, LogPosition, ProposalId, RoleToken};
 use std::sync::Arc;
 
-/// An applied entry without its command, and what it has changed.
+/// An applied entry without its command, and the changes that it made.
 pub(crate) struct AppliedEntry {
     pub position: LogPosition,
     pub proposal: ProposalId,
@@ -12,20 +12,20 @@
     pub applied: Applied,
 }
 
-/// The replicated state, and the entries applied since the last step.
+/// The replicated state, and the entries applied since they were last processed.
 #[derive(Default)]
 pub struct Machine {
-    /// The state.
+    /// The replicated state.
     pub state: State,
-    /// A state that is being restored from the chunks of a snapshot.
-    restoring: SnapshotBuilder,
+    /// Collects the chunks of the snapshot that is being restored.
+    snapshot_builder: SnapshotBuilder,
     pub(crate) applied: Vec<AppliedEntry>,
-    /// The state was replaced by a snapshot since the last step.
+    /// The state was replaced by a snapshot since this flag was last cleared.
     pub(crate) was_restored: bool,
 }
 
 impl Machine {
-    /// A machine with this state.
+    /// Creates a machine with an initial state.
     pub fn new(state: State) -> Machine {
         Machine {
             state,
@@ -33,10 +33,10 @@
         }
     }
 
-    /// Restores the state that was found on disk.
+    /// Restores the machine from durable state.
     ///
     /// # Errors
-    /// When the bytes are no state that this build can read.
+    /// Returns an error if the stored state cannot be decoded by this version.
     pub fn recover(durable: &DurableState) -> Result<Machine, DecodeError> {
         let mut builder = SnapshotBuilder::default();
         for number in 0..durable.state.chunks() {
@@ -46,7 +46,7 @@
     }
 }
 
-/// A state at one position of the log.
+/// A snapshot of the state at one log position.
 #[derive(Debug)]
 struct MachineSnapshot(JobsSnapshot);
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// Takes a snapshot of a state, as the replica below saves and sends it.
+/// Takes a snapshot in the form that the replica persists and transfers.
 pub fn take_snapshot(state: &State) -> Arc<dyn StateSnapshot> {
     Arc::new(MachineSnapshot(state.snapshot()))
 }
@@ -89,16 +89,16 @@
     }
 
     fn begin_restore(&mut self) {
-        self.restoring = SnapshotBuilder::default();
+        self.snapshot_builder = SnapshotBuilder::default();
     }
 
     fn add_chunk(&mut self, chunk: &[u8]) -> Result<(), RestoreError> {
-        Ok(self.restoring.add(chunk)?)
+        Ok(self.snapshot_builder.add(chunk)?)
     }
 
     fn finish_restore(&mut self, position: LogPosition) -> Result<(), RestoreError> {
-        let built = std::mem::take(&mut self.restoring).finish();
-        let state = built.ok_or(RestoreError::Incomplete)?;
+        let restored = std::mem::take(&mut self.snapshot_builder).finish();
+        let state = restored.ok_or(RestoreError::Incomplete)?;
         if state.position != position {
             return Err(RestoreError::OtherPosition {
                 expected: position,
--- a/system/coordinator/src/operation.rs
+++ b/system/coordinator/src/operation.rs
@@ -1,37 +1,38 @@
-//! Operations: what clients and operators want the log to decide, and who waits for the outcome.
+//! Operations requested by clients and operators that are decided by the log, and the requests waiting for them.
 use crate::outputs::RequestId;
 use magpiegap_protocol::{CoordinatorResponse, JobId, Millis, Submission};
 use std::collections::BTreeMap;
 
-/// Identifies an operation within one life of a coordinator.
+/// Identifies an operation within one incarnation of a coordinator.
 pub(crate) type OperationId = u64;
 
-/// What a client or operator wants.
+/// An operation requested by a client or operator.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Operation {
     /// Accept a job.
     Submit(Box<Submission>),
     /// Cancel a job.
     Cancel(JobId),
-    /// Put a newer configuration in force.
+    /// Replace the current configuration.
     ReplaceConfiguration {
-        /// The version that it builds on.
+        /// The base version.
         base: u64,
-        /// Its own version.
+        /// The new version.
         version: u64,
-        /// The complete configuration, as it came.
+        /// The unmodified body of the new configuration.
         body: Vec<u8>,
-        /// What leads to it from `base`, encoded.
+        /// The encoded difference from `base`.
         change: Vec<u8>,
     },
-    /// Read the configuration in force, through the log.
+    /// Read the current configuration through the log.
     DescribeConfiguration,
 }
 
 impl Operation {
-    /// Whether both have the same effect, so that one proposal completes both. Reads never do: each needs a proposal that
-    /// was made after it came.
-    pub(crate) fn is_same(&self, other: &Operation) -> bool {
+    /// Returns whether both operations have the same effect, so that one proposal completes both. Reads are never
+    /// merged:
+    /// each needs a proposal made after the read was received.
+    pub(crate) fn has_same_effect(&self, other: &Operation) -> bool {
         match (self, other) {
             (Operation::Submit(submission), Operation::Submit(other)) => {
                 submission.job == other.job
@@ -47,15 +48,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct PendingOperation {
     pub operation: Operation,
-    /// The requests that wait for it.
+    /// Requests waiting for the outcome.
     pub requests: Vec<RequestId>,
     pub started_at: Millis,
-    /// It was proposed at least once, and so may take effect.
+    /// The operation was proposed at least once and may therefore take effect.
     pub was_proposed: bool,
 }
 
 impl PendingOperation {
-    /// The response where the outcome will not be known: the operation may take effect only if it was proposed.
+    /// Returns the response for an unknown outcome. An operation that was never proposed can't take effect.
     pub(crate) fn response_without_outcome(&self) -> CoordinatorResponse {
         if self.was_proposed {
             CoordinatorResponse::Unknown
@@ -65,7 +66,7 @@
     }
 }
 
-/// The operations without an outcome, in the order in which they were started.
+/// Operations without an outcome, in the order in which they were started.
 #[derive(Debug, Default)]
 pub(crate) struct PendingOperations {
     operations: BTreeMap<OperationId, PendingOperation>,
@@ -73,7 +74,9 @@
 }
 
 impl PendingOperations {
-    /// Adds an operation. `None`: the request has joined one that has the same effect.
+    /// Adds an operation and returns its ID, or adds the request to a pending operation with the same effect and
+    /// returns
+    /// `None`.
     pub(crate) fn add(
         &mut self,
         operation: Operation,
@@ -83,7 +86,7 @@
         let same = self
             .operations
             .values_mut()
-            .find(|pending| pending.operation.is_same(&operation));
+            .find(|pending| pending.operation.has_same_effect(&operation));
         if let Some(pending) = same {
             pending.requests.push(request);
             return None;
@@ -99,7 +102,7 @@
         Some(self.last_id)
     }
 
-    /// The operation, while it has no outcome.
+    /// Returns a pending operation.
     pub(crate) fn get(&self, id: OperationId) -> Option<&PendingOperation> {
         self.operations.get(&id)
     }
@@ -111,12 +114,12 @@
         }
     }
 
-    /// Takes out an operation that has an outcome, or gets none.
+    /// Removes an operation.
     pub(crate) fn remove(&mut self, id: OperationId) -> Option<PendingOperation> {
         self.operations.remove(&id)
     }
 
-    /// The operations that meet a condition, oldest first.
+    /// Returns the operations that satisfy a condition, oldest first.
     pub(crate) fn matching(
         &self,
         condition: impl Fn(OperationId, &PendingOperation) -> bool,
@@ -128,7 +131,6 @@
         matching.map(|(id, _)| *id).collect()
     }
 
-    /// How many there are.
     pub(crate) fn len(&self) -> usize {
         self.operations.len()
     }
--- a/system/coordinator/src/outage.rs
+++ b/system/coordinator/src/outage.rs
@@ -1,12 +1,12 @@
-//! How long a condition has not been met.
+//! Measures how long a condition has been unmet.
 use magpiegap_protocol::Millis;
 
-/// Since when a condition has not been met; nothing while it is.
+/// Start of the period in which a condition has been unmet; `None` while it is met.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Outage(Option<Millis>);
 
 impl Outage {
-    /// Records whether the condition is met now.
+    /// Records whether the condition is currently met.
     pub(crate) fn observe(&mut self, is_met: bool, now: Millis) {
         self.0 = if is_met {
             None
@@ -15,7 +15,7 @@
         };
     }
 
-    /// Whether the condition has not been met for this long.
+    /// Returns whether the condition has been unmet for at least the given duration.
     pub(crate) fn has_lasted(&self, duration_ms: Millis, now: Millis) -> bool {
         self.0.is_some_and(|since| now >= since + duration_ms)
     }
--- a/system/coordinator/src/outputs.rs
+++ b/system/coordinator/src/outputs.rs
@@ -1,15 +1,15 @@
-//! Outputs of a coordinator: messages, disk work, responses, and calls to workers and the platform.
+//! Outputs of a coordinator: messages, disk writes, responses, and calls to workers and the platform.
 use magpiegap_control::Output as ControlOutput;
 use magpiegap_protocol::{CoordinatorResponse, FencingToken, WorkerEntry};
 use magpiegap_scheduler::WorkerCall;
 
-/// Identifies a request that waits for its response.
+/// Identifies a pending request.
 pub type RequestId = u64;
 
-/// An effect that a coordinator asks for. Disk work is done in order, and each ticket is confirmed.
+/// An effect that the caller must perform. Disk writes are performed in order, and each ticket is confirmed.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// An output of its replica: a message to another coordinator, disk work, a log line.
+    /// An output of the replica: a message to another coordinator, a disk write or a log line.
     Control(ControlOutput),
     /// Respond to a request.
     Answer {
@@ -20,18 +20,18 @@
     },
     /// Call a worker.
     CallWorker {
-        /// The service whose scheduler gets the reply.
+        /// The service whose scheduler handles the reply.
         service: String,
-        /// The fencing token of that scheduler.
+        /// The fencing token of the scheduler.
         token: FencingToken,
         /// The call.
         call: WorkerCall,
     },
-    /// Request a page of the platform's list.
+    /// Request a page of the platform's worker list.
     ListWorkers {
         /// Identifies the call.
         call: u64,
-        /// The page; `None`: the first.
+        /// The page token; `None` for the first page.
         page: Option<String>,
     },
 }
@@ -39,15 +39,15 @@
 /// The platform's reply to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlatformReply {
-    /// A page of the list.
+    /// A page of the worker list.
     Page {
         /// The workers.
         workers: Vec<WorkerEntry>,
-        /// The page that follows; `None`: this was the last one.
+        /// Token of the next page; `None` if this is the last one.
         next: Option<String>,
     },
-    /// The platform limits the rate of calls.
+    /// The platform rejected the call because of its rate limit.
     Limited,
-    /// No response in time, or none that can be read.
+    /// The call timed out, or the response was invalid.
     Failed,
 }
--- a/system/coordinator/src/platform.rs
+++ b/system/coordinator/src/platform.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list of workers in the role of its reader, and shares it with all coordinators.
+//! Reads the platform's worker list while holding the platform reader role, and distributes it to all coordinators.
 use crate::{
     coordinator::Coordinator,
     outputs::{Output, PlatformReply},
@@ -7,11 +7,11 @@
 use magpiegap_control::Output as ControlOutput;
 use magpiegap_protocol::{FencingToken, Millis, PeerMessage, WorkerList};
 
-/// Delay before the platform is called again after it refused a call or did not answer one.
+/// Delay before a platform call is retried after a rejection or failure.
 const RETRY_DELAY_MS: Millis = 250;
 
 impl Coordinator {
-    /// Starts or ends the reader, as the log says who holds its role.
+    /// Starts or stops the platform reader according to the fencing token of the role, if it is held here.
     pub(crate) fn update_platform_reader(&mut self, token: Option<FencingToken>) {
         if self.platform_reader.as_ref().map(PlatformReader::token) == token {
             return;
@@ -19,8 +19,8 @@
         self.platform_reader = token.map(|token| PlatformReader::new(token, self.now));
     }
 
-    /// Begins to read the list when that is due.
-    pub(crate) fn read_platform(&mut self) {
+    /// Starts reading the worker list if a read is due and this coordinator holds a lease.
+    pub(crate) fn read_platform_list(&mut self) {
         let holds_lease = self.holds_lease();
         let now = self.now;
         let Some(reader) = self.platform_reader.as_mut() else {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Handles the platform's reply to a call, or that there was none in time.
+    /// Handles the platform's reply to a call, or its timeout.
     pub fn handle_platform_reply(&mut self, now: Millis, call: u64, reply: PlatformReply) {
         self.now = now;
         let Some(reader) = self.platform_reader.as_mut() else {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Sends the complete list to the other coordinators, and goes by it here.
+    /// Sends a complete worker list to the other coordinators and installs it locally.
     fn publish_platform_list(&mut self) {
         let Some(reader) = self.platform_reader.as_mut() else {
             return;
@@ -89,7 +89,7 @@
         self.install_platform_list(list);
     }
 
-    /// Goes by a list, unless a newer one is known.
+    /// Installs a worker list, unless the known list is as new or newer.
     pub(crate) fn install_platform_list(&mut self, list: WorkerList) {
         let known = self.platform_list.as_ref();
         let version = known.map_or((FencingToken::default(), 0), |known| {
--- a/system/coordinator/src/platform_reader.rs
+++ b/system/coordinator/src/platform_reader.rs
@@ -1,33 +1,33 @@
-//! The state of the role that reads the platform's list: the call in flight and the pages collected so far.
+//! State of the platform reader role: the call in flight and the pages collected so far.
 use magpiegap_protocol::{FencingToken, Millis, WorkerEntry, WorkerList};
 
-/// A platform call that was not answered for this long has timed out.
+/// Timeout of a platform call.
 const CALL_TIMEOUT_MS: Millis = 1500;
-/// An unchanged list is sent to the other coordinators this often.
+/// Interval at which an unchanged list is resent to the other coordinators.
 const REBROADCAST_INTERVAL_MS: Millis = 1000;
 
-/// A call to the platform in flight.
+/// A platform call in flight.
 #[derive(Clone, Copy, Debug)]
 struct PlatformCall {
     id: u64,
     started_at: Millis,
 }
 
-/// The reader of the platform's list.
+/// The reader of the platform's worker list.
 #[derive(Clone, Debug)]
 pub(crate) struct PlatformReader {
     token: FencingToken,
-    /// Number of the last list sent, within this token.
+    /// Sequence number of the last list published under this token.
     sequence: u64,
     next_read_at: Millis,
     call: Option<PlatformCall>,
-    /// Workers of the pages read so far.
+    /// Workers on the pages read so far.
     collected: Vec<WorkerEntry>,
     published_at: Millis,
 }
 
 impl PlatformReader {
-    /// A reader that has just been given its role.
+    /// Creates a reader for a newly acquired role. The first read is due immediately.
     pub(crate) fn new(token: FencingToken, now: Millis) -> PlatformReader {
         PlatformReader {
             token,
@@ -39,28 +39,28 @@
         }
     }
 
-    /// The fencing token of its role.
+    /// Returns the fencing token of the role.
     pub(crate) fn token(&self) -> FencingToken {
         self.token
     }
 
-    /// Drops a call that has timed out.
+    /// Drops the call in flight if it has timed out.
     pub(crate) fn expire_call(&mut self, now: Millis) {
         let has_timed_out = |call: &mut PlatformCall| now >= call.started_at + CALL_TIMEOUT_MS;
         self.call.take_if(has_timed_out);
     }
 
-    /// Whether the list is to be read again from its first page.
+    /// Returns whether the list must be read again from its first page.
     pub(crate) fn is_read_due(&self, now: Millis) -> bool {
         self.call.is_none() && now >= self.next_read_at
     }
 
-    /// Begins with the first page.
+    /// Discards collected pages before the list is read from its first page.
     pub(crate) fn discard_pages(&mut self) {
         self.collected.clear();
     }
 
-    /// A call for a page has been made.
+    /// Records that a call for a page was made.
     pub(crate) fn begin_call(&mut self, id: u64, now: Millis) {
         self.call = Some(PlatformCall {
             id,
@@ -68,7 +68,7 @@
         });
     }
 
-    /// Ends the call in flight. Returns whether it was this one: replies to others come too late.
+    /// Ends the call in flight if it has this ID. Returns `false` for other IDs, whose replies are too late.
     pub(crate) fn end_call(&mut self, id: u64) -> bool {
         self.call.take_if(|call| call.id == id).is_some()
     }
@@ -78,12 +78,12 @@
         self.collected.extend(workers);
     }
 
-    /// Waits before the next reading.
+    /// Sets the earliest time of the next read.
     pub(crate) fn schedule_read(&mut self, at: Millis) {
         self.next_read_at = at;
     }
 
-    /// Takes the list of all pages. `None`: it is the known one, and was sent to the others a moment ago.
+    /// Returns the list of all collected pages, or `None` if it is unchanged and was published recently.
     pub(crate) fn finish_list(
         &mut self,
         known: Option<&WorkerList>,
--- a/system/coordinator/src/proposal.rs
+++ b/system/coordinator/src/proposal.rs
@@ -1,35 +1,35 @@
-//! A proposal and why it was made.
+//! Proposals and their purposes.
 use crate::operation::OperationId;
 use magpiegap_protocol::{Command, Millis, Role, RoleToken, RunStart, ViewNumber};
 
-/// Why a coordinator proposes something, where that matters once it is applied.
+/// The reason for a proposal, if it affects how the applied entry is handled.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Purpose {
-    /// A scheduler needs it; these are the runs in it.
+    /// ProposalDraft by a scheduler; lists the runs that it starts.
     Scheduler { runs: Vec<RunStart> },
-    /// Takes a vacant role.
+    /// Claims a vacant role.
     RoleClaim(Role),
-    /// Proves that the view stands.
+    /// Renews the lease: the commit proves that the view is still current.
     LeaseRenewal,
-    /// The first proposal in a view: once it is applied, all that was proposed in earlier views is committed or lost.
+    /// The first proposal in a view. Once it is applied, every proposal of earlier views is committed or lost.
     FirstInView,
 }
 
-/// What is to be proposed.
+/// The content of a proposal.
 #[derive(Clone, Debug)]
-pub(crate) struct Proposed {
+pub(crate) struct ProposalDraft {
     pub command: Command,
-    /// The role in whose name it is proposed, with its fencing token.
+    /// The role in which the command is proposed, with its fencing token.
     pub role_token: Option<RoleToken>,
     pub purpose: Option<Purpose>,
-    /// The operation that it completes.
+    /// The operation that the proposal completes.
     pub operation: Option<OperationId>,
 }
 
-impl Proposed {
-    /// A command for no particular purpose.
-    pub(crate) fn new(command: Command) -> Proposed {
-        Proposed {
+impl ProposalDraft {
+    /// Creates a proposal without a specific purpose.
+    pub(crate) fn new(command: Command) -> ProposalDraft {
+        ProposalDraft {
             command,
             role_token: None,
             purpose: None,
@@ -37,34 +37,34 @@
         }
     }
 
-    /// A command of this coordinator itself.
-    pub(crate) fn with_purpose(command: Command, purpose: Purpose) -> Proposed {
-        Proposed {
+    /// Creates a proposal with a purpose and without a role.
+    pub(crate) fn with_purpose(command: Command, purpose: Purpose) -> ProposalDraft {
+        ProposalDraft {
             purpose: Some(purpose),
-            ..Proposed::new(command)
+            ..ProposalDraft::new(command)
         }
     }
 
-    /// A command of a scheduler, which counts only while its token is the newest one.
-    pub(crate) fn by_scheduler(command: Command, role_token: RoleToken) -> Proposed {
+    /// Creates a proposal of a scheduler. The entry takes effect only while the scheduler's fencing token is current.
+    pub(crate) fn by_scheduler(command: Command, role_token: RoleToken) -> ProposalDraft {
         let runs = match &command {
             Command::SubmitJob { runs, .. } | Command::StartRuns { runs } => runs.clone(),
             _ => Vec::new(),
         };
-        Proposed {
+        ProposalDraft {
             role_token: Some(role_token),
-            ..Proposed::with_purpose(command, Purpose::Scheduler { runs })
+            ..ProposalDraft::with_purpose(command, Purpose::Scheduler { runs })
         }
     }
 }
 
-/// A proposal in flight: not applied here yet.
+/// A proposal in flight: submitted, but not yet applied here.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposal {
-    pub proposed: Proposed,
+    pub draft: ProposalDraft,
     pub proposed_at: Millis,
     /// The view in which it was proposed.
     pub view: ViewNumber,
-    /// When it is sent to the head again, in case it was lost on its way there.
+    /// When the proposal is resent, in case it was lost on the way to the head.
     pub retry_at: Millis,
 }
--- a/system/coordinator/src/proposals.rs
+++ b/system/coordinator/src/proposals.rs
@@ -1,44 +1,44 @@
-//! Proposals in flight, and the operations that they complete.
+//! Proposals in flight and the operations that they complete.
 use crate::{
     coordinator::Coordinator,
     operation::{Operation, OperationId, PendingOperation},
     outputs::RequestId,
-    proposal::{Proposal, Proposed},
+    proposal::{Proposal, ProposalDraft},
 };
 use magpiegap_protocol::{Command, CoordinatorResponse, Millis, ProposalId};
 
-/// An operation that has no outcome for this long gets a response without one.
+/// An operation without an outcome after this time receives a response that says so.
 const OPERATION_TIMEOUT_MS: Millis = 2000;
 
-/// Contact with a majority that is not back after this time counts as lost: a view change takes less.
+/// Contact with a majority is considered lost after this time, which exceeds the duration of a view change.
 const CONTACT_TIMEOUT_MS: Millis = 300;
 
-/// A proposal that the head may not have got is sent again after this time ...
+/// Base delay before a proposal that may not have reached the head is sent again.
 const PROPOSAL_RETRY_MS: Millis = 500;
-/// ... and after as much longer as a link of this speed needs for it, in bytes per millisecond: 1.6 Mbit/s.
+/// Slowest supported link, 1.6 Mbit/s. The retry delay is extended by the transfer time of the proposal on such a link.
 const MIN_LINK_BYTES_PER_MS: u64 = 200;
 
 impl Coordinator {
-    /// Proposes a command. Returns whether it is in flight.
-    pub(crate) fn propose(&mut self, proposed: Proposed) -> bool {
+    /// Proposes a command. Returns whether the replica accepted the proposal.
+    pub(crate) fn propose(&mut self, draft: ProposalDraft) -> bool {
         self.last_sequence += 1;
         let sequence = self.last_sequence;
-        if !self.submit_to_log(sequence, &proposed) {
+        if !self.submit_to_log(sequence, &draft) {
             return false;
         }
         let proposal = Proposal {
             proposed_at: self.now,
             view: self.replica.view().number,
-            retry_at: self.now + retry_delay_ms(&proposed.command),
-            proposed,
+            retry_at: self.now + retry_delay_ms(&draft.command),
+            draft,
         };
         self.proposals.insert(sequence, proposal);
         self.last_proposed_at = self.now;
         true
     }
 
-    /// Hands a command to the replica. Returns whether the replica takes proposals now.
-    fn submit_to_log(&mut self, sequence: u64, proposed: &Proposed) -> bool {
+    /// Passes a command to the replica. Returns whether the replica accepted it.
+    fn submit_to_log(&mut self, sequence: u64, draft: &ProposalDraft) -> bool {
         let id = ProposalId {
             origin: self.replica.own(),
             sequence,
@@ -46,12 +46,14 @@
         self.replica.propose(
             self.median_wall,
             id,
-            proposed.role_token.clone(),
-            proposed.command.clone(),
+            draft.role_token.clone(),
+            draft.command.clone(),
         )
     }
 
-    /// Sends proposals to the head again that may have been lost on their way. All commands may be applied twice.
+    /// Resends proposals that may have been lost on the way to the head. This is safe because every command may be
+    /// applied
+    /// twice.
     pub(crate) fn retry_proposals(&mut self) {
         if self.replica.is_head() || !self.replica.is_active() {
             return;
@@ -63,20 +65,20 @@
             if now < proposal.retry_at || proposal.view != view {
                 continue;
             }
-            proposal.retry_at = now + retry_delay_ms(&proposal.proposed.command);
-            self.submit_to_log(*sequence, &proposal.proposed);
+            proposal.retry_at = now + retry_delay_ms(&proposal.draft.command);
+            self.submit_to_log(*sequence, &proposal.draft);
         }
         self.proposals = proposals;
     }
 
-    /// Starts an operation, or adds the request to one in progress that has the same effect.
+    /// Starts an operation, or adds the request to a pending operation with the same effect.
     pub(crate) fn start_operation(&mut self, operation: Operation, request: RequestId) {
         if let Some(id) = self.operations.add(operation, request, self.now) {
             self.propose_operation(id);
         }
     }
 
-    /// Proposes what completes an operation.
+    /// Proposes the command that completes an operation.
     fn propose_operation(&mut self, id: OperationId) {
         if !self.has_committed_in_view {
             return;
@@ -84,40 +86,40 @@
         let Some(pending) = self.operations.get(id).cloned() else {
             return;
         };
-        let Some(proposed) = self.proposed_for(pending.operation) else {
-            self.end_operation(id);
+        let Some(draft) = self.draft_for(pending.operation) else {
+            self.abandon_operation(id);
             return;
         };
-        let proposed = Proposed {
+        let draft = ProposalDraft {
             operation: Some(id),
-            ..proposed
+            ..draft
         };
-        if self.propose(proposed) {
+        if self.propose(draft) {
             self.operations.mark_proposed(id);
         }
     }
 
-    /// What to propose for an operation. `None`: this coordinator may not propose it.
-    fn proposed_for(&mut self, operation: Operation) -> Option<Proposed> {
+    /// Returns the proposal for an operation, or `None` if this coordinator may not propose it.
+    fn draft_for(&mut self, operation: Operation) -> Option<ProposalDraft> {
         Some(match operation {
-            Operation::Submit(submission) => return self.proposed_submission(*submission),
-            Operation::Cancel(job) => Proposed::new(Command::CancelJob { job }),
+            Operation::Submit(submission) => return self.draft_submission(*submission),
+            Operation::Cancel(job) => ProposalDraft::new(Command::CancelJob { job }),
             Operation::ReplaceConfiguration {
                 base,
                 version,
                 body,
                 change,
-            } => Proposed::new(Command::ReplaceConfiguration {
+            } => ProposalDraft::new(Command::ReplaceConfiguration {
                 base,
                 version,
                 body,
                 change,
             }),
-            Operation::DescribeConfiguration => Proposed::new(Command::Noop),
+            Operation::DescribeConfiguration => ProposalDraft::new(Command::Noop),
         })
     }
 
-    /// Responds to all requests that wait for an operation.
+    /// Removes an operation and responds to all requests that wait for it.
     pub(crate) fn complete_operation(&mut self, id: OperationId, response: &CoordinatorResponse) {
         let Some(pending) = self.operations.remove(id) else {
             return;
@@ -127,8 +129,8 @@
         }
     }
 
-    /// Ends operations that have timed out, and all of them once contact with a majority is lost: a caller that hears so
-    /// within a second asks another coordinator.
+    /// Aborts operations that have timed out, or all operations once contact with a majority is lost. Callers that are
+    /// rejected within a second retry at another coordinator.
     pub(crate) fn expire_operations(&mut self) {
         let now = self.now;
         self.contact_outage
@@ -138,28 +140,29 @@
             has_lost_contact || now >= pending.started_at + OPERATION_TIMEOUT_MS
         };
         for id in self.operations.matching(|_, pending| is_expired(pending)) {
-            self.end_operation(id);
+            self.abandon_operation(id);
         }
     }
 
-    /// Ends an operation without an outcome.
-    fn end_operation(&mut self, id: OperationId) {
+    /// Ends an operation whose outcome is unknown.
+    fn abandon_operation(&mut self, id: OperationId) {
         let pending = self.operations.get(id);
         if let Some(response) = pending.map(PendingOperation::response_without_outcome) {
             self.complete_operation(id, &response);
         }
     }
 
-    /// Proposes the operations again that a view change has left without a proposal in flight.
-    pub(crate) fn propose_open_operations(&mut self) {
-        // After a pause of this process some may be old, and their callers long since served by others.
+    /// Proposes operations again whose proposals were lost in a view change.
+    pub(crate) fn repropose_operations(&mut self) {
+        // After a pause of this process, operations may have expired and their callers been served by other
+        // coordinators.
         self.expire_operations();
         let view = self.replica.view().number;
         self.proposals.retain(|_, proposal| proposal.view == view);
         let in_flight: Vec<OperationId> = self
             .proposals
             .values()
-            .filter_map(|proposal| proposal.proposed.operation)
+            .filter_map(|proposal| proposal.draft.operation)
             .collect();
         let open = self.operations.matching(|id, _| !in_flight.contains(&id));
         for id in open {
@@ -168,7 +171,7 @@
     }
 }
 
-/// After how long a command that is not in the log is sent to the head again.
+/// Returns the delay after which an unapplied command is resent to the head.
 fn retry_delay_ms(command: &Command) -> Millis {
     PROPOSAL_RETRY_MS + command.estimated_bytes() as u64 / MIN_LINK_BYTES_PER_MS
 }
--- a/system/coordinator/src/reads.rs
+++ b/system/coordinator/src/reads.rs
@@ -1,9 +1,9 @@
-//! Queries about jobs.
+//! Linearizable queries about jobs.
 //!
-//! That a job has ended, and how, never changes, so any coordinator may say it at any time. Every other response may be
-//! out of date a moment later: it is given by the tail only, and only once a majority of the voters has confirmed that
-//! the view stood after the query had come. A tail that was left out of the view, or has stood still, thus shows
-//! nothing older than what had been acknowledged when the query came.
+//! The final phase of a job never changes, so any coordinator may return it at any time. All other responses are given
+//! only by the tail, and only after a majority of the voters has confirmed that the view was still current after the
+//! query was received. A tail that was removed from the view or was paused therefore never returns a state older than
+//! what had been acknowledged when the query was received.
 use crate::{
     coordinator::Coordinator,
     job_query::{JobQuery, PendingRead, QueryKind},
@@ -12,11 +12,11 @@
 };
 use magpiegap_protocol::{CoordinatorResponse, JobId, JobPhase, Millis};
 
-/// A query that could not be answered for this long is rejected, so that another coordinator is asked.
+/// A query that cannot be answered within this time is rejected, so that the caller tries another coordinator.
 const READ_TIMEOUT_MS: Millis = 350;
 
 impl Coordinator {
-    /// Accepts a query; its response comes as an output, now or later.
+    /// Accepts a query. The response is an output of this or a later call.
     pub(crate) fn read(&mut self, request: RequestId, query: JobQuery) {
         if let Some(response) = self.final_response(&query) {
             self.respond(request, response);
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Responds to the queries whose turn has come.
+    /// Responds to queries that can be answered now, and rejects those that have timed out or cannot be served here.
     pub(crate) fn respond_to_reads(&mut self) {
         if self.pending_reads.is_empty() {
             return;
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Whether this coordinator has all that is committed in its view.
+    /// Returns whether this coordinator has every entry that is committed in its view.
     pub(crate) fn can_serve_reads(&self) -> bool {
         self.replica.is_tail() && self.has_committed_in_view
     }
 
-    /// The response, where it can never become another one.
+    /// Returns the response if the job has ended, because it can then no longer change.
     fn final_response(&self, query: &JobQuery) -> Option<CoordinatorResponse> {
         let phase = self
             .phase(&query.queue, query.job)
@@ -72,7 +72,7 @@
         match (self.phase(&query.queue, query.job), query.kind) {
             (None, _) => self.respond(read.request, CoordinatorResponse::NoSuchJob),
             (Some(_), QueryKind::Cancel) => {
-                self.start_operation_in_contact(read.request, Operation::Cancel(query.job));
+                self.start_operation_with_quorum(read.request, Operation::Cancel(query.job));
             }
             (Some(phase), QueryKind::Status) => {
                 self.respond(read.request, CoordinatorResponse::Phase(phase));
@@ -80,7 +80,7 @@
         }
     }
 
-    /// A job's phase, when it is known here and was submitted to that queue.
+    /// Returns the phase of a job that is known here and was submitted to the given queue.
     pub(crate) fn phase(&self, queue: &str, job: JobId) -> Option<JobPhase> {
         let job = self.machine.state.jobs.get(&job)?;
         (job.submission.queue == queue).then_some(job.phase)
--- a/system/coordinator/src/requests.rs
+++ b/system/coordinator/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of agents, proxies and the operator's interface: each gets one response, as an output.
+//! Requests from agents, proxies and the operator interface. Each receives exactly one response, as an output.
 use crate::{
     coordinator::Coordinator,
     job_list::JobList,
@@ -12,7 +12,7 @@
 };
 
 impl Coordinator {
-    /// Handles a request; its response comes as an output, now or later.
+    /// Handles a request. The response is an output of this or a later call.
     pub fn handle_request(
         &mut self,
         now: Millis,
@@ -28,7 +28,7 @@
                 self.read(request, JobQuery { queue, job, kind });
             }
             CoordinatorRequest::Cancel { queue, job } => self.cancel(request, &queue, job),
-            CoordinatorRequest::Count { queue } => self.count(request, &queue),
+            CoordinatorRequest::Count { queue } => self.count_open_jobs(request, &queue),
             CoordinatorRequest::Poll(poll) => self.poll(request, poll),
             CoordinatorRequest::FetchConfiguration(fetch) => {
                 self.fetch_configuration(request, &fetch)
@@ -37,7 +37,7 @@
                 self.replace_configuration(request, base, body);
             }
             CoordinatorRequest::DescribeConfiguration => {
-                self.start_operation_in_contact(request, Operation::DescribeConfiguration);
+                self.start_operation_with_quorum(request, Operation::DescribeConfiguration);
             }
             CoordinatorRequest::Describe => {
                 let text = serde_json::to_string(&self.describe()).unwrap_or_default();
@@ -62,9 +62,10 @@
         });
     }
 
-    /// Starts an operation where the log may still grow: a coordinator without contact with a majority says at once that
-    /// another one has to be asked.
-    pub(crate) fn start_operation_in_contact(&mut self, request: RequestId, operation: Operation) {
+    /// Starts an operation if this coordinator has contact with a majority. Otherwise rejects the request immediately,
+    /// so
+    /// that the caller tries another coordinator.
+    pub(crate) fn start_operation_with_quorum(&mut self, request: RequestId, operation: Operation) {
         if self.replica.has_quorum_contact(self.now) {
             self.start_operation(operation, request);
         } else {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Checks a configuration, and proposes it with what leads to it from the version in force here.
+    /// Validates a configuration and proposes it with the encoded difference from its base version.
     fn replace_configuration(&mut self, request: RequestId, base: u64, body: Vec<u8>) {
         if !self.replica.has_quorum_contact(self.now) {
             self.respond(request, CoordinatorResponse::NotServing);
@@ -104,11 +105,11 @@
             self.respond(request, CoordinatorResponse::Accepted);
             return;
         }
-        let is_scheduled_here = self
+        let has_active_scheduler = self
             .schedulers
             .get(&submission.service)
             .is_some_and(|scheduler| !scheduler.is_deposed());
-        if !is_scheduled_here || self.draining {
+        if !has_active_scheduler || self.draining {
             self.respond(request, CoordinatorResponse::NotServing);
             return;
         }
@@ -116,11 +117,12 @@
         self.start_operation(Operation::Submit(submission), request);
     }
 
-    /// Cancels a job. One that is known here is proposed at once; whether another one exists has to be read.
+    /// Cancels a job. If it is an unfinished job known here, the cancellation is proposed immediately; otherwise a
+    /// confirmed read determines whether the job exists.
     fn cancel(&mut self, request: RequestId, queue: &str, job: JobId) {
         match self.phase(queue, job) {
             Some(phase) if !phase.is_terminal() => {
-                self.start_operation_in_contact(request, Operation::Cancel(job))
+                self.start_operation_with_quorum(request, Operation::Cancel(job))
             }
             _ => self.read(
                 request,
@@ -133,7 +135,7 @@
         }
     }
 
-    fn count(&mut self, request: RequestId, queue: &str) {
+    fn count_open_jobs(&mut self, request: RequestId, queue: &str) {
         let count = self
             .machine
             .state
@@ -141,7 +143,7 @@
             .get(queue)
             .copied()
             .unwrap_or(0);
-        let response = if self.is_informed() {
+        let response = if self.is_up_to_date() {
             CoordinatorResponse::Count(count)
         } else {
             CoordinatorResponse::NotServing
@@ -149,13 +151,13 @@
         self.respond(request, response);
     }
 
-    /// Responds to the requests of an operation that an entry has decided.
-    pub(crate) fn complete_operation_with(&mut self, id: OperationId, outcome: Outcome) {
+    /// Completes an operation whose proposal was applied, with the response for its outcome.
+    pub(crate) fn complete_operation_with_outcome(&mut self, id: OperationId, outcome: Outcome) {
         let Some(pending) = self.operations.get(id) else {
             return;
         };
         let response = match (&pending.operation, outcome) {
-            // The scheduler's role has passed on: whether another entry accepts the job isn't known here.
+            // The scheduler lost its role. Whether another entry accepts the job is not known here.
             (_, Outcome::Fenced) => CoordinatorResponse::Unknown,
             (Operation::Submit(_), _) => CoordinatorResponse::Accepted,
             (Operation::Cancel(_), Outcome::Void) => CoordinatorResponse::NoSuchJob,
--- a/system/coordinator/src/roles.rs
+++ b/system/coordinator/src/roles.rs
@@ -1,28 +1,29 @@
-//! Singleton roles: claimed whenever one is vacant, and given to whoever's claim comes first in the log; each with a
-//! fencing token, and acted on only under a lease.
+//! Singleton roles. Vacant roles are claimed through the log, and the first claim wins. Each holder has a fencing token
+//! and acts only while it has a lease.
 use crate::{
     coordinator::Coordinator,
     outputs::Output,
-    proposal::{Proposed, Purpose},
+    proposal::{ProposalDraft, Purpose},
 };
 use magpiegap_jobs::Configuration;
 use magpiegap_protocol::{Command, FencingToken, Millis, Role, RoleToken, Submission};
 use magpiegap_scheduler::{Output as SchedulerOutput, Scheduler, WorkerReply};
 use std::collections::BTreeMap;
 
-/// How much longer each further candidate waits before it claims a vacant role.
+/// Additional delay of each lower-ranked candidate before it claims a vacant role.
 const CLAIM_DELAY_MS: Millis = 200;
-/// A role holder proposes something at least this often, so that it knows that its view stands.
+/// Interval at which a role holder makes a proposal if it has no other, to confirm that its view is current.
 const LEASE_RENEWAL_INTERVAL_MS: Millis = 300;
 
 impl Coordinator {
-    /// Whether this coordinator may act in its roles: the others can't have gone on without it yet.
+    /// Returns whether this coordinator may act in its roles. While the lease lasts, the other coordinators cannot have
+    /// installed a view without it.
     pub(crate) fn holds_lease(&self) -> bool {
         self.now < self.lease_expiry && self.has_committed_in_view && self.replica.is_active()
     }
 
-    /// All roles that someone should hold, in a fixed order.
-    fn expected_roles(&self) -> Vec<Role> {
+    /// Returns all roles that must have a holder, in a fixed order.
+    fn required_roles(&self) -> Vec<Role> {
         let services = self
             .configurations
             .newest()
@@ -34,9 +35,9 @@
         schedulers.chain([Role::PlatformReader]).collect()
     }
 
-    /// Claims the roles that are vacant, where it is this coordinator's turn.
+    /// Claims vacant roles for which this coordinator's claim delay has passed.
     pub(crate) fn claim_roles(&mut self) {
-        // A claim from before the first commit in the view may be void, and does no harm.
+        // A claim made before the first commit in the view may be based on an outdated token; it is then rejected.
         if self.entered_view.is_none() || !self.replica.is_active() || self.draining {
             return;
         }
@@ -45,10 +46,10 @@
         let Some(position) = chain.iter().position(|replica| *replica == own) else {
             return;
         };
-        for (number, role) in self.expected_roles().into_iter().enumerate() {
+        for (number, role) in self.required_roles().into_iter().enumerate() {
             let state = self.machine.state.roles.get(&role).copied();
-            let is_owned = state.is_some_and(|state| chain.contains(&state.holder));
-            if is_owned && !self.is_deposed(&role) {
+            let has_active_holder = state.is_some_and(|state| chain.contains(&state.holder));
+            if has_active_holder && !self.is_deposed(&role) {
                 self.roles_vacant_since.remove(&role);
                 continue;
             }
@@ -56,7 +57,7 @@
                 .roles_vacant_since
                 .entry(role.clone())
                 .or_insert(self.now);
-            // The first candidate is another replica for each role, so that the roles spread over the chain.
+            // Each role has a different first candidate, so that roles are spread over the chain.
             let rank = (position + chain.len() - number % chain.len()) % chain.len();
             let claim_at = vacant_since + rank as u64 * CLAIM_DELAY_MS;
             if self.now >= claim_at && !self.has_claim_in_flight(&role) {
@@ -66,19 +67,22 @@
                     holder: own,
                     expected,
                 };
-                self.propose(Proposed::with_purpose(command, Purpose::RoleClaim(role)));
+                self.propose(ProposalDraft::with_purpose(
+                    command,
+                    Purpose::RoleClaim(role),
+                ));
             }
         }
     }
 
     fn has_claim_in_flight(&self, role: &Role) -> bool {
         self.proposals.values().any(
-            |proposal| matches!(&proposal.proposed.purpose, Some(Purpose::RoleClaim(claimed)) if claimed == role),
+            |proposal| matches!(&proposal.draft.purpose, Some(Purpose::RoleClaim(claimed)) if claimed == role),
         )
     }
 
-    /// Whether a scheduler here has met a worker that has seen a higher token. It has stopped acting: either another
-    /// coordinator holds the role, and the log will say so, or the role is claimed anew with a higher token.
+    /// Returns whether a local scheduler has contacted a worker that has seen a higher token. The scheduler has then
+    /// stopped. Either the log will show another holder, or the role must be claimed again to get a higher token.
     fn is_deposed(&self, role: &Role) -> bool {
         match role {
             Role::Scheduler(service) => self
@@ -89,16 +93,19 @@
         }
     }
 
-    /// Renews the lease of a role holder by proposing something, where nothing else was proposed lately.
+    /// Renews the lease of a role holder by a no-op proposal if nothing else was proposed recently.
     pub(crate) fn renew_lease(&mut self) {
         let holds_role = !self.schedulers.is_empty() || self.platform_reader.is_some();
         let is_due = self.now >= self.last_proposed_at + LEASE_RENEWAL_INTERVAL_MS;
         if holds_role && self.has_committed_in_view && is_due {
-            self.propose(Proposed::with_purpose(Command::Noop, Purpose::LeaseRenewal));
+            self.propose(ProposalDraft::with_purpose(
+                Command::Noop,
+                Purpose::LeaseRenewal,
+            ));
         }
     }
 
-    /// Begins and ends the work of roles as the log has it.
+    /// Starts and stops schedulers and the platform reader according to the roles in the replicated state.
     pub(crate) fn update_roles(&mut self) {
         let own = self.replica.own();
         let mut scheduler_tokens: BTreeMap<String, FencingToken> = BTreeMap::new();
@@ -137,11 +144,13 @@
         if let Some(list) = &self.platform_list {
             scheduler.handle_worker_list(self.now, &self.machine.state, &list.workers);
         }
-        self.log(format!("scheduler of {service} with token {token}"));
+        self.log(format!(
+            "started scheduler of service {service} with fencing token {token}"
+        ));
         self.schedulers.insert(service, scheduler);
     }
 
-    /// Puts the newest configuration of the log in force.
+    /// Switches to the newest configuration of the replicated state.
     pub(crate) fn update_configuration(&mut self) {
         let state = &self.machine.state.configuration;
         if state.version
@@ -155,14 +164,14 @@
         if self.configurations.follow(state.version, &state.change) {
             return;
         }
-        // Only valid ones get into the log.
+        // The log contains only valid configurations.
         if let Ok(configuration) = Configuration::parse(&state.body) {
             self.configurations.push(configuration);
         }
     }
 
-    /// What to propose to accept a job. `None`: its service's scheduler does not act here.
-    pub(crate) fn proposed_submission(&mut self, submission: Submission) -> Option<Proposed> {
+    /// Returns the proposal that accepts a job, or `None` if the scheduler of its service is not active here.
+    pub(crate) fn draft_submission(&mut self, submission: Submission) -> Option<ProposalDraft> {
         if !self.holds_lease() {
             return None;
         }
@@ -177,10 +186,10 @@
             role: Role::Scheduler(service),
             token: scheduler.token(),
         };
-        Some(Proposed::by_scheduler(command, role_token))
+        Some(ProposalDraft::by_scheduler(command, role_token))
     }
 
-    /// Runs the schedulers, and performs their outputs.
+    /// Runs the schedulers and performs their outputs.
     pub(crate) fn run_schedulers(&mut self) {
         if !self.holds_lease() {
             return;
@@ -227,10 +236,10 @@
             role: Role::Scheduler(service.to_owned()),
             token,
         };
-        self.propose(Proposed::by_scheduler(command, role_token));
+        self.propose(ProposalDraft::by_scheduler(command, role_token));
     }
 
-    /// Handles a worker's reply to a call, or that there was none in time.
+    /// Handles a worker's reply to a call, or its timeout.
     pub fn handle_worker_reply(
         &mut self,
         now: Millis,
--- a/system/coordinator/src/settings.rs
+++ b/system/coordinator/src/settings.rs
@@ -6,12 +6,12 @@
 /// Settings of a coordinator, its replica and its schedulers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinatorSettings {
-    /// For its replica.
+    /// Settings of the replica.
     pub control: ControlSettings,
-    /// For its schedulers.
+    /// Settings of the schedulers.
     pub scheduler: SchedulerSettings,
-    /// Duration of a lease: a role is acted on for this long after a proposal of this coordinator that was committed.
+    /// Lease duration. Roles are exercised for this long after the proposal time of a committed local proposal.
     pub lease_ms: Millis,
-    /// Interval between two readings of the platform's list.
+    /// Interval between reads of the platform's worker list.
     pub list_interval_ms: Millis,
 }
--- a/system/jobs/src/apply_runs.rs
+++ b/system/jobs/src/apply_runs.rs
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Closes all runs of a worker incarnation, and removes the worker if the incarnation has ended.
+    /// Closes all runs of a worker incarnation. An ended incarnation never runs anything again, so its record is removed.
     pub(crate) fn lose_incarnation(&mut self, incarnation: &str, has_ended: bool) -> Outcome {
         let Some(worker) = self.state.workers.get_mut(incarnation) else {
             return Outcome::Void;
