--- a/system/coordinator/tests/common/mod.rs
+++ b/system/coordinator/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A coordinator alone in its view, whose disk syncs at once and whose clock the test moves.
+//! Test fixture: a single coordinator that forms its own view, with an instantaneous disk and a simulated clock.
 use magpiegap_control::{ControlSettings, DurableState, Output as ControlOutput, Tolerance};
 use magpiegap_coordinator::{
     take_snapshot, Coordinator, CoordinatorSettings, Machine, Output, PlatformReply,
@@ -10,34 +10,34 @@
 };
 use magpiegap_scheduler::{SchedulerSettings, WorkerCall, WorkerReply};
 
-/// Time of day when the coordinator starts.
+/// Wall-clock time at which the coordinator starts, in milliseconds since the Unix epoch.
 const START_WALL_MS: u64 = 1_700_000_000_000;
-/// Length of one step of simulated time, in milliseconds.
+/// Interval between timeouts in simulated time, in milliseconds.
 const STEP_MS: u64 = 10;
-/// The coordinator's own address, as a number.
+/// Address of the coordinator.
 const OWN_ADDRESS: u32 = 1;
-/// The service of the only queue.
+/// Service of the only route.
 pub(crate) const SERVICE: &str = "s";
 const CONFIGURATION: &str = r#"{"version":1,"routes":[{"name":"q","hostname":"h","pathPrefix":"/q/","timeoutMs":1000,"service":"s"}],"services":[{"name":"s"}]}"#;
 
-/// A call to a worker, with the token under which it was made.
-pub(crate) struct MadeCall {
+/// A call to a worker and the fencing token under which it was sent.
+pub(crate) struct SentCall {
     pub token: FencingToken,
     pub call: WorkerCall,
 }
 
-pub(crate) struct LoneCoordinator {
+pub(crate) struct CoordinatorFixture {
     pub coordinator: Coordinator,
     now: u64,
-    /// Calls to workers that have no reply yet.
-    pub calls: Vec<MadeCall>,
-    /// Calls to the platform that have no reply yet.
+    /// Worker calls without a reply.
+    pub calls: Vec<SentCall>,
+    /// Platform calls without a reply.
     platform_calls: Vec<u64>,
 }
 
-impl LoneCoordinator {
-    /// A coordinator that holds all roles and has read a list with one worker.
-    pub(crate) fn new() -> LoneCoordinator {
+impl CoordinatorFixture {
+    /// Creates a coordinator that holds all roles and has read a list with one worker.
+    pub(crate) fn new() -> CoordinatorFixture {
         let own = replica(OWN_ADDRESS);
         let empty = DurableState::empty(
             0,
@@ -46,30 +46,32 @@
             take_snapshot(&State::default()),
         );
         let coordinator = Coordinator::new(settings(own), empty, Machine::default(), 0);
-        let mut lone = LoneCoordinator {
+        let mut fixture = CoordinatorFixture {
             coordinator,
             now: 0,
             calls: Vec::new(),
             platform_calls: Vec::new(),
         };
-        lone.advance(2000);
+        fixture.advance(2000);
         let replace = CoordinatorRequest::ReplaceConfiguration {
             base: 0,
             body: CONFIGURATION.as_bytes().to_vec(),
         };
-        let wall = lone.wall();
-        lone.coordinator.handle_request(lone.now, wall, 1, replace);
-        lone.advance(2000);
-        lone.reply_to_platform_calls(&[worker("w1")]);
-        lone.advance(100);
-        lone
+        let wall = fixture.wall();
+        fixture
+            .coordinator
+            .handle_request(fixture.now, wall, 1, replace);
+        fixture.advance(2000);
+        fixture.reply_to_platform_calls(&[worker("w1")]);
+        fixture.advance(100);
+        fixture
     }
 
     fn wall(&self) -> WallMillis {
         WallMillis(START_WALL_MS + self.now)
     }
 
-    /// Lets time pass.
+    /// Advances simulated time.
     pub(crate) fn advance(&mut self, for_ms: u64) {
         let until = self.now + for_ms;
         while self.now < until {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Lets a message of another coordinator arrive.
+    /// Delivers a message from another coordinator.
     pub(crate) fn handle_message(&mut self, message: PeerMessage) {
         let wall = self.wall();
         self.coordinator
@@ -87,7 +89,7 @@
         self.perform_outputs();
     }
 
-    /// Lets a reply to a call arrive that was made under a token.
+    /// Delivers a worker's reply to a call sent under the given token.
     pub(crate) fn handle_worker_reply(
         &mut self,
         token: FencingToken,
@@ -99,7 +101,7 @@
         self.perform_outputs();
     }
 
-    /// Answers all calls to the platform with a list of one page.
+    /// Replies to all pending platform calls with a single-page worker list.
     fn reply_to_platform_calls(&mut self, workers: &[WorkerEntry]) {
         for call in std::mem::take(&mut self.platform_calls) {
             let reply = PlatformReply::Page {
@@ -112,12 +114,12 @@
         self.perform_outputs();
     }
 
-    /// The token of a role that this coordinator has claimed.
+    /// Returns the current token of a role.
     pub(crate) fn token(&self, role: &Role) -> FencingToken {
         self.coordinator.state().fencing_token(role)
     }
 
-    /// How many workers its scheduler knows.
+    /// Returns the number of workers known to the schedulers.
     pub(crate) fn known_workers(&self) -> usize {
         let description = self.coordinator.describe();
         let schedulers = description.schedulers.iter();
@@ -144,7 +146,7 @@
                 let wall = self.wall();
                 self.coordinator.handle_persisted(self.now, wall, ticket);
             }
-            // Its own vote: it is the only voter.
+            // The coordinator is the only voter, so it receives its own vote.
             Output::Control(ControlOutput::Send { to, message }) if to == OWN_ADDRESS => {
                 let wall = self.wall();
                 self.coordinator.handle_messages(
@@ -158,13 +160,13 @@
                 ControlOutput::Send { .. } | ControlOutput::DiskSuperseded | ControlOutput::Log(_),
             )
             | Output::Answer { .. } => {}
-            Output::CallWorker { token, call, .. } => self.calls.push(MadeCall { token, call }),
+            Output::CallWorker { token, call, .. } => self.calls.push(SentCall { token, call }),
             Output::ListWorkers { call, .. } => self.platform_calls.push(call),
         }
     }
 }
 
-/// The process of a machine.
+/// Returns the replica ID of the coordinator at an address.
 fn replica(address: u32) -> ReplicaId {
     ReplicaId {
         member: Member { address, disk: 0 },
@@ -172,7 +174,7 @@
     }
 }
 
-/// A worker as the platform lists it.
+/// Returns a worker entry as listed by the platform.
 pub(crate) fn worker(name: &str) -> WorkerEntry {
     WorkerEntry {
         incarnation: name.to_owned(),
--- a/system/coordinator/tests/job_list.rs
+++ b/system/coordinator/tests/job_list.rs
@@ -1,4 +1,4 @@
-//! Lists of jobs for operators.
+//! Filters, pagination and task counts of job lists.
 use googletest::prelude::*;
 use magpiegap_coordinator::JobList;
 use magpiegap_jobs::State;
@@ -31,8 +31,8 @@
     });
 }
 
-/// Ten jobs; every third one is of the queue `h/b/`, the others of `h/a/`. Job 4 is cancelled.
-fn ten_jobs() -> State {
+/// A state with ten jobs. Every third job belongs to queue `h/b/`, the others to `h/a/`. Job 4 is cancelled.
+fn state_with_ten_jobs() -> State {
     let mut state = State::default();
     for number in 1..=10 {
         let queue = if number % 3 == 0 { "h/b/" } else { "h/a/" };
@@ -66,24 +66,24 @@
     state
 }
 
-fn names(list: &JobList) -> Vec<u64> {
+fn job_ids(list: &JobList) -> Vec<u64> {
     list.jobs
         .iter()
-        .filter_map(|line| JobId::parse(&line.job))
+        .filter_map(|row| JobId::parse(&row.job))
         .map(|job| job.0)
         .collect()
 }
 
 #[googletest::test]
-fn given_a_queue_or_state_when_jobs_are_listed_then_only_those_are_there() {
-    let state = ten_jobs();
+fn filters_select_jobs_by_queue_and_phase() {
+    let state = state_with_ten_jobs();
     let of_queue = JobFilter {
         queue: Some("h/b/".to_owned()),
         limit: 100,
         ..JobFilter::default()
     };
     expect_that!(
-        names(&JobList::of(&state, &of_queue)),
+        job_ids(&JobList::of(&state, &of_queue)),
         elements_are![eq(&3), eq(&6), eq(&9)]
     );
     let cancelled = JobFilter {
@@ -92,14 +92,14 @@
         ..JobFilter::default()
     };
     let list = JobList::of(&state, &cancelled);
-    expect_that!(names(&list), elements_are![eq(&4)]);
+    expect_that!(job_ids(&list), elements_are![eq(&4)]);
     expect_that!(list.jobs[0].state, eq("cancelled"));
     expect_that!(list.entry, eq(11));
 }
 
 #[googletest::test]
-fn given_more_jobs_than_the_limit_when_they_are_listed_in_parts_then_each_comes_once() {
-    let state = ten_jobs();
+fn pages_list_every_job_exactly_once() {
+    let state = state_with_ten_jobs();
     let mut filter = JobFilter {
         limit: 4,
         ..JobFilter::default()
@@ -107,7 +107,7 @@
     let mut found = Vec::new();
     for _ in 0..5 {
         let list = JobList::of(&state, &filter);
-        found.extend(names(&list));
+        found.extend(job_ids(&list));
         match list.next {
             Some(next) => filter.after = JobId::parse(&next),
             None => break,
@@ -117,9 +117,9 @@
 }
 
 #[googletest::test]
-fn given_a_job_that_waits_when_it_is_listed_then_its_tasks_are_counted() {
+fn tasks_of_a_pending_job_are_counted() {
     let list = JobList::of(
-        &ten_jobs(),
+        &state_with_ten_jobs(),
         &JobFilter {
             limit: 1,
             ..JobFilter::default()
--- a/system/jobs/tests/common/job.rs
+++ b/system/jobs/tests/common/job.rs
@@ -1,4 +1,4 @@
-//! One job, and the steps that tests take with it.
+//! Helpers for tests with a single job.
 use super::apply;
 use magpiegap_jobs::{Applied, Outcome, State};
 use magpiegap_protocol::{
@@ -6,7 +6,7 @@
     Submission, TaskId, WallMillis,
 };
 
-/// The job.
+/// ID of the only job.
 pub(crate) const JOB: JobId = JobId(7);
 
 pub(crate) fn step(count: u32) -> StepSpec {
@@ -44,24 +44,24 @@
     .outcome
 }
 
-/// A state with the job of these steps.
-pub(crate) fn with_job(steps: Vec<StepSpec>) -> State {
+/// Creates a state with a job that consists of the given steps.
+pub(crate) fn state_with_job(steps: Vec<StepSpec>) -> State {
     let mut state = State::default();
     submit(&mut state, submission(steps));
     state
 }
 
-/// A run that the state has as started.
-pub(crate) fn started(
+/// Starts a run and returns its description.
+pub(crate) fn start_run(
     state: &mut State,
     step: u32,
     index: u32,
     run: u32,
     incarnation: &str,
 ) -> RunStart {
-    let start = start(step, index, run, incarnation);
-    start_runs(state, vec![start.clone()]);
-    start
+    let run = run_start(step, index, run, incarnation);
+    start_runs(state, vec![run.clone()]);
+    run
 }
 
 pub(crate) fn task(step: u32, index: u32) -> TaskId {
@@ -73,7 +73,7 @@
     }
 }
 
-pub(crate) fn start(step: u32, index: u32, run: u32, incarnation: &str) -> RunStart {
+pub(crate) fn run_start(step: u32, index: u32, run: u32, incarnation: &str) -> RunStart {
     RunStart {
         task: task(step, index),
         run,
@@ -90,12 +90,12 @@
     state: &mut State,
     incarnation: &str,
     acknowledged_completion: u64,
-    start: &RunStart,
+    run: &RunStart,
     kind: CompletionKind,
 ) -> Applied {
     let completions = vec![RunCompletion {
-        task: start.task,
-        run: start.run,
+        task: run.task,
+        run: run.run,
         kind,
         checkpoint: String::new(),
     }];
--- a/system/jobs/tests/common/mod.rs
+++ b/system/jobs/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The harness of the tests: entries that are applied one after the other.
+//! Helpers that apply commands as consecutive log entries.
 #![allow(dead_code)]
 pub(crate) mod job;
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// Applies a command as the holder of a role, or of none.
+/// Applies a command, optionally in a role.
 pub(crate) fn apply_as(
     state: &mut State,
     role_token: Option<RoleToken>,
@@ -41,7 +41,7 @@
     })
 }
 
-/// Applies a command that needs no role.
+/// Applies a command without a role.
 pub(crate) fn apply(state: &mut State, command: Command) -> Applied {
     apply_as(state, None, command)
 }
--- a/system/jobs/tests/configuration.rs
+++ b/system/jobs/tests/configuration.rs
@@ -1,12 +1,12 @@
-//! Configurations are read and validated, and each fault is named by its field.
+//! Parsing and validation of configurations, and route lookup.
 use googletest::prelude::*;
 use magpiegap_jobs::Configuration;
 
 const SERVICE: &str = r#"{"name":"s","healthPath":"/health","maxConnections":64,"guards":true}"#;
 
-fn route(name: &str, prefix: &str, rest: &str) -> String {
+fn route(name: &str, prefix: &str, more_fields: &str) -> String {
     format!(
-        r#"{{"name":"{name}","hostname":"h.example","pathPrefix":"{prefix}","service":"s"{rest}}}"#
+        r#"{{"name":"{name}","hostname":"h.example","pathPrefix":"{prefix}","service":"s"{more_fields}}}"#
     )
 }
 
@@ -17,14 +17,14 @@
     )
 }
 
-fn fault(text: &str) -> String {
+fn parse_error(text: &str) -> String {
     Configuration::parse(text.as_bytes())
         .map(|_| String::new())
         .unwrap_or_else(|error| error.to_string())
 }
 
 #[googletest::test]
-fn given_a_valid_configuration_when_a_path_is_looked_up_then_the_longest_prefix_counts() {
+fn lookup_selects_the_longest_matching_prefix() {
     let routes = [
         route("a", "/x/", r#","timeoutMs":5"#),
         route("b", "/x/y/", r#","timeoutMs":5,"priority":2"#),
@@ -42,43 +42,43 @@
 }
 
 #[googletest::test]
-fn given_invalid_configurations_when_they_are_read_then_the_fault_is_named() {
+fn parse_errors_identify_the_invalid_element() {
     let valid = route("a", "/x/", r#","timeoutMs":5"#);
     let complete = configuration("4", std::slice::from_ref(&valid));
-    expect_that!(fault(&complete), eq(""));
+    expect_that!(parse_error(&complete), eq(""));
     expect_that!(
-        fault(&complete[..complete.len() - 3]),
+        parse_error(&complete[..complete.len() - 3]),
         starts_with("body is not valid JSON")
     );
     expect_that!(
-        fault(&configuration("0", std::slice::from_ref(&valid))),
+        parse_error(&configuration("0", std::slice::from_ref(&valid))),
         starts_with("version")
     );
     expect_that!(
-        fault(&configuration("-1", std::slice::from_ref(&valid))),
+        parse_error(&configuration("-1", std::slice::from_ref(&valid))),
         starts_with("version")
     );
     expect_that!(
-        fault(&configuration("4", &[route("a", "/x/", "")])),
+        parse_error(&configuration("4", &[route("a", "/x/", "")])),
         starts_with("routes[0].timeoutMs")
     );
     expect_that!(
-        fault(&configuration(
+        parse_error(&configuration(
             "4",
             &[route("a", "/x/", r#","timeoutMs":0"#)]
         )),
         starts_with("routes[0].timeoutMs")
     );
-    let same_match = [valid.clone(), route("b", "/x/", r#","timeoutMs":5"#)];
+    let duplicate_match = [valid.clone(), route("b", "/x/", r#","timeoutMs":5"#)];
     expect_that!(
-        fault(&configuration("4", &same_match)),
+        parse_error(&configuration("4", &duplicate_match)),
         contains_substring("same host and prefix")
     );
-    let unknown = valid.replace(r#""service":"s""#, r#""service":"t""#);
+    let unknown_service = valid.replace(r#""service":"s""#, r#""service":"t""#);
     expect_that!(
-        fault(&configuration("4", &[unknown])),
+        parse_error(&configuration("4", &[unknown_service])),
         contains_substring("unknown service t")
     );
-    expect_that!(fault("[]"), contains_substring("must be an object"));
-    expect_that!(fault("\u{0}"), starts_with("body is not valid JSON"));
+    expect_that!(parse_error("[]"), contains_substring("must be an object"));
+    expect_that!(parse_error("\u{0}"), starts_with("body is not valid JSON"));
 }
--- a/system/jobs/tests/consistency.rs
+++ b/system/jobs/tests/consistency.rs
@@ -1,9 +1,9 @@
-//! Inconsistent states are found out, and each contradiction is named.
+//! Consistency checks report each inconsistency of a state.
 mod common;
 
 use common::{
     apply,
-    job::{complete, start, step, submission, task, JOB},
+    job::{complete, run_start, step, submission, task, JOB},
 };
 use googletest::prelude::*;
 use magpiegap_jobs::{Inconsistency, State};
@@ -11,9 +11,9 @@
 
 const QUEUE: &str = "h/q/";
 
-/// A job of two tasks: one is done, one runs.
-fn half_done_state() -> State {
-    let runs = vec![start(0, 0, 1, "w"), start(0, 1, 1, "w")];
+/// A state with a job of two tasks. One task is done, the other has an active run.
+fn state_with_half_done_job() -> State {
+    let runs = vec![run_start(0, 0, 1, "w"), run_start(0, 1, 1, "w")];
     let done = runs[0].clone();
     let mut state = State::default();
     apply(
@@ -28,33 +28,36 @@
 }
 
 #[googletest::test]
-fn given_a_state_that_came_about_by_entries_when_it_is_checked_then_nothing_contradicts() {
-    expect_that!(half_done_state().inconsistencies(), is_empty());
+fn states_produced_by_entries_are_consistent() {
+    expect_that!(state_with_half_done_job().inconsistencies(), is_empty());
 }
 
 #[googletest::test]
-fn given_a_worker_without_a_run_of_a_task_when_the_state_is_checked_then_the_run_is_named() {
-    let mut state = half_done_state();
+fn run_missing_from_its_worker_is_reported() {
+    let mut state = state_with_half_done_job();
     state.workers.get_mut("w").unwrap().runs.clear();
-    let unrecorded_run = Inconsistency::RunWithoutWorker {
+    let missing_from_worker = Inconsistency::RunWithoutWorker {
         incarnation: "w".to_owned(),
         task: task(0, 1),
         run: 1,
     };
-    expect_that!(state.inconsistencies(), elements_are![eq(&unrecorded_run)]);
+    expect_that!(
+        state.inconsistencies(),
+        elements_are![eq(&missing_from_worker)]
+    );
 }
 
 #[googletest::test]
-fn given_a_run_of_a_task_that_is_not_there_when_the_state_is_checked_then_the_run_is_named() {
-    let mut state = half_done_state();
+fn run_of_a_missing_task_is_reported() {
+    let mut state = state_with_half_done_job();
     state.jobs.clear();
     let found = state.inconsistencies();
-    let unknown_run = Inconsistency::RunWithoutTask {
+    let missing_from_task = Inconsistency::RunWithoutTask {
         incarnation: "w".to_owned(),
         task: task(0, 1),
         run: 1,
     };
-    expect_that!(found, contains(eq(&unknown_run)));
+    expect_that!(found, contains(eq(&missing_from_task)));
     let open_jobs = Inconsistency::OpenJobs {
         queue: QUEUE.to_owned(),
         recorded: 1,
@@ -64,8 +67,8 @@
 }
 
 #[googletest::test]
-fn given_counts_that_are_wrong_when_the_state_is_checked_then_each_is_named() {
-    let mut state = half_done_state();
+fn wrong_task_and_occurrence_counts_are_reported() {
+    let mut state = state_with_half_done_job();
     let job = state.jobs.get_mut(&JOB).unwrap().make_mut();
     job.occurrences.get_mut(&0).unwrap().steps[0].done = 2;
     job.occurrences_done = 9;
@@ -82,7 +85,7 @@
 }
 
 #[googletest::test]
-fn given_a_configuration_of_another_version_when_the_state_is_checked_then_it_is_named() {
+fn configuration_with_unrecorded_version_is_reported() {
     let mut state = State::default();
     state.configuration.version = 3;
     state.configuration.body = br#"{"version":2,"routes":[],"services":[]}"#.to_vec();
--- a/system/jobs/tests/fencing_tokens.rs
+++ b/system/jobs/tests/fencing_tokens.rs
@@ -1,4 +1,4 @@
-//! What the replicated state does with fencing tokens: claims of roles, and entries that are made in a role.
+//! Fencing tokens of the replicated state: role claims, and entries proposed in a role.
 mod common;
 
 use common::job::{step, submission};
@@ -7,7 +7,7 @@
 use magpiegap_jobs::{Outcome, RoleState, State};
 use magpiegap_protocol::{Command, FencingToken, JobId, Role, RoleToken};
 
-/// The token of the role in these tests.
+/// Current token of the role in these tests.
 const CURRENT: FencingToken = FencingToken(3);
 
 fn role() -> Role {
@@ -23,7 +23,7 @@
 }
 
 /// A state in which the role has been claimed three times.
-fn claimed() -> State {
+fn state_with_claimed_role() -> State {
     let mut state = State::default();
     for expected in 0..CURRENT.0 {
         apply(&mut state, claim(&role(), FencingToken(expected)));
@@ -32,7 +32,7 @@
 }
 
 #[googletest::test]
-fn a_claim_counts_only_on_the_current_token_and_raises_it_by_one() {
+fn claim_requires_current_token_and_increments_it() {
     for (expected, outcome, token) in [
         (0, Outcome::Void, CURRENT),
         (2, Outcome::Void, CURRENT),
@@ -40,29 +40,30 @@
         (4, Outcome::Void, CURRENT),
         (u64::MAX, Outcome::Void, CURRENT),
     ] {
-        let mut state = claimed();
+        let mut state = state_with_claimed_role();
         let applied = apply(&mut state, claim(&role(), FencingToken(expected)));
         expect_that!(applied.outcome, eq(outcome), "{expected}");
         expect_that!(state.fencing_token(&role()), eq(token), "{expected}");
     }
 }
 
+/// The token cannot be incremented any further, so that two holders would share it.
 #[googletest::test]
-fn a_claim_after_the_highest_token_is_void_as_two_owners_would_share_it() {
+fn claim_beyond_the_highest_token_is_void() {
     let highest = FencingToken(u64::MAX);
-    let mut state = claimed();
-    let owned = RoleState {
+    let mut state = state_with_claimed_role();
+    let role_state = RoleState {
         holder: replica(),
         token: highest,
     };
-    state.roles.insert(role(), owned);
+    state.roles.insert(role(), role_state);
     let applied = apply(&mut state, claim(&role(), highest));
     expect_that!(applied.outcome, eq(Outcome::Void));
-    expect_that!(state.roles.get(&role()), some(eq(&owned)));
+    expect_that!(state.roles.get(&role()), some(eq(&role_state)));
 }
 
 #[googletest::test]
-fn an_entry_changes_something_only_with_the_current_token_of_its_role_or_with_none() {
+fn entries_require_the_current_token_or_none() {
     let token = |role: Role, token| {
         Some(RoleToken {
             role,
@@ -81,7 +82,7 @@
         (None, false),
     ] {
         for command in commands() {
-            let mut state = claimed();
+            let mut state = state_with_claimed_role();
             let before = state.clone();
             let case = format!("{role_token:?} {command:?}");
             let applied = apply_as(&mut state, role_token.clone(), command);
@@ -96,7 +97,7 @@
     }
 }
 
-/// A command of each kind that a scheduler proposes.
+/// One command of each kind that schedulers propose.
 fn commands() -> Vec<Command> {
     vec![
         Command::SubmitJob {
--- a/system/jobs/tests/golden/samples.rs
+++ b/system/jobs/tests/golden/samples.rs
@@ -1,4 +1,4 @@
-//! A state with every type of record, in which every field has a value of its own.
+//! Sample records of every type. Each field has a distinct value, so that swapped fields change the encoding.
 use magpiegap_jobs::*;
 use magpiegap_protocol::*;
 use magpiegap_protocol::{FencingToken, LogIndex, ViewNumber, WallMillis};
@@ -117,7 +117,7 @@
     }
 }
 
-/// With a job in each phase.
+/// A state with one job in each phase.
 pub(crate) fn state() -> State {
     let phases = [
         JobPhase::Pending,
--- a/system/jobs/tests/state.rs
+++ b/system/jobs/tests/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state: jobs, runs, completions, roles and configurations.
+//! Entries that change jobs, runs, roles and configurations of the replicated state.
 mod common;
 
 use common::job::*;
@@ -11,7 +11,7 @@
 };
 
 #[googletest::test]
-fn given_steps_that_depend_when_the_first_is_done_then_the_second_may_start() {
+fn step_becomes_startable_after_its_dependency() {
     let mut state = State::default();
     let second = StepSpec {
         depends_on: vec![0],
@@ -19,7 +19,7 @@
     };
     submit(&mut state, submission(vec![step(1), second]));
     expect_that!(startable_units(&state.jobs[&JOB]).len(), eq(1));
-    let first = started(&mut state, 0, 0, 1, "a");
+    let first = start_run(&mut state, 0, 0, 1, "a");
     expect_that!(startable_units(&state.jobs[&JOB]).len(), eq(0));
     complete(&mut state, "a", 1, &first, CompletionKind::Done);
     expect_that!(startable_units(&state.jobs[&JOB]).len(), eq(2));
@@ -27,41 +27,41 @@
 }
 
 #[googletest::test]
-fn given_a_job_when_its_last_task_is_done_then_it_has_succeeded_and_counts_no_more() {
-    let mut state = with_job(vec![step(1)]);
+fn job_succeeds_and_closes_with_last_task() {
+    let mut state = state_with_job(vec![step(1)]);
     expect_that!(state.open_jobs.get("h/q/"), some(eq(&1)));
-    let first = started(&mut state, 0, 0, 1, "a");
+    let first = start_run(&mut state, 0, 0, 1, "a");
     complete(&mut state, "a", 1, &first, CompletionKind::Done);
     expect_that!(phase(&state), eq(JobPhase::Succeeded));
     expect_that!(state.open_jobs.get("h/q/"), none());
 }
 
 #[googletest::test]
-fn given_a_running_task_when_another_run_is_started_then_it_is_void() {
-    let mut state = with_job(vec![step(1)]);
-    start_runs(&mut state, vec![start(0, 0, 1, "a")]);
-    let applied = start_runs(&mut state, vec![start(0, 0, 2, "b")]);
+fn second_run_of_an_active_task_is_void() {
+    let mut state = state_with_job(vec![step(1)]);
+    start_runs(&mut state, vec![run_start(0, 0, 1, "a")]);
+    let applied = start_runs(&mut state, vec![run_start(0, 0, 2, "b")]);
     expect_that!(applied.outcome, eq(Outcome::Void));
     expect_that!(state.workers.get("b"), none());
 }
 
 #[googletest::test]
-fn given_a_done_task_when_it_is_started_again_then_it_is_void() {
-    let mut state = with_job(vec![step(2)]);
-    let first = started(&mut state, 0, 0, 1, "a");
+fn restart_of_a_done_task_is_void() {
+    let mut state = state_with_job(vec![step(2)]);
+    let first = start_run(&mut state, 0, 0, 1, "a");
     complete(&mut state, "a", 1, &first, CompletionKind::Done);
     expect_that!(
-        start_runs(&mut state, vec![start(0, 0, 2, "a")]).outcome,
+        start_runs(&mut state, vec![run_start(0, 0, 2, "a")]).outcome,
         eq(Outcome::Void)
     );
 }
 
 #[googletest::test]
-fn given_failed_runs_when_the_last_attempt_fails_then_the_job_has_failed() {
-    let mut state = with_job(vec![step(1)]);
+fn job_fails_with_its_last_attempt() {
+    let mut state = state_with_job(vec![step(1)]);
     for run in 1..=2 {
         expect_that!(phase(&state), not(eq(JobPhase::Failed)));
-        let started = started(&mut state, 0, 0, run, "a");
+        let started = start_run(&mut state, 0, 0, run, "a");
         complete(
             &mut state,
             "a",
@@ -72,16 +72,16 @@
     }
     expect_that!(phase(&state), eq(JobPhase::Failed));
     expect_that!(
-        start_runs(&mut state, vec![start(0, 0, 3, "a")]).outcome,
+        start_runs(&mut state, vec![run_start(0, 0, 3, "a")]).outcome,
         eq(Outcome::Void)
     );
 }
 
 #[googletest::test]
-fn given_lapsed_and_stopped_runs_when_they_complete_then_no_attempt_is_counted() {
-    let mut state = with_job(vec![step(1)]);
+fn expired_and_stopped_runs_are_not_attempts() {
+    let mut state = state_with_job(vec![step(1)]);
     for run in 1..=6 {
-        let started = started(&mut state, 0, 0, run, "a");
+        let started = start_run(&mut state, 0, 0, run, "a");
         let kind = if run % 2 == 0 {
             CompletionKind::LeaseExpired
         } else {
@@ -93,13 +93,13 @@
 }
 
 #[googletest::test]
-fn given_a_gang_when_one_member_is_done_then_all_are() {
-    let mut state = with_job(vec![StepSpec {
+fn completion_of_one_gang_member_completes_all() {
+    let mut state = state_with_job(vec![StepSpec {
         gang: true,
         ..step(3)
     }]);
     let runs: Vec<RunStart> = (0..3)
-        .map(|index| start(0, index, 1, &format!("w{index}")))
+        .map(|index| run_start(0, index, 1, &format!("w{index}")))
         .collect();
     start_runs(&mut state, runs.clone());
     complete(&mut state, "w1", 1, &runs[1], CompletionKind::Done);
@@ -107,13 +107,13 @@
 }
 
 #[googletest::test]
-fn given_a_gang_when_two_members_of_one_run_fail_then_one_attempt_is_counted() {
-    let mut state = with_job(vec![StepSpec {
+fn failed_gang_run_counts_as_one_attempt() {
+    let mut state = state_with_job(vec![StepSpec {
         gang: true,
         ..step(2)
     }]);
     let runs: Vec<RunStart> = (0..2)
-        .map(|index| start(0, index, 1, &format!("w{index}")))
+        .map(|index| run_start(0, index, 1, &format!("w{index}")))
         .collect();
     start_runs(&mut state, runs.clone());
     complete(&mut state, "w0", 1, &runs[0], CompletionKind::Failed);
@@ -121,15 +121,15 @@
     expect_that!(phase(&state), eq(JobPhase::Running));
     let counts: Vec<u32> = startable_units(&state.jobs[&JOB])
         .iter()
-        .map(|startable_units| startable_units.count)
+        .map(|unit| unit.count)
         .collect();
     expect_that!(counts, eq(&vec![2]));
 }
 
 #[googletest::test]
-fn given_a_cancelled_job_when_its_run_ends_then_nothing_is_startable() {
-    let mut state = with_job(vec![step(2)]);
-    let first = started(&mut state, 0, 0, 1, "a");
+fn cancelled_job_has_no_startable_tasks() {
+    let mut state = state_with_job(vec![step(2)]);
+    let first = start_run(&mut state, 0, 0, 1, "a");
     apply(&mut state, Command::CancelJob { job: JOB });
     complete(&mut state, "a", 1, &first, CompletionKind::Stopped);
     expect_that!(phase(&state), eq(JobPhase::Cancelled));
@@ -141,9 +141,9 @@
 }
 
 #[googletest::test]
-fn given_recorded_completions_when_they_come_again_then_nothing_changes() {
-    let mut state = with_job(vec![step(2)]);
-    let first = started(&mut state, 0, 0, 1, "a");
+fn repeated_completions_change_nothing() {
+    let mut state = state_with_job(vec![step(2)]);
+    let first = start_run(&mut state, 0, 0, 1, "a");
     complete(&mut state, "a", 1, &first, CompletionKind::Failed);
     let repeated = complete(&mut state, "a", 1, &first, CompletionKind::Failed);
     expect_that!(repeated.outcome, eq(Outcome::Repeated));
@@ -154,7 +154,7 @@
 }
 
 #[googletest::test]
-fn given_a_repeated_job_when_its_occurrences_are_opened_then_each_runs_once() {
+fn each_occurrence_opens_and_runs_once() {
     let mut state = State::default();
     let mut repeated = submission(vec![step(1)]);
     repeated.spec.repeat_count = 2;
@@ -185,7 +185,7 @@
             .outcome,
             eq(Outcome::Void)
         );
-        let mut started = start(0, 0, 1, "a");
+        let mut started = run_start(0, 0, 1, "a");
         started.task.occurrence = occurrence;
         start_runs(&mut state, vec![started.clone()]);
         complete(
@@ -200,7 +200,7 @@
 }
 
 #[googletest::test]
-fn given_a_long_running_job_when_a_task_completes_then_it_is_startable_again() {
+fn ended_tasks_of_long_running_jobs_are_startable() {
     let mut state = State::default();
     let mut long_running = submission(vec![step(1)]);
     long_running.spec.long_running = true;
@@ -211,7 +211,7 @@
         (3, CompletionKind::Failed),
         (4, CompletionKind::Failed),
     ] {
-        let started = started(&mut state, 0, 0, run, "a");
+        let started = start_run(&mut state, 0, 0, run, "a");
         complete(&mut state, "a", u64::from(run), &started, kind);
         expect_that!(startable_units(&state.jobs[&JOB]).len(), eq(1));
     }
@@ -219,9 +219,12 @@
 }
 
 #[googletest::test]
-fn given_a_lost_worker_when_its_incarnation_has_ended_then_its_tasks_may_start_elsewhere() {
-    let mut state = with_job(vec![step(2)]);
-    start_runs(&mut state, vec![start(0, 0, 1, "a"), start(0, 1, 1, "a")]);
+fn tasks_of_ended_incarnation_can_start_elsewhere() {
+    let mut state = state_with_job(vec![step(2)]);
+    start_runs(
+        &mut state,
+        vec![run_start(0, 0, 1, "a"), run_start(0, 1, 1, "a")],
+    );
     let applied = apply(
         &mut state,
         Command::LoseIncarnation {
@@ -240,7 +243,7 @@
 }
 
 #[googletest::test]
-fn given_a_role_when_it_has_passed_on_then_commands_of_the_old_holder_are_void() {
+fn commands_of_previous_role_holder_are_fenced() {
     let mut state = State::default();
     let role = Role::Scheduler("s".to_owned());
     let claim = |expected| Command::ClaimRole {
@@ -260,7 +263,7 @@
         apply(&mut state, claim(FencingToken(1))).outcome,
         eq(Outcome::Done)
     );
-    let previous = Some(RoleToken {
+    let previous_token = Some(RoleToken {
         role: role.clone(),
         token: FencingToken(1),
     });
@@ -269,14 +272,14 @@
         runs: Vec::new(),
     };
     expect_that!(
-        apply_as(&mut state, previous, command).outcome,
+        apply_as(&mut state, previous_token, command).outcome,
         eq(Outcome::Fenced)
     );
     expect_that!(state.jobs.len(), eq(0));
 }
 
 #[googletest::test]
-fn given_configurations_when_two_build_on_the_same_version_then_one_wins_and_may_come_again() {
+fn conflicting_configurations_are_rejected_and_repeated_ones_recognized() {
     let mut state = State::default();
     let replace = |base, version, body: &str| Command::ReplaceConfiguration {
         base,
--- a/system/jobs/tests/stored_bytes.rs
+++ b/system/jobs/tests/stored_bytes.rs
@@ -1,7 +1,7 @@
-//! A stored state is read as the same state, complete or in chunks.
+//! Compatibility of the encodings of states, snapshot chunks and configurations.
 //!
-//! States are on the disks of the core, and pass between coordinators of different versions during a rolling update. So
-//! these bytes must not change, whatever the types are called.
+//! States are stored on disk and transferred between coordinators of different versions during rolling updates. Their
+//! encodings must not change when types or fields are renamed.
 #[path = "../../protocol/tests/golden/mod.rs"]
 mod golden;
 #[path = "golden/samples.rs"]
@@ -17,13 +17,13 @@
 use samples::*;
 
 #[googletest::test]
-fn every_record_of_a_state_keeps_its_bytes() {
+fn records_keep_their_encoding() {
     let mut stored = Stored::read(include_str!("golden/records.hex"));
     stored.keeps("active-run", &active_run());
     stored.keeps("task", &task_state());
-    stored.keeps("task-untouched", &TaskState::default());
+    stored.keeps("task-default", &TaskState::default());
     stored.keeps("step", &step_state());
-    stored.keeps("time", &occurrence_state());
+    stored.keeps("occurrence", &occurrence_state());
     stored.keeps("job", &job(1, JobPhase::Running));
     stored.keeps("shared-job", &Shared::new(job(2, JobPhase::Failed)));
     stored.keeps("configuration", &configuration());
@@ -40,7 +40,7 @@
 }
 
 #[googletest::test]
-fn every_element_of_a_configuration_keeps_its_bytes() {
+fn configuration_elements_keep_their_encoding() {
     let mut stored = Stored::read(include_str!("golden/configuration.hex"));
     stored.keeps("route", &route());
     stored.keeps("service", &service());
@@ -52,58 +52,58 @@
         },
     );
     stored.keeps("limits", &limits());
-    stored.keeps("usual-limits", &Limits::default());
+    stored.keeps("default-limits", &Limits::default());
     expect_that!(stored.faults(), is_empty());
 }
 
 #[googletest::test]
-fn a_complete_state_keeps_its_bytes() {
+fn complete_state_keeps_its_encoding() {
     let mut stored = Stored::read(include_str!("golden/state.hex"));
     stored.keeps("state", &state());
     stored.keeps("empty-state", &State::default());
     expect_that!(stored.faults(), is_empty());
 }
 
-/// One more than fit into a chunk.
+/// One job more than fits into a chunk.
 const JOBS: u64 = 129;
 
 #[googletest::test]
-fn the_chunks_of_a_snapshot_keep_their_bytes() {
-    let mut stored = Stored::read(include_str!("golden/frozen.hex"));
-    let small = state().snapshot();
+fn snapshot_chunks_keep_their_encoding() {
+    let mut stored = Stored::read(include_str!("golden/snapshot.hex"));
+    let snapshot = state().snapshot();
     expect_that!(
-        (small.chunks(), small.position()),
+        (snapshot.chunks(), snapshot.position()),
         eq((2, state().position))
     );
-    // Each chunk is a state with some of the records.
+    // Each chunk is encoded as a state with a subset of the records.
     stored.keeps(
-        "all-but-the-jobs",
+        "all-except-jobs",
         &State {
             jobs: Default::default(),
             ..state()
         },
     );
     stored.keeps(
-        "the-jobs",
+        "jobs-only",
         &State {
             jobs: state().jobs,
             ..State::default()
         },
     );
     let chunks = stored_chunks().map(|chunk| hex(&chunk));
-    expect_that!(chunks_of(&small), eq(&chunks.to_vec()));
-    expect_that!(small.chunk(2), is_empty());
+    expect_that!(chunks_of(&snapshot), eq(&chunks.to_vec()));
+    expect_that!(snapshot.chunk(2), is_empty());
     expect_that!(stored.faults(), is_empty());
 }
 
 #[googletest::test]
-fn a_state_is_rebuilt_from_the_stored_chunks() {
+fn state_is_rebuilt_from_stored_chunks() {
     let mut builder = SnapshotBuilder::default();
     for chunk in stored_chunks() {
         expect_that!(builder.add(&chunk), ok(anything()));
     }
     expect_that!(builder.finish(), some(eq(&state())));
-    // A complete state counts as the only chunk.
+    // A complete encoded state is accepted as a single chunk.
     let mut stored = Stored::read(include_str!("golden/state.hex"));
     let mut builder = SnapshotBuilder::default();
     expect_that!(
@@ -114,7 +114,7 @@
 }
 
 #[googletest::test]
-fn the_jobs_of_a_large_state_are_split_into_the_same_chunks() {
+fn large_state_is_split_at_same_jobs() {
     let mut large = state();
     large.jobs = (1..=JOBS)
         .map(|id| (JobId(id), Shared::new(Job::new(submission(id)))))
@@ -141,10 +141,10 @@
     expect_that!(chunks, eq(&expected));
 }
 
-/// Pins the results of commands, not only the encoding of states.
+/// Verifies the results of commands in addition to the encoding of states.
 #[googletest::test]
-fn the_state_after_a_log_keeps_its_bytes() {
-    let mut stored = Stored::read(include_str!("golden/after_a_log.hex"));
+fn state_after_commands_keeps_its_encoding() {
+    let mut stored = Stored::read(include_str!("golden/after_commands.hex"));
     let mut state = State::default();
     let task = |index| TaskId {
         job: JobId(1),
@@ -208,8 +208,8 @@
         .collect()
 }
 
-/// The chunks of the stored snapshot, in their order.
+/// Returns the chunks of the stored snapshot in order.
 fn stored_chunks() -> [Vec<u8>; 2] {
-    let mut stored = Stored::read(include_str!("golden/frozen.hex"));
-    ["all-but-the-jobs", "the-jobs"].map(|name| stored.bytes(name).unwrap_or_default())
+    let mut stored = Stored::read(include_str!("golden/snapshot.hex"));
+    ["all-except-jobs", "jobs-only"].map(|name| stored.bytes(name).unwrap_or_default())
 }
