--- a/system/coordinator/src/describe.rs
+++ b/system/coordinator/src/describe.rs
@@ -26,8 +26,7 @@
     /// Whether this coordinator is active in the chain.
     pub active: bool,
     /// Time since the view was last confirmed to be the newest, in milliseconds; `None` without any contact with a
-    /// majority
-    /// in this view. This description may be outdated by that much.
+    /// majority in this view. This description may be outdated by that much.
     #[serde(default)]
     pub contact_ms: Option<u64>,
     /// Index of the newest entry known to be committed.
--- a/system/coordinator/src/feeds.rs
+++ b/system/coordinator/src/feeds.rs
@@ -11,8 +11,7 @@
 
 impl Coordinator {
     /// Returns whether this coordinator knows all entries that were acknowledged until recently. After a view change,
-    /// or a
-    /// restart of all coordinators, this requires the commit of the first entry in the view.
+    /// or a restart of all coordinators, this requires the commit of the first entry in the view.
     pub(crate) fn is_up_to_date(&self) -> bool {
         self.has_committed_in_view && self.replica.knows_committed(self.now)
     }
@@ -57,7 +56,8 @@
         });
     }
 
-    /// Responds to polls that are due, and rejects all polls if the feed cannot be served here.
+    /// Responds to polls that are due, and rejects all polls while draining or once the feed has been unavailable for
+    /// [`VIEW_CHANGE_GRACE_MS`].
     pub(crate) fn respond_to_polls(&mut self) {
         if self.pending_polls.is_empty() {
             return;
--- a/system/coordinator/src/operation.rs
+++ b/system/coordinator/src/operation.rs
@@ -21,7 +21,7 @@
         version: u64,
         /// The unmodified body of the new configuration.
         body: Vec<u8>,
-        /// The encoded difference from `base`.
+        /// The encoded difference from `base`; empty if unknown.
         change: Vec<u8>,
     },
     /// Read the current configuration through the log.
@@ -30,8 +30,7 @@
 
 impl Operation {
     /// Returns whether both operations have the same effect, so that one proposal completes both. Reads are never
-    /// merged:
-    /// each needs a proposal made after the read was received.
+    /// merged: each needs a proposal made after the read was received.
     pub(crate) fn has_same_effect(&self, other: &Operation) -> bool {
         match (self, other) {
             (Operation::Submit(submission), Operation::Submit(other)) => {
@@ -75,8 +74,7 @@
 
 impl PendingOperations {
     /// Adds an operation and returns its ID, or adds the request to a pending operation with the same effect and
-    /// returns
-    /// `None`.
+    /// returns `None`.
     pub(crate) fn add(
         &mut self,
         operation: Operation,
@@ -102,19 +100,16 @@
         Some(self.last_id)
     }
 
-    /// Returns a pending operation.
     pub(crate) fn get(&self, id: OperationId) -> Option<&PendingOperation> {
         self.operations.get(&id)
     }
 
-    /// Records that an operation was proposed.
     pub(crate) fn mark_proposed(&mut self, id: OperationId) {
         if let Some(pending) = self.operations.get_mut(&id) {
             pending.was_proposed = true;
         }
     }
 
-    /// Removes an operation.
     pub(crate) fn remove(&mut self, id: OperationId) -> Option<PendingOperation> {
         self.operations.remove(&id)
     }
--- a/system/coordinator/src/platform_reader.rs
+++ b/system/coordinator/src/platform_reader.rs
@@ -39,7 +39,6 @@
         }
     }
 
-    /// Returns the fencing token of the role.
     pub(crate) fn token(&self) -> FencingToken {
         self.token
     }
@@ -73,7 +72,6 @@
         self.call.take_if(|call| call.id == id).is_some()
     }
 
-    /// Adds the workers of a page.
     pub(crate) fn add_page(&mut self, workers: Vec<WorkerEntry>) {
         self.collected.extend(workers);
     }
--- a/system/coordinator/src/proposal.rs
+++ b/system/coordinator/src/proposal.rs
@@ -5,7 +5,7 @@
 /// The reason for a proposal, if it affects how the applied entry is handled.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Purpose {
-    /// ProposalDraft by a scheduler; lists the runs that it starts.
+    /// Proposed by a scheduler; lists the runs that it starts.
     Scheduler { runs: Vec<RunStart> },
     /// Claims a vacant role.
     RoleClaim(Role),
--- a/system/coordinator/src/proposals.rs
+++ b/system/coordinator/src/proposals.rs
@@ -52,8 +52,7 @@
     }
 
     /// Resends proposals that may have been lost on the way to the head. This is safe because every command may be
-    /// applied
-    /// twice.
+    /// applied twice.
     pub(crate) fn retry_proposals(&mut self) {
         if self.replica.is_head() || !self.replica.is_active() {
             return;
--- a/system/coordinator/src/requests.rs
+++ b/system/coordinator/src/requests.rs
@@ -63,8 +63,7 @@
     }
 
     /// Starts an operation if this coordinator has contact with a majority. Otherwise rejects the request immediately,
-    /// so
-    /// that the caller tries another coordinator.
+    /// so that the caller tries another coordinator.
     pub(crate) fn start_operation_with_quorum(&mut self, request: RequestId, operation: Operation) {
         if self.replica.has_quorum_contact(self.now) {
             self.start_operation(operation, request);
--- a/system/jobs/src/apply_runs.rs
+++ b/system/jobs/src/apply_runs.rs
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Prunes completed occurrences of a job after one of its runs was closed, and ends the job once all
-    /// occurrences are done.
+    /// Prunes completed occurrences of a job after one of its runs was closed, and ends the job once all occurrences
+    /// are done.
     fn advance_job(&mut self, id: JobId) {
         let Some(job) = self.state.job_mut(&id) else {
             return;
