--- a/system/protocol/src/command.rs
+++ b/system/protocol/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the replicated log. What each one changes is decided by the jobs crate, which applies them.
+//! Commands of the replicated log. The jobs crate applies them and defines their effects.
 use crate::{FencingToken, JobId, ReplicaId, Role, RunCompletion, RunStart, Submission};
 use minicbor::{Decode, Encode};
 
@@ -8,24 +8,24 @@
     /// Changes nothing; its commit proves that the view is still current.
     #[n(0)]
     Noop,
-    /// Replaces the configuration, if `base` is its current version.
+    /// Replaces the configuration if `base` is the current version.
     #[n(1)]
     ReplaceConfiguration {
-        /// The version that it builds on.
+        /// The version that this configuration replaces.
         #[n(0)]
         base: u64,
-        /// Its own version.
+        /// Version of the new configuration.
         #[n(1)]
         version: u64,
         /// The configuration as the operator sent it.
         #[cbor(n(2), with = "minicbor::bytes")]
         body: Vec<u8>,
-        /// The encoded difference to the version that it builds on; empty: it isn't known. It saves each replica the
-        /// parsing of the complete body.
+        /// The encoded difference from version `base`, which saves each replica from parsing the complete body; empty
+        /// if it is not known.
         #[cbor(n(3), with = "minicbor::bytes", default)]
         change: Vec<u8>,
     },
-    /// Claims a vacant role, if its token is still `expected`.
+    /// Claims a vacant role if its fencing token is still `expected`.
     #[n(2)]
     ClaimRole {
         /// The role.
@@ -34,7 +34,7 @@
         /// The coordinator that claims it.
         #[n(1)]
         holder: ReplicaId,
-        /// The role's token before the claim.
+        /// The role's fencing token before the claim.
         #[n(2)]
         expected: FencingToken,
     },
@@ -44,7 +44,7 @@
         /// The job.
         #[n(0)]
         submission: Box<Submission>,
-        /// The first runs; ignored where the job exists already.
+        /// The first runs; ignored if the job already exists.
         #[n(1)]
         runs: Vec<RunStart>,
     },
@@ -62,37 +62,37 @@
         #[n(0)]
         runs: Vec<RunStart>,
     },
-    /// Records the completions that a worker has listed.
+    /// Records the completions that a worker has reported.
     #[n(6)]
     RecordCompletions {
         /// The worker's incarnation.
         #[n(0)]
         incarnation: String,
-        /// Number of the last completion in the list.
+        /// Number of the last reported completion, to be acknowledged to the worker.
         #[n(1)]
         acknowledged_completion: u64,
         /// The completions, in the order of their numbers.
         #[n(2)]
         completions: Vec<RunCompletion>,
     },
-    /// Closes runs that never began, or ended without a completion.
+    /// Marks runs as lost that never started or ended without a completion.
     #[n(7)]
     LoseRuns {
         /// The runs.
         #[n(0)]
         runs: Vec<RunStart>,
     },
-    /// Closes all runs of a worker whose incarnation has ended, or whose lease has certainly expired.
+    /// Marks all runs of a worker incarnation as lost: it has ended, or its lease has certainly expired.
     #[n(8)]
     LoseIncarnation {
         /// The worker's incarnation.
         #[n(0)]
         incarnation: String,
-        /// The incarnation has ended, not just its lease.
+        /// Whether the incarnation itself has ended; otherwise only its lease has expired.
         #[n(1)]
         ended: bool,
     },
-    /// Opens an occurrence of a repeated job.
+    /// Starts an occurrence of a repeated job.
     #[n(9)]
     OpenOccurrence {
         /// The job.
@@ -102,7 +102,7 @@
         #[n(1)]
         occurrence: u32,
     },
-    /// Removes jobs whose state need not be shown any more.
+    /// Removes jobs whose state no longer has to be retained.
     #[n(10)]
     ForgetJobs {
         /// The jobs.
--- a/system/protocol/src/disk.rs
+++ b/system/protocol/src/disk.rs
@@ -1,34 +1,34 @@
-//! What coordinators tell and note of their disks, so that a disk that was put back from an old copy is recognised.
+//! Progress of coordinators' disks, exchanged to detect a disk that was restored from an old copy.
 //!
-//! A disk counts for what it has promised and confirmed. One that was put back has forgotten the last of it, under the
-//! same name: its member would vote twice on one view, or hold itself complete without entries that were acknowledged.
+//! A restored disk keeps its identity but lacks the latest promises, votes and entries that it had confirmed. Without
+//! detection its member could vote twice on one view, or consider itself complete without acknowledged entries.
 use crate::{Ballot, LogPosition, Member, ReplicaId, ViewNumber};
 use minicbor::{Decode, Encode};
 
-/// How far a disk has come. On a disk that keeps what it has confirmed no part of it ever goes back.
+/// Progress of a disk. It never decreases on a disk that retains what it has confirmed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct DiskProgress {
-    /// The newest view that is known on it to be agreed.
+    /// The newest view that the disk records as decided.
     #[n(0)]
     pub view: ViewNumber,
-    /// The highest ballot promised for the view after that one.
+    /// The highest ballot promised for the view after `view`.
     #[n(1)]
     pub promised: Option<Ballot>,
-    /// The ballot in which a view was last accepted there.
+    /// The ballot in which a view was last accepted.
     #[n(2)]
     pub accepted: Option<Ballot>,
-    /// The last entry that was known to be committed and is on it.
+    /// The last entry on the disk that is known to be committed.
     #[n(3)]
     pub committed: LogPosition,
 }
 
 impl DiskProgress {
-    /// Whether a disk that was read in this state has less than one that had come so far before.
+    /// Whether this state lacks votes or committed entries of `noted`, an earlier state of the same disk.
     pub fn is_behind(&self, noted: &DiskProgress) -> bool {
         self.votes() < noted.votes() || self.committed < noted.committed
     }
 
-    /// Takes up what is further in another state of the same disk.
+    /// Merges another state of the same disk, keeping the more advanced of each part.
     pub fn advance(&mut self, other: &DiskProgress) {
         if self.votes() < other.votes() {
             self.view = other.view;
@@ -38,58 +38,60 @@
         self.committed = self.committed.max(other.committed);
     }
 
-    /// What grows in this order: with a new view, ballots begin anew; one accepts in the ballot that one has promised.
+    /// The voting state, which only grows in lexicographic order: ballots restart with each view, and a voter accepts
+    /// only in the ballot that it has promised.
     fn votes(&self) -> (ViewNumber, Option<Ballot>, Option<Ballot>) {
         (self.view, self.promised, self.accepted)
     }
 }
 
-/// What a coordinator says of its disk in its heartbeats.
+/// A coordinator's report on its own disk, sent in heartbeats.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct DiskReport {
-    /// How many processes have started on this disk, the sender included.
+    /// Number of processes that have started on this disk, including the sender.
     #[n(0)]
     pub starts: u64,
-    /// What was read from it at the start of the process. Here `committed` is the last entry that was read, committed or
-    /// not: an upper bound.
+    /// Progress that the process read at its start. Here `committed` is an upper bound: the last entry on the disk,
+    /// committed or not.
     #[n(1)]
     pub at_start: DiskProgress,
-    /// What has been confirmed to be on it since.
+    /// Progress that was confirmed as durable since the start of the process.
     #[n(2)]
     pub confirmed: DiskProgress,
 }
 
-/// What a coordinator notes of another one's disk: the newest process heard that runs on it, and how far it has come.
+/// A coordinator's record of another coordinator's disk: the latest known process on it, and its progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct DiskNote {
-    /// The machine and its disk.
+    /// The machine and the identity of its disk.
     #[n(0)]
     pub member: Member,
-    /// How many processes had started on the disk.
+    /// Number of processes that had started on the disk.
     #[n(1)]
     pub starts: u64,
-    /// The incarnation of the last of them.
+    /// Incarnation of the latest of these processes.
     #[n(2)]
     pub incarnation: u64,
-    /// How far the disk had come.
+    /// Progress of the disk.
     #[n(3)]
     pub progress: DiskProgress,
 }
 
-/// The objection of a coordinator to another one: that one's disk was further than it was when its process started.
+/// Tells a coordinator that its disk is stale: the disk had made more progress before than its process read at the
+/// start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct StaleDisk {
-    /// The process that it is about.
+    /// The process that runs on the stale disk.
     #[n(0)]
     pub replica: ReplicaId,
-    /// What the sender had noted of its disk.
+    /// The sender's record of the disk.
     #[n(1)]
     pub noted: DiskNote,
-    /// The newest view that the sender knows.
+    /// The newest view known to the sender.
     #[n(2)]
     pub view: ViewNumber,
-    /// The sender serves in that view, in contact with a majority, and in a chain without the disk's member: nothing waits
-    /// for what is on the disk.
+    /// The sender serves in that view with contact to a majority, and the chain does not include the disk's member:
+    /// nothing depends on the content of the disk.
     #[n(3)]
     pub serving: bool,
 }
--- a/system/protocol/src/entry.rs
+++ b/system/protocol/src/entry.rs
@@ -1,25 +1,25 @@
-//! Entries of the replicated log. How they are replicated and committed is the business of the control crate.
+//! Entries of the replicated log. The control crate replicates and commits them.
 use crate::{Command, LogIndex, ReplicaId, RoleToken, ViewNumber, WallMillis};
 use minicbor::{Decode, Encode};
 
-/// A position in the log. The order is that of views, then of indexes.
+/// A position in the log, ordered by view, then by index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct LogPosition {
     /// The view in which the entry was written.
     #[n(0)]
     pub view: ViewNumber,
-    /// Index of the entry, from one.
+    /// Index of the entry, starting at one.
     #[n(1)]
     pub index: LogIndex,
 }
 
-/// Identifies a proposal, so that its proposer learns the result.
+/// Identifies a proposal, so that the result can be returned to its proposer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct ProposalId {
     /// The replica that proposed.
     #[n(0)]
     pub origin: ReplicaId,
-    /// Number among the proposals of that replica.
+    /// Sequence number among the proposals of that replica.
     #[n(1)]
     pub sequence: u64,
 }
@@ -33,13 +33,13 @@
     /// Identity of the proposal.
     #[n(1)]
     pub proposal: ProposalId,
-    /// The role that its proposer holds; `None`: it needs none.
+    /// Role and fencing token of the proposer; `None` if the command requires no role.
     #[n(2)]
     pub role_token: Option<RoleToken>,
     /// The command to apply.
     #[n(3)]
     pub command: Command,
-    /// The time of day at which the head of the chain wrote it.
+    /// Wall-clock time at which the head of the chain appended the entry.
     #[n(4)]
     pub wall_ms: WallMillis,
 }
--- a/system/protocol/src/feed.rs
+++ b/system/protocol/src/feed.rs
@@ -1,8 +1,8 @@
-//! What agents and proxies receive from the control plane: the feed, and configurations in chunks.
+//! Messages from the control plane to agents and proxies: the feed, and configurations in chunks.
 use crate::{FencingToken, ReplicaId, Role, ViewNumber};
 use minicbor::{Decode, Encode};
 
-/// A role and who holds it.
+/// A role and its current holder.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RoleHolder {
     /// The role.
@@ -11,12 +11,13 @@
     /// The coordinator that holds it.
     #[n(1)]
     pub holder: ReplicaId,
-    /// The fencing token of that holder.
+    /// The holder's fencing token.
     #[n(2)]
     pub token: FencingToken,
 }
 
-/// What a proxy needs to know besides the configuration: small, so that it passes any link quickly.
+/// The control plane's state that a proxy needs besides the configuration. It is small, so that slow links deliver it
+/// quickly.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Feed {
     /// Number of the view.
@@ -28,19 +29,19 @@
     /// The holders of roles.
     #[n(2)]
     pub roles: Vec<RoleHolder>,
-    /// Version of the configuration that the sender has; zero: there is none yet.
+    /// The sender's configuration version; zero if it has none yet.
     #[n(3)]
     pub configuration_version: u64,
     /// Changes whenever one of the fields above does.
     #[n(5)]
     pub revision: u64,
-    /// The change to that version from the caller's, where it is small.
+    /// The change from the caller's version to that version, if it is small.
     #[n(6)]
     pub change: Option<ConfigurationChunk>,
 }
 
 impl Feed {
-    /// Whether nothing in this feed is older than in the known one: views, versions and tokens only rise.
+    /// Whether no part of this feed is older than in `known`: views, versions and tokens only increase.
     pub fn supersedes(&self, known: &Feed) -> bool {
         let tokens = |feed: &Feed| feed.roles.iter().map(|role| role.token.0).sum::<u64>();
         self.view >= known.view
@@ -49,13 +50,13 @@
     }
 }
 
-/// A long poll: the response comes when the feed's revision differs, or when the wait is over.
+/// A long poll: answered when the feed's revision differs from the caller's, or after the maximum wait.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct FeedPoll {
-    /// The revision that the caller has; zero: none.
+    /// The caller's revision; zero if it has none.
     #[n(0)]
     pub revision: u64,
-    /// The configuration version that the caller has.
+    /// The caller's configuration version.
     #[n(1)]
     pub configuration_version: u64,
     /// Maximum wait, in milliseconds.
@@ -63,16 +64,16 @@
     pub wait_ms: u64,
 }
 
-/// Identifies the bytes of one transfer of a configuration: with the same identity they are the same everywhere.
+/// Identifies the content of a configuration transfer: equal identifiers mean equal bytes at every source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct TransferId {
-    /// The version that the change applies to; zero: it is a complete configuration.
+    /// The version that the change applies to; zero for a complete configuration.
     #[n(0)]
     pub base: u64,
-    /// The version that results.
+    /// The version that results from the change.
     #[n(1)]
     pub version: u64,
-    /// FNV-1a of all of the bytes.
+    /// FNV-1a hash of all bytes of the transfer.
     #[n(2)]
     pub checksum: u64,
 }
@@ -80,13 +81,13 @@
 /// Requests a chunk of a configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationFetch {
-    /// The version that the caller has; zero: none.
+    /// The caller's version; zero if it has none.
     #[n(0)]
     pub base: u64,
-    /// The transfer in progress; one that the source does not know restarts with the newest version.
+    /// The transfer in progress. If the source does not know it, a transfer of the newest version starts instead.
     #[n(1)]
     pub transfer: Option<TransferId>,
-    /// Offset of the next byte, in bytes.
+    /// Offset of the requested chunk, in bytes.
     #[n(2)]
     pub offset: u64,
 }
@@ -94,7 +95,7 @@
 /// A chunk of the change from one version of the configuration to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationChunk {
-    /// The transfer.
+    /// The transfer that the chunk belongs to.
     #[n(0)]
     pub transfer: TransferId,
     /// Length of the complete transfer, in bytes.
@@ -103,7 +104,7 @@
     /// Offset of this chunk, in bytes.
     #[n(2)]
     pub offset: u64,
-    /// Bytes of this chunk.
+    /// Content of this chunk.
     #[cbor(n(3), with = "minicbor::bytes")]
     pub bytes: Vec<u8>,
 }
--- a/system/protocol/src/hash.rs
+++ b/system/protocol/src/hash.rs
@@ -1,4 +1,4 @@
-//! A hash that is the same on every machine and in every build. It does not resist collisions on purpose.
+//! A hash that is stable across machines and builds. It does not resist deliberate collisions.
 
 /// The 64-bit FNV-1a hash of bytes (Fowler, Noll and Vo).
 pub fn fnv1a<'b>(bytes: impl IntoIterator<Item = &'b u8>) -> u64 {
--- a/system/protocol/src/ids.rs
+++ b/system/protocol/src/ids.rs
@@ -2,13 +2,13 @@
 use minicbor::{Decode, Encode};
 use std::{fmt, net::Ipv4Addr};
 
-/// One core machine with one incarnation of its disk. A machine whose disk was lost rejoins as another member.
+/// A core machine with one incarnation of its disk. A machine whose disk was lost rejoins as a new member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Member {
-    /// The machine's IPv4 address, as a number.
+    /// The machine's IPv4 address as an integer.
     #[n(0)]
     pub address: u32,
-    /// Drawn when the disk was first written; zero for disks of the first start of the system.
+    /// Random identifier generated when the disk is first written; zero for disks of the initial deployment.
     #[n(1)]
     pub disk: u64,
 }
@@ -29,15 +29,15 @@
 /// One incarnation of a coordinator process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct ReplicaId {
-    /// Its machine and disk.
+    /// The machine and disk that it runs on.
     #[n(0)]
     pub member: Member,
-    /// Drawn at each start of the process.
+    /// Random identifier generated at each start of the process.
     #[n(1)]
     pub incarnation: u64,
 }
 
-/// A job's name, chosen by its client: 16 hexadecimal digits.
+/// Identifier of a job, assigned by its client; written as 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct JobId(#[n(0)] pub u64);
@@ -59,7 +59,7 @@
     }
 }
 
-/// Number of a run among those of its task, from one. All members of a gang share it.
+/// Number of a run among the runs of its task, starting at one. All tasks of a gang share it.
 pub type RunId = u32;
 
 /// One task of one step in one occurrence of a job.
@@ -68,13 +68,13 @@
     /// The job.
     #[n(0)]
     pub job: JobId,
-    /// Number of the occurrence, from zero.
+    /// Number of the occurrence, starting at zero.
     #[n(1)]
     pub occurrence: u32,
-    /// Position of the step.
+    /// Position of the step in the job.
     #[n(2)]
     pub step: u32,
-    /// Position within the step.
+    /// Position of the task in the step.
     #[n(3)]
     pub index: u32,
 }
--- a/system/protocol/src/job.rs
+++ b/system/protocol/src/job.rs
@@ -4,10 +4,10 @@
 
 /// Maximum length of `spec`, in bytes.
 pub const MAX_SPEC_BYTES: usize = 4000;
-/// Maximum number of tasks of one job, over all steps of one occurrence.
+/// Maximum number of tasks in one occurrence of a job, over all steps.
 pub const MAX_TASKS_PER_JOB: u64 = 20_000;
-/// Maximum of each resource that a task requests, in thousandths of a core, megabytes or graphics processors, and of its
-/// estimated duration in milliseconds. No worker is as large, and sums over all tasks of a job stay far from overflow.
+/// Maximum of each resource that a task requests (thousandths of a core, megabytes, graphics processors) and of its
+/// estimated duration in milliseconds. No worker is that large, and sums over all tasks of a job can't overflow.
 pub const MAX_AMOUNT: u64 = 1_000_000_000_000;
 
 /// One step of a job: a number of tasks of the same kind.
@@ -19,19 +19,19 @@
     /// Resources of each task.
     #[n(1)]
     pub resources: Resources,
-    /// The client's estimate of a task's duration, in milliseconds; zero: none.
+    /// The client's estimate of a task's duration, in milliseconds; zero if there is none.
     #[n(2)]
     pub estimated_ms: u64,
-    /// Positions of the earlier steps that must be done first.
+    /// Positions of the earlier steps that must complete first.
     #[n(3)]
     pub depends_on: Vec<u32>,
     /// Whether the tasks checkpoint their progress.
     #[n(4)]
     pub checkpoints: bool,
-    /// Whether the tasks run only all together.
+    /// Whether the tasks are gang-scheduled: all run at the same time, or none.
     #[n(5)]
     pub gang: bool,
-    /// Whether the tasks are slower when they are spread over several racks.
+    /// Whether the tasks run slower when spread over several racks.
     #[n(6)]
     pub rack_local: bool,
     /// Labels that the worker must have.
@@ -40,7 +40,7 @@
     /// The rack that holds the data.
     #[n(8)]
     pub affinity: Option<String>,
-    /// Maximum number of tasks of the step on one worker; zero: no limit.
+    /// Maximum number of tasks of the step on one worker; zero for no limit.
     #[n(9)]
     pub anti_affinity: u32,
     /// Whether several runs of a task may be active at the same time.
@@ -49,7 +49,7 @@
 }
 
 impl StepSpec {
-    /// The first amount that is too large, by the name that clients know; `None`: there is none.
+    /// JSON field name of the first amount that exceeds [`MAX_AMOUNT`]; `None` if all are within it.
     fn too_large_amount(&self) -> Option<&'static str> {
         let amounts = [
             ("cpu", self.resources.cpu),
@@ -67,16 +67,16 @@
 /// A job as its client submits it.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct JobSpec {
-    /// Text that each task is given unchanged.
+    /// Opaque text that is passed unchanged to each task.
     #[n(0)]
     pub spec: String,
-    /// The steps; a step depends on earlier ones only.
+    /// The steps. A step can depend on earlier ones only.
     #[n(1)]
     pub steps: Vec<StepSpec>,
     /// Whether the tasks run until the job is cancelled.
     #[n(2)]
     pub long_running: bool,
-    /// Number of occurrences; zero: one, without a schedule.
+    /// Number of scheduled occurrences; zero for a single occurrence without a schedule.
     #[n(3)]
     pub repeat_count: u32,
     /// When the first occurrence is due, in milliseconds since 1970.
@@ -90,31 +90,31 @@
 /// Why a specification is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JobSpecError {
-    /// `spec` is too long: its length in bytes.
-    #[error("spec has {0} bytes, {MAX_SPEC_BYTES} at most")]
+    /// `spec` is too long. Contains its length in bytes.
+    #[error("spec has {0} bytes; the limit is {MAX_SPEC_BYTES}")]
     SpecTooLong(usize),
     /// There are no steps.
     #[error("the job has no steps")]
     NoSteps,
-    /// A step has no tasks: its position.
+    /// A step has no tasks. Contains its position.
     #[error("step {0} has no tasks")]
     EmptyStep(usize),
-    /// There are too many tasks: their number.
-    #[error("the job has {0} tasks, {MAX_TASKS_PER_JOB} at most")]
+    /// There are too many tasks. Contains their number.
+    #[error("the job has {0} tasks; the limit is {MAX_TASKS_PER_JOB}")]
     TooManyTasks(u64),
-    /// A resource or estimate is too large: the position of the step, and the field by the name that clients know.
-    #[error("step {0} has too large a number for {1}, {MAX_AMOUNT} at most")]
+    /// A resource or estimate is too large. Contains the position of the step and the JSON name of the field.
+    #[error("step {0} has too large a number for {1}; the limit is {MAX_AMOUNT}")]
     AmountTooLarge(usize, &'static str),
-    /// A step depends on itself, a later step or none that exists: the positions of both.
-    #[error("step {0} depends on step {1}, which is not before it")]
+    /// A step depends on itself, on a later step or on one that does not exist. Contains the positions of both.
+    #[error("step {0} depends on step {1}; a step can depend on earlier steps only")]
     BadDependency(usize, u32),
 }
 
 impl JobSpec {
-    /// Validates the specification: whatever passes can be run.
+    /// Validates the specification. A job that passes can be run.
     ///
     /// # Errors
-    /// The first fault found.
+    /// The first violation found.
     pub fn validate(&self) -> Result<(), JobSpecError> {
         if self.spec.len() > MAX_SPEC_BYTES {
             return Err(JobSpecError::SpecTooLong(self.spec.len()));
@@ -144,7 +144,7 @@
         Ok(())
     }
 
-    /// Number of occurrences: at least one.
+    /// Number of occurrences, at least one.
     pub fn occurrences(&self) -> u32 {
         self.repeat_count.max(1)
     }
@@ -157,7 +157,7 @@
 
     /// Length of the critical path: the longest chain of estimated durations through the steps, in milliseconds.
     pub fn critical_path_ms(&self) -> u64 {
-        // Steps depend on earlier ones only, so that those before a step are known when it is reached.
+        // Steps depend on earlier ones only, so the chains of all dependencies are computed before the step itself.
         let mut chains: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let longest_before = step
@@ -175,10 +175,11 @@
         chains.into_iter().max().unwrap_or(0)
     }
 
-    /// The longest chain of estimated durations that starts with a step, in milliseconds; zero for one that there is not.
+    /// The longest chain of estimated durations that starts with a step, in milliseconds; zero if there is no such
+    /// step.
     pub fn critical_path_from_ms(&self, first: usize) -> u64 {
         let mut chains = vec![0_u64; self.steps.len()];
-        // Steps depend on earlier ones only, so that those after a step are known when it is reached.
+        // Steps depend on earlier ones only, so in reverse order the chains of all dependents are computed first.
         for (position, step) in self.steps.iter().enumerate().rev() {
             chains[position] = chains[position].saturating_add(step.estimated_ms);
             let chain = chains[position];
--- a/system/protocol/src/lib.rs
+++ b/system/protocol/src/lib.rs
@@ -1,7 +1,7 @@
 //! Typed messages between the processes of the scheduler, and the commands of its replicated log.
 //!
-//! Everything here is plain data with a CBOR encoding (RFC 8949), whose fields are numbered: a name may change, a number
-//! never does. Nothing here decides, and nothing does I/O.
+//! All types are plain data with a CBOR encoding (RFC 8949). Fields are encoded by number, so they may be renamed but
+//! never renumbered. The crate contains no decision logic and does no I/O.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/system/protocol/src/location.rs
+++ b/system/protocol/src/location.rs
@@ -2,13 +2,13 @@
 use crate::{hash::fnv1a, Member};
 use minicbor::{Decode, Encode};
 
-/// A zone or region as a hash of its name, the same on all machines; zero is unknown.
+/// Identifier of a zone or region: a hash of its name, equal on all machines. Zero means unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct FailureDomainId(#[n(0)] pub u64);
 
 impl FailureDomainId {
-    /// The failure domain of a name (64-bit FNV-1a). An empty name is unknown.
+    /// The failure domain with a name (64-bit FNV-1a); unknown for an empty name.
     pub fn of(name: &str) -> FailureDomainId {
         if name.is_empty() {
             return FailureDomainId::default();
--- a/system/protocol/src/numbers.rs
+++ b/system/protocol/src/numbers.rs
@@ -1,33 +1,33 @@
-//! Numbers with types of their own, so that they are not confused.
+//! Newtypes for numbers, so that the compiler rejects mixing them up.
 use minicbor::{Decode, Encode};
 use std::{
     fmt,
     ops::{Add, Sub},
 };
 
-/// Milliseconds on the steady clock of one process, counted from its start. It does not jump, and it means nothing to
-/// another process.
+/// Milliseconds on the monotonic clock of one process, counted from its start. Values of different processes can't be
+/// compared.
 pub type Millis = u64;
 
-/// Milliseconds of the time of day, counted from 1970 (UTC).
+/// Wall-clock time in milliseconds since 1970 (UTC).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct WallMillis(#[n(0)] pub u64);
 
 impl WallMillis {
-    /// This time and `ms` milliseconds more, or the latest time that there is.
+    /// Adds `ms` milliseconds; saturates at the maximum time.
     #[must_use]
     pub fn saturating_add(self, ms: u64) -> WallMillis {
         WallMillis(self.0.saturating_add(ms))
     }
 
-    /// This time less `ms` milliseconds, or 1970.
+    /// Subtracts `ms` milliseconds; saturates at 1970.
     #[must_use]
     pub fn saturating_sub(self, ms: u64) -> WallMillis {
         WallMillis(self.0.saturating_sub(ms))
     }
 
-    /// Milliseconds from `earlier` to this time; zero if it is not earlier.
+    /// Milliseconds from `earlier` to this time; zero if `earlier` is later.
     pub fn since(self, earlier: WallMillis) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
@@ -49,13 +49,13 @@
     }
 }
 
-/// Number of a membership view. Views are agreed one after the other; zero is the state before the first one.
+/// Number of a membership view. Views are decided one after the other; zero is the state before the first one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct ViewNumber(#[n(0)] pub u64);
 
 impl ViewNumber {
-    /// The number of the view after this one. The highest one has none after it: no view follows.
+    /// The number of the next view. Saturates at the maximum, after which no view follows.
     #[must_use]
     pub fn next(self) -> ViewNumber {
         ViewNumber(self.0.saturating_add(1))
@@ -68,33 +68,33 @@
     }
 }
 
-/// Index of an entry in the replicated log, from one; zero is before the first entry.
+/// Index of an entry in the replicated log, starting at one; zero is before the first entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct LogIndex(#[n(0)] pub u64);
 
 impl LogIndex {
-    /// Above every index that is ever used.
+    /// Upper bound above every index in use.
     pub const MAX: LogIndex = LogIndex(u64::MAX);
 
-    /// The index `entries` after this one, or the highest that there is.
+    /// The index `entries` after this one; saturates at the maximum.
     #[must_use]
     pub fn saturating_add(self, entries: u64) -> LogIndex {
         LogIndex(self.0.saturating_add(entries))
     }
 
-    /// How many entries follow `earlier` up to this one; `None` if this one is earlier.
+    /// Number of entries after `earlier`, up to and including this one; `None` if this one is before `earlier`.
     pub fn checked_entries_since(self, earlier: LogIndex) -> Option<u64> {
         self.0.checked_sub(earlier.0)
     }
 
-    /// The index after this one, or the highest that there is.
+    /// The next index; saturates at the maximum.
     #[must_use]
     pub fn next(self) -> LogIndex {
         LogIndex(self.0.saturating_add(1))
     }
 
-    /// How many entries follow `earlier` up to this one; zero if it is not earlier.
+    /// Number of entries after `earlier`, up to and including this one; zero if this one is before `earlier`.
     pub fn entries_since(self, earlier: LogIndex) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
@@ -122,14 +122,15 @@
     }
 }
 
-/// Fencing token of a singleton role: rises with each owner, so that whoever has seen a higher one rejects the lower
-/// (Burrows, "The Chubby lock service", 2006). Zero: the role was never owned.
+/// Fencing token of a singleton role. It increases with each holder, so that a process that has seen a higher token
+/// rejects requests with a lower one (Burrows, "The Chubby lock service", 2006). Zero means that the role was never
+/// held.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct FencingToken(#[n(0)] pub u64);
 
 impl FencingToken {
-    /// The token of the next owner; `None` after the highest that there is: two owners must not share one.
+    /// The token of the next holder; `None` after the maximum, because two holders must not share a token.
     #[must_use]
     pub fn checked_next(self) -> Option<FencingToken> {
         self.0.checked_add(1).map(FencingToken)
@@ -142,14 +143,14 @@
     }
 }
 
-/// Number of a proposal in the agreement on the next view (single-decree Paxos, Lamport, "Paxos made simple", 2001):
-/// ordered by round, then by proposer.
+/// Ballot number in the agreement on the next view (single-decree Paxos, Lamport, "Paxos made simple", 2001), ordered
+/// by round, then by proposer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Ballot {
-    /// Counts the rounds.
+    /// Round number.
     #[n(0)]
     pub round: u64,
-    /// Distinguishes the proposers of one round: a tag of the proposer.
+    /// Tag of the proposer, which distinguishes ballots of the same round.
     #[n(1)]
     pub proposer: u32,
 }
--- a/system/protocol/src/peer.rs
+++ b/system/protocol/src/peer.rs
@@ -1,11 +1,11 @@
-//! Messages between coordinators: heartbeats, agreement on views, replication, snapshots and the list of workers.
+//! Messages between coordinators: heartbeats, view changes, replication, snapshot transfer and the list of workers.
 use crate::{
     Ballot, Command, DiskReport, Entry, FencingToken, Location, LogIndex, LogPosition, Millis,
     ProposalId, ReplicaId, RoleToken, StaleDisk, View, ViewNumber, WallMillis, WorkerEntry,
 };
 use minicbor::{Decode, Encode};
 
-/// Messages from one coordinator to another, in the order in which they were sent.
+/// A batch of messages from one coordinator to another, in sending order.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Envelope {
     /// The sender.
@@ -16,7 +16,7 @@
     pub messages: Vec<PeerMessage>,
 }
 
-/// What a coordinator reports of another one.
+/// A coordinator's report on another coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct PeerReport {
     /// The reported coordinator.
@@ -25,24 +25,24 @@
     /// Age of its last heartbeat, in milliseconds.
     #[n(1)]
     pub age_ms: u64,
-    /// Number of the newest view that it knew then.
+    /// Number of the newest view that it knew at that time.
     #[n(2)]
     pub view: ViewNumber,
-    /// It was serving in that view.
+    /// Whether it was serving in that view.
     #[n(3)]
     pub serving: bool,
-    /// It could not take part.
+    /// Whether it was unable to participate.
     #[n(4)]
     pub unfit: bool,
-    /// Its disk had all that was committed.
+    /// Whether its disk held all committed entries.
     #[n(5)]
     #[cbor(default)]
     pub complete: bool,
-    /// The newest entry that it knew to be committed.
+    /// Index of the newest entry that it knew to be committed.
     #[n(6)]
     #[cbor(default)]
     pub committed: LogIndex,
-    /// The sender of this report and it receive each other's heartbeats directly.
+    /// Whether it and the sender of this report receive each other's heartbeats directly.
     #[n(7)]
     #[cbor(default)]
     pub bidirectional: bool,
@@ -50,55 +50,55 @@
     #[n(8)]
     #[cbor(default)]
     pub location: Location,
-    /// Echo: the newest `sent_at` of its heartbeats that the sender of this report received; zero: none.
+    /// Echo: the newest `sent_at` of its heartbeats received by the sender of this report; zero if there is none.
     #[n(9)]
     #[cbor(default)]
     pub echo: Millis,
 }
 
-/// A heartbeat, with what the sender knows of itself and of others.
+/// A heartbeat, with the sender's state and its reports on other coordinators.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Heartbeat {
-    /// Number of the newest view that the sender knows.
+    /// Number of the newest view known to the sender.
     #[n(0)]
     pub view: ViewNumber,
-    /// The sender is serving in that view, or waits for the snapshot of its predecessor there.
+    /// Whether the sender is serving in that view, or waits for a snapshot from its predecessor in the chain.
     #[n(1)]
     pub serving: bool,
-    /// The sender can't take part for now: it is shutting down, or its disk does not respond.
+    /// Whether the sender is unable to participate, because it is shutting down or its disk does not respond.
     #[n(2)]
     pub unfit: bool,
-    /// Reports of other coordinators.
+    /// Reports on other coordinators.
     #[n(3)]
     pub reports: Vec<PeerReport>,
-    /// The sender's time of day.
+    /// The sender's wall-clock time.
     #[n(4)]
     pub wall_ms: WallMillis,
-    /// The newest entry that the sender knows to be committed.
+    /// Index of the newest entry that the sender knows to be committed.
     #[n(5)]
     pub committed: LogIndex,
-    /// The sender's disk has all that was committed up to that view.
+    /// Whether the sender's disk holds all entries committed up to that view.
     #[n(6)]
     #[cbor(default)]
     pub complete: bool,
-    /// Location of the sender.
+    /// The sender's location.
     #[n(7)]
     #[cbor(default)]
     pub location: Location,
-    /// When it was sent, on the sender's steady clock. Receivers return it as an echo.
+    /// Sending time on the sender's monotonic clock, which receivers echo.
     #[n(8)]
     #[cbor(default)]
     pub sent_at: Millis,
-    /// The sender takes part in the agreement on the next view, so that the current one may have ended.
+    /// Whether the sender participates in the agreement on the next view, so that the current one may have ended.
     #[n(9)]
     #[cbor(default)]
     pub sealed: bool,
-    /// What the sender says of its disk; `None`: it is of a build that says nothing.
+    /// The sender's report on its disk; `None` if its build does not send one.
     #[n(10)]
     pub disk: Option<Box<DiskReport>>,
 }
 
-/// A view that a voter has accepted, with the ballot in which it did.
+/// A view that a voter has accepted, and the ballot in which it was accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct AcceptedView {
     /// The ballot.
@@ -112,27 +112,27 @@
 /// The promise of a voter to a proposer of the next view (phase 1b of Paxos).
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Promise {
-    /// Number of the view to be agreed.
+    /// Number of the view to be decided.
     #[n(0)]
     pub number: ViewNumber,
     /// The ballot.
     #[n(1)]
     pub ballot: Ballot,
-    /// The view that the voter has accepted before.
+    /// The view that the voter has accepted earlier, if any.
     #[n(2)]
     pub accepted: Option<AcceptedView>,
-    /// The last entry on the voter's disk, when that has all that was committed so far.
+    /// Position of the last entry on the voter's disk; `None` if the disk lacks committed entries.
     #[n(3)]
     pub complete: Option<LogPosition>,
 }
 
-/// The platform's list of workers, as its reader last received it.
+/// The platform's list of workers, as the platform reader last received it.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct WorkerList {
-    /// Fencing token of the reader.
+    /// Fencing token of the platform reader.
     #[n(0)]
     pub token: FencingToken,
-    /// Number of the list among those of this reader.
+    /// Sequence number of the list among those of this platform reader.
     #[n(1)]
     pub sequence: u64,
     /// The workers.
@@ -149,27 +149,27 @@
     /// Requests a promise for the next view (phase 1a of Paxos).
     #[n(1)]
     Prepare {
-        /// Number of the view to be agreed.
+        /// Number of the view to be decided.
         #[n(0)]
         number: ViewNumber,
-        /// The ballot: round, then a tag of the proposer.
+        /// The ballot.
         #[n(1)]
         ballot: Ballot,
     },
-    /// The voter promises to accept nothing in lower ballots (phase 1b of Paxos).
+    /// Promises to accept no view in a lower ballot (phase 1b of Paxos).
     #[n(2)]
     Promise(#[n(0)] Promise),
-    /// The voter rejects a ballot, as it has promised a higher one.
+    /// Rejects a ballot because the voter has promised a higher one.
     #[n(3)]
     Reject {
-        /// Number of the view to be agreed.
+        /// Number of the view to be decided.
         #[n(0)]
         number: ViewNumber,
         /// The highest ballot that the voter has promised.
         #[n(1)]
         promised: Ballot,
     },
-    /// Requests a voter to accept a view (phase 2a of Paxos).
+    /// Asks a voter to accept a view (phase 2a of Paxos).
     #[n(4)]
     Accept {
         /// The ballot.
@@ -179,7 +179,7 @@
         #[n(1)]
         view: View,
     },
-    /// The voter has accepted a view (phase 2b of Paxos).
+    /// Confirms that the voter has accepted a view (phase 2b of Paxos).
     #[n(5)]
     Accepted {
         /// Number of the view.
@@ -189,82 +189,82 @@
         #[n(1)]
         ballot: Ballot,
     },
-    /// A view that was agreed.
+    /// Announces a view that was decided.
     #[n(6)]
     Decided(#[n(0)] View),
-    /// Entries, from a replica to its successor.
+    /// Entries from a replica to its successor in the chain.
     #[n(7)]
     Append {
         /// The view.
         #[n(0)]
         view: ViewNumber,
-        /// The entry before the first one here.
+        /// Index of the entry before the first one in this message.
         #[n(1)]
         after: LogIndex,
         /// The entries.
         #[n(2)]
         entries: Vec<Entry>,
-        /// All entries up to this one are on the disks of the sender and of all before it.
+        /// Entries up to this index are durable at the sender and all its predecessors in the chain.
         #[n(3)]
         durable: LogIndex,
     },
-    /// Notifies that all entries up to an index are committed; it begins at the tail.
+    /// Announces that all entries up to an index are committed. Sent from the tail towards the head.
     #[n(8)]
     Committed {
         /// The view.
         #[n(0)]
         view: ViewNumber,
-        /// The entry.
+        /// Index of the last committed entry.
         #[n(1)]
         index: LogIndex,
     },
-    /// Requests missing entries from the predecessor.
+    /// Requests missing entries from the predecessor in the chain.
     #[n(9)]
     RequestEntries {
         /// The view.
         #[n(0)]
         view: ViewNumber,
-        /// The last entry that the sender has.
+        /// Position of the last entry that the sender holds.
         #[n(1)]
         last: LogPosition,
     },
-    /// Entries that were missing.
+    /// The response to [`PeerMessage::RequestEntries`].
     #[n(10)]
     MissingEntries {
         /// The view.
         #[n(0)]
         view: ViewNumber,
-        /// The entry before the first one here.
+        /// Index of the entry before the first one in this message.
         #[n(1)]
         after: LogIndex,
         /// The entries.
         #[n(2)]
         entries: Vec<Entry>,
-        /// The sender has more that follow these.
+        /// Whether the sender holds further entries after these.
         #[n(3)]
         #[cbor(default)]
         more: bool,
     },
-    /// A proposal for the head.
+    /// A proposal, addressed to the head of the chain.
     #[n(12)]
     Propose {
-        /// The view in which it is made; void in any other.
+        /// The view in which the proposal is valid.
         #[n(0)]
         view: ViewNumber,
-        /// Its name.
+        /// Identity of the proposal.
         #[n(1)]
         proposal: ProposalId,
-        /// The role in which it is made.
+        /// Role and fencing token of the proposer; `None` if the command requires no role.
         #[n(2)]
         role_token: Option<RoleToken>,
-        /// What is proposed.
+        /// The proposed command.
         #[n(3)]
         command: Command,
     },
     /// The platform's list of workers.
     #[n(13)]
     Platform(#[n(0)] WorkerList),
-    /// Offers a snapshot, where the log does not reach back far enough. It is requested chunk by chunk.
+    /// Offers a snapshot when the log no longer holds the missing entries. The receiver requests it chunk by chunk.
     #[n(14)]
     SnapshotOffer {
         /// The view.
@@ -277,16 +277,16 @@
         #[n(2)]
         chunks: u32,
     },
-    /// Requests a chunk of a snapshot that was offered.
+    /// Requests a chunk of an offered snapshot.
     #[n(15)]
     RequestSnapshotChunk {
         /// The view.
         #[n(0)]
         view: ViewNumber,
-        /// Position of the snapshot.
+        /// Position of the last entry in the snapshot.
         #[n(1)]
         position: LogPosition,
-        /// Number of the chunk, from zero.
+        /// Number of the chunk, starting at zero.
         #[n(2)]
         number: u32,
     },
@@ -296,26 +296,26 @@
         /// The view.
         #[n(0)]
         view: ViewNumber,
-        /// Position of the snapshot.
+        /// Position of the last entry in the snapshot.
         #[n(1)]
         position: LogPosition,
-        /// Number of the chunk, from zero.
+        /// Number of the chunk, starting at zero.
         #[n(2)]
         number: u32,
-        /// FNV-1a of its bytes.
+        /// FNV-1a hash of `bytes`.
         #[n(3)]
         checksum: u64,
         /// The encoded chunk.
         #[cbor(n(4), with = "minicbor::bytes")]
         bytes: Vec<u8>,
     },
-    /// Objects to the receiver's disk, which was further before. Sent only in reply to a heartbeat that tells of a disk.
+    /// Tells the receiver that its disk is stale. Sent only in response to a heartbeat that contains a disk report.
     #[n(17)]
     StaleDisk(#[n(0)] Box<StaleDisk>),
 }
 
 impl PeerMessage {
-    /// Estimated size in bytes.
+    /// Estimated encoded size in bytes.
     pub fn estimated_bytes(&self) -> usize {
         const BASE_BYTES: usize = 200;
         match self {
@@ -328,7 +328,7 @@
         }
     }
 
-    /// Whether the message is about membership and views, and must not wait behind entries and snapshots.
+    /// Whether the message concerns membership and views, and must not be queued behind entries and snapshots.
     pub fn is_urgent(&self) -> bool {
         match self {
             PeerMessage::Heartbeat(_)
--- a/system/protocol/src/requests.rs
+++ b/system/protocol/src/requests.rs
@@ -1,29 +1,29 @@
-//! Requests of proxies, agents and the operator's interface to a coordinator, and its responses.
+//! Requests from proxies, agents and the operator interface to a coordinator, and its responses.
 use crate::{ConfigurationChunk, ConfigurationFetch, Feed, FeedPoll, JobId, Submission};
 use minicbor::{Decode, Encode};
 
-/// The state of a job as its client sees it.
+/// The state of a job as visible to its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum JobPhase {
-    /// No task has been started yet.
+    /// No task has started yet.
     #[n(0)]
     Pending,
-    /// A task has been started.
+    /// At least one task has started.
     #[n(1)]
     Running,
-    /// Every task is done.
+    /// All tasks have succeeded.
     #[n(2)]
     Succeeded,
-    /// A task has failed as often as its queue allows.
+    /// A task has reached its queue's limit of failed runs.
     #[n(3)]
     Failed,
-    /// Its client cancelled it.
+    /// The client has cancelled the job.
     #[n(4)]
     Cancelled,
 }
 
 impl JobPhase {
-    /// The text that clients see.
+    /// The text form in the client API.
     pub fn as_str(self) -> &'static str {
         match self {
             JobPhase::Pending => "pending",
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Parses the text that clients see.
+    /// Parses the text form of the client API.
     pub fn parse(text: &str) -> Option<JobPhase> {
         let phases = [
             JobPhase::Pending,
@@ -46,13 +46,13 @@
         phases.into_iter().find(|phase| phase.as_str() == text)
     }
 
-    /// Whether the job has ended: nothing of it is started any more.
+    /// Whether the job has ended, so that no more of its tasks are started.
     pub fn is_terminal(self) -> bool {
         !matches!(self, JobPhase::Pending | JobPhase::Running)
     }
 }
 
-/// Selects jobs for an operator, in the order of their names.
+/// Selects jobs for an operator, ordered by identifier.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct JobFilter {
     /// Only jobs of this queue, `HOST/PREFIX/`.
@@ -61,7 +61,7 @@
     /// Only jobs in this phase.
     #[n(1)]
     pub phase: Option<JobPhase>,
-    /// Only jobs after this one.
+    /// Only jobs with an identifier after this one.
     #[n(2)]
     pub after: Option<JobId>,
     /// Maximum number of jobs.
@@ -72,7 +72,7 @@
 /// A request to a coordinator.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum CoordinatorRequest {
-    /// Accepts a job.
+    /// Submits a job.
     #[n(0)]
     Submit(#[n(0)] Box<Submission>),
     /// Returns the phase of a job.
@@ -95,7 +95,7 @@
         #[n(1)]
         job: JobId,
     },
-    /// Counts the jobs of a queue that have not ended.
+    /// Returns the number of jobs of a queue that have not ended.
     #[n(3)]
     Count {
         /// The queue.
@@ -108,30 +108,30 @@
     /// Replaces the configuration.
     #[n(5)]
     ReplaceConfiguration {
-        /// The version that it builds on.
+        /// The version to be replaced.
         #[n(0)]
         base: u64,
-        /// As the operator sent it.
+        /// The configuration as the operator sent it.
         #[cbor(n(2), with = "minicbor::bytes")]
         body: Vec<u8>,
     },
     /// Returns the newest configuration.
     #[n(6)]
     DescribeConfiguration,
-    /// Describes the state of the cluster, for operators.
+    /// Returns a description of the cluster's state, for operators.
     #[n(7)]
     Describe,
-    /// Explains the state of a job, for operators.
+    /// Returns an explanation of a job's state, for operators.
     #[n(8)]
     Explain {
         /// The job.
         #[n(0)]
         job: JobId,
     },
-    /// Lists jobs as this coordinator has them, for operators.
+    /// Lists the jobs in this coordinator's state, for operators.
     #[n(9)]
     ListJobs(#[n(0)] JobFilter),
-    /// Fetches a chunk of the change to the newest configuration.
+    /// Requests a chunk of the change to the newest configuration.
     #[n(10)]
     FetchConfiguration(#[n(0)] ConfigurationFetch),
 }
@@ -139,16 +139,16 @@
 /// The response to a [`CoordinatorRequest`].
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum CoordinatorResponse {
-    /// The job, or its cancellation, is committed.
+    /// The job or its cancellation is committed.
     #[n(0)]
     Accepted,
-    /// The job was rejected and won't be accepted by this request: there is no capacity for it now.
+    /// The job was rejected for lack of capacity and will not be accepted through this request.
     #[n(1)]
     NoCapacity,
-    /// This coordinator can't serve the request and has done nothing; another one may.
+    /// This coordinator can't serve the request and has done nothing; another one may be able to serve it.
     #[n(2)]
     NotServing,
-    /// It isn't known whether the request took effect or will.
+    /// The result is unknown: the request may have taken effect or may still do so.
     #[n(3)]
     Unknown,
     /// There is no such job.
@@ -157,34 +157,34 @@
     /// The phase of a job.
     #[n(5)]
     Phase(#[n(0)] JobPhase),
-    /// A number of jobs.
+    /// The number of jobs.
     #[n(6)]
     Count(#[n(0)] u64),
     /// The feed.
     #[n(7)]
     Feed(#[n(0)] Box<Feed>),
-    /// The configuration was accepted, now or earlier.
+    /// The configuration is accepted, by this request or an earlier one.
     #[n(8)]
     ConfigurationAccepted,
-    /// Another version is current.
+    /// The current version is not the one to be replaced.
     #[n(9)]
     ConfigurationConflict,
-    /// The version isn't above the current one.
+    /// The new version is not higher than the current one.
     #[n(10)]
     ConfigurationStale,
-    /// The newest configuration; empty: there is none yet.
+    /// The newest configuration; empty if there is none yet.
     #[n(11)]
     Configuration(#[cbor(n(0), with = "minicbor::bytes")] Vec<u8>),
     /// A description for operators, as JSON.
     #[n(12)]
     Description(#[n(0)] String),
-    /// Another coordinator schedules the job's service; its address.
+    /// Address of the coordinator that schedules the job's service.
     #[n(13)]
     Redirect(#[n(0)] u32),
     /// A chunk of a configuration.
     #[n(14)]
     ConfigurationChunk(#[n(0)] Box<ConfigurationChunk>),
-    /// The configuration is invalid; the text names its first fault.
+    /// The configuration is invalid; the text describes the first error.
     #[n(15)]
     ConfigurationInvalid(#[n(0)] String),
 }
--- a/system/protocol/src/resources.rs
+++ b/system/protocol/src/resources.rs
@@ -16,12 +16,12 @@
 }
 
 impl Resources {
-    /// Whether a request for this much fits into a capacity.
+    /// Whether these resources fit into a capacity.
     pub fn fits_in(&self, capacity: &Resources) -> bool {
         self.cpu <= capacity.cpu && self.memory_mb <= capacity.memory_mb && self.gpu <= capacity.gpu
     }
 
-    /// The sum of both, or the largest number that there is: what is too much for any worker stays so.
+    /// The sum of both. It saturates instead of wrapping, so that an amount too large for every worker stays too large.
     pub fn saturating_add(&self, other: &Resources) -> Resources {
         Resources {
             cpu: self.cpu.saturating_add(other.cpu),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The difference of both; never below zero.
+    /// The difference of both; saturates at zero.
     pub fn saturating_sub(&self, other: &Resources) -> Resources {
         Resources {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -39,8 +39,8 @@
         }
     }
 
-    /// The dominant share of a capacity: the largest over all resources, 0 for none and 1 for all of it (Ghodsi et al.,
-    /// "Dominant resource fairness", 2011). Infinite when it uses a resource that the capacity does not have.
+    /// The dominant share of a capacity: the maximum share over all resources, from 0 for none to 1 for all of it
+    /// (Ghodsi et al., "Dominant resource fairness", 2011). Infinite if a used resource is absent from the capacity.
     pub fn dominant_share(&self, capacity: &Resources) -> f64 {
         let share = |used: u64, total: u64| match (used, total) {
             (0, _) => 0.0,
--- a/system/protocol/src/role.rs
+++ b/system/protocol/src/role.rs
@@ -1,13 +1,13 @@
-//! Singleton roles of coordinators, and the tokens that fence them off.
+//! Singleton roles of coordinators, and their fencing tokens.
 //!
-//! Who holds a role is decided by the replicated log.
+//! The replicated log determines the holder of each role.
 use crate::FencingToken;
 use minicbor::{Decode, Encode};
 
-/// A singleton role: at most one coordinator holds it.
+/// A singleton role, held by at most one coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum Role {
-    /// Reads the platform's list of workers, for all coordinators.
+    /// Reads the platform's list of workers on behalf of all coordinators.
     #[n(0)]
     PlatformReader,
     /// Places and starts the tasks of one service.
@@ -15,13 +15,13 @@
     Scheduler(#[n(0)] String),
 }
 
-/// A role with the fencing token of one holder. An entry whose token is not the current one changes nothing.
+/// A role and the fencing token of one holder. An entry with an outdated token has no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RoleToken {
     /// The role.
     #[n(0)]
     pub role: Role,
-    /// The fencing token of its holder.
+    /// The holder's fencing token.
     #[n(1)]
     pub token: FencingToken,
 }
--- a/system/protocol/src/run.rs
+++ b/system/protocol/src/run.rs
@@ -1,43 +1,43 @@
-//! Runs of tasks: how they are started and how they complete.
+//! Starts and completions of task runs.
 use crate::{RunId, TaskId};
 use minicbor::{Decode, Encode};
 
 /// How a run completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum CompletionKind {
-    /// It did its work.
+    /// It succeeded.
     #[n(0)]
     Done,
-    /// It failed, by its own fault or that of the worker.
+    /// It failed, because of the task or the worker.
     #[n(1)]
     Failed,
-    /// It was stopped by request.
+    /// It was stopped on request.
     #[n(2)]
     Stopped,
     /// The worker lease under which it ran expired.
     #[n(3)]
     LeaseExpired,
-    /// Another member of its gang ended first.
+    /// Another task of its gang ended first.
     #[n(4)]
     GangEnded,
-    /// It timed out waiting for the other members of its gang.
+    /// It timed out waiting for the other tasks of its gang.
     #[n(5)]
     GangTimedOut,
 }
 
-/// The completion of a run, as its worker reports it.
+/// The completion of a run, as reported by its worker.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RunCompletion {
     /// The task.
     #[n(0)]
     pub task: TaskId,
-    /// Number of the run among those of its task.
+    /// Number of the run among the runs of its task.
     #[n(1)]
     pub run: RunId,
-    /// How it completed.
+    /// How the run completed.
     #[n(2)]
     pub kind: CompletionKind,
-    /// The last checkpoint; empty: none.
+    /// The last checkpoint; empty if there is none.
     #[n(3)]
     pub checkpoint: String,
 }
@@ -48,13 +48,13 @@
     /// The task.
     #[n(0)]
     pub task: TaskId,
-    /// Number of the run among those of its task.
+    /// Number of the run among the runs of its task.
     #[n(1)]
     pub run: RunId,
     /// The worker's incarnation.
     #[n(2)]
     pub incarnation: String,
-    /// The checkpoint that it resumes from; empty: none.
+    /// The checkpoint to resume from; empty if there is none.
     #[n(3)]
     pub checkpoint: String,
 }
--- a/system/protocol/src/submission.rs
+++ b/system/protocol/src/submission.rs
@@ -1,35 +1,35 @@
-//! A job as it stands in the log: what the client submitted, and the terms of its queue.
+//! A submitted job as stored in the log: the client's specification and the parameters of its queue.
 use crate::{JobId, JobSpec, WallMillis};
 use minicbor::{Decode, Encode};
 
-/// A job that was accepted, with the terms of its queue at that time.
+/// An accepted job, with the parameters of its queue at that time.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Submission {
-    /// Name of the job.
+    /// Identifier of the job.
     #[n(0)]
     pub job: JobId,
     /// The queue: host and path prefix of its route.
     #[n(1)]
     pub queue: String,
-    /// Name of the service whose workers run it.
+    /// Name of the service whose workers run the job.
     #[n(2)]
     pub service: String,
     /// Priority; zero is the highest.
     #[n(3)]
     pub priority: u32,
-    /// How many runs of a task may fail before the job fails.
+    /// Number of failed runs of a task after which the job fails.
     #[n(4)]
     pub max_attempts: u32,
-    /// One term of the latency target: a multiple of the job's longest chain of work.
+    /// The relative part of the latency target: a multiple of the job's critical path.
     #[n(5)]
     pub stretch: f64,
-    /// The other term of the latency target, in milliseconds.
+    /// The absolute part of the latency target, in milliseconds.
     #[n(6)]
     pub target_latency_ms: u64,
-    /// When it was submitted, by the time of day of the core machines.
+    /// Submission time, by the wall clock of the core machines.
     #[n(7)]
     pub submitted_ms: WallMillis,
-    /// What the client submitted.
+    /// The client's specification.
     #[n(8)]
     pub spec: JobSpec,
 }
