--- a/system/storage/src/directory.rs
+++ b/system/storage/src/directory.rs
@@ -1,6 +1,6 @@
-//! The files of a store, and what it needs of the file system that holds them.
+//! The files of a store, and the file system operations that it requires.
 //!
-//! What the files contain is in `format`; tests put a simulated disk in place of [`FolderDirectory`].
+//! The `format` module defines the content of the files. Tests replace [`FolderDirectory`] by a simulated disk.
 use crate::generation::Parity;
 use std::{
     fs::{File, OpenOptions},
@@ -11,9 +11,9 @@
 /// One of the four files of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FileName {
-    /// The snapshot of an even or odd generation.
+    /// The snapshot of the even or odd generations.
     Slot(Parity),
-    /// The log of an even or odd generation.
+    /// The log of the even or odd generations.
     Log(Parity),
 }
 
@@ -26,7 +26,7 @@
         FileName::Log(Parity::Odd),
     ];
 
-    /// Name of the file within the folder.
+    /// Name of the file in the folder.
     pub fn as_str(self) -> &'static str {
         match self {
             FileName::Slot(Parity::Even) => "slot-0",
@@ -37,21 +37,21 @@
     }
 }
 
-/// The file system as a store uses it.
+/// File system operations used by a store.
 pub trait Directory {
-    /// Reads a file completely; `None` when it does not exist.
+    /// Reads a complete file; `None` if it does not exist.
     ///
     /// # Errors
     /// When the file can't be read.
     fn read(&mut self, file: FileName) -> io::Result<Option<Vec<u8>>>;
 
-    /// Replaces the content of a file, which is created if it does not exist. Nothing is durable before [`Self::sync`].
+    /// Replaces the content of a file, creating it if necessary. The content becomes durable with [`Self::sync`].
     ///
     /// # Errors
     /// When the file can't be created or written.
     fn overwrite(&mut self, file: FileName, bytes: &[u8]) -> io::Result<()>;
 
-    /// Writes at an offset of a file that exists.
+    /// Writes at an offset of an existing file.
     ///
     /// # Errors
     /// When the file can't be written.
@@ -63,23 +63,23 @@
     /// When the file can't be truncated.
     fn truncate(&mut self, file: FileName, length: u64) -> io::Result<()>;
 
-    /// Makes the content of a file and its name durable.
+    /// Makes the content and the directory entry of a file durable.
     ///
     /// # Errors
     /// When the disk does not confirm it.
     fn sync(&mut self, file: FileName) -> io::Result<()>;
 }
 
-/// The files of a store in a folder of the operating system.
+/// The files of a store in a folder of the local file system.
 pub struct FolderDirectory {
     folder: PathBuf,
     open_files: Vec<(FileName, File)>,
-    /// Files whose names in the folder are durable.
+    /// Files whose directory entries are durable.
     synced_names: Vec<FileName>,
 }
 
 impl FolderDirectory {
-    /// The files in a folder, which is created if it does not exist.
+    /// Uses a folder, creating it if necessary.
     ///
     /// # Errors
     /// When the folder can't be created.
@@ -96,7 +96,7 @@
         self.folder.join(name.as_str())
     }
 
-    /// The open file of a name; it is opened, or created, the first time.
+    /// Returns an open file, which is opened or created on first use.
     fn file(&mut self, name: FileName) -> io::Result<&mut File> {
         let known = self.open_files.iter().position(|(other, _)| *other == name);
         let position = match known {
--- a/system/storage/src/error.rs
+++ b/system/storage/src/error.rs
@@ -1,10 +1,10 @@
-//! Why a store can't read or write.
+//! Errors of a store.
 use std::io;
 
-/// What the disk refused, and what that means for the state on it.
+/// Why an operation failed, and what that means for the stored state.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// A file can't be read at the start.
+    /// A file can't be read when the store is opened.
     #[error("can't read {file}: {source}")]
     Read {
         /// Name of the file.
@@ -12,15 +12,15 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// Something that was confirmed is not there any more: the disk must not be used, nor taken for an empty one.
+    /// Content that was confirmed as durable is missing. The disk must neither be used nor treated as empty.
     #[error(
-        "{file} is damaged: it was kept once and can't be read now; the machine needs an empty data folder"
+        "{file} is damaged: its confirmed content can no longer be read; the machine needs an empty data folder"
     )]
     Damaged {
         /// Name of the file.
         file: &'static str,
     },
-    /// A file can't be written. Nothing new was stored; the call may be retried.
+    /// A file can't be written. No new data was stored, and the call may be retried.
     #[error("can't write {file}: {source}")]
     Write {
         /// Name of the file.
--- a/system/storage/src/format.rs
+++ b/system/storage/src/format.rs
@@ -1,16 +1,20 @@
-//! The encoding of slots and logs. When they are written, and which of them counts, is the business of `store`.
+//! The encoding of slots and logs. The `store` module decides when they are written and which of them are valid.
 //!
-//! A slot: magic, generation, length and checksum of the rest, then the chunks of the snapshot, each with its length. (In
-//! version 1 of the format the rest is a snapshot that is not divided; it is still read, as the only chunk.) A log:
-//! magic, generation, checksum of both, then records, each with its length and a checksum over generation and record.
-//! Numbers are little-endian, checksums CRC-32.
+//! Slot: magic number, generation, length of the content, checksum over generation and content; then the content, which
+//! is the snapshot's chunks, each prefixed with its length. (In version 1 of the format the content is one snapshot
+//! that is not divided into chunks; it is still read, as a single chunk.)
+//!
+//! Log: magic number, generation, checksum over both; then records, each prefixed with its length and a checksum over
+//! generation and record.
+//!
+//! Numbers are little-endian; checksums are CRC-32.
 use crate::generation::Generation;
 
-/// First bytes of a slot; the last one is the version of the format.
+/// Magic number of a slot; the last byte is the version of the format.
 const SLOT_MAGIC: &[u8; 8] = b"mgslot\0\x02";
-/// First bytes of a slot in version 1 of the format.
+/// Magic number of a slot in version 1 of the format.
 const SLOT_MAGIC_V1: &[u8; 8] = b"mgslot\0\x01";
-/// First bytes of a log; the last one is the version of the format.
+/// Magic number of a log; the last byte is the version of the format.
 const LOG_MAGIC: &[u8; 8] = b"mglog\0\0\x01";
 
 /// Length of a magic number, in bytes.
@@ -25,9 +29,9 @@
 const SLOT_HEADER_BYTES: usize = SLOT_CHECKSUM_OFFSET + 4;
 /// Length of a log's header, in bytes.
 pub(crate) const LOG_HEADER_BYTES: usize = GENERATION_OFFSET + 8 + 4;
-/// Length and checksum before each record, in bytes.
+/// Size of the length and checksum before each record, in bytes.
 const RECORD_HEADER_BYTES: usize = 4 + 4;
-/// The length before each chunk, in bytes.
+/// Size of the length before each chunk, in bytes.
 const CHUNK_HEADER_BYTES: usize = 4;
 
 fn checksum(generation: Generation, bytes: &[u8]) -> u32 {
@@ -37,7 +41,7 @@
     hasher.finalize()
 }
 
-/// The bytes of a number at an offset; `None` when they are not all there.
+/// The bytes of a number at an offset; `None` if they extend beyond the end.
 fn bytes_at<const N: usize>(bytes: &[u8], offset: usize) -> Option<[u8; N]> {
     let end = offset.checked_add(N)?;
     bytes.get(offset..end)?.try_into().ok()
@@ -51,15 +55,15 @@
     bytes_at(bytes, offset).map(u64::from_le_bytes)
 }
 
-/// The header of a slot to which chunks are added one by one.
+/// Builds the header of a slot while its chunks are added one by one.
 pub(crate) struct SlotHeader {
     generation: Generation,
-    /// Bytes after the header so far.
+    /// Length of the content so far, in bytes.
     length: u64,
     checksum: crc32fast::Hasher,
 }
 
-/// A chunk as it is written into a slot.
+/// A chunk encoded for writing to a slot.
 pub(crate) struct EncodedChunk {
     /// Offset from the start of the slot, in bytes.
     pub(crate) offset: u64,
@@ -78,7 +82,7 @@
         }
     }
 
-    /// Adds a chunk, and encodes it.
+    /// Adds a chunk to the length and the checksum, and encodes it.
     pub(crate) fn add(&mut self, chunk: &[u8]) -> EncodedChunk {
         let mut bytes = Vec::with_capacity(CHUNK_HEADER_BYTES + chunk.len());
         bytes.extend_from_slice(&(chunk.len() as u32).to_le_bytes());
@@ -89,7 +93,7 @@
         EncodedChunk { offset, bytes }
     }
 
-    /// Encodes the header: with it the slot is complete.
+    /// Encodes the header. The slot becomes valid once the header is written.
     pub(crate) fn finish(self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(SLOT_HEADER_BYTES);
         bytes.extend_from_slice(SLOT_MAGIC);
@@ -107,7 +111,7 @@
     pub(crate) chunks: Vec<Vec<u8>>,
 }
 
-/// Reads a slot; `None` when it is incomplete or damaged.
+/// Reads a slot; `None` if it is incomplete or damaged.
 pub(crate) fn read_slot(bytes: &[u8]) -> Option<Slot> {
     let magic = bytes.get(..MAGIC_BYTES)?;
     if magic != SLOT_MAGIC && magic != SLOT_MAGIC_V1 {
@@ -151,14 +155,14 @@
     bytes
 }
 
-/// The generation of a log; `None` when its header is incomplete or damaged.
+/// The generation of a log; `None` if its header is incomplete or damaged.
 pub(crate) fn log_generation(bytes: &[u8]) -> Option<Generation> {
     let generation = Generation(u64_at(bytes, GENERATION_OFFSET)?);
     let header = bytes.get(..LOG_HEADER_BYTES)?;
     (header == empty_log(generation)).then_some(generation)
 }
 
-/// Encodes a record to be appended to a log.
+/// Appends an encoded record to `bytes`.
 pub(crate) fn push_record(bytes: &mut Vec<u8>, generation: Generation, record: &[u8]) {
     bytes.extend_from_slice(&(record.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&checksum(generation, record).to_le_bytes());
@@ -167,13 +171,13 @@
 
 /// The valid content of a log.
 pub(crate) struct Log {
-    /// Records up to the first one that is incomplete or damaged.
+    /// Records before the first one that is incomplete or damaged.
     pub(crate) records: Vec<Vec<u8>>,
-    /// Offset at which they end, in bytes.
+    /// Offset after the last valid record, in bytes.
     pub(crate) end: usize,
 }
 
-/// Reads a log; `None` when it isn't the log of this generation.
+/// Reads a log; `None` if it belongs to another generation or its header is invalid.
 pub(crate) fn read_log(generation: Generation, bytes: &[u8]) -> Option<Log> {
     if log_generation(bytes)? != generation {
         return None;
--- a/system/storage/src/lib.rs
+++ b/system/storage/src/lib.rs
@@ -1,8 +1,8 @@
-//! Crash-safe state on disk: two slots written in turn, with a short log between.
+//! Crash-safe storage: two alternating snapshot slots, each followed by a log of records.
 //!
-//! A slot holds a complete snapshot and its generation. Each generation has a log of the records that came after its
-//! snapshot. A checkpoint empties the log that the new generation will use, then writes the other slot; until that
-//! slot is durable the old one and its log stay valid. What snapshots and records mean is not known here.
+//! A slot holds a complete snapshot and its generation. Each generation has a log of the records appended after its
+//! snapshot. A checkpoint first empties the log of the new generation, then writes the other slot. The old slot and its
+//! log stay valid until the new slot is durable. Snapshots and records are opaque to this crate.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/system/storage/src/store.rs
+++ b/system/storage/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: recovery at the start, appending of records, checkpoints.
+//! The store: recovery, appending of records and checkpoints.
 use crate::{
     directory::{Directory, FileName},
     error::StoreError,
@@ -7,17 +7,17 @@
 };
 use std::io;
 
-/// What was found on disk.
+/// State recovered from disk.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
     /// Chunks of the last complete snapshot; `None` on an empty disk and before the first checkpoint.
     pub snapshot: Option<Vec<Vec<u8>>>,
-    /// Records that were appended after it.
+    /// Records appended after the snapshot.
     pub records: Vec<Vec<u8>>,
 }
 
 impl Recovered {
-    /// Whether nothing was ever stored here.
+    /// Whether neither a snapshot nor any record was found.
     pub fn is_empty(&self) -> bool {
         self.snapshot.is_none() && self.records.is_empty()
     }
@@ -27,28 +27,28 @@
 pub struct Store<D> {
     files: StoreFiles<D>,
     generation: Generation,
-    /// Offset of the next record in the log; bytes after it are void.
+    /// Offset of the next record in the log; bytes after it are invalid.
     log_end: u64,
     preparation: Preparation,
 }
 
-/// What has to be done before the next record can be written.
+/// Steps required before the next record can be written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Preparation {
-    /// There is no log of this generation yet.
+    /// The log of this generation does not exist yet.
     start_log: bool,
-    /// There may be bytes after the last record.
+    /// The log may contain bytes after the last valid record.
     truncate_log: bool,
-    /// The slot of the next generation may be on disk though its checkpoint failed. It must not count once records
-    /// follow in the log of this generation.
+    /// The slot of the next generation may be on disk although its checkpoint failed. It must be cleared before records
+    /// are appended to this generation's log, or recovery would prefer the slot and lose them.
     clear_next_slot: bool,
 }
 
 impl<D: Directory> Store<D> {
-    /// Recovers what is on disk. Nothing is written, so that a full disk can be read too.
+    /// Opens a store and recovers its state. Writes nothing, so that a full disk can be opened too.
     ///
     /// # Errors
-    /// When files can't be read, or something that was confirmed is not there any more.
+    /// When a file can't be read, or confirmed content is missing.
     pub fn open(directory: D) -> Result<(Store<D>, Recovered), StoreError> {
         let mut files = StoreFiles { directory };
         let contents = FileContents {
@@ -83,7 +83,7 @@
         Ok((store, recovered))
     }
 
-    /// Takes the valid records of a log, and notes what has to be done before others can follow.
+    /// Returns the valid records of a log, and records the steps required before the next append.
     fn recover_log(&mut self, bytes: &[u8]) -> Vec<Vec<u8>> {
         let Some(log) = format::read_log(self.generation, bytes) else {
             self.preparation.start_log = true;
@@ -94,10 +94,10 @@
         log.records
     }
 
-    /// Appends records: when this returns they are durable.
+    /// Appends records, which are durable when this returns.
     ///
     /// # Errors
-    /// When the disk refuses; then none of them counts, and the call may be retried.
+    /// When a file can't be written. Then none of the records is valid, and the call may be retried.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), StoreError> {
         self.prepare()?;
         let mut bytes = Vec::new();
@@ -105,7 +105,8 @@
             format::push_record(&mut bytes, self.generation, record);
         }
         let log = FileName::Log(self.generation.parity());
-        // What a sync has refused once may never reach the disk, even if a later sync is confirmed: it is written anew.
+        // After a failed sync the data may never reach the disk, even if a later sync succeeds, so it must be
+        // rewritten.
         self.preparation.truncate_log = true;
         self.files.write_at(log, self.log_end, &bytes)?;
         self.files.sync(log)?;
@@ -114,10 +115,10 @@
         Ok(())
     }
 
-    /// Replaces all that was stored by a snapshot, of which one chunk at a time is in memory.
+    /// Replaces the stored state by a snapshot. Only one chunk of it is in memory at a time.
     ///
     /// # Errors
-    /// When the disk refuses; then all that was stored before stays valid, and appending goes on.
+    /// When a file can't be written. Then the previous state stays valid, and records can still be appended.
     pub fn checkpoint(
         &mut self,
         chunks: impl IntoIterator<Item = Vec<u8>>,
@@ -132,7 +133,7 @@
             let encoded = header.add(&chunk);
             self.files.write_at(slot, encoded.offset, &encoded.bytes)?;
         }
-        // The header comes last: without it no chunk counts.
+        // The header is written last: without it the slot is invalid.
         self.files.write_at(slot, 0, &header.finish())?;
         self.files.sync(slot)?;
         self.generation = generation;
@@ -141,17 +142,17 @@
         Ok(())
     }
 
-    /// Bytes of records since the last checkpoint.
+    /// Size of the records since the last checkpoint, in bytes.
     pub fn log_bytes(&self) -> u64 {
         self.log_end.saturating_sub(format::LOG_HEADER_BYTES as u64)
     }
 
-    /// Gives the directory back.
+    /// Returns the directory.
     pub fn into_directory(self) -> D {
         self.files.directory
     }
 
-    /// Makes the log ready for the next record.
+    /// Performs the steps required before the next record can be written.
     fn prepare(&mut self) -> Result<(), StoreError> {
         if self.preparation.clear_next_slot {
             let slot = FileName::Slot(self.generation.next().parity());
@@ -173,14 +174,14 @@
     }
 }
 
-/// The bytes of all files at the start; empty for those that do not exist. Even generations come first.
+/// Content of all files when the store is opened, empty for missing files. Indexed by parity: even, then odd.
 struct FileContents {
     slots: [Vec<u8>; 2],
     logs: [Vec<u8>; 2],
 }
 
 impl FileContents {
-    /// The log that a generation uses.
+    /// Content of the log that a generation uses.
     fn log(&self, generation: Generation) -> &[u8] {
         match generation.parity() {
             Parity::Even => &self.logs[0],
@@ -188,8 +189,8 @@
         }
     }
 
-    /// Looks for signs that a newer slot than the one that was found had been confirmed: records follow it, or another
-    /// slot was begun, which only happens once the one before is durable.
+    /// Detects that a slot newer than the found one had been confirmed: its log contains records, or a later slot was
+    /// started, which happens only after the previous slot is durable.
     fn check_damage(&self, found: Generation) -> Result<(), StoreError> {
         for log in &self.logs {
             let generation = format::log_generation(log);
@@ -201,7 +202,7 @@
                 return Err(damaged(FileName::Slot(newer.parity())));
             }
         }
-        // The first slot to be written is the odd one.
+        // The first checkpoint writes the odd slot, so content in the even slot implies that the odd one was confirmed.
         let [even_slot, _] = &self.slots;
         if found == Generation::default() && !even_slot.is_empty() {
             return Err(damaged(FileName::Slot(Parity::Odd)));
@@ -216,13 +217,13 @@
     }
 }
 
-/// A directory whose errors name the file.
+/// Wraps a directory so that errors contain the file name.
 struct StoreFiles<D> {
     directory: D,
 }
 
 impl<D: Directory> StoreFiles<D> {
-    /// The bytes of a file; empty when it does not exist.
+    /// The content of a file; empty if it does not exist.
     fn read(&mut self, file: FileName) -> Result<Vec<u8>, StoreError> {
         let bytes = self
             .directory
@@ -256,7 +257,7 @@
         self.directory.sync(file).map_err(write_error(file))
     }
 
-    /// Makes the log of a generation durable and empty.
+    /// Creates an empty, durable log for a generation.
     fn start_log(&mut self, generation: Generation) -> Result<(), StoreError> {
         let log = FileName::Log(generation.parity());
         self.overwrite(log, &format::empty_log(generation))?;
