--- a/system/distribution/examples/sizes.rs
+++ b/system/distribution/examples/sizes.rs
@@ -1,9 +1,9 @@
-//! Measures what a version of the configuration takes to reach an agent: bytes, and time on links of different rates.
+//! Measures the distribution of a configuration to an agent: transferred bytes, and time on links of different rates.
 //!
 //! `cargo run --profile system -p magpiegap-distribution --example sizes`
 //!
-//! One agent and three coordinators on simulated time (`tests/slow_link`); processor time counts for nothing. The time is
-//! from the moment at which it is in force at the coordinators until it is in force at the agent.
+//! One agent and three coordinators run on simulated time (`tests/slow_link`), which does not include processor time.
+//! The time is measured from the activation at the coordinators until the activation at the agent.
 #[path = "../tests/common/mod.rs"]
 mod common;
 #[path = "../tests/slow_link/mod.rs"]
@@ -12,13 +12,13 @@
 use common::{configuration, source};
 use slow_link::{body_bytes, World};
 
-const ROUTES: [u64; 5] = [10, 100, 350, 1830, 5000];
-/// Links, in bytes a second: 64 kbit/s, 2 Mbit/s, 200 Mbit/s.
-const RATES: [u64; 3] = [8_000, 250_000, 25_000_000];
+const ROUTE_COUNTS: [u64; 5] = [10, 100, 350, 1830, 5000];
+/// Link rates in bytes per second: 64 kbit/s, 2 Mbit/s, 200 Mbit/s.
+const LINK_RATES: [u64; 3] = [8_000, 250_000, 25_000_000];
 /// Maximum time for one measurement, in milliseconds.
 const MAX_MS: u64 = 120_000;
 
-/// Bytes of a complete configuration, and of a change of one route.
+/// Encoded bytes of a complete configuration, and of a change that adds one route.
 fn transfer_bytes(routes: u64) -> (u64, u64) {
     let mut source = source([configuration(1, 0..routes), configuration(2, 0..routes + 1)]);
     let complete = source
@@ -28,8 +28,8 @@
     (complete, change)
 }
 
-/// Milliseconds until a version is in force.
-fn until_in_force(world: &mut World, version: u64) -> u64 {
+/// Milliseconds until a version is in force at the agent.
+fn ms_until_in_force(world: &mut World, version: u64) -> u64 {
     let started = world.now();
     while world.version() < version && world.now() < started + MAX_MS {
         world.run_for(1);
@@ -38,21 +38,21 @@
 }
 
 fn main() {
-    println!("routes | body as sent, about | whole on its way | one route more | ms for the whole, ms for one route more, by link");
-    for routes in ROUTES {
+    println!("routes | body bytes, estimated | complete transfer bytes | one-route change bytes | by link: ms for the complete transfer, ms for the one-route change");
+    for routes in ROUTE_COUNTS {
         let (complete, change) = transfer_bytes(routes);
         print!(
             "{routes} | {} | {complete} | {change}",
             body_bytes(&configuration(1, 0..routes))
         );
-        for rate in RATES {
+        for rate in LINK_RATES {
             let mut world = World::new(rate);
             world.run_for(2000);
             world.push(configuration(1, 0..routes));
-            let complete_ms = until_in_force(&mut world, 1);
+            let complete_ms = ms_until_in_force(&mut world, 1);
             world.run_for(2000);
             world.push(configuration(2, 0..routes + 1));
-            let change_ms = until_in_force(&mut world, 2);
+            let change_ms = ms_until_in_force(&mut world, 2);
             print!(" | {} kbit/s: {complete_ms}, {change_ms}", rate * 8 / 1000);
         }
         println!();
--- a/system/distribution/src/agent.rs
+++ b/system/distribution/src/agent.rs
@@ -1,6 +1,8 @@
-//! The agent: keeps the feed up to date by long polls at several coordinators, and fetches the configuration beside them.
+//! The agent: keeps the feed up to date with long polls to several coordinators, and fetches the configuration
+//! independently of them.
 //!
-//! Sans-I/O: whoever drives it makes the calls of [`Agent::poll_calls`] and reports each outcome to [`Agent::answered`].
+//! It is sans-I/O: the caller makes the calls returned by [`Agent::poll_calls`] and reports each outcome to
+//! [`Agent::handle_outcome`].
 use crate::{
     call::{Call, CallFailure, CallId},
     configuration_fetcher::ConfigurationFetcher,
@@ -18,29 +20,30 @@
 /// Settings of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
-    /// The agent's own IPv4 address, as a number: agents begin at different coordinators.
+    /// The agent's IPv4 address as an integer. It selects the first coordinator, which spreads agents over
+    /// coordinators.
     pub own_address: u32,
-    /// Addresses at which coordinators may be found.
+    /// Addresses of possible coordinators, as integers.
     pub seeds: Vec<u32>,
-    /// How many coordinators are polled at the same time, so that the loss of one delays nothing.
+    /// Number of coordinators polled concurrently, so that the failure of one does not delay updates.
     pub links: usize,
 }
 
-/// What an agent knows of the control plane, and the calls by which it learns more.
+/// An agent's view of the control plane, and the calls that keep it up to date.
 pub struct Agent {
     seeds: Vec<u32>,
-    /// The newest feed.
+    /// The newest feed received.
     feed: Feed,
     receiver: ConfigurationReceiver,
     assignments: LinkAssignments,
     links: Vec<FeedLink>,
     fetcher: ConfigurationFetcher,
-    /// The latest change that could not be applied, until it is reported.
+    /// Error of the latest change that could not be applied, until it is taken.
     change_error: Option<ChangeError>,
 }
 
 impl Agent {
-    /// An agent that knows nothing yet.
+    /// An agent that has neither a feed nor a configuration yet.
     pub fn new(settings: AgentSettings) -> Agent {
         let first_candidate = settings.own_address as usize;
         Agent {
@@ -56,31 +59,31 @@
         }
     }
 
-    /// Takes why the latest change of the configuration could not be applied: each error is reported once.
+    /// Takes the error of the latest configuration change that could not be applied. Each error is returned once.
     pub fn take_change_error(&mut self) -> Option<ChangeError> {
         self.change_error.take()
     }
 
-    /// Replaces the addresses at which coordinators may be found.
+    /// Replaces the addresses of possible coordinators.
     pub fn set_seeds(&mut self, seeds: Vec<u32>) {
         self.seeds = seeds;
     }
 
-    /// Whether no coordinator serves this agent now.
+    /// Whether no coordinator currently serves this agent.
     pub fn is_disconnected(&self) -> bool {
         self.links.iter().all(|link| link.serving().is_none())
     }
 
-    /// The configuration in force; version zero: there is none yet.
+    /// The configuration in force; its version is zero if there is none yet.
     pub fn configuration(&self) -> &Arc<Configuration> {
         self.receiver.configuration()
     }
 
-    /// The feed for the local proxy: the newest one, with the version of the configuration that is in force here.
+    /// The feed for the local proxy: the newest feed, with the version of the configuration in force at this agent.
     pub fn feed(&self) -> Feed {
         let version = self.receiver.version();
-        // Differs from what it was whenever one of the two does, as coordinators' revisions are hashes; zero while nothing
-        // is known.
+        // Changes whenever the feed's revision or the version changes, because coordinators' revisions are hashes; zero
+        // while there is neither a feed nor a configuration.
         let revision = self.feed.revision.wrapping_mul(3).wrapping_add(version);
         Feed {
             configuration_version: version,
@@ -90,7 +93,7 @@
         }
     }
 
-    /// When the next call is due; `None`: not before an outcome.
+    /// When the next call is due; `None` if none is due before another outcome is reported.
     pub fn next_timeout(&self) -> Option<Millis> {
         let polls = self.links.iter().filter_map(FeedLink::due_at);
         let fetch = self
@@ -99,7 +102,7 @@
         polls.chain(fetch).min()
     }
 
-    /// The calls to be made now.
+    /// Returns the calls to be made now.
     pub fn poll_calls(&mut self, now: Millis) -> Vec<Call> {
         let mut calls: Vec<Call> = (0..self.links.len())
             .filter_map(|link| self.due_poll(link, now))
@@ -108,7 +111,7 @@
         calls
     }
 
-    /// Handles the outcome of a call. Returns whether the feed for the proxy has changed.
+    /// Handles the outcome of a call. Returns whether the proxy's feed has changed.
     pub fn handle_outcome(&mut self, now: Millis, id: CallId, outcome: CallOutcome) -> bool {
         let before = self.versions();
         match id {
@@ -123,7 +126,7 @@
         (self.feed.revision, self.receiver.version())
     }
 
-    /// The coordinators that may be polled: those of the chain, then the other seeds.
+    /// The coordinators that can be polled: those of the chain, then the remaining seeds.
     fn candidates(&self) -> Vec<u32> {
         let chain = &self.feed.chain;
         let others = self.seeds.iter().filter(|seed| !chain.contains(seed));
@@ -155,7 +158,7 @@
         })
     }
 
-    /// The coordinator to fetch the configuration from, where there is a newer one.
+    /// The coordinator to fetch the configuration from; `None` if no newer version or no coordinator is known.
     fn fetch_source(&self) -> Option<u32> {
         if self.feed.configuration_version <= self.receiver.version() {
             return None;
@@ -195,13 +198,13 @@
         }
     }
 
-    /// Takes a feed over, unless it is older than the current one. Returns whether it was taken.
+    /// Replaces the feed unless the new one is older in any part. Returns whether it was replaced.
     fn update_feed(&mut self, mut feed: Feed) -> bool {
         if !feed.supersedes(&self.feed) {
             return false;
         }
         if let Some(change) = feed.change.take() {
-            // Where it can't be used, the fetch that follows brings what can.
+            // The result is ignored: if the change is not usable, the next fetch returns one that is.
             self.receiver.take(change);
         }
         self.feed = feed;
--- a/system/distribution/src/call.rs
+++ b/system/distribution/src/call.rs
@@ -1,44 +1,44 @@
-//! Calls of an agent to coordinators: what is sent, and whether one is in flight.
+//! Calls from an agent to coordinators, and their state.
 use magpiegap_protocol::{CoordinatorRequest, Millis};
 
-/// Identifies a call: at most one of each is in flight.
+/// Identifies a call. At most one call with each identifier is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallId {
-    /// The long poll of a link.
+    /// The long poll of a link, by the link's number.
     Poll(usize),
-    /// The fetch of the configuration.
+    /// The configuration fetch.
     Fetch,
 }
 
-/// A call to be made. The caller reports its outcome in every case.
+/// A call to be made. Its outcome must be reported in every case.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    /// What the outcome is reported under.
+    /// Identifier under which the outcome is reported.
     pub id: CallId,
-    /// IPv4 address of the coordinator, as a number.
+    /// IPv4 address of the coordinator, as an integer.
     pub coordinator: u32,
     /// The request.
     pub request: CoordinatorRequest,
     /// Timeout for the first byte of the response, in milliseconds.
     pub first_byte_timeout_ms: Millis,
-    /// Timeout for each further byte, in milliseconds. The complete response may take any time.
+    /// Timeout between bytes of the response, in milliseconds. The total duration is not limited.
     pub idle_timeout_ms: Millis,
 }
 
-/// Why a call has no response.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
     /// No connection was established.
     NotConnected,
-    /// No response came in time, or none that can be read.
+    /// No response arrived in time, or it could not be decoded.
     NoResponse,
 }
 
-/// Whether a call is in flight.
+/// State of a call.
 pub(crate) enum CallState {
-    /// None is; the next one is due at this time.
+    /// No call is in flight; the next one is due at `until`.
     Idle { until: Millis },
-    /// One to this coordinator is.
+    /// A call to this coordinator is in flight.
     InFlight { coordinator: u32 },
 }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The coordinator of the call that is in flight.
+    /// The coordinator of the call in flight.
     pub(crate) fn coordinator(&self) -> Option<u32> {
         match self {
             CallState::Idle { .. } => None,
--- a/system/distribution/src/change.rs
+++ b/system/distribution/src/change.rs
@@ -1,24 +1,25 @@
-//! The difference between two versions of the configuration. How it is encoded is in `encoding`.
+//! The difference between two versions of the configuration. The `encoding` module defines its encoding.
 use magpiegap_jobs::{Configuration, Limits, Route, RouteTable, Service};
 use minicbor::{Decode, Encode};
 use std::{collections::BTreeSet, sync::Arc};
 
-/// The difference between two versions of the configuration, by routes. With base 0 it is a complete configuration.
+/// The difference between two versions of the configuration, route by route. With base zero it is a complete
+/// configuration.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ConfigurationChange {
-    /// The version that it applies to; zero: the empty configuration.
+    /// The version that the change applies to; zero for the empty configuration.
     #[n(0)]
     pub base: u64,
-    /// The version that it results in.
+    /// The version that results from the change.
     #[n(1)]
     pub version: u64,
-    /// Names of the routes that are removed.
+    /// Names of the removed routes.
     #[n(2)]
     pub removed: Vec<String>,
-    /// Routes that are new or have changed.
+    /// Added and changed routes.
     #[n(3)]
     pub routes: Vec<Route>,
-    /// All services of the resulting version: there are few.
+    /// All services of the resulting version. There are few, so no difference is computed for them.
     #[n(4)]
     pub services: Vec<Service>,
     /// The limits of the resulting version.
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The configuration that results from `base`. The caller checks that `base` has the right version.
+    /// Applies the change to `base`. The caller must ensure that `base` has the version that the change applies to.
     pub fn apply_to(self, base: &Configuration) -> Configuration {
         let replaced: BTreeSet<&str> = self
             .removed
--- a/system/distribution/src/configuration_fetcher.rs
+++ b/system/distribution/src/configuration_fetcher.rs
@@ -1,24 +1,24 @@
-//! The fetch of the configuration: one chunk after the other, from coordinators that serve the feed.
+//! Fetches the configuration chunk by chunk from coordinators that serve the feed.
 //!
-//! It does not look into chunks: the receiver does.
+//! It only schedules the requests. The receiver processes the chunks.
 use crate::{adaptive_timeout::AdaptiveTimeout, call::CallState};
 use magpiegap_protocol::Millis;
 
-/// Delay before the next request after one that failed.
+/// Delay before the next request after a failed one.
 const RETRY_DELAY_MS: Millis = 30;
-/// Minimum timeout for the bytes of a chunk.
+/// Minimum timeout between bytes of a chunk.
 const MIN_IDLE_TIMEOUT_MS: Millis = 1000;
 
-/// The fetch of the configuration.
+/// Schedules the requests of a configuration fetch.
 pub(crate) struct ConfigurationFetcher {
     call: CallState,
     timeout: AdaptiveTimeout,
-    /// The coordinator whose request failed last: another one is preferred.
+    /// The coordinator of the last request if it failed. Other coordinators are preferred.
     failed: Option<u32>,
 }
 
 impl ConfigurationFetcher {
-    /// A fetch that is due at once.
+    /// A fetcher whose first request is due immediately.
     pub(crate) fn new() -> ConfigurationFetcher {
         ConfigurationFetcher {
             call: CallState::Idle { until: 0 },
@@ -42,7 +42,7 @@
         self.call.coordinator().is_some()
     }
 
-    /// Chooses among coordinators: the first that has not failed last, else the first.
+    /// Chooses the first coordinator that did not fail the last request, or the first one if there is no other.
     pub(crate) fn choose(&self, serving: impl Iterator<Item = u32> + Clone) -> Option<u32> {
         serving
             .clone()
@@ -50,20 +50,20 @@
             .or_else(|| serving.clone().next())
     }
 
-    /// Starts a request. Returns how long its bytes are waited for.
+    /// Starts a request. Returns its timeout.
     pub(crate) fn start(&mut self, coordinator: u32) -> Millis {
         self.call = CallState::InFlight { coordinator };
         self.timeout.current_ms()
     }
 
-    /// Handles a chunk that was of use: the next request goes out at once.
+    /// Handles a usable chunk. The next request is due immediately.
     pub(crate) fn handle_response(&mut self, now: Millis) {
         self.timeout.on_response();
         self.failed = None;
         self.call = CallState::Idle { until: now };
     }
 
-    /// Handles a request that failed, or brought nothing of use.
+    /// Handles a request that failed or returned nothing usable.
     pub(crate) fn handle_failure(&mut self, now: Millis, has_timed_out: bool) {
         if has_timed_out {
             self.timeout.on_timed_out();
--- a/system/distribution/src/encoding.rs
+++ b/system/distribution/src/encoding.rs
@@ -1,26 +1,26 @@
-//! The encoding of a change of the configuration: CBOR, compressed with deflate (RFC 1951) where that pays.
+//! The encoding of a configuration change: CBOR, compressed with deflate (RFC 1951) from [`MIN_COMPRESSED_BYTES`] on.
 use crate::ConfigurationChange;
 use flate2::{read::DeflateDecoder, write::DeflateEncoder, Compression};
 use magpiegap_protocol::{decode, encode, DecodeError};
 use std::io::{Read, Write};
 
-/// Shorter changes are not compressed, in bytes.
+/// Minimum length of a change that is compressed, in bytes.
 const MIN_COMPRESSED_BYTES: usize = 512;
-/// Maximum length of a decompressed change, in bytes: the operator's interface accepts no longer body.
+/// Maximum length of a decompressed change, in bytes. The operator interface accepts no longer body.
 const MAX_DECOMPRESSED_BYTES: u64 = 64 << 20;
-/// First byte of a change that is not compressed.
+/// First byte of an uncompressed change.
 const PLAIN: u8 = 0;
 /// First byte of a change that is compressed with deflate.
 const DEFLATED: u8 = 1;
 
-/// Why bytes can't be read as a change of the configuration.
+/// Why bytes can't be decoded as a configuration change.
 #[derive(Debug, thiserror::Error)]
 pub enum EncodingError {
-    /// They are empty, or their first byte is not known.
-    #[error("a change of the configuration in an unknown form")]
+    /// The bytes are empty, or the first byte is unknown.
+    #[error("configuration change has an unknown encoding")]
     UnknownForm,
-    /// They can't be decompressed.
-    #[error("a change of the configuration can't be decompressed: {0}")]
+    /// The bytes can't be decompressed.
+    #[error("can't decompress configuration change: {0}")]
     Compression(#[from] std::io::Error),
     /// The decompressed bytes are malformed.
     #[error(transparent)]
--- a/system/distribution/src/feed_link.rs
+++ b/system/distribution/src/feed_link.rs
@@ -1,36 +1,36 @@
-//! One link of an agent: long polls for the feed, one after the other.
+//! A link of an agent: successive long polls for the feed.
 use crate::{adaptive_timeout::AdaptiveTimeout, call::CallState};
 use magpiegap_protocol::Millis;
 
-/// How long a coordinator may hold a long poll.
+/// Maximum time for which a coordinator may hold a long poll.
 const POLL_WAIT_MS: Millis = 1500;
-/// Delay before the next poll after one that failed.
+/// Delay before the next poll after a failed one.
 const RETRY_DELAY_MS: Millis = 30;
-/// Minimum timeout for a coordinator that was not polled before, or has failed: one that is down costs no more.
+/// Minimum timeout for a coordinator that has not yet served or has failed. It bounds the delay by one that is down.
 const MIN_TIMEOUT_MS: Millis = 250;
-/// Minimum timeout, beyond the time of the poll itself, for a coordinator that has just served.
+/// Minimum timeout, in addition to the wait of the long poll, for a coordinator that served the last poll.
 const MIN_SERVING_TIMEOUT_MS: Millis = 400;
 
-/// The times of one poll.
+/// Wait and timeout of a poll.
 pub(crate) struct PollTimes {
-    /// How long the coordinator may hold the poll; zero: it responds at once.
+    /// How long the coordinator may hold the poll; zero for an immediate response.
     pub(crate) wait_ms: Millis,
-    /// How long bytes of the response are waited for beyond that.
+    /// Timeout for the response, in addition to `wait_ms`.
     pub(crate) timeout_ms: Millis,
 }
 
-/// A link, which polls one coordinator after the other until one serves.
+/// A link: polls one coordinator after the other until one serves the feed.
 pub(crate) struct FeedLink {
     call: CallState,
     timeout: AdaptiveTimeout,
-    /// Position among the candidates from which on the next coordinator is chosen.
+    /// Position in the list of candidates at which the search for the next coordinator starts.
     next_candidate: usize,
-    /// The coordinator that responded last; `None` after a failure.
+    /// The coordinator that served the last poll; `None` after a failure.
     serving: Option<u32>,
 }
 
 impl FeedLink {
-    /// A link that polls at once, beginning with the candidate at a position.
+    /// A link whose first poll is due immediately, starting with the candidate at a position.
     pub(crate) fn new(first_candidate: usize) -> FeedLink {
         FeedLink {
             call: CallState::Idle { until: 0 },
@@ -40,12 +40,12 @@
         }
     }
 
-    /// The coordinator that serves this link now.
+    /// The coordinator that currently serves this link.
     pub(crate) fn serving(&self) -> Option<u32> {
         self.serving
     }
 
-    /// Position among the candidates from which on the next coordinator is chosen.
+    /// Position in the list of candidates at which the search for the next coordinator starts.
     pub(crate) fn next_candidate(&self) -> usize {
         self.next_candidate
     }
@@ -60,15 +60,15 @@
         self.call.due_at()
     }
 
-    /// Puts the next poll off, as there is no coordinator to send it to.
+    /// Delays the next poll because there is no coordinator to poll.
     pub(crate) fn defer(&mut self, now: Millis) {
         self.call = CallState::Idle {
             until: now + RETRY_DELAY_MS,
         };
     }
 
-    /// Starts a poll. Only a coordinator that has just served is given time to hold it: any other one has to prove that it
-    /// serves at all.
+    /// Starts a poll. Only a coordinator that served the last poll may hold it. Any other one must respond immediately,
+    /// to show that it serves the feed.
     pub(crate) fn start(&mut self, coordinator: u32) -> PollTimes {
         self.call = CallState::InFlight { coordinator };
         let timeout_ms = self.timeout.current_ms();
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Handles a response that served: the next poll goes out at once.
+    /// Handles a successful poll. The next one is due immediately.
     pub(crate) fn handle_response(&mut self, now: Millis) {
         let Some(coordinator) = self.call.coordinator() else {
             return;
@@ -95,7 +95,7 @@
         self.call = CallState::Idle { until: now };
     }
 
-    /// Handles a poll that failed: the next one goes to another coordinator.
+    /// Handles a failed poll. The next one goes to another coordinator.
     pub(crate) fn handle_failure(&mut self, now: Millis, has_timed_out: bool) {
         if self.call.coordinator().is_none() {
             return;
--- a/system/distribution/src/lib.rs
+++ b/system/distribution/src/lib.rs
@@ -1,8 +1,8 @@
-//! How the feed of the control plane and its configurations reach agents and proxies.
+//! Distribution of the control plane's feed and configurations to agents and proxies.
 //!
-//! The feed is small and comes by long polls. A configuration may be large: it travels as the difference to the version
-//! that the receiver has, compressed, in chunks that are requested one after the other. A transfer that is interrupted
-//! resumes at its offset, also at another source. Nothing here reads a clock or does I/O.
+//! The feed is small and obtained by long polls. A configuration may be large: it is transferred as a compressed
+//! difference from the receiver's version, in chunks that are requested one by one. An interrupted transfer resumes at
+//! its offset, from the same or another source. The crate reads no clock and does no I/O.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/system/distribution/src/link_assignments.rs
+++ b/system/distribution/src/link_assignments.rs
@@ -1,17 +1,17 @@
-//! Which coordinator each link of an agent polls.
+//! Assignment of coordinators to the links of an agent.
 
-/// The coordinators that the links of one agent poll.
+/// The coordinator assigned to each link of an agent.
 pub struct LinkAssignments(Vec<Option<u32>>);
 
 impl LinkAssignments {
-    /// Links of this number, none of them assigned.
+    /// The assignments of a number of links, initially without coordinators.
     pub fn new(links: usize) -> LinkAssignments {
         LinkAssignments(vec![None; links])
     }
 
-    /// Assigns a coordinator to a link: the first candidate, from a position on and around, that no other link polls, so
-    /// that the loss of one coordinator never delays all links. Where there are too few, the first one is shared. `None`
-    /// without candidates.
+    /// Assigns to a link the first candidate, searching circularly from a position, that no other link polls, so that
+    /// the failure of one coordinator does not delay all links. If every candidate is polled, the first one is shared.
+    /// Returns `None` if there are no candidates.
     pub fn assign(
         &mut self,
         link: usize,
--- a/system/distribution/src/receiver.rs
+++ b/system/distribution/src/receiver.rs
@@ -1,70 +1,70 @@
-//! The receiving side: assembles the chunks of a change and applies it. It makes no calls.
+//! The receiving side of a transfer: assembles the chunks of a change and applies it. It makes no calls.
 use crate::encoding::{decode_change, EncodingError};
 use magpiegap_jobs::Configuration;
 use magpiegap_protocol::{fnv1a, ConfigurationChunk, ConfigurationFetch, TransferId};
 use std::sync::Arc;
 
-/// The result of a chunk.
+/// The result of processing a chunk.
 #[derive(Debug)]
 pub enum Received {
-    /// The change is complete: a newer configuration is in force.
+    /// The change is complete and was applied: a newer configuration is in force.
     Configuration(Arc<Configuration>),
-    /// More chunks are to be requested.
+    /// The change is incomplete: the next chunk must be requested.
     More,
-    /// The chunk does not fit; what is missing is to be requested again.
+    /// The chunk does not continue or start a transfer: the missing chunk must be requested again.
     Unusable,
-    /// The change is complete and can't be applied: the complete configuration is to be requested.
+    /// The change is complete but can't be applied: the complete configuration must be requested.
     Rejected(ChangeError),
 }
 
-/// Why a change of the configuration could not be applied.
+/// Why a configuration change could not be applied.
 #[derive(Debug, thiserror::Error)]
 pub enum ChangeError {
-    /// Its bytes are not those that were offered.
-    #[error("its checksum differs")]
+    /// The received bytes do not match the checksum of the transfer.
+    #[error("checksum does not match that of the transfer")]
     Checksum,
-    /// It is another change than the transfer says.
-    #[error("it is not between the versions of its transfer")]
+    /// The versions in the change do not match those of the transfer.
+    #[error("versions do not match those of the transfer")]
     Versions,
-    /// Its bytes are no change.
+    /// The received bytes can't be decoded as a change.
     #[error(transparent)]
     Encoding(#[from] EncodingError),
 }
 
-/// A change that is incomplete.
+/// A partially received change.
 struct PartialChange {
     transfer: TransferId,
     bytes: Vec<u8>,
 }
 
-/// The configuration in force, and the chunks of the change to a newer one.
+/// The configuration in force, and the partially received change to a newer one.
 #[derive(Default)]
 pub struct ConfigurationReceiver {
     configuration: Arc<Configuration>,
     partial: Option<PartialChange>,
-    /// The last change could not be applied: the complete configuration is requested.
+    /// The last change could not be applied, so the complete configuration is requested.
     needs_complete: bool,
 }
 
 impl ConfigurationReceiver {
-    /// The configuration in force; version zero: there is none yet.
+    /// The configuration in force; its version is zero if there is none yet.
     pub fn configuration(&self) -> &Arc<Configuration> {
         &self.configuration
     }
 
-    /// The version in force; zero: there is none yet.
+    /// The version in force; zero if there is none yet.
     pub fn version(&self) -> u64 {
         self.configuration.version
     }
 
-    /// Bytes received of the change in progress.
+    /// Number of bytes received of the transfer in progress.
     pub fn received_bytes(&self) -> u64 {
         self.partial
             .as_ref()
             .map_or(0, |partial| partial.bytes.len() as u64)
     }
 
-    /// The next request.
+    /// The request for the next chunk.
     pub fn fetch(&self) -> ConfigurationFetch {
         let base = if self.needs_complete {
             0
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Handles a chunk. One that begins a transfer replaces the one in progress.
+    /// Processes a chunk. The first chunk of a transfer replaces the transfer in progress.
     pub fn take(&mut self, chunk: ConfigurationChunk) -> Received {
         let transfer = chunk.transfer;
         let is_applicable = transfer.base == 0 || transfer.base == self.version();
@@ -107,7 +107,7 @@
         self.apply(&partial)
     }
 
-    /// Applies a change of which all bytes are there.
+    /// Applies a completely received change.
     fn apply(&mut self, received: &PartialChange) -> Received {
         let transfer = received.transfer;
         if fnv1a(&received.bytes) != transfer.checksum {
--- a/system/distribution/src/source.rs
+++ b/system/distribution/src/source.rs
@@ -1,4 +1,5 @@
-//! The sending side: the newest configuration, and the changes to it from earlier versions. It makes no calls.
+//! The sending side of a transfer: the newest configuration and the changes to it from earlier versions. It makes no
+//! calls.
 use crate::{
     change::ConfigurationChange,
     encoding::{decode_change, encode_change},
@@ -7,29 +8,29 @@
 use magpiegap_protocol::{fnv1a, ConfigurationChunk, ConfigurationFetch, TransferId};
 use std::{collections::VecDeque, sync::Arc};
 
-/// Length of a chunk, in bytes. At 2 Mbit/s it occupies the link for 65 ms, so that other messages pass between chunks.
+/// Maximum length of a chunk, in bytes. It occupies a 2 Mbit/s link for 65 ms, after which other messages can be sent.
 pub const CHUNK_BYTES: usize = 16 << 10;
-/// Maximum length of a change that is sent with the feed itself, in bytes.
+/// Maximum length of a change that is sent inline with the feed, in bytes.
 const MAX_INLINE_BYTES: usize = 2 << 10;
-/// Configurations that are remembered: receivers that have an older one get the newest one completely.
-const MAX_REMEMBERED: usize = 16;
-/// Number of encoded changes that are cached however large they are.
+/// Number of recent configurations retained. Receivers with an older version get the complete newest configuration.
+const MAX_RETAINED: usize = 16;
+/// Number of encoded changes that are cached regardless of their size.
 const MIN_CACHED_TRANSFERS: usize = 4;
-/// Bytes of encoded changes above which the least recently used are dropped.
+/// Size of the cache of encoded changes above which the least recently used ones are evicted, in bytes.
 const MAX_CACHED_BYTES: usize = 4 << 20;
 
-/// An encoded change.
+/// An encoded change and the identifier of its transfer.
 struct Transfer {
     id: TransferId,
     bytes: Vec<u8>,
 }
 
-/// The newest configuration, and a cache of the changes to it.
+/// The recent configurations, and a cache of encoded changes.
 #[derive(Default)]
 pub struct ConfigurationSource {
-    /// The newest one is last.
+    /// Recent configurations, the newest last.
     recent: VecDeque<Arc<Configuration>>,
-    /// Encoded changes; the most recently used is last.
+    /// Cache of encoded changes, the most recently used last.
     transfers: VecDeque<Transfer>,
 }
 
@@ -39,7 +40,8 @@
         self.recent.back()
     }
 
-    /// Takes a newer configuration; others are ignored. Routes that did not change share the memory of the earlier ones.
+    /// Adds a newer configuration; older ones are ignored. Unchanged routes share memory with the previous
+    /// configuration.
     pub fn push(&mut self, newer: Configuration) {
         let newer = match self.newest() {
             Some(newest) if newest.version >= newer.version => return,
@@ -49,7 +51,7 @@
         self.add(Arc::new(newer));
     }
 
-    /// Takes a newer configuration that shares its routes with the earlier ones already; others are ignored.
+    /// Adds a newer configuration that already shares memory with earlier ones; older ones are ignored.
     pub fn push_shared(&mut self, newer: &Arc<Configuration>) {
         if self
             .newest()
@@ -61,12 +63,12 @@
 
     fn add(&mut self, newer: Arc<Configuration>) {
         self.recent.push_back(newer);
-        if self.recent.len() > MAX_REMEMBERED {
+        if self.recent.len() > MAX_RETAINED {
             self.recent.pop_front();
         }
     }
 
-    /// The encoded change from the newest configuration to a newer one; empty when the newest does not have version `base`.
+    /// The encoded change from the newest configuration to `newer`; empty if the newest does not have version `base`.
     pub fn change_to(&self, base: u64, newer: &Configuration) -> Vec<u8> {
         match self.newest().filter(|newest| newest.version == base) {
             Some(newest) => encode_change(&ConfigurationChange::between(newest, newer)),
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Takes a newer configuration as an encoded change of the newest one. Returns whether it could be applied.
+    /// Adds a newer configuration, given as an encoded change of the newest one. Returns whether it was applied.
     pub fn follow(&mut self, version: u64, change: &[u8]) -> bool {
         let Some(newest) = self.newest().cloned() else {
             return false;
@@ -89,7 +91,7 @@
         true
     }
 
-    /// The change from a version to the newest one, where it is small enough to be sent with the feed.
+    /// The change from a version to the newest one, if it is small enough to be sent inline with the feed.
     pub fn inline_change(&mut self, base: u64) -> Option<ConfigurationChunk> {
         if self.newest()?.version <= base {
             return None;
@@ -98,8 +100,8 @@
         (transfer.bytes.len() <= MAX_INLINE_BYTES).then(|| transfer.chunk(0))
     }
 
-    /// The chunk that is requested: of the transfer in progress, or the first one of the change to the newest version.
-    /// `None`: the caller has the newest one, or there is none.
+    /// The requested chunk of the transfer in progress, or else the first chunk of the change to the newest version.
+    /// `None` if the caller has the newest version, or there is no configuration.
     pub fn chunk(&mut self, fetch: &ConfigurationFetch) -> Option<ConfigurationChunk> {
         let in_progress = fetch
             .transfer
@@ -112,7 +114,7 @@
             return None;
         }
         let transfer = self.transfer_from(fetch.base)?;
-        // The same transfer may have been started at another source.
+        // The transfer may have been started at another source; then it resumes at its offset.
         let offset = if fetch.transfer == Some(transfer.id) {
             fetch.offset
         } else {
@@ -132,19 +134,19 @@
         self.transfers.back()
     }
 
-    /// The change from a version to the newest one; the complete configuration for a version that is not remembered.
+    /// The change from a version to the newest one; the complete configuration if the version is no longer retained.
     fn transfer_from(&mut self, base: u64) -> Option<&Transfer> {
         let newest = self.newest()?.clone();
         let empty = Arc::new(Configuration::default());
-        let remembered = self
+        let retained = self
             .recent
             .iter()
             .find(|configuration| configuration.version == base);
-        let base = remembered.cloned().unwrap_or(empty);
-        let is_wanted = |transfer: &Transfer| {
+        let base = retained.cloned().unwrap_or(empty);
+        let has_versions = |transfer: &Transfer| {
             (transfer.id.base, transfer.id.version) == (base.version, newest.version)
         };
-        if let Some(position) = self.position(is_wanted) {
+        if let Some(position) = self.position(has_versions) {
             return self.mark_used(position);
         }
         let bytes = encode_change(&ConfigurationChange::between(&base, &newest));
@@ -154,11 +156,11 @@
             checksum: fnv1a(&bytes),
         };
         self.transfers.push_back(Transfer { id, bytes });
-        self.drop_old_transfers();
+        self.evict_transfers();
         self.transfers.back()
     }
 
-    fn drop_old_transfers(&mut self) {
+    fn evict_transfers(&mut self) {
         while self.transfers.len() > MIN_CACHED_TRANSFERS && self.cached_bytes() > MAX_CACHED_BYTES
         {
             self.transfers.pop_front();
@@ -174,7 +176,7 @@
 }
 
 impl Transfer {
-    /// The chunk that starts at an offset; an empty one at the end.
+    /// The chunk at an offset; an empty chunk at the end of the transfer.
     fn chunk(&self, offset: u64) -> ConfigurationChunk {
         let length = self.bytes.len();
         let start = usize::try_from(offset).unwrap_or(usize::MAX).min(length);
@@ -188,7 +190,7 @@
     }
 }
 
-/// Replaces the routes that an older configuration has as well by the same objects.
+/// Replaces routes that are equal in an older configuration by references to the older objects.
 fn share_routes(older: &Configuration, newer: Configuration) -> Configuration {
     let shared = |route: &Arc<Route>| match older.routes.get(&route.name) {
         Some(known) if known == route => known.clone(),
