--- a/system/storage/tests/crashes.rs
+++ b/system/storage/tests/crashes.rs
@@ -1,34 +1,34 @@
-//! Whatever a power failure loses, what was confirmed is there and nothing else is.
+//! Recovery after power failures, write errors and damage: confirmed state is preserved, and only confirmed state.
 mod simulated_disk;
 
 use googletest::prelude::*;
 use magpiegap_storage::{FileName, Parity, Recovered, Store, StoreError};
 use simulated_disk::{files_after_crash, SimulatedDisk};
 
-/// What a store has confirmed after so many operations of its disk.
+/// The state that a store has confirmed after a number of disk operations.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Confirmed {
+struct ConfirmedState {
     operations: usize,
     snapshot: Option<Vec<Vec<u8>>>,
     records: Vec<Vec<u8>>,
 }
 
-impl Confirmed {
-    /// Whether what was found is this, with a prefix of its records.
+impl ConfirmedState {
+    /// Whether the recovered state has this snapshot and a prefix of these records.
     fn is_prefixed_by(&self, found: &Recovered) -> bool {
         found.snapshot == self.snapshot && self.records.starts_with(&found.records)
     }
 
-    /// Whether what was found has all of these records, or another snapshot.
+    /// Whether the recovered state has all of these records, or another snapshot.
     fn is_complete_in(&self, found: &Recovered) -> bool {
         found.snapshot != self.snapshot || found.records.len() >= self.records.len()
     }
 }
 
-/// Appends to a store and makes checkpoints. Returns what it has confirmed after each call, and before the first one.
-fn append_and_checkpoint(disk: &SimulatedDisk) -> Vec<Confirmed> {
+/// Appends records and makes checkpoints. Returns the confirmed state before the first call and after each call.
+fn append_and_checkpoint(disk: &SimulatedDisk) -> Vec<ConfirmedState> {
     let (mut store, _) = Store::open(disk.clone()).unwrap();
-    let mut confirmed = Confirmed {
+    let mut confirmed = ConfirmedState {
         operations: disk.0.borrow().operations.len(),
         snapshot: None,
         records: Vec::new(),
@@ -52,12 +52,12 @@
 }
 
 #[googletest::test]
-fn given_any_power_failure_when_the_store_is_opened_then_all_that_was_confirmed_is_there() {
-    // Given: a store that appends and makes checkpoints, with all operations of its disk on record
+fn any_power_failure_preserves_confirmed_state() {
+    // Given: the recorded disk operations of a store that appends and makes checkpoints
     let disk = SimulatedDisk::default();
     let history = append_and_checkpoint(&disk);
     let operations = disk.0.borrow().operations.clone();
-    // When: power is lost after each operation, with every way in which unsynced operations may be left
+    // When: power fails after each operation, with every possible result of the unsynced operations
     for done in 0..=operations.len() {
         let before = history.iter().rev().find(|state| state.operations <= done);
         let after = history.iter().find(|state| state.operations >= done);
@@ -65,9 +65,11 @@
             let crashed = SimulatedDisk::default();
             crashed.0.borrow_mut().files = files;
             let (_, found) = Store::open(crashed).unwrap();
-            // Then: it is what was confirmed last, or what was being written then, with a prefix of its records
-            let matches =
-                |state: Option<&Confirmed>| state.is_some_and(|state| state.is_prefixed_by(&found));
+            // Then: the recovered state is the last confirmed one or the one being written, with a prefix of its
+            // records
+            let matches = |state: Option<&ConfirmedState>| {
+                state.is_some_and(|state| state.is_prefixed_by(&found))
+            };
             let is_complete = before.is_none_or(|state| state.is_complete_in(&found));
             assert!(
                 (matches(before) || matches(after)) && is_complete,
@@ -78,7 +80,7 @@
 }
 
 #[googletest::test]
-fn given_a_torn_record_when_others_follow_then_it_does_not_come_back() {
+fn torn_record_is_not_recovered_after_later_appends() {
     // Given
     let disk = SimulatedDisk::default();
     let (mut store, _) = Store::open(disk.clone()).unwrap();
@@ -101,7 +103,7 @@
 }
 
 #[googletest::test]
-fn given_a_full_disk_when_there_is_space_again_then_the_store_goes_on() {
+fn store_continues_when_full_disk_has_space_again() {
     // Given
     let disk = SimulatedDisk::default();
     let (mut store, _) = Store::open(disk.clone()).unwrap();
@@ -124,8 +126,8 @@
 }
 
 #[googletest::test]
-fn given_a_full_disk_when_the_store_is_opened_then_all_is_read_and_nothing_is_written() {
-    // Given: a log with a torn record, on a disk that takes no more bytes
+fn full_disk_is_recovered_without_writes() {
+    // Given: a log with a torn record, on a full disk
     let disk = SimulatedDisk::default();
     let (mut store, _) = Store::open(disk.clone()).unwrap();
     store.checkpoint([b"all".to_vec()]).unwrap();
@@ -151,7 +153,7 @@
 }
 
 #[googletest::test]
-fn given_a_full_empty_disk_when_there_is_space_again_then_the_first_record_is_stored() {
+fn first_record_is_stored_when_disk_has_space() {
     let disk = SimulatedDisk::default();
     disk.0.borrow_mut().full_after = Some(0);
     let (mut store, found) = Store::open(disk.clone()).unwrap();
@@ -164,9 +166,8 @@
 }
 
 #[googletest::test]
-fn given_a_checkpoint_whose_sync_fails_when_records_follow_then_they_count_and_the_checkpoint_does_not(
-) {
-    // Given: the bytes of the slot reach the disk, but the sync is not confirmed
+fn checkpoint_with_failed_sync_is_invalid_after_appends() {
+    // Given: the bytes of the slot reach the disk, but the sync fails
     let disk = SimulatedDisk::default();
     let (mut store, _) = Store::open(disk.clone()).unwrap();
     store.checkpoint([b"first".to_vec()]).unwrap();
@@ -188,13 +189,13 @@
 }
 
 #[googletest::test]
-fn given_a_record_whose_sync_fails_when_it_is_retried_then_it_is_written_anew() {
+fn record_with_failed_sync_is_rewritten_on_retry() {
     let disk = SimulatedDisk::default();
     let (mut store, _) = Store::open(disk.clone()).unwrap();
     store.append(&[b"one".to_vec()]).unwrap();
     disk.0.borrow_mut().failing_syncs = 1;
     expect_that!(store.append(&[b"two".to_vec()]), err(anything()));
-    // Given: the pages of the refused sync are dropped
+    // Given: the operating system drops the pages of the failed sync
     let length = disk.0.borrow().files[&FileName::Log(Parity::Even)].len();
     disk.0
         .borrow_mut()
@@ -211,7 +212,7 @@
 }
 
 #[googletest::test]
-fn given_a_confirmed_slot_when_it_is_damaged_then_the_older_one_is_not_taken_for_the_newest() {
+fn older_slot_does_not_replace_damaged_newest_slot() {
     let disk = SimulatedDisk::default();
     let (mut store, _) = Store::open(disk.clone()).unwrap();
     store.checkpoint([b"first".to_vec()]).unwrap();
@@ -234,7 +235,7 @@
 }
 
 #[googletest::test]
-fn given_both_slots_damaged_when_no_record_follows_then_the_disk_is_not_taken_for_an_empty_one() {
+fn disk_with_two_damaged_slots_is_not_empty() {
     let disk = SimulatedDisk::default();
     let (mut store, _) = Store::open(disk.clone()).unwrap();
     store.checkpoint([b"first".to_vec()]).unwrap();
@@ -247,7 +248,7 @@
 }
 
 #[googletest::test]
-fn given_a_snapshot_in_version_1_of_the_format_when_it_is_read_then_it_is_one_chunk() {
+fn version_1_snapshot_is_read_as_one_chunk() {
     // Given: magic, generation 1, length 3, checksum of both, and the log of that generation
     let mut slot = b"mgslot\0\x01".to_vec();
     slot.extend_from_slice(&1_u64.to_le_bytes());
@@ -269,7 +270,7 @@
     expect_that!(found.records, elements_are![eq(b"one")]);
 }
 
-/// CRC-32, bit by bit.
+/// Bitwise CRC-32, independent of the library under test.
 fn checksum(bytes: &[u8]) -> u32 {
     let shift = |crc: u32| {
         if crc & 1 == 1 {
--- a/system/storage/tests/golden.rs
+++ b/system/storage/tests/golden.rs
@@ -1,9 +1,8 @@
-//! The bytes of slots and logs, and the names of their files.
+//! Compatibility of slots and logs with stored files: their bytes and file names.
 //!
-//! They must not change: a machine that starts with another build must read all that the build before has stored, and may
-//! go back to it during a rolling update. The stored files are in
-//! `golden/files.hex`, one line for each file, as `folder/file: bytes`. A change of names in the code leaves them as they
-//! are; another version of the format gets folders of its own beside these.
+//! These must not change: a new build must read the files of the previous build, and a rolling update may be reverted
+//! to it. `golden/files.hex` contains one line per file, `folder/file: bytes`. Renaming code must not change these
+//! lines; a new version of the format gets additional folders.
 use googletest::prelude::*;
 use magpiegap_storage::{FileName, FolderDirectory, Recovered, Store};
 use std::path::Path;
@@ -20,7 +19,7 @@
     hex.as_bytes().chunks(2).map(byte).collect()
 }
 
-/// The files stored for a folder: their names and bytes.
+/// Names and bytes of the files stored for a folder, in hexadecimal.
 fn stored(folder: &str) -> Vec<(&'static str, &'static str)> {
     let of_folder = |line: &'static str| {
         line.strip_prefix(folder)?
@@ -30,7 +29,7 @@
     STORED.lines().filter_map(of_folder).collect()
 }
 
-/// All files of a folder by name: their names and bytes.
+/// Names and bytes of all files in a folder, in hexadecimal and sorted by name.
 fn files(folder: &Path) -> Vec<(String, String)> {
     let entries = std::fs::read_dir(folder)
         .unwrap()
@@ -49,7 +48,7 @@
     Store::open(FolderDirectory::new(folder.path()).unwrap()).unwrap()
 }
 
-/// A folder with the files stored under a name.
+/// A temporary folder with the files stored under a name.
 fn stored_folder(name: &str) -> TempDir {
     let folder = tempfile::tempdir().unwrap();
     for (file, hex) in stored(name) {
@@ -58,7 +57,7 @@
     folder
 }
 
-/// The files of a folder are those stored under a name, byte by byte.
+/// Expects that a folder contains exactly the files stored under a name, byte for byte.
 fn expect_files(name: &str, folder: &TempDir) {
     let written = files(folder.path());
     let names: Vec<&str> = written.iter().map(|(file, _)| file.as_str()).collect();
@@ -77,7 +76,7 @@
     texts.iter().map(|text| text.as_bytes().to_vec()).collect()
 }
 
-/// Records before the first checkpoint.
+/// Appends records without a checkpoint.
 fn write_first_records() -> TempDir {
     let folder = tempfile::tempdir().unwrap();
     let (mut store, _) = open(&folder);
@@ -86,7 +85,7 @@
     folder
 }
 
-/// Records before a checkpoint, and after it.
+/// Appends records before and after a checkpoint.
 fn write_one_checkpoint() -> TempDir {
     let folder = write_first_records();
     let (mut store, _) = open(&folder);
@@ -99,7 +98,7 @@
     folder
 }
 
-/// Two checkpoints, so that each file is there.
+/// Makes two checkpoints, so that all four files exist.
 fn write_two_checkpoints() -> TempDir {
     let folder = write_one_checkpoint();
     let (mut store, _) = open(&folder);
@@ -110,7 +109,7 @@
     folder
 }
 
-/// A checkpoint without chunks and without records after it.
+/// Makes a checkpoint without chunks or later records.
 fn write_empty_checkpoint() -> TempDir {
     let folder = tempfile::tempdir().unwrap();
     let (mut store, _) = open(&folder);
@@ -135,7 +134,7 @@
 }
 
 #[googletest::test]
-fn a_stored_folder_opens_and_gives_what_was_stored() {
+fn stored_folders_are_recovered() {
     let first = Recovered {
         snapshot: None,
         records: records(&["first", "", "third"]),
@@ -160,9 +159,9 @@
     );
 }
 
-/// Nothing writes the first version any more: the stored slot was made by hand, as the head comment of the format says.
+/// Version 1 is no longer written: the stored slot was created by hand, following the documentation of the format.
 #[googletest::test]
-fn a_stored_slot_of_the_first_version_is_still_read_as_one_chunk() {
+fn stored_version_1_slot_is_read_as_one_chunk() {
     let expected = Recovered {
         snapshot: Some(records(&["a snapshot in one piece"])),
         records: records(&["after it"]),
@@ -171,7 +170,7 @@
 }
 
 #[googletest::test]
-fn a_stored_folder_goes_on_where_it_ended() {
+fn stored_folder_is_continued_with_the_same_bytes() {
     let folder = stored_folder("one checkpoint");
     let (mut store, _) = open(&folder);
     store
@@ -182,7 +181,7 @@
 }
 
 #[googletest::test]
-fn a_stored_folder_with_a_torn_last_record_gives_those_before() {
+fn torn_last_record_of_stored_folder_is_dropped() {
     let folder = stored_folder("one checkpoint");
     let log = folder.path().join("log-1");
     let mut torn = std::fs::read(&log).unwrap();
@@ -192,7 +191,7 @@
 }
 
 #[googletest::test]
-fn every_stored_file_is_of_a_folder_that_is_looked_at() {
+fn every_stored_file_belongs_to_a_tested_folder() {
     let folders = [
         "first records",
         "one checkpoint",
@@ -200,6 +199,6 @@
         "empty checkpoint",
         "first version",
     ];
-    let looked_at: usize = folders.iter().map(|folder| stored(folder).len()).sum();
-    expect_that!(looked_at, eq(STORED.lines().count()));
+    let tested_files: usize = folders.iter().map(|folder| stored(folder).len()).sum();
+    expect_that!(tested_files, eq(STORED.lines().count()));
 }
--- a/system/storage/tests/simulated_disk/mod.rs
+++ b/system/storage/tests/simulated_disk/mod.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that fails on demand, and what a power failure may leave of it.
+//! An in-memory disk with fault injection, and the states that a power failure may leave.
 use magpiegap_storage::{Directory, FileName};
 use std::{cell::RefCell, collections::BTreeMap, io, rc::Rc};
 
@@ -14,18 +14,18 @@
     Sync(FileName),
 }
 
-/// The files of a simulated disk, and how they came about.
+/// The files of a simulated disk, and the operations that wrote them.
 #[derive(Default)]
 pub(crate) struct Recorder {
     pub(crate) files: Files,
     pub(crate) operations: Vec<DiskOperation>,
-    /// Every operation fails once so many are done.
+    /// Number of operations after which every further one fails, as on a full disk.
     pub(crate) full_after: Option<usize>,
-    /// So many syncs fail, though what they were to make durable has reached the disk.
+    /// Number of syncs that fail, although their data has reached the disk.
     pub(crate) failing_syncs: usize,
 }
 
-/// A simulated disk that records its operations. Clones share it.
+/// A simulated disk that records its operations. Clones share the same disk.
 #[derive(Clone, Default)]
 pub(crate) struct SimulatedDisk(pub(crate) Rc<RefCell<Recorder>>);
 
@@ -89,7 +89,7 @@
     }
 }
 
-/// What an operation that was not synced may have left: nothing, all, or the first half of its bytes.
+/// Possible results of an operation that was not synced: none, complete, or only the first half of its bytes.
 fn possible_effects(operation: &DiskOperation) -> Vec<Option<DiskOperation>> {
     let torn = |bytes: &[u8]| bytes[..bytes.len() / 2].to_vec();
     match operation {
@@ -121,7 +121,7 @@
     }
 }
 
-/// The files of all disks that a power failure after `done` operations may leave.
+/// All states of the files that a power failure after `done` operations may leave.
 pub(crate) fn files_after_crash(operations: &[DiskOperation], done: usize) -> Vec<Files> {
     let mut states = vec![BTreeMap::new()];
     for (position, operation) in operations[..done].iter().enumerate() {
