--- a/system/protocol/tests/disk_progress.rs
+++ b/system/protocol/tests/disk_progress.rs
@@ -1,8 +1,8 @@
-//! Which state of a disk is behind another one of the same disk.
+//! Comparing and merging states of the same disk.
 use googletest::prelude::*;
 use magpiegap_protocol::{Ballot, DiskProgress, LogIndex, LogPosition, ViewNumber};
 
-/// The view known, the rounds promised and accepted for the next one, and view and index of the last entry.
+/// The view, the rounds promised and accepted for the next view, and view and index of the last committed entry.
 type Progress = (u64, Option<u64>, Option<u64>, (u64, u64));
 
 fn progress((view, promised, accepted, (entry_view, index)): Progress) -> DiskProgress {
@@ -19,10 +19,10 @@
 }
 
 #[googletest::test]
-fn a_disk_is_behind_when_it_has_forgotten_a_view_a_vote_or_an_entry() {
+fn disk_without_a_view_vote_or_entry_is_behind() {
     let noted = (7, Some(4), Some(4), (6, 90));
     let cases: [(&str, Progress, bool); 12] = [
-        ("the same", (7, Some(4), Some(4), (6, 90)), false),
+        ("the same state", (7, Some(4), Some(4), (6, 90)), false),
         ("more entries", (7, Some(4), Some(4), (6, 95)), false),
         ("a higher promise", (7, Some(5), Some(4), (6, 90)), false),
         (
@@ -34,14 +34,14 @@
         ("an older view", (6, Some(9), Some(9), (6, 90)), true),
         ("no promise", (7, None, None, (6, 90)), true),
         ("a lower promise", (7, Some(3), Some(3), (6, 90)), true),
-        ("what was accepted", (7, Some(4), None, (6, 90)), true),
+        ("no accepted view", (7, Some(4), None, (6, 90)), true),
         (
             "accepted in a lower ballot",
             (7, Some(4), Some(3), (6, 90)),
             true,
         ),
         ("fewer entries", (7, Some(4), Some(4), (6, 89)), true),
-        // As many entries, but others than those that were committed.
+        // A higher index, but not the entries that were committed.
         ("entries of an older view", (8, None, None, (5, 200)), true),
     ];
     for (name, found, behind) in cases {
@@ -51,10 +51,10 @@
 }
 
 #[googletest::test]
-fn progress_never_goes_back() {
+fn progress_never_decreases() {
     let cases: [(&str, Progress, Progress, Progress); 3] = [
         (
-            "a new view forgets the ballots of the one before",
+            "a new view resets the ballots",
             (7, Some(4), Some(4), (6, 90)),
             (8, None, None, (0, 0)),
             (8, None, None, (6, 90)),
@@ -66,15 +66,15 @@
             (7, Some(4), None, (6, 90)),
         ),
         (
-            "entries grow without votes",
+            "entries advance without votes",
             (7, None, None, (6, 90)),
             (6, Some(9), None, (7, 91)),
             (7, None, None, (7, 91)),
         ),
     ];
     for (name, before, other, after) in cases {
-        let mut taken = progress(before);
-        taken.advance(&progress(other));
-        expect_that!(taken, eq(progress(after)), "{name}");
+        let mut merged = progress(before);
+        merged.advance(&progress(other));
+        expect_that!(merged, eq(progress(after)), "{name}");
     }
 }
--- a/system/protocol/tests/golden/mod.rs
+++ b/system/protocol/tests/golden/mod.rs
@@ -1,14 +1,15 @@
-//! Compares values with bytes that were stored when their encoding was fixed.
+//! Compares the encoding of values with stored bytes.
 //!
-//! The stored files have one record a line, `NAME: HEX`. They are never written by a test: whoever changes an encoding on
-//! purpose takes the new line from the failure message, and says how data and processes with the old one go on.
+//! The stored files contain one record per line, `NAME: HEX`. Tests never write them. To change an encoding
+//! deliberately, copy the new line from the failure message and document how existing data and older processes remain
+//! compatible.
 use magpiegap_protocol::{decode, encode};
 use minicbor::{Decode, Encode};
 use std::{collections::BTreeMap, fmt::Write};
 
-/// Stored records, and the faults of those compared so far.
+/// Stored records, and the mismatches found so far.
 pub(crate) struct Stored {
-    /// Records that no value was compared with yet.
+    /// Records that have not been compared with a value yet.
     records: BTreeMap<&'static str, &'static str>,
     faults: Vec<String>,
 }
@@ -25,7 +26,7 @@
                 Some((name, hex)) if stored.records.insert(name, hex).is_none() => {}
                 _ => stored
                     .faults
-                    .push(format!("a line without a name of its own: {line}")),
+                    .push(format!("line without a unique name: {line}")),
             }
         }
         stored
@@ -39,35 +40,37 @@
         let stored = self.records.get(name).copied();
         let encoded = hex(&encode(value));
         if stored != Some(encoded.as_str()) {
-            self.faults
-                .push(format!("now encoded as {name}: {encoded}"));
+            self.faults.push(format!(
+                "encoding changed; the new line is {name}: {encoded}"
+            ));
         }
         self.reads(name, value);
     }
 
-    /// Checks that stored bytes are decoded as the value, also in an encoding that is not written any more.
+    /// Checks that stored bytes are decoded as the value. Also used for encodings that are no longer written.
     pub(crate) fn reads<T>(&mut self, name: &str, value: &T)
     where
         T: for<'b> Decode<'b, ()> + PartialEq,
     {
         let bytes = self.bytes(name);
         if bytes.and_then(|bytes| decode::<T>(&bytes).ok()).as_ref() != Some(value) {
-            self.faults
-                .push(format!("stored bytes are not read as the value: {name}"));
+            self.faults.push(format!(
+                "stored bytes are not decoded as the expected value: {name}"
+            ));
         }
     }
 
-    /// Takes the stored bytes of a record.
+    /// Removes a record and returns its bytes.
     pub(crate) fn bytes(&mut self, name: &str) -> Option<Vec<u8>> {
         self.records.remove(name).and_then(unhex)
     }
 
-    /// All faults, also stored records that no value was compared with.
+    /// All mismatches, including stored records that were not compared with a value.
     pub(crate) fn faults(self) -> Vec<String> {
         let not_compared = self
             .records
             .keys()
-            .map(|name| format!("stored, but compared with nothing: {name}"));
+            .map(|name| format!("stored record was not compared with any value: {name}"));
         self.faults.into_iter().chain(not_compared).collect()
     }
 }
@@ -81,7 +84,7 @@
     })
 }
 
-/// `None` for text that isn't pairs of hexadecimal digits.
+/// Decodes pairs of hexadecimal digits; `None` for other text.
 fn unhex(text: &str) -> Option<Vec<u8>> {
     let pair = |start| u8::from_str_radix(text.get(start..start + 2)?, 16).ok();
     (0..text.len()).step_by(2).map(pair).collect()
--- a/system/protocol/tests/golden/samples.rs
+++ b/system/protocol/tests/golden/samples.rs
@@ -1,4 +1,4 @@
-//! Samples of all types, in which every field has a value of its own.
+//! Sample values of all types. Fields have distinct values, so that swapped fields are detected.
 use magpiegap_protocol::*;
 use magpiegap_protocol::{FencingToken, LogIndex, ViewNumber, WallMillis};
 
@@ -16,7 +16,7 @@
     }
 }
 
-pub(crate) fn task() -> TaskId {
+pub(crate) fn task_id() -> TaskId {
     TaskId {
         job: JobId(0x5c0e_7a21_d94b_36f8),
         occurrence: 2,
@@ -36,14 +36,14 @@
     }
 }
 
-pub(crate) fn position() -> LogPosition {
+pub(crate) fn log_position() -> LogPosition {
     LogPosition {
         view: ViewNumber(12),
         index: LogIndex(70_001),
     }
 }
 
-pub(crate) fn proposal() -> ProposalId {
+pub(crate) fn proposal_id() -> ProposalId {
     ProposalId {
         origin: replica(4),
         sequence: 260,
@@ -52,8 +52,8 @@
 
 pub(crate) fn entry(command: Command) -> Entry {
     Entry {
-        position: position(),
-        proposal: proposal(),
+        position: log_position(),
+        proposal: proposal_id(),
         role_token: Some(role_token()),
         command,
         wall_ms: WallMillis(1_700_000_000_123),
@@ -62,7 +62,7 @@
 
 pub(crate) fn run_completion(kind: CompletionKind) -> RunCompletion {
     RunCompletion {
-        task: task(),
+        task: task_id(),
         run: 5,
         kind,
         checkpoint: "half-way".to_owned(),
@@ -71,7 +71,7 @@
 
 pub(crate) fn run_start() -> RunStart {
     RunStart {
-        task: task(),
+        task: task_id(),
         run: 6,
         incarnation: "w-17/3".to_owned(),
         checkpoint: "third".to_owned(),
@@ -162,7 +162,7 @@
     }
 }
 
-pub(crate) fn report() -> PeerReport {
+pub(crate) fn peer_report() -> PeerReport {
     PeerReport {
         replica: replica(5),
         age_ms: 320,
@@ -182,7 +182,7 @@
         view: ViewNumber(16),
         serving: true,
         unfit: true,
-        reports: vec![report()],
+        reports: vec![peer_report()],
         wall_ms: WallMillis(1_700_000_000_789),
         committed: LogIndex(70_003),
         complete: true,
@@ -193,7 +193,7 @@
     }
 }
 
-/// How far a disk has come, with something in each field.
+/// Disk progress with a value in each field.
 pub(crate) fn disk_progress() -> DiskProgress {
     DiskProgress {
         view: ViewNumber(15),
@@ -205,7 +205,7 @@
             round: 69,
             proposer: 72,
         }),
-        committed: position(),
+        committed: log_position(),
     }
 }
 
@@ -249,7 +249,7 @@
             },
             view: view(),
         }),
-        complete: Some(position()),
+        complete: Some(log_position()),
     }
 }
 
@@ -266,7 +266,7 @@
     }
 }
 
-pub(crate) fn platform_list() -> WorkerList {
+pub(crate) fn worker_list() -> WorkerList {
     let ready = WorkerEntry {
         availability: Availability::Ready,
         remaining_ms: None,
@@ -279,7 +279,7 @@
     }
 }
 
-pub(crate) fn transfer() -> TransferId {
+pub(crate) fn transfer_id() -> TransferId {
     TransferId {
         base: 24,
         version: 25,
@@ -287,9 +287,9 @@
     }
 }
 
-pub(crate) fn chunk() -> ConfigurationChunk {
+pub(crate) fn configuration_chunk() -> ConfigurationChunk {
     ConfigurationChunk {
-        transfer: transfer(),
+        transfer: transfer_id(),
         length: 40_000,
         offset: 16_384,
         bytes: vec![1, 0, 255, 128],
@@ -314,11 +314,11 @@
         ],
         configuration_version: 29,
         revision: 0x0102_0304_0506_0708,
-        change: Some(chunk()),
+        change: Some(configuration_chunk()),
     }
 }
 
-pub(crate) fn poll() -> FeedPoll {
+pub(crate) fn feed_poll() -> FeedPoll {
     FeedPoll {
         revision: 0x0102_0304_0506_0708,
         configuration_version: 29,
@@ -326,15 +326,15 @@
     }
 }
 
-pub(crate) fn fetch() -> ConfigurationFetch {
+pub(crate) fn configuration_fetch() -> ConfigurationFetch {
     ConfigurationFetch {
         base: 24,
-        transfer: Some(transfer()),
+        transfer: Some(transfer_id()),
         offset: 32_768,
     }
 }
 
-pub(crate) fn filter() -> JobFilter {
+pub(crate) fn job_filter() -> JobFilter {
     JobFilter {
         queue: Some("films.example/render/".to_owned()),
         phase: Some(JobPhase::Failed),
--- a/system/protocol/tests/messages.rs
+++ b/system/protocol/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Identities, jobs, views, feeds and their encodings.
+//! Identifiers, messages, job validation, arithmetic, views and feeds.
 use googletest::prelude::*;
 use magpiegap_protocol::{
     decode, encode, CoordinatorRequest, Feed, FencingToken, JobId, JobSpec, JobSpecError, LogIndex,
@@ -13,7 +13,7 @@
 }
 
 #[googletest::test]
-fn given_a_task_when_its_text_is_parsed_then_it_is_the_same() {
+fn task_id_round_trips_through_its_text() {
     let task = TaskId {
         job: JobId(0x5c0e_7a21_d94b_36f8),
         occurrence: 2,
@@ -34,7 +34,7 @@
 }
 
 #[googletest::test]
-fn given_a_message_when_it_is_truncated_then_it_is_rejected() {
+fn truncated_message_is_rejected() {
     let request = CoordinatorRequest::Status {
         queue: "h/q/".to_owned(),
         job: JobId(7),
@@ -50,7 +50,7 @@
 }
 
 #[googletest::test]
-fn given_jobs_that_cannot_run_when_they_are_validated_then_the_fault_is_named() {
+fn invalid_job_is_rejected_with_its_error() {
     let job = |steps| JobSpec {
         steps,
         ..JobSpec::default()
@@ -85,7 +85,7 @@
 }
 
 #[googletest::test]
-fn given_amounts_at_and_above_the_largest_when_a_job_is_validated_then_only_the_largest_passes() {
+fn amounts_above_the_maximum_are_rejected() {
     let amounts = |cpu, memory_mb, gpu, estimated_ms| JobSpec {
         steps: vec![StepSpec {
             count: 1,
@@ -115,7 +115,7 @@
 }
 
 #[googletest::test]
-fn given_the_largest_numbers_when_they_are_counted_on_then_none_wraps() {
+fn arithmetic_on_largest_numbers_does_not_wrap() {
     expect_that!(ViewNumber(u64::MAX).next(), eq(ViewNumber(u64::MAX)));
     expect_that!(LogIndex::MAX.next(), eq(LogIndex::MAX));
     expect_that!(FencingToken(u64::MAX).checked_next(), none());
@@ -131,7 +131,7 @@
     };
     expect_that!(largest.saturating_add(&one), eq(largest));
     expect_that!(one.saturating_add(&largest).fits_in(&one), eq(false));
-    // A job of a proxy that did not check it.
+    // A job that a proxy submitted without validating it.
     let long = StepSpec {
         count: 1,
         estimated_ms: u64::MAX,
@@ -150,7 +150,7 @@
 }
 
 #[googletest::test]
-fn given_resources_when_they_are_compared_then_each_of_them_counts() {
+fn comparisons_include_every_resource() {
     let capacity = Resources {
         cpu: 4000,
         memory_mb: 100,
@@ -181,7 +181,7 @@
 }
 
 #[googletest::test]
-fn given_views_when_a_disk_was_in_every_chain_since_then_it_is_complete() {
+fn disk_in_every_later_chain_is_complete() {
     let first = View::initial(vec![
         replica(1).member,
         replica(2).member,
@@ -200,7 +200,7 @@
         fourth.complete_since(ViewNumber(1), &replica(1).member),
         eq(true)
     );
-    // It was out of the third view, which may have committed without it.
+    // It was not in the chain of the third view, which may have committed entries without it.
     expect_that!(
         fourth.complete_since(ViewNumber(1), &replica(3).member),
         eq(false)
@@ -216,7 +216,7 @@
 }
 
 #[googletest::test]
-fn given_two_feeds_when_one_is_older_in_anything_then_it_does_not_supersede() {
+fn feed_older_in_any_part_does_not_supersede() {
     let feed = |view, version, token| Feed {
         view: ViewNumber(view),
         configuration_version: version,
--- a/system/protocol/tests/stored_bytes.rs
+++ b/system/protocol/tests/stored_bytes.rs
@@ -1,7 +1,7 @@
-//! Stored encodings stay readable, and what is encoded now can be read by processes of the version before.
+//! Compatibility of encodings: stored bytes remain decodable, and new encodings can be decoded by the previous version.
 //!
-//! Entries, views and states are on the disks of the core, and during a rolling update coordinators, agents and proxies of
-//! both versions talk to each other. So these bytes must not change, whatever the types are called.
+//! Entries, views and snapshots are stored on the disks of the core, and coordinators, agents and proxies of both
+//! versions communicate during a rolling update. So these bytes must not change when types are renamed.
 mod golden;
 #[path = "golden/samples.rs"]
 mod samples;
@@ -62,7 +62,7 @@
     );
     let completions = every_completion_kind().map(run_completion).to_vec();
     stored.keeps(
-        "note-ends",
+        "record-completions",
         &Command::RecordCompletions {
             incarnation: "w-17/5".to_owned(),
             acknowledged_completion: 37,
@@ -76,21 +76,21 @@
         },
     );
     stored.keeps(
-        "lose-instance",
+        "lose-incarnation",
         &Command::LoseIncarnation {
             incarnation: "w-17/6".to_owned(),
             ended: true,
         },
     );
     stored.keeps(
-        "lose-instance-hold-only",
+        "lose-incarnation-lease-expired",
         &Command::LoseIncarnation {
             incarnation: "w-17/6".to_owned(),
             ended: false,
         },
     );
     stored.keeps(
-        "open-time",
+        "open-occurrence",
         &Command::OpenOccurrence {
             job: JobId(38),
             occurrence: 39,
@@ -117,19 +117,22 @@
 }
 
 #[googletest::test]
-fn every_entry_of_the_log_keeps_its_bytes() {
+fn every_log_entry_keeps_its_bytes() {
     let mut stored = Stored::read(include_str!("golden/entries.hex"));
-    stored.keeps("fenced", &entry(Command::CancelJob { job: JobId(41) }));
     stored.keeps(
-        "without-a-fence",
+        "with-role-token",
+        &entry(Command::CancelJob { job: JobId(41) }),
+    );
+    stored.keeps(
+        "without-role-token",
         &Entry {
             role_token: None,
             ..entry(Command::Noop)
         },
     );
-    stored.keeps("position", &position());
-    stored.keeps("proposal", &proposal());
-    stored.keeps("fence", &role_token());
+    stored.keeps("log-position", &log_position());
+    stored.keeps("proposal-id", &proposal_id());
+    stored.keeps("role-token", &role_token());
     expect_that!(stored.faults(), is_empty());
 }
 
@@ -201,10 +204,10 @@
             },
         ),
         (
-            "synchronize",
+            "request-entries",
             PeerMessage::RequestEntries {
                 view: ViewNumber(59),
-                last: position(),
+                last: log_position(),
             },
         ),
         (
@@ -217,7 +220,7 @@
             },
         ),
         (
-            "missing-entries-the-last",
+            "missing-entries-last",
             PeerMessage::MissingEntries {
                 view: ViewNumber(60),
                 after: LogIndex(61),
@@ -229,42 +232,42 @@
             "propose",
             PeerMessage::Propose {
                 view: ViewNumber(62),
-                proposal: proposal(),
+                proposal: proposal_id(),
                 role_token: Some(role_token()),
                 command: Command::Noop,
             },
         ),
         (
-            "propose-without-a-fence",
+            "propose-without-role-token",
             PeerMessage::Propose {
                 view: ViewNumber(62),
-                proposal: proposal(),
+                proposal: proposal_id(),
                 role_token: None,
                 command: Command::Noop,
             },
         ),
-        ("platform", PeerMessage::Platform(platform_list())),
+        ("worker-list", PeerMessage::Platform(worker_list())),
         (
-            "state-offer",
+            "snapshot-offer",
             PeerMessage::SnapshotOffer {
                 view: ViewNumber(63),
-                position: position(),
+                position: log_position(),
                 chunks: 64,
             },
         ),
         (
-            "ask-part",
+            "request-snapshot-chunk",
             PeerMessage::RequestSnapshotChunk {
                 view: ViewNumber(65),
-                position: position(),
+                position: log_position(),
                 number: 66,
             },
         ),
         (
-            "state-part",
+            "snapshot-chunk",
             PeerMessage::SnapshotChunk {
                 view: ViewNumber(67),
-                position: position(),
+                position: log_position(),
                 number: 68,
                 checksum: 0xcafe_0123_4567_89ab,
                 bytes: vec![9, 0, 254],
@@ -292,14 +295,14 @@
 
 #[googletest::test]
 fn every_element_of_peer_messages_keeps_its_bytes() {
-    let mut stored = Stored::read(include_str!("golden/peer_parts.hex"));
+    let mut stored = Stored::read(include_str!("golden/peer_message_elements.hex"));
     stored.keeps("heartbeat", &heartbeat());
     stored.keeps("heartbeat-with-disk", &heartbeat_with_disk());
     stored.keeps("stale-disk", &stale_disk());
-    stored.keeps("peer-report", &report());
+    stored.keeps("peer-report", &peer_report());
     stored.keeps("promise", &promise());
     stored.keeps(
-        "promise-of-an-empty-voter",
+        "promise-without-accepted-view",
         &Promise {
             accepted: None,
             complete: None,
@@ -321,20 +324,20 @@
             location: location(),
         },
     );
-    stored.keeps("platform-list", &platform_list());
+    stored.keeps("worker-list", &worker_list());
     expect_that!(stored.faults(), is_empty());
 }
 
 #[googletest::test]
-fn encodings_from_before_a_field_was_added_are_still_decoded() {
-    let mut stored = Stored::read(include_str!("golden/older_forms.hex"));
+fn encodings_without_later_fields_are_decoded() {
+    let mut stored = Stored::read(include_str!("golden/older_encodings.hex"));
     let first_report = PeerReport {
         complete: false,
         committed: LogIndex(0),
         bidirectional: false,
         location: Location::default(),
         echo: 0,
-        ..report()
+        ..peer_report()
     };
     stored.reads("peer-report-of-five-fields", &first_report);
     let first_heartbeat = Heartbeat {
@@ -385,7 +388,7 @@
             },
         ),
         ("count", CoordinatorRequest::Count { queue }),
-        ("poll", CoordinatorRequest::Poll(poll())),
+        ("poll", CoordinatorRequest::Poll(feed_poll())),
         (
             "replace-configuration",
             CoordinatorRequest::ReplaceConfiguration {
@@ -399,7 +402,7 @@
         ),
         ("describe", CoordinatorRequest::Describe),
         ("explain", CoordinatorRequest::Explain { job: JobId(74) }),
-        ("list-jobs", CoordinatorRequest::ListJobs(filter())),
+        ("list-jobs", CoordinatorRequest::ListJobs(job_filter())),
         (
             "list-all-jobs",
             CoordinatorRequest::ListJobs(JobFilter {
@@ -409,13 +412,13 @@
         ),
         (
             "fetch-configuration",
-            CoordinatorRequest::FetchConfiguration(fetch()),
+            CoordinatorRequest::FetchConfiguration(configuration_fetch()),
         ),
         (
-            "fetch-configuration-anew",
+            "fetch-configuration-without-transfer",
             CoordinatorRequest::FetchConfiguration(ConfigurationFetch {
                 transfer: None,
-                ..fetch()
+                ..configuration_fetch()
             }),
         ),
     ];
@@ -427,10 +430,10 @@
 
 #[googletest::test]
 fn every_response_of_a_coordinator_keeps_its_bytes() {
-    let mut stored = Stored::read(include_str!("golden/answers.hex"));
+    let mut stored = Stored::read(include_str!("golden/responses.hex"));
     let responses = [
         ("accepted", CoordinatorResponse::Accepted),
-        ("full", CoordinatorResponse::NoCapacity),
+        ("no-capacity", CoordinatorResponse::NoCapacity),
         ("not-serving", CoordinatorResponse::NotServing),
         ("unknown", CoordinatorResponse::Unknown),
         ("no-such-job", CoordinatorResponse::NoSuchJob),
@@ -454,14 +457,14 @@
         ("count", CoordinatorResponse::Count(76_000)),
         ("feed", CoordinatorResponse::Feed(Box::new(feed()))),
         (
-            "feed-without-a-change",
+            "feed-without-change",
             CoordinatorResponse::Feed(Box::new(Feed {
                 change: None,
                 ..feed()
             })),
         ),
         (
-            "configuration-taken",
+            "configuration-accepted",
             CoordinatorResponse::ConfigurationAccepted,
         ),
         (
@@ -480,10 +483,10 @@
             "description",
             CoordinatorResponse::Description("{\"view\":78}".to_owned()),
         ),
-        ("elsewhere", CoordinatorResponse::Redirect(0x0a00_000b)),
+        ("redirect", CoordinatorResponse::Redirect(0x0a00_000b)),
         (
-            "configuration-part",
-            CoordinatorResponse::ConfigurationChunk(Box::new(chunk())),
+            "configuration-chunk",
+            CoordinatorResponse::ConfigurationChunk(Box::new(configuration_chunk())),
         ),
         (
             "configuration-invalid",
@@ -497,17 +500,17 @@
 }
 
 #[googletest::test]
-fn everything_for_agents_and_proxies_keeps_its_bytes() {
+fn messages_to_agents_and_proxies_keep_their_bytes() {
     let mut stored = Stored::read(include_str!("golden/feeds.hex"));
     stored.keeps("feed", &feed());
     stored.keeps(
-        "feed-without-a-change",
+        "feed-without-change",
         &Feed {
             change: None,
             ..feed()
         },
     );
-    stored.keeps("feed-poll", &poll());
+    stored.keeps("feed-poll", &feed_poll());
     stored.keeps(
         "role-holder",
         &RoleHolder {
@@ -516,26 +519,29 @@
             token: FencingToken(79),
         },
     );
-    stored.keeps("transfer", &transfer());
-    stored.keeps("configuration-fetch", &fetch());
-    stored.keeps("configuration-part", &chunk());
+    stored.keeps("transfer-id", &transfer_id());
+    stored.keeps("configuration-fetch", &configuration_fetch());
+    stored.keeps("configuration-chunk", &configuration_chunk());
     expect_that!(stored.faults(), is_empty());
 }
 
 #[googletest::test]
 fn identities_jobs_and_workers_keep_their_bytes() {
-    let mut stored = Stored::read(include_str!("golden/small_parts.hex"));
+    let mut stored = Stored::read(include_str!("golden/common_types.hex"));
     stored.keeps("member", &member(12));
     stored.keeps("replica", &replica(13));
-    stored.keeps("job-name", &JobId(0xfedc_ba98_7654_3210));
-    stored.keeps("task-name", &task());
-    stored.keeps("place", &FailureDomainId(0x0f1e_2d3c_4b5a_6978));
-    stored.keeps("place-of-a-name", &FailureDomainId::of("north-1"));
+    stored.keeps("job-id", &JobId(0xfedc_ba98_7654_3210));
+    stored.keeps("task-id", &task_id());
+    stored.keeps("failure-domain", &FailureDomainId(0x0f1e_2d3c_4b5a_6978));
+    stored.keeps("failure-domain-of-name", &FailureDomainId::of("north-1"));
     stored.keeps("location", &location());
     stored.keeps("role-platform-reader", &Role::PlatformReader);
     stored.keeps("role-scheduler", &scheduler());
-    stored.keeps("end-kinds", &every_completion_kind().to_vec());
-    stored.keeps("run-end", &run_completion(CompletionKind::LeaseExpired));
+    stored.keeps("completion-kinds", &every_completion_kind().to_vec());
+    stored.keeps(
+        "run-completion",
+        &run_completion(CompletionKind::LeaseExpired),
+    );
     stored.keeps("run-start", &run_start());
     stored.keeps("resources", &resources());
     stored.keeps("step", &step());
@@ -548,7 +554,7 @@
     );
     stored.keeps("job-spec", &job_spec());
     stored.keeps("submission", &submission());
-    stored.keeps("job-filter", &filter());
+    stored.keeps("job-filter", &job_filter());
     stored.keeps("worker-draining", &worker());
     let ready = WorkerEntry {
         availability: Availability::Ready,
@@ -559,7 +565,7 @@
     expect_that!(stored.faults(), is_empty());
 }
 
-/// Flags look alike: only one that is set alone shows its position.
+/// Sets one flag at a time, because swapped flags with equal values would not be detected.
 #[googletest::test]
 fn each_flag_keeps_its_position() {
     let mut stored = Stored::read(include_str!("golden/flags.hex"));
@@ -597,7 +603,7 @@
         unfit: false,
         complete: false,
         bidirectional: false,
-        ..report()
+        ..peer_report()
     };
     stored.keeps(
         "peer-report-serving",
@@ -621,7 +627,7 @@
         },
     );
     stored.keeps(
-        "peer-report-both-ways",
+        "peer-report-bidirectional",
         &PeerReport {
             bidirectional: true,
             ..report
