--- a/system/distribution/examples/sizes.rs
+++ b/system/distribution/examples/sizes.rs
@@ -10,7 +10,7 @@
 mod slow_link;
 
 use common::{configuration, source};
-use slow_link::{body_bytes, World};
+use slow_link::{body_bytes, Simulation};
 
 const ROUTE_COUNTS: [u64; 5] = [10, 100, 350, 1830, 5000];
 /// Link rates in bytes per second: 64 kbit/s, 2 Mbit/s, 200 Mbit/s.
@@ -29,12 +29,12 @@
 }
 
 /// Milliseconds until a version is in force at the agent.
-fn ms_until_in_force(world: &mut World, version: u64) -> u64 {
-    let started = world.now();
-    while world.version() < version && world.now() < started + MAX_MS {
-        world.run_for(1);
+fn ms_until_in_force(simulation: &mut Simulation, version: u64) -> u64 {
+    let started = simulation.now();
+    while simulation.version() < version && simulation.now() < started + MAX_MS {
+        simulation.run_for(1);
     }
-    world.now() - started
+    simulation.now() - started
 }
 
 fn main() {
@@ -46,13 +46,13 @@
             body_bytes(&configuration(1, 0..routes))
         );
         for rate in LINK_RATES {
-            let mut world = World::new(rate);
-            world.run_for(2000);
-            world.push(configuration(1, 0..routes));
-            let complete_ms = ms_until_in_force(&mut world, 1);
-            world.run_for(2000);
-            world.push(configuration(2, 0..routes + 1));
-            let change_ms = ms_until_in_force(&mut world, 2);
+            let mut simulation = Simulation::new(rate);
+            simulation.run_for(2000);
+            simulation.push(configuration(1, 0..routes));
+            let complete_ms = ms_until_in_force(&mut simulation, 1);
+            simulation.run_for(2000);
+            simulation.push(configuration(2, 0..routes + 1));
+            let change_ms = ms_until_in_force(&mut simulation, 2);
             print!(" | {} kbit/s: {complete_ms}, {change_ms}", rate * 8 / 1000);
         }
         println!();
--- a/system/distribution/tests/agents.rs
+++ b/system/distribution/tests/agents.rs
@@ -1,4 +1,4 @@
-//! Agents on links of any rate get every configuration, and the feed never waits behind one.
+//! Agents receive configurations over links of any rate, and configurations do not delay the feed.
 mod common;
 mod slow_link;
 
@@ -9,108 +9,115 @@
     ConfigurationChunk, ConfigurationFetch, CoordinatorRequest, CoordinatorResponse, Feed,
     TransferId, ViewNumber,
 };
-use slow_link::{body_bytes, World, COORDINATORS};
+use slow_link::{body_bytes, Simulation, COORDINATORS};
 
-/// Routes of a large configuration.
-const MANY: u64 = 2000;
-/// A link of 2 Mbit/s, in bytes a second.
-const SLOW: u64 = 250_000;
-/// A link of 64 kbit/s.
-const VERY_SLOW: u64 = 8_000;
+/// Number of routes in a large configuration.
+const LARGE_ROUTE_COUNT: u64 = 2000;
+/// Rate of a slow link in bytes per second: 2 Mbit/s.
+const SLOW_LINK: u64 = 250_000;
+/// Rate of a very slow link in bytes per second: 64 kbit/s.
+const VERY_SLOW_LINK: u64 = 8_000;
 
 #[googletest::test]
-fn given_a_slow_link_when_a_large_configuration_comes_then_it_arrives_in_time() {
-    let mut world = World::new(SLOW);
-    world.push(configuration(1, 0..MANY));
-    world.run_until(3000);
-    expect_that!(world.version(), eq(1));
-    // A body as the operator sent it would not have come within the timeout of one response.
-    expect_that!(body_bytes(&configuration(1, 0..MANY)), gt(SLOW / 4));
+fn large_configuration_arrives_in_time_over_slow_link() {
+    let mut simulation = Simulation::new(SLOW_LINK);
+    simulation.push(configuration(1, 0..LARGE_ROUTE_COUNT));
+    simulation.run_until(3000);
+    expect_that!(simulation.version(), eq(1));
+    // The operator's body would not have arrived in a single response within its timeout.
+    expect_that!(
+        body_bytes(&configuration(1, 0..LARGE_ROUTE_COUNT)),
+        gt(SLOW_LINK / 4)
+    );
 }
 
 #[googletest::test]
-fn given_a_very_slow_link_when_a_large_configuration_comes_then_it_arrives_however_long_that_takes()
-{
-    let mut world = World::new(VERY_SLOW);
-    world.push(configuration(1, 0..MANY));
-    world.run_until(60_000);
-    expect_that!(world.version(), eq(1));
-    // Nothing is sent twice.
-    let complete = world.source_bytes();
-    expect_that!(world.chunk_bytes(), eq(complete));
+fn large_configuration_arrives_once_over_very_slow_link() {
+    let mut simulation = Simulation::new(VERY_SLOW_LINK);
+    simulation.push(configuration(1, 0..LARGE_ROUTE_COUNT));
+    simulation.run_until(60_000);
+    expect_that!(simulation.version(), eq(1));
+    // No byte is transferred twice.
+    let complete = simulation.source_bytes();
+    expect_that!(simulation.chunk_bytes(), eq(complete));
 }
 
 #[googletest::test]
-fn given_a_burst_of_large_configurations_when_the_link_is_slow_then_the_newest_is_in_force_soon_after(
-) {
-    let mut world = World::new(SLOW);
-    world.push(configuration(1, 0..MANY));
-    world.run_until(3000);
+fn newest_of_many_large_configurations_arrives_soon() {
+    let mut simulation = Simulation::new(SLOW_LINK);
+    simulation.push(configuration(1, 0..LARGE_ROUTE_COUNT));
+    simulation.run_until(3000);
     for version in 2..20 {
-        world.push(configuration(version, 0..MANY + version));
-        world.run_for(330);
-        expect_that!(world.version(), ge(version - 1));
+        simulation.push(configuration(version, 0..LARGE_ROUTE_COUNT + version));
+        simulation.run_for(330);
+        expect_that!(simulation.version(), ge(version - 1));
     }
-    world.run_for(400);
-    expect_that!(world.version(), eq(19));
+    simulation.run_for(400);
+    expect_that!(simulation.version(), eq(19));
 }
 
 #[googletest::test]
-fn given_a_configuration_in_transfer_when_a_role_changes_its_holder_then_the_feed_does_not_wait_behind_it(
-) {
-    let mut world = World::new(SLOW);
-    world.push(configuration(1, 0..10 * MANY));
-    world.run_until(400);
-    expect_that!(world.version(), eq(0), "it is still on its way");
-    world.change_role_holder();
-    let changed_at = world.now();
-    while world.token() < 2 {
-        world.run_for(10);
-        assert_that!(world.now(), lt(changed_at + 300));
+fn feed_does_not_wait_for_configuration_transfer() {
+    let mut simulation = Simulation::new(SLOW_LINK);
+    simulation.push(configuration(1, 0..10 * LARGE_ROUTE_COUNT));
+    simulation.run_until(400);
+    expect_that!(
+        simulation.version(),
+        eq(0),
+        "the transfer is still in progress"
+    );
+    simulation.change_role_holder();
+    let changed_at = simulation.now();
+    while simulation.token() < 2 {
+        simulation.run_for(10);
+        assert_that!(simulation.now(), lt(changed_at + 300));
     }
-    expect_that!(world.version(), eq(0), "it is still on its way");
-    world.run_for(6000);
-    expect_that!(world.version(), eq(1));
+    expect_that!(
+        simulation.version(),
+        eq(0),
+        "the transfer is still in progress"
+    );
+    simulation.run_for(6000);
+    expect_that!(simulation.version(), eq(1));
 }
 
 #[googletest::test]
-fn given_all_coordinators_down_for_a_while_when_they_restart_with_a_large_change_then_it_arrives() {
-    let mut world = World::new(SLOW);
-    world.push(configuration(1, 0..MANY));
-    world.run_until(3000);
-    world.set_down(COORDINATORS);
-    world.run_for(9500);
-    // They remember no other version after their start.
-    world.restart_with(configuration(9, MANY..2 * MANY));
-    world.set_down(0);
-    world.run_for(2500);
-    expect_that!(world.version(), eq(9));
+fn large_change_arrives_after_all_coordinators_restart() {
+    let mut simulation = Simulation::new(SLOW_LINK);
+    simulation.push(configuration(1, 0..LARGE_ROUTE_COUNT));
+    simulation.run_until(3000);
+    simulation.set_down(COORDINATORS);
+    simulation.run_for(9500);
+    // After the restart they have only this version.
+    simulation.restart_with(configuration(9, LARGE_ROUTE_COUNT..2 * LARGE_ROUTE_COUNT));
+    simulation.set_down(0);
+    simulation.run_for(2500);
+    expect_that!(simulation.version(), eq(9));
 }
 
 #[googletest::test]
-fn given_clients_that_fill_the_link_when_responses_take_a_second_then_the_agent_is_served_all_the_same(
-) {
-    let mut world = World::new(SLOW);
-    world.queue_delay_ms(1100);
-    world.push(configuration(1, 0..10));
-    world.run_until(8000);
-    expect_that!(world.version(), eq(1));
-    world.push(configuration(2, 0..MANY));
-    world.run_for(25_000);
-    expect_that!(world.version(), eq(2));
+fn agent_is_served_despite_long_client_queue() {
+    let mut simulation = Simulation::new(SLOW_LINK);
+    simulation.set_queue_delay_ms(1100);
+    simulation.push(configuration(1, 0..10));
+    simulation.run_until(8000);
+    expect_that!(simulation.version(), eq(1));
+    simulation.push(configuration(2, 0..LARGE_ROUTE_COUNT));
+    simulation.run_for(25_000);
+    expect_that!(simulation.version(), eq(2));
 }
 
 #[googletest::test]
-fn given_one_coordinator_that_serves_no_fetches_when_it_fails_then_another_one_is_chosen() {
-    let mut world = World::new(SLOW);
-    world.push(configuration(1, 0..MANY));
-    world.refuse_fetches_at(0);
-    world.run_until(5000);
-    expect_that!(world.version(), eq(1));
+fn fetch_moves_on_from_coordinator_that_refuses_it() {
+    let mut simulation = Simulation::new(SLOW_LINK);
+    simulation.push(configuration(1, 0..LARGE_ROUTE_COUNT));
+    simulation.reject_fetches_at(0);
+    simulation.run_until(5000);
+    expect_that!(simulation.version(), eq(1));
 }
 
 #[googletest::test]
-fn given_an_agent_that_knows_nothing_when_no_poll_succeeds_then_its_feed_is_empty_and_it_is_lost() {
+fn agent_without_successful_poll_is_disconnected() {
     let mut agent = Agent::new(AgentSettings {
         own_address: 5,
         seeds: vec![1, 2, 3],
@@ -126,7 +133,7 @@
         agent.handle_outcome(1, CallId::Poll(0), Err(CallFailure::NotConnected)),
         eq(false)
     );
-    // It moves on after a delay.
+    // After a delay it polls another coordinator.
     expect_that!(agent.poll_calls(1).len(), eq(0));
     let due = agent.next_timeout().unwrap_or_default();
     expect_that!(
@@ -136,8 +143,7 @@
 }
 
 #[googletest::test]
-fn given_a_change_that_can_not_be_read_when_it_comes_then_that_is_reported_once_and_the_complete_one_requested(
-) {
+fn faulty_change_is_reported_once_and_refetched_completely() {
     let mut agent = Agent::new(AgentSettings {
         own_address: 5,
         seeds: vec![1],
@@ -184,17 +190,17 @@
     let error = agent.take_change_error().map(|error| error.to_string());
     expect_that!(error, some(contains_substring("checksum")));
     expect_that!(agent.take_change_error().is_none(), eq(true));
-    let again = agent
+    let next_request = agent
         .poll_calls(1000)
         .into_iter()
         .find(is_fetch)
         .map(|call| call.request);
     let complete = CoordinatorRequest::FetchConfiguration(ConfigurationFetch::default());
-    expect_that!(again, some(eq(&complete)));
+    expect_that!(next_request, some(eq(&complete)));
 }
 
 #[googletest::test]
-fn given_a_feed_that_is_older_when_it_comes_then_that_coordinator_is_not_given_time() {
+fn coordinator_with_older_feed_may_not_hold_polls() {
     let mut agent = Agent::new(AgentSettings {
         own_address: 5,
         seeds: vec![1, 2, 3],
@@ -215,16 +221,16 @@
         )
     };
     expect_that!(receive(&mut agent, 1, feed(ViewNumber(4), 40)), eq(true));
-    let waits = |agent: &mut Agent, now| match &agent.poll_calls(now)[..] {
+    let may_hold_poll = |agent: &mut Agent, now| match &agent.poll_calls(now)[..] {
         [call] => matches!(&call.request, CoordinatorRequest::Poll(poll) if poll.wait_ms > 0),
         _ => false,
     };
     expect_that!(
-        waits(&mut agent, 2),
+        may_hold_poll(&mut agent, 2),
         eq(true),
-        "one that has served may hold the poll"
+        "a coordinator that has served may hold the poll"
     );
     expect_that!(receive(&mut agent, 3, feed(ViewNumber(3), 30)), eq(false));
     expect_that!(agent.feed().view, eq(ViewNumber(4)));
-    expect_that!(waits(&mut agent, 1000), eq(false));
+    expect_that!(may_hold_poll(&mut agent, 1000), eq(false));
 }
--- a/system/distribution/tests/common/mod.rs
+++ b/system/distribution/tests/common/mod.rs
@@ -1,16 +1,16 @@
-//! The harness of the tests: configurations, sources and receivers.
+//! Test helpers: configurations, sources and receivers.
 #![allow(dead_code)]
 use magpiegap_distribution::{ConfigurationReceiver, ConfigurationSource, Received};
 use magpiegap_jobs::{Configuration, Route, Service};
 use magpiegap_protocol::{fnv1a, ConfigurationChunk};
 use std::sync::Arc;
 
-/// A name that does not compress against the one before, as an operator's would not.
+/// A pseudo-random name. Consecutive names do not compress against each other, like real names.
 fn random_name(seed: u64) -> String {
     format!("{:016x}", fnv1a(&seed.to_le_bytes()))
 }
 
-/// A route whose name, host and prefix follow from its number.
+/// A route whose name, host and prefix are derived from its number.
 pub(crate) fn route(number: u64) -> Route {
     const HOSTS: u64 = 1 << 40;
     const PREFIXES: u64 = 1 << 41;
@@ -27,7 +27,7 @@
     }
 }
 
-/// A configuration with these routes.
+/// A configuration with the routes of these numbers.
 pub(crate) fn configuration(version: u64, routes: impl IntoIterator<Item = u64>) -> Configuration {
     let service = Service {
         name: "s".to_owned(),
@@ -46,7 +46,7 @@
     }
 }
 
-/// A source that has taken these configurations one after the other.
+/// A source to which these configurations were pushed in order.
 pub(crate) fn source(
     configurations: impl IntoIterator<Item = Configuration>,
 ) -> ConfigurationSource {
@@ -57,7 +57,7 @@
     source
 }
 
-/// Fetches chunks until the receiver has what the source has. Returns their length in bytes.
+/// Fetches chunks until the receiver has the newest version of the source. Returns the number of bytes fetched.
 pub(crate) fn fetch_all(
     source: &mut ConfigurationSource,
     receiver: &mut ConfigurationReceiver,
@@ -74,10 +74,12 @@
     bytes
 }
 
-/// The next chunk, which has to be there.
+/// The next chunk that the receiver requests. Panics if the source has none.
 pub(crate) fn next_chunk(
     source: &mut ConfigurationSource,
     receiver: &ConfigurationReceiver,
 ) -> ConfigurationChunk {
-    source.chunk(&receiver.fetch()).expect("a chunk")
+    source
+        .chunk(&receiver.fetch())
+        .expect("the source has a chunk for the receiver")
 }
--- a/system/distribution/tests/slow_link/mod.rs
+++ b/system/distribution/tests/slow_link/mod.rs
@@ -1,4 +1,4 @@
-//! One agent and its coordinators, with a link of a given rate between them, on simulated time: nothing sleeps.
+//! Simulates an agent and its coordinators, connected by a link of a given rate. Time is simulated, so nothing sleeps.
 #![allow(dead_code)]
 use magpiegap_distribution::{
     Agent, AgentSettings, Call, CallFailure, CallId, ConfigurationSource,
@@ -10,22 +10,22 @@
 };
 use std::collections::BTreeMap;
 
-/// How many coordinators there are.
+/// Number of coordinators.
 pub(crate) const COORDINATORS: usize = 3;
-/// Delay in one direction, in milliseconds.
+/// One-way delay, in milliseconds.
 const DELAY_MS: Millis = 1;
-/// What HTTP and TCP add to a response, in bytes.
+/// Overhead of HTTP and TCP per response, in bytes.
 const PROTOCOL_BYTES: u64 = 300;
-/// Packets in which a response comes, in bytes: the time between two of them counts for the idle timeout.
+/// Size of the packets of a response, in bytes. The time between two packets is subject to the idle timeout.
 const PACKET_BYTES: u64 = 1460;
 
-/// About how many bytes a configuration has as an operator sends it.
+/// Estimated size of a configuration as sent by an operator, in bytes.
 pub(crate) fn body_bytes(configuration: &Configuration) -> u64 {
-    const JSON_NAMES: u64 = 150;
+    const JSON_BYTES_PER_ROUTE: u64 = 150;
     configuration
         .routes
         .iter()
-        .map(|route| encode(&**route).len() as u64 + JSON_NAMES)
+        .map(|route| encode(&**route).len() as u64 + JSON_BYTES_PER_ROUTE)
         .sum()
 }
 
@@ -33,34 +33,34 @@
 struct InFlightCall {
     call: Call,
     started_at: Millis,
-    /// When the coordinator responds even if nothing has changed.
+    /// Time at which the coordinator responds even if nothing has changed.
     wait_until: Millis,
-    /// The response, once it is on the link.
+    /// The response, once it has been sent.
     arriving: Option<ArrivingResponse>,
 }
 
-/// A response on the link.
+/// A response in transit on the link.
 struct ArrivingResponse {
     response: CoordinatorResponse,
-    /// When the first packet arrives.
+    /// Arrival time of the first packet.
     first_at: Millis,
-    /// When the last packet arrives.
+    /// Arrival time of the last packet.
     last_at: Millis,
     /// Time between two packets.
     packet_ms: Millis,
 }
 
-/// An agent, its link and its coordinators.
-pub(crate) struct World {
+/// A simulation of an agent, its link and its coordinators.
+pub(crate) struct Simulation {
     now: Millis,
     bytes_per_second: u64,
-    /// What is queued in the link for clients, as time.
-    queue_ms: Millis,
+    /// Queueing delay behind client traffic on the link, in milliseconds.
+    queue_delay_ms: Millis,
     link_free_at: Millis,
     chunk_bytes: u64,
-    /// So many coordinators, from the first on, respond to nobody.
+    /// Number of coordinators, counted from the first, that do not respond.
     down: usize,
-    refusing_fetches: Option<usize>,
+    fetch_rejecting_coordinator: Option<usize>,
     sources: Vec<ConfigurationSource>,
     version: u64,
     token: u64,
@@ -75,18 +75,18 @@
     }
 }
 
-impl World {
-    /// An agent that knows nothing yet, on a link of this rate.
-    pub(crate) fn new(bytes_per_second: u64) -> World {
+impl Simulation {
+    /// An agent without a feed or configuration, on a link of this rate.
+    pub(crate) fn new(bytes_per_second: u64) -> Simulation {
         let seeds = (0..COORDINATORS as u32).collect();
-        World {
+        Simulation {
             now: 0,
             bytes_per_second,
-            queue_ms: 0,
+            queue_delay_ms: 0,
             link_free_at: 0,
             chunk_bytes: 0,
             down: 0,
-            refusing_fetches: None,
+            fetch_rejecting_coordinator: None,
             sources: (0..COORDINATORS)
                 .map(|_| ConfigurationSource::default())
                 .collect(),
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The time.
+    /// The simulated time.
     pub(crate) fn now(&self) -> Millis {
         self.now
     }
@@ -123,12 +123,12 @@
             .0
     }
 
-    /// Bytes of all chunks that were sent to the agent.
+    /// Total size of the chunks sent to the agent, in bytes.
     pub(crate) fn chunk_bytes(&self) -> u64 {
         self.chunk_bytes
     }
 
-    /// Bytes of the newest configuration when it is transferred completely.
+    /// Size of a complete transfer of the newest configuration, in bytes.
     pub(crate) fn source_bytes(&mut self) -> u64 {
         let fetch = Default::default();
         self.sources[0]
@@ -136,7 +136,7 @@
             .map_or(0, |chunk| chunk.length)
     }
 
-    /// Puts a configuration in force at the coordinators.
+    /// Pushes a configuration to all coordinators.
     pub(crate) fn push(&mut self, configuration: Configuration) {
         self.version = configuration.version;
         self.sources
@@ -144,7 +144,7 @@
             .for_each(|source| source.push(configuration.clone()));
     }
 
-    /// Restarts the coordinators, with this configuration only.
+    /// Restarts all coordinators with only this configuration.
     pub(crate) fn restart_with(&mut self, configuration: Configuration) {
         self.sources = (0..COORDINATORS)
             .map(|_| ConfigurationSource::default())
@@ -152,32 +152,32 @@
         self.push(configuration);
     }
 
-    /// Makes so many coordinators, from the first on, respond to nobody.
+    /// Sets the number of coordinators, counted from the first, that do not respond.
     pub(crate) fn set_down(&mut self, down: usize) {
         self.down = down;
     }
 
-    /// Makes one coordinator refuse all fetches.
-    pub(crate) fn refuse_fetches_at(&mut self, coordinator: usize) {
-        self.refusing_fetches = Some(coordinator);
+    /// Makes one coordinator reject all configuration fetches.
+    pub(crate) fn reject_fetches_at(&mut self, coordinator: usize) {
+        self.fetch_rejecting_coordinator = Some(coordinator);
     }
 
-    /// Lets another coordinator claim the role.
+    /// Simulates a new role holder, which has the next fencing token.
     pub(crate) fn change_role_holder(&mut self) {
         self.token += 1;
     }
 
-    /// Delays all that is sent to the agent behind what is queued for clients.
-    pub(crate) fn queue_delay_ms(&mut self, queue_ms: Millis) {
-        self.queue_ms = queue_ms;
+    /// Sets the queueing delay behind client traffic on the link.
+    pub(crate) fn set_queue_delay_ms(&mut self, queue_delay_ms: Millis) {
+        self.queue_delay_ms = queue_delay_ms;
     }
 
-    /// Lets a duration pass.
+    /// Advances the simulation by a duration in milliseconds.
     pub(crate) fn run_for(&mut self, millis: Millis) {
         self.run_until(self.now + millis);
     }
 
-    /// Lets time pass until a moment.
+    /// Advances the simulation to a time.
     pub(crate) fn run_until(&mut self, until: Millis) {
         while self.now < until {
             self.now += 1;
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Puts the responses that are due on the link.
+    /// Sends the responses that are due.
     fn send_responses(&mut self) {
         let feed = self.feed();
         let mut calls = std::mem::take(&mut self.calls);
@@ -242,7 +242,7 @@
                     self.poll_response(at, &feed, poll)
                 }
                 CoordinatorRequest::FetchConfiguration(fetch)
-                    if self.refusing_fetches != Some(at) =>
+                    if self.fetch_rejecting_coordinator != Some(at) =>
                 {
                     let chunk = self.sources[at].chunk(fetch);
                     chunk.map_or(CoordinatorResponse::NotServing, |chunk| {
@@ -251,7 +251,7 @@
                 }
                 _ => CoordinatorResponse::NotServing,
             };
-            in_flight.arriving = Some(self.put_on_link(response));
+            in_flight.arriving = Some(self.send(response));
         }
         self.calls = calls;
     }
@@ -264,11 +264,11 @@
         }))
     }
 
-    /// Sends a response, and says when it arrives.
-    fn put_on_link(&mut self, response: CoordinatorResponse) -> ArrivingResponse {
+    /// Sends a response and computes its arrival times.
+    fn send(&mut self, response: CoordinatorResponse) -> ArrivingResponse {
         let bytes = encode(&response).len() as u64 + PROTOCOL_BYTES;
         let millis = |bytes: u64| bytes * 1000 / self.bytes_per_second + 1;
-        let starts_at = self.link_free_at.max(self.now + self.queue_ms);
+        let starts_at = self.link_free_at.max(self.now + self.queue_delay_ms);
         self.link_free_at = starts_at + millis(bytes);
         if let CoordinatorResponse::ConfigurationChunk(chunk) = &response {
             self.chunk_bytes += chunk.bytes.len() as u64;
@@ -281,7 +281,7 @@
         }
     }
 
-    /// Reports the calls whose responses are complete, and those that have timed out.
+    /// Reports the outcome of calls that have completed or timed out.
     fn complete_calls(&mut self) {
         let completed: Vec<u8> = self
             .calls
--- a/system/distribution/tests/stored_bytes.rs
+++ b/system/distribution/tests/stored_bytes.rs
@@ -1,8 +1,9 @@
-//! A stored change of the configuration is read as the same change, plain and compressed.
+//! Compatibility of the encoding of configuration changes, plain and compressed.
 //!
-//! Changes are in the log and in the states of the core, and reach agents and proxies of other versions during a rolling
-//! update. So these bytes must not change, whatever the types are called. What a compressor writes may differ from one
-//! version of its library to the next; there the bytes before compression are pinned, and that stored ones can be read.
+//! Changes are stored in the log and in snapshots, and agents and proxies of other versions receive them during a
+//! rolling update. So these bytes must not change when types are renamed. The output of the compressor may differ
+//! between versions of its library, so for compressed changes the tests compare the bytes before compression, and
+//! decode stored ones.
 #[path = "../../protocol/tests/golden/mod.rs"]
 mod golden;
 
@@ -59,13 +60,13 @@
     configuration(28, 1..4)
 }
 
-/// Differs a little from the older one: the first route is removed, another one added.
-fn slightly_newer() -> Configuration {
+/// A small change of the older configuration: the first route is removed, another one is added.
+fn with_small_change() -> Configuration {
     configuration(300, 2..5)
 }
 
-/// Differs so much from the older one that the change is compressed.
-fn much_newer() -> Configuration {
+/// A change of the older configuration that is large enough to be compressed.
+fn with_large_change() -> Configuration {
     configuration(301, 2..12)
 }
 
@@ -85,7 +86,7 @@
     stored().bytes(name).unwrap_or_default()
 }
 
-/// The first chunk for a receiver with this version.
+/// The first chunk for a receiver with version `base`.
 fn chunk(source: &mut ConfigurationSource, base: u64) -> Option<ConfigurationChunk> {
     source.chunk(&ConfigurationFetch {
         base,
@@ -114,72 +115,72 @@
     let mut stored = stored();
     let empty = Configuration::default();
     stored.keeps(
-        "little-difference",
-        &ConfigurationChange::between(&older(), &slightly_newer()),
+        "small-change",
+        &ConfigurationChange::between(&older(), &with_small_change()),
     );
     stored.keeps(
-        "much-difference",
-        &ConfigurationChange::between(&older(), &much_newer()),
+        "large-change",
+        &ConfigurationChange::between(&older(), &with_large_change()),
     );
     stored.keeps(
-        "whole-small",
+        "small-complete",
         &ConfigurationChange::between(&empty, &configuration(28, 1..2)),
     );
     stored.keeps(
-        "whole-large",
-        &ConfigurationChange::between(&empty, &much_newer()),
+        "large-complete",
+        &ConfigurationChange::between(&empty, &with_large_change()),
     );
-    let little = chunk(&mut source([older(), slightly_newer()]), 28).unwrap_or_default();
-    stored.keeps("little-difference-on-its-way", &little);
+    let small = chunk(&mut source([older(), with_small_change()]), 28).unwrap_or_default();
+    stored.keeps("small-change-chunk", &small);
     let complete = complete_chunk(configuration(28, 1..2));
-    stored.keeps("whole-small-on-its-way", &complete);
-    // These come from a compressor: see the other tests.
-    for name in ["much-difference-on-its-way", "whole-large-on-its-way"] {
+    stored.keeps("small-complete-chunk", &complete);
+    // These contain compressed bytes, which the tests below decode.
+    for name in ["large-change-chunk", "large-complete-chunk"] {
         expect_that!(stored.bytes(name), some(not(is_empty())));
     }
     expect_that!(stored.faults(), is_empty());
 }
 
 #[googletest::test]
-fn a_small_change_is_a_zero_and_its_bytes() {
+fn small_change_is_plain_after_byte_0() {
     let bytes = |name: &str| [vec![PLAIN], stored_bytes(name)].concat();
-    let little = source([older()]).change_to(28, &slightly_newer());
-    expect_that!(hex(&little), eq(&hex(&bytes("little-difference"))));
+    let small = source([older()]).change_to(28, &with_small_change());
+    expect_that!(hex(&small), eq(&hex(&bytes("small-change"))));
     let complete = complete_chunk(configuration(28, 1..2));
-    expect_that!(hex(&complete.bytes), eq(&hex(&bytes("whole-small"))));
+    expect_that!(hex(&complete.bytes), eq(&hex(&bytes("small-complete"))));
 }
 
 #[googletest::test]
-fn a_large_change_is_a_one_and_its_bytes_deflated() {
-    let much = source([older()]).change_to(28, &much_newer());
+fn large_change_is_deflated_after_byte_1() {
+    let large = source([older()]).change_to(28, &with_large_change());
     expect_that!(
-        inflate(&much).map(|plain| hex(&plain)),
-        some(eq(&hex(&stored_bytes("much-difference"))))
+        inflate(&large).map(|plain| hex(&plain)),
+        some(eq(&hex(&stored_bytes("large-change"))))
     );
-    let complete = complete_chunk(much_newer());
+    let complete = complete_chunk(with_large_change());
     let plain = inflate(&complete.bytes).map(|plain| hex(&plain));
-    expect_that!(plain, some(eq(&hex(&stored_bytes("whole-large")))));
+    expect_that!(plain, some(eq(&hex(&stored_bytes("large-complete")))));
 }
 
 #[googletest::test]
-fn stored_differences_lead_from_the_older_configuration_to_the_newer_ones() {
+fn stored_changes_apply_to_the_older_configuration() {
     for (name, newer) in [
-        ("little-difference-on-its-way", slightly_newer()),
-        ("much-difference-on-its-way", much_newer()),
+        ("small-change-chunk", with_small_change()),
+        ("large-change-chunk", with_large_change()),
     ] {
         let chunk: ConfigurationChunk = decode(&stored_bytes(name)).unwrap_or_default();
-        // As a replica of the core takes it from the log ...
+        // A replica of the core applies the change from the log.
         let mut source = source([older()]);
         expect_that!(source.follow(newer.version, &chunk.bytes), eq(true));
         expect_that!(
             source.newest().map(|newest| newest.as_ref()),
             some(eq(&newer))
         );
-        // ... and as an agent takes it from a link.
+        // An agent receives the change over a link.
         let mut receiver = ConfigurationReceiver::default();
-        let before = complete_chunk(older());
+        let complete = complete_chunk(older());
         expect_that!(
-            receiver.take(before),
+            receiver.take(complete),
             matches_pattern!(Received::Configuration(_))
         );
         expect_that!(
@@ -191,10 +192,10 @@
 }
 
 #[googletest::test]
-fn stored_complete_configurations_are_taken_by_a_receiver_that_has_none() {
+fn empty_receiver_accepts_stored_complete_configurations() {
     for (name, complete) in [
-        ("whole-small-on-its-way", configuration(28, 1..2)),
-        ("whole-large-on-its-way", much_newer()),
+        ("small-complete-chunk", configuration(28, 1..2)),
+        ("large-complete-chunk", with_large_change()),
     ] {
         let chunk: ConfigurationChunk = decode(&stored_bytes(name)).unwrap_or_default();
         let mut receiver = ConfigurationReceiver::default();
