--- a/system/distribution/tests/agents.rs
+++ b/system/distribution/tests/agents.rs
@@ -86,11 +86,11 @@
     let mut simulation = Simulation::new(SLOW_LINK);
     simulation.push(configuration(1, 0..LARGE_ROUTE_COUNT));
     simulation.run_until(3000);
-    simulation.set_down(COORDINATORS);
+    simulation.set_down_count(COORDINATORS);
     simulation.run_for(9500);
     // After the restart they have only this version.
     simulation.restart_with(configuration(9, LARGE_ROUTE_COUNT..2 * LARGE_ROUTE_COUNT));
-    simulation.set_down(0);
+    simulation.set_down_count(0);
     simulation.run_for(2500);
     expect_that!(simulation.version(), eq(9));
 }
--- a/system/distribution/tests/slow_link/mod.rs
+++ b/system/distribution/tests/slow_link/mod.rs
@@ -59,7 +59,7 @@
     link_free_at: Millis,
     chunk_bytes: u64,
     /// Number of coordinators, counted from the first, that do not respond.
-    down: usize,
+    down_count: usize,
     fetch_rejecting_coordinator: Option<usize>,
     sources: Vec<ConfigurationSource>,
     version: u64,
@@ -85,7 +85,7 @@
             queue_delay_ms: 0,
             link_free_at: 0,
             chunk_bytes: 0,
-            down: 0,
+            down_count: 0,
             fetch_rejecting_coordinator: None,
             sources: (0..COORDINATORS)
                 .map(|_| ConfigurationSource::default())
@@ -153,8 +153,8 @@
     }
 
     /// Sets the number of coordinators, counted from the first, that do not respond.
-    pub(crate) fn set_down(&mut self, down: usize) {
-        self.down = down;
+    pub(crate) fn set_down_count(&mut self, down_count: usize) {
+        self.down_count = down_count;
     }
 
     /// Makes one coordinator reject all configuration fetches.
@@ -230,8 +230,8 @@
             .values_mut()
             .filter(|in_flight| in_flight.arriving.is_none())
         {
-            let at = in_flight.call.coordinator as usize;
-            if self.now < in_flight.started_at + DELAY_MS || at < self.down {
+            let coordinator = in_flight.call.coordinator as usize;
+            if self.now < in_flight.started_at + DELAY_MS || coordinator < self.down_count {
                 continue;
             }
             let response = match &in_flight.call.request {
@@ -239,12 +239,12 @@
                     if poll.revision == feed.revision && self.now < in_flight.wait_until {
                         continue;
                     }
-                    self.poll_response(at, &feed, poll)
+                    self.poll_response(coordinator, &feed, poll)
                 }
                 CoordinatorRequest::FetchConfiguration(fetch)
-                    if self.fetch_rejecting_coordinator != Some(at) =>
+                    if self.fetch_rejecting_coordinator != Some(coordinator) =>
                 {
-                    let chunk = self.sources[at].chunk(fetch);
+                    let chunk = self.sources[coordinator].chunk(fetch);
                     chunk.map_or(CoordinatorResponse::NotServing, |chunk| {
                         CoordinatorResponse::ConfigurationChunk(Box::new(chunk))
                     })
@@ -256,8 +256,13 @@
         self.calls = calls;
     }
 
-    fn poll_response(&mut self, at: usize, feed: &Feed, poll: &FeedPoll) -> CoordinatorResponse {
-        let change = self.sources[at].inline_change(poll.configuration_version);
+    fn poll_response(
+        &mut self,
+        coordinator: usize,
+        feed: &Feed,
+        poll: &FeedPoll,
+    ) -> CoordinatorResponse {
+        let change = self.sources[coordinator].inline_change(poll.configuration_version);
         CoordinatorResponse::Feed(Box::new(Feed {
             change,
             ..feed.clone()
--- a/system/protocol/src/command.rs
+++ b/system/protocol/src/command.rs
@@ -31,7 +31,7 @@
         /// The role.
         #[n(0)]
         role: Role,
-        /// The coordinator that claims it.
+        /// The coordinator that claims the role.
         #[n(1)]
         holder: ReplicaId,
         /// The role's fencing token before the claim.
@@ -71,7 +71,7 @@
         /// Number of the last reported completion, to be acknowledged to the worker.
         #[n(1)]
         acknowledged_completion: u64,
-        /// The completions, in the order of their numbers.
+        /// The completions, ordered by number.
         #[n(2)]
         completions: Vec<RunCompletion>,
     },
@@ -98,7 +98,7 @@
         /// The job.
         #[n(0)]
         job: JobId,
-        /// Number of the occurrence, from zero.
+        /// Number of the occurrence, starting at zero.
         #[n(1)]
         occurrence: u32,
     },
--- a/system/protocol/src/disk.rs
+++ b/system/protocol/src/disk.rs
@@ -23,9 +23,9 @@
 }
 
 impl DiskProgress {
-    /// Whether this state lacks votes or committed entries of `noted`, an earlier state of the same disk.
-    pub fn is_behind(&self, noted: &DiskProgress) -> bool {
-        self.votes() < noted.votes() || self.committed < noted.committed
+    /// Whether this state lacks votes or committed entries of `earlier`, a recorded state of the same disk.
+    pub fn is_behind(&self, earlier: &DiskProgress) -> bool {
+        self.votes() < earlier.votes() || self.committed < earlier.committed
     }
 
     /// Merges another state of the same disk, keeping the more advanced of each part.
--- a/system/protocol/src/entry.rs
+++ b/system/protocol/src/entry.rs
@@ -5,7 +5,7 @@
 /// A position in the log, ordered by view, then by index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct LogPosition {
-    /// The view in which the entry was written.
+    /// The view in which the entry was appended.
     #[n(0)]
     pub view: ViewNumber,
     /// Index of the entry, starting at one.
@@ -16,7 +16,7 @@
 /// Identifies a proposal, so that the result can be returned to its proposer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct ProposalId {
-    /// The replica that proposed.
+    /// The proposing replica.
     #[n(0)]
     pub origin: ReplicaId,
     /// Sequence number among the proposals of that replica.
--- a/system/protocol/src/feed.rs
+++ b/system/protocol/src/feed.rs
@@ -8,7 +8,7 @@
     /// The role.
     #[n(0)]
     pub role: Role,
-    /// The coordinator that holds it.
+    /// The coordinator that holds the role.
     #[n(1)]
     pub holder: ReplicaId,
     /// The holder's fencing token.
--- a/system/protocol/src/ids.rs
+++ b/system/protocol/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identities of machines, processes, jobs, tasks and runs, and the text forms of jobs and tasks.
+//! Identifiers of machines, processes, jobs, tasks and runs, and the text forms of job and task identifiers.
 use minicbor::{Decode, Encode};
 use std::{fmt, net::Ipv4Addr};
 
--- a/system/protocol/tests/disk_progress.rs
+++ b/system/protocol/tests/disk_progress.rs
@@ -19,8 +19,8 @@
 }
 
 #[googletest::test]
-fn disk_without_a_view_vote_or_entry_is_behind() {
-    let noted = (7, Some(4), Some(4), (6, 90));
+fn disk_missing_view_vote_or_entry_is_behind() {
+    let earlier = (7, Some(4), Some(4), (6, 90));
     let cases: [(&str, Progress, bool); 12] = [
         ("the same state", (7, Some(4), Some(4), (6, 90)), false),
         ("more entries", (7, Some(4), Some(4), (6, 95)), false),
@@ -45,7 +45,7 @@
         ("entries of an older view", (8, None, None, (5, 200)), true),
     ];
     for (name, found, behind) in cases {
-        let is_behind = progress(found).is_behind(&progress(noted));
+        let is_behind = progress(found).is_behind(&progress(earlier));
         expect_that!(is_behind, eq(behind), "{name}");
     }
 }
--- a/system/storage/src/directory.rs
+++ b/system/storage/src/directory.rs
@@ -66,7 +66,7 @@
     /// Makes the content and the directory entry of a file durable.
     ///
     /// # Errors
-    /// When the disk does not confirm it.
+    /// When the file or its directory entry can't be synced.
     fn sync(&mut self, file: FileName) -> io::Result<()>;
 }
 
--- a/system/storage/tests/crashes.rs
+++ b/system/storage/tests/crashes.rs
@@ -249,7 +249,7 @@
 
 #[googletest::test]
 fn version_1_snapshot_is_read_as_one_chunk() {
-    // Given: magic, generation 1, length 3, checksum of both, and the log of that generation
+    // Given: magic number, generation 1, length 3, checksum over generation and content, and the content; no log
     let mut slot = b"mgslot\0\x01".to_vec();
     slot.extend_from_slice(&1_u64.to_le_bytes());
     slot.extend_from_slice(&3_u64.to_le_bytes());
