--- a/system/control/src/agreement.rs
+++ b/system/control/src/agreement.rs
@@ -1,32 +1,31 @@
-//! Agreement on the next view: one instance of single-decree Paxos (Lamport, 2001) for each view, among the voters of the
-//! one before. It owns the state of acceptor and proposer; the messages are in `voting`.
+//! Agreement on the next view: one instance of single-decree Paxos (Lamport, 2001) per view, among the voters of the
+//! previous view. This module owns the state of acceptor and proposer; message handling is in `voting`.
 use crate::durable_state::AgreementState;
 use magpiegap_protocol::{
     AcceptedView, Ballot, LogPosition, Member, Millis, Promise, View, ViewNumber,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A round of this replica as proposer.
+/// A round in which this replica is the proposer.
 #[derive(Clone, Debug)]
 pub(crate) struct Round {
     pub ballot: Ballot,
     pub started_at: Millis,
     /// The promises of the voters to this ballot.
     pub promises: BTreeMap<Member, Promise>,
-    /// The view proposed; `None`: too few voters have promised so far.
+    /// The proposed view; `None` until a majority has promised and a view could be composed.
     pub proposed: Option<ProposedView>,
 }
 
-/// A view on its way to being accepted.
+/// A proposed view and the voters that have accepted it.
 #[derive(Clone, Debug)]
 pub(crate) struct ProposedView {
     pub view: View,
-    /// The voters that have accepted it.
     pub accepted_by: BTreeSet<Member>,
 }
 
 impl ProposedView {
-    /// A view that nobody has accepted so far.
+    /// A proposed view that no voter has accepted yet.
     pub(crate) fn new(view: View) -> ProposedView {
         ProposedView {
             view,
@@ -47,7 +46,7 @@
 
 impl Agreement {
     pub(crate) fn new(mut state: AgreementState) -> Agreement {
-        // Those are owned by `own_disk` and `disk_notes`.
+        // The disk records are owned by `own_disk` and `disk_notes`.
         state.disks = None;
         let highest_round_seen = state.promised.map_or(0, |ballot| ballot.round);
         Agreement {
@@ -57,28 +56,28 @@
         }
     }
 
-    /// The newest view known to be agreed.
+    /// The newest view known to be decided.
     pub(crate) fn current(&self) -> &View {
         &self.state.current
     }
 
-    /// What must outlast the process.
+    /// The state that must survive a restart of the process.
     pub(crate) fn state(&self) -> &AgreementState {
         &self.state
     }
 
-    /// The number of the view that is to be agreed next.
+    /// The number of the view to be decided next.
     pub(crate) fn next_number(&self) -> ViewNumber {
         self.state.current.number.next()
     }
 
-    /// Whether the replica takes part in the agreement on the next view, and so takes no writes in this one.
+    /// Whether this replica has promised a ballot for the next view, and so accepts no more writes in the current one.
     pub(crate) fn is_sealed(&self) -> bool {
         self.state.promised.is_some()
     }
 
-    /// Starts a round as proposer. The tag is of this incarnation of the process, so that no two rounds share a ballot.
-    /// `None`: no number is left above the rounds that were seen, and no round starts.
+    /// Starts a round as proposer. `own_tag` identifies this incarnation of the process, so that no two rounds share a
+    /// ballot. Returns `None`, and starts no round, when the round numbers are exhausted.
     pub(crate) fn start_round(&mut self, own_tag: u32, now: Millis) -> Option<Ballot> {
         self.highest_round_seen = self.highest_round_seen.checked_add(1)?;
         let ballot = Ballot {
@@ -94,21 +93,21 @@
         Some(ballot)
     }
 
-    /// Promises a ballot, when it is the highest so far; returns the view accepted before.
+    /// Promises a ballot unless a higher one was promised; returns the view accepted earlier, if any.
     ///
     /// # Errors
-    /// The ballot promised before, when that is higher.
+    /// Returns the ballot promised earlier when it is higher.
     pub(crate) fn promise(&mut self, ballot: Ballot) -> Result<Option<AcceptedView>, Ballot> {
-        self.take_ballot(ballot)?;
+        self.record_promise(ballot)?;
         Ok(self.state.accepted.clone())
     }
 
-    /// Accepts a view, when no higher ballot was promised.
+    /// Accepts a view unless a higher ballot was promised.
     ///
     /// # Errors
-    /// The ballot promised before, when that is higher.
+    /// Returns the ballot promised earlier when it is higher.
     pub(crate) fn accept(&mut self, ballot: Ballot, view: &View) -> Result<(), Ballot> {
-        self.take_ballot(ballot)?;
+        self.record_promise(ballot)?;
         self.state.accepted = Some(AcceptedView {
             ballot,
             view: view.clone(),
@@ -116,11 +115,11 @@
         Ok(())
     }
 
-    /// Promises to take no lower ballot than this one.
+    /// Records the promise to reject all ballots lower than this one.
     ///
     /// # Errors
-    /// The ballot promised before, when that is higher.
-    fn take_ballot(&mut self, ballot: Ballot) -> Result<(), Ballot> {
+    /// Returns the ballot promised earlier when it is higher.
+    fn record_promise(&mut self, ballot: Ballot) -> Result<(), Ballot> {
         self.record_round(ballot.round);
         if let Some(promised) = self.state.promised.filter(|promised| *promised > ballot) {
             return Err(promised);
@@ -129,12 +128,12 @@
         Ok(())
     }
 
-    /// Records a round that was seen in a ballot: this replica's next one is higher.
+    /// Records a round number seen in a ballot, so that this replica's next round is higher.
     pub(crate) fn record_round(&mut self, round: u64) {
         self.highest_round_seen = self.highest_round_seen.max(round);
     }
 
-    /// Takes up a view that was agreed. Returns whether it is newer than the one known.
+    /// Makes a decided view the current one. Returns `false` when it is not newer than the current view.
     pub(crate) fn decide(&mut self, view: &View) -> bool {
         if view.number <= self.state.current.number {
             return false;
@@ -148,13 +147,13 @@
 }
 
 impl Round {
-    /// Whether a majority of the voters takes part.
+    /// Whether a majority of the voters has promised.
     pub(crate) fn has_majority(&self, current: &View) -> bool {
         self.promises.len() >= current.majority()
     }
 
-    /// The view accepted in the highest ballot among the promises: it may have been decided already, so only it may be
-    /// proposed.
+    /// The view accepted in the highest ballot among the promises. It may already have been decided, so no other view
+    /// may be proposed.
     pub(crate) fn highest_accepted_view(&self) -> Option<View> {
         let accepted = self
             .promises
@@ -165,7 +164,7 @@
             .map(|accepted| accepted.view.clone())
     }
 
-    /// The voters that have all that was committed, with the last entry of each.
+    /// The voters that hold all committed entries, with the last log position of each.
     pub(crate) fn complete_voters(&self) -> BTreeMap<Member, LogPosition> {
         let complete = |(member, promise): (&Member, &Promise)| Some((*member, promise.complete?));
         self.promises.iter().filter_map(complete).collect()
--- a/system/control/src/catch_up.rs
+++ b/system/control/src/catch_up.rs
@@ -1,6 +1,6 @@
-//! Catch-up: a replica requests what it is missing from its source. The source is its predecessor in the chain; outside
-//! of the chain it is the tail, and the replica is taken into a view once it has caught up, so that no write waits for
-//! what is in flight. Entries come a limited number of bytes at a time.
+//! Catch-up: a replica requests missing entries from its source. In the chain, the source is the predecessor. Outside
+//! the chain, it is the tail; the replica joins the chain only after it has caught up, so that no write waits for the
+//! transfer. Entries are sent in batches of limited size.
 use crate::{
     catch_up_backoff::CatchUpBackoff, chain_state::Activity, durable_state::DurableRecord,
     log::EntryBatch, peer::Peer, replica::Replica, snapshot_progress::IncomingSnapshot,
@@ -8,11 +8,11 @@
 };
 use magpiegap_protocol::{Entry, LogIndex, Millis, PeerMessage, ReplicaId};
 
-/// A replica whose source has sent it nothing for this long sends a request.
+/// A replica that has received nothing from its source for this long sends a request.
 const SOURCE_TIMEOUT_MS: Millis = 600;
 
 impl Replica {
-    /// The replica that sends this one new entries.
+    /// The replica that sends entries to this one.
     pub(crate) fn source(&self) -> Option<ReplicaId> {
         match self.chain.activity {
             Activity::Learning | Activity::Following => self.agreement.current().tail(),
@@ -20,13 +20,13 @@
         }
     }
 
-    /// Whether this replica accepts entries from its source as they come.
+    /// Whether this replica accepts appends from its source.
     fn accepts_entries(&self) -> bool {
         matches!(self.chain.activity, Activity::Active | Activity::Following)
             && !self.agreement.is_sealed()
     }
 
-    /// Records the commit index of now.
+    /// Records a sample of the commit index while this replica is active.
     pub(crate) fn record_commit_index(&mut self, now: Millis) {
         if self.chain.activity != Activity::Active {
             return;
@@ -35,12 +35,13 @@
         self.chain.commit_history.record(committed, now);
     }
 
-    /// Whether a chain that takes a replica in does not have to wait for it: its disk has all, or lacks only the latest.
+    /// Whether a replica can join the chain without delaying commits: it lacks at most the latest entries.
     pub(crate) fn has_caught_up(&self, peer: &Peer) -> bool {
-        // After a start this replica does not know yet what of its log is committed.
+        // After a start this replica does not know yet which of its entries are committed, so it compares with its
+        // entire log.
         let last = self.chain.log.last().index;
         let older = self.chain.commit_history.oldest().unwrap_or(last);
-        // One that knows an older view may call itself complete and be wrong.
+        // A replica that knows only an older view may wrongly report to be complete.
         let complete = peer.status.complete && peer.status.view == self.view().number;
         complete || peer.status.committed >= older
     }
@@ -68,8 +69,8 @@
                 self.chain.log.push(entry);
             }
         }
-        // What is on the tail's disk is on all disks of the chain. One that is too short for what may be lost commits
-        // nothing, whatever is on its disks.
+        // What is durable at the tail is durable on the entire chain. A chain that is too short for the fault tolerance
+        // commits nothing, whatever is durable.
         if self.chain.activity == Activity::Following
             && self.keeps_replica(&self.agreement.current().chain)
         {
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Sends the source a request while this replica waits for what it is missing, and when it has heard nothing for a
-    /// while: the source may not know of it.
+    /// Requests missing entries while this replica is catching up. Also sends a request when the source has timed out,
+    /// since the source may not have this replica among its followers.
     pub(crate) fn request_missing_if_needed(&mut self, now: Millis) {
         let has_timed_out = now >= self.chain.source_last_heard + SOURCE_TIMEOUT_MS;
         let needed = match self.chain.activity {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Requests what is missing from the source, unless the backoff says to wait.
+    /// Requests missing chunks or entries from the source, unless the backoff requires waiting.
     fn request_missing(&mut self, now: Millis) {
         if !self.chain.catch_up_backoff.allows_request(now) {
             return;
@@ -115,13 +116,13 @@
         );
     }
 
-    /// Requests what is missing now: what has just come is not all.
+    /// Resets the backoff and requests the next chunks or entries at once.
     pub(crate) fn request_missing_now(&mut self, now: Millis) {
         self.chain.catch_up_backoff = CatchUpBackoff::new();
         self.request_missing(now);
     }
 
-    /// Handles entries that were missing, which follow the entry `after`.
+    /// Handles a batch of missing entries, which follow the entry `after`.
     pub(crate) fn handle_missing_entries(
         &mut self,
         after: LogIndex,
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Adds entries that were missing to the log; after the last of them the replica has caught up.
+    /// Appends a batch of missing entries to the log. After the last batch the replica has caught up.
     fn extend_log(&mut self, batch: EntryBatch, now: Millis) {
         for entry in batch.entries {
             self.chain.log.push(entry);
@@ -168,8 +169,8 @@
         }
     }
 
-    /// Ends the catch-up: from now on the replica accepts entries as they come, and in the chain it is active. What it
-    /// acknowledges still waits for its disk.
+    /// Completes the catch-up: the replica accepts appends from now on, and a chain member becomes active. It still
+    /// acknowledges only what is durable on its own disk.
     pub(crate) fn finish_catch_up(&mut self, now: Millis) {
         self.chain.activity = match self.chain.activity {
             Activity::Joining => Activity::Active,
--- a/system/control/src/catch_up_backoff.rs
+++ b/system/control/src/catch_up_backoff.rs
@@ -1,15 +1,16 @@
-//! How often a replica requests what it is missing from its source.
+//! The backoff between catch-up requests to the source.
 use magpiegap_protocol::Millis;
 
-/// Time until a source that has not responded is sent the second request.
+/// Initial backoff. Each request doubles it, so a source that does not respond is sent the second request after twice
+/// this time.
 const INITIAL_BACKOFF_MS: Millis = 60;
-/// Longest time between two requests.
+/// Upper bound of the backoff.
 const MAX_BACKOFF_MS: Millis = 2000;
 
-/// The pause between requests: longer each time, since a snapshot takes long to make and to send.
+/// An exponential backoff: making and sending a snapshot takes time, so retries must not pile up.
 #[derive(Clone, Debug)]
 pub(crate) struct CatchUpBackoff {
-    /// When the source was last sent a request; `None`: not since the last reset.
+    /// When the last request was sent; `None` when none was sent since the reset.
     requested_at: Option<Millis>,
     backoff_ms: Millis,
 }
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Shortens the pause to the initial one; the time of the last request stays.
+    /// Resets the backoff to its initial value, but keeps the time of the last request.
     pub(crate) fn shorten(&mut self) {
         self.backoff_ms = INITIAL_BACKOFF_MS;
     }
@@ -34,13 +35,13 @@
             .is_none_or(|requested_at| now >= requested_at + self.backoff_ms)
     }
 
-    /// Records a request, and doubles the pause up to its bound. A request at time 0 counts as one at 1.
+    /// Records a request and doubles the backoff up to its bound. A request at time 0 is recorded at time 1.
     pub(crate) fn record_request(&mut self, now: Millis) {
         self.requested_at = Some(now.max(1));
         self.backoff_ms = (2 * self.backoff_ms).min(MAX_BACKOFF_MS);
     }
 
-    /// Records a response to a request of which more is in flight: waiting starts anew.
+    /// Records a partial response to a request: the backoff starts anew.
     pub(crate) fn record_response(&mut self, now: Millis) {
         self.requested_at = Some(now.max(1));
         self.backoff_ms = INITIAL_BACKOFF_MS;
--- a/system/control/src/chain.rs
+++ b/system/control/src/chain.rs
@@ -1,5 +1,5 @@
-//! Chain replication (van Renesse and Schneider, 2004): entries and durable indexes pass down, the tail commits, and what
-//! is committed is applied. How entries are sent is in `replication`.
+//! Chain replication (van Renesse and Schneider, 2004): entries and durable indexes are passed down the chain, the tail
+//! commits, and each replica applies committed entries. Sending entries to followers is in `replication`.
 use crate::{
     catch_up_backoff::CatchUpBackoff, chain_state::Activity, disk_tickets::OnDurable,
     durable_state::DurableRecord, replica::Replica, StateMachine,
@@ -9,13 +9,13 @@
     View, WallMillis,
 };
 
-/// The head delays entries for its disk for this long at most.
+/// The longest time for which the head delays new entries while a batch is being written to its disk.
 const MAX_BATCH_WAIT_MS: Millis = 20;
-/// Most entries that a replica which is not active applies in one step.
+/// Maximum number of entries that an inactive replica applies in one step.
 const MAX_APPLIED_PER_STEP: u64 = 256;
 
 impl Replica {
-    /// The position of this replica in the chain, the head being 0.
+    /// The position of this replica in the chain; the head is at 0.
     pub(crate) fn own_position(&self) -> Option<usize> {
         self.agreement.current().position(&self.settings.own)
     }
@@ -38,22 +38,23 @@
         self.chain.activity == Activity::Active && !self.agreement.is_sealed()
     }
 
-    /// Whether the log holds what is committed up to where it ends: this replica is active, or has caught up.
+    /// Whether every committed entry up to the end of the log is in the log: this replica is active, or a learner that
+    /// has caught up.
     pub(crate) fn holds_committed(&self) -> bool {
         matches!(self.chain.activity, Activity::Active | Activity::Following)
     }
 
-    /// Whether writes enter here.
+    /// Whether this replica is the active head, where writes enter.
     pub fn is_head(&self) -> bool {
         self.is_active() && self.own_position() == Some(0)
     }
 
-    /// Whether writes are committed here.
+    /// Whether this replica is the active tail, where writes are committed.
     pub fn is_tail(&self) -> bool {
         self.is_active() && self.successor().is_none()
     }
 
-    /// Takes up a view that was agreed.
+    /// Resets the state of the chain for a newly decided view.
     pub(crate) fn enter_view(&mut self, view: &View, now: Millis, machine: &mut dyn StateMachine) {
         self.chain.followers.clear();
         self.chain.source_durable = None;
@@ -80,7 +81,7 @@
         self.flush(now, machine);
     }
 
-    /// Proposes a command. Returns whether it is in flight: to the log, or to the head.
+    /// Proposes a command. Returns whether it was appended to the log or forwarded to the head.
     pub fn propose(
         &mut self,
         wall: WallMillis,
@@ -111,7 +112,7 @@
         true
     }
 
-    /// Adds an entry at the head; it goes on at the end of this step.
+    /// Appends an entry at the head. It is submitted to the disk and replicated at the end of this step.
     pub(crate) fn append_at_head(
         &mut self,
         wall: WallMillis,
@@ -132,8 +133,8 @@
         });
     }
 
-    /// Whether the head's disk is still at work on entries: what comes meanwhile goes on together once it is done. Nothing
-    /// is lost by that, since a commit needs the head's disk too, and the entire chain has fewer messages to deal with.
+    /// Whether the head's disk is still writing entries. Entries that arrive meanwhile are batched until it is done.
+    /// This does not delay commits, which need the head's disk anyway, and saves messages along the entire chain.
     fn is_batch_in_flight(&self, now: Millis) -> bool {
         self.own_position() == Some(0)
             && self.chain.disk.durable < self.chain.disk.submitted
@@ -158,7 +159,8 @@
         self.persist(records, vec![OnDurable::EntriesDurable(last)], now);
     }
 
-    /// Ends a step: passes new entries to the disk and the followers, commits at the tail, and applies what is committed.
+    /// Completes a step: passes new entries to the disk and to followers, commits at the tail, and applies committed
+    /// entries.
     pub fn flush(&mut self, now: Millis, machine: &mut dyn StateMachine) {
         if self.is_active() {
             self.serve_pending_requests(now, machine);
@@ -172,7 +174,7 @@
         self.apply_committed(machine);
     }
 
-    /// Entries up to this one are on the disks of this replica and of all before it.
+    /// The last entry that is durable on this replica and on all its predecessors.
     pub(crate) fn chain_durable(&self) -> LogIndex {
         match self.own_position() {
             Some(0) => self.chain.disk.durable,
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Commits, at the tail, what is durable on the entire chain.
+    /// Commits, at the tail, the entries that are durable on the entire chain.
     fn commit_at_tail(&mut self) {
         if self.successor().is_some() {
             return;
@@ -199,7 +201,7 @@
         self.announce_committed();
     }
 
-    /// Announces the commit index to the others of the chain.
+    /// Sends the commit index to the other members of the chain.
     pub(crate) fn announce_committed(&mut self) {
         let view = self.view().number;
         let index = self.chain.committed;
@@ -217,15 +219,15 @@
         }
     }
 
-    /// Handles a commit index that the tail has announced.
+    /// Handles a commit index announced by the tail.
     pub(crate) fn handle_committed(&mut self, index: LogIndex) {
         if self.is_active() {
             self.chain.record_committed(index);
         }
     }
 
-    /// Applies what is committed. After a start that may be much: while the replica is not active it is done in
-    /// batches, so that heartbeats go out meanwhile, and little is left when the view is agreed.
+    /// Applies committed entries. There may be many of them after a start, so an inactive replica applies them in
+    /// batches: heartbeats are sent in between, and few entries are left to apply once a view is decided.
     fn apply_committed(&mut self, machine: &mut dyn StateMachine) {
         let max_applied = if self.is_active() {
             u64::MAX
--- a/system/control/src/chain_state.rs
+++ b/system/control/src/chain_state.rs
@@ -1,5 +1,4 @@
-//! The state of the chain at one replica. What changes it is in `chain`, `replication`, `catch_up` and
-//! `snapshot_transfer`.
+//! The state of the chain at one replica. It is updated by `chain`, `replication`, `catch_up` and `snapshot_transfer`.
 use crate::{
     catch_up_backoff::CatchUpBackoff,
     commit_history::CommitHistory,
@@ -10,25 +9,25 @@
 use magpiegap_protocol::{LogIndex, LogPosition, Millis, ReplicaId};
 use std::collections::BTreeMap;
 
-/// What a replica does in the current view.
+/// The role of a replica in the current view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Activity {
-    /// Nothing: there is no chain yet, or the replica leads one and does not have all that was committed.
+    /// There is no chain yet, or the replica is the head but does not hold all committed entries.
     Inactive,
-    /// A learner: it is outside of the chain, and waits for what it is missing.
+    /// The replica is a learner: outside the chain, and catching up.
     Learning,
-    /// A learner that has caught up: the tail sends it new entries.
+    /// The replica is a learner that has caught up; the tail sends it new entries.
     Following,
-    /// It is in the chain, and waits for what it is missing.
+    /// The replica is in the chain, and catching up.
     Joining,
-    /// It is a member of the chain and serves.
+    /// The replica is in the chain, and serves.
     Active,
 }
 
-/// The entries of the log on this replica's disk.
+/// How much of the log is on this replica's disk.
 #[derive(Clone, Debug)]
 pub(crate) struct LocalDisk {
-    /// Entries up to this one are on disk.
+    /// The last entry known to be durable.
     pub durable: LogIndex,
     /// The last entry submitted to the disk.
     pub submitted: LogIndex,
@@ -41,28 +40,28 @@
 pub(crate) struct Chain {
     pub activity: Activity,
     pub log: Log,
-    /// The applied index.
+    /// The last entry applied to the state machine.
     pub applied: LogIndex,
-    /// The commit index, as far as it is known here.
+    /// The commit index known to this replica.
     pub committed: LogIndex,
     pub disk: LocalDisk,
-    /// Entries up to this one are on the disks of the source and of all before it. The source is the predecessor; for a
-    /// replica outside of the chain, the tail. `None`: it has said nothing in this view.
+    /// The last entry that is durable on the source and on all its predecessors. The source is the predecessor in the
+    /// chain, or the tail for a learner. `None` until the source has reported it in this view.
     pub source_durable: Option<LogIndex>,
-    /// Those that have requested entries and are sent new ones as they come.
+    /// The replicas that have all entries and are sent new ones.
     pub followers: Vec<FollowerProgress>,
-    /// When the source last sent its progress.
+    /// When the source last sent entries or its durable index.
     pub source_last_heard: Millis,
     pub commit_history: CommitHistory,
-    /// Requests that came before this replica was active, with the last entry that the sender has.
+    /// Requests received before this replica was active, with the last log position of the sender.
     pub pending_requests: BTreeMap<ReplicaId, LogPosition>,
-    /// A snapshot that others may request.
+    /// The snapshot offered to other replicas.
     pub outgoing: Option<OutgoingSnapshot>,
-    /// A snapshot that is being received, to replace what this replica has.
+    /// The snapshot being received, which will replace this replica's state.
     pub incoming: Option<IncomingSnapshot>,
-    /// How often the source is sent requests for what is missing.
+    /// The backoff of the catch-up requests to the source.
     pub catch_up_backoff: CatchUpBackoff,
-    /// The commit index last announced to the others.
+    /// The commit index last announced to the chain.
     pub committed_announced: LogIndex,
 }
 
@@ -91,7 +90,7 @@
         }
     }
 
-    /// Raises the commit index to this entry, or to the last one that is there.
+    /// Raises the commit index to this one, or to the last entry of the log if that is lower.
     pub(crate) fn record_committed(&mut self, index: LogIndex) {
         let known = index.min(self.log.last().index);
         self.committed = self.committed.max(known);
--- a/system/control/src/commit_history.rs
+++ b/system/control/src/commit_history.rs
@@ -1,18 +1,18 @@
-//! What was committed a while ago, by which a replica judges whether another one has caught up.
+//! The recent history of the commit index, by which a replica judges whether another one has caught up.
 use magpiegap_protocol::{LogIndex, Millis};
 use std::collections::VecDeque;
 
-/// A replica that knows all that was committed this long ago lacks only what is in flight.
+/// A replica that has every entry committed this long ago counts as caught up: it lacks only entries in flight.
 const CAUGHT_UP_LAG_MS: Millis = 250;
 
-/// The commit index at one moment.
+/// The commit index at one point in time.
 #[derive(Clone, Copy, Debug)]
 struct CommitSample {
     at: Millis,
     committed: LogIndex,
 }
 
-/// The commit index at moments of the last [`CAUGHT_UP_LAG_MS`], and at one before.
+/// Samples of the commit index within the last [`CAUGHT_UP_LAG_MS`], and the latest one before that.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CommitHistory {
     /// Oldest first.
@@ -20,7 +20,7 @@
 }
 
 impl CommitHistory {
-    /// Records the commit index of now, and drops samples that are older than needed.
+    /// Records the current commit index, and drops samples that are no longer needed.
     pub(crate) fn record(&mut self, committed: LogIndex, now: Millis) {
         self.samples.push_back(CommitSample { at: now, committed });
         while self
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The oldest commit index recorded; `None`: there is none.
+    /// The oldest recorded commit index; `None` when nothing was recorded.
     pub(crate) fn oldest(&self) -> Option<LogIndex> {
         self.samples.front().map(|sample| sample.committed)
     }
--- a/system/control/src/disk_confirmation.rs
+++ b/system/control/src/disk_confirmation.rs
@@ -1,15 +1,16 @@
-//! Disks that were put back from old copies: who is told, and what a replica does whose own disk is one.
+//! Detection of disks that were restored from old copies: a replica objects to a peer's stale disk, and handles
+//! objections to its own.
 //!
-//! What is noted of the disks of others is in `disk_notes`, what is said of the own one in `own_disk`.
-use crate::{disk_notes::Reported, replica::Output, replica::Replica, StateMachine};
+//! The notes on the disks of others are in `disk_notes`, the state of the own disk in `own_disk`.
+use crate::{disk_notes::ReportOutcome, replica::Output, replica::Replica, StateMachine};
 use magpiegap_protocol::{
     DiskNote, DiskProgress, Heartbeat, Member, Millis, PeerMessage, ReplicaId, StaleDisk,
     WallMillis,
 };
 
 impl Replica {
-    /// Compares the disk of a heartbeat's sender with what was noted of it. Returns whether the sender counts as a replica
-    /// of that disk.
+    /// Compares the disk report in a heartbeat with the note on that disk. Returns whether the sender is accepted as a
+    /// replica of that disk.
     pub(crate) fn check_disk(
         &mut self,
         from: ReplicaId,
@@ -24,20 +25,20 @@
         };
         let known = self.progress_in_chain(from);
         match self.disk_notes.record(from, report, known) {
-            Reported::Known => true,
-            Reported::NewProcess => {
+            ReportOutcome::Known => true,
+            ReportOutcome::NewProcess => {
                 self.persist_agreement(Vec::new(), now);
                 true
             }
-            Reported::Stale(noted) => {
-                self.object_to_disk(from, noted, now);
+            ReportOutcome::Stale(noted) => {
+                self.send_objection(from, noted, now);
                 false
             }
         }
     }
 
-    /// What a disk must hold since an earlier process on it was in the chain of this view: nothing is committed that is not
-    /// on the disks of the whole chain. Unlike the notes, this is known after a loss of power too.
+    /// The progress that a disk must have because an earlier process on it was in the chain of this view: an entry is
+    /// committed only once it is durable on the entire chain. Unlike the notes, this is still known after a power loss.
     fn progress_in_chain(&self, from: ReplicaId) -> Option<DiskNote> {
         let view = self.view();
         let earlier = view
@@ -57,14 +58,15 @@
         })
     }
 
-    fn object_to_disk(&mut self, from: ReplicaId, noted: DiskNote, now: Millis) {
-        // While the disk's member is in the chain, nothing shows that the others can do without it.
-        let goes_on_without = self.view().in_chain(&from.member).is_none();
+    /// Tells a process that its disk is stale.
+    fn send_objection(&mut self, from: ReplicaId, noted: DiskNote, now: Millis) {
+        // While the disk's member is in the chain, there is no proof that the others can serve without it.
+        let is_outside_chain = self.view().in_chain(&from.member).is_none();
         let objection = StaleDisk {
             replica: from,
             noted,
             view: self.view().number,
-            serving: goes_on_without && self.has_quorum_contact(now),
+            serving: is_outside_chain && self.has_quorum_contact(now),
         };
         self.send(
             from.member.address,
@@ -72,14 +74,17 @@
         );
     }
 
-    /// Confirms the own disk once a majority of the voters has heard this process, and does what has waited for that.
+    /// Confirms the own disk once a majority of the voters has heard this process, and handles the deferred messages.
     pub(crate) fn confirm_disk(
         &mut self,
         now: Millis,
         wall: WallMillis,
         machine: &mut dyn StateMachine,
     ) {
-        if self.own_disk.is_confirmed() || !self.started || !self.is_heard_by_majority() {
+        if self.own_disk.is_confirmed()
+            || !self.is_recovered_state_durable
+            || !self.is_heard_by_majority()
+        {
             return;
         }
         for (from, message) in self.own_disk.confirm() {
@@ -100,8 +105,9 @@
         view.voters.contains(&own) && view.voters.iter().filter(hears_us).count() >= view.majority()
     }
 
-    /// Handles an objection to the own disk. From then on the replica neither votes nor holds itself complete, and is in no
-    /// chain that has enough members without it. Where the others serve without it, its owner may give the disk up.
+    /// Handles an objection to the own disk. From then on the replica does not vote, does not report to be complete,
+    /// and joins a chain only when that would have too few members without it. Once the others serve without it, the
+    /// owner is told that the disk is superseded.
     pub(crate) fn handle_stale_disk(&mut self, from: ReplicaId, objection: &StaleDisk) {
         if objection.replica != self.settings.own {
             return;
@@ -113,12 +119,12 @@
         let others_serve = objection.serving
             && objection.view == self.view().number
             && self.own_position().is_none();
-        if others_serve && self.own_disk.give_up() {
+        if others_serve && self.own_disk.record_superseded() {
             self.output(Output::DiskSuperseded);
         }
     }
 
-    /// Records how far the own log is confirmed on disk, for the next heartbeats.
+    /// Records, for the next heartbeats, up to which entry the log is both committed and durable.
     pub(crate) fn record_disk_progress(&mut self) {
         if !self.holds_committed() {
             return;
@@ -132,8 +138,8 @@
 
 fn describe(from: ReplicaId, objection: &StaleDisk, starts: u64) -> String {
     format!(
-        "this disk is an old copy: {} has noted start {} on it, with view {} and entry {}, and this is start {starts}; \
-         this coordinator does not vote",
+        "disk was restored from an old copy: {} has recorded start {} on it, with view {} and entry {}, but this is start \
+         {starts}; this coordinator will not vote",
         from.member, objection.noted.starts, objection.noted.progress.view, objection.noted.progress.committed.index
     )
 }
--- a/system/control/src/disk_tickets.rs
+++ b/system/control/src/disk_tickets.rs
@@ -1,24 +1,24 @@
-//! The disk work that a replica waits for. It owns the order of that work and what each piece of it releases; what is
-//! written is up to the replica.
+//! The disk work in flight of a replica. This module owns the order of the work and the effects that take place once
+//! each piece is durable; what is written is decided by the replica.
 use crate::durable_state::AgreementState;
 use magpiegap_protocol::{DiskProgress, LogIndex, LogPosition, Millis, PeerMessage};
 use std::collections::VecDeque;
 
-/// What disk work releases once it is durable.
+/// An effect that takes place once disk work is durable.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum OnDurable {
-    /// The message to an address that rests on it.
+    /// Send a message to an address.
     Send { to: u32, message: PeerMessage },
-    /// Entries up to this one are on disk.
+    /// Entries up to this one are durable.
     EntriesDurable(LogIndex),
-    /// The votes of this replica are on disk as they stand here.
+    /// These votes of this replica are durable.
     VotesDurable(DiskProgress),
-    /// What was read at the start is surely on disk.
-    Started,
+    /// The state read at the start is durable.
+    RecoveredStateDurable,
 }
 
 impl OnDurable {
-    /// The votes in a state of the agreement are on disk.
+    /// The effect that the votes in a state of the agreement are durable.
     pub(crate) fn votes_of(state: &AgreementState) -> OnDurable {
         OnDurable::VotesDurable(state.progress(LogPosition::default()))
     }
@@ -27,23 +27,23 @@
 /// Disk work in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct Ticket {
-    /// Names the work; numbers grow in the order of the work.
+    /// Identifies the work. Numbers increase in the order of the work.
     pub number: u64,
     pub issued_at: Millis,
     pub on_durable: Vec<OnDurable>,
 }
 
-/// The disk work in flight, in order, and what has been written since the last checkpoint.
+/// The disk work in flight, oldest first, and the size of the records since the last checkpoint.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DiskTickets {
     last_number: u64,
     in_flight: VecDeque<Ticket>,
-    /// About how many bytes of records follow the last checkpoint.
+    /// The approximate size of the records since the last checkpoint.
     bytes_since_checkpoint: usize,
 }
 
 impl DiskTickets {
-    /// Issues a ticket for records of about so many bytes.
+    /// Issues a ticket for records of about this size.
     pub(crate) fn issue_records(
         &mut self,
         bytes: usize,
@@ -70,7 +70,7 @@
         self.last_number
     }
 
-    /// Takes the oldest ticket, when its number is at most `completed`.
+    /// Removes and returns the oldest ticket if its number is at most `completed`.
     pub(crate) fn pop_completed(&mut self, completed: u64) -> Option<Ticket> {
         let oldest = self.in_flight.front()?;
         if oldest.number > completed {
@@ -84,17 +84,17 @@
         self.in_flight.front().map(|ticket| ticket.issued_at)
     }
 
-    /// Whether nothing is in flight and the records take up more than so many bytes.
+    /// Whether nothing is in flight and the records since the last checkpoint exceed `max_bytes`.
     pub(crate) fn needs_checkpoint(&self, max_bytes: usize) -> bool {
         self.bytes_since_checkpoint > max_bytes && self.in_flight.is_empty()
     }
 
-    /// Entries that are still in flight to the disk are not those of the log any more.
+    /// Drops the `EntriesDurable` effects in flight, because the log that they refer to was replaced.
     pub(crate) fn forget_entries_in_flight(&mut self) {
         for ticket in &mut self.in_flight {
             ticket
                 .on_durable
-                .retain(|release| !matches!(release, OnDurable::EntriesDurable(_)));
+                .retain(|effect| !matches!(effect, OnDurable::EntriesDurable(_)));
         }
     }
 }
--- a/system/control/src/durable_state.rs
+++ b/system/control/src/durable_state.rs
@@ -1,4 +1,4 @@
-//! What a replica has on disk, and its encoding.
+//! The state that a replica keeps on disk, and its encoding.
 use crate::state_machine::{EncodedSnapshot, StateSnapshot};
 use magpiegap_protocol::{
     decode, encode, AcceptedView, Ballot, DecodeError, DiskNote, DiskProgress, Entry, LogIndex,
@@ -7,36 +7,36 @@
 use minicbor::{Decode, Encode};
 use std::sync::Arc;
 
-/// The part of the agreement that must outlast the process.
+/// The part of the agreement that must survive a restart of the process.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct AgreementState {
-    /// The newest view known to be agreed.
+    /// The newest view known to be decided.
     #[n(0)]
     pub current: View,
-    /// The highest ballot taken part in for the next view.
+    /// The highest ballot promised for the next view.
     #[n(1)]
     pub promised: Option<Ballot>,
-    /// What was accepted for the next view.
+    /// The view accepted for the next view number, with its ballot.
     #[n(2)]
     pub accepted: Option<AcceptedView>,
-    /// What tells this disk, and those of the others, from old copies; `None`: an earlier build has written this.
+    /// Records for detecting disks restored from old copies; `None` when an earlier build has written the state.
     #[n(3)]
     pub disks: Option<DiskRecords>,
 }
 
-/// What tells disks from old copies of them (see [`DiskNote`]).
+/// Records for detecting disks that were restored from old copies (see [`DiskNote`]).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct DiskRecords {
-    /// How many processes have started on this disk.
+    /// The number of processes that have started on this disk.
     #[n(0)]
     pub starts: u64,
-    /// What was noted of the disks of others.
+    /// What was observed of the disks of other members.
     #[n(1)]
     pub notes: Vec<DiskNote>,
 }
 
 impl AgreementState {
-    /// How far a disk with this state has come, when its log ends there.
+    /// The progress of a disk with this state, whose log or committed part ends at `last`.
     pub(crate) fn progress(&self, last: LogPosition) -> DiskProgress {
         DiskProgress {
             view: self.current.number,
@@ -53,37 +53,37 @@
     /// The complete state of the agreement.
     #[n(0)]
     Agreement(#[n(0)] Box<AgreementState>),
-    /// Entries that follow those before.
+    /// Entries appended to the log.
     #[n(1)]
     Entries(#[n(0)] Vec<Entry>),
-    /// From here on the replica has all that was committed up to this view.
+    /// From this record on, the replica holds all entries committed up to this view.
     #[n(2)]
     Synchronized(#[n(0)] ViewNumber),
-    /// All entries up to this one are committed; written beside other records, so it may lie behind.
+    /// Entries up to this one are committed. Written only along with other records, so it may lag behind.
     #[n(3)]
     Committed(#[n(0)] LogIndex),
 }
 
-/// All that a replica has on disk, at one moment.
+/// The complete state of a replica's disk at one point in time.
 #[derive(Clone, Debug)]
 pub struct DurableState {
-    /// Names this incarnation of the disk.
+    /// The identity of this disk, which changes when the disk is wiped.
     pub disk: u64,
     /// The state of the agreement.
     pub agreement: AgreementState,
-    /// The view up to which the replica has all that was committed; `None`: it has nothing yet.
+    /// The newest view in which the replica held all committed entries; `None` on a wiped disk.
     pub synchronized: Option<ViewNumber>,
-    /// The last entry that the state holds.
+    /// The last entry applied to the state.
     pub applied: LogPosition,
-    /// The state.
+    /// The replicated state.
     pub state: Arc<dyn StateSnapshot>,
-    /// Entries after it.
+    /// The log entries after `applied`.
     pub entries: Vec<Entry>,
-    /// Entries up to this one were known to be committed.
+    /// The last entry known to be committed.
     pub committed: LogIndex,
 }
 
-/// The first chunk of a snapshot on disk: all but the state.
+/// The first chunk of a snapshot on disk: everything but the replicated state.
 #[derive(Clone, Debug, Encode, Decode)]
 struct Header {
     #[n(0)]
@@ -94,7 +94,7 @@
     synchronized: Option<ViewNumber>,
     #[n(3)]
     applied: LogPosition,
-    /// The state as one chunk, as earlier builds wrote it; empty: the chunks that follow hold it.
+    /// The replicated state as one chunk, as earlier builds wrote it; empty when the following chunks hold it.
     #[cbor(n(4), with = "minicbor::bytes")]
     state: Vec<u8>,
     #[n(5)]
@@ -105,7 +105,7 @@
 }
 
 impl DurableState {
-    /// A disk that was never written, with the state that all begin with.
+    /// The state of a disk that was never written, with the initial replicated state.
     pub fn empty(
         disk: u64,
         synchronized: Option<ViewNumber>,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// What goes on disk, chunk by chunk.
+    /// Encodes the state for the disk, chunk by chunk.
     pub fn chunks(&self) -> impl Iterator<Item = Vec<u8>> + '_ {
         let header = Header {
             disk: self.disk,
@@ -144,10 +144,10 @@
             .chain((0..self.state.chunks()).map(|number| self.state.chunk(number)))
     }
 
-    /// Recovers what was on disk, from the chunks of a snapshot and the records that came after it.
+    /// Decodes the state of a disk from the chunks of a snapshot and the records written after it.
     ///
     /// # Errors
-    /// When the bytes are not of a build that this one understands.
+    /// When the bytes can't be decoded, for example because a newer build has written them.
     pub fn recover(
         mut chunks: Vec<Vec<u8>>,
         records: &[Vec<u8>],
@@ -172,7 +172,7 @@
         Ok(snapshot)
     }
 
-    /// Takes up a record that came after the snapshot.
+    /// Applies a record that was written after the snapshot.
     pub fn add(&mut self, record: DurableRecord) {
         match record {
             DurableRecord::Agreement(agreement) => self.agreement = *agreement,
--- a/system/control/src/inputs.rs
+++ b/system/control/src/inputs.rs
@@ -1,5 +1,5 @@
-//! The inputs of a replica: messages, the passing of time, and the completion of disk work. Each is passed on to the
-//! module that owns its concept.
+//! The inputs of a replica: messages, timer ticks, and the completion of disk work. Each input is dispatched to the
+//! module that handles it.
 use crate::{
     disk_tickets::OnDurable, log::EntryBatch, peer::report_on, replica::Replica,
     snapshot_transfer::Chunk, StateMachine,
@@ -7,23 +7,23 @@
 use magpiegap_protocol::{Heartbeat, Millis, PeerMessage, ReplicaId, ViewNumber, WallMillis};
 use std::collections::BTreeSet;
 
-/// Bytes of records after which a checkpoint is written.
+/// A checkpoint is written once the records since the last one exceed this size.
 const CHECKPOINT_BYTES: usize = 4 << 20;
 
-/// A replica sends about so many heartbeats a second at most, to all its monitors together.
+/// Approximate limit on the heartbeats per second that a replica sends, over all targets.
 const MAX_HEARTBEATS_PER_S: u64 = 90;
-/// At least so many heartbeats fit into the time after which a replica is suspected.
+/// Minimum number of heartbeat intervals per suspicion timeout.
 const MIN_HEARTBEATS_PER_SUSPICION: Millis = 3;
 
 impl Replica {
-    /// Does what is due. To be called every few hundredths of a second.
+    /// Runs the periodic work that is due. Must be called every few tens of milliseconds.
     pub fn on_timeout(
         &mut self,
         now: Millis,
         own_wall: WallMillis,
         machine: &mut dyn StateMachine,
     ) {
-        if !self.started {
+        if !self.is_recovered_state_durable {
             self.flush(now, machine);
             return;
         }
@@ -37,7 +37,7 @@
             self.expire_outgoing_snapshot(now);
         }
         self.confirm_disk(now, own_wall, machine);
-        self.check_view(now);
+        self.propose_view_if_needed(now);
         self.request_missing_if_needed(now);
         if self.tickets.needs_checkpoint(CHECKPOINT_BYTES) {
             self.checkpoint(now, machine);
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Handles a message that counts only in the view in which it was sent.
+    /// Handles a message that is valid only in the view in which it was sent.
     fn handle_chain_message(
         &mut self,
         now: Millis,
@@ -94,7 +94,7 @@
         match message {
             PeerMessage::Committed { index, .. } => self.handle_committed(index),
             PeerMessage::RequestEntries { last, .. } => {
-                self.handle_synchronize(from, last, now, machine)
+                self.handle_entries_request(from, last, now, machine)
             }
             PeerMessage::RequestSnapshotChunk {
                 position, number, ..
@@ -108,12 +108,12 @@
             message if self.source() == Some(from) => {
                 self.handle_source_message(now, from, message, machine)
             }
-            // Only the source's word counts.
+            // Messages of the remaining types are accepted from the source only.
             _ => {}
         }
     }
 
-    /// Handles a message that counts only when it comes from the source, in the current view.
+    /// Handles a message that is valid only from the source and in the current view.
     fn handle_source_message(
         &mut self,
         now: Millis,
@@ -155,41 +155,41 @@
                 };
                 self.handle_snapshot_chunk(from, &chunk, now, machine);
             }
-            // Not for this layer.
+            // All other message types are handled by the callers.
             _ => {}
         }
     }
 
-    /// Handles the completion of disk work: all up to this ticket is durable.
+    /// Handles the completion of disk work: everything up to this ticket is durable.
     pub fn handle_persisted(&mut self, ticket: u64, now: Millis, machine: &mut dyn StateMachine) {
         while let Some(done) = self.tickets.pop_completed(ticket) {
             self.fitness.record_disk_work(done.issued_at, now);
-            for release in done.on_durable {
-                self.handle_durable(release);
+            for effect in done.on_durable {
+                self.handle_durable(effect);
             }
         }
         self.flush(now, machine);
     }
 
-    fn handle_durable(&mut self, release: OnDurable) {
-        match release {
+    fn handle_durable(&mut self, effect: OnDurable) {
+        match effect {
             OnDurable::Send { to, message } => self.send(to, message),
             OnDurable::EntriesDurable(index) => {
                 let disk = &mut self.chain.disk;
                 disk.durable = disk.durable.max(index);
             }
             OnDurable::VotesDurable(votes) => self.own_disk.record_votes(votes),
-            OnDurable::Started => self.started = true,
+            OnDurable::RecoveredStateDurable => self.is_recovered_state_durable = true,
         }
     }
 
     fn handle_heartbeat(&mut self, from: ReplicaId, heartbeat: &Heartbeat, now: Millis) {
-        let counts = self.check_disk(from, heartbeat, now);
-        if counts && self.membership.handle_heartbeat(from, heartbeat, now) {
-            // It waits for a heartbeat that says that it is heard.
+        let is_accepted = self.check_disk(from, heartbeat, now);
+        if is_accepted && self.membership.handle_heartbeat(from, heartbeat, now) {
+            // A new process waits for a heartbeat that reports that it was heard.
             self.next_heartbeat_at = now;
         }
-        if counts {
+        if is_accepted {
             self.record_quorum_contact(from, heartbeat);
         }
         let current = self.view();
@@ -201,7 +201,8 @@
         }
     }
 
-    /// Records the echo of an own heartbeat, when its sender has not gone on from the view that it knows.
+    /// Records the echo of one of this replica's heartbeats, unless the sender is sealed: it takes part in the
+    /// agreement on the view after the one that it reports.
     fn record_quorum_contact(&mut self, from: ReplicaId, heartbeat: &Heartbeat) {
         let echo = report_on(heartbeat, self.settings.own).map_or(0, |report| report.echo);
         if echo > 0 && !heartbeat.sealed {
@@ -210,8 +211,8 @@
         }
     }
 
-    /// Time until the next heartbeats: longer with many that are sent them, so that they don't take up the processors of a
-    /// large core, and short enough that several fit into the time after which a replica is suspected.
+    /// Time until the next heartbeats. It grows with the number of targets, to limit the CPU load in a large group,
+    /// but stays short enough for several heartbeats to fit into the suspicion timeout.
     fn heartbeat_interval(&self, targets: usize) -> Millis {
         let spread = targets as u64 * 1000 / MAX_HEARTBEATS_PER_S;
         spread
@@ -219,9 +220,9 @@
             .max(self.settings.heartbeat_interval_ms)
     }
 
-    /// Who is sent heartbeats: the monitors on the ring; and, however large that is, each of the chain and those whose echoes
-    /// it needs hear each other: the voters, for contact with a majority, and the tail, for what is committed
-    /// (`knows_committed`).
+    /// The addresses that are sent heartbeats: the monitors on the ring and, whatever the size of the ring, the
+    /// replicas whose echoes are needed. Each chain member exchanges heartbeats with the voters, for quorum contact,
+    /// and with the tail, for the commit index (`knows_committed`).
     fn heartbeat_targets(&self, now: Millis) -> BTreeSet<u32> {
         let own = self.settings.own;
         let view = self.view();
@@ -257,7 +258,8 @@
     }
 }
 
-/// The view in which a message counts; `None`: it is of the agreement or of the failure detector, and of no view.
+/// The view in which a message is valid; `None` for messages of the agreement and of the failure detector, which are
+/// not bound to a view.
 fn view_of(message: &PeerMessage) -> Option<ViewNumber> {
     match message {
         PeerMessage::Append { view, .. }
--- a/system/control/src/lib.rs
+++ b/system/control/src/lib.rs
@@ -1,9 +1,10 @@
 //! Chain replication under an agreed membership view, as a state machine without I/O.
 //!
-//! The coordinators agree on a sequence of views, each by a majority of the voters of the one before. A view names a
-//! chain: writes enter at its head, pass down, and are committed at its tail once they are on every disk of the chain.
-//! A voter that takes part in the agreement on the next view takes no more writes in the old one, so that whoever of
-//! the old chain is asked has all that was ever committed.
+//! The coordinators agree on a sequence of views; each view is decided by a majority of the voters of the previous
+//! one. A view names a chain: writes enter at the head, are replicated from member to member, and are committed at the
+//! tail once they are durable on every member. A voter that has promised a ballot for the next view accepts no more
+//! writes in the current one, so every member of the old chain that takes part in the decision holds all committed
+//! entries.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/system/control/src/log.rs
+++ b/system/control/src/log.rs
@@ -1,27 +1,28 @@
-//! The log in memory: all entries that are not applied, and the latest that are. What is on disk is not its concern.
+//! The log in memory: all entries that are not applied, and the latest applied ones. What is durable is tracked in
+//! `chain_state`.
 use magpiegap_protocol::{Entry, LogIndex, LogPosition};
 use std::collections::VecDeque;
 
-/// How many applied entries are retained for followers that lag behind ...
+/// Maximum number of applied entries that are retained for lagging followers.
 const MAX_APPLIED_RETAINED: u64 = 4000;
-/// ... as long as all entries in memory take up no more than about this many bytes.
+/// Approximate size of all entries in memory above which applied entries are dropped.
 const MAX_RETAINED_BYTES: usize = 16 << 20;
 
-/// Consecutive entries.
+/// A batch of consecutive entries.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct EntryBatch {
     pub entries: Vec<Entry>,
-    /// Whether there are more after these.
+    /// Whether more entries follow this batch.
     pub more: bool,
 }
 
-/// A window of the log.
+/// The part of the log that is in memory.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Log {
     /// The position before the first entry in memory.
     compacted: LogPosition,
     entries: VecDeque<Entry>,
-    /// About how many bytes the entries take up.
+    /// The approximate size of the entries, in bytes.
     bytes: usize,
 }
 
@@ -47,13 +48,12 @@
         self.entries.push_back(entry);
     }
 
-    /// An entry.
     pub(crate) fn get(&self, index: LogIndex) -> Option<&Entry> {
         let offset = index.checked_entries_since(self.compacted.index.next())?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// The position of an entry; `None`: it is not known any more.
+    /// The position of an entry; `None` when it is not in memory.
     pub(crate) fn position(&self, index: LogIndex) -> Option<LogPosition> {
         if index == self.compacted.index {
             return Some(self.compacted);
@@ -67,13 +67,14 @@
             .map(|batch| batch.entries)
     }
 
-    /// The first entries after this one, of about so many bytes, one at least; `None` when they are not all in memory.
+    /// The first entries after `index`, at least one if there is any, up to about `max_bytes`; `None` when
+    /// `index` is outside the log in memory.
     pub(crate) fn batch_after(&self, index: LogIndex, max_bytes: usize) -> Option<EntryBatch> {
         self.batch_between(index, self.last().index, max_bytes)
     }
 
-    /// The first entries after one and up to another, of about so many bytes, one at least; `None` when they are not all in
-    /// memory.
+    /// The first entries after `index` and up to `last`, at least one if there is any, up to about `max_bytes`; `None`
+    /// when `index` is outside the log in memory.
     pub(crate) fn batch_between(
         &self,
         index: LogIndex,
@@ -93,18 +94,18 @@
             bytes = bytes.saturating_add(entry.estimated_bytes());
             is_first || bytes <= max_bytes
         };
-        let next_chain = self.entries.range(skip..until);
-        let entries: Vec<Entry> = next_chain.take_while(fits).cloned().collect();
+        let candidates = self.entries.range(skip..until);
+        let entries: Vec<Entry> = candidates.take_while(fits).cloned().collect();
         let more = skip + entries.len() < until;
         Some(EntryBatch { entries, more })
     }
 
-    /// Whether the log comes as far as this entry and has all that follow it in memory.
+    /// Whether the log reaches this entry and all following entries are in memory.
     pub(crate) fn covers(&self, index: LogIndex) -> bool {
         (self.compacted.index..=self.last().index).contains(&index)
     }
 
-    /// Whether the entry at this index is, or was, the one of this view.
+    /// Whether the log holds the entry at this position, or starts right after it.
     pub(crate) fn contains(&self, position: LogPosition) -> bool {
         position == self.compacted
             || self
@@ -112,8 +113,7 @@
                 .is_some_and(|entry| entry.position == position)
     }
 
-    /// Drops entries that were applied long ago, and more of them where they take up much memory, but of none after
-    /// `needed`.
+    /// Drops the oldest applied entries beyond the limits on their number and on memory, but none after `needed`.
     pub(crate) fn compact(&mut self, applied: LogIndex, needed: LogIndex) {
         let last_droppable = applied.min(needed);
         while let Some(index) = self.entries.front().map(|entry| entry.position.index) {
--- a/system/control/src/membership.rs
+++ b/system/control/src/membership.rs
@@ -1,5 +1,5 @@
-//! The failure detector: heartbeats to a few monitors on a ring, and what others report. It owns what is known of other
-//! replicas; who is taken into a view is decided in `view_composition`.
+//! The failure detector: heartbeats to a few monitors on a ring, and the reports of peers on third replicas. This
+//! module owns the state of all peers; the members of a view are chosen in `view_composition`.
 use crate::{
     peer::{report_on, Peer, Status},
     ring::{self, Ring},
@@ -8,21 +8,21 @@
 use magpiegap_protocol::{Heartbeat, Member, Millis, PeerReport, ReplicaId, View, WallMillis};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A newcomer must have been heard for this long before it may be taken into a view.
+/// A newcomer must have been heard continuously for this long before it may join a view.
 const MIN_STABLE_MS: Millis = 150;
-/// Reports on replicas that were not heard for this long are dropped.
+/// A peer that was not heard for this long is dropped.
 const PEER_EXPIRY_MS: Millis = 30_000;
-/// A replica that is in no view and was not heard for this long is not on the ring.
-const OUTSIDER_TIMEOUT_MS: Millis = 3000;
+/// A peer outside the view that was not heard for this long is removed from the ring.
+const NON_MEMBER_TIMEOUT_MS: Millis = 3000;
 
-/// All that is known of other replicas.
+/// The state of all other replicas, as far as known.
 #[derive(Clone, Debug)]
 pub(crate) struct Membership {
     own: ReplicaId,
     suspect_ms: Millis,
     ring: Ring,
     peers: BTreeMap<Member, Peer>,
-    /// The addresses with which each member says to be connected both ways.
+    /// The addresses with which each member reports a bidirectional connection.
     connected: BTreeMap<Member, BTreeSet<u32>>,
 }
 
@@ -37,18 +37,18 @@
         }
     }
 
-    /// Replaces the addresses at which others may be found.
+    /// Replaces the seed addresses, at which other coordinators may be reachable.
     pub(crate) fn set_seeds(&mut self, seeds: &[u32]) {
         self.ring.set_seeds(seeds);
     }
 
-    /// Takes up the addresses of a view. Those of members that it has left out expire once they are not heard.
+    /// Replaces the addresses of the view. Members that were removed stay on the ring until they time out.
     pub(crate) fn start_view(&mut self, view: &View) {
         self.ring.start_view(view);
     }
 
-    /// Whether too few of the view are reachable, so that the seeds are sent heartbeats too.
-    pub(crate) fn is_seeking(&self, now: Millis) -> bool {
+    /// Whether so few members of the view are reachable that the seeds are sent heartbeats too.
+    pub(crate) fn needs_seeds(&self, now: Millis) -> bool {
         let reachable: BTreeSet<u32> = self
             .peers
             .values()
@@ -63,12 +63,12 @@
         let recent = self
             .peers
             .values()
-            .filter(|peer| now.saturating_sub(peer.last_heard) <= OUTSIDER_TIMEOUT_MS)
+            .filter(|peer| now.saturating_sub(peer.last_heard) <= NON_MEMBER_TIMEOUT_MS)
             .map(|peer| peer.replica.member.address);
-        self.ring.addresses(recent, self.is_seeking(now))
+        self.ring.addresses(recent, self.needs_seeds(now))
     }
 
-    /// Those that are sent this replica's heartbeats.
+    /// The addresses of this replica's monitors, which are sent its heartbeats.
     pub(crate) fn monitors(&self, now: Millis) -> Vec<u32> {
         self.ring.monitors(&self.ring_addresses(now))
     }
@@ -95,7 +95,7 @@
         !known
     }
 
-    /// Records what a heartbeat says of the connections of its sender.
+    /// Records the sender's connections, clock and echo from its heartbeat.
     fn record_contact(&mut self, from: ReplicaId, heartbeat: &Heartbeat, now: Millis) {
         let hears_us =
             report_on(heartbeat, self.own).is_some_and(|report| report.age_ms < self.suspect_ms);
@@ -116,7 +116,7 @@
         self.connected.insert(from.member, connected);
     }
 
-    /// Records what a replica said at a time.
+    /// Records the status that a replica reported at time `at`.
     fn record_status(&mut self, replica: ReplicaId, at: Millis, status: Status, now: Millis) {
         let fresh = Peer::new(replica, status, at, now);
         let peer = self.peers.entry(replica.member).or_insert(fresh);
@@ -134,12 +134,12 @@
         peer.status = status;
     }
 
-    /// Whether a replica has been heard for long enough that it may be taken into a view.
+    /// Whether a replica has been heard for long enough to join a view.
     pub(crate) fn is_stable(peer: &Peer, now: Millis) -> bool {
         now.saturating_sub(peer.first_heard) >= MIN_STABLE_MS
     }
 
-    /// Reports for a heartbeat.
+    /// The reports on all peers, for a heartbeat.
     pub(crate) fn reports(&self, now: Millis) -> Vec<PeerReport> {
         let report = |peer: &Peer| {
             let Status {
@@ -166,12 +166,12 @@
         self.peers.values().map(report).collect()
     }
 
-    /// The other replicas that are reachable both ways: they are heard, and hear this one.
+    /// The other replicas with a bidirectional connection to this one: each hears the other.
     pub(crate) fn reachable(&self, now: Millis) -> Vec<Peer> {
         let is_bidirectional = |peer: &Peer| match self.is_recent(peer.last_direct, now) {
             true => self.is_connected(peer, now),
-            // Heard of from others only: it sends this replica nothing itself, since it has other monitors.
-            false => !self.all_hear_each_other(now),
+            // Known from reports only: in a large ring it sends its heartbeats to other monitors.
+            false => !self.is_full_mesh(now),
         };
         let is_reachable = |peer: &&Peer| {
             self.is_recent(Some(peer.last_heard), now)
@@ -190,12 +190,12 @@
         newest.into_values().collect()
     }
 
-    /// Whether the ring is so small that everyone monitors everyone.
-    fn all_hear_each_other(&self, now: Millis) -> bool {
-        ring::all_are_monitors(&self.ring_addresses(now))
+    /// Whether the ring is so small that all replicas monitor each other.
+    fn is_full_mesh(&self, now: Millis) -> bool {
+        ring::is_full_mesh(&self.ring_addresses(now))
     }
 
-    /// Whether something happened, and not so long ago that a replica is suspected.
+    /// Whether something happened within the suspicion timeout.
     fn is_recent(&self, at: Option<Millis>, now: Millis) -> bool {
         at.is_some_and(|at| now.saturating_sub(at) <= self.suspect_ms)
     }
@@ -205,7 +205,8 @@
         self.is_recent(peer.last_direct, now) && self.is_recent(peer.last_heard_us, now)
     }
 
-    /// Whether a member says that it and all of the others hear each other. In a large ring that isn't known.
+    /// Whether a member reports bidirectional connections to all `others`. Assumed in a ring that is not a full mesh,
+    /// where members do not report on all others.
     pub(crate) fn reports_connection_to(
         &self,
         member: &Member,
@@ -215,20 +216,20 @@
         let connected = self.connected.get(member);
         let hears = |other: &ReplicaId| {
             let address = other.member.address;
-            // That this replica and it hear each other is known here.
+            // The connection to this replica itself is checked by the caller.
             address == self.own.member.address
                 || address == member.address
                 || connected.is_some_and(|connected| connected.contains(&address))
         };
-        !self.all_hear_each_other(now) || others.iter().all(hears)
+        !self.is_full_mesh(now) || others.iter().all(hears)
     }
 
-    /// What is known of a member.
+    /// The peer with the given identity, if known.
     pub(crate) fn peer(&self, member: &Member) -> Option<&Peer> {
         self.peers.get(member)
     }
 
-    /// The median of the times of day of all that are heard, with this replica's own.
+    /// The median of the wall clocks of this replica and of all peers that it hears directly.
     pub(crate) fn median_wall(&self, own_wall: WallMillis, now: Millis) -> WallMillis {
         let recent = |peer: &&Peer| {
             peer.last_direct
@@ -246,15 +247,15 @@
         WallMillis(u64::try_from(lower).unwrap_or(0))
     }
 
-    /// Whether this very process was heard lately.
+    /// Whether this incarnation of a replica was heard within the suspicion timeout.
     pub(crate) fn is_reachable(&self, replica: &ReplicaId, now: Millis) -> bool {
         self.peers.get(&replica.member).is_some_and(|peer| {
             peer.replica == *replica && self.is_recent(Some(peer.last_heard), now)
         })
     }
 
-    /// A connection to an address was refused: most likely the process there has ended. What was heard until now counts
-    /// no more for who is there; it proves nothing, and nothing else rests on it.
+    /// Handles a refused connection to an address, whose process has most likely ended. Peers at that address count as
+    /// unreachable until they are heard again. This is only a hint: safety does not depend on it.
     pub(crate) fn handle_connection_refused(&mut self, address: u32, now: Millis) {
         for peer in self
             .peers
@@ -265,7 +266,7 @@
         }
     }
 
-    /// Drops what is known of replicas that were not heard for long.
+    /// Drops the peers that were not heard for a long time.
     pub(crate) fn expire_peers(&mut self, now: Millis) {
         self.peers
             .retain(|_, peer| now.saturating_sub(peer.last_heard) < PEER_EXPIRY_MS);
--- a/system/control/src/own_disk.rs
+++ b/system/control/src/own_disk.rs
@@ -1,42 +1,46 @@
-//! This replica's own disk: what it says of it to others, and whether they have confirmed that it is no old copy.
+//! This replica's own disk: the progress that it reports to others, and whether they have confirmed that the disk was
+//! not restored from an old copy.
 //!
-//! A voter counts its disk for what is on it only after a majority of the voters, itself included, has heard this process,
-//! and nobody has objected: the votes that an old copy has forgotten were heard by others.
+//! A voter votes only after a majority of the voters, including itself, has heard this process and none has objected.
+//! An old copy lacks votes that were cast since, but other voters have heard of them.
 use crate::durable_state::DurableState;
 use magpiegap_protocol::{DiskProgress, DiskReport, LogPosition, PeerMessage, ReplicaId};
 
-/// So many messages on votes are deferred until the disk is confirmed; the oldest are dropped, and their senders try again.
+/// Maximum number of requests for votes that are deferred until the disk is confirmed. Older ones are dropped; their
+/// senders retry.
 const MAX_DEFERRED_MESSAGES: usize = 8;
 
-/// Whether the disk counts for what is on it.
+/// Whether the state on the disk can be trusted to be the latest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiskTrust {
-    /// Too few have heard this process.
+    /// Too few voters have heard this process yet.
     Unconfirmed,
-    /// A majority has heard it, and nobody has objected.
+    /// A majority of the voters has heard this process, and none has objected.
     Confirmed,
-    /// It is an old copy of a disk that was further.
+    /// The disk was restored from an old copy.
     Stale,
 }
 
-/// The disk.
+/// This replica's disk.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnDisk {
-    /// Names this incarnation of the disk.
+    /// The identity of this disk, which changes when the disk is wiped.
     pub name: u64,
-    /// How many processes have started on it, this one included.
+    /// The number of processes that have started on this disk, including this one.
     pub starts: u64,
+    /// The progress of the disk when this process started.
     at_start: DiskProgress,
+    /// The progress that is durable by now.
     confirmed: DiskProgress,
     trust: DiskTrust,
-    /// The owner was told that the disk can be given up.
-    given_up: bool,
-    /// What came before the disk was confirmed.
+    /// The owner was told that the disk is superseded.
+    is_superseded: bool,
+    /// Requests for votes received before the disk was confirmed.
     deferred: Vec<(ReplicaId, PeerMessage)>,
 }
 
 impl OwnDisk {
-    /// The disk of a process that starts now.
+    /// The disk of a process that starts with this state.
     pub(crate) fn new(durable: &DurableState) -> OwnDisk {
         let starts = durable
             .agreement
@@ -53,12 +57,12 @@
             at_start: durable.agreement.progress(last),
             confirmed: durable.agreement.progress(durable.applied),
             trust: DiskTrust::Unconfirmed,
-            given_up: false,
+            is_superseded: false,
             deferred: Vec::new(),
         }
     }
 
-    /// What is said of the disk in heartbeats.
+    /// The report on the disk for heartbeats.
     pub(crate) fn report(&self) -> DiskReport {
         DiskReport {
             starts: self.starts,
@@ -67,12 +71,12 @@
         }
     }
 
-    /// Records that these votes are on it.
+    /// Records that these votes are durable.
     pub(crate) fn record_votes(&mut self, votes: DiskProgress) {
         self.confirmed.advance(&votes);
     }
 
-    /// Records that this entry is on it, and is committed.
+    /// Records that the entry at this position is durable and committed.
     pub(crate) fn record_committed(&mut self, position: LogPosition) {
         self.confirmed.committed = self.confirmed.committed.max(position);
     }
@@ -85,7 +89,7 @@
         self.trust == DiskTrust::Stale
     }
 
-    /// Records that a majority has heard this process. Returns what came before.
+    /// Records that a majority of the voters has heard this process. Returns the deferred messages.
     pub(crate) fn confirm(&mut self) -> Vec<(ReplicaId, PeerMessage)> {
         if self.trust != DiskTrust::Unconfirmed {
             return Vec::new();
@@ -100,9 +104,9 @@
         std::mem::replace(&mut self.trust, DiskTrust::Stale) != DiskTrust::Stale
     }
 
-    /// Gives the disk up. Returns whether that is the first time.
-    pub(crate) fn give_up(&mut self) -> bool {
-        !std::mem::replace(&mut self.given_up, true)
+    /// Records that the disk is superseded. Returns whether this was not recorded before.
+    pub(crate) fn record_superseded(&mut self) -> bool {
+        !std::mem::replace(&mut self.is_superseded, true)
     }
 
     /// Defers a message until the disk is confirmed.
--- a/system/control/src/peer.rs
+++ b/system/control/src/peer.rs
@@ -1,22 +1,22 @@
-//! What is known of another replica: data only, kept by `membership`.
+//! The state of another replica as known here. Plain data, updated by `membership`.
 use magpiegap_protocol::{
     Heartbeat, Location, LogIndex, Millis, PeerReport, ReplicaId, ViewNumber,
 };
 
-/// What a replica says of itself.
+/// The status that a replica reports of itself.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Status {
-    /// The newest view that it knows.
+    /// The newest view known to it.
     pub view: ViewNumber,
-    /// It serves in that view.
+    /// Whether it serves in that view.
     pub serving: bool,
-    /// It can't be a member of a chain for now.
+    /// Whether it can't be a chain member for now.
     pub unfit: bool,
-    /// Its disk had all that was committed up to that view.
+    /// Whether its disk held all entries committed up to that view.
     pub complete: bool,
-    /// The newest entry that it knew to be committed.
+    /// The commit index known to it.
     pub committed: LogIndex,
-    /// Its zone and region.
+    /// The zone and region of its machine.
     pub location: Location,
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// What a heartbeat reports on a replica.
+/// The report on a replica in a heartbeat, if there is one.
 pub(crate) fn report_on(heartbeat: &Heartbeat, replica: ReplicaId) -> Option<&PeerReport> {
     heartbeat
         .reports
@@ -72,30 +72,30 @@
         .find(|report| report.replica == replica)
 }
 
-/// What is known of another replica.
+/// The state of another replica as known here.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Peer {
     pub replica: ReplicaId,
-    /// What it said last.
+    /// The status that it last reported.
     pub status: Status,
-    /// Since when it has been heard without a break.
+    /// Since when it has been heard without interruption.
     pub first_heard: Millis,
-    /// When it was last heard, by this replica or by others that reported it.
+    /// When it was last heard, by this replica or by a peer that reported it.
     pub last_heard: Millis,
-    /// When it last said that it hears us; `None`: it sends us nothing itself.
+    /// When it last reported that it hears this replica; `None` if it never did.
     pub last_heard_us: Option<Millis>,
-    /// When it last sent us a heartbeat itself.
+    /// When its last heartbeat arrived at this replica.
     pub last_direct: Option<Millis>,
-    /// When a connection to its address was refused; what was heard until then counts no more.
+    /// When a connection to its address was last refused. It is unreachable unless it was heard after that.
     pub refused_at: Option<Millis>,
-    /// Its time of day less our steady clock.
+    /// Its wall clock minus this replica's steady clock.
     pub wall_offset: Option<i64>,
-    /// The newest `sent_at` in its heartbeats to us.
+    /// The newest `sent_at` in its heartbeats to this replica.
     pub echo: Millis,
 }
 
 impl Peer {
-    /// A replica that is heard, or heard of, for the first time.
+    /// A replica that is heard or reported for the first time.
     pub(crate) fn new(replica: ReplicaId, status: Status, at: Millis, now: Millis) -> Peer {
         Peer {
             replica,
--- a/system/control/src/quorum_contact.rs
+++ b/system/control/src/quorum_contact.rs
@@ -1,28 +1,29 @@
-//! Quorum contact, contact with a majority of the voters: whether the view that a replica knows is still the newest one.
+//! Quorum contact: evidence from a majority of the voters that the view known to this replica is still the newest one.
 //!
-//! Each heartbeat carries the time of its sending, and whoever hears it sends that time back. A voter that echoes the time
-//! `t`, knows view `v` and takes no part in the agreement on the next view had not gone on from `v` at `t`, on the clock of
-//! the replica that sent the heartbeat. Once a majority has said so, no later view can have been agreed before `t`: that
-//! takes a majority which takes part, and two majorities share a voter. It holds however late messages come and however
-//! long either side stands still, since only one clock is read.
+//! Each heartbeat carries its send time, and receivers echo that time. A voter that echoes time `t`, reports view `v`
+//! and is not sealed had not promised a ballot for the view after `v` at time `t`, on the clock of the replica that
+//! sent the heartbeat. Once a majority has echoed `t`, no later view can have been decided before `t`: that takes
+//! promises from a majority, and any two majorities share a voter. This holds for any message delay and for any pause
+//! of either process, since only one clock is read.
 use magpiegap_protocol::{Member, Millis, View, ViewNumber};
 use std::collections::BTreeMap;
 
-/// A view that a voter had not gone on from at a time of our steady clock.
+/// A voter's confirmation that it had not promised a ballot for the view after `view` at time `at`, on this replica's
+/// steady clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Confirmation {
     view: ViewNumber,
     at: Millis,
 }
 
-/// What the voters have confirmed.
+/// The newest confirmation of each member.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct QuorumContact {
     confirmed: BTreeMap<Member, Confirmation>,
 }
 
 impl QuorumContact {
-    /// A voter had not gone on from a view when it got the heartbeat that was sent at this time.
+    /// Records the echo, by an unsealed voter in this view, of a heartbeat that was sent at time `at`.
     pub(crate) fn confirm(&mut self, voter: Member, view: ViewNumber, at: Millis) {
         let known = self
             .confirmed
@@ -35,8 +36,8 @@
         }
     }
 
-    /// Until when, on our steady clock, no later view than this one can have been agreed. This replica's own vote counts
-    /// as given now. Zero: that isn't known.
+    /// The latest time, on this replica's steady clock, before which no later view can have been decided; zero when
+    /// unknown. This replica itself counts as a voter that confirms `now`.
     pub(crate) fn confirmed_at(&self, view: &View, own: Member, now: Millis) -> Millis {
         let confirmed = |voter: &Member| {
             if *voter == own {
@@ -46,11 +47,12 @@
             }
         };
         let mut times: Vec<Millis> = view.voters.iter().map(confirmed).collect();
-        times.sort_unstable_by(|one, other| other.cmp(one));
+        times.sort_unstable_by(|left, right| right.cmp(left));
         times.get(view.majority() - 1).copied().unwrap_or(0)
     }
 
-    /// Up to when, on our steady clock, a member of the view has surely heard from us; zero: that isn't known.
+    /// The send time, on this replica's steady clock, of the newest heartbeat that a member has confirmed in this
+    /// view; zero when there is none.
     pub(crate) fn confirmed_by(&self, view: &View, member: Member) -> Millis {
         let confirmed = self
             .confirmed
@@ -59,7 +61,7 @@
         confirmed.map_or(0, |confirmation| confirmation.at)
     }
 
-    /// Drops what members that are no longer of the view have confirmed.
+    /// Drops the confirmations of replicas that are not members of this view.
     pub(crate) fn retain_members(&mut self, view: &View) {
         self.confirmed.retain(|member, _| view.has_member(member));
     }
--- a/system/control/src/replica.rs
+++ b/system/control/src/replica.rs
@@ -1,5 +1,4 @@
-//! One replica of the control plane: the components that it is made of, its queries, and its outputs. How it
-//! handles its inputs is in `inputs`.
+//! One replica of the control plane: its components, queries and outputs. Input handling is in `inputs`.
 use crate::{
     agreement::Agreement,
     chain_state::{Activity, Chain},
@@ -19,37 +18,37 @@
     Entry, LogIndex, Millis, PeerMessage, ReplicaId, View, ViewNumber, WallMillis,
 };
 
-/// How long a proof of quorum contact counts, in milliseconds: a majority confirmed by echoed heartbeats, at most this long
-/// ago, that the view was still the newest one (`docs/system/hardening.md`).
+/// How long a confirmation of quorum contact stays valid: a majority of the voters has echoed heartbeats that were
+/// sent at most this long ago, which proves that the view was still the newest one then (`docs/system/hardening.md`).
 pub const QUORUM_CONTACT_TIMEOUT_MS: Millis = 600;
 
-/// Something that a replica wants done. Disk work is done in order, and each ticket is answered with
-/// [`Replica::handle_persisted`].
+/// An action that the caller performs for a replica. Disk work must be performed in order, and the completion of each
+/// ticket is reported with [`Replica::handle_persisted`].
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Send a message to the coordinator at an address.
     Send {
-        /// The address.
+        /// The coordinator's address.
         to: u32,
         /// The message.
         message: PeerMessage,
     },
-    /// Add records to the log on disk.
+    /// Append records to the log on disk.
     Persist {
-        /// Names the work.
+        /// Identifies the disk work.
         ticket: u64,
         /// The records.
         records: Vec<DurableRecord>,
     },
-    /// Replace all that is on disk.
+    /// Replace everything on disk by a snapshot.
     Checkpoint {
-        /// Names the work.
+        /// Identifies the disk work.
         ticket: u64,
-        /// What to keep.
+        /// The state to store.
         snapshot: Box<DurableState>,
     },
-    /// The disk is an old copy, and the others serve without it: it can be emptied, so that this machine rejoins with
-    /// another one.
+    /// The disk was restored from an old copy, and the other replicas serve without it. It can be wiped, so that this
+    /// machine rejoins with a new disk identity.
     DiskSuperseded,
     /// A line for the operator's log.
     Log(String),
@@ -63,14 +62,15 @@
     pub(crate) membership: Membership,
     pub(crate) quorum_contact: QuorumContact,
     pub(crate) chain: Chain,
-    /// The view up to which this replica has all that was committed.
+    /// The newest view in which this replica held all committed entries.
     pub(crate) synchronized: Option<ViewNumber>,
     pub(crate) view_timer: ViewTimer,
     pub(crate) own_disk: OwnDisk,
-    /// What was noted of the disks of others.
+    /// What this replica has observed of the disks of other members.
     pub(crate) disk_notes: DiskNotes,
-    /// What was read at the start is surely on disk, with the name of the disk: from here on others may hear of it.
-    pub(crate) started: bool,
+    /// Whether the state read at the start, including the disk's name, is known to be durable. Only then does the
+    /// replica send anything that depends on it.
+    pub(crate) is_recovered_state_durable: bool,
     pub(crate) fitness: Fitness,
     pub(crate) next_heartbeat_at: Millis,
     pub(crate) tickets: DiskTickets,
@@ -78,11 +78,12 @@
 }
 
 impl Replica {
-    /// A replica that has just started, with what was on its disk. The state machine must have been restored from
-    /// the same.
+    /// Creates a replica that starts with the state read from its disk. The state machine must have been restored from
+    /// the same state.
     ///
-    /// What was read may be there only because the process before was killed, and may not outlast a loss of power. So the
-    /// first thing that the replica wants is that all of it is written anew; until that is done it sends nothing.
+    /// When the previous process was killed, its last writes may be readable but not synced, and would be lost with the
+    /// power. The first output is therefore a checkpoint that writes the entire state again; until that is durable, the
+    /// replica sends nothing.
     pub fn new(settings: ControlSettings, mut durable: DurableState, now: Millis) -> Replica {
         let own_disk = OwnDisk::new(&durable);
         let disks = durable
@@ -100,7 +101,7 @@
             .min(chain.log.last().index)
             .max(durable.applied.index);
         if durable.agreement.current.number > ViewNumber::default() {
-            // This incarnation of the process is in no chain yet.
+            // The chain names an earlier incarnation, so this one is not in any chain yet.
             chain.activity = Activity::Learning;
         }
         let mut replica = Replica {
@@ -112,19 +113,22 @@
             synchronized: durable.synchronized,
             own_disk,
             disk_notes,
-            started: false,
+            is_recovered_state_durable: false,
             fitness: Fitness::default(),
             next_heartbeat_at: now,
             tickets: DiskTickets::default(),
             outputs: Vec::new(),
             settings,
         };
-        let on_durable = vec![OnDurable::EntriesDurable(last), OnDurable::Started];
+        let on_durable = vec![
+            OnDurable::EntriesDurable(last),
+            OnDurable::RecoveredStateDurable,
+        ];
         replica.write_checkpoint(durable, on_durable, now);
         replica
     }
 
-    /// This replica's name.
+    /// This replica's identity.
     pub fn own(&self) -> ReplicaId {
         self.settings.own
     }
@@ -134,56 +138,56 @@
         self.agreement.current()
     }
 
-    /// The newest entry known to be committed.
+    /// The index of the newest entry known to be committed.
     pub fn commit_index(&self) -> LogIndex {
         self.chain.committed
     }
 
-    /// Takes what it wants done.
+    /// Takes the pending outputs.
     pub fn poll_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// A connection to the coordinator at an address was refused: most likely its process has ended.
+    /// Handles a refused connection to the coordinator at an address, whose process has most likely ended.
     pub fn handle_connection_refused(&mut self, address: u32, now: Millis) {
         self.membership.handle_connection_refused(address, now);
     }
 
-    /// Replaces the addresses at which others may be found.
+    /// Replaces the seed addresses, at which other coordinators may be reachable.
     pub fn set_seeds(&mut self, seeds: &[u32]) {
         self.membership.set_seeds(seeds);
     }
 
-    /// Whether so few of the view are reachable that the seeds are sent heartbeats too.
+    /// Whether so few members of the view are reachable that the seeds are sent heartbeats too.
     pub fn needs_seeds(&self, now: Millis) -> bool {
-        self.membership.is_seeking(now)
+        self.membership.needs_seeds(now)
     }
 
-    /// Announces that this process is about to end, so that the others go on without it at once.
+    /// Announces that this process is shutting down, so that the other replicas replace it at once.
     pub fn drain(&mut self, now: Millis) {
         self.fitness.drain();
         self.next_heartbeat_at = now;
     }
 
-    /// The median of the times of day of the core machines.
+    /// The median of the wall clocks of this replica and of those that it receives heartbeats from.
     pub fn median_time_of_day(&self, own_wall: WallMillis, now: Millis) -> WallMillis {
         self.membership.median_wall(own_wall, now)
     }
 
-    /// Whether this replica is active in its view, and that was the newest one at some moment of the last
+    /// Whether this replica is active in its view, and the view was the newest one at some time within the last
     /// [`QUORUM_CONTACT_TIMEOUT_MS`] milliseconds.
     pub fn has_quorum_contact(&self, now: Millis) -> bool {
         let confirmed_at = self.confirmed_at(now);
         self.is_active() && confirmed_at > 0 && now <= confirmed_at + QUORUM_CONTACT_TIMEOUT_MS
     }
 
-    /// Whether this replica is active in its view, and that was the newest one at some moment after `since`.
+    /// Whether this replica is active in its view, and the view was the newest one at some time after `since`.
     pub fn has_quorum_contact_since(&self, since: Millis, now: Millis) -> bool {
         self.is_active() && self.confirmed_at(now) > since
     }
 
-    /// Whether this replica is active in the newest view of at most [`QUORUM_CONTACT_TIMEOUT_MS`] ago, and knows all
-    /// that was committed then: it is the tail, or the tail has announced it since.
+    /// Whether this replica is active in a view that was the newest one within the last [`QUORUM_CONTACT_TIMEOUT_MS`]
+    /// milliseconds, and knows the commit index of that time: it is the tail, or has heard from the tail since.
     pub fn knows_committed(&self, now: Millis) -> bool {
         let tail_confirmed_at = match self.view().tail() {
             Some(tail) if tail != self.settings.own => {
@@ -195,24 +199,24 @@
         self.is_active() && informed_at > 0 && now <= informed_at + QUORUM_CONTACT_TIMEOUT_MS
     }
 
-    /// Until when this replica's view was surely the newest one; zero: that isn't known.
+    /// The latest time at which this replica's view is known to have been the newest one; zero when unknown.
     pub fn confirmed_at(&self, now: Millis) -> Millis {
         self.quorum_contact
             .confirmed_at(self.view(), self.settings.own.member, now)
     }
 
-    /// Whether this replica is active in its view, or catches up as a member of its chain.
+    /// Whether this replica is active in its view, or is catching up as a member of its chain.
     pub(crate) fn is_serving(&self) -> bool {
         matches!(self.chain.activity, Activity::Joining | Activity::Active)
             && !self.agreement.is_sealed()
     }
 
-    /// Whether this replica can't take part for now.
+    /// Whether this replica can't be a chain member for now.
     pub(crate) fn is_unfit(&self, now: Millis) -> bool {
         self.own_disk.is_stale() || self.fitness.is_unfit(self.tickets.oldest_issued_at(), now)
     }
 
-    /// The state of the agreement as it is kept on disk.
+    /// The state of the agreement, with the disk records, as it is written to disk.
     pub(crate) fn durable_agreement(&self) -> AgreementState {
         AgreementState {
             disks: Some(DiskRecords {
@@ -233,12 +237,12 @@
         self.outputs.push(Output::Log(line));
     }
 
-    /// Sends a message; one to this replica itself comes back like any other.
+    /// Sends a message. Messages to this replica itself are delivered like any other.
     pub(crate) fn send(&mut self, to: u32, message: PeerMessage) {
         self.outputs.push(Output::Send { to, message });
     }
 
-    /// Adds records to the log on disk.
+    /// Appends records to the log on disk.
     pub(crate) fn persist(
         &mut self,
         records: Vec<DurableRecord>,
@@ -250,7 +254,7 @@
         self.outputs.push(Output::Persist { ticket, records });
     }
 
-    /// Replaces all that is on disk by what the replica has now.
+    /// Replaces everything on disk by the current state of the replica.
     pub(crate) fn checkpoint(&mut self, now: Millis, machine: &mut dyn StateMachine) {
         let last = self.chain.log.last().index;
         let snapshot = DurableState {
@@ -270,7 +274,7 @@
         self.write_checkpoint(snapshot, on_durable, now);
     }
 
-    /// Issues a checkpoint of this state.
+    /// Issues a checkpoint with this state.
     fn write_checkpoint(
         &mut self,
         snapshot: DurableState,
@@ -285,7 +289,7 @@
     }
 }
 
-/// About how many bytes a record takes up on disk.
+/// The approximate size of a record on disk, in bytes.
 fn estimated_bytes(record: &DurableRecord) -> usize {
     match record {
         DurableRecord::Entries(entries) => entries.iter().map(Entry::estimated_bytes).sum(),
--- a/system/control/src/replication.rs
+++ b/system/control/src/replication.rs
@@ -1,20 +1,21 @@
-//! Replication: sending entries to the followers, which are the successor and, at the tail, the learners.
+//! Replication: sending entries to followers, which are the successor and, at the tail, the learners.
 use crate::{log::EntryBatch, progress::FollowerProgress, replica::Replica, StateMachine};
 use magpiegap_protocol::{LogPosition, Millis, PeerMessage, ReplicaId};
 
-/// A message carries entries of about so many bytes at most.
+/// Approximate limit on the bytes of entries in one message.
 const MAX_MESSAGE_BYTES: usize = 512 << 10;
 
 impl Replica {
-    /// Whether a replica gets its entries from this one in the current view.
+    /// Whether another replica receives its entries from this one in the current view.
     pub(crate) fn is_source_of(&self, other: &ReplicaId) -> bool {
         let outside = !self.agreement.current().chain.contains(other);
         let is_last = self.own_position().is_some() && self.successor().is_none();
         self.successor() == Some(*other) || (is_last && outside)
     }
 
-    /// Handles a request for what a follower is missing: sends that, and from then on new entries as they come.
-    pub(crate) fn handle_synchronize(
+    /// Handles a follower's request for missing entries. Sends the next batch, or offers a snapshot when the log does
+    /// not contain the follower's last entry. A follower that gets the last batch is sent new entries from then on.
+    pub(crate) fn handle_entries_request(
         &mut self,
         from: ReplicaId,
         last: LogPosition,
@@ -39,7 +40,7 @@
         };
         let view = self.view().number;
         if !more {
-            self.follow_from_now(from, now);
+            self.add_follower(from, now);
         }
         self.send(
             from.member.address,
@@ -52,14 +53,14 @@
         );
     }
 
-    /// Handles the requests that came before this replica was active.
+    /// Handles the requests received before this replica was active.
     pub(crate) fn serve_pending_requests(&mut self, now: Millis, machine: &mut dyn StateMachine) {
         for (from, last) in std::mem::take(&mut self.chain.pending_requests) {
-            self.handle_synchronize(from, last, now, machine);
+            self.handle_entries_request(from, last, now, machine);
         }
     }
 
-    /// Sends the followers new entries and the durable index.
+    /// Sends new entries and the durable index to all followers.
     pub(crate) fn replicate_to_followers(&mut self, now: Millis) {
         let successor = self.successor();
         let membership = &self.membership;
@@ -74,8 +75,8 @@
         self.chain.followers = followers;
     }
 
-    /// Sends it new entries from now on, and soon what is on disk.
-    fn follow_from_now(&mut self, replica: ReplicaId, now: Millis) {
+    /// Registers a follower that has all entries of the log: it is sent new ones and the durable index from now on.
+    fn add_follower(&mut self, replica: ReplicaId, now: Millis) {
         let sent = self.chain.log.last().index;
         let followers = &mut self.chain.followers;
         followers.retain(|follower| follower.replica != replica);
--- a/system/control/src/ring.rs
+++ b/system/control/src/ring.rs
@@ -1,23 +1,23 @@
-//! The ring of addresses on which each replica sends its heartbeats to its successors. It owns the addresses of the view
-//! and the seeds; who is reachable is known to `membership`.
+//! The ring of addresses, on which each replica sends heartbeats to its successors. This module owns the addresses of
+//! the view and the seeds; reachability is tracked in `membership`.
 use magpiegap_protocol::View;
 use std::collections::BTreeSet;
 
-/// How many successors on the ring are sent a replica's heartbeats: in a core of up to nine, all others.
+/// Number of successors on the ring that monitor a replica. In a group of up to nine, these are all the others.
 const MAX_MONITORS: usize = 8;
 
-/// The addresses that may be on the ring, without this replica's own.
+/// The addresses that may be on the ring, except this replica's own.
 #[derive(Clone, Debug)]
 pub(crate) struct Ring {
     own: u32,
-    /// Where others may be found while too few of the view are reachable.
+    /// Addresses at which other coordinators may be reachable; used while too few members of the view are reachable.
     seeds: BTreeSet<u32>,
-    /// The addresses of the newest view: of its voters and of its chain.
+    /// The addresses of the voters and the chain of the newest view.
     view_addresses: BTreeSet<u32>,
 }
 
 impl Ring {
-    /// A ring for the replica at `own`.
+    /// Creates the ring of the replica at address `own`.
     pub(crate) fn new(own: u32, seeds: &[u32], view: &View) -> Ring {
         let mut ring = Ring {
             own,
@@ -29,12 +29,12 @@
         ring
     }
 
-    /// Replaces the addresses at which others may be found.
+    /// Replaces the seed addresses.
     pub(crate) fn set_seeds(&mut self, seeds: &[u32]) {
         self.seeds = self.without_own(seeds.iter().copied());
     }
 
-    /// Takes up the addresses of a view.
+    /// Replaces the addresses of the view.
     pub(crate) fn start_view(&mut self, view: &View) {
         let voters = view.voters.iter().map(|member| member.address);
         let chain = view.chain.iter().map(|replica| replica.member.address);
@@ -45,13 +45,13 @@
         addresses.filter(|address| *address != self.own).collect()
     }
 
-    /// Whether so few of the view are among these addresses that the seeds are sent heartbeats too.
+    /// Whether less than half of the view's addresses are reachable, or the view has none besides this replica's own.
     pub(crate) fn needs_seeds(&self, reachable: &BTreeSet<u32>) -> bool {
         let of_view = self.view_addresses.intersection(reachable).count();
         2 * of_view < self.view_addresses.len() || self.view_addresses.is_empty()
     }
 
-    /// The addresses on the ring: of the view, those of the peers, and with `needs_seeds` the seeds.
+    /// The addresses on the ring: those of the view and of the peers, and the seeds if `needs_seeds`.
     pub(crate) fn addresses(
         &self,
         peers: impl Iterator<Item = u32>,
@@ -66,7 +66,7 @@
         addresses
     }
 
-    /// The monitors of this replica on a ring of these addresses: its successors.
+    /// The monitors of this replica on a ring of these addresses, which are its successors.
     pub(crate) fn monitors(&self, addresses: &BTreeSet<u32>) -> Vec<u32> {
         let after = addresses.range(self.own..);
         let before = addresses.range(..self.own);
@@ -74,7 +74,7 @@
     }
 }
 
-/// Whether a ring of these addresses is so small that everyone monitors everyone.
-pub(crate) fn all_are_monitors(addresses: &BTreeSet<u32>) -> bool {
+/// Whether a ring of these addresses is so small that all replicas monitor each other.
+pub(crate) fn is_full_mesh(addresses: &BTreeSet<u32>) -> bool {
     addresses.len() <= MAX_MONITORS
 }
--- a/system/control/src/settings.rs
+++ b/system/control/src/settings.rs
@@ -1,22 +1,22 @@
-//! The settings of a replica.
+//! Settings of a replica, which describe its deployment.
 use crate::tolerance::Tolerance;
 use magpiegap_protocol::{Location, Millis, ReplicaId};
 
-/// What a replica needs to know of its deployment.
+/// The settings of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlSettings {
-    /// Its own name: machine, disk, and this incarnation of the process.
+    /// The replica's identity: machine, disk, and incarnation of the process.
     pub own: ReplicaId,
-    /// Addresses of other coordinators, as known at the start.
+    /// Addresses of other coordinators that are known at the start.
     pub seeds: Vec<u32>,
-    /// The zone and region of its machine.
+    /// The zone and region of the replica's machine.
     pub location: Location,
-    /// What may be lost at once.
+    /// The losses that must be tolerated.
     pub tolerance: Tolerance,
-    /// Time between two heartbeats.
+    /// The minimum time between heartbeats to the same replica, in milliseconds.
     pub heartbeat_interval_ms: Millis,
-    /// A replica that is not heard for this long is suspected.
+    /// The time without a heartbeat after which a replica is suspected to have failed, in milliseconds.
     pub suspicion_timeout_ms: Millis,
-    /// Seeds random choices.
+    /// The seed of the random delays between rounds.
     pub seed: u64,
 }
--- a/system/control/src/snapshot_progress.rs
+++ b/system/control/src/snapshot_progress.rs
@@ -1,18 +1,18 @@
-//! The progress of snapshot transfers: of one that others may request, and of one that is being received.
+//! The progress of snapshot transfers, outgoing and incoming.
 use crate::state_machine::StateSnapshot;
 use magpiegap_protocol::{Entry, LogPosition, Millis};
 use std::sync::Arc;
 
-/// A snapshot that others may request.
+/// A snapshot that is offered to other replicas.
 #[derive(Clone, Debug)]
 pub(crate) struct OutgoingSnapshot {
     pub state: Arc<dyn StateSnapshot>,
-    /// When a chunk of it was last requested.
+    /// When it was last offered, or a chunk of it last requested.
     pub last_requested_at: Millis,
 }
 
 impl OutgoingSnapshot {
-    /// The last entry in the snapshot; those after it must be there for whoever takes it.
+    /// The last entry in the snapshot. The log must retain the entries after it for the receivers.
     pub(crate) fn position(&self) -> LogPosition {
         self.state.position()
     }
@@ -21,18 +21,18 @@
 /// A snapshot that is being received.
 #[derive(Clone, Debug)]
 pub(crate) struct IncomingSnapshot {
-    /// The last entry that it holds.
+    /// The last entry in the snapshot.
     pub position: LogPosition,
-    /// How many chunks it has.
+    /// The number of chunks of the snapshot.
     pub chunks: u32,
-    /// The next chunk to come.
+    /// The number of the next chunk expected.
     pub next: u32,
-    /// Entries after the snapshot.
+    /// The entries after the snapshot that were received so far.
     pub entries: Vec<Entry>,
 }
 
 impl IncomingSnapshot {
-    /// A snapshot of which nothing has come yet.
+    /// A snapshot of which no chunk was received yet.
     pub(crate) fn new(position: LogPosition, chunks: u32) -> IncomingSnapshot {
         IncomingSnapshot {
             position,
@@ -42,19 +42,19 @@
         }
     }
 
-    /// Whether all chunks are there.
+    /// Whether all chunks were received.
     pub(crate) fn has_all_chunks(&self) -> bool {
         self.next >= self.chunks
     }
 
-    /// The last entry that is there.
+    /// The position of the last entry received.
     pub(crate) fn last(&self) -> LogPosition {
         self.entries
             .last()
             .map_or(self.position, |entry| entry.position)
     }
 
-    /// Forgets the entries: another source may not have those that are not committed.
+    /// Drops the entries: a new source may lack those that are not committed.
     pub(crate) fn forget_entries(&mut self) {
         self.entries.clear();
     }
--- a/system/control/src/snapshot_transfer.rs
+++ b/system/control/src/snapshot_transfer.rs
@@ -1,9 +1,10 @@
 //! The transfer of a snapshot from one replica to another.
 //!
-//! The source takes a snapshot and offers it; the follower requests the chunks, a few at a time, restores the state, and
-//! then requests the entries that have come since. Only when it has those too it puts all of it, with one checkpoint, into
-//! the place of what it had: until then its disk still counts for what it holds. Neither side has more than a few chunks
-//! in memory, and no write waits for any of it. After a break, also one by a change of the view, it goes on where it was.
+//! The source takes a snapshot and offers it. The follower requests the chunks, a few at a time, restores the state,
+//! and then requests the entries after the snapshot. Only once it has these entries too, it replaces its state with a
+//! single checkpoint; until then its old state stays valid. Neither side buffers more than a few encoded chunks, and
+//! no write waits for the transfer. After an interruption, for example by a view change, the transfer resumes with the
+//! next missing chunk.
 use crate::{
     chain_state::Activity,
     log::{EntryBatch, Log},
@@ -14,12 +15,12 @@
 use magpiegap_protocol::{fnv1a, LogIndex, LogPosition, Millis, PeerMessage, ReplicaId};
 use std::fmt;
 
-/// How many chunks are requested before the first of them has come.
+/// Maximum number of requested chunks that are in flight.
 const MAX_CHUNKS_IN_FLIGHT: u32 = 4;
-/// A snapshot of which nobody has requested a chunk for this long is dropped.
+/// An offered snapshot of which no chunk was requested for this long is dropped.
 const OUTGOING_SNAPSHOT_TTL_MS: Millis = 5000;
 
-/// A chunk of a snapshot, as it was received.
+/// A received chunk of a snapshot.
 #[derive(Clone, Debug)]
 pub(crate) struct Chunk {
     pub position: LogPosition,
@@ -29,7 +30,7 @@
 }
 
 impl Replica {
-    /// Offers a follower a snapshot.
+    /// Offers a snapshot to a follower. The previous one is reused while the log still covers the entries after it.
     pub(crate) fn offer_snapshot(
         &mut self,
         to: ReplicaId,
@@ -55,7 +56,7 @@
         self.send(to.member.address, offer);
     }
 
-    /// Handles a request for a chunk of an offered snapshot; where that is no longer there, another one is offered.
+    /// Handles a request for a chunk of an offered snapshot. When that snapshot was dropped, another one is offered.
     pub(crate) fn handle_chunk_request(
         &mut self,
         to: ReplicaId,
@@ -90,7 +91,7 @@
         self.send(to.member.address, chunk);
     }
 
-    /// Drops a snapshot that nobody requests any more.
+    /// Drops the offered snapshot when it is no longer requested.
     pub(crate) fn expire_outgoing_snapshot(&mut self, now: Millis) {
         let idle = |outgoing: &OutgoingSnapshot| {
             now >= outgoing.last_requested_at + OUTGOING_SNAPSHOT_TTL_MS
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Handles the offer of a snapshot by the source.
+    /// Handles a snapshot offer from the source.
     pub(crate) fn handle_snapshot_offer(
         &mut self,
         position: LogPosition,
@@ -128,7 +129,8 @@
         self.request_missing_now(now);
     }
 
-    /// Requests the next chunks of the incoming snapshot; `false` when there is none, or all chunks are there.
+    /// Requests the next chunks of the incoming snapshot. Returns `false` when there is no incoming snapshot, or all
+    /// chunks were received.
     pub(crate) fn request_chunks(&mut self, source: ReplicaId) -> bool {
         let Some(incoming) = self
             .chain
@@ -180,7 +182,7 @@
             return;
         }
         if fnv1a(bytes) != checksum {
-            self.reject_snapshot(from, number, "its checksum differs");
+            self.reject_snapshot(from, number, "checksum mismatch");
             return;
         }
         if let Err(error) = machine.add_chunk(bytes) {
@@ -199,13 +201,13 @@
         }
     }
 
-    /// Whether all chunks of an incoming snapshot are there, so that the entries after it are what is missing.
+    /// Whether there is an incoming snapshot with all chunks, so that only entries are missing.
     pub(crate) fn is_incoming_snapshot_received(&self) -> bool {
         let incoming = self.chain.incoming.as_ref();
         incoming.is_some_and(IncomingSnapshot::has_all_chunks)
     }
 
-    /// Adds entries to an incoming snapshot of which all chunks are there; after the last of them it is installed.
+    /// Adds a batch of entries to the fully received snapshot. After the last batch the snapshot is installed.
     pub(crate) fn extend_incoming_snapshot(
         &mut self,
         after: LogIndex,
@@ -227,22 +229,22 @@
         }
     }
 
-    /// Gives up an incoming snapshot for one of its chunks; it is offered again.
+    /// Discards the incoming snapshot because of an invalid chunk. Later requests make the source offer one again.
     fn reject_snapshot(&mut self, from: ReplicaId, number: u32, error: impl fmt::Display) {
         self.chain.incoming = None;
         self.log(format!(
-            "snapshot chunk {number} of {} is rejected: {error}",
+            "rejected snapshot chunk {number} from {}: {error}",
             from.member
         ));
     }
 
-    /// Replaces what this replica had by the incoming snapshot and the entries after it.
+    /// Replaces this replica's state and log by the incoming snapshot and the entries after it.
     fn install_snapshot(&mut self, now: Millis, machine: &mut dyn StateMachine) {
         let Some(incoming) = self.chain.incoming.take() else {
             return;
         };
         if let Err(error) = machine.finish_restore(incoming.position) {
-            self.log(format!("the incoming snapshot can't be used: {error}"));
+            self.log(format!("failed to install the incoming snapshot: {error}"));
             return;
         }
         self.chain.applied = incoming.position.index;
--- a/system/control/src/state_machine.rs
+++ b/system/control/src/state_machine.rs
@@ -1,60 +1,60 @@
-//! The replicated state as the replica below it sees it: something that entries are applied to, of which snapshots can be
-//! taken, and that can be restored from the chunks of one.
+//! The interface of the replicated state: entries are applied to it, snapshots are taken of it, and it is restored
+//! from the chunks of a snapshot.
 use magpiegap_protocol::{DecodeError, Entry, LogPosition};
 use std::{fmt, sync::Arc};
 
-/// A state at one moment, which does not change any more. Its chunks are encoded one at a time, when they are needed.
+/// An immutable state at one log position. Its chunks are encoded one at a time, on demand.
 pub trait StateSnapshot: fmt::Debug + Send + Sync {
-    /// The last entry applied to it.
+    /// The last entry applied to this state.
     fn position(&self) -> LogPosition;
-    /// How many chunks it has, at least one.
+    /// The number of chunks; at least one.
     fn chunks(&self) -> u32;
-    /// One of its chunks, encoded; empty for one that it does not have.
+    /// Encodes a chunk; empty when there is no chunk with this number.
     fn chunk(&self, number: u32) -> Vec<u8>;
 }
 
-/// The replicated state.
+/// The replicated state machine.
 pub trait StateMachine {
     /// Applies the next entry.
     fn apply(&mut self, entry: &Entry);
     /// The last entry applied.
     fn position(&self) -> LogPosition;
-    /// The state as it is now.
+    /// Takes a snapshot of the current state.
     fn snapshot(&self) -> Arc<dyn StateSnapshot>;
-    /// Begins to restore another state. The present one stays until that is complete.
+    /// Begins to restore another state. The current state stays in place until `finish_restore` succeeds.
     fn begin_restore(&mut self);
-    /// Adds the next chunk.
+    /// Adds the next chunk of the state to be restored.
     ///
     /// # Errors
-    /// When the bytes are none.
+    /// When the bytes are not a valid chunk.
     fn add_chunk(&mut self, chunk: &[u8]) -> Result<(), RestoreError>;
-    /// Replaces the present state by the restored one.
+    /// Replaces the current state by the restored one.
     ///
     /// # Errors
-    /// When that is not complete, or not the state at this position; the present one stays.
+    /// When the restored state is incomplete or at another position; the current state stays in place.
     fn finish_restore(&mut self, position: LogPosition) -> Result<(), RestoreError>;
 }
 
 /// Why a state could not be restored from a snapshot.
 #[derive(Debug, thiserror::Error)]
 pub enum RestoreError {
-    /// A chunk can't be read.
-    #[error("a chunk can't be read: {0}")]
+    /// A chunk can't be decoded.
+    #[error("cannot decode a snapshot chunk: {0}")]
     Chunk(#[from] DecodeError),
     /// Chunks are missing.
-    #[error("it is not complete")]
+    #[error("snapshot is incomplete")]
     Incomplete,
-    /// The chunks are those of a state at another position.
-    #[error("it is the state at {found:?}, and not at {expected:?}")]
+    /// The chunks are from a state at another position.
+    #[error("snapshot is at {found:?}, expected {expected:?}")]
     OtherPosition {
-        /// Where the snapshot was said to be.
+        /// The position announced for the snapshot.
         expected: LogPosition,
-        /// Where it is.
+        /// The position found in its chunks.
         found: LogPosition,
     },
 }
 
-/// A snapshot as its encoded chunks.
+/// A snapshot held as encoded chunks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EncodedSnapshot {
     position: LogPosition,
@@ -62,7 +62,7 @@
 }
 
 impl EncodedSnapshot {
-    /// A snapshot of these chunks.
+    /// Creates a snapshot from encoded chunks.
     pub fn new(position: LogPosition, chunks: Vec<Vec<u8>>) -> EncodedSnapshot {
         EncodedSnapshot { position, chunks }
     }
@@ -85,10 +85,10 @@
     }
 }
 
-/// Restores a machine from a snapshot.
+/// Restores a state machine from a snapshot.
 ///
 /// # Errors
-/// When that can't be read; the machine keeps its state.
+/// When the snapshot can't be restored; the state machine keeps its state.
 pub fn restore(
     machine: &mut dyn StateMachine,
     state: &dyn StateSnapshot,
--- a/system/control/src/time_of_day.rs
+++ b/system/control/src/time_of_day.rs
@@ -1,56 +1,58 @@
-//! The time of day of one machine, without the jumps that its clock may make.
+//! The time of day of a machine, with jumps of its wall clock filtered out.
 use magpiegap_protocol::{Millis, WallMillis};
 
-/// A smaller difference from what the steady clock tells is drift, and is followed at once.
-const JUMP_MS: u64 = 250;
-/// A jump that has lasted for this long is a correction, and is followed.
-const CORRECTION_AFTER_MS: Millis = 60_000;
-/// A clock that has been read for less than this is followed in any case: its first reading may have been amid a jump.
+/// A change of the offset to the steady clock by at most this much is drift, and is accepted at once.
+const MAX_DRIFT_MS: u64 = 250;
+/// A jump that has persisted for this long is a correction of the clock, and is accepted.
+const CORRECTION_DELAY_MS: Millis = 60_000;
+/// Every offset is accepted for this long after the first reading, which may have been taken during a jump.
 const WARM_UP_MS: Millis = 15_000;
 
-/// What a clock shows beside the steady clock: its reading less that of the steady clock.
+/// A wall clock's reading minus that of the steady clock, in milliseconds.
 type Offset = i64;
 
-/// An offset, and since when it has been shown.
+/// An offset, and when it was first observed.
 #[derive(Clone, Copy, Debug)]
-struct Shown {
+struct ObservedOffset {
     since: Millis,
     offset: Offset,
 }
 
-/// Reads a clock that may jump.
+/// Filters the readings of a wall clock that may jump.
 #[derive(Clone, Debug, Default)]
 pub struct TimeOfDay {
-    /// The offset that is believed; `since` is when the clock was first read.
-    believed: Option<Shown>,
-    /// Another offset that the clock shows at present.
-    jumped: Option<Shown>,
+    /// The accepted offset; `since` is when the clock was first read.
+    accepted: Option<ObservedOffset>,
+    /// A different offset that the clock currently shows, and that may be a correction.
+    candidate: Option<ObservedOffset>,
 }
 
 impl TimeOfDay {
-    /// The time of day when the steady clock shows `now` and the machine's clock `wall`.
+    /// The time of day, given the readings of the steady clock and of the machine's wall clock.
     pub fn read(&mut self, now: Millis, wall: WallMillis) -> WallMillis {
         let offset = wall.0 as Offset - now as Offset;
-        let shown = Shown { since: now, offset };
-        let mut believed = *self.believed.get_or_insert(shown);
-        if self.follows(believed, shown) {
-            believed.offset = offset;
-            self.believed = Some(believed);
-            self.jumped = None;
+        let observed = ObservedOffset { since: now, offset };
+        let mut accepted = *self.accepted.get_or_insert(observed);
+        if self.accepts(accepted, observed) {
+            accepted.offset = offset;
+            self.accepted = Some(accepted);
+            self.candidate = None;
         }
-        WallMillis(u64::try_from(now as Offset + believed.offset).unwrap_or(0))
+        WallMillis(u64::try_from(now as Offset + accepted.offset).unwrap_or(0))
     }
 
-    /// Whether the offset that is shown now is to be believed; one that is not is remembered.
-    fn follows(&mut self, believed: Shown, shown: Shown) -> bool {
-        let now = shown.since;
-        if is_close(shown, believed) || now < believed.since + WARM_UP_MS {
+    /// Whether the observed offset is accepted; otherwise it is remembered as the candidate.
+    fn accepts(&mut self, accepted: ObservedOffset, observed: ObservedOffset) -> bool {
+        let now = observed.since;
+        if is_close(observed, accepted) || now < accepted.since + WARM_UP_MS {
             return true;
         }
-        match self.jumped {
-            Some(jumped) if is_close(jumped, shown) => now >= jumped.since + CORRECTION_AFTER_MS,
+        match self.candidate {
+            Some(candidate) if is_close(candidate, observed) => {
+                now >= candidate.since + CORRECTION_DELAY_MS
+            }
             _ => {
-                self.jumped = Some(shown);
+                self.candidate = Some(observed);
                 false
             }
         }
@@ -58,6 +60,6 @@
 }
 
 /// Whether two offsets differ by drift only.
-fn is_close(one: Shown, other: Shown) -> bool {
-    one.offset.abs_diff(other.offset) <= JUMP_MS
+fn is_close(left: ObservedOffset, right: ObservedOffset) -> bool {
+    left.offset.abs_diff(right.offset) <= MAX_DRIFT_MS
 }
--- a/system/control/src/tolerance.rs
+++ b/system/control/src/tolerance.rs
@@ -1,20 +1,21 @@
-//! What may be lost at once, and which replicas and voters suffice for it.
+//! The losses that are tolerated, and whether a set of replicas or voters withstands them.
 use magpiegap_protocol::{FailureDomainId, Location};
 use std::collections::BTreeMap;
 
-/// What may be lost at once while everything is kept: so many machines, or all that is in so many zones or regions.
+/// How much may be lost at once without losing committed data: this many machines, or everything in this many zones or
+/// regions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tolerance {
-    /// Machines.
+    /// The number of machines that may be lost.
     pub machines: usize,
-    /// Zones.
+    /// The number of zones that may be lost.
     pub zones: usize,
-    /// Regions.
+    /// The number of regions that may be lost.
     pub regions: usize,
 }
 
 impl Tolerance {
-    /// A tolerance of machines only.
+    /// Tolerates the loss of machines only.
     pub fn of_machines(machines: usize) -> Tolerance {
         Tolerance {
             machines,
@@ -23,18 +24,20 @@
         }
     }
 
-    /// Whether one of the replicas at these locations is left after any loss. Unknown zones and regions count as one.
+    /// Whether at least one of the replicas at these locations survives any tolerated loss. All unknown zones count as
+    /// one zone, and all unknown regions as one region.
     pub fn keeps_replica(&self, locations: &[Location]) -> bool {
         locations.len() > self.machines
             && count_by(locations, |location| location.zone).len() > self.zones
             && count_by(locations, |location| location.region).len() > self.regions
     }
 
-    /// Whether a majority of the voters at these locations is left after any loss. Unknown zones and regions count as one.
+    /// Whether a majority of the voters at these locations survives any tolerated loss. All unknown zones count as one
+    /// zone, and all unknown regions as one region.
     pub fn keeps_majority(&self, locations: &[Location]) -> bool {
         let majority = locations.len() / 2 + 1;
-        let zones = largest(count_by(locations, |location| location.zone), self.zones);
-        let regions = largest(
+        let zones = sum_of_largest(count_by(locations, |location| location.zone), self.zones);
+        let regions = sum_of_largest(
             count_by(locations, |location| location.region),
             self.regions,
         );
@@ -42,7 +45,7 @@
         locations.len().saturating_sub(lost) >= majority
     }
 
-    /// How many voters are needed where each is in a failure domain of its own.
+    /// The minimum number of voters, which suffices when each is in a failure domain of its own.
     pub fn min_voters(&self) -> usize {
         2 * self.machines.max(self.zones).max(self.regions) + 1
     }
@@ -59,9 +62,9 @@
     counts
 }
 
-/// How many are in the so many largest failure domains.
-fn largest(counts: BTreeMap<FailureDomainId, usize>, domains: usize) -> usize {
+/// The number of locations in the largest `domains` failure domains.
+fn sum_of_largest(counts: BTreeMap<FailureDomainId, usize>, domains: usize) -> usize {
     let mut counts: Vec<usize> = counts.into_values().collect();
-    counts.sort_unstable_by(|one, other| other.cmp(one));
+    counts.sort_unstable_by(|left, right| right.cmp(left));
     counts.into_iter().take(domains).sum()
 }
--- a/system/control/src/view_change.rs
+++ b/system/control/src/view_change.rs
@@ -1,15 +1,15 @@
-//! The change of the view: when the next one is proposed, why, and by whom. The messages of the agreement on it are in
-//! `voting`, the members of the next view in `view_composition`.
+//! View changes: when the next view is proposed, why, and by which replica. Message handling is in `voting`; the
+//! members of the next view are chosen in `view_composition`.
 use crate::{peer::Peer, replica::Replica, view_reason::ViewReason};
 use magpiegap_protocol::{Millis, PeerMessage, ReplicaId};
 use std::collections::BTreeSet;
 
-/// A member of the chain that is not active is replaced, or taken in anew, after this time.
-const IDLE_MEMBER_MS: Millis = 500;
+/// A chain member that has not become active this long after the start of the view triggers a view change.
+const IDLE_MEMBER_TIMEOUT_MS: Millis = 500;
 
 impl Replica {
-    /// Proposes the next view when one is needed and it is this replica's turn.
-    pub(crate) fn check_view(&mut self, now: Millis) {
+    /// Proposes the next view when one is needed and this replica may start a round now.
+    pub(crate) fn propose_view_if_needed(&mut self, now: Millis) {
         if self.own_disk.is_stale() {
             return;
         }
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Why another view is needed; `None`: it is not.
+    /// The reason for a view change; `None` when none is needed or too few voters are available for it.
     fn reason_for_view(&self, available: &[ReplicaId], now: Millis) -> Option<ViewReason> {
         let current = self.agreement.current();
         let voters = available
@@ -54,18 +54,18 @@
         if let Some(newcomer) = next_chain.difference(&chain).next() {
             return Some(ViewReason::Newcomer(*newcomer));
         }
-        if let Some(departed) = chain.difference(&next_chain).next() {
-            return Some(ViewReason::Departed(*departed));
+        if let Some(unavailable) = chain.difference(&next_chain).next() {
+            return Some(ViewReason::Unavailable(*unavailable));
         }
         if self.agreement.is_sealed() {
-            return Some(ViewReason::Unfinished);
+            return Some(ViewReason::IncompleteRound);
         }
         self.idle_chain_member(now).map(ViewReason::Idle)
     }
 
-    /// A member of the chain that is reachable and has not been active for a while.
+    /// A chain member that is in the current view but does not serve, once the view is old enough.
     fn idle_chain_member(&self, now: Millis) -> Option<ReplicaId> {
-        if self.view_timer.view_age(now) < IDLE_MEMBER_MS {
+        if self.view_timer.view_age(now) < IDLE_MEMBER_TIMEOUT_MS {
             return None;
         }
         let current = self.agreement.current();
@@ -78,8 +78,8 @@
         current.chain.iter().find(is_idle).copied()
     }
 
-    /// How many replicas propose before this one; `None` when it has no vote, or is outside of a chain of which others
-    /// are available: they know better who can be a member.
+    /// The number of candidates that propose before this replica. `None` when this replica has no vote, or is outside
+    /// the chain while voters in the chain are available: those know better which replicas can be members.
     fn proposer_rank(&self, available: &[ReplicaId]) -> Option<u64> {
         let current = self.agreement.current();
         let mut candidates: Vec<ReplicaId> = available
@@ -106,7 +106,7 @@
             return;
         };
         let number = self.agreement.next_number();
-        self.log(format!("proposes view {number}: {reason}"));
+        self.log(format!("proposing view {number}: {reason}"));
         let message = PeerMessage::Prepare { number, ballot };
         self.send_to_voters(&message);
     }
--- a/system/control/src/view_composition.rs
+++ b/system/control/src/view_composition.rs
@@ -3,11 +3,11 @@
 use magpiegap_protocol::{Location, LogPosition, Member, MemberLocation, Millis, ReplicaId, View};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most voters of a view: more of them make agreement slow.
+/// Maximum number of voters of a view: agreement gets slower with each voter.
 const MAX_VOTERS: usize = 9;
 
 impl Replica {
-    /// Whether this replica's disk has all that was committed so far.
+    /// Whether this replica's disk holds all committed entries.
     pub(crate) fn is_complete(&self) -> bool {
         let current = self.agreement.current();
         !self.own_disk.is_stale()
@@ -16,8 +16,8 @@
                 .is_some_and(|view| current.complete_since(view, &self.settings.own.member))
     }
 
-    /// All replicas that are reachable and fit, this one included. The unfit ones count where there would be too few
-    /// without them: a slow disk is better than none.
+    /// All replicas that are reachable and fit, including this one. When the fit replicas alone do not meet the fault
+    /// tolerance, the unfit ones are included: a slow disk is better than none.
     pub(crate) fn available(&self, now: Millis) -> Vec<ReplicaId> {
         let peers = self.available_peers(now);
         let mut reachable: Vec<ReplicaId> = peers.iter().map(|peer| peer.replica).collect();
@@ -43,8 +43,8 @@
         }
     }
 
-    /// The members of the next chain. A replica that has yet to catch up stays outside of it meanwhile, unless there
-    /// would be too few without it: nothing could be committed then anyway.
+    /// The members of the next chain. A replica that has not caught up stays outside, unless the chain would not meet
+    /// the fault tolerance without it: such a chain could not commit anything.
     pub(crate) fn next_chain(&self, available: &[ReplicaId], now: Millis) -> Vec<ReplicaId> {
         let chain = &self.agreement.current().chain;
         let own = self.settings.own;
@@ -60,17 +60,17 @@
             .copied()
             .filter(|replica| chain.contains(replica))
             .collect();
-        let chain_goes_on = !ready.is_empty();
+        let any_member_left = !ready.is_empty();
         for newcomer in available
             .iter()
             .filter(|replica| !chain.contains(replica) && caught_up(replica))
         {
-            // One that some of the chain does not hear would be left out again at once.
+            // A newcomer without a connection to some chain member would be removed again at once.
             let connected = *newcomer == own
                 || self
                     .membership
                     .reports_connection_to(&newcomer.member, &ready, now);
-            if connected || !chain_goes_on {
+            if connected || !any_member_left {
                 ready.push(*newcomer);
             }
         }
@@ -80,26 +80,27 @@
         available.to_vec()
     }
 
-    /// The other replicas that are available. A newcomer has to be stable, unless all voters are back and nobody serves:
-    /// then it disturbs nobody, and all of them wait for the view.
+    /// The other replicas that are available. A newcomer must be stable, unless all voters are reachable and no
+    /// replica serves: then a view change interrupts no service, and all of them wait for one.
     pub(crate) fn available_peers(&self, now: Millis) -> Vec<Peer> {
         let heard = self.membership.reachable(now);
         let current = self.agreement.current();
-        let is_back = |voter: &Member| {
+        let is_reachable = |voter: &Member| {
             *voter == self.settings.own.member
                 || heard.iter().any(|peer| peer.replica.member == *voter)
         };
-        let all_back = current.voters.iter().all(is_back);
-        let served = self.is_serving() || heard.iter().any(|peer| peer.status.serving);
-        if all_back && !served {
+        let all_reachable = current.voters.iter().all(is_reachable);
+        let any_serving = self.is_serving() || heard.iter().any(|peer| peer.status.serving);
+        if all_reachable && !any_serving {
             return heard;
         }
-        let belongs =
+        let is_eligible =
             |peer: &Peer| Membership::is_stable(peer, now) || current.chain.contains(&peer.replica);
-        heard.into_iter().filter(belongs).collect()
+        heard.into_iter().filter(is_eligible).collect()
     }
 
-    /// The next view: all that are available and have caught up, led by one that has all that was committed.
+    /// The next view. Its chain has a replica that holds all committed entries as its head; `None` when there is no
+    /// such replica.
     pub(crate) fn compose_next_view(
         &self,
         current: &View,
@@ -126,7 +127,7 @@
         })
     }
 
-    /// The location of a member, as far as that is known.
+    /// The location of a member, as far as it is known.
     fn location(&self, member: &Member) -> Location {
         if *member == self.settings.own.member {
             return self.settings.location;
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Whether any loss that is tolerated keeps one of these replicas.
+    /// Whether at least one of these replicas survives any tolerated loss.
     pub(crate) fn keeps_replica(&self, replicas: &[ReplicaId]) -> bool {
         let locations: Vec<Location> = replicas
             .iter()
@@ -146,6 +147,7 @@
         self.settings.tolerance.keeps_replica(&locations)
     }
 
+    /// Whether a majority of these voters survives any tolerated loss.
     fn keeps_majority(&self, voters: &[Member]) -> bool {
         let locations: Vec<Location> = voters.iter().map(|voter| self.location(voter)).collect();
         self.settings.tolerance.keeps_majority(&locations)
@@ -166,8 +168,8 @@
             .collect()
     }
 
-    /// The voters of the next view: a machine with a new disk takes the seat of its old one, a newcomer that of a
-    /// voter that has departed, or one more seat while there are too few.
+    /// The voters of the next view. A machine with a new disk replaces its own old disk as a voter. Any other newcomer
+    /// replaces an unavailable voter, or is added while there are too few voters.
     fn next_voters(
         &self,
         current: &View,
@@ -175,7 +177,8 @@
         chain: &[ReplicaId],
     ) -> Vec<Member> {
         let mut voters = current.voters.clone();
-        let is_alive = |member: &Member| available.iter().any(|replica| replica.member == *member);
+        let is_available =
+            |member: &Member| available.iter().any(|replica| replica.member == *member);
         for newcomer in chain.iter().map(|replica| replica.member) {
             if voters.contains(&newcomer) {
                 continue;
@@ -184,8 +187,8 @@
             let same_machine = voters
                 .iter()
                 .position(|voter| voter.address == newcomer.address);
-            let departed = voters.iter().position(|voter| !is_alive(voter));
-            match same_machine.or_else(|| departed.filter(|_| !too_few)) {
+            let unavailable = voters.iter().position(|voter| !is_available(voter));
+            match same_machine.or_else(|| unavailable.filter(|_| !too_few)) {
                 Some(position) => voters[position] = newcomer,
                 None if too_few => voters.push(newcomer),
                 None => {}
@@ -196,24 +199,26 @@
         voters
     }
 
-    /// Whether one more voter is needed: there are few, or the loss of a zone or region would take a majority.
+    /// Whether another voter is needed: there are fewer than the minimum, or the loss of a zone or region would take a
+    /// majority.
     fn too_few_voters(&self, voters: &[Member]) -> bool {
-        let few = voters.len() < self.settings.tolerance.min_voters();
-        few || (voters.len() < MAX_VOTERS && !self.keeps_majority(voters))
+        let below_minimum = voters.len() < self.settings.tolerance.min_voters();
+        below_minimum || (voters.len() < MAX_VOTERS && !self.keeps_majority(voters))
     }
 
-    /// Where one zone or region has so many voters that its loss would take a majority, some of them give up their vote.
+    /// Removes voters from the largest zone, down to the minimum number of voters, while the loss of a zone or region
+    /// would take a majority.
     fn drop_surplus_voters(&self, voters: &mut Vec<Member>, available: &[ReplicaId]) {
         let min_voters = self.settings.tolerance.min_voters();
         while voters.len() > min_voters && !self.keeps_majority(voters) {
             let surplus = voters.iter().copied().max_by_key(|member| {
                 let zone = self.location(member).zone;
-                let beside = voters
+                let voters_in_zone = voters
                     .iter()
                     .filter(|voter| self.location(voter).zone == zone)
                     .count();
-                let departed = !available.iter().any(|replica| replica.member == *member);
-                (beside, departed)
+                let unavailable = !available.iter().any(|replica| replica.member == *member);
+                (voters_in_zone, unavailable)
             });
             voters.retain(|voter| Some(*voter) != surplus);
         }
--- a/system/control/src/view_reason.rs
+++ b/system/control/src/view_reason.rs
@@ -1,29 +1,33 @@
-//! Why another view is needed.
+//! The reason for a view change.
 use magpiegap_protocol::ReplicaId;
 use std::fmt;
 
-/// Why another view is needed.
+/// Why a view change is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ViewReason {
-    /// A replica outside of the chain can become a member.
+    /// A replica outside the chain can join it.
     Newcomer(ReplicaId),
-    /// A member of the chain has departed, or is unfit.
-    Departed(ReplicaId),
-    /// The agreement on the next view was begun by another replica and led to nothing.
-    Unfinished,
-    /// A member of the chain is reachable and not active.
+    /// A chain member is unreachable or unfit.
+    Unavailable(ReplicaId),
+    /// A round for the next view was started and did not complete, so this replica is sealed.
+    IncompleteRound,
+    /// A chain member is reachable but does not serve.
     Idle(ReplicaId),
 }
 
 impl fmt::Display for ViewReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ViewReason::Newcomer(replica) => write!(formatter, "{} can take part", replica.member),
-            ViewReason::Departed(replica) => write!(formatter, "{} is gone", replica.member),
-            ViewReason::Unfinished => {
-                write!(formatter, "its agreement was begun and led to nothing")
+            ViewReason::Newcomer(replica) => {
+                write!(formatter, "{} can join the chain", replica.member)
             }
-            ViewReason::Idle(replica) => write!(formatter, "{} does not take part", replica.member),
+            ViewReason::Unavailable(replica) => {
+                write!(formatter, "{} is unavailable", replica.member)
+            }
+            ViewReason::IncompleteRound => {
+                write!(formatter, "an earlier round for it did not complete")
+            }
+            ViewReason::Idle(replica) => write!(formatter, "{} does not serve", replica.member),
         }
     }
 }
--- a/system/control/src/voting.rs
+++ b/system/control/src/voting.rs
@@ -1,5 +1,5 @@
-//! The messages of the agreement on the next view, at its voters and at its proposer. The rules of Paxos are in
-//! `agreement`; when a round starts is decided in `view_change`.
+//! Message handling of the agreement on the next view, for voters and proposer. The Paxos rules are in `agreement`;
+//! when a round starts is decided in `view_change`.
 use crate::{
     agreement::ProposedView, disk_tickets::OnDurable, durable_state::DurableRecord,
     replica::Replica, StateMachine,
@@ -9,11 +9,11 @@
 };
 use std::collections::BTreeSet;
 
-/// How long a proposer waits for more than a majority of promises.
+/// How long after the start of a round a proposer that has a majority of promises waits for the other available voters.
 const PROMISE_WAIT_MS: Millis = 60;
 
 impl Replica {
-    /// Sends a message to all that vote on the next view.
+    /// Sends a message to all voters of the current view, which decide on the next one.
     pub(crate) fn send_to_voters(&mut self, message: &PeerMessage) {
         let voters: Vec<Member> = self.agreement.current().voters.clone();
         for voter in voters {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Handles a prepare: a proposer starts a round of the agreement on the next view.
+    /// Handles a prepare request, with which a proposer starts a round for the next view.
     pub(crate) fn handle_prepare(
         &mut self,
         from: ReplicaId,
@@ -56,9 +56,9 @@
         }
     }
 
-    /// Whether this replica votes on that view. A proposer that lies behind is sent the newest one.
+    /// Whether this replica may vote on a view. A proposer with an outdated view is sent the current one.
     fn votes_on(&mut self, from: ReplicaId, number: ViewNumber) -> bool {
-        if !self.started {
+        if !self.is_recovered_state_durable {
             return false;
         }
         let current = self.agreement.current();
@@ -71,7 +71,7 @@
         number == current.number.next() && votes && self.own_disk.is_confirmed()
     }
 
-    /// Handles a promise: a voter takes part in this replica's round.
+    /// Handles a voter's promise for this replica's round.
     pub(crate) fn handle_promise(&mut self, from: ReplicaId, promise: Promise, now: Millis) {
         let number = self.agreement.next_number();
         let voter = self.agreement.current().voters.contains(&from.member);
@@ -88,7 +88,7 @@
         self.propose_view(now);
     }
 
-    /// Proposes a view once enough voters take part.
+    /// Proposes a view once enough voters have promised.
     pub(crate) fn propose_view(&mut self, now: Millis) {
         let current = self.agreement.current().clone();
         let available = self.available(now);
@@ -118,7 +118,7 @@
         self.send_to_voters(&PeerMessage::Accept { ballot, view });
     }
 
-    /// Handles an accept request: a proposer requests that a view be accepted.
+    /// Handles an accept request, with which a proposer asks the voters to accept a view.
     pub(crate) fn handle_accept(
         &mut self,
         from: ReplicaId,
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Handles the acceptance, by a voter, of the view of this replica's round.
+    /// Handles a voter's acceptance of the view that this replica proposed.
     pub(crate) fn handle_accepted(
         &mut self,
         from: ReplicaId,
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Handles a rejection: a higher ballot is in flight.
+    /// Handles a rejection: the voter has promised a higher ballot.
     pub(crate) fn handle_reject(&mut self, number: ViewNumber, promised: Ballot, now: Millis) {
         if number != self.agreement.next_number() {
             return;
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Handles a view that was agreed.
+    /// Handles a decided view.
     pub(crate) fn handle_decided(
         &mut self,
         view: &View,
@@ -236,17 +236,17 @@
         self.enter_view(view, now, machine);
     }
 
-    /// Writes the state of the agreement to disk, then does what rests on it.
-    pub(crate) fn persist_agreement(&mut self, after: Vec<OnDurable>, now: Millis) {
+    /// Writes the state of the agreement to disk; `effects` take place once it is durable.
+    pub(crate) fn persist_agreement(&mut self, effects: Vec<OnDurable>, now: Millis) {
         let state = self.durable_agreement();
-        let mut on_durable = after;
+        let mut on_durable = effects;
         on_durable.push(OnDurable::votes_of(&state));
         let record = DurableRecord::Agreement(Box::new(state));
         self.persist(vec![record], on_durable, now);
     }
 }
 
-/// The chain and the number of voters, for the operator's log.
+/// Formats the chain and the number of voters for the operator's log.
 fn describe(view: &View) -> String {
     let chain: Vec<String> = view
         .chain
