--- a/system/control/tests/common/counting_state.rs
+++ b/system/control/tests/common/counting_state.rs
@@ -1,12 +1,12 @@
-//! A state that counts what was applied to it.
+//! A state machine that records which entries were applied.
 use magpiegap_control::{RestoreError, StateMachine, StateSnapshot};
 use magpiegap_protocol::{decode, encode, Entry, LogPosition, ProposalId};
 use std::sync::Arc;
 
-/// How many chunks a snapshot has.
+/// The number of chunks of a snapshot.
 const CHUNKS: u32 = 9;
 
-/// Counts what was applied, and remembers what that was until that is taken.
+/// A state that consists of the position of the last entry. It also records applied entries until they are taken.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CountingState {
     pub position: LogPosition,
@@ -30,7 +30,7 @@
 }
 
 impl CountingState {
-    /// Takes what was applied since this was last called.
+    /// Takes the entries that were applied since the last call.
     pub(crate) fn take_applied(&mut self) -> Vec<(u64, ProposalId)> {
         std::mem::take(&mut self.applied)
     }
@@ -41,7 +41,7 @@
         assert_eq!(
             entry.position.index,
             self.position.index + 1,
-            "entries are applied in order"
+            "entries must be applied in order"
         );
         self.position = entry.position;
         self.applied.push((entry.position.index.0, entry.proposal));
--- a/system/control/tests/common/disk_change.rs
+++ b/system/control/tests/common/disk_change.rs
@@ -1,17 +1,17 @@
-//! What a disk is to write.
+//! Changes to a simulated disk.
 use magpiegap_control::{DurableRecord, DurableState};
 
-/// A change of a disk that is not confirmed yet.
+/// A change that was submitted to a disk and is not durable yet.
 #[derive(Clone, Debug)]
 pub(crate) enum DiskChange {
-    /// Records behind those before.
+    /// Appends records.
     Records(Vec<DurableRecord>),
-    /// All of it, anew.
+    /// Replaces the content of the disk.
     Checkpoint(Box<DurableState>),
 }
 
 impl DiskChange {
-    /// Makes the change.
+    /// Applies the change to the disk.
     pub(crate) fn apply(self, disk: &mut DurableState) {
         match self {
             DiskChange::Checkpoint(snapshot) => *disk = *snapshot,
--- a/system/control/tests/common/group.rs
+++ b/system/control/tests/common/group.rs
@@ -1,4 +1,4 @@
-//! A group of replicas with disks and a network in memory.
+//! A group of replicas with simulated disks, network and time.
 mod delivery;
 mod machines;
 
@@ -11,16 +11,16 @@
 use rand::rngs::StdRng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Length of one step of time.
+/// The time between two steps of the simulation.
 const STEP_MS: Millis = 5;
-/// How long a sync takes, unless a test says otherwise.
+/// Default duration of a disk sync.
 const SYNC_MS: Millis = 9;
-/// How long a message takes, unless it carries much that a replica is missing.
+/// Default delay of a message.
 const DELAY_MS: Millis = 2;
 
-struct Running {
+struct RunningReplica {
     replica: Replica,
-    machine: CountingState,
+    state: CountingState,
 }
 
 enum Event {
@@ -37,54 +37,54 @@
     },
 }
 
-/// The group.
+/// A simulated group of replicas.
 pub(crate) struct Group {
     pub now: Millis,
     pub tolerance: Tolerance,
-    /// The location of each machine; those not named are in one unknown zone.
+    /// The location of each machine. Machines without an entry are in one unknown zone.
     pub locations: BTreeMap<u32, Location>,
-    /// How long it takes to send a replica that has missed much what it is missing.
+    /// The delay of messages with snapshot chunks or with many missing entries.
     pub catch_up_delay_ms: Millis,
-    /// How long a sync takes.
+    /// Duration of a disk sync.
     pub sync_ms: Millis,
-    /// Those that neither send nor receive.
+    /// Machines that are cut off from all others.
     pub partitioned: BTreeSet<u32>,
-    /// Pairs that don't hear each other, the lower address first.
+    /// Pairs of machines without a link between them, the lower address first.
     pub partitioned_links: BTreeSet<(u32, u32)>,
-    /// Frozen machines, and until when.
+    /// When each frozen machine continues.
     pub frozen_until: BTreeMap<u32, Millis>,
-    /// Draws how long messages and syncs take; `None`: always the same.
+    /// Randomizes message delays and syncs; `None` for fixed durations.
     pub random: Option<StdRng>,
-    /// What was applied under each index, by whichever replica did it first.
+    /// The proposal that was first applied at each index by any replica.
     pub history: BTreeMap<u64, ProposalId>,
-    /// Indexes under which another replica has applied something else.
-    pub contradictions: Vec<u64>,
-    /// Machines whose disks were found to be old copies that are not needed, in that order.
+    /// Indexes at which another replica has applied a different proposal.
+    pub conflicts: Vec<u64>,
+    /// Machines whose disks were reported as superseded and wiped, in order.
     pub superseded: Vec<u32>,
-    /// Those of them that are to start anew.
-    to_empty: Vec<u32>,
-    /// Copies of disks that were taken at some time.
+    /// Machines whose superseded disks are still to be wiped.
+    disks_to_wipe: Vec<u32>,
+    /// Copies taken of disks.
     copies: BTreeMap<u32, DurableState>,
-    running: BTreeMap<u32, Running>,
+    running: BTreeMap<u32, RunningReplica>,
     disks: BTreeMap<u32, DurableState>,
     events: BTreeMap<(Millis, u64), Event>,
-    /// When the last message in flight from one to another arrives.
-    links: BTreeMap<(u32, u32), Millis>,
-    /// When the last work of each disk is done.
-    syncs: BTreeMap<u32, Millis>,
+    /// When the last message in flight on each link, from sender to receiver, arrives.
+    last_arrivals: BTreeMap<(u32, u32), Millis>,
+    /// When each disk completes its last submitted work.
+    disk_busy_until: BTreeMap<u32, Millis>,
     sequence: u64,
     incarnations: u64,
     proposals: u64,
 }
 
 impl Group {
-    /// A group of this size whose members start for the first time.
+    /// Starts a group of this size with empty disks.
     pub(crate) fn start(size: u32, tolerance: usize) -> Group {
-        let places = vec![""; size as usize];
-        Group::start_in_zones(&places, size, Tolerance::of_machines(tolerance))
+        let zones = vec![""; size as usize];
+        Group::start_in_zones(&zones, size, Tolerance::of_machines(tolerance))
     }
 
-    /// A group with a member in each of these zones that start for the first time, the first of them known to all.
+    /// Starts a group with one member per given zone and empty disks. The first `seeds` members are the initial voters.
     pub(crate) fn start_in_zones(zones: &[&str], seeds: u32, tolerance: Tolerance) -> Group {
         let voters: Vec<Member> = (1..=seeds)
             .map(|address| Member { address, disk: 0 })
@@ -106,15 +106,15 @@
             frozen_until: BTreeMap::new(),
             random: None,
             history: BTreeMap::new(),
-            contradictions: Vec::new(),
+            conflicts: Vec::new(),
             superseded: Vec::new(),
-            to_empty: Vec::new(),
+            disks_to_wipe: Vec::new(),
             copies: BTreeMap::new(),
             running: BTreeMap::new(),
             disks: BTreeMap::new(),
             events: BTreeMap::new(),
-            links: BTreeMap::new(),
-            syncs: BTreeMap::new(),
+            last_arrivals: BTreeMap::new(),
+            disk_busy_until: BTreeMap::new(),
             sequence: 0,
             incarnations: 0,
             proposals: 0,
@@ -131,12 +131,12 @@
         group
     }
 
-    /// Whether the process on a machine runs.
-    pub(crate) fn runs(&self, address: u32) -> bool {
+    /// Whether the process on a machine is running.
+    pub(crate) fn is_running(&self, address: u32) -> bool {
         self.running.contains_key(&address)
     }
 
-    /// All machines.
+    /// The addresses of all machines.
     pub(crate) fn addresses(&self) -> Vec<u32> {
         self.disks.keys().copied().collect()
     }
@@ -147,18 +147,18 @@
             .is_some_and(|until| self.now < *until)
     }
 
-    /// Takes note of what replicas have applied.
-    fn compare(&mut self) {
+    /// Records the newly applied entries of all replicas, and any conflicts between them.
+    fn record_applied(&mut self) {
         for running in self.running.values_mut() {
-            for (index, proposal) in running.machine.take_applied() {
+            for (index, proposal) in running.state.take_applied() {
                 if *self.history.entry(index).or_insert(proposal) != proposal {
-                    self.contradictions.push(index);
+                    self.conflicts.push(index);
                 }
             }
         }
     }
 
-    /// A replica that runs.
+    /// The running replica at an address.
     pub(crate) fn replica(&self, address: u32) -> &Replica {
         &self.running[&address].replica
     }
@@ -173,7 +173,7 @@
             .collect()
     }
 
-    /// Number of the newest view.
+    /// The number of the newest view.
     pub(crate) fn view(&self) -> u64 {
         self.running
             .values()
@@ -183,7 +183,7 @@
             .0
     }
 
-    /// The newest entry that any replica knows to be committed.
+    /// The highest commit index of any replica.
     pub(crate) fn committed(&self) -> u64 {
         self.running
             .values()
@@ -195,20 +195,20 @@
 
     /// The last entry that a replica has applied.
     pub(crate) fn applied(&self, address: u32) -> u64 {
-        self.running[&address].machine.position.index.0
+        self.running[&address].state.position.index.0
     }
 
-    /// Lets every replica that holds itself for the head write an entry.
-    pub(crate) fn write_everywhere(&mut self) {
+    /// Proposes an entry at every replica that considers itself the head.
+    pub(crate) fn write_at_all_heads(&mut self) {
         let now = self.now;
-        let awake: Vec<u32> = self
+        let not_frozen: Vec<u32> = self
             .running
             .keys()
             .copied()
             .filter(|at| !self.is_frozen(*at))
             .collect();
-        for address in awake {
-            let Some(Running { replica, machine }) = self.running.get_mut(&address) else {
+        for address in not_frozen {
+            let Some(RunningReplica { replica, state }) = self.running.get_mut(&address) else {
                 continue;
             };
             if !replica.is_head() {
@@ -220,12 +220,12 @@
                 sequence: self.proposals,
             };
             replica.propose(WallMillis(now), proposal, None, Command::Noop);
-            replica.flush(now, machine);
-            self.perform(address);
+            replica.flush(now, state);
+            self.handle_outputs(address);
         }
     }
 
-    /// Lets the head write an entry; `false` when there is none.
+    /// Proposes an entry at the head; `false` when there is none.
     pub(crate) fn write(&mut self) -> bool {
         self.proposals += 1;
         let now = self.now;
@@ -233,7 +233,7 @@
             .running
             .values_mut()
             .find(|running| running.replica.is_head());
-        let Some(Running { replica, machine }) = head else {
+        let Some(RunningReplica { replica, state }) = head else {
             return false;
         };
         let proposal = ProposalId {
@@ -241,11 +241,11 @@
             sequence: self.proposals,
         };
         replica.propose(WallMillis(now), proposal, None, Command::Noop);
-        replica.flush(now, machine);
+        replica.flush(now, state);
         true
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time.
     pub(crate) fn run(&mut self, for_ms: Millis) {
         let until = self.now + for_ms;
         while self.now < until {
@@ -256,13 +256,13 @@
                 if self.is_frozen(address) {
                     continue;
                 }
-                if let Some(Running { replica, machine }) = self.running.get_mut(&address) {
-                    replica.on_timeout(now, WallMillis(now), machine);
+                if let Some(RunningReplica { replica, state }) = self.running.get_mut(&address) {
+                    replica.on_timeout(now, WallMillis(now), state);
                 }
-                self.perform(address);
+                self.handle_outputs(address);
             }
-            self.compare();
-            self.empty_superseded();
+            self.record_applied();
+            self.replace_superseded_disks();
         }
     }
 }
--- a/system/control/tests/common/group/delivery.rs
+++ b/system/control/tests/common/group/delivery.rs
@@ -1,14 +1,15 @@
-//! Messages arrive, disks confirm, and what replicas want is done.
-use super::{Event, Group, Running, DELAY_MS};
+//! Delivery of messages, completion of disk work, and handling of the replicas' outputs.
+use super::{Event, Group, RunningReplica, DELAY_MS};
 use crate::common::disk_change::DiskChange;
 use magpiegap_control::Output;
 use magpiegap_protocol::{Millis, PeerMessage, ReplicaId, WallMillis};
 use rand::Rng;
 
-/// So many missing entries are sent as fast as anything else.
-const FEW_ENTRIES: usize = 5;
-/// Where chance decides, messages and syncs take up to this long.
+/// Messages with more missing entries than this have the catch-up delay.
+const MAX_ENTRIES_WITHOUT_DELAY: usize = 5;
+/// Upper bound of random message delays.
 const MAX_DELAY_MS: Millis = 30;
+/// Upper bound of random sync durations.
 const MAX_SYNC_MS: Millis = 60;
 
 impl Group {
@@ -25,7 +26,7 @@
             };
             if self.is_frozen(at) {
                 let until = self.frozen_until[&at];
-                // It keeps its place: messages on a link arrive, and a disk confirms, in order.
+                // The event keeps its sequence number, so that messages on a link and disk work stay in order.
                 self.events.insert((until, sequence), event);
                 continue;
             }
@@ -45,10 +46,10 @@
 
     fn deliver(&mut self, to: u32, from: ReplicaId, message: PeerMessage) {
         let now = self.now;
-        if let Some(Running { replica, machine }) = self.running.get_mut(&to) {
-            replica.handle_messages(now, WallMillis(now), from, message, machine);
+        if let Some(RunningReplica { replica, state }) = self.running.get_mut(&to) {
+            replica.handle_messages(now, WallMillis(now), from, message, state);
         }
-        self.perform(to);
+        self.handle_outputs(to);
     }
 
     fn handle_persisted(
@@ -63,17 +64,17 @@
             .running
             .get_mut(&address)
             .filter(|running| running.replica.own().incarnation == incarnation);
-        let Some(Running { replica, machine }) = running else {
+        let Some(RunningReplica { replica, state }) = running else {
             return;
         };
-        replica.handle_persisted(ticket, now, machine);
+        replica.handle_persisted(ticket, now, state);
         if let Some(disk) = self.disks.get_mut(&address) {
             change.apply(disk);
         }
-        self.perform(address);
+        self.handle_outputs(address);
     }
 
-    pub(super) fn perform(&mut self, address: u32) {
+    pub(super) fn handle_outputs(&mut self, address: u32) {
         let Some(running) = self.running.get_mut(&address) else {
             return;
         };
@@ -87,7 +88,7 @@
                 Output::Checkpoint { ticket, snapshot } => {
                     self.write_disk(own, ticket, DiskChange::Checkpoint(snapshot));
                 }
-                Output::DiskSuperseded => self.to_empty.push(address),
+                Output::DiskSuperseded => self.disks_to_wipe.push(address),
                 Output::Log(_) => {}
             }
         }
@@ -102,15 +103,20 @@
         }
         let delay = match message {
             PeerMessage::SnapshotChunk { .. } => self.catch_up_delay_ms,
-            PeerMessage::MissingEntries { ref entries, .. } if entries.len() > FEW_ENTRIES => {
+            PeerMessage::MissingEntries { ref entries, .. }
+                if entries.len() > MAX_ENTRIES_WITHOUT_DELAY =>
+            {
                 self.catch_up_delay_ms
             }
-            _ => self.some_time(DELAY_MS, MAX_DELAY_MS),
+            _ => self.duration(DELAY_MS, MAX_DELAY_MS),
         };
         // Messages from one replica to another arrive in order.
-        let link = self.links.entry((from.member.address, to)).or_default();
-        let arrival = (self.now + delay).max(*link);
-        *link = arrival;
+        let last_arrival = self
+            .last_arrivals
+            .entry((from.member.address, to))
+            .or_default();
+        let arrival = (self.now + delay).max(*last_arrival);
+        *last_arrival = arrival;
         let event = Event::Message {
             to,
             from,
@@ -127,18 +133,19 @@
             ticket,
             change: Box::new(change),
         };
-        // A disk does its work in order.
-        let sync = self.some_time(self.sync_ms, MAX_SYNC_MS);
-        let done = self.syncs.entry(address).or_default();
-        *done = (self.now + sync).max(*done);
-        let at = *done;
+        // A disk completes its work in order.
+        let sync = self.duration(self.sync_ms, MAX_SYNC_MS);
+        let busy_until = self.disk_busy_until.entry(address).or_default();
+        *busy_until = (self.now + sync).max(*busy_until);
+        let at = *busy_until;
         self.schedule_at(at, event);
     }
 
-    fn some_time(&mut self, expected: Millis, max: Millis) -> Millis {
+    /// The fixed duration, or a random one up to `max` if the group is randomized.
+    fn duration(&mut self, fixed: Millis, max: Millis) -> Millis {
         self.random
             .as_mut()
-            .map_or(expected, |random| random.gen_range(1..=max))
+            .map_or(fixed, |random| random.gen_range(1..=max))
     }
 
     pub(super) fn schedule_at(&mut self, at: Millis, event: Event) {
--- a/system/control/tests/common/group/machines.rs
+++ b/system/control/tests/common/group/machines.rs
@@ -1,5 +1,5 @@
-//! Machines start, end, lose their disks and are replaced.
-use super::{Event, Group, Running};
+//! Starting, stopping and replacing machines, and losing and restoring their disks.
+use super::{Event, Group, RunningReplica};
 use crate::common::{counting_state::CountingState, disk_change::DiskChange};
 use magpiegap_control::{restore, ControlSettings, DurableState, Replica, StateMachine};
 use magpiegap_protocol::{Member, Millis, ReplicaId};
@@ -25,29 +25,30 @@
             suspicion_timeout_ms: 320,
             seed: self.incarnations,
         };
-        let mut machine = CountingState::default();
-        restore(&mut machine, &*disk.state).expect("the disk holds a state");
+        let mut state = CountingState::default();
+        restore(&mut state, &*disk.state).expect("the state on disk can be restored");
         let replica = Replica::new(settings, disk, self.now);
-        self.running.insert(address, Running { replica, machine });
-        self.perform(address);
+        self.running
+            .insert(address, RunningReplica { replica, state });
+        self.handle_outputs(address);
     }
 
-    /// Ends the process on a machine. What it had not synced is lost.
+    /// Stops the process on a machine as by a power loss: what was not synced is lost.
     pub(crate) fn stop_replica(&mut self, address: u32) {
         self.running.remove(&address);
     }
 
-    /// Ends the process on a machine; its disk gets all that the process had written.
+    /// Kills the process on a machine. Everything that it has written stays on the disk.
     pub(crate) fn kill_replica(&mut self, address: u32) {
         let Some(killed) = self.running.remove(&address) else {
             return;
         };
         let own_incarnation = killed.replica.own().incarnation;
-        let of_process = |event: &Event| matches!(event, Event::Persisted { address: at, incarnation, .. } if *at == address && *incarnation == own_incarnation);
+        let is_of_process = |event: &Event| matches!(event, Event::Persisted { address: at, incarnation, .. } if *at == address && *incarnation == own_incarnation);
         let keys: Vec<(Millis, u64)> = self
             .events
             .iter()
-            .filter(|(_, event)| of_process(event))
+            .filter(|(_, event)| is_of_process(event))
             .map(|(key, _)| *key)
             .collect();
         let mut written: Vec<(u64, Box<DiskChange>)> = Vec::new();
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Empties the disk of a machine whose process does not run.
+    /// Wipes the disk of a machine whose process is stopped.
     pub(crate) fn wipe(&mut self, address: u32) {
         let disk = 1000 + self.incarnations;
         let state = CountingState::default().snapshot();
@@ -72,20 +73,20 @@
             .insert(address, DurableState::empty(disk, None, Vec::new(), state));
     }
 
-    /// Takes a copy of a machine's disk, as it would outlast a loss of power.
+    /// Copies what is synced of a machine's disk.
     pub(crate) fn copy_disk(&mut self, address: u32) {
         self.copies.insert(address, self.disks[&address].clone());
     }
 
-    /// Puts the disk of a machine whose process does not run back from its copy.
-    pub(crate) fn put_back(&mut self, address: u32) {
+    /// Restores the disk of a machine whose process is stopped from its copy.
+    pub(crate) fn restore_disk(&mut self, address: u32) {
         let copy = self.copies[&address].clone();
         self.disks.insert(address, copy);
     }
 
-    /// Machines whose processes have given their disks up start anew with empty ones.
-    pub(super) fn empty_superseded(&mut self) {
-        for address in std::mem::take(&mut self.to_empty) {
+    /// Wipes superseded disks and restarts their machines.
+    pub(super) fn replace_superseded_disks(&mut self) {
+        for address in std::mem::take(&mut self.disks_to_wipe) {
             self.superseded.push(address);
             self.stop_replica(address);
             self.wipe(address);
@@ -93,7 +94,7 @@
         }
     }
 
-    /// A machine is removed for good, and an empty one starts at another address.
+    /// Removes a machine permanently, and starts one with an empty disk at another address.
     pub(crate) fn replace(&mut self, removed: u32, new: u32) {
         self.running.remove(&removed);
         self.disks.remove(&removed);
--- a/system/control/tests/common/mod.rs
+++ b/system/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of replicas share.
+//! Helpers shared by the tests of replicas.
 #![allow(dead_code)]
 pub(crate) mod counting_state;
 pub(crate) mod disk_change;
@@ -14,7 +14,7 @@
 };
 use std::sync::Arc;
 
-/// A state that nothing is done with.
+/// A state machine that ignores all entries.
 pub(crate) struct NoState;
 
 impl StateMachine for NoState {
@@ -34,7 +34,7 @@
     }
 }
 
-/// A snapshot of one chunk, with nothing in it.
+/// A snapshot with one empty chunk.
 pub(crate) fn no_state() -> Arc<dyn StateSnapshot> {
     Arc::new(EncodedSnapshot::new(
         LogPosition::default(),
@@ -42,19 +42,19 @@
     ))
 }
 
-/// A replica with what is on its disk, all of which has been written anew.
+/// A replica that has started from this disk, and whose first checkpoint is durable.
 pub(crate) fn started(settings: ControlSettings, disk: DurableState) -> Replica {
     let mut replica = Replica::new(settings, disk, 0);
     let written = replica.poll_outputs();
     let [Output::Checkpoint { ticket, .. }] = written[..] else {
-        panic!("not only a checkpoint: {written:?}")
+        panic!("expected a checkpoint only, got {written:?}")
     };
     replica.handle_persisted(ticket, 0, &mut NoState);
     replica.poll_outputs();
     replica
 }
 
-/// What a replica active in a view reports of another one that it hears.
+/// A report, by a replica that knows view `view`, on another replica with a bidirectional connection.
 pub(crate) fn report(of: ReplicaId, view: u64) -> PeerReport {
     PeerReport {
         replica: of,
@@ -70,7 +70,7 @@
     }
 }
 
-/// A heartbeat of a replica that has all that was committed up to a view, and hears nobody.
+/// A heartbeat of a replica that is complete up to a view, and has received no heartbeats.
 pub(crate) fn heartbeat(view: u64) -> Heartbeat {
     Heartbeat {
         view: ViewNumber(view),
@@ -87,7 +87,7 @@
     }
 }
 
-/// Settings of a replica that knows these addresses; one machine may be lost.
+/// Settings of a replica with these seeds that tolerates the loss of one machine.
 pub(crate) fn settings(own: ReplicaId, seeds: Vec<u32>) -> ControlSettings {
     ControlSettings {
         own,
--- a/system/control/tests/golden.rs
+++ b/system/control/tests/golden.rs
@@ -1,9 +1,8 @@
-//! The bytes of what a replica keeps on disk.
+//! Golden test of the encoding of the state that a replica keeps on disk.
 //!
-//! They must not change: a build that starts on a disk written by an earlier one must read the same from it, and while a
-//! group is brought to another build one by one, a machine may go back to the build before. The stored bytes are in
-//! `golden/durable.hex`, one line for each value, as `name: bytes`. A change of names in the code leaves them as they
-//! are; what has to be kept in another form gets lines of its own beside these.
+//! The encoding must not change: a build must read disks written by earlier builds, and during a rolling upgrade a
+//! machine may be downgraded again. The expected bytes are in `golden/durable.hex`, one value per line, in the
+//! form `name: bytes`. Renaming things in the code does not affect them; a new encoding gets additional lines.
 use googletest::prelude::*;
 use magpiegap_control::{DurableRecord, DurableState, EncodedSnapshot, StateSnapshot};
 use magpiegap_protocol::{
@@ -20,7 +19,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes stored under a name, as they stand there; empty: there are none.
+/// The hex digits stored under a name; empty when there are none.
 fn stored_hex(name: &str) -> &'static str {
     let line = STORED
         .lines()
@@ -35,16 +34,16 @@
     digits.chunks(2).map(byte).collect()
 }
 
-/// A value is written as the bytes stored under its name, and they are read as the value.
+/// Expects that a value is encoded as the bytes stored under its name, and that these are decoded as the value.
 fn expect_bytes<T>(name: &str, value: &T)
 where
     T: std::fmt::Debug + PartialEq + Encode<()> + for<'b> Decode<'b, ()>,
 {
-    expect_that!(hex(&encode(value)), eq(stored_hex(name)), "written: {name}");
+    expect_that!(hex(&encode(value)), eq(stored_hex(name)), "encoded: {name}");
     expect_that!(
         decode::<T>(&stored(name)).ok().as_ref(),
         some(eq(value)),
-        "read: {name}"
+        "decoded: {name}"
     );
 }
 
@@ -62,7 +61,7 @@
     }
 }
 
-/// A view with something in each of its fields.
+/// A view with a value in every field.
 fn view(number: u64) -> View {
     let location = Location {
         zone: FailureDomainId(301),
@@ -89,7 +88,7 @@
     }
 }
 
-/// The state that all begin with; snapshots are the one place where a state of the agreement can be had.
+/// The initial state of a disk. Also used for the initial `AgreementState`, which only `DurableState` can create.
 fn first_snapshot() -> DurableState {
     let state = EncodedSnapshot::new(LogPosition::default(), vec![vec![0xf1]]);
     DurableState::empty(0, None, vec![member(1)], Arc::new(state))
@@ -135,7 +134,7 @@
     ]
 }
 
-/// A snapshot with something in each of its fields, whose state has two chunks.
+/// A snapshot with a value in every field but the disk records, and with a state of two chunks.
 fn full_snapshot() -> DurableState {
     let applied = LogPosition {
         view: ViewNumber(7),
@@ -170,23 +169,28 @@
         .collect()
 }
 
-/// Snapshots have no comparison of their own.
-fn expect_same(name: &str, read: &DurableState, meant: &DurableState) {
-    expect_that!(read.disk, eq(meant.disk), "{name}");
-    expect_that!(read.agreement, eq(&meant.agreement), "{name}");
-    expect_that!(read.synchronized, eq(meant.synchronized), "{name}");
-    expect_that!(read.applied, eq(meant.applied), "{name}");
-    expect_that!(read.state.position(), eq(meant.state.position()), "{name}");
+/// Compares two snapshots field by field, since they do not implement `PartialEq`.
+fn expect_same(name: &str, decoded: &DurableState, expected: &DurableState) {
+    expect_that!(decoded.disk, eq(expected.disk), "{name}");
+    expect_that!(decoded.agreement, eq(&expected.agreement), "{name}");
+    expect_that!(decoded.synchronized, eq(expected.synchronized), "{name}");
+    expect_that!(decoded.applied, eq(expected.applied), "{name}");
     expect_that!(
-        chunks_of(read.state.as_ref()),
-        eq(&chunks_of(meant.state.as_ref())),
+        decoded.state.position(),
+        eq(expected.state.position()),
         "{name}"
     );
-    expect_that!(read.entries, eq(&meant.entries), "{name}");
-    expect_that!(read.committed, eq(meant.committed), "{name}");
+    expect_that!(
+        chunks_of(decoded.state.as_ref()),
+        eq(&chunks_of(expected.state.as_ref())),
+        "{name}"
+    );
+    expect_that!(decoded.entries, eq(&expected.entries), "{name}");
+    expect_that!(decoded.committed, eq(expected.committed), "{name}");
 }
 
-/// A snapshot is written in chunks with the bytes stored as `name 0`, `name 1` and so on, and they are read as it.
+/// Expects that a snapshot is encoded as the chunks stored as `name 0`, `name 1` and so on, and that these are decoded
+/// as the snapshot.
 fn expect_chunks(name: &str, count: usize, snapshot: &DurableState) {
     let written: Vec<String> = snapshot.chunks().map(|chunk| hex(&chunk)).collect();
     let names: Vec<String> = (0..count)
@@ -194,12 +198,12 @@
         .collect();
     let expected: Vec<&str> = names.iter().map(|name| stored_hex(name)).collect();
     expect_that!(written, eq(&expected), "{name}");
-    let read = DurableState::recover(names.iter().map(|name| stored(name)).collect(), &[]);
-    expect_same(name, &read.unwrap(), snapshot);
+    let decoded = DurableState::recover(names.iter().map(|name| stored(name)).collect(), &[]);
+    expect_same(name, &decoded.unwrap(), snapshot);
 }
 
 #[googletest::test]
-fn every_record_of_the_log_keeps_its_bytes() {
+fn log_records_keep_their_encoding() {
     let (full, first) = (full_snapshot().agreement, first_snapshot().agreement);
     expect_bytes(
         "record agreement",
@@ -222,7 +226,7 @@
 }
 
 #[googletest::test]
-fn the_state_of_the_agreement_keeps_its_bytes() {
+fn agreement_state_keeps_its_encoding() {
     expect_bytes("agreement", &full_snapshot().agreement);
     expect_bytes("first agreement", &first_snapshot().agreement);
     let mut only_promised = full_snapshot().agreement;
@@ -234,30 +238,35 @@
 }
 
 #[googletest::test]
-fn the_chunks_of_a_snapshot_keep_their_bytes() {
+fn snapshot_chunks_keep_their_encoding() {
     expect_chunks("snapshot", 3, &full_snapshot());
     expect_chunks("first snapshot", 2, &first_snapshot());
 }
 
-/// Earlier builds wrote the state in the header, and those before them did not say what was committed. Nothing writes such
-/// snapshots any more: the stored bytes were made from those of today's head, with the state put in its place.
+/// Earlier builds wrote the state in the header, and the earliest ones did not write the commit index. No build writes
+/// such snapshots any more; the stored bytes were made from the current header, with the state inserted.
 #[googletest::test]
-fn a_snapshot_that_holds_the_state_as_one_chunk_is_still_read() {
-    let mut meant = full_snapshot();
-    meant.state = Arc::new(EncodedSnapshot::new(
-        meant.applied,
+fn single_chunk_snapshot_of_earlier_builds_is_readable() {
+    let mut expected = full_snapshot();
+    expected.state = Arc::new(EncodedSnapshot::new(
+        expected.applied,
         vec![vec![1, 2, 3, 0xfe, 0xff]],
     ));
-    let read = DurableState::recover(vec![stored("snapshot in one piece")], &[]).unwrap();
-    expect_same("snapshot in one piece", &read, &meant);
-    meant.committed = LogIndex(0);
-    let read = DurableState::recover(vec![stored("snapshot in one piece without committed")], &[])
-        .unwrap();
-    expect_same("snapshot in one piece without committed", &read, &meant);
+    let decoded = DurableState::recover(vec![stored("snapshot in one piece")], &[]).unwrap();
+    expect_same("snapshot in one piece", &decoded, &expected);
+    expected.committed = LogIndex(0);
+    let decoded =
+        DurableState::recover(vec![stored("snapshot in one piece without committed")], &[])
+            .unwrap();
+    expect_same(
+        "snapshot in one piece without committed",
+        &decoded,
+        &expected,
+    );
 }
 
 #[googletest::test]
-fn stored_records_are_taken_up_after_the_stored_snapshot() {
+fn stored_records_apply_after_stored_snapshot() {
     let chunks = vec![stored("first snapshot 0"), stored("first snapshot 1")];
     let names = [
         "record agreement",
@@ -265,17 +274,17 @@
         "record synchronized",
         "record committed",
     ];
-    let read = DurableState::recover(chunks, &names.map(stored)).unwrap();
-    let mut meant = first_snapshot();
-    meant.agreement = full_snapshot().agreement;
-    meant.entries = entries();
-    meant.synchronized = Some(ViewNumber(0x0102_0304_0506));
-    meant.committed = LogIndex(0x0a0b_0c0d);
-    expect_same("records", &read, &meant);
+    let decoded = DurableState::recover(chunks, &names.map(stored)).unwrap();
+    let mut expected = first_snapshot();
+    expected.agreement = full_snapshot().agreement;
+    expected.entries = entries();
+    expected.synchronized = Some(ViewNumber(0x0102_0304_0506));
+    expected.committed = LogIndex(0x0a0b_0c0d);
+    expect_same("records", &decoded, &expected);
 }
 
 #[googletest::test]
-fn every_stored_line_has_a_name_of_its_own() {
+fn stored_values_have_unique_names() {
     let mut names: Vec<&str> = STORED
         .lines()
         .filter_map(|line| line.split(": ").next())
--- a/system/control/tests/joining/entries.rs
+++ b/system/control/tests/joining/entries.rs
@@ -1,10 +1,11 @@
-//! Entries that come, are missing, or are replaced.
+//! Entries that are appended, missing, or replaced.
 use crate::common::{no_state, settings, started, NoState};
 use crate::middle_replica::*;
 use googletest::prelude::*;
 use magpiegap_control::{DurableRecord, DurableState, Output};
 use magpiegap_protocol::{Entry, LogIndex, LogPosition, PeerMessage, View, ViewNumber, WallMillis};
 
+/// The indexes of the entries appended at the successor.
 fn appends(outputs: &[Output]) -> Vec<u64> {
     let appended = |output: &Output| match output {
         Output::Send {
@@ -17,7 +18,7 @@
 }
 
 #[googletest::test]
-fn given_a_snapshot_that_comes_twice_when_entries_follow_then_they_are_still_replicated() {
+fn entries_are_replicated_after_repeated_snapshot() {
     // Given
     let mut middle = middle_replica();
     // When
@@ -35,7 +36,7 @@
 }
 
 #[googletest::test]
-fn given_an_active_replica_when_its_predecessor_sends_nothing_then_it_requests_what_is_missing() {
+fn active_replica_requests_entries_after_source_timeout() {
     let mut middle = middle_replica();
     let is_request = |output: &Output| {
         matches!(
@@ -60,8 +61,8 @@
 }
 
 #[googletest::test]
-fn given_a_replica_that_caught_up_slowly_when_it_misses_entries_again_then_its_backoff_is_short() {
-    // Given: it had to send several requests for what it missed
+fn backoff_is_short_again_after_catch_up() {
+    // Given: several requests were needed to catch up, so that the backoff has grown
     let mut middle = middle_replica();
     let gap = |after: u64| PeerMessage::Append {
         view: ViewNumber(1),
@@ -97,7 +98,7 @@
 
 /// The durable index last sent to the successor.
 fn advertised_durable(outputs: &[Output]) -> u64 {
-    let faults = |output: &Output| match output {
+    let durable = |output: &Output| match output {
         Output::Send {
             to: 3,
             message: PeerMessage::Append { durable, .. },
@@ -106,16 +107,15 @@
     };
     outputs
         .iter()
-        .filter_map(faults)
+        .filter_map(durable)
         .next_back()
         .unwrap_or(LogIndex::default())
         .0
 }
 
 #[googletest::test]
-fn given_entries_in_flight_to_the_disk_when_a_snapshot_replaces_them_then_they_do_not_count_as_durable(
-) {
-    // Given: entries of view 1 are submitted to the disk, which is slow
+fn replaced_entries_in_flight_do_not_become_durable() {
+    // Given: entries of view 1 are submitted to the disk and not durable yet
     let mut middle = middle_replica();
     let append = PeerMessage::Append {
         view: ViewNumber(1),
@@ -134,7 +134,7 @@
         }
         _ => None,
     });
-    // When: the head of the next view never had them, and others come in their place
+    // When: the head of the next view does not have them, and sends a snapshot and another entry in their place
     let (head, own, tail) = (replica(1, 0), replica(2, 7), replica(3, 8));
     let view = View::initial(vec![head.member])
         .next(vec![head.member], vec![head, own, tail])
@@ -177,10 +177,9 @@
 }
 
 #[googletest::test]
-fn given_a_learner_that_has_caught_up_when_the_tail_tells_what_is_durable_then_only_a_long_enough_chain_commits_it(
-) {
+fn learner_commits_only_with_long_enough_chain() {
     let (head, second, own) = (replica(1, 0), replica(2, 7), replica(3, 8));
-    // One machine may be lost: what is on one disk only is not committed.
+    // With a tolerance of one machine, entries on a single disk are not committed.
     for (chain, committed) in [(vec![head], 0), (vec![second, head], 3)] {
         let disk = DurableState::empty(8, None, Vec::new(), no_state());
         let mut learner = started(settings(own, vec![1]), disk);
--- a/system/control/tests/joining/main.rs
+++ b/system/control/tests/joining/main.rs
@@ -1,4 +1,4 @@
-//! A replica that joins requests what is missing from its predecessor, and does not keep it from its work.
+//! A joining replica requests what it is missing from its predecessor, without overloading it with requests.
 #[path = "../common/mod.rs"]
 mod common;
 mod entries;
--- a/system/control/tests/joining/middle_replica.rs
+++ b/system/control/tests/joining/middle_replica.rs
@@ -1,4 +1,4 @@
-//! The middle one of a chain of three, driven by messages.
+//! The middle replica of a chain of three, driven by messages.
 use crate::common::{no_state, settings, started, NoState};
 use magpiegap_control::{DurableState, Replica};
 use magpiegap_protocol::{
@@ -29,7 +29,8 @@
     }
 }
 
-/// The middle one of a chain of three, with the state of the head, and its successor served.
+/// The middle replica of a chain of three. It is active with one entry from the head, and has served its successor's
+/// request.
 pub(crate) fn middle_replica() -> Replica {
     let (head, own, tail) = (replica(1, 0), replica(2, 7), replica(3, 8));
     let mut middle = started(
@@ -55,7 +56,7 @@
     middle
 }
 
-/// The head sends a replica an empty snapshot, and the entries after it.
+/// Sends a replica an empty snapshot and the entries after it, from the head.
 pub(crate) fn send_snapshot(to: &mut Replica, now: u64, view: u64, entries: Vec<Entry>) {
     let (head, position) = (replica(1, 0), LogPosition::default());
     to.handle_messages(
--- a/system/control/tests/joining/snapshots.rs
+++ b/system/control/tests/joining/snapshots.rs
@@ -1,11 +1,11 @@
-//! Snapshots that are offered, requested, expired or corrupt.
+//! Snapshot offers, requests for expired snapshots, corrupt chunks, and the backoff of requests.
 use crate::common::{no_state, settings, started, NoState};
 use crate::middle_replica::*;
 use googletest::prelude::*;
 use magpiegap_control::{DurableState, Output};
 use magpiegap_protocol::{LogIndex, LogPosition, PeerMessage, View, ViewNumber, WallMillis};
 
-/// What a replica sends to the successor of the middle one.
+/// The messages sent to the tail.
 fn sent_to_tail(outputs: Vec<Output>) -> Vec<PeerMessage> {
     let to_tail = |output| match output {
         Output::Send { to: 3, message } => Some(message),
@@ -15,8 +15,8 @@
 }
 
 #[googletest::test]
-fn given_a_successor_whose_entries_do_not_fit_when_it_retries_then_only_an_offer_is_sent_again() {
-    // Given: a successor whose last entry the middle one does not know
+fn repeated_request_gets_only_snapshot_offers() {
+    // Given: a successor whose last entry is not in the log of the middle replica
     let mut middle = middle_replica();
     let request = PeerMessage::RequestEntries {
         view: ViewNumber(1),
@@ -47,7 +47,7 @@
 }
 
 #[googletest::test]
-fn given_a_snapshot_that_has_expired_when_a_chunk_of_it_is_requested_then_another_one_is_offered() {
+fn request_for_expired_snapshot_gets_new_offer() {
     let mut middle = middle_replica();
     let position = LogPosition {
         view: ViewNumber(0),
@@ -70,7 +70,7 @@
 }
 
 #[googletest::test]
-fn given_a_corrupt_chunk_when_it_arrives_then_the_snapshot_is_requested_anew() {
+fn corrupt_chunk_restarts_snapshot_transfer() {
     // Given: a replica in the chain that is offered a snapshot of two chunks
     let (head, own) = (replica(1, 0), replica(2, 7));
     let mut joining = started(
@@ -125,8 +125,8 @@
 }
 
 #[googletest::test]
-fn given_a_slow_predecessor_when_a_replica_joins_then_its_requests_back_off() {
-    // Given: a replica with an empty disk, in a chain behind one that does not respond
+fn requests_to_unresponsive_source_back_off() {
+    // Given: a replica with an empty disk whose predecessor does not respond
     let (head, own) = (replica(1, 0), replica(2, 7));
     let empty = DurableState::empty(7, None, Vec::new(), no_state());
     let mut joining = started(settings(own, vec![1]), empty);
--- a/system/control/tests/learning.rs
+++ b/system/control/tests/learning.rs
@@ -1,10 +1,10 @@
-//! A replica that has missed much catches up outside of the chain, so that no write waits for it.
+//! A replica that lags far behind catches up outside the chain, so that no write waits for it.
 mod common;
 
 use common::group::Group;
 use googletest::prelude::*;
 
-/// A group of five, two of which come back with empty disks; it takes long to send them the state.
+/// A group of five in which two replicas restart with empty disks. Sending them the state takes a long time.
 fn two_of_five_wiped() -> Group {
     let mut group = Group::start(5, 2);
     for _ in 0..10 {
@@ -23,7 +23,7 @@
     group
 }
 
-/// The head takes a write, and it is committed soon.
+/// A write is accepted by the head and committed within 100 ms.
 fn expect_next_write_commits(group: &mut Group) {
     let before = group.committed();
     expect_that!(group.write(), eq(true));
@@ -32,7 +32,7 @@
 }
 
 #[googletest::test]
-fn given_replicas_with_empty_disks_when_they_come_back_then_writes_go_on_without_them() {
+fn writes_continue_while_empty_replicas_catch_up() {
     let mut group = two_of_five_wiped();
     let view = group.view();
     for _ in 0..12 {
@@ -43,7 +43,7 @@
 }
 
 #[googletest::test]
-fn given_replicas_with_empty_disks_when_they_have_the_state_then_they_are_in_the_chain() {
+fn empty_replicas_rejoin_chain_after_catch_up() {
     let mut group = two_of_five_wiped();
     for _ in 0..40 {
         group.write();
@@ -61,9 +61,8 @@
 }
 
 #[googletest::test]
-fn given_too_few_without_it_when_a_replica_with_an_empty_disk_comes_back_then_it_is_taken_in_at_once(
-) {
-    // Given: two of three bear no further loss, and one of them is gone
+fn empty_replica_joins_at_once_when_needed() {
+    // Given: one of three has rejoined with an empty disk, and then another one stops
     let mut group = Group::start(3, 1);
     group.write();
     group.run(100);
@@ -75,7 +74,7 @@
     expect_that!(group.chain().len(), eq(3));
     group.stop_replica(2);
     group.run(100);
-    // When: the only one that is left beside the wiped one is not enough for a commit
+    // When: the only other replica can't commit alone
     let before = group.committed();
     group.write();
     group.run(1000);
@@ -85,7 +84,7 @@
 }
 
 #[googletest::test]
-fn given_a_replica_that_was_cut_off_when_it_is_back_then_it_follows_and_joins_soon() {
+fn partitioned_replica_rejoins_soon_after_reconnect() {
     let mut group = Group::start(3, 1);
     group.partitioned.insert(2);
     for _ in 0..20 {
@@ -99,8 +98,7 @@
 }
 
 #[googletest::test]
-fn given_a_loss_of_power_of_all_when_two_disks_are_lost_then_the_others_commit_before_the_snapshot_is_sent(
-) {
+fn commits_resume_before_snapshot_transfer_after_power_loss() {
     let mut group = Group::start(5, 2);
     for _ in 0..10 {
         group.write();
@@ -118,7 +116,7 @@
         group.start_replica(address);
     }
     group.run(600);
-    // What was committed is still there, and more can be.
+    // The remaining replicas still commit, while the snapshots are being sent.
     expect_that!(group.write(), eq(true));
     group.run(100);
     expect_that!(group.committed(), gt(before));
@@ -126,14 +124,13 @@
         group.chain(),
         unordered_elements_are![eq(&2), eq(&4), eq(&5)]
     );
-    // And the others come in.
+    // Then the wiped replicas join.
     group.run(5000);
     expect_that!(group.chain().len(), eq(5));
 }
 
 #[googletest::test]
-fn given_a_link_cut_between_two_of_the_chain_when_all_others_hear_both_then_one_goes_and_views_stop_changing(
-) {
+fn broken_link_removes_one_member_without_view_churn() {
     let mut group = Group::start(5, 2);
     group.partitioned_links.insert((2, 5));
     group.run(1500);
@@ -149,8 +146,7 @@
 }
 
 #[googletest::test]
-fn given_a_replica_outside_of_the_chain_when_it_does_not_hear_the_tail_then_it_does_not_disturb_the_chain(
-) {
+fn learner_without_tail_link_causes_no_view_change() {
     let mut group = Group::start(5, 2);
     group.stop_replica(3);
     group.run(1000);
@@ -166,8 +162,7 @@
 }
 
 #[googletest::test]
-fn given_two_replicas_that_do_not_hear_each_other_when_both_come_back_then_one_joins_and_views_stop_changing(
-) {
+fn one_of_two_disconnected_replicas_rejoins() {
     let mut group = Group::start(5, 2);
     for address in [2, 5] {
         group.stop_replica(address);
@@ -188,9 +183,8 @@
 }
 
 #[googletest::test]
-fn given_a_long_log_when_a_replica_starts_again_alone_then_it_applies_what_it_knows_to_be_committed(
-) {
-    // Given: no checkpoint was made, so that all entries are in the log on disk
+fn lone_replica_applies_known_committed_entries() {
+    // Given: no checkpoint was written, so that all entries are in the log on disk
     let mut group = Group::start(3, 1);
     for _ in 0..900 {
         group.write();
@@ -201,10 +195,10 @@
     for address in 1..=3 {
         group.stop_replica(address);
     }
-    // When: the others are not there, so that no view can be agreed
+    // When: the others are stopped, so that no view can be decided
     group.start_replica(2);
     group.run(300);
-    // Then: it has applied all but the last few, which it does not know to be committed
+    // Then: it has applied all but the last few entries, which it does not know to be committed
     expect_that!(group.applied(2), ge(committed - 10));
     expect_that!(group.applied(2), le(committed));
     for address in [1, 3] {
--- a/system/control/tests/median_time.rs
+++ b/system/control/tests/median_time.rs
@@ -1,4 +1,5 @@
-//! The time of day that replicas go by is the middle one of all that are heard.
+//! Replicas use the median of the wall clocks in the heartbeats that they receive and of their own, so that a single
+//! wrong clock has no effect.
 mod common;
 
 use common::{heartbeat, no_state, settings, started, NoState};
@@ -8,7 +9,7 @@
     Heartbeat, Member, Millis, PeerMessage, ReplicaId, ViewNumber, WallMillis,
 };
 
-/// True time of day when the replica's steady clock shows zero.
+/// The true time of day when the replica's steady clock reads zero.
 const TRUE_MS: WallMillis = WallMillis(1_700_000_000_000);
 
 fn replica(address: u32) -> ReplicaId {
@@ -18,7 +19,7 @@
     }
 }
 
-fn one_of_three() -> Replica {
+fn first_of_three() -> Replica {
     let voters: Vec<Member> = (1..=3).map(|address| replica(address).member).collect();
     started(
         settings(replica(1), vec![1, 2, 3]),
@@ -26,7 +27,7 @@
     )
 }
 
-fn exchange_clocks(to: &mut Replica, from: u32, now: Millis, wall_ms: WallMillis) {
+fn receive_clock(to: &mut Replica, from: u32, now: Millis, wall_ms: WallMillis) {
     let heartbeat = Heartbeat {
         wall_ms,
         ..heartbeat(0)
@@ -41,16 +42,16 @@
 }
 
 #[googletest::test]
-fn given_a_clock_that_is_far_ahead_when_two_others_are_heard_then_it_is_not_followed() {
-    let mut replica_1 = one_of_three();
-    exchange_clocks(&mut replica_1, 2, 100, TRUE_MS + 100);
-    exchange_clocks(&mut replica_1, 3, 100, TRUE_MS + 103);
+fn own_clock_far_ahead_is_outvoted() {
+    let mut replica_1 = first_of_three();
+    receive_clock(&mut replica_1, 2, 100, TRUE_MS + 100);
+    receive_clock(&mut replica_1, 3, 100, TRUE_MS + 103);
     let own_wall = TRUE_MS + 60_100;
     expect_that!(
         replica_1.median_time_of_day(own_wall, 100),
         eq(TRUE_MS + 103)
     );
-    // What others reported counts on with the steady clock.
+    // The reported wall clocks advance with the steady clock.
     expect_that!(
         replica_1.median_time_of_day(own_wall, 300),
         eq(TRUE_MS + 303)
@@ -58,10 +59,10 @@
 }
 
 #[googletest::test]
-fn given_another_clock_that_is_far_behind_when_it_is_heard_then_the_median_counts() {
-    let mut replica_1 = one_of_three();
-    exchange_clocks(&mut replica_1, 2, 100, TRUE_MS - 3_600_000);
-    exchange_clocks(&mut replica_1, 3, 100, TRUE_MS + 90);
+fn peer_clock_far_behind_is_outvoted() {
+    let mut replica_1 = first_of_three();
+    receive_clock(&mut replica_1, 2, 100, TRUE_MS - 3_600_000);
+    receive_clock(&mut replica_1, 3, 100, TRUE_MS + 90);
     expect_that!(
         replica_1.median_time_of_day(TRUE_MS + 100, 100),
         eq(TRUE_MS + 90)
--- a/system/control/tests/model/initial_worlds.rs
+++ b/system/control/tests/model/initial_worlds.rs
@@ -1,8 +1,8 @@
-//! Worlds that the replicas have come to by themselves, from which the checker goes on.
+//! Initial states for the model checker, reached by running the replicas.
 use crate::world::{Budget, World};
 use magpiegap_control::Replica;
 
-/// A world in which all take part and an entry is committed.
+/// A world in which all replicas are active and an entry is committed.
 pub(crate) fn serving(size: usize, tolerance: usize, budget: Budget) -> World {
     let mut world = World::new(size, tolerance, budget);
     world.run_ticks(8);
@@ -20,8 +20,8 @@
     world
 }
 
-/// A world in which one machine is cut off, and the others have gone on without it.
-pub(crate) fn without_one(size: usize, tolerance: usize, budget: Budget) -> World {
+/// A world in which the tail is partitioned and the others have committed an entry without it.
+pub(crate) fn with_partitioned_replica(size: usize, tolerance: usize, budget: Budget) -> World {
     let mut world = serving(size, tolerance, budget);
     let tail = (0..size)
         .find(|machine| world.replica(*machine).is_some_and(Replica::is_tail))
@@ -33,8 +33,8 @@
     world
 }
 
-/// A world in which each disk was copied before the last entries, and before the view in which they were written.
-pub(crate) fn with_copies(size: usize, tolerance: usize, budget: Budget) -> World {
+/// A world with copies of all disks that lack the latest entries and the view in which they were written.
+pub(crate) fn with_disk_copies(size: usize, tolerance: usize, budget: Budget) -> World {
     let mut world = serving(size, tolerance, budget);
     world.copy_disks();
     let head = (0..size)
@@ -48,8 +48,8 @@
     world
 }
 
-/// A world in which a machine with an empty disk is about to come back.
-pub(crate) fn with_a_wiped_one(size: usize, tolerance: usize, budget: Budget) -> World {
+/// A world in which a machine is stopped and its disk is wiped, and the others have gone on without it.
+pub(crate) fn with_wiped_replica(size: usize, tolerance: usize, budget: Budget) -> World {
     let mut world = serving(size, tolerance, budget);
     world.wipe(0);
     world.run_ticks(8);
@@ -58,7 +58,7 @@
     world
 }
 
-/// A world in which all have lost power.
+/// A world in which all machines have lost power.
 pub(crate) fn all_powered_off(size: usize, tolerance: usize, budget: Budget) -> World {
     let mut world = serving(size, tolerance, budget);
     world.write();
--- a/system/control/tests/model/main.rs
+++ b/system/control/tests/model/main.rs
@@ -1,11 +1,12 @@
-//! The replicas that run, explored by a model checker: views, the chain, learners, wiped and replaced voters, loss of
-//! power, partitions, and machines that freeze.
+//! Explores the production replica code with a model checker: views, the chain, learners, wiped and restored disks,
+//! power losses, partitions, and machines that freeze.
 //!
-//! Each step is one of: a message arrives or is lost, all that is in flight arrives, a disk confirms what was submitted to
-//! it, time passes, a write or a read comes, a process is killed, a machine loses power or its disk, gets its disk back from
-//! an old copy, starts again, is cut off or freezes. Time passes for all at once, and heartbeats arrive while it does, except at frozen machines, where they wait. How
-//! much of each may happen is bounded (`Budget`); within that breadth-first search takes every order of steps up to a
-//! number of states, and random walks go on far beyond it.
+//! Each step is one of: deliver or drop a message, deliver everything in flight, sync a disk, advance the time, start
+//! a write or a read, kill a process, cut the power of a machine, wipe its disk or restore it from an old copy, start
+//! a process, partition or freeze a machine. Time advances for all machines at once. Heartbeats are delivered
+//! immediately, except to frozen machines, where they are queued. `Budget` limits how often each kind of step occurs.
+//! Within these limits, breadth-first search tries every order of steps up to a number of states, and random walks
+//! explore longer sequences.
 #[path = "../common/mod.rs"]
 mod common;
 mod initial_worlds;
@@ -14,29 +15,31 @@
 mod steps;
 mod world;
 
-use initial_worlds::{all_powered_off, serving, with_a_wiped_one, with_copies, without_one};
+use initial_worlds::{
+    all_powered_off, serving, with_disk_copies, with_partitioned_replica, with_wiped_replica,
+};
 use stateright::{Checker, HasDiscoveries, Model, UniformChooser};
-use steps::Core;
-use world::{Budget, World, NOTHING};
+use steps::ControlModel;
+use world::{Budget, World, EMPTY_BUDGET};
 
-/// Explores worlds: breadth first up to so many states, then by random walks. `MODEL_FACTOR` in the environment asks for
-/// more of both. Prints how much was explored.
+/// Explores the model from these initial worlds: breadth first up to `states` states, then by random walks of `walks`
+/// states in total. The environment variable `MODEL_FACTOR` multiplies both limits. Prints how much was explored.
 fn explore(name: &str, tolerance: usize, worlds: Vec<World>, states: usize, walks: usize) {
     let factor = std::env::var("MODEL_FACTOR")
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(1);
-    let core = || Core {
+    let model = || ControlModel {
         tolerance,
         worlds: worlds.clone(),
     };
-    let breadth = core()
+    let breadth = model()
         .checker()
         .target_state_count(states * factor)
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_bfs()
         .join();
-    let depth = core()
+    let depth = model()
         .checker()
         .target_state_count(walks * factor)
         .target_max_depth(400)
@@ -61,7 +64,7 @@
 }
 
 #[test]
-fn given_a_serving_core_when_one_is_cut_off_or_freezes_then_nothing_is_lost_or_hidden() {
+fn reads_and_writes_survive_partition_or_freeze() {
     let budget = Budget {
         ticks: 14,
         writes: 3,
@@ -69,53 +72,65 @@
         partitions: 1,
         freezes: 1,
         lost_messages: 1,
-        ..NOTHING
+        ..EMPTY_BUDGET
     };
-    explore("cut off", 1, vec![serving(3, 1, budget)], 30_000, 60_000);
+    explore(
+        "partition or freeze",
+        1,
+        vec![serving(3, 1, budget)],
+        30_000,
+        60_000,
+    );
 }
 
 #[test]
-fn given_one_that_is_cut_off_when_it_is_back_and_another_one_goes_then_nothing_is_lost_or_hidden() {
+fn acknowledged_entries_survive_reconnect_and_second_failure() {
     let budget = Budget {
         ticks: 14,
         writes: 2,
         reads: 2,
         kills: 1,
         power_losses: 1,
-        ..NOTHING
+        ..EMPTY_BUDGET
     };
-    explore("back", 1, vec![without_one(3, 1, budget)], 30_000, 60_000);
+    explore(
+        "reconnect",
+        1,
+        vec![with_partitioned_replica(3, 1, budget)],
+        30_000,
+        60_000,
+    );
 }
 
 #[test]
-fn given_a_wiped_disk_when_its_machine_comes_back_and_others_lose_power_then_nothing_is_lost() {
+fn acknowledged_entries_survive_wiped_disk_and_power_losses() {
     let budget = Budget {
         ticks: 16,
         writes: 2,
         reads: 1,
         power_losses: 2,
-        ..NOTHING
+        ..EMPTY_BUDGET
     };
     explore(
-        "wiped",
+        "wiped disk",
         1,
-        vec![with_a_wiped_one(3, 1, budget)],
+        vec![with_wiped_replica(3, 1, budget)],
         30_000,
         60_000,
     );
 }
 
 #[test]
-fn given_a_serving_core_when_a_disk_and_the_power_of_the_others_are_lost_then_nothing_is_lost() {
+fn acknowledged_entries_survive_disk_loss_with_power_losses() {
     let budget = Budget {
         ticks: 16,
         writes: 2,
         wipes: 1,
         power_losses: 2,
-        ..NOTHING
+        ..EMPTY_BUDGET
     };
     explore(
-        "disk and power",
+        "disk loss with power losses",
         1,
         vec![serving(3, 1, budget)],
         30_000,
@@ -124,17 +139,17 @@
 }
 
 #[test]
-fn given_a_loss_of_power_by_all_when_they_start_in_any_order_then_nothing_is_lost() {
+fn acknowledged_entries_survive_power_loss_of_all_machines() {
     let budget = Budget {
         ticks: 12,
         writes: 2,
         reads: 1,
         kills: 1,
         lost_messages: 1,
-        ..NOTHING
+        ..EMPTY_BUDGET
     };
     explore(
-        "all powered off",
+        "power loss of all machines",
         1,
         vec![all_powered_off(3, 1, budget), all_powered_off(5, 2, budget)],
         20_000,
@@ -143,7 +158,7 @@
 }
 
 #[test]
-fn given_old_copies_of_all_disks_when_one_is_put_back_and_others_lose_power_then_nothing_is_lost() {
+fn acknowledged_entries_survive_disk_restored_from_old_copy() {
     let budget = Budget {
         ticks: 16,
         writes: 2,
@@ -151,28 +166,28 @@
         restores: 1,
         kills: 1,
         power_losses: 2,
-        ..NOTHING
+        ..EMPTY_BUDGET
     };
     explore(
-        "old copy",
+        "disk restored from old copy",
         1,
-        vec![with_copies(3, 1, budget)],
+        vec![with_disk_copies(3, 1, budget)],
         30_000,
         60_000,
     );
 }
 
 #[test]
-fn given_five_when_two_disks_and_the_power_of_the_others_are_lost_then_nothing_is_lost() {
+fn five_replicas_survive_two_disk_and_power_losses() {
     let budget = Budget {
         ticks: 16,
         writes: 2,
         wipes: 2,
         power_losses: 3,
-        ..NOTHING
+        ..EMPTY_BUDGET
     };
     explore(
-        "two disks of five",
+        "five replicas with two disk losses",
         2,
         vec![serving(5, 2, budget)],
         8_000,
--- a/system/control/tests/model/reads.rs
+++ b/system/control/tests/model/reads.rs
@@ -1,4 +1,4 @@
-//! Reads at the tail, and how many disks hold what was acknowledged.
+//! Reads at the tail, and the number of durable copies of acknowledged entries.
 use crate::world::{Machine, Read, World};
 use magpiegap_control::StateMachine;
 use magpiegap_protocol::{LogIndex, ProposalId};
@@ -13,7 +13,8 @@
         });
     }
 
-    /// Serves the reads that a coordinator would serve now.
+    /// Serves the reads that a coordinator could serve now. A read must reflect every entry acknowledged before it
+    /// started.
     pub(crate) fn serve_reads(&mut self) {
         let now = self.now;
         for read in std::mem::take(&mut self.reads) {
@@ -27,17 +28,20 @@
             if !can_serve || self.machines[read.machine].is_frozen {
                 self.reads.push(read);
             } else if state.position().index < LogIndex(read.acknowledged) {
-                self.violation = Some(format!("{read:?} was answered by {:?}", state.position()));
+                self.violation = Some(format!(
+                    "{read:?} was served from stale state {:?}",
+                    state.position()
+                ));
             }
         }
     }
 
-    /// How many disks hold an entry that was acknowledged, whatever loses its power.
-    pub(crate) fn replicas_with(&self, index: u64, proposal: ProposalId) -> usize {
+    /// The number of disks on which an entry survives a power loss.
+    pub(crate) fn durable_copies(&self, index: u64, proposal: ProposalId) -> usize {
         let holds = |machine: &&Machine| {
             let disk = &machine.synced;
-            let in_state = disk.applied.index >= LogIndex(index);
-            in_state
+            let is_in_state = disk.applied.index >= LogIndex(index);
+            is_in_state
                 || disk.entries.iter().any(|entry| {
                     entry.position.index == LogIndex(index) && entry.proposal == proposal
                 })
--- a/system/control/tests/model/running.rs
+++ b/system/control/tests/model/running.rs
@@ -1,4 +1,4 @@
-//! What happens to the machines: processes start and end, disks confirm, messages arrive, time passes.
+//! Events at the machines: processes start and stop, disks sync, messages are delivered, time passes.
 use crate::{
     common::{counting_state::CountingState, disk_change::DiskChange},
     world::{address, World, TICK_MS},
@@ -32,29 +32,29 @@
             seed: 1,
         };
         let mut state = CountingState::default();
-        restore(&mut state, &*disk.state).expect("the disk holds a state");
+        restore(&mut state, &*disk.state).expect("the state on disk can be restored");
         let replica = Replica::new(settings, disk, self.now);
         self.machines[machine].process = Some((replica, state));
-        self.perform(machine);
+        self.handle_outputs(machine);
     }
 
-    pub(crate) fn end(&mut self, machine: usize) {
+    pub(crate) fn stop_process(&mut self, machine: usize) {
         self.machines[machine].process = None;
         self.machines[machine].is_frozen = false;
         self.reads.retain(|read| read.machine != machine);
-        // What was in flight to the process is lost with its connections.
+        // Messages in flight to the process are lost with its connections.
         self.links.retain(|(_, to), _| *to != machine);
     }
 
     pub(crate) fn lose_power(&mut self, machine: usize) {
         self.machines[machine].pending.clear();
         self.machines[machine].disk = self.machines[machine].synced.clone();
-        self.end(machine);
+        self.stop_process(machine);
     }
 
-    /// Ends a machine's process and empties its disk, which gets another incarnation.
+    /// Stops a machine's process and wipes its disk, which gets a new identity.
     pub(crate) fn wipe(&mut self, machine: usize) {
-        self.end(machine);
+        self.stop_process(machine);
         let name = 1000 + self.incarnations;
         let empty =
             DurableState::empty(name, None, Vec::new(), CountingState::default().snapshot());
@@ -64,16 +64,16 @@
         wiped.synced = empty;
     }
 
-    /// Takes a copy of each disk, as an operator does while the machines run.
+    /// Copies what is synced of each disk, as an operator would do while the machines run.
     pub(crate) fn copy_disks(&mut self) {
         for machine in &mut self.machines {
             machine.copy = Some(Box::new(machine.synced.clone()));
         }
     }
 
-    /// Ends a machine's process and puts its disk back from the copy.
+    /// Stops a machine's process and restores its disk from the copy.
     pub(crate) fn restore(&mut self, machine: usize) {
-        self.end(machine);
+        self.stop_process(machine);
         let restored = &mut self.machines[machine];
         let Some(copy) = restored.copy.clone() else {
             return;
@@ -83,8 +83,8 @@
         restored.synced = *copy;
     }
 
-    /// Takes a step at a process, and does what it wants done.
-    pub(crate) fn with(
+    /// Runs a step of a replica and handles the outputs.
+    pub(crate) fn step_replica(
         &mut self,
         machine: usize,
         step: impl FnOnce(&mut Replica, Millis, &mut CountingState),
@@ -93,10 +93,10 @@
         if let Some((replica, state)) = self.machines[machine].process.as_mut() {
             step(replica, now, state);
         }
-        self.perform(machine);
+        self.handle_outputs(machine);
     }
 
-    pub(crate) fn perform(&mut self, machine: usize) {
+    pub(crate) fn handle_outputs(&mut self, machine: usize) {
         loop {
             let now = self.now;
             let Some((replica, state)) = self.machines[machine].process.as_mut() else {
@@ -108,14 +108,15 @@
             let applied = state.take_applied();
             for (index, proposal) in applied {
                 if *self.history.entry(index).or_insert(proposal) != proposal {
-                    self.violation = Some(format!("entry {index} was replaced"));
+                    self.violation =
+                        Some(format!("entry {index} was replaced by another proposal"));
                 }
             }
             if outputs.is_empty() {
                 return;
             }
             for output in outputs {
-                self.perform_one(machine, own, output);
+                self.handle_output(machine, own, output);
             }
             if self.machines[machine].is_superseded {
                 self.machines[machine].is_superseded = false;
@@ -124,7 +125,7 @@
         }
     }
 
-    pub(crate) fn perform_one(&mut self, machine: usize, own: ReplicaId, output: Output) {
+    pub(crate) fn handle_output(&mut self, machine: usize, own: ReplicaId, output: Output) {
         match output {
             Output::Persist { ticket, records } => {
                 self.machines[machine]
@@ -144,7 +145,7 @@
 
     pub(crate) fn send(&mut self, from: usize, own: ReplicaId, to: usize, message: PeerMessage) {
         if from == to {
-            self.with(to, |replica, now, state| {
+            self.step_replica(to, |replica, now, state| {
                 replica.handle_messages(now, WallMillis(now), own, message, state)
             });
             return;
@@ -154,8 +155,8 @@
             return;
         }
         let is_heartbeat = matches!(message, PeerMessage::Heartbeat(_));
-        if is_heartbeat && self.is_awake(to) {
-            self.with(to, |replica, now, state| {
+        if is_heartbeat && self.is_responsive(to) {
+            self.step_replica(to, |replica, now, state| {
                 replica.handle_messages(now, WallMillis(now), own, message, state)
             });
             return;
@@ -166,22 +167,22 @@
             .push_back((own, message));
     }
 
-    /// A disk has everything that was submitted to it.
+    /// Syncs everything that was submitted to a disk.
     pub(crate) fn sync(&mut self, machine: usize) {
         let pending = std::mem::take(&mut self.machines[machine].pending);
         let Some((last, _)) = pending.back() else {
             return;
         };
         let last = *last;
-        self.write_through(machine, pending);
-        let machine_now = &mut self.machines[machine];
-        machine_now.synced = machine_now.disk.clone();
-        self.with(machine, |replica, now, state| {
+        self.apply_changes(machine, pending);
+        let synced_machine = &mut self.machines[machine];
+        synced_machine.synced = synced_machine.disk.clone();
+        self.step_replica(machine, |replica, now, state| {
             replica.handle_persisted(last, now, state)
         });
     }
 
-    pub(crate) fn write_through(&mut self, machine: usize, pending: VecDeque<(u64, DiskChange)>) {
+    pub(crate) fn apply_changes(&mut self, machine: usize, pending: VecDeque<(u64, DiskChange)>) {
         let disk = &mut self.machines[machine].disk;
         pending
             .into_iter()
@@ -191,8 +192,8 @@
     pub(crate) fn tick(&mut self) {
         self.now += TICK_MS;
         for machine in 0..self.machines.len() {
-            if self.is_awake(machine) {
-                self.with(machine, |replica, now, state| {
+            if self.is_responsive(machine) {
+                self.step_replica(machine, |replica, now, state| {
                     replica.on_timeout(now, WallMillis(now), state)
                 });
             }
@@ -203,13 +204,13 @@
     pub(crate) fn write(&mut self) {
         let heads: Vec<usize> = (0..self.machines.len())
             .filter(|machine| {
-                self.is_awake(*machine) && self.replica(*machine).is_some_and(Replica::is_head)
+                self.is_responsive(*machine) && self.replica(*machine).is_some_and(Replica::is_head)
             })
             .collect();
         for machine in heads {
             self.proposals += 1;
             let sequence = self.proposals;
-            self.with(machine, |replica, now, _| {
+            self.step_replica(machine, |replica, now, _| {
                 let proposal = ProposalId {
                     origin: replica.own(),
                     sequence,
@@ -219,15 +220,15 @@
         }
     }
 
-    /// Lets everything happen in order, and time pass, until a chain of all serves.
+    /// Advances the time by a number of ticks, and delivers and syncs everything after each.
     pub(crate) fn run_ticks(&mut self, ticks: usize) {
         for _ in 0..ticks {
             self.tick();
-            self.run_links();
+            self.deliver_all();
         }
     }
 
-    pub(crate) fn run_links(&mut self) {
+    pub(crate) fn deliver_all(&mut self) {
         loop {
             for machine in 0..self.machines.len() {
                 self.sync(machine);
@@ -245,13 +246,13 @@
     }
 
     pub(crate) fn deliver(&mut self, from: usize, to: usize) {
-        let first = self
+        let next = self
             .links
             .get_mut(&(from, to))
             .and_then(VecDeque::pop_front);
         self.links.retain(|_, queue| !queue.is_empty());
-        if let Some((own, message)) = first {
-            self.with(to, |replica, now, state| {
+        if let Some((own, message)) = next {
+            self.step_replica(to, |replica, now, state| {
                 replica.handle_messages(now, WallMillis(now), own, message, state)
             });
         }
--- a/system/control/tests/model/steps.rs
+++ b/system/control/tests/model/steps.rs
@@ -1,4 +1,4 @@
-//! The steps that the checker takes, and what must hold after each.
+//! The steps of the model, and the properties that must hold after each.
 use crate::world::{World, MAX_PENDING_READS};
 use magpiegap_control::Replica;
 use stateright::{Model, Property};
@@ -6,13 +6,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Step {
     Tick,
-    /// All messages arrive in order, and all disks confirm.
-    Run,
+    /// Deliver all messages in order, and sync all disks.
+    DeliverAll,
     Deliver {
         from: usize,
         to: usize,
     },
-    Lose {
+    Drop {
         from: usize,
         to: usize,
     },
@@ -22,56 +22,57 @@
     Kill(usize),
     LosePower(usize),
     Wipe(usize),
-    /// A machine loses power, and its disk is put back from a copy.
+    /// Cut the power of a machine and restore its disk from a copy.
     Restore(usize),
     Start(usize),
     Partition(usize),
     Reconnect(usize),
     Freeze(usize),
-    Thaw(usize),
+    Unfreeze(usize),
 }
 
-/// What is explored, from worlds that the replicas have come to by themselves.
-pub(crate) struct Core {
+/// The model to explore.
+pub(crate) struct ControlModel {
     pub tolerance: usize,
+    /// The initial states.
     pub worlds: Vec<World>,
 }
 
-impl Core {
-    /// Steps that the budget leaves.
+impl ControlModel {
+    /// The fault steps of a machine, and their repairs, that the budget allows.
     fn faults(world: &World, machine: usize) -> Vec<Step> {
         let budget = world.budget;
-        let known = &world.machines[machine];
-        let can_restore = budget.restores * u8::from(known.copy.is_some());
-        if known.process.is_none() {
-            let restore = (can_restore > 0).then_some(Step::Restore(machine));
+        let state = &world.machines[machine];
+        let restores = budget.restores * u8::from(state.copy.is_some());
+        if state.process.is_none() {
+            let restore = (restores > 0).then_some(Step::Restore(machine));
             return restore.into_iter().chain([Step::Start(machine)]).collect();
         }
         let possible = [
             (budget.kills, Step::Kill(machine)),
             (budget.power_losses, Step::LosePower(machine)),
             (budget.wipes, Step::Wipe(machine)),
-            (can_restore, Step::Restore(machine)),
+            (restores, Step::Restore(machine)),
             (
-                budget.partitions * u8::from(!known.is_partitioned),
+                budget.partitions * u8::from(!state.is_partitioned),
                 Step::Partition(machine),
             ),
-            (u8::from(known.is_partitioned), Step::Reconnect(machine)),
+            (u8::from(state.is_partitioned), Step::Reconnect(machine)),
             (
-                budget.freezes * u8::from(!known.is_frozen),
+                budget.freezes * u8::from(!state.is_frozen),
                 Step::Freeze(machine),
             ),
-            (u8::from(known.is_frozen), Step::Thaw(machine)),
+            (u8::from(state.is_frozen), Step::Unfreeze(machine)),
         ];
         possible
             .into_iter()
-            .filter(|(left, _)| *left > 0)
+            .filter(|(remaining, _)| *remaining > 0)
             .map(|(_, step)| step)
             .collect()
     }
 }
 
-impl Model for Core {
+impl Model for ControlModel {
     type State = World;
     type Action = Step;
 
@@ -81,20 +82,20 @@
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
         for (from, to) in world.links.keys().copied() {
-            if world.is_awake(to) {
+            if world.is_responsive(to) {
                 steps.push(Step::Deliver { from, to });
             }
             if world.budget.lost_messages > 0 {
-                steps.push(Step::Lose { from, to });
+                steps.push(Step::Drop { from, to });
             }
         }
         for machine in 0..world.machines.len() {
-            if world.is_awake(machine) && !world.machines[machine].pending.is_empty() {
+            if world.is_responsive(machine) && !world.machines[machine].pending.is_empty() {
                 steps.push(Step::Sync(machine));
             }
-            steps.extend(Core::faults(world, machine));
-            let is_tail =
-                world.is_awake(machine) && world.replica(machine).is_some_and(Replica::is_tail);
+            steps.extend(ControlModel::faults(world, machine));
+            let is_tail = world.is_responsive(machine)
+                && world.replica(machine).is_some_and(Replica::is_tail);
             if is_tail && world.budget.reads > 0 && world.reads.len() < MAX_PENDING_READS {
                 steps.push(Step::Read(machine));
             }
@@ -105,10 +106,10 @@
         if world.budget.writes > 0 {
             steps.push(Step::Write);
         }
-        let is_busy =
-            |machine| world.is_awake(machine) && !world.machines[machine].pending.is_empty();
-        if !world.links.is_empty() || (0..world.machines.len()).any(is_busy) {
-            steps.push(Step::Run);
+        let has_pending_sync =
+            |machine| world.is_responsive(machine) && !world.machines[machine].pending.is_empty();
+        if !world.links.is_empty() || (0..world.machines.len()).any(has_pending_sync) {
+            steps.push(Step::DeliverAll);
         }
     }
 
@@ -119,9 +120,9 @@
                 world.budget.ticks -= 1;
                 world.tick();
             }
-            Step::Run => world.run_links(),
+            Step::DeliverAll => world.deliver_all(),
             Step::Deliver { from, to } => world.deliver(from, to),
-            Step::Lose { from, to } => {
+            Step::Drop { from, to } => {
                 world.budget.lost_messages -= 1;
                 world.links.get_mut(&(from, to))?.pop_front();
                 world.links.retain(|_, queue| !queue.is_empty());
@@ -138,8 +139,8 @@
             Step::Kill(machine) => {
                 world.budget.kills -= 1;
                 let pending = std::mem::take(&mut world.machines[machine].pending);
-                world.write_through(machine, pending);
-                world.end(machine);
+                world.apply_changes(machine, pending);
+                world.stop_process(machine);
             }
             Step::LosePower(machine) => {
                 world.budget.power_losses -= 1;
@@ -163,7 +164,7 @@
                 world.budget.freezes -= 1;
                 world.machines[machine].is_frozen = true;
             }
-            Step::Thaw(machine) => world.machines[machine].is_frozen = false,
+            Step::Unfreeze(machine) => world.machines[machine].is_frozen = false,
         }
         world.serve_reads();
         Some(world)
@@ -172,18 +173,18 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "nothing acknowledged is replaced or hidden from a read",
+                "acknowledged entries are never replaced, and are visible to reads",
                 |_, world: &World| world.violation.is_none(),
             ),
             Property::always(
-                "what is acknowledged is on as many disks as no loss takes",
-                |core: &Core, world: &World| {
-                    let had = core.worlds[0].budget;
-                    let lost =
-                        had.wipes - world.budget.wipes + had.restores - world.budget.restores;
-                    let min_replicas = (core.tolerance + 1).saturating_sub(usize::from(lost));
+                "acknowledged entries are durable on more disks than may be lost",
+                |model: &ControlModel, world: &World| {
+                    let initial = model.worlds[0].budget;
+                    let lost = initial.wipes - world.budget.wipes + initial.restores
+                        - world.budget.restores;
+                    let min_copies = (model.tolerance + 1).saturating_sub(usize::from(lost));
                     world.history.iter().all(|(index, proposal)| {
-                        world.replicas_with(*index, *proposal) >= min_replicas
+                        world.durable_copies(*index, *proposal) >= min_copies
                     })
                 },
             ),
--- a/system/control/tests/model/world.rs
+++ b/system/control/tests/model/world.rs
@@ -1,4 +1,5 @@
-//! Everything at one moment: machines with their disks and processes, links, what may still happen, and what was wrong.
+//! A state of the model: machines with their disks and processes, messages in flight, the remaining budget of steps,
+//! and the first violation found.
 use crate::common::{counting_state::CountingState, disk_change::DiskChange};
 use magpiegap_control::{DurableState, Replica, StateMachine};
 use magpiegap_protocol::{Member, Millis, PeerMessage, ProposalId, ReplicaId, ViewNumber};
@@ -8,12 +9,12 @@
     hash::{DefaultHasher, Hash, Hasher},
 };
 
-/// How much time passes at once.
+/// The time that passes in one tick.
 pub(crate) const TICK_MS: Millis = 110;
-/// Reads go to the machine that is the tail in its own eyes.
+/// Maximum number of reads in flight. Reads are sent to machines that consider themselves the tail.
 pub(crate) const MAX_PENDING_READS: usize = 2;
 
-/// How often each thing may still happen.
+/// How often each kind of step may still occur.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Budget {
     pub ticks: u8,
@@ -23,13 +24,13 @@
     pub kills: u8,
     pub power_losses: u8,
     pub wipes: u8,
-    /// Disks that are put back from the copy that was taken of them.
+    /// Disks that are restored from an earlier copy.
     pub restores: u8,
     pub partitions: u8,
     pub freezes: u8,
 }
 
-pub(crate) const NOTHING: Budget = Budget {
+pub(crate) const EMPTY_BUDGET: Budget = Budget {
     ticks: 0,
     writes: 0,
     reads: 0,
@@ -45,31 +46,31 @@
 /// A machine with its disk and, while it runs, its process.
 #[derive(Clone)]
 pub(crate) struct Machine {
-    /// What a process that starts now reads.
+    /// What a process would read if it started now.
     pub disk: DurableState,
-    /// What of that outlasts a loss of power.
+    /// The part of `disk` that survives a power loss.
     pub synced: DurableState,
-    /// A copy of the disk that was taken at some time.
+    /// An earlier copy of the disk.
     pub copy: Option<Box<DurableState>>,
-    /// Its process has found the disk to be an old copy that is not needed.
+    /// The process has reported the disk as superseded.
     pub is_superseded: bool,
-    /// Submitted to the disk and not confirmed.
+    /// Changes submitted to the disk and not synced yet, with their tickets.
     pub pending: VecDeque<(u64, DiskChange)>,
     pub process: Option<(Replica, CountingState)>,
     pub is_partitioned: bool,
     pub is_frozen: bool,
 }
 
-/// A read that waits for the tail.
+/// A read in flight at a tail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Read {
     pub machine: usize,
     pub since: Millis,
-    /// The newest entry acknowledged to anybody when it came.
+    /// The newest entry acknowledged to any client when the read started.
     pub acknowledged: u64,
 }
 
-/// Everything at one moment.
+/// A state of the model.
 #[derive(Clone)]
 pub(crate) struct World {
     pub now: Millis,
@@ -78,7 +79,7 @@
     pub budget: Budget,
     pub incarnations: u64,
     pub proposals: u64,
-    /// What was applied under each index by whichever replica did it first: from then on it is acknowledged.
+    /// The proposal that was first applied at each index by any replica. It counts as acknowledged from then on.
     pub history: BTreeMap<u64, ProposalId>,
     pub reads: Vec<Read>,
     pub violation: Option<String>,
@@ -129,7 +130,7 @@
         world
     }
 
-    pub(crate) fn is_awake(&self, machine: usize) -> bool {
+    pub(crate) fn is_responsive(&self, machine: usize) -> bool {
         self.machines[machine].process.is_some() && !self.machines[machine].is_frozen
     }
 
@@ -140,7 +141,7 @@
             .map(|(replica, _)| replica)
     }
 
-    /// A hash by which worlds are distinguished.
+    /// A hash that identifies the world.
     pub(crate) fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         format!("{self:?}").hash(&mut hasher);
--- a/system/control/tests/old_copies.rs
+++ b/system/control/tests/old_copies.rs
@@ -1,5 +1,5 @@
-//! A disk that is put back from an old copy, under the name of the one that went on: who recognises it, and what becomes of
-//! its member.
+//! Disks that are restored from old copies, with the identity of the disk that was copied. The other replicas must
+//! detect the stale disk, because it lacks votes and entries that its member has acknowledged.
 mod common;
 
 use common::{group::Group, heartbeat, no_state, settings, started, NoState};
@@ -10,38 +10,38 @@
     ReplicaId, StaleDisk, View, ViewNumber, WallMillis,
 };
 
-/// Three replicas whose disks were copied; after that entries were committed.
+/// A group of three whose disks were copied before the last entries were committed.
 fn group_with_copies() -> Group {
     let mut group = Group::start(3, 1);
     for address in group.addresses() {
         group.copy_disk(address);
     }
-    write_some(&mut group);
+    commit_some_entries(&mut group);
     group
 }
 
-fn write_some(group: &mut Group) {
+fn commit_some_entries(group: &mut Group) {
     for _ in 0..5 {
         group.write();
         group.run(100);
     }
 }
 
-/// The disk of a machine is put back from its copy, and the machine starts.
-fn put_back(group: &mut Group, address: u32) {
+/// Stops a machine, restores its disk from the copy, and starts it again.
+fn restart_from_copy(group: &mut Group, address: u32) {
     group.stop_replica(address);
     group.run(800);
-    group.put_back(address);
+    group.restore_disk(address);
     group.start_replica(address);
 }
 
-/// All take part again, nothing was replaced, and writes are committed.
+/// All replicas are in the chain, no entry was replaced, and writes are committed.
 fn expect_all_serve(group: &mut Group) {
     expect_that!(
         group.chain(),
         unordered_elements_are![eq(&1), eq(&2), eq(&3)]
     );
-    expect_that!(group.contradictions, is_empty());
+    expect_that!(group.conflicts, is_empty());
     let before = group.committed();
     expect_that!(group.write(), eq(true));
     group.run(200);
@@ -49,10 +49,10 @@
 }
 
 #[googletest::test]
-fn given_an_old_copy_when_the_others_serve_then_its_machine_rejoins_with_an_empty_disk() {
+fn stale_disk_is_wiped_while_others_serve() {
     for address in 1..=3 {
         let mut group = group_with_copies();
-        put_back(&mut group, address);
+        restart_from_copy(&mut group, address);
         group.run(3000);
         expect_that!(group.superseded, elements_are![eq(&address)]);
         expect_that!(group.replica(address).own().member.disk, not(eq(0)));
@@ -61,7 +61,7 @@
 }
 
 #[googletest::test]
-fn given_a_disk_that_has_all_when_its_machine_starts_again_then_it_is_no_old_copy() {
+fn complete_disk_is_not_stale_after_restart() {
     let mut group = group_with_copies();
     for round in 0..3 {
         for address in 1..=3 {
@@ -80,30 +80,30 @@
             group.start_replica(address);
         }
         group.run(2000);
-        write_some(&mut group);
+        commit_some_entries(&mut group);
     }
     expect_that!(group.superseded, is_empty());
     expect_all_serve(&mut group);
 }
 
 #[googletest::test]
-fn given_an_old_copy_when_all_have_lost_power_then_what_the_others_have_on_disk_tells_it() {
+fn stale_disk_is_detected_after_power_loss() {
     for (address, copied_after_ms) in [(1, 0), (2, 0), (1, 1000), (2, 1000)] {
-        // Given: a member goes, and the others agree on a view without it and write in it
+        // Given: a member stops, and the others commit entries in a view without it
         let mut group = group_with_copies();
         group.stop_replica(3);
         group.run(1500);
-        write_some(&mut group);
-        // A copy of that view lacks only entries; nothing was voted on since.
+        commit_some_entries(&mut group);
+        // A copy taken in that view lacks only entries, and no votes.
         if copied_after_ms > 0 {
             group.copy_disk(address);
             group.run(copied_after_ms);
-            write_some(&mut group);
+            commit_some_entries(&mut group);
         }
         group.stop_replica(1);
         group.stop_replica(2);
-        // When: one comes back from its copy, and nobody has anything in memory
-        group.put_back(address);
+        // When: all restart, one of them from its copy, so that only notes on disk are left
+        group.restore_disk(address);
         for address in 1..=3 {
             group.start_replica(address);
         }
@@ -115,22 +115,21 @@
 }
 
 #[googletest::test]
-fn given_an_old_copy_when_too_few_serve_without_it_then_it_does_not_vote_and_its_disk_is_retained()
-{
-    // Given: only one that knows better is up
+fn needed_stale_disk_is_retained_without_voting() {
+    // Given: only one replica that can detect the stale disk is running
     let mut group = group_with_copies();
     group.stop_replica(3);
     group.stop_replica(1);
-    group.put_back(1);
+    group.restore_disk(1);
     let before = group.view();
     // When
     group.start_replica(1);
     group.run(5000);
-    // Then: the two that are up agree on nothing, and nothing is thrown away
+    // Then: the two running replicas decide no view, and the disk is not wiped
     expect_that!(group.view(), eq(before));
     expect_that!(group.superseded, is_empty());
     expect_that!(group.replica(1).own().member.disk, eq(0));
-    // When the third one is back, the cluster goes on, and the copy is given up.
+    // When the third replica is back, the group serves again, and the stale disk is wiped.
     group.start_replica(3);
     group.run(4000);
     expect_that!(group.superseded, elements_are![eq(&1)]);
@@ -138,15 +137,15 @@
 }
 
 #[googletest::test]
-fn given_a_copy_of_a_running_machine_when_both_have_the_same_start_number_then_it_is_recognised() {
-    // Given: the copy is of the first process; the disk has seen a second one
+fn stale_disk_with_equal_start_number_is_detected() {
+    // Given: the copy is from the first process on the disk, and a second one has started since
     let mut group = group_with_copies();
     group.kill_replica(2);
     group.run(800);
     group.start_replica(2);
     group.run(1500);
-    // When: the process on the copy counts as the second one too, and has all entries
-    put_back(&mut group, 2);
+    // When: the process on the copy has the same start number
+    restart_from_copy(&mut group, 2);
     group.run(3000);
     // Then
     expect_that!(group.superseded, elements_are![eq(&2)]);
@@ -191,7 +190,7 @@
     })
 }
 
-/// The processes that are objected to.
+/// The processes to which objections are sent.
 fn objections(outputs: &[Output]) -> Vec<ReplicaId> {
     let objection = |output: &Output| match output {
         Output::Send {
@@ -204,20 +203,44 @@
 }
 
 #[googletest::test]
-fn a_process_is_objected_to_when_it_can_not_have_started_after_what_was_noted_of_its_disk() {
-    // Noted: the second start, which began with entry 5 and has confirmed entry 9 since.
-    let (begun, come) = (progress(1, 5), progress(1, 9));
+fn process_is_rejected_unless_it_follows_noted_progress() {
+    // Noted: the second start on the disk, which read entry 5 and has confirmed entry 9 since.
+    let (initial_progress, noted_progress) = (progress(1, 5), progress(1, 9));
     let cases = [
-        ("the same process", 7, 2, begun, false),
-        ("the next start, with all", 8, 3, come, false),
-        ("a later start, with more", 8, 6, progress(2, 12), false),
-        ("the next start, with less", 8, 3, progress(1, 8), true),
-        ("another process of the same start", 8, 2, come, true),
-        ("a start before", 8, 1, come, true),
+        ("the same process", 7, 2, initial_progress, false),
+        (
+            "the next start, with the noted progress",
+            8,
+            3,
+            noted_progress,
+            false,
+        ),
+        (
+            "a later start, with more progress",
+            8,
+            6,
+            progress(2, 12),
+            false,
+        ),
+        (
+            "the next start, with less progress",
+            8,
+            3,
+            progress(1, 8),
+            true,
+        ),
+        (
+            "another process with the same start number",
+            8,
+            2,
+            noted_progress,
+            true,
+        ),
+        ("an earlier start", 8, 1, noted_progress, true),
     ];
     for (name, incarnation, starts, at_start, is_stale) in cases {
         let mut first = first_replica();
-        let noted = heartbeat_of_disk(2, begun, come);
+        let noted = heartbeat_of_disk(2, initial_progress, noted_progress);
         first.handle_messages(10, WallMillis(10), replica(2, 7), noted, &mut NoState);
         first.poll_outputs();
         let other = replica(2, incarnation);
@@ -229,18 +252,18 @@
 }
 
 #[googletest::test]
-fn a_machine_that_was_at_the_build_before_for_a_while_is_not_objected_to() {
-    // Given: the build before keeps no count of starts, and writes the disk without the one that was on it
+fn temporary_downgrade_does_not_make_disk_stale() {
+    // Given: the previous build does not count starts, and its writes discard the count on the disk
     let mut first = first_replica();
-    let begun = progress(1, 5);
-    let noted = heartbeat_of_disk(4, begun, progress(1, 9));
+    let initial_progress = progress(1, 5);
+    let noted = heartbeat_of_disk(4, initial_progress, progress(1, 9));
     first.handle_messages(10, WallMillis(10), replica(2, 7), noted, &mut NoState);
-    let of_build_before = PeerMessage::Heartbeat(heartbeat(0));
+    let from_previous_build = PeerMessage::Heartbeat(heartbeat(0));
     first.handle_messages(
         20,
         WallMillis(20),
         replica(2, 8),
-        of_build_before,
+        from_previous_build,
         &mut NoState,
     );
     first.poll_outputs();
@@ -252,7 +275,7 @@
 }
 
 #[googletest::test]
-fn a_replica_whose_disk_was_objected_to_leads_no_chain() {
+fn replica_with_stale_disk_does_not_become_head() {
     for (name, objected_to, leads) in [
         ("an earlier process", replica(1, 99), true),
         ("this process", replica(1, 1), false),
--- a/system/control/tests/replaced.rs
+++ b/system/control/tests/replaced.rs
@@ -1,11 +1,12 @@
-//! Machines that are replaced by others at other addresses leave nothing behind.
+//! Machines that are replaced by others at new addresses. The group must not depend on the removed members, for
+//! example by counting them as unreachable voters.
 mod common;
 
 use common::group::Group;
 use googletest::prelude::*;
 
-/// Five, of which seven were replaced one after the other.
-fn often_replaced() -> Group {
+/// A group of five in which a machine was replaced seven times, one after the other.
+fn group_after_replacements() -> Group {
     let mut group = Group::start(5, 2);
     group.write();
     group.run(200);
@@ -21,8 +22,8 @@
 }
 
 #[googletest::test]
-fn given_replaced_machines_when_a_link_of_the_chain_is_cut_then_one_goes_and_views_stop_changing() {
-    let mut group = often_replaced();
+fn broken_link_after_replacements_removes_one_member() {
+    let mut group = group_after_replacements();
     let chain = group.chain();
     group
         .partitioned_links
@@ -40,8 +41,8 @@
 }
 
 #[googletest::test]
-fn given_all_machines_replaced_when_two_are_lost_then_the_others_go_on_and_keep_all() {
-    let mut group = often_replaced();
+fn group_survives_two_losses_after_replacements() {
+    let mut group = group_after_replacements();
     let before = group.committed();
     for address in group.chain().into_iter().take(2) {
         group.stop_replica(address);
@@ -51,5 +52,5 @@
     expect_that!(group.write(), eq(true));
     group.run(200);
     expect_that!(group.committed(), gt(before));
-    expect_that!(group.contradictions, is_empty());
+    expect_that!(group.conflicts, is_empty());
 }
--- a/system/control/tests/slow_disks.rs
+++ b/system/control/tests/slow_disks.rs
@@ -1,10 +1,11 @@
-//! Views on disks that are all slow: a round takes two syncs, and no constant bounds those.
+//! View changes while all disks are slow. A round takes two syncs, whose duration is unbounded, so with a fixed
+//! round timeout every round would be aborted on a disk that is slow enough.
 mod common;
 
 use common::group::Group;
 use googletest::prelude::*;
 
-/// For a sync of so many milliseconds: how many it may take until a view is agreed.
+/// Pairs of the duration of a sync and the time limit for a view change, in milliseconds.
 const CASES: [(u64, u64); 5] = [
     (9, 800),
     (120, 1500),
@@ -13,27 +14,27 @@
     (700, 14_000),
 ];
 
-/// The time from the loss of a member until the others have a view without it.
-fn time_without(group: &mut Group, lost: u32, max_ms: u64) -> Option<u64> {
-    let began = group.now;
+/// The time from the loss of a member until the others have a view without it; `None` when that exceeds `max_ms`.
+fn time_to_view_without(group: &mut Group, lost: u32, max_ms: u64) -> Option<u64> {
+    let started_at = group.now;
     group.stop_replica(lost);
     while group.chain().contains(&lost) {
-        if group.now >= began + max_ms {
+        if group.now >= started_at + max_ms {
             return None;
         }
         group.run(20);
     }
-    Some(group.now - began)
+    Some(group.now - started_at)
 }
 
 #[googletest::test]
-fn given_slow_disks_when_a_member_is_lost_then_the_others_agree_on_a_view_without_it() {
+fn slow_disks_allow_view_without_lost_member() {
     for (size, tolerance) in [(3, 1), (5, 2)] {
         for (sync_ms, max_ms) in CASES {
             for lost in 1..=size {
                 let mut group = Group::start(size, tolerance);
                 group.sync_ms = sync_ms;
-                let took = time_without(&mut group, lost, max_ms);
+                let took = time_to_view_without(&mut group, lost, max_ms);
                 expect_that!(
                     took,
                     some(anything()),
@@ -45,7 +46,7 @@
 }
 
 #[googletest::test]
-fn given_slow_disks_when_all_have_lost_power_then_they_go_on_together() {
+fn slow_disks_allow_recovery_after_power_loss() {
     for (size, tolerance) in [(3, 1), (5, 2)] {
         for (sync_ms, max_ms) in CASES {
             let mut group = Group::start(size, tolerance);
@@ -57,8 +58,8 @@
             for address in group.addresses() {
                 group.start_replica(address);
             }
-            let began = group.now;
-            while !group.write() && group.now < began + max_ms {
+            let started_at = group.now;
+            while !group.write() && group.now < started_at + max_ms {
                 group.run(20);
             }
             expect_that!(
@@ -67,7 +68,7 @@
                 "{size}, a sync takes {sync_ms} ms"
             );
             expect_that!(
-                group.now - began,
+                group.now - started_at,
                 lt(max_ms),
                 "{size}, a sync takes {sync_ms} ms"
             );
--- a/system/control/tests/snapshot_transfer.rs
+++ b/system/control/tests/snapshot_transfer.rs
@@ -1,4 +1,5 @@
-//! Snapshot transfer: a replica that can't be sent entries is sent a snapshot, chunk by chunk.
+//! Snapshot transfer: a replica whose missing entries are no longer in the source's log receives a snapshot, chunk by
+//! chunk.
 mod common;
 
 use common::{no_state, settings, started, NoState};
@@ -9,10 +10,10 @@
     ViewNumber, WallMillis,
 };
 
-/// Chunks of the snapshot.
+/// The number of chunks of the snapshot.
 const CHUNKS: u32 = 10;
 /// The last entry in the snapshot.
-const STATE: LogPosition = LogPosition {
+const SNAPSHOT_POSITION: LogPosition = LogPosition {
     view: ViewNumber(1),
     index: LogIndex(50),
 };
@@ -41,7 +42,7 @@
     }
 }
 
-/// A view with a chain of head and tail; the learner is outside of it.
+/// A view whose chain is the head and the tail. The learner is outside the chain.
 fn view(number: u64) -> View {
     let chain = vec![replica(1, 0), replica(2, 0)];
     let voters: Vec<Member> = chain.iter().map(|replica| replica.member).collect();
@@ -50,7 +51,7 @@
     })
 }
 
-/// A replica with an empty disk outside of the chain, to which the tail has offered a snapshot.
+/// A learner with an empty disk that the tail has offered a snapshot.
 fn learner() -> Replica {
     let own = replica(3, 7);
     let mut learner = started(
@@ -75,7 +76,7 @@
 fn offer(view: u64) -> PeerMessage {
     PeerMessage::SnapshotOffer {
         view: ViewNumber(view),
-        position: STATE,
+        position: SNAPSHOT_POSITION,
         chunks: CHUNKS,
     }
 }
@@ -84,14 +85,14 @@
     let bytes = vec![number as u8];
     PeerMessage::SnapshotChunk {
         view: ViewNumber(view),
-        position: STATE,
+        position: SNAPSHOT_POSITION,
         number,
         checksum: fnv1a(&bytes),
         bytes,
     }
 }
 
-/// The chunks that a replica requests.
+/// The chunk numbers that a replica requests.
 fn requested(replica: &mut Replica) -> Vec<u32> {
     let chunk_number = |output| match output {
         Output::Send {
@@ -107,7 +108,7 @@
         .collect()
 }
 
-/// After which entry a replica requests more.
+/// The last entry that a replica reports in its latest request for entries.
 fn requested_after(outputs: &[Output]) -> Option<u64> {
     outputs.iter().rev().find_map(|output| match output {
         Output::Send {
@@ -118,7 +119,7 @@
     })
 }
 
-/// How many entries after the state each checkpoint holds.
+/// The number of log entries in each checkpoint.
 fn checkpoints(outputs: &[Output]) -> Vec<usize> {
     let entries = |output: &Output| match output {
         Output::Checkpoint { snapshot, .. } => Some(snapshot.entries.len()),
@@ -128,7 +129,7 @@
 }
 
 #[googletest::test]
-fn given_an_offered_snapshot_when_chunks_come_then_a_few_are_in_flight_at_a_time() {
+fn few_chunks_are_in_flight_at_once() {
     let mut learner = learner();
     expect_that!(
         requested(&mut learner),
@@ -136,14 +137,14 @@
     );
     learner.handle_messages(20, WallMillis(0), tail(), chunk(2, 0), &mut NoState);
     expect_that!(requested(&mut learner), elements_are![eq(&4)]);
-    // One that comes again, or too soon, is passed over.
+    // Repeated and out-of-order chunks are ignored.
     learner.handle_messages(21, WallMillis(0), tail(), chunk(2, 0), &mut NoState);
     learner.handle_messages(22, WallMillis(0), tail(), chunk(2, 3), &mut NoState);
     expect_that!(requested(&mut learner), is_empty());
 }
 
 #[googletest::test]
-fn given_chunks_that_were_lost_when_time_passes_then_they_are_requested_again() {
+fn lost_chunks_are_requested_again() {
     let mut learner = learner();
     learner.handle_messages(20, WallMillis(0), tail(), chunk(2, 0), &mut NoState);
     learner.handle_messages(21, WallMillis(0), tail(), chunk(2, 1), &mut NoState);
@@ -156,7 +157,7 @@
 }
 
 #[googletest::test]
-fn given_a_change_of_the_view_when_the_same_snapshot_is_offered_then_its_transfer_resumes() {
+fn transfer_resumes_after_view_change() {
     let mut learner = learner();
     for number in 0..6 {
         learner.handle_messages(20, WallMillis(0), tail(), chunk(2, number), &mut NoState);
@@ -177,8 +178,7 @@
 }
 
 #[googletest::test]
-fn given_all_chunks_when_entries_are_missing_then_the_snapshot_is_installed_only_once_they_are_there(
-) {
+fn snapshot_is_installed_only_with_following_entries() {
     let mut learner = learner();
     for number in 0..CHUNKS {
         learner.handle_messages(20, WallMillis(0), tail(), chunk(2, number), &mut NoState);
@@ -187,26 +187,26 @@
     expect_that!(checkpoints(&outputs), is_empty());
     expect_that!(requested_after(&outputs), some(eq(50)));
     let entries: Vec<Entry> = (51..=60).map(|index| entry(1, index)).collect();
-    let some_of_them = PeerMessage::MissingEntries {
+    let first_batch = PeerMessage::MissingEntries {
         view: ViewNumber(2),
         after: LogIndex(50),
         entries,
         more: true,
     };
-    learner.handle_messages(30, WallMillis(0), tail(), some_of_them, &mut NoState);
+    learner.handle_messages(30, WallMillis(0), tail(), first_batch, &mut NoState);
     let outputs = learner.poll_outputs();
     expect_that!(checkpoints(&outputs), is_empty());
     expect_that!(requested_after(&outputs), some(eq(60)));
     let entries = vec![entry(2, 61)];
-    let rest = PeerMessage::MissingEntries {
+    let last_batch = PeerMessage::MissingEntries {
         view: ViewNumber(2),
         after: LogIndex(60),
         entries,
         more: false,
     };
-    learner.handle_messages(40, WallMillis(0), tail(), rest, &mut NoState);
+    learner.handle_messages(40, WallMillis(0), tail(), last_batch, &mut NoState);
     expect_that!(checkpoints(&learner.poll_outputs()), elements_are![eq(&11)]);
-    // From now on it takes entries as they come.
+    // The learner accepts appends from now on.
     let append = PeerMessage::Append {
         view: ViewNumber(2),
         after: LogIndex(61),
@@ -218,20 +218,20 @@
 }
 
 #[googletest::test]
-fn given_entries_after_the_snapshot_when_the_view_changes_then_they_are_requested_anew() {
-    // Given: the old tail had an entry that was not committed
+fn view_change_discards_entries_after_snapshot() {
+    // Given: an uncommitted entry after the snapshot was received from the old tail
     let mut learner = learner();
     for number in 0..CHUNKS {
         learner.handle_messages(20, WallMillis(0), tail(), chunk(2, number), &mut NoState);
     }
     let entries = vec![entry(2, 51)];
-    let some_of_them = PeerMessage::MissingEntries {
+    let first_batch = PeerMessage::MissingEntries {
         view: ViewNumber(2),
         after: LogIndex(50),
         entries,
         more: true,
     };
-    learner.handle_messages(30, WallMillis(0), tail(), some_of_them, &mut NoState);
+    learner.handle_messages(30, WallMillis(0), tail(), first_batch, &mut NoState);
     // When
     learner.handle_messages(
         40,
--- a/system/control/tests/starting.rs
+++ b/system/control/tests/starting.rs
@@ -1,4 +1,4 @@
-//! When replicas that have started propose a view.
+//! When restarted replicas propose a view and vote.
 mod common;
 
 use common::{heartbeat, no_state, report, settings, started, NoState};
@@ -15,7 +15,7 @@
     }
 }
 
-/// The incarnation of a replica after its start.
+/// The incarnation of a replica after a restart.
 fn new_incarnation(address: u32) -> ReplicaId {
     ReplicaId {
         incarnation: 90 + u64::from(address),
@@ -23,12 +23,12 @@
     }
 }
 
-/// The first of three replicas that have all started anew: view 1, with all three, is on its disk.
+/// The first of three restarted replicas. View 1, with all three in the chain, is on its disk.
 fn restarted() -> Replica {
     restarted_after(None)
 }
 
-/// The same, when it has promised a ballot before.
+/// The same replica, with an earlier promise on its disk.
 fn restarted_after(promised: Option<Ballot>) -> Replica {
     let voters: Vec<Member> = (1..=3).map(|address| replica(address).member).collect();
     let chain = (1..=3).map(replica).collect();
@@ -39,16 +39,17 @@
     started(settings(own, vec![1, 2, 3]), disk)
 }
 
-/// A heartbeat of a replica that hears the first one.
+/// A heartbeat of a replica that receives heartbeats from the first one.
 fn heard_heartbeat(view: u64, serving: bool) -> PeerMessage {
-    let heard = vec![report(new_incarnation(1), view)];
+    let reports = vec![report(new_incarnation(1), view)];
     PeerMessage::Heartbeat(Heartbeat {
         serving,
-        reports: heard,
+        reports,
         ..heartbeat(view)
     })
 }
 
+/// Whether a round was started.
 fn proposes(outputs: &[Output]) -> bool {
     let prepares = |output: &Output| {
         matches!(
@@ -63,7 +64,7 @@
 }
 
 #[googletest::test]
-fn given_a_promise_when_a_view_is_needed_then_a_round_starts_only_with_a_ballot_above_it() {
+fn new_round_uses_ballot_above_promised_one() {
     for (round, is_proposed) in [(0, true), (u64::MAX - 1, true), (u64::MAX, false)] {
         let promised = Ballot { round, proposer: 7 };
         let mut replica_1 = restarted_after(Some(promised));
@@ -82,7 +83,7 @@
 }
 
 #[googletest::test]
-fn given_a_start_of_all_when_all_voters_are_heard_then_a_view_is_proposed_at_once() {
+fn view_is_proposed_at_once_with_all_voters() {
     let mut replica_1 = restarted();
     for other in [2, 3] {
         replica_1.handle_messages(
@@ -98,7 +99,7 @@
 }
 
 #[googletest::test]
-fn given_a_start_of_all_when_one_is_missing_then_the_others_wait_until_they_are_stable() {
+fn proposal_waits_for_stability_without_all_voters() {
     let mut replica_1 = restarted();
     let mut proposed_at = None;
     for now in (0..1000).step_by(20) {
@@ -117,7 +118,7 @@
 }
 
 #[googletest::test]
-fn given_others_that_serve_when_a_replica_starts_then_it_disturbs_them_only_once_it_is_stable() {
+fn unstable_replica_does_not_disturb_serving_ones() {
     let mut replica_1 = restarted();
     for other in [2, 3] {
         replica_1.handle_messages(
@@ -133,7 +134,7 @@
 }
 
 #[googletest::test]
-fn given_a_replica_that_is_heard_for_the_first_time_then_it_is_answered_at_the_next_tick() {
+fn new_replica_is_answered_at_next_tick() {
     let mut replica_1 = restarted();
     replica_1.on_timeout(0, WallMillis(0), &mut NoState);
     replica_1.poll_outputs();
@@ -158,8 +159,9 @@
 }
 
 #[googletest::test]
-fn given_a_view_with_all_when_one_of_them_is_not_stable_yet_then_no_view_without_it_is_proposed() {
-    // Given: a view with this incarnation of all three, agreed a moment after the last of them was first heard
+fn unstable_member_is_not_removed_from_view() {
+    // Given: a view with the current incarnations of all three, decided shortly after the first heartbeat of the last
+    // one
     let mut replica_1 = restarted();
     for now in (0..100).step_by(20) {
         replica_1.handle_messages(
@@ -209,7 +211,7 @@
 }
 
 #[googletest::test]
-fn given_a_voter_that_has_started_when_too_few_have_heard_it_then_its_vote_waits_for_them() {
+fn restarted_voter_defers_vote_until_majority_heard_it() {
     let ballot = Ballot {
         round: 1,
         proposer: 7,
@@ -218,7 +220,7 @@
         number: ViewNumber(2),
         ballot,
     };
-    // Given: no voter has said that it hears this process
+    // Given: no voter has reported a heartbeat from this process
     let mut replica_1 = restarted();
     let proposer = new_incarnation(2);
     replica_1.handle_messages(10, WallMillis(10), proposer, prepare, &mut NoState);
@@ -226,11 +228,11 @@
     // When
     let heard = heard_heartbeat(1, false);
     replica_1.handle_messages(20, WallMillis(20), proposer, heard, &mut NoState);
-    // Then: with itself that is a majority of three
+    // Then: together with this replica itself, a majority of three has heard from it
     expect_that!(writes_a_promise(&replica_1.poll_outputs()), eq(true));
 }
 
-/// Whether a promise for the next view goes to disk.
+/// Whether a promise for the next view is written to disk.
 fn writes_a_promise(outputs: &[Output]) -> bool {
     let promises = |record: &DurableRecord| match record {
         DurableRecord::Agreement(agreement) => agreement.promised.is_some(),
--- a/system/control/tests/time_of_day.rs
+++ b/system/control/tests/time_of_day.rs
@@ -1,13 +1,13 @@
-//! Jumps of a clock are not followed, corrections are.
+//! Temporary jumps of a wall clock are filtered out; corrections that last are accepted.
 use googletest::prelude::*;
 use magpiegap_control::TimeOfDay;
 use magpiegap_protocol::WallMillis;
 
-/// What the clock shows when the steady clock shows zero.
+/// The reading of the wall clock when the steady clock reads zero.
 const BASE: WallMillis = WallMillis(1_000_000);
 
-/// A clock that has been read for a while.
-fn known_clock() -> TimeOfDay {
+/// A clock that has been read for longer than the warm-up.
+fn warmed_up_clock() -> TimeOfDay {
     let mut clock = TimeOfDay::default();
     for now in (0..=20_000).step_by(100) {
         clock.read(now, BASE + now);
@@ -16,9 +16,9 @@
 }
 
 #[googletest::test]
-fn given_a_known_clock_when_it_jumps_and_jumps_back_then_the_time_goes_on_evenly() {
+fn temporary_jump_does_not_change_time() {
     for jump in [8_000_i64, -8_000] {
-        let mut clock = known_clock();
+        let mut clock = warmed_up_clock();
         for now in (20_100..26_000).step_by(100) {
             expect_that!(
                 clock.read(now, WallMillis((BASE + now).0.saturating_add_signed(jump))),
@@ -30,26 +30,26 @@
 }
 
 #[googletest::test]
-fn given_a_known_clock_when_it_drifts_then_it_is_followed() {
-    let mut clock = known_clock();
+fn drift_is_accepted() {
+    let mut clock = warmed_up_clock();
     expect_that!(clock.read(20_100, BASE + 20_300), eq(BASE + 20_300));
     expect_that!(clock.read(20_200, BASE + 20_600), eq(BASE + 20_600));
 }
 
 #[googletest::test]
-fn given_a_known_clock_when_a_jump_lasts_for_a_minute_then_it_is_a_correction() {
-    let mut clock = known_clock();
-    let mut followed_at = 0;
+fn jump_lasting_a_minute_is_accepted() {
+    let mut clock = warmed_up_clock();
+    let mut accepted_at = 0;
     for now in (21_000..100_000).step_by(500) {
-        if clock.read(now, BASE + now + 5000) == BASE + now + 5000 && followed_at == 0 {
-            followed_at = now;
+        if clock.read(now, BASE + now + 5000) == BASE + now + 5000 && accepted_at == 0 {
+            accepted_at = now;
         }
     }
-    expect_that!(followed_at, eq(81_000));
+    expect_that!(accepted_at, eq(81_000));
 }
 
 #[googletest::test]
-fn given_a_clock_that_was_first_read_amid_a_jump_when_it_jumps_back_then_it_is_followed_at_once() {
+fn jump_during_warm_up_is_corrected_at_once() {
     let mut clock = TimeOfDay::default();
     clock.read(0, BASE + 5000);
     clock.read(3000, BASE + 8000);
--- a/system/control/tests/zones.rs
+++ b/system/control/tests/zones.rs
@@ -1,4 +1,5 @@
-//! The loss of a zone: what is acknowledged is kept in another one, and a majority of the voters is left.
+//! Tolerance of the loss of a zone or region: acknowledged entries are kept in another one, and a majority of the
+//! voters survives.
 mod common;
 
 use common::group::Group;
@@ -6,7 +7,7 @@
 use magpiegap_control::Tolerance;
 use magpiegap_protocol::{FailureDomainId, Location};
 
-/// One machine, or all of one zone, may be lost at once.
+/// Tolerates the loss of one machine or of an entire zone.
 const ONE_ZONE: Tolerance = Tolerance {
     machines: 1,
     zones: 1,
@@ -22,7 +23,7 @@
 }
 
 #[googletest::test]
-fn given_replicas_of_one_zone_when_a_zone_may_be_lost_then_they_do_not_suffice() {
+fn replicas_in_one_zone_do_not_suffice() {
     expect_that!(
         ONE_ZONE.keeps_replica(&in_zones(&["a", "a", "a"])),
         eq(false)
@@ -36,7 +37,7 @@
 }
 
 #[googletest::test]
-fn given_voters_when_any_zone_may_be_lost_then_none_may_hold_half_of_them() {
+fn no_zone_may_hold_half_the_voters() {
     expect_that!(
         ONE_ZONE.keeps_majority(&in_zones(&["a", "a", "b"])),
         eq(false)
@@ -56,7 +57,7 @@
 }
 
 #[googletest::test]
-fn given_regions_when_one_may_be_lost_then_replicas_and_voters_are_in_several() {
+fn region_tolerance_requires_several_regions() {
     let tolerance = Tolerance {
         machines: 1,
         zones: 0,
@@ -66,16 +67,16 @@
         zone: FailureDomainId::of(zone),
         region: FailureDomainId::of(region),
     };
-    let one_region = [at("a", "r"), at("b", "r"), at("c", "s")];
+    let two_regions = [at("a", "r"), at("b", "r"), at("c", "s")];
     let three_regions = [at("a", "r"), at("b", "s"), at("c", "t")];
-    expect_that!(tolerance.keeps_replica(&one_region[..2]), eq(false));
-    expect_that!(tolerance.keeps_replica(&one_region), eq(true));
-    expect_that!(tolerance.keeps_majority(&one_region), eq(false));
+    expect_that!(tolerance.keeps_replica(&two_regions[..2]), eq(false));
+    expect_that!(tolerance.keeps_replica(&two_regions), eq(true));
+    expect_that!(tolerance.keeps_majority(&two_regions), eq(false));
     expect_that!(tolerance.keeps_majority(&three_regions), eq(true));
 }
 
 #[googletest::test]
-fn given_only_one_zone_left_when_a_write_comes_then_it_is_not_committed_until_another_is_back() {
+fn single_zone_commits_nothing_until_another_returns() {
     let mut group = Group::start_in_zones(&["a", "a", "b"], 3, ONE_ZONE);
     group.stop_replica(3);
     group.run(1500);
@@ -90,7 +91,7 @@
 }
 
 #[googletest::test]
-fn given_seeds_of_which_two_share_a_zone_when_that_zone_is_lost_then_writes_go_on() {
+fn writes_continue_after_loss_of_shared_zone() {
     for zones in [
         ["a", "a", "b", "b", "c"],
         ["a", "a", "b", "c", "a"],
@@ -98,12 +99,12 @@
     ] {
         let mut group = Group::start_in_zones(&zones, 3, ONE_ZONE);
         group.run(2000);
-        let of_a: Vec<u32> = (1..)
+        let in_zone_a: Vec<u32> = (1..)
             .zip(zones)
             .filter(|(_, zone)| *zone == "a")
             .map(|(address, _)| address)
             .collect();
-        for address in of_a {
+        for address in in_zone_a {
             group.stop_replica(address);
         }
         group.run(1500);
@@ -115,7 +116,7 @@
 }
 
 #[googletest::test]
-fn given_a_zone_that_comes_back_with_empty_disks_when_all_others_lost_power_then_nothing_is_lost() {
+fn zone_with_wiped_disks_loses_no_entries() {
     let mut group = Group::start_in_zones(&["a", "a", "b", "b", "c"], 3, ONE_ZONE);
     group.run(2000);
     for _ in 0..10 {
