--- a/system/control/src/disk_confirmation.rs
+++ b/system/control/src/disk_confirmation.rs
@@ -74,7 +74,8 @@
         );
     }
 
-    /// Confirms the own disk once a majority of the voters has heard this process, and handles the deferred messages.
+    /// Confirms the own disk once a majority of the voters has heard from this process, and handles the deferred
+    /// messages.
     pub(crate) fn confirm_disk(
         &mut self,
         now: Millis,
--- a/system/control/src/disk_notes.rs
+++ b/system/control/src/disk_notes.rs
@@ -1,6 +1,6 @@
 //! Notes on the disks of other members, by which a disk that was restored from an old copy is detected.
 //!
-//! A note records the newest process heard on a disk, identified by the number of starts on that disk, and the
+//! A note records the newest process known on a disk, identified by the number of starts on that disk, and the
 //! progress of the disk. A different process on the same disk must have a higher start number and must have read at
 //! least that progress; otherwise the disk is stale. Notes are kept in memory, up to the last heartbeat, and on this
 //! replica's disk, as of the last write of its votes.
--- a/system/control/src/inputs.rs
+++ b/system/control/src/inputs.rs
@@ -186,7 +186,7 @@
     fn handle_heartbeat(&mut self, from: ReplicaId, heartbeat: &Heartbeat, now: Millis) {
         let is_accepted = self.check_disk(from, heartbeat, now);
         if is_accepted && self.membership.handle_heartbeat(from, heartbeat, now) {
-            // A new process waits for a heartbeat that reports that it was heard.
+            // A new process waits for a heartbeat that reports its own heartbeats as received.
             self.next_heartbeat_at = now;
         }
         if is_accepted {
--- a/system/control/src/membership.rs
+++ b/system/control/src/membership.rs
@@ -8,11 +8,11 @@
 use magpiegap_protocol::{Heartbeat, Member, Millis, PeerReport, ReplicaId, View, WallMillis};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A newcomer must have been heard continuously for this long before it may join a view.
+/// A newcomer must have been heard from continuously for this long before it may join a view.
 const MIN_STABLE_MS: Millis = 150;
-/// A peer that was not heard for this long is dropped.
+/// A peer that has not been heard from for this long is dropped.
 const PEER_EXPIRY_MS: Millis = 30_000;
-/// A peer outside the view that was not heard for this long is removed from the ring.
+/// A peer outside the view that has not been heard from for this long is removed from the ring.
 const NON_MEMBER_TIMEOUT_MS: Millis = 3000;
 
 /// The state of all other replicas, as far as known.
@@ -134,7 +134,7 @@
         peer.status = status;
     }
 
-    /// Whether a replica has been heard for long enough to join a view.
+    /// Whether a replica has been heard from for long enough to join a view.
     pub(crate) fn is_stable(peer: &Peer, now: Millis) -> bool {
         now.saturating_sub(peer.first_heard) >= MIN_STABLE_MS
     }
@@ -166,7 +166,8 @@
         self.peers.values().map(report).collect()
     }
 
-    /// The other replicas with a bidirectional connection to this one: each hears the other.
+    /// The other replicas that are reachable: those that exchange heartbeats with this replica in both directions and, in
+    /// a ring that is not a full mesh, those that are known from the reports of others only.
     pub(crate) fn reachable(&self, now: Millis) -> Vec<Peer> {
         let is_bidirectional = |peer: &Peer| match self.is_recent(peer.last_direct, now) {
             true => self.is_connected(peer, now),
@@ -200,7 +201,7 @@
         at.is_some_and(|at| now.saturating_sub(at) <= self.suspect_ms)
     }
 
-    /// Whether a peer and this replica hear each other.
+    /// Whether a peer and this replica receive heartbeats from each other.
     fn is_connected(&self, peer: &Peer, now: Millis) -> bool {
         self.is_recent(peer.last_direct, now) && self.is_recent(peer.last_heard_us, now)
     }
@@ -229,7 +230,7 @@
         self.peers.get(member)
     }
 
-    /// The median of the wall clocks of this replica and of all peers that it hears directly.
+    /// The median of the wall clocks of this replica and of all peers whose heartbeats it receives.
     pub(crate) fn median_wall(&self, own_wall: WallMillis, now: Millis) -> WallMillis {
         let recent = |peer: &&Peer| {
             peer.last_direct
@@ -247,7 +248,7 @@
         WallMillis(u64::try_from(lower).unwrap_or(0))
     }
 
-    /// Whether this incarnation of a replica was heard within the suspicion timeout.
+    /// Whether this incarnation of a replica was heard from within the suspicion timeout.
     pub(crate) fn is_reachable(&self, replica: &ReplicaId, now: Millis) -> bool {
         self.peers.get(&replica.member).is_some_and(|peer| {
             peer.replica == *replica && self.is_recent(Some(peer.last_heard), now)
@@ -255,7 +256,7 @@
     }
 
     /// Handles a refused connection to an address, whose process has most likely ended. Peers at that address count as
-    /// unreachable until they are heard again. This is only a hint: safety does not depend on it.
+    /// unreachable until they are heard from again. This is only a hint: safety does not depend on it.
     pub(crate) fn handle_connection_refused(&mut self, address: u32, now: Millis) {
         for peer in self
             .peers
@@ -266,7 +267,7 @@
         }
     }
 
-    /// Drops the peers that were not heard for a long time.
+    /// Drops the peers that have not been heard from for a long time.
     pub(crate) fn expire_peers(&mut self, now: Millis) {
         self.peers
             .retain(|_, peer| now.saturating_sub(peer.last_heard) < PEER_EXPIRY_MS);
--- a/system/control/src/own_disk.rs
+++ b/system/control/src/own_disk.rs
@@ -1,8 +1,8 @@
 //! This replica's own disk: the progress that it reports to others, and whether they have confirmed that the disk was
 //! not restored from an old copy.
 //!
-//! A voter votes only after a majority of the voters, including itself, has heard this process and none has objected.
-//! An old copy lacks votes that were cast since, but other voters have heard of them.
+//! A voter votes only after a majority of the voters, including itself, has heard from this process and none has
+//! objected. An old copy lacks votes that were cast since, but other voters have heard of them.
 use crate::durable_state::DurableState;
 use magpiegap_protocol::{DiskProgress, DiskReport, LogPosition, PeerMessage, ReplicaId};
 
@@ -13,9 +13,9 @@
 /// Whether the state on the disk can be trusted to be the latest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiskTrust {
-    /// Too few voters have heard this process yet.
+    /// Too few voters have heard from this process yet.
     Unconfirmed,
-    /// A majority of the voters has heard this process, and none has objected.
+    /// A majority of the voters has heard from this process, and none has objected.
     Confirmed,
     /// The disk was restored from an old copy.
     Stale,
@@ -89,7 +89,7 @@
         self.trust == DiskTrust::Stale
     }
 
-    /// Records that a majority of the voters has heard this process. Returns the deferred messages.
+    /// Records that a majority of the voters has heard from this process. Returns the deferred messages.
     pub(crate) fn confirm(&mut self) -> Vec<(ReplicaId, PeerMessage)> {
         if self.trust != DiskTrust::Unconfirmed {
             return Vec::new();
--- a/system/control/src/peer.rs
+++ b/system/control/src/peer.rs
@@ -78,15 +78,15 @@
     pub replica: ReplicaId,
     /// The status that it last reported.
     pub status: Status,
-    /// Since when it has been heard without interruption.
+    /// Since when it has been heard from without interruption.
     pub first_heard: Millis,
-    /// When it was last heard, by this replica or by a peer that reported it.
+    /// When this replica, or a peer that reported it, last received a heartbeat from it.
     pub last_heard: Millis,
-    /// When it last reported that it hears this replica; `None` if it never did.
+    /// When it last reported that it receives this replica's heartbeats; `None` if it never did.
     pub last_heard_us: Option<Millis>,
     /// When its last heartbeat arrived at this replica.
     pub last_direct: Option<Millis>,
-    /// When a connection to its address was last refused. It is unreachable unless it was heard after that.
+    /// When a connection to its address was last refused. It is unreachable unless it was heard from after that.
     pub refused_at: Option<Millis>,
     /// Its wall clock minus this replica's steady clock.
     pub wall_offset: Option<i64>,
@@ -95,7 +95,7 @@
 }
 
 impl Peer {
-    /// A replica that is heard or reported for the first time.
+    /// A replica that is heard from or reported for the first time.
     pub(crate) fn new(replica: ReplicaId, status: Status, at: Millis, now: Millis) -> Peer {
         Peer {
             replica,
