--- a/system/control/src/catch_up_backoff.rs
+++ b/system/control/src/catch_up_backoff.rs
@@ -41,7 +41,7 @@
         self.backoff_ms = (2 * self.backoff_ms).min(MAX_BACKOFF_MS);
     }
 
-    /// Records a partial response to a request: the backoff starts anew.
+    /// Records a partial response: the initial backoff starts again now.
     pub(crate) fn record_response(&mut self, now: Millis) {
         self.requested_at = Some(now.max(1));
         self.backoff_ms = INITIAL_BACKOFF_MS;
--- a/system/control/src/disk_confirmation.rs
+++ b/system/control/src/disk_confirmation.rs
@@ -107,8 +107,8 @@
     }
 
     /// Handles an objection to the own disk. From then on the replica does not vote, does not report to be complete,
-    /// and joins a chain only when that would have too few members without it. Once the others serve without it, the
-    /// owner is told that the disk is superseded.
+    /// and joins a chain only when that would have too few members without it. Once the others serve without it,
+    /// [`Output::DiskSuperseded`] is emitted.
     pub(crate) fn handle_stale_disk(&mut self, from: ReplicaId, objection: &StaleDisk) {
         if objection.replica != self.settings.own {
             return;
--- a/system/control/src/inputs.rs
+++ b/system/control/src/inputs.rs
@@ -201,8 +201,8 @@
         }
     }
 
-    /// Records the echo of one of this replica's heartbeats, unless the sender is sealed: it takes part in the
-    /// agreement on the view after the one that it reports.
+    /// Records the echo of one of this replica's heartbeats, unless the sender is sealed, which means that
+    /// it has promised a ballot for the view after the one that it reports.
     fn record_quorum_contact(&mut self, from: ReplicaId, heartbeat: &Heartbeat) {
         let echo = report_on(heartbeat, self.settings.own).map_or(0, |report| report.echo);
         if echo > 0 && !heartbeat.sealed {
--- a/system/control/src/lib.rs
+++ b/system/control/src/lib.rs
@@ -3,7 +3,7 @@
 //! The coordinators agree on a sequence of views; each view is decided by a majority of the voters of the previous
 //! one. A view names a chain: writes enter at the head, are replicated from member to member, and are committed at the
 //! tail once they are durable on every member. A voter that has promised a ballot for the next view accepts no more
-//! writes in the current one, so every member of the old chain that takes part in the decision holds all committed
+//! writes in the current one, so every member of the old chain that promises such a ballot holds all committed
 //! entries.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/system/control/src/membership.rs
+++ b/system/control/src/membership.rs
@@ -166,8 +166,8 @@
         self.peers.values().map(report).collect()
     }
 
-    /// The other replicas that are reachable: those that exchange heartbeats with this replica in both directions and, in
-    /// a ring that is not a full mesh, those that are known from the reports of others only.
+    /// The other replicas that are reachable: those that exchange heartbeats with this replica in both directions and,
+    /// in a ring that is not a full mesh, those that are known from the reports of others only.
     pub(crate) fn reachable(&self, now: Millis) -> Vec<Peer> {
         let is_bidirectional = |peer: &Peer| match self.is_recent(peer.last_direct, now) {
             true => self.is_connected(peer, now),
--- a/system/control/src/own_disk.rs
+++ b/system/control/src/own_disk.rs
@@ -6,8 +6,8 @@
 use crate::durable_state::DurableState;
 use magpiegap_protocol::{DiskProgress, DiskReport, LogPosition, PeerMessage, ReplicaId};
 
-/// Maximum number of requests for votes that are deferred until the disk is confirmed. Older ones are dropped; their
-/// senders retry.
+/// Maximum number of requests for votes that are deferred until the disk is confirmed. The oldest ones are dropped
+/// first; their senders retry.
 const MAX_DEFERRED_MESSAGES: usize = 8;
 
 /// Whether the state on the disk can be trusted to be the latest.
@@ -33,7 +33,7 @@
     /// The progress that is durable by now.
     confirmed: DiskProgress,
     trust: DiskTrust,
-    /// The owner was told that the disk is superseded.
+    /// Whether `Output::DiskSuperseded` was emitted.
     is_superseded: bool,
     /// Requests for votes received before the disk was confirmed.
     deferred: Vec<(ReplicaId, PeerMessage)>,
@@ -104,7 +104,7 @@
         std::mem::replace(&mut self.trust, DiskTrust::Stale) != DiskTrust::Stale
     }
 
-    /// Records that the disk is superseded. Returns whether this was not recorded before.
+    /// Records that `Output::DiskSuperseded` is emitted. Returns whether this is the first time.
     pub(crate) fn record_superseded(&mut self) -> bool {
         !std::mem::replace(&mut self.is_superseded, true)
     }
--- a/system/control/tests/common/group/machines.rs
+++ b/system/control/tests/common/group/machines.rs
@@ -73,7 +73,7 @@
             .insert(address, DurableState::empty(disk, None, Vec::new(), state));
     }
 
-    /// Copies what is synced of a machine's disk.
+    /// Copies the durable content of a machine's disk.
     pub(crate) fn copy_disk(&mut self, address: u32) {
         self.copies.insert(address, self.disks[&address].clone());
     }
--- a/system/control/tests/model/running.rs
+++ b/system/control/tests/model/running.rs
@@ -64,7 +64,7 @@
         wiped.synced = empty;
     }
 
-    /// Copies what is synced of each disk, as an operator would do while the machines run.
+    /// Copies the durable content of each disk, as an operator would do while the machines run.
     pub(crate) fn copy_disks(&mut self) {
         for machine in &mut self.machines {
             machine.copy = Some(Box::new(machine.synced.clone()));
--- a/system/control/tests/old_copies.rs
+++ b/system/control/tests/old_copies.rs
@@ -144,7 +144,7 @@
     group.run(800);
     group.start_replica(2);
     group.run(1500);
-    // When: the process on the copy has the same start number
+    // When: the process on the copy counts as the second one too, and so has the same start number
     restart_from_copy(&mut group, 2);
     group.run(3000);
     // Then
