--- a/balancer/gossip/src/membership/budget.rs
+++ b/balancer/gossip/src/membership/budget.rs
@@ -1,15 +1,14 @@
-//! The budget of bytes that a replica may send: a token bucket. Owns what is left of it.
+//! The send budget of a replica: a token bucket of bytes.
 use crate::types::Millis;
 
-/// Bytes a second that a replica sends at most for long, whatever the number of members: its own probes, the responses
-/// it owes for as many, and what is left over for updates.
+/// The limit of the sustained send rate, independent of the number of members. It covers a replica's own probes, as
+/// many responses, and updates with the remainder.
 pub(crate) const BYTES_PER_SECOND: f64 = 2_500.0;
-/// What may be sent at once after an idle time, in bytes: some gossip rounds.
+/// The burst allowed after an idle time: several gossip rounds.
 const BURST_BYTES: f64 = 5_000.0;
-/// Responses are sent beyond the budget, with little piggybacked, down to this; beyond it they are dropped.
+/// Responses may overdraw the budget to this level, with little piggybacked; below it they are dropped.
 const DEBT_LIMIT_BYTES: f64 = -10_000.0;
 
-/// A token bucket of bytes.
 #[derive(Debug)]
 pub(crate) struct Budget {
     available: f64,
@@ -30,19 +29,19 @@
         self.at = self.at.max(now);
     }
 
-    /// Takes what was sent out of the bucket, below nothing if need be.
+    /// Deducts sent bytes; the balance may become negative.
     pub(crate) fn spend(&mut self, now: Millis, bytes: usize) {
         self.refill(now);
         self.available -= bytes as f64;
     }
 
-    /// Whether there is something left for what could wait.
+    /// Whether the budget allows messages that can be deferred.
     pub(crate) fn has_credit(&mut self, now: Millis) -> bool {
         self.refill(now);
         self.available > 0.0
     }
 
-    /// Whether a response may still be sent.
+    /// Whether the budget allows a response.
     pub(crate) fn allows_response(&mut self, now: Millis) -> bool {
         self.refill(now);
         self.available > DEBT_LIMIT_BYTES
--- a/balancer/gossip/src/membership/gossip.rs
+++ b/balancer/gossip/src/membership/gossip.rs
@@ -1,14 +1,14 @@
-//! Dissemination of membership updates. Owns how often each update is still to be sent; the updates
-//! themselves are made from the table when they are sent.
+//! Dissemination of membership updates. Owns the number of remaining sends of each update; the updates themselves are
+//! created from the table when they are sent.
 //!
-//! Urgent updates are gossiped to a few members at once, which pass them on the same way; all updates are also
-//! piggybacked on other datagrams, a multiple of the logarithm of the number of members, which reaches those that
-//! the first round missed.
+//! Urgent updates are gossiped to a few members at once, which forward them in the same way. All updates are also
+//! piggybacked on other datagrams, as often as a multiple of the logarithm of the number of members, which reaches the
+//! members that the gossip rounds missed.
 use std::collections::BTreeMap;
 
 use crate::types::Member;
 
-/// Gossip rounds of an urgent update: the second reaches most of those that the first one missed.
+/// Gossip rounds of an urgent update: the second reaches most members that the first one missed.
 pub(crate) const GOSSIP_ROUNDS: u8 = 2;
 
 #[derive(Clone, Copy, Debug)]
@@ -24,13 +24,13 @@
 }
 
 impl GossipQueue {
-    /// Queues the update on a member, which is urgent for so many rounds.
+    /// Queues the update on a member, which is urgent for this number of gossip rounds.
     pub(crate) fn add(&mut self, member: Member, up: usize, rounds: u8) {
         let sends_left = 2 * (up as f64 + 1.0).log2().ceil() as u32 + 2;
         self.updates.insert(member, Update { sends_left, rounds });
     }
 
-    /// Queues an update to be sent once, where two replicas were found to differ.
+    /// Queues an update to be sent once, because another replica's digest differs.
     pub(crate) fn add_once(&mut self, member: Member) {
         self.updates.entry(member).or_insert(Update {
             sends_left: 1,
@@ -38,7 +38,8 @@
         });
     }
 
-    /// The updates to send, the least sent first; for gossip only the urgent ones.
+    /// The members with updates to send, those with the most rounds and sends left first; in a gossip
+    /// round only the urgent ones.
     pub(crate) fn pending(&self, gossip_round: bool) -> Vec<Member> {
         let mut all: Vec<(Member, Update)> = self
             .updates
@@ -55,7 +56,7 @@
         all.into_iter().map(|(member, _)| member).collect()
     }
 
-    /// Records that these were sent in one datagram.
+    /// Records that the updates on these members were sent in one datagram.
     pub(crate) fn on_sent(&mut self, members: impl Iterator<Item = Member>) {
         for member in members {
             if let Some(update) = self.updates.get_mut(&member) {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Records that a gossip round with these was sent.
+    /// Records that the updates on these members were sent in a gossip round.
     pub(crate) fn on_round_sent(&mut self, members: &[Member]) {
         for member in members {
             if let Some(update) = self.updates.get_mut(member) {
@@ -78,19 +79,16 @@
             .retain(|_, update| update.sends_left > 0 || update.rounds > 0);
     }
 
-    /// Updates queued.
     pub(crate) fn len(&self) -> usize {
         self.updates.len()
     }
 
-    /// Whether the update on a member is urgent.
     pub(crate) fn is_urgent(&self, member: Member) -> bool {
         self.updates
             .get(&member)
             .is_some_and(|update| update.rounds > 0)
     }
 
-    /// Whether any update is urgent.
     pub(crate) fn has_urgent(&self) -> bool {
         self.updates.values().any(|update| update.rounds > 0)
     }
--- a/balancer/gossip/src/membership/mod.rs
+++ b/balancer/gossip/src/membership/mod.rs
@@ -1,13 +1,13 @@
 //! Membership: SWIM with suspicion and incarnations, on a fixed list of candidates.
 //!
-//! Each replica probes one other in each period, by turns its successor in the list and one of all in random order. A
-//! member that acknowledges neither the probe nor indirect probes of others is suspected, and failed if no evidence
-//! that it is alive arrives while the suspicion lasts. A member that learns that it is suspected, or failed, refutes it
-//! under a higher incarnation. Only the acknowledgement of its own probe proves to a replica that an unknown member is
-//! alive, so that no late datagram brings back a failed one.
+//! Each replica probes one other member per period, alternately its successor in the list and the next of all members
+//! in random order. A member that acknowledges neither the probe nor indirect probes by others becomes suspected, and
+//! is declared failed if no evidence that it is alive arrives before the suspicion times out. A member that learns that
+//! it is suspected or declared failed refutes this under a higher incarnation. A replica accepts an unknown member as
+//! alive only once the member has acknowledged a probe of its own, so that no late datagram revives a failed member.
 //!
 //! Source: Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
-//! Protocol" (2002). Which version the members speak, and what they know together, is not known here.
+//! Protocol" (2002). This module is independent of version negotiation, loads and verdicts.
 mod budget;
 mod gossip;
 mod probes;
@@ -30,46 +30,46 @@
     MemberUpdate, MembershipDigest, MessageKind, ProbeTarget, Status, SupportedVersions,
 };
 
-/// The protocol period: how often a replica probes another, and so how many datagrams it sends and owes. As many pings
-/// and acks of 256 bytes are 1,829 bytes a second of the budget's 2,500, and the rest is for gossip.
+/// The time between two probes by a replica. One ping and one ack of 256 bytes per period are 1,829 bytes per second of
+/// the budget's 2,500; the remainder is for gossip.
 const PROTOCOL_PERIOD: Millis = 280.0;
-/// How long a suspicion lasts before the member has failed. Gossip needs a third of a second to reach the suspect and
-/// as much back; half of it is left for those that missed both to probe for themselves.
+/// The time from a suspicion to the declaration of failure. Gossip needs a third of a second to reach the suspect and
+/// the same for its refutation; members that received neither have half of this time for a probe of their own.
 pub(crate) const SUSPICION_TIMEOUT: Millis = 1_000.0;
-/// How often a candidate that isn't up is probed, so that halves and newcomers find each other.
+/// The interval of probes of candidates that aren't up, so that partitions heal and new members are found.
 const DISCOVERY_PERIOD: Millis = 1_000.0;
-/// How many candidates a replica that knows nobody probes in each period.
+/// Candidates that a replica without known members probes per protocol period.
 const LONE_DISCOVERY_PROBES: usize = 3;
-/// Members that urgent updates are sent to in each gossip round.
+/// Receivers of urgent updates per gossip round.
 const GOSSIP_FANOUT: usize = 3;
-/// Urgent updates wait this long for further ones, so that many changes at once share datagrams.
+/// The delay before urgent updates are sent, so that simultaneous changes share datagrams.
 const GOSSIP_BATCH_DELAY: Millis = 5.0;
 /// The time between two gossip rounds.
 const GOSSIP_INTERVAL: Millis = 80.0;
-/// A replica whose timer is this late was not running: what it waited for proves nothing about others.
+/// A replica whose timer fires later than this was paused, so missing responses are no evidence against other members.
 const MAX_TIMER_LATENESS: Millis = 200.0;
-/// A replica that received nothing for so long is not joined: it should have had eight datagrams.
+/// A replica that has received nothing for this long is isolated: about eight datagrams are expected in that time.
 const ISOLATION_TIMEOUT: Millis = 1_000.0;
-/// Failed members count among those that were up for so long. A longer partition can't be distinguished from failures.
+/// How long failed members still count as having been up. A longer partition is indistinguishable from failures.
 const FAILURE_RETENTION: Millis = 300_000.0;
-/// Updates that one datagram carries at most.
+/// Limit of updates per datagram.
 const MAX_UPDATES: usize = 24;
-/// The same for a datagram with little space.
+/// Limit of updates per datagram with a limited piggyback, except on gossip.
 const MAX_LIMITED_UPDATES: usize = 4;
-/// Members that are notified of an orderly leave.
+/// Members that are notified when this replica leaves.
 const LEAVE_MESSAGES: usize = 8;
 
 /// How much is piggybacked on a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Piggyback {
-    /// Whatever fits.
+    /// Updates, digest, verdicts and loads, as far as they fit.
     Full,
-    /// Nothing but membership updates, and verdicts on gossip.
+    /// Only membership updates, and verdicts on gossip.
     UpdatesOnly,
 }
 
 impl Piggyback {
-    /// Everything, as long as the byte budget has credit.
+    /// `Full` if the send budget has credit.
     fn with_credit(has_credit: bool) -> Piggyback {
         if has_credit {
             Piggyback::Full
@@ -79,13 +79,13 @@
     }
 }
 
-/// A message to send, without what is piggybacked on it.
+/// A message to send, without piggybacked data other than its priority updates.
 #[derive(Clone, Debug)]
 pub(crate) struct OutgoingMessage {
     pub to: Member,
     pub kind: MessageKind,
     pub target: Option<ProbeTarget>,
-    /// Sent before other updates.
+    /// Updates that are written ahead of all others.
     pub priority_updates: Vec<MemberUpdate>,
     pub piggyback: Piggyback,
 }
@@ -94,7 +94,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RelayedVersions {
     pub member: Member,
-    /// Zero where it is not known.
+    /// Zero if unknown.
     pub incarnation: u64,
     pub supported_versions: SupportedVersions,
 }
@@ -118,20 +118,20 @@
     rng: Pcg64Mcg,
     /// Members still to be probed in the current random order; the next one last.
     probe_order: Vec<Member>,
-    /// Members that aren't known to be up and have sent something, to be probed.
+    /// Members to probe because they have sent a datagram and aren't known to be up.
     unknown_members: VecDeque<Member>,
-    /// Whether the last period probed the successor in the list.
+    /// Whether the last protocol period probed the successor in the list.
     successor_turn: bool,
     next_probe: Millis,
     next_discovery: Millis,
     next_gossip_round: Option<Millis>,
-    /// Gossip rounds left for verdicts.
+    /// Remaining gossip rounds for verdicts.
     verdict_rounds: u8,
     start: Millis,
     last_received: Millis,
-    /// The highest number of failed members that another reported, and when.
+    /// The highest number of recently failed members reported by another replica, and the time of the report.
     reported_failures: (u16, Millis),
-    /// The times at which others knew a higher incarnation of this replica, and it raised its own.
+    /// The times at which this replica raised its incarnation because others knew a higher one.
     refutations: VecDeque<Millis>,
     refutations_paused_until: Millis,
     duplicate: bool,
@@ -139,9 +139,9 @@
     outbox: VecDeque<OutgoingMessage>,
     pub counters: Counters,
     changed: bool,
-    /// Members newly found to have restarted.
+    /// Members whose restart was newly detected.
     pub restarted: Vec<Member>,
-    /// Supported versions of members that others relayed.
+    /// Newly relayed versions, until they are taken.
     pub relayed_versions: Vec<RelayedVersions>,
 }
 
@@ -184,12 +184,11 @@
         }
     }
 
-    /// This replica's current incarnation.
     pub(crate) fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Members that are up, those suspected and this replica included.
+    /// Members that are up, including suspected ones and this replica.
     pub(crate) fn up(&self) -> Vec<Member> {
         self.table.up()
     }
@@ -199,24 +198,24 @@
         std::mem::take(&mut self.changed)
     }
 
-    /// Whether another process was newly found to use this replica's position in the list.
+    /// Whether another process was newly detected at this replica's position in the list.
     pub(crate) fn take_duplicate(&mut self) -> bool {
         std::mem::take(&mut self.duplicate)
     }
 
-    /// Whether a datagram of this incarnation comes from a process that isn't known to have ended.
+    /// Whether this incarnation of a member is not known to have ended.
     pub(crate) fn is_current(&self, member: Member, incarnation: u64) -> bool {
         self.table
             .get(member)
             .is_some_and(|entry| entry.is_current(incarnation))
     }
 
-    /// Whether a member is up, or suspected.
+    /// Whether a member is up, including suspected.
     pub(crate) fn is_up(&self, member: Member) -> bool {
         self.table.get(member).is_some_and(|entry| entry.up())
     }
 
-    /// The number of members that failed lately, for others to know.
+    /// The number of recently failed members, which is reported to others.
     pub(crate) fn recent_failures(&self, now: Millis) -> u16 {
         let failed = |entry: &&table::Entry| {
             entry.status == Some(Status::Failed) && now - entry.since < FAILURE_RETENTION
@@ -234,7 +233,7 @@
         if self.table.entries.len() == 1 {
             return true;
         }
-        // A suspected member doesn't count as alive, and one that failed lately was up.
+        // Suspected members don't count as alive; recently failed members count as having been up.
         let up = self.table.up().len();
         let unsuspected = self.table.unsuspected().len();
         let (reported, reported_at) = self.reported_failures;
@@ -248,7 +247,7 @@
             && now - self.last_received < ISOLATION_TIMEOUT
     }
 
-    /// Schedules gossip rounds at once for new verdicts.
+    /// Schedules gossip rounds for new verdicts.
     pub(crate) fn disseminate(&mut self, now: Millis) {
         self.verdict_rounds = gossip::GOSSIP_ROUNDS;
         self.schedule_gossip_round(now + GOSSIP_BATCH_DELAY);
@@ -258,7 +257,7 @@
         self.next_gossip_round = Some(self.next_gossip_round.map_or(at, |next| next.min(at)));
     }
 
-    /// Queues an update on a member: for gossip at once where `urgent`.
+    /// Queues an update on a member; if `urgent`, it is also gossiped at once.
     fn announce(&mut self, now: Millis, member: Member, urgent: bool) {
         let up = self.table.up().len();
         let rounds = if self.probes.likely_isolated() {
@@ -282,7 +281,7 @@
         });
     }
 
-    /// Sends updates ahead of all others, with nothing else piggybacked.
+    /// Queues a message with priority updates and a limited piggyback.
     fn send_with_updates(&mut self, to: Member, kind: MessageKind, updates: Vec<MemberUpdate>) {
         self.outbox.push_back(OutgoingMessage {
             to,
@@ -293,7 +292,6 @@
         });
     }
 
-    /// Returns the next message to send.
     pub(crate) fn poll_message(&mut self) -> Option<OutgoingMessage> {
         self.outbox.pop_front()
     }
@@ -301,7 +299,7 @@
     /// The updates for a datagram, the most urgent first.
     pub(crate) fn updates(&self, now: Millis, message: &OutgoingMessage) -> Vec<MemberUpdate> {
         let is_gossip = message.kind == MessageKind::Gossip;
-        // Where many are suspected, acknowledgements at least go to a live member.
+        // When many members are suspected, an acknowledgement at least reaches a live one.
         let is_ack_to_live = message.kind == MessageKind::Ack && self.probes.likely_isolated();
         let is_limited =
             message.piggyback == Piggyback::UpdatesOnly && !is_gossip && !is_ack_to_live;
@@ -320,8 +318,7 @@
         let updates =
             members.filter_map(|member| self.table.update_on(now, member, self.incarnation));
         let mut updates: Vec<MemberUpdate> = updates.take(max_count).collect();
-        // Its own incarnation first, then the members that are up, so that refutations overtake suspicions and not the
-        // other way round.
+        // This replica's own update first, then those on members that are up, so that refutations precede suspicions.
         updates.sort_by_key(|update| (update.member != self.own.0, update.status != Status::Up));
         [message.priority_updates.clone(), updates].concat()
     }
@@ -337,19 +334,19 @@
         self.table.digest()
     }
 
-    /// A few members that are up, other than this one, at random.
-    fn random_members(&mut self, max_count: usize, without: Member) -> Vec<Member> {
+    /// Up to `max_count` random members that are up, except this replica and `excluded`.
+    fn random_members(&mut self, max_count: usize, excluded: Member) -> Vec<Member> {
         let (own, entries) = (self.own, &self.table.entries);
         let up = |entry: &table::Entry| entry.status == Some(Status::Up);
         let members = entries.iter().enumerate().filter(|(_, entry)| up(entry));
         let others = members
             .map(|(at, _)| Member(at as u16))
-            .filter(|member| ![own, without].contains(member));
+            .filter(|member| ![own, excluded].contains(member));
         let mut others: Vec<Member> = others.collect();
         others.partial_shuffle(&mut self.rng, max_count).0.to_vec()
     }
 
-    /// Notifies some members of this replica's leave, after which it sends nothing more.
+    /// Notifies some members that this replica leaves; it sends nothing afterwards.
     pub(crate) fn leave(&mut self, now: Millis) {
         self.table
             .set(now, self.own, Status::Left, self.incarnation);
--- a/balancer/gossip/src/membership/probes.rs
+++ b/balancer/gossip/src/membership/probes.rs
@@ -1,49 +1,48 @@
-//! Probes in flight. Owns the targets and stages of this replica's own, the outcomes of the latest, and the indirect
-//! probes that it makes for others. Decides on no member's status.
+//! Probes in flight. Owns the targets and stages of this replica's own probes, their latest outcomes, and the indirect
+//! probes that it relays for others. Does not change the status of members.
 use std::collections::VecDeque;
 
 use crate::types::{Member, Millis};
 
-/// How long a stage of a probe waits: far above a round trip within a site, and above a moment without the processor.
+/// The timeout of one stage of a probe: far above a round trip within a site, and above a short scheduling delay.
 pub(crate) const ACK_TIMEOUT: Millis = 100.0;
-/// Stages of a probe: a direct ping, a second one, and a third together with three indirect ones. At 10% loss all
-/// fail for a live member 3 times in 10,000.
+/// Stages of a probe: a direct ping, a second one, and a third together with three indirect ones. At 10% loss, all
+/// stages fail for a live member with a probability of 3 in 10,000.
 const STAGES: u8 = 3;
-/// Stages of a probe of a suspected member: it may use the whole suspicion. All fail for a live member 2 times in
-/// 10,000, without anybody's help.
+/// Stages of a probe of a suspected member, which may last as long as the suspicion. Without indirect probes, all
+/// stages fail for a live member with a probability of 2 in 10,000.
 const SUSPECT_STAGES: u8 = 5;
-/// The share of acknowledged probes that needed a second stage from which on the network counts as lossy. It is 19% at
-/// 10% loss, and 51% at 30%; then probes have twice the stages.
+/// The network counts as lossy above this share of acknowledged probes that needed a second stage: the share is 19% at
+/// 10% loss, and 51% at 30%. On a lossy network, probes have twice the stages.
 const LOSSY_RATIO: f64 = 0.35;
-/// The weight of one probe in that share, as an exponential moving average: noise is 5%.
+/// The weight of one probe in the exponential moving average of that share, which leaves a noise of 5%.
 const LATE_RATIO_WEIGHT: f64 = 1.0 / 32.0;
-/// Suspected members that are probed at a time: where many are suspected at once they have failed, and the budget is
-/// for others.
+/// Limit of concurrent probes of suspected members: if many are suspected at once they have likely failed, and the
+/// budget is better spent on others.
 const MAX_SUSPECT_PROBES: usize = 8;
-/// Probes at a time at most.
+/// Limit of concurrent probes.
 const MAX_PROBES: usize = 64;
-/// How long an indirect probe for another member lasts.
+/// The timeout of an indirect probe relayed for another member.
 const RELAY_TIMEOUT: Millis = 300.0;
-/// Indirect probes for others at a time at most.
+/// Limit of concurrent indirect probes relayed for others.
 const MAX_RELAYS: usize = 32;
-/// Latest outcomes of own probes by which a replica judges whether it is isolated.
+/// Latest outcomes of own probes that are retained to detect isolation.
 const MAX_OUTCOMES: usize = 8;
-/// Stamps are whole milliseconds: evidence that a member is alive which seems older than a probe's start by no more
-/// than this still acknowledges it.
+/// Stamps are whole milliseconds, so evidence of life that appears older than a probe's start by up to this much still
+/// acknowledges the probe.
 const STAMP_TOLERANCE: Millis = 3.0;
 
 /// Why a member is probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// Its turn in the random order: probed indirectly too, and the outcome shows whether this replica is isolated.
+    /// It is next in the random order. It is probed indirectly too, and the outcome is used to detect isolation.
     RandomOrder,
-    /// The successor in the list: probed indirectly too.
+    /// It is the successor in the list. It is probed indirectly too.
     Successor,
     /// It is suspected, or not known to be up.
     Suspect,
 }
 
-/// One probe.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Probe {
     pub target: Member,
@@ -66,13 +65,13 @@
 /// Probes whose stage has timed out.
 #[derive(Debug, Default)]
 pub(crate) struct TimedOut {
-    /// Those that enter their next stage.
+    /// Probes that enter their next stage.
     pub retried: Vec<Probe>,
-    /// Those that had no stage left; they are no longer in flight.
+    /// Probes without a stage left, which are no longer in flight.
     pub failed: Vec<Probe>,
 }
 
-/// An indirect probe that this replica makes for another member.
+/// An indirect probe that this replica relays for another member.
 #[derive(Clone, Copy, Debug)]
 struct Relay {
     requester: Member,
@@ -80,25 +79,25 @@
     started: Millis,
 }
 
-/// Whether a probe was acknowledged in the end.
+/// The final outcome of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outcome {
     Acknowledged,
     Failed,
 }
 
-/// Probes in flight, own ones and those for others.
+/// Probes in flight, both own ones and relayed ones.
 #[derive(Debug, Default)]
 pub(crate) struct Probes {
     pub all: Vec<Probe>,
     relays: Vec<Relay>,
     outcomes: VecDeque<Outcome>,
-    /// The share of acknowledged probes that needed a second stage, smoothed.
+    /// The smoothed share of acknowledged probes that needed a second stage.
     late_ratio: f64,
 }
 
 impl Probes {
-    /// Begins a probe, if none of the target is in flight.
+    /// Begins a probe unless the target is already being probed or a limit is reached; returns whether it began.
     pub(crate) fn begin(&mut self, now: Millis, target: Member, purpose: Purpose) -> bool {
         let suspect_probes = self
             .all
@@ -121,7 +120,7 @@
         true
     }
 
-    /// Ends the probes of a member that was alive at this time, unless they began after it.
+    /// Completes the probes of a member that was alive at `alive_at`, except those that began later.
     pub(crate) fn record_alive(&mut self, member: Member, alive_at: Millis) {
         let (outcomes, late_ratio) = (&mut self.outcomes, &mut self.late_ratio);
         self.all.retain(|probe| {
@@ -138,7 +137,7 @@
         });
     }
 
-    /// Moves the probes whose stage has timed out on to the next, and takes out those that have failed.
+    /// Advances probes whose stage has timed out, and removes those that have failed.
     pub(crate) fn on_timeout(&mut self, now: Millis) -> TimedOut {
         let mut timed_out = TimedOut::default();
         let factor = if self.is_lossy() { 2 } else { 1 };
@@ -162,43 +161,43 @@
         timed_out
     }
 
-    /// Whether a probe of this member is in flight.
     pub(crate) fn is_in_flight(&self, member: Member) -> bool {
         self.all.iter().any(|probe| probe.target == member)
     }
 
-    /// The share of the latest probes that were acknowledged: of those nobody suspects, about as many are alive.
+    /// The share of the latest probes that were acknowledged, an estimate of the share of unsuspected members that are
+    /// alive.
     pub(crate) fn acknowledged_ratio(&self) -> f64 {
         let failed = self.failures(MAX_OUTCOMES);
         (MAX_OUTCOMES - failed) as f64 / MAX_OUTCOMES as f64
     }
 
-    /// Failures among as many of the latest outcomes.
-    fn failures(&self, latest: usize) -> usize {
-        let latest = self.outcomes.iter().rev().take(latest);
+    /// The number of failures among the latest `count` outcomes.
+    fn failures(&self, count: usize) -> usize {
+        let latest = self.outcomes.iter().rev().take(count);
         latest
             .filter(|outcome| **outcome == Outcome::Failed)
             .count()
     }
 
-    /// Whether the network loses so much that a missing acknowledgement proves less. Probes of failed members don't
-    /// count.
+    /// Whether loss is so high that a missing acknowledgement is weak evidence. Probes of failed members don't count.
     pub(crate) fn is_lossy(&self) -> bool {
         self.late_ratio > LOSSY_RATIO
     }
 
-    /// Whether others are to help with a probe: where all went well so far, its last stage.
+    /// Whether to request indirect probes: from the last regular stage on, and one stage later on
+    /// a lossy network, unless this replica is likely isolated.
     pub(crate) fn needs_indirect(&self, probe: &Probe) -> bool {
         let direct = if self.is_lossy() { STAGES } else { STAGES - 1 };
         probe.purpose != Purpose::Suspect && probe.stage >= direct && !self.likely_isolated()
     }
 
-    /// Whether so many of the last few probes failed as loss alone seldom makes fail.
+    /// Whether more of the latest probes failed than loss alone is likely to cause.
     pub(crate) fn likely_isolated(&self) -> bool {
         self.failures(MAX_OUTCOMES / 2) >= 2
     }
 
-    /// Begins an indirect probe of a member for another one.
+    /// Begins to relay an indirect probe of `target` for `requester`.
     pub(crate) fn relay(&mut self, now: Millis, requester: Member, target: Member) {
         self.relays
             .retain(|relay| now - relay.started < RELAY_TIMEOUT);
@@ -211,7 +210,7 @@
         }
     }
 
-    /// Ends the indirect probes of a member that was alive at this time; returns who requested them.
+    /// Completes the relayed probes of a member that was alive at `alive_at`; returns their requesters.
     pub(crate) fn take_answered_relays(
         &mut self,
         now: Millis,
@@ -230,7 +229,7 @@
         requesters
     }
 
-    /// Drops all probes: after a pause of this replica's own they prove nothing.
+    /// Drops all probes: after a pause of this replica their timeouts are no evidence.
     pub(crate) fn clear(&mut self) {
         self.all.clear();
         self.relays.clear();
--- a/balancer/gossip/src/membership/receive.rs
+++ b/balancer/gossip/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! Received messages: what each changes in the membership, and the messages in response.
+//! Handling of received messages: the changes that they make to the membership, and the responses.
 use super::{Membership, OutgoingMessage, Piggyback, RelayedVersions, GOSSIP_INTERVAL};
 use crate::types::{Member, Millis};
 use crate::wire::v1::{
@@ -7,7 +7,7 @@
 
 use super::table::{Applied, Entry};
 
-/// The sender of a message, as the datagram's header has it.
+/// The sender of a message, from the header of the datagram.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sender {
     pub member: Member,
@@ -15,22 +15,23 @@
     pub supported_versions: SupportedVersions,
 }
 
-/// How often others may know a higher incarnation of this replica than its own within [`REFUTATION_WINDOW`]: a
-/// restarted one finds that out once, or a few times from those who knew of different ones; a duplicate goes on.
+/// How often this replica may raise its incarnation above a higher known one within [`REFUTATION_WINDOW`]. A restarted
+/// replica does so once, or a few times if other members know different incarnations; more indicates a duplicate.
 const MAX_REFUTATIONS: usize = 4;
+/// The time over which [`MAX_REFUTATIONS`] are counted.
 const REFUTATION_WINDOW: Millis = 10_000.0;
-/// A replica whose position a second process uses doesn't raise its incarnation for so long, so that the two don't
-/// chase each other.
+/// How long a replica with a duplicate at its position does not raise its incarnation, so that the two processes don't
+/// outbid each other endlessly.
 const REFUTATION_PAUSE: Millis = 30_000.0;
-/// Updates that an acknowledgement carries where the digest and this replica's table differ.
+/// Limit of updates per acknowledgement on members for which the digest and this replica's table differ.
 const MAX_DIFFERENCES: usize = 16;
-/// Newcomers whose updates are urgent, at a time.
+/// Updates on new members are urgent only while fewer updates than this are queued.
 const MAX_URGENT_NEWCOMERS: usize = 4;
-/// Unknown members that wait to be probed.
+/// Limit of unknown members that wait to be probed.
 const MAX_UNKNOWN_MEMBERS: usize = 16;
 
 impl Membership {
-    /// Takes a message from a member of this incarnation, and the time it was in transit at most, where that is known.
+    /// Handles a message; `transit` is the upper bound of its time in transit, if known.
     pub(crate) fn handle_message(
         &mut self,
         now: Millis,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Takes another's digest; returns the members on which this replica has evidence of something different.
+    /// Handles the digest of another replica; returns the members for which this replica's evidence contradicts it.
     fn handle_digest(
         &mut self,
         now: Millis,
@@ -92,7 +93,7 @@
         comparison.differing
     }
 
-    /// Acknowledges a ping, with the updates on members on which the two differ.
+    /// Acknowledges a ping, with updates on the members for which the two replicas differ.
     fn send_ack(
         &mut self,
         now: Millis,
@@ -100,7 +101,7 @@
         mut priority_updates: Vec<MemberUpdate>,
         differing: &[Member],
     ) {
-        // Each sender gets another section of a long list.
+        // Different senders get different sections of a long list.
         let start = usize::from(to.0) % differing.len().max(1);
         let differing = differing[start..]
             .iter()
@@ -119,8 +120,8 @@
         });
     }
 
-    /// Takes what an acknowledgement carries beside its updates: how many members have failed at its sender, and where
-    /// the two differ.
+    /// Handles the other contents of an acknowledgement: the number of members that its sender has declared failed, and
+    /// the members for which the two replicas differ.
     fn handle_ack(
         &mut self,
         now: Millis,
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Confirms to those that requested an indirect probe of a member that it was alive at this time.
+    /// Confirms to the requesters of indirect probes of `target` that it was alive at `alive_at`.
     fn confirm_indirect_probes(&mut self, now: Millis, target: Member, alive_at: Millis) {
         for requester in self.probes.take_answered_relays(now, target, alive_at) {
             let Some(age) = crate::wire::v1::age_to_ticks(now - alive_at) else {
@@ -162,8 +163,8 @@
         }
     }
 
-    /// Takes a datagram of a version that this replica doesn't support: it responds in its own, so that the sender
-    /// learns the versions that this replica supports, and nothing else follows from it.
+    /// Handles a datagram of an unsupported version: responds in a supported one, so that the sender learns the
+    /// versions that this replica supports, and ignores everything else.
     pub(crate) fn handle_unsupported_version(
         &mut self,
         now: Millis,
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Takes what the datagram shows of its sender; returns the updates on it that the sender must learn.
+    /// Updates the table entry of the sender; returns the updates on it that the sender must receive.
     fn handle_sender(
         &mut self,
         now: Millis,
@@ -202,7 +203,7 @@
             self.table.set(now, from, Status::Up, incarnation);
             self.changed = true;
             if entry.status != Some(Status::Up) {
-                // A newcomer is an update for all; where many come, the digests carry them.
+                // A new member is announced urgently; if many join at once, the digests disseminate them.
                 let urgent = entry.status.is_some() || self.gossip.len() < MAX_URGENT_NEWCOMERS;
                 self.announce(now, from, urgent);
             }
@@ -210,7 +211,7 @@
         self.correction(now, from, incarnation)
     }
 
-    /// Queues a member that isn't known to be up to be probed soon.
+    /// Queues a member that isn't known to be up for a probe soon.
     fn queue_discovery(&mut self, now: Millis, member: Member) {
         if self.unknown_members.len() < MAX_UNKNOWN_MEMBERS
             && !self.unknown_members.contains(&member)
@@ -220,7 +221,7 @@
         }
     }
 
-    /// The update for a sender that isn't known as up under its incarnation: it will raise it.
+    /// The update to send to a member that isn't known as up under its incarnation, so that it raises its incarnation.
     pub(super) fn correction(
         &self,
         now: Millis,
@@ -242,7 +243,7 @@
         }
     }
 
-    /// Records that a member was alive at this time.
+    /// Records that a member was alive at `alive_at`.
     fn record_alive(&mut self, now: Millis, member: Member, alive_at: Millis) {
         let Some(entry) = self.table.entries.get_mut(usize::from(member.0)) else {
             return;
@@ -284,7 +285,7 @@
         }
     }
 
-    /// Takes an update on a member, perhaps on this one.
+    /// Handles an update on a member, which may be this replica.
     fn handle_update(&mut self, now: Millis, update: &MemberUpdate, bounded: bool) {
         let member = Member(update.member);
         if member == self.own {
@@ -302,7 +303,7 @@
         }
     }
 
-    /// Counts and disseminates what an update has changed.
+    /// Counts and disseminates the change that an update has made.
     fn on_member_changed(&mut self, now: Millis, member: Member, before: &Entry) {
         let after = self.table.entries[usize::from(member.0)];
         self.changed |= before.up() != after.up();
@@ -320,28 +321,28 @@
         if after.status == Some(Status::Failed) && before.up() {
             self.counters.failed += 1;
         }
-        // Where only an incarnation was not known yet, nothing has happened.
-        let learned = before.status == after.status && before.incarnation == 0;
+        // If only the incarnation was unknown, nothing has changed for others.
+        let only_incarnation_learned = before.status == after.status && before.incarnation == 0;
         let urgent = before.status.is_some() || self.gossip.len() < MAX_URGENT_NEWCOMERS;
-        if !learned {
+        if !only_incarnation_learned {
             self.announce(now, member, urgent);
         }
     }
 
-    /// Refutes an update on this replica that isn't true by a higher incarnation, and raises its own above that of a
+    /// Refutes a false update on this replica with a higher incarnation, and raises the incarnation above that of a
     /// former process.
     fn refute(&mut self, now: Millis, update: &MemberUpdate) {
         if update.status != Status::Up && update.incarnation < self.incarnation {
-            // The suspicion is of an earlier incarnation: the current one is not known there yet.
+            // The suspicion is of an earlier incarnation: its sender doesn't know the current one yet.
             self.announce(now, self.own, true);
             return;
         }
-        let doubted = update.status != Status::Up && update.incarnation >= self.incarnation;
-        let surpassed = update.status == Status::Up && update.incarnation > self.incarnation;
-        if !(doubted || surpassed) || update.incarnation >= u64::MAX / 2 {
+        let suspected = update.status != Status::Up && update.incarnation >= self.incarnation;
+        let outdated = update.status == Status::Up && update.incarnation > self.incarnation;
+        if !(suspected || outdated) || update.incarnation >= u64::MAX / 2 {
             return;
         }
-        if surpassed {
+        if outdated {
             if now < self.refutations_paused_until {
                 return;
             }
--- a/balancer/gossip/src/membership/table.rs
+++ b/balancer/gossip/src/membership/table.rs
@@ -1,5 +1,5 @@
-//! The table of all candidates. Owns their statuses and incarnations, and the one rule by which updates change them.
-//! Sends nothing and has no timers.
+//! The table of all candidates. Owns their statuses and incarnations, and the rule by which updates change them. Sends
+//! nothing and has no timers.
 use std::collections::BTreeMap;
 
 use crate::types::{Member, Millis};
@@ -7,31 +7,31 @@
     DigestedMember, MemberUpdate, MembershipDigest, Status, SupportedVersions, TICK,
 };
 
-/// The time after which a suspicion that was only received is verified.
+/// The delay after which a replica verifies a suspicion that it only received.
 pub(super) const VERIFICATION_DELAY: Millis = 500.0;
-/// Members that one digest covers at most; of a longer list each datagram covers the next section.
+/// Limit of members per digest; for a longer list, successive digests cover successive sections.
 const DIGEST_SPAN: usize = 512;
-/// Evidence that a member is alive is sent to those that know less while it is younger than this.
+/// Evidence that a member is alive is sent to replicas that lack it while it is younger than this.
 const ALIVE_RECENTLY: Millis = 1_000.0;
-/// An incarnation beyond this is none that a replica came to by itself.
+/// Higher incarnations are rejected as corrupt: no replica reaches them by incrementing its own.
 const MAX_INCARNATION: u64 = u64::MAX / 2;
 
-/// What is known of one candidate.
+/// The known state of one candidate.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Entry {
-    /// Absent until something of it was received.
+    /// Absent until something about it was received.
     pub status: Option<Status>,
-    /// Zero where it is only known to be up.
+    /// Zero if it is only known to be up.
     pub incarnation: u64,
     /// The versions it has announced.
     pub supported_versions: SupportedVersions,
-    /// Since when it has this status.
+    /// The time since which it has this status.
     pub since: Millis,
     /// The last time at which it was certainly alive.
     pub last_alive: Millis,
-    /// Whether this suspicion was verified already, or left to others.
+    /// Whether the verification of this suspicion was already started, or left to others.
     pub verified: bool,
-    /// Whether a probe of this replica's own belongs to this suspicion.
+    /// Whether this replica has probed the member because of this suspicion.
     pub probed: bool,
 }
 
@@ -40,7 +40,7 @@
         matches!(self.status, Some(Status::Up | Status::Suspect))
     }
 
-    /// Whether a datagram of this incarnation is not one of a process that is known to have ended.
+    /// Whether this incarnation is not known to have ended.
     pub(crate) fn is_current(&self, incarnation: u64) -> bool {
         match self.status {
             None => true,
@@ -49,13 +49,13 @@
         }
     }
 
-    /// Whether this replica has evidence that contradicts another's digest.
+    /// Whether this replica has evidence that contradicts another replica's digest.
     fn differs(&self, now: Millis, digested: &DigestedMember, common: SupportedVersions) -> bool {
         let recently_alive = now - self.last_alive < ALIVE_RECENTLY;
         match self.status {
             Some(Status::Failed | Status::Left) if digested.is_up => true,
             Some(Status::Up) if !digested.is_up && recently_alive => true,
-            // One of the two missed a start in another build.
+            // One of the two replicas missed a restart of the member with another build.
             Some(_) if digested.is_up && self.up() => {
                 digested.has_common_versions != (self.supported_versions == common)
             }
@@ -64,32 +64,31 @@
     }
 }
 
-/// What another's digest has shown.
+/// The result of comparing the table with another replica's digest.
 #[derive(Debug, Default)]
 pub(crate) struct Comparison {
-    /// Members that were unknown here and are up.
+    /// Members that were unknown to this replica and are up.
     pub newly_up: Vec<Member>,
-    /// Members on which this replica has evidence of something different; their updates are to be sent.
+    /// Members for which this replica's evidence contradicts the digest; updates on them are to be sent.
     pub differing: Vec<Member>,
 }
 
 /// The outcome of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Applied {
-    /// It was known, or is overruled by what is known.
+    /// It was known already, or is overridden by what is known.
     Unchanged,
     /// It changes the entry.
     Changed,
-    /// It isn't sufficient evidence: the member is to be probed.
+    /// It isn't sufficient evidence: the member has to be probed.
     MustProbe,
 }
 
-/// All candidates.
 #[derive(Debug)]
 pub(crate) struct Table {
     pub own: Member,
     pub entries: Vec<Entry>,
-    view_base: usize,
+    digest_base: usize,
 }
 
 impl Table {
@@ -117,7 +116,7 @@
         Table {
             own,
             entries,
-            view_base: 0,
+            digest_base: 0,
         }
     }
 
@@ -135,7 +134,7 @@
         }
     }
 
-    /// Members that are up, those suspected and this replica included, in the list's order.
+    /// Members that are up, including suspected ones and this replica, in the order of the list.
     pub(crate) fn up(&self) -> Vec<Member> {
         let members = self.entries.iter().enumerate();
         members
@@ -144,7 +143,7 @@
             .collect()
     }
 
-    /// Those of whom nobody doubts that they are up, this replica included.
+    /// Members that are up and not suspected, including this replica.
     pub(crate) fn unsuspected(&self) -> Vec<Member> {
         let members = self.entries.iter().enumerate();
         members
@@ -153,10 +152,10 @@
             .collect()
     }
 
-    /// Applies an update on another member. A higher incarnation wins. Within one, its own leave is final, and
-    /// suspicion overrides being up unless this replica has younger evidence that it is alive. That a member has failed
-    /// is believed of one that is suspected already; otherwise the sender may have been isolated itself, and the member
-    /// is probed.
+    /// Applies an update on another member. A higher incarnation wins. Within an incarnation, `Left` is final, and
+    /// `Suspect` overrides `Up` unless this replica has later evidence that the member is alive. `Failed` is accepted
+    /// only for a member that is already suspected; otherwise the sender may itself be isolated, and the member is
+    /// probed.
     pub(crate) fn apply(&mut self, now: Millis, update: &MemberUpdate, bounded: bool) -> Applied {
         let Some(entry) = self.entries.get_mut(usize::from(update.member)) else {
             return Applied::Unchanged;
@@ -165,12 +164,12 @@
             return Applied::Unchanged;
         }
         let suspected = now - f64::from(update.age) * TICK;
-        // However late it arrives, there is time left for a refutation.
+        // Leaves time for a refutation even if the update arrives late.
         let since = suspected.max(now - VERIFICATION_DELAY);
         let newer = entry.status.is_none() || update.incarnation > entry.incarnation;
         let next = match (update.status, entry.status) {
             _ if !newer && update.incarnation < entry.incarnation => return Applied::Unchanged,
-            // A return is believed only of a datagram that is known not to be late.
+            // A return is accepted only from a datagram that is known not to be late.
             (Status::Up, None | Some(Status::Failed | Status::Left)) if newer && !bounded => {
                 return Applied::MustProbe
             }
@@ -183,7 +182,7 @@
             (Status::Failed, Some(Status::Suspect)) => Status::Failed,
             (Status::Left, Some(Status::Up | Status::Suspect | Status::Failed)) => Status::Left,
             (Status::Suspect, Some(Status::Suspect)) => {
-                // The first suspicion counts, so that it times out at about one time everywhere.
+                // The earliest suspicion counts, so that it times out at about the same time at all replicas.
                 entry.since = entry.since.min(since);
                 return Applied::Unchanged;
             }
@@ -217,7 +216,7 @@
         } else {
             entry.incarnation
         };
-        // Here a lower age is the safe side: it ends a suspicion later.
+        // Rounding the age down is safe: the suspicion times out later.
         let age = match status {
             Status::Suspect => ((now - entry.since).max(0.0) / TICK).min(255.0) as u8,
             _ => 0,
@@ -231,14 +230,14 @@
         })
     }
 
-    /// Returns a digest of who is up, for others to compare.
+    /// Returns a digest of the members that are up, for others to compare; each call covers the next section.
     pub(crate) fn digest(&mut self) -> MembershipDigest {
-        let base = if self.view_base < self.entries.len() {
-            self.view_base
+        let base = if self.digest_base < self.entries.len() {
+            self.digest_base
         } else {
             0
         };
-        self.view_base = base + DIGEST_SPAN;
+        self.digest_base = base + DIGEST_SPAN;
         let section = &self.entries[base..self.entries.len().min(base + DIGEST_SPAN)];
         let supported_versions = self.most_common_versions();
         let is_other = |entry: &Entry| entry.up() && entry.supported_versions != supported_versions;
@@ -255,7 +254,7 @@
         }
     }
 
-    /// The versions that most of those that are up support.
+    /// The versions that most members that are up support.
     fn most_common_versions(&self) -> SupportedVersions {
         let mut counts: BTreeMap<(u8, u8), usize> = BTreeMap::new();
         for entry in self.entries.iter().filter(|entry| entry.up()) {
@@ -269,8 +268,8 @@
         })
     }
 
-    /// Takes another's digest. Who is up there and unknown here is up, if the digest is bounded in age and has the
-    /// versions that the member supports.
+    /// Compares the table with another replica's digest. Members that are up in the digest and unknown here become up,
+    /// if the digest's transit time is bounded and it includes the versions that they support.
     pub(crate) fn compare(
         &mut self,
         now: Millis,
@@ -297,7 +296,7 @@
     }
 }
 
-/// A bit for each entry, the lowest of each byte first.
+/// One bit per entry, starting at the lowest bit of each byte.
 fn bitmap(entries: &[Entry], is_set: impl Fn(&Entry) -> bool) -> Vec<u8> {
     let byte = |eight: &[Entry]| {
         let bits = eight.iter().enumerate();
--- a/balancer/gossip/src/membership/timers.rs
+++ b/balancer/gossip/src/membership/timers.rs
@@ -1,4 +1,4 @@
-//! Timers of the membership: probes, suspicions that time out, discovery of members that aren't up, gossip rounds.
+//! Timers of the membership: probes, suspicion timeouts, discovery of members that aren't up, and gossip rounds.
 use rand::seq::SliceRandom;
 use rand::Rng;
 
@@ -12,19 +12,20 @@
 use crate::types::{Member, Millis};
 use crate::wire::v1::{MessageKind, ProbeTarget, Status};
 
-/// Members that an indirect probe is requested from.
+/// Members that are requested to probe a target indirectly.
 const INDIRECT_PROBES: usize = 3;
-/// Further members that are probed in a period in which most don't acknowledge.
+/// Additional probes per protocol period while this replica is likely isolated.
 const EXTRA_PROBES: usize = 3;
-/// Members that verify one suspicion themselves, of those that only received it.
+/// The expected number of members that verify a suspicion which they only received.
 const EXPECTED_VERIFIERS: f64 = 64.0;
-/// Urgent updates that fit into one datagram.
+/// Limit of urgent updates per gossip round: the number that fits into one datagram.
 const MAX_URGENT_UPDATES: usize = 14;
-/// Unknown members that are probed at once.
+/// Limit of unknown members probed at once.
 const MAX_UNKNOWN_PROBES: usize = 3;
 
-/// The time that a suspicion lasts. A replica that has not probed the member itself leaves it to those that have,
-/// unless many are suspected, which can't all be probed. On a lossy network all takes longer.
+/// The timeout of a suspicion. It is longer at a replica that has not probed the member itself, so that replicas which
+/// have probed it decide first, except when many members are suspected, which can't all be probed. On a lossy network
+/// it doubles.
 fn suspicion_timeout(entry: &Entry, probes: &Probes) -> Millis {
     let factor = if entry.probed || probes.likely_isolated() {
         1.0
@@ -43,7 +44,7 @@
         let probes = self.probes.all.iter().map(|probe| probe.deadline);
         let suspects = self.table.entries.iter().enumerate();
         let suspects = suspects.filter(|(_, entry)| entry.status == Some(Status::Suspect));
-        // A suspicion whose member is being probed ends with the probe.
+        // A suspicion does not time out while its member is being probed.
         let suspects = suspects.filter_map(|(at, entry)| {
             if !entry.verified {
                 Some(entry.since + VERIFICATION_DELAY)
@@ -60,8 +61,8 @@
         Some(earliest.min(self.next_probe).min(self.next_discovery))
     }
 
-    /// Detects a pause of this replica. What it waited for then counts for nothing, and suspicions last longer by as
-    /// much.
+    /// Detects a pause of this replica. Probes in flight are dropped, and suspicions are extended by the length of the
+    /// pause.
     pub(crate) fn detect_pause(&mut self, now: Millis) {
         let Some(late) = self
             .next_timeout()
@@ -101,14 +102,14 @@
         }
     }
 
-    /// Begins a protocol period: probes one member, and more where many don't acknowledge.
+    /// Begins a protocol period: probes one member, and more if many don't acknowledge.
     fn begin_protocol_period(&mut self, now: Millis) {
         let up = self.table.unsuspected();
         if up.len() <= 1 {
             self.discover(now, LONE_DISCOVERY_PROBES);
         }
-        // Where most don't acknowledge, many have failed at once or this replica is isolated: to know soon, it probes
-        // more of them.
+        // If many probes fail, many members have failed at once or this replica is isolated; additional probes decide
+        // sooner which it is.
         let extra_probes = if self.probes.likely_isolated() {
             EXTRA_PROBES
         } else {
@@ -131,19 +132,20 @@
         };
         if let Some(target) = target {
             self.probes.begin(now, target, purpose);
-            // What is piggybacked gives way where the budget was spent on updates.
+            // Piggybacked data is reduced if updates have exhausted the budget.
             let piggyback = Piggyback::with_credit(self.budget.has_credit(now));
             self.send(target, MessageKind::Ping, piggyback);
         }
     }
 
-    /// The member after this one in the list's order, so that each is probed by one at least in every other period.
+    /// The next member in the order of the list. As each replica probes its successor in every other period, each
+    /// member is probed at least that often.
     fn successor(&self, up: &[Member]) -> Option<Member> {
         let next = up.iter().find(|member| **member > self.own).or(up.first());
         next.copied().filter(|member| *member != self.own)
     }
 
-    /// The next of all members in random order.
+    /// The next member in a random order of all members.
     fn next_in_probe_order(&mut self, up: &[Member]) -> Option<Member> {
         for _ in 0..2 {
             while let Some(member) = self.probe_order.pop() {
@@ -157,7 +159,7 @@
         None
     }
 
-    /// Probes a few candidates that aren't up, first the unknown members that have sent something.
+    /// Probes candidates that aren't up: unknown members that have sent a datagram, or else random ones.
     fn discover(&mut self, now: Millis, count: usize) {
         let mut targets: Vec<Member> = Vec::new();
         while let Some(member) = self
@@ -185,20 +187,20 @@
         }
     }
 
-    /// Probes a member outside the regular round, as far as the budget goes.
+    /// Probes a member in addition to the regular probes, if the budget allows.
     pub(crate) fn probe(&mut self, now: Millis, target: Member) {
         if target != self.own
             && self.budget.has_credit(now)
             && self.probes.begin(now, target, Purpose::Suspect)
         {
-            // The update known of it goes along, so that its response can refute that.
+            // Includes the known update on the member, so that its response can refute it.
             let priority_updates = self.correction(now, target, 0);
             self.send_with_updates(target, MessageKind::Ping, priority_updates);
         }
     }
 
-    /// Verifies that a member has failed, as others report; only some replicas do, so that it isn't probed by all at
-    /// once.
+    /// Probes a member that others report as suspected or failed. Only a random subset of the replicas does so, to
+    /// limit the load on the member.
     pub(super) fn verify(&mut self, now: Millis, target: Member) {
         let up = self.table.up().len() as f64;
         if !self.probes.likely_isolated() && self.rng.gen_bool((EXPECTED_VERIFIERS / up).min(1.0)) {
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Asks a few other members to probe one.
+    /// Requests indirect probes of a member from a few other members.
     fn request_indirect_probes(&mut self, target: Member) {
         for intermediary in self.random_members(INDIRECT_PROBES, target) {
             let target = Some(ProbeTarget {
@@ -247,7 +249,7 @@
     /// Suspects the member whose probe was not acknowledged.
     fn on_probe_failed(&mut self, now: Millis, probe: &Probe) {
         let entry = &mut self.table.entries[usize::from(probe.target.0)];
-        // One that was probed as an unknown member and came up since has not been probed as a member.
+        // A failed probe counts only for a member that was already up when the probe began.
         let member = entry.status == Some(Status::Up) && entry.since < probe.started;
         if !member || entry.last_alive >= probe.started {
             return;
@@ -255,7 +257,7 @@
         (entry.status, entry.since) = (Some(Status::Suspect), now);
         (entry.verified, entry.probed) = (true, false);
         self.counters.suspected += 1;
-        // A replica that receives nothing is likely the isolated one, and suspects nobody publicly.
+        // A replica that receives nothing is likely isolated itself, so it does not announce the suspicion.
         if now - self.last_received >= ISOLATION_TIMEOUT / 2.0 {
             return;
         }
@@ -266,7 +268,7 @@
         }
     }
 
-    /// Verifies suspicions that were only received, and ends those that have timed out.
+    /// Verifies suspicions that were only received, and declares members failed whose suspicions have timed out.
     fn handle_suspicion_timeouts(&mut self, now: Millis) {
         for at in 0..self.table.entries.len() {
             let entry = &mut self.table.entries[at];
@@ -283,7 +285,8 @@
                 && !self.probes.is_in_flight(member)
             {
                 if !entry.probed && !self.probes.likely_isolated() {
-                    // Nobody has declared it failed, and it was not probed, for want of budget or of a turn.
+                    // No replica has declared it failed, and this one has not probed it, for lack of budget or because
+                    // verification was left to others.
                     entry.since = now - VERIFICATION_DELAY;
                     self.verify_directly(now, member);
                     continue;
@@ -310,9 +313,9 @@
             self.next_gossip_round = None;
             return;
         }
-        // A refutation must arrive before the suspicion times out.
-        let refutes = self.gossip.is_urgent(self.own) && self.budget.allows_response(now);
-        if !refutes && !self.budget.has_credit(now) {
+        // A refutation may overdraw the budget, as it must arrive before the suspicion times out.
+        let has_refutation = self.gossip.is_urgent(self.own) && self.budget.allows_response(now);
+        if !has_refutation && !self.budget.has_credit(now) {
             self.next_gossip_round = Some(now + GOSSIP_INTERVAL);
             return;
         }
@@ -322,7 +325,7 @@
             .into_iter()
             .take(MAX_URGENT_UPDATES)
             .collect();
-        // Where there are many updates, others gossip most of them as well.
+        // With many urgent updates, other replicas gossip most of them as well.
         let fanout = if urgent.len() < MAX_URGENT_UPDATES / 2 && !self.probes.likely_isolated() {
             GOSSIP_FANOUT
         } else {
