--- a/balancer/gossip/src/lib.rs
+++ b/balancer/gossip/src/lib.rs
@@ -1,11 +1,11 @@
-//! What the replicas of a tier know together: membership by gossip, the version of the protocol that all of them speak,
-//! sums of their loads, and evidence on upstreams and zones. A sans-I/O state machine over datagrams that are late,
-//! lost, repeated and reordered.
+//! The gossip protocol between the replicas of a tier: membership, negotiation of the protocol version, sums of the
+//! replicas' loads, and evidence against upstreams and zones. A sans-I/O state machine that tolerates datagrams which
+//! are delayed, lost, duplicated or reordered.
 //!
-//! [`Peers`] takes datagrams, time and what this replica observes itself, and returns datagrams to send
-//! and a [`TierState`] of what the tier knows, each thing with its age. What is older than its bound is left out:
-//! the caller does then what it would do alone. Sockets, addresses and
-//! settings are the caller's.
+//! The inputs of [`Peers`] are received datagrams, the time and this replica's own observations. Its outputs are
+//! datagrams to send and a [`TierState`], whose entries carry their ages. Entries older than their bound are left out,
+//! and the caller then falls back to local information. Sockets, addresses and settings are the caller's
+//! responsibility.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 #[doc(hidden)]
--- a/balancer/gossip/src/peers.rs
+++ b/balancer/gossip/src/peers.rs
@@ -1,6 +1,6 @@
-//! The protocol as a sans-I/O state machine. Passes datagrams and time to membership, negotiation and knowledge, and
-//! assembles the datagrams that they send. Owns none of their state: only the configuration, the counters and the
-//! notifications.
+//! The protocol as a sans-I/O state machine. Dispatches datagrams and timeouts to membership, version negotiation,
+//! loads and verdicts, and assembles outgoing datagrams. Owns the configuration, the counters and the notifications;
+//! all other state belongs to those modules.
 mod receive;
 mod send;
 
@@ -19,10 +19,10 @@
 };
 use crate::versions::VersionNegotiation;
 
-/// Notifications for the operator that wait until they are polled; further ones are dropped.
+/// Limit of notifications that wait to be polled; further ones are dropped.
 const MAX_NOTIFICATIONS: usize = 16;
 
-/// One replica of the protocol of its tier.
+/// The protocol instance of one replica.
 #[derive(Debug)]
 pub struct Peers {
     config: Config,
@@ -34,29 +34,31 @@
     verdicts: Verdicts,
     sums: LoadTable,
     notifications: VecDeque<Notification>,
-    /// The time of the last call: when datagrams are written.
+    /// The time of the last call, used for the datagrams that are written afterwards.
     now: Millis,
-    /// Whether the last notification said that this replica is isolated.
+    /// Whether the operator was last notified that this replica is isolated.
     isolated: bool,
 }
 
 impl Peers {
-    /// A replica that has received nothing yet.
+    /// Creates a replica that has received nothing yet.
     ///
     /// # Errors
     ///
-    /// When the replica isn't in the list of candidates, or no version that this program supports is left to it.
+    /// When the replica isn't in the list of candidates, or the configured versions are not supported by this program.
     pub fn new(config: Config, now: Millis) -> Result<Peers, ConfigError> {
         if config.own.0 >= config.candidates {
-            return Err(ConfigError("this copy is not among the peers"));
+            return Err(ConfigError(
+                "this replica's position is not in the list of peers",
+            ));
         }
         let VersionRange { min, max } = config.supported_versions;
         if min > max || min < SUPPORTED_VERSIONS.min || max > SUPPORTED_VERSIONS.max {
             return Err(ConfigError(
-                "no version of the peers' protocol is left to speak",
+                "no supported version of the peer protocol is configured",
             ));
         }
-        // Two processes of one replica, and two replicas of one seed, draw differently.
+        // Successive processes of a replica, and replicas with the same seed, use different random sequences.
         let mut rng = Pcg64Mcg::seed_from_u64(
             config.seed ^ config.incarnation.rotate_left(32) ^ u64::from(config.own.0),
         );
@@ -88,7 +90,7 @@
         })
     }
 
-    /// Takes a datagram that came from a candidate's address. Whatever is wrong with it, it is counted and dropped.
+    /// Handles a datagram received from a candidate's address. Invalid datagrams are counted and dropped.
     pub fn handle_datagram(&mut self, now: Millis, from: Member, bytes: &[u8]) {
         self.detect_pause(now);
         self.counts.read += 1;
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Detects, before anything else that happens at a time, whether this replica was paused past a timeout.
+    /// Detects whether this replica was paused past a timeout. Must run before any other processing at this time.
     fn detect_pause(&mut self, now: Millis) {
         self.now = now;
         self.membership.detect_pause(now);
@@ -128,7 +130,7 @@
         self.verdicts.on_timeout(now);
     }
 
-    /// Returns the next datagram to send; to be called until there is none, after each call that takes the time.
+    /// Returns the next datagram to send. Call it until it returns `None`, after each call that takes the time.
     pub fn poll_transmit(&mut self) -> Option<Transmit> {
         let message = self.membership.poll_message()?;
         let bytes = self.encode(&message);
@@ -141,14 +143,14 @@
         })
     }
 
-    /// Returns the next notification for the operator.
+    /// Returns the next notification for the operator, if any.
     pub fn poll_notification(&mut self) -> Option<Notification> {
         self.notifications
             .pop_front()
             .or_else(|| self.negotiation.poll_notification())
     }
 
-    /// Takes what this replica observes itself.
+    /// Replaces this replica's own observations.
     pub fn handle_observation(&mut self, now: Millis, own: Observations) {
         self.detect_pause(now);
         if self.verdicts.observe(now, &own.against, &own.cleared) {
@@ -157,7 +159,7 @@
         self.sums.observe(now, own.load);
     }
 
-    /// What the tier knows.
+    /// Returns the current state of the tier.
     pub fn tier_state(&mut self, now: Millis) -> TierState {
         self.detect_pause(now);
         let members = self.membership.up();
@@ -191,14 +193,14 @@
         }
         self.isolated = !joined;
         let change = if joined {
-            "hears the tier again"
+            "is connected to the tier again"
         } else {
-            "is cut off from more than half of the tier"
+            "is isolated from more than half of the tier"
         };
-        self.notify(format!("this copy {change}: {up} members up"));
+        self.notify(format!("this replica {change}: {up} members up"));
     }
 
-    /// Notifies the others that this replica leaves, so that nobody need suspect it.
+    /// Notifies other members that this replica leaves, so that they do not suspect it.
     pub fn leave(&mut self, now: Millis) {
         self.detect_pause(now);
         self.membership.leave(now);
--- a/balancer/gossip/src/peers/receive.rs
+++ b/balancer/gossip/src/peers/receive.rs
@@ -1,4 +1,4 @@
-//! Takes a datagram: checks whose it is, and hands each part of it to whom it concerns.
+//! Handling of received datagrams: verifies the sender and dispatches each part to the module that owns it.
 use super::Peers;
 use crate::knowledge::ages::MAX_TRANSIT;
 use crate::knowledge::sums::LoadEntries;
@@ -6,7 +6,7 @@
 use crate::types::{Member, Millis};
 use crate::wire::{self, v1, v2, DecodeError, Header};
 
-/// The reason why a datagram, or all of it but its header and its membership, was dropped.
+/// The reason why a datagram, or its content beyond header and membership, was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Rejection {
     Malformed,
@@ -31,7 +31,7 @@
         let (header, payload) = wire::open(bytes)?;
         self.check_sender(&header, from)?;
         if !self.config.supported_versions.contains(header.version) {
-            // Its payload can't be read, but the header has the sender and the versions that it supports.
+            // The payload can't be decoded, but the header identifies the sender and the versions that it supports.
             self.handle_header(now, &header);
             self.membership
                 .handle_unsupported_version(now, from, header.incarnation);
@@ -59,7 +59,7 @@
         Ok(())
     }
 
-    /// Checks that a datagram is of this deployment, and of the candidate from whose address it came.
+    /// Checks that a datagram belongs to this deployment and names the candidate from whose address it was received.
     fn check_sender(&self, header: &Header, from: Member) -> Result<(), Rejection> {
         if header.deployment != self.config.deployment {
             return Err(Rejection::ForeignDeployment);
@@ -80,7 +80,7 @@
         *counter += 1;
     }
 
-    /// Takes the verdicts and the loads of a datagram of a version that this replica accepts.
+    /// Merges the verdicts and loads of a datagram whose version is accepted.
     fn handle_knowledge(
         &mut self,
         now: Millis,
@@ -90,7 +90,7 @@
     ) {
         let verdicts = &body.version_1.verdicts;
         let Some(transit) = transit else {
-            // Nothing that ages can be taken from it; the response to a probe of our own will have a bound.
+            // Without a bound on the transit time no ages can be derived; the response to our own probe will have one.
             if !verdicts.is_empty() {
                 self.membership.probe(now, from);
             }
@@ -104,7 +104,7 @@
         if changed {
             self.membership.disseminate(now);
         }
-        // A datagram of version 1 has no loads, which changes nothing.
+        // A datagram of version 1 has no loads; merging none has no effect.
         let loads = LoadEntries {
             totals: body.totals,
             unnamed_tenants: body.unnamed_tenants,
@@ -113,7 +113,7 @@
         self.sums.handle_loads(now, transit, from, loads);
     }
 
-    /// Takes a verified header for the agreement on a version, unless it is of a process that has ended.
+    /// Passes a verified header to the version negotiation, unless it is from a process that has ended.
     fn handle_header(&mut self, now: Millis, header: &Header) {
         if self
             .membership
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Passes on who is up and who has restarted, where that may have changed.
+    /// Propagates changes of the membership, and restarts of members, to negotiation and verdicts.
     pub(super) fn on_membership_changed(&mut self, now: Millis) {
         for member in std::mem::take(&mut self.membership.restarted) {
             self.verdicts.forget(member);
@@ -156,13 +156,13 @@
         if self.membership.take_duplicate() {
             let position = self.config.own.0;
             self.notify(format!(
-                "another copy speaks as this one, place {position} of the peers: two must not have one name"
+                "another replica uses this replica's position {position} in the list of peers: names must be unique"
             ));
         }
     }
 }
 
-/// The payload of a version as one of the highest: what the version does not have is absent.
+/// Decodes a payload of any version into the body of the highest; fields that its version lacks are empty.
 fn decode(version: u8, payload: &[u8]) -> Result<v2::Body, DecodeError> {
     if version > 1 {
         return v2::decode(payload);
--- a/balancer/gossip/src/peers/send.rs
+++ b/balancer/gossip/src/peers/send.rs
@@ -1,4 +1,4 @@
-//! Encodes a message, with whatever is piggybacked on it.
+//! Encoding of outgoing messages and of the data piggybacked on them.
 use super::Peers;
 use crate::membership::{OutgoingMessage, Piggyback};
 use crate::types::Member;
@@ -6,7 +6,7 @@
 use crate::wire::{self, v1, v2, Header, MAX_PAYLOAD_LEN};
 
 impl Peers {
-    /// Encodes a message, with whatever is piggybacked on it.
+    /// Encodes a message with the data piggybacked on it.
     pub(super) fn encode(&mut self, message: &OutgoingMessage) -> Vec<u8> {
         let version = self.version_for(message.to);
         let mut body = v2::Body {
@@ -39,7 +39,7 @@
         wire::seal(&header, &payload)
     }
 
-    /// The version to write to a candidate in: one that isn't up may support the lowest only.
+    /// The version to use for a candidate; one that isn't up may support only the lowest.
     fn version_for(&self, to: Member) -> u8 {
         let supported = self.config.supported_versions;
         let version = if self.membership.is_up(to) {
@@ -60,7 +60,7 @@
             recent_failures: self.membership.recent_failures(now),
         };
         let is_full = message.piggyback == Piggyback::Full;
-        // An acknowledgement always carries the digest: when many fail at once there is no shorter form.
+        // An acknowledgement always carries the digest, the most compact form when many members fail at once.
         let digest = if message.kind == MessageKind::Ack || is_full {
             self.membership.digest()
         } else {
--- a/balancer/gossip/src/types.rs
+++ b/balancer/gossip/src/types.rs
@@ -1,37 +1,36 @@
-//! Inputs and outputs of [`Peers`](crate::Peers): plain values that know nothing of requests or sockets.
+//! Inputs and outputs of [`Peers`](crate::Peers): plain values, independent of requests and sockets.
 //!
-//! Every time is in milliseconds on one monotonic clock of this replica's own; no clock is ever compared with another
-//! replica's.
+//! All times are in milliseconds on this replica's monotonic clock. Clocks of different replicas are never compared.
 
-/// Milliseconds: a point on this replica's monotonic clock, or a span of it.
+/// Milliseconds: a time on this replica's monotonic clock, or a duration.
 pub type Millis = f64;
 
-/// The length of the longest datagram that may be sent, in bytes.
+/// The maximum length of a datagram, in bytes.
 pub const MAX_DATAGRAM_LEN: usize = 256;
 
-/// The length of the header, in bytes. Every datagram of every version begins with these bytes, all numbers big-endian,
-/// and ends with the CRC-32 (IEEE) of all before it, so that replicas of any two versions learn which versions the
-/// other supports:
+/// The length of the header, in bytes. Datagrams of every version begin with this header, with all numbers big-endian,
+/// and end with the CRC-32 (IEEE) of all preceding bytes, so that replicas of any two versions can read which versions
+/// the other supports:
 ///
-/// | at | bytes | what |
+/// | offset | bytes | content |
 /// | --- | --- | --- |
 /// | 0 | 2 | [`MAGIC`] |
-/// | 2 | 1 | the version that the rest is written in |
+/// | 2 | 1 | the version of the payload |
 /// | 3 | 1 | the lowest version that the sender supports |
 /// | 4 | 1 | the highest |
-/// | 5 | 2 | the sender's position in the list |
+/// | 5 | 2 | the sender's position in the list of candidates |
 /// | 7 | 8 | its incarnation |
 /// | 15 | 4 | [`Config::deployment`] |
-/// | 19 | 8 | the number of the agreement on a version that it knows of ([`TierState::epoch`]) |
+/// | 19 | 8 | the epoch of the latest version agreement known to the sender ([`TierState::epoch`]) |
 pub const HEADER_LEN: usize = 27;
 /// The first two bytes of every datagram.
 pub const MAGIC: [u8; 2] = *b"oP";
 
-/// A candidate for membership: a position in the list of the tier's addresses, the same at every replica.
+/// A candidate for membership: a position in the list of the tier's addresses, which is the same at every replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Member(pub u16);
 
-/// A range of versions of the protocol that a replica supports, both ends included.
+/// The inclusive range of protocol versions that a replica supports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct VersionRange {
     /// The lowest.
@@ -41,18 +40,16 @@
 }
 
 impl VersionRange {
-    /// Whether a version is in the range.
     pub(crate) fn contains(self, version: u8) -> bool {
         self.min <= version && version <= self.max
     }
 
-    /// Whether two ranges have a version in common.
     pub(crate) fn overlaps(self, other: VersionRange) -> bool {
         self.min <= other.max && other.min <= self.max
     }
 }
 
-/// The versions that this program supports: 1 has membership and verdicts, 2 sums over the tier as well.
+/// The versions that this program supports: 1 has membership and verdicts, 2 adds sums over the tier.
 pub const SUPPORTED_VERSIONS: VersionRange = VersionRange { min: 1, max: 2 };
 
 /// The configuration of a replica at its start.
@@ -62,17 +59,17 @@
     pub own: Member,
     /// The length of the list; at most [`u16::MAX`].
     pub candidates: u16,
-    /// A number that grows with each start of this replica, as far as it can tell.
+    /// A number that grows with each start of this replica, as far as it can determine that.
     pub incarnation: u64,
     /// The seed of random choices.
     pub seed: u64,
     /// The zone of this replica.
     pub zone: u16,
-    /// How many tenants there are; the same at every replica whose [`Config::deployment`] is.
+    /// The number of tenants, which is equal at all replicas with the same [`Config::deployment`].
     pub tenants: u16,
-    /// A hash of what must be the same for sums and positions to mean the same at two replicas.
+    /// A hash of the settings that must be equal at two replicas for positions and sums to have the same meaning.
     pub deployment: u32,
-    /// The versions it supports and may speak: [`SUPPORTED_VERSIONS`], or less where the operator pins them.
+    /// The versions it may use: [`SUPPORTED_VERSIONS`], or a part of them where the operator pins the version.
     pub supported_versions: VersionRange,
 }
 
@@ -81,49 +78,50 @@
 #[error("{0}")]
 pub struct ConfigError(pub &'static str);
 
-/// The load of one tenant. It adds up over the tier.
+/// The load of one tenant; additive over the replicas of a tier.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TenantLoad {
-    /// Requests a second that were asked for.
+    /// Offered requests per second.
     pub demand: f64,
-    /// Calls to upstreams in flight: the mean over a second, so that slow calls count for as long as they last.
+    /// Calls to upstreams in flight, averaged over a second, so that slow calls weigh by their duration.
     pub calls: f64,
-    /// Open connections of clients.
+    /// Open client connections.
     pub client_connections: f64,
 }
 
 /// The load of a replica, or of a tier.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests a second that were asked for.
+    /// Offered requests per second.
     pub demand: f64,
-    /// Capacity of the next tier in requests a second, as the replica estimates it.
+    /// The replica's estimate of the next tier's capacity, in requests per second.
     pub capacity: f64,
-    /// First attempts a second.
+    /// First attempts per second.
     pub first_attempts: f64,
-    /// Retries a second.
+    /// Retries per second.
     pub retries: f64,
-    /// Each tenant, by its position in the settings; a last entry for all that these don't name.
+    /// The load of each tenant, by its position in the settings; the last entry is for all tenants not in the settings.
     pub tenants: Vec<TenantLoad>,
 }
 
 /// The subject of a verdict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Subject {
-    /// An upstream, by the hash of its name that all replicas use as its id.
+    /// An upstream, identified by a hash of its name that is the same at all replicas.
     Upstream(u64),
     /// A zone, by its position in the settings.
     Zone(u16),
 }
 
-/// All that this replica observes itself; replaces the former observations.
+/// This replica's own current observations, which replace its previous ones.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Observations {
     /// Its load.
     pub load: Load,
-    /// What it has evidence against, the worst first.
+    /// Subjects that it has evidence against, the most severe first.
     pub against: Vec<Subject>,
-    /// What it had evidence against and has had a response from since, the latest first: others may use it again.
+    /// Subjects that it had evidence against and that have responded since, the latest first: others may use them
+    /// again.
     pub cleared: Vec<Subject>,
 }
 
@@ -132,85 +130,85 @@
 pub struct Sums {
     /// The sums, this replica's own load included.
     pub load: Load,
-    /// The upper bound of the age of the oldest load in them.
+    /// The upper bound of the age of the oldest load included.
     pub age: Millis,
-    /// Members whose loads are in them, of those that are up; the sums are scaled from these to all.
+    /// Members that are up and whose loads are included; the sums are extrapolated from these to all members that are
+    /// up.
     pub heard: u32,
-    /// The relative standard error of the sum of demands that the scaling brings; zero where the loads of all are
-    /// known.
+    /// The relative standard error of the sum of demands due to extrapolation; zero if all loads are known.
     pub error: f64,
 }
 
-/// Evidence of others against an upstream or a zone. This replica's own is not in it.
+/// Evidence of other replicas on an upstream or a zone, without this replica's own.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Evidence {
     /// The subject.
     pub subject: Subject,
-    /// Distinct replicas that observe it now, and the distinct zones these are in.
+    /// Distinct replicas that currently have evidence against it.
     pub observers: u32,
-    /// See there.
+    /// Distinct zones of these replicas.
     pub zones: u32,
     /// Distinct replicas that have had a response from it since.
     pub cleared: u32,
-    /// The upper bound of the age of the youngest of it.
+    /// The upper bound of the age of the latest evidence.
     pub age: Millis,
 }
 
-/// What the tier knows, as far as this replica has received it. What is older than its bound is not in it.
+/// The state of the tier as received by this replica, without entries older than their bound.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TierState {
-    /// Members that are up, this replica included, and its position among them in the list's order.
+    /// The number of members that are up, including this replica.
     pub up: u32,
-    /// See there.
+    /// This replica's index among them, in the order of the list of candidates.
     pub position: u32,
-    /// The version that all live members speak, and the number of the agreement on it, which only grows.
+    /// The protocol version that all live members use.
     pub version: u8,
-    /// See there.
+    /// The epoch of the agreement on that version, which only grows.
     pub epoch: u64,
-    /// Whether this replica is not isolated: more than half of the members that were up are known to be alive.
+    /// Whether more than half of the members that were up are known to be alive; otherwise this replica is isolated.
     pub joined: bool,
-    /// Sums over the tier; absent where too few fresh loads were received, or the version has none.
+    /// Sums over the tier; absent if too few recent loads were received or the version has no sums.
     pub sums: Option<Sums>,
-    /// Evidence of others.
+    /// Evidence of other replicas.
     pub evidence: Vec<Evidence>,
 }
 
 /// A datagram to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transmit {
-    /// To whom.
+    /// The receiver.
     pub to: Member,
-    /// Its bytes: [`MAX_DATAGRAM_LEN`] at most.
+    /// The encoded datagram, at most [`MAX_DATAGRAM_LEN`] bytes.
     pub bytes: Vec<u8>,
 }
 
-/// A notification for the operator; each change once.
+/// A notification for the operator, issued once for each change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notification(pub String);
 
 /// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Datagrams sent, and their bytes.
+    /// Datagrams sent.
     pub sent: u64,
-    /// See there.
+    /// Bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams read, and their bytes.
+    /// Datagrams received.
     pub read: u64,
-    /// See there.
+    /// Bytes received.
     pub read_bytes: u64,
-    /// Datagrams dropped, and why: malformed, of another deployment, of a version not spoken, too old.
+    /// Datagrams dropped because they were malformed.
     pub malformed: u64,
-    /// See there.
+    /// Datagrams dropped because they belong to another deployment.
     pub foreign_deployment: u64,
-    /// See there.
+    /// Datagrams dropped because their version is not supported or not agreed on.
     pub unsupported_version: u64,
-    /// See there.
+    /// Datagrams dropped because they were too long in transit.
     pub old: u64,
-    /// Members newly suspected, and declared failed.
+    /// Members newly suspected.
     pub suspected: u64,
-    /// See there.
+    /// Members declared failed.
     pub failed: u64,
-    /// Changes of the version spoken.
+    /// Changes of the protocol version in use.
     pub steps: u64,
 }
