--- a/balancer/gossip/src/versions/agreement.rs
+++ b/balancer/gossip/src/versions/agreement.rs
@@ -1,5 +1,5 @@
-//! The agreement on a version that this replica knows of, and how it comes to another. Owns its number; announcements
-//! and the step-up timer are modules of their own. All state is in integers, so that a model checker can compare it.
+//! The latest version agreement known to this replica, and the transitions to later ones. Owns the epoch; announcements
+//! and the step-up timer have their own modules. All state is integral, so that a model checker can compare it.
 use super::announced::Announced;
 use super::epoch::Epoch;
 use super::rules::{Rule, Rules, MAX_EPOCH_JUMP, MAX_TIMER_LATENESS};
@@ -17,7 +17,7 @@
 }
 
 impl Agreement {
-    /// A replica that knows of no agreement yet.
+    /// Creates the state of a replica that knows of no agreement yet.
     pub fn new(rules: Rules, own: VersionRange) -> Agreement {
         Agreement {
             rules,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Takes what a verified header announces, or what another member has relayed of a member, with an epoch of 0.
+    /// Handles the announcement in a verified header, or one that another member has relayed, with an epoch of 0.
     pub fn handle_announcement(
         &mut self,
         now: u64,
@@ -37,7 +37,7 @@
         supported_versions: VersionRange,
         epoch: u64,
     ) {
-        // Every program supports some version, and none supports version 0.
+        // Every program supports at least one version, and none supports version 0.
         if supported_versions.min == 0 || supported_versions.min > supported_versions.max {
             return;
         }
@@ -59,7 +59,7 @@
         self.reevaluate(now);
     }
 
-    /// Adopts an agreement that another replica announces, if it is later than the one known of.
+    /// Adopts an agreement that another replica announces, if it is later than the known one.
     fn consider_epoch(
         &mut self,
         now: u64,
@@ -68,8 +68,9 @@
         epoch: Epoch,
     ) {
         let version = epoch.version();
-        // A replica agrees only on what it supports itself; what this one doesn't support it leaves to the others, who
-        // will step down as soon as they receive it. And incompatible members agree among themselves.
+        // A valid announcer supports the version of its agreement. If this replica doesn't support the version, it
+        // ignores the agreement: the others step down as soon as they receive its announcement. Agreements of
+        // incompatible members are ignored, as those agree among themselves.
         let supported = supported_versions.contains(version) && self.own.contains(version);
         if !supported
             || self.announced.incompatible_versions(from).is_some()
@@ -77,15 +78,15 @@
         {
             return;
         }
-        let far = epoch.counter() > self.epoch.counter().saturating_add(MAX_EPOCH_JUMP);
-        let repeated = self.announced.implausible_epoch(from, far);
-        if (epoch > self.epoch || !self.rules.holds(Rule::Largest)) && (!far || repeated) {
+        let implausible = epoch.counter() > self.epoch.counter().saturating_add(MAX_EPOCH_JUMP);
+        let repeated = self.announced.count_implausible_epochs(from, implausible);
+        if (epoch > self.epoch || !self.rules.holds(Rule::Largest)) && (!implausible || repeated) {
             self.adopt(now, epoch);
             self.step_up.established();
         }
     }
 
-    /// Takes who is up besides this replica.
+    /// Sets the members that are up, except this replica.
     pub fn handle_members(&mut self, now: u64, up: &[Member]) {
         self.announced.set_members(self.rules, up);
         self.reevaluate(now);
@@ -96,8 +97,8 @@
         self.step_up.deadline()
     }
 
-    /// Steps up if that is due. A replica that comes to it late was paused: others may have come and gone, so it
-    /// listens for as long again.
+    /// Steps up if that is due. A replica whose timer fires late was paused and may have missed changes of the
+    /// membership, so it restarts the delay.
     pub fn on_timeout(&mut self, now: u64) {
         let Some(deadline) = self.step_up.deadline().filter(|&deadline| deadline <= now) else {
             return;
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Steps down at once where what is known of the members requires it, and schedules a step up where it allows one.
+    /// Steps down at once if the known members require it, and schedules a step up if they allow one.
     fn reevaluate(&mut self, now: u64) {
         let limit = self.announced.limit();
         if limit < self.epoch.version() && self.rules.holds(Rule::OwnKnowledge) {
@@ -121,8 +122,8 @@
             };
             self.adopt(now, epoch);
         }
-        // Where a member supports less, a tier shows so by its first agreement. Whoever joins it learns from that
-        // number that it is no part of a common start.
+        // If a member supports less, the tier makes its first agreement at once. Its epoch tells a joining replica that
+        // the tier is already established, so that the short delay for a common start does not apply.
         if self.epoch.counter() == 0 && self.announced.is_limited() {
             self.adopt(now, self.next_epoch(limit));
         }
@@ -140,7 +141,7 @@
         }
     }
 
-    /// A new agreement.
+    /// The epoch of a new agreement on a version.
     fn next_epoch(&self, version: u8) -> Epoch {
         let last = if self.rules.holds(Rule::AboveKnown) {
             self.epoch
@@ -150,28 +151,28 @@
         last.next(version)
     }
 
-    /// The version to write in.
+    /// The version to write datagrams in.
     pub fn version(&self) -> u8 {
         if !self.rules.holds(Rule::Together) {
             return self.announced.limit();
         }
-        // The two differ only where no number is left for an agreement on less.
+        // The two differ only when no epoch is left for an agreement on a lower version.
         self.epoch.version().min(self.announced.limit())
     }
 
-    /// The number of the agreement to announce.
+    /// The epoch to announce.
     pub fn epoch(&self) -> u64 {
         self.epoch.number()
     }
 
-    /// Whether a datagram of this version, written under this agreement, may be acted on.
+    /// Whether the payload of a datagram of this version and epoch may be processed.
     pub fn accepts(&self, version: u8, epoch: u64) -> bool {
-        // Whoever knows of no agreement yet speaks the lowest version, which means the same under all of them.
+        // A replica that knows of no agreement yet uses the lowest version, which has the same meaning in every epoch.
         let agreed =
             epoch == self.epoch.number() && version <= self.version() || version == self.own.min;
         let agreed = agreed || !self.rules.holds(Rule::OwnAgreement);
-        let sound = Epoch::read(epoch).is_some_and(|epoch| version <= epoch.version());
-        self.own.contains(version) && agreed && sound
+        let valid = Epoch::read(epoch).is_some_and(|epoch| version <= epoch.version());
+        self.own.contains(version) && agreed && valid
     }
 
     /// The versions that this replica supports.
@@ -183,7 +184,7 @@
         &self.announced
     }
 
-    /// Moves the clock back by this much, so that a model of it has finitely many states.
+    /// Shifts the clock back, so that a model has a finite number of states.
     pub fn shift(&mut self, by: u64) {
         self.step_up.shift(by);
     }
--- a/balancer/gossip/src/versions/announced.rs
+++ b/balancer/gossip/src/versions/announced.rs
@@ -1,31 +1,31 @@
-//! The versions that each member has announced that it supports, and who is up. Owns both, and what follows from them:
-//! the highest version that all support. Makes no agreement.
+//! The supported versions that each member has announced, and the set of members that are up. Derives from these the
+//! highest version that all members support. Makes no agreement.
 use super::rules::{Rule, Rules, REPEATS_TO_BELIEVE};
 use crate::types::{Member, VersionRange};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Versions that contradict the last announcement of a member.
+/// Announced versions that contradict the accepted announcement of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Contradiction {
     supported_versions: VersionRange,
-    /// How many times in a row it was announced.
+    /// The number of consecutive announcements.
     repeats: u8,
 }
 
-/// The last announcement of a member.
+/// The accepted announcement of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Announcement {
     incarnation: u64,
     supported_versions: VersionRange,
-    /// Something else that it announced, and how often.
+    /// A contradicting announcement that is not accepted yet.
     contradiction: Option<Contradiction>,
-    /// How many times in a row it named an implausible agreement.
+    /// The number of consecutive announcements of an implausible epoch.
     implausible_epochs: u8,
 }
 
 impl Announcement {
-    /// Takes versions that contradict it, of the same incarnation or of an earlier one, and believes them once they
-    /// were repeated often enough.
+    /// Handles contradicting versions, of the same incarnation or an earlier one, and accepts them after
+    /// [`REPEATS_TO_BELIEVE`] repetitions.
     fn contradict(&mut self, supported_versions: VersionRange, same_incarnation: bool) {
         let repeats = self
             .contradiction
@@ -47,15 +47,15 @@
     }
 }
 
-/// Announcements and who is up. One entry at most for each candidate.
+/// Announcements, at most one per candidate, and the members that are up.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Announced {
     own: VersionRange,
     announcements: BTreeMap<Member, Announcement>,
     up: BTreeSet<Member>,
-    /// The highest version that all live members read which have anything in common with this replica.
+    /// The highest version supported by all live members that have any version in common with this replica.
     common: u8,
-    /// Whether somebody is up who has announced nothing.
+    /// Whether a member is up that has announced nothing.
     unannounced: bool,
 }
 
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Takes an announcement. False if it, and so what came with it, is not of the current process of the member.
+    /// Records an announcement. Returns false if it, and thus its datagram, is not from the current process of the
+    /// member.
     pub(super) fn record_announcement(
         &mut self,
         rules: Rules,
@@ -86,7 +87,7 @@
         };
         let Some(announcement) = self.announcements.get_mut(&from) else {
             self.announcements.insert(from, new);
-            self.recount(rules);
+            self.update_common(rules);
             return true;
         };
         let before = announcement.supported_versions;
@@ -103,29 +104,31 @@
                 new
             };
         } else if supported_versions == before {
-            // An announcement of an earlier start that agrees with the later one changes nothing.
+            // An announcement of an earlier incarnation that agrees with the current one has no effect.
             announcement.contradiction = announcement.contradiction.filter(|_| !same);
         } else if same && narrower {
-            // A replica can't change what it supports while it runs, so one of the two was garbled. The safe one holds.
+            // A process doesn't change its supported versions, so one of the two was corrupt. The narrower range is
+            // safe.
             announcement.supported_versions = intersection(before, supported_versions);
             announcement.contradiction = None;
         } else if same || narrower {
-            // More than before is believed only when it is repeated. So is a smaller incarnation that supports less:
-            // the larger one may have been garbled, or this is late by far.
+            // A wider range is accepted only when repeated. So is a narrower range of an earlier incarnation: either
+            // the later incarnation was corrupt, or this announcement is very late.
             announcement.contradict(supported_versions, same);
         }
         if announcement.supported_versions != before {
-            self.recount(rules);
+            self.update_common(rules);
         }
         later || same
     }
 
-    /// Takes an agreement that looks wrong, or one that does not; true when the former was repeated often enough.
-    pub(super) fn implausible_epoch(&mut self, from: Member, far: bool) -> bool {
+    /// Counts consecutive implausible epochs of a member; a plausible one resets the count. Returns true once they were
+    /// repeated often enough to be accepted.
+    pub(super) fn count_implausible_epochs(&mut self, from: Member, implausible: bool) -> bool {
         let Some(announcement) = self.announcements.get_mut(&from) else {
             return false;
         };
-        announcement.implausible_epochs = if far {
+        announcement.implausible_epochs = if implausible {
             (announcement.implausible_epochs + 1).min(REPEATS_TO_BELIEVE)
         } else {
             0
@@ -133,16 +136,16 @@
         announcement.implausible_epochs >= REPEATS_TO_BELIEVE
     }
 
-    /// Takes who is up besides this replica.
+    /// Sets the members that are up, except this replica.
     pub(super) fn set_members(&mut self, rules: Rules, up: &[Member]) {
         if up.len() != self.up.len() || up.iter().any(|member| !self.up.contains(member)) {
             self.up = up.iter().copied().collect();
-            self.recount(rules);
+            self.update_common(rules);
         }
     }
 
-    /// Derives the common version anew.
-    fn recount(&mut self, rules: Rules) {
+    /// Recomputes the common version.
+    fn update_common(&mut self, rules: Rules) {
         let live = || {
             self.up
                 .iter()
@@ -161,7 +164,7 @@
         }
     }
 
-    /// The highest version that may be spoken.
+    /// The highest version that may be used.
     pub(super) fn limit(&self) -> u8 {
         if self.unannounced {
             self.own.min
@@ -170,24 +173,23 @@
         }
     }
 
-    /// Whether a live member is known to read less than this replica.
+    /// Whether a live member is known to support less than this replica.
     pub(super) fn is_limited(&self) -> bool {
         self.common < self.own.max
     }
 
-    /// Whether other members are up.
     pub(super) fn has_others(&self) -> bool {
         !self.up.is_empty()
     }
 
-    /// The versions of a member that supports none in which all live members meet.
+    /// The versions of a member that is incompatible: it supports no version that all live members support.
     pub(super) fn incompatible_versions(&self, member: Member) -> Option<VersionRange> {
         let supported_versions = self.announcements.get(&member)?.supported_versions;
         (!supported_versions.overlaps(self.own) || supported_versions.min > self.common)
             .then_some(supported_versions)
     }
 
-    /// The live member that holds the version at the limit, and the versions that it supports where they are known.
+    /// The live member that limits the version, and the versions that it supports if they are known.
     pub(super) fn limiting_member(&self) -> Option<(Member, Option<VersionRange>)> {
         let supported_versions = |member: &Member| {
             self.announcements
@@ -201,18 +203,18 @@
                 .find(|&member| supported_versions(member).is_none())
                 .map(|&member| (member, None));
         }
-        let holds = |member: &&Member| {
+        let limits = |member: &&Member| {
             supported_versions(member)
                 .is_some_and(|supported_versions| supported_versions.max == self.common)
         };
         self.up
             .iter()
-            .find(holds)
+            .find(limits)
             .map(|&member| (member, supported_versions(&member)))
     }
 }
 
-/// The versions in both ranges, or the latter range where that is none.
+/// The intersection of two ranges, or `b` if it is empty.
 fn intersection(a: VersionRange, b: VersionRange) -> VersionRange {
     let both = VersionRange {
         min: a.min.max(b.min),
--- a/balancer/gossip/src/versions/epoch.rs
+++ b/balancer/gossip/src/versions/epoch.rs
@@ -1,26 +1,27 @@
-//! The number of an agreement on a version. No state.
+//! The epoch: the number of an agreement on a version. Stateless.
 
-/// A counter, and below it in the last byte the version agreed on. So two replicas that know of the same agreement
-/// speak the same version, and of two agreements all take the same one: the larger.
+/// A counter, with the agreed version in the lowest byte. Thus replicas at the same epoch use the same version, and of
+/// two epochs all replicas choose the same one: the larger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Epoch(u64);
 
 impl Epoch {
-    /// The counter at which no further agreement can be made: at one each second, after nine million years.
+    /// The highest counter, at which no further agreement can be made. At one per second it is reached after nine
+    /// million years.
     const LAST: u64 = 1 << 48;
 
-    /// Where a replica that knows of no agreement begins: at the lowest version.
+    /// The initial epoch of a replica that knows of no agreement.
     pub(super) fn first(version: u8) -> Epoch {
         Epoch(u64::from(version))
     }
 
-    /// As a datagram has it; nothing if no run of steps can have led there.
+    /// Decodes the number in a datagram; `None` if its counter is out of range.
     pub(super) fn read(number: u64) -> Option<Epoch> {
         let epoch = Epoch(number);
         (epoch.counter() <= Epoch::LAST).then_some(epoch)
     }
 
-    /// As a datagram has it.
+    /// The number in a datagram.
     pub(super) fn number(self) -> u64 {
         self.0
     }
@@ -33,7 +34,7 @@
         self.0 >> 8
     }
 
-    /// A new agreement after this one; the same one where no number is left.
+    /// The epoch of the next agreement; unchanged if the counter is exhausted.
     pub(super) fn next(self, version: u8) -> Epoch {
         if self.counter() < Epoch::LAST {
             Epoch((self.counter() + 1) << 8 | u64::from(version))
--- a/balancer/gossip/src/versions/mod.rs
+++ b/balancer/gossip/src/versions/mod.rs
@@ -1,10 +1,10 @@
-//! The version of the protocol that all live members speak, and the agreement on it, while replicas of two builds run
-//! beside each other.
+//! Negotiation of the protocol version that all live members use while replicas of two builds run side by side.
 //!
-//! Each replica announces in every datagram the versions it supports and the agreement it knows of, a number that holds
-//! the version. The larger number holds. A replica that knows a live member which does not support the version makes
-//! the next agreement, on less, at once; one that has known for long enough that all live members support more makes it
-//! on more. `docs/upgrades.md` has the guarantee, its assumptions and each constant's reason.
+//! Each replica announces in every datagram the versions that it supports and the epoch of the agreement that it knows,
+//! which includes the agreed version. The highest epoch wins. A replica that knows a live member which does not support
+//! the version makes the next agreement at once, on a lower version; one that has known for long enough that all live
+//! members support a higher version makes the next agreement on that. `docs/upgrades.md` describes the guarantee, its
+//! assumptions and the reasons for the constants.
 #[doc(hidden)]
 pub mod agreement;
 mod announced;
@@ -19,25 +19,25 @@
 use self::rules::Rules;
 use crate::types::{Member, Millis, Notification, VersionRange};
 
-/// Notifications for the operator that wait to be polled; with more the oldest are dropped.
+/// Limit of notifications that wait to be polled; the oldest are dropped first.
 const MAX_NOTIFICATIONS: usize = 64;
 
-/// One replica's side of the agreement. The state machine is `Agreement`; here are the clock's type, and the
-/// notifications for the operator.
+/// The version negotiation of one replica. Wraps the state machine `Agreement`, converts times to its clock, and
+/// creates notifications for the operator.
 #[derive(Clone, Debug)]
 pub struct VersionNegotiation {
     agreement: Agreement,
     /// Changes of the version since the start.
     steps: u64,
-    /// Whether the operator was notified why the version is lower than this replica could speak.
+    /// Whether the operator was notified which member limits the version.
     limited: bool,
     notifications: VecDeque<Notification>,
-    /// Members that the operator was notified of as incompatible, and the versions that they support.
+    /// Incompatible members of which the operator was notified, and the versions that they support.
     incompatible: BTreeMap<Member, VersionRange>,
 }
 
 impl VersionNegotiation {
-    /// A replica that has received nothing yet. It speaks the lowest version it supports.
+    /// Creates a replica that has received nothing yet. It uses the lowest version that it supports.
     pub fn new(own: VersionRange) -> VersionNegotiation {
         let agreement = Agreement::new(Rules::default(), own);
         VersionNegotiation {
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Takes a verified header of a live or not yet known member; or, with an epoch of 0, an announcement that another
-    /// member has relayed.
+    /// Handles the verified header of a live or not yet known member, or, with an epoch of 0, an announcement that
+    /// another member has relayed.
     pub fn handle_announcement(
         &mut self,
         now: Millis,
@@ -74,21 +74,21 @@
         }) {
             let own = self.agreement.own();
             self.notify(format!(
-                "no version in common with member {}, which reads {} to {}, while this copy reads {} to {} and speaks {}: \
-                 they go without each other's word",
+                "no version in common with member {}, which supports {} to {}, while this replica supports {} to {} and uses {}: \
+                 neither processes the other's loads and verdicts",
                 from.0, supported_versions.min, supported_versions.max, own.min, own.max, self.version()
             ));
         }
     }
 
-    /// Takes the members that are up now besides this one, the suspected ones included. One of which nothing was
-    /// [announced](VersionNegotiation::handle_announcement) holds the tier at the lowest version; so whoever learns
-    /// from another that a member is up must learn from it which versions that member supports, too.
+    /// Sets the members that are up, including suspected ones and excluding this replica. A member without an
+    /// [announcement](VersionNegotiation::handle_announcement) limits the tier to the lowest version. A replica that
+    /// relays the membership of another must therefore relay the versions that the member supports, too.
     pub fn handle_members(&mut self, now: Millis, up: &[Member]) {
         self.apply(|agreement| agreement.handle_members(round_to_millis(now), up));
     }
 
-    /// Steps up if the delay of the step up has passed.
+    /// Steps up if the step-up delay has passed.
     pub fn on_timeout(&mut self, now: Millis) {
         self.apply(|agreement| agreement.on_timeout(round_to_millis(now)));
     }
@@ -100,29 +100,29 @@
             .map(|deadline| deadline as Millis)
     }
 
-    /// The version to write datagrams in now. To a candidate that is not up the lowest may be written instead, which
-    /// is accepted under every agreement.
+    /// The version to write datagrams in. Datagrams to a candidate that is not up may use the lowest instead, which is
+    /// accepted in every epoch.
     pub fn version(&self) -> u8 {
         self.agreement.version()
     }
 
-    /// The number of the agreement to announce: a counter, and the version in the last byte.
+    /// The epoch to announce: a counter, with the version in the lowest byte.
     pub fn epoch(&self) -> u64 {
         self.agreement.epoch()
     }
 
-    /// Whether the rest of a datagram may be acted on; to be called after its header was
-    /// [announced](VersionNegotiation::handle_announcement).
+    /// Whether the payload of a datagram may be processed. Call it after
+    /// [`handle_announcement`](VersionNegotiation::handle_announcement) with its header.
     pub fn accepts(&self, version: u8, epoch: u64) -> bool {
         self.agreement.accepts(version, epoch)
     }
 
-    /// The versions of a member that supports none in which all live members meet.
+    /// The versions of a member that is incompatible: it supports no version that all live members support.
     pub fn incompatible_versions(&self, member: Member) -> Option<VersionRange> {
         self.agreement.announced().incompatible_versions(member)
     }
 
-    /// Returns the next notification for the operator.
+    /// Returns the next notification for the operator, if any.
     pub fn poll_notification(&mut self) -> Option<Notification> {
         self.notifications.pop_front()
     }
@@ -132,7 +132,7 @@
         self.steps
     }
 
-    /// Applies a change, and notifies the operator of the version if it has changed, or of the member that limits it.
+    /// Applies a change, and notifies the operator if the version has changed or is newly limited by a member.
     fn apply(&mut self, change: impl FnOnce(&mut Agreement)) {
         let before = self.version();
         change(&mut self.agreement);
@@ -144,26 +144,26 @@
             return;
         }
         let why = match announced.limiting_member() {
-            _ if now > before => "all live members read it".to_string(),
+            _ if now > before => "all live members support it".to_string(),
             Some((member, Some(supported_versions))) if supported_versions.max == now => {
                 format!(
-                    "member {} reads {} to {}",
+                    "member {} supports {} to {}",
                     member.0, supported_versions.min, supported_versions.max
                 )
             }
-            Some((member, None)) => format!("nobody knows what member {} reads", member.0),
-            _ => "another copy says that a member reads no more".to_string(),
+            Some((member, None)) => format!("the versions of member {} are unknown", member.0),
+            _ => "another replica reports a member that supports no more".to_string(),
         };
         self.steps += u64::from(changed);
         self.limited = now <= before;
         let counter = self.epoch() >> 8;
-        let instead = if changed {
+        let comparison = if changed {
             format!("instead of {before}")
         } else {
-            format!("and not {}", self.agreement.own().max)
+            format!("below the supported {}", self.agreement.own().max)
         };
         self.notify(format!(
-            "version {now} {instead}, by agreement {counter}: {why}"
+            "version {now} {comparison}, by agreement {counter}: {why}"
         ));
     }
 
@@ -175,8 +175,8 @@
     }
 }
 
-/// A point of time in whole milliseconds; later is never earlier. To the nearest, so that a timer which fires a hair
-/// early, by an error in the last digits, is not asked for again and again.
+/// A time in whole milliseconds, monotonically. Rounds to the nearest, so that a timer which fires marginally early,
+/// due to floating-point error, is not rescheduled repeatedly.
 fn round_to_millis(now: Millis) -> u64 {
     now.round() as u64
 }
--- a/balancer/gossip/src/versions/rules.rs
+++ b/balancer/gossip/src/versions/rules.rs
@@ -1,66 +1,65 @@
-//! The constants of the agreement on a version, and its rules by name. No state.
+//! The constants and rules of the version agreement. Stateless.
 //!
-//! Times are in milliseconds. What each constant is for, and what it costs, is in `docs/upgrades.md`.
+//! Times are in milliseconds. `docs/upgrades.md` describes the purpose and the cost of each constant.
 
-/// A higher version is taken up when all live members have supported it for this long.
+/// How long all live members must have supported a higher version before a step up to it.
 pub const STEP_UP_DELAY: u64 = 5_000;
-/// The same for a tier that starts together and has agreed on nothing yet, and in which nobody was met who supports
-/// less.
+/// The step-up delay in a tier whose members start together, while there is no agreement yet and no member that
+/// supports less is known.
 pub const FIRST_STEP_UP_DELAY: u64 = 500;
-/// The delay doubles with each step down soon after a step up, to this at most.
+/// The limit of the step-up delay, which doubles with each step down soon after a step up.
 pub const MAX_STEP_UP_DELAY: u64 = 60_000;
-/// A step down this long after the last step up or later is an event by itself: the delay is [`STEP_UP_DELAY`] again.
+/// A step down at least this long after the last step up resets the delay to [`STEP_UP_DELAY`].
 pub const STABLE_AFTER: u64 = 120_000;
-/// A replica that comes so much too late to a step up was paused.
+/// A replica whose step-up timer fires this late was paused.
 pub const MAX_TIMER_LATENESS: u64 = 1_000;
-/// What looks wrong, though nothing proves it, is believed when the same replica repeats it so many times in a row.
+/// The number of consecutive announcements by the same replica after which an implausible value is accepted.
 pub const REPEATS_TO_BELIEVE: u8 = 3;
-/// An agreement whose number is further ahead than this looks wrong.
+/// An epoch whose counter is further ahead than this is implausible.
 pub const MAX_EPOCH_JUMP: u64 = 1 << 16;
 
-/// A rule that the guarantee rests on. A test leaves one out at a time, to show that the model checker misses none of
-/// them.
+/// A rule that the guarantee depends on. A test disables each of them to verify that the model checker detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Rule {
-    /// Not what this replica supports decides, but what all live members support.
+    /// The version is limited by the versions that all live members support, not only by this replica's own.
     AllMembers,
-    /// A live member that has announced nothing holds the version at the lowest.
+    /// A live member that has announced nothing limits the version to the lowest.
     UnannouncedIsLowest,
-    /// A replica that starts anew and supports less is believed.
+    /// An announcement by a restarted replica that supports less is accepted.
     Narrower,
-    /// What a replica announced before its last start is over, however late it comes.
+    /// Announcements of earlier incarnations are obsolete, however late they arrive.
     Incarnations,
-    /// A step down makes a new agreement, too.
+    /// A step down also makes a new agreement.
     RaiseOnDown,
-    /// A new agreement is numbered above all that were received, not above those of its own making.
+    /// The epoch of a new agreement is above all known epochs, including received ones.
     AboveKnown,
-    /// Of two agreements the larger number holds.
+    /// Of two agreements, the one with the larger epoch wins.
     Largest,
-    /// A received agreement is checked against what this replica knows of its members.
+    /// An adopted agreement is checked against the versions of the members that this replica knows.
     OwnKnowledge,
-    /// The version is the agreement's; it changes with it and not before.
+    /// The version is that of the agreement, and changes only together with it.
     Together,
-    /// An agreement that others announce is taken up.
+    /// Agreements that others announce are adopted.
     Adopt,
-    /// What was written under another agreement is not acted on.
+    /// Payloads written in another epoch are not processed.
     OwnAgreement,
 }
 
-/// The rules that hold: all of them, except in a test that leaves one out.
+/// The rules in force: all of them, except in tests that disable one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Rules {
     without: Option<Rule>,
 }
 
 impl Rules {
-    /// All but one, for a model check that shows what the rule is for.
+    /// All rules except one, for model checks that show the effect of that rule.
     pub fn without(rule: Rule) -> Rules {
         Rules {
             without: Some(rule),
         }
     }
 
-    /// Whether a rule holds.
+    /// Whether a rule is in force.
     pub fn holds(self, rule: Rule) -> bool {
         self.without != Some(rule)
     }
--- a/balancer/gossip/src/versions/step_up.rs
+++ b/balancer/gossip/src/versions/step_up.rs
@@ -1,13 +1,13 @@
-//! The timer of a step up to a higher version. Owns its deadline and its delay.
+//! The timer of the step up to a higher version. Owns its deadline and delay.
 use super::rules::{FIRST_STEP_UP_DELAY, MAX_STEP_UP_DELAY, STABLE_AFTER, STEP_UP_DELAY};
 
 /// The step-up timer. Times are in whole milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct StepUpTimer {
-    /// The current delay of a step up.
+    /// The current step-up delay.
     delay: u64,
     deadline: Option<u64>,
-    /// Until then a step down counts as following on the last step up.
+    /// A step down before this time doubles the delay.
     unstable_until: u64,
 }
 
@@ -20,22 +20,22 @@
         }
     }
 
-    /// The time of the step up, if one is scheduled.
+    /// The time of the scheduled step up, if any.
     pub(super) fn deadline(&self) -> Option<u64> {
         self.deadline
     }
 
-    /// Schedules a step up where one is possible, after the delay; cancels it where none is.
+    /// Schedules a step up after the delay if one is possible, keeping an earlier schedule; otherwise cancels it.
     pub(super) fn arm(&mut self, now: u64, possible: bool) {
         self.deadline = possible.then(|| self.deadline.unwrap_or(now.saturating_add(self.delay)));
     }
 
-    /// The tier is no longer one that starts together and has agreed on nothing.
+    /// Records that the tier is established, so that the short delay for a common start no longer applies.
     pub(super) fn established(&mut self) {
         self.delay = self.delay.max(STEP_UP_DELAY);
     }
 
-    /// A member that limits the tier, or will, has announced itself: the delay starts anew.
+    /// Restarts the delay, because a limiting member has announced itself or this replica was paused.
     pub(super) fn restart(&mut self, now: u64) {
         self.established();
         self.deadline = self.deadline.map(|_| now.saturating_add(self.delay));
@@ -55,7 +55,7 @@
         };
     }
 
-    /// Moves the clock back by this much, so that a model of it has finitely many states.
+    /// Shifts the clock back, so that a model has a finite number of states.
     pub(super) fn shift(&mut self, by: u64) {
         self.deadline = self.deadline.map(|deadline| deadline.saturating_sub(by));
         self.unstable_until = self.unstable_until.saturating_sub(by);
--- a/balancer/gossip/tests/version_agreement/upgrades.rs
+++ b/balancer/gossip/tests/version_agreement/upgrades.rs
@@ -106,7 +106,7 @@
         assert_eq!(notifications.len(), 5, "{notifications:?}");
         assert_eq!(
             notifications[0],
-            "version 1 and not 2, by agreement 1: member 5 reads 1 to 1"
+            "version 1 below the supported 2, by agreement 1: member 5 supports 1 to 1"
         );
     }
     tier.stop(5);
