--- a/balancer/gossip/src/knowledge/ages.rs
+++ b/balancer/gossip/src/knowledge/ages.rs
@@ -1,26 +1,25 @@
-//! Bounds on how long a datagram was in transit, without ever comparing two clocks. Owns, for each peer, the smallest
-//! offset that its stamps can have behind this replica's clock. Knows no payload.
+//! Upper bounds of the time that datagrams were in transit, without synchronized clocks. Owns the smallest possible
+//! offset of each peer's stamps behind this replica's clock. Independent of payloads.
 //!
-//! A stamp is the sender's milliseconds from a start that only it knows. When a datagram echoes a stamp of ours and
-//! the delay of the echo, it has been in transit for at most the time since we gave that stamp, less the delay: a
-//! bound for this datagram that holds whatever the clocks say. From it follows a bound on how far the sender's stamps
-//! are behind our clock, and with that every later datagram's time in transit is bounded by its own stamp alone, as
-//! long as both clocks run at nearly one rate. What came before any such exchange can't be bounded, and nothing
-//! that ages is taken from it.
+//! A stamp is a time in milliseconds from an arbitrary start chosen by the sender. If a datagram echoes one of our
+//! stamps and the delay of the echo, it was in transit for at most the time since that stamp less the delay. This bound
+//! holds whatever the clocks show. It also bounds the offset of the sender's stamps behind our clock, so that the stamp
+//! of each later datagram alone bounds its time in transit, as long as both clocks run at nearly the same rate.
+//! Datagrams received before such an exchange have no bound, and no data with an age is accepted from them.
 use crate::types::{Member, Millis};
 use crate::wire::v1::{Echo, TICK};
 
-/// The drift of two clocks in a millisecond at most: rates differ by at most 1 in 1,000 each way.
+/// The maximum relative drift of two clocks: each rate is off by at most 1 in 1,000.
 const DRIFT: f64 = 0.002;
-/// Stamps are whole milliseconds, cut off at both ends.
+/// The maximum rounding error: two stamps truncated to whole milliseconds.
 const ROUNDING: Millis = 2.0;
-/// The oldest stamp of ours that may be echoed. Replicas probe one another every quarter of a second, one of 300 at a
-/// time, so that within this a pair has met; beyond it a stamp could be one of a former process of this replica.
+/// The maximum age of an echoed stamp. With a probe every quarter of a second to one of 300 members, each pair
+/// exchanges datagrams within this time; an older stamp could be one of a former process of this replica.
 const MAX_ECHO_AGE: Millis = 300_000.0;
-/// A datagram that was in transit for longer is too old: no bound on an age is much longer.
+/// Datagrams that were in transit for longer are dropped: no bound on an age is much longer.
 pub const MAX_TRANSIT: Millis = 2_000.0;
 
-/// A peer's stamp, and when it was received.
+/// A peer's stamp, and the time at which it was received.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedStamp {
     stamp: u32,
@@ -35,8 +34,8 @@
 }
 
 impl Offset {
-    /// The bound on the time in transit that it gives a stamp that is this far behind our clock. None for a stamp from
-    /// before its own sending, or from beyond any delay: that is of another process of the peer.
+    /// The bound on the time in transit of a datagram whose stamp is `lag` behind our clock. `None` if the bound is
+    /// negative or exceeds any plausible delay: then the stamp is from another process of the peer.
     fn transit_bound(self, now: Millis, lag: u32) -> Option<Millis> {
         let drift = (now - self.measured_at) * DRIFT;
         let bound = f64::from(lag.wrapping_sub(self.value) as i32) + drift + ROUNDING;
@@ -44,20 +43,20 @@
     }
 }
 
-/// What is known of one peer's stamps.
+/// The known state of one peer's clock.
 #[derive(Clone, Copy, Debug)]
 struct PeerClock {
-    /// The latest stamp received from it: what is echoed.
+    /// The latest stamp received from the peer, which is echoed to it.
     latest: Option<ReceivedStamp>,
     /// Absent before the first exchange of stamps.
     offset: Option<Offset>,
 }
 
-/// The offsets of all candidates' clocks, as far as they are known.
+/// The known clock offsets of all candidates.
 #[derive(Debug)]
 pub struct PeerClocks {
     peers: Vec<PeerClock>,
-    /// Our first stamp: drawn at random, so that an echo to a former process doesn't pass for one to this.
+    /// Our first stamp, chosen at random so that an echo to a former process isn't mistaken for one to this process.
     first_stamp: u32,
     start: Millis,
 }
@@ -80,12 +79,12 @@
 
     /// The stamp for a datagram sent now.
     pub fn stamp(&self, now: Millis) -> u32 {
-        // Wraps after 49 days; differences are taken in the same arithmetic.
+        // Wraps after 49 days; differences use the same wrapping arithmetic.
         self.first_stamp
             .wrapping_add((now - self.start).max(0.0) as u64 as u32)
     }
 
-    /// The echo for a peer.
+    /// The echo for a datagram to a peer, if a recent stamp of it is known.
     pub fn echo(&self, now: Millis, to: Member) -> Option<Echo> {
         let received = self.peers.get(usize::from(to.0))?.latest?;
         let delay = now - received.at;
@@ -95,7 +94,7 @@
         })
     }
 
-    /// Takes a datagram's stamp and echo; returns the bound on its time in transit, where that is known.
+    /// Handles the stamp and echo of a datagram; returns the upper bound of its time in transit, if known.
     pub fn handle_stamp(
         &mut self,
         now: Millis,
@@ -117,7 +116,7 @@
             is_ours.then_some(bound)
         });
         if let Some(bound) = by_echo {
-            // The tighter one stays.
+            // Keeps the tighter bound.
             if by_offset.is_none_or(|by_offset| bound <= by_offset) {
                 peer.offset = Some(Offset {
                     value: lag.wrapping_sub(bound.ceil() as u32),
@@ -131,7 +130,7 @@
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         };
-        // A late datagram's stamp is not echoed in place of a later one's.
+        // The stamp of a late datagram does not replace a later stamp.
         let is_later = peer.latest.is_none_or(|latest| {
             (stamp.wrapping_sub(latest.stamp) as i32) >= 0
                 || by_offset.is_none()
@@ -144,7 +143,7 @@
     }
 }
 
-/// The earliest time at which something of this age on the wire was created, if it was in transit for at most so long.
+/// The earliest possible creation time of data with this age on the wire, for an upper bound of its time in transit.
 pub fn earliest_creation(now: Millis, age: u8, transit: Millis) -> Millis {
     now - transit - f64::from(age) * TICK
 }
--- a/balancer/gossip/src/knowledge/mod.rs
+++ b/balancer/gossip/src/knowledge/mod.rs
@@ -1,5 +1,6 @@
-//! What the replicas of a tier know together. Each kind has an owner, a merge that is commutative, idempotent and
-//! bounded, an age that travels with it, and a bound beyond which it is left out. Sends nothing by itself.
+//! State that the replicas of a tier share: loads and verdicts. Each entry has an owner, is merged by a commutative,
+//! idempotent and bounded operation, carries its age, and is left out once it is older than its bound. Sends nothing by
+//! itself.
 pub mod ages;
 pub mod sums;
 pub mod verdicts;
--- a/balancer/gossip/src/knowledge/sums.rs
+++ b/balancer/gossip/src/knowledge/sums.rs
@@ -1,9 +1,9 @@
-//! Sums over the tier. Owns the youngest loads received of each member.
+//! Sums of loads over the tier. Owns the latest loads received from each member.
 //!
-//! A member owns its load. Each entry has the earliest time at which it was created, and the youngest of an owner wins:
-//! a maximum, so that neither order nor repetition matters, and no sum ever loses or doubles what a datagram carried.
-//! Totals are relayed by every replica; tenants' loads, which are longer, are sent by their owner alone. Where not all
-//! are known, the mean of those that are is scaled to all. Which members are up is not known here.
+//! Each member owns its load. An entry has the earliest time at which it can have been created, and an owner's latest
+//! entry wins. As this merge is a maximum, order and repetition of datagrams have no effect on the sums. Totals are
+//! relayed by every replica; the loads of tenants, which are longer, are sent by their owner only. If not all loads are
+//! known, the sums are extrapolated from the known ones. The set of members that are up is an input.
 use rand::seq::SliceRandom;
 use rand::Rng;
 
@@ -12,16 +12,16 @@
 use crate::wire::v1::age_to_ticks;
 use crate::wire::v2::{CompactFloat, TenantRow, Totals, UnnamedTenants, MAX_TENANT_ROWS};
 
-/// Totals older than this are in no sum: a change is then known to all within two seconds.
+/// Totals older than this are excluded from sums, so that a change is reflected at all replicas within two seconds.
 pub const MAX_AGE: Millis = 2_000.0;
-/// Tenants' loads may be this old: they come from their owners alone, so they need longer to be enough.
+/// The maximum age of tenants' loads. As only their owners send them, it takes longer to receive enough.
 pub const TENANTS_MAX_AGE: Millis = 3_000.0;
-/// With so many received the sum is given whatever the number of members; with fewer, if they are half of all. At 16 of
-/// 300 whose loads differ by 30%, the error is 7%.
+/// A sample of this size suffices for any number of members; a smaller one must be at least half of them. For 16 of 300
+/// members whose loads differ by 30%, the error is 7%.
 const MIN_SAMPLE: usize = 16;
-/// Rows of a datagram that rotate over the tenants that are not among the largest.
+/// Rows per datagram that rotate over the tenants which are not among the largest.
 const ROTATING_ROWS: usize = 2;
-/// Totals of others that a datagram has space for.
+/// Limit of other members' totals per datagram, by the available space.
 const MAX_OTHER_TOTALS: usize = 18;
 
 /// The loads that one datagram carries.
@@ -29,20 +29,20 @@
 pub struct LoadEntries {
     /// Totals of the sender and of others.
     pub totals: Vec<Totals>,
-    /// The sender's tenants that no row names; absent where it sends no tenants.
+    /// The load of the sender's tenants without a row; absent if the datagram has no tenants.
     pub unnamed_tenants: Option<UnnamedTenants>,
     /// Some of the sender's tenants.
     pub rows: Vec<TenantRow>,
 }
 
-/// Totals of a member as received.
+/// Received totals of a member.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedTotals {
     created: Millis,
     values: [CompactFloat; 4],
 }
 
-/// Tenants' loads of a member as received.
+/// Received tenants' loads of a member.
 #[derive(Clone, Debug)]
 struct ReceivedTenants {
     created: Millis,
@@ -53,7 +53,7 @@
 /// Demand, calls in flight, client connections.
 type TenantValues = [f64; 3];
 
-/// The loads received of each candidate, and this replica's own.
+/// The loads received from each candidate, and this replica's own.
 #[derive(Debug)]
 pub struct LoadTable {
     own: Member,
@@ -62,12 +62,11 @@
     observed: Option<Millis>,
     totals: Vec<Option<ReceivedTotals>>,
     tenants: Vec<Option<ReceivedTenants>>,
-    /// The position among the smaller tenants from which the next rotating rows are taken.
+    /// The index among the smaller tenants of the next rotating row.
     rotation: usize,
 }
 
 impl LoadTable {
-    /// A table that has received nothing.
     pub fn new(own: Member, candidates: u16, tenants: u16) -> LoadTable {
         let candidates = usize::from(candidates);
         LoadTable {
@@ -81,7 +80,7 @@
         }
     }
 
-    /// Takes this replica's own load.
+    /// Replaces this replica's own load.
     pub fn observe(&mut self, now: Millis, load: Load) {
         self.load = load;
         self.load
@@ -90,7 +89,8 @@
         self.observed = Some(now);
     }
 
-    /// Takes the loads of a datagram that was in transit for at most so long; the tenants' are the sender's.
+    /// Merges the loads of a datagram; `transit` bounds its time in transit. The tenants' loads are those of the
+    /// sender.
     pub fn handle_loads(
         &mut self,
         now: Millis,
@@ -145,8 +145,8 @@
         });
     }
 
-    /// The loads for a datagram: own totals first, then others' at random, and own tenants. Tenants are piggybacked on
-    /// pings alone, so that acks have space for twice the totals.
+    /// The loads for a datagram: own totals, a random selection of others' totals, and own tenants. Tenants are
+    /// piggybacked only on pings, so that acks have space for twice as many totals.
     pub fn outgoing(&mut self, now: Millis, with_tenants: bool, rng: &mut impl Rng) -> LoadEntries {
         let own_age = self.observed.and_then(|at| age_to_ticks(now - at));
         let mut entries = LoadEntries::default();
@@ -158,7 +158,7 @@
             });
         }
         let mut others = self.other_totals(now);
-        // The younger half is of use for longer, so it goes first.
+        // Younger totals remain valid for longer, so the selection is from the younger half.
         others.sort_by_key(|entry| entry.age);
         let young = others.len().min(MAX_OTHER_TOTALS.max(others.len() / 2));
         others.truncate(young);
@@ -172,7 +172,7 @@
         entries
     }
 
-    /// The totals received of others that are within their bound.
+    /// Received totals of other members that are not older than [`MAX_AGE`].
     fn other_totals(&self, now: Millis) -> Vec<Totals> {
         let entries = self.totals.iter().enumerate();
         let within_bound = entries.filter_map(|(owner, received)| {
@@ -186,7 +186,8 @@
         within_bound.collect()
     }
 
-    /// Own tenants to name, and the sum of the others: the largest, and a few of the smaller ones in turn.
+    /// Rows for the largest own tenants and, in rotation, a few of the smaller ones; and the sum of the remaining
+    /// tenants.
     fn own_rows(&mut self) -> (Vec<TenantRow>, [CompactFloat; 3]) {
         let tenants = &self.load.tenants;
         let total = sum(tenants.iter());
@@ -216,7 +217,7 @@
         (rows, unnamed)
     }
 
-    /// The sums over `up`, if enough of them was received.
+    /// The sums over the members `up`, if the loads of enough of them are known.
     pub fn sums(&self, now: Millis, up: &[Member]) -> Option<Sums> {
         let observed = self.observed?;
         let received = self.received_totals(now, up);
@@ -252,7 +253,7 @@
         })
     }
 
-    /// The totals of the members among `up`, other than this one, that are within their bound.
+    /// Received totals of the members `up`, except this one, that are not older than [`MAX_AGE`].
     fn received_totals(&self, now: Millis, up: &[Member]) -> Vec<&ReceivedTotals> {
         up.iter()
             .filter(|member| **member != self.own)
@@ -261,8 +262,8 @@
             .collect()
     }
 
-    /// Each tenant's sum, and the age of the oldest load in it. A tenant that an owner didn't name has an equal share
-    /// of its unnamed load.
+    /// The sum for each tenant, and the age of the oldest load included. A tenant without a row gets an equal share of
+    /// the member's unnamed load.
     fn tenant_sums(&self, now: Millis, up: &[Member]) -> (Vec<TenantLoad>, Millis) {
         let mut sums = self.load.tenants.clone();
         let mut sample = 1.0;
@@ -298,7 +299,7 @@
     }
 }
 
-/// A load's totals, in their order on the wire.
+/// The totals of a load, in their order on the wire.
 fn own_totals(load: &Load) -> [f64; 4] {
     [
         load.demand,
@@ -308,7 +309,7 @@
     ]
 }
 
-/// A tenant's load, in its order on the wire.
+/// The load of a tenant, in its order on the wire.
 fn tenant_load(tenant: &TenantLoad) -> TenantValues {
     [tenant.demand, tenant.calls, tenant.client_connections]
 }
@@ -319,7 +320,7 @@
         .fold([0.0; 3], |a, b| [a[0] + b[0], a[1] + b[1], a[2] + b[2]])
 }
 
-/// A tenant's share of whatever it has the largest share of.
+/// The largest of a tenant's shares of the total demand, calls and connections.
 fn largest_share(tenant: &TenantLoad, total: TenantValues) -> f64 {
     let shares = tenant_load(tenant).into_iter().zip(total);
     shares
@@ -327,7 +328,7 @@
         .fold(0.0, f64::max)
 }
 
-/// The relative standard error of a total scaled from a sample of `all`, drawn without replacement.
+/// The relative standard error of a total extrapolated from a sample of `all`, drawn without replacement.
 fn standard_error(sample: usize, all: usize, sum: f64, squares: f64) -> f64 {
     if sample >= all || sample < 2 || sum <= 0.0 {
         return 0.0;
--- a/balancer/gossip/src/knowledge/verdicts.rs
+++ b/balancer/gossip/src/knowledge/verdicts.rs
@@ -1,9 +1,9 @@
-//! Evidence against upstreams and zones, and its withdrawal. Owns the last observation of each observer on each
+//! Evidence against upstreams and zones, and its withdrawal. Owns the latest observation by each observer of each
 //! subject.
 //!
-//! An observer owns its observations; its last one wins, by its own sequence, and between equals the one that is known
-//! to be younger. Both are maxima, so the order and the number of datagrams don't matter. What no observer renews
-//! expires after [`MAX_AGE`]. What follows from evidence is not decided here.
+//! Each observer owns its observations. The one with the highest sequence number wins, and among equal ones the later.
+//! As both are maxima, order and repetition of datagrams have no effect. Observations that are not renewed expire after
+//! [`MAX_AGE`]. The consequences of evidence are decided elsewhere.
 use std::collections::BTreeMap;
 
 use rand::seq::SliceRandom;
@@ -13,22 +13,23 @@
 use crate::types::{Evidence, Member, Millis, Subject};
 use crate::wire::v1::{age_to_ticks, Verdict, VerdictState};
 
-/// Evidence older than this is left out: an observer renews it thrice in that time.
+/// The maximum age of evidence; an observer renews it three times in this time.
 pub const MAX_AGE: Millis = 3_000.0;
-/// How often an observer renews what it still observes.
+/// The interval at which an observer renews its current observations.
 const RENEWAL_PERIOD: Millis = 1_000.0;
-/// Subjects retained at most, the youngest first: 64 faulty zones and upstreams at a time have one common fault, which
-/// more of them wouldn't show better.
+/// Limit of retained subjects, beyond which those with the oldest evidence are removed. 64 simultaneously faulty zones
+/// and upstreams have a common cause, which more subjects would not make clearer.
 const MAX_SUBJECTS: usize = 64;
-/// Observers retained for a subject at most, the youngest first: a verdict is as good with eight as with 300.
+/// Limit of retained observers per subject, beyond which the oldest observations are removed: eight observers are as
+/// conclusive as 300.
 const MAX_OBSERVERS: usize = 8;
-/// Observations that one datagram is offered.
+/// Limit of observations per datagram.
 const MAX_OUTGOING: usize = 8;
-/// Observations up to this age, in units of [`TICK`](crate::wire::v1::TICK), are sent first: half a second, in which a
-/// new one reaches all.
+/// Observations up to this age, in units of [`TICK`](crate::wire::v1::TICK), are sent first. It equals half a second,
+/// in which a new observation reaches all members.
 const NEW_TICKS: u8 = 25;
 
-/// The last observation of one observer on one subject.
+/// The latest observation of a subject by an observer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Observation {
     sequence: u16,
@@ -38,7 +39,7 @@
 }
 
 impl Observation {
-    /// Whether this one wins against another of the same observer on the same subject.
+    /// Whether this observation supersedes another one by the same observer of the same subject.
     fn supersedes(&self, other: &Observation) -> bool {
         match self.sequence.wrapping_sub(other.sequence) {
             0 => (self.created, self.state) > (other.created, other.state),
@@ -46,7 +47,7 @@
         }
     }
 
-    /// The observation for the wire, while it is within its bound.
+    /// The observation in its form on the wire, unless it has expired.
     fn to_verdict(self, now: Millis, subject: Subject, observer: u16) -> Option<Verdict> {
         let age = now - self.created;
         if age > MAX_AGE {
@@ -63,7 +64,7 @@
     }
 }
 
-/// All recent observations, the own ones included.
+/// All recent observations, including this replica's own.
 #[derive(Debug)]
 pub struct Verdicts {
     own: Member,
@@ -73,7 +74,7 @@
 }
 
 impl Verdicts {
-    /// No observations; own ones are numbered from `sequence` on.
+    /// Creates an empty set; own observations are numbered from `sequence` on.
     pub fn new(own: Member, zone: u16, sequence: u16) -> Verdicts {
         Verdicts {
             own,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Takes all that this replica observes itself now; returns whether any of it is new and to be gossiped at once.
+    /// Replaces this replica's own observations; returns whether any of them is new and has to be gossiped at once.
     pub fn observe(&mut self, now: Millis, against: &[Subject], cleared: &[Subject]) -> bool {
         let mut own_verdicts: BTreeMap<Subject, VerdictState> = BTreeMap::new();
         for (subjects, state) in [
@@ -94,7 +95,7 @@
                 own_verdicts.entry(*subject).or_insert(state);
             }
         }
-        // What is observed no longer is not renewed, and expires everywhere.
+        // Observations that no longer hold are not renewed, and expire at all replicas.
         let own = self.own.0;
         self.observations.retain(|subject, by_observer| {
             if !own_verdicts.contains_key(subject) {
@@ -109,7 +110,7 @@
         changed_any
     }
 
-    /// Renews an own observation where it is due or its state has changed; returns whether the state has changed.
+    /// Renews an own observation if that is due or its state has changed; returns whether the state has changed.
     fn renew(&mut self, now: Millis, subject: Subject, state: VerdictState) -> bool {
         let by_observer = self.observations.entry(subject).or_default();
         let last = by_observer.get(&self.own.0);
@@ -127,7 +128,7 @@
         changed
     }
 
-    /// Takes the observation of another; returns whether it is new and to be gossiped at once.
+    /// Merges an observation by another replica; returns whether it is new and has to be gossiped at once.
     pub fn handle_verdict(&mut self, now: Millis, transit: Millis, verdict: &Verdict) -> bool {
         let created = earliest_creation(now, verdict.age, transit);
         if verdict.observer == self.own.0 || now - created > MAX_AGE {
@@ -156,7 +157,7 @@
         self.enforce_bounds(now);
     }
 
-    /// Removes what is beyond the bounds, in number and in age.
+    /// Removes expired observations, and the oldest ones beyond the limits of number.
     fn enforce_bounds(&mut self, now: Millis) {
         let own = self.own.0;
         self.observations.retain(|_, by_observer| {
@@ -179,7 +180,7 @@
         }
     }
 
-    /// The subject whose latest observation is the oldest; those that this replica observes itself come last.
+    /// The subject whose latest observation is the oldest; subjects that this replica observes itself rank last.
     fn oldest_subject(&self) -> Option<Subject> {
         let latest = |by_observer: &BTreeMap<u16, Observation>| {
             let times = by_observer.values().map(|observation| observation.created);
@@ -190,12 +191,12 @@
         };
         let oldest = self.observations.iter().min_by(|a, b| {
             let (a, b) = (latest(a.1), latest(b.1));
-            a.partial_cmp(&b).expect("times are numbers")
+            a.partial_cmp(&b).expect("times are not NaN")
         });
         oldest.map(|(subject, _)| *subject)
     }
 
-    /// Removes the observations of a former process of a member.
+    /// Removes the observations of a member, which has restarted.
     pub fn forget(&mut self, member: Member) {
         self.observations.retain(|_, by_observer| {
             by_observer.remove(&member.0);
@@ -203,7 +204,7 @@
         });
     }
 
-    /// The observations for a datagram: a few, the newest ones first and the others at random.
+    /// The observations for a datagram: the newest ones first, then a random selection of the others.
     pub fn outgoing(&self, now: Millis, rng: &mut impl Rng) -> Vec<Verdict> {
         let mut verdicts: Vec<Verdict> = Vec::new();
         for (subject, by_observer) in &self.observations {
@@ -218,7 +219,7 @@
         verdicts
     }
 
-    /// The evidence of others that is within its bound.
+    /// The evidence of other replicas that has not expired.
     pub fn evidence(&self, now: Millis) -> Vec<Evidence> {
         let by_subject = self.observations.iter();
         by_subject
@@ -260,13 +261,13 @@
     }
 }
 
-/// The observer of the oldest observation; this replica itself comes last.
+/// The observer of the oldest observation; this replica itself ranks last.
 fn oldest_observer(by_observer: &BTreeMap<u16, Observation>, own: u16) -> Option<u16> {
     let key = |(observer, observation): &(&u16, &Observation)| {
         (**observer == own, observation.created, **observer)
     };
     let oldest = by_observer
         .iter()
-        .min_by(|a, b| key(a).partial_cmp(&key(b)).expect("times are numbers"));
+        .min_by(|a, b| key(a).partial_cmp(&key(b)).expect("times are not NaN"));
     oldest.map(|(observer, _)| *observer)
 }
--- a/balancer/gossip/src/wire/mod.rs
+++ b/balancer/gossip/src/wire/mod.rs
@@ -1,17 +1,17 @@
-//! The codec of datagrams: the fixed header and the checksum at the end here, the payload between them in a module for
-//! each version. Whatever bytes arrive are either decoded completely or rejected with a reason. Has no state.
+//! The codec of datagrams: the fixed header and the trailing checksum. The payload between them is encoded by the
+//! module of its version. Received bytes are either decoded completely or rejected with a reason. Stateless.
 mod section;
 pub mod v1;
 pub mod v2;
 
 use crate::types::{Member, VersionRange, HEADER_LEN, MAGIC, MAX_DATAGRAM_LEN};
 
-/// The CRC-32 at the end, in bytes.
+/// The length of the trailing CRC-32, in bytes.
 const CHECKSUM_LEN: usize = 4;
-/// The length of the longest payload, in bytes.
+/// The maximum length of a payload, in bytes.
 pub const MAX_PAYLOAD_LEN: usize = MAX_DATAGRAM_LEN - HEADER_LEN - CHECKSUM_LEN;
 
-/// The header of every datagram of every version.
+/// The header of a datagram, which is the same in all versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
     pub version: u8,
@@ -22,15 +22,15 @@
     pub epoch: u64,
 }
 
-/// The reason why bytes are no datagram.
+/// The reason why a datagram can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Too short, too long, garbled, or not of this protocol.
+    /// Too short, too long, corrupt, or not of this protocol.
     #[error("malformed datagram")]
     Malformed,
 }
 
-/// Encodes a datagram: header, payload, checksum.
+/// Encodes a datagram from its header and payload, and appends the checksum.
 pub fn seal(header: &Header, payload: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_LEN + payload.len() + CHECKSUM_LEN);
     bytes.extend_from_slice(&MAGIC);
@@ -49,11 +49,11 @@
     bytes
 }
 
-/// Decodes the header of a datagram, and returns it with the payload.
+/// Verifies a datagram and returns its header and payload.
 ///
 /// # Errors
 ///
-/// When the length, the magic bytes, the checksum or the versions aren't those of a datagram.
+/// When the length, the magic bytes, the checksum or the versions are invalid.
 pub fn open(bytes: &[u8]) -> Result<(Header, &[u8]), DecodeError> {
     if bytes.len() < HEADER_LEN + CHECKSUM_LEN
         || bytes.len() > MAX_DATAGRAM_LEN
@@ -86,7 +86,7 @@
     Ok((header, &body[HEADER_LEN..]))
 }
 
-/// The first bytes of a slice as an array; the slices that it is given have its length.
+/// The first `N` bytes of a slice as an array; callers pass slices of length `N`.
 fn fixed<const N: usize>(bytes: &[u8]) -> [u8; N] {
     let mut array = [0; N];
     array.copy_from_slice(&bytes[..N]);
--- a/balancer/gossip/src/wire/section.rs
+++ b/balancer/gossip/src/wire/section.rs
@@ -1,11 +1,12 @@
-//! Lists within a payload of limited length: a byte with the count, then each item in postcard's encoding. Items are
-//! added as long as they fit, so that the most urgent goes first and a datagram is never too long. Knows no message.
+//! Values and lists within a payload of limited length. A list is a count byte followed by the items in postcard's
+//! encoding. Items are added as long as they fit, so the most urgent must come first and a datagram is never too long.
+//! Independent of message types.
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
 use super::DecodeError;
 
-/// Writes a payload up to a number of bytes.
+/// Writes a payload of limited length.
 pub(crate) struct Writer {
     bytes: Vec<u8>,
     max_len: usize,
@@ -19,12 +20,12 @@
         }
     }
 
-    /// Bytes that are left.
+    /// The number of bytes left.
     pub(crate) fn remaining(&self) -> usize {
         self.max_len.saturating_sub(self.bytes.len())
     }
 
-    /// Writes one value, or nothing of it where it does not fit while `reserved` bytes stay free behind it.
+    /// Writes one value if it fits with `reserved` bytes left after it; returns whether it was written.
     pub(crate) fn value<T: Serialize>(&mut self, value: &T, reserved: usize) -> bool {
         match postcard::to_stdvec(value) {
             Ok(written) if written.len() + reserved <= self.remaining() => {
@@ -35,8 +36,8 @@
         }
     }
 
-    /// Writes as many of the items, in their order, as fit into `max_len` bytes while `reserved` bytes stay free behind
-    /// them. Returns how many were written.
+    /// Writes as many items, in order, as fit into `max_len` bytes with `reserved` bytes left after them. Returns the
+    /// number of items written.
     pub(crate) fn list<'a, T: Serialize + 'a>(
         &mut self,
         items: impl IntoIterator<Item = &'a T>,
@@ -61,13 +62,12 @@
         usize::from(count)
     }
 
-    /// The payload.
     pub(crate) fn finish(self) -> Vec<u8> {
         self.bytes
     }
 }
 
-/// Reads what a [`Writer`] wrote.
+/// Reads a payload written by a [`Writer`].
 pub(crate) struct Reader<'a>(pub(crate) &'a [u8]);
 
 impl Reader<'_> {
@@ -80,14 +80,14 @@
 
     pub(crate) fn list<T: DeserializeOwned>(&mut self) -> Result<Vec<T>, DecodeError> {
         let count: u8 = self.value()?;
-        // Every item has a byte at least, so a count beyond what is left is wrong, and nothing is allocated for it.
+        // Every item takes at least one byte, so a larger count is invalid; checked before anything is allocated.
         if usize::from(count) > self.0.len() {
             return Err(DecodeError::Malformed);
         }
         (0..count).map(|_| self.value()).collect()
     }
 
-    /// Checks that nothing is left: unread bytes belong to no version.
+    /// Checks that no bytes are left: no version has trailing bytes.
     pub(crate) fn end(self) -> Result<(), DecodeError> {
         if self.0.is_empty() {
             Ok(())
--- a/balancer/gossip/src/wire/v1.rs
+++ b/balancer/gossip/src/wire/v1.rs
@@ -10,21 +10,21 @@
 pub enum MessageKind {
     /// Requests an [`MessageKind::Ack`].
     Ping,
-    /// Acknowledges a ping, which its echo identifies.
+    /// Acknowledges a ping, which is identified by the echo.
     Ack,
     /// Requests an indirect probe of the target.
     PingRequest,
-    /// Confirms that the target has acknowledged an indirect probe.
+    /// Confirms that the target of an indirect probe is alive.
     IndirectAck,
-    /// Disseminates updates; has no response.
+    /// Disseminates updates, without a response.
     Gossip,
 }
 
-/// The latest stamp that was received from the receiver of this datagram.
+/// The latest stamp received from the peer to which this datagram is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
     pub stamp: u32,
-    /// Milliseconds between its receipt and this echo.
+    /// Milliseconds between receipt of the stamp and this echo.
     pub delay: u32,
 }
 
@@ -32,24 +32,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProbeTarget {
     pub member: u16,
-    /// The time since it was certainly alive, in units of [`TICK`].
+    /// The time since it was last known to be alive, in units of [`TICK`].
     pub age: u8,
 }
 
-/// The fixed part.
+/// The part of a payload that every message has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     pub kind: MessageKind,
-    /// The sender's milliseconds from an arbitrary start: echoed by the receiver, compared by nobody else.
+    /// The sender's time in milliseconds from an arbitrary start. The receiver echoes it.
     pub stamp: u32,
     pub echo: Option<Echo>,
     /// The target of a [`MessageKind::PingRequest`] or an [`MessageKind::IndirectAck`].
     pub target: Option<ProbeTarget>,
-    /// The number of members that the sender has lately declared failed.
+    /// The number of members that have recently failed, as known to the sender.
     pub recent_failures: u16,
 }
 
-/// The versions that a member supports, both ends included, as it announced them.
+/// The inclusive range of versions that a member has announced as supported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SupportedVersions {
     pub min: u8,
@@ -74,14 +74,15 @@
     }
 }
 
-/// A digest of who is up, as a bit for each member from `base` on, so that two replicas find where they differ.
+/// A digest of the membership with one bit per member from `base` on, by which two replicas detect differences.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MembershipDigest {
     pub base: u16,
-    /// The versions that most of them support.
+    /// The versions that most members support.
     pub supported_versions: SupportedVersions,
+    /// The members that are up.
     pub bits: Vec<u8>,
-    /// Those that support any others; empty if there are none.
+    /// The members that support other versions; empty if there are none.
     pub others: Vec<u8>,
 }
 
@@ -108,19 +109,18 @@
     pub has_common_versions: bool,
 }
 
-/// A bit of a digest, the lowest of each byte first; unset beyond its end.
+/// A bit of a digest, counted from the lowest bit of each byte; unset beyond the end.
 fn bit(bits: &[u8], at: usize) -> bool {
     bits.get(at / 8)
         .is_some_and(|byte| byte >> (at % 8) & 1 == 1)
 }
 
-/// The status of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Status {
     Up,
     Suspect,
     Failed,
-    /// It has left, by its own message.
+    /// It has announced that it leaves.
     Left,
 }
 
@@ -131,11 +131,11 @@
     pub incarnation: u64,
     pub status: Status,
     pub supported_versions: SupportedVersions,
-    /// How long it has been suspected, in units of [`TICK`].
+    /// The time since it became suspected, in units of [`TICK`].
     pub age: u8,
 }
 
-/// The unit of ages on the wire, in milliseconds. A byte of them reaches 5.08 s, beyond every bound.
+/// The unit of ages on the wire, in milliseconds. One byte represents up to 5.08 s, longer than every bound on an age.
 pub const TICK: f64 = 20.0;
 
 /// Whether a verdict is in force or withdrawn.
@@ -145,14 +145,14 @@
     Cleared,
 }
 
-/// An observation on an upstream or a zone.
+/// An observation of an upstream or a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
     #[serde(with = "SubjectForm")]
     pub subject: Subject,
     pub observer: u16,
     pub zone: u16,
-    /// Grows with each change of the observer's mind, as RFC 1982's serial numbers do.
+    /// Grows with each new observation by the observer, as a serial number of RFC 1982.
     pub sequence: u16,
     pub state: VerdictState,
     pub age: u8,
@@ -175,13 +175,13 @@
     pub verdicts: Vec<Verdict>,
 }
 
-/// Space for verdicts, in bytes: four of 17 bytes, so that membership updates and sums keep theirs.
+/// Space for verdicts, enough for four of 17 bytes each; the remaining space is for membership updates and sums.
 const VERDICTS_BYTES: usize = 70;
 
 impl Body {
-    /// Encodes what fits, membership updates first; `updates` are then as many as were encoded.
+    /// Encodes as much as fits, membership updates first, and truncates `updates` to those that were encoded.
     pub(crate) fn encode(&mut self, to: &mut Writer, reserved: usize) {
-        // The fixed part has 30 bytes at most and the digest what its owner limits it to, so both always fit.
+        // The head has at most 30 bytes and the length of the digest is limited by its owner, so both always fit.
         to.value(&self.head, 0);
         to.value(&(self.digest.base, self.digest.supported_versions), 0);
         to.list(&self.digest.bits, usize::MAX >> 1, reserved + 3);
@@ -214,7 +214,7 @@
     }
 }
 
-/// Encodes a payload of version 1 in so many bytes at most.
+/// Encodes a payload of version 1 in at most `max_len` bytes.
 pub fn encode(body: &mut Body, max_len: usize) -> Vec<u8> {
     let mut to = Writer::new(max_len);
     body.encode(&mut to, 0);
@@ -233,8 +233,8 @@
     Ok(body)
 }
 
-/// An age in units of [`TICK`], rounded up; none beyond what a byte can represent.
+/// An age in units of [`TICK`], rounded up; `None` if it is too large for a byte.
 pub fn age_to_ticks(age: f64) -> Option<u8> {
-    let age_to_ticks = (age.max(0.0) / TICK).ceil();
-    (age_to_ticks < f64::from(u8::MAX)).then_some(age_to_ticks as u8)
+    let ticks = (age.max(0.0) / TICK).ceil();
+    (ticks < f64::from(u8::MAX)).then_some(ticks as u8)
 }
--- a/balancer/gossip/src/wire/v2.rs
+++ b/balancer/gossip/src/wire/v2.rs
@@ -1,19 +1,19 @@
-//! Version 2: version 1, and behind it the loads of which tiers make sums.
+//! Version 2: the payload of version 1, followed by the loads from which sums over the tier are computed.
 //!
-//! Values are in bfloat16: 8 significant bits over the range of `f32`, so that reading what was written is off by at
-//! most 1 part in 256. Rounding is to the nearest, so sums over many are off by less.
+//! Values are encoded as bfloat16, with 8 significant bits and the range of `f32`, so the relative error is at most 1
+//! in 256. Rounding is to the nearest, so sums of many values have smaller errors.
 use half::bf16;
 use serde::{Deserialize, Serialize};
 
 use super::section::{Reader, Writer};
 use super::{v1, DecodeError};
 
-/// A value as bfloat16.
+/// A non-negative value as bfloat16.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CompactFloat(u16);
 
 impl CompactFloat {
-    /// The nearest to a value. What is no finite number, or negative, becomes zero.
+    /// Rounds to the nearest representable value. Negative and non-finite values become zero.
     pub fn of(value: f64) -> CompactFloat {
         let value = if value.is_finite() && value > 0.0 {
             value.min(f64::from(bf16::MAX))
@@ -23,7 +23,7 @@
         CompactFloat(bf16::from_f64(value).to_bits())
     }
 
-    /// The value: finite and not negative.
+    /// The value, which is finite and not negative.
     pub fn value(self) -> f64 {
         let value = f64::from(bf16::from_bits(self.0));
         if value.is_finite() && value > 0.0 {
@@ -34,7 +34,7 @@
     }
 }
 
-// Two bytes each; postcard's own encoding of a `u16` would take three for most.
+// Encoded as two bytes; postcard's encoding of a `u16` would take three bytes for most values.
 impl Serialize for CompactFloat {
     fn serialize<S: serde::Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         self.0.to_be_bytes().serialize(to)
@@ -49,15 +49,15 @@
     }
 }
 
-/// Bytes of the sender's own [`Totals`] and of the count before them.
+/// The length of the sender's own [`Totals`] and the count before them, in bytes.
 const TOTALS_BYTES: usize = 14;
 
-/// The totals of one member: 12 bytes at most.
+/// The totals of one member, at most 12 bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Totals {
     pub owner: u16,
     pub age: u8,
-    /// Demand, capacity, version_1 attempts, retries.
+    /// Demand, capacity, first attempts, retries.
     pub values: [CompactFloat; 4],
 }
 
@@ -68,14 +68,14 @@
     pub values: [CompactFloat; 3],
 }
 
-/// The sender's tenants: the sum of those that no [`TenantRow`] names, and the age of all.
+/// The sum over the sender's tenants without a [`TenantRow`], and the age of all its tenants' loads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnnamedTenants {
     pub age: u8,
     pub values: [CompactFloat; 3],
 }
 
-/// Tenants that one datagram names at most, at 9 bytes each. With fewer tenants all are named.
+/// Limit of tenant rows per datagram, at 9 bytes each.
 pub const MAX_TENANT_ROWS: usize = 8;
 
 /// The payload of version 2.
@@ -87,15 +87,15 @@
     pub totals: Vec<Totals>,
 }
 
-/// Bytes that the two lists behind the unnamed tenants take when they are empty.
+/// The length of the two empty lists after the unnamed tenants, in bytes.
 const EMPTY_LISTS: usize = 2;
-/// Bytes that membership updates leave for sums: the sender's own totals and four tenants at least.
+/// Bytes that membership updates leave for loads: at least the sender's own totals and four tenants.
 const SUMS_RESERVE: usize = 70;
 
-/// Encodes a payload of version 2 in so many bytes at most.
+/// Encodes a payload of version 2 in at most `max_len` bytes.
 pub fn encode(body: &mut Body, max_len: usize) -> Vec<u8> {
     let mut to = Writer::new(max_len);
-    // Three lists that are empty take three bytes.
+    // Without totals, at least three bytes are needed: absent unnamed tenants and two empty lists.
     let reserved = if body.totals.is_empty() {
         3
     } else {
@@ -103,7 +103,7 @@
     };
     body.version_1.encode(&mut to, reserved);
     if !to.value(&body.unnamed_tenants, EMPTY_LISTS) {
-        // What doesn't fit is absent, and its absence takes the byte that is reserved for it.
+        // If they don't fit they are encoded as absent, in the byte that is reserved for this.
         to.value(&None::<UnnamedTenants>, EMPTY_LISTS);
     }
     let totals_len = if body.totals.is_empty() {
