--- a/balancer/snapshots/src/fault_injection.rs
+++ b/balancer/snapshots/src/fault_injection.rs
@@ -1,9 +1,9 @@
-//! Fault injection for the disk: for exercises in service, and for tests with complete processes.
+//! Disk fault injection, for exercises in production and for tests with complete processes.
 //!
-//! A file names the fault, read with every access; without the file there is none. Its one line is `full`
-//! (nothing can be written), `failing` (nothing can be read, written or synced), `slow 300ms` (every access takes that
-//! much longer) or `unsynced` (what was not synced is lost, kept or torn when the process is killed, as on power loss).
-//! Anything else fails every access with a message that names it.
+//! A file names the fault to inject, and is read on every access; without the file there is no fault. It has one line:
+//! `full` (writes fail), `failing` (reads, writes and syncs fail), `slow 300ms` (every access is delayed by that time)
+//! or `unsynced` (writes that were not synced are lost, retained or torn when the process is killed, as on power loss).
+//! With any other content every access fails with an error that quotes it.
 use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,7 +12,7 @@
 use rand::Rng;
 use redb::StorageBackend;
 
-/// The unit of which some survive of a torn write, in bytes.
+/// The granularity of torn writes.
 const SECTOR_BYTES: usize = 512;
 
 /// The file that names the fault to inject.
@@ -29,7 +29,7 @@
 }
 
 impl FaultFile {
-    /// The fault that this file names; it need not exist yet.
+    /// Creates the source of faults from this file, which need not exist yet.
     pub fn new(file: &Path) -> FaultFile {
         FaultFile(file.to_path_buf())
     }
@@ -41,7 +41,7 @@
         };
         let unknown = || {
             io::Error::other(format!(
-                "drill {}: {:?} is no known fault",
+                "fault file {}: unknown fault {:?}",
                 self.0.display(),
                 text.trim()
             ))
@@ -61,9 +61,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Access {
-    /// Reads, and syncs of what was written.
+    /// Reads and syncs.
     Read,
-    /// Writes and changes of the length.
+    /// Writes and changes of the file length.
     Write,
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl Write {
-    /// Copies what it wrote of the bytes at an offset over them.
+    /// Copies the part of this write that overlaps the range read at `offset` into `out`.
     fn overlay(&self, offset: u64, out: &mut [u8]) {
         let start = self.offset.max(offset);
         let end = (self.offset + self.data.len() as u64).min(offset + out.len() as u64);
@@ -86,17 +86,17 @@
     }
 }
 
-/// Storage into which faults are injected.
+/// A storage backend that injects faults.
 #[derive(Debug)]
 pub struct FaultyStorage<B> {
     disk: B,
     fault_file: Option<FaultFile>,
-    /// Writes that reach the disk with the next sync, in their order.
+    /// Writes that reach the disk at the next sync, in order.
     unsynced_writes: Mutex<Vec<Write>>,
 }
 
 impl<B: StorageBackend> FaultyStorage<B> {
-    /// Storage on this disk, with the faults that a file names if there is one.
+    /// Wraps a disk; without a fault file no faults are injected.
     pub fn new(disk: B, fault_file: Option<FaultFile>) -> FaultyStorage<B> {
         FaultyStorage {
             disk,
@@ -111,7 +111,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Applies the fault to an access.
+    /// Applies the current fault to an access and returns it.
     fn inject(&self, access: Access) -> io::Result<Fault> {
         let Some(fault_file) = &self.fault_file else {
             return Ok(Fault::None);
@@ -172,7 +172,7 @@
             return self.disk.write(offset, data);
         }
         let rng = &mut rand::thread_rng();
-        // A disk may write early what is not synced, or some sectors of it.
+        // A disk may write unsynced data early, completely or only some sectors of it.
         match rng.gen_range(0..3) {
             0 => self.disk.write(offset, data)?,
             1 if data.len() > SECTOR_BYTES => {
--- a/balancer/snapshots/src/lib.rs
+++ b/balancer/snapshots/src/lib.rs
@@ -1,14 +1,15 @@
 //! Persistent state of a balancer, for deployments that have a disk.
 //!
-//! A [`Store`] has one [`record::Record`] of each [`record::Kind`] in a redb database: complete, checked, of this owner
-//! and this deployment, or not at all. A [`writer::SnapshotWriter`] writes on a thread of its own and queues only the newest of
-//! each kind, so that a disk that stalls delays nobody else. What the records mean is not known here.
+//! A [`Store`] holds at most one [`record::Record`] of each [`record::Kind`] in a redb database. A record is returned
+//! only if it is complete, its checksum matches and it belongs to this owner. A [`writer::SnapshotWriter`] writes on
+//! its own thread and queues only the newest payload of each kind, so that a stalled disk delays no caller. Payloads
+//! are opaque.
 //!
-//! redb was weighed against sled (no stable format, unmaintained), fjall and rocksdb (log-structured: many files and
-//! background threads for a few records), heed/LMDB (C code, a map that must be sized ahead) and a file replaced by
-//! rename for each kind (no atomic change of several, and a log format of our own in the end). redb is one file of pure
-//! Rust with checksums on its pages, a lock against a second process, and its storage behind a trait: the seam at which
-//! faults are injected.
+//! redb was chosen over sled (no stable format, unmaintained), fjall and rocksdb (log-structured: many files and
+//! background threads for a few records), heed/LMDB (C code, a map that must be sized in advance) and one file per kind
+//! replaced by rename (no atomic change of several kinds, which would in the end need a log format of its own). redb is
+//! pure Rust, uses a single file with page checksums, locks it against a second process, and has a storage trait behind
+//! which faults can be injected.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 pub mod fault_injection;
--- a/balancer/snapshots/src/record.rs
+++ b/balancer/snapshots/src/record.rs
@@ -1,10 +1,10 @@
-//! The codec of one record: a payload with its owner, its deployment, the time at which it was written, and a checksum
-//! over all of that. Knows neither the database nor what payloads mean.
+//! The codec of records. A record is a payload with its owner, a fingerprint of the settings, the time at which it was
+//! written, and a checksum over all of these. Independent of the database and of the meaning of payloads.
 use serde::{Deserialize, Serialize};
 
-/// The format of records that this version writes. Older ones that it still reads would be named here.
+/// The only record format that is written and read.
 pub const FORMAT: u16 = 1;
-/// The length of the longest payload, in bytes: state is small, and what is larger is not ours.
+/// The maximum payload length, in bytes. Valid state is far smaller; a longer record is invalid.
 pub const MAX_PAYLOAD_LEN: usize = 4 << 20;
 
 /// The kind of a record.
@@ -15,7 +15,7 @@
     Starts,
     /// The last valid list of upstreams.
     Upstreams,
-    /// What the decisions have learned.
+    /// The learned state of load-balancing decisions.
     Learned,
 }
 
@@ -23,7 +23,7 @@
     /// All kinds.
     pub const ALL: [Kind; 3] = [Kind::Starts, Kind::Upstreams, Kind::Learned];
 
-    /// The name: its key in the database, and its text in tables.
+    /// The name, which is the key in the database and is shown in tables.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Starts => "starts",
@@ -38,36 +38,36 @@
 pub struct Owner {
     /// The balancer's name.
     pub name: String,
-    /// A fingerprint of the settings under which its state makes sense.
+    /// A fingerprint of the settings for which its state is valid.
     pub settings: u32,
 }
 
 /// A decoded record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// JSON that only its owner can interpret.
+    /// JSON text that is opaque to this crate.
     pub payload: String,
-    /// The time at which it was written: Unix time in milliseconds, by the clock of then.
+    /// The time at which it was written: Unix time in milliseconds by the system clock at that time.
     pub written_ms: f64,
-    /// The fingerprint of the settings of then.
+    /// The fingerprint of the settings at that time.
     pub settings: u32,
 }
 
-/// The reason why bytes are no record of this owner.
+/// The reason why bytes are not a valid record of this owner.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RecordError {
-    /// They are incomplete, or not what was written.
-    #[error("broken: {0}")]
+    /// The record is incomplete or corrupt.
+    #[error("malformed record: {0}")]
     Malformed(String),
-    /// They were written by a later version, in a format that this one does not support.
-    #[error("of form {0}; this version reads {FORMAT}")]
+    /// The record was written in an unsupported format, by a later version.
+    #[error("record format {0} is not supported; this version reads format {FORMAT}")]
     UnsupportedFormat(u16),
-    /// They belong to another balancer.
-    #[error("of another balancer, {0:?}")]
+    /// The record belongs to another balancer.
+    #[error("record belongs to another balancer, {0:?}")]
     ForeignOwner(String),
 }
 
-/// The stored form of a record, in JSON, behind a checksum of four bytes.
+/// The stored form of a record: JSON after a checksum of four bytes.
 #[derive(Serialize, Deserialize)]
 struct Stored {
     format: u16,
@@ -79,7 +79,7 @@
 }
 
 impl Record {
-    /// Encodes the bytes to store.
+    /// Encodes the record for storage under a kind and an owner.
     pub fn encode(&self, kind: Kind, owner: &str) -> Vec<u8> {
         let stored = Stored {
             format: FORMAT,
@@ -89,38 +89,39 @@
             written_ms: self.written_ms,
             payload: self.payload.clone(),
         };
-        // Text and finite numbers only: there is nothing in it that JSON can't hold.
+        // Serialization can't fail: the fields are text and finite numbers.
         let body = serde_json::to_vec(&stored).unwrap_or_default();
         let mut bytes = crc32fast::hash(&body).to_be_bytes().to_vec();
         bytes.extend(body);
         bytes
     }
 
-    /// Decodes a record and its owner from bytes that were stored under this kind; of any owner where none is given.
+    /// Decodes a record and its owner from bytes stored under this kind. Without `owner`, records of any owner are
+    /// accepted.
     ///
     /// # Errors
     ///
-    /// When the bytes are no record of this format, kind and owner.
+    /// When the bytes are not a record of this format, kind and owner.
     pub fn decode(
         bytes: &[u8],
         kind: Kind,
         owner: Option<&str>,
     ) -> Result<(Record, String), RecordError> {
-        let broken = |what: &str| Err(RecordError::Malformed(what.into()));
+        let malformed = |what: &str| Err(RecordError::Malformed(what.into()));
         let Some((checksum, body)) = bytes.split_first_chunk::<4>() else {
-            return broken("shorter than its checksum");
+            return malformed("shorter than its checksum");
         };
         if body.len() > 2 * MAX_PAYLOAD_LEN {
-            return broken("too long");
+            return malformed("longer than the maximum");
         }
         if crc32fast::hash(body).to_be_bytes() != *checksum {
-            return broken("the checksum does not fit");
+            return malformed("checksum mismatch");
         }
         check_format(body)?;
         let stored: Stored =
             serde_json::from_slice(body).map_err(|e| RecordError::Malformed(e.to_string()))?;
         if stored.kind != kind {
-            return broken("it is kept under another kind");
+            return malformed("stored under another kind");
         }
         if owner.is_some_and(|owner| owner != stored.owner) {
             return Err(RecordError::ForeignOwner(stored.owner));
@@ -134,7 +135,7 @@
     }
 }
 
-/// Checks the format alone: a later one need not have the fields of this one.
+/// Checks the format before anything else is decoded, as other formats may have different fields.
 fn check_format(body: &[u8]) -> Result<(), RecordError> {
     #[derive(Deserialize)]
     struct FormatOnly {
--- a/balancer/snapshots/src/store.rs
+++ b/balancer/snapshots/src/store.rs
@@ -1,5 +1,5 @@
-//! The database in its folder: opened, or set aside and created anew. Owns the file, and its recovery from failures; an
-//! unusable file is never a reason not to start. Knows records by their kind alone.
+//! The database in its folder. Owns the file and its recovery from failures. An unreadable file is set aside and
+//! replaced by a new one, so that it never prevents a start. Records are addressed by their kind.
 use std::fs::OpenOptions;
 use std::io;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -17,41 +17,41 @@
 const RECORDS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("records");
 /// The file name of the database in the folder.
 pub const FILE: &str = "state.redb";
-/// Databases that were set aside are retained for inspection, so many of them.
+/// The number of unreadable databases that are retained for inspection.
 const MAX_SET_ASIDE: usize = 3;
-/// The page cache of the database, in bytes: there are only a few pages.
+/// The page cache of the database, in bytes, which is small because there are only a few pages.
 const CACHE_BYTES: usize = 256 << 10;
 
 /// The outcome of reading a kind.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Found {
-    /// No record was ever written.
+    /// No record has been written.
     Missing,
     /// A record of this owner.
     Record(Record),
-    /// Bytes that can't be used.
+    /// A record that can't be used.
     Invalid(RecordError),
 }
 
-/// The reason why there is no store.
+/// The reason why a store can't be opened or accessed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
     /// Another process has it open.
     #[error("another process holds it")]
     InUse,
-    /// The file is not a readable database, and why.
-    #[error("broken: {0}")]
+    /// The file is not a readable database, with the reason.
+    #[error("unreadable database: {0}")]
     Corrupt(String),
-    /// The disk failed, and how.
+    /// The disk failed, with the reason.
     #[error("{0}")]
     Disk(String),
 }
 
-/// Storage whose length is synced before anything is written that depends on it, and never shrinks.
+/// Storage that never shrinks and syncs each growth before later writes.
 ///
-/// redb's header says how long the file is and may reach the disk before a growth that was requested ahead of it; a
-/// power loss in between leaves a file that is too short for its header, which redb refuses. The tests of this crate
-/// lose power there.
+/// redb's header contains the length of the file and may reach the disk before a growth that was requested earlier. A
+/// power loss in between leaves a file that is shorter than its header says, which redb rejects. The tests of this
+/// crate simulate power loss at this point.
 #[derive(Debug)]
 struct GrowOnlyStorage<B>(B);
 
@@ -84,7 +84,7 @@
 
 /// A store of records on a disk.
 pub struct Store {
-    /// Absent after a failure, until it could be opened again: redb rejects everything after one.
+    /// Absent after a failure, until it has been reopened: redb rejects all accesses after one.
     database: Option<Database>,
     reopen: Option<OpenDatabase>,
     owner: Owner,
@@ -96,15 +96,15 @@
     }
 }
 
-/// A store that was opened in a folder.
+/// The result of opening a store in a folder.
 pub struct Opened {
     /// The store.
     pub store: Store,
-    /// The path to which a broken database was set aside, and what was wrong with it.
+    /// The path to which an unreadable database was renamed, and why it was unreadable.
     pub set_aside: Option<(PathBuf, String)>,
 }
 
-/// Converts an error of the disk on a file.
+/// Converts an I/O error on a file.
 fn disk_error(path: &Path) -> impl Fn(io::Error) -> StoreError + '_ {
     move |e| StoreError::Disk(format!("{}: {e}", path.display()))
 }
@@ -119,10 +119,13 @@
     }
 }
 
-/// Runs code of redb on bytes that may be anything: a panic in there means that they can't be read.
-fn catch_panic<T>(work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
-    catch_unwind(AssertUnwindSafe(work))
-        .unwrap_or_else(|_| Err(StoreError::Corrupt("its pages make no sense".into())))
+/// Runs redb on untrusted bytes: a panic means that the database is corrupt.
+fn catch_panic<T>(action: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
+    catch_unwind(AssertUnwindSafe(action)).unwrap_or_else(|_| {
+        Err(StoreError::Corrupt(
+            "panic while its pages were read or written".into(),
+        ))
+    })
 }
 
 fn open_database(backend: impl StorageBackend) -> Result<Database, StoreError> {
@@ -135,7 +138,7 @@
 }
 
 impl Store {
-    /// Opens the store in a folder, or creates one. An unreadable database is set aside first.
+    /// Opens the store in a folder, or creates one. An unreadable database is first renamed and retained.
     ///
     /// # Errors
     ///
@@ -174,11 +177,11 @@
         }
     }
 
-    /// Opens a store on storage that is made anew after each failure: redb has to be opened again then.
+    /// Opens a store whose storage is created again after each failure, as redb has to be reopened then.
     ///
     /// # Errors
     ///
-    /// When the storage can't be made, or is not a readable database.
+    /// When the storage can't be created, or is not a readable database.
     pub fn open_with<B: StorageBackend>(
         make_storage: impl Fn() -> Result<B, StoreError> + Send + 'static,
         owner: Owner,
@@ -191,7 +194,7 @@
         })
     }
 
-    /// Opens a store on any storage, at which tests inject faults.
+    /// Opens a store on any storage backend, without reopening it after failures. Used by tests to inject faults.
     ///
     /// # Errors
     ///
@@ -204,7 +207,7 @@
         })
     }
 
-    /// Opens a copy in memory of a folder's database: nothing in the folder changes, whatever is done to the copy.
+    /// Opens a copy in memory of a folder's database; the folder is never changed.
     ///
     /// # Errors
     ///
@@ -220,7 +223,7 @@
         Store::on_backend(memory, owner)
     }
 
-    /// Reads every record once, which fails on a database that can't be read.
+    /// Reads every record once, to detect an unreadable database.
     fn verified(store: Store) -> Result<Store, StoreError> {
         catch_panic(|| {
             Kind::ALL
@@ -232,25 +235,25 @@
 
     fn close(&mut self) {
         let database = self.database.take();
-        // Closing writes; what can't be written then is repaired at the next opening.
+        // Closing writes to the disk; after a failure redb repairs the file when it is next opened.
         let _ = catch_unwind(AssertUnwindSafe(|| drop(database)));
     }
 
     fn database(&self) -> Result<&Database, StoreError> {
         self.database
             .as_ref()
-            .ok_or_else(|| StoreError::Corrupt("closed".into()))
+            .ok_or_else(|| StoreError::Corrupt("closed after a failure".into()))
     }
 
     fn read_bytes(&self, kind: Kind) -> Result<Option<Vec<u8>>, StoreError> {
-        let broken = |e: &dyn std::fmt::Display| StoreError::Corrupt(e.to_string());
-        let read = self.database()?.begin_read().map_err(|e| broken(&e))?;
+        let corrupt = |e: &dyn std::fmt::Display| StoreError::Corrupt(e.to_string());
+        let read = self.database()?.begin_read().map_err(|e| corrupt(&e))?;
         let table = match read.open_table(RECORDS) {
             Ok(table) => table,
             Err(TableError::TableDoesNotExist(_)) => return Ok(None),
-            Err(e) => return Err(broken(&e)),
+            Err(e) => return Err(corrupt(&e)),
         };
-        let value = table.get(kind.name()).map_err(|e| broken(&e))?;
+        let value = table.get(kind.name()).map_err(|e| corrupt(&e))?;
         Ok(value.map(|v| v.value().to_vec()))
     }
 
@@ -265,7 +268,7 @@
             match bytes.map(|b| Record::decode(&b, kind, Some(&self.owner.name))) {
                 None => Found::Missing,
                 Some(Ok((record, _))) => Found::Record(record),
-                Some(Err(unfit)) => Found::Invalid(unfit),
+                Some(Err(error)) => Found::Invalid(error),
             },
         )
     }
@@ -274,7 +277,7 @@
     ///
     /// # Errors
     ///
-    /// When the disk fails; nothing is written then, and the next call opens the database again.
+    /// When the disk fails. Nothing is written then, and the next call reopens the database.
     pub fn put(&mut self, payloads: &[(Kind, String)], now_ms: f64) -> Result<(), StoreError> {
         if let (None, Some(reopen)) = (&self.database, &self.reopen) {
             self.database = Some(reopen()?);
@@ -288,10 +291,15 @@
 
     fn write(&self, payloads: &[(Kind, String)], now_ms: f64) -> Result<(), StoreError> {
         catch_panic(|| {
-            let failed = |e: &dyn std::fmt::Display| StoreError::Disk(e.to_string());
-            let transaction = self.database()?.begin_write().map_err(|e| failed(&e))?;
+            let disk_failure = |e: &dyn std::fmt::Display| StoreError::Disk(e.to_string());
+            let transaction = self
+                .database()?
+                .begin_write()
+                .map_err(|e| disk_failure(&e))?;
             {
-                let mut table = transaction.open_table(RECORDS).map_err(|e| failed(&e))?;
+                let mut table = transaction
+                    .open_table(RECORDS)
+                    .map_err(|e| disk_failure(&e))?;
                 for (kind, payload) in payloads {
                     let record = Record {
                         payload: payload.clone(),
@@ -300,10 +308,10 @@
                     };
                     let bytes = record.encode(*kind, &self.owner.name);
                     let inserted = table.insert(kind.name(), bytes.as_slice());
-                    inserted.map_err(|e| failed(&e))?;
+                    inserted.map_err(|e| disk_failure(&e))?;
                 }
             }
-            transaction.commit().map_err(|e| failed(&e))
+            transaction.commit().map_err(|e| disk_failure(&e))
         })
     }
 
@@ -313,10 +321,10 @@
     }
 }
 
-/// Renames an unreadable database, and preserves the latest few for inspection.
+/// Renames an unreadable database, and retains the latest [`MAX_SET_ASIDE`] for inspection.
 fn set_aside(folder: &Path) -> io::Result<PathBuf> {
     let name = |n: usize| folder.join(format!("{FILE}.bad-{n}"));
-    // The oldest is removed, the others move up by one.
+    // Removes the oldest, and increments the numbers of the others.
     ignore_not_found(std::fs::remove_file(name(MAX_SET_ASIDE)))?;
     for n in (1..MAX_SET_ASIDE).rev() {
         ignore_not_found(std::fs::rename(name(n), name(n + 1)))?;
@@ -337,11 +345,11 @@
 pub struct InspectedRecord {
     /// The kind.
     pub kind: Kind,
-    /// The record and its owner, or why it can't be used; absent if there is none.
+    /// The record and its owner, or the reason why it can't be used; absent if there is none.
     pub found: Option<Result<(Record, String), RecordError>>,
 }
 
-/// Inspects a folder without changing anything in it: its database is read from a copy in memory.
+/// Reads the records of a folder from a copy in memory, without changing the folder.
 ///
 /// # Errors
 ///
--- a/balancer/snapshots/src/writer.rs
+++ b/balancer/snapshots/src/writer.rs
@@ -1,5 +1,5 @@
-//! The writer of a store, on a thread of its own. Owns the store and a queue that never blocks its callers: only the
-//! newest payload of each kind waits for the disk, however long that takes. Reads nothing.
+//! The writer of a store, on its own thread. Owns the store and a queue that never blocks its callers: only the newest
+//! payload of each kind is queued, however slow the disk is. Reads nothing.
 use std::collections::BTreeMap;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -7,34 +7,33 @@
 use crate::record::Kind;
 use crate::store::Store;
 
-/// The backoff after the first of several failed writes. It doubles with each: a failing disk is not helped by retries
-/// at once.
+/// The backoff after the first failed write. It doubles with each further failure, to spare a failing disk.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
-/// The longest backoff.
+/// The maximum backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
 /// Counts of writes so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Written {
-    /// Transactions on the disk.
+    /// Committed transactions.
     pub commits: u64,
-    /// Payloads that a newer one of their kind replaced before the disk was ready for them.
+    /// Queued payloads that were replaced by a newer one of their kind before they were written.
     pub replaced: u64,
-    /// Transactions that failed; their payloads are retried with the next.
+    /// Failed transactions, whose payloads are retried with the next one.
     pub failed: u64,
-    /// Bytes of payloads on the disk.
+    /// Bytes of committed payloads.
     pub bytes: u64,
 }
 
-/// The state that callers and the thread share.
+/// The state shared by callers and the writer thread.
 #[derive(Default)]
 struct State {
-    /// The newest payload of each kind that waits to be written.
+    /// The newest payload of each kind that is not written yet.
     queue: BTreeMap<Kind, String>,
     is_writing: bool,
     is_stopping: bool,
     written: Written,
-    /// The last failure, until it has been read.
+    /// The last failure, until it is taken.
     failure: Option<String>,
 }
 
@@ -45,7 +44,7 @@
         self.written.bytes += bytes.sum::<u64>();
     }
 
-    /// Queues payloads that could not be written again, unless a newer one of their kind is queued.
+    /// Queues payloads again whose write failed, unless a newer one of their kind is queued.
     fn requeue(&mut self, payloads: Vec<(Kind, String)>, failure: String) {
         self.written.failed += 1;
         self.failure = Some(failure);
@@ -65,7 +64,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for payloads and takes all of them; none once the writer is dropped and nothing is queued.
+    /// Waits for queued payloads and takes all of them; returns `None` once the writer is dropped and the queue is
+    /// empty.
     fn next_batch(&self) -> Option<Vec<(Kind, String)>> {
         let mut state = self.lock();
         while state.queue.is_empty() {
@@ -80,12 +80,12 @@
     }
 }
 
-/// A writer thread for a store, and the queue to it.
+/// A handle to the writer thread of a store and its queue.
 pub struct SnapshotWriter {
     shared: Arc<Shared>,
 }
 
-/// Unix time in milliseconds: the clock by which records are written, and by which their age is measured.
+/// The current Unix time in milliseconds: the clock for the timestamps and ages of records.
 pub fn unix_ms() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -103,15 +103,15 @@
             state: Mutex::default(),
             changed: Condvar::new(),
         });
-        let own = shared.clone();
+        let thread_shared = shared.clone();
         let thread = std::thread::Builder::new()
             .name("store".into())
-            .spawn(move || run(&own, store));
-        thread.map_err(|e| format!("a thread for the store: {e}"))?;
+            .spawn(move || run(&thread_shared, store));
+        thread.map_err(|e| format!("failed to start the store's writer thread: {e}"))?;
         Ok(SnapshotWriter { shared })
     }
 
-    /// Queues a payload to be written. It replaces an older one of its kind that is still queued.
+    /// Queues a payload to be written, replacing a queued one of its kind.
     pub fn enqueue(&self, kind: Kind, payload: String) {
         let mut state = self.shared.lock();
         if state.queue.insert(kind, payload).is_some() {
@@ -120,7 +120,7 @@
         self.shared.changed.notify_all();
     }
 
-    /// Counts of writes so far.
+    /// Returns the counts of writes so far.
     pub fn written(&self) -> Written {
         self.shared.lock().written
     }
@@ -130,10 +130,10 @@
         self.shared.lock().failure.take()
     }
 
-    /// Waits until all that is queued is on the disk, or has failed, for at most so long. Returns whether it is on the
-    /// disk.
-    pub fn flush(&self, within: Duration) -> bool {
-        let deadline = Instant::now() + within;
+    /// Waits until all queued payloads are committed, a write fails, or `timeout` expires. Returns whether all were
+    /// committed.
+    pub fn flush(&self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
         let mut state = self.shared.lock();
         let failed = state.written.failed;
         while state.is_writing || !state.queue.is_empty() {
@@ -155,7 +155,7 @@
     }
 }
 
-/// Writes whatever is queued until the writer is dropped.
+/// Writes queued payloads until the writer is dropped.
 fn run(shared: &Shared, mut store: Store) {
     let mut backoff = Duration::ZERO;
     while let Some(payloads) = shared.next_batch() {
--- a/balancer/snapshots/tests/fault_injection.rs
+++ b/balancer/snapshots/tests/fault_injection.rs
@@ -55,7 +55,7 @@
     set_fault("slow 1ms");
     assert_eq!(read().expect("reads"), *b"well");
     set_fault("lsow 1ms");
-    assert!(read().is_err_and(|e| e.to_string().contains("\"lsow 1ms\" is no known fault")));
+    assert!(read().is_err_and(|e| e.to_string().contains("unknown fault \"lsow 1ms\"")));
 }
 
 #[test]
