--- a/balancer/gossip/src/membership/mod.rs
+++ b/balancer/gossip/src/membership/mod.rs
@@ -116,7 +116,7 @@
     probes: Probes,
     pub budget: Budget,
     rng: Pcg64Mcg,
-    /// Members still to be probed in the current random order; the next one last.
+    /// Members still to be probed in the current random order, in reverse.
     probe_order: Vec<Member>,
     /// Members to probe because they have sent a datagram and aren't known to be up.
     unknown_members: VecDeque<Member>,
--- a/balancer/gossip/src/membership/table.rs
+++ b/balancer/gossip/src/membership/table.rs
@@ -76,7 +76,7 @@
 /// The outcome of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Applied {
-    /// It was known already, or is overridden by what is known.
+    /// It was known already, or is overridden by the entry.
     Unchanged,
     /// It changes the entry.
     Changed,
--- a/balancer/gossip/src/versions/agreement.rs
+++ b/balancer/gossip/src/versions/agreement.rs
@@ -17,7 +17,7 @@
 }
 
 impl Agreement {
-    /// Creates the state of a replica that knows of no agreement yet.
+    /// Creates the state of a replica without a known agreement.
     pub fn new(rules: Rules, own: VersionRange) -> Agreement {
         Agreement {
             rules,
@@ -167,7 +167,7 @@
 
     /// Whether the payload of a datagram of this version and epoch may be processed.
     pub fn accepts(&self, version: u8, epoch: u64) -> bool {
-        // A replica that knows of no agreement yet uses the lowest version, which has the same meaning in every epoch.
+        // A replica without a known agreement uses the lowest version, which has the same meaning in every epoch.
         let agreed =
             epoch == self.epoch.number() && version <= self.version() || version == self.own.min;
         let agreed = agreed || !self.rules.holds(Rule::OwnAgreement);
--- a/balancer/gossip/src/versions/epoch.rs
+++ b/balancer/gossip/src/versions/epoch.rs
@@ -10,7 +10,7 @@
     /// million years.
     const LAST: u64 = 1 << 48;
 
-    /// The initial epoch of a replica that knows of no agreement.
+    /// The initial epoch of a replica without a known agreement.
     pub(super) fn first(version: u8) -> Epoch {
         Epoch(u64::from(version))
     }
--- a/balancer/snapshots/src/store.rs
+++ b/balancer/snapshots/src/store.rs
@@ -36,7 +36,7 @@
 /// The reason why a store can't be opened or accessed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// Another process has it open.
+    /// Another process has the database open.
     #[error("another process holds it")]
     InUse,
     /// The file is not a readable database, with the reason.
@@ -142,7 +142,7 @@
     ///
     /// # Errors
     ///
-    /// When another process has it open, or the disk fails.
+    /// When another process has the database open, or the disk fails.
     pub fn open(
         folder: &Path,
         owner: Owner,
