--- a/balancer/gossip/tests/version_agreement/main.rs
+++ b/balancer/gossip/tests/version_agreement/main.rs
@@ -1,5 +1,5 @@
-//! The hard cases of an upgrade, each on injected time. What holds in every state is in `version_model.rs`; here is how
-//! soon, how often and with which notifications.
+//! Upgrade scenarios on simulated time: how soon the version changes, how often, and with which notifications.
+//! `version_model.rs` checks the properties that hold in every state.
 mod faults;
 mod tier;
 mod upgrades;
--- a/balancer/gossip/tests/version_agreement/tier.rs
+++ b/balancer/gossip/tests/version_agreement/tier.rs
@@ -1,4 +1,4 @@
-//! A tier of replicas on injected time, with datagrams that get lost.
+//! A tier of replicas on simulated time, with loss of datagrams.
 use balancer_gossip::versions::VersionNegotiation;
 use balancer_gossip::{Member, Millis, VersionRange};
 use rand_core::{RngCore, SeedableRng};
@@ -8,12 +8,13 @@
 
 pub(crate) const NEW: VersionRange = VersionRange { min: 1, max: 2 };
 
-/// Each replica writes to each other so often, and is taken for gone after so long a silence.
+/// The interval at which each replica sends a datagram to each other one.
 pub(crate) const SEND_INTERVAL: Millis = 100.0;
 
+/// The time after the last accepted datagram at which a replica is considered failed.
 pub(crate) const FAILURE_TIMEOUT: Millis = 2_000.0;
 
-/// What a datagram's header says of its sender.
+/// The contents of a datagram's header.
 pub(crate) struct Header {
     pub(crate) incarnation: u64,
     pub(crate) supported_versions: VersionRange,
@@ -21,7 +22,7 @@
     pub(crate) version: u8,
 }
 
-/// A replica, with what stands in for its membership: when it last acted on a datagram of each other.
+/// A replica with a simplified membership: the time of the last accepted datagram from each other replica.
 pub(crate) struct Replica {
     pub(crate) negotiation: VersionNegotiation,
     pub(crate) supported_versions: VersionRange,
@@ -40,7 +41,7 @@
         up.map(|(i, _)| Member(i as u16)).collect()
     }
 
-    pub(crate) fn take(&mut self, now: Millis, from: usize, header: &Header) {
+    pub(crate) fn receive(&mut self, now: Millis, from: usize, header: &Header) {
         let Header {
             incarnation,
             supported_versions,
@@ -75,7 +76,7 @@
 
     pub(crate) fn notifications(&mut self) -> Vec<String> {
         std::iter::from_fn(|| self.negotiation.poll_notification())
-            .map(|announced| announced.0)
+            .map(|notification| notification.0)
             .collect()
     }
 }
@@ -83,27 +84,27 @@
 pub(crate) struct Tier {
     pub(crate) replicas: Vec<Replica>,
     pub(crate) now: Millis,
-    /// Of a hundred datagrams so many are lost.
-    pub(crate) lost: u32,
-    /// Datagrams between replicas on different sides of this place are lost.
+    /// The share of datagrams that are lost, in percent.
+    pub(crate) loss_percent: u32,
+    /// Datagrams between replicas below this index and the others are lost.
     pub(crate) partition: Option<usize>,
     pub(crate) rng: Pcg32,
 }
 
 impl Tier {
-    pub(crate) fn start(all: &[VersionRange]) -> Tier {
+    pub(crate) fn start(versions: &[VersionRange]) -> Tier {
         let replica = |&supported_versions: &VersionRange| Replica {
             negotiation: VersionNegotiation::new(supported_versions),
             supported_versions,
             incarnation: 1,
-            last_received: vec![-FAILURE_TIMEOUT; all.len()],
+            last_received: vec![-FAILURE_TIMEOUT; versions.len()],
             is_running: true,
         };
-        let replicas = all.iter().map(replica).collect();
+        let replicas = versions.iter().map(replica).collect();
         Tier {
             replicas,
             now: 0.0,
-            lost: 10,
+            loss_percent: 10,
             partition: None,
             rng: Pcg32::seed_from_u64(7),
         }
@@ -113,13 +114,16 @@
         self.replicas[replica].is_running = false;
     }
 
-    /// A new process with nothing remembered.
+    /// Replaces a replica by a new process without state, under the next incarnation.
     pub(crate) fn restart(&mut self, replica: usize, supported_versions: VersionRange) {
-        let it = &mut self.replicas[replica];
-        it.negotiation = VersionNegotiation::new(supported_versions);
-        (it.supported_versions, it.incarnation, it.is_running) =
-            (supported_versions, it.incarnation + 1, true);
-        it.last_received.fill(-FAILURE_TIMEOUT);
+        let restarted = &mut self.replicas[replica];
+        restarted.negotiation = VersionNegotiation::new(supported_versions);
+        (
+            restarted.supported_versions,
+            restarted.incarnation,
+            restarted.is_running,
+        ) = (supported_versions, restarted.incarnation + 1, true);
+        restarted.last_received.fill(-FAILURE_TIMEOUT);
     }
 
     pub(crate) fn run(&mut self, span: u64) {
@@ -144,31 +148,31 @@
             }
             let replicas = self.replicas.len();
             for (from, to) in (0..replicas * replicas).map(|i| (i / replicas, i % replicas)) {
-                let incompatible = self
+                let partitioned = self
                     .partition
                     .is_some_and(|partition| (from < partition) != (to < partition));
-                let lost = self.rng.next_u32() % 100 < self.lost;
+                let lost = self.rng.next_u32() % 100 < self.loss_percent;
                 if from != to
                     && self.replicas[from].is_running
                     && self.replicas[to].is_running
-                    && !incompatible
+                    && !partitioned
                     && !lost
                 {
                     let header = self.replicas[from].header();
-                    self.replicas[to].take(self.now, from, &header);
+                    self.replicas[to].receive(self.now, from, &header);
                 }
             }
         }
     }
 
-    /// What the running replicas speak, each thing once.
-    pub(crate) fn versions_spoken(&self) -> Vec<u8> {
+    /// The distinct versions in use by the running replicas.
+    pub(crate) fn versions_in_use(&self) -> Vec<u8> {
         let running = self.replicas.iter().filter(|replica| replica.is_running);
-        let mut all: Vec<u8> = running
+        let mut versions: Vec<u8> = running
             .map(|replica| replica.negotiation.version())
             .collect();
-        all.sort_unstable();
-        all.dedup();
-        all
+        versions.sort_unstable();
+        versions.dedup();
+        versions
     }
 }
--- a/balancer/gossip/tests/version_agreement/upgrades.rs
+++ b/balancer/gossip/tests/version_agreement/upgrades.rs
@@ -1,4 +1,4 @@
-//! Replicas of two versions, started, stopped and restarted on purpose.
+//! Upgrades, rollbacks, partitions and restarts of replicas of two builds.
 use crate::tier::*;
 use balancer_gossip::versions::rules::{
     FIRST_STEP_UP_DELAY, MAX_STEP_UP_DELAY, STABLE_AFTER, STEP_UP_DELAY,
@@ -7,11 +7,11 @@
 use balancer_gossip::{Member, VersionRange};
 
 #[test]
-fn a_tier_that_starts_together_agrees_within_two_seconds() {
+fn simultaneous_start_agrees_within_two_seconds() {
     let mut tier = Tier::start(&[NEW; 24]);
-    tier.lost = 30;
+    tier.loss_percent = 30;
     tier.run(FIRST_STEP_UP_DELAY + 700);
-    assert_eq!(tier.versions_spoken(), [2]);
+    assert_eq!(tier.versions_in_use(), [2]);
     assert!(tier
         .replicas
         .iter()
@@ -19,13 +19,13 @@
 }
 
 #[test]
-fn a_rolling_upgrade_and_its_way_back() {
+fn rolling_upgrade_and_rollback_keep_one_common_version() {
     let mut tier = Tier::start(&[OLD; 24]);
     tier.run(3_000);
     let upgrade = |tier: &mut Tier,
                    replicas: std::ops::Range<usize>,
                    supported_versions: VersionRange,
-                   speak: u8| {
+                   expected_version: u8| {
         for replica in replicas {
             tier.stop(replica);
             tier.run(500);
@@ -36,35 +36,35 @@
                     .replicas
                     .iter()
                     .enumerate()
-                    .filter(|(i, _)| speak == 1 || *i != replica);
+                    .filter(|(i, _)| expected_version == 1 || *i != replica);
                 for (_, replica) in running {
-                    assert_eq!(replica.negotiation.version(), speak);
+                    assert_eq!(replica.negotiation.version(), expected_version);
                 }
             }
         }
     };
-    // Half of it, and back; then all of it.
+    // Half of the tier is upgraded and rolled back; then the whole tier is upgraded.
     upgrade(&mut tier, 0..12, NEW, 1);
     tier.run(MAX_STEP_UP_DELAY);
-    assert_eq!(tier.versions_spoken(), [1]);
+    assert_eq!(tier.versions_in_use(), [1]);
     upgrade(&mut tier, 0..12, OLD, 1);
     upgrade(&mut tier, 0..24, NEW, 1);
     tier.run(STEP_UP_DELAY);
-    assert_eq!(tier.versions_spoken(), [2]);
-    // A restart within the new build changes nothing for the others.
+    assert_eq!(tier.versions_in_use(), [2]);
+    // Restarts with the new build do not affect the others.
     upgrade(&mut tier, 0..3, NEW, 2);
     tier.run(STABLE_AFTER);
-    // The first one back takes all down as soon as it is received.
+    // The first rolled-back replica causes a step down as soon as its datagrams are received.
     tier.restart(5, OLD);
     tier.run(300);
-    assert_eq!(tier.versions_spoken(), [1]);
+    assert_eq!(tier.versions_in_use(), [1]);
     upgrade(&mut tier, 0..24, OLD, 1);
     tier.run(MAX_STEP_UP_DELAY);
-    assert_eq!(tier.versions_spoken(), [1]);
+    assert_eq!(tier.versions_in_use(), [1]);
 }
 
 #[test]
-fn a_zone_that_was_partitioned_while_the_others_were_upgraded() {
+fn zone_partitioned_during_an_upgrade_agrees_after_healing() {
     let mut tier = Tier::start(&[OLD; 12]);
     tier.run(3_000);
     tier.partition = Some(4);
@@ -78,10 +78,10 @@
         .all(|replica| replica.negotiation.version() == 1));
     tier.partition = None;
     tier.run(300);
-    assert_eq!(tier.versions_spoken(), [1]);
+    assert_eq!(tier.versions_in_use(), [1]);
     (0..4).for_each(|replica| tier.restart(replica, NEW));
     tier.run(STEP_UP_DELAY * 2 + 1_000);
-    assert_eq!(tier.versions_spoken(), [2]);
+    assert_eq!(tier.versions_in_use(), [2]);
     let epoch = tier.replicas[0].negotiation.epoch();
     assert!(tier
         .replicas
@@ -90,9 +90,10 @@
 }
 
 #[test]
-fn an_old_replica_in_a_crash_loop_makes_no_flapping() {
+fn crash_loop_of_an_old_replica_limits_steps() {
     let mut tier = Tier::start(&[NEW, NEW, NEW, NEW, NEW, OLD]);
-    // Up for 1 s and down for 14 s, for ten minutes: long enough for the shortest step-up delay, not for the longest.
+    // Up for 1 s and down for 14 s, for ten minutes: the shortest step-up delay expires in that time, the longest
+    // doesn't.
     for _ in 0..40 {
         tier.run(1_000);
         tier.stop(5);
@@ -100,7 +101,7 @@
         tier.restart(5, OLD);
     }
     for replica in &mut tier.replicas[..5] {
-        // Held at first, up after 5 s and after 10 s, down each time, and then no more.
+        // Limited at first, steps up after delays of 5 s and 10 s and down each time, and then no more steps.
         assert_eq!(replica.negotiation.steps(), 4);
         let notifications = replica.notifications();
         assert_eq!(notifications.len(), 5, "{notifications:?}");
@@ -117,13 +118,13 @@
 }
 
 #[test]
-fn all_at_once_restarted_into_a_mix_with_pins_that_are_taken_off() {
+fn simultaneous_restart_with_mixed_versions_agrees() {
     let mut tier = Tier::start(&[NEW; 12]);
     tier.run(3_000);
-    // A pin is a narrower range; the others can't tell it from an old build.
+    // A pinned replica announces a narrower range, and is indistinguishable from an old build.
     (0..12).for_each(|replica| tier.restart(replica, if replica % 3 == 0 { OLD } else { NEW }));
     tier.run(30_000);
-    assert_eq!(tier.versions_spoken(), [1]);
+    assert_eq!(tier.versions_in_use(), [1]);
     assert!(tier
         .replicas
         .iter()
@@ -132,11 +133,11 @@
         .filter(|replica| replica % 3 == 0)
         .for_each(|replica| tier.restart(replica, NEW));
     tier.run(MAX_STEP_UP_DELAY);
-    assert_eq!(tier.versions_spoken(), [2]);
+    assert_eq!(tier.versions_in_use(), [2]);
 }
 
 #[test]
-fn groups_with_nothing_in_common_stay_apart_and_say_so_once() {
+fn incompatible_groups_stay_separate_and_notify_once() {
     let only_new = VersionRange { min: 2, max: 2 };
     let mut tier = Tier::start(&[OLD, OLD, only_new, only_new]);
     tier.run(60_000);
@@ -153,7 +154,7 @@
         assert_eq!(
             notifications.len(),
             2,
-            "one for each of the other group: {notifications:?}"
+            "one per member of the other group: {notifications:?}"
         );
         assert!(notifications
             .iter()
--- a/balancer/gossip/tests/version_model.rs
+++ b/balancer/gossip/tests/version_model.rs
@@ -1,10 +1,11 @@
-//! The agreement that runs, explored by a model checker: three replicas of two builds, of which one reads version 1 and
-//! one both.
+//! Model check of the version agreement's implementation, with three replicas of two builds: the old one supports
+//! version 1, the new one versions 1 and 2.
 //!
-//! Any of the headers that a replica has written last may come to any other at any time, again and again, or never:
-//! that is delay, loss, repetition and reordering. A replica takes another for live when it has acted on a datagram of
-//! it or when a third reports it, and for gone at any time, wrongly too. Each clock runs as fast as it likes: the
-//! step-up delay ends whenever. Copies start anew in either build with nothing remembered but a larger incarnation.
+//! Any of a replica's latest headers may reach any other replica at any time, repeatedly, or never, which models delay,
+//! loss, duplication and reordering. A replica considers another one up after it has accepted a datagram from it or a
+//! third replica has reported it, and may consider it failed at any time, also wrongly. Clocks are independent: the
+//! step-up delay may expire at any time. Replicas restart with either build and without state, under a higher
+//! incarnation.
 use balancer_gossip::versions::agreement::Agreement;
 use balancer_gossip::versions::rules::{Rule, Rules, MAX_STEP_UP_DELAY};
 use balancer_gossip::{Member, VersionRange};
@@ -28,26 +29,27 @@
     incarnation: u64,
     supported_versions: VersionRange,
     up: [bool; REPLICAS],
-    /// The latest start of each of the others that it has received, and what that reads.
+    /// The highest received incarnation of each other replica, and the versions that it supports.
     announced: [Option<(u64, VersionRange)>; REPLICAS],
-    /// What it has written, the latest last.
-    written: Vec<Header>,
+    /// The latest headers sent, the newest last.
+    sent: Vec<Header>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct SystemState {
     replicas: Vec<Replica>,
     starts: u8,
-    /// A replica went back to an earlier agreement, or acted on what it misreads.
-    went_back: bool,
+    /// Whether a replica returned to an earlier agreement.
+    regressed: bool,
+    /// Whether a replica accepted a datagram that it interprets differently than its sender.
     misread: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Act {
+enum Event {
     Deliver {
         from: usize,
-        which: usize,
+        index: usize,
         to: usize,
     },
     /// A third replica reports that one is up.
@@ -68,10 +70,11 @@
 
 struct Tier {
     rules: Rules,
-    /// How many starts after the first, and how many agreements, are explored.
+    /// The maximum number of restarts that are explored.
     starts: u8,
+    /// The maximum number of agreements that are explored.
     agreements: u64,
-    /// How many different headers of each replica may still be under way, the last one included.
+    /// The maximum number of different headers of each replica in transit, including the latest.
     max_headers: usize,
 }
 
@@ -80,7 +83,7 @@
         rules: Rules,
         incarnation: u64,
         supported_versions: VersionRange,
-        written: Vec<Header>,
+        sent: Vec<Header>,
     ) -> Replica {
         let agreement = Agreement::new(rules, supported_versions);
         let (up, announced) = ([false; REPLICAS], [None; REPLICAS]);
@@ -90,7 +93,7 @@
             supported_versions,
             up,
             announced,
-            written,
+            sent,
         }
     }
 
@@ -104,18 +107,18 @@
         }
     }
 
-    fn write(&mut self, max_headers: usize) {
+    fn record_header(&mut self, max_headers: usize) {
         let header = self.header();
-        if self.written.last() != Some(&header) {
-            self.written.push(header);
+        if self.sent.last() != Some(&header) {
+            self.sent.push(header);
         }
-        if self.written.len() > max_headers {
-            self.written.remove(0);
+        if self.sent.len() > max_headers {
+            self.sent.remove(0);
         }
     }
 
-    /// Takes a datagram as the complete state machine does; true if it was misread.
-    fn take(&mut self, now: u64, from: usize, header: Header) -> bool {
+    /// Handles a datagram as `Peers` does; returns whether it was misread.
+    fn receive(&mut self, now: u64, from: usize, header: Header) -> bool {
         let Header {
             incarnation,
             supported_versions,
@@ -135,12 +138,12 @@
         if !self.agreement.accepts(version, epoch) {
             return false;
         }
-        self.set(now, from, true);
-        // Above the lowest, what counts is the version's and the agreement's.
+        self.set_up(now, from, true);
+        // Above the lowest version, the meaning of a datagram depends on its version and its agreement.
         version > self.supported_versions.max || version > 1 && epoch != self.agreement.epoch()
     }
 
-    fn set(&mut self, now: u64, of: usize, up: bool) {
+    fn set_up(&mut self, now: u64, of: usize, up: bool) {
         self.up[of] = up;
         let members: Vec<Member> = (0..REPLICAS)
             .filter(|&i| self.up[i])
@@ -150,16 +153,16 @@
     }
 }
 
-impl World {
-    /// With everybody running and every datagram arriving from now on: after how long all have agreed on the highest
-    /// version that all read, if they do.
+impl SystemState {
+    /// The time after which all replicas agree on the highest version that all support, if all run and every datagram
+    /// arrives from now on; `None` if they do not agree.
     fn time_to_agree(&self) -> Option<u64> {
         let (mut replicas, mut now) = (self.replicas.clone(), 0);
         for _ in 0..8 {
             for (from, to) in pairs().chain(pairs()).chain(pairs()) {
                 let header = replicas[from].header();
-                replicas[to].take(now, from, header);
-                replicas[to].set(now, from, true);
+                replicas[to].receive(now, from, header);
+                replicas[to].set_up(now, from, true);
             }
             let Some(deadline) = replicas
                 .iter()
@@ -192,11 +195,11 @@
 }
 
 impl Model for Tier {
-    type State = World;
-    type Action = Act;
+    type State = SystemState;
+    type Action = Event;
 
-    fn init_states(&self) -> Vec<World> {
-        let world = |builds: [VersionRange; REPLICAS]| {
+    fn init_states(&self) -> Vec<SystemState> {
+        let state = |builds: [VersionRange; REPLICAS]| {
             let mut replicas = builds
                 .map(|supported_versions| {
                     Replica::start(self.rules, 1, supported_versions, Vec::new())
@@ -204,84 +207,82 @@
                 .to_vec();
             replicas
                 .iter_mut()
-                .for_each(|replica| replica.write(self.max_headers));
-            World {
+                .for_each(|replica| replica.record_header(self.max_headers));
+            SystemState {
                 replicas,
                 starts: 0,
-                went_back: false,
+                regressed: false,
                 misread: false,
             }
         };
-        vec![world([NEW, NEW, NEW]), world([NEW, NEW, OLD])]
+        vec![state([NEW, NEW, NEW]), state([NEW, NEW, OLD])]
     }
 
-    fn actions(&self, world: &World, acts: &mut Vec<Act>) {
-        for (replica, state) in world.replicas.iter().enumerate() {
-            if state.agreement.next_timeout().is_some() {
-                acts.push(Act::StepUpDelay(replica));
+    fn actions(&self, state: &SystemState, events: &mut Vec<Event>) {
+        for (replica, replica_state) in state.replicas.iter().enumerate() {
+            if replica_state.agreement.next_timeout().is_some() {
+                events.push(Event::StepUpDelay(replica));
             }
-            if world.starts < self.starts {
-                acts.extend([OLD, NEW].map(|supported_versions| Act::Start {
+            if state.starts < self.starts {
+                events.extend([OLD, NEW].map(|supported_versions| Event::Start {
                     replica,
                     supported_versions,
                 }));
             }
         }
         for (from, to) in pairs() {
-            let ways = world.replicas[from].written.len();
-            acts.extend((0..ways).map(|which| Act::Deliver { from, which, to }));
-            let up = world.replicas[to].up[from];
-            acts.push(if up {
-                Act::Failed { of: from, to }
+            let headers = state.replicas[from].sent.len();
+            events.extend((0..headers).map(|index| Event::Deliver { from, index, to }));
+            let up = state.replicas[to].up[from];
+            events.push(if up {
+                Event::Failed { of: from, to }
             } else {
-                Act::Gossip { of: from, to }
+                Event::Gossip { of: from, to }
             });
         }
     }
 
-    fn next_state(&self, before: &World, act: Act) -> Option<World> {
-        let mut world = before.clone();
-        match act {
-            Act::Deliver { from, which, to } => {
-                let header = before.replicas[from].written[which];
-                world.misread |= world.replicas[to].take(0, from, header);
+    fn next_state(&self, before: &SystemState, event: Event) -> Option<SystemState> {
+        let mut state = before.clone();
+        match event {
+            Event::Deliver { from, index, to } => {
+                let header = before.replicas[from].sent[index];
+                state.misread |= state.replicas[to].receive(0, from, header);
             }
-            Act::Gossip { of, to } => world.replicas[to].set(0, of, true),
-            Act::Failed { of, to } => world.replicas[to].set(0, of, false),
-            Act::StepUpDelay(replica) => {
-                let agreement = &mut world.replicas[replica].agreement;
+            Event::Gossip { of, to } => state.replicas[to].set_up(0, of, true),
+            Event::Failed { of, to } => state.replicas[to].set_up(0, of, false),
+            Event::StepUpDelay(replica) => {
+                let agreement = &mut state.replicas[replica].agreement;
                 let deadline = agreement.next_timeout()?;
                 agreement.on_timeout(deadline);
                 agreement.shift(deadline);
             }
-            Act::Start {
+            Event::Start {
                 replica,
                 supported_versions,
             } => {
-                world.starts += 1;
+                state.starts += 1;
                 let Replica {
-                    incarnation,
-                    written,
-                    ..
-                } = world.replicas[replica].clone();
-                world.replicas[replica] =
-                    Replica::start(self.rules, incarnation + 1, supported_versions, written);
+                    incarnation, sent, ..
+                } = state.replicas[replica].clone();
+                state.replicas[replica] =
+                    Replica::start(self.rules, incarnation + 1, supported_versions, sent);
             }
         }
-        for (replica, was) in world.replicas.iter_mut().zip(&before.replicas) {
-            replica.write(self.max_headers);
-            let runs_on = replica.incarnation == was.incarnation;
-            world.went_back |= runs_on && replica.agreement.epoch() < was.agreement.epoch();
+        for (replica, was) in state.replicas.iter_mut().zip(&before.replicas) {
+            replica.record_header(self.max_headers);
+            let is_same_process = replica.incarnation == was.incarnation;
+            state.regressed |= is_same_process && replica.agreement.epoch() < was.agreement.epoch();
         }
-        (world != *before).then_some(world)
+        (state != *before).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Tier>> {
         vec![
             Property::always(
-                "speaks only what live members have announced",
-                |_, world: &World| {
-                    world.replicas.iter().all(|replica| {
+                "uses only versions announced by live members",
+                |_, state: &SystemState| {
+                    state.replicas.iter().all(|replica| {
                         let version = replica.agreement.version();
                         (0..REPLICAS).filter(|&i| replica.up[i]).all(|i| {
                             version == 1
@@ -292,25 +293,33 @@
                     })
                 },
             ),
-            Property::always("one agreement, one version", |_, world: &World| {
-                pairs().all(|(a, b)| {
-                    let (a, b) = (&world.replicas[a].agreement, &world.replicas[b].agreement);
-                    a.epoch() != b.epoch() || a.version() == b.version()
-                })
-            }),
-            Property::always("no agreement goes back", |_, world: &World| {
-                !world.went_back
+            Property::always(
+                "equal epochs have equal versions",
+                |_, state: &SystemState| {
+                    pairs().all(|(a, b)| {
+                        let (a, b) = (&state.replicas[a].agreement, &state.replicas[b].agreement);
+                        a.epoch() != b.epoch() || a.version() == b.version()
+                    })
+                },
+            ),
+            Property::always("epochs never decrease", |_, state: &SystemState| {
+                !state.regressed
             }),
-            Property::always("nothing is misread", |_, world: &World| !world.misread),
-            Property::always("agrees when datagrams arrive", |_, world: &World| {
-                world
-                    .time_to_agree()
-                    .is_some_and(|after| after <= MAX_STEP_UP_DELAY)
+            Property::always("no datagram is misread", |_, state: &SystemState| {
+                !state.misread
             }),
+            Property::always(
+                "replicas agree once datagrams arrive",
+                |_, state: &SystemState| {
+                    state
+                        .time_to_agree()
+                        .is_some_and(|after| after <= MAX_STEP_UP_DELAY)
+                },
+            ),
             Property::sometimes(
-                "comes to as many agreements",
-                |tier: &Tier, world: &World| {
-                    world
+                "the maximum number of agreements is reached",
+                |tier: &Tier, state: &SystemState| {
+                    state
                         .replicas
                         .iter()
                         .all(|replica| replica.agreement.epoch() >> 8 == tier.agreements)
@@ -319,21 +328,21 @@
         ]
     }
 
-    fn within_boundary(&self, world: &World) -> bool {
-        world
+    fn within_boundary(&self, state: &SystemState) -> bool {
+        state
             .replicas
             .iter()
             .all(|replica| replica.agreement.epoch() >> 8 <= self.agreements)
     }
 }
 
-/// Explores all that can be reached, in so many steps where they are bounded; says how many states that are.
-fn explore(tier: Tier, steps: Option<usize>) -> usize {
+/// Checks all reachable states, up to a depth if one is given; returns the number of distinct states.
+fn explore(tier: Tier, max_depth: Option<usize>) -> usize {
     let failure = stateright::HasDiscoveries::AnyFailures;
     let checker = tier.checker().finish_when(failure);
-    let checker = steps
+    let checker = max_depth
         .into_iter()
-        .fold(checker, |checker, steps| checker.target_max_depth(steps));
+        .fold(checker, |checker, depth| checker.target_max_depth(depth));
     let checker = checker.spawn_bfs().join();
     println!(
         "{} states, {} distinct, {} deep",
@@ -346,7 +355,7 @@
 }
 
 #[test]
-fn every_state_within_eight_steps_keeps_the_guarantee() {
+fn guarantee_holds_within_eight_steps() {
     let tier = Tier {
         rules: Rules::default(),
         starts: 2,
@@ -357,7 +366,7 @@
 }
 
 #[test]
-fn every_state_without_a_restart_keeps_the_guarantee() {
+fn guarantee_holds_in_all_states_without_restarts() {
     let tier = Tier {
         rules: Rules::default(),
         starts: 0,
@@ -367,10 +376,10 @@
     assert!(explore(tier, None) > 200_000);
 }
 
-/// Minutes long; what it came to is in `docs/upgrades.md`.
+/// Takes minutes; `docs/upgrades.md` has the result.
 #[test]
 #[ignore]
-fn every_state_with_one_restart_keeps_the_guarantee() {
+fn guarantee_holds_in_all_states_with_one_restart() {
     let tier = Tier {
         rules: Rules::default(),
         starts: 1,
@@ -381,23 +390,23 @@
 }
 
 #[test]
-fn each_rule_left_out_is_caught() {
+fn model_check_detects_each_disabled_rule() {
     use Rule::*;
-    for (rule, breaks) in [
-        (AllMembers, "speaks only what live members have announced"),
+    for (rule, violated) in [
+        (AllMembers, "uses only versions announced by live members"),
         (
             UnannouncedIsLowest,
-            "speaks only what live members have announced",
+            "uses only versions announced by live members",
         ),
-        (Narrower, "speaks only what live members have announced"),
-        (Incarnations, "speaks only what live members have announced"),
-        (RaiseOnDown, "no agreement goes back"),
-        (AboveKnown, "no agreement goes back"),
-        (Largest, "no agreement goes back"),
-        (OwnKnowledge, "one agreement, one version"),
-        (Together, "one agreement, one version"),
-        (Adopt, "agrees when datagrams arrive"),
-        (OwnAgreement, "nothing is misread"),
+        (Narrower, "uses only versions announced by live members"),
+        (Incarnations, "uses only versions announced by live members"),
+        (RaiseOnDown, "epochs never decrease"),
+        (AboveKnown, "epochs never decrease"),
+        (Largest, "epochs never decrease"),
+        (OwnKnowledge, "equal epochs have equal versions"),
+        (Together, "equal epochs have equal versions"),
+        (Adopt, "replicas agree once datagrams arrive"),
+        (OwnAgreement, "no datagram is misread"),
     ] {
         let tier = Tier {
             rules: Rules::without(rule),
@@ -405,7 +414,7 @@
             agreements: 2,
             max_headers: 3,
         };
-        let found = stateright::HasDiscoveries::AllOf([breaks].into());
+        let found = stateright::HasDiscoveries::AllOf([violated].into());
         let checker = tier
             .checker()
             .target_max_depth(8)
@@ -413,8 +422,8 @@
             .spawn_bfs()
             .join();
         assert!(
-            checker.discovery(breaks).is_some(),
-            "{rule:?} may be left out, and {breaks:?} holds"
+            checker.discovery(violated).is_some(),
+            "{violated:?} holds without {rule:?}"
         );
     }
 }
