--- a/balancer/gossip/tests/common/mod.rs
+++ b/balancer/gossip/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A network of replicas in one process: delay, loss, repetition, late datagrams, partitions, pauses, restarts, on
-//! injected time and from a seed.
+//! A simulated network of replicas in one process, with delay, loss, duplicated and late datagrams, partitions, pauses
+//! and restarts, on simulated time and with a seed.
 #![allow(dead_code)]
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,17 +10,17 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// What the network does to each datagram.
+/// The faults of the network, applied to each datagram.
 #[derive(Clone, Copy)]
 pub(crate) struct Net {
     pub loss: f64,
     pub delay: (Millis, Millis),
     pub repeat: f64,
-    /// How many are late, and by how much at most.
+    /// The share of datagrams that are late, and the maximum additional delay.
     pub late: (f64, Millis),
 }
 
-pub(crate) const CALM: Net = Net {
+pub(crate) const LOSSLESS: Net = Net {
     loss: 0.0,
     delay: (0.2, 2.0),
     repeat: 0.0,
@@ -52,18 +52,19 @@
     pub net: Net,
     pub nodes: Vec<Node>,
     pub rng: Pcg64Mcg,
-    /// Whether datagrams from one position to another are lost.
+    /// Whether all datagrams from one position to another are lost.
     pub is_partitioned: Box<dyn Fn(u16, u16) -> bool>,
     candidates: u16,
     tenants: u16,
     seed: u64,
     events: BinaryHeap<Reverse<(u64, u64)>>,
-    waiting: std::collections::HashMap<u64, Event>,
+    pending: std::collections::HashMap<u64, Event>,
     count: u64,
-    /// The longest datagram that was sent.
+    /// The length of the longest datagram sent.
     pub longest: usize,
-    /// Datagrams sent while `is_recording` is set, to be replayed later: from, to, bytes.
+    /// Whether sent datagrams are added to `recorded`.
     pub is_recording: bool,
+    /// Recorded datagrams with their sender and receiver, to be replayed.
     pub recorded: Vec<(u16, u16, Vec<u8>)>,
 }
 
@@ -79,7 +80,7 @@
             tenants,
             seed,
             events: BinaryHeap::new(),
-            waiting: Default::default(),
+            pending: Default::default(),
             count: 0,
             longest: 0,
             is_recording: false,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// As many replicas as there are positions, all started within a tenth of a second, run until they know each other.
+    /// Starts a replica at each of `n` positions at once, and runs them for 20 s so that they know each other.
     pub(crate) fn tier(n: u16, tenants: u16, net: Net, seed: u64) -> Sim {
         let mut sim = Sim::new(n, tenants, net, seed);
         for position in 0..n {
@@ -97,7 +98,7 @@
         sim
     }
 
-    /// Starts a replica; returns its position among [`Sim::nodes`].
+    /// Starts a replica; returns its index in [`Sim::nodes`].
     pub(crate) fn start(
         &mut self,
         position: u16,
@@ -112,7 +113,7 @@
         at
     }
 
-    /// Starts a replica anew in place of one that ran or was killed, with nothing remembered.
+    /// Replaces a running or killed replica by a new one without state.
     pub(crate) fn restart(&mut self, at: usize, incarnation: u64) {
         let (position, skew) = (
             self.nodes[at].position,
@@ -185,12 +186,12 @@
 
     fn schedule(&mut self, at: Millis, event: Event) {
         self.count += 1;
-        self.waiting.insert(self.count, event);
+        self.pending.insert(self.count, event);
         self.events
             .push(Reverse(((at * 1_000.0) as u64, self.count)));
     }
 
-    /// Sends what a replica has to send, and schedules its next timeout.
+    /// Sends the pending datagrams of a replica, and schedules its next timeout.
     fn flush(&mut self, at: usize) {
         let position = self.nodes[at].position;
         while let Some(transmit) = self.nodes[at].peers.as_mut().and_then(Peers::poll_transmit) {
@@ -199,7 +200,7 @@
                 self.recorded
                     .push((position, transmit.to.0, transmit.bytes.clone()));
             }
-            self.post(position, transmit.to.0, transmit.bytes);
+            self.send(position, transmit.to.0, transmit.bytes);
         }
         let node = &self.nodes[at];
         let deadline = node
@@ -216,7 +217,7 @@
         }
     }
 
-    pub(crate) fn post(&mut self, from: u16, to: u16, bytes: Vec<u8>) {
+    pub(crate) fn send(&mut self, from: u16, to: u16, bytes: Vec<u8>) {
         let deliveries = if self.rng.gen_bool(self.net.repeat) {
             2
         } else {
@@ -250,8 +251,8 @@
             }
             self.events.pop();
             self.now = self.now.max(at);
-            match self.waiting.remove(&count) {
-                Some(Event::Timer(at)) => self.timer(at),
+            match self.pending.remove(&count) {
+                Some(Event::Timer(at)) => self.handle_timer(at),
                 Some(Event::Deliver { to, from, bytes }) => self.deliver(to, from, bytes),
                 None => {}
             }
@@ -259,7 +260,7 @@
         self.now = end;
     }
 
-    fn timer(&mut self, at: usize) {
+    fn handle_timer(&mut self, at: usize) {
         let now = self.now;
         if self.nodes[at].timer <= now + 0.002 {
             self.nodes[at].timer = f64::INFINITY;
@@ -291,7 +292,7 @@
         if receivers.is_empty() {
             return;
         }
-        // Two replicas under one name: the network brings it to either.
+        // With two replicas at one position, a random one receives the datagram.
         let at = receivers[self.rng.gen_range(0..receivers.len())];
         let (now, node) = (self.now, &mut self.nodes[at]);
         if now < node.paused_until {
--- a/balancer/gossip/tests/golden.rs
+++ b/balancer/gossip/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Every datagram's bytes as they are. During a rolling upgrade replicas of two builds speak with each other, so that a
-//! build must write and read what the one before it did, or take a new version of the protocol.
+//! Golden bytes of datagrams. During a rolling upgrade replicas of two builds communicate, so a build must encode and
+//! decode datagrams as the previous one did, or introduce a new protocol version.
 #[path = "../../core/tests/common/golden.rs"]
 mod golden;
 
@@ -13,7 +13,7 @@
 use golden::{assert_stored, stored};
 
 const DATAGRAMS: &str = include_str!("golden/datagrams.hex");
-const VALUES: &str = include_str!("golden/figures.hex");
+const COMPACT_FLOATS: &str = include_str!("golden/compact_floats.hex");
 
 const DEPLOYMENT: u32 = 0xdeb0_1e57;
 const KINDS: [(&str, MessageKind); 5] = [
@@ -38,7 +38,7 @@
 
 /// An update on a member for the `n`th datagram, and one more with the next status.
 fn updates(n: u16) -> Vec<MemberUpdate> {
-    let record = |at: u16| MemberUpdate {
+    let update = |at: u16| MemberUpdate {
         member: 300 + at,
         incarnation: 0x3132_3334 << at,
         status: STATUSES[usize::from(at) % STATUSES.len()],
@@ -48,10 +48,10 @@
         },
         age: 200 + at as u8,
     };
-    vec![record(n), record(n + 1)]
+    vec![update(n), update(n + 1)]
 }
 
-/// Verdicts on both subjects with both stances, by turns.
+/// Verdicts on both kinds of subject; the states alternate with `n`.
 fn verdicts(n: u16) -> Vec<Verdict> {
     let (first, second) = match n % 2 {
         0 => (VerdictState::Against, VerdictState::Cleared),
@@ -72,7 +72,7 @@
     ]
 }
 
-/// A payload of version 1 with all its parts. An echo is there in every other one, a third member in those about one.
+/// A payload of version 1 with all lists. Every other one has an echo; those of indirect probes have a target.
 fn version_1(n: u16, kind: MessageKind) -> v1::Body {
     let target = matches!(kind, MessageKind::PingRequest | MessageKind::IndirectAck);
     let at = u32::from(n);
@@ -107,7 +107,7 @@
     }
 }
 
-/// A payload of version 2 with all its parts. The rest is there in every other one.
+/// A payload of version 2 with all lists. Every other one has unnamed tenants.
 fn version_2(n: u16, kind: MessageKind) -> v2::Body {
     let compact = |value: u16| CompactFloat::of(f64::from(value) + 0.5);
     let totals = |at: u16| Totals {
@@ -131,8 +131,8 @@
     }
 }
 
-/// The shortest payload: neither view nor lists.
-fn bare() -> v2::Body {
+/// The shortest payload, with an empty digest and empty lists.
+fn empty_body() -> v2::Body {
     let head = Head {
         kind: MessageKind::Ping,
         stamp: 1,
@@ -154,11 +154,11 @@
     }
 }
 
-/// What each stored datagram holds, by its name; of version 1 the part that this version has.
+/// The name and the decoded content of each golden datagram. Version 1 encodes only its part of the body.
 fn datagrams() -> Vec<(String, Header, v2::Body)> {
     let mut all = Vec::new();
     for version in [1, 2] {
-        all.push((format!("v{version}_bare"), header(version, 0), bare()));
+        all.push((format!("v{version}_bare"), header(version, 0), empty_body()));
         for (n, (name, kind)) in (1..).zip(KINDS) {
             all.push((
                 format!("v{version}_{name}"),
@@ -170,7 +170,7 @@
     all
 }
 
-fn write(header: &Header, mut body: v2::Body) -> Vec<u8> {
+fn encode(header: &Header, mut body: v2::Body) -> Vec<u8> {
     let payload = match header.version {
         1 => v1::encode(&mut body.version_1, MAX_PAYLOAD_LEN),
         _ => v2::encode(&mut body, MAX_PAYLOAD_LEN),
@@ -179,21 +179,21 @@
 }
 
 #[test]
-fn every_datagram_is_written_as_it_was() {
-    let made: Vec<_> = datagrams()
+fn datagram_encodings_match_golden_bytes() {
+    let encoded: Vec<_> = datagrams()
         .into_iter()
-        .map(|(name, header, body)| (name, write(&header, body)))
+        .map(|(name, header, body)| (name, encode(&header, body)))
         .collect();
-    assert_stored(DATAGRAMS, &made);
+    assert_stored(DATAGRAMS, &encoded);
 }
 
 #[test]
-fn every_datagram_is_read_as_it_was_meant() {
+fn golden_datagrams_decode_to_their_values() {
     let stored = stored(DATAGRAMS);
     assert_eq!(stored.len(), datagrams().len());
     for ((name, bytes), (_, header, body)) in stored.iter().zip(datagrams()) {
-        let (read, payload) = open(bytes).unwrap_or_else(|e| panic!("{name}: {e:?}"));
-        assert_eq!(read, header, "{name}");
+        let (decoded_header, payload) = open(bytes).unwrap_or_else(|e| panic!("{name}: {e:?}"));
+        assert_eq!(decoded_header, header, "{name}");
         match header.version {
             1 => assert_eq!(v1::decode(payload), Ok(body.version_1), "{name}"),
             _ => assert_eq!(v2::decode(payload), Ok(body), "{name}"),
@@ -201,9 +201,9 @@
     }
 }
 
-/// Whatever version comes after, its header has to be read by a replica of this one.
+/// A replica of this version must be able to decode the header of any later version.
 #[test]
-fn a_header_of_a_later_version_is_read() {
+fn header_of_a_later_version_is_decoded() {
     let later = Header {
         version: 9,
         supported_versions: VersionRange { min: 2, max: 11 },
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_replica_takes_every_stored_datagram() {
+fn replica_accepts_every_golden_datagram() {
     let config = Config {
         own: Member(1),
         candidates: 2000,
@@ -228,8 +228,8 @@
         supported_versions: SUPPORTED_VERSIONS,
     };
     for (name, bytes) in stored(DATAGRAMS) {
-        let mut peers = Peers::new(config.clone(), 0.0).expect("a configuration");
-        let (header, _) = open(&bytes).expect("whole");
+        let mut peers = Peers::new(config.clone(), 0.0).expect("valid configuration");
+        let (header, _) = open(&bytes).expect("valid datagram");
         peers.handle_datagram(1.0, header.position, &bytes);
         let counts = peers.counts();
         assert_eq!(
@@ -240,10 +240,10 @@
     }
 }
 
-/// A figure's rounding and its bounds: what is no figure is nothing, what is too large the largest. Beside each the bits
-/// that it is written in, which are the upper half of a `f32`.
+/// Checks rounding and limits: values that are negative or not finite become zero, and larger ones are clamped to the
+/// maximum. Each case lists its bfloat16 bits, which are the upper half of an `f32`.
 #[test]
-fn compact_floats_are_written_and_read_as_they_were() {
+fn compact_float_encodings_match_golden_bytes() {
     let values = [
         ("third", 1.0 / 3.0, 0x3eab),
         ("million", 1e6, 0x4974),
@@ -261,22 +261,22 @@
             CompactFloat::of(2.0),
         ],
     };
-    let write = |value| {
+    let encode = |value| {
         v2::encode(
             &mut v2::Body {
                 rows: vec![row(value)],
-                ..bare()
+                ..empty_body()
             },
             MAX_PAYLOAD_LEN,
         )
     };
-    let made: Vec<_> = values
+    let encoded: Vec<_> = values
         .iter()
-        .map(|(name, value, _)| (name.to_string(), write(*value)))
+        .map(|(name, value, _)| (name.to_string(), encode(*value)))
         .collect();
-    assert_stored(VALUES, &made);
-    for ((name, bytes), (_, _, bits)) in stored(VALUES).into_iter().zip(values) {
-        let read = v2::decode(&bytes).expect("a payload").rows[0].values[0].value();
+    assert_stored(COMPACT_FLOATS, &encoded);
+    for ((name, bytes), (_, _, bits)) in stored(COMPACT_FLOATS).into_iter().zip(values) {
+        let read = v2::decode(&bytes).expect("valid payload").rows[0].values[0].value();
         assert_eq!(read, f64::from(f32::from_bits(bits << 16)), "{name}");
     }
 }
@@ -290,8 +290,8 @@
         (20.1, Some(2)),
         (5080.0, Some(254)),
     ];
-    for (age, age_to_ticks) in ages {
-        assert_eq!(v1::age_to_ticks(age), age_to_ticks, "{age}");
+    for (age, ticks) in ages {
+        assert_eq!(v1::age_to_ticks(age), ticks, "{age}");
     }
     assert_eq!(v1::age_to_ticks(5080.1), None);
 }
--- a/balancer/gossip/tests/tier.rs
+++ b/balancer/gossip/tests/tier.rs
@@ -1,16 +1,16 @@
-//! Tiers of replicas on a simulated network: what the protocol guarantees, from seeds, under loss and faults.
+//! Guarantees of the protocol under loss and faults, for tiers of replicas on a simulated network with fixed seeds.
 mod common;
 use balancer_gossip::{Load, Observations, Subject, TenantLoad, SUPPORTED_VERSIONS};
 use common::{Net, Sim, LOSSY};
 
-/// What a replica observes; the demand differs from replica to replica by 30 in 100.
-fn own(position: u16, level: f64) -> Observations {
+/// The observations of a replica; the standard deviation of the demand between replicas is 30%.
+fn observations(position: u16, level: f64) -> Observations {
     let demand = level * (0.48 + 1.04 * f64::from(position * 37 % 101) / 100.0);
     let tenant = |at: u16| {
-        let part = f64::from(at + 1) / 55.0;
+        let share = f64::from(at + 1) / 55.0;
         TenantLoad {
-            demand: demand * part,
-            calls: demand * part / 10.0,
+            demand: demand * share,
+            calls: demand * share / 10.0,
             client_connections: 3.0,
         }
     };
@@ -28,37 +28,40 @@
     }
 }
 
-/// Runs the tier while each replica observes four times a second.
+/// Runs the tier while each replica reports its observations four times a second.
 fn run_observing(sim: &mut Sim, span: f64, level: f64) {
     let end = sim.now + span;
     while sim.now < end {
         for at in sim.alive() {
             let position = sim.nodes[at].position;
-            sim.observe(at, own(position, level));
+            sim.observe(at, observations(position, level));
         }
         sim.run(250.0);
     }
 }
 
-/// The share of the running replicas that know so many members as up.
-fn agree(sim: &mut Sim, up: u32) -> f64 {
+/// The share of the running replicas that know `up` members as up.
+fn agreeing_share(sim: &mut Sim, up: u32) -> f64 {
     let alive = sim.alive();
-    let agree = alive
+    let agreeing = alive
         .iter()
         .filter(|at| sim.tier_state(**at).up == up)
         .count();
-    agree as f64 / alive.len() as f64
+    agreeing as f64 / alive.len() as f64
 }
 
 #[test]
-fn a_tier_knows_a_failure_and_a_sum_within_two_seconds_at_constant_bytes() {
+fn failures_and_sums_spread_in_time_within_budget() {
     for n in [10, 60, 300] {
         let mut sim = Sim::new(n, 9, LOSSY, u64::from(n));
         for position in 0..n {
             sim.start(position, 1_000, SUPPORTED_VERSIONS);
         }
         run_observing(&mut sim, 3_000.0, 100.0);
-        assert!(agree(&mut sim, n.into()) >= 0.99, "{n} replicas start");
+        assert!(
+            agreeing_share(&mut sim, n.into()) >= 0.99,
+            "{n} replicas start"
+        );
         run_observing(&mut sim, 9_000.0, 100.0);
         let sent = |sim: &mut Sim| {
             (0..usize::from(n))
@@ -67,11 +70,14 @@
         };
         let before = sent(&mut sim);
         run_observing(&mut sim, 4_000.0, 200.0);
-        let each = (sent(&mut sim) - before) as f64 / f64::from(n) / 4.0;
-        assert!(each < 2_750.0, "{n} replicas: {each} bytes a second");
+        let bytes_per_second = (sent(&mut sim) - before) as f64 / f64::from(n) / 4.0;
+        assert!(
+            bytes_per_second < 2_750.0,
+            "{n} replicas: {bytes_per_second} bytes a second"
+        );
         assert!(sim.longest <= 256);
-        let truth: f64 = (0..n)
-            .map(|position| own(position, 200.0).load.demand)
+        let actual_demand: f64 = (0..n)
+            .map(|position| observations(position, 200.0).load.demand)
             .sum();
         for at in 0..usize::from(n) {
             let sums = sim.tier_state(at).sums.unwrap_or_else(|| {
@@ -80,34 +86,34 @@
                     sim.tier_state(at)
                 )
             });
-            let off = (sums.load.demand / truth - 1.0).abs();
-            // Six times the error that is stated, so that one replica of 300 doesn't fail the test by chance.
+            let relative_error = (sums.load.demand / actual_demand - 1.0).abs();
+            // Six times the stated standard error, so that none of the 300 replicas fails the test by chance.
             assert!(
-                off <= 6.0 * sums.error + 0.005,
-                "{n} replicas: off by {off}, stated {}",
+                relative_error <= 6.0 * sums.error + 0.005,
+                "{n} replicas: relative error {relative_error}, stated {}",
                 sums.error
             );
         }
         sim.kill(3);
         run_observing(&mut sim, 2_000.0, 200.0);
-        let share = agree(&mut sim, u32::from(n) - 1);
-        assert!(share >= 0.99, "{n} replicas, one killed: {share} know");
+        let share = agreeing_share(&mut sim, u32::from(n) - 1);
+        assert!(share >= 0.99, "{n} replicas, one killed: {share} know it");
     }
 }
 
 #[test]
-fn first_evidence_reaches_all_within_half_a_second_and_expires_unless_renewed() {
+fn evidence_reaches_all_quickly_and_expires_unless_renewed() {
     let mut sim = Sim::tier(60, 9, LOSSY, 5);
     let subject = Subject::Upstream(77);
-    let accusing = Observations {
+    let with_evidence = Observations {
         against: vec![subject],
-        ..own(0, 100.0)
+        ..observations(0, 100.0)
     };
-    sim.observe(0, accusing);
+    sim.observe(0, with_evidence);
     sim.run(500.0);
     for at in 1..60 {
         let state = sim.tier_state(at);
-        let evidence = state.evidence.first().expect("the evidence is there");
+        let evidence = state.evidence.first().expect("evidence");
         assert_eq!(
             (evidence.subject, evidence.observers, evidence.zones),
             (subject, 1, 1)
@@ -122,7 +128,7 @@
         0,
         Observations {
             cleared: vec![subject],
-            ..own(0, 100.0)
+            ..observations(0, 100.0)
         },
     );
     sim.run(500.0);
@@ -139,12 +145,12 @@
     sim.run(3_200.0);
     assert!(
         (0..60).all(|at| sim.tier_state(at).evidence.is_empty()),
-        "nothing is retained beyond its bound"
+        "expired everywhere"
     );
 }
 
 #[test]
-fn nobody_is_declared_failed_in_ten_minutes_of_loss() {
+fn loss_alone_causes_no_failures_in_ten_minutes() {
     let net = Net {
         loss: 0.1,
         delay: (0.2, 5.0),
@@ -157,10 +163,10 @@
         .map(|at| sim.with(at, |peers, _| peers.counts().failed))
         .sum();
     assert_eq!(failed, 0);
-    assert_eq!(agree(&mut sim, 60), 1.0);
+    assert_eq!(agreeing_share(&mut sim, 60), 1.0);
 }
 
-/// Runs until a condition holds; how long that took.
+/// Runs until a condition holds, and returns how long that took.
 fn run_until(sim: &mut Sim, max: f64, mut holds: impl FnMut(&mut Sim) -> bool) -> f64 {
     let start = sim.now;
     while !holds(sim) {
@@ -171,7 +177,7 @@
 }
 
 #[test]
-fn halves_of_a_partition_report_it_and_heal() {
+fn partitioned_halves_report_isolation_and_heal() {
     let mut sim = Sim::tier(24, 9, LOSSY, 21);
     run_observing(&mut sim, 1_000.0, 100.0);
     sim.is_partitioned = Box::new(|from, to| (from < 12) != (to < 12));
@@ -180,30 +186,30 @@
         let state = sim.tier_state(at);
         assert!(
             !state.joined && state.sums.is_none(),
-            "half a tier is not all of it: {state:?}"
+            "half of the tier is isolated: {state:?}"
         );
         assert_eq!(state.up, 12);
     }
-    // Each half goes on: one in each is killed, and one restarts with nothing remembered.
+    // One replica of each half is killed, and one of them restarts without state.
     sim.kill(3);
     sim.kill(20);
     run_observing(&mut sim, 4_000.0, 100.0);
     sim.restart(20, 1);
     sim.is_partitioned = Box::new(|_, _| false);
     let took = run_until(&mut sim, 8_000.0, |sim| {
-        agree(sim, 23) == 1.0 && sim.tier_state(0).joined
+        agreeing_share(sim, 23) == 1.0 && sim.tier_state(0).joined
     });
     println!("healed in {took} ms");
 }
 
 #[test]
-fn a_one_way_partition_a_pause_and_a_restart_leave_the_tier_complete() {
+fn tier_recovers_from_asymmetric_partition_pause_and_restart() {
     let mut sim = Sim::tier(24, 9, LOSSY, 31);
-    // One can't reach another, which reaches it: others confirm that it is alive.
+    // One replica can't reach another, which can reach it: indirect probes confirm that it is alive.
     sim.is_partitioned = Box::new(|from, to| (from, to) == (1, 2));
     sim.run(20_000.0);
-    assert_eq!(agree(&mut sim, 24), 1.0);
-    // One receives nothing: it reports itself as isolated, and makes nobody else suspect the others.
+    assert_eq!(agreeing_share(&mut sim, 24), 1.0);
+    // A replica that receives nothing reports itself as isolated, and does not cause others to suspect each other.
     sim.is_partitioned = Box::new(|_, to| to == 5);
     sim.run(6_000.0);
     assert!(!sim.tier_state(5).joined);
@@ -213,23 +219,23 @@
         .collect();
     assert!(others.iter().all(|up| *up == 23), "{others:?}");
     sim.is_partitioned = Box::new(|_, _| false);
-    run_until(&mut sim, 8_000.0, |sim| agree(sim, 24) == 1.0);
-    // A replica is paused for 20 s; what it sends and receives of the past brings nobody down when it resumes.
+    run_until(&mut sim, 8_000.0, |sim| agreeing_share(sim, 24) == 1.0);
+    // A replica is paused for 20 s; when it resumes, outdated datagrams cause no failures.
     sim.pause(7, 20_000.0);
     sim.run(19_900.0);
     let failed = |sim: &mut Sim, at: usize| sim.with(at, |peers, _| peers.counts().failed);
     let before = failed(&mut sim, 7);
-    run_until(&mut sim, 5_000.0, |sim| agree(sim, 24) == 1.0);
+    run_until(&mut sim, 5_000.0, |sim| agreeing_share(sim, 24) == 1.0);
     assert_eq!(
         failed(&mut sim, 7),
         before,
-        "it was paused; nobody else was"
+        "the paused replica must not declare others failed"
     );
-    // A member restarts under an incarnation below the one remembered.
+    // A member restarts under a lower incarnation than the others know.
     sim.restart(9, 3);
     sim.run(3_000.0);
-    assert_eq!(agree(&mut sim, 24), 1.0);
-    // One that leaves is suspected by nobody, and the others are still the complete tier.
+    assert_eq!(agreeing_share(&mut sim, 24), 1.0);
+    // A member that leaves is suspected by no one, and the remaining tier is joined.
     let suspected = |sim: &mut Sim| {
         (0..9)
             .map(|at| sim.with(at, |peers, _| peers.counts().suspected))
@@ -238,24 +244,24 @@
     let before = suspected(&mut sim);
     sim.with(11, |peers, now| peers.leave(now));
     sim.kill(11);
-    run_until(&mut sim, 700.0, |sim| agree(sim, 23) == 1.0);
+    run_until(&mut sim, 700.0, |sim| agreeing_share(sim, 23) == 1.0);
     assert_eq!(suspected(&mut sim), before);
     assert!(sim.tier_state(0).joined);
 }
 
 #[test]
-fn a_tier_grows_shrinks_and_loses_most_of_itself() {
+fn tier_survives_growth_and_loss_of_most_members() {
     let mut sim = Sim::new(60, 9, LOSSY, 41);
     for position in 0..3 {
         sim.start(position, 1_000, SUPPORTED_VERSIONS);
     }
     sim.run(6_000.0);
-    assert_eq!(agree(&mut sim, 3), 1.0);
+    assert_eq!(agreeing_share(&mut sim, 3), 1.0);
     assert!(sim.tier_state(0).joined);
     for position in 3..60 {
         sim.start(position, 1_000, SUPPORTED_VERSIONS);
     }
-    run_until(&mut sim, 4_000.0, |sim| agree(sim, 60) == 1.0);
+    run_until(&mut sim, 4_000.0, |sim| agreeing_share(sim, 60) == 1.0);
     sim.run(8_000.0);
     (0..42).for_each(|at| sim.kill(at));
     sim.run(3_000.0);
@@ -266,38 +272,39 @@
         .count();
     assert_eq!(
         joined, 0,
-        "seven in ten gone can't be distinguished from a partition"
+        "the loss of 70% can't be distinguished from a partition"
     );
-    run_until(&mut sim, 12_000.0, |sim| agree(sim, 18) == 1.0);
-    // Back at once with nothing remembered.
+    run_until(&mut sim, 12_000.0, |sim| agreeing_share(sim, 18) == 1.0);
+    // All restart at once without state.
     (0..42).for_each(|at| sim.restart(at, 2_000));
     run_until(&mut sim, 6_000.0, |sim| {
-        agree(sim, 60) == 1.0 && sim.tier_state(50).joined
+        agreeing_share(sim, 60) == 1.0 && sim.tier_state(50).joined
     });
 }
 
 #[test]
-fn two_replicas_under_one_name_are_reported_once_and_stay_one_member() {
+fn duplicate_replica_is_reported_and_disrupts_no_other() {
     let mut sim = Sim::tier(12, 9, LOSSY, 51);
-    let twin = sim.start(4, 5_000, SUPPORTED_VERSIONS);
-    let mut lines = Vec::new();
-    let mut lowest = u32::MAX;
+    let duplicate = sim.start(4, 5_000, SUPPORTED_VERSIONS);
+    let mut notifications = Vec::new();
+    let mut lowest_up = u32::MAX;
     for _ in 0..100 {
         sim.run(200.0);
-        for at in [4, twin] {
-            lines.extend(std::iter::from_fn(|| {
+        for at in [4, duplicate] {
+            notifications.extend(std::iter::from_fn(|| {
                 sim.with(at, |peers, _| peers.poll_notification())
             }));
         }
-        lowest = lowest.min(sim.tier_state(0).up);
+        lowest_up = lowest_up.min(sim.tier_state(0).up);
     }
-    let named = lines
+    let reports = notifications
         .iter()
-        .filter(|line| {
-            line.0
+        .filter(|notification| {
+            notification
+                .0
                 .contains("another replica uses this replica's position")
         })
         .count();
-    assert!((1..=2).contains(&named), "{lines:?}");
-    assert!(lowest >= 11, "nobody else suffers");
+    assert!((1..=2).contains(&reports), "{notifications:?}");
+    assert!(lowest_up >= 11, "no other member is declared failed");
 }
--- a/balancer/gossip/tests/wire.rs
+++ b/balancer/gossip/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The bytes of every version as they are, and what becomes of bytes that are none.
+//! Encodings of every version: stable bytes, limits of length, and rejection of corrupt bytes.
 use proptest::prelude::*;
 
 use balancer_gossip::wire::v1::{
@@ -39,7 +39,7 @@
         bits: vec![0b111],
         others: vec![0b100],
     };
-    let record = MemberUpdate {
+    let update = MemberUpdate {
         member: 2,
         incarnation: 300,
         status: Status::Suspect,
@@ -61,7 +61,7 @@
     Body {
         head,
         digest,
-        updates: vec![record],
+        updates: vec![update],
         verdicts,
     }
 }
@@ -93,37 +93,36 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Written by this program once; a replica of any later build must go on writing and reading them, or take a new
-/// version.
-const FIRST: &str = "6f500101020102000000000102030400000007000000000000030203e8070107ac0201030201000102010701040102ac02010102050200808080808080808010010209000401030102090104acf3c920";
-const SECOND: &str = "6f500201020102000000000102030400000007000000000000030203e8070107ac0201030201000102010701040102ac0201010205020080808080808080801001020900040103010209010401033f804000404001044110410000000182020342c83f004974000011315d24";
+/// Datagrams of each version. Later builds must encode and decode them unchanged, or introduce a new version.
+const VERSION_1_DATAGRAM: &str = "6f500101020102000000000102030400000007000000000000030203e8070107ac0201030201000102010701040102ac02010102050200808080808080808010010209000401030102090104acf3c920";
+const VERSION_2_DATAGRAM: &str = "6f500201020102000000000102030400000007000000000000030203e8070107ac0201030201000102010701040102ac0201010205020080808080808080801001020900040103010209010401033f804000404001044110410000000182020342c83f004974000011315d24";
 
 #[test]
-fn the_bytes_of_every_version_stay_as_they_are() {
-    let one = seal(&header(1), &v1::encode(&mut version_1(), MAX_PAYLOAD_LEN));
-    assert_eq!(hex(&one), FIRST);
-    let (read, payload) = open(&one).expect("whole");
+fn encodings_of_every_version_are_stable() {
+    let datagram_1 = seal(&header(1), &v1::encode(&mut version_1(), MAX_PAYLOAD_LEN));
+    assert_eq!(hex(&datagram_1), VERSION_1_DATAGRAM);
+    let (read, payload) = open(&datagram_1).expect("valid datagram");
     assert_eq!(
         (read, v1::decode(payload).expect("version 1")),
         (header(1), version_1())
     );
-    let two = seal(&header(2), &v2::encode(&mut version_2(), MAX_PAYLOAD_LEN));
-    assert_eq!(hex(&two), SECOND);
-    let (read, payload) = open(&two).expect("whole");
+    let datagram_2 = seal(&header(2), &v2::encode(&mut version_2(), MAX_PAYLOAD_LEN));
+    assert_eq!(hex(&datagram_2), VERSION_2_DATAGRAM);
+    let (read, payload) = open(&datagram_2).expect("valid datagram");
     assert_eq!(
         (read, v2::decode(payload).expect("version 2")),
         (header(2), version_2())
     );
-    // Neither is the other.
+    // A payload of one version is not a valid payload of the other.
     assert!(
         v1::decode(payload).is_err()
             && v2::decode(&v1::encode(&mut version_1(), MAX_PAYLOAD_LEN)).is_err()
     );
 }
 
-/// Updates on members may fill a datagram that has no totals; a rest that has no space left is then absent.
+/// Membership updates may fill a datagram without totals; unnamed tenants are omitted if no space is left.
 #[test]
-fn unnamed_tenants_that_do_not_fit_are_absent_and_the_payload_is_read() {
+fn unnamed_tenants_are_omitted_without_space() {
     for bits in 0..65 {
         let mut body = version_2();
         body.version_1.digest.bits = vec![255; bits];
@@ -136,15 +135,15 @@
         ];
         (body.version_1.verdicts, body.rows, body.totals) = (Vec::new(), Vec::new(), Vec::new());
         let payload = v2::encode(&mut body, MAX_PAYLOAD_LEN);
-        let read = v2::decode(&payload).unwrap_or_else(|e| panic!("{bits} bytes of view: {e:?}"));
+        let read = v2::decode(&payload).unwrap_or_else(|e| panic!("{bits} bytes of digest: {e:?}"));
         assert_eq!(read.version_1.updates, body.version_1.updates);
         assert!(read.unnamed_tenants.is_none() || read.unnamed_tenants == body.unnamed_tenants);
     }
 }
 
-/// Whatever the length of what comes before, the rest leaves the bytes that the empty lists behind it need.
+/// For any length of the preceding parts, unnamed tenants leave space for the empty lists that follow.
 #[test]
-fn unnamed_tenants_that_just_fit_leave_space_for_the_lists_behind_them() {
+fn unnamed_tenants_leave_space_for_following_lists() {
     for bits in 0..65 {
         for updates in 0..60 {
             let mut body = version_2();
@@ -161,7 +160,7 @@
             let payload = v2::encode(&mut body, MAX_PAYLOAD_LEN);
             assert!(
                 payload.len() <= MAX_PAYLOAD_LEN,
-                "{bits} bytes of view, {updates} records: {}",
+                "{bits} bytes of digest, {updates} updates: {}",
                 payload.len()
             );
             v2::decode(&payload).unwrap_or_else(|e| panic!("{bits}, {updates}: {e:?}"));
@@ -171,7 +170,7 @@
 
 proptest! {
     #[test]
-    fn whatever_is_written_fits_and_is_read_as_written(
+    fn payloads_fit_and_round_trip(
         updates in 0..60_usize, verdicts in 0..20_usize, rows in 0..9_usize, totals in 0..40_usize, bits in 0..65_usize,
     ) {
         let mut body = version_2();
@@ -182,24 +181,24 @@
         body.totals = vec![body.totals[0]; totals];
         let payload = v2::encode(&mut body, MAX_PAYLOAD_LEN);
         prop_assert!(seal(&header(2), &payload).len() <= MAX_DATAGRAM_LEN);
-        let read = v2::decode(&payload).expect("what was written is read");
+        let read = v2::decode(&payload).expect("valid payload");
         prop_assert_eq!(&read.version_1.updates, &body.version_1.updates);
         prop_assert!(read.totals.len() <= totals && (totals == 0 || !read.totals.is_empty()));
     }
 
     #[test]
-    fn a_compact_float_is_off_by_one_part_in_256_at_most(value in 1e-30..1e30_f64) {
+    fn compact_float_error_is_within_one_in_256(value in 1e-30..1e30_f64) {
         prop_assert!((CompactFloat::of(value).value() / value - 1.0).abs() <= 1.0 / 256.0);
     }
 
     #[test]
-    fn garbled_bytes_are_dropped(at in 0..150_usize, bit in 0..8_u8, payload in prop::collection::vec(any::<u8>(), 0..226)) {
-        let mut two = seal(&header(2), &v2::encode(&mut version_2(), MAX_PAYLOAD_LEN));
-        let at = at % two.len();
-        prop_assert!(open(&two[..at]).is_err());
-        two[at] ^= 1 << bit;
-        prop_assert!(open(&two).is_err());
-        // A payload that is no payload, under a check that holds.
+    fn corrupt_datagrams_are_rejected(at in 0..150_usize, bit in 0..8_u8, payload in prop::collection::vec(any::<u8>(), 0..226)) {
+        let mut datagram = seal(&header(2), &v2::encode(&mut version_2(), MAX_PAYLOAD_LEN));
+        let at = at % datagram.len();
+        prop_assert!(open(&datagram[..at]).is_err());
+        datagram[at] ^= 1 << bit;
+        prop_assert!(open(&datagram).is_err());
+        // Arbitrary payload bytes must not cause a panic in the decoders.
         let _ = (v1::decode(&payload).is_ok(), v2::decode(&payload).is_ok());
     }
 }
