--- a/balancer/snapshots/tests/fault_injection.rs
+++ b/balancer/snapshots/tests/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Faults of a disk, injected by a file.
+//! Injection of disk faults by a fault file.
 use balancer_snapshots::fault_injection::FaultyStorage;
 use balancer_snapshots::FaultFile;
 use redb::backends::InMemoryBackend;
@@ -6,7 +6,7 @@
 use std::io;
 use std::sync::Arc;
 
-/// A disk whose content the test can read below the faults.
+/// A disk whose content the test can read without injected faults.
 #[derive(Debug, Clone)]
 struct Disk(Arc<InMemoryBackend>);
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_fault_file_is_obeyed_and_an_unknown_fault_is_named() {
+fn fault_file_is_applied_and_unknown_faults_fail() {
     let folder = tempfile::TempDir::new().expect("a folder");
     let file = folder.path().join("drill");
     let disk = FaultyStorage::new(InMemoryBackend::new(), Some(FaultFile::new(&file)));
@@ -43,7 +43,7 @@
         disk.read(0, &mut out).map(|()| out)
     };
     disk.set_len(4096).expect("grows");
-    disk.write(0, b"well").expect("no file, no fault");
+    disk.write(0, b"well").expect("no fault without a file");
     set_fault("full\n");
     assert_eq!(
         disk.write(0, b"full").map_err(|e| e.kind()),
@@ -59,16 +59,16 @@
 }
 
 #[test]
-fn what_is_unsynced_is_read_back_but_is_on_the_disk_for_sure_only_after_a_sync() {
+fn unsynced_writes_are_readable_but_durable_after_sync() {
     let folder = tempfile::TempDir::new().expect("a folder");
     let file = folder.path().join("drill");
     std::fs::write(&file, "unsynced").expect("writes");
-    let below = Disk(Arc::new(InMemoryBackend::new()));
-    let disk = FaultyStorage::new(below.clone(), Some(FaultFile::new(&file)));
+    let underlying = Disk(Arc::new(InMemoryBackend::new()));
+    let disk = FaultyStorage::new(underlying.clone(), Some(FaultFile::new(&file)));
     disk.set_len(1 << 16).expect("grows");
     let on_disk = |at: u64| {
         let mut out = vec![0; 1024];
-        below.read(at, &mut out).expect("reads");
+        underlying.read(at, &mut out).expect("reads");
         out
     };
     let data = vec![7; 1024];
@@ -79,7 +79,7 @@
         disk.read(at, &mut out).expect("reads");
         assert_eq!(out, data);
     }
-    // By chance all of one kind once in 3^59 runs.
+    // The probability that all writes share one outcome is 1 in 3^59.
     let lost = offsets.iter().filter(|&&at| on_disk(at)[0] == 0).count();
     assert!(lost > 0 && lost < 60, "{lost} of 60 lost");
     disk.sync_data().expect("syncs");
--- a/balancer/snapshots/tests/golden.rs
+++ b/balancer/snapshots/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of every kind of record, and where a folder has them. They lie on disks that outlive the program: a later
-//! build must find and read what an earlier one has kept.
+//! Golden bytes of every kind of record, and their location in a folder. Records outlive the program, so a later build
+//! must find and decode the records of an earlier one.
 #[path = "../../core/tests/common/golden.rs"]
 mod golden;
 
@@ -13,9 +13,11 @@
 const SETTINGS: u32 = 0xfedc_ba98;
 const WRITTEN_MS: f64 = 1_764_709_200_123.25;
 
-/// The database of a folder, its table and the key of each kind, as any build must find them.
+/// The file name of the database, which is the same in every build.
 const FILE: &str = "state.redb";
+/// The table of records, which is the same in every build.
 const TABLE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("records");
+/// The key of each kind, which is the same in every build.
 const KEYS: [(&str, Kind); 3] = [
     ("starts", Kind::Starts),
     ("upstreams", Kind::Upstreams),
@@ -42,15 +44,15 @@
 }
 
 #[test]
-fn every_kind_of_record_is_written_as_it_was() {
-    let made: Vec<_> = KEYS
+fn record_encodings_match_golden_bytes() {
+    let encoded: Vec<_> = KEYS
         .map(|(key, kind)| (key.to_string(), record(key).encode(kind, OWNER)))
         .into();
-    assert_stored(RECORDS, &made);
+    assert_stored(RECORDS, &encoded);
 }
 
 #[test]
-fn every_kind_of_record_is_read_as_it_was_meant() {
+fn golden_records_decode_to_their_values() {
     for ((name, bytes), (key, kind)) in stored(RECORDS).into_iter().zip(KEYS) {
         assert_eq!(name, key);
         assert_eq!(
@@ -62,7 +64,7 @@
 }
 
 #[test]
-fn a_folder_is_written_with_the_file_the_table_and_the_keys_it_had() {
+fn folder_layout_matches_file_table_and_keys() {
     let dir = TempDir::new().expect("a folder");
     let mut store = Store::open(dir.path(), owner(), None).expect("opens").store;
     store
@@ -82,7 +84,7 @@
 }
 
 #[test]
-fn a_folder_of_an_earlier_build_is_read() {
+fn folder_of_an_earlier_build_is_read() {
     let dir = TempDir::new().expect("a folder");
     let database = Database::create(dir.path().join(FILE)).expect("creates");
     let write = database.begin_write().expect("writes");
--- a/balancer/snapshots/tests/power/arbitrary_bytes.rs
+++ b/balancer/snapshots/tests/power/arbitrary_bytes.rs
@@ -1,4 +1,4 @@
-//! Records and files of any bytes.
+//! Records and database files with arbitrary or corrupt bytes.
 use crate::disk::*;
 use crate::puts::*;
 use balancer_snapshots::store::FILE;
@@ -11,7 +11,7 @@
 use tempfile::TempDir;
 
 #[test]
-fn any_flipped_bit_and_any_truncation_is_detected_or_does_no_harm() {
+fn corrupt_files_never_yield_records_that_differ() {
     let folder = TempDir::new().expect("a folder");
     let mut store = Store::open(folder.path(), owner(), None)
         .expect("opens")
@@ -26,7 +26,7 @@
         match round % 4 {
             0 => bytes.truncate(rng.gen_range(0..complete.len())),
             _ => (0..round % 4).for_each(|_| {
-                // Most of the file is space that nobody reads: damage to the head matters.
+                // Most of the file is unused space, so most flips are in its first pages.
                 let limit = if rng.gen_bool(0.7) {
                     16_384.min(bytes.len())
                 } else {
@@ -64,30 +64,30 @@
     })]
 
     #[test]
-    fn a_record_of_anything_comes_back(payload: String, written_ms in -1e15..1e15f64, settings: u32, name: String) {
+    fn arbitrary_records_round_trip(payload: String, written_ms in -1e15..1e15f64, settings: u32, name: String) {
         let record = Record { payload, written_ms, settings };
         let bytes = record.encode(Kind::Learned, &name);
         prop_assert_eq!(Record::decode(&bytes, Kind::Learned, Some(&name)), Ok((record, name)));
     }
 
-    /// Bytes that are no record, with a checksum that fits or not, are seen for what they are.
+    /// Arbitrary bytes are rejected, as is an incomplete record with a valid checksum.
     #[test]
-    fn any_bytes_are_a_record_or_none(mut bytes: Vec<u8>, fits: bool, form in "\\{\"format\":[01],[a-z0-9\":,]{0,80}\\}") {
-        if fits {
-            bytes = crc32fast::hash(form.as_bytes()).to_be_bytes().to_vec();
-            bytes.extend(form.as_bytes());
+    fn bytes_that_are_no_record_are_rejected(mut bytes: Vec<u8>, with_checksum: bool, body in "\\{\"format\":[01],[a-z0-9\":,]{0,80}\\}") {
+        if with_checksum {
+            bytes = crc32fast::hash(body.as_bytes()).to_be_bytes().to_vec();
+            bytes.extend(body.as_bytes());
         }
         prop_assert!(Record::decode(&bytes, Kind::Starts, None).is_err());
     }
 
-    /// A database that is any bytes, or one with any bytes in its place somewhere, is opened or refused, and what it
-    /// gives back is what was put.
+    /// A file of arbitrary bytes, or a database partly overwritten by them, is opened or rejected, and yields only
+    /// records that were put.
     #[test]
-    fn any_file_is_a_store_or_none(start in 0usize..20_000, bytes in prop::collection::vec(any::<u8>(), 1..600), replaces_all: bool) {
+    fn overwritten_files_yield_only_records_that_were_put(start in 0usize..20_000, bytes in prop::collection::vec(any::<u8>(), 1..600), replaces_all: bool) {
         let image = match replaces_all {
             true => bytes,
             false => {
-                let mut image = written().clone();
+                let mut image = written_image().clone();
                 let start = start.min(image.len() - bytes.len());
                 image[start..start + bytes.len()].copy_from_slice(&bytes);
                 image
@@ -103,8 +103,8 @@
     }
 }
 
-/// A store after a few puts.
-fn written() -> &'static Vec<u8> {
+/// The image of a store after four puts.
+fn written_image() -> &'static Vec<u8> {
     static IMAGE: OnceLock<Vec<u8>> = OnceLock::new();
     IMAGE.get_or_init(|| {
         let disk = Disk::default();
--- a/balancer/snapshots/tests/power/disk.rs
+++ b/balancer/snapshots/tests/power/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory.
+//! A simulated disk in memory.
 use redb::StorageBackend;
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -23,7 +23,7 @@
     }
 }
 
-/// A disk in memory that records all operations, and fails once it is full.
+/// A disk in memory that records all operations, and fails while it is full.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Disk(pub(crate) Arc<Mutex<DiskState>>);
 
@@ -31,7 +31,7 @@
 pub(crate) struct DiskState {
     pub(crate) image: Vec<u8>,
     pub(crate) ops: Vec<Op>,
-    /// Writes and syncs fail from here on.
+    /// Whether writes, changes of length and syncs fail.
     pub(crate) full: bool,
 }
 
--- a/balancer/snapshots/tests/power/files.rs
+++ b/balancer/snapshots/tests/power/files.rs
@@ -1,4 +1,4 @@
-//! Files that are full, unreadable, foreign, or written for long.
+//! Full disks, unreadable files, concurrent and foreign owners, and long use of a file.
 use crate::disk::*;
 use crate::puts::*;
 use balancer_snapshots::store::{inspect, StoreError, FILE};
@@ -9,7 +9,7 @@
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 #[test]
-fn a_full_disk_retains_its_records_and_is_written_again_when_it_has_space() {
+fn full_disk_retains_records_and_recovers_with_space() {
     let disk = Disk::default();
     let mut store = Store::on_backend(disk.clone(), owner()).expect("a store");
     store.put(&payloads(1), 1000.0).expect("puts");
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_unreadable_database_is_set_aside_and_only_a_few_are_retained() {
+fn unreadable_databases_are_set_aside_and_three_retained() {
     let folder = TempDir::new().expect("a folder");
     for round in 0..6 {
         std::fs::write(
@@ -38,7 +38,7 @@
         )
         .expect("writes");
         assert!(inspect(folder.path()).is_err());
-        let mut opened = Store::open(folder.path(), owner(), None).expect("begins anew");
+        let mut opened = Store::open(folder.path(), owner(), None).expect("opens a new database");
         let (set_aside, _) = opened.set_aside.take().expect("set aside");
         assert!(std::fs::read_to_string(set_aside)
             .expect("reads")
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_second_process_a_foreign_owner_and_an_inspection() {
+fn other_owners_are_rejected_and_inspection_changes_nothing() {
     let folder = TempDir::new().expect("a folder");
     let mut store = Store::open(folder.path(), owner(), None)
         .expect("opens")
@@ -61,11 +61,11 @@
     assert_eq!(second, Some(StoreError::InUse));
     drop(store);
     let before = std::fs::read(folder.path().join(FILE)).expect("reads");
-    let lines = inspect(folder.path()).expect("looks");
-    assert_eq!(lines.len(), Kind::ALL.len());
-    assert!(lines
+    let records = inspect(folder.path()).expect("inspects");
+    assert_eq!(records.len(), Kind::ALL.len());
+    assert!(records
         .iter()
-        .all(|l| matches!(&l.found, Some(Ok((_, name))) if name == "n1")));
+        .all(|record| matches!(&record.found, Some(Ok((_, name))) if name == "n1")));
     assert_eq!(
         std::fs::read(folder.path().join(FILE)).expect("reads"),
         before,
@@ -82,14 +82,14 @@
 }
 
 #[test]
-fn a_writer_writes_the_newest_of_each_kind_and_retries_once_the_disk_works_again() {
+fn writer_writes_newest_payloads_and_retries_after_failures() {
     let disk = Disk::default();
-    let make = {
+    let make_storage = {
         let disk = disk.clone();
         move || Ok(disk.clone())
     };
-    let writer =
-        SnapshotWriter::start(Store::open_with(make, owner()).expect("a store")).expect("starts");
+    let writer = SnapshotWriter::start(Store::open_with(make_storage, owner()).expect("a store"))
+        .expect("starts");
     for put in 0..1000 {
         payloads(put % 7)
             .into_iter()
@@ -98,19 +98,19 @@
     assert!(writer.flush(TIMEOUT));
     let written = writer.written();
     assert!(written.commits >= 1 && written.failed == 0, "{written:?}");
-    // A disk that fails is reported once.
+    // A failed write is reported.
     disk.0.lock().expect("no panic").full = true;
     payloads(3)
         .into_iter()
         .for_each(|(kind, payload)| writer.enqueue(kind, payload));
     assert!(!writer.flush(TIMEOUT));
     assert!(writer.failure().is_some());
-    // redb takes nothing any more after a failure: the store must have been opened again for this.
+    // redb rejects all accesses after a failure, so this requires that the store was reopened.
     disk.0.lock().expect("no panic").full = false;
     let commits = writer.written().commits;
-    let begun = Instant::now();
+    let start = Instant::now();
     while writer.written().commits == commits {
-        assert!(begun.elapsed() < TIMEOUT, "{:?}", writer.written());
+        assert!(start.elapsed() < TIMEOUT, "{:?}", writer.written());
         std::thread::sleep(Duration::from_millis(5));
     }
     drop(writer);
@@ -122,12 +122,12 @@
 }
 
 #[test]
-fn the_file_stays_small_however_long_it_is_written() {
+fn file_size_stays_bounded_over_many_writes() {
     let folder = TempDir::new().expect("a folder");
     let mut store = Store::open(folder.path(), owner(), None)
         .expect("opens")
         .store;
-    // A quarter of an hour of one write a second, of what three hundred upstreams come to.
+    // 15 minutes with one write per second, each of the size for 300 upstreams.
     for second in 0..900 {
         let learned = format!(
             "{{\"put\":{second},\"fill\":\"{}\"}}",
--- a/balancer/snapshots/tests/power/main.rs
+++ b/balancer/snapshots/tests/power/main.rs
@@ -1,4 +1,4 @@
-//! Snapshots on disks that lose power, fill up or hold other bytes than were written.
+//! Snapshots on disks that lose power, are full or contain corrupt data.
 mod arbitrary_bytes;
 mod disk;
 mod files;
--- a/balancer/snapshots/tests/power/power_loss.rs
+++ b/balancer/snapshots/tests/power/power_loss.rs
@@ -1,4 +1,4 @@
-//! Power lost at every write and between any two syncs: each image of the disk that could be left is opened.
+//! Power loss after every disk operation: samples of the possible disk images are opened.
 use crate::disk::*;
 use crate::puts::*;
 use balancer_snapshots::store::StoreError;
@@ -16,7 +16,7 @@
     let mut image = durable.to_vec();
     let mut ops: Vec<Op> = unsynced.to_vec();
     match variant {
-        // All of it lost; all of it applied.
+        // All unsynced writes are lost, or all are applied.
         0 => ops.clear(),
         1 => {}
         _ => {
@@ -40,17 +40,17 @@
 const VARIANTS: usize = 16;
 
 #[test]
-fn after_a_power_loss_the_last_put_that_returned_or_the_one_in_flight_is_there() {
+fn power_loss_preserves_last_or_in_flight_put() {
     let disk = Disk::default();
     let mut store = Store::on_backend(disk.clone(), owner()).expect("a store");
-    // Where each put returned, as a position in the operations on the disk.
+    // For each put, the number of disk operations when it returned.
     let mut returned = vec![(disk.position(), None)];
     for put in 0..200 {
         store.put(&payloads(put), 1000.0).expect("puts");
         returned.push((disk.position(), Some(put)));
     }
     let ops = disk.0.lock().expect("no panic").ops.clone();
-    let begun = returned[0].0;
+    let created = returned[0].0;
     let rng = &mut Pcg64Mcg::seed_from_u64(1);
     let (mut durable, mut unsynced, mut opened) = (Vec::new(), Vec::new(), 0);
     for (at, op) in ops.iter().enumerate() {
@@ -75,8 +75,8 @@
                         "at {at}: {found:?} after {last:?}"
                     );
                 }
-                // A database whose creation was not complete has nothing to lose.
-                Err(StoreError::Corrupt(_)) if at < begun => {}
+                // A database whose creation was incomplete contains no records.
+                Err(StoreError::Corrupt(_)) if at < created => {}
                 Err(e) => panic!("at {at}, variant {variant}: {e}"),
             }
             opened += 1;
@@ -92,11 +92,11 @@
 }
 
 #[test]
-fn a_crash_in_the_middle_of_recovery_is_recovered_from_again_and_again() {
+fn recovery_survives_repeated_power_loss() {
     let disk = Disk::default();
     let mut store = Store::on_backend(disk.clone(), owner()).expect("a store");
     (0..5).for_each(|put| store.put(&payloads(put), 1000.0).expect("puts"));
-    // Not closed: what is on the disk must be repaired at the next opening.
+    // The store is not closed, so the file must be repaired when it is next opened.
     let mut image = disk.0.lock().expect("no panic").image.clone();
     std::mem::forget(store);
     let rng = &mut Pcg64Mcg::seed_from_u64(2);
@@ -105,7 +105,7 @@
         let store = Store::on_backend(disk.clone(), owner()).expect("recovers");
         assert_eq!(number(&store), Some(4), "round {round}");
         std::mem::forget(store);
-        // The power is lost at a random point of what the recovery wrote.
+        // Power is lost after a random number of the recovery's operations.
         let ops = disk.0.lock().expect("no panic").ops.clone();
         let power_loss = rng.gen_range(0..=ops.len());
         let synced = ops[..power_loss]
--- a/balancer/snapshots/tests/power/puts.rs
+++ b/balancer/snapshots/tests/power/puts.rs
@@ -1,4 +1,4 @@
-//! What is put into a store, and read back.
+//! Numbered payloads that are put into a store and read back.
 use balancer_snapshots::{Found, Kind, Owner, Store};
 
 pub(crate) fn owner() -> Owner {
@@ -8,9 +8,9 @@
     }
 }
 
-/// The payloads of a put of this number: every kind names the number, and is of its own length.
+/// The payloads of the put with this number, one of each kind, whose length depends on the number.
 pub(crate) fn payloads(number: usize) -> Vec<(Kind, String)> {
-    let of = |kind: Kind| {
+    let payload = |kind: Kind| {
         (
             kind,
             format!(
@@ -19,12 +19,12 @@
             ),
         )
     };
-    Kind::ALL.into_iter().map(of).collect()
+    Kind::ALL.into_iter().map(payload).collect()
 }
 
-/// The number that all kinds name, if they name one.
+/// The number of the put from which all records are, or `None` if there are no records.
 pub(crate) fn number(store: &Store) -> Option<usize> {
-    let one = |kind| match store.get(kind).expect("reads") {
+    let number_of = |kind| match store.get(kind).expect("reads") {
         Found::Missing => None,
         Found::Record(record) => {
             let number = record
@@ -35,9 +35,12 @@
             assert_eq!(record.payload, payloads(number)[0].1);
             Some(number)
         }
-        Found::Invalid(unfit) => panic!("{kind:?}: {unfit}"),
+        Found::Invalid(error) => panic!("{kind:?}: {error}"),
     };
-    let all: Vec<Option<usize>> = Kind::ALL.into_iter().map(one).collect();
-    assert!(all.iter().all(|n| *n == all[0]), "half a put: {all:?}");
-    all[0]
+    let numbers: Vec<Option<usize>> = Kind::ALL.into_iter().map(number_of).collect();
+    assert!(
+        numbers.iter().all(|n| *n == numbers[0]),
+        "partial put: {numbers:?}"
+    );
+    numbers[0]
 }
--- a/balancer/snapshots/tests/record.rs
+++ b/balancer/snapshots/tests/record.rs
@@ -1,4 +1,4 @@
-//! The bytes of a record: what is written is read, and nothing else.
+//! The record codec: records round-trip, and any other bytes are rejected.
 use balancer_snapshots::record::RecordError;
 use balancer_snapshots::{Kind, Record};
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_record_comes_back_as_it_was_for_its_owner_only() {
+fn record_round_trips_for_its_owner_only() {
     let bytes = record().encode(Kind::Learned, "n1");
     assert_eq!(
         Record::decode(&bytes, Kind::Learned, Some("n1")),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_later_format_is_distinguished_from_a_malformed_record() {
+fn later_format_is_distinguished_from_malformed_record() {
     let body = br#"{"format":9,"all":"else differs"}"#;
     let mut bytes = crc32fast::hash(body).to_be_bytes().to_vec();
     bytes.extend(body);
@@ -39,13 +39,13 @@
 }
 
 #[test]
-fn any_bit_that_flips_and_any_end_that_is_missing_is_seen() {
+fn any_flipped_bit_or_truncation_is_rejected() {
     let bytes = record().encode(Kind::Upstreams, "n1");
     for bit in 0..bytes.len() * 8 {
-        let mut other = bytes.clone();
-        other[bit / 8] ^= 1 << (bit % 8);
+        let mut corrupt = bytes.clone();
+        corrupt[bit / 8] ^= 1 << (bit % 8);
         assert!(
-            Record::decode(&other, Kind::Upstreams, Some("n1")).is_err(),
+            Record::decode(&corrupt, Kind::Upstreams, Some("n1")).is_err(),
             "bit {bit}"
         );
     }
