--- a/balancer/proxy/src/clients/connection.rs
+++ b/balancer/proxy/src/clients/connection.rs
@@ -1,4 +1,5 @@
-//! One client's connection: its requests one after another, and its close, which must not cross one that has come.
+//! A client connection: serves its requests in sequence and closes it. A close must not race with a request that has
+//! already arrived.
 use super::framing::Framing;
 use super::idle::ClientConnection;
 use super::linger::linger;
@@ -28,55 +29,55 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-/// A client has this long from connecting until its first request is complete: one that sends something else, or
-/// nothing, is owed an error or a close within 3 s.
+/// Maximum time from connecting until the first request is complete. A client that sends invalid input or nothing must
+/// get an error or a close within 3 s.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A persistent connection has this long for the head of its next request.
+/// Maximum time for the head of the next request on a persistent connection.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
-/// And this long for the body.
+/// Maximum time for the body of a request on a persistent connection.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection that is to close, and owes no response, has this long to take what was written, or to send the rest of
-/// a head that has begun.
+/// Maximum time for a closing connection without a pending response to flush its output, or to receive the rest of a
+/// partially received head.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 const READY_PATH: &str = "/-/ready";
 const SERVICE_PATH: &str = "/api";
 
-/// What every connection needs.
+/// State shared by all client connections.
 pub(super) struct Connections {
-    /// Takes its requests.
+    /// Receives and forwards requests.
     pub requests: Requests,
-    /// Where it has its slot.
+    /// Connection slots.
     pub slots: Rc<Slots>,
-    /// When it is to be closed.
+    /// The shutdown phase, which decides when connections are closed.
     pub phase: watch::Receiver<Phase>,
 }
 
-/// What ends a connection.
+/// Why a connection ends.
 enum CloseReason {
-    /// hyper has ended it: the client closed it, wanted it closed after a response, or sent no proper request.
+    /// hyper ended it: the client closed it, asked for a close after the response, or sent an invalid request.
     Finished,
-    /// hyper has ended it, as no head came in time.
+    /// hyper ended it: no request head arrived in time.
     HeadTimedOut,
-    /// The client disconnected while its request waited for a response.
+    /// The client disconnected while its request was waiting for a response.
     ClientDisconnected,
-    /// No complete request came in time.
+    /// No complete first request arrived in time.
     FirstRequestTimedOut,
-    /// It makes way for another client.
+    /// It was closed to free its slot for another client.
     Evicted,
-    /// The program ends.
+    /// The program is shutting down.
     ShuttingDown,
 }
 
-/// A connection's requests and what is known of it.
+/// A client connection: hyper's state machine, the socket and the bookkeeping.
 struct Exchange<C> {
-    /// hyper's side.
+    /// hyper's connection future.
     connection: C,
     stream: ClientStream,
     client: Rc<ClientConnection>,
 }
 
 impl<C: Future<Output = hyper::Result<()>> + Unpin> Exchange<C> {
-    /// Goes on until hyper ends the connection, or the client disconnects while its request waits for a response.
+    /// Completes when hyper ends the connection, or when the client disconnects while its request waits for a response.
     fn poll_serve(&mut self, cx: &mut Context<'_>) -> Poll<CloseReason> {
         if let Poll::Ready(closed) = Pin::new(&mut self.connection).poll(cx) {
             let is_overdue = closed.is_err_and(|error| error.is_timeout());
@@ -92,8 +93,8 @@
         Poll::Pending
     }
 
-    /// The same until the socket itself says that there is nothing to read: whoever closes without another await
-    /// leaves nothing unread that had come by then.
+    /// Serves until a read of the socket would block, regardless of the runtime's readiness state. A caller that closes
+    /// the connection without a further await drops no request that had arrived by then.
     fn poll_drained(&mut self, cx: &mut Context<'_>) -> Poll<Option<CloseReason>> {
         loop {
             if let Poll::Ready(reason) = self.poll_serve(cx) {
@@ -105,22 +106,22 @@
         }
     }
 
-    /// The same until no request is open, none has begun, and all that was written is on its way.
+    /// Serves until no request is open or partially received, and all output is flushed.
     fn poll_idle(&mut self, cx: &mut Context<'_>) -> Poll<Option<CloseReason>> {
         match self.poll_drained(cx) {
-            Poll::Ready(None) if self.is_quiet() => Poll::Ready(None),
+            Poll::Ready(None) if self.is_idle_and_flushed() => Poll::Ready(None),
             Poll::Ready(None) | Poll::Pending => Poll::Pending,
             closed => closed,
         }
     }
 
-    fn is_quiet(&self) -> bool {
-        self.client.is_idle() && self.stream.is_flushed() && !self.stream.has_begun()
+    fn is_idle_and_flushed(&self) -> bool {
+        self.client.is_idle() && self.stream.is_flushed() && !self.stream.has_partial_request()
     }
 
-    /// Waits until nothing is open on a connection that is to close for this reason. Guards against a close in the
-    /// middle of a head, whose last byte may have been written by then, and against clients that never read their
-    /// response: for these it waits until `until` at most.
+    /// Waits until a connection that is about to close for `reason` is idle. This avoids a close in the middle of a
+    /// request head whose last byte the client may already have sent. Clients that never read their response delay the
+    /// close until `until` at most.
     async fn close_idle(&mut self, reason: CloseReason, mut until: Instant) -> CloseReason {
         self.client.is_closing.set(true);
         loop {
@@ -139,23 +140,23 @@
 }
 
 impl Connections {
-    /// Serves one in a task of its own, once there is a slot for it.
+    /// Waits for a slot, then serves the connection in its own task.
     pub(super) async fn start(self: Rc<Connections>, socket: TcpStream) {
         if let Some(slot) = self.slots.acquire().await {
             tokio::task::spawn_local(self.serve(socket, slot));
         }
     }
 
-    /// Serves one until it ends.
+    /// Serves a connection until it ends.
     async fn serve(self: Rc<Connections>, socket: TcpStream, _slot: ClientSlot) {
-        // Without it responses wait for the client's acknowledgements; where it fails the client has disconnected.
+        // Without TCP_NODELAY, responses wait for the client's ACKs. A failure means that the client disconnected.
         if socket.set_nodelay(true).is_err() {
             return;
         }
         let client = ClientConnection::new(self.slots.connection_counts.register());
         self.slots.idle.became_idle(&client);
-        let first_by = Instant::now() + FIRST_REQUEST_TIMEOUT;
-        let first = Rc::new(Cell::new(Some(first_by)));
+        let first_request_deadline = Instant::now() + FIRST_REQUEST_TIMEOUT;
+        let first = Rc::new(Cell::new(Some(first_request_deadline)));
         let stream = ClientStream::new(socket);
         let connection = self.clone().http(&client, &stream, &first);
         let connection = std::pin::pin!(connection);
@@ -165,18 +166,17 @@
             client: client.clone(),
         };
         let reason = self
-            .serve_until_closed(&mut exchange, &first, first_by)
+            .serve_until_closed(&mut exchange, &first, first_request_deadline)
             .await;
         self.slots.idle.became_busy(&client);
-        // Only a last response is worth a wait, and only while nobody waits for the slot: what comes on a connection
-        // that is closed between requests may be a request, which must not be read and thrown away.
+        // Lingers only after a last response, and only while no other client needs the slot. Input on a connection that
+        // is closed between requests may be a request, which must not be read and discarded.
         if matches!(reason, CloseReason::Finished) && self.slots.has_free() {
             linger(&exchange.stream, &mut self.phase.clone()).await;
         }
     }
 
-    /// Returns hyper's side of a connection. `first` holds the time by which the first request must be complete, until
-    /// its head has come.
+    /// Creates hyper's connection future. `first` holds the deadline of the first request until its head arrives.
     fn http(
         self: Rc<Connections>,
         client: &Rc<ClientConnection>,
@@ -186,7 +186,7 @@
         let (client, first) = (client.clone(), first.clone());
         let service_stream = stream.clone();
         let service = service_fn(move |request| {
-            let body_by = first
+            let body_deadline = first
                 .take()
                 .unwrap_or_else(|| Instant::now() + BODY_TIMEOUT);
             service_stream.begin_body(Framing::of(&request));
@@ -195,7 +195,7 @@
             async move {
                 connections.slots.idle.became_busy(&client);
                 let response = connections
-                    .respond(request, body_by, &client, &stream)
+                    .respond(request, body_deadline, &client, &stream)
                     .await;
                 stream.end_request();
                 connections.slots.idle.became_idle(&client);
@@ -209,25 +209,26 @@
             .serve_connection(stream.clone(), service)
     }
 
-    /// Serves until the connection can be dropped. `first` holds the time of its first request, `by`, until that came.
+    /// Serves until the connection can be dropped. `first` holds the deadline of the first request, `deadline`, until the
+    /// head of that request arrives.
     async fn serve_until_closed<C: Future<Output = hyper::Result<()>> + Unpin>(
         &self,
         exchange: &mut Exchange<C>,
         first: &Cell<Option<Instant>>,
-        by: Instant,
+        deadline: Instant,
     ) -> CloseReason {
         let client = exchange.client.clone();
         let mut phase = self.phase.clone();
         let reason = loop {
             tokio::select! {
                 biased;
-                // A client's broken connection or garbage ends this connection only.
+                // A connection error or invalid input ends this connection only.
                 reason = poll_fn(|cx| exchange.poll_serve(cx)) => return reason,
-                () = sleep_until(by), if first.get().is_some() => {
+                () = sleep_until(deadline), if first.get().is_some() => {
                     if let Some(closed) = poll_fn(|cx| exchange.poll_drained(cx)).await {
                         return closed;
                     }
-                    // It has sent no complete request so far, so that nothing is owed but the close.
+                    // No complete request has arrived, so no response is pending.
                     if first.get().is_some() {
                         return CloseReason::FirstRequestTimedOut;
                     }
@@ -236,31 +237,36 @@
                 () = wait_for_closing(&mut phase) => break CloseReason::ShuttingDown,
             }
         };
-        let late = Instant::now() + FLUSH_TIMEOUT;
+        let flush_deadline = Instant::now() + FLUSH_TIMEOUT;
         exchange
-            .close_idle(reason, first.get().map_or(late, |by| by.min(late)))
+            .close_idle(
+                reason,
+                first
+                    .get()
+                    .map_or(flush_deadline, |deadline| deadline.min(flush_deadline)),
+            )
             .await
     }
 
-    /// Responds to a request whose body must have come by `body_by`.
+    /// Responds to a request whose body must be complete by `body_deadline`.
     async fn respond(
         &self,
         request: Request<Incoming>,
-        body_by: Instant,
+        body_deadline: Instant,
         client: &ClientConnection,
         stream: &ClientStream,
     ) -> Response<Full<Bytes>> {
         let mut response = match request.uri().path() {
             READY_PATH => plain(self.readiness()),
             path if path == SERVICE_PATH || path.starts_with("/api/") => self
-                .serve_request(request, body_by, client, stream)
+                .serve_request(request, body_deadline, client, stream)
                 .await
                 .unwrap_or_else(RequestError::response),
             _ => plain(StatusCode::NOT_FOUND),
         };
         let is_closing = client.is_closing.get() || *self.phase.borrow() >= Phase::Closing;
-        // What has come after this request is answered too.
-        if is_closing && !stream.read_available() && !stream.has_begun() {
+        // Input that has already arrived after this request is served too.
+        if is_closing && !stream.read_available() && !stream.has_partial_request() {
             response
                 .headers_mut()
                 .insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -276,22 +282,22 @@
         }
     }
 
-    /// Returns the final response to a request for the services, or why the request is rejected.
+    /// Forwards a service request and returns its final response, or why the request is rejected.
     async fn serve_request(
         &self,
         request: Request<Incoming>,
-        body_by: Instant,
+        body_deadline: Instant,
         client: &ClientConnection,
         stream: &ClientStream,
     ) -> Result<Response<Full<Bytes>>, RequestError> {
         let request = self
             .requests
-            .receive(request, body_by, &client.counted)
+            .receive(request, body_deadline, &client.counted)
             .await?;
         stream.begin_awaiting_response();
         stream.read_available();
         if stream.is_disconnected() {
-            // Its connection ends in this same turn, and nothing is sent for nobody.
+            // The connection task drops this future in the same poll: no attempt is made for a disconnected client.
             pending::<()>().await;
         }
         let response = match self.requests.forward(request) {
--- a/balancer/proxy/src/clients/framing.rs
+++ b/balancer/proxy/src/clients/framing.rs
@@ -1,17 +1,17 @@
-//! Where a request ends among a client's bytes, as far as that can be told without parsing it. It only divides what
-//! hyper reads into pieces; what the pieces mean is hyper's. Owns the place that was reached.
+//! Finds the end of a request in a client's byte stream without parsing it. This only limits how much hyper reads at
+//! once; hyper interprets the bytes. Owns the current position in the request.
 use hyper::body::Body;
 use hyper::Request;
 
-/// Looks for the empty line that ends a head.
+/// Scans for the empty line that ends a request head.
 #[derive(Default)]
 pub(super) struct HeadScan {
-    /// Nothing has come since the last line's end.
+    /// No byte of the current line has been seen.
     at_line_start: bool,
 }
 
 impl HeadScan {
-    /// How many of these bytes may be taken: all up to the end of an empty line, or all.
+    /// Returns how many of these bytes hyper may read: up to the end of an empty line, or all.
     pub(super) fn take(&mut self, bytes: &[u8]) -> usize {
         for (position, &byte) in bytes.iter().enumerate() {
             match byte {
@@ -25,16 +25,16 @@
     }
 }
 
-/// How a body comes.
+/// How the end of a body is found.
 pub(super) enum Framing {
-    /// So many bytes are to come.
+    /// By length: this many bytes are left.
     Length(u64),
-    /// In chunks: it ends with some empty line, and `last_empty` says whether the last one taken was empty.
+    /// Chunked: the body ends with an empty line; `last_empty` tells whether the last line read was empty.
     Lines { last_empty: bool },
 }
 
 impl Framing {
-    /// That of this request's body.
+    /// Returns the framing of the body of `request`.
     pub(super) fn of<B: Body>(request: &Request<B>) -> Framing {
         request
             .body()
@@ -43,7 +43,7 @@
             .map_or(Framing::Lines { last_empty: false }, Framing::Length)
     }
 
-    /// How many of these bytes may be taken, and counts them.
+    /// Returns how many of these bytes hyper may read, and counts them as read.
     pub(super) fn take(&mut self, bytes: &[u8]) -> usize {
         match self {
             Framing::Length(left) => {
@@ -64,12 +64,12 @@
         }
     }
 
-    /// Whether something was taken that is not this body's, once that is complete.
-    pub(super) fn may_have_taken_beyond(&self) -> bool {
+    /// Whether bytes beyond the body may have been read, given that the body is complete.
+    pub(super) fn may_have_read_beyond(&self) -> bool {
         matches!(self, Framing::Lines { last_empty: false })
     }
 
-    /// Nothing is to come any more.
+    /// Whether the body is known to be complete.
     pub(super) fn is_complete(&self) -> bool {
         matches!(self, Framing::Length(0))
     }
--- a/balancer/proxy/src/clients/idle.rs
+++ b/balancer/proxy/src/clients/idle.rs
@@ -1,5 +1,5 @@
-//! Client connections between requests. Owns which of them are idle and since when, and finds the one to evict for
-//! another client; which tenant's it is to be is decided by the balancer core.
+//! Client connections between requests. Owns the set of idle connections with their idle times, and selects the one to
+//! evict for another client; the balancer core decides which tenant loses a connection.
 use crate::connection_counts::CountedConnection;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -8,18 +8,18 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A connection that has been idle for this long is evicted before others.
-const IDLE_LONG_ENOUGH: Duration = Duration::from_secs(2);
+/// Connections that have been idle for this long are evicted first.
+const PREFERRED_EVICTION_IDLE_TIME: Duration = Duration::from_secs(2);
 
-/// A client's connection.
+/// The eviction state of a client connection.
 pub(super) struct ClientConnection {
     /// Notified when the connection is evicted.
     pub close_requested: Notify,
-    /// Whether it closes once it is idle, so that its responses say so.
+    /// Whether it closes once it is idle; its responses then carry `Connection: close`.
     pub is_closing: Cell<bool>,
-    /// Counts it for its tenant.
+    /// Counts the connection for its tenant.
     pub counted: CountedConnection,
-    /// Its key among the idle connections, while it is one.
+    /// Its key in the set of idle connections, while it is idle.
     idle_key: Cell<Option<IdleKey>>,
 }
 
@@ -51,13 +51,13 @@
 /// The connections between requests.
 #[derive(Default)]
 pub(super) struct IdleConnections {
-    /// The one idle longest comes first.
+    /// Ordered by idle time, longest first.
     idle: RefCell<BTreeMap<IdleKey, Idle>>,
     last_key: Cell<IdleKey>,
 }
 
 impl IdleConnections {
-    /// Notes that a connection is between requests, or has sent nothing yet.
+    /// Marks a connection as between requests, or as new.
     pub(super) fn became_idle(&self, client: &Rc<ClientConnection>) {
         let key = self.last_key.get() + 1;
         self.last_key.set(key);
@@ -69,16 +69,16 @@
         self.idle.borrow_mut().insert(key, idle);
     }
 
-    /// Notes that a connection has begun a request, or is closed.
+    /// Marks a connection as serving a request, or as closed.
     pub(super) fn became_busy(&self, client: &ClientConnection) {
         if let Some(key) = client.idle_key.take() {
             self.idle.borrow_mut().remove(&key);
         }
     }
 
-    /// Tells one idle connection to close and returns whether there was any. Of those idle for long enough it takes one
-    /// that never sent a request, else one of the tenant that `tenant_to_evict` names by the connection counts. Where
-    /// none has been idle for that long, it takes the one idle longest.
+    /// Requests the close of one idle connection and returns whether there was one. Among the connections idle for at
+    /// least [`PREFERRED_EVICTION_IDLE_TIME`] it selects one that never sent a request, or else one of the tenant that
+    /// `tenant_to_evict` selects by the connection counts. If there is none, it selects the longest idle connection.
     pub(super) fn evict_one(
         &self,
         counts: &[u32],
@@ -87,7 +87,7 @@
         let mut idle = self.idle.borrow_mut();
         let long_idle = || {
             idle.values()
-                .take_while(|idle| idle.since.elapsed() >= IDLE_LONG_ENOUGH)
+                .take_while(|idle| idle.since.elapsed() >= PREFERRED_EVICTION_IDLE_TIME)
                 .map(|idle| &idle.client)
         };
         let first_of =
--- a/balancer/proxy/src/clients/linger.rs
+++ b/balancer/proxy/src/clients/linger.rs
@@ -1,6 +1,6 @@
-//! A lingering close: whoever closes a socket over bytes that it has not read resets the connection, and the client's
-//! system may then throw away the last response before the client has read it. So after a last response only the side that
-//! writes is shut, and what the client still sends is read and thrown away for a little while. Owns no state.
+//! A lingering close. Closing a socket with unread input resets the connection, and the client's kernel may then
+//! discard the last response before the client has read it. After a last response, only the write side is shut down,
+//! and input is read and discarded for a short time. Owns no state.
 use super::phase::{wait_for_closed, Phase};
 use super::stream::ClientStream;
 use std::future::poll_fn;
@@ -8,14 +8,14 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Whether connections linger at all.
+/// Whether lingering is enabled.
 const ENABLED: bool = true;
-/// Longest time that a connection lingers.
+/// Maximum time that a connection lingers.
 const MAX_LINGER: Duration = Duration::from_millis(500);
-/// Maximum of bytes discarded while it lingers.
+/// Maximum number of bytes discarded while a connection lingers.
 const MAX_DISCARDED_BYTES: usize = 64 << 10;
 
-/// Closes a connection whose last response was written. Nothing that comes from now on is taken as a request.
+/// Closes a connection after its last response. Later input is not treated as a request.
 pub(super) async fn linger(stream: &ClientStream, phase: &mut watch::Receiver<Phase>) {
     if !ENABLED || stream.is_disconnected() || stream.shut_write().is_err() {
         return;
@@ -28,7 +28,7 @@
     }
 }
 
-/// Reads until the client has closed its side, or has sent too much.
+/// Reads until the client has closed its side or has sent [`MAX_DISCARDED_BYTES`].
 async fn discard(stream: &ClientStream) {
     let mut left = MAX_DISCARDED_BYTES;
     while left > 0 {
--- a/balancer/proxy/src/clients/mod.rs
+++ b/balancer/proxy/src/clients/mod.rs
@@ -1,4 +1,4 @@
-//! The clients' side: receives complete requests, forwards them to the driver and writes the one final response.
+//! Client connections: receives complete requests, forwards them to the driver and writes the final response of each.
 mod connection;
 mod framing;
 mod idle;
--- a/balancer/proxy/src/clients/phase.rs
+++ b/balancer/proxy/src/clients/phase.rs
@@ -1,28 +1,28 @@
-//! How far the end of the program has come, as clients' connections see it. Owns no state.
+//! The shutdown phase as client connections see it. Owns no state.
 use tokio::sync::watch;
 
-/// How far the end of the program has come.
+/// The shutdown phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
-    /// Serving.
+    /// Requests are served and the readiness check succeeds.
     Serving,
-    /// Shutting down: what comes is still served, but the balancer is not ready any more for those who check that.
-    /// Clients go on using the connections they have, and may have nobody else to turn to yet, so these stay
-    /// open for as long as all can be answered.
+    /// Shutting down: new requests are still served, but the readiness check fails. Clients keep using their
+    /// connections and may not know another balancer yet, so connections stay open for as long as all requests can be
+    /// answered.
     Draining,
-    /// Nothing new is accepted, and connections between requests are closed.
+    /// No new connections are accepted, and idle connections are closed.
     Closing,
-    /// All is answered, or will not be any more: connections that only linger are dropped.
+    /// No further request will be answered: lingering connections are dropped.
     Closed,
 }
 
-/// Waits until clients' connections are to be closed.
+/// Waits until client connections should close.
 pub(super) async fn wait_for_closing(phase: &mut watch::Receiver<Phase>) {
-    // The sender was dropped: all is over.
+    // An error means that the sender was dropped: the program is ending.
     let _ = phase.wait_for(|p| *p >= Phase::Closing).await;
 }
 
-/// Waits until nothing may linger any more.
+/// Waits until connections must stop lingering.
 pub(super) async fn wait_for_closed(phase: &mut watch::Receiver<Phase>) {
     let _ = phase.wait_for(|p| *p == Phase::Closed).await;
 }
--- a/balancer/proxy/src/clients/requests.rs
+++ b/balancer/proxy/src/clients/requests.rs
@@ -1,4 +1,4 @@
-//! Receives complete requests, classifies them and forwards them to the driver. Owns the settings of classes and tenants.
+//! Receives complete requests, classifies them and forwards them to the driver. Owns the class and tenant settings.
 use super::responses::rejection;
 use crate::connection_counts::CountedConnection;
 use crate::driver::{Handle, PendingResponse, ReceivedRequest};
@@ -13,9 +13,9 @@
 use std::cell::Cell;
 use tokio::time::{timeout_at, Instant};
 
-/// Longest request id accepted, in bytes.
+/// Maximum length of a request id, in bytes.
 const MAX_REQUEST_ID_LEN: usize = 256;
-/// Longest time that a client may wait, in milliseconds: a day.
+/// Maximum client timeout, in milliseconds: one day.
 const MAX_TIMEOUT: Millis = 86_400_000.0;
 
 /// Why a request is rejected.
@@ -40,17 +40,17 @@
     #[error("the method or Idempotency-Key does not fit the class")]
     ClassMismatch,
     #[error("a GET has no body")]
-    BodyOfGet,
+    GetWithBody,
     #[error("the body is too large")]
     BodyTooLarge,
     #[error("the body is broken")]
-    BodyBroken,
+    BodyReadFailed,
     #[error("the body did not come")]
     BodyTimedOut,
 }
 
 impl RequestError {
-    /// Returns the response that says so.
+    /// Returns the response that reports the error.
     pub(super) fn response(self) -> Response<Full<Bytes>> {
         let status = match self {
             RequestError::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
@@ -61,7 +61,7 @@
     }
 }
 
-/// What a request's head says of it.
+/// The class, tenant and timeout stated in a request head.
 struct Classification {
     class: usize,
     tenant: usize,
@@ -70,30 +70,30 @@
 
 /// Receives requests for the driver.
 pub(super) struct Requests {
-    /// Responds to them.
+    /// Forwards the requests.
     pub driver: Handle,
-    /// The settings of classes and tenants.
+    /// The class and tenant settings.
     pub deployment: Deployment,
 }
 
 impl Requests {
-    /// Receives a complete request, whose body must have come by `body_by`.
+    /// Receives a complete request, whose body must be complete by `body_deadline`.
     ///
     /// # Errors
-    /// Says why the request is rejected.
+    /// Fails if the request is rejected.
     pub(super) async fn receive(
         &self,
         request: Request<Incoming>,
-        body_by: Instant,
+        body_deadline: Instant,
         connection: &CountedConnection,
     ) -> Result<ReceivedRequest, RequestError> {
         let (head, body) = request.into_parts();
         let classification = self.classify(&head.method, &head.headers)?;
         connection.assign_to(classification.tenant);
         if head.method == Method::GET && !body.is_end_stream() {
-            return Err(RequestError::BodyOfGet);
+            return Err(RequestError::GetWithBody);
         }
-        let body = receive_body(body, body_by).await?;
+        let body = receive_body(body, body_deadline).await?;
         let mut headers = head.headers;
         retain_end_to_end(&mut headers);
         headers.remove(&DEADLINE_HEADER);
@@ -116,7 +116,8 @@
         })
     }
 
-    /// Forwards a request to the driver: from now on one final response is owed. `None`: more are open than may be.
+    /// Forwards a request to the driver, which then gives it exactly one final response. Returns `None` if too many
+    /// requests are open.
     pub(super) fn forward(&self, request: ReceivedRequest) -> Option<PendingResponse> {
         self.driver.handle_request(request)
     }
@@ -161,7 +162,7 @@
     }
 }
 
-/// Returns the value of a header that is there once.
+/// Returns the value of a header that occurs exactly once.
 fn single<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?.to_str().ok()?;
@@ -172,19 +173,19 @@
     names.iter().position(|listed| listed == name)
 }
 
-async fn receive_body(body: Incoming, by: Instant) -> Result<Bytes, RequestError> {
+async fn receive_body(body: Incoming, deadline: Instant) -> Result<Bytes, RequestError> {
     if body.size_hint().lower() > MAX_BODY_LEN as u64 {
         return Err(RequestError::BodyTooLarge);
     }
-    match timeout_at(by, Limited::new(body, MAX_BODY_LEN).collect()).await {
+    match timeout_at(deadline, Limited::new(body, MAX_BODY_LEN).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(RequestError::BodyTooLarge),
-        Ok(Err(_)) => Err(RequestError::BodyBroken),
+        Ok(Err(_)) => Err(RequestError::BodyReadFailed),
         Err(_) => Err(RequestError::BodyTimedOut),
     }
 }
 
-/// Parses a duration as clients write it: a number and `m` for milliseconds or `u` for microseconds.
+/// Parses a client timeout: a number followed by `m` for milliseconds or `u` for microseconds.
 fn parse_duration(text: &str) -> Option<Millis> {
     let text = text.trim();
     let (number, unit) = match (text.strip_suffix('m'), text.strip_suffix('u')) {
@@ -202,7 +203,7 @@
     use super::*;
 
     #[test]
-    fn durations_have_a_number_and_a_unit() {
+    fn parses_only_durations_with_a_number_and_a_unit() {
         assert_eq!(parse_duration("480m"), Some(480.0));
         assert_eq!(parse_duration("1500u"), Some(1.5));
         for bad in [
--- a/balancer/proxy/src/clients/responses.rs
+++ b/balancer/proxy/src/clients/responses.rs
@@ -1,4 +1,4 @@
-//! The responses that clients get, in HTTP's form. Owns no state.
+//! Builds the HTTP responses for clients. Owns no state.
 use crate::message::FinalResponse;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -12,14 +12,14 @@
     response
 }
 
-/// Returns a response that says on one line what is wrong with a request.
-pub(super) fn rejection(status: StatusCode, what: &str) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::new(Bytes::from(format!("{what}\n"))));
+/// Returns a response that states in one line why a request is rejected.
+pub(super) fn rejection(status: StatusCode, reason: &str) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(Bytes::from(format!("{reason}\n"))));
     *response.status_mut() = status;
     response
 }
 
-/// Converts the one final response to a request.
+/// Converts a final response to HTTP.
 pub(super) fn to_http(response: FinalResponse) -> Response<Full<Bytes>> {
     match response {
         FinalResponse::Served { headers, body } => {
@@ -30,7 +30,7 @@
         FinalResponse::Refused { retry_after } => {
             let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
             if retry_after > 0.0 {
-                // Digits and a point only, so this cannot fail.
+                // Cannot fail: the value consists of digits and a decimal point.
                 if let Ok(after) = HeaderValue::try_from(format!("{:.3}", retry_after / 1000.0)) {
                     response.headers_mut().insert(header::RETRY_AFTER, after);
                 }
--- a/balancer/proxy/src/clients/server.rs
+++ b/balancer/proxy/src/clients/server.rs
@@ -1,4 +1,4 @@
-//! Accepts clients for as long as the program serves. Owns nothing beside what it hands to their connections.
+//! Accepts client connections while the program serves. Owns the state that the connections share.
 use super::connection::Connections;
 use super::phase::{wait_for_closing, Phase};
 use super::requests::Requests;
@@ -13,14 +13,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Pause after an accept that failed, for want of descriptors for one.
+/// Pause after a failed accept, for example when no descriptors are left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// The clients' side.
+/// Accepts and serves client connections.
 pub(crate) struct Server(Rc<Connections>);
 
 impl Server {
-    /// Serves clients through `driver`, on what `sockets` leaves.
+    /// Creates a server that forwards requests to `driver` and takes connection slots from `sockets`.
     pub(crate) fn new(
         driver: Handle,
         deployment: Deployment,
@@ -36,7 +36,7 @@
         }))
     }
 
-    /// Accepts clients until the program closes. Returns once every connection has ended.
+    /// Accepts clients until the closing phase. Returns once every connection has ended.
     pub(crate) async fn run(self, listener: TcpListener) {
         let Server(connections) = self;
         let (slots, mut phase, mut failing) =
@@ -52,7 +52,7 @@
                     failing = false;
                     connections.clone().start(stream).await;
                 }
-                // Out of descriptors, or a client that left at once: no reason to end, nor to spin.
+                // Out of descriptors, or the client disconnected before the accept: keep accepting, but do not spin.
                 Err(e) => {
                     if !std::mem::replace(&mut failing, true) {
                         log_accept_failure(&e);
@@ -69,8 +69,9 @@
     }
 }
 
-/// Accepts whoever waits by now, and drops the listener once the system itself says that nobody does: what they have
-/// written counts as taken, and the runtime may not know of them yet. No await stands between that and the drop.
+/// Accepts all connections in the backlog, then drops the listener. Requests written on those connections count as
+/// received, and the runtime may not know of the connections yet, so the system call itself must report an empty
+/// backlog. There is no await between that and the drop.
 async fn accept_backlog(connections: &Rc<Connections>, listener: TcpListener) -> io::Result<()> {
     let listener = listener.into_std()?;
     loop {
@@ -83,7 +84,7 @@
                     .await;
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
-            // A client that left at once, or a signal.
+            // The client disconnected before the accept, or a signal interrupted the call.
             Err(e)
                 if matches!(
                     e.kind(),
@@ -95,5 +96,5 @@
 }
 
 fn log_accept_failure(error: &io::Error) {
-    tracing::warn!(target: "callers", event = "accept_failed", error = %error, "accept: {error}");
+    tracing::warn!(target: "callers", event = "accept_failed", error = %error, "cannot accept a client connection: {error}");
 }
--- a/balancer/proxy/src/clients/slots.rs
+++ b/balancer/proxy/src/clients/slots.rs
@@ -1,5 +1,5 @@
-//! Connection slots for clients: who gets one, and which connection is evicted for it. Owns no state beyond the idle
-//! connections and the counts that it is given.
+//! Connection slots for clients, and the eviction of connections to free one. Owns the set of idle connections and a
+//! handle to the connection counts.
 use super::idle::IdleConnections;
 use crate::connection_counts::ConnectionCounts;
 use crate::driver::Handle;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// While all client connections are busy, the next attempt to evict one comes after this.
+/// Interval between eviction attempts while all client connections are busy.
 const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The clients' share of the socket budget.
@@ -22,8 +22,8 @@
 }
 
 impl Slots {
-    /// Creates slots from what `sockets` leaves; where that is not enough, idle upstream connections of `driver` are
-    /// closed for them.
+    /// Creates slots from the budget in `sockets`. When it is exhausted, idle upstream connections of `driver` are
+    /// closed to free sockets.
     pub(super) fn new(
         driver: Handle,
         sockets: Sockets,
@@ -37,15 +37,15 @@
         })
     }
 
-    /// Evicts a connection between requests and returns whether there was any.
+    /// Evicts an idle connection and returns whether there was one.
     pub(super) fn evict_one(&self) -> bool {
         let counts = self.connection_counts.by_tenant();
         self.idle
             .evict_one(&counts, |eligible| self.driver.tenant_to_evict(eligible))
     }
 
-    /// Waits for a slot for one more client. Guards against idle connections that clients keep open and that shut others
-    /// out: what is written to a connection that waits to be accepted counts as received, so an idle one is evicted.
+    /// Waits for a slot for one more client. Requests written to a connection in the backlog count as received, so an
+    /// idle connection is evicted: clients that keep idle connections open must not block others.
     pub(super) async fn acquire(&self) -> Option<ClientSlot> {
         loop {
             if let Some(slot) = self.sockets.try_acquire_client() {
@@ -54,7 +54,7 @@
             if !self.evict_one() && self.sockets.is_exhausted() {
                 self.driver.free_socket();
             }
-            // Whoever closes returns its slot; while all are busy, try again a little later.
+            // A closed connection returns its slot. While all are busy, try to evict again after the interval.
             let acquired = self.sockets.acquire_client();
             if let Ok(slot) = timeout(EVICTION_RETRY_INTERVAL, acquired).await {
                 return slot;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Whether one more client may connect now.
+    /// Whether a slot is available now.
     pub(super) fn has_free(&self) -> bool {
         self.sockets.try_acquire_client().is_some()
     }
--- a/balancer/proxy/src/clients/stream.rs
+++ b/balancer/proxy/src/clients/stream.rs
@@ -1,6 +1,6 @@
-//! A client's socket, as its connection's task and hyper share it. Owns what was read from it and not yet handed to
-//! hyper. While a request waits for its response the connection's task reads ahead here, so that the end of the client
-//! shows also behind bytes of its next request.
+//! A client socket shared by its connection task and hyper. Owns the bytes that were read but not yet passed to hyper.
+//! While a request waits for its response, the connection task reads ahead here, so that a disconnect is detected even
+//! behind bytes of the next request.
 use super::framing::{Framing, HeadScan};
 use bytes::{Buf, BytesMut};
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -17,28 +17,28 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Sleep};
 
-/// Maximum read ahead of hyper, in bytes.
+/// Maximum number of bytes read ahead of hyper.
 const MAX_READ_AHEAD: usize = 16 << 10;
-/// Read at once.
+/// Size of one read, in bytes.
 const READ_CHUNK_LEN: usize = 4 << 10;
-/// How often the end of a client that has sent more than is read ahead is looked for.
+/// Interval of the check for a disconnected client once the read-ahead buffer is full.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// What hyper may read now.
+/// Which part of the input hyper may read now.
 enum Reading {
-    /// The head of a request; `begun` once a part of it was handed over.
+    /// The head of a request; `begun` is set once a part of it was passed to hyper.
     Head { scan: HeadScan, begun: bool },
-    /// The body of the request that is open.
+    /// The body of the open request.
     Body(Framing),
-    /// Nothing: the request was read completely and waits for its response. `begun` as for the next one's head.
+    /// Nothing: the request is complete and waits for its response. `begun` refers to the head of the next request.
     AwaitingResponse { begun: bool },
 }
 
 impl Reading {
-    /// Whether hyper has a part of the next request.
+    /// Whether a part of the next request was passed to hyper.
     fn has_begun(&self) -> bool {
         match self {
-            Reading::Body(framing) => framing.may_have_taken_beyond(),
+            Reading::Body(framing) => framing.may_have_read_beyond(),
             Reading::Head { begun, .. } | Reading::AwaitingResponse { begun } => *begun,
         }
     }
@@ -48,21 +48,21 @@
     socket: TcpStream,
     read_ahead: BytesMut,
     reading: Reading,
-    /// The client has shut its side, or the connection is broken.
+    /// Whether the client has shut down its write side, or the connection failed.
     disconnected: bool,
-    /// All that hyper wrote was taken by the system.
+    /// Whether the kernel has accepted all output of hyper.
     flushed: bool,
-    /// The connection's task, while it waits for the socket.
+    /// Wakes the connection task while it waits for the socket.
     waker: Option<Waker>,
     disconnect_poll: Option<Pin<Box<Sleep>>>,
 }
 
-/// A client's socket. Clones are the same one.
+/// A client socket. Clones share it.
 #[derive(Clone)]
 pub(super) struct ClientStream(Rc<RefCell<Shared>>);
 
 impl ClientStream {
-    /// Nothing is read so far.
+    /// Creates a stream on which nothing has been read.
     pub(super) fn new(socket: TcpStream) -> ClientStream {
         ClientStream(Rc::new(RefCell::new(Shared {
             socket,
@@ -78,12 +78,12 @@
         })))
     }
 
-    /// Notes that a head was read completely, and that its body comes in this framing.
+    /// Marks the request head as complete; its body follows with this framing.
     pub(super) fn begin_body(&self, framing: Framing) {
         self.0.borrow_mut().reading = Reading::Body(framing);
     }
 
-    /// Notes that the request was read completely and waits for its response from now on.
+    /// Marks the request as complete and waiting for its response.
     pub(super) fn begin_awaiting_response(&self) {
         let mut shared = self.0.borrow_mut();
         shared.reading = Reading::AwaitingResponse {
@@ -91,7 +91,7 @@
         };
     }
 
-    /// Notes that the request has its response: hyper reads on.
+    /// Marks the request as answered; hyper may read the next one.
     pub(super) fn end_request(&self) {
         let mut shared = self.0.borrow_mut();
         shared.reading = Reading::Head {
@@ -100,7 +100,7 @@
         };
         shared.disconnect_poll = None;
         let unread = !shared.read_ahead.is_empty() || shared.disconnected;
-        // hyper waits, as nothing was there before.
+        // hyper found nothing to read before and is waiting.
         if let Some(waker) = shared.waker.take_if(|_| unread) {
             waker.wake();
         }
@@ -111,7 +111,7 @@
         matches!(self.0.borrow().reading, Reading::AwaitingResponse { .. })
     }
 
-    /// Whether the system has taken all that was written.
+    /// Whether the kernel has accepted all output.
     pub(super) fn is_flushed(&self) -> bool {
         self.0.borrow().flushed
     }
@@ -121,14 +121,14 @@
         self.0.borrow().disconnected
     }
 
-    /// Whether a part of a request has come that hyper has not read completely.
-    pub(super) fn has_begun(&self) -> bool {
+    /// Whether a request has been received in part.
+    pub(super) fn has_partial_request(&self) -> bool {
         let shared = self.0.borrow();
         !shared.read_ahead.is_empty() || shared.reading.has_begun()
     }
 
-    /// Reads what lies in the socket at this very moment, whatever the runtime knows of it. Returns whether anything
-    /// was found: bytes, or the end of the client.
+    /// Reads the input available now, regardless of the runtime's readiness state. Returns whether there was any: bytes
+    /// or a disconnect.
     pub(super) fn read_available(&self) -> bool {
         let mut shared = self.0.borrow_mut();
         let mut found = false;
@@ -156,18 +156,18 @@
         if shared.disconnected {
             return Poll::Ready(());
         }
-        shared.poll_disconnected_beyond(cx)
+        shared.poll_disconnected_with_full_buffer(cx)
     }
 }
 
 /// Closing.
 impl ClientStream {
-    /// Shuts the side that writes: the client finds the end behind all that was written.
+    /// Shuts down the write side: the client sees the end of the stream after all output.
     pub(super) fn shut_write(&self) -> io::Result<()> {
         SockRef::from(&self.0.borrow().socket).shutdown(Shutdown::Write)
     }
 
-    /// Reads once and throws away what came. Returns how much that was: none once the client has disconnected.
+    /// Reads once and discards the input. Returns its length, which is zero once the client has disconnected.
     pub(super) fn poll_discard(&self, cx: &mut Context<'_>) -> Poll<usize> {
         let mut chunk = [0; READ_CHUNK_LEN];
         let mut buffer = ReadBuf::new(&mut chunk);
@@ -208,8 +208,8 @@
         }
     }
 
-    /// Looks for the end of a client that has sent more than is read ahead: the system shows it without a read.
-    fn poll_disconnected_beyond(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+    /// Detects a disconnect while the read-ahead buffer is full: the readiness state shows it without a read.
+    fn poll_disconnected_with_full_buffer(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         loop {
             let ready = pin!(self.socket.ready(Interest::READABLE)).poll(cx);
             if let Poll::Ready(Ok(ready)) = ready {
@@ -226,8 +226,8 @@
         }
     }
 
-    /// Returns how much of what was read ahead hyper may have now, and notes that it has it.
-    fn take_ahead(&mut self, max_len: usize) -> usize {
+    /// Returns how much of the read-ahead buffer hyper may read now, and counts it as read.
+    fn take_read_ahead(&mut self, max_len: usize) -> usize {
         let available = &self.read_ahead[..self.read_ahead.len().min(max_len)];
         match &mut self.reading {
             Reading::AwaitingResponse { .. } => 0,
@@ -239,7 +239,7 @@
         }
     }
 
-    fn reads_nothing(&self) -> bool {
+    fn is_read_blocked(&self) -> bool {
         match &self.reading {
             Reading::AwaitingResponse { .. } => true,
             Reading::Body(framing) => framing.is_complete(),
@@ -249,15 +249,15 @@
 }
 
 impl Read for ClientStream {
-    /// Hands over no byte beyond the end of a request, as far as that can be told: what follows it stays here, where
-    /// it can be seen.
+    /// Passes no bytes beyond the end of a request to hyper, as far as the end is known. Later bytes stay in the
+    /// read-ahead buffer, where they can be detected.
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         mut into: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let mut shared = self.0.borrow_mut();
-        if shared.reads_nothing() {
+        if shared.is_read_blocked() {
             shared.register_waker(cx);
             return Poll::Pending;
         }
@@ -267,11 +267,11 @@
         if shared.read_ahead.is_empty() {
             return Poll::Ready(Ok(()));
         }
-        let length = shared.take_ahead(into.remaining());
+        let length = shared.take_read_ahead(into.remaining());
         into.put_slice(&shared.read_ahead[..length]);
         shared.read_ahead.advance(length);
         if shared.read_ahead.is_empty() {
-            // Idle connections hold no memory for what they may read.
+            // Idle connections hold no read buffer.
             shared.read_ahead = BytesMut::new();
         }
         Poll::Ready(Ok(()))
@@ -289,7 +289,7 @@
         Pin::new(&mut shared.socket).poll_write(cx, bytes)
     }
 
-    /// hyper flushes once it has written all it had.
+    /// hyper flushes once it has written all its output.
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let mut shared = self.0.borrow_mut();
         shared.flushed = true;
--- a/balancer/proxy/src/connection_counts.rs
+++ b/balancer/proxy/src/connection_counts.rs
@@ -1,19 +1,19 @@
-//! Client connections counted by tenant, to choose the one to evict and to report them to the tier. A connection belongs
-//! to the tenant of its last request, and to no tenant before its first. Owns the counts.
+//! Client connections by tenant, counted to select the one to evict and to report them to the tier. A connection
+//! belongs to the tenant of its last request, and to no tenant before its first. Owns the counts.
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Number of open connections of each tenant's clients. Clones share the counts.
+/// Number of open client connections of each tenant. Clones share the counts.
 #[derive(Clone, Default)]
 pub(crate) struct ConnectionCounts(Rc<RefCell<Vec<u32>>>);
 
 impl ConnectionCounts {
-    /// Creates counts of zero for so many tenants.
+    /// Creates zero counts for this number of tenants.
     pub(crate) fn new(tenants: usize) -> ConnectionCounts {
         ConnectionCounts(Rc::new(RefCell::new(vec![0; tenants])))
     }
 
-    /// Registers a connection of no tenant yet; it is counted until dropped.
+    /// Registers a connection that has no tenant yet. It is counted until dropped.
     pub(crate) fn register(&self) -> CountedConnection {
         CountedConnection {
             counts: self.clone(),
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Returns the counts, indexed by the tenant's position.
+    /// Returns the counts, indexed by tenant.
     pub(crate) fn by_tenant(&self) -> Vec<u32> {
         self.0.borrow().clone()
     }
