--- a/balancer/proxy/src/discovery/call.rs
+++ b/balancer/proxy/src/discovery/call.rs
@@ -1,4 +1,4 @@
-//! One connection to discovery, and one call on it. Decides nothing.
+//! A connection to discovery and a call on it. Decides nothing.
 use super::watch::{CallId, Event, LONG_POLL_TIMEOUT};
 use crate::listing::{Listing, ListingError, Names};
 use bytes::Bytes;
@@ -15,7 +15,7 @@
 use tokio::task::AbortHandle;
 use tokio_util::io::InspectReader;
 
-/// Largest list accepted, in bytes.
+/// Maximum size of a list, in bytes.
 const MAX_LIST_LEN: usize = 4 << 20;
 
 /// Why a call failed.
@@ -27,7 +27,7 @@
     Request(#[source] hyper::http::Error),
     #[error("{0}")]
     Http(#[source] hyper::Error),
-    #[error("answered {0}")]
+    #[error("unexpected status {0}")]
     Status(StatusCode),
     #[error("{0}")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
@@ -35,11 +35,11 @@
     Listing(#[from] ListingError),
 }
 
-/// What a call reports.
+/// A report of a call.
 pub(super) enum CallReport {
-    /// How far it is, or that it failed.
+    /// Progress or failure.
     Event(Event),
-    /// It was answered; its connection is free for the next call.
+    /// The response; the connection can be reused for the next call.
     Answered(CallId, Listing, Connection),
 }
 
@@ -47,7 +47,7 @@
 pub(super) struct Connection {
     sender: http1::SendRequest<Empty<Bytes>>,
     task: AbortHandle,
-    /// The call that what is read belongs to.
+    /// The call that received bytes belong to.
     call: Rc<Cell<CallId>>,
 }
 
@@ -69,7 +69,7 @@
         let stream = InspectReader::new(stream, move |bytes: &[u8]| {
             if !bytes.is_empty() {
                 let received = Event::Received(current_call.get());
-                // Nobody listens any more once the watch has ended.
+                // Fails only after the watch has ended.
                 let _ = reports.send(CallReport::Event(received));
             }
         });
@@ -77,7 +77,7 @@
             .await
             .map_err(CallError::Http)?;
         let task = tokio::task::spawn_local(async move {
-            // How the connection ended shows in the call that was on it.
+            // The call on this connection reports the error.
             let _ = connection.await;
         });
         Ok(Connection {
@@ -88,29 +88,29 @@
     }
 }
 
-/// A call that is to be made.
+/// A call to discovery.
 pub(super) struct Call {
     /// Its id.
     pub id: CallId,
-    /// The version that is known, if any.
+    /// The known version, if any.
     pub since: Option<u64>,
-    /// Where discovery listens.
+    /// The address of discovery.
     pub addr: SocketAddr,
-    /// A connection from an earlier call to that address.
+    /// An idle connection from an earlier call to that address.
     pub reusable: Option<Connection>,
-    /// Names of zones and kinds.
+    /// The names of zones and kinds.
     pub names: Rc<Names>,
 }
 
 impl Call {
-    /// Makes the call and reports its progress and its result.
+    /// Makes the call and reports its progress and result.
     pub(super) async fn run(self, reports: UnboundedSender<CallReport>) {
         let id = self.id;
         let report = match self.response(&reports).await {
             Ok((listing, connection)) => CallReport::Answered(id, listing, connection),
             Err(error) => CallReport::Event(Event::Failed(id, error.to_string())),
         };
-        // Nobody listens any more once the watch has ended.
+        // Fails only after the watch has ended.
         let _ = reports.send(report);
     }
 
@@ -156,7 +156,8 @@
     }
 }
 
-/// Returns the connection if it may carry a call: one that discovery closed after its last response is no failed call.
+/// Returns the connection if it can carry a call. Discovery may have closed it after its last response, which is not a
+/// failed call.
 async fn usable(connection: Option<Connection>) -> Option<Connection> {
     let mut connection = connection?;
     connection.sender.ready().await.ok()?;
--- a/balancer/proxy/src/discovery/runner.rs
+++ b/balancer/proxy/src/discovery/runner.rs
@@ -1,5 +1,5 @@
-//! Carries out the watch's actions, and hands lists to their user. Owns the calls in flight and the connection that is
-//! free between two calls; decides nothing.
+//! Carries out the actions of the watch and delivers lists to their user. Owns the calls in flight and the idle
+//! connection between two calls; decides nothing.
 use super::call::{Call, CallReport, Connection};
 use super::watch::{Action, CallId, Event, ListUpdate, Mode, Watch};
 use crate::listing::{ListUser, Listing, Names};
@@ -11,9 +11,9 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep_until, Instant};
 
-/// Keeps the endpoint list fresh: serves the module's subscriptions and keeps a watch in place.
+/// Keeps the endpoint list up to date: serves the module's subscriptions and maintains the watch.
 pub(crate) struct Discovery {
-    /// Where discovery listens now; a reload may name another address.
+    /// The address of discovery, which a reload may change.
     addr: Receiver<SocketAddr>,
     version: Option<u64>,
     calls: Calls,
@@ -30,8 +30,8 @@
 struct Calls {
     names: Rc<Names>,
     running: Vec<RunningCall>,
-    /// A connection that carries no call now.
-    free: Option<Connection>,
+    /// An idle connection.
+    idle: Option<Connection>,
     reports: UnboundedSender<CallReport>,
 }
 
@@ -41,7 +41,7 @@
             id,
             since,
             addr,
-            reusable: self.free.take(),
+            reusable: self.idle.take(),
             names: self.names.clone(),
         };
         let task = tokio::task::spawn_local(call.run(self.reports.clone()));
@@ -68,7 +68,7 @@
     }
 }
 
-/// What ended a wait.
+/// Why a wait ended.
 enum Wakeup {
     AddressChanged,
     Report(CallReport),
@@ -76,11 +76,11 @@
     Timeout,
 }
 
-/// What is to be done after a wakeup.
+/// The actions to take after a wakeup.
 #[derive(Default)]
 struct Step {
     actions: Vec<Action>,
-    /// The list that came, for [`Action::Deliver`].
+    /// The received list, for [`Action::Deliver`].
     listing: Option<Listing>,
 }
 
@@ -91,7 +91,7 @@
         let calls = Calls {
             names: Rc::new(names),
             running: Vec::new(),
-            free: None,
+            idle: None,
             reports: sender,
         };
         Discovery {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Keeps the list fresh for ever.
+    /// Runs the watch forever.
     pub(crate) async fn run(mut self, user: impl ListUser, mode: Mode) {
         let mut watch = Watch::new(mode, self.version);
         let mut first = Step::default();
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Waits for whatever comes first. What has come goes before timeouts: a call that was answered is not late.
+    /// Waits for the next event. Events take precedence over timeouts: a call with a response is not overdue.
     async fn next_wakeup(&mut self, user: &impl ListUser, timeout: Option<Instant>) -> Wakeup {
         let timeout = async {
             match timeout {
@@ -142,7 +142,7 @@
                 watch.handle_event(now, Event::Subscribed, &mut step.actions);
             }
             Wakeup::AddressChanged => {
-                self.calls.free = None;
+                self.calls.idle = None;
                 watch.handle_event(now, Event::AddressChanged, &mut step.actions);
             }
             Wakeup::Report(report) => {
@@ -151,14 +151,15 @@
                 }
             }
         }
-        // However much comes, timeouts that are due are handled.
+        // Handles due timeouts even under a constant flow of events.
         if watch.next_timeout().is_some_and(|at| now >= at) {
             watch.on_timeout(now, &mut step.actions);
         }
         step
     }
 
-    /// Turns a report into the watch's event. `None`: it is of a call that was abandoned, maybe at an earlier address.
+    /// Converts a report to an event of the watch. Returns `None` for a response to an abandoned call, possibly from an
+    /// earlier address.
     fn event(&mut self, report: CallReport, listing: &mut Option<Listing>) -> Option<Event> {
         match report {
             CallReport::Event(event) => {
@@ -172,7 +173,7 @@
                     return None;
                 }
                 self.calls.end(id);
-                self.calls.free = Some(connection);
+                self.calls.idle = Some(connection);
                 let update = ListUpdate {
                     version: answered.version,
                     full: answered.full,
@@ -196,7 +197,7 @@
                 }
                 Action::Overdue { received } => log_overdue(received),
                 Action::Fail(error) => {
-                    self.calls.free = None;
+                    self.calls.idle = None;
                     tracing::info!(target: "discovery", event = "discovery_failed", error, "discovery: {error}");
                     user.handle_list_failure();
                 }
@@ -207,9 +208,9 @@
 
 fn log_overdue(received: bool) {
     let error = if received {
-        "no whole answer in time"
+        "no complete response in time"
     } else {
-        "no answer in time"
+        "no response in time"
     };
     tracing::info!(target: "discovery", event = "discovery_silent", error, "discovery: {error}");
 }
--- a/balancer/proxy/src/discovery/watch.rs
+++ b/balancer/proxy/src/discovery/watch.rs
@@ -1,100 +1,101 @@
-//! When discovery is called: a state machine on injected time, without I/O. Owns what is known of the watch: the version
-//! of the list, the call that stands, and an older one that may still be answered.
+//! Decides when discovery is called: a state machine without I/O that gets the time from its caller. Owns the state of
+//! the watch: the version of the list, the current call, and an overdue call that may still be answered.
 //!
-//! One deadline holds in every state: [`Watch::next_timeout`] is never further away than [`CALL_TIMEOUT`] after the last call
-//! began or [`MAX_BACKOFF`] after it failed, and then discovery is called again whatever came before. A change counts as
-//! delivered 6 s after discovery had it and could be reached. The longest way there is a pause, two calls without a response
-//! and one with: 2 s, twice 1.5 s, and 0.5 s for the response.
+//! In every state, [`Watch::next_timeout`] is at most [`CALL_TIMEOUT`] after the last call began or [`MAX_BACKOFF`]
+//! after it failed; discovery is then called again, regardless of earlier events. A change must be delivered within 6 s
+//! of the time when discovery has it and is reachable. The worst case is a backoff, two calls without a response and
+//! one with a response: 2 s, twice 1.5 s, and 0.5 s for the response.
 use std::time::{Duration, Instant};
 
-/// How long a call may wait for changes at discovery.
+/// How long discovery may hold a call while it waits for changes.
 pub(super) const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(1);
-/// A call without a complete response this long after it began is followed by the next: its wait, and time to respond.
+/// A call without a complete response after this time is overdue, and the next call begins. Covers the long poll and
+/// the time to respond.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Pause after a failed call where the list is pushed: the agent is on this machine and responds at no cost.
+/// Backoff after a failed call in [`Mode::Pushed`]. It is short because the agent runs on the same machine.
 const PUSHED_BACKOFF: Duration = Duration::from_millis(500);
-/// Pause after a failed call where lists are requested, unless the module subscribes earlier.
+/// Backoff after a failed call in [`Mode::OnRequest`], unless the module subscribes earlier.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// A call that is answered with nothing newer is followed by the next this long after it began at the soonest: discovery
-/// may respond without waiting. A watch continues if the next call comes within 200 ms of the last response.
+/// Minimum time from the start of a call that returned nothing newer to the next call, because discovery may respond
+/// without waiting. Discovery continues a watch if the next call arrives within 200 ms of the last response.
 const MIN_CALL_INTERVAL: Duration = Duration::from_millis(100);
-/// How long an overdue call may go on, from its beginning, while nothing of its response has come.
+/// Maximum duration of an overdue call, from its start, while no byte of its response has arrived.
 const OVERDUE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long an overdue call may go on between two chunks of its response.
+/// Maximum time between two chunks of the response to an overdue call.
 const OVERDUE_READ_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long an overdue call may go on in all.
+/// Maximum total duration of an overdue call.
 const MAX_OVERDUE: Duration = Duration::from_secs(30);
 
-/// One call, numbered in the order in which they begin.
+/// Identifies a call. Ids increase in the order in which calls begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct CallId(u64);
 
-/// How the list is had.
+/// How the list is obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// The watch always stands.
+    /// The watch is always active.
     Pushed,
-    /// The watch stands once the module has subscribed; a failed call ends the subscription.
+    /// The watch is active once the module has subscribed; a failed call ends the subscription.
     OnRequest,
 }
 
-/// What a response says of the list.
+/// Summary of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ListUpdate {
-    /// The version that it leads to.
+    /// The version of the list after this update.
     pub version: u64,
-    /// Whether it is the full list.
+    /// Whether this is the full list.
     pub full: bool,
-    /// Whether it names any upstream.
+    /// Whether it contains any upstream.
     pub changes: bool,
 }
 
-/// What happened.
+/// An input of the watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Event {
     /// The module has subscribed to changes.
     Subscribed,
-    /// Discovery has another address.
+    /// The address of discovery has changed.
     AddressChanged,
-    /// The connection of a call is up.
+    /// The connection of a call is established.
     Connected(CallId),
-    /// Some bytes of a response came.
+    /// Some bytes of a response arrived.
     Received(CallId),
-    /// A complete response came.
+    /// A complete response arrived.
     Answered(CallId, ListUpdate),
-    /// A call was refused, broke, or brought what cannot be used.
+    /// A call failed: connection refused or broken, or unusable response.
     Failed(CallId, String),
 }
 
-/// What is to be done, in this order.
+/// An output of the watch. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Action {
     /// Call for changes since a version, or for the full list.
     Call {
-        /// Its number.
+        /// The id of the call.
         id: CallId,
-        /// The version that is known.
+        /// The known version.
         since: Option<u64>,
     },
-    /// Give a call up and close its connection.
+    /// Abort a call and close its connection.
     Abandon(CallId),
-    /// Hand the list that has just come to its user.
+    /// Deliver the list that was just received to its user.
     Deliver,
-    /// Log that a call was not answered in time; whether a part of the response came.
+    /// Log that a call is overdue.
     Overdue {
-        /// See there.
+        /// Whether a part of the response arrived.
         received: bool,
     },
-    /// Report that the watch has failed, and why.
+    /// Report that the watch failed, with the cause.
     Fail(String),
 }
 
-/// How far a call is.
+/// The progress of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Connecting,
     Waiting,
-    /// Since when nothing more came.
+    /// With the time of the last received bytes.
     Receiving(Instant),
 }
 
@@ -111,13 +112,13 @@
         matches!(self.stage, Stage::Receiving(_))
     }
 
-    /// Whether a response may still come though it is late. A connection that came up and on which a call for changes
-    /// stays without a byte is broken.
+    /// Whether a late response is still possible. If a long poll gets no byte on an established connection, the
+    /// connection is broken.
     fn may_be_answered(&self) -> bool {
         self.stage != Stage::Waiting || self.since.is_none()
     }
 
-    /// When it is given up once it is overdue.
+    /// Returns when the call is abandoned once it is overdue.
     fn expires_at(&self) -> Instant {
         match self.stage {
             Stage::Connecting | Stage::Waiting => self.began + OVERDUE_RESPONSE_TIMEOUT,
@@ -128,21 +129,21 @@
 
 #[derive(Clone, Copy, Debug)]
 enum State {
-    /// Nobody has subscribed yet.
+    /// There is no subscription yet.
     Unsubscribed,
-    /// A call stands.
+    /// A call is in flight.
     Calling(Call),
-    /// The last call failed, or brought nothing newer too soon.
+    /// The last call failed, or returned nothing newer within [`MIN_CALL_INTERVAL`].
     BackingOff { until: Instant },
 }
 
-/// The watch.
+/// The state machine of the watch.
 pub(super) struct Watch {
     mode: Mode,
-    /// The version of the list that is known.
+    /// The known version of the list.
     version: Option<u64>,
     state: State,
-    /// A call that was not answered in time but may be yet; the next one stands beside it.
+    /// A call that got no response in time but may still get one; it runs in parallel with the next call.
     overdue: Option<Call>,
     /// Whether the current subscription has had its first response.
     is_informed: bool,
@@ -150,7 +151,7 @@
 }
 
 impl Watch {
-    /// A watch that begins with the version of the list that the balancer already has, if any.
+    /// Creates a watch that starts from the version of the list that the balancer already has, if any.
     pub(super) fn new(mode: Mode, version: Option<u64>) -> Watch {
         Watch {
             mode,
@@ -162,14 +163,14 @@
         }
     }
 
-    /// Begins; a pushed list is watched without a subscription.
+    /// Starts the watch; in [`Mode::Pushed`] no subscription is needed.
     pub(super) fn handle_start(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if self.mode == Mode::Pushed {
             self.begin_call(now, actions);
         }
     }
 
-    /// When [`Watch::on_timeout`] is due.
+    /// Returns when [`Watch::on_timeout`] is due.
     pub(super) fn next_timeout(&self) -> Option<Instant> {
         let call_again = match self.state {
             State::Unsubscribed => None,
@@ -180,7 +181,7 @@
         call_again.into_iter().chain(overdue_expiry).min()
     }
 
-    /// Does what is due by now.
+    /// Handles all timeouts due at `now`.
     pub(super) fn on_timeout(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if let Some(call) = self.overdue.take_if(|call| now >= call.expires_at()) {
             actions.push(Action::Abandon(call.id));
@@ -198,11 +199,11 @@
         }
     }
 
-    /// Takes what happened. Events of calls that were given up are ignored.
+    /// Handles an event. Events of abandoned calls are ignored.
     pub(super) fn handle_event(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Subscribed => self.handle_subscribed(now, actions),
-            Event::AddressChanged => self.handle_moved(now, actions),
+            Event::AddressChanged => self.handle_address_changed(now, actions),
             Event::Connected(id) => self.set_stage(id, Stage::Waiting),
             Event::Received(id) => self.set_stage(id, Stage::Receiving(now)),
             Event::Answered(id, update) => self.handle_answered(now, id, update, actions),
@@ -212,14 +213,14 @@
 
     fn handle_subscribed(&mut self, now: Instant, actions: &mut Vec<Action>) {
         self.is_informed = false;
-        // The current call answers the subscription.
+        // The response to the current call also answers the subscription.
         if !matches!(self.state, State::Calling(_)) {
             self.begin_call(now, actions);
         }
     }
 
-    /// The old address reports nothing more, and the new one has not failed yet.
-    fn handle_moved(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    /// Abandons the calls to the old address and calls the new one without a backoff.
+    fn handle_address_changed(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if let Some(call) = self.overdue.take() {
             actions.push(Action::Abandon(call.id));
         }
@@ -260,10 +261,10 @@
             return self.handle_failed(now, id, error, actions);
         }
         let newer = self.version.is_none_or(|known| update.version > known);
-        // Guards against an overdue response that is older than what came meanwhile.
+        // Ignores an overdue response that is older than the known list.
         if self.version.is_none_or(|known| update.version >= known) {
             self.version = Some(update.version);
-            // One event answers the subscription; after that only changes are delivered.
+            // The first response answers the subscription; after that, only changes are delivered.
             if !self.is_informed || update.full || update.changes {
                 actions.push(Action::Deliver);
             }
@@ -280,8 +281,8 @@
         }
     }
 
-    /// The connection of the response has proven itself: the next call goes on it, unless the current one is being
-    /// answered.
+    /// The connection that delivered the overdue response works, so the next call reuses it, unless the current call is
+    /// already receiving its response.
     fn handle_overdue_answered(&mut self, now: Instant, actions: &mut Vec<Action>) {
         self.overdue = None;
         match self.state {
@@ -299,7 +300,7 @@
         error: String,
         actions: &mut Vec<Action>,
     ) {
-        // That an overdue call fails is of no interest: the next one has replaced it.
+        // The failure of an overdue call is irrelevant: the next call has replaced it.
         if self.overdue.take_if(|call| call.id == id).is_some() {
             return;
         }
@@ -317,17 +318,17 @@
         actions.push(Action::Fail(error));
     }
 
-    /// Keeps the call beside the next one if it may still be answered. At most one is kept, and one whose response
-    /// is coming goes before one that has none.
+    /// Keeps an overdue call in flight if it may still be answered. At most one is kept; a call that is receiving its
+    /// response takes precedence over one that is not.
     fn keep_overdue(&mut self, call: Call, actions: &mut Vec<Action>) {
-        let better = self
+        let takes_precedence = self
             .overdue
             .is_none_or(|other| call.is_receiving() && !other.is_receiving());
-        let given_up = match better && call.may_be_answered() {
+        let abandoned = match takes_precedence && call.may_be_answered() {
             true => self.overdue.replace(call),
             false => Some(call),
         };
-        actions.extend(given_up.map(|call| Action::Abandon(call.id)));
+        actions.extend(abandoned.map(|call| Action::Abandon(call.id)));
     }
 
     fn begin_call(&mut self, now: Instant, actions: &mut Vec<Action>) {
--- a/balancer/proxy/tests/discovery.rs
+++ b/balancer/proxy/tests/discovery.rs
@@ -78,7 +78,7 @@
         command(&config(unresponsive.addr, 1024, &known)),
         Discovery::start(),
     );
-    node.logs_times("discovery: no answer in time", 3);
+    node.logs_times("discovery: no response in time", 3);
     let mut call = unresponsive.reach();
     assert!(read(&mut call).expect("a call").start.contains("since=1&"));
     let list = listing(2, true, &[(1, new.addr, "active")]);
--- a/balancer/proxy/tests/sockets_watch.rs
+++ b/balancer/proxy/tests/sockets_watch.rs
@@ -77,7 +77,7 @@
     );
     let node = Node::start(1024, &listing(5, true, &[(0, old.addr, "active")]));
     assert!(node.discovery.called().contains("since=5&"));
-    node.logs("discovery: no answer in time");
+    node.logs("discovery: no response in time");
     // Too late: nobody hears this one any more.
     node.discovery
         .answer(&listing(6, true, &[(1, new.addr, "active")]));
