--- a/balancer/proxy/src/driver.rs
+++ b/balancer/proxy/src/driver.rs
@@ -1,5 +1,5 @@
-//! The one owner of the decision module: feeds it events in order, carries out its actions, and keeps its clock, its
-//! timers and the ids of requests and attempts. Nothing is decided here.
+//! Owns the decision module: passes it events in order, carries out its actions, and maintains its clock, its timers
+//! and the ids of requests and attempts. Decides nothing.
 mod attempts;
 mod endpoints;
 mod observability;
@@ -28,36 +28,37 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Longest timer that the module may ask for.
+/// Maximum duration of a timer set by the module, in milliseconds.
 const MAX_TIMER: Millis = 71.0 * 60_000.0;
 
-/// Returns the milliseconds since 1970, the module's clock, so that start times of upstreams need no conversion.
+/// Returns the Unix time in milliseconds. The module's clock uses it, so that start times of upstreams need no
+/// conversion.
 pub(crate) fn unix_ms() -> Millis {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0.0, |elapsed| elapsed.as_secs_f64() * 1000.0)
 }
 
-/// What a driver is built from.
+/// The parts of a driver.
 pub(crate) struct DriverConfig {
     /// The decision module.
     pub balancer: Balancer,
-    /// When the module's clock read `start_ms`.
+    /// The instant at which the module's clock read `start_ms`.
     pub start: Instant,
-    /// The clock at the start; it advances by elapsed time alone, whatever is done to the system's clock.
+    /// The module's clock at the start. It advances by elapsed time and ignores changes of the system clock.
     pub start_ms: Millis,
     /// Carries out attempts on upstream connections.
     pub transport: Transport,
-    /// Maximum of requests open at once.
+    /// Maximum number of open requests.
     pub max_open: usize,
     /// Counts the outcomes of requests and attempts, if metrics are on.
     pub metrics: Option<Metrics>,
-    /// Persists what outlives the program, if recovery is on.
+    /// Saves state for the next start, if recovery is on.
     pub recovery: Option<Recovery>,
 }
 
 impl Handle {
-    /// Sets the driver up; [`Handle::run`] must run for its timers to fire.
+    /// Creates a driver; its timers fire only while [`Handle::run`] runs.
     pub(crate) fn new(config: DriverConfig) -> Handle {
         let driver = Driver {
             balancer: config.balancer,
@@ -83,7 +84,7 @@
         }))
     }
 
-    /// Feeds the module an event and carries out its actions, and so on for the events that follow at once from these.
+    /// Passes an event to the module and carries out its actions, then does the same for the events that these cause.
     fn feed(&self, event: Event) {
         let mut driver = self.0.driver.borrow_mut();
         driver.events.push_back(event);
--- a/balancer/proxy/src/driver/attempts.rs
+++ b/balancer/proxy/src/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight, from their send to the one end that counts. Owns no state.
+//! Attempts in flight, from their start to the first result. Owns no state.
 use super::state::{Attempt, AttemptId, Driver, Handle};
 use super::timers::Timer;
 use crate::message::{FinalResponse, OutgoingRequest};
@@ -10,12 +10,12 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// How long the module lets an attempt take.
+/// Time limits that the module sets for an attempt.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptLimits {
-    /// From its send to its response; zero: until the request's deadline.
+    /// Maximum time until the response; zero: until the request's deadline.
     pub timeout: Millis,
-    /// When it must not be written any more, on the module's clock.
+    /// When the write must have begun, on the module's clock.
     pub write_by: Millis,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// An attempt that is about to be written.
+/// An attempt that is ready to start.
 struct Dispatch {
     id: AttemptId,
     target: Rc<Upstream>,
@@ -44,7 +44,7 @@
 }
 
 impl Handle {
-    /// Begins an attempt, or tells the module that it is moot.
+    /// Starts an attempt, or reports to the module that it is no longer possible.
     pub(super) fn send(
         &self,
         driver: &mut Driver,
@@ -64,7 +64,7 @@
         }
         let task = self.spawn_attempt(driver, upstream, dispatch);
         let timeout = driver.timers.set(until, Timer::Attempt(id));
-        driver.note_attempt_began(id, upstream);
+        driver.record_attempt_began(id, upstream);
         let attempt = Attempt {
             upstream,
             sent_at: now,
@@ -104,7 +104,7 @@
         task.abort_handle()
     }
 
-    /// Tells the module that an attempt has ended, unless an earlier end of it counts.
+    /// Reports the end of an attempt to the module, unless it has already ended.
     pub(super) fn on_attempt_ended(&self, id: AttemptId, result: AttemptResult) {
         let event = self.0.driver.borrow_mut().end_attempt(id, result);
         if let Some(event) = event {
@@ -114,8 +114,8 @@
 }
 
 impl Driver {
-    /// Counts the attempt for its request. `None`: the request is not open, or the attempt is moot, which the module is
-    /// told.
+    /// Counts the attempt for its request. Returns `None` if the request is not open, or if the attempt is no longer
+    /// possible; the latter is reported to the module.
     fn prepare_attempt(
         &mut self,
         now: Instant,
@@ -128,7 +128,7 @@
         let open = self.open.get_mut(&request)?;
         let id = AttemptId::new(request, open.attempts_sent);
         if id.number == 0 {
-            // The first attempt follows the request at once: its client has waited while the program was stalled.
+            // The first attempt follows the request immediately, so the client waited for the duration of the stall.
             open.deadline -= stalled_ms;
         }
         open.attempts_sent += 1;
@@ -156,15 +156,15 @@
         })
     }
 
-    /// Records the end of an attempt; only the first one counts. What still runs for it stops, and its connection
-    /// is closed. The event is the module's one outcome for its send.
+    /// Records the end of an attempt; only the first result counts. Aborts its task, which closes the connection unless
+    /// it was returned to the pool. Returns the only outcome event for this attempt.
     pub(super) fn end_attempt(&mut self, id: AttemptId, result: AttemptResult) -> Option<Event> {
         let attempt = self.attempts.remove(&id)?;
         attempt.task.abort();
         self.timers.cancel(attempt.timeout);
         self.forget_removed_upstream(attempt.upstream);
         let duration = attempt.sent_at.elapsed().as_secs_f64() * 1000.0;
-        self.note_attempt_ended(id, result.ending, duration);
+        self.record_attempt_ended(id, result.ending, duration);
         let closed = self.apply_attempt_result(id.request, result.response);
         self.forget_request(id.request);
         Some(Event::Outcome {
@@ -176,7 +176,7 @@
         })
     }
 
-    /// Hands an attempt's response to the client and returns whether the request is answered or closed now.
+    /// Sends an attempt's response to the client and returns whether the request is now answered or closed.
     fn apply_attempt_result(&mut self, id: RequestId, response: Option<FinalResponse>) -> bool {
         let Some(open) = self.open.get_mut(&id) else {
             return true;
@@ -186,18 +186,18 @@
         if let Some(response) = response {
             if let Some(responder) = open.end() {
                 is_served = true;
-                // A client that disconnected in the same instant gets nothing; it is owed no response any more.
+                // Fails if the client has just disconnected; it needs no response then.
                 let _ = responder.send(response);
             }
         }
         let is_closed = !open.is_unanswered();
         if is_served {
-            self.note_request_ended(id, RequestOutcome::Served);
+            self.record_request_ended(id, RequestOutcome::Served);
         }
         is_closed
     }
 
-    /// Moves the timeouts of attempts that would last past this time to it.
+    /// Limits the timeouts of all attempts to `at`.
     pub(super) fn limit_attempts(&mut self, at: Instant) {
         let late = self
             .attempts
@@ -214,7 +214,7 @@
     }
 }
 
-/// Returns the times of an attempt on the runtime's clock.
+/// Converts the limits of an attempt to the runtime's clock.
 fn attempt_times(
     now: Instant,
     now_ms: Millis,
@@ -227,7 +227,7 @@
     } else {
         left
     };
-    // An attempt that may not be written any more is over then, so that this bounds its dial as well.
+    // The attempt ends if the write has not begun by then, so this also bounds the time to connect.
     let write_within = (limits.write_by - now_ms).clamp(0.0, wait);
     AttemptTimes {
         write_by: now + Duration::from_secs_f64(write_within / 1000.0),
--- a/balancer/proxy/src/driver/endpoints.rs
+++ b/balancer/proxy/src/driver/endpoints.rs
@@ -1,11 +1,11 @@
-//! The endpoint list: updates of discovery go to the module, and addresses and connections follow them. Owns no state.
+//! The endpoint list: passes updates from discovery to the module and updates upstream connections. Owns no state.
 use super::state::{Driver, Handle, KnownUpstream};
 use crate::listing::{Entry, ListUser, Listing};
 use crate::upstreams::Upstream;
 use balancer_core::{Availability, EndpointUpdate, Event, UpstreamId};
 
 impl Handle {
-    /// Whether an upstream is known that takes requests.
+    /// Whether there is an upstream that accepts requests.
     pub(crate) fn is_ready(&self) -> bool {
         let driver = self.0.driver.borrow();
         driver
@@ -14,12 +14,12 @@
             .any(|known| known.availability == Availability::Ready)
     }
 
-    /// Closes an idle connection to an upstream, if there is one: its socket is needed elsewhere.
+    /// Closes the longest idle upstream connection, if there is one, to free its socket.
     pub(crate) fn free_socket(&self) {
         self.0.driver.borrow_mut().free_socket();
     }
 
-    /// Takes the list that was known at the start, if any.
+    /// Restores the list known at the start, if any.
     pub(crate) fn restore_endpoints(&self, listing: Option<&Listing>) {
         let endpoints = listing.iter().flat_map(|list| list.endpoints()).collect();
         if let Some(listing) = listing {
@@ -54,7 +54,7 @@
 }
 
 impl Driver {
-    /// Forgets an upstream that was removed once no attempt to it is in flight.
+    /// Drops a removed upstream once no attempt to it is in flight.
     pub(super) fn forget_removed_upstream(&mut self, id: UpstreamId) {
         let is_removed = self
             .upstreams
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Closes the connection that has been idle longest, of all upstreams: its socket is needed elsewhere.
+    /// Closes the longest idle connection of all upstreams, to free its socket.
     pub(super) fn free_socket(&mut self) {
         let oldest = self
             .upstreams
@@ -85,14 +85,14 @@
         if let Some(metrics) = &mut self.metrics {
             metrics.list_answered();
         }
-        // A response without changes leaves the saved list as it is.
+        // A response without changes does not change the saved list.
         let has_changes = listing.full || !listing.entries.is_empty();
         if let Some(recovery) = self.recovery.as_mut().filter(|_| has_changes) {
             recovery.save_list(listing);
         }
     }
 
-    /// Takes a full list: what it leaves out is removed.
+    /// Applies a full list: upstreams that are not in it are removed.
     fn replace_endpoints(&mut self, listing: &Listing) {
         for (id, known) in &mut self.upstreams {
             if !listing.entries.iter().any(|entry| entry.endpoint.id == *id) {
@@ -103,7 +103,7 @@
         self.update_endpoints(listing);
     }
 
-    /// Takes the entries of a list, and forgets what was removed.
+    /// Applies the entries of a list, and drops removed upstreams.
     fn update_endpoints(&mut self, listing: &Listing) {
         self.has_endpoints |= !listing.entries.is_empty();
         for entry in &listing.entries {
@@ -130,8 +130,8 @@
                 availability: endpoint.availability,
                 started_ms: endpoint.since,
             });
-        // Another address or another start is another process. Attempts in flight to the former one keep their
-        // reference to it: nothing more is written to it, and their connections are not reused.
+        // A different address or start time means a different process. Attempts in flight keep their reference to the
+        // former one: nothing more is written to it, and its connections are not reused.
         if known.upstream.addr.get() != entry.addr || known.started_ms != endpoint.since {
             close(&known.upstream);
             known.upstream = unconnected();
@@ -145,7 +145,7 @@
     }
 }
 
-/// Lets nothing more be written to an upstream.
+/// Prevents further writes to an upstream and closes its idle connections.
 fn close(upstream: &Upstream) {
     upstream.is_closed.set(true);
     upstream.close_idle();
--- a/balancer/proxy/src/driver/observability.rs
+++ b/balancer/proxy/src/driver/observability.rs
@@ -1,10 +1,10 @@
-//! What operators see of requests and attempts: metrics and log events. Owns no state.
+//! Metrics and log events of requests and attempts. Owns no state.
 use super::state::{AttemptId, Driver, Handle};
 use crate::metrics::{attempt_outcome_name, Gauges, Metrics, RequestOutcome};
 use balancer_core::{Availability, Ending, RequestId, UpstreamId};
 
 impl Handle {
-    /// Passes the counters and the current gauges on, if metrics are on.
+    /// Calls `read` with the counters and the current gauges, if metrics are on.
     pub(crate) fn with_metrics<T>(&self, read: impl FnOnce(&Metrics, Gauges) -> T) -> Option<T> {
         let driver = self.0.driver.borrow();
         let metrics = driver.metrics.as_ref()?;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Whether single requests are counted or logged. Nothing is looked up or timed for it otherwise.
+    /// Whether individual requests are counted or logged. If not, the lookups and timestamps for that are skipped.
     pub(super) fn observes_requests(&self) -> bool {
         self.metrics.is_some()
             || tracing::enabled!(target: "requests", tracing::Level::DEBUG)
@@ -38,7 +38,7 @@
     }
 
     /// Counts and logs the end of a request.
-    pub(super) fn note_request_ended(&mut self, id: RequestId, outcome: RequestOutcome) {
+    pub(super) fn record_request_ended(&mut self, id: RequestId, outcome: RequestOutcome) {
         if !self.observes_requests() {
             return;
         }
@@ -55,7 +55,7 @@
     }
 
     /// Counts and logs the start of an attempt.
-    pub(super) fn note_attempt_began(&mut self, id: AttemptId, upstream: UpstreamId) {
+    pub(super) fn record_attempt_began(&mut self, id: AttemptId, upstream: UpstreamId) {
         if !self.observes_requests() {
             return;
         }
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Counts and logs the end of an attempt after so many milliseconds.
-    pub(super) fn note_attempt_ended(&mut self, id: AttemptId, ending: Ending, ms: f64) {
+    /// Counts and logs the end of an attempt that took `ms` milliseconds.
+    pub(super) fn record_attempt_ended(&mut self, id: AttemptId, ending: Ending, ms: f64) {
         if let Some(metrics) = &mut self.metrics {
             metrics.attempt_ended(ending, ms);
         }
--- a/balancer/proxy/src/driver/persistence.rs
+++ b/balancer/proxy/src/driver/persistence.rs
@@ -1,5 +1,4 @@
-//! What outlives the program: handed to the recovery store from here, and back to the module after a start. Owns no
-//! state.
+//! State that outlives the process: saved to the recovery store and restored after a start. Owns no state.
 use super::state::{Driver, Handle};
 use super::timers::Timer;
 use crate::recovery::Recovery;
@@ -14,15 +13,15 @@
         driver.recovery.as_ref().map(Recovery::written)
     }
 
-    /// Waits for a bounded time until what outlives the program is on the disk.
+    /// Waits for a bounded time until all saved state is on disk.
     pub(crate) fn flush(&self) {
         if let Some(recovery) = &self.0.driver.borrow().recovery {
-            // Where it is not, the next start has the record before.
+            // If the wait times out, the next start restores the previous record.
             recovery.flush();
         }
     }
 
-    /// Hands the module what an earlier run of this balancer had learned, and its age.
+    /// Restores the module's learned state from an earlier run, with its age.
     pub(crate) fn restore_learned(&self, learned: Learned, age: Millis) {
         self.feed(Event::Restored {
             learned: Box::new(learned),
@@ -32,7 +31,7 @@
 }
 
 impl Driver {
-    /// Sets the timer of the next write of what was learned, if recovery is on.
+    /// Sets the timer for the next save of the learned state, if recovery is on.
     pub(super) fn schedule_persist(&mut self) {
         if let Some(interval) = self.recovery.as_ref().map(Recovery::learned_interval) {
             self.timers
@@ -40,7 +39,7 @@
         }
     }
 
-    /// Persists what the decisions have learned. Before the first list they have not learned anything.
+    /// Saves the learned state of the module. Before the first list there is none.
     pub(super) fn persist_learned(&mut self) {
         let now = self.now();
         if let Some(recovery) = self.recovery.as_ref().filter(|_| self.has_endpoints) {
--- a/balancer/proxy/src/driver/requests.rs
+++ b/balancer/proxy/src/driver/requests.rs
@@ -1,4 +1,4 @@
-//! Open requests, from their receipt to their one final response. Owns no state.
+//! Open requests, from their receipt to their final response. Owns no state.
 use super::state::{Driver, Handle, OpenRequest};
 use crate::message::{FinalResponse, OutgoingRequest};
 use crate::metrics::RequestOutcome;
@@ -8,22 +8,22 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Time for the last response to reach the client before it stops waiting.
+/// Time reserved for the final response to reach the client before its timeout, in milliseconds.
 const RESPONSE_MARGIN: Millis = 5.0;
 
-/// A request as clients send it, complete.
+/// A complete request from a client.
 pub(crate) struct ReceivedRequest {
-    /// Its class, by position.
+    /// The index of its class.
     pub class: usize,
-    /// Its tenant, by position.
+    /// The index of its tenant.
     pub tenant: usize,
-    /// How long its client waits.
+    /// The client's timeout.
     pub timeout: Millis,
-    /// What is forwarded.
+    /// The request to forward.
     pub outgoing: OutgoingRequest,
 }
 
-/// A request that waits for its final response. Dropping it tells the module that the client has disconnected.
+/// A request that waits for its final response. Dropping it reports to the module that the client has disconnected.
 pub(crate) struct PendingResponse {
     handle: Handle,
     id: RequestId,
@@ -49,17 +49,17 @@
 }
 
 impl Handle {
-    /// Returns the tenant one of whose connections is to be evicted, given each tenant's count.
+    /// Selects the tenant to evict a connection of, given the connection count of each tenant.
     pub(crate) fn tenant_to_evict(&self, connections: &[u32]) -> Option<usize> {
         self.0.driver.borrow().balancer.furthest_over(connections)
     }
 
-    /// Returns how many requests have no final response yet.
+    /// Returns the number of requests without a final response.
     pub(crate) fn unanswered(&self) -> usize {
         self.0.driver.borrow().unanswered()
     }
 
-    /// Takes a request: from now on one final response is owed. `None`: more are open than may be.
+    /// Accepts a request, which then gets exactly one final response. Returns `None` if too many requests are open.
     pub(crate) fn handle_request(&self, received: ReceivedRequest) -> Option<PendingResponse> {
         let (responder, response) = oneshot::channel();
         let request = self
@@ -77,8 +77,7 @@
         })
     }
 
-    /// Gives every request that is open, and every one that still comes, its final response by `end`, however long its
-    /// client would wait.
+    /// Limits the deadlines of all open and future requests, so that each has its final response by `end`.
     pub(crate) fn shut_down_by(&self, end: Instant) {
         let at = end - Duration::from_secs_f64(RESPONSE_MARGIN / 1000.0);
         let deadline = self.0.driver.borrow_mut().shut_down_by(at);
@@ -89,12 +88,12 @@
     fn handle_client_disconnected(&self, id: RequestId) {
         {
             let mut driver = self.0.driver.borrow_mut();
-            // Answered in the same instant: the module has ended it already.
+            // The request has just been answered, and the module has already ended it.
             let open = driver.open.get_mut(&id);
             if open.and_then(OpenRequest::end).is_none() {
                 return;
             }
-            driver.note_request_ended(id, RequestOutcome::ClientDisconnected);
+            driver.record_request_ended(id, RequestOutcome::ClientDisconnected);
             driver.forget_request(id);
         }
         self.feed(Event::ClientDisconnected(id));
@@ -102,7 +101,7 @@
 }
 
 impl Driver {
-    /// Opens a request, unless too many are open, and returns it as the module is told of it.
+    /// Opens a request, unless too many are open, and returns its description for the module.
     fn open_request(
         &mut self,
         received: ReceivedRequest,
@@ -144,7 +143,7 @@
         })
     }
 
-    /// Returns an id that no open request has.
+    /// Returns an unused request id.
     fn next_request_id(&mut self) -> RequestId {
         while self.open.contains_key(&RequestId(self.next_id)) {
             self.next_id = self.next_id.wrapping_add(1);
@@ -154,7 +153,7 @@
         id
     }
 
-    /// Limits all deadlines and returns the limit on the module's clock.
+    /// Limits all deadlines to `at`, and returns that time on the module's clock.
     fn shut_down_by(&mut self, at: Instant) -> Millis {
         let after_start = at.saturating_duration_since(self.start);
         let deadline = self.start_ms + after_start.as_secs_f64() * 1000.0;
@@ -167,7 +166,7 @@
         deadline
     }
 
-    /// Gives a request its final response, unless it has one.
+    /// Sends a request its final response, unless it has one.
     pub(super) fn respond(
         &mut self,
         id: RequestId,
@@ -175,14 +174,14 @@
         outcome: RequestOutcome,
     ) {
         if let Some(responder) = self.open.get_mut(&id).and_then(OpenRequest::end) {
-            // A client that disconnected in the same instant gets nothing; it is owed no response any more.
+            // Fails if the client has just disconnected; it needs no response then.
             let _ = responder.send(response);
-            self.note_request_ended(id, outcome);
+            self.record_request_ended(id, outcome);
         }
         self.forget_request(id);
     }
 
-    /// Forgets a request that is answered and has no attempt in flight.
+    /// Drops a request that is answered and has no attempt in flight.
     pub(super) fn forget_request(&mut self, id: RequestId) {
         let is_done = self
             .open
--- a/balancer/proxy/src/driver/state.rs
+++ b/balancer/proxy/src/driver/state.rs
@@ -1,5 +1,4 @@
-//! All that the driver holds: requests, attempts, timers, and what it knows of upstreams. Owns that state; what is done
-//! with it stands in the modules beside.
+//! The driver's state: requests, attempts, timers and upstreams. Owns that state; the sibling modules operate on it.
 pub(super) use super::timers::AttemptId;
 use super::timers::{TimerKey, Timers};
 use crate::message::{FinalResponse, OutgoingRequest};
@@ -21,20 +20,20 @@
     pub(super) outgoing: Rc<OutgoingRequest>,
     /// When it was received, if its duration is measured.
     pub(super) received_at: Option<Instant>,
-    /// On the module's clock.
+    /// The deadline on the module's clock.
     pub(super) deadline: Millis,
     pub(super) attempts_sent: u32,
     pub(super) attempts_in_flight: u32,
 }
 
 impl OpenRequest {
-    /// Ends the request and returns the way to its client, once.
+    /// Ends the request, and returns the sender of its final response the first time.
     pub(super) fn end(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         self.outgoing.has_ended.set(true);
         self.responder.take()
     }
 
-    /// Whether the final response is still owed.
+    /// Whether the final response is still pending.
     pub(super) fn is_unanswered(&self) -> bool {
         self.responder.is_some()
     }
@@ -48,11 +47,11 @@
     pub(super) timeout: TimerKey,
 }
 
-/// An upstream that the module may name.
+/// An upstream that the module may refer to.
 pub(super) struct KnownUpstream {
     pub(super) upstream: Rc<Upstream>,
     pub(super) availability: Availability,
-    /// When the upstream started, by discovery; another time is another process.
+    /// The start time of the upstream according to discovery; a different time means a different process.
     pub(super) started_ms: Millis,
 }
 
@@ -66,26 +65,26 @@
     pub(super) next_id: u32,
     pub(super) open: HashMap<RequestId, OpenRequest>,
     pub(super) attempts: HashMap<AttemptId, Attempt>,
-    /// Every upstream that the module may name: those listed, and those with attempts in flight.
+    /// All upstreams that the module may refer to: those listed, and those with attempts in flight.
     pub(super) upstreams: HashMap<UpstreamId, KnownUpstream>,
     pub(super) timers: Timers,
     pub(super) events: VecDeque<Event>,
-    /// Whether any endpoint list with an entry has come.
+    /// Whether a non-empty endpoint list has been received.
     pub(super) has_endpoints: bool,
     pub(super) metrics: Option<Metrics>,
     pub(super) recovery: Option<Recovery>,
-    /// Set once the program shuts down: what is open or comes has its final response by then, on the module's clock.
+    /// Set once the program shuts down: the time by which all requests get their final response, on the module's clock.
     pub(super) shutdown_deadline: Option<Millis>,
 }
 
-/// The driver, and how to wake what waits for it.
+/// The driver, and notifications for the tasks that wait for it.
 pub(super) struct Shared {
     pub(super) driver: RefCell<Driver>,
     pub(super) timers_changed: Notify,
     pub(super) subscribe: Notify,
 }
 
-/// The driver as everything else sees it. Clones are the same driver.
+/// A handle to the driver. Clones refer to the same driver.
 #[derive(Clone)]
 pub(crate) struct Handle(pub(super) Rc<Shared>);
 
@@ -95,7 +94,7 @@
         self.start_ms + self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Returns how many requests have no final response.
+    /// Returns the number of requests without a final response.
     pub(super) fn unanswered(&self) -> usize {
         self.open
             .values()
--- a/balancer/proxy/src/driver/timer_loop.rs
+++ b/balancer/proxy/src/driver/timer_loop.rs
@@ -6,12 +6,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often idle connections are swept. There is always a timer due within this, so that a program that was stalled
-/// finds one overdue by the stall, less this interval.
+/// Interval of the sweep of idle connections. A timer is always due within this interval, so a stall of the program
+/// shows as a timer that is late by the duration of the stall minus at most this interval.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Handle {
-    /// Fires timers for ever.
+    /// Fires timers forever.
     pub(crate) async fn run(&self) {
         self.start_periodic_timers();
         loop {
@@ -58,7 +58,7 @@
 
     fn persist_learned(&self) {
         let mut driver = self.0.driver.borrow_mut();
-        // What comes in during the shutdown says little of what the next start will meet.
+        // The load during the shutdown is not representative of the load after the next start.
         if driver.shutdown_deadline.is_none() {
             driver.persist_learned();
             driver.schedule_persist();
--- a/balancer/proxy/src/driver/timers.rs
+++ b/balancer/proxy/src/driver/timers.rs
@@ -1,12 +1,12 @@
-//! The queue of timers, and how late they fire. Owns the queue; what a timer does is the loop's.
+//! The timer queue and its lateness. Owns the queue; the timer loop runs the timers.
 use balancer_core::RequestId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Timers that are later than this show that the program was stalled: stopped, or in one long turn.
+/// Lateness from which a timer indicates that the program was stalled: stopped, or blocked in a long task.
 const MIN_STALL: Duration = Duration::from_millis(20);
-/// What is read this soon after a stall was noticed may have come during it.
+/// Input read within this time after a detected stall may have arrived during the stall.
 const STALL_WINDOW: Duration = Duration::from_millis(20);
 
 /// One attempt of a request.
@@ -19,7 +19,7 @@
 }
 
 impl AttemptId {
-    /// Names an attempt.
+    /// Creates the id of an attempt.
     pub(super) fn new(request: RequestId, number: u32) -> AttemptId {
         AttemptId { request, number }
     }
@@ -27,17 +27,17 @@
 
 /// What a timer is for.
 pub(super) enum Timer {
-    /// The decision module, with its token.
+    /// A timer of the decision module, with its token.
     Module(u32),
     /// The timeout of an attempt.
     Attempt(AttemptId),
-    /// Closing connections that were idle for too long.
+    /// Closes upstream connections that have been idle for too long.
     SweepIdle,
-    /// Persisting what the module has learned.
+    /// Saves the learned state of the module.
     PersistLearned,
 }
 
-/// A timer's place in the queue: its time, and then the order in which timers were set.
+/// The key of a timer in the queue: ordered by time, then by the order in which timers were set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TimerKey {
     /// When it is due.
@@ -47,11 +47,11 @@
 
 /// A timer that fired late.
 struct Stall {
-    noticed: Instant,
+    detected_at: Instant,
     lateness: Duration,
 }
 
-/// The timers that are set.
+/// The pending timers.
 #[derive(Default)]
 pub(super) struct Timers {
     queue: BTreeMap<TimerKey, Timer>,
@@ -81,35 +81,35 @@
         self.queue.first_key_value().map(|(key, _)| key.at)
     }
 
-    /// Takes the next timer out, and notes a stall if it is late.
+    /// Removes the next timer, and records a stall if it is late.
     pub(super) fn pop(&mut self, now: Instant) -> Option<Timer> {
-        // Of all timers that became due meanwhile the first shows most.
+        // The first of the due timers is the latest, so it shows the full duration of the stall.
         let lateness = self.lateness(now);
         if lateness >= MIN_STALL && lateness > self.recent_stall(now) {
             self.last_stall = Some(Stall {
-                noticed: now,
+                detected_at: now,
                 lateness,
             });
         }
         Some(self.queue.pop_first()?.1)
     }
 
-    /// Returns for how long the next timer has been due.
+    /// Returns how late the next timer is.
     fn lateness(&self, now: Instant) -> Duration {
         self.next_timeout()
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at))
     }
 
-    /// Returns how late a timer fired a moment ago.
+    /// Returns the duration of a stall detected within [`STALL_WINDOW`], or zero.
     fn recent_stall(&self, now: Instant) -> Duration {
         self.last_stall
             .as_ref()
-            .filter(|stall| now - stall.noticed < STALL_WINDOW)
+            .filter(|stall| now - stall.detected_at < STALL_WINDOW)
             .map_or(Duration::ZERO, |stall| stall.lateness)
     }
 
-    /// Returns how long what is read now may have lain unread because the program was stalled. Its timers may not have
-    /// been looked at since.
+    /// Returns how long input that is read now may have been waiting because the program was stalled. Includes a stall
+    /// whose late timers have not fired yet.
     pub(super) fn stalled_for(&self, now: Instant) -> Duration {
         let stalled = self.recent_stall(now).max(self.lateness(now));
         if stalled < MIN_STALL {
