--- a/balancer/proxy/src/upstreams/attempt.rs
+++ b/balancer/proxy/src/upstreams/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: one request to one upstream, written at most once, and its response. Owns no state beyond an attempt's own.
+//! Attempts: one request to one upstream, written at most once, and its response. Owns only the state of each attempt.
 use super::connection::Connection;
 use super::load_report::{reported, IN_FLIGHT_FIELD, SERVED_PER_S_FIELD};
 use super::pool::Upstream;
@@ -19,26 +19,26 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
 
-/// How much the idle timeout of upstreams is undercut: what is sent on a connection that the upstream is about to close
-/// ends as a reset, and the upstream counts from its last byte, not from when we read it.
+/// Margin below the idle timeout of upstreams. A request written to a connection that the upstream is about to close
+/// ends as a reset, and the upstream measures from its last byte, not from when the balancer read it.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(250);
-/// How long a connection may take to be ready for its next request once a response has been read completely.
+/// Maximum time for a connection to become ready for its next request after a response has been read completely.
 const READY_TIMEOUT: Duration = Duration::from_millis(5);
-/// The time left that a request's head states may be this old when it is written.
+/// Maximum age of the remaining time in a request's deadline header when it is written.
 const MAX_DEADLINE_AGE: Duration = Duration::from_millis(50);
 
-/// Marks a response as a rejection: the request never ran.
+/// The header that marks a response as a rejection: the request did not run.
 const DECLINED_HEADER: HeaderName = HeaderName::from_static("srv-declined");
 
 /// How an attempt ended.
 pub(crate) struct AttemptOutcome {
-    /// What the module is told.
+    /// The result reported to the module.
     pub ending: Ending,
     /// The response, if the request was served.
     pub response: Option<FinalResponse>,
-    /// The requests in flight that the upstream reports.
+    /// The number of requests in flight reported by the upstream.
     pub in_flight: Option<f64>,
-    /// The requests a second that the upstream reports to serve.
+    /// The rate of served requests per second reported by the upstream.
     pub served_per_s: Option<f64>,
 }
 
@@ -53,28 +53,28 @@
     }
 }
 
-/// The times that bound an attempt.
+/// The time limits of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptTimes {
-    /// The request must not be written from then on.
+    /// The write must begin before this time.
     pub write_by: Instant,
-    /// The response is waited for until then.
+    /// The attempt times out at this time.
     pub until: Instant,
 }
 
-/// What all attempts share.
+/// State shared by all attempts.
 #[derive(Clone)]
 pub(crate) struct Transport {
-    /// A connection that is not up after this long counts as refused.
+    /// A connection that is not established after this time counts as refused.
     pub dial_timeout: Duration,
-    /// Connections are closed when idle for this long.
+    /// Idle connections are closed after this time.
     pub idle_timeout: Duration,
     /// The budget of sockets.
     pub sockets: Sockets,
 }
 
 impl Transport {
-    /// Creates a transport; `idle_close` is when upstreams close idle connections.
+    /// Creates a transport; `idle_close` is the idle timeout of upstreams.
     pub(crate) fn new(dial_timeout: Duration, idle_close: Duration, sockets: Sockets) -> Self {
         let idle_timeout = idle_close
             .saturating_sub(IDLE_TIMEOUT_MARGIN)
@@ -94,7 +94,7 @@
             .ok()?
     }
 
-    /// Takes an idle connection, or opens one.
+    /// Takes an idle connection or opens a new one.
     async fn connect(&self, upstream: &Upstream, until: Instant) -> Option<Connected> {
         if let Some(reused) = upstream.take(self.idle_timeout) {
             sleep_until(reused.ready_at).await;
@@ -110,8 +110,9 @@
         })
     }
 
-    /// Writes the request on one connection and waits for the head of its response. Nothing is written twice: another
-    /// connection is used only if the one before did not take a byte, or surely not all.
+    /// Writes the request and waits for the head of its response. The request is never written twice: another
+    /// connection is used only if no byte was written to the previous one, or if the request is known to be incomplete
+    /// there.
     async fn exchange(&self, exchange: &Exchange) -> Result<Exchanged, Ending> {
         let write_by = exchange.times.write_by;
         loop {
@@ -121,8 +122,8 @@
                 mut connection,
                 is_reused,
             } = connected;
-            // Guards against a client that disconnected, or a list that came, before this turn began: the runtime asks
-            // the system once more what has come, and hands that to those who wait for it first.
+            // The client may have disconnected, or a new list may have arrived, without the runtime having noticed.
+            // Yielding makes the runtime poll for I/O and run the tasks that wait for it first.
             yield_now().await;
             let request = exchange.request().ok_or(Ending::NotSent)?;
             exchange.begin_write(&connection);
@@ -166,7 +167,7 @@
         let Ok(body) = Limited::new(body, MAX_BODY_LEN).collect().await else {
             return AttemptOutcome::failed(Ending::Reset);
         };
-        // Put back before the outcome is reported: what the module sends next may go on this connection.
+        // Returns the connection to the pool before reporting the outcome, so that the next attempt can reuse it.
         if let Ok(Ok(())) = timeout(READY_TIMEOUT, connection.sender.ready()).await {
             exchange.upstream.put_back(connection);
         }
@@ -187,14 +188,14 @@
     }
 }
 
-/// A connection that may carry a request.
+/// A connection that can carry a request.
 struct Connected {
     connection: Connection,
     /// Whether it has carried requests before.
     is_reused: bool,
 }
 
-/// A request that was written, and the head of its response.
+/// The connection that a request was written to, and the head of the response.
 struct Exchanged {
     connection: Connection,
     head: Response<Incoming>,
@@ -208,7 +209,7 @@
 }
 
 impl Exchange {
-    /// Returns what it means that no connection came up. One given up for want of time says nothing about the upstream.
+    /// Returns the result when no connection was established. Running out of time says nothing about the upstream.
     fn not_connected(&self) -> Ending {
         if Instant::now() >= self.times.write_by {
             Ending::NotSent
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Returns the request with the time that is left now; `None` if it may not be written any more.
+    /// Returns the request with the remaining time in its deadline header, or `None` if it may no longer be written.
     fn request(&self) -> Option<Request<Full<Bytes>>> {
         let now = Instant::now();
         check_may_begin(&self.upstream, &self.outgoing, self.times.write_by, now).ok()?;
@@ -228,7 +229,7 @@
         Some(request)
     }
 
-    /// Has the write of the request checked on `connection`.
+    /// Installs the checks for writing the request on `connection`.
     fn begin_write(&self, connection: &Connection) {
         let (upstream, outgoing) = (self.upstream.clone(), self.outgoing.clone());
         let write_by = self.times.write_by;
@@ -248,9 +249,9 @@
     }
 }
 
-/// Checks whether the first byte of a request may be written. Guards against what was decided before dialling and must
-/// not be written after it: the upstream may be draining, the attempt's time, the window of a retry or the request itself
-/// may be over by now.
+/// Checks whether the first byte of a request may be written. The decision to send was made before connecting.
+/// Meanwhile the upstream may have begun to drain, the request may have ended, or the time limit of the attempt or the
+/// window for retries may have passed.
 fn check_may_begin(
     upstream: &Upstream,
     outgoing: &OutgoingRequest,
@@ -263,7 +264,7 @@
     Ok(())
 }
 
-/// Checks whether a response can be the one to the request that was written.
+/// Checks whether a response can belong to the request that was written.
 fn check_head<B>(
     head: &Response<B>,
     progress: Progress,
@@ -276,14 +277,14 @@
     if is_complete && refusal.is_none() {
         return Ok(());
     }
-    // The response to a request that was not complete at the upstream; it can't become complete any more.
+    // The upstream responded to an incomplete request, which can no longer become complete.
     if ending_of(head) == Ending::Rejected {
         return Err(Ending::Rejected);
     }
     Err(Ending::ConnectFailed)
 }
 
-/// Checks whether another connection may carry a request that failed on this one.
+/// Checks whether a request that failed on this connection may be written to another one.
 fn check_may_use_another(
     progress: Progress,
     refusal: Option<WriteRefusal>,
@@ -292,22 +293,23 @@
     match (refusal, progress) {
         (Some(WriteRefusal::Ended), _) => Err(Ending::NotSent),
         (Some(WriteRefusal::DeadlineStale), _) => Ok(()),
-        // A connection that was idle and had been closed meanwhile, or has brought unsolicited input, says nothing about
-        // the upstream, so the next one is used; each is used once.
+        // An idle connection that was closed by the upstream, or that received unsolicited input, says nothing about
+        // the state of the upstream, so the next one is tried. Each connection is tried once.
         (_, Progress::Unwritten) if is_reused => Ok(()),
         (_, Progress::Unwritten | Progress::Partial) => Err(Ending::ConnectFailed),
         (_, Progress::Complete) => Err(Ending::Reset),
     }
 }
 
-/// Whether a response states its length in two ways. One of them is wrong, and nobody can tell which: what is read as
-/// the next response may be the rest of this one (RFC 9112, section 6.3).
+/// Whether a response states its length in two ways. It is unknown which one is wrong, so the rest of this response
+/// could be read as the next one (RFC 9112, section 6.3).
 fn has_ambiguous_length<B>(response: &Response<B>) -> bool {
     let headers = response.headers();
     headers.contains_key(header::TRANSFER_ENCODING) && headers.contains_key(header::CONTENT_LENGTH)
 }
 
-/// Returns what a response says of its attempt. Only the mark of a rejection proves that the request never ran.
+/// Returns the result of an attempt according to its response. Only [`DECLINED_HEADER`] proves that the request did not
+/// run.
 fn ending_of<B>(response: &Response<B>) -> Ending {
     let headers = response.headers();
     let is_declined = headers
--- a/balancer/proxy/src/upstreams/connection.rs
+++ b/balancer/proxy/src/upstreams/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an upstream: dialled, and closed when dropped.
+//! A connection to an upstream.
 use super::request_write::{CheckedStream, RequestWrite};
 use crate::message::MAX_BODY_LEN;
 use bytes::Bytes;
@@ -11,11 +11,11 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::task::AbortHandle;
 
-/// One open connection; closed when dropped.
+/// An open connection; closed when dropped.
 pub(super) struct Connection {
-    /// Where requests are handed to it.
+    /// Sends requests on the connection.
     pub sender: http1::SendRequest<Full<Bytes>>,
-    /// How far the request that it carries is written.
+    /// The progress of writing the current request.
     pub write: Rc<RequestWrite>,
     task: AbortHandle,
     _permit: OwnedSemaphorePermit,
@@ -43,7 +43,7 @@
             .await
             .ok()?;
         let task = tokio::task::spawn_local(async move {
-            // How the connection ended shows in the attempt that was on it.
+            // The attempt on this connection reports the error.
             let _ = connection.await;
         });
         Some(Connection {
--- a/balancer/proxy/src/upstreams/mod.rs
+++ b/balancer/proxy/src/upstreams/mod.rs
@@ -1,4 +1,4 @@
-//! Upstreams: their connections, the attempts on these, and the load that they report.
+//! Upstreams: connections, attempts and load reports.
 mod attempt;
 mod connection;
 mod load_report;
--- a/balancer/proxy/src/upstreams/pool.rs
+++ b/balancer/proxy/src/upstreams/pool.rs
@@ -1,4 +1,4 @@
-//! An upstream and its idle connections. Owns these.
+//! An upstream and its pool of idle connections. Owns the idle connections.
 use super::connection::Connection;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -6,8 +6,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An upstream may send a second response some milliseconds after the first. It spoils an idle connection, and would be
-/// taken for the response of the next request that is written: none is until this long after a response.
+/// Time after a response before its connection is reused. A faulty upstream may send a second response some
+/// milliseconds after the first, which would be taken for the response to the next request. On an idle connection it
+/// makes the connection unusable instead.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
 
 struct Idle {
@@ -15,24 +16,25 @@
     since: Instant,
 }
 
-/// A connection that is taken for its next request.
+/// A pooled connection taken for its next request.
 pub(super) struct ReusedConnection {
     /// The connection.
     pub connection: Connection,
-    /// When it may carry the request.
+    /// When it may carry the next request.
     pub ready_at: Instant,
 }
 
-/// One upstream: where it is, and its idle connections.
+/// An upstream and its idle connections.
 pub(crate) struct Upstream {
-    /// Its name in discovery.
+    /// The name of the upstream in discovery.
     pub name: String,
-    /// Its zone, by position.
+    /// The index of its zone.
     pub zone: u16,
-    /// Where it listens.
+    /// The address of the upstream.
     pub addr: Cell<SocketAddr>,
-    /// It is draining or removed: nothing more may be written to it, also of what was decided before. A list may have
-    /// counted as delivered some time before it is read here, so that a grace period from now on could end too late.
+    /// Whether the upstream is draining or removed. Nothing more may be written to it, including attempts decided
+    /// earlier: the list may have counted as delivered some time before it is read here, so a grace period from now on
+    /// could end too late.
     pub is_closed: Cell<bool>,
     idle: RefCell<Vec<Idle>>,
 }
@@ -54,19 +56,19 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes the connections that have been idle for `idle_timeout`, and those the other side closed.
+    /// Closes connections that have been idle for `idle_timeout` and those that the upstream closed.
     pub(crate) fn sweep(&self, now: Instant, idle_timeout: Duration) {
         self.idle
             .borrow_mut()
             .retain(|idle| !idle.connection.sender.is_closed() && now - idle.since < idle_timeout);
     }
 
-    /// Returns since when the connection that was idle longest is idle.
+    /// Returns since when the longest idle connection has been idle.
     pub(crate) fn oldest_idle(&self) -> Option<Instant> {
         self.idle.borrow().first().map(|idle| idle.since)
     }
 
-    /// Closes the connection that was idle longest.
+    /// Closes the longest idle connection.
     pub(crate) fn close_oldest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         if !idle.is_empty() {
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Keeps a connection whose response has been read completely, unless the upstream is closed.
+    /// Returns a connection to the pool after its response has been read completely, unless the upstream is closed.
     pub(super) fn put_back(&self, connection: Connection) {
         if !self.is_closed.get() {
             self.idle.borrow_mut().push(Idle {
@@ -84,8 +86,8 @@
         }
     }
 
-    /// Takes an idle connection: the one used last of those that may carry a request now, as the others then reach their
-    /// timeout instead of all being used by turns; else the one that may next.
+    /// Takes an idle connection: the most recently used one that may carry a request now, so that the others reach
+    /// their idle timeout; if there is none, the one that may be reused next.
     pub(super) fn take(&self, idle_timeout: Duration) -> Option<ReusedConnection> {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
--- a/balancer/proxy/src/upstreams/request_write.rs
+++ b/balancer/proxy/src/upstreams/request_write.rs
@@ -1,5 +1,5 @@
-//! The write of one request, checked at the system call. The request is handed to the connection's task, which writes in
-//! a later turn: what was true when it was handed over may be over by then, so that it is checked once more here.
+//! Checks each write of a request immediately before the system call. The connection task writes a request some time
+//! after receiving it, so the conditions for sending it may no longer hold and are checked again here.
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind, IoSlice};
@@ -10,43 +10,43 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// How much of a request the system has taken.
+/// How much of a request the kernel has accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Progress {
-    /// Not a byte: another connection may carry it.
+    /// Nothing: another connection may carry the request.
     Unwritten,
-    /// Not all: it never runs if the connection ends now.
+    /// A part: the request does not run if the connection ends now.
     Partial,
-    /// All: it may run.
+    /// All: the request may run.
     Complete,
 }
 
-/// Why a request was not written, or not to its end.
+/// Why a request was not written or only in part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteRefusal {
     /// The request has ended, or nothing more may be written to this upstream.
     Ended,
-    /// What its head says has grown too old.
+    /// The remaining time in the deadline header is outdated.
     DeadlineStale,
-    /// Bytes or an end of the connection came before the request was written: they are no response to it.
+    /// Input or the end of the connection arrived before the request was written, so it is no response to the request.
     UnsolicitedInput,
 }
 
 type Permission = Box<dyn Fn(Progress) -> Result<(), WriteRefusal>>;
 
-/// The request that a connection carries now, as far as it is written.
+/// The state of writing the current request of a connection.
 pub(super) struct RequestWrite {
     permission: RefCell<Option<Permission>>,
-    /// Bytes of it that the system has not taken; known once its first write is tried.
+    /// Number of bytes that the kernel has not accepted yet; `None` before the first write.
     missing: Cell<Option<usize>>,
     progress: Cell<Progress>,
-    /// Something was read while the request was half written.
+    /// Whether input arrived while the request was partially written.
     has_early_input: Cell<bool>,
     refusal: Cell<Option<WriteRefusal>>,
 }
 
 impl RequestWrite {
-    /// A connection that carries nothing yet.
+    /// Creates the state of a connection without a request.
     pub(super) fn new() -> Rc<RequestWrite> {
         Rc::new(RequestWrite {
             permission: RefCell::default(),
@@ -57,7 +57,7 @@
         })
     }
 
-    /// A request is about to be handed over. `permission` is checked before each write, until the request is complete.
+    /// Begins a new request. `permission` is checked before each write until the request is complete.
     pub(super) fn begin(
         &self,
         permission: impl Fn(Progress) -> Result<(), WriteRefusal> + 'static,
@@ -69,12 +69,12 @@
         self.refusal.set(None);
     }
 
-    /// How much of the request has been written.
+    /// Returns how much of the request has been written.
     pub(super) fn progress(&self) -> Progress {
         self.progress.get()
     }
 
-    /// Why it was not written, if a check refused it.
+    /// Returns why a check refused a write, if one did.
     pub(super) fn refusal(&self) -> Option<WriteRefusal> {
         self.refusal.get()
     }
@@ -94,17 +94,17 @@
         Ok(())
     }
 
-    /// Notes that something was read, or the end of what there is.
-    fn note_read(&self) {
+    /// Records that input or the end of the stream was read.
+    fn record_read(&self) {
         if self.progress.get() == Progress::Partial {
             self.has_early_input.set(true);
         }
     }
 
-    /// Notes that of `offered` bytes `written` were taken. The complete request is offered at its first write: its body is
-    /// one piece in memory. Only of a head that fills the write buffer alone the body comes later; such a request
-    /// counts as complete too early, which is the safe side.
-    fn note_written(&self, offered: usize, written: usize) {
+    /// Records that `written` of `offered` bytes were accepted. The first write offers the complete request, because
+    /// its body is a single buffer. If the head alone fills hyper's write buffer, the body follows later, and the
+    /// request counts as complete too early; that is safe, because a complete request is not written again.
+    fn record_written(&self, offered: usize, written: usize) {
         let missing = self
             .missing
             .get()
@@ -119,21 +119,21 @@
     }
 }
 
-/// Whether bytes, an end or an error lie on a connection on which nothing is due. Asks the system itself: the runtime
-/// learns only once a turn what has come.
+/// Whether input, the end of the stream or an error is pending on a connection that expects none. Makes a system call,
+/// because the runtime polls for I/O only once per turn.
 fn has_input(stream: &TcpStream) -> bool {
     let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
     !matches!(peeked, Err(e) if e.kind() == ErrorKind::WouldBlock)
 }
 
-/// A connection whose writes are checked.
+/// A stream whose writes are checked.
 pub(super) struct CheckedStream {
     stream: TcpStream,
     request: Rc<RequestWrite>,
 }
 
 impl CheckedStream {
-    /// Checks what is written to `stream` for `request`.
+    /// Creates a stream that checks the writes of `request` to `stream`.
     pub(super) fn new(stream: TcpStream, request: Rc<RequestWrite>) -> CheckedStream {
         CheckedStream { stream, request }
     }
@@ -147,7 +147,7 @@
     ) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         ready!(Pin::new(&mut this.stream).poll_read(cx, buffer))?;
-        this.request.note_read();
+        this.request.record_read();
         Poll::Ready(Ok(()))
     }
 }
@@ -173,7 +173,7 @@
         }
         let offered = pieces.iter().map(|piece| piece.len()).sum();
         let written = ready!(Pin::new(&mut this.stream).poll_write_vectored(cx, pieces))?;
-        this.request.note_written(offered, written);
+        this.request.record_written(offered, written);
         Poll::Ready(Ok(written))
     }
 
