--- a/balancer/proxy/src/metrics.rs
+++ b/balancer/proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The balancer's counters, and the file in which others read them. Owns the counters.
+//! The balancer's metrics, and the file that they are exported to. Owns the counters.
 mod file;
 mod snapshot;
 mod tier;
@@ -13,28 +13,28 @@
 use balancer_snapshots::writer::Written;
 use hdrhistogram::Histogram;
 
-/// Longest time that the histograms tell apart, in microseconds: an hour. Longer ones count as that.
+/// Maximum value of the histograms, in microseconds: one hour. Longer times are recorded as this.
 const MAX_RECORDED_US: u64 = 3_600_000_000;
-/// Significant decimal digits of recorded times.
+/// Number of significant decimal digits of recorded times.
 const HISTOGRAM_DIGITS: u8 = 2;
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestOutcome {
-    /// With an upstream's response.
+    /// Answered with an upstream's response.
     Served,
     /// Refused by the module.
     Refused(Refusal),
-    /// Refused because as many were open as may be.
+    /// Refused because too many requests were open.
     TooManyOpen,
     /// Answered as failed.
     Failed,
-    /// Its client disconnected.
+    /// The client disconnected.
     ClientDisconnected,
 }
 
 impl RequestOutcome {
-    /// Returns its name in metrics and log events.
+    /// Returns the name of the outcome in metrics and log events.
     pub(crate) fn name(self) -> &'static str {
         match self {
             RequestOutcome::Served => "served",
@@ -58,20 +58,20 @@
     local_zone: u16,
 }
 
-/// What only other components know at the moment of a snapshot.
+/// Metrics of other components at the time of a snapshot.
 pub(crate) struct ComponentMetrics {
     /// The log's counters.
     pub log: LogCounters,
     /// The counters of recovery writes, if recovery is on.
     pub recovery: Option<Written>,
-    /// The tier's metrics, if this replica speaks with its peers.
+    /// The tier's metrics, if this replica communicates with its peers.
     pub tier: Option<TierMetrics>,
-    /// Snapshots that the file has skipped.
+    /// Number of snapshots that were not written to the file.
     pub skipped: u64,
 }
 
 fn histogram() -> Histogram<u64> {
-    // The bounds are constants that the crate accepts.
+    // Cannot fail: the bounds are valid constants.
     Histogram::new_with_bounds(1, MAX_RECORDED_US, HISTOGRAM_DIGITS)
         .unwrap_or_else(|_| unreachable!("constant bounds"))
 }
@@ -81,7 +81,7 @@
 }
 
 impl Metrics {
-    /// Creates counters of zero for a balancer of this name and zone, at this start of it.
+    /// Creates zero counters for this start of a balancer with this name and zone.
     pub(crate) fn new(
         name: &str,
         zones: &[String],
@@ -103,12 +103,12 @@
         }
     }
 
-    /// Counts a request that was received.
+    /// Counts a received request.
     pub(crate) fn request_received(&mut self) {
         self.counts.requests += 1;
     }
 
-    /// Counts the end of a request, after so many milliseconds.
+    /// Counts the end of a request that took `ms` milliseconds.
     pub(crate) fn request_ended(&mut self, outcome: RequestOutcome, ms: f64) {
         *self
             .counts
@@ -118,7 +118,7 @@
         record_ms(&mut self.response_times, ms);
     }
 
-    /// Counts an attempt to an upstream of this zone.
+    /// Counts an attempt to an upstream in this zone.
     pub(crate) fn attempt_began(&mut self, zone: u16) {
         self.counts.attempts += 1;
         self.counts.cross_zone_attempts += u64::from(zone != self.local_zone);
@@ -134,14 +134,14 @@
         }
     }
 
-    /// Counts the end of an attempt, after so many milliseconds.
+    /// Counts the end of an attempt that took `ms` milliseconds.
     pub(crate) fn attempt_ended(&mut self, ending: Ending, ms: f64) {
         let name = attempt_outcome_name(ending);
         *self.counts.attempts_ended.entry(name).or_default() += 1;
         record_ms(&mut self.attempt_times, ms);
     }
 
-    /// Counts a response of discovery.
+    /// Counts a response from discovery.
     pub(crate) fn list_answered(&mut self) {
         self.counts.lists += 1;
     }
@@ -151,7 +151,7 @@
         self.counts.list_failures += 1;
     }
 
-    /// Returns all counters with the gauges and what only other components know.
+    /// Returns all counters with the gauges and the metrics of other components.
     pub(crate) fn snapshot(&self, gauges: Gauges, components: ComponentMetrics) -> Snapshot {
         Snapshot {
             at_ms: gauges.at_ms,
@@ -170,7 +170,7 @@
     }
 }
 
-/// Returns the name of an attempt's end in metrics and log events.
+/// Returns the name of an attempt's outcome in metrics and log events.
 pub(crate) fn attempt_outcome_name(ending: Ending) -> &'static str {
     match ending {
         Ending::Ok => "served",
--- a/balancer/proxy/src/metrics/file.rs
+++ b/balancer/proxy/src/metrics/file.rs
@@ -1,20 +1,19 @@
-//! The file in which others read the metrics. Owns the thread that writes it.
+//! The file that metrics are exported to. Owns the thread that writes it.
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{channel, sync_channel, Receiver, SyncSender, TrySendError};
 use std::time::Duration;
 
-/// The shutdown waits this long for the last snapshot to be written.
+/// Maximum time that the shutdown waits for the last snapshot to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// The file's name.
 const FILE_NAME: &str = "figures.json";
 
-/// The thread that writes the file could not be started.
+/// The writer thread could not be started.
 #[derive(Debug, thiserror::Error)]
-#[error("a thread for the figures: {0}")]
+#[error("cannot start the metrics thread: {0}")]
 pub(crate) struct MetricsFileError(#[source] io::Error);
 
-/// Writes snapshots to the file, on a thread of its own: a disk that stalls holds up nothing else.
+/// Writes snapshots to the file on a separate thread, so that a stalled disk blocks nothing else.
 pub(crate) struct MetricsFile {
     snapshots: Option<SyncSender<String>>,
     writer_ended: Receiver<()>,
@@ -22,7 +21,7 @@
 }
 
 impl MetricsFile {
-    /// Starts the writer of the file in this folder.
+    /// Starts the writer thread for the file in `dir`.
     pub(crate) fn start(dir: &Path) -> Result<MetricsFile, MetricsFileError> {
         let (snapshots, queue) = sync_channel::<String>(1);
         let (ended, writer_ended) = channel::<()>();
@@ -31,7 +30,7 @@
             temporary: dir.join(format!(".{FILE_NAME}.new")),
         };
         let write_all = move || {
-            // Dropped with the thread, which shows that it has ended.
+            // Dropped with the thread, which signals its end.
             let _ended = ended;
             write_snapshots(&paths, queue);
         };
@@ -46,7 +45,7 @@
         })
     }
 
-    /// Queues a snapshot; it is skipped if the one before is still being written.
+    /// Queues a snapshot, or skips it if an earlier one is still queued.
     pub(crate) fn write(&mut self, text: String) {
         let queued = self.snapshots.as_ref().map(|queue| queue.try_send(text));
         if let Some(Err(TrySendError::Full(_))) = queued {
@@ -54,7 +53,7 @@
         }
     }
 
-    /// Returns how many snapshots were skipped.
+    /// Returns the number of skipped snapshots.
     pub(crate) fn skipped(&self) -> u64 {
         self.skipped
     }
@@ -63,7 +62,7 @@
 impl Drop for MetricsFile {
     fn drop(&mut self) {
         self.snapshots = None;
-        // The thread writes the last one; a disk that stalls is not waited for.
+        // Waits for the thread to write the last snapshot, but not for a stalled disk.
         let _ = self.writer_ended.recv_timeout(FLUSH_TIMEOUT);
     }
 }
@@ -73,7 +72,7 @@
     temporary: PathBuf,
 }
 
-/// Writes snapshots until no more can come. Logs a failure once until a write succeeds again.
+/// Writes snapshots until the queue is closed. Logs only the first of consecutive failures.
 fn write_snapshots(paths: &Paths, queue: Receiver<String>) {
     let mut is_failing = false;
     for text in queue {
@@ -88,7 +87,7 @@
     }
 }
 
-/// Replaces the file atomically: readers never see half of it.
+/// Replaces the file atomically: readers never see a partial file.
 fn replace(paths: &Paths, text: &str) -> io::Result<()> {
     let mut file = std::fs::File::create(&paths.temporary)?;
     file.write_all(text.as_bytes())?;
--- a/balancer/proxy/src/metrics/snapshot.rs
+++ b/balancer/proxy/src/metrics/snapshot.rs
@@ -1,4 +1,4 @@
-//! The contents of a metrics snapshot. Field names in the file stand at the codec. Owns no state.
+//! The contents of a metrics snapshot. `serde(rename)` keeps the field names of the file. Owns no state.
 use super::tier::TierMetrics;
 use crate::log::LogCounters;
 use balancer_snapshots::writer::Written;
@@ -23,7 +23,7 @@
 }
 
 impl Percentiles {
-    /// Reads the percentiles of a histogram of microseconds.
+    /// Computes the percentiles of a histogram of microseconds.
     pub(super) fn of(histogram: &Histogram<u64>) -> Percentiles {
         let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1000.0;
         Percentiles {
@@ -41,67 +41,67 @@
 pub(crate) struct Snapshot {
     /// The balancer's name.
     pub name: String,
-    /// When this was taken: Unix time, in milliseconds.
+    /// Unix time of the snapshot, in milliseconds.
     pub at_ms: f64,
     /// Time since the start, in milliseconds.
     pub up_ms: f64,
-    /// How often the balancer has started, where that is persisted.
+    /// Number of starts of the balancer, if it is persisted.
     pub starts: Option<u64>,
-    /// The incarnation of this start, where that is persisted.
+    /// The incarnation of this start, if it is persisted.
     pub incarnation: Option<u64>,
     /// Complete requests received.
     pub requests: u64,
-    /// Requests without their final response.
+    /// Requests without a final response.
     pub open: u64,
-    /// Requests by how they ended; refusals by their reason.
+    /// Ended requests by outcome; refusals by reason.
     #[serde(rename = "ended")]
     pub requests_ended: BTreeMap<&'static str, u64>,
-    /// Attempts begun.
+    /// Attempts started.
     pub attempts: u64,
-    /// Attempts by how they ended.
+    /// Ended attempts by outcome.
     pub attempts_ended: BTreeMap<&'static str, u64>,
-    /// Attempts by the zone of their upstream.
+    /// Attempts by zone of the upstream.
     #[serde(rename = "zones")]
     pub attempts_by_zone: BTreeMap<String, u64>,
-    /// Attempts to upstreams of another zone.
+    /// Attempts to upstreams in other zones.
     #[serde(rename = "crossings")]
     pub cross_zone_attempts: u64,
     /// Upstreams listed.
     pub listed: u64,
-    /// Upstreams that take requests.
+    /// Upstreams that accept requests.
     pub ready: u64,
-    /// Responses of discovery.
+    /// Responses from discovery.
     pub lists: u64,
-    /// Calls to discovery that failed.
+    /// Failed calls to discovery.
     pub list_failures: u64,
-    /// From the receipt of a request to its final response.
+    /// Time from the receipt of a request to its final response.
     #[serde(rename = "to_answer")]
     pub response_times: Percentiles,
-    /// From the start of an attempt to its end.
+    /// Time from the start of an attempt to its end.
     #[serde(rename = "to_end")]
     pub attempt_times: Percentiles,
     /// The log's counters.
     pub log: LogCounters,
-    /// The counters of recovery writes, where recovery is on.
+    /// The counters of recovery writes, if recovery is on.
     pub recovery: Option<Written>,
-    /// The tier's metrics, where this replica speaks with its peers.
+    /// The tier's metrics, if this replica communicates with its peers.
     #[serde(rename = "peers", skip_serializing_if = "Option::is_none")]
     pub tier: Option<TierMetrics>,
-    /// Snapshots that were not written because the one before was still being written.
+    /// Snapshots that were not written because an earlier one was still queued.
     pub skipped: u64,
 }
 
-/// Values at the moment of a snapshot.
+/// Values at the time of a snapshot.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Gauges {
     /// Unix time, in milliseconds.
     pub at_ms: f64,
     /// Time since the start, in milliseconds.
     pub up_ms: f64,
-    /// Requests without their final response.
+    /// Requests without a final response.
     pub open: u64,
     /// Upstreams listed.
     pub listed: u64,
-    /// Upstreams that take requests.
+    /// Upstreams that accept requests.
     pub ready: u64,
 }
--- a/balancer/proxy/src/metrics_reporter.rs
+++ b/balancer/proxy/src/metrics_reporter.rs
@@ -6,11 +6,11 @@
 use crate::peers::Tier;
 use tokio::sync::watch;
 
-/// Reports snapshots periodically.
+/// Reports metrics snapshots periodically.
 pub(crate) struct MetricsReporter<'a> {
-    /// Where the counters are.
+    /// The driver, which holds the counters.
     pub handle: Handle,
-    /// The tier, if this replica speaks with its peers.
+    /// The tier, if this replica communicates with its peers.
     pub tier: Option<Tier>,
     /// The current options.
     pub options: watch::Receiver<Options>,
@@ -21,7 +21,7 @@
 }
 
 impl MetricsReporter<'_> {
-    /// Reports snapshots until `end` is true, and a last one then.
+    /// Reports snapshots until `end` becomes true, then reports a last one.
     pub(crate) async fn run(mut self, mut end: watch::Receiver<bool>) {
         loop {
             let options = self.options.borrow_and_update().metrics.clone();
@@ -59,7 +59,7 @@
         let snapshot = self
             .handle
             .with_metrics(|metrics, gauges| metrics.snapshot(gauges, components));
-        // Names and numbers only: all of it can be written as JSON.
+        // Cannot fail: the snapshot holds only strings and numbers.
         snapshot
             .and_then(|snapshot| serde_json::to_string(&snapshot).ok())
             .unwrap_or_default()
--- a/balancer/proxy/src/peers.rs
+++ b/balancer/proxy/src/peers.rs
@@ -1,5 +1,5 @@
-//! The tier's other replicas: runs the protocol of `balancer-gossip` on a socket and a clock. Datagrams and time go in,
-//! datagrams and tier updates come out; nothing is decided here. Owns the protocol's state.
+//! Communication with the tier's other replicas: drives the `balancer-gossip` protocol, which has no I/O, with a socket
+//! and a clock. Decides nothing. Owns the protocol state.
 mod addresses;
 mod config;
 mod convert;
@@ -25,19 +25,19 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-/// Interval at which the decisions are told what the tier knows.
+/// Interval of tier updates to the decision module, in milliseconds.
 const UPDATE_INTERVAL: Millis = 100.0;
-/// Interval at which the tier is told what this replica observes.
+/// Interval at which this replica's observations are passed to the protocol, in milliseconds.
 const OBSERVATION_INTERVAL: Millis = 200.0;
-/// Maximum of datagrams received in one turn.
+/// Maximum number of datagrams received in one turn of the loop.
 const MAX_DATAGRAMS_PER_TURN: usize = 32;
-/// Pause between two turns: a flood leaves time for requests.
+/// Pause between two turns, so that a flood of datagrams leaves time for requests.
 const TURN_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Why a replica has no contact with its tier.
+/// Why a replica cannot communicate with its tier.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum TierError {
-    /// The settings do not permit datagrams.
+    /// The settings do not allow datagrams.
     #[error("settings.permissions.peers: datagrams are not allowed")]
     NotPermitted,
     /// The addresses are invalid.
@@ -49,9 +49,9 @@
     /// The socket cannot be opened.
     #[error("peer_listen: {listen}: {cause}")]
     Socket {
-        /// Where it was to listen.
+        /// The address to listen on.
         listen: SocketAddr,
-        /// What the system says.
+        /// The I/O error.
         #[source]
         cause: io::Error,
     },
@@ -60,7 +60,7 @@
 /// Returns the addresses of the tier's replicas.
 ///
 /// # Errors
-/// Says why they may not be used, or which is invalid.
+/// Fails if peers are not allowed, or names the invalid address.
 pub(crate) fn addresses(
     deployment: &Deployment,
     unparsed: &UnparsedAddresses,
@@ -71,7 +71,7 @@
     Ok(unparsed.parse(deployment.policy.balancers)?)
 }
 
-/// This replica's contact with its tier. Clones are the same.
+/// This replica's communication with its tier. Clones share it.
 #[derive(Clone)]
 pub(crate) struct Tier(Rc<Shared>);
 
@@ -88,7 +88,7 @@
 }
 
 impl Tier {
-    /// Opens the socket; [`Tier::run`] must run for anything to come of it.
+    /// Opens the socket. The protocol runs only while [`Tier::run`] runs.
     pub(crate) fn start(tier: TierConfig<'_>) -> Result<Tier, TierError> {
         let addresses = addresses(tier.deployment, tier.addresses)?;
         let listen = addresses.listen;
@@ -101,7 +101,7 @@
         let address = socket.local_addr().map_err(socket_error)?;
         tracing::info!(
             target: "peers", event = "peers_on", address = %address, copies = replicas, least = versions.min,
-            most = versions.max, "peers: one of {replicas}, listening on {address}, reading versions {} to {}",
+            most = versions.max, "peers: one of {replicas}, listening on {address}, supporting versions {} to {}",
             versions.min, versions.max
         );
         Ok(Tier(Rc::new(Shared {
@@ -111,7 +111,7 @@
         })))
     }
 
-    /// Runs the protocol for ever: tells the driver what the tier knows, and the tier what the driver observes.
+    /// Runs the protocol forever: passes tier updates to the driver, and the driver's observations to the protocol.
     pub(crate) async fn run(
         self,
         driver: Handle,
@@ -170,7 +170,7 @@
         driver.handle_tier_update(update);
     }
 
-    /// Waits until there may be something to do.
+    /// Waits until there may be work.
     async fn wait(&self, pending: Pending, schedule: &Schedule) {
         if pending == Pending::Maybe {
             tokio::time::sleep(TURN_INTERVAL).await;
@@ -182,7 +182,7 @@
             .min(schedule.update_at)
             .min(schedule.observe_at);
         let wake_at = self.0.start + Duration::from_secs_f64(next.max(0.0) / 1000.0);
-        // However often something is due, requests are served in between.
+        // Leaves time for requests, even if protocol timers are due continuously.
         let wake_at = wake_at.max(Instant::now() + TURN_INTERVAL);
         tokio::select! {
             () = self.0.socket.readable() => {}
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Tells the other replicas that this one is shutting down.
+    /// Notifies the other replicas that this one is shutting down.
     pub(crate) fn leave(&self) {
         self.0.peers.borrow_mut().leave(self.now());
         self.send_and_log();
--- a/balancer/proxy/src/peers/addresses.rs
+++ b/balancer/proxy/src/peers/addresses.rs
@@ -1,105 +1,105 @@
-//! Addresses of the tier's replicas: parsed from the configuration only where peers are on, since a deployment without
-//! them may state there what it likes. Owns no state.
+//! The addresses of the tier's replicas. They are parsed only if peers are on, because a deployment without peers may
+//! have invalid values in these fields. Owns no state.
 use balancer_gossip::Member;
 use serde_json::Value;
 use std::collections::HashMap;
 use std::net::{SocketAddr, SocketAddrV4};
 
-/// Addresses as the configuration states them, not parsed yet.
+/// Unparsed addresses from the configuration.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UnparsedAddresses {
-    /// `peer_listen`
+    /// The value of `peer_listen`.
     pub listen: Value,
-    /// `peers`
+    /// The value of `peers`.
     pub peers: Value,
 }
 
-/// Where this replica listens for the others, and where each replica listens.
+/// The listen address of this replica, and the addresses of all replicas.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Addresses {
-    /// Where this replica listens.
+    /// The address that this replica listens on.
     pub listen: SocketAddr,
-    /// An address for each replica of the tier, its own included, in the order of their numbers.
+    /// The address of each replica of the tier, including this one, indexed by member number.
     pub peers: Vec<SocketAddr>,
 }
 
-/// What is wrong with the addresses; begins with the field at fault.
+/// Why the addresses are invalid. The text begins with the name of the invalid field.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub(crate) enum AddressesError {
-    /// `peer_listen` is no address.
+    /// `peer_listen` is not an address.
     #[error("peer_listen: {0}")]
     Listen(#[source] InvalidAddress),
-    /// `peers` is not there.
+    /// `peers` is missing.
     #[error("peers: missing")]
     Missing,
-    /// `peers` is no list.
-    #[error("peers: no list")]
-    NoList,
-    /// There is not one for each replica.
+    /// `peers` is not a list.
+    #[error("peers: not a list")]
+    NotAList,
+    /// The number of addresses differs from the number of replicas.
     #[error("peers: {addresses} addresses for {replicas} balancers")]
     Count {
-        /// How many are given.
+        /// Number of addresses.
         addresses: usize,
-        /// How many replicas there are.
+        /// Number of replicas.
         replicas: u32,
     },
-    /// There are more than a member's number can tell apart.
-    #[error("peers: {0} are more than {max}", max = u16::MAX)]
+    /// There are more addresses than member numbers.
+    #[error("peers: {0} addresses, more than the maximum of {max}", max = u16::MAX)]
     TooMany(usize),
-    /// One is no address.
+    /// An element is not an address.
     #[error("peers[{position}]: {cause}")]
     Peer {
-        /// Its position.
+        /// The position of the element.
         position: usize,
-        /// Why.
+        /// The cause.
         #[source]
         cause: InvalidAddress,
     },
-    /// One has no port.
+    /// An address has no port.
     #[error("peers[{position}]: {peer} has no port")]
     NoPort {
-        /// Its position.
+        /// The position of the element.
         position: usize,
         /// The address.
         peer: SocketAddr,
     },
-    /// One is there twice.
-    #[error("peers[{position}]: {peer} is peers[{first}] already")]
-    Twice {
-        /// Its position.
+    /// An address is a duplicate.
+    #[error("peers[{position}]: {peer} duplicates peers[{first}]")]
+    Duplicate {
+        /// The position of the element.
         position: usize,
         /// The address.
         peer: SocketAddr,
-        /// The position before.
+        /// The position of the first occurrence.
         first: usize,
     },
 }
 
-/// Why a value is no address.
+/// Why a value is not an address.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub(crate) enum InvalidAddress {
-    /// It is not there.
+    /// The value is missing.
     #[error("missing")]
     Missing,
-    /// It is some other text.
-    #[error("{0:?} is no IPv4 address and port")]
+    /// The value is a string but not an address.
+    #[error("{0:?} is not an IPv4 address and port")]
     Text(String),
-    /// It is no text.
-    #[error("{0} is no IPv4 address and port")]
-    NoText(Value),
+    /// The value is not a string.
+    #[error("{0} is not an IPv4 address and port")]
+    NotAString(Value),
 }
 
 impl UnparsedAddresses {
-    /// Parses them for a tier of so many replicas.
+    /// Parses the addresses of a tier with this number of replicas.
     ///
     /// # Errors
-    /// Names the field at fault.
+    /// Names the invalid field.
     pub(crate) fn parse(&self, replicas: u32) -> Result<Addresses, AddressesError> {
         let listen = address(&self.listen).map_err(AddressesError::Listen)?;
         let list = match &self.peers {
             Value::Array(list) => list,
             Value::Null => return Err(AddressesError::Missing),
-            _ => return Err(AddressesError::NoList),
+            _ => return Err(AddressesError::NotAList),
         };
         if u32::try_from(list.len()) != Ok(replicas) {
             return Err(AddressesError::Count {
@@ -123,7 +123,7 @@
             return Err(AddressesError::NoPort { position, peer });
         }
         if let Some(first) = seen.insert(peer, position) {
-            return Err(AddressesError::Twice {
+            return Err(AddressesError::Duplicate {
                 position,
                 peer,
                 first,
@@ -143,14 +143,14 @@
                 .map(SocketAddr::V4)
                 .map_err(|_| InvalidAddress::Text(text.clone()))
         }
-        other => Err(InvalidAddress::NoText(other.clone())),
+        other => Err(InvalidAddress::NotAString(other.clone())),
     }
 }
 
 impl Addresses {
-    /// Returns which member sends from which address.
+    /// Returns the member at each address.
     pub(crate) fn senders(&self) -> HashMap<SocketAddr, Member> {
-        // There are no more than a member's number can tell apart.
+        // Parsing ensures that there are no more addresses than member numbers.
         (0u16..)
             .zip(&self.peers)
             .map(|(number, &peer)| (peer, Member(number)))
--- a/balancer/proxy/src/peers/config.rs
+++ b/balancer/proxy/src/peers/config.rs
@@ -1,24 +1,24 @@
-//! The configuration of the tier protocol at one start. Owns no state.
+//! The configuration of the tier protocol. Owns no state.
 use super::addresses::UnparsedAddresses;
 use crate::options::PeerOptions;
 use balancer_gossip::{Config, Member, VersionRange, SUPPORTED_VERSIONS};
 use balancer_settings::Deployment;
 
-/// What this replica is in its tier.
+/// The inputs of the protocol configuration.
 pub(crate) struct TierConfig<'a> {
     /// The settings.
     pub deployment: &'a Deployment,
-    /// Addresses as the configuration states them.
+    /// Unparsed addresses from the configuration.
     pub addresses: &'a UnparsedAddresses,
     /// The operator's options.
     pub options: &'a PeerOptions,
-    /// A number that grows with each start of this replica.
+    /// A number that increases with each start of this replica.
     pub incarnation: u64,
-    /// Seeds random choices.
+    /// Seed of random numbers.
     pub seed: u64,
 }
 
-/// Returns the protocol's configuration at this start of this replica.
+/// Returns the protocol configuration for this start of this replica.
 pub(super) fn config(tier: &TierConfig<'_>) -> Config {
     let policy = &tier.deployment.policy;
     let to_u16 = |number: u32| u16::try_from(number).unwrap_or(u16::MAX);
@@ -28,7 +28,7 @@
         incarnation: tier.incarnation,
         seed: tier.seed,
         zone: policy.zone,
-        // Without names all requests are one tenant's.
+        // Without configured tenants, all requests belong to a single tenant.
         tenants: u16::try_from(policy.tenants.len().max(1)).unwrap_or(u16::MAX),
         deployment: deployment_hash(tier.deployment),
         supported_versions: VersionRange {
@@ -38,12 +38,13 @@
     }
 }
 
-/// Returns a hash of what positions and sums rest on, the same at every replica of a tier that may be believed.
+/// Returns a hash of the settings that give positions and sums their meaning. Replicas accept data from each other only
+/// if their hashes match.
 fn deployment_hash(deployment: &Deployment) -> u32 {
     let mut hash = crc32fast::Hasher::new();
     for list in [&deployment.tenants, &deployment.classes, &deployment.zones] {
         for name in list {
-            // No name can run on into the next.
+            // The length prefix keeps adjacent names distinct.
             hash.update(&(name.len() as u64).to_be_bytes());
             hash.update(name.as_bytes());
         }
--- a/balancer/proxy/src/peers/convert.rs
+++ b/balancer/proxy/src/peers/convert.rs
@@ -1,6 +1,6 @@
-//! Conversions between the module's types and the tier protocol's: what this replica observes goes out, what the tier
-//! knows comes in. What the operator has switched off is left out on the way in, so that the decisions are those of a
-//! replica without peers. Owns no state.
+//! Conversions between the types of the decision module and of the tier protocol: outgoing observations and incoming
+//! tier state. Incoming data that the operator has switched off is omitted, so that the module decides as a replica
+//! without peers would. Owns no state.
 use crate::metrics;
 use crate::options::PeerOptions;
 use balancer_core::{
@@ -8,7 +8,7 @@
 };
 use balancer_gossip as gossip;
 
-/// Converts what the module observes, with the connections of each tenant's clients.
+/// Converts the module's observations, and adds the number of client connections of each tenant.
 pub(super) fn observations(observed: Observed, client_connections: &[u32]) -> gossip::Observations {
     let load = observed.load;
     let tenants = load.tenants.into_iter().enumerate();
@@ -47,9 +47,9 @@
     }
 }
 
-/// Converts what the tier knows, as far as the options let the decisions use it.
+/// Converts the tier state to an update for the module, limited to what the options allow the module to use.
 pub fn tier_update(state: gossip::TierState, options: &PeerOptions) -> TierUpdate {
-    // Without membership, as if this were the only replica.
+    // Without membership, this replica acts as the only one.
     let (up, position) = if options.use_membership {
         (state.up, state.position)
     } else {
@@ -99,7 +99,7 @@
     }
 }
 
-/// Converts what the tier knows to metrics, whatever the decisions may use.
+/// Converts the tier state to metrics, independent of the options.
 pub(super) fn tier_metrics(
     state: &gossip::TierState,
     counters: gossip::Counters,
--- a/balancer/proxy/src/peers/socket.rs
+++ b/balancer/proxy/src/peers/socket.rs
@@ -1,5 +1,5 @@
-//! The UDP socket of the tier: datagrams in, by their sender, and out. Whatever goes wrong is counted and goes no further.
-//! Owns the socket and when it was last seen empty.
+//! The UDP socket of the tier: receives datagrams from members and sends datagrams. Errors are only counted. Owns the
+//! socket and the time when its receive queue was last empty.
 use super::Addresses;
 use crate::metrics::DroppedDatagrams;
 use balancer_gossip::{Member, Millis, Transmit, MAX_DATAGRAM_LEN};
@@ -9,28 +9,28 @@
 use std::net::{SocketAddr, UdpSocket};
 use tokio::io::Interest;
 
-/// A datagram that may have waited here for longer than this, since the program was stalled, is of no use: its age could
-/// not be told.
+/// Maximum time that a datagram may have been queued here because the program was stalled, in milliseconds. Beyond it,
+/// the datagram is dropped, because its age is unknown.
 const MAX_QUEUED_TIME: Millis = 500.0;
 
-/// What a read of the socket left behind.
+/// Whether datagrams may be left in the receive queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Pending {
-    /// More datagrams may wait.
+    /// More datagrams may be queued.
     Maybe,
-    /// None waits.
+    /// The queue was empty.
     Nothing,
 }
 
 /// This replica's socket in its tier.
 pub(super) struct PeerSocket {
     socket: UdpSocket,
-    /// The same socket, to wait on it alone: what the runtime believes of it may be older than what waits there.
+    /// The same socket, used only to wait for input. The runtime's readiness state may be outdated, so reads bypass it.
     waitable: tokio::net::UdpSocket,
-    /// Addresses by the member's number.
+    /// Addresses by member number.
     addresses: Vec<SocketAddr>,
     members: HashMap<SocketAddr, Member>,
-    /// At this time no datagram waited.
+    /// When the receive queue was last empty.
     last_empty_at: Cell<Millis>,
     dropped: Cell<DroppedDatagrams>,
 }
@@ -51,15 +51,15 @@
         })
     }
 
-    /// Returns where it listens.
+    /// Returns the local address.
     pub(super) fn local_addr(&self) -> Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Waits until something may have come. What comes from now on ends the next wait.
+    /// Waits until there may be input, then clears the readiness state, so that the next call waits for new input.
     pub(super) async fn readable(&self) {
         if self.waitable.readable().await.is_err() {
-            // The runtime is at its end.
+            // The runtime is shutting down.
             std::future::pending().await
         }
         let _ = self.waitable.try_io(Interest::READABLE, || {
@@ -67,7 +67,7 @@
         });
     }
 
-    /// Hands up to `max` of the datagrams that wait to `handle`, each with the time before it was read.
+    /// Passes up to `max` queued datagrams to `handle`, each with the time taken before it was read.
     pub(super) fn receive(
         &self,
         max: usize,
@@ -76,7 +76,7 @@
     ) -> Pending {
         let mut bytes = [0; MAX_DATAGRAM_LEN + 1];
         for _ in 0..max {
-            // The time goes before the read: whatever comes in between is taken for older than it is.
+            // Takes the time before the read, so that the age of a datagram is never underestimated.
             let at = now();
             match self.socket.recv_from(&mut bytes) {
                 Ok((length, from)) => {
@@ -88,14 +88,14 @@
                     self.last_empty_at.set(at);
                     return Pending::Nothing;
                 }
-                // Of a datagram that was sent earlier: it is as good as lost.
+                // The error belongs to a datagram sent earlier, which counts as lost.
                 Err(_) => {}
             }
         }
         Pending::Maybe
     }
 
-    /// Returns the sender of a datagram, or counts why the datagram is dropped.
+    /// Returns the sender of a datagram, or counts the datagram as dropped.
     fn accept(&self, at: Millis, length: usize, from: SocketAddr) -> Option<Member> {
         let Some(&member) = self.members.get(&from) else {
             self.count(|dropped| dropped.unknown_sender += 1);
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Returns the counts of what was dropped here.
+    /// Returns the counts of datagrams dropped at the socket.
     pub(super) fn dropped(&self) -> DroppedDatagrams {
         self.dropped.get()
     }
@@ -165,7 +165,7 @@
     fn datagrams_are_received_from_members_alone_and_only_if_their_age_is_known() {
         let runtime = runtime();
         let _inside = runtime.enter();
-        let ((peer, peer_at), (stranger, _)) = (sender(), sender());
+        let ((peer, peer_at), (non_member, _)) = (sender(), sender());
         let own = bind(peer_at);
         let at = own.local_addr().expect("an address");
         let receive = |max: usize, now: Millis| {
@@ -189,7 +189,7 @@
             receive(1, 200.0),
             (vec![(1, b"one".to_vec())], Pending::Maybe)
         );
-        arrives(&stranger, b"two");
+        arrives(&non_member, b"two");
         assert_eq!(receive(8, 200.0), (vec![], Pending::Nothing));
         arrives(&peer, &[0; MAX_DATAGRAM_LEN + 1]);
         assert_eq!(receive(8, 300.0), (vec![], Pending::Nothing));
@@ -201,7 +201,7 @@
                 ..DroppedDatagrams::default()
             }
         );
-        // Stalled for longer than may be: what waits is as old as that, for all that is known.
+        // After a stall longer than the maximum, a queued datagram may be as old as the stall.
         arrives(&peer, b"old");
         assert_eq!(
             receive(8, 300.0 + 2.0 * MAX_QUEUED_TIME),
@@ -224,13 +224,13 @@
     }
 
     #[test]
-    fn what_cannot_be_sent_is_counted() {
+    fn datagrams_that_cannot_be_sent_are_counted() {
         let runtime = runtime();
         let _inside = runtime.enter();
         let (peer, peer_at) = sender();
         let own = bind(peer_at);
         let at = own.local_addr().expect("an address");
-        // To nobody's address, and longer than any may be.
+        // One datagram to an unknown member, and one that exceeds the maximum length.
         own.send(&Transmit {
             to: Member(7),
             bytes: vec![0],
--- a/balancer/proxy/src/recovery.rs
+++ b/balancer/proxy/src/recovery.rs
@@ -1,5 +1,5 @@
-//! The state that outlives the process: the count and incarnation of its starts, the last good list of upstreams, and
-//! what its decisions have learned. Owns the writer of snapshots and the current list.
+//! The state that outlives the process: the count and incarnation of its starts, the last valid list of upstreams, and
+//! the learned state of the decision module. Owns the snapshot writer and the current list.
 mod folder;
 mod inspect;
 mod records;
@@ -21,32 +21,32 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The shutdown waits this long for what is on its way to the disk.
+/// Maximum time that the shutdown waits for queued writes.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Saves state from now on.
+/// Saves state while the balancer runs.
 pub(crate) struct Recovery {
     writer: SnapshotWriter,
     list: ListSnapshot,
-    /// Fingerprint of all settings of the decisions: what they learned under others is of no use.
+    /// Fingerprint of all settings of the decision module: learned state from other settings cannot be used.
     settings_fingerprint: u32,
     learned_interval: Duration,
 }
 
-/// The state of an earlier run; by default none.
+/// The state restored from an earlier run; by default none.
 #[derive(Default)]
 pub(crate) struct Recovered {
-    /// Saves state, if the disk lets it.
+    /// Saves state, if the store can be written.
     pub recovery: Option<Recovery>,
-    /// Which start this is, if that is on the disk.
+    /// The count and incarnation of this start, if they are on disk.
     pub start: Option<Start>,
-    /// The last good list, if it may still be used.
+    /// The last valid list, if it is still usable.
     pub list: Option<Listing>,
-    /// What the decisions had learned.
+    /// The learned state, if it is still usable.
     pub learned: Option<Restored<Learned>>,
 }
 
-/// Returns whose state it is: the balancer's name, and what the positions in its state mean.
+/// Returns the owner of the state: the balancer's name, and a hash of the settings that its positions refer to.
 pub(crate) fn owner(name: &str, deployment: &Deployment) -> Owner {
     let lists = [
         &deployment.zones,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Opens the folder that the options name. Whatever is wrong is logged, and the balancer goes on without.
+/// Opens the folder that the options name. On failure, logs the error and continues without persistence.
 pub(crate) fn open(
     options: &RecoveryOptions,
     owner: Owner,
@@ -85,7 +85,7 @@
     } = match folder::read(options, owner) {
         Ok(contents) => contents,
         Err(error) => {
-            log_off(&options.dir, &error.to_string());
+            log_recovery_off(&options.dir, &error.to_string());
             return Recovered::default();
         }
     };
@@ -107,7 +107,7 @@
             learned_interval: options.interval,
         }),
         Err(error) => {
-            log_off(&options.dir, &format!("nothing is kept: {error}"));
+            log_recovery_off(&options.dir, &format!("state cannot be saved: {error}"));
             None
         }
     };
@@ -119,7 +119,7 @@
     }
 }
 
-/// Why nothing can be written.
+/// Why state cannot be saved.
 #[derive(Debug, thiserror::Error)]
 enum WriterError {
     #[error("{0}")]
@@ -137,9 +137,9 @@
     SnapshotWriter::start(store).map_err(|error| WriterError::Start(error.into()))
 }
 
-fn log_off(dir: &Path, error: &str) {
+fn log_recovery_off(dir: &Path, error: &str) {
     let dir = dir.display();
-    tracing::warn!(target: "recovery", event = "recovery_off", error, "recovery: {dir}: {error}; going on without");
+    tracing::warn!(target: "recovery", event = "recovery_off", error, "recovery: {dir}: {error}; continuing without it");
 }
 
 fn log_recovered(
@@ -149,7 +149,7 @@
 ) {
     let start_text = match start {
         Ok(start) => format!("start {}", start.count),
-        Err(error) => format!("a start without a number ({error})"),
+        Err(error) => format!("start count unknown ({error})"),
     };
     let list_text = match list {
         Ok(list) => format!(
@@ -160,11 +160,8 @@
         Err(error) => format!("no list: {error}"),
     };
     let learned_text = match learned {
-        Ok(learned) => format!(
-            "what was learned until {:.1} s ago",
-            learned.age_ms / 1000.0
-        ),
-        Err(error) => format!("nothing learned: {error}"),
+        Ok(learned) => format!("learned state from {:.1} s ago", learned.age_ms / 1000.0),
+        Err(error) => format!("no learned state: {error}"),
     };
     let starts = start.as_ref().ok().map(|start| start.count);
     tracing::info!(
@@ -174,33 +171,33 @@
 }
 
 impl Recovery {
-    /// Saves the list as it is after a response of discovery.
+    /// Saves the list after a response from discovery.
     pub(crate) fn save_list(&mut self, listing: &Listing) {
         self.list.apply(listing);
         self.writer.enqueue(Kind::Upstreams, self.list.to_json());
         self.log_failure();
     }
 
-    /// Saves what the decisions have learned.
+    /// Saves the learned state of the module.
     pub(crate) fn save_learned(&self, learned: Learned) {
         let record = LearnedRecord {
             settings_fingerprint: self.settings_fingerprint,
             learned,
         };
-        // Finite numbers only: all of it can be written as JSON.
+        // Cannot fail: the record holds only finite numbers.
         let text = serde_json::to_string(&record).unwrap_or_default();
         self.writer.enqueue(Kind::Learned, text);
         self.log_failure();
     }
 
-    /// Returns the interval at which what was learned is to be saved.
+    /// Returns the interval at which the learned state is to be saved.
     pub(crate) fn learned_interval(&self) -> Duration {
         self.learned_interval
     }
 
     fn log_failure(&self) {
         if let Some(error) = self.writer.failure() {
-            tracing::warn!(target: "recovery", event = "state_not_written", error, "recovery: not written: {error}");
+            tracing::warn!(target: "recovery", event = "state_not_written", error, "recovery: cannot save state: {error}");
         }
     }
 
@@ -209,7 +206,7 @@
         self.writer.written()
     }
 
-    /// Waits for a bounded time until what is on its way to the disk is written, and returns whether it is.
+    /// Waits for a bounded time for queued writes, and returns whether all are complete.
     pub(crate) fn flush(&self) -> bool {
         self.writer.flush(FLUSH_TIMEOUT)
     }
--- a/balancer/proxy/src/recovery/folder.rs
+++ b/balancer/proxy/src/recovery/folder.rs
@@ -1,5 +1,4 @@
-//! Reads the folder that state is persisted in, on a thread of its own: a disk that stalls does not hold up the start.
-//! Owns no state.
+//! Reads the state folder on a separate thread, so that a stalled disk does not block the start. Owns no state.
 use super::start::Start;
 use crate::options::RecoveryOptions;
 use balancer_snapshots::store::{Opened, StoreError};
@@ -12,34 +11,34 @@
 /// Why a folder cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum FolderError {
-    /// It holds no usable store.
+    /// It contains no usable store.
     #[error("{0}")]
     Store(#[source] StoreError),
-    /// The disk has not answered in time.
-    #[error("no answer within {0:?}")]
+    /// The disk did not respond in time.
+    #[error("no response within {0:?}")]
     Timeout(Duration),
-    /// The thread that reads it has failed.
-    #[error("it could not be read")]
+    /// The reader thread panicked.
+    #[error("the thread that reads it failed")]
     Failed,
-    /// The thread that reads it could not be started.
+    /// The reader thread could not be started.
     #[error("{0}")]
     Thread(#[source] io::Error),
 }
 
-/// What a folder holds, before its meaning is looked at.
+/// The records of a folder, not yet parsed.
 pub(super) struct FolderContents {
     /// The store to write to, or why nothing can be written.
     pub store: Result<Opened, StoreError>,
-    /// Which start this is, or why that could not be written.
+    /// The count and incarnation of this start, or why they could not be written.
     pub start: Result<Start, StoreError>,
     /// The record of the list.
     pub list: Found,
-    /// The record of what was learned.
+    /// The record of the learned state.
     pub learned: Found,
 }
 
-/// Reads the folder that the options name and records this start in it. A disk that answers later than the options
-/// allow may record the start all the same; nothing that it says then is used.
+/// Reads the folder that the options name and records this start in it. If the disk responds later than the options
+/// allow, the start may still be recorded, but the contents are not used.
 pub(super) fn read(options: &RecoveryOptions, owner: Owner) -> Result<FolderContents, FolderError> {
     let (sender, contents) = channel();
     let dir = options.dir.clone();
@@ -48,7 +47,7 @@
     std::thread::Builder::new()
         .name("recovery".into())
         .spawn(move || {
-            // Nobody may wait for it any more.
+            // Fails if the receiver has timed out.
             let _ = sender.send(read_now(&dir, owner, faults));
         })
         .map_err(FolderError::Thread)?;
@@ -75,7 +74,8 @@
     };
     let list = opened.store.get(Kind::Upstreams)?;
     let learned = opened.store.get(Kind::Learned)?;
-    // On the disk before it is used: an incarnation must not come again. Numbers only: all of it can be written as JSON.
+    // Written to disk before it is used, because an incarnation must never be reused. Serialization cannot fail: the
+    // record holds only numbers.
     let text = serde_json::to_string(&start).unwrap_or_default();
     let written = opened.store.put(&[(Kind::Starts, text)], unix_ms());
     Ok(FolderContents {
@@ -86,7 +86,7 @@
     })
 }
 
-/// Reads a folder that cannot be written to.
+/// Reads a copy of a folder that cannot be written to.
 fn read_copy(dir: &Path, owner: Owner, error: StoreError) -> Result<FolderContents, StoreError> {
     let Ok(copy) = Store::copy(dir, owner) else {
         return Err(error);
--- a/balancer/proxy/src/recovery/inspect.rs
+++ b/balancer/proxy/src/recovery/inspect.rs
@@ -1,9 +1,9 @@
-//! What operators see of a folder. Owns no state.
+//! Describes a state folder for operators. Owns no state.
 use balancer_snapshots::store::{self, StoreError};
 use balancer_snapshots::{unix_ms, Record};
 use std::path::{Path, PathBuf};
 
-/// Characters shown of a record.
+/// Number of characters shown of a record.
 const PREVIEW_LEN: usize = 100;
 
 /// Why a folder cannot be inspected.
@@ -15,18 +15,18 @@
     cause: StoreError,
 }
 
-/// What a folder holds.
+/// The contents of a folder.
 pub(crate) struct Inspection {
-    /// A line for each kind of record.
+    /// One line per kind of record.
     pub text: String,
-    /// Whether all records can be used.
+    /// Whether all records are usable.
     pub is_usable: bool,
 }
 
 /// Inspects a folder without changing anything in it.
 ///
 /// # Errors
-/// Says why it cannot be read.
+/// Fails if the folder cannot be read.
 pub(crate) fn inspect(dir: &Path) -> Result<Inspection, InspectError> {
     let records = store::inspect(dir).map_err(|cause| InspectError {
         dir: dir.into(),
--- a/balancer/proxy/src/recovery/records.rs
+++ b/balancer/proxy/src/recovery/records.rs
@@ -1,4 +1,4 @@
-//! Records of an earlier run: whether they may still be used, and their values. Owns no state.
+//! Validates and parses records from an earlier run. Owns no state.
 use crate::listing::{Listing, ListingError, Names};
 use balancer_core::{Learned, Millis, Settings, SettingsError};
 use balancer_snapshots::record::RecordError;
@@ -6,70 +6,70 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A clock may have gone back by this much without what was written then counting as of the future.
+/// Tolerance for clock steps: a record dated at most this far in the future is still accepted.
 const MAX_CLOCK_STEP_BACK: Duration = Duration::from_secs(60);
 
 /// Why a record is not used.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RecordUnusable {
-    /// There is none.
-    #[error("none was kept")]
+    /// There is no record.
+    #[error("none saved")]
     Missing,
-    /// Its bytes can't be used.
+    /// The record is corrupt.
     #[error("{0}")]
     Invalid(#[source] RecordError),
-    /// Its positions are another deployment's.
-    #[error("it is of another deployment")]
+    /// The record belongs to another deployment, so its positions have other meanings.
+    #[error("it belongs to another deployment")]
     OtherDeployment,
-    /// The clock went back.
-    #[error("it is from {:.0} s in the future", ahead_ms / 1000.0)]
+    /// The record is dated in the future: the clock was set back.
+    #[error("it is dated {:.0} s in the future", ahead_ms / 1000.0)]
     InFuture {
-        /// By how much, in milliseconds.
+        /// How far in the future, in milliseconds.
         ahead_ms: Millis,
     },
-    /// The options say not to use it.
-    #[error("not asked for")]
+    /// Restoring is switched off in the options.
+    #[error("switched off")]
     SwitchedOff,
-    /// It is not of the expected form.
+    /// The record cannot be parsed.
     #[error("{0}")]
     Json(#[source] serde_json::Error),
-    /// It was learned under other settings.
-    #[error("the settings are others now")]
+    /// The state was learned under other settings.
+    #[error("the settings have changed")]
     OtherSettings,
-    /// It does not fit the settings.
+    /// The state does not match the settings.
     #[error("{0}")]
     Mismatch(#[source] SettingsError),
-    /// It is older than the options allow.
-    #[error("it is {:.0} s old", age_ms / 1000.0)]
+    /// The record is older than the options allow.
+    #[error("too old: {:.0} s", age_ms / 1000.0)]
     TooOld {
-        /// Its age, in milliseconds.
+        /// The age of the record, in milliseconds.
         age_ms: Millis,
     },
-    /// It is no list.
+    /// The list is invalid.
     #[error(transparent)]
     Listing(#[from] ListingError),
 }
 
-/// A value that was restored.
+/// A restored value.
 pub(crate) struct Restored<T> {
     /// The value.
     pub value: T,
-    /// Its age, in milliseconds.
+    /// The age of the value, in milliseconds.
     pub age_ms: Millis,
 }
 
-/// The record of what was learned.
+/// The record of the learned state.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename = "Lesson")]
 pub(super) struct LearnedRecord {
-    /// Fingerprint of the settings that it was learned under.
+    /// Fingerprint of the settings under which the state was learned.
     #[serde(rename = "policy")]
     pub settings_fingerprint: u32,
-    /// What was learned.
+    /// The learned state.
     pub learned: Learned,
 }
 
-/// Returns a record that is of this deployment and not of the future.
+/// Returns the record if it belongs to this deployment and is not dated in the future.
 fn usable(found: &Found, deployment: u32) -> Result<Restored<&Record>, RecordUnusable> {
     let record = match found {
         Found::Record(record) => record,
@@ -89,7 +89,7 @@
     })
 }
 
-/// Restores what was learned.
+/// Restores the learned state.
 pub(super) fn restore_learned(
     found: &Found,
     deployment: u32,
--- a/balancer/proxy/src/recovery/start.rs
+++ b/balancer/proxy/src/recovery/start.rs
@@ -3,30 +3,30 @@
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
-/// Random bits below the time in an incarnation: two starts in one millisecond, on a clock that went back and with a
-/// folder that was lost, still get different ones.
+/// Number of random bits below the time in an incarnation. They keep incarnations distinct if two starts fall into the
+/// same millisecond, or if the clock was set back and the state folder was lost.
 const RANDOM_BITS: u32 = 20;
-/// Largest time in an incarnation, in milliseconds since 1970.
+/// Maximum time in an incarnation, in milliseconds since the Unix epoch.
 const MAX_TIME_MS: f64 = 1e13;
 
-/// Which start of the balancer this is.
+/// Identifies a start of the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Start {
-    /// Number of starts, this one included; begins anew with a folder that was lost.
+    /// Number of starts including this one. Restarts at one if the state folder was lost.
     pub count: u64,
-    /// A number that no other start of this balancer has: more than all that its folder knows of, and, where that was
-    /// lost, made of the time and of random bits.
+    /// A number unique among the starts of this balancer: greater than all that are recorded in the folder, and at
+    /// least the current time followed by random bits, in case the folder was lost.
     pub incarnation: u64,
 }
 
 impl Start {
-    /// Creates a start of which nothing is persisted: its incarnation is made of the time and of random bits.
+    /// Creates a start that is not persisted; its incarnation consists of the time and random bits.
     pub(crate) fn not_persisted() -> Start {
         Start::after(None)
     }
 
-    /// Creates the start after the one that a folder has persisted, if it has.
+    /// Creates the start that follows the persisted one, if there is one.
     pub(super) fn after(persisted: Option<&str>) -> Start {
         let previous = persisted.and_then(Start::parse).unwrap_or(Start {
             count: 0,
--- a/balancer/proxy/src/serve/components.rs
+++ b/balancer/proxy/src/serve/components.rs
@@ -1,4 +1,4 @@
-//! The components of a balancer that serves: built and started in order. Owns them until the shutdown.
+//! The components of a serving balancer, created and started in order. Owns them until the shutdown.
 use super::error::ServeError;
 use crate::clients::{Phase, Server};
 use crate::config::Config;
@@ -23,28 +23,28 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// Longest idle timeout of upstream connections: a day.
+/// Maximum idle timeout of upstream connections, in milliseconds: one day.
 const MAX_IDLE_CLOSE: Millis = 86_400_000.0;
 
-/// The components of a balancer that serves.
+/// The components of a serving balancer.
 pub(super) struct Components<'a> {
     /// The balancer's name.
     pub name: String,
-    /// The driver.
+    /// The handle to the driver.
     pub handle: Handle,
-    /// The driver's timers.
+    /// The task that fires the driver's timers.
     pub timers: JoinHandle<()>,
-    /// The clients' side.
+    /// The task that serves clients.
     pub server: JoinHandle<()>,
-    /// How far the shutdown is, for the clients' side.
+    /// The shutdown phase, which client connections observe.
     pub phase: watch::Sender<Phase>,
-    /// The tier, if this replica speaks with its peers.
+    /// The tier, if this replica communicates with its peers.
     pub tier: Option<Tier>,
     /// Reports metrics, if they are on.
     pub reporter: Option<MetricsReporter<'a>>,
     /// The current options.
     pub options: watch::Sender<Options>,
-    /// Where discovery listens.
+    /// The address of discovery.
     pub discovery_address: watch::Sender<SocketAddr>,
     /// The longest deadline of all classes.
     pub longest_deadline: Millis,
@@ -54,7 +54,7 @@
     /// Starts all components.
     ///
     /// # Errors
-    /// Says what could not be started.
+    /// Fails if a component cannot be started.
     pub(super) async fn start(
         clock: ClockStart,
         config: Config,
@@ -112,7 +112,7 @@
     }
 }
 
-/// The start on both clocks.
+/// The time of the start on both clocks.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClockStart {
     at: Instant,
@@ -129,7 +129,7 @@
     }
 }
 
-/// The driver with the state of an earlier run that it does not have yet.
+/// The driver, and restored state that it has not received yet.
 struct Prepared {
     handle: Handle,
     file: Option<MetricsFile>,
@@ -191,7 +191,7 @@
     MetricsFile::start(dir).map(Some)
 }
 
-/// Recovers the state of an earlier run, where that is persisted.
+/// Recovers the state of an earlier run, if it is persisted.
 fn recover(config: &Config, options: &Options) -> Recovered {
     if !options.recovery.is_on() {
         return Recovered::default();
@@ -202,7 +202,7 @@
     recovery::open(&options.recovery, owner, &names, &deployment.policy)
 }
 
-/// Returns the platform's list, unless this balancer has saved a later one.
+/// Returns the newer one of the configured list and the saved list.
 fn newest_list(config: &Config, saved: Option<Listing>) -> Option<Listing> {
     if let Some(error) = &config.known_error {
         let name = &config.name;
@@ -215,7 +215,7 @@
     }
 }
 
-/// A listener and its address.
+/// A bound listener and its address.
 struct BoundListener {
     listener: TcpListener,
     address: SocketAddr,
@@ -235,14 +235,14 @@
     tokio::task::spawn_local(async move { handle.run().await })
 }
 
-/// Starts the watch of the list, and returns where discovery's address can be changed.
+/// Starts the watch of the list, and returns the channel for changing the address of discovery.
 fn spawn_discovery(
     handle: &Handle,
     config: &Config,
     list: Option<&Listing>,
 ) -> watch::Sender<SocketAddr> {
     let (address, addresses) = watch::channel(config.discovery);
-    // No changes could follow an empty list.
+    // An empty list is no base for changes: requests the full list.
     let version = list
         .filter(|list| !list.entries.is_empty())
         .map(|list| list.version);
@@ -256,7 +256,7 @@
     address
 }
 
-/// Opens this replica's contact with its tier. Whatever is wrong is logged, and the balancer goes on without.
+/// Starts communication with the tier. On failure, logs the error and continues without it.
 fn start_tier(config: &Config, options: &Options, start: Option<Start>) -> Option<Tier> {
     if !options.peers.on {
         return None;
@@ -272,7 +272,7 @@
         Ok(tier) => Some(tier),
         Err(error) => {
             let error = error.to_string();
-            tracing::warn!(target: "peers", event = "peers_off", error, "peers: {error}; going on without");
+            tracing::warn!(target: "peers", event = "peers_off", error, "peers: {error}; continuing without it");
             None
         }
     }
--- a/balancer/proxy/tests/golden.rs
+++ b/balancer/proxy/tests/golden.rs
@@ -200,7 +200,7 @@
     let node = started(dir.path());
     node.logs("recovery: start 8, a list of 2 upstreams");
     // The lesson was read, and then found to be of another policy.
-    node.logs("nothing learned: the settings are others now");
+    node.logs("no learned state: the settings have changed");
     assert!(node.discovery.called().starts_with("/api/targets?since=4&"));
     assert_eq!(
         persisted(dir.path(), Kind::Starts, |text| text.contains(":8,")),
@@ -232,7 +232,7 @@
         dir.path(),
         &[(Kind::Learned, learned_record(&value["policy"]))],
     );
-    started(dir.path()).logs("what was learned until");
+    started(dir.path()).logs("learned state from");
 }
 
 /// Version 0.1 kept how often it had started, and nothing else.
--- a/balancer/proxy/tests/peers.rs
+++ b/balancer/proxy/tests/peers.rs
@@ -258,7 +258,7 @@
         (
             "\"127.0.0.1:2\"",
             "\"127.0.0.1\"",
-            "peers[1]: \"127.0.0.1\" is no IPv4 address and port",
+            "peers[1]: \"127.0.0.1\" is not an IPv4 address and port",
         ),
         (
             "\"peer_listen\":\"127.0.0.1:0\",",
@@ -290,7 +290,7 @@
         run.arg(format!("figures.dir={}", dir.path().display()));
         let node = Node::run(run, discovery);
         assert_eq!(node.client().call(&get("r", "20000m")).status(), 200);
-        node.logs("going on without");
+        node.logs("continuing without it");
         assert_eq!(
             node.log()
                 .iter()
--- a/balancer/proxy/tests/peers_addresses.rs
+++ b/balancer/proxy/tests/peers_addresses.rs
@@ -21,10 +21,10 @@
         (
             json!("[::1]:7"),
             two,
-            "peer_listen: \"[::1]:7\" is no IPv4 address and port",
+            "peer_listen: \"[::1]:7\" is not an IPv4 address and port",
         ),
         (good.clone(), Value::Null, "peers: missing"),
-        (good.clone(), json!("127.0.0.1:7"), "peers: no list"),
+        (good.clone(), json!("127.0.0.1:7"), "peers: not a list"),
         (
             good.clone(),
             json!(["127.0.0.1:7"]),
@@ -33,7 +33,7 @@
         (
             good.clone(),
             json!(["127.0.0.1:7", 7]),
-            "peers[1]: 7 is no IPv4 address and port",
+            "peers[1]: 7 is not an IPv4 address and port",
         ),
         (
             good.clone(),
@@ -43,7 +43,7 @@
         (
             good,
             json!(["127.0.0.1:7", "127.0.0.1:7"]),
-            "peers[1]: 127.0.0.1:7 is peers[0] already",
+            "peers[1]: 127.0.0.1:7 duplicates peers[0]",
         ),
     ] {
         let error = read(listen, peers).map_err(|error| error.to_string());
--- a/balancer/proxy/tests/recovery.rs
+++ b/balancer/proxy/tests/recovery.rs
@@ -47,7 +47,7 @@
         Upstream::start(|_| ok("gone")),
     );
     let node = started(dir.path());
-    node.logs("recovery: start 1, no list: none was kept");
+    node.logs("recovery: start 1, no list: none saved");
     node.discovery.answer(&listing(
         4,
         true,
@@ -86,7 +86,7 @@
     let discovery = Discovery::start();
     let config = config(discovery.addr, 1024, "null");
     let node = run_in(dir.path(), &config, discovery, &["recovery.list_age=0s"]);
-    node.logs("recovery: start 3, no list: it is 0 s old");
+    node.logs("recovery: start 3, no list: too old: 0 s");
     assert_eq!(node.client().call(&get("r9", "5000m")).status(), 503);
 }
 
@@ -96,7 +96,7 @@
     let first = started(dir.path());
     first.logs("recovery: start 1");
     let second = started(dir.path());
-    second.logs("another process holds it; going on without");
+    second.logs("another process holds it; continuing without it");
     assert_eq!(
         second
             .client()
@@ -117,7 +117,7 @@
     assert_eq!(state("check", dir.path()).0, Some(2));
     let third = started(dir.path());
     third.logs("set aside as ");
-    third.logs("recovery: start 1, no list: none was kept");
+    third.logs("recovery: start 1, no list: none saved");
     let log = third.log();
     assert!(log.iter().all(|l| !l.contains("panicked")), "{log:?}");
     assert!(dir.path().join("state.redb.bad-1").is_file());
@@ -160,7 +160,7 @@
     };
     let plain = |at: &str| config(at.parse().expect("an address"), 1024, "null");
     let node = with(&plain, &["recovery.every=100ms"]);
-    assert!(recovered(&node).contains("nothing learned: none was kept"));
+    assert!(recovered(&node).contains("no learned state: none saved"));
     node.discovery
         .answer(&listing(1, true, &[(0, upstream.addr, "active")]));
     wait_until("ready", || {
@@ -179,7 +179,7 @@
     drop(node);
     let node = with(&plain, &[]);
     assert!(
-        recovered(&node).contains("what was learned until"),
+        recovered(&node).contains("learned state from"),
         "{:?}",
         node.log()
     );
@@ -187,7 +187,7 @@
     drop(node);
     let node = with(&plain, &["recovery.learned=false"]);
     assert!(
-        recovered(&node).contains("nothing learned: not asked for"),
+        recovered(&node).contains("no learned state: switched off"),
         "{:?}",
         node.log()
     );
@@ -195,7 +195,7 @@
     let other = |at: &str| plain(at).replace("\"quota_per_s\":5000", "\"quota_per_s\":4000");
     let node = with(&other, &[]);
     assert!(
-        recovered(&node).contains("nothing learned: the settings are others now"),
+        recovered(&node).contains("no learned state: the settings have changed"),
         "{:?}",
         node.log()
     );
@@ -274,7 +274,7 @@
     // A disk that takes nothing may still be read: it serves from the list, and says that nothing is kept.
     std::fs::write(&fault_file, "full").expect("writes");
     let node = run();
-    node.logs("a start without a number");
+    node.logs("start count unknown");
     assert_eq!(node.client().call(&get("still", "5000m")).body, b"served");
     drop(node);
     std::fs::remove_file(&fault_file).expect("is well again");
@@ -306,7 +306,7 @@
     // The last one counts.
     let options = [faults.as_str(), "recovery.start_timeout=100ms"];
     let node = run_in(dir.path(), &config, discovery, &options);
-    node.logs("no answer within 100ms; going on without");
+    node.logs("no response within 100ms; continuing without it");
     std::fs::remove_file(&fault_file).expect("is well again");
     assert_eq!(node.client().call(&get("early", "5000m")).status(), 503);
     // It asks discovery for everything, so that it knows of no earlier list, and serves by the answer.
