--- a/balancer/settings/src/deployment.rs
+++ b/balancer/settings/src/deployment.rs
@@ -1,22 +1,21 @@
-//! The settings as the balancer and its hosts use them.
+//! Parsed and validated settings, as the balancer and its hosts use them.
 use crate::error::DeploymentError;
 use crate::key_names::with_key;
 use crate::lengths::{check_lengths, check_objectives, Lengths};
 use crate::setup::{ClassSetup, Setup};
 use balancer_core::{Class, DedupScope, Effect, Settings, Tenant};
 
-/// Longest dial timeout, in milliseconds.
-const MAX_DIAL_TIMEOUT: f64 = 1e9;
-/// Column of a load report with the requests in flight.
+const MAX_DIAL_TIMEOUT_MS: f64 = 1e9;
+/// Load report column that holds the requests in flight.
 const IN_FLIGHT_COLUMN: &str = "inflight";
-/// Column of a load report with the requests served per second.
+/// Load report column that holds the requests served per second.
 const SERVED_COLUMN: &str = "qps";
 
-/// The settings with what the balancer's decisions have no use for but its hosts do. Names stand at the position that
-/// the balancer knows them by; a list that was not given is empty.
+/// The balancer's settings and those that only its hosts need. The balancer refers to classes, tenants, zones and
+/// machine kinds by their position in these lists; a list that the settings omit is empty.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
-    /// What the balancer starts with.
+    /// The settings that the balancer is created with.
     pub policy: Settings,
     /// Names of the classes.
     pub classes: Vec<String>,
@@ -26,24 +25,24 @@
     pub zones: Vec<String>,
     /// Names of the machine kinds.
     pub kinds: Vec<String>,
-    /// A connection that is not up within this time, in milliseconds, counts as refused.
+    /// Connect timeout in milliseconds; a connection that takes longer counts as refused.
     pub dial_timeout: f64,
-    /// The most requests that an instance may have open.
+    /// Maximum number of open requests per instance.
     pub max_open: u64,
-    /// Whether balancers may send each other datagrams.
+    /// Whether balancers may exchange datagrams.
     pub peers: bool,
-    /// Column of the simulator's load reports with the requests in flight at an upstream, if there is one.
+    /// Position of the column with the upstream's requests in flight in the simulator's load reports, if they have one.
     pub in_flight_column: Option<usize>,
-    /// The same for the requests a second that it serves.
+    /// Position of the column with the requests per second that the upstream serves, if they have one.
     pub served_column: Option<usize>,
 }
 
 impl Deployment {
-    /// Reads settings.
+    /// Parses and validates settings from JSON.
     ///
     /// # Errors
     ///
-    /// What is wrong with the first key at fault.
+    /// Returns an error for the first invalid key.
     pub fn read(json: &[u8]) -> Result<Deployment, DeploymentError> {
         let setup = parse(json)?;
         let settings = settings(&setup)?;
@@ -57,7 +56,7 @@
             .validate()
             .map_err(|error| with_key(&settings, error))?;
         check_objectives(&settings.classes)?;
-        if !(0.0..=MAX_DIAL_TIMEOUT).contains(&setup.permissions.dial_timeout) {
+        if !(0.0..=MAX_DIAL_TIMEOUT_MS).contains(&setup.permissions.dial_timeout) {
             return Err(DeploymentError::DialTimeout);
         }
         let columns = &setup.stats.columns;
@@ -81,10 +80,10 @@
     }
 }
 
-/// Reads the keys of the wire.
+/// Parses the JSON without validating the values.
 fn parse(json: &[u8]) -> Result<Setup, DeploymentError> {
     let mut json = serde_json::Deserializer::from_slice(json);
-    // The path names the key of a value of the wrong type; the message alone does not.
+    // serde_json's message does not name the key of a value of the wrong type; the path does.
     let setup = serde_path_to_error::deserialize(&mut json).map_err(|error| {
         let path = error.path().to_string();
         let source = error.into_inner();
--- a/balancer/settings/src/error.rs
+++ b/balancer/settings/src/error.rs
@@ -1,67 +1,69 @@
-//! Why settings cannot be used. Texts are single lines that begin with the key at fault.
+//! Errors of reading settings. Each message is a single line that starts with the invalid key, if there is one.
 use balancer_core::SettingsError;
 
-/// Why settings cannot be used.
+/// Why settings were refused.
 #[derive(Debug, thiserror::Error)]
 pub enum DeploymentError {
-    /// Not JSON, or not all of the text is.
+    /// The text is not a JSON object, lacks a required key at its top level, or is followed by other text.
     #[error(transparent)]
     Json(serde_json::Error),
-    /// A value that cannot be read.
+    /// A value has the wrong type, or lacks a required key.
     #[error("{path}: {source}")]
     Value {
-        /// Where the value stands.
+        /// Path of the value's key.
         path: String,
-        /// What is wrong with it.
+        /// The error from the JSON parser.
         source: serde_json::Error,
     },
-    /// A value with no meaning.
+    /// A value is none of the key's known values.
     #[error("{key}: unknown {what} {value:?}")]
     UnknownValue {
-        /// The key.
+        /// Path of the key.
         key: String,
-        /// What the value chooses.
+        /// What the value selects, such as an effect.
         what: &'static str,
-        /// The value.
+        /// The unknown value.
         value: String,
     },
-    /// A list that is too long.
-    #[error("{key}: {entries} entries; {max} at most")]
+    /// A list is too long.
+    #[error("{key}: {entries} entries; at most {max} are allowed")]
     TooManyEntries {
-        /// The key.
+        /// Key of the list.
         key: &'static str,
-        /// Entries of the list.
+        /// Number of entries.
         entries: usize,
-        /// The most entries.
+        /// Maximum number of entries.
         max: usize,
     },
-    /// Too many tenants for the classes: a number is stored for each pair.
-    #[error("tenants: {tenants} for {classes} classes; {max} at most of both multiplied")]
+    /// There are too many pairs of a tenant and a class: a number is stored for each pair.
+    #[error(
+        "tenants: {tenants} for {classes} classes; tenants times classes must be at most {max}"
+    )]
     TooManyPairs {
-        /// Entries of `tenants`.
+        /// Number of tenants.
         tenants: usize,
-        /// Entries of `classes`.
+        /// Number of classes.
         classes: usize,
-        /// The most pairs.
+        /// Maximum number of pairs.
         max: usize,
     },
-    /// An objective that nothing can be divided by.
+    /// An objective is too short to divide by.
     #[error("classes[{class}].objective: must be at least {min}")]
     ObjectiveTooShort {
-        /// Position of the class.
+        /// Position of the class in `classes`.
         class: usize,
-        /// The least objective, in milliseconds.
+        /// Minimum objective, in milliseconds.
         min: f64,
     },
-    /// A number that the balancer refuses.
+    /// The balancer refuses a value.
     #[error("{key}: must be {}", source.must)]
     Refused {
-        /// The key.
+        /// Path of the key.
         key: String,
-        /// What the balancer says.
+        /// The error from the balancer.
         source: SettingsError,
     },
-    /// A dial timeout that is out of bounds.
+    /// The dial timeout is out of range.
     #[error("permissions.dial_timeout: must be a time of at least 0")]
     DialTimeout,
 }
--- a/balancer/settings/src/key_names.rs
+++ b/balancer/settings/src/key_names.rs
@@ -1,18 +1,18 @@
-//! Names the key of the settings that the balancer refuses: it has names of its own for some of them, and says of
-//! entries of a list only that one is wrong. Owns no state.
+//! Maps a validation error of the balancer to the path of the JSON key. The balancer has its own names for some
+//! settings, and its errors about entries of a list do not say which entry is invalid.
 use crate::error::DeploymentError;
 use balancer_core::{Class, Settings, SettingsError, Tenant};
 
-/// The error with the key at fault.
+/// Adds the path of the invalid key to an error.
 pub(crate) fn with_key(settings: &Settings, error: SettingsError) -> DeploymentError {
     let key = match error.field.split_once('.') {
         Some(("classes", field)) => {
-            let position = settings.classes.iter().position(is_class_refused);
+            let position = settings.classes.iter().position(is_class_invalid);
             let position = position.unwrap_or_default();
             format!("classes[{position}].{}", class_key(field))
         }
         Some(("tenants", field)) => {
-            let position = settings.tenants.iter().position(is_tenant_refused);
+            let position = settings.tenants.iter().position(is_tenant_invalid);
             let position = position.unwrap_or_default();
             format!("tenants[{position}].{field}")
         }
@@ -21,27 +21,27 @@
     DeploymentError::Refused { key, source: error }
 }
 
-fn is_class_refused(class: &Class) -> bool {
-    let alone = Settings {
+fn is_class_invalid(class: &Class) -> bool {
+    let single = Settings {
         classes: vec![class.clone()],
         ..Settings::default()
     };
-    alone.validate().is_err()
+    single.validate().is_err()
 }
 
-fn is_tenant_refused(tenant: &Tenant) -> bool {
-    let alone = Settings {
+fn is_tenant_invalid(tenant: &Tenant) -> bool {
+    let single = Settings {
         tenants: vec![tenant.clone()],
         ..Settings::default()
     };
-    alone.validate().is_err()
+    single.validate().is_err()
 }
 
 fn class_key(field: &str) -> &str {
     match field {
         "worth" => "importance",
         "window" => "repeat_window",
-        same => same,
+        unchanged => unchanged,
     }
 }
 
@@ -55,6 +55,6 @@
         "ramp_time" => "invariants.ramp_time",
         "tip_multiple" => "invariants.tip_multiple",
         "cross_zone_price" => "charges.cross_zone",
-        same => same,
+        unchanged => unchanged,
     }
 }
--- a/balancer/settings/src/lengths.rs
+++ b/balancer/settings/src/lengths.rs
@@ -1,25 +1,25 @@
-//! Bounds what each list of the settings may hold. Owns no state.
+//! Bounds the lengths of the lists in the settings and the objectives of classes.
 //!
-//! Positions of zones and kinds are numbers of 16 and 8 bits to the balancer, and a last one stands for names that the
-//! settings don't list: a longer list would give two names one number. What is stored for each tenant and class takes
-//! memory from the start on.
+//! The balancer numbers zones with 16 bits and machine kinds with 8 bits, and the last number stands for any name that
+//! the settings do not list: in a longer list, two names would share a number. Per-tenant and per-class state is
+//! allocated at start, so its size is bounded too.
 use crate::error::DeploymentError;
 use balancer_core::Class;
 
-/// The simulator names a class by a byte.
+/// The simulator's wire format has one byte for the class.
 const MAX_CLASSES: usize = 256;
-/// The tier's protocol numbers tenants with 16 bits.
+/// The protocol between the balancers of a tier numbers tenants with 16 bits.
 const MAX_TENANTS: usize = u16::MAX as usize;
-/// A number is stored for each class of each tenant: 8 MiB of them.
+/// One number is stored for each pair of a tenant and a class: 8 MiB in total.
 const MAX_PAIRS: usize = 1 << 20;
-/// Positions from 0, without the one for names that are not listed.
+/// One fewer than there are 16-bit numbers: the last one stands for names that are not listed.
 const MAX_ZONES: usize = u16::MAX as usize;
-/// See [`MAX_ZONES`].
+/// One fewer than there are 8-bit numbers; see [`MAX_ZONES`].
 const MAX_KINDS: usize = u8::MAX as usize;
-/// Shorter objectives, in milliseconds, mean nothing, and what is divided by them would not stay finite.
-const MIN_OBJECTIVE: f64 = 1e-3;
+/// Shorter objectives have no practical meaning, and a quotient with one as its divisor may not be finite.
+const MIN_OBJECTIVE_MS: f64 = 1e-3;
 
-/// The lengths of the lists.
+/// Number of entries under each key.
 pub(crate) struct Lengths {
     /// `classes`
     pub classes: usize,
@@ -54,13 +54,13 @@
     Ok(())
 }
 
-/// Refuses objectives that nothing can be divided by.
+/// Refuses objectives that are too short to divide by.
 pub(crate) fn check_objectives(classes: &[Class]) -> Result<(), DeploymentError> {
-    let too_short = |class: &Class| class.objective < MIN_OBJECTIVE;
+    let too_short = |class: &Class| class.objective < MIN_OBJECTIVE_MS;
     match classes.iter().position(too_short) {
         Some(class) => Err(DeploymentError::ObjectiveTooShort {
             class,
-            min: MIN_OBJECTIVE,
+            min: MIN_OBJECTIVE_MS,
         }),
         None => Ok(()),
     }
--- a/balancer/settings/src/lib.rs
+++ b/balancer/settings/src/lib.rs
@@ -1,14 +1,20 @@
-//! The start-up settings as JSON. Unknown keys are ignored; a missing required key is named.
+//! Reads start-up settings from JSON. Unknown keys are ignored; the error for a missing required key names it.
 //!
-//! Known to the wire, but read by no decision and so ignored here: names and the lists of names (`dcs`, `kinds`,
-//! `tiers`), `blend`, `clients`, `domain_type`, `family_info`, `tick`, `weights`, `worth_by`,
-//! `over_share_worth`; of `classes[]` `aim_stretch` and `streaming`; of `charges` all but crossings;
-//! of `invariants` `drain_grace` and `grace_to_answer` (the balancer stops, spreads and responds well within
-//! them); of `permissions` those to check health, to notify peers, to hedge requests and to give advice (a refusal
-//! always says when to return), and the limits of CPU, open requests, connections and dialling; [`Deployment`]
-//! has what of these a host of the balancer needs. Of the events the codec ignores health checks and peer messages, and
-//! of load reports all but the requests in flight and served; of a request its cost hint and its marks; of an entry of
-//! the endpoint list its scale. Never requested: single fetches of the list, and unsubscribing.
+//! Some settings of the simulator's wire affect no decision of the balancer and are not passed to it:
+//! - names and the lists of names (`dcs`, `kinds`, `tiers`), `blend`, `clients`, `domain_type`, `family_info`, `tick`,
+//!   `weights`, `worth_by` and `over_share_worth`;
+//! - in `classes[]`, `aim_stretch` and `streaming`;
+//! - in `charges`, everything except the price of crossing zones;
+//! - in `invariants`, `drain_grace` and `grace_to_answer`: the balancer shuts down, distributes load and responds well
+//!   within them;
+//! - in `permissions`, the permissions for health checks, messages to peers, hedged requests and retry advice (a
+//!   refusal always carries a retry delay), and the limits on CPU, open requests, connections and dialling.
+//!
+//! [`Deployment`] holds those of them that a host of the balancer needs.
+//!
+//! The simulator's codec also ignores health check and peer message events, all columns of load reports except requests
+//! in flight and requests served, the cost hint and flags of a request, and the scale of an endpoint list entry. It
+//! never fetches the endpoint list once or unsubscribes from it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 mod deployment;
@@ -20,11 +26,11 @@
 pub use deployment::Deployment;
 pub use error::DeploymentError;
 
-/// Reads settings; the text of the error names the key at fault. See [`Deployment::read`].
+/// Reads settings. The error message names the invalid key. See [`Deployment::read`].
 ///
 /// # Errors
 ///
-/// The text of a [`DeploymentError`].
+/// Returns the message of the [`DeploymentError`].
 pub fn deployment(json: &[u8]) -> Result<Deployment, String> {
     Deployment::read(json).map_err(|error| error.to_string())
 }
--- a/balancer/settings/src/setup.rs
+++ b/balancer/settings/src/setup.rs
@@ -1,13 +1,12 @@
-//! The settings by the keys of the wire. Decides nothing.
+//! Settings as they are in JSON, before validation.
 use balancer_core::Settings;
 use serde::Deserialize;
 
-/// Time in which a connection must be up, in milliseconds, where none is stated.
-const DEFAULT_DIAL_TIMEOUT: f64 = 250.0;
-/// The most open requests, where none is stated.
+const DEFAULT_DIAL_TIMEOUT_MS: f64 = 250.0;
+/// Default for the maximum number of open requests per instance.
 const DEFAULT_MAX_OPEN: u64 = 20_000;
 
-/// All settings.
+/// The top-level object.
 #[derive(Deserialize)]
 pub(crate) struct Setup {
     pub balancers: u32,
@@ -32,7 +31,7 @@
     pub stats: Stats,
 }
 
-/// What load reports hold.
+/// Contents of load reports (`stats`).
 #[derive(Deserialize, Default)]
 pub(crate) struct Stats {
     #[serde(default)]
@@ -71,7 +70,7 @@
     pub quota_per_s: f64,
 }
 
-/// What the balancer may do.
+/// What the balancer may do, and its limits (`permissions`).
 #[derive(Deserialize)]
 pub(crate) struct Permissions {
     #[serde(rename = "attempts_cap")]
@@ -90,7 +89,7 @@
     pub peers: bool,
 }
 
-/// What holds of the upstreams and the registry.
+/// Guaranteed properties of the upstreams and of endpoint discovery (`invariants`).
 #[derive(Deserialize)]
 pub(crate) struct Invariants {
     #[serde(rename = "cold_from")]
@@ -107,7 +106,7 @@
     pub late_shedding: bool,
 }
 
-/// What costs.
+/// Prices that the balancer is charged (`charges`).
 #[derive(Deserialize, Default)]
 pub(crate) struct Charges {
     #[serde(default, rename = "cross_zone")]
@@ -135,7 +134,7 @@
 }
 
 fn default_dial_timeout() -> f64 {
-    DEFAULT_DIAL_TIMEOUT
+    DEFAULT_DIAL_TIMEOUT_MS
 }
 
 fn default_max_open() -> u64 {
