--- a/balancer/simulator/src/host.rs
+++ b/balancer/simulator/src/host.rs
@@ -1,77 +1,77 @@
-//! Hosts the balancers of a simulation: takes the records of a batch to them and their actions into the reply.
+//! Runs the balancers of a simulation: passes them the records of a batch and collects their actions in a reply.
 use crate::wire::{self, Batch, Record, Reply, Table, UpdateError};
 use balancer_core::{Action, Balancer, Event, Millis, SettingsError, UpstreamId};
 use balancer_settings::{Deployment, DeploymentError};
 use std::collections::BTreeMap;
 
-/// What is wrong with a batch, and which of its records is at fault.
+/// Error of handling a batch.
 #[derive(Debug, thiserror::Error)]
 #[error("record {record}: {source}")]
 pub struct BatchError {
-    /// The record, counted from zero.
+    /// Position of the record that caused it, counted from zero.
     pub record: usize,
-    /// What is wrong with it.
+    /// The error of that record.
     pub source: RecordError,
 }
 
-/// What is wrong with a record.
+/// Error of handling a record.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// It belongs to no instance.
-    #[error("no instance was named before this record")]
+    /// The record needs an instance, but no record before it in the batch selected one.
+    #[error("no target instance was set before this record")]
     NoTarget,
-    /// Settings that cannot be read.
+    /// The settings of a new instance cannot be read.
     #[error("settings of instance {instance}: {source}")]
     Deployment {
         /// The instance.
         instance: u16,
-        /// What is wrong with them.
+        /// The error of the settings.
         source: DeploymentError,
     },
-    /// Settings that the balancer refuses.
+    /// The balancer refuses the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An update of the endpoint list that cannot be resolved.
-    #[error("table {table}: {source}")]
+    /// An update of the endpoint list cannot be resolved.
+    #[error("endpoint update from table {table}: {source}")]
     Update {
         /// The number of the table.
         table: u32,
-        /// What is wrong with it.
+        /// Why it cannot be resolved.
         source: UpdateError,
     },
 }
 
-/// A balancer, with where load reports hold what it is interested in.
+/// A balancer, and the columns of load reports that it uses.
 struct Instance {
     balancer: Balancer,
-    /// Column of the requests in flight.
+    /// Column with the requests in flight.
     in_flight_column: Option<usize>,
-    /// Column of the requests served per second.
+    /// Column with the requests served per second.
     served_column: Option<usize>,
 }
 
-/// The balancers of a simulation and the endpoint lists that they were sent.
+/// The balancers of a simulation and the endpoint lists received for them.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, Instance>,
     tables: BTreeMap<u32, Table>,
     actions: Vec<Action>,
     reply: Reply,
-    /// The instance that the next records belong to.
+    /// The instance that the following records apply to.
     target: Option<u16>,
-    /// The instance that the reply's last records belong to.
-    replying: Option<u16>,
+    /// The instance that the reply's latest records belong to.
+    reply_instance: Option<u16>,
 }
 
 impl Host {
-    /// Hands a batch to the balancers and returns the reply.
+    /// Passes the records of a batch to the balancers and returns the encoded reply.
     ///
     /// # Errors
     ///
-    /// The first record at fault; the records before it have been handled.
+    /// Returns an error for the first invalid record; the records before it have been handled.
     pub fn handle_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, BatchError> {
         self.target = None;
-        self.replying = None;
+        self.reply_instance = None;
         for (position, record) in batch.records.iter().enumerate() {
             self.handle_record(batch, record)
                 .map_err(|source| BatchError {
@@ -124,7 +124,7 @@
         Ok(())
     }
 
-    /// Starts the target instance.
+    /// Creates the target instance, replacing an earlier one of the same number.
     fn configure(&mut self, seed: u64, setup: &[u8], now: Millis) -> Result<(), RecordError> {
         let id = self.target()?;
         let deployment = Deployment::read(setup).map_err(|source| RecordError::Deployment {
@@ -170,9 +170,9 @@
         if self.actions.is_empty() {
             return;
         }
-        if self.replying != Some(id) {
+        if self.reply_instance != Some(id) {
             self.reply.set_instance(id);
-            self.replying = Some(id);
+            self.reply_instance = Some(id);
         }
         for action in self.actions.drain(..) {
             self.reply.add(&action);
--- a/balancer/simulator/src/lib.rs
+++ b/balancer/simulator/src/lib.rs
@@ -1,5 +1,5 @@
-//! Hosts balancer_core balancers on the simulator's wire. The program only carries frames between its pipes and
-//! [`Host`].
+//! Runs balancer_core balancers in the operators' simulator. The binary only moves frames between its standard streams
+//! and [`Host`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 mod host;
--- a/balancer/simulator/src/main.rs
+++ b/balancer/simulator/src/main.rs
@@ -1,10 +1,10 @@
-//! Hosts balancer_core balancers on the simulator's wire: frames in on standard input, replies out.
+//! Runs balancer_core balancers in the simulator: reads frames from standard input, writes replies to standard output.
 #![forbid(unsafe_code)]
 use balancer_simulator::{wire, BatchError, Host};
 use std::io::{self, Write};
 use std::process::ExitCode;
 
-/// Why the program ends before its input does.
+/// Error that ends the program before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum RunError {
     #[error(transparent)]
--- a/balancer/simulator/src/wire.rs
+++ b/balancer/simulator/src/wire.rs
@@ -1,4 +1,5 @@
-//! The frame codec: batches in, replies out. Every read is bounds-checked; errors say what and where.
+//! Codec of the simulator's wire format: decodes batches and encodes replies. Every read is bounds-checked; decoding
+//! errors name the frame and the record.
 mod batch;
 mod bytes;
 mod error;
--- a/balancer/simulator/src/wire/batch.rs
+++ b/balancer/simulator/src/wire/batch.rs
@@ -1,23 +1,23 @@
-//! Decodes a frame into its records. Owns no state.
+//! Decodes a frame into a batch of records.
 use super::bytes::{f64_at, u32_at};
 use super::error::{HeaderError, WireError};
 use super::frame::HEADER_SIZE;
 use super::record::{decode_record, Record};
 use balancer_core::Millis;
 
-/// Bytes of a record.
+/// Size of a record in bytes.
 const RECORD_SIZE: usize = 48;
 
 /// A decoded batch.
 #[derive(Debug)]
 pub struct Batch {
-    /// The clock.
+    /// The simulation's current time.
     pub now: Millis,
-    /// The batch number to be echoed.
+    /// The batch's sequence number; the reply repeats it.
     pub number: u32,
-    /// The records in order.
+    /// The records, in order.
     pub records: Vec<Record>,
-    /// Variable-size data.
+    /// Variable-size data that records refer to by offset.
     pub tail: Vec<u8>,
 }
 
@@ -28,19 +28,22 @@
     count: usize,
 }
 
-/// Decodes a complete frame. `batch` counts frames from zero, for errors only.
+/// Decodes a complete frame. `index` is the frame's position in the input, counted from zero, for error messages.
 ///
 /// # Errors
 ///
-/// What is wrong with the header, or with the first record at fault.
-pub fn decode(frame: &[u8], batch: u64) -> Result<Batch, WireError> {
-    let header = decode_header(frame).map_err(|source| WireError::Header { batch, source })?;
+/// Returns an error for an invalid header or for the first invalid record.
+pub fn decode(frame: &[u8], index: u64) -> Result<Batch, WireError> {
+    let header = decode_header(frame).map_err(|source| WireError::Header {
+        frame: index,
+        source,
+    })?;
     let body = &frame[HEADER_SIZE..];
     let (records, tail) = body.split_at(header.count * RECORD_SIZE);
     let records = records.chunks_exact(RECORD_SIZE).enumerate();
     let records = records.map(|(position, record)| {
         decode_record(record, tail).map_err(|source| WireError::Record {
-            batch,
+            frame: index,
             record: position,
             source,
         })
--- a/balancer/simulator/src/wire/bytes.rs
+++ b/balancer/simulator/src/wire/bytes.rs
@@ -1,4 +1,4 @@
-//! Reads numbers of the wire, which are big-endian. The caller has checked the length. Owns no state.
+//! Reads the big-endian numbers of the wire format. Callers check lengths first; reads out of bounds panic.
 use balancer_core::UpstreamId;
 
 fn array_at<const N: usize>(bytes: &[u8], offset: usize) -> [u8; N] {
@@ -7,7 +7,7 @@
     array
 }
 
-/// A big-endian number at this offset, which must lie within.
+/// Reads the big-endian number at an offset. Panics if it extends beyond `bytes`.
 pub(super) fn u16_at(bytes: &[u8], offset: usize) -> u16 {
     u16::from_be_bytes(array_at(bytes, offset))
 }
@@ -27,7 +27,7 @@
     f64::from_bits(u64_at(bytes, offset))
 }
 
-/// The id of an upstream: six bytes.
+/// Reads the six-byte id of an upstream. Panics if it extends beyond `bytes`.
 pub(super) fn upstream_at(bytes: &[u8], offset: usize) -> UpstreamId {
     let high = u64::from(u32_at(bytes, offset)) << 16;
     UpstreamId(high | u64::from(u16_at(bytes, offset + 4)))
--- a/balancer/simulator/src/wire/error.rs
+++ b/balancer/simulator/src/wire/error.rs
@@ -1,70 +1,70 @@
-//! What can be wrong with the input. Owns no state.
+//! Errors of reading and decoding frames.
 use std::io;
 
-/// What was wrong with the input, and where.
+/// Error of reading or decoding a frame.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// The pipe failed.
+    /// Reading failed.
     #[error("reading standard input: {0}")]
     Io(#[source] io::Error),
     /// The input ended inside a frame.
-    #[error("frame {batch}: input ended after {got} of {wanted} bytes")]
+    #[error("frame {frame}: input ended after {got} of {wanted} bytes")]
     Truncated {
-        /// The frame, counted from zero.
-        batch: u64,
-        /// Bytes that the frame has.
+        /// Position of the frame, counted from zero.
+        frame: u64,
+        /// Bytes that were needed: those of the frame or of its size field.
         wanted: usize,
-        /// Bytes that came.
+        /// Bytes that were read.
         got: usize,
     },
-    /// A header that cannot be right.
-    #[error("frame {batch}: header: {source}")]
+    /// The frame's header is invalid.
+    #[error("frame {frame}: header: {source}")]
     Header {
-        /// The frame, counted from zero.
-        batch: u64,
-        /// What is wrong.
+        /// Position of the frame, counted from zero.
+        frame: u64,
+        /// The error of the header.
         source: HeaderError,
     },
-    /// A record that cannot be right.
-    #[error("frame {batch}, record {record}: {source}")]
+    /// A record is invalid.
+    #[error("frame {frame}, record {record}: {source}")]
     Record {
-        /// The frame, counted from zero.
-        batch: u64,
-        /// The record, counted from zero.
+        /// Position of the frame, counted from zero.
+        frame: u64,
+        /// Position of the record, counted from zero.
         record: usize,
-        /// What is wrong.
+        /// The error of the record.
         source: RecordError,
     },
 }
 
-/// What is wrong with a header.
+/// Error of decoding a header.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum HeaderError {
-    /// The stated size is none that a frame can have.
+    /// No frame can have the stated size.
     #[error("stated size of {size} bytes is outside {min} to {max}")]
     SizeOutOfRange {
         /// The stated size in bytes.
         size: usize,
-        /// The least size in bytes.
+        /// The minimum size in bytes.
         min: usize,
-        /// The largest size in bytes.
+        /// The maximum size in bytes.
         max: usize,
     },
-    /// Less than a header.
-    #[error("{length} bytes are too few for a frame")]
+    /// The frame is shorter than a header.
+    #[error("frame of {length} bytes is shorter than a header")]
     TooShort {
-        /// Bytes that there are.
+        /// The frame's length in bytes.
         length: usize,
     },
-    /// The stated size is not the frame's.
-    #[error("stated size {stated} is not the {length} bytes at hand")]
+    /// The stated size differs from the frame's length.
+    #[error("stated size of {stated} bytes differs from the frame's {length} bytes")]
     SizeMismatch {
         /// The stated size in bytes.
         stated: u32,
-        /// Bytes that there are.
+        /// The frame's length in bytes.
         length: usize,
     },
-    /// More records than the frame can hold.
+    /// The frame is too short for the stated number of records.
     #[error("{count} records do not fit into {body} bytes")]
     TooManyRecords {
         /// The stated number of records.
@@ -72,49 +72,49 @@
         /// Bytes after the header.
         body: usize,
     },
-    /// The clock reads no time.
-    #[error("the clock reads {0}")]
+    /// The simulation's current time is not finite.
+    #[error("current time is not finite: {0}")]
     Clock(f64),
 }
 
-/// What is wrong with a record.
+/// Error of decoding a record.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum RecordError {
-    /// It points at bytes that the tail does not have.
-    #[error("{what}: bytes {start} to {end} lie outside the tail of {tail}")]
+    /// The record refers to bytes outside the frame's tail.
+    #[error("{what}: bytes {start} to {end} are outside the tail of {tail} bytes")]
     OutsideTail {
-        /// What it points at.
+        /// What the bytes hold.
         what: &'static str,
         /// The first byte.
         start: u32,
-        /// The byte after the last.
+        /// The byte after the last one.
         end: u64,
-        /// Bytes of the tail.
+        /// Length of the tail in bytes.
         tail: usize,
     },
-    /// A time that is none.
-    #[error("{what} reads {value}")]
+    /// A time is not finite.
+    #[error("{what} is not finite: {value}")]
     NotFinite {
-        /// What time.
+        /// Name of the field.
         what: &'static str,
-        /// What it reads.
+        /// Its value.
         value: f64,
     },
-    /// A record of an unknown kind.
+    /// The record's event code is unknown.
     #[error("unknown event code {0}")]
     UnknownEvent(u8),
-    /// An upstream of an unknown availability.
-    #[error("unknown availability {0}")]
+    /// The code of an upstream's availability is unknown.
+    #[error("unknown availability code {0}")]
     UnknownAvailability(u8),
 }
 
 /// Why an update of the endpoint list cannot be resolved.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum UpdateError {
-    /// The table that it points at does not exist.
-    #[error("points at a table that was never sent")]
+    /// No table has the stated number.
+    #[error("the table was never sent")]
     MissingTable,
-    /// An update of an unknown kind.
-    #[error("unknown kind of news {0}")]
+    /// The update's kind is unknown.
+    #[error("unknown kind of update {0}")]
     UnknownKind(u8),
 }
--- a/balancer/simulator/src/wire/frame.rs
+++ b/balancer/simulator/src/wire/frame.rs
@@ -1,25 +1,26 @@
-//! Reads frames from the pipe. Owns no state.
+//! Reads frames from a byte stream.
 use super::bytes::u32_at;
 use super::error::{HeaderError, WireError};
 use std::io::Read;
 
-/// Largest frame accepted, in bytes; a stated size beyond it is an error, not an allocation.
+/// Maximum size of a frame in bytes. A larger stated size is refused before anything is allocated for it.
 pub const MAX_FRAME: usize = 256 << 20;
-/// Bytes of the header of a frame from the simulator.
+/// Size in bytes of the header of a frame from the simulator.
 pub(super) const HEADER_SIZE: usize = 20;
-/// Bytes of the size that a frame begins with.
-const SIZE_LENGTH: usize = 4;
-/// Bytes of a frame that are taken from the pipe at once, so that memory follows what arrives.
+/// Length in bytes of the size field at the start of a frame.
+const SIZE_FIELD_LENGTH: usize = 4;
+/// Maximum bytes per read, so that memory grows with the bytes received instead of the stated size.
 const CHUNK_SIZE: usize = 1 << 20;
 
-/// Reads one frame; `None` at a clean end of input. `batch` counts frames from zero, for errors only.
+/// Reads one frame; `None` if the input ends before its first byte. `index` is the frame's position in the input,
+/// counted from zero, for error messages.
 ///
 /// # Errors
 ///
-/// The pipe failed, the input ended inside the frame, or its size is none that a frame can have.
-pub fn read_frame(input: &mut impl Read, batch: u64) -> Result<Option<Vec<u8>>, WireError> {
+/// Returns an error if reading fails, the input ends inside the frame, or the stated size is out of range.
+pub fn read_frame(input: &mut impl Read, index: u64) -> Result<Option<Vec<u8>>, WireError> {
     let mut frame = Vec::new();
-    fill(input, &mut frame, SIZE_LENGTH, batch)?;
+    fill(input, &mut frame, SIZE_FIELD_LENGTH, index)?;
     if frame.is_empty() {
         return Ok(None);
     }
@@ -30,18 +31,21 @@
             min: HEADER_SIZE,
             max: MAX_FRAME,
         };
-        return Err(WireError::Header { batch, source });
+        return Err(WireError::Header {
+            frame: index,
+            source,
+        });
     }
-    fill(input, &mut frame, size, batch)?;
+    fill(input, &mut frame, size, index)?;
     Ok(Some(frame))
 }
 
-/// Extends `frame` to `wanted` bytes. An end of input before the first byte leaves it empty.
+/// Reads until `frame` has `wanted` bytes. Leaves it empty if the input ends before the first byte.
 fn fill(
     input: &mut impl Read,
     frame: &mut Vec<u8>,
     wanted: usize,
-    batch: u64,
+    index: u64,
 ) -> Result<(), WireError> {
     while frame.len() < wanted {
         let chunk = (wanted - frame.len()).min(CHUNK_SIZE) as u64;
@@ -56,7 +60,7 @@
             return Ok(());
         }
         return Err(WireError::Truncated {
-            batch,
+            frame: index,
             wanted,
             got: frame.len(),
         });
--- a/balancer/simulator/src/wire/record.rs
+++ b/balancer/simulator/src/wire/record.rs
@@ -1,4 +1,4 @@
-//! Decodes one record of a batch; what it points at lies in the frame's tail. Owns no state.
+//! Decodes the records of a batch. Variable-size data that a record refers to is in the frame's tail.
 use super::bytes::{f64_at, u16_at, u32_at, u64_at, upstream_at};
 use super::error::{RecordError, UpdateError};
 use balancer_core::{
@@ -7,59 +7,59 @@
 use std::ops::Range;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bytes of an entry of a list.
+/// Size in bytes of an entry of an endpoint list.
 const ENTRY_SIZE: usize = 24;
-/// The most values of a load report.
-const MAX_REPORT: usize = 4;
+/// Maximum number of values in a load report.
+const MAX_REPORT_VALUES: usize = 4;
 
-/// A list of upstreams as a `table` record carries it.
+/// The endpoint list of a `table` record.
 pub type Table = Vec<Endpoint>;
 
 /// One record of a batch.
 #[derive(Debug, PartialEq)]
 pub enum Record {
-    /// The next records belong to this instance.
+    /// The following records apply to this instance.
     Target(u16),
-    /// An instance starts with these settings (a range of the frame's tail).
+    /// Creates an instance.
     Configure {
-        /// Feeds the balancer's random choices.
+        /// Seed of the balancer's random number generator.
         seed: u64,
-        /// Where the settings lie in the tail.
+        /// Range of the settings' JSON in the tail.
         setup: Range<usize>,
     },
-    /// An instance was killed.
+    /// Removes the instance.
     Destroy,
-    /// A numbered list for all instances.
+    /// Stores an endpoint list for all instances under a number.
     Table {
-        /// What `Sync` records point at it by.
+        /// The number that `Sync` records refer to it by.
         number: u32,
         /// The list.
         endpoints: Table,
     },
-    /// An update of the endpoint list, pointing at a table.
+    /// Updates the endpoint list from a table.
     Sync {
-        /// The kind of update, see [`endpoint_update`].
+        /// Code of the kind of update, see [`endpoint_update`].
         kind: u8,
         /// The number of the table.
         table: u32,
     },
-    /// Anything else the balancer handles.
+    /// Any other event that the balancer handles.
     Event(Event),
-    /// An attempt ended; the upstream and the values of its load report, as many as there are.
+    /// An attempt ended.
     Outcome {
-        /// What the balancer handles.
+        /// The outcome as an event of the balancer.
         event: Event,
         /// The upstream of the attempt.
         upstream: UpstreamId,
-        /// The values of its load report.
+        /// Values of the upstream's load report, in the order of its columns; empty without a report.
         report: Vec<f32>,
     },
-    /// A legal record that the balancer has no use for.
+    /// A valid record that the balancer does not use.
     Skip,
 }
 
-/// The bytes of the tail from an offset on.
-fn range(
+/// Returns a range of the tail after checking its bounds.
+fn tail_range(
     tail: &[u8],
     start: u32,
     length: u64,
@@ -77,7 +77,7 @@
     Ok(start as usize..end as usize)
 }
 
-fn finite(value: f64, what: &'static str) -> Result<f64, RecordError> {
+fn check_finite(value: f64, what: &'static str) -> Result<f64, RecordError> {
     if value.is_finite() {
         Ok(value)
     } else {
@@ -85,8 +85,8 @@
     }
 }
 
-/// By the key, which a client's retry has as well; without one by the id.
-fn tie(record: &[u8]) -> u64 {
+/// Hashes the request's key, which a client's retry repeats, or its id if it has no key.
+fn request_tie(record: &[u8]) -> u64 {
     let has_key = u64_at(record, 10) != 0;
     xxh3_64(if has_key {
         &record[10..18]
@@ -126,7 +126,7 @@
     let length = u64::from(u32_at(record, 13));
     Ok(Record::Configure {
         seed: u64_at(record, 1),
-        setup: range(tail, u32_at(record, 9), length, "settings")?,
+        setup: tail_range(tail, u32_at(record, 9), length, "settings")?,
     })
 }
 
@@ -135,14 +135,14 @@
         id: RequestId(u32_at(record, 1)),
         class: usize::from(record[5]),
         tenant: u32_at(record, 6) as usize,
-        deadline: finite(f64_at(record, 18), "deadline")?,
-        tie: tie(record),
+        deadline: check_finite(f64_at(record, 18), "deadline")?,
+        tie: request_tie(record),
     })))
 }
 
 fn decode_table(record: &[u8], tail: &[u8]) -> Result<Record, RecordError> {
     let length = u64::from(u32_at(record, 9)) * ENTRY_SIZE as u64;
-    let range = range(tail, u32_at(record, 5), length, "entries")?;
+    let range = tail_range(tail, u32_at(record, 5), length, "entries")?;
     let entries = tail[range].chunks_exact(ENTRY_SIZE);
     Ok(Record::Table {
         number: u32_at(record, 1),
@@ -151,14 +151,14 @@
 }
 
 fn decode_outcome(record: &[u8]) -> Result<Record, RecordError> {
-    let values = usize::from(record[24]).min(MAX_REPORT);
+    let values = usize::from(record[24]).min(MAX_REPORT_VALUES);
     let value = |position| f32::from_bits(u32_at(record, 25 + 4 * position));
     Ok(Record::Outcome {
         event: Event::Outcome {
             request: RequestId(u32_at(record, 1)),
             attempt: u32::from(u16_at(record, 5)),
             ending: ending(u16_at(record, 13)),
-            duration: finite(f64_at(record, 15), "duration")?,
+            duration: check_finite(f64_at(record, 15), "duration")?,
             closed: record[23] != 0,
         },
         upstream: upstream_at(record, 7),
@@ -169,7 +169,7 @@
 fn decode_entry(entry: &[u8]) -> Result<Endpoint, RecordError> {
     Ok(Endpoint {
         availability: availability(entry[11])?,
-        since: finite(f64_at(entry, 16), "start time of an upstream")?,
+        since: check_finite(f64_at(entry, 16), "start time of an upstream")?,
         id: upstream_at(entry, 0),
         zone: u16_at(entry, 6),
         kind: entry[8],
@@ -200,11 +200,11 @@
     }
 }
 
-/// Resolves a `sync` record against the table it points at.
+/// Builds the endpoint update of a `sync` record from the table that it refers to.
 ///
 /// # Errors
 ///
-/// The kind is unknown, or it needs a table that was never sent.
+/// Returns an error if the kind is unknown, or if it needs a table that was never sent.
 pub fn endpoint_update(kind: u8, table: Option<&Table>) -> Result<EndpointUpdate, UpdateError> {
     let endpoints = || table.cloned().ok_or(UpdateError::MissingTable);
     match kind {
--- a/balancer/simulator/src/wire/reply.rs
+++ b/balancer/simulator/src/wire/reply.rs
@@ -1,12 +1,12 @@
-//! Encodes replies.
+//! Encodes replies to the simulator.
 use balancer_core::{Action, Millis, RequestId, UpstreamId};
 
-/// Bytes of the header of a frame to the simulator.
+/// Size in bytes of the header of a frame to the simulator.
 const HEADER_SIZE: usize = 12;
-/// Bytes of a record.
+/// Size of a record in bytes.
 const RECORD_SIZE: usize = 24;
 
-/// Codes of the records of a reply.
+/// Action codes of the records of a reply.
 mod code {
     pub(super) const FAIL: u8 = 1;
     pub(super) const CLOSE_IDLE: u8 = 2;
@@ -28,8 +28,8 @@
 }
 
 impl Reply {
-    /// Adds an empty record.
-    fn record(&mut self, code: u8) -> &mut [u8] {
+    /// Appends a zeroed record with an action code.
+    fn add_record(&mut self, code: u8) -> &mut [u8] {
         let start = self.records.len();
         self.records.resize(start + RECORD_SIZE, 0);
         self.records[start] = code;
@@ -37,15 +37,15 @@
         &mut self.records[start..]
     }
 
-    /// Names the instance that the next actions belong to.
+    /// Sets the instance that the following actions belong to.
     pub fn set_instance(&mut self, instance: u16) {
-        self.record(code::INSTANCE)[1..3].copy_from_slice(&instance.to_be_bytes());
+        self.add_record(code::INSTANCE)[1..3].copy_from_slice(&instance.to_be_bytes());
     }
 
     /// Adds one action.
     pub fn add(&mut self, action: &Action) {
         match action {
-            // What is sent here is written at once, so that there is no time to bound.
+            // `write_by` is not encoded: the simulator writes a request as soon as it is sent.
             Action::Send {
                 request,
                 upstream,
@@ -59,15 +59,15 @@
                 ..
             } => self.add_refuse(*request, *retry_after),
             Action::Fail { request } => {
-                self.record(code::FAIL)[1..5].copy_from_slice(&request.0.to_be_bytes());
+                self.add_record(code::FAIL)[1..5].copy_from_slice(&request.0.to_be_bytes());
             }
             Action::CloseIdle(upstream) => {
-                let record = self.record(code::CLOSE_IDLE);
+                let record = self.add_record(code::CLOSE_IDLE);
                 record[1..7].copy_from_slice(&upstream.0.to_be_bytes()[2..]);
             }
-            Action::Subscribe => self.record(code::SUBSCRIBE)[1] = 1,
+            Action::Subscribe => self.add_record(code::SUBSCRIBE)[1] = 1,
             Action::SetTimer { after, token } => {
-                let record = self.record(code::SET_TIMER);
+                let record = self.add_record(code::SET_TIMER);
                 record[1..9].copy_from_slice(&after.to_be_bytes());
                 record[9..13].copy_from_slice(&token.to_be_bytes());
             }
@@ -76,20 +76,20 @@
     }
 
     fn add_send(&mut self, request: RequestId, upstream: UpstreamId, timeout: Millis) {
-        let record = self.record(code::SEND);
+        let record = self.add_record(code::SEND);
         record[1..5].copy_from_slice(&request.0.to_be_bytes());
         record[5..11].copy_from_slice(&upstream.0.to_be_bytes()[2..]);
         record[11..19].copy_from_slice(&timeout.to_be_bytes());
     }
 
     fn add_cancel(&mut self, request: RequestId, attempt: u32) {
-        let record = self.record(code::CANCEL);
+        let record = self.add_record(code::CANCEL);
         record[1..5].copy_from_slice(&request.0.to_be_bytes());
         record[5..7].copy_from_slice(&(attempt as u16).to_be_bytes());
     }
 
     fn add_refuse(&mut self, request: RequestId, retry_after: Millis) {
-        let record = self.record(code::REFUSE);
+        let record = self.add_record(code::REFUSE);
         record[1..5].copy_from_slice(&request.0.to_be_bytes());
         record[5..13].copy_from_slice(&retry_after.to_be_bytes());
     }
@@ -98,12 +98,12 @@
         let offset = self.tail.len() as u32;
         let length = text.len() as u32;
         self.tail.extend_from_slice(text.as_bytes());
-        let record = self.record(code::LOG);
+        let record = self.add_record(code::LOG);
         record[1..5].copy_from_slice(&offset.to_be_bytes());
         record[5..9].copy_from_slice(&length.to_be_bytes());
     }
 
-    /// The finished frame; the reply is empty again afterwards.
+    /// Returns the encoded frame and clears the reply.
     pub fn finish(&mut self, number: u32) -> Vec<u8> {
         let size = HEADER_SIZE + self.records.len() + self.tail.len();
         let mut frame = Vec::with_capacity(size);
--- a/balancer/simulator/tests/bad_input.rs
+++ b/balancer/simulator/tests/bad_input.rs
@@ -61,11 +61,11 @@
         ),
         (
             [&good[..], &frame(&[&[9]], &[])].concat(),
-            "no instance was named",
+            "no target instance was set",
         ),
         (
             [&good[..], &frame(&[target, &[2, 3]], &[])].concat(),
-            "table 0: points at a table",
+            "endpoint update from table 0: the table was never sent",
         ),
         (
             [&good[..], &frame(&[target, &configure], b"{}")].concat(),
@@ -77,7 +77,7 @@
         ),
         (
             [&good[..], &frame(&[target, &nan], &[])].concat(),
-            "frame 1, record 1: deadline reads NaN",
+            "frame 1, record 1: deadline is not finite: NaN",
         ),
         (
             [
@@ -93,7 +93,7 @@
                 &frame(&[&[6, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 1]], &[9; 24]),
             ]
             .concat(),
-            "availability 9",
+            "unknown availability code 9",
         ),
     ];
     for (input, message) in cases {
