--- a/balancer/settings/src/lengths.rs
+++ b/balancer/settings/src/lengths.rs
@@ -1,7 +1,7 @@
 //! Bounds the lengths of the lists in the settings and the objectives of classes.
 //!
-//! The balancer numbers zones with 16 bits and machine kinds with 8 bits, and the last number stands for any name that
-//! the settings do not list: in a longer list, two names would share a number. Per-tenant and per-class state is
+//! The balancer numbers zones with 16 bits and machine kinds with 8 bits, and reserves the highest number for names
+//! that the settings do not list. In a longer list, two names would share a number. State per tenant and class is
 //! allocated at start, so its size is bounded too.
 use crate::error::DeploymentError;
 use balancer_core::Class;
@@ -12,9 +12,9 @@
 const MAX_TENANTS: usize = u16::MAX as usize;
 /// One number is stored for each pair of a tenant and a class: 8 MiB in total.
 const MAX_PAIRS: usize = 1 << 20;
-/// One fewer than there are 16-bit numbers: the last one stands for names that are not listed.
+/// The highest 16-bit number is reserved for names that the settings do not list.
 const MAX_ZONES: usize = u16::MAX as usize;
-/// One fewer than there are 8-bit numbers; see [`MAX_ZONES`].
+/// The highest 8-bit number is reserved, see [`MAX_ZONES`].
 const MAX_KINDS: usize = u8::MAX as usize;
 /// Shorter objectives have no practical meaning, and a quotient with one as its divisor may not be finite.
 const MIN_OBJECTIVE_MS: f64 = 1e-3;
--- a/balancer/settings/src/setup.rs
+++ b/balancer/settings/src/setup.rs
@@ -1,4 +1,4 @@
-//! Settings as they are in JSON, before validation.
+//! The JSON form of the settings, before validation.
 use balancer_core::Settings;
 use serde::Deserialize;
 
--- a/balancer/settings/tests/bad_input.rs
+++ b/balancer/settings/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Settings that can't be used are refused with one line that names the field; whatever is taken can be run with.
+//! Invalid settings are refused with a one-line error that names the field; a balancer can run with any accepted ones.
 #[path = "../../core/tests/common/mutations.rs"]
 mod mutations;
 use balancer_core::{
@@ -8,7 +8,7 @@
 use balancer_settings::{deployment, Deployment};
 use mutations::{Mutations, SplitMix64};
 
-const GOOD: &str = r#"{"balancers": 2, "index": 1, "membership_mode": "on_request", "stage": 1, "zone": 0,
+const VALID: &str = r#"{"balancers": 2, "index": 1, "membership_mode": "on_request", "stage": 1, "zone": 0,
     "dcs": ["a", "b"], "kinds": ["m1", "m2"], "stats": {"columns": ["qps", "inflight"]},
     "classes": [{"name": "read", "objective": 100, "deadline": 400, "effect": "free", "late_worth": 0.5},
                 {"name": "order", "objective": 100, "deadline": 400, "effect": "guarded", "dedup_scope": "cell",
@@ -19,8 +19,8 @@
     "invariants": {"cold_from": 0.2, "ramp_time": 9000, "tip_multiple": 3, "ask_within": 9000},
     "charges": {"cross_zone": 0.1}}"#;
 
-/// What may stand where a value was.
-const VALUES: [&str; 26] = [
+/// Replacements for values in mutated settings.
+const REPLACEMENT_VALUES: [&str; 26] = [
     "null",
     "true",
     "false",
@@ -49,12 +49,12 @@
     "[[[[[[[[",
 ];
 
-/// Runs a balancer with these settings for a few seconds: it may do what it likes, but neither panic nor ask for a time
-/// that is none.
-fn play(deployment: &Deployment, seed: u64) {
-    let mut balancer = Balancer::new(deployment.policy.clone(), seed, 0.0).expect("checked");
+/// Runs a balancer with these settings for twelve requests. It must not panic, and no time in its actions may be NaN.
+fn run_balancer(deployment: &Deployment, seed: u64) {
+    let mut balancer =
+        Balancer::new(deployment.policy.clone(), seed, 0.0).expect("validated settings");
     let mut actions = Vec::new();
-    let member = |id| Endpoint {
+    let endpoint = |id| Endpoint {
         id: UpstreamId(id),
         zone: (id % 3) as u16,
         kind: (id % 2) as u8,
@@ -64,7 +64,7 @@
     };
     balancer.handle(
         0.0,
-        Event::EndpointUpdate(EndpointUpdate::Full((0..4).map(member).collect())),
+        Event::EndpointUpdate(EndpointUpdate::Full((0..4).map(endpoint).collect())),
         &mut actions,
     );
     for number in 0..12_u32 {
@@ -113,7 +113,7 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
-fn what_cannot_be_used_is_refused_with_the_field_at_fault() {
+fn invalid_settings_are_refused_naming_the_field() {
     let many = |value: &str, n: usize| vec![value; n].join(",");
     let class = r#"{"name": "read", "objective": 100, "deadline": 400, "effect": "free"}"#;
     let tenant = r#"{"name": "t", "share": 1}"#;
@@ -285,21 +285,21 @@
             "charges",
         ),
     ];
-    for (from, to, wanted) in replaced {
-        assert!(GOOD.contains(from), "{from}");
-        let error = deployment(GOOD.replacen(from, &to, 1).as_bytes()).expect_err(wanted);
+    for (from, to, expected) in replaced {
+        assert!(VALID.contains(from), "{from}");
+        let error = deployment(VALID.replacen(from, &to, 1).as_bytes()).expect_err(expected);
         assert!(
-            error.contains(wanted) && !error.contains('\n'),
-            "wanted {wanted}: {error}"
+            error.contains(expected) && !error.contains('\n'),
+            "expected {expected}: {error}"
         );
     }
-    // The last of a long list is found as well.
+    // The error names the position of an invalid entry at the end of a long list.
     let last = format!(r#"{},{{"name": "t", "share": -1}}"#, tenants(50_000));
-    let error = deployment(GOOD.replacen(old_tenants, &last, 1).as_bytes()).expect_err("the last");
+    let error = deployment(VALID.replacen(old_tenants, &last, 1).as_bytes()).expect_err("the last");
     assert!(error.starts_with("tenants[50000].share: "), "{error}");
-    // Both lists are allowed, but not what is kept for each class of each tenant.
+    // Each list is within its bound, but there are too many pairs of a tenant and a class.
     let classes = format!(r#""classes": [{},{{"name": "read","#, many(class, 40));
-    let both = GOOD
+    let both = VALID
         .replacen(old_classes, &classes, 1)
         .replacen(old_tenants, &tenants(40_000), 1);
     let error = deployment(both.as_bytes()).expect_err("too many");
@@ -310,48 +310,48 @@
 }
 
 #[test]
-fn the_longest_lists_are_accepted() {
+fn longest_list_of_kinds_is_accepted() {
     let kinds = format!(r#""kinds": [{}]"#, vec!["\"m\""; 255].join(","));
-    let read = deployment(GOOD.replace(r#""kinds": ["m1", "m2"]"#, &kinds).as_bytes());
+    let read = deployment(VALID.replace(r#""kinds": ["m1", "m2"]"#, &kinds).as_bytes());
     assert_eq!(read.map(|d| d.kinds.len()), Ok(255));
 }
 
 #[test]
-fn unknown_fields_are_ignored_whatever_they_hold() {
+fn unknown_fields_are_ignored_whatever_their_value() {
     let nested = format!("{}{}", "[".repeat(100), "]".repeat(100));
     for value in ["1e300", "{\"a\": [null]}", "\"\\ud83d\\ude00\"", &nested] {
-        let text = GOOD.replacen('{', &format!("{{\"novel\": {value}, "), 1);
+        let text = VALID.replacen('{', &format!("{{\"novel\": {value}, "), 1);
         assert_eq!(
             deployment(text.as_bytes()),
-            deployment(GOOD.as_bytes()),
+            deployment(VALID.as_bytes()),
             "{value}"
         );
     }
 }
 
 #[test]
-fn settings_cut_off_at_any_length_are_refused() {
-    for length in 0..GOOD.len() {
-        assert!(deployment(&GOOD.as_bytes()[..length]).is_err(), "{length}");
+fn truncated_settings_are_refused() {
+    for length in 0..VALID.len() {
+        assert!(deployment(&VALID.as_bytes()[..length]).is_err(), "{length}");
     }
-    assert!(deployment(&[GOOD.as_bytes(), &[0xff]].concat()).is_err());
+    assert!(deployment(&[VALID.as_bytes(), &[0xff]].concat()).is_err());
 }
 
 #[test]
-fn mutated_settings_are_refused_in_one_line_or_can_be_run_with() {
+fn mutated_settings_are_refused_or_usable() {
     let mut mutations = Mutations {
         separator: b':',
         value_ends: b",}]",
-        values: VALUES.to_vec(),
+        values: REPLACEMENT_VALUES.to_vec(),
         generator: SplitMix64(20_261_202),
     };
-    let (mut taken, mut refused) = (0, 0);
+    let (mut accepted, mut refused) = (0, 0);
     for round in 0..40_000 {
-        let text = mutations.of(GOOD);
+        let text = mutations.of(VALID);
         match deployment(&text) {
             Ok(deployment) => {
-                taken += 1;
-                play(&deployment, round);
+                accepted += 1;
+                run_balancer(&deployment, round);
             }
             Err(error) => {
                 refused += 1;
@@ -359,9 +359,9 @@
             }
         }
     }
-    // Both ways are tried in earnest.
+    // The mutations must produce enough valid and invalid settings.
     assert!(
-        taken > 2_000 && refused > 2_000,
-        "{taken} taken, {refused} refused"
+        accepted > 2_000 && refused > 2_000,
+        "{accepted} accepted, {refused} refused"
     );
 }
--- a/balancer/settings/tests/golden.rs
+++ b/balancer/settings/tests/golden.rs
@@ -1,23 +1,23 @@
-//! Settings as values, field by field, and the keys of the deployments' files. Operators' files are written by these
-//! keys and outlive a build: whatever a name inside the program becomes, a key keeps its name and its meaning.
+//! Settings as values, field by field, and the keys of the files in `deploy/sites`. Operators' files use these keys and
+//! are kept across versions: a key keeps its name and meaning even if the field behind it is renamed.
 use balancer_core::{Class, DedupScope, Effect, Settings, Tenant};
 use balancer_settings::{deployment, Deployment};
 use serde_json::Value;
 
-const FULL: &str = include_str!("golden/whole.json");
-const MINIMAL: &str = include_str!("golden/least.json");
+const FULL: &str = include_str!("golden/full.json");
+const MINIMAL: &str = include_str!("golden/minimal.json");
 const WIRE: &str = include_str!("../../../deploy/sites/wire.json");
 const REAL: &str = include_str!("../../../deploy/sites/real.json");
 
-fn names(of: &[&str]) -> Vec<String> {
-    of.iter().map(|name| name.to_string()).collect()
+fn names(list: &[&str]) -> Vec<String> {
+    list.iter().map(|name| name.to_string()).collect()
 }
 
 fn guarded(scope: DedupScope, window: f64) -> Effect {
     Effect::Guarded { scope, window }
 }
 
-fn plain(objective: f64, deadline: f64, effect: Effect) -> Class {
+fn basic_class(objective: f64, deadline: f64, effect: Effect) -> Class {
     Class {
         objective,
         deadline,
@@ -34,30 +34,30 @@
     clippy::too_many_lines,
     reason = "a value with every field written out"
 )]
-fn settings_with_every_key_are_read_field_by_field() {
+fn full_settings_are_read_field_by_field() {
     let classes = vec![
         Class {
             late_value: 0.25,
             value: 8.5,
-            ..plain(101.0, 402.0, Effect::Free)
+            ..basic_class(101.0, 402.0, Effect::Free)
         },
         Class {
             late_value: 0.125,
             value: 9.5,
             zones: Some(vec![0, 1]),
             kinds: Some(vec![2, 1]),
-            ..plain(103.5, 404.5, guarded(DedupScope::All, 905.0))
+            ..basic_class(103.5, 404.5, guarded(DedupScope::All, 905.0))
         },
         Class {
             zones: Some(vec![1]),
-            ..plain(106.0, 407.0, guarded(DedupScope::Zone, 908.0))
+            ..basic_class(106.0, 407.0, guarded(DedupScope::Zone, 908.0))
         },
         Class {
             kinds: Some(vec![0]),
-            ..plain(109.0, 410.0, guarded(DedupScope::Cell, 911.0))
+            ..basic_class(109.0, 410.0, guarded(DedupScope::Cell, 911.0))
         },
-        plain(112.0, 413.0, guarded(DedupScope::All, 0.0)),
-        plain(114.0, 415.0, Effect::SingleShot),
+        basic_class(112.0, 413.0, guarded(DedupScope::All, 0.0)),
+        basic_class(114.0, 415.0, Effect::SingleShot),
     ];
     let tenants = vec![
         Tenant {
@@ -89,7 +89,7 @@
         late_shedding: true,
         cross_zone_price: 0.0625,
     };
-    let wanted = Deployment {
+    let expected = Deployment {
         policy,
         classes: names(&["read", "order", "note", "mark", "plain", "pay"]),
         tenants: names(&["club", "guild"]),
@@ -101,17 +101,17 @@
         in_flight_column: Some(2),
         served_column: Some(1),
     };
-    assert_eq!(deployment(FULL.as_bytes()), Ok(wanted));
+    assert_eq!(deployment(FULL.as_bytes()), Ok(expected));
 }
 
 #[test]
-fn settings_with_the_least_keys_are_read_field_by_field() {
+fn minimal_settings_are_read_field_by_field() {
     let policy = Settings {
         index: 0,
         balancers: 1,
         stage: 0,
         zone: 0,
-        classes: vec![plain(101.0, 402.0, Effect::Free)],
+        classes: vec![basic_class(101.0, 402.0, Effect::Free)],
         tenants: Vec::new(),
         max_attempts: 3,
         cancel: false,
@@ -126,7 +126,7 @@
         late_shedding: false,
         cross_zone_price: 0.0,
     };
-    let wanted = Deployment {
+    let expected = Deployment {
         policy,
         classes: names(&[""]),
         tenants: Vec::new(),
@@ -138,12 +138,12 @@
         in_flight_column: None,
         served_column: None,
     };
-    assert_eq!(deployment(MINIMAL.as_bytes()), Ok(wanted));
+    assert_eq!(deployment(MINIMAL.as_bytes()), Ok(expected));
 }
 
-/// The leaves of a value, a line for each: the path to it, and what it is.
-fn leaves(path: &str, value: &Value, to: &mut Vec<String>) {
-    let mut descend = |key: &str, value| leaves(&format!("{path}/{key}"), value, to);
+/// Appends a line with the path and the value of each leaf of a JSON value.
+fn flatten(path: &str, value: &Value, to: &mut Vec<String>) {
+    let mut descend = |key: &str, value| flatten(&format!("{path}/{key}"), value, to);
     match value {
         Value::Object(fields) if !fields.is_empty() => {
             fields.iter().for_each(|(key, value)| descend(key, value));
@@ -158,32 +158,36 @@
     }
 }
 
-fn assert_leaves(json: &str, stored: &str) {
-    let mut made = Vec::new();
-    leaves("", &serde_json::from_str(json).expect("JSON"), &mut made);
-    made.sort();
-    let mut wanted: Vec<&str> = stored.lines().collect();
-    wanted.sort_unstable();
-    assert!(made == wanted, "now:\n{}", made.join("\n"));
+fn assert_flattened(json: &str, stored: &str) {
+    let mut flattened = Vec::new();
+    flatten(
+        "",
+        &serde_json::from_str(json).expect("JSON"),
+        &mut flattened,
+    );
+    flattened.sort();
+    let mut expected: Vec<&str> = stored.lines().collect();
+    expected.sort_unstable();
+    assert!(flattened == expected, "now:\n{}", flattened.join("\n"));
 }
 
 #[test]
-fn the_deployments_name_the_simulators_wire_as_they_did() {
-    assert_leaves(WIRE, include_str!("golden/wire.txt"));
+fn simulator_wire_file_matches_stored_values() {
+    assert_flattened(WIRE, include_str!("golden/wire.txt"));
 }
 
 #[test]
-fn the_deployments_name_real_requests_as_they_did() {
-    assert_leaves(REAL, include_str!("golden/real.txt"));
+fn real_request_file_matches_stored_values() {
+    assert_flattened(REAL, include_str!("golden/real.txt"));
 }
 
-/// Keys that the file of the wire gives another name, and that settings are read by: each is in the stored settings, so
-/// that it is read by this name.
+/// The wire file maps names to the keys of the settings. Each of these keys is in the full settings, whose values are
+/// checked field by field above, so the settings are read by the keys of the wire file.
 #[test]
-fn settings_are_read_by_the_names_of_the_wire() {
+fn settings_use_the_key_names_of_the_wire() {
     let wire: Value = serde_json::from_str(WIRE).expect("JSON");
     let full: Value = serde_json::from_str(FULL).expect("JSON");
-    let read = [
+    let renamed = [
         ("zones", ""),
         ("tier", ""),
         ("me", ""),
@@ -206,17 +210,17 @@
         ("fall_multiple", "/invariants"),
         ("rules.full_may_have_run", "/invariants"),
     ];
-    for (word, within) in read {
-        let key = wire["init"]["rename"][word].as_str().expect(word);
-        let there = full.pointer(within).and_then(|object| object.get(key));
-        assert!(there.is_some(), "{word}: no {key} in {within:?}");
+    for (name, parent) in renamed {
+        let key = wire["init"]["rename"][name].as_str().expect(name);
+        let value = full.pointer(parent).and_then(|object| object.get(key));
+        assert!(value.is_some(), "{name}: no {key} in {parent:?}");
     }
-    let words = ["safe", "keyed", "unsafe", "ask"].map(|word| &wire["init"]["words"][word]);
+    let values = ["safe", "keyed", "unsafe", "ask"].map(|name| &wire["init"]["words"][name]);
     let classes = [0, 1, 5].map(|class| &full["classes"][class]["effect"]);
     assert_eq!(
-        (words[..3].to_vec(), words[3]),
+        (values[..3].to_vec(), values[3]),
         (classes.to_vec(), &full["membership_mode"])
     );
-    let least: Value = serde_json::from_str(MINIMAL).expect("JSON");
-    assert_eq!(wire["init"]["words"]["push"], least["membership_mode"]);
+    let minimal: Value = serde_json::from_str(MINIMAL).expect("JSON");
+    assert_eq!(wire["init"]["words"]["push"], minimal["membership_mode"]);
 }
--- a/balancer/settings/tests/settings.rs
+++ b/balancer/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What is read of settings, and what is said where they can't be used.
+//! Parsed values and defaults of settings, and the errors of invalid ones.
 use balancer_core::{DedupScope, Effect, Settings};
 use balancer_settings::deployment;
 
@@ -13,7 +13,7 @@
     "invariants": {"fall": 1000, "cold_from": 0.2, "ramp_time": 9000, "tip_multiple": 3}}"#;
 
 #[test]
-fn missing_optional_keys_get_defaults_and_unknown_ones_are_skipped() {
+fn optional_keys_default_and_unknown_keys_are_ignored() {
     let s = parse(MINIMAL.as_bytes()).unwrap();
     assert_eq!(
         s.classes[0].effect,
@@ -32,14 +32,15 @@
         (s.idle_close, s.subscribe_timeout, s.stage, s.subscribes),
         (5000.0, 10_000.0, 0, false)
     );
-    let value =
-        |of: &str| parse(MINIMAL.replace("\"effect\"", of).as_bytes()).map(|s| s.classes[0].value);
+    let value = |keys: &str| {
+        parse(MINIMAL.replace("\"effect\"", keys).as_bytes()).map(|s| s.classes[0].value)
+    };
     assert_eq!(value("\"importance\": 8, \"effect\""), Ok(8.0));
     assert_eq!(value("\"effect\""), Ok(1.0));
 }
 
 #[test]
-fn the_requests_in_flight_and_served_are_found_among_the_columns_of_load_reports() {
+fn load_report_columns_are_found_by_name() {
     let column = |stats: &str| {
         deployment(MINIMAL.replace("\"novel\": [1]", stats).as_bytes())
             .map(|d| (d.in_flight_column, d.served_column))
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn a_missing_required_key_and_a_bad_value_are_named() {
+fn errors_name_missing_keys_and_invalid_values() {
     let error = |from: &str, to: &str| parse(MINIMAL.replace(from, to).as_bytes()).unwrap_err();
     assert!(error("\"balancers\": 2, ", "").contains("balancers"));
     assert!(error("\"tip_multiple\": 3", "\"x\": 1").contains("tip_multiple"));
@@ -65,6 +66,6 @@
     assert!(parse(b"{").is_err());
     assert!(
         parse(format!("{MINIMAL} x").as_bytes()).is_err(),
-        "something follows the settings"
+        "text after the settings must be refused"
     );
 }
--- a/balancer/settings/tests/stored_form.rs
+++ b/balancer/settings/tests/stored_form.rs
@@ -1,9 +1,9 @@
-//! The form of the settings that stored state is tied to: a balancer takes back only what was learned under the same
-//! settings, so that this text must not change where they do not.
+//! The text form of settings that is stored with learned state. A balancer restores only state learned under the same
+//! settings and compares this text, so it must not change as long as the settings do not.
 use balancer_settings::deployment;
 
-const FULL: &str = include_str!("golden/whole.json");
-const MINIMAL: &str = include_str!("golden/least.json");
+const FULL: &str = include_str!("golden/full.json");
+const MINIMAL: &str = include_str!("golden/minimal.json");
 
 fn stored_form(json: &str) -> String {
     let deployment = deployment(json.as_bytes()).expect("settings");
@@ -11,10 +11,10 @@
 }
 
 #[test]
-fn settings_keep_the_form_that_stored_state_is_tied_to() {
+fn stored_form_of_settings_is_unchanged() {
     for (json, stored) in [
-        (FULL, include_str!("golden/stored_form_whole.txt")),
-        (MINIMAL, include_str!("golden/stored_form_least.txt")),
+        (FULL, include_str!("golden/stored_form_full.txt")),
+        (MINIMAL, include_str!("golden/stored_form_minimal.txt")),
     ] {
         assert_eq!(stored_form(json), stored);
     }
