--- a/lab/src/experiment/bounds.rs
+++ b/lab/src/experiment/bounds.rs
@@ -1,22 +1,23 @@
-//! Metrics for rules that depend on what an experiment does: a rule whose metric is not stated is not judged.
+//! Limits for rules that depend on the experiment. A rule whose limit is not set is not checked.
 use super::units::Span;
 use serde::Deserialize;
 
-/// The metrics.
+/// Limits of the rules.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// A version that a live balancer has not announced may be sent for this long after that balancer began to speak.
+    /// How long after a balancer's first datagram others may still send a version that it has not announced.
     pub version_grace: Span,
-    /// All balancers of a tier speak the highest version that all of them read once nothing has changed for this long.
+    /// Once nothing has changed for this long, all balancers of a tier must send the highest version that all of them
+    /// support.
     pub agree: Option<Span>,
-    /// Further attempts into a tier, as a part of first attempts, over any five seconds.
+    /// Maximum ratio of retries to first attempts into a tier, over any five seconds.
     pub retries: Option<f64>,
-    /// Attempts that all balancers together may make at a zone that does no good.
+    /// Limits on the attempts that all balancers together may make at a failing zone.
     pub trials: Vec<Trials>,
-    /// What tenants within their share keep beside one that is not.
+    /// Value that tenants within their share must retain while another tenant exceeds its share.
     pub in_share: Option<InShare>,
-    /// What balancers report that they act on is at most this old.
+    /// Maximum age of the shared data that balancers report acting on.
     pub age: Option<Span>,
 }
 
@@ -33,31 +34,31 @@
     }
 }
 
-/// Attempts at upstreams of a zone.
+/// A limit on attempts at upstreams of a zone.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trials {
     /// The zone.
     pub zone: String,
-    /// Only at this tier.
+    /// Restricts the limit to this tier.
     #[serde(default)]
     pub tier: Option<String>,
-    /// When this holds: `["6s", "12s"]`.
+    /// When the limit applies: `["6s", "12s"]`.
     pub during: Span,
-    /// In any second, at most.
+    /// Maximum number of attempts in any second.
     pub most: u64,
 }
 
-/// Worth of tenants.
+/// A limit on the value that tenants lose to another tenant.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InShare {
-    /// Who stays within its share.
+    /// The tenants that stay within their share.
     pub tenants: Vec<String>,
-    /// When nobody takes more than its share: `["2s", "8s"]`.
+    /// Interval in which no tenant exceeds its share: `["2s", "8s"]`.
     pub before: Span,
-    /// When somebody does.
+    /// Interval in which a tenant exceeds its share.
     pub during: Span,
-    /// Their worth then, as a part of that before.
+    /// Minimum ratio of their value in `during` to that in `before`.
     pub least: f64,
 }
--- a/lab/src/experiment/build.rs
+++ b/lab/src/experiment/build.rs
@@ -1,25 +1,25 @@
-//! Builds: what part of a fleet runs instead of the program under test.
+//! Builds: alternative programs or options that part of a fleet runs instead of the program under test.
 use super::fault::Target;
 use serde::Deserialize;
 
-/// Another program, or the one under test with other options.
+/// Another program, or the program under test with other options.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Build {
-    /// Its name. `--build NAME=COMMAND` says what it runs; without that it is the program under test.
+    /// Its name. `--build NAME=COMMAND` sets the command to run; the default is the program under test.
     pub name: String,
-    /// Options that go before the experiment's.
+    /// Options that override those of the experiment.
     #[serde(default)]
     pub options: toml::Table,
-    /// It gets none of the experiment's options: it may be too old to know them.
+    /// Passes none of the experiment's options, for a version too old to accept them.
     #[serde(default)]
     pub bare: bool,
-    /// Who runs it from the start; by default nobody.
+    /// The balancers that start with this build; none by default.
     #[serde(default)]
     pub on: Option<Target>,
 }
 
-/// One set of options before another: what `over` states goes before what `base` does, key by key.
+/// Merges two option tables recursively; keys in `over` take precedence over those in `base`.
 pub fn merged(base: &toml::Table, over: &toml::Table) -> toml::Table {
     let mut all = base.clone();
     for (key, value) in over {
--- a/lab/src/experiment/check/fault.rs
+++ b/lab/src/experiment/check/fault.rs
@@ -1,10 +1,10 @@
-//! Faults and whom they meet.
-use super::names::Wrong;
+//! Validation of faults and their targets.
+use super::names::Invalid;
 use super::target::check_target;
 use crate::experiment::fault::{Fault, FaultKind};
 use crate::experiment::schema::Experiment;
 
-pub(super) fn check_fault(key: &str, fault: &Fault, e: &Experiment) -> Result<(), Wrong> {
+pub(super) fn check_fault(key: &str, fault: &Fault, e: &Experiment) -> Result<(), Invalid> {
     check_times(key, fault, e)?;
     check_size(key, fault)?;
     check_parts(key, fault, e)?;
@@ -17,63 +17,66 @@
     Ok(())
 }
 
-/// When it comes, how often, and whether balancers take part in it.
-fn check_times(key: &str, fault: &Fault, e: &Experiment) -> Result<(), Wrong> {
+/// Validates the start, the number of occurrences, and whether balancers support disk faults.
+fn check_times(key: &str, fault: &Fault, e: &Experiment) -> Result<(), Invalid> {
     use FaultKind::*;
-    let wrong = |part: &str, what: String| Err((format!("{key}.{part}"), what));
+    let invalid = |part: &str, what: String| Err((format!("{key}.{part}"), what));
     if fault.at.0.most > e.length.0.least {
-        return wrong("at", "must be within the length of the experiment".into());
+        return invalid("at", "must be within the length of the experiment".into());
     }
     if fault.delay.is_some() != matches!(fault.kind, DatagramDelay | DiskSlow | Outage) {
-        return wrong(
+        return invalid(
             "delay",
-            "goes with datagram-delay, disk-slow and outage, and only with these".into(),
+            "required for datagram-delay, disk-slow and outage, and not allowed for other kinds"
+                .into(),
         );
     }
     if (fault.times > 1) != fault.every.is_some() || !(1..=10_000).contains(&fault.times) {
-        return wrong(
+        return invalid(
             "times",
-            "1 to 10000; more than one goes with `every`".into(),
+            "must be from 1 to 10000; `every` is required if and only if it is above 1".into(),
         );
     }
-    if matches!(fault.kind, PowerLoss | DiskFull | DiskFailing | DiskSlow) && !e.drills() {
+    if matches!(fault.kind, PowerLoss | DiskFull | DiskFailing | DiskSlow)
+        && !e.injects_disk_faults()
+    {
         let what =
-            "needs balancers that take part: [options.recovery] dir = \"{state}\", drill = \"{drill}\"";
-        return wrong("kind", what.into());
+            "requires disk fault injection in the options: [options.recovery] dir = \"{state}\", drill = \"{drill}\"";
+        return invalid("kind", what.into());
     }
     Ok(())
 }
 
-/// How much of it there is.
-fn check_size(key: &str, fault: &Fault) -> Result<(), Wrong> {
+/// Validates the magnitude.
+fn check_size(key: &str, fault: &Fault) -> Result<(), Invalid> {
     use FaultKind::*;
-    let wrong = |part: &str, what: &str| Err((format!("{key}.{part}"), what.to_owned()));
+    let invalid = |part: &str, what: &str| Err((format!("{key}.{part}"), what.to_owned()));
     let sized = matches!(
         fault.kind,
         Slow | Errors | Burst | Outage | DatagramLoss | DatagramRepeat | DatagramGarbage
     );
     if fault.size.is_some() != sized {
         let what = if sized {
-            "missing: how much?"
+            "missing: this kind requires a size"
         } else {
-            "does not go with this kind"
+            "not allowed for this kind"
         };
-        return wrong("size", what);
+        return invalid("size", what);
     }
     if matches!(fault.kind, Errors | Outage | DatagramLoss | DatagramRepeat)
         && fault.size.is_some_and(|s| s.most > 1.0)
     {
-        return wrong("size", "must be at most 1");
+        return invalid("size", "must be at most 1");
     }
     Ok(())
 }
 
-/// The other side of a partition, and the build of an upgrade.
-fn check_parts(key: &str, fault: &Fault, e: &Experiment) -> Result<(), Wrong> {
+/// Validates the other side of a partition and the build of an upgrade.
+fn check_parts(key: &str, fault: &Fault, e: &Experiment) -> Result<(), Invalid> {
     use FaultKind::*;
-    let wrong = |part: &str, what: String| Err((format!("{key}.{part}"), what));
+    let invalid = |part: &str, what: String| Err((format!("{key}.{part}"), what));
     if (fault.to.is_some() || fault.one_way) && fault.kind != Cut {
-        return wrong("to", "only a cut has another side".into());
+        return invalid("to", "allowed for cut only".into());
     }
     if fault.kind != Upgrade && (fault.build.is_some() || fault.pace.is_some()) {
         let part = if fault.build.is_some() {
@@ -81,33 +84,36 @@
         } else {
             "pace"
         };
-        return wrong(part, "goes with upgrade only".into());
+        return invalid(part, "allowed for upgrade only".into());
     }
     if let Some(name) = fault
         .build
         .as_ref()
         .filter(|n| !e.builds.iter().any(|b| b.name == **n))
     {
-        return wrong("build", format!("there is no build {name:?}"));
+        return invalid("build", format!("there is no build {name:?}"));
     }
     Ok(())
 }
 
-/// Whose requests a burst adds to.
-fn check_requests(key: &str, fault: &Fault, e: &Experiment) -> Result<(), Wrong> {
+/// Validates the requests that a burst multiplies.
+fn check_requests(key: &str, fault: &Fault, e: &Experiment) -> Result<(), Invalid> {
     let Some(of) = &fault.of else {
         return Ok(());
     };
     if fault.kind != FaultKind::Burst {
-        return Err((format!("{key}.of"), "goes with burst only".into()));
+        return Err((format!("{key}.of"), "allowed for burst only".into()));
     }
     for (part, missing) in [
         (
             "tenant",
-            none(&of.tenant, e.tenants.iter().map(|t| &t.name)),
+            unknown_name(&of.tenant, e.tenants.iter().map(|t| &t.name)),
+        ),
+        (
+            "class",
+            unknown_name(&of.class, e.classes.iter().map(|c| &c.name)),
         ),
-        ("class", none(&of.class, e.classes.iter().map(|c| &c.name))),
-        ("zone", none(&of.zone, e.fleet.zones.iter())),
+        ("zone", unknown_name(&of.zone, e.fleet.zones.iter())),
     ] {
         if let Some(name) = missing {
             return Err((
@@ -119,24 +125,27 @@
     Ok(())
 }
 
-/// What a kind of fault must say, and what goes with others only.
-fn check_presence(key: &str, fault: &Fault) -> Result<(), Wrong> {
+/// Validates keys that a kind requires or does not allow.
+fn check_presence(key: &str, fault: &Fault) -> Result<(), Invalid> {
     use FaultKind::*;
-    let wrong = |part: &str, what: &str| Err((format!("{key}.{part}"), what.to_owned()));
+    let invalid = |part: &str, what: &str| Err((format!("{key}.{part}"), what.to_owned()));
     if fault.state.is_some() && !matches!(fault.kind, Kill | Terminate) {
-        return wrong("state", "goes with kill and terminate only");
+        return invalid("state", "allowed for kill and terminate only");
     }
     if fault.kind == Cut && fault.to.is_none() {
-        return wrong("to", "missing: a cut is between two groups");
+        return invalid("to", "missing: a cut requires both sides");
     }
     if fault.lasts.is_none() && !matches!(fault.kind, Reset | DiscoveryMove) {
-        return wrong("for", "missing: how long?");
+        return invalid("for", "missing: this kind requires a duration");
     }
     Ok(())
 }
 
-/// A name that is not among these.
-fn none<'a>(name: &Option<String>, mut all: impl Iterator<Item = &'a String>) -> Option<String> {
+/// Returns the name if it is not among the given ones.
+fn unknown_name<'a>(
+    name: &Option<String>,
+    mut all: impl Iterator<Item = &'a String>,
+) -> Option<String> {
     name.as_ref()
         .filter(|name| !all.any(|x| x == *name))
         .cloned()
--- a/lab/src/experiment/check/load.rs
+++ b/lab/src/experiment/check/load.rs
@@ -1,67 +1,67 @@
-//! Classes, tenants and clients.
-use super::names::Wrong;
+//! Validation of classes, tenants and clients.
+use super::names::Invalid;
 use crate::experiment::load::{Class, Clients, Tenant};
 
-pub(super) fn check_class(key: &str, class: &Class) -> Result<(), Wrong> {
-    let wrong = |part: &str, what: &str| Err((format!("{key}.{part}"), what.to_string()));
+pub(super) fn check_class(key: &str, class: &Class) -> Result<(), Invalid> {
+    let invalid = |part: &str, what: &str| Err((format!("{key}.{part}"), what.to_string()));
     if !(class.share > 0.0 && class.share.is_finite()) {
-        return wrong("share", "must be above 0");
+        return invalid("share", "must be above 0");
     }
     if class.work.least <= 0.0 {
-        return wrong("work", "must be above 0");
+        return invalid("work", "must be above 0");
     }
     if class.latency_target.0.least <= 0.0 {
-        return wrong("aim", "must be above 0");
+        return invalid("aim", "must be above 0");
     }
     if class.deadline.0.least < class.latency_target.0.most {
-        return wrong("deadline", "must be at least the aim");
+        return invalid("deadline", "must be at least `aim`");
     }
     Ok(())
 }
 
-pub(super) fn check_clients(c: &Clients) -> Result<(), Wrong> {
-    let wrong = |part: &str, what: &str| Err((format!("clients.{part}"), what.to_string()));
+pub(super) fn check_clients(c: &Clients) -> Result<(), Invalid> {
+    let invalid = |part: &str, what: &str| Err((format!("clients.{part}"), what.to_string()));
     match (&c.rate, &c.load) {
-        (Some(_), Some(_)) => return wrong("load", "either rate or load, not both"),
-        (None, None) => return wrong("rate", "missing; either rate or load must be given"),
+        (Some(_), Some(_)) => return invalid("load", "rate and load are mutually exclusive"),
+        (None, None) => return invalid("rate", "missing: either rate or load must be given"),
         (Some(rate), None) if !(0.1..=50_000.0).contains(&rate.least) || rate.most > 50_000.0 => {
-            return wrong("rate", "must be from 0.1 to 50000 a second");
+            return invalid("rate", "must be from 0.1 to 50000 per second");
         }
         (None, Some(load)) if load.least <= 0.0 || load.most > 10.0 => {
-            return wrong("load", "must be above 0 and at most 10");
+            return invalid("load", "must be above 0 and at most 10");
         }
         _ => {}
     }
     if c.retries > 10 {
-        return wrong("retries", "must be at most 10");
+        return invalid("retries", "must be at most 10");
     }
     if c.try_share.least <= 0.0 || c.try_share.most > 1.0 {
-        return wrong("try_share", "must be above 0 and at most 1");
+        return invalid("try_share", "must be above 0 and at most 1");
     }
     for (part, value) in [("honour", c.honour), ("impatient", c.impatient)] {
         if !(0.0..=1.0).contains(&value) {
-            return wrong(part, "must be from 0 to 1");
+            return invalid(part, "must be from 0 to 1");
         }
     }
     Ok(())
 }
 
-pub(super) fn check_tenants(tenants: &[Tenant], classes: &[Class]) -> Result<(), Wrong> {
+pub(super) fn check_tenants(tenants: &[Tenant], classes: &[Class]) -> Result<(), Invalid> {
     for (i, t) in tenants.iter().enumerate() {
-        let wrong = |part: &str, what: String| Err((format!("tenant[{i}].{part}"), what));
+        let invalid = |part: &str, what: String| Err((format!("tenant[{i}].{part}"), what));
         if !(t.share > 0.0 && t.share.is_finite()) {
-            return wrong("share", "must be above 0".into());
+            return invalid("share", "must be above 0".into());
         }
         let own = t.rate.is_some() || t.load.is_some();
         if t.rate.is_some() && t.load.is_some() {
-            return wrong("load", "either rate or load, not both".into());
+            return invalid("load", "rate and load are mutually exclusive".into());
         }
         if t.rate
             .or(t.load)
             .is_some_and(|r| r.least <= 0.0 || r.most > 50_000.0)
         {
             let key = if t.rate.is_some() { "rate" } else { "load" };
-            return wrong(key, "must be above 0 and at most 50000".into());
+            return invalid(key, "must be above 0 and at most 50000".into());
         }
         if (t.classes.is_some() || t.during.is_some()) && !own {
             let key = if t.classes.is_some() {
@@ -69,29 +69,29 @@
             } else {
                 "during"
             };
-            return wrong(key, "goes with a rate or load of the tenant's own".into());
+            return invalid(key, "requires a rate or load of the tenant".into());
         }
         let named = t.classes.iter().flatten();
         if let Some(name) = named
             .clone()
             .find(|n| !classes.iter().any(|c| c.name == **n))
         {
-            return wrong("classes", format!("there is no class {name:?}"));
+            return invalid("classes", format!("there is no class {name:?}"));
         }
         if t.classes.as_ref().is_some_and(Vec::is_empty) {
-            return wrong("classes", "must name at least one".into());
+            return invalid("classes", "must name at least one class".into());
         }
         if t.hops.is_some_and(|s| s.0.least < 1.0) {
-            return wrong("hops", "must be at least 1ms".into());
+            return invalid("hops", "must be at least 1ms".into());
         }
         if t.connections.is_some_and(|n| !(1..=20_000).contains(&n)) {
-            return wrong("connections", "must be from 1 to 20000".into());
+            return invalid("connections", "must be from 1 to 20000".into());
         }
     }
     if tenants.iter().all(|t| t.rate.is_some() || t.load.is_some()) {
         return Err((
             "tenant".into(),
-            "one at least must be without a rate or load of its own".into(),
+            "at least one tenant must have neither rate nor load".into(),
         ));
     }
     Ok(())
--- a/lab/src/experiment/check/mod.rs
+++ b/lab/src/experiment/check/mod.rs
@@ -1,4 +1,4 @@
-//! What the types alone do not say. Each error is the key at fault and what is wrong with it.
+//! Validation beyond what the types enforce. Each error is the invalid key and a message.
 mod bounds;
 mod fault;
 mod load;
@@ -10,11 +10,11 @@
 use bounds::{check_bounds, check_builds};
 use fault::check_fault;
 use load::{check_class, check_clients, check_tenants};
-use names::{distinct, Wrong};
+use names::{distinct, Invalid};
 use tier::check_tier;
 
-/// What the types alone do not say.
-pub(super) fn check(e: &Experiment) -> Result<(), Wrong> {
+/// Validates what the types do not enforce.
+pub(super) fn check(e: &Experiment) -> Result<(), Invalid> {
     check_fleet(e)?;
     check_load(e)?;
     check_network(e)?;
@@ -25,86 +25,86 @@
     }
     for (i, expect) in e.expects.iter().enumerate() {
         if expect.least.is_none() && expect.most.is_none() {
-            return wrong(&format!("expect[{i}]"), "must say least, most or both");
+            return invalid(&format!("expect[{i}]"), "least, most or both must be given");
         }
     }
     Ok(())
 }
 
-fn wrong(key: &str, what: &str) -> Result<(), Wrong> {
+fn invalid(key: &str, what: &str) -> Result<(), Invalid> {
     Err((key.to_string(), what.to_string()))
 }
 
-/// How long it takes, zones and regions.
-fn check_fleet(e: &Experiment) -> Result<(), Wrong> {
+/// Validates the length, zones and regions.
+fn check_fleet(e: &Experiment) -> Result<(), Invalid> {
     if !(1000.0..=3_600_000.0).contains(&e.length.0.most) || e.length.0.least < 1000.0 {
-        return wrong("length", "must be from 1 s to 1 h");
+        return invalid("length", "must be from 1 s to 1 h");
     }
     if e.fleet.zones.is_empty() || e.fleet.zones.len() > 64 {
-        return wrong("fleet.zones", "must name 1 to 64 zones");
+        return invalid("fleet.zones", "must name 1 to 64 zones");
     }
     distinct("fleet.zones", e.fleet.zones.iter())?;
     if !(1..=300).contains(&e.fleet.front) {
-        return wrong("fleet.front", "must be from 1 to 300 balancers");
+        return invalid("fleet.front", "must be from 1 to 300 balancers");
     }
     let mut placed = std::collections::BTreeSet::new();
     for (region, zones) in &e.fleet.regions {
         let key = format!("fleet.regions.{region}");
         if let Some(zone) = zones.iter().find(|z| !e.fleet.zones.contains(z)) {
-            return wrong(&key, &format!("{zone:?} is not among fleet.zones"));
+            return invalid(&key, &format!("{zone:?} is not among fleet.zones"));
         }
         if let Some(zone) = zones.iter().find(|z| !placed.insert(z.as_str())) {
-            return wrong(&key, &format!("{zone:?} is in two regions"));
+            return invalid(&key, &format!("{zone:?} is in two regions"));
         }
     }
     if !(0.0..1.0).contains(&e.fleet.skew) {
-        return wrong("fleet.skew", "must be at least 0 and under 1");
+        return invalid("fleet.skew", "must be at least 0 and below 1");
     }
     if !(0.0..=1.0).contains(&e.late_share) {
-        return wrong("late_share", "must be from 0 to 1");
+        return invalid("late_share", "must be from 0 to 1");
     }
     Ok(())
 }
 
-/// Tiers, classes, tenants and clients.
-fn check_load(e: &Experiment) -> Result<(), Wrong> {
+/// Validates tiers, classes, tenants and clients.
+fn check_load(e: &Experiment) -> Result<(), Invalid> {
     if !(1..=3).contains(&e.tiers.len()) {
-        return wrong("tier", "must be given one to three times");
+        return invalid("tier", "must be given 1 to 3 times");
     }
     distinct("tier", e.tiers.iter().map(|t| &t.name))?;
     for (i, tier) in e.tiers.iter().enumerate() {
         check_tier(&format!("tier[{i}]"), tier, i + 1 == e.tiers.len())?;
     }
     if e.classes.is_empty() {
-        return wrong("class", "must be given at least once");
+        return invalid("class", "must be given at least once");
     }
     distinct("class", e.classes.iter().map(|c| &c.name))?;
     for (i, class) in e.classes.iter().enumerate() {
         check_class(&format!("class[{i}]"), class)?;
     }
     if e.tenants.is_empty() {
-        return wrong("tenant", "must be given at least once");
+        return invalid("tenant", "must be given at least once");
     }
     distinct("tenant", e.tenants.iter().map(|t| &t.name))?;
     check_tenants(&e.tenants, &e.classes)?;
     check_clients(&e.clients)
 }
 
-/// The network, and what balancers may use.
-fn check_network(e: &Experiment) -> Result<(), Wrong> {
+/// Validates the network and the limits of balancers.
+fn check_network(e: &Experiment) -> Result<(), Invalid> {
     for (key, part) in [
         ("loss", e.net.datagram_loss),
         ("repeat", e.net.datagram_repeat),
     ] {
         if !(0.0..=1.0).contains(&part) {
-            return wrong(&format!("net.datagram_{key}"), "must be from 0 to 1");
+            return invalid(&format!("net.datagram_{key}"), "must be from 0 to 1");
         }
     }
     if !(64..=65_536).contains(&e.balancer.sockets) {
-        return wrong("balancer.sockets", "must be from 64 to 65536");
+        return invalid("balancer.sockets", "must be from 64 to 65536");
     }
     if e.balancer.attempts == 0 {
-        return wrong("balancer.attempts", "must be at least 1");
+        return invalid("balancer.attempts", "must be at least 1");
     }
     Ok(())
 }
--- a/lab/src/experiment/check/names.rs
+++ b/lab/src/experiment/check/names.rs
@@ -1,24 +1,25 @@
-//! Names that must be plain and distinct.
+//! Validation of names: allowed characters and uniqueness.
 
-pub(super) type Wrong = (String, String);
+/// The invalid key and a message.
+pub(super) type Invalid = (String, String);
 
 pub(super) fn distinct<'a>(
     key: &str,
     names: impl Iterator<Item = &'a String>,
-) -> Result<(), Wrong> {
+) -> Result<(), Invalid> {
     let mut seen = std::collections::BTreeSet::new();
     for (i, name) in names.enumerate() {
-        let plain = name
+        let allowed = name
             .bytes()
             .all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b));
-        if name.is_empty() || !plain {
+        if name.is_empty() || !allowed {
             return Err((
                 format!("{key}[{i}]"),
-                format!("{name:?} is no name of letters, digits, '-', '_' and '.'"),
+                format!("invalid name {name:?}: allowed are letters, digits, '-', '_' and '.'"),
             ));
         }
         if !seen.insert(name) {
-            return Err((format!("{key}[{i}]"), format!("{name:?} is named twice")));
+            return Err((format!("{key}[{i}]"), format!("duplicate name {name:?}")));
         }
     }
     Ok(())
--- a/lab/src/experiment/expect.rs
+++ b/lab/src/experiment/expect.rs
@@ -1,4 +1,4 @@
-//! What the metrics of a run must be.
+//! Expectations on the metrics of a run.
 use super::fault::Part;
 use super::units::Span;
 use serde::Deserialize;
@@ -7,50 +7,51 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Metric {
-    /// Requests with a response within the latency target, over all that were due.
+    /// Fraction of due requests with a response within the latency target.
     InTime,
-    /// Value earned over value requested.
+    /// Value earned divided by value requested.
     #[serde(rename = "worth")]
     Value,
-    /// Requests that ended refused.
+    /// Fraction of due requests that were refused.
     Refused,
-    /// Requests that ended failed, or without a response.
+    /// Fraction of due requests that failed or received no response.
     Failed,
-    /// The 50th percentile of the time to the answer, in milliseconds.
+    /// 50th percentile of the response time, in milliseconds.
     P50Ms,
-    /// The 99th.
+    /// 99th percentile of the response time, in milliseconds.
     P99Ms,
-    /// Requests served in their deadline, by when the answer came, over what the weakest tier can do when warm.
+    /// Rate of requests served within their deadline, counted when the response arrives, divided by the capacity of the
+    /// weakest tier after slow start.
     Goodput,
-    /// Attempts at upstreams for each first attempt, over all tiers.
+    /// Attempts at upstreams per first attempt, over all tiers.
     Attempts,
-    /// Jain's index of the time that tenants' attempts spend at upstreams, each over its share.
+    /// Jain's fairness index of the time that tenants' attempts spend at upstreams, each divided by the tenant's share.
     Jain,
 }
 
-/// The bounds of a metric, over the complete run or a part of it.
+/// Bounds on a metric, over the complete run or part of it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expect {
-    /// Which.
+    /// The metric.
     #[serde(rename = "figure")]
     pub metric: Metric,
-    /// At least this.
+    /// Lower bound.
     #[serde(default)]
     pub least: Option<f64>,
-    /// At most this.
+    /// Upper bound.
     #[serde(default)]
     pub most: Option<f64>,
-    /// From this point of the run.
+    /// Start of the interval, in time of the run.
     #[serde(default)]
     pub from: Option<Span>,
-    /// To this one.
+    /// End of the interval.
     #[serde(default)]
     pub to: Option<Span>,
-    /// Only of these requests.
+    /// Restricts the metric to these requests.
     #[serde(default)]
     pub of: Part,
-    /// The bounds are parts of the same metric over this stretch: `["2s", "8s"]`.
+    /// Interval of a reference value, `["2s", "8s"]`: the bounds apply to the ratio of the metric to its value there.
     #[serde(default)]
     pub part_of: Option<Span>,
 }
--- a/lab/src/experiment/fault.rs
+++ b/lab/src/experiment/fault.rs
@@ -1,129 +1,129 @@
-//! What goes wrong, when, and whom it meets.
-use super::units::{one_try, Range, Span};
+//! Faults to inject: their kind, time and targets.
+use super::units::{one, Range, Span};
 use serde::Deserialize;
 
-/// What kind of thing goes wrong.
+/// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Balancers get SIGKILL and start again after `for`.
+    /// Balancers receive SIGKILL and are restarted after `for`.
     Kill,
-    /// The machines of balancers lose power: SIGKILL, and of what was not synced to their disks some is lost, some
-    /// is kept and some is torn. They start again after `for`.
+    /// The machines of balancers lose power: SIGKILL, and writes not yet synced to disk are partly lost, partly kept
+    /// and partly torn. The balancers are restarted after `for`.
     PowerLoss,
-    /// Balancers get SIGTERM, SIGKILL when their time is over, and start again after `for`.
+    /// Balancers receive SIGTERM, then SIGKILL when their shutdown timeout expires, and are restarted after `for`.
     Terminate,
-    /// Balancers get SIGTERM and start again after `for` as another build, one `pace` after the other.
+    /// Rolling upgrade: balancers receive SIGTERM and are restarted after `for` with another build, one every `pace`.
     Upgrade,
-    /// Balancers get SIGSTOP, and SIGCONT after `for`.
+    /// Balancers receive SIGSTOP, and SIGCONT after `for`.
     Pause,
-    /// Nothing passes from `on` to `to`, both ways unless `one_way`.
+    /// Network partition between `on` and `to`, in both directions unless `one_way` is set.
     Cut,
-    /// Upstreams are `size` times slower.
+    /// Upstreams are slower by a factor of `size`.
     Slow,
-    /// Upstreams answer a part of `size` with errors.
+    /// Upstreams answer a fraction `size` of requests with errors.
     Errors,
-    /// Upstreams and the balancers beside them die: connections are reset, new ones refused. They return cold.
+    /// Upstreams and their co-located balancers crash: connections are reset, new ones refused. They return in slow
+    /// start.
     Die,
-    /// Upstreams and the balancers beside them fall silent, and return cold.
+    /// Upstreams and their co-located balancers stop responding, and return in slow start.
     Lose,
-    /// Upstreams drain, end, and are replaced by cold ones after `for`.
+    /// Upstreams drain, shut down, and are replaced after `for` by new ones in slow start.
     Replace,
-    /// All open connections of upstreams are reset.
+    /// Resets all open connections of upstreams.
     Reset,
-    /// Clients send `size` times as much.
+    /// Clients send `size` times the usual rate.
     Burst,
-    /// No client reaches the front; a part of `size` of what was due then comes at once when it is over, within
-    /// `delay`.
+    /// No client reaches the front balancers; a fraction `size` of the requests due meanwhile is sent within `delay`
+    /// after the outage ends.
     Outage,
-    /// A part of `size` of all datagrams between balancers is lost.
+    /// A fraction `size` of all datagrams between balancers is lost.
     DatagramLoss,
-    /// A part of `size` of all datagrams arrives twice.
+    /// A fraction `size` of all datagrams is delivered twice.
     DatagramRepeat,
-    /// Datagrams take up to `delay`, each its own time, so that they overtake each other.
+    /// Each datagram is delayed independently by up to `delay`, so that datagrams are reordered.
     DatagramDelay,
-    /// Each balancer's port for its peers gets `size` datagrams a second that nobody meant: noise, broken and forged
-    /// ones.
+    /// Each balancer's peer port receives `size` invalid datagrams per second: random, corrupted and forged ones.
     DatagramGarbage,
-    /// The disks of balancers take nothing more.
+    /// The disks of balancers are full.
     DiskFull,
     /// Every read, write and sync of the disks of balancers fails.
     DiskFailing,
-    /// Every access to the disks of balancers takes `delay` longer.
+    /// Adds `delay` to every access to the disks of balancers.
     DiskSlow,
-    /// Discovery sends nothing to balancers.
+    /// Discovery does not respond to balancers.
     #[serde(rename = "discovery-silent")]
     DiscoveryUnresponsive,
-    /// Discovery answers with what is no list.
+    /// Discovery answers with malformed data instead of a list.
     DiscoveryGarbled,
-    /// Discovery answers with the list as it was at the start.
+    /// Discovery answers with the list from the start of the run.
     DiscoveryStale,
-    /// Discovery moves: SIGHUP with a configuration that names another address.
+    /// Discovery moves: balancers receive SIGHUP with a configuration that names its new address.
     DiscoveryMove,
 }
 
-/// What happens to a state folder between two starts.
+/// Damage to a state folder between two starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Damage {
-    /// Everything in it is lost.
+    /// All files are deleted.
     Emptied,
-    /// It is put back as it was half way from the start to the fault.
+    /// Restored to its contents halfway between the start of the run and the fault.
     Old,
-    /// Each file ends in its middle.
+    /// Each file is cut to half its length.
     Truncated,
-    /// One bit of each file is another.
+    /// One bit of each file is flipped.
     Flipped,
 }
 
-/// One thing that goes wrong.
+/// A fault.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// When.
+    /// When it starts.
     pub at: Span,
-    /// For how long.
+    /// How long it lasts.
     #[serde(default, rename = "for")]
     pub lasts: Option<Span>,
-    /// Whom it meets; without it all whom it can meet.
+    /// Targets; by default everything that the kind applies to.
     #[serde(default)]
     pub on: Target,
-    /// The other side of a cut.
+    /// For `cut`: the other side of the partition.
     #[serde(default)]
     pub to: Option<Target>,
-    /// A cut only from `on` to `to`.
+    /// For `cut`: blocks only the direction from `on` to `to`.
     #[serde(default)]
     pub one_way: bool,
-    /// How much; see [`FaultKind`].
+    /// Magnitude; its meaning depends on the [`FaultKind`].
     #[serde(default)]
     pub size: Option<Range>,
-    /// For `datagram-delay`: the time in transit; for `disk-slow`: the time that an access takes longer; for `outage`:
-    /// the time within which clients come back.
+    /// For `datagram-delay`: the time in transit; for `disk-slow`: the added latency of an access; for `outage`: the
+    /// time within which clients return.
     #[serde(default)]
     pub delay: Option<Span>,
-    /// It comes so often, each time at whom is drawn anew.
-    #[serde(default = "one_try")]
+    /// Number of occurrences; targets are drawn anew for each.
+    #[serde(default = "one")]
     pub times: u32,
-    /// The time from one to the next, if it comes several times.
+    /// Time between occurrences, if there are several.
     #[serde(default)]
     pub every: Option<Span>,
-    /// For `upgrade`: the build that they start as; without it the program under test, with the experiment's options.
+    /// For `upgrade`: the build to start; by default the program under test with the experiment's options.
     #[serde(default)]
     pub build: Option<String>,
-    /// For `upgrade`: the time from one balancer to the next.
+    /// For `upgrade`: time between two balancers.
     #[serde(default)]
     pub pace: Option<Span>,
-    /// For `burst`: whose requests.
+    /// For `burst`: the requests that are multiplied.
     #[serde(default)]
     pub of: Option<Part>,
-    /// For `kill` and `terminate`: what happens to the balancer's state folder before it starts again.
+    /// For `kill` and `terminate`: damage to the balancer's state folder before it is restarted.
     #[serde(default)]
     pub state: Option<Damage>,
 }
 
-/// The requests that all of what is stated fits.
+/// Selects requests that match all given criteria.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Part {
@@ -141,32 +141,32 @@
 pub enum Role {
     /// Clients.
     Clients,
-    /// Balancers that clients reach.
+    /// Balancers that clients connect to.
     Front,
-    /// Balancers beside upstreams.
+    /// Balancers co-located with upstreams.
     Inner,
-    /// Both.
+    /// All balancers.
     Balancers,
     /// Upstreams.
     Upstreams,
-    /// Discovery's agents.
+    /// Discovery agents.
     Discovery,
 }
 
-/// Those that all of what is stated fits.
+/// Selects targets that match all given criteria.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Target {
-    /// In this role.
+    /// With this role.
     pub role: Option<Role>,
     /// In this zone.
     pub zone: Option<String>,
-    /// In a zone of this region.
+    /// In this region.
     pub region: Option<String>,
-    /// In this tier, or in front of it.
+    /// Upstreams of this tier and the balancers that call it.
     pub tier: Option<String>,
     /// With these names.
     pub names: Option<Vec<String>>,
-    /// This part of them, drawn; at least one.
+    /// A randomly drawn fraction of the matches, at least one.
     pub share: Option<f64>,
 }
--- a/lab/src/experiment/fleet.rs
+++ b/lab/src/experiment/fleet.rs
@@ -1,26 +1,27 @@
-//! The fleet: zones, the front, what balancers are given, delays between machines, and discovery.
+//! The fleet: zones, front balancers, balancer limits, network delays and discovery.
 use super::units::Span;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// Zones and the front.
+/// Zones and front balancers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
     /// Names of the zones.
     pub zones: Vec<String>,
-    /// Regions: their names and the zones in each. A zone that is in none is near to all.
+    /// The zones of each region, by region name. A zone in no region counts as in the same region as every other zone.
     #[serde(default)]
     pub regions: BTreeMap<String, Vec<String>>,
-    /// Balancers that clients reach, dealt out over the zones in turn.
+    /// Number of balancers that clients connect to, assigned to zones round-robin.
     pub front: usize,
-    /// How far the zones' shares of the clients may lie from even: 0.2 gives 0.8 to 1.2 times the even share.
+    /// Maximum relative deviation of a zone's share of clients from an even share: 0.2 gives 0.8 to 1.2 times the even
+    /// share.
     #[serde(default)]
     pub skew: f64,
 }
 
 impl Fleet {
-    /// The region of a zone, if it is in one.
+    /// Returns the region of a zone, if it is in one.
     pub fn region(&self, zone: usize) -> Option<&str> {
         let name = self.zones.get(zone)?;
         self.regions
@@ -30,27 +31,28 @@
     }
 }
 
-/// What each balancer is given and held to.
+/// Settings and limits of each balancer.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Balancer {
-    /// Memory that it may hold.
+    /// Memory limit, in MB.
     pub memory_mb: u64,
-    /// File descriptors that it may hold.
+    /// Limit of open file descriptors.
     pub sockets: usize,
-    /// Attempts for one request, at most.
+    /// Maximum number of attempts per request.
     pub attempts: u32,
-    /// Whether balancers may send each other datagrams.
+    /// Whether balancers may exchange datagrams.
     pub peers: bool,
-    /// The connect time-out that the settings name.
+    /// Connect timeout in the balancer's settings.
     pub dial_timeout: Span,
-    /// Nothing new goes to an upstream this long after its balancer was notified that it drains or is gone.
+    /// Grace period after a balancer is notified that an upstream is draining or removed; no new request may be sent to
+    /// the upstream after it.
     pub drain_grace: Span,
-    /// A cold upstream falls over when sent this many times what it can do ...
+    /// An upstream in slow start is overloaded when it receives this multiple of its current capacity for `fall`.
     pub tip_multiple: f64,
-    /// ... for this long.
+    /// See `tip_multiple`.
     pub fall: Span,
-    /// One that is not ready after this time has failed to start.
+    /// A balancer that is not ready within this time has failed to start.
     pub ready_within: Span,
 }
 
@@ -70,21 +72,21 @@
     }
 }
 
-/// One-way delays between machines.
+/// One-way network delays between machines, and datagram loss.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Net {
     /// Within a zone.
     pub same_zone: Span,
-    /// Between zones of a region.
+    /// Between zones of the same region.
     pub cross_zone: Span,
     /// Between zones of different regions.
     pub cross_region: Span,
-    /// Between balancers, for datagrams.
+    /// For datagrams between balancers.
     pub datagrams: Span,
-    /// The part of them that is lost.
+    /// Fraction of datagrams that is lost.
     pub datagram_loss: f64,
-    /// The part of them that arrives twice.
+    /// Fraction of datagrams that is delivered twice.
     pub datagram_repeat: f64,
 }
 
@@ -101,22 +103,22 @@
     }
 }
 
-/// How the list of upstreams reaches balancers.
+/// How balancers obtain the list of upstreams.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// Whether changes come by themselves or must be asked for.
+    /// Whether discovery pushes changes; otherwise balancers poll.
     pub pushed: bool,
-    /// Whether a balancer that starts is given the list as it last had it.
+    /// Whether a starting balancer receives the list that it last had.
     pub known: bool,
-    /// A new upstream is listed after this time.
+    /// Delay until a new upstream is listed.
     pub add: Span,
-    /// One that drains or died is listed as such after this time.
+    /// Delay until an upstream that drains or has died is listed as such.
     pub notice: Span,
-    /// One that became unresponsive is dropped after this time.
+    /// Delay until an unresponsive upstream is removed from the list.
     #[serde(rename = "silent_notice")]
     pub unresponsive_notice: Span,
-    /// Each balancer is notified of a change this much later.
+    /// Additional delay until each balancer is notified of a change.
     pub spread: Span,
 }
 
--- a/lab/src/experiment/load.rs
+++ b/lab/src/experiment/load.rs
@@ -1,64 +1,64 @@
-//! What is asked for: classes of requests, tenants, and how clients behave.
-use super::units::{one_try, unit, unit_range, Range, Span};
+//! Offered load: classes of requests, tenants and client behavior.
+use super::units::{one, unit, unit_range, Range, Span};
 use serde::Deserialize;
 
-/// What a repeat of a request may do.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// May run any number of times.
+    /// May be executed any number of times.
     Safe,
-    /// Carries a key: upstreams of one group drop repeats within the window.
+    /// Carries an idempotency key: upstreams of one group discard duplicates within the window.
     Keyed,
-    /// Must never run twice.
+    /// Must not be executed more than once.
     Once,
 }
 
-/// Which upstreams drop each other's repeats of a keyed request.
+/// Which upstreams deduplicate a keyed request among themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Group {
-    /// All of the tier.
+    /// All upstreams of the tier.
     All,
-    /// Those of one zone.
+    /// The upstreams of a zone.
     Zone,
-    /// Those of one cell.
+    /// The upstreams of a cell.
     Cell,
 }
 
-/// A kind of request.
+/// A class of requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// Its part of the requests, relative to the other classes.
+    /// Weight of this class among all requests.
     #[serde(default = "unit")]
     pub share: f64,
-    /// Work at a core of speed 1, over all calls of one tier as [`Tier::work`](super::tier::Tier::work) divides it, in
-    /// milliseconds.
+    /// Work of a request in milliseconds on a core of speed 1; each call to a tier performs the fraction
+    /// [`Tier::work`](super::tier::Tier::work) of it.
     pub work: Range,
-    /// Time spent waiting on others, for which no core is held.
+    /// Time spent waiting without occupying a core.
     #[serde(default = "no_time")]
     pub waits: Span,
-    /// The latency target: a response within this time earns the full value.
+    /// Latency target: a response within this time earns the full value.
     #[serde(rename = "aim")]
     pub latency_target: Span,
-    /// A client gives up after this time, over all its tries.
+    /// Time after which a client gives up, over all its attempts.
     pub deadline: Span,
-    /// What a response in time earns.
+    /// Value of a response within the latency target.
     #[serde(default = "unit", rename = "worth")]
     pub value: f64,
-    /// The part of it that a response between the latency target and the deadline earns.
+    /// Fraction of the value for a response between the latency target and the deadline.
     #[serde(default = "half", rename = "late_worth")]
     pub late_value: f64,
-    /// What a repeat may do.
+    /// Whether a request may be executed more than once.
     #[serde(default = "safe")]
     pub effect: Effect,
-    /// For keyed requests: who drops repeats.
+    /// For keyed requests: the upstreams that deduplicate among themselves.
     #[serde(default = "group")]
     pub group: Group,
-    /// For keyed requests: for how long.
+    /// For keyed requests: how long keys are remembered.
     #[serde(default = "window")]
     pub window: Span,
 }
@@ -83,66 +83,67 @@
     Span::ms(5000.0, 5000.0)
 }
 
-/// Somebody with a stated part of the service.
+/// A tenant with a share of the service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// Its part of the quotas.
+    /// Weight of its quota among all tenants.
     pub share: f64,
-    /// What it sends, as a part of its share of all traffic.
+    /// Traffic that it sends, relative to its share.
     #[serde(default = "unit_range")]
     pub usage: Range,
-    /// Requests a second of its own, beside what the others send: nothing else is drawn from `clients.rate` for it.
+    /// Its own request rate per second, in addition to the traffic of other tenants; it then gets no part of
+    /// `clients.rate`.
     #[serde(default)]
     pub rate: Option<Range>,
-    /// The same as a part of what the weakest tier can do when warm.
+    /// Its own request rate as a fraction of the capacity of the weakest tier after slow start.
     #[serde(default)]
     pub load: Option<Range>,
-    /// For a tenant with requests of its own: their classes, by default all.
+    /// For a tenant with its own rate: the classes that it sends; all by default.
     #[serde(default)]
     pub classes: Option<Vec<String>>,
-    /// For such a tenant: when it sends, `["4s", "12s"]`; by default all the time.
+    /// For a tenant with its own rate: when it sends, `["4s", "12s"]`; always by default.
     #[serde(default)]
     pub during: Option<Span>,
-    /// It sends everything to one balancer at the front, and to the next after this time.
+    /// Sends all requests to a single front balancer and switches to the next one after this time.
     #[serde(default)]
     pub hops: Option<Span>,
-    /// It opens a connection for each request and leaves it open, so many at the most.
+    /// Opens a connection per request and leaves it open, up to this many.
     #[serde(default)]
     pub connections: Option<usize>,
 }
 
-/// How clients behave.
+/// Client behavior.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// First tries a second. Either this or `load`.
+    /// First attempts per second. Exactly one of this and `load` is set.
     #[serde(default)]
     pub rate: Option<Range>,
-    /// First tries as a part of what the weakest tier can do when warm.
+    /// Rate of first attempts as a fraction of the capacity of the weakest tier after slow start.
     #[serde(default)]
     pub load: Option<Range>,
-    /// The quotas of all tenants together, as a part of what the weakest tier can do.
+    /// Sum of all tenants' quotas as a fraction of the capacity of the weakest tier.
     #[serde(default = "quota")]
     pub quota: Range,
-    /// Further tries of one request, at most.
-    #[serde(default = "one_try")]
+    /// Maximum number of client retries per request.
+    #[serde(default = "one")]
     pub retries: u32,
-    /// Each try is given up after this part of the deadline.
+    /// Timeout of each attempt as a fraction of the deadline.
     #[serde(default = "try_share")]
     pub try_share: Range,
-    /// The pause before the first further try; it doubles with each.
+    /// Backoff before the first retry; it doubles with each further one.
     #[serde(default = "backoff")]
     pub backoff: Span,
-    /// The part of clients that heed `Retry-After`.
+    /// Fraction of clients that honour `Retry-After`.
     #[serde(default = "honour")]
     pub honour: f64,
-    /// The part of first tries whose client leaves early.
+    /// Fraction of first attempts that the client abandons early.
     #[serde(default)]
     pub impatient: f64,
-    /// The front notices after this time that a balancer has died.
+    /// Time until clients are no longer routed to a front balancer that has died.
     #[serde(default = "notice")]
     pub front_notice: Span,
 }
--- a/lab/src/experiment/mod.rs
+++ b/lab/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! An experiment as its file states it: TOML, every key checked, every error on one line with file, line and key.
+//! Experiment files: TOML with every key validated. Each error is one line that names file, line and key.
 mod bounds;
 mod build;
 mod check;
--- a/lab/src/experiment/read.rs
+++ b/lab/src/experiment/read.rs
@@ -1,42 +1,42 @@
-//! Reads an experiment file: every key checked, every error on one line with file, line and key.
+//! Reads and validates an experiment file. Each error is one line that names file, line and key.
 use super::check::check;
 use super::schema::Experiment;
 use crate::error::FileError;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// An experiment file that can't be used. Its text is one line: file, line, key, what is wrong.
+/// Why an experiment file was rejected. Displayed as one line: file, line, key and the problem.
 #[derive(Debug, Error)]
 pub enum ExperimentError {
-    /// It can't be read.
+    /// The file cannot be read.
     #[error(transparent)]
     File(#[from] FileError),
-    /// Something in it is wrong.
-    #[error("{}{}: {what}", path.display(), line.map_or(String::new(), |line| format!(":{line}")))]
+    /// The file does not parse or a key has an invalid value.
+    #[error("{}{}: {message}", path.display(), line.map_or(String::new(), |line| format!(":{line}")))]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// The line, if there is one.
+        /// The line, counted from 1, if it is known.
         line: Option<usize>,
-        /// The key, and what is wrong with it.
-        what: String,
+        /// The key and the problem with its value.
+        message: String,
     },
 }
 
-/// Reads and checks an experiment file.
+/// Reads and validates an experiment file.
 ///
 /// # Errors
-/// The first thing that is wrong.
+/// Returns the first problem found.
 pub fn load(path: &Path) -> Result<Experiment, ExperimentError> {
     let text = std::fs::read_to_string(path).map_err(FileError::at(path))?;
-    parse(&text).map_err(|(line, what)| ExperimentError::Invalid {
+    parse(&text).map_err(|(line, message)| ExperimentError::Invalid {
         path: path.to_path_buf(),
         line,
-        what,
+        message,
     })
 }
 
-/// The same from a text; the error names the line, if there is one.
+/// Parses and validates an experiment from text. The error holds the line, if known, and a message.
 pub fn parse(text: &str) -> Result<Experiment, (Option<usize>, String)> {
     let line_at = |offset: usize| text[..offset.min(text.len())].matches('\n').count() + 1;
     let flat = |message: &str| message.trim().replace('\n', " ");
@@ -46,11 +46,12 @@
         let (line, message) = syntax(e.inner().clone());
         (line, format!("{}: {message}", e.path()))
     })?;
-    check(&experiment).map_err(|(key, what)| (line_of(text, &key), format!("{key}: {what}")))?;
+    check(&experiment)
+        .map_err(|(key, message)| (line_of(text, &key), format!("{key}: {message}")))?;
     Ok(experiment)
 }
 
-/// The line on which a key such as `fault[1].size` stands, or else the nearest key above it.
+/// Returns the line of a key path such as `fault[1].size`, or of its nearest enclosing key that is present.
 fn line_of(text: &str, key: &str) -> Option<usize> {
     let document = toml_edit::Document::parse(text).ok()?;
     let mut item = document.as_item();
--- a/lab/src/experiment/schema.rs
+++ b/lab/src/experiment/schema.rs
@@ -1,4 +1,4 @@
-//! A whole experiment, as its file states it.
+//! The top-level table of an experiment file.
 use super::bounds::Bounds;
 use super::build::Build;
 use super::expect::Expect;
@@ -9,60 +9,61 @@
 use super::units::Span;
 use serde::Deserialize;
 
-/// A whole experiment.
+/// A complete experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// One line for `list` and the report.
+    /// One-line title for `list` and the report.
     pub title: String,
-    /// How long clients send.
+    /// How long clients send requests.
     pub length: Span,
-    /// Feeds every draw, unless the command line names another.
+    /// Seed of all random draws, unless the command line sets another.
     #[serde(default = "one")]
     pub seed: u64,
-    /// The part of its own sends that the lab may make later than [`Experiment::lateness_most`].
+    /// Fraction of the lab's own sends and timers that may be later than [`Experiment::lateness_most`].
     #[serde(default = "hundredth")]
     pub late_share: f64,
-    /// A run in which more than [`Experiment::late_share`] of the lab's own sends and timers are later than this
-    /// does not count.
+    /// A run does not count if more than [`Experiment::late_share`] of the lab's own sends and timers are later than
+    /// this.
     #[serde(default = "lateness")]
     pub lateness_most: Span,
-    /// Zones, and how many balancers clients reach.
+    /// Zones and front balancers.
     pub fleet: Fleet,
-    /// What upstreams are behind each other, the one that clients reach first.
+    /// Tiers of upstreams in call order, the one closest to the clients first.
     #[serde(rename = "tier")]
     pub tiers: Vec<Tier>,
-    /// Kinds of requests.
+    /// Classes of requests.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
-    /// Who sends them.
+    /// Tenants that send requests.
     #[serde(rename = "tenant")]
     pub tenants: Vec<Tenant>,
-    /// How clients behave.
+    /// Client behavior.
     pub clients: Clients,
-    /// Delays between machines.
+    /// Network delays and datagram loss.
     #[serde(default)]
     pub net: Net,
-    /// How balancers discover upstreams.
+    /// How balancers obtain the list of upstreams.
     #[serde(default)]
     pub discovery: Discovery,
-    /// What balancers are given and held to.
+    /// Settings and limits of the balancers.
     #[serde(default)]
     pub balancer: Balancer,
-    /// Options of the balancers, as their options file has them. `{state}` in a text stands for the balancer's own
-    /// folder, which outlives it, and `{drill}` for the file in which the lab says what its disk does wrong.
+    /// Options of the balancers, in the format of their options file. In strings, `{state}` is replaced by the
+    /// balancer's state folder, which persists across restarts, and `{drill}` by the file through which the lab injects
+    /// disk faults.
     #[serde(default)]
     pub options: toml::Table,
-    /// Other builds of the balancer, or the same with other options, that part of the fleet runs.
+    /// Other builds of the balancer, or other options, that part of the fleet runs.
     #[serde(default, rename = "build")]
     pub builds: Vec<Build>,
-    /// Metrics for rules that have none of their own.
+    /// Limits of rules that depend on the experiment.
     #[serde(default)]
     pub bounds: Bounds,
-    /// What goes wrong, and when.
+    /// Faults to inject.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
-    /// What the metrics must hold.
+    /// Expectations on the metrics of the run.
     #[serde(default, rename = "expect")]
     pub expects: Vec<Expect>,
 }
@@ -80,8 +81,8 @@
 }
 
 impl Experiment {
-    /// Whether balancers are configured to have the faults of their disks from the lab.
-    pub(super) fn drills(&self) -> bool {
+    /// Whether balancers are configured to accept disk faults from the lab.
+    pub(super) fn injects_disk_faults(&self) -> bool {
         let fault_file = self.options.get("recovery").and_then(|r| r.get("drill"));
         fault_file
             .and_then(toml::Value::as_str)
--- a/lab/src/experiment/tier.rs
+++ b/lab/src/experiment/tier.rs
@@ -1,5 +1,5 @@
-//! A tier of upstreams and the machines in it.
-use super::units::{none, unit, unit_range, Range, Span};
+//! Tiers of upstreams and their machines.
+use super::units::{unit, unit_range, zero, Range, Span};
 use serde::Deserialize;
 
 /// One tier of upstreams.
@@ -8,68 +8,68 @@
 pub struct Tier {
     /// Its name.
     pub name: String,
-    /// How many upstreams it has, dealt out over the zones in turn.
+    /// Number of upstreams, assigned to zones round-robin.
     pub upstreams: usize,
-    /// The part of a class's work that each call to this tier does.
+    /// Fraction of a class's work that each call to this tier performs.
     pub work: f64,
-    /// Calls that a request of this tier makes to the next one, in the mean; 0 for the last tier.
-    #[serde(default = "none")]
+    /// Mean number of calls that a request in this tier makes to the next one; 0 for the last tier.
+    #[serde(default = "zero")]
     pub calls: Range,
-    /// Upstreams of one zone that share the keys they have seen, at most so many to a group.
-    #[serde(default = "four")]
+    /// Maximum size of a cell: a group of upstreams in one zone that share the idempotency keys they have seen.
+    #[serde(default = "default_cell")]
     pub cell: usize,
     /// The kinds of machines in it.
     #[serde(rename = "kind")]
     pub kinds: Vec<Kind>,
-    /// What happens to a machine whose requests pile up.
+    /// How a machine behaves when requests pile up.
     #[serde(default, rename = "choke")]
     pub overload: Option<OverloadModel>,
-    /// What connections cost.
+    /// Limits and costs of connections.
     #[serde(default)]
     pub connections: Connections,
-    /// The load reports of upstreams.
+    /// Load reports of the upstreams.
     #[serde(default)]
     pub report: Report,
-    /// Whether balancers may probe, and the work that one probe costs, in milliseconds of a core.
+    /// Work of one probe, in core-milliseconds; without it balancers may not probe.
     #[serde(default)]
     pub probe_work: Option<Range>,
 }
 
-fn four() -> usize {
+fn default_cell() -> usize {
     4
 }
 
-/// A kind of machine.
+/// A type of machine.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
     /// Its name.
     pub name: String,
-    /// Its part of the tier, relative to the other kinds.
+    /// Weight of this kind among the machines of the tier.
     #[serde(default = "unit")]
     pub share: f64,
-    /// Cores.
+    /// Number of cores.
     #[serde(default = "two_cores")]
     pub cores: usize,
-    /// How fast each core is.
+    /// Relative speed of each core.
     #[serde(default = "unit_range")]
     pub speed: Range,
-    /// Requests in work at once, for each core.
+    /// Concurrently processed requests per core.
     #[serde(default = "slots")]
     pub slots: Range,
-    /// Requests that wait for a slot, for each core; more are turned away.
+    /// Queue length per core; requests beyond it are rejected.
     #[serde(default = "queue")]
     pub queue: Range,
-    /// A machine that starts does this part of what it can do when warm.
+    /// Fraction of full capacity at the start of slow start.
     #[serde(default = "slow_start_share", rename = "cold_from")]
     pub slow_start_from: Range,
-    /// And is warm after this time at the latest.
+    /// Maximum duration of slow start.
     #[serde(default = "slow_start_time", rename = "cold_for")]
     pub slow_start_time: Span,
-    /// The part of requests that it answers with an error.
-    #[serde(default = "none")]
+    /// Fraction of requests that it answers with an error.
+    #[serde(default = "zero")]
     pub errors: Range,
-    /// Whether a cancel stops work that runs, and not only what waits.
+    /// Whether cancelling a request also stops work in progress, rather than only queued work.
     #[serde(default)]
     pub cancel_stops: bool,
 }
@@ -103,37 +103,38 @@
     Span::ms(10_000.0, 20_000.0)
 }
 
-/// A machine that has far more requests in flight than it has cores gets slow, and stays so until it has been mostly idle.
+/// Overload behavior: a machine with far more requests in flight than cores slows down, and stays slow until it has
+/// been mostly idle for a while.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OverloadModel {
-    /// Requests in flight for each core from which it counts as overloaded.
+    /// Requests in flight per core at which it counts as overloaded.
     pub at: f64,
-    /// It gets slow when overloaded for this long.
+    /// It slows down after being overloaded for this long.
     pub over: Span,
-    /// Times slower.
+    /// Slowdown factor.
     pub slower: Range,
-    /// It recovers once it has had fewer in flight than `below` for each core for this long.
+    /// It recovers after having fewer than `below` requests in flight per core for this long.
     pub rest: Span,
     /// See `rest`.
     pub below: f64,
-    /// And at the latest after this.
+    /// Maximum duration of the slowdown.
     pub most: Span,
 }
 
-/// What connections to an upstream cost.
+/// Limits and costs of connections to an upstream.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Connections {
-    /// The most that a machine holds, for each core. More are refused.
+    /// Maximum number of open connections per core; more are refused.
     pub cap: Range,
-    /// Round trips before the first request on one is read.
+    /// Round trips before the first request on a new connection is read.
     pub round_trips: Range,
-    /// Work that a new one costs, in milliseconds of a core.
+    /// Work to accept a connection, in core-milliseconds.
     pub work: Range,
-    /// The machine closes one that has been idle for this long.
+    /// Idle timeout after which the machine closes a connection.
     pub idle: Span,
-    /// The part of its capacity that a full table takes from a machine.
+    /// Fraction of a machine's capacity that is lost when its connection table is full.
     pub full_tax: Range,
 }
 
@@ -161,15 +162,15 @@
     }
 }
 
-/// The load reports of upstreams, in every answer.
+/// Load reports that upstreams attach to every response.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Report {
-    /// How often the metrics are taken anew.
+    /// Sampling period.
     pub period: Span,
-    /// How long after that they show.
+    /// Delay from sampling until the values are reported.
     pub delay: Span,
-    /// By how much each may be off, as a part of it.
+    /// Maximum relative error of each value.
     pub noise: f64,
 }
 
--- a/lab/src/experiment/units.rs
+++ b/lab/src/experiment/units.rs
@@ -1,28 +1,28 @@
-//! Metrics and times as experiment files state them: fixed, or drawn from a range. Holds the defaults that several
-//! tables share.
+//! Numbers and durations in experiment files: either fixed or drawn uniformly from a range. Also holds default values
+//! that several tables share.
 use serde::de::{self, Deserializer, SeqAccess, Visitor};
 use serde::Deserialize;
 use std::fmt;
 use thiserror::Error;
 
-/// Milliseconds: a point of a run, counted from its start, or a span.
+/// Milliseconds: a duration, or a point in time counted from the start of the run.
 pub type Millis = f64;
 
-/// A metric that is fixed, or drawn evenly between two: `0.2` or `[0.1, 0.3]`.
+/// A number that is fixed or drawn uniformly from a range: `0.2` or `[0.1, 0.3]`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Range {
-    /// The least.
+    /// Lower bound.
     pub least: f64,
-    /// The most.
+    /// Upper bound.
     pub most: f64,
 }
 
-/// A time that is fixed, or drawn evenly between two: `"200ms"` or `["1s", "3s"]`. Held in milliseconds.
+/// A duration that is fixed or drawn uniformly from a range: `"200ms"` or `["1s", "3s"]`. Stored in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Span(pub Range);
 
 impl Range {
-    /// The same metric every time.
+    /// Returns a range that holds a single value.
     pub const fn fixed(value: f64) -> Range {
         Range {
             least: value,
@@ -30,25 +30,25 @@
         }
     }
 
-    /// The metric in the middle.
+    /// Returns the midpoint.
     pub fn mean(&self) -> f64 {
         (self.least + self.most) / 2.0
     }
 }
 
 impl Span {
-    /// A span between two numbers of milliseconds.
+    /// Returns a span from bounds in milliseconds.
     pub const fn ms(least: f64, most: f64) -> Span {
         Span(Range { least, most })
     }
 }
 
-/// Why a text or two numbers are no range.
+/// Why a value is not a valid range.
 #[derive(Debug, Error)]
 enum RangeError {
-    #[error("{least} to {most} is no range from a least to a most of at least 0")]
+    #[error("invalid range {least} to {most}: bounds must be from 0 to 1e12, the lower one first")]
     Order { least: f64, most: f64 },
-    #[error("{text:?} is no time such as \"1s 500ms\": {source}")]
+    #[error("invalid duration {text:?}, expected for example \"1s 500ms\": {source}")]
     Duration {
         text: String,
         source: humantime::DurationError,
@@ -67,7 +67,7 @@
 impl<'de> Visitor<'de> for RangeVisitor {
     type Value = Range;
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a number, or two of them: [least, most]")
+        f.write_str("a number or a pair of numbers [least, most]")
     }
     fn visit_f64<E: de::Error>(self, v: f64) -> Result<Range, E> {
         range(v, v).map_err(E::custom)
@@ -76,12 +76,12 @@
         self.visit_f64(v as f64)
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Range, A::Error> {
-        let (least, most) = two(&mut seq, &self)?;
+        let (least, most) = read_pair(&mut seq, &self)?;
         range(least, most).map_err(de::Error::custom)
     }
 }
 
-fn two<'de, A: SeqAccess<'de>, T: Deserialize<'de>>(
+fn read_pair<'de, A: SeqAccess<'de>, T: Deserialize<'de>>(
     seq: &mut A,
     expected: &dyn de::Expected,
 ) -> Result<(T, T), A::Error> {
@@ -103,7 +103,7 @@
     }
 }
 
-fn millis(text: &str) -> Result<f64, RangeError> {
+fn parse_millis(text: &str) -> Result<f64, RangeError> {
     let time = humantime::parse_duration(text).map_err(|source| RangeError::Duration {
         text: text.to_owned(),
         source,
@@ -116,15 +116,17 @@
 impl<'de> Visitor<'de> for SpanVisitor {
     type Value = Span;
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a time with its unit such as \"1500ms\", or two of them: [least, most]")
+        f.write_str(
+            "a duration with its unit such as \"1500ms\", or a pair of durations [least, most]",
+        )
     }
     fn visit_str<E: de::Error>(self, v: &str) -> Result<Span, E> {
-        let ms = millis(v).map_err(E::custom)?;
+        let ms = parse_millis(v).map_err(E::custom)?;
         Ok(Span::ms(ms, ms))
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Span, A::Error> {
-        let (least, most): (String, String) = two(&mut seq, &self)?;
-        let (least, most) = (millis(&least), millis(&most));
+        let (least, most): (String, String) = read_pair(&mut seq, &self)?;
+        let (least, most) = (parse_millis(&least), parse_millis(&most));
         let span = least
             .and_then(|l| range(l, most?))
             .map_err(de::Error::custom)?;
@@ -138,7 +140,7 @@
     }
 }
 
-pub(super) fn none() -> Range {
+pub(super) fn zero() -> Range {
     Range::fixed(0.0)
 }
 
@@ -150,6 +152,6 @@
     Range::fixed(1.0)
 }
 
-pub(super) fn one_try() -> u32 {
+pub(super) fn one() -> u32 {
     1
 }
