--- a/lab/src/oracle/client_calls.rs
+++ b/lab/src/oracle/client_calls.rs
@@ -1,4 +1,4 @@
-//! One try of a request, with its attempts: what the rules on requests look at.
+//! One client call and its attempts, as the rules on requests see them.
 use super::facts::End;
 use crate::experiment::Millis;
 
@@ -20,13 +20,14 @@
     pub deadline: Millis,
     pub attempts: Vec<Attempt>,
     /// When it ended for its client.
-    pub over: Option<Millis>,
+    pub ended_at: Option<Millis>,
+    /// Body markers of the successful responses that upstreams made for it.
     pub served: Vec<u64>,
 }
 
 impl ClientCall {
-    /// Whether an attempt of it may have run.
-    pub(super) fn ran(&self) -> bool {
+    /// Whether any of its attempts may have been executed.
+    pub(super) fn may_have_run(&self) -> bool {
         self.attempts.iter().any(Attempt::may_have_run)
     }
 }
--- a/lab/src/oracle/facts.rs
+++ b/lab/src/oracle/facts.rs
@@ -1,53 +1,53 @@
-//! What the oracle observes, as plain values.
+//! Observations and configuration of the oracle, as plain values.
 use super::rules::trials::Bound;
 use crate::experiment::{Effect, Group, Millis};
 
-/// How a request ended for its client.
+/// How a client call ended, as the client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Final {
-    /// 200, with the mark of the answer that upstreams put into their bodies, if it had one.
+    /// Status 200, with the marker that upstreams put into response bodies, if it was present.
     Served(Option<u64>),
-    /// 429 or 503.
+    /// Status 429 or 503.
     Refused,
-    /// Any other answer.
+    /// Any other status.
     Failed,
-    /// Part of an answer came, and the client could tell that it was not whole.
+    /// A truncated response that the client could recognize as such.
     Partial,
-    /// The connection ended with no answer.
+    /// The connection was closed without a response.
     Ended,
-    /// So did a new one, on its first request.
+    /// A new connection was closed without a response to its first request.
     Turned,
-    /// Nothing came, and the client waits no longer.
+    /// No response before the client's timeout.
     TimedOut,
-    /// The client left by itself.
+    /// The client abandoned the request.
     Left,
 }
 
 /// How an attempt ended at the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// Answered 200, with this mark in the body.
+    /// Answered with status 200 and this marker in the body.
     Served(u64),
     /// Answered with an error.
     Error,
-    /// Turned away: it has not run.
+    /// Rejected without being executed.
     Declined,
-    /// The balancer closed the connection, or it broke.
+    /// The connection was closed by the balancer or broke.
     Closed,
 }
 
-/// What a class allows.
+/// Constraints of a request class.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassRules {
-    /// What a repeat may do.
+    /// Whether a request may be executed more than once.
     pub effect: Effect,
-    /// Who drops repeats.
+    /// The upstreams that deduplicate among themselves.
     pub group: Group,
-    /// For how long.
+    /// How long keys are remembered.
     pub window: Millis,
 }
 
-/// Where an upstream stands.
+/// The location of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
     /// Its zone.
@@ -58,44 +58,44 @@
     pub tier: usize,
 }
 
-/// What was seen of one balancer.
+/// Counts of what was observed of one balancer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Seen {
-    /// Requests written to it whole.
+    /// Requests that were completely written to it.
     pub taken: u64,
-    /// Of these, answered 200.
+    /// Requests answered with status 200.
     pub served: u64,
-    /// Refused.
+    /// Requests that it refused.
     pub refused: u64,
-    /// Answered as failed.
+    /// Requests answered with any other status.
     pub failed: u64,
-    /// Ended in a way that the balancer may see otherwise: the client left, the connection broke, nothing came.
+    /// Requests whose end the balancer may classify differently: abandoned, connection closed, no response.
     pub unclear: u64,
     /// Attempts that reached an upstream.
     pub attempts: u64,
 }
 
-/// What an oracle is built from.
+/// Configuration of an oracle.
 pub struct Parts {
     /// Rules of each class.
     pub classes: Vec<ClassRules>,
-    /// Place of each upstream.
+    /// Location of each upstream.
     pub places: Vec<Place>,
     /// Names of the balancers.
     pub balancers: Vec<String>,
     /// Names of the upstreams.
     pub upstreams: Vec<String>,
-    /// Most attempts for a request.
+    /// Maximum number of attempts per request.
     pub attempts_most: usize,
-    /// Time until sends to a draining upstream must end.
+    /// Grace period after which nothing may be sent to a draining upstream.
     pub drain_grace: Millis,
-    /// Tier and place in its list of each balancer.
+    /// Tier of each balancer and its index in the member list of that tier.
     pub members: Vec<(usize, usize)>,
-    /// Metrics of the rules that have none of their own.
+    /// Limits of the rules that depend on the experiment.
     pub limits: Limits,
 }
 
-/// The group of an upstream, as a number.
+/// Returns the deduplication group of an upstream.
 pub(super) fn group(of: Group, place: Place) -> u64 {
     match of {
         Group::All => 0,
@@ -105,7 +105,7 @@
 }
 
 impl Seen {
-    /// One of its requests ended so.
+    /// Counts the end of one of its requests.
     pub(super) fn ended(&mut self, how: Final) {
         match how {
             Final::Served(_) => self.served += 1,
@@ -118,15 +118,15 @@
     }
 }
 
-/// Metrics of rules that depend on the experiment.
+/// Limits of rules that depend on the experiment.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    /// How long an announcement of a member's versions may be in transit.
+    /// How long a member's version announcement may be in transit.
     pub version_grace: Millis,
-    /// All speak one version after this.
+    /// Time after the last change in which all members must agree on a version.
     pub agree: Option<Millis>,
-    /// Further attempts, as a part of first ones.
+    /// Maximum ratio of retries to first attempts.
     pub retries: Option<f64>,
-    /// Bounds of trials.
+    /// Limits on attempts at failing zones.
     pub trials: Vec<Bound>,
 }
--- a/lab/src/oracle/findings.rs
+++ b/lab/src/oracle/findings.rs
@@ -1,40 +1,40 @@
-//! What was found: violations of rules with their cases, and cases that stand only if the lab was not late itself. Owns
-//! the lab's lateness as far as it explains anything.
+//! Recorded violations, and suspected ones that are discarded if the lab's own lateness explains them. Owns the recent
+//! lateness of the lab.
 use super::rule::Rule;
 use crate::experiment::Millis;
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Cases written down for each rule; more are counted.
-const CASES_MOST: usize = 20;
-/// The lab's own lateness explains what it saw this long before and after.
-const LATE_AROUND: Millis = 1000.0;
-/// Lateness of less than this explains nothing that the slack does not.
-const LATE_LEAST: Millis = 5.0;
+/// Maximum number of violations described per rule; further ones are only counted.
+const MAX_CASES: usize = 20;
+/// Lateness of the lab can explain a suspected violation within this time before or after it.
+const LATENESS_WINDOW: Millis = 1000.0;
+/// Smaller lateness is ignored: the rules' slack already covers it.
+const MIN_LATENESS: Millis = 5.0;
 
-/// A violation of a rule, and the case.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// When it was seen.
+    /// When it was observed.
     pub at: Millis,
-    /// The case, in one line.
+    /// A one-line description.
     pub case: String,
 }
 
-/// A case that rests on the lab's own timing: it stands only if the lab was not late itself by as much.
+/// A suspected violation of a time limit. It is discarded if the lab itself was late by at least as much.
 pub(super) struct Suspect {
     pub rule: Rule,
-    /// By how much a limit was passed.
+    /// By how much the limit was exceeded.
     pub by: Millis,
     pub case: String,
 }
 
-/// Violations and suspects.
+/// Violations and suspected violations.
 #[derive(Default)]
 pub(super) struct Findings {
-    /// The run is over: what its processes' ends bring about is nobody's fault.
+    /// Set at the end of the run: effects of shutting down the processes are not violations.
     closed: bool,
     suspects: Vec<(Millis, Suspect)>,
     /// When the lab was late, and by how much.
@@ -51,35 +51,35 @@
         }
         let count = self.counts.entry(rule).or_default();
         *count += 1;
-        if *count as usize <= CASES_MOST {
+        if *count as usize <= MAX_CASES {
             self.broken.push(Violation { rule, at, case });
         }
     }
 
-    /// A limit of time was passed, as far as the lab can tell.
+    /// Records a suspected violation of a time limit.
     pub(super) fn suspects(&mut self, at: Millis, suspect: Suspect) {
         self.suspects.push((at, suspect));
     }
 
-    /// The lab did something this much later than it meant to.
+    /// Records that the lab acted later than scheduled by the given time.
     pub(super) fn lab_late(&mut self, now: Millis, by: Millis) {
-        if by >= LATE_LEAST {
+        if by >= MIN_LATENESS {
             self.late.push_back((now, by));
         }
     }
 
-    /// Decides on what was suspected long enough ago for the lab's lateness around it to be known.
+    /// Decides on suspected violations that are old enough for the lab's lateness around them to be known.
     pub(super) fn judge(&mut self, now: Millis) {
-        let known = now - LATE_AROUND;
-        let (due, open): (Vec<_>, Vec<_>) = std::mem::take(&mut self.suspects)
+        let known = now - LATENESS_WINDOW;
+        let (due, undecided): (Vec<_>, Vec<_>) = std::mem::take(&mut self.suspects)
             .into_iter()
             .partition(|(at, _)| *at <= known);
-        self.suspects = open;
+        self.suspects = undecided;
         for (at, s) in due {
             let explained = self
                 .late
                 .iter()
-                .any(|&(late, by)| (late - at).abs() <= LATE_AROUND && by >= s.by);
+                .any(|&(late, by)| (late - at).abs() <= LATENESS_WINDOW && by >= s.by);
             if !explained {
                 self.breaks(at, s.rule, s.case);
             }
@@ -87,18 +87,18 @@
         while self
             .late
             .front()
-            .is_some_and(|&(at, _)| at < known - LATE_AROUND)
+            .is_some_and(|&(at, _)| at < known - LATENESS_WINDOW)
         {
             self.late.pop_front();
         }
     }
 
-    /// The first cases of each rule, and how many there were.
+    /// Returns the first violations of each rule, and the total count per rule.
     pub(super) fn found(&self) -> (&[Violation], &BTreeMap<Rule, u64>) {
         (&self.broken, &self.counts)
     }
 
-    /// Nothing is judged any more.
+    /// Ignores all further violations.
     pub(super) fn close(&mut self) {
         self.closed = true;
     }
--- a/lab/src/oracle/header.rs
+++ b/lab/src/oracle/header.rs
@@ -1,26 +1,26 @@
-//! What every datagram between balancers begins and ends with, read from its bytes alone.
+//! Parses the fixed header and trailer of datagrams between balancers, independently of the balancer's own code.
 //!
-//! | at | bytes | what, numbers big-endian |
+//! | offset | bytes | content, numbers big-endian |
 //! | --- | --- | --- |
 //! | 0 | 2 | `oP` |
-//! | 2 | 1 | the version that the rest is written in |
-//! | 3 | 1 | the lowest version that the sender reads |
-//! | 4 | 1 | the highest |
-//! | 5 | 2 | the sender's place in the list of its tier |
-//! | 7 | 8 | its incarnation |
-//! | 15 | 4 | the deployment |
-//! | 19 | 8 | the number of the agreement on a version |
-//! | last | 4 | CRC-32 of all before |
+//! | 2 | 1 | protocol version of the datagram |
+//! | 3 | 1 | lowest version that the sender supports |
+//! | 4 | 1 | highest version that the sender supports |
+//! | 5 | 2 | index of the sender in the member list of its tier |
+//! | 7 | 8 | incarnation of the sender |
+//! | 15 | 4 | deployment |
+//! | 19 | 8 | epoch of the version agreement |
+//! | last | 4 | CRC-32 of all preceding bytes |
 
 const MAGIC: &[u8] = b"oP";
-const LENGTH: usize = 27;
-const SUM: usize = 4;
+const HEADER_LEN: usize = 27;
+const CHECKSUM_LEN: usize = 4;
 
-/// The fixed part of a datagram.
+/// The fixed header of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Header {
     pub version: u8,
-    /// The lowest and the highest version that the sender reads.
+    /// Lowest and highest version that the sender supports.
     pub reads: (u8, u8),
     pub place: u16,
     pub incarnation: u64,
@@ -28,17 +28,19 @@
 }
 
 impl Header {
-    /// Reads one; the error says what is wrong with it.
+    /// Parses a header. The error completes the sentence "sent a datagram ...".
     pub(super) fn read(bytes: &[u8]) -> Result<Header, &'static str> {
-        let (body, sum) = bytes.split_last_chunk::<SUM>().ok_or("too short")?;
-        if body.len() < LENGTH {
-            return Err("too short");
+        let (body, checksum) = bytes
+            .split_last_chunk::<CHECKSUM_LEN>()
+            .ok_or("shorter than a header and checksum")?;
+        if body.len() < HEADER_LEN {
+            return Err("shorter than a header and checksum");
         }
         if !body.starts_with(MAGIC) {
-            return Err("not begun as all are");
+            return Err("with a wrong magic number");
         }
-        if u32::from_be_bytes(*sum) != crc32fast::hash(body) {
-            return Err("of a wrong sum");
+        if u32::from_be_bytes(*checksum) != crc32fast::hash(body) {
+            return Err("with a wrong checksum");
         }
         let number = |at: usize, bytes: usize| {
             body[at..at + bytes]
@@ -54,7 +56,7 @@
         };
         match (header.reads.0..=header.reads.1).contains(&header.version) {
             true => Ok(header),
-            false => Err("of a version that its sender does not read"),
+            false => Err("in a version that its sender does not support"),
         }
     }
 }
--- a/lab/src/oracle/members.rs
+++ b/lab/src/oracle/members.rs
@@ -1,33 +1,34 @@
-//! Who lives, what each has announced, and between whom nothing passes. Owns that, from what the lab does and sees.
+//! Owns the liveness of members, the versions that each has announced, and the partitions between them, derived from
+//! what the lab does and observes.
 use super::header::Header;
 use crate::experiment::Millis;
 use std::collections::HashMap;
 
-/// One balancer, as its peers could know it.
+/// One balancer, as its peers can know it.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub tier: usize,
     pub place: u16,
-    /// Since when it has spoken with the versions that it announces now; nothing while it can't act.
+    /// When it first announced its current versions; none while it cannot act.
     pub since: Option<Millis>,
-    /// The lowest and the highest version that it reads, since its last start.
+    /// Lowest and highest version that it has announced since its last start.
     pub reads: Option<(u8, u8)>,
     runs: bool,
 }
 
-/// All of them.
+/// All members.
 pub(super) struct Members {
     all: Vec<Member>,
-    /// Cuts between two, and when the last was healed.
-    parted: HashMap<(usize, usize), (u32, Millis)>,
-    /// Hardly any datagram arrives, and when that was over.
-    muffled: (u32, Millis),
-    /// When anybody last came, went, or began to read other versions.
+    /// Number of active partitions between two members, and when the last one healed.
+    partitions: HashMap<(usize, usize), (u32, Millis)>,
+    /// Number of active faults with heavy datagram loss, and when the last one ended.
+    heavy_loss: (u32, Millis),
+    /// When a member last started, stopped or changed its versions, or connectivity changed.
     changed: Millis,
 }
 
 impl Members {
-    /// By tier and place in its list.
+    /// Creates the members from their tier and their index in its member list.
     pub(super) fn new(all: impl Iterator<Item = (usize, usize)>) -> Members {
         let member = |(tier, place): (usize, usize)| Member {
             tier,
@@ -38,8 +39,8 @@
         };
         Members {
             all: all.map(member).collect(),
-            parted: HashMap::new(),
-            muffled: (0, f64::NEG_INFINITY),
+            partitions: HashMap::new(),
+            heavy_loss: (0, f64::NEG_INFINITY),
             changed: 0.0,
         }
     }
@@ -48,31 +49,40 @@
         &self.all[b]
     }
 
-    /// A process of it begins: what it read before is no longer announced.
-    pub(super) fn starts(&mut self, b: usize, now: Millis) {
+    /// Records that a process of a member starts: its previous announcements no longer hold.
+    pub(super) fn started(&mut self, b: usize, now: Millis) {
         let m = &mut self.all[b];
         (m.since, m.reads, m.runs) = (None, None, true);
         self.changed = now;
     }
 
-    /// It can't act any more, or is asked to end.
-    pub(super) fn stops(&mut self, b: usize, now: Millis) {
+    /// Records that a member can no longer act or is asked to shut down.
+    pub(super) fn stopped(&mut self, b: usize, now: Millis) {
         let m = &mut self.all[b];
         (m.since, m.runs) = (None, false);
         self.changed = now;
     }
 
-    /// One that was paused goes on.
-    pub(super) fn goes_on(&mut self, b: usize, now: Millis) {
+    /// Records that a paused member resumes.
+    pub(super) fn resumed(&mut self, b: usize, now: Millis) {
         self.all[b].runs = true;
         self.changed = now;
     }
 
-    /// Nothing passes from one to another, or does again.
-    pub(super) fn part(&mut self, from: usize, to: usize, parts: bool, now: Millis) {
+    /// Records that a partition between two members begins or heals.
+    pub(super) fn set_partitioned(
+        &mut self,
+        from: usize,
+        to: usize,
+        partitioned: bool,
+        now: Millis,
+    ) {
         let pair = (from.min(to), from.max(to));
-        let entry = self.parted.entry(pair).or_insert((0, f64::NEG_INFINITY));
-        *entry = if parts {
+        let entry = self
+            .partitions
+            .entry(pair)
+            .or_insert((0, f64::NEG_INFINITY));
+        *entry = if partitioned {
             (entry.0 + 1, entry.1)
         } else {
             (entry.0.saturating_sub(1), now)
@@ -80,10 +90,10 @@
         self.changed = now;
     }
 
-    /// So little arrives that nobody can be sure of anybody, or that is over.
-    pub(super) fn muffle(&mut self, muffles: bool, now: Millis) {
-        let m = &mut self.muffled;
-        *m = if muffles {
+    /// Records that datagram loss too heavy for failure detection begins or ends.
+    pub(super) fn set_heavy_loss(&mut self, begins: bool, now: Millis) {
+        let m = &mut self.heavy_loss;
+        *m = if begins {
             (m.0 + 1, m.1)
         } else {
             (m.0.saturating_sub(1), now)
@@ -91,10 +101,10 @@
         self.changed = now;
     }
 
-    /// It sends this.
+    /// Records the versions that a datagram of a member announces.
     pub(super) fn record_version(&mut self, b: usize, header: &Header, now: Millis) {
         let m = &mut self.all[b];
-        // What it sent before it was ended may be read after.
+        // The lab may read datagrams after the process that sent them was stopped.
         if !m.runs {
             return;
         }
@@ -104,37 +114,38 @@
         }
     }
 
-    /// For how long two of a tier have lived, spoken as now and reached each other.
+    /// Returns for how long two members of a tier have been alive with their current versions and able to reach each
+    /// other.
     pub(super) fn known_for(&self, a: usize, b: usize, now: Millis) -> Option<Millis> {
         let pair = (a.min(b), a.max(b));
         let (cuts, healed) = self
-            .parted
+            .partitions
             .get(&pair)
             .copied()
             .unwrap_or((0, f64::NEG_INFINITY));
-        if cuts > 0 || self.muffled.0 > 0 {
+        if cuts > 0 || self.heavy_loss.0 > 0 {
             return None;
         }
-        // What was before the run began counts for nothing.
+        // Time before the start of the run does not count.
         let since = self.all[a]
             .since?
             .max(self.all[b].since?)
             .max(healed)
-            .max(self.muffled.1)
+            .max(self.heavy_loss.1)
             .max(0.0);
         Some(now - since)
     }
 
-    /// The others of its tier.
+    /// Returns the other members of its tier.
     pub(super) fn others(&self, b: usize) -> impl Iterator<Item = usize> + '_ {
         let tier = self.all[b].tier;
         (0..self.all.len()).filter(move |&o| o != b && self.all[o].tier == tier)
     }
 
-    /// The highest version that everybody of its tier reads, and for how long nothing has changed in any tier. Nothing
-    /// while anybody is cut off or silent.
+    /// Returns the highest version that all running members of its tier support, and for how long nothing has changed
+    /// in any tier. None while a partition or heavy loss is active or a running member has not announced its versions.
     pub(super) fn common(&self, b: usize, now: Millis) -> Option<(u8, Millis)> {
-        if self.muffled.0 > 0 || self.parted.values().any(|p| p.0 > 0) {
+        if self.heavy_loss.0 > 0 || self.partitions.values().any(|p| p.0 > 0) {
             return None;
         }
         let own = self.all[b].reads?;
--- a/lab/src/oracle/mod.rs
+++ b/lab/src/oracle/mod.rs
@@ -1,7 +1,8 @@
-//! Checks the rules from what the lab's stand-ins saw: never from what a balancer reports of itself.
+//! Checks the rules against what the lab's emulated clients, upstreams and peers observe, rather than against what a
+//! balancer reports about itself.
 //!
-//! Sans-I/O: every stand-in reports to it what it saw and when. A violation of a rule is recorded with its case, and
-//! the run goes on.
+//! Sans-I/O: every emulated component reports its observations with their times. A violation is recorded with a
+//! description, and the run continues.
 mod client_calls;
 mod facts;
 mod findings;
--- a/lab/src/oracle/peers.rs
+++ b/lab/src/oracle/peers.rs
@@ -1,4 +1,4 @@
-//! What the oracle sees between balancers: their datagrams, who lives, and who is cut off from whom.
+//! Observations between balancers: their datagrams, liveness and partitions.
 use super::facts::Limits;
 use super::header::Header;
 use super::members::Members;
@@ -6,7 +6,7 @@
 use super::rules::{agreed::Agreed, epoch::Epochs, version::Versions};
 use crate::experiment::Millis;
 
-/// The rules on datagrams, with what they must remember.
+/// The rules on datagrams and their state.
 pub(super) struct Peers {
     pub members: Members,
     versions: Versions,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A balancer sends a datagram; says what is wrong with that.
+    /// Checks a datagram that a balancer sends. Returns the violations.
     pub(super) fn datagram(
         &mut self,
         now: Millis,
@@ -38,10 +38,13 @@
             Ok(h) => {
                 return vec![(
                     Rule::Header,
-                    format!("{name} sent a datagram as the one in place {}", h.place),
+                    format!(
+                        "{name} sent a datagram with the member index {} of another balancer",
+                        h.place
+                    ),
                 )]
             }
-            Err(what) => return vec![(Rule::Header, format!("{name} sent a datagram {what}"))],
+            Err(error) => return vec![(Rule::Header, format!("{name} sent a datagram {error}"))],
         };
         let Header {
             version,
@@ -61,13 +64,13 @@
         }
         if let Some(before) = self.epochs.sent(from, incarnation, epoch) {
             let case =
-                format!("{name} has number {epoch} after {before}, in incarnation {incarnation}");
+                format!("{name} sent epoch {epoch} after {before} in incarnation {incarnation}");
             found.push((Rule::Epoch, case));
         }
         if let Some(common) = self.agreed.sent(now, from, version, &self.members) {
             found.push((
                 Rule::Agreed,
-                format!("{name} sends version {version}; all read {common}"),
+                format!("{name} sends version {version}; all members read {common}"),
             ));
         }
         found
--- a/lab/src/oracle/rule.rs
+++ b/lab/src/oracle/rule.rs
@@ -1,67 +1,67 @@
-//! The rules, and what each asks.
+//! The rules and what each requires.
 use serde::Serialize;
 
 /// The rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Each request taken gets exactly one final answer before its client gives up.
+    /// Each accepted request gets exactly one final response before its client gives up.
     Lost,
-    /// What is served was made by an upstream for this request.
+    /// Every successful response was produced by an upstream for this request.
     Invented,
-    /// A request that may have run is sent again only as its class allows.
+    /// A request that may have been executed is retried only as its class allows.
     Repeated,
-    /// A refusal promises that nothing ran.
+    /// A refused request was not executed.
     Refused,
-    /// One attempt is out at a time.
+    /// A request has at most one attempt in flight.
     #[serde(rename = "two-out")]
     ConcurrentAttempts,
-    /// No more attempts than the settings allow.
+    /// The number of attempts stays within the configured maximum.
     Attempts,
-    /// Nothing is sent for a request after its end.
+    /// No attempt is sent for a request after its end.
     AfterEnd,
-    /// Nothing new goes to an upstream that drains, after the grace.
+    /// No new request goes to a draining upstream after the grace period.
     Drained,
-    /// No cold upstream is pushed over by all balancers together.
+    /// The balancers together do not overload an upstream in slow start.
     #[serde(rename = "tipped")]
     Overloaded,
-    /// What reaches an upstream was sent by a client.
+    /// Every request that reaches an upstream was sent by a client.
     Foreign,
     /// Memory stays within its limit.
     Memory,
-    /// Descriptors stay within their limit.
+    /// Open file descriptors stay within their limit.
     Descriptors,
-    /// No balancer ends unless asked to.
+    /// No balancer exits unless asked to.
     Crashed,
-    /// Every balancer gets ready in time.
+    /// Every balancer becomes ready in time.
     NotReady,
-    /// Datagrams between balancers hold 256 bytes at most.
+    /// Datagrams between balancers have at most 256 bytes.
     Datagram,
-    /// Datagrams between balancers begin and end as all versions have them.
+    /// Datagrams between balancers have the header and checksum common to all versions.
     Header,
     /// No balancer sends a version that a live member has not announced.
     Version,
-    /// The number of the agreement on a version never goes back within an incarnation.
+    /// The epoch of the version agreement never decreases within an incarnation.
     Epoch,
-    /// Once nothing changes all speak the highest version that all read.
+    /// Once nothing changes, all members send the highest version that all support.
     Agreed,
-    /// Further attempts into a tier stay within a part of first ones.
+    /// Retries into a tier stay within a fraction of first attempts.
     Budget,
-    /// Attempts at a zone that does no good stay within a number a second.
+    /// Attempts at a failing zone stay within a number per second.
     Trials,
-    /// A tenant within its share keeps its worth.
+    /// A tenant within its share retains its value while another exceeds its share.
     InShare,
-    /// Nothing shared is acted on beyond its stated age.
+    /// Balancers do not act on shared data beyond its maximum age.
     Stale,
-    /// What a balancer counts of itself is what others saw of it.
+    /// A balancer's own metrics match what others observed.
     #[serde(rename = "figures")]
     Metrics,
-    /// The number of a balancer's start grows with each, whatever becomes of its folder.
+    /// A balancer's start number increases with each start, even if its state folder is damaged.
     Numbered,
 }
 
 impl Rule {
-    /// All of them.
+    /// All rules.
     pub const ALL: [Rule; 25] = [
         Rule::Lost,
         Rule::Invented,
@@ -90,34 +90,36 @@
         Rule::Numbered,
     ];
 
-    /// What it asks, in a few words.
+    /// Returns a short description of what the rule requires.
     pub fn asks(self) -> &'static str {
         match self {
-            Rule::Lost => "one final answer for each request taken, in its time",
-            Rule::Invented => "what is served was made by an upstream for this request",
-            Rule::Repeated => "sent again only as its class allows",
-            Rule::Refused => "a refusal promises that nothing ran",
-            Rule::ConcurrentAttempts => "one attempt out at a time",
-            Rule::Attempts => "no more attempts than the settings allow",
-            Rule::AfterEnd => "nothing sent for a request after its end",
-            Rule::Drained => "nothing new to an upstream that drains, after the grace",
-            Rule::Overloaded => "no cold upstream pushed over by all together",
-            Rule::Foreign => "what reaches an upstream was sent by a client",
+            Rule::Lost => "each accepted request gets one final response in time",
+            Rule::Invented => {
+                "every successful response was produced by an upstream for this request"
+            }
+            Rule::Repeated => "a request is retried only as its class allows",
+            Rule::Refused => "a refused request was not executed",
+            Rule::ConcurrentAttempts => "at most one attempt in flight per request",
+            Rule::Attempts => "attempts per request within the configured maximum",
+            Rule::AfterEnd => "no attempt for a request after its end",
+            Rule::Drained => "no new request to a draining upstream after the grace period",
+            Rule::Overloaded => "no upstream overloaded during slow start",
+            Rule::Foreign => "every request that reaches an upstream was sent by a client",
             Rule::Memory => "memory within its limit",
-            Rule::Descriptors => "descriptors within their limit",
-            Rule::Crashed => "no balancer ends unless told to",
+            Rule::Descriptors => "file descriptors within their limit",
+            Rule::Crashed => "no balancer exits unless asked to",
             Rule::NotReady => "every balancer ready in time",
-            Rule::Datagram => "datagrams of 256 bytes at most",
-            Rule::Header => "datagrams begin and end as all versions have them",
+            Rule::Datagram => "datagrams of at most 256 bytes",
+            Rule::Header => "datagrams have the header and checksum common to all versions",
             Rule::Version => "no version is sent that a live member has not announced",
-            Rule::Epoch => "the number of the agreement on a version never goes back",
-            Rule::Agreed => "all speak the highest version that all read, in its time",
-            Rule::Budget => "further attempts within their part of first ones",
-            Rule::Trials => "trials of a zone that does no good within their number",
-            Rule::InShare => "a tenant within its share keeps its worth",
-            Rule::Stale => "nothing shared is acted on beyond its age",
-            Rule::Metrics => "what a balancer counts is what others saw",
-            Rule::Numbered => "the number of a start grows with each",
+            Rule::Epoch => "the epoch of the version agreement never decreases",
+            Rule::Agreed => "all members send the highest common version in time",
+            Rule::Budget => "retries within their fraction of first attempts",
+            Rule::Trials => "attempts at a failing zone within their limit",
+            Rule::InShare => "a tenant within its share retains its value",
+            Rule::Stale => "no shared data is acted on beyond its maximum age",
+            Rule::Metrics => "a balancer's own metrics match what others observed",
+            Rule::Numbered => "a balancer's start number increases with each start",
         }
     }
 }
--- a/lab/src/oracle/rules/after_end.rs
+++ b/lab/src/oracle/rules/after_end.rs
@@ -1,10 +1,16 @@
-//! Nothing is sent for a request after its end.
+//! No attempt is sent for a request after its end.
 use super::SLACK;
 use crate::experiment::Millis;
 use crate::oracle::client_calls::ClientCall;
 
-/// By how much too late an attempt comes now, and the case.
-pub(crate) fn case(now: Millis, route: &str, id: u64, t: &ClientCall) -> Option<(Millis, String)> {
-    let by = t.over.map(|at| now - at - SLACK).filter(|&by| by > 0.0)?;
-    Some((by, format!("{route}: {id:016x} was sent after its end")))
+/// Returns by how much an attempt that arrives now is too late, and a description.
+pub(crate) fn check(now: Millis, route: &str, id: u64, t: &ClientCall) -> Option<(Millis, String)> {
+    let by = t
+        .ended_at
+        .map(|at| now - at - SLACK)
+        .filter(|&by| by > 0.0)?;
+    Some((
+        by,
+        format!("{route}: an attempt of request {id:016x} was sent after its end"),
+    ))
 }
--- a/lab/src/oracle/rules/agreed.rs
+++ b/lab/src/oracle/rules/agreed.rs
@@ -1,25 +1,25 @@
-//! Once nothing has changed for the stated time all of a tier speak the highest version that all of them read. Owns who
-//! does not, so that each time that it begins is one case.
+//! Once nothing has changed for the configured time, all members of a tier send the highest version that all of them
+//! support. Owns the set of members that do not, so that each lagging period is reported once.
 use crate::experiment::Millis;
 use crate::oracle::members::Members;
 use std::collections::HashSet;
 
-/// Who lags.
+/// Members that send a lower version than they should.
 pub(crate) struct Agreed {
     within: Option<Millis>,
-    lags: HashSet<usize>,
+    lagging: HashSet<usize>,
 }
 
 impl Agreed {
-    /// Without a time nothing is judged.
+    /// Without a time limit nothing is checked.
     pub(crate) fn new(within: Option<Millis>) -> Agreed {
         Agreed {
             within,
-            lags: HashSet::new(),
+            lagging: HashSet::new(),
         }
     }
 
-    /// A balancer sends a datagram of this version; says which it should be by now.
+    /// Checks the version of a datagram. Returns the expected version at the start of a violation.
     pub(crate) fn sent(
         &mut self,
         now: Millis,
@@ -27,11 +27,11 @@
         version: u8,
         members: &Members,
     ) -> Option<u8> {
-        let (common, still) = members.common(from, now)?;
-        if version >= common || still <= self.within? {
-            self.lags.remove(&from);
+        let (common, unchanged_for) = members.common(from, now)?;
+        if version >= common || unchanged_for <= self.within? {
+            self.lagging.remove(&from);
             return None;
         }
-        self.lags.insert(from).then_some(common)
+        self.lagging.insert(from).then_some(common)
     }
 }
--- a/lab/src/oracle/rules/attempts.rs
+++ b/lab/src/oracle/rules/attempts.rs
@@ -1,6 +1,11 @@
-//! No more attempts for a request than the settings allow.
+//! The number of attempts of a request stays within the configured maximum.
 
-/// `number`: attempts that the request had before this one.
-pub(crate) fn case(route: &str, id: u64, number: usize, most: usize) -> Option<String> {
-    (number >= most).then(|| format!("{route}: {id:016x} is sent for the {} time", number + 1))
+/// `number`: attempts of the request before this one.
+pub(crate) fn check(route: &str, id: u64, number: usize, most: usize) -> Option<String> {
+    (number >= most).then(|| {
+        format!(
+            "{route}: attempt {} of request {id:016x}; at most {most} are allowed",
+            number + 1
+        )
+    })
 }
--- a/lab/src/oracle/rules/budget.rs
+++ b/lab/src/oracle/rules/budget.rs
@@ -1,51 +1,50 @@
-//! Attempts beyond the first, of all balancers into a tier together, stay within a part of first attempts. Owns the
-//! counts of the last seconds.
+//! Retries of all balancers into a tier stay within a fraction of first attempts. Owns the counts of the last seconds.
 use crate::experiment::Millis;
 use std::collections::{HashMap, VecDeque};
 
-/// What is counted together, in seconds.
-const WINDOW: usize = 5;
-/// A window may have so many in any case: a part of next to nothing is no metric.
-const SPARE: f64 = 20.0;
+/// Length of the sliding window, in seconds.
+const WINDOW_S: usize = 5;
+/// Retries allowed in every window: with few first attempts the ratio alone says little.
+const MIN_RETRIES: f64 = 20.0;
 
-/// First and further attempts of one second.
+/// A second of the run, its first attempts and its retries.
 type Second = (u64, u64, u64);
 
-/// Attempts into each tier.
+/// Counts of attempts into each tier.
 pub(crate) struct Budget {
-    part: Option<f64>,
+    ratio: Option<f64>,
     tiers: HashMap<usize, VecDeque<Second>>,
 }
 
 impl Budget {
-    /// Without a part nothing is judged.
-    pub(crate) fn new(part: Option<f64>) -> Budget {
+    /// Without a ratio nothing is checked.
+    pub(crate) fn new(ratio: Option<f64>) -> Budget {
         Budget {
-            part,
+            ratio,
             tiers: HashMap::new(),
         }
     }
 
-    /// An attempt has come to a tier; says what the last seconds held if that is too much.
+    /// Counts an attempt into a tier. Returns a description if the last window exceeded the budget.
     pub(crate) fn attempt(&mut self, now: Millis, tier: usize, first: bool) -> Option<String> {
-        let part = self.part?;
+        let ratio = self.ratio?;
         let second = (now.max(0.0) / 1000.0) as u64;
         let seconds = self.tiers.entry(tier).or_default();
         let mut case = None;
         if seconds.back().is_none_or(|s| s.0 < second) {
-            // One that is over is judged once.
+            // Each window is checked once, after its last second has ended.
             let (firsts, retries) = seconds
                 .iter()
                 .fold((0, 0), |sum, s| (sum.0 + s.1, sum.1 + s.2));
-            if retries as f64 > part * firsts as f64 + SPARE {
+            if retries as f64 > ratio * firsts as f64 + MIN_RETRIES {
                 case = Some(format!(
-                    "{retries} further attempts beside {firsts} first ones in {WINDOW} s"
+                    "{retries} retries for {firsts} first attempts in {WINDOW_S} s"
                 ));
             }
             seconds.push_back((second, 0, 0));
             while seconds
                 .front()
-                .is_some_and(|s| s.0 + WINDOW as u64 <= second)
+                .is_some_and(|s| s.0 + WINDOW_S as u64 <= second)
             {
                 seconds.pop_front();
             }
--- a/lab/src/oracle/rules/concurrent_attempts.rs
+++ b/lab/src/oracle/rules/concurrent_attempts.rs
@@ -1,10 +1,10 @@
-//! One attempt is out at a time.
+//! A request has at most one attempt in flight.
 use super::SLACK;
 use crate::experiment::Millis;
 use crate::oracle::client_calls::ClientCall;
 
-/// By how much too long the attempt that ends now was out beside the next one, and the case.
-pub(crate) fn case(
+/// Returns by how much the attempt that ends now overlapped with the next one beyond the slack, and a description.
+pub(crate) fn check(
     now: Millis,
     name: &str,
     id: u64,
@@ -12,6 +12,7 @@
     number: usize,
 ) -> Option<(Millis, String)> {
     let overlap = now - t.attempts.get(number + 1)?.began;
-    let case = || format!("{name}: two attempts of {id:016x} were out for {overlap:.0} ms");
+    let case =
+        || format!("{name}: two attempts of request {id:016x} were in flight for {overlap:.0} ms");
     (overlap > SLACK).then(|| (overlap - SLACK, case()))
 }
--- a/lab/src/oracle/rules/drained.rs
+++ b/lab/src/oracle/rules/drained.rs
@@ -1,14 +1,15 @@
-//! Nothing new goes to an upstream that drains, after the grace. Owns what each balancer was notified of.
+//! No new request goes to a draining upstream after the grace period. Owns the upstream states that each balancer was
+//! notified of.
 use super::SLACK;
 use crate::experiment::Millis;
 use std::collections::HashMap;
 
-/// What balancers were notified of upstreams.
+/// Upstream states that balancers were notified of.
 pub(crate) struct Notifications {
     grace: Millis,
-    /// When each balancer was notified that an upstream wants nothing new.
-    away: HashMap<(usize, usize), Millis>,
-    /// The latest start of an upstream that each balancer was notified of; by default the first.
+    /// When each balancer was notified that an upstream accepts no new requests.
+    drained: HashMap<(usize, usize), Millis>,
+    /// Latest start of each upstream that each balancer was notified of; the first by default.
     starts: HashMap<(usize, usize), usize>,
 }
 
@@ -16,12 +17,12 @@
     pub(crate) fn new(grace: Millis) -> Notifications {
         Notifications {
             grace,
-            away: HashMap::new(),
+            drained: HashMap::new(),
             starts: HashMap::new(),
         }
     }
 
-    /// A balancer was notified of an upstream after so many starts of that.
+    /// Records that a balancer was notified of an upstream's state; `start` is the upstream's start count.
     pub(crate) fn notified(
         &mut self,
         now: Millis,
@@ -31,25 +32,25 @@
         takes_work: bool,
     ) {
         let latest = self.starts.entry((balancer, upstream)).or_insert(1);
-        // A state of a machine says nothing of the one that has replaced it.
+        // The state of a previous machine says nothing about its replacement.
         if start < *latest {
             return;
         }
         *latest = start;
         if takes_work {
-            self.away.remove(&(balancer, upstream));
+            self.drained.remove(&(balancer, upstream));
         } else {
-            self.away.entry((balancer, upstream)).or_insert(now);
+            self.drained.entry((balancer, upstream)).or_insert(now);
         }
     }
 
-    /// Whether a balancer was notified of an upstream's latest start.
+    /// Whether a balancer was notified of this start of an upstream or a later one.
     pub(crate) fn knows_start(&self, balancer: usize, upstream: usize, start: usize) -> bool {
         self.starts.get(&(balancer, upstream)).copied().unwrap_or(1) >= start
     }
 
-    /// By how much an attempt comes too late, and the case.
-    pub(crate) fn case(
+    /// Returns by how much an attempt exceeds the grace period and slack, and a description.
+    pub(crate) fn check(
         &self,
         now: Millis,
         route: &str,
@@ -57,11 +58,11 @@
         balancer: usize,
         upstream: usize,
     ) -> Option<(Millis, String)> {
-        let at = *self.away.get(&(balancer, upstream))?;
+        let at = *self.drained.get(&(balancer, upstream))?;
         let by = now - at - self.grace - SLACK;
         let case = || {
             format!(
-                "{route}: {id:016x} came {:.0} ms after the word that it drains",
+                "{route}: request {id:016x} arrived {:.0} ms after the balancer was notified of draining",
                 now - at
             )
         };
--- a/lab/src/oracle/rules/effects.rs
+++ b/lab/src/oracle/rules/effects.rs
@@ -1,19 +1,19 @@
-//! Effects of keyed requests: not a rule by itself, as an upstream that repeats is not the balancer's doing; counted.
-//! Owns which keys have run where.
+//! Counts keyed requests that take effect more than once. This is not a rule: the balancer is not responsible for
+//! duplicate execution by upstreams. Owns which keys were executed where.
 use crate::experiment::Millis;
 use crate::oracle::facts::{group, ClassRules, Place};
 use std::collections::HashMap;
 
-/// Which keys have run where, and when.
+/// Where and when each key was executed.
 #[derive(Default)]
 pub(crate) struct Effects {
     ran: HashMap<u64, Vec<(u64, Millis)>>,
-    /// Keyed requests whose effect came about more than once.
+    /// Number of keyed requests that took effect more than once.
     pub twice: u64,
 }
 
 impl Effects {
-    /// The work of a keyed request was done; says whether its effect came about already, so that this was dropped.
+    /// Records the execution of a keyed request. Returns whether it is a duplicate that the upstream discards.
     pub(crate) fn effect(
         &mut self,
         now: Millis,
--- a/lab/src/oracle/rules/epoch.rs
+++ b/lab/src/oracle/rules/epoch.rs
@@ -1,12 +1,12 @@
-//! The number of the agreement on a version never goes back within one incarnation. Owns the highest of each.
+//! The epoch of the version agreement never decreases within an incarnation. Owns the highest epoch of each.
 use std::collections::HashMap;
 
-/// The highest number of each balancer's incarnations.
+/// Highest epoch of each incarnation of each balancer.
 #[derive(Default)]
 pub(crate) struct Epochs(HashMap<(usize, u64), u64>);
 
 impl Epochs {
-    /// A balancer sends this number; says the higher one that it has sent before.
+    /// Checks an epoch that a balancer sends. Returns the higher one that it sent before, if there is one.
     pub(crate) fn sent(&mut self, from: usize, incarnation: u64, epoch: u64) -> Option<u64> {
         let highest = self.0.entry((from, incarnation)).or_insert(epoch);
         let before = *highest;
--- a/lab/src/oracle/rules/lost.rs
+++ b/lab/src/oracle/rules/lost.rs
@@ -1,30 +1,30 @@
-//! Each request taken gets exactly one final answer before its client gives up. Owns the count of new connections that
-//! were closed on their first request, of which a few may be.
+//! Each accepted request gets exactly one final response before its client gives up. Owns the count of new connections
+//! that were closed on their first request, a small fraction of which is allowed.
 use super::SLACK;
 use crate::experiment::Millis;
 use crate::oracle::client_calls::ClientCall;
 use crate::oracle::facts::Final;
 
-/// An answer may come this long after its time; it earns nothing then, and one that comes later is lost.
+/// A response may arrive this long after its deadline without earning anything; a later one is a violation.
 pub const ANSWER_GRACE: Millis = 500.0;
-/// The part of requests whose new connection may be closed with no answer, where nothing was sent on for them.
-const TURNED_MOST: f64 = 1.0 / 200.0;
+/// Maximum fraction of requests whose new connection is closed without a response before any attempt was sent.
+const MAX_CLOSED_FRACTION: f64 = 1.0 / 200.0;
 
-/// New connections that were closed on their first request.
+/// Number of new connections that were closed on their first request.
 #[derive(Default)]
-pub(crate) struct Turned(u64);
+pub(crate) struct ClosedConnections(u64);
 
-/// What is wrong with an end.
+/// Why the end of a call is a violation.
 pub(crate) enum Case {
-    /// No answer.
+    /// No response.
     None(String),
-    /// One that came this much too late.
+    /// A response that was too late by this time.
     Late(Millis, String),
 }
 
-impl Turned {
-    /// Looks at an end that nothing excuses.
-    pub(crate) fn case(
+impl ClosedConnections {
+    /// Checks the end of a call to a balancer that was able to act.
+    pub(crate) fn check(
         &mut self,
         now: Millis,
         name: &str,
@@ -39,17 +39,19 @@
             }
             Final::Ended | Final::Turned | Final::TimedOut => {
                 let what = if how == Final::TimedOut {
-                    "said nothing in its time"
+                    "sent no response in time"
                 } else {
-                    "ended its connection"
+                    "closed the connection without a response"
                 };
-                Some(Case::None(format!("{name} took {id:016x} and {what}")))
+                Some(Case::None(format!(
+                    "{name} accepted request {id:016x} and {what}"
+                )))
             }
             Final::Served(_) | Final::Refused | Final::Failed => {
                 let by = now - t.deadline - ANSWER_GRACE - SLACK;
                 let case = || {
                     format!(
-                        "{name} answered {id:016x} {:.0} ms after its time",
+                        "{name} answered request {id:016x} {:.0} ms after its deadline",
                         now - t.deadline
                     )
                 };
@@ -59,12 +61,12 @@
         }
     }
 
-    /// Whether too many were closed, of so many requests that were checked.
+    /// Returns a description if too many connections were closed, relative to the number of checked requests.
     pub(crate) fn too_many(&self, checked: u64) -> Option<String> {
-        let over = self.0 as f64 > checked as f64 * TURNED_MOST;
+        let over = self.0 as f64 > checked as f64 * MAX_CLOSED_FRACTION;
         over.then(|| {
             format!(
-                "{} of {checked} requests: a new connection was closed with no answer",
+                "{} of {checked} requests: a new connection was closed without a response",
                 self.0
             )
         })
--- a/lab/src/oracle/rules/mod.rs
+++ b/lab/src/oracle/rules/mod.rs
@@ -1,4 +1,4 @@
-//! The rules, one a file: each checks what it is given and returns what is wrong, or owns what it must remember.
+//! The rules, one per file. Each checks an observation, returns a description of a violation and owns its state.
 pub(super) mod after_end;
 pub(super) mod agreed;
 pub(super) mod attempts;
@@ -18,5 +18,5 @@
 
 use crate::experiment::Millis;
 
-/// Every time limit of the protocol is longer by this on sockets.
+/// Allowance added to every time limit of the protocol, for delays of real sockets.
 pub(super) const SLACK: Millis = 50.0;
--- a/lab/src/oracle/rules/refused.rs
+++ b/lab/src/oracle/rules/refused.rs
@@ -1,9 +1,9 @@
-//! A refusal promises that nothing ran, where a repeat would matter.
+//! A refused request was not executed, for classes in which executing it twice would matter.
 use crate::experiment::{Effect, Group};
 use crate::oracle::client_calls::ClientCall;
 use crate::oracle::facts::{ClassRules, Final};
 
-fn binds(class: ClassRules) -> bool {
+fn applies(class: ClassRules) -> bool {
     match class.effect {
         Effect::Safe => false,
         Effect::Keyed => class.group != Group::All,
@@ -11,13 +11,15 @@
     }
 }
 
-pub(crate) fn case(
+pub(crate) fn check(
     name: &str,
     id: u64,
     t: &ClientCall,
     class: ClassRules,
     how: Final,
 ) -> Option<String> {
-    let wrong = how == Final::Refused && t.ran() && binds(class);
-    wrong.then(|| format!("{name} refused {id:016x} though an attempt may have run"))
+    let violated = how == Final::Refused && t.may_have_run() && applies(class);
+    violated.then(|| {
+        format!("{name} refused request {id:016x} although an attempt may have been executed")
+    })
 }
--- a/lab/src/oracle/rules/repeated.rs
+++ b/lab/src/oracle/rules/repeated.rs
@@ -1,10 +1,10 @@
-//! A request that may have run is sent again only as its class allows.
+//! A request that may have been executed is retried only as its class allows.
 use super::SLACK;
 use crate::experiment::{Effect, Millis};
 use crate::oracle::client_calls::ClientCall;
 use crate::oracle::facts::{group, ClassRules, Place};
 
-/// The upstream at which a request may have run, so that it must not go to this one now.
+/// Returns an upstream that may have executed the request and whose execution forbids sending it to this one now.
 pub(crate) fn ran_at(
     now: Millis,
     t: &ClientCall,
--- a/lab/src/oracle/rules/stale.rs
+++ b/lab/src/oracle/rules/stale.rs
@@ -1,7 +1,8 @@
-//! Nothing shared is acted on beyond its stated age, as far as a balancer's metrics report what it acts on.
+//! Balancers do not act on shared data beyond its maximum age, as far as their metrics report the age.
 use crate::experiment::Millis;
 
-pub(crate) fn case(name: &str, what: &str, age: Millis, most: Millis) -> Option<String> {
-    (age > most)
-        .then(|| format!("{name} acts on {what} of {age:.0} ms ago; {most:.0} is the bound"))
+pub(crate) fn check(name: &str, what: &str, age: Millis, most: Millis) -> Option<String> {
+    (age > most).then(|| {
+        format!("{name} acts on {what} of {age:.0} ms ago; at most {most:.0} ms are allowed")
+    })
 }
--- a/lab/src/oracle/rules/trials.rs
+++ b/lab/src/oracle/rules/trials.rs
@@ -1,21 +1,21 @@
-//! Attempts of all balancers together at a zone that does no good stay within a number a second. Owns the counts.
+//! Attempts of all balancers at a failing zone stay within a number per second. Owns the counts.
 use crate::experiment::Millis;
 use std::collections::HashMap;
 
-/// One bound.
+/// A limit on attempts.
 #[derive(Clone, Debug)]
 pub struct Bound {
-    /// The zone, by position.
+    /// Index of the zone.
     pub zone: usize,
-    /// Only at this tier.
+    /// Restricts the limit to this tier.
     pub tier: Option<usize>,
-    /// From and to.
+    /// Start and end of the interval in which the limit applies.
     pub during: (Millis, Millis),
-    /// In any second, at most.
+    /// Maximum number of attempts in any second.
     pub most: u64,
 }
 
-/// Attempts by bound and second.
+/// Attempts per limit and second.
 pub(crate) struct Counts {
     bounds: Vec<Bound>,
     seen: HashMap<(usize, u64), u64>,
@@ -29,9 +29,9 @@
         }
     }
 
-    /// An attempt has come to an upstream there; says which bound it passes. Each second that passes one is one case.
+    /// Counts an attempt. Returns the limit that it exceeds; each second that exceeds a limit is reported once.
     pub(crate) fn attempt(&mut self, now: Millis, zone: usize, tier: usize) -> Option<u64> {
-        let mut passed = None;
+        let mut exceeded = None;
         for (i, bound) in self.bounds.iter().enumerate() {
             let (from, to) = bound.during;
             if bound.zone != zone
@@ -43,9 +43,9 @@
             let seen = self.seen.entry((i, (now / 1000.0) as u64)).or_default();
             *seen += 1;
             if *seen == bound.most + 1 {
-                passed = Some(bound.most);
+                exceeded = Some(bound.most);
             }
         }
-        passed
+        exceeded
     }
 }
--- a/lab/src/oracle/rules/version.rs
+++ b/lab/src/oracle/rules/version.rs
@@ -1,25 +1,25 @@
-//! Nobody sends a version that a live member has not announced. Owns between whom that is the case now, so that each
-//! time that it begins is one case.
+//! No balancer sends a version that a live member has not announced. Owns the pairs for which this is currently
+//! violated, so that each period is reported once.
 use crate::experiment::Millis;
 use crate::oracle::members::Members;
 use std::collections::HashSet;
 
-/// Who speaks past whom.
+/// Senders of a version and the members that do not support it.
 pub(crate) struct Versions {
     grace: Millis,
-    past: HashSet<(usize, usize)>,
+    unsupported: HashSet<(usize, usize)>,
 }
 
 impl Versions {
-    /// `grace`: how long an announcement of a member may be in transit.
+    /// `grace`: how long a member's announcement may be in transit.
     pub(crate) fn new(grace: Millis) -> Versions {
         Versions {
             grace,
-            past: HashSet::new(),
+            unsupported: HashSet::new(),
         }
     }
 
-    /// A balancer sends a datagram of this version; names the member that has not announced it, and what it reads.
+    /// Checks the version of a datagram. Returns the first member that has not announced it, with its version range.
     pub(crate) fn sent(
         &mut self,
         now: Millis,
@@ -33,13 +33,14 @@
                 .known_for(from, other, now)
                 .is_some_and(|known| known > self.grace);
             let reads = members.get(other).reads;
-            let past = reads.filter(|(least, most)| known && !(*least..=*most).contains(&version));
-            match past {
-                Some(reads) if self.past.insert((from, other)) => {
+            let unsupported =
+                reads.filter(|(least, most)| known && !(*least..=*most).contains(&version));
+            match unsupported {
+                Some(reads) if self.unsupported.insert((from, other)) => {
                     first = first.or(Some((other, reads)))
                 }
                 Some(_) => {}
-                None => _ = self.past.remove(&(from, other)),
+                None => _ = self.unsupported.remove(&(from, other)),
             }
         }
         first
