--- a/lab/src/draw/error.rs
+++ b/lab/src/draw/error.rs
@@ -1,26 +1,29 @@
-//! Why no plan could be drawn from an experiment.
+//! Errors when drawing a plan from an experiment.
 use crate::experiment::Millis;
 use rand_distr::{ExpError, NormalError};
 use thiserror::Error;
 
-/// What the values of an experiment together do not allow.
+/// Why no plan can be drawn from an experiment.
 #[derive(Debug, Error)]
 pub enum PlanError {
     /// Clients have neither a rate nor a load.
-    #[error("clients: neither rate nor load")]
+    #[error("clients: neither rate nor load is given")]
     NoRate,
-    /// There would be more requests than the lab can hold.
-    #[error("clients: {rate:.0} requests a second for {:.0} s are too many", length / 1000.0)]
+    /// The run would have more requests than the lab supports.
+    #[error(
+        "clients: {rate:.0} requests per second for {:.0} s exceed the maximum number of requests",
+        length / 1000.0
+    )]
     TooManyRequests {
-        /// Requests a second.
+        /// Requests per second.
         rate: f64,
-        /// For how long, in milliseconds.
+        /// Length of the run, in milliseconds.
         length: Millis,
     },
-    /// No gaps between requests can be drawn at a rate.
+    /// The rate is not valid for drawing intervals between requests.
     #[error("clients.rate: {0}")]
     Rate(#[from] ExpError),
-    /// No sizes of requests can be drawn.
+    /// The distribution of request sizes is invalid.
     #[error(transparent)]
     Size(#[from] NormalError),
 }
--- a/lab/src/draw/faults.rs
+++ b/lab/src/draw/faults.rs
@@ -1,11 +1,11 @@
-//! Every fault: when it comes, and whom it meets; and who starts as which build.
+//! Draws the time and targets of each fault, and the build that each balancer starts with.
 use super::parts::{Balancer, Party, PlannedFault, Upstream};
 use super::streams::{draw, draw_span, stream, Stream};
 use crate::experiment::{Experiment, FaultKind, Millis, Role, Target};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-/// Everybody in a run that something can meet.
+/// All possible targets of faults in a run.
 pub(super) struct Population<'a> {
     e: &'a Experiment,
     upstreams: &'a [Upstream],
@@ -25,7 +25,7 @@
         }
     }
 
-    fn everyone(&self) -> impl Iterator<Item = Party> {
+    fn all(&self) -> impl Iterator<Item = Party> {
         let (zones, balancers, upstreams) = (
             self.e.fleet.zones.len(),
             self.balancers.len(),
@@ -38,7 +38,7 @@
             .chain((0..balancers).map(Party::Agent))
     }
 
-    fn fits(&self, party: Party, target: &Target) -> bool {
+    fn matches(&self, party: Party, target: &Target) -> bool {
         let (e, upstreams, balancers) = (self.e, self.upstreams, self.balancers);
         let (role, zone, tier, name) = match party {
             Party::Clients(z) => (Role::Clients, z, None, &e.fleet.zones[z]),
@@ -90,34 +90,34 @@
                 .is_none_or(|names| names.contains(name))
     }
 
-    /// Those that `can` and that a target names, a part of them drawn.
-    pub(super) fn members(
+    /// Returns the parties that satisfy `can` and match a target, reduced to a random subset if it has a share.
+    pub(super) fn select(
         &self,
         target: &Target,
         can: impl Fn(Party) -> bool,
         rng: &mut Pcg64Mcg,
     ) -> Vec<Party> {
-        let mut met: Vec<Party> = self
-            .everyone()
-            .filter(|p| can(*p) && self.fits(*p, target))
+        let mut selected: Vec<Party> = self
+            .all()
+            .filter(|p| can(*p) && self.matches(*p, target))
             .collect();
-        let target_count = target.share.map_or(met.len(), |s| {
-            ((met.len() as f64 * s).round() as usize).max(1)
+        let target_count = target.share.map_or(selected.len(), |s| {
+            ((selected.len() as f64 * s).round() as usize).max(1)
         });
-        while met.len() > target_count {
-            met.swap_remove(rng.gen_range(0..met.len()));
+        while selected.len() > target_count {
+            selected.swap_remove(rng.gen_range(0..selected.len()));
         }
-        met.sort();
-        met
+        selected.sort();
+        selected
     }
 }
 
-/// The position of a name, if one is named.
-fn at<'a>(name: &Option<String>, mut all: impl Iterator<Item = &'a String>) -> Option<usize> {
+/// Returns the index of a name in a list, if a name is given.
+fn position<'a>(name: &Option<String>, mut all: impl Iterator<Item = &'a String>) -> Option<usize> {
     name.as_ref().and_then(|name| all.position(|x| x == name))
 }
 
-/// The build that each balancer starts as.
+/// Draws the build that each balancer starts with.
 pub(super) fn draw_builds(
     e: &Experiment,
     seed: u64,
@@ -127,7 +127,7 @@
     let mut builds = vec![None; population.balancers.len()];
     for (i, build) in e.builds.iter().enumerate() {
         let Some(on) = &build.on else { continue };
-        for party in population.members(on, |p| matches!(p, Party::Balancer(_)), rng) {
+        for party in population.select(on, |p| matches!(p, Party::Balancer(_)), rng) {
             if let Party::Balancer(b) = party {
                 builds[b] = Some(i);
             }
@@ -145,37 +145,37 @@
     let rng = &mut stream(seed, Stream::Faults);
     let mut planned = Vec::new();
     for fault in &e.faults {
-        let can = |p| can_meet(fault.kind, p);
+        let can = |p| applies_to(fault.kind, p);
         let of = fault.of.as_ref().map_or([None; 3], |of| {
             [
-                at(&of.tenant, e.tenants.iter().map(|t| &t.name)),
-                at(&of.class, e.classes.iter().map(|c| &c.name)),
-                at(&of.zone, e.fleet.zones.iter()),
+                position(&of.tenant, e.tenants.iter().map(|t| &t.name)),
+                position(&of.class, e.classes.iter().map(|c| &c.name)),
+                position(&of.zone, e.fleet.zones.iter()),
             ]
         });
         let mut begins = draw_span(rng, fault.at);
         for _ in 0..fault.times {
             let lasts = fault.lasts.map_or(0.0, |s| draw_span(rng, s));
             let size = fault.size.map_or(1.0, |s| draw(rng, s));
-            let on = population.members(&fault.on, can, rng);
+            let on = population.select(&fault.on, can, rng);
             let to = fault
                 .to
                 .as_ref()
-                .map(|t| population.members(t, can, rng))
+                .map(|t| population.select(t, can, rng))
                 .unwrap_or_default();
             let pace = fault.pace.map_or(0.0, |s| draw_span(rng, s));
-            let rolls = pace * on.len().saturating_sub(1) as f64;
+            let rollout = pace * on.len().saturating_sub(1) as f64;
             planned.push(PlannedFault {
                 kind: fault.kind,
                 at: begins,
-                until: (begins + rolls + lasts).min(length + 60_000.0),
+                until: (begins + rollout + lasts).min(length + 60_000.0),
                 on,
                 to,
                 one_way: fault.one_way,
                 size,
                 delay: fault.delay.map(|s| (s.0.least, s.0.most)),
                 state: fault.state,
-                build: at(&fault.build, e.builds.iter().map(|b| &b.name)),
+                build: position(&fault.build, e.builds.iter().map(|b| &b.name)),
                 pace,
                 of,
             });
@@ -185,8 +185,8 @@
     planned
 }
 
-/// Whether this kind of fault means anything to this party.
-fn can_meet(kind: FaultKind, party: Party) -> bool {
+/// Whether a kind of fault applies to a party.
+fn applies_to(kind: FaultKind, party: Party) -> bool {
     use FaultKind::*;
     match kind {
         Kill | PowerLoss | Terminate | Upgrade | Pause | DiskFull | DiskFailing | DiskSlow => {
--- a/lab/src/draw/machines.rs
+++ b/lab/src/draw/machines.rs
@@ -1,4 +1,4 @@
-//! The machines: upstreams of each tier, and balancers.
+//! Draws the upstreams of each tier, and derives the balancers.
 use super::parts::{Balancer, OverloadModel, Upstream};
 use super::streams::{draw, draw_span};
 use crate::experiment::{Experiment, Kind};
@@ -13,9 +13,12 @@
     let (tier, zones) = (&e.tiers[t], e.fleet.zones.len());
 
     let mut in_zone = vec![0usize; zones];
-    for (n, kind) in deal(&tier.kinds, tier.upstreams).into_iter().enumerate() {
+    for (n, kind) in assign_kinds(&tier.kinds, tier.upstreams)
+        .into_iter()
+        .enumerate()
+    {
         let zone = n % zones;
-        // Cells never span zones: each zone's are numbered apart.
+        // Cells never span zones: each zone has its own cell numbers.
         let cell = (in_zone[zone] / tier.cell) * zones + zone;
         in_zone[zone] += 1;
 
@@ -53,17 +56,17 @@
     }
 }
 
-/// Which kind each of `count` machines is: in proportion to the shares, and mixed over the order.
-fn deal(kinds: &[Kind], count: usize) -> Vec<usize> {
+/// Assigns a kind to each of `count` machines, in proportion to the shares and interleaved.
+fn assign_kinds(kinds: &[Kind], count: usize) -> Vec<usize> {
     let total: f64 = kinds.iter().map(|k| k.share).sum();
-    let mut dealt = vec![0.0; kinds.len()];
+    let mut assigned = vec![0.0; kinds.len()];
     (0..count)
         .map(|n| {
-            let pending = |k: usize| kinds[k].share / total * (n + 1) as f64 - dealt[k];
+            let pending = |k: usize| kinds[k].share / total * (n + 1) as f64 - assigned[k];
             let next = (0..kinds.len())
                 .max_by(|&a, &b| pending(a).total_cmp(&pending(b)))
                 .unwrap_or(0);
-            dealt[next] += 1.0;
+            assigned[next] += 1.0;
             next
         })
         .collect()
--- a/lab/src/draw/mod.rs
+++ b/lab/src/draw/mod.rs
@@ -1,7 +1,7 @@
-//! What a seed makes of an experiment: the machines, every request, every fault. Nothing here looks at a clock or
-//! at the machine it runs on, so that one seed gives the same draw anywhere.
+//! Draws a plan from an experiment and a seed: the machines, all requests and all faults. Nothing here depends on the
+//! clock or on the host, so that a seed gives the same plan everywhere.
 //!
-//! Each part draws from a stream of its own: another fault, or one more upstream, leaves the requests as they were.
+//! Each part has its own random stream: adding a fault or an upstream does not change the requests.
 mod calls;
 mod error;
 mod faults;
--- a/lab/src/draw/parts.rs
+++ b/lab/src/draw/parts.rs
@@ -1,112 +1,112 @@
-//! What a plan is made of.
+//! The parts of a plan.
 use crate::experiment::{Damage, FaultKind, Millis};
 use serde::Serialize;
 
-/// One upstream.
+/// An upstream.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Upstream {
-    /// Its id in discovery.
+    /// ID in discovery.
     pub name: String,
-    /// Position of its tier.
+    /// Index of its tier.
     pub tier: usize,
-    /// Position of its zone.
+    /// Index of its zone.
     pub zone: usize,
-    /// Position of its kind within the tier.
+    /// Index of its kind within the tier.
     pub kind: usize,
-    /// Its cell, over the whole tier.
+    /// Number of its cell, unique within the tier.
     pub cell: u16,
-    /// Cores.
+    /// Number of cores.
     pub cores: usize,
-    /// Speed of each core.
+    /// Relative speed of each core.
     pub speed: f64,
-    /// Requests in work at once.
+    /// Number of concurrently processed requests.
     pub slots: usize,
-    /// Requests that wait for a slot.
+    /// Maximum queue length.
     pub queue: usize,
-    /// Part of its capacity when it starts.
+    /// Fraction of its capacity at the start of slow start.
     pub slow_start_from: f64,
-    /// Time until it is warm.
+    /// Duration of slow start.
     pub slow_start_time: Millis,
-    /// Part of requests answered with an error.
+    /// Fraction of requests answered with an error.
     pub errors: f64,
-    /// Whether a cancel stops work that runs.
+    /// Whether cancelling a request stops work in progress.
     pub cancel_stops: bool,
-    /// Most connections.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Round trips before the first request of a connection is read.
+    /// Round trips before the first request on a new connection is read.
     pub round_trips: f64,
-    /// Work of a new connection, in milliseconds of a core.
+    /// Work to accept a connection, in core-milliseconds.
     pub connection_work: f64,
-    /// Part of the capacity that a full table of connections takes.
+    /// Fraction of the capacity that is lost when its connection table is full.
     pub full_tax: f64,
-    /// How often load reports are taken anew.
+    /// Sampling period of load reports.
     pub report_period: Millis,
-    /// How long after that they show.
+    /// Delay from sampling until the values are reported.
     pub report_delay: Millis,
-    /// When and how it gets slow, if its tier does.
+    /// Overload behavior, if its tier has one.
     pub overload: Option<OverloadModel>,
 }
 
-/// [`crate::experiment::OverloadModel`], drawn for one upstream.
+/// The [`crate::experiment::OverloadModel`] drawn for one upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct OverloadModel {
-    /// Requests held for each core.
+    /// Requests in flight per core at which it counts as overloaded.
     pub at: f64,
-    /// Time until it gets slow.
+    /// It slows down after being overloaded for this long.
     pub over: Millis,
-    /// Times slower.
+    /// Slowdown factor.
     pub slower: f64,
-    /// Time mostly idle until it recovers.
+    /// It recovers after being mostly idle for this long.
     pub rest: Millis,
-    /// Requests for each core that count as idle.
+    /// It counts as mostly idle with fewer requests in flight per core than this.
     pub below: f64,
-    /// It recovers at the latest after this.
+    /// Maximum duration of the slowdown.
     pub most: Millis,
 }
 
-/// One balancer.
+/// A balancer.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Balancer {
     /// Its name.
     pub name: String,
-    /// Position of its zone.
+    /// Index of its zone.
     pub zone: usize,
-    /// Position of the tier it sends into.
+    /// Index of the tier that it sends requests to.
     pub tier: usize,
-    /// Its number among the balancers of that tier.
+    /// Its index among the balancers of that tier.
     pub index: usize,
-    /// The upstream that it stands beside; none at the front.
+    /// The upstream that it is co-located with; none for a front balancer.
     pub owner: Option<usize>,
-    /// The build that it starts as, by position; none is the program under test.
+    /// Index of the build that it starts with; none for the program under test.
     pub build: Option<usize>,
 }
 
-/// One request, as its client means it.
+/// A client request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Arrival {
     /// When it is due.
     pub at: Millis,
-    /// Position of its class.
+    /// Index of its class.
     pub class: usize,
-    /// Position of its tenant.
+    /// Index of its tenant.
     pub tenant: usize,
-    /// Position of the zone that its client is in.
+    /// Index of the client's zone.
     pub zone: usize,
     /// Its work relative to its class.
     pub size: f64,
-    /// Part of the deadline after which a try is given up.
+    /// Timeout of each attempt as a fraction of the deadline.
     pub try_share: f64,
-    /// The first pause before another try.
+    /// Backoff before the first retry.
     pub backoff: Millis,
-    /// Whether the client heeds `Retry-After`.
+    /// Whether the client honours `Retry-After`.
     pub honours: bool,
-    /// The client leaves after this part of its try, if it leaves early.
+    /// Fraction of the attempt timeout after which the client abandons the first attempt, if it does.
     pub abandons_after: Option<f64>,
-    /// Feeds what is drawn for its calls.
+    /// Seed of the draws for its calls.
     pub seed: u64,
 }
 
-/// Someone a fault can meet.
+/// A possible target of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub enum Party {
     /// The clients of a zone.
@@ -119,66 +119,66 @@
     Agent(usize),
 }
 
-/// A fault with its time and whom it meets.
+/// A fault with its time and targets.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PlannedFault {
-    /// What.
+    /// Its kind.
     pub kind: FaultKind,
-    /// From.
+    /// Start.
     pub at: Millis,
-    /// To.
+    /// End.
     pub until: Millis,
-    /// Whom it meets.
+    /// Targets.
     pub on: Vec<Party>,
-    /// The other side of a cut.
+    /// The other side of a partition.
     pub to: Vec<Party>,
-    /// Only from `on` to `to`.
+    /// Whether only the direction from `on` to `to` is blocked.
     pub one_way: bool,
-    /// How much.
+    /// Magnitude.
     pub size: f64,
-    /// The time that datagrams take, or an access to a disk longer.
+    /// Range of the delay of datagrams, disk accesses or returning clients.
     pub delay: Option<(Millis, Millis)>,
-    /// What happens to state folders.
+    /// Damage to state folders.
     pub state: Option<Damage>,
-    /// The build that balancers are from then on; none is the program under test.
+    /// Index of the build that balancers are upgraded to; none for the program under test.
     pub build: Option<usize>,
-    /// The time from one balancer to the next.
+    /// Time between two balancers of an upgrade.
     pub pace: Millis,
-    /// Whose requests: positions of a tenant, a class and a zone.
+    /// The requests of a burst: indices of a tenant, a class and a zone.
     pub of: [Option<usize>; 3],
 }
 
-/// All of a run that is known before it starts.
+/// Everything about a run that is determined before it starts.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Plan {
     /// The seed.
     pub seed: u64,
-    /// How long clients send.
+    /// How long clients send requests.
     pub length: Millis,
-    /// All upstreams, tier by tier.
+    /// All upstreams, ordered by tier.
     pub upstreams: Vec<Upstream>,
-    /// All balancers: the front, then those beside upstreams.
+    /// All balancers: front balancers, then those co-located with upstreams.
     pub balancers: Vec<Balancer>,
-    /// All requests, in order of time.
+    /// All requests, ordered by time.
     pub arrivals: Vec<Arrival>,
-    /// All faults, in the order of the file.
+    /// All faults, in the order of the experiment file.
     pub faults: Vec<PlannedFault>,
-    /// One way between machines of a zone.
+    /// One-way delay within a zone.
     pub same_zone: Millis,
-    /// One way between each pair of zones.
+    /// One-way delay between each pair of zones.
     pub cross_zone: Vec<Vec<Millis>>,
-    /// Requests a second that each tenant's quota allows, for clients' requests.
+    /// Quota of each tenant, in client requests per second.
     pub quotas: Vec<f64>,
-    /// Mean calls into each tier for one client's request.
+    /// Mean number of calls into each tier per client request.
     pub calls: Vec<f64>,
-    /// Client requests a second that each tier could serve, all its machines warm.
+    /// Capacity of each tier after slow start, in client requests per second.
     pub capacity: Vec<f64>,
-    /// Aim and deadline of each class.
+    /// Latency target and deadline of each class.
     pub spans: Vec<(Millis, Millis)>,
 }
 
 impl Plan {
-    /// The longest deadline of any class.
+    /// Returns the longest deadline of any class.
     pub fn longest(&self) -> Millis {
         self.spans.iter().map(|s| s.1).fold(0.0, f64::max)
     }
--- a/lab/src/draw/planner.rs
+++ b/lab/src/draw/planner.rs
@@ -1,4 +1,4 @@
-//! The whole plan of a seed.
+//! Draws a complete plan from a seed.
 use super::error::PlanError;
 use super::faults::{draw_builds, draw_faults, Population};
 use super::machines::{balancers, draw_tier};
@@ -10,7 +10,7 @@
 /// Draws a plan.
 ///
 /// # Errors
-/// What the values of the experiment together do not allow.
+/// Returns an error if the values of the experiment do not allow a plan.
 pub fn plan(e: &Experiment, seed: u64) -> Result<Plan, PlanError> {
     let machines = &mut stream(seed, Stream::Machines);
     let mut upstreams: Vec<Upstream> = Vec::new();
@@ -51,18 +51,18 @@
     })
 }
 
-/// One-way delays within a zone, and between any two.
+/// Draws the one-way delays within a zone and between each pair of zones.
 fn draw_delays(e: &Experiment, seed: u64) -> (Millis, Vec<Vec<Millis>>) {
     let net = &mut stream(seed, Stream::Net);
     let same_zone = draw_span(net, e.net.same_zone);
     let mut cross_zone = vec![vec![same_zone; e.fleet.zones.len()]; e.fleet.zones.len()];
     let pairs = (0..e.fleet.zones.len()).flat_map(|a| (0..a).map(move |b| (a, b)));
     for (a, b) in pairs {
-        let apart = match (e.fleet.region(a), e.fleet.region(b)) {
+        let different_regions = match (e.fleet.region(a), e.fleet.region(b)) {
             (Some(a), Some(b)) => a != b,
             _ => false,
         };
-        let span = if apart {
+        let span = if different_regions {
             e.net.cross_region
         } else {
             e.net.cross_zone
@@ -73,7 +73,8 @@
     (same_zone, cross_zone)
 }
 
-/// Requests a second that each tier can serve when warm, given the mean work of a request and its calls to each tier.
+/// Returns the capacity of each tier after slow start, in client requests per second, from the mean work of a request
+/// and the mean number of calls to each tier.
 fn capacity(e: &Experiment, upstreams: &[Upstream], mean_work: f64, calls: &[f64]) -> Vec<f64> {
     let of_tier = |t: usize| {
         let speed: f64 = upstreams
@@ -86,18 +87,18 @@
     (0..e.tiers.len()).map(of_tier).collect()
 }
 
-/// What is asked of the tiers, and what they can do.
+/// Offered load and capacity of the tiers.
 struct Load {
     length: Millis,
-    /// The mean work of a request of each class.
+    /// Mean work of a request of each class.
     works: Vec<f64>,
-    /// Calls to each tier for each request.
+    /// Mean number of calls to each tier per request.
     calls: Vec<f64>,
-    /// Requests a second that each tier can serve when warm.
+    /// Capacity of each tier after slow start, in client requests per second.
     capacity: Vec<f64>,
-    /// The least of these.
+    /// The lowest of these capacities.
     weakest: f64,
-    /// Requests a second of all tenants without a rate of their own.
+    /// Requests per second of all tenants without their own rate.
     rate: f64,
     quotas: Vec<f64>,
     /// Latency target and deadline of each class.
--- a/lab/src/draw/requests.rs
+++ b/lab/src/draw/requests.rs
@@ -1,4 +1,4 @@
-//! Every request, as its client means it.
+//! Draws all client requests.
 use super::error::PlanError;
 use super::parts::{Arrival, PlannedFault};
 use super::streams::{draw, draw_span, pick, stream, Stream};
@@ -7,13 +7,13 @@
 use rand_distr::{Distribution, Exp, LogNormal};
 use rand_pcg::Pcg64Mcg;
 
-/// How unequal the work of requests of one class is (coefficient of variation).
-const WORK_VARIES: f64 = 0.5;
+/// Coefficient of variation of the work of requests of one class.
+const WORK_VARIATION: f64 = 0.5;
 
-/// Requests that one run may have: beyond it the lab's own memory and time are the limit.
-const REQUESTS_MOST: usize = 2_000_000;
+/// Maximum number of requests of a run; beyond it the lab itself would run out of memory or time.
+const MAX_REQUESTS: usize = 2_000_000;
 
-/// How clients are spread and what they ask for: all that the requests of a run have in common.
+/// Distributions from which requests are drawn: weights of classes, tenants and zones, and sizes.
 struct Demand<'a> {
     e: &'a Experiment,
     works: &'a [f64],
@@ -24,8 +24,8 @@
 }
 
 impl<'a> Demand<'a> {
-    /// The same, of these tenants, classes and zones only; and the part of the whole that this is.
-    fn of(&self, [tenant, class, zone]: [Option<usize>; 3]) -> (Demand<'a>, f64) {
+    /// Returns the demand restricted to a tenant, class and zone, and its fraction of the total.
+    fn restricted_to(&self, [tenant, class, zone]: [Option<usize>; 3]) -> (Demand<'a>, f64) {
         let only = |weights: &[f64], at: Option<usize>| {
             let is_selected = |i: usize| at.is_none_or(|at| at == i);
             let some: Vec<f64> = weights
@@ -52,7 +52,7 @@
         )
     }
 
-    /// Requests at an even rate over some time.
+    /// Draws requests with exponentially distributed intervals at a constant mean rate.
     fn requests(
         &self,
         rng: &mut Pcg64Mcg,
@@ -86,11 +86,11 @@
     }
 }
 
-/// Requests a second.
+/// Rates in requests per second.
 pub(super) struct Rates {
-    /// Of all tenants that have no rate of their own.
+    /// All tenants without their own rate.
     pub shared: f64,
-    /// What the weakest tier can do.
+    /// Capacity of the weakest tier.
     pub weakest: f64,
 }
 
@@ -109,16 +109,16 @@
         + bursts()
             .map(|f| rate * f.size * (f.until - f.at))
             .sum::<f64>();
-    if expected / 1000.0 > REQUESTS_MOST as f64 {
+    if expected / 1000.0 > MAX_REQUESTS as f64 {
         return Err(PlanError::TooManyRequests { rate, length });
     }
     let skew = Range {
         least: 1.0 - e.fleet.skew,
         most: 1.0 + e.fleet.skew,
     };
-    let sigma = (1.0 + WORK_VARIES * WORK_VARIES).ln().sqrt();
+    let sigma = (1.0 + WORK_VARIATION * WORK_VARIATION).ln().sqrt();
     let own = |t: &Tenant| t.rate.is_some() || t.load.is_some();
-    // A tenant of its own draws nothing here, so that the others are the same with it and without it.
+    // A tenant with its own rate draws nothing from this stream, so that the other tenants do not depend on it.
     let mut usage = |t: &Tenant| match own(t) {
         true => 0.0,
         false => t.share * draw(rng, t.usage),
@@ -134,10 +134,17 @@
     };
     let mut arrivals = demand.requests(rng, rate, 0.0, length)?;
     for (n, tenant) in e.tenants.iter().enumerate().filter(|(_, t)| own(t)) {
-        arrivals.extend(of_its_own(&demand, seed, n, tenant, rates.weakest, length)?);
+        arrivals.extend(tenant_requests(
+            &demand,
+            seed,
+            n,
+            tenant,
+            rates.weakest,
+            length,
+        )?);
     }
     for (n, burst) in bursts().enumerate() {
-        // What a burst adds has a stream of its own, so that it moves no other request.
+        // A burst draws from its own stream, so that it does not change any other request.
         let own = &mut stream(seed.wrapping_add(n as u64 + 1), Stream::Requests);
         apply_burst(&mut arrivals, &demand, burst, rate, length, own)?;
     }
@@ -147,14 +154,14 @@
         .filter(|f| f.kind == FaultKind::Outage)
         .enumerate()
     {
-        arrivals.extend(come_back(&arrivals, seed, n, outage));
+        arrivals.extend(returning_requests(&arrivals, seed, n, outage));
     }
     arrivals.retain(|a| a.at < length);
     arrivals.sort_by(|a, b| a.at.total_cmp(&b.at));
     Ok(arrivals)
 }
 
-/// Adds the requests of a burst, or takes out the part that it lets fall away.
+/// Adds the requests of a burst, or removes a fraction of requests if its size is below 1.
 fn apply_burst(
     arrivals: &mut Vec<Arrival>,
     demand: &Demand<'_>,
@@ -164,25 +171,25 @@
     rng: &mut Pcg64Mcg,
 ) -> Result<(), PlanError> {
     let within = burst.at..burst.until.min(length);
-    let (some, part) = demand.of(burst.of);
+    let (some, part) = demand.restricted_to(burst.of);
     if burst.size > 1.0 {
-        // Whoever has a rate of its own adds nothing to it.
+        // Tenants with their own rate have no weight here, so a burst of their requests is empty.
         if part > 0.0 {
             let more = rate * part * (burst.size - 1.0);
             arrivals.extend(some.requests(rng, more, within.start, within.end)?);
         }
         return Ok(());
     }
-    let met = |a: &Arrival| {
+    let is_selected = |a: &Arrival| {
         let of = [a.tenant, a.class, a.zone].into_iter().zip(burst.of);
         within.contains(&a.at) && of.into_iter().all(|(is, of)| of.is_none_or(|of| of == is))
     };
-    arrivals.retain(|a| !met(a) || rng.gen::<f64>() < burst.size);
+    arrivals.retain(|a| !is_selected(a) || rng.gen::<f64>() < burst.size);
     Ok(())
 }
 
-/// What a tenant sends that has a rate of its own, from a stream of its own: without it the others send the same.
-fn of_its_own(
+/// Draws the requests of a tenant with its own rate from its own stream, so that other tenants do not depend on it.
+fn tenant_requests(
     demand: &Demand<'_>,
     seed: u64,
     n: usize,
@@ -217,22 +224,27 @@
     own.requests(rng, rate, from, to)
 }
 
-/// The clients of what was due while nobody could be reached: a part of them comes again when that is over.
-fn come_back(arrivals: &[Arrival], seed: u64, n: usize, outage: &PlannedFault) -> Vec<Arrival> {
+/// Draws the requests with which clients return after an outage: a fraction of those due during it.
+fn returning_requests(
+    arrivals: &[Arrival],
+    seed: u64,
+    n: usize,
+    outage: &PlannedFault,
+) -> Vec<Arrival> {
     let rng = &mut stream(seed, Stream::Outage(n as u64));
     let within = outage.delay.map_or(0.0, |d| d.1);
-    let met = arrivals
+    let missed = arrivals
         .iter()
         .filter(|a| (outage.at..outage.until).contains(&a.at));
-    let mut back = Vec::new();
-    for a in met {
+    let mut returning = Vec::new();
+    for a in missed {
         let (is_selected, later, seed) = (
             rng.gen::<f64>() < outage.size,
             rng.gen::<f64>() * within,
             rng.gen(),
         );
         if is_selected {
-            back.push(Arrival {
+            returning.push(Arrival {
                 at: outage.until + later,
                 seed,
                 abandons_after: None,
@@ -240,5 +252,5 @@
             });
         }
     }
-    back
+    returning
 }
--- a/lab/src/draw/streams.rs
+++ b/lab/src/draw/streams.rs
@@ -1,9 +1,9 @@
-//! The streams of random numbers: each part draws from one of its own.
+//! Independent streams of random numbers, one for each part of a plan.
 use crate::experiment::{Millis, Range, Span};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The streams of random numbers.
+/// The random streams.
 #[derive(Clone, Copy)]
 pub(super) enum Stream {
     Machines,
@@ -12,9 +12,9 @@
     Requests,
     Faults,
     Builds,
-    /// Of a tenant with requests of its own.
+    /// For a tenant with its own rate.
     Tenant(u64),
-    /// Of an outage of the front.
+    /// For an outage of the front balancers.
     Outage(u64),
 }
 
@@ -38,7 +38,7 @@
 }
 
 pub(super) fn draw(rng: &mut Pcg64Mcg, range: Range) -> f64 {
-    // Drawn even where the range is a point, so that an edit of one metric leaves the draws after it alone.
+    // A number is drawn even for a fixed value, so that changing one value does not shift later draws.
     let unit: f64 = rng.gen();
     range.least + unit * (range.most - range.least)
 }
