--- a/lab/src/metrics/expected.rs
+++ b/lab/src/metrics/expected.rs
@@ -1,4 +1,4 @@
-//! What an experiment expects of its metrics.
+//! Checks the expectations of an experiment against the metrics of a run.
 use super::played::name_of;
 use super::requests::request_metrics;
 use super::traffic::{attempts, jain};
@@ -6,8 +6,8 @@
 use crate::experiment::{Expect, Experiment, Metric, Millis, Part};
 use crate::tally::{Done, How, Tally};
 
-/// Whether a request is one of these.
-fn is_of(e: &Experiment, d: &Done, of: &Part) -> bool {
+/// Whether a request matches the given criteria.
+fn matches(e: &Experiment, d: &Done, of: &Part) -> bool {
     of.tenant
         .as_ref()
         .is_none_or(|t| e.tenants[d.tenant].name == *t)
@@ -18,7 +18,7 @@
         && of.zone.as_ref().is_none_or(|z| e.fleet.zones[d.zone] == *z)
 }
 
-/// A metric over a stretch of the run.
+/// Returns a metric over an interval of the run.
 fn value(
     e: &Experiment,
     plan: &Plan,
@@ -26,7 +26,7 @@
     expect: &Expect,
     (from, to): (Millis, Millis),
 ) -> f64 {
-    let within = |d: &Done| (from..to).contains(&d.at) && is_of(e, d, &expect.of);
+    let within = |d: &Done| (from..to).contains(&d.at) && matches(e, d, &expect.of);
     let f = || request_metrics(e, plan, &tally.done, within);
     let seconds = || {
         let is_within = |s: &usize| {
@@ -46,11 +46,11 @@
         Metric::Attempts => attempts(seconds()),
         Metric::Jain => jain(e, seconds()),
         Metric::Goodput => {
-            // By when it came, as a machine that catches up serves what was due before.
+            // Counted when the response arrives: a recovering machine also serves requests that were due earlier.
             let to = to.min(plan.length);
             let served = tally.done.iter().filter(|d| {
                 let in_deadline = d.how == How::Served && d.took <= plan.spans[d.class].1;
-                in_deadline && (from..to).contains(&(d.at + d.took)) && is_of(e, d, &expect.of)
+                in_deadline && (from..to).contains(&(d.at + d.took)) && matches(e, d, &expect.of)
             });
             let weakest = plan.capacity.iter().copied().fold(f64::INFINITY, f64::min);
             served.count() as f64 / ((to - from) / 1000.0) / weakest
@@ -58,7 +58,7 @@
     }
 }
 
-/// The worth of a tenant's requests that were due in a stretch, as a part of what was asked for.
+/// Returns the fraction of value earned by a tenant's requests that were due in an interval.
 pub fn value_of(
     e: &Experiment,
     plan: &Plan,
@@ -71,12 +71,12 @@
         ..Part::default()
     };
     request_metrics(e, plan, done, |d| {
-        (from..to).contains(&d.at) && is_of(e, d, &of)
+        (from..to).contains(&d.at) && matches(e, d, &of)
     })
     .value
 }
 
-/// Which expectations a run misses, each in one line.
+/// Returns a one-line description of each expectation that a run misses.
 pub fn missed(e: &Experiment, plan: &Plan, tally: &Tally) -> Vec<String> {
     let check = |expect: &Expect| {
         let from = expect.from.map_or(0.0, |s| s.0.mean());
@@ -85,8 +85,12 @@
         let (value, part) = match expect.part_of {
             Some(s) => {
                 let (from, to) = (s.0.least, s.0.most);
-                let stretch = format!(" of that from {:.0} to {:.0} s", from / 1000.0, to / 1000.0);
-                (own / value(e, plan, tally, expect, (from, to)), stretch)
+                let reference = format!(
+                    " of its value from {:.0} to {:.0} s",
+                    from / 1000.0,
+                    to / 1000.0
+                );
+                (own / value(e, plan, tally, expect, (from, to)), reference)
             }
             None => (own, String::new()),
         };
@@ -102,7 +106,7 @@
         }
         let over = match to.is_finite() {
             true => format!("{:.0} to {:.0} s", from / 1000.0, to / 1000.0),
-            false => format!("{:.0} s on", from / 1000.0),
+            false => format!("{:.0} s to the end", from / 1000.0),
         };
         let low = expect
             .least
--- a/lab/src/metrics/mod.rs
+++ b/lab/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Metrics of a run, and of what was found in it.
+//! Metrics of a run.
 mod expected;
 mod played;
 mod recovery;
--- a/lab/src/metrics/played.rs
+++ b/lab/src/metrics/played.rs
@@ -1,4 +1,4 @@
-//! One play of one program, as it is stored.
+//! The stored results of one play of a program.
 use super::recovery::Recovery;
 use super::requests::RequestMetrics;
 use super::traffic::{Datagrams, Tier, Traffic};
@@ -8,98 +8,98 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How late the lab itself was.
+/// Lateness of the lab's own sends and timers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Lateness {
-    /// Half of its sends and timers were later than this, in milliseconds.
+    /// Median lateness, in milliseconds.
     pub p50_ms: f64,
-    /// One in a hundred was.
+    /// 99th percentile, in milliseconds.
     pub p99_ms: f64,
-    /// The latest.
+    /// Maximum, in milliseconds.
     pub most_ms: f64,
-    /// The part that was later than the experiment allows.
+    /// Fraction that was later than the experiment allows.
     pub over: f64,
-    /// Whether the run counts.
+    /// Whether the run is valid, that is, the lab was late rarely enough.
     pub counts: bool,
 }
 
-/// What one balancer used at most.
+/// Peak resource usage of a balancer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ResourceUsage {
-    /// Its name.
+    /// Name of the balancer.
     pub name: String,
-    /// Memory, in kilobytes.
+    /// Memory, in kB.
     pub memory_kb: u64,
-    /// Descriptors.
+    /// Open file descriptors.
     pub descriptors: u64,
-    /// Seconds on a core.
+    /// CPU time, in seconds.
     pub cpu_s: f64,
 }
 
-/// One play of one program.
+/// The results of one play of a program.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Played {
     /// The program's name.
     pub program: String,
     /// Its command.
     pub command: String,
-    /// Which play of it.
+    /// Index of the play among those of this program.
     pub play: usize,
     /// The seed.
     pub seed: u64,
     /// Metrics of the complete run.
     #[serde(rename = "figures")]
     pub metrics: RequestMetrics,
-    /// By class, tenant and zone.
+    /// Metrics by class, tenant and zone.
     pub by: BTreeMap<String, RequestMetrics>,
-    /// What passed.
+    /// Traffic between machines.
     pub traffic: Traffic,
-    /// What balancers sent to each other.
+    /// Datagrams between balancers.
     #[serde(default)]
     pub datagrams: Datagrams,
-    /// What balancers reported of their tier, if they exchange datagrams with it.
+    /// What balancers reported about their tier, if they exchange datagrams.
     #[serde(default)]
     pub tier: Option<Tier>,
-    /// How the fleet came back, if anything stopped balancers.
+    /// Recovery of the fleet, if a fault stopped balancers.
     #[serde(default, rename = "comeback")]
     pub recovery: Option<Recovery>,
-    /// The lab's own lateness.
+    /// Lateness of the lab itself.
     pub lateness: Lateness,
-    /// Violations of rules, the first of each.
+    /// First violations of each rule.
     pub broken: Vec<Case>,
-    /// How many violations of each rule there were.
+    /// Number of violations of each rule.
     pub counts: BTreeMap<String, u64>,
-    /// Requests that were checked to their end.
+    /// Number of requests that were checked to their end.
     pub checked: u64,
-    /// Keyed requests whose effect came about more than once.
+    /// Number of keyed requests that took effect more than once.
     pub effects_twice: u64,
     /// Expectations that were missed.
     pub missed: Vec<String>,
-    /// What each balancer used at most.
+    /// Peak resource usage of each balancer.
     #[serde(rename = "held")]
     pub usage: Vec<ResourceUsage>,
-    /// It was stopped by hand before its end.
+    /// Whether it was stopped manually before its end.
     pub stopped: bool,
-    /// Every request and every second.
+    /// Records of every request and every second.
     pub tally: Tally,
-    /// When each fault began and ended, with its kind.
+    /// Start, end and kind of each fault.
     pub faults: Vec<(Millis, Millis, String)>,
 }
 
-/// A violation, as it is stored.
+/// A stored violation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Case {
     /// The rule.
     pub rule: String,
-    /// What it asks.
+    /// What the rule requires.
     pub asks: String,
-    /// When, in milliseconds of the run.
+    /// When it was observed, in milliseconds of the run.
     pub at: Millis,
-    /// The case.
+    /// A one-line description.
     pub case: String,
 }
 
-/// The name of a rule or a fault as it stands in files.
+/// Returns the serialized name of a rule or a fault.
 pub fn name_of(of: impl Serialize) -> String {
     match serde_json::to_value(of) {
         Ok(serde_json::Value::String(name)) => name,
@@ -120,13 +120,13 @@
 }
 
 impl Played {
-    /// Whether all rules were kept, all expectations met, and the run counts.
+    /// Whether no rule was violated, all expectations were met, and the run is complete and valid.
     pub fn passed(&self) -> bool {
         self.counts.is_empty() && self.missed.is_empty() && self.lateness.counts && !self.stopped
     }
 }
 
-/// Mean of some metrics, and half the distance from the least to the most.
+/// Returns the mean of some values and half their range.
 pub fn mean_and_spread(values: &[f64]) -> (f64, f64) {
     let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
     let least = values.iter().copied().fold(f64::INFINITY, f64::min);
--- a/lab/src/metrics/recovery.rs
+++ b/lab/src/metrics/recovery.rs
@@ -1,40 +1,42 @@
-//! How a fleet came back from the first fault that stops balancers.
+//! Recovery of a fleet from the first fault that stops balancers.
 use super::requests::request_metrics;
 use crate::draw::Plan;
 use crate::experiment::{Experiment, FaultKind, Millis};
 use crate::tally::Tally;
 use serde::{Deserialize, Serialize};
 
-/// How a fleet came back from the first fault that stops balancers.
+/// Recovery of a fleet from the first fault that stops balancers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Recovery {
-    /// From a process's being begun to its first answer that was served: the median, and the longest, over all that
-    /// were begun again, in milliseconds. Those that never served count as infinite, which is written as nothing.
+    /// Median time from the start of a process to its first successful response, over all restarted processes, in
+    /// milliseconds. Processes that never served count as infinite, which is stored as none.
     pub served_ms: Option<f64>,
-    /// See there.
+    /// Maximum of the times in `served_ms`.
     pub served_most_ms: Option<f64>,
-    /// Worth before the fault, and over the time after it began that is looked at, as a part of what was asked for.
+    /// Fraction of value earned before the fault.
     #[serde(rename = "worth_before")]
     pub value_before: f64,
-    /// See there.
+    /// Fraction of value earned in the 15 s after the start of the fault.
     #[serde(rename = "worth_after")]
     pub value_after: f64,
-    /// From the first of them being begun again to the first half second whose worth is 95 of 100 of that before the
-    /// fault, in milliseconds; nothing if there is none.
+    /// Time from the first restart of a process to the first half-second window whose fraction of value is at least 95%
+    /// of that before the fault, in milliseconds; none if there is no such window.
     pub back_ms: Option<f64>,
 }
 
-/// Worth is looked at for so long after a fault that stops balancers.
-const AFTER: Millis = 15_000.0;
+/// Interval after the start of the fault over which value is measured.
+const OBSERVATION_TIME: Millis = 15_000.0;
 
-/// Worth is taken over windows of this length, which begin this far apart, and is back at this part of what it was.
+/// Length of the sliding window in which recovery is detected.
 const WINDOW: Millis = 500.0;
 
+/// Distance between the starts of windows.
 const STEP: Millis = 50.0;
 
-const BACK: f64 = 0.95;
+/// Fraction of the value before the fault at which the fleet counts as recovered.
+const RECOVERED: f64 = 0.95;
 
-/// How the fleet came back, if anything stopped balancers.
+/// Returns the recovery of the fleet, if a fault stopped balancers.
 pub fn recovery(e: &Experiment, plan: &Plan, tally: &Tally) -> Option<Recovery> {
     let stops = |kind| {
         matches!(
@@ -46,18 +48,18 @@
         .faults
         .iter()
         .find(|f| stops(f.kind) && !f.on.is_empty())?;
-    // A process that was begun too late to be met by anybody says nothing.
-    let again = tally
+    // Processes started too close to the end of the run receive too few requests to count.
+    let restarts = tally
         .starts
         .iter()
         .filter(|s| s.at >= fault.at && s.at < plan.length - WINDOW);
-    let mut took: Vec<f64> = again
+    let mut took: Vec<f64> = restarts
         .clone()
         .map(|s| s.served.map_or(f64::INFINITY, |t| t - s.at))
         .collect();
     took.sort_by(f64::total_cmp);
     let finite = |t: Option<&f64>| t.copied().filter(|t| t.is_finite());
-    let first = again.map(|s| s.at).fold(f64::INFINITY, f64::min);
+    let first = restarts.map(|s| s.at).fold(f64::INFINITY, f64::min);
     let value = |from: Millis, to: Millis| {
         request_metrics(e, plan, &tally.done, |d| (from..to).contains(&d.at)).value
     };
@@ -65,12 +67,12 @@
     let mut windows = (0..)
         .map(|n| first + STEP * f64::from(n))
         .take_while(|t| t + WINDOW <= plan.length);
-    let back = windows.find(|&t| value(t, t + WINDOW) >= BACK * before);
+    let back = windows.find(|&t| value(t, t + WINDOW) >= RECOVERED * before);
     Some(Recovery {
         served_ms: finite(took.get(took.len() / 2)),
         served_most_ms: finite(took.last()),
         value_before: before,
-        value_after: value(fault.at, fault.at + AFTER),
+        value_after: value(fault.at, fault.at + OBSERVATION_TIME),
         back_ms: back.map(|t| t - first),
     })
 }
--- a/lab/src/metrics/requests.rs
+++ b/lab/src/metrics/requests.rs
@@ -5,38 +5,38 @@
 use crate::tally::{Done, How};
 use serde::{Deserialize, Serialize};
 
-/// Metrics over requests that were due in some stretch of a run. Shares are of all that were due in it.
+/// Metrics over the requests that were due in an interval of a run. Fractions refer to all requests due in it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RequestMetrics {
-    /// Requests due.
+    /// Number of requests due.
     pub due: usize,
-    /// Served within the aim.
+    /// Fraction served within the latency target.
     pub in_time: f64,
-    /// Served after it.
+    /// Fraction served after the latency target.
     pub late: f64,
-    /// Refused.
+    /// Fraction refused.
     pub refused: f64,
-    /// Answered as failed, not answered, or not taken by any balancer.
+    /// Fraction that failed, received no response, or was not accepted by any balancer.
     pub failed: f64,
-    /// Given up by clients that left early.
+    /// Fraction abandoned early by clients.
     pub left: f64,
-    /// Value earned over value requested.
+    /// Value earned divided by value requested.
     #[serde(rename = "worth")]
     pub value: f64,
-    /// Times to the answer of what was served, in milliseconds.
+    /// Median response time of served requests, in milliseconds.
     pub p50_ms: f64,
-    /// See there.
+    /// 99th percentile of the response time of served requests, in milliseconds.
     pub p99_ms: f64,
-    /// Attempts of the client for each request, in the mean.
+    /// Mean number of client attempts per request.
     #[serde(rename = "tries")]
     pub client_attempts: f64,
-    /// Time that balancers added to what upstreams took, for what was served, in milliseconds.
+    /// Median latency that balancers added to served requests, in milliseconds.
     pub added_p50_ms: f64,
-    /// See there.
+    /// 99th percentile of the latency that balancers added to served requests, in milliseconds.
     pub added_p99_ms: f64,
 }
 
-/// Metrics over all requests that `wanted` picks.
+/// Computes metrics over all requests that satisfy `wanted`.
 pub fn request_metrics(
     e: &Experiment,
     plan: &Plan,
@@ -60,7 +60,7 @@
                     earned += class.value;
                 } else {
                     f.late += 1.0;
-                    // After its deadline it earns nothing.
+                    // A response after the deadline earns nothing.
                     let in_deadline = d.took <= plan.spans[d.class].1;
                     earned += if in_deadline {
                         class.value * class.late_value
--- a/lab/src/metrics/traffic.rs
+++ b/lab/src/metrics/traffic.rs
@@ -1,28 +1,28 @@
-//! What passed between machines.
+//! Traffic between machines.
 use crate::convergence::Known;
 use crate::experiment::Experiment;
 use crate::tally::{Second, Tally};
 use serde::{Deserialize, Serialize};
 
-/// What passed between machines, for each request due.
+/// Traffic between machines per request due.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Traffic {
     /// Attempts at all tiers.
     pub attempts: f64,
-    /// Attempts at all tiers for each first attempt there.
+    /// Attempts at all tiers per first attempt.
     #[serde(default)]
     pub attempts_a_first: f64,
-    /// Of these, between zones.
+    /// Attempts across zones.
     pub crossings: f64,
     /// New connections to upstreams.
     pub connections: f64,
-    /// Attempts turned away by full upstreams.
+    /// Attempts rejected by full upstreams.
     pub declined: f64,
-    /// Part of the work that no answer came of.
+    /// Fraction of upstream work that did not lead to a response.
     pub wasted: f64,
 }
 
-/// What passed in a whole run.
+/// Returns the traffic of a complete run.
 pub fn traffic(tally: &Tally) -> Traffic {
     let due = tally.done.len().max(1) as f64;
     let sum = |of: fn(&Second) -> f64| tally.seconds.iter().map(of).sum::<f64>();
@@ -36,7 +36,7 @@
     }
 }
 
-/// Attempts for each first attempt.
+/// Returns the number of attempts per first attempt.
 pub(super) fn attempts<'a>(seconds: impl Iterator<Item = &'a Second>) -> f64 {
     let (all, firsts) = seconds.fold((0, 0), |(all, firsts), s| {
         (all + s.attempts.iter().sum::<u64>(), firsts + s.firsts)
@@ -44,8 +44,8 @@
     all as f64 / firsts.max(1) as f64
 }
 
-/// Jain's index of the time that tenants' attempts spent at upstreams, each over its share: 1 where all have the same
-/// for their share, and one over their number where one has everything.
+/// Returns Jain's fairness index of the time that tenants' attempts spent at upstreams, each divided by the tenant's
+/// share: 1 if all are equal, and 1/n if one of n tenants has everything.
 pub fn jain<'a>(e: &Experiment, seconds: impl Iterator<Item = &'a Second>) -> f64 {
     let mut upstream_time = vec![0.0; e.tenants.len()];
     for second in seconds {
@@ -65,27 +65,27 @@
     sum * sum / (each.len() as f64 * squares)
 }
 
-/// What balancers sent to each other.
+/// Datagrams between balancers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Datagrams {
-    /// Datagrams that a balancer sent in a second, in the mean.
+    /// Mean number of datagrams that a balancer sent per second.
     pub a_second: f64,
-    /// Bytes of them.
+    /// Mean number of bytes of these datagrams per second.
     pub bytes_a_second: f64,
 }
 
-/// What balancers reported of their tier.
+/// What balancers reported about their tier.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Tier {
-    /// Until balancers at the front knew who of them is up.
+    /// Time until front balancers knew which of them are up.
     pub members: Known,
-    /// Until their sums had all of them.
+    /// Time until their load sums included all of them.
     pub sums: Known,
-    /// Others newly suspected, and taken for gone, and changes of the version spoken, over all balancers' last starts.
+    /// Number of members newly suspected, over the last start of each balancer.
     pub suspected: u64,
-    /// See there.
+    /// Number of members declared departed, over the last start of each balancer.
     #[serde(rename = "gone")]
     pub departed: u64,
-    /// See there.
+    /// Number of changes of the protocol version sent, over the last start of each balancer.
     pub steps: u64,
 }
