--- a/lab/src/report/mod.rs
+++ b/lab/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! One HTML page of what was played: a verdict, tables, and plots with the faults shaded in.
+//! The HTML report of a run: verdict, tables, and plots with shaded faults.
 mod html;
 mod page;
 mod plot;
--- a/lab/src/report/page.rs
+++ b/lab/src/report/page.rs
@@ -1,4 +1,4 @@
-//! The page: what it holds, in order.
+//! The report page and the order of its sections.
 use super::html::escape;
 use super::plot::{FaultSpan, PlotError};
 use super::plots::write_plots;
@@ -13,10 +13,10 @@
     td:first-child,th:first-child{text-align:left}.good{background:#e5f5e5;padding:.6em}.bad{background:#fbe3e3;padding:.6em}\
     code{font-size:90%}figure{margin:1.2em 0}";
 
-/// Returns the page of all plays of an experiment.
+/// Renders the report of all plays of an experiment.
 ///
 /// # Errors
-/// Fails when a plot can't be drawn.
+/// Returns an error if a plot cannot be drawn.
 pub fn page(experiment: &Experiment, plan: &Plan, plays: &[Played]) -> Result<String, PlotError> {
     let mut html = String::new();
     write_head(&mut html, experiment, plays);
@@ -25,7 +25,7 @@
     write_verdicts(&mut html, plays);
     let faults = faults(plays);
     write_faults(&mut html, &faults);
-    // One play of each program stands in the plots; the table above has them all.
+    // The plots show the first play of each program; the table above has all plays.
     let shown: Vec<&Played> = plays.iter().filter(|play| play.play == 0).collect();
     write_plots(&mut html, experiment, plan, &shown, &faults)?;
     for play in &shown {
@@ -37,9 +37,15 @@
 
 fn write_head(html: &mut String, experiment: &Experiment, plays: &[Played]) {
     let (class, verdict) = if plays.iter().all(Played::passed) {
-        ("good", "Every rule was kept and every expectation met.")
+        (
+            "good",
+            "Passed: no rule was violated and all expectations were met.",
+        )
     } else {
-        ("bad", "Not held: see below what was broken.")
+        (
+            "bad",
+            "Failed: see the violations and missed expectations below.",
+        )
     };
     let title = escape(&experiment.title);
     let _ = write!(
@@ -54,8 +60,8 @@
     let inner = plan.balancers.iter().filter(is_inner).count();
     let _ = write!(
         html,
-        "<p>Seed {}: {} balancers at the front, {} beside upstreams; {} upstreams in {} tiers and {} zones; {} requests in \
-         {:.0} s.</p>",
+        "<p>Seed {}: {} front balancers, {} balancers co-located with upstreams; {} upstreams in {} \
+         tiers and {} zones; {} requests in {:.0} s.</p>",
         plan.seed,
         plan.balancers.len() - inner,
         inner,
@@ -67,7 +73,7 @@
     );
 }
 
-/// The faults of the first play; those of the others are the same.
+/// Returns the faults of the first play; all plays have the same faults.
 fn faults(plays: &[Played]) -> Vec<FaultSpan> {
     let Some(first) = plays.first() else {
         return Vec::new();
@@ -86,7 +92,7 @@
     }
     let line = |fault: &FaultSpan| {
         format!(
-            "{} at {:.1} to {:.1} s",
+            "{} from {:.1} to {:.1} s",
             escape(&fault.kind),
             fault.from,
             fault.to
--- a/lab/src/report/plot.rs
+++ b/lab/src/report/plot.rs
@@ -1,4 +1,4 @@
-//! Plots as SVG: lines over one axis, with the faults shaded in.
+//! SVG line plots with shaded faults.
 use plotters::coord::types::RangedCoordf64;
 use plotters::coord::Shift;
 use plotters::prelude::*;
@@ -17,25 +17,25 @@
     RGBColor(127, 127, 127),
 ];
 
-/// A line of a plot.
+/// A line in a plot.
 pub(super) struct Line {
     pub(super) name: String,
     pub(super) points: Vec<(f64, f64)>,
 }
 
-/// A fault as plots show it, in seconds of the run.
+/// The interval of a fault, in seconds of the run.
 pub(super) struct FaultSpan {
     pub(super) from: f64,
     pub(super) to: f64,
     pub(super) kind: String,
 }
 
-/// What a plot shows.
+/// The content of a plot.
 pub(super) struct Plot<'a> {
     pub(super) title: &'a str,
     pub(super) x_label: &'a str,
     pub(super) y_label: &'a str,
-    /// The top of the vertical axis; none is a little above the highest point.
+    /// Upper end of the vertical axis; by default slightly above the highest point.
     pub(super) top: Option<f64>,
     pub(super) lines: &'a [Line],
     pub(super) faults: &'a [FaultSpan],
@@ -45,19 +45,19 @@
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// A plot that could not be drawn.
+/// Error when drawing a plot.
 #[derive(Debug, Error)]
-#[error("plot {title:?}: {source}")]
+#[error("cannot draw plot {title:?}: {source}")]
 pub struct PlotError {
     /// The title of the plot.
     pub title: String,
-    /// What went wrong.
+    /// The cause.
     pub source: DrawingAreaErrorKind<std::io::Error>,
 }
 
 impl Plot<'_> {
-    /// Draws the plot as an HTML metric.
-    pub(super) fn metric(&self) -> Result<String, PlotError> {
+    /// Draws the plot as an HTML `figure` element.
+    pub(super) fn to_html(&self) -> Result<String, PlotError> {
         let mut svg = String::new();
         {
             let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
@@ -104,7 +104,7 @@
         top: f64,
     ) -> Result<(), DrawingError> {
         for fault in self.faults {
-            // What lasts no time is still to be seen.
+            // Faults without a duration are drawn with a minimum width.
             let to = fault.to.max(fault.from + right / 300.0).min(right);
             chart.draw_series([Rectangle::new(
                 [(fault.from, 0.0), (to, top)],
--- a/lab/src/report/plots.rs
+++ b/lab/src/report/plots.rs
@@ -1,4 +1,4 @@
-//! The plots of the page: what each shows of the plays.
+//! The plots of the report and the values that each shows.
 use super::plot::{FaultSpan, Line, Plot, PlotError};
 use crate::clock::histogram;
 use crate::draw::Plan;
@@ -6,49 +6,49 @@
 use crate::metrics::{request_metrics, Played, RequestMetrics};
 use crate::tally::{Done, How, Second};
 
-/// A metric over the requests that were due in each second.
+/// A plot of a metric over the requests due in each second.
 struct MetricPlot {
     title: &'static str,
     unit: &'static str,
-    /// The highest value that the metric can have, if there is one.
+    /// Upper end of the vertical axis, for metrics with a fixed maximum.
     top: Option<f64>,
     value: fn(&RequestMetrics) -> f64,
 }
 
 const METRIC_PLOTS: [MetricPlot; 5] = [
     MetricPlot {
-        title: "Worth served, of what was asked for",
-        unit: "part",
+        title: "Value earned, as a fraction of value requested",
+        unit: "fraction",
         top: Some(1.0),
         value: |metrics| metrics.value,
     },
     MetricPlot {
-        title: "Answered in time",
-        unit: "part",
+        title: "Served within the latency target",
+        unit: "fraction",
         top: Some(1.0),
         value: |metrics| metrics.in_time,
     },
     MetricPlot {
         title: "Refused",
-        unit: "part",
+        unit: "fraction",
         top: Some(1.0),
         value: |metrics| metrics.refused,
     },
     MetricPlot {
-        title: "Failed or unanswered",
-        unit: "part",
+        title: "Failed or without a response",
+        unit: "fraction",
         top: Some(1.0),
         value: |metrics| metrics.failed,
     },
     MetricPlot {
-        title: "Time to the answer, 99th percentile",
+        title: "Response time, 99th percentile",
         unit: "ms",
         top: None,
         value: |metrics| metrics.p99_ms,
     },
 ];
 
-/// A count of each second.
+/// A plot of a count per second.
 struct CountPlot {
     title: &'static str,
     value: fn(&Second) -> f64,
@@ -56,7 +56,7 @@
 
 const COUNT_PLOTS: [CountPlot; 3] = [
     CountPlot {
-        title: "Attempts that cross zones",
+        title: "Attempts across zones",
         value: |second| second.crossings as f64,
     },
     CountPlot {
@@ -64,7 +64,7 @@
         value: |second| second.connections as f64,
     },
     CountPlot {
-        title: "Upstreams that are slow because they were crowded",
+        title: "Upstreams slowed down by overload",
         value: |second| second.choked as f64,
     },
 ];
@@ -77,26 +77,26 @@
     plays: &[&Played],
     faults: &[FaultSpan],
 ) -> Result<(), PlotError> {
-    let draws = Plots {
+    let plots = Plots {
         experiment,
         plan,
         plays,
         faults,
     };
     for metric in &METRIC_PLOTS {
-        html.push_str(&draws.metric(metric)?);
+        html.push_str(&plots.metric(metric)?);
     }
-    html.push_str(&draws.percentiles()?);
+    html.push_str(&plots.percentiles()?);
     for play in plays {
-        html.push_str(&draws.zones(play)?);
+        html.push_str(&plots.zones(play)?);
     }
     for count in &COUNT_PLOTS {
-        html.push_str(&draws.count(count)?);
+        html.push_str(&plots.count(count)?);
     }
     Ok(())
 }
 
-/// What the plots are drawn from.
+/// The data from which plots are drawn.
 struct Plots<'a> {
     experiment: &'a Experiment,
     plan: &'a Plan,
@@ -119,23 +119,23 @@
             lines: &lines,
             faults: self.faults,
         }
-        .metric()
+        .to_html()
     }
 
     fn percentiles(&self) -> Result<String, PlotError> {
         let lines: Vec<Line> = self.plays.iter().map(|play| percentiles(play)).collect();
         Plot {
-            title: "Time to the answer by percentile",
+            title: "Response time by percentile",
             x_label: "percentile",
             y_label: "ms",
             top: None,
             lines: &lines,
             faults: &[],
         }
-        .metric()
+        .to_html()
     }
 
-    /// Attempts at the upstreams of each zone, for one program.
+    /// Plots the attempts at the upstreams of each zone, for one program.
     fn zones(&self, play: &Played) -> Result<String, PlotError> {
         let zones = self.experiment.fleet.zones.iter().enumerate();
         let line = |(zone, name): (usize, &String)| Line {
@@ -144,18 +144,18 @@
         };
         let lines: Vec<Line> = zones.map(line).collect();
         let title = format!(
-            "Attempts a second at the upstreams of each zone: {}",
+            "Attempts per second at the upstreams of each zone: {}",
             play.program
         );
         Plot {
             title: &title,
             x_label: "second",
-            y_label: "a second",
+            y_label: "per second",
             top: None,
             lines: &lines,
             faults: self.faults,
         }
-        .metric()
+        .to_html()
     }
 
     fn count(&self, count: &CountPlot) -> Result<String, PlotError> {
@@ -172,10 +172,10 @@
             lines: &lines,
             faults: self.faults,
         }
-        .metric()
+        .to_html()
     }
 
-    /// The points of a count. The second in which the last responses come is no full one, and left out.
+    /// Returns the points of a count. The last, incomplete second is left out.
     fn count_by_second(&self, play: &Played, value: impl Fn(&Second) -> f64) -> Vec<(f64, f64)> {
         let full_seconds = (self.plan.length / 1000.0) as u32;
         (0..full_seconds)
@@ -184,7 +184,7 @@
             .collect()
     }
 
-    /// The points of a metric, over the requests that were due in each second.
+    /// Returns the points of a metric over the requests due in each second.
     fn metric_by_second(
         &self,
         play: &Played,
@@ -198,7 +198,7 @@
             }
         }
         let metrics = |done: &[Done]| request_metrics(self.experiment, self.plan, done, |_| true);
-        // A second in which nothing was due has no share of anything.
+        // Fractions are undefined for a second without due requests.
         by_second
             .iter()
             .enumerate()
@@ -208,7 +208,7 @@
     }
 }
 
-/// The time to the response by percentile, in steps of a half, over what was served.
+/// Returns the response time of served requests by percentile, in steps of 0.5.
 fn percentiles(play: &Played) -> Line {
     let mut times = histogram();
     let served = |done: &&Done| done.how == How::Served;
--- a/lab/src/report/tables.rs
+++ b/lab/src/report/tables.rs
@@ -1,12 +1,12 @@
-//! The tables of the page, and the list of what was broken.
+//! The tables of the report and the list of violations.
 use super::html::{escape, percent};
 use crate::metrics::{Played, RequestMetrics, ResourceUsage};
 use std::fmt::Write;
 
-/// Cases written for each rule that was broken.
+/// Maximum number of violations listed per rule.
 const CASES_SHOWN: usize = 5;
 
-/// Writes one row: a name, and its metrics.
+/// Writes one row: a name and its metrics.
 fn write_row(html: &mut String, name: &str, metrics: &RequestMetrics) {
     let _ = write!(
         html,
@@ -23,12 +23,12 @@
     );
 }
 
-/// The heads of the columns after the first.
+/// Headings of the columns after the first.
 const COLUMNS: &str =
     "<th>requests</th><th>worth</th><th>in time</th><th>late</th><th>refused</th><th>failed</th>\
     <th>p50 ms</th><th>p99 ms</th></tr>";
 
-/// Writes the table of all plays, and the one of their traffic.
+/// Writes the table of all plays and the table of their traffic.
 pub(super) fn write_summary(html: &mut String, plays: &[Played]) {
     let _ = write!(html, "<table><tr><th>program, play</th>{COLUMNS}");
     for play in plays {
@@ -39,8 +39,8 @@
         );
     }
     html.push_str(
-        "</table><table><tr><th>for each request</th><th>attempts</th><th>crossings</th><th>connections</th>\
-        <th>turned away</th><th>tries</th><th>work wasted</th><th>added p50</th><th>added p99</th><th>lab late p99</th></tr>",
+        "</table><table><tr><th>per request</th><th>attempts</th><th>crossings</th><th>connections</th>\
+        <th>declined</th><th>tries</th><th>work wasted</th><th>added p50</th><th>added p99</th><th>lab late p99</th></tr>",
     );
     for play in plays {
         let traffic = &play.traffic;
@@ -60,7 +60,7 @@
     html.push_str("</table>");
 }
 
-/// Writes what was broken or missed in each play that did not hold.
+/// Writes the violations and missed expectations of each failed play.
 pub(super) fn write_verdicts(html: &mut String, plays: &[Played]) {
     for play in plays.iter().filter(|play| !play.passed()) {
         let _ = write!(
@@ -70,25 +70,25 @@
             play.play + 1
         );
         if play.stopped {
-            html.push_str("<li>Stopped by hand before its end.</li>");
+            html.push_str("<li>Stopped manually before its end.</li>");
         }
         if !play.lateness.counts {
             let _ = write!(
                 html,
-                "<li>The lab itself was late in {} of its steps: this play does not count.</li>",
+                "<li>Not valid: {} of the lab's own sends and timers were late.</li>",
                 percent(play.lateness.over)
             );
         }
         for missed in &play.missed {
             let _ = write!(html, "<li>{}</li>", escape(missed));
         }
-        write_broken(html, play);
+        write_violations(html, play);
         html.push_str("</ul>");
     }
 }
 
-/// Writes the rules that a play broke, with the first cases of each.
-fn write_broken(html: &mut String, play: &Played) {
+/// Writes the rules that a play violated, with the first violations of each.
+fn write_violations(html: &mut String, play: &Played) {
     for (rule, count) in &play.counts {
         let cases: Vec<_> = play
             .broken
@@ -98,7 +98,7 @@
         let asks = cases.first().map_or("", |case| case.asks.as_str());
         let _ = write!(
             html,
-            "<li><b>{}</b> ({}): {count} times.<ul>",
+            "<li><b>{}</b> ({}): violated {count} times.<ul>",
             escape(rule),
             escape(asks)
         );
@@ -114,7 +114,7 @@
     }
 }
 
-/// Writes what one program did, by class, tenant and zone.
+/// Writes the metrics of one program by class, tenant and zone.
 pub(super) fn write_details(html: &mut String, play: &Played) {
     let _ = write!(
         html,
@@ -128,13 +128,14 @@
     let max = |of: fn(&ResourceUsage) -> f64| play.usage.iter().map(of).fold(0.0, f64::max);
     let _ = write!(
         html,
-        "</table><p>{} requests and calls were checked to their end. Keyed requests whose effect came about more than once: {}. \
-         A balancer held at most {:.1} MB and {:.0} descriptors; the busiest used {:.2} s of a core, all together {:.1} s.</p>",
+        "</table><p>{} requests and calls were checked to their end. Keyed requests that took effect more than once: \
+         {}. Peak usage of a balancer: {:.1} MB, {:.0} file descriptors, {:.2} s of CPU time; all balancers together used \
+         {:.1} s.</p>",
         play.checked,
         play.effects_twice,
-        max(|h| h.memory_kb as f64 / 1024.0),
-        max(|h| h.descriptors as f64),
-        max(|h| h.cpu_s),
-        play.usage.iter().map(|h| h.cpu_s).sum::<f64>()
+        max(|u| u.memory_kb as f64 / 1024.0),
+        max(|u| u.descriptors as f64),
+        max(|u| u.cpu_s),
+        play.usage.iter().map(|u| u.cpu_s).sum::<f64>()
     );
 }
