--- a/lab/src/command_line/arguments.rs
+++ b/lab/src/command_line/arguments.rs
@@ -1,34 +1,34 @@
-//! The arguments of the command line.
+//! Command-line arguments.
 use balancer_lab::capacity::scenario::Dimension;
 use balancer_lab::stand_in::{Misbehavior, Policy};
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Plays fleets of balancers between emulated upstreams, discovery and clients, with faults between them.
+/// Runs fleets of balancers against emulated upstreams, discovery and clients, and injects faults.
 #[derive(Parser)]
 #[command(version, max_term_width = 100)]
 pub(crate) struct Cli {
     #[command(subcommand)]
-    pub(crate) verb: Verb,
+    pub(crate) command: Command,
 }
 
 #[derive(Subcommand)]
-pub(crate) enum Verb {
-    /// Play an experiment, check the rules and write a report. Ends 0: held; 1: a rule was broken, an expectation
-    /// missed, or the run does not count; 2: unusable input.
+pub(crate) enum Command {
+    /// Run an experiment, check the rules and write a report. Exit status 0: passed; 1: a rule was violated, an
+    /// expectation was missed, or the run is not valid; 2: an error such as invalid input.
     Run(Run),
-    /// Print the differences between the programs of a run, play by play.
+    /// Print the differences between the programs of a run, for each play.
     Compare {
-        /// The folder of a run.
+        /// The result folder of a run.
         folder: PathBuf,
     },
-    /// Write the report of a run again.
+    /// Regenerate the report of a run.
     Report {
-        /// The folder of a run.
+        /// The result folder of a run.
         folder: PathBuf,
     },
-    /// Name the experiments of a folder, a line each.
+    /// List the experiments in a folder.
     List {
         /// The folder.
         #[arg(default_value = "lab/experiments")]
@@ -36,80 +36,80 @@
     },
     /// Check experiment files without running them.
     Check {
-        /// The files.
+        /// The experiment files.
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Measure what a balancer costs as one thing grows, and print samples and lines as markdown. docs/CAPACITY.md
-    /// has its metrics from here. The program is not built first: name a release build's.
+    /// Measure the resource usage of a balancer as one dimension grows, and print samples and linear fits as Markdown.
+    /// docs/CAPACITY.md is based on this output. The program is not built first: use a release build.
     Capacity(Capacity),
-    /// Be a pass-through balancer, as the platform would start one. The lab starts these itself.
+    /// Run a pass-through balancer. Started by the lab itself.
     #[command(hide = true)]
     StandIn {
-        /// How to choose.
+        /// How to choose an upstream.
         #[arg(value_name = "CHOICE")]
         policy: Policy,
-        /// What to do wrong.
+        /// The misbehavior to emulate.
         #[arg(long = "wrong", value_name = "WRONG")]
         misbehavior: Option<Misbehavior>,
     },
-    /// Kill what is left when standard input ends. The lab starts this itself.
+    /// Kill remaining child processes when standard input is closed. Started by the lab itself.
     #[command(hide = true)]
     Guard,
 }
 
 #[derive(clap::Args)]
 pub(crate) struct Run {
-    /// The experiment.
+    /// The experiment file.
     pub(crate) file: PathBuf,
-    /// Draw with this seed, not with the file's.
+    /// Use this seed instead of the one in the file.
     #[arg(long)]
     pub(crate) seed: Option<u64>,
-    /// Leave the results here [default: the next free folder below lab/results]
+    /// The result folder [default: the next unused folder below lab/results]
     #[arg(long)]
     pub(crate) out: Option<PathBuf>,
-    /// Play this program; given several times, they are played in turn on the same draw. NAME alone is one of
-    /// `balancer` (as deploy/balancer.toml names it), `random`, `round-robin` [default: balancer]
+    /// Run this program; if given several times, the programs are run in turn with the same plan. NAME alone is one of
+    /// `balancer` (the command in deploy/balancer.toml), `random`, `round-robin` [default: balancer]
     #[arg(long = "program", value_name = "NAME[=COMMAND]")]
     pub(crate) programs: Vec<String>,
-    /// What a build of the experiment runs; without it that is the program under test.
+    /// The command of a build of the experiment; by default the program under test.
     #[arg(long = "build", value_name = "NAME=COMMAND")]
     pub(crate) builds: Vec<String>,
-    /// Play each program with this set of options before the experiment's; given several times, the sets are played in
-    /// turn on the same draw: `--options on --options off='peers.on = false'`.
+    /// Run each program with this set of options, which override those of the experiment; if given several times, the
+    /// sets are run in turn with the same plan: `--options on --options off='peers.on = false'`.
     #[arg(long = "options", value_name = "NAME[=KEY = VALUE, ...]")]
     pub(crate) options: Vec<String>,
-    /// Play each program so many times.
+    /// Number of plays per program.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..=100))]
     pub(crate) plays: u16,
-    /// Draw anew for each play of the programs: the first with the seed, the next with the one after it, and so on.
+    /// Draw a new plan for each play, with consecutive seeds starting from the seed of the run.
     #[arg(long)]
     pub(crate) new_draws: bool,
-    /// Do not build first.
+    /// Do not build the program first.
     #[arg(long)]
     pub(crate) no_build: bool,
-    /// Write the programs' and the lab's steps to standard error: error, warn, info or debug.
+    /// Log level of the programs and the lab, on standard error: error, warn, info or debug.
     #[arg(long, default_value = "warn")]
     pub(crate) log: tracing::Level,
 }
 
 #[derive(clap::Args)]
 pub(crate) struct Capacity {
-    /// What grows.
+    /// The dimension that grows.
     pub(crate) dimension: Dimension,
-    /// The sizes, four or more for a line that means something.
+    /// The sizes to measure; at least four for a meaningful fit.
     #[arg(long, value_delimiter = ',', required = true)]
     pub(crate) sizes: Vec<usize>,
-    /// Measure each size so many times.
+    /// Number of measurements per size.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(1..=100))]
     pub(crate) runs: u16,
-    /// Measure for so long each time, after everything has settled.
+    /// Duration of each measurement, after a stabilization period.
     #[arg(long, default_value = "5s", value_parser = humantime::parse_duration)]
     pub(crate) span: Duration,
-    /// The balancer's program [default: balancer-proxy beside this program]
+    /// The balancer program [default: balancer-proxy in the folder of this program]
     #[arg(long)]
     pub(crate) program: Option<PathBuf>,
-    /// Leave configurations and logs here.
+    /// Folder for configurations and logs.
     #[arg(long, default_value = "lab/results/capacity")]
     pub(crate) out: PathBuf,
 }
--- a/lab/src/command_line/error.rs
+++ b/lab/src/command_line/error.rs
@@ -1,4 +1,4 @@
-//! Why a verb could not be carried out.
+//! Errors of the command line.
 use balancer_lab::capacity::error::CapacityError;
 use balancer_lab::draw::PlanError;
 use balancer_lab::error::FileError;
@@ -11,16 +11,16 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a verb could not be carried out. Its text is what the user reads.
+/// Why a command failed. Its message is printed for the user.
 #[derive(Debug, Error)]
 pub(crate) enum LabError {
     #[error(transparent)]
     File(#[from] FileError),
     #[error(transparent)]
     System(#[from] io::Error),
-    #[error("no deploy/balancer.toml here or above")]
+    #[error("deploy/balancer.toml not found in the current folder or a parent folder")]
     NoRepository,
-    #[error("{command}: {status}")]
+    #[error("build command {command:?} failed: {status}")]
     Build {
         command: String,
         status: std::process::ExitStatus,
@@ -28,7 +28,7 @@
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
     #[error("{}: {source}", file.display())]
-    PlanOf { file: PathBuf, source: PlanError },
+    PlanFile { file: PathBuf, source: PlanError },
     #[error(transparent)]
     Plan(#[from] PlanError),
     #[error(transparent)]
--- a/lab/src/command_line/mod.rs
+++ b/lab/src/command_line/mod.rs
@@ -1,10 +1,10 @@
-//! The verbs of the command line: what each does is in the library.
+//! The commands of the command line, implemented on top of the library.
 mod arguments;
 mod error;
 mod run;
 mod shared;
 
-use arguments::{Capacity, Cli, Verb};
+use arguments::{Capacity, Cli, Command};
 use balancer_lab::capacity::sweep::Sweep;
 use balancer_lab::capacity::table::markdown;
 use balancer_lab::draw::{self, Plan};
@@ -15,32 +15,32 @@
 use balancer_lab::stand_in::{self, Misbehavior, Policy};
 use clap::Parser;
 use error::LabError;
-use run::run_it;
-use shared::{plan_of, runtime, End};
+use run::run_command;
+use shared::{plan_of, runtime, Outcome};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Carries out what the command line asks for.
+/// Runs the command given on the command line.
 pub(crate) fn carry_out() -> ExitCode {
-    let done = match Cli::parse().verb {
-        Verb::Run(run) => run_it(&run),
-        Verb::Compare { folder } => compare_it(&folder),
-        Verb::Report { folder } => report_it(&folder),
-        Verb::List { folder } => list_it(&folder),
-        Verb::Check { files } => check_them(&files),
-        Verb::Capacity(capacity) => capacity_it(capacity),
-        Verb::StandIn {
+    let result = match Cli::parse().command {
+        Command::Run(run) => run_command(&run),
+        Command::Compare { folder } => compare_plays(&folder),
+        Command::Report { folder } => write_report(&folder),
+        Command::List { folder } => list_experiments(&folder),
+        Command::Check { files } => check_experiments(&files),
+        Command::Capacity(capacity) => measure_capacity(capacity),
+        Command::StandIn {
             policy,
             misbehavior,
         } => run_stand_in(policy, misbehavior),
-        Verb::Guard => {
+        Command::Guard => {
             stand_guard(std::io::stdin().lock());
-            Ok(End::Passed)
+            Ok(Outcome::Passed)
         }
     };
-    match done {
-        Ok(End::Passed) => ExitCode::SUCCESS,
-        Ok(End::Failed) => ExitCode::from(1),
+    match result {
+        Ok(Outcome::Passed) => ExitCode::SUCCESS,
+        Ok(Outcome::Failed) => ExitCode::from(1),
         Err(error) => {
             eprintln!("balancer-lab: {}", error.to_string().replace('\n', " "));
             ExitCode::from(2)
@@ -48,12 +48,12 @@
     }
 }
 
-fn run_stand_in(policy: Policy, misbehavior: Option<Misbehavior>) -> Result<End, LabError> {
+fn run_stand_in(policy: Policy, misbehavior: Option<Misbehavior>) -> Result<Outcome, LabError> {
     runtime(2)?.block_on(stand_in::run(policy, misbehavior))?;
-    Ok(End::Passed)
+    Ok(Outcome::Passed)
 }
 
-fn capacity_it(arguments: Capacity) -> Result<End, LabError> {
+fn measure_capacity(arguments: Capacity) -> Result<Outcome, LabError> {
     let own = std::env::current_exe()?;
     let sweep = Sweep {
         dimension: arguments.dimension,
@@ -67,32 +67,32 @@
     };
     let samples = sweep.measure(|sample| eprintln!("{sample:?}"))?;
     print!("{}", markdown(&sweep.dimension.name(), &samples));
-    Ok(End::Passed)
+    Ok(Outcome::Passed)
 }
 
-fn opened(folder: &Path) -> Result<(Results, Experiment, Plan), LabError> {
+fn open_results(folder: &Path) -> Result<(Results, Experiment, Plan), LabError> {
     let results = Results::open(folder)?;
     let (arguments, e) = results.arguments()?;
     let plan = draw::plan(&e, arguments.seed)?;
     Ok((results, e, plan))
 }
 
-fn compare_it(folder: &Path) -> Result<End, LabError> {
+fn compare_plays(folder: &Path) -> Result<Outcome, LabError> {
     let plays = Results::open(folder)?.plays()?;
     print!("{}", compare(&plays));
-    Ok(End::Passed)
+    Ok(Outcome::Passed)
 }
 
-fn report_it(folder: &Path) -> Result<End, LabError> {
-    let (results, e, plan) = opened(folder)?;
+fn write_report(folder: &Path) -> Result<Outcome, LabError> {
+    let (results, e, plan) = open_results(folder)?;
     println!(
         "{}",
         results.report(&e, &plan, &results.plays()?)?.display()
     );
-    Ok(End::Passed)
+    Ok(Outcome::Passed)
 }
 
-fn list_it(folder: &Path) -> Result<End, LabError> {
+fn list_experiments(folder: &Path) -> Result<Outcome, LabError> {
     let entries = std::fs::read_dir(folder).map_err(|source| FileError {
         path: folder.to_path_buf(),
         source,
@@ -103,13 +103,13 @@
     for file in files {
         match experiment::load(&file) {
             Ok(e) => println!("{:<40} {}", file.display(), e.title),
-            Err(message) => println!("{:<40} unusable: {message}", file.display()),
+            Err(error) => println!("{:<40} invalid: {error}", file.display()),
         }
     }
-    Ok(End::Passed)
+    Ok(Outcome::Passed)
 }
 
-fn check_them(files: &[PathBuf]) -> Result<End, LabError> {
+fn check_experiments(files: &[PathBuf]) -> Result<Outcome, LabError> {
     for file in files {
         let e = experiment::load(file)?;
         let plan = plan_of(file, &e, e.seed)?;
@@ -122,5 +122,5 @@
             plan.faults.len()
         );
     }
-    Ok(End::Passed)
+    Ok(Outcome::Passed)
 }
--- a/lab/src/command_line/run.rs
+++ b/lab/src/command_line/run.rs
@@ -1,7 +1,7 @@
-//! Plays an experiment, checks the rules and writes a report.
+//! The `run` command: runs an experiment, checks the rules and writes a report.
 use super::arguments::Run;
 use super::error::LabError;
-use super::shared::{plan_of, runtime, End};
+use super::shared::{plan_of, runtime, Outcome};
 use balancer_lab::draw::{self, Plan};
 use balancer_lab::experiment::{self, Experiment};
 use balancer_lab::guard::Guard;
@@ -13,8 +13,8 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
 
-/// The repository: the folder with deploy/balancer.toml, here or above.
-fn root() -> Result<PathBuf, LabError> {
+/// Returns the root of the repository: the nearest folder upwards that contains deploy/balancer.toml.
+fn repository_root() -> Result<PathBuf, LabError> {
     let here = std::env::current_dir()?;
     let found = here
         .ancestors()
@@ -37,7 +37,7 @@
     })
 }
 
-/// Everything that the plays of a run share.
+/// State shared by all plays of a run.
 struct Prepared {
     experiment: Experiment,
     seed: u64,
@@ -48,12 +48,12 @@
     results: Results,
 }
 
-/// Reads what is to be played, builds it, and makes the folder of its results.
+/// Loads the experiment, builds the program and creates the result folder.
 fn prepare(run: &Run) -> Result<Prepared, LabError> {
     let experiment = experiment::load(&run.file)?;
     let seed = run.seed.unwrap_or(experiment.seed);
     let plan = plan_of(&run.file, &experiment, seed)?;
-    let root = root()?;
+    let root = repository_root()?;
     let deploy = deploy(&root)?;
     let (programs, built) = programs(&run.programs, &deploy)?;
     let programs = with_options(programs, &run.options)?;
@@ -79,7 +79,7 @@
     })
 }
 
-/// Sets the returned flag at the first interrupt, or when the lab is told to end.
+/// Returns a flag that is set on SIGINT or SIGTERM.
 fn stop_on_signal() -> watch::Receiver<bool> {
     let (stop, stopped) = watch::channel(false);
     tokio::spawn(async move {
@@ -96,7 +96,7 @@
     stopped
 }
 
-/// Plays every program as often as was asked for, in turn, and keeps each play. Returns whether it was stopped by hand.
+/// Runs all plays of all programs in turn and stores each. Returns whether the run was stopped by a signal.
 async fn play_all(run: &Run, prepared: &Prepared, guard: &Guard) -> Result<bool, LabError> {
     let stopped = stop_on_signal();
     for number in 0..usize::from(run.plays) {
@@ -112,7 +112,7 @@
             if *stopped.borrow() {
                 return Ok(true);
             }
-            let folder = prepared.results.play(&program.name, number);
+            let folder = prepared.results.play_folder(&program.name, number);
             let stage = Stage {
                 root: &prepared.root,
                 folder: &folder,
@@ -122,14 +122,14 @@
                 progress: true,
             };
             let played = play(&prepared.experiment, plan, program, number, &stage).await?;
-            prepared.results.keep(&played)?;
+            prepared.results.store(&played)?;
         }
     }
     let is_stopped = *stopped.borrow();
     Ok(is_stopped)
 }
 
-pub(crate) fn run_it(run: &Run) -> Result<End, LabError> {
+pub(crate) fn run_command(run: &Run) -> Result<Outcome, LabError> {
     tracing_subscriber::fmt()
         .with_max_level(run.log)
         .with_writer(std::io::stderr)
@@ -147,7 +147,7 @@
         plan.faults.len()
     );
     let guard = Guard::start(&std::env::current_exe()?)?;
-    // Half of the cores are for the balancers.
+    // The other half of the cores is left to the balancers.
     let cores = std::thread::available_parallelism().map_or(2, |n| n.get());
     let stopped = runtime((cores / 2).max(1))?.block_on(play_all(run, &prepared, &guard))?;
     let all = prepared.results.plays()?;
@@ -158,5 +158,9 @@
     let report = prepared.results.report(&prepared.experiment, plan, &all)?;
     println!("report: {}", report.display());
     let passed = !stopped && all.iter().all(|p| p.passed());
-    Ok(if passed { End::Passed } else { End::Failed })
+    Ok(if passed {
+        Outcome::Passed
+    } else {
+        Outcome::Failed
+    })
 }
--- a/lab/src/command_line/shared.rs
+++ b/lab/src/command_line/shared.rs
@@ -1,17 +1,17 @@
-//! What several verbs share.
+//! Helpers shared by several commands.
 use super::error::LabError;
 use balancer_lab::draw::{self, Plan};
 use balancer_lab::experiment::Experiment;
 use std::io;
 use std::path::Path;
 
-/// How a verb ended.
-pub(super) enum End {
+/// Outcome of a command that completed.
+pub(super) enum Outcome {
     Passed,
     Failed,
 }
 
-/// A runtime with so many threads.
+/// Creates a runtime with the given number of threads.
 pub(super) fn runtime(threads: usize) -> io::Result<tokio::runtime::Runtime> {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(threads)
@@ -19,9 +19,9 @@
         .build()
 }
 
-/// The plan that a seed makes of an experiment file.
+/// Draws the plan of an experiment file for a seed.
 pub(super) fn plan_of(file: &Path, e: &Experiment, seed: u64) -> Result<Plan, LabError> {
-    draw::plan(e, seed).map_err(|source| LabError::PlanOf {
+    draw::plan(e, seed).map_err(|source| LabError::PlanFile {
         file: file.to_path_buf(),
         source,
     })
--- a/lab/src/results/compare.rs
+++ b/lab/src/results/compare.rs
@@ -1,8 +1,8 @@
-//! Programs set side by side.
+//! Comparison of programs.
 use crate::metrics::{mean_and_spread, Played, Recovery, Tier};
 use std::fmt::Write;
 
-/// Metrics set side by side: a name, and where it stands.
+/// A compared metric: its name and how to read it.
 type Column = (&'static str, fn(&Played) -> f64);
 
 const COMPARED: [Column; 25] = [
@@ -37,10 +37,10 @@
     ("back after ms", |p| of_recovery(p, |c| c.back_ms)),
 ];
 
-/// A metric that is not known beforehand.
+/// A function that reads a metric determined at run time.
 type Value = Box<dyn Fn(&Played) -> f64>;
 
-/// Metrics whose differences are shown play by play.
+/// Metrics whose differences are shown for each play.
 const SHOWN: [Column; 5] = [
     ("worth", |p| p.metrics.value),
     ("refused", |p| p.metrics.refused),
@@ -49,19 +49,19 @@
     ("attempts/first", |p| p.traffic.attempts_a_first),
 ];
 
-/// A metric of what balancers reported of their tier; no number where they do not speak with it.
+/// Returns a metric reported by balancers about their tier; NaN if they exchange no datagrams.
 fn of_tier(p: &Played, of: fn(&Tier) -> f64) -> f64 {
     p.tier.as_ref().map_or(f64::NAN, of)
 }
 
-/// A metric of how the fleet came back; no number where nothing stopped balancers, or it never did.
+/// Returns a recovery metric; NaN if no fault stopped balancers or the fleet did not recover.
 fn of_recovery(p: &Played, of: fn(&Recovery) -> Option<f64>) -> f64 {
     p.recovery.as_ref().and_then(of).unwrap_or(f64::NAN)
 }
 
-/// Each program against the first: the mean of the differences, play by play, and half their range.
+/// Compares each program with the first: mean of the differences between paired plays, and half their range.
 pub fn compare(plays: &[Played]) -> String {
-    // Part of a run compares with nothing.
+    // Plays that were stopped early are not comparable.
     let plays: Vec<&Played> = plays.iter().filter(|p| !p.stopped).collect();
     let mut names: Vec<&str> = Vec::new();
     for p in &plays {
@@ -107,17 +107,17 @@
     }
     if base.len() < 2 {
         text.push_str(
-            "One play of each: no spread can be told; --plays 3 plays each three times, in turn.\n",
+            "Only one play per program: the spread is unknown. Use --plays 3 to play each program three times.\n",
         );
         return text;
     }
     for name in others {
-        by_play(&mut text, first, &base, name, &of(name));
+        write_play_differences(&mut text, first, &base, name, &of(name));
     }
     text
 }
 
-/// The rows of the table: every metric that is compared, and the value of each tenant.
+/// Returns the rows of the table: every compared metric and the value of each tenant.
 fn rows(plays: &[&Played]) -> Vec<(String, Value)> {
     let mut rows: Vec<(String, Value)> = Vec::new();
     for (metric, value) in COMPARED {
@@ -137,14 +137,14 @@
     rows
 }
 
-/// Whether a number above zero has its sign.
+/// Whether a positive number is shown with a plus sign.
 #[derive(Clone, Copy)]
 enum Sign {
     Shown,
     Implied,
 }
 
-/// The mean and spread of the values that are known; a dash where none is.
+/// Formats mean and spread of the finite values, or a dash if there are none.
 fn show(values: Vec<f64>, sign: Sign) -> String {
     let known: Vec<f64> = values.into_iter().filter(|v| v.is_finite()).collect();
     if known.is_empty() {
@@ -157,7 +157,7 @@
     }
 }
 
-/// Plays of two programs on the same draw.
+/// Returns the pairs of plays of two programs with the same plan.
 fn pairs<'a>(
     base: &'a [&Played],
     other: &'a [&Played],
@@ -166,8 +166,14 @@
         .filter_map(|b| Some((*b, *other.iter().find(|o| o.play == b.play)?)))
 }
 
-/// The differences of each pair of plays, and how many of them are above and below nothing.
-fn by_play(text: &mut String, first: &str, base: &[&Played], name: &str, other: &[&Played]) {
+/// Writes the differences of each pair of plays, and how many are positive and negative.
+fn write_play_differences(
+    text: &mut String,
+    first: &str,
+    base: &[&Played],
+    name: &str,
+    other: &[&Played],
+) {
     let _ = write!(
         text,
         "\n{name} less {first}, play by play\n{:<14} {:>12}",
--- a/lab/src/results/folder.rs
+++ b/lab/src/results/folder.rs
@@ -1,4 +1,4 @@
-//! The folder that a run leaves: its experiment, every play, the report.
+//! The result folder of a run: experiment file, plays and report.
 use crate::draw::Plan;
 use crate::error::FileError;
 use crate::experiment::{self, Experiment, ExperimentError};
@@ -9,59 +9,59 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// What was asked for, beside the experiment file.
+/// The command-line arguments of a run that results depend on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunArguments {
     /// The seed.
     pub seed: u64,
-    /// Names of the programs, in order.
+    /// Names of the programs, in the order in which they are played.
     pub programs: Vec<String>,
-    /// Plays of each.
+    /// Number of plays per program.
     pub plays: usize,
-    /// Whether each play has a draw of its own, from the seed on.
+    /// Whether each play has its own plan, with consecutive seeds.
     #[serde(default)]
     pub new_draws: bool,
 }
 
-/// A folder of results.
+/// The result folder of a run.
 pub struct Results {
     folder: PathBuf,
 }
 
-const EXPERIMENT: &str = "experiment.toml";
+const EXPERIMENT_FILE: &str = "experiment.toml";
 
-const ARGUMENTS: &str = "asked.json";
+const ARGUMENTS_FILE: &str = "asked.json";
 
 /// Why results could not be written or read.
 #[derive(Debug, Error)]
 pub enum ResultsError {
-    /// A file or folder.
+    /// A file or folder cannot be read or written.
     #[error(transparent)]
     File(#[from] FileError),
-    /// A file holds something else.
-    #[error("{}: {source}", path.display())]
+    /// A file does not have the expected format.
+    #[error("{}: malformed results file: {source}", path.display())]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The cause.
         source: serde_json::Error,
     },
-    /// What is to be stored has no form as JSON.
+    /// A value cannot be encoded as JSON.
     #[error(transparent)]
     Encode(#[from] serde_json::Error),
-    /// Every name below `lab/results` is taken.
-    #[error("no name is free")]
+    /// Every folder name below `lab/results` is in use.
+    #[error("no unused folder name in lab/results")]
     NoName,
-    /// The folder is another run's.
-    #[error("{}: holds the results of another run", .0.display())]
+    /// The folder belongs to another run.
+    #[error("{}: folder contains the results of another run", .0.display())]
     InUse(PathBuf),
-    /// The folder is no run's.
-    #[error("{}: no results of a run", .0.display())]
+    /// The folder does not contain results.
+    #[error("{}: folder contains no results of a run", .0.display())]
     NoResults(PathBuf),
-    /// The experiment as it was then.
+    /// The stored experiment file is invalid.
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
-    /// The report.
+    /// The report cannot be drawn.
     #[error(transparent)]
     Report(#[from] report::PlotError),
 }
@@ -79,10 +79,10 @@
 }
 
 impl Results {
-    /// Makes a folder for a run: the one named, or the next one that is free below `lab/results`.
+    /// Creates the folder of a run: the given one, or the next unused one below `lab/results`.
     ///
     /// # Errors
-    /// When there is none, or it is another run's.
+    /// Returns an error if the folder cannot be created or belongs to another run.
     pub fn create(
         root: &Path,
         named: Option<&Path>,
@@ -96,28 +96,31 @@
                     .file_stem()
                     .map_or("run".into(), |s| s.to_string_lossy());
                 let below = root.join("lab").join("results");
-                let free = (1..)
+                let unused = (1..)
                     .map(|n| below.join(format!("{stem}-{n}")))
                     .find(|f| !f.exists());
-                free.ok_or(ResultsError::NoName)?
+                unused.ok_or(ResultsError::NoName)?
             }
         };
-        if folder.join(ARGUMENTS).exists() {
+        if folder.join(ARGUMENTS_FILE).exists() {
             return Err(ResultsError::InUse(folder));
         }
         std::fs::create_dir_all(&folder).map_err(FileError::at(&folder))?;
         let folder = folder.canonicalize().map_err(FileError::at(&folder))?;
-        std::fs::copy(file, folder.join(EXPERIMENT)).map_err(FileError::at(file))?;
-        write(&folder.join(ARGUMENTS), &serde_json::to_string(arguments)?)?;
+        std::fs::copy(file, folder.join(EXPERIMENT_FILE)).map_err(FileError::at(file))?;
+        write(
+            &folder.join(ARGUMENTS_FILE),
+            &serde_json::to_string(arguments)?,
+        )?;
         Ok(Results { folder })
     }
 
     /// Opens the folder of an earlier run.
     ///
     /// # Errors
-    /// When it is none.
+    /// Returns an error if the folder contains no results.
     pub fn open(folder: &Path) -> Result<Results, ResultsError> {
-        if !folder.join(ARGUMENTS).is_file() {
+        if !folder.join(ARGUMENTS_FILE).is_file() {
             return Err(ResultsError::NoResults(folder.to_path_buf()));
         }
         Ok(Results {
@@ -125,49 +128,51 @@
         })
     }
 
-    /// Where it is.
+    /// Returns the path of the folder.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Where one play of a program keeps its files.
-    pub fn play(&self, program: &str, play: usize) -> PathBuf {
+    /// Returns the folder of one play of a program.
+    pub fn play_folder(&self, program: &str, play: usize) -> PathBuf {
         self.folder.join(format!("{program}-{}", play + 1))
     }
 
-    /// Keeps a play.
+    /// Stores a play.
     ///
     /// # Errors
-    /// When its file can't be written.
-    pub fn keep(&self, played: &Played) -> Result<(), ResultsError> {
+    /// Returns an error if its file cannot be written.
+    pub fn store(&self, played: &Played) -> Result<(), ResultsError> {
         write(
-            &self.play(&played.program, played.play).join("play.json"),
+            &self
+                .play_folder(&played.program, played.play)
+                .join("play.json"),
             &serde_json::to_string(played)?,
         )
     }
 
-    /// What was asked for, and the experiment as it was then.
+    /// Returns the arguments of the run and a copy of the experiment from when it was started.
     ///
     /// # Errors
-    /// When either file can't be read.
+    /// Returns an error if either file cannot be read.
     pub fn arguments(&self) -> Result<(RunArguments, Experiment), ResultsError> {
         Ok((
-            read(&self.folder.join(ARGUMENTS))?,
-            experiment::load(&self.folder.join(EXPERIMENT))?,
+            read(&self.folder.join(ARGUMENTS_FILE))?,
+            experiment::load(&self.folder.join(EXPERIMENT_FILE))?,
         ))
     }
 
-    /// Every play that was kept, in the order in which they were made.
+    /// Returns all stored plays, in the order in which they were played.
     ///
     /// # Errors
-    /// When a file can't be read.
+    /// Returns an error if a file cannot be read.
     pub fn plays(&self) -> Result<Vec<Played>, ResultsError> {
-        let arguments: RunArguments = read(&self.folder.join(ARGUMENTS))?;
+        let arguments: RunArguments = read(&self.folder.join(ARGUMENTS_FILE))?;
         let mut plays = Vec::new();
         for play in 0..arguments.plays {
             for program in &arguments.programs {
-                let path = self.play(program, play).join("play.json");
-                // A run that was stopped has fewer plays than were asked for.
+                let path = self.play_folder(program, play).join("play.json");
+                // A run that was stopped early has fewer plays than requested.
                 if path.is_file() {
                     plays.push(read(&path)?);
                 }
@@ -176,10 +181,10 @@
         Ok(plays)
     }
 
-    /// Writes the report, and says where.
+    /// Writes the report and returns its path.
     ///
     /// # Errors
-    /// When it can't be drawn or written.
+    /// Returns an error if the report cannot be drawn or written.
     pub fn report(
         &self,
         e: &Experiment,
--- a/lab/src/results/mod.rs
+++ b/lab/src/results/mod.rs
@@ -1,4 +1,4 @@
-//! What a run leaves: its folder, and the tables made of its plays.
+//! The results of a run: its folder, and text tables of its plays.
 mod compare;
 mod folder;
 mod summary;
--- a/lab/src/results/summary.rs
+++ b/lab/src/results/summary.rs
@@ -1,9 +1,9 @@
-//! The summary of all plays.
+//! Text summary of all plays.
 use crate::convergence::Known;
 use crate::metrics::Played;
 use std::fmt::Write;
 
-/// The summary of all plays, as lines for a terminal.
+/// Formats a summary of all plays for a terminal.
 pub fn summary(plays: &[Played]) -> String {
     let mut text = format!(
         "{:<18} {:>8} {:>7} {:>7} {:>6} {:>8} {:>7} {:>7} {:>7}  rules\n",
@@ -18,7 +18,7 @@
         "p99 ms"
     );
     for p in plays {
-        write_play(&mut text, p);
+        write_row(&mut text, p);
     }
     for p in plays {
         write_notes(&mut text, p);
@@ -26,14 +26,14 @@
     text
 }
 
-/// The row of one play.
-fn write_play(text: &mut String, p: &Played) {
+/// Writes the row of one play.
+fn write_row(text: &mut String, p: &Played) {
     let f = &p.metrics;
     let rules: u64 = p.counts.values().sum();
     let rules = if rules == 0 {
-        "kept".to_string()
+        "passed".to_string()
     } else {
-        format!("broken {rules} times")
+        format!("violated {rules} times")
     };
     let _ = writeln!(
         text,
@@ -50,7 +50,7 @@
     );
 }
 
-/// What else is to be said of one play: violations, missed expectations, the lab's lateness, its tier.
+/// Writes notes on one play: violations, missed expectations, lateness of the lab, tier metrics.
 fn write_notes(text: &mut String, p: &Played) {
     let name = format!("{}, play {}", p.program, p.play + 1);
     for (rule, count) in &p.counts {
@@ -58,7 +58,7 @@
         let case = case.map_or(String::new(), |b| {
             format!(", first at {:.2} s: {}", b.at / 1000.0, b.case)
         });
-        let _ = writeln!(text, "{name}: rule {rule} broken {count} times{case}");
+        let _ = writeln!(text, "{name}: rule {rule} violated {count} times{case}");
     }
     for missed in &p.missed {
         let _ = writeln!(text, "{name}: expectation missed: {missed}");
@@ -66,7 +66,7 @@
     if !p.lateness.counts {
         let _ = writeln!(
             text,
-            "{name}: does not count: the lab itself was late in {:.1} of 100 steps (p99 {:.1} ms)",
+            "{name}: not valid: {:.1}% of the lab's own sends and timers were late (p99 {:.1} ms)",
             p.lateness.over * 100.0,
             p.lateness.p99_ms
         );
@@ -74,14 +74,14 @@
     if let Some(t) = &p.tier {
         let known = |k: &Known| {
             format!(
-                "{:.0} ms ({:.0} in half of {} cases, {} never)",
+                "{:.0} ms at p99 ({:.0} ms at p50, {} samples, {} never)",
                 k.p99_ms, k.p50_ms, k.times, k.never
             )
         };
         let _ = writeln!(
                 text,
-                "{name}: all know who is up within {}, sums have all within {}; {} suspected, {} version steps; {:.1} \
-                 datagrams of {:.0} bytes a second from each",
+                "{name}: membership known after {}, load sums complete after {}; {} members suspected, {} version \
+                 changes; {:.1} datagrams/s of {:.0} bytes per balancer",
                 known(&t.members),
                 known(&t.sums),
                 t.suspected,
