--- a/lab/src/capacity/balancer.rs
+++ b/lab/src/capacity/balancer.rs
@@ -1,4 +1,4 @@
-//! One balancer under measurement: its configuration, its process, its usage. Owns the process.
+//! A balancer under measurement: its configuration, process and resource usage. Owns the process.
 use super::accounting::Usage;
 use super::discovery::ZONES;
 use super::error::CapacityError;
@@ -15,25 +15,28 @@
 use tokio::process::{Child, Command};
 use tokio::time::{timeout, Instant};
 
-/// Descriptors that a balancer may hold.
-const DESCRIPTORS: usize = 20_000;
-/// The class's deadline and objective: calls are held for longer than any trial lasts.
+/// File descriptor limit of a balancer.
+const MAX_DESCRIPTORS: usize = 20_000;
+/// Deadline and latency objective of the class, in milliseconds: longer than any trial, so that calls can stay in
+/// flight.
 const DEADLINE_MS: u64 = 600_000;
-/// Starts a second that all tenants may ask for: far above what any trial does, so that nothing is refused by it.
-const QUOTA: f64 = 20_000.0;
-/// How long a balancer may take until it is ready, and the pause between two questions.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-const READY_PAUSE: Duration = Duration::from_millis(20);
+/// Quota of all tenants together, in requests per second: far above the rate of any trial, so that no request is
+/// refused.
+const QUOTA_PER_S: f64 = 20_000.0;
+/// How long a balancer may take to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval between readiness checks.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One balancer.
+/// A running balancer.
 pub(super) struct Balancer {
-    /// Where its clients connect.
+    /// The address for client connections.
     pub listen: SocketAddr,
     child: Child,
 }
 
-/// Where things are.
-pub(super) struct Place<'a> {
+/// Addresses and files of a balancer.
+pub(super) struct Location<'a> {
     pub block: &'a Block,
     pub folder: &'a Path,
     pub program: &'a Path,
@@ -41,26 +44,26 @@
 }
 
 impl Balancer {
-    /// Starts it and waits until it is ready.
+    /// Starts a balancer and waits until it is ready.
     pub(super) async fn start(
-        place: &Place<'_>,
+        location: &Location<'_>,
         scenario: &Scenario,
     ) -> Result<Balancer, CapacityError> {
         let file = |kind: &str| {
-            place
+            location
                 .folder
-                .join(format!("balancer-{}.{kind}", place.number))
+                .join(format!("balancer-{}.{kind}", location.number))
         };
         let write =
             |path: &PathBuf, text: String| std::fs::write(path, text).map_err(FileError::at(path));
         let (config, options) = (file("json"), file("toml"));
-        write(&config, configuration(place, scenario).to_string())?;
+        write(&config, configuration(location, scenario).to_string())?;
         let state = file("state");
-        // What is kept has a folder that is there before the balancer is.
+        // The state folder must exist before the balancer starts.
         std::fs::create_dir_all(&state).map_err(FileError::at(&state))?;
         write(&options, options_text(scenario, &state))?;
         let log = std::fs::File::create(file("log"))?;
-        let child = Command::new(place.program)
+        let child = Command::new(location.program)
             .args(["run", "--options"])
             .arg(&options)
             .env("NODE_CONFIG", &config)
@@ -69,48 +72,48 @@
             .stderr(Stdio::from(log))
             .kill_on_drop(true)
             .spawn()
-            .map_err(FileError::at(place.program))?;
+            .map_err(FileError::at(location.program))?;
         let balancer = Balancer {
-            listen: place.block.balancer(place.number),
+            listen: location.block.balancer(location.number),
             child,
         };
-        let end = Instant::now() + READY_WITHIN;
+        let end = Instant::now() + READY_TIMEOUT;
         while !balancer.is_ready().await {
             if Instant::now() > end {
                 return Err(CapacityError::NotReady {
-                    number: place.number,
-                    within: READY_WITHIN,
+                    number: location.number,
+                    within: READY_TIMEOUT,
                 });
             }
-            tokio::time::sleep(READY_PAUSE).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
         Ok(balancer)
     }
 
-    /// What it has used so far.
+    /// Returns its resource usage so far.
     pub(super) fn usage(&self) -> Result<Usage, CapacityError> {
         let pid = self.child.id().ok_or(CapacityError::Ended)?;
         Usage::of(pid).map_err(|source| CapacityError::Accounting { pid, source })
     }
 
-    /// Ends it and waits for that.
+    /// Kills it and waits for its exit.
     pub(super) async fn stop(mut self) -> Result<(), CapacityError> {
         Ok(self.child.kill().await?)
     }
 
     async fn is_ready(&self) -> bool {
-        let ask = async {
+        let check = async {
             let mut stream = TcpStream::connect(self.listen).await.ok()?;
-            let ask =
+            let request =
                 "GET /-/ready HTTP/1.1\r\nHost: service.internal\r\nConnection: close\r\n\r\n";
-            stream.write_all(ask.as_bytes()).await.ok()?;
-            let mut answer = [0; 12];
-            stream.read_exact(&mut answer).await.ok()?;
-            (&answer == b"HTTP/1.1 200").then_some(())
+            stream.write_all(request.as_bytes()).await.ok()?;
+            let mut status_line = [0; 12];
+            stream.read_exact(&mut status_line).await.ok()?;
+            (&status_line == b"HTTP/1.1 200").then_some(())
         };
-        timeout(READY_WITHIN, ask)
+        timeout(READY_TIMEOUT, check)
             .await
-            .is_ok_and(|answer| answer.is_some())
+            .is_ok_and(|ready| ready.is_some())
     }
 }
 
@@ -128,11 +131,11 @@
     text
 }
 
-fn configuration(place: &Place<'_>, scenario: &Scenario) -> Value {
-    let (block, number) = (place.block, place.number);
+fn configuration(location: &Location<'_>, scenario: &Scenario) -> Value {
+    let (block, number) = (location.block, location.number);
     let members = scenario.members.unwrap_or(scenario.balancers);
     let share = 1.0 / scenario.tenants as f64;
-    let quota = QUOTA * share;
+    let quota = QUOTA_PER_S * share;
     let tenants: Vec<Value> = (0..scenario.tenants)
         .map(|tenant| json!({"name": format!("team-{tenant}"), "share": share, "quota_per_s": quota}))
         .collect();
@@ -144,7 +147,7 @@
         "listen": block.balancer(number).to_string(),
         "discovery": block.agent(number, 0).to_string(),
         "seed": format!("{:016x}", number + 1),
-        "limits": {"cores": 1.0, "memory_mb": 256, "sockets": DESCRIPTORS},
+        "limits": {"cores": 1.0, "memory_mb": 256, "sockets": MAX_DESCRIPTORS},
         "peer_listen": block.peer(number).to_string(),
         "peers": peers,
         "known": Value::Null,
--- a/lab/src/capacity/clients.rs
+++ b/lab/src/capacity/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of one balancer: idle connections, requests at a steady rate, and calls that wait for their answer.
+//! Clients of one balancer: idle connections, requests at a constant rate, and calls that stay in flight.
 use super::error::CapacityError;
 use super::http;
 use crate::net::lock;
@@ -10,11 +10,11 @@
 use tokio::net::TcpStream;
 use tokio::time::{interval, MissedTickBehavior};
 
-/// Connections over which requests at a steady rate are spread.
+/// Number of connections over which requests at a constant rate are distributed.
 const CONNECTIONS: usize = 16;
-/// The pause between calls that are to be held: a peak of 57 starts a second is under it.
+/// Interval between the starts of calls that stay in flight: faster than the peak of 57 starts per second.
 const START_PAUSE: Duration = Duration::from_millis(2);
-/// How long a client waits for its answer, in milliseconds: longer than any trial.
+/// Request deadline, in milliseconds: longer than any trial.
 const DEADLINE_MS: u64 = 600_000;
 
 /// The clients of one balancer.
@@ -22,14 +22,15 @@
     to: SocketAddr,
     tenants: usize,
     requests: AtomicU64,
-    /// Answers of 200, and all others.
+    /// Number of responses with status 200.
     pub served: AtomicUsize,
+    /// Number of responses with any other status.
     pub refused: AtomicUsize,
     idle: Mutex<Vec<BufReader<TcpStream>>>,
 }
 
 impl Clients {
-    /// None yet.
+    /// Returns the clients without any connections.
     pub(super) fn new(to: SocketAddr, tenants: usize) -> Arc<Clients> {
         Arc::new(Clients {
             to,
@@ -41,9 +42,9 @@
         })
     }
 
-    /// Opens connections, has one request answered on each and says nothing more: a balancer soon closes one on which
-    /// no request ever came.
-    pub(super) async fn rest(&self, count: usize) -> Result<(), CapacityError> {
+    /// Opens connections, sends one request on each and leaves them idle. The request is needed because a balancer soon
+    /// closes a connection on which it never received one.
+    pub(super) async fn open_idle(&self, count: usize) -> Result<(), CapacityError> {
         for number in 0..count {
             let stream = self
                 .call(None)
@@ -54,8 +55,8 @@
         Ok(())
     }
 
-    /// Sends requests at a rate, each connection its part of it, until the trial ends.
-    pub(super) fn ask_steadily(self: &Arc<Self>, per_second: f64) {
+    /// Sends requests at a constant rate, distributed over several connections, until the trial ends.
+    pub(super) fn send_at_rate(self: &Arc<Self>, per_second: f64) {
         let period = Duration::from_secs_f64(CONNECTIONS as f64 / per_second);
         for number in 0..CONNECTIONS {
             let (own, offset) = (
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Begins calls that are to be held, one connection each.
-    pub(super) async fn hold(self: &Arc<Self>, count: usize) {
+    /// Starts calls that stay in flight, each on its own connection.
+    pub(super) async fn start_calls_in_flight(self: &Arc<Self>, count: usize) {
         for _ in 0..count {
             let own = self.clone();
             tokio::spawn(async move { own.call(None).await });
@@ -84,7 +85,7 @@
         }
     }
 
-    /// One request; returns the connection for the next one.
+    /// Sends one request and waits for the response. Returns the connection for reuse.
     async fn call(&self, stream: Option<BufReader<TcpStream>>) -> Option<BufReader<TcpStream>> {
         let mut stream = match stream {
             Some(stream) => stream,
@@ -97,8 +98,8 @@
              Req-Owner: team-{tenant}\r\nReq-Deadline: {DEADLINE_MS}m\r\n\r\n"
         );
         stream.write_all(request.as_bytes()).await.ok()?;
-        let answer = http::read(&mut stream).await?;
-        let counter = if answer.status() == Some(200) {
+        let response = http::read(&mut stream).await?;
+        let counter = if response.status() == Some(200) {
             &self.served
         } else {
             &self.refused
--- a/lab/src/capacity/discovery.rs
+++ b/lab/src/capacity/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery as the balancers of a trial see it: one list, an agent for each balancer, every byte counted.
+//! Emulated discovery for the balancers of a trial: one list and an agent per balancer, with traffic counters.
 use super::http::{self, Message};
 use crate::error::BindError;
 use crate::net::{lock, Block};
@@ -10,10 +10,10 @@
 use tokio::sync::watch;
 use tokio::time::{timeout, Instant};
 
-/// The longest wait of a watch.
-const WAIT_MOST: u64 = 60_000;
+/// Maximum wait of a long poll, in milliseconds.
+const MAX_WAIT_MS: u64 = 60_000;
 
-/// What a balancer and its agent said to each other.
+/// Traffic between a balancer and its agent.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Traffic {
     pub calls: u64,
@@ -21,43 +21,43 @@
     pub bytes_out: u64,
 }
 
-/// One list for all balancers.
+/// The list of upstreams, shared by all balancers.
 pub(super) struct Discovery {
-    /// Each upstream as discovery words it.
-    lines: Vec<Value>,
-    /// What each version changed and when; version 1, the list as it was, has no entry.
+    /// The entry of each upstream in its initial state.
+    entries: Vec<Value>,
+    /// The upstream that each version changed, and when. Version 1 is the initial list and has no entry.
     changes: Mutex<Vec<(usize, Instant)>>,
     version: watch::Sender<u64>,
-    heard: Mutex<Vec<Heard>>,
+    balancers: Mutex<Vec<Subscriber>>,
 }
 
-/// What is known of one balancer.
-struct Heard {
+/// State of one balancer.
+struct Subscriber {
     traffic: Traffic,
-    /// The latest version that it has asked from, and so has taken in.
+    /// Latest version that it has named in a call, and therefore applied.
     version: u64,
-    /// Times from a change to the call that shows that it was taken in, in milliseconds.
+    /// Times from each change to the call that shows that it was applied, in milliseconds.
     lags: Vec<f64>,
 }
 
 impl Discovery {
-    /// Lists upstreams at these places of the block, all active, and listens for so many balancers.
+    /// Lists the first upstreams of the address block, all active, and starts an agent for each balancer.
     pub(super) async fn start(
         block: &Block,
         upstreams: usize,
         balancers: usize,
     ) -> Result<Arc<Discovery>, BindError> {
-        let lines = (0..upstreams).map(|number| line(block, number)).collect();
-        let heard = (0..balancers).map(|_| Heard {
+        let entries = (0..upstreams).map(|number| entry(block, number)).collect();
+        let subscribers = (0..balancers).map(|_| Subscriber {
             traffic: Traffic::default(),
             version: 0,
             lags: Vec::new(),
         });
         let discovery = Arc::new(Discovery {
-            lines,
+            entries,
             changes: Mutex::default(),
             version: watch::channel(1).0,
-            heard: Mutex::new(heard.collect()),
+            balancers: Mutex::new(subscribers.collect()),
         });
         for balancer in 0..balancers {
             let at = block.agent(balancer, 0);
@@ -67,35 +67,39 @@
         Ok(discovery)
     }
 
-    /// Turns one upstream's state, in turn: active to leaving and back.
+    /// Toggles the state of the next upstream between active and leaving.
     pub(super) fn change(&self) {
         let mut changes = lock(&self.changes);
-        let upstream = changes.len() % self.lines.len().max(1);
+        let upstream = changes.len() % self.entries.len().max(1);
         changes.push((upstream, Instant::now()));
         self.version.send_replace(1 + changes.len() as u64);
     }
 
-    /// What one balancer and its agent have said so far.
+    /// Returns the traffic between a balancer and its agent so far.
     pub(super) fn traffic(&self, balancer: usize) -> Traffic {
-        lock(&self.heard)[balancer].traffic
+        lock(&self.balancers)[balancer].traffic
     }
 
-    /// Changes that some balancer has not taken in, over all balancers.
+    /// Returns the number of changes not yet applied, summed over all balancers.
     pub(super) fn outstanding(&self) -> usize {
         let changes = lock(&self.changes).len();
-        lock(&self.heard)
+        lock(&self.balancers)
             .iter()
-            .map(|heard| changes - heard.lags.len())
+            .map(|balancer| changes - balancer.lags.len())
             .sum()
     }
 
-    /// Times until each balancer had taken in each change; and, for each change that all have, until the last had.
+    /// Returns the time until each balancer applied each change, and, for each change that all have applied, the time
+    /// until the last one did.
     pub(super) fn lags(&self) -> (Vec<f64>, Vec<f64>) {
-        let heard = lock(&self.heard);
-        let each = heard.iter().flat_map(|h| h.lags.iter().copied()).collect();
-        let complete = heard.iter().map(|h| h.lags.len()).min().unwrap_or(0);
+        let balancers = lock(&self.balancers);
+        let each = balancers
+            .iter()
+            .flat_map(|b| b.lags.iter().copied())
+            .collect();
+        let complete = balancers.iter().map(|b| b.lags.len()).min().unwrap_or(0);
         let last = (0..complete)
-            .map(|change| heard.iter().map(|h| h.lags[change]).fold(0.0, f64::max))
+            .map(|change| balancers.iter().map(|b| b.lags[change]).fold(0.0, f64::max))
             .collect();
         (each, last)
     }
@@ -109,41 +113,41 @@
     async fn serve(self: Arc<Self>, stream: TcpStream, balancer: usize) {
         let mut stream = BufReader::new(stream);
         while let Some(call) = http::read(&mut stream).await {
-            self.note_call(balancer, &call);
-            let answer = self.answer(&call).await;
-            if stream.write_all(answer.as_bytes()).await.is_err() {
+            self.record_call(balancer, &call);
+            let response = self.respond(&call).await;
+            if stream.write_all(response.as_bytes()).await.is_err() {
                 return;
             }
-            lock(&self.heard)[balancer].traffic.bytes_out += answer.len() as u64;
+            lock(&self.balancers)[balancer].traffic.bytes_out += response.len() as u64;
         }
     }
 
-    /// A call from a version shows that all up to it were taken in.
-    fn note_call(&self, balancer: usize, call: &Message) {
+    /// Records a call. The version that it names shows that all changes up to it were applied.
+    fn record_call(&self, balancer: usize, call: &Message) {
         let now = Instant::now();
         let changes = lock(&self.changes);
-        let mut all = lock(&self.heard);
-        let heard = &mut all[balancer];
-        heard.traffic.calls += 1;
-        heard.traffic.bytes_in += call.bytes as u64;
+        let mut all = lock(&self.balancers);
+        let subscriber = &mut all[balancer];
+        subscriber.traffic.calls += 1;
+        subscriber.traffic.bytes_in += call.bytes as u64;
         let since = call.query("since").unwrap_or(0);
-        let known = heard.version.max(1) as usize - 1;
-        let taken_in = changes
+        let known = subscriber.version.max(1) as usize - 1;
+        let applied = changes
             .iter()
             .take(since.saturating_sub(1) as usize)
             .skip(known);
-        heard
+        subscriber
             .lags
-            .extend(taken_in.map(|(_, at)| now.duration_since(*at).as_secs_f64() * 1000.0));
-        heard.version = heard.version.max(since);
+            .extend(applied.map(|(_, at)| now.duration_since(*at).as_secs_f64() * 1000.0));
+        subscriber.version = subscriber.version.max(since);
     }
 
-    async fn answer(&self, call: &Message) -> String {
+    async fn respond(&self, call: &Message) -> String {
         let since = call.query("since");
         if let Some(since) = since {
-            let wait = call.query("timeout_ms").unwrap_or(0).min(WAIT_MOST);
+            let wait = call.query("timeout_ms").unwrap_or(0).min(MAX_WAIT_MS);
             let mut version = self.version.subscribe();
-            // Nothing new in its time is an answer too.
+            // If nothing changes before the timeout, the response is an empty list of changes.
             let _ = timeout(
                 Duration::from_millis(wait),
                 version.wait_for(|now| *now > since),
@@ -151,14 +155,14 @@
             .await;
         }
         let changes = lock(&self.changes);
-        let states = |upstream: usize| {
+        let change_count = |upstream: usize| {
             changes
                 .iter()
                 .filter(|(changed, _)| *changed == upstream)
                 .count()
         };
         let upstreams: Vec<usize> = match since {
-            None => (0..self.lines.len()).collect(),
+            None => (0..self.entries.len()).collect(),
             Some(since) => {
                 let mut changed: Vec<usize> = changes
                     .iter()
@@ -173,25 +177,25 @@
         let servers: Vec<Value> = upstreams
             .into_iter()
             .map(|upstream| {
-                let mut line = self.lines[upstream].clone();
-                if states(upstream) % 2 == 1 {
-                    line["state"] = json!("leaving");
+                let mut entry = self.entries[upstream].clone();
+                if change_count(upstream) % 2 == 1 {
+                    entry["state"] = json!("leaving");
                 }
-                line
+                entry
             })
             .collect();
         let listing =
             json!({"version": 1 + changes.len(), "full": since.is_none(), "servers": servers});
-        http::answer("200 OK", &listing.to_string())
+        http::response("200 OK", &listing.to_string())
     }
 }
 
-/// Where upstreams of every balancer listen: they are the same for all.
+/// Returns the address of an upstream, which is the same for all balancers.
 pub(super) fn upstream_at(block: &Block, number: usize) -> std::net::SocketAddr {
     block.upstream(number, 0)
 }
 
-fn line(block: &Block, number: usize) -> Value {
+fn entry(block: &Block, number: usize) -> Value {
     json!({
         "id": format!("worker-{number:04}"),
         "addr": upstream_at(block, number).to_string(),
@@ -204,5 +208,5 @@
     })
 }
 
-/// The target's zones.
+/// The zones of the target deployment.
 pub(super) const ZONES: [&str; 6] = ["a1", "a2", "a3", "b1", "b2", "b3"];
--- a/lab/src/capacity/error.rs
+++ b/lab/src/capacity/error.rs
@@ -1,4 +1,4 @@
-//! Why a trial could not be measured.
+//! Errors of capacity measurements.
 use crate::error::{BindError, FileError};
 use crate::net::BlockError;
 use std::io;
@@ -6,53 +6,53 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// A trial that could not be measured.
+/// Why a trial cannot be measured.
 #[derive(Debug, Error)]
 pub enum CapacityError {
-    /// There are no addresses.
+    /// No block of addresses is available.
     #[error(transparent)]
     Block(#[from] BlockError),
-    /// A stand-in could not listen.
+    /// An emulated component cannot listen.
     #[error(transparent)]
     Bind(#[from] BindError),
-    /// A file, folder or program.
+    /// A file, folder or program cannot be accessed.
     #[error(transparent)]
     File(#[from] FileError),
-    /// The operating system refused something else.
+    /// Another operation failed in the operating system.
     #[error(transparent)]
     System(#[from] io::Error),
-    /// The size does not fit the protocol.
+    /// The size exceeds the limits of the protocol.
     #[error(transparent)]
     Size(#[from] TryFromIntError),
-    /// A balancer did not get ready.
-    #[error("balancer {number} is not ready after {within:?}")]
+    /// A balancer did not become ready in time.
+    #[error("balancer {number} was not ready within {within:?}")]
     NotReady {
-        /// Which.
+        /// Its number.
         number: usize,
-        /// How long it had.
+        /// The time limit.
         within: Duration,
     },
-    /// A balancer ended by itself.
-    #[error("a balancer ended by itself")]
+    /// A balancer exited unexpectedly.
+    #[error("a balancer exited unexpectedly")]
     Ended,
-    /// The accounting of a process can't be read.
-    #[error("process {pid}: {source}")]
+    /// The resource usage of a process cannot be read.
+    #[error("cannot read the resource usage of process {pid}: {source}")]
     Accounting {
         /// The process.
         pid: u32,
-        /// What the operating system says of it.
+        /// The cause.
         source: io::Error,
     },
-    /// A client that was to hold a connection got no response.
-    #[error("client {0} got no answer")]
+    /// A client that opens an idle connection received no response.
+    #[error("client {0} received no response")]
     NoResponse(usize),
-    /// The settings of a hollow member are invalid.
+    /// The configuration of a hollow member is invalid.
     #[error(transparent)]
     Member(#[from] balancer_gossip::ConfigError),
-    /// The thread of the hollow tier ended.
-    #[error("the thread of the hollow tier ended")]
+    /// The thread of the hollow tier has ended.
+    #[error("the thread of the hollow tier has ended")]
     TierEnded,
-    /// The real member of a tier sent nothing.
-    #[error("the real member sent no datagram")]
+    /// The real member of a tier sent no datagram in time.
+    #[error("the real member sent no datagram in time")]
     NoDatagram,
 }
--- a/lab/src/capacity/fit.rs
+++ b/lab/src/capacity/fit.rs
@@ -1,26 +1,26 @@
-//! A straight line by least squares, with what it leaves unexplained. Owns no state.
+//! Linear least-squares fit with residuals. Owns no state.
 
-/// A line `intercept + slope * x` through measured points.
+/// A line `intercept + slope * x` fitted to measured points.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// The value at a size of zero.
+    /// Value at size zero.
     pub intercept: f64,
-    /// What one more of the size adds.
+    /// Increase per unit of size.
     pub slope: f64,
-    /// The standard error of the slope, from the residuals.
+    /// Standard error of the slope.
     pub slope_error: f64,
-    /// The root mean square of the residuals, over the points less the two that a line takes.
+    /// Residual standard error, with two degrees of freedom fewer than there are points.
     pub residual: f64,
-    /// The largest residual, without its sign.
-    pub residual_most: f64,
+    /// Largest absolute residual.
+    pub max_residual: f64,
 }
 
-/// Why no line was put through the points.
+/// Why no line can be fitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FitError {
-    /// A line through two points or fewer has no residuals.
+    /// Fewer than three points: a line would have no residuals.
     TooFewPoints,
-    /// All points have one size.
+    /// All points have the same size.
     OneSize,
     /// A point is not a finite number.
     NotFinite,
@@ -30,22 +30,22 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             FitError::TooFewPoints => "fewer than three points",
-            FitError::OneSize => "all points have one size",
-            FitError::NotFinite => "a point is no finite number",
+            FitError::OneSize => "all points have the same size",
+            FitError::NotFinite => "a point is not finite",
         })
     }
 }
 
 impl std::error::Error for FitError {}
 
-/// The least points that leave a residual.
-const POINTS_LEAST: usize = 3;
-/// What the two parameters of a line take from the points' freedom.
+/// Minimum number of points that leaves a residual.
+const MIN_POINTS: usize = 3;
+/// Degrees of freedom used by the two parameters of a line.
 const PARAMETERS: f64 = 2.0;
 
-/// Puts a line through points of size and value.
+/// Fits a line to points of size and value.
 pub fn fit(points: &[(f64, f64)]) -> Result<Fit, FitError> {
-    if points.len() < POINTS_LEAST {
+    if points.len() < MIN_POINTS {
         return Err(FitError::TooFewPoints);
     }
     if points.iter().any(|(x, y)| !x.is_finite() || !y.is_finite()) {
@@ -54,15 +54,15 @@
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
     let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-    let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-    if spread <= 0.0 {
+    let variation_x: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+    if variation_x <= 0.0 {
         return Err(FitError::OneSize);
     }
-    let together: f64 = points
+    let covariation: f64 = points
         .iter()
         .map(|(x, y)| (x - mean_x) * (y - mean_y))
         .sum();
-    let slope = together / spread;
+    let slope = covariation / variation_x;
     let intercept = mean_y - slope * mean_x;
     let residuals = points.iter().map(|(x, y)| y - (intercept + slope * x));
     let squares: f64 = residuals.clone().map(|r| r * r).sum();
@@ -70,14 +70,14 @@
     Ok(Fit {
         intercept,
         slope,
-        slope_error: (variance / spread).sqrt(),
+        slope_error: (variance / variation_x).sqrt(),
         residual: variance.sqrt(),
-        residual_most: residuals.map(f64::abs).fold(0.0, f64::max),
+        max_residual: residuals.map(f64::abs).fold(0.0, f64::max),
     })
 }
 
 impl Fit {
-    /// The value of the line at a size.
+    /// Returns the value of the line at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
--- a/lab/src/capacity/hollow/member.rs
+++ b/lab/src/capacity/hollow/member.rs
@@ -1,4 +1,5 @@
-//! One hollow member: the loop that the node runs around the protocol. Owns the protocol's state and the socket.
+//! A hollow member: the same event loop that the node runs for the peer protocol. Owns the protocol state and the
+//! socket.
 use balancer_gossip::{
     Config, ConfigError, Load, Member, Millis, Observations, Peers, Subject, TenantLoad,
 };
@@ -11,22 +12,24 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep_until, Instant};
 
-/// How often the node reads what the tier knows, and how often it tells what it observes.
+/// How often the node reads the tier state.
 const STATE_INTERVAL: Millis = 100.0;
-const OBSERVE_EVERY: Millis = 200.0;
-/// Datagrams taken at a time, and the node's pause between two turns.
-const TAKEN_MOST: usize = 32;
-const PAUSE: Duration = Duration::from_millis(1);
-/// Incarnation of every hollow member: each starts once.
+/// How often the node passes its observations to the protocol.
+const OBSERVATION_INTERVAL: Millis = 200.0;
+/// Maximum number of datagrams received per iteration.
+const MAX_BATCH: usize = 32;
+/// The node's pause between iterations.
+const ITERATION_PAUSE: Duration = Duration::from_millis(1);
+/// Incarnation of every hollow member; each starts only once.
 const INCARNATION: u64 = 1;
 
-/// The addresses of a tier, the same for all members.
+/// The addresses of a tier, shared by all members.
 pub(super) struct Addresses {
     pub to: Vec<SocketAddr>,
     pub from: HashMap<SocketAddr, Member>,
 }
 
-/// Datagrams and their bytes.
+/// Number of datagrams and bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Datagrams {
     pub count: u64,
@@ -40,25 +43,26 @@
     }
 }
 
-/// What a member counted and knows.
+/// Counters of a member and its latest view of the tier.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Counted {
+pub(super) struct Counters {
     pub sent: Datagrams,
     pub read: Datagrams,
-    /// Sent to, and read from, the member that is watched.
+    /// Sent to the watched member.
     pub to_watched: Datagrams,
+    /// Received from the watched member.
     pub from_watched: Datagrams,
-    /// Datagrams that the socket did not take.
+    /// Datagrams that could not be sent.
     pub unsent: u64,
-    /// Members up, as last read.
+    /// Members that are up, as last read.
     pub up: u32,
-    /// Members whose metrics are in the sums; none without sums.
+    /// Members included in the load sums; none if there are no sums.
     pub summed: Option<u32>,
-    /// Whether it knows of evidence of others.
+    /// Whether it knows evidence reported by other members.
     pub evidence: bool,
 }
 
-/// One member.
+/// A hollow member.
 pub(super) struct Hollow {
     start: Instant,
     socket: UdpSocket,
@@ -66,13 +70,13 @@
     peers: RefCell<Peers>,
     tenants: u16,
     watched: Option<Member>,
-    pub counted: Cell<Counted>,
-    /// What it has evidence against.
-    pub accuses: Cell<Option<Subject>>,
+    pub counted: Cell<Counters>,
+    /// The subject that it reports evidence against.
+    pub evidence_against: Cell<Option<Subject>>,
     pub stopped: Cell<bool>,
 }
 
-/// What all members of a tier are told alike.
+/// Configuration shared by all members of a tier.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Shared {
     pub tenants: u16,
@@ -82,19 +86,19 @@
 }
 
 impl Hollow {
-    /// A member at its place that has heard nobody yet.
+    /// Creates a member with the given index in the member list.
     pub(super) fn new(
-        place: u16,
+        index: u16,
         socket: UdpSocket,
         addresses: Rc<Addresses>,
         shared: Shared,
     ) -> Result<Rc<Hollow>, ConfigError> {
         let config = Config {
-            own: Member(place),
+            own: Member(index),
             candidates: u16::try_from(addresses.to.len()).unwrap_or(u16::MAX),
             incarnation: INCARNATION,
-            seed: u64::from(place),
-            zone: place % shared.zones.max(1),
+            seed: u64::from(index),
+            zone: index % shared.zones.max(1),
             tenants: shared.tenants,
             deployment: shared.deployment,
             supported_versions: SUPPORTED_VERSIONS,
@@ -107,22 +111,22 @@
             tenants: shared.tenants,
             watched: shared.watched,
             counted: Cell::default(),
-            accuses: Cell::new(None),
+            evidence_against: Cell::new(None),
             stopped: Cell::new(false),
         }))
     }
 
-    /// Speaks with the others until it is stopped.
+    /// Runs the protocol until the member is stopped.
     pub(super) async fn run(self: Rc<Self>) {
         let (mut state_due_at, mut observe_at) = (STATE_INTERVAL, 0.0);
         while !self.stopped.get() {
-            let more = self.take();
+            let more = self.receive();
             let now = self.now();
             if now >= observe_at {
-                observe_at = now + OBSERVE_EVERY;
+                observe_at = now + OBSERVATION_INTERVAL;
                 self.peers
                     .borrow_mut()
-                    .handle_observation(now, self.observed());
+                    .handle_observation(now, self.observations());
             }
             if self
                 .peers
@@ -140,11 +144,11 @@
             let due = self.peers.borrow().next_timeout().unwrap_or(f64::INFINITY);
             let due = due.min(state_due_at).min(observe_at);
             let wake = self.start + Duration::from_secs_f64(due.max(0.0) / 1000.0);
-            let wake = wake.max(Instant::now() + PAUSE);
+            let wake = wake.max(Instant::now() + ITERATION_PAUSE);
             tokio::select! {
                 _ = self.socket.readable(), if !more => {}
                 () = sleep_until(wake), if !more => {}
-                () = tokio::time::sleep(PAUSE), if more => {}
+                () = tokio::time::sleep(ITERATION_PAUSE), if more => {}
             }
         }
     }
@@ -153,8 +157,8 @@
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Metrics of the size that a busy balancer tells.
-    fn observed(&self) -> Observations {
+    /// Returns observations of the same size as those of a busy balancer.
+    fn observations(&self) -> Observations {
         let tenant = |number: u16| TenantLoad {
             demand: f64::from(number % 7),
             calls: f64::from(number % 5),
@@ -170,17 +174,17 @@
         };
         Observations {
             load,
-            against: self.accuses.get().into_iter().collect(),
+            against: self.evidence_against.get().into_iter().collect(),
             cleared: Vec::new(),
         }
     }
 
-    /// Hands on what has come. Returns whether more may wait.
-    fn take(&self) -> bool {
+    /// Passes received datagrams to the protocol. Returns whether more may be waiting.
+    fn receive(&self) -> bool {
         let mut bytes = [0; MAX_DATAGRAM_LEN + 1];
         let mut counted = self.counted.get();
         let mut more = true;
-        for _ in 0..TAKEN_MOST {
+        for _ in 0..MAX_BATCH {
             let at = self.now();
             let Ok((length, from)) = self.socket.try_recv_from(&mut bytes) else {
                 more = false;
--- a/lab/src/capacity/hollow/mod.rs
+++ b/lab/src/capacity/hollow/mod.rs
@@ -1,7 +1,7 @@
-//! Hollow balancers: the peers' protocol of the real program on real datagrams over loopback, many members in one
-//! thread, with nothing else of a balancer around it.
+//! Hollow balancers: the real peer protocol over real loopback datagrams, without the rest of a balancer, so that many
+//! members run in one thread.
 //!
-//! `member` runs one member as the node does; `tier` owns the thread that holds all of them.
+//! `member` runs one member in the same way as the node; `tier` owns the thread that runs all members.
 mod member;
 mod tier;
 
--- a/lab/src/capacity/hollow/tier.rs
+++ b/lab/src/capacity/hollow/tier.rs
@@ -1,6 +1,6 @@
-//! All hollow members of a tier in one thread, and the questions that the lab asks of it. Owns the thread.
+//! Runs all hollow members of a tier in one thread and serves requests from the lab. Owns the thread.
 use super::member::{Addresses, Hollow, Shared};
-use crate::capacity::accounting::thread_processor;
+use crate::capacity::accounting::thread_cpu_time;
 use crate::capacity::error::CapacityError;
 use balancer_gossip::{Member, Subject, HEADER_LEN, MAX_DATAGRAM_LEN};
 use std::cell::Cell;
@@ -10,118 +10,118 @@
 use std::sync::mpsc;
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
-use tokio::sync::mpsc as questions;
+use tokio::sync::mpsc as tokio_mpsc;
 use tokio::task::LocalSet;
 
-/// Where a datagram's header has the deployment, as `balancer_gossip::HEADER_LEN` tells.
-const DEPLOYMENT_AT: usize = 15;
-/// The pause between two looks for the first datagram.
-const LOOK_PAUSE: Duration = Duration::from_millis(5);
-/// How often the thread looks whether something was asked or has come true.
-const STEP: Duration = Duration::from_millis(10);
-/// What one member accuses another of: an upstream that no list has.
-const ACCUSED: Subject = Subject::Upstream(1);
+/// Offset of the deployment in a datagram header; see `balancer_gossip::HEADER_LEN`.
+const DEPLOYMENT_OFFSET: usize = 15;
+/// Interval between checks for the first datagram.
+const RECEIVE_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval at which the thread checks conditions and its own lateness.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The subject of reported evidence: an upstream that is in no list.
+const EVIDENCE_SUBJECT: Subject = Subject::Upstream(1);
 
-/// A tier to be started.
+/// Configuration of a tier.
 pub struct Tier {
-    /// An address for each member, the real one's too.
+    /// Addresses of all members, including the real one.
     pub addresses: Vec<SocketAddr>,
-    /// The hollow members' places and sockets.
+    /// Index and socket of each hollow member.
     pub sockets: Vec<(u16, UdpSocket)>,
-    /// Tenants of the deployment.
+    /// Number of tenants in the deployment.
     pub tenants: u16,
-    /// Zones over which members are spread.
+    /// Number of zones over which members are distributed.
     pub zones: u16,
-    /// What a datagram of the deployment carries.
+    /// Deployment identifier in datagrams.
     pub deployment: u32,
-    /// The real member whose traffic is counted on its own.
+    /// The member whose traffic is counted separately.
     pub watched: Option<u16>,
 }
 
-/// What the tier has counted so far.
+/// Counters of a tier.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Snapshot {
-    /// When it was taken, since the start.
+    /// Time since the start of the tier.
     pub at: Duration,
-    /// Time of the thread on a core.
+    /// CPU time of the thread.
     pub processor: Duration,
-    /// Datagrams that hollow members sent and read, and their bytes.
+    /// Datagrams sent by hollow members.
     pub sent: u64,
-    /// See there.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// See there.
+    /// Datagrams received by hollow members.
     pub read: u64,
-    /// See there.
+    /// Bytes of the datagrams received.
     pub read_bytes: u64,
-    /// Those that the system did not take.
+    /// Datagrams that could not be sent.
     pub unsent: u64,
-    /// Datagrams to and from the watched member, and their bytes.
+    /// Number and bytes of datagrams sent to the watched member.
     pub to_watched: (u64, u64),
-    /// See there.
+    /// Number and bytes of datagrams received from the watched member.
     pub from_watched: (u64, u64),
-    /// How late the thread was at the most for something that was due: a member that is 200 ms late takes itself for
-    /// stopped, so that what is measured on a crowded machine is partly the machine's doing.
-    pub late_most: Duration,
-    /// Hollow members that run.
+    /// Maximum lateness of a timer in the thread. A member that is 200 ms late assumes that it was suspended, so on an
+    /// overloaded machine the measurement is distorted.
+    pub max_lateness: Duration,
+    /// Number of running hollow members.
     pub running: usize,
-    /// The least and the mean of members up, as they know it.
-    pub up_least: u32,
-    /// See there.
+    /// Minimum number of members that a running member knows to be up.
+    pub min_up: u32,
+    /// Mean number of members that running members know to be up.
     pub up_mean: f64,
-    /// The mean of members in the sums of those that have sums, and how many have.
+    /// Mean number of members included in the load sums, over the members that have sums.
     pub summed_mean: f64,
-    /// See there.
+    /// Number of members that have load sums.
     pub with_sums: usize,
 }
 
-/// Until what the tier is asked to wait.
+/// A condition that the tier waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Until {
-    /// All know that as many are up as this.
+enum Condition {
+    /// All running members know this number of members to be up.
     Up(u32),
-    /// All but the accuser know of the evidence.
+    /// All members except its reporter know the evidence.
     Evidence,
 }
 
-enum Question {
+enum Request {
     Snapshot(mpsc::Sender<Snapshot>),
     Stop(usize),
-    Accuse(usize, bool),
-    Await(Until, Instant, mpsc::Sender<Option<Duration>>),
+    SetEvidence(usize, bool),
+    WaitFor(Condition, Instant, mpsc::Sender<Option<Duration>>),
 }
 
-/// A tier that runs.
+/// A running tier.
 pub struct Running {
-    ask: Option<questions::UnboundedSender<Question>>,
+    requests: Option<tokio_mpsc::UnboundedSender<Request>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Tier {
-    /// Starts the thread.
+    /// Starts the thread of the tier.
     ///
     /// # Errors
-    /// When the operating system refuses a socket or a runtime.
+    /// Returns an error if the sockets, the runtime or a member cannot be created.
     pub fn start(self) -> Result<Running, CapacityError> {
-        let (ask, questions) = questions::unbounded_channel();
+        let (sender, receiver) = tokio_mpsc::unbounded_channel();
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
-        let (tell, began) = mpsc::channel();
+        let (started_tx, started_rx) = mpsc::channel();
         let thread = std::thread::spawn(move || {
             LocalSet::new().block_on(&runtime, async move {
-                // Whoever started it may have given up.
+                // The receiver may have been dropped; the result is then not needed.
                 match self.members() {
                     Ok(members) => {
-                        let _ = tell.send(Ok(()));
-                        answer(&members, questions).await;
+                        let _ = started_tx.send(Ok(()));
+                        serve(&members, receiver).await;
                     }
-                    Err(error) => _ = tell.send(Err(error)),
+                    Err(error) => _ = started_tx.send(Err(error)),
                 }
             });
         });
-        began.recv().map_err(|_| CapacityError::TierEnded)??;
+        started_rx.recv().map_err(|_| CapacityError::TierEnded)??;
         Ok(Running {
-            ask: Some(ask),
+            requests: Some(sender),
             thread: Some(thread),
         })
     }
@@ -143,10 +143,10 @@
             from,
         });
         let mut members = Vec::new();
-        for (place, socket) in self.sockets {
+        for (index, socket) in self.sockets {
             socket.set_nonblocking(true)?;
             let socket = tokio::net::UdpSocket::from_std(socket)?;
-            let member = Hollow::new(place, socket, addresses.clone(), shared)?;
+            let member = Hollow::new(index, socket, addresses.clone(), shared)?;
             tokio::task::spawn_local(member.clone().run());
             members.push(member);
         }
@@ -154,45 +154,49 @@
     }
 }
 
-/// Answers until nobody asks any more.
-async fn answer(members: &[Rc<Hollow>], mut questions: questions::UnboundedReceiver<Question>) {
+/// Serves requests until all senders are dropped.
+async fn serve(members: &[Rc<Hollow>], mut requests: tokio_mpsc::UnboundedReceiver<Request>) {
     let start = Instant::now();
     let late = Rc::new(Cell::new(Duration::ZERO));
     tokio::task::spawn_local(watch_lateness(late.clone()));
-    while let Some(question) = questions.recv().await {
-        match question {
-            Question::Snapshot(tell) => {
-                let _ = tell.send(Snapshot {
-                    late_most: late.get(),
+    while let Some(request) = requests.recv().await {
+        match request {
+            Request::Snapshot(reply_tx) => {
+                let _ = reply_tx.send(Snapshot {
+                    max_lateness: late.get(),
                     ..snapshot(members, start)
                 });
             }
-            Question::Stop(member) => members[member].stopped.set(true),
-            Question::Accuse(member, accuses) => {
-                members[member].accuses.set(accuses.then_some(ACCUSED));
+            Request::Stop(member) => members[member].stopped.set(true),
+            Request::SetEvidence(member, is_reported) => {
+                members[member]
+                    .evidence_against
+                    .set(is_reported.then_some(EVIDENCE_SUBJECT));
             }
-            Question::Await(until, end, tell) => {
-                let _ = tell.send(waited(members, until, end).await);
+            Request::WaitFor(condition, end, reply_tx) => {
+                let _ = reply_tx.send(wait_for(members, condition, end).await);
             }
         }
     }
 }
 
-/// Keeps the most by which a short pause was too long.
+/// Records the maximum lateness of a periodic timer.
 async fn watch_lateness(late: Rc<Cell<Duration>>) {
     loop {
-        let due = Instant::now() + STEP;
-        tokio::time::sleep(STEP).await;
+        let due = Instant::now() + POLL_INTERVAL;
+        tokio::time::sleep(POLL_INTERVAL).await;
         late.set(late.get().max(due.elapsed()));
     }
 }
 
-/// How long it took until it was true of all that run, or none when it was not by then.
-async fn waited(members: &[Rc<Hollow>], until: Until, end: Instant) -> Option<Duration> {
+/// Waits until a condition holds for all running members. Returns the time it took, or none on timeout.
+async fn wait_for(members: &[Rc<Hollow>], condition: Condition, end: Instant) -> Option<Duration> {
     let start = Instant::now();
-    let holds = |member: &Rc<Hollow>| match until {
-        Until::Up(count) => member.counted.get().up == count,
-        Until::Evidence => member.accuses.get().is_some() || member.counted.get().evidence,
+    let holds = |member: &Rc<Hollow>| match condition {
+        Condition::Up(count) => member.counted.get().up == count,
+        Condition::Evidence => {
+            member.evidence_against.get().is_some() || member.counted.get().evidence
+        }
     };
     while Instant::now() < end {
         if members
@@ -202,7 +206,7 @@
         {
             return Some(start.elapsed());
         }
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     None
 }
@@ -210,10 +214,10 @@
 fn snapshot(members: &[Rc<Hollow>], start: Instant) -> Snapshot {
     let mut all = Snapshot {
         at: start.elapsed(),
-        up_least: u32::MAX,
+        min_up: u32::MAX,
         ..Snapshot::default()
     };
-    all.processor = thread_processor().unwrap_or_default();
+    all.processor = thread_cpu_time().unwrap_or_default();
     let (mut up, mut summed) = (0.0, 0.0);
     for member in members {
         let counted = member.counted.get();
@@ -230,7 +234,7 @@
             continue;
         }
         all.running += 1;
-        all.up_least = all.up_least.min(counted.up);
+        all.min_up = all.min_up.min(counted.up);
         up += f64::from(counted.up);
         if let Some(heard) = counted.summed {
             all.with_sums += 1;
@@ -243,81 +247,95 @@
 }
 
 impl Running {
-    /// What was counted so far.
+    /// Returns the counters of the tier so far.
     ///
     /// # Errors
-    /// When its thread has ended.
+    /// Returns an error if the thread of the tier has ended.
     pub fn snapshot(&self) -> Result<Snapshot, CapacityError> {
-        let (tell, reply) = mpsc::channel();
-        self.ask(Question::Snapshot(tell))?;
-        reply.recv().map_err(|_| CapacityError::TierEnded)
+        let (reply_tx, reply_rx) = mpsc::channel();
+        self.send(Request::Snapshot(reply_tx))?;
+        reply_rx.recv().map_err(|_| CapacityError::TierEnded)
     }
 
-    /// Waits until every hollow member knows as many up as this; the time it took, or none if it takes too long.
+    /// Waits until every running hollow member knows this number of members to be up. Returns the time it took, or none
+    /// on timeout.
     ///
     /// # Errors
-    /// When its thread has ended.
-    pub fn until_up(&self, count: u32, most: Duration) -> Result<Option<Duration>, CapacityError> {
-        self.until(Until::Up(count), most)
+    /// Returns an error if the thread of the tier has ended.
+    pub fn wait_until_up(
+        &self,
+        count: u32,
+        timeout: Duration,
+    ) -> Result<Option<Duration>, CapacityError> {
+        self.wait_for(Condition::Up(count), timeout)
     }
 
-    /// One member, by its position among the hollow ones, ends without a word.
+    /// Stops a hollow member, by its position among the hollow ones, without notice to its peers.
     ///
     /// # Errors
-    /// When its thread has ended.
+    /// Returns an error if the thread of the tier has ended.
     pub fn stop(&self, member: usize) -> Result<(), CapacityError> {
-        self.ask(Question::Stop(member))
+        self.send(Request::Stop(member))
     }
 
-    /// One member has evidence against an upstream; the time until all know of it, or none if it takes too long.
+    /// Lets a member report evidence against an upstream. Returns the time until all members know it, or none on
+    /// timeout.
     ///
     /// # Errors
-    /// When its thread has ended.
-    pub fn until_evidence(
+    /// Returns an error if the thread of the tier has ended.
+    pub fn wait_for_evidence(
         &self,
-        accuser: usize,
-        most: Duration,
+        reporter: usize,
+        timeout: Duration,
     ) -> Result<Option<Duration>, CapacityError> {
-        self.ask(Question::Accuse(accuser, true))?;
-        let took = self.until(Until::Evidence, most);
-        self.ask(Question::Accuse(accuser, false))?;
+        self.send(Request::SetEvidence(reporter, true))?;
+        let took = self.wait_for(Condition::Evidence, timeout);
+        self.send(Request::SetEvidence(reporter, false))?;
         took
     }
 
-    fn until(&self, until: Until, most: Duration) -> Result<Option<Duration>, CapacityError> {
-        let (tell, reply) = mpsc::channel();
-        self.ask(Question::Await(until, Instant::now() + most, tell))?;
-        reply.recv().map_err(|_| CapacityError::TierEnded)
+    fn wait_for(
+        &self,
+        condition: Condition,
+        timeout: Duration,
+    ) -> Result<Option<Duration>, CapacityError> {
+        let (reply_tx, reply_rx) = mpsc::channel();
+        self.send(Request::WaitFor(
+            condition,
+            Instant::now() + timeout,
+            reply_tx,
+        ))?;
+        reply_rx.recv().map_err(|_| CapacityError::TierEnded)
     }
 
-    fn ask(&self, question: Question) -> Result<(), CapacityError> {
-        self.ask
+    fn send(&self, request: Request) -> Result<(), CapacityError> {
+        self.requests
             .as_ref()
             .ok_or(CapacityError::TierEnded)?
-            .send(question)
+            .send(request)
             .map_err(|_| CapacityError::TierEnded)
     }
 }
 
 impl Drop for Running {
     fn drop(&mut self) {
-        self.ask = None;
+        self.requests = None;
         if let Some(thread) = self.thread.take() {
-            // A thread that panicked has said so.
+            // A panic of the thread has already been printed.
             let _ = thread.join();
         }
     }
 }
 
-/// Waits for the first datagram at any of the sockets and reads the deployment from its header.
+/// Waits for the first datagram on any of the sockets and reads the deployment from its header.
 ///
 /// # Errors
-/// When none comes in time.
+/// Returns an error if no datagram arrives in time.
 pub fn learn_deployment(
     sockets: &[(u16, UdpSocket)],
-    most: Duration,
+    timeout: Duration,
 ) -> Result<u32, CapacityError> {
-    let end = Instant::now() + most;
+    let end = Instant::now() + timeout;
     let mut bytes = [0; MAX_DATAGRAM_LEN];
     for (_, socket) in sockets {
         socket.set_nonblocking(true)?;
@@ -326,13 +344,13 @@
         for (_, socket) in sockets {
             match socket.recv_from(&mut bytes) {
                 Ok((length, _)) if length > HEADER_LEN => {
-                    let at = &bytes[DEPLOYMENT_AT..];
+                    let at = &bytes[DEPLOYMENT_OFFSET..];
                     return Ok(u32::from_be_bytes([at[0], at[1], at[2], at[3]]));
                 }
                 _ => {}
             }
         }
-        std::thread::sleep(LOOK_PAUSE);
+        std::thread::sleep(RECEIVE_POLL_INTERVAL);
     }
     Err(CapacityError::NoDatagram)
 }
--- a/lab/src/capacity/http.rs
+++ b/lab/src/capacity/http.rs
@@ -1,24 +1,24 @@
-//! The little of HTTP/1.1 that the stand-ins need: whole messages with a stated length, counted in bytes.
+//! Minimal HTTP/1.1 for the emulated components: complete messages with a `Content-Length`, counted in bytes.
 use tokio::io::{AsyncBufRead, AsyncBufReadExt, AsyncReadExt};
 
-/// Longest head of a message that is read.
-const HEAD_MOST: u64 = 16 << 10;
+/// Maximum length of a message head, in bytes.
+const MAX_HEAD_LEN: u64 = 16 << 10;
 
-/// A message as it came.
+/// A received message.
 pub(super) struct Message {
-    /// The request line or the status line.
+    /// The request or status line.
     pub start: String,
-    /// Its bytes, the body included.
+    /// Its length in bytes, including the body.
     pub bytes: usize,
 }
 
 impl Message {
-    /// The status of an answer.
+    /// Returns the status code of a response.
     pub(super) fn status(&self) -> Option<u16> {
         self.start.split(' ').nth(1)?.parse().ok()
     }
 
-    /// A metric of a request's query.
+    /// Returns a numeric parameter of a request's query.
     pub(super) fn query(&self, name: &str) -> Option<u64> {
         let query = self.start.split(' ').nth(1)?.split_once('?')?.1;
         let pair = query
@@ -28,9 +28,9 @@
     }
 }
 
-/// Reads the next message; none when the connection ends or what comes is no message.
+/// Reads the next message; none if the connection is closed or the message is malformed.
 pub(super) async fn read(stream: &mut (impl AsyncBufRead + Unpin)) -> Option<Message> {
-    let mut head = stream.take(HEAD_MOST);
+    let mut head = stream.take(MAX_HEAD_LEN);
     let mut start = String::new();
     let mut bytes = head.read_line(&mut start).await.ok()?;
     let mut length = 0;
@@ -60,8 +60,8 @@
     })
 }
 
-/// An answer with a body.
-pub(super) fn answer(status: &str, body: &str) -> String {
+/// Formats a response with a body.
+pub(super) fn response(status: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -1,10 +1,10 @@
-//! Measures what one balancer costs as one thing grows: the list, its changes, requests, calls in flight, tenants,
-//! clients or the tier. `docs/CAPACITY.md` is worked out from its slopes.
+//! Measures the resource usage of a balancer as one dimension grows: the upstream list, its changes, requests, calls in
+//! flight, tenants, clients or the tier. `docs/CAPACITY.md` is derived from the fitted slopes.
 //!
-//! [`scenario`] says what stands around the balancers at a size, `trial` plays it once and [`sample`] holds what came
-//! of it. [`fit`] puts a line through the samples and [`table`] prints them. [`hollow`] is the one part of the lab that
-//! runs the program's own code, the peers' protocol without the rest of a balancer, so that one process can hold a tier
-//! of hundreds.
+//! [`scenario`] defines the environment of the balancers at a size, `trial` measures it once and [`sample`] holds the
+//! result. [`fit`] fits a line to the samples and [`table`] prints them. [`hollow`] is the only part of the lab that
+//! runs the balancer's own code: the peer protocol without the rest of a balancer, so that one process can run a tier
+//! of hundreds of members.
 mod accounting;
 mod balancer;
 mod clients;
--- a/lab/src/capacity/scenario.rs
+++ b/lab/src/capacity/scenario.rs
@@ -1,68 +1,68 @@
-//! What stands around the balancers in one trial, by what grows and how far it has grown.
+//! The environment of the balancers in a trial, by dimension and size.
 use clap::ValueEnum;
 
-/// What grows from size to size.
+/// The dimension that grows from size to size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Dimension {
-    /// Upstreams on the list of a balancer that nobody calls.
+    /// Upstreams in the list of an idle balancer.
     List,
-    /// The same, with state kept on a disk.
+    /// Upstreams in the list of an idle balancer that persists its state to disk.
     Store,
-    /// Changes of the list a second.
+    /// Changes of the list per second.
     Changes,
-    /// Requests a second.
+    /// Requests per second.
     Requests,
-    /// Calls in flight that are held open.
+    /// Calls in flight.
     #[value(name = "held")]
     InFlight,
-    /// Tenants, with the same requests.
+    /// Tenants, at a constant request rate.
     Tenants,
-    /// Clients' idle connections.
+    /// Idle client connections.
     Clients,
-    /// Members of the tier, all but the measured one hollow.
+    /// Members of the tier; all except the measured one are hollow.
     Peers,
-    /// Whole balancers that hear one change each second.
+    /// Complete balancers that receive one change of the list per second.
     Fleet,
-    /// Members of a tier that is all hollow.
+    /// Members of a fully hollow tier.
     Hollow,
-    /// Members lost at once of a hollow tier of the target's size.
+    /// Members lost simultaneously in a hollow tier of the target size.
     Loss,
 }
 
-/// What stands around the balancers.
+/// The environment of the balancers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Balancers, each a process.
+    /// Number of balancer processes.
     pub balancers: usize,
-    /// Upstreams on the list. Only the first few have anybody who listens.
+    /// Upstreams in the list, of which only the first few listen.
     pub upstreams: usize,
-    /// Changes of the list a second.
+    /// Changes of the list per second.
     pub changes: f64,
-    /// Requests a second, answered at once.
+    /// Requests per second, answered immediately.
     pub requests: f64,
-    /// Calls in flight, held open.
+    /// Calls in flight that are held open.
     pub calls_in_flight: usize,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: usize,
-    /// Clients' idle connections.
+    /// Idle client connections.
     pub clients: usize,
-    /// Members of the tier, the measured balancer among them; none: peers are off.
+    /// Members of the tier, including the measured balancer; none if peers are disabled.
     pub members: Option<usize>,
-    /// Whether state is kept on a disk.
+    /// Whether state is persisted to disk.
     pub persisted: bool,
 }
 
-/// The target's list, where something else grows.
+/// Length of the upstream list in the target deployment, used if another dimension grows.
 const TARGET_LIST: usize = 550;
-/// The target's tenants.
+/// Number of tenants in the target deployment.
 const TARGET_TENANTS: usize = 21;
-/// Upstreams that answer, where there are requests.
-const ANSWERING: usize = 8;
-/// Requests a second where tenants grow.
-const TENANTS_REQUESTS: f64 = 60.0;
+/// Number of listening upstreams in scenarios with requests.
+const LISTENING_UPSTREAMS: usize = 8;
+/// Requests per second if the number of tenants grows.
+const TENANTS_REQUEST_RATE: f64 = 60.0;
 
 impl Dimension {
-    /// The scenario at a size; none where no whole balancer runs.
+    /// Returns the scenario at a size; none for dimensions without complete balancers.
     pub fn scenario(self, size: usize) -> Option<Scenario> {
         let idle = Scenario {
             balancers: 1,
@@ -75,8 +75,8 @@
             members: None,
             persisted: false,
         };
-        let answering = Scenario {
-            upstreams: ANSWERING,
+        let serving = Scenario {
+            upstreams: LISTENING_UPSTREAMS,
             ..idle.clone()
         };
         Some(match self {
@@ -95,24 +95,24 @@
             },
             Dimension::Requests => Scenario {
                 requests: size as f64,
-                ..answering
+                ..serving
             },
             Dimension::InFlight => Scenario {
                 calls_in_flight: size,
-                ..answering
+                ..serving
             },
             Dimension::Tenants => Scenario {
                 tenants: size,
-                requests: TENANTS_REQUESTS,
-                ..answering
+                requests: TENANTS_REQUEST_RATE,
+                ..serving
             },
             Dimension::Clients => Scenario {
                 clients: size,
-                ..answering
+                ..serving
             },
             Dimension::Peers => Scenario {
                 members: Some(size),
-                ..answering
+                ..serving
             },
             Dimension::Fleet => Scenario {
                 balancers: size,
@@ -123,7 +123,7 @@
         })
     }
 
-    /// Its name on the command line.
+    /// Returns its name on the command line.
     pub fn name(self) -> String {
         self.to_possible_value()
             .map(|value| value.get_name().to_string())
--- a/lab/src/capacity/sweep.rs
+++ b/lab/src/capacity/sweep.rs
@@ -1,4 +1,4 @@
-//! All sizes of one dimension, each so many times in turn.
+//! Measures all sizes of one dimension repeatedly.
 use super::error::CapacityError;
 use super::sample::Sample;
 use super::scenario::Dimension;
@@ -7,46 +7,46 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Tenants of a tier that is all hollow: the target's.
+/// Number of tenants in a fully hollow tier, as in the target deployment.
 const HOLLOW_TENANTS: u16 = 21;
 
-/// Threads of the stand-ins of one trial.
+/// Worker threads for the emulated components of a trial.
 const THREADS: usize = 2;
-/// How long the tasks of a trial may take to end.
-const SHUTDOWN: Duration = Duration::from_secs(5);
+/// How long the tasks of a trial may take to shut down.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What is asked for.
+/// The configuration of a sweep.
 #[derive(Clone, Debug)]
 pub struct Sweep {
-    /// What grows.
+    /// The dimension that grows.
     pub dimension: Dimension,
-    /// Through which sizes.
+    /// The sizes to measure.
     pub sizes: Vec<usize>,
-    /// How often each is measured.
+    /// Number of measurements per size.
     pub runs: usize,
-    /// For how long.
+    /// Duration of each measurement.
     pub span: Duration,
-    /// The balancer's program.
+    /// The balancer program.
     pub program: PathBuf,
-    /// Where configurations, logs and kept state go.
+    /// Folder for configurations, logs and persisted state.
     pub folder: PathBuf,
 }
 
 impl Sweep {
-    /// Measures; each sample is told of as it comes. All sizes are gone through once before the second run, so that
-    /// what changes on the machine meets them alike.
+    /// Measures all sizes and passes each sample to `report` as soon as it is complete. All sizes are measured once
+    /// before the next run, so that changing conditions on the machine affect them equally.
     ///
     /// # Errors
-    /// When a trial can't be measured.
-    pub fn measure(&self, mut tell: impl FnMut(&Sample)) -> Result<Vec<Sample>, CapacityError> {
+    /// Returns an error if a trial cannot be measured.
+    pub fn measure(&self, mut report: impl FnMut(&Sample)) -> Result<Vec<Sample>, CapacityError> {
         let mut samples = Vec::new();
         for run in 0..self.runs {
             for &size in &self.sizes {
                 let folder = self
                     .folder
                     .join(format!("{}-{size}-{run}", self.dimension.name()));
-                let sample = self.one(size, &folder)?;
-                tell(&sample);
+                let sample = self.measure_once(size, &folder)?;
+                report(&sample);
                 samples.push(sample);
             }
         }
@@ -54,7 +54,7 @@
         Ok(samples)
     }
 
-    fn one(&self, size: usize, folder: &Path) -> Result<Sample, CapacityError> {
+    fn measure_once(&self, size: usize, folder: &Path) -> Result<Sample, CapacityError> {
         let Some(scenario) = self.dimension.scenario(size) else {
             return match self.dimension {
                 Dimension::Loss => play_loss(size, HOLLOW_TENANTS),
@@ -67,13 +67,13 @@
             program: &self.program,
             span: self.span,
         };
-        // Each trial has a runtime of its own: with it all tasks and sockets of the trial end.
+        // Each trial has its own runtime; shutting it down ends all tasks and sockets of the trial.
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(THREADS)
             .enable_all()
             .build()?;
         let sample = runtime.block_on(play(&scenario, size, &setting));
-        runtime.shutdown_timeout(SHUTDOWN);
+        runtime.shutdown_timeout(SHUTDOWN_TIMEOUT);
         sample
     }
 }
--- a/lab/src/capacity/table.rs
+++ b/lab/src/capacity/table.rs
@@ -1,10 +1,10 @@
-//! Samples and their lines as markdown. Owns no state.
+//! Formats samples and fitted lines as Markdown. Owns no state.
 use super::fit::fit;
 use super::sample::Sample;
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
-/// All samples, a row each, and under them the line through each metric.
+/// Returns a table with a row per sample, followed by a table with the fitted line of each metric.
 pub fn markdown(name: &str, samples: &[Sample]) -> String {
     let names: BTreeSet<&String> = samples
         .iter()
@@ -22,19 +22,19 @@
             let value = sample
                 .metrics
                 .get(*metric)
-                .map_or("-".into(), |value| rounded(*value));
+                .map_or("-".into(), |value| round(*value));
             let _ = write!(text, " {value} |");
         }
     }
     text.push_str("\n\n| figure | at 0 | slope | slope's error | residual, rms | residual, most |");
     text.push_str("\n| --- | --- | --- | --- | --- | --- |\n");
     for metric in &names {
-        text.push_str(&line(metric, samples));
+        text.push_str(&fit_row(metric, samples));
     }
     text
 }
 
-fn line(metric: &str, samples: &[Sample]) -> String {
+fn fit_row(metric: &str, samples: &[Sample]) -> String {
     let points: Vec<(f64, f64)> = samples
         .iter()
         .filter_map(|s| Some((s.size as f64, *s.metrics.get(metric)?)))
@@ -46,16 +46,16 @@
                 fit.slope,
                 fit.slope_error,
                 fit.residual,
-                fit.residual_most,
+                fit.max_residual,
             ];
-            format!("| {metric} | {} |\n", columns.map(rounded).join(" | "))
+            format!("| {metric} | {} |\n", columns.map(round).join(" | "))
         }
         Err(error) => format!("| {metric} | {error} | | | | |\n"),
     }
 }
 
-/// Four digits that count: more than the spread of a few runs.
-fn rounded(value: f64) -> String {
+/// Rounds to four significant digits, which is more precise than the spread of a few runs.
+fn round(value: f64) -> String {
     if value == 0.0 {
         return "0".into();
     }
--- a/lab/src/capacity/trial.rs
+++ b/lab/src/capacity/trial.rs
@@ -1,6 +1,6 @@
-//! One trial: everything around the balancers is started, they settle, and a span of time is measured.
+//! A trial: starts the balancers and their environment, waits until they are stable, and measures for a span of time.
 use super::accounting::Usage;
-use super::balancer::{Balancer, Place};
+use super::balancer::{Balancer, Location};
 use super::clients::Clients;
 use super::discovery::{Discovery, Traffic, ZONES};
 use super::error::CapacityError;
@@ -17,30 +17,30 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Upstreams that listen: requests go nowhere else, since longer lists are measured without any.
-const LISTENING_MOST: usize = 8;
-/// Between the start and the measured span.
+/// Maximum number of listening upstreams. Scenarios with longer lists send no requests.
+const MAX_LISTENING: usize = 8;
+/// Time between the start and the measurement.
 const STABILIZATION_TIME: Duration = Duration::from_secs(2);
-/// A tier needs longer until all have met.
+/// The same for a tier, which takes longer until all members know each other.
 const TIER_STABILIZATION_TIME: Duration = Duration::from_secs(6);
-/// Members of the tier of which some are lost: a balancer beside each of the target's upstreams.
+/// Members of the tier of which some are lost: one balancer per upstream of the target deployment.
 const TARGET_MEMBERS: usize = 550;
-/// How long the real member may take until its first datagram.
-const FIRST_DATAGRAM: Duration = Duration::from_secs(5);
-/// The pause between two looks whether something is so.
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
-/// How long it may take until all know of a change, or until all calls are held.
-const KNOWN_WITHIN: Duration = Duration::from_secs(20);
+/// How long the real member may take to send its first datagram.
+const FIRST_DATAGRAM_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval between checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long it may take until all members know of a change, or until all calls are in flight.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Where and for how long it is played.
+/// Where and for how long a trial runs.
 pub(super) struct Setting<'a> {
     pub folder: &'a Path,
     pub program: &'a Path,
     pub span: Duration,
 }
 
-/// Everything that has been started.
-struct Stage {
+/// The running components of a trial.
+struct Environment {
     balancers: Vec<Balancer>,
     discovery: Arc<Discovery>,
     upstreams: Arc<Upstreams>,
@@ -48,7 +48,7 @@
     tier: Option<Running>,
 }
 
-/// What is read at both ends of the span.
+/// Counters read at the start and end of the measurement.
 struct Reading {
     at: Instant,
     usage: Vec<Usage>,
@@ -58,48 +58,48 @@
     tier: Option<Snapshot>,
 }
 
-/// Plays a scenario with whole balancers once.
+/// Runs a scenario with complete balancers once.
 pub(super) async fn play(
     scenario: &Scenario,
     size: usize,
     setting: &Setting<'_>,
 ) -> Result<Sample, CapacityError> {
     let block = Block::claim()?;
-    let stage = Stage::start(scenario, setting, &block).await?;
+    let environment = Environment::start(scenario, setting, &block).await?;
     sleep(if scenario.members.is_some() {
         TIER_STABILIZATION_TIME
     } else {
         STABILIZATION_TIME
     })
     .await;
-    let before = stage.read()?;
-    stage.pass(scenario, setting.span).await;
-    let after = stage.read()?;
-    wait_until(|| stage.discovery.outstanding() == 0).await;
+    let before = environment.read()?;
+    environment.run_span(scenario, setting.span).await;
+    let after = environment.read()?;
+    wait_until(|| environment.discovery.outstanding() == 0).await;
     let mut sample = Sample::new(size);
-    stage.put(scenario, &before, &after, &mut sample);
-    for balancer in stage.balancers {
+    environment.record(scenario, &before, &after, &mut sample);
+    for balancer in environment.balancers {
         balancer.stop().await?;
     }
     Ok(sample)
 }
 
-/// Waits until something is so, for as long as a trial may wait for it.
-async fn wait_until(holds: impl Fn() -> bool) {
-    let end = Instant::now() + KNOWN_WITHIN;
-    while !holds() && Instant::now() < end {
-        sleep(LOOK_PAUSE).await;
+/// Waits until a condition holds or the propagation timeout expires.
+async fn wait_until(condition: impl Fn() -> bool) {
+    let end = Instant::now() + PROPAGATION_TIMEOUT;
+    while !condition() && Instant::now() < end {
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-impl Stage {
+impl Environment {
     async fn start(
         scenario: &Scenario,
         setting: &Setting<'_>,
         block: &Block,
-    ) -> Result<Stage, CapacityError> {
+    ) -> Result<Environment, CapacityError> {
         let discovery = Discovery::start(block, scenario.upstreams, scenario.balancers).await?;
-        let listening = scenario.upstreams.min(LISTENING_MOST);
+        let listening = scenario.upstreams.min(MAX_LISTENING);
         let upstreams = Upstreams::start(block, listening, scenario.calls_in_flight > 0).await?;
         let addresses: Vec<SocketAddr> = (0..scenario.members.unwrap_or(0))
             .map(|member| block.peer(member))
@@ -107,18 +107,18 @@
         let sockets = hollow_sockets(&addresses, scenario.balancers)?;
         let mut balancers = Vec::new();
         for number in 0..scenario.balancers {
-            let place = Place {
+            let location = Location {
                 block,
                 folder: setting.folder,
                 program: setting.program,
                 number,
             };
-            balancers.push(Balancer::start(&place, scenario).await?);
+            balancers.push(Balancer::start(&location, scenario).await?);
         }
         let tier = if sockets.is_empty() {
             None
         } else {
-            let deployment = learn_deployment(&sockets, FIRST_DATAGRAM)?;
+            let deployment = learn_deployment(&sockets, FIRST_DATAGRAM_TIMEOUT)?;
             let (tenants, zones) = (scenario.tenants as u16, ZONES.len() as u16);
             let members = addresses.len() as u32;
             let tier = Tier {
@@ -130,21 +130,23 @@
                 watched: Some(0),
             }
             .start()?;
-            tokio::task::block_in_place(|| tier.until_up(members, KNOWN_WITHIN))?;
+            tokio::task::block_in_place(|| tier.wait_until_up(members, PROPAGATION_TIMEOUT))?;
             Some(tier)
         };
         let clients = Clients::new(block.balancer(0), scenario.tenants);
-        clients.rest(scenario.clients).await?;
-        clients.hold(scenario.calls_in_flight).await;
+        clients.open_idle(scenario.clients).await?;
+        clients
+            .start_calls_in_flight(scenario.calls_in_flight)
+            .await;
         wait_until(|| {
             let refused = clients.refused.load(Ordering::SeqCst);
             upstreams.calls_in_flight.load(Ordering::SeqCst) + refused >= scenario.calls_in_flight
         })
         .await;
         if scenario.requests > 0.0 {
-            clients.ask_steadily(scenario.requests);
+            clients.send_at_rate(scenario.requests);
         }
-        Ok(Stage {
+        Ok(Environment {
             balancers,
             discovery,
             upstreams,
@@ -153,8 +155,8 @@
         })
     }
 
-    /// Lets the span pass, with the changes that belong to it.
-    async fn pass(&self, scenario: &Scenario, span: Duration) {
+    /// Waits for the span of the measurement and makes the scheduled changes of the list.
+    async fn run_span(&self, scenario: &Scenario, span: Duration) {
         let start = Instant::now();
         let changes = (scenario.changes * span.as_secs_f64()) as u32;
         for change in 0..changes {
@@ -181,17 +183,17 @@
         })
     }
 
-    /// Puts what happened between two readings into metrics, the mean of a balancer where there are several.
-    fn put(&self, scenario: &Scenario, before: &Reading, after: &Reading, sample: &mut Sample) {
+    /// Adds metrics of the change between two readings to a sample, averaged over the balancers.
+    fn record(&self, scenario: &Scenario, before: &Reading, after: &Reading, sample: &mut Sample) {
         let seconds = after.at.duration_since(before.at).as_secs_f64();
         let count = after.usage.len() as f64;
         let rate = |of: &dyn Fn(&Usage) -> u64| {
-            let grown = before
+            let increases = before
                 .usage
                 .iter()
                 .zip(&after.usage)
                 .map(|(b, a)| of(a).saturating_sub(of(b)));
-            grown.sum::<u64>() as f64 / count / seconds
+            increases.sum::<u64>() as f64 / count / seconds
         };
         let mean =
             |of: &dyn Fn(&Usage) -> u64| after.usage.iter().map(of).sum::<u64>() as f64 / count;
@@ -199,18 +201,21 @@
         sample.add("resident, kB", mean(&|usage| usage.resident_kb));
         sample.add("proportional, kB", mean(&|usage| usage.proportional_kb));
         sample.add("descriptors", mean(&|usage| usage.descriptors));
-        let said = |of: &dyn Fn(&Traffic) -> u64| {
-            let grown = before
+        let discovery_rate = |of: &dyn Fn(&Traffic) -> u64| {
+            let increases = before
                 .discovery
                 .iter()
                 .zip(&after.discovery)
                 .map(|(b, a)| of(a) - of(b));
-            grown.sum::<u64>() as f64 / count / seconds
+            increases.sum::<u64>() as f64 / count / seconds
         };
-        sample.add("discovery, calls/s", said(&|traffic| traffic.calls));
+        sample.add(
+            "discovery, calls/s",
+            discovery_rate(&|traffic| traffic.calls),
+        );
         sample.add(
             "discovery, bytes/s",
-            said(&|traffic| traffic.bytes_in + traffic.bytes_out),
+            discovery_rate(&|traffic| traffic.bytes_in + traffic.bytes_out),
         );
         if scenario.persisted {
             sample.add("written, bytes/s", rate(&|usage| usage.written));
@@ -237,13 +242,13 @@
             sample.add("not taken in", self.discovery.outstanding() as f64);
         }
         if let (Some(before), Some(after)) = (&before.tier, &after.tier) {
-            put_watched(before, after, sample);
+            record_watched(before, after, sample);
         }
     }
 }
 
-/// What the real member and the hollow ones said to each other, as the hollow ones counted it.
-fn put_watched(before: &Snapshot, after: &Snapshot, sample: &mut Sample) {
+/// Adds metrics of the datagrams between the real member and the hollow ones, as counted by the hollow ones.
+fn record_watched(before: &Snapshot, after: &Snapshot, sample: &mut Sample) {
     let seconds = after.at.saturating_sub(before.at).as_secs_f64();
     let rate = |after: u64, before: u64| after.saturating_sub(before) as f64 / seconds;
     sample.add(
@@ -262,24 +267,24 @@
         "peers, read bytes/s",
         rate(after.to_watched.1, before.to_watched.1),
     );
-    sample.add("up, least known", f64::from(after.up_least));
+    sample.add("up, least known", f64::from(after.min_up));
 }
 
-/// Sockets for all members but the first few, which are real.
+/// Binds sockets for all members after the first `real` ones.
 fn hollow_sockets(
     addresses: &[SocketAddr],
     real: usize,
 ) -> Result<Vec<(u16, UdpSocket)>, BindError> {
-    let places = (0u16..).zip(addresses).skip(real);
-    places
-        .map(|(place, at)| {
+    let members = (0u16..).zip(addresses).skip(real);
+    members
+        .map(|(member, at)| {
             let socket = UdpSocket::bind(at).map_err(BindError::at(*at))?;
-            Ok((place, socket))
+            Ok((member, socket))
         })
         .collect()
 }
 
-/// A hollow tier whose members have begun to speak.
+/// Starts a fully hollow tier.
 fn hollow_tier(block: &Block, size: usize, tenants: u16) -> Result<Running, CapacityError> {
     let addresses: Vec<SocketAddr> = (0..size).map(|member| block.peer(member)).collect();
     let sockets = hollow_sockets(&addresses, 0)?;
@@ -295,12 +300,12 @@
     .start()
 }
 
-/// A time in milliseconds; none is not finite, so that no sample has it.
+/// Converts to milliseconds. None becomes NaN, which samples leave out.
 fn milliseconds(took: Option<Duration>) -> f64 {
     took.map_or(f64::NAN, |took| took.as_secs_f64() * 1000.0)
 }
 
-/// Plays a tier that is all hollow: its steady traffic, then evidence, then the end of a member.
+/// Measures a fully hollow tier: its steady traffic, the propagation of evidence, and the loss of a member.
 pub(super) fn play_hollow(
     size: usize,
     tenants: u16,
@@ -312,56 +317,56 @@
     let mut sample = Sample::new(size);
     sample.add(
         "all know all, ms",
-        milliseconds(tier.until_up(count, KNOWN_WITHIN)?),
+        milliseconds(tier.wait_until_up(count, PROPAGATION_TIMEOUT)?),
     );
     std::thread::sleep(TIER_STABILIZATION_TIME);
     let before = tier.snapshot()?;
     std::thread::sleep(span);
     let after = tier.snapshot()?;
-    put_hollow(&before, &after, size, &mut sample);
+    record_hollow(&before, &after, size, &mut sample);
     sample.add(
         "evidence known to all, ms",
-        milliseconds(tier.until_evidence(0, KNOWN_WITHIN)?),
+        milliseconds(tier.wait_for_evidence(0, PROPAGATION_TIMEOUT)?),
     );
     tier.stop(size / 2)?;
-    let known = tier.until_up(count.saturating_sub(1), KNOWN_WITHIN)?;
+    let known = tier.wait_until_up(count.saturating_sub(1), PROPAGATION_TIMEOUT)?;
     sample.add("an end known to all, ms", milliseconds(known));
     Ok(sample)
 }
 
-/// Plays the loss of members at once, evenly over the list, in a hollow tier of the target's size.
+/// Measures the simultaneous loss of members, evenly distributed over the list, in a hollow tier of the target size.
 pub(super) fn play_loss(lost: usize, tenants: u16) -> Result<Sample, CapacityError> {
     let block = Block::claim()?;
     let tier = hollow_tier(&block, TARGET_MEMBERS, tenants)?;
     let count = u32::try_from(TARGET_MEMBERS)?;
-    let left = u32::try_from(TARGET_MEMBERS.saturating_sub(lost))?;
-    tier.until_up(count, KNOWN_WITHIN)?;
+    let remaining = u32::try_from(TARGET_MEMBERS.saturating_sub(lost))?;
+    tier.wait_until_up(count, PROPAGATION_TIMEOUT)?;
     std::thread::sleep(TIER_STABILIZATION_TIME);
     for number in 0..lost {
         tier.stop(number * TARGET_MEMBERS / lost)?;
     }
     let before = tier.snapshot()?;
-    let known = tier.until_up(left, KNOWN_WITHIN)?;
+    let known = tier.wait_until_up(remaining, PROPAGATION_TIMEOUT)?;
     let after = tier.snapshot()?;
     let mut sample = Sample::new(lost);
     let seconds = after.at.saturating_sub(before.at).as_secs_f64();
     sample.add("loss known to all, ms", milliseconds(known));
     sample.add("up at the end, mean", after.up_mean);
-    sample.add("up at the end, least", f64::from(after.up_least));
+    sample.add("up at the end, least", f64::from(after.min_up));
     sample.add(
         "late at the most, ms",
-        after.late_most.as_secs_f64() * 1000.0,
+        after.max_lateness.as_secs_f64() * 1000.0,
     );
-    sample.add("up in truth", f64::from(left));
+    sample.add("up in truth", f64::from(remaining));
     let sent = (after.sent_bytes - before.sent_bytes) as f64;
     sample.add(
         "sent meanwhile, bytes/s a member",
-        sent / seconds / f64::from(left),
+        sent / seconds / f64::from(remaining),
     );
     Ok(sample)
 }
 
-fn put_hollow(before: &Snapshot, after: &Snapshot, size: usize, sample: &mut Sample) {
+fn record_hollow(before: &Snapshot, after: &Snapshot, size: usize, sample: &mut Sample) {
     let seconds = (after.at - before.at).as_secs_f64();
     let processor = (after.processor - before.processor).as_secs_f64();
     let each = |after: u64, before: u64| (after - before) as f64 / seconds / size as f64;
@@ -372,7 +377,7 @@
     sample.add("read, bytes/s", each(after.read_bytes, before.read_bytes));
     sample.add(
         "late at the most, ms",
-        after.late_most.as_secs_f64() * 1000.0,
+        after.max_lateness.as_secs_f64() * 1000.0,
     );
     sample.add("unsent", (after.unsent - before.unsent) as f64);
     sample.add(
@@ -382,5 +387,5 @@
     sample.add("processor a datagram, us", processor * 1e6 / datagrams);
     sample.add("members in sums, mean", after.summed_mean);
     sample.add("members with sums", after.with_sums as f64);
-    sample.add("up, least known", f64::from(after.up_least));
+    sample.add("up, least known", f64::from(after.min_up));
 }
--- a/lab/src/capacity/upstreams.rs
+++ b/lab/src/capacity/upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams that answer at once, or hold every call until they are told.
+//! Upstreams that either answer immediately or hold every call open.
 use super::discovery::upstream_at;
 use super::http;
 use crate::error::BindError;
@@ -11,23 +11,23 @@
 /// All upstreams of a trial.
 #[derive(Default)]
 pub(super) struct Upstreams {
-    /// Whether calls are held.
-    holds: bool,
-    /// Calls held now.
+    /// Whether calls are held open instead of answered.
+    holds_calls: bool,
+    /// Calls currently held open.
     pub calls_in_flight: AtomicUsize,
-    /// Calls answered.
+    /// Number of calls answered.
     pub answered: AtomicUsize,
 }
 
 impl Upstreams {
-    /// Listens at the first places of the list.
+    /// Starts listeners for the first `count` upstreams of the list.
     pub(super) async fn start(
         block: &Block,
         count: usize,
-        holds: bool,
+        holds_calls: bool,
     ) -> Result<Arc<Upstreams>, BindError> {
         let upstreams = Arc::new(Upstreams {
-            holds,
+            holds_calls,
             ..Upstreams::default()
         });
         for number in 0..count {
@@ -47,16 +47,16 @@
     async fn serve(self: Arc<Self>, stream: TcpStream) {
         let mut stream = BufReader::new(stream);
         while http::read(&mut stream).await.is_some() {
-            if self.holds {
+            if self.holds_calls {
                 self.calls_in_flight.fetch_add(1, Ordering::SeqCst);
-                // Whatever comes, it is the end: the balancer writes nothing while it waits.
+                // The balancer writes nothing while it waits, so any read result means that the call has ended.
                 let _ = stream.read_u8().await;
                 self.calls_in_flight.fetch_sub(1, Ordering::SeqCst);
                 return;
             }
             self.answered.fetch_add(1, Ordering::Relaxed);
             if stream
-                .write_all(http::answer("200 OK", "done\n").as_bytes())
+                .write_all(http::response("200 OK", "done\n").as_bytes())
                 .await
                 .is_err()
             {
--- a/lab/tests/capacity/fit.rs
+++ b/lab/tests/capacity/fit.rs
@@ -1,8 +1,8 @@
-//! The line through measured points.
+//! Tests of the linear fit.
 use balancer_lab::capacity::fit::{fit, FitError};
 
 #[test]
-fn points_on_a_line_give_it_back_with_no_residual() {
+fn collinear_points_are_fitted_without_residual() {
     let points: Vec<(f64, f64)> = [50.0, 100.0, 200.0, 400.0]
         .map(|x| (x, 3.0 + 0.25 * x))
         .to_vec();
@@ -10,15 +10,16 @@
     assert!((line.slope - 0.25).abs() < 1e-12, "{line:?}");
     assert!((line.intercept - 3.0).abs() < 1e-9, "{line:?}");
     assert!(
-        line.residual < 1e-9 && line.residual_most < 1e-9 && line.slope_error < 1e-9,
+        line.residual < 1e-9 && line.max_residual < 1e-9 && line.slope_error < 1e-9,
         "{line:?}"
     );
     assert!((line.at(550.0) - 140.5).abs() < 1e-9);
 }
 
-/// The example of Anscombe's first set, whose line and errors are published: 3.00 + 0.500 x, 0.118 and 1.237.
+/// Anscombe's first data set, with its published fit: line 3.00 + 0.500 x, standard error of the slope 0.118, residual
+/// standard error 1.237.
 #[test]
-fn scatter_shows_in_the_residuals_and_in_the_error_of_the_slope() {
+fn fit_matches_published_values_for_anscombe_data() {
     let x = [10.0, 8.0, 13.0, 9.0, 11.0, 14.0, 6.0, 4.0, 12.0, 7.0, 5.0];
     let y = [
         8.04, 6.95, 7.58, 8.81, 8.33, 9.96, 7.24, 4.26, 10.84, 4.82, 5.68,
@@ -29,11 +30,11 @@
     assert!((line.slope - 0.500).abs() < 0.001, "{line:?}");
     assert!((line.slope_error - 0.118).abs() < 0.001, "{line:?}");
     assert!((line.residual - 1.237).abs() < 0.001, "{line:?}");
-    assert!((line.residual_most - 1.921).abs() < 0.001, "{line:?}");
+    assert!((line.max_residual - 1.921).abs() < 0.001, "{line:?}");
 }
 
 #[test]
-fn what_has_no_line_is_refused() {
+fn points_without_a_unique_fit_are_rejected() {
     assert_eq!(fit(&[]), Err(FitError::TooFewPoints));
     assert_eq!(fit(&[(1.0, 1.0), (2.0, 2.0)]), Err(FitError::TooFewPoints));
     assert_eq!(
--- a/lab/tests/capacity/hollow.rs
+++ b/lab/tests/capacity/hollow.rs
@@ -1,4 +1,4 @@
-//! A hollow tier on real datagrams. Times only end a test that has failed.
+//! Tests of a hollow tier with real datagrams. Timeouts only end a test that has already failed.
 use balancer_lab::capacity::hollow::{learn_deployment, Running, Tier};
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
@@ -26,20 +26,20 @@
 }
 
 #[test]
-fn members_meet_learn_of_evidence_and_of_an_end() {
+fn members_learn_of_peers_evidence_and_loss() {
     let tier = tier(6);
-    assert!(tier.until_up(6, TIMEOUT).expect("runs").is_some());
-    assert!(tier.until_evidence(2, TIMEOUT).expect("runs").is_some());
+    assert!(tier.wait_until_up(6, TIMEOUT).expect("runs").is_some());
+    assert!(tier.wait_for_evidence(2, TIMEOUT).expect("runs").is_some());
     tier.stop(3).expect("runs");
-    assert!(tier.until_up(5, TIMEOUT).expect("runs").is_some());
+    assert!(tier.wait_until_up(5, TIMEOUT).expect("runs").is_some());
     let counted = tier.snapshot().expect("runs");
-    assert_eq!((counted.running, counted.up_least), (5, 5));
+    assert_eq!((counted.running, counted.min_up), (5, 5));
     assert!(
         counted.sent > 0 && counted.read > 0 && counted.read <= counted.sent,
         "{counted:?}"
     );
     assert!(counted.sent_bytes <= counted.sent * 256, "{counted:?}");
-    // What the watched member exchanges is a part of it all.
+    // The traffic of the watched member is part of the total.
     assert!(
         counted.to_watched.0 > 0 && counted.to_watched.0 < counted.sent,
         "{counted:?}"
@@ -50,28 +50,28 @@
     );
     assert!(counted.processor > Duration::ZERO);
     assert!(
-        counted.late_most > Duration::ZERO && counted.late_most <= counted.at,
+        counted.max_lateness > Duration::ZERO && counted.max_lateness <= counted.at,
         "{counted:?}"
     );
 }
 
 #[test]
-fn the_loss_of_several_at_once_is_known_to_the_rest() {
+fn remaining_members_detect_simultaneous_losses() {
     let tier = tier(8);
-    assert!(tier.until_up(8, TIMEOUT).expect("runs").is_some());
+    assert!(tier.wait_until_up(8, TIMEOUT).expect("runs").is_some());
     for lost in [1, 4] {
         tier.stop(lost).expect("runs");
     }
-    assert!(tier.until_up(6, TIMEOUT).expect("runs").is_some());
+    assert!(tier.wait_until_up(6, TIMEOUT).expect("runs").is_some());
     let counted = tier.snapshot().expect("runs");
     assert_eq!(
-        (counted.running, counted.up_least, counted.up_mean),
+        (counted.running, counted.min_up, counted.up_mean),
         (6, 6, 6.0)
     );
 }
 
 #[test]
-fn the_deployment_is_read_from_a_datagram_of_a_member() {
+fn deployment_is_read_from_a_member_datagram() {
     let bind = || UdpSocket::bind("127.0.0.1:0").expect("binds");
     let (hollow, listening) = (bind(), bind());
     let addresses = vec![
--- a/lab/tests/capacity/main.rs
+++ b/lab/tests/capacity/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the capacity measurements: the line, the table, a hollow tier and a sweep with the real program.
+//! Tests of the capacity measurements: linear fit, table, hollow tier and sweeps with the real program.
 mod fit;
 mod hollow;
 mod sweep;
--- a/lab/tests/capacity/sweep.rs
+++ b/lab/tests/capacity/sweep.rs
@@ -1,4 +1,4 @@
-//! A sweep with the real program: what was measured is there and of the right kind. No verdict rests on speed.
+//! Tests of sweeps with the real program: metrics are present and plausible. No assertion depends on speed.
 use balancer_lab::capacity::sample::Sample;
 use balancer_lab::capacity::scenario::Dimension;
 use balancer_lab::capacity::sweep::Sweep;
@@ -6,16 +6,16 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// A balancer asks discovery each second at the latest.
+/// Long enough for a call to discovery, which a balancer makes at least every second.
 const SHORT: Duration = Duration::from_secs(2);
-/// Members of a tier speak several times a second.
+/// Long enough for many datagrams: members of a tier send several per second.
 const LONG: Duration = Duration::from_secs(5);
 
-/// The real balancer, built by the same cargo into the same folder.
+/// Returns the path of the real balancer, built by the same cargo into the same target folder.
 fn balancer_proxy() -> PathBuf {
     static BUILT: std::sync::Once = std::sync::Once::new();
     let path = Path::new(env!("CARGO_BIN_EXE_balancer-lab")).with_file_name("balancer-proxy");
-    // A test of the whole workspace has built it; a test of this crate alone has not.
+    // Testing the workspace builds the balancer; testing this crate alone does not.
     BUILT.call_once(|| {
         if !path.is_file() {
             let release = path
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_list_costs_memory_and_calls_of_discovery() {
+fn upstream_list_uses_memory_and_discovery_traffic() {
     let samples = measured(Dimension::List, &[10, 40], SHORT);
     for sample in &samples {
         assert!(metric(sample, "processor, ms/s") > 0.0);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_balancer_that_keeps_state_writes_it() {
+fn persisted_state_is_written_to_disk() {
     let folder = tempfile::tempdir().expect("a folder");
     let sweep = Sweep {
         dimension: Dimension::Store,
@@ -104,9 +104,10 @@
     assert!(state_file.is_file(), "{}", state_file.display());
 }
 
-/// Beside the clients' it holds some descriptors of its own, and connections to as many upstreams as it has called.
+/// The balancer also has descriptors of its own and connections to the upstreams that it has called, so the number of
+/// clients is only a lower bound.
 #[test]
-fn idle_clients_take_a_descriptor_each_for_as_long_as_the_trial() {
+fn idle_clients_use_one_descriptor_each() {
     for sample in measured(Dimension::Clients, &[60, 120], SHORT) {
         assert!(
             metric(&sample, "descriptors") >= sample.size as f64,
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn changes_are_seen_to_be_taken_in() {
+fn propagation_of_list_changes_is_measured() {
     let samples = measured(Dimension::Changes, &[4], SHORT);
     let (median, most) = (
         metric(&samples[0], "taken in by one, median ms"),
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn a_real_member_is_one_of_a_hollow_tier() {
+fn real_member_exchanges_datagrams_with_hollow_tier() {
     let samples = measured(Dimension::Peers, &[5], LONG);
     for name in ["peers, sent bytes/s", "peers, read bytes/s"] {
         assert!(metric(&samples[0], name) > 0.0, "{samples:?}");
--- a/lab/tests/capacity/table.rs
+++ b/lab/tests/capacity/table.rs
@@ -1,4 +1,4 @@
-//! Samples as markdown.
+//! Tests of the Markdown tables.
 use balancer_lab::capacity::sample::Sample;
 use balancer_lab::capacity::table::markdown;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn each_sample_has_a_row_and_each_metric_a_line() {
+fn table_has_sample_rows_and_a_fit_per_metric() {
     let samples = [10, 20, 30].map(|size| sample(size, &[("bytes/s", 5.0 + 2.0 * size as f64)]));
     let text = markdown("list", &samples);
     let wanted = "| list | bytes/s |\n| --- | --- |\n| 10 | 25 |\n| 20 | 45 |\n| 30 | 65 |\n\n\
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn what_was_not_measured_is_left_out_and_said_so() {
+fn missing_measurements_are_shown_as_dashes() {
     let samples = [
         sample(10, &[("lag, ms", f64::NAN)]),
         sample(20, &[("lag, ms", 0.012345)]),
