--- a/lab/src/report/page.rs
+++ b/lab/src/report/page.rs
@@ -73,7 +73,7 @@
     );
 }
 
-/// Returns the faults of the first play; all plays have the same faults.
+/// Returns the faults of the first play; plays with the same plan have the same faults.
 fn faults(plays: &[Played]) -> Vec<FaultSpan> {
     let Some(first) = plays.first() else {
         return Vec::new();
