--- a/lab/src/draw/parts.rs
+++ b/lab/src/draw/parts.rs
@@ -58,7 +58,7 @@
     pub slower: f64,
     /// It recovers after being mostly idle for this long.
     pub rest: Millis,
-    /// It counts as mostly idle with fewer requests in flight per core than this.
+    /// Requests in flight per core below which it counts as mostly idle.
     pub below: f64,
     /// Maximum duration of the slowdown.
     pub most: Millis,
--- a/lab/src/experiment/fleet.rs
+++ b/lab/src/experiment/fleet.rs
@@ -48,9 +48,9 @@
     /// Grace period after a balancer is notified that an upstream is draining or removed; no new request may be sent to
     /// the upstream after it.
     pub drain_grace: Span,
-    /// An upstream in slow start is overloaded when it receives this multiple of its current capacity for `fall`.
+    /// An upstream in slow start collapses when it receives this multiple of its current capacity over `fall`.
     pub tip_multiple: f64,
-    /// See `tip_multiple`.
+    /// Window over which `tip_multiple` is measured.
     pub fall: Span,
     /// A balancer that is not ready within this time has failed to start.
     pub ready_within: Span,
--- a/lab/src/experiment/tier.rs
+++ b/lab/src/experiment/tier.rs
@@ -116,7 +116,7 @@
     pub slower: Range,
     /// It recovers after having fewer than `below` requests in flight per core for this long.
     pub rest: Span,
-    /// See `rest`.
+    /// Requests in flight per core below which it counts as mostly idle; see `rest`.
     pub below: f64,
     /// Maximum duration of the slowdown.
     pub most: Span,
--- a/lab/src/oracle/facts.rs
+++ b/lab/src/oracle/facts.rs
@@ -87,7 +87,7 @@
     pub upstreams: Vec<String>,
     /// Maximum number of attempts per request.
     pub attempts_most: usize,
-    /// Grace period after which nothing may be sent to a draining upstream.
+    /// Grace period after which no new request may be sent to a draining upstream.
     pub drain_grace: Millis,
     /// Tier of each balancer and its index in the member list of that tier.
     pub members: Vec<(usize, usize)>,
