--- a/lab/src/results/summary.rs
+++ b/lab/src/results/summary.rs
@@ -31,7 +31,7 @@
     let f = &p.metrics;
     let rules: u64 = p.counts.values().sum();
     let rules = if rules == 0 {
-        "passed".to_string()
+        "kept".to_string()
     } else {
         format!("violated {rules} times")
     };
