--- a/lab/src/faults/announcements.rs
+++ b/lab/src/faults/announcements.rs
@@ -1,5 +1,5 @@
-//! Announces changes of upstreams to discovery's agents, to each with a delay of its own. Owns how many changes each
-//! upstream has had.
+//! Announces changes of upstreams to the discovery agents, with a separate delay for each agent. Owns the number of
+//! changes of each upstream.
 use crate::agent::{Entry, Start, State};
 use crate::draw::Calls;
 use crate::experiment::{Millis, Span};
@@ -8,29 +8,29 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 
-/// What discovery has been sent of one upstream.
+/// Counts of the announcements about one upstream.
 #[derive(Clone, Copy, Default)]
 struct Announced {
-    /// Changes so far; an agent takes them in this order.
+    /// Changes so far; agents apply them in this order.
     changes: u64,
     /// How often its machine was replaced.
     replacements: usize,
 }
 
-/// Changes of upstreams on their way to discovery's agents.
+/// Announces changes of upstreams to the discovery agents.
 #[derive(Default)]
 pub(super) struct Announcements {
     upstreams: Mutex<HashMap<usize, Announced>>,
 }
 
-/// Draws a time from a span, in a thousand steps: enough for a delay.
+/// Draws a time from a span, with a resolution of a thousandth of the span.
 fn draw_delay(draws: &mut Calls, span: Span) -> Millis {
     let unit = (draws.seed() % 1000) as f64 / 1000.0;
     span.0.least + unit * (span.0.most - span.0.least)
 }
 
 impl Announcements {
-    /// Gives an upstream a new id from now on: its machine was replaced.
+    /// Records that the machine of an upstream was replaced: later announcements use a new id.
     pub(super) fn replaced(&self, upstream: usize) {
         lock(&self.upstreams)
             .entry(upstream)
@@ -38,7 +38,7 @@
             .replacements += 1;
     }
 
-    /// Announces an upstream's state after `delay` to each agent of its tier, and to each a little later.
+    /// Announces an upstream's state to each agent of its tier, after `delay` plus a spread drawn for each agent.
     pub(super) fn announce(&self, fleet: &Arc<Fleet>, upstream: usize, state: State, delay: Span) {
         let world = &fleet.world;
         let announced = self.count_change(upstream);
--- a/lab/src/faults/balancers.rs
+++ b/lab/src/faults/balancers.rs
@@ -15,16 +15,16 @@
 use std::sync::Arc;
 use tokio::task::JoinSet;
 
-/// How long a balancer that could not act is excused afterwards: it has to catch up.
+/// How long a balancer that was stopped or cut off is excused afterwards, while it catches up.
 pub(super) const CATCH_UP: Millis = 1500.0;
 
-/// How long clients go on opening connections after SIGTERM.
+/// How long clients continue to open connections after SIGTERM.
 const CONNECTIONS_AFTER_SIGTERM: Millis = 300.0;
 
-/// The longest deadline of requests that SIGKILL waits for after SIGTERM.
+/// SIGKILL follows SIGTERM after the longest request deadline, but no later than this plus `KILL_GRACE`.
 const MAX_DEADLINE: Millis = 3000.0;
 
-/// How much longer than the longest deadline SIGKILL waits.
+/// The time between the longest deadline and SIGKILL.
 const KILL_GRACE: Millis = 700.0;
 
 /// How a balancer is ended.
@@ -32,7 +32,7 @@
 pub(super) enum Ending {
     /// SIGKILL.
     Kill,
-    /// SIGTERM, and SIGKILL when its grace is over.
+    /// SIGTERM, and SIGKILL after the grace period.
     Terminate,
 }
 
@@ -62,7 +62,7 @@
     injector.start(balancer).await
 }
 
-/// Ends a balancer by SIGKILL; what it holds is excused.
+/// Ends a balancer by SIGKILL; its requests in flight are excused.
 pub(super) fn kill(fleet: &Fleet, balancer: usize) {
     let world = &fleet.world;
     {
@@ -73,7 +73,7 @@
     fleet.balancers[balancer].stop(Signal::SIGKILL);
 }
 
-/// Ends a balancer by SIGTERM, and by SIGKILL if it takes longer than the longest deadline and a grace.
+/// Ends a balancer by SIGTERM, and by SIGKILL if it has not exited after the longest deadline plus `KILL_GRACE`.
 async fn terminate(fleet: &Fleet, balancer: usize) {
     let world = &fleet.world;
     let process = &fleet.balancers[balancer];
@@ -89,19 +89,19 @@
     tokio::select! {
         () = process.exited() => {}
         () = world.clock.until(signalled + longest + KILL_GRACE) => {
-            // Requests that came after the signal are outside their deadline by now.
+            // The deadlines of requests sent after the signal have passed by now.
             process.stop(Signal::SIGKILL);
             process.exited().await;
         }
     }
 }
 
-/// Has the front stop opening connections to a balancer that was killed, once it has noticed.
+/// Has the front stop opening connections to a killed balancer, once it has noticed.
 async fn stop_connections(fleet: Arc<Fleet>, balancer: usize) {
     let world = &fleet.world;
     let noticed = world.now() + front_notice(world, balancer);
     world.clock.until(noticed).await;
-    // It may be back already, and takes connections then.
+    // The balancer may have restarted already; the front keeps connecting to it then.
     if !*fleet.balancers[balancer].ready.borrow() {
         world.dealt[balancer].store(false, Ordering::SeqCst);
     }
@@ -114,7 +114,7 @@
     span.least + unit * (span.most - span.least)
 }
 
-/// The folder with the copy of a balancer's state from before, which [`Damage::Old`] puts back.
+/// The folder with the earlier copy of a balancer's state, which [`Damage::Old`] restores.
 pub(super) fn saved_state(fleet: &Fleet, balancer: usize) -> PathBuf {
     let world = &fleet.world;
     world
@@ -144,7 +144,7 @@
         Ok(())
     }
 
-    /// Ends balancers in turn by SIGTERM, each to start again as another build.
+    /// Restarts balancers one after the other with another build, by SIGTERM.
     pub(super) async fn upgrade(&self, fault: &PlannedFault) -> Result<(), FaultError> {
         let steps = fault.on.len().saturating_sub(1) as f64;
         let down_for = fault.until - fault.at - fault.pace * steps;
--- a/lab/src/faults/disks.rs
+++ b/lab/src/faults/disks.rs
@@ -1,11 +1,11 @@
-//! Makes the disks of balancers full, failing or slow. The balancer's build with fault injection reads what is written
-//! here.
+//! Makes the disks of balancers full, failing or slow, by writing directives that the balancer's build with fault
+//! injection reads.
 use super::error::FaultError;
 use super::injector::{balancers_of, Injector};
 use crate::draw::PlannedFault;
 use crate::experiment::FaultKind;
 
-/// What the balancer's fault injection reads for a fault of its disk.
+/// The directive for the balancer's fault injection.
 fn directive(fault: &PlannedFault) -> String {
     match (fault.kind, fault.delay) {
         (FaultKind::DiskSlow, Some((min, _))) => format!("slow {min:.0}ms"),
--- a/lab/src/faults/error.rs
+++ b/lab/src/faults/error.rs
@@ -4,10 +4,10 @@
 use thiserror::Error;
 use tokio::task::JoinError;
 
-/// A fault that could not be carried out or taken back.
+/// A fault that could not be injected or reverted.
 #[derive(Debug, Error)]
 pub(super) enum FaultError {
-    /// A balancer's process could not be started, or its files not be written.
+    /// A balancer's process could not be started, or its files could not be written.
     #[error(transparent)]
     Process(#[from] ProcessError),
     /// A file of a balancer's state, configuration or disk faults could not be written.
--- a/lab/src/faults/injector.rs
+++ b/lab/src/faults/injector.rs
@@ -1,4 +1,5 @@
-//! What all faults share: the handles that they act through, whom they meet, and acting on many at once.
+//! Shared by all faults: the handles that they act through, the selection of their targets, and actions on many targets
+//! at once.
 use super::announcements::Announcements;
 use super::error::FaultError;
 use crate::draw::{Party, PlannedFault};
@@ -8,7 +9,7 @@
 use std::sync::Arc;
 use tokio::task::JoinSet;
 
-/// Injects faults into a fleet; clones share what they inject into.
+/// Injects faults into a fleet; clones share the fleet.
 #[derive(Clone)]
 pub(super) struct Injector {
     pub(super) fleet: Arc<Fleet>,
@@ -16,7 +17,7 @@
     pub(super) announcements: Arc<Announcements>,
 }
 
-/// The balancers that a fault meets, those whose discovery it meets included.
+/// The balancers that a fault targets, including those whose discovery agent it targets.
 pub(super) fn balancers_of(fault: &PlannedFault) -> Vec<usize> {
     let balancer = |party: &Party| match party {
         Party::Balancer(balancer) | Party::Agent(balancer) => Some(*balancer),
@@ -25,7 +26,7 @@
     fault.on.iter().filter_map(balancer).collect()
 }
 
-/// The upstreams that a fault meets.
+/// The upstreams that a fault targets.
 pub(super) fn upstreams_of(fault: &PlannedFault) -> Vec<usize> {
     let upstream = |party: &Party| match party {
         Party::Upstream(upstream) => Some(*upstream),
@@ -37,7 +38,7 @@
 /// Runs an action for each victim, all at once, and waits for all of them.
 ///
 /// # Errors
-/// Returns the first error; what still runs then is aborted.
+/// Returns the first error; the remaining actions are aborted.
 pub(super) async fn for_each_at_once<F, T>(victims: Vec<usize>, action: F) -> Result<(), FaultError>
 where
     F: Fn(usize) -> T,
@@ -53,7 +54,7 @@
 /// Waits for all tasks.
 ///
 /// # Errors
-/// Returns the first error; what still runs then is aborted.
+/// Returns the first error; the remaining tasks are aborted.
 pub(super) async fn join_all(mut tasks: JoinSet<Result<(), FaultError>>) -> Result<(), FaultError> {
     while let Some(joined) = tasks.join_next().await {
         joined??;
--- a/lab/src/faults/mod.rs
+++ b/lab/src/faults/mod.rs
@@ -1,8 +1,8 @@
-//! Injects the planned faults, each at its time, and takes them back.
+//! Injects the planned faults, each at its time, and reverts them.
 //!
-//! `schedule` starts each fault and picks who carries it out; a module each acts on balancers, disks,
-//! the network, links and upstreams, through the handles of `injector`. Discovery learns of changes through
-//! `announcements`. What a fault excuses is the oracle's to judge.
+//! `schedule` starts each fault and dispatches it to a module: `balancers`, `disks`, `network`, `partition` or
+//! `upstreams`, which act through the handles of `injector`. `announcements` sends changes to discovery. The oracle
+//! decides which violations a fault excuses.
 mod announcements;
 mod balancers;
 mod disks;
--- a/lab/src/faults/network.rs
+++ b/lab/src/faults/network.rs
@@ -1,11 +1,11 @@
-//! Loses, repeats, delays and forges datagrams between balancers. The emulated network is
-//! [`Datagrams`](crate::datagrams::Datagrams)'s.
+//! Loses, repeats, delays and forges datagrams between balancers, on the emulated network of
+//! [`Datagrams`](crate::datagrams::Datagrams).
 use super::injector::Injector;
 use crate::draw::PlannedFault;
 use crate::experiment::{FaultKind, Range};
 use crate::net::lock;
 
-/// From this share of lost datagrams on no balancer can be expected to know its peers.
+/// At this share of lost datagrams or more, balancers are not expected to know their peers.
 const MUFFLED_LOSS: f64 = 0.5;
 
 impl Injector {
--- a/lab/src/faults/partition.rs
+++ b/lab/src/faults/partition.rs
@@ -1,4 +1,4 @@
-//! Cuts links and datagrams between parties, and heals them.
+//! Cuts links and datagram paths between parties, and heals them.
 use super::balancers::CATCH_UP;
 use super::injector::Injector;
 use crate::draw::{Party, PlannedFault};
@@ -10,11 +10,11 @@
 struct LinkCut {
     link: Arc<Link>,
     direction: Direction,
-    /// The balancer that is not to blame for what clients miss meanwhile.
+    /// The balancer that is excused for requests that its clients lose during the cut.
     excused: Option<usize>,
 }
 
-/// Two balancers of which the second hears nothing from the first.
+/// A cut of the datagrams from one balancer to another.
 #[derive(Clone, Copy)]
 struct DatagramCut {
     from: usize,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Every ordered pair of parties between which a fault stops traffic.
+/// Every ordered pair of parties whose traffic a fault stops.
 fn pairs(fault: &PlannedFault) -> Vec<(Party, Party)> {
     let mut pairs = Vec::new();
     for &on in &fault.on {
--- a/lab/src/faults/schedule.rs
+++ b/lab/src/faults/schedule.rs
@@ -1,4 +1,4 @@
-//! Starts every fault of the plan at its time and picks who carries it out.
+//! Starts every fault of the plan at its time and dispatches it by kind.
 use super::announcements::Announcements;
 use super::balancers::{restart_later, saved_state, Ending};
 use super::error::FaultError;
@@ -13,7 +13,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// Starts every fault of the plan, each in a task of its own that waits for its time.
+/// Spawns a task for every fault of the plan, which waits for its time.
 pub fn schedule(fleet: &Arc<Fleet>, guard: &Guard) {
     let injector = Injector {
         fleet: fleet.clone(),
@@ -36,11 +36,11 @@
         clock.until(fault.at).await;
         tracing::info!(kind = ?fault.kind, on = fault.on.len(), "fault begins");
         if let Err(error) = self.inject(fault).await {
-            tracing::warn!(kind = ?fault.kind, %error, "fault not injected");
+            tracing::warn!(kind = ?fault.kind, %error, "fault could not be injected");
         }
     }
 
-    /// Copies the state folders that are to be put back as they are now.
+    /// Copies the current state folders, for a later restore.
     fn save_states(&self, fault: &PlannedFault) {
         for party in &fault.on {
             let Party::Balancer(balancer) = *party else {
@@ -48,12 +48,12 @@
             };
             let state = &self.fleet.balancers[balancer].state;
             if let Err(error) = copy(state, &saved_state(&self.fleet, balancer)) {
-                tracing::warn!(balancer, %error, "state folder not copied");
+                tracing::warn!(balancer, %error, "state folder could not be copied");
             }
         }
     }
 
-    /// Carries one fault out, from its start until it is taken back.
+    /// Injects one fault and returns once it is reverted.
     async fn inject(&self, fault: &PlannedFault) -> Result<(), FaultError> {
         match fault.kind {
             FaultKind::Kill | FaultKind::PowerLoss => self.end_each(fault, Ending::Kill).await?,
@@ -70,7 +70,7 @@
                 self.lose_upstreams(fault).await?;
             }
             FaultKind::Reset => self.reset_upstreams(fault),
-            // Drawn into the arrivals of the plan.
+            // Part of the planned arrivals.
             FaultKind::Burst => {}
             FaultKind::Outage => self.outage(fault).await,
             FaultKind::DatagramGarbage => self.datagram_garbage(fault).await,
@@ -90,7 +90,7 @@
         Ok(())
     }
 
-    /// Ends all balancers of a fault at once, and starts each again.
+    /// Ends all balancers of a fault at once, and restarts each.
     async fn end_each(&self, fault: &PlannedFault, ending: Ending) -> Result<(), FaultError> {
         for_each_at_once(balancers_of(fault), |balancer| {
             restart_later(self.clone(), balancer, ending, fault.until, fault.state)
--- a/lab/src/faults/upstreams.rs
+++ b/lab/src/faults/upstreams.rs
@@ -1,4 +1,4 @@
-//! Makes upstreams slow or failing, and has them die, vanish or be replaced and come back warming up.
+//! Makes upstreams slow or failing, and ends, disconnects or replaces them; they restart with a slow start.
 use super::balancers::kill;
 use super::error::FaultError;
 use super::injector::{for_each_at_once, upstreams_of, Injector};
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Ends upstreams with the balancers beside them, and starts them again.
+    /// Ends upstreams and their sidecar balancers, and restarts them.
     pub(super) async fn lose_upstreams(&self, fault: &PlannedFault) -> Result<(), FaultError> {
         let (kind, until) = (fault.kind, fault.until);
         for_each_at_once(upstreams_of(fault), |upstream| {
@@ -79,7 +79,7 @@
         Ok(())
     }
 
-    /// Ends an upstream as the kind of fault does it, and announces that.
+    /// Ends an upstream in the manner of the kind of fault, and announces its new state.
     async fn end_upstream(&self, index: usize, kind: FaultKind) {
         let fleet = &self.fleet;
         let world = &fleet.world;
--- a/lab/src/process/child.rs
+++ b/lab/src/process/child.rs
@@ -1,4 +1,4 @@
-//! The process of one balancer: its start, its signals, its end. Owns whether it runs and how it was ended.
+//! The process of one balancer: its start, its signals, its exit. Owns the process state and the reason for its exit.
 use super::config::{config, Identity};
 use super::error::ProcessError;
 use super::files::{Files, LaunchSpec};
@@ -36,7 +36,7 @@
 const READINESS_REQUEST: &[u8] =
     b"GET /-/ready HTTP/1.1\r\nHost: service.internal\r\nConnection: close\r\n\r\n";
 
-/// The incarnations of one balancer, as its metrics name them.
+/// The incarnations of one balancer, as its metrics report them.
 #[derive(Default)]
 struct Incarnations {
     /// When the latest process was started, as Unix time in milliseconds; infinite once its incarnation was checked.
@@ -51,37 +51,37 @@
     name: String,
     listen: SocketAddr,
     agent: Arc<Agent>,
-    /// What it can be launched as: the program under test, then each build.
+    /// The launch specifications: the program under test, then each build.
     launch_specs: Vec<LaunchSpec>,
-    /// Position in `launch_specs` from the next start on.
+    /// Position in `launch_specs` for the next start.
     build: AtomicUsize,
-    /// Where commands are run.
+    /// The working directory of commands.
     root: PathBuf,
     files: Files,
-    /// The balancer's state folder, which outlives its process.
+    /// The balancer's state folder, which persists over restarts.
     pub state: PathBuf,
     seed: u64,
     starts: AtomicUsize,
-    /// The id of the process; 0 while none runs.
+    /// The process id; 0 while no process runs.
     pid: AtomicI32,
     incarnations: Mutex<Incarnations>,
-    /// A fault has ended the process, or is about to, and will start it again.
+    /// Whether a fault has claimed the process, to end it and start it again.
     restart_claimed: AtomicBool,
-    /// The lab has asked the process to end.
+    /// Whether the lab has asked the process to exit.
     stop_requested: AtomicBool,
-    /// Whether the process is ready for requests.
+    /// Whether the process has reported that it is ready for requests.
     pub ready: watch::Sender<bool>,
     has_exited: watch::Sender<bool>,
-    /// The most memory that the balancer was seen to use, in kilobytes.
+    /// The highest memory usage seen, in kilobytes.
     pub max_memory_kb: AtomicU64,
-    /// The most descriptors that the balancer was seen to have open.
+    /// The highest number of open descriptors seen.
     pub max_descriptors: AtomicU64,
-    /// Time on a core, in clock ticks of this machine, over all starts.
+    /// CPU time of the start that used most, in clock ticks of this machine.
     pub cpu_ticks: AtomicU64,
 }
 
-/// What the disk of a balancer does wrong while no fault is injected: a machine that is to lose power has a disk that
-/// loses what was not synced.
+/// The disk faults of a balancer while no fault is injected: if its machine loses power during the run, its disk drops
+/// writes that were not synced.
 fn default_disk_faults(world: &World, balancer: usize) -> &'static str {
     let loses_power = |fault: &PlannedFault| {
         fault.kind == FaultKind::PowerLoss && fault.on.contains(&Party::Balancer(balancer))
@@ -145,7 +145,7 @@
         atomic_file::replace(&self.files.config, &text)
     }
 
-    /// Sets the faults of the balancer's disk; none restores the default ones.
+    /// Sets the faults of the balancer's disk; `None` restores the default ones.
     ///
     /// # Errors
     /// Fails when the folder can't be written to.
@@ -154,11 +154,11 @@
     }
 
     fn launch_spec(&self) -> &LaunchSpec {
-        // Positions come from the plan, whose builds are these.
+        // Positions come from the plan, which has the same builds.
         &self.launch_specs[self.build.load(Ordering::SeqCst)]
     }
 
-    /// Sets the build from the next start on; none is the program under test.
+    /// Sets the build for the next start; `None` is the program under test.
     pub fn set_build(&self, build: Option<usize>) {
         self.build.store(launch_position(build), Ordering::SeqCst);
     }
@@ -168,18 +168,19 @@
         self.starts.load(Ordering::Relaxed)
     }
 
-    /// Reads the metrics that the balancer has written, if it has.
+    /// Reads the metrics that the balancer has written, if any.
     pub fn read_metrics(&self) -> Option<Counted> {
         self.files.read_metrics()
     }
 
-    /// Has the oracle judge the incarnation of the latest start, once for each start and as soon as the metrics name it.
+    /// Checks that the incarnation of the latest start is higher than all before, once for each start, as soon as the
+    /// metrics report it.
     pub fn check_incarnation(&self, world: &World) {
         let Some(metrics) = self.read_metrics() else {
             return;
         };
         let mut incarnations = lock(&self.incarnations);
-        // The metrics may be those of a start before.
+        // The metrics may be from an earlier start.
         let is_of_this_start = metrics.at_ms - metrics.up_ms >= incarnations.started_unix_ms;
         let Some(incarnation) = metrics.incarnation.filter(|_| is_of_this_start) else {
             return;
@@ -187,7 +188,7 @@
         let highest = incarnations.highest;
         if incarnation <= highest {
             let case = format!(
-                "{} has number {incarnation} after one that had {highest}",
+                "{} has incarnation {incarnation}, but an earlier start had {highest}",
                 self.name
             );
             world.breaks(Rule::Numbered, case);
@@ -198,11 +199,11 @@
         };
     }
 
-    /// Starts the process, and returns once it is ready, has ended or takes too long; the last two are the oracle's to
-    /// judge.
+    /// Starts the process, and returns once it is ready, has exited or exceeds the time limit; the oracle is notified of
+    /// the last two.
     ///
     /// # Errors
-    /// Fails when its files can't be written, or the shell not be started.
+    /// Fails if its files can't be written or the shell can't be started.
     pub async fn start(
         self: &Arc<Self>,
         world: &Arc<World>,
@@ -229,7 +230,7 @@
         Ok(())
     }
 
-    /// The command of a launch, with its environment.
+    /// The command of a start, with its environment.
     fn command(&self, world: &World) -> Result<Command, FileError> {
         let (log, errors) = self.files.open_log()?;
         let spec = self.launch_spec();
@@ -246,11 +247,11 @@
             .stdin(Stdio::null())
             .stdout(log)
             .stderr(errors)
-            // A group of its own: what the terminal sends the lab is the lab's to pass on.
+            // A separate process group, so that signals from the terminal reach the lab only.
             .process_group(0)
             .kill_on_drop(true);
         if !spec.options.is_empty() {
-            // Earlier builds of the program know the second name only.
+            // Earlier builds of the program read the second variable only.
             command
                 .env("BALANCER_OPTIONS", &self.files.options)
                 .env("HERONDOCK_OPTIONS", &self.files.options);
@@ -270,7 +271,7 @@
         self.has_exited.send_replace(false);
     }
 
-    /// Waits until the process is ready or has ended, for as long as the experiment allows.
+    /// Waits until the process is ready or has exited, for at most the time that the experiment allows.
     async fn wait_until_ready(&self, world: &World) {
         let ready_within = world.experiment.balancer.ready_within.0.mean();
         let ready_within = Duration::from_secs_f64(ready_within / 1000.0);
@@ -288,16 +289,16 @@
                     world.dealt[self.index].store(is_front, Ordering::SeqCst);
                 }
                 Err(_) => {
-                    let case = format!("{} is not ready after {ready_within:?}", self.name);
+                    let case = format!("{} is not ready {ready_within:?} after its start", self.name);
                     world.breaks(Rule::NotReady, case);
                 }
             },
-            // Its end is reported by the task that watches it.
+            // The task that watches the process reports its exit.
             _ = has_exited.wait_for(|has_exited| *has_exited) => {}
         }
     }
 
-    /// Waits for the end of the process in the background; an end that nobody asked for breaks a rule.
+    /// Waits for the exit of the process in the background; an exit that the lab did not request breaks a rule.
     fn watch_exit(self: &Arc<Self>, mut child: Child, world: &Arc<World>, guard: &Guard) {
         let (own, world, guard) = (self.clone(), world.clone(), guard.clone());
         let pid = self.pid.load(Ordering::SeqCst);
@@ -324,7 +325,7 @@
             oracle.stops(self.index, now);
         }
         let case = format!(
-            "{} ended by itself: {how}; see {}",
+            "{} exited unexpectedly: {how}; see {}",
             self.name,
             self.files.log.display()
         );
@@ -345,12 +346,12 @@
             .is_ok_and(|ready| ready.is_some())
     }
 
-    /// Claims the process for a fault that ends it and starts it again; false if another fault has claimed it.
+    /// Claims the process for a fault that restarts it; returns false if another fault has claimed it.
     pub fn claim_restart(&self) -> bool {
         !self.restart_claimed.swap(true, Ordering::SeqCst)
     }
 
-    /// Whether the process runs, is ready, was not asked to end, and exchanges datagrams with its peers.
+    /// Whether the process runs, is ready, was not asked to exit, and exchanges datagrams with its peers.
     pub fn exchanges_datagrams(&self) -> bool {
         let peers = self.launch_spec().options.get("peers");
         let on = peers.and_then(|peers| peers.get("on"));
@@ -369,25 +370,25 @@
     pub fn signal(&self, signal: Signal) {
         let pid = self.pid.load(Ordering::SeqCst);
         if pid > 0 {
-            // It may have ended this moment.
+            // The process may have exited in the meantime.
             let _ = kill(Pid::from_raw(pid), signal);
         }
     }
 
-    /// Sends a signal to the process, if it runs; its end from then on is the lab's doing.
+    /// Sends a signal to the process, if it runs, and marks its exit as requested by the lab.
     pub fn stop(&self, signal: Signal) {
         self.stop_requested.store(true, Ordering::SeqCst);
         self.signal(signal);
     }
 
-    /// Waits until the process has ended.
+    /// Waits until the process has exited.
     pub async fn exited(&self) {
         let mut has_exited = self.has_exited.subscribe();
-        // The sender lives as long as this does.
+        // The sender is owned by `self`, so this can't fail.
         let _ = has_exited.wait_for(|has_exited| *has_exited).await;
     }
 
-    /// Samples what the process uses and acts on, and has the oracle judge it.
+    /// Samples the resource usage of the process and the age of the data that it acts on, and checks their limits.
     pub fn sample_usage(&self, world: &World) {
         let pid = self.pid.load(Ordering::SeqCst);
         if pid <= 0 {
@@ -416,25 +417,31 @@
         self.max_memory_kb.fetch_max(memory_kb, Ordering::Relaxed);
         let limit_kb = world.experiment.balancer.memory_mb * 1024;
         if memory_kb > limit_kb {
-            let case = format!("{} holds {memory_kb} kB of {limit_kb}", self.name);
+            let case = format!(
+                "{} uses {memory_kb} kB of memory, limit {limit_kb} kB",
+                self.name
+            );
             world.breaks(Rule::Memory, case);
         }
     }
 
-    /// Judges each new maximum, so that a count that stays too high is one case.
+    /// Checks each new maximum only, so that a count that stays above the limit is reported once.
     fn check_descriptors(&self, world: &World, descriptors: u64) {
         let limit = world.experiment.balancer.sockets as u64;
         let before = self
             .max_descriptors
             .fetch_max(descriptors, Ordering::Relaxed);
         if before < descriptors && descriptors > limit {
-            let case = format!("{} holds {descriptors} descriptors of {limit}", self.name);
+            let case = format!(
+                "{} has {descriptors} open descriptors, limit {limit}",
+                self.name
+            );
             world.breaks(Rule::Descriptors, case);
         }
     }
 }
 
-/// The position of a build among what a balancer can be launched as; none is the program under test.
+/// The position of a build among the launch specifications; `None` is the program under test.
 fn launch_position(build: Option<usize>) -> usize {
     build.map_or(0, |build| build + 1)
 }
--- a/lab/src/process/config.rs
+++ b/lab/src/process/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of one balancer, as DEPLOY and WIRE word it; the names of its keys are theirs.
+//! The configuration of one balancer. DEPLOY and WIRE define the names of its keys.
 use crate::agent::Agent;
 use crate::draw::Calls;
 use crate::experiment::{Class, Effect, Experiment, Group, Kind, Millis, Tier};
@@ -6,18 +6,18 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Who the balancer is, as far as its configuration says.
+/// The identity of the balancer in its configuration.
 pub(super) struct Identity<'a> {
     /// Position in the plan.
     pub(super) index: usize,
     pub(super) name: &'a str,
     pub(super) listen: SocketAddr,
     pub(super) agent: &'a Agent,
-    /// Feeds the balancer's random choices: another seed with each start.
+    /// Seeds the balancer's random choices; each start has a different seed.
     pub(super) seed: u64,
 }
 
-/// Returns the configuration of a balancer, as the platform would write it.
+/// Returns the configuration of a balancer, as the platform would write it to a file.
 pub(super) fn config(identity: &Identity<'_>, world: &World) -> Value {
     let (index, agent) = (identity.index, identity.agent);
     let peers = peers(world, index);
@@ -45,7 +45,7 @@
     })
 }
 
-/// All balancers of the same tier, this one included.
+/// All balancers of the same tier, including this one.
 fn peers(world: &World, balancer: usize) -> Vec<usize> {
     let balancers = &world.plan.balancers;
     let tier = balancers[balancer].tier;
@@ -106,7 +106,7 @@
         .collect()
 }
 
-/// What a repeat of a class's requests may do, and among which upstreams repeats are dropped.
+/// The effect of repeated requests of a class, and the scope in which upstreams deduplicate them.
 fn effect_and_scope(class: &Class) -> (&'static str, &'static str) {
     match (class.effect, class.group) {
         (Effect::Safe, _) => ("free", "all"),
--- a/lab/src/process/error.rs
+++ b/lab/src/process/error.rs
@@ -6,17 +6,17 @@
 /// A balancer's process that could not be started.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// A file that it reads or writes could not be made.
+    /// A file of the process could not be written.
     #[error(transparent)]
     File(#[from] FileError),
     /// The shell could not be started.
-    #[error("{name}: {command}: {source}")]
+    #[error("{name}: failed to start {command:?}: {source}")]
     Spawn {
         /// The balancer's name.
         name: String,
-        /// The command that was to become it.
+        /// The shell command.
         command: String,
-        /// What the operating system says of it.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
--- a/lab/src/process/files.rs
+++ b/lab/src/process/files.rs
@@ -1,16 +1,16 @@
-//! The files that a balancer's process reads and writes, and what it is launched as. Owns where they are.
+//! The files that a balancer's process reads and writes, and its launch specification. Owns the paths.
 use crate::atomic_file;
 use crate::audit::Counted;
 use crate::error::FileError;
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 
-/// What a balancer is launched as.
+/// The command and the options of a balancer's process.
 #[derive(Clone, Debug)]
 pub struct LaunchSpec {
-    /// The shell's command that becomes it.
+    /// The shell command.
     pub command: String,
-    /// Its options.
+    /// The options for the process.
     pub options: toml::Table,
 }
 
@@ -18,12 +18,12 @@
 pub(super) struct Files {
     pub(super) config: PathBuf,
     pub(super) options: PathBuf,
-    /// The balancer's state folder, which outlives its process.
+    /// The balancer's state folder, which persists over restarts.
     pub(super) state: PathBuf,
     pub(super) log: PathBuf,
-    /// Names the faults of the balancer's disk, for its build with fault injection.
+    /// The disk faults, for the balancer's build with fault injection.
     disk_faults: PathBuf,
-    /// What the file of disk faults holds while no fault is injected.
+    /// The content of `disk_faults` while no fault is injected.
     default_disk_faults: &'static str,
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Writes the options of a launch; the state folder exists from then on.
+    /// Creates the state folder and writes the options of a start.
     pub(super) fn write_options(&self, options: &toml::Table) -> Result<(), FileError> {
         std::fs::create_dir_all(&self.state).map_err(FileError::at(&self.state))?;
         let text = options.to_string();
@@ -49,13 +49,13 @@
         std::fs::write(&self.options, text).map_err(FileError::at(&self.options))
     }
 
-    /// Sets the faults of the disk; none restores the default ones.
+    /// Sets the faults of the disk; `None` restores the default ones.
     pub(super) fn set_disk_faults(&self, directive: Option<&str>) -> Result<(), FileError> {
         let directive = directive.unwrap_or(self.default_disk_faults);
         atomic_file::replace(&self.disk_faults, directive)
     }
 
-    /// Opens the log to append to, for standard output and standard error.
+    /// Opens the log for appending, for standard output and standard error.
     pub(super) fn open_log(&self) -> Result<(Stdio, Stdio), FileError> {
         let log = std::fs::OpenOptions::new()
             .create(true)
@@ -66,7 +66,7 @@
         Ok((Stdio::from(log), Stdio::from(errors)))
     }
 
-    /// Reads the metrics that the balancer has written, if it has.
+    /// Reads the metrics that the balancer has written, if any.
     pub(super) fn read_metrics(&self) -> Option<Counted> {
         let text = std::fs::read(self.state.join("figures.json")).ok()?;
         serde_json::from_slice(&text).ok()
--- a/lab/src/process/mod.rs
+++ b/lab/src/process/mod.rs
@@ -1,6 +1,6 @@
-//! A balancer as a process: its configuration, its start, its signals, what it uses, its end.
+//! A balancer as a process: its configuration, start, signals, resource usage and exit.
 //!
-//! `child` owns the process; `config` and `files` what it reads. Which fault ends it is the faults' to say.
+//! `child` owns the process; `config` and `files` write its input. The module `faults` decides when a process is ended.
 mod child;
 mod config;
 mod error;
--- a/lab/src/process/usage.rs
+++ b/lab/src/process/usage.rs
@@ -1,16 +1,16 @@
-//! What the operating system says that a process uses.
+//! The resource usage of a process, read from `/proc`.
 
-/// What a process uses.
+/// The resource usage of a process.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Usage {
     pub(super) memory_kb: u64,
     pub(super) descriptors: u64,
-    /// Time on a core, in clock ticks of this machine.
+    /// CPU time, in clock ticks of this machine.
     pub(super) cpu_ticks: u64,
 }
 
 impl Usage {
-    /// Reads what a process uses; none if it has ended.
+    /// Reads the usage of a process; `None` if it has exited.
     pub(super) fn read(pid: i32) -> Option<Usage> {
         Some(Usage {
             memory_kb: memory_kb(pid)?,
@@ -28,7 +28,7 @@
 
 fn cpu_ticks(pid: i32) -> Option<u64> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The name in brackets may hold anything; the numbers follow it.
+    // The process name in parentheses may contain any character; the numeric fields follow the last parenthesis.
     let numbers: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let user: u64 = numbers.get(11)?.parse().ok()?;
     let system: u64 = numbers.get(12)?.parse().ok()?;
--- a/lab/src/stand_in/config.rs
+++ b/lab/src/stand_in/config.rs
@@ -1,4 +1,4 @@
-//! The parts of a balancer's configuration and of discovery's responses that a stand-in reads.
+//! The parts of a balancer's configuration and of discovery responses that a stand-in reads.
 use super::error::StandInError;
 use crate::error::FileError;
 use serde::Deserialize;
@@ -12,7 +12,7 @@
     pub(super) discovery: SocketAddr,
     /// A hexadecimal number.
     seed: String,
-    /// The list as the balancer last had it.
+    /// The balancer's last known list.
     pub(super) known: Listing,
     pub(super) peers_all: SocketAddr,
     pub(super) settings: Settings,
@@ -24,7 +24,7 @@
     pub(super) index: u16,
 }
 
-/// A response of discovery: the full list, or what has changed.
+/// A discovery response: the full list, or the changes since a version.
 #[derive(Deserialize)]
 pub(super) struct Listing {
     pub(super) version: u64,
--- a/lab/src/stand_in/connect.rs
+++ b/lab/src/stand_in/connect.rs
@@ -15,7 +15,7 @@
     stream.set_nodelay(true).ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(async move {
-        // How it ended shows in the request that was on it.
+        // Errors surface in the request on the connection.
         let _ = connection.await;
     });
     Some(sender)
--- a/lab/src/stand_in/error.rs
+++ b/lab/src/stand_in/error.rs
@@ -8,29 +8,29 @@
 /// A stand-in that could not start.
 #[derive(Debug, Error)]
 pub enum StandInError {
-    /// The environment names no configuration.
-    #[error("NODE_CONFIG: {0}")]
+    /// The environment variable with the path of the configuration is not set.
+    #[error("environment variable NODE_CONFIG: {0}")]
     Environment(#[source] VarError),
     /// The configuration could not be read.
     #[error(transparent)]
     File(#[from] FileError),
-    /// The configuration is not of its form.
-    #[error("{}: {source}", path.display())]
+    /// The configuration is malformed.
+    #[error("{}: invalid configuration: {source}", path.display())]
     Config {
         /// The file.
         path: PathBuf,
         /// What is wrong with it.
         source: serde_json::Error,
     },
-    /// The seed is no hexadecimal number.
-    #[error("{}: seed: {source}", path.display())]
+    /// The seed is not a hexadecimal number.
+    #[error("{}: seed is not a hexadecimal number: {source}", path.display())]
     Seed {
         /// The file.
         path: PathBuf,
         /// What is wrong with it.
         source: ParseIntError,
     },
-    /// The address could not be listened on.
+    /// The listen address could not be bound.
     #[error(transparent)]
     Bind(#[from] BindError),
 }
--- a/lab/src/stand_in/metrics.rs
+++ b/lab/src/stand_in/metrics.rs
@@ -1,15 +1,15 @@
-//! Writes metrics that are not true.
+//! Writes false metrics.
 use super::misbehavior::Misbehavior;
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// The time between two writes.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
-/// The age of the sums that a stand-in claims to act on, in milliseconds.
+/// The reported age of the peer sums, in milliseconds.
 const STALE_AGE_MS: u64 = 60_000;
 
-/// Writes metrics again and again until dropped; `requests` returns how many requests there were. Does nothing where the
-/// environment names no folder.
+/// Writes metrics periodically until dropped; `requests` returns how many requests there were. Does nothing if the
+/// environment variable `LAB_STATE` is not set.
 pub(super) async fn write_metrics(misbehavior: Misbehavior, requests: impl Fn() -> usize) {
     let Some(folder) = std::env::var_os("LAB_STATE").map(PathBuf::from) else {
         return;
@@ -18,7 +18,7 @@
         tokio::time::sleep(WRITE_INTERVAL).await;
         let text = metrics(misbehavior, requests());
         let (temporary, path) = (folder.join("figures.new"), folder.join("figures.json"));
-        // The lab sees whether it is there.
+        // The lab detects missing metrics.
         let _ = std::fs::write(&temporary, text).and_then(|()| std::fs::rename(&temporary, &path));
     }
 }
--- a/lab/src/stand_in/misbehavior.rs
+++ b/lab/src/stand_in/misbehavior.rs
@@ -1,28 +1,28 @@
-//! How a stand-in chooses upstreams, and what it does that a balancer must not. The names on the command line are fixed.
+//! The load-balancing policy of a stand-in and its rule violations. The names on the command line are fixed.
 use clap::ValueEnum;
 
 /// How a stand-in chooses an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Policy {
-    /// Any of the active ones.
+    /// A random active one.
     Random,
-    /// Each in turn.
+    /// The active ones in turn.
     RoundRobin,
 }
 
-/// What a stand-in does that a balancer must not.
+/// A rule violation that a stand-in commits on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Misbehavior {
-    /// Closes the connection of every tenth request after it has sent it on.
+    /// Closes the client connection of every tenth request after forwarding it.
     #[value(name = "loses")]
     LoseResponse,
-    /// Says nothing to every tenth request.
+    /// Never responds to every tenth request.
     #[value(name = "holds")]
     NeverRespond,
-    /// Answers every tenth request by itself.
+    /// Responds to every tenth request without forwarding it.
     #[value(name = "invents")]
     InventResponse,
-    /// Sends what failed or was served once more, whatever its class.
+    /// Sends every request a second time after the first response, regardless of its class.
     #[value(name = "repeats")]
     RepeatRequest,
     /// Refuses every tenth request after it has run.
@@ -31,62 +31,61 @@
     /// Sends every request to two upstreams at once.
     #[value(name = "doubles")]
     SendTwiceAtOnce,
-    /// Tries ever again.
+    /// Makes four more attempts for every request.
     #[value(name = "insists")]
     RetryTooOften,
-    /// Sends every tenth request once more after it has answered.
+    /// Sends every tenth request once more after it has responded.
     #[value(name = "lingers")]
     SendAfterResponse,
-    /// Ignores that an upstream drains.
+    /// Ignores discovery updates, so it sends to upstreams that drain.
     #[value(name = "deaf")]
     IgnoreUpdates,
-    /// Sends everything to whoever started last.
+    /// Sends all requests to the upstream that started last.
     #[value(name = "crowds")]
     SendToNewest,
-    /// Sends on requests under ids of its own.
+    /// Forwards every tenth request under a made-up request id.
     #[value(name = "forges")]
     ForgeRequestId,
-    /// Takes ever more memory.
+    /// Leaks memory with each request.
     #[value(name = "swells")]
     LeakMemory,
-    /// Takes ever more descriptors.
+    /// Leaks a descriptor with each request.
     #[value(name = "hoards")]
     LeakDescriptors,
-    /// Ends after some requests.
+    /// Exits after a number of requests.
     #[value(name = "dies")]
     Crash,
     /// Never reports that it is ready.
     #[value(name = "idles")]
     NeverReady,
-    /// Sends its peers more than a datagram may hold.
+    /// Sends its peers datagrams longer than the protocol allows.
     #[value(name = "shouts")]
     OversizeDatagram,
-    /// Writes metrics of twice what it took.
+    /// Reports twice the number of requests in its metrics.
     #[value(name = "boasts")]
     OverstateMetrics,
-    /// Writes the same number of its start each time.
+    /// Reports the same incarnation after each start.
     #[value(name = "stutters")]
     RepeatIncarnation,
-    /// Writes that it acts on sums of a minute ago.
+    /// Reports that it acts on peer sums that are a minute old.
     #[value(name = "remembers")]
     StaleSums,
-    /// Refuses the first tenant that it has seen, once it has seen another.
+    /// Refuses requests of the first tenant that it has seen, once it has seen another tenant.
     #[value(name = "favours")]
     RefuseFirstTenant,
-    /// Speaks with its peers as it should, and reads version 1 alone. Nothing wrong by itself: others may be, beside
-    /// it.
+    /// Reads and sends protocol version 1 only. This breaks no rule, but its peers break one if they send version 2.
     #[value(name = "speaks-old")]
     OldVersionOnly,
-    /// Speaks with its peers, reads versions 1 and 2, and sends 2 whoever is there.
+    /// Reads versions 1 and 2, and always sends 2, even while a peer reads version 1 only.
     #[value(name = "misspeaks")]
     UnreadableVersion,
-    /// Reads versions 1 and 2, and sends 1 for ever.
+    /// Reads versions 1 and 2, and always sends 1, even when all peers read 2.
     #[value(name = "clings")]
     NeverAgree,
-    /// Tells of a number of the agreement that goes back.
+    /// Sends decreasing agreement epochs.
     #[value(name = "rewinds")]
     RewindEpoch,
-    /// Sends its peers what is no datagram.
+    /// Sends its peers datagrams with an invalid checksum.
     #[value(name = "mumbles")]
     InvalidChecksum,
 }
--- a/lab/src/stand_in/mod.rs
+++ b/lab/src/stand_in/mod.rs
@@ -1,8 +1,9 @@
-//! The lab's own balancers: pass-throughs to set beside the real one, and ones that misbehave on purpose, so that each
-//! rule of the oracle is seen to be broken by somebody.
+//! The lab's own balancers: simple proxies as baselines for the real one, and proxies that misbehave on purpose, to test
+//! that the oracle detects violations of each rule.
 //!
-//! `run` composes them: `proxy` takes and forwards requests, `upstreams` follows discovery and chooses, `peers`
-//! and `metrics` send and write what is wrong. No retries, no health, no slow start: that is the real balancer's.
+//! `run` composes them: `proxy` accepts and forwards requests, `upstreams` follows discovery and chooses an upstream,
+//! `peers` and `metrics` send false datagrams and write false metrics. Stand-ins have no retries, no health checks and
+//! no slow start.
 mod config;
 mod connect;
 mod error;
--- a/lab/src/stand_in/peers.rs
+++ b/lab/src/stand_in/peers.rs
@@ -1,4 +1,4 @@
-//! Sends datagrams to peers, well-formed or not. The form is that of the oracle's `header` module.
+//! Sends datagrams to peers, well-formed or not. The format is defined by the oracle's `header` module.
 use super::misbehavior::Misbehavior;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 const INCARNATION: u64 = 7;
 const DEPLOYMENT: u32 = 9;
 
-/// What a stand-in sends to its peers.
+/// Sends datagrams that advertise protocol versions to peers.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Advertiser {
     /// The version that it sends.
@@ -35,7 +35,7 @@
 }
 
 impl Advertiser {
-    /// What a misbehavior sends to peers, if anything.
+    /// The advertiser of a misbehavior, if it sends datagrams.
     pub(super) fn of(misbehavior: Misbehavior) -> Option<Advertiser> {
         let versions = |version, max_version| Advertiser {
             version,
@@ -86,7 +86,7 @@
             return;
         };
         for number in 0.. {
-            // Whether it arrives is the lab's to see.
+            // The lab detects missing datagrams.
             let _ = socket.send_to(&self.datagram(index, number), peers).await;
             tokio::time::sleep(SEND_INTERVAL).await;
         }
--- a/lab/src/stand_in/proxy.rs
+++ b/lab/src/stand_in/proxy.rs
@@ -1,4 +1,4 @@
-//! Takes requests and forwards them, or misbehaves. Owns the idle connections to upstreams and what a leak has taken.
+//! Forwards requests, or misbehaves. Owns the idle connections to upstreams and the leaked resources.
 use super::connect::{connect, Sender};
 use super::misbehavior::Misbehavior;
 use super::upstreams::Upstreams;
@@ -18,29 +18,29 @@
 use tokio::net::{TcpStream, UdpSocket};
 use tokio::time::timeout;
 
-/// The longest body, in bytes.
+/// The maximum size of a body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a connection may take to be ready for another request after a response.
+/// A connection that is not ready for the next request within this time after a response is closed.
 const REUSE_TIMEOUT: Duration = Duration::from_millis(5);
-/// The time from a response to the attempt that comes too late.
+/// The time from a response to the attempt that [`Misbehavior::SendAfterResponse`] makes after it.
 const LATE_ATTEMPT_DELAY: Duration = Duration::from_millis(300);
-/// Bytes that are leaked with each request.
+/// Memory leaked with each request, in bytes.
 const LEAK_BYTES: usize = 4 << 20;
-/// Requests that are served before a crash.
+/// The number of requests served before a crash.
 const REQUESTS_BEFORE_CRASH: usize = 20;
 const CRASH_EXIT_CODE: i32 = 3;
-/// More than a datagram between balancers may hold, in bytes.
+/// A datagram longer than the 256 bytes that the protocol allows.
 const OVERSIZE_DATAGRAM: [u8; 300] = [0; 300];
 
 /// The connection of a request is closed with no response.
 #[derive(Debug, Error)]
-#[error("lost on purpose")]
+#[error("response dropped on purpose")]
 pub(super) struct ResponseLost;
 
 type Handled = Result<Response<Full<Bytes>>, ResponseLost>;
 
-/// What leaks have taken.
+/// Leaked resources.
 #[derive(Default)]
 struct Leaked {
     memory: Vec<u8>,
@@ -105,10 +105,10 @@
         self.requests.load(Ordering::Relaxed)
     }
 
-    /// Responds to a request.
+    /// Handles one request.
     ///
     /// # Errors
-    /// Fails where the stand-in loses responses on purpose: the connection is closed then.
+    /// Fails if the stand-in drops the response on purpose; the connection is closed then.
     pub(super) async fn handle_request(self: Arc<Self>, request: Request<Incoming>) -> Handled {
         if request.uri().path() == "/-/ready" {
             return Ok(self.readiness());
@@ -141,7 +141,7 @@
         })
     }
 
-    /// Does what the stand-in does wrong before the first attempt; returns the response if there is to be no attempt.
+    /// Commits the violations that precede the first attempt; returns a response if no attempt is to be made.
     async fn misbehave_before(
         &self,
         request: &mut ReceivedRequest,
@@ -174,12 +174,12 @@
 
     async fn send_oversize_datagram(&self) {
         if let Ok(socket) = UdpSocket::bind((self.listen.ip(), 0)).await {
-            // Whether it arrives is the lab's to see.
+            // The lab detects missing datagrams.
             let _ = socket.send_to(&OVERSIZE_DATAGRAM, self.peers).await;
         }
     }
 
-    /// Whether a request is of the first tenant that was seen, and another one was seen since.
+    /// Whether a request belongs to the first tenant seen, and another tenant has been seen since.
     fn is_of_first_tenant(&self, request: &ReceivedRequest) -> bool {
         let tenant = request.head.headers.get("req-owner").cloned();
         let mut seen = lock(&self.tenants_seen);
@@ -189,7 +189,7 @@
         seen.len() > 1 && seen.first() == Some(&tenant)
     }
 
-    /// Does what the stand-in does wrong after the first attempt, and returns what the client gets.
+    /// Commits the violations that follow the first attempt, and returns the response for the client.
     async fn misbehave_after(
         self: Arc<Self>,
         request: ReceivedRequest,
@@ -236,7 +236,7 @@
         first.or(second).unwrap_or_else(bad_gateway)
     }
 
-    /// Makes so many more attempts, and returns the response of the last one that had an upstream.
+    /// Makes `attempts` more attempts, and returns the response of the last one that had an upstream.
     async fn send_again(
         &self,
         request: &ReceivedRequest,
@@ -251,7 +251,7 @@
         response.unwrap_or_else(bad_gateway)
     }
 
-    /// Makes one attempt; none where it got no full response.
+    /// Makes one attempt; returns `None` if it got no complete response.
     async fn send(
         &self,
         upstream: SocketAddr,
@@ -273,7 +273,7 @@
         Some(response)
     }
 
-    /// The idle connection to an upstream that was used last and is still open.
+    /// The most recently used idle connection to an upstream that is still open.
     fn take_idle(&self, upstream: SocketAddr) -> Option<Sender> {
         let mut idle = lock(&self.idle);
         let senders = idle.get_mut(&upstream)?;
--- a/lab/src/stand_in/run.rs
+++ b/lab/src/stand_in/run.rs
@@ -16,7 +16,7 @@
 /// Runs a stand-in until it is killed.
 ///
 /// # Errors
-/// Fails when the configuration can't be read or its address not be listened on.
+/// Fails if the configuration can't be read or the listen address can't be bound.
 pub async fn run(policy: Policy, misbehavior: Option<Misbehavior>) -> Result<(), StandInError> {
     let Loaded { config, seed } = load()?;
     let listener = TcpListener::bind(config.listen)
@@ -57,13 +57,13 @@
 }
 
 async fn serve(proxy: Arc<Proxy>, stream: TcpStream) {
-    // A client that has left by now shows when its request is read.
+    // If the client has disconnected, reading its request fails.
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| {
         let proxy = proxy.clone();
         async move { proxy.handle_request(request).await }
     });
-    // How a client's connection ends is the client's to see.
+    // Connection errors are reported by the client.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
--- a/lab/src/stand_in/upstreams.rs
+++ b/lab/src/stand_in/upstreams.rs
@@ -1,4 +1,4 @@
-//! The upstreams that a stand-in knows: follows discovery and chooses one. Owns the list.
+//! Follows discovery and chooses upstreams. Owns the stand-in's list of upstreams.
 use super::config::{Listing, Server};
 use super::connect::connect;
 use super::misbehavior::{Misbehavior, Policy};
@@ -14,13 +14,13 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// What a long poll asks discovery to wait at the most.
+/// The query parameter with the longest time that discovery may hold a long poll.
 const POLL_TIMEOUT: &str = "timeout_ms=5000";
-/// How long a long poll waits for its response.
+/// How long a stand-in waits for the response to a long poll.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(6);
-/// The pause after a long poll that failed.
+/// The pause after a failed long poll.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// The longest response of discovery, in bytes.
+/// The maximum size of a discovery response, in bytes.
 const MAX_LISTING_BYTES: usize = 4 << 20;
 
 /// The upstreams that a stand-in knows, and how it chooses among them.
@@ -28,7 +28,7 @@
     policy: Policy,
     misbehavior: Option<Misbehavior>,
     by_id: Mutex<HashMap<String, Server>>,
-    /// The list as the stand-in was started with: one that ignores updates goes by that.
+    /// The list at the start; [`Misbehavior::IgnoreUpdates`] uses only this.
     first: Vec<Server>,
     next: AtomicUsize,
     rng: Mutex<Pcg64Mcg>,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Follows discovery by long polls from a version on, until dropped.
+    /// Follows discovery by long polls, starting after `version`, until dropped.
     pub(super) async fn follow(&self, discovery: SocketAddr, mut version: u64) {
         loop {
             match timeout(RESPONSE_TIMEOUT, poll(discovery, version)).await {
@@ -74,7 +74,7 @@
         by_id.extend(servers.map(|server| (server.id.clone(), server)));
     }
 
-    /// The address of the upstream that the next attempt goes to, if there is any.
+    /// Chooses the upstream of the next attempt and returns its address; `None` if there is no upstream.
     pub(super) fn choose(&self) -> Option<SocketAddr> {
         let server = match self.misbehavior {
             Some(Misbehavior::IgnoreUpdates) => {
@@ -108,7 +108,7 @@
     }
 }
 
-/// Asks discovery for what has changed since a version.
+/// Requests the changes since a version from discovery.
 async fn poll(discovery: SocketAddr, version: u64) -> Option<Listing> {
     let mut sender = connect(discovery).await?;
     let uri = format!("/api/targets?since={version}&{POLL_TIMEOUT}");
--- a/lab/src/upstream/attempt.rs
+++ b/lab/src/upstream/attempt.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// An attempt in flight; records its end, whatever that is, also where its connection is dropped half way.
+/// An attempt in flight; records its end, also when its connection is dropped before the response.
 pub(super) struct ActiveAttempt<'a> {
     pub(super) upstream: &'a Upstream,
     pub(super) world: &'a World,
@@ -33,16 +33,17 @@
     /// The number of the attempt among those of the request.
     pub(super) number: usize,
     pub(super) link: &'a Link,
-    /// Changes of the link when the attempt began: one since then hides when it ended.
+    /// The link's change counter when the attempt began. If it has changed since, the balancer may have closed the
+    /// attempt earlier than the lab saw.
     pub(super) link_changes: u64,
-    /// What the machine knows it by, once it is admitted.
+    /// The machine's token for it, once it is admitted.
     pub(super) token: Option<Token>,
     /// Work done for it, in milliseconds of a core.
     pub(super) work: f64,
     pub(super) began: Millis,
     /// Position of the tenant.
     pub(super) tenant: usize,
-    /// Its end is recorded.
+    /// Whether its end has been recorded.
     pub(super) ended: bool,
 }
 
--- a/lab/src/upstream/emulated.rs
+++ b/lab/src/upstream/emulated.rs
@@ -1,4 +1,4 @@
-//! One upstream: its machine, who waits for it, and what faults do to it. Owns its state.
+//! One upstream: its machine, the tasks that wait for it, and the faults that act on it. Owns its state.
 use super::load_report::{Load, LoadReport, ReportRules};
 use crate::draw::{self, Calls, Plan};
 use crate::experiment::{Experiment, Millis};
@@ -11,23 +11,23 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch, Notify};
 
-/// What changes while an upstream runs.
+/// The mutable state of an upstream.
 pub(super) struct State {
     pub(super) machine: Machine,
-    /// Who waits for a slot or for work to be done.
+    /// The tasks that wait for a slot or for work to be done.
     pub(super) waiters: HashMap<Token, oneshot::Sender<()>>,
     last_token: Token,
     connections: usize,
     pub(super) load_report: LoadReport,
-    /// The oracle has judged the collapse of this start.
+    /// Whether the collapse of the current start has been reported to the oracle.
     pub(super) collapse_reported: bool,
 }
 
 impl State {
-    /// Wakes whoever waits for a token.
+    /// Wakes the task that waits for a token.
     fn wake(&mut self, token: Token) {
         if let Some(waiter) = self.waiters.remove(&token) {
-            // Whoever waited may have left.
+            // The waiting task may have been dropped.
             let _ = waiter.send(());
         }
     }
@@ -42,7 +42,7 @@
     pub(super) wake: Notify,
     /// The link to each balancer of its tier, by the balancer's number in the plan.
     pub links: HashMap<usize, Arc<Link>>,
-    /// Whether anyone listens.
+    /// Whether the ports listen.
     pub(super) listens: watch::Sender<bool>,
     /// How often it has started.
     pub(super) starts: AtomicUsize,
@@ -51,7 +51,7 @@
 }
 
 impl Upstream {
-    /// Returns an upstream that is warm and listens to nobody yet.
+    /// Returns an upstream that is past its slow start and whose ports are not open yet.
     pub fn new(index: usize, experiment: &Experiment, plan: &Plan) -> Upstream {
         let own = plan.upstreams[index].clone();
         let tier = &experiment.tiers[own.tier];
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Its id in discovery; a machine that replaces it has a new one.
+    /// Its id in discovery, after `replaced` replacements; each replacement machine has a new id.
     pub fn id(&self, replaced: usize) -> String {
         match replaced {
             0 => self.plan.name.clone(),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Runs the cores.
+    /// Runs the cores until the run is over.
     pub(super) async fn run(&self, world: &World) {
         let mut done = Vec::new();
         loop {
@@ -137,25 +137,25 @@
         lock(&self.state).machine.is_degraded()
     }
 
-    /// A fault makes it slower by this factor.
+    /// Makes it slower by this factor, as a fault.
     pub fn slow_down(&self, times: f64) {
         lock(&self.state).machine.slow_down(times);
         self.wake.notify_one();
     }
 
-    /// A fault makes it respond with errors to this share of attempts; none restores the share of the plan.
+    /// Makes it respond with errors to this share of attempts, as a fault; `None` restores the share of the plan.
     pub fn fail(&self, share: Option<f64>) {
         let share = share.unwrap_or(self.plan.errors);
         self.errors.store((share * 1e6) as usize, Ordering::Relaxed);
     }
 
-    /// Its process ends: connections are reset, new ones refused.
+    /// Ends its process: connections are reset, new ones refused.
     pub fn end(&self) {
         self.listens.send_replace(false);
         self.links.values().for_each(|link| link.reset());
     }
 
-    /// Its machine becomes unreachable: nothing passes, and nothing is refused.
+    /// Makes its machine unreachable: no traffic passes in either direction, and no connection is refused.
     pub fn vanish(&self) {
         for link in self.links.values() {
             link.cut(Direction::Inward);
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Its machine can be reached again; what was open is reset.
+    /// Makes its machine reachable again; connections that were open are reset.
     pub fn reappear(&self) {
         for link in self.links.values() {
             link.reset();
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Its process starts, with nothing in it and a slow start before it.
+    /// Starts its process, empty and at the beginning of its slow start.
     pub fn begin(&self, now: Millis) {
         let mut state = lock(&self.state);
         state.machine.restart(now);
@@ -242,7 +242,7 @@
             state.machine.start_work(world.now(), token, work);
         }
         self.wake.notify_one();
-        // An end without an announcement is a restart: nothing goes on from here.
+        // A sender dropped without a message means a restart: the work is never completed.
         if done.await.is_err() {
             std::future::pending::<()>().await;
         }
--- a/lab/src/upstream/load_report.rs
+++ b/lab/src/upstream/load_report.rs
@@ -1,32 +1,32 @@
-//! The load that an upstream reports of itself: measured now and then, shown a little later, and a little wrong.
+//! The load that an upstream reports of itself: measured periodically, published after a delay, and noisy.
 use crate::draw::Calls;
 use crate::experiment::Millis;
 
 /// The weight of the latest service time in their moving average.
 const SERVICE_TIME_WEIGHT: f64 = 0.1;
 
-/// What a report is measured from at one moment.
+/// The instantaneous values that a report is measured from.
 pub(super) struct Load {
     pub(super) in_flight: usize,
 }
 
-/// How often reports are taken, and how well.
+/// The period, delay and noise of load reports.
 #[derive(Clone, Copy)]
 pub(super) struct ReportRules {
     pub(super) period: Millis,
-    /// From a measurement until it shows.
+    /// From a measurement until responses carry it.
     pub(super) delay: Millis,
-    /// By how much each value may be off, as a share of it.
+    /// The error of each value, as a share of it.
     pub(super) noise: f64,
 }
 
-/// A report that does not show yet.
+/// A report that responses don't carry yet.
 struct Pending {
     shows_at: Millis,
     text: String,
 }
 
-/// The load report that responses carry, and the next one, which shows later.
+/// The load report that responses carry, and the next one.
 pub(super) struct LoadReport {
     rules: ReportRules,
     measured_at: Millis,
@@ -36,8 +36,9 @@
     /// Moving average of service times.
     service_time: Millis,
     served: u64,
-    /// When the rate was measured last, and how many had been served then.
+    /// When the rate was last measured.
     rate_since: Millis,
+    /// How many attempts had been served at `rate_since`.
     served_before: u64,
 }
 
@@ -62,7 +63,7 @@
         self.served += 1;
     }
 
-    /// The report that shows now; measures the next one if it is time.
+    /// Returns the current report; measures the next one if it is due.
     pub(super) fn text(&mut self, now: Millis, load: &Load) -> String {
         if let Some(due) = self.pending.take_if(|pending| now >= pending.shows_at) {
             self.text = due.text;
--- a/lab/src/upstream/ports.rs
+++ b/lab/src/upstream/ports.rs
@@ -53,7 +53,7 @@
                 }
                 Ok(None) => return,
                 Err(error) => {
-                    tracing::warn!(upstream = %self.plan.name, %error, "connection not accepted");
+                    tracing::warn!(upstream = %self.plan.name, %error, "failed to accept connection");
                     tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 }
             }
@@ -75,7 +75,7 @@
             return;
         }
         lock(&world.tally).second(world.now()).connections += 1;
-        // What a handshake costs both sides.
+        // The work and the round trips of a handshake.
         let handshake = self.next_token();
         self.work(&world, handshake, self.plan.connection_work)
             .await;
@@ -90,7 +90,7 @@
             .header_read_timeout(self.connection_idle)
             .serve_connection(TokioIo::new(stream), service);
         tokio::select! {
-            // How it ended shows in the requests that were on it.
+            // Errors surface in the requests on the connection.
             _ = connection => {}
             _ = resets.changed() => {}
         }
@@ -98,7 +98,7 @@
     }
 }
 
-/// Has a port follow its link, and whether the upstream listens, until the run is over.
+/// Sets the mode of a port by the state of its link and whether the upstream listens, until the run is over.
 async fn follow_mode(
     world: Arc<World>,
     link: Arc<Link>,
--- a/lab/src/upstream/respond.rs
+++ b/lab/src/upstream/respond.rs
@@ -13,15 +13,15 @@
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Request, Response, StatusCode};
 
-/// The longest body of a request, in bytes.
+/// The maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// The value of a header, if it is text.
+/// The value of a header, if it is printable ASCII.
 fn header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// The time that a request has left, if it names one.
+/// The time to the deadline of a request, if it has one.
 fn remaining(headers: &HeaderMap) -> Option<Millis> {
     let micros = header(headers, "req-deadline")?.strip_suffix('u')?;
     Some(micros.parse::<f64>().ok()? / 1000.0)
@@ -56,7 +56,7 @@
         let Some(number) = lock(&world.oracle).attempt(now, id, balancer, self.index) else {
             return empty_response(StatusCode::BAD_REQUEST);
         };
-        // One that has ended is no work any more; what is sent for it is the oracle's case.
+        // The request has ended: its attempts do no work. The oracle has judged this attempt already.
         let Some(profile) = world.profile(id) else {
             return empty_response(StatusCode::BAD_REQUEST);
         };
@@ -79,7 +79,7 @@
             .await
     }
 
-    /// Serves an attempt, with the delays there and back.
+    /// Serves an attempt, with the network delay in both directions.
     async fn serve_attempt(
         &self,
         world: &World,
@@ -114,7 +114,7 @@
     fn report_foreign(&self, world: &World, headers: &HeaderMap) {
         let id = headers.get("req-id").map(|id| format!("{id:?}"));
         let case = format!(
-            "{}: {} was sent by no client",
+            "{}: request id {} was not sent by any client",
             self.plan.name,
             id.unwrap_or_default()
         );
--- a/lab/src/upstream/serve.rs
+++ b/lab/src/upstream/serve.rs
@@ -13,13 +13,13 @@
 use std::sync::atomic::Ordering;
 use tokio::sync::oneshot;
 
-/// What an error response costs, as a share of the full work.
+/// The work of an error response, as a share of the full work.
 const ERROR_WORK: f64 = 0.1;
-/// Whose fault a collapse is: balancers', if those that knew of the start sent at least this share of the work.
+/// A collapse breaks a rule if balancers that had been notified of the start sent at least this share of the work.
 const INFORMED_SHARE: f64 = 2.0 / 3.0;
 
 impl Upstream {
-    /// Does the work of one attempt, and the calls that belong to it.
+    /// Does the work of one attempt, and makes its calls to the next tier.
     pub(super) async fn serve(
         &self,
         world: &World,
@@ -69,7 +69,7 @@
         Outcome::ran(StatusCode::OK)
     }
 
-    /// Waits until an attempt has a slot; false if the machine rejects it.
+    /// Waits until an attempt has a slot; returns false if the machine rejects it.
     async fn admit(
         &self,
         world: &World,
@@ -102,20 +102,21 @@
             return false;
         }
         attempt.token = Some(token);
-        // An end without an announcement is a restart: nothing goes on from here.
+        // A sender dropped without a message means a restart: the attempt is never completed.
         if admission == Admission::Queued && slot.await.is_err() {
             std::future::pending::<()>().await;
         }
         true
     }
 
-    /// Reports a collapse that balancers are to blame for.
+    /// Reports a collapse that was caused by balancers that had been notified of the start.
     fn judge_collapse(&self, world: &World, collapse: &Collapse) {
         if collapse.informed_share < INFORMED_SHARE {
             return;
         }
         let case = format!(
-            "{} was sent {:.0} ms of work where it bears {:.0}, {:.0} of 100 by balancers that knew of its start",
+            "{} collapsed: it was sent {:.0} ms of work, its limit is {:.0} ms, and {:.0} % of the work came from balancers \
+                 that had been notified of its start",
             self.plan.name,
             collapse.sent,
             collapse.limit,
@@ -133,7 +134,7 @@
         draws.count(world.plan.calls[tier + 1] / world.plan.calls[tier])
     }
 
-    /// Makes one call to the next tier through the balancer beside; returns whether it was served.
+    /// Makes one call to the next tier through the upstream's sidecar balancer; returns whether it was served.
     async fn call(
         &self,
         world: &World,
@@ -150,7 +151,7 @@
         if timeout <= 1.0 {
             return false;
         }
-        // A repeat of the request makes the same calls: they carry the same keys.
+        // Keys derive from the request's key, so that a repeat of the request makes calls with the same keys.
         let key = profile.key.wrapping_mul(31).wrapping_add(number as u64 + 1);
         let call = Call {
             balancer,
