--- a/lab/src/agent/entry.rs
+++ b/lab/src/agent/entry.rs
@@ -1,4 +1,4 @@
-//! What discovery knows of an upstream, and how an agent may misbehave.
+//! The entries of the discovery list, and the modes of an agent.
 use crate::experiment::Millis;
 use serde::Serialize;
 
@@ -6,12 +6,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Takes requests.
+    /// Accepts requests.
     Active,
-    /// Finishes the requests that it has, and takes no more.
+    /// Completes its requests in flight, and accepts no new ones.
     #[serde(rename = "leaving")]
     Draining,
-    /// Listed no more; the name is in updates only.
+    /// No longer listed; appears in updates only.
     #[serde(rename = "left")]
     Removed,
 }
@@ -19,26 +19,26 @@
 /// A start of an upstream's process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Start {
-    /// How often the process has started, this start included.
+    /// The number of starts so far, including this one.
     pub number: usize,
-    /// When; none for a start from before the run.
+    /// The time of the start; `None` if it was before the run.
     pub at: Option<Millis>,
 }
 
 impl Start {
-    /// The first start, from before the run.
+    /// The first start, before the run.
     pub(super) const BEFORE_RUN: Start = Start {
         number: 1,
         at: None,
     };
 }
 
-/// What discovery knows of an upstream.
+/// An upstream in discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     /// Position of the upstream in the plan.
     pub upstream: usize,
-    /// Its id in discovery; a replacement has a new one.
+    /// Its id in discovery; a replacement machine has a new id.
     pub id: String,
     /// Its state.
     pub state: State,
@@ -49,12 +49,12 @@
 /// How an agent behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Responds as the protocol has it.
+    /// Responds as the protocol demands.
     Normal,
     /// Never responds.
     Unresponsive,
-    /// Responds with text that is no list.
+    /// Responds with truncated JSON.
     Malformed,
-    /// Responds with the list as it was at the start, under its version of then.
+    /// Responds with the list and the version from the start of the run.
     Stale,
 }
--- a/lab/src/agent/listing.rs
+++ b/lab/src/agent/listing.rs
@@ -1,11 +1,11 @@
-//! The versioned list of upstreams that an agent serves, and its form on the wire.
+//! The versioned list of upstreams that an agent serves, and its wire format.
 use super::entry::{Entry, Start, State};
 use crate::draw::Plan;
 use crate::world::World;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// An upstream in discovery's form.
+/// An upstream in the wire format of discovery.
 #[derive(Serialize)]
 struct ServerLine {
     id: String,
@@ -18,7 +18,7 @@
     started_ms: f64,
 }
 
-/// A response in discovery's form.
+/// A response in the wire format of discovery.
 #[derive(Serialize)]
 struct ListingBody {
     version: u64,
@@ -26,13 +26,13 @@
     servers: Vec<ServerLine>,
 }
 
-/// A response, and the entries whose states the balancer has from it.
+/// A response, and the entries that it contains.
 pub(super) struct Listing {
     pub(super) entries: Vec<Entry>,
     pub(super) text: String,
 }
 
-/// Whether a response shows the list as it is, or as it was at the start.
+/// Whether a response shows the current list or the list from the start of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Freshness {
     Current,
@@ -45,7 +45,7 @@
     version: u64,
 }
 
-/// The upstreams of one tier, as one agent knows them.
+/// The upstreams of one tier, as known to one agent.
 pub(super) struct UpstreamList {
     version: u64,
     by_id: BTreeMap<String, Versioned>,
@@ -57,7 +57,7 @@
     /// The version of the list before any change.
     pub(super) const FIRST_VERSION: u64 = 1;
 
-    /// Lists all upstreams of a tier as active from before the run.
+    /// Lists all upstreams of a tier as active since before the run.
     pub(super) fn of_tier(tier: usize, plan: &Plan) -> UpstreamList {
         let of_tier = |(_, upstream): &(usize, &crate::draw::Upstream)| upstream.tier == tier;
         let versioned = |(index, upstream): (usize, &crate::draw::Upstream)| {
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Applies the `change`-th change of an upstream, and returns the new version of the list; none where a later change
-    /// has overtaken this one.
+    /// Applies the `change`-th change of an upstream, and returns the new version of the list; `None` if a later change
+    /// was applied before.
     pub(super) fn apply(&mut self, entry: Entry, change: u64) -> Option<u64> {
         let last = self.applied.entry(entry.id.clone()).or_default();
         if *last >= change {
@@ -93,7 +93,8 @@
         Some(version)
     }
 
-    /// Returns what changed since a version; all that is not removed if `since` is none or no version of this list.
+    /// Returns the changes since a version; the full list without removed upstreams if `since` is `None` or is higher
+    /// than the version of this list.
     pub(super) fn listing(
         &self,
         world: &World,
@@ -101,7 +102,7 @@
         since: Option<u64>,
         freshness: Freshness,
     ) -> Listing {
-        // A version from the future is another discovery's: only the full list helps then.
+        // A higher version comes from another discovery service; only the full list brings the balancer up to date.
         let since = since.filter(|&version| version <= self.version);
         let is_listed = |versioned: &&Versioned| match since {
             Some(since) => versioned.version > since,
@@ -119,7 +120,7 @@
             full: since.is_none(),
             servers: entries.iter().map(line).collect(),
         };
-        // Strings and numbers only: JSON can hold all of it.
+        // Serialization can't fail: the body has only strings, numbers and booleans.
         let text = serde_json::to_string(&body).unwrap_or_default();
         Listing { entries, text }
     }
--- a/lab/src/agent/mod.rs
+++ b/lab/src/agent/mod.rs
@@ -1,7 +1,7 @@
-//! Discovery as one balancer sees it: an agent on its own machine that lists upstreams for it, late or badly.
+//! Discovery as one balancer sees it: an agent on the balancer's machine that lists upstreams, with delays and faults.
 //!
-//! `listing` owns the list and its form on the wire; `serve` puts it on sockets. When changes reach an agent is the
-//! faults' to say.
+//! `listing` owns the list and its wire format; `serve` serves it on sockets. The module `faults` decides when changes
+//! reach an agent.
 mod entry;
 mod listing;
 mod serve;
--- a/lab/src/agent/serve.rs
+++ b/lab/src/agent/serve.rs
@@ -1,9 +1,9 @@
-//! An agent on sockets: its addresses, its long polls, and how it misbehaves.
+//! An agent on sockets: its addresses, its long polls and its faults.
 use super::entry::{DiscoveryMode, Entry, State};
 use super::listing::{Freshness, Listing, UpstreamList};
 use crate::draw::Plan;
 use crate::error::BindError;
-use crate::net::{lock, Link, LinkedStream, Manner, Port};
+use crate::net::{lock, Link, LinkedStream, Port, PortMode};
 use crate::world::World;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -18,11 +18,11 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// The longest a long poll waits, in milliseconds.
+/// The maximum time of a long poll, in milliseconds.
 const MAX_POLL_MS: u64 = 60_000;
-/// How long connections stay open at an address that the agent has moved from.
+/// How long connections to a former address stay open after a move.
 const OLD_ADDRESS_CLOSES_AFTER: Duration = Duration::from_millis(1500);
-/// A response that ends in its middle.
+/// A truncated response.
 const MALFORMED: &str = r#"{"version":9,"full":true,"servers":[{"id":"#;
 
 /// One balancer's agent.
@@ -38,7 +38,7 @@
 }
 
 impl Agent {
-    /// Returns an agent that knows all upstreams of its balancer's tier as active from before the run.
+    /// Returns an agent that lists all upstreams of its balancer's tier as active since before the run.
     pub fn new(balancer: usize, plan: &Plan) -> Agent {
         let tier = plan.balancers[balancer].tier;
         Agent {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Applies the `change`-th change of an upstream; one that a later change has overtaken is dropped.
+    /// Applies the `change`-th change of an upstream; drops it if a later change was applied before.
     pub fn apply(&self, entry: Entry, change: u64) {
         let version = lock(&self.upstreams).apply(entry, change);
         if let Some(version) = version {
@@ -75,7 +75,7 @@
         *self.moves.borrow()
     }
 
-    /// The full list as text, in discovery's form.
+    /// The full list in the wire format of discovery.
     pub fn full_listing(&self, world: &World) -> String {
         self.listing(world, None, Freshness::Current).text
     }
@@ -84,7 +84,7 @@
         lock(&self.upstreams).listing(world, self.balancer, since, freshness)
     }
 
-    /// Reports to the oracle what the balancer knows from now on.
+    /// Reports to the oracle that the balancer was notified of these entries.
     fn report_notified(&self, world: &World, entries: &[Entry]) {
         let now = world.now();
         let mut oracle = lock(&world.oracle);
@@ -106,7 +106,7 @@
         Ok(())
     }
 
-    /// Opens each address that the agent moves to, and closes the one before a while later.
+    /// Opens each address that the agent moves to, and closes the connections of the former address after a delay.
     async fn follow_moves(self: &Arc<Self>, world: &Arc<World>, first: watch::Sender<()>) {
         let mut moves = self.moves.subscribe();
         let mut current = first;
@@ -125,21 +125,21 @@
                     });
                 }
                 Err(error) => {
-                    tracing::warn!(balancer = self.balancer, %error, "discovery not moved");
+                    tracing::warn!(balancer = self.balancer, %error, "discovery agent could not move to its next address");
                 }
             }
         }
     }
 
-    /// Serves one address. Once the agent has moved on, the address takes no new connection; dropping what is returned
-    /// closes the old ones.
+    /// Serves one address. After the agent has moved, the address refuses new connections; dropping the returned sender
+    /// closes the open ones.
     fn serve_address(
         self: &Arc<Self>,
         world: &Arc<World>,
         moves: u16,
     ) -> Result<watch::Sender<()>, BindError> {
         let address = world.block.agent(self.balancer, moves);
-        let (port_mode, mode) = watch::channel(Manner::Open);
+        let (port_mode, mode) = watch::channel(PortMode::Open);
         let port = Port::bind(address, mode).map_err(BindError::at(address))?;
         let (closing, closes) = watch::channel(());
         let (own, world) = (self.clone(), world.clone());
@@ -155,7 +155,7 @@
         world: &Arc<World>,
         mut port: Port,
         moves: u16,
-        port_mode: &watch::Sender<Manner>,
+        port_mode: &watch::Sender<PortMode>,
         closes: &watch::Receiver<()>,
     ) {
         let mut link_changes = self.link.changes();
@@ -163,9 +163,9 @@
         loop {
             let has_moved = *current.borrow_and_update() > moves;
             let mode = match (has_moved, self.link.is_unresponsive()) {
-                (true, _) => Manner::Refusing,
-                (false, true) => Manner::Unresponsive,
-                (false, false) => Manner::Open,
+                (true, _) => PortMode::Refusing,
+                (false, true) => PortMode::Unresponsive,
+                (false, false) => PortMode::Open,
             };
             port_mode.send_if_modified(|now| std::mem::replace(now, mode) != mode);
             let accepted = tokio::select! {
@@ -192,7 +192,7 @@
             async move { Ok::<_, Infallible>(own.respond(&world, request).await) }
         });
         tokio::select! {
-            // How it ended is the balancer's to find out.
+            // Connection errors are handled by the balancer.
             _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service) => {}
             _ = closes.changed() => {}
         }
@@ -222,13 +222,13 @@
         Response::new(Full::new(Bytes::from(text)))
     }
 
-    /// Waits until the list has changed since a version, or for `max_wait`; does not return where the agent is
+    /// Waits until the list has changed since a version, or for `max_wait`; does not return if the agent is
     /// unresponsive.
     async fn long_poll(&self, since: Option<u64>, max_wait: Duration) {
         let mut mode = self.mode.subscribe();
         let mode_at_start = *mode.borrow_and_update();
         if mode_at_start == DiscoveryMode::Unresponsive {
-            // This call stays without a response; the next one may have one.
+            // This request never gets a response, also after the mode has changed back.
             std::future::pending::<()>().await;
         }
         let mut changed = self.changed.subscribe();
@@ -241,7 +241,7 @@
                 _ = mode.changed() => {}
             }
         };
-        // No change within the wait is a response too.
+        // After a timeout, the response contains no changes.
         let _ = timeout(max_wait, update).await;
         if *self.mode.borrow() == DiscoveryMode::Unresponsive {
             std::future::pending::<()>().await;
@@ -249,7 +249,7 @@
     }
 }
 
-/// The number that a query gives a name, if it is one.
+/// The value of a query parameter, if it is a number.
 fn query_number(query: &str, name: &str) -> Option<u64> {
     let mut pairs = query.split('&');
     let value = pairs.find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))?;
--- a/lab/src/audit.rs
+++ b/lab/src/audit.rs
@@ -1,17 +1,17 @@
-//! Sets what balancers count of themselves against what the lab's stand-ins saw.
+//! Compares the metrics of balancers with what the lab's stand-ins saw.
 use crate::oracle::Seen;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
 /// The part of a balancer's metrics that the lab can check.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct Counted {
-    /// When they were taken: Unix time, in milliseconds.
+pub struct BalancerMetrics {
+    /// When the metrics were written, as Unix time in milliseconds.
     pub at_ms: f64,
     /// Time since the balancer's start, in milliseconds.
     #[serde(default)]
     pub up_ms: f64,
-    /// The number that only this start of it has, where it has one.
+    /// The number that identifies this start of the balancer, if it reports one.
     #[serde(default)]
     pub incarnation: Option<u64>,
     requests: u64,
@@ -24,7 +24,7 @@
     peers: Option<Peers>,
 }
 
-/// What it has from its peers.
+/// The metrics about the balancer's peers.
 #[derive(Clone, Debug, Default, Deserialize)]
 struct Peers {
     #[serde(default)]
@@ -48,23 +48,23 @@
     heard: u32,
 }
 
-/// What it reports of its tier.
+/// A balancer's view of its tier.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tier {
-    /// Balancers that are up, and those whose metrics are in its sums.
+    /// Balancers that it considers up.
     pub up: u32,
-    /// See there.
+    /// Balancers whose values are in its sums.
     pub in_sums: u32,
-    /// Others that it has newly suspected, and taken for gone.
+    /// How often it has newly suspected a peer.
     pub suspected: u64,
-    /// See there.
+    /// How often it has removed a peer as departed.
     pub departed: u64,
-    /// Changes of the version that it speaks.
+    /// Changes of the protocol version that it sends.
     pub steps: u64,
 }
 
-impl Counted {
-    /// What it reports of its tier, if it exchanges datagrams with that.
+impl BalancerMetrics {
+    /// Its view of its tier, if it exchanges datagrams with its peers.
     pub fn tier(&self) -> Option<Tier> {
         let p = self.peers.as_ref()?;
         let in_sums = p.sums.as_ref().map_or(0, |s| s.heard);
@@ -77,8 +77,8 @@
         })
     }
 
-    /// What of its peers' it acts on, and how old that is, in milliseconds.
-    pub fn acts_on(&self) -> impl Iterator<Item = (&'static str, f64)> + '_ {
+    /// The kinds of data from peers that it acts on, each with its age in milliseconds.
+    pub fn shared_data_ages(&self) -> impl Iterator<Item = (&'static str, f64)> + '_ {
         let sums = self
             .peers
             .iter()
@@ -93,11 +93,11 @@
     }
 }
 
-/// What differs, in one line; nothing if all can be so.
+/// Describes the differences in one line; `None` if the metrics are consistent with what was seen.
 ///
-/// Where a client left, or a connection broke, the two sides may rightly see another end of the same request: so many
-/// may differ, and no more.
-pub fn differs(counted: &Counted, seen: &Seen) -> Option<String> {
+/// If a client cancelled or a connection broke, the balancer and the lab may see different ends of the same request.
+/// Each count may differ by the number of such requests.
+pub fn find_differences(counted: &BalancerMetrics, seen: &Seen) -> Option<String> {
     let sum = |of: &BTreeMap<String, u64>, of_name: &dyn Fn(&str) -> bool| -> u64 {
         of.iter()
             .filter(|(name, _)| of_name(name))
@@ -117,7 +117,8 @@
     set("served", ended("served"), seen.served, open);
     set("refused", refused, seen.refused, open);
     set("failed", ended("failed"), seen.failed, open);
-    // What never reached an upstream was seen by nobody; what was given up may or may not have reached one.
+    // The lab does not see attempts that never reached an upstream; attempts that were given up may or may not have
+    // reached one.
     let never = sum(&counted.attempts_ended, &|n| {
         matches!(n, "not_connected" | "not_sent")
     });
--- a/lab/src/call.rs
+++ b/lab/src/call.rs
@@ -1,9 +1,9 @@
-//! Calls to balancers, as clients and as upstreams make them.
+//! Calls that clients and upstreams make to balancers.
 use crate::clock::pause;
 use crate::experiment::{Effect, Millis};
 use crate::net::{connect, lock, Link, LinkedStream};
 use crate::oracle::{Final, ANSWER_GRACE};
-use crate::pool::Conn;
+use crate::pool::ClientConnection;
 use crate::world::{RequestProfile, World};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -14,12 +14,12 @@
 use std::time::Duration;
 use tokio::time::{timeout, timeout_at};
 
-/// Bodies hold at most this much.
-const BODY_MOST: usize = 64 << 10;
-/// What a keyed or single request carries.
+/// The maximum size of a response body, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 10;
+/// The body of requests that are not safe to repeat.
 const BODY: &[u8] = b"a job for the translators\n";
 
-/// A connection that can't take the next request by then is not kept.
+/// A connection that is not ready for the next request within this time after a response is closed.
 const READY_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// One call.
@@ -28,42 +28,42 @@
     pub balancer: usize,
     /// The link to it.
     pub link: Arc<Link>,
-    /// One-way delay to it.
+    /// The one-way network delay to it.
     pub delay: Millis,
-    /// What it asks for.
+    /// The profile of the request.
     pub profile: RequestProfile,
-    /// When it counts as sent.
+    /// When the request was sent.
     pub sent: Millis,
-    /// How long its client waits, counted from then.
+    /// How long the client waits, from `sent` on.
     pub timeout: Millis,
-    /// The client leaves by itself after this, counted from then.
+    /// The client cancels the call after this time, from `sent` on.
     pub cancels_after: Option<Millis>,
-    /// It is another try of the same request.
+    /// Whether it is a retry of the client.
     pub retry: bool,
-    /// Its client opens a connection for it and leaves that open, so many at the most.
+    /// If set, the client opens a new connection for the call and keeps it open unused, up to this many connections.
     pub flood: Option<usize>,
 }
 
-/// What came of a call.
+/// The result of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallResult {
-    /// Served; the balancer added this time to what upstreams took.
+    /// Served, with the time that the balancer added to that of the upstreams.
     Served(Millis),
-    /// Refused, with advice when to return, in milliseconds.
+    /// Refused, with the time until a retry that `Retry-After` gives, in milliseconds.
     Refused(Option<Millis>),
-    /// Answered as failed, or with what is not whole.
+    /// Failed, or the response was incomplete.
     Failed,
-    /// No answer came in its time.
+    /// No response in time.
     TimedOut,
-    /// The connection ended with no answer.
+    /// The connection was closed without a response.
     Ended,
-    /// No connection came up: nothing was sent.
+    /// No connection could be opened; nothing was sent.
     Unreached,
-    /// The client left.
+    /// The client cancelled the call.
     Left,
 }
 
-/// Reports to the oracle how a call ended, also where its client is dropped half way.
+/// Reports to the oracle how a call ended, also if the call is dropped before its end.
 struct PendingCall<'a> {
     world: &'a World,
     id: u64,
@@ -71,7 +71,7 @@
 }
 
 impl PendingCall<'_> {
-    fn ends(&mut self, how: Final) {
+    fn report_end(&mut self, how: Final) {
         if !std::mem::replace(&mut self.reported, true) {
             let now = self.world.now();
             lock(&self.world.oracle).ended(now, self.id, how);
@@ -81,35 +81,35 @@
 
 impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
-        self.ends(Final::Left);
+        self.report_end(Final::Left);
         self.world.forget(self.id);
     }
 }
 
 impl Call {
-    /// Makes the call and waits for what comes of it.
+    /// Makes the call and returns its result.
     pub async fn make(self, world: &World) -> CallResult {
         let cancels_after = self
             .cancels_after
             .map(|after| world.clock.instant(self.sent + after));
         match cancels_after {
-            Some(at) => timeout_at(at, self.carry(world))
+            Some(at) => timeout_at(at, self.send(world))
                 .await
                 .unwrap_or(CallResult::Left),
-            None => self.carry(world).await,
+            None => self.send(world).await,
         }
     }
 
-    async fn carry(&self, world: &World) -> CallResult {
+    async fn send(&self, world: &World) -> CallResult {
         pause(self.delay).await;
         let gives_up = world.clock.instant(self.sent + self.timeout);
-        let id = world.ask(self.profile);
+        let id = world.register_request(self.profile);
         let mut pending = PendingCall {
             world,
             id,
             reported: true,
         };
-        // One that floods takes a connection of its own for each request.
+        // A flooding client opens a new connection for each request.
         let mut fresh = self.flood.is_some();
         loop {
             let pool = &world.pools[self.balancer];
@@ -117,7 +117,9 @@
             fresh |= pooled.is_none();
             let conn = match pooled {
                 Some(conn) => Some(conn),
-                None => timeout_at(gives_up, self.dial(world)).await.unwrap_or(None),
+                None => timeout_at(gives_up, self.open_connection(world))
+                    .await
+                    .unwrap_or(None),
             };
             let Some(mut conn) = conn else {
                 return CallResult::Unreached;
@@ -129,24 +131,24 @@
             lock(&world.oracle).taken(written, id, self.profile.class, self.balancer, deadline);
             pending.reported = false;
             let latest = world.clock.instant(deadline + ANSWER_GRACE);
-            let answer = match timeout_at(latest, conn.sender.try_send_request(request)).await {
-                Ok(Ok(answer)) => answer,
-                // An idle connection may be closed just when it is used: where the balancer can't have read the
-                // request, it is sent once more.
+            let response = match timeout_at(latest, conn.sender.try_send_request(request)).await {
+                Ok(Ok(response)) => response,
+                // The balancer may close an idle connection at the moment of its reuse. The request is sent once
+                // more if the balancer has not forwarded it.
                 Ok(Err(_)) if !fresh && !lock(&world.oracle).was_forwarded(id) => {
                     fresh = true;
                     continue;
                 }
                 Ok(Err(_)) => {
-                    pending.ends(if fresh { Final::Turned } else { Final::Ended });
+                    pending.report_end(if fresh { Final::Turned } else { Final::Ended });
                     return CallResult::Ended;
                 }
                 Err(_) => {
-                    pending.ends(Final::TimedOut);
+                    pending.report_end(Final::TimedOut);
                     return CallResult::TimedOut;
                 }
             };
-            let (how, mut got) = match timeout_at(latest, read(answer)).await {
+            let (how, mut got) = match timeout_at(latest, read(response)).await {
                 Ok(read) => read,
                 Err(_) => (Final::TimedOut, CallResult::TimedOut),
             };
@@ -156,18 +158,19 @@
                 lock(&world.tally).served(self.balancer, now);
             }
             pause(self.delay).await;
-            pending.ends(how);
+            pending.report_end(how);
             if !matches!(how, Final::Partial | Final::TimedOut) {
-                self.keep(world, conn).await;
+                self.release(world, conn).await;
             }
             return got;
         }
     }
 
-    /// Keeps the connection of a complete response: open and unused where its client floods, else for the next call.
-    async fn keep(&self, world: &World, mut conn: Conn) {
+    /// Releases the connection after a complete response: to the pool, or to the unused open connections of a flooding
+    /// client.
+    async fn release(&self, world: &World, mut conn: ClientConnection) {
         if let Some(most) = self.flood {
-            let mut open = lock(&world.floods[self.profile.tenant]);
+            let mut open = lock(&world.flood_connections[self.profile.tenant]);
             open.push_back(conn);
             let over = open.len().saturating_sub(most);
             open.drain(..over);
@@ -175,24 +178,24 @@
         }
         let ready = timeout(READY_TIMEOUT, conn.sender.ready()).await;
         if ready.is_ok_and(|r| r.is_ok()) {
-            world.pools[self.balancer].keep(conn);
+            world.pools[self.balancer].put_back(conn);
         }
     }
 
-    async fn dial(&self, world: &World) -> Option<Conn> {
-        let gate: LinkedStream = connect(world.block.balancer(self.balancer), &self.link)
+    async fn open_connection(&self, world: &World) -> Option<ClientConnection> {
+        let stream: LinkedStream = connect(world.block.balancer(self.balancer), &self.link)
             .await
             .ok()?;
-        let (sender, conn) = http1::handshake(TokioIo::new(gate)).await.ok()?;
+        let (sender, conn) = http1::handshake(TokioIo::new(stream)).await.ok()?;
         let mut resets = self.link.resets();
         let task = tokio::spawn(async move {
-            // How the connection ended shows in the call that was on it.
+            // Errors surface in the call on the connection.
             tokio::select! {
                 _ = conn => {}
                 _ = resets.changed() => {}
             }
         });
-        Some(Conn::new(sender, task.abort_handle()))
+        Some(ClientConnection::new(sender, task.abort_handle()))
     }
 
     fn request(&self, world: &World, id: u64) -> Option<Request<Full<Bytes>>> {
@@ -226,15 +229,18 @@
     }
 }
 
-/// Reads an answer whole.
-async fn read(answer: Response<hyper::body::Incoming>) -> (Final, CallResult) {
-    let status = answer.status();
-    let after = answer
+/// Reads a complete response.
+async fn read(response: Response<hyper::body::Incoming>) -> (Final, CallResult) {
+    let status = response.status();
+    let after = response
         .headers()
         .get("retry-after")
         .and_then(|v| v.to_str().ok())
         .and_then(|v| v.parse::<f64>().ok());
-    let Ok(body) = Limited::new(answer.into_body(), BODY_MOST).collect().await else {
+    let Ok(body) = Limited::new(response.into_body(), MAX_BODY_BYTES)
+        .collect()
+        .await
+    else {
         return (Final::Partial, CallResult::Failed);
     };
     match status {
@@ -250,12 +256,12 @@
     }
 }
 
-/// The body of an answer, with the mark that names it.
+/// The body of a response, with a mark that identifies its attempt.
 pub fn body(upstream: &str, mark: u64) -> Bytes {
     Bytes::from(format!("made by {upstream}, mark {mark:016x}\n"))
 }
 
-/// The mark in the body of an answer.
+/// The mark in the body of a response.
 pub fn mark(body: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(body).ok()?;
     u64::from_str_radix(text.trim_end().rsplit_once("mark ")?.1, 16).ok()
--- a/lab/src/clients.rs
+++ b/lab/src/clients.rs
@@ -1,4 +1,5 @@
-//! Clients behind the front: each request is sent when it is due, whatever became of those before it.
+//! The clients of the fleet, with an open workload: each request is sent when it is due, independently of the requests
+//! before it.
 use crate::call::{Call, CallResult};
 use crate::clock::pause;
 use crate::draw::{Arrival, Calls};
@@ -10,21 +11,21 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// Requests that have been sent and have not ended.
+/// Counts the requests in flight.
 #[derive(Default)]
-pub struct Open {
+pub struct InFlight {
     count: AtomicUsize,
     changed: Notify,
 }
 
-impl Open {
-    /// How many.
+impl InFlight {
+    /// The number of requests in flight.
     pub fn count(&self) -> usize {
         self.count.load(Ordering::SeqCst)
     }
 
-    /// Waits until there is none.
-    pub async fn none(&self) {
+    /// Waits until no request is in flight.
+    pub async fn wait_until_none(&self) {
         loop {
             let changed = self.changed.notified();
             if self.count() == 0 {
@@ -36,22 +37,24 @@
 }
 
 /// Sends every request of the plan when it is due.
-pub async fn send_all(world: Arc<World>, open: Arc<Open>) {
+pub async fn send_all(world: Arc<World>, in_flight: Arc<InFlight>) {
     for n in 0..world.plan.arrivals.len() {
-        world.until_noted(world.plan.arrivals[n].at).await;
-        let (world, open) = (world.clone(), open.clone());
-        open.count.fetch_add(1, Ordering::SeqCst);
+        world
+            .until_recording_lateness(world.plan.arrivals[n].at)
+            .await;
+        let (world, in_flight) = (world.clone(), in_flight.clone());
+        in_flight.count.fetch_add(1, Ordering::SeqCst);
         tokio::spawn(async move {
             let done = request(&world, &world.plan.arrivals[n]).await;
             lock(&world.tally).done.push(done);
-            if open.count.fetch_sub(1, Ordering::SeqCst) == 1 {
-                open.changed.notify_waiters();
+            if in_flight.count.fetch_sub(1, Ordering::SeqCst) == 1 {
+                in_flight.changed.notify_waiters();
             }
         });
     }
 }
 
-/// One request over all attempts of its client.
+/// Sends a request, with all attempts of its client, and returns how it ended.
 async fn request(world: &World, a: &Arrival) -> Done {
     let deadline = world.plan.spans[a.class].1;
     let clients = &world.experiment.clients;
@@ -109,7 +112,7 @@
     }
 }
 
-/// One attempt of a request, at a balancer, sent at `due`.
+/// One attempt of a client at a balancer, sent at `due`.
 fn call_to(
     world: &World,
     a: &Arrival,
@@ -135,7 +138,7 @@
     }
 }
 
-/// Whether a client may send a request again that may have run.
+/// Whether a client may retry a request that may have run.
 fn may_repeat(world: &World, class: usize) -> bool {
     let class = &world.experiment.classes[class];
     match class.effect {
@@ -145,27 +148,34 @@
     }
 }
 
-/// The front: one of the balancers that it deals out to, of the client's zone if that has any. A tenant that hops sends
-/// all to one balancer at a time.
+/// The front's choice of a balancer: one in rotation, of the client's zone if the zone has any. A tenant that hops
+/// sends all requests to one balancer at a time.
 fn pick(world: &World, a: &Arrival, due: Millis, drawn: &mut Calls) -> Option<usize> {
     if world.outages.load(Ordering::Relaxed) > 0 {
         return None;
     }
-    let dealt = |&b: &usize| world.dealt[b].load(Ordering::Relaxed);
+    let in_rotation = |&b: &usize| world.in_rotation[b].load(Ordering::Relaxed);
     if let Some(every) = world.experiment.tenants[a.tenant].hops {
-        let up: Vec<usize> = (0..world.experiment.fleet.front).filter(dealt).collect();
+        let up: Vec<usize> = (0..world.experiment.fleet.front)
+            .filter(in_rotation)
+            .collect();
         return up
             .get((due / every.0.mean()).max(0.0) as usize % up.len().max(1))
             .copied();
     }
-    let up: Vec<usize> = world.fronts[a.zone].iter().copied().filter(dealt).collect();
+    let up: Vec<usize> = world.front_by_zone[a.zone]
+        .iter()
+        .copied()
+        .filter(in_rotation)
+        .collect();
     match up.len() {
         0 => None,
         n => Some(up[(drawn.seed() % n as u64) as usize]),
     }
 }
 
-/// Milliseconds after the last request within which all must have ended: deadlines, tries and pauses together.
+/// The time in milliseconds after the last request within which all requests must have ended: the longest deadline,
+/// the grace of the oracle and a margin.
 pub fn ends_within(world: &World) -> Millis {
     world.plan.longest() + crate::oracle::ANSWER_GRACE + 1000.0
 }
--- a/lab/src/clock.rs
+++ b/lab/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of a run, and how late the lab itself is on it.
+//! The clock of a run, and the lateness of the lab itself.
 use crate::experiment::Millis;
 use crate::net::lock;
 use hdrhistogram::Histogram;
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Time since the run began, and the lab's own lateness.
+/// Measures the time since the run began, and records the lab's own lateness.
 pub struct Clock {
     made: Instant,
     made_unix: f64,
@@ -16,8 +16,8 @@
     late: Mutex<Histogram<u64>>,
 }
 
-/// Until the run begins all times are far below zero.
-const NOT_BEGUN: u64 = 86_400_000_000;
+/// The start of a run that has not begun, in microseconds: a day ahead, so that the current time is far below zero.
+const NOT_BEGUN_US: u64 = 86_400_000_000;
 
 impl Default for Clock {
     fn default() -> Self {
@@ -26,12 +26,12 @@
 }
 
 impl Clock {
-    /// A clock of a run that has not begun.
+    /// Returns the clock of a run that has not begun.
     pub fn new() -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0.0, |d| d.as_secs_f64() * 1000.0);
-        let began = AtomicU64::new(NOT_BEGUN);
+        let began = AtomicU64::new(NOT_BEGUN_US);
         Clock {
             made: Instant::now(),
             made_unix: unix,
@@ -40,8 +40,8 @@
         }
     }
 
-    /// The run begins after this.
-    pub fn begin_in(&self, after: Duration) {
+    /// Sets the start of the run to `after` from now.
+    pub fn begin_after(&self, after: Duration) {
         let at = (self.made.elapsed() + after).as_micros() as u64;
         self.began.store(at, Ordering::SeqCst);
     }
@@ -60,7 +60,7 @@
         self.made_unix + self.began() + at
     }
 
-    /// A point of the run for timers.
+    /// A point of the run as an instant for timers.
     pub fn instant(&self, at: Millis) -> Instant {
         let since = (self.began() + at).clamp(0.0, 1e12);
         self.made + Duration::from_secs_f64(since / 1000.0)
@@ -71,9 +71,9 @@
         tokio::time::sleep_until(self.instant(at)).await;
     }
 
-    /// The lab did something this late.
-    pub fn note_late(&self, by: Millis) {
-        // Microseconds up to a minute fit; saturating is what is wanted beyond.
+    /// Records that the lab did something `by` milliseconds late.
+    pub fn record_lateness(&self, by: Millis) {
+        // The histogram holds up to a minute; longer times are recorded as a minute.
         lock(&self.late).saturating_record((by.max(0.0) * 1000.0) as u64);
     }
 
@@ -83,16 +83,16 @@
     }
 }
 
-/// A histogram for times in microseconds, up to a minute, within one part in a thousand.
+/// Returns a histogram for times in microseconds, up to a minute, with three significant digits.
 pub fn histogram() -> Histogram<u64> {
     let bounds = Histogram::new_with_bounds(1, 60_000_000, 3);
-    // The bounds are constants that the crate takes.
+    // The constant bounds are valid.
     bounds.unwrap_or_else(|_| unreachable!("constant bounds"))
 }
 
-/// Waits for a span.
+/// Waits for a time; returns immediately if it is shorter than a millisecond.
 pub async fn pause(span: Millis) {
-    // The runtime's timers are good to a millisecond; what is shorter would be made longer.
+    // The runtime's timers have a resolution of a millisecond and would extend a shorter time.
     if span >= 1.0 {
         tokio::time::sleep(Duration::from_secs_f64(span / 1000.0)).await;
     }
--- a/lab/src/convergence.rs
+++ b/lab/src/convergence.rs
@@ -1,7 +1,8 @@
-//! How long it takes from a change of who runs until every balancer of the tier knows, as their metrics report.
+//! Convergence times: from a change of the running balancers until every balancer of the tier knows it, as their
+//! metrics report.
 //!
-//! Sans-I/O. A change is who runs where before somebody else did; what a balancer reports counts from the metrics that
-//! show it, so that their period adds to each time.
+//! Sans-I/O. A change is any difference in the set of running balancers. Times end with the first metrics that show
+//! the change, so they include the period of the metrics.
 use crate::audit::Tier;
 use crate::clock::histogram;
 use crate::experiment::Millis;
@@ -9,23 +10,24 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Who does not know after this is counted, and not waited for any longer.
+/// A balancer that does not know a change after this time is counted in `never`.
 const LIMIT: Millis = 10_000.0;
 
-/// Times until balancers know who runs, and until their sums have all of them.
+/// Convergence times of one kind of knowledge.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Known {
-    /// Times that were measured: one for each change and balancer.
+    /// The number of times measured: one for each change and balancer.
     pub times: u64,
-    /// In milliseconds.
+    /// The median, in milliseconds.
     pub p50_ms: f64,
-    /// See there.
+    /// The 99th percentile, in milliseconds.
     pub p99_ms: f64,
-    /// Balancers that did not know after ten seconds.
+    /// How often a balancer did not know a change after ten seconds.
     pub never: u64,
 }
 
 struct Measure {
+    /// The balancers that do not know the latest change yet.
     waiting: BTreeSet<usize>,
     times: Histogram<u64>,
     never: u64,
@@ -51,10 +53,10 @@
     }
 }
 
-/// One tier.
+/// The convergence of one tier.
 pub struct Convergence {
     running: BTreeSet<usize>,
-    /// When that changed last; nothing while it can't be judged.
+    /// When `running` last changed; `None` if there is no change to measure.
     changed: Option<Millis>,
     members: Measure,
     sums: Measure,
@@ -72,7 +74,7 @@
 }
 
 impl Convergence {
-    /// These run now. `disturbed`: not all of them can reach each other, so that nobody can be held to know.
+    /// Updates the set of running balancers. `disturbed`: not all of them can reach each other, so nothing is measured.
     pub fn runs(&mut self, now: Millis, running: &BTreeSet<usize>, disturbed: bool) {
         let (first, same) = (self.running.is_empty(), self.running == *running);
         let over = self.changed.is_some_and(|at| now - at > LIMIT);
@@ -91,7 +93,7 @@
             return;
         }
         self.running.clone_from(running);
-        // How a tier comes together at its start is not what one member's coming or going takes.
+        // The start of the whole tier is not measured: it takes longer than a single change.
         self.changed = (!first && !disturbed).then_some(now);
         if self.changed.is_some() {
             self.members.waiting.clone_from(running);
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Takes what a balancer's metrics of this time report.
+    /// Records what a balancer's metrics of time `at` report.
     pub fn observe(&mut self, balancer: usize, at: Millis, tier: Tier) {
         let Some(changed) = self.changed.filter(|changed| at >= *changed) else {
             return;
@@ -114,7 +116,7 @@
         }
     }
 
-    /// What came of it: until balancers knew who is up, and until their sums had all.
+    /// The times until balancers knew the members, and until their sums included all members.
     pub fn known(&self) -> (Known, Known) {
         (self.members.known(), self.sums.known())
     }
--- a/lab/src/datagrams/garbage.rs
+++ b/lab/src/datagrams/garbage.rs
@@ -1,46 +1,51 @@
-//! Datagrams that nobody meant: noise, and broken or forged copies of what was sent. Owns what was sent lately.
+//! Garbage datagrams: random bytes, and damaged or forged copies of datagrams. Owns the recently sent datagrams.
 use crate::draw::Calls;
 use std::collections::VecDeque;
 
-/// Datagrams sent lately that garbage is made of.
-const LATELY: usize = 64;
-/// Noise is shorter than this, in bytes; datagrams that are meant have 256 at most.
-const NOISE: usize = 300;
+/// The number of recent datagrams that copies are made of.
+const MAX_RECENT: usize = 64;
+/// Random datagrams are shorter than this, in bytes; regular ones have at most 256.
+const MAX_NOISE_BYTES: usize = 300;
 
-/// Makes garbage.
+/// Generates garbage datagrams.
 pub(super) struct Garbage {
-    lately: VecDeque<Vec<u8>>,
-    drawn: Calls,
+    recent: VecDeque<Vec<u8>>,
+    draws: Calls,
 }
 
 impl Garbage {
     pub(super) fn new(seed: u64) -> Garbage {
         Garbage {
-            lately: VecDeque::new(),
-            drawn: Calls::new(!seed),
+            recent: VecDeque::new(),
+            draws: Calls::new(!seed),
         }
     }
 
-    /// Somebody has sent this.
-    pub(super) fn sent(&mut self, bytes: &[u8]) {
-        if self.lately.len() == LATELY {
-            self.lately.pop_front();
+    /// Records a datagram that a balancer has sent.
+    pub(super) fn record_sent(&mut self, bytes: &[u8]) {
+        if self.recent.len() == MAX_RECENT {
+            self.recent.pop_front();
         }
-        self.lately.push_back(bytes.to_vec());
+        self.recent.push_back(bytes.to_vec());
     }
 
-    /// The next one, and which of these balancers it seems to come from. What is whole comes from a stranger's address:
-    /// from a peer's it would be no garbage, but a repeat.
+    /// Returns the next garbage datagram, and the peer whose address it is sent from. An unmodified copy is sent from
+    /// an unknown address (`None`): from a peer's address it would be a valid duplicate.
     pub(super) fn next(&mut self, peers: &[usize]) -> (Option<usize>, Vec<u8>) {
-        let mut below = |n: usize| (self.drawn.seed() % n.max(1) as u64) as usize;
+        let mut below = |n: usize| (self.draws.seed() % n.max(1) as u64) as usize;
         let peer = peers.get(below(peers.len())).copied();
         let mut copy = self
-            .lately
-            .get(below(self.lately.len()))
+            .recent
+            .get(below(self.recent.len()))
             .cloned()
             .unwrap_or_default();
         match below(4) {
-            0 => (peer, (0..below(NOISE)).map(|_| below(256) as u8).collect()),
+            0 => (
+                peer,
+                (0..below(MAX_NOISE_BYTES))
+                    .map(|_| below(256) as u8)
+                    .collect(),
+            ),
             1 => {
                 copy.truncate(below(copy.len()));
                 (peer, copy)
--- a/lab/src/datagrams/mod.rs
+++ b/lab/src/datagrams/mod.rs
@@ -1,8 +1,8 @@
-//! The datagrams between balancers: late, lost, repeated, reordered, cut; never any other way.
+//! The emulated network for datagrams between balancers: it delays, loses, repeats, reorders and cuts them.
 //!
-//! Each balancer has one socket of the lab's for all its peers. It names a peer by the address it sends to, and
-//! receives it from that same address, as the platform has it.
+//! The lab has one socket for each balancer. A balancer addresses a peer by an address of the lab, and receives the
+//! peer's datagrams from the same address.
 mod garbage;
 mod network;
 
-pub use network::{Conditions, Datagrams, LONGEST};
+pub use network::{Conditions, Datagrams, MAX_DATAGRAM_BYTES};
--- a/lab/src/datagrams/network.rs
+++ b/lab/src/datagrams/network.rs
@@ -1,4 +1,4 @@
-//! Carries datagrams between balancers. Owns the cuts, and the conditions of the network.
+//! Forwards datagrams between balancers. Owns the cuts and the network conditions.
 use super::garbage::Garbage;
 use crate::draw::Calls;
 use crate::experiment::{Millis, Range};
@@ -19,22 +19,23 @@
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
 
-/// The longest datagram that the protocol allows, in bytes.
-pub const LONGEST: usize = 256;
-/// Host numbers of peers within the lab's block, and of all of them together.
-const PEER: u16 = 0xc000;
-const ALL: u16 = 0xcfff;
-/// Of somebody who is nobody's peer.
-const STRANGER: u16 = 0xcffe;
+/// The maximum length of a datagram in the protocol, in bytes.
+pub const MAX_DATAGRAM_BYTES: usize = 256;
+/// The host number of the first peer within the lab's block.
+const FIRST_PEER_HOST: u16 = 0xc000;
+/// The host number that addresses all peers.
+const ALL_PEERS_HOST: u16 = 0xcfff;
+/// The host number of a sender that is not a peer.
+const UNKNOWN_SENDER_HOST: u16 = 0xcffe;
 
 /// What happens to datagrams in transit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Conditions {
-    /// Time in transit.
+    /// The one-way delay.
     pub delay: Range,
-    /// The part that is lost.
+    /// The share of datagrams that are lost.
     pub loss: f64,
-    /// The part that arrives twice.
+    /// The share of datagrams that arrive twice.
     pub repeat: f64,
 }
 
@@ -42,15 +43,15 @@
 pub struct Datagrams {
     sockets: Vec<UdpSocket>,
     ports: Vec<u16>,
-    /// Where each balancer listens for its peers.
+    /// The address on which each balancer listens for its peers.
     listen: Vec<SocketAddr>,
-    /// The tier of each balancer: nobody receives those of another.
+    /// The tier of each balancer; datagrams are forwarded within a tier only.
     tiers: Vec<usize>,
-    /// First bytes of the lab's addresses.
+    /// The first two bytes of the lab's addresses.
     block: [u8; 2],
     cuts: Mutex<HashMap<(usize, usize), u32>>,
     conditions: Mutex<Conditions>,
-    drawn: Mutex<Calls>,
+    draws: Mutex<Calls>,
     garbage: Mutex<Garbage>,
     sent: AtomicU64,
     bytes: AtomicU64,
@@ -58,7 +59,7 @@
 
 fn socket() -> io::Result<UdpSocket> {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::DGRAM, None)?;
-    // It takes whatever peer's address it is sent to, on this machine's loopback alone.
+    // Receives datagrams to any peer address, on the loopback interface only.
     socket.bind_device(Some(b"lo"))?;
     socket.bind(&SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)).into())?;
     socket.set_nonblocking(true)?;
@@ -67,10 +68,10 @@
 }
 
 impl Datagrams {
-    /// A socket for each balancer, whose tiers these are, on the lab's block of addresses.
+    /// Opens a socket for each balancer, on the lab's block of addresses; `tiers` has the tier of each balancer.
     ///
     /// # Errors
-    /// What the operating system says when it has no such sockets.
+    /// Returns the error of the operating system if a socket can't be opened.
     pub fn open(
         tiers: &[usize],
         block: &Block,
@@ -93,7 +94,7 @@
             block: block.prefix(),
             cuts: Mutex::default(),
             conditions: Mutex::new(conditions),
-            drawn: Mutex::new(Calls::new(seed)),
+            draws: Mutex::new(Calls::new(seed)),
             garbage: Mutex::new(Garbage::new(seed)),
             sent: AtomicU64::new(0),
             bytes: AtomicU64::new(0),
@@ -105,17 +106,20 @@
         Ipv4Addr::new(self.block[0], self.block[1], high, low)
     }
 
-    /// Where a balancer reaches a peer.
+    /// The address at which a balancer reaches a peer.
     pub fn peer(&self, of: usize, peer: usize) -> SocketAddr {
-        SocketAddr::new(IpAddr::V4(self.host(PEER + peer as u16)), self.ports[of])
+        SocketAddr::new(
+            IpAddr::V4(self.host(FIRST_PEER_HOST + peer as u16)),
+            self.ports[of],
+        )
     }
 
-    /// Where it reaches all of its tier.
+    /// The address at which a balancer reaches all its peers.
     pub fn all(&self, of: usize) -> SocketAddr {
-        SocketAddr::new(IpAddr::V4(self.host(ALL)), self.ports[of])
+        SocketAddr::new(IpAddr::V4(self.host(ALL_PEERS_HOST)), self.ports[of])
     }
 
-    /// Datagrams that balancers sent, and their bytes.
+    /// The number of datagrams that balancers have sent, and their total size in bytes.
     pub fn sent(&self) -> (u64, u64) {
         (
             self.sent.load(Ordering::Relaxed),
@@ -123,41 +127,42 @@
         )
     }
 
-    /// Cuts what goes from one balancer to another. Cuts add up.
+    /// Cuts the path from one balancer to another. Cuts are counted.
     pub fn cut(&self, from: usize, to: usize) {
         *lock(&self.cuts).entry((from, to)).or_default() += 1;
     }
 
-    /// Takes one cut back.
+    /// Heals one cut.
     pub fn heal(&self, from: usize, to: usize) {
         if let Some(cuts) = lock(&self.cuts).get_mut(&(from, to)) {
             *cuts = cuts.saturating_sub(1);
         }
     }
 
-    /// Changes the conditions.
+    /// Changes the network conditions.
     pub fn change(&self, how: impl FnOnce(&mut Conditions)) {
         how(&mut lock(&self.conditions));
     }
 
-    /// Carries datagrams until `over` is set. `sees` is called for each that a balancer sends, too long ones included.
+    /// Forwards datagrams until `over` is set. `observe` is called for each datagram that a balancer sends, including
+    /// those that are too long.
     pub fn start(
         self: &Arc<Self>,
         over: &watch::Sender<bool>,
-        sees: impl Fn(usize, &[u8]) + Clone + Send + 'static,
+        observe: impl Fn(usize, &[u8]) + Clone + Send + 'static,
     ) {
         for from in 0..self.sockets.len() {
-            let (own, mut over, sees) = (self.clone(), over.subscribe(), sees.clone());
+            let (own, mut over, observe) = (self.clone(), over.subscribe(), observe.clone());
             tokio::spawn(async move {
                 tokio::select! {
-                    () = own.carry(from, sees) => {}
+                    () = own.forward(from, observe) => {}
                     _ = over.wait_for(|over| *over) => {}
                 }
             });
         }
     }
 
-    /// Sends each balancer's port this many datagrams a second that nobody meant, until dropped.
+    /// Sends each balancer `rate` garbage datagrams per second, until dropped.
     pub async fn garbage(&self, rate: f64) {
         let mut every =
             tokio::time::interval(std::time::Duration::from_secs_f64(1.0 / rate.max(0.1)));
@@ -168,46 +173,46 @@
                     .filter(|&b| self.tiers[b] == self.tiers[to])
                     .collect();
                 let (from, bytes) = lock(&self.garbage).next(&tier);
-                // Nobody may listen: it is lost then.
+                // If the balancer does not listen, the datagram is lost.
                 let _ = self.deliver(from, to, &bytes);
             }
         }
     }
 
-    async fn carry(self: Arc<Self>, from: usize, sees: impl Fn(usize, &[u8])) {
+    async fn forward(self: Arc<Self>, from: usize, observe: impl Fn(usize, &[u8])) {
         let tier = self.tiers[from];
         let peers: Vec<usize> = (0..self.tiers.len())
             .filter(|&b| self.tiers[b] == tier)
             .collect();
         loop {
-            let (named, bytes) = match self.next(from).await {
+            let (destination, bytes) = match self.next(from).await {
                 Ok(next) => next,
                 Err(e) => {
-                    tracing::warn!("datagrams of balancer {from}: {e}");
+                    tracing::warn!("failed to receive a datagram of balancer {from}: {e}");
                     continue;
                 }
             };
             self.sent.fetch_add(1, Ordering::Relaxed);
             self.bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
-            sees(from, &bytes);
-            if bytes.len() > LONGEST {
+            observe(from, &bytes);
+            if bytes.len() > MAX_DATAGRAM_BYTES {
                 continue;
             }
-            lock(&self.garbage).sent(&bytes);
-            let all = named == self.host(ALL);
-            let meant = |p: &&usize| {
-                if all {
+            lock(&self.garbage).record_sent(&bytes);
+            let to_all = destination == self.host(ALL_PEERS_HOST);
+            let is_recipient = |p: &&usize| {
+                if to_all {
                     **p != from
                 } else {
-                    self.host(PEER + **p as u16) == named
+                    self.host(FIRST_PEER_HOST + **p as u16) == destination
                 }
             };
-            for &to in peers.iter().filter(meant) {
+            for &to in peers.iter().filter(is_recipient) {
                 for delay in self.arrivals(from, to) {
                     let (own, bytes) = (self.clone(), bytes.clone());
                     tokio::spawn(async move {
                         crate::clock::pause(delay).await;
-                        // Nobody may listen: datagrams to it are lost, as on any network.
+                        // If the balancer does not listen, the datagram is lost.
                         let _ = own.deliver(Some(from), to, &bytes);
                     });
                 }
@@ -215,12 +220,12 @@
         }
     }
 
-    /// The next datagram that a balancer sent: which host it named, and its bytes.
+    /// Receives the next datagram that a balancer sent: its destination host and its bytes.
     pub async fn next(&self, of: usize) -> io::Result<(Ipv4Addr, Vec<u8>)> {
         let socket = &self.sockets[of];
         let read = || {
-            // One byte more than is allowed shows that it is too long.
-            let mut bytes = vec![0; LONGEST + 1];
+            // The extra byte makes datagrams over the limit detectable.
+            let mut bytes = vec![0; MAX_DATAGRAM_BYTES + 1];
             let mut space = nix::cmsg_space!(libc::in_pktinfo);
             let mut parts = [IoSliceMut::new(&mut bytes)];
             let got = recvmsg::<SockaddrIn>(
@@ -229,7 +234,7 @@
                 Some(&mut space),
                 MsgFlags::empty(),
             )?;
-            let named = got.cmsgs()?.find_map(|c| match c {
+            let destination = got.cmsgs()?.find_map(|c| match c {
                 ControlMessageOwned::Ipv4PacketInfo(i) => {
                     Some(Ipv4Addr::from(u32::from_be(i.ipi_addr.s_addr)))
                 }
@@ -237,19 +242,20 @@
             });
             let length = got.bytes;
             bytes.truncate(length);
-            Ok((named, bytes))
+            Ok((destination, bytes))
         };
         loop {
-            if let (Some(named), bytes) = socket.async_io(Interest::READABLE, read).await? {
-                return Ok((named, bytes));
+            if let (Some(destination), bytes) = socket.async_io(Interest::READABLE, read).await? {
+                return Ok((destination, bytes));
             }
         }
     }
 
-    /// Writes a datagram to a balancer, from the address by which it knows the sender.
+    /// Sends a datagram to a balancer, from the address by which it knows the sender; from an unknown address if `from`
+    /// is `None`.
     pub fn deliver(&self, from: Option<usize>, to: usize, bytes: &[u8]) -> io::Result<()> {
         let known = from.map_or(
-            SocketAddr::new(IpAddr::V4(self.host(STRANGER)), 0),
+            SocketAddr::new(IpAddr::V4(self.host(UNKNOWN_SENDER_HOST)), 0),
             |from| self.peer(to, from),
         );
         let (SocketAddr::V4(known), SocketAddr::V4(at)) = (known, self.listen[to]) else {
@@ -275,7 +281,7 @@
         Ok(())
     }
 
-    /// When copies of a datagram arrive: none, one, or two, each at its own time.
+    /// Draws the delays of the copies of a datagram: none, one or two.
     pub fn arrivals(&self, from: usize, to: usize) -> Vec<Millis> {
         if lock(&self.cuts)
             .get(&(from, to))
@@ -284,17 +290,17 @@
             return Vec::new();
         }
         let conditions = *lock(&self.conditions);
-        let mut drawn = lock(&self.drawn);
-        if drawn.chance(conditions.loss) {
+        let mut draws = lock(&self.draws);
+        if draws.chance(conditions.loss) {
             return Vec::new();
         }
-        let copies = if drawn.chance(conditions.repeat) {
+        let copies = if draws.chance(conditions.repeat) {
             2
         } else {
             1
         };
         let mut delay = || {
-            conditions.delay.least + drawn.unit() * (conditions.delay.most - conditions.delay.least)
+            conditions.delay.least + draws.unit() * (conditions.delay.most - conditions.delay.least)
         };
         (0..copies).map(|_| delay()).collect()
     }
--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -1,10 +1,10 @@
-//! Errors of files and addresses, which several layers of the lab share. What the layers add to them is theirs.
+//! Errors of files and addresses, shared by several layers of the lab.
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// A file or folder that could not be read, written or made.
+/// A file or folder that could not be read, written or created.
 #[derive(Debug, Error)]
 #[error("{}: {source}", path.display())]
 pub struct FileError {
@@ -24,9 +24,9 @@
     }
 }
 
-/// An address that could not be listened on.
+/// An address that could not be bound.
 #[derive(Debug, Error)]
-#[error("{address}: {source}")]
+#[error("failed to bind {address}: {source}")]
 pub struct BindError {
     /// The address.
     pub address: SocketAddr,
--- a/lab/src/faults/balancers.rs
+++ b/lab/src/faults/balancers.rs
@@ -85,7 +85,7 @@
         .clock
         .until(signalled + CONNECTIONS_AFTER_SIGTERM)
         .await;
-    world.dealt[balancer].store(false, Ordering::SeqCst);
+    world.in_rotation[balancer].store(false, Ordering::SeqCst);
     tokio::select! {
         () = process.exited() => {}
         () = world.clock.until(signalled + longest + KILL_GRACE) => {
@@ -103,7 +103,7 @@
     world.clock.until(noticed).await;
     // The balancer may have restarted already; the front keeps connecting to it then.
     if !*fleet.balancers[balancer].ready.borrow() {
-        world.dealt[balancer].store(false, Ordering::SeqCst);
+        world.in_rotation[balancer].store(false, Ordering::SeqCst);
     }
 }
 
--- a/lab/src/faults/upstreams.rs
+++ b/lab/src/faults/upstreams.rs
@@ -56,9 +56,9 @@
         let fleet = &self.fleet;
         let world = &fleet.world;
         let upstream = &fleet.upstreams[index];
-        let beside = world.beside(index);
+        let sidecar = world.sidecar(index);
         self.end_upstream(index, kind).await;
-        if let Some(balancer) = beside {
+        if let Some(balancer) = sidecar {
             kill(fleet, balancer);
         }
         world.clock.until(until).await;
@@ -69,7 +69,7 @@
         if kind == FaultKind::Lose {
             upstream.reappear();
         }
-        if let Some(balancer) = beside {
+        if let Some(balancer) = sidecar {
             fleet.balancers[balancer].exited().await;
             self.start(balancer).await?;
         }
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Everybody in one run: the upstreams, the balancers and their discovery agents.
+//! The participants of one run: the upstreams, the balancers and their discovery agents.
 use crate::agent::Agent;
 use crate::clock::Clock;
 use crate::draw::Plan;
@@ -12,22 +12,22 @@
 
 /// A whole fleet.
 pub struct Fleet {
-    /// What they share.
+    /// The shared state of the run.
     pub world: Arc<World>,
-    /// All upstreams, as in the plan.
+    /// All upstreams, in the order of the plan.
     pub upstreams: Vec<Arc<Upstream>>,
-    /// All balancers, as in the plan.
+    /// All balancers, in the order of the plan.
     pub balancers: Vec<Arc<Process>>,
     /// The discovery agent of each balancer.
     pub agents: Vec<Arc<Agent>>,
 }
 
 impl Fleet {
-    /// Puts a fleet together; nothing of it runs yet. `builds` are what balancers may run, in `root`: the program
-    /// under test, then each build of the experiment.
+    /// Sets up a fleet without starting it. `builds` are the launch specifications, run in `root`: the program under
+    /// test, then each build of the experiment.
     ///
     /// # Errors
-    /// When there are no addresses or sockets for it.
+    /// Fails if no block of addresses can be claimed or a socket can't be opened.
     pub fn new(
         e: &Experiment,
         plan: &Plan,
@@ -50,10 +50,10 @@
         }))
     }
 
-    /// Starts the upstreams, the agents and the network between balancers; the balancers start one by one.
+    /// Starts the upstreams, the agents and the network between balancers; the balancers are started separately.
     ///
     /// # Errors
-    /// When an address can't be listened on.
+    /// Fails if an address can't be bound.
     pub fn listen(&self) -> Result<(), BindError> {
         for agent in &self.agents {
             agent.start(&self.world)?;
--- a/lab/src/guard.rs
+++ b/lab/src/guard.rs
@@ -1,7 +1,7 @@
-//! No orphans: a helper process that outlives the lab by a moment and kills what the lab had started.
+//! A helper process that kills the lab's child processes if the lab dies.
 //!
-//! The lab tells it of each child on a pipe. When the pipe ends, however the lab died, whatever is still on its list
-//! is killed.
+//! The lab writes the start and the exit of each child to a pipe. When the pipe is closed, for whatever reason the lab
+//! died, the helper kills the children that are still running.
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use std::collections::BTreeSet;
@@ -27,43 +27,43 @@
     /// Starts the helper: this program with the verb `guard`.
     ///
     /// # Errors
-    /// When the program can't be started.
+    /// Fails if the program can't be started.
     pub fn start(program: &Path) -> Result<Guard, FileError> {
         let mut command = Command::new(program);
-        // A group of its own, so that an interrupt at the terminal leaves it to its duty.
+        // A separate process group, so that an interrupt at the terminal does not reach the helper.
         command.arg("guard").stdin(Stdio::piped()).process_group(0);
         let mut child = command.spawn().map_err(FileError::at(program))?;
         let end = child.stdin.take();
         Ok(Guard(Arc::new(Mutex::new(Pipe { end, child }))))
     }
 
-    fn tell(&self, line: String) {
+    fn write_line(&self, line: String) {
         if let Some(end) = &mut lock(&self.0).end {
-            // Without its helper the lab still ends its children itself, unless it is killed.
+            // Without the helper the lab still ends its children, unless it is killed.
             let _ = end.write_all(line.as_bytes());
         }
     }
 
-    /// A child has started.
+    /// Records that a child has started.
     pub fn watch(&self, pid: i32) {
-        self.tell(format!("+{pid}\n"));
+        self.write_line(format!("+{pid}\n"));
     }
 
-    /// A child has ended and been waited for.
+    /// Records that a child has exited and been waited for.
     pub fn forget(&self, pid: i32) {
-        self.tell(format!("-{pid}\n"));
+        self.write_line(format!("-{pid}\n"));
     }
 }
 
 impl Drop for Pipe {
     fn drop(&mut self) {
         self.end = None;
-        // It ends with its pipe.
+        // The helper exits when the pipe is closed.
         let _ = self.child.wait();
     }
 }
 
-/// The helper's own part: reads until the lab is gone, then kills what it has left.
+/// Runs the helper: reads until the pipe is closed, then kills the children that are still running.
 pub fn stand_guard(input: impl BufRead) {
     let mut alive = BTreeSet::new();
     for line in input.lines().map_while(Result::ok) {
@@ -81,7 +81,7 @@
         }
     }
     for pid in alive {
-        // It may be gone by now.
+        // The child may have exited in the meantime.
         let _ = kill(Pid::from_raw(pid), Signal::SIGKILL);
     }
 }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,9 +1,10 @@
-//! balancer-lab: a fleet of real balancers between emulated upstreams, discovery and clients, with faults between
-//! them, an oracle that checks the rules from outside, and a report. See `docs/lab.md`.
+//! balancer-lab: runs a fleet of real balancers between emulated upstreams, discovery and clients, injects faults,
+//! checks the rules with an external oracle, and writes a report. See `docs/lab.md`.
 //!
-//! [`experiment`] reads what is asked for, [`draw`] makes a plan of it from a seed, [`run`] plays the plan, [`metrics`]
-//! and [`report`] say what came of it. [`machine`] and [`oracle`] are sans-I/O; the rest puts them on sockets.
-//! [`capacity`] stands apart: it measures what one balancer costs at growing sizes, for `docs/CAPACITY.md`.
+//! [`experiment`] reads experiment files, [`draw`] draws a plan from an experiment and a seed, [`run`] runs the plan,
+//! [`metrics`] and [`report`] present the results. [`machine`] and [`oracle`] are sans-I/O; the other modules connect
+//! them to sockets. [`capacity`] is independent: it measures the resource usage of one balancer at growing sizes, for
+//! `docs/CAPACITY.md`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 pub mod agent;
--- a/lab/src/machine.rs
+++ b/lab/src/machine.rs
@@ -1,7 +1,7 @@
-//! One emulated machine: slots, a queue, cores, slow start, and what overload does to it.
+//! One emulated machine: slots, a queue, cores, slow start and overload.
 //!
-//! Sans-I/O: it takes requests and the time, and returns when it is to be polled again. Work is laid out on the cores by
-//! its own clock, so that a host that polls a little late changes no result. It knows nothing of sockets.
+//! Sans-I/O: the caller passes requests and the current time, and polls it at the time that it returns. Work is
+//! scheduled on the cores in virtual time, so that polling late does not change the results.
 use crate::draw::Upstream;
 use crate::experiment::Millis;
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -9,21 +9,21 @@
 /// Identifies one request, or one piece of work, at one machine.
 pub type Token = u64;
 
-/// Requests beyond the collapse limit that chance may bring.
+/// The allowance above the collapse limit for random variation, in requests.
 const CHANCE_REQUESTS: f64 = 4.0;
 
 /// How a machine admits a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// A slot: its work may begin.
+    /// The request has a slot; its work may start.
     Slot,
-    /// Queued: [`Machine::handle_departure`] of another request returns it once it has a slot.
+    /// The request is queued; [`Machine::handle_departure`] of another request returns it once it has a slot.
     Queued,
     /// Rejected.
     Full,
 }
 
-/// Work that a machine was sent during its slow start.
+/// A request that a machine was sent during its slow start.
 struct SentWork {
     at: Millis,
     /// In milliseconds of a core.
@@ -32,7 +32,7 @@
     informed: bool,
 }
 
-/// How far a slow start has come, and what is sent meanwhile.
+/// The progress of a slow start, and the work sent during it.
 struct SlowStart {
     since: Millis,
     /// Work done since the start, in milliseconds of a core.
@@ -44,9 +44,9 @@
 /// The load under which a machine collapses during its slow start.
 #[derive(Clone, Copy, Debug)]
 pub struct CollapseLimit {
-    /// It collapses when sent this many times what it can do at that moment ...
+    /// It collapses when it is sent this many times its current capacity ...
     pub multiple: f64,
-    /// ... over this time.
+    /// ... within this time.
     pub window: Millis,
 }
 
@@ -55,7 +55,7 @@
 pub struct Collapse {
     /// Work sent within the window, in milliseconds of a core.
     pub sent: f64,
-    /// Work that it can take in such a window.
+    /// The limit of the work within the window.
     pub limit: f64,
     /// The share of the work sent that came from balancers that had been notified of its start.
     pub informed_share: f64,
@@ -67,7 +67,7 @@
     collapse_limit: CollapseLimit,
     /// Mean work of a request here, the allowance for chance in the collapse limit.
     mean_work: f64,
-    /// How many times slower a fault makes it.
+    /// The factor by which a fault slows it down; 1 without a fault.
     slowdown: f64,
     /// Open connections as a share of the limit.
     connections: f64,
@@ -77,16 +77,16 @@
     in_slot: HashSet<Token>,
     /// Requests that wait for a slot.
     queued: VecDeque<Token>,
-    /// Work that waits for a core.
+    /// Work waiting for a core.
     ready: VecDeque<(Token, f64)>,
-    /// Work on a core, by when it ends.
+    /// Work on a core, by the time of its end.
     running: BTreeMap<(Micros, Token), f64>,
     overloaded_since: Option<Millis>,
     degraded_since: Option<Millis>,
     idle_since: Option<Millis>,
 }
 
-/// A point of the run in microseconds, which can be ordered.
+/// A point of the run in microseconds; unlike [`Millis`], it implements `Ord`.
 type Micros = u64;
 
 fn micros(at: Millis) -> Micros {
@@ -98,7 +98,7 @@
 }
 
 impl Machine {
-    /// Returns a machine that has long been started.
+    /// Returns a machine that is past its slow start.
     pub fn new(plan: Upstream, collapse_limit: CollapseLimit, mean_work: f64) -> Machine {
         Machine {
             plan,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Starts anew, with nothing in it and a slow start before it.
+    /// Restarts it, empty and at the beginning of its slow start.
     pub fn restart(&mut self, now: Millis) {
         let slowdown = self.slowdown;
         *self = Machine::new(self.plan.clone(), self.collapse_limit, self.mean_work);
@@ -130,22 +130,22 @@
         });
     }
 
-    /// A fault makes it this many times slower; 1 ends that.
+    /// Slows it down by this factor, as a fault; 1 removes the fault.
     pub fn slow_down(&mut self, times: f64) {
         self.slowdown = times.max(0.01);
     }
 
-    /// Sets the share of its table of connections that is in use.
+    /// Sets the number of open connections, as a share of the limit.
     pub fn set_connections(&mut self, share: f64) {
         self.connections = share.clamp(0.0, 1.0);
     }
 
-    /// The share of its capacity that it has in its slow start; 1 without one.
+    /// The share of its full capacity that is available during the slow start; 1 otherwise.
     pub fn slow_start_weight(&self, now: Millis) -> f64 {
         let Some(slow_start) = &self.slow_start else {
             return 1.0;
         };
-        // Capacity rises with time, or with the work done if that is more.
+        // Capacity rises with the time or the work done, whichever is further.
         let all = self.plan.slow_start_time * self.plan.cores as f64 * self.plan.speed;
         let by_time = (now - slow_start.since) / self.plan.slow_start_time.max(1.0);
         let by_work = slow_start.done / all.max(1.0);
@@ -153,7 +153,7 @@
         (self.plan.slow_start_from + (1.0 - self.plan.slow_start_from) * progress).min(1.0)
     }
 
-    /// What each core does in a millisecond.
+    /// The work that each core does in a millisecond.
     fn rate(&self, now: Millis) -> f64 {
         let degradation = match (self.degraded_since, self.plan.overload) {
             (Some(_), Some(overload)) => overload.slower,
@@ -164,7 +164,7 @@
         (speed / degradation / self.slowdown).max(1e-6)
     }
 
-    /// Requests in flight, those that are queued included.
+    /// Requests in flight, including queued ones.
     pub fn in_flight(&self) -> usize {
         self.in_slot.len() + self.queued.len()
     }
@@ -179,8 +179,8 @@
         self.collapse
     }
 
-    /// Admits a request, or rejects it: `work` is all that it asks for, `informed` whether its sender has been notified
-    /// of the last start.
+    /// Admits or rejects a request. `work` is its total work; `informed` is whether its sender has been notified of the
+    /// last start.
     pub fn handle_request(
         &mut self,
         now: Millis,
@@ -227,7 +227,7 @@
         let informed = slow_start.sent.iter().filter(|sent| sent.informed);
         let sent_by_informed: f64 = informed.map(|sent| sent.work).sum();
         let rate = self.plan.cores as f64 * self.plan.speed * self.slow_start_weight(now);
-        // A few requests more than the limit are chance.
+        // A few requests above the limit are random variation.
         let limit = multiple * rate * window + CHANCE_REQUESTS * self.mean_work;
         if sent > limit && self.collapse.is_none() {
             self.collapse = Some(Collapse {
@@ -244,7 +244,7 @@
         self.fill_cores(now);
     }
 
-    /// Cancels work; what runs goes on where the machine does not stop it.
+    /// Cancels work that waits for a core; running work is cancelled only if `cancel_stops` is set.
     pub fn cancel_work(&mut self, now: Millis, token: Token) {
         self.ready.retain(|(t, _)| *t != token);
         if self.plan.cancel_stops {
@@ -260,7 +260,7 @@
             next = self.queued.pop_front();
             self.in_slot.extend(next);
         } else {
-            // A request from before a restart is in neither.
+            // A request from before a restart is neither in a slot nor queued.
             self.queued.retain(|t| *t != token);
         }
         self.update_overload(now);
@@ -277,7 +277,7 @@
         }
     }
 
-    /// When [`Machine::on_timeout`] is to be called next.
+    /// When [`Machine::on_timeout`] must be called next.
     pub fn next_timeout(&self) -> Option<Millis> {
         let work = self.running.keys().next().map(|&(at, _)| millis(at));
         let overload = self.plan.overload.and_then(|c| {
@@ -301,7 +301,7 @@
             .min_by(f64::total_cmp)
     }
 
-    /// Appends the work that is done by now to `done`, each piece ended at its own time.
+    /// Appends the work completed by now to `done`, in the order of completion.
     pub fn on_timeout(&mut self, now: Millis, done: &mut Vec<Token>) {
         while let Some(entry) = self.running.first_entry() {
             let (ends, token) = *entry.key();
@@ -314,7 +314,7 @@
                 slow_start.done += work;
             }
             done.push(token);
-            // The core takes up its next piece when this one ended, not when somebody looked.
+            // The core starts its next piece of work at the end of this one, not at the time of the poll.
             self.fill_cores(at);
         }
         self.update_overload(now);
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the lab; what each verb does is in the library.
+//! The command-line program of the lab; the library implements the verbs.
 #![forbid(unsafe_code)]
 mod command_line;
 
--- a/lab/src/net/block.rs
+++ b/lab/src/net/block.rs
@@ -1,44 +1,44 @@
-//! Loopback addresses, a block of them for each lab on a machine.
+//! Blocks of loopback addresses; each lab process on a machine claims one.
 use socket2::{Domain, Socket, Type};
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use thiserror::Error;
 
-/// The port that a lab holds on its block, so that another lab takes another one.
-const CLAIM: u16 = 9999;
-/// The second bytes of loopback addresses that labs use.
+/// The port that a lab binds on its block to claim it.
+const CLAIM_PORT: u16 = 9999;
+/// The second bytes of the loopback addresses that labs use.
 const BLOCKS: std::ops::Range<u8> = 16..240;
 /// The port on which balancers listen.
 pub const LISTEN: u16 = 8443;
-/// The first port on which discovery's agents listen.
+/// The first port on which discovery agents listen; each move of an agent uses the next port.
 pub const DISCOVERY: u16 = 8500;
-/// Upstreams listen for each balancer at this port and its number.
+/// Upstreams listen for each balancer on this port plus the balancer's number.
 pub const UPSTREAM: u16 = 10_000;
-/// Balancers listen for their peers at this port.
+/// The port on which balancers listen for their peers.
 pub const PEERS: u16 = 7946;
 
 /// Why no block could be claimed.
 #[derive(Debug, Error)]
 pub enum BlockError {
-    /// No socket could be made.
-    #[error("a socket: {0}")]
+    /// No socket could be created.
+    #[error("failed to create a socket to claim a block of loopback addresses: {0}")]
     Socket(#[source] io::Error),
-    /// Other labs hold them all.
-    #[error("every block of loopback addresses is taken by another lab")]
+    /// Other labs have claimed all blocks.
+    #[error("all blocks of loopback addresses are claimed by other lab processes")]
     AllTaken,
 }
 
-/// 65,536 loopback addresses that this lab has for itself.
+/// A block of 65,536 loopback addresses, claimed by this lab process.
 pub struct Block {
     second: u8,
     _claim: Socket,
 }
 
 impl Block {
-    /// Takes a block that no other lab on this machine holds.
+    /// Claims a block that no other lab process on this machine has claimed.
     ///
     /// # Errors
-    /// When there is none, or no socket can be made.
+    /// Fails if all blocks are claimed or no socket can be created.
     pub fn claim() -> Result<Block, BlockError> {
         let first = u32::from(std::process::id() as u16) % u32::from(BLOCKS.end - BLOCKS.start);
         for step in 0..u32::from(BLOCKS.end - BLOCKS.start) {
@@ -46,7 +46,7 @@
                 BLOCKS.start + ((first + step) % u32::from(BLOCKS.end - BLOCKS.start)) as u8;
             let socket =
                 Socket::new(Domain::IPV4, Type::STREAM, None).map_err(BlockError::Socket)?;
-            let at = SocketAddr::from((Ipv4Addr::new(127, second, 255, 254), CLAIM));
+            let at = SocketAddr::from((Ipv4Addr::new(127, second, 255, 254), CLAIM_PORT));
             if socket.bind(&at.into()).is_ok() {
                 return Ok(Block {
                     second,
@@ -67,22 +67,22 @@
         [127, self.second]
     }
 
-    /// Where a balancer listens.
+    /// The address on which a balancer listens.
     pub fn balancer(&self, balancer: usize) -> SocketAddr {
         self.address(0x0100 + balancer as u16, LISTEN)
     }
 
-    /// Where a balancer reaches an upstream.
+    /// The address at which a balancer reaches an upstream.
     pub fn upstream(&self, upstream: usize, balancer: usize) -> SocketAddr {
         self.address(0x4000 + upstream as u16, UPSTREAM + balancer as u16)
     }
 
-    /// Where a balancer reaches its discovery, after so many moves.
+    /// The address at which a balancer reaches its discovery agent, after `moves` moves.
     pub fn agent(&self, balancer: usize, moves: u16) -> SocketAddr {
         self.address(0x8000 + balancer as u16, DISCOVERY + moves)
     }
 
-    /// Where a balancer listens for its peers.
+    /// The address on which a balancer listens for its peers.
     pub fn peer(&self, balancer: usize) -> SocketAddr {
         self.address(0x0100 + balancer as u16, PEERS)
     }
--- a/lab/src/net/link.rs
+++ b/lab/src/net/link.rs
@@ -7,17 +7,19 @@
 
 /// The link between one stand-in and one balancer.
 pub struct Link {
-    /// Cuts of what comes from the balancer, and of what goes to it.
+    /// Active cuts of the direction from the balancer.
     inward: AtomicU32,
+    /// Active cuts of the direction to the balancer.
     outward: AtomicU32,
+    /// Tasks that wait for a direction to be healed or for a reset.
     waiting: Mutex<Vec<Waker>>,
-    /// Grows when all connections on this link are reset.
+    /// Incremented when all connections on this link are reset.
     pub(super) resets: watch::Sender<u64>,
-    /// Wakes ports when anything changes.
+    /// Incremented on every cut, heal and reset.
     changed: watch::Sender<u64>,
 }
 
-/// A direction, as the lab sees it.
+/// A direction of a link, from the perspective of the stand-in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// From the balancer to the stand-in.
@@ -27,7 +29,7 @@
 }
 
 impl Link {
-    /// A link that is open.
+    /// Returns a link without cuts.
     pub fn open() -> Arc<Link> {
         Arc::new(Link {
             inward: AtomicU32::new(0),
@@ -45,15 +47,15 @@
         }
     }
 
-    /// Cuts a direction. Cuts add up: each is healed by itself.
+    /// Cuts a direction. Cuts are counted: the direction is open again once each is healed.
     pub fn cut(&self, direction: Direction) {
         self.cuts(direction).fetch_add(1, Ordering::SeqCst);
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// Takes one cut back.
+    /// Heals one cut of a direction.
     pub fn heal(&self, direction: Direction) {
-        // A heal without its cut would open what another fault holds shut.
+        // The counter must not wrap around if there is no cut.
         let _ = self
             .cuts(direction)
             .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1));
@@ -66,7 +68,7 @@
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// Resets all connections on it.
+    /// Resets all connections on the link.
     pub fn reset(&self) {
         self.resets.send_modify(|n| *n += 1);
         self.wake();
@@ -77,27 +79,28 @@
         self.cuts(direction).load(Ordering::SeqCst) > 0
     }
 
-    /// Whether nothing new comes up on it.
+    /// Whether new connections hang: a direction is cut.
     pub fn is_unresponsive(&self) -> bool {
         self.is_cut(Direction::Inward) || self.is_cut(Direction::Outward)
     }
 
-    /// Tells of resets from now on.
+    /// Subscribes to resets.
     pub fn resets(&self) -> watch::Receiver<u64> {
         self.resets.subscribe()
     }
 
-    /// Tells of changes from now on.
+    /// Subscribes to cuts, heals and resets.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
+    /// Whether a direction is cut; if so, the task is woken by the next heal or reset.
     pub(super) fn blocked(&self, direction: Direction, cx: &mut Context<'_>) -> bool {
         if !self.is_cut(direction) {
             return false;
         }
         lock(&self.waiting).push(cx.waker().clone());
-        // Healed in between: nobody would wake us.
+        // Check again: a heal between the check and the push would not wake this task.
         self.is_cut(direction)
     }
 }
--- a/lab/src/net/lock.rs
+++ b/lab/src/net/lock.rs
@@ -1,7 +1,7 @@
-//! Locks of what tasks share.
+//! Locking of shared state.
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// A lock that a panic elsewhere does not spoil: what it guards stays usable metrics.
+/// Locks a mutex, ignoring poisoning: the guarded state stays usable after a panic in another task.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/lab/src/net/port.rs
+++ b/lab/src/net/port.rs
@@ -1,25 +1,25 @@
-//! Listening addresses that accept, refuse or stay silent.
+//! Listening addresses that accept connections, refuse them or let them hang.
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Connections that may wait to be accepted.
+/// The maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
 
-/// What a port does with new connections.
+/// How a port treats new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
-    /// Takes them.
+pub enum PortMode {
+    /// Accepts them.
     Open,
-    /// Refuses them, as a machine does on which nobody listens.
+    /// Refuses them, like a machine without a listener.
     Refusing,
-    /// Lets them hang, as a network does that drops packets.
+    /// Lets them hang, like a network that drops packets.
     Unresponsive,
 }
 
-/// Listens at an address.
+/// Listens on an address.
 pub fn listener(at: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -33,14 +33,14 @@
 pub struct Port {
     at: SocketAddr,
     listener: Option<TcpListener>,
-    /// Own connections that fill the queue of those to be accepted, so that further ones hang.
+    /// Connections from the port to itself that fill the accept queue, so that other connections hang.
     fillers: Vec<Socket>,
-    mode: watch::Receiver<Manner>,
+    mode: watch::Receiver<PortMode>,
 }
 
 impl Port {
-    /// Listens, or does not, as `mode` demands now.
-    pub fn bind(at: SocketAddr, mode: watch::Receiver<Manner>) -> io::Result<Port> {
+    /// Returns a port in the current mode of the watch.
+    pub fn bind(at: SocketAddr, mode: watch::Receiver<PortMode>) -> io::Result<Port> {
         let mut port = Port {
             at,
             listener: None,
@@ -52,8 +52,8 @@
         Ok(port)
     }
 
-    fn enter_mode(&mut self, mode: Manner) -> io::Result<()> {
-        if mode == Manner::Refusing {
+    fn enter_mode(&mut self, mode: PortMode) -> io::Result<()> {
+        if mode == PortMode::Refusing {
             self.listener = None;
             self.fillers.clear();
             return Ok(());
@@ -65,31 +65,33 @@
             return Ok(());
         };
         match mode {
-            Manner::Unresponsive if self.fillers.is_empty() => {
-                // The queue takes one more than its stated length; what comes after that is dropped unanswered.
+            PortMode::Unresponsive if self.fillers.is_empty() => {
+                // The accept queue holds one connection more than its length; the kernel drops further SYN packets.
                 SockRef::from(listener).listen(0)?;
                 for _ in 0..2 {
                     let filler = Socket::new(Domain::IPV4, Type::STREAM, None)?;
                     filler.set_nonblocking(true)?;
-                    // It is enough that it is in progress.
+                    // A connection in progress is sufficient.
                     let _ = filler.connect(&self.at.into());
                     self.fillers.push(filler);
                 }
             }
-            Manner::Open if !self.fillers.is_empty() => SockRef::from(listener).listen(BACKLOG)?,
+            PortMode::Open if !self.fillers.is_empty() => {
+                SockRef::from(listener).listen(BACKLOG)?
+            }
             _ => {}
         }
         Ok(())
     }
 
-    /// The next connection. It ends when the watch's other side is gone.
+    /// Accepts the next connection; returns `None` once the sender of the mode is dropped.
     pub async fn accept(&mut self) -> io::Result<Option<TcpStream>> {
         loop {
             let now = *self.mode.borrow_and_update();
             self.enter_mode(now)?;
             let waits = async {
                 match (&self.listener, now) {
-                    (Some(listener), Manner::Open) => listener.accept().await,
+                    (Some(listener), PortMode::Open) => listener.accept().await,
                     _ => std::future::pending().await,
                 }
             };
--- a/lab/src/net/stream.rs
+++ b/lab/src/net/stream.rs
@@ -1,4 +1,4 @@
-//! Connections on a link.
+//! TCP connections on a link.
 use super::link::{Direction, Link};
 use socket2::SockRef;
 use std::io;
@@ -10,7 +10,8 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A connection on a link: it neither reads nor writes while that is cut, and is reset where the link was.
+/// A connection on a link: it does not read or write while the link is cut in that direction, and it is closed with
+/// RST after the link was reset.
 pub struct LinkedStream {
     stream: TcpStream,
     link: Arc<Link>,
@@ -18,7 +19,7 @@
 }
 
 impl LinkedStream {
-    /// Puts a connection on a link.
+    /// Attaches a connection to a link.
     pub fn new(stream: TcpStream, link: Arc<Link>) -> LinkedStream {
         let resets = *link.resets.borrow();
         LinkedStream {
@@ -32,7 +33,7 @@
 impl Drop for LinkedStream {
     fn drop(&mut self) {
         if *self.link.resets.borrow() != self.resets {
-            // What fails here leaves an ordinary close.
+            // If this fails, the connection is closed with FIN.
             let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
         }
     }
@@ -73,7 +74,7 @@
     }
 }
 
-/// Connects to a balancer on a link. While it is silent nothing comes up.
+/// Connects to a balancer on a link; waits while the link is cut.
 pub async fn connect(to: SocketAddr, link: &Arc<Link>) -> io::Result<LinkedStream> {
     let mut changes = link.changes();
     while link.is_unresponsive() {
--- a/lab/src/pool.rs
+++ b/lab/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections that clients keep to a balancer.
+//! The pool of idle client connections to a balancer.
 use crate::net::lock;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -6,33 +6,33 @@
 use std::sync::Mutex;
 use tokio::task::AbortHandle;
 
-/// An open connection to a balancer; closed when dropped.
-pub struct Conn {
+/// An open connection to a balancer; closed on drop.
+pub struct ClientConnection {
     /// Sends the next request on it.
     pub sender: http1::SendRequest<Full<Bytes>>,
     task: AbortHandle,
 }
 
-impl Conn {
-    /// One whose reading and writing is done by `task`.
-    pub fn new(sender: http1::SendRequest<Full<Bytes>>, task: AbortHandle) -> Conn {
-        Conn { sender, task }
+impl ClientConnection {
+    /// Returns a connection whose I/O runs in `task`.
+    pub fn new(sender: http1::SendRequest<Full<Bytes>>, task: AbortHandle) -> ClientConnection {
+        ClientConnection { sender, task }
     }
 }
 
-impl Drop for Conn {
+impl Drop for ClientConnection {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// Connections to one balancer that carry nothing now.
+/// The idle connections to one balancer.
 #[derive(Default)]
-pub struct Pool(Mutex<Vec<Conn>>);
+pub struct Pool(Mutex<Vec<ClientConnection>>);
 
 impl Pool {
-    /// The connection used last that is still open.
-    pub fn take(&self) -> Option<Conn> {
+    /// Takes the most recently used connection that is still open.
+    pub fn take(&self) -> Option<ClientConnection> {
         let mut idle = lock(&self.0);
         while let Some(conn) = idle.pop() {
             if conn.sender.is_ready() {
@@ -42,12 +42,12 @@
         None
     }
 
-    /// Keeps one for the next call.
-    pub fn keep(&self, conn: Conn) {
+    /// Returns a connection to the pool.
+    pub fn put_back(&self, conn: ClientConnection) {
         lock(&self.0).push(conn);
     }
 
-    /// Closes them all.
+    /// Closes all connections.
     pub fn clear(&self) {
         lock(&self.0).clear();
     }
--- a/lab/src/process/child.rs
+++ b/lab/src/process/child.rs
@@ -5,7 +5,7 @@
 use super::usage::Usage;
 use crate::agent::Agent;
 use crate::atomic_file;
-use crate::audit::Counted;
+use crate::audit::BalancerMetrics;
 use crate::draw::{Party, PlannedFault};
 use crate::error::FileError;
 use crate::experiment::FaultKind;
@@ -169,7 +169,7 @@
     }
 
     /// Reads the metrics that the balancer has written, if any.
-    pub fn read_metrics(&self) -> Option<Counted> {
+    pub fn read_metrics(&self) -> Option<BalancerMetrics> {
         self.files.read_metrics()
     }
 
@@ -191,7 +191,7 @@
                 "{} has incarnation {incarnation}, but an earlier start had {highest}",
                 self.name
             );
-            world.breaks(Rule::Numbered, case);
+            world.report_violation(Rule::Numbered, case);
         }
         *incarnations = Incarnations {
             started_unix_ms: f64::INFINITY,
@@ -199,8 +199,8 @@
         };
     }
 
-    /// Starts the process, and returns once it is ready, has exited or exceeds the time limit; the oracle is notified of
-    /// the last two.
+    /// Starts the process, and returns once it is ready, has exited or exceeds the time limit; the oracle is notified
+    /// of the last two.
     ///
     /// # Errors
     /// Fails if its files can't be written or the shell can't be started.
@@ -286,11 +286,11 @@
             done = timeout(ready_within, ready) => match done {
                 Ok(()) => {
                     self.ready.send_replace(true);
-                    world.dealt[self.index].store(is_front, Ordering::SeqCst);
+                    world.in_rotation[self.index].store(is_front, Ordering::SeqCst);
                 }
                 Err(_) => {
                     let case = format!("{} is not ready {ready_within:?} after its start", self.name);
-                    world.breaks(Rule::NotReady, case);
+                    world.report_violation(Rule::NotReady, case);
                 }
             },
             // The task that watches the process reports its exit.
@@ -329,8 +329,8 @@
             self.name,
             self.files.log.display()
         );
-        world.breaks(Rule::Crashed, case);
-        world.dealt[self.index].store(false, Ordering::SeqCst);
+        world.report_violation(Rule::Crashed, case);
+        world.in_rotation[self.index].store(false, Ordering::SeqCst);
     }
 
     async fn is_ready(&self) -> bool {
@@ -407,7 +407,11 @@
         let Some(max_age) = world.experiment.bounds.age else {
             return;
         };
-        for (what, age) in self.read_metrics().iter().flat_map(Counted::acts_on) {
+        for (what, age) in self
+            .read_metrics()
+            .iter()
+            .flat_map(BalancerMetrics::shared_data_ages)
+        {
             let (now, max_age) = (world.now(), max_age.0.mean());
             lock(&world.oracle).acts_on(now, self.index, what, age, max_age);
         }
@@ -421,7 +425,7 @@
                 "{} uses {memory_kb} kB of memory, limit {limit_kb} kB",
                 self.name
             );
-            world.breaks(Rule::Memory, case);
+            world.report_violation(Rule::Memory, case);
         }
     }
 
@@ -436,7 +440,7 @@
                 "{} has {descriptors} open descriptors, limit {limit}",
                 self.name
             );
-            world.breaks(Rule::Descriptors, case);
+            world.report_violation(Rule::Descriptors, case);
         }
     }
 }
--- a/lab/src/process/files.rs
+++ b/lab/src/process/files.rs
@@ -1,6 +1,6 @@
 //! The files that a balancer's process reads and writes, and its launch specification. Owns the paths.
 use crate::atomic_file;
-use crate::audit::Counted;
+use crate::audit::BalancerMetrics;
 use crate::error::FileError;
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
@@ -67,7 +67,7 @@
     }
 
     /// Reads the metrics that the balancer has written, if any.
-    pub(super) fn read_metrics(&self) -> Option<Counted> {
+    pub(super) fn read_metrics(&self) -> Option<BalancerMetrics> {
         let text = std::fs::read(self.state.join("figures.json")).ok()?;
         serde_json::from_slice(&text).ok()
     }
--- a/lab/src/programs.rs
+++ b/lab/src/programs.rs
@@ -1,4 +1,4 @@
-//! What the command line says that is to be played: programs, sets of options, commands of builds.
+//! Parses the programs, option sets and build commands of the command line.
 use crate::error::FileError;
 use crate::experiment::Experiment;
 use crate::run::Program;
@@ -8,16 +8,16 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// What the deploy file names.
+/// The deploy file.
 #[derive(Deserialize)]
 pub struct Deploy {
     /// The command that builds the balancer.
     pub build: String,
-    /// The command that becomes one.
+    /// The command that runs one balancer.
     pub run: String,
 }
 
-/// Why what is to be played is not known.
+/// Why the programs could not be determined.
 #[derive(Debug, Error)]
 pub enum ProgramsError {
     /// The deploy file can't be read.
@@ -31,10 +31,10 @@
         /// What is wrong with it.
         what: String,
     },
-    /// The lab's own program is not known.
+    /// The path of the lab's own executable could not be determined.
     #[error(transparent)]
     OwnProgram(#[from] io::Error),
-    /// An argument of the command line is unusable.
+    /// A command-line argument is invalid.
     #[error("{option} {text}: {what}")]
     Argument {
         /// The option.
@@ -46,8 +46,8 @@
     },
 }
 
-/// Returns a function that makes an error of what is wrong with an argument.
-fn wrong<'a>(option: &'static str, text: &'a str) -> impl Fn(&str) -> ProgramsError + 'a {
+/// Returns a function that converts a message into an error about an argument.
+fn argument_error<'a>(option: &'static str, text: &'a str) -> impl Fn(&str) -> ProgramsError + 'a {
     move |what| ProgramsError::Argument {
         option,
         text: text.to_owned(),
@@ -58,7 +58,7 @@
 /// Reads the deploy file.
 ///
 /// # Errors
-/// When it can't be read.
+/// Fails if it can't be read or is malformed.
 pub fn deploy(root: &Path) -> Result<Deploy, ProgramsError> {
     let path = root.join("deploy/balancer.toml");
     let text = std::fs::read_to_string(&path).map_err(FileError::at(&path))?;
@@ -68,10 +68,10 @@
     })
 }
 
-/// The programs that were named, with their commands, and whether the balancer must be built.
+/// Returns the programs of `--program` with their commands, and whether the balancer must be built.
 ///
 /// # Errors
-/// The first name that is unusable.
+/// Returns the first invalid argument.
 pub fn programs(named: &[String], deploy: &Deploy) -> Result<(Vec<Program>, bool), ProgramsError> {
     let own = std::env::current_exe()?;
     let default = ["balancer".to_string()];
@@ -83,7 +83,7 @@
     let mut programs: Vec<Program> = Vec::new();
     let mut built = false;
     for text in named {
-        let wrong = wrong("--program", text);
+        let wrong = argument_error("--program", text);
         let (name, command) = match text.split_once('=') {
             Some((name, command)) => (name, command.to_string()),
             None if text == "balancer" => {
@@ -94,13 +94,17 @@
                 text.as_str(),
                 format!("exec '{}' stand-in {text}", own.display()),
             ),
-            None => return Err(wrong("no such program; NAME=COMMAND names one of your own")),
+            None => {
+                return Err(wrong(
+                    "unknown program; use NAME=COMMAND for another program",
+                ))
+            }
         };
-        if !plain_name(name) {
+        if !is_valid_name(name) {
             return Err(wrong("a name has letters, digits, '-', '_' and '.'"));
         }
         if programs.iter().any(|p| p.name == name) {
-            return Err(wrong(&format!("{name} is named twice")));
+            return Err(wrong(&format!("duplicate program name {name}")));
         }
         programs.push(Program {
             name: name.into(),
@@ -111,10 +115,10 @@
     Ok((programs, built))
 }
 
-/// Each program with each set of options.
+/// Combines each program with each set of options.
 ///
 /// # Errors
-/// The first set that is unusable.
+/// Returns the first invalid argument.
 pub fn with_options(
     programs: Vec<Program>,
     named: &[String],
@@ -122,17 +126,17 @@
     let mut sets: Vec<(&str, toml::Table)> = Vec::new();
     for text in named {
         let (name, keys) = text.split_once('=').unwrap_or((text, ""));
-        let wrong = wrong("--options", text);
-        if !plain_name(name) {
+        let wrong = argument_error("--options", text);
+        if !is_valid_name(name) {
             return Err(wrong("a name has letters, digits, '-', '_' and '.'"));
         }
         if sets.iter().any(|(n, _)| *n == name) {
-            return Err(wrong("named twice"));
+            return Err(wrong("duplicate name"));
         }
         let read: Result<toml::Table, _> = toml::from_str(&format!("all = {{ {keys} }}"));
         let mut read = read.map_err(|e| wrong(&e.message().replace('\n', " ")))?;
         let Some(toml::Value::Table(keys)) = read.remove("all") else {
-            return Err(wrong("no options"));
+            return Err(wrong("expected NAME=KEY=VALUE, KEY=VALUE, ..."));
         };
         sets.push((name, keys));
     }
@@ -155,31 +159,32 @@
         .collect())
 }
 
-/// Commands of builds, by name.
+/// Returns the commands of builds, by name.
 ///
 /// # Errors
-/// The first one that is unusable.
+/// Returns the first invalid argument.
 pub fn builds(named: &[String], e: &Experiment) -> Result<BTreeMap<String, String>, ProgramsError> {
     let mut builds = BTreeMap::new();
     for text in named {
-        let wrong = wrong("--build", text);
+        let wrong = argument_error("--build", text);
         let Some((name, command)) = text.split_once('=') else {
-            return Err(wrong("NAME=COMMAND is wanted"));
+            return Err(wrong("expected NAME=COMMAND"));
         };
         if !e.builds.iter().any(|b| b.name == name) {
-            return Err(wrong("the experiment has no build of that name"));
+            return Err(wrong("the experiment has no build with this name"));
         }
         if builds
             .insert(name.to_string(), command.to_string())
             .is_some()
         {
-            return Err(wrong("named twice"));
+            return Err(wrong("duplicate name"));
         }
     }
     Ok(builds)
 }
 
-fn plain_name(name: &str) -> bool {
+/// Whether a name has only characters that are safe in paths and tables.
+fn is_valid_name(name: &str) -> bool {
     !name.is_empty()
         && name
             .bytes()
--- a/lab/src/run/mod.rs
+++ b/lab/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! Plays an experiment: one or several programs in turn on the same draw.
+//! Runs an experiment: one or several programs in turn on the same plan.
 mod play;
 mod sum_up;
 mod watch;
--- a/lab/src/run/play.rs
+++ b/lab/src/run/play.rs
@@ -1,7 +1,7 @@
-//! One play, from the first start to the last end.
+//! One play of a program, from the first process start to the last exit.
 use super::sum_up::sum_up;
-use super::watch::{audit, follow_tiers, watch_over};
-use crate::clients::{ends_within, send_all, Open};
+use super::watch::{audit, monitor_convergence, monitor_processes};
+use crate::clients::{ends_within, send_all, InFlight};
 use crate::draw::Plan;
 use crate::error::{BindError, FileError};
 use crate::experiment::{merged, Build, Experiment, Span};
@@ -24,30 +24,31 @@
 use tokio::task::JoinError;
 use tokio::time::timeout;
 
-/// From the last balancer's being ready to the first request.
-const BREATH: Duration = Duration::from_millis(300);
+/// The time from the last balancer's readiness to the first request.
+const START_DELAY: Duration = Duration::from_millis(300);
+
 /// A program to play.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Program {
-    /// Its name in tables.
+    /// The name in tables.
     pub name: String,
-    /// The shell's command that becomes one balancer.
+    /// The shell command that runs one balancer.
     pub command: String,
-    /// Options that go before those of the experiment and of its builds.
+    /// Options that override those of the experiment and of its builds.
     pub options: toml::Table,
 }
 
-/// What a play needs besides its experiment.
+/// The environment of a play.
 pub struct Stage<'a> {
-    /// Where commands are run.
+    /// The working directory of commands.
     pub root: &'a Path,
-    /// Where its results go.
+    /// The folder for the results.
     pub folder: &'a Path,
-    /// Ends children if the lab dies.
+    /// Kills child processes if the lab dies.
     pub guard: &'a Guard,
     /// Set to stop early.
     pub stop: watch::Receiver<bool>,
-    /// Commands of the experiment's builds, by name; one that is not here runs the program under test.
+    /// Commands of the experiment's builds, by name; a build without an entry runs the program under test.
     pub builds: &'a BTreeMap<String, String>,
     /// Whether to show progress.
     pub progress: bool,
@@ -56,13 +57,13 @@
 /// Why a program could not be played.
 #[derive(Debug, Error)]
 pub enum PlayError {
-    /// A folder for its results could not be made.
+    /// A folder for the results could not be created.
     #[error(transparent)]
     Folder(#[from] FileError),
-    /// The run could not be put together.
+    /// The run could not be set up.
     #[error(transparent)]
     World(#[from] WorldError),
-    /// An upstream or discovery could not listen.
+    /// An upstream or a discovery agent could not bind its address.
     #[error(transparent)]
     Listen(#[from] BindError),
     /// A balancer could not be started.
@@ -76,7 +77,7 @@
 /// Plays one program once.
 ///
 /// # Errors
-/// When something of it could not be started; nothing of it is left running.
+/// Fails if a part of the fleet could not be started; no process is left running.
 pub async fn play(
     experiment: &Experiment,
     plan: &Plan,
@@ -88,18 +89,18 @@
         let folder = stage.folder.join(part);
         std::fs::create_dir_all(&folder).map_err(FileError::at(&folder))?;
     }
-    let runs = runs(experiment, program, stage.builds);
-    let fleet = Fleet::new(experiment, plan, &runs, stage.root, stage.folder)?;
-    let ended = go(&fleet, stage, &program.name).await;
+    let specs = launch_specs(experiment, program, stage.builds);
+    let fleet = Fleet::new(experiment, plan, &specs, stage.root, stage.folder)?;
+    let ended = run_fleet(&fleet, stage, &program.name).await;
     {
         let mut oracle = lock(&fleet.world.oracle);
         if ended.as_ref().is_ok_and(|stopped| !stopped) {
             oracle.finish(fleet.world.now());
-            in_share(&fleet.world, &mut oracle);
+            check_in_share(&fleet.world, &mut oracle);
         }
         oracle.close();
     }
-    // Whatever happened: nothing of this run is left behind.
+    // Ends all processes of this run, also after an error.
     fleet.world.over.send_replace(true);
     for process in &fleet.balancers {
         process.stop(Signal::SIGCONT);
@@ -117,8 +118,8 @@
     ))
 }
 
-/// Has the oracle judge what tenants within their share kept of their worth.
-fn in_share(world: &World, oracle: &mut Oracle) {
+/// Checks how much value tenants within their share retained during the overload of another tenant.
+fn check_in_share(world: &World, oracle: &mut Oracle) {
     let (e, plan) = (&world.experiment, &world.plan);
     let Some(bound) = &e.bounds.in_share else {
         return;
@@ -132,8 +133,12 @@
     }
 }
 
-/// What balancers may run: the program under test, then each build.
-fn runs(e: &Experiment, program: &Program, builds: &BTreeMap<String, String>) -> Vec<LaunchSpec> {
+/// The launch specifications of balancers: the program under test, then each build.
+fn launch_specs(
+    e: &Experiment,
+    program: &Program,
+    builds: &BTreeMap<String, String>,
+) -> Vec<LaunchSpec> {
     let plain = LaunchSpec {
         command: program.command.clone(),
         options: merged(&e.options, &program.options),
@@ -150,8 +155,8 @@
         .collect()
 }
 
-/// Everything from the first start to the last answer. Says whether it was stopped by hand.
-async fn go(fleet: &Arc<Fleet>, stage: &Stage<'_>, name: &str) -> Result<bool, PlayError> {
+/// Runs the fleet from the first process start to the last response. Returns whether it was stopped early.
+async fn run_fleet(fleet: &Arc<Fleet>, stage: &Stage<'_>, name: &str) -> Result<bool, PlayError> {
     let world = &fleet.world;
     fleet.listen()?;
     let length = world.plan.length / 1000.0;
@@ -180,18 +185,22 @@
             _ = stop.wait_for(|s| *s) => return Ok(true),
         }
     }
-    world.clock.begin_in(BREATH);
+    world.clock.begin_after(START_DELAY);
     faults::schedule(fleet, stage.guard);
-    let open = Arc::new(Open::default());
-    let watched = tokio::spawn(watch_over(fleet.clone(), open.clone(), progress.clone()));
-    let tiers = tokio::spawn(follow_tiers(fleet.clone()));
-    let sent = send_all(world.clone(), open.clone());
+    let in_flight = Arc::new(InFlight::default());
+    let monitor = tokio::spawn(monitor_processes(
+        fleet.clone(),
+        in_flight.clone(),
+        progress.clone(),
+    ));
+    let convergence = tokio::spawn(monitor_convergence(fleet.clone()));
+    let sent = send_all(world.clone(), in_flight.clone());
     let all = async {
         sent.await;
-        // A request that never ends is the oracle's case, and no reason to wait for ever.
+        // A request that never ends is a violation that the oracle reports; the wait for it is bounded.
         let _ = timeout(
             Duration::from_secs_f64(ends_within(world) / 1000.0),
-            open.none(),
+            in_flight.wait_until_none(),
         )
         .await;
     };
@@ -202,8 +211,8 @@
     if !stopped {
         audit(fleet).await;
     }
-    watched.abort();
-    tiers.abort();
+    monitor.abort();
+    convergence.abort();
     progress.finish_and_clear();
     Ok(stopped)
 }
--- a/lab/src/run/sum_up.rs
+++ b/lab/src/run/sum_up.rs
@@ -1,4 +1,4 @@
-//! What a play comes to.
+//! Computes the results of a play.
 use crate::draw::{Plan, PlannedFault};
 use crate::experiment::{Experiment, FaultKind, Millis};
 use crate::fleet::Fleet;
@@ -12,10 +12,10 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
 
-/// Clock ticks that this platform books to a process in a second.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second of CPU time on this platform.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// What balancers sent to each other, for each of them.
+/// The datagram rates between balancers, as the mean of one balancer.
 fn peer_traffic(world: &World) -> Datagrams {
     let (sent, bytes) = world.datagrams.sent();
     let over = world.plan.balancers.len() as f64 * world.plan.length / 1000.0;
@@ -25,7 +25,7 @@
     }
 }
 
-/// What balancers reported of their tier. The front's is the one whose times are recorded.
+/// The peer metrics that balancers reported. Convergence times are those of the front tier.
 fn tier(fleet: &Fleet) -> Option<Tier> {
     let reports: Vec<_> = fleet
         .balancers
@@ -49,7 +49,7 @@
     })
 }
 
-/// How late the lab itself was.
+/// The lateness of the lab itself.
 fn lateness(world: &World) -> Lateness {
     let e = &world.experiment;
     let late = world.clock.lateness();
@@ -92,7 +92,7 @@
     by
 }
 
-/// What each balancer used at most.
+/// The maximum resource usage of each balancer.
 fn usage(fleet: &Fleet) -> Vec<ResourceUsage> {
     let balancers = fleet.balancers.iter().zip(&fleet.world.plan.balancers);
     balancers
@@ -100,12 +100,12 @@
             name: planned.name.clone(),
             memory_kb: process.max_memory_kb.load(Ordering::Relaxed),
             descriptors: process.max_descriptors.load(Ordering::Relaxed),
-            cpu_s: process.cpu_ticks.load(Ordering::Relaxed) as f64 / TICKS,
+            cpu_s: process.cpu_ticks.load(Ordering::Relaxed) as f64 / TICKS_PER_SECOND,
         })
         .collect()
 }
 
-/// When each fault began and ended, with its kind.
+/// The start, the end and the kind of each fault.
 fn fault_spans(plan: &Plan) -> Vec<(Millis, Millis, String)> {
     let span = |fault: &PlannedFault| {
         let until = if fault.kind == FaultKind::Reset {
@@ -118,6 +118,7 @@
     plan.faults.iter().map(span).collect()
 }
 
+/// Computes the results of a play.
 pub(super) fn sum_up(
     fleet: &Fleet,
     (name, command): (&str, &str),
--- a/lab/src/run/watch.rs
+++ b/lab/src/run/watch.rs
@@ -1,6 +1,6 @@
-//! Looks at the processes while they run, and at their metrics when all is over.
-use crate::audit::differs;
-use crate::clients::Open;
+//! Monitors the processes during the run, and checks their metrics after it.
+use crate::audit::find_differences;
+use crate::clients::InFlight;
 use crate::experiment::{FaultKind, Millis};
 use crate::fleet::Fleet;
 use crate::net::lock;
@@ -12,17 +12,18 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Metrics of after the run must be written within this, and are asked for this often.
+/// Each balancer must write metrics within this time after the end of the run.
 const METRICS_TIMEOUT: Duration = Duration::from_secs(10);
+/// The time between two reads of metrics while waiting for new ones.
 const METRICS_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How often processes are looked at.
-const LOOK: Duration = Duration::from_millis(1000);
-/// How often metrics are looked at for what a tier knows.
-const FOLLOW: Duration = Duration::from_millis(100);
-/// What cuts and pauses have done to what a tier knows is over after this.
+/// The time between two samples of the processes.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(1000);
+/// The time between two samples of the balancers' view of their tier.
+const CONVERGENCE_INTERVAL: Duration = Duration::from_millis(100);
+/// The time after a cut or a pause within which balancers may still disagree about their tier.
 const RECOVERY_TIME: Millis = 5000.0;
 
-/// Sets the metrics of every balancer that has run through, and writes some, against what was seen of it.
+/// Compares the metrics of every balancer that ran without a restart and writes metrics with what the stand-ins saw.
 pub(super) async fn audit(fleet: &Fleet) {
     let world = &fleet.world;
     let over = world.clock.unix(world.now());
@@ -30,44 +31,48 @@
         .balancers
         .iter()
         .for_each(|process| process.check_incarnation(world));
-    let through = fleet
+    let never_restarted = fleet
         .balancers
         .iter()
         .enumerate()
         .filter(|(_, p)| p.starts() == 1 && p.is_running());
-    for (b, process) in through {
+    for (b, process) in never_restarted {
         let fresh = async {
             loop {
                 match process.read_metrics() {
-                    Some(counted) if counted.at_ms > over => return Some(counted),
+                    Some(metrics) if metrics.at_ms > over => return Some(metrics),
                     Some(_) => tokio::time::sleep(METRICS_POLL_INTERVAL).await,
                     None => return None,
                 }
             }
         };
         let name = &world.plan.balancers[b].name;
-        let counted = match timeout(METRICS_TIMEOUT, fresh).await {
-            Ok(Some(counted)) => counted,
+        let metrics = match timeout(METRICS_TIMEOUT, fresh).await {
+            Ok(Some(metrics)) => metrics,
             Ok(None) => continue,
             Err(_) => {
-                world.breaks(
+                world.report_violation(
                     Rule::Metrics,
-                    format!("{name} has written no figures for {METRICS_TIMEOUT:?}"),
+                    format!("{name} wrote no metrics within {METRICS_TIMEOUT:?} after the run"),
                 );
                 continue;
             }
         };
         let seen = lock(&world.oracle).seen(b);
-        if let Some(what) = differs(&counted, &seen) {
-            world.breaks(Rule::Metrics, format!("{name}: {what}"));
+        if let Some(difference) = find_differences(&metrics, &seen) {
+            world.report_violation(Rule::Metrics, format!("{name}: {difference}"));
         }
     }
 }
 
-/// Looks at the processes once a second and shows how it goes.
-pub(super) async fn watch_over(fleet: Arc<Fleet>, open: Arc<Open>, progress: ProgressBar) {
+/// Samples the processes once a second and updates the progress bar.
+pub(super) async fn monitor_processes(
+    fleet: Arc<Fleet>,
+    in_flight: Arc<InFlight>,
+    progress: ProgressBar,
+) {
     let world = &fleet.world;
-    let mut every = tokio::time::interval(LOOK);
+    let mut every = tokio::time::interval(SAMPLE_INTERVAL);
     loop {
         every.tick().await;
         let now = world.now();
@@ -84,36 +89,36 @@
         };
         progress.set_position((now.max(0.0) / 1000.0) as u64);
         let rules = if broken == 0 {
-            "rules kept".into()
+            "no rule broken".into()
         } else {
-            format!("{broken} times a rule broken")
+            format!("{broken} rule violations")
         };
         progress.set_message(format!(
-            "{done} requests ended, {} open, {rules}",
-            open.count()
+            "{done} requests ended, {} in flight, {rules}",
+            in_flight.count()
         ));
-        let looked = fleet.clone();
-        // Reading what the system says of some dozens of processes takes milliseconds.
-        let look = tokio::task::spawn_blocking(move || {
-            looked
+        let sampled = fleet.clone();
+        // Reading /proc for several dozen processes blocks for milliseconds.
+        let sample = tokio::task::spawn_blocking(move || {
+            sampled
                 .balancers
                 .iter()
-                .for_each(|p| p.sample_usage(&looked.world))
+                .for_each(|p| p.sample_usage(&sampled.world))
         });
-        if look.await.is_err() {
+        if sample.await.is_err() {
             return;
         }
     }
 }
 
-/// Follows what each tier knows of who runs.
-pub(super) async fn follow_tiers(fleet: Arc<Fleet>) {
-    let mut every = tokio::time::interval(FOLLOW);
+/// Samples which peers the balancers of each tier know.
+pub(super) async fn monitor_convergence(fleet: Arc<Fleet>) {
+    let mut every = tokio::time::interval(CONVERGENCE_INTERVAL);
     loop {
         every.tick().await;
-        let looked = fleet.clone();
-        // Reading some dozens of files takes milliseconds.
-        if tokio::task::spawn_blocking(move || look_at_tiers(&looked))
+        let sampled = fleet.clone();
+        // Reading several dozen files blocks for milliseconds.
+        if tokio::task::spawn_blocking(move || sample_tiers(&sampled))
             .await
             .is_err()
         {
@@ -122,7 +127,7 @@
     }
 }
 
-fn look_at_tiers(fleet: &Fleet) {
+fn sample_tiers(fleet: &Fleet) {
     let world = &fleet.world;
     let now = world.now();
     let peers = |tier: usize| {
@@ -147,7 +152,7 @@
     }
 }
 
-/// Whether balancers may rightly not know of each other now.
+/// Whether a cut or a pause excuses balancers that do not know each other now.
 fn is_disturbed(world: &World, now: Millis) -> bool {
     let parts = |kind| matches!(kind, FaultKind::Cut | FaultKind::Pause);
     world
--- a/lab/src/stand_in/mod.rs
+++ b/lab/src/stand_in/mod.rs
@@ -1,5 +1,5 @@
-//! The lab's own balancers: simple proxies as baselines for the real one, and proxies that misbehave on purpose, to test
-//! that the oracle detects violations of each rule.
+//! The lab's own balancers: simple proxies as baselines for the real one, and proxies that misbehave on purpose, to
+//! test that the oracle detects violations of each rule.
 //!
 //! `run` composes them: `proxy` accepts and forwards requests, `upstreams` follows discovery and chooses an upstream,
 //! `peers` and `metrics` send false datagrams and write false metrics. Stand-ins have no retries, no health checks and
--- a/lab/src/state.rs
+++ b/lab/src/state.rs
@@ -1,10 +1,10 @@
-//! The folder that a balancer keeps its state in, and what may happen to it while the balancer is down.
+//! The state folder of a balancer, and faults that damage it while the balancer is down.
 use crate::experiment::Damage;
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Every file below a folder, in order of their names.
+/// All files below a folder, sorted by path.
 fn files(folder: &Path) -> io::Result<Vec<PathBuf>> {
     let mut all = Vec::new();
     for entry in fs::read_dir(folder)? {
@@ -19,7 +19,7 @@
     Ok(all)
 }
 
-/// Copies a folder with all that is in it; what was at the other place is gone.
+/// Copies a folder recursively; replaces the destination.
 pub fn copy(from: &Path, to: &Path) -> io::Result<()> {
     if to.exists() {
         fs::remove_dir_all(to)?;
@@ -35,7 +35,7 @@
         }
         match fs::copy(&file, &target) {
             Ok(_) => {}
-            // It was replaced or removed this moment: its owner is at work.
+            // The running balancer has replaced or removed the file in the meantime.
             Err(e) if e.kind() == io::ErrorKind::NotFound => {}
             Err(e) => return Err(e),
         }
@@ -43,7 +43,8 @@
     Ok(())
 }
 
-/// Does to a folder what a fault says; `old` is the copy that was made before. `draw` picks a bit of so many.
+/// Damages a folder; `old` is an earlier copy of it. `draw` returns a random number below its argument, the position of
+/// the bit to flip.
 pub fn damage(
     folder: &Path,
     how: Damage,
--- a/lab/src/tally.rs
+++ b/lab/src/tally.rs
@@ -1,4 +1,4 @@
-//! What a run counts: every request's end, and what passed between whom in each second.
+//! The counts of a run: the end of every request, and the traffic of each second.
 use crate::experiment::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -11,14 +11,14 @@
     Served,
     /// Refused.
     Refused,
-    /// Answered as failed, or with what is not whole.
+    /// Failed, or the response was incomplete.
     Failed,
-    /// No response in its time.
+    /// No response in time.
     #[serde(rename = "silent")]
     TimedOut,
     /// No balancer could be reached.
     Unreached,
-    /// The client left.
+    /// The client cancelled the request.
     Left,
 }
 
@@ -35,54 +35,54 @@
     pub zone: usize,
     /// How it ended.
     pub how: How,
-    /// From when it was due to the last byte of its answer.
+    /// The time from when it was due to the last byte of its response.
     pub took: Millis,
-    /// Attempts of the client.
+    /// The number of attempts of the client.
     #[serde(rename = "tries")]
     pub client_attempts: u32,
-    /// Time that the balancer added to what upstreams took, if it was served.
+    /// The time that the balancer added to that of the upstreams, if the request was served.
     pub added: Option<Millis>,
 }
 
 /// One start of a balancer.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Start {
-    /// Which balancer.
+    /// Position of the balancer.
     pub balancer: usize,
-    /// When its process was begun.
+    /// When its process was started.
     pub at: Millis,
-    /// When its first answer came that was served.
+    /// When it first served a request.
     pub served: Option<Millis>,
 }
 
-/// What passed in one second.
+/// The traffic of one second.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Second {
     /// Attempts that reached upstreams of each zone.
     pub attempts: Vec<u64>,
-    /// Of these, the first of their request.
+    /// Of these, the first attempts of their request.
     #[serde(default)]
     pub firsts: u64,
-    /// Time that the attempts of each tenant have spent at upstreams, in milliseconds, counted at their end.
+    /// The time that attempts of each tenant spent at upstreams, in milliseconds, counted when they end.
     #[serde(default, rename = "held")]
     pub upstream_time: Vec<f64>,
-    /// Of the attempts, those that came from a balancer of another zone.
+    /// Attempts from a balancer of another zone.
     pub crossings: u64,
     /// New connections to upstreams.
     pub connections: u64,
-    /// Attempts turned away by a full upstream.
+    /// Attempts rejected by a full upstream.
     pub declined: u64,
-    /// Probes.
+    /// Health checks.
     pub probes: u64,
-    /// Upstreams that are slow because they were overloaded, at the end of it.
+    /// Upstreams that are degraded by overload, as last sampled in this second.
     pub choked: u64,
-    /// Work done for attempts whose answer nobody got, in milliseconds of a core.
+    /// Work done for attempts that were not served, in milliseconds of a core.
     pub wasted: f64,
-    /// Work done.
+    /// Work done, in milliseconds of a core.
     pub worked: f64,
 }
 
-/// All that is counted.
+/// The counts of a run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Tally {
     /// Every request that has ended.
@@ -100,7 +100,7 @@
 }
 
 impl Tally {
-    /// Nothing counted, for so many zones and tenants.
+    /// Returns an empty tally for this many zones and tenants.
     pub fn new(zones: usize, tenants: usize) -> Tally {
         Tally {
             done: Vec::new(),
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The process of a balancer was begun.
+    /// Records that the process of a balancer was started.
     pub fn started(&mut self, balancer: usize, now: Millis) {
         self.waiting.insert(balancer, self.starts.len());
         self.starts.push(Start {
@@ -122,14 +122,14 @@
         });
     }
 
-    /// A balancer's answer came that was served.
+    /// Records that a balancer served a request.
     pub fn served(&mut self, balancer: usize, now: Millis) {
         if let Some(start) = self.waiting.remove(&balancer) {
             self.starts[start].served = Some(now);
         }
     }
 
-    /// The counts of the second that `now` lies in.
+    /// The counts of the second that contains `now`.
     pub fn second(&mut self, now: Millis) -> &mut Second {
         let n = (now.max(0.0) / 1000.0) as usize;
         while self.seconds.len() <= n {
--- a/lab/src/upstream/emulated.rs
+++ b/lab/src/upstream/emulated.rs
@@ -122,7 +122,7 @@
             tokio::select! {
                 () = async {
                     match next {
-                        Some(at) => world.until_noted(at).await,
+                        Some(at) => world.until_recording_lateness(at).await,
                         None => std::future::pending().await,
                     }
                 } => {}
--- a/lab/src/upstream/ports.rs
+++ b/lab/src/upstream/ports.rs
@@ -2,7 +2,7 @@
 use super::emulated::Upstream;
 use crate::clock::pause;
 use crate::error::BindError;
-use crate::net::{lock, Link, LinkedStream, Manner, Port};
+use crate::net::{lock, Link, LinkedStream, Port, PortMode};
 use crate::world::World;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -25,7 +25,7 @@
         let (own, shared) = (self.clone(), world.clone());
         tokio::spawn(async move { own.run(&shared).await });
         for (&balancer, link) in &self.links {
-            let (port_mode, mode) = watch::channel(Manner::Open);
+            let (port_mode, mode) = watch::channel(PortMode::Open);
             let address = world.block.upstream(self.index, balancer);
             let port = Port::bind(address, mode).map_err(BindError::at(address))?;
             let listens = self.listens.subscribe();
@@ -103,14 +103,14 @@
     world: Arc<World>,
     link: Arc<Link>,
     mut listens: watch::Receiver<bool>,
-    port_mode: watch::Sender<Manner>,
+    port_mode: watch::Sender<PortMode>,
 ) {
     let mut changes = link.changes();
     loop {
         let mode = match (link.is_unresponsive(), *listens.borrow_and_update()) {
-            (true, _) => Manner::Unresponsive,
-            (false, true) => Manner::Open,
-            (false, false) => Manner::Refusing,
+            (true, _) => PortMode::Unresponsive,
+            (false, true) => PortMode::Open,
+            (false, false) => PortMode::Refusing,
         };
         port_mode.send_if_modified(|now| std::mem::replace(now, mode) != mode);
         tokio::select! {
--- a/lab/src/upstream/respond.rs
+++ b/lab/src/upstream/respond.rs
@@ -96,7 +96,7 @@
             .await;
         let mark = attempt.finish(outcome);
         pause(delay).await;
-        world.spent(id, world.now() - began);
+        world.add_upstream_time(id, world.now() - began);
         let mut response = match mark {
             Some(mark) => Response::new(Full::new(body(&self.plan.name, mark))),
             None => empty_response(outcome.status),
@@ -118,7 +118,7 @@
             self.plan.name,
             id.unwrap_or_default()
         );
-        world.breaks(Rule::Foreign, case);
+        world.report_violation(Rule::Foreign, case);
     }
 
     fn count_attempt(&self, world: &World, balancer: usize, number: usize, now: Millis) {
--- a/lab/src/upstream/serve.rs
+++ b/lab/src/upstream/serve.rs
@@ -122,7 +122,7 @@
             collapse.limit,
             collapse.informed_share * 100.0
         );
-        world.breaks(Rule::Overloaded, case);
+        world.report_violation(Rule::Overloaded, case);
     }
 
     /// Draws how many calls an attempt makes to the next tier.
@@ -143,7 +143,7 @@
         number: usize,
         deadline: Millis,
     ) -> bool {
-        let Some(balancer) = world.beside(self.index) else {
+        let Some(balancer) = world.sidecar(self.index) else {
             return false;
         };
         let now = world.now();
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -1,12 +1,12 @@
-//! What all parts of one run share: its plan, its time, its addresses and links, its checks and counts.
+//! The state that all parts of one run share: plan, clock, addresses, links, oracle and counts.
 use crate::clock::Clock;
 use crate::convergence::Convergence;
-use crate::datagrams::{Conditions, Datagrams, LONGEST};
+use crate::datagrams::{Conditions, Datagrams, MAX_DATAGRAM_BYTES};
 use crate::draw::Plan;
 use crate::experiment::{Experiment, Millis};
 use crate::net::{lock, Block, BlockError, Link};
 use crate::oracle::{Bound, ClassRules, Limits, Oracle, Parts, Place, Rule};
-use crate::pool::{Conn, Pool};
+use crate::pool::{ClientConnection, Pool};
 use crate::tally::Tally;
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -16,82 +16,82 @@
 use thiserror::Error;
 use tokio::sync::watch;
 
-/// Lateness that is more than what timers are good to: it is reported to the oracle.
+/// Lateness above the precision of timers, which is reported to the oracle.
 const MIN_REPORTED_LATENESS: Millis = 4.0;
 
-/// What the lab remembers of a request or call that is out, for whoever gets it next.
+/// The properties of a request or call in flight, looked up by the stand-ins that receive it.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestProfile {
     /// Position of its class.
     pub class: usize,
     /// Position of its tenant.
     pub tenant: usize,
-    /// Work of the whole request, in milliseconds at a core of speed 1, over all tiers.
+    /// Total work of the request over all tiers, in milliseconds on a core of speed 1.
     pub size: f64,
-    /// Feeds what is drawn for it.
+    /// Seeds the random draws for the request.
     pub seed: u64,
-    /// Its key; all tries of a request share it.
+    /// Its idempotency key; all attempts of a request share it.
     pub key: u64,
-    /// Time that its attempts have spent at upstreams so far, the delays there and back included.
+    /// Time that its attempts have spent at upstreams so far, including the network delays.
     pub at_upstreams: Millis,
 }
 
-/// Why a run could not be put together.
+/// Why a run could not be set up.
 #[derive(Debug, Error)]
 pub enum WorldError {
-    /// It has no addresses.
+    /// No block of addresses could be claimed.
     #[error(transparent)]
     Block(#[from] BlockError),
-    /// It has no network between balancers.
-    #[error("a socket for datagrams: {0}")]
+    /// The emulated network between balancers could not be opened.
+    #[error("failed to open a socket for datagrams: {0}")]
     Datagrams(#[source] io::Error),
 }
 
-/// One run.
+/// The shared state of one run.
 pub struct World {
     /// The experiment.
     pub experiment: Experiment,
-    /// What its seed made of it.
+    /// The plan drawn from its seed.
     pub plan: Plan,
-    /// The run's time.
+    /// The clock of the run.
     pub clock: Clock,
-    /// The addresses.
+    /// The block of loopback addresses.
     pub block: Block,
-    /// The link between balancers.
+    /// The emulated network between balancers.
     pub datagrams: Arc<Datagrams>,
-    /// The checks.
+    /// The oracle that checks the rules.
     pub oracle: Mutex<Oracle>,
-    /// How soon each tier knows who runs.
+    /// The convergence times of each tier.
     pub convergence: Mutex<Vec<Convergence>>,
-    /// The counts.
+    /// The counts of the run.
     pub tally: Mutex<Tally>,
-    /// Outages of the whole front that are on.
+    /// The number of active outages of the whole front.
     pub outages: AtomicUsize,
-    /// Connections that tenants open and leave open, the oldest first.
-    pub floods: Vec<Mutex<VecDeque<Conn>>>,
-    /// Whether the front deals connections out to each balancer.
-    pub dealt: Vec<AtomicBool>,
-    /// The balancers that the front has for the clients of each zone: those of the zone, or all if it has none.
-    pub fronts: Vec<Vec<usize>>,
-    /// The balancer beside each upstream.
-    beside: Vec<Option<usize>>,
-    /// Connections that clients keep to each balancer.
+    /// Unused connections that each flooding tenant keeps open, the oldest first.
+    pub flood_connections: Vec<Mutex<VecDeque<ClientConnection>>>,
+    /// Whether the front opens connections to each balancer.
+    pub in_rotation: Vec<AtomicBool>,
+    /// The front balancers for the clients of each zone: those of the zone, or all if the zone has none.
+    pub front_by_zone: Vec<Vec<usize>>,
+    /// The sidecar balancer of each upstream.
+    sidecars: Vec<Option<usize>>,
+    /// The pools of idle client connections to each balancer.
     pub pools: Vec<Pool>,
-    /// The link from the clients of each zone, or the upstream beside, to each balancer.
+    /// The links to each balancer: from the clients of each zone at the front, from the upstream at a sidecar.
     pub client_links: Vec<Vec<Arc<Link>>>,
-    /// Requests and calls that are out.
+    /// The requests and calls in flight.
     profile: Mutex<HashMap<u64, RequestProfile>>,
     next_id: AtomicU64,
-    /// Set when everything is to end.
+    /// Set when the run is over.
     pub over: watch::Sender<bool>,
-    /// Where results go.
+    /// The folder for the results.
     pub folder: PathBuf,
 }
 
-/// Metrics of the rules that depend on the experiment.
+/// The limits of rules that the experiment sets.
 fn limits(e: &Experiment) -> Limits {
     let bound = |t: &crate::experiment::Trials| Bound {
-        // The names were checked when the file was read.
+        // The experiment was validated, so the zone exists.
         zone: e
             .fleet
             .zones
@@ -113,7 +113,7 @@
     }
 }
 
-/// The oracle of an experiment.
+/// Returns the oracle of an experiment.
 fn oracle(experiment: &Experiment, plan: &Plan) -> Oracle {
     let class = |c: &crate::experiment::Class| ClassRules {
         effect: c.effect,
@@ -137,7 +137,7 @@
     })
 }
 
-/// The balancers at the front for the clients of a zone: its own, or all if it has none.
+/// The front balancers for the clients of a zone: those of the zone, or all if the zone has none.
 fn front_of(plan: &Plan, zone: usize) -> Vec<usize> {
     let front = || (0..plan.balancers.len()).filter(|&b| plan.balancers[b].owner.is_none());
     let local: Vec<usize> = front()
@@ -151,10 +151,10 @@
 }
 
 impl World {
-    /// Puts a run together; nothing of it runs yet.
+    /// Sets up a run without starting it.
     ///
     /// # Errors
-    /// When there are no addresses or sockets for it.
+    /// Fails if no block of addresses can be claimed or a socket can't be opened.
     pub fn new(
         experiment: &Experiment,
         plan: &Plan,
@@ -163,7 +163,7 @@
     ) -> Result<Arc<World>, WorldError> {
         let block = Block::claim()?;
         let zones = experiment.fleet.zones.len();
-        // The front has a link from each zone's clients; a balancer beside an upstream has one client.
+        // A front balancer has a link from the clients of each zone; a sidecar has one from its upstream.
         let links = |b: &crate::draw::Balancer| {
             (0..if b.owner.is_some() { 1 } else { zones }).map(|_| Link::open())
         };
@@ -177,10 +177,10 @@
         let datagrams = Datagrams::open(&tiers, &block, conditions, plan.seed)
             .map_err(WorldError::Datagrams)?;
         let datagrams = Arc::new(datagrams);
-        let beside = |u: usize| plan.balancers.iter().position(|b| b.owner == Some(u));
+        let sidecar = |u: usize| plan.balancers.iter().position(|b| b.owner == Some(u));
         Ok(Arc::new(World {
-            fronts: (0..zones).map(|zone| front_of(plan, zone)).collect(),
-            beside: (0..plan.upstreams.len()).map(beside).collect(),
+            front_by_zone: (0..zones).map(|zone| front_of(plan, zone)).collect(),
+            sidecars: (0..plan.upstreams.len()).map(sidecar).collect(),
             datagrams,
             oracle: Mutex::new(oracle(experiment, plan)),
             convergence: Mutex::new(
@@ -192,12 +192,12 @@
             ),
             tally: Mutex::new(Tally::new(zones, experiment.tenants.len())),
             outages: AtomicUsize::new(0),
-            floods: experiment
+            flood_connections: experiment
                 .tenants
                 .iter()
                 .map(|_| Mutex::default())
                 .collect(),
-            dealt: plan
+            in_rotation: plan
                 .balancers
                 .iter()
                 .map(|_| AtomicBool::new(false))
@@ -215,14 +215,14 @@
         }))
     }
 
-    /// Milliseconds of the run.
+    /// Milliseconds since the run began.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// A new id for a request, and what it asks for.
-    pub fn ask(&self, profile: RequestProfile) -> u64 {
-        // Spread over all 64 bits, so that ids look as they do in service.
+    /// Registers a request and returns its id.
+    pub fn register_request(&self, profile: RequestProfile) -> u64 {
+        // Spread over all 64 bits, like ids in production.
         let id = self
             .next_id
             .fetch_add(1, Ordering::Relaxed)
@@ -231,36 +231,36 @@
         id
     }
 
-    /// What a request asked for.
+    /// The profile of a request in flight.
     pub fn profile(&self, id: u64) -> Option<RequestProfile> {
         lock(&self.profile).get(&id).copied()
     }
 
-    /// An attempt of a request has spent this time at an upstream.
-    pub fn spent(&self, id: u64, time: Millis) {
+    /// Adds the time that an attempt of a request has spent at an upstream.
+    pub fn add_upstream_time(&self, id: u64, time: Millis) {
         if let Some(profile) = lock(&self.profile).get_mut(&id) {
             profile.at_upstreams += time;
         }
     }
 
-    /// Nothing more is wanted of a request.
+    /// Removes a request that has ended.
     pub fn forget(&self, id: u64) {
         lock(&self.profile).remove(&id);
     }
 
     /// Records a violation.
-    pub fn breaks(&self, rule: Rule, case: String) {
+    pub fn report_violation(&self, rule: Rule, case: String) {
         let now = self.now();
         lock(&self.oracle).breaks(now, rule, case);
     }
 
-    /// A balancer has sent a datagram.
+    /// Passes a datagram that a balancer sent to the oracle; one that is too long is a violation.
     pub fn datagram(&self, from: usize, bytes: &[u8]) {
-        if bytes.len() > LONGEST {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
             let name = &self.plan.balancers[from].name;
-            self.breaks(
+            self.report_violation(
                 Rule::Datagram,
-                format!("{name} sent a datagram of more than {LONGEST} bytes"),
+                format!("{name} sent a datagram of more than {MAX_DATAGRAM_BYTES} bytes"),
             );
             return;
         }
@@ -273,16 +273,16 @@
         self.plan.cross_zone[a][b]
     }
 
-    /// The balancer beside an upstream, which carries its calls on.
-    pub fn beside(&self, upstream: usize) -> Option<usize> {
-        self.beside[upstream]
+    /// The sidecar balancer of an upstream, which forwards its calls.
+    pub fn sidecar(&self, upstream: usize) -> Option<usize> {
+        self.sidecars[upstream]
     }
 
-    /// Waits until a point of the run, and notes how late the lab got to it.
-    pub async fn until_noted(&self, at: Millis) {
+    /// Waits until a point of the run, and records how late the lab woke up.
+    pub async fn until_recording_lateness(&self, at: Millis) {
         self.clock.until(at).await;
         let late = self.now() - at;
-        self.clock.note_late(late);
+        self.clock.record_lateness(late);
         if late > MIN_REPORTED_LATENESS {
             lock(&self.oracle).lab_late(at + late, late);
         }
@@ -290,7 +290,7 @@
 
     /// Waits until the run is over.
     pub async fn ended(&self) {
-        // The sender lives as long as the world, so this can't fail before it is set.
+        // The sender is owned by `self`, so this can't fail.
         let _ = self.over.subscribe().wait_for(|over| *over).await;
     }
 }
--- a/lab/tests/fleet/tier.rs
+++ b/lab/tests/fleet/tier.rs
@@ -222,7 +222,7 @@
     }
 }
 
-/// One draw with two sets of options: what differs is the options alone.
+/// One draw with two sets of options: what find_differences is the options alone.
 #[test]
 fn sets_of_options_are_played_in_turn_on_the_same_draw() {
     let quiet = "quiet=log.level = \"warn\", figures.dir = \"\"";
--- a/lab/tests/parts/audit.rs
+++ b/lab/tests/parts/audit.rs
@@ -1,9 +1,9 @@
 //! The metrics of a balancer against what the stand-ins saw.
-use balancer_lab::audit::{differs, Counted};
+use balancer_lab::audit::{find_differences, BalancerMetrics};
 use balancer_lab::oracle::Seen;
 
 /// Metrics as a balancer writes them.
-fn counted(requests: u64, served: u64, attempts: u64) -> Counted {
+fn counted(requests: u64, served: u64, attempts: u64) -> BalancerMetrics {
     let text = format!(
         r#"{{"at_ms": 1, "requests": {requests},
             "ended": {{"served": {served}, "refused_over_limit": 2, "failed": 1}}, "attempts": {attempts},
@@ -22,12 +22,12 @@
         unclear: 1,
         attempts: 8,
     };
-    assert_eq!(differs(&counted(10, 7, 10), &seen), None);
+    assert_eq!(find_differences(&counted(10, 7, 10), &seen), None);
     assert_eq!(
-        differs(&counted(12, 7, 10), &seen).as_deref(),
+        find_differences(&counted(12, 7, 10), &seen).as_deref(),
         Some("requests: counted 12, seen 10")
     );
-    assert!(differs(&counted(10, 7, 13), &seen).is_some_and(|d| d.starts_with("attempts")));
-    assert!(differs(&counted(10, 4, 10), &seen)
+    assert!(find_differences(&counted(10, 7, 13), &seen).is_some_and(|d| d.starts_with("attempts")));
+    assert!(find_differences(&counted(10, 4, 10), &seen)
         .is_some_and(|d| d.contains("served: counted 4, seen 6")));
 }
--- a/lab/tests/parts/datagrams.rs
+++ b/lab/tests/parts/datagrams.rs
@@ -1,5 +1,5 @@
 //! The network between balancers: addresses, loss, repetition and cuts of datagrams.
-use balancer_lab::datagrams::{Conditions, Datagrams, LONGEST};
+use balancer_lab::datagrams::{Conditions, Datagrams, MAX_DATAGRAM_BYTES};
 use balancer_lab::experiment::Range;
 use balancer_lab::net::Block;
 use std::net::IpAddr;
@@ -39,7 +39,7 @@
         .expect("in time")
         .expect("reads");
     assert_eq!((&read[..length], from), (&b"hello"[..], network.peer(2, 0)));
-    own.send_to(&[7; LONGEST + 9], network.all(0))
+    own.send_to(&[7; MAX_DATAGRAM_BYTES + 9], network.all(0))
         .await
         .expect("sends");
     let (named, bytes) = timeout(TIMEOUT, network.next(0))
@@ -48,7 +48,7 @@
         .expect("a datagram");
     assert_eq!(
         (IpAddr::V4(named), bytes.len()),
-        (network.all(0).ip(), LONGEST + 1)
+        (network.all(0).ip(), MAX_DATAGRAM_BYTES + 1)
     );
 }
 
--- a/lab/tests/parts/net.rs
+++ b/lab/tests/parts/net.rs
@@ -1,5 +1,5 @@
 //! Ports that take, refuse or hang, and connections that are cut or reset.
-use balancer_lab::net::{connect, listener, Block, Direction, Link, Manner, Port};
+use balancer_lab::net::{connect, listener, Block, Direction, Link, Port, PortMode};
 use std::io;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -14,7 +14,7 @@
 async fn a_port_accepts_refuses_is_unresponsive_and_recovers() {
     let block = Block::claim().expect("a block");
     let at = block.upstream(1, 2);
-    let (mode, watched) = watch::channel(Manner::Open);
+    let (mode, watched) = watch::channel(PortMode::Open);
     let mut port = Port::bind(at, watched).expect("binds");
     let (tell, mut taken) = tokio::sync::mpsc::unbounded_channel();
     tokio::spawn(async move {
@@ -31,7 +31,7 @@
             .expect("connects");
         taken.recv().await.expect("accepted");
         drop(up);
-        mode.send_replace(Manner::Unresponsive);
+        mode.send_replace(PortMode::Unresponsive);
         // Once it is silent, connections neither come up nor fail.
         while timeout(SOON, TcpStream::connect(at)).await.is_ok() {}
         assert!(
@@ -39,7 +39,7 @@
             "round {round}"
         );
         if round == 1 {
-            mode.send_replace(Manner::Refusing);
+            mode.send_replace(PortMode::Refusing);
             loop {
                 match timeout(SOON, TcpStream::connect(at)).await {
                     Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => break,
@@ -47,7 +47,7 @@
                 }
             }
         }
-        mode.send_replace(Manner::Open);
+        mode.send_replace(PortMode::Open);
         // What hung meanwhile may still come in; the next round starts with a connection of its own.
         loop {
             match timeout(SOON, TcpStream::connect(at)).await {
