--- a/lab/tests/fleet/common.rs
+++ b/lab/tests/fleet/common.rs
@@ -1,5 +1,5 @@
-//! Small experiments for tests, and how to play them. No verdict here rests on speed: deadlines are long, load is low,
-//! and what the lab's own lateness explains is no case.
+//! Small experiments for tests, and a runner for them. No assertion depends on the speed of the machine: deadlines are
+//! long, load is low, and the oracle ignores violations that the lab's own lateness explains.
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use tempfile::TempDir;
@@ -10,7 +10,7 @@
 pub(crate) fn balancer_proxy() -> PathBuf {
     static BUILT: std::sync::Once = std::sync::Once::new();
     let path = Path::new(LAB).with_file_name("balancer-proxy");
-    // A test of the whole workspace has built it; a test of this crate alone has not.
+    // A test run of the whole workspace has built it; a test run of this crate alone has not.
     BUILT.call_once(|| {
         if !path.is_file() {
             let release = if Path::new(LAB)
@@ -38,8 +38,8 @@
     path
 }
 
-/// A fleet of `front` balancers before 4 upstreams; with `tiers` 2, each of these calls 4 more through a balancer
-/// of its own.
+/// A fleet of `front` balancers with 4 upstreams; with `tiers` 2, each of these calls 4 more through a sidecar
+/// balancer.
 pub(crate) fn fleet(front: usize, tiers: usize, length: &str, more: &str) -> String {
     let mut text = format!(
         r#"title = "a test"
@@ -81,7 +81,7 @@
     text
 }
 
-/// Plays an experiment in a folder of its own.
+/// An experiment that was run in a temporary folder.
 pub(crate) struct Played {
     pub output: Output,
     folder: TempDir,
@@ -104,7 +104,7 @@
         Played { output, folder }
     }
 
-    /// What was kept of the first play of a program.
+    /// The stored results of the first play of a program.
     pub(crate) fn play(&self, program: &str) -> serde_json::Value {
         let path = self
             .folder
@@ -117,7 +117,7 @@
         serde_json::from_slice(&text).expect("JSON")
     }
 
-    /// The folder of its results.
+    /// The folder of the results.
     pub(crate) fn out(&self) -> PathBuf {
         self.folder.path().join("out")
     }
@@ -127,6 +127,7 @@
             .expect("a report")
     }
 
+    /// The exit status and the output of the lab.
     pub(crate) fn said(&self) -> String {
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         format!(
--- a/lab/tests/fleet/experiments.rs
+++ b/lab/tests/fleet/experiments.rs
@@ -1,4 +1,4 @@
-//! The form of experiments, and what a seed makes of them.
+//! The validation of experiments, and the plans drawn from a seed.
 use crate::common::fleet;
 use balancer_lab::draw::{plan, Party};
 use balancer_lab::experiment::{load, parse};
@@ -10,7 +10,7 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "not split yet: docs/OPEN.md")]
-fn what_is_wrong_is_named_with_its_line_and_key() {
+fn validation_errors_name_the_line_and_key() {
     assert!(parse(&good()).is_ok());
     let wrong = |from: &str, to: &str| {
         let text = good().replacen(from, to, 1);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn one_seed_gives_one_draw_and_a_fault_moves_no_request() {
+fn a_seed_fixes_the_plan_and_faults_keep_arrivals() {
     let e = parse(&good()).expect("good");
     let (a, b, other) = (
         plan(&e, 7).expect("a plan"),
@@ -88,7 +88,7 @@
     );
     assert_eq!(a, b);
     assert_ne!(a.arrivals, other.arrivals);
-    // Fixed here, so that another machine or another day is seen to draw the same.
+    // Constants, so that a plan that differs between machines or builds is detected.
     let first = &a.arrivals[0];
     assert_eq!(
         (a.arrivals.len(), first.class, first.zone),
@@ -118,9 +118,9 @@
     assert!(left.next().is_none() && more > 100, "{more} more");
 }
 
-/// Load that is not even is drawn beside the rest: what it adds is of whom it says, and moves nobody else.
+/// Uneven load is drawn independently: it only adds requests of the given tenant, class and zone.
 #[test]
-fn a_burst_of_one_tenant_a_tenant_of_its_own_and_an_outage_move_no_other_request() {
+fn uneven_load_and_outages_keep_other_arrivals() {
     let second = "[[tenant]]\nname = \"second\"\nshare = 1.0\n";
     let base = fleet(2, 2, "5s", &format!("{second}[clients]\nrate = 100\n"));
     let arrivals = |text: &str| {
@@ -135,7 +135,7 @@
             .into_iter()
             .filter(|a| left.next_if(|b| *b == a).is_none())
             .collect();
-        assert!(left.next().is_none(), "a request has moved");
+        assert!(left.next().is_none(), "an existing request has changed");
         more
     };
     let burst = "[[fault]]\nkind = \"burst\"\nat = \"1s\"\nfor = \"1s\"\nsize = 5\n";
@@ -162,11 +162,11 @@
     assert!(back.iter().all(|a| (2000.0..2300.0).contains(&a.at)));
 }
 
-/// Requests, and class and zone of the first, of the draw above.
+/// The number of requests in the plan above, and the class and the zone of the first one.
 const FIRST: (usize, usize, usize) = (509, 1, 0);
 
 #[test]
-fn every_experiment_that_comes_with_the_lab_can_be_used() {
+fn bundled_experiments_are_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments");
     let mut seen = 0;
     for entry in std::fs::read_dir(folder).expect("the folder").flatten() {
--- a/lab/tests/fleet/fleets.rs
+++ b/lab/tests/fleet/fleets.rs
@@ -1,4 +1,4 @@
-//! Whole fleets of processes, with faults between them.
+//! Complete fleets of processes, with faults.
 use crate::common::*;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -8,9 +8,9 @@
 
 const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Six processes of the real program: two at the front, four beside upstreams.
+/// Six processes of the real balancer: two at the front, four sidecars.
 #[test]
-fn a_fleet_keeps_every_rule_through_a_kill_a_cut_and_a_pause() {
+fn fleet_keeps_all_rules_through_kill_cut_pause() {
     let faults = r#"
 [options.figures]
 dir = "{state}"
@@ -42,19 +42,19 @@
         &["--program", &real, "--program", "round-robin"],
     );
     let play = played.play("real");
-    // Its own metrics are among the rules: they are set against what the stand-ins saw.
+    // This includes the rule that the balancer's metrics match what the stand-ins saw.
     assert_eq!(play["counts"], serde_json::json!({}), "{}", played.said());
     assert!(played
         .out()
         .join("real-1/state/front-2/figures.json")
         .is_file());
     assert_eq!(play["held"].as_array().map(Vec::len), Some(6));
-    // The pass-through meets the same draw; what it does with it is its own.
+    // The stand-in runs the same plan.
     assert_eq!(
         play["figures"]["due"],
         played.play("round-robin")["figures"]["due"]
     );
-    let served = play["figures"]["in_time"].as_f64().expect("a figure");
+    let served = play["figures"]["in_time"].as_f64().expect("a metric");
     assert!(served > 0.3, "{}", played.said());
     let report = played.report();
     assert!(report.contains("<svg") && report.contains("round-robin") && report.contains("kill"));
@@ -71,9 +71,9 @@
     }
 }
 
-/// One that ignores SIGTERM is killed when its time is over, and starts again.
+/// A balancer that ignores SIGTERM is killed after the grace period, and restarted.
 #[test]
-fn a_balancer_that_does_not_heed_its_end_is_ended() {
+fn a_balancer_that_ignores_sigterm_is_killed() {
     let fault = r#"
 [clients]
 rate = 30
@@ -94,9 +94,9 @@
     assert_eq!(log.matches("serving on").count(), 2, "{log}");
 }
 
-/// Whatever ends the lab, nothing that it started outlives it.
+/// The lab's child processes exit with it, also if it is killed.
 #[test]
-fn no_balancer_outlives_the_lab_however_that_ends() {
+fn no_balancer_outlives_the_lab() {
     for end in [Signal::SIGINT, Signal::SIGKILL] {
         let folder = tempfile::TempDir::new().expect("a folder");
         let file = folder.path().join("test.toml");
@@ -115,7 +115,10 @@
         let mut pids = Vec::new();
         let started = Instant::now();
         while pids.len() < 2 {
-            assert!(started.elapsed() < TIMEOUT, "no balancers");
+            assert!(
+                started.elapsed() < TIMEOUT,
+                "the balancers did not start in time"
+            );
             pids = with_config(&config);
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -124,7 +127,7 @@
         while !with_config(&config).is_empty() {
             assert!(
                 started.elapsed() < TIMEOUT,
-                "{:?} are left",
+                "processes {:?} are still running",
                 with_config(&config)
             );
             std::thread::sleep(Duration::from_millis(20));
@@ -141,10 +144,10 @@
                 said.contains("stopped by hand") && said.contains("report:"),
                 "{said}"
             );
-            let play = std::fs::read(folder.path().join("out/real-1/play.json"))
-                .expect("what was measured");
+            let play =
+                std::fs::read(folder.path().join("out/real-1/play.json")).expect("the results");
             let play: serde_json::Value = serde_json::from_slice(&play).expect("JSON");
-            // That its processes were ended broke no rule.
+            // Ending the processes early breaks no rule.
             assert_eq!(
                 (&play["stopped"], &play["counts"]),
                 (&true.into(), &serde_json::json!({}))
@@ -153,7 +156,7 @@
     }
 }
 
-/// Processes whose configuration is in this folder.
+/// The ids of processes whose configuration is in this folder.
 fn with_config(folder: &std::path::Path) -> Vec<i32> {
     let wanted = format!("NODE_CONFIG={}", folder.display());
     let pids = std::fs::read_dir("/proc").expect("/proc").flatten();
@@ -167,7 +170,7 @@
         .collect()
 }
 
-/// Plays a pass-through that is wrong on purpose, and says which rules the oracle saw broken.
+/// Runs a misbehaving stand-in, and returns the rules that the oracle found broken.
 fn broken_by(wrong: &str, experiment: &str) -> Vec<String> {
     let program = format!("wrong=exec '{LAB}' stand-in random --wrong {wrong}");
     let played = Played::new(experiment, &["--program", &program]);
@@ -185,7 +188,7 @@
     fleet(1, 1, "2s", &format!("[clients]\nrate = 60\n{more}"))
 }
 
-macro_rules! each_rule_is_broken_by {
+macro_rules! detects_violations {
     ($($test:ident: $wrong:literal breaks $rule:literal in $experiment:expr;)*) => {$(
         #[test]
         fn $test() {
@@ -195,7 +198,7 @@
     )*};
 }
 
-/// One upstream is replaced: it drains, ends, and comes back cold.
+/// One upstream is replaced: it drains, exits, and restarts with a slow start.
 const REPLACED: &str = r#"
 [discovery]
 notice = "50ms"
@@ -210,7 +213,7 @@
 on = { names = ["desk-1"] }
 "#;
 
-/// The one balancer is killed, and starts again.
+/// The only balancer is killed and restarted.
 const KILLED: &str = r#"
 [[fault]]
 kind = "kill"
@@ -218,8 +221,8 @@
 for = "50ms"
 "#;
 
-/// From the middle on another tenant sends more than its share.
-const BESIDE: &str = r#"
+/// In the second half of the run another tenant sends more than its share.
+const NOISY_NEIGHBOR: &str = r#"
 [[tenant]]
 name = "hog"
 share = 0.2
@@ -232,40 +235,41 @@
 least = 0.5
 "#;
 
-each_rule_is_broken_by! {
-    a_request_that_is_dropped_is_seen: "loses" breaks "lost" in small("");
+detects_violations! {
+    a_dropped_request_is_detected: "loses" breaks "lost" in small("");
     a_request_without_a_response_is_detected: "holds" breaks "lost" in small("").replace("8s", "1s").replace("5s", "1s");
-    an_invented_answer_is_seen: "invents" breaks "invented" in small("");
-    a_forbidden_repeat_is_seen: "repeats" breaks "repeated" in small("");
-    a_false_refusal_is_seen: "refuses" breaks "refused" in small("");
-    two_attempts_at_once_are_seen: "doubles" breaks "two-out" in small("");
-    too_many_attempts_are_seen: "insists" breaks "attempts" in small("");
-    what_is_sent_after_the_end_is_seen: "lingers" breaks "after-end" in small("");
+    an_invented_response_is_detected: "invents" breaks "invented" in small("");
+    a_forbidden_repeat_is_detected: "repeats" breaks "repeated" in small("");
+    a_false_refusal_is_detected: "refuses" breaks "refused" in small("");
+    concurrent_attempts_are_detected: "doubles" breaks "two-out" in small("");
+    too_many_attempts_are_detected: "insists" breaks "attempts" in small("");
+    an_attempt_after_the_response_is_detected: "lingers" breaks "after-end" in small("");
     a_violated_drain_is_detected: "deaf" breaks "drained" in small(REPLACED).replace("8s", "1s").replace("5s", "1s");
     an_upstream_overloaded_in_slow_start_is_detected: "crowds" breaks "tipped" in
         fleet(1, 1, "6s", &format!("[clients]\nrate = 900\n{REPLACED}")).replace("8s", "1s").replace("5s", "1s");
-    a_forged_request_is_seen: "forges" breaks "foreign" in small("");
-    memory_over_its_limit_is_seen: "swells" breaks "memory" in small("[balancer]\nmemory_mb = 48\n");
-    descriptors_over_their_limit_are_seen: "hoards" breaks "descriptors" in small("[balancer]\nsockets = 64\n");
-    a_balancer_that_ends_is_seen: "dies" breaks "crashed" in small("");
+    a_forged_request_is_detected: "forges" breaks "foreign" in small("");
+    memory_over_its_limit_is_detected: "swells" breaks "memory" in small("[balancer]\nmemory_mb = 48\n");
+    descriptors_over_their_limit_are_detected: "hoards" breaks "descriptors" in small("[balancer]\nsockets = 64\n");
+    a_crashed_balancer_is_detected: "dies" breaks "crashed" in small("");
     false_metrics_are_detected: "boasts" breaks "figures" in small("");
-    a_number_that_comes_again_is_seen: "stutters" breaks "numbered" in small(KILLED);
-    a_datagram_that_is_too_long_is_seen: "shouts" breaks "datagram" in small("");
-    a_datagram_that_cannot_be_read_is_seen: "mumbles" breaks "header" in small("");
-    an_agreement_that_goes_back_is_seen: "rewinds" breaks "epoch" in small("");
+    a_repeated_incarnation_is_detected: "stutters" breaks "numbered" in small(KILLED);
+    an_oversize_datagram_is_detected: "shouts" breaks "datagram" in small("");
+    an_invalid_datagram_is_detected: "mumbles" breaks "header" in small("");
+    a_decreasing_epoch_is_detected: "rewinds" breaks "epoch" in small("");
     a_version_used_too_long_is_detected: "clings" breaks "agreed" in small("[bounds]\nagree = \"300ms\"\n");
-    too_many_retries_of_all_are_detected: "repeats" breaks "budget" in small("[bounds]\nretries = 0.05\n");
-    too_many_trials_of_a_zone_are_seen: "speaks-old" breaks "trials" in
+    too_many_retries_in_total_are_detected: "repeats" breaks "budget" in small("[bounds]\nretries = 0.05\n");
+    too_many_trials_of_a_zone_are_detected: "speaks-old" breaks "trials" in
         small("[[bounds.trials]]\nzone = \"a\"\nduring = [\"0s\", \"2s\"]\nmost = 1\n");
-    a_tenant_in_its_share_that_loses_is_seen: "favours" breaks "in-share" in small(BESIDE);
-    what_is_acted_on_when_it_is_old_is_seen: "remembers" breaks "stale" in small("[bounds]\nage = \"1s\"\n");
-    a_balancer_that_never_gets_ready_is_seen: "idles" breaks "not-ready" in small("[balancer]\nready_within = \"1s\"\n");
+    an_unfairly_refused_tenant_is_detected: "favours" breaks "in-share" in small(NOISY_NEIGHBOR);
+    use_of_stale_shared_data_is_detected: "remembers" breaks "stale" in small("[bounds]\nage = \"1s\"\n");
+    a_balancer_that_is_never_ready_is_detected: "idles" breaks "not-ready" in small("[balancer]\nready_within = \"1s\"\n");
 }
 
-/// Six balancers with a disk: power is lost, disks fill and fail, folders are spoiled, and one is killed over and over.
+/// Six balancers that persist state: machines lose power, disks fill up and fail, state folders are damaged, and one
+/// balancer is killed repeatedly.
 #[test]
 #[expect(clippy::too_many_lines, reason = "not split yet: docs/OPEN.md")]
-fn a_fleet_with_disks_keeps_every_rule_through_crashes_power_losses_and_disks_that_do_wrong() {
+fn fleet_keeps_all_rules_through_disk_faults() {
     let faults = r#"
 [options.recovery]
 dir = "{state}"
@@ -317,13 +321,13 @@
         std::fs::read_to_string(played.out().join(format!("real-1/logs/{name}.log")))
             .expect("its log")
     };
-    // Four had lost power and came back with what was on their disks.
+    // Four balancers lost power and recovered from their disks.
     assert!(
         log("beside-desk-1").contains("recovery: start 2, a list of"),
         "{}",
         log("beside-desk-1")
     );
-    // However often one is killed it serves again, whether or not its disk lets it keep anything.
+    // A balancer that is killed repeatedly serves again after each start, even while its disk is full or failing.
     let begun = log("front-1").matches("serving on").count();
     assert!(begun > 5, "{begun} starts: {}", log("front-1"));
     assert!(
--- a/lab/tests/fleet/main.rs
+++ b/lab/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the lab: the form of experiments, and whole fleets of processes.
+//! Tests of the lab: the validation of experiments, and complete fleets of processes.
 mod common;
 mod experiments;
 mod fleets;
--- a/lab/tests/fleet/tier.rs
+++ b/lab/tests/fleet/tier.rs
@@ -1,14 +1,14 @@
-//! Fleets whose balancers act as one tier, or should: builds of several versions, load that is not even, and what
-//! passes between them.
+//! Fleets whose balancers coordinate as one tier: builds of several versions, uneven load, and faults of the network
+//! between balancers.
 use crate::common::*;
 
 fn stand_in(wrong: &str) -> String {
     format!("exec '{LAB}' stand-in random --wrong {wrong}")
 }
 
-/// Who sends what a live member can't read is named; where nothing passes between them it is nobody's fault.
+/// A balancer that sends a version that a live member can't read breaks a rule, unless they are partitioned.
 #[test]
-fn a_version_that_a_live_member_does_not_read_is_seen() {
+fn an_unreadable_version_is_detected() {
     let fleet_of_two = |more: &str| {
         let builds = r#"
 [bounds]
@@ -59,12 +59,12 @@
     );
 }
 
-/// Six of the real program begin with the first version of their protocol, are upgraded one after the other, and one
-/// goes back, while datagrams that nobody meant come to their ports, others are lost or cut one way, and the front is out
-/// for a moment.
+/// Six real balancers start with the first protocol version and are upgraded one after the other; one is downgraded
+/// later. Meanwhile they receive garbage datagrams, datagrams are lost or cut in one direction, and the front has a
+/// short outage.
 #[test]
 #[expect(clippy::too_many_lines, reason = "not split yet: docs/OPEN.md")]
-fn a_tier_is_upgraded_in_turn_and_steps_down_for_one_that_goes_back() {
+fn tier_follows_rolling_upgrade_and_downgrade() {
     let faults = r#"
 [options.figures]
 dir = "{state}"
@@ -140,7 +140,7 @@
             log.rfind("version 1 instead of 2"),
         );
         assert!(up.is_some() && down > up, "{name}: {log}");
-        let dropped = &request_metrics(&played, "real-1", &name)["peers"]["dropped"];
+        let dropped = &last_metrics(&played, "real-1", &name)["peers"]["dropped"];
         assert!(
             dropped["broken"].as_u64().is_some_and(|n| n > 50),
             "{name}: {dropped}"
@@ -163,20 +163,20 @@
     );
 }
 
-/// What a balancer wrote of itself last.
-fn request_metrics(played: &Played, play: &str, name: &str) -> serde_json::Value {
+/// The last metrics that a balancer wrote.
+fn last_metrics(played: &Played, play: &str, name: &str) -> serde_json::Value {
     let path = played
         .out()
         .join(play)
         .join("state")
         .join(name)
         .join("figures.json");
-    serde_json::from_slice(&std::fs::read(path).expect("its figures")).expect("JSON")
+    serde_json::from_slice(&std::fs::read(path).expect("its metrics")).expect("JSON")
 }
 
-/// Four of the real program that know what all of them are asked for are asked for far more than there is room for.
+/// Four real balancers that share their demand get far more requests than the upstreams have capacity for.
 #[test]
-fn a_tier_that_sheds_as_one_keeps_every_rule_and_its_budget_of_attempts() {
+fn load_shedding_keeps_all_rules_and_retry_budget() {
     let burst = r#"
 [options.figures]
 dir = "{state}"
@@ -213,7 +213,7 @@
         played.said()
     );
     for name in (1..=4).map(|n| format!("front-{n}")) {
-        let peers = &request_metrics(&played, "real-1", &name)["peers"];
+        let peers = &last_metrics(&played, "real-1", &name)["peers"];
         assert_eq!(
             (&peers["up"], &peers["sums"]["heard"]),
             (&4.into(), &4.into()),
@@ -222,9 +222,9 @@
     }
 }
 
-/// One draw with two sets of options: what find_differences is the options alone.
+/// Two sets of options run on the same plan, so that only the options differ.
 #[test]
-fn sets_of_options_are_played_in_turn_on_the_same_draw() {
+fn option_sets_run_on_the_same_plan() {
     let quiet = "quiet=log.level = \"warn\", figures.dir = \"\"";
     let real = format!("real=exec '{}'", balancer_proxy().display());
     let experiment = fleet(
--- a/lab/tests/parts/atomic_file.rs
+++ b/lab/tests/parts/atomic_file.rs
@@ -1,10 +1,10 @@
-//! Files that are replaced while others write beside them.
+//! Atomic replacement of files under concurrent writes.
 use balancer_lab::atomic_file::replace;
 use std::path::Path;
 
 const WRITES: usize = 400;
 
-/// Replaces a file again and again, and looks each time that it holds one of its own texts.
+/// Replaces a file repeatedly, and checks each time that it holds a text of its own writers.
 fn write_and_read(path: &Path, own: &str) -> Result<(), String> {
     for number in 0..WRITES {
         replace(path, &format!("{own} {number}")).map_err(|e| e.to_string())?;
@@ -16,10 +16,10 @@
     Ok(())
 }
 
-/// The configuration and the disk's faults of one balancer differ by their ending only, and two threads of the lab may
-/// write them at once; once each of them wrote into the other's file on the way.
+/// The configuration and the disk faults of a balancer are files that differ in their extension only, and two threads
+/// may replace them at once. Guards against a temporary file name that both share, which mixed their contents.
 #[test]
-fn files_that_differ_by_their_ending_are_replaced_at_once_without_a_mix() {
+fn concurrent_replacements_with_different_extensions_do_not_mix() {
     let folder = tempfile::tempdir().expect("a folder");
     let (config, fault_file) = (
         folder.path().join("front-1.json"),
@@ -40,5 +40,5 @@
     let left = std::fs::read_dir(folder.path())
         .expect("the folder")
         .count();
-    assert_eq!(left, 2, "nothing under way is left behind");
+    assert_eq!(left, 2, "no temporary file is left behind");
 }
--- a/lab/tests/parts/audit.rs
+++ b/lab/tests/parts/audit.rs
@@ -1,4 +1,4 @@
-//! The metrics of a balancer against what the stand-ins saw.
+//! Comparison of a balancer's metrics with what the stand-ins saw.
 use balancer_lab::audit::{find_differences, BalancerMetrics};
 use balancer_lab::oracle::Seen;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_metric_that_differs_is_named_and_one_that_may_differ_is_not() {
+fn reports_only_differences_beyond_the_unclear_requests() {
     let seen = Seen {
         taken: 10,
         served: 6,
--- a/lab/tests/parts/datagrams.rs
+++ b/lab/tests/parts/datagrams.rs
@@ -10,7 +10,7 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 #[tokio::test]
-async fn a_peer_is_named_by_its_address_and_heard_from_it() {
+async fn datagrams_use_one_address_per_peer() {
     let block = Block::claim().expect("a block");
     let calm = Conditions {
         delay: Range::fixed(0.0),
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn datagrams_are_lost_repeated_and_partitioned_as_configured() {
+async fn datagrams_are_lost_repeated_and_cut_as_configured() {
     let block = Block::claim().expect("a block");
     let conditions = Conditions {
         delay: Range {
@@ -76,7 +76,7 @@
     assert!((0..50).all(|_| network.arrivals(0, 1).is_empty()));
     assert!(
         (0..50).any(|_| !network.arrivals(1, 0).is_empty()),
-        "the other way is open"
+        "the other direction is open"
     );
     network.heal(0, 1);
     assert!((0..50).any(|_| !network.arrivals(0, 1).is_empty()));
--- a/lab/tests/parts/machine.rs
+++ b/lab/tests/parts/machine.rs
@@ -1,4 +1,4 @@
-//! An emulated machine: its slots, its queue, its cores, and how overload and a cold start slow it down.
+//! An emulated machine: slots, queue, cores, and the effects of overload and slow start.
 use balancer_lab::draw::{OverloadModel, Upstream};
 use balancer_lab::experiment::Millis;
 use balancer_lab::machine::{Admission, CollapseLimit, Machine, Token};
@@ -63,20 +63,20 @@
     assert_eq!(
         m.handle_departure(1.0, 0),
         Some(4),
-        "who waited gets the slot"
+        "the queued request gets the slot"
     );
     assert_eq!(m.in_flight(), 4);
 }
 
 #[test]
-fn work_is_laid_out_by_its_own_clock_however_late_anyone_looks() {
+fn late_polls_do_not_delay_work() {
     let mut m = machine();
     for t in 0..4 {
         m.handle_request(0.0, t, 10.0, true);
         m.start_work(0.0, t, 10.0);
     }
     assert_eq!(m.next_timeout(), Some(10.0));
-    // Looked at only at 25 ms: the second pair ran from 10 to 20 all the same.
+    // Polled only at 25 ms: the second pair still ran from 10 ms to 20 ms.
     assert_eq!(done(&mut m, 25.0).len(), 4);
     m.start_work(25.0, 9, 10.0);
     assert_eq!((done(&mut m, 34.0), done(&mut m, 35.0)), (vec![], vec![9]));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn slow_start_ends_and_too_much_work_in_it_collapses_the_machine() {
+fn excessive_work_during_slow_start_collapses_the_machine() {
     let mut m = machine();
     m.restart(0.0);
     assert_eq!(
@@ -114,7 +114,7 @@
         ),
         (0.25, 0.625, 1.0)
     );
-    // 2.5 times what half a core can do for 3 s is 3,750 ms, with a little for chance.
+    // The limit is 2.5 times the work of half a core in 3 s, 3,750 ms, plus an allowance for random variation.
     for n in 0..37 {
         m.handle_request(n as f64, n, 100.0, n % 4 != 0);
         m.handle_departure(n as f64, n);
@@ -123,7 +123,7 @@
     for n in 37..50 {
         m.handle_request(40.0, n, 100.0, true);
     }
-    let collapse = m.collapse().expect("it fell over");
+    let collapse = m.collapse().expect("it collapsed");
     assert!(
         collapse.sent > collapse.limit && collapse.informed_share > 0.7,
         "{collapse:?}"
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_fault_and_a_full_table_slow_it_down() {
+fn a_slowdown_fault_slows_it_down() {
     let mut m = machine();
     m.slow_down(3.0);
     m.start_work(0.0, 1, 10.0);
--- a/lab/tests/parts/main.rs
+++ b/lab/tests/parts/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the parts of the lab, each by its public interface and without processes of balancers.
+//! Tests of the modules of the lab, through their public interfaces and without balancer processes.
 mod answers;
 mod atomic_file;
 mod audit;
--- a/lab/tests/parts/net.rs
+++ b/lab/tests/parts/net.rs
@@ -1,4 +1,4 @@
-//! Ports that take, refuse or hang, and connections that are cut or reset.
+//! Ports that accept connections, refuse them or let them hang, and connections that are cut or reset.
 use balancer_lab::net::{connect, listener, Block, Direction, Link, Port, PortMode};
 use std::io;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 #[tokio::test]
-async fn a_port_accepts_refuses_is_unresponsive_and_recovers() {
+async fn a_port_follows_its_mode_and_recovers() {
     let block = Block::claim().expect("a block");
     let at = block.upstream(1, 2);
     let (mode, watched) = watch::channel(PortMode::Open);
@@ -32,7 +32,7 @@
         taken.recv().await.expect("accepted");
         drop(up);
         mode.send_replace(PortMode::Unresponsive);
-        // Once it is silent, connections neither come up nor fail.
+        // Wait until the port is unresponsive: connections then neither open nor fail.
         while timeout(SOON, TcpStream::connect(at)).await.is_ok() {}
         assert!(
             timeout(SOON, TcpStream::connect(at)).await.is_err(),
@@ -48,7 +48,7 @@
             }
         }
         mode.send_replace(PortMode::Open);
-        // What hung meanwhile may still come in; the next round starts with a connection of its own.
+        // Connections that hung in the meantime may still be accepted; drain them before the next round.
         loop {
             match timeout(SOON, TcpStream::connect(at)).await {
                 Ok(Ok(_)) => break,
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test]
-async fn a_partitioned_link_is_unresponsive_one_way_or_both_and_a_reset_is_seen() {
+async fn a_cut_link_blocks_and_a_reset_closes_connections() {
     let block = Block::claim().expect("a block");
     let at = block.balancer(1);
     let server = listener(at).expect("listens");
@@ -72,18 +72,18 @@
     client.write_all(b"x").await.expect("writes");
     far.read_exact(&mut byte)
         .await
-        .expect("what goes out is not cut");
+        .expect("the outward direction is not cut");
     far.write_all(b"y").await.expect("writes");
     assert!(timeout(SOON, client.read_exact(&mut byte)).await.is_err());
     assert!(
         timeout(SOON, connect(at, &link)).await.is_err(),
-        "nothing new comes up"
+        "no new connection opens"
     );
     link.cut(Direction::Inward);
     link.heal(Direction::Inward);
     assert!(
         timeout(SOON, client.read_exact(&mut byte)).await.is_err(),
-        "one of two cuts is left"
+        "one of two cuts remains"
     );
     link.heal(Direction::Inward);
     timeout(TIMEOUT, client.read_exact(&mut byte))
--- a/lab/tests/parts/oracle.rs
+++ b/lab/tests/parts/oracle.rs
@@ -1,8 +1,8 @@
-//! The oracle: each rule with cases that keep it and cases that break it.
+//! The oracle: cases that keep each rule and cases that break it.
 use balancer_lab::experiment::{Effect, Group, Millis};
 use balancer_lab::oracle::{ClassRules, End, Final, Limits, Oracle, Parts, Place, Rule};
 
-/// Class 0 is safe, 1 keyed by cell, 2 once. Upstreams 0 and 1 share a cell, 2 stands alone.
+/// Class 0 is safe, 1 is keyed by cell, 2 is sent once. Upstreams 0 and 1 share a cell; 2 has its own.
 fn oracle() -> Oracle {
     Oracle::new(parts())
 }
@@ -39,7 +39,7 @@
     o.found().0.iter().map(|b| b.rule).collect()
 }
 
-/// One attempt that ends so, then the next at another upstream.
+/// One attempt that ends with `first`, then another attempt at upstream `to`.
 fn again(class: usize, first: End, to: usize, after: Millis) -> Vec<Rule> {
     let mut o = oracle();
     o.taken(0.0, 7, class, 0, 3000.0);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn two_attempts_may_overlap_no_longer_than_the_slack() {
+fn attempts_may_overlap_within_the_slack_only() {
     for (ends, hidden, wanted) in [(60.0, false, 0), (140.0, false, 1), (140.0, true, 0)] {
         let mut o = oracle();
         o.taken(0.0, 7, 0, 0, 3000.0);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn every_accepted_request_gets_one_response_unless_its_balancer_could_not_act() {
+fn requests_need_one_response_unless_the_balancer_is_excused() {
     let mut o = oracle();
     for id in 1..=6 {
         o.taken(0.0, id, 2, 0, 1000.0);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn answers_must_be_made_for_their_request_and_refusals_be_true() {
+fn detects_invented_responses_and_false_refusals() {
     let mut o = oracle();
     o.taken(0.0, 1, 2, 0, 1000.0);
     let n = o.attempt(1.0, 1, 0, 0).expect("known");
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn what_the_lab_was_late_for_itself_is_nobodys_fault() {
+fn lateness_of_the_lab_excuses_violations() {
     for (late, wanted) in [(30.0, 1), (100.0, 0)] {
         let mut o = oracle();
         o.taken(0.0, 7, 0, 0, 3000.0);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_key_takes_effect_once_in_its_group_and_window() {
+fn a_key_takes_effect_once_per_group_and_window() {
     let mut o = oracle();
     assert_eq!(
         (o.effect(0.0, 5, 1, 0), o.effect(100.0, 5, 1, 1)),
@@ -166,7 +166,7 @@
     assert_eq!(o.effects_twice(), 2);
 }
 
-/// A datagram of a version, from one who reads 1 to `most`.
+/// A datagram of a version, from a sender that reads versions 1 to `most`.
 fn datagram(version: u8, most: u8, place: u16, epoch: u64) -> Vec<u8> {
     let mut bytes = b"oP".to_vec();
     bytes.extend([version, 1, most]);
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_version_is_spoken_past_a_member_only_while_that_can_not_be_known() {
+fn detects_versions_that_a_live_member_cannot_read() {
     let tier = || {
         let limits = Limits {
             version_grace: 100.0,
@@ -196,7 +196,7 @@
         (0..3).for_each(|b| o.starts(b, 0.0));
         o
     };
-    // Both have spoken from 10 on. Another tier's is no member of this one's.
+    // Both members have announced their versions at 10 ms. The balancer of the other tier is not a member.
     for (at, before, wanted) in [
         (100.0, None, vec![]),
         (120.0, None, vec![Rule::Version]),
@@ -217,7 +217,7 @@
         }
         assert_eq!(rules(&mut o), wanted, "{at}");
     }
-    // One that is ended counts no more, and one that comes back as it was before gets its time again.
+    // A stopped member no longer counts, and a restarted one has the grace time again.
     let mut o = tier();
     o.datagram(10.0, 0, &datagram(1, 1, 0, 0));
     o.datagram(10.0, 1, &datagram(1, 2, 1, 0));
@@ -230,7 +230,7 @@
     o.datagram(510.0, 1, &datagram(2, 2, 1, 1));
     o.datagram(520.0, 1, &datagram(1, 2, 1, 0));
     assert_eq!(rules(&mut o), [Rule::Version, Rule::Epoch]);
-    // Both read 2 from 600 on.
+    // Both read version 2 from 600 ms on.
     o.datagram(600.0, 0, &datagram(1, 2, 0, 1));
     o.datagram(850.0, 1, &datagram(1, 2, 1, 1));
     assert_eq!(rules(&mut o).len(), 2);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn datagrams_are_read_by_their_fixed_bytes_alone() {
+fn datagrams_are_checked_by_header_and_checksum() {
     let good = datagram(1, 2, 0, 3);
     let mut flipped = good.clone();
     flipped[9] ^= 4;
--- a/lab/tests/parts/state.rs
+++ b/lab/tests/parts/state.rs
@@ -1,10 +1,10 @@
-//! What faults do to the folder that a balancer keeps its state in.
+//! Faults that damage the state folder of a balancer.
 use balancer_lab::experiment::Damage;
 use balancer_lab::state::{copy, damage};
 use std::fs;
 
 #[test]
-fn a_folder_is_emptied_put_back_cut_and_flipped() {
+fn damages_a_state_folder_in_every_way() {
     let place = tempfile::TempDir::new().expect("a folder");
     let (own, old) = (place.path().join("own"), place.path().join("old"));
     fs::create_dir_all(own.join("inner")).expect("makes");
@@ -17,12 +17,12 @@
         (fs::read(&a).expect("reads"), fs::read(&b).expect("reads")),
         (b"1234567\xb8".to_vec(), vec![0xf8])
     );
-    damage(&own, Damage::Truncated, &old, |_| 0).expect("cuts");
+    damage(&own, Damage::Truncated, &old, |_| 0).expect("truncates");
     assert_eq!(
         (fs::read(&a).expect("reads"), fs::read(&b).expect("reads")),
         (b"1234".to_vec(), vec![])
     );
-    damage(&own, Damage::Old, &old, |_| 0).expect("puts back");
+    damage(&own, Damage::Old, &old, |_| 0).expect("restores");
     assert_eq!(
         (fs::read(&a).expect("reads"), fs::read(&b).expect("reads")),
         (b"12345678".to_vec(), b"x".to_vec())
--- a/lab/tests/parts/stored_play.rs
+++ b/lab/tests/parts/stored_play.rs
@@ -1,17 +1,17 @@
-//! A play as earlier builds of the lab have stored it: reports and comparisons of their runs go on being read.
+//! Results stored by earlier builds of the lab stay readable for reports and comparisons.
 use balancer_lab::metrics::Played;
 use balancer_lab::tally::How;
 
 const STORED: &str = include_str!("stored_play.json");
 
 #[test]
-fn a_play_that_was_stored_before_names_changed_is_read_and_written_with_the_same_keys() {
+fn stored_plays_keep_their_json_keys() {
     let played: Played = serde_json::from_str(STORED).expect("reads");
     assert_eq!(
         (played.metrics.value, played.metrics.client_attempts),
         (0.75, 1.25)
     );
-    let recovery = played.recovery.as_ref().expect("it is there");
+    let recovery = played.recovery.as_ref().expect("recovery metrics");
     assert_eq!((recovery.value_before, recovery.value_after), (0.5, 0.25));
     assert_eq!(played.tier.as_ref().map(|tier| tier.departed), Some(3));
     assert_eq!(played.usage[0].memory_kb, 4096);
