--- a/lab/src/call.rs
+++ b/lab/src/call.rs
@@ -102,7 +102,7 @@
 
     async fn send(&self, world: &World) -> CallResult {
         pause(self.delay).await;
-        let gives_up = world.clock.instant(self.sent + self.timeout);
+        let expiry = world.clock.instant(self.sent + self.timeout);
         let id = world.register_request(self.profile);
         let mut pending = PendingCall {
             world,
@@ -117,9 +117,7 @@
             fresh |= pooled.is_none();
             let conn = match pooled {
                 Some(conn) => Some(conn),
-                None => timeout_at(gives_up, self.open_connection(world))
-                    .await
-                    .unwrap_or(None),
+                None => timeout_at(expiry, self.open(world)).await.unwrap_or(None),
             };
             let Some(mut conn) = conn else {
                 return CallResult::Unreached;
@@ -182,7 +180,7 @@
         }
     }
 
-    async fn open_connection(&self, world: &World) -> Option<ClientConnection> {
+    async fn open(&self, world: &World) -> Option<ClientConnection> {
         let stream: LinkedStream = connect(world.block.balancer(self.balancer), &self.link)
             .await
             .ok()?;
--- a/lab/src/clients.rs
+++ b/lab/src/clients.rs
@@ -72,7 +72,7 @@
     let mut added = None;
     let how = loop {
         attempts += 1;
-        let got = match pick(world, a, due, &mut drawn) {
+        let got = match choose_balancer(world, a, due, &mut drawn) {
             Some(balancer) => {
                 let call = call_to(world, a, balancer, profile, due, attempts);
                 call.make(world).await
@@ -150,7 +150,7 @@
 
 /// The front's choice of a balancer: one in rotation, of the client's zone if the zone has any. A tenant that hops
 /// sends all requests to one balancer at a time.
-fn pick(world: &World, a: &Arrival, due: Millis, drawn: &mut Calls) -> Option<usize> {
+fn choose_balancer(world: &World, a: &Arrival, due: Millis, drawn: &mut Calls) -> Option<usize> {
     if world.outages.load(Ordering::Relaxed) > 0 {
         return None;
     }
@@ -176,6 +176,6 @@
 
 /// The time in milliseconds after the last request within which all requests must have ended: the longest deadline,
 /// the grace of the oracle and a margin.
-pub fn ends_within(world: &World) -> Millis {
+pub fn completion_timeout(world: &World) -> Millis {
     world.plan.longest() + crate::oracle::ANSWER_GRACE + 1000.0
 }
--- a/lab/src/convergence.rs
+++ b/lab/src/convergence.rs
@@ -93,7 +93,7 @@
             return;
         }
         self.running.clone_from(running);
-        // The start of the whole tier is not measured: it takes longer than a single change.
+        // The start of the whole tier is excluded: it says nothing about the time after a member joins or leaves.
         self.changed = (!first && !disturbed).then_some(now);
         if self.changed.is_some() {
             self.members.waiting.clone_from(running);
--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -10,7 +10,7 @@
 pub struct FileError {
     /// The file or folder.
     pub path: PathBuf,
-    /// What the operating system says of it.
+    /// The error of the operating system.
     pub source: io::Error,
 }
 
@@ -30,7 +30,7 @@
 pub struct BindError {
     /// The address.
     pub address: SocketAddr,
-    /// What the operating system says of it.
+    /// The error of the operating system.
     pub source: io::Error,
 }
 
--- a/lab/src/faults/announcements.rs
+++ b/lab/src/faults/announcements.rs
@@ -31,7 +31,7 @@
 
 impl Announcements {
     /// Records that the machine of an upstream was replaced: later announcements use a new id.
-    pub(super) fn replaced(&self, upstream: usize) {
+    pub(super) fn record_replacement(&self, upstream: usize) {
         lock(&self.upstreams)
             .entry(upstream)
             .or_default()
--- a/lab/src/faults/network.rs
+++ b/lab/src/faults/network.rs
@@ -6,7 +6,7 @@
 use crate::net::lock;
 
 /// At this share of lost datagrams or more, balancers are not expected to know their peers.
-const MUFFLED_LOSS: f64 = 0.5;
+const ISOLATING_LOSS: f64 = 0.5;
 
 impl Injector {
     pub(super) async fn datagram_garbage(&self, fault: &PlannedFault) {
@@ -21,8 +21,8 @@
     pub(super) async fn degrade_datagrams(&self, fault: &PlannedFault) {
         let world = &self.fleet.world;
         let usual = world.experiment.net.clone();
-        let muffles = fault.kind == FaultKind::DatagramLoss && fault.size >= MUFFLED_LOSS;
-        if muffles {
+        let isolates = fault.kind == FaultKind::DatagramLoss && fault.size >= ISOLATING_LOSS;
+        if isolates {
             lock(&world.oracle).muffle(true, world.now());
         }
         world
@@ -39,7 +39,7 @@
             FaultKind::DatagramRepeat => conditions.repeat = usual.datagram_repeat,
             _ => conditions.delay = usual.datagrams.0,
         });
-        if muffles {
+        if isolates {
             lock(&world.oracle).muffle(false, world.now());
         }
     }
--- a/lab/src/faults/upstreams.rs
+++ b/lab/src/faults/upstreams.rs
@@ -63,7 +63,7 @@
         }
         world.clock.until(until).await;
         if kind == FaultKind::Replace {
-            self.announcements.replaced(index);
+            self.announcements.record_replacement(index);
         }
         upstream.begin(world.now());
         if kind == FaultKind::Lose {
--- a/lab/src/guard.rs
+++ b/lab/src/guard.rs
@@ -1,7 +1,7 @@
 //! A helper process that kills the lab's child processes if the lab dies.
 //!
-//! The lab writes the start and the exit of each child to a pipe. When the pipe is closed, for whatever reason the lab
-//! died, the helper kills the children that are still running.
+//! The lab writes the start and the exit of each child to a pipe. When the pipe is closed, which also happens if the
+//! lab is killed, the helper kills the children that are still running.
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use std::collections::BTreeSet;
--- a/lab/src/net/link.rs
+++ b/lab/src/net/link.rs
@@ -55,7 +55,7 @@
 
     /// Heals one cut of a direction.
     pub fn heal(&self, direction: Direction) {
-        // The counter must not wrap around if there is no cut.
+        // Each heal must match a cut: an extra one would undo the cut of another fault. At zero it has no effect.
         let _ = self
             .cuts(direction)
             .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1));
--- a/lab/src/programs.rs
+++ b/lab/src/programs.rs
@@ -28,7 +28,7 @@
     Deploy {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why it is invalid.
         what: String,
     },
     /// The path of the lab's own executable could not be determined.
@@ -41,7 +41,7 @@
         option: &'static str,
         /// Its value.
         text: String,
-        /// What is wrong with it.
+        /// Why it is invalid.
         what: String,
     },
 }
--- a/lab/src/run/play.rs
+++ b/lab/src/run/play.rs
@@ -1,7 +1,7 @@
 //! One play of a program, from the first process start to the last exit.
 use super::sum_up::sum_up;
 use super::watch::{audit, monitor_convergence, monitor_processes};
-use crate::clients::{ends_within, send_all, InFlight};
+use crate::clients::{completion_timeout, send_all, InFlight};
 use crate::draw::Plan;
 use crate::error::{BindError, FileError};
 use crate::experiment::{merged, Build, Experiment, Span};
@@ -199,7 +199,7 @@
         sent.await;
         // A request that never ends is a violation that the oracle reports; the wait for it is bounded.
         let _ = timeout(
-            Duration::from_secs_f64(ends_within(world) / 1000.0),
+            Duration::from_secs_f64(completion_timeout(world) / 1000.0),
             in_flight.wait_until_none(),
         )
         .await;
--- a/lab/src/stand_in/error.rs
+++ b/lab/src/stand_in/error.rs
@@ -19,7 +19,7 @@
     Config {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why it is invalid.
         source: serde_json::Error,
     },
     /// The seed is not a hexadecimal number.
@@ -27,7 +27,7 @@
     Seed {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why it is invalid.
         source: ParseIntError,
     },
     /// The listen address could not be bound.
--- a/lab/src/tally.rs
+++ b/lab/src/tally.rs
@@ -27,7 +27,7 @@
 pub struct Done {
     /// When it was due.
     pub at: Millis,
-    /// Position of its class.
+    /// Position of its class in the experiment.
     pub class: usize,
     /// Position of its tenant.
     pub tenant: usize,
--- a/lab/tests/fleet/experiments.rs
+++ b/lab/tests/fleet/experiments.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_seed_fixes_the_plan_and_faults_keep_arrivals() {
+fn seed_fixes_the_plan_and_faults_keep_arrivals() {
     let e = parse(&good()).expect("good");
     let (a, b, other) = (
         plan(&e, 7).expect("a plan"),
--- a/lab/tests/parts/atomic_file.rs
+++ b/lab/tests/parts/atomic_file.rs
@@ -4,7 +4,7 @@
 
 const WRITES: usize = 400;
 
-/// Replaces a file repeatedly, and checks each time that it holds a text of its own writers.
+/// Replaces a file repeatedly, and checks each time that it contains a text written to this file.
 fn write_and_read(path: &Path, own: &str) -> Result<(), String> {
     for number in 0..WRITES {
         replace(path, &format!("{own} {number}")).map_err(|e| e.to_string())?;
--- a/lab/tests/parts/convergence.rs
+++ b/lab/tests/parts/convergence.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn times_count_from_a_change_to_the_metrics_that_show_it() {
+fn times_end_with_metrics_that_show_the_change() {
     let mut c = Convergence::default();
     let set = |of: &[usize]| of.iter().copied().collect::<BTreeSet<_>>();
     c.runs(0.0, &set(&[0, 1, 2]), false);
--- a/lab/tests/parts/net.rs
+++ b/lab/tests/parts/net.rs
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test]
-async fn a_cut_link_blocks_and_a_reset_closes_connections() {
+async fn cut_links_block_and_resets_close_connections() {
     let block = Block::claim().expect("a block");
     let at = block.balancer(1);
     let server = listener(at).expect("listens");
--- a/lab/tests/parts/oracle.rs
+++ b/lab/tests/parts/oracle.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn requests_need_one_response_unless_the_balancer_is_excused() {
+fn requests_need_one_response_unless_balancer_is_excused() {
     let mut o = oracle();
     for id in 1..=6 {
         o.taken(0.0, id, 2, 0, 1000.0);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_key_takes_effect_once_per_group_and_window() {
+fn keys_take_effect_once_per_group_and_window() {
     let mut o = oracle();
     assert_eq!(
         (o.effect(0.0, 5, 1, 0), o.effect(100.0, 5, 1, 1)),
