--- a/lab/src/stand_in/misbehavior.rs
+++ b/lab/src/stand_in/misbehavior.rs
@@ -22,7 +22,7 @@
     /// Responds to every tenth request without forwarding it.
     #[value(name = "invents")]
     InventResponse,
-    /// Sends every request a second time after the first response, regardless of its class.
+    /// Sends every request a second time, regardless of its class and of the first response.
     #[value(name = "repeats")]
     RepeatRequest,
     /// Refuses every tenth request after it has run.
