--- a/lab/src/faults/network.rs
+++ b/lab/src/faults/network.rs
@@ -1,12 +1,12 @@
-//! Loses, repeats, delays and forges datagrams between balancers. The emulated network is
-//! [`Datagrams`](crate::datagrams::Datagrams)'s.
+//! Loses, repeats, delays and forges datagrams between balancers, on the emulated network of
+//! [`Datagrams`](crate::datagrams::Datagrams).
 use super::injector::Injector;
 use crate::draw::PlannedFault;
 use crate::experiment::{FaultKind, Range};
 use crate::net::lock;
 
-/// From this share of lost datagrams on no balancer can be expected to know its peers.
-const MUFFLED_LOSS: f64 = 0.5;
+/// At this share of lost datagrams or more, balancers are not expected to know their peers.
+const ISOLATING_LOSS: f64 = 0.5;
 
 impl Injector {
     pub(super) async fn datagram_garbage(&self, fault: &PlannedFault) {
@@ -21,8 +21,8 @@
     pub(super) async fn degrade_datagrams(&self, fault: &PlannedFault) {
         let world = &self.fleet.world;
         let usual = world.experiment.net.clone();
-        let muffles = fault.kind == FaultKind::DatagramLoss && fault.size >= MUFFLED_LOSS;
-        if muffles {
+        let isolates = fault.kind == FaultKind::DatagramLoss && fault.size >= ISOLATING_LOSS;
+        if isolates {
             lock(&world.oracle).muffle(true, world.now());
         }
         world
@@ -39,7 +39,7 @@
             FaultKind::DatagramRepeat => conditions.repeat = usual.datagram_repeat,
             _ => conditions.delay = usual.datagrams.0,
         });
-        if muffles {
+        if isolates {
             lock(&world.oracle).muffle(false, world.now());
         }
     }
--- a/lab/src/upstream/ports.rs
+++ b/lab/src/upstream/ports.rs
@@ -2,7 +2,7 @@
 use super::emulated::Upstream;
 use crate::clock::pause;
 use crate::error::BindError;
-use crate::net::{lock, Link, LinkedStream, Manner, Port};
+use crate::net::{lock, Link, LinkedStream, Port, PortMode};
 use crate::world::World;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -25,7 +25,7 @@
         let (own, shared) = (self.clone(), world.clone());
         tokio::spawn(async move { own.run(&shared).await });
         for (&balancer, link) in &self.links {
-            let (port_mode, mode) = watch::channel(Manner::Open);
+            let (port_mode, mode) = watch::channel(PortMode::Open);
             let address = world.block.upstream(self.index, balancer);
             let port = Port::bind(address, mode).map_err(BindError::at(address))?;
             let listens = self.listens.subscribe();
@@ -53,7 +53,7 @@
                 }
                 Ok(None) => return,
                 Err(error) => {
-                    tracing::warn!(upstream = %self.plan.name, %error, "connection not accepted");
+                    tracing::warn!(upstream = %self.plan.name, %error, "failed to accept connection");
                     tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 }
             }
@@ -75,7 +75,7 @@
             return;
         }
         lock(&world.tally).second(world.now()).connections += 1;
-        // What a handshake costs both sides.
+        // The work and the round trips of a handshake.
         let handshake = self.next_token();
         self.work(&world, handshake, self.plan.connection_work)
             .await;
@@ -90,7 +90,7 @@
             .header_read_timeout(self.connection_idle)
             .serve_connection(TokioIo::new(stream), service);
         tokio::select! {
-            // How it ended shows in the requests that were on it.
+            // Errors surface in the requests on the connection.
             _ = connection => {}
             _ = resets.changed() => {}
         }
@@ -98,19 +98,19 @@
     }
 }
 
-/// Has a port follow its link, and whether the upstream listens, until the run is over.
+/// Sets the mode of a port by the state of its link and whether the upstream listens, until the run is over.
 async fn follow_mode(
     world: Arc<World>,
     link: Arc<Link>,
     mut listens: watch::Receiver<bool>,
-    port_mode: watch::Sender<Manner>,
+    port_mode: watch::Sender<PortMode>,
 ) {
     let mut changes = link.changes();
     loop {
         let mode = match (link.is_unresponsive(), *listens.borrow_and_update()) {
-            (true, _) => Manner::Unresponsive,
-            (false, true) => Manner::Open,
-            (false, false) => Manner::Refusing,
+            (true, _) => PortMode::Unresponsive,
+            (false, true) => PortMode::Open,
+            (false, false) => PortMode::Refusing,
         };
         port_mode.send_if_modified(|now| std::mem::replace(now, mode) != mode);
         tokio::select! {
