--- a/balancer/proxy/tests/attempts_write.rs
+++ b/balancer/proxy/tests/attempts_write.rs
@@ -1,5 +1,5 @@
-//! The check at the write of a request, on real sockets and with what it asks injected: each test stands for something
-//! that comes between handing a request over and writing it.
+//! The check before each write of a request, on real sockets and with an injected condition. Each test covers an event
+//! between handing over a request and writing it.
 #[allow(dead_code)]
 #[path = "../src/upstreams/request_write.rs"]
 mod request_write;
@@ -16,30 +16,30 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 const REQUEST: &[u8] = b"GET /api HTTP/1.1\r\n\r\n";
-/// More than the buffers of both ends hold.
+/// More than the socket buffers of both ends hold.
 const LARGE: usize = 32 << 20;
 
-/// A checked connection, its check and the upstream's end.
+/// A checked connection, its check, and the upstream end.
 struct Pair {
     stream: CheckedStream,
     request: Rc<RequestWrite>,
-    /// The same connection, to see what has come.
+    /// A second handle on the connection, to peek at received bytes.
     probe: TcpStream,
     upstream: TcpStream,
 }
 
 impl Pair {
     fn new() -> Pair {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
         let stream =
-            TcpStream::connect(listener.local_addr().expect("an address")).expect("connects");
-        let upstream = listener.accept().expect("accepts").0;
+            TcpStream::connect(listener.local_addr().expect("socket address")).expect("connect");
+        let upstream = listener.accept().expect("accept").0;
         upstream
             .set_read_timeout(Some(Duration::from_secs(20)))
-            .expect("a time-out");
-        stream.set_nonblocking(true).expect("does not block");
-        let probe = stream.try_clone().expect("a second handle");
-        let stream = tokio::net::TcpStream::from_std(stream).expect("a stream");
+            .expect("set timeout");
+        stream.set_nonblocking(true).expect("set nonblocking");
+        let probe = stream.try_clone().expect("clone the socket");
+        let stream = tokio::net::TcpStream::from_std(stream).expect("convert the stream");
         let request = RequestWrite::new();
         Pair {
             stream: CheckedStream::new(stream, request.clone()),
@@ -54,7 +54,7 @@
             .await
     }
 
-    /// Tries to write, without waiting until the system takes more.
+    /// Tries to write once, without waiting for buffer space.
     fn write_now(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let mut cx = Context::from_waker(Waker::noop());
         match Pin::new(&mut self.stream).poll_write_vectored(&mut cx, &[IoSlice::new(bytes)]) {
@@ -63,32 +63,32 @@
         }
     }
 
-    /// Writes until the system takes no more, and returns how much it took.
-    async fn fill(&mut self, bytes: &[u8]) -> usize {
-        let mut taken = self.write(bytes).await.expect("takes some");
+    /// Writes until the socket buffers are full, and returns the number of bytes written.
+    async fn write_until_full(&mut self, bytes: &[u8]) -> usize {
+        let mut written = self.write(bytes).await.expect("accepts some bytes");
         let mut cx = Context::from_waker(Waker::noop());
-        while let Poll::Ready(more) = Pin::new(&mut self.stream)
-            .poll_write_vectored(&mut cx, &[IoSlice::new(&bytes[taken..])])
+        while let Poll::Ready(count) = Pin::new(&mut self.stream)
+            .poll_write_vectored(&mut cx, &[IoSlice::new(&bytes[written..])])
         {
-            taken += more.expect("takes some");
+            written += count.expect("accepts some bytes");
         }
-        taken
+        written
     }
 
-    /// Waits until what the upstream did last has come: some bytes, or the end.
-    fn arrives(&self, bytes: usize) {
+    /// Waits until this number of bytes from the upstream has arrived; 0 stands for its FIN.
+    fn wait_for_input(&self, bytes: usize) {
         let began = Instant::now();
         while !matches!(self.probe.peek(&mut [0; 64]), Ok(n) if n == bytes) {
             assert!(
                 began.elapsed() < Duration::from_secs(20),
-                "it does not arrive"
+                "the input did not arrive"
             );
             std::thread::yield_now();
         }
     }
 
-    /// What the upstream gets until the connection ends.
-    fn got(self) -> Vec<u8> {
+    /// Closes the connection and returns the bytes that the upstream received.
+    fn received(self) -> Vec<u8> {
         let Pair {
             stream,
             probe,
@@ -97,7 +97,7 @@
         } = self;
         drop((stream, probe));
         let mut got = Vec::new();
-        // What it has sent itself may turn the end into a reset.
+        // Unread bytes that the upstream sent may turn the close into a reset.
         let _ = upstream.read_to_end(&mut got);
         got
     }
@@ -107,119 +107,120 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("build a runtime");
     runtime.block_on(test);
 }
 
-fn refusal(written: io::Result<usize>) {
+fn assert_refused(written: io::Result<usize>) {
     assert_eq!(
-        written.expect_err("it was written").kind(),
+        written.expect_err("the write succeeded").kind(),
         io::ErrorKind::ConnectionAborted
     );
 }
 
 #[test]
-fn a_request_that_may_be_written_is_complete_with_its_last_byte() {
+fn permitted_request_is_complete_after_last_byte() {
     run(async {
         let mut pair = Pair::new();
         pair.request.begin(|_| Ok(()));
         assert_eq!(pair.request.progress(), Progress::Unwritten);
-        assert_eq!(pair.write(REQUEST).await.expect("written"), REQUEST.len());
+        assert_eq!(pair.write(REQUEST).await.expect("write"), REQUEST.len());
         assert_eq!(
             (pair.request.progress(), pair.request.refusal()),
             (Progress::Complete, None)
         );
-        assert_eq!(pair.got(), REQUEST);
+        assert_eq!(pair.received(), REQUEST);
     });
 }
 
 #[test]
-fn nothing_is_written_for_a_request_that_ended_after_it_was_handed_over() {
+fn nothing_is_written_for_a_request_already_ended() {
     run(async {
         for why in [WriteRefusal::Ended, WriteRefusal::DeadlineStale] {
             let mut pair = Pair::new();
-            let over = Rc::new(Cell::new(false));
-            let has_ended = over.clone();
+            let ended = Rc::new(Cell::new(false));
+            let has_ended = ended.clone();
             pair.request
                 .begin(move |_| if has_ended.get() { Err(why) } else { Ok(()) });
-            over.set(true);
-            refusal(pair.write(REQUEST).await);
+            ended.set(true);
+            assert_refused(pair.write(REQUEST).await);
             assert_eq!(
                 (pair.request.progress(), pair.request.refusal()),
                 (Progress::Unwritten, Some(why))
             );
-            assert_eq!(pair.got(), b"");
+            assert_eq!(pair.received(), b"");
         }
     });
 }
 
 #[test]
-fn bytes_that_lie_on_an_idle_connection_keep_a_request_off_it() {
+fn pending_input_prevents_reuse_of_idle_connection() {
     run(async {
         let mut pair = Pair::new();
-        // Carried one before: its answer was whole, and a second one comes late, unseen by the runtime.
+        // One request has been served on the connection; a late second response arrives, not yet seen by the runtime.
         pair.request.begin(|_| Ok(()));
-        pair.write(REQUEST).await.expect("written");
+        pair.write(REQUEST).await.expect("write");
         pair.request.begin(|_| Ok(()));
         pair.upstream
             .write_all(b"HTTP/1.1 200 OK\r\n")
-            .expect("writes");
-        pair.arrives(17);
-        refusal(pair.write(REQUEST).await);
+            .expect("write");
+        pair.wait_for_input(17);
+        assert_refused(pair.write(REQUEST).await);
         let seen = (pair.request.progress(), pair.request.refusal());
         assert_eq!(
             seen,
             (Progress::Unwritten, Some(WriteRefusal::UnsolicitedInput))
         );
-        assert_eq!(pair.got(), REQUEST, "the first request alone");
+        assert_eq!(pair.received(), REQUEST, "only the first request");
     });
 }
 
 #[test]
-fn an_end_that_lies_on_an_idle_connection_keeps_a_request_off_it() {
+fn pending_fin_prevents_reuse_of_idle_connection() {
     run(async {
         let mut pair = Pair::new();
         pair.request.begin(|_| Ok(()));
         pair.upstream
             .shutdown(Shutdown::Write)
-            .expect("ends its side");
-        pair.arrives(0);
-        refusal(pair.write(REQUEST).await);
+            .expect("shut down the write side");
+        pair.wait_for_input(0);
+        assert_refused(pair.write(REQUEST).await);
         let seen = (pair.request.progress(), pair.request.refusal());
         assert_eq!(
             seen,
             (Progress::Unwritten, Some(WriteRefusal::UnsolicitedInput))
         );
-        assert_eq!(pair.got(), b"");
+        assert_eq!(pair.received(), b"");
     });
 }
 
 #[test]
-fn a_reset_that_lies_on_an_idle_connection_keeps_a_request_off_it() {
+fn pending_reset_prevents_reuse_of_idle_connection() {
     run(async {
         let mut pair = Pair::new();
         pair.request.begin(|_| Ok(()));
         socket2::SockRef::from(&pair.upstream)
             .set_linger(Some(Duration::ZERO))
-            .expect("lingers not");
+            .expect("set linger");
         drop(std::mem::replace(
             &mut pair.upstream,
-            pair.probe.try_clone().expect("a handle"),
+            pair.probe.try_clone().expect("clone the socket"),
         ));
-        // Either look at it may find the error, which the system tells once; the end stays.
+        // Either read of the socket error may consume it, as the kernel reports it once; the end of the stream
+        // remains.
         while matches!(pair.probe.peek(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock) {
         }
-        refusal(pair.write(REQUEST).await);
+        assert_refused(pair.write(REQUEST).await);
         assert_eq!(pair.request.refusal(), Some(WriteRefusal::UnsolicitedInput));
     });
 }
 
 #[test]
-fn a_request_that_ends_half_written_is_not_finished() {
+fn partially_written_request_stops_when_it_ends() {
     run(async {
         let mut pair = Pair::new();
-        let over = Rc::new(Cell::new(false));
-        let has_ended = over.clone();
+        let ended = Rc::new(Cell::new(false));
+        let has_ended = ended.clone();
         pair.request.begin(move |_| {
             if has_ended.get() {
                 Err(WriteRefusal::Ended)
@@ -228,40 +229,40 @@
             }
         });
         let large = vec![b'x'; LARGE];
-        let taken = pair.fill(&large).await;
-        assert!(taken < LARGE);
+        let written = pair.write_until_full(&large).await;
+        assert!(written < LARGE);
         assert_eq!(pair.request.progress(), Progress::Partial);
-        over.set(true);
-        refusal(pair.write_now(&large[taken..]));
+        ended.set(true);
+        assert_refused(pair.write_now(&large[written..]));
         assert_eq!(
             (pair.request.progress(), pair.request.refusal()),
             (Progress::Partial, Some(WriteRefusal::Ended))
         );
-        assert_eq!(pair.got().len(), taken);
+        assert_eq!(pair.received().len(), written);
     });
 }
 
 #[test]
-fn an_answer_to_half_a_request_keeps_the_rest_back() {
+fn early_response_stops_the_rest_of_a_request() {
     run(async {
-        // Seen by a read before the next write, or lying there unread.
+        // The early response is either read before the next write, or still unread.
         for with_read in [true, false] {
             let mut pair = Pair::new();
             pair.request.begin(|_| Ok(()));
             let large = vec![b'x'; LARGE];
-            let taken = pair.fill(&large).await;
-            pair.upstream.write_all(b"early").expect("writes");
-            pair.arrives(5);
+            let written = pair.write_until_full(&large).await;
+            pair.upstream.write_all(b"early").expect("write");
+            pair.wait_for_input(5);
             if with_read {
                 let (mut bytes, mut got) = ([0; 5], 0);
                 while got < 5 {
                     let mut buffer = ReadBuf::new(&mut bytes[got..]);
                     let reads = poll_fn(|cx| Pin::new(&mut pair.stream).poll_read(cx, &mut buffer));
-                    reads.await.expect("reads");
+                    reads.await.expect("read");
                     got += buffer.filled().len();
                 }
             }
-            refusal(pair.write_now(&large[taken..]));
+            assert_refused(pair.write_now(&large[written..]));
             let seen = (pair.request.progress(), pair.request.refusal());
             assert_eq!(
                 seen,
--- a/balancer/proxy/tests/config.rs
+++ b/balancer/proxy/tests/config.rs
@@ -1,4 +1,4 @@
-//! What is read of the configuration, and what is said where it can't be used.
+//! Parsing of the configuration, and the errors for unusable ones.
 use balancer_proxy::config::Config;
 use balancer_proxy::Listing;
 
@@ -12,7 +12,7 @@
         "invariants":{"cold_from":0.2,"ramp_time":9000,"tip_multiple":3}}}"#;
 
 #[test]
-fn a_complete_configuration_is_read() {
+fn complete_configuration_is_parsed() {
     let c = Config::parse(GOOD.as_bytes()).unwrap();
     assert_eq!(
         (c.seed, c.sockets, c.deployment.dial_timeout),
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn errors_name_the_invalid_field() {
     let error = |from: &str, to: &str| {
         Config::parse(GOOD.replace(from, to).as_bytes())
             .err()
@@ -40,8 +40,8 @@
 }
 
 #[test]
-fn a_list_that_cannot_be_used_is_named_and_left_out() {
-    for (from, to, wanted) in [
+fn unusable_known_list_is_reported_and_ignored() {
+    for (from, to, expected) in [
         (
             r#""state":"active""#,
             r#""state":"odd""#,
@@ -55,11 +55,11 @@
             "invalid socket address",
         ),
     ] {
-        let read = Config::parse(GOOD.replace(from, to).as_bytes()).unwrap();
-        assert!(read.known.is_none());
-        let error = read.known_error.unwrap();
+        let config = Config::parse(GOOD.replace(from, to).as_bytes()).unwrap();
+        assert!(config.known.is_none());
+        let error = config.known_error.unwrap();
         assert!(
-            error.starts_with("known: ") && error.contains(wanted),
+            error.starts_with("known: ") && error.contains(expected),
             "{error}"
         );
     }
--- a/balancer/proxy/tests/connection_counts.rs
+++ b/balancer/proxy/tests/connection_counts.rs
@@ -6,14 +6,14 @@
 use connection_counts::ConnectionCounts;
 
 #[test]
-fn a_connection_counts_once_for_the_tenant_of_its_last_request() {
+fn connection_counts_once_for_its_last_tenant() {
     let counts = ConnectionCounts::new(2);
     let (first, second) = (counts.register(), counts.register());
     assert_eq!(counts.by_tenant(), [0, 0]);
     first.assign_to(0);
     first.assign_to(1);
     second.assign_to(1);
-    // A position outside the table changes nothing.
+    // A tenant index outside the table changes nothing.
     counts.register().assign_to(7);
     assert_eq!(counts.by_tenant(), [0, 2]);
     drop(first);
--- a/balancer/proxy/tests/discovery_watch/failures.rs
+++ b/balancer/proxy/tests/discovery_watch/failures.rs
@@ -1,118 +1,139 @@
-//! Calls that fail, or bring nothing for long.
+//! Calls that fail, or bring no change for long.
+use crate::harness::*;
 use crate::watch::Mode;
-use crate::world::*;
 use std::time::Duration;
 
-/// Whatever three calls met before, and whatever the next one meets: news is known within 6 s of the moment from which
-/// discovery has it and can be reached.
+/// Whatever the outcome of three earlier calls and of the next one, a change is known within 6 s of the moment from
+/// which discovery has it and is reachable.
 #[test]
-fn a_change_is_known_in_time_after_any_three_failures_and_one_timeout() {
+fn change_is_delivered_in_time_after_four_failures() {
     let mut latest = Duration::ZERO;
-    let each = || BAD.into_iter().chain([Manner::NoChange]);
-    for (mode, known) in MODES.into_iter().flat_map(|m| KNOWN.map(|k| (m, k))) {
-        for before in each().flat_map(|a| each().flat_map(move |b| each().map(move |c| [a, b, c])))
-        {
+    let each_behavior = || FAILING_BEHAVIORS.into_iter().chain([Behavior::NoChange]);
+    for (mode, known) in MODES
+        .into_iter()
+        .flat_map(|m| KNOWN_VERSIONS.map(|k| (m, k)))
+    {
+        for earlier in each_behavior().flat_map(|a| {
+            each_behavior().flat_map(move |b| each_behavior().map(move |c| [a, b, c]))
+        }) {
             for step in 0..12 {
-                let reached = ms(step * 430);
-                for then in [
-                    Manner::Unresponsive,
-                    Manner::NeverUp,
-                    Manner::Half,
-                    Manner::Trickles,
-                    Manner::Responds,
+                let reachable_at = ms(step * 430);
+                for next_behavior in [
+                    Behavior::Unresponsive,
+                    Behavior::NeverConnects,
+                    Behavior::PartialResponse,
+                    Behavior::Trickles,
+                    Behavior::Responds,
                 ] {
-                    // The first call after discovery can be reached again may still be one that falls silent.
-                    let first = std::cell::Cell::new(true);
-                    let manner = move |number: usize, now: Duration| match now < reached {
-                        true => before[number % 3],
-                        false if first.replace(false) => then,
-                        false => Manner::Responds,
+                    // The first call after discovery is reachable again may still time out.
+                    let is_first = std::cell::Cell::new(true);
+                    let behavior = move |number: usize, now: Duration| match now < reachable_at {
+                        true => earlier[number % 3],
+                        false if is_first.replace(false) => next_behavior,
+                        false => Behavior::Responds,
                     };
-                    let mut world = World::new(mode, known, manner);
-                    world.play(reached + DELIVERY_TIME);
-                    let delivered_at = world.delivered_at.unwrap_or(Duration::MAX);
+                    let mut harness = Harness::new(mode, known, behavior);
+                    harness.run_until(reachable_at + DELIVERY_TIME);
+                    let delivered_at = harness.delivered_at.unwrap_or(Duration::MAX);
                     assert!(
-                        delivered_at <= reached + DELIVERY_TIME,
-                        "{mode:?}, known {known:?}, {before:?}, reached at {reached:?}, then {then:?}: {delivered_at:?}"
+                        delivered_at <= reachable_at + DELIVERY_TIME,
+                        "{mode:?}, known {known:?}, {earlier:?}, reachable at {reachable_at:?}, then {next_behavior:?}: {delivered_at:?}"
+                    );
+                    latest = latest.max(delivered_at.saturating_sub(reachable_at));
+                    assert!(
+                        harness.max_open <= 2,
+                        "{} concurrent calls",
+                        harness.max_open
                     );
-                    latest = latest.max(delivered_at.saturating_sub(reached));
-                    assert!(world.max_open <= 2, "{} calls at once", world.max_open);
                 }
             }
         }
     }
-    // Some room is left under the bound.
+    // Leaves a margin below the bound.
     assert!(latest <= ms(5000), "{latest:?}");
 }
 
 #[test]
-fn three_silences_in_a_row_are_borne() {
-    for (mode, known) in MODES.into_iter().flat_map(|m| KNOWN.map(|k| (m, k))) {
-        for manner in [
-            Manner::Unresponsive,
-            Manner::NeverUp,
-            Manner::Half,
-            Manner::Trickles,
+fn change_is_delivered_in_time_after_three_timeouts() {
+    for (mode, known) in MODES
+        .into_iter()
+        .flat_map(|m| KNOWN_VERSIONS.map(|k| (m, k)))
+    {
+        for behavior in [
+            Behavior::Unresponsive,
+            Behavior::NeverConnects,
+            Behavior::PartialResponse,
+            Behavior::Trickles,
         ] {
-            let mut world = World::new(
-                mode,
-                known,
-                move |n, _| if n < 3 { manner } else { Manner::Responds },
-            );
-            world.play(DELIVERY_TIME);
-            let delivered_at = world.delivered_at.expect("known in time");
+            let mut harness = Harness::new(mode, known, move |n, _| {
+                if n < 3 {
+                    behavior
+                } else {
+                    Behavior::Responds
+                }
+            });
+            harness.run_until(DELIVERY_TIME);
+            let delivered_at = harness.delivered_at.expect("change delivered in time");
             assert!(
                 delivered_at <= ms(4800),
-                "{mode:?}, known {known:?}, {manner:?}: {delivered_at:?}"
+                "{mode:?}, known {known:?}, {behavior:?}: {delivered_at:?}"
             );
         }
     }
 }
 
-/// Three silences after a pause of any length that the module may choose.
+/// The watch ends its pause after a failure by itself: here the module does not subscribe again in time, and two of
+/// the next calls time out.
 #[test]
-fn the_pause_ends_whether_or_not_the_module_asks() {
-    for (mode, known) in MODES.into_iter().flat_map(|m| KNOWN.map(|k| (m, k))) {
-        let mut world = World::new(mode, known, |n, _| match n {
-            0 => Manner::Refuses,
-            1 | 2 => Manner::Unresponsive,
-            _ => Manner::Responds,
+fn backoff_ends_even_without_a_new_subscription() {
+    for (mode, known) in MODES
+        .into_iter()
+        .flat_map(|m| KNOWN_VERSIONS.map(|k| (m, k)))
+    {
+        let mut harness = Harness::new(mode, known, |n, _| match n {
+            0 => Behavior::Refuses,
+            1 | 2 => Behavior::Unresponsive,
+            _ => Behavior::Responds,
         });
-        world.play(DELIVERY_TIME);
-        let delivered_at = world.delivered_at.expect("known in time");
+        harness.run_until(DELIVERY_TIME);
+        let delivered_at = harness.delivered_at.expect("change delivered in time");
         assert!(
             delivered_at <= ms(5500),
             "{mode:?}, known {known:?}: {delivered_at:?}"
         );
-        assert_eq!(world.failures, 1, "a silence is no failure");
+        assert_eq!(harness.failures, 1, "a timeout is not a failure");
     }
 }
 
 #[test]
-fn an_answer_that_never_ends_is_given_up() {
-    let mut world = World::new(Mode::Pushed, Some(1), |n, _| {
+fn endless_response_is_abandoned() {
+    let mut harness = Harness::new(Mode::Pushed, Some(1), |n, _| {
         if n == 0 {
-            Manner::Trickles
+            Behavior::Trickles
         } else {
-            Manner::NoChange
+            Behavior::NoChange
         }
     });
-    world.play(ms(29_900));
-    assert_eq!(world.open.len(), 2, "it may still come");
-    world.play(ms(30_500));
-    assert_eq!(world.open.len(), 1, "it came for half a minute");
+    harness.run_until(ms(29_900));
+    assert_eq!(harness.open.len(), 2, "the response may still arrive");
+    harness.run_until(ms(30_500));
+    assert_eq!(
+        harness.open.len(),
+        1,
+        "the response is abandoned after 30 s"
+    );
 }
 
 #[test]
-fn an_outage_costs_no_flood_of_calls() {
-    for manner in BAD {
-        let mut world = World::new(Mode::OnRequest, Some(1), move |_, _| manner);
-        world.play(ms(60_000));
-        // No more than a watch that stands costs, a call a second.
+fn outage_does_not_flood_discovery_with_calls() {
+    for behavior in FAILING_BEHAVIORS {
+        let mut harness = Harness::new(Mode::OnRequest, Some(1), move |_, _| behavior);
+        harness.run_until(ms(60_000));
+        // No more calls than an idle long-polling watch makes, one a second.
         assert!(
-            world.calls.len() <= 61,
-            "{manner:?}: {} calls in a minute",
-            world.calls.len()
+            harness.calls.len() <= 61,
+            "{behavior:?}: {} calls in a minute",
+            harness.calls.len()
         );
     }
 }
--- a/balancer/proxy/tests/discovery_watch/responses.rs
+++ b/balancer/proxy/tests/discovery_watch/responses.rs
@@ -1,44 +1,50 @@
-//! Lists that come, addresses that change, and who asks for them.
+//! Lists that arrive, address changes, and subscriptions.
+use crate::harness::*;
 use crate::watch::{Action, Event, ListUpdate, Mode, Watch, LONG_POLL_TIMEOUT};
-use crate::world::*;
 use std::time::{Duration, Instant};
 
-/// The same after SIGHUP.
+/// As [`DELIVERY_TIME`], after SIGHUP with a new address.
 const DELIVERY_TIME_AFTER_MOVE: Duration = Duration::from_secs(4);
 
 #[test]
-fn a_list_that_takes_long_but_keeps_coming_is_taken() {
-    for (mode, known) in MODES.into_iter().flat_map(|m| KNOWN.map(|k| (m, k))) {
-        let mut world = World::new(mode, known, |_, _| Manner::Slow);
-        world.play(ms(30_000));
+fn slow_but_progressing_list_is_accepted() {
+    for (mode, known) in MODES
+        .into_iter()
+        .flat_map(|m| KNOWN_VERSIONS.map(|k| (m, k)))
+    {
+        let mut harness = Harness::new(mode, known, |_, _| Behavior::Slow);
+        harness.run_until(ms(30_000));
         assert_eq!(
-            world.delivered_at,
+            harness.delivered_at,
             Some(ms(4000)),
             "{mode:?}, known {known:?}"
         );
-        assert!(world.calls.len() <= 4, "{} calls", world.calls.len());
+        assert!(harness.calls.len() <= 4, "{} calls", harness.calls.len());
     }
 }
 
-/// A discovery that does not wait with its answers is not asked as often as it answers; what is new is taken at once.
+/// Discovery that responds without waiting is not called as often as it responds; a change is delivered at once.
 #[test]
-fn unchanged_responses_that_come_at_once_cost_no_flood_of_calls() {
-    for (mode, known) in MODES.into_iter().flat_map(|m| KNOWN.map(|k| (m, k))) {
-        let mut world = World::new(mode, known, |n, _| {
+fn immediate_unchanged_responses_do_not_cause_a_flood() {
+    for (mode, known) in MODES
+        .into_iter()
+        .flat_map(|m| KNOWN_VERSIONS.map(|k| (m, k)))
+    {
+        let mut harness = Harness::new(mode, known, |n, _| {
             if n < 30 {
-                Manner::NoChangeAtOnce
+                Behavior::NoChangeImmediately
             } else {
-                Manner::Responds
+                Behavior::Responds
             }
         });
-        world.play(DELIVERY_TIME);
-        let delivered_at = world.delivered_at.expect("known in time");
+        harness.run_until(DELIVERY_TIME);
+        let delivered_at = harness.delivered_at.expect("change delivered in time");
         assert!(
             delivered_at >= ms(2800),
             "{mode:?}, known {known:?}: 30 calls in {delivered_at:?}"
         );
-        // All 30 were answered 2 ms after they began.
-        let gaps: Vec<_> = world.calls[..=30]
+        // All 30 calls were answered 2 ms after they began.
+        let gaps: Vec<_> = harness.calls[..=30]
             .windows(2)
             .map(|pair| pair[1] - pair[0])
             .collect();
@@ -50,37 +56,40 @@
 }
 
 #[test]
-fn a_new_address_is_called_at_once_in_every_state() {
-    for (mode, known) in MODES.into_iter().flat_map(|m| KNOWN.map(|k| (m, k))) {
-        for before in BAD {
+fn new_address_is_called_immediately_in_every_state() {
+    for (mode, known) in MODES
+        .into_iter()
+        .flat_map(|m| KNOWN_VERSIONS.map(|k| (m, k)))
+    {
+        for earlier in FAILING_BEHAVIORS {
             for step in 0..20 {
-                let moved = ms(1000 + step * 170);
-                // At the new address two calls fall silent.
-                let silences = std::cell::Cell::new(0);
-                let manner = move |_: usize, now: Duration| match now < moved {
-                    true => before,
-                    false if silences.replace(silences.get() + 1) < 2 => Manner::Unresponsive,
-                    false => Manner::Responds,
+                let moved_at = ms(1000 + step * 170);
+                // Two calls at the new address time out.
+                let timeouts = std::cell::Cell::new(0);
+                let behavior = move |_: usize, now: Duration| match now < moved_at {
+                    true => earlier,
+                    false if timeouts.replace(timeouts.get() + 1) < 2 => Behavior::Unresponsive,
+                    false => Behavior::Responds,
                 };
-                let mut world = World::new(mode, known, manner);
-                world.play(moved);
-                world.now = moved;
-                let calls = world.calls.len();
-                world.handle(Event::AddressChanged);
+                let mut harness = Harness::new(mode, known, behavior);
+                harness.run_until(moved_at);
+                harness.now = moved_at;
+                let calls = harness.calls.len();
+                harness.handle(Event::AddressChanged);
                 assert_eq!(
-                    world.calls.len(),
+                    harness.calls.len(),
                     calls + 1,
-                    "{mode:?}, {before:?} at {moved:?}: asked at once"
+                    "{mode:?}, {earlier:?} at {moved_at:?}: called at once"
                 );
                 assert_eq!(
-                    world.open.len(),
+                    harness.open.len(),
                     1,
-                    "{mode:?}, {before:?}: the old address is left"
+                    "{mode:?}, {earlier:?}: the call to the old address is abandoned"
                 );
-                world.play(moved + DELIVERY_TIME_AFTER_MOVE);
+                harness.run_until(moved_at + DELIVERY_TIME_AFTER_MOVE);
                 assert!(
-                    world.delivered_at.is_some(),
-                    "{mode:?}, known {known:?}, {before:?}, moved at {moved:?}"
+                    harness.delivered_at.is_some(),
+                    "{mode:?}, known {known:?}, {earlier:?}, moved at {moved_at:?}"
                 );
             }
         }
@@ -97,12 +106,12 @@
     assert_eq!((actions, watch.next_timeout()), (Vec::new(), None));
 }
 
-/// A subscription that comes while the watch stands is answered by it, and once only.
+/// A subscription during a pending call is answered by that call, once.
 #[test]
-fn the_first_answer_is_handed_on_and_then_only_changes() {
+fn first_response_is_delivered_then_only_changes() {
     let mut watch = Watch::new(Mode::OnRequest, Some(1));
     let mut now = Instant::now();
-    let nothing = ListUpdate {
+    let no_change = ListUpdate {
         version: 1,
         full: false,
         changes: false,
@@ -115,7 +124,7 @@
         };
         actions.clear();
         now += LONG_POLL_TIMEOUT;
-        watch.handle_event(now, Event::Answered(id, nothing), &mut actions);
+        watch.handle_event(now, Event::Answered(id, no_change), &mut actions);
         assert_eq!(actions[0] == Action::Deliver, delivered);
     }
     let Some(&Action::Call { id, .. }) = actions.last() else {
@@ -123,18 +132,18 @@
     };
     actions.clear();
     watch.handle_event(now, Event::Subscribed, &mut actions);
-    assert_eq!(actions, [], "the call that stands answers it");
+    assert_eq!(actions, [], "the pending call answers it");
     watch.handle_event(
         now + LONG_POLL_TIMEOUT,
-        Event::Answered(id, nothing),
+        Event::Answered(id, no_change),
         &mut actions,
     );
     assert_eq!(actions[0], Action::Deliver);
 }
 
-/// An overdue answer that is older than what came meanwhile changes nothing and is no failure.
+/// An overdue response that is older than a list received meanwhile changes nothing and is not a failure.
 #[test]
-fn an_overdue_answer_never_goes_back() {
+fn overdue_response_never_reverts_to_older_version() {
     let mut watch = Watch::new(Mode::Pushed, Some(1));
     let (start, mut actions) = (Instant::now(), Vec::new());
     watch.handle_start(start, &mut actions);
--- a/balancer/proxy/tests/load_report.rs
+++ b/balancer/proxy/tests/load_report.rs
@@ -1,4 +1,4 @@
-//! The load that an answer reports, and what is none.
+//! Parsing of the load reports in responses.
 #[path = "../src/upstreams/load_report.rs"]
 mod load_report;
 
@@ -6,7 +6,7 @@
 use load_report::{reported, IN_FLIGHT_FIELD, SERVED_PER_S_FIELD};
 
 #[test]
-fn load_reports_are_read_and_what_cannot_be_read_is_no_report() {
+fn load_reports_are_parsed_and_invalid_ones_ignored() {
     let report = |report: &'static str| {
         HeaderMap::from_iter([(
             HeaderName::from_static("srv-load"),
--- a/balancer/proxy/tests/message.rs
+++ b/balancer/proxy/tests/message.rs
@@ -1,4 +1,4 @@
-//! What the balancer makes of a request that it sends on.
+//! The requests that the balancer forwards.
 #[allow(dead_code)]
 #[path = "../src/message.rs"]
 mod message;
@@ -10,7 +10,7 @@
 use std::cell::Cell;
 
 #[test]
-fn attempts_of_a_client_share_a_tie_by_their_key_alone() {
+fn attempts_share_a_tie_breaker_by_key_alone() {
     let tie_breaker = |key: Option<&'static str>, id: &'static str| {
         let named = [("req-id", Some(id)), ("idempotency-key", key)].into_iter();
         let headers = named.filter_map(|(name, value)| {
--- a/balancer/proxy/tests/options.rs
+++ b/balancer/proxy/tests/options.rs
@@ -1,4 +1,4 @@
-//! An operator's options: which source goes first, and what is said of those that can't be used.
+//! Options: the precedence of their sources, and the errors for unusable ones.
 use balancer_proxy::options::{load, Level, Loaded, Options, Source};
 use std::path::Path;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn without_options_all_is_as_the_defaults_say() {
+fn defaults_apply_without_options() {
     let loaded = load(None, std::iter::empty(), &[]).expect("defaults");
     assert_eq!(loaded.options, Options::default());
     let named = read("", &[], &[]).expect("defaults");
@@ -27,13 +27,13 @@
 }
 
 #[test]
-fn a_later_source_goes_before_an_earlier_one_and_is_named() {
+fn later_source_overrides_earlier_and_is_reported() {
     let file = "version = 1\n[log]\nlevel = \"warn\"\nrate = 5\nparts = { discovery = \"debug\" }\n[figures]\nevery = \"250ms\"\n";
     let variables = [
         ("BALANCER_OPTION_LOG_LEVEL", "error"),
         ("BALANCER_OPTION_LOG_PARTS_MODULE", "off"),
     ];
-    let loaded = read(file, &variables, &["log.level=debug"]).expect("good");
+    let loaded = read(file, &variables, &["log.level=debug"]).expect("valid input");
     assert_eq!(loaded.options.log.level, Level::Debug);
     assert_eq!(loaded.options.metrics.interval, Duration::from_millis(250));
     assert_eq!(loaded.options.log.targets.len(), 2);
@@ -51,8 +51,8 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of inputs and their errors")]
-fn an_error_is_one_line_with_its_position_and_key() {
-    for (text, wanted) in [
+fn error_is_one_line_with_position_and_key() {
+    for (text, expected) in [
         (
             "[log]\nlevle = \"info\"\n",
             "o.toml:2: log.levle: unknown; the nearest known key is log.level",
@@ -107,7 +107,7 @@
     ] {
         let error = read(text, &[], &[]).expect_err(text);
         assert!(
-            error.contains(wanted) && !error.contains('\n'),
+            error.contains(expected) && !error.contains('\n'),
             "{text:?}: {error}"
         );
     }
@@ -120,10 +120,10 @@
 }
 
 #[test]
-fn only_what_may_change_follows_a_running_program() {
+fn only_reloadable_options_change_in_a_running_program() {
     let before = Options::default();
     let follows = |text: &str| {
-        let loaded = read(text, &[], &[]).expect("good");
+        let loaded = read(text, &[], &[]).expect("valid input");
         loaded
             .check_follows(&before)
             .map_err(|error| error.to_string())
@@ -142,15 +142,16 @@
 }
 
 #[test]
-fn variables_under_the_earlier_prefix_are_read_and_named_as_deprecated() {
+fn variables_with_earlier_prefix_are_reported_as_deprecated() {
     let old = ("HERONDOCK_LOG_LEVEL", "error");
-    let loaded = read("", &[old], &[]).expect("good");
+    let loaded = read("", &[old], &[]).expect("valid input");
     assert_eq!(loaded.options.log.level, Level::Error);
     assert_eq!(loaded.deprecated, ["HERONDOCK_LOG_LEVEL"]);
 
-    let loaded = read("", &[old, ("BALANCER_OPTION_LOG_LEVEL", "debug")], &[]).expect("good");
+    let loaded =
+        read("", &[old, ("BALANCER_OPTION_LOG_LEVEL", "debug")], &[]).expect("valid input");
     assert_eq!(loaded.options.log.level, Level::Debug);
 
-    let loaded = read("", &[("BALANCER_OPTION_LOG_LEVEL", "debug")], &[]).expect("good");
+    let loaded = read("", &[("BALANCER_OPTION_LOG_LEVEL", "debug")], &[]).expect("valid input");
     assert!(loaded.deprecated.is_empty());
 }
--- a/balancer/proxy/tests/peers_addresses.rs
+++ b/balancer/proxy/tests/peers_addresses.rs
@@ -1,4 +1,4 @@
-//! The addresses of the tier's replicas as the configuration states them, and what is said of those that can't be used.
+//! Parsing of the replica addresses in the configuration, and the errors for unusable ones.
 #[allow(dead_code)]
 #[path = "../src/peers/addresses.rs"]
 mod addresses;
@@ -8,15 +8,12 @@
 use serde_json::{json, Value};
 
 #[test]
-fn what_is_wrong_with_addresses_is_named_with_its_field() {
-    let read = |listen: Value, peers: Value| UnparsedAddresses { listen, peers }.parse(2);
+fn address_errors_name_the_field() {
+    let parse = |listen: Value, peers: Value| UnparsedAddresses { listen, peers }.parse(2);
     let (good, two) = (json!("127.0.0.1:0"), json!(["127.0.0.1:7", "127.0.0.2:7"]));
-    let read_well = read(good.clone(), two.clone()).expect("good");
-    assert_eq!(
-        read_well.senders().get(&read_well.peers[1]),
-        Some(&Member(1))
-    );
-    for (listen, peers, wanted) in [
+    let parsed = parse(good.clone(), two.clone()).expect("valid input");
+    assert_eq!(parsed.senders().get(&parsed.peers[1]), Some(&Member(1)));
+    for (listen, peers, expected) in [
         (Value::Null, two.clone(), "peer_listen: missing"),
         (
             json!("[::1]:7"),
@@ -46,7 +43,7 @@
             "peers[1]: 127.0.0.1:7 is peers[0] already",
         ),
     ] {
-        let error = read(listen, peers).map_err(|error| error.to_string());
-        assert_eq!(error, Err(wanted.into()));
+        let error = parse(listen, peers).map_err(|error| error.to_string());
+        assert_eq!(error, Err(expected.into()));
     }
 }
--- a/balancer/proxy/tests/peers_observations.rs
+++ b/balancer/proxy/tests/peers_observations.rs
@@ -1,9 +1,9 @@
-//! What the decisions learn from the tier's other replicas, by what the operator has switched off.
+//! What decisions take from the observations of other replicas, by the options that are disabled.
 use balancer_core::TierUpdate;
 use balancer_gossip as peers;
 use balancer_proxy::{options::PeerOptions, tier_update};
 
-/// All that a tier can know.
+/// A tier state with every part present.
 fn complete_state() -> peers::TierState {
     let tenants = vec![peers::TenantLoad {
         demand: 5.0,
@@ -43,9 +43,9 @@
 }
 
 #[test]
-fn what_is_switched_off_is_not_used() {
+fn disabled_observations_are_not_used() {
     let complete = complete_state();
-    let hears = |shed, shares, trials, verdicts| {
+    let used_with = |shed, shares, trials, verdicts| {
         let may = PeerOptions {
             on: true,
             max_version: 2,
@@ -73,16 +73,16 @@
         (up, position, load, evidence.len())
     };
     assert_eq!(
-        hears(true, true, true, true),
+        used_with(true, true, true, true),
         (4, 3, Some((10.0, 1.0, 5.0, 6.0)), 1)
     );
     assert_eq!(
-        hears(true, false, false, true),
+        used_with(true, false, false, true),
         (1, 0, Some((10.0, 1.0, 5.0, 0.0)), 1)
     );
     assert_eq!(
-        hears(false, true, true, false),
+        used_with(false, true, true, false),
         (4, 3, Some((10.0, 0.0, 0.0, 6.0)), 0)
     );
-    assert_eq!(hears(false, false, false, false), (1, 0, None, 0));
+    assert_eq!(used_with(false, false, false, false), (1, 0, None, 0));
 }
