--- a/balancer/proxy/tests/attempts.rs
+++ b/balancer/proxy/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts on real sockets: what may be written, what counts as an answer, and what an upstream's trouble leaves of a
-//! request. Each test brings about one bad order of events.
+//! Attempts on real sockets: when a request may be written, what counts as a response, and how a request ends when its
+//! upstream fails. Each test produces one unfavourable order of events.
 mod common;
 use common::raw::{RawConnection, RawUpstream};
 use common::{
@@ -10,8 +10,9 @@
 
 const READY: &str = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// A balancer with one upstream that does not come up yet, and whose attempts go on without their client.
-fn dialling() -> (Node, Unreachable) {
+/// A balancer with one upstream that does not accept connections yet. Attempts are not cancelled when their client
+/// disconnects.
+fn node_with_pending_dial() -> (Node, Unreachable) {
     let unreachable = Unreachable::start();
     let discovery = Discovery::start();
     let config = config(
@@ -22,30 +23,31 @@
     .replace("\"idle_close\"", "\"dial_timeout\":20000,\"idle_close\"")
     .replace("\"cancel\":true", "\"cancel\":false");
     let node = Node::run(command(&config), discovery);
-    node.discovery.called();
+    node.discovery.next_call_path();
     (node, unreachable)
 }
 
 #[test]
-fn a_client_that_left_in_the_very_turn_in_which_a_dial_ended_gets_no_attempt() {
-    let (node, unreachable) = dialling();
-    let without = node.descriptors();
+fn connection_completing_with_client_disconnect_carries_no_request() {
+    let (node, unreachable) = node_with_pending_dial();
+    let baseline = node.descriptors();
     let mut client = node.client();
     client.send(&pay("r1", "20000m"));
-    node.holds(|n| n >= without + 2, "it does not dial");
-    // Both wait for it when it goes on, the connection first.
+    node.wait_for_descriptors(|n| n >= baseline + 2, "the balancer does not dial");
+    // Both events are pending when the process resumes, the connection first.
     node.pause();
-    let mut upstream = unreachable.reach();
+    let mut upstream = unreachable.start_accepting();
     client.disconnect();
     node.resume();
-    assert!(read(&mut upstream).is_none(), "something was written");
+    assert!(read(&mut upstream).is_none(), "a request was written");
 }
 
-/// The next request on any of these connections, and that connection; those that ended are let go.
+/// Waits for the next request on any of these connections and returns it with its connection. Closed connections are
+/// dropped.
 fn next_request(open: &mut Vec<RawConnection>) -> (Message, RawConnection) {
     let began = Instant::now();
     loop {
-        assert!(began.elapsed() < TEST_TIMEOUT, "nothing comes");
+        assert!(began.elapsed() < TEST_TIMEOUT, "no request arrived");
         if let Some(at) = open.iter().position(RawConnection::has_input) {
             let mut connection = open.swap_remove(at);
             if let Some(request) = connection.request() {
@@ -57,23 +59,24 @@
 }
 
 #[test]
-fn a_client_that_left_with_the_end_of_one_attempt_gets_no_other() {
+fn failed_attempt_is_not_retried_after_client_disconnects() {
     let upstreams = [RawUpstream::start(), RawUpstream::start()];
-    let node = Node::with(&[upstreams[0].addr, upstreams[1].addr]);
+    let node = Node::with_upstreams(&[upstreams[0].addr, upstreams[1].addr]);
     let mut clients = [node.client(), node.client()];
-    // An idle connection to each, so that the second attempt would need no dial: the first is held until the other is up.
+    // An idle connection to each upstream, so that the second attempt needs no dial: the first request is held until
+    // the other connection is up.
     clients[0].send(&get("w0", "20000m"));
     clients[1].send(&get("w1", "20000m"));
     let mut connections = [upstreams[0].accept(), upstreams[1].accept()];
     for connection in &mut connections {
         connection.request().expect("a request");
-        connection.answer("warm");
+        connection.respond("warm");
     }
-    let [mut disconnecting, mut staying] = clients;
+    let [mut disconnecting, mut remaining] = clients;
     assert_eq!(
         (
-            disconnecting.answer().expect("an answer").status(),
-            staying.answer().expect("one").status()
+            disconnecting.read_response().expect("a response").status(),
+            remaining.read_response().expect("a response").status()
         ),
         (200, 200)
     );
@@ -86,73 +89,78 @@
     disconnecting.disconnect();
     node.resume();
     open.push(pending);
-    // Whatever is written for the one that left is written before what comes later.
-    staying.send(&get("next", "20000m"));
+    // Anything written for the disconnected client would be written before the next request.
+    remaining.send(&get("next", "20000m"));
     let (request, mut connection) = next_request(&mut open);
     assert_eq!(request.header("req-id"), Some("next"));
-    connection.answer("x");
-    assert_eq!(staying.answer().expect("an answer").status(), 200);
+    connection.respond("x");
+    assert_eq!(remaining.read_response().expect("a response").status(), 200);
     let has_request = |mut other: RawConnection| other.has_input() && other.request().is_some();
     assert!(
         !open.into_iter().any(has_request),
-        "the one that left has another attempt"
+        "the disconnected client has another attempt"
     );
 }
 
-/// What an upstream does after it has written its part of an answer.
+/// What an upstream does after it has written its part of a response.
 #[derive(Clone, Copy, Debug)]
-enum After {
-    End,
+enum AfterWrite {
+    Close,
     Reset,
-    NoResponse,
+    KeepOpen,
 }
 
-/// Has one request answered with `text`, whatever follows, and returns what the client got.
-fn answered_with(text: &str, then: After, deadline: &str) -> Message {
+/// Sends one request, has the upstream write `text` and then act as `then` says, and returns the response that the
+/// client got.
+fn response_to(text: &str, then: AfterWrite, deadline: &str) -> Message {
     let upstream = RawUpstream::start();
-    let node = Node::with(&[upstream.addr]);
+    let node = Node::with_upstreams(&[upstream.addr]);
     let mut client = node.client();
     client.send(&pay("r1", deadline));
     let mut connection = upstream.accept();
     connection.request().expect("a request");
     connection.write(text);
-    let answer = match then {
-        After::End => {
+    let response = match then {
+        AfterWrite::Close => {
             drop(connection);
-            client.answer()
+            client.read_response()
         }
-        After::Reset => {
+        AfterWrite::Reset => {
             connection.reset();
-            client.answer()
+            client.read_response()
         }
-        After::NoResponse => {
-            let answer = client.answer();
-            assert!(connection.ended().is_empty(), "more than the one request");
-            answer
+        AfterWrite::KeepOpen => {
+            let response = client.read_response();
+            assert!(
+                connection.read_until_closed().is_empty(),
+                "more than one request arrived"
+            );
+            response
         }
     };
-    // It may have run, and there is one answer: the next on the connection is the next request's.
+    // The request may have been executed, and there is one response: the next one on the connection belongs to the
+    // next request.
     assert_eq!(client.call(READY).status(), 200);
-    answer.expect("a final answer")
+    response.expect("a final response")
 }
 
 #[test]
-fn a_response_without_a_length_is_complete_at_its_end_and_broken_by_a_reset() {
+fn unsized_response_is_complete_at_close_not_reset() {
     let text = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nthe answer";
-    let complete = answered_with(text, After::End, "20000m");
+    let complete = response_to(text, AfterWrite::Close, "20000m");
     assert_eq!(
         (complete.status(), complete.body.as_slice()),
         (200, &b"the answer"[..])
     );
-    assert_eq!(answered_with(text, After::Reset, "20000m").status(), 502);
-    // The same where it never said that it would close, and where nothing of the body came.
+    assert_eq!(response_to(text, AfterWrite::Reset, "20000m").status(), 502);
+    // The same for a response without `Connection: close`, with an empty body.
     let text = "HTTP/1.1 200 OK\r\n\r\n";
-    assert_eq!(answered_with(text, After::End, "20000m").status(), 200);
-    assert_eq!(answered_with(text, After::Reset, "20000m").status(), 502);
+    assert_eq!(response_to(text, AfterWrite::Close, "20000m").status(), 200);
+    assert_eq!(response_to(text, AfterWrite::Reset, "20000m").status(), 502);
 }
 
 #[test]
-fn a_broken_answer_is_a_failed_attempt_and_never_passed_on() {
+fn malformed_or_truncated_response_fails_the_attempt() {
     let long = "x".repeat((64 << 10) + 1);
     let long = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{long}",
@@ -179,17 +187,17 @@
         &chunks,
         &head,
     ] {
-        for then in [After::End, After::Reset] {
-            assert_eq!(answered_with(text, then, "20000m").status(), 502, "{then:?} after {:.80}", text);
+        for then in [AfterWrite::Close, AfterWrite::Reset] {
+            assert_eq!(response_to(text, then, "20000m").status(), 502, "{then:?} after {:.80}", text);
         }
     }
 }
 
 #[test]
-fn an_answer_after_an_interim_one_is_the_answer() {
+fn interim_responses_are_skipped() {
     let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
     let text = format!("{interim}HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody");
-    let complete = answered_with(&text, After::End, "20000m");
+    let complete = response_to(&text, AfterWrite::Close, "20000m");
     assert_eq!(
         (complete.status(), complete.body.as_slice()),
         (200, &b"body"[..])
@@ -197,7 +205,7 @@
 }
 
 #[test]
-fn an_answer_that_stops_midway_costs_no_more_than_the_time_of_its_request() {
+fn stalled_response_is_limited_by_the_request_deadline() {
     for text in [
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
         "HTTP/1.1 200 OK\r\n\r\nhalf",
@@ -206,7 +214,7 @@
         "HTTP/1.1 200 OK\r\nX: ",
     ] {
         assert_eq!(
-            answered_with(text, After::NoResponse, "300m").status(),
+            response_to(text, AfterWrite::KeepOpen, "300m").status(),
             502,
             "{text}"
         );
@@ -214,7 +222,7 @@
 }
 
 #[test]
-fn an_answer_that_never_ends_is_given_up_in_time() {
+fn endless_response_is_aborted_at_the_deadline() {
     for (head, more) in [
         (
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -225,31 +233,31 @@
         ("", "HTTP/1.1 102 Processing\r\n\r\n"),
     ] {
         let upstream = RawUpstream::start();
-        let node = Node::with(&[upstream.addr]);
+        let node = Node::with_upstreams(&[upstream.addr]);
         let mut client = node.client();
         client.send(&pay("r1", "300m"));
         let mut connection = upstream.accept();
         connection.request().expect("a request");
         connection.write(head);
-        // As fast as it is read, until the balancer ends the connection.
+        // Writes as fast as the balancer reads, until the balancer closes the connection.
         let writer = std::thread::spawn(move || while connection.try_write(more) {});
         assert_eq!(
-            client.answer().expect("a final answer").status(),
+            client.read_response().expect("a final response").status(),
             502,
             "{more}"
         );
-        writer.join().expect("it ends");
+        writer.join().expect("exits");
         assert_eq!(client.call(READY).status(), 200);
     }
 }
 
 #[test]
-fn a_second_answer_spoils_its_connection_and_answers_nobody() {
+fn unsolicited_second_response_closes_the_upstream_connection() {
     let upstream = RawUpstream::start();
-    let node = Node::with(&[upstream.addr]);
+    let node = Node::with_upstreams(&[upstream.addr]);
     let mut client = node.client();
     let second = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond";
-    // With the first one, after it, and in part.
+    // Together with the first response, after it, and in part.
     for (with, after) in [
         (second, ""),
         ("", second),
@@ -263,16 +271,19 @@
         connection.write(&format!(
             "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst{with}"
         ));
-        assert_eq!(client.answer().expect("an answer").body, b"first");
+        assert_eq!(client.read_response().expect("a response").body, b"first");
         connection.write(after);
-        assert!(connection.ended().is_empty(), "another request came");
+        assert!(
+            connection.read_until_closed().is_empty(),
+            "another request arrived"
+        );
     }
 }
 
 #[test]
-fn no_request_follows_an_answer_so_soon_that_a_late_second_one_could_be_its_own() {
+fn connection_reuse_waits_for_late_second_responses() {
     let upstream = RawUpstream::start();
-    let node = Node::with(&[upstream.addr]);
+    let node = Node::with_upstreams(&[upstream.addr]);
     let mut client = node.client();
     client.send(&pay("r", "20000m"));
     let mut connection = upstream.accept();
@@ -280,13 +291,13 @@
         connection
             .request()
             .expect("a request on the same connection");
-        // The balancer has it after this, so that it waits longer than is measured.
+        // Taken before the response is written, so the measured time is at least the wait of the balancer.
         let answered = Instant::now();
-        connection.answer("x");
-        client.answer().expect("an answer");
+        connection.respond("x");
+        client.read_response().expect("a response");
         client.send(&pay("r", "20000m"));
         while !connection.has_input() {
-            assert!(answered.elapsed() < TEST_TIMEOUT, "nothing comes");
+            assert!(answered.elapsed() < TEST_TIMEOUT, "no request arrived");
             std::thread::yield_now();
         }
         let after = answered.elapsed();
@@ -294,65 +305,65 @@
     }
 }
 
-/// Has a second answer come while the next request is on its way. `None`: this machine was so slow that it came later than
-/// is guarded against, which shows nothing.
-fn second_answer_soon_after_the_first() -> Option<Message> {
+/// Sends a second response while the next request is on its way. Returns `None` when this machine was so slow that the
+/// second response came later than the balancer guards against, which is inconclusive.
+fn response_after_early_second_response() -> Option<Message> {
     let upstream = RawUpstream::start();
-    let node = Node::with(&[upstream.addr]);
+    let node = Node::with_upstreams(&[upstream.addr]);
     let mut client = node.client();
     client.send(&pay("r1", "20000m"));
     let mut connection = upstream.accept();
     connection.request().expect("a request");
     let answered = Instant::now();
-    connection.answer("first");
-    assert_eq!(client.answer().expect("an answer").body, b"first");
+    connection.respond("first");
+    assert_eq!(client.read_response().expect("a response").body, b"first");
     client.send(&pay("r2", "20000m"));
-    // Time enough for a balancer that doesn't wait.
+    // Long enough for a balancer that does not wait to write the request.
     std::thread::sleep(Duration::from_millis(3));
-    connection.answer("second");
+    connection.respond("second");
     if answered.elapsed() >= Duration::from_millis(10) {
         return None;
     }
     assert!(
-        connection.ended().is_empty(),
-        "a request came on a spoilt connection"
+        connection.read_until_closed().is_empty(),
+        "a request arrived on a connection with an unsolicited response"
     );
     let mut connection = upstream.accept();
     assert_eq!(
         connection.request().expect("a request").header("req-id"),
         Some("r2")
     );
-    connection.answer("own");
-    client.answer()
+    connection.respond("own");
+    client.read_response()
 }
 
 #[test]
-fn a_second_answer_some_milliseconds_late_answers_nobody() {
+fn second_response_milliseconds_late_reaches_no_client() {
     let began = Instant::now();
-    let mut shown = 0;
-    while shown < 5 {
+    let mut conclusive_runs = 0;
+    while conclusive_runs < 5 {
         assert!(
             began.elapsed() < TEST_TIMEOUT,
-            "this machine is too slow to show it"
+            "this machine is too slow: too few conclusive runs"
         );
-        if let Some(answer) = second_answer_soon_after_the_first() {
-            assert_eq!(answer.body, b"own");
-            shown += 1;
+        if let Some(response) = response_after_early_second_response() {
+            assert_eq!(response.body, b"own");
+            conclusive_runs += 1;
         }
     }
 }
 
 #[test]
-fn connections_that_fail_leave_no_descriptor_behind() {
+fn failed_connections_leave_no_open_descriptors() {
     let upstream = RawUpstream::start();
-    let node = Node::with(&[upstream.addr, refusing()]);
+    let node = Node::with_upstreams(&[upstream.addr, refusing()]);
     let mut client = node.client();
-    node.discovery.called();
+    node.discovery.next_call_path();
     assert_eq!(client.call(READY).status(), 200);
-    let without = node.descriptors();
+    let baseline = node.descriptors();
     std::thread::spawn(move || loop {
         let mut connection = upstream.accept();
-        // Some are ended before a request, some by a reset after it, some in the middle of an answer.
+        // Some connections are closed before a request, some reset after it, some in the middle of a response.
         for text in ["", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"] {
             if connection.request().is_some() {
                 connection.write(text);
@@ -365,5 +376,8 @@
         let status = client.call(&get(&format!("r{i}"), "300m")).status();
         assert!(status == 502 || status == 503, "{status}");
     }
-    node.holds(|n| n <= without, "failed connections are still held");
+    node.wait_for_descriptors(
+        |n| n <= baseline,
+        "descriptors of failed connections are still open",
+    );
 }
--- a/balancer/proxy/tests/bad_input/main.rs
+++ b/balancer/proxy/tests/bad_input/main.rs
@@ -1,5 +1,5 @@
-//! A running balancer and bad input: from its starter, after SIGHUP, from discovery and from clients. Nothing of it ends
-//! the balancer or changes what it knew.
+//! A running balancer and invalid input: at startup, on SIGHUP, from discovery and from clients. None of it stops the
+//! balancer or changes its state.
 #[path = "../common/mod.rs"]
 mod common;
 mod process;
--- a/balancer/proxy/tests/bad_input/process.rs
+++ b/balancer/proxy/tests/bad_input/process.rs
@@ -1,16 +1,19 @@
-//! A balancer's process: its configuration, its end, and that it goes on.
+//! The balancer process: its configuration, its exit, and checks that it still works.
 use crate::common::*;
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 
-/// How a program ended that ends by itself: its status, and what it wrote to standard output and error.
-pub(crate) fn ended(mut command: Command) -> (Option<i32>, String, String) {
-    let out = command.stdout(Stdio::piped()).output().expect("runs");
-    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
+/// Runs a program that exits by itself. Returns its status, standard output and standard error.
+pub(crate) fn run_to_exit(mut command: Command) -> (Option<i32>, String, String) {
+    let out = command
+        .stdout(Stdio::piped())
+        .output()
+        .expect("run the program");
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8 text");
     (out.status.code(), text(out.stdout), text(out.stderr))
 }
 
-pub(crate) fn configuration_of(command: &Command) -> PathBuf {
+pub(crate) fn config_path(command: &Command) -> PathBuf {
     let path = command
         .get_envs()
         .find(|(name, _)| *name == "NODE_CONFIG")
@@ -18,12 +21,12 @@
     PathBuf::from(path.expect("a configuration"))
 }
 
-/// The configuration of a balancer whose discovery pushes: it is asked again soon after each failure.
-pub(crate) fn pushed(discovery: &Discovery, known: &str) -> String {
+/// A configuration in push mode, in which discovery is called again soon after each failure.
+pub(crate) fn push_mode_config(discovery: &Discovery, known: &str) -> String {
     config(discovery.addr, 1024, known).replace("on_request", "pushed")
 }
 
-pub(crate) fn serves(node: &Node, id: &str) {
+pub(crate) fn assert_serves(node: &Node, id: &str) {
     assert_eq!(
         node.client().call(&get(id, "5000m")).status(),
         200,
@@ -32,7 +35,7 @@
     );
 }
 
-pub(crate) fn never_panicked(node: &Node) {
+pub(crate) fn assert_no_panic(node: &Node) {
     assert!(
         !node.log().iter().any(|line| line.contains("panic")),
         "{:?}",
--- a/balancer/proxy/tests/bad_input/reloads.rs
+++ b/balancer/proxy/tests/bad_input/reloads.rs
@@ -1,4 +1,4 @@
-//! Configurations after SIGHUP, and lists of discovery.
+//! Invalid configurations on SIGHUP, and invalid lists from discovery.
 use crate::common::*;
 use crate::process::*;
 
@@ -7,7 +7,7 @@
     clippy::too_many_lines,
     reason = "a table of configurations and their errors"
 )]
-fn a_reload_of_an_invalid_configuration_changes_nothing() {
+fn reload_of_an_invalid_configuration_changes_nothing() {
     let upstream = Upstream::start(|_| ok("x"));
     let discovery = Discovery::start();
     let good = config(
@@ -17,65 +17,68 @@
     );
     let mut command = command(&good);
     command.args(["run", "--set", "log.rate=100000"]);
-    let path = configuration_of(&command);
+    let path = config_path(&command);
     let node = Node::run(command, discovery);
     let mut reloads = 0;
-    let mut refused = |write: &dyn Fn(), wanted: &str| {
+    let mut assert_rejected = |write: &dyn Fn(), expected: &str| {
         write();
-        node.hang_up();
+        node.send_sighup();
         reloads += 1;
-        node.logs_times("not reloaded: ", reloads);
+        node.wait_for_log_times("not reloaded: ", reloads);
         let log = node.log();
         let last = log
             .iter()
             .rfind(|l| l.contains("not reloaded: "))
             .expect("a line");
         assert!(
-            last.contains(wanted) && last.chars().count() < 500,
-            "wanted {wanted}: {last}"
+            last.contains(expected) && last.chars().count() < 500,
+            "expected {expected}: {last}"
         );
-        serves(&node, &format!("after-{reloads}"));
+        assert_serves(&node, &format!("after-{reloads}"));
     };
-    let written = |text: &[u8]| std::fs::write(&path, text).expect("writes");
+    let write_config = |text: &[u8]| std::fs::write(&path, text).expect("write");
     for part in 0..8 {
-        refused(
-            &|| written(&good.as_bytes()[..good.len() * part / 8]),
+        assert_rejected(
+            &|| write_config(&good.as_bytes()[..good.len() * part / 8]),
             "EOF",
         );
     }
-    refused(&|| written(&[good.as_bytes(), b"}"].concat()), "trailing");
-    refused(
-        &|| written(&[&good.as_bytes()[..10], b"\xff", &good.as_bytes()[10..]].concat()),
+    assert_rejected(
+        &|| write_config(&[good.as_bytes(), b"}"].concat()),
+        "trailing",
+    );
+    assert_rejected(
+        &|| write_config(&[&good.as_bytes()[..10], b"\xff", &good.as_bytes()[10..]].concat()),
         "name: invalid unicode",
     );
-    refused(
-        &|| written(&[&good.as_bytes()[..20], b"\xff", &good.as_bytes()[20..]].concat()),
+    assert_rejected(
+        &|| write_config(&[&good.as_bytes()[..20], b"\xff", &good.as_bytes()[20..]].concat()),
         ".json: invalid unicode",
     );
-    refused(
+    assert_rejected(
         &|| {
-            written(
+            write_config(
                 good.replace("\"deadline\":20000", "\"deadline\":1e300")
                     .as_bytes(),
             )
         },
         "classes[0].deadline",
     );
-    refused(
-        &|| written(good.replace("\"sockets\":1024", "\"sockets\":1").as_bytes()),
+    assert_rejected(
+        &|| write_config(good.replace("\"sockets\":1024", "\"sockets\":1").as_bytes()),
         "limits.sockets",
     );
-    refused(
+    assert_rejected(
         &|| {
-            written(
+            write_config(
                 good.replace("\"discovery\":\"", "\"discovery\":\"x")
                     .as_bytes(),
             )
         },
         "discovery: ",
     );
-    refused(
-        &|| std::fs::remove_file(&path).expect("removes"),
+    assert_rejected(
+        &|| std::fs::remove_file(&path).expect("remove file"),
         "NODE_CONFIG: ",
     );
     assert!(
@@ -83,45 +86,49 @@
         "{:?}",
         node.log()
     );
-    never_panicked(&node);
+    assert_no_panic(&node);
 }
 
 #[test]
-fn a_reload_takes_discovery_over_and_says_what_stays() {
+fn reload_moves_discovery_and_names_settings_needing_restart() {
     let upstream = Upstream::start(|_| ok("x"));
-    let (discovery, other) = (Discovery::start(), Discovery::start());
+    let (discovery, new_discovery) = (Discovery::start(), Discovery::start());
     let known = listing(1, true, &[(0, upstream.addr, "active")]);
     let node = Node::run(command(&config(discovery.addr, 1024, &known)), discovery);
-    // A list that can't be used is no reason to stay where discovery was.
-    let changed = config(other.addr, 2048, "7").replace("\"attempts_cap\":5", "\"attempts_cap\":2");
+    // An unusable list does not keep discovery at its old address.
+    let changed =
+        config(new_discovery.addr, 2048, "7").replace("\"attempts_cap\":5", "\"attempts_cap\":2");
     node.reload(&changed);
-    let wanted = format!(
+    let expected = format!(
         "reloaded, discovery at {}; as before until the next start: limits.sockets, settings",
-        other.addr
+        new_discovery.addr
+    );
+    node.wait_for_log(&expected);
+    assert_eq!(
+        new_discovery.next_call_path(),
+        "/api/targets?since=1&timeout_ms=1000"
     );
-    node.logs(&wanted);
-    assert_eq!(other.called(), "/api/targets?since=1&timeout_ms=1000");
-    serves(&node, "r1");
-    // What has not changed since the start isn't told of.
-    node.reload(&config(other.addr, 1024, "null"));
-    node.logs_times(": reloaded", 2);
+    assert_serves(&node, "r1");
+    // Settings unchanged since the start are not reported.
+    node.reload(&config(new_discovery.addr, 1024, "null"));
+    node.wait_for_log_times(": reloaded", 2);
     let log = node.log();
     let last = log
         .iter()
         .rfind(|l| l.contains(": reloaded"))
         .expect("a line");
     assert!(
-        last.ends_with(&format!("discovery at {}", other.addr)),
+        last.ends_with(&format!("discovery at {}", new_discovery.addr)),
         "{last}"
     );
 }
 
 #[test]
-fn a_list_of_discovery_that_cannot_be_used_changes_nothing() {
+fn unusable_discovery_list_changes_nothing() {
     let upstream = Upstream::start(|_| ok("x"));
     let discovery = Discovery::start();
     let good = listing(1, true, &[(0, upstream.addr, "active")]);
-    let mut command = command(&pushed(&discovery, &good));
+    let mut command = command(&push_mode_config(&discovery, &good));
     command.args(["run", "--set", "log.rate=100000"]);
     let node = Node::run(command, discovery);
     let removed = listing(2, true, &[(0, upstream.addr, "left")]);
@@ -133,15 +140,16 @@
         listing(0, true, &[(0, upstream.addr, "left")]),
     ];
     for (n, list) in bad.iter().enumerate() {
-        node.discovery.called();
-        node.discovery.answer_with("Connection: close\r\n", list);
-        node.logs_times("discovery: ", n + 1);
-        serves(&node, &format!("after-{n}"));
+        node.discovery.next_call_path();
+        node.discovery
+            .respond_with_headers("Connection: close\r\n", list);
+        node.wait_for_log_times("discovery: ", n + 1);
+        assert_serves(&node, &format!("after-{n}"));
     }
-    // It was asked for what came after the old list all the time.
+    // Every call asked for changes after the old list.
     assert_eq!(
-        node.discovery.called(),
+        node.discovery.next_call_path(),
         "/api/targets?since=1&timeout_ms=1000"
     );
-    never_panicked(&node);
+    assert_no_panic(&node);
 }
--- a/balancer/proxy/tests/bad_input/requests.rs
+++ b/balancer/proxy/tests/bad_input/requests.rs
@@ -4,15 +4,15 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, TcpStream};
 
-/// The status of the first answer to these bytes, with which the client's side of the connection ends; none if the
-/// connection ends without an answer.
+/// Sends these bytes, shuts down the write side, and returns the status of the first response; `None` if the
+/// connection ends without one.
 fn status_of(node: &Node, bytes: &[u8]) -> Option<u16> {
-    let stream = TcpStream::connect(node.addr).expect("connects");
+    let stream = TcpStream::connect(node.addr).expect("connect");
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
+        .expect("set timeout");
     let mut stream = BufReader::new(stream);
-    // The balancer may close before all is written.
+    // The balancer may close the connection before all bytes are written.
     let _ = stream.get_mut().write_all(bytes);
     let _ = stream.get_mut().shutdown(Shutdown::Write);
     let mut line = String::new();
@@ -25,9 +25,9 @@
 }
 
 #[test]
-fn a_request_truncated_at_any_length_is_not_forwarded() {
+fn request_truncated_at_any_length_is_not_forwarded() {
     let upstream = Upstream::start(|_| ok("x"));
-    let node = Node::with(&[upstream.addr]);
+    let node = Node::with_upstreams(&[upstream.addr]);
     let complete = pay("cut", "5000m");
     for length in 0..complete.len() {
         let status = status_of(&node, &complete.as_bytes()[..length]);
@@ -36,9 +36,9 @@
             "{length}: {status:?}"
         );
     }
-    serves(&node, "after");
+    assert_serves(&node, "after");
     assert_eq!(upstream.request().header("req-id"), Some("after"));
-    never_panicked(&node);
+    assert_no_panic(&node);
 }
 
 #[test]
@@ -46,9 +46,9 @@
     clippy::too_many_lines,
     reason = "a table of requests and their responses"
 )]
-fn an_invalid_request_is_rejected_and_not_forwarded() {
+fn invalid_request_is_rejected_and_not_forwarded() {
     let upstream = Upstream::start(|_| ok("x"));
-    let node = Node::with(&[upstream.addr]);
+    let node = Node::with_upstreams(&[upstream.addr]);
     let valid = get("r1", "5000m");
     let status = |from: &str, to: &str| {
         assert!(valid.contains(from), "{from}");
@@ -107,27 +107,27 @@
         "Content-Length: 65537\r\n\r\n",
     );
     assert_eq!(node.client().call(&body).status(), 413);
-    // A deadline that has come already leaves nothing to do.
-    let late = status("Req-Deadline: 5000m", "Req-Deadline: 0m");
-    assert!((500..600).contains(&late), "{late}");
-    let huge = valid.replacen(
+    // A request whose deadline has passed is not forwarded.
+    let expired = status("Req-Deadline: 5000m", "Req-Deadline: 0m");
+    assert!((500..600).contains(&expired), "{expired}");
+    let oversized = valid.replacen(
         "Req-Id: r1",
         &format!("Req-Id: r1\r\nX-Huge: {}", "x".repeat(1 << 20)),
         1,
     );
-    assert!(status_of(&node, huge.as_bytes()).is_none_or(|s| s == 431));
-    // Unknown headers go on as they are.
+    assert!(status_of(&node, oversized.as_bytes()).is_none_or(|s| s == 431));
+    // Unknown headers are forwarded unchanged.
     assert_eq!(status("Req-Id: r1", "Req-Id: last\r\nX-Novel: 1e300"), 200);
     assert_eq!(upstream.request().header("req-id"), Some("last"));
     assert_eq!(upstream.additional_requests(), 0);
-    never_panicked(&node);
+    assert_no_panic(&node);
 }
 
 #[test]
-fn mutated_requests_hurt_nobody_else() {
+fn mutated_requests_do_not_affect_other_clients() {
     let upstream = Upstream::start(|_| ok("x"));
-    let node = Node::with(&[upstream.addr]);
-    // The same numbers each time (a linear congruence, its upper half).
+    let node = Node::with_upstreams(&[upstream.addr]);
+    // A linear congruential generator (upper half of its state), so that every run uses the same numbers.
     let mut state = 7_u64;
     let mut below = |n: usize| {
         state = state
@@ -135,7 +135,7 @@
             .wrapping_add(1_442_695_040_888_963_407);
         (state >> 33) as usize % n.max(1)
     };
-    let mut steady = node.client();
+    let mut other_client = node.client();
     for round in 0..1_000 {
         let mut bytes = pay("mutated", "50m").into_bytes();
         for _ in 0..=below(3) {
@@ -154,11 +154,11 @@
         status_of(&node, &bytes);
         if round % 50 == 0 {
             assert_eq!(
-                steady.call(&get("steady", "5000m")).status(),
+                other_client.call(&get("steady", "5000m")).status(),
                 200,
                 "{round}"
             );
         }
     }
-    never_panicked(&node);
+    assert_no_panic(&node);
 }
--- a/balancer/proxy/tests/bad_input_options.rs
+++ b/balancer/proxy/tests/bad_input_options.rs
@@ -1,9 +1,9 @@
-//! Options that can't be used are refused with one line; nothing panics.
+//! Unusable options are rejected with a one-line message; nothing panics.
 mod common;
 mod mutations;
 use balancer_proxy::options::Sources;
 use common::*;
-use mutations::{is_one_line, mutations};
+use mutations::{assert_one_line, mutations};
 use std::ffi::OsStr;
 use std::os::unix::ffi::OsStrExt;
 use std::process::Stdio;
@@ -12,11 +12,11 @@
 const OPTIONS: &str = "version = 1\n[log]\nlevel = \"warn\"\nrate = 5\nparts = { discovery = \"debug\" }\n\
     [figures]\nevery = \"250ms\"\n[recovery]\nlist_age = \"1h\"\nevery = \"2s\"\nstart_timeout = \"500ms\"\n[peers]\non = false\n";
 
-/// Longer than any time that options take.
+/// A duration longer than options accept.
 const TOO_LONG: &str = "\"300000000000y\"";
 
 #[test]
-fn a_variable_of_others_need_not_be_text() {
+fn unrelated_variables_may_be_invalid_utf8() {
     let upstream = Upstream::start(|_| ok("x"));
     let discovery = Discovery::start();
     let mut command = command(&config(
@@ -32,12 +32,15 @@
 }
 
 #[test]
-fn a_variable_that_sets_an_option_has_to_be_text() {
+fn option_variables_must_be_valid_utf8() {
     let discovery = Discovery::start();
     let mut command = command(&config(discovery.addr, 1024, "null"));
     command.env("BALANCER_OPTION_LOG_LEVEL", OsStr::from_bytes(b"\xff"));
-    let out = command.stdout(Stdio::piped()).output().expect("runs");
-    let errors = String::from_utf8(out.stderr).expect("text");
+    let out = command
+        .stdout(Stdio::piped())
+        .output()
+        .expect("run the program");
+    let errors = String::from_utf8(out.stderr).expect("UTF-8 text");
     assert_eq!(
         (out.status.code(), out.stdout.len()),
         (Some(2), 0),
@@ -50,7 +53,7 @@
 }
 
 #[test]
-fn a_period_that_cannot_be_added_to_the_clock_is_refused() {
+fn out_of_range_intervals_are_rejected() {
     for key in ["recovery.every", "figures.every"] {
         for period in [
             "300000000000y",
@@ -67,7 +70,7 @@
                 set: vec![format!("{key}={period}")],
             };
             let error = sources.load().expect_err(period).to_line();
-            is_one_line(&error);
+            assert_one_line(&error);
             assert!(error.starts_with(&format!("--set: {key}: ")), "{error}");
         }
         let sources = Sources {
@@ -80,8 +83,8 @@
 }
 
 #[test]
-fn a_new_process_refuses_a_period_that_its_timers_cannot_take() {
-    let (discovery, dir) = (Discovery::start(), TempDir::new().expect("a folder"));
+fn startup_fails_on_an_out_of_range_interval() {
+    let (discovery, dir) = (Discovery::start(), TempDir::new().expect("temp dir"));
     let mut command = command(&config(discovery.addr, 1024, "null"));
     let folder = format!("recovery.dir={}", dir.path().display());
     command.args([
@@ -91,8 +94,11 @@
         "--set",
         "recovery.every=300000000000y",
     ]);
-    let out = command.stdout(Stdio::piped()).output().expect("runs");
-    let errors = String::from_utf8(out.stderr).expect("text");
+    let out = command
+        .stdout(Stdio::piped())
+        .output()
+        .expect("run the program");
+    let errors = String::from_utf8(out.stderr).expect("UTF-8 text");
     assert_eq!(
         (out.status.code(), errors.lines().count()),
         (Some(2), 1),
@@ -105,8 +111,8 @@
 }
 
 #[test]
-fn mutated_options_are_refused_in_one_line_or_taken() {
-    let dir = TempDir::new().expect("a folder");
+fn mutated_options_are_usable_or_cleanly_rejected() {
+    let dir = TempDir::new().expect("temp dir");
     let path = dir.path().join("options.toml");
     let sources = Sources {
         file: Some(path.clone()),
@@ -114,19 +120,19 @@
         set: Vec::new(),
     };
     let read = |text: &[u8]| {
-        std::fs::write(&path, text).expect("writes");
+        std::fs::write(&path, text).expect("write");
         sources.load()
     };
     assert!(read(OPTIONS.as_bytes()).is_ok());
-    let deep = format!("[log]\nparts = {}", "[".repeat(100_000));
-    is_one_line(&read(deep.as_bytes()).expect_err("deep").to_line());
+    let nested = format!("[log]\nparts = {}", "[".repeat(100_000));
+    assert_one_line(&read(nested.as_bytes()).expect_err("deep").to_line());
     let mut mutations = mutations(b'=', TOO_LONG, 3);
-    let (mut taken, mut refused) = (0, 0);
+    let (mut accepted, mut rejected) = (0, 0);
     for _ in 0..3_000 {
         match read(&mutations.of(OPTIONS)) {
             Ok(loaded) => {
-                taken += 1;
-                // What is taken can be added to the clock.
+                accepted += 1;
+                // Accepted intervals can be added to the clock.
                 let options = loaded.options;
                 let interval = options.metrics.interval.max(options.recovery.interval);
                 assert!(
@@ -135,13 +141,13 @@
                 );
             }
             Err(error) => {
-                refused += 1;
-                is_one_line(&error.to_line());
+                rejected += 1;
+                assert_one_line(&error.to_line());
             }
         }
     }
     assert!(
-        taken > 100 && refused > 500,
-        "{taken} taken, {refused} refused"
+        accepted > 100 && rejected > 500,
+        "{accepted} accepted, {rejected} rejected"
     );
 }
--- a/balancer/proxy/tests/bad_input_read.rs
+++ b/balancer/proxy/tests/bad_input_read.rs
@@ -1,9 +1,9 @@
-//! Configuration and lists that can't be used are refused with one line; nothing panics.
+//! Unusable configurations and lists are rejected with a one-line message; nothing panics.
 mod mutations;
 use balancer_core::Balancer;
 use balancer_proxy::config::Config;
 use balancer_proxy::{Listing, Names};
-use mutations::{is_one_line, mutations};
+use mutations::{assert_one_line, mutations};
 
 const GOOD: &str = r#"{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"8c1f30d27a5be964",
     "limits":{"cores":1.0,"sockets":1024},"peer_listen":"127.0.0.1:7","peers":["127.0.0.1:7","127.0.0.1:8"],
@@ -18,19 +18,23 @@
     {"id":"s-1","addr":"127.0.0.1:10","zone":"a","kind":"m2","cell":3,"state":"active","weight":1.0,"started_ms":5},
     {"id":"s-2","addr":"127.0.0.1:11","zone":"a","kind":"m2","cell":3,"state":"left","weight":0,"started_ms":0}]}"#;
 
-/// Longer than any time that a configuration takes.
+/// A duration longer than a configuration accepts.
 const TOO_LONG: &str = "\"9000000000y\"";
 
 fn names() -> Names {
-    Names::of(&Config::parse(GOOD.as_bytes()).expect("good").deployment)
+    Names::of(
+        &Config::parse(GOOD.as_bytes())
+            .expect("valid input")
+            .deployment,
+    )
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of inputs and their errors")]
-fn an_invalid_configuration_is_refused_with_the_field_at_fault() {
+fn configuration_errors_name_the_invalid_field() {
     let long = format!("\"seed\":\"{}\"", "x\u{1b}".repeat(1 << 20));
     let sockets = "\"sockets\":1024";
-    for (from, to, wanted) in [
+    for (from, to, expected) in [
         ("\"name\":\"n3\"", "\"name\":\"n3\\nserving\"", "name: "),
         ("\"name\":\"n3\"", "\"name\":3", "name: "),
         (
@@ -82,14 +86,14 @@
         assert!(GOOD.contains(from), "{from}");
         let error = Config::parse(GOOD.replacen(from, to, 1).as_bytes())
             .err()
-            .expect(wanted)
+            .expect(expected)
             .to_string();
-        is_one_line(&error);
-        assert!(error.contains(wanted), "wanted {wanted}: {error}");
+        assert_one_line(&error);
+        assert!(error.contains(expected), "expected {expected}: {error}");
     }
-    let not_text = [&GOOD.as_bytes()[..20], &[0xff], &GOOD.as_bytes()[20..]].concat();
-    is_one_line(
-        &Config::parse(&not_text)
+    let invalid_utf8 = [&GOOD.as_bytes()[..20], &[0xff], &GOOD.as_bytes()[20..]].concat();
+    assert_one_line(
+        &Config::parse(&invalid_utf8)
             .err()
             .expect("not UTF-8")
             .to_string(),
@@ -97,7 +101,7 @@
 }
 
 #[test]
-fn unknown_fields_are_ignored_whatever_they_hold() {
+fn unknown_fields_are_ignored_whatever_their_value() {
     let nested = format!("{}{}", "[".repeat(100), "]".repeat(100));
     for value in ["1e300", "{\"a\":[null]}", "\"\\ud83d\\ude00\"", &nested] {
         let with = |text: &str| text.replacen('{', &format!("{{\"novel\":{value},"), 1);
@@ -113,26 +117,26 @@
 }
 
 #[test]
-fn input_truncated_at_any_length_is_refused() {
+fn input_truncated_at_any_length_is_rejected() {
     for length in 0..GOOD.len() {
-        is_one_line(
+        assert_one_line(
             &Config::parse(&GOOD.as_bytes()[..length])
                 .err()
-                .expect("cut off")
+                .expect("truncated input")
                 .to_string(),
         );
     }
     let names = names();
     for length in 0..LIST.len() {
         let error = Listing::parse(&LIST.as_bytes()[..length], &names).expect_err("cut off");
-        is_one_line(&error.to_string());
+        assert_one_line(&error.to_string());
     }
 }
 
 #[test]
-fn a_list_that_cannot_be_used_is_rejected_completely() {
+fn unusable_list_is_rejected_completely() {
     let names = names();
-    for (from, to, wanted) in [
+    for (from, to, expected) in [
         ("\"version\":4", "\"version\":\"4\"", "version"),
         ("\"version\":4", "\"version\":1e300", "version"),
         (
@@ -178,58 +182,59 @@
     ] {
         assert!(LIST.contains(from), "{from}");
         let error = Listing::parse(LIST.replacen(from, to, 1).as_bytes(), &names)
-            .expect_err(wanted)
+            .expect_err(expected)
             .to_string();
-        is_one_line(&error);
-        assert!(error.contains(wanted), "wanted {wanted}: {error}");
+        assert_one_line(&error);
+        assert!(error.contains(expected), "expected {expected}: {error}");
     }
 }
 
 #[test]
-fn mutated_configurations_are_refused_in_one_line_or_can_be_run_with() {
+fn mutated_configurations_are_usable_or_cleanly_rejected() {
     let mut mutations = mutations(b':', TOO_LONG, 1);
-    let (mut taken, mut refused, mut without_list) = (0, 0, 0);
+    let (mut accepted, mut rejected, mut without_list) = (0, 0, 0);
     for _ in 0..20_000 {
         match Config::parse(&mutations.of(GOOD)) {
             Ok(config) => {
-                taken += 1;
+                accepted += 1;
                 if let Some(error) = &config.known_error {
                     without_list += 1;
-                    is_one_line(error);
+                    assert_one_line(error);
                 }
-                Balancer::new(config.deployment.policy, config.seed, 0.0).expect("checked");
+                Balancer::new(config.deployment.policy, config.seed, 0.0)
+                    .expect("validated configuration");
             }
             Err(error) => {
-                refused += 1;
-                is_one_line(&error.to_string());
+                rejected += 1;
+                assert_one_line(&error.to_string());
             }
         }
     }
-    let counts = (taken, refused, without_list);
+    let counts = (accepted, rejected, without_list);
     assert!(
-        taken > 500 && refused > 500 && without_list > 100,
+        accepted > 500 && rejected > 500 && without_list > 100,
         "{counts:?}"
     );
 }
 
 #[test]
-fn mutated_lists_are_refused_in_one_line_or_taken() {
+fn mutated_lists_are_usable_or_cleanly_rejected() {
     let (mut mutations, names) = (mutations(b':', TOO_LONG, 2), names());
-    let (mut taken, mut refused) = (0, 0);
+    let (mut accepted, mut rejected) = (0, 0);
     for _ in 0..20_000 {
         match Listing::parse(&mutations.of(LIST), &names) {
             Ok(listing) => {
-                taken += 1;
+                accepted += 1;
                 assert!(listing.endpoints().all(|m| (0.0..1e15).contains(&m.since)));
             }
             Err(error) => {
-                refused += 1;
-                is_one_line(&error.to_string());
+                rejected += 1;
+                assert_one_line(&error.to_string());
             }
         }
     }
     assert!(
-        taken > 500 && refused > 500,
-        "{taken} taken, {refused} refused"
+        accepted > 500 && rejected > 500,
+        "{accepted} accepted, {rejected} rejected"
     );
 }
--- a/balancer/proxy/tests/common/message.rs
+++ b/balancer/proxy/tests/common/message.rs
@@ -1,11 +1,11 @@
-//! Messages as they came over a socket, and requests as clients write them.
+//! HTTP messages as read from a socket, and requests as clients write them.
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
 
-/// A request or an answer as it came over a socket.
+/// A request or a response as read from a socket.
 #[derive(Clone, Debug)]
 pub(crate) struct Message {
-    pub start: String,
+    pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
@@ -19,7 +19,7 @@
     }
 
     pub(crate) fn status(&self) -> u16 {
-        self.start
+        self.start_line
             .split(' ')
             .nth(1)
             .and_then(|s| s.parse().ok())
@@ -27,14 +27,14 @@
     }
 }
 
-/// Reads one message; `None` when the connection ended before its first byte.
+/// Reads one message; `None` when the connection is closed before the message is complete.
 pub(crate) fn read(stream: &mut BufReader<TcpStream>) -> Option<Message> {
-    let mut start = String::new();
-    if stream.read_line(&mut start).unwrap_or(0) == 0 {
+    let mut start_line = String::new();
+    if stream.read_line(&mut start_line).unwrap_or(0) == 0 {
         return None;
     }
     let mut message = Message {
-        start: start.trim_end().into(),
+        start_line: start_line.trim_end().into(),
         headers: Vec::new(),
         body: Vec::new(),
     };
@@ -50,13 +50,13 @@
     }
     let length = message
         .header("content-length")
-        .map_or(0, |l| l.parse().expect("a length"));
+        .map_or(0, |l| l.parse().expect("valid content-length"));
     message.body.resize(length, 0);
     stream.read_exact(&mut message.body).ok()?;
     Some(message)
 }
 
-/// A request that may be repeated.
+/// A request that may be retried.
 pub(crate) fn get(id: &str, deadline: &str) -> String {
     format!(
         "GET /api/x?y=1 HTTP/1.1\r\nHost: service.internal\r\nReq-Id: {id}\r\nReq-Kind: read\r\n\
@@ -64,7 +64,7 @@
     )
 }
 
-/// A request that must never run twice.
+/// A request that must not be executed twice.
 pub(crate) fn pay(id: &str, deadline: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: service.internal\r\nReq-Id: {id}\r\nReq-Kind: pay\r\n\
--- a/balancer/proxy/tests/common/node.rs
+++ b/balancer/proxy/tests/common/node.rs
@@ -9,23 +9,23 @@
 use std::thread;
 use std::time::Instant;
 
-/// A running balancer; killed when dropped.
+/// A running balancer process; killed when dropped.
 pub(crate) struct Node {
     child: Child,
     pub addr: SocketAddr,
-    /// Kept, so that it is silent and not gone.
+    /// Held so that discovery stays connected without responding.
     pub discovery: Discovery,
     config: PathBuf,
     log: Arc<Mutex<Vec<String>>>,
     reader: Option<thread::JoinHandle<()>>,
 }
 
-/// The balancer with this configuration.
+/// A command that runs the balancer with this configuration.
 pub(crate) fn command(config: &str) -> Command {
-    prepared(config, Command::new(env!("CARGO_BIN_EXE_balancer-proxy")))
+    with_config_file(config, Command::new(env!("CARGO_BIN_EXE_balancer-proxy")))
 }
 
-/// The same under a limit of descriptors that the configuration does not tell of.
+/// As [`command`], under a limit of descriptors lower than the one that the configuration states.
 pub(crate) fn limited_command(config: &str, descriptors: usize) -> Command {
     let mut shell = Command::new("sh");
     let exec = format!(
@@ -33,10 +33,10 @@
         env!("CARGO_BIN_EXE_balancer-proxy")
     );
     shell.args(["-c", &exec]);
-    prepared(config, shell)
+    with_config_file(config, shell)
 }
 
-fn prepared(config: &str, mut command: Command) -> Command {
+fn with_config_file(config: &str, mut command: Command) -> Command {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let name = format!(
         "node-{}-{}.json",
@@ -44,7 +44,7 @@
         NUMBER.fetch_add(1, Ordering::SeqCst)
     );
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, config).expect("writes the configuration");
+    std::fs::write(&path, config).expect("write the configuration");
     command
         .env("NODE_CONFIG", path)
         .stdout(Stdio::null())
@@ -53,7 +53,7 @@
 }
 
 impl Node {
-    /// A balancer that starts with this list.
+    /// A balancer with this socket limit that starts with this list.
     pub(crate) fn start(sockets: usize, known: &str) -> Node {
         let discovery = Discovery::start();
         let command = command(&config(discovery.addr, sockets, known));
@@ -66,26 +66,26 @@
             .find(|(name, _)| *name == "NODE_CONFIG")
             .and_then(|(_, path)| path);
         let config = PathBuf::from(config.expect("a configuration"));
-        let mut child = command.spawn().expect("starts");
-        let mut log = BufReader::new(child.stderr.take().expect("its log"));
-        let mut before = Vec::new();
+        let mut child = command.spawn().expect("spawn");
+        let mut log = BufReader::new(child.stderr.take().expect("captured stderr"));
+        let mut startup_lines = Vec::new();
         let addr = loop {
             let mut line = String::new();
             assert_ne!(
                 log.read_line(&mut line).expect("a log line"),
                 0,
-                "it ended at once"
+                "the balancer exited before serving"
             );
             if let Some((_, addr)) = line.trim_end().split_once("serving on ") {
-                break addr.parse().expect("an address");
+                break addr.parse().expect("socket address");
             }
-            before.push(line.trim_end().to_string());
+            startup_lines.push(line.trim_end().to_string());
         };
-        let lines = Arc::new(Mutex::new(before));
+        let lines = Arc::new(Mutex::new(startup_lines));
         let shared = lines.clone();
         let reader = thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
-                shared.lock().expect("no panic").push(line);
+                shared.lock().expect("lock not poisoned").push(line);
             }
         });
         Node {
@@ -98,8 +98,8 @@
         }
     }
 
-    /// A balancer that knows these upstreams, and whose discovery is silent.
-    pub(crate) fn with(upstreams: &[SocketAddr]) -> Node {
+    /// A balancer that starts with these upstreams and whose discovery does not respond.
+    pub(crate) fn with_upstreams(upstreams: &[SocketAddr]) -> Node {
         let servers: Vec<_> = upstreams
             .iter()
             .enumerate()
@@ -108,27 +108,27 @@
         Node::start(1024, &listing(1, true, &servers))
     }
 
-    /// What it has logged, but for the line that it serves.
+    /// The lines logged so far, except the one with its address.
     pub(crate) fn log(&self) -> Vec<String> {
-        self.log.lock().expect("no panic").clone()
+        self.log.lock().expect("lock not poisoned").clone()
     }
 
-    /// Its number in the system.
+    /// The process id.
     pub(crate) fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// How many descriptors it holds.
+    /// The number of open file descriptors.
     pub(crate) fn descriptors(&self) -> usize {
         let path = format!("/proc/{}/fd", self.child.id());
-        std::fs::read_dir(path).expect("its descriptors").count()
+        std::fs::read_dir(path).expect("open descriptors").count()
     }
 
-    /// Waits until the number of its descriptors is as wanted.
-    pub(crate) fn holds(&self, wanted: impl Fn(usize) -> bool, otherwise: &str) {
+    /// Waits until `wanted` holds for the number of open descriptors.
+    pub(crate) fn wait_for_descriptors(&self, wanted: impl Fn(usize) -> bool, failure: &str) {
         let started = Instant::now();
         while !wanted(self.descriptors()) {
-            assert!(started.elapsed() < TEST_TIMEOUT, "{otherwise}");
+            assert!(started.elapsed() < TEST_TIMEOUT, "{failure}");
             thread::yield_now();
         }
     }
@@ -137,32 +137,35 @@
         self.signal("TERM");
     }
 
-    /// Replaces its configuration and tells it so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub(crate) fn reload(&self, config: &str) {
-        std::fs::write(&self.config, config).expect("writes the configuration");
-        self.hang_up();
+        std::fs::write(&self.config, config).expect("write the configuration");
+        self.send_sighup();
     }
 
-    /// Tells it to read everything again.
-    pub(crate) fn hang_up(&self) {
+    /// Sends SIGHUP, on which the balancer reloads its configuration and options.
+    pub(crate) fn send_sighup(&self) {
         self.signal("HUP");
     }
 
-    /// Stops it where it is, and waits until it stands.
+    /// Sends SIGSTOP and waits until the process is stopped.
     pub(crate) fn pause(&self) {
         self.signal("STOP");
         let path = format!("/proc/{}/stat", self.child.id());
         let started = Instant::now();
         while !std::fs::read_to_string(&path)
-            .expect("its state")
+            .expect("process state")
             .contains(") T ")
         {
-            assert!(started.elapsed() < TEST_TIMEOUT, "it does not stop");
+            assert!(
+                started.elapsed() < TEST_TIMEOUT,
+                "the process does not stop"
+            );
             thread::yield_now();
         }
     }
 
-    /// Lets it go on.
+    /// Sends SIGCONT.
     pub(crate) fn resume(&self) {
         self.signal("CONT");
     }
@@ -172,47 +175,47 @@
         assert!(Command::new("sh")
             .args(["-c", &kill])
             .status()
-            .expect("runs sh")
+            .expect("run sh")
             .success());
     }
 
-    /// Waits until it has logged a line with this text.
-    pub(crate) fn logs(&self, text: &str) {
-        self.logs_times(text, 1);
+    /// Waits for a log line that contains `text`.
+    pub(crate) fn wait_for_log(&self, text: &str) {
+        self.wait_for_log_times(text, 1);
     }
 
-    /// The same until it has logged so many.
-    pub(crate) fn logs_times(&self, text: &str, times: usize) {
+    /// Waits for this number of log lines that contain `text`.
+    pub(crate) fn wait_for_log_times(&self, text: &str, times: usize) {
         let started = Instant::now();
         while self.log().iter().filter(|l| l.contains(text)).count() < times {
             assert!(
                 started.elapsed() < TEST_TIMEOUT,
-                "{text:?} is not in {:?}",
+                "{text:?} is not in the log: {:?}",
                 self.log()
             );
             thread::yield_now();
         }
     }
 
-    /// Whether it has ended.
-    pub(crate) fn has_ended(&mut self) -> bool {
-        self.child.try_wait().expect("its state").is_some()
+    /// Whether the process has exited.
+    pub(crate) fn has_exited(&mut self) -> bool {
+        self.child.try_wait().expect("process state").is_some()
     }
 
-    /// Waits until it has ended and its log is read.
+    /// Waits until the process has exited and its log has been read.
     pub(crate) fn wait(&mut self) -> ExitStatus {
-        let status = self.child.wait().expect("it ends");
+        let status = self.child.wait().expect("exits");
         if let Some(reader) = self.reader.take() {
-            reader.join().expect("the log is read");
+            reader.join().expect("log reader ends");
         }
         status
     }
 
     pub(crate) fn client(&self) -> Client {
-        self.try_client().expect("connects")
+        self.try_client().expect("connect")
     }
 
-    /// `None`: it does not listen any more.
+    /// Returns `None` when the balancer no longer listens.
     pub(crate) fn try_client(&self) -> Option<Client> {
         Client::connect(self.addr)
     }
--- a/balancer/proxy/tests/common/raw_client.rs
+++ b/balancer/proxy/tests/common/raw_client.rs
@@ -1,49 +1,54 @@
-//! A client that does with its socket what others never do: resets it, shuts one side, sends pieces and whole floods.
+//! A client with direct control of its socket: resets, half-closes, partial writes and floods.
 #![allow(dead_code)]
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The receive buffer of a client that takes little, in bytes.
-const NARROW: usize = 4 << 10;
+/// Receive buffer of a client that accepts little unread data.
+const SMALL_RECV_BUFFER_BYTES: usize = 4 << 10;
 
 pub(crate) struct RawClient(TcpStream);
 
 impl RawClient {
-    /// Reads wait for this long at most.
+    /// Reads and writes time out after `client_timeout`.
     pub(crate) fn connect(addr: SocketAddr, client_timeout: Duration) -> RawClient {
-        let stream = TcpStream::connect(addr).expect("connects");
-        stream.set_nodelay(true).expect("sends at once");
+        let stream = TcpStream::connect(addr).expect("connect");
+        stream.set_nodelay(true).expect("set nodelay");
         stream
             .set_read_timeout(Some(client_timeout))
-            .expect("a time-out");
+            .expect("set timeout");
         stream
             .set_write_timeout(Some(client_timeout))
-            .expect("a time-out");
+            .expect("set timeout");
         RawClient(stream)
     }
 
-    /// The same, and its system takes little that it has not read: what comes beyond that stays at the other side.
-    pub(crate) fn connect_narrow(addr: SocketAddr, client_timeout: Duration) -> RawClient {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        socket.set_recv_buffer_size(NARROW).expect("a small buffer");
-        socket.connect(&addr.into()).expect("connects");
+    /// As [`RawClient::connect`], with a small receive buffer: unread data beyond it stays queued at the sender.
+    pub(crate) fn connect_with_small_buffer(
+        addr: SocketAddr,
+        client_timeout: Duration,
+    ) -> RawClient {
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create socket");
+        socket
+            .set_recv_buffer_size(SMALL_RECV_BUFFER_BYTES)
+            .expect("set receive buffer size");
+        socket.connect(&addr.into()).expect("connect");
         let stream = TcpStream::from(socket);
         stream
             .set_read_timeout(Some(client_timeout))
-            .expect("a time-out");
+            .expect("set timeout");
         stream
             .set_write_timeout(Some(client_timeout))
-            .expect("a time-out");
+            .expect("set timeout");
         RawClient(stream)
     }
 
     pub(crate) fn send(&mut self, bytes: &[u8]) {
-        self.0.write_all(bytes).expect("sends");
+        self.0.write_all(bytes).expect("send");
     }
 
-    /// Sends until the other side takes no more of it, or all is sent. Returns how much was.
+    /// Sends `bytes` up to `times` times, until a write fails. Returns the number of bytes sent.
     pub(crate) fn flood(&mut self, bytes: &[u8], times: usize) -> usize {
         (0..times)
             .take_while(|_| self.0.write_all(bytes).is_ok())
@@ -52,63 +57,63 @@
     }
 
     pub(crate) fn port(&self) -> u16 {
-        self.0.local_addr().expect("an address").port()
+        self.0.local_addr().expect("socket address").port()
     }
 
-    /// Whether this is the client's end of its connection. Its port alone doesn't tell: the system gives the same one to
-    /// connections with other peers, and still lists those for a minute after they were closed.
-    pub(crate) fn is_own_end(&self, socket: &SystemSocket) -> bool {
+    /// Whether this is the client's end of its connection. The local port alone is not enough: the kernel reuses it
+    /// for connections with other peers, and lists those for a minute after they were closed.
+    pub(crate) fn is_own_end(&self, socket: &KernelSocket) -> bool {
         let remote = self.0.peer_addr().expect("a connected client").port();
         socket.local == self.port() && socket.remote == remote
     }
 
-    /// Shuts the side it writes to, and stays.
+    /// Shuts down the write side and keeps reading.
     pub(crate) fn half_close(&self) {
-        self.0.shutdown(Shutdown::Write).expect("shuts");
+        self.0.shutdown(Shutdown::Write).expect("shut down");
     }
 
     /// Resets the connection.
     pub(crate) fn reset(self) {
         SockRef::from(&self.0)
             .set_linger(Some(Duration::ZERO))
-            .expect("lingers for no time");
+            .expect("set linger");
     }
 
-    /// All that comes until the connection ends, and whether it ended in order.
-    pub(crate) fn rest(&mut self) -> (Vec<u8>, bool) {
+    /// Reads until the connection ends. Returns the bytes, and whether it ended with a FIN rather than an error.
+    pub(crate) fn read_to_end(&mut self) -> (Vec<u8>, bool) {
         let mut bytes = Vec::new();
-        let ended = self.0.read_to_end(&mut bytes);
-        (bytes, ended.is_ok())
+        let result = self.0.read_to_end(&mut bytes);
+        (bytes, result.is_ok())
     }
 
-    /// The same socket, to read answers from.
+    /// A buffered reader on the same socket.
     pub(crate) fn reader(&self) -> BufReader<TcpStream> {
-        BufReader::new(self.0.try_clone().expect("a second descriptor"))
+        BufReader::new(self.0.try_clone().expect("clone the socket"))
     }
 }
 
-/// A connection as the system shows it at one end.
-pub(crate) struct SystemSocket {
+/// One end of a TCP connection as the kernel lists it.
+pub(crate) struct KernelSocket {
     pub local: u16,
     pub remote: u16,
-    /// As in `/proc/net/tcp`.
+    /// The state, as numbered in `/proc/net/tcp`.
     pub state: u8,
     pub unread: u64,
 }
 
-/// The other side has shut its end of the connection, and this side has not.
+/// The other side has closed its end of the connection and this side has not.
 pub(crate) const CLOSE_WAIT: u8 = 8;
 
-/// All connections over IPv4, at both ends.
-pub(crate) fn system_sockets() -> Vec<SystemSocket> {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of connections");
+/// All IPv4 TCP sockets, at both ends of each connection.
+pub(crate) fn kernel_sockets() -> Vec<KernelSocket> {
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("read /proc/net/tcp");
     table.lines().skip(1).filter_map(parse_socket).collect()
 }
 
-fn parse_socket(line: &str) -> Option<SystemSocket> {
+fn parse_socket(line: &str) -> Option<KernelSocket> {
     let fields: Vec<&str> = line.split_whitespace().collect();
     let port = |field: &str| u16::from_str_radix(field.split_once(':')?.1, 16).ok();
-    Some(SystemSocket {
+    Some(KernelSocket {
         local: port(fields.get(1)?)?,
         remote: port(fields.get(2)?)?,
         state: u8::from_str_radix(fields.get(3)?, 16).ok()?,
@@ -116,15 +121,15 @@
     })
 }
 
-/// Waits until the system shows this.
-pub(crate) fn wait_for_system(
+/// Waits until `condition` holds for the sockets that the kernel lists.
+pub(crate) fn wait_for_sockets(
     client_timeout: Duration,
-    shown: impl Fn(&[SystemSocket]) -> bool,
-    otherwise: &str,
+    condition: impl Fn(&[KernelSocket]) -> bool,
+    failure: &str,
 ) {
     let started = std::time::Instant::now();
-    while !shown(&system_sockets()) {
-        assert!(started.elapsed() < client_timeout, "{otherwise}");
+    while !condition(&kernel_sockets()) {
+        assert!(started.elapsed() < client_timeout, "{failure}");
         std::thread::yield_now();
     }
 }
--- a/balancer/proxy/tests/common/shutdown.rs
+++ b/balancer/proxy/tests/common/shutdown.rs
@@ -1,26 +1,26 @@
-//! Balancers that are told to end, and upstreams that hang meanwhile.
+//! Balancers that are shut down while some of their upstream requests get no response.
 #![allow(dead_code)]
 use super::common::*;
 
-/// An upstream that answers requests whose id begins with `ok`, and is silent on all others.
-pub(crate) fn answers_ok_alone() -> Upstream {
+/// An upstream that responds to requests whose id begins with `ok` and never to others.
+pub(crate) fn upstream_answering_ok_only() -> Upstream {
     Upstream::start(|m| {
         if m.header("req-id").is_some_and(|id| id.starts_with("ok")) {
             ok("x")
         } else {
-            Then::Wait
+            UpstreamAction::NeverRespond
         }
     })
 }
 
-/// A balancer that soon closes its clients' connections when it is told to end, as its longest deadline is short. What
-/// its clients say of their own deadlines goes beyond that.
-pub(crate) fn shuts_down_soon(upstream: &Upstream) -> Node {
-    shuts_down_within(upstream, 1000)
+/// A balancer that closes its client connections soon after SIGTERM, as its longest configured deadline is short.
+/// Deadlines stated by clients may be longer.
+pub(crate) fn node_closing_soon(upstream: &Upstream) -> Node {
+    node_with_deadline(upstream, 1000)
 }
 
-/// The same with this longest deadline, in milliseconds.
-pub(crate) fn shuts_down_within(upstream: &Upstream, deadline: u32) -> Node {
+/// As [`node_closing_soon`], with this longest deadline in milliseconds.
+pub(crate) fn node_with_deadline(upstream: &Upstream, deadline: u32) -> Node {
     let discovery = Discovery::start();
     let known = listing(1, true, &[(0, upstream.addr, "active")]);
     let config = config(discovery.addr, 1024, &known)
@@ -32,17 +32,17 @@
     Node::run(command(&config), discovery)
 }
 
-/// A connection on which a request has been served.
+/// A client connection on which one request has been served.
 pub(crate) fn served_client(node: &Node) -> Client {
     let mut client = node.client();
     assert_eq!(client.call(&get("ok", "5000m")).status(), 200);
     client
 }
 
-/// Plays this until it says that it has shown something: on a machine that was slow just then it has not.
-pub(crate) fn until_shown(play: impl Fn() -> bool) {
+/// Repeats `run` until it returns `true`. It returns `false` when a slow machine made the run inconclusive.
+pub(crate) fn retry_until_conclusive(run: impl Fn() -> bool) {
     assert!(
-        (0..20).any(|_| play()),
-        "the program had always ended before the test was ready"
+        (0..20).any(|_| run()),
+        "every run was inconclusive: the balancer exited too early"
     );
 }
--- a/balancer/proxy/tests/common/upstream.rs
+++ b/balancer/proxy/tests/common/upstream.rs
@@ -1,4 +1,4 @@
-//! A fake upstream, and addresses where there is none.
+//! A fake upstream, and addresses at which no upstream responds.
 use super::{read, Message, TEST_TIMEOUT};
 use balancer_lab::net::{Manner, Port};
 use std::io::{BufReader, Write};
@@ -11,131 +11,137 @@
 use tokio::sync::watch;
 
 /// What a fake upstream does with a request.
-pub(crate) enum Then {
-    /// Writes this and keeps the connection.
-    Answer(String),
-    /// Writes this and closes the connection.
-    AnswerAndClose(String),
-    /// Closes the connection without an answer.
-    Hang,
-    /// Says nothing until the other side closes.
-    Wait,
-    /// Waits for a word on the channel, then answers.
-    Hold(Receiver<()>, String),
+pub(crate) enum UpstreamAction {
+    /// Writes this response and keeps the connection open.
+    Respond(String),
+    /// Writes this response and closes the connection.
+    RespondAndClose(String),
+    /// Closes the connection without a response.
+    Close,
+    /// Never responds; the connection stays open until the other side closes it.
+    NeverRespond,
+    /// Waits for a signal on the channel, then writes this response.
+    RespondAfterSignal(Receiver<()>, String),
 }
 
-pub(crate) fn ok(body: &str) -> Then {
-    Then::Answer(format!(
+pub(crate) fn ok(body: &str) -> UpstreamAction {
+    UpstreamAction::Respond(format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     ))
 }
 
-pub(crate) fn status(line: &str) -> Then {
-    Then::Answer(format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n"))
+pub(crate) fn status(line: &str) -> UpstreamAction {
+    UpstreamAction::Respond(format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n"))
 }
 
-/// What a fake upstream saw.
+/// What a fake upstream observed.
 #[derive(Debug)]
-pub(crate) enum Seen {
+pub(crate) enum UpstreamEvent {
     Request(Message),
-    /// A connection has been closed, by either side.
+    /// A connection was closed, by either side.
     Closed,
 }
 
 pub(crate) struct Upstream {
     pub addr: SocketAddr,
-    pub seen: Receiver<Seen>,
+    pub events: Receiver<UpstreamEvent>,
     pub connections: Arc<AtomicUsize>,
 }
 
 impl Upstream {
-    pub(crate) fn start(behave: impl Fn(&Message) -> Then + Send + Sync + 'static) -> Upstream {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
-        let addr = listener.local_addr().expect("an address");
-        let (tell, seen) = channel();
+    pub(crate) fn start(
+        behavior: impl Fn(&Message) -> UpstreamAction + Send + Sync + 'static,
+    ) -> Upstream {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
+        let addr = listener.local_addr().expect("socket address");
+        let (events_tx, events) = channel();
         let connections = Arc::new(AtomicUsize::new(0));
-        let (behave, count) = (Arc::new(behave), connections.clone());
+        let (behavior, count) = (Arc::new(behavior), connections.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 count.fetch_add(1, Ordering::SeqCst);
-                let (behave, tell) = (behave.clone(), tell.clone());
-                thread::spawn(move || serve(stream, &*behave, &tell));
+                let (behavior, events_tx) = (behavior.clone(), events_tx.clone());
+                thread::spawn(move || serve(stream, &*behavior, &events_tx));
             }
         });
         Upstream {
             addr,
-            seen,
+            events,
             connections,
         }
     }
 
-    /// The next request.
+    /// Waits for the next request.
     pub(crate) fn request(&self) -> Message {
         loop {
             match self
-                .seen
+                .events
                 .recv_timeout(TEST_TIMEOUT)
                 .expect("a request at the upstream")
             {
-                Seen::Request(m) => return m,
-                Seen::Closed => {}
+                UpstreamEvent::Request(request) => return request,
+                UpstreamEvent::Closed => {}
             }
         }
     }
 
     /// Waits until a connection has been closed.
-    pub(crate) fn closed(&self) {
+    pub(crate) fn wait_until_closed(&self) {
         while !matches!(
-            self.seen
+            self.events
                 .recv_timeout(TEST_TIMEOUT)
                 .expect("a closed connection"),
-            Seen::Closed
+            UpstreamEvent::Closed
         ) {}
     }
 
-    /// How many further requests have come.
+    /// The number of requests that have arrived since the last one read.
     pub(crate) fn additional_requests(&self) -> usize {
-        self.seen
+        self.events
             .try_iter()
-            .filter(|s| matches!(s, Seen::Request(_)))
+            .filter(|event| matches!(event, UpstreamEvent::Request(_)))
             .count()
     }
 }
 
-fn serve(stream: TcpStream, behave: &dyn Fn(&Message) -> Then, tell: &Sender<Seen>) {
+fn serve(
+    stream: TcpStream,
+    behavior: &dyn Fn(&Message) -> UpstreamAction,
+    events_tx: &Sender<UpstreamEvent>,
+) {
     let mut stream = BufReader::new(stream);
     while let Some(request) = read(&mut stream) {
-        let then = behave(&request);
-        let _ = tell.send(Seen::Request(request));
-        match then {
-            Then::Answer(text) => {
+        let action = behavior(&request);
+        let _ = events_tx.send(UpstreamEvent::Request(request));
+        match action {
+            UpstreamAction::Respond(text) => {
                 let _ = stream.get_mut().write_all(text.as_bytes());
             }
-            Then::AnswerAndClose(text) => {
+            UpstreamAction::RespondAndClose(text) => {
                 let _ = stream.get_mut().write_all(text.as_bytes());
                 break;
             }
-            Then::Hang => break,
-            Then::Wait => {}
-            Then::Hold(mode, text) => {
-                let _ = mode.recv_timeout(TEST_TIMEOUT);
+            UpstreamAction::Close => break,
+            UpstreamAction::NeverRespond => {}
+            UpstreamAction::RespondAfterSignal(signal, text) => {
+                let _ = signal.recv_timeout(TEST_TIMEOUT);
                 let _ = stream.get_mut().write_all(text.as_bytes());
             }
         }
     }
     drop(stream);
-    let _ = tell.send(Seen::Closed);
+    let _ = events_tx.send(UpstreamEvent::Closed);
 }
 
 /// An address that refuses connections.
 pub(crate) fn refusing() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
-        .and_then(|l| l.local_addr())
-        .expect("an address")
+        .and_then(|listener| listener.local_addr())
+        .expect("socket address")
 }
 
-/// An address where connections never come up, until they may.
+/// An address at which no connection is established until [`Unreachable::start_accepting`].
 pub(crate) struct Unreachable {
     pub addr: SocketAddr,
     runtime: Runtime,
@@ -148,8 +154,9 @@
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
-            .expect("a runtime");
-        // An address of its own: a port that was free on the common one may be taken by another test meanwhile.
+            .expect("build a runtime");
+        // Each instance has its own loopback address: a free port on the shared one could be taken by another test
+        // meanwhile.
         static NUMBER: AtomicUsize = AtomicUsize::new(1);
         let (number, process) = (
             NUMBER.fetch_add(1, Ordering::SeqCst),
@@ -162,10 +169,10 @@
             number as u8,
         ];
         let addr = SocketAddr::from((ip, refusing().port()));
-        let (manner, watched) = watch::channel(Manner::Unresponsive);
+        let (manner, manner_rx) = watch::channel(Manner::Unresponsive);
         let port = runtime
-            .block_on(async { Port::bind(addr, watched) })
-            .expect("binds");
+            .block_on(async { Port::bind(addr, manner_rx) })
+            .expect("bind");
         Unreachable {
             addr,
             runtime,
@@ -174,19 +181,19 @@
         }
     }
 
-    /// Lets connections come up after all, and returns the first that another made.
-    pub(crate) fn reach(mut self) -> BufReader<TcpStream> {
+    /// Lets connections be established from now on, and returns the first one.
+    pub(crate) fn start_accepting(mut self) -> BufReader<TcpStream> {
         self.manner.send_replace(Manner::Open);
         let accepted = self
             .runtime
             .block_on(self.port.accept())
-            .expect("accepts")
+            .expect("accept")
             .expect("a connection");
-        let stream = accepted.into_std().expect("a stream");
-        stream.set_nonblocking(false).expect("blocks");
+        let stream = accepted.into_std().expect("convert the stream");
+        stream.set_nonblocking(false).expect("set blocking");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
+            .expect("set timeout");
         BufReader::new(stream)
     }
 }
--- a/balancer/proxy/tests/deadlines.rs
+++ b/balancer/proxy/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! What an attempt tells its upstream of the time that is left, on real sockets: never more than the client has.
+//! The remaining time that an attempt states to its upstream, on real sockets: never more than the client has left.
 mod common;
 use common::raw::RawUpstream;
 use common::{
@@ -6,12 +6,12 @@
 };
 use std::time::{Duration, Instant};
 
-/// What clients wait for here.
+/// Deadline of the clients.
 const REQUEST_TIMEOUT_MS: u64 = 20_000;
-/// What the users grant beyond what the client has left.
-const SLACK: Duration = Duration::from_millis(150);
+/// Tolerance beyond the time that the client has left.
+const TOLERANCE: Duration = Duration::from_millis(150);
 
-/// The time left that a request tells.
+/// The remaining time that a request states.
 fn stated_deadline(request: &Message) -> Duration {
     let text = request
         .header("req-deadline")
@@ -20,14 +20,14 @@
     Duration::from_micros(text.parse().expect("a number"))
 }
 
-/// Checks that a request tells no more than a client that sent it at `sent` has, the request having been held back
-/// until `received_at` at least.
-fn at_most_what_is_left(request: &Message, sent: Instant, received_at: Instant) {
+/// Checks that a request states no more time than its client has left: the client sent it at `sent`, and it was held
+/// back until `received_at` at least.
+fn assert_within_remaining_time(request: &Message, sent: Instant, received_at: Instant) {
     let left = Duration::from_millis(REQUEST_TIMEOUT_MS).saturating_sub(received_at - sent);
     let stated_deadline = stated_deadline(request);
     assert!(
-        stated_deadline <= left + SLACK,
-        "tells {stated_deadline:?}, and {left:?} is left"
+        stated_deadline <= left + TOLERANCE,
+        "states {stated_deadline:?} with {left:?} left"
     );
 }
 
@@ -35,8 +35,9 @@
     format!("{REQUEST_TIMEOUT_MS}m")
 }
 
-/// A balancer that has a request and dials an upstream that does not accept; and when the request was sent.
-fn dialling() -> (Unreachable, Node, Client, Instant) {
+/// A balancer that dials an upstream which does not accept, with a request waiting for it; and when the request was
+/// sent.
+fn node_with_pending_dial() -> (Unreachable, Node, Client, Instant) {
     let unreachable = Unreachable::start();
     let discovery = Discovery::start();
     let config = config(
@@ -46,28 +47,28 @@
     )
     .replace("\"idle_close\"", "\"dial_timeout\":20000,\"idle_close\"");
     let node = Node::run(command(&config), discovery);
-    node.discovery.called();
-    let without = node.descriptors();
+    node.discovery.next_call_path();
+    let baseline = node.descriptors();
     let mut client = node.client();
     let sent = Instant::now();
     client.send(&pay("r1", &client_timeout()));
-    node.holds(|n| n >= without + 2, "it does not dial");
+    node.wait_for_descriptors(|n| n >= baseline + 2, "the balancer does not dial");
     (unreachable, node, client, sent)
 }
 
 #[test]
-fn a_dial_that_comes_up_late_is_taken_off() {
-    let (unreachable, _node, _client, sent) = dialling();
+fn slow_dial_is_subtracted_from_the_deadline() {
+    let (unreachable, _node, _client, sent) = node_with_pending_dial();
     std::thread::sleep(Duration::from_millis(500));
     let received_at = Instant::now();
-    let request = read(&mut unreachable.reach()).expect("a request");
-    at_most_what_is_left(&request, sent, received_at);
+    let request = read(&mut unreachable.start_accepting()).expect("a request");
+    assert_within_remaining_time(&request, sent, received_at);
 }
 
 #[test]
-fn the_attempt_before_is_taken_off() {
+fn earlier_attempt_is_subtracted_from_the_deadline() {
     let upstreams = [RawUpstream::start(), RawUpstream::start()];
-    let node = Node::with(&[upstreams[0].addr, upstreams[1].addr]);
+    let node = Node::with_upstreams(&[upstreams[0].addr, upstreams[1].addr]);
     let mut client = node.client();
     let sent = Instant::now();
     client.send(&get("r1", &client_timeout()));
@@ -80,43 +81,43 @@
         .accept()
         .request()
         .expect("a second attempt");
-    at_most_what_is_left(&request, sent, received_at);
+    assert_within_remaining_time(&request, sent, received_at);
 }
 
 #[test]
-fn a_stop_while_it_dials_is_taken_off() {
-    let (unreachable, node, _client, sent) = dialling();
+fn pause_while_dialling_is_subtracted_from_the_deadline() {
+    let (unreachable, node, _client, sent) = node_with_pending_dial();
     node.pause();
-    let mut upstream = unreachable.reach();
+    let mut upstream = unreachable.start_accepting();
     std::thread::sleep(Duration::from_millis(500));
     let received_at = Instant::now();
     node.resume();
-    at_most_what_is_left(&read(&mut upstream).expect("a request"), sent, received_at);
+    assert_within_remaining_time(&read(&mut upstream).expect("a request"), sent, received_at);
 }
 
 #[test]
-fn a_stop_before_the_request_is_read_is_taken_off() {
+fn pause_before_request_read_is_subtracted_from_deadline() {
     let upstream = RawUpstream::start();
-    let node = Node::with(&[upstream.addr]);
+    let node = Node::with_upstreams(&[upstream.addr]);
     let mut client = node.client();
     client.send(&pay("warm", &client_timeout()));
     let mut connection = upstream.accept();
     connection.request().expect("a request");
-    connection.answer("x");
-    client.answer().expect("an answer");
+    connection.respond("x");
+    client.read_response().expect("a response");
     node.pause();
     let sent = Instant::now();
     client.send(&pay("r1", &client_timeout()));
     std::thread::sleep(Duration::from_millis(1000));
     let received_at = Instant::now();
     node.resume();
-    at_most_what_is_left(&connection.request().expect("a request"), sent, received_at);
+    assert_within_remaining_time(&connection.request().expect("a request"), sent, received_at);
 }
 
 #[test]
-fn a_stop_before_the_connection_is_accepted_is_taken_off() {
+fn pause_before_accept_is_subtracted_from_the_deadline() {
     let upstream = RawUpstream::start();
-    let node = Node::with(&[upstream.addr]);
+    let node = Node::with_upstreams(&[upstream.addr]);
     assert_eq!(
         node.client()
             .call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -130,7 +131,7 @@
     std::thread::sleep(Duration::from_millis(1000));
     let received_at = Instant::now();
     node.resume();
-    at_most_what_is_left(
+    assert_within_remaining_time(
         &upstream.accept().request().expect("a request"),
         sent,
         received_at,
--- a/balancer/proxy/tests/discovery.rs
+++ b/balancer/proxy/tests/discovery.rs
@@ -1,7 +1,7 @@
-//! Discovery that misbehaves, seen from real sockets: what it has to tell comes into use all the same. How long that
-//! may take is tested on injected time in `discovery_watch.rs`.
+//! Discovery that misbehaves, on real sockets: its changes are applied all the same. How long that may take is tested
+//! on simulated time in `discovery_watch/`.
 mod common;
-use common::agent::{Agent, Manner};
+use common::scripted_discovery::{Behavior, ScriptedDiscovery};
 use common::*;
 use std::io::Write;
 use std::sync::mpsc::channel;
@@ -10,88 +10,106 @@
 
 const MODES: [&str; 2] = ["pushed", "on_request"];
 
-/// A balancer that knows version 1 with this upstream alone.
-fn knowing(agent: &Agent, mode: &str, old: &Upstream) -> Node {
+/// A balancer that knows list version 1, with this upstream alone.
+fn start_node(discovery: &ScriptedDiscovery, mode: &str, old: &Upstream) -> Node {
     let known = listing(1, true, &[(0, old.addr, "active")]);
-    let config = config(agent.addr, 1024, &known).replace("on_request", mode);
+    let config = config(discovery.addr, 1024, &known).replace("on_request", mode);
     Node::run(command(&config), Discovery::start())
 }
 
-/// Waits until requests go to the upstream that answers so.
-fn served_by(node: &Node, body: &[u8]) {
+/// Waits until requests are answered with this body.
+fn wait_until_served_by(node: &Node, body: &[u8]) {
     let (mut client, started) = (node.client(), Instant::now());
     while client.call(&get("r", "5000m")).body != body {
-        assert!(started.elapsed() < TEST_TIMEOUT, "the list is not in use");
+        assert!(started.elapsed() < TEST_TIMEOUT, "the list is not applied");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// News that version 2 brings, after calls that meet something else first.
-fn change_comes_into_use(
-    first: impl Fn(usize, String) -> Option<Manner> + Clone + Send + Sync + 'static,
+/// Checks that version 2 is applied after the first calls were handled as `initial_behavior` says.
+fn assert_change_is_applied(
+    initial_behavior: impl Fn(usize, String) -> Option<Behavior> + Clone + Send + Sync + 'static,
 ) {
     for mode in MODES {
         let (old, new) = (
             Upstream::start(|_| ok("old")),
             Upstream::start(|_| ok("new")),
         );
-        let (list, first) = (listing(2, true, &[(1, new.addr, "active")]), first.clone());
-        let agent = Agent::start(move |number, path| match path.contains("since=2&") {
-            true => Manner::Unresponsive,
-            false => first(number, list.clone()).unwrap_or(Manner::Answers(list.clone())),
-        });
-        let node = knowing(&agent, mode, &old);
-        served_by(&node, b"new");
+        let (list, initial_behavior) = (
+            listing(2, true, &[(1, new.addr, "active")]),
+            initial_behavior.clone(),
+        );
+        let discovery =
+            ScriptedDiscovery::start(move |number, path| match path.contains("since=2&") {
+                true => Behavior::Unresponsive,
+                false => initial_behavior(number, list.clone())
+                    .unwrap_or(Behavior::Responds(list.clone())),
+            });
+        let node = start_node(&discovery, mode, &old);
+        wait_until_served_by(&node, b"new");
     }
 }
 
 #[test]
-fn an_incomplete_response_is_requested_again() {
-    change_comes_into_use(|number, list| (number < 2).then_some(Manner::Half(list)));
+fn incomplete_response_is_requested_again() {
+    assert_change_is_applied(|number, list| {
+        (number < 2).then_some(Behavior::PartialResponse(list))
+    });
 }
 
 #[test]
-fn a_watch_that_ends_without_a_response_is_opened_anew() {
-    change_comes_into_use(|number, _| (number < 2).then_some(Manner::Ends));
+fn watch_reopens_after_close_without_response() {
+    assert_change_is_applied(|number, _| (number < 2).then_some(Behavior::Closes));
 }
 
 #[test]
-fn an_answer_that_trickles_for_ever_holds_nothing_up() {
-    change_comes_into_use(|number, _| (number < 3).then_some(Manner::Trickles));
+fn trickling_response_does_not_block_updates() {
+    assert_change_is_applied(|number, _| (number < 3).then_some(Behavior::Trickles));
 }
 
-/// Each answer takes 3 s, head and body in small pieces.
+/// Each response takes 3 s, head and body in small pieces.
 #[test]
-fn a_list_that_takes_long_but_keeps_coming_is_taken() {
-    change_comes_into_use(|_, list| Some(Manner::Pieces(list, 30, Duration::from_millis(100))));
+fn slow_but_progressing_list_is_accepted() {
+    assert_change_is_applied(|_, list| {
+        Some(Behavior::RespondsInPieces(
+            list,
+            30,
+            Duration::from_millis(100),
+        ))
+    });
 }
 
 #[test]
-fn a_discovery_that_cannot_be_connected_to_is_reached_once_it_can() {
+fn unreachable_discovery_is_called_once_it_accepts() {
     let (old, new) = (
         Upstream::start(|_| ok("old")),
         Upstream::start(|_| ok("new")),
     );
-    let unresponsive = Unreachable::start();
+    let unreachable = Unreachable::start();
     let known = listing(1, true, &[(0, old.addr, "active")]);
     let node = Node::run(
-        command(&config(unresponsive.addr, 1024, &known)),
+        command(&config(unreachable.addr, 1024, &known)),
         Discovery::start(),
     );
-    node.logs_times("discovery: no answer in time", 3);
-    let mut call = unresponsive.reach();
-    assert!(read(&mut call).expect("a call").start.contains("since=1&"));
+    node.wait_for_log_times("discovery: no answer in time", 3);
+    let mut call = unreachable.start_accepting();
+    assert!(read(&mut call)
+        .expect("a call to discovery")
+        .start_line
+        .contains("since=1&"));
     let list = listing(2, true, &[(1, new.addr, "active")]);
-    let answer = format!(
+    let response = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
         list.len()
     );
-    call.get_mut().write_all(answer.as_bytes()).expect("writes");
-    served_by(&node, b"new");
+    call.get_mut()
+        .write_all(response.as_bytes())
+        .expect("write");
+    wait_until_served_by(&node, b"new");
 }
 
 #[test]
-fn a_reload_ends_the_pause_after_a_failed_call() {
+fn reload_ends_the_backoff_after_failed_calls() {
     let (old, new) = (
         Upstream::start(|_| ok("old")),
         Upstream::start(|_| ok("new")),
@@ -101,33 +119,33 @@
         command(&config(refusing(), 1024, &known)),
         Discovery::start(),
     );
-    // The module waits ever longer now.
-    node.logs_times("discovery: ", 4);
+    // The pause between calls grows with each failure.
+    node.wait_for_log_times("discovery: ", 4);
     let list = listing(2, true, &[(1, new.addr, "active")]);
-    let moved = Agent::start(move |_, path| match path.contains("since=2&") {
-        true => Manner::Unresponsive,
-        false => Manner::Answers(list.clone()),
+    let new_discovery = ScriptedDiscovery::start(move |_, path| match path.contains("since=2&") {
+        true => Behavior::Unresponsive,
+        false => Behavior::Responds(list.clone()),
     });
-    node.reload(&config(moved.addr, 1024, "null"));
-    moved.called_with("since=1&");
-    moved.called_with("since=2&");
-    served_by(&node, b"new");
+    node.reload(&config(new_discovery.addr, 1024, "null"));
+    new_discovery.wait_for_call_containing("since=1&");
+    new_discovery.wait_for_call_containing("since=2&");
+    wait_until_served_by(&node, b"new");
 }
 
-/// What a whole list does not name is gone, though it would still answer.
+/// An upstream that a full list omits is removed, even if it would still respond.
 #[test]
-fn what_a_full_list_does_not_name_gets_nothing_more_and_its_idle_connections_close() {
+fn upstream_omitted_from_full_list_is_disconnected() {
     let (old, new) = (
         Upstream::start(|_| ok("old")),
         Upstream::start(|_| ok("new")),
     );
-    let node = Node::with(&[old.addr]);
+    let node = Node::with_upstreams(&[old.addr]);
     let mut client = node.client();
     assert_eq!(client.call(&get("r1", "5000m")).body, b"old");
     old.request();
     node.discovery
-        .answer(&listing(2, true, &[(1, new.addr, "active")]));
-    old.closed();
+        .respond(&listing(2, true, &[(1, new.addr, "active")]));
+    old.wait_until_closed();
     for n in 0..20 {
         assert_eq!(client.call(&get(&format!("n{n}"), "5000m")).body, b"new");
     }
@@ -135,89 +153,95 @@
 }
 
 #[test]
-fn nothing_is_written_to_an_upstream_that_a_full_list_omits_while_it_is_dialled() {
-    let (full, new) = (Unreachable::start(), Upstream::start(|_| ok("new")));
+fn nothing_is_written_to_omitted_upstream_while_dialling() {
+    let (unreachable, new) = (Unreachable::start(), Upstream::start(|_| ok("new")));
     let discovery = Discovery::start();
-    let known = listing(1, true, &[(0, full.addr, "active")]);
+    let known = listing(1, true, &[(0, unreachable.addr, "active")]);
     let config = config(discovery.addr, 1024, &known)
         .replace("\"idle_close\"", "\"dial_timeout\":20000,\"idle_close\"")
         .replace("\"drain_grace\":1000", "\"drain_grace\":20000");
     let node = Node::run(command(&config), discovery);
-    node.discovery.called();
-    let without = node.descriptors();
+    node.discovery.next_call_path();
+    let baseline = node.descriptors();
     let mut client = node.client();
     client.send(&pay("r1", "20000m"));
-    node.holds(|n| n >= without + 2, "it does not dial");
+    node.wait_for_descriptors(|n| n >= baseline + 2, "the balancer does not dial");
     node.discovery
-        .answer(&listing(2, true, &[(1, new.addr, "active")]));
-    assert!(node.discovery.called().contains("since=2&"));
-    assert!(read(&mut full.reach()).is_none());
+        .respond(&listing(2, true, &[(1, new.addr, "active")]));
+    assert!(node.discovery.next_call_path().contains("since=2&"));
+    assert!(read(&mut unreachable.start_accepting()).is_none());
 }
 
-/// A name at another address is another process: a connection to the former one is not used again.
+/// An upstream at a new address is another process: connections to its former address are not reused.
 #[test]
-fn a_connection_to_a_former_address_is_not_used_again() {
-    let (go, hold) = channel();
-    let hold = Arc::new(Mutex::new(Some(hold)));
-    let old = Upstream::start(move |_| match hold.lock().expect("no panic").take() {
-        Some(hold) => Then::Hold(
-            hold,
-            "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold".into(),
-        ),
-        None => ok("old"),
-    });
+fn connection_to_a_former_address_is_not_reused() {
+    let (release, response_signal) = channel();
+    let response_signal = Arc::new(Mutex::new(Some(response_signal)));
+    let old =
+        Upstream::start(
+            move |_| match response_signal.lock().expect("lock not poisoned").take() {
+                Some(response_signal) => UpstreamAction::RespondAfterSignal(
+                    response_signal,
+                    "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold".into(),
+                ),
+                None => ok("old"),
+            },
+        );
     let new = Upstream::start(|_| ok("new"));
-    let node = Node::with(&[old.addr]);
+    let node = Node::with_upstreams(&[old.addr]);
     let mut client = node.client();
     client.send(&get("r1", "10000m"));
     old.request();
     node.discovery
-        .answer(&listing(2, false, &[(0, new.addr, "active")]));
-    assert!(node.discovery.called().starts_with("/api/targets?since=1&"));
-    assert!(node.discovery.called().contains("since=2&"));
-    go.send(()).expect("it waits");
-    // What was sent on before still gets its answer.
-    assert_eq!(client.answer().expect("an answer").body, b"old");
+        .respond(&listing(2, false, &[(0, new.addr, "active")]));
+    assert!(node
+        .discovery
+        .next_call_path()
+        .starts_with("/api/targets?since=1&"));
+    assert!(node.discovery.next_call_path().contains("since=2&"));
+    release.send(()).expect("upstream is waiting");
+    // A request forwarded before the change still gets its response.
+    assert_eq!(client.read_response().expect("a response").body, b"old");
     assert_eq!(client.call(&get("r2", "10000m")).body, b"new");
     assert_eq!(old.additional_requests(), 0);
 }
 
 #[test]
-fn nothing_is_written_to_a_former_address_that_is_dialled() {
-    let (full, new) = (Unreachable::start(), Upstream::start(|_| ok("new")));
+fn nothing_is_written_after_dialling_a_former_address() {
+    let (unreachable, new) = (Unreachable::start(), Upstream::start(|_| ok("new")));
     let discovery = Discovery::start();
     let config = config(
         discovery.addr,
         1024,
-        &listing(1, true, &[(0, full.addr, "active")]),
+        &listing(1, true, &[(0, unreachable.addr, "active")]),
     )
     .replace("\"idle_close\"", "\"dial_timeout\":20000,\"idle_close\"");
     let node = Node::run(command(&config), discovery);
-    node.discovery.called();
-    let without = node.descriptors();
+    node.discovery.next_call_path();
+    let baseline = node.descriptors();
     let mut client = node.client();
     client.send(&pay("r1", "20000m"));
-    node.holds(|n| n >= without + 2, "it does not dial");
+    node.wait_for_descriptors(|n| n >= baseline + 2, "the balancer does not dial");
     node.discovery
-        .answer(&listing(2, false, &[(0, new.addr, "active")]));
-    assert!(node.discovery.called().contains("since=2&"));
-    assert!(read(&mut full.reach()).is_none());
-    assert!(client.answer().is_some());
+        .respond(&listing(2, false, &[(0, new.addr, "active")]));
+    assert!(node.discovery.next_call_path().contains("since=2&"));
+    assert!(read(&mut unreachable.start_accepting()).is_none());
+    assert!(client.read_response().is_some());
 }
 
-/// Idle clients fill all descriptors that there are, while discovery is down; the watch still reaches it.
+/// Idle clients use up all client descriptors while discovery is down; the watch still reaches it afterwards.
 #[test]
-fn clients_that_fill_the_descriptors_leave_one_to_discovery() {
-    discovery_is_reached_under(64, 64);
+fn clients_at_configured_limit_leave_discovery_a_descriptor() {
+    assert_discovery_is_reached(64, 64);
 }
 
-/// The configuration promises more than the system gives.
+/// The configuration allows more descriptors than the system limit.
 #[test]
-fn clients_that_take_more_descriptors_than_there_are_leave_one_to_discovery() {
-    discovery_is_reached_under(1024, 40);
+fn clients_beyond_system_limit_leave_discovery_a_descriptor() {
+    assert_discovery_is_reached(1024, 40);
 }
 
-fn discovery_is_reached_under(promised: usize, given: usize) {
+fn assert_discovery_is_reached(configured_limit: usize, system_limit: usize) {
     let (old, new) = (
         Upstream::start(|_| ok("old")),
         Upstream::start(|_| ok("new")),
@@ -227,19 +251,24 @@
         Arc::new(Mutex::new(true)),
     );
     let is_down = down.clone();
-    let agent = Agent::start(move |_, path| match *is_down.lock().expect("no panic") {
-        true => Manner::Ends,
-        false if path.contains("since=2&") => Manner::Unresponsive,
-        false => Manner::Answers(list.clone()),
+    let discovery = ScriptedDiscovery::start(move |_, path| {
+        match *is_down.lock().expect("lock not poisoned") {
+            true => Behavior::Closes,
+            false if path.contains("since=2&") => Behavior::Unresponsive,
+            false => Behavior::Responds(list.clone()),
+        }
     });
     let known = listing(1, true, &[(0, old.addr, "active")]);
-    let limited = limited_command(&config(agent.addr, promised, &known), given);
+    let limited = limited_command(
+        &config(discovery.addr, configured_limit, &known),
+        system_limit,
+    );
     let node = Node::run(limited, Discovery::start());
     let idle: Vec<Client> = (0..100).map(|_| node.client()).collect();
-    node.holds(|n| n > 32, "the clients are not taken");
-    node.logs_times("discovery: ", 3);
-    *down.lock().expect("no panic") = false;
-    agent.called_with("since=2&");
+    node.wait_for_descriptors(|n| n > 32, "the clients are not accepted");
+    node.wait_for_log_times("discovery: ", 3);
+    *down.lock().expect("lock not poisoned") = false;
+    discovery.wait_for_call_containing("since=2&");
     drop(idle);
-    served_by(&node, b"new");
+    wait_until_served_by(&node, b"new");
 }
--- a/balancer/proxy/tests/discovery_timeouts.rs
+++ b/balancer/proxy/tests/discovery_timeouts.rs
@@ -1,4 +1,5 @@
-//! Discovery that falls silent: what it has to tell counts as told some seconds later, whether it came or not.
+//! Discovery that stops responding: what it has to report counts as reported a few seconds later, whether or not a
+//! call received it.
 mod common;
 use common::*;
 use std::io::{BufReader, Write};
@@ -7,78 +8,87 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Discovery that says nothing to so many calls, and gives the list to each one after them; tells when calls come.
-fn unresponsive(times: usize, list: String) -> (SocketAddr, Receiver<Instant>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
-    let addr = listener.local_addr().expect("an address");
-    let (tell, calls) = channel();
+/// Discovery that ignores this number of calls and then responds to each with the list; sends the time of each call.
+fn discovery_ignoring_calls(times: usize, list: String) -> (SocketAddr, Receiver<Instant>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
+    let addr = listener.local_addr().expect("socket address");
+    let (calls_tx, calls) = channel();
     thread::spawn(move || {
         let mut open_streams = Vec::new();
         for (number, stream) in listener.incoming().flatten().enumerate() {
             let mut stream = BufReader::new(stream);
-            if read(&mut stream).is_none() || tell.send(Instant::now()).is_err() {
+            if read(&mut stream).is_none() || calls_tx.send(Instant::now()).is_err() {
                 return;
             }
             if number >= times {
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
                 let _ = stream.get_mut().write_all((head + &list).as_bytes());
             }
-            // Stays open, and silent from here on.
+            // Stays open without further output.
             open_streams.push(stream);
         }
     });
     (addr, calls)
 }
 
-fn what_three_silences_hid_is_known_in_time(mode: &str) {
+fn assert_change_known_after_three_timeouts(mode: &str) {
     let (old, new) = (
         Upstream::start(|_| ok("old")),
         Upstream::start(|_| ok("new")),
     );
-    let (addr, calls) = unresponsive(3, listing(6, true, &[(1, new.addr, "active")]));
+    let (addr, calls) = discovery_ignoring_calls(3, listing(6, true, &[(1, new.addr, "active")]));
     let known = listing(5, true, &[(0, old.addr, "active")]);
     let config = config(addr, 1024, &known).replace("on_request", mode);
     let node = Node::run(command(&config), Discovery::start());
     let calls: Vec<Instant> = (0..4)
-        .map(|_| calls.recv_timeout(TEST_TIMEOUT).expect("a call"))
+        .map(|_| {
+            calls
+                .recv_timeout(TEST_TIMEOUT)
+                .expect("a call to discovery")
+        })
         .collect();
-    // What the first one hid counts as told 6 s after it fell silent. A slow machine lengthens a wait, so that the
-    // shortest of those on which it rests says what was meant.
-    let waits = calls.windows(2).map(|pair| pair[1] - pair[0]);
+    // A change hidden by the first timeout counts as reported 6 s after it began. A slow machine lengthens intervals,
+    // so the shortest one shows the intended interval.
+    let intervals = calls.windows(2).map(|pair| pair[1] - pair[0]);
     assert!(
-        waits.min().expect("three waits") * 3 < Duration::from_secs(6),
+        intervals.min().expect("three intervals") * 3 < Duration::from_secs(6),
         "{calls:?}"
     );
     let mut client = node.client();
     let started = Instant::now();
     while client.call(&get("r", "5000m")).body != b"new" {
-        assert!(started.elapsed() < TEST_TIMEOUT, "the list is not in use");
+        assert!(started.elapsed() < TEST_TIMEOUT, "the list is not applied");
     }
 }
 
 #[test]
-fn what_three_silences_of_a_pushed_list_hid_is_known_in_time() {
-    what_three_silences_hid_is_known_in_time("pushed");
+fn pushed_change_is_known_after_three_timeouts() {
+    assert_change_known_after_three_timeouts("pushed");
 }
 
 #[test]
-fn what_three_timeouts_of_a_polled_list_hid_is_known_in_time() {
-    what_three_silences_hid_is_known_in_time("on_request");
+fn polled_change_is_known_after_three_timeouts() {
+    assert_change_known_after_three_timeouts("on_request");
 }
 
-/// A process without a list asks no more rarely the longer discovery is silent: it would stay without one for long after
-/// discovery is back.
+/// A process without a list does not back off while discovery times out: it would stay without a list long after
+/// discovery recovers.
 #[test]
-fn a_first_list_is_requested_as_often_as_changes() {
+fn first_list_is_requested_as_often_as_changes() {
     for mode in ["pushed", "on_request"] {
         let new = Upstream::start(|_| ok("new"));
-        let (addr, calls) = unresponsive(4, listing(6, true, &[(1, new.addr, "active")]));
+        let (addr, calls) =
+            discovery_ignoring_calls(4, listing(6, true, &[(1, new.addr, "active")]));
         let config = config(addr, 1024, "null").replace("on_request", mode);
         let node = Node::run(command(&config), Discovery::start());
         let calls: Vec<Instant> = (0..5)
-            .map(|_| calls.recv_timeout(TEST_TIMEOUT).expect("a call"))
+            .map(|_| {
+                calls
+                    .recv_timeout(TEST_TIMEOUT)
+                    .expect("a call to discovery")
+            })
             .collect();
-        // 1.5 s each; a slow machine lengthens a wait, but not the last beyond the first by so much.
+        // Intervals are 1.5 s. A slow machine lengthens one, but the last not by this much more than the first.
         assert!(
             calls[4] - calls[3] < Duration::from_secs(4),
             "{mode}: {calls:?}"
@@ -87,7 +97,7 @@
         while client.call(&get("r", "5000m")).body != b"new" {
             assert!(
                 started.elapsed() < TEST_TIMEOUT,
-                "{mode}: the list is not in use"
+                "{mode}: the list is not applied"
             );
         }
     }
--- a/balancer/proxy/tests/golden.rs
+++ b/balancer/proxy/tests/golden.rs
@@ -1,11 +1,11 @@
-//! What a balancer keeps on a disk and tells the other copies of its tier, word for word. A later build starts on the
-//! folder that an earlier one has left, and during a rolling upgrade copies of both speak with each other: the texts, the
-//! ids of upstreams and the fingerprints of settings must come out as they did.
+//! The exact formats that a balancer writes to disk and sends to the other replicas of its tier. A later build starts
+//! on the state directory of an earlier one, and during a rolling upgrade replicas of both exchange datagrams: texts,
+//! upstream ids and settings fingerprints must not change.
 //!
-//! Not held here: the fingerprint that what was learned is kept with. It is made of the names in the program's own types.
+//! Not covered: the fingerprint stored with learned state, which is computed from type names of the program.
 mod common;
 use balancer_core::{Availability, Endpoint, Health, Learned, Load, UpstreamId};
-use balancer_gossip::{wire, Member as Place, VersionRange};
+use balancer_gossip::{wire, Member as ReplicaIndex, VersionRange};
 use balancer_snapshots::store::inspect;
 use balancer_snapshots::{unix_ms, Kind, Owner, Store};
 use common::*;
@@ -18,19 +18,20 @@
 const LEARNED: &str = include_str!("golden/learned.json");
 const UPSTREAMS: &str = include_str!("golden/upstreams.json");
 
-/// The fingerprint of the names in the settings of a balancer under test, with which a folder of its belongs to it.
+/// Fingerprint of the names in the settings under test, stored in the state directory to show whose it is.
 const SETTINGS: u32 = 0x8503_1e0f;
-/// The same as the copies of a tier of two know it, by which they tell other tiers' datagrams.
+/// Fingerprint of the deployment as replicas of a tier of two send it, by which they recognise datagrams of other
+/// tiers.
 const DEPLOYMENT: u32 = 0x16e9_2415;
-/// The ids of upstreams by their names.
+/// Upstream ids, derived from their names.
 const S_1: UpstreamId = UpstreamId(0x817c_da19_5c3f_bf24);
 const S_2: UpstreamId = UpstreamId(0x817c_dd19_5c3f_c43d);
 const S_3: UpstreamId = UpstreamId(0x817c_dc19_5c3f_c28a);
 
-/// The number of a start beyond all that are made of the time: the one after it is the next.
+/// An incarnation larger than any derived from the clock, so that the next start adds one to it.
 const INCARNATION: u64 = 11_000_000_000_000_000_000;
 
-/// As `learned.json` has it.
+/// The state in `learned.json`.
 fn learned() -> Learned {
     let health = Health {
         slowness: 1.25,
@@ -65,26 +66,30 @@
 }
 
 #[test]
-fn what_was_learned_keeps_its_text() {
+fn learned_state_keeps_its_json_format() {
     assert_eq!(
         serde_json::to_string(&learned()).expect("JSON"),
         LEARNED.trim_end()
     );
     assert_eq!(
-        serde_json::from_str::<Learned>(LEARNED).expect("is read"),
+        serde_json::from_str::<Learned>(LEARNED).expect("parsed"),
         learned()
     );
 }
 
 #[test]
-fn a_list_is_read_with_the_ids_and_positions_it_had() {
+fn list_keeps_its_upstream_ids_and_positions() {
     let listing = UPSTREAMS.trim_end().replace(
         "]}",
         r#",{"id":"s-2","addr":"127.0.0.1:10","zone":"a","kind":"m","cell":8,"state":"left","started_ms":3}]}"#,
     );
-    let config = config("127.0.0.1:9".parse().expect("an address"), 1024, &listing);
+    let config = config(
+        "127.0.0.1:9".parse().expect("socket address"),
+        1024,
+        &listing,
+    );
     let known = balancer_proxy::config::Config::parse(config.as_bytes())
-        .expect("is read")
+        .expect("parsed")
         .known
         .expect("a list");
     assert_eq!((known.version, known.full), (5, true));
@@ -92,7 +97,7 @@
         let at = |name: &str, addr: &str| {
             (
                 name.to_string(),
-                addr.parse::<SocketAddr>().expect("an address"),
+                addr.parse::<SocketAddr>().expect("socket address"),
             )
         };
         (
@@ -107,7 +112,7 @@
             },
         )
     };
-    let wanted = [
+    let expected = [
         (
             "s-1",
             "127.0.0.1:9",
@@ -124,8 +129,8 @@
             member(S_2, 0, 0, 8, Availability::Removed, 3.0),
         ),
     ];
-    assert_eq!(known.entries.len(), wanted.len());
-    for (entry, (name, addr, (at, member))) in known.entries.iter().zip(wanted) {
+    assert_eq!(known.entries.len(), expected.len());
+    for (entry, (name, addr, (at, member))) in known.entries.iter().zip(expected) {
         assert_eq!(
             ((entry.name.clone(), entry.addr), &entry.endpoint),
             (at(name, addr), &member)
@@ -140,13 +145,13 @@
     }
 }
 
-/// Keeps payloads as an earlier build of the balancer under test would have.
-fn persist(dir: &Path, payloads: &[(Kind, String)]) {
-    let mut store = Store::open(dir, owner(), None).expect("opens").store;
-    store.put(payloads, unix_ms()).expect("is written");
+/// Writes payloads as an earlier build of the balancer under test would have.
+fn write_state(dir: &Path, payloads: &[(Kind, String)]) {
+    let mut store = Store::open(dir, owner(), None).expect("open").store;
+    store.put(payloads, unix_ms()).expect("write state");
 }
 
-fn started(dir: &Path) -> Node {
+fn start_in(dir: &Path) -> Node {
     let discovery = Discovery::start();
     let mut command = command(&config(discovery.addr, 1024, "null"));
     command.args(["run", "--set", &format!("recovery.dir={}", dir.display())]);
@@ -155,35 +160,36 @@
     Node::run(command, discovery)
 }
 
-/// The payload of a kind, once there is one as wanted; it must be of the balancer under test and of its settings.
-fn persisted(dir: &Path, kind: Kind, wanted: impl Fn(&str) -> bool) -> String {
-    let started = Instant::now();
+/// Waits for a payload of this kind that satisfies `expected` and returns it; it must belong to the balancer under
+/// test and its settings.
+fn wait_for_state(dir: &Path, kind: Kind, expected: impl Fn(&str) -> bool) -> String {
+    let began = Instant::now();
     loop {
-        // A folder that is read while it is written may make no sense for a moment.
+        // Reading the directory during a write may fail for a moment.
         let line = inspect(dir)
             .ok()
             .and_then(|lines| lines.into_iter().find(|line| line.kind == kind));
         if let Some(Ok((record, owner))) = line.and_then(|line| line.found) {
             assert_eq!((owner.as_str(), record.settings), ("n1", SETTINGS));
-            if wanted(&record.payload) {
+            if expected(&record.payload) {
                 return record.payload;
             }
         }
         assert!(
-            started.elapsed() < TEST_TIMEOUT,
-            "{kind:?} is not kept as wanted"
+            began.elapsed() < TEST_TIMEOUT,
+            "no {kind:?} record as expected"
         );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
-fn a_folder_of_an_earlier_build_is_read_and_written_in_its_format() {
-    let dir = TempDir::new().expect("a folder");
+fn state_directory_of_earlier_build_keeps_its_format() {
+    let dir = TempDir::new().expect("temp dir");
     let list = UPSTREAMS.trim_end();
     let learned_record =
         |policy: &Value| format!(r#"{{"policy":{policy},"learned":{}}}"#, LEARNED.trim_end());
-    persist(
+    write_state(
         dir.path(),
         &[
             (
@@ -197,58 +203,62 @@
             (Kind::Learned, learned_record(&Value::from(0))),
         ],
     );
-    let node = started(dir.path());
-    node.logs("recovery: start 8, a list of 2 upstreams");
-    // The lesson was read, and then found to be of another policy.
-    node.logs("nothing learned: the settings are others now");
-    assert!(node.discovery.called().starts_with("/api/targets?since=4&"));
+    let node = start_in(dir.path());
+    node.wait_for_log("recovery: start 8, a list of 2 upstreams");
+    // The learned state was read, and then found to belong to another policy.
+    node.wait_for_log("nothing learned: the settings are others now");
+    assert!(node
+        .discovery
+        .next_call_path()
+        .starts_with("/api/targets?since=4&"));
     assert_eq!(
-        persisted(dir.path(), Kind::Starts, |text| text.contains(":8,")),
+        wait_for_state(dir.path(), Kind::Starts, |text| text.contains(":8,")),
         format!(r#"{{"count":8,"incarnation":{}}}"#, INCARNATION + 1)
     );
-    // An upstream that has left is not kept; the list is, in the words that it had.
-    node.discovery.answer(&listing(
+    // A removed upstream is not stored; the list is stored with its earlier text.
+    node.discovery.respond(&listing(
         5,
         false,
         &[(2, ([127, 0, 0, 1], 10).into(), "left")],
     ));
     assert_eq!(
-        persisted(dir.path(), Kind::Upstreams, |text| text.contains(":5,")),
+        wait_for_state(dir.path(), Kind::Upstreams, |text| text.contains(":5,")),
         list
     );
-    let text = persisted(dir.path(), Kind::Learned, |text| {
+    let text = wait_for_state(dir.path(), Kind::Learned, |text| {
         !text.starts_with(r#"{"policy":0,"#)
     });
     drop(node);
     let value: Value = serde_json::from_str(&text).expect("JSON");
-    let now: Learned = serde_json::from_value(value["learned"].clone()).expect("what was learned");
-    let wanted = serde_json::to_string(&now).expect("JSON");
+    let now: Learned = serde_json::from_value(value["learned"].clone()).expect("learned state");
+    let expected = serde_json::to_string(&now).expect("JSON");
     assert_eq!(
         text,
-        format!(r#"{{"policy":{},"learned":{wanted}}}"#, value["policy"])
+        format!(r#"{{"policy":{},"learned":{expected}}}"#, value["policy"])
     );
-    // What an earlier build had learned under this policy is taken back.
-    persist(
+    // Learned state that an earlier build stored under this policy is restored.
+    write_state(
         dir.path(),
         &[(Kind::Learned, learned_record(&value["policy"]))],
     );
-    started(dir.path()).logs("what was learned until");
+    start_in(dir.path()).wait_for_log("what was learned until");
 }
 
-/// Version 0.1 kept how often it had started, and nothing else.
+/// Version 0.1 stored the number of starts only.
 #[test]
-fn a_folder_with_the_count_of_starts_alone_is_taken_up() {
-    let dir = TempDir::new().expect("a folder");
-    persist(dir.path(), &[(Kind::Starts, "7".into())]);
-    started(dir.path()).logs("recovery: start 8");
+fn state_with_only_a_start_count_is_accepted() {
+    let dir = TempDir::new().expect("temp dir");
+    write_state(dir.path(), &[(Kind::Starts, "7".into())]);
+    start_in(dir.path()).wait_for_log("recovery: start 8");
 }
 
 #[test]
-fn a_copy_tells_its_tier_by_the_fingerprint_it_had() {
-    let bind = || UdpSocket::bind("127.0.0.1:0").expect("binds");
+fn replica_keeps_its_deployment_fingerprint() {
+    let bind = || UdpSocket::bind("127.0.0.1:0").expect("bind");
     let (peer, own) = (bind(), bind());
-    peer.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time");
-    let address = |socket: &UdpSocket| socket.local_addr().expect("an address");
+    peer.set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("set timeout");
+    let address = |socket: &UdpSocket| socket.local_addr().expect("socket address");
     let discovery = Discovery::start();
     let peers = format!(
         r#""peer_listen":"127.0.0.1:0","peers":["{}","{}"],"known""#,
@@ -265,8 +275,11 @@
     let mut bytes = [0; 2048];
     let (length, _) = peer.recv_from(&mut bytes).expect("a datagram");
     drop(node);
-    let (header, _) = wire::open(&bytes[..length]).expect("whole");
-    assert_eq!((header.deployment, header.position), (DEPLOYMENT, Place(1)));
+    let (header, _) = wire::open(&bytes[..length]).expect("valid datagram");
+    assert_eq!(
+        (header.deployment, header.position),
+        (DEPLOYMENT, ReplicaIndex(1))
+    );
     assert_eq!(
         (header.version, header.supported_versions),
         (1, VersionRange { min: 1, max: 2 })
--- a/balancer/proxy/tests/mutations/mod.rs
+++ b/balancer/proxy/tests/mutations/mod.rs
@@ -1,14 +1,13 @@
-//! Texts changed at random, for tests of bad input: the same ones for the same seed. Messages that refuse one are checked
-//! here too.
+//! Randomly mutated inputs, reproducible from the seed, and a check of the messages that reject them.
 #[path = "../../../core/tests/common/mutations.rs"]
 mod shared;
 use shared::{Mutations, SplitMix64};
 
-/// Messages may quote what was read; they stay this short all the same.
-const LINE_MOST: usize = 400;
+/// Longest error message, in characters, even where it quotes the input.
+const MAX_MESSAGE_CHARS: usize = 400;
 
-/// What may stand where a value was; the time is longer than the reader under test takes.
-fn values(too_long: &str) -> Vec<&str> {
+/// Replacement values. `too_long` is a duration longer than the parser under test accepts.
+fn replacement_values(too_long: &str) -> Vec<&str> {
     vec![
         "null",
         "true",
@@ -35,17 +34,20 @@
     ]
 }
 
-/// Changes of a text whose values begin after the separator.
+/// Mutations of a text in which values follow `separator`.
 pub(crate) fn mutations(separator: u8, too_long: &str, seed: u64) -> Mutations<'_> {
     Mutations {
         separator,
         value_ends: b",}]\n",
-        values: values(too_long),
+        values: replacement_values(too_long),
         generator: SplitMix64(seed),
     }
 }
 
-pub(crate) fn is_one_line(error: &str) {
-    let plain = !error.is_empty() && !error.contains(char::is_control);
-    assert!(plain && error.chars().count() <= LINE_MOST, "{error:?}");
+pub(crate) fn assert_one_line(error: &str) {
+    let is_printable = !error.is_empty() && !error.contains(char::is_control);
+    assert!(
+        is_printable && error.chars().count() <= MAX_MESSAGE_CHARS,
+        "{error:?}"
+    );
 }
--- a/balancer/proxy/tests/operate.rs
+++ b/balancer/proxy/tests/operate.rs
@@ -1,4 +1,5 @@
-//! What an operator does: checks, switches on, reloads, reads the log and the figures. Each test starts the program.
+//! Operator tasks: checking, setting and reloading options, reading the log and the metrics. Each test runs the
+//! program.
 mod common;
 use common::*;
 use serde_json::Value;
@@ -9,18 +10,18 @@
 use std::time::Instant;
 use tempfile::TempDir;
 
-fn folder() -> TempDir {
-    TempDir::new().expect("a folder")
+fn temp_dir() -> TempDir {
+    TempDir::new().expect("temp dir")
 }
 
-fn written(dir: &TempDir, text: &str) -> PathBuf {
+fn write_options(dir: &TempDir, text: &str) -> PathBuf {
     let path = dir.path().join("options.toml");
-    std::fs::write(&path, text).expect("writes");
+    std::fs::write(&path, text).expect("write");
     path
 }
 
-/// A balancer before one upstream, started with these arguments.
-fn started(upstream: &Upstream, arguments: &[&str]) -> Node {
+/// A balancer with one upstream, run with these arguments.
+fn start_with(upstream: &Upstream, arguments: &[&str]) -> Node {
     let discovery = Discovery::start();
     let known = listing(1, true, &[(0, upstream.addr, "active")]);
     let mut command = command(&config(discovery.addr, 1024, &known));
@@ -28,20 +29,23 @@
     Node::run(command, discovery)
 }
 
-/// How a program that ends by itself ended: its status and what it wrote to each side.
-fn ended(mut command: Command) -> (Option<i32>, String, String) {
-    let out = command.stdout(Stdio::piped()).output().expect("runs");
-    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
+/// Runs a program that exits by itself. Returns its status, standard output and standard error.
+fn run_to_exit(mut command: Command) -> (Option<i32>, String, String) {
+    let out = command
+        .stdout(Stdio::piped())
+        .output()
+        .expect("run the program");
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8 text");
     (out.status.code(), text(out.stdout), text(out.stderr))
 }
 
 #[test]
-fn a_check_shows_every_option_with_its_source_and_listens_nowhere() {
-    let (dir, discovery) = (folder(), Discovery::start());
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("binds");
-    let address = taken.local_addr().expect("an address").to_string();
+fn check_shows_option_sources_without_listening() {
+    let (dir, discovery) = (temp_dir(), Discovery::start());
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind");
+    let address = listener.local_addr().expect("socket address").to_string();
     let good = config(discovery.addr, 1024, "null").replace("127.0.0.1:0", &address);
-    let options = written(&dir, "[log]\nlevel = \"debug\"\n");
+    let options = write_options(&dir, "[log]\nlevel = \"debug\"\n");
     let check = |config: &str, options: &Path| {
         let mut command = command(config);
         command
@@ -50,15 +54,15 @@
             .arg(options)
             .args(["--set", "log.rate=7"]);
         command.env("BALANCER_OPTION_FIGURES_EVERY", "3s");
-        ended(command)
+        run_to_exit(command)
     };
-    let (status, said, errors) = check(&good, &options);
+    let (status, output, errors) = check(&good, &options);
     assert_eq!((status, errors.as_str()), (Some(0), ""));
     let line = |key: &str| {
-        let line = said
+        let line = output
             .lines()
             .find(|l| l.starts_with(key))
-            .unwrap_or_else(|| panic!("{key} is not in {said}"));
+            .unwrap_or_else(|| panic!("{key} is not in {output}"));
         line.split_whitespace()
             .map(String::from)
             .collect::<Vec<_>>()
@@ -73,51 +77,51 @@
         ["\"3s\"", "BALANCER_OPTION_FIGURES_EVERY"]
     );
     assert_eq!(line("log.format")[1..], ["\"text\"", "default"]);
-    assert!(said.contains(&address));
+    assert!(output.contains(&address));
 
     let missing = dir.path().join("missing.toml");
-    let unusable = |result: (Option<i32>, String, String), what: &str| {
+    let assert_unusable = |result: (Option<i32>, String, String), what: &str| {
         assert_eq!((result.0, result.1.as_str()), (Some(2), ""), "{what}");
         assert_eq!(result.2.lines().count(), 1, "{}", result.2);
         assert!(result.2.contains(what), "{what}: {}", result.2);
     };
-    unusable(check(&good, &missing), "missing.toml");
-    unusable(check("{", &options), "balancer-proxy: ");
-    unusable(
+    assert_unusable(check(&good, &missing), "missing.toml");
+    assert_unusable(check("{", &options), "balancer-proxy: ");
+    assert_unusable(
         check(
             &good,
-            &written(&dir, "[figures]\ndir = \"/no/such/folder\"\n"),
+            &write_options(&dir, "[figures]\ndir = \"/no/such/folder\"\n"),
         ),
         "can't be written to",
     );
     let mut run = command(&good);
     run.args(["run", "--set", "log.level=loud"]);
-    unusable(ended(run), "--set: log.level");
+    assert_unusable(run_to_exit(run), "--set: log.level");
 }
 
 #[test]
-fn a_reload_applies_all_options_or_none() {
-    let dir = folder();
-    let options = written(&dir, "[log]\nrate = 1000\n");
+fn reload_applies_all_options_or_none() {
+    let dir = temp_dir();
+    let options = write_options(&dir, "[log]\nrate = 1000\n");
     let upstream = Upstream::start(|_| ok("x"));
-    let node = started(
+    let node = start_with(
         &upstream,
         &["run", "--options", options.to_str().expect("a path")],
     );
     let mut client = node.client();
     assert_eq!(client.call(&get("quiet", "5000m")).status(), 200);
-    written(&dir, "[log]\nlevel = \"debug\"\nrate = 1000\n");
-    node.hang_up();
-    node.logs("options reloaded");
+    write_options(&dir, "[log]\nlevel = \"debug\"\nrate = 1000\n");
+    node.send_sighup();
+    node.wait_for_log("options reloaded");
     assert_eq!(client.call(&get("told", "5000m")).status(), 200);
-    node.logs("request_ended ms=");
-    node.logs("request=told");
+    node.wait_for_log("request_ended ms=");
+    node.wait_for_log("request=told");
     assert!(
         !node.log().iter().any(|l| l.contains("quiet")),
         "{:?}",
         node.log()
     );
-    // One key that may change with one that may not; half a file; no file at all.
+    // A reloadable key together with one that is not; a truncated file; a missing file.
     for (n, text) in [
         "[log]\nlevel = \"off\"\nformat = \"json\"\n",
         "[log]\nlevel = \"o",
@@ -127,15 +131,15 @@
     .enumerate()
     {
         if text.is_empty() {
-            std::fs::remove_file(&options).expect("removes");
+            std::fs::remove_file(&options).expect("remove file");
         } else {
-            written(&dir, text);
+            write_options(&dir, text);
         }
-        node.hang_up();
-        node.logs_times("options not reloaded: ", n + 1);
+        node.send_sighup();
+        node.wait_for_log_times("options not reloaded: ", n + 1);
         let id = format!("after-{n}");
         assert_eq!(client.call(&get(&id, "5000m")).status(), 200);
-        node.logs(&format!("request={id}"));
+        node.wait_for_log(&format!("request={id}"));
     }
     assert!(node
         .log()
@@ -144,34 +148,34 @@
 }
 
 #[test]
-fn a_reload_while_it_ends_changes_nothing() {
-    let (release, limited) = channel();
-    let limited = std::sync::Mutex::new(Some(limited));
+fn reload_during_shutdown_changes_nothing() {
+    let (release_tx, release_rx) = channel();
+    let release_rx = std::sync::Mutex::new(Some(release_rx));
     let upstream = Upstream::start(move |_| {
-        let limited = limited
+        let release_rx = release_rx
             .lock()
-            .expect("no panic")
+            .expect("lock not poisoned")
             .take()
             .expect("one request");
-        Then::Hold(
-            limited,
+        UpstreamAction::RespondAfterSignal(
+            release_rx,
             "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".into(),
         )
     });
-    let mut node = started(&upstream, &[]);
+    let mut node = start_with(&upstream, &[]);
     let mut client = node.client();
     client.send(&get("r1", "5000m"));
     upstream.request();
     node.terminate();
-    node.logs("told to end");
-    node.hang_up();
-    release.send(()).expect("waits");
-    assert_eq!(client.answer().expect("an answer").status(), 200);
+    node.wait_for_log("told to end");
+    node.send_sighup();
+    release_tx.send(()).expect("upstream is waiting");
+    assert_eq!(client.read_response().expect("a response").status(), 200);
     assert!(node.wait().success());
 }
 
 #[test]
-fn json_is_one_object_a_line_with_a_name_for_each_event() {
+fn json_log_has_one_named_event_per_line() {
     let upstream = Upstream::start(|_| ok("x"));
     let discovery = Discovery::start();
     let known = listing(1, true, &[(0, upstream.addr, "active")]);
@@ -179,10 +183,11 @@
     command
         .env("BALANCER_OPTION_LOG_FORMAT", "json")
         .env("BALANCER_OPTION_LOG_LEVEL", "debug");
-    let mut child = command.spawn().expect("starts");
-    let mut lines = BufReader::new(child.stderr.take().expect("its log")).lines();
+    let mut child = command.spawn().expect("spawn");
+    let mut lines = BufReader::new(child.stderr.take().expect("captured stderr")).lines();
     let mut next = move || -> Value {
-        serde_json::from_str(&lines.next().expect("a line").expect("text")).expect("an object")
+        serde_json::from_str(&lines.next().expect("a line").expect("UTF-8 text"))
+            .expect("an object")
     };
     let mut event = move |name: &str| loop {
         let event = next();
@@ -198,10 +203,10 @@
     };
     let address = event("serving")["address"]
         .as_str()
-        .expect("an address")
+        .expect("socket address")
         .to_string();
-    let mut stream = std::net::TcpStream::connect(&address).expect("connects");
-    std::io::Write::write_all(&mut stream, get("r1", "5000m").as_bytes()).expect("writes");
+    let mut stream = std::net::TcpStream::connect(&address).expect("connect");
+    std::io::Write::write_all(&mut stream, get("r1", "5000m").as_bytes()).expect("write");
     assert_eq!(event("request_taken")["request"], "r1");
     let began = event("attempt_began");
     assert_eq!(
@@ -210,12 +215,12 @@
     );
     assert_eq!(event("attempt_ended")["reason"], "served");
     assert_eq!(event("request_ended")["reason"], "served");
-    child.kill().expect("ends");
-    child.wait().expect("ends");
+    child.kill().expect("process exits");
+    child.wait().expect("process exits");
 }
 
 #[test]
-fn a_log_that_nobody_reads_holds_up_no_request() {
+fn unread_log_does_not_block_requests() {
     let upstream = Upstream::start(|_| ok("x"));
     let discovery = Discovery::start();
     let known = listing(1, true, &[(0, upstream.addr, "active")]);
@@ -227,8 +232,8 @@
         "--set",
         "log.rate=1000000",
     ]);
-    let mut child = command.spawn().expect("starts");
-    let mut log = BufReader::new(child.stderr.take().expect("its log"));
+    let mut child = command.spawn().expect("spawn");
+    let mut log = BufReader::new(child.stderr.take().expect("captured stderr"));
     let mut line = String::new();
     while !line.contains("serving on ") {
         line.clear();
@@ -237,61 +242,61 @@
     let address = line
         .trim_end()
         .split_once("serving on ")
-        .expect("an address")
+        .expect("socket address")
         .1
         .to_string();
-    let client = || std::net::TcpStream::connect(&address).expect("connects");
+    let client = || std::net::TcpStream::connect(&address).expect("connect");
     let mut stream = BufReader::new(client());
     let mut call = |id: String| {
-        std::io::Write::write_all(stream.get_mut(), get(&id, "5000m").as_bytes()).expect("writes");
-        assert_eq!(read(&mut stream).expect("an answer").status(), 200);
+        std::io::Write::write_all(stream.get_mut(), get(&id, "5000m").as_bytes()).expect("write");
+        assert_eq!(read(&mut stream).expect("a response").status(), 200);
     };
-    // More than a pipe and all that may wait: four lines each, nobody reads.
+    // Four lines for each request: more than the pipe and the queue hold while nothing is read.
     (0..1500).for_each(|n| call(format!("r{n}")));
     let reader = std::thread::spawn(move || {
-        let mut seen = String::new();
+        let mut notice = String::new();
         for line in log.lines().map_while(Result::ok) {
             if line.contains("were dropped") {
-                seen = line;
+                notice = line;
             }
         }
-        seen
+        notice
     });
-    // What is logged once the reader is back says what it missed.
+    // Lines logged after the reader starts report the number of dropped lines.
     (0..20).for_each(|n| call(format!("after-{n}")));
     let pid = child.id();
     let reported = Command::new("sh")
         .args(["-c", &format!("kill -TERM {pid}")])
         .status()
-        .expect("runs sh");
+        .expect("run sh");
     assert!(reported.success());
-    assert!(child.wait().expect("ends").success());
-    let seen = reader.join().expect("reads");
-    let dropped: u64 = seen
+    assert!(child.wait().expect("process exits").success());
+    let notice = reader.join().expect("read");
+    let dropped: u64 = notice
         .split(' ')
         .find_map(|w| w.parse().ok())
-        .unwrap_or_else(|| panic!("{seen:?}"));
-    assert!(dropped > 100, "{seen}");
+        .unwrap_or_else(|| panic!("{notice:?}"));
+    assert!(dropped > 100, "{notice}");
 }
 
 #[test]
-fn a_flood_of_one_cause_is_limited_to_its_rate_and_counted() {
+fn repeated_log_events_are_rate_limited_and_counted() {
     let upstream = Upstream::start(|_| ok("x"));
-    let node = started(
+    let node = start_with(
         &upstream,
         &["run", "--set", "log.level=debug", "--set", "log.rate=2"],
     );
     let mut client = node.client();
-    let (started, mut sent) = (Instant::now(), 0);
-    let note = |log: &[String]| {
+    let (began, mut sent) = (Instant::now(), 0);
+    let count_notes = |log: &[String]| {
         log.iter()
             .filter(|l| l.contains("lines like request_taken were left out"))
             .count()
     };
-    while note(&node.log()) < 2 {
-        assert!(started.elapsed() < TEST_TIMEOUT, "{:?}", node.log());
+    while count_notes(&node.log()) < 2 {
+        assert!(began.elapsed() < TEST_TIMEOUT, "{:?}", node.log());
         sent += 1;
-        // Whether it is served or refused is not asked here.
+        // The response does not matter here.
         client.call(&get(&format!("r{sent}"), "5000m"));
     }
     let log = node.log();
@@ -305,10 +310,10 @@
         .filter_map(|l| l.split(' ').nth(1)?.parse::<usize>().ok())
         .sum();
     assert!(
-        written <= 2 * (2 + started.elapsed().as_secs() as usize),
+        written <= 2 * (2 + began.elapsed().as_secs() as usize),
         "{written}"
     );
-    // What the last second has left out is not told of yet.
+    // Lines left out in the last second are not reported yet.
     assert!(
         written + left_out <= sent && left_out > 2,
         "{written} + {left_out} of {sent}"
@@ -316,15 +321,15 @@
 }
 
 #[test]
-fn the_metrics_say_what_became_of_every_request_and_attempt() {
-    let dir = folder();
+fn metrics_count_every_request_and_attempt_by_outcome() {
+    let dir = temp_dir();
     let upstream = Upstream::start(|m| match m.header("req-id") {
-        Some("silent") => Then::Wait,
+        Some("silent") => UpstreamAction::NeverRespond,
         Some("error") => status("500 Internal Server Error"),
         _ => ok("x"),
     });
     let metrics = format!("figures.dir={}", dir.path().display());
-    let mut node = started(
+    let mut node = start_with(
         &upstream,
         &["run", "--set", &metrics, "--set", "figures.every=100ms"],
     );
@@ -333,10 +338,10 @@
         assert_eq!(client.call(&pay(&format!("r{n}"), "5000m")).status(), 200);
     }
     assert_eq!(client.call(&pay("error", "5000m")).status(), 502);
-    let mut leaver = node.client();
-    leaver.send(&pay("silent", "20000m"));
+    let mut disconnecting = node.client();
+    disconnecting.send(&pay("silent", "20000m"));
     while upstream.request().header("req-id") != Some("silent") {}
-    drop(leaver);
+    drop(disconnecting);
     let path = dir.path().join("figures.json");
     let snapshot = || -> Option<Value> {
         let mut text = String::new();
@@ -344,15 +349,15 @@
             .ok()?
             .read_to_string(&mut text)
             .ok()?;
-        Some(serde_json::from_str(&text).expect("never half a file"))
+        Some(serde_json::from_str(&text).expect("a complete file"))
     };
-    let started = Instant::now();
+    let began = Instant::now();
     while snapshot().is_none_or(|s| s["ended"]["left"] != 1) {
-        assert!(started.elapsed() < TEST_TIMEOUT, "{:?}", snapshot());
+        assert!(began.elapsed() < TEST_TIMEOUT, "{:?}", snapshot());
     }
     node.terminate();
     assert!(node.wait().success());
-    let s = snapshot().expect("the last one");
+    let s = snapshot().expect("final metrics");
     assert_eq!(
         (&s["name"], &s["requests"], &s["open"]),
         (&"n1".into(), &7.into(), &0.into())
--- a/balancer/proxy/tests/peers.rs
+++ b/balancer/proxy/tests/peers.rs
@@ -1,5 +1,5 @@
-//! Several copies of one tier, with datagrams between them that go through this test, as the platform would carry
-//! them: a copy sends to a peer's address and is heard at the peer as coming from its own.
+//! Several replicas of one tier that exchange datagrams through a relay in this test, as on the platform: a replica
+//! sends to the address of a peer, and the peer sees the datagram as coming from the address of the sender.
 mod common;
 use common::*;
 use serde_json::Value;
@@ -11,20 +11,21 @@
 use tempfile::TempDir;
 
 const REPLICAS: usize = 5;
-/// Members are given up, and versions agreed on, seconds after there is reason to.
-const LONG: Duration = Duration::from_secs(90);
+/// Removal of members and agreement on a version take seconds.
+const TIER_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// The address of each copy as its peers see it, and where the copy listens that has it now.
-struct Wire {
+/// Relays datagrams between replicas: the address of each replica as its peers see it, and the address at which the
+/// replica listens.
+struct DatagramRelay {
     peers: Vec<Arc<UdpSocket>>,
     replicas: Arc<Mutex<Vec<Option<SocketAddr>>>>,
-    /// The longest datagram that came.
+    /// The length of the longest datagram received.
     longest: Arc<AtomicUsize>,
 }
 
-impl Wire {
-    fn start() -> Wire {
-        let bind = |_| Arc::new(UdpSocket::bind("127.0.0.1:0").expect("binds"));
+impl DatagramRelay {
+    fn start() -> DatagramRelay {
+        let bind = |_| Arc::new(UdpSocket::bind("127.0.0.1:0").expect("bind"));
         let peers: Vec<_> = (0..REPLICAS).map(bind).collect();
         let (replicas, longest) = (
             Arc::new(Mutex::new(vec![None; REPLICAS])),
@@ -36,16 +37,16 @@
                 let mut bytes = [0; 2048];
                 while let Ok((length, sender)) = socket.recv_from(&mut bytes) {
                     longest.fetch_max(length, Ordering::SeqCst);
-                    let known = replicas.lock().expect("no panic").clone();
+                    let known = replicas.lock().expect("lock not poisoned").clone();
                     let from = known.iter().position(|&at| at == Some(sender));
                     if let (Some(from), Some(at)) = (from, known[to]) {
-                        // Where nobody listens any more it is lost.
+                        // A datagram to a stopped replica is lost.
                         let _ = peers[from].send_to(&bytes[..length], at);
                     }
                 }
             });
         }
-        Wire {
+        DatagramRelay {
             peers,
             replicas,
             longest,
@@ -53,16 +54,17 @@
     }
 
     fn addresses(&self) -> String {
-        let address = |p: &Arc<UdpSocket>| format!("\"{}\"", p.local_addr().expect("an address"));
+        let address =
+            |p: &Arc<UdpSocket>| format!("\"{}\"", p.local_addr().expect("socket address"));
         self.peers.iter().map(address).collect::<Vec<_>>().join(",")
     }
 
-    fn listens(&self, replica: usize) -> SocketAddr {
-        self.replicas.lock().expect("no panic")[replica].expect("it listens")
+    fn listen_addr(&self, replica: usize) -> SocketAddr {
+        self.replicas.lock().expect("lock not poisoned")[replica].expect("replica is listening")
     }
 }
 
-/// A configuration whose settings allow datagrams, of one of two zones.
+/// A configuration that allows peer datagrams, in one of two zones.
 fn configuration(
     replica: usize,
     discovery: SocketAddr,
@@ -92,19 +94,24 @@
 }
 
 impl Replica {
-    fn start(number: usize, wire: &Wire, upstream: &Upstream, more: &[&str]) -> Replica {
-        let (dir, discovery) = (TempDir::new().expect("a folder"), Discovery::start());
+    fn start(
+        number: usize,
+        relay: &DatagramRelay,
+        upstream: &Upstream,
+        extra_options: &[&str],
+    ) -> Replica {
+        let (dir, discovery) = (TempDir::new().expect("temp dir"), Discovery::start());
         let mut command = command(&configuration(
             number,
             discovery.addr,
             upstream.addr,
-            &wire.addresses(),
+            &relay.addresses(),
         ));
         let dir_option = format!("figures.dir={}", dir.path().display());
         command.arg("run");
         for option in ["peers.on=true", "figures.every=100ms", &dir_option]
             .iter()
-            .chain(more)
+            .chain(extra_options)
         {
             command.args(["--set", option]);
         }
@@ -113,19 +120,20 @@
             .log()
             .into_iter()
             .find(|l| l.contains("listening on "))
-            .expect("peers are on");
-        let (_, rest) = line.split_once("listening on ").expect("an address");
+            .expect("peer listener log line");
+        let (_, rest) = line.split_once("listening on ").expect("socket address");
         let at = rest.split(',').next().and_then(|at| at.parse().ok());
-        wire.replicas.lock().expect("no panic")[number] = Some(at.expect("an address"));
+        relay.replicas.lock().expect("lock not poisoned")[number] =
+            Some(at.expect("socket address"));
         Replica { node, dir }
     }
 
-    /// What its figures say of the tier.
-    fn tier(&self) -> Value {
+    /// The peer section of its metrics.
+    fn tier_metrics(&self) -> Value {
         metrics(&self.dir)["peers"].take()
     }
 
-    fn serves(&self) {
+    fn assert_serves(&self) {
         assert_eq!(self.node.client().call(&get("r", "20000m")).status(), 200);
     }
 }
@@ -135,16 +143,16 @@
     serde_json::from_slice(&text).unwrap_or_default()
 }
 
-/// Waits until the figures of all of these copies are as wanted.
-fn all<'a>(
+/// Waits until the metrics of all these replicas satisfy `expected`.
+fn wait_for_all<'a>(
     replicas: impl IntoIterator<Item = &'a Replica>,
     what: &str,
-    wanted: impl Fn(&Value) -> bool,
+    expected: impl Fn(&Value) -> bool,
 ) {
     let (started, replicas) = (Instant::now(), Vec::from_iter(replicas));
-    while !replicas.iter().all(|c| wanted(&c.tier())) {
-        if started.elapsed() > LONG {
-            let describe = |c: &&Replica| format!("{} {:?}\n", c.tier(), c.node.log());
+    while !replicas.iter().all(|c| expected(&c.tier_metrics())) {
+        if started.elapsed() > TIER_TIMEOUT {
+            let describe = |c: &&Replica| format!("{} {:?}\n", c.tier_metrics(), c.node.log());
             panic!(
                 "{what}:\n{}",
                 replicas.iter().map(describe).collect::<String>()
@@ -154,102 +162,107 @@
     }
 }
 
-/// Sends garbage to each replica, from a stranger and from the addresses of peers.
-fn send_garbage(wire: &Wire) {
-    let stranger = UdpSocket::bind("127.0.0.1:0").expect("binds");
+/// Sends invalid datagrams to each replica, from an unknown address and from the addresses of peers.
+fn send_garbage(relay: &DatagramRelay) {
+    let unknown_sender = UdpSocket::bind("127.0.0.1:0").expect("bind");
     for n in 0..200usize {
         let length = [0, 1, 27, 64, 256, 257, 1400][n % 7];
         let bytes: Vec<u8> = (0..length).map(|i| (i * 31 + n * 17) as u8).collect();
-        let headed = [b"oP\x01\x01\x02".as_slice(), &bytes].concat();
+        let with_header = [b"oP\x01\x01\x02".as_slice(), &bytes].concat();
         let (to, from) = (n % REPLICAS, (n / REPLICAS) % REPLICAS);
-        for bytes in [&bytes, &headed] {
-            stranger.send_to(bytes, wire.listens(to)).expect("sends");
-            wire.peers[from]
-                .send_to(bytes, wire.listens(to))
-                .expect("sends");
+        for bytes in [&bytes, &with_header] {
+            unknown_sender
+                .send_to(bytes, relay.listen_addr(to))
+                .expect("send");
+            relay.peers[from]
+                .send_to(bytes, relay.listen_addr(to))
+                .expect("send");
         }
     }
 }
 
 #[test]
-fn a_tier_knows_its_members_and_uses_a_version_that_all_support() {
-    let (wire, upstream) = (Wire::start(), Upstream::start(|_| ok("x")));
+fn tier_tracks_members_and_uses_a_common_version() {
+    let (relay, upstream) = (DatagramRelay::start(), Upstream::start(|_| ok("x")));
     let mut replicas: Vec<Replica> = (0..REPLICAS)
-        .map(|n| Replica::start(n, &wire, &upstream, &[]))
+        .map(|n| Replica::start(n, &relay, &upstream, &[]))
         .collect();
     let all_known =
         |t: &Value| t["up"] == REPLICAS && t["joined"] == true && t["sums"]["heard"] == REPLICAS;
-    all(&replicas, "all are there, and their sums", |t| {
+    wait_for_all(&replicas, "all members and sums are known", |t| {
         all_known(t) && t["version"] == 2
     });
-    // A connection that one of them holds is known to each.
+    // A client connection of one replica is counted at every replica.
     let mut client = replicas[0].node.client();
     assert_eq!(client.call(&get("held", "20000m")).status(), 200);
-    all(&replicas, "its connection", |t| {
+    wait_for_all(&replicas, "its client connection is counted", |t| {
         all_known(t)
             && t["sums"]["callers"]
                 .as_f64()
                 .is_some_and(|connections| (0.9..1.1).contains(&connections))
     });
 
-    // Killed, it is missed, and comes back with nothing remembered.
+    // A killed replica is noticed, and rejoins without its former state.
     drop(replicas.pop());
-    all(&replicas, "one is gone", |t| {
+    wait_for_all(&replicas, "one member is removed", |t| {
         t["up"] == REPLICAS - 1 && t["sums"]["heard"] == REPLICAS - 1
     });
-    replicas.push(Replica::start(REPLICAS - 1, &wire, &upstream, &[]));
-    all(&replicas, "it is back", all_known);
+    replicas.push(Replica::start(REPLICAS - 1, &relay, &upstream, &[]));
+    wait_for_all(&replicas, "it has rejoined", all_known);
 
-    send_garbage(&wire);
-    all(&replicas, "garbage is counted and changes nothing", |t| {
+    send_garbage(&relay);
+    wait_for_all(&replicas, "invalid datagrams are only counted", |t| {
         let dropped = |why: &str| t["dropped"][why].as_u64().unwrap_or(0);
         all_known(t) && dropped("unknown") >= 80 && dropped("long") >= 10 && dropped("broken") >= 10
     });
-    replicas.iter().for_each(Replica::serves);
+    replicas.iter().for_each(Replica::assert_serves);
 
-    // One that reads the first version alone takes the place of another, and ends.
+    // A replica that supports version 1 only replaces another one, and is then shut down.
     replicas[0].node.terminate();
     drop(replicas.remove(0));
-    let before = replicas[0].tier()["epoch"].as_u64().expect("an epoch");
-    let mut old = Replica::start(0, &wire, &upstream, &["peers.version_most=1"]);
-    let first = |t: &Value| t["up"] == REPLICAS && t["version"] == 1 && t["sums"].is_null();
-    all(
+    let before = replicas[0].tier_metrics()["epoch"]
+        .as_u64()
+        .expect("an epoch");
+    let mut old = Replica::start(0, &relay, &upstream, &["peers.version_most=1"]);
+    let uses_version_1 =
+        |t: &Value| t["up"] == REPLICAS && t["version"] == 1 && t["sums"].is_null();
+    wait_for_all(
         replicas.iter().chain([&old]),
-        "all speak the first version",
-        first,
+        "all use version 1",
+        uses_version_1,
     );
     assert!(replicas
         .iter()
-        .all(|c| c.tier()["epoch"].as_u64() > Some(before)));
-    old.serves();
+        .all(|c| c.tier_metrics()["epoch"].as_u64() > Some(before)));
+    old.assert_serves();
     old.node.terminate();
     assert!(old.node.wait().success());
-    let fewer = |t: &Value| t["up"] == REPLICAS - 1 && t["version"] == 2;
-    all(&replicas, "the others speak the second again", |t| {
-        fewer(t) && t["sums"]["heard"] == REPLICAS - 1
+    let without_old_replica = |t: &Value| t["up"] == REPLICAS - 1 && t["version"] == 2;
+    wait_for_all(&replicas, "the others use version 2 again", |t| {
+        without_old_replica(t) && t["sums"]["heard"] == REPLICAS - 1
     });
-    replicas.iter().for_each(Replica::serves);
-    assert!(wire.longest.load(Ordering::SeqCst) <= 256);
+    replicas.iter().for_each(Replica::assert_serves);
+    assert!(relay.longest.load(Ordering::SeqCst) <= 256);
 }
 
-fn check_says(configuration: &str, wanted: &str) {
+fn assert_check_prints(configuration: &str, expected: &str) {
     let mut check = command(configuration);
     check
         .args(["check", "--set", "peers.on=true"])
         .stdout(Stdio::piped());
-    let printed = check.output().expect("runs").stdout;
+    let printed = check.output().expect("run the program").stdout;
     let printed = String::from_utf8_lossy(&printed).into_owned();
-    assert!(printed.contains(wanted), "{printed}");
+    assert!(printed.contains(expected), "{printed}");
 }
 
 #[test]
-fn without_contact_to_peers_one_line_says_why_and_requests_are_served() {
+fn unusable_peer_settings_are_reported_and_requests_served() {
     let upstream = Upstream::start(|_| ok("x"));
     let peers: Vec<String> = (1..=REPLICAS)
         .map(|n| format!("\"127.0.0.1:{n}\""))
         .collect();
     let peers = peers.join(",");
-    for (from, to, wanted) in [
+    for (from, to, expected) in [
         (
             "\"peers\":true,",
             "",
@@ -271,12 +284,12 @@
             "peer_listen: 192.0.2.1:9: ",
         ),
     ] {
-        let (dir, discovery) = (TempDir::new().expect("a folder"), Discovery::start());
+        let (dir, discovery) = (TempDir::new().expect("temp dir"), Discovery::start());
         let text = configuration(0, discovery.addr, upstream.addr, &peers);
         assert!(text.contains(from), "{text}");
         let text = text.replace(from, to);
         if !to.contains("192") {
-            check_says(&text, &format!("peers: off, {wanted}"));
+            assert_check_prints(&text, &format!("peers: off, {expected}"));
         }
         let mut run = command(&text);
         run.args([
@@ -290,11 +303,11 @@
         run.arg(format!("figures.dir={}", dir.path().display()));
         let node = Node::run(run, discovery);
         assert_eq!(node.client().call(&get("r", "20000m")).status(), 200);
-        node.logs("going on without");
+        node.wait_for_log("going on without");
         assert_eq!(
             node.log()
                 .iter()
-                .filter(|l| l.contains("peers: ") && l.contains(wanted))
+                .filter(|l| l.contains("peers: ") && l.contains(expected))
                 .count(),
             1
         );
--- a/balancer/proxy/tests/recovery.rs
+++ b/balancer/proxy/tests/recovery.rs
@@ -1,12 +1,13 @@
-//! What outlives the program: each test kills it, spoils what it kept, and starts it again.
+//! State that survives the process: each test kills the balancer, damages its state or disk where it needs that, and
+//! restarts it.
 mod common;
 use common::*;
 use std::path::Path;
 use std::process::{Command, Stdio};
 use tempfile::TempDir;
 
-/// Runs a balancer with this configuration that persists in a folder. It waits for the disk as long as it takes, so that
-/// a busy one changes nothing; further options go before.
+/// Runs a balancer that persists in this directory. It waits for the disk as long as needed, so that a busy disk
+/// changes nothing; `options` override that.
 fn run_in(dir: &Path, config: &str, discovery: Discovery, options: &[&str]) -> Node {
     let mut command = command(config);
     command.args(["run", "--set", &format!("recovery.dir={}", dir.display())]);
@@ -17,22 +18,22 @@
     Node::run(command, discovery)
 }
 
-/// A balancer that is told of no upstream, and whose discovery says nothing by itself.
-fn started(dir: &Path) -> Node {
+/// A balancer that knows no upstream and whose discovery responds only when told to.
+fn start_in(dir: &Path) -> Node {
     let discovery = Discovery::start();
     let config = config(discovery.addr, 1024, "null");
     let metrics = format!("figures.dir={}", dir.display());
     run_in(dir, &config, discovery, &[&metrics, "figures.every=100ms"])
 }
 
-/// What a verb says of a folder, and its status.
+/// Runs the `state` subcommand with this verb; returns its status and output.
 fn state(verb: &str, dir: &Path) -> (Option<i32>, String) {
     let out = Command::new(env!("CARGO_BIN_EXE_balancer-proxy"))
         .args(["state", verb])
         .arg(dir)
         .stdout(Stdio::piped())
         .output()
-        .expect("runs");
+        .expect("run the program");
     (
         out.status.code(),
         String::from_utf8_lossy(&out.stdout).into_owned(),
@@ -40,30 +41,34 @@
 }
 
 #[test]
-fn a_killed_balancer_serves_from_its_saved_list_while_discovery_does_not_respond() {
-    let dir = TempDir::new().expect("a folder");
-    let (listed, lost) = (
+fn killed_balancer_serves_from_its_saved_list() {
+    let dir = TempDir::new().expect("temp dir");
+    let (listed, removed) = (
         Upstream::start(|_| ok("kept")),
         Upstream::start(|_| ok("gone")),
     );
-    let node = started(dir.path());
-    node.logs("recovery: start 1, no list: none was kept");
-    node.discovery.answer(&listing(
+    let node = start_in(dir.path());
+    node.wait_for_log("recovery: start 1, no list: none was kept");
+    node.discovery.respond(&listing(
         4,
         true,
-        &[(0, listed.addr, "active"), (1, lost.addr, "active")],
+        &[(0, listed.addr, "active"), (1, removed.addr, "active")],
     ));
     node.discovery
-        .answer(&listing(5, false, &[(1, lost.addr, "left")]));
-    // The call after the last answer: that one has been taken.
-    while !node.discovery.called().starts_with("/api/targets?since=5&") {}
+        .respond(&listing(5, false, &[(1, removed.addr, "left")]));
+    // The call after the last response: that response has been applied.
+    while !node
+        .discovery
+        .next_call_path()
+        .starts_with("/api/targets?since=5&")
+    {}
     let shown = || state("show", dir.path()).1;
     let started_at = std::time::Instant::now();
     while !shown().contains("\"version\":5") {
         assert!(started_at.elapsed() < TEST_TIMEOUT, "{}", shown());
     }
     let metrics = || std::fs::read_to_string(dir.path().join("figures.json")).unwrap_or_default();
-    // One write or two: a newer list takes the place of one that the disk has not got to.
+    // One commit or two: a newer list replaces one that has not been written yet.
     let written = |text: String| {
         text.contains("\"recovery\":{\"commits\":") && !text.contains("\"commits\":0")
     };
@@ -72,31 +77,31 @@
     }
     assert!(metrics().contains("\"starts\":1"), "{}", metrics());
     drop(node);
-    let node = started(dir.path());
-    node.logs("recovery: start 2, a list of 1 upstreams");
+    let node = start_in(dir.path());
+    node.wait_for_log("recovery: start 2, a list of 1 upstreams");
     let mut client = node.client();
     for n in 0..5 {
         assert_eq!(client.call(&get(&format!("r{n}"), "5000m")).body, b"kept");
     }
-    assert_eq!(lost.additional_requests(), 0);
-    let called = node.discovery.called();
+    assert_eq!(removed.additional_requests(), 0);
+    let called = node.discovery.next_call_path();
     assert!(called.starts_with("/api/targets?since=5&"), "{called}");
-    // One that is older than it may be is not used.
+    // A list older than the allowed age is not used.
     drop(node);
     let discovery = Discovery::start();
     let config = config(discovery.addr, 1024, "null");
     let node = run_in(dir.path(), &config, discovery, &["recovery.list_age=0s"]);
-    node.logs("recovery: start 3, no list: it is 0 s old");
+    node.wait_for_log("recovery: start 3, no list: it is 0 s old");
     assert_eq!(node.client().call(&get("r9", "5000m")).status(), 503);
 }
 
 #[test]
-fn a_folder_in_use_is_not_touched_and_a_broken_one_is_set_aside() {
-    let dir = TempDir::new().expect("a folder");
-    let first = started(dir.path());
-    first.logs("recovery: start 1");
-    let second = started(dir.path());
-    second.logs("another process holds it; going on without");
+fn locked_directory_is_untouched_and_corrupt_set_aside() {
+    let dir = TempDir::new().expect("temp dir");
+    let first = start_in(dir.path());
+    first.wait_for_log("recovery: start 1");
+    let second = start_in(dir.path());
+    second.wait_for_log("another process holds it; going on without");
     assert_eq!(
         second
             .client()
@@ -107,33 +112,33 @@
     drop((first, second));
     assert_eq!(state("check", dir.path()).0, Some(0));
     let file = dir.path().join("state.redb");
-    let length = std::fs::metadata(&file).expect("the state").len();
+    let length = std::fs::metadata(&file).expect("state file").len();
     std::fs::OpenOptions::new()
         .write(true)
         .open(&file)
-        .expect("opens")
+        .expect("open")
         .set_len(length / 3)
-        .expect("cuts");
+        .expect("truncate");
     assert_eq!(state("check", dir.path()).0, Some(2));
-    let third = started(dir.path());
-    third.logs("set aside as ");
-    third.logs("recovery: start 1, no list: none was kept");
+    let third = start_in(dir.path());
+    third.wait_for_log("set aside as ");
+    third.wait_for_log("recovery: start 1, no list: none was kept");
     let log = third.log();
     assert!(log.iter().all(|l| !l.contains("panicked")), "{log:?}");
     assert!(dir.path().join("state.redb.bad-1").is_file());
 }
 
-/// What a run of a balancer logged of what it found.
-fn recovered(node: &Node) -> String {
-    node.logs("recovery: ");
+/// The log line that says what was recovered.
+fn recovery_log_line(node: &Node) -> String {
+    node.wait_for_log("recovery: ");
     node.log()
         .into_iter()
         .find(|l| l.contains("recovery: "))
-        .expect("was logged")
+        .expect("recovery log line")
 }
 
-/// What is kept under a kind, as `state show` prints it.
-fn persisted(kind: &str, dir: &Path) -> Option<String> {
+/// The stored record of this kind, as `state show` prints it.
+fn stored_record(kind: &str, dir: &Path) -> Option<String> {
     state("show", dir)
         .1
         .lines()
@@ -142,27 +147,27 @@
 }
 
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let started = std::time::Instant::now();
+    let began = std::time::Instant::now();
     while !holds() {
-        assert!(started.elapsed() < TEST_TIMEOUT, "{what}");
+        assert!(began.elapsed() < TEST_TIMEOUT, "{what}");
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
 }
 
 #[test]
-fn what_was_learned_outlives_a_kill_and_is_dropped_when_the_settings_are_others() {
-    let dir = TempDir::new().expect("a folder");
+fn learned_state_survives_kill_but_not_changed_settings() {
+    let dir = TempDir::new().expect("temp dir");
     let upstream = Upstream::start(|_| ok("served"));
     let with = |config: &dyn Fn(&str) -> String, more: &[&str]| {
         let discovery = Discovery::start();
         let config = config(&discovery.addr.to_string());
         run_in(dir.path(), &config, discovery, more)
     };
-    let plain = |at: &str| config(at.parse().expect("an address"), 1024, "null");
-    let node = with(&plain, &["recovery.every=100ms"]);
-    assert!(recovered(&node).contains("nothing learned: none was kept"));
+    let base_config = |at: &str| config(at.parse().expect("socket address"), 1024, "null");
+    let node = with(&base_config, &["recovery.every=100ms"]);
+    assert!(recovery_log_line(&node).contains("nothing learned: none was kept"));
     node.discovery
-        .answer(&listing(1, true, &[(0, upstream.addr, "active")]));
+        .respond(&listing(1, true, &[(0, upstream.addr, "active")]));
     wait_until("ready", || {
         node.client()
             .call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -174,34 +179,35 @@
         assert_eq!(client.call(&get(&format!("r{n}"), "5000m")).body, b"served");
     }
     wait_until("learned is kept", || {
-        persisted("learned", dir.path()).is_some_and(|l| l.contains("capacity"))
+        stored_record("learned", dir.path()).is_some_and(|l| l.contains("capacity"))
     });
     drop(node);
-    let node = with(&plain, &[]);
+    let node = with(&base_config, &[]);
     assert!(
-        recovered(&node).contains("what was learned until"),
+        recovery_log_line(&node).contains("what was learned until"),
         "{:?}",
         node.log()
     );
     assert_eq!(node.client().call(&get("again", "5000m")).body, b"served");
     drop(node);
-    let node = with(&plain, &["recovery.learned=false"]);
+    let node = with(&base_config, &["recovery.learned=false"]);
     assert!(
-        recovered(&node).contains("nothing learned: not asked for"),
+        recovery_log_line(&node).contains("nothing learned: not asked for"),
         "{:?}",
         node.log()
     );
     drop(node);
-    let other = |at: &str| plain(at).replace("\"quota_per_s\":5000", "\"quota_per_s\":4000");
-    let node = with(&other, &[]);
+    let changed_config =
+        |at: &str| base_config(at).replace("\"quota_per_s\":5000", "\"quota_per_s\":4000");
+    let node = with(&changed_config, &[]);
     assert!(
-        recovered(&node).contains("nothing learned: the settings are others now"),
+        recovery_log_line(&node).contains("nothing learned: the settings are others now"),
         "{:?}",
         node.log()
     );
 }
 
-/// The number of a start, as its figures have it.
+/// The incarnation in the metrics.
 fn incarnation(dir: &Path) -> Option<u64> {
     let text = std::fs::read_to_string(dir.join("figures.json")).ok()?;
     let (_, rest) = text.split_once("\"incarnation\":")?;
@@ -209,15 +215,15 @@
 }
 
 #[test]
-fn the_number_of_a_start_never_comes_again_though_the_folder_is_lost() {
-    let dir = TempDir::new().expect("a folder");
+fn incarnation_increases_even_if_state_is_lost() {
+    let dir = TempDir::new().expect("temp dir");
     let mut numbers = Vec::new();
     for round in 0..4 {
         if round == 2 {
-            std::fs::remove_file(dir.path().join("state.redb")).expect("is lost");
+            std::fs::remove_file(dir.path().join("state.redb")).expect("remove state file");
         }
         let _ = std::fs::remove_file(dir.path().join("figures.json"));
-        let node = started(dir.path());
+        let node = start_in(dir.path());
         wait_until("figures", || incarnation(dir.path()).is_some());
         numbers.extend(incarnation(dir.path()));
         drop(node);
@@ -228,10 +234,11 @@
     );
 }
 
-/// The disk is full, then fails, then is well again: requests are served throughout, and what waits is written.
+/// The disk is full, then fails, then is slow, then recovers: requests are served throughout, and pending state is
+/// written.
 #[test]
-fn a_disk_that_does_wrong_costs_no_request() {
-    let dir = TempDir::new().expect("a folder");
+fn faulty_disk_does_not_fail_requests() {
+    let dir = TempDir::new().expect("temp dir");
     let fault_file = dir.path().join("drill");
     let upstream = Upstream::start(|_| ok("served"));
     let run = || {
@@ -246,16 +253,16 @@
         )
     };
     let node = run();
-    node.logs("recovery: start 1");
+    node.wait_for_log("recovery: start 1");
     node.discovery
-        .answer(&listing(1, true, &[(0, upstream.addr, "active")]));
+        .respond(&listing(1, true, &[(0, upstream.addr, "active")]));
     wait_until("the list is kept", || {
-        persisted("upstreams", dir.path()).is_some_and(|l| l.contains("s-0"))
+        stored_record("upstreams", dir.path()).is_some_and(|l| l.contains("s-0"))
     });
     for fault in ["full", "failing", "slow 20s"] {
-        std::fs::write(&fault_file, fault).expect("writes");
+        std::fs::write(&fault_file, fault).expect("write");
         if fault != "slow 20s" {
-            node.logs(if fault == "full" {
+            node.wait_for_log(if fault == "full" {
                 "no space left (drill)"
             } else {
                 "input/output error (drill)"
@@ -271,57 +278,58 @@
         }
     }
     drop(node);
-    // A disk that takes nothing may still be read: it serves from the list, and says that nothing is kept.
-    std::fs::write(&fault_file, "full").expect("writes");
+    // A disk that rejects writes can still be read: the balancer serves from the saved list and logs that nothing is
+    // persisted.
+    std::fs::write(&fault_file, "full").expect("write");
     let node = run();
-    node.logs("a start without a number");
+    node.wait_for_log("a start without a number");
     assert_eq!(node.client().call(&get("still", "5000m")).body, b"served");
     drop(node);
-    std::fs::remove_file(&fault_file).expect("is well again");
+    std::fs::remove_file(&fault_file).expect("remove fault file");
     let node = run();
-    node.logs("recovery: start 2, a list of 1 upstreams");
+    node.wait_for_log("recovery: start 2, a list of 1 upstreams");
     assert_eq!(state("check", dir.path()).0, Some(0));
     drop(node);
 }
 
-/// The other path, forced: a start whose folder does not answer in time goes on without it, and takes up no later what it
-/// missed, though the disk is well again.
+/// The timeout path, forced by a slow disk: a start whose state directory does not respond in time continues without
+/// it and does not load it later, even after the disk recovers.
 #[test]
-fn a_start_whose_folder_does_not_answer_in_time_goes_on_without_it_to_its_end() {
-    let dir = TempDir::new().expect("a folder");
+fn unresponsive_state_directory_is_ignored_until_exit() {
+    let dir = TempDir::new().expect("temp dir");
     let fault_file = dir.path().join("drill");
     let saved = Upstream::start(|_| ok("saved"));
-    let node = started(dir.path());
+    let node = start_in(dir.path());
     node.discovery
-        .answer(&listing(3, true, &[(0, saved.addr, "active")]));
+        .respond(&listing(3, true, &[(0, saved.addr, "active")]));
     wait_until("the list is kept", || {
-        persisted("upstreams", dir.path()).is_some_and(|l| l.contains("s-0"))
+        stored_record("upstreams", dir.path()).is_some_and(|l| l.contains("s-0"))
     });
     drop(node);
-    // Every access takes longer than the start waits for all of them.
-    std::fs::write(&fault_file, "slow 300ms").expect("writes");
+    // Every disk access takes longer than the start waits in total.
+    std::fs::write(&fault_file, "slow 300ms").expect("write");
     let discovery = Discovery::start();
     let config = config(discovery.addr, 1024, "null");
     let faults = format!("recovery.drill={}", fault_file.display());
-    // The last one counts.
+    // The last value of a repeated option counts.
     let options = [faults.as_str(), "recovery.start_timeout=100ms"];
     let node = run_in(dir.path(), &config, discovery, &options);
-    node.logs("no answer within 100ms; going on without");
-    std::fs::remove_file(&fault_file).expect("is well again");
+    node.wait_for_log("no answer within 100ms; going on without");
+    std::fs::remove_file(&fault_file).expect("remove fault file");
     assert_eq!(node.client().call(&get("early", "5000m")).status(), 503);
-    // It asks discovery for everything, so that it knows of no earlier list, and serves by the answer.
-    let called = node.discovery.called();
+    // It requests the full list from discovery, as it knows no earlier one, and serves by the response.
+    let called = node.discovery.next_call_path();
     assert!(!called.contains("since="), "{called}");
     let listed = Upstream::start(|_| ok("listed"));
     node.discovery
-        .answer(&listing(9, true, &[(1, listed.addr, "active")]));
-    let called = node.discovery.called();
+        .respond(&listing(9, true, &[(1, listed.addr, "active")]));
+    let called = node.discovery.next_call_path();
     assert!(called.starts_with("/api/targets?since=9&"), "{called}");
     assert_eq!(node.client().call(&get("r1", "5000m")).body, b"listed");
     assert_eq!(saved.additional_requests(), 0);
     drop(node);
-    // It kept nothing: the next start has the list from before.
-    let node = started(dir.path());
-    node.logs("a list of 1 upstreams");
+    // It persisted nothing: the next start has the earlier list.
+    let node = start_in(dir.path());
+    node.wait_for_log("a list of 1 upstreams");
     assert_eq!(node.client().call(&get("r2", "5000m")).body, b"saved");
 }
--- a/balancer/proxy/tests/shutdown.rs
+++ b/balancer/proxy/tests/shutdown.rs
@@ -1,59 +1,65 @@
-//! The end of the program: whoever has written a request whole gets an answer, and whoever gets none has nothing running.
+//! Shutdown: a client that has written a complete request gets a response, and a client that gets none has no request
+//! running.
 mod common;
 #[path = "common/shutdown.rs"]
 mod shutdown;
 use common::*;
-use shutdown::{answers_ok_alone, served_client, shuts_down_soon, until_shown};
+use shutdown::{
+    node_closing_soon, retry_until_conclusive, served_client, upstream_answering_ok_only,
+};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::thread;
 use std::time::Duration;
 
-/// From the word to end until [`shuts_down_soon`] closes its callers' connections; a moment more; and when it has ended.
-const CLOSES: Duration = Duration::from_millis(700);
-const CLOSED: Duration = Duration::from_millis(900);
-const ENDED: Duration = Duration::from_millis(1700);
-/// So many callers send a request each over the moment of the close, so far from each other.
-const CROSSING: u32 = 200;
-const EACH: Duration = Duration::from_micros(200);
+/// Time from SIGTERM until [`node_closing_soon`] closes its client connections; shortly after that; and after its
+/// exit.
+const CLOSE_DELAY: Duration = Duration::from_millis(700);
+const AFTER_CLOSE: Duration = Duration::from_millis(900);
+const AFTER_EXIT: Duration = Duration::from_millis(1700);
+/// The number of clients that send one request each around the close, and the interval between them.
+const CROSSING_CLIENTS: u32 = 200;
+const SEND_INTERVAL: Duration = Duration::from_micros(200);
 
-/// Tells it to end, and waits until it closes its callers' connections: with that it listens no more.
-fn close(node: &Node) {
+/// Sends SIGTERM and waits until the balancer closes its client connections, when it also stops listening.
+fn terminate_and_wait_for_close(node: &Node) {
     node.terminate();
     while node.try_client().is_some() {
         thread::yield_now();
     }
 }
 
-/// The head has been read when callers are closed, the body comes after that, and the upstream says nothing.
+/// The head is read before client connections are closed, the body arrives after that, and the upstream does not
+/// respond.
 #[test]
-fn a_request_whose_last_byte_comes_after_the_close_is_answered_before_the_end() {
+fn request_completed_after_close_is_answered_before_exit() {
     let request = pay("late", "20000m");
-    rest_comes_after_the_close(&request, request.len() - 4);
+    assert_answered_when_rest_follows_close(&request, request.len() - 4);
 }
 
-/// Sends requests up to a byte before callers are closed, and the rest after that: on a connection that was served
-/// before, and on a new one. Each has an answer, and the program ends well.
-fn rest_comes_after_the_close(request: &str, split_at: usize) {
-    until_shown(|| {
-        let upstream = answers_ok_alone();
-        let mut node = shuts_down_soon(&upstream);
+/// Sends the first `split_at` bytes of a request before client connections are closed and the rest after that, on a
+/// connection that was served before and on a new one. Each request must get a response, and the process must exit
+/// successfully.
+fn assert_answered_when_rest_follows_close(request: &str, split_at: usize) {
+    retry_until_conclusive(|| {
+        let upstream = upstream_answering_ok_only();
+        let mut node = node_closing_soon(&upstream);
         let (start, rest) = request.split_at(split_at);
-        let (mut again, mut fresh) = (served_client(&node), node.client());
-        again.send(start);
+        let (mut reused, mut fresh) = (served_client(&node), node.client());
+        reused.send(start);
         fresh.send(start);
-        // Served after both were read.
+        // This request is served after both parts were read.
         served_client(&node);
-        close(&node);
-        again.send(rest);
+        terminate_and_wait_for_close(&node);
+        reused.send(rest);
         fresh.send(rest);
-        if node.has_ended() {
+        if node.has_exited() {
             return false;
         }
-        for client in [&mut again, &mut fresh] {
+        for client in [&mut reused, &mut fresh] {
             let status = client
-                .answer()
-                .unwrap_or_else(|| panic!("no answer: {:?}", node.log()))
+                .read_response()
+                .unwrap_or_else(|| panic!("no response: {:?}", node.log()))
                 .status();
             assert!([502, 503].contains(&status), "{status}");
         }
@@ -62,21 +68,21 @@
     });
 }
 
-/// Stopped over the moment of the close, the program finds only afterwards what had come before it: on connections
-/// between requests, on new ones, and the rest of what it had read a part of. It may even have stood beyond its end.
+/// A process stopped during the close finds input from before it only afterwards: on connections between requests, on
+/// new ones, and the rest of requests read in part. It may even be stopped beyond its planned exit.
 #[test]
-fn requests_that_lie_unread_when_callers_are_closed_are_answered() {
-    lie_unread(CLOSED);
-    lie_unread(ENDED);
+fn unread_requests_at_close_are_answered() {
+    assert_unread_requests_answered(AFTER_CLOSE);
+    assert_unread_requests_answered(AFTER_EXIT);
 }
 
-fn lie_unread(stalled_for: Duration) {
-    until_shown(|| {
-        let upstream = answers_ok_alone();
-        let mut node = shuts_down_soon(&upstream);
+fn assert_unread_requests_answered(stalled_for: Duration) {
+    retry_until_conclusive(|| {
+        let upstream = upstream_answering_ok_only();
+        let mut node = node_closing_soon(&upstream);
         let (complete, piece) = (get("whole", "20000m"), pay("piece", "20000m"));
         let ((start, end), (head, body)) = (complete.split_at(40), piece.split_at(piece.len() - 4));
-        // What is written before the program stops, and what comes while it stands.
+        // What each client writes before the process is stopped, and while it is stopped.
         let cases = [("", complete.as_str()), (start, end), (head, body)];
         let mut clients: Vec<_> = cases
             .iter()
@@ -90,27 +96,27 @@
         for (client, first, _) in &mut clients {
             client.send(first);
         }
-        // Served after all that was read.
+        // This request is served after all parts above were read.
         served_client(&node);
         node.terminate();
-        node.logs("told to end");
+        node.wait_for_log("told to end");
         node.pause();
-        // Whoever connects now waits to be accepted.
-        let Some(waits) = node.try_client() else {
+        // A client that connects now waits to be accepted.
+        let Some(queued) = node.try_client() else {
             return false;
         };
-        clients.push((waits, "", &complete));
+        clients.push((queued, "", &complete));
         for (client, _, then) in &mut clients {
             client.send(then);
         }
         thread::sleep(stalled_for);
         node.resume();
         for (n, (client, ..)) in clients.iter_mut().enumerate() {
-            let answer = client
-                .answer()
-                .unwrap_or_else(|| panic!("no answer for {n}: {:?}", node.log()));
-            assert!([502, 503].contains(&answer.status()), "{n}: {answer:?}");
-            assert_eq!(answer.header("connection"), Some("close"), "{n}");
+            let response = client
+                .read_response()
+                .unwrap_or_else(|| panic!("no response for {n}: {:?}", node.log()));
+            assert!([502, 503].contains(&response.status()), "{n}: {response:?}");
+            assert_eq!(response.header("connection"), Some("close"), "{n}");
         }
         assert_eq!(node.wait().code(), Some(0));
         assert!(
@@ -122,60 +128,65 @@
     });
 }
 
-/// A part of a head has been read when callers are closed.
+/// Part of a request head is read before client connections are closed.
 #[test]
-fn a_connection_is_not_closed_in_the_middle_of_a_head() {
-    rest_comes_after_the_close(&get("late", "20000m"), 40);
+fn connection_is_not_closed_within_a_request_head() {
+    assert_answered_when_rest_follows_close(&get("late", "20000m"), 40);
 }
 
-/// Callers that send on for as long as they find the program: one request after another on each connection that stays
-/// open, whole or in pieces, to an upstream that answers or one that hangs. And many that send one request each, one
-/// after another over the moment of the close. A close may cross a request, and then that one went nowhere.
+/// Clients that send requests as long as the balancer accepts them: one after another on each open connection, whole
+/// or in pieces, to an upstream that responds or one that hangs; and many clients that send one request each around
+/// the close. A request may cross the close and get no response, but then it must not have been forwarded.
 #[test]
-fn what_was_forwarded_is_answered_whenever_its_client_wrote_it() {
-    let upstream = answers_ok_alone();
-    let mut node = shuts_down_soon(&upstream);
-    let mut crossing: Vec<Client> = (0..CROSSING).map(|_| served_client(&node)).collect();
+fn every_forwarded_request_is_answered_during_shutdown() {
+    let upstream = upstream_answering_ok_only();
+    let mut node = node_closing_soon(&upstream);
+    let mut crossing: Vec<Client> = (0..CROSSING_CLIENTS)
+        .map(|_| served_client(&node))
+        .collect();
     let (addr, mut unanswered) = (node.addr, Vec::new());
     thread::scope(|scope| {
         let callers: Vec<_> = (0..12)
-            .map(|n| scope.spawn(move || goes_on(addr, n)))
+            .map(|n| scope.spawn(move || send_until_refused(addr, n)))
             .collect();
-        // All have begun.
-        (0..CROSSING + 60).for_each(|_| drop(upstream.request()));
+        // All clients have sent requests.
+        (0..CROSSING_CLIENTS + 60).for_each(|_| drop(upstream.request()));
         node.terminate();
-        node.logs("told to end");
-        thread::sleep(CLOSES - EACH * CROSSING / 2);
+        node.wait_for_log("told to end");
+        thread::sleep(CLOSE_DELAY - SEND_INTERVAL * CROSSING_CLIENTS / 2);
         for (n, client) in crossing.iter_mut().enumerate() {
             client.send(&get(&format!("crosses-{n}"), "20000m"));
-            thread::sleep(EACH);
+            thread::sleep(SEND_INTERVAL);
         }
         unanswered.extend(
             callers
                 .into_iter()
-                .flat_map(|caller| caller.join().expect("no panic")),
+                .flat_map(|caller| caller.join().expect("lock not poisoned")),
         );
     });
-    let crossed = |(n, client): (usize, &mut Client)| {
-        client.answer().is_none().then(|| format!("crosses-{n}"))
+    let unanswered_id = |(n, client): (usize, &mut Client)| {
+        client
+            .read_response()
+            .is_none()
+            .then(|| format!("crosses-{n}"))
     };
-    unanswered.extend(crossing.iter_mut().enumerate().filter_map(crossed));
+    unanswered.extend(crossing.iter_mut().enumerate().filter_map(unanswered_id));
     assert_eq!(node.wait().code(), Some(0));
     let seen = |seen| match seen {
-        Seen::Request(request) => request.header("req-id").map(String::from),
-        Seen::Closed => None,
+        UpstreamEvent::Request(request) => request.header("req-id").map(String::from),
+        UpstreamEvent::Closed => None,
     };
-    let seen: HashSet<String> = upstream.seen.try_iter().filter_map(seen).collect();
-    let lost: Vec<&String> = unanswered.iter().filter(|id| seen.contains(*id)).collect();
+    let seen: HashSet<String> = upstream.events.try_iter().filter_map(seen).collect();
+    let forwarded: Vec<&String> = unanswered.iter().filter(|id| seen.contains(*id)).collect();
     assert!(
-        lost.is_empty(),
-        "sent on and not answered: {lost:?}, {:?}",
+        forwarded.is_empty(),
+        "forwarded and not answered: {forwarded:?}, {:?}",
         node.log()
     );
 }
 
-/// Calls until nobody listens. Returns what was not answered.
-fn goes_on(addr: SocketAddr, n: usize) -> Vec<String> {
+/// Sends requests until the balancer no longer listens. Returns the ids of those without a response.
+fn send_until_refused(addr: SocketAddr, n: usize) -> Vec<String> {
     let (name, pieces) = (if n.is_multiple_of(3) { "hangs" } else { "ok" }, 1 + n % 4);
     let (mut unanswered, mut sent) = (Vec::new(), 0);
     while let Some(mut client) = Client::connect(addr) {
@@ -191,11 +202,11 @@
                 client.send(std::str::from_utf8(piece).expect("plain text"));
                 thread::yield_now();
             }
-            let answer = client.answer();
-            if answer.is_none() {
+            let response = client.read_response();
+            if response.is_none() {
                 unanswered.push(id);
             }
-            if answer.is_none_or(|a| a.header("connection") == Some("close")) {
+            if response.is_none_or(|a| a.header("connection") == Some("close")) {
                 break;
             }
         }
--- a/balancer/proxy/tests/shutdown_signals.rs
+++ b/balancer/proxy/tests/shutdown_signals.rs
@@ -1,5 +1,5 @@
-//! Signals at the end of the program, one behind the other, and who is connected just then: each request that was
-//! written whole gets its answer in time, and each idle connection ends in order.
+//! Several signals around shutdown, with clients connected: each complete request is answered in time, and each idle
+//! connection is closed cleanly.
 mod common;
 #[path = "common/raw_client.rs"]
 mod raw_client;
@@ -7,22 +7,25 @@
 mod shutdown;
 use common::*;
 use raw_client::RawClient;
-use shutdown::{answers_ok_alone, served_client, shuts_down_soon, shuts_down_within, until_shown};
+use shutdown::{
+    node_closing_soon, node_with_deadline, retry_until_conclusive, served_client,
+    upstream_answering_ok_only,
+};
 use std::time::{Duration, Instant};
 
-/// A request that was open at SIGTERM is answered within this from then, where no deadline is longer than 3 s.
-const ANSWERED: Duration = Duration::from_millis(3700);
+/// A request open at SIGTERM is answered within this time, where no deadline is longer than 3 s.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(3700);
 
-/// What a request that was open at the end may be answered.
-fn is_given_up(answer: Option<Message>, node: &Node) {
-    let status = answer
-        .unwrap_or_else(|| panic!("no answer: {:?}", node.log()))
+/// Checks that a request open at shutdown failed with 502 or 503.
+fn assert_request_failed(response: Option<Message>, node: &Node) {
+    let status = response
+        .unwrap_or_else(|| panic!("no response: {:?}", node.log()))
         .status();
     assert!([502, 503].contains(&status), "{status}");
 }
 
-/// It ended in order, was told so once, and answered all.
-fn has_ended_in_order(node: &mut Node) {
+/// Checks that the process exited successfully, logged the shutdown once, and left no request unanswered.
+fn assert_orderly_exit(node: &mut Node) {
     assert_eq!(node.wait().code(), Some(0));
     let log = node.log();
     assert_eq!(
@@ -39,49 +42,49 @@
 }
 
 #[test]
-fn a_second_sigterm_changes_nothing() {
-    until_shown(|| {
-        let upstream = answers_ok_alone();
-        let mut node = shuts_down_within(&upstream, 2500);
+fn second_sigterm_changes_nothing() {
+    retry_until_conclusive(|| {
+        let upstream = upstream_answering_ok_only();
+        let mut node = node_with_deadline(&upstream, 2500);
         let (mut open, mut later) = (served_client(&node), served_client(&node));
         open.send(&get("open", "20000m"));
         while upstream.request().header("req-id") != Some("open") {}
         node.terminate();
-        node.logs("told to end");
+        node.wait_for_log("told to end");
         node.terminate();
-        // Served after the second word.
+        // This request is served after the second SIGTERM.
         later.send(&get("ok", "5000m"));
-        let Some(served) = later.answer() else {
+        let Some(served) = later.read_response() else {
             return false;
         };
         assert_eq!(served.status(), 200);
         node.terminate();
-        is_given_up(open.answer(), &node);
-        has_ended_in_order(&mut node);
+        assert_request_failed(open.read_response(), &node);
+        assert_orderly_exit(&mut node);
         true
     });
 }
 
-/// What the configuration says when it is read again.
+/// The configuration file at the reload.
 #[derive(Clone, Copy, Debug)]
 enum Configuration {
     Same,
-    Broken,
+    Invalid,
 }
 
-/// Both signals wait when the program goes on, together with a request that it has not read.
-fn ends_with_a_reload(configuration: Configuration, reload_first: bool) {
-    until_shown(|| {
-        let upstream = answers_ok_alone();
-        let mut node = shuts_down_soon(&upstream);
+/// Both signals are pending when the process resumes, together with an unread request.
+fn assert_reload_changes_nothing(configuration: Configuration, reload_first: bool) {
+    retry_until_conclusive(|| {
+        let upstream = upstream_answering_ok_only();
+        let mut node = node_closing_soon(&upstream);
         let (mut open, mut unread) = (served_client(&node), served_client(&node));
         open.send(&get("open", "20000m"));
         while upstream.request().header("req-id") != Some("open") {}
         node.pause();
         unread.send(&get("ok", "5000m"));
         let hang_up = |node: &Node| match configuration {
-            Configuration::Same => node.hang_up(),
-            Configuration::Broken => node.reload("{"),
+            Configuration::Same => node.send_sighup(),
+            Configuration::Invalid => node.reload("{"),
         };
         if reload_first {
             hang_up(&node);
@@ -92,41 +95,41 @@
         }
         node.resume();
         assert_eq!(
-            unread.answer().map(|answer| answer.status()),
+            unread.read_response().map(|response| response.status()),
             Some(200),
             "{:?}",
             node.log()
         );
-        node.logs("told to end");
+        node.wait_for_log("told to end");
         hang_up(&node);
-        is_given_up(open.answer(), &node);
-        has_ended_in_order(&mut node);
+        assert_request_failed(open.read_response(), &node);
+        assert_orderly_exit(&mut node);
         true
     });
 }
 
 #[test]
-fn a_reload_just_before_sigterm_changes_nothing() {
-    ends_with_a_reload(Configuration::Same, true);
-    ends_with_a_reload(Configuration::Broken, true);
+fn reload_just_before_sigterm_changes_nothing() {
+    assert_reload_changes_nothing(Configuration::Same, true);
+    assert_reload_changes_nothing(Configuration::Invalid, true);
 }
 
 #[test]
-fn a_reload_just_after_sigterm_changes_nothing() {
-    ends_with_a_reload(Configuration::Same, false);
-    ends_with_a_reload(Configuration::Broken, false);
+fn reload_just_after_sigterm_changes_nothing() {
+    assert_reload_changes_nothing(Configuration::Same, false);
+    assert_reload_changes_nothing(Configuration::Invalid, false);
 }
 
-/// Requests that were open at SIGTERM, one repeatable and one not, whose upstream never answers.
-fn answers_in_time(deadline: u32, most: Duration) {
-    let upstream = answers_ok_alone();
-    let mut node = shuts_down_within(&upstream, deadline);
+/// Requests open at SIGTERM, one retryable and one not, whose upstream never responds.
+fn assert_answered_within(deadline: u32, limit: Duration) {
+    let upstream = upstream_answering_ok_only();
+    let mut node = node_with_deadline(&upstream, deadline);
     let (mut read, mut paid) = (served_client(&node), served_client(&node));
     read.send(&get("hangs-read", "80000m"));
     paid.send(&pay("hangs-pay", "80000m"));
-    let mut hanging = 0;
-    while hanging < 2 {
-        hanging += usize::from(
+    let mut hanging_requests = 0;
+    while hanging_requests < 2 {
+        hanging_requests += usize::from(
             upstream
                 .request()
                 .header("req-id")
@@ -135,62 +138,63 @@
     }
     let signalled_at = Instant::now();
     node.terminate();
-    is_given_up(read.answer(), &node);
-    is_given_up(paid.answer(), &node);
+    assert_request_failed(read.read_response(), &node);
+    assert_request_failed(paid.read_response(), &node);
     let answered = signalled_at.elapsed();
     assert!(
-        answered < most,
+        answered < limit,
         "answered after {answered:?} with a longest deadline of {deadline} ms"
     );
-    has_ended_in_order(&mut node);
+    assert_orderly_exit(&mut node);
 }
 
 #[test]
-fn a_request_whose_upstream_hangs_is_answered_before_the_program_is_killed() {
-    answers_in_time(1000, ANSWERED);
-    answers_in_time(2500, ANSWERED);
+fn request_to_hanging_upstream_is_answered_before_sigkill() {
+    assert_answered_within(1000, ANSWER_TIMEOUT);
+    assert_answered_within(2500, ANSWER_TIMEOUT);
 }
 
-/// Where the deadline is longer, the end comes long before it.
+/// With a longer deadline, shutdown completes long before it.
 #[test]
-fn a_request_with_a_long_deadline_does_not_hold_up_the_end() {
-    answers_in_time(20_000, Duration::from_secs(10));
+fn long_request_deadline_does_not_delay_shutdown() {
+    assert_answered_within(20_000, Duration::from_secs(10));
 }
 
-/// Connections that have served a request and those that never sent one, as their clients wait for the end.
+/// Clients that stay connected until the end, on connections that have served a request and on new ones.
 #[test]
-fn idle_clients_that_stay_until_the_end_are_closed_in_order() {
-    let upstream = answers_ok_alone();
-    let mut node = shuts_down_within(&upstream, 2500);
+fn idle_clients_get_a_clean_close_at_shutdown() {
+    let upstream = upstream_answering_ok_only();
+    let mut node = node_with_deadline(&upstream, 2500);
     let mut clients: Vec<RawClient> = (0..20)
         .map(|_| RawClient::connect(node.addr, TEST_TIMEOUT))
         .collect();
     for client in &mut clients[..10] {
         client.send(get("ok", "5000m").as_bytes());
         assert_eq!(
-            read(&mut client.reader()).map(|answer| answer.status()),
+            read(&mut client.reader()).map(|response| response.status()),
             Some(200)
         );
     }
-    // Accepted after all of these.
+    // This connection is accepted after all of those above.
     served_client(&node);
     node.terminate();
     for (n, client) in clients.iter_mut().enumerate() {
-        let (bytes, in_order) = client.rest();
+        let (bytes, closed_cleanly) = client.read_to_end();
         assert!(
-            bytes.is_empty() && in_order,
-            "{n}: {bytes:?}, in order: {in_order}"
+            bytes.is_empty() && closed_cleanly,
+            "{n}: {bytes:?}, closed cleanly: {closed_cleanly}"
         );
     }
-    has_ended_in_order(&mut node);
+    assert_orderly_exit(&mut node);
 }
 
-/// A piece of each request comes before SIGTERM, one after it, and the last once nobody is accepted any more.
+/// Each request arrives in three pieces: before SIGTERM, after it, and once the balancer no longer accepts
+/// connections.
 #[test]
-fn requests_in_pieces_during_all_of_the_shutdown_are_answered() {
-    until_shown(|| {
-        let upstream = answers_ok_alone();
-        let mut node = shuts_down_soon(&upstream);
+fn requests_sent_in_pieces_during_shutdown_are_answered() {
+    retry_until_conclusive(|| {
+        let upstream = upstream_answering_ok_only();
+        let mut node = node_closing_soon(&upstream);
         let requests = [get("hangs", "20000m"), pay("hangs", "20000m")];
         let cuts = [[20, 60], [requests[1].len() - 3, requests[1].len() - 1]];
         let mut clients: Vec<(Client, &str, [usize; 2])> = Vec::new();
@@ -201,10 +205,10 @@
         clients
             .iter_mut()
             .for_each(|(client, request, [first, _])| client.send(&request[..*first]));
-        // Served after the first pieces were read.
+        // This request is served after the first pieces were read.
         served_client(&node);
         node.terminate();
-        node.logs("told to end");
+        node.wait_for_log("told to end");
         clients
             .iter_mut()
             .for_each(|(client, request, [first, last])| client.send(&request[*first..*last]));
@@ -214,13 +218,13 @@
         clients
             .iter_mut()
             .for_each(|(client, request, [_, last])| client.send(&request[*last..]));
-        if node.has_ended() {
+        if node.has_exited() {
             return false;
         }
         clients
             .iter_mut()
-            .for_each(|(client, ..)| is_given_up(client.answer(), &node));
-        has_ended_in_order(&mut node);
+            .for_each(|(client, ..)| assert_request_failed(client.read_response(), &node));
+        assert_orderly_exit(&mut node);
         true
     });
 }
