--- a/balancer/proxy/tests/sockets_requests.rs
+++ b/balancer/proxy/tests/sockets_requests.rs
@@ -1,12 +1,12 @@
-//! Requests and their answers on loopback sockets: each test stands for one way in which they could go wrong.
+//! Requests and responses on loopback sockets; each test covers one way in which forwarding could go wrong.
 mod common;
 use common::*;
 use std::sync::atomic::Ordering;
 
 #[test]
-fn a_request_goes_on_unchanged_and_so_does_its_answer() {
+fn request_and_response_are_forwarded_unchanged() {
     let upstream = Upstream::start(|_| ok("the answer"));
-    let node = Node::with(&[upstream.addr]);
+    let node = Node::with_upstreams(&[upstream.addr]);
     let mut client = node.client();
     assert_eq!(
         client
@@ -14,16 +14,16 @@
             .status(),
         200
     );
-    let answer = client.call(
+    let response = client.call(
         "POST /api/a%20b?q=1&r HTTP/1.1\r\nHost: service.internal\r\nReq-Id: 9b1f\r\nReq-Kind: order\r\n\
          Req-Owner: club\r\nReq-Deadline: 8000m\r\nIdempotency-Key: 5c0f\r\nContent-Length: 5\r\n\r\nhello",
     );
     assert_eq!(
-        (answer.status(), answer.body.as_slice()),
+        (response.status(), response.body.as_slice()),
         (200, &b"the answer"[..])
     );
     let got = upstream.request();
-    assert_eq!(got.start, "POST /api/a%20b?q=1&r HTTP/1.1");
+    assert_eq!(got.start_line, "POST /api/a%20b?q=1&r HTTP/1.1");
     assert_eq!(
         (got.header("req-id"), got.header("idempotency-key")),
         (Some("9b1f"), Some("5c0f"))
@@ -40,9 +40,9 @@
 }
 
 #[test]
-fn requests_one_after_another_share_one_connection() {
+fn sequential_requests_share_one_upstream_connection() {
     let upstream = Upstream::start(|_| ok("x"));
-    let node = Node::with(&[upstream.addr]);
+    let node = Node::with_upstreams(&[upstream.addr]);
     let mut client = node.client();
     for i in 0..20 {
         assert_eq!(client.call(&get(&format!("r{i}"), "5000m")).status(), 200);
@@ -51,9 +51,9 @@
 }
 
 #[test]
-fn bad_input_is_answered_here_and_hurts_nobody_else() {
+fn invalid_input_is_answered_without_affecting_others() {
     let upstream = Upstream::start(|_| ok("x"));
-    let node = Node::with(&[upstream.addr]);
+    let node = Node::with_upstreams(&[upstream.addr]);
     let good = get("r1", "5000m");
     let mut client = node.client();
     for (from, to, status) in [
@@ -78,23 +78,23 @@
             "{to:?} for {from:?}"
         );
     }
-    // What may be repeated has no body; one that is sent all the same must not reach an upstream.
-    let bodied = good.replace("\r\n\r\n", "\r\nContent-Length: 4\r\n\r\nbody");
-    assert_eq!(node.client().call(&bodied).status(), 400);
+    // Retryable requests have no body; one that has a body must not reach an upstream.
+    let with_body = good.replace("\r\n\r\n", "\r\nContent-Length: 4\r\n\r\nbody");
+    assert_eq!(node.client().call(&with_body).status(), 400);
     let mut large = node.client();
     let head = pay("r2", "5000m").replace(
         "Content-Length: 4\r\n\r\nbody",
         "Content-Length: 65537\r\n\r\n",
     );
     assert_eq!(large.call(&head).status(), 413);
-    // Not stated but streamed: counted while it comes.
+    // Without a stated length the body is counted while it arrives.
     let mut large = node.client();
     let head = pay("r3", "5000m").replace(
         "Content-Length: 4\r\n\r\nbody",
         "Transfer-Encoding: chunked\r\n\r\n",
     );
     large.send(&format!("{head}10001\r\n{}\r\n", "x".repeat(0x10001)));
-    assert_eq!(large.answer().expect("an answer").status(), 413);
+    assert_eq!(large.read_response().expect("a response").status(), 413);
     node.client().send("\u{16}\u{3}\u{1} garbage \r\n\r\n\r\n");
     assert_eq!(client.call(&good).status(), 200);
     assert_eq!(upstream.request().header("req-id"), Some("r1"));
@@ -102,8 +102,8 @@
 }
 
 #[test]
-fn a_refusal_comes_at_once_and_says_when_to_return() {
-    // Nobody is known to serve it, and its deadline is far off.
+fn rejection_is_immediate_with_a_retry_time() {
+    // No upstream is known, and the deadline is far away.
     let node = Node::start(1024, "null");
     let mut client = node.client();
     assert_eq!(
@@ -113,19 +113,19 @@
         503
     );
     let started = std::time::Instant::now();
-    let answer = client.call(&pay("r1", "86400000m"));
-    assert_eq!(answer.status(), 503);
+    let response = client.call(&pay("r1", "86400000m"));
+    assert_eq!(response.status(), 503);
     assert!(started.elapsed() < TEST_TIMEOUT);
-    let after: f64 = answer
+    let retry_after: f64 = response
         .header("retry-after")
-        .expect("advice")
+        .expect("retry-after header")
         .parse()
         .expect("a number");
-    assert!(after > 0.0 && after <= 2.0, "{after}");
+    assert!(retry_after > 0.0 && retry_after <= 2.0, "{retry_after}");
 }
 
 #[test]
-fn a_broken_configuration_is_named_on_one_line() {
+fn configuration_error_is_reported_on_one_line() {
     let good = config(refusing(), 1024, "null");
     for (from, to, field) in [
         ("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":5", "seed"),
@@ -138,8 +138,10 @@
         ("\"tip_multiple\":4", "\"other\":4", "tip_multiple"),
         ("\"sockets\":1024", "\"sockets\":-1", "limits.sockets"),
     ] {
-        let output = command(&good.replace(from, to)).output().expect("runs");
-        let log = String::from_utf8(output.stderr).expect("text");
+        let output = command(&good.replace(from, to))
+            .output()
+            .expect("run the program");
+        let log = String::from_utf8(output.stderr).expect("UTF-8 text");
         assert!(!output.status.success());
         assert!(
             log.lines().count() == 1 && log.contains(field),
--- a/balancer/proxy/tests/sockets_shutdown.rs
+++ b/balancer/proxy/tests/sockets_shutdown.rs
@@ -1,99 +1,115 @@
-//! The end of a balancer on loopback sockets: what it still answers, and what does not hold it up.
+//! Shutdown on loopback sockets: what is still answered, and what does not delay the exit.
 mod common;
 use common::*;
 use std::sync::mpsc::channel;
 
 #[test]
-fn after_sigterm_it_answers_what_it_has_and_what_still_comes() {
-    let (signal, hold) = channel();
-    let hold = std::sync::Mutex::new(Some(hold));
-    let upstream = Upstream::start(move |_| match hold.lock().expect("no panic").take() {
-        Some(hold) => Then::Hold(
-            hold,
-            "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nheld".into(),
-        ),
-        None => ok("x"),
-    });
-    let mut node = Node::with(&[upstream.addr]);
+fn open_and_new_requests_are_answered_after_sigterm() {
+    let (release, response_signal) = channel();
+    let response_signal = std::sync::Mutex::new(Some(response_signal));
+    let upstream =
+        Upstream::start(
+            move |_| match response_signal.lock().expect("lock not poisoned").take() {
+                Some(response_signal) => UpstreamAction::RespondAfterSignal(
+                    response_signal,
+                    "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nheld".into(),
+                ),
+                None => ok("x"),
+            },
+        );
+    let mut node = Node::with_upstreams(&[upstream.addr]);
     let (mut early, mut reused) = (node.client(), node.client());
     early.send(&pay("early", "20000m"));
     upstream.request();
     assert_eq!(reused.call(&get("kept", "5000m")).status(), 200);
     let signalled_at = std::time::Instant::now();
     node.terminate();
-    node.logs("told to end");
-    // It promises to go on for as long as this; a slow machine that takes longer over the test proves nothing.
-    let promised = || signalled_at.elapsed() < std::time::Duration::from_millis(2500);
-    let served = |answer: Option<Message>| match answer {
-        Some(answer) => {
-            assert_eq!(answer.status(), 200);
+    node.wait_for_log("told to end");
+    // The balancer serves for at least this long after SIGTERM. On a slow machine the test may take longer, which is
+    // inconclusive.
+    let within_grace = || signalled_at.elapsed() < std::time::Duration::from_millis(2500);
+    let assert_served = |response: Option<Message>| match response {
+        Some(response) => {
+            assert_eq!(response.status(), 200);
             assert!(
-                answer.header("connection").is_none() || !promised(),
-                "told to leave"
+                response.header("connection").is_none() || !within_grace(),
+                "asked to close the connection"
             );
         }
-        None => assert!(!promised(), "closed without an answer"),
+        None => assert!(!within_grace(), "closed without an answer"),
     };
-    // Callers have nobody else to turn to yet: the connections they have are served as ever, past the time in
-    // which new ones come.
+    // Clients have no other replica to use yet: their connections are served as before, beyond the time in which new
+    // ones are accepted.
     while signalled_at.elapsed() < std::time::Duration::from_millis(1000) {
         reused.send(&get("again", "5000m"));
-        served(reused.answer());
-        // Not so many that they would be refused.
+        assert_served(reused.read_response());
+        // A low rate, so that no request is rejected.
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
     match node.try_client() {
         Some(mut late) => {
             let ready = late.call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-            assert_eq!(ready.status(), 503, "no new callers are wanted");
+            assert_eq!(ready.status(), 503, "not ready for new clients");
             late.send(&get("late", "5000m"));
-            served(late.answer());
+            assert_served(late.read_response());
         }
-        None => assert!(!promised(), "not accepted"),
+        None => assert!(!within_grace(), "not accepted"),
     }
-    signal.send(()).expect("the upstream waits");
-    assert_eq!(early.answer().expect("the held answer").body, b"held");
+    release.send(()).expect("upstream is waiting");
+    assert_eq!(
+        early.read_response().expect("the delayed response").body,
+        b"held"
+    );
     assert_eq!(node.wait().code(), Some(0));
 }
 
 #[test]
-fn a_request_that_comes_after_sigterm_is_answered_before_the_end() {
+fn request_after_sigterm_is_answered_before_exit() {
     let upstream = Upstream::start(|m| {
         if m.header("req-id") == Some("last") {
-            Then::Wait
+            UpstreamAction::NeverRespond
         } else {
             ok("x")
         }
     });
-    let mut node = Node::with(&[upstream.addr]);
+    let mut node = Node::with_upstreams(&[upstream.addr]);
     let mut client = node.client();
     assert_eq!(client.call(&get("first", "5000m")).status(), 200);
     node.terminate();
-    node.logs("told to end");
-    // Its own deadline lies beyond the end of the program; the upstream says nothing.
+    node.wait_for_log("told to end");
+    // The deadline of the request is after the exit of the process, and the upstream does not respond.
     assert_eq!(client.call(&pay("last", "20000m")).status(), 502);
     assert_eq!(node.wait().code(), Some(0));
     assert!(
         !node.log().iter().any(|l| l.contains("at the end")),
-        "it was held up: {:?}",
+        "requests were left at exit: {:?}",
         node.log()
     );
 }
 
 #[test]
-fn a_request_taken_before_sigterm_is_answered_before_the_end() {
-    let upstream = Upstream::start(|_| Then::Wait);
-    let mut node = Node::with(&[upstream.addr]);
-    let (mut once, mut again) = (node.client(), node.client());
-    // Their own deadlines lie beyond the end of the program; the upstream says nothing.
-    once.send(&pay("once", "20000m"));
+fn request_before_sigterm_is_answered_before_exit() {
+    let upstream = Upstream::start(|_| UpstreamAction::NeverRespond);
+    let mut node = Node::with_upstreams(&[upstream.addr]);
+    let (mut single_shot, mut repeatable) = (node.client(), node.client());
+    // The deadlines of the requests are after the exit of the process, and the upstream does not respond.
+    single_shot.send(&pay("once", "20000m"));
     upstream.request();
-    again.send(&get("again", "20000m"));
+    repeatable.send(&get("again", "20000m"));
     upstream.request();
     node.terminate();
-    assert_eq!(once.answer().expect("an answer, not a close").status(), 502);
     assert_eq!(
-        again.answer().expect("an answer, not a close").status(),
+        single_shot
+            .read_response()
+            .expect("a response, not a close")
+            .status(),
+        502
+    );
+    assert_eq!(
+        repeatable
+            .read_response()
+            .expect("a response, not a close")
+            .status(),
         503
     );
     assert_eq!(node.wait().code(), Some(0));
@@ -104,15 +120,15 @@
     );
     assert!(
         !node.log().iter().any(|l| l.contains("at the end")),
-        "it was held up: {:?}",
+        "requests were left at exit: {:?}",
         node.log()
     );
 }
 
 #[test]
-fn callers_that_say_nothing_do_not_hold_up_the_end() {
+fn idle_or_incomplete_clients_do_not_delay_shutdown() {
     let upstream = Upstream::start(|_| ok("x"));
-    let mut node = Node::with(&[upstream.addr]);
+    let mut node = Node::with_upstreams(&[upstream.addr]);
     let _idle = node.client();
     let mut half = node.client();
     half.send("GET /api HTTP/1.1\r\nReq-Id: r1\r\n");
@@ -123,6 +139,6 @@
     assert!(log.iter().any(|l| l.contains("told to end")), "{log:?}");
     assert!(
         !log.iter().any(|l| l.contains("at the end")),
-        "it was held up: {log:?}"
+        "requests were left at exit: {log:?}"
     );
 }
