--- a/system/scheduler/src/placement.rs
+++ b/system/scheduler/src/placement.rs
@@ -1,5 +1,5 @@
-//! Chooses workers for tasks: the less busy of two random ones that fit, or the busiest that fits for tasks that take a
-//! large share of a worker.
+//! Chooses workers for tasks: the less loaded of two random workers that fit, or, for tasks that take a large share of
+//! a worker, the most loaded worker that fits.
 //!
 //! Source: Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001.
 use crate::{
@@ -14,37 +14,35 @@
 
 /// Tasks that take at least this share of a worker are packed instead of spread.
 const MIN_PACKED_SHARE: f64 = 0.5;
-/// Workers drawn to find two that fit, before all are scanned.
-const MAX_DRAWS: usize = 12;
+/// Maximum number of workers sampled to find two that fit, before all workers are scanned.
+const MAX_SAMPLES: usize = 12;
 
-/// What is to be placed.
+/// A placement request.
 pub(crate) struct Demand<'a> {
     pub first: TaskId,
-    /// Only the rack that holds the data is accepted; for a gang, only one rack for all its tasks.
+    /// Accept only the rack that holds the data, or for a rack-local gang only a single rack for all its tasks.
     pub require_locality: bool,
-    /// Workers reserved for those that had others preempted there.
+    /// Workers nominated for tasks that have preempted runs there.
     pub nominations: &'a Nominations,
-    /// Capacity reserved for more urgent tasks.
     pub backfill: &'a Backfill,
-    /// The step, and how many of its tasks.
+    /// The step and the number of its tasks to place.
     pub candidate: Candidate<'a>,
-    /// Workers on which these tasks have failed.
+    /// Workers on which the task has failed before.
     pub avoid: &'a [String],
-    /// The workers to consider.
     pub pool: Pool<'a>,
 }
 
-/// The workers that a task may be placed on.
+/// The workers to choose from.
 #[derive(Clone, Copy)]
 pub(crate) enum Pool<'a> {
-    /// All of them, by name.
+    /// All workers, by incarnation.
     All(&'a [String]),
-    /// Those that had free capacity when the round of planning began.
+    /// The workers that had free capacity when the planning round began.
     WithCapacity(&'a CapacityIndex),
 }
 
 impl<'a> Pool<'a> {
-    /// Those that may have capacity for a task that takes so many thousandths of a core.
+    /// The workers that may have `cpu` millicores free.
     fn with_capacity(
         self,
         workers: &'a Workers,
@@ -56,8 +54,8 @@
         }
     }
 
-    /// One of them at random.
-    fn draw(self, workers: &'a Workers, cpu: u64, random: &mut StdRng) -> Option<&'a Worker> {
+    /// Returns a random worker.
+    fn sample(self, workers: &'a Workers, cpu: u64, random: &mut StdRng) -> Option<&'a Worker> {
         let name = match self {
             Pool::All(names) => names.choose(random),
             Pool::WithCapacity(index) => index
@@ -68,7 +66,7 @@
         workers.get(name?)
     }
 
-    /// How many there are.
+    /// Number of workers that may have `cpu` millicores free.
     fn len(self, cpu: u64) -> usize {
         match self {
             Pool::All(names) => names.len(),
@@ -77,14 +75,14 @@
     }
 }
 
-/// What the tasks placed so far take up, by worker.
+/// Resources and task counts allocated by this search so far, by worker.
 #[derive(Default)]
-struct Taken {
+struct Allocations {
     resources: BTreeMap<String, Resources>,
     tasks: BTreeMap<String, u32>,
 }
 
-impl Taken {
+impl Allocations {
     fn add(&mut self, incarnation: &str, resources: &Resources) {
         let used = self.resources.entry(incarnation.to_owned()).or_default();
         *used = used.saturating_add(resources);
@@ -92,17 +90,17 @@
     }
 
     fn resources_on(&self, worker: &Worker) -> Resources {
-        let taken = self.resources.get(&worker.entry.incarnation);
-        taken.copied().unwrap_or_default()
+        let allocated = self.resources.get(&worker.entry.incarnation);
+        allocated.copied().unwrap_or_default()
     }
 
     fn tasks_on(&self, worker: &Worker) -> u32 {
-        let taken = self.tasks.get(&worker.entry.incarnation);
-        taken.copied().unwrap_or(0)
+        let allocated = self.tasks.get(&worker.entry.incarnation);
+        allocated.copied().unwrap_or(0)
     }
 }
 
-/// Chooses a worker for each task; `None`: they don't all fit.
+/// Chooses a worker for each task; `None` if they do not all fit.
 pub(crate) fn choose<'w>(
     workers: &'w Workers,
     demand: &Demand<'w>,
@@ -125,7 +123,6 @@
     placer.choose_all(random, |_| true)
 }
 
-/// One search for workers.
 struct Placer<'d, 'w> {
     workers: &'w Workers,
     demand: &'d Demand<'w>,
@@ -133,7 +130,7 @@
 }
 
 impl<'w> Placer<'_, 'w> {
-    /// One rack that takes all tasks: the first that does, in random order.
+    /// Chooses workers in the first rack, in random order, that fits all tasks.
     fn choose_rack(&self, random: &mut StdRng) -> Option<Vec<String>> {
         let racks: BTreeSet<&str> = self.workers.values().map(Worker::rack).collect();
         let mut racks: Vec<&str> = racks.into_iter().collect();
@@ -149,11 +146,11 @@
         is_allowed: impl Fn(&Worker) -> bool,
     ) -> Option<Vec<String>> {
         let candidate = &self.demand.candidate;
-        let mut taken = Taken::default();
+        let mut allocated = Allocations::default();
         let mut chosen = Vec::with_capacity(candidate.count as usize);
         for _ in 0..candidate.count {
-            let incarnation = self.choose_one(random, &taken, &is_allowed)?;
-            taken.add(&incarnation, &candidate.step.resources);
+            let incarnation = self.choose_one(random, &allocated, &is_allowed)?;
+            allocated.add(&incarnation, &candidate.step.resources);
             chosen.push(incarnation);
         }
         Some(chosen)
@@ -162,24 +159,26 @@
     fn choose_one(
         &self,
         random: &mut StdRng,
-        taken: &Taken,
+        allocated: &Allocations,
         is_allowed: &impl Fn(&Worker) -> bool,
     ) -> Option<String> {
-        let fits = |worker: &Worker| is_allowed(worker) && self.fits(worker, taken);
-        let chosen = match self.draw_two(random, |worker| fits(worker) && self.is_proven(worker)) {
-            Some(two) => self.less_busy(two, taken),
+        let fits = |worker: &Worker| is_allowed(worker) && self.fits(worker, allocated);
+        let chosen = match self.sample_two(random, |worker| {
+            fits(worker) && self.is_healthy_for_task(worker)
+        }) {
+            Some(pair) => self.less_loaded(pair, allocated),
             None => {
                 let cpu = self.demand.candidate.step.resources.cpu;
                 let pool = self.demand.pool.with_capacity(self.workers, cpu);
                 let candidates = pool.filter(|worker| fits(worker)).collect();
-                let candidates = self.prefer_proven(self.prefer_local(candidates)?);
-                self.choose_among(candidates, random, taken)
+                let candidates = self.prefer_healthy(self.prefer_local(candidates)?);
+                self.choose_among(candidates, random, allocated)
             }
         };
         chosen.map(|worker| worker.entry.incarnation.clone())
     }
 
-    /// Keeps the workers in the rack that holds the data, or all where none of them is and locality is not required.
+    /// Keeps the workers in the rack that holds the data, or all if none of them is in it and locality is not required.
     fn prefer_local(&self, candidates: Vec<&'w Worker>) -> Option<Vec<&'w Worker>> {
         let Some(rack) = &self.demand.candidate.step.affinity else {
             return Some(candidates);
@@ -195,17 +194,17 @@
         (!self.demand.require_locality).then_some(candidates)
     }
 
-    /// Keeps the workers that nothing speaks against; where there are none, those that may take a run on probation.
-    fn prefer_proven(&self, candidates: Vec<&'w Worker>) -> Vec<&'w Worker> {
-        let proven: Vec<&Worker> = candidates
+    /// Keeps the workers without known failures; if there are none, those that may take a run on probation.
+    fn prefer_healthy(&self, candidates: Vec<&'w Worker>) -> Vec<&'w Worker> {
+        let healthy: Vec<&Worker> = candidates
             .iter()
             .copied()
-            .filter(|worker| self.is_proven(worker))
+            .filter(|worker| self.is_healthy_for_task(worker))
             .collect();
-        if !proven.is_empty() {
-            return proven;
+        if !healthy.is_empty() {
+            return healthy;
         }
-        // On probation a worker gets one run at a time.
+        // A worker on probation gets one run at a time.
         let may_take =
             |worker: &&Worker| !worker.health.is_on_probation() || worker.runs.is_empty();
         candidates.into_iter().filter(may_take).collect()
@@ -215,33 +214,33 @@
         &self,
         candidates: Vec<&'w Worker>,
         random: &mut StdRng,
-        taken: &Taken,
+        allocated: &Allocations,
     ) -> Option<&'w Worker> {
         let needs_packing = candidates.iter().any(|worker| self.needs_packing(worker));
         if needs_packing || self.demand.candidate.step.resources.gpu > 0 {
-            return self.busiest(candidates, taken);
+            return self.most_loaded(candidates, allocated);
         }
-        let two: Vec<&Worker> = candidates.choose_multiple(random, 2).copied().collect();
-        self.less_busy(two, taken)
+        let pair: Vec<&Worker> = candidates.choose_multiple(random, 2).copied().collect();
+        self.less_loaded(pair, allocated)
     }
 
-    /// Two random workers that will do, drawn instead of searched for among all: the work for a start does not grow with
-    /// the number of workers. `None`: a few draws do not find two, or the task is not to be spread at random.
-    fn draw_two(
+    /// Samples two random acceptable workers, so that the cost of a placement does not grow with the number of workers.
+    /// `None` if a few samples do not find two, or if the task must not be spread at random.
+    fn sample_two(
         &self,
         random: &mut StdRng,
-        will_do: impl Fn(&Worker) -> bool,
+        is_acceptable: impl Fn(&Worker) -> bool,
     ) -> Option<[&'w Worker; 2]> {
         let step = self.demand.candidate.step;
         let cpu = step.resources.cpu;
-        let is_drawable = step.resources.gpu == 0 && step.affinity.is_none();
-        if !is_drawable || self.demand.pool.len(cpu) < 2 * MAX_DRAWS {
+        let can_sample = step.resources.gpu == 0 && step.affinity.is_none();
+        if !can_sample || self.demand.pool.len(cpu) < 2 * MAX_SAMPLES {
             return None;
         }
         let mut first: Option<&Worker> = None;
-        for _ in 0..MAX_DRAWS {
-            let drawn = self.demand.pool.draw(self.workers, cpu, random);
-            let Some(worker) = drawn.filter(|worker| will_do(worker)) else {
+        for _ in 0..MAX_SAMPLES {
+            let sampled = self.demand.pool.sample(self.workers, cpu, random);
+            let Some(worker) = sampled.filter(|worker| is_acceptable(worker)) else {
                 continue;
             };
             if self.needs_packing(worker) {
@@ -258,51 +257,51 @@
         None
     }
 
-    fn less_busy(
+    fn less_loaded(
         &self,
         workers: impl IntoIterator<Item = &'w Worker>,
-        taken: &Taken,
+        allocated: &Allocations,
     ) -> Option<&'w Worker> {
-        workers.into_iter().min_by(|one, other| {
-            self.load_on(one, taken)
-                .total_cmp(&self.load_on(other, taken))
+        workers.into_iter().min_by(|a, b| {
+            self.load_on(a, allocated)
+                .total_cmp(&self.load_on(b, allocated))
         })
     }
 
-    fn busiest(
+    fn most_loaded(
         &self,
         workers: impl IntoIterator<Item = &'w Worker>,
-        taken: &Taken,
+        allocated: &Allocations,
     ) -> Option<&'w Worker> {
-        workers.into_iter().max_by(|one, other| {
-            self.load_on(one, taken)
-                .total_cmp(&self.load_on(other, taken))
+        workers.into_iter().max_by(|a, b| {
+            self.load_on(a, allocated)
+                .total_cmp(&self.load_on(b, allocated))
         })
     }
 
-    /// The share of a worker's scarcest resource that is in use once it has one task more.
-    fn load_on(&self, worker: &Worker, taken: &Taken) -> f64 {
+    /// The dominant resource share in use on a worker with one more task.
+    fn load_on(&self, worker: &Worker, allocated: &Allocations) -> f64 {
         worker
             .used
-            .saturating_add(&taken.resources_on(worker))
+            .saturating_add(&allocated.resources_on(worker))
             .saturating_add(&self.demand.candidate.step.resources)
             .dominant_share(&worker.entry.capacity)
     }
 
-    /// Whether a task takes so much of a worker that it is packed.
+    /// Whether a task takes a share of a worker that is large enough to be packed.
     fn needs_packing(&self, worker: &Worker) -> bool {
         let resources = &self.demand.candidate.step.resources;
         resources.dominant_share(&worker.entry.capacity) >= MIN_PACKED_SHARE
     }
 
-    /// Whether nothing speaks against a worker: it is not on probation, and these tasks have not failed there.
-    fn is_proven(&self, worker: &Worker) -> bool {
+    /// Whether a worker is not on probation and the task has not failed there.
+    fn is_healthy_for_task(&self, worker: &Worker) -> bool {
         let has_failed_here = self.demand.avoid.contains(&worker.entry.incarnation);
         !worker.health.is_on_probation() && !has_failed_here
     }
 
-    /// Whether a worker takes one task more.
-    fn fits(&self, worker: &Worker, taken: &Taken) -> bool {
+    /// Whether one more task can be placed on a worker.
+    fn fits(&self, worker: &Worker, allocated: &Allocations) -> bool {
         let Demand {
             first,
             nominations,
@@ -310,10 +309,10 @@
             candidate,
             ..
         } = self.demand;
-        let more = taken.resources_on(worker);
+        let more = allocated.resources_on(worker);
         self.has_capacity(worker, &more)
             && worker.has_labels(&candidate.step.requirements)
-            && self.allows_sibling(worker, taken)
+            && self.allows_sibling(worker, allocated)
             && !worker.runs.contains_key(first)
             && worker.is_schedulable(self.now)
             && nominations.allow(&worker.entry.incarnation, first)
@@ -326,8 +325,8 @@
         resources.fits_in(&free.saturating_sub(more)) && free.cpu >= more.cpu + resources.cpu
     }
 
-    /// Whether a worker may run another task of the same step and occurrence.
-    fn allows_sibling(&self, worker: &Worker, taken: &Taken) -> bool {
+    /// Whether the anti-affinity of the step allows one more of its tasks on a worker.
+    fn allows_sibling(&self, worker: &Worker, allocated: &Allocations) -> bool {
         let max_siblings = self.demand.candidate.step.anti_affinity;
         if max_siblings == 0 {
             return true;
@@ -341,6 +340,6 @@
             ..self.demand.first
         };
         let running = worker.runs.range(first..=last).count() as u32;
-        running + taken.tasks_on(worker) < max_siblings
+        running + allocated.tasks_on(worker) < max_siblings
     }
 }
--- a/system/scheduler/src/planner.rs
+++ b/system/scheduler/src/planner.rs
@@ -1,6 +1,6 @@
-//! Decides which queued tasks are started where, in rounds of planning.
+//! Decides in planning rounds which queued tasks start on which workers.
 //!
-//! It composes placement, backfill and preemption; each of them is a module of its own.
+//! It combines placement, backfill and preemption, each of which is a separate module.
 use crate::{
     backfill::{Backfill, Candidate},
     capacity_index::CapacityIndex,
@@ -19,114 +19,115 @@
 use rand::{rngs::StdRng, SeedableRng};
 use std::collections::{HashMap, HashSet};
 
-/// After this many tasks that could not be placed, the most urgent part of a round ends ...
-const MAX_URGENT_MISSES: usize = 40;
-/// ... and after this many more the part that goes on from where the last round ended, so that all have their turn.
-const MAX_RESUMED_MISSES: usize = 20;
-/// A task waits for its data's rack for at most this share of the time that running elsewhere would cost.
+/// Number of failed placements that ends the part of a round that starts with the most urgent tasks.
+const MAX_FAILED_URGENT_PLACEMENTS: usize = 40;
+/// Number of further failed placements that ends the part of a round that resumes where the last round ended; resuming
+/// there keeps infeasible tasks from starving the tasks behind them.
+const MAX_FAILED_RESUMED_PLACEMENTS: usize = 20;
+/// A task waits for the rack of its data at most for this share of the extra time that running elsewhere would take.
 const MAX_LOCALITY_WAIT_SHARE: f64 = 0.6;
-/// An urgent task that could not be placed for this long may preempt less urgent runs.
+/// Time in the queue after which an urgent task may preempt less urgent runs.
 const PREEMPT_AFTER_MS: Millis = 100;
-/// Searches for runs to preempt that may fail in one round: each considers all workers.
+/// Maximum number of failed searches for preemption victims in one round; each examines all workers.
 const MAX_FAILED_PREEMPTIONS: usize = 3;
-/// At most one in this many workers is nominated at a time for those that preempted others.
+/// At most one in this many workers is nominated at a time, to bound preemption.
 const WORKERS_PER_NOMINATION: usize = 12;
 
-/// A task or gang as a round finds it in the queue.
+/// A task or gang in the queue at the start of a round.
 struct QueuedUnit {
     urgency: Urgency,
     unit: StartableUnit,
     queued_at: Millis,
 }
 
-/// A task or gang that is to be placed.
+/// A task or gang to place.
 #[derive(Clone, Copy)]
 struct PlannedUnit<'a> {
     job: &'a Job,
     unit: &'a StartableUnit,
     step: &'a StepSpec,
     urgency: &'a Urgency,
-    /// How long it has been queued, in milliseconds.
+    /// Time in the queue, in milliseconds.
     waited_ms: Millis,
 }
 
-/// What a round of planning has come to so far.
+/// The state of a planning round.
 #[derive(Default)]
 struct PlanningRound {
     runs: Vec<RunStart>,
-    misses: Misses,
-    /// The workers as they were when it began.
+    failed_placements: FailedPlacements,
+    /// Free capacity of the workers when the round began.
     capacity: CapacityIndex,
-    /// Searches for less urgent runs to preempt that found none.
+    /// Number of searches for preemption victims that found none.
     failed_preemptions: usize,
 }
 
-/// How a search for runs to preempt went.
+/// The result of an attempted preemption.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Preemption {
-    /// Runs are being stopped.
-    Begun,
-    /// The task may not preempt now; nothing was searched.
+    /// The stop of the victims was requested.
+    Started,
+    /// The task may not preempt now; no search was made.
     NotEligible,
-    /// No runs are worth stopping for it.
+    /// No victims were found whose loss is acceptable.
     NoVictims,
 }
 
-/// Kinds of tasks that could not be placed in a round; those that need the same or more can't be placed either.
+/// Steps that could not be placed in a round. Steps that need the same or more cannot be placed either and are skipped.
 #[derive(Default)]
-struct Misses {
-    shapes: Vec<StepSpec>,
+struct FailedPlacements {
+    steps: Vec<StepSpec>,
 }
 
-impl Misses {
-    /// Whether a task needs at least what one of them needs.
+impl FailedPlacements {
+    /// Whether a step needs at least what a step that failed needs.
     fn covers(&self, step: &StepSpec) -> bool {
-        let is_covered_by = |shape: &StepSpec| {
-            shape.resources.fits_in(&step.resources)
-                && shape.requirements == step.requirements
-                && shape.affinity == step.affinity
-                && shape.estimated_ms <= step.estimated_ms
-                && shape.anti_affinity == 0
-                && !shape.gang
+        let is_covered_by = |failed: &StepSpec| {
+            failed.resources.fits_in(&step.resources)
+                && failed.requirements == step.requirements
+                && failed.affinity == step.affinity
+                && failed.estimated_ms <= step.estimated_ms
+                && failed.anti_affinity == 0
+                && !failed.gang
         };
-        self.shapes.iter().any(is_covered_by)
+        self.steps.iter().any(is_covered_by)
     }
 
-    /// Adds a task that could not be placed. Where no worker had capacity at all, shorter tasks can't be placed either;
-    /// else reservations kept it out, which shorter ones may not delay.
+    /// Adds a step that could not be placed. If no worker had enough capacity, shorter tasks cannot be placed either.
+    /// Otherwise reservations prevented the placement, and shorter tasks may still fit before these.
     fn add(&mut self, step: &StepSpec, any_has_capacity: bool) {
         let estimated_ms = if any_has_capacity {
             step.estimated_ms
         } else {
             0
         };
-        self.shapes.push(StepSpec {
+        self.steps.push(StepSpec {
             estimated_ms,
             ..step.clone()
         });
     }
 }
 
-/// Owns the queue of a service, and decides which of its tasks run where.
+/// Owns the queue of a service and decides which of its tasks run where.
 #[derive(Clone, Debug)]
 pub(crate) struct Planner {
     pub queue: Queue,
     nominations: Nominations,
     backfill: Backfill,
     schedule: PlanningSchedule,
-    /// The names of all workers, as of the last check.
+    /// The incarnations of all workers, as of the last check.
     worker_names: Vec<String>,
-    /// Workers on which a task has failed.
+    /// The workers on which each task has failed.
     failed_on: HashMap<TaskId, Vec<String>>,
-    /// How many times as long a task takes away from its data.
-    far_factor: f64,
+    /// Factor by which a task takes longer when it runs away from its data.
+    remote_factor: f64,
     random: StdRng,
 }
 
 impl Planner {
-    /// Creates a planner for a service where tasks take `far_factor` times as long away from their data; `seed` decides
-    /// its random choices.
-    pub(crate) fn new(now: Millis, far_factor: f64, seed: u64) -> Planner {
+    /// Creates a planner; `remote_factor` is the slowdown of tasks away from their data and `seed` seeds random
+    /// choices.
+    pub(crate) fn new(now: Millis, remote_factor: f64, seed: u64) -> Planner {
         Planner {
             queue: Queue::default(),
             nominations: Nominations::default(),
@@ -134,17 +135,17 @@
             schedule: PlanningSchedule::new(now),
             worker_names: Vec::new(),
             failed_on: HashMap::new(),
-            far_factor,
+            remote_factor,
             random: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// Has a round of planning played as soon as one may be.
-    pub(crate) fn request(&mut self) {
-        self.schedule.request();
+    /// Requests a planning round as soon as one is allowed.
+    pub(crate) fn request_round(&mut self) {
+        self.schedule.request_round();
     }
 
-    /// Plays a round of planning if one is due. Returns the runs to propose.
+    /// Runs a planning round if one is due and returns the runs to propose.
     pub(crate) fn poll_round(
         &mut self,
         table: &mut RunTable,
@@ -159,20 +160,20 @@
         runs
     }
 
-    /// Takes the names of all workers anew, where they have changed.
+    /// Refreshes the list of worker incarnations if it has changed.
     pub(crate) fn refresh_worker_names(&mut self, workers: &Workers) {
         if !workers.keys().eq(self.worker_names.iter()) {
             self.worker_names = workers.keys().cloned().collect();
         }
     }
 
-    /// Drops all that is known of a job that the log has removed.
-    pub(crate) fn forget_job(&mut self, job: JobId) {
+    /// Removes the planning state of a job that the log has removed.
+    pub(crate) fn remove_job(&mut self, job: JobId) {
         self.queue.remove(job);
         self.failed_on.retain(|task, _| task.job != job);
     }
 
-    /// Records that a task has failed on a worker. Returns whether it has failed on another one before.
+    /// Records that a task has failed on a worker. Returns whether it has failed on another worker before.
     pub(crate) fn record_failure(&mut self, task: TaskId, incarnation: &str) -> bool {
         let failed_on = self.failed_on.entry(task).or_default();
         let failed_elsewhere = failed_on.iter().any(|other| other != incarnation);
@@ -182,7 +183,7 @@
         failed_elsewhere
     }
 
-    /// Places the first tasks of a job that is being submitted, if there is capacity and nothing more urgent is queued.
+    /// Places the first tasks of a job that is being submitted, if there is capacity and no more urgent task is queued.
     pub(crate) fn place_submitted(
         &mut self,
         table: &mut RunTable,
@@ -212,12 +213,12 @@
         runs
     }
 
-    /// Plays a round of planning: places what is queued, most urgent first. Where much can't be placed, a round does not
-    /// consider all of it: it goes on where the last one ended.
+    /// Runs a planning round: places queued tasks in order of urgency. A round with many failed placements does not
+    /// examine the whole queue; the next one resumes where it ended.
     fn plan(&mut self, table: &mut RunTable, now: Millis, state: &State) -> Vec<RunStart> {
         let queued = self.queued_units();
         let owners: HashSet<TaskId> = queued.iter().map(|queued| queued.urgency.task).collect();
-        self.nominations.review(&owners, &table.workers, now);
+        self.nominations.retain_valid(&owners, &table.workers, now);
         self.backfill.begin_planning_round(now);
         if queued.is_empty() {
             return Vec::new();
@@ -226,13 +227,27 @@
             capacity: CapacityIndex::of(&table.workers, now),
             ..PlanningRound::default()
         };
-        let urgent = self.plan_units(table, &queued, MAX_URGENT_MISSES, &mut round, now, state);
-        if urgent < queued.len() {
-            let from = self.resume_position(&queued, urgent);
-            let max_misses = round.misses.shapes.len() + MAX_RESUMED_MISSES;
-            let until =
-                from + self.plan_units(table, &queued[from..], max_misses, &mut round, now, state);
-            self.schedule.cursor = queued.get(until).map(|queued| queued.urgency);
+        let urgent_end = self.plan_units(
+            table,
+            &queued,
+            MAX_FAILED_URGENT_PLACEMENTS,
+            &mut round,
+            now,
+            state,
+        );
+        if urgent_end < queued.len() {
+            let resumed_start = self.resume_position(&queued, urgent_end);
+            let max_failed = round.failed_placements.steps.len() + MAX_FAILED_RESUMED_PLACEMENTS;
+            let resumed_end = resumed_start
+                + self.plan_units(
+                    table,
+                    &queued[resumed_start..],
+                    max_failed,
+                    &mut round,
+                    now,
+                    state,
+                );
+            self.schedule.cursor = queued.get(resumed_end).map(|queued| queued.urgency);
         }
         round.runs
     }
@@ -246,31 +261,32 @@
         self.queue.iter().map(queued_unit).collect()
     }
 
-    /// Where a round goes on after its most urgent part: where the last one ended, if that is later in the queue.
-    fn resume_position(&self, queued: &[QueuedUnit], urgent: usize) -> usize {
+    /// The queue position at which a round continues after its most urgent part: where the last round ended, if that is
+    /// further back.
+    fn resume_position(&self, queued: &[QueuedUnit], urgent_end: usize) -> usize {
         let Some(cursor) = self.schedule.cursor else {
-            return urgent;
+            return urgent_end;
         };
         let next = queued.partition_point(|queued| queued.urgency < cursor);
         if next >= queued.len() {
-            urgent
+            urgent_end
         } else {
-            next.max(urgent)
+            next.max(urgent_end)
         }
     }
 
-    /// Places queued units, until so many in all could not be placed. Returns how many it has considered.
+    /// Places queued units until the round has `max_failed` failed placements. Returns the number of units examined.
     fn plan_units(
         &mut self,
         table: &mut RunTable,
         queued: &[QueuedUnit],
-        max_misses: usize,
+        max_failed: usize,
         round: &mut PlanningRound,
         now: Millis,
         state: &State,
     ) -> usize {
         for (position, unit) in queued.iter().enumerate() {
-            if round.misses.shapes.len() >= max_misses {
+            if round.failed_placements.steps.len() >= max_failed {
                 return position;
             }
             self.plan_unit(table, unit, round, now, state);
@@ -299,7 +315,7 @@
             urgency: &queued.urgency,
             waited_ms: now.saturating_sub(queued.queued_at),
         };
-        if round.misses.covers(step) {
+        if round.failed_placements.covers(step) {
             self.reserve_capacity(table, &planned, now);
             return;
         }
@@ -310,7 +326,7 @@
             return;
         }
         let any_has_capacity = any_worker_has_capacity(&table.workers, &round.capacity, step, now);
-        round.misses.add(step, any_has_capacity);
+        round.failed_placements.add(step, any_has_capacity);
         self.reserve_capacity(table, &planned, now);
         if round.failed_preemptions < MAX_FAILED_PREEMPTIONS
             && self.preempt(table, &planned, now) == Preemption::NoVictims
@@ -319,8 +335,7 @@
         }
     }
 
-    /// Places a task or gang and takes up the capacity; in a round of planning among the workers that had free capacity
-    /// when it began.
+    /// Places a task or gang and allocates its capacity, on workers from `capacity` if given, otherwise on any worker.
     fn place(
         &mut self,
         table: &mut RunTable,
@@ -335,18 +350,18 @@
             urgency,
             waited_ms,
         } = *planned;
-        let nothing = Vec::new();
+        let no_workers = Vec::new();
         let demand = Demand {
             first: unit.first,
             require_locality: self.waits_for_locality(step, waited_ms),
             nominations: &self.nominations,
             backfill: &self.backfill,
             candidate: self.candidate(job, unit, step, urgency),
-            avoid: self.failed_on.get(&unit.first).unwrap_or(&nothing),
+            avoid: self.failed_on.get(&unit.first).unwrap_or(&no_workers),
             pool: capacity.map_or(Pool::All(&self.worker_names), Pool::WithCapacity),
         };
         let chosen = choose(&table.workers, &demand, now, &mut self.random)?;
-        let runs = starts(job, unit, step, chosen);
+        let runs = run_starts(job, unit, step, chosen);
         for start in &runs {
             let run = Run::new(job, step, start, RunPhase::Proposed, now);
             table.add_proposed(&start.incarnation, start.task, run);
@@ -354,13 +369,14 @@
         Some(runs)
     }
 
-    /// Whether a task still waits for the rack that holds its data, or a gang for one rack that takes all of it.
+    /// Whether a task still waits for the rack that holds its data, or a rack-local gang for a single rack that fits
+    /// all its tasks.
     fn waits_for_locality(&self, step: &StepSpec, waited_ms: Millis) -> bool {
-        let extra_factor = self.far_factor - 1.0;
-        (waited_ms as f64) < step.estimated_ms as f64 * extra_factor * MAX_LOCALITY_WAIT_SHARE
+        let slowdown = self.remote_factor - 1.0;
+        (waited_ms as f64) < step.estimated_ms as f64 * slowdown * MAX_LOCALITY_WAIT_SHARE
     }
 
-    /// The unit as backfill sees it.
+    /// Describes a unit for backfill.
     pub(crate) fn candidate<'a>(
         &self,
         job: &Job,
@@ -372,12 +388,12 @@
             step,
             urgency,
             count: unit.count,
-            far_factor: self.far_factor,
+            remote_factor: self.remote_factor,
             long_running: job.submission.spec.long_running,
         }
     }
 
-    /// Whether neither a nomination nor a reservation keeps a task from a worker.
+    /// Whether neither nominations nor reservations keep a task from a worker.
     pub(crate) fn allows(
         &self,
         worker: &Worker,
@@ -385,15 +401,15 @@
         candidate: &Candidate<'_>,
         now: Millis,
     ) -> bool {
-        let nothing = Resources::default();
+        let no_resources = Resources::default();
         self.nominations.allow(&worker.entry.incarnation, &first)
             && self
                 .backfill
-                .allows_backfill(worker, candidate, &nothing, now)
+                .allows_backfill(worker, candidate, &no_resources, now)
     }
 
-    /// Reserves the capacity that frees up first for a task that could not be placed, unless it comes too late anyway,
-    /// or waits for one rack to take a whole gang.
+    /// Reserves the earliest available capacity for a task that could not be placed, unless the task is too late anyway
+    /// or waits for a single rack to fit a gang.
     fn reserve_capacity(&mut self, table: &RunTable, planned: &PlannedUnit<'_>, now: Millis) {
         let PlannedUnit {
             job,
@@ -413,7 +429,7 @@
         self.backfill.reserve(&table.workers, &candidate, now);
     }
 
-    /// Stops less urgent runs for a task that could not be placed, where that is worth what it loses.
+    /// Requests the stop of less urgent runs for a task that could not be placed, if the work lost is acceptable.
     fn preempt(
         &mut self,
         table: &mut RunTable,
@@ -444,7 +460,7 @@
         }
         table.mark_order_due(&incarnation);
         self.nominations.add(incarnation, planned.unit.first, now);
-        Preemption::Begun
+        Preemption::Started
     }
 
     fn may_preempt(&self, table: &RunTable, planned: &PlannedUnit<'_>) -> bool {
@@ -464,7 +480,7 @@
     job.submission.spec.steps.get(unit.first.step as usize)
 }
 
-/// Whether any schedulable worker has capacity for one task of a step, reserved for others or not.
+/// Whether any schedulable worker has capacity for one task of a step, ignoring reservations.
 fn any_worker_has_capacity(
     workers: &Workers,
     capacity: &CapacityIndex,
@@ -480,11 +496,16 @@
         })
 }
 
-/// The runs of a unit on the workers chosen for it.
-fn starts(job: &Job, unit: &StartableUnit, step: &StepSpec, chosen: Vec<String>) -> Vec<RunStart> {
+/// The runs of a unit on its chosen workers.
+fn run_starts(
+    job: &Job,
+    unit: &StartableUnit,
+    step: &StepSpec,
+    chosen: Vec<String>,
+) -> Vec<RunStart> {
     let tasks = || unit.tasks().filter_map(|task| job.task(&task));
     let run = tasks().map(|task| task.last_run).max().unwrap_or(0) + 1;
-    // Members of a gang all go on from the same checkpoint; any member's will do.
+    // All members of a gang resume from the same checkpoint, which may be that of any member.
     let shared = tasks().map(|task| task.checkpoint.as_str()).max();
     let checkpoint = shared.filter(|_| step.checkpoints).unwrap_or("");
     let start = |(task, incarnation)| RunStart {
