--- a/balancer/proxy/tests/sockets_shutdown.rs
+++ b/balancer/proxy/tests/sockets_shutdown.rs
@@ -142,6 +142,10 @@
     node.terminate();
     assert_eq!(node.wait().code(), Some(0));
     let log = node.log();
+    assert!(
+        log.iter().any(|l| l.contains("shutdown requested")),
+        "{log:?}"
+    );
     assert!(
         !log.iter().any(|l| l.contains("at the shutdown deadline")),
         "requests were left at exit: {log:?}"
