--- a/system/magpiegap/examples/recovery.rs
+++ b/system/magpiegap/examples/recovery.rs
@@ -1,7 +1,7 @@
-//! How long a coordinator takes to read its state at the start, against the number of jobs kept.
+//! Measures how long a coordinator takes to read its state at startup, depending on the number of jobs.
 //!
-//! `cargo run --profile system -p magpiegap --example recovery` writes states as a coordinator does, into a folder for
-//! temporary files, and reads each back several times. It prints a line for each size.
+//! `cargo run --profile system -p magpiegap --example recovery` writes states of several sizes to a temporary folder, in
+//! the format of a coordinator, and reads each back several times. It prints the median time for each size.
 use magpiegap_control::{DurableRecord, DurableState};
 use magpiegap_coordinator::{take_snapshot, Machine};
 use magpiegap_jobs::State;
@@ -12,18 +12,19 @@
 use magpiegap_storage::{FolderDirectory, Store};
 use std::{error::Error, path::Path, time::Instant};
 
-/// Jobs kept.
-const SIZES: [u64; 4] = [10, 100, 1_000, 10_000];
-/// Every so many jobs one is in the log only, not in the snapshot.
-const IN_LOG_EVERY: u64 = 10;
-/// Of so many times that a state is read the middle one counts.
-const TIMES: usize = 5;
-/// Steps of a job, and tasks of a step.
+/// Numbers of jobs in the state.
+const JOB_COUNTS: [u64; 4] = [10, 100, 1_000, 10_000];
+/// One of this many jobs is only in the log, not in the snapshot.
+const LOG_ONLY_INTERVAL: u64 = 10;
+/// Number of reads of each state; the median is printed.
+const REPETITIONS: usize = 5;
+/// Number of steps of a job.
 const STEPS: u32 = 4;
+/// Number of tasks of a step.
 const TASKS: u32 = 5;
-/// Length of the text of a job, in bytes.
+/// Length of a job's specification, in bytes.
 const SPEC_BYTES: usize = 1_000;
-/// Workers on which the first tasks run.
+/// Number of workers on which the first tasks run.
 const WORKERS: u64 = 400;
 
 fn entry(index: u64, command: Command) -> Entry {
@@ -49,7 +50,7 @@
     }
 }
 
-/// A job whose first task runs.
+/// Submits a job whose first task is started at once.
 fn submit(number: u64) -> Command {
     let step = |position: u32| StepSpec {
         count: TASKS,
@@ -89,11 +90,11 @@
     }
 }
 
-/// Writes a snapshot and a log. Returns their bytes.
+/// Writes a snapshot and a log. Returns their total length in bytes.
 fn write(folder: &Path, jobs: u64) -> Result<usize, Box<dyn Error>> {
     let mut state = State::default();
-    let in_log = jobs / IN_LOG_EVERY;
-    for number in 1..=jobs - in_log {
+    let log_only = jobs / LOG_ONLY_INTERVAL;
+    for number in 1..=jobs - log_only {
         state.apply(&entry(number, submit(number)));
     }
     let member = Member {
@@ -106,7 +107,7 @@
     let (mut store, _) = Store::open(FolderDirectory::new(folder)?)?;
     store.checkpoint(snapshot.chunks())?;
     let mut length = snapshot.chunks().map(|chunk| chunk.len()).sum();
-    for number in jobs - in_log + 1..=jobs {
+    for number in jobs - log_only + 1..=jobs {
         let record = encode(&DurableRecord::Entries(vec![entry(number, submit(number))]));
         length += record.len();
         store.append(&[record])?;
@@ -114,7 +115,7 @@
     Ok(length)
 }
 
-/// Reads all, and applies what the log has beyond the snapshot, as a coordinator does.
+/// Reads the snapshot and applies the log entries after it, as a coordinator does.
 fn read(folder: &Path) -> Result<State, Box<dyn Error>> {
     let (_, recovered) = Store::open(FolderDirectory::new(folder)?)?;
     let snapshot =
@@ -128,18 +129,18 @@
 
 fn main() -> Result<(), Box<dyn Error>> {
     println!("{:>8} {:>12} {:>10}", "jobs", "kB on disk", "ms to read");
-    for jobs in SIZES {
+    for jobs in JOB_COUNTS {
         let folder =
             std::env::temp_dir().join(format!("magpiegap-recovery-{}-{jobs}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let bytes = write(&folder, jobs)?;
-        let mut times = Vec::with_capacity(TIMES);
-        for _ in 0..TIMES {
-            let began = Instant::now();
+        let mut times = Vec::with_capacity(REPETITIONS);
+        for _ in 0..REPETITIONS {
+            let started_at = Instant::now();
             let state = read(&folder)?;
-            times.push(began.elapsed());
+            times.push(started_at.elapsed());
             if state.jobs.len() as u64 != jobs {
-                return Err(format!("{} jobs were read, not {jobs}", state.jobs.len()).into());
+                return Err(format!("read {} jobs, expected {jobs}", state.jobs.len()).into());
             }
         }
         std::fs::remove_dir_all(&folder)?;
@@ -147,7 +148,7 @@
         println!(
             "{jobs:>8} {:>12} {:>10.2}",
             bytes / 1000,
-            times[TIMES / 2].as_secs_f64() * 1000.0
+            times[REPETITIONS / 2].as_secs_f64() * 1000.0
         );
     }
     Ok(())
--- a/system/magpiegap/src/agent/link.rs
+++ b/system/magpiegap/src/agent/link.rs
@@ -1,4 +1,4 @@
-//! Drives the agent's state machine: makes its calls to coordinators, and publishes the feed and the configuration.
+//! Drives the agent's state machine: performs its calls to coordinators and publishes the feed and the configuration.
 use crate::{
     endpoint::{self, CallError, ResponseTimeouts},
     settings::NodeSettings,
@@ -16,41 +16,41 @@
 };
 use tokio::{sync::watch, task::JoinSet, time::sleep};
 
-/// Number of coordinators that are polled at the same time, so that the loss of one delays no update.
-const LINKS: usize = 2;
-/// Delay where no time-out is set and no call is in flight.
+/// Number of coordinators that are polled concurrently, so that the failure of one does not delay updates.
+const LINK_COUNT: usize = 2;
+/// Delay before the next poll of the state machine when it has neither a timeout nor a call in flight.
 const IDLE_DELAY: Duration = Duration::from_millis(100);
-/// Minimum interval between two readings of the settings file.
+/// Minimum interval between rereads of the settings file.
 const SETTINGS_READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The feed and the configurations that the agent serves to the proxy beside it.
+/// Holds the feed and the configurations that the agent serves to the proxy.
 #[derive(Clone)]
-pub struct Published {
+pub struct FeedPublisher {
     feed: watch::Sender<Arc<Feed>>,
     configurations: Arc<Mutex<ConfigurationSource>>,
 }
 
-impl Default for Published {
-    fn default() -> Published {
-        Published {
+impl Default for FeedPublisher {
+    fn default() -> FeedPublisher {
+        FeedPublisher {
             feed: watch::Sender::new(Arc::new(Feed::default())),
             configurations: Arc::default(),
         }
     }
 }
 
-impl Published {
-    /// Nothing is published yet.
-    pub fn new() -> Published {
-        Published::default()
+impl FeedPublisher {
+    /// Creates a publisher with an empty feed and no configuration.
+    pub fn new() -> FeedPublisher {
+        FeedPublisher::default()
     }
 
-    /// The newest feed, with notifications of newer ones.
+    /// Subscribes to the feed.
     pub fn feed(&self) -> watch::Receiver<Arc<Feed>> {
         self.feed.subscribe()
     }
 
-    /// Runs a function on the source of configurations, and returns its result.
+    /// Calls `read` with the configuration source while holding its lock.
     pub fn with_configurations<T>(&self, read: impl FnOnce(&mut ConfigurationSource) -> T) -> T {
         read(
             &mut self
@@ -60,7 +60,7 @@
         )
     }
 
-    /// Publishes a feed with the configuration in force.
+    /// Publishes a feed and the current configuration. Version 0 means that there is no configuration yet.
     fn publish(&self, feed: Feed, configuration: &Arc<Configuration>) {
         if configuration.version > 0 {
             self.with_configurations(|configurations| configurations.push_shared(configuration));
@@ -75,7 +75,7 @@
     response: Result<CoordinatorResponse, CallFailure>,
 }
 
-/// The link to the control plane.
+/// The connection of the agent to the control plane.
 pub struct Link {
     client: reqwest::Client,
     settings_file: PathBuf,
@@ -83,22 +83,22 @@
     port: u16,
     start: Instant,
     agent: Agent,
-    published: Published,
+    publisher: FeedPublisher,
     calls: JoinSet<CallOutcome>,
 }
 
 impl Link {
-    /// A link that has not called anyone yet.
+    /// Creates a link; the first calls are made by [`Link::run`].
     pub fn new(
         client: reqwest::Client,
         settings_file: PathBuf,
         settings: &NodeSettings,
-        published: Published,
+        publisher: FeedPublisher,
     ) -> Link {
         let agent = Agent::new(AgentSettings {
             own_address: u32::from(settings.ip),
             seeds: settings.seed_addresses(),
-            links: LINKS,
+            links: LINK_COUNT,
         });
         let now = Instant::now();
         let port = settings.request_port();
@@ -109,12 +109,12 @@
             port,
             start: now,
             agent,
-            published,
+            publisher,
             calls: JoinSet::new(),
         }
     }
 
-    /// Follows the feed without end.
+    /// Follows the feed until the future is dropped.
     pub async fn run(mut self) {
         loop {
             for call in self.agent.poll_calls(self.now()) {
@@ -166,26 +166,26 @@
             .agent
             .handle_outcome(self.now(), outcome.id, outcome.response)
         {
-            self.published
+            self.publisher
                 .publish(self.agent.feed(), self.agent.configuration());
         }
         if let Some(error) = self.agent.take_change_error() {
-            log::error!("configuration change is faulty, fetching all of it error={error}");
+            log::error!("configuration change failed, fetching full configuration error={error}");
         }
         if self.agent.is_disconnected() {
-            self.read_seeds();
+            self.reload_seeds();
         }
     }
 
-    /// Reads the addresses of coordinators from the settings file again, once in an interval.
-    fn read_seeds(&mut self) {
+    /// Rereads the coordinator addresses from the settings file, at most once per [`SETTINGS_READ_INTERVAL`].
+    fn reload_seeds(&mut self) {
         if self.settings_read_at.elapsed() < SETTINGS_READ_INTERVAL {
             return;
         }
         self.settings_read_at = Instant::now();
         match NodeSettings::read(&self.settings_file) {
             Ok(settings) => self.agent.set_seeds(settings.seed_addresses()),
-            Err(error) => log::warn!("{error}"),
+            Err(error) => log::warn!("cannot reread settings error={error}"),
         }
     }
 }
--- a/system/magpiegap/src/agent/server.rs
+++ b/system/magpiegap/src/agent/server.rs
@@ -1,5 +1,5 @@
-//! Serves the feed and configurations to the proxy beside the agent.
-use super::link::Published;
+//! Serves the feed and configurations to the proxy on the same machine.
+use super::link::FeedPublisher;
 use crate::serving::read_body;
 use magpiegap_distribution::ConfigurationSource;
 use magpiegap_protocol::{
@@ -13,19 +13,19 @@
 };
 use std::{sync::Arc, time::Duration};
 
-/// Maximum length of a request, in bytes.
+/// Maximum length of a request body, in bytes.
 const MAX_BODY_BYTES: u64 = 4096;
 
-/// Responds to the proxy's long polls and fetches of configurations.
+/// Handles long polls of the feed and fetches of configuration chunks.
 #[derive(Clone)]
 pub(super) struct FeedHandler {
-    published: Published,
+    publisher: FeedPublisher,
 }
 
 impl FeedHandler {
-    /// A handler that serves what is published here.
-    pub(super) fn new(published: Published) -> FeedHandler {
-        FeedHandler { published }
+    /// Creates a handler that serves the feed and configurations of `publisher`.
+    pub(super) fn new(publisher: FeedPublisher) -> FeedHandler {
+        FeedHandler { publisher }
     }
 
     async fn feed(&self, poll: &FeedPoll) -> CoordinatorResponse {
@@ -33,7 +33,7 @@
         let inline_change = |configurations: &mut ConfigurationSource| {
             configurations.inline_change(poll.configuration_version)
         };
-        let change = self.published.with_configurations(inline_change);
+        let change = self.publisher.with_configurations(inline_change);
         CoordinatorResponse::Feed(Box::new(Feed {
             change,
             ..(*feed).clone()
@@ -42,7 +42,7 @@
 
     fn configuration(&self, fetch: &ConfigurationFetch) -> CoordinatorResponse {
         match self
-            .published
+            .publisher
             .with_configurations(|configurations| configurations.chunk(fetch))
         {
             Some(chunk) => CoordinatorResponse::ConfigurationChunk(Box::new(chunk)),
@@ -50,11 +50,11 @@
         }
     }
 
-    /// The feed as soon as it is another one than the caller knows, or once its wait is over.
+    /// Returns the feed as soon as its revision differs from the one that the caller has, or after the poll's wait time.
     async fn changed_feed(&self, poll: &FeedPoll) -> Arc<Feed> {
-        let mut feed = self.published.feed();
+        let mut feed = self.publisher.feed();
         let changed = feed.wait_for(|feed| feed.revision != poll.revision);
-        // Without a change the caller gets what it knows, as a heartbeat.
+        // On a timeout the unchanged feed is returned, which serves as a heartbeat.
         let _ = tokio::time::timeout(Duration::from_millis(poll.wait_ms), changed).await;
         let latest = feed.borrow();
         latest.clone()
--- a/system/magpiegap/src/command_line.rs
+++ b/system/magpiegap/src/command_line.rs
@@ -1,54 +1,54 @@
-//! The command line: its commands and their options. Doc comments are the text of its help.
+//! Command-line commands and options. The doc comments are the `--help` text.
 use bpaf::{Bpaf, Parser};
 use std::{net::SocketAddr, path::PathBuf};
 
 /// A cluster scheduler for jobs.
 #[expect(
     missing_docs,
-    reason = "a doc comment on a field would become a line of the help text"
+    reason = "a doc comment on a field would appear in the help text"
 )]
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version, generate(parser))]
 pub enum CommandLine {
-    /// Serve clients: take jobs in, tell their state
+    /// Run a proxy: accept jobs from clients and report their state
     #[bpaf(command)]
     Proxy {
         #[bpaf(external)]
         settings_file: Option<PathBuf>,
     },
-    /// Keep the link to the control plane and feed the proxy beside it
+    /// Run an agent: follow the control plane and relay its feed to the local proxy
     #[bpaf(command)]
     Agent {
         #[bpaf(external)]
         settings_file: Option<PathBuf>,
     },
-    /// Keep the state, place and start tasks
+    /// Run a coordinator: replicate the state, place and start tasks
     #[bpaf(command)]
     Coordinator {
         #[bpaf(external)]
         settings_file: Option<PathBuf>,
     },
-    /// Look at a settings file
+    /// Inspect a settings file
     #[bpaf(command)]
     Settings(#[bpaf(external(settings_command))] SettingsCommand),
     /// Check, apply and read the configuration
     #[bpaf(command)]
     Config(#[bpaf(external(config_command))] ConfigCommand),
-    /// Look at the cluster
+    /// Inspect the cluster
     #[bpaf(command)]
     Cluster(#[bpaf(external(cluster_command))] ClusterCommand),
-    /// Hand in, look at and cancel jobs
+    /// Submit, inspect and cancel jobs
     #[bpaf(command)]
     Job(#[bpaf(external(job_command))] JobCommand),
-    /// Look at a coordinator's state on disk
+    /// Inspect a coordinator's state on disk
     #[bpaf(command)]
     State(#[bpaf(external(state_command))] StateCommand),
 }
 
-/// What to do with a settings file.
+/// Subcommands of `settings`.
 #[derive(Clone, Debug, Bpaf)]
 pub enum SettingsCommand {
-    /// Check it: all faults, what may not be meant, and fields that are not used
+    /// Check the file: report all invalid fields, warnings and unused fields
     #[bpaf(command)]
     Check {
         #[bpaf(external)]
@@ -56,81 +56,81 @@
     },
 }
 
-/// What to do with the configuration.
+/// Subcommands of `config`.
 #[derive(Clone, Debug, Bpaf)]
 pub enum ConfigCommand {
-    /// Check a file; nothing is sent anywhere
+    /// Check a file locally, without sending it to a coordinator
     #[bpaf(command)]
     Check {
         /// The configuration, as JSON
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Make a file the configuration in force
+    /// Apply a file as the new configuration
     #[bpaf(command)]
     Apply {
-        /// Any coordinator's control plane, IP:PORT
+        /// Control plane address of any coordinator, IP:PORT
         #[bpaf(long, argument("ADDRESS"))]
         at: SocketAddr,
-        /// The version that it builds on; 0 for the first
+        /// The current version that this change replaces; 0 if there is none
         #[bpaf(long, argument("VERSION"))]
         base: u64,
         /// The configuration, as JSON
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Print the newest one
+    /// Print the newest configuration
     #[bpaf(command)]
     Describe {
-        /// Any coordinator's control plane, IP:PORT
+        /// Control plane address of any coordinator, IP:PORT
         #[bpaf(long, argument("ADDRESS"))]
         at: SocketAddr,
     },
 }
 
-/// What to see of the cluster.
+/// Subcommands of `cluster`.
 #[derive(Clone, Debug, Bpaf)]
 pub enum ClusterCommand {
-    /// View, chain, roles, workers and queues as one coordinator has them
+    /// Show view, chain, roles, workers and queues as known by one coordinator
     #[bpaf(command)]
     Status {
         /// As JSON
         #[bpaf(long)]
         json: bool,
-        /// The coordinator's control plane, IP:PORT
+        /// Control plane address of the coordinator, IP:PORT
         #[bpaf(long, argument("ADDRESS"))]
         at: SocketAddr,
     },
-    /// Say of a job what runs, what waits and why no worker takes it, as JSON
+    /// Explain a job's running and pending tasks, and why no worker accepts them, as JSON
     #[bpaf(command)]
     Explain {
-        /// Any coordinator's control plane, IP:PORT
+        /// Control plane address of any coordinator, IP:PORT
         #[bpaf(long, argument("ADDRESS"))]
         at: SocketAddr,
-        /// The job's 16 hexadecimal digits
+        /// Job ID, 16 hexadecimal digits
         #[bpaf(positional("JOB"))]
         job: String,
     },
 }
 
-/// Where a job is.
+/// The proxy, host and path of a job or queue.
 #[derive(Clone, Debug, Bpaf)]
 pub struct JobTarget {
-    /// Any proxy's address for clients, IP:PORT
+    /// Client address of any proxy, IP:PORT
     #[bpaf(long, argument("ADDRESS"))]
     pub(crate) at: SocketAddr,
     /// The queue's host
     #[bpaf(long, argument("HOST"))]
     pub(crate) host: String,
-    /// The queue's prefix and the job's 16 hexadecimal digits
+    /// The queue's path prefix followed by the job ID, 16 hexadecimal digits
     #[bpaf(positional("PATH"))]
     pub(crate) path: String,
 }
 
-/// What to do with a job.
+/// Subcommands of `job`.
 #[derive(Clone, Debug, Bpaf)]
 pub enum JobCommand {
-    /// Hand it in
+    /// Submit a job
     #[bpaf(command)]
     Submit {
         /// The job, as JSON
@@ -139,50 +139,50 @@
         #[bpaf(external)]
         job_target: JobTarget,
     },
-    /// Print its state
+    /// Print a job's state
     #[bpaf(command)]
     Status(#[bpaf(external(job_target))] JobTarget),
-    /// Cancel it
+    /// Cancel a job
     #[bpaf(command)]
     Cancel(#[bpaf(external(job_target))] JobTarget),
-    /// List jobs as one coordinator has them
+    /// List jobs as known by one coordinator
     #[bpaf(command)]
     List {
         /// As JSON
         #[bpaf(long)]
         json: bool,
-        /// The coordinator's control plane, IP:PORT
+        /// Control plane address of the coordinator, IP:PORT
         #[bpaf(long, argument("ADDRESS"))]
         at: SocketAddr,
-        /// Of this queue only, as HOST/PREFIX/
+        /// Only jobs of this queue, as HOST/PREFIX/
         #[bpaf(long, argument("QUEUE"))]
         queue: Option<String>,
-        /// In this state only: pending, running, succeeded, failed or cancelled
+        /// Only jobs in this state: pending, running, succeeded, failed or cancelled
         #[bpaf(long, argument("STATE"))]
         state: Option<String>,
-        /// Of those after this one in the order of their names
+        /// Only jobs with IDs after this one
         #[bpaf(long, argument("JOB"))]
         after: Option<String>,
-        /// At most so many; 100 if nothing is said
+        /// Maximum number of jobs; 100 by default
         #[bpaf(long, argument("COUNT"))]
         limit: Option<u32>,
     },
-    /// Count the jobs of a queue that have not ended; PATH is its prefix
+    /// Count the unfinished jobs of a queue; PATH is the queue's path prefix
     #[bpaf(command)]
     Count(#[bpaf(external(job_target))] JobTarget),
 }
 
-/// What to see of a state on disk.
+/// Subcommands of `state`.
 #[derive(Clone, Debug, Bpaf)]
 pub enum StateCommand {
-    /// Read it whole and look for contradictions; its coordinator must not run
+    /// Read the complete state and check its consistency; the coordinator must be stopped
     #[bpaf(command)]
     Check {
         /// The coordinator's data folder
         #[bpaf(positional("FOLDER"))]
         folder: PathBuf,
     },
-    /// Say what it holds; its coordinator must not run
+    /// Show the content of the state; the coordinator must be stopped
     #[bpaf(command)]
     Show {
         /// As JSON
@@ -196,12 +196,12 @@
 
 fn settings_file() -> impl Parser<Option<PathBuf>> {
     bpaf::long("settings")
-        .help("The settings file; else the one that MAGPIEGAP_BOOT names")
+        .help("Settings file; defaults to the path in MAGPIEGAP_BOOT")
         .argument::<PathBuf>("FILE")
         .optional()
 }
 
-/// Reads the command line; ends the process where it is wrong or asks for help.
+/// Parses the command line; exits the process if it is invalid or requests help.
 pub fn command_line() -> CommandLine {
     parser().run()
 }
--- a/system/magpiegap/src/commands.rs
+++ b/system/magpiegap/src/commands.rs
@@ -1,4 +1,4 @@
-//! Runs the commands of the command line: the processes, and the operator's commands.
+//! Runs command-line commands: the long-running processes and the operator commands.
 use crate::{
     agent,
     command_line::{
@@ -18,10 +18,10 @@
 use serde::de::DeserializeOwned;
 use std::{future::Future, net::SocketAddr, path::PathBuf};
 
-/// Runs what the command line asks for, until it ends.
+/// Runs a command to completion.
 ///
 /// # Errors
-/// When the program can't start or go on, or what was asked for has failed.
+/// When the process can't start or continue, or the command fails.
 pub fn run(command: &CommandLine) -> Result<(), ProgramError> {
     match command {
         CommandLine::Proxy { settings_file } => {
@@ -40,7 +40,7 @@
             let file = NodeSettings::file(settings_file.clone())?;
             let report = SettingsReport::of(&file)?;
             println!("{}: {report}", file.display());
-            // The first fault is the error.
+            // The report lists all faults; the exit status needs one error, so the first fault is returned.
             match report.faults.first() {
                 None => Ok(()),
                 Some(fault) => Err(fault.in_file(&file).into()),
@@ -61,7 +61,7 @@
     }
 }
 
-/// Reads the settings of a process and starts its log.
+/// Reads the settings of a process, starts logging and logs warnings about the settings.
 fn start_process(named: &Option<PathBuf>) -> Result<(PathBuf, NodeSettings), ProgramError> {
     let file = NodeSettings::file(named.clone())?;
     let settings = NodeSettings::read(&file)?;
@@ -80,13 +80,13 @@
         .enable_all()
         .build()
         .map_err(|source| ProgramError::System {
-            what: "the event loop",
+            context: "the event loop",
             source,
         })?;
     Ok(runtime.block_on(future)?)
 }
 
-fn print_call(call: OperatorCall) -> Result<(), ProgramError> {
+fn call_and_print(call: OperatorCall) -> Result<(), ProgramError> {
     let text = block_on(operator_call::call(call))?;
     if !text.is_empty() {
         println!("{text}");
@@ -94,17 +94,17 @@
     Ok(())
 }
 
-/// Prints a coordinator's response.
+/// Sends a GET request to a coordinator and prints the response.
 fn print_response(at: SocketAddr, path: String) -> Result<(), ProgramError> {
-    print_call(OperatorCall {
+    call_and_print(OperatorCall {
         method: "GET",
-        at: Some(at),
+        address: Some(at),
         path,
         ..OperatorCall::default()
     })
 }
 
-/// Prints a coordinator's response, as it comes or as a table.
+/// Prints a coordinator's response, either as raw JSON or formatted as a table.
 fn print_table<T: DeserializeOwned>(
     at: SocketAddr,
     path: String,
@@ -116,11 +116,14 @@
     }
     let text = block_on(operator_call::call(OperatorCall {
         method: "GET",
-        at: Some(at),
+        address: Some(at),
         path,
         ..OperatorCall::default()
     }))?;
-    let unreadable = |source| ProgramError::Description { at, source };
+    let unreadable = |source| ProgramError::Description {
+        address: at,
+        source,
+    };
     print!(
         "{}",
         table(&serde_json::from_str(&text).map_err(unreadable)?)
@@ -161,9 +164,9 @@
         }
         ConfigCommand::Apply { at, base, file } => {
             operator::check_configuration(file)?;
-            print_call(OperatorCall {
+            call_and_print(OperatorCall {
                 method: "POST",
-                at: Some(*at),
+                address: Some(*at),
                 path: "/-/Config.Replace".to_owned(),
                 headers: vec![
                     ("Base-Version", base.to_string()),
@@ -206,11 +209,11 @@
     }
 }
 
-/// Makes a client's call to a proxy, and prints the response.
+/// Sends a client request to a proxy and prints the response.
 fn call_proxy(method: &'static str, target: &JobTarget, body: Vec<u8>) -> Result<(), ProgramError> {
-    print_call(OperatorCall {
+    call_and_print(OperatorCall {
         method,
-        at: Some(target.at),
+        address: Some(target.at),
         path: target.path.clone(),
         headers: vec![
             ("Host", target.host.clone()),
--- a/system/magpiegap/src/coordinator/control_plane.rs
+++ b/system/magpiegap/src/coordinator/control_plane.rs
@@ -1,4 +1,4 @@
-//! The operator's interface: calls over HTTP, each answered by this coordinator or redirected to the one that can.
+//! The operator's HTTP interface. Each call is answered by this coordinator or redirected to the one that can answer it.
 use super::{events::RequestHandle, job_filter::job_filter, metrics};
 use crate::serving::read_body;
 use magpiegap_protocol::{CoordinatorRequest, CoordinatorResponse, JobId};
@@ -11,9 +11,9 @@
 };
 use std::{io::Cursor, net::Ipv4Addr};
 
-/// The path of a job's explanation, before its name.
+/// Path prefix of the explanation of a job; the job ID follows.
 const EXPLAIN_PATH: &str = "/-/Job.Explain/";
-/// Maximum length of a configuration, in bytes.
+/// Maximum length of a configuration body, in bytes.
 const MAX_BODY_BYTES: u64 = 16 << 20;
 
 /// A response to the operator.
@@ -21,7 +21,7 @@
     status: Status,
     content_type: ContentType,
     body: Vec<u8>,
-    /// The address of the coordinator that can answer, for a redirect.
+    /// For a redirect: the URL at the coordinator that can answer.
     location: Option<String>,
 }
 
@@ -76,16 +76,16 @@
     }
 }
 
-/// Handles the operator's calls.
+/// Handles operator calls.
 #[derive(Clone)]
 pub(super) struct ControlPlaneHandler {
     handle: RequestHandle,
-    /// The port of this interface, the same at all coordinators.
+    /// The port of this interface, which is the same on all coordinators.
     port: u16,
 }
 
 impl ControlPlaneHandler {
-    /// A handler for this coordinator.
+    /// Creates a handler that passes requests to `handle`.
     pub(super) fn new(handle: RequestHandle, port: u16) -> ControlPlaneHandler {
         ControlPlaneHandler { handle, port }
     }
@@ -93,7 +93,7 @@
     async fn replace_configuration(&self, request: &Request<'_>, data: Data<'_>) -> Reply {
         let body = match read_body(data, MAX_BODY_BYTES).await {
             Ok(body) => body,
-            Err(status) => return Reply::text(status, "the body can't be read"),
+            Err(status) => return Reply::text(status, "cannot read the request body"),
         };
         let base = request
             .headers()
@@ -104,7 +104,7 @@
         let Ok(base) = base else {
             return Reply::text(
                 Status::BadRequest,
-                "Base-Version: must be a whole number of at least 0",
+                "Base-Version: must be a non-negative integer",
             );
         };
         match self
@@ -116,9 +116,10 @@
                 Reply::text(Status::BadRequest, fault)
             }
             Some(CoordinatorResponse::ConfigurationAccepted) => Reply::text(Status::Ok, ""),
-            Some(CoordinatorResponse::ConfigurationConflict) => {
-                Reply::text(Status::PreconditionFailed, "another version is in place")
-            }
+            Some(CoordinatorResponse::ConfigurationConflict) => Reply::text(
+                Status::PreconditionFailed,
+                "the current version differs from Base-Version",
+            ),
             Some(CoordinatorResponse::ConfigurationStale) => {
                 Reply::text(Status::BadRequest, "version: must be above the current one")
             }
@@ -147,7 +148,6 @@
         }
     }
 
-    /// Lists jobs.
     async fn list_jobs(&self, request: &Request<'_>) -> Reply {
         let filter = match job_filter(request) {
             Ok(filter) => filter,
@@ -163,7 +163,7 @@
         }
     }
 
-    /// The metrics that monitoring systems scrape.
+    /// Returns the metrics in OpenMetrics format.
     async fn metrics(&self) -> Reply {
         let description = match self.handle.request(CoordinatorRequest::Describe).await {
             Some(CoordinatorResponse::Description(text)) => serde_json::from_str(&text).ok(),
@@ -178,7 +178,7 @@
     /// Explains a job: why its tasks wait, and where they run.
     async fn explain_job(&self, name: &str) -> Reply {
         let Some(job) = JobId::parse(name) else {
-            return Reply::text(Status::BadRequest, "a job's name has 16 hexadecimal digits");
+            return Reply::text(Status::BadRequest, "a job ID has 16 hexadecimal digits");
         };
         match self
             .handle
@@ -201,7 +201,7 @@
 fn unavailable() -> Reply {
     Reply::text(
         Status::ServiceUnavailable,
-        "this coordinator can't serve now; another one may",
+        "this coordinator cannot serve requests at present; try another one",
     )
 }
 
@@ -218,7 +218,7 @@
             (Method::Get, "/-/Cluster.Describe") => self.describe_cluster().await,
             (Method::Get, "/-/Job.List") => self.list_jobs(request).await,
             (Method::Get, "/-/metrics") => self.metrics().await,
-            _ => Reply::text(Status::NotFound, "no such call"),
+            _ => Reply::text(Status::NotFound, "unknown path or method"),
         };
         Outcome::from(request, reply)
     }
--- a/system/magpiegap/src/coordinator/disk.rs
+++ b/system/magpiegap/src/coordinator/disk.rs
@@ -1,4 +1,4 @@
-//! Disk work on a thread of its own: all records that wait are written with one sync.
+//! Writes to disk on a dedicated thread. All queued records are written with one sync.
 use super::events::Event;
 use magpiegap_control::{DurableRecord, DurableState};
 use magpiegap_protocol::encode;
@@ -6,36 +6,36 @@
 use std::{sync::mpsc, thread::JoinHandle, time::Duration};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Delay before work that has failed is tried again.
+/// Delay before failed work is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Work for the disk.
+/// Work for the disk thread.
 pub(super) enum DiskWork {
-    /// Append records.
+    /// Appends records to the log.
     Records {
-        /// Identifies the work.
+        /// Identifies the work in the confirmation.
         ticket: u64,
-        /// The records.
+        /// The records to append.
         records: Vec<DurableRecord>,
     },
-    /// Replace all that is saved.
+    /// Replaces the complete state on disk.
     Checkpoint {
-        /// Identifies the work.
+        /// Identifies the work in the confirmation.
         ticket: u64,
-        /// What to save instead.
+        /// The new state.
         snapshot: Box<DurableState>,
     },
 }
 
-/// The thread.
+/// Handle to the disk thread.
 pub(super) struct DiskThread {
-    /// Where its work goes.
+    /// Queue of the work.
     pub work: mpsc::Sender<DiskWork>,
-    /// It ends when no more work can come, or nobody waits for its results.
+    /// Ends when the senders of work or the receiver of confirmations are dropped.
     pub thread: JoinHandle<()>,
 }
 
-/// Starts the thread.
+/// Starts the disk thread.
 pub(super) fn start(store: Store<FolderDirectory>, events: UnboundedSender<Event>) -> DiskThread {
     let (work, receiver) = mpsc::channel();
     let thread = std::thread::spawn(move || run(store, &receiver, &events));
@@ -72,16 +72,16 @@
 
 /// Records that are written with one sync.
 struct Batch {
-    /// The ticket of the last of them.
+    /// The ticket of the last work item in the batch.
     ticket: u64,
-    /// The records, encoded.
+    /// The encoded records.
     records: Vec<Vec<u8>>,
-    /// Work of another kind that came after them.
+    /// A checkpoint that was queued after the records.
     next: Option<DiskWork>,
 }
 
 impl Batch {
-    /// Adds all records that wait already, up to a checkpoint.
+    /// Collects all records that are already queued, up to the next checkpoint.
     fn collect(ticket: u64, records: &[DurableRecord], inbox: &mpsc::Receiver<DiskWork>) -> Batch {
         let mut batch = Batch {
             ticket,
@@ -104,12 +104,12 @@
     }
 }
 
-/// Does disk work until it succeeds. Logs the first failure only, and the recovery.
+/// Retries disk work until it succeeds. Logs only the first failure, and the recovery.
 fn retry(mut work: impl FnMut() -> Result<(), StoreError>) {
     let mut has_failed = false;
     while let Err(error) = work() {
         if !has_failed {
-            log::error!("{error}; it is tried again");
+            log::error!("disk write failed, retrying error={error}");
             has_failed = true;
         }
         std::thread::sleep(RETRY_DELAY);
--- a/system/magpiegap/src/coordinator/driver.rs
+++ b/system/magpiegap/src/coordinator/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the coordinator's state machine: events go in, its outputs are performed.
+//! Drives the coordinator's state machine: feeds it events and performs its outputs.
 use super::{
     disk::DiskWork, events::Event, peers::Peers, platform_client, worker_client,
     worker_connections::WorkerConnections,
@@ -14,55 +14,55 @@
     oneshot,
 };
 
-/// Interval between two ticks of the state machine.
+/// Interval between ticks of the state machine.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Minimum interval between two readings of the settings file.
+/// Minimum interval between rereads of the settings file.
 const SETTINGS_READ_INTERVAL_MS: Millis = 2000;
-/// Maximum number of events handled before the outputs are performed.
+/// Number of additional queued events that are handled before the outputs are performed.
 const MAX_EVENTS_PER_BATCH: usize = 64;
 
-/// What the outputs are performed with.
-pub(super) struct Links {
-    /// The thread that does the disk's work.
+/// Handles for performing the outputs of the state machine.
+pub(super) struct IoHandles {
+    /// Queue of the disk thread.
     pub disk: std::sync::mpsc::Sender<DiskWork>,
-    /// The other coordinators.
+    /// Connections to the other coordinators.
     pub peers: Peers,
-    /// For calls to the platform.
+    /// HTTP client for calls to the platform.
     pub client: reqwest::Client,
-    /// The workers.
+    /// Connections to the workers.
     pub workers: WorkerConnections,
-    /// Where the platform serves its list.
+    /// Address of the platform's list of workers.
     pub platform: Option<SocketAddr>,
 }
 
-/// Drives a coordinator.
+/// Drives a coordinator and performs its input and output.
 pub(super) struct Driver {
     clock: Clock,
     own: ReplicaId,
     coordinator: Coordinator,
-    links: Links,
-    /// Where the responses to requests go.
+    io: IoHandles,
+    /// Channels for the responses to requests in progress.
     pending_responses: HashMap<RequestId, oneshot::Sender<CoordinatorResponse>>,
-    /// The last number given to a request.
+    /// The last request ID that was assigned.
     last_request: RequestId,
-    /// Messages of this coordinator to itself.
-    to_self: Vec<PeerMessage>,
-    /// Where the addresses of other coordinators are read again while too few of them are heard.
+    /// Messages of this coordinator to itself, which bypass the network.
+    loopback_messages: Vec<PeerMessage>,
+    /// Reread for the addresses of other coordinators while too few of them are reachable.
     settings_file: PathBuf,
     settings_read_at: Millis,
-    /// Notified once the others go on without this coordinator.
+    /// Notified once the other coordinators have formed a view without this one.
     departed: Option<oneshot::Sender<()>>,
-    /// The disk is an old copy that the others don't need.
+    /// Whether the disk was found to be an outdated copy that the other coordinators do not need.
     disk_is_superseded: bool,
 }
 
 impl Driver {
-    /// A driver around a coordinator that has just started.
+    /// Creates a driver for a coordinator that has just been created.
     pub(super) fn new(
         clock: Clock,
         own: ReplicaId,
         coordinator: Coordinator,
-        links: Links,
+        io: IoHandles,
         settings_file: PathBuf,
         departed: oneshot::Sender<()>,
     ) -> Driver {
@@ -70,10 +70,10 @@
             clock,
             own,
             coordinator,
-            links,
+            io,
             pending_responses: HashMap::new(),
             last_request: 0,
-            to_self: Vec::new(),
+            loopback_messages: Vec::new(),
             settings_file,
             settings_read_at: 0,
             departed: Some(departed),
@@ -81,9 +81,9 @@
         }
     }
 
-    /// Handles events until it is dropped, or the disk is found to be an old copy that is not needed: then the events that
-    /// are left are returned, and all requests in progress were told that they are not served. A message on `drain` hands the
-    /// coordinator's roles over.
+    /// Handles events until the future is dropped or the disk is found to be an outdated copy that is not needed. In the
+    /// latter case all requests in progress are rejected, and the event queue is returned with the unhandled events. A
+    /// message on `drain` starts the handover of the coordinator's roles.
     pub(super) async fn run(
         mut self,
         events: UnboundedSender<Event>,
@@ -133,12 +133,12 @@
 
     fn tick(&mut self) {
         self.coordinator
-            .on_timeout(self.clock.now(), self.clock.wall());
-        self.read_seeds();
+            .on_timeout(self.clock.now(), self.clock.wall_time());
+        self.reload_seeds();
     }
 
-    /// Reads the addresses of other coordinators again, while too few of them are heard.
-    fn read_seeds(&mut self) {
+    /// Rereads the addresses of other coordinators while too few of them are reachable.
+    fn reload_seeds(&mut self) {
         let now = self.clock.now();
         if now < self.settings_read_at + SETTINGS_READ_INTERVAL_MS
             || !self.coordinator.replica().needs_seeds(now)
@@ -148,15 +148,15 @@
         self.settings_read_at = now;
         match NodeSettings::read(&self.settings_file) {
             Ok(settings) => self.coordinator.set_seeds(&settings.seed_addresses()),
-            Err(error) => log::warn!("{error}"),
+            Err(error) => log::warn!("cannot reread settings error={error}"),
         }
     }
 
     fn handle_event(&mut self, event: Event) {
-        let (now, wall) = (self.clock.now(), self.clock.wall());
+        let (now, wall) = (self.clock.now(), self.clock.wall_time());
         match event {
             Event::PeerMessages { from, messages } => {
-                self.links.peers.handle_contact(from);
+                self.io.peers.handle_contact(from);
                 self.coordinator.handle_messages(now, wall, from, messages);
             }
             Event::ConnectionRefused(address) => {
@@ -184,19 +184,19 @@
         }
     }
 
-    /// Performs the outputs, until there are no more.
+    /// Performs outputs until there are none left, including those caused by messages of this coordinator to itself.
     fn perform_outputs(&mut self, events: &UnboundedSender<Event>) {
         loop {
             for output in self.coordinator.poll_outputs() {
                 self.perform(output, events);
             }
-            let to_self = std::mem::take(&mut self.to_self);
-            if to_self.is_empty() {
+            let loopback_messages = std::mem::take(&mut self.loopback_messages);
+            if loopback_messages.is_empty() {
                 return;
             }
-            let (now, wall) = (self.clock.now(), self.clock.wall());
+            let (now, wall) = (self.clock.now(), self.clock.wall_time());
             self.coordinator
-                .handle_messages(now, wall, self.own, to_self);
+                .handle_messages(now, wall, self.own, loopback_messages);
         }
     }
 
@@ -224,7 +224,7 @@
         call: WorkerCall,
         events: UnboundedSender<Event>,
     ) {
-        let workers = self.links.workers.clone();
+        let workers = self.io.workers.clone();
         tokio::spawn(async move {
             let id = call.id;
             let reply = worker_client::call(workers, call).await;
@@ -238,10 +238,10 @@
     }
 
     fn list_workers(&self, call: u64, page: Option<String>, events: UnboundedSender<Event>) {
-        let Some(address) = self.links.platform else {
+        let Some(address) = self.io.platform else {
             return;
         };
-        let client = self.links.client.clone();
+        let client = self.io.client.clone();
         tokio::spawn(async move {
             let reply = platform_client::list(client, address, page).await;
             let _ = events.send(Event::PlatformReply { call, reply });
@@ -251,9 +251,9 @@
     fn perform_control(&mut self, output: ControlOutput) {
         match output {
             ControlOutput::Send { to, message } if to == self.own.member.address => {
-                self.to_self.push(message)
+                self.loopback_messages.push(message)
             }
-            ControlOutput::Send { to, message } => self.links.peers.send(to, message),
+            ControlOutput::Send { to, message } => self.io.peers.send(to, message),
             ControlOutput::Persist { ticket, records } => {
                 self.submit_disk_work(DiskWork::Records { ticket, records });
             }
@@ -266,8 +266,8 @@
     }
 
     fn submit_disk_work(&self, work: DiskWork) {
-        if self.links.disk.send(work).is_err() {
-            log::error!("disk thread has ended");
+        if self.io.disk.send(work).is_err() {
+            log::error!("cannot queue disk work: the disk thread has ended");
         }
     }
 }
--- a/system/magpiegap/src/coordinator/events.rs
+++ b/system/magpiegap/src/coordinator/events.rs
@@ -1,4 +1,4 @@
-//! Events of the coordinator's process, and the handle by which requests get into it.
+//! Events of the coordinator process, and the handle for sending requests to it.
 use magpiegap_coordinator::PlatformReply;
 use magpiegap_protocol::{
     CoordinatorRequest, CoordinatorResponse, FencingToken, PeerMessage, ReplicaId,
@@ -6,51 +6,51 @@
 use magpiegap_scheduler::WorkerReply;
 use tokio::sync::{mpsc::UnboundedSender, oneshot};
 
-/// Something that has happened, for the state machine.
+/// An input of the state machine.
 pub(super) enum Event {
-    /// Messages have come from another coordinator.
+    /// Messages were received from another coordinator.
     PeerMessages {
         from: ReplicaId,
         messages: Vec<PeerMessage>,
     },
     /// A connection to another coordinator's address was refused.
     ConnectionRefused(u32),
-    /// Disk work is done up to this ticket.
+    /// Disk work up to this ticket is complete.
     Persisted(u64),
-    /// A request has come.
+    /// A request was received.
     Request {
         request: CoordinatorRequest,
-        /// Where its response goes.
+        /// Channel for the response.
         response: oneshot::Sender<CoordinatorResponse>,
     },
-    /// A worker has replied, or has not in time.
+    /// A call to a worker has ended, with a reply or a timeout.
     WorkerReply {
         service: String,
         token: FencingToken,
         call: u64,
         reply: WorkerReply,
     },
-    /// The platform has replied, or has not in time.
+    /// A call to the platform has ended, with a reply or a failure.
     PlatformReply { call: u64, reply: PlatformReply },
 }
 
-/// Sends requests to the coordinator.
+/// Sends requests to the coordinator's state machine.
 #[derive(Clone)]
 pub(super) struct RequestHandle {
     events: UnboundedSender<Event>,
 }
 
 impl RequestHandle {
-    /// A handle that sends its requests among these events.
+    /// Creates a handle that sends requests over `events`.
     pub(super) fn new(events: UnboundedSender<Event>) -> RequestHandle {
         RequestHandle { events }
     }
 
-    /// Sends a request, and waits for its response; `None` when the coordinator is ending.
+    /// Sends a request and waits for the response; `None` if the coordinator is shutting down.
     pub(super) async fn request(&self, request: CoordinatorRequest) -> Option<CoordinatorResponse> {
-        let (response, responded) = oneshot::channel();
+        let (response, receiver) = oneshot::channel();
         let event = Event::Request { request, response };
         self.events.send(event).ok()?;
-        responded.await.ok()
+        receiver.await.ok()
     }
 }
--- a/system/magpiegap/src/coordinator/job_filter.rs
+++ b/system/magpiegap/src/coordinator/job_filter.rs
@@ -1,30 +1,30 @@
-//! The query of the operator's list of jobs.
+//! Query parameters of the job list.
 use magpiegap_protocol::{JobFilter, JobId, JobPhase};
 use rocket::{http::RawStr, Request};
 
-/// Maximum number of jobs in a list where no other limit is requested.
+/// Maximum number of listed jobs when the query sets no limit.
 const DEFAULT_LIST_LIMIT: u32 = 100;
 
-/// Why a query of the list of jobs can't be used.
+/// Why a query is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum JobFilterError {
-    /// A field has a value that can't be used.
-    #[error("{field}: must be {must}")]
+    /// A parameter has an invalid value.
+    #[error("{field}: must be {expected}")]
     Field {
-        /// The field.
+        /// The name of the parameter.
         field: String,
-        /// What it must be.
-        must: &'static str,
+        /// The requirement that the value violates.
+        expected: &'static str,
     },
-    /// There is no field of that name.
-    #[error("{0}: there is no such field")]
+    /// A parameter is unknown.
+    #[error("{0}: unknown parameter")]
     UnknownField(String),
 }
 
-/// Reads which jobs are to be listed: `queue`, `state`, `after` and `limit` in the query.
+/// Parses the query parameters `queue`, `state`, `after` and `limit`.
 ///
 /// # Errors
-/// When a field is unknown, or has a value that can't be used.
+/// When a parameter is unknown or has an invalid value.
 pub(super) fn job_filter(request: &Request<'_>) -> Result<JobFilter, JobFilterError> {
     let mut filter = JobFilter {
         limit: DEFAULT_LIST_LIMIT,
@@ -32,9 +32,9 @@
     };
     let fields = request.uri().query().map(|query| query.segments());
     for (name, value) in fields.into_iter().flatten() {
-        let must_be = |must: &'static str| JobFilterError::Field {
+        let must_be = |expected: &'static str| JobFilterError::Field {
             field: name.to_owned(),
-            must,
+            expected,
         };
         match name {
             "queue" => filter.queue = Some(percent_decoded(value)),
@@ -47,14 +47,18 @@
                 let job = JobId::parse(value).ok_or_else(|| must_be("16 hexadecimal digits"))?;
                 filter.after = Some(job);
             }
-            "limit" => filter.limit = value.parse().map_err(|_| must_be("a whole number"))?,
+            "limit" => {
+                filter.limit = value
+                    .parse()
+                    .map_err(|_| must_be("a non-negative integer"))?
+            }
             _ => return Err(JobFilterError::UnknownField(name.to_owned())),
         }
     }
     Ok(filter)
 }
 
-/// A value of a query; one that is not properly encoded stays as it is.
+/// Decodes a query value; a value with invalid encoding is returned unchanged.
 fn percent_decoded(value: &str) -> String {
     RawStr::new(value)
         .url_decode()
--- a/system/magpiegap/src/coordinator/metrics.rs
+++ b/system/magpiegap/src/coordinator/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of a coordinator in the text format that monitoring systems scrape (OpenMetrics 1.0).
+//! Metrics of a coordinator in the OpenMetrics 1.0 text format.
 use magpiegap_coordinator::{ClusterDescription, Counters};
 use magpiegap_scheduler::Summary;
 use prometheus_client::{
@@ -9,20 +9,20 @@
 };
 use std::fmt;
 
-/// The content type of the text.
+/// HTTP content type of the metrics text.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// The text for one scrape.
+/// Encodes the metrics for one scrape.
 pub fn to_text(cluster: ClusterDescription) -> String {
     let mut registry = Registry::with_prefix("magpiegap");
     registry.register_collector(Box::new(ClusterMetrics(cluster)));
     let mut encoded = String::new();
-    // Writing to a string fails only where a name is not allowed, and all names are fixed here.
+    // Encoding to a string fails only for invalid metric names, and all names are constants of this file.
     let _ = text::encode(&mut encoded, &registry);
     encoded
 }
 
-/// A label's value as the format wants it; the library writes it as it comes.
+/// Escapes a label value, because `prometheus_client` writes label values unescaped.
 fn escape(value: &str) -> String {
     value
         .replace('\\', "\\\\")
@@ -30,7 +30,7 @@
         .replace('\n', "\\n")
 }
 
-/// A metric of one value.
+/// A metric with a single value.
 struct Metric {
     name: &'static str,
     help: &'static str,
@@ -41,7 +41,7 @@
     Metric { name, help, value }
 }
 
-/// A gauge with a value for each scheduler.
+/// A gauge with one value per scheduler.
 struct SchedulerGauge {
     name: &'static str,
     help: &'static str,
@@ -181,7 +181,7 @@
 }
 
 impl ClusterMetrics {
-    /// Encodes the gauges with a value for each scheduler of this coordinator.
+    /// Encodes the gauges that have one value per scheduler of this coordinator.
     fn encode_schedulers(&self, encoder: &mut DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
         for SchedulerGauge { name, help, value } in scheduler_gauges() {
             let mut family = encoder.encode_descriptor(name, help, None, MetricType::Gauge)?;
--- a/system/magpiegap/src/coordinator/mod.rs
+++ b/system/magpiegap/src/coordinator/mod.rs
@@ -1,4 +1,4 @@
-//! The coordinator's process: disk, peers, workers, platform and servers around the state machine.
+//! The coordinator process: connects the state machine to the disk, peers, workers, the platform and HTTP servers.
 mod control_plane;
 mod disk;
 mod driver;
@@ -17,7 +17,7 @@
     clock::Clock, endpoint, error::ProgramError, settings::NodeSettings, signals::Signals,
 };
 use disk::DiskThread;
-use driver::{Driver, Links};
+use driver::{Driver, IoHandles};
 use events::{Event, RequestHandle};
 use magpiegap_control::ControlSettings;
 use magpiegap_coordinator::{Coordinator, CoordinatorSettings};
@@ -40,27 +40,27 @@
 };
 use worker_connections::WorkerConnections;
 
-/// Interval between two heartbeats.
+/// Interval between heartbeats.
 const HEARTBEAT_MS: u64 = 60;
-/// A coordinator that is not heard for this long is suspected to have failed.
+/// A coordinator that sends nothing for this long is suspected to have failed.
 const SUSPICION_TIMEOUT_MS: u64 = 320;
-/// Percentage of the descriptors: with more connections to workers open, none stays idle.
+/// Percentage of the file descriptors that worker connections may use before idle ones are closed.
 const WORKER_CONNECTIONS_PERCENT: usize = 70;
-/// How long a role is acted on after the last proof that the view stands.
+/// Lease duration of a role, from the last confirmation that the view is still current.
 const LEASE_MS: u64 = 900;
-/// Interval between two readings of the platform's list.
+/// Interval between requests for the platform's list of workers.
 const LIST_INTERVAL_MS: u64 = 600;
-/// Part of the grace period that is left for requests in flight, in seconds.
+/// Part of the grace period reserved for completing requests in flight after the handover, in seconds.
 const SHUTDOWN_RESERVE_S: f64 = 2.5;
-/// After an order to end, the others get at least this long to go on without this coordinator, in seconds.
+/// Minimum time after SIGTERM for the other coordinators to form a view without this one, in seconds.
 const MIN_HANDOVER_S: f64 = 0.7;
-/// Once they do, callers get this long to read their responses.
+/// Delay after the handover for callers to receive their responses.
 const RESPONSE_GRACE: Duration = Duration::from_millis(300);
 
-/// Runs a coordinator until the order to end.
+/// Runs a coordinator until SIGTERM.
 ///
 /// # Errors
-/// When it can't start.
+/// When the coordinator can't start, or its task panics.
 pub(crate) async fn run(file: PathBuf, settings: NodeSettings) -> Result<(), ProgramError> {
     let mut signals = Signals::listen()?;
     let clock = Clock::start();
@@ -74,40 +74,40 @@
     loop {
         let mut running = start(&settings, &file, clock, opened, events.clone(), inbox);
         tokio::select! {
-            () = signals.until_terminated("settings may have changed") => {
+            () = signals.wait_for_termination("SIGHUP: seeds are reread while peers are unreachable") => {
                 log::info!("shutting down, handing over the roles");
                 let _ = running.drain.send(());
                 wait_for_handover(&settings, running.departed).await;
                 servers.shut_down().await;
-                running.driving.abort();
+                running.driver.abort();
                 return Ok(());
             }
-            ended = &mut running.driving => match ended {
-                Ok(left) => inbox = left,
+            ended = &mut running.driver => match ended {
+                Ok(returned) => inbox = returned,
                 Err(error) => return Err(ProgramError::System {
-                    what: "the coordinator",
+                    context: "the coordinator",
                     source: error.into(),
                 }),
             },
         }
-        log::warn!("the others serve without this disk: it is emptied, and this machine rejoins with another identity");
+        log::warn!("the disk is an outdated copy that is not needed; erasing it and rejoining with a new identity");
         wait_for_disk(running.disk, &mut inbox).await;
-        match store::empty_when_writable(&settings, &mut inbox, &mut signals).await {
-            Some(emptied) => opened = emptied,
+        match store::erase_when_writable(&settings, &mut inbox, &mut signals).await {
+            Some(erased) => opened = erased,
             None => return Ok(()),
         }
     }
 }
 
-/// A coordinator that runs on one incarnation of its disk.
-struct Running {
-    /// Ends, with the events that are left, when the disk is to be emptied.
-    driving: JoinHandle<UnboundedReceiver<Event>>,
-    /// A message hands its roles over.
+/// A running coordinator with one disk identity.
+struct RunningCoordinator {
+    /// Completes when the disk must be erased, and returns the event queue for the next coordinator.
+    driver: JoinHandle<UnboundedReceiver<Event>>,
+    /// Sending a message starts the handover of the roles.
     drain: UnboundedSender<()>,
-    /// Notified once the others go on without it.
+    /// Receives a message once the other coordinators have formed a view without this one.
     departed: oneshot::Receiver<()>,
-    /// Ends after the driver, once all disk work is done.
+    /// Ends after the driver, when all disk work is complete.
     disk: std::thread::JoinHandle<()>,
 }
 
@@ -118,7 +118,7 @@
     opened: OpenedState,
     events: UnboundedSender<Event>,
     inbox: UnboundedReceiver<Event>,
-) -> Running {
+) -> RunningCoordinator {
     let own = ReplicaId {
         member: Member {
             address: u32::from(settings.ip),
@@ -127,7 +127,7 @@
         incarnation: rand::thread_rng().gen(),
     };
     let DiskThread { work, thread } = disk::start(opened.store, events.clone());
-    let links = Links {
+    let io = IoHandles {
         disk: work,
         peers: Peers::new(own, settings.peer_port()),
         client: endpoint::client(),
@@ -140,18 +140,19 @@
         opened.machine,
         clock.now(),
     );
-    let (departed, others_go_on) = oneshot::channel();
-    let driver = Driver::new(clock, own, coordinator, links, file.to_owned(), departed);
+    let (departed, departed_receiver) = oneshot::channel();
+    let driver = Driver::new(clock, own, coordinator, io, file.to_owned(), departed);
     let (drain, drain_requests) = mpsc::unbounded_channel();
-    Running {
-        driving: tokio::spawn(driver.run(events, inbox, drain_requests)),
+    RunningCoordinator {
+        driver: tokio::spawn(driver.run(events, inbox, drain_requests)),
         drain,
-        departed: others_go_on,
+        departed: departed_receiver,
         disk: thread,
     }
 }
 
-/// Waits until a disk has done all its work; what it confirms is void. Requests are rejected meanwhile.
+/// Waits until the disk thread has ended, and rejects requests meanwhile. Its confirmations are discarded, because they
+/// belong to the old disk identity.
 async fn wait_for_disk(disk: std::thread::JoinHandle<()>, inbox: &mut UnboundedReceiver<Event>) {
     let ended = tokio::task::spawn_blocking(move || disk.join());
     tokio::select! {
@@ -163,15 +164,18 @@
     }
 }
 
-/// Waits until the others go on without this coordinator, and callers have their responses. A member that the others
-/// can't do without stays as long as it may: it may hold what only one of them has.
-async fn wait_for_handover(settings: &NodeSettings, others_go_on: oneshot::Receiver<()>) {
+/// Waits until the other coordinators have formed a view without this one and callers have received their responses. If
+/// they can't form one, this coordinator keeps running for as long as the grace period permits, because it may hold the
+/// only other copy of some data.
+async fn wait_for_handover(settings: &NodeSettings, departed: oneshot::Receiver<()>) {
     let handover_s = (settings.bounds.grace_s - SHUTDOWN_RESERVE_S).max(MIN_HANDOVER_S);
-    if tokio::time::timeout(Duration::from_secs_f64(handover_s), others_go_on)
+    if tokio::time::timeout(Duration::from_secs_f64(handover_s), departed)
         .await
         .is_err()
     {
-        log::warn!("the others have not gone on without this coordinator");
+        log::warn!(
+            "shutting down before the other coordinators have formed a view without this one"
+        );
     }
     tokio::time::sleep(RESPONSE_GRACE).await;
 }
@@ -188,7 +192,7 @@
     peers::listen(settings.ip, settings.peer_port(), events)
         .await
         .map_err(|source| ProgramError::System {
-            what: "the port for other coordinators",
+            context: "the port for other coordinators",
             source,
         })
 }
--- a/system/magpiegap/src/coordinator/peers.rs
+++ b/system/magpiegap/src/coordinator/peers.rs
@@ -1,5 +1,5 @@
-//! Connections between coordinators, with framed messages: in each direction one for entries and snapshots, and one for
-//! urgent messages, which must not wait behind them.
+//! Connections between coordinators, carrying length-prefixed frames of messages. Each direction has one connection for
+//! entries and snapshots and a second one for urgent messages, which must not be queued behind large transfers.
 use super::events::Event;
 use magpiegap_protocol::{decode, encode, Envelope, PeerMessage, ReplicaId};
 use std::{
@@ -21,30 +21,30 @@
 
 /// Maximum length of a frame, in bytes.
 const MAX_FRAME_BYTES: u32 = 64 << 20;
-/// A frame of about this many bytes takes no more messages, so that it can be written in time.
+/// Target size of a frame: no messages are added beyond it, so that one frame can be written quickly.
 const TARGET_FRAME_BYTES: usize = 1 << 20;
-/// Bytes read from a connection at once: most frames are complete then.
+/// Read buffer size per connection; most frames fit into it.
 const READ_BUFFER_BYTES: usize = 64 << 10;
-/// Maximum number of messages queued for one connection; more are dropped, and requested again by those that miss them.
+/// Maximum number of messages queued per connection. Further messages are dropped; the receiver requests missing ones again.
 const MAX_QUEUED_MESSAGES: usize = 4000;
 /// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// A connection on which a peer has taken no byte of a frame for this long is closed.
+/// A connection is closed when no byte of a frame could be written for this long.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// A connection on which data is not acknowledged for this long breaks (RFC 5482).
+/// TCP user timeout: a connection is closed when sent data stays unacknowledged for this long (RFC 5482).
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Delay after a connection attempt that failed.
+/// Delay after a failed connection attempt or a failed accept.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// One connection to another coordinator.
 struct PeerConnection {
     messages: Sender<PeerMessage>,
-    /// Wakes the writer when the process at the other end is a new one.
+    /// Notifies the writer that the peer process has restarted.
     restarted: Arc<Notify>,
 }
 
 impl PeerConnection {
-    /// A connection that is made once there is something to write.
+    /// Starts the writer task, which connects when the first message is queued.
     fn start(own: ReplicaId, address: SocketAddr) -> PeerConnection {
         let (messages, inbox) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let restarted = Arc::new(Notify::new());
@@ -56,11 +56,11 @@
     }
 }
 
-/// The connections to one other coordinator.
+/// The pair of connections to one other coordinator.
 struct PeerLink {
     urgent: PeerConnection,
     data: PeerConnection,
-    /// The incarnation of the process that was last heard there.
+    /// The replica, including its incarnation, from which the last message was received.
     last_contact: Option<ReplicaId>,
 }
 
@@ -72,7 +72,7 @@
 }
 
 impl Peers {
-    /// The connections of this replica; each is made once there is something to send.
+    /// Creates the set of connections; each peer is connected when the first message is sent to it.
     pub(super) fn new(own: ReplicaId, port: u16) -> Peers {
         Peers {
             own,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Sends a message to the coordinator at an address; it may be lost.
+    /// Queues a message to the coordinator at an address. Delivery is not guaranteed.
     pub(super) fn send(&mut self, to: u32, message: PeerMessage) {
         let link = self.link(to);
         let connection = if message.is_urgent() {
@@ -92,7 +92,7 @@
         let _ = connection.messages.try_send(message);
     }
 
-    /// Handles that a coordinator was heard: if its process is a new one, the connections to the old one are replaced.
+    /// Records contact with a coordinator. If its process has restarted, connections to the old process are replaced.
     pub(super) fn handle_contact(&mut self, from: ReplicaId) {
         let link = self.link(from.member.address);
         if link.last_contact.replace(from) != Some(from) {
@@ -114,10 +114,10 @@
     }
 }
 
-/// Listens for other coordinators.
+/// Starts accepting connections of other coordinators.
 ///
 /// # Errors
-/// When the port can't be listened on.
+/// When the port can't be bound.
 pub(super) async fn listen(
     ip: Ipv4Addr,
     port: u16,
@@ -143,7 +143,8 @@
     }
 }
 
-/// Reports a peer whose connection has ended if it refuses another one: its process has ended then.
+/// Called after a connection has ended: reports the peer if it refuses a new connection, which shows that its process has
+/// ended.
 async fn report_if_refused(ip: IpAddr, port: u16, events: &UnboundedSender<Event>) {
     let IpAddr::V4(address) = ip else { return };
     let attempt = timeout(
@@ -156,7 +157,7 @@
     }
 }
 
-/// Reads frames until the connection ends or brings something else.
+/// Reads frames until the connection ends or a frame is invalid.
 async fn read_frames(stream: TcpStream, events: &UnboundedSender<Event>) {
     set_options(&stream);
     let mut stream = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
@@ -171,11 +172,11 @@
     }
 }
 
-/// Reads one frame. `None`: the connection has ended, or brings no frame.
+/// Reads one frame; `None` if the connection has ended or the frame is invalid.
 async fn read_frame(stream: &mut BufReader<TcpStream>) -> Option<Envelope> {
     let length = stream.read_u32().await.ok()?;
     if length > MAX_FRAME_BYTES {
-        log::warn!("frame of a peer is too long length={length} max={MAX_FRAME_BYTES}");
+        log::warn!("frame of peer exceeds maximum length={length} max={MAX_FRAME_BYTES}");
         return None;
     }
     let mut frame = Vec::new();
@@ -185,12 +186,11 @@
         return None;
     }
     decode::<Envelope>(&frame)
-        .inspect_err(|error| log::warn!("cannot decode frame of a peer error={error}"))
+        .inspect_err(|error| log::warn!("cannot decode frame of peer error={error}"))
         .ok()
 }
 
-/// Writes queued messages, on a connection that is replaced whenever it breaks or the process at the other end is a new
-/// one.
+/// Writes queued messages. The connection is replaced whenever it breaks or the peer process restarts.
 async fn write_frames(
     own: ReplicaId,
     address: SocketAddr,
@@ -222,7 +222,7 @@
     }
 }
 
-/// Adds queued messages to the first one of a frame, up to about [`TARGET_FRAME_BYTES`].
+/// Collects the messages of a frame: `first` and queued ones, until [`TARGET_FRAME_BYTES`] is reached.
 fn fill_frame(first: PeerMessage, inbox: &mut mpsc::Receiver<PeerMessage>) -> Vec<PeerMessage> {
     let mut bytes = first.estimated_bytes();
     let mut messages = vec![first];
@@ -234,10 +234,10 @@
     messages
 }
 
-/// Writes a frame as long as the other end takes bytes of it: a large one may take any time.
+/// Writes a frame. There is no total timeout, because a large frame may take long over a slow link.
 ///
 /// # Errors
-/// When the connection breaks, or no byte was taken for [`WRITE_TIMEOUT`].
+/// When the connection breaks, or no byte could be written for [`WRITE_TIMEOUT`].
 async fn write_while_progressing(stream: &mut TcpStream, frame: &[u8]) -> io::Result<()> {
     let mut unwritten = frame;
     while !unwritten.is_empty() {
@@ -252,7 +252,7 @@
     Ok(())
 }
 
-/// Connects, or returns `None` after a delay. A process that starts meanwhile is tried at once.
+/// Connects, or returns `None` after a delay. If the peer restarts meanwhile, a second attempt is made immediately.
 async fn connect_or_delay(address: SocketAddr, restarted: &Notify) -> Option<TcpStream> {
     let attempt = async {
         let connection = connect(address).await;
@@ -288,7 +288,7 @@
 }
 
 fn set_options(stream: &TcpStream) {
-    // A connection without these works too, only slower to notice that the other end is gone.
+    // Errors are ignored: the connection works without these options, with higher latency and slower failure detection.
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
 }
--- a/system/magpiegap/src/coordinator/platform_client.rs
+++ b/system/magpiegap/src/coordinator/platform_client.rs
@@ -1,11 +1,11 @@
-//! Calls to the platform for its list of workers. The names of fields are those of the platform's page.
+//! Calls to the platform for its list of workers. Field names are those of the platform's API.
 use crate::json_number::clamped_integer;
 use magpiegap_coordinator::PlatformReply;
 use magpiegap_protocol::{Availability, Resources, WorkerEntry};
 use serde::Deserialize;
 use std::{net::SocketAddr, time::Duration};
 
-/// Timeout of a call.
+/// Timeout of a call to the platform.
 const TIMEOUT: Duration = Duration::from_millis(1200);
 
 #[derive(Deserialize)]
@@ -42,7 +42,7 @@
     gpu: f64,
 }
 
-/// Requests a page of the list; `None`: the first one.
+/// Requests the page of the list with the token `page`; `None` requests the first page.
 pub(super) async fn list(
     client: reqwest::Client,
     address: SocketAddr,
@@ -67,7 +67,7 @@
                 next: page.next_page_token.filter(|token| !token.is_empty()),
             },
             Err(error) => {
-                log::warn!("cannot decode the platform's list error={error}");
+                log::warn!("cannot decode the platform's list of workers error={error}");
                 PlatformReply::Failed
             }
         },
--- a/system/magpiegap/src/coordinator/request_server.rs
+++ b/system/magpiegap/src/coordinator/request_server.rs
@@ -1,4 +1,4 @@
-//! Serves the requests of agents and proxies.
+//! Serves requests of agents and proxies.
 use super::events::RequestHandle;
 use crate::serving::read_body;
 use magpiegap_protocol::{decode, encode, CoordinatorRequest};
@@ -9,17 +9,17 @@
     Request,
 };
 
-/// Maximum length of a request, in bytes.
+/// Maximum length of a request body, in bytes.
 const MAX_BODY_BYTES: u64 = 1 << 20;
 
-/// Passes requests to the coordinator.
+/// Decodes requests and passes them to the coordinator's state machine.
 #[derive(Clone)]
 pub(super) struct RequestHandler {
     handle: RequestHandle,
 }
 
 impl RequestHandler {
-    /// A handler for this coordinator.
+    /// Creates a handler that passes requests to `handle`.
     pub(super) fn new(handle: RequestHandle) -> RequestHandler {
         RequestHandler { handle }
     }
--- a/system/magpiegap/src/coordinator/servers.rs
+++ b/system/magpiegap/src/coordinator/servers.rs
@@ -13,15 +13,15 @@
 /// The HTTP servers of a coordinator.
 pub(super) struct Servers {
     requests: RunningServer,
-    /// Only where an address is set for it.
+    /// Present only if `listen.controlPlane` is set.
     control_plane: Option<RunningServer>,
 }
 
 impl Servers {
-    /// Starts both.
+    /// Starts the servers.
     ///
     /// # Errors
-    /// When one can't listen.
+    /// When a server can't listen on its address.
     pub(super) async fn start(
         settings: &NodeSettings,
         handle: RequestHandle,
@@ -32,7 +32,7 @@
         })
     }
 
-    /// Completes the requests in flight, and ends.
+    /// Stops accepting requests, and waits up to the grace period for those in flight.
     pub(super) async fn shut_down(self) {
         self.requests.shut_down().await;
         if let Some(server) = self.control_plane {
--- a/system/magpiegap/src/coordinator/store.rs
+++ b/system/magpiegap/src/coordinator/store.rs
@@ -1,4 +1,4 @@
-//! Opens a coordinator's state on disk at the start.
+//! Opens or reinitializes a coordinator's state on disk.
 use super::events::Event;
 use crate::{error::ProgramError, settings::NodeSettings, signals::Signals};
 use magpiegap_control::DurableState;
@@ -9,24 +9,24 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// Backoff before files that could not be read are tried again; twice as long each time ...
+/// Delay before the first retry of a failed open; it doubles with each retry.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
-/// ... up to this.
+/// Maximum delay between retries.
 const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
-/// What was found on disk.
+/// The state of a coordinator, loaded from disk.
 pub(super) struct OpenedState {
-    /// Where more is saved.
+    /// Store for further writes.
     pub store: Store<FolderDirectory>,
-    /// What was saved.
+    /// The recovered durable state.
     pub durable: DurableState,
-    /// The state in it.
+    /// The state machine, restored from the snapshot.
     pub machine: Machine,
 }
 
-/// Opens the state on disk. While it can't be read all requests are rejected so that another coordinator is asked: a
-/// process that ended could not say so, and a disk that can't be read is never taken for an empty one. `None`: the process
-/// was told to end meanwhile.
+/// Opens the state on disk, and retries until that succeeds. An unreadable disk is never treated as an empty one. All
+/// requests are rejected meanwhile, so that callers try another coordinator; a process that exits instead could not
+/// respond. `None` if SIGTERM was received meanwhile.
 pub(super) async fn open_when_readable(
     settings: &NodeSettings,
     inbox: &mut UnboundedReceiver<Event>,
@@ -35,14 +35,14 @@
     open_with(open, settings, inbox, signals).await
 }
 
-/// Empties a disk that was found to be an old copy, and opens it: this machine goes on as another member, which knows
-/// nothing. Tried until it succeeds, as in [`open_when_readable`].
-pub(super) async fn empty_when_writable(
+/// Erases a disk that was found to be an outdated copy, and opens it with a new identity, so that this machine rejoins as
+/// a new member without state. Retries until that succeeds, as [`open_when_readable`] does.
+pub(super) async fn erase_when_writable(
     settings: &NodeSettings,
     inbox: &mut UnboundedReceiver<Event>,
     signals: &mut Signals,
 ) -> Option<OpenedState> {
-    open_with(open_emptied, settings, inbox, signals).await
+    open_with(open_erased, settings, inbox, signals).await
 }
 
 async fn open_with(
@@ -59,7 +59,9 @@
             Err(error) => {
                 let fault = error.to_string();
                 if fault != last_logged {
-                    log::error!("{fault}; this coordinator takes no part until that is mended");
+                    log::error!(
+                        "cannot open the state on disk, inactive until it succeeds error={fault}"
+                    );
                     last_logged = fault;
                 }
             }
@@ -72,35 +74,35 @@
     }
 }
 
-/// Responds to requests that this coordinator can't serve them; ends when no more can come. All other events are void.
+/// Rejects requests and discards all other events until the event queue is closed.
 pub(super) async fn reject_requests(inbox: &mut UnboundedReceiver<Event>) {
     while let Some(event) = inbox.recv().await {
         reject_request(event);
     }
 }
 
-/// Responds to an event that is a request that this coordinator can't serve it.
+/// Rejects the request if the event is one, with the response that this coordinator is not serving.
 pub(super) fn reject_request(event: Event) {
     if let Event::Request { response, .. } = event {
         let _ = response.send(CoordinatorResponse::NotServing);
     }
 }
 
-/// Reads the state on disk. An empty disk gets an identity of its own, unless the entire system starts for the first time.
+/// Loads the state on disk. An empty disk gets a new identity, unless a new cluster is being started.
 fn open(settings: &NodeSettings) -> Result<OpenedState, ProgramError> {
     let (store, recovered) = Store::open(data_folder(settings)?)?;
     let durable = match recovered.snapshot {
         Some(chunks) => DurableState::recover(chunks, &recovered.records)?,
-        None if settings.bootstrap => first_state(settings),
-        None => state_of_lost_disk(),
+        None if settings.bootstrap => bootstrap_state(settings),
+        None => empty_state_with_new_identity(),
     };
     recover_machine(store, durable)
 }
 
-/// Replaces the state on disk by that of an empty one with an identity of its own.
-fn open_emptied(settings: &NodeSettings) -> Result<OpenedState, ProgramError> {
+/// Replaces the state on disk by an empty one with a new identity.
+fn open_erased(settings: &NodeSettings) -> Result<OpenedState, ProgramError> {
     let (mut store, _) = Store::open(data_folder(settings)?)?;
-    let durable = state_of_lost_disk();
+    let durable = empty_state_with_new_identity();
     store.checkpoint(durable.chunks())?;
     recover_machine(store, durable)
 }
@@ -111,7 +113,7 @@
         .clone()
         .unwrap_or_else(|| std::env::temp_dir().join("magpiegap"));
     FolderDirectory::new(&folder).map_err(|source| ProgramError::System {
-        what: "the data folder",
+        context: "the data folder",
         source,
     })
 }
@@ -128,8 +130,8 @@
     })
 }
 
-/// The state of a disk at the first start of the entire system.
-fn first_state(settings: &NodeSettings) -> DurableState {
+/// The initial state of a disk when a new cluster is started. The seeds are its voters.
+fn bootstrap_state(settings: &NodeSettings) -> DurableState {
     let voter = |address: u32| Member { address, disk: 0 };
     let mut voters: Vec<Member> = settings.seed_addresses().into_iter().map(voter).collect();
     voters.sort_unstable();
@@ -138,8 +140,9 @@
     DurableState::empty(0, Some(ViewNumber(0)), voters, state)
 }
 
-/// The state of a disk that was lost: it has forgotten its votes, so it comes back as another member, and knows nothing.
-fn state_of_lost_disk() -> DurableState {
+/// An empty state with a new identity. A disk without state has lost the votes that it cast, so that its machine must not
+/// vote as the same member again and rejoins as a new one.
+fn empty_state_with_new_identity() -> DurableState {
     let disk = rand::thread_rng().gen::<u64>().max(1);
     let state = take_snapshot(&magpiegap_jobs::State::default());
     DurableState::empty(disk, None, Vec::new(), state)
--- a/system/magpiegap/src/coordinator/worker_client.rs
+++ b/system/magpiegap/src/coordinator/worker_client.rs
@@ -1,5 +1,5 @@
-//! Calls to workers: orders as the bodies of requests, and responses as replies. The names of fields are those of the
-//! workers' page; what is a `hold` there grants or renews a lease, or waits as a long poll.
+//! Calls to workers: encodes orders as HTTP requests and decodes the responses. Field names are those of the workers' API,
+//! where `hold` is the call that grants or renews a lease and serves as a long poll.
 use super::worker_connections::WorkerConnections;
 use crate::json_number::{clamped_integer, exact_integer};
 use bytes::Bytes;
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, time::Duration};
 
-/// What a complete run is listed with.
+/// Progress of a complete run, in percent.
 const MAX_PERCENT: u64 = 100;
 
 /// The body of an order to start a run.
@@ -42,7 +42,7 @@
     fencing_token: u64,
 }
 
-/// The body of a lease renewal, or of a long poll where it waits.
+/// The body of a lease renewal; with `wait_ms` it is a long poll.
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 struct LeaseBody {
@@ -56,7 +56,7 @@
     wait_ms: Option<u64>,
 }
 
-/// A run as listed: an array of task, run, checkpoint and percent done.
+/// A listed run, encoded as an array: task, run, checkpoint, progress in percent.
 #[derive(Deserialize)]
 #[serde(from = "(String, u32, String, f64)")]
 struct RunRow {
@@ -77,7 +77,7 @@
     }
 }
 
-/// A completion as listed: an array of number, task, run, kind and checkpoint.
+/// A listed completion, encoded as an array: sequence number, task, run, kind, checkpoint.
 #[derive(Deserialize)]
 #[serde(from = "(u64, String, u32, String, String)")]
 struct CompletionRow {
@@ -111,9 +111,9 @@
     completed: Option<Vec<CompletionRow>>,
 }
 
-/// Makes a call. A call without a response, or with none that can be read, is unanswered.
+/// Calls a worker. A call without a complete response counts as timed out.
 pub(super) async fn call(connections: WorkerConnections, call: WorkerCall) -> WorkerReply {
-    // A worker whose address can't be read, or whose name can't be sent, can't be called.
+    // A worker with an invalid address, or an ID that is no valid header value, can't be called.
     let Ok(address) = call.address.parse::<SocketAddr>() else {
         return WorkerReply::TimedOut;
     };
@@ -184,7 +184,7 @@
 }
 
 fn reply(call: &WorkerCall, status: u16, response: &ResponseBody) -> WorkerReply {
-    // Deadlines are counted from the clock: one that can't be is no reading.
+    // Deadlines are computed from the worker's clock, so a reading outside the exact integer range is ignored.
     let clock_ms = response.clock_ms.and_then(exact_integer);
     match status {
         200..=299 => success(call, response, clock_ms),
@@ -195,7 +195,7 @@
         421 => WorkerReply::OtherIncarnation,
         429 | 503 => WorkerReply::Unhealthy,
         400..=499 => WorkerReply::Unreadable,
-        // Whether the order was carried out isn't known.
+        // The order may or may not have been carried out.
         _ => WorkerReply::TimedOut,
     }
 }
@@ -216,7 +216,7 @@
     }
 }
 
-/// The reason of a refusal by its word on the wire.
+/// Parses the reason of a refusal.
 fn refusal_reason(name: &str) -> Option<RefusalReason> {
     match name {
         "fence" => Some(RefusalReason::StaleToken),
@@ -227,7 +227,7 @@
     }
 }
 
-/// The kind of a completion by its word on the wire.
+/// Parses the kind of a completion. Unknown kinds count as stopped.
 fn completion_kind(name: &str) -> CompletionKind {
     match name {
         "done" => CompletionKind::Done,
@@ -239,7 +239,7 @@
     }
 }
 
-/// What a worker lists. Rows with a task that can't be read are left out.
+/// Converts a worker's listing. Rows with an invalid task ID are skipped.
 fn listing(response: &ResponseBody) -> Listing {
     let running = response.running.iter().flatten();
     let completed = response.completed.iter().flatten();
--- a/system/magpiegap/src/coordinator/worker_connections.rs
+++ b/system/magpiegap/src/coordinator/worker_connections.rs
@@ -1,8 +1,8 @@
 //! A pool of persistent connections to workers.
 //!
-//! A scheduler makes a call for each start and each long poll, some thousands a second at size. `reqwest` parses a URL and
-//! passes its layers for redirects and retries for each, which took two fifths of the processor time of a coordinator;
-//! here calls go straight to connections of `hyper`, on which `reqwest` stands too.
+//! A scheduler makes one call per run start and per long poll, which amounts to some thousands per second in a large
+//! cluster. With `reqwest`, URL parsing and the layers for redirects and retries took two fifths of a coordinator's CPU
+//! time, so this module uses connections of `hyper` directly.
 use crate::endpoint::{CONNECT_TIMEOUT, TCP_USER_TIMEOUT};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -26,51 +26,51 @@
     time::{timeout_at, Instant},
 };
 
-/// A connection that was not used for this long is closed.
+/// Idle timeout of a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Maximum number of idle connections to one worker.
 const MAX_IDLE_PER_WORKER: usize = 4;
-/// Interval between two sweeps that close expired connections, also of workers that are not called any more.
+/// Interval between sweeps that close expired connections, including those to workers that are no longer called.
 const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(10);
-/// With more open connections than this none stays idle, where no other limit is set.
+/// Default for the number of open connections above which none is kept idle.
 const DEFAULT_MAX_OPEN: usize = 2800;
-/// Maximum length of a response's body, in bytes: a listing of 500 completions and all runs is far smaller.
+/// Maximum length of a response body, in bytes. A listing of 500 completions and all runs is far smaller.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Why a call has no response.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
-    /// The call, or the connection attempt, has timed out.
-    #[error("no answer in time")]
+    /// The call or the connection attempt timed out.
+    #[error("timed out")]
     Timeout,
-    /// The connection attempt has failed.
-    #[error("no connection: {0}")]
+    /// The connection attempt failed.
+    #[error("cannot connect: {0}")]
     Connect(#[from] io::Error),
-    /// The connection ended, or what came is no HTTP response.
-    #[error("the connection: {0}")]
+    /// The connection ended, or the response is not valid HTTP.
+    #[error("HTTP error: {0}")]
     Http(#[from] hyper::Error),
-    /// The body was cut off, or is too long.
-    #[error("the answer's body: {0}")]
+    /// The response body is truncated or too long.
+    #[error("cannot read the response body: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
 }
 
 struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
-    since: Instant,
+    idle_since: Instant,
 }
 
-/// Connections that no call uses now.
+/// The pool of connections that are not used by a call.
 struct IdleConnections {
     by_worker: HashMap<SocketAddr, Vec<IdleConnection>>,
     next_sweep_at: Instant,
 }
 
-/// Connections to workers, shared by all calls.
+/// A pool of connections to workers, shared by all calls.
 #[derive(Clone)]
 pub struct WorkerConnections {
     idle: Arc<Mutex<IdleConnections>>,
     open: Arc<AtomicUsize>,
-    /// With more open than this none stays idle, so that descriptors are left for others.
+    /// While more connections than this are open, none is kept idle, to leave file descriptors for other uses.
     max_open: usize,
 }
 
@@ -81,7 +81,7 @@
 }
 
 impl WorkerConnections {
-    /// A pool without connections; none stays idle while more than `max_open` are open.
+    /// Creates an empty pool. No connection is kept idle while more than `max_open` are open.
     pub fn new(max_open: usize) -> WorkerConnections {
         let idle = IdleConnections {
             by_worker: HashMap::new(),
@@ -94,15 +94,16 @@
         }
     }
 
-    /// How many connections are open.
+    /// The number of open connections.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Sends a request and reads the complete response.
+    /// Sends a request and returns the status and the complete body of the response.
     ///
     /// # Errors
-    /// When there is no complete response in time; it isn't known then whether the worker has read the request.
+    /// When there is no complete response within the timeout. The worker may still have received the request, unless the
+    /// connection attempt failed.
     pub async fn call(
         &self,
         to: SocketAddr,
@@ -120,7 +121,7 @@
         to: SocketAddr,
         mut request: Request<Full<Bytes>>,
     ) -> Result<(StatusCode, Bytes), ConnectionError> {
-        // A connection that the worker closed meanwhile gives the request back unsent.
+        // If the worker has closed an idle connection, `hyper` returns the unsent request, and the next one is tried.
         while let Some(mut sender) = self.take_idle(to) {
             match sender.try_send_request(request).await {
                 Ok(response) => return self.read_response(to, sender, response).await,
@@ -150,7 +151,7 @@
         Ok((status, body))
     }
 
-    /// The connection that was used last, unless it has ended.
+    /// Takes the most recently used idle connection that is still usable.
     fn take_idle(&self, to: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
@@ -164,7 +165,7 @@
         last.map(|idle| idle.sender)
     }
 
-    /// Makes a connection available to the next call, unless enough are idle.
+    /// Returns a connection to the pool, unless it is closed or a limit is reached.
     fn release(&self, from: SocketAddr, sender: SendRequest<Full<Bytes>>) {
         if sender.is_closed() || self.open() > self.max_open {
             return;
@@ -174,7 +175,7 @@
         if worker_idle.len() < MAX_IDLE_PER_WORKER {
             worker_idle.push(IdleConnection {
                 sender,
-                since: Instant::now(),
+                idle_since: Instant::now(),
             });
         }
     }
@@ -189,7 +190,7 @@
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let open = OpenConnection::new(&self.open);
         tokio::spawn(async move {
-            // Whoever waits for a response on it gets the error.
+            // Errors are reported to the caller that waits for a response on this connection.
             let _ = connection.await;
             drop(open);
         });
@@ -197,7 +198,7 @@
     }
 }
 
-/// Counts a connection while it is open.
+/// Guard that counts a connection as open until it is dropped.
 struct OpenConnection(Arc<AtomicUsize>);
 
 impl OpenConnection {
@@ -215,13 +216,13 @@
 
 impl IdleConnection {
     fn is_usable(&self, now: Instant) -> bool {
-        !self.sender.is_closed() && now < self.since + IDLE_TIMEOUT
+        !self.sender.is_closed() && now < self.idle_since + IDLE_TIMEOUT
     }
 }
 
 impl IdleConnections {
-    /// Closes expired connections, once in an interval. Workers that have departed are not called again, and without
-    /// this their connections would stay for good.
+    /// Closes expired connections, at most once per [`IDLE_SWEEP_INTERVAL`]. Departed workers are not called again, so
+    /// their connections would otherwise never be closed.
     fn sweep(&mut self, now: Instant) {
         if now < self.next_sweep_at {
             return;
--- a/system/magpiegap/src/endpoint.rs
+++ b/system/magpiegap/src/endpoint.rs
@@ -1,28 +1,28 @@
-//! Calls to coordinators and agents over HTTP; none is sent twice.
+//! HTTP calls to coordinators and agents. A call is never sent more than once.
 use magpiegap_protocol::{decode, encode, CoordinatorRequest, CoordinatorResponse};
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::timeout;
 
-/// The path of all requests among the processes.
+/// The URL path of all requests between the processes.
 pub const REQUEST_PATH: &str = "/request";
 /// Timeout of a connection attempt.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// A connection on which data is not acknowledged for this long breaks (RFC 5482).
+/// TCP user timeout: a connection is closed when sent data stays unacknowledged for this long (RFC 5482).
 pub(crate) const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// An idle connection is closed after this time.
+/// Idle timeout of pooled connections.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How a call failed.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// The connection attempt failed: the request surely was not read.
+    /// The connection attempt failed, so the request was certainly not processed.
     NotSent,
-    /// It isn't known whether the request was read.
+    /// There was no usable response; the request may or may not have been processed.
     Unanswered,
 }
 
-/// A client for all calls of a process.
+/// Creates an HTTP client, to be shared by all calls of a process.
 pub fn client() -> reqwest::Client {
     let builder = reqwest::Client::builder()
         .no_proxy()
@@ -35,19 +35,19 @@
     builder.build().unwrap_or_default()
 }
 
-/// How long a response may take.
+/// Timeouts for receiving a response.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseTimeouts {
-    /// Until its first byte.
+    /// Until the response headers are received.
     pub first_byte: Duration,
-    /// Without a further byte.
+    /// Between two chunks of the body.
     pub idle: Duration,
 }
 
-/// Calls a coordinator or agent; the call as a whole times out after `call_timeout`. For short responses only.
+/// Calls a coordinator or agent with `call_timeout` as the timeout of the entire call. Use for short responses only.
 ///
 /// # Errors
-/// When there is no response that can be read.
+/// When there is no response, or it can't be decoded.
 pub async fn call(
     client: &reqwest::Client,
     address: SocketAddr,
@@ -64,11 +64,11 @@
         .unwrap_or(Err(CallError::Unanswered))
 }
 
-/// Calls a coordinator or agent, and waits for its response as long as bytes come. A long response on a slow link may
-/// take any time.
+/// Calls a coordinator or agent and waits for the response as long as data keeps arriving. There is no total timeout, so
+/// that a large response can be received over a slow link.
 ///
 /// # Errors
-/// When there is no response that can be read.
+/// When there is no response, or it can't be decoded.
 pub async fn call_while_progressing(
     client: &reqwest::Client,
     address: SocketAddr,
--- a/system/magpiegap/src/lib.rs
+++ b/system/magpiegap/src/lib.rs
@@ -1,7 +1,7 @@
-//! The processes of the scheduler: sockets, clocks, files and signals around the state machines.
+//! The processes of the scheduler: network, clock, file and signal handling around the state machines.
 //!
-//! `proxy`, `agent` and `coordinator` each compose one process; the others are what they share, and the operator's
-//! commands. What is decided, and when, is the state machines' alone.
+//! `proxy`, `agent` and `coordinator` each assemble one process. The other modules hold shared code and the operator
+//! commands. All scheduling and consensus decisions are made by the state machines in the other crates.
 #![forbid(unsafe_code)]
 
 mod agent;
--- a/system/magpiegap/src/logging.rs
+++ b/system/magpiegap/src/logging.rs
@@ -1,13 +1,13 @@
-//! The operator's log: one event a line, on standard error.
+//! Logging to standard error, one line per event.
 use flexi_logger::{DeferredNow, LogSpecification, Logger, Record};
 use std::io::Write;
 
-/// Starts the log. Its level is `info`, or what `MAGPIEGAP_LOG` says.
+/// Starts logging at the level set in `MAGPIEGAP_LOG`, by default `info`.
 pub(crate) fn start(node: &str) {
     let level = std::env::var("MAGPIEGAP_LOG").unwrap_or_else(|_| "info".to_owned());
     let specification = LogSpecification::parse(format!("error, magpiegap={level}"));
     let specification = specification.unwrap_or_else(|_| LogSpecification::info());
-    // The program works without a log, too.
+    // A failure to set up logging does not prevent the process from running.
     let _ = Logger::with(specification)
         .log_to_stderr()
         .format(write_line)
--- a/system/magpiegap/src/main.rs
+++ b/system/magpiegap/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: one process for each role, chosen by the subcommand.
+//! Entry point: parses the command line and runs the selected subcommand.
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/system/magpiegap/src/operator.rs
+++ b/system/magpiegap/src/operator.rs
@@ -1,12 +1,12 @@
-//! Files of the operator's commands.
+//! Files that are named in operator commands.
 use crate::error::ProgramError;
 use magpiegap_jobs::Configuration;
 use std::path::Path;
 
-/// Reads a file.
+/// Reads a file into memory.
 ///
 /// # Errors
-/// When it can't be read.
+/// When the file can't be read.
 pub(crate) fn read_file(file: &Path) -> Result<Vec<u8>, ProgramError> {
     std::fs::read(file).map_err(|source| ProgramError::File {
         file: file.to_owned(),
@@ -14,10 +14,10 @@
     })
 }
 
-/// Checks a configuration, and says what it holds.
+/// Validates a configuration file and returns a summary of its content.
 ///
 /// # Errors
-/// When it is invalid.
+/// When the file can't be read or is invalid.
 pub fn check_configuration(file: &Path) -> Result<String, ProgramError> {
     let configuration =
         Configuration::parse(&read_file(file)?).map_err(|source| ProgramError::Configuration {
--- a/system/magpiegap/src/operator_call.rs
+++ b/system/magpiegap/src/operator_call.rs
@@ -1,4 +1,4 @@
-//! Calls of the operator's commands to a coordinator or proxy.
+//! HTTP calls that operator commands make to a coordinator or proxy.
 use crate::endpoint;
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,57 +10,57 @@
 /// A call to a coordinator or proxy.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OperatorCall {
-    /// The method.
+    /// The HTTP method.
     pub method: &'static str,
-    /// Where to.
-    pub at: Option<SocketAddr>,
-    /// The path.
+    /// The address to connect to.
+    pub address: Option<SocketAddr>,
+    /// The path and query of the URL.
     pub path: String,
-    /// Headers.
+    /// Additional headers.
     pub headers: Vec<(&'static str, String)>,
-    /// The body.
+    /// The request body.
     pub body: Vec<u8>,
 }
 
-/// Why a call has not succeeded.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorCallError {
     /// No address was given.
     #[error("no address")]
     NoAddress,
-    /// There is no response, or it was broken off.
+    /// There is no response, or it is incomplete.
     #[error("{url}: {source}")]
     NoResponse {
         /// The URL.
         url: String,
-        /// What went wrong.
+        /// The transport error.
         source: reqwest::Error,
     },
-    /// The response is not one of success.
+    /// The response has an error status.
     #[error("{}", format!("{url}: {status} {text}").trim())]
     Status {
         /// The URL.
         url: String,
-        /// The status.
+        /// The HTTP status code.
         status: u16,
-        /// The body.
+        /// The response body.
         text: String,
     },
-    /// Each of several coordinators has redirected the call to another one.
-    #[error("{url}: sent on too often")]
+    /// The call was redirected more than [`MAX_REDIRECTS`] times.
+    #[error("{url}: too many redirects")]
     TooManyRedirects {
         /// The URL of the last redirect.
         url: String,
     },
 }
 
-/// Makes a call, and returns the body of its response.
+/// Makes a call, following redirects, and returns the response body.
 ///
 /// # Errors
-/// When there is no response, or none with success.
+/// When there is no response, or it has an error status.
 pub(crate) async fn call(call: OperatorCall) -> Result<String, OperatorCallError> {
     let client = endpoint::client();
-    let address = call.at.ok_or(OperatorCallError::NoAddress)?;
+    let address = call.address.ok_or(OperatorCallError::NoAddress)?;
     let mut url = format!("http://{address}{}", call.path);
     for _ in 0..=MAX_REDIRECTS {
         let no_response = |source| OperatorCallError::NoResponse {
@@ -97,7 +97,7 @@
     })
 }
 
-/// Where a response redirects its call to; `None`: it is no redirect.
+/// The URL that a response redirects to; `None` if it is not a redirect.
 fn redirect_location(response: &reqwest::Response) -> Option<String> {
     if response.status() != reqwest::StatusCode::TEMPORARY_REDIRECT {
         return None;
@@ -106,7 +106,7 @@
     location.to_str().ok().map(str::to_owned)
 }
 
-/// Encodes the fields of a query that are given.
+/// Encodes the fields that are present as a URL query.
 pub(crate) fn query(fields: &[(&str, &Option<String>)]) -> String {
     let given = fields
         .iter()
--- a/system/magpiegap/src/proxy/admission.rs
+++ b/system/magpiegap/src/proxy/admission.rs
@@ -1,7 +1,7 @@
-//! Admission control of submissions, by the decision module.
+//! Admission control of job submissions, based on the `balancer_core` crate.
 //!
-//! For each service one [`balancer_core::Balancer`] decides: a call is a submission, a tenant is the queue, and the upstream
-//! is the coordinator that schedules the service. From the outcomes of calls it learns how many it may admit.
+//! Each service has one [`balancer_core::Balancer`]. A submission is a request, a queue is a tenant, and the coordinator
+//! that schedules the service is the only upstream. The balancer derives its admission limit from the outcomes of calls.
 use super::service_admission::ServiceAdmission;
 use balancer_core::{Action, Ending, Event, Refusal, RequestId, UpstreamId};
 use std::{
@@ -10,15 +10,15 @@
     time::{Duration, Instant},
 };
 
-/// A call that was rejected, and when it may come back.
+/// The rejection of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejected {
-    /// Delay before a retry, in seconds.
+    /// Delay after which the client may retry, in seconds.
     pub retry_after_s: u32,
 }
 
 impl Rejected {
-    /// A rejection with the advice of the decision module, in milliseconds; rounded up to seconds, one at least.
+    /// Creates a rejection. The delay in milliseconds is rounded up to seconds, with a minimum of one.
     fn with_delay(retry_after_ms: f64) -> Rejected {
         let seconds = (retry_after_ms / 1000.0).ceil().max(1.0);
         Rejected {
@@ -27,13 +27,13 @@
     }
 }
 
-/// Admission for all services.
+/// Admission control for all services.
 pub struct Admission {
     start: Instant,
     services: Mutex<HashMap<String, ServiceAdmission>>,
 }
 
-/// A call that was admitted. Dropped without an outcome it counts as cancelled.
+/// An admitted submission. It counts as cancelled if it is dropped without an outcome.
 pub struct Admitted {
     admission: Arc<Admission>,
     service: String,
@@ -49,7 +49,7 @@
 }
 
 impl Admission {
-    /// Admission that has not learned anything yet.
+    /// Creates admission control without any history.
     pub fn new() -> Admission {
         Admission {
             start: Instant::now(),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Milliseconds since the start.
+    /// Milliseconds since this instance was created.
     fn now_ms(&self) -> f64 {
         self.start.elapsed().as_secs_f64() * 1000.0
     }
@@ -66,10 +66,10 @@
         self.services.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Decides whether a submission goes on to the scheduler with this tag.
+    /// Decides whether to admit a submission. `scheduler` is the tag that identifies the current scheduler.
     ///
     /// # Errors
-    /// When it is rejected.
+    /// When the submission is rejected.
     pub fn admit(
         self: &Arc<Self>,
         service: &str,
@@ -94,7 +94,7 @@
             }
         }
         match refusal {
-            // Where nobody is known to schedule the service, the call itself looks for somebody.
+            // Without a known scheduler the submission is admitted: the call itself waits for a scheduler.
             Some((_, Refusal::NoUpstream)) | None => Ok(Admitted {
                 admission: self.clone(),
                 service: service.to_owned(),
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Lets the decision module of a service decide on a new request. Returns the request and what to do.
+    /// Passes a new request to the balancer of a service. Returns the request's ID and the actions to perform.
     fn decide(
         &self,
         service: &str,
@@ -149,7 +149,7 @@
 }
 
 impl Admitted {
-    /// Reports the outcome of the call.
+    /// Reports the outcome of the submission.
     pub fn end(mut self, ending: Ending) {
         self.report(ending);
     }
--- a/system/magpiegap/src/proxy/calls.rs
+++ b/system/magpiegap/src/proxy/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the coordinators, with retries while they do no harm.
+//! Calls to coordinators, with retries where they are safe.
 use super::cluster_watch::ClusterWatch;
 use crate::endpoint::{self, CallError};
 use magpiegap_protocol::{CoordinatorRequest, CoordinatorResponse, Submission};
@@ -8,19 +8,19 @@
     time::{Duration, Instant},
 };
 
-/// Timeout of a call to one coordinator, beside the time that the request may take on its way.
+/// Timeout of a call to one coordinator, excluding the transfer time of a large request.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The slowest link that is allowed for, in bytes per millisecond: 128 kbit/s.
+/// The slowest link for which timeouts are dimensioned, in bytes per millisecond (128 kbit/s).
 const MIN_LINK_BYTES_PER_MS: u64 = 16;
-/// Timeout of a call to one coordinator for a read that another one can serve as well.
+/// Timeout of a read from one coordinator; other coordinators can serve the same read.
 const READ_TIMEOUT: Duration = Duration::from_millis(500);
-/// Delay before a retry, unless something else is known of the cluster before.
+/// Maximum delay before a retry; a change of the cluster information triggers the retry earlier.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
-/// A submission that could be sent to nobody is rejected after this time.
-const UNSENT_TIMEOUT: Duration = Duration::from_millis(900);
+/// A submission that could not be sent to any coordinator is rejected after this time.
+const NOT_SENT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// The timeout of a call: as much longer as a slow link takes for a large request, so that it is not broken off and sent
-/// again and again.
+/// The timeout of a call. It includes the transfer time of a large request over a slow link; otherwise the transfer would
+/// time out and be restarted repeatedly.
 fn call_timeout(request: &CoordinatorRequest) -> Duration {
     let bytes = match request {
         CoordinatorRequest::Submit(submission) => submission.estimated_bytes() as u64,
@@ -32,17 +32,17 @@
 /// The outcome of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SubmitOutcome {
-    /// The job is accepted.
+    /// The job was accepted.
     Accepted,
-    /// There is no capacity; the job is not accepted.
-    Full,
-    /// It could be sent to nobody; the job is not accepted.
-    Unsent,
-    /// It isn't known whether the job is accepted.
+    /// The job was not accepted: there is no capacity.
+    NoCapacity,
+    /// The job was not accepted: the submission could not be sent to any coordinator.
+    NotSent,
+    /// The job may or may not have been accepted.
     Unknown,
 }
 
-/// Calls to the coordinators.
+/// Client for calls to the coordinators.
 #[derive(Clone)]
 pub(super) struct CoordinatorCalls {
     client: reqwest::Client,
@@ -51,7 +51,7 @@
 }
 
 impl CoordinatorCalls {
-    /// Calls to the coordinators of a cluster, which all listen on `port`.
+    /// Creates a client for the coordinators of a cluster, which all listen on `port`.
     pub(super) fn new(
         client: reqwest::Client,
         port: u16,
@@ -77,14 +77,14 @@
     }
 
     /// Waits until a coordinator other than `holder` schedules a service.
-    async fn scheduler_moved(&self, service: &str, holder: u32) {
+    async fn wait_for_new_scheduler(&self, service: &str, holder: u32) {
         let has_moved = |scheduler: Option<u32>| scheduler.is_some_and(|other| other != holder);
         self.cluster
-            .until(|info| has_moved(info.scheduler(service)))
+            .wait_until(|info| has_moved(info.scheduler(service)))
             .await;
     }
 
-    /// Calls the scheduler of a service. The call is given up as soon as another coordinator schedules the service.
+    /// Calls the scheduler of a service. The call is abandoned as soon as another coordinator becomes the scheduler.
     async fn call_scheduler(
         &self,
         service: &str,
@@ -93,18 +93,18 @@
         deadline: Instant,
     ) -> Result<CoordinatorResponse, CallError> {
         let call = self.call(holder, request, deadline);
-        let moved = self.scheduler_moved(service, holder);
+        let moved = self.wait_for_new_scheduler(service, holder);
         tokio::select! {
             response = call => response,
             () = moved => Err(CallError::Unanswered),
         }
     }
 
-    /// Submits a job. Submissions are idempotent: the same job may be submitted again, and remains one.
+    /// Submits a job, with retries. Retries are safe because submissions are idempotent.
     pub(super) async fn submit(&self, submission: Submission, deadline: Instant) -> SubmitOutcome {
         let service = submission.service.clone();
         let request = CoordinatorRequest::Submit(Box::new(submission));
-        let unsent_deadline = (Instant::now() + UNSENT_TIMEOUT).min(deadline);
+        let not_sent_deadline = (Instant::now() + NOT_SENT_TIMEOUT).min(deadline);
         let mut was_sent = false;
         loop {
             let info = self.cluster.current();
@@ -112,24 +112,31 @@
                 let call = self.call_scheduler(&service, holder, &request, deadline);
                 match call.await {
                     Ok(CoordinatorResponse::Accepted) => return SubmitOutcome::Accepted,
-                    Ok(CoordinatorResponse::NoCapacity) if !was_sent => return SubmitOutcome::Full,
+                    Ok(CoordinatorResponse::NoCapacity) if !was_sent => {
+                        return SubmitOutcome::NoCapacity
+                    }
                     Ok(CoordinatorResponse::NotServing) | Err(CallError::NotSent) => {}
                     Ok(_) | Err(CallError::Unanswered) => was_sent = true,
                 }
             }
-            let retry_until = if was_sent { deadline } else { unsent_deadline };
+            let retry_until = if was_sent {
+                deadline
+            } else {
+                not_sent_deadline
+            };
             if Instant::now() + RETRY_DELAY >= retry_until {
                 return if was_sent {
                     SubmitOutcome::Unknown
                 } else {
-                    SubmitOutcome::Unsent
+                    SubmitOutcome::NotSent
                 };
             }
-            self.cluster.changed(&info, RETRY_DELAY).await;
+            self.cluster.wait_for_change(&info, RETRY_DELAY).await;
         }
     }
 
-    /// Calls the coordinators in turn, the tail first, until one can respond. `None`: none could before the deadline.
+    /// Calls the coordinators in turn, from the tail to the head, until one responds; `None` if none did before the
+    /// deadline.
     pub(super) async fn read(
         &self,
         request: &CoordinatorRequest,
@@ -151,7 +158,7 @@
             if Instant::now() + RETRY_DELAY >= deadline {
                 return None;
             }
-            self.cluster.changed(&info, RETRY_DELAY).await;
+            self.cluster.wait_for_change(&info, RETRY_DELAY).await;
         }
     }
 }
--- a/system/magpiegap/src/proxy/cluster_watch.rs
+++ b/system/magpiegap/src/proxy/cluster_watch.rs
@@ -1,4 +1,4 @@
-//! What the proxy knows of the cluster, and how its parts wait for changes of it.
+//! The proxy's information about the cluster, with notification of changes.
 use magpiegap_jobs::Configuration;
 use magpiegap_protocol::{Feed, Role, RoleHolder};
 use std::{
@@ -10,12 +10,12 @@
 };
 use tokio::sync::watch;
 
-/// The newest feed, and the configuration that has been received completely.
+/// Information about the cluster: the newest feed and the newest complete configuration.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterInfo {
-    /// The feed.
+    /// The newest feed.
     pub feed: Feed,
-    /// The configuration in force; `None`: there is none yet.
+    /// The current configuration; `None` until one was received.
     pub configuration: Option<Arc<Configuration>>,
 }
 
@@ -31,21 +31,21 @@
             .map(|role_holder| role_holder.holder.member.address)
     }
 
-    /// Identifies the scheduler of a service: another number each time that the role passes on; zero where nobody holds
-    /// it.
+    /// Identifies the scheduler of a service. The tag changes each time the role is transferred; it is zero while no
+    /// coordinator holds the role.
     pub fn scheduler_tag(&self, service: &str) -> u64 {
         self.role_holder(service).map_or(0, |role_holder| {
             (u64::from(role_holder.holder.member.address) << 24) ^ role_holder.token.0
         })
     }
 
-    /// The addresses of the coordinators, from the tail, which serves reads, to the head.
+    /// The addresses of the coordinators in read order: from the tail, which serves reads, to the head.
     pub fn readers(&self) -> Vec<u32> {
         self.feed.chain.iter().rev().copied().collect()
     }
 }
 
-/// What the proxy knows of the cluster, shared by its parts, and whether the proxy is draining.
+/// Cluster information and draining state, shared within the proxy.
 pub struct ClusterWatch {
     info: watch::Sender<Arc<ClusterInfo>>,
     draining: AtomicBool,
@@ -61,40 +61,40 @@
 }
 
 impl ClusterWatch {
-    /// A watch that knows nothing yet.
+    /// Creates a watch with an empty feed and no configuration.
     pub fn new() -> ClusterWatch {
         ClusterWatch::default()
     }
 
-    /// What is known now.
+    /// The current information.
     pub fn current(&self) -> Arc<ClusterInfo> {
         self.info.borrow().clone()
     }
 
-    /// Waits until something other than `since` is known, or for `timeout`.
-    pub async fn changed(&self, since: &Arc<ClusterInfo>, timeout: Duration) {
+    /// Waits until the information differs from `since`, for at most `timeout`.
+    pub async fn wait_for_change(&self, since: &Arc<ClusterInfo>, timeout: Duration) {
         let mut receiver = self.info.subscribe();
-        let changed = receiver.wait_for(|info| !Arc::ptr_eq(info, since));
-        let _ = tokio::time::timeout(timeout, changed).await;
+        let change = receiver.wait_for(|info| !Arc::ptr_eq(info, since));
+        let _ = tokio::time::timeout(timeout, change).await;
     }
 
-    /// Waits until what is known meets a condition.
-    pub async fn until(&self, condition: impl Fn(&ClusterInfo) -> bool) {
+    /// Waits until the information meets a condition.
+    pub async fn wait_until(&self, condition: impl Fn(&ClusterInfo) -> bool) {
         let mut receiver = self.info.subscribe();
-        // The sender lives as long as this, so that waiting can't fail.
+        // Waiting can't fail, because `self` owns the sender.
         let _ = receiver.wait_for(|info| condition(info)).await;
     }
 
-    /// Returns what is known as soon as there is a configuration, or after `timeout`.
-    pub async fn configured(&self, timeout: Duration) -> Arc<ClusterInfo> {
+    /// Waits for a configuration, for at most `timeout`, and returns the current information.
+    pub async fn wait_for_configuration(&self, timeout: Duration) -> Arc<ClusterInfo> {
         if self.info.borrow().configuration.is_none() {
-            let configured = self.until(|info| info.configuration.is_some());
+            let configured = self.wait_until(|info| info.configuration.is_some());
             let _ = tokio::time::timeout(timeout, configured).await;
         }
         self.current()
     }
 
-    /// Begins to drain the proxy: it is about to end.
+    /// Marks the proxy as draining, before it shuts down.
     pub fn drain(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
@@ -104,12 +104,12 @@
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Whether clients can be served.
+    /// Whether the proxy can accept clients: it has a configuration and is not draining.
     pub fn is_ready(&self) -> bool {
         !self.is_draining() && self.info.borrow().configuration.is_some()
     }
 
-    /// Replaces the feed, unless it is older than the one known. Returns whether it was replaced.
+    /// Replaces the feed if the new one supersedes the current one. Returns whether it was replaced.
     pub fn update_feed(&self, feed: Feed) -> bool {
         let info = self.current();
         if !feed.supersedes(&info.feed) {
@@ -123,11 +123,11 @@
         true
     }
 
-    /// Puts a configuration in force, unless it is no newer than the one in force.
+    /// Replaces the configuration if the new one has a higher version.
     pub fn update_configuration(&self, configuration: Arc<Configuration>) {
         let info = self.current();
-        let in_force = info.configuration.as_ref();
-        if in_force.is_some_and(|in_force| in_force.version >= configuration.version) {
+        let current = info.configuration.as_ref();
+        if current.is_some_and(|current| current.version >= configuration.version) {
             return;
         }
         let feed = info.feed.clone();
--- a/system/magpiegap/src/proxy/feed_follower.rs
+++ b/system/magpiegap/src/proxy/feed_follower.rs
@@ -1,4 +1,4 @@
-//! Follows the feed of the agent beside the proxy, and receives configurations from it.
+//! Follows the feed of the local agent and receives configurations from it.
 use super::cluster_watch::ClusterWatch;
 use crate::endpoint::{self, ResponseTimeouts};
 use magpiegap_distribution::{ConfigurationReceiver, Received};
@@ -7,14 +7,14 @@
 };
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-/// How long the agent may hold a poll without a change.
+/// Wait time of a long poll, in milliseconds: the agent responds after it even without a change.
 const POLL_WAIT_MS: u64 = 20_000;
-/// A response of which no byte comes for this long has timed out.
+/// A response times out when no byte is received for this long.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Delay after a call that failed, or brought nothing of use.
+/// Delay after a call that failed or returned nothing usable.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Follows the agent's feed without end.
+/// Follows the agent's feed until the future is dropped.
 pub(super) async fn follow(client: reqwest::Client, agent: SocketAddr, cluster: Arc<ClusterWatch>) {
     let mut follower = FeedFollower {
         client,
@@ -29,7 +29,7 @@
     }
 }
 
-/// The follower of an agent's feed. Its calls return `None` where the agent did not respond, or with nothing of use.
+/// Follows an agent's feed. Methods return `None` when the agent did not respond or its response was not usable.
 struct FeedFollower {
     client: reqwest::Client,
     agent: SocketAddr,
@@ -38,7 +38,7 @@
 }
 
 impl FeedFollower {
-    /// Fetches a chunk of the configuration where a newer one is known, or else waits for a change of the feed.
+    /// Fetches a chunk of the configuration if the feed announces a newer one; otherwise polls the feed.
     async fn step(&mut self) -> Option<()> {
         let info = self.cluster.current();
         if self.receiver.version() < info.feed.configuration_version {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Waits for a feed other than the known one.
+    /// Waits for a feed that differs from `known`, by a long poll.
     async fn poll(&mut self, known: &Feed) -> Option<()> {
         let poll = CoordinatorRequest::Poll(FeedPoll {
             revision: known.revision,
@@ -64,7 +64,7 @@
             return Some(());
         }
         if let Some(chunk) = feed.change.take() {
-            // Where it is of no use the fetch that follows brings what is.
+            // If the inline change is not usable, the next step fetches the configuration.
             let _ = self.receive(chunk);
         }
         self.cluster.update_feed(*feed).then_some(())
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Adds a chunk of the configuration. `None`: it is of no use.
+    /// Processes a chunk of the configuration; `None` if it is not usable.
     fn receive(&mut self, chunk: ConfigurationChunk) -> Option<()> {
         match self.receiver.take(chunk) {
             Received::Configuration(configuration) => {
@@ -89,7 +89,9 @@
             Received::More => Some(()),
             Received::Unusable => None,
             Received::Rejected(error) => {
-                log::error!("configuration change is faulty, fetching all of it error={error}");
+                log::error!(
+                    "configuration change failed, fetching full configuration error={error}"
+                );
                 None
             }
         }
--- a/system/magpiegap/src/proxy/frontend.rs
+++ b/system/magpiegap/src/proxy/frontend.rs
@@ -1,4 +1,4 @@
-//! Clients' requests: routed by the configuration, admitted, and sent to the coordinators.
+//! Client requests: routing by the configuration, admission control, and forwarding to the coordinators.
 use super::{
     admission::{Admission, Rejected},
     calls::{CoordinatorCalls, SubmitOutcome},
@@ -24,12 +24,12 @@
     time::{Duration, Instant},
 };
 
-/// Time before a client's deadline at which the response is sent at the latest.
+/// The response is sent at least this long before the client's deadline.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(150);
-/// How long a request waits for the first configuration: a proxy that has just started has one within moments, while a
-/// client that is sent away comes back a second later.
+/// How long a request waits for the first configuration. A newly started proxy receives one within a fraction of a second,
+/// while a rejected client retries only after a second.
 const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(900);
-/// When a rejected client may come back, in seconds.
+/// Delay after which a rejected client may retry, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
 /// A response to a client.
@@ -74,7 +74,7 @@
     }
 }
 
-/// Handles clients' requests.
+/// Handles client requests.
 #[derive(Clone)]
 pub(super) struct FrontendHandler {
     calls: CoordinatorCalls,
@@ -83,7 +83,7 @@
 }
 
 impl FrontendHandler {
-    /// A handler that routes by the configuration in force.
+    /// Creates a handler that routes by the current configuration of `cluster`.
     pub(super) fn new(calls: CoordinatorCalls, cluster: Arc<ClusterWatch>) -> FrontendHandler {
         FrontendHandler {
             calls,
@@ -94,7 +94,10 @@
 
     async fn respond(&self, request: &Request<'_>, data: Data<'_>) -> Reply {
         let arrived_at = Instant::now();
-        let info = self.cluster.configured(CONFIGURATION_TIMEOUT).await;
+        let info = self
+            .cluster
+            .wait_for_configuration(CONFIGURATION_TIMEOUT)
+            .await;
         let Some(configuration) = &info.configuration else {
             return Reply::unavailable(Status::ServiceUnavailable);
         };
@@ -155,8 +158,8 @@
         admitted.end(ending(outcome));
         match outcome {
             SubmitOutcome::Accepted => Reply::status(Status::Ok),
-            SubmitOutcome::Full => Reply::unavailable(Status::TooManyRequests),
-            SubmitOutcome::Unsent => Reply::unavailable(Status::ServiceUnavailable),
+            SubmitOutcome::NoCapacity => Reply::unavailable(Status::TooManyRequests),
+            SubmitOutcome::NotSent => Reply::unavailable(Status::ServiceUnavailable),
             SubmitOutcome::Unknown => Reply::status(Status::GatewayTimeout),
         }
     }
@@ -200,7 +203,7 @@
     }
 }
 
-/// The submission of a job by a route. The coordinator sets the time of its submission.
+/// Creates the submission of a job. The coordinator sets the submission time.
 fn submission(route: &Route, job: JobId, spec: JobSpec) -> Submission {
     Submission {
         job,
@@ -215,17 +218,18 @@
     }
 }
 
-/// The outcome of a submission as admission learns from it.
+/// Converts the outcome of a submission for admission control.
 fn ending(outcome: SubmitOutcome) -> Ending {
     match outcome {
         SubmitOutcome::Accepted => Ending::Ok,
-        SubmitOutcome::Full => Ending::Rejected,
-        SubmitOutcome::Unsent => Ending::ConnectFailed,
+        SubmitOutcome::NoCapacity => Ending::Rejected,
+        SubmitOutcome::NotSent => Ending::ConnectFailed,
         SubmitOutcome::Unknown => Ending::Timeout,
     }
 }
 
-/// When the response must be on its way: before the client's deadline and the route's timeout.
+/// When the response must be sent: [`RESPONSE_MARGIN`] before the client's deadline or the route's timeout, whichever is
+/// earlier.
 fn deadline(request: &Request<'_>, route: &Route, arrived_at: Instant) -> Instant {
     let requested_ms = request
         .headers()
--- a/system/magpiegap/src/proxy/job_body.rs
+++ b/system/magpiegap/src/proxy/job_body.rs
@@ -1,20 +1,20 @@
-//! Jobs as clients write them: the JSON body of a submission.
+//! The JSON body of a job submission.
 use crate::json_number::clamped_integer;
 use magpiegap_protocol::{JobSpec, Resources, StepSpec, WallMillis};
 use serde::Deserialize;
 
-/// Why a body is no job.
+/// Why a body is not a valid job.
 #[derive(Debug, thiserror::Error)]
 pub enum JobBodyError {
-    /// It is no JSON text of the expected form.
+    /// The body is not valid JSON, or a field has the wrong type.
     #[error("not a job: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// It can't be run.
+    /// The specification of the job is invalid.
     #[error(transparent)]
     Spec(#[from] magpiegap_protocol::JobSpecError),
 }
 
-/// One label or several.
+/// Labels, written as a single string or as an array.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(untagged)]
 enum Labels {
@@ -47,7 +47,7 @@
     interval_ms: f64,
 }
 
-/// A step. Clients read its name in the text of errors.
+/// A step of a job. The name of this type appears in error messages to clients and must not change.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct Step {
@@ -68,7 +68,7 @@
     schedule: Schedule,
 }
 
-/// The body. Clients read its name in the text of errors.
+/// The body of a submission. The name of this type appears in error messages to clients and must not change.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct Body {
@@ -78,10 +78,10 @@
     schedule: Schedule,
 }
 
-/// Reads and checks a job.
+/// Parses and validates a job.
 ///
 /// # Errors
-/// When it is malformed or can't be run.
+/// When the body is malformed or the job is invalid.
 pub fn read(body: &[u8]) -> Result<JobSpec, JobBodyError> {
     let body: Body = serde_json::from_slice(body)?;
     let schedule = body.schedule;
--- a/system/magpiegap/src/proxy/mod.rs
+++ b/system/magpiegap/src/proxy/mod.rs
@@ -1,4 +1,4 @@
-//! The proxy: clients' requests, from their sockets through routing and admission to the coordinators and back.
+//! The proxy process: accepts client requests, routes and admits them, and forwards them to the coordinators.
 pub mod admission;
 mod calls;
 pub mod cluster_watch;
@@ -19,15 +19,15 @@
 use rocket::http::Method;
 use std::{path::PathBuf, sync::Arc, time::Duration};
 
-/// After an order to end, the platform gets this long to send clients elsewhere, in seconds.
+/// Time after SIGTERM for the platform to route clients to other proxies, in seconds.
 const DRAIN_S: f64 = 2.3;
-/// Grace period of requests in flight after that, in seconds.
+/// Grace period for requests in flight after draining, in seconds.
 const SHUTDOWN_GRACE_S: u32 = 2;
 
-/// Runs a proxy until the order to end.
+/// Runs a proxy until SIGTERM.
 ///
 /// # Errors
-/// When it can't start.
+/// When the proxy can't start.
 pub(crate) async fn run(_file: PathBuf, settings: NodeSettings) -> Result<(), ProgramError> {
     let mut signals = Signals::listen()?;
     let cluster = Arc::new(ClusterWatch::new());
@@ -40,7 +40,7 @@
     let readiness = start_readiness(&settings, cluster.clone()).await?;
     let frontend = start_frontend(&settings, client, cluster.clone()).await?;
     signals
-        .until_terminated("settings of a running proxy cannot change")
+        .wait_for_termination("SIGHUP: a running proxy does not reload its settings")
         .await;
     cluster.drain();
     let drain_s = DRAIN_S.min(settings.bounds.grace_s / 2.0).max(0.0);
--- a/system/magpiegap/src/proxy/readiness.rs
+++ b/system/magpiegap/src/proxy/readiness.rs
@@ -1,4 +1,4 @@
-//! The readiness check: whether the proxy takes clients.
+//! The readiness check, which tells the platform whether the proxy accepts clients.
 use super::cluster_watch::ClusterWatch;
 use rocket::{
     data::Data,
@@ -8,17 +8,17 @@
 };
 use std::sync::Arc;
 
-/// The path of the check.
+/// URL path of the readiness check.
 const READINESS_PATH: &str = "/-/ready";
 
-/// Responds to the platform's readiness checks.
+/// Handles readiness checks of the platform.
 #[derive(Clone)]
 pub(super) struct ReadinessHandler {
     cluster: Arc<ClusterWatch>,
 }
 
 impl ReadinessHandler {
-    /// A handler for a proxy that knows this of the cluster.
+    /// Creates a handler that reports the readiness of `cluster`.
     pub(super) fn new(cluster: Arc<ClusterWatch>) -> ReadinessHandler {
         ReadinessHandler { cluster }
     }
--- a/system/magpiegap/src/proxy/service_admission.rs
+++ b/system/magpiegap/src/proxy/service_admission.rs
@@ -1,31 +1,31 @@
-//! Admission of one service: the decision module with its settings, tenants and upstream.
+//! Admission control of one service: a balancer with its settings, tenants and upstream.
 use balancer_core::{
     Action, Availability, Balancer, Class, Endpoint, EndpointUpdate, Event, Request, RequestId,
     Settings, Tenant, UpstreamId,
 };
 
-/// Maximum number of queues of one service that are tenants of their own; further ones share the last tenant.
+/// Maximum number of tenants. Queues of a service beyond this number share the last tenant.
 const MAX_TENANTS: usize = 64;
-/// Submissions a second that a proxy admits for each tenant before it has learned more, and the floor to which failures
-/// lower them. All tenants together stay below what one scheduler takes.
+/// Submissions per second that a proxy admits for each tenant initially, and the minimum to which failures reduce the
+/// rate. The total over all tenants is below the capacity of one scheduler.
 const QUOTA_PER_S: f64 = 1.0;
 /// Latency target of a submission, in milliseconds.
 const LATENCY_TARGET_MS: f64 = 3000.0;
-/// Maximum delay that a rejected client is advised, in milliseconds.
+/// Maximum retry delay given to a rejected client, in milliseconds.
 const MAX_RETRY_AFTER_MS: f64 = 2000.0;
 
-/// Admission of one service.
+/// Admission control of one service.
 pub(super) struct ServiceAdmission {
     balancer: Balancer,
-    /// The queues that are tenants of their own, in the order of the tenants.
+    /// The queues that have their own tenant; the index is the tenant number.
     queues: Vec<String>,
-    /// The upstream that is in force.
+    /// The current upstream.
     upstream: Option<UpstreamId>,
     last_request: u32,
 }
 
 impl ServiceAdmission {
-    /// Admission that has not learned anything yet.
+    /// Creates admission control without any history.
     pub(super) fn new(now: f64) -> ServiceAdmission {
         let settings = Settings {
             classes: vec![Class {
@@ -41,12 +41,12 @@
                 };
                 MAX_TENANTS
             ],
-            // The call retries itself: submissions are idempotent, and only it knows where to send them.
+            // `CoordinatorCalls` retries submissions itself, because only it knows the current scheduler.
             max_attempts: 1,
             max_retry_after: MAX_RETRY_AFTER_MS,
             ..Settings::default()
         };
-        // These settings are constant, and valid.
+        // The settings are constant and valid, so neither fallback is reached.
         let balancer = Balancer::new(settings, 1, now);
         let balancer = balancer.or_else(|_| Balancer::new(Settings::default(), 1, now));
         match balancer {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Hands a new request of a queue to the decision module. Returns its identity.
+    /// Passes a new request of a queue to the balancer. Returns the ID of the request.
     pub(super) fn handle_request(
         &mut self,
         queue: &str,
@@ -100,7 +100,7 @@
         );
     }
 
-    /// The tenant of a queue; a new one while there are any left.
+    /// Returns the tenant of a queue; a new queue is assigned a free tenant, if any is left.
     fn tenant(&mut self, queue: &str) -> usize {
         match self.queues.iter().position(|known| known == queue) {
             Some(tenant) => tenant,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Hands an event to the decision module.
+    /// Passes an event to the balancer.
     pub(super) fn handle_event(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         self.balancer.handle(now, event, actions);
     }
--- a/system/magpiegap/src/serving.rs
+++ b/system/magpiegap/src/serving.rs
@@ -1,4 +1,4 @@
-//! HTTP servers: how they are set up, started and shut down, and how bodies are read.
+//! Setup, start and shutdown of HTTP servers, and reading of request bodies.
 use crate::error::ProgramError;
 use rocket::{
     config::{Config, Ident, LogLevel, Shutdown as ShutdownSettings},
@@ -10,18 +10,18 @@
 };
 use std::{collections::HashSet, net::SocketAddr};
 
-/// The settings of a server.
+/// Settings of an HTTP server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerSettings {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    /// Idle timeout of a connection, in seconds.
+    /// Idle timeout of keep-alive connections, in seconds.
     pub keep_alive_s: u32,
-    /// Grace period of requests in flight when the server shuts down, in seconds.
+    /// Grace period for requests in flight at shutdown, in seconds.
     pub grace_s: u32,
 }
 
-/// A server in which one handler gets every request with one of the methods.
+/// Builds a server that passes every request with one of `methods` to `handler`, whatever its path.
 pub(crate) fn server(
     settings: ServerSettings,
     methods: &[Method],
@@ -51,10 +51,10 @@
         .mount("/", routes)
 }
 
-/// Starts a server on a task of its own.
+/// Starts a server in a new task.
 ///
 /// # Errors
-/// When it can't listen.
+/// When the server can't listen on its address.
 pub(crate) async fn start(server: Rocket<Build>) -> Result<RunningServer, ProgramError> {
     let ready = server
         .ignite()
@@ -70,29 +70,29 @@
     Ok(RunningServer { shutdown, task })
 }
 
-/// A server that runs.
+/// Handle to a running server.
 pub(crate) struct RunningServer {
     shutdown: rocket::Shutdown,
     task: tokio::task::JoinHandle<Result<(), ProgramError>>,
 }
 
 impl RunningServer {
-    /// Ends at once, with requests in flight.
+    /// Stops the server immediately and drops requests in flight.
     pub(crate) fn abort(self) {
         self.task.abort();
     }
 
-    /// Accepts no new requests, and waits for those in flight up to the grace period.
+    /// Stops accepting requests, and waits up to the grace period for those in flight.
     pub(crate) async fn shut_down(self) {
         self.shutdown.notify();
         let _ = self.task.await;
     }
 }
 
-/// Reads a request's body of at max_bytes `max_bytes`.
+/// Reads a request body of at most `max_bytes` bytes.
 ///
 /// # Errors
-/// The status to respond with: too long, or broken off.
+/// The status to respond with, if the body is too long or incomplete.
 pub(crate) async fn read_body(data: Data<'_>, max_bytes: u64) -> Result<Vec<u8>, Status> {
     let limit: ByteUnit = max_bytes.saturating_add(1).bytes();
     let body = data
--- a/system/magpiegap/src/settings.rs
+++ b/system/magpiegap/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings of a process: the file, its fields, and what they must be. The names of fields are those of the page of
-//! settings.
+//! The settings file of a process: its fields, defaults and validation. Field names are part of the documented settings
+//! format.
 use magpiegap_control::Tolerance;
 use magpiegap_protocol::{FailureDomainId, Location};
 use serde::Deserialize;
@@ -9,81 +9,81 @@
     path::{Path, PathBuf},
 };
 
-/// The variable that names the settings file.
+/// Environment variable with the path of the settings file.
 const SETTINGS_VARIABLE: &str = "MAGPIEGAP_BOOT";
 
-/// An error of a settings file.
+/// Why settings could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// No file is named.
+    /// Neither the command line nor the environment names a settings file.
     #[error("no settings file: name one with --settings or in {SETTINGS_VARIABLE}")]
     NoFile,
     /// The file can't be read.
     #[error("{file}: {source}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
-        /// What the system said.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The file is no settings file.
+    /// The file is not valid TOML, or a field has the wrong type.
     #[error("{file}: {}", in_one_line(source))]
     Malformed {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
-        /// What is wrong, and where.
+        /// The parse error with its position.
         source: toml::de::Error,
     },
-    /// A field has a value that can't be used.
-    #[error("{file}: {field} must be {must}")]
+    /// A field has an invalid value.
+    #[error("{file}: {field} must be {must_be}")]
     Field {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// What it must be.
-        must: &'static str,
+        /// The requirement that the value violates.
+        must_be: &'static str,
     },
 }
 
-/// The text of an error without its line breaks.
+/// Formats an error on one line.
 fn in_one_line(error: &toml::de::Error) -> String {
     error.to_string().trim().replace('\n', " ")
 }
 
-/// A field with a value that can't be used.
+/// A field with an invalid value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FieldFault {
-    /// The field.
+    /// The name of the field.
     pub field: &'static str,
-    /// What it must be.
-    pub must: &'static str,
+    /// The requirement that the value violates.
+    pub must_be: &'static str,
 }
 
 impl FieldFault {
-    /// The fault as an error of that file.
+    /// Converts the fault to an error that names the file.
     pub(crate) fn in_file(self, file: &Path) -> SettingsError {
         SettingsError::Field {
             file: file.to_owned(),
             field: self.field,
-            must: self.must,
+            must_be: self.must_be,
         }
     }
 }
 
-/// Where the process listens for what its role serves.
+/// Listen addresses; which of them are used depends on the role.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Listen {
-    /// For clients.
+    /// Address for client requests.
     pub frontend: Option<SocketAddr>,
-    /// For the platform's readiness checks.
+    /// Address for the platform's readiness checks.
     pub readiness: Option<SocketAddr>,
-    /// For the operator.
+    /// Address for operator requests.
     pub control_plane: Option<SocketAddr>,
 }
 
-/// The failures that are tolerated at once.
+/// Numbers of simultaneous failures that the cluster must tolerate.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct FaultTolerance {
@@ -120,23 +120,23 @@
     }
 }
 
-/// Bounds of the rules in force that the program needs.
+/// Timing and placement limits set by the environment, as far as this program uses them.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
-    /// Grace period of a process after a SIGTERM, in seconds.
+    /// Time from SIGTERM until the platform kills a process, in seconds.
     #[serde(rename = "graceS")]
     pub grace_s: f64,
     /// Maximum duration of a lease on a worker, in milliseconds.
     #[serde(rename = "maxHoldMs")]
     pub max_hold_ms: f64,
-    /// Maximum time that a worker takes to stop a run, in milliseconds.
+    /// Maximum time that a worker needs to stop a run, in milliseconds.
     pub stop_ms: f64,
     /// Maximum time that members of a gang wait for each other, in milliseconds.
     pub gang_ms: f64,
-    /// How long the state of an ended job is shown, in seconds.
+    /// How long the state of a finished job is retained, in seconds.
     pub status_s: f64,
-    /// How many times as long a task takes away from its data.
+    /// Factor by which a task takes longer when it runs away from its data.
     pub far_x: f64,
 }
 
@@ -153,7 +153,7 @@
     }
 }
 
-/// What the machine gives to the process.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct MachineLimits {
@@ -167,13 +167,13 @@
     }
 }
 
-/// The platform's list of workers.
+/// Access to the platform's list of workers.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Cloud {
-    /// Where the list is served.
+    /// Address that serves the list.
     pub address: Option<SocketAddr>,
-    /// Rate limit of calls by all coordinators together, per second.
+    /// Rate limit for calls of all coordinators together, per second.
     pub rate_per_s: f64,
     /// Maximum age of the list, in milliseconds.
     pub max_lag_ms: f64,
@@ -197,65 +197,65 @@
     /// The region of each zone.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
-    /// First and last port free for the processes among themselves.
+    /// First and last port available for communication between the processes.
     pub internal_port_range: (u16, u16),
-    /// Addresses of machines that serve the control plane.
+    /// Addresses of the coordinators to contact first.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Whether the entire system starts for the first time, with empty disks.
+    /// Whether a new cluster is started, with empty disks.
     #[serde(default)]
     pub bootstrap: bool,
-    /// The folder of the state on disk.
+    /// Data folder for the state on disk.
     pub data_dir: Option<PathBuf>,
-    /// How orders get to workers.
+    /// The protocol by which workers receive orders.
     #[serde(default)]
     pub commands: String,
-    /// Where the process listens.
+    /// Listen addresses.
     #[serde(default)]
     pub listen: Listen,
-    /// The failures that are tolerated at once.
+    /// Numbers of simultaneous failures that the cluster must tolerate.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
-    /// Bounds of the rules.
+    /// Limits on timing and placement.
     #[serde(default)]
     pub bounds: Bounds,
-    /// What the machine gives to the process.
+    /// Resource limits of the process.
     #[serde(default)]
     pub limits: MachineLimits,
-    /// The platform's list.
+    /// Access to the platform's list of workers.
     #[serde(default)]
     pub cloud: Cloud,
 }
 
-/// A field's check.
+/// The result of validating one field.
 struct FieldCheck {
-    is_fine: bool,
+    is_valid: bool,
     field: &'static str,
-    must: &'static str,
+    must_be: &'static str,
 }
 
-fn check(is_fine: bool, field: &'static str, must: &'static str) -> FieldCheck {
+fn check(is_valid: bool, field: &'static str, must_be: &'static str) -> FieldCheck {
     FieldCheck {
-        is_fine,
+        is_valid,
         field,
-        must,
+        must_be,
     }
 }
 
 impl NodeSettings {
-    /// The settings file: the one named, or the one that the environment names.
+    /// Returns the path of the settings file: `named`, or else the value of `MAGPIEGAP_BOOT`.
     ///
     /// # Errors
-    /// When neither names one.
+    /// When neither is set.
     pub fn file(named: Option<PathBuf>) -> Result<PathBuf, SettingsError> {
         let from_environment = || std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
         named.or_else(from_environment).ok_or(SettingsError::NoFile)
     }
 
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// The first fault found.
+    /// When the file can't be parsed, or has an invalid field; the first one is reported.
     pub fn read(file: &Path) -> Result<NodeSettings, SettingsError> {
         let (settings, _) = NodeSettings::parse(file)?;
         match settings.faults().first() {
@@ -264,11 +264,11 @@
         }
     }
 
-    /// Reads a settings file without checking its values. Returns the names of fields that this program does not use,
-    /// too.
+    /// Parses a settings file without validating its values. Also returns the names of fields that this program does not
+    /// use.
     ///
     /// # Errors
-    /// When it can't be read, or is no settings file.
+    /// When the file can't be read or parsed.
     pub(crate) fn parse(file: &Path) -> Result<(NodeSettings, Vec<String>), SettingsError> {
         let malformed = |source: toml::de::Error| SettingsError::Malformed {
             file: file.to_owned(),
@@ -285,7 +285,7 @@
         Ok((settings, unused))
     }
 
-    /// All fields with values that can't be used.
+    /// Validates all fields and returns the invalid ones.
     pub(crate) fn faults(&self) -> Vec<FieldFault> {
         let (first, last) = self.internal_port_range;
         let is_duration = |value: f64| (0.0..=1e9).contains(&value);
@@ -339,14 +339,14 @@
                 "at most 4",
             ),
         ];
-        let is_faulty = |check: &FieldCheck| !check.is_fine;
-        let faulty = checks.into_iter().filter(is_faulty);
-        faulty
-            .map(|FieldCheck { field, must, .. }| FieldFault { field, must })
+        let is_invalid = |check: &FieldCheck| !check.is_valid;
+        let invalid = checks.into_iter().filter(is_invalid);
+        invalid
+            .map(|FieldCheck { field, must_be, .. }| FieldFault { field, must_be })
             .collect()
     }
 
-    /// The failure domains of the machine. Its region is the one that the table of zones names.
+    /// The failure domains of the machine. The region is looked up in the table of zones.
     pub fn location(&self) -> Location {
         let region = self.zones.get(&self.zone).map_or("", String::as_str);
         Location {
@@ -355,19 +355,20 @@
         }
     }
 
-    /// Where coordinators listen for each other.
+    /// The port on which coordinators listen for each other.
     pub fn peer_port(&self) -> u16 {
         self.internal_port_range.0
     }
 
-    /// Where coordinators listen for agents and proxies.
+    /// The port on which coordinators listen for agents and proxies.
     pub fn request_port(&self) -> u16 {
         self.internal_port_range.0 + 1
     }
 
-    /// Where the agent listens for the proxy beside it.
+    /// The address on which the agent listens for the proxy on the same machine.
     pub fn agent_address(&self) -> SocketAddr {
-        // Machines that are all on this host, each with a loopback address of its own, must not share one port.
+        // Several machines may be simulated on one host, each with its own loopback address; 127.0.0.1 would make their
+        // agents conflict on one port.
         let ip = if self.ip.is_loopback() {
             self.ip
         } else {
@@ -376,7 +377,7 @@
         SocketAddr::new(IpAddr::V4(ip), self.internal_port_range.0 + 2)
     }
 
-    /// Addresses of the seeds, as numbers.
+    /// The IPv4 addresses of the seeds, as integers. IPv6 addresses are skipped.
     pub fn seed_addresses(&self) -> Vec<u32> {
         let address = |seed: &SocketAddr| match seed.ip() {
             IpAddr::V4(ip) => Some(u32::from(ip)),
--- a/system/magpiegap/src/settings_check.rs
+++ b/system/magpiegap/src/settings_check.rs
@@ -1,30 +1,30 @@
-//! The operator's check of a settings file: all faults, warnings, and fields that are not used.
+//! Check of a settings file for the operator: invalid fields, warnings and unused fields.
 use crate::settings::{FieldFault, NodeSettings, SettingsError};
 use std::{fmt, path::Path};
 
-/// The only way of sending orders to workers that this program supports.
+/// The only supported value of the `commands` setting.
 const INVOCATION: &str = "invocation";
 
-/// The result of the check.
+/// The result of checking a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsReport {
     /// Name of the machine.
     pub node_name: String,
     /// Name of the role.
     pub role: String,
-    /// Fields with values that can't be used.
+    /// Fields with invalid values.
     pub faults: Vec<FieldFault>,
-    /// What works, but may not be meant.
+    /// Values that are valid, but probably a mistake.
     pub warnings: Vec<String>,
     /// Fields that this program does not use.
     pub unused: Vec<String>,
 }
 
 impl SettingsReport {
-    /// Reads a settings file and looks at all of it.
+    /// Parses a settings file and checks all of its fields.
     ///
     /// # Errors
-    /// When it can't be read, or is no settings file.
+    /// When the file can't be read or parsed.
     pub fn of(file: &Path) -> Result<SettingsReport, SettingsError> {
         let (settings, mut unused) = NodeSettings::parse(file)?;
         unused.sort_unstable();
@@ -37,22 +37,22 @@
         })
     }
 
-    /// Whether a process can start with it.
-    pub fn is_fine(&self) -> bool {
+    /// Whether a process can start with these settings.
+    pub fn is_valid(&self) -> bool {
         self.faults.is_empty()
     }
 }
 
 impl fmt::Display for SettingsReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let verdict = if self.is_fine() {
+        let verdict = if self.is_valid() {
             "fine"
         } else {
             "can't be used"
         };
         write!(f, "{verdict}: {} on {}", self.role, self.node_name)?;
-        for FieldFault { field, must } in &self.faults {
-            write!(f, "\nfault: {field} must be {must}")?;
+        for FieldFault { field, must_be } in &self.faults {
+            write!(f, "\nfault: {field} must be {must_be}")?;
         }
         for warning in &self.warnings {
             write!(f, "\nwarning: {warning}")?;
@@ -64,23 +64,23 @@
     }
 }
 
-/// Warns of what works, but may not be meant.
+/// Returns warnings about values that are valid, but probably a mistake.
 pub(crate) fn warnings(settings: &NodeSettings) -> Vec<String> {
     let mut warnings = Vec::new();
     if !settings.commands.is_empty() && settings.commands != INVOCATION {
         warnings.push(format!(
-            "commands = {:?} is not known; workers are told what to do as with {INVOCATION:?}",
+            "commands = {:?} is not supported; using {INVOCATION:?} instead",
             settings.commands
         ));
     }
     if settings.seeds.is_empty() {
-        warnings.push("seeds is empty: other coordinators have to find this one".to_owned());
+        warnings.push(
+            "seeds is empty: this coordinator can join only if others have it among their seeds"
+                .to_owned(),
+        );
     }
     if !settings.zones.is_empty() && !settings.zones.contains_key(&settings.zone) {
-        warnings.push(format!(
-            "zone {:?} is not in the table of zones",
-            settings.zone
-        ));
+        warnings.push(format!("zone {:?} is not listed in zones", settings.zone));
     }
     warnings
 }
--- a/system/magpiegap/src/signals.rs
+++ b/system/magpiegap/src/signals.rs
@@ -1,24 +1,24 @@
-//! The signals that the platform and operators send.
+//! Handling of the Unix signals sent by the platform and by operators.
 use crate::error::ProgramError;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// The signals that a process listens for.
+/// The signals that a process handles.
 pub(crate) struct Signals {
-    /// End soon.
+    /// SIGTERM: shut down gracefully.
     pub terminate: Signal,
-    /// The settings file has changed.
+    /// SIGHUP: the settings file has changed.
     pub hangup: Signal,
 }
 
 impl Signals {
-    /// Begins to listen for them.
+    /// Registers the signal handlers.
     ///
     /// # Errors
-    /// When the system refuses.
+    /// When a handler can't be registered.
     pub(crate) fn listen() -> Result<Signals, ProgramError> {
         let open = |kind| {
             signal(kind).map_err(|source| ProgramError::System {
-                what: "signals",
+                context: "signals",
                 source,
             })
         };
@@ -28,8 +28,8 @@
         })
     }
 
-    /// Waits for the order to end. A signal that the settings have changed is logged only.
-    pub(crate) async fn until_terminated(&mut self, hangup_message: &str) {
+    /// Waits for SIGTERM. SIGHUP only logs `hangup_message`.
+    pub(crate) async fn wait_for_termination(&mut self, hangup_message: &str) {
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => return,
--- a/system/magpiegap/src/state_on_disk.rs
+++ b/system/magpiegap/src/state_on_disk.rs
@@ -1,4 +1,4 @@
-//! A coordinator's state on disk, read while that coordinator does not run.
+//! Offline inspection of a coordinator's state on disk; the coordinator must be stopped.
 use crate::error::ProgramError;
 use magpiegap_control::DurableState;
 use magpiegap_coordinator::{Machine, RoleDescription};
@@ -8,36 +8,36 @@
 use serde::Serialize;
 use std::{collections::BTreeMap, fmt, path::Path};
 
-/// The state in a coordinator's data folder. The fields are names of the operator's interface.
+/// The state in a coordinator's data folder. The field names are part of the operator interface: they are the JSON keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct StateOnDisk {
-    /// The incarnation of the disk.
+    /// Identity of the disk.
     pub disk: String,
-    /// How many processes have started on it; zero: it was written by a build that does not count them.
+    /// Number of process starts on this disk; zero if it was written by a build that does not count them.
     pub starts: u64,
-    /// Number of the newest view that it knows.
+    /// Number of the newest known view.
     pub view: u64,
-    /// The chain of that view, head first.
+    /// Replicas in the chain of that view, from head to tail.
     pub chain: Vec<String>,
-    /// Who votes on the next view.
+    /// Members that vote on the next view.
     pub voters: Vec<String>,
-    /// The view up to which it has all that was committed; `None`: it has no state yet.
+    /// The view up to which all committed entries are present; `None` if the state was not received yet.
     pub complete_up_to_view: Option<u64>,
-    /// Records since the snapshot.
+    /// Number of log records after the snapshot.
     pub records: usize,
-    /// The last entry that was known to be committed; jobs and roles are those of the state up to there.
+    /// The last entry known to be committed; `jobs` and `roles` describe the state after applying it.
     pub applied_entry: u64,
-    /// Entries after it, which may be committed or not.
+    /// Number of later entries, which may or may not be committed.
     pub entries_after: usize,
     /// Version of the configuration.
     pub configuration: u64,
     /// The holders of the roles.
     pub roles: Vec<RoleDescription>,
-    /// Numbers of jobs by queue and state.
+    /// Job counts by queue and state.
     pub jobs: BTreeMap<String, BTreeMap<String, usize>>,
-    /// Numbers of runs that may be in progress, by worker.
+    /// Counts of runs that may be in progress, by worker.
     pub runs: BTreeMap<String, usize>,
-    /// Descriptions of what in it contradicts itself.
+    /// Inconsistencies found in the state.
     pub contradictions: Vec<String>,
 }
 
@@ -45,13 +45,13 @@
     /// Reads the state in a coordinator's data folder.
     ///
     /// # Errors
-    /// When there is no state, or it can't be read.
+    /// When there is no state, or it can't be read or decoded.
     pub fn read(folder: &Path) -> Result<StateOnDisk, ProgramError> {
         if !folder.join("slot-0").exists() && !folder.join("slot-1").exists() {
             return Err(ProgramError::NoState(folder.to_owned()));
         }
         let directory = FolderDirectory::new(folder).map_err(|source| ProgramError::System {
-            what: "the state's folder",
+            context: "the state's folder",
             source,
         })?;
         let (_, recovered) = Store::open(directory)?;
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A summary of one line.
+    /// Summarizes the state on one line.
     pub fn summary(&self) -> String {
         let jobs: usize = self.jobs.values().flat_map(BTreeMap::values).sum();
         format!(
--- a/system/magpiegap/src/tables.rs
+++ b/system/magpiegap/src/tables.rs
@@ -1,9 +1,9 @@
-//! Tables for operators of what coordinators describe.
+//! Formats descriptions from coordinators as text tables for operators.
 use magpiegap_coordinator::{ClusterDescription, JobList, SchedulerDescription};
 use std::fmt::Write;
 
-/// Writes rows in columns as wide as their longest fields.
-fn columns(rows: &[Vec<String>]) -> String {
+/// Formats rows as a table; each column is as wide as its longest cell.
+fn format_table(rows: &[Vec<String>]) -> String {
     let count = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |column: usize| {
         rows.iter()
@@ -31,7 +31,7 @@
     cells.iter().map(|cell| (*cell).to_owned()).collect()
 }
 
-/// The table of a list of jobs.
+/// Formats a list of jobs as a table.
 pub fn jobs(list: &JobList) -> String {
     let mut rows = vec![row(&[
         "JOB", "STATE", "PRIORITY", "DONE", "RUNNING", "QUEUE",
@@ -47,14 +47,14 @@
             &job.job, &job.state, &priority, &done, &running, &job.queue,
         ]));
     }
-    let mut text = columns(&rows);
+    let mut text = format_table(&rows);
     if let Some(next) = &list.next {
         let _ = writeln!(text, "there are more: --after {next}");
     }
     text
 }
 
-/// The table of the state of the cluster.
+/// Formats the state of the cluster as a table.
 pub fn cluster(cluster: &ClusterDescription) -> String {
     let activity = if cluster.active {
         "at work"
@@ -91,5 +91,5 @@
         );
         rows.push(row(&["scheduler", &summary]));
     }
-    columns(&rows)
+    format_table(&rows)
 }
--- a/system/magpiegap/tests/cluster_watch.rs
+++ b/system/magpiegap/tests/cluster_watch.rs
@@ -21,7 +21,7 @@
     let cluster = Arc::new(ClusterWatch::new());
     let waiting = tokio::spawn({
         let cluster = cluster.clone();
-        async move { cluster.configured(TIMEOUT).await }
+        async move { cluster.wait_for_configuration(TIMEOUT).await }
     });
     tokio::task::yield_now().await;
     let before = Instant::now();
@@ -37,7 +37,7 @@
 async fn given_no_configuration_when_none_comes_then_a_request_waits_no_longer_than_it_may() {
     let cluster = ClusterWatch::new();
     let before = Instant::now();
-    let known = cluster.configured(TIMEOUT).await;
+    let known = cluster.wait_for_configuration(TIMEOUT).await;
     expect_that!(known.configuration.is_none(), eq(true));
     expect_that!(
         before.elapsed(),
@@ -52,7 +52,11 @@
     cluster.update_configuration(configuration());
     let before = Instant::now();
     expect_that!(
-        cluster.configured(TIMEOUT).await.configuration.is_some(),
+        cluster
+            .wait_for_configuration(TIMEOUT)
+            .await
+            .configuration
+            .is_some(),
         eq(true)
     );
     expect_that!(before.elapsed(), eq(Duration::ZERO));
--- a/system/magpiegap/tests/settings.rs
+++ b/system/magpiegap/tests/settings.rs
@@ -75,7 +75,7 @@
 fn given_several_faults_when_settings_are_checked_then_all_are_named() {
     let text = FINE.replace("maxHoldMs = 6000", "maxHoldMs = -1") + "[faultTolerance]\nzones = 9\n";
     let report = SettingsReport::of(&file("several", &text)).unwrap();
-    expect_that!(report.is_fine(), eq(false));
+    expect_that!(report.is_valid(), eq(false));
     let fields: Vec<&str> = report
         .faults
         .iter()
@@ -95,7 +95,7 @@
 fn given_fields_of_others_when_settings_are_checked_then_they_are_reported_and_ignored() {
     let text = FINE.replace("[bounds]", "[bounds]\nlater_ms = 3");
     let report = SettingsReport::of(&file("unused", &text)).unwrap();
-    expect_that!(report.is_fine(), eq(true));
+    expect_that!(report.is_valid(), eq(true));
     expect_that!(
         report.unused,
         elements_are![eq("bounds.later_ms"), eq("someLaterField")]
@@ -111,7 +111,7 @@
     );
     let text = text + "[zones]\nb = \"region\"\n";
     let report = SettingsReport::of(&file("commands", &text)).unwrap();
-    expect_that!(report.is_fine(), eq(true));
+    expect_that!(report.is_valid(), eq(true));
     expect_that!(
         report.warnings,
         elements_are![
