--- a/system/magpiegap/src/operator_call.rs
+++ b/system/magpiegap/src/operator_call.rs
@@ -46,7 +46,7 @@
         /// The response body.
         text: String,
     },
-    /// The call was redirected more than [`MAX_REDIRECTS`] times.
+    /// The call was redirected too many times.
     #[error("{url}: too many redirects")]
     TooManyRedirects {
         /// The URL of the last redirect.
--- a/system/magpiegap/src/settings.rs
+++ b/system/magpiegap/src/settings.rs
@@ -124,7 +124,7 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
-    /// Time from SIGTERM until the platform kills a process, in seconds.
+    /// Grace period of a process after SIGTERM, in seconds.
     #[serde(rename = "graceS")]
     pub grace_s: f64,
     /// Maximum duration of a lease on a worker, in milliseconds.
--- a/system/magpiegap/tests/data_folder/reading.rs
+++ b/system/magpiegap/tests/data_folder/reading.rs
@@ -39,7 +39,7 @@
 }
 
 #[googletest::test]
-fn a_stored_folder_is_described_with_the_same_values() {
+fn stored_folder_is_described_with_the_same_values() {
     let shown = StateOnDisk::read(&stored_folder("shown")).unwrap();
     let role = |role: &str, holder: &str, token| RoleDescription {
         role: role.to_owned(),
@@ -80,7 +80,7 @@
 }
 
 #[googletest::test]
-fn a_stored_folder_gives_the_complete_state_and_all_entries() {
+fn a_stored_folder_gives_complete_state_and_entries() {
     let entries = entries();
     let directory = FolderDirectory::new(&stored_folder("complete")).unwrap();
     let (_, recovered) = Store::open(directory).unwrap();
@@ -105,7 +105,7 @@
 
 /// A coordinator falls back to the previous snapshot when writing the newest one was interrupted.
 #[googletest::test]
-fn the_previous_stored_snapshot_and_its_log_are_recovered() {
+fn previous_stored_snapshot_and_its_log_are_recovered() {
     let folder = stored_folder("previous");
     std::fs::write(folder.join("slot-0"), []).unwrap();
     std::fs::write(folder.join("log-0"), []).unwrap();
--- a/system/magpiegap/tests/endpoint.rs
+++ b/system/magpiegap/tests/endpoint.rs
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn a_late_response_does_not_reach_the_next_call() {
+async fn next_call_ignores_a_late_response() {
     let (listener, address) = listen().await;
     let (ended, call_ended) = tokio::sync::oneshot::channel::<()>();
     tokio::spawn(async move {
--- a/system/magpiegap/tests/job_bodies.rs
+++ b/system/magpiegap/tests/job_bodies.rs
@@ -78,7 +78,7 @@
 }
 
 #[googletest::test]
-fn a_job_or_any_step_can_be_long_running() {
+fn job_or_any_step_can_be_long_running() {
     let one = StepSpec {
         count: 1,
         ..StepSpec::default()
--- a/system/magpiegap/tests/worker_connections.rs
+++ b/system/magpiegap/tests/worker_connections.rs
@@ -144,7 +144,7 @@
 }
 
 #[tokio::test]
-async fn a_late_response_does_not_reach_the_next_call() {
+async fn next_call_ignores_a_late_response() {
     let (listener, address) = listen().await;
     let (ended, call_ended) = tokio::sync::oneshot::channel::<()>();
     tokio::spawn(async move {
@@ -174,7 +174,7 @@
 }
 
 #[tokio::test]
-async fn a_duplicate_response_does_not_reach_the_next_call() {
+async fn next_call_ignores_a_duplicate_response() {
     let (listener, address) = listen().await;
     tokio::spawn(async move {
         let (mut first, _) = listener.accept().await.expect("a connection");
