--- a/system/demo/src/worker_server.rs
+++ b/system/demo/src/worker_server.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a worker: the in-memory fleet's worker behind the protocol's HTTP calls.
+//! An emulated worker: the in-memory fleet's worker behind the HTTP interface of the worker protocol.
 use crate::{
     error::DemoError,
     http_server::{serve, Request, Response},
@@ -14,7 +14,7 @@
 };
 use tokio::{net::TcpListener, sync::mpsc::UnboundedSender, task::JoinHandle, time::Instant};
 
-/// The longest lease on a worker, in milliseconds.
+/// Maximum duration of a worker lease, in milliseconds.
 pub(crate) const MAX_LEASE_MS: u64 = 6000;
 /// The capacity of each worker.
 const CAPACITY: Resources = Resources {
@@ -22,35 +22,35 @@
     memory_mb: 16_000,
     gpu: 0,
 };
-/// How often a long poll looks for a completion.
+/// Interval at which a long poll checks for a completion.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// How far the clocks of two workers with neighbouring numbers are apart, in milliseconds.
+/// Difference between the clocks of consecutive workers, in milliseconds.
 const CLOCK_OFFSET_MS: u64 = 100_000;
-/// Workers of a rack.
+/// Number of workers per rack.
 const RACK_SIZE: u16 = 8;
 
-/// An event of a run on a worker.
+/// A run event on a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkerEvent {
     /// The worker's incarnation.
     pub incarnation: String,
-    /// When, in milliseconds since the demo began.
+    /// Time of the event, in milliseconds since the demo started.
     pub at: u64,
-    /// What.
+    /// The event.
     pub run_event: RunEvent,
 }
 
-/// A worker that serves.
+/// A worker that is serving requests.
 pub(crate) struct RunningWorker {
-    /// As the platform lists it.
+    /// The worker's entry in the platform's list.
     pub entry: WorkerEntry,
     server: JoinHandle<()>,
 }
 
-/// What the handlers of a worker's requests share.
+/// State shared by the request handlers of a worker.
 struct Shared {
     worker: Mutex<Worker>,
-    began: Instant,
+    started_at: Instant,
     events: UnboundedSender<WorkerEvent>,
 }
 
@@ -58,18 +58,18 @@
     /// Starts a worker.
     ///
     /// # Errors
-    /// When no port is available.
+    /// If no port is available.
     pub(crate) async fn start(
         number: u16,
-        began: Instant,
+        started_at: Instant,
         events: UnboundedSender<WorkerEvent>,
     ) -> Result<RunningWorker, DemoError> {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
-            .map_err(DemoError::system("a worker's port"))?;
+            .map_err(DemoError::system("listening on a worker's port"))?;
         let address = listener
             .local_addr()
-            .map_err(DemoError::system("a worker's port"))?;
+            .map_err(DemoError::system("listening on a worker's port"))?;
         let entry = WorkerEntry {
             incarnation: format!("w-{number}"),
             service: "pages".to_owned(),
@@ -80,14 +80,14 @@
             ..WorkerEntry::default()
         };
         let settings = WorkerSettings {
-            guards: true,
+            enforces_capacity: true,
             clock_offset_ms: CLOCK_OFFSET_MS * u64::from(number),
             clock_rate_permille: 1000,
             max_lease_ms: MAX_LEASE_MS,
         };
         let shared = Arc::new(Shared {
             worker: Mutex::new(Worker::new(entry.clone(), settings)),
-            began,
+            started_at,
             events,
         });
         let server = serve(listener, move |request| {
@@ -96,7 +96,7 @@
         Ok(RunningWorker { entry, server })
     }
 
-    /// Ends the worker with all that it runs.
+    /// Stops the worker and all of its runs.
     pub(crate) fn crash(self) {
         self.server.abort();
     }
@@ -126,9 +126,9 @@
 }
 
 impl Shared {
-    /// Milliseconds since the demo began.
+    /// Milliseconds since the demo started.
     fn now(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
     fn worker(&self) -> MutexGuard<'_, Worker> {
@@ -158,8 +158,8 @@
     }
 }
 
-/// The work that a start order means. Workers of the demo do not speak with each other: members of a gang work each by
-/// itself.
+/// Returns the work of a start order. The demo's workers do not communicate with each other, so each gang member works
+/// independently.
 fn find_work(order: &WorkerOrder) -> Option<Work> {
     let WorkerOrder::Start { task, spec, .. } = order else {
         return None;
--- a/system/fleet/src/active_faults.rs
+++ b/system/fleet/src/active_faults.rs
@@ -1,26 +1,26 @@
-//! Faults in force: which links, disks and calls are affected now. What a fault is stands in `faults`; when it ends is
-//! an event.
+//! The links, disks and worker calls that are currently affected by faults. `faults` defines the faults; the end of a
+//! fault is a scheduled event.
 use crate::faults::WorkerPartitionScope;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time that a healthy disk takes for a sync, in milliseconds.
+/// Duration of a sync on a healthy disk, in milliseconds.
 const SYNC_MS: u64 = 10;
 
-/// The direction from one core machine to another.
+/// The link from one node to another, in one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Link {
     pub from: usize,
     pub to: usize,
 }
 
-/// The faults that last for a time.
+/// The faults that are currently active.
 #[derive(Debug, Default)]
 pub(crate) struct ActiveFaults {
     partitions: BTreeSet<Link>,
     worker_partitions: BTreeMap<usize, WorkerPartitionScope>,
-    /// Time that a sync takes on slow disks, in milliseconds, by core machine.
+    /// Duration of a sync on each slow disk, in milliseconds, by node.
     slow_disks: BTreeMap<usize, u64>,
-    /// Hundredths of the workers' calls that arrive late.
+    /// Percentage of worker calls that are delayed.
     delayed_order_percent: u32,
 }
 
@@ -45,7 +45,7 @@
         self.worker_partitions.remove(&worker);
     }
 
-    /// What a worker is cut off from; `None`: it is reachable.
+    /// Which messages of a worker are lost, or `None` if it is reachable.
     pub(crate) fn worker_partition(&self, worker: usize) -> Option<WorkerPartitionScope> {
         self.worker_partitions.get(&worker).copied()
     }
@@ -58,7 +58,7 @@
         self.slow_disks.remove(&node);
     }
 
-    /// Time that a sync takes on a machine's disk now, in milliseconds.
+    /// Current duration of a sync on a node's disk, in milliseconds.
     pub(crate) fn sync_ms(&self, node: usize) -> u64 {
         self.slow_disks.get(&node).copied().unwrap_or(SYNC_MS)
     }
--- a/system/fleet/src/client.rs
+++ b/system/fleet/src/client.rs
@@ -1,17 +1,18 @@
-//! Clients and operators: what they want, and how far they have got. Which coordinator they ask is the fleet's.
+//! State of clients and operators: their pending requests and the responses received. The fleet chooses the
+//! coordinator that each request is sent to.
 use magpiegap_protocol::{
     fnv1a, CoordinatorRequest, CoordinatorResponse, JobId, JobPhase, Submission, TaskId,
 };
 
-/// One job, from a client's side.
+/// One job as seen by its client.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientJob {
     pub submission: Submission,
     pub cancel_at: Option<u64>,
     pub accepted: bool,
-    /// How often it was submitted.
+    /// Number of submissions sent.
     pub attempts: u32,
-    /// Its only attempt was rejected: nothing of it may ever run.
+    /// Whether the only submission was rejected, so that no task of the job may ever run.
     pub rejected: bool,
     pub cancelled: bool,
     pub phase: Option<JobPhase>,
@@ -19,7 +20,7 @@
 }
 
 impl ClientJob {
-    /// A job that is submitted at `submit_at`.
+    /// Creates a job that is submitted at `submit_at`.
     pub(crate) fn new(submission: Submission, submit_at: u64, cancel_at: Option<u64>) -> ClientJob {
         ClientJob {
             submission,
@@ -37,12 +38,12 @@
         self.submission.job
     }
 
-    /// Whether its client does not come back once it was rejected.
+    /// Whether the client does not retry a rejected submission.
     fn gives_up_when_rejected(&self) -> bool {
         self.submission.job.0.is_multiple_of(5)
     }
 
-    /// Whether nothing more is to be requested.
+    /// Whether the client has no more requests to send.
     pub(crate) fn is_finished(&self) -> bool {
         self.rejected || self.phase.is_some_and(JobPhase::is_terminal)
     }
@@ -65,7 +66,7 @@
         tasks
     }
 
-    /// What to request next.
+    /// Returns the next request to send.
     pub(crate) fn next_request(&self, now: u64) -> CoordinatorRequest {
         let queue = self.submission.queue.clone();
         if !self.accepted {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Takes the response to a request.
+    /// Updates the job from the response to a request.
     pub(crate) fn handle_response(
         &mut self,
         request: &CoordinatorRequest,
@@ -103,7 +104,7 @@
     }
 }
 
-/// An operator's request to replace the configuration; it is sent again unchanged until it has a clear response.
+/// An operator's request to replace the configuration; it is resent unchanged until it is accepted or rejected.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ConfigurationChange {
     pub base: u64,
@@ -112,14 +113,15 @@
 }
 
 impl ConfigurationChange {
-    /// The change of an operator that builds on a version. Sometimes all operators choose the same number.
+    /// Creates an operator's change based on version `base`. If `base` is a multiple of 3, all operators choose the
+    /// same new version number, so that their changes conflict.
     pub(crate) fn new(operator: usize, base: u64, size: ConfigurationSize) -> ConfigurationChange {
-        let own_number = if base.is_multiple_of(3) {
+        let version_offset = if base.is_multiple_of(3) {
             0
         } else {
             operator as u64
         };
-        let version = base + 1 + own_number;
+        let version = base + 1 + version_offset;
         let body = configuration_body(operator, base, version, size);
         ConfigurationChange {
             base,
@@ -129,25 +131,25 @@
     }
 }
 
-/// An operator.
+/// An operator that changes the configuration.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Operator {
-    /// The change that has no clear response yet.
+    /// The change that has been neither accepted nor rejected.
     pub pending_change: Option<ConfigurationChange>,
     pub next_request_at: u64,
 }
 
-/// How large the configurations of operators are.
+/// The size of the configurations that operators send.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConfigurationSize {
-    /// Bytes without meaning.
+    /// Size of the comment that pads the configuration, in bytes.
     pub padding: usize,
-    /// Routes beside the one that is used.
+    /// Number of unused routes.
     pub routes: u64,
 }
 
-/// A route that no client uses; some of them differ from version to version.
-fn idle_route(number: u64, version: u64) -> String {
+/// Returns an unused route. Every 50th route changes with each version.
+fn unused_route(number: u64, version: u64) -> String {
     let name = fnv1a(&number.to_le_bytes());
     let timeout_ms = if number.is_multiple_of(50) {
         1000 + version
@@ -159,19 +161,20 @@
     )
 }
 
-/// A configuration with one service and one queue that is used; each change has another one.
+/// Returns a configuration with one service and one used queue. Each combination of operator, base and version has a
+/// distinct body.
 fn configuration_body(
     operator: usize,
     base: u64,
     version: u64,
     size: ConfigurationSize,
 ) -> Vec<u8> {
-    let idle: String = (0..size.routes)
-        .map(|number| idle_route(number, version))
+    let unused: String = (0..size.routes)
+        .map(|number| unused_route(number, version))
         .collect();
     format!(
         "{{\"version\":{version},\"routes\":[{{\"name\":\"q\",\"hostname\":\"h\",\"pathPrefix\":\"/q/\",\
-         \"timeoutMs\":{},\"service\":\"s\",\"maxAttempts\":3,\"stretch\":2.0}}{idle}],\
+         \"timeoutMs\":{},\"service\":\"s\",\"maxAttempts\":3,\"stretch\":2.0}}{unused}],\
          \"services\":[{{\"name\":\"s\",\"guards\":true}}],\"comment\":\"on {base} {}\"}}",
         1000 + version + 100_000 * operator as u64,
         "x".repeat(size.padding)
--- a/system/fleet/src/disk.rs
+++ b/system/fleet/src/disk.rs
@@ -1,15 +1,15 @@
-//! A simulated disk: what is synced lasts, what is only written may be lost with the power.
+//! A simulated disk: synced writes are durable; unsynced writes may be lost in a power loss.
 use magpiegap_control::{DurableRecord, DurableState};
 use rand::{rngs::StdRng, Rng};
 
-/// Content of a write.
+/// The content of a write.
 #[derive(Clone, Debug)]
 pub(crate) enum WriteContent {
     Records(Vec<DurableRecord>),
     Checkpoint(Box<DurableState>),
 }
 
-/// A write that is not synced yet.
+/// A write that has not been synced.
 #[derive(Clone, Debug)]
 struct PendingWrite {
     ticket: u64,
@@ -20,12 +20,12 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Disk {
     durable: Option<DurableState>,
-    /// By rising ticket.
+    /// In ascending order of tickets.
     pending: Vec<PendingWrite>,
 }
 
 impl Disk {
-    /// A disk that holds a state.
+    /// Creates a disk with a durable state.
     pub(crate) fn new(state: DurableState) -> Disk {
         Disk {
             durable: Some(state),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Takes a write that is not synced yet.
+    /// Adds an unsynced write.
     pub(crate) fn write(&mut self, ticket: u64, content: WriteContent) {
         self.pending.push(PendingWrite { ticket, content });
     }
@@ -56,19 +56,19 @@
         }
     }
 
-    /// Kills the process: the files stay as they were written.
+    /// Applies a process kill: the operating system still writes everything, so no write is lost.
     pub(crate) fn kill_process(&mut self) {
         self.sync(u64::MAX);
     }
 
-    /// Cuts the power: of what was not synced, some prefix survives.
+    /// Applies a power loss: a random prefix of the unsynced writes survives.
     pub(crate) fn lose_power(&mut self, random: &mut StdRng) {
         let survivors = random.gen_range(0..=self.pending.len());
         self.pending.truncate(survivors);
         self.sync(u64::MAX);
     }
 
-    /// A copy of what outlasts a loss of power.
+    /// Returns a copy that contains only the synced writes.
     pub(crate) fn synced(&self) -> Disk {
         Disk {
             durable: self.durable.clone(),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// What is on the disk; `None`: it is empty.
+    /// The durable state, or `None` if the disk is empty.
     pub(crate) fn state(&self) -> Option<DurableState> {
         self.durable.clone()
     }
--- a/system/fleet/src/edge.rs
+++ b/system/fleet/src/edge.rs
@@ -1,44 +1,44 @@
-//! An edge of the fleet: an agent that follows configurations, on a link with a rate and a queue. Which coordinator
-//! answers its calls is the fleet's.
+//! An edge: an agent that follows configurations over a link with limited bandwidth and a queue. The fleet routes its
+//! calls to coordinators.
 use magpiegap_distribution::{Agent, AgentSettings, Call, CallFailure, CallId};
 use magpiegap_jobs::Configuration;
 use magpiegap_protocol::{encode, CoordinatorResponse};
 
-/// What the headers of HTTP and TCP add to a response, in bytes.
+/// Overhead of the HTTP and TCP headers of a response, in bytes.
 const HEADER_BYTES: u64 = 300;
-/// Bytes after which the first segment of a response has arrived.
+/// Size of the first TCP segment of a response, in bytes.
 const FIRST_SEGMENT_BYTES: u64 = 1460;
-/// One way between an edge and a core machine, in milliseconds.
+/// One-way latency between an edge and a node, in milliseconds.
 const LINK_DELAY_MS: u64 = 5;
-/// How many coordinators an agent polls at the same time.
+/// Number of coordinators that an agent polls concurrently.
 const LINKS: usize = 2;
 
-/// A response on its way over an edge's link.
+/// A response in transit on an edge's link.
 struct InTransit {
     response: CoordinatorResponse,
     first_byte_at: u64,
     complete_at: u64,
 }
 
-/// A call of an agent that has no outcome yet.
+/// A call of an agent that is in flight.
 struct PendingCall {
     call: Call,
     started_at: u64,
     in_transit: Option<InTransit>,
 }
 
-/// An edge: its agent and its link.
+/// An edge with its agent and its link.
 pub(crate) struct Edge {
     pub agent: Agent,
     calls: Vec<PendingCall>,
-    /// When the link has carried all that is queued on it.
+    /// When the link has transmitted everything queued on it.
     link_free_at: u64,
-    /// The newest configuration version that was ever in force here.
+    /// The newest configuration version that has been active on this edge.
     pub newest_version: u64,
 }
 
 impl Edge {
-    /// An edge that knows only the addresses of some coordinators.
+    /// Creates an edge that knows only the addresses of its seeds.
     pub(crate) fn new(number: usize, seeds: Vec<u32>) -> Edge {
         let settings = AgentSettings {
             own_address: number as u32,
@@ -53,12 +53,12 @@
         }
     }
 
-    /// The version in force.
+    /// The active configuration version.
     pub(crate) fn version(&self) -> u64 {
         self.agent.configuration().version
     }
 
-    /// The configuration in force.
+    /// The active configuration.
     pub(crate) fn configuration(&self) -> &Configuration {
         self.agent.configuration()
     }
@@ -72,7 +72,7 @@
         });
     }
 
-    /// Queues a response on the link, behind all that it carries already.
+    /// Queues a response on the link, behind the responses already queued.
     pub(crate) fn queue_response(
         &mut self,
         id: CallId,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Ends the calls whose responses are complete, and those that have timed out.
+    /// Completes the calls whose responses have fully arrived, and fails those that have timed out.
     pub(crate) fn on_timeout(&mut self, now: u64) {
         let (finished, pending): (Vec<PendingCall>, Vec<PendingCall>) =
             std::mem::take(&mut self.calls)
@@ -113,7 +113,7 @@
 }
 
 impl PendingCall {
-    /// Whether the response is complete, or its first byte has not come in time.
+    /// Whether the response has fully arrived, or its first byte has missed the timeout.
     fn is_finished(&self, now: u64) -> bool {
         let times_out_at = self.started_at + self.call.first_byte_timeout_ms;
         match &self.in_transit {
--- a/system/fleet/src/events.rs
+++ b/system/fleet/src/events.rs
@@ -1,18 +1,18 @@
-//! Events of simulated time, and the queue that holds them until they are due. Handling them is the fleet's.
+//! Simulated events, and the queue that orders them by time. The fleet handles them.
 use crate::active_faults::Link;
 use magpiegap_protocol::{FencingToken, PeerMessage, ReplicaId};
 use magpiegap_scheduler::{WorkerCall, WorkerReply};
 use std::collections::BTreeMap;
 
-/// One process of a core machine; events that are meant for an earlier process are dropped.
+/// One process of a node; events for an earlier process of the node are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ProcessId {
     pub node: usize,
-    /// Counts the starts and stops of the machine's process.
+    /// The node's incarnation when the process started.
     pub incarnation: u64,
 }
 
-/// The scheduler that has made a call to a worker.
+/// The scheduler that made a call to a worker.
 #[derive(Clone)]
 pub(crate) struct Caller {
     pub process: ProcessId,
@@ -20,23 +20,23 @@
     pub token: FencingToken,
 }
 
-/// Something that happens at a moment of simulated time.
+/// An event that occurs at a point in simulated time.
 pub(crate) enum Event {
-    /// A message reaches a core machine.
+    /// A peer message reaches a node.
     PeerMessage {
         to: usize,
         from: ReplicaId,
         message: PeerMessage,
     },
-    /// A disk has synced all writes up to a ticket.
+    /// A disk has synced all writes up to `ticket`.
     Synced { process: ProcessId, ticket: u64 },
-    /// A call reaches a worker; without a caller nobody waits for the reply any more.
+    /// A call reaches a worker. Without a caller, the reply is dropped.
     WorkerCall {
         worker: usize,
         caller: Option<Caller>,
         call: WorkerCall,
     },
-    /// A lease renewal that is answered at the next completion, or at the end of its long poll.
+    /// A lease renewal that is answered at the next completion or when its long poll times out.
     LongPoll {
         worker: usize,
         caller: Caller,
@@ -49,33 +49,33 @@
         call: u64,
         reply: WorkerReply,
     },
-    /// The platform answers with its list of workers.
+    /// The platform replies with its list of workers.
     PlatformReply { process: ProcessId, call: u64 },
-    /// A fault is over.
+    /// A fault ends.
     Restore(Restore),
 }
 
-/// What a fault had broken and is restored.
+/// The component that is restored when a fault ends.
 pub(crate) enum Restore {
-    /// The link from one core machine to another.
+    /// The link from one node to another.
     Link(Link),
-    /// A worker that had crashed; it comes back as another incarnation.
+    /// A crashed worker, which restarts as a new incarnation.
     Worker(usize),
     WorkerLink(usize),
     DiskSpeed(usize),
     OrderDelay,
-    /// A process that was told to drain is ended, if it has not ended yet.
+    /// The drain timeout of a process: it is stopped if it is still running.
     DrainDeadline(ProcessId),
 }
 
-/// Events in the order of their times; those of the same time in the order in which they were scheduled.
+/// Events ordered by time; events at the same time are in the order in which they were scheduled.
 #[derive(Default)]
 pub(crate) struct EventQueue {
     last_sequence: u64,
     entries: BTreeMap<EventKey, Event>,
 }
 
-/// The order of events.
+/// The sort key of an event.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EventKey {
     at: u64,
@@ -93,7 +93,7 @@
         self.entries.insert(key, event);
     }
 
-    /// Takes the first event whose time has come.
+    /// Removes and returns the first event that is due.
     pub(crate) fn pop_due(&mut self, now: u64) -> Option<Event> {
         let first = self.entries.first_entry()?;
         (first.key().at <= now).then(|| first.remove())
--- a/system/fleet/src/faults.rs
+++ b/system/fleet/src/faults.rs
@@ -1,7 +1,7 @@
-//! Faults that can be injected into a fleet. Injecting them is the fleet's.
+//! Definitions of the faults that a fleet can inject.
 use rand::{rngs::StdRng, Rng};
 
-/// What a partitioned worker loses.
+/// Which messages of a partitioned worker are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerPartitionScope {
     /// Calls do not reach the worker.
@@ -13,157 +13,159 @@
 /// One fault. Durations are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A process is killed; it starts again after this many milliseconds.
+    /// The process is killed and restarts later.
     Kill {
-        /// Which core machine.
+        /// The affected node.
         node: usize,
-        /// Until it starts again.
-        for_ms: u64,
+        /// Time until the node restarts.
+        duration_ms: u64,
     },
-    /// A machine loses power, and what its disk had not synced.
+    /// The node loses power; unsynced writes may be lost.
     PowerLoss {
-        /// Which core machine.
+        /// The affected node.
         node: usize,
-        /// Until it starts again.
-        for_ms: u64,
+        /// Time until the node restarts.
+        duration_ms: u64,
     },
-    /// A machine loses power and its disk.
+    /// The node loses power, and its disk is wiped.
     Wipe {
-        /// Which core machine.
+        /// The affected node.
         node: usize,
-        /// Until it starts again, empty.
-        for_ms: u64,
+        /// Time until the node restarts with an empty disk.
+        duration_ms: u64,
     },
-    /// A machine loses power, and its disk is put back from the copy that was taken of it; without one it is wiped.
-    PutBack {
-        /// Which core machine.
+    /// The node loses power, and its disk is rolled back to the last backup, or wiped if there is none.
+    RollBackDisk {
+        /// The affected node.
         node: usize,
-        /// Until it starts again.
-        for_ms: u64,
+        /// Time until the node restarts.
+        duration_ms: u64,
     },
-    /// All core machines lose power.
-    PowerLossOfAll {
-        /// Until they start again.
-        for_ms: u64,
+    /// All nodes lose power.
+    TotalPowerLoss {
+        /// Time until the nodes restart; each adds a random delay.
+        duration_ms: u64,
     },
-    /// A process is frozen: it does nothing, and what is meant for it waits.
+    /// The process is frozen: it handles no input, and its inputs are delayed.
     Freeze {
-        /// Which core machine.
+        /// The affected node.
         node: usize,
-        /// For how long.
-        for_ms: u64,
+        /// Duration of the fault.
+        duration_ms: u64,
     },
-    /// Messages from one core machine to another are lost.
+    /// Messages from one node to another are lost.
     Partition {
-        /// From.
+        /// The sending node.
         from: usize,
-        /// To.
+        /// The receiving node.
         to: usize,
-        /// For how long.
-        for_ms: u64,
+        /// Duration of the fault.
+        duration_ms: u64,
     },
     /// Calls to a worker or its replies are lost.
     WorkerPartition {
-        /// Which worker.
+        /// The affected worker.
         worker: usize,
-        /// Which of them are lost.
+        /// Which messages are lost.
         scope: WorkerPartitionScope,
-        /// For how long.
-        for_ms: u64,
+        /// Duration of the fault.
+        duration_ms: u64,
     },
-    /// A worker crashes and comes back as another incarnation.
+    /// The worker crashes and restarts as a new incarnation.
     WorkerCrash {
-        /// Which worker.
+        /// The affected worker.
         worker: usize,
-        /// Until it is back.
-        for_ms: u64,
+        /// Time until the worker restarts.
+        duration_ms: u64,
     },
-    /// A share of the calls to workers is carried out late, and not answered.
+    /// A percentage of the calls to workers is executed late, and the replies are lost.
     DelayedOrders {
-        /// Hundredths.
+        /// Percentage of the calls.
         percent: u32,
-        /// For how long.
-        for_ms: u64,
+        /// Duration of the fault.
+        duration_ms: u64,
     },
     /// A disk is slow.
     SlowDisk {
-        /// Which core machine.
+        /// The affected node.
         node: usize,
-        /// Time of each sync.
+        /// Duration of a sync, in milliseconds.
         sync_ms: u64,
-        /// For how long.
-        for_ms: u64,
+        /// Duration of the fault.
+        duration_ms: u64,
     },
-    /// A core machine is partitioned from all other core machines, both ways; clients and workers reach it.
+    /// The node is partitioned from all other nodes in both directions; clients and workers still reach it.
     Isolate {
-        /// Which core machine.
+        /// The affected node.
         node: usize,
-        /// For how long.
-        for_ms: u64,
+        /// Duration of the fault.
+        duration_ms: u64,
     },
-    /// A process is drained, ends and starts again.
+    /// The process drains, stops and restarts.
     Drain {
-        /// Which core machine.
+        /// The affected node.
         node: usize,
-        /// Until it starts again, after its end.
-        for_ms: u64,
+        /// Time between the stop and the restart.
+        duration_ms: u64,
     },
-    /// A machine is removed for good; an empty one replaces it at another address.
+    /// The node is removed permanently and replaced by an empty one at a new address.
     Replace {
-        /// Which core machine.
+        /// The affected node.
         node: usize,
-        /// Until the replacement starts.
-        for_ms: u64,
+        /// Time until the replacement starts.
+        duration_ms: u64,
     },
-    /// The time of day jumps on a core machine.
+    /// The wall clock of a node jumps.
     ClockStep {
-        /// Which core machine.
+        /// The affected node.
         node: usize,
-        /// By this many milliseconds.
+        /// Size of the jump, in milliseconds.
         by_ms: i64,
     },
 }
 
 impl Fault {
-    /// How long the fault itself lasts, in milliseconds; what it brings about may last longer.
+    /// Duration of the fault itself, in milliseconds; its effects may last longer.
     pub fn duration_ms(&self) -> u64 {
         match *self {
-            Fault::Kill { for_ms, .. }
-            | Fault::PowerLoss { for_ms, .. }
-            | Fault::Wipe { for_ms, .. }
-            | Fault::PutBack { for_ms, .. }
-            | Fault::PowerLossOfAll { for_ms }
-            | Fault::Freeze { for_ms, .. }
-            | Fault::Partition { for_ms, .. }
-            | Fault::WorkerPartition { for_ms, .. }
-            | Fault::WorkerCrash { for_ms, .. }
-            | Fault::DelayedOrders { for_ms, .. }
-            | Fault::SlowDisk { for_ms, .. }
-            | Fault::Isolate { for_ms, .. }
-            | Fault::Drain { for_ms, .. }
-            | Fault::Replace { for_ms, .. } => for_ms,
+            Fault::Kill { duration_ms, .. }
+            | Fault::PowerLoss { duration_ms, .. }
+            | Fault::Wipe { duration_ms, .. }
+            | Fault::RollBackDisk { duration_ms, .. }
+            | Fault::TotalPowerLoss { duration_ms }
+            | Fault::Freeze { duration_ms, .. }
+            | Fault::Partition { duration_ms, .. }
+            | Fault::WorkerPartition { duration_ms, .. }
+            | Fault::WorkerCrash { duration_ms, .. }
+            | Fault::DelayedOrders { duration_ms, .. }
+            | Fault::SlowDisk { duration_ms, .. }
+            | Fault::Isolate { duration_ms, .. }
+            | Fault::Drain { duration_ms, .. }
+            | Fault::Replace { duration_ms, .. } => duration_ms,
             Fault::ClockStep { .. } => 0,
         }
     }
 
-    /// Draws a fault for a fleet of this size.
+    /// Draws a random fault for a fleet with `nodes` nodes and `workers` workers.
     pub fn random(random: &mut StdRng, nodes: usize, workers: usize) -> Fault {
         let node = random.gen_range(0..nodes);
         let worker = random.gen_range(0..workers);
-        let for_ms = random.gen_range(100..5000);
+        let duration_ms = random.gen_range(100..5000);
         match random.gen_range(0..18) {
             0 | 1 => Fault::Kill {
                 node,
-                for_ms: for_ms / 4,
+                duration_ms: duration_ms / 4,
             },
-            2 => Fault::PowerLoss { node, for_ms },
-            3 => Fault::Wipe { node, for_ms },
-            4 => Fault::PowerLossOfAll { for_ms: for_ms * 2 },
-            5 | 6 => Fault::Freeze { node, for_ms },
+            2 => Fault::PowerLoss { node, duration_ms },
+            3 => Fault::Wipe { node, duration_ms },
+            4 => Fault::TotalPowerLoss {
+                duration_ms: duration_ms * 2,
+            },
+            5 | 6 => Fault::Freeze { node, duration_ms },
             7 | 8 => Fault::Partition {
                 from: node,
                 to: (node + random.gen_range(1..nodes)) % nodes,
-                for_ms,
+                duration_ms,
             },
             9 => Fault::WorkerPartition {
                 worker,
@@ -172,26 +174,29 @@
                 } else {
                     WorkerPartitionScope::Calls
                 },
-                for_ms: for_ms * 2,
+                duration_ms: duration_ms * 2,
             },
             11 => Fault::SlowDisk {
                 node,
                 sync_ms: random.gen_range(50..3000),
-                for_ms,
+                duration_ms,
             },
             12 => Fault::ClockStep {
                 node,
                 by_ms: random.gen_range(-3000..3000),
             },
-            10 => Fault::WorkerCrash { worker, for_ms },
-            13 => Fault::Isolate { node, for_ms },
+            10 => Fault::WorkerCrash {
+                worker,
+                duration_ms,
+            },
+            13 => Fault::Isolate { node, duration_ms },
             14 => Fault::Drain {
                 node,
-                for_ms: for_ms / 4,
+                duration_ms: duration_ms / 4,
             },
             _ => Fault::DelayedOrders {
                 percent: random.gen_range(3..60),
-                for_ms: 2 * for_ms,
+                duration_ms: 2 * duration_ms,
             },
         }
     }
--- a/system/fleet/src/fleet.rs
+++ b/system/fleet/src/fleet.rs
@@ -1,8 +1,9 @@
-//! The fleet: simulated time, network, disks and clocks around the state machines.
+//! The simulation loop: advances simulated time and drives the state machines.
 //!
-//! This module owns the parts and the passing of time. Each child module carries out one kind of interaction: what
-//! reaches coordinators (`delivery`), their processes (`processes`), faults (`fault_injection`), requests of clients,
-//! operators and observers (`requests`), those of edges (`edges`), calls to workers (`worker_calls`), gangs (`gangs`).
+//! This module owns the simulated components and the clock. Each child module implements one kind of interaction:
+//! inputs and outputs of coordinators (`delivery`), process starts and stops (`processes`), faults (`fault_injection`),
+//! requests of clients, operators and observers (`requests`), requests of edges (`edges`), calls to workers
+//! (`worker_calls`) and gang scheduling (`gangs`).
 mod delivery;
 mod edges;
 mod fault_injection;
@@ -38,23 +39,23 @@
 
 /// Length of one step of simulated time, in milliseconds.
 const STEP_MS: u64 = 5;
-/// The longest lease on a worker, in milliseconds.
+/// Maximum duration of a worker lease, in milliseconds.
 const MAX_LEASE_MS: u64 = 6000;
-/// Runs of a task that may fail.
+/// Number of failed runs after which a task fails.
 const MAX_ATTEMPTS: u32 = 3;
-/// How often the states of all coordinators are compared, in milliseconds.
+/// Interval at which the states of all coordinators are compared, in milliseconds.
 const COMPARE_INTERVAL_MS: u64 = 500;
-/// Time between two checks whether all jobs are done, in milliseconds.
+/// Interval at which `run_until_done` checks whether all jobs have ended, in milliseconds.
 const DONE_CHECK_INTERVAL_MS: u64 = 200;
-/// Time between the first starts of two core machines, in milliseconds.
+/// Delay between the initial starts of consecutive nodes, in milliseconds.
 const START_INTERVAL_MS: u64 = 40;
 
-/// Labels of workers, by turns.
+/// Worker labels, assigned round-robin.
 const KIND_LABELS: [&str; 3] = ["a", "a", "b"];
-/// Racks of workers, by turns.
+/// Number of racks; workers are assigned to them round-robin.
 const RACKS: usize = 2;
 
-/// A fleet.
+/// A simulated fleet of coordinators, workers, edges, clients and operators.
 pub struct Fleet {
     settings: FleetSettings,
     random: StdRng,
@@ -65,16 +66,16 @@
     /// `None` while a worker has crashed.
     workers: Vec<Option<Worker>>,
     active_faults: ActiveFaults,
-    /// When the effects of all faults so far are over, in milliseconds.
-    calm_since: u64,
-    /// How many incarnations of workers there have been.
+    /// When the effects of all faults injected so far have ended, in milliseconds.
+    fault_free_since: u64,
+    /// Number of worker incarnations created so far.
     worker_incarnations: u64,
-    /// The longest time that a coordinator took to respond to a change, in milliseconds.
+    /// Longest response time of a configuration change, in milliseconds.
     longest_change_ms: u64,
-    /// The last address that a core machine was given.
+    /// The address most recently assigned to a node.
     last_address: u32,
-    /// How many disks were found to be old copies, and emptied.
-    emptied_disks: usize,
+    /// Number of disks that were detected as stale and wiped.
+    wiped_stale_disks: usize,
     clients: Vec<ClientJob>,
     operators: Vec<Operator>,
     edges: Vec<Edge>,
@@ -84,7 +85,7 @@
 }
 
 impl Fleet {
-    /// A fleet whose machines start for the first time.
+    /// Creates a fleet in which all nodes are due to start with empty state.
     pub fn new(settings: FleetSettings) -> Fleet {
         let addresses: Vec<u32> = (0..settings.nodes).map(address).collect();
         let mut fleet = Fleet {
@@ -94,11 +95,11 @@
             nodes: new_nodes(&addresses),
             workers: Vec::new(),
             active_faults: ActiveFaults::default(),
-            calm_since: 0,
+            fault_free_since: 0,
             worker_incarnations: 0,
             longest_change_ms: 0,
             last_address: address(settings.nodes),
-            emptied_disks: 0,
+            wiped_stale_disks: 0,
             clients: Vec::new(),
             operators: vec![Operator::default(); settings.operators],
             edges: (0..settings.edges)
@@ -121,12 +122,12 @@
         self.now
     }
 
-    /// True time of day.
+    /// The true time of day, without the clock errors of individual nodes.
     pub fn wall(&self) -> WallMillis {
         WallMillis(START_WALL_MS + self.now)
     }
 
-    /// Lets time pass until a simulated time in milliseconds.
+    /// Advances simulated time to `until`, in milliseconds.
     pub fn run_until(&mut self, until: u64) {
         while self.now < until {
             self.now += STEP_MS;
@@ -139,26 +140,27 @@
             self.run_edges();
             if self.now.is_multiple_of(COMPARE_INTERVAL_MS) {
                 self.compare_states();
-                self.oracle.check_cancelled_runs(self.now, self.calm_since);
+                self.oracle
+                    .check_cancelled_runs(self.now, self.fault_free_since);
             }
         }
     }
 
-    /// Lets time pass until all jobs are shown as ended, or up to a simulated time in milliseconds.
+    /// Advances simulated time until every client has seen its job end, or to `until`, in milliseconds.
     pub fn run_until_done(&mut self, until: u64) {
         while self.now < until && !self.unfinished_jobs().is_empty() {
             self.run_until(self.now + DONE_CHECK_INTERVAL_MS);
         }
     }
 
-    /// Lets a client submit a job at a time, and perhaps cancel it later.
+    /// Adds a client that submits a job at `at` and cancels it at `cancel_at`, if given.
     pub fn submit_at(&mut self, at: u64, spec: JobSpec, cancel_at: Option<u64>) -> JobId {
         let job = JobId(self.clients.len() as u64 + 1);
         let submission = Submission {
             job,
             queue: "h/q/".to_owned(),
             service: "s".to_owned(),
-            // Every third job is urgent: others are preempted for it.
+            // Every third job has the highest priority (0), so that it preempts others.
             priority: (job.0 % 3) as u32,
             max_attempts: MAX_ATTEMPTS,
             stretch: 2.0,
@@ -171,7 +173,7 @@
         job
     }
 
-    /// All that must never happen, and did.
+    /// The invariant violations found so far.
     pub fn violations(&self) -> &[Violation] {
         self.oracle.violations()
     }
@@ -184,7 +186,7 @@
             .and_then(|client| client.phase)
     }
 
-    /// The jobs that have not been shown as ended.
+    /// The jobs that their clients have not seen end.
     pub fn unfinished_jobs(&self) -> Vec<JobId> {
         self.clients
             .iter()
@@ -198,12 +200,12 @@
         self.oracle.acknowledged_configuration()
     }
 
-    /// The longest time that a coordinator took to respond to a change, whatever it responded, in milliseconds.
+    /// Longest response time of a configuration change, whether accepted or rejected, in milliseconds.
     pub fn longest_change_ms(&self) -> u64 {
         self.longest_change_ms
     }
 
-    /// How many members of gangs have timed out while they waited for the others.
+    /// Number of gang members that timed out while waiting for the other members.
     pub fn gang_timeouts(&self) -> u64 {
         self.oracle.gang_timeouts()
     }
@@ -212,7 +214,7 @@
         self.events.push(self.now + after_ms, event);
     }
 
-    /// A new incarnation of a worker.
+    /// Creates a new incarnation of a worker.
     fn new_worker(&mut self, number: usize) -> Worker {
         self.worker_incarnations += 1;
         let entry = WorkerEntry {
@@ -232,7 +234,7 @@
             ..WorkerEntry::default()
         };
         let settings = WorkerSettings {
-            guards: self.settings.guards,
+            enforces_capacity: self.settings.enforces_capacity,
             clock_offset_ms: self.random.gen_range(1000..100_000_000),
             clock_rate_permille: self.random.gen_range(980..=1000),
             max_lease_ms: MAX_LEASE_MS,
@@ -241,7 +243,7 @@
     }
 }
 
-/// Core machines that start for the first time, one after the other.
+/// Creates nodes with empty disks that start one after the other.
 fn new_nodes(addresses: &[u32]) -> Vec<Node> {
     let voters: Vec<Member> = addresses
         .iter()
@@ -258,12 +260,12 @@
     voters.iter().enumerate().map(new_node).collect()
 }
 
-/// The first address of a core machine.
+/// The initial address of a node.
 fn address(node: usize) -> u32 {
     0x0a00_0001 + node as u32
 }
 
-/// The step that a task is of.
+/// Returns the step that a task belongs to.
 fn find_step<'a>(specs: &'a BTreeMap<JobId, JobSpec>, task: &TaskId) -> Option<&'a StepSpec> {
     specs.get(&task.job)?.steps.get(task.step as usize)
 }
--- a/system/fleet/src/fleet/delivery.rs
+++ b/system/fleet/src/fleet/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivers events to the coordinators, and carries out their outputs.
+//! Delivers events to the coordinators, and performs their outputs.
 use super::{Fleet, STEP_MS};
 use crate::{
     active_faults::Link,
@@ -11,15 +11,15 @@
 use magpiegap_scheduler::WorkerReply;
 use rand::Rng;
 
-/// Time between two ticks of a coordinator, in milliseconds.
+/// Interval between coordinator ticks, in milliseconds.
 const TICK_INTERVAL_MS: u64 = 20;
-/// A longer message can't be written in time, in bytes.
+/// Maximum size of a peer message, in bytes; larger messages would miss the write timeout and are dropped.
 const MAX_MESSAGE_BYTES: usize = 4 << 20;
-/// The chance that a message is lost.
+/// Probability that a peer message is lost.
 const MESSAGE_LOSS: f64 = 0.002;
-/// How many syncs the write of a checkpoint takes.
+/// Duration of a checkpoint write, as a multiple of a sync.
 const CHECKPOINT_SYNCS: u64 = 3;
-/// Time that the platform takes to answer, in milliseconds.
+/// Response time of the platform, in milliseconds.
 const PLATFORM_REPLY_MS: u64 = 800;
 
 impl Fleet {
@@ -50,7 +50,7 @@
                 reply,
             } => self.handle_worker_reply(caller, call, reply),
             Event::PlatformReply { process, call } => self.handle_platform_reply(process, call),
-            Event::Restore(what) => self.restore(what),
+            Event::Restore(target) => self.restore(target),
         }
     }
 
@@ -109,13 +109,13 @@
         });
     }
 
-    /// Whether a process is there and frozen, so that what is meant for it waits.
+    /// Whether a process is current and frozen, so that its inputs must be delayed.
     fn is_process_frozen(&self, process: ProcessId) -> bool {
         let node = &self.nodes[process.node];
         node.is_frozen(self.now) && node.is_current(process)
     }
 
-    /// Gives an input to a process, unless it has ended or is frozen.
+    /// Passes an input to a process, unless the process has ended or is frozen.
     fn with_process(
         &mut self,
         process: ProcessId,
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Gives an input to the coordinator of a machine, with its steady clock and its time of day, and carries out what
-    /// it puts out. A machine that does not run misses the input.
+    /// Passes an input to a node's coordinator, with the node's monotonic and wall clocks, and performs the outputs.
+    /// The input is lost if the node is not running or is frozen.
     pub(super) fn with_coordinator(
         &mut self,
         number: usize,
@@ -138,10 +138,10 @@
         if !node.is_running(now) {
             return;
         }
-        let steady = node.steady(now);
+        let monotonic_ms = node.monotonic_ms(now);
         let wall = node.wall(now);
         if let Some(coordinator) = node.coordinator.as_mut() {
-            input(coordinator, steady, wall);
+            input(coordinator, monotonic_ms, wall);
         }
         if now >= node.last_output_at + self.settings.output_interval_ms {
             node.last_output_at = now;
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Carries out what a coordinator has put out, until there is nothing more.
+    /// Performs the outputs of a coordinator until none are left.
     pub(super) fn perform_outputs(&mut self, number: usize) {
         loop {
             let Some(coordinator) = self.nodes[number].coordinator.as_mut() else {
@@ -210,12 +210,12 @@
                 let content = WriteContent::Checkpoint(snapshot);
                 self.write(process, ticket, content, CHECKPOINT_SYNCS * sync_ms);
             }
-            ControlOutput::DiskSuperseded => self.empty_disk(process.node),
+            ControlOutput::DiskSuperseded => self.wipe_stale_disk(process.node),
             ControlOutput::Log(_) => {}
         }
     }
 
-    /// Writes to a process's disk; the write is synced after a time in milliseconds.
+    /// Writes to a process's disk; the write is synced after `after_ms` milliseconds.
     fn write(&mut self, process: ProcessId, ticket: u64, content: WriteContent, after_ms: u64) {
         self.nodes[process.node].disk.write(ticket, content);
         self.schedule(after_ms, Event::Synced { process, ticket });
--- a/system/fleet/src/fleet/edges.rs
+++ b/system/fleet/src/fleet/edges.rs
@@ -1,4 +1,4 @@
-//! Drives the agents of the edges, and watches which configurations are in force there.
+//! Drives the agents of the edges, and checks the configurations that are active there.
 use super::Fleet;
 use crate::{edge::Edge, pending_requests::Requester};
 use magpiegap_distribution::{Call, CallFailure, CallId};
@@ -6,12 +6,12 @@
 use magpiegap_protocol::CoordinatorResponse;
 
 impl Fleet {
-    /// The version in force at each edge.
+    /// The active configuration version of each edge.
     pub fn edge_versions(&self) -> Vec<u64> {
         self.edges.iter().map(Edge::version).collect()
     }
 
-    /// The edges at which something else is in force than a coordinator has under that version.
+    /// The edges whose active configuration differs from a coordinator's configuration of the same version.
     pub fn edges_with_wrong_configuration(&self) -> Vec<usize> {
         let known: Vec<Configuration> = self
             .coordinators()
@@ -28,7 +28,7 @@
             .collect()
     }
 
-    /// Takes responses that have arrived to the agents, and makes the calls that they want.
+    /// Delivers arrived responses to the agents, and starts the calls that the agents request.
     pub(super) fn run_edges(&mut self) {
         for number in 0..self.edges.len() {
             let now = self.now;
@@ -59,7 +59,7 @@
         self.send_request(node, Requester::Edge { number, call: id }, request);
     }
 
-    /// Puts a coordinator's response to an agent on the edge's link.
+    /// Queues a coordinator's response on the edge's link.
     pub(super) fn handle_edge_response(
         &mut self,
         number: usize,
@@ -70,7 +70,7 @@
         self.edges[number].queue_response(call, response.clone(), self.now, bytes_per_second);
     }
 
-    /// Checks that the configuration at an edge never goes back to an older one.
+    /// Checks that an edge never reverts to an older configuration.
     fn check_edge(&mut self, number: usize) {
         let edge = &mut self.edges[number];
         let version = edge.version();
@@ -79,7 +79,7 @@
         if version < newest {
             self.oracle.report(
                 self.now,
-                format!("edge {number} went from {newest} back to {version}"),
+                format!("edge {number} reverted from configuration {newest} to {version}"),
             );
         }
     }
--- a/system/fleet/src/fleet/fault_injection.rs
+++ b/system/fleet/src/fleet/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Injects faults, and restores what they had broken.
+//! Injects faults, and restores the affected components when the faults end.
 use super::Fleet;
 use crate::{
     active_faults::Link,
@@ -8,14 +8,15 @@
 };
 use rand::Rng;
 
-/// A process that was told to drain has this long until it is ended, in milliseconds.
+/// Maximum time that a draining process has before it is stopped, in milliseconds.
 const MAX_DRAIN_MS: u64 = 3500;
-/// After a loss of power of all machines each starts up to this much later, in milliseconds.
+/// Maximum additional start delay of each node after a power loss of all nodes, in milliseconds.
 const MAX_START_JITTER_MS: u64 = 300;
-/// A process whose disk is emptied starts again after this time, in milliseconds.
-const EMPTY_DISK_MS: u64 = 20;
+/// Restart delay of a process whose stale disk was wiped, in milliseconds.
+const WIPE_RESTART_MS: u64 = 20;
 
-/// The effects of a fault are over this long after it: the longest lease has expired, and every role has its owner.
+/// Time after the end of a fault until its effects have ended, in milliseconds: the longest lease has expired, and
+/// every role has an owner.
 const RECOVERY_MS: u64 = 8000;
 
 impl Fleet {
@@ -25,73 +26,87 @@
             Fault::Drain { .. } => MAX_DRAIN_MS,
             _ => 0,
         };
-        let calm_at = self.now + drain_ms + fault.duration_ms() + RECOVERY_MS;
-        self.calm_since = self.calm_since.max(calm_at);
+        let fault_free_at = self.now + drain_ms + fault.duration_ms() + RECOVERY_MS;
+        self.fault_free_since = self.fault_free_since.max(fault_free_at);
         match *fault {
-            Fault::Kill { node, for_ms } => {
+            Fault::Kill { node, duration_ms } => {
                 self.nodes[node].disk.kill_process();
-                self.stop_process(node, for_ms);
+                self.stop_process(node, duration_ms);
             }
-            Fault::PowerLoss { node, for_ms } => self.lose_power(node, for_ms),
-            Fault::Wipe { node, for_ms } => self.replace_disk(node, Disk::default(), for_ms),
-            Fault::PutBack { node, for_ms } => {
-                let copy = self.nodes[node].disk_copy.clone();
-                self.replace_disk(node, copy.unwrap_or_default(), for_ms);
+            Fault::PowerLoss { node, duration_ms } => self.lose_power(node, duration_ms),
+            Fault::Wipe { node, duration_ms } => {
+                self.replace_disk(node, Disk::default(), duration_ms)
             }
-            Fault::PowerLossOfAll { for_ms } => self.lose_power_of_all(for_ms),
-            Fault::Freeze { node, for_ms } => self.nodes[node].frozen_until = self.now + for_ms,
-            Fault::Partition { from, to, for_ms } => self.partition(Link { from, to }, for_ms),
-            Fault::Isolate { node, for_ms } => self.isolate(node, for_ms),
-            Fault::Drain { node, for_ms } => self.drain(node, for_ms),
-            Fault::Replace { node, for_ms } => self.replace(node, for_ms),
+            Fault::RollBackDisk { node, duration_ms } => {
+                let copy = self.nodes[node].disk_backup.clone();
+                self.replace_disk(node, copy.unwrap_or_default(), duration_ms);
+            }
+            Fault::TotalPowerLoss { duration_ms } => self.lose_power_of_all_nodes(duration_ms),
+            Fault::Freeze { node, duration_ms } => {
+                self.nodes[node].frozen_until = self.now + duration_ms
+            }
+            Fault::Partition {
+                from,
+                to,
+                duration_ms,
+            } => self.partition(Link { from, to }, duration_ms),
+            Fault::Isolate { node, duration_ms } => self.isolate(node, duration_ms),
+            Fault::Drain { node, duration_ms } => self.drain(node, duration_ms),
+            Fault::Replace { node, duration_ms } => self.replace(node, duration_ms),
             Fault::WorkerPartition {
                 worker,
                 scope,
-                for_ms,
-            } => self.partition_worker(worker, scope, for_ms),
-            Fault::WorkerCrash { worker, for_ms } => self.crash_worker(worker, for_ms),
-            Fault::DelayedOrders { percent, for_ms } => {
+                duration_ms,
+            } => self.partition_worker(worker, scope, duration_ms),
+            Fault::WorkerCrash {
+                worker,
+                duration_ms,
+            } => self.crash_worker(worker, duration_ms),
+            Fault::DelayedOrders {
+                percent,
+                duration_ms,
+            } => {
                 self.active_faults.set_delayed_order_percent(percent);
-                self.schedule(for_ms, Event::Restore(Restore::OrderDelay));
+                self.schedule(duration_ms, Event::Restore(Restore::OrderDelay));
             }
             Fault::SlowDisk {
                 node,
                 sync_ms,
-                for_ms,
+                duration_ms,
             } => {
                 self.active_faults.slow_disk(node, sync_ms);
-                self.schedule(for_ms, Event::Restore(Restore::DiskSpeed(node)));
+                self.schedule(duration_ms, Event::Restore(Restore::DiskSpeed(node)));
             }
             Fault::ClockStep { node, by_ms } => self.nodes[node].wall_offset_ms += by_ms,
         }
     }
 
-    /// Takes a copy of each core machine's disk, as it would outlast a loss of power.
-    pub fn copy_disks(&mut self) {
+    /// Backs up the synced state of each node's disk.
+    pub fn back_up_disks(&mut self) {
         for node in &mut self.nodes {
-            node.disk_copy = Some(node.disk.synced());
+            node.disk_backup = Some(node.disk.synced());
         }
     }
 
-    /// Empties the disk of a machine whose process has found it to be an old copy that is not needed.
-    pub(super) fn empty_disk(&mut self, node: usize) {
-        self.emptied_disks += 1;
-        self.replace_disk(node, Disk::default(), EMPTY_DISK_MS);
+    /// Wipes a disk that the node's process has detected as a stale copy that is not needed.
+    pub(super) fn wipe_stale_disk(&mut self, node: usize) {
+        self.wiped_stale_disks += 1;
+        self.replace_disk(node, Disk::default(), WIPE_RESTART_MS);
     }
 
-    /// Ends a process and puts another disk into its machine.
-    fn replace_disk(&mut self, node: usize, disk: Disk, for_ms: u64) {
+    /// Stops a process and replaces the disk of its node.
+    fn replace_disk(&mut self, node: usize, disk: Disk, duration_ms: u64) {
         self.nodes[node].disk = disk;
-        self.stop_process(node, for_ms);
+        self.stop_process(node, duration_ms);
     }
 
-    /// How many disks were found to be old copies, and emptied.
-    pub fn emptied_disks(&self) -> usize {
-        self.emptied_disks
+    /// Number of disks that were detected as stale and wiped.
+    pub fn wiped_stale_disks(&self) -> usize {
+        self.wiped_stale_disks
     }
 
-    pub(super) fn restore(&mut self, what: Restore) {
-        match what {
+    pub(super) fn restore(&mut self, target: Restore) {
+        match target {
             Restore::Link(link) => self.active_faults.restore_link(link),
             Restore::Worker(number) => self.workers[number] = Some(self.new_worker(number)),
             Restore::WorkerLink(worker) => self.active_faults.restore_worker_link(worker),
@@ -105,25 +120,25 @@
         }
     }
 
-    fn lose_power(&mut self, node: usize, for_ms: u64) {
+    fn lose_power(&mut self, node: usize, duration_ms: u64) {
         self.nodes[node].disk.lose_power(&mut self.random);
-        self.stop_process(node, for_ms);
+        self.stop_process(node, duration_ms);
     }
 
-    fn lose_power_of_all(&mut self, for_ms: u64) {
+    fn lose_power_of_all_nodes(&mut self, duration_ms: u64) {
         for node in 0..self.nodes.len() {
             self.nodes[node].disk.lose_power(&mut self.random);
             let jitter_ms = self.random.gen_range(0..MAX_START_JITTER_MS);
-            self.stop_process(node, for_ms + jitter_ms);
+            self.stop_process(node, duration_ms + jitter_ms);
         }
     }
 
-    fn partition(&mut self, link: Link, for_ms: u64) {
+    fn partition(&mut self, link: Link, duration_ms: u64) {
         self.active_faults.partition(link);
-        self.schedule(for_ms, Event::Restore(Restore::Link(link)));
+        self.schedule(duration_ms, Event::Restore(Restore::Link(link)));
     }
 
-    fn isolate(&mut self, node: usize, for_ms: u64) {
+    fn isolate(&mut self, node: usize, duration_ms: u64) {
         for other in (0..self.nodes.len()).filter(|other| *other != node) {
             let outbound = Link {
                 from: node,
@@ -133,13 +148,13 @@
                 from: other,
                 to: node,
             };
-            self.partition(outbound, for_ms);
-            self.partition(inbound, for_ms);
+            self.partition(outbound, duration_ms);
+            self.partition(inbound, duration_ms);
         }
     }
 
-    fn drain(&mut self, node: usize, for_ms: u64) {
-        self.nodes[node].drain_restart_after_ms = Some(for_ms);
+    fn drain(&mut self, node: usize, duration_ms: u64) {
+        self.nodes[node].drain_restart_after_ms = Some(duration_ms);
         let process = self.process(node);
         self.with_coordinator(node, |coordinator, now, _| coordinator.drain(now));
         self.schedule(
@@ -148,21 +163,21 @@
         );
     }
 
-    fn replace(&mut self, node: usize, for_ms: u64) {
+    fn replace(&mut self, node: usize, duration_ms: u64) {
         self.last_address += 1;
         self.nodes[node].address = self.last_address;
-        self.replace_disk(node, Disk::default(), for_ms);
+        self.replace_disk(node, Disk::default(), duration_ms);
     }
 
-    fn partition_worker(&mut self, worker: usize, scope: WorkerPartitionScope, for_ms: u64) {
+    fn partition_worker(&mut self, worker: usize, scope: WorkerPartitionScope, duration_ms: u64) {
         self.active_faults.partition_worker(worker, scope);
-        self.schedule(for_ms, Event::Restore(Restore::WorkerLink(worker)));
+        self.schedule(duration_ms, Event::Restore(Restore::WorkerLink(worker)));
     }
 
-    fn crash_worker(&mut self, number: usize, for_ms: u64) {
+    fn crash_worker(&mut self, number: usize, duration_ms: u64) {
         if let Some(worker) = self.workers[number].take() {
             self.oracle.incarnation_ended(&worker.entry.incarnation);
-            self.schedule(for_ms, Event::Restore(Restore::Worker(number)));
+            self.schedule(duration_ms, Event::Restore(Restore::Worker(number)));
         }
     }
 }
--- a/system/fleet/src/fleet/gangs.rs
+++ b/system/fleet/src/fleet/gangs.rs
@@ -1,10 +1,10 @@
-//! Gangs: their members work only together, and end together. Members on several workers are brought together here.
+//! Gangs: their members start work together and end together. Coordinates members on different workers.
 use super::{find_step, Fleet};
-use crate::worker::{first_of_step, GangMember};
+use crate::worker::{first_task_of_step, GangMember};
 use magpiegap_protocol::{RunId, TaskId};
 use std::collections::BTreeMap;
 
-/// The longest time that members of a gang wait for each other, in milliseconds.
+/// Maximum time that gang members wait for each other, in milliseconds.
 const GANG_TIMEOUT_MS: u64 = 3000;
 
 /// One run of a gang.
@@ -14,7 +14,7 @@
     run: RunId,
 }
 
-/// A member of a gang, and the worker that it is on.
+/// A gang member and the worker that it runs on.
 #[derive(Clone, Copy)]
 struct PlacedMember {
     worker: usize,
@@ -22,7 +22,7 @@
 }
 
 impl Fleet {
-    /// Lets members of gangs begin, wait and end.
+    /// Starts the work of complete gangs, and ends the members of broken gangs.
     pub(super) fn run_gangs(&mut self) {
         for (gang, members) in self.gangs() {
             let Some(step) = find_step(&self.specs, &gang.first_task) else {
@@ -43,13 +43,13 @@
         }
     }
 
-    /// The gangs that have members on workers.
+    /// The gangs with members on workers.
     fn gangs(&self) -> BTreeMap<GangRun, Vec<PlacedMember>> {
         let mut gangs: BTreeMap<GangRun, Vec<PlacedMember>> = BTreeMap::new();
         for (number, worker) in self.workers.iter().enumerate() {
             for member in worker.iter().flat_map(|worker| worker.gang_members()) {
                 let gang = GangRun {
-                    first_task: first_of_step(member.task),
+                    first_task: first_task_of_step(member.task),
                     run: member.run,
                 };
                 gangs.entry(gang).or_default().push(PlacedMember {
--- a/system/fleet/src/fleet/job_specs.rs
+++ b/system/fleet/src/fleet/job_specs.rs
@@ -1,15 +1,16 @@
-//! Specifications of jobs for tests.
+//! Job specifications for tests.
 use super::{Fleet, RACKS};
 use magpiegap_protocol::{JobSpec, Resources, StepSpec};
 use rand::{rngs::StdRng, Rng};
 
-/// Bound of the number of steps of a random job.
+/// Exclusive upper bound of the number of steps of a random job.
 const MAX_STEPS: usize = 4;
-/// Thousandths of a core for each member of a gang: four members of a third of a worker each fit beside others.
+/// Maximum CPU of a gang member, in thousandths of a core: about a third of a worker, so that a gang of four fits on
+/// the workers together with other tasks.
 const MAX_GANG_CPU: u64 = 2500;
 
 impl Fleet {
-    /// A step of some tasks, each with so many thousandths of a core and a duration in milliseconds.
+    /// Creates a step of `count` tasks, each with `cpu` thousandths of a core and a duration in milliseconds.
     pub fn step(count: u32, cpu: u64, duration_ms: u64) -> StepSpec {
         StepSpec {
             count,
@@ -23,7 +24,7 @@
         }
     }
 
-    /// A job of steps, each of which depends on the one before.
+    /// Creates a job in which each step depends on the previous one.
     pub fn chain_of_steps(mut steps: Vec<StepSpec>) -> JobSpec {
         for (position, step) in steps.iter_mut().enumerate().skip(1) {
             step.depends_on = vec![position as u32 - 1];
@@ -35,8 +36,8 @@
         }
     }
 
-    /// Draws a job with steps of any kind: gangs, labels, limits for each worker, racks, checkpoints, duplicates, several
-    /// occurrences, tasks that last until the job is cancelled, or both. Clients submit it at this simulated time.
+    /// Draws a random job that is submitted at simulated time `at`. Its steps may use gangs, required labels,
+    /// per-worker limits, rack affinity, checkpoints and duplicates; the job may be repeated, long-running, or both.
     pub fn random_job(&self, random: &mut StdRng, at: u64) -> JobSpec {
         let count = random.gen_range(1..MAX_STEPS);
         let mut job = JobSpec {
@@ -52,9 +53,9 @@
         }
         match random.gen_range(0..10) {
             0 => self.repeat(&mut job, random, at),
-            1 => last_until_cancelled(&mut job),
+            1 => make_long_running(&mut job),
             2 => {
-                last_until_cancelled(&mut job);
+                make_long_running(&mut job);
                 self.repeat(&mut job, random, at);
             }
             _ => {}
@@ -62,7 +63,7 @@
         job
     }
 
-    /// Gives a job several occurrences, which overlap where its tasks take longer than the time between.
+    /// Gives a job several occurrences, which overlap if its tasks take longer than the interval.
     fn repeat(&self, job: &mut JobSpec, random: &mut StdRng, at: u64) {
         job.repeat_count = random.gen_range(1..4);
         job.start_at_ms = self.wall() - self.now() + at + random.gen_range(0..4000);
@@ -70,7 +71,7 @@
     }
 }
 
-fn last_until_cancelled(job: &mut JobSpec) {
+fn make_long_running(job: &mut JobSpec) {
     job.long_running = true;
     job.steps.truncate(1);
     job.steps.iter_mut().for_each(|step| step.gang = false);
--- a/system/fleet/src/fleet/processes.rs
+++ b/system/fleet/src/fleet/processes.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the processes of the core machines.
+//! Starts and stops the processes of the nodes.
 use super::{Fleet, FleetSettings, MAX_LEASE_MS};
 use crate::events::ProcessId;
 use magpiegap_control::{ControlSettings, DurableState, Tolerance};
@@ -19,7 +19,7 @@
         }
     }
 
-    /// The process that a machine has now.
+    /// The current process of a node.
     pub(super) fn process(&self, node: usize) -> ProcessId {
         ProcessId {
             node,
@@ -35,7 +35,7 @@
             let state = take_snapshot(&magpiegap_jobs::State::default());
             DurableState::empty(new_disk, None, Vec::new(), state)
         };
-        // What an empty disk is to hold is on it once the coordinator has had it written.
+        // An empty disk stays empty until the coordinator writes its initial state.
         let state: DurableState = node.disk.state().unwrap_or_else(empty);
         node.member = Member {
             address: node.address,
@@ -48,34 +48,34 @@
             member: node.member,
             incarnation: replica_incarnation,
         };
-        let steady = node.steady(self.now);
-        // The operator's list of core machines, as it is now.
+        let monotonic_ms = node.monotonic_ms(self.now);
+        // The operator's current list of nodes.
         let seeds = self.nodes.iter().map(|node| node.address).collect();
         let settings = coordinator_settings(&self.settings, seeds, own);
         let machine = Machine::recover(&state).unwrap_or_default();
-        let coordinator = Coordinator::new(settings, state, machine, steady);
+        let coordinator = Coordinator::new(settings, state, machine, monotonic_ms);
         self.nodes[number].coordinator = Some(coordinator);
         self.perform_outputs(number);
     }
 
-    /// Stops a process; it starts again after a time in milliseconds.
-    pub(super) fn stop_process(&mut self, number: usize, for_ms: u64) {
+    /// Stops a process, and restarts it after `restart_after_ms` milliseconds.
+    pub(super) fn stop_process(&mut self, number: usize, restart_after_ms: u64) {
         let node = &mut self.nodes[number];
         node.drain_restart_after_ms = None;
         node.coordinator = None;
         node.incarnation += 1;
-        node.restart_at = Some(self.now + for_ms);
+        node.restart_at = Some(self.now + restart_after_ms);
     }
 
-    /// Ends a process that was told to drain.
+    /// Stops a draining process.
     pub(super) fn end_drain(&mut self, node: usize) {
-        if let Some(for_ms) = self.nodes[node].drain_restart_after_ms.take() {
+        if let Some(restart_after_ms) = self.nodes[node].drain_restart_after_ms.take() {
             self.nodes[node].disk.kill_process();
-            self.stop_process(node, for_ms);
+            self.stop_process(node, restart_after_ms);
         }
     }
 
-    /// Ends the drained processes that the others go on without.
+    /// Stops the draining processes whose coordinators have left the cluster.
     pub(super) fn end_drained_processes(&mut self) {
         for node in 0..self.nodes.len() {
             let has_departed = self.nodes[node]
--- a/system/fleet/src/fleet/requests.rs
+++ b/system/fleet/src/fleet/requests.rs
@@ -1,16 +1,16 @@
-//! Sends the requests of clients, operators and observers to coordinators, and takes the responses.
+//! Sends the requests of clients, operators and observers to coordinators, and handles the responses.
 use super::Fleet;
 use crate::{
     client::{ConfigurationChange, ConfigurationSize},
     events::ProcessId,
-    oracle::{Observation, Operators},
+    oracle::{Observation, OperatorCount},
     pending_requests::{OperatorRequest, Requester},
 };
 use magpiegap_coordinator::RequestId;
 use magpiegap_protocol::{CoordinatorRequest, CoordinatorResponse, FeedPoll, Role};
 use rand::Rng;
 
-/// How often every coordinator is asked for what it would show to anybody, in milliseconds.
+/// Interval at which every coordinator is observed, in milliseconds.
 const OBSERVE_INTERVAL_MS: u64 = 200;
 /// Time between two requests of a client, in milliseconds.
 const CLIENT_INTERVAL_MS: u64 = 250;
@@ -50,7 +50,7 @@
         self.send_request(node, requester, request);
     }
 
-    /// Lets each operator send its change to some coordinator, until it has a clear response.
+    /// Sends the pending change of each operator to a random coordinator, until it is accepted or rejected.
     fn send_changes(&mut self) {
         for number in 0..self.operators.len() {
             if self.now >= self.operators[number].next_request_at {
@@ -60,7 +60,7 @@
     }
 
     fn send_change(&mut self, number: usize) {
-        // An operator whose change was rejected looks what to build on.
+        // After a rejection the operator bases its next change on the newest version.
         let base = self.newest_configuration_version();
         let size = ConfigurationSize {
             padding: self.settings.configuration_bytes,
@@ -92,7 +92,7 @@
         self.configurations().into_iter().max().unwrap_or(0)
     }
 
-    /// Asks every coordinator for the feed and for the state of some job.
+    /// Requests the feed and the status of a random job from every coordinator.
     fn send_observations(&mut self) {
         if !self.now.is_multiple_of(OBSERVE_INTERVAL_MS) {
             return;
@@ -119,7 +119,7 @@
         self.send_request(node, requester, request);
     }
 
-    /// Sends a request to a coordinator; it is lost when that does not run.
+    /// Sends a request to a coordinator; the request is lost if the coordinator is not running.
     pub(super) fn send_request(
         &mut self,
         node: usize,
@@ -135,7 +135,7 @@
         });
     }
 
-    /// The coordinator to send a request to, as some coordinator that runs knows it.
+    /// Chooses the coordinator for a request, according to the view of a random coordinator.
     fn choose_coordinator(&mut self, request: &CoordinatorRequest) -> Option<usize> {
         let known_by = self.random.gen_range(0..self.nodes.len());
         let coordinator = self.nodes[known_by].coordinator.as_ref()?;
@@ -149,7 +149,7 @@
         self.nodes.iter().position(|node| node.address == address)
     }
 
-    /// Takes a coordinator's response to whoever waits for it.
+    /// Delivers a coordinator's response to its requester.
     pub(super) fn handle_response(
         &mut self,
         process: ProcessId,
@@ -199,14 +199,14 @@
         }
         match response {
             CoordinatorResponse::Phase(phase) => {
-                self.oracle.phase_shown(self.now, client, Some(*phase));
+                self.oracle.phase_reported(self.now, client, Some(*phase));
             }
-            CoordinatorResponse::NoSuchJob => self.oracle.phase_shown(self.now, client, None),
+            CoordinatorResponse::NoSuchJob => self.oracle.phase_reported(self.now, client, None),
             _ => {}
         }
     }
 
-    /// Checks what a coordinator responds to a change, and takes it to the operator unless it is lost.
+    /// Checks a coordinator's response to a change, and delivers it to the operator unless it is lost.
     fn handle_change_response(
         &mut self,
         request: &OperatorRequest,
@@ -222,8 +222,8 @@
             CoordinatorResponse::ConfigurationConflict
             | CoordinatorResponse::ConfigurationStale => {
                 let operators = match self.operators.len() {
-                    1 => Operators::One,
-                    _ => Operators::Several,
+                    1 => OperatorCount::One,
+                    _ => OperatorCount::Several,
                 };
                 self.oracle.change_rejected(self.now, change, operators);
             }
--- a/system/fleet/src/fleet/settings.rs
+++ b/system/fleet/src/fleet/settings.rs
@@ -1,36 +1,35 @@
-//! How a fleet is set up.
+//! Settings of a fleet.
 
 /// Settings of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// Core machines.
+    /// Number of nodes.
     pub nodes: usize,
-    /// How many of them may be lost at once.
+    /// Number of nodes that may fail at the same time.
     pub tolerance: usize,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Hundredths of the runs that fail.
+    /// Percentage of the runs that fail.
     pub failing_percent: u64,
-    /// Whether workers refuse what does not fit; else they start whatever they are told to.
-    pub guards: bool,
-    /// How long a core machine's process takes inputs in before it carries out any output, as a busy one does, in
-    /// milliseconds.
+    /// Whether workers refuse runs that exceed their capacity; otherwise they start every run.
+    pub enforces_capacity: bool,
+    /// Minimum interval between outputs of a coordinator process, in milliseconds; emulates a busy process.
     pub output_interval_ms: u64,
-    /// Operators that change the configuration, all under the same numbers.
+    /// Number of operators that concurrently change the configuration, with overlapping version numbers.
     pub operators: usize,
-    /// Time between two requests of an operator, in milliseconds.
+    /// Interval between requests of an operator, in milliseconds.
     pub change_interval_ms: u64,
-    /// Hundredths of the responses to operators that are lost; the change is sent again, to any coordinator.
+    /// Percentage of the responses to operators that are lost; the operator resends the change to a random coordinator.
     pub lost_responses_percent: u32,
-    /// About how many bytes a configuration has beyond what it needs.
+    /// Size of the padding in a configuration, in bytes.
     pub configuration_bytes: usize,
-    /// Routes of a configuration beside the one that is used.
+    /// Number of unused routes in a configuration.
     pub configuration_routes: u64,
-    /// Edges, each with an agent that follows the configuration.
+    /// Number of edges, each with an agent that follows the configuration.
     pub edges: usize,
-    /// Rate of the link of an edge, in bytes per second.
+    /// Bandwidth of an edge's link, in bytes per second.
     pub edge_bytes_per_second: u64,
-    /// Seeds all random draws.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
@@ -41,7 +40,7 @@
             tolerance: 1,
             workers: 6,
             failing_percent: 0,
-            guards: true,
+            enforces_capacity: true,
             output_interval_ms: 0,
             operators: 1,
             change_interval_ms: 400,
--- a/system/fleet/src/fleet/state_checks.rs
+++ b/system/fleet/src/fleet/state_checks.rs
@@ -1,4 +1,4 @@
-//! Compares the states of all coordinators, and describes them for whoever looks into a failure.
+//! Compares the states of all coordinators, and formats them for failure messages.
 use super::Fleet;
 use crate::node::Node;
 use magpiegap_coordinator::Coordinator;
@@ -6,30 +6,30 @@
 use magpiegap_protocol::{encode, JobId, LogPosition, Member};
 use std::collections::BTreeMap;
 
-/// A state that the states of other coordinators at the same position are compared with.
+/// The first state seen at a log position, which the other states at that position must equal.
 struct EncodedState {
     member: Member,
     bytes: Vec<u8>,
 }
 
 impl Fleet {
-    /// The configuration versions of all coordinators that run.
+    /// The configuration versions of all running coordinators.
     pub fn configurations(&self) -> Vec<u64> {
         self.coordinators()
             .map(|coordinator| coordinator.state().configuration.version)
             .collect()
     }
 
-    /// The state of each coordinator.
+    /// Formats the state of each coordinator.
     pub fn describe(&self) -> Vec<String> {
         let describe_node = |node: &Node| match &node.coordinator {
             Some(coordinator) => format!("{} {:?}", node.member, coordinator.describe()),
-            None => format!("{} does not run", node.member),
+            None => format!("{} is not running", node.member),
         };
         self.nodes.iter().map(describe_node).collect()
     }
 
-    /// A job as its client and the first coordinator that runs have it.
+    /// Formats a job as seen by its client and by the first running coordinator.
     pub fn describe_job(&self, id: JobId) -> String {
         let client = self.clients.iter().find(|client| client.id() == id);
         let coordinator = self.coordinators().next();
@@ -37,31 +37,31 @@
         format!("{client:#?}\n{job:#?}")
     }
 
-    /// The coordinators that run, frozen ones too.
+    /// The running coordinators, including frozen ones.
     pub(super) fn coordinators(&self) -> impl Iterator<Item = &Coordinator> {
         self.nodes
             .iter()
             .filter_map(|node| node.coordinator.as_ref())
     }
 
-    /// Checks that coordinators that have applied the same entries have the same state, and that none contradicts
-    /// itself.
+    /// Checks that coordinators that have applied the same entries have equal states, and that each state is internally
+    /// consistent.
     pub(super) fn compare_states(&mut self) {
         let mut violations = Vec::new();
         let mut states = BTreeMap::new();
         for node in &self.nodes {
             if let Some(coordinator) = &node.coordinator {
-                violations.extend(contradictions(node.member, coordinator));
+                violations.extend(internal_inconsistencies(node.member, coordinator));
                 violations.extend(compare_state(&mut states, node.member, coordinator));
             }
         }
-        for what in violations {
-            self.oracle.report(self.now, what);
+        for description in violations {
+            self.oracle.report(self.now, description);
         }
         for node in &self.nodes {
             if let Some(coordinator) = &node.coordinator {
                 let configuration = &coordinator.state().configuration;
-                self.oracle.configuration_in_force(
+                self.oracle.check_active_configuration(
                     self.now,
                     configuration.version,
                     &configuration.body,
@@ -71,24 +71,24 @@
     }
 }
 
-/// What is wrong with a coordinator's state by itself.
-fn contradictions(member: Member, coordinator: &Coordinator) -> Vec<String> {
+/// Returns the internal inconsistencies of a coordinator's state.
+fn internal_inconsistencies(member: Member, coordinator: &Coordinator) -> Vec<String> {
     let mut found = Vec::new();
-    if !follows_state(coordinator) {
+    if !matches_replicated_state(coordinator) {
         found.push(format!(
-            "{member} goes by another configuration than its state has"
+            "{member} uses a configuration that differs from its replicated state"
         ));
     }
     let inconsistencies = coordinator.state().inconsistencies();
     found.extend(
         inconsistencies
             .iter()
-            .map(|what| format!("{member}: {what}")),
+            .map(|description| format!("{member}: {description}")),
     );
     found
 }
 
-/// How a coordinator's state differs from that of an earlier one at the same position.
+/// Compares a coordinator's state with the first state seen at the same log position.
 fn compare_state(
     states: &mut BTreeMap<LogPosition, EncodedState>,
     member: Member,
@@ -104,21 +104,22 @@
         });
     (first.bytes != bytes).then(|| {
         format!(
-            "{} and {member} differ at {:?}",
+            "the states of {} and {member} differ at {:?}",
             first.member, state.position
         )
     })
 }
 
-/// Whether a coordinator goes by the configuration of its state, whether it has read it in full or by differences.
-fn follows_state(coordinator: &Coordinator) -> bool {
+/// Whether the configuration that a coordinator uses, parsed in full or from deltas, equals the one in its replicated
+/// state.
+fn matches_replicated_state(coordinator: &Coordinator) -> bool {
     let saved = &coordinator.state().configuration;
     let parsed = coordinator
         .configuration()
         .filter(|known| known.version == saved.version);
     match parsed {
         Some(known) => Configuration::parse(&saved.body).is_ok_and(|read| read == *known),
-        // It has not followed what was applied yet.
+        // The coordinator has not yet parsed the applied version.
         None => true,
     }
 }
--- a/system/fleet/src/fleet/worker_calls.rs
+++ b/system/fleet/src/fleet/worker_calls.rs
@@ -1,4 +1,4 @@
-//! Carries calls to the workers and their replies back, lets time pass on workers, and shows their runs to the oracle.
+//! Delivers calls to workers and their replies, advances workers in time, and reports run events to the oracle.
 use super::{find_step, Fleet, MAX_ATTEMPTS, STEP_MS};
 use crate::{
     events::{Caller, Event},
@@ -10,17 +10,17 @@
 use magpiegap_scheduler::{WorkerCall, WorkerOrder, WorkerReply};
 use rand::Rng;
 
-/// How long a run works that lasts until it is stopped, in milliseconds.
+/// Duration of a run that is to last until it is stopped, in milliseconds.
 const LONG_RUNNING_MS: u64 = 1_000_000_000;
-/// The shortest delay of a call that arrives late, in milliseconds.
+/// Minimum delay of a delayed call, in milliseconds.
 const MIN_DELAY_MS: u64 = 50;
-/// Bound of the delay of calls that are still valid when they arrive, in milliseconds.
+/// Maximum delay of calls that are still valid when they arrive, in milliseconds.
 const MAX_VALID_DELAY_MS: u64 = 1500;
-/// Bound of the delay of other calls, in milliseconds.
+/// Maximum delay of other calls, in milliseconds.
 const MAX_DELAY_MS: u64 = 12_000;
 
 impl Fleet {
-    /// Sends a call to a worker. The caller has some reply within its timeout.
+    /// Sends a call to a worker. The caller receives a reply or a timeout within the call's timeout.
     pub(super) fn call_worker(&mut self, caller: Caller, call: WorkerCall) {
         if let WorkerOrder::Start { task, .. } = call.order {
             self.oracle.start_ordered(self.now, task);
@@ -61,8 +61,8 @@
         })
     }
 
-    /// Draws the delay of a call that arrives late. Most dangerous are those that come while they are still valid, after
-    /// newer ones.
+    /// Draws the delay of a delayed call. Half of the delays are short enough that the call arrives after newer calls
+    /// while it is still valid, which is the most dangerous case.
     fn order_delay_ms(&mut self) -> u64 {
         let max_ms = if self.random.gen_bool(0.5) {
             MAX_VALID_DELAY_MS
@@ -72,19 +72,19 @@
         self.random.gen_range(MIN_DELAY_MS..max_ms)
     }
 
-    /// Draws the time that a message takes to or from a worker.
+    /// Draws the one-way network delay to or from a worker.
     fn network_delay_ms(&mut self) -> u64 {
         self.random.gen_range(1..6)
     }
 
-    /// A call reaches a worker.
+    /// Executes a call that has reached a worker, and sends or defers the reply.
     pub(super) fn handle_worker_call(
         &mut self,
         number: usize,
         caller: Option<Caller>,
         call: WorkerCall,
     ) {
-        // A call that is carried out late was received before any partition.
+        // A delayed call, which has no caller, was received before the partition.
         let partition = match caller {
             Some(_) => self.active_faults.worker_partition(number),
             None => None,
@@ -127,7 +127,7 @@
         self.schedule(delay_ms, event);
     }
 
-    /// Answers a long poll when there is a completion or its time is over; else it goes on waiting.
+    /// Answers a long poll if there is a completion or it has timed out; otherwise checks again at the next step.
     pub(super) fn handle_long_poll(
         &mut self,
         number: usize,
@@ -155,7 +155,7 @@
             self.schedule(STEP_MS, event);
             return;
         }
-        // The lease was renewed when the call came; only what is listed is newer.
+        // The lease was renewed when the call arrived; only the listing is refreshed.
         let order = WorkerOrder::RenewLease {
             deadline_ms: None,
             acknowledged_completion,
@@ -174,7 +174,7 @@
         }
     }
 
-    /// The work that a start order means: how long it takes and how it ends.
+    /// Returns the work of a start order: its duration and how it ends.
     fn find_work(&self, call: &WorkerCall) -> Option<Work> {
         let WorkerOrder::Start { task, run, .. } = &call.order else {
             return None;
@@ -193,7 +193,7 @@
         };
         let duration_ms = match step.estimated_ms {
             _ if is_long_running && !fails => LONG_RUNNING_MS,
-            // Of a gang that fails one member does, and the others end when it does.
+            // In a failing gang only the first member fails. The others run longer, and end because of the failure.
             estimated if fails && owner != *task => 2 * estimated + 1000,
             estimated => estimated,
         };
@@ -206,7 +206,7 @@
         })
     }
 
-    /// Whether a run fails: as good as drawn, and the same each time that it is asked.
+    /// Whether a run fails; a pseudo-random function of the task and run, so repeated calls give the same result.
     fn run_fails(&self, task: TaskId, run: RunId) -> bool {
         let mixed = task.job.0
             ^ (u64::from(task.index) << 20)
@@ -217,7 +217,7 @@
             < self.settings.failing_percent * 0xffff / 100
     }
 
-    /// Lets time pass on all workers.
+    /// Advances all workers to the current time.
     pub(super) fn run_workers(&mut self) {
         for worker in self.workers.iter_mut().flatten() {
             worker.on_timeout(self.now);
@@ -228,7 +228,7 @@
         }
     }
 
-    /// Shows the events of a worker's runs to the oracle.
+    /// Reports a worker's run events to the oracle.
     fn record_run_events(&mut self, number: usize) {
         let wall = self.wall();
         let Some(worker) = self.workers[number].as_mut() else {
@@ -284,7 +284,7 @@
     }
 }
 
-/// How long a lease renewal waits for a completion; `None`: it is answered at once.
+/// How long a lease renewal waits for a completion, or `None` if it is answered immediately.
 fn long_poll_ms(call: &WorkerCall, has_completion: impl FnOnce(u64) -> bool) -> Option<u64> {
     match call.order {
         WorkerOrder::RenewLease {
--- a/system/fleet/src/lib.rs
+++ b/system/fleet/src/lib.rs
@@ -1,8 +1,8 @@
 //! An in-memory fleet of coordinators, workers and clients, with fault injection from a seed, for tests.
 //!
-//! The state machines that the programs run are run here on simulated time, network, disks and clocks. Nothing sleeps,
-//! and the same seed gives the same run each time. Invariants are checked at every step. It is no model of the
-//! program's sockets, files or threads: those are exercised by the demo.
+//! Runs the production state machines on a simulated network, simulated disks and simulated clocks. Nothing sleeps, and
+//! a run is reproducible from its seed. Invariants are checked at every step. Sockets, files and threads are not
+//! simulated; the demo exercises those.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/system/fleet/src/node.rs
+++ b/system/fleet/src/node.rs
@@ -1,43 +1,43 @@
-//! A core machine of the fleet: its process, disk and clocks. Starting and stopping it is the fleet's.
+//! A node: a machine that runs a coordinator, with its process, disk and clocks. The fleet starts and stops it.
 use crate::{disk::Disk, events::ProcessId};
 use magpiegap_coordinator::Coordinator;
 use magpiegap_protocol::{Member, WallMillis};
 
-/// True time of day when a fleet starts, in milliseconds since 1970.
+/// True time of day at which a simulation starts, in milliseconds since the Unix epoch.
 pub(crate) const START_WALL_MS: u64 = 1_700_000_000_000;
 
-/// A core machine. Times are simulated, in milliseconds.
+/// A machine that runs a coordinator. All times are simulated, in milliseconds.
 pub(crate) struct Node {
     pub address: u32,
     pub disk: Disk,
-    /// A copy of the disk that was taken at some time.
-    pub disk_copy: Option<Disk>,
-    /// `None` while its process does not run.
+    /// An earlier copy of the disk, for `Fault::RollBackDisk`.
+    pub disk_backup: Option<Disk>,
+    /// `None` while the process is not running.
     pub coordinator: Option<Coordinator>,
-    /// Counts the starts and stops of its process; what was meant for an earlier process is dropped.
+    /// Incremented at each start and stop of the process; events for an earlier process are dropped.
     pub incarnation: u64,
-    /// When its process started: its steady clock counts from there.
+    /// Start time of the process, from which its monotonic clock counts.
     pub started_at: u64,
-    /// It is frozen until this time.
+    /// End of the current freeze.
     pub frozen_until: u64,
-    /// When the outputs of its process were last carried out.
+    /// When the outputs of the process were last performed.
     pub last_output_at: u64,
-    /// It is started again at this time.
+    /// When the process is due to start.
     pub restart_at: Option<u64>,
-    /// It was told to drain, and is to start again this long after its end.
+    /// Set while the process drains: the delay between its end and its restart.
     pub drain_restart_after_ms: Option<u64>,
-    /// Its time of day is off by this.
+    /// Offset of the wall clock from true time.
     pub wall_offset_ms: i64,
     pub member: Member,
 }
 
 impl Node {
-    /// A machine whose process starts for the first time at `start_at`.
+    /// Creates a node whose process first starts at `start_at`.
     pub(crate) fn new(member: Member, disk: Disk, start_at: u64) -> Node {
         Node {
             address: member.address,
             disk,
-            disk_copy: None,
+            disk_backup: None,
             coordinator: None,
             incarnation: 0,
             started_at: 0,
@@ -50,27 +50,27 @@
         }
     }
 
-    /// Whether its process does anything now.
+    /// Whether the process is running and not frozen.
     pub(crate) fn is_running(&self, now: u64) -> bool {
         self.coordinator.is_some() && now >= self.frozen_until
     }
 
-    /// Whether its process is there and frozen: what is meant for it waits.
+    /// Whether the process is frozen, so that its inputs must be delayed.
     pub(crate) fn is_frozen(&self, now: u64) -> bool {
         self.coordinator.is_some() && now < self.frozen_until
     }
 
-    /// Whether a process is the one that the machine has now.
+    /// Whether `process` is the node's current process.
     pub(crate) fn is_current(&self, process: ProcessId) -> bool {
         self.incarnation == process.incarnation
     }
 
-    /// Its steady clock.
-    pub(crate) fn steady(&self, now: u64) -> u64 {
+    /// The monotonic clock of the process.
+    pub(crate) fn monotonic_ms(&self, now: u64) -> u64 {
         now.saturating_sub(self.started_at) + 1
     }
 
-    /// Its time of day.
+    /// The wall clock of the node.
     pub(crate) fn wall(&self, now: u64) -> WallMillis {
         WallMillis((START_WALL_MS + now).saturating_add_signed(self.wall_offset_ms))
     }
--- a/system/fleet/src/oracle.rs
+++ b/system/fleet/src/oracle.rs
@@ -1,11 +1,11 @@
-//! Invariants that hold whatever the faults: what workers run and what clients are shown is checked against them.
-//! The oracle decides nothing in a fleet; it only reports violations.
+//! The test oracle: checks the runs on workers and the responses to clients against invariants that hold under all
+//! faults. It does not influence the simulation; it only records violations.
 mod history;
 mod response_checks;
 mod start_checks;
 mod stop_checks;
 
-pub(crate) use response_checks::{Observation, Operators};
+pub(crate) use response_checks::{Observation, OperatorCount};
 pub(crate) use start_checks::Start;
 
 use crate::worker::RunCompletion;
@@ -13,49 +13,49 @@
 use magpiegap_protocol::{CompletionKind, JobId, RunId, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Something that must never happen, and did.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// When, in milliseconds.
+    /// Simulated time at which it was detected, in milliseconds.
     pub at: u64,
-    /// What.
-    pub what: String,
+    /// Description of the violation.
+    pub description: String,
 }
 
-/// A run on one incarnation of a worker.
+/// A run on a specific incarnation of a worker.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct WorkerRun {
     incarnation: String,
     run: RunId,
 }
 
-/// Watches what workers run and what clients are shown. Where tasks stand for the completions of a gang, it is the
-/// gang's first one.
+/// Tracks the runs on workers and the responses to clients. The completions of a gang are recorded under the gang's
+/// first task.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Oracle {
     /// The runs in progress.
     running: BTreeMap<TaskId, BTreeSet<WorkerRun>>,
-    /// Tasks that have ended `done`, and in which runs.
+    /// Runs that completed successfully, by task.
     done: BTreeMap<TaskId, BTreeSet<WorkerRun>>,
-    /// Those of which a scheduler has acknowledged the completion.
+    /// Tasks whose successful completion a scheduler has acknowledged.
     acknowledged: BTreeSet<TaskId>,
-    /// Completions after which the task was started again before they were acknowledged.
+    /// Successful runs that were followed by another start of the task before they were acknowledged.
     restarted: BTreeSet<(TaskId, WorkerRun)>,
-    /// Failed runs.
+    /// Failed runs, by task.
     failures: BTreeMap<TaskId, BTreeSet<RunId>>,
-    /// When the cancelling of jobs was acknowledged.
+    /// When the cancellation of each job was acknowledged.
     cancelled: BTreeMap<JobId, u64>,
-    /// When jobs were acknowledged as accepted.
+    /// When the acceptance of each job was acknowledged.
     accepted: BTreeMap<JobId, u64>,
-    /// Jobs that a client has submitted at least once, accepted or not.
+    /// Jobs that a client has submitted at least once, whether accepted or not.
     submitted: BTreeSet<JobId>,
-    /// Jobs whose only attempt to be submitted was rejected.
+    /// Jobs whose only submission was rejected.
     rejected: BTreeSet<JobId>,
     /// Jobs that a client has requested to cancel at least once.
     cancel_requested: BTreeSet<JobId>,
-    /// Cancelled jobs whose runs were reported as going on.
+    /// Cancelled jobs for which a remaining run has already been reported.
     reported_cancelled: BTreeSet<JobId>,
-    /// How many members of gangs have timed out while they waited for the others.
+    /// Number of gang members that timed out while waiting for the other members.
     gang_timeouts: u64,
     history: ResponseHistory,
     violations: Vec<Violation>,
@@ -67,7 +67,7 @@
         &self.violations
     }
 
-    /// How many members of gangs have timed out while they waited for the others.
+    /// Number of gang members that timed out while waiting for the other members.
     pub(crate) fn gang_timeouts(&self) -> u64 {
         self.gang_timeouts
     }
@@ -77,36 +77,36 @@
         self.history.newest_version()
     }
 
-    pub(crate) fn report(&mut self, at: u64, what: String) {
-        self.violations.push(Violation { at, what });
+    pub(crate) fn report(&mut self, at: u64, description: String) {
+        self.violations.push(Violation { at, description });
     }
 
-    /// A client submits a job, or asks for its state.
+    /// Records that a client has sent a request for a job.
     pub(crate) fn job_requested(&mut self, job: JobId) {
         self.submitted.insert(job);
     }
 
-    /// A client requests to cancel a job.
+    /// Records that a client has requested cancellation of a job.
     pub(crate) fn job_cancel_requested(&mut self, job: JobId) {
         self.cancel_requested.insert(job);
     }
 
-    /// A job was acknowledged as accepted; the first time counts.
+    /// Records the first time that the acceptance of a job was acknowledged.
     pub(crate) fn job_accepted(&mut self, at: u64, job: JobId) {
         self.accepted.entry(job).or_insert(at);
     }
 
-    /// A job's cancelling was acknowledged; the first time counts.
+    /// Records the first time that the cancellation of a job was acknowledged.
     pub(crate) fn job_cancelled(&mut self, at: u64, job: JobId) {
         self.cancelled.entry(job).or_insert(at);
     }
 
-    /// A job's only attempt to be submitted was rejected.
+    /// Records that the only submission of a job was rejected.
     pub(crate) fn job_rejected(&mut self, job: JobId) {
         self.rejected.insert(job);
     }
 
-    /// A run has ended on a worker; `owner` is the task under whose name its completion goes.
+    /// Records the end of a run on a worker; `owner` is the task that the completion is recorded under.
     pub(crate) fn run_completed(
         &mut self,
         incarnation: &str,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// A scheduler has acknowledged completions.
+    /// Records that a scheduler has acknowledged completions, and checks that no task was restarted after one of them.
     pub(crate) fn completions_acknowledged(
         &mut self,
         at: u64,
@@ -156,13 +156,15 @@
             if self.restarted.contains(&(task, worker_run)) {
                 self.report(
                     at,
-                    format!("{task} was started once more after an end that is taken note of now"),
+                    format!(
+                        "{task} was restarted after a completion that is only now acknowledged"
+                    ),
                 );
             }
         }
     }
 
-    /// An incarnation of a worker has ended, and all that it ran.
+    /// Records that a worker incarnation has ended, and with it all of its runs.
     pub(crate) fn incarnation_ended(&mut self, incarnation: &str) {
         for runs in self.running.values_mut() {
             runs.retain(|other| other.incarnation != incarnation);
--- a/system/fleet/src/oracle/history.rs
+++ b/system/fleet/src/oracle/history.rs
@@ -1,29 +1,29 @@
-//! What operators and clients were shown: later responses are checked against it.
+//! Earlier responses to operators and clients, which later responses must not contradict.
 use crate::client::ConfigurationChange;
 use magpiegap_protocol::JobId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A change that was acknowledged.
+/// A configuration change that was acknowledged as accepted.
 #[derive(Clone, Debug)]
 pub(super) struct AcceptedChange {
     pub change: ConfigurationChange,
-    /// When it first was.
+    /// When it was first acknowledged.
     pub since: u64,
 }
 
-/// The responses so far that nothing may contradict.
+/// The responses so far that later responses must not contradict.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ResponseHistory {
-    /// The changes that were acknowledged, by version.
+    /// The accepted changes, by version.
     pub accepted_changes: BTreeMap<u64, AcceptedChange>,
-    /// The changes that were rejected for good.
+    /// The changes that were permanently rejected.
     pub rejected_changes: BTreeSet<ConfigurationChange>,
-    /// Jobs that were shown in a terminal phase, and when each first was.
+    /// When each job was first reported in a terminal phase.
     pub terminal_jobs: BTreeMap<JobId, u64>,
 }
 
 impl ResponseHistory {
-    /// The newest version that was acknowledged.
+    /// The newest acknowledged version.
     pub(super) fn newest_version(&self) -> u64 {
         self.accepted_changes
             .keys()
@@ -32,7 +32,7 @@
             .unwrap_or(0)
     }
 
-    /// The newest version that was acknowledged up to a time.
+    /// The newest version that had been acknowledged at a given time.
     pub(super) fn newest_version_at(&self, at: u64) -> u64 {
         let until_then = self
             .accepted_changes
--- a/system/fleet/src/oracle/response_checks.rs
+++ b/system/fleet/src/oracle/response_checks.rs
@@ -1,4 +1,4 @@
-//! Checks of responses: nothing that was acknowledged is taken back, rejected or shown as it was before.
+//! Checks of responses: an acknowledged change is never reverted, rejected or missing from a later response.
 use super::{history::AcceptedChange, Oracle};
 use crate::{
     client::{ClientJob, ConfigurationChange},
@@ -8,31 +8,31 @@
     CoordinatorRequest, CoordinatorResponse, Feed, JobId, JobPhase, Member, StepSpec, TaskId,
 };
 
-/// A coordinator may hand out a configuration that was replaced this long ago, and not longer: it goes by quorum contact
-/// of 0.6 s ago, and learns of what is committed a moment later than the tail.
+/// Maximum staleness of the configuration that a coordinator serves, in milliseconds. A coordinator serves as long as
+/// its last quorum contact is at most 0.6 s old, and it learns of commits slightly later than the tail.
 const MAX_FEED_AGE_MS: u64 = 1000;
-/// An accepted job must be known everywhere after this time.
+/// Time after which every coordinator must know an accepted job, in milliseconds.
 const VISIBLE_WITHIN_MS: u64 = 3000;
 
-/// Whether other operators may have sent the change that a rejected one conflicts with.
+/// Number of operators: with several, a rejected change may conflict with the change of another operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Operators {
+pub(crate) enum OperatorCount {
     One,
     Several,
 }
 
-/// A response to somebody who only observes.
+/// A response to an observer.
 #[derive(Clone, Copy)]
 pub(crate) struct Observation<'a> {
     pub requested_at: u64,
-    /// The coordinator that responds.
+    /// The coordinator that responded.
     pub by: Member,
     pub request: &'a CoordinatorRequest,
     pub response: &'a CoordinatorResponse,
 }
 
 impl Oracle {
-    /// A change was acknowledged.
+    /// Records an accepted change, and checks it against earlier changes and rejections.
     pub(crate) fn change_accepted(&mut self, at: u64, change: &ConfigurationChange) {
         let first = self
             .history
@@ -46,34 +46,34 @@
             let version = change.version;
             self.report(
                 at,
-                format!("two configurations were confirmed under number {version}"),
+                format!("two different configurations were accepted as version {version}"),
             );
         }
-        let is_rival = |accepted: &AcceptedChange| {
+        let is_conflicting = |accepted: &AcceptedChange| {
             accepted.change.base == change.base && accepted.change != *change
         };
-        if self.history.accepted_changes.values().any(is_rival) {
+        if self.history.accepted_changes.values().any(is_conflicting) {
             let base = change.base;
             self.report(
                 at,
-                format!("two configurations were confirmed on version {base}"),
+                format!("two different changes to configuration {base} were accepted"),
             );
         }
         if self.history.rejected_changes.contains(change) {
             let version = change.version;
             self.report(
                 at,
-                format!("configuration {version} was refused and then confirmed"),
+                format!("configuration {version} was rejected and then accepted"),
             );
         }
     }
 
-    /// A change was rejected for good.
+    /// Records a permanently rejected change, and checks that it was not accepted before.
     pub(crate) fn change_rejected(
         &mut self,
         at: u64,
         change: &ConfigurationChange,
-        operators: Operators,
+        operators: OperatorCount,
     ) {
         let version = change.version;
         let was_accepted = self
@@ -84,20 +84,20 @@
         if was_accepted {
             self.report(
                 at,
-                format!("configuration {version} was confirmed and then refused"),
+                format!("configuration {version} was accepted and then rejected"),
             );
         }
-        if operators == Operators::One {
+        if operators == OperatorCount::One {
             self.report(
                 at,
-                format!("configuration {version} was refused, and nobody else sends any"),
+                format!("configuration {version} was rejected although there is only one operator"),
             );
         }
         self.history.rejected_changes.insert(change.clone());
     }
 
-    /// A configuration is in force.
-    pub(crate) fn configuration_in_force(&mut self, at: u64, version: u64, body: &[u8]) {
+    /// Checks that a coordinator's active configuration was not rejected.
+    pub(crate) fn check_active_configuration(&mut self, at: u64, version: u64, body: &[u8]) {
         let was_rejected = self
             .history
             .rejected_changes
@@ -106,12 +106,12 @@
         if was_rejected {
             self.report(
                 at,
-                format!("configuration {version} was refused and is in force"),
+                format!("configuration {version} was rejected but is active"),
             );
         }
     }
 
-    /// An observer has a response.
+    /// Checks a response to an observer.
     pub(crate) fn observed(&mut self, now: u64, observation: Observation<'_>) {
         let by = observation.by;
         match (observation.request, observation.response) {
@@ -129,7 +129,7 @@
                 if was_accepted {
                     self.report(
                         now,
-                        format!("{by} denies job {job}, which had been accepted"),
+                        format!("{by} reports no such job for the accepted job {job}"),
                     );
                 }
             }
@@ -145,7 +145,10 @@
         if version < min_version {
             self.report(
                 now,
-                format!("{by} hands out configuration {version} long after {min_version}"),
+                format!(
+                    "{by} serves configuration {version}, but {min_version} was acknowledged more than \
+                     {MAX_FEED_AGE_MS} ms ago"
+                ),
             );
         }
     }
@@ -157,22 +160,22 @@
         }
         let terminal = self.history.terminal_jobs.get(&job);
         let cancelled = self.cancelled.get(&job);
-        let was_over = terminal
+        let had_ended = terminal
             .into_iter()
             .chain(cancelled)
             .any(|since| *since < observation.requested_at);
-        if was_over {
+        if had_ended {
             let by = observation.by;
-            let shown = phase.as_str();
+            let phase_name = phase.as_str();
             self.report(
                 now,
-                format!("{by} shows job {job} as {shown}, and it had ended"),
+                format!("{by} reports job {job} as {phase_name} after it had ended"),
             );
         }
     }
 
-    /// A client was shown its job's phase; `None`: that there is no such job.
-    pub(crate) fn phase_shown(&mut self, at: u64, client: &ClientJob, phase: Option<JobPhase>) {
+    /// Checks the phase that a client received for its job; `None` means that the job was reported as unknown.
+    pub(crate) fn phase_reported(&mut self, at: u64, client: &ClientJob, phase: Option<JobPhase>) {
         let job = client.id();
         match phase {
             None => self.check_unknown(at, job),
@@ -180,34 +183,40 @@
                 if let Some(task) = self.first_unfinished_task(client) {
                     self.report(
                         at,
-                        format!("job {job} is shown as succeeded, and {task} has not ended so"),
+                        format!("job {job} is reported as succeeded, but {task} has not succeeded"),
                     );
                 }
             }
             Some(JobPhase::Cancelled) if !self.cancel_requested.contains(&job) => {
                 self.report(
                     at,
-                    format!("job {job} is shown as cancelled, and nobody asked for it"),
+                    format!(
+                        "job {job} is reported as cancelled, but no cancellation was requested"
+                    ),
                 );
             }
             Some(JobPhase::Failed) if !self.failures.keys().any(|task| task.job == job) => {
                 self.report(
                     at,
-                    format!("job {job} is shown as failed, and none of its runs has failed"),
+                    format!("job {job} is reported as failed, but none of its runs failed"),
                 );
             }
             _ => {}
         }
     }
 
-    /// A coordinator that was replaced a moment ago may not know an accepted job yet.
+    /// Checks that an accepted job is not unknown for too long. A coordinator that has just been replaced may briefly
+    /// not know the job.
     fn check_unknown(&mut self, at: u64, job: JobId) {
         let must_be_known = self
             .accepted
             .get(&job)
             .is_some_and(|since| at > since + VISIBLE_WITHIN_MS);
         if must_be_known {
-            self.report(at, format!("job {job} was accepted and isn't known"));
+            self.report(
+                at,
+                format!("job {job} was accepted but is reported as unknown"),
+            );
         }
     }
 
--- a/system/fleet/src/oracle/start_checks.rs
+++ b/system/fleet/src/oracle/start_checks.rs
@@ -1,18 +1,20 @@
-//! Checks of each start of a run: it is wanted, in order, where it may be, and the only one.
+//! Checks of each run start: the job was submitted, dependencies are met, the placement is allowed, and no other run of
+//! the task is in progress.
 use super::{Oracle, WorkerRun};
-use crate::worker::{checkpoint_owner, first_of_step};
+use crate::worker::{checkpoint_owner, first_task_of_step};
 use magpiegap_protocol::{JobSpec, RunId, StepSpec, TaskId, WallMillis, WorkerEntry};
 
-/// No task of a job is ordered to start later than this after the job's cancelling was acknowledged.
+/// Time after the acknowledgement of a cancellation from which no task of the job is ordered to start, in milliseconds.
 const CANCEL_WITHIN_MS: u64 = 3000;
-/// A task may be started this much ahead of its time; clocks jump, and the pages allow more then.
+/// Maximum time that a task may start before its scheduled time, in milliseconds: 250 ms, plus 5 s because the
+/// specification allows more when clocks jump.
 const MAX_EARLY_START_MS: u64 = 250 + 5000;
 
-/// A start of a run on a worker.
+/// The start of a run on a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Start<'a> {
     pub at: u64,
-    /// True time of day.
+    /// The true time of day.
     pub wall: WallMillis,
     pub worker: &'a WorkerEntry,
     pub task: TaskId,
@@ -22,7 +24,7 @@
 }
 
 impl Oracle {
-    /// A scheduler orders a start.
+    /// Checks an order to start a task.
     pub(crate) fn start_ordered(&mut self, at: u64, task: TaskId) {
         let was_cancelled = self
             .cancelled
@@ -31,12 +33,14 @@
         if was_cancelled {
             self.report(
                 at,
-                format!("{task} was ordered to start long after its job was cancelled"),
+                format!(
+                    "{task} was ordered to start over {CANCEL_WITHIN_MS} ms after cancellation"
+                ),
             );
         }
     }
 
-    /// A run starts on a worker.
+    /// Checks and records the start of a run on a worker.
     pub(crate) fn run_started(&mut self, start: &Start<'_>, spec: &JobSpec, max_attempts: u32) {
         let task = start.task;
         let Some(step) = spec.steps.get(task.step as usize) else {
@@ -60,15 +64,12 @@
     fn check_requested(&mut self, start: &Start<'_>) {
         let (at, task) = (start.at, start.task);
         if self.rejected.contains(&task.job) {
-            self.report(
-                at,
-                format!("{task} was started, and its job had been turned away"),
-            );
+            self.report(at, format!("{task} was started, but its job was rejected"));
         }
         if !self.submitted.contains(&task.job) {
             self.report(
                 at,
-                format!("{task} was started, and no client asked for it"),
+                format!("{task} was started, but no client submitted its job"),
             );
         }
     }
@@ -82,7 +83,7 @@
         if is_exhausted {
             self.report(
                 at,
-                format!("{task} was started after its last attempt had failed"),
+                format!("{task} was started after all {max_attempts} attempts had failed"),
             );
         }
     }
@@ -96,7 +97,7 @@
         if is_foreign {
             self.report(
                 at,
-                format!("{task} was started with the checkpoint {checkpoint}"),
+                format!("{task} was started with checkpoint {checkpoint} of another task"),
             );
         }
     }
@@ -116,7 +117,7 @@
             if let Some(unfinished) = owners.find(|owner| !self.done.contains_key(owner)) {
                 self.report(
                     at,
-                    format!("{task} was started before {unfinished} was done"),
+                    format!("{task} was started before its dependency {unfinished} had succeeded"),
                 );
             }
         }
@@ -124,7 +125,7 @@
             .scheduled_ms(task.occurrence)
             .is_some_and(|scheduled| start.wall + MAX_EARLY_START_MS < scheduled);
         if is_early {
-            self.report(at, format!("{task} was started before its time"));
+            self.report(at, format!("{task} was started before its scheduled time"));
         }
     }
 
@@ -134,7 +135,7 @@
         if start.over_capacity {
             self.report(
                 at,
-                format!("{incarnation} has no room for {task}, which was started there"),
+                format!("{task} was started on {incarnation}, which lacks the capacity"),
             );
         }
         let missing_label = step
@@ -144,21 +145,21 @@
         if let Some(label) = missing_label {
             self.report(
                 at,
-                format!("{task} was started on {incarnation}, which lacks {label}"),
+                format!("{task} was started on {incarnation}, which lacks the label {label}"),
             );
         }
-        let max_beside = step.anti_affinity as usize;
-        if max_beside > 0 && self.running_of_step(task, incarnation) >= max_beside {
+        let max_per_worker = step.anti_affinity as usize;
+        if max_per_worker > 0 && self.running_of_step(task, incarnation) >= max_per_worker {
             self.report(
                 at,
-                format!("{task} is one too many of its step on {incarnation}"),
+                format!("{task} exceeds its step's limit of {max_per_worker} on {incarnation}"),
             );
         }
     }
 
-    /// How many tasks of a task's step run on a worker.
+    /// Number of tasks of the same step that run on a worker.
     fn running_of_step(&self, task: TaskId, incarnation: &str) -> usize {
-        let is_same_step = |other: &TaskId| first_of_step(*other) == first_of_step(task);
+        let is_same_step = |other: &TaskId| first_task_of_step(*other) == first_task_of_step(task);
         self.running
             .iter()
             .filter(|(other, _)| is_same_step(other))
@@ -171,11 +172,11 @@
         let incarnation = &start.worker.incarnation;
         let other = self.running.get(&task).and_then(|runs| runs.first());
         if let Some(other) = other {
-            let what = format!(
-                "{task} run {run} on {incarnation} beside run {} on {}",
+            let description = format!(
+                "{task} run {run} on {incarnation} is concurrent with run {} on {}",
                 other.run, other.incarnation
             );
-            self.report(at, what);
+            self.report(at, description);
         }
         if spec.long_running {
             return;
@@ -184,7 +185,7 @@
         if self.acknowledged.contains(&owner) {
             self.report(
                 at,
-                format!("{task} was started after an end had been taken note of"),
+                format!("{task} was started after its completion had been acknowledged"),
             );
         }
         let completions = self.done.get(&owner).into_iter().flatten();
--- a/system/fleet/src/oracle/stop_checks.rs
+++ b/system/fleet/src/oracle/stop_checks.rs
@@ -1,36 +1,37 @@
-//! Checks of stops: the runs of cancelled jobs end, and nobody stops a gang that is complete and wanted.
+//! Checks of stops: the runs of cancelled jobs end, and a complete gang of an active job is not stopped.
 use super::Oracle;
-use crate::worker::{first_of_step, RunCompletion};
+use crate::worker::{first_task_of_step, RunCompletion};
 use magpiegap_protocol::{CompletionKind, JobId, JobSpec, StepSpec, TaskId};
 use std::collections::BTreeMap;
 
-/// A cancelled job has no runs any more this long after its cancelling was acknowledged, while there is no fault. The
-/// pages allow several seconds; this network is fast.
+/// Time within which all runs of a cancelled job end after the acknowledgement, in the absence of faults, in
+/// milliseconds. The specification allows several seconds; the simulated network is fast.
 const CANCELLED_RUNS_END_WITHIN_MS: u64 = 2000;
 
 impl Oracle {
-    /// Checks that the runs of cancelled jobs have ended. `calm_since` is when the effects of the last fault were over.
-    pub(crate) fn check_cancelled_runs(&mut self, now: u64, calm_since: u64) {
-        let mut left: BTreeMap<JobId, TaskId> = BTreeMap::new();
+    /// Checks that the runs of cancelled jobs have ended. `fault_free_since` is when the effects of the last fault ended.
+    pub(crate) fn check_cancelled_runs(&mut self, now: u64, fault_free_since: u64) {
+        let mut remaining: BTreeMap<JobId, TaskId> = BTreeMap::new();
         for (task, runs) in &self.running {
             let Some(cancelled_at) = self.cancelled.get(&task.job) else {
                 continue;
             };
-            let deadline = (*cancelled_at).max(calm_since) + CANCELLED_RUNS_END_WITHIN_MS;
+            let deadline = (*cancelled_at).max(fault_free_since) + CANCELLED_RUNS_END_WITHIN_MS;
             if now > deadline && !runs.is_empty() {
-                left.insert(task.job, *task);
+                remaining.insert(task.job, *task);
             }
         }
-        for (job, task) in left {
+        for (job, task) in remaining {
             if self.reported_cancelled.insert(job) {
-                let what = format!("{task} still runs, and its job was cancelled");
-                self.report(now, what);
+                let description = format!("{task} is still running after its job was cancelled");
+                self.report(now, description);
             }
         }
     }
 
-    /// Checks a run that has ended, before it is taken off the runs in progress. Gangs are not preempted, and workers of
-    /// a fleet do not drain: a member is stopped only where another one is missing or the job has ended.
+    /// Checks a run that has ended, before it is removed from the runs in progress. Gangs are not preempted and
+    /// simulated workers do not drain, so a member may be stopped only if another member is missing or the job has
+    /// ended.
     pub(crate) fn check_stop(
         &mut self,
         at: u64,
@@ -48,21 +49,21 @@
         }
         let is_cancelled = self.cancel_requested.contains(&task.job);
         if !is_cancelled && !self.has_failed(task.job, max_attempts) {
-            let what = format!("{task} was stopped, and its gang was complete");
-            self.report(at, what);
+            let description = format!("{task} was stopped although its gang was complete");
+            self.report(at, description);
         }
     }
 
-    /// Whether all members of the gang are in progress in the same run.
+    /// Whether all members of the gang are running in the same run.
     fn is_complete_gang(&self, completion: &RunCompletion, step: &StepSpec) -> bool {
-        let first = first_of_step(completion.task);
+        let first = first_task_of_step(completion.task);
         (0..step.count).all(|index| {
             let runs = self.running.get(&TaskId { index, ..first });
             runs.is_some_and(|runs| runs.iter().any(|run| run.run == completion.run))
         })
     }
 
-    /// Whether some task of the job has failed as often as it may.
+    /// Whether a task of the job has exhausted its attempts.
     fn has_failed(&self, job: JobId, max_attempts: u32) -> bool {
         self.failures
             .iter()
--- a/system/fleet/src/pending_requests.rs
+++ b/system/fleet/src/pending_requests.rs
@@ -1,11 +1,11 @@
-//! Requests to coordinators that have no response yet, and who waits for each.
+//! Requests to coordinators that await a response, and the requester of each.
 use crate::{client::ConfigurationChange, events::ProcessId};
 use magpiegap_coordinator::RequestId;
 use magpiegap_distribution::CallId;
 use magpiegap_protocol::CoordinatorRequest;
 use std::collections::BTreeMap;
 
-/// Who waits for a response.
+/// The requester that awaits a response.
 pub(crate) enum Requester {
     Client {
         number: usize,
@@ -17,23 +17,23 @@
         number: usize,
         call: CallId,
     },
-    /// Somebody who only looks.
+    /// A read-only observer, whose responses are checked for consistency.
     Observer {
         request: CoordinatorRequest,
         requested_at: u64,
     },
 }
 
-/// A change that an operator has requested.
+/// A configuration change requested by an operator.
 pub(crate) struct OperatorRequest {
     pub operator: usize,
     pub change: ConfigurationChange,
-    /// Whether the response is lost on its way to the operator.
+    /// Whether the response to the operator will be lost.
     pub is_response_lost: bool,
     pub requested_at: u64,
 }
 
-/// The requests that have no response yet. Those to a process that has ended never get one.
+/// The requests that await a response. Requests to a process that has ended are never answered.
 #[derive(Default)]
 pub(crate) struct PendingRequests {
     last_id: RequestId,
@@ -41,14 +41,14 @@
 }
 
 impl PendingRequests {
-    /// Adds a request to a process, and returns its new id.
+    /// Adds a request to a process and returns its id.
     pub(crate) fn insert(&mut self, process: ProcessId, requester: Requester) -> RequestId {
         self.last_id += 1;
         self.requesters.insert((process, self.last_id), requester);
         self.last_id
     }
 
-    /// Takes the requester of a request.
+    /// Removes a request and returns its requester.
     pub(crate) fn remove(&mut self, process: ProcessId, request: RequestId) -> Option<Requester> {
         self.requesters.remove(&(process, request))
     }
--- a/system/fleet/src/worker.rs
+++ b/system/fleet/src/worker.rs
@@ -1,9 +1,9 @@
-//! A worker as the pages describe it: runs, its lease, fencing tokens, completions. It does no work and keeps no time
-//! of its own; the fleet and the demo drive it by calls and by `on_timeout`.
+//! An emulated worker that follows the worker protocol: runs, a lease, fencing tokens and completions. It does no real
+//! work and has no timers; the fleet and the demo drive it through calls and `on_timeout`.
 mod active_run;
 mod run_events;
 
-pub(crate) use run_events::{checkpoint_owner, first_of_step};
+pub(crate) use run_events::{checkpoint_owner, first_task_of_step};
 pub use run_events::{RunCompletion, RunEvent, Work};
 
 use active_run::ActiveRun;
@@ -13,20 +13,20 @@
 };
 use std::collections::BTreeMap;
 
-/// How a worker behaves.
+/// Settings of a worker.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerSettings {
-    /// Whether it refuses what does not fit; else it starts whatever it is told to.
-    pub guards: bool,
-    /// How far its clock is off, in milliseconds.
+    /// Whether it refuses runs that exceed its capacity; otherwise it starts every run.
+    pub enforces_capacity: bool,
+    /// Offset of its clock from true time, in milliseconds.
     pub clock_offset_ms: u64,
-    /// How fast its clock runs, in thousandths of true time.
+    /// Rate of its clock, in thousandths of true time.
     pub clock_rate_permille: u64,
-    /// The longest lease that it grants, in milliseconds.
+    /// Maximum lease that it grants, in milliseconds.
     pub max_lease_ms: u64,
 }
 
-/// A member of a gang that a worker runs.
+/// A gang member that runs on a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GangMember {
     pub task: TaskId,
@@ -37,20 +37,21 @@
 /// One incarnation of a worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// As the platform lists it.
+    /// The worker's entry in the platform's list.
     pub entry: WorkerEntry,
     settings: WorkerSettings,
-    /// The highest fencing token that a call has come with.
+    /// The highest fencing token received in a call.
     token: FencingToken,
     /// When the lease expires, by the worker's clock.
     lease_until: u64,
     runs: BTreeMap<TaskId, ActiveRun>,
-    /// The completions that are not acknowledged yet.
+    /// The completions that have not been acknowledged.
     completions: Vec<ListedCompletion>,
     last_sequence: u64,
-    /// The last completion before the lease expired: a caller that acknowledges it later takes it for lost.
+    /// The last completion at the most recent lease expiry. Callers treat completions up to this one as lost, even if
+    /// they acknowledge them later.
     expired_sequence: u64,
-    /// The highest run of each task that has ended or was stopped here.
+    /// The highest run of each task that has ended or was stopped on this worker.
     last_runs: BTreeMap<TaskId, RunId>,
     run_events: Vec<RunEvent>,
 }
@@ -66,7 +67,7 @@
 }
 
 impl Worker {
-    /// A worker that has just started.
+    /// Creates a worker that has just started.
     pub fn new(entry: WorkerEntry, settings: WorkerSettings) -> Worker {
         Worker {
             entry,
@@ -82,8 +83,8 @@
         }
     }
 
-    /// Carries out a call at a true time in milliseconds. `work` is what a start order means; a start without it is
-    /// unreadable.
+    /// Executes a call at true time `now`, in milliseconds. `work` is the parsed work of a start order; a start order
+    /// without it is answered as unreadable.
     pub fn handle_call(&mut self, now: u64, call: &WorkerCall, work: Option<Work>) -> WorkerReply {
         if call.incarnation != self.entry.incarnation {
             return WorkerReply::OtherIncarnation;
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Ends the runs that have finished, and all of them when the lease has expired.
+    /// Ends the runs that have finished, or all runs if the lease has expired.
     pub fn on_timeout(&mut self, now: u64) {
         let finished: Vec<(TaskId, CompletionKind)> = self
             .runs
@@ -148,19 +149,19 @@
         }
     }
 
-    /// Whether a lease renewal that acknowledges this completion would be answered without waiting.
+    /// Whether a lease renewal that acknowledges completions up to this one would be answered immediately.
     pub fn has_unacknowledged_completion(&self, acknowledged_completion: u64) -> bool {
         self.completions
             .iter()
             .any(|completion| completion.sequence > acknowledged_completion)
     }
 
-    /// Returns the events since the last poll.
+    /// Returns and clears the events since the last poll.
     pub fn poll_events(&mut self) -> Vec<RunEvent> {
         std::mem::take(&mut self.run_events)
     }
 
-    /// The members of gangs that run here.
+    /// The gang members that run on this worker.
     pub(crate) fn gang_members(&self) -> impl Iterator<Item = GangMember> + '_ {
         self.runs
             .iter()
@@ -172,14 +173,14 @@
             })
     }
 
-    /// Lets a member of a gang begin to work: all members are there.
+    /// Starts the work of a gang member, once all members are running.
     pub(crate) fn begin_gang_work(&mut self, now: u64, task: TaskId) {
         if let Some(active) = self.runs.get_mut(&task) {
             active.begin_gang_work(now);
         }
     }
 
-    /// Ends a member of an incomplete gang, if the gang has worked before or the wait for it has timed out.
+    /// Ends a member of an incomplete gang if the gang had already started work or the member's wait has timed out.
     pub(crate) fn end_incomplete_gang(&mut self, now: u64, task: TaskId, gang_timeout_ms: u64) {
         let Some(active) = self.runs.get(&task) else {
             return;
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Its own clock at a true time.
+    /// The worker's clock at true time `now`.
     fn clock(&self, now: u64) -> u64 {
         self.settings.clock_offset_ms + now * self.settings.clock_rate_permille / 1000
     }
@@ -228,7 +229,7 @@
         self.lease_until = self.lease_until.max(deadline_ms.min(max));
     }
 
-    /// Drops the completions up to one that the caller has recorded.
+    /// Drops the completions that the caller has recorded.
     fn acknowledge(&mut self, acknowledged_completion: u64) {
         let (acknowledged, pending): (Vec<ListedCompletion>, Vec<ListedCompletion>) =
             std::mem::take(&mut self.completions)
@@ -273,7 +274,7 @@
             return WorkerReply::Unreadable;
         };
         let fits = work.resources.fits_in(&self.free_capacity());
-        if self.settings.guards && !fits {
+        if self.settings.enforces_capacity && !fits {
             return self.refuse(now, RefusalReason::NoCapacity);
         }
         let active = ActiveRun::new(now, run, order.checkpoint, &work);
--- a/system/fleet/src/worker/active_run.rs
+++ b/system/fleet/src/worker/active_run.rs
@@ -1,5 +1,5 @@
-//! A run in progress on a worker: its times and its progress.
-use super::run_events::{first_of_step, Work};
+//! A run in progress on a worker, with its timing and progress.
+use super::run_events::{first_task_of_step, Work};
 use magpiegap_protocol::{CompletionKind, Resources, RunId, TaskId};
 
 /// A run in progress.
@@ -8,26 +8,26 @@
     run: RunId,
     resources: Resources,
     started_at: u64,
-    /// `u64::MAX` while a gang is not complete.
+    /// `u64::MAX` until the gang is complete.
     finishes_at: u64,
     kind: CompletionKind,
-    /// The progress of the checkpoint that it started from, in hundredths.
+    /// The progress of the checkpoint that the run started from, in percent.
     saved_percent: u64,
     /// Whether it writes checkpoints.
     checkpoints: bool,
     gang: Option<Gang>,
 }
 
-/// What a member of a gang knows of it.
+/// The state of a gang, as seen by one member.
 #[derive(Clone, Copy, Debug)]
 struct Gang {
     duration_ms: u64,
-    /// Since when all members are there and work.
+    /// When the complete gang started work.
     working_since: Option<u64>,
 }
 
 impl ActiveRun {
-    /// A run that starts now from a checkpoint; an empty one: from the beginning.
+    /// Creates a run that starts now from a checkpoint, or from the beginning if the checkpoint is empty.
     pub(super) fn new(now: u64, run: RunId, checkpoint: &str, work: &Work) -> ActiveRun {
         let saved_percent = checkpoint
             .rsplit_once('@')
@@ -65,7 +65,7 @@
         self.started_at
     }
 
-    /// How it ends when it is let finish.
+    /// How the run ends if it is not interrupted.
     pub(super) fn kind(&self) -> CompletionKind {
         self.kind
     }
@@ -82,7 +82,7 @@
         self.gang.is_some_and(|gang| gang.working_since.is_some())
     }
 
-    /// Lets a member of a gang begin to work.
+    /// Starts the work of a gang member.
     pub(super) fn begin_gang_work(&mut self, now: u64) {
         let Some(gang) = self.gang.as_mut() else {
             return;
@@ -92,7 +92,7 @@
         self.finishes_at = now + remaining_ms(gang.duration_ms, self.saved_percent);
     }
 
-    /// How much of the task is done, in hundredths.
+    /// Progress of the task, in percent.
     pub(super) fn percent(&self, now: u64) -> u64 {
         if self.finishes_at == u64::MAX {
             return self.saved_percent;
@@ -103,14 +103,14 @@
         (self.saved_percent + remaining_percent * elapsed_ms / total_ms).min(99)
     }
 
-    /// The checkpoint now: whose progress it is, and how much. Empty: there is none.
+    /// The current checkpoint: the task that owns it and its progress. Empty if there is none.
     pub(super) fn checkpoint(&self, now: u64, task: TaskId) -> String {
         let percent = self.percent(now);
         if !self.checkpoints || percent == 0 {
             return String::new();
         }
         let owner = if self.is_gang_member() {
-            first_of_step(task)
+            first_task_of_step(task)
         } else {
             task
         };
@@ -118,7 +118,7 @@
     }
 }
 
-/// The time that the rest of a task takes, in milliseconds.
+/// Remaining duration of a task, in milliseconds.
 fn remaining_ms(duration_ms: u64, saved_percent: u64) -> u64 {
     duration_ms * (100 - saved_percent) / 100
 }
--- a/system/fleet/src/worker/run_events.rs
+++ b/system/fleet/src/worker/run_events.rs
@@ -1,18 +1,18 @@
-//! What a run is to a worker, and the events of runs that its driver sees.
+//! The work of a task, and the run events that a worker reports to its driver.
 use magpiegap_protocol::{CompletionKind, Resources, RunId, StepSpec, TaskId};
 
-/// The work of a task. The driver supplies it, as a real worker reads it from the task's text.
+/// The work of a task. The driver supplies it; a real worker would parse it from the task's specification.
 #[derive(Clone, Copy, Debug)]
 pub struct Work {
-    /// What it takes up.
+    /// The resources that the task occupies.
     pub resources: Resources,
-    /// How long it takes, in milliseconds.
+    /// Duration, in milliseconds.
     pub duration_ms: u64,
     /// How it ends.
     pub kind: CompletionKind,
-    /// Whether it checkpoints its progress.
+    /// Whether the task checkpoints its progress.
     pub checkpoints: bool,
-    /// Whether it works only together with the others of its step.
+    /// Whether the task is a member of a gang, which works only while all tasks of the step run.
     pub gang: bool,
 }
 
@@ -36,9 +36,9 @@
         task: TaskId,
         /// The run.
         run: RunId,
-        /// The checkpoint that it goes on from; empty: none.
+        /// The checkpoint that the run resumes from; empty if there is none.
         checkpoint: String,
-        /// Whether the worker's runs now take more than its capacity.
+        /// Whether the worker's runs now exceed its capacity.
         over_capacity: bool,
     },
     /// A run has ended.
@@ -47,16 +47,16 @@
     Acknowledged(Vec<RunCompletion>),
 }
 
-/// The task under whose name checkpoints go: members of a gang share those of the first one.
+/// The task that owns a task's checkpoints: the first task of the step for gang members, otherwise the task itself.
 pub(crate) fn checkpoint_owner(task: TaskId, step: &StepSpec) -> TaskId {
     if step.gang {
-        first_of_step(task)
+        first_task_of_step(task)
     } else {
         task
     }
 }
 
-/// The first task of a task's step, by which the step is named.
-pub(crate) fn first_of_step(task: TaskId) -> TaskId {
+/// The first task of a task's step, which identifies the step.
+pub(crate) fn first_task_of_step(task: TaskId) -> TaskId {
     TaskId { index: 0, ..task }
 }
--- a/system/fleet/tests/edges.rs
+++ b/system/fleet/tests/edges.rs
@@ -1,21 +1,22 @@
-//! Configurations reach edges on slow links: in storms, after a loss of power of all coordinators, while roles pass on.
+//! Configurations reach edges over slow links: during frequent changes, after a power loss of all coordinators, and
+//! when changes are more frequent than a link can transfer.
 use googletest::prelude::*;
 use magpiegap_fleet::{Fault, Fleet, FleetSettings};
 
-/// When the first configuration is surely in force everywhere, in milliseconds.
-const BEGIN_MS: u64 = 6000;
-/// After the last change, or the return of the coordinators, the newest version is at each edge within this time.
-const IN_FORCE_MS: u64 = 2500;
-/// Coordinators are back at work this long after they start.
-const BACK_MS: u64 = 1500;
+/// Time by which every edge has an active configuration, in milliseconds.
+const FIRST_CONFIGURATION_MS: u64 = 6000;
+/// Time within which an acknowledged version must be active on every edge, in milliseconds.
+const PROPAGATION_MS: u64 = 2500;
+/// Time from the start of the coordinators until they serve requests, in milliseconds.
+const RESTART_MS: u64 = 1500;
 
-/// Routes of a configuration: some 12 kB on their way, 60 kB as they are sent.
+/// Routes of a configuration: about 12 kB on the wire, and 60 kB as submitted by the operator.
 const ROUTES: u64 = 600;
-/// Rate of a link that takes about a second for a full configuration, in bytes per second.
+/// Bandwidth at which a full configuration takes about a second, in bytes per second.
 const SLOW_BYTES_PER_SECOND: u64 = 12_000;
-/// Routes of a configuration that is sent in several chunks.
+/// Routes of a configuration that is transferred in several chunks.
 const LARGE_ROUTES: u64 = 2500;
-/// Time between two of them, in milliseconds.
+/// Interval between changes of such configurations, in milliseconds.
 const LARGE_INTERVAL_MS: u64 = 1200;
 
 fn settings(seed: u64) -> FleetSettings {
@@ -30,14 +31,14 @@
     }
 }
 
-/// Panics when an invariant was violated, or when an edge has something else than the operator sent.
-fn expect_sound(fleet: &Fleet, seed: u64) {
-    let wrong: Vec<String> = fleet
+/// Fails if an invariant was violated, or if an edge has a configuration that differs from the coordinators'.
+fn check_invariants(fleet: &Fleet, seed: u64) {
+    let failures: Vec<String> = fleet
         .violations()
         .iter()
-        .map(|violation| format!("{}: {}", violation.at, violation.what))
+        .map(|violation| format!("{}: {}", violation.at, violation.description))
         .collect();
-    assert!(wrong.is_empty(), "seed {seed}: {}", wrong.join("\n"));
+    assert!(failures.is_empty(), "seed {seed}: {}", failures.join("\n"));
     expect_that!(
         fleet.edges_with_wrong_configuration(),
         is_empty(),
@@ -45,47 +46,46 @@
     );
 }
 
-/// The version of the edge that is furthest behind.
+/// The oldest version that is active on any edge.
 fn oldest_edge_version(fleet: &Fleet) -> u64 {
     fleet.edge_versions().into_iter().min().unwrap_or(0)
 }
 
 #[googletest::test]
-fn given_a_storm_of_large_configurations_when_links_are_slow_then_no_edge_falls_behind() {
+fn edges_keep_up_over_slow_links() {
     for seed in 0..2 {
         let mut fleet = Fleet::new(settings(seed));
-        fleet.run_until(BEGIN_MS);
+        fleet.run_until(FIRST_CONFIGURATION_MS);
         for _ in 0..8 {
             let acknowledged = fleet.acknowledged_configuration();
-            fleet.run_until(fleet.now() + IN_FORCE_MS);
+            fleet.run_until(fleet.now() + PROPAGATION_MS);
             expect_that!(oldest_edge_version(&fleet), ge(acknowledged), "seed {seed}");
         }
-        expect_sound(&fleet, seed);
+        check_invariants(&fleet, seed);
     }
 }
 
 #[googletest::test]
-fn given_a_loss_of_power_of_all_coordinators_when_they_are_back_then_edges_follow_within_moments() {
+fn edges_catch_up_after_total_power_loss() {
     for seed in 0..2 {
         let mut fleet = Fleet::new(settings(seed));
-        fleet.run_until(BEGIN_MS);
-        for for_ms in [1500, 9500] {
+        fleet.run_until(FIRST_CONFIGURATION_MS);
+        for duration_ms in [1500, 9500] {
             let before = fleet.acknowledged_configuration();
-            fleet.inject(&Fault::PowerLossOfAll { for_ms });
-            fleet.run_until(fleet.now() + for_ms + BACK_MS + IN_FORCE_MS);
+            fleet.inject(&Fault::TotalPowerLoss { duration_ms });
+            fleet.run_until(fleet.now() + duration_ms + RESTART_MS + PROPAGATION_MS);
             expect_that!(oldest_edge_version(&fleet), ge(before), "seed {seed}");
             let acknowledged = fleet.acknowledged_configuration();
-            expect_that!(acknowledged, gt(before), "changes go on");
-            fleet.run_until(fleet.now() + IN_FORCE_MS);
+            expect_that!(acknowledged, gt(before), "changes are still acknowledged");
+            fleet.run_until(fleet.now() + PROPAGATION_MS);
             expect_that!(oldest_edge_version(&fleet), ge(acknowledged), "seed {seed}");
         }
-        expect_sound(&fleet, seed);
+        check_invariants(&fleet, seed);
     }
 }
 
 #[googletest::test]
-fn given_very_slow_links_when_configurations_change_faster_than_one_arrives_then_edges_still_make_progress(
-) {
+fn edges_progress_when_changes_outpace_the_link() {
     let mut fleet = Fleet::new(FleetSettings {
         edges: 2,
         configuration_routes: LARGE_ROUTES,
@@ -101,5 +101,5 @@
         expect_that!(now, gt(before));
         before = now;
     }
-    expect_sound(&fleet, 7);
+    check_invariants(&fleet, 7);
 }
--- a/system/fleet/tests/calm.rs
+++ b/system/fleet/tests/no_faults.rs
@@ -1,11 +1,11 @@
-//! A fleet without faults completes all that is submitted to it.
+//! A fleet without faults completes every job and configuration change.
 use googletest::prelude::*;
 use magpiegap_fleet::{Fleet, FleetSettings};
 use magpiegap_protocol::JobPhase;
 use rand::{rngs::StdRng, SeedableRng};
 
 #[googletest::test]
-fn given_a_calm_fleet_when_jobs_are_submitted_then_all_succeed() {
+fn all_jobs_succeed_without_faults() {
     // Given
     let mut fleet = Fleet::new(FleetSettings::default());
     // When
@@ -27,7 +27,7 @@
 }
 
 #[googletest::test]
-fn given_a_calm_fleet_when_the_operator_changes_the_configuration_then_all_coordinators_have_it() {
+fn all_coordinators_apply_acknowledged_configurations() {
     // Given
     let mut fleet = Fleet::new(FleetSettings::default());
     // When
@@ -43,7 +43,7 @@
 }
 
 #[googletest::test]
-fn given_failing_runs_when_a_job_has_them_too_often_then_it_is_shown_as_failed() {
+fn job_fails_after_its_last_attempt() {
     // Given
     let mut fleet = Fleet::new(FleetSettings {
         failing_percent: 100,
@@ -62,11 +62,11 @@
 }
 
 #[googletest::test]
-fn given_a_calm_fleet_when_jobs_of_every_kind_are_submitted_then_all_end_and_no_gang_times_out() {
-    for guards in [true, false] {
+fn jobs_of_every_kind_end_without_gang_timeouts() {
+    for enforces_capacity in [true, false] {
         // Given
         let mut fleet = Fleet::new(FleetSettings {
-            guards,
+            enforces_capacity,
             ..FleetSettings::default()
         });
         let mut random = StdRng::seed_from_u64(3);
@@ -86,12 +86,12 @@
 }
 
 #[googletest::test]
-fn given_many_jobs_that_no_worker_can_run_when_others_are_queued_behind_them_then_these_are_done() {
-    // Given: more kinds of tasks than one pass of planning looks at, at each priority, all of them first in the queue
+fn jobs_queued_behind_unplaceable_jobs_succeed() {
+    // Given: at each priority, more distinct unplaceable tasks at the head of the queue than one planning pass examines
     let mut fleet = Fleet::new(FleetSettings::default());
     for number in 0..180 {
         let mut job = Fleet::chain_of_steps(vec![Fleet::step(1, 1000, 200)]);
-        job.steps[0].requirements = vec![format!("nobody-has-{number}")];
+        job.steps[0].requirements = vec![format!("missing-label-{number}")];
         fleet.submit_at(3000, job, Some(25_000));
     }
     // When
@@ -113,8 +113,8 @@
 }
 
 #[googletest::test]
-fn given_a_repeated_job_whose_runs_overlap_when_it_is_cancelled_then_all_its_runs_end() {
-    // Given: one worker has the same step, index and run number of several occurrences
+fn cancelling_a_repeated_job_ends_overlapping_runs() {
+    // Given: runs of several occurrences with the same step, index and run number are on one worker
     let mut fleet = Fleet::new(FleetSettings {
         workers: 1,
         ..FleetSettings::default()
--- a/system/fleet/tests/run_model/world.rs
+++ b/system/fleet/tests/run_model/model_state.rs
@@ -1,4 +1,4 @@
-//! The state of the model: the replicated state, owners of the role, workers, calls and replies in flight.
+//! The state of the model: replicated state, schedulers, workers, and calls and replies in flight.
 use magpiegap_fleet::{Worker, WorkerSettings};
 use magpiegap_jobs::State;
 use magpiegap_protocol::{
@@ -13,41 +13,44 @@
 
 pub(crate) const SERVICE: &str = "s";
 pub(crate) const SHORT_MS: u64 = 60;
-/// Part of a worker lease.
-pub(crate) const MIDDLE_MS: u64 = 2000;
-/// Longer than any worker lease, and than a scheduler waits for one.
+/// Shorter than a worker lease.
+pub(crate) const MEDIUM_MS: u64 = 2000;
+/// Longer than any worker lease, and longer than a scheduler waits for a lease to expire.
 pub(crate) const LONG_MS: u64 = 9000;
 pub(crate) const MAX_LEASE_MS: u64 = 6000;
-/// How long the task takes.
+/// Duration of a quick task.
 pub(crate) const QUICK_MS: u64 = 200;
+/// Duration of a slow task, longer than a worker lease.
 pub(crate) const SLOW_MS: u64 = 12_000;
-pub(crate) const LEASE_MS: u64 = 900;
+/// Duration of a scheduler's role lease.
+pub(crate) const ROLE_LEASE_MS: u64 = 900;
 pub(crate) const JOB: JobId = JobId(1);
-/// Lease renewals beyond these calls in flight are not sent: the scheduler looks at its workers again and again.
+/// Maximum number of calls in flight. Further lease renewals are not sent, since the scheduler renews leases
+/// indefinitely and the state space would be unbounded.
 pub(crate) const MAX_CALLS: usize = 5;
 
-/// How often each kind of step may still be taken.
+/// How many more times each kind of action may be taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Budget {
     pub short: u8,
-    pub middle: u8,
+    pub medium: u8,
     pub long: u8,
     pub unreachable_workers: u8,
     pub lost_messages: u8,
     pub late_calls: u8,
-    pub take_overs: u8,
+    pub failovers: u8,
     pub crashes: u8,
 }
 
-/// A scheduler that owns, or owned, the role.
+/// A scheduler that owns or has owned the role.
 #[derive(Clone)]
 pub(crate) struct RoleOwner {
     pub scheduler: Scheduler,
-    /// When its lease expires, once another one has the role.
+    /// When its role lease expires; set once another scheduler has claimed the role.
     pub acts_until: Option<u64>,
 }
 
-/// A call in flight; its caller may have timed out.
+/// A call in flight, whose caller may have timed out.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingCall {
     pub owner: usize,
@@ -64,13 +67,13 @@
 }
 
 #[derive(Clone)]
-pub(crate) struct World {
+pub(crate) struct ModelState {
     pub now: u64,
     pub work_ms: u64,
     pub state: State,
     pub owners: Vec<RoleOwner>,
     pub workers: Vec<Worker>,
-    /// Workers that no call reaches.
+    /// Workers to which all calls are lost.
     pub unreachable: BTreeSet<usize>,
     pub worker_incarnations: u64,
     pub calls: Vec<PendingCall>,
@@ -83,9 +86,9 @@
     pub violation: Option<String>,
 }
 
-impl World {
-    pub(crate) fn new(budget: Budget, work_ms: u64) -> World {
-        let mut world = World {
+impl ModelState {
+    pub(crate) fn new(budget: Budget, work_ms: u64) -> ModelState {
+        let mut model_state = ModelState {
             now: 1000,
             work_ms,
             state: State::default(),
@@ -102,10 +105,10 @@
             violation: None,
         };
         for number in 0..2 {
-            let worker = world.new_worker(number);
-            world.workers.push(worker);
+            let worker = model_state.new_worker(number);
+            model_state.workers.push(worker);
         }
-        world.take_over();
+        model_state.fail_over();
         let submission = Submission {
             job: JOB,
             queue: "h/q/".to_owned(),
@@ -129,11 +132,13 @@
                 ..JobSpec::default()
             },
         };
-        let command = world.owners[0].scheduler.submit(world.now, submission);
-        world.proposals.push_back((0, command));
-        // Both workers have answered their first lease renewal, and the start is in flight.
-        world.deliver_all();
-        world
+        let command = model_state.owners[0]
+            .scheduler
+            .submit(model_state.now, submission);
+        model_state.proposals.push_back((0, command));
+        // Afterwards both workers have answered their first lease renewal, and the start order is in flight.
+        model_state.deliver_all();
+        model_state
     }
 
     pub(crate) fn new_worker(&mut self, number: usize) -> Worker {
@@ -149,9 +154,9 @@
             },
             ..WorkerEntry::default()
         };
-        // One clock is right, the other is slow by 2%.
+        // Worker 0 has a clock that is 2% slow; the clock of worker 1 is exact.
         let settings = WorkerSettings {
-            guards: true,
+            enforces_capacity: true,
             clock_offset_ms: 5000,
             clock_rate_permille: 980 + 20 * number as u64,
             max_lease_ms: MAX_LEASE_MS,
@@ -173,7 +178,7 @@
     }
 }
 
-impl fmt::Debug for World {
+impl fmt::Debug for ModelState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -196,13 +201,13 @@
     }
 }
 
-impl PartialEq for World {
-    fn eq(&self, other: &World) -> bool {
+impl PartialEq for ModelState {
+    fn eq(&self, other: &ModelState) -> bool {
         self.digest() == other.digest()
     }
 }
 
-impl Hash for World {
+impl Hash for ModelState {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.digest().hash(state);
     }
--- a/system/fleet/tests/run_model/running.rs
+++ b/system/fleet/tests/run_model/transitions.rs
@@ -1,7 +1,7 @@
-//! Transitions of the world: the role passes on, the log commits, calls and replies are delivered, time passes, workers
-//! crash.
-use crate::world::{
-    PendingCall, PendingReply, RoleOwner, World, LEASE_MS, MAX_CALLS, MAX_LEASE_MS, SERVICE,
+//! Transitions of the model: failovers, commits, delivery of calls and replies, passage of time, and worker crashes.
+use crate::model_state::{
+    ModelState, PendingCall, PendingReply, RoleOwner, MAX_CALLS, MAX_LEASE_MS, ROLE_LEASE_MS,
+    SERVICE,
 };
 use magpiegap_fleet::{RunEvent, Work};
 use magpiegap_jobs::Applied;
@@ -16,7 +16,7 @@
 fn settings() -> SchedulerSettings {
     SchedulerSettings {
         max_lease_ms: MAX_LEASE_MS,
-        role_lease_ms: LEASE_MS,
+        role_lease_ms: ROLE_LEASE_MS,
         ..SchedulerSettings::default()
     }
 }
@@ -35,8 +35,8 @@
     Role::Scheduler(SERVICE.to_owned())
 }
 
-impl World {
-    pub(crate) fn take_over(&mut self) {
+impl ModelState {
+    pub(crate) fn fail_over(&mut self) {
         let number = self.owners.len();
         let expected = self.state.fencing_token(&role());
         let claim = Command::ClaimRole {
@@ -46,7 +46,7 @@
         };
         self.apply(number, None, claim);
         for owner in &mut self.owners {
-            owner.acts_until.get_or_insert(self.now + LEASE_MS);
+            owner.acts_until.get_or_insert(self.now + ROLE_LEASE_MS);
         }
         let token = self.state.fencing_token(&role());
         let mut scheduler = Scheduler::new(SERVICE, token, settings(), self.now, &self.state, 7);
@@ -108,7 +108,7 @@
         self.run_owners();
     }
 
-    pub(crate) fn may_act(&self, owner: usize) -> bool {
+    pub(crate) fn holds_role_lease(&self, owner: usize) -> bool {
         self.owners[owner]
             .acts_until
             .is_none_or(|until| self.now < until)
@@ -121,7 +121,7 @@
     }
 
     pub(crate) fn run_owner(&mut self, owner: usize) {
-        if !self.may_act(owner) {
+        if !self.holds_role_lease(owner) {
             return;
         }
         let wall = 1_000_000 + self.now;
@@ -141,7 +141,7 @@
         let is_renewal = matches!(call.order, WorkerOrder::RenewLease { .. });
         let in_flight = self.calls.iter().filter(|call| !call.has_timed_out).count();
         if is_renewal && in_flight >= MAX_CALLS {
-            // As good as lost.
+            // Treated as lost, to bound the number of calls in flight.
             self.replies.push(PendingReply {
                 owner,
                 call: call.id,
@@ -224,12 +224,12 @@
     pub(crate) fn started(&mut self, incarnation: &str, run: RunId) {
         if let Some((other, other_run)) = self.running.iter().next() {
             self.violation = Some(format!(
-                "run {run} on {incarnation} beside run {other_run} on {other}"
+                "run {run} on {incarnation} is concurrent with run {other_run} on {other}"
             ));
         }
         if self.completion_acknowledged {
             self.violation = Some(format!(
-                "run {run} on {incarnation} after an end was taken note of"
+                "run {run} on {incarnation} started after a completion was acknowledged"
             ));
         }
         self.running.insert((incarnation.to_owned(), run));
@@ -276,9 +276,9 @@
         self.run_owner(owner);
     }
 
-    /// Commits, delivers and answers all that is in flight, as without faults.
+    /// Commits all pending proposals and delivers all calls and replies in flight, as without faults.
     pub(crate) fn deliver_all(&mut self) {
-        // A scheduler that has lost the role proposes again and again until its lease expires.
+        // Only the current proposals: a scheduler that has lost the role keeps proposing until its lease expires.
         for _ in 0..self.proposals.len() {
             self.commit();
         }
--- a/system/fleet/tests/worker_tokens.rs
+++ b/system/fleet/tests/worker_tokens.rs
@@ -1,4 +1,4 @@
-//! The emulated worker accepts calls under the highest fencing token that it has seen, and refuses older ones.
+//! The emulated worker accepts calls with the highest fencing token that it has received, and refuses older tokens.
 use googletest::prelude::*;
 use magpiegap_fleet::{Work, Worker, WorkerSettings};
 use magpiegap_protocol::{CompletionKind, FencingToken, JobId, Resources, TaskId, WorkerEntry};
@@ -39,7 +39,7 @@
 }
 
 #[googletest::test]
-fn orders_under_an_older_token_are_refused_and_do_nothing() {
+fn stale_orders_are_refused_without_effect() {
     let work = Work {
         resources: Resources::default(),
         duration_ms: 1000,
@@ -50,7 +50,7 @@
     for (token, is_refused) in [(0, true), (4, true), (5, false), (6, false)] {
         for order in orders() {
             let settings = WorkerSettings {
-                guards: true,
+                enforces_capacity: true,
                 clock_offset_ms: 0,
                 clock_rate_permille: 1000,
                 max_lease_ms: 6000,
@@ -60,7 +60,7 @@
                 ..WorkerEntry::default()
             };
             let mut worker = Worker::new(entry, settings);
-            // Given: it has seen token 5
+            // Given: a worker that has received token 5
             worker.handle_call(0, &call(5, orders().remove(0)), None);
             worker.poll_events();
             // When
