--- a/system/demo/src/clients.rs
+++ b/system/demo/src/clients.rs
@@ -1,5 +1,5 @@
-//! The operator and the clients: submit the configuration and jobs, and ask for the jobs' states. What they submit and
-//! when is the scenario's.
+//! The operator and the clients: submit the configuration and jobs, and poll the jobs' states. The scenario determines
+//! what is submitted and when.
 use crate::{
     cluster::{client_address, control_address, readiness_address},
     error::DemoError,
@@ -8,31 +8,31 @@
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::Instant;
 
-/// The host of the demo's only queue.
-const HOST: &str = "demo.example";
-/// The path under which its jobs are submitted.
-const PREFIX: &str = "/pages/";
-/// The job with number 0; the others count up.
-const FIRST_JOB: u64 = 0xde30_0000_0000_0000;
-/// How long one attempt may take.
+/// Host of the demo's only queue.
+const QUEUE_HOST: &str = "demo.example";
+/// Path prefix under which jobs are submitted to the queue.
+const QUEUE_PATH_PREFIX: &str = "/pages/";
+/// Id of the first job; later jobs have consecutive ids.
+const FIRST_JOB_ID: u64 = 0xde30_0000_0000_0000;
+/// Timeout of one HTTP request.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// `ATTEMPT_TIMEOUT` as a header.
+/// `ATTEMPT_TIMEOUT` as the value of the `Deadline-Ms` header.
 const DEADLINE_MS: &str = "1500";
-/// Time until the next attempt.
+/// Delay before a retry.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two requests for a job's state.
+/// Interval between polls of a job's state.
 const STATUS_INTERVAL: Duration = Duration::from_millis(100);
-/// How long the cluster may take to get ready.
+/// Maximum time for the cluster to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How a job went, as its client saw it.
+/// The outcome of a job, as seen by its client.
 #[derive(Clone, Debug)]
 pub(crate) struct JobOutcome {
-    /// How long until it was accepted.
+    /// Time from the first submission until the job was accepted; 0 if it never was.
     pub accepted_after_ms: u64,
-    /// How long until it was shown as succeeded; `None`: it never was.
+    /// Time from the first submission until the job was reported as succeeded; `None` if it never was.
     pub succeeded_after_ms: Option<u64>,
-    /// The state last shown.
+    /// The last reported state.
     pub state: String,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Clients {
-    /// Clients of a cluster of this size.
+    /// Creates the clients of a cluster of this size.
     pub(crate) fn new(coordinators: u8, proxies: u8) -> Clients {
         let builder = reqwest::Client::builder()
             .no_proxy()
@@ -58,10 +58,10 @@
         }
     }
 
-    /// Submits the first configuration, and waits until all proxies are ready.
+    /// Submits the initial configuration, and waits until all proxies are ready.
     ///
     /// # Errors
-    /// When that takes too long.
+    /// If this exceeds the timeout.
     pub(crate) async fn configure(&self) -> Result<(), DemoError> {
         let body = configuration_body().to_string();
         let deadline = Instant::now() + READY_TIMEOUT;
@@ -110,16 +110,16 @@
         sent.is_ok_and(|response| response.status().as_u16() == 200)
     }
 
-    /// Submits a job and follows it until it has ended or `timeout` is over.
+    /// Submits a job and polls it until it has ended or `timeout` has passed.
     pub(crate) async fn follow_job(
         &self,
         number: u64,
         steps: Vec<StepWork>,
         timeout: Duration,
     ) -> JobOutcome {
-        let path = format!("{PREFIX}{:016x}", FIRST_JOB + number);
+        let path = format!("{QUEUE_PATH_PREFIX}{:016x}", FIRST_JOB_ID + number);
         let body = work::to_body(&steps).to_string();
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut outcome = JobOutcome {
             accepted_after_ms: 0,
             succeeded_after_ms: None,
@@ -127,21 +127,21 @@
         };
         let mut attempt = number;
         while !self.submit(self.proxy(attempt), &path, &body).await {
-            if began.elapsed() > timeout {
+            if started_at.elapsed() > timeout {
                 return outcome;
             }
             attempt += 1;
             tokio::time::sleep(RETRY_INTERVAL).await;
         }
-        outcome.accepted_after_ms = elapsed_ms(began);
-        while began.elapsed() < timeout {
+        outcome.accepted_after_ms = elapsed_ms(started_at);
+        while started_at.elapsed() < timeout {
             match self.state(self.proxy(attempt), &path).await {
                 Some(state) => outcome.state = state,
                 None => attempt += 1,
             }
             match outcome.state.as_str() {
                 "succeeded" => {
-                    outcome.succeeded_after_ms = Some(elapsed_ms(began));
+                    outcome.succeeded_after_ms = Some(elapsed_ms(started_at));
                     return outcome;
                 }
                 "failed" | "cancelled" => return outcome,
@@ -151,7 +151,7 @@
         outcome
     }
 
-    /// The proxy for an attempt: each in turn.
+    /// Chooses the proxy for an attempt, round-robin.
     fn proxy(&self, attempt: u64) -> SocketAddr {
         client_address((attempt % u64::from(self.proxies.max(1))) as u8 + 1)
     }
@@ -160,7 +160,7 @@
         let sent = self
             .http
             .post(format!("http://{proxy}{path}"))
-            .header("Host", HOST)
+            .header("Host", QUEUE_HOST)
             .header("Content-Type", "application/json")
             .header("Deadline-Ms", DEADLINE_MS)
             .body(body.to_owned())
@@ -169,12 +169,12 @@
         sent.is_ok_and(|response| response.status().is_success())
     }
 
-    /// A job's state; `None`: the proxy did not show it.
+    /// Requests a job's state; `None` if the proxy did not return it.
     async fn state(&self, proxy: SocketAddr, path: &str) -> Option<String> {
         let response = self
             .http
             .get(format!("http://{proxy}{path}"))
-            .header("Host", HOST)
+            .header("Host", QUEUE_HOST)
             .header("Deadline-Ms", DEADLINE_MS)
             .send()
             .await
@@ -185,12 +185,12 @@
     }
 }
 
-/// The demo's only configuration: one queue, one service.
+/// The demo's configuration, with one queue and one service.
 fn configuration_body() -> serde_json::Value {
     serde_json::json!({
         "version": 1,
         "routes": [{
-            "name": "pages", "hostname": HOST, "pathPrefix": PREFIX, "type": "unsafe", "timeoutMs": 3000,
+            "name": "pages", "hostname": QUEUE_HOST, "pathPrefix": QUEUE_PATH_PREFIX, "type": "unsafe", "timeoutMs": 3000,
             "targetLatencyMs": 250, "priority": 0, "service": "pages", "maxAttempts": 3, "stretch": 2.0,
         }],
         "services": [{
@@ -203,6 +203,6 @@
     })
 }
 
-fn elapsed_ms(began: Instant) -> u64 {
-    began.elapsed().as_millis() as u64
+fn elapsed_ms(started_at: Instant) -> u64 {
+    started_at.elapsed().as_millis() as u64
 }
--- a/system/demo/src/cluster.rs
+++ b/system/demo/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The scheduler's processes: their settings, starts and kills. What they do is the program's.
+//! Starts, kills and restarts the scheduler's processes, and writes their settings files.
 use crate::{
     error::DemoError,
     options::Options,
@@ -13,26 +13,26 @@
 };
 use tokio::process::{Child, Command};
 
-/// The network of the coordinators; the last byte of an address counts up.
+/// Network of the coordinators; the last byte of an address is the coordinator's number.
 const COORDINATOR_NETWORK: [u8; 3] = [127, 0, 61];
-/// The network of the machines with a proxy and an agent.
+/// Network of the machines with a proxy and an agent; the last byte of an address is the machine's number.
 const EDGE_NETWORK: [u8; 3] = [127, 0, 62];
-/// The port on which coordinators serve the operator.
+/// Port of the coordinators' control interface.
 const CONTROL_PORT: u16 = 18_146;
-/// The port on which proxies serve clients.
+/// Port of the proxies' client interface.
 const CLIENT_PORT: u16 = 18_144;
-/// The port on which proxies show their readiness.
+/// Port of the proxies' readiness check.
 const READINESS_PORT: u16 = 18_140;
-/// First port for the processes among themselves: the same on all machines, each of which has an address of its own.
+/// First port of the internal range. All machines use the same range, since each has its own address.
 const FIRST_INTERNAL_PORT: u16 = 17_660;
-/// The last of them.
+/// Last port of the internal range.
 const LAST_INTERNAL_PORT: u16 = FIRST_INTERNAL_PORT + 15;
-/// How many coordinators are seeds.
+/// Maximum number of coordinators listed as seeds.
 const MAX_SEEDS: u8 = 3;
 
 /// One process of the cluster.
 pub(crate) struct Process {
-    /// Its role and number.
+    /// Role and number, such as `coordinator-1`.
     pub name: String,
     role: &'static str,
     settings: PathBuf,
@@ -51,17 +51,17 @@
 }
 
 impl Cluster {
-    /// Starts all processes for the first time.
+    /// Starts all processes.
     ///
     /// # Errors
-    /// When a file can't be written, or a process can't be started.
+    /// If a file cannot be written or a process cannot be started.
     pub(crate) fn start(
         options: &Options,
         folder: &Path,
         platform: SocketAddr,
     ) -> Result<Cluster, DemoError> {
-        let program =
-            std::env::current_exe().map_err(DemoError::system("the program's own file"))?;
+        let program = std::env::current_exe()
+            .map_err(DemoError::system("finding the path of this executable"))?;
         let mut cluster = Cluster {
             folder: folder.to_owned(),
             program,
@@ -109,7 +109,7 @@
             .stderr(file)
             .kill_on_drop(true)
             .spawn()
-            .map_err(DemoError::system(format!("the process {role}")))
+            .map_err(DemoError::system(format!("starting the {role} process")))
     }
 
     fn settings_text(&self, name: &str, role: &str, number: u8) -> String {
@@ -143,7 +143,7 @@
     /// Kills a process without a graceful shutdown.
     ///
     /// # Errors
-    /// When there is no process of that name, or the system refuses.
+    /// If there is no process with this name, or the system call fails.
     pub(crate) async fn kill(&mut self, name: &str) -> Result<(), DemoError> {
         self.find(name)?
             .child
@@ -152,10 +152,10 @@
             .map_err(DemoError::system(format!("killing {name}")))
     }
 
-    /// Starts a process that has ended again.
+    /// Restarts a process that has ended.
     ///
     /// # Errors
-    /// When there is no process of that name, or the system refuses.
+    /// If there is no process with this name, or the system call fails.
     pub(crate) fn restart(&mut self, name: &str) -> Result<(), DemoError> {
         let process = self.find(name)?;
         let role = process.role;
@@ -166,29 +166,29 @@
         Ok(())
     }
 
-    /// Copies the data folder of a process that has ended.
+    /// Backs up the data folder of a process that has ended.
     ///
     /// # Errors
-    /// When a file can't be copied.
-    pub(crate) fn copy_data(&self, name: &str) -> Result<(), DemoError> {
-        copy_files(&self.data_folder(name), &self.copy_folder(name))
+    /// If a file cannot be copied.
+    pub(crate) fn back_up_data(&self, name: &str) -> Result<(), DemoError> {
+        copy_files(&self.data_folder(name), &self.backup_folder(name))
     }
 
-    /// Puts the data folder of a process that has ended back from the copy.
+    /// Restores the data folder of a process that has ended from the backup.
     ///
     /// # Errors
-    /// When a file can't be copied or removed.
-    pub(crate) fn put_back_data(&self, name: &str) -> Result<(), DemoError> {
+    /// If a file cannot be copied or removed.
+    pub(crate) fn restore_data(&self, name: &str) -> Result<(), DemoError> {
         let data = self.data_folder(name);
         std::fs::remove_dir_all(&data).map_err(DemoError::system(data.display().to_string()))?;
-        copy_files(&self.copy_folder(name), &data)
+        copy_files(&self.backup_folder(name), &data)
     }
 
     fn data_folder(&self, name: &str) -> PathBuf {
         self.folder.join(format!("{name}-data"))
     }
 
-    fn copy_folder(&self, name: &str) -> PathBuf {
+    fn backup_folder(&self, name: &str) -> PathBuf {
         self.folder.join(format!("{name}-copy"))
     }
 
@@ -202,7 +202,7 @@
 }
 
 impl Process {
-    /// Its usage since it was last started; zero where the system does not report it.
+    /// Resource usage since the last start; zero if the system does not report it.
     pub(crate) fn usage(&self) -> Usage {
         self.child
             .id()
@@ -211,28 +211,28 @@
     }
 }
 
-/// Copies the files of a folder into another one, which is made if it isn't there.
+/// Copies the files of a folder to another folder, which is created if it does not exist.
 fn copy_files(from: &Path, to: &Path) -> Result<(), DemoError> {
-    let fail = |folder: &Path| DemoError::system(folder.display().to_string());
-    std::fs::create_dir_all(to).map_err(fail(to))?;
-    for file in std::fs::read_dir(from).map_err(fail(from))? {
-        let file = file.map_err(fail(from))?;
-        std::fs::copy(file.path(), to.join(file.file_name())).map_err(fail(to))?;
+    let io_error = |folder: &Path| DemoError::system(folder.display().to_string());
+    std::fs::create_dir_all(to).map_err(io_error(to))?;
+    for file in std::fs::read_dir(from).map_err(io_error(from))? {
+        let file = file.map_err(io_error(from))?;
+        std::fs::copy(file.path(), to.join(file.file_name())).map_err(io_error(to))?;
     }
     Ok(())
 }
 
-/// The address at which a coordinator serves the operator.
+/// Address of a coordinator's control interface.
 pub(crate) fn control_address(number: u8) -> SocketAddr {
     SocketAddr::from((ip_address(COORDINATOR_NETWORK, number), CONTROL_PORT))
 }
 
-/// The address at which a proxy serves clients.
+/// Address of a proxy's client interface.
 pub(crate) fn client_address(number: u8) -> SocketAddr {
     SocketAddr::from((ip_address(EDGE_NETWORK, number), CLIENT_PORT))
 }
 
-/// The address at which a proxy shows its readiness.
+/// Address of a proxy's readiness check.
 pub(crate) fn readiness_address(number: u8) -> SocketAddr {
     SocketAddr::from((ip_address(EDGE_NETWORK, number), READINESS_PORT))
 }
--- a/system/demo/src/error.rs
+++ b/system/demo/src/error.rs
@@ -1,36 +1,36 @@
-//! Errors of the demo. Their text is made here, and shown by the program's `main`.
+//! Errors of the demo; `main` prints them.
 use std::io;
 
-/// Why the demo has ended early.
+/// Errors of the demo.
 #[derive(Debug, thiserror::Error)]
 pub enum DemoError {
-    /// The system refused something.
-    #[error("{what}: {source}")]
+    /// An operating system call failed.
+    #[error("{operation}: {source}")]
     System {
-        /// What was tried.
-        what: String,
-        /// What the system said.
+        /// The operation that failed.
+        operation: String,
+        /// The underlying error.
         #[source]
         source: io::Error,
     },
-    /// No coordinator has accepted the configuration in time.
-    #[error("no coordinator takes the configuration")]
+    /// No coordinator accepted the configuration before the timeout.
+    #[error("no coordinator accepted the configuration in time")]
     ConfigurationTimeout,
-    /// A proxy was not ready in time.
-    #[error("a proxy does not get ready")]
+    /// A proxy did not become ready before the timeout.
+    #[error("a proxy did not become ready in time")]
     ReadinessTimeout,
-    /// The cluster has no process of that name.
-    #[error("there is no process {0}")]
+    /// The cluster has no process with this name.
+    #[error("the cluster has no process named {0}")]
     UnknownProcess(String),
-    /// Jobs that were not shown as succeeded.
-    #[error("{0} jobs are not done")]
+    /// Some jobs were not reported as succeeded.
+    #[error("{0} jobs did not succeed")]
     UnfinishedJobs(usize),
 }
 
 impl DemoError {
-    /// Returns what names what was tried when the system refused it.
-    pub fn system(what: impl Into<String>) -> impl FnOnce(io::Error) -> DemoError {
-        let what = what.into();
-        move |source| DemoError::System { what, source }
+    /// Returns a function that adds the failed operation to an I/O error.
+    pub fn system(operation: impl Into<String>) -> impl FnOnce(io::Error) -> DemoError {
+        let operation = operation.into();
+        move |source| DemoError::System { operation, source }
     }
 }
--- a/system/demo/src/http_server.rs
+++ b/system/demo/src/http_server.rs
@@ -1,4 +1,5 @@
-//! A small HTTP/1.1 server for the stand-ins: whole requests in, JSON responses out. No TLS, no limits.
+//! A minimal HTTP/1.1 server for the stub platform and the emulated workers. It buffers complete requests and returns
+//! JSON responses, without TLS or limits.
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::{
@@ -15,17 +16,17 @@
     task::{JoinHandle, JoinSet},
 };
 
-/// A request as the stand-ins see it.
+/// A buffered request.
 pub(crate) struct Request {
     /// The path, without the query.
     pub path: String,
-    /// The incarnation that is meant (`Expected-Instance`), where the caller names one.
+    /// The `Expected-Instance` header: the worker incarnation that the caller addresses.
     pub expected_incarnation: Option<String>,
-    /// The body; empty where it could not be read.
+    /// The body; empty if it could not be read.
     pub body: Bytes,
 }
 
-/// A response: status and JSON body.
+/// A response with a JSON body.
 pub(crate) struct Response {
     /// The status code.
     pub status: u16,
@@ -33,7 +34,7 @@
     pub body: serde_json::Value,
 }
 
-/// Serves until the task is aborted; connections end with it.
+/// Serves requests until the returned task is aborted, which also closes all connections.
 pub(crate) fn serve<H, F>(listener: TcpListener, handler: H) -> JoinHandle<()>
 where
     H: Fn(Request) -> F + Send + Sync + 'static,
@@ -48,7 +49,7 @@
             let service = service_fn(move |request| respond(handler.clone(), request));
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             connections.spawn(async move {
-                // An error ends this connection alone.
+                // An error affects only this connection.
                 let _ = connection.await;
             });
             while connections.try_join_next().is_some() {}
--- a/system/demo/src/lib.rs
+++ b/system/demo/src/lib.rs
@@ -1,8 +1,8 @@
-//! A small cluster on loopback, to see the scheduler at work and to measure it.
+//! A small cluster on loopback, for demonstrating and measuring the scheduler.
 //!
-//! It runs the scheduler's real processes, with stand-ins for the platform and the workers that are written from the
-//! pages of the protocol. It injects one kill of a coordinator and one crash of a worker; faults of every kind are the
-//! in-memory fleet's.
+//! It runs the scheduler's real processes, with a stub platform and emulated workers that implement the protocol
+//! specification independently of the scheduler. It kills one coordinator and crashes one worker; the in-memory fleet
+//! covers all other kinds of faults.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/system/demo/src/main.rs
+++ b/system/demo/src/main.rs
@@ -1,4 +1,4 @@
-//! A small cluster on loopback: real coordinators, proxies and agents, stand-ins for the platform and the workers.
+//! A small cluster on loopback: real coordinators, proxies and agents, a stub platform and emulated workers.
 #![forbid(unsafe_code)]
 
 use bpaf::{Args, ParseFailure};
@@ -6,10 +6,11 @@
 use magpiegap_demo::{options, scenario, DemoError};
 use std::process::ExitCode;
 
-/// The scheduler's processes are started from this very program, so that one build makes all that the demo needs.
+/// Roles of the scheduler's processes. They are started from this same executable, so that the demo needs no other
+/// binary.
 const ROLES: [&str; 3] = ["proxy", "agent", "coordinator"];
 
-/// Why the program has failed.
+/// Errors that end the program.
 #[derive(Debug, thiserror::Error)]
 enum MainError {
     #[error(transparent)]
--- a/system/demo/src/options.rs
+++ b/system/demo/src/options.rs
@@ -2,37 +2,37 @@
 use bpaf::Bpaf;
 use std::path::PathBuf;
 
-/// Play a small cluster on loopback: hand jobs in, kill a coordinator and a worker, wait for every job.
+/// Run a small cluster on loopback: submit jobs, kill a coordinator and a worker, wait for every job
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version, generate(parser))]
 pub struct Options {
-    /// Coordinators
+    /// Number of coordinators
     #[bpaf(long, argument("COUNT"), fallback(3))]
     pub coordinators: u8,
-    /// Machines with a proxy and an agent
+    /// Number of machines with a proxy and an agent
     #[bpaf(long, argument("COUNT"), fallback(2))]
     pub proxies: u8,
-    /// Workers, of eight cores each
+    /// Number of workers, with eight cores each
     #[bpaf(long, argument("COUNT"), fallback(8))]
     pub workers: u16,
-    /// Jobs handed in a second
+    /// Jobs submitted per second
     #[bpaf(long, argument("RATE"), fallback(4.0))]
     pub jobs_per_s: f64,
-    /// Seconds for which jobs are handed in
+    /// Duration of the job submissions, in seconds
     #[bpaf(long, argument("SECONDS"), fallback(15))]
     pub seconds: u64,
-    /// Kill nothing
+    /// Inject no faults
     #[bpaf(long)]
     pub calm: bool,
-    /// Put the killed coordinator's disk back from a copy that was taken a while before
+    /// Restart the killed coordinator from an earlier copy of its disk
     #[bpaf(long)]
     pub old_copy: bool,
-    /// Where settings, data, logs and the report go; else a new folder for temporary files
+    /// Folder for settings, data, logs and the report; by default a new temporary folder
     #[bpaf(long, argument("FOLDER"))]
     pub folder: Option<PathBuf>,
 }
 
-/// Reads the command line; ends the process where it is wrong or asks for help.
+/// Parses the command line; exits the process if it is invalid or requests help.
 pub fn read() -> Options {
     parser().run()
 }
--- a/system/demo/src/platform.rs
+++ b/system/demo/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform: its list of workers, served by HTTP.
+//! A stub platform that serves its list of workers over HTTP.
 use crate::{
     error::DemoError,
     http_server::{serve, Request, Response},
@@ -11,7 +11,7 @@
 };
 use tokio::net::TcpListener;
 
-/// The list of workers by incarnation; clones share it.
+/// The list of workers, by incarnation; clones share the list.
 #[derive(Clone, Default)]
 pub(crate) struct Platform {
     entries: Arc<Mutex<BTreeMap<String, WorkerEntry>>>,
@@ -28,17 +28,17 @@
         self.entries().remove(incarnation);
     }
 
-    /// Starts to serve the list, and returns the address.
+    /// Starts serving the list, and returns the address.
     ///
     /// # Errors
-    /// When no port is available.
+    /// If no port is available.
     pub(crate) async fn start(&self) -> Result<SocketAddr, DemoError> {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
-            .map_err(DemoError::system("the platform's port"))?;
+            .map_err(DemoError::system("listening on the platform's port"))?;
         let address = listener
             .local_addr()
-            .map_err(DemoError::system("the platform's port"))?;
+            .map_err(DemoError::system("listening on the platform's port"))?;
         let platform = self.clone();
         serve(listener, move |request| {
             let response = platform.handle_request(&request);
--- a/system/demo/src/report.rs
+++ b/system/demo/src/report.rs
@@ -1,4 +1,4 @@
-//! The report at the end: a table on the terminal, and a page with a timeline. It measures nothing itself.
+//! Prints the results table and writes the HTML report.
 use crate::{
     error::DemoError,
     results::{ProcessUsage, Results},
@@ -7,17 +7,17 @@
 use magpiegap_fleet::RunEvent;
 use std::{fmt::Write, path::Path};
 
-/// Prints the table and writes the page.
+/// Prints the results table and writes the HTML report.
 ///
 /// # Errors
-/// When the page can't be written, or some job is not done.
+/// If the report cannot be written, or some job did not succeed.
 pub(crate) fn publish(results: &Results, folder: &Path) -> Result<(), DemoError> {
     let table = table(results);
     print!("{table}");
     let page = folder.join("report.html");
     std::fs::write(&page, timeline::to_page(results, &table))
         .map_err(DemoError::system(page.display().to_string()))?;
-    println!("the page to open: {}", page.display());
+    println!("report: {}", page.display());
     let unfinished = results
         .jobs
         .iter()
@@ -44,7 +44,7 @@
     let mut text = String::new();
     let _ = writeln!(
         text,
-        "jobs: {} handed in, {} succeeded; {starts} runs started",
+        "jobs: {} submitted, {} succeeded; {starts} runs started",
         jobs.len(),
         succeeded.len()
     );
@@ -56,7 +56,7 @@
         "process", "cores, mean", "peak MB"
     );
     for ProcessUsage { name, usage } in &results.usage {
-        let cores = usage.processor_ms as f64 / results.wall_ms.max(1) as f64;
+        let cores = usage.cpu_ms as f64 / results.wall_ms.max(1) as f64;
         let _ = writeln!(
             text,
             "{name:<16} {cores:>12.4} {:>10.1}",
@@ -66,7 +66,7 @@
     text
 }
 
-/// The median and the upper percentiles of some times.
+/// Formats the median, the 95th and the 99th percentile.
 fn percentiles(mut times_ms: Vec<u64>) -> String {
     times_ms.sort_unstable();
     let at = |fraction: f64| {
@@ -76,7 +76,7 @@
             .unwrap_or(0)
     };
     format!(
-        "half within {} ms, 95 of 100 within {} ms, 99 within {} ms",
+        "p50 {} ms, p95 {} ms, p99 {} ms",
         at(0.5),
         at(0.95),
         at(0.99)
--- a/system/demo/src/results.rs
+++ b/system/demo/src/results.rs
@@ -1,33 +1,33 @@
-//! The results of a run of the scenario, as they are reported.
+//! The results of a scenario run.
 use crate::{clients::JobOutcome, usage::Usage, worker_server::WorkerEvent};
 
-/// Something that was done to the cluster.
+/// A fault or restart in the cluster.
 #[derive(Clone, Debug)]
 pub(crate) struct ClusterEvent {
-    /// When, in milliseconds since the demo began.
+    /// Time of the event, in milliseconds since the demo started.
     pub at: u64,
-    /// What.
-    pub what: String,
+    /// Description of the event.
+    pub description: String,
 }
 
-/// What a process has used while jobs were submitted and followed.
+/// Resource usage of a process while jobs were submitted and polled.
 pub(crate) struct ProcessUsage {
-    /// The process.
+    /// Name of the process.
     pub name: String,
     /// Its usage.
     pub usage: Usage,
 }
 
-/// All that is reported of a run of the scenario.
+/// The results of a scenario run.
 pub(crate) struct Results {
-    /// The jobs.
+    /// The outcome of each job.
     pub jobs: Vec<JobOutcome>,
-    /// What was done to the cluster.
+    /// The faults and restarts in the cluster.
     pub cluster_events: Vec<ClusterEvent>,
-    /// The runs on workers.
+    /// The run events on workers.
     pub worker_events: Vec<WorkerEvent>,
-    /// The processes.
+    /// The resource usage of each process.
     pub usage: Vec<ProcessUsage>,
-    /// How long the jobs took together, in milliseconds.
+    /// Time from the first submission until all jobs ended, in milliseconds.
     pub wall_ms: u64,
 }
--- a/system/demo/src/scenario.rs
+++ b/system/demo/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The demo's scenario: start the cluster, submit jobs, inject faults, wait for every job, report.
+//! The demo's scenario: starts the cluster, submits jobs, injects faults, waits for every job and publishes the report.
 use crate::{
     clients::{Clients, JobOutcome},
     cluster::Cluster,
@@ -18,32 +18,32 @@
     time::Instant,
 };
 
-/// How long a job may take to be shown as succeeded.
+/// Timeout of a job, from its first submission until it is reported as succeeded.
 const JOB_TIMEOUT: Duration = Duration::from_secs(40);
-/// The coordinator that is killed.
-const KILLED: &str = "coordinator-1";
-/// How long it is down.
+/// Name of the coordinator that is killed.
+const KILLED_COORDINATOR: &str = "coordinator-1";
+/// Downtime of the killed coordinator.
 const DOWNTIME: Duration = Duration::from_secs(2);
-/// The fraction of the time in which jobs are submitted that passes before the coordinator's disk is copied.
-const COPY_DISK_AFTER: f64 = 0.1;
-/// The fraction that passes before the coordinator is killed.
+/// When the coordinator's disk is backed up, as a fraction of the submission period.
+const BACK_UP_DISK_AFTER: f64 = 0.1;
+/// When the coordinator is killed, as a fraction of the submission period.
 const KILL_COORDINATOR_AFTER: f64 = 0.3;
-/// The fraction that passes before a worker crashes.
+/// When a worker crashes, as a fraction of the submission period.
 const CRASH_WORKER_AFTER: f64 = 0.6;
-/// Seeds the jobs.
+/// Seed of the random jobs.
 const SEED: u64 = 7;
-/// The lowest rate of jobs per second.
+/// Minimum submission rate, in jobs per second.
 const MIN_JOBS_PER_S: f64 = 0.01;
 
 /// Runs the scenario.
 ///
 /// # Errors
-/// When the cluster can't be started, or some job is not done at the end.
+/// If the cluster cannot be started, or some job does not succeed.
 pub fn run(options: &Options) -> Result<(), DemoError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
-        .map_err(DemoError::system("the event loop"))?;
+        .map_err(DemoError::system("starting the async runtime"))?;
     runtime.block_on(run_scenario(options))
 }
 
@@ -56,12 +56,12 @@
     let clients = Clients::new(options.coordinators, options.proxies);
     clients.configure().await?;
     println!(
-        "{:6.2} s  the cluster takes jobs",
-        workers.began.elapsed().as_secs_f64()
+        "{:6.2} s  the cluster is ready for jobs",
+        workers.started_at.elapsed().as_secs_f64()
     );
-    let processor_ms_before = processor_ms(&cluster);
+    let cpu_ms_before = cpu_ms(&cluster);
     let submissions = tokio::spawn(submit_jobs(clients, options.clone()));
-    let submitted_from = Instant::now();
+    let submissions_started_at = Instant::now();
     let cluster_events = if options.calm {
         Vec::new()
     } else {
@@ -71,31 +71,31 @@
     let results = Results {
         jobs,
         cluster_events,
-        wall_ms: submitted_from.elapsed().as_millis() as u64,
+        wall_ms: submissions_started_at.elapsed().as_millis() as u64,
         worker_events: drain_events(worker_events),
-        usage: usage_since(&cluster, &processor_ms_before),
+        usage: usage_since(&cluster, &cpu_ms_before),
     };
     report::publish(&results, &folder)
 }
 
 /// The workers, and the platform that lists them.
 struct Workers {
-    began: Instant,
+    started_at: Instant,
     platform: Platform,
     running: Vec<RunningWorker>,
 }
 
 impl Workers {
-    /// Starts workers; their events are received beside.
+    /// Starts the workers, and returns them with the receiver of their events.
     async fn start(count: u16) -> Result<(Workers, UnboundedReceiver<WorkerEvent>), DemoError> {
         let (sender, receiver) = mpsc::unbounded_channel();
         let mut workers = Workers {
-            began: Instant::now(),
+            started_at: Instant::now(),
             platform: Platform::default(),
             running: Vec::new(),
         };
         for number in 1..=count {
-            let worker = RunningWorker::start(number, workers.began, sender.clone()).await?;
+            let worker = RunningWorker::start(number, workers.started_at, sender.clone()).await?;
             workers.platform.add(worker.entry.clone());
             workers.running.push(worker);
         }
@@ -127,23 +127,23 @@
     events
 }
 
-fn processor_ms(cluster: &Cluster) -> Vec<u64> {
+fn cpu_ms(cluster: &Cluster) -> Vec<u64> {
     cluster
         .processes
         .iter()
-        .map(|process| process.usage().processor_ms)
+        .map(|process| process.usage().cpu_ms)
         .collect()
 }
 
-/// What each process has used beyond an earlier processor time.
-fn usage_since(cluster: &Cluster, processor_ms_before: &[u64]) -> Vec<ProcessUsage> {
+/// Resource usage of each process, with the CPU time counted from `cpu_ms_before`.
+fn usage_since(cluster: &Cluster, cpu_ms_before: &[u64]) -> Vec<ProcessUsage> {
     cluster
         .processes
         .iter()
-        .zip(processor_ms_before)
+        .zip(cpu_ms_before)
         .map(|(process, before)| {
             let mut usage = process.usage();
-            usage.processor_ms = usage.processor_ms.saturating_sub(*before);
+            usage.cpu_ms = usage.cpu_ms.saturating_sub(*before);
             ProcessUsage {
                 name: process.name.clone(),
                 usage,
@@ -152,15 +152,15 @@
         .collect()
 }
 
-/// Submits jobs at the requested rate, and follows each.
+/// Submits jobs at the requested rate, and polls each until it ends.
 async fn submit_jobs(clients: Clients, options: Options) -> Vec<JobOutcome> {
     let mut random = StdRng::seed_from_u64(SEED);
     let mut jobs = JoinSet::new();
     let count = (options.jobs_per_s * options.seconds as f64) as u64;
-    let began = Instant::now();
+    let started_at = Instant::now();
     for number in 0..count {
         let offset_s = number as f64 / options.jobs_per_s.max(MIN_JOBS_PER_S);
-        tokio::time::sleep_until(began + Duration::from_secs_f64(offset_s)).await;
+        tokio::time::sleep_until(started_at + Duration::from_secs_f64(offset_s)).await;
         let clients = clients.clone();
         let steps = random_steps(&mut random);
         jobs.spawn(async move { clients.follow_job(number, steps, JOB_TIMEOUT).await });
@@ -168,7 +168,7 @@
     jobs.join_all().await
 }
 
-/// Draws the steps of a job. Most jobs are short; some have several steps, and some a gang.
+/// Draws the steps of a job. Most jobs have one short step, some have several steps, and some have a gang.
 fn random_steps(random: &mut StdRng) -> Vec<StepWork> {
     let step = |count, cpu, duration_ms| StepWork {
         count,
@@ -194,53 +194,60 @@
     }
 }
 
-/// Kills a coordinator, starts it again, and crashes a worker.
+/// Kills and restarts a coordinator, and crashes a worker.
 async fn inject_faults(
     options: &Options,
     cluster: &mut Cluster,
     workers: &mut Workers,
 ) -> Result<Vec<ClusterEvent>, DemoError> {
-    let began = Instant::now();
-    let after = |fraction: f64| began + Duration::from_secs_f64(options.seconds as f64 * fraction);
+    let started_at = Instant::now();
+    let after =
+        |fraction: f64| started_at + Duration::from_secs_f64(options.seconds as f64 * fraction);
     let mut events = Vec::new();
     if options.old_copy {
-        tokio::time::sleep_until(after(COPY_DISK_AFTER)).await;
-        // Files that are being written can't be copied as they are at one moment.
-        cluster.kill(KILLED).await?;
-        cluster.copy_data(KILLED)?;
-        cluster.restart(KILLED)?;
-        events.push(announce(
-            workers.began,
-            format!("the disk of {KILLED} is copied"),
+        tokio::time::sleep_until(after(BACK_UP_DISK_AFTER)).await;
+        // A copy of files that are being written would be inconsistent, so the process is stopped first.
+        cluster.kill(KILLED_COORDINATOR).await?;
+        cluster.back_up_data(KILLED_COORDINATOR)?;
+        cluster.restart(KILLED_COORDINATOR)?;
+        events.push(print_event(
+            workers.started_at,
+            format!("the disk of {KILLED_COORDINATOR} is backed up"),
         ));
     }
     tokio::time::sleep_until(after(KILL_COORDINATOR_AFTER)).await;
-    cluster.kill(KILLED).await?;
-    events.push(announce(workers.began, format!("{KILLED} is killed")));
+    cluster.kill(KILLED_COORDINATOR).await?;
+    events.push(print_event(
+        workers.started_at,
+        format!("{KILLED_COORDINATOR} is killed"),
+    ));
     tokio::time::sleep(DOWNTIME).await;
     if options.old_copy {
-        cluster.put_back_data(KILLED)?;
-        events.push(announce(
-            workers.began,
-            format!("the disk of {KILLED} is put back from the copy"),
+        cluster.restore_data(KILLED_COORDINATOR)?;
+        events.push(print_event(
+            workers.started_at,
+            format!("the disk of {KILLED_COORDINATOR} is restored from the backup"),
         ));
     }
-    cluster.restart(KILLED)?;
-    events.push(announce(workers.began, format!("{KILLED} starts again")));
+    cluster.restart(KILLED_COORDINATOR)?;
+    events.push(print_event(
+        workers.started_at,
+        format!("{KILLED_COORDINATOR} restarts"),
+    ));
     tokio::time::sleep_until(after(CRASH_WORKER_AFTER)).await;
     if let Some(incarnation) = workers.crash_last() {
-        let what = format!("worker {incarnation} crashes");
-        events.push(announce(workers.began, what));
+        let description = format!("worker {incarnation} crashes");
+        events.push(print_event(workers.started_at, description));
     }
     Ok(events)
 }
 
-/// Prints what was done to the cluster, with the time since the demo began.
-fn announce(began: Instant, what: String) -> ClusterEvent {
-    let elapsed = began.elapsed();
-    println!("{:6.2} s  {what}", elapsed.as_secs_f64());
+/// Prints a cluster event with the time since the demo started.
+fn print_event(started_at: Instant, description: String) -> ClusterEvent {
+    let elapsed = started_at.elapsed();
+    println!("{:6.2} s  {description}", elapsed.as_secs_f64());
     ClusterEvent {
         at: elapsed.as_millis() as u64,
-        what,
+        description,
     }
 }
--- a/system/demo/src/timeline.rs
+++ b/system/demo/src/timeline.rs
@@ -1,4 +1,4 @@
-//! The report's page: a timeline of the runs on workers, with what was done to the cluster, and the table.
+//! The HTML report: a timeline of the runs on workers, annotated with cluster events, and the results table.
 use crate::{
     results::{ClusterEvent, Results},
     worker_server::WorkerEvent,
@@ -7,23 +7,24 @@
 use magpiegap_protocol::{CompletionKind, RunId, TaskId};
 use std::{collections::BTreeMap, fmt::Write};
 
-/// Pixels for a second.
+/// Width of a second, in pixels.
 const SECOND_PX: u64 = 40;
-/// Pixels for a worker.
+/// Height of a worker's row, in pixels.
 const ROW_PX: u64 = 18;
-/// Pixels between the bars of two workers.
+/// Gap between the bars of adjacent rows, in pixels.
 const ROW_GAP_PX: u64 = 3;
-/// Pixels for the names of workers.
-const NAMES_PX: u64 = 60;
-/// Pixels to the right of the last run and the names.
+/// Width of the column of worker names, in pixels.
+const NAME_COLUMN_PX: u64 = 60;
+/// Margin to the right of the last run, in pixels.
 const MARGIN_PX: u64 = 200;
-/// Pixels below the last worker.
+/// Height of the footer below the last row, in pixels.
 const FOOTER_PX: u64 = 60;
-/// Pixels for a line of text in the footer, and how many lines there are.
+/// Height of a line of text in the footer, in pixels.
 const LINE_PX: u64 = 12;
+/// Number of text lines in the footer.
 const FOOTER_LINES: u64 = 3;
 
-/// How a run's bar is drawn; the names are the page's classes.
+/// The style of a run's bar, which selects its CSS class.
 #[derive(Clone, Copy)]
 enum BarStyle {
     Done,
@@ -41,7 +42,7 @@
     }
 }
 
-/// A run on a worker.
+/// Identifies a run on a worker.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RunKey {
     incarnation: String,
@@ -59,7 +60,7 @@
     }
 }
 
-/// One run on the timeline; times in milliseconds since the demo began.
+/// The bar of a run on the timeline; times are in milliseconds since the demo started.
 struct Bar {
     incarnation: String,
     from: u64,
@@ -67,7 +68,7 @@
     style: BarStyle,
 }
 
-/// Returns the page.
+/// Renders the HTML page.
 pub(crate) fn to_page(results: &Results, table: &str) -> String {
     let bars = bars(&results.worker_events);
     let rows = rows(&bars);
@@ -93,7 +94,7 @@
     page
 }
 
-/// The rows of the workers, in the order of their first bars.
+/// Assigns a row to each worker, in the order of their first bars.
 fn rows(bars: &[Bar]) -> BTreeMap<&str, u64> {
     let mut rows = BTreeMap::new();
     for bar in bars {
@@ -103,7 +104,8 @@
     rows
 }
 
-/// The runs: those that have ended, then those that had not at the last event.
+/// Returns the bars of the runs: the completed runs first, then the runs without a completion, which are drawn up to
+/// the last event.
 fn bars(worker_events: &[WorkerEvent]) -> Vec<Bar> {
     let last = worker_events.iter().map(|event| event.at).max();
     let mut started: BTreeMap<RunKey, u64> = BTreeMap::new();
@@ -144,7 +146,7 @@
 }
 
 fn write_bar(page: &mut String, bar: &Bar, row: u64) {
-    let x = NAMES_PX + to_px(bar.from);
+    let x = NAME_COLUMN_PX + to_px(bar.from);
     let y = row * ROW_PX;
     let width = to_px(bar.to.saturating_sub(bar.from)).max(1);
     let _ = write!(
@@ -156,11 +158,11 @@
 }
 
 fn write_cluster_event(page: &mut String, event: &ClusterEvent, height: u64, line: u64) {
-    let x = NAMES_PX + to_px(event.at);
+    let x = NAME_COLUMN_PX + to_px(event.at);
     let y = height - LINE_PX * line - 4;
     let _ = write!(
         page,
         "<line x1={x} x2={x} y1=0 y2={height} stroke=#b33></line>"
     );
-    let _ = write!(page, "<text x={} y={y}>{}</text>", x + 3, event.what);
+    let _ = write!(page, "<text x={} y={y}>{}</text>", x + 3, event.description);
 }
--- a/system/demo/src/work.rs
+++ b/system/demo/src/work.rs
@@ -1,34 +1,34 @@
-//! The work of the demo's jobs, and how it is written into a job's text for the stand-in workers.
+//! The work of the demo's jobs, and its encoding in a job's specification text for the emulated workers.
 use magpiegap_protocol::{Resources, TaskId};
 use serde_json::{json, Value};
 
-/// Megabytes for each task.
+/// Memory of each task, in megabytes.
 pub const MEMORY_MB: u64 = 100;
 
 /// The work of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StepWork {
-    /// Tasks of the step.
+    /// Number of tasks.
     pub count: u32,
-    /// Thousandths of a core for each task.
+    /// CPU of each task, in thousandths of a core.
     pub cpu: u64,
-    /// How long each task takes, in milliseconds.
+    /// Duration of each task, in milliseconds.
     pub duration_ms: u64,
-    /// Whether the tasks work only together.
+    /// Whether the tasks form a gang.
     pub gang: bool,
 }
 
-/// The work of one task, as a worker reads it.
+/// The work of one task, as parsed by a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TaskWork {
-    /// What the task takes up.
+    /// The resources that the task occupies.
     pub resources: Resources,
-    /// How long it takes, in milliseconds.
+    /// Duration, in milliseconds.
     pub duration_ms: u64,
 }
 
 impl TaskWork {
-    /// Reads the work of a task from the text of its job; `None`: the text is of no such job.
+    /// Parses the work of a task from its job's text; `None` if the text does not describe the task.
     pub fn parse(text: &str, task: &TaskId) -> Option<TaskWork> {
         let line = text.lines().nth(task.step as usize)?;
         let (cpu, duration_ms) = line.split_once(' ')?;
@@ -43,7 +43,7 @@
     }
 }
 
-/// Returns the text of a job: a line for each step.
+/// Returns the specification text of a job: one line per step.
 pub fn to_text(steps: &[StepWork]) -> String {
     let lines: Vec<String> = steps
         .iter()
@@ -52,7 +52,7 @@
     lines.join("\n")
 }
 
-/// Returns the body that submits a job; each step depends on the one before.
+/// Returns the request body that submits a job, in which each step depends on the previous one.
 pub fn to_body(steps: &[StepWork]) -> Value {
     let steps_body: Vec<Value> = steps.iter().enumerate().map(step_body).collect();
     json!({ "spec": to_text(steps), "steps": steps_body })
--- a/system/demo/src/worker_body.rs
+++ b/system/demo/src/worker_body.rs
@@ -1,5 +1,5 @@
-//! The bodies of the worker protocol: orders as the stand-in workers read them, replies as they write them. The names
-//! of the pages stand here and nowhere behind it.
+//! Parses the orders and encodes the replies of the worker protocol for the emulated workers. The protocol's names are
+//! used only in this module.
 use crate::http_server::Response;
 use magpiegap_protocol::{CompletionKind, FencingToken, TaskId};
 use magpiegap_scheduler::{
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 
-/// The body of any order; what an order has no use for is left at its default.
+/// The body of any order; fields that an order does not use have their defaults.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(crate) struct OrderBody {
@@ -16,7 +16,7 @@
     #[serde(rename = "runId")]
     run: u32,
     spec: String,
-    /// By the worker's clock.
+    /// According to the worker's clock.
     #[serde(rename = "deadlineMs")]
     deadline_ms: Option<u64>,
     #[serde(rename = "fenceToken")]
@@ -29,13 +29,13 @@
     checkpoint: String,
 }
 
-/// Why a request is no call to a worker.
+/// Errors in a request to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum OrderError {
-    /// No order has this path.
+    /// The path does not belong to any order.
     #[error("unknown path")]
     UnknownPath,
-    /// A field is missing or cannot be read.
+    /// A field is missing or malformed.
     #[error("invalid body")]
     InvalidBody,
 }
@@ -51,18 +51,18 @@
 }
 
 impl OrderBody {
-    /// Reads a body.
+    /// Parses a body.
     ///
     /// # Errors
-    /// When it is no JSON object with fields of the right types.
+    /// If it is not a JSON object with fields of the expected types.
     pub(crate) fn parse(body: &[u8]) -> Result<OrderBody, OrderError> {
         serde_json::from_slice(body).map_err(|_| OrderError::InvalidBody)
     }
 
-    /// The call that a request with this body makes.
+    /// Converts a request with this body to a worker call.
     ///
     /// # Errors
-    /// When no order has the path, or the order lacks a field.
+    /// If the path is unknown, or the body lacks a field of the order.
     pub(crate) fn to_call(
         &self,
         path: &str,
@@ -110,7 +110,7 @@
     }
 }
 
-/// The response that carries a worker's reply.
+/// Encodes a worker's reply as an HTTP response.
 pub(crate) fn to_response(reply: WorkerReply) -> Response {
     match reply {
         WorkerReply::Done {
--- a/system/demo/tests/work.rs
+++ b/system/demo/tests/work.rs
@@ -1,4 +1,4 @@
-//! The text of a job tells the stand-in workers what each task does.
+//! Encoding of a job's work for the emulated workers.
 use googletest::prelude::*;
 use magpiegap_demo::work::{to_body, to_text, StepWork, TaskWork, MEMORY_MB};
 use magpiegap_protocol::{JobId, Resources, TaskId};
@@ -30,7 +30,7 @@
 }
 
 #[googletest::test]
-fn given_a_job_of_two_steps_when_a_worker_reads_its_text_then_it_finds_the_work_of_each_step() {
+fn job_text_contains_the_work_of_each_step() {
     let text = to_text(&steps());
     let second = TaskWork {
         resources: Resources {
@@ -46,7 +46,7 @@
 }
 
 #[googletest::test]
-fn given_a_job_of_two_steps_when_it_is_submitted_then_the_second_depends_on_the_first() {
+fn second_step_depends_on_the_first() {
     let body = to_body(&steps());
     expect_that!(body["steps"][0]["dependsOn"].is_null(), eq(true));
     expect_that!(body["steps"][1]["dependsOn"][0].as_u64(), some(eq(0)));
@@ -54,7 +54,7 @@
 }
 
 #[googletest::test]
-fn given_the_body_of_a_demo_job_when_a_proxy_reads_it_then_it_is_a_job() {
+fn proxy_parses_the_job_body() {
     let body = to_body(&steps()).to_string();
     let job = magpiegap::job_body::read(body.as_bytes());
     expect_that!(job.map(|job| job.steps.len()).ok(), some(eq(2)));
