--- a/system/demo/src/clients.rs
+++ b/system/demo/src/clients.rs
@@ -111,14 +111,14 @@
     }
 
     /// Submits a job and polls it until it has ended or `timeout` has passed.
-    pub(crate) async fn follow_job(
+    pub(crate) async fn submit_and_poll_job(
         &self,
         number: u64,
         steps: Vec<StepWork>,
         timeout: Duration,
     ) -> JobOutcome {
         let path = format!("{QUEUE_PATH_PREFIX}{:016x}", FIRST_JOB_ID + number);
-        let body = work::to_body(&steps).to_string();
+        let body = work::job_body(&steps).to_string();
         let started_at = Instant::now();
         let mut outcome = JobOutcome {
             accepted_after_ms: 0,
--- a/system/demo/src/cluster.rs
+++ b/system/demo/src/cluster.rs
@@ -206,7 +206,7 @@
     pub(crate) fn usage(&self) -> Usage {
         self.child
             .id()
-            .and_then(usage::of_process)
+            .and_then(usage::read_process)
             .unwrap_or_default()
     }
 }
--- a/system/demo/src/scenario.rs
+++ b/system/demo/src/scenario.rs
@@ -163,7 +163,11 @@
         tokio::time::sleep_until(started_at + Duration::from_secs_f64(offset_s)).await;
         let clients = clients.clone();
         let steps = random_steps(&mut random);
-        jobs.spawn(async move { clients.follow_job(number, steps, JOB_TIMEOUT).await });
+        jobs.spawn(async move {
+            clients
+                .submit_and_poll_job(number, steps, JOB_TIMEOUT)
+                .await
+        });
     }
     jobs.join_all().await
 }
--- a/system/demo/src/timeline.rs
+++ b/system/demo/src/timeline.rs
@@ -63,8 +63,8 @@
 /// The bar of a run on the timeline; times are in milliseconds since the demo started.
 struct Bar {
     incarnation: String,
-    from: u64,
-    to: u64,
+    start_ms: u64,
+    end_ms: u64,
     style: BarStyle,
 }
 
@@ -72,7 +72,7 @@
 pub(crate) fn to_page(results: &Results, table: &str) -> String {
     let bars = bars(&results.worker_events);
     let rows = rows(&bars);
-    let last = bars.iter().map(|bar| bar.to).max().unwrap_or(0);
+    let last = bars.iter().map(|bar| bar.end_ms).max().unwrap_or(0);
     let width = to_px(last) + MARGIN_PX;
     let height = ROW_PX * rows.len() as u64 + FOOTER_PX;
     let mut page = String::from(
@@ -117,11 +117,11 @@
             }
             RunEvent::Completed(completion) => {
                 let key = RunKey::new(event, &completion.task, completion.run);
-                if let Some(from) = started.remove(&key) {
+                if let Some(start_ms) = started.remove(&key) {
                     bars.push(Bar {
                         incarnation: key.incarnation,
-                        from,
-                        to: event.at,
+                        start_ms,
+                        end_ms: event.at,
                         style: match completion.kind {
                             CompletionKind::Done => BarStyle::Done,
                             _ => BarStyle::Other,
@@ -132,10 +132,10 @@
             RunEvent::Acknowledged(_) => {}
         }
     }
-    bars.extend(started.into_iter().map(|(key, from)| Bar {
+    bars.extend(started.into_iter().map(|(key, start_ms)| Bar {
         incarnation: key.incarnation,
-        from,
-        to: last.unwrap_or(0),
+        start_ms,
+        end_ms: last.unwrap_or(0),
         style: BarStyle::Lost,
     }));
     bars
@@ -146,9 +146,9 @@
 }
 
 fn write_bar(page: &mut String, bar: &Bar, row: u64) {
-    let x = NAME_COLUMN_PX + to_px(bar.from);
+    let x = NAME_COLUMN_PX + to_px(bar.start_ms);
     let y = row * ROW_PX;
-    let width = to_px(bar.to.saturating_sub(bar.from)).max(1);
+    let width = to_px(bar.end_ms.saturating_sub(bar.start_ms)).max(1);
     let _ = write!(
         page,
         "<rect class={} x={x} y={y} width={width} height={}></rect>",
--- a/system/demo/src/usage.rs
+++ b/system/demo/src/usage.rs
@@ -16,7 +16,7 @@
 const FIELDS_BEFORE_USER_TIME: usize = 11;
 
 /// Reads the usage of a process; `None` if the system does not report it.
-pub(crate) fn of_process(id: u32) -> Option<Usage> {
+pub(crate) fn read_process(id: u32) -> Option<Usage> {
     let stat = fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
     let status = fs::read_to_string(format!("/proc/{id}/status")).ok()?;
     Some(Usage {
--- a/system/demo/src/work.rs
+++ b/system/demo/src/work.rs
@@ -44,7 +44,7 @@
 }
 
 /// Returns the specification text of a job: one line per step.
-pub fn to_text(steps: &[StepWork]) -> String {
+pub fn job_text(steps: &[StepWork]) -> String {
     let lines: Vec<String> = steps
         .iter()
         .map(|step| format!("{} {}", step.cpu, step.duration_ms))
@@ -53,9 +53,9 @@
 }
 
 /// Returns the request body that submits a job, in which each step depends on the previous one.
-pub fn to_body(steps: &[StepWork]) -> Value {
+pub fn job_body(steps: &[StepWork]) -> Value {
     let steps_body: Vec<Value> = steps.iter().enumerate().map(step_body).collect();
-    json!({ "spec": to_text(steps), "steps": steps_body })
+    json!({ "spec": job_text(steps), "steps": steps_body })
 }
 
 fn step_body((position, step): (usize, &StepWork)) -> Value {
--- a/system/demo/tests/work.rs
+++ b/system/demo/tests/work.rs
@@ -1,6 +1,6 @@
 //! Encoding of a job's work for the emulated workers.
 use googletest::prelude::*;
-use magpiegap_demo::work::{to_body, to_text, StepWork, TaskWork, MEMORY_MB};
+use magpiegap_demo::work::{job_body, job_text, StepWork, TaskWork, MEMORY_MB};
 use magpiegap_protocol::{JobId, Resources, TaskId};
 
 fn steps() -> Vec<StepWork> {
@@ -31,7 +31,7 @@
 
 #[googletest::test]
 fn job_text_contains_the_work_of_each_step() {
-    let text = to_text(&steps());
+    let text = job_text(&steps());
     let second = TaskWork {
         resources: Resources {
             cpu: 1500,
@@ -47,7 +47,7 @@
 
 #[googletest::test]
 fn second_step_depends_on_the_first() {
-    let body = to_body(&steps());
+    let body = job_body(&steps());
     expect_that!(body["steps"][0]["dependsOn"].is_null(), eq(true));
     expect_that!(body["steps"][1]["dependsOn"][0].as_u64(), some(eq(0)));
     expect_that!(body["steps"][1]["gang"].as_bool(), some(eq(true)));
@@ -55,7 +55,7 @@
 
 #[googletest::test]
 fn proxy_parses_the_job_body() {
-    let body = to_body(&steps()).to_string();
+    let body = job_body(&steps()).to_string();
     let job = magpiegap::job_body::read(body.as_bytes());
     expect_that!(job.map(|job| job.steps.len()).ok(), some(eq(2)));
 }
--- a/system/fleet/src/fleet.rs
+++ b/system/fleet/src/fleet.rs
@@ -51,7 +51,7 @@
 const START_INTERVAL_MS: u64 = 40;
 
 /// Worker labels, assigned round-robin.
-const KIND_LABELS: [&str; 3] = ["a", "a", "b"];
+const WORKER_LABELS: [&str; 3] = ["a", "a", "b"];
 /// Number of racks; workers are assigned to them round-robin.
 const RACKS: usize = 2;
 
@@ -228,7 +228,7 @@
                 gpu: 0,
             },
             labels: vec![
-                KIND_LABELS[number % KIND_LABELS.len()].to_owned(),
+                WORKER_LABELS[number % WORKER_LABELS.len()].to_owned(),
                 format!("r{}", number % RACKS),
             ],
             ..WorkerEntry::default()
--- a/system/fleet/src/fleet/edges.rs
+++ b/system/fleet/src/fleet/edges.rs
@@ -12,19 +12,19 @@
     }
 
     /// The edges whose active configuration differs from a coordinator's configuration of the same version.
-    pub fn edges_with_wrong_configuration(&self) -> Vec<usize> {
+    pub fn edges_with_mismatched_configuration(&self) -> Vec<usize> {
         let known: Vec<Configuration> = self
             .coordinators()
             .filter_map(|coordinator| {
                 Configuration::parse(&coordinator.state().configuration.body).ok()
             })
             .collect();
-        let is_wrong = |edge: &Edge| {
+        let is_mismatched = |edge: &Edge| {
             let same_version = known.iter().find(|known| known.version == edge.version());
             same_version.is_some_and(|known| known != edge.configuration())
         };
         (0..self.edges.len())
-            .filter(|number| is_wrong(&self.edges[*number]))
+            .filter(|number| is_mismatched(&self.edges[*number]))
             .collect()
     }
 
--- a/system/fleet/src/fleet/job_specs.rs
+++ b/system/fleet/src/fleet/job_specs.rs
@@ -52,11 +52,11 @@
             job.steps.push(step);
         }
         match random.gen_range(0..10) {
-            0 => self.repeat(&mut job, random, at),
+            0 => self.make_repeated(&mut job, random, at),
             1 => make_long_running(&mut job),
             2 => {
                 make_long_running(&mut job);
-                self.repeat(&mut job, random, at);
+                self.make_repeated(&mut job, random, at);
             }
             _ => {}
         }
@@ -64,7 +64,7 @@
     }
 
     /// Gives a job several occurrences, which overlap if its tasks take longer than the interval.
-    fn repeat(&self, job: &mut JobSpec, random: &mut StdRng, at: u64) {
+    fn make_repeated(&self, job: &mut JobSpec, random: &mut StdRng, at: u64) {
         job.repeat_count = random.gen_range(1..4);
         job.start_at_ms = self.wall() - self.now() + at + random.gen_range(0..4000);
         job.interval_ms = random.gen_range(50..2000);
--- a/system/fleet/src/fleet/requests.rs
+++ b/system/fleet/src/fleet/requests.rs
@@ -171,7 +171,7 @@
             } => {
                 let observation = Observation {
                     requested_at,
-                    by: self.nodes[process.node].member,
+                    responder: self.nodes[process.node].member,
                     request: &request,
                     response,
                 };
--- a/system/fleet/src/fleet/settings.rs
+++ b/system/fleet/src/fleet/settings.rs
@@ -10,7 +10,7 @@
     /// Number of workers.
     pub workers: usize,
     /// Percentage of the runs that fail.
-    pub failing_percent: u64,
+    pub run_failure_percent: u64,
     /// Whether workers refuse runs that exceed their capacity; otherwise they start every run.
     pub enforces_capacity: bool,
     /// Minimum interval between outputs of a coordinator process, in milliseconds; emulates a busy process.
@@ -39,7 +39,7 @@
             nodes: 3,
             tolerance: 1,
             workers: 6,
-            failing_percent: 0,
+            run_failure_percent: 0,
             enforces_capacity: true,
             output_interval_ms: 0,
             operators: 1,
--- a/system/fleet/src/fleet/worker_calls.rs
+++ b/system/fleet/src/fleet/worker_calls.rs
@@ -208,13 +208,13 @@
 
     /// Whether a run fails; a pseudo-random function of the task and run, so repeated calls give the same result.
     fn run_fails(&self, task: TaskId, run: RunId) -> bool {
-        let mixed = task.job.0
+        let hash = task.job.0
             ^ (u64::from(task.index) << 20)
             ^ (u64::from(task.step) << 40)
             ^ (u64::from(task.occurrence) << 52)
             ^ u64::from(run);
-        mixed.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32 & 0xffff
-            < self.settings.failing_percent * 0xffff / 100
+        hash.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32 & 0xffff
+            < self.settings.run_failure_percent * 0xffff / 100
     }
 
     /// Advances all workers to the current time.
--- a/system/fleet/src/oracle/response_checks.rs
+++ b/system/fleet/src/oracle/response_checks.rs
@@ -26,7 +26,7 @@
 pub(crate) struct Observation<'a> {
     pub requested_at: u64,
     /// The coordinator that responded.
-    pub by: Member,
+    pub responder: Member,
     pub request: &'a CoordinatorRequest,
     pub response: &'a CoordinatorResponse,
 }
@@ -113,10 +113,10 @@
 
     /// Checks a response to an observer.
     pub(crate) fn observed(&mut self, now: u64, observation: Observation<'_>) {
-        let by = observation.by;
+        let responder = observation.responder;
         match (observation.request, observation.response) {
             (CoordinatorRequest::Poll(_), CoordinatorResponse::Feed(feed)) => {
-                self.check_feed(now, by, feed);
+                self.check_feed(now, responder, feed);
             }
             (CoordinatorRequest::Status { job, .. }, CoordinatorResponse::Phase(phase)) => {
                 self.check_phase(now, observation, *job, *phase);
@@ -129,7 +129,7 @@
                 if was_accepted {
                     self.report(
                         now,
-                        format!("{by} reports no such job for the accepted job {job}"),
+                        format!("{responder} reports no such job for the accepted job {job}"),
                     );
                 }
             }
@@ -137,7 +137,7 @@
         }
     }
 
-    fn check_feed(&mut self, now: u64, by: Member, feed: &Feed) {
+    fn check_feed(&mut self, now: u64, responder: Member, feed: &Feed) {
         let version = feed.configuration_version;
         let min_version = self
             .history
@@ -146,7 +146,7 @@
             self.report(
                 now,
                 format!(
-                    "{by} serves configuration {version}, but {min_version} was acknowledged more than \
+                    "{responder} serves configuration {version}, but {min_version} was acknowledged more than \
                      {MAX_FEED_AGE_MS} ms ago"
                 ),
             );
@@ -165,11 +165,11 @@
             .chain(cancelled)
             .any(|since| *since < observation.requested_at);
         if had_ended {
-            let by = observation.by;
+            let responder = observation.responder;
             let phase_name = phase.as_str();
             self.report(
                 now,
-                format!("{by} reports job {job} as {phase_name} after it had ended"),
+                format!("{responder} reports job {job} as {phase_name} after it had ended"),
             );
         }
     }
--- a/system/fleet/tests/edges.rs
+++ b/system/fleet/tests/edges.rs
@@ -40,7 +40,7 @@
         .collect();
     assert!(failures.is_empty(), "seed {seed}: {}", failures.join("\n"));
     expect_that!(
-        fleet.edges_with_wrong_configuration(),
+        fleet.edges_with_mismatched_configuration(),
         is_empty(),
         "seed {seed}"
     );
--- a/system/fleet/tests/fault_scenarios.rs
+++ b/system/fleet/tests/fault_scenarios.rs
@@ -269,7 +269,7 @@
 fn delayed_orders_never_run_a_task_twice() {
     for seed in seeds(12) {
         let settings = FleetSettings {
-            failing_percent: 5,
+            run_failure_percent: 5,
             enforces_capacity: seed % 2 == 0,
             seed,
             ..FleetSettings::default()
--- a/system/fleet/tests/faults.rs
+++ b/system/fleet/tests/faults.rs
@@ -33,7 +33,7 @@
     let settings = FleetSettings {
         nodes,
         tolerance,
-        failing_percent: 5,
+        run_failure_percent: 5,
         enforces_capacity: seed % 8 < 4,
         workers: load.workers,
         output_interval_ms,
--- a/system/fleet/tests/no_faults.rs
+++ b/system/fleet/tests/no_faults.rs
@@ -46,7 +46,7 @@
 fn job_fails_after_its_last_attempt() {
     // Given
     let mut fleet = Fleet::new(FleetSettings {
-        failing_percent: 100,
+        run_failure_percent: 100,
         ..FleetSettings::default()
     });
     // When
--- a/system/fleet/tests/run_model/model_state.rs
+++ b/system/fleet/tests/run_model/model_state.rs
@@ -47,7 +47,7 @@
 pub(crate) struct RoleOwner {
     pub scheduler: Scheduler,
     /// When its role lease expires; set once another scheduler has claimed the role.
-    pub acts_until: Option<u64>,
+    pub role_lease_until: Option<u64>,
 }
 
 /// A call in flight, whose caller may have timed out.
@@ -186,7 +186,7 @@
             self.now, self.state.jobs, self.state.workers
         )?;
         for owner in &self.owners {
-            write!(f, "{:?} {:?} ", owner.scheduler, owner.acts_until)?;
+            write!(f, "{:?} {:?} ", owner.scheduler, owner.role_lease_until)?;
         }
         write!(
             f,
--- a/system/fleet/tests/run_model/transitions.rs
+++ b/system/fleet/tests/run_model/transitions.rs
@@ -46,14 +46,16 @@
         };
         self.apply(number, None, claim);
         for owner in &mut self.owners {
-            owner.acts_until.get_or_insert(self.now + ROLE_LEASE_MS);
+            owner
+                .role_lease_until
+                .get_or_insert(self.now + ROLE_LEASE_MS);
         }
         let token = self.state.fencing_token(&role());
         let mut scheduler = Scheduler::new(SERVICE, token, settings(), self.now, &self.state, 7);
         scheduler.handle_worker_list(self.now, &self.state, &self.entries());
         self.owners.push(RoleOwner {
             scheduler,
-            acts_until: None,
+            role_lease_until: None,
         });
         self.run_owner(number);
     }
@@ -110,7 +112,7 @@
 
     pub(crate) fn holds_role_lease(&self, owner: usize) -> bool {
         self.owners[owner]
-            .acts_until
+            .role_lease_until
             .is_none_or(|until| self.now < until)
     }
 
@@ -207,7 +209,7 @@
             let incarnation = self.workers[number].entry.incarnation.clone();
             for run_event in self.workers[number].poll_events() {
                 match run_event {
-                    RunEvent::Started { run, .. } => self.started(&incarnation, run),
+                    RunEvent::Started { run, .. } => self.record_start(&incarnation, run),
                     RunEvent::Completed(completion) => {
                         self.running.remove(&(incarnation.clone(), completion.run));
                     }
@@ -221,7 +223,7 @@
         }
     }
 
-    pub(crate) fn started(&mut self, incarnation: &str, run: RunId) {
+    pub(crate) fn record_start(&mut self, incarnation: &str, run: RunId) {
         if let Some((other, other_run)) = self.running.iter().next() {
             self.violation = Some(format!(
                 "run {run} on {incarnation} is concurrent with run {other_run} on {other}"
