--- a/system/demo/tests/work.rs
+++ b/system/demo/tests/work.rs
@@ -1,6 +1,6 @@
-//! The text of a job tells the stand-in workers what each task does.
+//! Encoding of a job's work for the emulated workers.
 use googletest::prelude::*;
-use magpiegap_demo::work::{to_body, to_text, StepWork, TaskWork, MEMORY_MB};
+use magpiegap_demo::work::{job_body, job_text, StepWork, TaskWork, MEMORY_MB};
 use magpiegap_protocol::{JobId, Resources, TaskId};
 
 fn steps() -> Vec<StepWork> {
@@ -30,8 +30,8 @@
 }
 
 #[googletest::test]
-fn given_a_job_of_two_steps_when_a_worker_reads_its_text_then_it_finds_the_work_of_each_step() {
-    let text = to_text(&steps());
+fn job_text_contains_the_work_of_each_step() {
+    let text = job_text(&steps());
     let second = TaskWork {
         resources: Resources {
             cpu: 1500,
@@ -46,16 +46,16 @@
 }
 
 #[googletest::test]
-fn given_a_job_of_two_steps_when_it_is_submitted_then_the_second_depends_on_the_first() {
-    let body = to_body(&steps());
+fn second_step_depends_on_the_first() {
+    let body = job_body(&steps());
     expect_that!(body["steps"][0]["dependsOn"].is_null(), eq(true));
     expect_that!(body["steps"][1]["dependsOn"][0].as_u64(), some(eq(0)));
     expect_that!(body["steps"][1]["gang"].as_bool(), some(eq(true)));
 }
 
 #[googletest::test]
-fn given_the_body_of_a_demo_job_when_a_proxy_reads_it_then_it_is_a_job() {
-    let body = to_body(&steps()).to_string();
+fn proxy_parses_the_job_body() {
+    let body = job_body(&steps()).to_string();
     let job = magpiegap::job_body::read(body.as_bytes());
     expect_that!(job.map(|job| job.steps.len()).ok(), some(eq(2)));
 }
