--- a/balancer/proxy/tests/common/upstream.rs
+++ b/balancer/proxy/tests/common/upstream.rs
@@ -1,6 +1,6 @@
 //! A fake upstream, and addresses at which no upstream responds.
 use super::{read, Message, TEST_TIMEOUT};
-use balancer_lab::net::{Manner, Port};
+use balancer_lab::net::{Port, PortMode};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -146,7 +146,7 @@
     pub addr: SocketAddr,
     runtime: Runtime,
     port: Port,
-    manner: watch::Sender<Manner>,
+    mode: watch::Sender<PortMode>,
 }
 
 impl Unreachable {
@@ -169,21 +169,21 @@
             number as u8,
         ];
         let addr = SocketAddr::from((ip, refusing().port()));
-        let (manner, manner_rx) = watch::channel(Manner::Unresponsive);
+        let (mode, mode_rx) = watch::channel(PortMode::Unresponsive);
         let port = runtime
-            .block_on(async { Port::bind(addr, manner_rx) })
+            .block_on(async { Port::bind(addr, mode_rx) })
             .expect("bind");
         Unreachable {
             addr,
             runtime,
             port,
-            manner,
+            mode,
         }
     }
 
     /// Lets connections be established from now on, and returns the first one.
     pub(crate) fn start_accepting(mut self) -> BufReader<TcpStream> {
-        self.manner.send_replace(Manner::Open);
+        self.mode.send_replace(PortMode::Open);
         let accepted = self
             .runtime
             .block_on(self.port.accept())
