--- a/system/jobs/src/configuration_error.rs
+++ b/system/jobs/src/configuration_error.rs
@@ -9,10 +9,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigurationError {
     /// The body is not UTF-8.
-    #[error("body is not valid UTF-8: {0}")]
+    #[error("not readable as JSON: {0}")]
     NotUtf8(#[source] Utf8Error),
     /// The body is not JSON.
-    #[error("body is not valid JSON: {0}")]
+    #[error("not readable as JSON: {0}")]
     NotJson(#[source] JsonParseError),
     /// A field is missing, has the wrong type or is out of range.
     #[error("{field}: must be {expected}")]
@@ -39,6 +39,6 @@
         second: String,
     },
     /// Two routes or two services have the same name.
-    #[error("duplicate name: {0}")]
+    #[error("{0}: the name comes twice")]
     DuplicateName(String),
 }
--- a/system/jobs/src/configuration_parser.rs
+++ b/system/jobs/src/configuration_parser.rs
@@ -29,7 +29,7 @@
         let fields = JsonFields::new(String::new(), &value)?;
         let version = fields.integer("version", 0)?;
         if version == 0 {
-            return Err(field_error("version", "an integer above 0"));
+            return Err(field_error("version", "a whole number above 0"));
         }
         let services = parse_services(&fields)?;
         let routes = parse_routes(&fields, &services)?;
@@ -107,10 +107,7 @@
 fn parse_route(fields: &JsonFields<'_>) -> Result<Route, ConfigurationError> {
     let timeout_ms = fields.integer("timeoutMs", 0)?;
     if timeout_ms == 0 {
-        return Err(field_error(
-            fields.field_path("timeoutMs"),
-            "an integer above 0",
-        ));
+        return Err(field_error(fields.field_path("timeoutMs"), "above 0"));
     }
     Ok(Route {
         name: fields.string("name")?,
--- a/system/jobs/src/json_fields.rs
+++ b/system/jobs/src/json_fields.rs
@@ -59,7 +59,7 @@
         self.value(field)
             .and_then(|value| value.get::<String>())
             .cloned()
-            .ok_or_else(|| field_error(self.field_path(field), "a string"))
+            .ok_or_else(|| field_error(self.field_path(field), "a text"))
     }
 
     /// Returns an integer from 0 to [`MAX_EXACT_INTEGER`].
@@ -73,7 +73,7 @@
             }
             Some(_) => Err(field_error(
                 self.field_path(field),
-                "an integer from 0 to 2^53",
+                "a whole number of at least 0",
             )),
         }
     }
@@ -81,8 +81,7 @@
     /// Returns an integer that fits into 32 bits.
     pub(crate) fn integer_u32(&self, field: &str, default: u32) -> Result<u32, ConfigurationError> {
         let integer = self.integer(field, u64::from(default))?;
-        u32::try_from(integer)
-            .map_err(|_| field_error(self.field_path(field), "an integer below 2^32"))
+        u32::try_from(integer).map_err(|_| field_error(self.field_path(field), "a smaller number"))
     }
 
     /// Returns a finite number of at least zero.
@@ -113,7 +112,7 @@
             .value(field)
             .and_then(|value| value.get::<Vec<JsonValue>>())
         else {
-            return Err(field_error(path, "an array"));
+            return Err(field_error(path, "a list"));
         };
         values
             .iter()
--- a/system/jobs/tests/configuration.rs
+++ b/system/jobs/tests/configuration.rs
@@ -48,7 +48,7 @@
     expect_that!(parse_error(&complete), eq(""));
     expect_that!(
         parse_error(&complete[..complete.len() - 3]),
-        starts_with("body is not valid JSON")
+        starts_with("not readable as JSON")
     );
     expect_that!(
         parse_error(&configuration("0", std::slice::from_ref(&valid))),
@@ -80,5 +80,5 @@
         contains_substring("unknown service t")
     );
     expect_that!(parse_error("[]"), contains_substring("must be an object"));
-    expect_that!(parse_error("\u{0}"), starts_with("body is not valid JSON"));
+    expect_that!(parse_error("\u{0}"), starts_with("not readable"));
 }
--- a/system/magpiegap/src/coordinator/control_plane.rs
+++ b/system/magpiegap/src/coordinator/control_plane.rs
@@ -93,7 +93,7 @@
     async fn replace_configuration(&self, request: &Request<'_>, data: Data<'_>) -> Reply {
         let body = match read_body(data, MAX_BODY_BYTES).await {
             Ok(body) => body,
-            Err(status) => return Reply::text(status, "cannot read the request body"),
+            Err(status) => return Reply::text(status, "the body can't be read"),
         };
         let base = request
             .headers()
@@ -104,7 +104,7 @@
         let Ok(base) = base else {
             return Reply::text(
                 Status::BadRequest,
-                "Base-Version: must be a non-negative integer",
+                "Base-Version: must be a whole number of at least 0",
             );
         };
         match self
@@ -116,10 +116,9 @@
                 Reply::text(Status::BadRequest, fault)
             }
             Some(CoordinatorResponse::ConfigurationAccepted) => Reply::text(Status::Ok, ""),
-            Some(CoordinatorResponse::ConfigurationConflict) => Reply::text(
-                Status::PreconditionFailed,
-                "the current version differs from Base-Version",
-            ),
+            Some(CoordinatorResponse::ConfigurationConflict) => {
+                Reply::text(Status::PreconditionFailed, "another version is in place")
+            }
             Some(CoordinatorResponse::ConfigurationStale) => {
                 Reply::text(Status::BadRequest, "version: must be above the current one")
             }
@@ -178,7 +177,7 @@
     /// Explains a job: why its tasks wait, and where they run.
     async fn explain_job(&self, name: &str) -> Reply {
         let Some(job) = JobId::parse(name) else {
-            return Reply::text(Status::BadRequest, "a job ID has 16 hexadecimal digits");
+            return Reply::text(Status::BadRequest, "a job's name has 16 hexadecimal digits");
         };
         match self
             .handle
@@ -201,7 +200,7 @@
 fn unavailable() -> Reply {
     Reply::text(
         Status::ServiceUnavailable,
-        "this coordinator cannot serve requests at present; try another one",
+        "this coordinator can't serve now; another one may",
     )
 }
 
@@ -218,7 +217,7 @@
             (Method::Get, "/-/Cluster.Describe") => self.describe_cluster().await,
             (Method::Get, "/-/Job.List") => self.list_jobs(request).await,
             (Method::Get, "/-/metrics") => self.metrics().await,
-            _ => Reply::text(Status::NotFound, "unknown path or method"),
+            _ => Reply::text(Status::NotFound, "no such call"),
         };
         Outcome::from(request, reply)
     }
--- a/system/magpiegap/src/coordinator/job_filter.rs
+++ b/system/magpiegap/src/coordinator/job_filter.rs
@@ -17,7 +17,7 @@
         expected: &'static str,
     },
     /// A parameter is unknown.
-    #[error("{0}: unknown parameter")]
+    #[error("{0}: there is no such field")]
     UnknownField(String),
 }
 
@@ -47,11 +47,7 @@
                 let job = JobId::parse(value).ok_or_else(|| must_be("16 hexadecimal digits"))?;
                 filter.after = Some(job);
             }
-            "limit" => {
-                filter.limit = value
-                    .parse()
-                    .map_err(|_| must_be("a non-negative integer"))?
-            }
+            "limit" => filter.limit = value.parse().map_err(|_| must_be("a whole number"))?,
             _ => return Err(JobFilterError::UnknownField(name.to_owned())),
         }
     }
--- a/system/protocol/src/job.rs
+++ b/system/protocol/src/job.rs
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JobSpecError {
     /// `spec` is too long. Contains its length in bytes.
-    #[error("spec has {0} bytes; the limit is {MAX_SPEC_BYTES}")]
+    #[error("spec has {0} bytes, {MAX_SPEC_BYTES} at most")]
     SpecTooLong(usize),
     /// There are no steps.
     #[error("the job has no steps")]
@@ -100,13 +100,13 @@
     #[error("step {0} has no tasks")]
     EmptyStep(usize),
     /// There are too many tasks. Contains their number.
-    #[error("the job has {0} tasks; the limit is {MAX_TASKS_PER_JOB}")]
+    #[error("the job has {0} tasks, {MAX_TASKS_PER_JOB} at most")]
     TooManyTasks(u64),
     /// A resource or estimate is too large. Contains the position of the step and the JSON name of the field.
-    #[error("step {0} has too large a number for {1}; the limit is {MAX_AMOUNT}")]
+    #[error("step {0} has too large a number for {1}, {MAX_AMOUNT} at most")]
     AmountTooLarge(usize, &'static str),
     /// A step depends on itself, on a later step or on one that does not exist. Contains the positions of both.
-    #[error("step {0} depends on step {1}; a step can depend on earlier steps only")]
+    #[error("step {0} depends on step {1}, which is not before it")]
     BadDependency(usize, u32),
 }
 
