--- a/system/control/tests/common/group.rs
+++ b/system/control/tests/common/group.rs
@@ -90,8 +90,8 @@
             .map(|address| Member { address, disk: 0 })
             .collect();
         let location = |zone: &&str| Location {
-            zone: FailureDomainId::of(zone),
-            region: FailureDomainId::of("region"),
+            zone: FailureDomainId::from_name(zone),
+            region: FailureDomainId::from_name("region"),
         };
         let locations: BTreeMap<u32, Location> = (1..).zip(zones.iter().map(location)).collect();
         let addresses: Vec<u32> = locations.keys().copied().collect();
--- a/system/control/tests/zones.rs
+++ b/system/control/tests/zones.rs
@@ -16,8 +16,8 @@
 
 fn in_zones(zones: &[&str]) -> Vec<Location> {
     let location = |zone: &&str| Location {
-        zone: FailureDomainId::of(zone),
-        region: FailureDomainId::of("region"),
+        zone: FailureDomainId::from_name(zone),
+        region: FailureDomainId::from_name("region"),
     };
     zones.iter().map(location).collect()
 }
@@ -64,8 +64,8 @@
         regions: 1,
     };
     let at = |zone: &str, region: &str| Location {
-        zone: FailureDomainId::of(zone),
-        region: FailureDomainId::of(region),
+        zone: FailureDomainId::from_name(zone),
+        region: FailureDomainId::from_name(region),
     };
     let two_regions = [at("a", "r"), at("b", "r"), at("c", "s")];
     let three_regions = [at("a", "r"), at("b", "s"), at("c", "t")];
--- a/system/coordinator/src/event_handlers.rs
+++ b/system/coordinator/src/event_handlers.rs
@@ -41,7 +41,7 @@
         self.advance_clocks(now, clock);
         for message in messages {
             match message {
-                PeerMessage::Platform(list) => self.install_platform_list(list),
+                PeerMessage::WorkerList(list) => self.install_platform_list(list),
                 message => self.replica.handle_messages(
                     now,
                     self.median_wall,
--- a/system/coordinator/src/platform.rs
+++ b/system/coordinator/src/platform.rs
@@ -81,7 +81,7 @@
             if *replica == own {
                 continue;
             }
-            let message = PeerMessage::Platform(list.clone());
+            let message = PeerMessage::WorkerList(list.clone());
             let to = replica.member.address;
             self.outputs
                 .push(Output::Control(ControlOutput::Send { to, message }));
--- a/system/coordinator/tests/fencing_tokens.rs
+++ b/system/coordinator/tests/fencing_tokens.rs
@@ -30,7 +30,7 @@
             workers: names.iter().map(|name| worker(name)).collect(),
         };
         let known_token = FencingToken(token.0 + 5);
-        fixture.handle_message(PeerMessage::Platform(worker_list(
+        fixture.handle_message(PeerMessage::WorkerList(worker_list(
             known_token,
             50,
             &["w1", "w2"],
@@ -40,7 +40,7 @@
         let other_token = FencingToken(known_token.0.saturating_add_signed(token_offset));
         let sequence = 50_u64.saturating_add_signed(sequence_offset);
         let names = ["w1", "w2", "w3"];
-        fixture.handle_message(PeerMessage::Platform(worker_list(
+        fixture.handle_message(PeerMessage::WorkerList(worker_list(
             other_token,
             sequence,
             &names,
--- a/system/jobs/src/apply.rs
+++ b/system/jobs/src/apply.rs
@@ -54,12 +54,12 @@
                 acknowledged_completion,
                 completions,
             } => self.record_completions(incarnation, *acknowledged_completion, completions),
-            Command::LoseRuns { runs } => self.lose_runs(runs),
-            Command::LoseIncarnation { incarnation, ended } => {
-                self.lose_incarnation(incarnation, *ended)
+            Command::MarkRunsLost { runs } => self.mark_runs_lost(runs),
+            Command::MarkIncarnationLost { incarnation, ended } => {
+                self.mark_incarnation_lost(incarnation, *ended)
             }
             Command::OpenOccurrence { job, occurrence } => self.open_occurrence(*job, *occurrence),
-            Command::ForgetJobs { jobs } => self.forget_jobs(jobs),
+            Command::RemoveJobs { jobs } => self.remove_jobs(jobs),
         }
     }
 }
--- a/system/jobs/src/apply_jobs.rs
+++ b/system/jobs/src/apply_jobs.rs
@@ -65,7 +65,7 @@
     }
 
     /// Removes the given jobs, except those that have not ended or still have active runs.
-    pub(crate) fn forget_jobs(&mut self, jobs: &[JobId]) -> Outcome {
+    pub(crate) fn remove_jobs(&mut self, jobs: &[JobId]) -> Outcome {
         for id in jobs {
             let is_removable = self
                 .state
--- a/system/jobs/src/apply_runs.rs
+++ b/system/jobs/src/apply_runs.rs
@@ -153,7 +153,7 @@
         self.changes.push(Change::JobChanged(id));
     }
 
-    pub(crate) fn lose_runs(&mut self, runs: &[RunStart]) -> Outcome {
+    pub(crate) fn mark_runs_lost(&mut self, runs: &[RunStart]) -> Outcome {
         for lost in runs {
             if self.close_run(&lost.incarnation, lost.task, lost.run, None) {
                 self.record_checkpoint(lost);
@@ -174,7 +174,7 @@
     }
 
     /// Closes all runs of a worker incarnation. An ended incarnation never runs anything again, so its record is removed.
-    pub(crate) fn lose_incarnation(&mut self, incarnation: &str, has_ended: bool) -> Outcome {
+    pub(crate) fn mark_incarnation_lost(&mut self, incarnation: &str, has_ended: bool) -> Outcome {
         let Some(worker) = self.state.workers.get_mut(incarnation) else {
             return Outcome::Void;
         };
--- a/system/jobs/tests/fencing_tokens.rs
+++ b/system/jobs/tests/fencing_tokens.rs
@@ -111,8 +111,8 @@
             acknowledged_completion: 1,
             completions: Vec::new(),
         },
-        Command::LoseRuns { runs: Vec::new() },
-        Command::LoseIncarnation {
+        Command::MarkRunsLost { runs: Vec::new() },
+        Command::MarkIncarnationLost {
             incarnation: "a".to_owned(),
             ended: true,
         },
@@ -120,6 +120,6 @@
             job: JobId(1),
             occurrence: 0,
         },
-        Command::ForgetJobs { jobs: Vec::new() },
+        Command::RemoveJobs { jobs: Vec::new() },
     ]
 }
--- a/system/jobs/tests/state.rs
+++ b/system/jobs/tests/state.rs
@@ -227,7 +227,7 @@
     );
     let applied = apply(
         &mut state,
-        Command::LoseIncarnation {
+        Command::MarkIncarnationLost {
             incarnation: "a".to_owned(),
             ended: true,
         },
--- a/system/jobs/tests/stored_bytes.rs
+++ b/system/jobs/tests/stored_bytes.rs
@@ -169,7 +169,7 @@
             submission: Box::new(submission(1)),
             runs: vec![run(0), run(1)],
         },
-        Command::LoseRuns {
+        Command::MarkRunsLost {
             runs: vec![RunStart {
                 checkpoint: "half-way".to_owned(),
                 ..run(1)
--- a/system/magpiegap/src/settings.rs
+++ b/system/magpiegap/src/settings.rs
@@ -350,8 +350,8 @@
     pub fn location(&self) -> Location {
         let region = self.zones.get(&self.zone).map_or("", String::as_str);
         Location {
-            zone: FailureDomainId::of(&self.zone),
-            region: FailureDomainId::of(region),
+            zone: FailureDomainId::from_name(&self.zone),
+            region: FailureDomainId::from_name(region),
         }
     }
 
--- a/system/magpiegap/tests/data_folder/commands.rs
+++ b/system/magpiegap/tests/data_folder/commands.rs
@@ -222,7 +222,7 @@
         ),
         submit(plain(CANCELLED), one(CANCELLED)),
         Command::CancelJob { job: CANCELLED },
-        Command::LoseRuns {
+        Command::MarkRunsLost {
             runs: vec![run(task(LONG, 0, 2), 1, "w-2", "c-3")],
         },
         record_completions(
@@ -294,22 +294,22 @@
                 completion(task(LONG, 1, 0), 1, CompletionKind::Stopped, ""),
             ],
         ),
-        Command::LoseRuns {
+        Command::MarkRunsLost {
             runs: vec![run(task(LONG, 0, 1), 3, "w-8", "c-5")],
         },
-        Command::LoseIncarnation {
+        Command::MarkIncarnationLost {
             incarnation: "w-4".to_owned(),
             ended: true,
         },
-        Command::LoseIncarnation {
+        Command::MarkIncarnationLost {
             incarnation: "w-6".to_owned(),
             ended: false,
         },
-        Command::ForgetJobs { jobs: vec![DONE] },
+        Command::RemoveJobs { jobs: vec![DONE] },
         Command::CancelJob { job: LATE },
         // The commands from here on are not known to be committed.
         Command::CancelJob { job: LONG },
-        Command::ForgetJobs {
+        Command::RemoveJobs {
             jobs: vec![FAILED, CANCELLED],
         },
     ]
--- a/system/magpiegap/tests/data_folder/content.rs
+++ b/system/magpiegap/tests/data_folder/content.rs
@@ -39,8 +39,8 @@
 
 pub(crate) fn view(number: u64) -> View {
     let location = |zone, region| Location {
-        zone: FailureDomainId::of(zone),
-        region: FailureDomainId::of(region),
+        zone: FailureDomainId::from_name(zone),
+        region: FailureDomainId::from_name(region),
     };
     View {
         number: ViewNumber(number),
@@ -86,11 +86,11 @@
         role_token: match command {
             Command::StartRuns { .. }
             | Command::RecordCompletions { .. }
-            | Command::LoseRuns { .. } => Some(RoleToken {
+            | Command::MarkRunsLost { .. } => Some(RoleToken {
                 role: desk_role(),
                 token: FencingToken(1),
             }),
-            Command::LoseIncarnation { .. } => Some(RoleToken {
+            Command::MarkIncarnationLost { .. } => Some(RoleToken {
                 role: Role::PlatformReader,
                 token: FencingToken(2),
             }),
--- a/system/magpiegap/tests/settings_values.rs
+++ b/system/magpiegap/tests/settings_values.rs
@@ -89,8 +89,8 @@
     expect_that!(settings.agent_address().to_string(), eq("127.0.0.1:7102"));
     expect_that!(settings.seed_addresses(), eq(&[0x0a01_000f, 0x0a02_0019]));
     let location = Location {
-        zone: FailureDomainId::of("east-1"),
-        region: FailureDomainId::of("east"),
+        zone: FailureDomainId::from_name("east-1"),
+        region: FailureDomainId::from_name("east"),
     };
     expect_that!(settings.location(), eq(location));
     let tolerance = Tolerance {
--- a/system/protocol/src/command.rs
+++ b/system/protocol/src/command.rs
@@ -77,14 +77,14 @@
     },
     /// Marks runs as lost that never started or ended without a completion.
     #[n(7)]
-    LoseRuns {
+    MarkRunsLost {
         /// The runs.
         #[n(0)]
         runs: Vec<RunStart>,
     },
     /// Marks all runs of a worker incarnation as lost: it has ended, or its lease has certainly expired.
     #[n(8)]
-    LoseIncarnation {
+    MarkIncarnationLost {
         /// The worker's incarnation.
         #[n(0)]
         incarnation: String,
@@ -104,7 +104,7 @@
     },
     /// Removes jobs whose state no longer has to be retained.
     #[n(10)]
-    ForgetJobs {
+    RemoveJobs {
         /// The jobs.
         #[n(0)]
         jobs: Vec<JobId>,
@@ -120,7 +120,7 @@
             Command::SubmitJob { submission, runs } => {
                 submission.estimated_bytes() + RUN_BYTES * runs.len()
             }
-            Command::StartRuns { runs } | Command::LoseRuns { runs } => RUN_BYTES * runs.len(),
+            Command::StartRuns { runs } | Command::MarkRunsLost { runs } => RUN_BYTES * runs.len(),
             Command::RecordCompletions { completions, .. } => RUN_BYTES * completions.len(),
             _ => 0,
         }
--- a/system/protocol/src/location.rs
+++ b/system/protocol/src/location.rs
@@ -9,7 +9,7 @@
 
 impl FailureDomainId {
     /// The failure domain with a name (64-bit FNV-1a); unknown for an empty name.
-    pub fn of(name: &str) -> FailureDomainId {
+    pub fn from_name(name: &str) -> FailureDomainId {
         if name.is_empty() {
             return FailureDomainId::default();
         }
--- a/system/protocol/src/peer.rs
+++ b/system/protocol/src/peer.rs
@@ -263,7 +263,7 @@
     },
     /// The platform's list of workers.
     #[n(13)]
-    Platform(#[n(0)] WorkerList),
+    WorkerList(#[n(0)] WorkerList),
     /// Offers a snapshot when the log no longer holds the missing entries. The receiver requests it chunk by chunk.
     #[n(14)]
     SnapshotOffer {
@@ -323,7 +323,7 @@
                 BASE_BYTES + entries.iter().map(Entry::estimated_bytes).sum::<usize>()
             }
             PeerMessage::SnapshotChunk { bytes, .. } => BASE_BYTES + bytes.len(),
-            PeerMessage::Platform(list) => BASE_BYTES * (1 + list.workers.len()),
+            PeerMessage::WorkerList(list) => BASE_BYTES * (1 + list.workers.len()),
             _ => BASE_BYTES,
         }
     }
@@ -347,7 +347,7 @@
             | PeerMessage::RequestSnapshotChunk { .. }
             | PeerMessage::SnapshotChunk { .. }
             | PeerMessage::Propose { .. }
-            | PeerMessage::Platform(_) => false,
+            | PeerMessage::WorkerList(_) => false,
         }
     }
 }
--- a/system/protocol/tests/stored_bytes.rs
+++ b/system/protocol/tests/stored_bytes.rs
@@ -70,21 +70,21 @@
         },
     );
     stored.keeps(
-        "lose-runs",
-        &Command::LoseRuns {
+        "mark-runs-lost",
+        &Command::MarkRunsLost {
             runs: vec![run_start(), run_start()],
         },
     );
     stored.keeps(
-        "lose-incarnation",
-        &Command::LoseIncarnation {
+        "mark-incarnation-lost",
+        &Command::MarkIncarnationLost {
             incarnation: "w-17/6".to_owned(),
             ended: true,
         },
     );
     stored.keeps(
-        "lose-incarnation-lease-expired",
-        &Command::LoseIncarnation {
+        "mark-incarnation-lost-lease-expired",
+        &Command::MarkIncarnationLost {
             incarnation: "w-17/6".to_owned(),
             ended: false,
         },
@@ -97,8 +97,8 @@
         },
     );
     stored.keeps(
-        "forget-jobs",
-        &Command::ForgetJobs {
+        "remove-jobs",
+        &Command::RemoveJobs {
             jobs: vec![JobId(40), JobId(u64::MAX)],
         },
     );
@@ -246,7 +246,7 @@
                 command: Command::Noop,
             },
         ),
-        ("worker-list", PeerMessage::Platform(worker_list())),
+        ("worker-list", PeerMessage::WorkerList(worker_list())),
         (
             "snapshot-offer",
             PeerMessage::SnapshotOffer {
@@ -533,7 +533,10 @@
     stored.keeps("job-id", &JobId(0xfedc_ba98_7654_3210));
     stored.keeps("task-id", &task_id());
     stored.keeps("failure-domain", &FailureDomainId(0x0f1e_2d3c_4b5a_6978));
-    stored.keeps("failure-domain-of-name", &FailureDomainId::of("north-1"));
+    stored.keeps(
+        "failure-domain-of-name",
+        &FailureDomainId::from_name("north-1"),
+    );
     stored.keeps("location", &location());
     stored.keeps("role-platform-reader", &Role::PlatformReader);
     stored.keeps("role-scheduler", &scheduler());
--- a/system/scheduler/src/discovery.rs
+++ b/system/scheduler/src/discovery.rs
@@ -72,12 +72,13 @@
         let lost = worker.lost_runs();
         if state.workers.contains_key(incarnation) {
             self.outputs
-                .push(Output::Propose(Command::LoseRuns { runs: lost }));
+                .push(Output::Propose(Command::MarkRunsLost { runs: lost }));
             let incarnation = incarnation.to_owned();
-            self.outputs.push(Output::Propose(Command::LoseIncarnation {
-                incarnation,
-                ended: true,
-            }));
+            self.outputs
+                .push(Output::Propose(Command::MarkIncarnationLost {
+                    incarnation,
+                    ended: true,
+                }));
         }
         self.table.workers.remove(incarnation);
         self.planner.request_round();
--- a/system/scheduler/src/job_reconciliation.rs
+++ b/system/scheduler/src/job_reconciliation.rs
@@ -100,12 +100,12 @@
     }
 
     /// Proposes to remove completed jobs whose status retention has passed.
-    pub(crate) fn forget_completed_jobs(&mut self, wall: WallMillis) {
+    pub(crate) fn remove_completed_jobs(&mut self, wall: WallMillis) {
         let before = wall.saturating_sub(self.settings.status_retention_ms + STATUS_MARGIN_MS);
         let jobs = self.job_timers.take_completed_before(before);
         if !jobs.is_empty() {
             self.outputs
-                .push(Output::Propose(Command::ForgetJobs { jobs }));
+                .push(Output::Propose(Command::RemoveJobs { jobs }));
         }
     }
 }
--- a/system/scheduler/src/leases.rs
+++ b/system/scheduler/src/leases.rs
@@ -126,10 +126,11 @@
     fn remove_worker(&mut self, incarnation: &str, state: &State) {
         if state.workers.contains_key(incarnation) {
             let incarnation = incarnation.to_owned();
-            self.outputs.push(Output::Propose(Command::LoseIncarnation {
-                incarnation,
-                ended: true,
-            }));
+            self.outputs
+                .push(Output::Propose(Command::MarkIncarnationLost {
+                    incarnation,
+                    ended: true,
+                }));
         }
         self.table.workers.remove(incarnation);
     }
--- a/system/scheduler/src/orders.rs
+++ b/system/scheduler/src/orders.rs
@@ -89,7 +89,7 @@
             }
         }
         self.outputs
-            .push(Output::Propose(Command::LoseRuns { runs: lost }));
+            .push(Output::Propose(Command::MarkRunsLost { runs: lost }));
     }
 
     /// Proposes the loss of all runs of a worker; every lease ever granted to it must have expired.
@@ -108,7 +108,7 @@
             lost.len()
         )));
         self.outputs
-            .push(Output::Propose(Command::LoseRuns { runs: lost }));
+            .push(Output::Propose(Command::MarkRunsLost { runs: lost }));
     }
 
     fn send_start(&mut self, incarnation: &str, task: TaskId, state: &State, now: Millis) {
--- a/system/scheduler/src/scheduler.rs
+++ b/system/scheduler/src/scheduler.rs
@@ -217,7 +217,7 @@
             }
             self.planner.refresh_worker_names(&self.table.workers);
             self.open_due_occurrences(wall, state);
-            self.forget_completed_jobs(wall);
+            self.remove_completed_jobs(wall);
             for job in self.planner.queue.outdated(wall) {
                 self.refresh_queue(job, now, state);
             }
--- a/system/scheduler/tests/starting.rs
+++ b/system/scheduler/tests/starting.rs
@@ -205,7 +205,7 @@
         let outputs = next.poll_outputs();
         lost += outputs
             .iter()
-            .filter(|output| matches!(output, Output::Propose(Command::LoseRuns { .. })))
+            .filter(|output| matches!(output, Output::Propose(Command::MarkRunsLost { .. })))
             .count();
     }
     expect_that!(lost, eq(0));
--- a/system/scheduler/tests/unresponsive_workers.rs
+++ b/system/scheduler/tests/unresponsive_workers.rs
@@ -141,7 +141,7 @@
         let start = harness.starts().remove(0);
         harness.reply(&start, harness.done());
         harness.commit(Command::CancelJob { job: JobId(number) });
-        harness.commit(Command::LoseIncarnation {
+        harness.commit(Command::MarkIncarnationLost {
             incarnation: "w1".to_owned(),
             ended: false,
         });
