--- a/system/coordinator/src/roles.rs
+++ b/system/coordinator/src/roles.rs
@@ -161,7 +161,10 @@
         {
             return;
         }
-        if self.configurations.follow(state.version, &state.change) {
+        if self
+            .configurations
+            .apply_change(state.version, &state.change)
+        {
             return;
         }
         // The log contains only valid configurations.
--- a/system/distribution/src/agent.rs
+++ b/system/distribution/src/agent.rs
@@ -8,7 +8,7 @@
     configuration_fetcher::ConfigurationFetcher,
     feed_link::FeedLink,
     link_assignments::LinkAssignments,
-    receiver::{ChangeError, ConfigurationReceiver, Received},
+    receiver::{ChangeError, ChunkOutcome, ConfigurationReceiver},
 };
 use magpiegap_jobs::Configuration;
 use magpiegap_protocol::{CoordinatorRequest, CoordinatorResponse, Feed, FeedPoll, Millis};
@@ -205,7 +205,7 @@
         }
         if let Some(change) = feed.change.take() {
             // The result is ignored: if the change is not usable, the next fetch returns one that is.
-            self.receiver.take(change);
+            self.receiver.receive_chunk(change);
         }
         self.feed = feed;
         true
@@ -217,13 +217,17 @@
         }
         let has_timed_out = outcome == Err(CallFailure::NoResponse);
         let received = match outcome {
-            Ok(CoordinatorResponse::ConfigurationChunk(chunk)) => self.receiver.take(*chunk),
-            Ok(_) | Err(_) => Received::Unusable,
+            Ok(CoordinatorResponse::ConfigurationChunk(chunk)) => {
+                self.receiver.receive_chunk(*chunk)
+            }
+            Ok(_) | Err(_) => ChunkOutcome::Unusable,
         };
         match received {
-            Received::Configuration(_) | Received::More => self.fetcher.handle_response(now),
-            Received::Unusable => self.fetcher.handle_failure(now, has_timed_out),
-            Received::Rejected(error) => {
+            ChunkOutcome::Configuration(_) | ChunkOutcome::Incomplete => {
+                self.fetcher.handle_response(now)
+            }
+            ChunkOutcome::Unusable => self.fetcher.handle_failure(now, has_timed_out),
+            ChunkOutcome::Rejected(error) => {
                 self.change_error = Some(error);
                 self.fetcher.handle_failure(now, has_timed_out);
             }
--- a/system/distribution/src/lib.rs
+++ b/system/distribution/src/lib.rs
@@ -22,5 +22,5 @@
 pub use change::ConfigurationChange;
 pub use encoding::EncodingError;
 pub use link_assignments::LinkAssignments;
-pub use receiver::{ChangeError, ConfigurationReceiver, Received};
+pub use receiver::{ChangeError, ChunkOutcome, ConfigurationReceiver};
 pub use source::{ConfigurationSource, CHUNK_BYTES};
--- a/system/distribution/src/receiver.rs
+++ b/system/distribution/src/receiver.rs
@@ -6,11 +6,11 @@
 
 /// The result of processing a chunk.
 #[derive(Debug)]
-pub enum Received {
+pub enum ChunkOutcome {
     /// The change is complete and was applied: a newer configuration is in force.
     Configuration(Arc<Configuration>),
     /// The change is incomplete: the next chunk must be requested.
-    More,
+    Incomplete,
     /// The chunk does not continue or start a transfer: the missing chunk must be requested again.
     Unusable,
     /// The change is complete but can't be applied: the complete configuration must be requested.
@@ -79,16 +79,16 @@
     }
 
     /// Processes a chunk. The first chunk of a transfer replaces the transfer in progress.
-    pub fn take(&mut self, chunk: ConfigurationChunk) -> Received {
+    pub fn receive_chunk(&mut self, chunk: ConfigurationChunk) -> ChunkOutcome {
         let transfer = chunk.transfer;
         let is_applicable = transfer.base == 0 || transfer.base == self.version();
         if transfer.version <= self.version() || !is_applicable {
-            return Received::Unusable;
+            return ChunkOutcome::Unusable;
         }
         let current = self.partial.as_ref().map(|partial| partial.transfer);
         let continues = current == Some(transfer) && chunk.offset == self.received_bytes();
         if !continues && chunk.offset != 0 {
-            return Received::Unusable;
+            return ChunkOutcome::Unusable;
         }
         let partial = match self.partial.take().filter(|_| continues) {
             Some(mut partial) => {
@@ -102,13 +102,13 @@
         };
         if (partial.bytes.len() as u64) < chunk.length {
             self.partial = Some(partial);
-            return Received::More;
+            return ChunkOutcome::Incomplete;
         }
         self.apply(&partial)
     }
 
     /// Applies a completely received change.
-    fn apply(&mut self, received: &PartialChange) -> Received {
+    fn apply(&mut self, received: &PartialChange) -> ChunkOutcome {
         let transfer = received.transfer;
         if fnv1a(&received.bytes) != transfer.checksum {
             return self.reject(ChangeError::Checksum);
@@ -127,11 +127,11 @@
         };
         self.configuration = Arc::new(configuration);
         self.needs_complete = false;
-        Received::Configuration(self.configuration.clone())
+        ChunkOutcome::Configuration(self.configuration.clone())
     }
 
-    fn reject(&mut self, error: ChangeError) -> Received {
+    fn reject(&mut self, error: ChangeError) -> ChunkOutcome {
         self.needs_complete = true;
-        Received::Rejected(error)
+        ChunkOutcome::Rejected(error)
     }
 }
--- a/system/distribution/src/source.rs
+++ b/system/distribution/src/source.rs
@@ -77,7 +77,7 @@
     }
 
     /// Adds a newer configuration, given as an encoded change of the newest one. Returns whether it was applied.
-    pub fn follow(&mut self, version: u64, change: &[u8]) -> bool {
+    pub fn apply_change(&mut self, version: u64, change: &[u8]) -> bool {
         let Some(newest) = self.newest().cloned() else {
             return false;
         };
--- a/system/distribution/tests/common/mod.rs
+++ b/system/distribution/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Test helpers: configurations, sources and receivers.
 #![allow(dead_code)]
-use magpiegap_distribution::{ConfigurationReceiver, ConfigurationSource, Received};
+use magpiegap_distribution::{ChunkOutcome, ConfigurationReceiver, ConfigurationSource};
 use magpiegap_jobs::{Configuration, Route, Service};
 use magpiegap_protocol::{fnv1a, ConfigurationChunk};
 use std::sync::Arc;
@@ -65,9 +65,12 @@
     let mut bytes = 0;
     while let Some(chunk) = source.chunk(&receiver.fetch()) {
         bytes += chunk.bytes.len();
-        let received = receiver.take(chunk);
+        let received = receiver.receive_chunk(chunk);
         assert!(
-            matches!(received, Received::Configuration(_) | Received::More),
+            matches!(
+                received,
+                ChunkOutcome::Configuration(_) | ChunkOutcome::Incomplete
+            ),
             "{received:?}"
         );
     }
--- a/system/distribution/tests/stored_bytes.rs
+++ b/system/distribution/tests/stored_bytes.rs
@@ -11,7 +11,7 @@
 use golden::{hex, Stored};
 use googletest::prelude::*;
 use magpiegap_distribution::{
-    ConfigurationChange, ConfigurationReceiver, ConfigurationSource, Received,
+    ChunkOutcome, ConfigurationChange, ConfigurationReceiver, ConfigurationSource,
 };
 use magpiegap_jobs::{Configuration, Limits, Route, Service};
 use magpiegap_protocol::{decode, ConfigurationChunk, ConfigurationFetch};
@@ -171,7 +171,7 @@
         let chunk: ConfigurationChunk = decode(&stored_bytes(name)).unwrap_or_default();
         // A replica of the core applies the change from the log.
         let mut source = source([older()]);
-        expect_that!(source.follow(newer.version, &chunk.bytes), eq(true));
+        expect_that!(source.apply_change(newer.version, &chunk.bytes), eq(true));
         expect_that!(
             source.newest().map(|newest| newest.as_ref()),
             some(eq(&newer))
@@ -180,12 +180,12 @@
         let mut receiver = ConfigurationReceiver::default();
         let complete = complete_chunk(older());
         expect_that!(
-            receiver.take(complete),
-            matches_pattern!(Received::Configuration(_))
+            receiver.receive_chunk(complete),
+            matches_pattern!(ChunkOutcome::Configuration(_))
         );
         expect_that!(
-            receiver.take(chunk),
-            matches_pattern!(Received::Configuration(_))
+            receiver.receive_chunk(chunk),
+            matches_pattern!(ChunkOutcome::Configuration(_))
         );
         expect_that!(**receiver.configuration(), eq(&newer));
     }
@@ -200,8 +200,8 @@
         let chunk: ConfigurationChunk = decode(&stored_bytes(name)).unwrap_or_default();
         let mut receiver = ConfigurationReceiver::default();
         expect_that!(
-            receiver.take(chunk),
-            matches_pattern!(Received::Configuration(_))
+            receiver.receive_chunk(chunk),
+            matches_pattern!(ChunkOutcome::Configuration(_))
         );
         expect_that!(**receiver.configuration(), eq(&complete));
     }
--- a/system/distribution/tests/transfers.rs
+++ b/system/distribution/tests/transfers.rs
@@ -3,7 +3,7 @@
 
 use common::{configuration, fetch_all, next_chunk, source};
 use googletest::prelude::*;
-use magpiegap_distribution::{ChangeError, ConfigurationReceiver, Received, CHUNK_BYTES};
+use magpiegap_distribution::{ChangeError, ChunkOutcome, ConfigurationReceiver, CHUNK_BYTES};
 use magpiegap_jobs::Service;
 use magpiegap_protocol::fnv1a;
 
@@ -71,13 +71,13 @@
         configuration(3, 0..LARGE_ROUTE_COUNT),
     ]);
     let mut receiver = ConfigurationReceiver::default();
-    receiver.take(next_chunk(&mut first, &receiver));
+    receiver.receive_chunk(next_chunk(&mut first, &receiver));
     let received = receiver.received_bytes();
     expect_that!(received, eq(CHUNK_BYTES as u64));
     // The second source has not sent any chunk of this transfer yet.
     let next = next_chunk(&mut second, &receiver);
     expect_that!(next.offset, eq(CHUNK_BYTES as u64));
-    receiver.take(next);
+    receiver.receive_chunk(next);
     fetch_all(&mut first, &mut receiver);
     expect_that!(receiver.version(), eq(3));
 }
@@ -90,7 +90,7 @@
     // A newer version is pushed after each chunk.
     for version in 2..14 {
         if let Some(chunk) = source.chunk(&receiver.fetch()) {
-            if let Received::Configuration(configuration) = receiver.take(chunk) {
+            if let ChunkOutcome::Configuration(configuration) = receiver.receive_chunk(chunk) {
                 applied_versions.push(configuration.version);
             }
         }
@@ -140,8 +140,8 @@
     damaged.bytes[3] ^= 1;
     expect_that!(
         matches!(
-            receiver.take(damaged),
-            Received::Rejected(ChangeError::Checksum)
+            receiver.receive_chunk(damaged),
+            ChunkOutcome::Rejected(ChangeError::Checksum)
         ),
         eq(true)
     );
@@ -153,15 +153,15 @@
     undecodable.transfer.checksum = fnv1a(&undecodable.bytes);
     expect_that!(
         matches!(
-            receiver.take(undecodable),
-            Received::Rejected(ChangeError::Encoding(_))
+            receiver.receive_chunk(undecodable),
+            ChunkOutcome::Rejected(ChangeError::Encoding(_))
         ),
         eq(true)
     );
     let mut misplaced = next_chunk(&mut source, &receiver);
     misplaced.offset = 7;
     expect_that!(
-        matches!(receiver.take(misplaced), Received::Unusable),
+        matches!(receiver.receive_chunk(misplaced), ChunkOutcome::Unusable),
         eq(true)
     );
     fetch_all(&mut source, &mut receiver);
@@ -170,13 +170,19 @@
     let older = common::source([configuration(1, 0..2)])
         .chunk(&Default::default())
         .expect("the source has a chunk");
-    expect_that!(matches!(receiver.take(older), Received::Unusable), eq(true));
+    expect_that!(
+        matches!(receiver.receive_chunk(older), ChunkOutcome::Unusable),
+        eq(true)
+    );
     let mut unrelated = common::source([configuration(7, 0..2), configuration(8, 0..4)]);
     let based_on_version_7 = unrelated
         .inline_change(7)
         .expect("the difference is small enough");
     expect_that!(
-        matches!(receiver.take(based_on_version_7), Received::Unusable),
+        matches!(
+            receiver.receive_chunk(based_on_version_7),
+            ChunkOutcome::Unusable
+        ),
         eq(true)
     );
     expect_that!(receiver.version(), eq(2));
@@ -194,25 +200,25 @@
     );
     let mut replica = source([configuration(3, 0..5)]);
     expect_that!(
-        replica.follow(8, &change),
+        replica.apply_change(8, &change),
         eq(false),
         "the difference results in another version"
     );
-    expect_that!(replica.follow(7, &change), eq(true));
+    expect_that!(replica.apply_change(7, &change), eq(true));
     expect_that!(
         **replica.newest().expect("the source has a configuration"),
         eq(&newer)
     );
     expect_that!(
-        replica.follow(7, &change),
+        replica.apply_change(7, &change),
         eq(false),
         "the version is already in force"
     );
     // A replica with another version or none has to parse the complete body.
     expect_that!(
-        source([configuration(4, 0..5)]).follow(7, &change),
+        source([configuration(4, 0..5)]).apply_change(7, &change),
         eq(false)
     );
-    expect_that!(source([]).follow(7, &change), eq(false));
-    expect_that!(proposer.follow(7, &[]), eq(false));
+    expect_that!(source([]).apply_change(7, &change), eq(false));
+    expect_that!(proposer.apply_change(7, &[]), eq(false));
 }
--- a/system/magpiegap/src/proxy/feed_follower.rs
+++ b/system/magpiegap/src/proxy/feed_follower.rs
@@ -1,7 +1,7 @@
 //! Follows the feed of the local agent and receives configurations from it.
 use super::cluster_watch::ClusterWatch;
 use crate::endpoint::{self, ResponseTimeouts};
-use magpiegap_distribution::{ConfigurationReceiver, Received};
+use magpiegap_distribution::{ChunkOutcome, ConfigurationReceiver};
 use magpiegap_protocol::{
     ConfigurationChunk, CoordinatorRequest, CoordinatorResponse, Feed, FeedPoll,
 };
@@ -81,14 +81,14 @@
 
     /// Processes a chunk of the configuration; `None` if it is not usable.
     fn receive(&mut self, chunk: ConfigurationChunk) -> Option<()> {
-        match self.receiver.take(chunk) {
-            Received::Configuration(configuration) => {
+        match self.receiver.receive_chunk(chunk) {
+            ChunkOutcome::Configuration(configuration) => {
                 self.cluster.update_configuration(configuration);
                 Some(())
             }
-            Received::More => Some(()),
-            Received::Unusable => None,
-            Received::Rejected(error) => {
+            ChunkOutcome::Incomplete => Some(()),
+            ChunkOutcome::Unusable => None,
+            ChunkOutcome::Rejected(error) => {
                 log::error!(
                     "configuration change failed, fetching full configuration error={error}"
                 );
