--- a/system/control/src/catch_up.rs
+++ b/system/control/src/catch_up.rs
@@ -72,7 +72,7 @@
         // What is durable at the tail is durable on the entire chain. A chain that is too short for the fault tolerance
         // commits nothing, whatever is durable.
         if self.chain.activity == Activity::Following
-            && self.keeps_replica(&self.agreement.current().chain)
+            && self.replica_survives(&self.agreement.current().chain)
         {
             self.chain.record_committed(durable);
         }
@@ -164,8 +164,8 @@
         if self.chain.activity != Activity::Active {
             return;
         }
-        if let Some(view) = self.synchronized {
-            self.persist(vec![DurableRecord::Synchronized(view)], Vec::new(), now);
+        if let Some(view) = self.complete_up_to {
+            self.persist(vec![DurableRecord::CompleteUpTo(view)], Vec::new(), now);
         }
     }
 
@@ -178,7 +178,7 @@
             _ => return,
         };
         if self.chain.activity == Activity::Active {
-            self.synchronized = Some(self.view().number);
+            self.complete_up_to = Some(self.view().number);
         }
         self.chain.incoming = None;
         self.chain.source_last_heard = now;
--- a/system/control/src/chain.rs
+++ b/system/control/src/chain.rs
@@ -71,9 +71,9 @@
         };
         if self.chain.activity == Activity::Active {
             self.chain.incoming = None;
-            self.synchronized = Some(view.number);
+            self.complete_up_to = Some(view.number);
             self.persist(
-                vec![DurableRecord::Synchronized(view.number)],
+                vec![DurableRecord::CompleteUpTo(view.number)],
                 Vec::new(),
                 now,
             );
@@ -193,7 +193,7 @@
         }
         let committed = self.chain.committed.max(self.chain_durable());
         let is_newer = committed > self.chain.committed_announced;
-        if !is_newer || !self.keeps_replica(&self.agreement.current().chain) {
+        if !is_newer || !self.replica_survives(&self.agreement.current().chain) {
             return;
         }
         self.chain.committed = committed;
--- a/system/control/src/disk_confirmation.rs
+++ b/system/control/src/disk_confirmation.rs
@@ -89,7 +89,7 @@
             return;
         }
         for (from, message) in self.own_disk.confirm() {
-            self.handle_messages(now, wall, from, message, machine);
+            self.handle_message(now, wall, from, message, machine);
         }
     }
 
--- a/system/control/src/durable_state.rs
+++ b/system/control/src/durable_state.rs
@@ -58,7 +58,7 @@
     Entries(#[n(0)] Vec<Entry>),
     /// From this record on, the replica holds all entries committed up to this view.
     #[n(2)]
-    Synchronized(#[n(0)] ViewNumber),
+    CompleteUpTo(#[n(0)] ViewNumber),
     /// Entries up to this one are committed. Written only along with other records, so it may lag behind.
     #[n(3)]
     Committed(#[n(0)] LogIndex),
@@ -72,7 +72,7 @@
     /// The state of the agreement.
     pub agreement: AgreementState,
     /// The newest view in which the replica held all committed entries; `None` on a wiped disk.
-    pub synchronized: Option<ViewNumber>,
+    pub complete_up_to: Option<ViewNumber>,
     /// The last entry applied to the state.
     pub applied: LogPosition,
     /// The replicated state.
@@ -91,7 +91,7 @@
     #[n(1)]
     agreement: AgreementState,
     #[n(2)]
-    synchronized: Option<ViewNumber>,
+    complete_up_to: Option<ViewNumber>,
     #[n(3)]
     applied: LogPosition,
     /// The replicated state as one chunk, as earlier builds wrote it; empty when the following chunks hold it.
@@ -108,7 +108,7 @@
     /// The state of a disk that was never written, with the initial replicated state.
     pub fn empty(
         disk: u64,
-        synchronized: Option<ViewNumber>,
+        complete_up_to: Option<ViewNumber>,
         voters: Vec<Member>,
         state: Arc<dyn StateSnapshot>,
     ) -> Self {
@@ -121,7 +121,7 @@
         DurableState {
             disk,
             agreement,
-            synchronized,
+            complete_up_to,
             applied: state.position(),
             state,
             entries: Vec::new(),
@@ -134,7 +134,7 @@
         let header = Header {
             disk: self.disk,
             agreement: self.agreement.clone(),
-            synchronized: self.synchronized,
+            complete_up_to: self.complete_up_to,
             applied: self.applied,
             state: Vec::new(),
             entries: self.entries.clone(),
@@ -160,7 +160,7 @@
         let mut snapshot = DurableState {
             disk: header.disk,
             agreement: header.agreement,
-            synchronized: header.synchronized,
+            complete_up_to: header.complete_up_to,
             applied: header.applied,
             state: Arc::new(EncodedSnapshot::new(header.applied, state)),
             entries: header.entries,
@@ -177,7 +177,7 @@
         match record {
             DurableRecord::Agreement(agreement) => self.agreement = *agreement,
             DurableRecord::Entries(entries) => self.entries.extend(entries),
-            DurableRecord::Synchronized(view) => self.synchronized = Some(view),
+            DurableRecord::CompleteUpTo(view) => self.complete_up_to = Some(view),
             DurableRecord::Committed(index) => self.committed = self.committed.max(index),
         }
     }
--- a/system/control/src/inputs.rs
+++ b/system/control/src/inputs.rs
@@ -46,7 +46,7 @@
     }
 
     /// Handles a message from another replica.
-    pub fn handle_messages(
+    pub fn handle_message(
         &mut self,
         now: Millis,
         wall: WallMillis,
--- a/system/control/src/replica.rs
+++ b/system/control/src/replica.rs
@@ -63,7 +63,7 @@
     pub(crate) quorum_contact: QuorumContact,
     pub(crate) chain: Chain,
     /// The newest view in which this replica held all committed entries.
-    pub(crate) synchronized: Option<ViewNumber>,
+    pub(crate) complete_up_to: Option<ViewNumber>,
     pub(crate) view_timer: ViewTimer,
     pub(crate) own_disk: OwnDisk,
     /// What this replica has observed of the disks of other members.
@@ -105,12 +105,12 @@
             chain.activity = Activity::Learning;
         }
         let mut replica = Replica {
-            view_timer: ViewTimer::new(settings.seed, now),
+            view_timer: ViewTimer::new(settings.random_seed, now),
             agreement: Agreement::new(durable.agreement.clone()),
             membership,
             quorum_contact: QuorumContact::default(),
             chain,
-            synchronized: durable.synchronized,
+            complete_up_to: durable.complete_up_to,
             own_disk,
             disk_notes,
             is_recovered_state_durable: false,
@@ -260,7 +260,7 @@
         let snapshot = DurableState {
             disk: self.own_disk.name,
             agreement: self.durable_agreement(),
-            synchronized: self.synchronized,
+            complete_up_to: self.complete_up_to,
             applied: machine.position(),
             state: machine.snapshot(),
             entries: self.chain.log.after(self.chain.applied).unwrap_or_default(),
@@ -294,6 +294,6 @@
     match record {
         DurableRecord::Entries(entries) => entries.iter().map(Entry::estimated_bytes).sum(),
         DurableRecord::Agreement(_) => 1000,
-        DurableRecord::Synchronized(_) | DurableRecord::Committed(_) => 20,
+        DurableRecord::CompleteUpTo(_) | DurableRecord::Committed(_) => 20,
     }
 }
--- a/system/control/src/settings.rs
+++ b/system/control/src/settings.rs
@@ -18,5 +18,5 @@
     /// The time without a heartbeat after which a replica is suspected to have failed, in milliseconds.
     pub suspicion_timeout_ms: Millis,
     /// The seed of the random delays between rounds.
-    pub seed: u64,
+    pub random_seed: u64,
 }
--- a/system/control/src/state_machine.rs
+++ b/system/control/src/state_machine.rs
@@ -46,7 +46,7 @@
     Incomplete,
     /// The chunks are from a state at another position.
     #[error("snapshot is at {found:?}, expected {expected:?}")]
-    OtherPosition {
+    PositionMismatch {
         /// The position announced for the snapshot.
         expected: LogPosition,
         /// The position found in its chunks.
--- a/system/control/src/tolerance.rs
+++ b/system/control/src/tolerance.rs
@@ -26,7 +26,7 @@
 
     /// Whether at least one of the replicas at these locations survives any tolerated loss. All unknown zones count as
     /// one zone, and all unknown regions as one region.
-    pub fn keeps_replica(&self, locations: &[Location]) -> bool {
+    pub fn replica_survives(&self, locations: &[Location]) -> bool {
         locations.len() > self.machines
             && count_by(locations, |location| location.zone).len() > self.zones
             && count_by(locations, |location| location.region).len() > self.regions
@@ -34,7 +34,7 @@
 
     /// Whether a majority of the voters at these locations survives any tolerated loss. All unknown zones count as one
     /// zone, and all unknown regions as one region.
-    pub fn keeps_majority(&self, locations: &[Location]) -> bool {
+    pub fn majority_survives(&self, locations: &[Location]) -> bool {
         let majority = locations.len() / 2 + 1;
         let zones = sum_of_largest(count_by(locations, |location| location.zone), self.zones);
         let regions = sum_of_largest(
--- a/system/control/src/view_composition.rs
+++ b/system/control/src/view_composition.rs
@@ -12,7 +12,7 @@
         let current = self.agreement.current();
         !self.own_disk.is_stale()
             && self
-                .synchronized
+                .complete_up_to
                 .is_some_and(|view| current.complete_since(view, &self.settings.own.member))
     }
 
@@ -36,7 +36,7 @@
             .copied()
             .filter(|replica| !unfit.contains(replica))
             .collect();
-        if self.keeps_replica(&fit) {
+        if self.replica_survives(&fit) {
             fit
         } else {
             reachable
@@ -74,7 +74,7 @@
                 ready.push(*newcomer);
             }
         }
-        if self.keeps_replica(&ready) {
+        if self.replica_survives(&ready) {
             return ready;
         }
         available.to_vec()
@@ -139,18 +139,18 @@
     }
 
     /// Whether at least one of these replicas survives any tolerated loss.
-    pub(crate) fn keeps_replica(&self, replicas: &[ReplicaId]) -> bool {
+    pub(crate) fn replica_survives(&self, replicas: &[ReplicaId]) -> bool {
         let locations: Vec<Location> = replicas
             .iter()
             .map(|replica| self.location(&replica.member))
             .collect();
-        self.settings.tolerance.keeps_replica(&locations)
+        self.settings.tolerance.replica_survives(&locations)
     }
 
     /// Whether a majority of these voters survives any tolerated loss.
-    fn keeps_majority(&self, voters: &[Member]) -> bool {
+    fn majority_survives(&self, voters: &[Member]) -> bool {
         let locations: Vec<Location> = voters.iter().map(|voter| self.location(voter)).collect();
-        self.settings.tolerance.keeps_majority(&locations)
+        self.settings.tolerance.majority_survives(&locations)
     }
 
     fn locations_of(&self, voters: &[Member], chain: &[ReplicaId]) -> Vec<MemberLocation> {
@@ -203,14 +203,14 @@
     /// majority.
     fn too_few_voters(&self, voters: &[Member]) -> bool {
         let below_minimum = voters.len() < self.settings.tolerance.min_voters();
-        below_minimum || (voters.len() < MAX_VOTERS && !self.keeps_majority(voters))
+        below_minimum || (voters.len() < MAX_VOTERS && !self.majority_survives(voters))
     }
 
     /// Removes voters from the largest zone, down to the minimum number of voters, while the loss of a zone or region
     /// would take a majority.
     fn drop_surplus_voters(&self, voters: &mut Vec<Member>, available: &[ReplicaId]) {
         let min_voters = self.settings.tolerance.min_voters();
-        while voters.len() > min_voters && !self.keeps_majority(voters) {
+        while voters.len() > min_voters && !self.majority_survives(voters) {
             let surplus = voters.iter().copied().max_by_key(|member| {
                 let zone = self.location(member).zone;
                 let voters_in_zone = voters
--- a/system/control/tests/common/group/delivery.rs
+++ b/system/control/tests/common/group/delivery.rs
@@ -47,7 +47,7 @@
     fn deliver(&mut self, to: u32, from: ReplicaId, message: PeerMessage) {
         let now = self.now;
         if let Some(RunningReplica { replica, state }) = self.running.get_mut(&to) {
-            replica.handle_messages(now, WallMillis(now), from, message, state);
+            replica.handle_message(now, WallMillis(now), from, message, state);
         }
         self.handle_outputs(to);
     }
--- a/system/control/tests/common/group/machines.rs
+++ b/system/control/tests/common/group/machines.rs
@@ -23,7 +23,7 @@
             tolerance: self.tolerance,
             heartbeat_interval_ms: 60,
             suspicion_timeout_ms: 320,
-            seed: self.incarnations,
+            random_seed: self.incarnations,
         };
         let mut state = CountingState::default();
         restore(&mut state, &*disk.state).expect("the state on disk can be restored");
--- a/system/control/tests/common/mod.rs
+++ b/system/control/tests/common/mod.rs
@@ -96,6 +96,6 @@
         tolerance: Tolerance::of_machines(1),
         heartbeat_interval_ms: 60,
         suspicion_timeout_ms: 320,
-        seed: 1,
+        random_seed: 1,
     }
 }
--- a/system/control/tests/contact.rs
+++ b/system/control/tests/contact.rs
@@ -22,7 +22,7 @@
     let disk = DurableState::empty(0, Some(ViewNumber(0)), voters.clone(), no_state());
     let mut head = started(settings(replica(1), vec![1, 2, 3]), disk);
     let view = View::initial(voters.clone()).next(voters, chain);
-    head.handle_messages(
+    head.handle_message(
         0,
         WallMillis(0),
         replica(2),
@@ -35,7 +35,7 @@
 
 /// Delivers a message to the head.
 fn deliver(head: &mut Replica, now: Millis, from: ReplicaId, message: PeerMessage) {
-    head.handle_messages(now, WallMillis(0), from, message, &mut NoState);
+    head.handle_message(now, WallMillis(0), from, message, &mut NoState);
 }
 
 /// A heartbeat that echoes the head's heartbeat sent at time `echo`.
--- a/system/control/tests/golden.rs
+++ b/system/control/tests/golden.rs
@@ -155,7 +155,7 @@
         },
         view: view(10),
     });
-    snapshot.synchronized = Some(ViewNumber(6));
+    snapshot.complete_up_to = Some(ViewNumber(6));
     snapshot.applied = applied;
     snapshot.state = Arc::new(state);
     snapshot.entries = entries();
@@ -173,7 +173,11 @@
 fn expect_same(name: &str, decoded: &DurableState, expected: &DurableState) {
     expect_that!(decoded.disk, eq(expected.disk), "{name}");
     expect_that!(decoded.agreement, eq(&expected.agreement), "{name}");
-    expect_that!(decoded.synchronized, eq(expected.synchronized), "{name}");
+    expect_that!(
+        decoded.complete_up_to,
+        eq(expected.complete_up_to),
+        "{name}"
+    );
     expect_that!(decoded.applied, eq(expected.applied), "{name}");
     expect_that!(
         decoded.state.position(),
@@ -216,8 +220,8 @@
     expect_bytes("record entries", &DurableRecord::Entries(entries()));
     expect_bytes("record no entries", &DurableRecord::Entries(Vec::new()));
     expect_bytes(
-        "record synchronized",
-        &DurableRecord::Synchronized(ViewNumber(0x0102_0304_0506)),
+        "record complete up to",
+        &DurableRecord::CompleteUpTo(ViewNumber(0x0102_0304_0506)),
     );
     expect_bytes(
         "record committed",
@@ -271,14 +275,14 @@
     let names = [
         "record agreement",
         "record entries",
-        "record synchronized",
+        "record complete up to",
         "record committed",
     ];
     let decoded = DurableState::recover(chunks, &names.map(stored)).unwrap();
     let mut expected = first_snapshot();
     expected.agreement = full_snapshot().agreement;
     expected.entries = entries();
-    expected.synchronized = Some(ViewNumber(0x0102_0304_0506));
+    expected.complete_up_to = Some(ViewNumber(0x0102_0304_0506));
     expected.committed = LogIndex(0x0a0b_0c0d);
     expect_same("records", &decoded, &expected);
 }
--- a/system/control/tests/joining/entries.rs
+++ b/system/control/tests/joining/entries.rs
@@ -29,7 +29,7 @@
         entries: vec![entry(2)],
         durable: LogIndex(2),
     };
-    middle.handle_messages(40, WallMillis(0), replica(1, 0), append, &mut NoState);
+    middle.handle_message(40, WallMillis(0), replica(1, 0), append, &mut NoState);
     middle.flush(40, &mut NoState);
     // Then
     expect_that!(appends(&middle.poll_outputs()), elements_are![eq(&2)]);
@@ -71,7 +71,7 @@
         durable: LogIndex(after),
     };
     for now in (1000..4000).step_by(20) {
-        middle.handle_messages(now, WallMillis(0), replica(1, 0), gap(5), &mut NoState);
+        middle.handle_message(now, WallMillis(0), replica(1, 0), gap(5), &mut NoState);
     }
     let missing = PeerMessage::MissingEntries {
         view: ViewNumber(1),
@@ -79,10 +79,10 @@
         entries: (2..=5).map(entry).collect(),
         more: false,
     };
-    middle.handle_messages(4000, WallMillis(0), replica(1, 0), missing, &mut NoState);
+    middle.handle_message(4000, WallMillis(0), replica(1, 0), missing, &mut NoState);
     middle.poll_outputs();
     // When
-    middle.handle_messages(4100, WallMillis(0), replica(1, 0), gap(7), &mut NoState);
+    middle.handle_message(4100, WallMillis(0), replica(1, 0), gap(7), &mut NoState);
     // Then
     let is_request = |output: &Output| {
         matches!(
@@ -123,7 +123,7 @@
         entries: vec![entry(2), entry(3)],
         durable: LogIndex(3),
     };
-    middle.handle_messages(30, WallMillis(0), replica(1, 0), append, &mut NoState);
+    middle.handle_message(30, WallMillis(0), replica(1, 0), append, &mut NoState);
     middle.flush(30, &mut NoState);
     let outputs = middle.poll_outputs();
     let ticket = outputs.iter().find_map(|output| match output {
@@ -139,7 +139,7 @@
     let view = View::initial(vec![head.member])
         .next(vec![head.member], vec![head, own, tail])
         .next(vec![head.member], vec![head, own, tail]);
-    middle.handle_messages(
+    middle.handle_message(
         40,
         WallMillis(0),
         head,
@@ -154,7 +154,7 @@
             index: LogIndex(1),
         },
     };
-    middle.handle_messages(60, WallMillis(0), tail, request, &mut NoState);
+    middle.handle_message(60, WallMillis(0), tail, request, &mut NoState);
     let other = Entry {
         position: LogPosition {
             view: ViewNumber(2),
@@ -168,7 +168,7 @@
         entries: vec![other],
         durable: LogIndex(2),
     };
-    middle.handle_messages(70, WallMillis(0), head, append, &mut NoState);
+    middle.handle_message(70, WallMillis(0), head, append, &mut NoState);
     middle.poll_outputs();
     middle.handle_persisted(ticket.unwrap_or_default(), 80, &mut NoState);
     middle.on_timeout(300, WallMillis(300), &mut NoState);
@@ -185,21 +185,21 @@
         let mut learner = started(settings(own, vec![1]), disk);
         let view = View::initial(vec![head.member]).next(vec![head.member], chain.clone());
         let decided = PeerMessage::Decided(view);
-        learner.handle_messages(0, WallMillis(0), head, decided, &mut NoState);
+        learner.handle_message(0, WallMillis(0), head, decided, &mut NoState);
         let missing = PeerMessage::MissingEntries {
             view: ViewNumber(1),
             after: LogIndex(0),
             entries: vec![entry(1)],
             more: false,
         };
-        learner.handle_messages(10, WallMillis(0), head, missing, &mut NoState);
+        learner.handle_message(10, WallMillis(0), head, missing, &mut NoState);
         let append = PeerMessage::Append {
             view: ViewNumber(1),
             after: LogIndex(1),
             entries: vec![entry(2), entry(3)],
             durable: LogIndex(3),
         };
-        learner.handle_messages(20, WallMillis(0), head, append, &mut NoState);
+        learner.handle_message(20, WallMillis(0), head, append, &mut NoState);
         expect_that!(learner.commit_index().0, eq(committed), "{chain:?}");
     }
 }
--- a/system/control/tests/joining/middle_replica.rs
+++ b/system/control/tests/joining/middle_replica.rs
@@ -38,7 +38,7 @@
         DurableState::empty(7, None, Vec::new(), no_state()),
     );
     let view = View::initial(vec![head.member]).next(vec![head.member], vec![head, own, tail]);
-    middle.handle_messages(
+    middle.handle_message(
         0,
         WallMillis(0),
         head,
@@ -50,7 +50,7 @@
         view: ViewNumber(1),
         last: LogPosition::default(),
     };
-    middle.handle_messages(20, WallMillis(0), tail, request, &mut NoState);
+    middle.handle_message(20, WallMillis(0), tail, request, &mut NoState);
     middle.flush(20, &mut NoState);
     middle.poll_outputs();
     middle
@@ -59,7 +59,7 @@
 /// Sends a replica an empty snapshot and the entries after it, from the head.
 pub(crate) fn send_snapshot(to: &mut Replica, now: u64, view: u64, entries: Vec<Entry>) {
     let (head, position) = (replica(1, 0), LogPosition::default());
-    to.handle_messages(
+    to.handle_message(
         now,
         WallMillis(0),
         head,
@@ -77,12 +77,12 @@
         checksum: fnv1a(&[]),
         bytes: Vec::new(),
     };
-    to.handle_messages(now, WallMillis(0), head, chunk, &mut NoState);
+    to.handle_message(now, WallMillis(0), head, chunk, &mut NoState);
     let missing = PeerMessage::MissingEntries {
         view: ViewNumber(view),
         after: LogIndex(0),
         entries,
         more: false,
     };
-    to.handle_messages(now, WallMillis(0), head, missing, &mut NoState);
+    to.handle_message(now, WallMillis(0), head, missing, &mut NoState);
 }
--- a/system/control/tests/joining/snapshots.rs
+++ b/system/control/tests/joining/snapshots.rs
@@ -27,7 +27,7 @@
     };
     // When
     for now in [30, 90, 200, 450] {
-        middle.handle_messages(
+        middle.handle_message(
             now,
             WallMillis(0),
             replica(3, 8),
@@ -58,7 +58,7 @@
         position,
         number: 3,
     };
-    middle.handle_messages(30, WallMillis(0), replica(3, 8), request, &mut NoState);
+    middle.handle_message(30, WallMillis(0), replica(3, 8), request, &mut NoState);
     let sent = sent_to_tail(middle.poll_outputs());
     expect_that!(
         sent,
@@ -78,7 +78,7 @@
         DurableState::empty(7, None, Vec::new(), no_state()),
     );
     let view = View::initial(vec![head.member]).next(vec![head.member], vec![head, own]);
-    joining.handle_messages(
+    joining.handle_message(
         0,
         WallMillis(0),
         head,
@@ -89,7 +89,7 @@
         view: ViewNumber(0),
         index: LogIndex(4),
     };
-    joining.handle_messages(
+    joining.handle_message(
         10,
         WallMillis(0),
         head,
@@ -109,7 +109,7 @@
         checksum: 1,
         bytes: vec![7],
     };
-    joining.handle_messages(20, WallMillis(0), head, chunk, &mut NoState);
+    joining.handle_message(20, WallMillis(0), head, chunk, &mut NoState);
     joining.on_timeout(400, WallMillis(400), &mut NoState);
     // Then
     let is_request = |output: &Output| {
@@ -131,7 +131,7 @@
     let empty = DurableState::empty(7, None, Vec::new(), no_state());
     let mut joining = started(settings(own, vec![1]), empty);
     let view = View::initial(vec![head.member]).next(vec![head.member], vec![head, own]);
-    joining.handle_messages(
+    joining.handle_message(
         0,
         WallMillis(0),
         head,
--- a/system/control/tests/median_time.rs
+++ b/system/control/tests/median_time.rs
@@ -32,7 +32,7 @@
         wall_ms,
         ..heartbeat(0)
     };
-    to.handle_messages(
+    to.handle_message(
         now,
         TRUE_MS + now,
         replica(from),
--- a/system/control/tests/model/running.rs
+++ b/system/control/tests/model/running.rs
@@ -29,7 +29,7 @@
             tolerance: Tolerance::of_machines(tolerance),
             heartbeat_interval_ms: 60,
             suspicion_timeout_ms: 320,
-            seed: 1,
+            random_seed: 1,
         };
         let mut state = CountingState::default();
         restore(&mut state, &*disk.state).expect("the state on disk can be restored");
@@ -146,7 +146,7 @@
     pub(crate) fn send(&mut self, from: usize, own: ReplicaId, to: usize, message: PeerMessage) {
         if from == to {
             self.step_replica(to, |replica, now, state| {
-                replica.handle_messages(now, WallMillis(now), own, message, state)
+                replica.handle_message(now, WallMillis(now), own, message, state)
             });
             return;
         }
@@ -157,7 +157,7 @@
         let is_heartbeat = matches!(message, PeerMessage::Heartbeat(_));
         if is_heartbeat && self.is_responsive(to) {
             self.step_replica(to, |replica, now, state| {
-                replica.handle_messages(now, WallMillis(now), own, message, state)
+                replica.handle_message(now, WallMillis(now), own, message, state)
             });
             return;
         }
@@ -253,7 +253,7 @@
         self.links.retain(|_, queue| !queue.is_empty());
         if let Some((own, message)) = next {
             self.step_replica(to, |replica, now, state| {
-                replica.handle_messages(now, WallMillis(now), own, message, state)
+                replica.handle_message(now, WallMillis(now), own, message, state)
             });
         }
     }
--- a/system/control/tests/old_copies.rs
+++ b/system/control/tests/old_copies.rs
@@ -241,11 +241,11 @@
     for (name, incarnation, starts, at_start, is_stale) in cases {
         let mut first = first_replica();
         let noted = heartbeat_of_disk(2, initial_progress, noted_progress);
-        first.handle_messages(10, WallMillis(10), replica(2, 7), noted, &mut NoState);
+        first.handle_message(10, WallMillis(10), replica(2, 7), noted, &mut NoState);
         first.poll_outputs();
         let other = replica(2, incarnation);
         let next = heartbeat_of_disk(starts, at_start, at_start);
-        first.handle_messages(20, WallMillis(20), other, next, &mut NoState);
+        first.handle_message(20, WallMillis(20), other, next, &mut NoState);
         let expected: Vec<ReplicaId> = is_stale.then_some(other).into_iter().collect();
         expect_that!(objections(&first.poll_outputs()), eq(&expected), "{name}");
     }
@@ -257,9 +257,9 @@
     let mut first = first_replica();
     let initial_progress = progress(1, 5);
     let noted = heartbeat_of_disk(4, initial_progress, progress(1, 9));
-    first.handle_messages(10, WallMillis(10), replica(2, 7), noted, &mut NoState);
+    first.handle_message(10, WallMillis(10), replica(2, 7), noted, &mut NoState);
     let from_previous_build = PeerMessage::Heartbeat(heartbeat(0));
-    first.handle_messages(
+    first.handle_message(
         20,
         WallMillis(20),
         replica(2, 8),
@@ -269,7 +269,7 @@
     first.poll_outputs();
     // When
     let next = heartbeat_of_disk(1, progress(1, 9), progress(1, 9));
-    first.handle_messages(30, WallMillis(30), replica(2, 9), next, &mut NoState);
+    first.handle_message(30, WallMillis(30), replica(2, 9), next, &mut NoState);
     // Then
     expect_that!(objections(&first.poll_outputs()), is_empty());
 }
@@ -293,12 +293,12 @@
             serving: false,
         };
         let objection = PeerMessage::StaleDisk(Box::new(objection));
-        first.handle_messages(10, WallMillis(10), replica(2, 2), objection, &mut NoState);
+        first.handle_message(10, WallMillis(10), replica(2, 2), objection, &mut NoState);
         let voters: Vec<Member> = (1..=3).map(|address| replica(address, 0).member).collect();
         let chain = vec![replica(1, 1), replica(2, 2)];
         let view = View::initial(voters.clone()).next(voters, chain);
         let decided = PeerMessage::Decided(view);
-        first.handle_messages(20, WallMillis(20), replica(2, 2), decided, &mut NoState);
+        first.handle_message(20, WallMillis(20), replica(2, 2), decided, &mut NoState);
         expect_that!(first.is_head(), eq(leads), "{name}");
     }
 }
--- a/system/control/tests/snapshot_transfer.rs
+++ b/system/control/tests/snapshot_transfer.rs
@@ -58,14 +58,14 @@
         settings(own, vec![1]),
         DurableState::empty(7, None, Vec::new(), no_state()),
     );
-    learner.handle_messages(
+    learner.handle_message(
         0,
         WallMillis(0),
         replica(1, 0),
         PeerMessage::Decided(view(2)),
         &mut NoState,
     );
-    learner.handle_messages(10, WallMillis(0), tail(), offer(2), &mut NoState);
+    learner.handle_message(10, WallMillis(0), tail(), offer(2), &mut NoState);
     learner
 }
 
@@ -135,19 +135,19 @@
         requested(&mut learner),
         elements_are![eq(&0), eq(&1), eq(&2), eq(&3)]
     );
-    learner.handle_messages(20, WallMillis(0), tail(), chunk(2, 0), &mut NoState);
+    learner.handle_message(20, WallMillis(0), tail(), chunk(2, 0), &mut NoState);
     expect_that!(requested(&mut learner), elements_are![eq(&4)]);
     // Repeated and out-of-order chunks are ignored.
-    learner.handle_messages(21, WallMillis(0), tail(), chunk(2, 0), &mut NoState);
-    learner.handle_messages(22, WallMillis(0), tail(), chunk(2, 3), &mut NoState);
+    learner.handle_message(21, WallMillis(0), tail(), chunk(2, 0), &mut NoState);
+    learner.handle_message(22, WallMillis(0), tail(), chunk(2, 3), &mut NoState);
     expect_that!(requested(&mut learner), is_empty());
 }
 
 #[googletest::test]
 fn lost_chunks_are_requested_again() {
     let mut learner = learner();
-    learner.handle_messages(20, WallMillis(0), tail(), chunk(2, 0), &mut NoState);
-    learner.handle_messages(21, WallMillis(0), tail(), chunk(2, 1), &mut NoState);
+    learner.handle_message(20, WallMillis(0), tail(), chunk(2, 0), &mut NoState);
+    learner.handle_message(21, WallMillis(0), tail(), chunk(2, 1), &mut NoState);
     learner.poll_outputs();
     learner.on_timeout(200, WallMillis(200), &mut NoState);
     expect_that!(
@@ -160,17 +160,17 @@
 fn transfer_resumes_after_view_change() {
     let mut learner = learner();
     for number in 0..6 {
-        learner.handle_messages(20, WallMillis(0), tail(), chunk(2, number), &mut NoState);
+        learner.handle_message(20, WallMillis(0), tail(), chunk(2, number), &mut NoState);
     }
     learner.poll_outputs();
-    learner.handle_messages(
+    learner.handle_message(
         30,
         WallMillis(0),
         replica(1, 0),
         PeerMessage::Decided(view(3)),
         &mut NoState,
     );
-    learner.handle_messages(31, WallMillis(0), tail(), offer(3), &mut NoState);
+    learner.handle_message(31, WallMillis(0), tail(), offer(3), &mut NoState);
     expect_that!(
         requested(&mut learner),
         elements_are![eq(&6), eq(&7), eq(&8), eq(&9)]
@@ -181,7 +181,7 @@
 fn snapshot_is_installed_only_with_following_entries() {
     let mut learner = learner();
     for number in 0..CHUNKS {
-        learner.handle_messages(20, WallMillis(0), tail(), chunk(2, number), &mut NoState);
+        learner.handle_message(20, WallMillis(0), tail(), chunk(2, number), &mut NoState);
     }
     let outputs = learner.poll_outputs();
     expect_that!(checkpoints(&outputs), is_empty());
@@ -193,7 +193,7 @@
         entries,
         more: true,
     };
-    learner.handle_messages(30, WallMillis(0), tail(), first_batch, &mut NoState);
+    learner.handle_message(30, WallMillis(0), tail(), first_batch, &mut NoState);
     let outputs = learner.poll_outputs();
     expect_that!(checkpoints(&outputs), is_empty());
     expect_that!(requested_after(&outputs), some(eq(60)));
@@ -204,7 +204,7 @@
         entries,
         more: false,
     };
-    learner.handle_messages(40, WallMillis(0), tail(), last_batch, &mut NoState);
+    learner.handle_message(40, WallMillis(0), tail(), last_batch, &mut NoState);
     expect_that!(checkpoints(&learner.poll_outputs()), elements_are![eq(&11)]);
     // The learner accepts appends from now on.
     let append = PeerMessage::Append {
@@ -213,7 +213,7 @@
         entries: vec![entry(2, 62)],
         durable: LogIndex(61),
     };
-    learner.handle_messages(50, WallMillis(0), tail(), append, &mut NoState);
+    learner.handle_message(50, WallMillis(0), tail(), append, &mut NoState);
     expect_that!(learner.commit_index(), eq(LogIndex(61)));
 }
 
@@ -222,7 +222,7 @@
     // Given: an uncommitted entry after the snapshot was received from the old tail
     let mut learner = learner();
     for number in 0..CHUNKS {
-        learner.handle_messages(20, WallMillis(0), tail(), chunk(2, number), &mut NoState);
+        learner.handle_message(20, WallMillis(0), tail(), chunk(2, number), &mut NoState);
     }
     let entries = vec![entry(2, 51)];
     let first_batch = PeerMessage::MissingEntries {
@@ -231,9 +231,9 @@
         entries,
         more: true,
     };
-    learner.handle_messages(30, WallMillis(0), tail(), first_batch, &mut NoState);
+    learner.handle_message(30, WallMillis(0), tail(), first_batch, &mut NoState);
     // When
-    learner.handle_messages(
+    learner.handle_message(
         40,
         WallMillis(0),
         replica(1, 0),
--- a/system/control/tests/starting.rs
+++ b/system/control/tests/starting.rs
@@ -71,7 +71,7 @@
         for other in [2, 3] {
             let heard = heard_heartbeat(1, false);
             let from = new_incarnation(other);
-            replica_1.handle_messages(10, WallMillis(0), from, heard, &mut NoState);
+            replica_1.handle_message(10, WallMillis(0), from, heard, &mut NoState);
         }
         let mut outputs = Vec::new();
         for now in (20..10_000).step_by(20) {
@@ -86,7 +86,7 @@
 fn view_is_proposed_at_once_with_all_voters() {
     let mut replica_1 = restarted();
     for other in [2, 3] {
-        replica_1.handle_messages(
+        replica_1.handle_message(
             10,
             WallMillis(0),
             new_incarnation(other),
@@ -103,7 +103,7 @@
     let mut replica_1 = restarted();
     let mut proposed_at = None;
     for now in (0..1000).step_by(20) {
-        replica_1.handle_messages(
+        replica_1.handle_message(
             now,
             WallMillis(0),
             new_incarnation(2),
@@ -121,7 +121,7 @@
 fn unstable_replica_does_not_disturb_serving_ones() {
     let mut replica_1 = restarted();
     for other in [2, 3] {
-        replica_1.handle_messages(
+        replica_1.handle_message(
             10,
             WallMillis(0),
             new_incarnation(other),
@@ -138,7 +138,7 @@
     let mut replica_1 = restarted();
     replica_1.on_timeout(0, WallMillis(0), &mut NoState);
     replica_1.poll_outputs();
-    replica_1.handle_messages(
+    replica_1.handle_message(
         10,
         WallMillis(0),
         new_incarnation(2),
@@ -164,7 +164,7 @@
     // one
     let mut replica_1 = restarted();
     for now in (0..100).step_by(20) {
-        replica_1.handle_messages(
+        replica_1.handle_message(
             now,
             WallMillis(0),
             new_incarnation(2),
@@ -172,7 +172,7 @@
             &mut NoState,
         );
     }
-    replica_1.handle_messages(
+    replica_1.handle_message(
         100,
         WallMillis(0),
         new_incarnation(3),
@@ -184,7 +184,7 @@
     let view = View::initial(voters.clone())
         .next(voters.clone(), chain.clone())
         .next(voters, chain);
-    replica_1.handle_messages(
+    replica_1.handle_message(
         110,
         WallMillis(0),
         new_incarnation(2),
@@ -195,7 +195,7 @@
     let mut proposed = false;
     for now in (120..400).step_by(20) {
         for other in [2, 3] {
-            replica_1.handle_messages(
+            replica_1.handle_message(
                 now,
                 WallMillis(0),
                 new_incarnation(other),
@@ -223,11 +223,11 @@
     // Given: no voter has reported a heartbeat from this process
     let mut replica_1 = restarted();
     let proposer = new_incarnation(2);
-    replica_1.handle_messages(10, WallMillis(10), proposer, prepare, &mut NoState);
+    replica_1.handle_message(10, WallMillis(10), proposer, prepare, &mut NoState);
     expect_that!(writes_a_promise(&replica_1.poll_outputs()), eq(false));
     // When
     let heard = heard_heartbeat(1, false);
-    replica_1.handle_messages(20, WallMillis(20), proposer, heard, &mut NoState);
+    replica_1.handle_message(20, WallMillis(20), proposer, heard, &mut NoState);
     // Then: together with this replica itself, a majority of three has heard from it
     expect_that!(writes_a_promise(&replica_1.poll_outputs()), eq(true));
 }
--- a/system/control/tests/zones.rs
+++ b/system/control/tests/zones.rs
@@ -25,13 +25,13 @@
 #[googletest::test]
 fn replicas_in_one_zone_do_not_suffice() {
     expect_that!(
-        ONE_ZONE.keeps_replica(&in_zones(&["a", "a", "a"])),
+        ONE_ZONE.replica_survives(&in_zones(&["a", "a", "a"])),
         eq(false)
     );
-    expect_that!(ONE_ZONE.keeps_replica(&in_zones(&["a", "b"])), eq(true));
-    expect_that!(ONE_ZONE.keeps_replica(&in_zones(&["a"])), eq(false));
+    expect_that!(ONE_ZONE.replica_survives(&in_zones(&["a", "b"])), eq(true));
+    expect_that!(ONE_ZONE.replica_survives(&in_zones(&["a"])), eq(false));
     expect_that!(
-        Tolerance::of_machines(1).keeps_replica(&in_zones(&["a", "a"])),
+        Tolerance::of_machines(1).replica_survives(&in_zones(&["a", "a"])),
         eq(true)
     );
 }
@@ -39,19 +39,19 @@
 #[googletest::test]
 fn no_zone_may_hold_half_the_voters() {
     expect_that!(
-        ONE_ZONE.keeps_majority(&in_zones(&["a", "a", "b"])),
+        ONE_ZONE.majority_survives(&in_zones(&["a", "a", "b"])),
         eq(false)
     );
     expect_that!(
-        ONE_ZONE.keeps_majority(&in_zones(&["a", "a", "b", "b"])),
+        ONE_ZONE.majority_survives(&in_zones(&["a", "a", "b", "b"])),
         eq(false)
     );
     expect_that!(
-        ONE_ZONE.keeps_majority(&in_zones(&["a", "b", "c"])),
+        ONE_ZONE.majority_survives(&in_zones(&["a", "b", "c"])),
         eq(true)
     );
     expect_that!(
-        ONE_ZONE.keeps_majority(&in_zones(&["a", "a", "b", "b", "c"])),
+        ONE_ZONE.majority_survives(&in_zones(&["a", "a", "b", "b", "c"])),
         eq(true)
     );
 }
@@ -69,10 +69,10 @@
     };
     let two_regions = [at("a", "r"), at("b", "r"), at("c", "s")];
     let three_regions = [at("a", "r"), at("b", "s"), at("c", "t")];
-    expect_that!(tolerance.keeps_replica(&two_regions[..2]), eq(false));
-    expect_that!(tolerance.keeps_replica(&two_regions), eq(true));
-    expect_that!(tolerance.keeps_majority(&two_regions), eq(false));
-    expect_that!(tolerance.keeps_majority(&three_regions), eq(true));
+    expect_that!(tolerance.replica_survives(&two_regions[..2]), eq(false));
+    expect_that!(tolerance.replica_survives(&two_regions), eq(true));
+    expect_that!(tolerance.majority_survives(&two_regions), eq(false));
+    expect_that!(tolerance.majority_survives(&three_regions), eq(true));
 }
 
 #[googletest::test]
--- a/system/coordinator/src/event_handlers.rs
+++ b/system/coordinator/src/event_handlers.rs
@@ -42,7 +42,7 @@
         for message in messages {
             match message {
                 PeerMessage::WorkerList(list) => self.install_platform_list(list),
-                message => self.replica.handle_messages(
+                message => self.replica.handle_message(
                     now,
                     self.median_wall,
                     from,
--- a/system/coordinator/src/machine.rs
+++ b/system/coordinator/src/machine.rs
@@ -100,7 +100,7 @@
         let restored = std::mem::take(&mut self.snapshot_builder).finish();
         let state = restored.ok_or(RestoreError::Incomplete)?;
         if state.position != position {
-            return Err(RestoreError::OtherPosition {
+            return Err(RestoreError::PositionMismatch {
                 expected: position,
                 found: state.position,
             });
--- a/system/coordinator/src/roles.rs
+++ b/system/coordinator/src/roles.rs
@@ -132,7 +132,7 @@
     }
 
     fn start_scheduler(&mut self, service: String, token: FencingToken) {
-        let seed = self.settings.control.seed ^ token.0;
+        let seed = self.settings.control.random_seed ^ token.0;
         let mut scheduler = Scheduler::new(
             &service,
             token,
--- a/system/coordinator/tests/common/mod.rs
+++ b/system/coordinator/tests/common/mod.rs
@@ -198,7 +198,7 @@
             tolerance: Tolerance::of_machines(0),
             heartbeat_interval_ms: 80,
             suspicion_timeout_ms: 420,
-            seed: 1,
+            random_seed: 1,
         },
         scheduler: SchedulerSettings::default(),
         lease_ms: 900,
--- a/system/fleet/src/fleet/processes.rs
+++ b/system/fleet/src/fleet/processes.rs
@@ -102,7 +102,7 @@
             tolerance: Tolerance::of_machines(settings.tolerance),
             heartbeat_interval_ms: 80,
             suspicion_timeout_ms: 420,
-            seed: own.incarnation,
+            random_seed: own.incarnation,
         },
         scheduler: SchedulerSettings {
             max_lease_ms: MAX_LEASE_MS,
--- a/system/magpiegap/src/coordinator/mod.rs
+++ b/system/magpiegap/src/coordinator/mod.rs
@@ -207,7 +207,7 @@
             tolerance: settings.fault_tolerance.into(),
             heartbeat_interval_ms: HEARTBEAT_MS,
             suspicion_timeout_ms: SUSPICION_TIMEOUT_MS,
-            seed: own.incarnation,
+            random_seed: own.incarnation,
         },
         scheduler: SchedulerSettings {
             max_lease_ms: bounds.max_hold_ms as u64,
--- a/system/magpiegap/src/state_on_disk.rs
+++ b/system/magpiegap/src/state_on_disk.rs
@@ -83,7 +83,7 @@
                 .map(|replica| replica.member.to_string())
                 .collect(),
             voters: view.voters.iter().map(ToString::to_string).collect(),
-            complete_up_to_view: snapshot.synchronized.map(|view| view.0),
+            complete_up_to_view: snapshot.complete_up_to.map(|view| view.0),
             records,
             applied_entry: state.position.index.0,
             entries_after: snapshot.entries.iter().filter(is_later).count(),
--- a/system/magpiegap/tests/data_folder/content.rs
+++ b/system/magpiegap/tests/data_folder/content.rs
@@ -159,7 +159,7 @@
     let records = [
         DurableRecord::Agreement(Box::new(agreement)),
         DurableRecord::Entries(entries[SECOND_CHECKPOINT..].to_vec()),
-        DurableRecord::Synchronized(ViewNumber(9)),
+        DurableRecord::CompleteUpTo(ViewNumber(9)),
         DurableRecord::Committed(LogIndex((entries.len() - UNCOMMITTED) as u64)),
     ];
     store
--- a/system/magpiegap/tests/data_folder/reading.rs
+++ b/system/magpiegap/tests/data_folder/reading.rs
@@ -98,7 +98,7 @@
         }))
     );
     expect_that!(read.agreement.accepted, none());
-    expect_that!(read.synchronized, some(eq(ViewNumber(9))));
+    expect_that!(read.complete_up_to, some(eq(ViewNumber(9))));
     expect_that!(read.applied, eq(entries[SECOND_SNAPSHOT - 1].position));
     expect_that!(read.committed, eq(LogIndex(32)));
 }
