--- a/system/coordinator/src/requests.rs
+++ b/system/coordinator/src/requests.rs
@@ -159,7 +159,7 @@
             // The scheduler lost its role. Whether another entry accepts the job is not known here.
             (_, Outcome::Fenced) => CoordinatorResponse::Unknown,
             (Operation::Submit(_), _) => CoordinatorResponse::Accepted,
-            (Operation::Cancel(_), Outcome::Void) => CoordinatorResponse::NoSuchJob,
+            (Operation::Cancel(_), Outcome::NotApplicable) => CoordinatorResponse::NoSuchJob,
             (Operation::Cancel(_), _) => CoordinatorResponse::Accepted,
             (Operation::ReplaceConfiguration { .. }, Outcome::Conflict) => {
                 CoordinatorResponse::ConfigurationConflict
--- a/system/coordinator/src/roles.rs
+++ b/system/coordinator/src/roles.rs
@@ -163,7 +163,7 @@
         }
         if self
             .configurations
-            .apply_change(state.version, &state.change)
+            .apply_change(state.version, &state.encoded_change)
         {
             return;
         }
--- a/system/distribution/tests/common/mod.rs
+++ b/system/distribution/tests/common/mod.rs
@@ -33,7 +33,7 @@
         name: "s".to_owned(),
         health_path: "/health".to_owned(),
         max_connections: 64,
-        guards: true,
+        rejects_excess_tasks: true,
     };
     Configuration {
         version,
--- a/system/distribution/tests/stored_bytes.rs
+++ b/system/distribution/tests/stored_bytes.rs
@@ -39,7 +39,7 @@
         name: "render".to_owned(),
         health_path: "/healthy".to_owned(),
         max_connections: 24,
-        guards: true,
+        rejects_excess_tasks: true,
     };
     Configuration {
         version,
--- a/system/jobs/src/apply_configuration.rs
+++ b/system/jobs/src/apply_configuration.rs
@@ -42,10 +42,10 @@
         expected: FencingToken,
     ) -> Outcome {
         if self.state.fencing_token(role) != expected {
-            return Outcome::Void;
+            return Outcome::NotApplicable;
         }
         let Some(token) = expected.checked_next() else {
-            return Outcome::Void;
+            return Outcome::NotApplicable;
         };
         let claimed = RoleState { holder, token };
         self.state.roles.insert(role.clone(), claimed);
--- a/system/jobs/src/apply_jobs.rs
+++ b/system/jobs/src/apply_jobs.rs
@@ -23,7 +23,7 @@
 
     pub(crate) fn cancel_job(&mut self, id: JobId) -> Outcome {
         match self.state.jobs.get(&id) {
-            None => Outcome::Void,
+            None => Outcome::NotApplicable,
             Some(job) if job.phase.is_terminal() => Outcome::Repeated,
             Some(_) => {
                 self.end_job(id, JobPhase::Cancelled);
@@ -58,7 +58,7 @@
             .job_mut(&id)
             .is_some_and(|job| job.open_occurrence(occurrence));
         if !is_opened {
-            return Outcome::Void;
+            return Outcome::NotApplicable;
         }
         self.changes.push(Change::JobChanged(id));
         Outcome::Done
@@ -74,7 +74,7 @@
                 .is_some_and(|job| job.phase.is_terminal() && !job.has_active_runs());
             if is_removable {
                 self.state.jobs.remove(id);
-                self.changes.push(Change::JobForgotten(*id));
+                self.changes.push(Change::JobRemoved(*id));
             }
         }
         Outcome::Done
--- a/system/jobs/src/apply_runs.rs
+++ b/system/jobs/src/apply_runs.rs
@@ -9,7 +9,7 @@
 
 impl Transition<'_> {
     pub(crate) fn start_runs(&mut self, runs: &[RunStart]) -> Outcome {
-        let mut outcome = Outcome::Void;
+        let mut outcome = Outcome::NotApplicable;
         for start in runs {
             if self.start_run(start).is_some() {
                 self.changes.push(Change::RunStarted(start.clone()));
@@ -176,7 +176,7 @@
     /// Closes all runs of a worker incarnation. An ended incarnation never runs anything again, so its record is removed.
     pub(crate) fn mark_incarnation_lost(&mut self, incarnation: &str, has_ended: bool) -> Outcome {
         let Some(worker) = self.state.workers.get_mut(incarnation) else {
-            return Outcome::Void;
+            return Outcome::NotApplicable;
         };
         worker.ended |= has_ended;
         for (task, run) in worker.runs.clone() {
--- a/system/jobs/src/change.rs
+++ b/system/jobs/src/change.rs
@@ -11,7 +11,7 @@
     /// The fencing token is not current: the proposer no longer holds the role.
     Fenced,
     /// The entry is not valid in the current state; nothing changed.
-    Void,
+    NotApplicable,
     /// The base version of the configuration is not the current version.
     Conflict,
     /// The version of the configuration is not higher than the current version.
@@ -48,7 +48,7 @@
         acknowledged_completion: u64,
     },
     /// An ended job was removed from the state.
-    JobForgotten(JobId),
+    JobRemoved(JobId),
 }
 
 /// The result of applying an entry.
--- a/system/jobs/src/configuration.rs
+++ b/system/jobs/src/configuration.rs
@@ -19,7 +19,7 @@
     pub max_connections: u64,
     /// Whether workers reject tasks that exceed their remaining capacity.
     #[n(3)]
-    pub guards: bool,
+    pub rejects_excess_tasks: bool,
 }
 
 /// Limits on client requests.
--- a/system/jobs/src/configuration_parser.rs
+++ b/system/jobs/src/configuration_parser.rs
@@ -64,7 +64,7 @@
             .string("healthPath")
             .unwrap_or_else(|_| DEFAULT_HEALTH_PATH.to_owned()),
         max_connections: fields.integer("maxConnections", DEFAULT_MAX_CONNECTIONS)?,
-        guards: fields.boolean("guards")?,
+        rejects_excess_tasks: fields.boolean("guards")?,
     })
 }
 
--- a/system/jobs/src/readiness.rs
+++ b/system/jobs/src/readiness.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartableUnit {
     /// The first task.
-    pub first: TaskId,
+    pub first_task: TaskId,
     /// Number of tasks, whose indexes are consecutive.
     pub count: u32,
 }
@@ -15,8 +15,8 @@
     /// Returns the tasks in index order.
     pub fn tasks(&self) -> impl Iterator<Item = TaskId> + '_ {
         (0..self.count).map(|offset| TaskId {
-            index: self.first.index + offset,
-            ..self.first
+            index: self.first_task.index + offset,
+            ..self.first_task
         })
     }
 }
@@ -36,13 +36,13 @@
             if step.is_done() || !has_dependencies_done(spec, &state.steps) {
                 continue;
             }
-            let first = TaskId {
+            let first_task = TaskId {
                 job: job.submission.job,
                 occurrence,
                 step: step_index as u32,
                 index: 0,
             };
-            push_step_units(&mut units, first, spec, step);
+            push_step_units(&mut units, first_task, spec, step);
         }
     }
     units
@@ -58,14 +58,14 @@
 
 fn push_step_units(
     units: &mut Vec<StartableUnit>,
-    first: TaskId,
+    first_task: TaskId,
     spec: &StepSpec,
     step: &StepState,
 ) {
     if spec.gang {
         if step.tasks.iter().all(|task| task.active_runs.is_empty()) {
             units.push(StartableUnit {
-                first,
+                first_task,
                 count: step.tasks.len() as u32,
             });
         }
@@ -74,9 +74,9 @@
     for (index, task) in step.tasks.iter().enumerate() {
         if !task.done && task.active_runs.is_empty() {
             units.push(StartableUnit {
-                first: TaskId {
+                first_task: TaskId {
                     index: index as u32,
-                    ..first
+                    ..first_task
                 },
                 count: 1,
             });
--- a/system/jobs/src/state.rs
+++ b/system/jobs/src/state.rs
@@ -21,7 +21,7 @@
     pub fingerprints: BTreeMap<u64, u64>,
     /// The encoded difference from its base version; empty if unknown.
     #[cbor(n(3), with = "minicbor::bytes", default)]
-    pub change: Vec<u8>,
+    pub encoded_change: Vec<u8>,
 }
 
 impl ConfigurationState {
@@ -29,7 +29,7 @@
     pub(crate) fn replace(&mut self, version: u64, body: &[u8], change: &[u8], fingerprint: u64) {
         self.version = version;
         self.body = body.to_vec();
-        self.change = change.to_vec();
+        self.encoded_change = change.to_vec();
         self.fingerprints.insert(version, fingerprint);
         while self.fingerprints.len() > MAX_FINGERPRINTS {
             self.fingerprints.pop_first();
--- a/system/jobs/tests/fencing_tokens.rs
+++ b/system/jobs/tests/fencing_tokens.rs
@@ -34,11 +34,11 @@
 #[googletest::test]
 fn claim_requires_current_token_and_increments_it() {
     for (expected, outcome, token) in [
-        (0, Outcome::Void, CURRENT),
-        (2, Outcome::Void, CURRENT),
+        (0, Outcome::NotApplicable, CURRENT),
+        (2, Outcome::NotApplicable, CURRENT),
         (3, Outcome::Done, FencingToken(4)),
-        (4, Outcome::Void, CURRENT),
-        (u64::MAX, Outcome::Void, CURRENT),
+        (4, Outcome::NotApplicable, CURRENT),
+        (u64::MAX, Outcome::NotApplicable, CURRENT),
     ] {
         let mut state = state_with_claimed_role();
         let applied = apply(&mut state, claim(&role(), FencingToken(expected)));
@@ -49,7 +49,7 @@
 
 /// The token cannot be incremented any further, so that two holders would share it.
 #[googletest::test]
-fn claim_beyond_the_highest_token_is_void() {
+fn claim_beyond_the_highest_token_is_not_applicable() {
     let highest = FencingToken(u64::MAX);
     let mut state = state_with_claimed_role();
     let role_state = RoleState {
@@ -58,7 +58,7 @@
     };
     state.roles.insert(role(), role_state);
     let applied = apply(&mut state, claim(&role(), highest));
-    expect_that!(applied.outcome, eq(Outcome::Void));
+    expect_that!(applied.outcome, eq(Outcome::NotApplicable));
     expect_that!(state.roles.get(&role()), some(eq(&role_state)));
 }
 
--- a/system/jobs/tests/golden/samples.rs
+++ b/system/jobs/tests/golden/samples.rs
@@ -98,7 +98,7 @@
         version: 16,
         body: b"{\"version\":16}".to_vec(),
         fingerprints: [(14, 0xfeed_beef), (16, 0x0123_4567_89ab_cdef)].into(),
-        change: vec![0, 200, 7],
+        encoded_change: vec![0, 200, 7],
     }
 }
 
@@ -159,7 +159,7 @@
         name: "render".to_owned(),
         health_path: "/healthy".to_owned(),
         max_connections: 24,
-        guards: true,
+        rejects_excess_tasks: true,
     }
 }
 
--- a/system/jobs/tests/state.rs
+++ b/system/jobs/tests/state.rs
@@ -37,22 +37,22 @@
 }
 
 #[googletest::test]
-fn second_run_of_an_active_task_is_void() {
+fn second_run_of_an_active_task_is_not_applicable() {
     let mut state = state_with_job(vec![step(1)]);
     start_runs(&mut state, vec![run_start(0, 0, 1, "a")]);
     let applied = start_runs(&mut state, vec![run_start(0, 0, 2, "b")]);
-    expect_that!(applied.outcome, eq(Outcome::Void));
+    expect_that!(applied.outcome, eq(Outcome::NotApplicable));
     expect_that!(state.workers.get("b"), none());
 }
 
 #[googletest::test]
-fn restart_of_a_done_task_is_void() {
+fn restart_of_a_done_task_is_not_applicable() {
     let mut state = state_with_job(vec![step(2)]);
     let first = start_run(&mut state, 0, 0, 1, "a");
     complete(&mut state, "a", 1, &first, CompletionKind::Done);
     expect_that!(
         start_runs(&mut state, vec![run_start(0, 0, 2, "a")]).outcome,
-        eq(Outcome::Void)
+        eq(Outcome::NotApplicable)
     );
 }
 
@@ -73,7 +73,7 @@
     expect_that!(phase(&state), eq(JobPhase::Failed));
     expect_that!(
         start_runs(&mut state, vec![run_start(0, 0, 3, "a")]).outcome,
-        eq(Outcome::Void)
+        eq(Outcome::NotApplicable)
     );
 }
 
@@ -183,7 +183,7 @@
                 }
             )
             .outcome,
-            eq(Outcome::Void)
+            eq(Outcome::NotApplicable)
         );
         let mut started = run_start(0, 0, 1, "a");
         started.task.occurrence = occurrence;
@@ -257,7 +257,7 @@
     );
     expect_that!(
         apply(&mut state, claim(FencingToken(0))).outcome,
-        eq(Outcome::Void)
+        eq(Outcome::NotApplicable)
     );
     expect_that!(
         apply(&mut state, claim(FencingToken(1))).outcome,
--- a/system/jobs/tests/stored_bytes.rs
+++ b/system/jobs/tests/stored_bytes.rs
@@ -28,7 +28,7 @@
     stored.keeps("shared-job", &Shared::new(job(2, JobPhase::Failed)));
     stored.keeps("configuration", &configuration());
     let without_change = ConfigurationState {
-        change: vec![],
+        encoded_change: vec![],
         ..configuration()
     };
     stored.keeps("configuration-change-unknown", &without_change);
@@ -47,7 +47,7 @@
     stored.keeps(
         "service-without-guards",
         &Service {
-            guards: false,
+            rejects_excess_tasks: false,
             ..service()
         },
     );
--- a/system/scheduler/src/applied.rs
+++ b/system/scheduler/src/applied.rs
@@ -45,7 +45,7 @@
                 kind,
             } => self.handle_run_closed(*task, *run, incarnation, *kind, now),
             Change::JobChanged(id) => self.reconcile_job(*id, now, state),
-            Change::JobForgotten(id) => {
+            Change::JobRemoved(id) => {
                 self.planner.remove_job(*id);
                 self.job_timers.remove(*id);
             }
--- a/system/scheduler/src/explanation.rs
+++ b/system/scheduler/src/explanation.rs
@@ -102,7 +102,7 @@
         let queued = startable_units(job);
         let forecast = queued
             .first()
-            .map(|unit| urgency(job, unit.first, self.wall).forecast);
+            .map(|unit| urgency(job, unit.first_task, self.wall).forecast);
         let mut steps = Vec::new();
         for (occurrence, state) in &job.occurrences {
             for (position, step) in state.steps.iter().enumerate() {
@@ -139,8 +139,8 @@
         let spec = job.submission.spec.steps.get(first.step as usize);
         let units: Vec<&StartableUnit> = queued
             .iter()
-            .filter(|unit| unit.first.occurrence == first.occurrence)
-            .filter(|unit| unit.first.step == first.step)
+            .filter(|unit| unit.first_task.occurrence == first.occurrence)
+            .filter(|unit| unit.first_task.step == first.step)
             .collect();
         let first_unit = units.first().zip(spec);
         StepExplanation {
@@ -199,7 +199,7 @@
         unit: &StartableUnit,
         step: &StepSpec,
     ) -> &'a mut usize {
-        let urgency = urgency(job, unit.first, self.wall);
+        let urgency = urgency(job, unit.first_task, self.wall);
         let candidate = self.planner.candidate(job, unit, step, &urgency);
         if !worker.listed {
             &mut counts.not_listed
@@ -217,7 +217,7 @@
             &mut counts.without_capacity
         } else if !self
             .planner
-            .allows(worker, unit.first, &candidate, self.now)
+            .allows(worker, unit.first_task, &candidate, self.now)
         {
             &mut counts.reserved_for_others
         } else if step
--- a/system/scheduler/src/planner.rs
+++ b/system/scheduler/src/planner.rs
@@ -192,7 +192,7 @@
     ) -> Vec<RunStart> {
         let mut runs = Vec::new();
         for unit in startable_units(job) {
-            let urgency = urgency(job, unit.first, job.submission.submitted_ms);
+            let urgency = urgency(job, unit.first_task, job.submission.submitted_ms);
             if self.queue.first().is_some_and(|first| *first < urgency) {
                 break;
             }
@@ -352,12 +352,12 @@
         } = *planned;
         let no_workers = Vec::new();
         let demand = Demand {
-            first: unit.first,
+            first: unit.first_task,
             require_locality: self.waits_for_locality(step, waited_ms),
             nominations: &self.nominations,
             backfill: &self.backfill,
             candidate: self.candidate(job, unit, step, urgency),
-            avoid: self.failed_on.get(&unit.first).unwrap_or(&no_workers),
+            avoid: self.failed_on.get(&unit.first_task).unwrap_or(&no_workers),
             pool: capacity.map_or(Pool::All(&self.worker_names), Pool::WithCapacity),
         };
         let chosen = choose(&table.workers, &demand, now, &mut self.random)?;
@@ -440,7 +440,7 @@
             return Preemption::NotEligible;
         }
         let preemptor = Preemptor {
-            first: planned.unit.first,
+            first: planned.unit.first_task,
             step: planned.step,
             priority: planned.urgency.priority,
         };
@@ -459,7 +459,8 @@
             }
         }
         table.mark_order_due(&incarnation);
-        self.nominations.add(incarnation, planned.unit.first, now);
+        self.nominations
+            .add(incarnation, planned.unit.first_task, now);
         Preemption::Started
     }
 
@@ -471,13 +472,13 @@
         planned.unit.count == 1
             && is_urgent
             && planned.waited_ms >= PREEMPT_AFTER_MS
-            && !self.nominations.has(&planned.unit.first)
+            && !self.nominations.has(&planned.unit.first_task)
             && self.nominations.len() < max_nominations
     }
 }
 
 fn step_of<'a>(job: &'a Job, unit: &StartableUnit) -> Option<&'a StepSpec> {
-    job.submission.spec.steps.get(unit.first.step as usize)
+    job.submission.spec.steps.get(unit.first_task.step as usize)
 }
 
 /// Whether any schedulable worker has capacity for one task of a step, ignoring reservations.
--- a/system/scheduler/src/queue.rs
+++ b/system/scheduler/src/queue.rs
@@ -57,7 +57,7 @@
             if unit.tasks().any(|task| is_being_placed(&task)) {
                 continue;
             }
-            let key = urgency(job, unit.first, wall);
+            let key = urgency(job, unit.first_task, wall);
             let known = old.iter().find(|(other, _)| other.task == key.task);
             let queued_at = known.map_or(now, |(_, queued)| queued.queued_at);
             let latest_start = LatestStarts::of(job, &key.task);
