--- a/system/coordinator/src/describe.rs
+++ b/system/coordinator/src/describe.rs
@@ -3,7 +3,7 @@
 use crate::{coordinator::Coordinator, counters::Counters};
 use magpiegap_jobs::{RoleState, State};
 use magpiegap_protocol::{CoordinatorResponse, JobId, Role};
-use magpiegap_scheduler::{Scheduler, Summary};
+use magpiegap_scheduler::{Scheduler, SchedulerSummary};
 use serde::{Deserialize, Serialize};
 
 /// The state of the cluster as seen by one coordinator.
@@ -72,7 +72,7 @@
     pub service: String,
     /// Its metrics.
     #[serde(flatten)]
-    pub summary: Summary,
+    pub summary: SchedulerSummary,
 }
 
 impl RoleDescription {
--- a/system/coordinator/src/event_handlers.rs
+++ b/system/coordinator/src/event_handlers.rs
@@ -82,7 +82,7 @@
         if restored {
             self.update_roles();
             self.update_configuration();
-            self.resume_schedulers();
+            self.reload_schedulers();
         }
         let affects_feed = |change: &Change| {
             matches!(
@@ -127,9 +127,9 @@
         }
     }
 
-    fn resume_schedulers(&mut self) {
+    fn reload_schedulers(&mut self) {
         for scheduler in self.schedulers.values_mut() {
-            scheduler.resume(self.now, &self.machine.state);
+            scheduler.reload_state(self.now, &self.machine.state);
         }
     }
 
@@ -196,7 +196,7 @@
         {
             self.has_committed_in_view = true;
             self.roles_vacant_since.clear();
-            self.resume_schedulers();
+            self.reload_schedulers();
             self.repropose_operations();
         }
         if let Some(operation) = proposal.draft.operation {
--- a/system/demo/src/worker_body.rs
+++ b/system/demo/src/worker_body.rs
@@ -133,7 +133,7 @@
         },
         WorkerReply::OtherIncarnation => empty_response(421),
         WorkerReply::Unhealthy => empty_response(503),
-        WorkerReply::Unreadable | WorkerReply::TimedOut => empty_response(400),
+        WorkerReply::Malformed | WorkerReply::TimedOut => empty_response(400),
     }
 }
 
--- a/system/fleet/src/worker.rs
+++ b/system/fleet/src/worker.rs
@@ -84,7 +84,7 @@
     }
 
     /// Executes a call at true time `now`, in milliseconds. `work` is the parsed work of a start order; a start order
-    /// without it is answered as unreadable.
+    /// without it is answered as malformed.
     pub fn handle_call(&mut self, now: u64, call: &WorkerCall, work: Option<Work>) -> WorkerReply {
         if call.incarnation != self.entry.incarnation {
             return WorkerReply::OtherIncarnation;
@@ -271,7 +271,7 @@
             return self.refuse(now, RefusalReason::Superseded);
         }
         let Some(work) = work else {
-            return WorkerReply::Unreadable;
+            return WorkerReply::Malformed;
         };
         let fits = work.resources.fits_in(&self.free_capacity());
         if self.settings.enforces_capacity && !fits {
--- a/system/magpiegap/src/coordinator/metrics.rs
+++ b/system/magpiegap/src/coordinator/metrics.rs
@@ -1,6 +1,6 @@
 //! Metrics of a coordinator in the OpenMetrics 1.0 text format.
 use magpiegap_coordinator::{ClusterDescription, Counters};
-use magpiegap_scheduler::Summary;
+use magpiegap_scheduler::SchedulerSummary;
 use prometheus_client::{
     collector::Collector,
     encoding::{text, DescriptorEncoder, EncodeMetric},
@@ -45,13 +45,13 @@
 struct SchedulerGauge {
     name: &'static str,
     help: &'static str,
-    value: fn(&Summary) -> usize,
+    value: fn(&SchedulerSummary) -> usize,
 }
 
 fn scheduler_gauge(
     name: &'static str,
     help: &'static str,
-    value: fn(&Summary) -> usize,
+    value: fn(&SchedulerSummary) -> usize,
 ) -> SchedulerGauge {
     SchedulerGauge { name, help, value }
 }
--- a/system/magpiegap/src/coordinator/worker_client.rs
+++ b/system/magpiegap/src/coordinator/worker_client.rs
@@ -190,11 +190,11 @@
         200..=299 => success(call, response, clock_ms),
         409 => match response.reason.as_deref().and_then(refusal_reason) {
             Some(reason) => WorkerReply::Refused { clock_ms, reason },
-            None => WorkerReply::Unreadable,
+            None => WorkerReply::Malformed,
         },
         421 => WorkerReply::OtherIncarnation,
         429 | 503 => WorkerReply::Unhealthy,
-        400..=499 => WorkerReply::Unreadable,
+        400..=499 => WorkerReply::Malformed,
         // The order may or may not have been carried out.
         _ => WorkerReply::TimedOut,
     }
--- a/system/magpiegap/tests/metrics.rs
+++ b/system/magpiegap/tests/metrics.rs
@@ -2,12 +2,12 @@
 use googletest::prelude::*;
 use magpiegap::metrics::to_text;
 use magpiegap_coordinator::{ClusterDescription, Counters, SchedulerDescription};
-use magpiegap_scheduler::Summary;
+use magpiegap_scheduler::SchedulerSummary;
 
 fn cluster() -> ClusterDescription {
     let scheduler = SchedulerDescription {
         service: "a \"quoted\" service".to_owned(),
-        summary: Summary {
+        summary: SchedulerSummary {
             workers: 12,
             unresponsive: 1,
             runs: 40,
--- a/system/scheduler/src/calls.rs
+++ b/system/scheduler/src/calls.rs
@@ -137,7 +137,7 @@
     /// The worker reported that it is unhealthy; the order had no effect.
     Unhealthy,
     /// The worker could not parse the call; the order had no effect.
-    Unreadable,
+    Malformed,
     /// No reply within the timeout; the order may have taken effect or may still do so.
     TimedOut,
 }
--- a/system/scheduler/src/leases.rs
+++ b/system/scheduler/src/leases.rs
@@ -1,4 +1,4 @@
-//! Renews the leases of workers, and stops or loses the runs on workers that are unresponsive, stalled or departing.
+//! Renews worker leases, and stops or marks as lost the runs on workers that are unresponsive, stalled or departing.
 //!
 //! Under a lease a worker runs its tasks until a deadline on its own clock; when the lease expires it stops them. On
 //! the wire a renewal is the worker's `hold` request, a long poll that is replied to when a run completes.
--- a/system/scheduler/src/lib.rs
+++ b/system/scheduler/src/lib.rs
@@ -46,5 +46,5 @@
 };
 pub use explanation::{Explanation, RunExplanation, StepExplanation, WorkerCounts};
 pub use response_times::ResponseTimes;
-pub use scheduler::{Scheduler, Summary};
+pub use scheduler::{Scheduler, SchedulerSummary};
 pub use settings::SchedulerSettings;
--- a/system/scheduler/src/replies.rs
+++ b/system/scheduler/src/replies.rs
@@ -126,7 +126,7 @@
                     self.planner.request_round();
                 }
             }
-            WorkerReply::Unhealthy | WorkerReply::Unreadable | WorkerReply::OtherIncarnation => {}
+            WorkerReply::Unhealthy | WorkerReply::Malformed | WorkerReply::OtherIncarnation => {}
         }
     }
 
@@ -193,7 +193,7 @@
         run.handle_order_reply(now);
         let outcome = run.handle_start_reply(reply, deadline_ms, now);
         let start = run.to_start(ordered.task, incarnation);
-        if matches!(reply, WorkerReply::Unhealthy | WorkerReply::Unreadable) {
+        if matches!(reply, WorkerReply::Unhealthy | WorkerReply::Malformed) {
             worker.health.eject(now);
         }
         match outcome {
--- a/system/scheduler/src/run.rs
+++ b/system/scheduler/src/run.rs
@@ -198,7 +198,7 @@
             WorkerReply::Refused { reason, .. } => {
                 self.handle_start_refused(*reason, deadline_ms, now)
             }
-            WorkerReply::Unhealthy | WorkerReply::Unreadable => {
+            WorkerReply::Unhealthy | WorkerReply::Malformed => {
                 self.give_up_start(self.start_attempts == 1, now)
             }
             // Handled by the scheduler, which removes the ended incarnation.
--- a/system/scheduler/src/scheduler.rs
+++ b/system/scheduler/src/scheduler.rs
@@ -22,7 +22,7 @@
 
 /// Scheduler statistics for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Summary {
+pub struct SchedulerSummary {
     /// Known workers.
     pub workers: usize,
     /// Unresponsive workers.
@@ -93,7 +93,7 @@
             deposed: false,
             outputs: Vec::new(),
         };
-        scheduler.resume(now, state);
+        scheduler.reload_state(now, state);
         scheduler
     }
 
@@ -127,8 +127,8 @@
     }
 
     /// Returns statistics for operators.
-    pub fn summary(&self) -> Summary {
-        Summary {
+    pub fn summary(&self) -> SchedulerSummary {
+        SchedulerSummary {
             workers: self.table.workers.len(),
             unresponsive: self.table.unresponsive_workers(),
             runs: self.table.runs(),
--- a/system/scheduler/src/take_over.rs
+++ b/system/scheduler/src/take_over.rs
@@ -7,7 +7,7 @@
 impl Scheduler {
     /// Reloads the state after a change of the view or of the role's owner. Earlier proposals that are not in the state
     /// will never be committed.
-    pub fn resume(&mut self, now: Millis, state: &State) {
+    pub fn reload_state(&mut self, now: Millis, state: &State) {
         self.drop_outputs();
         self.snapshot_position = state.position;
         self.table.clear_pending();
--- a/system/scheduler/tests/starting.rs
+++ b/system/scheduler/tests/starting.rs
@@ -95,7 +95,7 @@
 }
 
 #[googletest::test]
-fn resume_after_view_change_drops_pending_proposals() {
+fn reload_after_view_change_drops_pending_proposals() {
     // A listing shows that a run is missing just before the view changes.
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 1000)]);
@@ -109,7 +109,7 @@
     harness.advance(10);
     let renewal = harness.take_calls().pop().unwrap();
     harness.reply(&renewal, harness.listing(vec![], vec![]));
-    harness.scheduler.resume(harness.now, &harness.state);
+    harness.scheduler.reload_state(harness.now, &harness.state);
     let outputs = harness.scheduler.poll_outputs();
     expect_that!(
         outputs
--- a/system/scheduler/tests/unresponsive_workers.rs
+++ b/system/scheduler/tests/unresponsive_workers.rs
@@ -100,7 +100,7 @@
 }
 
 #[googletest::test]
-fn reply_from_other_incarnation_loses_old_runs() {
+fn reply_from_other_incarnation_marks_old_runs_lost() {
     let mut harness = Harness::new(&["w1"]);
     harness.submit(1, vec![step(1, 1000)]);
     let start = harness.starts().remove(0);
