--- a/system/coordinator/src/outputs.rs
+++ b/system/coordinator/src/outputs.rs
@@ -12,11 +12,11 @@
     /// An output of the replica: a message to another coordinator, a disk write or a log line.
     Control(ControlOutput),
     /// Respond to a request.
-    Answer {
+    Respond {
         /// The request.
         request: RequestId,
         /// The response.
-        answer: CoordinatorResponse,
+        response: CoordinatorResponse,
     },
     /// Call a worker.
     CallWorker {
@@ -47,7 +47,7 @@
         next: Option<String>,
     },
     /// The platform rejected the call because of its rate limit.
-    Limited,
+    RateLimited,
     /// The call timed out, or the response was invalid.
     Failed,
 }
--- a/system/coordinator/src/platform.rs
+++ b/system/coordinator/src/platform.rs
@@ -62,7 +62,7 @@
                     }
                 }
             }
-            PlatformReply::Limited | PlatformReply::Failed => {
+            PlatformReply::RateLimited | PlatformReply::Failed => {
                 reader.schedule_read(now + RETRY_DELAY_MS);
             }
         }
--- a/system/coordinator/src/requests.rs
+++ b/system/coordinator/src/requests.rs
@@ -56,10 +56,7 @@
     }
 
     pub(crate) fn respond(&mut self, request: RequestId, response: CoordinatorResponse) {
-        self.outputs.push(Output::Answer {
-            request,
-            answer: response,
-        });
+        self.outputs.push(Output::Respond { request, response });
     }
 
     /// Starts an operation if this coordinator has contact with a majority. Otherwise rejects the request immediately,
--- a/system/coordinator/tests/common/mod.rs
+++ b/system/coordinator/tests/common/mod.rs
@@ -159,7 +159,7 @@
             Output::Control(
                 ControlOutput::Send { .. } | ControlOutput::DiskSuperseded | ControlOutput::Log(_),
             )
-            | Output::Answer { .. } => {}
+            | Output::Respond { .. } => {}
             Output::CallWorker { token, call, .. } => self.calls.push(SentCall { token, call }),
             Output::ListWorkers { call, .. } => self.platform_calls.push(call),
         }
--- a/system/fleet/src/fleet/delivery.rs
+++ b/system/fleet/src/fleet/delivery.rs
@@ -180,7 +180,9 @@
         let process = self.process(number);
         match output {
             Output::Control(output) => self.perform_control(process, output),
-            Output::Answer { request, answer } => self.handle_response(process, request, &answer),
+            Output::Respond { request, response } => {
+                self.handle_response(process, request, &response)
+            }
             Output::CallWorker {
                 service,
                 token,
--- a/system/magpiegap/src/coordinator/driver.rs
+++ b/system/magpiegap/src/coordinator/driver.rs
@@ -203,9 +203,9 @@
     fn perform(&mut self, output: Output, events: &UnboundedSender<Event>) {
         match output {
             Output::Control(output) => self.perform_control(output),
-            Output::Answer { request, answer } => {
-                if let Some(response) = self.pending_responses.remove(&request) {
-                    let _ = response.send(answer);
+            Output::Respond { request, response } => {
+                if let Some(sender) = self.pending_responses.remove(&request) {
+                    let _ = sender.send(response);
                 }
             }
             Output::CallWorker {
--- a/system/magpiegap/src/coordinator/platform_client.rs
+++ b/system/magpiegap/src/coordinator/platform_client.rs
@@ -71,7 +71,7 @@
                 PlatformReply::Failed
             }
         },
-        429 => PlatformReply::Limited,
+        429 => PlatformReply::RateLimited,
         _ => PlatformReply::Failed,
     }
 }
