--- a/system/coordinator/src/platform.rs
+++ b/system/coordinator/src/platform.rs
@@ -62,7 +62,7 @@
                     }
                 }
             }
-            PlatformReply::Limited | PlatformReply::Failed => {
+            PlatformReply::RateLimited | PlatformReply::Failed => {
                 reader.schedule_read(now + RETRY_DELAY_MS);
             }
         }
@@ -81,7 +81,7 @@
             if *replica == own {
                 continue;
             }
-            let message = PeerMessage::Platform(list.clone());
+            let message = PeerMessage::WorkerList(list.clone());
             let to = replica.member.address;
             self.outputs
                 .push(Output::Control(ControlOutput::Send { to, message }));
--- a/system/coordinator/src/requests.rs
+++ b/system/coordinator/src/requests.rs
@@ -56,10 +56,7 @@
     }
 
     pub(crate) fn respond(&mut self, request: RequestId, response: CoordinatorResponse) {
-        self.outputs.push(Output::Answer {
-            request,
-            answer: response,
-        });
+        self.outputs.push(Output::Respond { request, response });
     }
 
     /// Starts an operation if this coordinator has contact with a majority. Otherwise rejects the request immediately,
@@ -159,7 +156,7 @@
             // The scheduler lost its role. Whether another entry accepts the job is not known here.
             (_, Outcome::Fenced) => CoordinatorResponse::Unknown,
             (Operation::Submit(_), _) => CoordinatorResponse::Accepted,
-            (Operation::Cancel(_), Outcome::Void) => CoordinatorResponse::NoSuchJob,
+            (Operation::Cancel(_), Outcome::NotApplicable) => CoordinatorResponse::NoSuchJob,
             (Operation::Cancel(_), _) => CoordinatorResponse::Accepted,
             (Operation::ReplaceConfiguration { .. }, Outcome::Conflict) => {
                 CoordinatorResponse::ConfigurationConflict
--- a/system/coordinator/src/roles.rs
+++ b/system/coordinator/src/roles.rs
@@ -132,7 +132,7 @@
     }
 
     fn start_scheduler(&mut self, service: String, token: FencingToken) {
-        let seed = self.settings.control.seed ^ token.0;
+        let seed = self.settings.control.random_seed ^ token.0;
         let mut scheduler = Scheduler::new(
             &service,
             token,
@@ -161,7 +161,10 @@
         {
             return;
         }
-        if self.configurations.follow(state.version, &state.change) {
+        if self
+            .configurations
+            .apply_change(state.version, &state.encoded_change)
+        {
             return;
         }
         // The log contains only valid configurations.
