--- a/system/control/src/disk_confirmation.rs
+++ b/system/control/src/disk_confirmation.rs
@@ -139,8 +139,8 @@
 
 fn describe(from: ReplicaId, objection: &StaleDisk, starts: u64) -> String {
     format!(
-        "disk was restored from an old copy: {} has recorded start {} on it, with view {} and entry {}, but this is start \
-         {starts}; this coordinator will not vote",
+        "disk restored from old copy, this coordinator will not vote peer={} recorded_starts={} view={} entry={} \
+         starts={starts}",
         from.member, objection.noted.starts, objection.noted.progress.view, objection.noted.progress.committed.index
     )
 }
--- a/system/control/src/snapshot_transfer.rs
+++ b/system/control/src/snapshot_transfer.rs
@@ -233,7 +233,7 @@
     fn reject_snapshot(&mut self, from: ReplicaId, number: u32, error: impl fmt::Display) {
         self.chain.incoming = None;
         self.log(format!(
-            "rejected snapshot chunk {number} from {}: {error}",
+            "rejected snapshot chunk chunk={number} peer={} error={error}",
             from.member
         ));
     }
@@ -244,7 +244,7 @@
             return;
         };
         if let Err(error) = machine.finish_restore(incoming.position) {
-            self.log(format!("failed to install the incoming snapshot: {error}"));
+            self.log(format!("failed to install incoming snapshot error={error}"));
             return;
         }
         self.chain.applied = incoming.position.index;
--- a/system/control/src/view_change.rs
+++ b/system/control/src/view_change.rs
@@ -106,7 +106,7 @@
             return;
         };
         let number = self.agreement.next_number();
-        self.log(format!("proposing view {number}: {reason}"));
+        self.log(format!("proposing view view={number} reason={reason}"));
         let message = PeerMessage::Prepare { number, ballot };
         self.send_to_voters(&message);
     }
--- a/system/control/src/view_reason.rs
+++ b/system/control/src/view_reason.rs
@@ -19,15 +19,23 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ViewReason::Newcomer(replica) => {
-                write!(formatter, "{} can join the chain", replica.member)
+                write!(formatter, "replica can join chain peer={}", replica.member)
             }
             ViewReason::Unavailable(replica) => {
-                write!(formatter, "{} is unavailable", replica.member)
+                write!(
+                    formatter,
+                    "chain member unavailable peer={}",
+                    replica.member
+                )
             }
             ViewReason::IncompleteRound => {
-                write!(formatter, "an earlier round for it did not complete")
+                write!(formatter, "earlier round did not complete")
             }
-            ViewReason::Idle(replica) => write!(formatter, "{} does not serve", replica.member),
+            ViewReason::Idle(replica) => write!(
+                formatter,
+                "chain member does not serve peer={}",
+                replica.member
+            ),
         }
     }
 }
--- a/system/control/src/voting.rs
+++ b/system/control/src/voting.rs
@@ -232,7 +232,11 @@
         self.quorum_contact.retain_members(view);
         self.disk_notes.retain_members(view);
         self.persist_agreement(Vec::new(), now);
-        self.log(format!("view {}: {}", view.number, describe(view)));
+        self.log(format!(
+            "view decided view={} {}",
+            view.number,
+            describe(view)
+        ));
         self.enter_view(view, now, machine);
     }
 
@@ -253,5 +257,5 @@
         .iter()
         .map(|replica| replica.member.to_string())
         .collect();
-    format!("chain {}, {} voters", chain.join(" > "), view.voters.len())
+    format!("chain={} voters={}", chain.join(" > "), view.voters.len())
 }
--- a/system/coordinator/src/roles.rs
+++ b/system/coordinator/src/roles.rs
@@ -144,9 +144,7 @@
         if let Some(list) = &self.platform_list {
             scheduler.handle_worker_list(self.now, &self.machine.state, &list.workers);
         }
-        self.log(format!(
-            "started scheduler of service {service} with fencing token {token}"
-        ));
+        self.log(format!("started scheduler service={service} token={token}"));
         self.schedulers.insert(service, scheduler);
     }
 
--- a/system/scheduler/src/ejection_report.rs
+++ b/system/scheduler/src/ejection_report.rs
@@ -38,7 +38,7 @@
             String::new()
         };
         Some(format!(
-            "ejected workers whose runs fail: {}{suffix}",
+            "ejected workers whose runs fail workers={}{suffix}",
             named.join(", ")
         ))
     }
--- a/system/scheduler/src/leases.rs
+++ b/system/scheduler/src/leases.rs
@@ -181,7 +181,7 @@
         worker.health.eject(now);
         self.table.mark_order_due(incarnation);
         self.outputs.push(Output::Log(format!(
-            "stopping {} runs on worker {incarnation} that make no progress, and ejecting the worker",
+            "stopping runs that make no progress, ejecting worker runs={} worker={incarnation}",
             stuck.len()
         )));
     }
--- a/system/scheduler/src/orders.rs
+++ b/system/scheduler/src/orders.rs
@@ -104,7 +104,7 @@
             }
         }
         self.outputs.push(Output::Log(format!(
-            "all leases on worker {incarnation} have expired; proposing the loss of its {} runs",
+            "all leases on worker expired, proposing loss of its runs worker={incarnation} runs={}",
             lost.len()
         )));
         self.outputs
--- a/system/scheduler/src/scheduler.rs
+++ b/system/scheduler/src/scheduler.rs
@@ -120,7 +120,7 @@
         self.deposed = true;
         self.drop_outputs();
         let line = format!(
-            "worker {refused_by} has seen a higher fencing token than {}; giving up the role",
+            "worker has seen higher fencing token, giving up role worker={refused_by} token={}",
             self.token
         );
         self.outputs.push(Output::Log(line));
