--- a/lab/src/clients.rs
+++ b/lab/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::draw::{Arrival, Calls};
 use crate::experiment::{Effect, Group, Millis};
 use crate::net::lock;
-use crate::tally::{Done, How};
+use crate::tally::{CompletedRequest, RequestOutcome};
 use crate::world::{RequestProfile, World};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -45,8 +45,8 @@
         let (world, in_flight) = (world.clone(), in_flight.clone());
         in_flight.count.fetch_add(1, Ordering::SeqCst);
         tokio::spawn(async move {
-            let done = request(&world, &world.plan.arrivals[n]).await;
-            lock(&world.tally).done.push(done);
+            let completed = request(&world, &world.plan.arrivals[n]).await;
+            lock(&world.tally).completed.push(completed);
             if in_flight.count.fetch_sub(1, Ordering::SeqCst) == 1 {
                 in_flight.changed.notify_waiters();
             }
@@ -55,7 +55,7 @@
 }
 
 /// Sends a request, with all attempts of its client, and returns how it ended.
-async fn request(world: &World, a: &Arrival) -> Done {
+async fn request(world: &World, a: &Arrival) -> CompletedRequest {
     let deadline = world.plan.spans[a.class].1;
     let clients = &world.experiment.clients;
     let mut drawn = Calls::new(a.seed);
@@ -82,14 +82,14 @@
         let (how, again, advice) = match got {
             CallResult::Served(time) => {
                 added = Some(time);
-                break How::Served;
+                break RequestOutcome::Served;
             }
-            CallResult::Left => break How::Left,
-            CallResult::Refused(advice) => (How::Refused, true, advice),
-            CallResult::Unreached => (How::Unreached, true, None),
-            CallResult::Failed => (How::Failed, may_repeat(world, a.class), None),
-            CallResult::Ended => (How::Failed, may_repeat(world, a.class), None),
-            CallResult::TimedOut => (How::TimedOut, may_repeat(world, a.class), None),
+            CallResult::Left => break RequestOutcome::Left,
+            CallResult::Refused(advice) => (RequestOutcome::Refused, true, advice),
+            CallResult::Unreached => (RequestOutcome::Unreached, true, None),
+            CallResult::Failed => (RequestOutcome::Failed, may_repeat(world, a.class), None),
+            CallResult::Ended => (RequestOutcome::Failed, may_repeat(world, a.class), None),
+            CallResult::TimedOut => (RequestOutcome::TimedOut, may_repeat(world, a.class), None),
         };
         let waits = advice.filter(|_| a.honours).unwrap_or(0.0).max(backoff);
         let next = world.now() + waits;
@@ -100,7 +100,7 @@
         (due, backoff) = (next, backoff * 2.0);
     };
     let took = world.now() - a.at;
-    Done {
+    CompletedRequest {
         at: a.at,
         class: a.class,
         tenant: a.tenant,
--- a/lab/src/metrics/expected.rs
+++ b/lab/src/metrics/expected.rs
@@ -4,10 +4,10 @@
 use super::traffic::{attempts, jain};
 use crate::draw::Plan;
 use crate::experiment::{Expect, Experiment, Metric, Millis, Part};
-use crate::tally::{Done, How, Tally};
+use crate::tally::{CompletedRequest, RequestOutcome, Tally};
 
 /// Whether a request matches the given criteria.
-fn matches(e: &Experiment, d: &Done, of: &Part) -> bool {
+fn matches(e: &Experiment, d: &CompletedRequest, of: &Part) -> bool {
     of.tenant
         .as_ref()
         .is_none_or(|t| e.tenants[d.tenant].name == *t)
@@ -26,8 +26,8 @@
     expect: &Expect,
     (from, to): (Millis, Millis),
 ) -> f64 {
-    let within = |d: &Done| (from..to).contains(&d.at) && matches(e, d, &expect.of);
-    let f = || request_metrics(e, plan, &tally.done, within);
+    let within = |d: &CompletedRequest| (from..to).contains(&d.at) && matches(e, d, &expect.of);
+    let f = || request_metrics(e, plan, &tally.completed, within);
     let seconds = || {
         let is_within = |s: &usize| {
             (*s as f64) * 1000.0 >= from && ((s + 1) as f64) * 1000.0 <= to.min(plan.length)
@@ -48,8 +48,9 @@
         Metric::Goodput => {
             // Counted when the response arrives: a recovering machine also serves requests that were due earlier.
             let to = to.min(plan.length);
-            let served = tally.done.iter().filter(|d| {
-                let in_deadline = d.how == How::Served && d.took <= plan.spans[d.class].1;
+            let served = tally.completed.iter().filter(|d| {
+                let in_deadline =
+                    d.how == RequestOutcome::Served && d.took <= plan.spans[d.class].1;
                 in_deadline && (from..to).contains(&(d.at + d.took)) && matches(e, d, &expect.of)
             });
             let weakest = plan.capacity.iter().copied().fold(f64::INFINITY, f64::min);
@@ -62,7 +63,7 @@
 pub fn value_of(
     e: &Experiment,
     plan: &Plan,
-    done: &[Done],
+    completed: &[CompletedRequest],
     tenant: &str,
     (from, to): (Millis, Millis),
 ) -> f64 {
@@ -70,7 +71,7 @@
         tenant: Some(tenant.into()),
         ..Part::default()
     };
-    request_metrics(e, plan, done, |d| {
+    request_metrics(e, plan, completed, |d| {
         (from..to).contains(&d.at) && matches(e, d, &of)
     })
     .value
--- a/lab/src/metrics/recovery.rs
+++ b/lab/src/metrics/recovery.rs
@@ -61,7 +61,7 @@
     let finite = |t: Option<&f64>| t.copied().filter(|t| t.is_finite());
     let first = restarts.map(|s| s.at).fold(f64::INFINITY, f64::min);
     let value = |from: Millis, to: Millis| {
-        request_metrics(e, plan, &tally.done, |d| (from..to).contains(&d.at)).value
+        request_metrics(e, plan, &tally.completed, |d| (from..to).contains(&d.at)).value
     };
     let before = value(0.0, fault.at);
     let mut windows = (0..)
--- a/lab/src/metrics/requests.rs
+++ b/lab/src/metrics/requests.rs
@@ -2,7 +2,7 @@
 use crate::clock::histogram;
 use crate::draw::Plan;
 use crate::experiment::Experiment;
-use crate::tally::{Done, How};
+use crate::tally::{CompletedRequest, RequestOutcome};
 use serde::{Deserialize, Serialize};
 
 /// Metrics over the requests that were due in an interval of a run. Fractions refer to all requests due in it.
@@ -40,19 +40,19 @@
 pub fn request_metrics(
     e: &Experiment,
     plan: &Plan,
-    done: &[Done],
-    wanted: impl Fn(&Done) -> bool,
+    completed: &[CompletedRequest],
+    wanted: impl Fn(&CompletedRequest) -> bool,
 ) -> RequestMetrics {
     let mut f = RequestMetrics::default();
     let (mut times, mut added) = (histogram(), histogram());
     let (mut requested_value, mut earned, mut client_attempts) = (0.0, 0.0, 0u64);
-    for d in done.iter().filter(|d| wanted(d)) {
+    for d in completed.iter().filter(|d| wanted(d)) {
         let class = &e.classes[d.class];
         f.due += 1;
         requested_value += class.value;
         client_attempts += u64::from(d.client_attempts);
         match d.how {
-            How::Served => {
+            RequestOutcome::Served => {
                 times.saturating_record((d.took * 1000.0) as u64);
                 added.saturating_record((d.added.unwrap_or(0.0).max(0.0) * 1000.0) as u64);
                 if d.took <= plan.spans[d.class].0 {
@@ -69,9 +69,11 @@
                     };
                 }
             }
-            How::Refused => f.refused += 1.0,
-            How::Failed | How::TimedOut | How::Unreached => f.failed += 1.0,
-            How::Left => f.left += 1.0,
+            RequestOutcome::Refused => f.refused += 1.0,
+            RequestOutcome::Failed | RequestOutcome::TimedOut | RequestOutcome::Unreached => {
+                f.failed += 1.0
+            }
+            RequestOutcome::Left => f.left += 1.0,
         }
     }
     if f.due == 0 {
--- a/lab/src/metrics/traffic.rs
+++ b/lab/src/metrics/traffic.rs
@@ -1,7 +1,7 @@
 //! Traffic between machines.
 use crate::convergence::Known;
 use crate::experiment::Experiment;
-use crate::tally::{Second, Tally};
+use crate::tally::{SecondCounts, Tally};
 use serde::{Deserialize, Serialize};
 
 /// Traffic between machines per request due.
@@ -24,12 +24,12 @@
 
 /// Returns the traffic of a complete run.
 pub fn traffic(tally: &Tally) -> Traffic {
-    let due = tally.done.len().max(1) as f64;
-    let sum = |of: fn(&Second) -> f64| tally.seconds.iter().map(of).sum::<f64>();
+    let due = tally.completed.len().max(1) as f64;
+    let sum = |of: fn(&SecondCounts) -> f64| tally.seconds.iter().map(of).sum::<f64>();
     Traffic {
         attempts_a_first: attempts(tally.seconds.iter()),
         attempts: sum(|s| s.attempts.iter().sum::<u64>() as f64) / due,
-        crossings: sum(|s| s.crossings as f64) / due,
+        crossings: sum(|s| s.cross_zone_attempts as f64) / due,
         connections: sum(|s| s.connections as f64) / due,
         declined: sum(|s| s.declined as f64) / due,
         wasted: sum(|s| s.wasted) / sum(|s| s.worked).max(1.0),
@@ -37,16 +37,19 @@
 }
 
 /// Returns the number of attempts per first attempt.
-pub(super) fn attempts<'a>(seconds: impl Iterator<Item = &'a Second>) -> f64 {
-    let (all, firsts) = seconds.fold((0, 0), |(all, firsts), s| {
-        (all + s.attempts.iter().sum::<u64>(), firsts + s.firsts)
+pub(super) fn attempts<'a>(seconds: impl Iterator<Item = &'a SecondCounts>) -> f64 {
+    let (all, first_attempts) = seconds.fold((0, 0), |(all, first_attempts), s| {
+        (
+            all + s.attempts.iter().sum::<u64>(),
+            first_attempts + s.first_attempts,
+        )
     });
-    all as f64 / firsts.max(1) as f64
+    all as f64 / first_attempts.max(1) as f64
 }
 
 /// Returns Jain's fairness index of the time that tenants' attempts spent at upstreams, each divided by the tenant's
 /// share: 1 if all are equal, and 1/n if one of n tenants has everything.
-pub fn jain<'a>(e: &Experiment, seconds: impl Iterator<Item = &'a Second>) -> f64 {
+pub fn jain<'a>(e: &Experiment, seconds: impl Iterator<Item = &'a SecondCounts>) -> f64 {
     let mut upstream_time = vec![0.0; e.tenants.len()];
     for second in seconds {
         upstream_time
--- a/lab/src/report/plots.rs
+++ b/lab/src/report/plots.rs
@@ -4,7 +4,7 @@
 use crate::draw::Plan;
 use crate::experiment::Experiment;
 use crate::metrics::{request_metrics, Played, RequestMetrics};
-use crate::tally::{Done, How, Second};
+use crate::tally::{CompletedRequest, RequestOutcome, SecondCounts};
 
 /// A plot of a metric over the requests due in each second.
 struct MetricPlot {
@@ -51,13 +51,13 @@
 /// A plot of a count per second.
 struct CountPlot {
     title: &'static str,
-    value: fn(&Second) -> f64,
+    value: fn(&SecondCounts) -> f64,
 }
 
 const COUNT_PLOTS: [CountPlot; 3] = [
     CountPlot {
         title: "Attempts across zones",
-        value: |second| second.crossings as f64,
+        value: |second| second.cross_zone_attempts as f64,
     },
     CountPlot {
         title: "New connections to upstreams",
@@ -65,7 +65,7 @@
     },
     CountPlot {
         title: "Upstreams slowed down by overload",
-        value: |second| second.choked as f64,
+        value: |second| second.degraded_upstreams as f64,
     },
 ];
 
@@ -176,7 +176,11 @@
     }
 
     /// Returns the points of a count. The last, incomplete second is left out.
-    fn count_by_second(&self, play: &Played, value: impl Fn(&Second) -> f64) -> Vec<(f64, f64)> {
+    fn count_by_second(
+        &self,
+        play: &Played,
+        value: impl Fn(&SecondCounts) -> f64,
+    ) -> Vec<(f64, f64)> {
         let full_seconds = (self.plan.length / 1000.0) as u32;
         (0..full_seconds)
             .zip(&play.tally.seconds)
@@ -191,19 +195,21 @@
         value: fn(&RequestMetrics) -> f64,
     ) -> Vec<(f64, f64)> {
         let seconds = (self.plan.length / 1000.0).ceil() as usize;
-        let mut by_second: Vec<Vec<Done>> = vec![Vec::new(); seconds];
-        for done in &play.tally.done {
-            if let Some(second) = by_second.get_mut((done.at / 1000.0) as usize) {
-                second.push(done.clone());
+        let mut by_second: Vec<Vec<CompletedRequest>> = vec![Vec::new(); seconds];
+        for completed in &play.tally.completed {
+            if let Some(second) = by_second.get_mut((completed.at / 1000.0) as usize) {
+                second.push(completed.clone());
             }
         }
-        let metrics = |done: &[Done]| request_metrics(self.experiment, self.plan, done, |_| true);
+        let metrics = |completed: &[CompletedRequest]| {
+            request_metrics(self.experiment, self.plan, completed, |_| true)
+        };
         // Fractions are undefined for a second without due requests.
         by_second
             .iter()
             .enumerate()
-            .filter(|(_, done)| !done.is_empty())
-            .map(|(number, done)| (number as f64, value(&metrics(done))))
+            .filter(|(_, completed)| !completed.is_empty())
+            .map(|(number, completed)| (number as f64, value(&metrics(completed))))
             .collect()
     }
 }
@@ -211,9 +217,9 @@
 /// Returns the response time of served requests by percentile, in steps of 0.5.
 fn percentiles(play: &Played) -> Line {
     let mut times = histogram();
-    let served = |done: &&Done| done.how == How::Served;
-    for done in play.tally.done.iter().filter(served) {
-        times.saturating_record((done.took * 1000.0) as u64);
+    let served = |completed: &&CompletedRequest| completed.how == RequestOutcome::Served;
+    for completed in play.tally.completed.iter().filter(served) {
+        times.saturating_record((completed.took * 1000.0) as u64);
     }
     let at = |percentile: f64| {
         let micros = times.value_at_quantile(percentile / 100.0);
--- a/lab/src/run/play.rs
+++ b/lab/src/run/play.rs
@@ -126,8 +126,15 @@
     };
     let tally = lock(&world.tally);
     for tenant in &bound.tenants {
-        let value =
-            |over: Span| value_of(e, plan, &tally.done, tenant, (over.0.least, over.0.most));
+        let value = |over: Span| {
+            value_of(
+                e,
+                plan,
+                &tally.completed,
+                tenant,
+                (over.0.least, over.0.most),
+            )
+        };
         let (before, during) = (value(bound.before), value(bound.during));
         oracle.in_share(world.now(), tenant, before, during, bound.least);
     }
--- a/lab/src/run/sum_up.rs
+++ b/lab/src/run/sum_up.rs
@@ -74,19 +74,19 @@
     for (i, class) in e.classes.iter().enumerate() {
         by.insert(
             format!("class {}", class.name),
-            request_metrics(e, plan, &tally.done, |d| d.class == i),
+            request_metrics(e, plan, &tally.completed, |d| d.class == i),
         );
     }
     for (i, tenant) in e.tenants.iter().enumerate() {
         by.insert(
             format!("tenant {}", tenant.name),
-            request_metrics(e, plan, &tally.done, |d| d.tenant == i),
+            request_metrics(e, plan, &tally.completed, |d| d.tenant == i),
         );
     }
     for (i, zone) in e.fleet.zones.iter().enumerate() {
         by.insert(
             format!("zone {zone}"),
-            request_metrics(e, plan, &tally.done, |d| d.zone == i),
+            request_metrics(e, plan, &tally.completed, |d| d.zone == i),
         );
     }
     by
@@ -136,7 +136,7 @@
         command: command.into(),
         play: number,
         seed: plan.seed,
-        metrics: request_metrics(e, plan, &tally.done, |_| true),
+        metrics: request_metrics(e, plan, &tally.completed, |_| true),
         by: by_part(e, plan, &tally),
         traffic: traffic(&tally),
         datagrams: peer_traffic(world),
--- a/lab/src/run/watch.rs
+++ b/lab/src/run/watch.rs
@@ -76,11 +76,11 @@
     loop {
         every.tick().await;
         let now = world.now();
-        let choked = fleet.upstreams.iter().filter(|u| u.is_degraded()).count() as u64;
-        let done = {
+        let degraded_upstreams = fleet.upstreams.iter().filter(|u| u.is_degraded()).count() as u64;
+        let completed = {
             let mut tally = lock(&world.tally);
-            tally.second(now).choked = choked;
-            tally.done.len()
+            tally.second(now).degraded_upstreams = degraded_upstreams;
+            tally.completed.len()
         };
         let broken: u64 = {
             let mut oracle = lock(&world.oracle);
@@ -94,7 +94,7 @@
             format!("{broken} rule violations")
         };
         progress.set_message(format!(
-            "{done} requests ended, {} in flight, {rules}",
+            "{completed} requests ended, {} in flight, {rules}",
             in_flight.count()
         ));
         let sampled = fleet.clone();
--- a/lab/src/tally.rs
+++ b/lab/src/tally.rs
@@ -6,7 +6,7 @@
 /// How a request ended for its client, over all attempts of the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum How {
+pub enum RequestOutcome {
     /// Served.
     Served,
     /// Refused.
@@ -24,7 +24,7 @@
 
 /// One request, from when it was due to its end.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Done {
+pub struct CompletedRequest {
     /// When it was due.
     pub at: Millis,
     /// Position of its class in the experiment.
@@ -34,7 +34,7 @@
     /// Position of its client's zone.
     pub zone: usize,
     /// How it ended.
-    pub how: How,
+    pub how: RequestOutcome,
     /// The time from when it was due to the last byte of its response.
     pub took: Millis,
     /// The number of attempts of the client.
@@ -57,17 +57,18 @@
 
 /// The traffic of one second.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Second {
+pub struct SecondCounts {
     /// Attempts that reached upstreams of each zone.
     pub attempts: Vec<u64>,
     /// Of these, the first attempts of their request.
-    #[serde(default)]
-    pub firsts: u64,
+    #[serde(default, rename = "firsts")]
+    pub first_attempts: u64,
     /// The time that attempts of each tenant spent at upstreams, in milliseconds, counted when they end.
     #[serde(default, rename = "held")]
     pub upstream_time: Vec<f64>,
     /// Attempts from a balancer of another zone.
-    pub crossings: u64,
+    #[serde(rename = "crossings")]
+    pub cross_zone_attempts: u64,
     /// New connections to upstreams.
     pub connections: u64,
     /// Attempts rejected by a full upstream.
@@ -75,7 +76,8 @@
     /// Health checks.
     pub probes: u64,
     /// Upstreams that are degraded by overload, as last sampled in this second.
-    pub choked: u64,
+    #[serde(rename = "choked")]
+    pub degraded_upstreams: u64,
     /// Work done for attempts that were not served, in milliseconds of a core.
     pub wasted: f64,
     /// Work done, in milliseconds of a core.
@@ -86,9 +88,10 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Tally {
     /// Every request that has ended.
-    pub done: Vec<Done>,
+    #[serde(rename = "done")]
+    pub completed: Vec<CompletedRequest>,
     /// Every second of the run.
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondCounts>,
     zones: usize,
     #[serde(default)]
     tenants: usize,
@@ -103,7 +106,7 @@
     /// Returns an empty tally for this many zones and tenants.
     pub fn new(zones: usize, tenants: usize) -> Tally {
         Tally {
-            done: Vec::new(),
+            completed: Vec::new(),
             seconds: Vec::new(),
             zones,
             tenants,
@@ -130,13 +133,13 @@
     }
 
     /// The counts of the second that contains `now`.
-    pub fn second(&mut self, now: Millis) -> &mut Second {
+    pub fn second(&mut self, now: Millis) -> &mut SecondCounts {
         let n = (now.max(0.0) / 1000.0) as usize;
         while self.seconds.len() <= n {
-            self.seconds.push(Second {
+            self.seconds.push(SecondCounts {
                 attempts: vec![0; self.zones],
                 upstream_time: vec![0.0; self.tenants],
-                ..Second::default()
+                ..SecondCounts::default()
             });
         }
         &mut self.seconds[n]
--- a/lab/src/upstream/respond.rs
+++ b/lab/src/upstream/respond.rs
@@ -125,8 +125,9 @@
         let mut tally = lock(&world.tally);
         let second = tally.second(now);
         second.attempts[self.plan.zone] += 1;
-        second.firsts += u64::from(number == 0);
-        second.crossings += u64::from(world.plan.balancers[balancer].zone != self.plan.zone);
+        second.first_attempts += u64::from(number == 0);
+        second.cross_zone_attempts +=
+            u64::from(world.plan.balancers[balancer].zone != self.plan.zone);
     }
 
     async fn check_health(&self, world: &World, path: &str) -> Response<Full<Bytes>> {
