--- a/lab/src/audit.rs
+++ b/lab/src/audit.rs
@@ -1,5 +1,5 @@
 //! Compares the metrics of balancers with what the lab's stand-ins saw.
-use crate::oracle::Seen;
+use crate::oracle::ObservedCounts;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
@@ -97,7 +97,7 @@
 ///
 /// If a client cancelled or a connection broke, the balancer and the lab may see different ends of the same request.
 /// Each count may differ by the number of such requests.
-pub fn find_differences(counted: &BalancerMetrics, seen: &Seen) -> Option<String> {
+pub fn find_differences(counted: &BalancerMetrics, seen: &ObservedCounts) -> Option<String> {
     let sum = |of: &BTreeMap<String, u64>, of_name: &dyn Fn(&str) -> bool| -> u64 {
         of.iter()
             .filter(|(name, _)| of_name(name))
--- a/lab/src/call.rs
+++ b/lab/src/call.rs
@@ -81,7 +81,7 @@
 
 impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
-        self.report_end(Final::Left);
+        self.report_end(Final::Abandoned);
         self.world.forget(self.id);
     }
 }
@@ -110,11 +110,11 @@
             reported: true,
         };
         // A flooding client opens a new connection for each request.
-        let mut fresh = self.flood.is_some();
+        let mut new = self.flood.is_some();
         loop {
             let pool = &world.pools[self.balancer];
-            let pooled = if fresh { None } else { pool.take() };
-            fresh |= pooled.is_none();
+            let pooled = if new { None } else { pool.take() };
+            new |= pooled.is_none();
             let conn = match pooled {
                 Some(conn) => Some(conn),
                 None => timeout_at(expiry, self.open(world)).await.unwrap_or(None),
@@ -125,20 +125,20 @@
             let Some(request) = self.request(world, id) else {
                 return CallResult::Unreached;
             };
-            let (deadline, written) = (self.sent + self.timeout, world.now());
-            lock(&world.oracle).taken(written, id, self.profile.class, self.balancer, deadline);
+            let (deadline, at) = (self.sent + self.timeout, world.now());
+            lock(&world.oracle).request_sent(at, id, self.profile.class, self.balancer, deadline);
             pending.reported = false;
             let latest = world.clock.instant(deadline + ANSWER_GRACE);
             let response = match timeout_at(latest, conn.sender.try_send_request(request)).await {
                 Ok(Ok(response)) => response,
                 // The balancer may close an idle connection at the moment of its reuse. The request is sent once
                 // more if the balancer has not forwarded it.
-                Ok(Err(_)) if !fresh && !lock(&world.oracle).was_forwarded(id) => {
-                    fresh = true;
+                Ok(Err(_)) if !new && !lock(&world.oracle).was_forwarded(id) => {
+                    new = true;
                     continue;
                 }
                 Ok(Err(_)) => {
-                    pending.report_end(if fresh { Final::Turned } else { Final::Ended });
+                    pending.report_end(if new { Final::ClosedNew } else { Final::Closed });
                     return CallResult::Ended;
                 }
                 Err(_) => {
@@ -152,7 +152,7 @@
             };
             if let CallResult::Served(added) = &mut got {
                 let now = world.now();
-                *added = now - written - world.profile(id).map_or(0.0, |a| a.at_upstreams);
+                *added = now - at - world.profile(id).map_or(0.0, |a| a.at_upstreams);
                 lock(&world.tally).served(self.balancer, now);
             }
             pause(self.delay).await;
--- a/lab/src/faults/balancers.rs
+++ b/lab/src/faults/balancers.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use tokio::task::JoinSet;
 
-/// How long a balancer that was stopped or cut off is excused afterwards, while it catches up.
+/// How long requests lost by a balancer that was stopped or cut off are not violations afterwards, while it catches up.
 pub(super) const CATCH_UP: Millis = 1500.0;
 
 /// How long clients continue to open connections after SIGTERM.
@@ -62,13 +62,13 @@
     injector.start(balancer).await
 }
 
-/// Ends a balancer by SIGKILL; its requests in flight are excused.
+/// Ends a balancer by SIGKILL; requests that it loses then are not violations.
 pub(super) fn kill(fleet: &Fleet, balancer: usize) {
     let world = &fleet.world;
     {
         let mut oracle = lock(&world.oracle);
-        oracle.excuse(balancer, world.now(), world.now() + CATCH_UP);
-        oracle.stops(balancer, world.now());
+        oracle.exclude_interval(balancer, world.now(), world.now() + CATCH_UP);
+        oracle.stopped(balancer, world.now());
     }
     fleet.balancers[balancer].stop(Signal::SIGKILL);
 }
@@ -79,7 +79,7 @@
     let process = &fleet.balancers[balancer];
     let longest = world.plan.longest().min(MAX_DEADLINE);
     let signalled = world.now();
-    lock(&world.oracle).stops(balancer, signalled);
+    lock(&world.oracle).stopped(balancer, signalled);
     process.stop(Signal::SIGTERM);
     world
         .clock
@@ -172,15 +172,15 @@
         for &balancer in &balancers {
             {
                 let mut oracle = lock(&world.oracle);
-                oracle.excuse(balancer, world.now(), fault.until + CATCH_UP);
-                oracle.stops(balancer, world.now());
+                oracle.exclude_interval(balancer, world.now(), fault.until + CATCH_UP);
+                oracle.stopped(balancer, world.now());
             }
             fleet.balancers[balancer].signal(Signal::SIGSTOP);
         }
         world.clock.until(fault.until).await;
         for &balancer in &balancers {
             fleet.balancers[balancer].signal(Signal::SIGCONT);
-            lock(&world.oracle).goes_on(balancer, world.now());
+            lock(&world.oracle).resumed(balancer, world.now());
         }
     }
 }
--- a/lab/src/faults/network.rs
+++ b/lab/src/faults/network.rs
@@ -23,7 +23,7 @@
         let usual = world.experiment.net.clone();
         let isolates = fault.kind == FaultKind::DatagramLoss && fault.size >= ISOLATING_LOSS;
         if isolates {
-            lock(&world.oracle).muffle(true, world.now());
+            lock(&world.oracle).set_heavy_loss(true, world.now());
         }
         world
             .datagrams
@@ -40,7 +40,7 @@
             _ => conditions.delay = usual.datagrams.0,
         });
         if isolates {
-            lock(&world.oracle).muffle(false, world.now());
+            lock(&world.oracle).set_heavy_loss(false, world.now());
         }
     }
 }
--- a/lab/src/faults/partition.rs
+++ b/lab/src/faults/partition.rs
@@ -10,8 +10,8 @@
 struct LinkCut {
     link: Arc<Link>,
     direction: Direction,
-    /// The balancer that is excused for requests that its clients lose during the cut.
-    excused: Option<usize>,
+    /// The balancer whose lost requests during the cut are not violations.
+    excluded: Option<usize>,
 }
 
 /// A cut of the datagrams from one balancer to another.
@@ -24,10 +24,10 @@
 /// The links between two parties, in the direction from the first to the second.
 fn links(fleet: &Fleet, from: Party, to: Party) -> Vec<LinkCut> {
     let world = &fleet.world;
-    let inward = |link: &Arc<Link>, excused| LinkCut {
+    let inward = |link: &Arc<Link>, excluded| LinkCut {
         link: link.clone(),
         direction: Direction::Inward,
-        excused,
+        excluded,
     };
     match (from, to) {
         (Party::Balancer(balancer), Party::Upstream(upstream)) => {
@@ -86,12 +86,12 @@
         let datagram_cuts: Vec<DatagramCut> = pairs.iter().filter_map(datagram_cut).collect();
         for &DatagramCut { from, to } in &datagram_cuts {
             world.datagrams.cut(from, to);
-            lock(&world.oracle).part(from, to, true, world.now());
+            lock(&world.oracle).set_partitioned(from, to, true, world.now());
         }
         for cut in &link_cuts {
             cut.link.cut(cut.direction);
-            if let Some(balancer) = cut.excused {
-                lock(&world.oracle).excuse(balancer, world.now(), fault.until + CATCH_UP);
+            if let Some(balancer) = cut.excluded {
+                lock(&world.oracle).exclude_interval(balancer, world.now(), fault.until + CATCH_UP);
             }
         }
         world.clock.until(fault.until).await;
@@ -100,7 +100,7 @@
         }
         for &DatagramCut { from, to } in &datagram_cuts {
             world.datagrams.heal(from, to);
-            lock(&world.oracle).part(from, to, false, world.now());
+            lock(&world.oracle).set_partitioned(from, to, false, world.now());
         }
     }
 }
--- a/lab/src/metrics/played.rs
+++ b/lab/src/metrics/played.rs
@@ -112,7 +112,7 @@
         let rule: Rule = b.rule;
         Case {
             rule: name_of(rule),
-            asks: rule.asks().into(),
+            asks: rule.description().into(),
             at: b.at,
             case: b.case.clone(),
         }
--- a/lab/src/oracle/facts.rs
+++ b/lab/src/oracle/facts.rs
@@ -14,13 +14,13 @@
     /// A truncated response that the client could recognize as such.
     Partial,
     /// The connection was closed without a response.
-    Ended,
+    Closed,
     /// A new connection was closed without a response to its first request.
-    Turned,
+    ClosedNew,
     /// No response before the client's timeout.
     TimedOut,
     /// The client abandoned the request.
-    Left,
+    Abandoned,
 }
 
 /// How an attempt ended at the upstream.
@@ -60,7 +60,7 @@
 
 /// Counts of what was observed of one balancer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct ObservedCounts {
     /// Requests that were completely written to it.
     pub taken: u64,
     /// Requests answered with status 200.
@@ -76,7 +76,7 @@
 }
 
 /// Configuration of an oracle.
-pub struct Parts {
+pub struct OracleConfig {
     /// Rules of each class.
     pub classes: Vec<ClassRules>,
     /// Location of each upstream.
@@ -86,7 +86,7 @@
     /// Names of the upstreams.
     pub upstreams: Vec<String>,
     /// Maximum number of attempts per request.
-    pub attempts_most: usize,
+    pub max_attempts: usize,
     /// Grace period after which no new request may be sent to a draining upstream.
     pub drain_grace: Millis,
     /// Tier of each balancer and its index in the member list of that tier.
@@ -104,16 +104,18 @@
     }
 }
 
-impl Seen {
+impl ObservedCounts {
     /// Counts the end of one of its requests.
     pub(super) fn ended(&mut self, how: Final) {
         match how {
             Final::Served(_) => self.served += 1,
             Final::Refused => self.refused += 1,
             Final::Failed => self.failed += 1,
-            Final::Partial | Final::Ended | Final::Turned | Final::TimedOut | Final::Left => {
-                self.unclear += 1
-            }
+            Final::Partial
+            | Final::Closed
+            | Final::ClosedNew
+            | Final::TimedOut
+            | Final::Abandoned => self.unclear += 1,
         }
     }
 }
--- a/lab/src/oracle/findings.rs
+++ b/lab/src/oracle/findings.rs
@@ -45,7 +45,7 @@
 
 impl Findings {
     /// Records a violation.
-    pub(super) fn breaks(&mut self, at: Millis, rule: Rule, case: String) {
+    pub(super) fn record_violation(&mut self, at: Millis, rule: Rule, case: String) {
         if self.closed {
             return;
         }
@@ -81,7 +81,7 @@
                 .iter()
                 .any(|&(late, by)| (late - at).abs() <= LATENESS_WINDOW && by >= s.by);
             if !explained {
-                self.breaks(at, s.rule, s.case);
+                self.record_violation(at, s.rule, s.case);
             }
         }
         while self
@@ -94,7 +94,7 @@
     }
 
     /// Returns the first violations of each rule, and the total count per rule.
-    pub(super) fn found(&self) -> (&[Violation], &BTreeMap<Rule, u64>) {
+    pub(super) fn violations(&self) -> (&[Violation], &BTreeMap<Rule, u64>) {
         (&self.broken, &self.counts)
     }
 
--- a/lab/src/oracle/judge.rs
+++ b/lab/src/oracle/judge.rs
@@ -1,7 +1,7 @@
 //! The oracle: passes observations to the rules. Owns the recent client calls and the intervals in which each balancer
 //! could not act.
 use super::client_calls::{Attempt, ClientCall};
-use super::facts::{ClassRules, End, Final, Parts, Place, Seen};
+use super::facts::{ClassRules, End, Final, ObservedCounts, OracleConfig, Place};
 use super::findings::{Findings, Suspect, Violation};
 use super::peers::Peers;
 use super::rule::Rule;
@@ -25,15 +25,15 @@
     places: Vec<Place>,
     names: Vec<String>,
     upstreams: Vec<String>,
-    attempts_most: usize,
+    max_attempts: usize,
     client_calls: HashMap<u64, ClientCall>,
     /// Ended client calls with the time of their end, oldest first.
     ended_calls: VecDeque<(Millis, u64)>,
     notified: Notifications,
     /// Intervals in which each balancer could not act or could not be reached.
-    excused: HashMap<usize, Vec<(Millis, Millis)>>,
+    excluded: HashMap<usize, Vec<(Millis, Millis)>>,
     effects: Effects,
-    seen: Vec<Seen>,
+    seen: Vec<ObservedCounts>,
     checked: u64,
     closed_connections: ClosedConnections,
     peers: Peers,
@@ -44,31 +44,31 @@
 
 impl Oracle {
     /// Returns an oracle without observations.
-    pub fn new(parts: Parts) -> Oracle {
+    pub fn new(config: OracleConfig) -> Oracle {
         Oracle {
-            seen: vec![Seen::default(); parts.balancers.len()],
-            classes: parts.classes,
-            places: parts.places,
-            names: parts.balancers,
-            upstreams: parts.upstreams,
-            attempts_most: parts.attempts_most,
+            seen: vec![ObservedCounts::default(); config.balancers.len()],
+            classes: config.classes,
+            places: config.places,
+            names: config.balancers,
+            upstreams: config.upstreams,
+            max_attempts: config.max_attempts,
             client_calls: HashMap::new(),
             ended_calls: VecDeque::new(),
-            notified: Notifications::new(parts.drain_grace),
-            excused: HashMap::new(),
+            notified: Notifications::new(config.drain_grace),
+            excluded: HashMap::new(),
             effects: Effects::default(),
             checked: 0,
             closed_connections: ClosedConnections::default(),
-            peers: Peers::new(&parts.members, &parts.limits),
-            budget: Budget::new(parts.limits.retries),
-            trials: Counts::new(parts.limits.trials),
+            peers: Peers::new(&config.members, &config.limits),
+            budget: Budget::new(config.limits.retries),
+            trials: Counts::new(config.limits.trials),
             findings: Findings::default(),
         }
     }
 
     /// Records a violation.
-    pub fn breaks(&mut self, at: Millis, rule: Rule, case: String) {
-        self.findings.breaks(at, rule, case);
+    pub fn record_violation(&mut self, at: Millis, rule: Rule, case: String) {
+        self.findings.record_violation(at, rule, case);
     }
 
     fn suspects(&mut self, at: Millis, rule: Rule, (by, case): (Millis, String)) {
@@ -86,12 +86,12 @@
     }
 
     /// Returns the first violations of each rule, and the total count per rule.
-    pub fn found(&self) -> (&[Violation], &BTreeMap<Rule, u64>) {
-        self.findings.found()
+    pub fn violations(&self) -> (&[Violation], &BTreeMap<Rule, u64>) {
+        self.findings.violations()
     }
 
     /// Returns the counts of what was observed of a balancer.
-    pub fn seen(&self, balancer: usize) -> Seen {
+    pub fn seen(&self, balancer: usize) -> ObservedCounts {
         self.seen[balancer]
     }
 
@@ -106,7 +106,14 @@
     }
 
     /// Records that a client has completely written a request to a balancer.
-    pub fn taken(&mut self, now: Millis, id: u64, class: usize, balancer: usize, deadline: Millis) {
+    pub fn request_sent(
+        &mut self,
+        now: Millis,
+        id: u64,
+        class: usize,
+        balancer: usize,
+        deadline: Millis,
+    ) {
         let fresh = ClientCall {
             class,
             balancer,
@@ -133,8 +140,8 @@
     }
 
     /// Records that a balancer cannot act or be reached between two times: requests lost then are not violations.
-    pub fn excuse(&mut self, balancer: usize, from: Millis, until: Millis) {
-        self.excused
+    pub fn exclude_interval(&mut self, balancer: usize, from: Millis, until: Millis) {
+        self.excluded
             .entry(balancer)
             .or_default()
             .push((from, until));
@@ -158,8 +165,8 @@
         self.notified.knows_start(balancer, upstream, start)
     }
 
-    fn is_excused(&self, balancer: usize, from: Millis, to: Millis) -> bool {
-        let windows = self.excused.get(&balancer);
+    fn is_excluded(&self, balancer: usize, from: Millis, to: Millis) -> bool {
+        let windows = self.excluded.get(&balancer);
         windows.is_some_and(|w| w.iter().any(|&(a, b)| a <= to && b >= from))
     }
 
@@ -183,72 +190,88 @@
         self.ended_calls.push_back((now, id));
         let balancer = t.balancer;
         self.seen[balancer].ended(how);
-        let excused = self.is_excused(balancer, now - ANSWER_GRACE - SLACK, now + SLACK);
+        let excluded = self.is_excluded(balancer, now - ANSWER_GRACE - SLACK, now + SLACK);
         let (Some(t), name) = (self.client_calls.get(&id), &self.names[balancer]) else {
             return;
         };
         // Only the first violated rule is reported.
         if let Some(case) = invented::check(name, id, t, how) {
-            return self.breaks(now, Rule::Invented, case);
+            return self.record_violation(now, Rule::Invented, case);
         }
-        let lost = if excused {
+        let lost = if excluded {
             None
         } else {
             self.closed_connections.check(now, name, id, t, how)
         };
         match lost {
-            Some(Case::None(case)) => return self.breaks(now, Rule::Lost, case),
+            Some(Case::None(case)) => return self.record_violation(now, Rule::Lost, case),
             Some(Case::Late(by, case)) => return self.suspects(now, Rule::Lost, (by, case)),
             None => {}
         }
         if let Some(case) = refused::check(name, id, t, self.classes[t.class], how) {
-            self.breaks(now, Rule::Refused, case);
+            self.record_violation(now, Rule::Refused, case);
         }
     }
 
     /// Checks a datagram that a balancer has sent to its peers.
     pub fn datagram(&mut self, now: Millis, from: usize, bytes: &[u8]) {
         for (rule, case) in self.peers.datagram(now, from, bytes, &self.names) {
-            self.breaks(now, rule, case);
+            self.record_violation(now, rule, case);
         }
     }
 
     /// Records that a process of a balancer starts.
-    pub fn starts(&mut self, balancer: usize, now: Millis) {
+    pub fn started(&mut self, balancer: usize, now: Millis) {
         self.peers.members.started(balancer, now);
     }
 
     /// Records that a balancer is killed, asked to shut down, or paused.
-    pub fn stops(&mut self, balancer: usize, now: Millis) {
+    pub fn stopped(&mut self, balancer: usize, now: Millis) {
         self.peers.members.stopped(balancer, now);
     }
 
     /// Records that a paused balancer resumes.
-    pub fn goes_on(&mut self, balancer: usize, now: Millis) {
+    pub fn resumed(&mut self, balancer: usize, now: Millis) {
         self.peers.members.resumed(balancer, now);
     }
 
-    /// Records that a partition between two balancers begins (`parts`) or heals.
-    pub fn part(&mut self, from: usize, to: usize, parts: bool, now: Millis) {
-        self.peers.members.set_partitioned(from, to, parts, now);
+    /// Records that a partition between two balancers begins (`partitioned`) or heals.
+    pub fn set_partitioned(&mut self, from: usize, to: usize, partitioned: bool, now: Millis) {
+        self.peers
+            .members
+            .set_partitioned(from, to, partitioned, now);
     }
 
-    /// Records that datagram loss too heavy for failure detection begins (`muffles`) or ends.
-    pub fn muffle(&mut self, muffles: bool, now: Millis) {
-        self.peers.members.set_heavy_loss(muffles, now);
+    /// Records that datagram loss too heavy for failure detection begins (`begins`) or ends.
+    pub fn set_heavy_loss(&mut self, begins: bool, now: Millis) {
+        self.peers.members.set_heavy_loss(begins, now);
     }
 
     /// Checks the value of a tenant within its share, before and while another tenant exceeds its share.
-    pub fn in_share(&mut self, now: Millis, tenant: &str, before: f64, during: f64, least: f64) {
+    pub fn check_tenant_value(
+        &mut self,
+        now: Millis,
+        tenant: &str,
+        before: f64,
+        during: f64,
+        least: f64,
+    ) {
         if let Some(case) = in_share::check(tenant, before, during, least) {
-            self.breaks(now, Rule::InShare, case);
+            self.record_violation(now, Rule::InShare, case);
         }
     }
 
     /// Checks the age of shared data that a balancer reports acting on.
-    pub fn acts_on(&mut self, now: Millis, balancer: usize, what: &str, age: Millis, most: Millis) {
+    pub fn check_age(
+        &mut self,
+        now: Millis,
+        balancer: usize,
+        what: &str,
+        age: Millis,
+        most: Millis,
+    ) {
         if let Some(case) = stale::check(&self.names[balancer], what, age, most) {
-            self.breaks(now, Rule::Stale, case);
+            self.record_violation(now, Rule::Stale, case);
         }
     }
 
@@ -266,7 +289,7 @@
             self.suspects(now, Rule::Drained, case);
         }
         let Some(t) = self.client_calls.get_mut(&id) else {
-            self.breaks(
+            self.record_violation(
                 now,
                 Rule::Foreign,
                 format!("{route}: no client sent request {id:016x}"),
@@ -274,7 +297,7 @@
             return None;
         };
         let number = t.attempts.len();
-        let too_many = attempts::check(&route, id, number, self.attempts_most);
+        let too_many = attempts::check(&route, id, number, self.max_attempts);
         let ran_at = repeated::ran_at(now, t, self.classes[t.class], &self.places, upstream);
         let after = after_end::check(now, &route, id, t);
         t.attempts.push(Attempt {
@@ -287,20 +310,20 @@
         let trials = self.trials.attempt(now, place.zone, place.tier);
         self.seen[balancer].attempts += 1;
         if let Some(case) = too_many {
-            self.breaks(now, Rule::Attempts, case);
+            self.record_violation(now, Rule::Attempts, case);
         }
         if let Some(earlier) = ran_at {
             let case = format!(
                 "{route}: request {id:016x} was sent again but may already have been executed at {}",
                 self.upstreams[earlier]
             );
-            self.breaks(now, Rule::Repeated, case);
+            self.record_violation(now, Rule::Repeated, case);
         }
         if let Some(case) = over_budget {
-            self.breaks(now, Rule::Budget, case);
+            self.record_violation(now, Rule::Budget, case);
         }
         if let Some(most) = trials {
-            self.breaks(
+            self.record_violation(
                 now,
                 Rule::Trials,
                 format!("{route}: more than {most} attempts at a failing zone within a second"),
@@ -358,7 +381,7 @@
             self.ended(now, id, Final::TimedOut);
         }
         if let Some(case) = self.closed_connections.too_many(self.checked) {
-            self.breaks(now, Rule::Lost, case);
+            self.record_violation(now, Rule::Lost, case);
         }
         self.judge(f64::INFINITY);
     }
--- a/lab/src/oracle/mod.rs
+++ b/lab/src/oracle/mod.rs
@@ -13,7 +13,7 @@
 mod rule;
 mod rules;
 
-pub use facts::{ClassRules, End, Final, Limits, Parts, Place, Seen};
+pub use facts::{ClassRules, End, Final, Limits, ObservedCounts, OracleConfig, Place};
 pub use findings::Violation;
 pub use judge::Oracle;
 pub use rule::Rule;
--- a/lab/src/oracle/rule.rs
+++ b/lab/src/oracle/rule.rs
@@ -91,7 +91,7 @@
     ];
 
     /// Returns a short description of what the rule requires.
-    pub fn asks(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             Rule::Lost => "each accepted request gets one final response in time",
             Rule::Invented => {
--- a/lab/src/oracle/rules/lost.rs
+++ b/lab/src/oracle/rules/lost.rs
@@ -33,11 +33,11 @@
         how: Final,
     ) -> Option<Case> {
         match how {
-            Final::Turned if t.attempts.is_empty() => {
+            Final::ClosedNew if t.attempts.is_empty() => {
                 self.0 += 1;
                 None
             }
-            Final::Ended | Final::Turned | Final::TimedOut => {
+            Final::Closed | Final::ClosedNew | Final::TimedOut => {
                 let what = if how == Final::TimedOut {
                     "sent no response in time"
                 } else {
@@ -57,7 +57,7 @@
                 };
                 (by > 0.0).then(|| Case::Late(by, case()))
             }
-            Final::Partial | Final::Left => None,
+            Final::Partial | Final::Abandoned => None,
         }
     }
 
--- a/lab/src/process/child.rs
+++ b/lab/src/process/child.rs
@@ -216,7 +216,7 @@
         self.write_config(world)?;
         self.files.write_options(&self.launch_spec().options)?;
         let mut command = self.command(world)?;
-        lock(&world.oracle).starts(self.index, world.now());
+        lock(&world.oracle).started(self.index, world.now());
         lock(&self.incarnations).started_unix_ms = world.clock.unix(world.now());
         let child = command.spawn().map_err(|source| ProcessError::Spawn {
             name: self.name.clone(),
@@ -321,8 +321,8 @@
         let now = world.now();
         {
             let mut oracle = lock(&world.oracle);
-            oracle.excuse(self.index, now, f64::INFINITY);
-            oracle.stops(self.index, now);
+            oracle.exclude_interval(self.index, now, f64::INFINITY);
+            oracle.stopped(self.index, now);
         }
         let case = format!(
             "{} exited unexpectedly: {how}; see {}",
@@ -413,7 +413,7 @@
             .flat_map(BalancerMetrics::shared_data_ages)
         {
             let (now, max_age) = (world.now(), max_age.0.mean());
-            lock(&world.oracle).acts_on(now, self.index, what, age, max_age);
+            lock(&world.oracle).check_age(now, self.index, what, age, max_age);
         }
     }
 
--- a/lab/src/run/play.rs
+++ b/lab/src/run/play.rs
@@ -136,7 +136,7 @@
             )
         };
         let (before, during) = (value(bound.before), value(bound.during));
-        oracle.in_share(world.now(), tenant, before, during, bound.least);
+        oracle.check_tenant_value(world.now(), tenant, before, during, bound.least);
     }
 }
 
--- a/lab/src/run/sum_up.rs
+++ b/lab/src/run/sum_up.rs
@@ -130,7 +130,7 @@
 
     let tally = lock(&world.tally).clone();
     let oracle = lock(&world.oracle);
-    let (broken, counts) = oracle.found();
+    let (broken, counts) = oracle.violations();
     Played {
         program: name.into(),
         command: command.into(),
--- a/lab/src/run/watch.rs
+++ b/lab/src/run/watch.rs
@@ -85,7 +85,7 @@
         let broken: u64 = {
             let mut oracle = lock(&world.oracle);
             oracle.judge(now);
-            oracle.found().1.values().sum()
+            oracle.violations().1.values().sum()
         };
         progress.set_position((now.max(0.0) / 1000.0) as u64);
         let rules = if broken == 0 {
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -5,7 +5,7 @@
 use crate::draw::Plan;
 use crate::experiment::{Experiment, Millis};
 use crate::net::{lock, Block, BlockError, Link};
-use crate::oracle::{Bound, ClassRules, Limits, Oracle, Parts, Place, Rule};
+use crate::oracle::{Bound, ClassRules, Limits, Oracle, OracleConfig, Place, Rule};
 use crate::pool::{ClientConnection, Pool};
 use crate::tally::Tally;
 use std::collections::{HashMap, VecDeque};
@@ -125,12 +125,12 @@
         cell: u.cell,
         tier: u.tier,
     };
-    Oracle::new(Parts {
+    Oracle::new(OracleConfig {
         classes: experiment.classes.iter().map(class).collect(),
         places: plan.upstreams.iter().map(place).collect(),
         balancers: plan.balancers.iter().map(|b| b.name.clone()).collect(),
         upstreams: plan.upstreams.iter().map(|u| u.name.clone()).collect(),
-        attempts_most: experiment.balancer.attempts as usize,
+        max_attempts: experiment.balancer.attempts as usize,
         drain_grace: experiment.balancer.drain_grace.0.mean(),
         members: plan.balancers.iter().map(|b| (b.tier, b.index)).collect(),
         limits: limits(experiment),
@@ -251,7 +251,7 @@
     /// Records a violation.
     pub fn report_violation(&self, rule: Rule, case: String) {
         let now = self.now();
-        lock(&self.oracle).breaks(now, rule, case);
+        lock(&self.oracle).record_violation(now, rule, case);
     }
 
     /// Passes a datagram that a balancer sent to the oracle; one that is too long is a violation.
--- a/lab/tests/parts/audit.rs
+++ b/lab/tests/parts/audit.rs
@@ -1,6 +1,6 @@
 //! Comparison of a balancer's metrics with what the stand-ins saw.
 use balancer_lab::audit::{find_differences, BalancerMetrics};
-use balancer_lab::oracle::Seen;
+use balancer_lab::oracle::ObservedCounts;
 
 /// Metrics as a balancer writes them.
 fn counted(requests: u64, served: u64, attempts: u64) -> BalancerMetrics {
@@ -14,7 +14,7 @@
 
 #[test]
 fn reports_only_differences_beyond_the_unclear_requests() {
-    let seen = Seen {
+    let seen = ObservedCounts {
         taken: 10,
         served: 6,
         refused: 2,
--- a/lab/tests/parts/oracle.rs
+++ b/lab/tests/parts/oracle.rs
@@ -1,13 +1,13 @@
 //! The oracle: cases that keep each rule and cases that break it.
 use balancer_lab::experiment::{Effect, Group, Millis};
-use balancer_lab::oracle::{ClassRules, End, Final, Limits, Oracle, Parts, Place, Rule};
+use balancer_lab::oracle::{ClassRules, End, Final, Limits, Oracle, OracleConfig, Place, Rule};
 
 /// Class 0 is safe, 1 is keyed by cell, 2 is sent once. Upstreams 0 and 1 share a cell; 2 has its own.
 fn oracle() -> Oracle {
-    Oracle::new(parts())
+    Oracle::new(config())
 }
 
-fn parts() -> Parts {
+fn config() -> OracleConfig {
     let class = |effect| ClassRules {
         effect,
         group: Group::Cell,
@@ -18,7 +18,7 @@
         cell,
         tier: 0,
     };
-    Parts {
+    OracleConfig {
         classes: vec![
             class(Effect::Safe),
             class(Effect::Keyed),
@@ -27,7 +27,7 @@
         places: vec![place(1), place(1), place(2)],
         balancers: vec!["b".into()],
         upstreams: vec!["u1".into(), "u2".into(), "u3".into()],
-        attempts_most: 3,
+        max_attempts: 3,
         drain_grace: 500.0,
         members: vec![(0, 0)],
         limits: Limits::default(),
@@ -36,13 +36,13 @@
 
 fn rules(o: &mut Oracle) -> Vec<Rule> {
     o.judge(f64::INFINITY);
-    o.found().0.iter().map(|b| b.rule).collect()
+    o.violations().0.iter().map(|b| b.rule).collect()
 }
 
 /// One attempt that ends with `first`, then another attempt at upstream `to`.
 fn again(class: usize, first: End, to: usize, after: Millis) -> Vec<Rule> {
     let mut o = oracle();
-    o.taken(0.0, 7, class, 0, 3000.0);
+    o.request_sent(0.0, 7, class, 0, 3000.0);
     let n = o.attempt(1.0, 7, 0, 0).expect("known");
     o.attempt_ended(2.0, 7, n, first, false);
     o.attempt(after, 7, 0, to);
@@ -63,7 +63,7 @@
 fn attempts_may_overlap_within_the_slack_only() {
     for (ends, hidden, wanted) in [(60.0, false, 0), (140.0, false, 1), (140.0, true, 0)] {
         let mut o = oracle();
-        o.taken(0.0, 7, 0, 0, 3000.0);
+        o.request_sent(0.0, 7, 0, 0, 3000.0);
         let first = o.attempt(1.0, 7, 0, 0).expect("known");
         o.attempt(50.0, 7, 0, 2);
         o.attempt_ended(ends, 7, first, End::Closed, hidden);
@@ -76,21 +76,21 @@
 }
 
 #[test]
-fn requests_need_one_response_unless_balancer_is_excused() {
+fn requests_need_one_response_unless_the_interval_is_excluded() {
     let mut o = oracle();
     for id in 1..=6 {
-        o.taken(0.0, id, 2, 0, 1000.0);
+        o.request_sent(0.0, id, 2, 0, 1000.0);
     }
     o.ended(900.0, 1, Final::Failed);
     o.ended(1200.0, 2, Final::Refused);
-    o.ended(300.0, 3, Final::Left);
+    o.ended(300.0, 3, Final::Abandoned);
     o.ended(400.0, 4, Final::Partial);
     assert_eq!(rules(&mut o), []);
-    o.ended(500.0, 5, Final::Ended);
+    o.ended(500.0, 5, Final::Closed);
     o.finish(3000.0);
     assert_eq!(rules(&mut o), [Rule::Lost, Rule::Lost]);
-    o.taken(0.0, 8, 2, 0, 1000.0);
-    o.excuse(0, 100.0, 5000.0);
+    o.request_sent(0.0, 8, 2, 0, 1000.0);
+    o.exclude_interval(0, 100.0, 5000.0);
     o.ended(1600.0, 8, Final::TimedOut);
     assert_eq!(rules(&mut o).len(), 2);
     assert_eq!(o.checked(), 7);
@@ -99,14 +99,14 @@
 #[test]
 fn detects_invented_responses_and_false_refusals() {
     let mut o = oracle();
-    o.taken(0.0, 1, 2, 0, 1000.0);
+    o.request_sent(0.0, 1, 2, 0, 1000.0);
     let n = o.attempt(1.0, 1, 0, 0).expect("known");
     o.attempt_ended(2.0, 1, n, End::Served(42), false);
     o.ended(3.0, 1, Final::Served(Some(42)));
     assert_eq!(rules(&mut o), []);
-    o.taken(0.0, 2, 2, 0, 1000.0);
+    o.request_sent(0.0, 2, 2, 0, 1000.0);
     o.ended(3.0, 2, Final::Served(Some(42)));
-    o.taken(0.0, 3, 2, 0, 1000.0);
+    o.request_sent(0.0, 3, 2, 0, 1000.0);
     o.attempt(1.0, 3, 0, 0);
     o.ended(5.0, 3, Final::Refused);
     o.attempt(90.0, 3, 0, 1);
@@ -126,7 +126,7 @@
 #[test]
 fn drains_and_the_attempt_limit_are_checked() {
     let mut o = oracle();
-    o.taken(0.0, 1, 0, 0, 9000.0);
+    o.request_sent(0.0, 1, 0, 0, 9000.0);
     o.notified(100.0, 0, 2, 1, false);
     for (at, upstream) in [(600.0, 2), (640.0, 2), (660.0, 2), (670.0, 0)] {
         if let Some(n) = o.attempt(at, 1, 0, upstream) {
@@ -135,7 +135,7 @@
     }
     assert_eq!(rules(&mut o), [Rule::Attempts, Rule::Drained]);
     o.notified(700.0, 0, 2, 1, true);
-    o.taken(0.0, 2, 0, 0, 9000.0);
+    o.request_sent(0.0, 2, 0, 0, 9000.0);
     o.attempt(900.0, 2, 0, 2);
     assert_eq!(rules(&mut o).len(), 2);
 }
@@ -144,7 +144,7 @@
 fn lateness_of_the_lab_excuses_violations() {
     for (late, wanted) in [(30.0, 1), (100.0, 0)] {
         let mut o = oracle();
-        o.taken(0.0, 7, 0, 0, 3000.0);
+        o.request_sent(0.0, 7, 0, 0, 3000.0);
         let first = o.attempt(1.0, 7, 0, 0).expect("known");
         o.attempt(50.0, 7, 0, 2);
         o.attempt_ended(140.0, 7, first, End::Closed, false);
@@ -187,13 +187,13 @@
         };
         let members = vec![(0, 0), (0, 1), (1, 0)];
         let balancers = vec!["a".into(), "b".into(), "other".into()];
-        let mut o = Oracle::new(Parts {
+        let mut o = Oracle::new(OracleConfig {
             members,
             limits,
             balancers,
-            ..parts()
+            ..config()
         });
-        (0..3).for_each(|b| o.starts(b, 0.0));
+        (0..3).for_each(|b| o.started(b, 0.0));
         o
     };
     // Both members have announced their versions at 10 ms. The balancer of the other tier is not a member.
@@ -208,9 +208,9 @@
         o.datagram(5.0, 2, &datagram(1, 1, 0, 0));
         o.datagram(10.0, 0, &datagram(1, 1, 0, 0));
         o.datagram(10.0, 1, &datagram(1, 2, 1, 0));
-        if let Some((parts, when)) = before {
-            o.part(1, 0, true, 50.0);
-            o.part(1, 0, parts, when);
+        if let Some((partitioned, when)) = before {
+            o.set_partitioned(1, 0, true, 50.0);
+            o.set_partitioned(1, 0, partitioned, when);
         }
         for n in 0..3 {
             o.datagram(at + f64::from(n), 1, &datagram(2, 2, 1, 1));
@@ -221,9 +221,9 @@
     let mut o = tier();
     o.datagram(10.0, 0, &datagram(1, 1, 0, 0));
     o.datagram(10.0, 1, &datagram(1, 2, 1, 0));
-    o.stops(0, 200.0);
+    o.stopped(0, 200.0);
     o.datagram(300.0, 1, &datagram(2, 2, 1, 1));
-    o.starts(0, 350.0);
+    o.started(0, 350.0);
     o.datagram(400.0, 0, &datagram(1, 1, 0, 1));
     o.datagram(450.0, 1, &datagram(2, 2, 1, 1));
     assert_eq!(rules(&mut o), []);
