--- a/lab/src/clients.rs
+++ b/lab/src/clients.rs
@@ -2,7 +2,7 @@
 //! before it.
 use crate::call::{Call, CallResult};
 use crate::clock::pause;
-use crate::draw::{Arrival, Calls};
+use crate::draw::{Arrival, Draws};
 use crate::experiment::{Effect, Group, Millis};
 use crate::net::lock;
 use crate::tally::{CompletedRequest, RequestOutcome};
@@ -58,7 +58,7 @@
 async fn request(world: &World, a: &Arrival) -> CompletedRequest {
     let deadline = world.plan.spans[a.class].1;
     let clients = &world.experiment.clients;
-    let mut drawn = Calls::new(a.seed);
+    let mut drawn = Draws::new(a.seed);
     let profile = RequestProfile {
         class: a.class,
         tenant: a.tenant,
@@ -150,7 +150,7 @@
 
 /// The front's choice of a balancer: one in rotation, of the client's zone if the zone has any. A tenant that hops
 /// sends all requests to one balancer at a time.
-fn choose_balancer(world: &World, a: &Arrival, due: Millis, drawn: &mut Calls) -> Option<usize> {
+fn choose_balancer(world: &World, a: &Arrival, due: Millis, drawn: &mut Draws) -> Option<usize> {
     if world.outages.load(Ordering::Relaxed) > 0 {
         return None;
     }
--- a/lab/src/command_line/mod.rs
+++ b/lab/src/command_line/mod.rs
@@ -10,7 +10,7 @@
 use balancer_lab::draw::{self, Plan};
 use balancer_lab::error::FileError;
 use balancer_lab::experiment::{self, Experiment};
-use balancer_lab::guard::stand_guard;
+use balancer_lab::guard::run_guard;
 use balancer_lab::results::{compare, Results};
 use balancer_lab::stand_in::{self, Misbehavior, Policy};
 use clap::Parser;
@@ -21,7 +21,7 @@
 use std::process::ExitCode;
 
 /// Runs the command given on the command line.
-pub(crate) fn carry_out() -> ExitCode {
+pub(crate) fn run() -> ExitCode {
     let result = match Cli::parse().command {
         Command::Run(run) => run_command(&run),
         Command::Compare { folder } => compare_plays(&folder),
@@ -34,7 +34,7 @@
             misbehavior,
         } => run_stand_in(policy, misbehavior),
         Command::Guard => {
-            stand_guard(std::io::stdin().lock());
+            run_guard(std::io::stdin().lock());
             Ok(Outcome::Passed)
         }
     };
--- a/lab/src/command_line/run.rs
+++ b/lab/src/command_line/run.rs
@@ -7,7 +7,7 @@
 use balancer_lab::guard::Guard;
 use balancer_lab::programs::{builds, deploy, programs, with_options};
 use balancer_lab::results::{compare, summary, Results, RunArguments};
-use balancer_lab::run::{play, Program, Stage};
+use balancer_lab::run::{play, PlayContext, Program};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use tokio::signal::unix::{signal, SignalKind};
@@ -113,7 +113,7 @@
                 return Ok(true);
             }
             let folder = prepared.results.play_folder(&program.name, number);
-            let stage = Stage {
+            let context = PlayContext {
                 root: &prepared.root,
                 folder: &folder,
                 guard,
@@ -121,7 +121,7 @@
                 stop: stopped.clone(),
                 progress: true,
             };
-            let played = play(&prepared.experiment, plan, program, number, &stage).await?;
+            let played = play(&prepared.experiment, plan, program, number, &context).await?;
             prepared.results.store(&played)?;
         }
     }
--- a/lab/src/convergence.rs
+++ b/lab/src/convergence.rs
@@ -15,7 +15,7 @@
 
 /// Convergence times of one kind of knowledge.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Known {
+pub struct ConvergenceTimes {
     /// The number of times measured: one for each change and balancer.
     pub times: u64,
     /// The median, in milliseconds.
@@ -42,9 +42,9 @@
         }
     }
 
-    fn known(&self) -> Known {
+    fn known(&self) -> ConvergenceTimes {
         let at = |q: f64| self.times.value_at_quantile(q) as f64 / 1000.0;
-        Known {
+        ConvergenceTimes {
             times: self.times.len(),
             p50_ms: at(0.5),
             p99_ms: at(0.99),
@@ -117,7 +117,7 @@
     }
 
     /// The times until balancers knew the members, and until their sums included all members.
-    pub fn known(&self) -> (Known, Known) {
+    pub fn known(&self) -> (ConvergenceTimes, ConvergenceTimes) {
         (self.members.known(), self.sums.known())
     }
 }
--- a/lab/src/datagrams/garbage.rs
+++ b/lab/src/datagrams/garbage.rs
@@ -1,5 +1,5 @@
 //! Garbage datagrams: random bytes, and damaged or forged copies of datagrams. Owns the recently sent datagrams.
-use crate::draw::Calls;
+use crate::draw::Draws;
 use std::collections::VecDeque;
 
 /// The number of recent datagrams that copies are made of.
@@ -10,14 +10,14 @@
 /// Generates garbage datagrams.
 pub(super) struct Garbage {
     recent: VecDeque<Vec<u8>>,
-    draws: Calls,
+    draws: Draws,
 }
 
 impl Garbage {
     pub(super) fn new(seed: u64) -> Garbage {
         Garbage {
             recent: VecDeque::new(),
-            draws: Calls::new(!seed),
+            draws: Draws::new(!seed),
         }
     }
 
--- a/lab/src/datagrams/network.rs
+++ b/lab/src/datagrams/network.rs
@@ -1,6 +1,6 @@
 //! Forwards datagrams between balancers. Owns the cuts and the network conditions.
 use super::garbage::Garbage;
-use crate::draw::Calls;
+use crate::draw::Draws;
 use crate::experiment::{Millis, Range};
 use crate::net::{lock, Block};
 
@@ -51,7 +51,7 @@
     block: [u8; 2],
     cuts: Mutex<HashMap<(usize, usize), u32>>,
     conditions: Mutex<Conditions>,
-    draws: Mutex<Calls>,
+    draws: Mutex<Draws>,
     garbage: Mutex<Garbage>,
     sent: AtomicU64,
     bytes: AtomicU64,
@@ -94,7 +94,7 @@
             block: block.prefix(),
             cuts: Mutex::default(),
             conditions: Mutex::new(conditions),
-            draws: Mutex::new(Calls::new(seed)),
+            draws: Mutex::new(Draws::new(seed)),
             garbage: Mutex::new(Garbage::new(seed)),
             sent: AtomicU64::new(0),
             bytes: AtomicU64::new(0),
--- a/lab/src/draw/calls.rs
+++ b/lab/src/draw/draws.rs
@@ -6,14 +6,14 @@
 const CALL_WORK_NOISE: f64 = 0.2;
 
 /// Random draws for the calls of one request into a tier: their number and work.
-pub struct Calls {
+pub struct Draws {
     rng: Pcg64Mcg,
 }
 
-impl Calls {
+impl Draws {
     /// Creates the draws from the seed of a request or of one of its calls.
-    pub fn new(seed: u64) -> Calls {
-        Calls {
+    pub fn new(seed: u64) -> Draws {
+        Draws {
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
--- a/lab/src/draw/faults.rs
+++ b/lab/src/draw/faults.rs
@@ -163,8 +163,8 @@
                 .as_ref()
                 .map(|t| population.select(t, can, rng))
                 .unwrap_or_default();
-            let pace = fault.pace.map_or(0.0, |s| draw_span(rng, s));
-            let rollout = pace * on.len().saturating_sub(1) as f64;
+            let step_interval = fault.pace.map_or(0.0, |s| draw_span(rng, s));
+            let rollout = step_interval * on.len().saturating_sub(1) as f64;
             planned.push(PlannedFault {
                 kind: fault.kind,
                 at: begins,
@@ -176,7 +176,7 @@
                 delay: fault.delay.map(|s| (s.0.least, s.0.most)),
                 state: fault.state,
                 build: position(&fault.build, e.builds.iter().map(|b| &b.name)),
-                pace,
+                step_interval,
                 of,
             });
             begins += fault.every.map_or(0.0, |s| draw_span(rng, s));
--- a/lab/src/draw/mod.rs
+++ b/lab/src/draw/mod.rs
@@ -2,7 +2,7 @@
 //! clock or on the host, so that a seed gives the same plan everywhere.
 //!
 //! Each part has its own random stream: adding a fault or an upstream does not change the requests.
-mod calls;
+mod draws;
 mod error;
 mod faults;
 mod machines;
@@ -11,7 +11,7 @@
 mod requests;
 mod streams;
 
-pub use calls::Calls;
+pub use draws::Draws;
 pub use error::PlanError;
 pub use parts::{Arrival, Balancer, OverloadModel, Party, Plan, PlannedFault, Upstream};
 pub use planner::plan;
--- a/lab/src/draw/parts.rs
+++ b/lab/src/draw/parts.rs
@@ -143,7 +143,8 @@
     /// Index of the build that balancers are upgraded to; none for the program under test.
     pub build: Option<usize>,
     /// Time between two balancers of an upgrade.
-    pub pace: Millis,
+    #[serde(rename = "pace")]
+    pub step_interval: Millis,
     /// The requests of a burst: indices of a tenant, a class and a zone.
     pub of: [Option<usize>; 3],
 }
--- a/lab/src/faults/announcements.rs
+++ b/lab/src/faults/announcements.rs
@@ -1,7 +1,7 @@
 //! Announces changes of upstreams to the discovery agents, with a separate delay for each agent. Owns the number of
 //! changes of each upstream.
 use crate::agent::{Entry, Start, State};
-use crate::draw::Calls;
+use crate::draw::Draws;
 use crate::experiment::{Millis, Span};
 use crate::fleet::Fleet;
 use crate::net::lock;
@@ -24,7 +24,7 @@
 }
 
 /// Draws a time from a span, with a resolution of a thousandth of the span.
-fn draw_delay(draws: &mut Calls, span: Span) -> Millis {
+fn draw_delay(draws: &mut Draws, span: Span) -> Millis {
     let unit = (draws.seed() % 1000) as f64 / 1000.0;
     span.0.least + unit * (span.0.most - span.0.least)
 }
@@ -44,7 +44,7 @@
         let announced = self.count_change(upstream);
         let change = announced.changes;
         let seed = world.plan.seed ^ (upstream as u64) << 20 ^ change;
-        let mut draws = Calls::new(seed);
+        let mut draws = Draws::new(seed);
         let entry = entry(fleet, upstream, state, announced.replacements);
         let delay = draw_delay(&mut draws, delay);
         let tier = world.plan.upstreams[upstream].tier;
--- a/lab/src/faults/balancers.rs
+++ b/lab/src/faults/balancers.rs
@@ -2,7 +2,7 @@
 //! [`Process`](crate::process::Process)'s.
 use super::error::FaultError;
 use super::injector::{balancers_of, join_all, Injector};
-use crate::draw::{Calls, Party, PlannedFault};
+use crate::draw::{Draws, Party, PlannedFault};
 use crate::error::FileError;
 use crate::experiment::{Damage, Millis};
 use crate::fleet::Fleet;
@@ -110,7 +110,7 @@
 /// How long the front takes to notice that a balancer was killed.
 fn front_notice(world: &World, balancer: usize) -> Millis {
     let span = world.experiment.clients.front_notice.0;
-    let unit = (Calls::new(world.plan.seed ^ balancer as u64).seed() % 1000) as f64 / 1000.0;
+    let unit = (Draws::new(world.plan.seed ^ balancer as u64).seed() % 1000) as f64 / 1000.0;
     span.least + unit * (span.most - span.least)
 }
 
@@ -126,7 +126,7 @@
 fn damage_state(fleet: &Fleet, balancer: usize, kind: Option<Damage>) -> Result<(), FileError> {
     let Some(kind) = kind else { return Ok(()) };
     let state = &fleet.balancers[balancer].state;
-    let mut draws = Calls::new(fleet.world.plan.seed ^ 0xda_3a9e ^ balancer as u64);
+    let mut draws = Draws::new(fleet.world.plan.seed ^ 0xda_3a9e ^ balancer as u64);
     let saved = saved_state(fleet, balancer);
     damage(state, kind, &saved, |bits| draws.seed() % bits.max(1)).map_err(FileError::at(state))
 }
@@ -147,13 +147,13 @@
     /// Restarts balancers one after the other with another build, by SIGTERM.
     pub(super) async fn upgrade(&self, fault: &PlannedFault) -> Result<(), FaultError> {
         let steps = fault.on.len().saturating_sub(1) as f64;
-        let down_for = fault.until - fault.at - fault.pace * steps;
+        let down_for = fault.until - fault.at - fault.step_interval * steps;
         let mut tasks = JoinSet::new();
         for (step, party) in fault.on.iter().enumerate() {
             let Party::Balancer(balancer) = *party else {
                 continue;
             };
-            let at = fault.at + fault.pace * step as f64;
+            let at = fault.at + fault.step_interval * step as f64;
             let (injector, build) = (self.clone(), fault.build);
             tasks.spawn(async move {
                 injector.fleet.world.clock.until(at).await;
--- a/lab/src/guard.rs
+++ b/lab/src/guard.rs
@@ -64,7 +64,7 @@
 }
 
 /// Runs the helper: reads until the pipe is closed, then kills the children that are still running.
-pub fn stand_guard(input: impl BufRead) {
+pub fn run_guard(input: impl BufRead) {
     let mut alive = BTreeSet::new();
     for line in input.lines().map_while(Result::ok) {
         match (
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -5,5 +5,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    command_line::carry_out()
+    command_line::run()
 }
--- a/lab/src/metrics/traffic.rs
+++ b/lab/src/metrics/traffic.rs
@@ -1,5 +1,5 @@
 //! Traffic between machines.
-use crate::convergence::Known;
+use crate::convergence::ConvergenceTimes;
 use crate::experiment::Experiment;
 use crate::tally::{SecondCounts, Tally};
 use serde::{Deserialize, Serialize};
@@ -81,9 +81,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Tier {
     /// Time until front balancers knew which of them are up.
-    pub members: Known,
+    pub members: ConvergenceTimes,
     /// Time until their load sums included all of them.
-    pub sums: Known,
+    pub sums: ConvergenceTimes,
     /// Number of members newly suspected, over the last start of each balancer.
     pub suspected: u64,
     /// Number of members declared departed, over the last start of each balancer.
--- a/lab/src/process/config.rs
+++ b/lab/src/process/config.rs
@@ -1,6 +1,6 @@
 //! The configuration of one balancer. DEPLOY and WIRE define the names of its keys.
 use crate::agent::Agent;
-use crate::draw::Calls;
+use crate::draw::Draws;
 use crate::experiment::{Class, Effect, Experiment, Group, Kind, Millis, Tier};
 use crate::world::World;
 use serde_json::{json, Value};
@@ -35,7 +35,7 @@
         "name": identity.name,
         "listen": identity.listen.to_string(),
         "discovery": world.block.agent(index, agent.moves()).to_string(),
-        "seed": format!("{:016x}", Calls::new(identity.seed).seed()),
+        "seed": format!("{:016x}", Draws::new(identity.seed).seed()),
         "limits": {"cores": 1.0, "memory_mb": rules.memory_mb, "sockets": rules.sockets},
         "peer_listen": world.block.peer(index).to_string(),
         "peers": peer_addresses,
--- a/lab/src/results/summary.rs
+++ b/lab/src/results/summary.rs
@@ -1,5 +1,5 @@
 //! Text summary of all plays.
-use crate::convergence::Known;
+use crate::convergence::ConvergenceTimes;
 use crate::metrics::Played;
 use std::fmt::Write;
 
@@ -72,18 +72,18 @@
         );
     }
     if let Some(t) = &p.tier {
-        let known = |k: &Known| {
+        let describe = |times: &ConvergenceTimes| {
             format!(
                 "{:.0} ms at p99 ({:.0} ms at p50, {} samples, {} never)",
-                k.p99_ms, k.p50_ms, k.times, k.never
+                times.p99_ms, times.p50_ms, times.times, times.never
             )
         };
         let _ = writeln!(
                 text,
                 "{name}: membership known after {}, load sums complete after {}; {} members suspected, {} version \
                  changes; {:.1} datagrams/s of {:.0} bytes per balancer",
-                known(&t.members),
-                known(&t.sums),
+                describe(&t.members),
+                describe(&t.sums),
                 t.suspected,
                 t.steps,
                 p.datagrams.a_second,
--- a/lab/src/run/mod.rs
+++ b/lab/src/run/mod.rs
@@ -3,4 +3,4 @@
 mod sum_up;
 mod watch;
 
-pub use play::{play, PlayError, Program, Stage};
+pub use play::{play, PlayContext, PlayError, Program};
--- a/lab/src/run/play.rs
+++ b/lab/src/run/play.rs
@@ -39,7 +39,7 @@
 }
 
 /// The environment of a play.
-pub struct Stage<'a> {
+pub struct PlayContext<'a> {
     /// The working directory of commands.
     pub root: &'a Path,
     /// The folder for the results.
@@ -83,15 +83,15 @@
     plan: &Plan,
     program: &Program,
     number: usize,
-    stage: &Stage<'_>,
+    context: &PlayContext<'_>,
 ) -> Result<Played, PlayError> {
     for part in ["config", "logs"] {
-        let folder = stage.folder.join(part);
+        let folder = context.folder.join(part);
         std::fs::create_dir_all(&folder).map_err(FileError::at(&folder))?;
     }
-    let specs = launch_specs(experiment, program, stage.builds);
-    let fleet = Fleet::new(experiment, plan, &specs, stage.root, stage.folder)?;
-    let ended = run_fleet(&fleet, stage, &program.name).await;
+    let specs = launch_specs(experiment, program, context.builds);
+    let fleet = Fleet::new(experiment, plan, &specs, context.root, context.folder)?;
+    let ended = run_fleet(&fleet, context, &program.name).await;
     {
         let mut oracle = lock(&fleet.world.oracle);
         if ended.as_ref().is_ok_and(|stopped| !stopped) {
@@ -163,11 +163,15 @@
 }
 
 /// Runs the fleet from the first process start to the last response. Returns whether it was stopped early.
-async fn run_fleet(fleet: &Arc<Fleet>, stage: &Stage<'_>, name: &str) -> Result<bool, PlayError> {
+async fn run_fleet(
+    fleet: &Arc<Fleet>,
+    context: &PlayContext<'_>,
+    name: &str,
+) -> Result<bool, PlayError> {
     let world = &fleet.world;
     fleet.listen()?;
     let length = world.plan.length / 1000.0;
-    let progress = if stage.progress {
+    let progress = if context.progress {
         ProgressBar::new(length.ceil() as u64)
     } else {
         ProgressBar::hidden()
@@ -177,10 +181,10 @@
     progress.set_prefix(name.to_string());
     progress.set_message(format!("starting {} balancers", fleet.balancers.len()));
     progress.tick();
-    let mut stop = stage.stop.clone();
+    let mut stop = context.stop.clone();
     let mut starts = tokio::task::JoinSet::new();
     for process in &fleet.balancers {
-        let (process, world, guard) = (process.clone(), world.clone(), stage.guard.clone());
+        let (process, world, guard) = (process.clone(), world.clone(), context.guard.clone());
         starts.spawn(async move { process.start(&world, &guard).await });
     }
     loop {
@@ -193,7 +197,7 @@
         }
     }
     world.clock.begin_after(START_DELAY);
-    faults::schedule(fleet, stage.guard);
+    faults::schedule(fleet, context.guard);
     let in_flight = Arc::new(InFlight::default());
     let monitor = tokio::spawn(monitor_processes(
         fleet.clone(),
--- a/lab/src/upstream/emulated.rs
+++ b/lab/src/upstream/emulated.rs
@@ -1,6 +1,6 @@
 //! One upstream: its machine, the tasks that wait for it, and the faults that act on it. Owns its state.
 use super::load_report::{Load, LoadReport, ReportRules};
-use crate::draw::{self, Calls, Plan};
+use crate::draw::{self, Draws, Plan};
 use crate::experiment::{Experiment, Millis};
 use crate::machine::{CollapseLimit, Machine, Token};
 use crate::net::{lock, Direction, Link};
@@ -77,7 +77,7 @@
             delay: own.report_delay,
             noise: tier.report.noise,
         };
-        let draws = Calls::new(plan.seed ^ (index as u64) << 32);
+        let draws = Draws::new(plan.seed ^ (index as u64) << 32);
         let load_report = LoadReport::new(report_rules, draws, mean_work / own.speed);
         Upstream {
             index,
--- a/lab/src/upstream/load_report.rs
+++ b/lab/src/upstream/load_report.rs
@@ -1,5 +1,5 @@
 //! The load that an upstream reports of itself: measured periodically, published after a delay, and noisy.
-use crate::draw::Calls;
+use crate::draw::Draws;
 use crate::experiment::Millis;
 
 /// The weight of the latest service time in their moving average.
@@ -32,7 +32,7 @@
     measured_at: Millis,
     text: String,
     pending: Option<Pending>,
-    draws: Calls,
+    draws: Draws,
     /// Moving average of service times.
     service_time: Millis,
     served: u64,
@@ -43,7 +43,7 @@
 }
 
 impl LoadReport {
-    pub(super) fn new(rules: ReportRules, draws: Calls, service_time: Millis) -> LoadReport {
+    pub(super) fn new(rules: ReportRules, draws: Draws, service_time: Millis) -> LoadReport {
         LoadReport {
             rules,
             measured_at: f64::NEG_INFINITY,
--- a/lab/src/upstream/serve.rs
+++ b/lab/src/upstream/serve.rs
@@ -3,7 +3,7 @@
 use super::emulated::Upstream;
 use crate::call::{Call, CallResult};
 use crate::clock::pause;
-use crate::draw::Calls;
+use crate::draw::Draws;
 use crate::experiment::{Effect, Millis};
 use crate::machine::{Admission, Collapse, Token};
 use crate::net::lock;
@@ -29,7 +29,7 @@
         attempt: &mut ActiveAttempt<'_>,
     ) -> Outcome {
         let tier = &world.experiment.tiers[self.plan.tier];
-        let mut draws = Calls::new(profile.seed ^ attempt.number as u64);
+        let mut draws = Draws::new(profile.seed ^ attempt.number as u64);
         let work = profile.size * tier.work * draws.noise();
         let token = self.next_token();
         if !self.admit(world, balancer, token, work, attempt).await {
@@ -126,7 +126,7 @@
     }
 
     /// Draws how many calls an attempt makes to the next tier.
-    fn draw_calls(&self, world: &World, draws: &mut Calls) -> usize {
+    fn draw_calls(&self, world: &World, draws: &mut Draws) -> usize {
         let tier = self.plan.tier;
         if tier + 1 >= world.experiment.tiers.len() {
             return 0;
