--- a/lab/src/results/compare.rs
+++ b/lab/src/results/compare.rs
@@ -176,7 +176,7 @@
 ) {
     let _ = write!(
         text,
-        "\n{name} less {first}, play by play\n{:<14} {:>12}",
+        "\n{name} minus {first}, for each play\n{:<14} {:>12}",
         "play", "seed"
     );
     SHOWN
--- a/lab/src/results/summary.rs
+++ b/lab/src/results/summary.rs
@@ -91,6 +91,6 @@
             );
     }
     if p.stopped {
-        let _ = writeln!(text, "{name}: stopped by hand before its end");
+        let _ = writeln!(text, "{name}: stopped manually before its end");
     }
 }
--- a/lab/tests/fleet/fleets.rs
+++ b/lab/tests/fleet/fleets.rs
@@ -141,7 +141,7 @@
                 .read_to_string(&mut said)
                 .expect("text");
             assert!(
-                said.contains("stopped by hand") && said.contains("report:"),
+                said.contains("stopped manually") && said.contains("report:"),
                 "{said}"
             );
             let play =
--- a/lab/tests/fleet/tier.rs
+++ b/lab/tests/fleet/tier.rs
@@ -264,7 +264,7 @@
         (true, false, true)
     );
     assert!(
-        said.contains("quiet less plain, play by play") && said.contains("tenant club"),
+        said.contains("quiet minus plain, for each play") && said.contains("tenant club"),
         "{said}"
     );
     for (wrong, what) in [
