--- a/lab/src/metrics/expected.rs
+++ b/lab/src/metrics/expected.rs
@@ -7,27 +7,32 @@
 use crate::tally::{CompletedRequest, RequestOutcome, Tally};
 
 /// Whether a request matches the given criteria.
-fn matches(e: &Experiment, d: &CompletedRequest, of: &Part) -> bool {
+fn matches(experiment: &Experiment, request: &CompletedRequest, of: &Part) -> bool {
     of.tenant
         .as_ref()
-        .is_none_or(|t| e.tenants[d.tenant].name == *t)
+        .is_none_or(|tenant| experiment.tenants[request.tenant].name == *tenant)
         && of
             .class
             .as_ref()
-            .is_none_or(|c| e.classes[d.class].name == *c)
-        && of.zone.as_ref().is_none_or(|z| e.fleet.zones[d.zone] == *z)
+            .is_none_or(|class| experiment.classes[request.class].name == *class)
+        && of
+            .zone
+            .as_ref()
+            .is_none_or(|zone| experiment.fleet.zones[request.zone] == *zone)
 }
 
 /// Returns a metric over an interval of the run.
 fn value(
-    e: &Experiment,
+    experiment: &Experiment,
     plan: &Plan,
     tally: &Tally,
     expect: &Expect,
     (from, to): (Millis, Millis),
 ) -> f64 {
-    let within = |d: &CompletedRequest| (from..to).contains(&d.at) && matches(e, d, &expect.of);
-    let f = || request_metrics(e, plan, &tally.completed, within);
+    let within = |request: &CompletedRequest| {
+        (from..to).contains(&request.at) && matches(experiment, request, &expect.of)
+    };
+    let metrics = || request_metrics(experiment, plan, &tally.completed, within);
     let seconds = || {
         let is_within = |s: &usize| {
             (*s as f64) * 1000.0 >= from && ((s + 1) as f64) * 1000.0 <= to.min(plan.length)
@@ -37,21 +42,23 @@
             .map(|s| &tally.seconds[s])
     };
     match expect.metric {
-        Metric::InTime => f().in_time,
-        Metric::Value => f().value,
-        Metric::Refused => f().refused,
-        Metric::Failed => f().failed,
-        Metric::P50Ms => f().p50_ms,
-        Metric::P99Ms => f().p99_ms,
+        Metric::InTime => metrics().in_time,
+        Metric::Value => metrics().value,
+        Metric::Refused => metrics().refused,
+        Metric::Failed => metrics().failed,
+        Metric::P50Ms => metrics().p50_ms,
+        Metric::P99Ms => metrics().p99_ms,
         Metric::Attempts => attempts(seconds()),
-        Metric::Jain => jain(e, seconds()),
+        Metric::Jain => jain(experiment, seconds()),
         Metric::Goodput => {
             // Counted when the response arrives: a recovering machine also serves requests that were due earlier.
             let to = to.min(plan.length);
-            let served = tally.completed.iter().filter(|d| {
-                let in_deadline =
-                    d.how == RequestOutcome::Served && d.took <= plan.spans[d.class].1;
-                in_deadline && (from..to).contains(&(d.at + d.took)) && matches(e, d, &expect.of)
+            let served = tally.completed.iter().filter(|request| {
+                let in_deadline = request.how == RequestOutcome::Served
+                    && request.took <= plan.spans[request.class].1;
+                in_deadline
+                    && (from..to).contains(&(request.at + request.took))
+                    && matches(experiment, request, &expect.of)
             });
             let weakest = plan.capacity.iter().copied().fold(f64::INFINITY, f64::min);
             served.count() as f64 / ((to - from) / 1000.0) / weakest
@@ -61,7 +68,7 @@
 
 /// Returns the fraction of value earned by a tenant's requests that were due in an interval.
 pub fn value_of(
-    e: &Experiment,
+    experiment: &Experiment,
     plan: &Plan,
     completed: &[CompletedRequest],
     tenant: &str,
@@ -71,18 +78,18 @@
         tenant: Some(tenant.into()),
         ..Part::default()
     };
-    request_metrics(e, plan, completed, |d| {
-        (from..to).contains(&d.at) && matches(e, d, &of)
+    request_metrics(experiment, plan, completed, |request| {
+        (from..to).contains(&request.at) && matches(experiment, request, &of)
     })
     .value
 }
 
 /// Returns a one-line description of each expectation that a run misses.
-pub fn missed(e: &Experiment, plan: &Plan, tally: &Tally) -> Vec<String> {
+pub fn missed(experiment: &Experiment, plan: &Plan, tally: &Tally) -> Vec<String> {
     let check = |expect: &Expect| {
         let from = expect.from.map_or(0.0, |s| s.0.mean());
         let to = expect.to.map_or(f64::INFINITY, |s| s.0.mean());
-        let own = value(e, plan, tally, expect, (from, to));
+        let own = value(experiment, plan, tally, expect, (from, to));
         let (value, part) = match expect.part_of {
             Some(s) => {
                 let (from, to) = (s.0.least, s.0.most);
@@ -91,7 +98,10 @@
                     from / 1000.0,
                     to / 1000.0
                 );
-                (own / value(e, plan, tally, expect, (from, to)), reference)
+                (
+                    own / value(experiment, plan, tally, expect, (from, to)),
+                    reference,
+                )
             }
             None => (own, String::new()),
         };
@@ -122,5 +132,5 @@
             "{name} from {over} is {value:.3}{part}, expected at {bound_name} {bound}"
         ))
     };
-    e.expects.iter().filter_map(check).collect()
+    experiment.expects.iter().filter_map(check).collect()
 }
--- a/lab/src/metrics/recovery.rs
+++ b/lab/src/metrics/recovery.rs
@@ -37,7 +37,7 @@
 const RECOVERED: f64 = 0.95;
 
 /// Returns the recovery of the fleet, if a fault stopped balancers.
-pub fn recovery(e: &Experiment, plan: &Plan, tally: &Tally) -> Option<Recovery> {
+pub fn recovery(experiment: &Experiment, plan: &Plan, tally: &Tally) -> Option<Recovery> {
     let stops = |kind| {
         matches!(
             kind,
@@ -61,7 +61,10 @@
     let finite = |t: Option<&f64>| t.copied().filter(|t| t.is_finite());
     let first = restarts.map(|s| s.at).fold(f64::INFINITY, f64::min);
     let value = |from: Millis, to: Millis| {
-        request_metrics(e, plan, &tally.completed, |d| (from..to).contains(&d.at)).value
+        request_metrics(experiment, plan, &tally.completed, |d| {
+            (from..to).contains(&d.at)
+        })
+        .value
     };
     let before = value(0.0, fault.at);
     let mut windows = (0..)
--- a/lab/src/metrics/requests.rs
+++ b/lab/src/metrics/requests.rs
@@ -38,30 +38,30 @@
 
 /// Computes metrics over all requests that satisfy `wanted`.
 pub fn request_metrics(
-    e: &Experiment,
+    experiment: &Experiment,
     plan: &Plan,
     completed: &[CompletedRequest],
     wanted: impl Fn(&CompletedRequest) -> bool,
 ) -> RequestMetrics {
-    let mut f = RequestMetrics::default();
+    let mut metrics = RequestMetrics::default();
     let (mut times, mut added) = (histogram(), histogram());
     let (mut requested_value, mut earned, mut client_attempts) = (0.0, 0.0, 0u64);
-    for d in completed.iter().filter(|d| wanted(d)) {
-        let class = &e.classes[d.class];
-        f.due += 1;
+    for request in completed.iter().filter(|request| wanted(request)) {
+        let class = &experiment.classes[request.class];
+        metrics.due += 1;
         requested_value += class.value;
-        client_attempts += u64::from(d.client_attempts);
-        match d.how {
+        client_attempts += u64::from(request.client_attempts);
+        match request.how {
             RequestOutcome::Served => {
-                times.saturating_record((d.took * 1000.0) as u64);
-                added.saturating_record((d.added.unwrap_or(0.0).max(0.0) * 1000.0) as u64);
-                if d.took <= plan.spans[d.class].0 {
-                    f.in_time += 1.0;
+                times.saturating_record((request.took * 1000.0) as u64);
+                added.saturating_record((request.added.unwrap_or(0.0).max(0.0) * 1000.0) as u64);
+                if request.took <= plan.spans[request.class].0 {
+                    metrics.in_time += 1.0;
                     earned += class.value;
                 } else {
-                    f.late += 1.0;
+                    metrics.late += 1.0;
                     // A response after the deadline earns nothing.
-                    let in_deadline = d.took <= plan.spans[d.class].1;
+                    let in_deadline = request.took <= plan.spans[request.class].1;
                     earned += if in_deadline {
                         class.value * class.late_value
                     } else {
@@ -69,31 +69,31 @@
                     };
                 }
             }
-            RequestOutcome::Refused => f.refused += 1.0,
+            RequestOutcome::Refused => metrics.refused += 1.0,
             RequestOutcome::Failed | RequestOutcome::TimedOut | RequestOutcome::Unreached => {
-                f.failed += 1.0
+                metrics.failed += 1.0
             }
-            RequestOutcome::Left => f.left += 1.0,
+            RequestOutcome::Left => metrics.left += 1.0,
         }
     }
-    if f.due == 0 {
-        return f;
+    if metrics.due == 0 {
+        return metrics;
     }
-    let all = f.due as f64;
+    let all = metrics.due as f64;
     for share in [
-        &mut f.in_time,
-        &mut f.late,
-        &mut f.refused,
-        &mut f.failed,
-        &mut f.left,
+        &mut metrics.in_time,
+        &mut metrics.late,
+        &mut metrics.refused,
+        &mut metrics.failed,
+        &mut metrics.left,
     ] {
         *share /= all;
     }
-    f.value = earned / requested_value;
-    f.client_attempts = client_attempts as f64 / all;
-    f.p50_ms = times.value_at_quantile(0.5) as f64 / 1000.0;
-    f.p99_ms = times.value_at_quantile(0.99) as f64 / 1000.0;
-    f.added_p50_ms = added.value_at_quantile(0.5) as f64 / 1000.0;
-    f.added_p99_ms = added.value_at_quantile(0.99) as f64 / 1000.0;
-    f
+    metrics.value = earned / requested_value;
+    metrics.client_attempts = client_attempts as f64 / all;
+    metrics.p50_ms = times.value_at_quantile(0.5) as f64 / 1000.0;
+    metrics.p99_ms = times.value_at_quantile(0.99) as f64 / 1000.0;
+    metrics.added_p50_ms = added.value_at_quantile(0.5) as f64 / 1000.0;
+    metrics.added_p99_ms = added.value_at_quantile(0.99) as f64 / 1000.0;
+    metrics
 }
--- a/lab/src/metrics/traffic.rs
+++ b/lab/src/metrics/traffic.rs
@@ -49,8 +49,8 @@
 
 /// Returns Jain's fairness index of the time that tenants' attempts spent at upstreams, each divided by the tenant's
 /// share: 1 if all are equal, and 1/n if one of n tenants has everything.
-pub fn jain<'a>(e: &Experiment, seconds: impl Iterator<Item = &'a SecondCounts>) -> f64 {
-    let mut upstream_time = vec![0.0; e.tenants.len()];
+pub fn jain<'a>(experiment: &Experiment, seconds: impl Iterator<Item = &'a SecondCounts>) -> f64 {
+    let mut upstream_time = vec![0.0; experiment.tenants.len()];
     for second in seconds {
         upstream_time
             .iter_mut()
@@ -59,8 +59,8 @@
     }
     let each: Vec<f64> = upstream_time
         .iter()
-        .zip(&e.tenants)
-        .map(|(ms, t)| ms / t.share)
+        .zip(&experiment.tenants)
+        .map(|(ms, tenant)| ms / tenant.share)
         .collect();
     let (sum, squares) = each
         .iter()
--- a/lab/src/run/play.rs
+++ b/lab/src/run/play.rs
@@ -120,15 +120,15 @@
 
 /// Checks how much value tenants within their share retained during the overload of another tenant.
 fn check_in_share(world: &World, oracle: &mut Oracle) {
-    let (e, plan) = (&world.experiment, &world.plan);
-    let Some(bound) = &e.bounds.in_share else {
+    let (experiment, plan) = (&world.experiment, &world.plan);
+    let Some(bound) = &experiment.bounds.in_share else {
         return;
     };
     let tally = lock(&world.tally);
     for tenant in &bound.tenants {
         let value = |over: Span| {
             value_of(
-                e,
+                experiment,
                 plan,
                 &tally.completed,
                 tenant,
@@ -142,23 +142,26 @@
 
 /// The launch specifications of balancers: the program under test, then each build.
 fn launch_specs(
-    e: &Experiment,
+    experiment: &Experiment,
     program: &Program,
     builds: &BTreeMap<String, String>,
 ) -> Vec<LaunchSpec> {
     let plain = LaunchSpec {
         command: program.command.clone(),
-        options: merged(&e.options, &program.options),
+        options: merged(&experiment.options, &program.options),
     };
-    let build = |b: &Build| LaunchSpec {
-        command: builds.get(&b.name).unwrap_or(&program.command).clone(),
-        options: match b.bare {
-            true => b.options.clone(),
-            false => merged(&merged(&e.options, &b.options), &program.options),
+    let build = |build: &Build| LaunchSpec {
+        command: builds.get(&build.name).unwrap_or(&program.command).clone(),
+        options: match build.bare {
+            true => build.options.clone(),
+            false => merged(
+                &merged(&experiment.options, &build.options),
+                &program.options,
+            ),
         },
     };
     std::iter::once(plain)
-        .chain(e.builds.iter().map(build))
+        .chain(experiment.builds.iter().map(build))
         .collect()
 }
 
--- a/lab/src/run/sum_up.rs
+++ b/lab/src/run/sum_up.rs
@@ -51,9 +51,9 @@
 
 /// The lateness of the lab itself.
 fn lateness(world: &World) -> Lateness {
-    let e = &world.experiment;
+    let experiment = &world.experiment;
     let late = world.clock.lateness();
-    let bound = (e.lateness_most.0.mean() * 1000.0) as u64;
+    let bound = (experiment.lateness_most.0.mean() * 1000.0) as u64;
     let over = if late.is_empty() {
         0.0
     } else {
@@ -64,29 +64,33 @@
         p99_ms: late.value_at_quantile(0.99) as f64 / 1000.0,
         most_ms: late.max() as f64 / 1000.0,
         over,
-        counts: over <= e.late_share,
+        counts: over <= experiment.late_share,
     }
 }
 
 /// Metrics by class, tenant and zone.
-fn by_part(e: &Experiment, plan: &Plan, tally: &Tally) -> BTreeMap<String, RequestMetrics> {
+fn by_part(
+    experiment: &Experiment,
+    plan: &Plan,
+    tally: &Tally,
+) -> BTreeMap<String, RequestMetrics> {
     let mut by = BTreeMap::new();
-    for (i, class) in e.classes.iter().enumerate() {
+    for (i, class) in experiment.classes.iter().enumerate() {
         by.insert(
             format!("class {}", class.name),
-            request_metrics(e, plan, &tally.completed, |d| d.class == i),
+            request_metrics(experiment, plan, &tally.completed, |d| d.class == i),
         );
     }
-    for (i, tenant) in e.tenants.iter().enumerate() {
+    for (i, tenant) in experiment.tenants.iter().enumerate() {
         by.insert(
             format!("tenant {}", tenant.name),
-            request_metrics(e, plan, &tally.completed, |d| d.tenant == i),
+            request_metrics(experiment, plan, &tally.completed, |d| d.tenant == i),
         );
     }
-    for (i, zone) in e.fleet.zones.iter().enumerate() {
+    for (i, zone) in experiment.fleet.zones.iter().enumerate() {
         by.insert(
             format!("zone {zone}"),
-            request_metrics(e, plan, &tally.completed, |d| d.zone == i),
+            request_metrics(experiment, plan, &tally.completed, |d| d.zone == i),
         );
     }
     by
@@ -126,7 +130,7 @@
     stopped: bool,
 ) -> Played {
     let world = &fleet.world;
-    let (e, plan) = (&world.experiment, &world.plan);
+    let (experiment, plan) = (&world.experiment, &world.plan);
 
     let tally = lock(&world.tally).clone();
     let oracle = lock(&world.oracle);
@@ -136,12 +140,12 @@
         command: command.into(),
         play: number,
         seed: plan.seed,
-        metrics: request_metrics(e, plan, &tally.completed, |_| true),
-        by: by_part(e, plan, &tally),
+        metrics: request_metrics(experiment, plan, &tally.completed, |_| true),
+        by: by_part(experiment, plan, &tally),
         traffic: traffic(&tally),
         datagrams: peer_traffic(world),
         tier: tier(fleet),
-        recovery: recovery(e, plan, &tally),
+        recovery: recovery(experiment, plan, &tally),
         lateness: lateness(world),
         broken: broken.iter().map(Case::from).collect(),
         counts: counts
@@ -153,7 +157,7 @@
         missed: if stopped {
             Vec::new()
         } else {
-            missed(e, plan, &tally)
+            missed(experiment, plan, &tally)
         },
         usage: usage(fleet),
         stopped,
