--- a/lab/src/command_line/mod.rs
+++ b/lab/src/command_line/mod.rs
@@ -72,9 +72,9 @@
 
 fn open_results(folder: &Path) -> Result<(Results, Experiment, Plan), LabError> {
     let results = Results::open(folder)?;
-    let (arguments, e) = results.arguments()?;
-    let plan = draw::plan(&e, arguments.seed)?;
-    Ok((results, e, plan))
+    let (arguments, experiment) = results.arguments()?;
+    let plan = draw::plan(&experiment, arguments.seed)?;
+    Ok((results, experiment, plan))
 }
 
 fn compare_plays(folder: &Path) -> Result<Outcome, LabError> {
@@ -84,10 +84,12 @@
 }
 
 fn write_report(folder: &Path) -> Result<Outcome, LabError> {
-    let (results, e, plan) = open_results(folder)?;
+    let (results, experiment, plan) = open_results(folder)?;
     println!(
         "{}",
-        results.report(&e, &plan, &results.plays()?)?.display()
+        results
+            .report(&experiment, &plan, &results.plays()?)?
+            .display()
     );
     Ok(Outcome::Passed)
 }
@@ -97,12 +99,15 @@
         path: folder.to_path_buf(),
         source,
     })?;
-    let mut files: Vec<PathBuf> = entries.flatten().map(|e| e.path()).collect();
-    files.retain(|f| f.extension().is_some_and(|e| e == "toml"));
+    let mut files: Vec<PathBuf> = entries.flatten().map(|entry| entry.path()).collect();
+    files.retain(|file| {
+        file.extension()
+            .is_some_and(|extension| extension == "toml")
+    });
     files.sort();
     for file in files {
         match experiment::load(&file) {
-            Ok(e) => println!("{:<40} {}", file.display(), e.title),
+            Ok(experiment) => println!("{:<40} {}", file.display(), experiment.title),
             Err(error) => println!("{:<40} invalid: {error}", file.display()),
         }
     }
@@ -111,8 +116,8 @@
 
 fn check_experiments(files: &[PathBuf]) -> Result<Outcome, LabError> {
     for file in files {
-        let e = experiment::load(file)?;
-        let plan = plan_of(file, &e, e.seed)?;
+        let experiment = experiment::load(file)?;
+        let plan = plan_of(file, &experiment, experiment.seed)?;
         println!(
             "{}: {} balancers, {} upstreams, {} requests, {} faults",
             file.display(),
--- a/lab/src/command_line/shared.rs
+++ b/lab/src/command_line/shared.rs
@@ -20,8 +20,8 @@
 }
 
 /// Draws the plan of an experiment file for a seed.
-pub(super) fn plan_of(file: &Path, e: &Experiment, seed: u64) -> Result<Plan, LabError> {
-    draw::plan(e, seed).map_err(|source| LabError::PlanFile {
+pub(super) fn plan_of(file: &Path, experiment: &Experiment, seed: u64) -> Result<Plan, LabError> {
+    draw::plan(experiment, seed).map_err(|source| LabError::PlanFile {
         file: file.to_path_buf(),
         source,
     })
--- a/lab/src/draw/faults.rs
+++ b/lab/src/draw/faults.rs
@@ -7,19 +7,19 @@
 
 /// All possible targets of faults in a run.
 pub(super) struct Population<'a> {
-    e: &'a Experiment,
+    experiment: &'a Experiment,
     upstreams: &'a [Upstream],
     balancers: &'a [Balancer],
 }
 
 impl<'a> Population<'a> {
     pub(super) fn new(
-        e: &'a Experiment,
+        experiment: &'a Experiment,
         upstreams: &'a [Upstream],
         balancers: &'a [Balancer],
     ) -> Population<'a> {
         Population {
-            e,
+            experiment,
             upstreams,
             balancers,
         }
@@ -27,7 +27,7 @@
 
     fn all(&self) -> impl Iterator<Item = Party> {
         let (zones, balancers, upstreams) = (
-            self.e.fleet.zones.len(),
+            self.experiment.fleet.zones.len(),
             self.balancers.len(),
             self.upstreams.len(),
         );
@@ -39,9 +39,9 @@
     }
 
     fn matches(&self, party: Party, target: &Target) -> bool {
-        let (e, upstreams, balancers) = (self.e, self.upstreams, self.balancers);
+        let (experiment, upstreams, balancers) = (self.experiment, self.upstreams, self.balancers);
         let (role, zone, tier, name) = match party {
-            Party::Clients(z) => (Role::Clients, z, None, &e.fleet.zones[z]),
+            Party::Clients(z) => (Role::Clients, z, None, &experiment.fleet.zones[z]),
             Party::Balancer(b) => {
                 let b = &balancers[b];
                 (
@@ -75,15 +75,15 @@
             && target
                 .zone
                 .as_ref()
-                .is_none_or(|z| *z == e.fleet.zones[zone])
+                .is_none_or(|z| *z == experiment.fleet.zones[zone])
             && target
                 .region
                 .as_ref()
-                .is_none_or(|r| e.fleet.region(zone) == Some(r))
+                .is_none_or(|r| experiment.fleet.region(zone) == Some(r))
             && target
                 .tier
                 .as_ref()
-                .is_none_or(|t| tier.is_some_and(|i| e.tiers[i].name == *t))
+                .is_none_or(|t| tier.is_some_and(|i| experiment.tiers[i].name == *t))
             && target
                 .names
                 .as_ref()
@@ -119,13 +119,13 @@
 
 /// Draws the build that each balancer starts with.
 pub(super) fn draw_builds(
-    e: &Experiment,
+    experiment: &Experiment,
     seed: u64,
     population: &Population<'_>,
 ) -> Vec<Option<usize>> {
     let rng = &mut stream(seed, Stream::Builds);
     let mut builds = vec![None; population.balancers.len()];
-    for (i, build) in e.builds.iter().enumerate() {
+    for (i, build) in experiment.builds.iter().enumerate() {
         let Some(on) = &build.on else { continue };
         for party in population.select(on, |p| matches!(p, Party::Balancer(_)), rng) {
             if let Party::Balancer(b) = party {
@@ -137,20 +137,20 @@
 }
 
 pub(super) fn draw_faults(
-    e: &Experiment,
+    experiment: &Experiment,
     seed: u64,
     population: &Population<'_>,
     length: Millis,
 ) -> Vec<PlannedFault> {
     let rng = &mut stream(seed, Stream::Faults);
     let mut planned = Vec::new();
-    for fault in &e.faults {
+    for fault in &experiment.faults {
         let can = |p| applies_to(fault.kind, p);
         let of = fault.of.as_ref().map_or([None; 3], |of| {
             [
-                position(&of.tenant, e.tenants.iter().map(|t| &t.name)),
-                position(&of.class, e.classes.iter().map(|c| &c.name)),
-                position(&of.zone, e.fleet.zones.iter()),
+                position(&of.tenant, experiment.tenants.iter().map(|t| &t.name)),
+                position(&of.class, experiment.classes.iter().map(|c| &c.name)),
+                position(&of.zone, experiment.fleet.zones.iter()),
             ]
         });
         let mut begins = draw_span(rng, fault.at);
@@ -175,7 +175,7 @@
                 size,
                 delay: fault.delay.map(|s| (s.0.least, s.0.most)),
                 state: fault.state,
-                build: position(&fault.build, e.builds.iter().map(|b| &b.name)),
+                build: position(&fault.build, experiment.builds.iter().map(|b| &b.name)),
                 step_interval,
                 of,
             });
--- a/lab/src/draw/machines.rs
+++ b/lab/src/draw/machines.rs
@@ -5,12 +5,12 @@
 use rand_pcg::Pcg64Mcg;
 
 pub(super) fn draw_tier(
-    e: &Experiment,
+    experiment: &Experiment,
     t: usize,
     rng: &mut Pcg64Mcg,
     upstreams: &mut Vec<Upstream>,
 ) {
-    let (tier, zones) = (&e.tiers[t], e.fleet.zones.len());
+    let (tier, zones) = (&experiment.tiers[t], experiment.fleet.zones.len());
 
     let mut in_zone = vec![0usize; zones];
     for (n, kind) in assign_kinds(&tier.kinds, tier.upstreams)
@@ -72,9 +72,9 @@
         .collect()
 }
 
-pub(super) fn balancers(e: &Experiment, upstreams: &[Upstream]) -> Vec<Balancer> {
-    let zones = e.fleet.zones.len();
-    let mut all: Vec<Balancer> = (0..e.fleet.front)
+pub(super) fn balancers(experiment: &Experiment, upstreams: &[Upstream]) -> Vec<Balancer> {
+    let zones = experiment.fleet.zones.len();
+    let mut all: Vec<Balancer> = (0..experiment.fleet.front)
         .map(|n| Balancer {
             name: format!("front-{}", n + 1),
             zone: n % zones,
@@ -84,11 +84,11 @@
             build: None,
         })
         .collect();
-    let mut index = vec![0; e.tiers.len() + 1];
+    let mut index = vec![0; experiment.tiers.len() + 1];
     for (i, u) in upstreams
         .iter()
         .enumerate()
-        .filter(|(_, u)| u.tier + 1 < e.tiers.len())
+        .filter(|(_, u)| u.tier + 1 < experiment.tiers.len())
     {
         let tier = u.tier + 1;
         all.push(Balancer {
--- a/lab/src/draw/planner.rs
+++ b/lab/src/draw/planner.rs
@@ -11,21 +11,21 @@
 ///
 /// # Errors
 /// Returns an error if the values of the experiment do not allow a plan.
-pub fn plan(e: &Experiment, seed: u64) -> Result<Plan, PlanError> {
+pub fn plan(experiment: &Experiment, seed: u64) -> Result<Plan, PlanError> {
     let machines = &mut stream(seed, Stream::Machines);
     let mut upstreams: Vec<Upstream> = Vec::new();
-    for t in 0..e.tiers.len() {
-        draw_tier(e, t, machines, &mut upstreams);
+    for t in 0..experiment.tiers.len() {
+        draw_tier(experiment, t, machines, &mut upstreams);
     }
-    let mut balancers = balancers(e, &upstreams);
+    let mut balancers = balancers(experiment, &upstreams);
 
-    let (same_zone, cross_zone) = draw_delays(e, seed);
+    let (same_zone, cross_zone) = draw_delays(experiment, seed);
 
-    let load = draw_load(e, seed, &upstreams)?;
+    let load = draw_load(experiment, seed, &upstreams)?;
 
-    let population = Population::new(e, &upstreams, &balancers);
-    let faults = draw_faults(e, seed, &population, load.length);
-    let builds = draw_builds(e, seed, &population);
+    let population = Population::new(experiment, &upstreams, &balancers);
+    let faults = draw_faults(experiment, seed, &population, load.length);
+    let builds = draw_builds(experiment, seed, &population);
     balancers
         .iter_mut()
         .zip(builds)
@@ -34,7 +34,7 @@
         shared: load.rate,
         weakest: load.weakest,
     };
-    let arrivals = draw_requests(e, seed, rates, load.length, &load.works, &faults)?;
+    let arrivals = draw_requests(experiment, seed, rates, load.length, &load.works, &faults)?;
     Ok(Plan {
         seed,
         length: load.length,
@@ -52,20 +52,21 @@
 }
 
 /// Draws the one-way delays within a zone and between each pair of zones.
-fn draw_delays(e: &Experiment, seed: u64) -> (Millis, Vec<Vec<Millis>>) {
+fn draw_delays(experiment: &Experiment, seed: u64) -> (Millis, Vec<Vec<Millis>>) {
     let net = &mut stream(seed, Stream::Net);
-    let same_zone = draw_span(net, e.net.same_zone);
-    let mut cross_zone = vec![vec![same_zone; e.fleet.zones.len()]; e.fleet.zones.len()];
-    let pairs = (0..e.fleet.zones.len()).flat_map(|a| (0..a).map(move |b| (a, b)));
+    let same_zone = draw_span(net, experiment.net.same_zone);
+    let mut cross_zone =
+        vec![vec![same_zone; experiment.fleet.zones.len()]; experiment.fleet.zones.len()];
+    let pairs = (0..experiment.fleet.zones.len()).flat_map(|a| (0..a).map(move |b| (a, b)));
     for (a, b) in pairs {
-        let different_regions = match (e.fleet.region(a), e.fleet.region(b)) {
+        let different_regions = match (experiment.fleet.region(a), experiment.fleet.region(b)) {
             (Some(a), Some(b)) => a != b,
             _ => false,
         };
         let span = if different_regions {
-            e.net.cross_region
+            experiment.net.cross_region
         } else {
-            e.net.cross_zone
+            experiment.net.cross_zone
         };
         let delay = draw_span(net, span);
         (cross_zone[a][b], cross_zone[b][a]) = (delay, delay);
@@ -75,16 +76,21 @@
 
 /// Returns the capacity of each tier after slow start, in client requests per second, from the mean work of a request
 /// and the mean number of calls to each tier.
-fn capacity(e: &Experiment, upstreams: &[Upstream], mean_work: f64, calls: &[f64]) -> Vec<f64> {
+fn capacity(
+    experiment: &Experiment,
+    upstreams: &[Upstream],
+    mean_work: f64,
+    calls: &[f64],
+) -> Vec<f64> {
     let of_tier = |t: usize| {
         let speed: f64 = upstreams
             .iter()
             .filter(|u| u.tier == t)
             .map(|u| u.cores as f64 * u.speed)
             .sum();
-        speed * 1000.0 / (mean_work * e.tiers[t].work * calls[t])
+        speed * 1000.0 / (mean_work * experiment.tiers[t].work * calls[t])
     };
-    (0..e.tiers.len()).map(of_tier).collect()
+    (0..experiment.tiers.len()).map(of_tier).collect()
 }
 
 /// Offered load and capacity of the tiers.
@@ -105,36 +111,44 @@
     spans: Vec<(Millis, Millis)>,
 }
 
-fn draw_load(e: &Experiment, seed: u64, upstreams: &[Upstream]) -> Result<Load, PlanError> {
+fn draw_load(
+    experiment: &Experiment,
+    seed: u64,
+    upstreams: &[Upstream],
+) -> Result<Load, PlanError> {
     let load = &mut stream(seed, Stream::Load);
     let mut calls = vec![1.0];
-    for tier in &e.tiers[..e.tiers.len() - 1] {
+    for tier in &experiment.tiers[..experiment.tiers.len() - 1] {
         let mean = draw(load, tier.calls);
         calls.push(calls[calls.len() - 1] * mean);
     }
-    let shares: f64 = e.classes.iter().map(|c| c.share).sum();
-    let works: Vec<f64> = e.classes.iter().map(|c| draw(load, c.work)).collect();
-    let mean_work: f64 = e
+    let shares: f64 = experiment.classes.iter().map(|c| c.share).sum();
+    let works: Vec<f64> = experiment
+        .classes
+        .iter()
+        .map(|c| draw(load, c.work))
+        .collect();
+    let mean_work: f64 = experiment
         .classes
         .iter()
         .zip(&works)
         .map(|(c, w)| c.share / shares * w)
         .sum();
-    let capacity = capacity(e, upstreams, mean_work, &calls);
+    let capacity = capacity(experiment, upstreams, mean_work, &calls);
     let weakest = capacity.iter().copied().fold(f64::INFINITY, f64::min);
-    let rate = match (e.clients.rate, e.clients.load) {
+    let rate = match (experiment.clients.rate, experiment.clients.load) {
         (Some(rate), _) => draw(load, rate),
         (None, Some(part)) => draw(load, part) * weakest,
         (None, None) => return Err(PlanError::NoRate),
     };
-    let quota = draw(load, e.clients.quota) * weakest;
-    let tenant_shares: f64 = e.tenants.iter().map(|t| t.share).sum();
-    let quotas = e
+    let quota = draw(load, experiment.clients.quota) * weakest;
+    let tenant_shares: f64 = experiment.tenants.iter().map(|t| t.share).sum();
+    let quotas = experiment
         .tenants
         .iter()
         .map(|t| quota * t.share / tenant_shares)
         .collect();
-    let spans = e
+    let spans = experiment
         .classes
         .iter()
         .map(|c| {
@@ -145,7 +159,7 @@
             )
         })
         .collect();
-    let length = draw_span(load, e.length);
+    let length = draw_span(load, experiment.length);
     Ok(Load {
         length,
         works,
--- a/lab/src/draw/requests.rs
+++ b/lab/src/draw/requests.rs
@@ -15,7 +15,7 @@
 
 /// Distributions from which requests are drawn: weights of classes, tenants and zones, and sizes.
 struct Demand<'a> {
-    e: &'a Experiment,
+    experiment: &'a Experiment,
     works: &'a [f64],
     classes: Vec<f64>,
     usage: Vec<f64>,
@@ -41,7 +41,7 @@
         let (zones, c) = only(&self.zones, zone);
         (
             Demand {
-                e: self.e,
+                experiment: self.experiment,
                 works: self.works,
                 classes,
                 usage,
@@ -61,7 +61,7 @@
         to: Millis,
     ) -> Result<Vec<Arrival>, PlanError> {
         let gap = Exp::new(rate / 1000.0)?;
-        let clients = &self.e.clients;
+        let clients = &self.experiment.clients;
         let (mut at, mut arrivals) = (from, Vec::new());
         loop {
             at += gap.sample(rng);
@@ -125,7 +125,7 @@
     };
     let usage = e.tenants.iter().map(&mut usage).collect();
     let demand = Demand {
-        e,
+        experiment: e,
         works,
         classes: e.classes.iter().map(|c| c.share).collect(),
         usage,
@@ -203,16 +203,16 @@
         (None, Some(part)) => draw(rng, part) * weakest,
         (None, None) => return Ok(Vec::new()),
     };
-    let names = || demand.e.classes.iter().map(|c| &c.name);
+    let names = || demand.experiment.classes.iter().map(|c| &c.name);
     let sends = |name: &String| tenant.classes.as_ref().is_none_or(|all| all.contains(name));
     let classes = names()
         .zip(&demand.classes)
         .map(|(name, w)| if sends(name) { *w } else { 0.0 });
     let own = Demand {
-        e: demand.e,
+        experiment: demand.experiment,
         works: demand.works,
         classes: classes.collect(),
-        usage: (0..demand.e.tenants.len())
+        usage: (0..demand.experiment.tenants.len())
             .map(|t| f64::from(u8::from(t == n)))
             .collect(),
         zones: demand.zones.clone(),
--- a/lab/src/experiment/check/bounds.rs
+++ b/lab/src/experiment/check/bounds.rs
@@ -4,23 +4,27 @@
 use crate::experiment::schema::Experiment;
 use crate::experiment::units::Span;
 
-pub(super) fn check_builds(e: &Experiment) -> Result<(), Invalid> {
-    distinct("build", e.builds.iter().map(|b| &b.name))?;
-    for (i, build) in e.builds.iter().enumerate() {
+pub(super) fn check_builds(experiment: &Experiment) -> Result<(), Invalid> {
+    distinct("build", experiment.builds.iter().map(|b| &b.name))?;
+    for (i, build) in experiment.builds.iter().enumerate() {
         if let Some(on) = &build.on {
-            check_target(&format!("build[{i}].on"), on, e)?;
+            check_target(&format!("build[{i}].on"), on, experiment)?;
         }
     }
     Ok(())
 }
 
-pub(super) fn check_bounds(e: &Experiment) -> Result<(), Invalid> {
+pub(super) fn check_bounds(experiment: &Experiment) -> Result<(), Invalid> {
     let invalid = |part: &str, what: String| Err((format!("bounds.{part}"), what));
-    if e.bounds.retries.is_some_and(|r| !(0.0..=10.0).contains(&r)) {
+    if experiment
+        .bounds
+        .retries
+        .is_some_and(|r| !(0.0..=10.0).contains(&r))
+    {
         return invalid("retries", "must be from 0 to 10".into());
     }
-    for (i, t) in e.bounds.trials.iter().enumerate() {
-        if !e.fleet.zones.contains(&t.zone) {
+    for (i, t) in experiment.bounds.trials.iter().enumerate() {
+        if !experiment.fleet.zones.contains(&t.zone) {
             return invalid(
                 &format!("trials[{i}].zone"),
                 format!("{:?} is not among fleet.zones", t.zone),
@@ -29,7 +33,7 @@
         if let Some(tier) = t
             .tier
             .as_ref()
-            .filter(|t| !e.tiers.iter().any(|x| x.name == **t))
+            .filter(|t| !experiment.tiers.iter().any(|x| x.name == **t))
         {
             return invalid(
                 &format!("trials[{i}].tier"),
@@ -38,11 +42,11 @@
         }
         check_interval(&format!("bounds.trials[{i}].during"), t.during)?;
     }
-    if let Some(s) = &e.bounds.in_share {
+    if let Some(s) = &experiment.bounds.in_share {
         if let Some(name) = s
             .tenants
             .iter()
-            .find(|n| !e.tenants.iter().any(|t| t.name == **n))
+            .find(|n| !experiment.tenants.iter().any(|t| t.name == **n))
         {
             return invalid("in_share.tenants", format!("there is no tenant {name:?}"));
         }
--- a/lab/src/experiment/check/fault.rs
+++ b/lab/src/experiment/check/fault.rs
@@ -4,24 +4,28 @@
 use crate::experiment::fault::{Fault, FaultKind};
 use crate::experiment::schema::Experiment;
 
-pub(super) fn check_fault(key: &str, fault: &Fault, e: &Experiment) -> Result<(), Invalid> {
-    check_times(key, fault, e)?;
+pub(super) fn check_fault(
+    key: &str,
+    fault: &Fault,
+    experiment: &Experiment,
+) -> Result<(), Invalid> {
+    check_times(key, fault, experiment)?;
     check_size(key, fault)?;
-    check_parts(key, fault, e)?;
-    check_requests(key, fault, e)?;
+    check_parts(key, fault, experiment)?;
+    check_requests(key, fault, experiment)?;
     check_presence(key, fault)?;
     for (part, target) in [("on", Some(&fault.on)), ("to", fault.to.as_ref())] {
         let Some(target) = target else { continue };
-        check_target(&format!("{key}.{part}"), target, e)?;
+        check_target(&format!("{key}.{part}"), target, experiment)?;
     }
     Ok(())
 }
 
 /// Validates the start, the number of occurrences, and whether balancers support disk faults.
-fn check_times(key: &str, fault: &Fault, e: &Experiment) -> Result<(), Invalid> {
+fn check_times(key: &str, fault: &Fault, experiment: &Experiment) -> Result<(), Invalid> {
     use FaultKind::*;
     let invalid = |part: &str, what: String| Err((format!("{key}.{part}"), what));
-    if fault.at.0.most > e.length.0.least {
+    if fault.at.0.most > experiment.length.0.least {
         return invalid("at", "must be within the length of the experiment".into());
     }
     if fault.delay.is_some() != matches!(fault.kind, DatagramDelay | DiskSlow | Outage) {
@@ -38,7 +42,7 @@
         );
     }
     if matches!(fault.kind, PowerLoss | DiskFull | DiskFailing | DiskSlow)
-        && !e.injects_disk_faults()
+        && !experiment.injects_disk_faults()
     {
         let what =
             "requires disk fault injection in the options: [options.recovery] dir = \"{state}\", drill = \"{drill}\"";
@@ -72,7 +76,7 @@
 }
 
 /// Validates the other side of a partition and the build of an upgrade.
-fn check_parts(key: &str, fault: &Fault, e: &Experiment) -> Result<(), Invalid> {
+fn check_parts(key: &str, fault: &Fault, experiment: &Experiment) -> Result<(), Invalid> {
     use FaultKind::*;
     let invalid = |part: &str, what: String| Err((format!("{key}.{part}"), what));
     if (fault.to.is_some() || fault.one_way) && fault.kind != Cut {
@@ -89,7 +93,7 @@
     if let Some(name) = fault
         .build
         .as_ref()
-        .filter(|n| !e.builds.iter().any(|b| b.name == **n))
+        .filter(|n| !experiment.builds.iter().any(|b| b.name == **n))
     {
         return invalid("build", format!("there is no build {name:?}"));
     }
@@ -97,7 +101,7 @@
 }
 
 /// Validates the requests that a burst multiplies.
-fn check_requests(key: &str, fault: &Fault, e: &Experiment) -> Result<(), Invalid> {
+fn check_requests(key: &str, fault: &Fault, experiment: &Experiment) -> Result<(), Invalid> {
     let Some(of) = &fault.of else {
         return Ok(());
     };
@@ -107,13 +111,16 @@
     for (part, missing) in [
         (
             "tenant",
-            unknown_name(&of.tenant, e.tenants.iter().map(|t| &t.name)),
+            unknown_name(&of.tenant, experiment.tenants.iter().map(|t| &t.name)),
         ),
         (
             "class",
-            unknown_name(&of.class, e.classes.iter().map(|c| &c.name)),
+            unknown_name(&of.class, experiment.classes.iter().map(|c| &c.name)),
+        ),
+        (
+            "zone",
+            unknown_name(&of.zone, experiment.fleet.zones.iter()),
         ),
-        ("zone", unknown_name(&of.zone, e.fleet.zones.iter())),
     ] {
         if let Some(name) = missing {
             return Err((
--- a/lab/src/experiment/check/mod.rs
+++ b/lab/src/experiment/check/mod.rs
@@ -14,16 +14,16 @@
 use tier::check_tier;
 
 /// Validates what the types do not enforce.
-pub(super) fn check(e: &Experiment) -> Result<(), Invalid> {
-    check_fleet(e)?;
-    check_load(e)?;
-    check_network(e)?;
-    check_builds(e)?;
-    check_bounds(e)?;
-    for (i, fault) in e.faults.iter().enumerate() {
-        check_fault(&format!("fault[{i}]"), fault, e)?;
-    }
-    for (i, expect) in e.expects.iter().enumerate() {
+pub(super) fn check(experiment: &Experiment) -> Result<(), Invalid> {
+    check_fleet(experiment)?;
+    check_load(experiment)?;
+    check_network(experiment)?;
+    check_builds(experiment)?;
+    check_bounds(experiment)?;
+    for (i, fault) in experiment.faults.iter().enumerate() {
+        check_fault(&format!("fault[{i}]"), fault, experiment)?;
+    }
+    for (i, expect) in experiment.expects.iter().enumerate() {
         if expect.least.is_none() && expect.most.is_none() {
             return invalid(&format!("expect[{i}]"), "least, most or both must be given");
         }
@@ -36,74 +36,76 @@
 }
 
 /// Validates the length, zones and regions.
-fn check_fleet(e: &Experiment) -> Result<(), Invalid> {
-    if !(1000.0..=3_600_000.0).contains(&e.length.0.most) || e.length.0.least < 1000.0 {
+fn check_fleet(experiment: &Experiment) -> Result<(), Invalid> {
+    if !(1000.0..=3_600_000.0).contains(&experiment.length.0.most)
+        || experiment.length.0.least < 1000.0
+    {
         return invalid("length", "must be from 1 s to 1 h");
     }
-    if e.fleet.zones.is_empty() || e.fleet.zones.len() > 64 {
+    if experiment.fleet.zones.is_empty() || experiment.fleet.zones.len() > 64 {
         return invalid("fleet.zones", "must name 1 to 64 zones");
     }
-    distinct("fleet.zones", e.fleet.zones.iter())?;
-    if !(1..=300).contains(&e.fleet.front) {
+    distinct("fleet.zones", experiment.fleet.zones.iter())?;
+    if !(1..=300).contains(&experiment.fleet.front) {
         return invalid("fleet.front", "must be from 1 to 300 balancers");
     }
     let mut placed = std::collections::BTreeSet::new();
-    for (region, zones) in &e.fleet.regions {
+    for (region, zones) in &experiment.fleet.regions {
         let key = format!("fleet.regions.{region}");
-        if let Some(zone) = zones.iter().find(|z| !e.fleet.zones.contains(z)) {
+        if let Some(zone) = zones.iter().find(|z| !experiment.fleet.zones.contains(z)) {
             return invalid(&key, &format!("{zone:?} is not among fleet.zones"));
         }
         if let Some(zone) = zones.iter().find(|z| !placed.insert(z.as_str())) {
             return invalid(&key, &format!("{zone:?} is in two regions"));
         }
     }
-    if !(0.0..1.0).contains(&e.fleet.skew) {
+    if !(0.0..1.0).contains(&experiment.fleet.skew) {
         return invalid("fleet.skew", "must be at least 0 and below 1");
     }
-    if !(0.0..=1.0).contains(&e.late_share) {
+    if !(0.0..=1.0).contains(&experiment.late_share) {
         return invalid("late_share", "must be from 0 to 1");
     }
     Ok(())
 }
 
 /// Validates tiers, classes, tenants and clients.
-fn check_load(e: &Experiment) -> Result<(), Invalid> {
-    if !(1..=3).contains(&e.tiers.len()) {
+fn check_load(experiment: &Experiment) -> Result<(), Invalid> {
+    if !(1..=3).contains(&experiment.tiers.len()) {
         return invalid("tier", "must be given 1 to 3 times");
     }
-    distinct("tier", e.tiers.iter().map(|t| &t.name))?;
-    for (i, tier) in e.tiers.iter().enumerate() {
-        check_tier(&format!("tier[{i}]"), tier, i + 1 == e.tiers.len())?;
+    distinct("tier", experiment.tiers.iter().map(|t| &t.name))?;
+    for (i, tier) in experiment.tiers.iter().enumerate() {
+        check_tier(&format!("tier[{i}]"), tier, i + 1 == experiment.tiers.len())?;
     }
-    if e.classes.is_empty() {
+    if experiment.classes.is_empty() {
         return invalid("class", "must be given at least once");
     }
-    distinct("class", e.classes.iter().map(|c| &c.name))?;
-    for (i, class) in e.classes.iter().enumerate() {
+    distinct("class", experiment.classes.iter().map(|c| &c.name))?;
+    for (i, class) in experiment.classes.iter().enumerate() {
         check_class(&format!("class[{i}]"), class)?;
     }
-    if e.tenants.is_empty() {
+    if experiment.tenants.is_empty() {
         return invalid("tenant", "must be given at least once");
     }
-    distinct("tenant", e.tenants.iter().map(|t| &t.name))?;
-    check_tenants(&e.tenants, &e.classes)?;
-    check_clients(&e.clients)
+    distinct("tenant", experiment.tenants.iter().map(|t| &t.name))?;
+    check_tenants(&experiment.tenants, &experiment.classes)?;
+    check_clients(&experiment.clients)
 }
 
 /// Validates the network and the limits of balancers.
-fn check_network(e: &Experiment) -> Result<(), Invalid> {
+fn check_network(experiment: &Experiment) -> Result<(), Invalid> {
     for (key, part) in [
-        ("loss", e.net.datagram_loss),
-        ("repeat", e.net.datagram_repeat),
+        ("loss", experiment.net.datagram_loss),
+        ("repeat", experiment.net.datagram_repeat),
     ] {
         if !(0.0..=1.0).contains(&part) {
             return invalid(&format!("net.datagram_{key}"), "must be from 0 to 1");
         }
     }
-    if !(64..=65_536).contains(&e.balancer.sockets) {
+    if !(64..=65_536).contains(&experiment.balancer.sockets) {
         return invalid("balancer.sockets", "must be from 64 to 65536");
     }
-    if e.balancer.attempts == 0 {
+    if experiment.balancer.attempts == 0 {
         return invalid("balancer.attempts", "must be at least 1");
     }
     Ok(())
--- a/lab/src/experiment/check/target.rs
+++ b/lab/src/experiment/check/target.rs
@@ -3,22 +3,30 @@
 use crate::experiment::fault::Target;
 use crate::experiment::schema::Experiment;
 
-pub(super) fn check_target(key: &str, target: &Target, e: &Experiment) -> Result<(), Invalid> {
+pub(super) fn check_target(
+    key: &str,
+    target: &Target,
+    experiment: &Experiment,
+) -> Result<(), Invalid> {
     let invalid = |part: &str, what: String| Err((format!("{key}.{part}"), what));
-    if let Some(zone) = target.zone.as_ref().filter(|z| !e.fleet.zones.contains(z)) {
+    if let Some(zone) = target
+        .zone
+        .as_ref()
+        .filter(|z| !experiment.fleet.zones.contains(z))
+    {
         return invalid("zone", format!("{zone:?} is not among fleet.zones"));
     }
     if let Some(region) = target
         .region
         .as_ref()
-        .filter(|r| !e.fleet.regions.contains_key(*r))
+        .filter(|r| !experiment.fleet.regions.contains_key(*r))
     {
         return invalid("region", format!("there is no region {region:?}"));
     }
     if let Some(tier) = target
         .tier
         .as_ref()
-        .filter(|t| !e.tiers.iter().any(|x| x.name == **t))
+        .filter(|t| !experiment.tiers.iter().any(|x| x.name == **t))
     {
         return invalid("tier", format!("there is no tier {tier:?}"));
     }
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -29,20 +29,20 @@
     /// # Errors
     /// Fails if no block of addresses can be claimed or a socket can't be opened.
     pub fn new(
-        e: &Experiment,
+        experiment: &Experiment,
         plan: &Plan,
         builds: &[LaunchSpec],
         root: &Path,
         folder: &Path,
     ) -> Result<Arc<Fleet>, WorldError> {
-        let world = World::new(e, plan, Clock::new(), folder)?;
+        let world = World::new(experiment, plan, Clock::new(), folder)?;
         let agents: Vec<Arc<Agent>> = (0..plan.balancers.len())
             .map(|b| Arc::new(Agent::new(b, plan)))
             .collect();
         let process = |(b, agent)| Arc::new(Process::new(b, &world, agent, builds, root));
         Ok(Arc::new(Fleet {
             upstreams: (0..plan.upstreams.len())
-                .map(|u| Arc::new(Upstream::new(u, e, plan)))
+                .map(|u| Arc::new(Upstream::new(u, experiment, plan)))
                 .collect(),
             balancers: agents.iter().enumerate().map(process).collect(),
             agents,
--- a/lab/src/oracle/judge.rs
+++ b/lab/src/oracle/judge.rs
@@ -174,41 +174,41 @@
     pub fn was_forwarded(&self, id: u64) -> bool {
         self.client_calls
             .get(&id)
-            .is_some_and(|t| !t.attempts.is_empty())
+            .is_some_and(|call| !call.attempts.is_empty())
     }
 
     /// Records how a client call ended and checks the rules on it.
     pub fn ended(&mut self, now: Millis, id: u64, how: Final) {
-        let Some(t) = self.client_calls.get_mut(&id) else {
+        let Some(call) = self.client_calls.get_mut(&id) else {
             return;
         };
-        if t.ended_at.is_some() {
+        if call.ended_at.is_some() {
             return;
         }
-        t.ended_at = Some(now);
+        call.ended_at = Some(now);
         self.checked += 1;
         self.ended_calls.push_back((now, id));
-        let balancer = t.balancer;
+        let balancer = call.balancer;
         self.seen[balancer].ended(how);
         let excluded = self.is_excluded(balancer, now - ANSWER_GRACE - SLACK, now + SLACK);
-        let (Some(t), name) = (self.client_calls.get(&id), &self.names[balancer]) else {
+        let (Some(call), name) = (self.client_calls.get(&id), &self.names[balancer]) else {
             return;
         };
         // Only the first violated rule is reported.
-        if let Some(case) = invented::check(name, id, t, how) {
+        if let Some(case) = invented::check(name, id, call, how) {
             return self.record_violation(now, Rule::Invented, case);
         }
         let lost = if excluded {
             None
         } else {
-            self.closed_connections.check(now, name, id, t, how)
+            self.closed_connections.check(now, name, id, call, how)
         };
         match lost {
             Some(Case::None(case)) => return self.record_violation(now, Rule::Lost, case),
             Some(Case::Late(by, case)) => return self.suspects(now, Rule::Lost, (by, case)),
             None => {}
         }
-        if let Some(case) = refused::check(name, id, t, self.classes[t.class], how) {
+        if let Some(case) = refused::check(name, id, call, self.classes[call.class], how) {
             self.record_violation(now, Rule::Refused, case);
         }
     }
@@ -288,7 +288,7 @@
         if let Some(case) = self.notified.check(now, &route, id, balancer, upstream) {
             self.suspects(now, Rule::Drained, case);
         }
-        let Some(t) = self.client_calls.get_mut(&id) else {
+        let Some(call) = self.client_calls.get_mut(&id) else {
             self.record_violation(
                 now,
                 Rule::Foreign,
@@ -296,11 +296,11 @@
             );
             return None;
         };
-        let number = t.attempts.len();
+        let number = call.attempts.len();
         let too_many = attempts::check(&route, id, number, self.max_attempts);
-        let ran_at = repeated::ran_at(now, t, self.classes[t.class], &self.places, upstream);
-        let after = after_end::check(now, &route, id, t);
-        t.attempts.push(Attempt {
+        let ran_at = repeated::ran_at(now, call, self.classes[call.class], &self.places, upstream);
+        let after = after_end::check(now, &route, id, call);
+        call.attempts.push(Attempt {
             upstream,
             began: now,
             end: None,
@@ -338,20 +338,20 @@
     /// Records the end of an attempt at its upstream. `hidden`: the link was partitioned meanwhile, so that the
     /// balancer may have ended the attempt earlier without the upstream seeing it.
     pub fn attempt_ended(&mut self, now: Millis, id: u64, number: usize, end: End, hidden: bool) {
-        let Some(t) = self.client_calls.get_mut(&id) else {
+        let Some(call) = self.client_calls.get_mut(&id) else {
             return;
         };
-        let Some(attempt) = t.attempts.get_mut(number) else {
+        let Some(attempt) = call.attempts.get_mut(number) else {
             return;
         };
         attempt.end = Some(end);
         if let End::Served(mark) = end {
-            t.served.push(mark);
+            call.served.push(mark);
         }
         let concurrent = if hidden {
             None
         } else {
-            concurrent_attempts::check(now, &self.names[t.balancer], id, t, number)
+            concurrent_attempts::check(now, &self.names[call.balancer], id, call, number)
         };
         if let Some(case) = concurrent {
             self.suspects(now, Rule::ConcurrentAttempts, case);
@@ -374,7 +374,7 @@
         let open: Vec<u64> = self
             .client_calls
             .iter()
-            .filter(|(_, t)| t.ended_at.is_none())
+            .filter(|(_, call)| call.ended_at.is_none())
             .map(|(&id, _)| id)
             .collect();
         for id in open {
--- a/lab/src/oracle/rules/after_end.rs
+++ b/lab/src/oracle/rules/after_end.rs
@@ -4,8 +4,13 @@
 use crate::oracle::client_calls::ClientCall;
 
 /// Returns by how much an attempt that arrives now is too late, and a description.
-pub(crate) fn check(now: Millis, route: &str, id: u64, t: &ClientCall) -> Option<(Millis, String)> {
-    let by = t
+pub(crate) fn check(
+    now: Millis,
+    route: &str,
+    id: u64,
+    call: &ClientCall,
+) -> Option<(Millis, String)> {
+    let by = call
         .ended_at
         .map(|at| now - at - SLACK)
         .filter(|&by| by > 0.0)?;
--- a/lab/src/oracle/rules/concurrent_attempts.rs
+++ b/lab/src/oracle/rules/concurrent_attempts.rs
@@ -8,10 +8,10 @@
     now: Millis,
     name: &str,
     id: u64,
-    t: &ClientCall,
+    call: &ClientCall,
     number: usize,
 ) -> Option<(Millis, String)> {
-    let overlap = now - t.attempts.get(number + 1)?.began;
+    let overlap = now - call.attempts.get(number + 1)?.began;
     let case =
         || format!("{name}: two attempts of request {id:016x} were in flight for {overlap:.0} ms");
     (overlap > SLACK).then(|| (overlap - SLACK, case()))
--- a/lab/src/oracle/rules/lost.rs
+++ b/lab/src/oracle/rules/lost.rs
@@ -29,11 +29,11 @@
         now: Millis,
         name: &str,
         id: u64,
-        t: &ClientCall,
+        call: &ClientCall,
         how: Final,
     ) -> Option<Case> {
         match how {
-            Final::ClosedNew if t.attempts.is_empty() => {
+            Final::ClosedNew if call.attempts.is_empty() => {
                 self.0 += 1;
                 None
             }
@@ -48,11 +48,11 @@
                 )))
             }
             Final::Served(_) | Final::Refused | Final::Failed => {
-                let by = now - t.deadline - ANSWER_GRACE - SLACK;
+                let by = now - call.deadline - ANSWER_GRACE - SLACK;
                 let case = || {
                     format!(
                         "{name} answered request {id:016x} {:.0} ms after its deadline",
-                        now - t.deadline
+                        now - call.deadline
                     )
                 };
                 (by > 0.0).then(|| Case::Late(by, case()))
--- a/lab/src/oracle/rules/refused.rs
+++ b/lab/src/oracle/rules/refused.rs
@@ -14,11 +14,11 @@
 pub(crate) fn check(
     name: &str,
     id: u64,
-    t: &ClientCall,
+    call: &ClientCall,
     class: ClassRules,
     how: Final,
 ) -> Option<String> {
-    let violated = how == Final::Refused && t.may_have_run() && applies(class);
+    let violated = how == Final::Refused && call.may_have_run() && applies(class);
     violated.then(|| {
         format!("{name} refused request {id:016x} although an attempt may have been executed")
     })
--- a/lab/src/oracle/rules/repeated.rs
+++ b/lab/src/oracle/rules/repeated.rs
@@ -7,12 +7,12 @@
 /// Returns an upstream that may have executed the request and whose execution forbids sending it to this one now.
 pub(crate) fn ran_at(
     now: Millis,
-    t: &ClientCall,
+    call: &ClientCall,
     class: ClassRules,
     places: &[Place],
     upstream: usize,
 ) -> Option<usize> {
-    let first_run = t
+    let first_run = call
         .attempts
         .iter()
         .find(|a| a.may_have_run())
@@ -25,7 +25,7 @@
             same && first_run.is_none_or(|at| now - at <= class.window + SLACK)
         }
     };
-    t.attempts
+    call.attempts
         .iter()
         .filter(|a| a.may_have_run())
         .map(|a| a.upstream)
--- a/lab/src/programs.rs
+++ b/lab/src/programs.rs
@@ -134,7 +134,7 @@
             return Err(wrong("duplicate name"));
         }
         let read: Result<toml::Table, _> = toml::from_str(&format!("all = {{ {keys} }}"));
-        let mut read = read.map_err(|e| wrong(&e.message().replace('\n', " ")))?;
+        let mut read = read.map_err(|error| wrong(&error.message().replace('\n', " ")))?;
         let Some(toml::Value::Table(keys)) = read.remove("all") else {
             return Err(wrong("expected NAME=KEY=VALUE, KEY=VALUE, ..."));
         };
@@ -163,14 +163,17 @@
 ///
 /// # Errors
 /// Returns the first invalid argument.
-pub fn builds(named: &[String], e: &Experiment) -> Result<BTreeMap<String, String>, ProgramsError> {
+pub fn builds(
+    named: &[String],
+    experiment: &Experiment,
+) -> Result<BTreeMap<String, String>, ProgramsError> {
     let mut builds = BTreeMap::new();
     for text in named {
         let wrong = argument_error("--build", text);
         let Some((name, command)) = text.split_once('=') else {
             return Err(wrong("expected NAME=COMMAND"));
         };
-        if !e.builds.iter().any(|b| b.name == name) {
+        if !experiment.builds.iter().any(|b| b.name == name) {
             return Err(wrong("the experiment has no build with this name"));
         }
         if builds
--- a/lab/src/results/folder.rs
+++ b/lab/src/results/folder.rs
@@ -187,12 +187,12 @@
     /// Returns an error if the report cannot be drawn or written.
     pub fn report(
         &self,
-        e: &Experiment,
+        experiment: &Experiment,
         plan: &Plan,
         plays: &[Played],
     ) -> Result<PathBuf, ResultsError> {
         let path = self.folder.join("report.html");
-        write(&path, &report::page(e, plan, plays)?)?;
+        write(&path, &report::page(experiment, plan, plays)?)?;
         Ok(path)
     }
 }
--- a/lab/src/results/summary.rs
+++ b/lab/src/results/summary.rs
@@ -28,7 +28,7 @@
 
 /// Writes the row of one play.
 fn write_row(text: &mut String, p: &Played) {
-    let f = &p.metrics;
+    let metrics = &p.metrics;
     let rules: u64 = p.counts.values().sum();
     let rules = if rules == 0 {
         "kept".to_string()
@@ -39,14 +39,14 @@
         text,
         "{:<18} {:>8} {:>7.3} {:>7.3} {:>6.3} {:>8.3} {:>7.3} {:>7.0} {:>7.0}  {rules}",
         format!("{}, {}", p.program, p.play + 1),
-        f.due,
-        f.value,
-        f.in_time,
-        f.late,
-        f.refused,
-        f.failed,
-        f.p50_ms,
-        f.p99_ms
+        metrics.due,
+        metrics.value,
+        metrics.in_time,
+        metrics.late,
+        metrics.refused,
+        metrics.failed,
+        metrics.p50_ms,
+        metrics.p99_ms
     );
 }
 
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -89,10 +89,10 @@
 }
 
 /// The limits of rules that the experiment sets.
-fn limits(e: &Experiment) -> Limits {
+fn limits(experiment: &Experiment) -> Limits {
     let bound = |t: &crate::experiment::Trials| Bound {
         // The experiment was validated, so the zone exists.
-        zone: e
+        zone: experiment
             .fleet
             .zones
             .iter()
@@ -101,15 +101,15 @@
         tier: t
             .tier
             .as_ref()
-            .and_then(|name| e.tiers.iter().position(|x| x.name == *name)),
+            .and_then(|name| experiment.tiers.iter().position(|x| x.name == *name)),
         during: (t.during.0.least, t.during.0.most),
         most: t.most,
     };
     Limits {
-        version_grace: e.bounds.version_grace.0.mean(),
-        agree: e.bounds.agree.map(|s| s.0.mean()),
-        retries: e.bounds.retries,
-        trials: e.bounds.trials.iter().map(bound).collect(),
+        version_grace: experiment.bounds.version_grace.0.mean(),
+        agree: experiment.bounds.agree.map(|s| s.0.mean()),
+        retries: experiment.bounds.retries,
+        trials: experiment.bounds.trials.iter().map(bound).collect(),
     }
 }
 
