--- a/lab/src/experiment/check/load.rs
+++ b/lab/src/experiment/check/load.rs
@@ -19,9 +19,9 @@
     Ok(())
 }
 
-pub(super) fn check_clients(c: &Clients) -> Result<(), Invalid> {
+pub(super) fn check_clients(clients: &Clients) -> Result<(), Invalid> {
     let invalid = |part: &str, what: &str| Err((format!("clients.{part}"), what.to_string()));
-    match (&c.rate, &c.load) {
+    match (&clients.rate, &clients.load) {
         (Some(_), Some(_)) => return invalid("load", "rate and load are mutually exclusive"),
         (None, None) => return invalid("rate", "missing: either rate or load must be given"),
         (Some(rate), None) if !(0.1..=50_000.0).contains(&rate.least) || rate.most > 50_000.0 => {
@@ -32,13 +32,13 @@
         }
         _ => {}
     }
-    if c.retries > 10 {
+    if clients.retries > 10 {
         return invalid("retries", "must be at most 10");
     }
-    if c.try_share.least <= 0.0 || c.try_share.most > 1.0 {
+    if clients.try_share.least <= 0.0 || clients.try_share.most > 1.0 {
         return invalid("try_share", "must be above 0 and at most 1");
     }
-    for (part, value) in [("honour", c.honour), ("impatient", c.impatient)] {
+    for (part, value) in [("honour", clients.honour), ("impatient", clients.impatient)] {
         if !(0.0..=1.0).contains(&value) {
             return invalid(part, "must be from 0 to 1");
         }
@@ -47,48 +47,59 @@
 }
 
 pub(super) fn check_tenants(tenants: &[Tenant], classes: &[Class]) -> Result<(), Invalid> {
-    for (i, t) in tenants.iter().enumerate() {
+    for (i, tenant) in tenants.iter().enumerate() {
         let invalid = |part: &str, what: String| Err((format!("tenant[{i}].{part}"), what));
-        if !(t.share > 0.0 && t.share.is_finite()) {
+        if !(tenant.share > 0.0 && tenant.share.is_finite()) {
             return invalid("share", "must be above 0".into());
         }
-        let own = t.rate.is_some() || t.load.is_some();
-        if t.rate.is_some() && t.load.is_some() {
+        let own = tenant.rate.is_some() || tenant.load.is_some();
+        if tenant.rate.is_some() && tenant.load.is_some() {
             return invalid("load", "rate and load are mutually exclusive".into());
         }
-        if t.rate
-            .or(t.load)
+        if tenant
+            .rate
+            .or(tenant.load)
             .is_some_and(|r| r.least <= 0.0 || r.most > 50_000.0)
         {
-            let key = if t.rate.is_some() { "rate" } else { "load" };
+            let key = if tenant.rate.is_some() {
+                "rate"
+            } else {
+                "load"
+            };
             return invalid(key, "must be above 0 and at most 50000".into());
         }
-        if (t.classes.is_some() || t.during.is_some()) && !own {
-            let key = if t.classes.is_some() {
+        if (tenant.classes.is_some() || tenant.during.is_some()) && !own {
+            let key = if tenant.classes.is_some() {
                 "classes"
             } else {
                 "during"
             };
             return invalid(key, "requires a rate or load of the tenant".into());
         }
-        let named = t.classes.iter().flatten();
+        let named = tenant.classes.iter().flatten();
         if let Some(name) = named
             .clone()
-            .find(|n| !classes.iter().any(|c| c.name == **n))
+            .find(|n| !classes.iter().any(|class| class.name == **n))
         {
             return invalid("classes", format!("there is no class {name:?}"));
         }
-        if t.classes.as_ref().is_some_and(Vec::is_empty) {
+        if tenant.classes.as_ref().is_some_and(Vec::is_empty) {
             return invalid("classes", "must name at least one class".into());
         }
-        if t.hops.is_some_and(|s| s.0.least < 1.0) {
+        if tenant.hops.is_some_and(|s| s.0.least < 1.0) {
             return invalid("hops", "must be at least 1ms".into());
         }
-        if t.connections.is_some_and(|n| !(1..=20_000).contains(&n)) {
+        if tenant
+            .connections
+            .is_some_and(|n| !(1..=20_000).contains(&n))
+        {
             return invalid("connections", "must be from 1 to 20000".into());
         }
     }
-    if tenants.iter().all(|t| t.rate.is_some() || t.load.is_some()) {
+    if tenants
+        .iter()
+        .all(|tenant| tenant.rate.is_some() || tenant.load.is_some())
+    {
         return Err((
             "tenant".into(),
             "at least one tenant must have neither rate nor load".into(),
--- a/lab/src/results/compare.rs
+++ b/lab/src/results/compare.rs
@@ -50,13 +50,13 @@
 ];
 
 /// Returns a metric reported by balancers about their tier; NaN if they exchange no datagrams.
-fn of_tier(p: &Played, of: fn(&Tier) -> f64) -> f64 {
-    p.tier.as_ref().map_or(f64::NAN, of)
+fn of_tier(play: &Played, of: fn(&Tier) -> f64) -> f64 {
+    play.tier.as_ref().map_or(f64::NAN, of)
 }
 
 /// Returns a recovery metric; NaN if no fault stopped balancers or the fleet did not recover.
-fn of_recovery(p: &Played, of: fn(&Recovery) -> Option<f64>) -> f64 {
-    p.recovery.as_ref().and_then(of).unwrap_or(f64::NAN)
+fn of_recovery(play: &Played, of: fn(&Recovery) -> Option<f64>) -> f64 {
+    play.recovery.as_ref().and_then(of).unwrap_or(f64::NAN)
 }
 
 /// Compares each program with the first: mean of the differences between paired plays, and half their range.
@@ -94,7 +94,7 @@
         for name in others {
             let other = of(name);
             let differences: Vec<f64> = pairs(&base, &other)
-                .map(|(b, o)| value(o) - value(b))
+                .map(|(base_play, other_play)| value(other_play) - value(base_play))
                 .collect();
             let _ = write!(
                 text,
@@ -162,8 +162,14 @@
     base: &'a [&Played],
     other: &'a [&Played],
 ) -> impl Iterator<Item = (&'a Played, &'a Played)> {
-    base.iter()
-        .filter_map(|b| Some((*b, *other.iter().find(|o| o.play == b.play)?)))
+    base.iter().filter_map(|base_play| {
+        Some((
+            *base_play,
+            *other
+                .iter()
+                .find(|other_play| other_play.play == base_play.play)?,
+        ))
+    })
 }
 
 /// Writes the differences of each pair of plays, and how many are positive and negative.
@@ -184,10 +190,10 @@
         .for_each(|(metric, _)| _ = write!(text, " {metric:>15}"));
     text.push('\n');
     let mut signs = [(0, 0); SHOWN.len()];
-    for (b, o) in pairs(base, other) {
-        let _ = write!(text, "{:<14} {:>12}", b.play + 1, b.seed);
+    for (base_play, other_play) in pairs(base, other) {
+        let _ = write!(text, "{:<14} {:>12}", base_play.play + 1, base_play.seed);
         for ((_, value), (up, down)) in SHOWN.iter().zip(&mut signs) {
-            let difference = value(o) - value(b);
+            let difference = value(other_play) - value(base_play);
             *up += usize::from(difference > 0.0);
             *down += usize::from(difference < 0.0);
             let _ = write!(text, " {difference:>+15.3}");
--- a/lab/src/results/summary.rs
+++ b/lab/src/results/summary.rs
@@ -17,19 +17,19 @@
         "p50 ms",
         "p99 ms"
     );
-    for p in plays {
-        write_row(&mut text, p);
+    for play in plays {
+        write_row(&mut text, play);
     }
-    for p in plays {
-        write_notes(&mut text, p);
+    for play in plays {
+        write_notes(&mut text, play);
     }
     text
 }
 
 /// Writes the row of one play.
-fn write_row(text: &mut String, p: &Played) {
-    let metrics = &p.metrics;
-    let rules: u64 = p.counts.values().sum();
+fn write_row(text: &mut String, play: &Played) {
+    let metrics = &play.metrics;
+    let rules: u64 = play.counts.values().sum();
     let rules = if rules == 0 {
         "kept".to_string()
     } else {
@@ -38,7 +38,7 @@
     let _ = writeln!(
         text,
         "{:<18} {:>8} {:>7.3} {:>7.3} {:>6.3} {:>8.3} {:>7.3} {:>7.0} {:>7.0}  {rules}",
-        format!("{}, {}", p.program, p.play + 1),
+        format!("{}, {}", play.program, play.play + 1),
         metrics.due,
         metrics.value,
         metrics.in_time,
@@ -51,27 +51,31 @@
 }
 
 /// Writes notes on one play: violations, missed expectations, lateness of the lab, tier metrics.
-fn write_notes(text: &mut String, p: &Played) {
-    let name = format!("{}, play {}", p.program, p.play + 1);
-    for (rule, count) in &p.counts {
-        let case = p.broken.iter().find(|b| b.rule == *rule);
-        let case = case.map_or(String::new(), |b| {
-            format!(", first at {:.2} s: {}", b.at / 1000.0, b.case)
+fn write_notes(text: &mut String, play: &Played) {
+    let name = format!("{}, play {}", play.program, play.play + 1);
+    for (rule, count) in &play.counts {
+        let case = play.broken.iter().find(|violation| violation.rule == *rule);
+        let case = case.map_or(String::new(), |violation| {
+            format!(
+                ", first at {:.2} s: {}",
+                violation.at / 1000.0,
+                violation.case
+            )
         });
         let _ = writeln!(text, "{name}: rule {rule} violated {count} times{case}");
     }
-    for missed in &p.missed {
+    for missed in &play.missed {
         let _ = writeln!(text, "{name}: expectation missed: {missed}");
     }
-    if !p.lateness.counts {
+    if !play.lateness.counts {
         let _ = writeln!(
             text,
             "{name}: not valid: {:.1}% of the lab's own sends and timers were late (p99 {:.1} ms)",
-            p.lateness.over * 100.0,
-            p.lateness.p99_ms
+            play.lateness.over * 100.0,
+            play.lateness.p99_ms
         );
     }
-    if let Some(t) = &p.tier {
+    if let Some(tier) = &play.tier {
         let describe = |times: &ConvergenceTimes| {
             format!(
                 "{:.0} ms at p99 ({:.0} ms at p50, {} samples, {} never)",
@@ -82,15 +86,15 @@
                 text,
                 "{name}: membership known after {}, load sums complete after {}; {} members suspected, {} version \
                  changes; {:.1} datagrams/s of {:.0} bytes per balancer",
-                describe(&t.members),
-                describe(&t.sums),
-                t.suspected,
-                t.steps,
-                p.datagrams.a_second,
-                p.datagrams.bytes_a_second / p.datagrams.a_second.max(0.1)
+                describe(&tier.members),
+                describe(&tier.sums),
+                tier.suspected,
+                tier.steps,
+                play.datagrams.a_second,
+                play.datagrams.bytes_a_second / play.datagrams.a_second.max(0.1)
             );
     }
-    if p.stopped {
+    if play.stopped {
         let _ = writeln!(text, "{name}: stopped manually before its end");
     }
 }
