--- a/lab/src/oracle/rules/lost.rs
+++ b/lab/src/oracle/rules/lost.rs
@@ -29,15 +29,15 @@
         now: Millis,
         name: &str,
         id: u64,
-        t: &ClientCall,
+        call: &ClientCall,
         how: Final,
     ) -> Option<Case> {
         match how {
-            Final::Turned if t.attempts.is_empty() => {
+            Final::ClosedNew if call.attempts.is_empty() => {
                 self.0 += 1;
                 None
             }
-            Final::Ended | Final::Turned | Final::TimedOut => {
+            Final::Closed | Final::ClosedNew | Final::TimedOut => {
                 let what = if how == Final::TimedOut {
                     "sent no response in time"
                 } else {
@@ -48,16 +48,16 @@
                 )))
             }
             Final::Served(_) | Final::Refused | Final::Failed => {
-                let by = now - t.deadline - ANSWER_GRACE - SLACK;
+                let by = now - call.deadline - ANSWER_GRACE - SLACK;
                 let case = || {
                     format!(
                         "{name} answered request {id:016x} {:.0} ms after its deadline",
-                        now - t.deadline
+                        now - call.deadline
                     )
                 };
                 (by > 0.0).then(|| Case::Late(by, case()))
             }
-            Final::Partial | Final::Left => None,
+            Final::Partial | Final::Abandoned => None,
         }
     }
 
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -5,7 +5,7 @@
 use crate::draw::Plan;
 use crate::experiment::{Experiment, Millis};
 use crate::net::{lock, Block, BlockError, Link};
-use crate::oracle::{Bound, ClassRules, Limits, Oracle, Parts, Place, Rule};
+use crate::oracle::{Bound, ClassRules, Limits, Oracle, OracleConfig, Place, Rule};
 use crate::pool::{ClientConnection, Pool};
 use crate::tally::Tally;
 use std::collections::{HashMap, VecDeque};
@@ -89,10 +89,10 @@
 }
 
 /// The limits of rules that the experiment sets.
-fn limits(e: &Experiment) -> Limits {
+fn limits(experiment: &Experiment) -> Limits {
     let bound = |t: &crate::experiment::Trials| Bound {
         // The experiment was validated, so the zone exists.
-        zone: e
+        zone: experiment
             .fleet
             .zones
             .iter()
@@ -101,15 +101,15 @@
         tier: t
             .tier
             .as_ref()
-            .and_then(|name| e.tiers.iter().position(|x| x.name == *name)),
+            .and_then(|name| experiment.tiers.iter().position(|x| x.name == *name)),
         during: (t.during.0.least, t.during.0.most),
         most: t.most,
     };
     Limits {
-        version_grace: e.bounds.version_grace.0.mean(),
-        agree: e.bounds.agree.map(|s| s.0.mean()),
-        retries: e.bounds.retries,
-        trials: e.bounds.trials.iter().map(bound).collect(),
+        version_grace: experiment.bounds.version_grace.0.mean(),
+        agree: experiment.bounds.agree.map(|s| s.0.mean()),
+        retries: experiment.bounds.retries,
+        trials: experiment.bounds.trials.iter().map(bound).collect(),
     }
 }
 
@@ -125,12 +125,12 @@
         cell: u.cell,
         tier: u.tier,
     };
-    Oracle::new(Parts {
+    Oracle::new(OracleConfig {
         classes: experiment.classes.iter().map(class).collect(),
         places: plan.upstreams.iter().map(place).collect(),
         balancers: plan.balancers.iter().map(|b| b.name.clone()).collect(),
         upstreams: plan.upstreams.iter().map(|u| u.name.clone()).collect(),
-        attempts_most: experiment.balancer.attempts as usize,
+        max_attempts: experiment.balancer.attempts as usize,
         drain_grace: experiment.balancer.drain_grace.0.mean(),
         members: plan.balancers.iter().map(|b| (b.tier, b.index)).collect(),
         limits: limits(experiment),
@@ -251,7 +251,7 @@
     /// Records a violation.
     pub fn report_violation(&self, rule: Rule, case: String) {
         let now = self.now();
-        lock(&self.oracle).breaks(now, rule, case);
+        lock(&self.oracle).record_violation(now, rule, case);
     }
 
     /// Passes a datagram that a balancer sent to the oracle; one that is too long is a violation.
