--- a/balancer/core/src/interface/learned.rs
+++ b/balancer/core/src/interface/learned.rs
@@ -17,41 +17,51 @@
     /// Capacity of the next tier for this instance.
     pub capacity: f64,
     /// Recent mean of the admitted rate.
-    pub recent: f64,
+    #[serde(rename = "recent")]
+    pub admitted_mean: f64,
     /// Recent peak of the admitted rate.
-    pub peak: f64,
+    #[serde(rename = "peak")]
+    pub admitted_peak: f64,
     /// Served rate over all instances, as reported by upstreams; zero if unknown.
-    pub served: f64,
+    #[serde(rename = "served")]
+    pub served_rate: f64,
     /// Fraction of responses within their objective.
-    pub success: f64,
+    #[serde(rename = "success")]
+    pub on_time_fraction: f64,
     /// Fraction of the capacity floor that applies; reduced while response times indicate an overload.
-    pub uncrowded: f64,
+    #[serde(rename = "uncrowded")]
+    pub floor_fraction: f64,
     /// Mean response time without queueing.
-    pub unloaded: Millis,
+    #[serde(rename = "unloaded")]
+    pub unloaded_response_time: Millis,
 }
 
 impl Load {
     /// Scales the rates to `size` times as many upstreams.
-    pub fn scaled(self, size: f64) -> Load {
+    pub fn scale(self, size: f64) -> Load {
         Load {
             capacity: size * self.capacity,
-            recent: size * self.recent,
-            peak: size * self.peak,
+            admitted_mean: size * self.admitted_mean,
+            admitted_peak: size * self.admitted_peak,
             ..self
         }
     }
 
     /// Interpolates towards a saved load: with weight `load` for load values and `times` for response times.
-    pub fn mixed(self, saved: &Load, load: f64, times: f64) -> Load {
+    pub fn interpolate(self, saved: &Load, load: f64, times: f64) -> Load {
         let blend = |now: f64, then: f64, weight: f64| now + weight * (then - now);
         Load {
             capacity: blend(self.capacity, saved.capacity, load),
-            recent: blend(self.recent, saved.recent, load),
-            peak: blend(self.peak, saved.peak, load),
-            served: blend(self.served, saved.served, load),
-            success: blend(self.success, saved.success, load),
-            uncrowded: blend(self.uncrowded, saved.uncrowded, load),
-            unloaded: blend(self.unloaded, saved.unloaded, times),
+            admitted_mean: blend(self.admitted_mean, saved.admitted_mean, load),
+            admitted_peak: blend(self.admitted_peak, saved.admitted_peak, load),
+            served_rate: blend(self.served_rate, saved.served_rate, load),
+            on_time_fraction: blend(self.on_time_fraction, saved.on_time_fraction, load),
+            floor_fraction: blend(self.floor_fraction, saved.floor_fraction, load),
+            unloaded_response_time: blend(
+                self.unloaded_response_time,
+                saved.unloaded_response_time,
+                times,
+            ),
         }
     }
 }
@@ -63,7 +73,8 @@
     /// Response time relative to the mean of its machine type.
     pub slowness: f64,
     /// Recent fraction of attempts that failed.
-    pub fails: f64,
+    #[serde(rename = "fails")]
+    pub failure_rate: f64,
     /// Number of completed attempts.
     pub outcomes: u32,
     /// When it was last used.
@@ -78,7 +89,7 @@
 
 impl Health {
     /// Converts the times to a clock that is ahead by `by`. Times before its zero become zero.
-    pub fn shifted(self, by: Millis) -> Health {
+    pub fn shift_clock(self, by: Millis) -> Health {
         let shift = |at: Millis| (at + by).max(0.0);
         Health {
             last_used: shift(self.last_used),
@@ -107,7 +118,7 @@
             self.lost_until,
         ];
         amounts.into_iter().all(is_amount)
-            && is_fraction(self.fails)
+            && is_fraction(self.failure_rate)
             && counts.into_iter().all(|count| count <= MAX_COUNT)
     }
 }
@@ -123,7 +134,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Learned {
     /// When the state was saved, on the clock of the saving instance, which all times here refer to.
-    pub at: Millis,
+    #[serde(rename = "at")]
+    pub saved_at: Millis,
     /// Learned load.
     pub load: Load,
     /// Highest number of ready upstreams so far, weighted by slow start.
@@ -132,7 +144,8 @@
     /// Fraction of `upstreams_max` that was usable.
     pub upstreams_usable: f64,
     /// Mean response time.
-    pub answer: Millis,
+    #[serde(rename = "answer")]
+    pub mean_response_time: Millis,
     /// Mean deviation from the mean response time.
     pub deviation: Millis,
     /// Requests per cycle of each tenant, in the order of [`Settings::tenants`], plus one entry for all unlisted
@@ -141,7 +154,8 @@
     /// Mean response time of each machine type relative to the class's objective, and its number of samples.
     pub kinds: BTreeMap<u8, (f64, f64)>,
     /// Fraction of calls without a response, bucketed by how long their connection may have been idle.
-    pub rest_lost: Vec<f64>,
+    #[serde(rename = "rest_lost")]
+    pub idle_loss_rates: Vec<f64>,
     /// Upstreams that were called, with the start time of their process. The state does not apply after a restart.
     pub upstreams: Vec<(UpstreamId, Millis, Health)>,
 }
@@ -162,7 +176,7 @@
             "a rate of at least 0 for each tenant",
         )?;
         check(
-            self.rest_lost.iter().copied().all(is_fraction),
+            self.idle_loss_rates.iter().copied().all(is_fraction),
             "learned.rest_lost",
             "between 0 and 1",
         )?;
@@ -180,18 +194,22 @@
         let load = &self.load;
         let amounts = [
             load.capacity,
-            load.recent,
-            load.peak,
-            load.served,
+            load.admitted_mean,
+            load.admitted_peak,
+            load.served_rate,
             self.upstreams_max,
-            self.at,
+            self.saved_at,
         ];
         check(
             amounts.into_iter().all(is_amount),
             "learned.load",
             "numbers of at least 0",
         )?;
-        let parts = [load.success, load.uncrowded, self.upstreams_usable];
+        let parts = [
+            load.on_time_fraction,
+            load.floor_fraction,
+            self.upstreams_usable,
+        ];
         check(
             parts.into_iter().all(is_fraction),
             "learned.load.success",
@@ -205,7 +223,8 @@
         let longest = deadlines.fold(0.0, f64::max);
         let is_response_time = |time: f64| (MIN_RESPONSE_TIME..=longest).contains(&time);
         check(
-            is_response_time(self.answer) && is_response_time(self.load.unloaded),
+            is_response_time(self.mean_response_time)
+                && is_response_time(self.load.unloaded_response_time),
             "learned.answer",
             "at least 0.001 ms and at most the longest deadline",
         )?;
--- a/balancer/core/src/interface/tier.rs
+++ b/balancer/core/src/interface/tier.rs
@@ -9,14 +9,14 @@
     /// Requests per second.
     pub demand: f64,
     /// Mean number of upstream calls in flight over about a second; a call counts for its whole duration.
-    pub calls: f64,
+    pub calls_in_flight: f64,
     /// Open client connections.
     pub client_connections: f64,
 }
 
 impl TenantLoad {
-    fn is_sound(&self) -> bool {
-        [self.demand, self.calls, self.client_connections]
+    fn is_valid(&self) -> bool {
+        [self.demand, self.calls_in_flight, self.client_connections]
             .into_iter()
             .all(is_amount)
     }
@@ -40,7 +40,7 @@
 
 impl TierLoad {
     /// Ratio of demand to capacity.
-    pub fn pressure(&self) -> f64 {
+    pub fn demand_ratio(&self) -> f64 {
         self.demand / self.capacity.max(1.0)
     }
 }
@@ -57,7 +57,7 @@
 }
 
 impl TierSums {
-    fn is_sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         let load = &self.load;
         let totals = [
             load.demand,
@@ -67,7 +67,7 @@
             self.age,
             self.error,
         ];
-        totals.into_iter().all(is_amount) && load.tenants.iter().all(TenantLoad::is_sound)
+        totals.into_iter().all(is_amount) && load.tenants.iter().all(TenantLoad::is_valid)
     }
 }
 
@@ -99,12 +99,12 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TierUpdate {
     /// Number of live instances, including this one; one if no other is known.
-    pub up: u32,
+    pub live_instances: u32,
     /// Index of this instance among them, from zero.
-    pub position: u32,
+    pub index: u32,
     /// Whether this instance is connected to most of them. A partitioned instance must not take its partition for the
     /// whole tier.
-    pub joined: bool,
+    pub connected: bool,
     /// Sums over the tier; absent if no recent ones were received, or if some instances do not support sums yet.
     pub sums: Option<TierSums>,
     /// Observations by other instances.
@@ -113,11 +113,12 @@
 
 impl TierUpdate {
     /// Whether every number is valid; an invalid update is ignored.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         // Member lists hold at most `u16::MAX` members.
-        let is_member = self.position < self.up && self.up <= u32::from(u16::MAX);
+        let is_member =
+            self.index < self.live_instances && self.live_instances <= u32::from(u16::MAX);
         is_member
-            && self.sums.iter().all(TierSums::is_sound)
+            && self.sums.iter().all(TierSums::is_valid)
             && self.evidence.iter().all(|evidence| is_amount(evidence.age))
     }
 }
@@ -128,7 +129,7 @@
     /// Load of this instance. `client_connections` is zero here; the host fills it in.
     pub load: TierLoad,
     /// Upstreams and zones that it observes to fail, the worst first.
-    pub against: Vec<Subject>,
+    pub failing: Vec<Subject>,
     /// Upstreams and zones that failed and have responded since.
     pub cleared: Vec<Subject>,
 }
--- a/balancer/core/src/policy/admission.rs
+++ b/balancer/core/src/policy/admission.rs
@@ -27,9 +27,12 @@
         // immediately: calls beyond capacity times unloaded response time are queued somewhere.
         let load = &capacity.load;
         let in_flight_during = |time: Millis| load.capacity / CYCLE * time + MIN_IN_FLIGHT;
-        let full_in_flight = in_flight_during(load.unloaded * FULL_IN_FLIGHT_MULTIPLE);
-        let max_in_flight =
-            in_flight_during((load.unloaded * MAX_IN_FLIGHT_MULTIPLE).max(capacity.on_time_limit));
+        let full_in_flight =
+            in_flight_during(load.unloaded_response_time * FULL_IN_FLIGHT_MULTIPLE);
+        let max_in_flight = in_flight_during(
+            (load.unloaded_response_time * MAX_IN_FLIGHT_MULTIPLE)
+                .max(capacity.zero_lateness_limit),
+        );
         let state = &mut self.tenants[tenant];
         state.cycle_requests += 1.0;
         let in_flight = self.in_flight - self.in_flight_lost;
@@ -103,7 +106,7 @@
 
 impl Balancer {
     /// The tenant with the most client connections relative to its share; tenants with zero are skipped.
-    pub fn furthest_over(&self, in_use: &[u32]) -> Option<usize> {
+    pub fn tenant_furthest_over_share(&self, in_use: &[u32]) -> Option<usize> {
         let tenants = &self.admission.tenants;
         let relative = |tenant: &usize| f64::from(in_use[*tenant]) / tenants[*tenant].weight;
         (0..in_use.len().min(tenants.len()))
--- a/balancer/core/src/policy/attempts.rs
+++ b/balancer/core/src/policy/attempts.rs
@@ -162,7 +162,7 @@
         let fleet = &self.fleet;
         let upstream = &fleet.slots[slot];
         let class = &self.settings.classes[pending.class];
-        let suspect = upstream.health.fails > SUSPECT_FAILURE_RATE
+        let suspect = upstream.health.failure_rate > SUSPECT_FAILURE_RATE
             || fleet.idle_connections.loss_rates[idle_step] > SUSPECT_FAILURE_RATE / 4.0
             || fleet.is_in_ejected_zone(slot);
         let may_repeat = pending.attempts + 1 < self.settings.max_attempts
@@ -210,7 +210,7 @@
         let max = self.settings.max_retry_after;
         let retry_after = match self.tier.sums(now) {
             // Excess demand is spread over as many cycles as the ratio of demand to capacity.
-            Some(sums) => jitter * (CYCLE * sums.load.pressure().max(1.0)).min(max / 1.5),
+            Some(sums) => jitter * (CYCLE * sums.load.demand_ratio().max(1.0)).min(max / 1.5),
             None => (CYCLE * jitter).min(max),
         };
         Action::Refuse {
--- a/balancer/core/src/policy/capacity.rs
+++ b/balancer/core/src/policy/capacity.rs
@@ -4,10 +4,11 @@
 
 /// Weight of the latest cycle in a tenant's smoothed demand; low, as an instance sees few calls per tenant and cycle.
 pub(super) const DEMAND_GAIN: f64 = 0.3;
-/// Fraction of the objective within which a response counts as on time; the rest is headroom for queues that have not
-/// been detected yet.
-const ON_TIME_FRACTION: f64 = 0.4;
-/// Maximum lateness, also that of failures and timeouts. Lateness is 0 at [`ON_TIME_FRACTION`] and 1 at the objective.
+/// Fraction of the objective up to which lateness is zero; the rest is headroom for queues that have not been detected
+/// yet.
+const ZERO_LATENESS_FRACTION: f64 = 0.4;
+/// Maximum lateness, also that of failures and timeouts. Lateness is 0 at [`ZERO_LATENESS_FRACTION`] and 1 at the
+/// objective.
 pub(super) const MAX_LATENESS: f64 = 2.0;
 /// Mean lateness at which capacity stays unchanged: expensive calls and slow servers cause some without overload.
 const STEADY_LATENESS: f64 = 0.08;
@@ -24,7 +25,7 @@
 /// Maximum relative decrease of capacity per cycle.
 const MAX_CAPACITY_DECREASE: f64 = 0.35;
 /// Fraction of responses within their objective below which the capacity floor is lowered.
-pub(super) const MIN_SUCCESS: f64 = 0.7;
+pub(super) const MIN_ON_TIME_FRACTION: f64 = 0.7;
 /// Minimum fraction of the capacity floor; without one, traffic would not recover.
 pub(super) const MIN_FLOOR: f64 = 0.3;
 /// Minimum number of responses to adapt capacity.
@@ -83,18 +84,18 @@
         Capacity {
             load: Load {
                 capacity,
-                recent: stated / multiple,
-                peak: stated,
-                unloaded: objective / 4.0,
-                success: 1.0,
-                uncrowded: 1.0,
-                served: 0.0,
+                admitted_mean: stated / multiple,
+                admitted_peak: stated,
+                unloaded_response_time: objective / 4.0,
+                on_time_fraction: 1.0,
+                floor_fraction: 1.0,
+                served_rate: 0.0,
             },
             even_quota: (quota_per_s * CYCLE / 1000.0).max(MIN_QUOTA),
             total_quota,
             listed: 1.0,
             usable: 1.0,
-            on_time_limit: ON_TIME_FRACTION * objective,
+            zero_lateness_limit: ZERO_LATENESS_FRACTION * objective,
             ..Capacity::default()
         }
     }
@@ -103,32 +104,33 @@
     /// responses are within their objective.
     pub(crate) fn record_response_time(&mut self, mean: Millis) {
         let load = &mut self.load;
-        let growth = if load.success < MIN_SUCCESS {
+        let growth = if load.on_time_fraction < MIN_ON_TIME_FRACTION {
             1.0
         } else {
             1.0 + UNLOADED_GROWTH
         };
-        load.unloaded = (load.unloaded * growth).min(mean);
+        load.unloaded_response_time = (load.unloaded_response_time * growth).min(mean);
         // Overloaded servers stay slow unless the floor is lowered. It is raised again in steps, so that the overload does
         // not recur.
-        if mean > MAX_IN_FLIGHT_MULTIPLE * load.unloaded {
-            load.uncrowded *= 1.0 - MAX_CAPACITY_DECREASE;
-        } else if mean < FULL_IN_FLIGHT_MULTIPLE * load.unloaded {
-            load.uncrowded *= 1.0 + CAPACITY_GROWTH;
+        if mean > MAX_IN_FLIGHT_MULTIPLE * load.unloaded_response_time {
+            load.floor_fraction *= 1.0 - MAX_CAPACITY_DECREASE;
+        } else if mean < FULL_IN_FLIGHT_MULTIPLE * load.unloaded_response_time {
+            load.floor_fraction *= 1.0 + CAPACITY_GROWTH;
         }
-        load.uncrowded = load.uncrowded.clamp(MIN_FLOOR, 1.0);
+        load.floor_fraction = load.floor_fraction.clamp(MIN_FLOOR, 1.0);
     }
 
     /// Updates the admitted rates, and adapts the capacity after a complete cycle.
     pub(super) fn end_cycle(&mut self, cycle: &CycleEnd) {
         let per_cycle = cycle.admitted / cycle.fraction;
         if cycle.fraction > 0.0 {
-            self.load.recent += cycle.fraction * DEMAND_GAIN * (per_cycle - self.load.recent);
+            self.load.admitted_mean +=
+                cycle.fraction * DEMAND_GAIN * (per_cycle - self.load.admitted_mean);
         }
         if !cycle.complete {
             return;
         }
-        self.load.peak = per_cycle.max(self.load.peak * CYCLE_DECAY);
+        self.load.admitted_peak = per_cycle.max(self.load.admitted_peak * CYCLE_DECAY);
         self.adapt(per_cycle);
         // Refusals within limits mean that the limits exceed what is carried: lower capacity to the carried rate, so that
         // the limits decide which tenants are refused.
@@ -137,9 +139,9 @@
         } else {
             f64::INFINITY
         };
-        let max = carried.min(self.load.peak * CAPACITY_MARGIN + 1.0);
+        let max = carried.min(self.load.admitted_peak * CAPACITY_MARGIN + 1.0);
         self.load.capacity = self.load.capacity.min(max).max(self.floor());
-        if self.knows_served() {
+        if self.knows_served_rate() {
             // Capacity learned under low load, summed over all instances, would overload the upstreams in a burst; so it
             // stays close to the quotas.
             let max = self.quota_share() * (1.0 + CAPACITY_GROWTH);
@@ -148,21 +150,22 @@
     }
 
     /// Whether both the total quota and the served rate over all instances are known.
-    fn knows_served(&self) -> bool {
-        self.load.served > 0.0 && self.total_quota > 0.0
+    fn knows_served_rate(&self) -> bool {
+        self.load.served_rate > 0.0 && self.total_quota > 0.0
     }
 
     /// Minimum capacity, without which lateness could reduce it to zero: the quota, scaled down with the usable upstreams
     /// and the fraction of responses within their objective.
     fn floor(&self) -> f64 {
-        let success = (self.load.success / MIN_SUCCESS).clamp(MIN_FLOOR, self.load.uncrowded);
-        self.quota_share() * self.usable * success
+        let fraction = (self.load.on_time_fraction / MIN_ON_TIME_FRACTION)
+            .clamp(MIN_FLOOR, self.load.floor_fraction);
+        self.quota_share() * self.usable * fraction
     }
 
     /// This instance's share of the quotas: an equal one, or a larger one if it gets more traffic than others.
     fn quota_share(&self) -> f64 {
-        let traffic_share = if self.load.served > 0.0 {
-            (self.load.recent / self.load.served).min(1.0)
+        let traffic_share = if self.load.served_rate > 0.0 {
+            (self.load.admitted_mean / self.load.served_rate).min(1.0)
         } else {
             0.0
         };
@@ -170,22 +173,23 @@
     }
 
     /// Records the served rate over all instances in calls per cycle; `None` if unknown.
-    pub(crate) fn record_served(&mut self, served: Option<f64>) {
-        let before = if self.load.served > 0.0 {
-            self.load.served
+    pub(crate) fn record_served_rate(&mut self, served_rate: Option<f64>) {
+        let before = if self.load.served_rate > 0.0 {
+            self.load.served_rate
         } else {
             self.total_quota
         };
-        self.load.served = served.map_or(0.0, |served| before + DEMAND_GAIN * (served - before));
+        self.load.served_rate =
+            served_rate.map_or(0.0, |rate| before + DEMAND_GAIN * (rate - before));
     }
 
     /// Calls per cycle that the upstreams carry for this balancer in normal operation; not reduced by an overload.
     /// If more balancers run than configured, each one's part is smaller: it follows from the total served rate, or else
     /// from its own demand.
     pub(crate) fn carried(&self, demand: f64) -> f64 {
-        let carried = self.load.recent * self.load.success.max(MIN_FLOOR);
-        let quota = if self.knows_served() {
-            self.total_quota * (carried / self.load.served).min(1.0)
+        let carried = self.load.admitted_mean * self.load.on_time_fraction.max(MIN_FLOOR);
+        let quota = if self.knows_served_rate() {
+            self.total_quota * (carried / self.load.served_rate).min(1.0)
         } else {
             self.even_quota.min(CAPACITY_MARGIN * demand)
         };
@@ -195,7 +199,7 @@
     /// Records the lateness of a response.
     pub(crate) fn record_lateness(&mut self, lateness: f64) {
         if lateness < 1.0 {
-            self.in_time += 1.0;
+            self.on_time += 1.0;
         }
         self.lateness += lateness;
         self.responses += 1.0;
@@ -208,7 +212,8 @@
         }
         let mean = self.lateness / self.responses;
         let load = &mut self.load;
-        load.success += DEMAND_GAIN * (self.in_time / self.responses - load.success);
+        load.on_time_fraction +=
+            DEMAND_GAIN * (self.on_time / self.responses - load.on_time_fraction);
         if mean > STEADY_LATENESS {
             let decrease =
                 (CAPACITY_DECREASE * (mean - STEADY_LATENESS)).min(MAX_CAPACITY_DECREASE);
@@ -220,12 +225,12 @@
             load.capacity = load.capacity.max(admitted) * growth;
         }
         self.lateness = 0.0;
-        self.in_time = 0.0;
+        self.on_time = 0.0;
         self.responses = 0.0;
     }
 }
 
 /// Lateness of a response that took `relative` times its class's objective.
 pub(super) fn lateness(relative: f64) -> f64 {
-    ((relative - ON_TIME_FRACTION) / (1.0 - ON_TIME_FRACTION)).clamp(0.0, MAX_LATENESS)
+    ((relative - ZERO_LATENESS_FRACTION) / (1.0 - ZERO_LATENESS_FRACTION)).clamp(0.0, MAX_LATENESS)
 }
--- a/balancer/core/src/policy/ejection.rs
+++ b/balancer/core/src/policy/ejection.rs
@@ -147,10 +147,10 @@
         let failure = f64::from(u8::from(failed));
         let health = &mut upstream.health;
         // An upstream that accepts calls without responding is ejected without waiting for further timeouts.
-        health.fails = if hung {
+        health.failure_rate = if hung {
             1.0
         } else {
-            health.fails + FAILURE_GAIN * (failure - health.fails)
+            health.failure_rate + FAILURE_GAIN * (failure - health.failure_rate)
         };
         health.count_outcome();
         // Includes all upstreams: if most fail, no single one is an outlier.
@@ -170,10 +170,10 @@
         } else {
             EJECTION_FAILURE_RATE
         };
-        let is_outlier = is_conclusive || health.fails > EJECTION_RATIO * self.failure_rate;
-        let at_fault = health.fails > bound && is_outlier;
+        let is_outlier = is_conclusive || health.failure_rate > EJECTION_RATIO * self.failure_rate;
+        let at_fault = health.failure_rate > bound && is_outlier;
         let is_ejected = now < health.ejected_until;
-        if !failed && !is_ejected && health.fails < EJECTION_FAILURE_RATE / 2.0 {
+        if !failed && !is_ejected && health.failure_rate < EJECTION_FAILURE_RATE / 2.0 {
             health.ejections = 0;
         }
         let enough_evidence = is_conclusive || corroborated || health.outcomes >= MIN_OUTCOMES;
@@ -193,7 +193,7 @@
             return None;
         }
         // Every ejection starts at this failure rate; a lower rate means that there was a response since.
-        if health.fails < EJECTION_FAILURE_RATE {
+        if health.failure_rate < EJECTION_FAILURE_RATE {
             (now < health.lost_until + MAX_EJECTION).then_some(Finding::Cleared)
         } else {
             (now < health.lost_until).then_some(Finding::Unresponsive)
@@ -250,5 +250,5 @@
         health.lost_until = health.ejected_until;
     }
     // One more failure after the ejection ends ejects it again.
-    health.fails = EJECTION_FAILURE_RATE;
+    health.failure_rate = EJECTION_FAILURE_RATE;
 }
--- a/balancer/core/src/policy/events.rs
+++ b/balancer/core/src/policy/events.rs
@@ -1,5 +1,5 @@
 //! Dispatches the events and timers of an instance.
-use super::{capacity::MIN_SUCCESS, limits::CYCLE, requests::MAX_RETRY_BUDGET};
+use super::{capacity::MIN_ON_TIME_FRACTION, limits::CYCLE, requests::MAX_RETRY_BUDGET};
 use crate::{interface::*, state::*};
 
 /// Initial backoff before the endpoint list is requested again after a failure; doubles on each failure.
@@ -24,7 +24,7 @@
         let admission = Admission::new(&settings, now);
         let capacity = Capacity::new(&settings);
         let mut fleet = Fleet::new(&settings);
-        fleet.resize_subset(&settings, capacity.load.peak);
+        fleet.resize_subset(&settings, capacity.load.admitted_peak);
         Ok(Balancer::with_parts(
             settings,
             seed,
@@ -192,12 +192,13 @@
             .record_response_time(self.fleet.response_times.mean);
         self.fleet.zones.return_gradually(now, actions);
         self.rescale_capacity(now);
-        self.capacity.record_served(self.fleet.served_by_all(now));
+        self.capacity
+            .record_served_rate(self.fleet.served_by_all(now));
         self.admission.end_cycle(now, &mut self.capacity);
-        let late = self.capacity.load.success < MIN_SUCCESS;
+        let late = self.capacity.load.on_time_fraction < MIN_ON_TIME_FRACTION;
         actions.extend(self.report_lateness(late));
         self.fleet
-            .resize_subset(&self.settings, self.capacity.load.recent);
+            .resize_subset(&self.settings, self.capacity.load.admitted_mean);
         actions.push(Action::SetTimer {
             after: CYCLE,
             token: TIMER_CYCLE,
--- a/balancer/core/src/policy/requests.rs
+++ b/balancer/core/src/policy/requests.rs
@@ -52,13 +52,13 @@
     /// Adds the retries that a request earns to the retry budget.
     fn earn_retries(&mut self, now: Millis) {
         let max_budget = self.tier.current(now).map_or(MAX_RETRY_BUDGET, |update| {
-            (MAX_TIER_RETRY_BUDGET / f64::from(update.up)).clamp(1.0, MAX_RETRY_BUDGET)
+            (MAX_TIER_RETRY_BUDGET / f64::from(update.live_instances)).clamp(1.0, MAX_RETRY_BUDGET)
         });
         let overloaded = self
             .tier
             .sums(now)
             .map(|sums| &sums.load)
-            .filter(|load| load.pressure() > 1.0);
+            .filter(|load| load.demand_ratio() > 1.0);
         let earned = overloaded.map_or(RETRY_RATIO, |load| {
             OVERLOADED_RETRY_RATIO * (load.first_attempts / load.demand).min(1.0)
         });
--- a/balancer/core/src/policy/restore.rs
+++ b/balancer/core/src/policy/restore.rs
@@ -51,29 +51,30 @@
         capacity.usable = counts.usable;
         let scale = (counts.usable / saved.upstreams_usable.max(0.01)).min(1.0);
         // The served rate is assumed to equal the quotas until upstreams report it.
-        capacity.load.served = if saved.load.served > 0.0 {
+        capacity.load.served_rate = if saved.load.served_rate > 0.0 {
             capacity.total_quota
         } else {
             0.0
         };
-        let saved_load = saved.load.scaled(scale);
-        capacity.load = capacity
-            .load
-            .mixed(&saved_load, weights.load, weights.response_times);
-        capacity.load.uncrowded = capacity.load.uncrowded.max(MIN_FLOOR);
+        let saved_load = saved.load.scale(scale);
+        capacity.load =
+            capacity
+                .load
+                .interpolate(&saved_load, weights.load, weights.response_times);
+        capacity.load.floor_fraction = capacity.load.floor_fraction.max(MIN_FLOOR);
         for (tenant, &demand) in self.admission.tenants.iter_mut().zip(&saved.demands) {
             if let Some(demand) = demand {
                 tenant.seen = true;
                 blend(&mut tenant.demand, demand, weights.load);
             }
         }
-        fleet.resize_subset(&self.settings, capacity.load.recent);
+        fleet.resize_subset(&self.settings, capacity.load.admitted_mean);
         self.admission.end_cycle(now, capacity);
     }
 
     fn restore_upstreams(&mut self, now: Millis, saved: &Learned, age: Millis, weights: &Weights) {
         let fleet = &mut self.fleet;
-        let clock_shift = now - age - saved.at;
+        let clock_shift = now - age - saved.saved_at;
         for &(id, since, health) in &saved.upstreams {
             let Some(&slot) = fleet.by_id.get(&id) else {
                 continue;
@@ -82,9 +83,9 @@
             if upstream.endpoint.since != since {
                 continue;
             }
-            let shifted = health.shifted(clock_shift);
+            let shifted = health.shift_clock(clock_shift);
             upstream.health = Health {
-                fails: weights.load * health.fails,
+                failure_rate: weights.load * health.failure_rate,
                 ejected_until: shifted.ejected_until.min(now + MAX_EJECTION),
                 lost_until: shifted.lost_until.min(now + MAX_EJECTION),
                 ..shifted
@@ -103,11 +104,15 @@
             }
         }
         let loss_rates = &mut fleet.idle_connections.loss_rates;
-        for (loss_rate, &saved) in loss_rates.iter_mut().zip(&saved.rest_lost) {
+        for (loss_rate, &saved) in loss_rates.iter_mut().zip(&saved.idle_loss_rates) {
             blend(loss_rate, saved, weights.response_times);
         }
         let times = &mut fleet.response_times;
-        blend(&mut times.mean, saved.answer, weights.response_times);
+        blend(
+            &mut times.mean,
+            saved.mean_response_time,
+            weights.response_times,
+        );
         blend(
             &mut times.deviation,
             saved.deviation,
--- a/balancer/core/src/policy/tier.rs
+++ b/balancer/core/src/policy/tier.rs
@@ -61,7 +61,7 @@
     ) -> TrialIntervalFactors {
         let (turn, instances) = match (self.current(now), self.evidence(subject, now)) {
             (Some(update), Some(evidence)) if f64::from(evidence.observers) >= TRIAL_INSTANCES => {
-                (members_before(update, subject) + 1, update.up)
+                (members_before(update, subject) + 1, update.live_instances)
             }
             // Partitioned from other instances that may also try: assume an equal share of the trials, by index.
             (None, _) if self.has_seen_peers => {
--- a/balancer/core/src/state/capacity.rs
+++ b/balancer/core/src/state/capacity.rs
@@ -17,9 +17,9 @@
     /// Number of responses since capacity was last adapted.
     pub responses: f64,
     /// Number of `responses` within their objective.
-    pub in_time: f64,
+    pub on_time: f64,
     /// Total lateness of `responses`.
     pub lateness: f64,
     /// Response time up to which responses count as on time.
-    pub on_time_limit: Millis,
+    pub zero_lateness_limit: Millis,
 }
--- a/balancer/core/src/state/learned.rs
+++ b/balancer/core/src/state/learned.rs
@@ -13,17 +13,17 @@
     let tenants = balancer.admission.tenants.iter();
     let kind = |(&kind, time): (&u8, &KindResponseTime)| (kind, (time.relative, time.samples));
     Learned {
-        at: now,
+        saved_at: now,
         load: balancer.capacity.load,
         upstreams_max: fleet.max_ready,
         upstreams_usable: usable,
-        answer: fleet.response_times.mean,
+        mean_response_time: fleet.response_times.mean,
         deviation: fleet.response_times.deviation,
         demands: tenants
             .map(|tenant| tenant.seen.then_some(tenant.demand))
             .collect(),
         kinds: fleet.response_times.kinds.iter().map(kind).collect(),
-        rest_lost: fleet.idle_connections.loss_rates.to_vec(),
+        idle_loss_rates: fleet.idle_connections.loss_rates.to_vec(),
         upstreams: called
             .map(|upstream| {
                 let endpoint = &upstream.endpoint;
--- a/balancer/core/src/state/meter.rs
+++ b/balancer/core/src/state/meter.rs
@@ -111,7 +111,7 @@
     pub(crate) fn load(&self, capacity_per_s: f64, now: Millis) -> TierLoad {
         let load_of = |tenant: &TenantMeter| TenantLoad {
             demand: tenant.requests.read(now),
-            calls: tenant.in_flight.read(now),
+            calls_in_flight: tenant.in_flight.read(now),
             client_connections: 0.0,
         };
         let tenants: Vec<TenantLoad> = self.tenants.iter().map(load_of).collect();
--- a/balancer/core/src/state/observed.rs
+++ b/balancer/core/src/state/observed.rs
@@ -53,7 +53,7 @@
         let subjects = |wanted| zones(wanted).chain(upstreams(wanted)).collect();
         Observed {
             load,
-            against: subjects(Finding::Unresponsive),
+            failing: subjects(Finding::Unresponsive),
             cleared: subjects(Finding::Cleared),
         }
     }
--- a/balancer/core/src/state/tier.rs
+++ b/balancer/core/src/state/tier.rs
@@ -15,9 +15,12 @@
     /// Stores an update and returns the time since the previous one.
     pub(crate) fn handle_update(&mut self, update: Box<TierUpdate>, now: Millis) -> Millis {
         let since_last = now - self.updated_at;
-        self.update = Some(update).filter(|update| update.joined && update.is_sound());
+        self.update = Some(update).filter(|update| update.connected && update.is_valid());
         self.updated_at = now;
-        self.has_seen_peers |= self.update.as_ref().is_some_and(|update| update.up > 1);
+        self.has_seen_peers |= self
+            .update
+            .as_ref()
+            .is_some_and(|update| update.live_instances > 1);
         since_last
     }
 }
@@ -29,12 +32,12 @@
         Subject::Upstream(id) => id.0,
         Subject::Zone(zone) => u64::from(zone),
     };
-    let rank = |position: u32| {
-        let member = ring_position(UpstreamId(u64::from(position) + 1));
+    let rank = |index: u32| {
+        let member = ring_position(UpstreamId(u64::from(index) + 1));
         ring_position(UpstreamId(subject_id ^ member))
     };
-    let own_rank = rank(update.position);
-    (0..update.up)
-        .filter(|&position| rank(position) > own_rank)
+    let own_rank = rank(update.index);
+    (0..update.live_instances)
+        .filter(|&index| rank(index) > own_rank)
         .count() as u32
 }
--- a/balancer/core/tests/common/tier/exchange.rs
+++ b/balancer/core/tests/common/tier/exchange.rs
@@ -17,7 +17,7 @@
 /// Observers of one subject.
 #[derive(Default)]
 struct Observers {
-    against: u32,
+    failing: u32,
     zones: BTreeSet<u16>,
     cleared: u32,
 }
@@ -27,11 +27,11 @@
     pub(super) fn exchange_updates(&mut self) {
         let observations = self.observations();
         let load = total_load(&observations);
-        for (position, own) in observations.iter().enumerate() {
+        for (index, own) in observations.iter().enumerate() {
             let update = TierUpdate {
-                up: observations.len() as u32,
-                position: position as u32,
-                joined: true,
+                live_instances: observations.len() as u32,
+                index: index as u32,
+                connected: true,
                 sums: Some(TierSums {
                     load: load.clone(),
                     age: SUMS_AGE,
@@ -49,8 +49,8 @@
         let now = self.now;
         let up = self.instances.iter_mut().enumerate();
         up.filter(|(_, instance)| instance.up)
-            .map(|(index, instance)| (instance.joined, index, instance.balancer.observed(now)))
-            .filter(|(joined, ..)| *joined)
+            .map(|(index, instance)| (instance.connected, index, instance.balancer.observed(now)))
+            .filter(|(connected, ..)| *connected)
             .map(|(_, instance, observed)| Observation { instance, observed })
             .collect()
     }
@@ -81,9 +81,9 @@
         if other.instance == instance {
             continue;
         }
-        for &subject in &other.observed.against {
+        for &subject in &other.observed.failing {
             let observers = subjects.entry(subject).or_default();
-            observers.against += 1;
+            observers.failing += 1;
             observers.zones.insert((other.instance % 3) as u16);
         }
         for &subject in &other.observed.cleared {
@@ -92,7 +92,7 @@
     }
     let evidence = |(subject, observers): (Subject, Observers)| Evidence {
         subject,
-        observers: observers.against,
+        observers: observers.failing,
         zones: observers.zones.len() as u32,
         cleared: observers.cleared,
         age: EVIDENCE_AGE,
--- a/balancer/core/tests/common/tier/mod.rs
+++ b/balancer/core/tests/common/tier/mod.rs
@@ -30,7 +30,7 @@
 pub(crate) struct Instance {
     pub balancer: Balancer,
     pub up: bool,
-    pub joined: bool,
+    pub connected: bool,
     open: BTreeMap<RequestId, OpenRequest>,
 }
 
@@ -153,7 +153,7 @@
         self.instances.push(Instance {
             balancer,
             up: true,
-            joined: true,
+            connected: true,
             open: BTreeMap::new(),
         });
         let endpoints = (0..self.servers.len() as u64).map(|id| Endpoint {
--- a/balancer/core/tests/observed.rs
+++ b/balancer/core/tests/observed.rs
@@ -39,7 +39,9 @@
         "{seen:?}"
     );
     assert!(
-        is_close(first.calls, 6.0) && is_close(second.calls, 2.0) && other.calls == 0.0,
+        is_close(first.calls_in_flight, 6.0)
+            && is_close(second.calls_in_flight, 2.0)
+            && other.calls_in_flight == 0.0,
         "{seen:?}"
     );
     // Without further requests the rates decay, even if they are not read in between.
@@ -66,9 +68,9 @@
         seen.retries > 0.5 && seen.retries < seen.first_attempts,
         "{seen:?}"
     );
-    let calls: f64 = seen.tenants.iter().map(|t| t.calls).sum();
+    let calls_in_flight: f64 = seen.tenants.iter().map(|t| t.calls_in_flight).sum();
     assert!(
-        is_close(calls, 4.0),
+        is_close(calls_in_flight, 4.0),
         "failed attempts must not count as in flight: {seen:?}"
     );
 }
@@ -80,7 +82,7 @@
     harness.traffic(4000.0, 80.0, &[0], &|_| Some((Ending::Ok, 50.0)));
     let seen = harness.balancer.observed(harness.now);
     assert!(
-        seen.against.is_empty() && seen.cleared.is_empty(),
+        seen.failing.is_empty() && seen.cleared.is_empty(),
         "{seen:?}"
     );
     let refuses = |id: UpstreamId| {
@@ -93,13 +95,13 @@
     harness.traffic(1500.0, 80.0, &[0], &refuses);
     let seen = harness.balancer.observed(harness.now);
     assert!(
-        seen.against == [subject] && seen.cleared.is_empty(),
+        seen.failing == [subject] && seen.cleared.is_empty(),
         "{seen:?}"
     );
     harness.traffic(8000.0, 80.0, &[0], &|_| Some((Ending::Ok, 50.0)));
     let seen = harness.balancer.observed(harness.now);
     assert!(
-        seen.against.is_empty() && seen.cleared == [subject],
+        seen.failing.is_empty() && seen.cleared == [subject],
         "{seen:?}"
     );
     // Errors may come from a downstream tier: they cause ejections but are not shared as evidence.
@@ -112,7 +114,7 @@
     };
     harness.traffic(2000.0, 80.0, &[0], &errs);
     let seen = harness.balancer.observed(harness.now);
-    assert!(seen.against.is_empty(), "{seen:?}");
+    assert!(seen.failing.is_empty(), "{seen:?}");
 }
 
 #[test]
@@ -132,10 +134,10 @@
         (id.0 % 2 == 0).then_some((Ending::Ok, 50.0))
     });
     let seen = harness.balancer.observed(harness.now);
-    assert_eq!(seen.against.first(), Some(&Subject::Zone(1)), "{seen:?}");
+    assert_eq!(seen.failing.first(), Some(&Subject::Zone(1)), "{seen:?}");
     let odd = |subject: &Subject| {
         matches!(subject, Subject::Zone(1))
             || matches!(subject, Subject::Upstream(id) if id.0 % 2 == 1)
     };
-    assert!(seen.against.iter().all(odd), "{seen:?}");
+    assert!(seen.failing.iter().all(odd), "{seen:?}");
 }
--- a/balancer/core/tests/restored.rs
+++ b/balancer/core/tests/restored.rs
@@ -34,7 +34,7 @@
 /// Remaining ejection time of the failing upstream.
 fn ejection_left(saved: &Learned) -> f64 {
     let ejected = saved.upstreams.iter().find(|(id, ..)| *id == UpstreamId(1));
-    ejected.map_or(0.0, |(.., health)| health.ejected_until - saved.at)
+    ejected.map_or(0.0, |(.., health)| health.ejected_until - saved.saved_at)
 }
 
 /// A newly started instance with the given endpoints and learned state.
@@ -71,8 +71,11 @@
         saved.load.capacity
     );
     assert!(
-        is_close(restored.answer, saved.answer)
-            && is_close(restored.load.unloaded, saved.load.unloaded)
+        is_close(restored.mean_response_time, saved.mean_response_time)
+            && is_close(
+                restored.load.unloaded_response_time,
+                saved.load.unloaded_response_time
+            )
     );
     assert_eq!(
         (restored.demands, &restored.kinds),
@@ -160,16 +163,16 @@
     Learned {
         load: Load {
             capacity: 80.0,
-            recent: 40.0,
-            peak: 50.0,
-            served: 2400.0,
-            success: 1.0,
-            uncrowded: 1.0,
-            unloaded: 50.0,
+            admitted_mean: 40.0,
+            admitted_peak: 50.0,
+            served_rate: 2400.0,
+            on_time_fraction: 1.0,
+            floor_fraction: 1.0,
+            unloaded_response_time: 50.0,
         },
         upstreams_max: 30.0,
         upstreams_usable: 1.0,
-        answer: 50.0,
+        mean_response_time: 50.0,
         deviation: 10.0,
         demands: vec![Some(40.0), None],
         ..Learned::default()
@@ -244,7 +247,7 @@
 fn learned_with_counts(outcomes: u32, ejections: u32) -> Learned {
     let health = Health {
         slowness: 1.0,
-        fails: 1.0,
+        failure_rate: 1.0,
         outcomes,
         ejections,
         ..Health::default()
@@ -315,23 +318,23 @@
         times in prop::collection::vec(any_number(), 4),
         demands in prop::collection::vec(prop::option::of(any_number()), 2..=4),
         kinds in prop::collection::vec((any::<u8>(), 0.0..4.5f64, any_number()), 0..3),
-        rest_lost in prop::collection::vec(part(), 0..12),
+        idle_loss_rates in prop::collection::vec(part(), 0..12),
         upstreams in prop::collection::vec((0u64..12, prop::collection::vec(any_number(), 4), part(), any_count(), any_count()), 0..6),
     ) -> Learned {
         Learned {
-            at: times[3],
+            saved_at: times[3],
             load: Load {
-                capacity: rates[0], recent: rates[1], peak: rates[2], served: rates[3],
-                success: parts[0], uncrowded: parts[1], unloaded: times[2],
+                capacity: rates[0], admitted_mean: rates[1], admitted_peak: rates[2], served_rate: rates[3],
+                on_time_fraction: parts[0], floor_fraction: parts[1], unloaded_response_time: times[2],
             },
             upstreams_max: rates[4], upstreams_usable: parts[2],
-            answer: times[0], deviation: times[1],
+            mean_response_time: times[0], deviation: times[1],
             demands,
             kinds: kinds.into_iter().map(|(kind, relative, samples)| (kind, (relative, samples))).collect(),
-            rest_lost,
-            upstreams: upstreams.into_iter().map(|(id, f, fails, ejections, outcomes)| {
+            idle_loss_rates,
+            upstreams: upstreams.into_iter().map(|(id, f, failure_rate, ejections, outcomes)| {
                 let (slowness, last_used, ejected_until, lost_until) = (f[0], f[1], f[2], f[3]);
-                let health = Health { slowness, fails, last_used, ejected_until, lost_until, ejections, outcomes };
+                let health = Health { slowness, failure_rate, last_used, ejected_until, lost_until, ejections, outcomes };
                 (UpstreamId(id), 0.0, health)
             }).collect(),
         }
--- a/balancer/core/tests/switched_off.rs
+++ b/balancer/core/tests/switched_off.rs
@@ -66,9 +66,9 @@
     for sums in [None, sums] {
         // Includes a period in which the instance is partitioned.
         let update = |step: usize| TierUpdate {
-            up: 1,
-            position: 0,
-            joined: step % 50 < 30,
+            live_instances: 1,
+            index: 0,
+            connected: step % 50 < 30,
             sums: sums.clone(),
             evidence: vec![],
         };
--- a/balancer/core/tests/tier/evidence.rs
+++ b/balancer/core/tests/tier/evidence.rs
@@ -16,8 +16,8 @@
 fn calls_after(endings: &[Ending], received: Received) -> usize {
     let failing = UpstreamId(1);
     let update = || TierUpdate {
-        up: 12,
-        joined: true,
+        live_instances: 12,
+        connected: true,
         evidence: vec![Evidence {
             subject: Subject::Upstream(failing),
             observers: 5,
--- a/balancer/core/tests/tier/recovery.rs
+++ b/balancer/core/tests/tier/recovery.rs
@@ -100,10 +100,10 @@
         }),
         ("partitioned, every third", 0.95, |tier, _| {
             (0..tier.instances.len())
-                .for_each(|instance| tier.instances[instance].joined = instance % 3 != 0);
+                .for_each(|instance| tier.instances[instance].connected = instance % 3 != 0);
         }),
         ("partitioned, two of them", 0.95, |tier, _| {
-            (5..7).for_each(|instance| tier.instances[instance].joined = false);
+            (5..7).for_each(|instance| tier.instances[instance].connected = false);
         }),
         ("stopped, seven in ten", 0.95, |tier, second| {
             if second == 3 {
--- a/balancer/core/tests/tier/updates.rs
+++ b/balancer/core/tests/tier/updates.rs
@@ -38,7 +38,7 @@
     let filters: [(&str, UpdateFilter); 5] = [
         ("of a partitioned instance", |_, update| {
             Some(TierUpdate {
-                joined: false,
+                connected: false,
                 ..update
             })
         }),
@@ -48,9 +48,9 @@
         ("that are outdated", |_, update| {
             Some(with_low_capacity(update, 3000.0))
         }),
-        ("with an invalid position", |_, update| {
+        ("with an invalid index", |_, update| {
             Some(TierUpdate {
-                position: update.up,
+                index: update.live_instances,
                 ..update
             })
         }),
--- a/balancer/proxy/src/driver/requests.rs
+++ b/balancer/proxy/src/driver/requests.rs
@@ -51,7 +51,11 @@
 impl Handle {
     /// Selects the tenant to evict a connection of, given the connection count of each tenant.
     pub(crate) fn tenant_to_evict(&self, connections: &[u32]) -> Option<usize> {
-        self.0.driver.borrow().balancer.furthest_over(connections)
+        self.0
+            .driver
+            .borrow()
+            .balancer
+            .tenant_furthest_over_share(connections)
     }
 
     /// Returns the number of requests without a final response.
--- a/balancer/proxy/src/peers/convert.rs
+++ b/balancer/proxy/src/peers/convert.rs
@@ -14,7 +14,7 @@
     let tenants = load.tenants.into_iter().enumerate();
     let tenants = tenants.map(|(position, tenant)| gossip::TenantLoad {
         demand: tenant.demand,
-        calls: tenant.calls,
+        calls: tenant.calls_in_flight,
         client_connections: client_connections
             .get(position)
             .copied()
@@ -28,7 +28,7 @@
             retries: load.retries,
             tenants: tenants.collect(),
         },
-        against: observed.against.into_iter().map(to_gossip).collect(),
+        against: observed.failing.into_iter().map(to_gossip).collect(),
         cleared: observed.cleared.into_iter().map(to_gossip).collect(),
     }
 }
@@ -50,7 +50,7 @@
 /// Converts the tier state to an update for the module, limited to what the options allow the module to use.
 pub fn tier_update(state: gossip::TierState, options: &PeerOptions) -> TierUpdate {
     // Without membership, this replica acts as the only one.
-    let (up, position) = if options.use_membership {
+    let (live_instances, index) = if options.use_membership {
         (state.up, state.position)
     } else {
         (1, 0)
@@ -69,9 +69,9 @@
         .sums
         .filter(|_| options.use_load_sums || options.use_tenant_sums);
     TierUpdate {
-        up,
-        position,
-        joined: state.joined,
+        live_instances,
+        index,
+        connected: state.joined,
         sums: sums.map(|sums| tier_sums(sums, options)),
         evidence: evidence.collect(),
     }
@@ -83,7 +83,7 @@
     let tenant_sum = |value| zero_unless(options.use_tenant_sums, value);
     let tenants = sums.load.tenants.into_iter().map(|tenant| TenantLoad {
         demand: load_sum(tenant.demand),
-        calls: tenant_sum(tenant.calls),
+        calls_in_flight: tenant_sum(tenant.calls),
         client_connections: tenant_sum(tenant.client_connections),
     });
     TierSums {
--- a/balancer/proxy/tests/golden.rs
+++ b/balancer/proxy/tests/golden.rs
@@ -35,7 +35,7 @@
 fn learned() -> Learned {
     let health = Health {
         slowness: 1.25,
-        fails: 0.0625,
+        failure_rate: 0.0625,
         outcomes: 31,
         last_used: 8901.5,
         ejected_until: 9101.25,
@@ -44,23 +44,23 @@
     };
     let load = Load {
         capacity: 101.25,
-        recent: 52.5,
-        peak: 63.75,
-        served: 404.125,
-        success: 0.9375,
-        uncrowded: 0.875,
-        unloaded: 12.5,
+        admitted_mean: 52.5,
+        admitted_peak: 63.75,
+        served_rate: 404.125,
+        on_time_fraction: 0.9375,
+        floor_fraction: 0.875,
+        unloaded_response_time: 12.5,
     };
     Learned {
-        at: 9001.5,
+        saved_at: 9001.5,
         load,
         upstreams_max: 4.5,
         upstreams_usable: 0.75,
-        answer: 13.5,
+        mean_response_time: 13.5,
         deviation: 2.25,
         demands: vec![Some(70.5), None],
         kinds: [(0, (0.125, 801.0)), (3, (0.25, 902.5))].into(),
-        rest_lost: vec![0.015625, 0.03125],
+        idle_loss_rates: vec![0.015625, 0.03125],
         upstreams: vec![(S_1, 6100.5, health), (S_2, 0.0, Health::default())],
     }
 }
--- a/balancer/proxy/tests/peers_observations.rs
+++ b/balancer/proxy/tests/peers_observations.rs
@@ -55,22 +55,22 @@
             use_evidence: verdicts,
         };
         let TierUpdate {
-            up,
-            position,
-            joined,
+            live_instances,
+            index,
+            connected,
             sums,
             evidence,
         } = tier_update(complete.clone(), &may);
-        assert!(joined);
+        assert!(connected);
         let load = sums.map(|s| {
             (
                 s.age,
                 s.load.demand,
                 s.load.tenants[0].demand,
-                s.load.tenants[0].calls,
+                s.load.tenants[0].calls_in_flight,
             )
         });
-        (up, position, load, evidence.len())
+        (live_instances, index, load, evidence.len())
     };
     assert_eq!(
         used_with(true, true, true, true),
