--- a/balancer/gossip/src/peers.rs
+++ b/balancer/gossip/src/peers.rs
@@ -93,8 +93,8 @@
     /// Handles a datagram received from a candidate's address. Invalid datagrams are counted and dropped.
     pub fn handle_datagram(&mut self, now: Millis, from: Member, bytes: &[u8]) {
         self.detect_pause(now);
-        self.counts.read += 1;
-        self.counts.read_bytes += bytes.len() as u64;
+        self.counts.received += 1;
+        self.counts.received_bytes += bytes.len() as u64;
         if let Err(rejection) = self.try_handle_datagram(now, from, bytes) {
             self.count_rejection(rejection);
         }
@@ -168,9 +168,9 @@
             .position(|member| *member == self.config.own)
             .unwrap_or(0);
         let version = self.negotiation.version();
-        let joined = self.membership.has_joined(now);
-        self.notify_of_isolation(joined, members.len());
-        let sums = if joined && version >= 2 {
+        let is_joined = self.membership.has_joined(now);
+        self.notify_of_isolation(is_joined, members.len());
+        let sums = if is_joined && version >= 2 {
             self.sums.sums(now, &members)
         } else {
             None
@@ -180,19 +180,19 @@
             position: position as u32,
             version,
             epoch: self.negotiation.epoch(),
-            joined,
+            is_joined,
             sums,
             evidence: self.verdicts.evidence(now),
         }
     }
 
     /// Notifies the operator when this replica becomes isolated, and when it no longer is.
-    fn notify_of_isolation(&mut self, joined: bool, up: usize) {
-        if self.isolated != joined || !joined && up <= 1 {
+    fn notify_of_isolation(&mut self, is_joined: bool, up: usize) {
+        if self.isolated != is_joined || !is_joined && up <= 1 {
             return;
         }
-        self.isolated = !joined;
-        let change = if joined {
+        self.isolated = !is_joined;
+        let change = if is_joined {
             "is connected to the tier again"
         } else {
             "is isolated from more than half of the tier"
@@ -212,7 +212,7 @@
         Counters {
             suspected: counters.suspected,
             failed: counters.failed,
-            steps: self.negotiation.steps(),
+            version_changes: self.negotiation.steps(),
             ..self.counts
         }
     }
--- a/balancer/gossip/src/peers/receive.rs
+++ b/balancer/gossip/src/peers/receive.rs
@@ -75,7 +75,7 @@
             Rejection::Malformed => &mut self.counts.malformed,
             Rejection::ForeignDeployment => &mut self.counts.foreign_deployment,
             Rejection::UnsupportedVersion => &mut self.counts.unsupported_version,
-            Rejection::TooOld => &mut self.counts.old,
+            Rejection::TooOld => &mut self.counts.too_old,
         };
         *counter += 1;
     }
--- a/balancer/gossip/src/types.rs
+++ b/balancer/gossip/src/types.rs
@@ -166,7 +166,7 @@
     /// The epoch of the agreement on that version, which only grows.
     pub epoch: u64,
     /// Whether more than half of the members that were up are known to be alive; otherwise this replica is isolated.
-    pub joined: bool,
+    pub is_joined: bool,
     /// Sums over the tier; absent if too few recent loads were received or the version has no sums.
     pub sums: Option<Sums>,
     /// Evidence of other replicas.
@@ -194,9 +194,9 @@
     /// Bytes sent.
     pub sent_bytes: u64,
     /// Datagrams received.
-    pub read: u64,
+    pub received: u64,
     /// Bytes received.
-    pub read_bytes: u64,
+    pub received_bytes: u64,
     /// Datagrams dropped because they were malformed.
     pub malformed: u64,
     /// Datagrams dropped because they belong to another deployment.
@@ -204,11 +204,11 @@
     /// Datagrams dropped because their version is not supported or not agreed on.
     pub unsupported_version: u64,
     /// Datagrams dropped because they were too long in transit.
-    pub old: u64,
+    pub too_old: u64,
     /// Members newly suspected.
     pub suspected: u64,
     /// Members declared failed.
     pub failed: u64,
     /// Changes of the protocol version in use.
-    pub steps: u64,
+    pub version_changes: u64,
 }
--- a/balancer/gossip/tests/golden.rs
+++ b/balancer/gossip/tests/golden.rs
@@ -233,7 +233,7 @@
         peers.handle_datagram(1.0, header.position, &bytes);
         let counts = peers.counts();
         assert_eq!(
-            (counts.read, counts.malformed, counts.foreign_deployment),
+            (counts.received, counts.malformed, counts.foreign_deployment),
             (1, 0, 0),
             "{name}"
         );
--- a/balancer/gossip/tests/hostile_datagrams.rs
+++ b/balancer/gossip/tests/hostile_datagrams.rs
@@ -42,13 +42,13 @@
             sim.run(5.0);
         }
         let after = sim.with(0, |peers, _| peers.counts());
-        let rejected = |counts: balancer_gossip::Counters| counts.malformed + counts.foreign_deployment + counts.unsupported_version + counts.old;
+        let rejected = |counts: balancer_gossip::Counters| counts.malformed + counts.foreign_deployment + counts.unsupported_version + counts.too_old;
         // Random bytes are rarely a valid payload; up to 8 accepted ones are tolerated.
         prop_assert!(rejected(after) - rejected(before) + 8 >= sent, "{before:?} {after:?}");
         sim.run(6_000.0);
         for at in 0..5 {
             let state = sim.tier_state(at);
-            prop_assert!(state.up == 5 && state.joined && state.evidence.is_empty(), "{state:?}");
+            prop_assert!(state.up == 5 && state.is_joined && state.evidence.is_empty(), "{state:?}");
         }
     }
 
--- a/balancer/gossip/tests/tier.rs
+++ b/balancer/gossip/tests/tier.rs
@@ -185,7 +185,7 @@
     for at in 0..24 {
         let state = sim.tier_state(at);
         assert!(
-            !state.joined && state.sums.is_none(),
+            !state.is_joined && state.sums.is_none(),
             "half of the tier is isolated: {state:?}"
         );
         assert_eq!(state.up, 12);
@@ -197,7 +197,7 @@
     sim.restart(20, 1);
     sim.is_partitioned = Box::new(|_, _| false);
     let took = run_until(&mut sim, 8_000.0, |sim| {
-        agreeing_share(sim, 23) == 1.0 && sim.tier_state(0).joined
+        agreeing_share(sim, 23) == 1.0 && sim.tier_state(0).is_joined
     });
     println!("healed in {took} ms");
 }
@@ -212,7 +212,7 @@
     // A replica that receives nothing reports itself as isolated, and does not cause others to suspect each other.
     sim.is_partitioned = Box::new(|_, to| to == 5);
     sim.run(6_000.0);
-    assert!(!sim.tier_state(5).joined);
+    assert!(!sim.tier_state(5).is_joined);
     let others: Vec<u32> = (0..24)
         .filter(|at| *at != 5)
         .map(|at| sim.tier_state(at).up)
@@ -246,7 +246,7 @@
     sim.kill(11);
     run_until(&mut sim, 700.0, |sim| agreeing_share(sim, 23) == 1.0);
     assert_eq!(suspected(&mut sim), before);
-    assert!(sim.tier_state(0).joined);
+    assert!(sim.tier_state(0).is_joined);
 }
 
 #[test]
@@ -257,7 +257,7 @@
     }
     sim.run(6_000.0);
     assert_eq!(agreeing_share(&mut sim, 3), 1.0);
-    assert!(sim.tier_state(0).joined);
+    assert!(sim.tier_state(0).is_joined);
     for position in 3..60 {
         sim.start(position, 1_000, SUPPORTED_VERSIONS);
     }
@@ -268,7 +268,7 @@
     let joined = sim
         .alive()
         .into_iter()
-        .filter(|at| sim.tier_state(*at).joined)
+        .filter(|at| sim.tier_state(*at).is_joined)
         .count();
     assert_eq!(
         joined, 0,
@@ -278,7 +278,7 @@
     // All restart at once without state.
     (0..42).for_each(|at| sim.restart(at, 2_000));
     run_until(&mut sim, 6_000.0, |sim| {
-        agreeing_share(sim, 60) == 1.0 && sim.tier_state(50).joined
+        agreeing_share(sim, 60) == 1.0 && sim.tier_state(50).is_joined
     });
 }
 
--- a/balancer/gossip/tests/upgrades.rs
+++ b/balancer/gossip/tests/upgrades.rs
@@ -88,8 +88,12 @@
             "{position} is rolled back"
         );
         for at in sim.alive() {
-            let steps = sim.with(at, |peers, _| peers.counts().steps);
-            assert!(steps <= 2, "{steps} steps of {}", sim.nodes[at].position);
+            let version_changes = sim.with(at, |peers, _| peers.counts().version_changes);
+            assert!(
+                version_changes <= 2,
+                "{version_changes} version changes of {}",
+                sim.nodes[at].position
+            );
         }
     }
 }
@@ -112,7 +116,7 @@
         assert_eq!(run_observing(&mut sim, 12).0, [2]);
         for at in sim.alive().into_iter().filter(|at| *at < 60) {
             assert_eq!(
-                sim.with(at, |peers, _| peers.counts().steps),
+                sim.with(at, |peers, _| peers.counts().version_changes),
                 3,
                 "of {}",
                 sim.nodes[at].position
--- a/balancer/proxy/src/peers/convert.rs
+++ b/balancer/proxy/src/peers/convert.rs
@@ -71,7 +71,7 @@
     TierUpdate {
         live_instances,
         index,
-        connected: state.joined,
+        connected: state.is_joined,
         sums: sums.map(|sums| tier_sums(sums, options)),
         evidence: evidence.collect(),
     }
@@ -109,10 +109,10 @@
     metrics::TierMetrics {
         replicas_up: state.up,
         position: state.position,
-        joined: state.joined,
+        joined: state.is_joined,
         version: state.version,
         epoch: state.epoch,
-        version_changes: counters.steps,
+        version_changes: counters.version_changes,
         suspected: counters.suspected,
         removed: counters.failed,
         sums: state.sums.as_ref().map(sum_metrics),
@@ -120,13 +120,13 @@
         evidence_age_ms: evidence_ages.max_by(f64::total_cmp),
         sent: counters.sent,
         sent_bytes: counters.sent_bytes,
-        read: counters.read,
-        read_bytes: counters.read_bytes,
+        read: counters.received,
+        read_bytes: counters.received_bytes,
         dropped: metrics::DroppedDatagrams {
             malformed: counters.malformed,
             foreign_deployment: counters.foreign_deployment,
             unsupported_version: counters.unsupported_version,
-            old: counters.old,
+            old: counters.too_old,
             ..dropped_here
         },
     }
--- a/balancer/proxy/tests/peers_observations.rs
+++ b/balancer/proxy/tests/peers_observations.rs
@@ -36,7 +36,7 @@
         position: 3,
         version: 2,
         epoch: 9,
-        joined: true,
+        is_joined: true,
         sums,
         evidence,
     }
