--- a/balancer/proxy/src/recovery.rs
+++ b/balancer/proxy/src/recovery.rs
@@ -196,7 +196,7 @@
     }
 
     fn log_failure(&self) {
-        if let Some(error) = self.writer.failure() {
+        if let Some(error) = self.writer.take_failure() {
             tracing::warn!(target: "recovery", event = "state_not_written", error, "recovery: cannot save state: {error}");
         }
     }
--- a/balancer/snapshots/src/store.rs
+++ b/balancer/snapshots/src/store.rs
@@ -16,7 +16,7 @@
 
 const RECORDS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("records");
 /// The file name of the database in the folder.
-pub const FILE: &str = "state.redb";
+pub const DATABASE_FILE_NAME: &str = "state.redb";
 /// The number of unreadable databases that are retained for inspection.
 const MAX_SET_ASIDE: usize = 3;
 /// The page cache of the database, in bytes, which is small because there are only a few pages.
@@ -148,7 +148,7 @@
         owner: Owner,
         fault_file: Option<FaultFile>,
     ) -> Result<Opened, StoreError> {
-        let path = folder.join(FILE);
+        let path = folder.join(DATABASE_FILE_NAME);
         let open_file = {
             let path = path.clone();
             move || {
@@ -213,7 +213,7 @@
     ///
     /// When the file can't be read, or is not a readable database.
     pub fn copy(folder: &Path, owner: Owner) -> Result<Store, StoreError> {
-        let path = folder.join(FILE);
+        let path = folder.join(DATABASE_FILE_NAME);
         let bytes = std::fs::read(&path).map_err(disk_error(&path))?;
         let memory = redb::backends::InMemoryBackend::new();
         let written = memory
@@ -323,13 +323,13 @@
 
 /// Renames an unreadable database, and retains the latest [`MAX_SET_ASIDE`] for inspection.
 fn set_aside(folder: &Path) -> io::Result<PathBuf> {
-    let name = |n: usize| folder.join(format!("{FILE}.bad-{n}"));
+    let name = |n: usize| folder.join(format!("{DATABASE_FILE_NAME}.bad-{n}"));
     // Removes the oldest, and increments the numbers of the others.
     ignore_not_found(std::fs::remove_file(name(MAX_SET_ASIDE)))?;
     for n in (1..MAX_SET_ASIDE).rev() {
         ignore_not_found(std::fs::rename(name(n), name(n + 1)))?;
     }
-    std::fs::rename(folder.join(FILE), name(1))?;
+    std::fs::rename(folder.join(DATABASE_FILE_NAME), name(1))?;
     Ok(name(1))
 }
 
--- a/balancer/snapshots/src/writer.rs
+++ b/balancer/snapshots/src/writer.rs
@@ -126,7 +126,7 @@
     }
 
     /// Returns the failure of the last write, once.
-    pub fn failure(&self) -> Option<String> {
+    pub fn take_failure(&self) -> Option<String> {
         self.shared.lock().failure.take()
     }
 
--- a/balancer/snapshots/tests/golden.rs
+++ b/balancer/snapshots/tests/golden.rs
@@ -14,7 +14,7 @@
 const WRITTEN_MS: f64 = 1_764_709_200_123.25;
 
 /// The file name of the database, which is the same in every build.
-const FILE: &str = "state.redb";
+const DATABASE_FILE_NAME: &str = "state.redb";
 /// The table of records, which is the same in every build.
 const TABLE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("records");
 /// The key of each kind, which is the same in every build.
@@ -71,7 +71,7 @@
         .put(&KEYS.map(|(key, kind)| (kind, payload(key))), WRITTEN_MS)
         .expect("is written");
     drop(store);
-    let database = Database::open(dir.path().join(FILE)).expect("opens");
+    let database = Database::open(dir.path().join(DATABASE_FILE_NAME)).expect("opens");
     let table = database
         .begin_read()
         .expect("reads")
@@ -86,7 +86,7 @@
 #[test]
 fn folder_of_an_earlier_build_is_read() {
     let dir = TempDir::new().expect("a folder");
-    let database = Database::create(dir.path().join(FILE)).expect("creates");
+    let database = Database::create(dir.path().join(DATABASE_FILE_NAME)).expect("creates");
     let write = database.begin_write().expect("writes");
     {
         let mut table = write.open_table(TABLE).expect("the table");
--- a/balancer/snapshots/tests/power/arbitrary_bytes.rs
+++ b/balancer/snapshots/tests/power/arbitrary_bytes.rs
@@ -1,7 +1,7 @@
 //! Records and database files with arbitrary or corrupt bytes.
 use crate::disk::*;
 use crate::puts::*;
-use balancer_snapshots::store::FILE;
+use balancer_snapshots::store::DATABASE_FILE_NAME;
 use balancer_snapshots::{Found, Kind, Record, Store};
 use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, proptest, ProptestConfig};
 use proptest::test_runner::RngSeed;
@@ -18,7 +18,7 @@
         .store;
     (0..4).for_each(|put| store.put(&payloads(put), 1000.0).expect("puts"));
     drop(store);
-    let complete = std::fs::read(folder.path().join(FILE)).expect("reads");
+    let complete = std::fs::read(folder.path().join(DATABASE_FILE_NAME)).expect("reads");
     let rng = &mut Pcg64Mcg::seed_from_u64(3);
     let (mut used, mut unusable) = (0, 0);
     for round in 0..400 {
--- a/balancer/snapshots/tests/power/files.rs
+++ b/balancer/snapshots/tests/power/files.rs
@@ -1,7 +1,7 @@
 //! Full disks, unreadable files, concurrent and foreign owners, and long use of a file.
 use crate::disk::*;
 use crate::puts::*;
-use balancer_snapshots::store::{inspect, StoreError, FILE};
+use balancer_snapshots::store::{inspect, StoreError, DATABASE_FILE_NAME};
 use balancer_snapshots::{Found, Kind, Owner, SnapshotWriter, Store};
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
@@ -33,7 +33,7 @@
     let folder = TempDir::new().expect("a folder");
     for round in 0..6 {
         std::fs::write(
-            folder.path().join(FILE),
+            folder.path().join(DATABASE_FILE_NAME),
             format!("no database, round {round}").repeat(1000),
         )
         .expect("writes");
@@ -60,14 +60,14 @@
     let second = Store::open(folder.path(), owner(), None).err();
     assert_eq!(second, Some(StoreError::InUse));
     drop(store);
-    let before = std::fs::read(folder.path().join(FILE)).expect("reads");
+    let before = std::fs::read(folder.path().join(DATABASE_FILE_NAME)).expect("reads");
     let records = inspect(folder.path()).expect("inspects");
     assert_eq!(records.len(), Kind::ALL.len());
     assert!(records
         .iter()
         .all(|record| matches!(&record.found, Some(Ok((_, name))) if name == "n1")));
     assert_eq!(
-        std::fs::read(folder.path().join(FILE)).expect("reads"),
+        std::fs::read(folder.path().join(DATABASE_FILE_NAME)).expect("reads"),
         before,
         "an inspection changes nothing"
     );
@@ -104,7 +104,7 @@
         .into_iter()
         .for_each(|(kind, payload)| writer.enqueue(kind, payload));
     assert!(!writer.flush(TIMEOUT));
-    assert!(writer.failure().is_some());
+    assert!(writer.take_failure().is_some());
     // redb rejects all accesses after a failure, so this requires that the store was reopened.
     disk.0.lock().expect("no panic").full = false;
     let commits = writer.written().commits;
@@ -137,7 +137,7 @@
             .put(&[(Kind::Learned, learned)], 1000.0)
             .expect("puts");
     }
-    let size = std::fs::metadata(folder.path().join(FILE))
+    let size = std::fs::metadata(folder.path().join(DATABASE_FILE_NAME))
         .expect("a file")
         .len();
     println!("{size} bytes after 900 writes of 60 kB");
