--- a/balancer/proxy/src/check.rs
+++ b/balancer/proxy/src/check.rs
@@ -30,7 +30,7 @@
         };
         text.push_str(&format!("peers: {state}\n"));
     }
-    for (key, value) in loaded.shown() {
+    for (key, value) in loaded.entries() {
         let source = loaded.source(&key);
         text.push_str(&format!("{key:<24} {value:<24} {source}\n"));
     }
--- a/balancer/proxy/src/command_line.rs
+++ b/balancer/proxy/src/command_line.rs
@@ -62,7 +62,7 @@
         };
         let current = self.options.or_else(|| named_by(options::FILE_VARIABLE));
         let deprecated_file = current.is_none();
-        match current.or_else(|| named_by(options::OLD_FILE_VARIABLE)) {
+        match current.or_else(|| named_by(options::DEPRECATED_FILE_VARIABLE)) {
             Some(file) => Sources {
                 file: Some(file),
                 deprecated_file,
--- a/balancer/proxy/src/config.rs
+++ b/balancer/proxy/src/config.rs
@@ -230,7 +230,7 @@
 }
 
 /// The part of the configuration that a reload cannot change.
-pub struct Fixed {
+pub struct FixedConfig {
     name: String,
     listen: SocketAddr,
     sockets: usize,
@@ -238,10 +238,10 @@
     deployment: Deployment,
 }
 
-impl Fixed {
+impl FixedConfig {
     /// Returns the fixed part of a configuration.
-    pub fn of(config: &Config) -> Fixed {
-        Fixed {
+    pub fn of(config: &Config) -> FixedConfig {
+        FixedConfig {
             name: config.name.clone(),
             listen: config.listen,
             sockets: config.sockets,
@@ -251,7 +251,7 @@
     }
 
     /// Returns the fixed fields that differ in `config`; they take effect only after a restart.
-    pub fn differing(&self, config: &Config) -> Vec<&'static str> {
+    pub fn changed_fields(&self, config: &Config) -> Vec<&'static str> {
         let compared = [
             ("name", self.name == config.name),
             ("listen", self.listen == config.listen),
--- a/balancer/proxy/src/options.rs
+++ b/balancer/proxy/src/options.rs
@@ -11,7 +11,7 @@
 pub use loaded::Loaded;
 #[doc(hidden)]
 pub use read::load;
-pub use read::{Sources, FILE_VARIABLE, OLD_FILE_VARIABLE};
+pub use read::{Sources, DEPRECATED_FILE_VARIABLE, FILE_VARIABLE};
 pub use source::Source;
 pub use types::{
     Format, InvalidOption, Level, LogOptions, MetricsOptions, Options, PeerOptions,
--- a/balancer/proxy/src/options/loaded.rs
+++ b/balancer/proxy/src/options/loaded.rs
@@ -22,7 +22,7 @@
     }
 
     /// Returns every key with its value in TOML syntax.
-    pub fn shown(&self) -> Vec<(String, String)> {
+    pub fn entries(&self) -> Vec<(String, String)> {
         // Cannot fail: a table can represent all options.
         let table = Table::try_from(&self.options).unwrap_or_default();
         flatten(&table)
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// Names the first changed key that cannot change at runtime.
-    pub fn check_follows(&self, before: &Options) -> Result<(), OptionsError> {
+    pub fn check_reloadable(&self, before: &Options) -> Result<(), OptionsError> {
         let (now, then) = (&self.options, before);
         let (recovery, recovery_then) = (&now.recovery, &then.recovery);
         let compared = [
@@ -93,7 +93,10 @@
                 "peers.version_most",
                 now.peers.max_version == then.peers.max_version,
             ),
-            ("figures.log", now.metrics.is_on() == then.metrics.is_on()),
+            (
+                "figures.log",
+                now.metrics.is_enabled() == then.metrics.is_enabled(),
+            ),
         ];
         let changed = compared.into_iter().find(|(_, is_same)| !is_same);
         match changed {
--- a/balancer/proxy/src/options/read.rs
+++ b/balancer/proxy/src/options/read.rs
@@ -8,14 +8,14 @@
 /// The variable that names the options file. It does not set an option.
 pub const FILE_VARIABLE: &str = "BALANCER_OPTIONS";
 /// The deprecated name of [`FILE_VARIABLE`], read if that one is not set.
-pub const OLD_FILE_VARIABLE: &str = "HERONDOCK_OPTIONS";
+pub const DEPRECATED_FILE_VARIABLE: &str = "HERONDOCK_OPTIONS";
 
 /// The sources that options are loaded from.
 #[derive(Clone, Debug, Default)]
 pub struct Sources {
     /// The path of the file.
     pub file: Option<PathBuf>,
-    /// Whether the file was named by [`OLD_FILE_VARIABLE`].
+    /// Whether the file was named by [`DEPRECATED_FILE_VARIABLE`].
     pub deprecated_file: bool,
     /// The values of the `--set KEY=VALUE` flags, in order.
     pub set: Vec<String>,
@@ -40,9 +40,10 @@
         let variables = variables()?;
         let file = text.as_ref().map(|(path, text)| (*path, text.as_str()));
         let mut loaded = load(file, variables.into_iter(), &self.set)?;
-        loaded
-            .deprecated
-            .extend(self.deprecated_file.then(|| OLD_FILE_VARIABLE.to_owned()));
+        loaded.deprecated.extend(
+            self.deprecated_file
+                .then(|| DEPRECATED_FILE_VARIABLE.to_owned()),
+        );
         Ok(loaded)
     }
 }
@@ -53,7 +54,7 @@
     for (name, value) in std::env::vars_os() {
         let name = name.to_string_lossy().into_owned();
         let sets_option = name.starts_with(PREFIX) || name.starts_with(DEPRECATED_PREFIX);
-        if !sets_option || name == OLD_FILE_VARIABLE {
+        if !sets_option || name == DEPRECATED_FILE_VARIABLE {
             continue;
         }
         let value = value
--- a/balancer/proxy/src/options/types.rs
+++ b/balancer/proxy/src/options/types.rs
@@ -80,7 +80,7 @@
 
 impl MetricsOptions {
     /// Whether metrics are collected.
-    pub fn is_on(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.log || !self.dir.as_os_str().is_empty()
     }
 }
@@ -110,7 +110,7 @@
 
 impl RecoveryOptions {
     /// Whether state is persisted.
-    pub fn is_on(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         !self.dir.as_os_str().is_empty()
     }
 }
--- a/balancer/proxy/src/program.rs
+++ b/balancer/proxy/src/program.rs
@@ -68,7 +68,7 @@
     for variable in &loaded.deprecated {
         tracing::warn!(target: "run", event = "deprecated_variable", variable, "{variable} is deprecated: use the prefix BALANCER_ instead");
     }
-    if loaded.options.recovery.is_on() {
+    if loaded.options.recovery.is_enabled() {
         install_panic_hook();
     }
     match serve(config, sources, loaded, &logging) {
--- a/balancer/proxy/src/reload.rs
+++ b/balancer/proxy/src/reload.rs
@@ -1,5 +1,5 @@
 //! The reload on SIGHUP. Owns the fixed part of the configuration, and the channels for the parts that can change.
-use crate::config::{Config, Fixed};
+use crate::config::{Config, FixedConfig};
 use crate::log::Logging;
 use crate::options::{Options, OptionsError, Sources};
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
     /// The balancer's name.
     pub name: &'a str,
     /// The configuration that a reload cannot change.
-    pub fixed: Fixed,
+    pub fixed: FixedConfig,
     /// The address of discovery.
     pub discovery: watch::Sender<SocketAddr>,
     /// The sources of the options.
@@ -34,7 +34,7 @@
         match Config::load() {
             Ok(config) => {
                 let address = config.discovery;
-                let unchanged = self.fixed.differing(&config).join(", ");
+                let unchanged = self.fixed.changed_fields(&config).join(", ");
                 let note = match unchanged.as_str() {
                     "" => String::new(),
                     fields => format!("; restart needed to change: {fields}"),
@@ -69,7 +69,7 @@
     /// Loads the options without checking the folders: these cannot change, and disk access here would block requests.
     fn load_options(&self, before: &Options) -> Result<Options, OptionsError> {
         let loaded = self.sources.load()?;
-        loaded.check_follows(before)?;
+        loaded.check_reloadable(before)?;
         Ok(loaded.options)
     }
 }
--- a/balancer/proxy/src/serve.rs
+++ b/balancer/proxy/src/serve.rs
@@ -4,7 +4,7 @@
 
 pub(crate) use error::ServeError;
 
-use crate::config::{Config, Fixed};
+use crate::config::{Config, FixedConfig};
 use crate::log::Logging;
 use crate::options::{Options, Sources};
 use crate::reload::Reload;
@@ -24,7 +24,7 @@
     logging: &Logging,
 ) -> Result<(), ServeError> {
     let clock = ClockStart::now();
-    let fixed = Fixed::of(&config);
+    let fixed = FixedConfig::of(&config);
     let signals = Signals::listen().map_err(ServeError::Signals)?;
     let (mut shutdown_signals, mut hang_up) = signals.split();
     let mut components = Components::start(clock, config, options, logging).await?;
--- a/balancer/proxy/src/serve/components.rs
+++ b/balancer/proxy/src/serve/components.rs
@@ -85,7 +85,7 @@
         let server = tokio::task::spawn_local(server.run(bound.listener));
         let (name, address) = (config.name, bound.address);
         tracing::info!(target: "run", event = "serving", address = %address, "{name}: serving on {address}");
-        let has_metrics = options.metrics.is_on();
+        let has_metrics = options.metrics.is_enabled();
         let (options, changes) = watch::channel(options);
         if let Some(tier) = tier.clone() {
             tokio::task::spawn_local(tier.run(handle.clone(), counts, changes.clone()));
@@ -150,7 +150,7 @@
             .map_err(ServeError::Settings)?;
         let file = metrics_file(options)?;
         let recovered = recover(config, options);
-        let metrics = options.metrics.is_on().then(|| {
+        let metrics = options.metrics.is_enabled().then(|| {
             let local_zone = deployment.policy.zone;
             Metrics::new(&config.name, &deployment.zones, local_zone, recovered.start)
         });
@@ -193,7 +193,7 @@
 
 /// Recovers the state of an earlier run, if it is persisted.
 fn recover(config: &Config, options: &Options) -> Recovered {
-    if !options.recovery.is_on() {
+    if !options.recovery.is_enabled() {
         return Recovered::default();
     }
     let deployment = &config.deployment;
--- a/balancer/proxy/tests/options.rs
+++ b/balancer/proxy/tests/options.rs
@@ -17,10 +17,10 @@
     assert_eq!(loaded.options, Options::default());
     let named = read("", &[], &[]).expect("defaults");
     assert_eq!(named.options, Options::default());
-    let shown = named.shown();
+    let entries = named.entries();
     assert!(
-        shown.len() > 4
-            && shown
+        entries.len() > 4
+            && entries
                 .iter()
                 .all(|(key, _)| named.source(key) == Source::Default)
     );
@@ -122,23 +122,23 @@
 #[test]
 fn only_reloadable_options_change_in_a_running_program() {
     let before = Options::default();
-    let follows = |text: &str| {
+    let check_reload = |text: &str| {
         let loaded = read(text, &[], &[]).expect("valid input");
         loaded
-            .check_follows(&before)
+            .check_reloadable(&before)
             .map_err(|error| error.to_string())
     };
     assert_eq!(
-        follows("[log]\nlevel = \"debug\"\nrate = 3\n[figures]\nevery = \"2s\"\n[peers]\nshed = false\n"),
+        check_reload("[log]\nlevel = \"debug\"\nrate = 3\n[figures]\nevery = \"2s\"\n[peers]\nshed = false\n"),
         Ok(())
     );
-    assert!(
-        follows("[log]\nformat = \"json\"\n").is_err_and(|e| e.contains("o.toml:2: log.format"))
-    );
-    assert!(follows("[figures]\ndir = \"/tmp\"\n").is_err_and(|e| e.contains("figures.dir")));
-    assert!(follows("[figures]\nlog = true\n").is_err());
-    assert!(follows("[peers]\non = true\n").is_err_and(|e| e.contains("o.toml:2: peers.on")));
-    assert!(follows("[peers]\nversion_most = 1\n").is_err_and(|e| e.contains("peers.version_most")));
+    assert!(check_reload("[log]\nformat = \"json\"\n")
+        .is_err_and(|e| e.contains("o.toml:2: log.format")));
+    assert!(check_reload("[figures]\ndir = \"/tmp\"\n").is_err_and(|e| e.contains("figures.dir")));
+    assert!(check_reload("[figures]\nlog = true\n").is_err());
+    assert!(check_reload("[peers]\non = true\n").is_err_and(|e| e.contains("o.toml:2: peers.on")));
+    assert!(check_reload("[peers]\nversion_most = 1\n")
+        .is_err_and(|e| e.contains("peers.version_most")));
 }
 
 #[test]
