--- a/balancer/core/src/state/zone.rs
+++ b/balancer/core/src/state/zone.rs
@@ -44,7 +44,7 @@
         let state = if self.diverted > 0.0 {
             "returning"
         } else {
-            "in service"
+            "near"
         };
         let part = 1.0 - self.diverted;
         Action::Log(format!(
--- a/balancer/core/tests/zones.rs
+++ b/balancer/core/tests/zones.rs
@@ -144,10 +144,7 @@
         has("zone 0 is returning: accepts 0.125 of its draws"),
         "{log:?}"
     );
-    assert!(
-        has("zone 0 is in service: accepts 1.000 of its draws"),
-        "{log:?}"
-    );
+    assert!(has("zone 0 is near: accepts 1.000 of its draws"), "{log:?}");
     let all = sent(harness, recovered_at).iter().sum::<usize>() / 16;
     assert!(
         local[1] * 2 < all.max(2),
@@ -298,7 +295,7 @@
         let from = harness.now;
         while !take_zone_log(&mut harness)
             .iter()
-            .any(|l| l.starts_with("zone 0 is in service"))
+            .any(|l| l.starts_with("zone 0 is near"))
         {
             run(&mut harness, 500.0, 60.0, healthy);
             assert!(harness.now - from < 60_000.0, "zone 0 did not return");
--- a/balancer/snapshots/src/store.rs
+++ b/balancer/snapshots/src/store.rs
@@ -242,7 +242,7 @@
     fn database(&self) -> Result<&Database, StoreError> {
         self.database
             .as_ref()
-            .ok_or_else(|| StoreError::Corrupt("closed after a failure".into()))
+            .ok_or_else(|| StoreError::Corrupt("closed".into()))
     }
 
     fn read_bytes(&self, kind: Kind) -> Result<Option<Vec<u8>>, StoreError> {
--- a/lab/src/report/plots.rs
+++ b/lab/src/report/plots.rs
@@ -18,25 +18,25 @@
 const METRIC_PLOTS: [MetricPlot; 5] = [
     MetricPlot {
         title: "Value earned, as a fraction of value requested",
-        unit: "fraction",
+        unit: "part",
         top: Some(1.0),
         value: |metrics| metrics.value,
     },
     MetricPlot {
         title: "Served within the latency target",
-        unit: "fraction",
+        unit: "part",
         top: Some(1.0),
         value: |metrics| metrics.in_time,
     },
     MetricPlot {
         title: "Refused",
-        unit: "fraction",
+        unit: "part",
         top: Some(1.0),
         value: |metrics| metrics.refused,
     },
     MetricPlot {
         title: "Failed or without a response",
-        unit: "fraction",
+        unit: "part",
         top: Some(1.0),
         value: |metrics| metrics.failed,
     },
